--- a/control/types.go
+++ b/control/types.go
@@ -129,12 +129,12 @@
 
 // Endpoint is one line of the endpoint list.
 type Endpoint struct {
-	ID          EndpointID
-	Destination int
-	Kind        int
-	Zone        int
-	State       State
-	Weight      float64
+	ID          EndpointID `json:"ID"`
+	Destination int        `json:"Destination"`
+	Kind        int        `json:"Kind"`
+	Zone        int        `json:"Zone"`
+	State       State      `json:"State"`
+	Weight      float64    `json:"Weight"`
 }
 
 // ListNews says how a list event is to be read.
@@ -215,17 +215,18 @@
 // A Recollection is what a controller knows of an endpoint's route, for the one that comes after it in another
 // process of the same instance. Times are counted from the moment that it tells of.
 type Recollection struct {
-	Endpoint EndpointID
-	Wait     time.Duration // nothing is to be sent for so long
-	Bad      int           // answers in a row that served nothing
-	Since    time.Duration // ago: the first of them
-	Open     bool          // taken for an outage
-	Retry    time.Duration // open: the next lone call in so long
-	Backoff  time.Duration // open: the pause after the next failed call
-	Warming  bool          // in its slow start...
-	Back     time.Duration // ...which began so long ago
-	Share    float64       // of its limit
-	TM, Dev  time.Duration // of the calls of its destination
+	Endpoint EndpointID    `json:"Endpoint"`
+	Wait     time.Duration `json:"Wait"`    // nothing is to be sent for so long
+	Bad      int           `json:"Bad"`     // answers in a row that served nothing
+	Since    time.Duration `json:"Since"`   // ago: the first of them
+	Open     bool          `json:"Open"`    // taken for an outage
+	Retry    time.Duration `json:"Retry"`   // open: the next lone call in so long
+	Backoff  time.Duration `json:"Backoff"` // open: the pause after the next failed call
+	Warming  bool          `json:"Warming"` // in its slow start...
+	Back     time.Duration `json:"Back"`    // ...which began so long ago
+	Share    float64       `json:"Share"`   // of its limit
+	TM       time.Duration `json:"TM"`      // of the calls of its destination
+	Dev      time.Duration `json:"Dev"`     // of the calls of its destination
 }
 
 // Actions is what a controller asks of its host. The host carries the calls
--- a/internal/audit/auditor.go
+++ b/internal/audit/auditor.go
@@ -38,11 +38,17 @@
 
 // Counts tell how much was judged.
 type Counts struct {
-	Events, HandIns, Taken, Calls, Delivered, Deferred, Undeliverable int
-
-	Effects     int // messages that took effect, repeats too
-	LateEffects int // of calls that were cancelled
-	Dropped     int // repeats that the partner dropped
+	Events        int `json:"Events"`
+	HandIns       int `json:"HandIns"`
+	Taken         int `json:"Taken"`
+	Calls         int `json:"Calls"`
+	Delivered     int `json:"Delivered"`
+	Deferred      int `json:"Deferred"`
+	Undeliverable int `json:"Undeliverable"`
+
+	Effects     int `json:"Effects"`     // messages that took effect, repeats too
+	LateEffects int `json:"LateEffects"` // of calls that were cancelled
+	Dropped     int `json:"Dropped"`     // repeats that the partner dropped
 }
 
 // A message from its hand-in until nothing later can be judged by it.
--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,70 @@
+package handover
+
+import (
+	"bytes"
+	"net"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"cleathold/internal/golden"
+	"cleathold/internal/state"
+)
+
+// TestGoldenMessages writes and reads each line of a hand-over as 096da04 did, with the length before it.
+func TestGoldenMessages(t *testing.T) {
+	estate, returned := golden.Fill[state.Estate](), golden.Fill[state.Returned]()
+	for name, m := range map[string]message{
+		"ask":      {Version: version, Ask: true},
+		"refused":  {Refused: "why"},
+		"estate":   {Estate: &estate},
+		"ready":    {Ready: true},
+		"yours":    {Yours: true},
+		"returned": {Returned: &returned, Last: true},
+		"last":     {Last: true},
+	} {
+		golden.Bytes(t, name+".txt", sent(t, m), false)
+		line, err := os.ReadFile(golden.Path(name + ".txt"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		read, err := receive(bytes.NewReader(line))
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+		}
+		if again := sent(t, read); !bytes.Equal(again, line) {
+			t.Errorf("%s: read as %q, want %q", name, again, line)
+		}
+	}
+}
+
+// sent is what goes over the socket for a message.
+func sent(t *testing.T, m message) []byte {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "s")
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	if err := send(c, m, nil, time.Now().Add(time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	c.CloseWrite()
+	other, err := l.AcceptUnix()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	var b bytes.Buffer
+	if _, err := b.ReadFrom(other); err != nil {
+		t.Fatal(err)
+	}
+	return b.Bytes()
+}
--- /dev/null
+++ b/internal/held/golden_test.go
@@ -0,0 +1,63 @@
+package held
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+
+	"cleathold/internal/golden"
+)
+
+// TestGoldenHeld writes and reads the records, exports and answers of the store as 096da04 did.
+func TestGoldenHeld(t *testing.T) {
+	golden.JSON[Record](t, "record.json")
+	golden.JSON[Line](t, "line.json")
+	golden.JSON[Act](t, "act.json")
+	golden.JSON[Selection](t, "selection.json")
+	golden.JSON[Outcome](t, "outcome.json")
+	golden.JSON[Stats](t, "stats.json")
+}
+
+// TestGoldenStore opens a store that 096da04 wrote.
+func TestGoldenStore(t *testing.T) {
+	dir := golden.Folder(t, "store")
+	read, err := OpenReading(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Bytes(t, "store.txt", goldenContent(t, read), false)
+	read.Close()
+	golden.Bytes(t, "store.txt", goldenContent(t, openStore(t, dir)), false)
+}
+
+// goldenContent is each record of a store with its body, and the audit trail.
+func goldenContent(t *testing.T, s *Store) []byte {
+	t.Helper()
+	var b strings.Builder
+	err := s.View(func(tx *Tx) error {
+		for seq := uint64(1); ; seq++ {
+			r, err := tx.Get(seq)
+			if err != nil {
+				break
+			}
+			body, err := tx.Body(seq)
+			if err != nil {
+				return err
+			}
+			text, err := json.Marshal(r)
+			if err != nil {
+				return err
+			}
+			fmt.Fprintf(&b, "%s %q owed=%t\n", text, body, tx.Owed(r.ID))
+		}
+		trail, err := tx.Audit(10)
+		text, _ := json.Marshal(trail)
+		fmt.Fprintf(&b, "%s\n", text)
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return []byte(b.String())
+}
--- /dev/null
+++ b/internal/lab/golden_test.go
@@ -0,0 +1,30 @@
+package lab
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"testing"
+
+	"cleathold/internal/golden"
+)
+
+// TestGoldenResult reads and writes the result of a run as 096da04 did.
+func TestGoldenResult(t *testing.T) {
+	golden.JSON[Result](t, "result.json")
+	text, err := os.ReadFile("../ledger/testdata/golden/run/result.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var r Result
+	if err := json.Unmarshal(text, &r); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.MarshalIndent(r, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(append(again, '\n'), text) {
+		t.Errorf("written as %s, want %s", again, text)
+	}
+}
--- /dev/null
+++ b/internal/note/golden_test.go
@@ -0,0 +1,44 @@
+package note
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/golden"
+)
+
+// TestGoldenDatagrams writes and reads a datagram of each kind of note as 096da04 did.
+func TestGoldenDatagrams(t *testing.T) {
+	var b strings.Builder
+	var all []Fact
+	for what := control.SawNothing + 1; what.Known(); what++ {
+		f := Fact{Name: Name("target-1"), What: what, Ago: 130 * time.Millisecond}
+		all = append(all, f)
+		fmt.Fprintf(&b, "%d %x\n", what, Encode([]Fact{f}))
+	}
+	fmt.Fprintf(&b, "all %x\n", Encode(all))
+	golden.Bytes(t, "datagrams.txt", []byte(b.String()), false)
+
+	text, err := os.ReadFile(golden.Path("datagrams.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
+	var datagram []byte
+	if _, err := fmt.Sscanf(lines[len(lines)-1], "all %x", &datagram); err != nil {
+		t.Fatal(err)
+	}
+	facts, err := Decode(datagram)
+	if err != nil || len(facts) != len(all) {
+		t.Fatalf("%d facts, %v", len(facts), err)
+	}
+	for i, f := range facts {
+		if f != all[i] {
+			t.Errorf("read %+v, want %+v", f, all[i])
+		}
+	}
+}
--- a/internal/rig/fleet/campaign.go
+++ b/internal/rig/fleet/campaign.go
@@ -39,18 +39,18 @@
 
 // History is a campaign's script for one seed, and what came of it. As a file it plays again.
 type History struct {
-	Seed    uint64        `json:"seed"`
-	Senders int           `json:"senders"`
-	Agents  int           `json:"agents"`
-	Length  time.Duration `json:"length"`
-	Budget  rollout.Budget
-	Lease   time.Duration `json:"lease,omitempty"` // 0 = 3 s
-	Deeds   []Deed        `json:"deeds"`
-	Faults  []string      `json:"faults,omitempty"` // what was broken
-	Orders  int           `json:"orders"`           // times that a sender went out by order, as seen from outside
-	Most    int           `json:"most"`             // out by order at once
-	Plans   []string      `json:"plans,omitempty"`
-	Served  float64       `json:"served"`
+	Seed    uint64         `json:"seed"`
+	Senders int            `json:"senders"`
+	Agents  int            `json:"agents"`
+	Length  time.Duration  `json:"length"`
+	Budget  rollout.Budget `json:"Budget"`
+	Lease   time.Duration  `json:"lease,omitempty"` // 0 = 3 s
+	Deeds   []Deed         `json:"deeds"`
+	Faults  []string       `json:"faults,omitempty"` // what was broken
+	Orders  int            `json:"orders"`           // times that a sender went out by order, as seen from outside
+	Most    int            `json:"most"`             // out by order at once
+	Plans   []string       `json:"plans,omitempty"`
+	Served  float64        `json:"served"`
 }
 
 // Draw draws a history: drains and releases, and faults beside them until its length is over.
--- /dev/null
+++ b/internal/rig/fleet/golden_test.go
@@ -0,0 +1,12 @@
+package fleet
+
+import (
+	"testing"
+
+	"cleathold/internal/golden"
+)
+
+// TestGoldenHistory writes and reads the history of a campaign as 096da04 did.
+func TestGoldenHistory(t *testing.T) {
+	golden.JSON[History](t, "history.json")
+}
--- /dev/null
+++ b/internal/state/golden_test.go
@@ -0,0 +1,131 @@
+package state
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/golden"
+	"cleathold/internal/store"
+)
+
+// goldenClass is the class of the messages in the golden journal.
+var goldenClass = NamedClass{Name: "keyed", Class: control.Class{
+	Aim: 2 * time.Second, AimStretch: 1.5, Deadline: 20 * time.Second, Worth: 3, LateWorth: 0.25, Effect: control.Keyed,
+	ZoneScope: true, Memory: 12 * time.Second, InOrder: true, Streamed: true,
+}}
+
+// goldenEntries are messages of each fate: taken, forwarded, spared, with a notice owed, of the dead-letter queue, and repeated by it.
+func goldenEntries(classes *classBook) []*entry {
+	number := classes.number(goldenClass)
+	at := time.UnixMicro(1_700_000_000_000_000)
+	var list []*entry
+	for i, id := range []string{"taken", "forwarded", "spared", "deferred", "undeliverable", "kept", "resent"} {
+		m := &Message{
+			ID: id, Key: "key-" + id, Class: number, Tenant: 2, Destination: 3, Again: i%2 == 0,
+			Deadline: at.Add(time.Duration(i) * time.Second), Body: bytes.Repeat([]byte{byte(i), 'b'}, 5),
+		}
+		list = append(list, &entry{Message: m, num: control.MessageID(i + 1), answered: true, class: classes.record(number)})
+	}
+	list[1].ran = []sent{{attempt: 0, at: at, zone: 1, target: "s1", told: true}, {attempt: 2, at: at.Add(time.Second), zone: -1}}
+	list[1].sends = 3
+	list[2].sends = 2
+	list[3].notice = &Notice{Num: 4, ID: "deferred", Deferred: true, Again: 1500 * time.Millisecond}
+	list[4].notice = &Notice{Num: 5, ID: "undeliverable"}
+	list[5].notice = &Notice{Num: 6, ID: "kept", Deferred: true, Kept: &Parting{
+		Num: 6, Reason: "expired", At: at, Delivered: true, Over: true, Deferred: true,
+	}}
+	list[5].parting = list[5].notice.Kept
+	list[6].seq = 77
+	return list
+}
+
+// goldenTable says all that a table holds of its messages.
+func goldenTable(t *table) string {
+	var b strings.Builder
+	for _, e := range t.ordered() {
+		fmt.Fprintf(&b, "%d id=%q key=%q class=%q tenant=%d destination=%d deadline=%d again=%t body=%x seq=%d sends=%d\n", e.num, e.ID, e.Key,
+			t.classes.list[e.Class].Name, e.Tenant, e.Destination, t.base.stampOf(e.Deadline), e.Again, e.Body, e.seq, e.sends)
+		for _, s := range e.ran {
+			fmt.Fprintf(&b, "  ran attempt=%d at=%d zone=%d target=%q told=%t\n", s.attempt, t.base.stampOf(s.at), s.zone, s.target, s.told)
+		}
+		if n := e.notice; n != nil {
+			fmt.Fprintf(&b, "  notice id=%q deferred=%t again=%s\n", n.ID, n.Deferred, n.Again)
+			if k := n.Kept; k != nil {
+				fmt.Fprintf(&b, "  kept reason=%q at=%d delivered=%t over=%t deferred=%t\n", k.Reason, t.base.stampOf(k.At), k.Delivered, k.Over, k.Deferred)
+			}
+		}
+	}
+	fmt.Fprintf(&b, "next=%d open=%d classes=%v\n", t.next, t.open, t.classes.list)
+	return b.String()
+}
+
+// TestGoldenJournal reads a folder that 096da04 wrote.
+func TestGoldenJournal(t *testing.T) {
+	dir := golden.Folder(t, "journal")
+	golden.Bytes(t, "journal-pending.txt", goldenPending(t, dir), false)
+	classes := &classBook{}
+	j, table, err := openJournal(journalSetup{dir: dir, limit: 1e6, durability: store.Process, classes: classes, log: quiet})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer j.close()
+	golden.Bytes(t, "journal-table.txt", []byte(goldenTable(table)), false)
+	if d := openDepartures(dir, quiet); len(d.ids) != 2 || d.ids[0] != "s7" || d.ids[1] != "s9" {
+		t.Errorf("departures: %q", d.ids)
+	}
+}
+
+// TestGoldenOldJournal reads a folder with the single file that was the journal before the store.
+func TestGoldenOldJournal(t *testing.T) {
+	dir := golden.Folder(t, "old-journal")
+	golden.Bytes(t, "old-journal-pending.txt", goldenPending(t, dir), false)
+	j, table, err := openJournal(journalSetup{dir: dir, limit: 1e6, durability: store.Process, classes: &classBook{}, log: quiet})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer j.close()
+	golden.Bytes(t, "old-journal-table.txt", []byte(goldenTable(table)), false)
+	if _, err := os.Stat(filepath.Join(dir, "journal")); err == nil {
+		t.Error("the single file is still there")
+	}
+}
+
+func goldenPending(t *testing.T, dir string) []byte {
+	t.Helper()
+	pending, err := ReadPending(dir, quiet)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var b bytes.Buffer
+	for _, p := range pending {
+		fmt.Fprintf(&b, "%s %d %d %d %t %s\n", p.ID, p.Destination, p.Deadline.UnixMicro(), p.Forwards, p.MayHaveRun, p.Owed)
+	}
+	return b.Bytes()
+}
+
+// TestGoldenRecords writes the records of each kind as 096da04 did.
+func TestGoldenRecords(t *testing.T) {
+	var b strings.Builder
+	for _, e := range goldenEntries(&classBook{}) {
+		for _, p := range entryPayloads(nil, e) {
+			fmt.Fprintf(&b, "%s %x\n", e.ID, p)
+		}
+		fmt.Fprintf(&b, "%s over %x spared %x\n", e.ID, overRecord(e.num), sparedRecord(e.num, 1))
+	}
+	golden.Bytes(t, "records.txt", []byte(b.String()), false)
+}
+
+// TestGoldenState writes and reads the structs that go to files, to another process and to operators as JSON.
+func TestGoldenState(t *testing.T) {
+	golden.JSON[anchor](t, "timebase.json")
+	golden.JSON[Estate](t, "estate.json")
+	golden.JSON[Returned](t, "returned.json")
+	golden.JSON[Listed](t, "listed.json")
+	golden.JSON[Counts](t, "counts.json")
+}
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -16,35 +16,35 @@
 
 // Estate is what a process that leaves tells the next.
 type Estate struct {
-	At      time.Time
-	Stamp   int64 // the same by the time base of the journal; 0 = from a program that had none
-	Version int64
-	Targets []Target
-	Known   map[string]control.Recollection // by the ids of targets
-	Out     []Abroad
-	Drained bool // clients are sent away, by hand
-	Lease   lease.Book
+	At      time.Time                       `json:"At"`
+	Stamp   int64                           `json:"Stamp"` // the same by the time base of the journal; 0 = from a program that had none
+	Version int64                           `json:"Version"`
+	Targets []Target                        `json:"Targets"`
+	Known   map[string]control.Recollection `json:"Known"` // by the ids of targets
+	Out     []Abroad                        `json:"Out"`
+	Drained bool                            `json:"Drained"` // clients are sent away, by hand
+	Lease   lease.Book                      `json:"Lease"`
 
 	// Uncertain is for how long the list has been uncertain; 0 = it is not. See certainty.
-	Uncertain time.Duration
+	Uncertain time.Duration `json:"Uncertain"`
 }
 
 // Abroad is a forward that another process has out.
 type Abroad struct {
-	Num     control.MessageID
-	Attempt int
-	Call    int // forwards of one call take one slot
+	Num     control.MessageID `json:"Num"`
+	Attempt int               `json:"Attempt"`
+	Call    int               `json:"Call"` // forwards of one call take one slot
 }
 
 // Returned is what came of such a forward.
 type Returned struct {
-	Num      control.MessageID
-	Attempt  int
-	Target   string
-	Result   control.Result
-	Took     time.Duration
-	Wait     time.Duration
-	Finished bool
+	Num      control.MessageID `json:"Num"`
+	Attempt  int               `json:"Attempt"`
+	Target   string            `json:"Target"`
+	Result   control.Result    `json:"Result"`
+	Took     time.Duration     `json:"Took"`
+	Wait     time.Duration     `json:"Wait"`
+	Finished bool              `json:"Finished"`
 }
 
 // Lost tells that the other process has ended: what it had out may have run.
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -31,8 +31,8 @@
 
 // Target is one endpoint as the target group knows it.
 type Target struct {
-	ID   string
-	Addr string
+	ID   string `json:"ID"`
+	Addr string `json:"Addr"`
 	control.Endpoint
 }
 
