--- a/cmd/cleathold/main.go
+++ b/cmd/cleathold/main.go
@@ -64,7 +64,7 @@
 		return err
 	}
 	_, err = fmt.Fprintf(out, "%s: listens on %s, %d classes, %d targets known, %d slots, holds %d messages\n",
-		c.Name, c.Listen, len(c.Settings.Classes), len(c.Known.Targets), c.Settings.Slots, c.Settings.HoldCap)
+		c.Name, c.Listen, len(c.Settings.Classes), len(c.Known.Targets), c.Settings.MaxInFlight, c.Settings.MaxOpenMessages)
 	return err
 }
 
@@ -79,7 +79,7 @@
 	}
 	for _, m := range list {
 		fmt.Fprintf(out, "%s\tdest=%d\tdue %s\tforwards=%d\tmay have run=%t\towed: %s\n",
-			m.ID, m.Destination, m.Deadline.Format(time.RFC3339Nano), m.Forwards, m.MayHaveRun, m.Owed)
+			m.ID, m.Destination, m.Deadline.Format(time.RFC3339Nano), m.Attempts, m.MayHaveRun, m.Owed)
 	}
 	_, err = fmt.Fprintf(out, "%d pending\n", len(list))
 	return err
--- a/cmd/cleathold/upgrade_test.go
+++ b/cmd/cleathold/upgrade_test.go
@@ -323,15 +323,15 @@
 		id := fmt.Sprint("u", round)
 		served.Store(round > 0)
 		w.delivers("unsafe", id)
-		i, err := handover.Take(handover.Path(w.dir))
+		i, err := handover.RequestTakeover(handover.Path(w.dir))
 		if err != nil || i == nil {
 			t.Fatalf("%v, %v", i, err)
 		}
-		if out := len(i.Estate.Out); round == 0 && out != 1 {
-			t.Errorf("out: %+v", i.Estate.Out)
+		if out := len(i.State.InFlight); round == 0 && out != 1 {
+			t.Errorf("out: %+v", i.State.InFlight)
 		}
-		i.Sock.Close()
-		i.Drop()
+		i.Listener.Close()
+		i.Abort()
 		ready(t, at)
 		if round == 0 {
 			close(let)
--- a/cmd/drill/host.go
+++ b/cmd/drill/host.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cleathold/control"
-	"cleathold/internal/note"
+	"cleathold/internal/gossip"
 	"cleathold/internal/wire"
 )
 
@@ -63,7 +63,7 @@
 	}
 	next := *i
 	next.number(&set)
-	if err := i.Retune(now, set); err != nil {
+	if err := i.UpdateSettings(now, set); err != nil {
 		return err
 	}
 	*i = next
@@ -164,25 +164,25 @@
 		if e.Form != wire.FormFailed {
 			list = h.lists[e.Table]
 		}
-		c.Endpoints(h.now, newsOf(e.Form), list)
+		c.UpdateEndpoints(h.now, newsOf(e.Form), list)
 	case wire.JobIn:
 		m := message(e)
 		m.Class = c.class(m.Class)
-		c.Arrive(h.now, m)
+		c.Submit(h.now, m)
 	case wire.First:
-		c.Started(h.now, control.MessageID(e.Txn))
+		c.StreamStarted(h.now, control.MessageID(e.Txn))
 	case wire.ReportBack:
-		c.Done(h.now, outcome(e))
+		c.AttemptDone(h.now, outcome(e))
 	case wire.Expired:
-		c.Gone(h.now, control.MessageID(e.Txn))
+		c.Abandon(h.now, control.MessageID(e.Txn))
 	case wire.Wakeup:
-		c.Woken(h.now, e.Nonce)
+		c.TimerFired(h.now, e.Nonce)
 	case wire.Pong:
-		c.Probed(h.now, control.EndpointID(e.Endpoint), resultOf(e.Code), wire.Duration(e.TookMs), e.Feedback)
+		c.HealthChecked(h.now, control.EndpointID(e.Endpoint), resultOf(e.Code), wire.Duration(e.TookMs), e.Feedback)
 	case wire.Memo:
-		facts, _ := note.Decode(e.Blob) // one that can't be read is as good as lost
+		facts, _ := gossip.Decode(e.Blob) // one that can't be read is as good as lost
 		for _, f := range facts {
-			c.Heard(h.now, control.Note{Endpoint: control.EndpointID(f.Name), What: f.What, Ago: f.Ago, From: int(e.From)})
+			c.ReceiveGossip(h.now, control.Observation{Endpoint: control.EndpointID(f.EndpointHash), Kind: f.Kind, Age: f.Age, Peer: int(e.From)})
 		}
 	}
 }
@@ -216,7 +216,7 @@
 	return 0
 }
 
-func newsOf(form uint8) control.ListNews {
+func newsOf(form uint8) control.ListUpdateKind {
 	switch form {
 	case wire.FormDelta:
 		return control.ListDelta
@@ -233,24 +233,24 @@
 	case 200:
 		return control.Served
 	case 500:
-		return control.Errored
+		return control.Failed
 	case 503:
-		return control.Full
+		return control.Rejected
 	case 504:
 		return control.TimedOut
 	case 502:
-		return control.NoConnection
+		return control.ConnectFailed
 	case 598:
-		return control.Broken
+		return control.ConnectionLost
 	case 499:
-		return control.Cancelled
+		return control.Canceled
 	case 410:
-		return control.Moot
+		return control.NotSent
 	}
 	return control.Unknown
 }
 
-func stateOf(lifecycle uint8) control.State {
+func stateOf(lifecycle uint8) control.EndpointState {
 	switch lifecycle {
 	case 1:
 		return control.Ready
@@ -274,11 +274,11 @@
 func message(e wire.JobIn) control.Message {
 	m := control.Message{
 		ID: control.MessageID(e.Txn), Class: int(e.Class), Destination: int(e.FarEnd),
-		Remaining: wire.Duration(e.RemainingMs), Key: e.PathKey, Tenant: int(e.UserGroup),
-		Again: e.Marks&wire.MarkAgain != 0, Inherited: e.Marks&wire.MarkInherited != 0,
+		TimeLeft: wire.Duration(e.RemainingMs), Key: e.PathKey, Tenant: int(e.UserGroup),
+		Resubmitted: e.Marks&wire.MarkAgain != 0, Inherited: e.Marks&wire.MarkInherited != 0,
 	}
 	if e.Marks&wire.MarkHint != 0 {
-		m.Expected = wire.Duration(e.ExpectedMs)
+		m.ExpectedWork = wire.Duration(e.ExpectedMs)
 	}
 	return m
 }
@@ -286,12 +286,12 @@
 func outcome(e wire.ReportBack) control.Outcome {
 	o := control.Outcome{
 		ID: control.MessageID(e.Txn), Attempt: int(e.SendNo), Endpoint: control.EndpointID(e.Endpoint),
-		Result: resultOf(e.Code), Took: wire.Duration(e.TookMs), Finished: e.Finished, Load: e.Feedback,
+		Result: resultOf(e.Code), Elapsed: wire.Duration(e.TookMs), Final: e.Finished, LoadReport: e.Feedback,
 	}
 	switch o.Result {
-	case control.Full:
-		o.Wait = wire.Duration(float64(e.RemarkMs))
-	case control.Moot:
+	case control.Rejected:
+		o.RetryAfter = wire.Duration(float64(e.RemarkMs))
+	case control.NotSent:
 		o.NoSlot = e.RemarkMs == 1
 	}
 	return o
@@ -311,13 +311,13 @@
 	a.reply.Withdraw(a.who, uint32(id), uint16(attempt))
 }
 
-func (a *actions) Refuse(id control.MessageID, retryAfter time.Duration) {
+func (a *actions) Reject(id control.MessageID, retryAfter time.Duration) {
 	a.reply.OverloadReply(a.who, uint32(id), wire.Millis(max(retryAfter, 0)))
 }
 
 func (a *actions) Fail(id control.MessageID) { a.reply.Fail(a.who, uint32(id)) }
 
-func (a *actions) Probe(to control.EndpointID) { a.reply.Test(a.who, uint32(to)) }
+func (a *actions) HealthCheck(to control.EndpointID) { a.reply.Test(a.who, uint32(to)) }
 
 func (a *actions) Disconnect(to control.EndpointID) { a.reply.Disconnect(a.who, uint32(to)) }
 
@@ -325,12 +325,12 @@
 
 func (a *actions) Fetch() { a.reply.Lookup(a.who) }
 
-func (a *actions) Wake(after time.Duration, token uint32) {
+func (a *actions) SetTimer(after time.Duration, token uint32) {
 	a.reply.Arm(a.who, wire.Millis(after), token)
 }
 
-func (a *actions) Tell(n control.Note) {
-	a.reply.Say(a.who, note.Encode([]note.Fact{{Name: uint32(n.Endpoint), What: n.What, Ago: n.Ago}}))
+func (a *actions) Gossip(n control.Observation) {
+	a.reply.Say(a.who, gossip.Encode([]gossip.Observation{{EndpointHash: uint32(n.Endpoint), Kind: n.Kind, Age: n.Age}}))
 }
 
 func (a *actions) Log(text string) { a.reply.JournalLine(a.who, text) }
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -194,7 +194,7 @@
 
 // Classes keep their numbers at the controller, whatever their places in settings; two alike stay two.
 func TestClassNumbers(t *testing.T) {
-	a, b, c := control.Class{Worth: 1}, control.Class{Worth: 2}, control.Class{Worth: 3}
+	a, b, c := control.Class{PriorityWeight: 1}, control.Class{PriorityWeight: 2}, control.Class{PriorityWeight: 3}
 	i := &instance{}
 	for _, x := range []struct {
 		told    []control.Class
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -11,23 +11,23 @@
 
 func (idle) Send(MessageID, EndpointID, time.Duration) {}
 func (idle) Cancel(MessageID, int)                     {}
-func (idle) Refuse(MessageID, time.Duration)           {}
+func (idle) Reject(MessageID, time.Duration)           {}
 func (idle) Fail(MessageID)                            {}
-func (idle) Probe(EndpointID)                          {}
+func (idle) HealthCheck(EndpointID)                    {}
 func (idle) Disconnect(EndpointID)                     {}
 func (idle) Watch(bool)                                {}
 func (idle) Fetch()                                    {}
-func (idle) Wake(time.Duration, uint32)                {}
+func (idle) SetTimer(time.Duration, uint32)            {}
 func (idle) Log(string)                                {}
-func (idle) Tell(Note)                                 {}
+func (idle) Gossip(Observation)                        {}
 
 // The cost of an event, a message and the decision after it, where so many destinations have messages waiting.
 func BenchmarkEvent(b *testing.B) {
 	for _, busy := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(busy), func(b *testing.B) {
 			set := settings()
-			set.Siblings, set.CanTell, set.Weights, set.HoldCap = 80, true, RoughWeights, 0
-			set.ReportShare, set.ReportLimit = -1, -1
+			set.FleetSize, set.CanGossip, set.WeightKind, set.MaxOpenMessages = 80, true, WeightsApproximate, 0
+			set.HeadroomIndex, set.LimitIndex = -1, -1
 			c, err := New(set, idle{})
 			if err != nil {
 				b.Fatal(err)
@@ -37,11 +37,11 @@
 				list[i] = Endpoint{ID: EndpointID(i + 1), Destination: i / 2, State: Ready, Weight: 0.1}
 			}
 			now := time.Hour
-			c.Endpoints(now, ListFull, list)
+			c.UpdateEndpoints(now, ListFull, list)
 			id := MessageID(0)
 			for range 3 * busy { // more than the slots take: the rest waits
 				id++
-				c.Arrive(now, Message{ID: id, Class: 0, Destination: int(id) % busy, Remaining: 8 * time.Second})
+				c.Submit(now, Message{ID: id, Class: 0, Destination: int(id) % busy, TimeLeft: 8 * time.Second})
 				c.Decide(now)
 			}
 			b.ReportAllocs()
@@ -49,9 +49,9 @@
 			for range b.N {
 				id++
 				now += time.Microsecond
-				c.Arrive(now, Message{ID: id, Class: 0, Destination: int(id) % busy, Remaining: 8 * time.Second})
+				c.Submit(now, Message{ID: id, Class: 0, Destination: int(id) % busy, TimeLeft: 8 * time.Second})
 				c.Decide(now)
-				c.Gone(now, id)
+				c.Abandon(now, id)
 			}
 		})
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -10,7 +10,7 @@
 	"math"
 	"time"
 
-	"cleathold/internal/verdict"
+	"cleathold/internal/fleethealth"
 )
 
 const (
@@ -67,8 +67,8 @@
 	askTurn      = 50 * time.Millisecond  // what a large fleet leaves discovery for each ask of one of them
 )
 
-// Endpoints takes news of the endpoint list.
-func (c *Controller) Endpoints(now time.Duration, news ListNews, list []Endpoint) {
+// UpdateEndpoints takes news of the endpoint list.
+func (c *Controller) UpdateEndpoints(now time.Duration, news ListUpdateKind, list []Endpoint) {
 	c.clock(now)
 	c.heard(news)
 	if news == ListFull || news == ListCached {
@@ -82,23 +82,23 @@
 
 // heard notes that the list answered, or failed to. Where the list answers
 // only when asked, a failure may have ended the subscription.
-func (c *Controller) heard(news ListNews) {
-	if !c.set.Ask {
+func (c *Controller) heard(news ListUpdateKind) {
+	if !c.set.PollsList {
 		return
 	}
 	switch news {
 	case ListCached:
-		if c.askAt = c.now; c.set.AskSpread() > 0 {
-			c.askAt += time.Duration(c.rng.Float64() * float64(c.set.AskSpread()))
+		if c.askAt = c.now; c.set.PollSpread() > 0 {
+			c.askAt += time.Duration(c.rng.Float64() * float64(c.set.PollSpread()))
 		}
-	case ListAside:
+	case ListExcluded:
 	case ListFailed:
 		// Each ask made again puts discovery further behind, which works off those that nobody awaits any more.
 		// Connections from before are closed: a drain may be hidden that only new ones would meet.
 		if c.watching, c.asking, c.blind = false, false, c.even(); c.blind {
 			c.freeAll()
 		}
-		wait := min(askMost, max(c.set.AskSpread(), time.Duration(askRetry*float64(c.set.MustAsk))))
+		wait := min(askMost, max(c.set.PollSpread(), time.Duration(askRetry*float64(c.set.MaxPollInterval))))
 		c.askAt = c.now + time.Duration((0.5+c.rng.Float64())*float64(wait))
 	default:
 		c.watching, c.asking, c.blind = true, false, false
@@ -106,31 +106,31 @@
 }
 
 // many tells a large fleet.
-func (s *Settings) many() bool { return s.Siblings >= manySiblings }
+func (s *Settings) many() bool { return s.FleetSize >= manySiblings }
 
-// AskSpread is the time over which a large fleet spreads asks that would come at one instant; else 0. At any
+// PollSpread is the time over which a large fleet spreads asks that would come at one instant; else 0. At any
 // size it leaves time to ask before the list counts as told.
-func (s *Settings) AskSpread() time.Duration {
+func (s *Settings) PollSpread() time.Duration {
 	if !s.many() {
 		return 0
 	}
-	spread := min(spreadMost, time.Duration(s.Siblings)*askTurn)
-	if s.MustAsk > 0 {
-		spread = min(spread, time.Duration(askPart*float64(s.MustAsk)))
+	spread := min(spreadMost, time.Duration(s.FleetSize)*askTurn)
+	if s.MaxPollInterval > 0 {
+		spread = min(spread, time.Duration(askPart*float64(s.MaxPollInterval)))
 	}
 	return spread
 }
 
 // ask subscribes to the list where it answers only when asked.
 func (c *Controller) ask() {
-	if c.set.Ask && !c.watching && !c.asking && c.now >= c.askAt {
+	if c.set.PollsList && !c.watching && !c.asking && c.now >= c.askAt {
 		c.asking = true
 		c.act.Watch(true)
 	}
 }
 
-// Arrive takes a message handed in.
-func (c *Controller) Arrive(now time.Duration, msg Message) {
+// Submit takes a message handed in.
+func (c *Controller) Submit(now time.Duration, msg Message) {
 	c.clock(now)
 	if c.messages[msg.ID] != nil {
 		return
@@ -139,11 +139,11 @@
 		msg.Class = 0
 	}
 	d := c.dest(msg.Destination)
-	m := &message{Message: msg, class: &c.set.Classes[msg.Class], dest: d, due: now + msg.Remaining}
-	m.sends, m.ran, m.ranAt, m.ranIn = msg.Sends, msg.Ran, now-msg.RanAgo, msg.RanZone
+	m := &message{Message: msg, class: &c.set.Classes[msg.Class], dest: d, due: now + msg.TimeLeft}
+	m.sends, m.ran, m.ranAt, m.ranIn = msg.Attempts, msg.MayHaveRun, now-msg.FirstRunAgo, msg.FirstRunZone
 	c.messages[m.ID] = m
 	c.held = append(c.held, m)
-	if m.class.InOrder && m.Key != 0 {
+	if m.class.Ordered && m.Key != 0 {
 		m.turn = c.turnOf(m.Key)
 		m.turn.line = append(m.turn.line, m)
 	}
@@ -157,8 +157,8 @@
 	c.wake(d)
 }
 
-// Done takes the outcome of an attempt.
-func (c *Controller) Done(now time.Duration, o Outcome) {
+// AttemptDone takes the outcome of an attempt.
+func (c *Controller) AttemptDone(now time.Duration, o Outcome) {
 	c.clock(now)
 	m := c.messages[o.ID]
 	if m == nil || m.out == nil || o.Attempt != m.sends-1 {
@@ -169,21 +169,21 @@
 	c.release(a)
 	a.endpoint.dest.outs = without(a.endpoint.dest.outs, a)
 	c.judge(a, o)
-	c.earn(m, o.Took, o.Result)
+	c.earn(m, o.Elapsed, o.Result)
 	if o.Result.MayHaveRun() && !m.ran {
 		m.ran, m.ranAt, m.ranIn = true, a.sent, a.endpoint.Zone
 	}
 	if t := m.turn; t != nil {
 		t.out--
-		if o.Result == TimedOut || o.Result == Broken || o.Result == Cancelled || o.Result == Unknown {
-			t.rest, t.restBy = now+c.set.TurnGap, m
+		if o.Result == TimedOut || o.Result == ConnectionLost || o.Result == Canceled || o.Result == Unknown {
+			t.rest, t.restBy = now+c.set.OrderedPause, m
 		}
 	}
 	switch {
-	case o.Finished:
+	case o.Final:
 		c.close(m)
 	case m.over:
-	case o.Result == Rejected: // it would be rejected again
+	case o.Result == Unprocessable: // it would be rejected again
 		c.act.Fail(m.ID)
 		c.close(m)
 	case c.mayRetry(m):
@@ -194,8 +194,10 @@
 	c.forget(m)
 }
 
-// Probed takes the answer to a probe.
-func (c *Controller) Probed(now time.Duration, to EndpointID, r Result, took time.Duration, load []float32) {
+// HealthChecked takes the answer to a probe.
+func (c *Controller) HealthChecked(
+	now time.Duration, to EndpointID, r Result, took time.Duration, load []float32,
+) {
 	c.clock(now)
 	e := c.endpoints[to]
 	if e == nil {
@@ -210,41 +212,41 @@
 
 // judge learns from an outcome: T_m, the stall, the report and the health.
 func (c *Controller) judge(a *attempt, o Outcome) {
-	if o.Result == Cancelled {
+	if o.Result == Canceled {
 		o.Result = TimedOut // only overdue calls are called off
 	}
-	if o.Result == Moot || o.Result == Rejected { // neither tells of the destination
+	if o.Result == NotSent || o.Result == Unprocessable { // neither tells of the destination
 		return
 	}
-	if o.Wait > 0 { // told with any answer, it binds alike
-		a.endpoint.route.wait = max(a.endpoint.route.wait, c.now+o.Wait)
+	if o.RetryAfter > 0 { // told with any answer, it binds alike
+		a.endpoint.route.wait = max(a.endpoint.route.wait, c.now+o.RetryAfter)
 	}
 	d := a.endpoint.dest
 	d.stall(c.now, a.sent)
 	rt := a.endpoint.route
 	timed := o.Result == Served && c.now != c.resumed // a call time that holds no standstill
-	if timed && rt.warming && o.Took <= time.Duration(briskCall*float64(rt.before)) {
+	if timed && rt.warming && o.Elapsed <= time.Duration(briskCall*float64(rt.before)) {
 		// A cold destination is slow. One as quick as before is warm: its pace may rise sooner, to an even
 		// part of what it takes and no further, as siblings that send as much may have seen less.
-		if c.even() && c.now-rt.warmAt < c.set.Cold { // they have yet to gain by it
-			c.speak(a.endpoint, SawWarm)
+		if c.even() && c.now-rt.warmAt < c.set.WarmUp { // they have yet to gain by it
+			c.speak(a.endpoint, ObservedWarm)
 		}
-		rt.warmer(c.set.Cold)
+		rt.warmer(c.set.WarmUp)
 	}
 	// Quick refusals and errors say nothing of the call time, and a time-out only that it is longer:
 	// either would let T_m, and with it both tests of a round, follow the trouble and not the work.
 	if timed && a.sent >= d.stalled {
-		c.drift += driftWeight * (float64(o.Took)/float64(max(d.tm, c.set.Tick, 1)) - c.drift)
-		d.learn(o.Took)
-		c.overall.learn(o.Took)
+		c.drift += driftWeight * (float64(o.Elapsed)/float64(max(d.tm, c.set.Tick, 1)) - c.drift)
+		d.learn(o.Elapsed)
+		c.overall.learn(o.Elapsed)
 		d.late = 0
 		d.answers++
 	}
 	c.reuse(a, o.Result)
 	c.crowding(a.endpoint, o.Result)
-	if o.Result == Crowded {
+	if o.Result == ConnectionRejected {
 		// Among many siblings it is full of them: room comes as calls end. It proves neither a limit nor an outage.
-		if o.Result = Full; c.even() && !rt.open {
+		if o.Result = Rejected; c.even() && !rt.open {
 			e := a.endpoint
 			e.roomAt = c.now + time.Duration((0.5+c.rng.Float64())*float64(max(d.tm, c.set.Tick)<<e.turned))
 			e.turned = min(e.turned+1, turnedMost)
@@ -252,22 +254,22 @@
 		}
 	}
 	a.endpoint.turned = 0
-	c.report(a.endpoint, o.Load)
+	c.report(a.endpoint, o.LoadReport)
 	if !c.crowded(a.endpoint, o) {
-		c.health(a.endpoint, a.sent, o.Result, o.Wait)
+		c.health(a.endpoint, a.sent, o.Result, o.RetryAfter)
 	}
-	c.share(a, o.Result, o.Load)
+	c.share(a, o.Result, o.LoadReport)
 }
 
 // crowded tells a refusal above a known limit, with nothing of it left, from an outage.
 func (c *Controller) crowded(e *endpoint, o Outcome) bool {
-	i := c.set.ReportShare
+	i := c.set.HeadroomIndex
 	rt := e.route
-	if o.Result != Full || o.Wait >= c.set.FallWindow || rt.open || rt.limit <= 0 ||
-		i < 0 || i >= len(o.Load) || o.Load[i] > roomLeft {
+	if o.Result != Rejected || o.RetryAfter >= c.set.OverloadWindow || rt.open || rt.limit <= 0 ||
+		i < 0 || i >= len(o.LoadReport) || o.LoadReport[i] > roomLeft {
 		return false
 	}
-	rt.wait = max(rt.wait, c.now+o.Wait)
+	rt.wait = max(rt.wait, c.now+o.RetryAfter)
 	return true
 }
 
@@ -304,7 +306,7 @@
 func (c *Controller) usual(d *dest, k *Class) time.Duration {
 	u := max(d.tm+time.Duration(deviations*float64(d.dev)), 2*d.tm)
 	if d.tm == 0 {
-		u = k.Aim / 2
+		u = k.LatencyObjective / 2
 	}
 	return time.Duration(float64(u<<min(d.late, 4)) * max(1, c.drift))
 }
@@ -313,7 +315,7 @@
 // that other destinations need; a repeatable message can go elsewhere.
 func (c *Controller) timeout(m *message) time.Duration {
 	u := float64(c.usual(m.dest, m.class))
-	if m.class.Effect == Unsafe {
+	if m.class.Idempotency == NotIdempotent {
 		return min(m.due-c.now, time.Duration(cutUnsafe*u))
 	}
 	return min(m.due-c.now, time.Duration(cutSafe*u))
@@ -322,7 +324,7 @@
 // reclaim calls off the most overdue call of a silent destination when all slots
 // are taken and others' messages wait: with slots to spare it may yet be answered.
 func (c *Controller) reclaim() {
-	if !c.set.CanCancel || c.calls+c.abroad < c.set.Slots {
+	if !c.set.CanCancel || c.calls+c.abroad < c.set.MaxInFlight {
 		return
 	}
 	var worst *attempt
@@ -389,7 +391,7 @@
 		if to != nil {
 			to.used = c.now
 			c.open(to)
-			c.act.Probe(to.ID)
+			c.act.HealthCheck(to.ID)
 		}
 	}
 }
@@ -400,18 +402,18 @@
 	rt := e.route
 	if !rt.open {
 		rt.before = e.dest.tm
-		first := min(c.rare(e), c.set.Cold/firstTest, c.set.FallWindow*time.Duration(c.set.Siblings)/8)
-		rt.open, rt.backoff = true, max(first, c.set.FallWindow/2)
+		first := min(c.rare(e), c.set.WarmUp/firstTest, c.set.OverloadWindow*time.Duration(c.set.FleetSize)/8)
+		rt.open, rt.backoff = true, max(first, c.set.OverloadWindow/2)
 	}
 	rt.retryAt = c.now + time.Duration((0.75+c.rng.Float64()/2)*float64(rt.backoff))
-	rt.backoff = min(rt.backoff*2, max(c.set.Cold/testMost, c.rare(e)))
+	rt.backoff = min(rt.backoff*2, max(c.set.WarmUp/testMost, c.rare(e)))
 }
 
 // rare is the time between tests that takes this instance's part of half the
 // budget of a cold return.
 func (c *Controller) rare(e *endpoint) time.Duration {
-	rate := c.part(e) * c.set.ColdFrom * c.set.FallMultiple / 2
-	return min(c.set.Cold, time.Duration(float64(time.Second)/max(rate, 0.01)))
+	rate := c.part(e) * c.set.ColdCapacity * c.set.OverloadFactor / 2
+	return min(c.set.WarmUp, time.Duration(float64(time.Second)/max(rate, 0.01)))
 }
 
 // ewma is the exponentially weighted moving average of the paper.
@@ -426,20 +428,20 @@
 func (c *Controller) health(e *endpoint, sent time.Duration, r Result, wait time.Duration) {
 	rt := e.route
 	// Calls from before a long told wait may still be served in it. That proves nothing of its end.
-	if r == Served && rt.open && c.now < rt.wait && rt.wait-rt.badAt >= c.set.FallWindow {
+	if r == Served && rt.open && c.now < rt.wait && rt.wait-rt.badAt >= c.set.OverloadWindow {
 		return
 	}
 	if r == Served {
 		if c.even() && e.verdict.Served(c.now, c.terms()) {
-			c.speak(e, SawUp)
+			c.speak(e, ObservedUp)
 		}
 		e.dest.shy = false
 		rt.goodAt, e.served = c.now, c.now
 		// Mere silence that ends in an answer was slowness, and a short streak bad luck or a limit met.
 		// Failures over a while mean an outage, and a cold return; one met on the way back goes on.
-		if rt.bad > 0 && c.now-rt.since >= c.set.FallWindow {
+		if rt.bad > 0 && c.now-rt.since >= c.set.OverloadWindow {
 			if c.even() && rt.open {
-				c.act.Tell(Note{Endpoint: e.ID, What: SawReturn, Ago: c.now - sent})
+				c.act.Gossip(Observation{Endpoint: e.ID, Kind: ObservedRecovery, Age: c.now - sent})
 			}
 			c.back(rt)
 		}
@@ -449,12 +451,13 @@
 	}
 	// A refusal between answers that serve is one above a limit, which share and its pace deal with. Taken
 	// for an outage, it would cost a pause and a slow start while there is room.
-	if r == Full && !rt.open && wait < c.set.FallWindow && rt.goodAt > 0 && c.now-rt.goodAt < c.set.FallWindow {
+	if r == Rejected && !rt.open && wait < c.set.OverloadWindow &&
+		rt.goodAt > 0 && c.now-rt.goodAt < c.set.OverloadWindow {
 		rt.wait = max(rt.wait, c.now+wait)
 		return
 	}
-	if r != Full && c.even() && e.verdict.Failed(c.now, c.terms(), c.rng.Float64()) {
-		c.speak(e, SawDown)
+	if r != Rejected && c.even() && e.verdict.Failed(c.now, c.terms(), c.rng.Float64()) {
+		c.speak(e, ObservedDown)
 	}
 	if r == TimedOut && sent >= rt.badAt {
 		e.dest.late++
@@ -473,20 +476,20 @@
 		rt.wait = max(rt.wait, c.now+wait)
 	}
 	// A long wait tells of a shut destination that comes back cold, for all siblings at one instant.
-	if wait >= c.set.FallWindow && !rt.open {
+	if wait >= c.set.OverloadWindow && !rt.open {
 		c.open(e)
 		rt.retryAt = rt.wait + time.Duration(c.rng.Float64()*float64(c.rare(e)))
 	}
 	rt.risky = r.MayHaveRun()
 	// One of many sees a few calls: it may meet the same dead endpoints again and again while others serve.
-	if !rt.open && rt.bad >= streak && (r == Full || !c.even() || c.spoilt(e.dest)) {
+	if !rt.open && rt.bad >= streak && (r == Rejected || !c.even() || c.spoilt(e.dest)) {
 		c.open(e)
 	}
 }
 
 // back begins the slow start of a route that was out of order.
 func (c *Controller) back(rt *route) {
-	if !rt.warming || c.now-rt.since >= c.set.Cold/2 {
+	if !rt.warming || c.now-rt.since >= c.set.WarmUp/2 {
 		rt.warming, rt.warmAt, rt.backAt, rt.warmBy = true, c.now, c.now, rt.warmBy[:0]
 	}
 	rt.tokens, rt.filled = c.rng.Float64(), c.now // of many siblings each sends little, at a time of its own
@@ -497,7 +500,7 @@
 func (c *Controller) pace(e *endpoint) float64 {
 	rt := e.route
 	whole := rt.limit
-	if whole <= 0 && c.set.Weights != NoWeights && !rt.told {
+	if whole <= 0 && c.set.WeightKind != WeightsUnset && !rt.told {
 		whole = e.Weight
 	}
 	if !rt.warming {
@@ -506,14 +509,14 @@
 		}
 		return max(whole*rt.share, min(whole, c.part(e)*leastPart))
 	}
-	f := c.set.ColdFrom
-	if c.set.Cold > 0 {
-		f += (1 - f) * float64(c.now-rt.warmAt) / float64(c.set.Cold)
+	f := c.set.ColdCapacity
+	if c.set.WarmUp > 0 {
+		f += (1 - f) * float64(c.now-rt.warmAt) / float64(c.set.WarmUp)
 	}
 	if c.even() {
 		f *= evenCold
 	}
-	return c.part(e) * min(f, 1) * max(1, c.set.FallMultiple/2)
+	return c.part(e) * min(f, 1) * max(1, c.set.OverloadFactor/2)
 }
 
 // part is this instance's part of what a destination takes: halfway between an even one, which would starve
@@ -521,27 +524,27 @@
 func (c *Controller) part(e *endpoint) float64 {
 	d, whole := e.dest, e.route.limit
 	own := d.rate * math.Exp(-float64(c.now-d.rateAt)/float64(rateSpan)) / rateSpan.Seconds()
-	if whole <= 0 && c.set.Weights != NoWeights {
+	if whole <= 0 && c.set.WeightKind != WeightsUnset {
 		whole = e.Weight
 	}
 	if whole <= 0 {
-		return max(own, 1/float64(c.set.Siblings))
+		return max(own, 1/float64(c.set.FleetSize))
 	}
 	if c.even() {
-		return whole / float64(c.set.Siblings)
+		return whole / float64(c.set.FleetSize)
 	}
-	return (min(own, whole) + whole/float64(c.set.Siblings)) / 2
+	return (min(own, whole) + whole/float64(c.set.FleetSize)) / 2
 }
 
 // even tells that this instance shares limits by even parts, in one movement with many siblings who tell one
 // another of refusals. A few learn their shares alone.
-func (c *Controller) even() bool { return c.set.CanTell && c.set.many() }
+func (c *Controller) even() bool { return c.set.CanGossip && c.set.many() }
 
 // cut takes a share of a limit down after a refusal, a sibling's too: what all send in sum was too much. To
 // one that hears nobody each of its own stands for many, and served calls alone raise its share again.
 func (c *Controller) cut(rt *route) {
-	part, over, to := 1/float64(c.set.Siblings), evenOver, evenCut
-	if c.hear.Alone(c.now) {
+	part, over, to := 1/float64(c.set.FleetSize), evenOver, evenCut
+	if c.hear.Isolated(c.now) {
 		over, to = 1, aloneCut
 	}
 	rt.share = max(to*min(rt.share, over*part), evenLeast*part)
@@ -549,26 +552,27 @@
 	rt.tokens, rt.filled = c.rng.Float64(), max(c.now, rt.wait) // not all siblings at one instant
 }
 
-// Heard takes a note from a sibling. It makes this instance more careful, or nothing of it.
-func (c *Controller) Heard(now time.Duration, n Note) {
+// ReceiveGossip takes a note from a sibling. It makes this instance more careful, or nothing of it.
+func (c *Controller) ReceiveGossip(now time.Duration, n Observation) {
 	c.clock(now)
 	e := c.endpoints[n.Endpoint]
 	if e == nil || !c.even() {
 		return
 	}
-	c.hear.Heard(now, n.From)
-	if n.What == SawAsk && c.hear.Answers(c.rng.Float64()) {
-		c.act.Tell(Note{Endpoint: n.Endpoint, What: SawHere})
+	c.hear.PeerHeard(now, n.Peer)
+	if n.Kind == ReachabilityQuery && c.hear.ShouldReply(c.rng.Float64()) {
+		c.act.Gossip(Observation{Endpoint: n.Endpoint, Kind: ReachabilityReply})
 	}
-	rt, sent := e.route, now-n.Ago
+	rt, sent := e.route, now-n.Age
 	switch {
-	case n.What == SawRefusal && !rt.warming && sent >= rt.cutAt:
+	case n.Kind == ObservedRejection && !rt.warming && sent >= rt.cutAt:
 		c.cut(rt)
-	case n.What == SawDown || n.What == SawUp:
-		c.word(e, verdict.Word{By: n.From, At: sent, Up: n.What == SawUp})
-	case n.What == SawWarm && sent > rt.backAt && rt.newTo(n.From):
-		rt.warmer(c.set.Cold)
-	case n.What == SawReturn && rt.bad > 0 && sent > rt.badAt && now >= max(rt.wait, rt.since+c.set.FallWindow):
+	case n.Kind == ObservedDown || n.Kind == ObservedUp:
+		c.word(e, fleethealth.Report{Peer: n.Peer, At: sent, Up: n.Kind == ObservedUp})
+	case n.Kind == ObservedWarm && sent > rt.backAt && rt.newTo(n.Peer):
+		rt.warmer(c.set.WarmUp)
+	case n.Kind == ObservedRecovery && rt.bad > 0 && sent > rt.badAt &&
+		now >= max(rt.wait, rt.since+c.set.OverloadWindow):
 		c.back(rt) // spared its own test, it starts as slowly as after one
 		rt.open, e.bad, rt.bad = false, 0, 0
 	}
@@ -577,20 +581,21 @@
 // refill fills the token bucket of a route, and ends its slow start.
 func (c *Controller) refill(e *endpoint) {
 	rt := e.route
-	if rt.warming && c.now >= rt.backAt+c.set.Cold {
+	if rt.warming && c.now >= rt.backAt+c.set.WarmUp {
 		rt.warming = false
 	}
-	if c.hear.Alone(c.now) {
-		if rt.grownAt = c.now; rt.cutAt == c.hear.Asked {
+	if c.hear.Isolated(c.now) {
+		if rt.grownAt = c.now; rt.cutAt == c.hear.QueriedAt {
 			c.cut(rt)
 		}
-		if c.hear.Again(c.now) {
-			c.act.Tell(Note{Endpoint: e.ID, What: SawAsk})
+		if c.hear.RepeatQuery(c.now) {
+			c.act.Gossip(Observation{Endpoint: e.ID, Kind: ReachabilityQuery})
 		}
 	}
 	if from := max(rt.grownAt, rt.cutAt, rt.wait); c.even() && !rt.warming && c.now > from {
-		grown := (c.now - from).Seconds() * evenRise * c.hear.Part(c.now)
-		rt.share, rt.grownAt = min(evenMost/float64(c.set.Siblings), rt.share+grown/float64(c.set.Siblings)), c.now
+		grown := (c.now - from).Seconds() * evenRise * c.hear.ReachableFraction(c.now)
+		rt.share = min(evenMost/float64(c.set.FleetSize), rt.share+grown/float64(c.set.FleetSize))
+		rt.grownAt = c.now
 	}
 	p, depth := c.pace(e), 1.0
 	if !rt.warming {
@@ -638,26 +643,26 @@
 // served calls raise it slowly, so that the siblings meet near the limit. Reports that tell of allowance left
 // raise it at once. A refusal and a report stand for what half the siblings see.
 func (c *Controller) share(a *attempt, r Result, load []float32) {
-	rt, fleet := a.endpoint.route, float64(c.set.Siblings)/2
+	rt, fleet := a.endpoint.route, float64(c.set.FleetSize)/2
 	switch {
-	case r == Full && !rt.warming && c.even():
+	case r == Rejected && !rt.warming && c.even():
 		if a.sent >= rt.cutAt {
 			c.cut(rt)
 			c.say(a.endpoint, c.now-a.sent)
 		}
-	case r == Full && !rt.warming:
+	case r == Rejected && !rt.warming:
 		if a.sent >= rt.cutAt {
 			rt.share *= math.Pow(shareDown, fleet)
 			rt.cutAt = c.now
 		}
 		rt.tokens, rt.filled = c.rng.Float64()-0.5, max(c.now, rt.wait) // not all siblings at one instant
-	case r == Served && c.hear.Alone(c.now):
-		rt.share = min(evenMost/float64(c.set.Siblings), rt.share*(1+aloneRise))
+	case r == Served && c.hear.Isolated(c.now):
+		rt.share = min(evenMost/float64(c.set.FleetSize), rt.share*(1+aloneRise))
 	case r == Served && !c.even():
 		grown := min(c.now-rt.grownAt, time.Second).Seconds() * shareRise
 		rt.share, rt.grownAt = min(1, rt.share+grown), c.now
 	}
-	if i := c.set.ReportShare; r == Served && i >= 0 && i < len(load) {
+	if i := c.set.HeadroomIndex; r == Served && i >= 0 && i < len(load) {
 		rt.share = min(1, max(rt.share, leastShare)*math.Pow(1+shareUp*float64(load[i]), fleet))
 	}
 }
@@ -677,33 +682,34 @@
 	case refusing:
 		return !m.over && m.out == nil && mayHandBack(m)
 	case probing:
-		return c.set.CanProbe && e.State == Ready && c.now >= max(e.route.wait, e.route.retryAt)
+		return c.set.CanHealthCheck && e.State == Ready && c.now >= max(e.route.wait, e.route.retryAt)
 	}
 	return !m.over && m.out == nil && c.now < m.due && c.mayRetry(m) && c.sameMemory(m, e) &&
-		c.hasTurn(m) && c.reachable(e) && (c.calls+c.abroad < c.set.Slots || c.joins(e))
+		c.hasTurn(m) && c.reachable(e) && (c.calls+c.abroad < c.set.MaxInFlight || c.joins(e))
 }
 
 // mayHandBack: a refusal tells that trying again is harmless.
 func mayHandBack(m *message) bool {
-	return !m.ran || m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.ZoneScope
+	return !m.ran || m.class.Idempotency == Idempotent ||
+		m.class.Idempotency == IdempotentByKey && !m.class.KeyZoneScoped
 }
 
 // mayRetry: a further attempt only as the class allows, and within the cap.
 func (c *Controller) mayRetry(m *message) bool {
-	if c.set.SendCap > 0 && m.sends >= c.set.SendCap {
+	if c.set.MaxAttempts > 0 && m.sends >= c.set.MaxAttempts {
 		return false
 	}
-	if !m.ran || m.class.Effect == Safe {
+	if !m.ran || m.class.Idempotency == Idempotent {
 		return true
 	}
 	// The repeat must arrive while the first is remembered, so a usual call's time is the margin.
-	margin := min(c.usual(m.dest, m.class), m.class.Memory/4)
-	return m.class.Effect == Keyed && c.now+margin < m.ranAt+m.class.Memory
+	margin := min(c.usual(m.dest, m.class), m.class.KeyRetention/4)
+	return m.class.Idempotency == IdempotentByKey && c.now+margin < m.ranAt+m.class.KeyRetention
 }
 
 // sameMemory: a keyed message that may have run stays where repeats are dropped.
 func (c *Controller) sameMemory(m *message, e *endpoint) bool {
-	return !m.ran || !m.class.ZoneScope || e.Zone == m.ranIn
+	return !m.ran || !m.class.KeyZoneScoped || e.Zone == m.ranIn
 }
 
 // hasTurn: messages of one key go one at a time, in the order taken.
@@ -719,7 +725,7 @@
 		return false
 	}
 	if rt.open {
-		return rt.proved || c.now >= rt.retryAt && !(rt.risky && c.set.CanProbe)
+		return rt.proved || c.now >= rt.retryAt && !(rt.risky && c.set.CanHealthCheck)
 	}
 	if c.joins(e) {
 		return true
@@ -764,7 +770,7 @@
 // giveUp gives the final answer at once: handed back if trying again is harmless, failed otherwise.
 func (c *Controller) giveUp(m *message) {
 	if c.allowed(refusing, m, nil) {
-		c.act.Refuse(m.ID, c.advice(m))
+		c.act.Reject(m.ID, c.advice(m))
 	} else if !m.over {
 		c.act.Fail(m.ID)
 	}
@@ -774,7 +780,7 @@
 // advice tells a client when its destination may have room again: where its endpoints are routes apart, that
 // is when the first of them has. Nothing known is no reason to come back at once.
 func (c *Controller) advice(m *message) time.Duration {
-	if !c.set.CanAdvise {
+	if !c.set.CanSendRetryAfter {
 		return 0
 	}
 	soonest := time.Duration(math.MaxInt64)
@@ -784,13 +790,13 @@
 		}
 	}
 	if soonest == math.MaxInt64 {
-		soonest = c.now + m.class.Aim
+		soonest = c.now + m.class.LatencyObjective
 	}
 	least := m.dest.tm
 	if least == 0 {
-		least = m.class.Aim / 2
+		least = m.class.LatencyObjective / 2
 	}
-	return min(c.set.MaxAdvice, max(least, soonest-c.now))
+	return min(c.set.MaxRetryAfter, max(least, soonest-c.now))
 }
 
 // Decide acts on what the events of an instant have changed, once all are in. After a standstill of this
@@ -863,21 +869,21 @@
 // worth is what a message brings when served at that age.
 func (c *Controller) worth(m *message, age time.Duration) float64 {
 	k := m.class
-	if age <= k.Aim {
-		return k.Worth
+	if age <= k.LatencyObjective {
+		return k.PriorityWeight
 	}
-	if c.set.HalvingWorth {
-		return k.Worth * max(k.LateWorth, math.Exp2(1-float64(age)/float64(max(k.Aim, 1))))
+	if c.set.WeightHalves {
+		return k.PriorityWeight * max(k.LateWeight, math.Exp2(1-float64(age)/float64(max(k.LatencyObjective, 1))))
 	}
-	late := float64(age-k.Aim) / float64(max(k.Deadline-k.Aim, 1))
-	return k.Worth * (1 - (1-k.LateWorth)*min(late, 1))
+	late := float64(age-k.LatencyObjective) / float64(max(k.Deadline-k.LatencyObjective, 1))
+	return k.PriorityWeight * (1 - (1-k.LateWeight)*min(late, 1))
 }
 
 // scarce holds back a call that brings little for its time when few slots are left: a slow or sick
 // destination may use idle slots, but not the last ones that quick calls to others need.
 func (c *Controller) scarce(density float64) bool {
-	free := c.set.Slots - c.calls - c.abroad
-	return float64(free) <= reserve*float64(c.set.Slots) && c.time > 0 && density < lowYield*c.yield/c.time
+	free := c.set.MaxInFlight - c.calls - c.abroad
+	return float64(free) <= reserve*float64(c.set.MaxInFlight) && c.time > 0 && density < lowYield*c.yield/c.time
 }
 
 // round is one round of selection for a destination: the message that goes next, and where to, or nil.
@@ -887,7 +893,7 @@
 		if m == nil {
 			break
 		}
-		if c.age(m)+d.tm < m.class.Aim {
+		if c.age(m)+d.tm < m.class.LatencyObjective {
 			return m, e
 		}
 		d.fresh = without(d.fresh, m)
@@ -910,7 +916,7 @@
 	most := 0.0
 	for _, m := range queue {
 		v := c.worth(m, c.age(m)+d.tm)
-		if d.shared.open && m.class.Effect == Unsafe {
+		if d.shared.open && m.class.Idempotency == NotIdempotent {
 			v = -v // the lone call may be lost: it should be one that can be made again
 		}
 		if best != nil && v <= most {
@@ -929,7 +935,7 @@
 	if d.shy {
 		share = narrowCap
 	}
-	return max(1, int(share*float64(c.set.Slots)))
+	return max(1, int(share*float64(c.set.MaxInFlight)))
 }
 
 // pick chooses the endpoint for a message: least doubt, then fewest calls out, then the latest used.
@@ -968,24 +974,24 @@
 
 // toll is the price of a message that an endpoint takes on, where its route stands by itself.
 func (c *Controller) toll(e *endpoint) float64 {
-	if !c.kind(e.Kind).Apart || e.Zone < 0 || e.Zone >= len(c.set.Tolls) {
+	if !c.kind(e.Kind).SeparateRoutes || e.Zone < 0 || e.Zone >= len(c.set.ZoneCosts) {
 		return 0
 	}
-	return c.set.Tolls[e.Zone]
+	return c.set.ZoneCosts[e.Zone]
 }
 
 // doubt is the number of failures in a row that speak against an endpoint. A failed one is tried again, when
 // the others are busy, by a message that may be repeated, or it would stay idle while another one serves.
 // Where siblings found it dead one of them tests it for all: this one in its turn, by its next message.
 func (c *Controller) doubt(m *message, e *endpoint) int {
-	repeats, dead := m.class.Effect != Unsafe, c.dead(e)
+	repeats, dead := m.class.Idempotency != NotIdempotent, c.dead(e)
 	switch {
-	case dead && repeats && e.out == 0 && c.now >= e.verdict.TestAt():
+	case dead && repeats && e.out == 0 && c.now >= e.verdict.NextTrialAt():
 		return -1
-	case dead, !repeats && e.verdict.Careful(c.now, c.terms()):
+	case dead, !repeats && e.verdict.Suspected(c.now, c.terms()):
 		return max(1, e.bad)
 	}
-	if repeats && e.out == 0 && c.now-e.used >= c.set.FallWindow<<min(max(e.bad-1, 0), 3) {
+	if repeats && e.out == 0 && c.now-e.used >= c.set.OverloadWindow<<min(max(e.bad-1, 0), 3) {
 		return 0
 	}
 	return e.bad
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -37,12 +37,12 @@
 	for key, spoil := range map[string]func(*Settings){
 		"Classes":      func(s *Settings) { s.Classes = nil },
 		"Classes[1]":   func(s *Settings) { s.Classes[1].Deadline = -1 },
-		"Kinds[0]":     func(s *Settings) { s.Kinds[0].Batch = 0 },
-		"Slots":        func(s *Settings) { s.Slots = 0 },
-		"ColdFrom":     func(s *Settings) { s.ColdFrom = -0.1 },
-		"FallWindow":   func(s *Settings) { s.FallWindow = -1 },
-		"Tenants[0]":   func(s *Settings) { s.Tenants = []Tenant{{Rate: -1}} },
-		"FallMultiple": func(s *Settings) { s.FallMultiple = -2 },
+		"Kinds[0]":     func(s *Settings) { s.Kinds[0].MaxBatch = 0 },
+		"Slots":        func(s *Settings) { s.MaxInFlight = 0 },
+		"ColdFrom":     func(s *Settings) { s.ColdCapacity = -0.1 },
+		"FallWindow":   func(s *Settings) { s.OverloadWindow = -1 },
+		"Tenants[0]":   func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
+		"FallMultiple": func(s *Settings) { s.OverloadFactor = -2 },
 	} {
 		set := settings()
 		spoil(&set)
@@ -55,11 +55,11 @@
 // A fresh head goes before deferred ones; those go once none is left.
 func TestFreshBeforeDeferred(t *testing.T) {
 	set := settings()
-	set.Slots = 1
+	set.MaxInFlight = 1
 	r := newRecorder(t, set)
 	r.ready(0, 1)
 	blocker := r.arrive(1, 0, 0)
-	old := r.hand(Message{ID: 2, Destination: 0, Remaining: set.Classes[0].Deadline - 1500*ms})
+	old := r.hand(Message{ID: 2, Destination: 0, TimeLeft: set.Classes[0].Deadline - 1500*ms})
 	young := r.arrive(3, 0, 0)
 	r.pass(50 * ms)
 	if !blocker.out || old.out || young.out {
@@ -82,12 +82,12 @@
 	r.arrive(1, 0, 0)
 	r.pass(400 * ms)
 	r.answer(1, Served, 0)
-	late := r.hand(Message{ID: 2, Destination: 0, Remaining: 100 * ms})
+	late := r.hand(Message{ID: 2, Destination: 0, TimeLeft: 100 * ms})
 	if late.final != "refused" || late.advice <= 0 {
 		t.Fatalf("got %q with advice %v", late.final, late.advice)
 	}
-	homeless := r.hand(Message{ID: 3, Destination: 9, Remaining: 500 * ms})
-	spent := r.hand(Message{ID: 4, Destination: 0, Remaining: 0})
+	homeless := r.hand(Message{ID: 3, Destination: 9, TimeLeft: 500 * ms})
+	spent := r.hand(Message{ID: 4, Destination: 0, TimeLeft: 0})
 	r.pass(time.Second)
 	if homeless.final != "refused" || spent.final != "refused" {
 		t.Fatalf("no endpoint: %q, no time: %q", homeless.final, spent.final)
@@ -104,7 +104,7 @@
 	before := r.c.dest(0).tm
 	r.arrive(2, 0, 0)
 	r.pass(5 * ms)
-	r.answer(2, Full, 0)
+	r.answer(2, Rejected, 0)
 	r.pass(3 * time.Second)
 	if got := r.c.dest(0).tm; got != before {
 		t.Fatalf("T_m moved from %v to %v", before, got)
@@ -114,7 +114,7 @@
 // Unsafe messages that may have run fail; those that can't have run go again.
 func TestUnsafeOnlyOnce(t *testing.T) {
 	for res, again := range map[Result]bool{
-		Errored: false, TimedOut: false, Broken: false, Cancelled: false, Unknown: false, Full: true, NoConnection: true,
+		Failed: false, TimedOut: false, ConnectionLost: false, Canceled: false, Unknown: false, Rejected: true, ConnectFailed: true,
 	} {
 		r := newRecorder(t, settings())
 		r.ready(0, 2)
@@ -134,17 +134,17 @@
 // Keyed messages are repeated only inside their memory.
 func TestKeyedInsideMemory(t *testing.T) {
 	set := settings()
-	set.Classes[1].Memory = 300 * ms
+	set.Classes[1].KeyRetention = 300 * ms
 	r := newRecorder(t, set)
 	r.ready(0, 2)
 	m := r.arrive(1, 1, 0)
 	r.pass(100 * ms)
-	r.answer(1, Broken, 0)
+	r.answer(1, ConnectionLost, 0)
 	if m.sends != 2 {
 		t.Fatalf("%d sends inside the memory, want 2", m.sends)
 	}
 	r.pass(250 * ms)
-	r.answer(1, Broken, 0)
+	r.answer(1, ConnectionLost, 0)
 	if m.final == "" || m.sends != 2 {
 		t.Fatalf("past the memory: %q after %d sends", m.final, m.sends)
 	}
@@ -153,13 +153,13 @@
 // With a memory in one zone the repeat stays in it, and no refusal is told.
 func TestKeyedZoneScope(t *testing.T) {
 	set := settings()
-	set.Classes[1].ZoneScope = true
+	set.Classes[1].KeyZoneScoped = true
 	r := newRecorder(t, set)
 	r.ready(0, 4)
 	m := r.arrive(1, 1, 0)
 	first := m.to
 	r.pass(20 * ms)
-	r.answer(1, Broken, 0)
+	r.answer(1, ConnectionLost, 0)
 	if m.sends != 2 || m.to%2 != first%2 {
 		t.Fatalf("repeat went from %d to %d", first, m.to)
 	}
@@ -188,13 +188,13 @@
 func TestToldWait(t *testing.T) {
 	for _, apart := range []bool{false, true} {
 		set := settings()
-		set.Kinds[0].Apart = apart
+		set.Kinds[0].SeparateRoutes = apart
 		r := newRecorder(t, set)
 		r.ready(0, 2)
 		m := r.arrive(1, 0, 0)
 		first := m.to
 		r.pass(10 * ms)
-		r.answer(1, Full, 800*ms)
+		r.answer(1, Rejected, 800*ms)
 		r.pass(600 * ms)
 		if apart != (m.sends == 2) || apart && m.to == first {
 			t.Fatalf("apart %v: %d sends, to %d after %d", apart, m.sends, m.to, first)
@@ -209,19 +209,19 @@
 // Messages of one key take turns, and the key rests after a time-out.
 func TestTurnsByKey(t *testing.T) {
 	set := settings()
-	set.Classes[2].InOrder = true
+	set.Classes[2].Ordered = true
 	r := newRecorder(t, set)
 	r.ready(0, 2)
 	hand := func(id MessageID) *tracked {
-		return r.hand(Message{ID: id, Class: 2, Destination: 0, Remaining: 8000 * ms, Key: 5})
+		return r.hand(Message{ID: id, Class: 2, Destination: 0, TimeLeft: 8000 * ms, Key: 5})
 	}
 	first, second := hand(1), hand(2)
 	if !first.out || second.out {
 		t.Fatal("the second message of a key must wait for the first")
 	}
 	r.pass(20 * ms)
-	r.answer(1, Broken, 0)
-	r.pass(set.TurnGap - 100*ms)
+	r.answer(1, ConnectionLost, 0)
+	r.pass(set.OrderedPause - 100*ms)
 	if second.out {
 		t.Fatal("the key must rest after an attempt that may still run")
 	}
@@ -247,7 +247,7 @@
 func TestHangLeavesSlots(t *testing.T) {
 	r := newRecorder(t, settings())
 	outage(r)
-	if n := r.out(0); n > r.set.Slots/2 {
+	if n := r.out(0); n > r.set.MaxInFlight/2 {
 		t.Fatalf("%d calls out at a hung destination", n)
 	}
 	if !r.c.dest(0).shared.open || len(r.probes) == 0 {
@@ -262,7 +262,7 @@
 // Without probes a lone call tests an open route.
 func TestHangTestedByLoneCall(t *testing.T) {
 	set := settings()
-	set.CanProbe = false
+	set.CanHealthCheck = false
 	r := newRecorder(t, set)
 	outage(r)
 	sends := 0
@@ -282,23 +282,23 @@
 // After an outage sends rise slowly: the budget of a cold destination is kept.
 func TestColdReturnIsPaced(t *testing.T) {
 	r := newRecorder(t, settings())
-	r.set.Weights = NoWeights
+	r.set.WeightKind = WeightsUnset
 	outage(r)
 	r.pass(3 * time.Second)
 	for id := MessageID(100); id < 160; id++ {
 		r.arrive(id, 0, 0)
 	}
 	before := len(r.trace)
-	r.c.Probed(r.now, r.probes[len(r.probes)-1], Served, 20*ms, nil)
+	r.c.HealthChecked(r.now, r.probes[len(r.probes)-1], Served, 20*ms, nil)
 	r.c.Decide(r.now)
-	r.serve(r.set.FallWindow, 600*ms, 1, 10)
+	r.serve(r.set.OverloadWindow, 600*ms, 1, 10)
 	sends := 0
 	for _, line := range r.trace[before:] {
 		if strings.Contains(line, "send ") {
 			sends++
 		}
 	}
-	budget := r.set.FallMultiple * 10 * 0.35 * r.set.FallWindow.Seconds()
+	budget := r.set.OverloadFactor * 10 * 0.35 * r.set.OverloadWindow.Seconds()
 	if sends == 0 || float64(sends) > budget {
 		t.Fatalf("%d sends to a cold destination within its fall window, budget %.1f", sends, budget)
 	}
@@ -312,7 +312,7 @@
 		r.arrive(id, 0, 0)
 		r.pass(50 * ms)
 		if id%4 == 0 {
-			r.answer(id, Full, 0)
+			r.answer(id, Rejected, 0)
 		} else {
 			r.answer(id, Served, 0)
 		}
@@ -381,7 +381,7 @@
 	for range 12 {
 		call(20*ms, Served)
 		call(20*ms, Served)
-		call(1500*ms, Broken)
+		call(1500*ms, ConnectionLost)
 	}
 	if len(r.closed) == 0 {
 		t.Fatal("no idle connection was closed")
@@ -396,20 +396,20 @@
 // Where the list answers only when asked, a failure is followed by asking again.
 func TestAskForList(t *testing.T) {
 	set := settings()
-	set.Ask = true
+	set.PollsList = true
 	r := newRecorder(t, set)
 	r.lists(ListCached, Endpoint{ID: 1, State: Ready})
 	if r.watches != 1 {
 		t.Fatalf("asked %d times at the start", r.watches)
 	}
 	r.lists(ListFailed)
-	r.pass(set.MustAsk / 2)
+	r.pass(set.MaxPollInterval / 2)
 	if r.watches < 2 {
 		t.Fatal("not asked again after a failure")
 	}
 	r.lists(ListDelta)
 	n := r.watches
-	r.pass(set.MustAsk)
+	r.pass(set.MaxPollInterval)
 	if r.watches != n {
 		t.Fatal("asked again though subscribed")
 	}
@@ -428,7 +428,7 @@
 	fleet, seen, told := make([]*recorder, senders), make([]int, senders), make([]bool, senders)
 	for i := range fleet {
 		set := settings()
-		set.Ask, set.Siblings, set.Seed = true, senders, uint64(i)
+		set.PollsList, set.FleetSize, set.Seed = true, senders, uint64(i)
 		fleet[i] = newRecorder(t, set)
 		fleet[i].lists(ListCached, Endpoint{ID: 1, State: Ready})
 	}
@@ -475,8 +475,8 @@
 		fleet := make([]*recorder, senders)
 		for i := range fleet {
 			set := settings()
-			set.Siblings, set.CanTell, set.Weights, set.Seed = senders, true, RoughWeights, uint64(i)
-			set.ReportShare, set.ReportLimit = -1, -1
+			set.FleetSize, set.CanGossip, set.WeightKind, set.Seed = senders, true, WeightsApproximate, uint64(i)
+			set.HeadroomIndex, set.LimitIndex = -1, -1
 			fleet[i] = newRecorder(t, set)
 			fleet[i].lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: whole})
 		}
@@ -498,7 +498,7 @@
 					}
 					if room--; room < 0 { // a refused call uses the limit up, too
 						room = max(room, -limit/5)
-						r.answer(m, Full, 0)
+						r.answer(m, Rejected, 0)
 					} else {
 						r.answer(m, Served, 0)
 					}
@@ -512,7 +512,7 @@
 					for j, other := range fleet {
 						if j != i && rng.Float64() >= lost {
 							share := other.c.dest(0).shared.share
-							other.c.Heard(other.now, n)
+							other.c.ReceiveGossip(other.now, n)
 							if after := other.c.dest(0).shared.share; after > share {
 								t.Fatalf("%s: a note raised a share from %v to %v", name, share, after)
 							}
@@ -548,8 +548,8 @@
 // Sends of one instant to one endpoint share a call: one slot until all are answered.
 func TestBatchSharesSlot(t *testing.T) {
 	set := settings()
-	set.Kinds[0].Batch = 3
-	set.Slots = 2
+	set.Kinds[0].MaxBatch = 3
+	set.MaxInFlight = 2
 	r := newRecorder(t, set)
 	r.ready(0, 1)
 	for id := MessageID(1); id <= 4; id++ {
@@ -572,18 +572,18 @@
 	r.ready(0, 2)
 	r.arrive(1, 0, 0)
 	r.pass(50 * ms)
-	r.answer(1, Full, 2*r.set.FallWindow)
+	r.answer(1, Rejected, 2*r.set.OverloadWindow)
 	for id := MessageID(2); id < 12; id++ {
 		r.arrive(id, 0, 0)
 	}
-	r.pass(2*r.set.FallWindow - 50*ms)
+	r.pass(2*r.set.OverloadWindow - 50*ms)
 	before := len(r.trace)
-	r.pass(r.set.FallWindow)
+	r.pass(r.set.OverloadWindow)
 	tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send ")
 	if tests > 2 {
 		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
 	}
-	r.pass(r.set.Cold)
+	r.pass(r.set.WarmUp)
 	if after := strings.Count(strings.Join(r.trace, "\n"), "send "); after < 2 {
 		t.Fatal("never tested after the wait")
 	}
@@ -600,15 +600,15 @@
 	if r.out(0) != 2 {
 		t.Fatalf("%d calls out", r.out(0))
 	}
-	r.answer(1, Full, 2*r.set.FallWindow)
+	r.answer(1, Rejected, 2*r.set.OverloadWindow)
 	r.pass(20 * ms)
 	r.answer(2, Served, 0)
 	for id := MessageID(3); id < 13; id++ {
 		r.arrive(id, 0, 0)
 	}
-	r.pass(2*r.set.FallWindow - 50*ms)
+	r.pass(2*r.set.OverloadWindow - 50*ms)
 	before := len(r.trace)
-	r.pass(r.set.FallWindow)
+	r.pass(r.set.OverloadWindow)
 	if tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send "); tests > 2 {
 		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
 	}
@@ -618,7 +618,7 @@
 func TestOverdueCallsAreCalledOff(t *testing.T) {
 	for _, wanted := range []bool{false, true} {
 		set := settings()
-		set.Slots = 2
+		set.MaxInFlight = 2
 		r := newRecorder(t, set)
 		for dest := range 3 {
 			r.ready(dest, 1)
@@ -651,7 +651,7 @@
 	r.ready(0, 1)
 	m := r.arrive(1, 0, 0)
 	m.final = "gone"
-	r.c.Gone(r.now, 1)
+	r.c.Abandon(r.now, 1)
 	r.c.Decide(r.now)
 	r.pass(20 * ms)
 	r.answer(1, TimedOut, 0)
@@ -666,7 +666,7 @@
 	r.ready(0, 1)
 	m := r.arrive(1, 0, 0)
 	m.timeout, m.due = time.Hour, time.Hour*100
-	r.c.Started(r.now, 1)
+	r.c.StreamStarted(r.now, 1)
 	r.c.Decide(r.now)
 	r.pass(20 * time.Second)
 	if m.final != "" || !m.out {
@@ -685,7 +685,7 @@
 	r.arrive(1, 0, 0)
 	failed := r.msgs[1].to
 	r.pass(20 * ms)
-	r.answer(1, NoConnection, 0)
+	r.answer(1, ConnectFailed, 0)
 	r.serve(100*ms, 50*ms)
 	id, again := MessageID(1), false
 	for range 30 {
@@ -722,16 +722,16 @@
 		r.arrive(1001, 0, 1)
 		r.now += 1900 * ms
 		if jobsFirst {
-			r.c.Arrive(r.now, Message{ID: 1002, Destination: 2, Remaining: 8000 * ms})
+			r.c.Submit(r.now, Message{ID: 1002, Destination: 2, TimeLeft: 8000 * ms})
 		}
 		for i, w := range r.wakes {
 			if i%2 == 0 {
-				r.c.Woken(r.now, w.token)
+				r.c.TimerFired(r.now, w.token)
 			}
 		}
 		for _, m := range []MessageID{1000, 1001} {
 			r.msgs[m].final, r.msgs[m].out = "served", false
-			r.c.Done(r.now, Outcome{ID: m, Endpoint: r.msgs[m].to, Result: Served, Took: 1900 * ms, Finished: true})
+			r.c.AttemptDone(r.now, Outcome{ID: m, Endpoint: r.msgs[m].to, Result: Served, Elapsed: 1900 * ms, Final: true})
 		}
 		r.msgs[1002] = &tracked{class: r.set.Classes[0], due: r.now + 8000*ms, Message: Message{Destination: 2}}
 		r.c.Decide(r.now)
@@ -771,7 +771,7 @@
 		if scarce {
 			r.arrive(1, 0, 0)
 			r.pass(10 * ms)
-			r.answer(1, NoConnection, 0)
+			r.answer(1, ConnectFailed, 0)
 			r.serve(200*ms, 50*ms)
 		}
 		n := len(r.closed)
@@ -788,7 +788,7 @@
 func TestLargeFleetKeepsNoIdleConnections(t *testing.T) {
 	for _, siblings := range []int{manySiblings - 1, manySiblings, 80} {
 		set := settings()
-		set.Siblings = siblings
+		set.FleetSize = siblings
 		r := newRecorder(t, set)
 		r.ready(0, 1)
 		r.arrive(1, 0, 0)
@@ -818,7 +818,7 @@
 		{"list answered after it failed", func(r *recorder) { r.lists(ListFailed); r.lists(ListDelta) }, false},
 	} {
 		set := settings()
-		set.Siblings, set.CanTell, set.Ask = 80, true, true
+		set.FleetSize, set.CanGossip, set.PollsList = 80, true, true
 		r := newRecorder(t, set)
 		r.lists(ListFull, Endpoint{ID: 1, State: Ready})
 		for id := MessageID(1); id < 99; id++ {
@@ -859,7 +859,7 @@
 // once: in collapse all calls are refused, and only fewer of them help. Room told brings it back.
 func TestRefusalAboveLimitSlowsLargeFleet(t *testing.T) {
 	set := settings()
-	set.Siblings = 200
+	set.FleetSize = 200
 	r := newRecorder(t, set)
 	r.ready(0, 1)
 	r.arrive(1, 0, 0)
@@ -873,7 +873,7 @@
 		for _, a := range r.arrivals {
 			if r.msgs[a].out {
 				sends++
-				r.answer(a, Full, 0, 0, 10)
+				r.answer(a, Rejected, 0, 0, 10)
 			}
 		}
 	}
@@ -890,7 +890,7 @@
 // Hundreds of siblings that know of an outage test and start in sum within what a cold partner takes.
 func TestColdReturnAmongManySiblings(t *testing.T) {
 	set := settings()
-	set.Siblings = 200
+	set.FleetSize = 200
 	r := newRecorder(t, set)
 	r.ready(0, 2)
 	r.arrive(1, 0, 0)
@@ -900,14 +900,14 @@
 		r.arrive(id, 0, 0)
 		r.pass(time.Second)
 		if r.msgs[id].out {
-			r.answer(id, NoConnection, 0)
+			r.answer(id, ConnectFailed, 0)
 		}
 	}
-	r.pass(set.Cold)
-	d.shared.open, d.shared.bad, d.shared.since = true, 3, r.now-set.Cold
+	r.pass(set.WarmUp)
+	d.shared.open, d.shared.bad, d.shared.since = true, 3, r.now-set.WarmUp
 	r.c.health(d.endpoints[0], r.now, Served, 0)
-	sum := r.c.pace(d.endpoints[0]) * float64(set.Siblings)
-	if budget := 20 * set.ColdFrom * set.FallMultiple; !d.shared.warming || sum <= 0 || sum > budget {
+	sum := r.c.pace(d.endpoints[0]) * float64(set.FleetSize)
+	if budget := 20 * set.ColdCapacity * set.OverloadFactor; !d.shared.warming || sum <= 0 || sum > budget {
 		t.Fatalf("warming %v: all siblings send %.1f a second, budget %.1f", d.shared.warming, sum, budget)
 	}
 }
@@ -918,13 +918,13 @@
 func TestNoRoomForConnectionsIsNoLimit(t *testing.T) {
 	for _, lately := range []bool{true, false} {
 		set := settings()
-		set.Siblings, set.CanTell, set.Weights, set.ReportShare, set.ReportLimit = 80, true, RoughWeights, -1, -1
+		set.FleetSize, set.CanGossip, set.WeightKind, set.HeadroomIndex, set.LimitIndex = 80, true, WeightsApproximate, -1, -1
 		r := newRecorder(t, set)
 		r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 200})
 		r.arrive(1, 0, 0)
 		r.serve(200*ms, 50*ms)
 		if !lately {
-			r.pass(2 * set.FallWindow)
+			r.pass(2 * set.OverloadWindow)
 		}
 		rt := r.c.dest(0).shared
 		share := rt.share
@@ -933,13 +933,13 @@
 			before := m.sends
 			for end := r.now + span; r.now < end; r.pass(5 * ms) {
 				if m.out {
-					r.answer(2, Crowded, 0)
+					r.answer(2, ConnectionRejected, 0)
 				}
 			}
 			return m.sends - before
 		}
 		soon, later := tries(500*ms), tries(500*ms)
-		refusals := slices.ContainsFunc(r.told, func(n Note) bool { return n.What == SawRefusal })
+		refusals := slices.ContainsFunc(r.told, func(n Observation) bool { return n.Kind == ObservedRejection })
 		if rt.open || rt.share < share || refusals {
 			t.Errorf("lately %v: open %v, share %v after %v, told %d", lately, rt.open, rt.share, share, len(r.told))
 		}
@@ -956,7 +956,7 @@
 		first := 0
 		for seed := range uint64(40) {
 			set := settings()
-			set.Siblings, set.CanTell, set.Weights, set.Seed = c.siblings, true, RoughWeights, seed
+			set.FleetSize, set.CanGossip, set.WeightKind, set.Seed = c.siblings, true, WeightsApproximate, seed
 			r := newRecorder(t, set)
 			r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 800}, Endpoint{ID: 2, State: Ready, Weight: 800})
 			second := 0
@@ -996,8 +996,8 @@
 		{"no outage seen", 0, 0, 0, false},
 	} {
 		sum, set := 0.0, settings()
-		set.Siblings, set.CanTell, set.Weights = 80, true, RoughWeights
-		for i := range set.Siblings {
+		set.FleetSize, set.CanGossip, set.WeightKind = 80, true, WeightsApproximate
+		for i := range set.FleetSize {
 			set.Seed = uint64(i)
 			r := newRecorder(t, set)
 			r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 20})
@@ -1006,20 +1006,20 @@
 				r.pass(time.Second)
 				for _, m := range slices.Clone(r.arrivals) {
 					if r.msgs[m].out {
-						r.answer(m, NoConnection, c.wait)
+						r.answer(m, ConnectFailed, c.wait)
 					}
 				}
 			}
 			rt := r.c.dest(0).shared
 			open := rt.open
 			r.pass(200 * ms)
-			r.c.Heard(r.now, Note{Endpoint: 1, What: SawReturn, Ago: c.ago})
+			r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedRecovery, Age: c.ago})
 			if back := open && !rt.open && rt.warming; back != c.back {
 				t.Fatalf("%s: open %v, then %v, warming %v", c.name, open, rt.open, rt.warming)
 			}
 			sum += r.c.pace(r.c.endpoints[1])
 		}
-		if budget := 20 * set.ColdFrom * set.FallMultiple; c.back && (sum <= 0 || sum > budget) {
+		if budget := 20 * set.ColdCapacity * set.OverloadFactor; c.back && (sum <= 0 || sum > budget) {
 			t.Errorf("%s: all siblings send %.1f a second, budget %.1f", c.name, sum, budget)
 		}
 	}
@@ -1060,7 +1060,7 @@
 	if rt.open {
 		t.Fatal("one failure found after a standstill opened the route")
 	}
-	r.pass(r.set.FallWindow)
+	r.pass(r.set.OverloadWindow)
 	if !r.msgs[2].out {
 		r.arrive(3, 0, 0)
 	}
@@ -1081,28 +1081,28 @@
 	}{
 		{"nothing", func(*Settings) {}, false, ""},
 		{"classes vanish", func(s *Settings) { s.Classes = s.Classes[:1] }, false, ""},
-		{"its class becomes safe", func(s *Settings) { s.Classes[2].Effect = Safe }, false, ""},
-		{"fewer attempts", func(s *Settings) { s.SendCap = 1 }, false, "refused"},
-		{"no deadline", func(s *Settings) { s.SendCap, s.Classes[1].Deadline = 1, 0 }, true, ""},
-		{"no classes", func(s *Settings) { s.SendCap, s.Classes = 1, nil }, true, ""},
+		{"its class becomes safe", func(s *Settings) { s.Classes[2].Idempotency = Idempotent }, false, ""},
+		{"fewer attempts", func(s *Settings) { s.MaxAttempts = 1 }, false, "refused"},
+		{"no deadline", func(s *Settings) { s.MaxAttempts, s.Classes[1].Deadline = 1, 0 }, true, ""},
+		{"no classes", func(s *Settings) { s.MaxAttempts, s.Classes = 1, nil }, true, ""},
 	} {
 		r := newRecorder(t, settings())
 		r.ready(0, 1)
 		out, waits := r.arrive(1, 2, 0), r.arrive(2, 2, 0)
-		r.answer(2, Full, 500*ms)
+		r.answer(2, Rejected, 500*ms)
 		set := settings()
-		set.Siblings, set.Kinds = 99, nil // what can't change under way
+		set.FleetSize, set.Kinds = 99, nil // what can't change under way
 		c.tune(&set)
-		if err := r.c.Retune(r.now, set); (err != nil) != c.err {
+		if err := r.c.UpdateSettings(r.now, set); (err != nil) != c.err {
 			t.Errorf("%s: %v", c.name, err)
 		}
-		if r.c.set.Siblings != 2 || len(r.c.set.Kinds) != 1 {
-			t.Errorf("%s: siblings %d, kinds %d", c.name, r.c.set.Siblings, len(r.c.set.Kinds))
+		if r.c.set.FleetSize != 2 || len(r.c.set.Kinds) != 1 {
+			t.Errorf("%s: siblings %d, kinds %d", c.name, r.c.set.FleetSize, len(r.c.set.Kinds))
 		}
 		if waits.final != c.final {
 			t.Errorf("%s: the waiting message: %q, want %q", c.name, waits.final, c.final)
 		}
-		r.answer(1, Broken, 0)
+		r.answer(1, ConnectionLost, 0)
 		r.pass(time.Second)
 		if out.sends > 1 || out.final != "failed" {
 			t.Errorf("%s: one that broke was sent %d times, and ended %q", c.name, out.sends, out.final)
@@ -1118,20 +1118,20 @@
 	old.ready(1, 1)
 	old.ready(2, 1)
 	old.arrive(1, 0, 0)
-	old.answer(1, Full, 900*ms) // told to wait
+	old.answer(1, Rejected, 900*ms) // told to wait
 	for id := MessageID(10); id < 10+streak; id++ {
 		old.arrive(id, 2, 1)
-		old.answer(id, Errored, 0) // an outage
+		old.answer(id, Failed, 0) // an outage
 	}
 	back := old.c.endpoints[200].route
 	old.c.back(back) // a slow start
 	old.pass(200 * ms)
-	known := old.c.Recall(old.now)
+	known := old.c.RouteStates(old.now)
 	next := newRecorder(t, settings())
 	next.ready(0, 1)
 	next.ready(1, 1)
 	next.ready(2, 1)
-	next.c.Remember(next.now, append(known, Recollection{Endpoint: 999, Wait: time.Hour}))
+	next.c.RestoreRoutes(next.now, append(known, RouteState{Endpoint: 999, RetryAfter: time.Hour}))
 	next.list[0].wait = next.now + 700*ms // the recorder fails on a send before
 	waits := next.arrive(1, 0, 0)
 	next.pass(690 * ms)
@@ -1148,18 +1148,18 @@
 	if rt := next.c.endpoints[200].route; !rt.warming || next.now-rt.backAt < 200*ms {
 		t.Errorf("the slow start: %v, since %v", rt.warming, next.now-rt.backAt)
 	}
-	next.c.Abroad(next.now, next.set.Slots-1)
+	next.c.SetRemoteInFlight(next.now, next.set.MaxInFlight-1)
 	next.ready(3, 1)
 	if a, b := next.arrive(20, 0, 3), next.arrive(21, 0, 3); a.out || b.out { // one is out, the others are abroad
 		t.Error("more out than slots")
 	}
-	next.c.Abroad(next.now, 0)
+	next.c.SetRemoteInFlight(next.now, 0)
 	next.pass(100 * ms)
 	if !next.msgs[20].out || !next.msgs[21].out {
 		t.Error("nothing sent though slots are free")
 	}
 	// A call that is told of later binds, too.
-	next.c.Saw(next.now, Outcome{Endpoint: 300, Result: Full, Wait: 400 * ms}, 50*ms)
+	next.c.RemoteOutcome(next.now, Outcome{Endpoint: 300, Result: Rejected, RetryAfter: 400 * ms}, 50*ms)
 	next.answer(20, Served, 0)
 	next.answer(21, Served, 0)
 	if m := next.arrive(22, 0, 3); m.sends > 0 {
@@ -1182,7 +1182,7 @@
 		{"shared", false, []float64{0.04, 0.01}, 0},
 	} {
 		set := settings()
-		set.Kinds, set.Tolls = []Kind{{Batch: 1, Apart: c.apart}}, c.tolls
+		set.Kinds, set.ZoneCosts = []Kind{{MaxBatch: 1, SeparateRoutes: c.apart}}, c.tolls
 		r := newRecorder(t, set)
 		r.ready(0, 2) // zones 0 and 1
 		for id := MessageID(1); id <= 5; id++ {
@@ -1194,7 +1194,7 @@
 			r.pass(50 * ms)
 		}
 		full := r.arrive(6, 0, 0)
-		r.answer(6, Full, 500*ms) // its route is told to wait
+		r.answer(6, Rejected, 500*ms) // its route is told to wait
 		r.pass(50 * ms)
 		if c.apart && (!full.out || r.list[full.to].Zone == c.zone) {
 			t.Errorf("%s: the other route is not used", c.name)
@@ -1205,7 +1205,7 @@
 // amongMany is one of eighty that share the limit of an endpoint.
 func amongMany(t *testing.T) (*recorder, *endpoint) {
 	set := settings()
-	set.Siblings, set.CanTell, set.Weights, set.ReportShare, set.ReportLimit = 80, true, RoughWeights, -1, -1
+	set.FleetSize, set.CanGossip, set.WeightKind, set.HeadroomIndex, set.LimitIndex = 80, true, WeightsApproximate, -1, -1
 	r := newRecorder(t, set)
 	r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 4000})
 	return r, r.c.endpoints[1]
@@ -1219,17 +1219,17 @@
 		for range n {
 			r.now += 50 * ms
 			r.c.clock(r.now)
-			r.c.share(&attempt{endpoint: e, sent: r.now}, Full, nil)
+			r.c.share(&attempt{endpoint: e, sent: r.now}, Rejected, nil)
 		}
 		return len(r.told) - before
 	}
 	if n := refuse(32); n < 2 || n > 6 { // the first asks, too, and once it is alone nothing is told
 		t.Errorf("%d notes of 32 refusals", n)
 	}
-	if !r.c.hear.Alone(r.now) {
+	if !r.c.hear.Isolated(r.now) {
 		t.Error("it does not know that it is alone")
 	}
-	r.c.Heard(r.now, Note{Endpoint: 1, What: SawRefusal})
+	r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedRejection})
 	if n := refuse(2); n != 2 {
 		t.Errorf("%d of 2 refusals told after a sibling was heard", n)
 	}
@@ -1250,7 +1250,7 @@
 	if got := share(); got != evenMost {
 		t.Fatalf("%.2f even parts at first", got)
 	}
-	came(10*time.Second, Full)
+	came(10*time.Second, Rejected)
 	if got := share(); math.Abs(got-evenCut*evenOver) > 1e-9 {
 		t.Errorf("%.3f after a refusal", got)
 	}
@@ -1269,23 +1269,23 @@
 	if got := share(); math.Abs(got-alone*math.Pow(1+aloneRise, 10)) > 1e-9 {
 		t.Errorf("%.3f after ten served calls", got)
 	}
-	came(21*time.Second, Full)
+	came(21*time.Second, Rejected)
 	if got := share(); got > alone*0.5 {
 		t.Errorf("%.3f after another refusal", got)
 	}
 	asked := len(r.told)
 	pass(26 * time.Second)
-	if share(); len(r.told) != asked+1 || r.told[asked].What != SawAsk {
+	if share(); len(r.told) != asked+1 || r.told[asked].Kind != ReachabilityQuery {
 		t.Errorf("it does not ask again though nothing is refused: %v", r.told[asked:])
 	}
-	r.c.Heard(26*time.Second, Note{Endpoint: 1, What: SawHere, From: 5})
+	r.c.ReceiveGossip(26*time.Second, Observation{Endpoint: 1, Kind: ReachabilityReply, Peer: 5})
 	pass(28 * time.Second)
 	if got := share(); got < 0.9 {
 		t.Errorf("%.3f two seconds after somebody was heard", got)
 	}
 	before := len(r.told)
 	for i := range 400 {
-		r.c.Heard(28*time.Second, Note{Endpoint: 1, What: SawAsk, From: i % 79})
+		r.c.ReceiveGossip(28*time.Second, Observation{Endpoint: 1, Kind: ReachabilityQuery, Peer: i % 79})
 	}
 	if n := len(r.told) - before; n < 20 || n > 70 { // 8 of 80 in the mean
 		t.Errorf("%d of 400 questions answered", n)
@@ -1295,7 +1295,7 @@
 // one of eighty, with n endpoints of a destination.
 func oneOfMany(t *testing.T, n int) *recorder {
 	set := settings()
-	set.Siblings, set.CanTell, set.SendCap = 80, true, 99
+	set.FleetSize, set.CanGossip, set.MaxAttempts = 80, true, 99
 	r := newRecorder(t, set)
 	r.ready(0, n)
 	return r
@@ -1329,12 +1329,12 @@
 	} {
 		r := oneOfMany(t, cmp.Or(c.n, 3))
 		for _, w := range c.words {
-			what := SawDown
+			what := ObservedDown
 			if w.up {
-				what = SawUp
+				what = ObservedUp
 			}
 			r.now += ms
-			r.c.Heard(r.now, Note{Endpoint: w.of, What: what, From: w.by})
+			r.c.ReceiveGossip(r.now, Observation{Endpoint: w.of, Kind: what, Peer: w.by})
 		}
 		r.pass(c.after)
 		used := map[EndpointID]bool{}
@@ -1370,7 +1370,7 @@
 		r.answer(1, Served, 0)
 		for e := EndpointID(0); e < 3 && told; e++ {
 			for by := 1; by <= 2 && e != m.to; by++ {
-				r.c.Heard(r.now, Note{Endpoint: e, What: SawDown, From: by})
+				r.c.ReceiveGossip(r.now, Observation{Endpoint: e, Kind: ObservedDown, Peer: by})
 			}
 		}
 		last := r.arrive(2, 0, 0)
@@ -1390,7 +1390,7 @@
 	const senders = 200
 	for i := range senders {
 		set := settings()
-		set.Seed, set.Siblings, set.CanTell = uint64(i), senders, true
+		set.Seed, set.FleetSize, set.CanGossip = uint64(i), senders, true
 		r := newRecorder(t, set)
 		r.ready(0, 2)
 		r.c.crowd[0] = 0 // room is known
@@ -1399,10 +1399,10 @@
 		r.answer(1, Served, 0)
 		other := 1 - first.to
 		for by := range 2 {
-			r.c.Heard(r.now, Note{Endpoint: other, What: SawDown, From: by})
+			r.c.ReceiveGossip(r.now, Observation{Endpoint: other, Kind: ObservedDown, Peer: by})
 		}
 		r.pass(50 * ms)
-		r.c.Heard(r.now, Note{Endpoint: other, What: SawUp, From: 3})
+		r.c.ReceiveGossip(r.now, Observation{Endpoint: other, Kind: ObservedUp, Peer: 3})
 		r.pass(2 * time.Second)
 		if r.arrive(2, 0, 0).to == other {
 			back++
@@ -1419,11 +1419,11 @@
 		r := oneOfMany(t, 2)
 		m := r.arrive(1, 0, 0)
 		dead := m.to
-		r.answer(1, NoConnection, 0)
+		r.answer(1, ConnectFailed, 0)
 		r.pass(10 * ms)
 		r.answer(1, Served, 0)
 		r.pass(after)
-		r.c.Heard(r.now, Note{Endpoint: dead, What: SawUp, From: 3})
+		r.c.ReceiveGossip(r.now, Observation{Endpoint: dead, Kind: ObservedUp, Peer: 3})
 		if got := r.c.endpoints[dead].bad; got != bad {
 			t.Errorf("%v after: %d failures in a row, want %d", after, got, bad)
 		}
@@ -1433,9 +1433,9 @@
 // A dead endpoint is told once by each of two, and its return once; an overdue call takes its endpoint out of the way, not its destination.
 func TestDeadEndpointsAreTold(t *testing.T) {
 	r := oneOfMany(t, 2)
-	count := func(what Seen) (n int) {
+	count := func(what ObservationKind) (n int) {
 		for _, x := range r.told {
-			if x.What == what {
+			if x.Kind == what {
 				n++
 			}
 		}
@@ -1444,13 +1444,13 @@
 	m := r.arrive(1, 0, 0)
 	dead := m.to
 	r.pass(10 * ms)
-	r.answer(1, NoConnection, 0)
-	if count(SawDown) != 1 || r.told[len(r.told)-1].Endpoint != dead {
+	r.answer(1, ConnectFailed, 0)
+	if count(ObservedDown) != 1 || r.told[len(r.told)-1].Endpoint != dead {
 		t.Fatalf("told %+v", r.told)
 	}
 	r.pass(10 * ms)
 	r.answer(1, Served, 0)
-	r.c.Heard(r.now, Note{Endpoint: dead, What: SawDown, From: 5})
+	r.c.ReceiveGossip(r.now, Observation{Endpoint: dead, Kind: ObservedDown, Peer: 5})
 	r.pass(4400 * ms) // its own turn
 	m = r.arrive(2, 0, 0)
 	if m.to != dead {
@@ -1462,7 +1462,7 @@
 	r.answer(9, Served, 0)
 	r.pass(10 * ms)
 	r.answer(2, Served, 0)
-	if count(SawUp) != 1 || count(SawDown) != 1 {
+	if count(ObservedUp) != 1 || count(ObservedDown) != 1 {
 		t.Errorf("told %+v", r.told)
 	}
 	first := r.arrive(3, 0, 0)
@@ -1493,13 +1493,13 @@
 		t.Errorf("answered since: %d failures, the call out %v", bad, q.msgs[2].out)
 	}
 	a, e := amongMany(t) // nobody hears one that is alone
-	a.c.share(&attempt{endpoint: e, sent: a.now}, Full, nil)
+	a.c.share(&attempt{endpoint: e, sent: a.now}, Rejected, nil)
 	a.pass(time.Second)
 	n := len(a.told)
 	a.c.clock(a.now)
-	a.c.health(e, a.now, NoConnection, 0)
-	if !a.c.hear.Alone(a.now) || len(a.told) != n {
-		t.Errorf("alone %v, told %+v", a.c.hear.Alone(a.now), a.told[n:])
+	a.c.health(e, a.now, ConnectFailed, 0)
+	if !a.c.hear.Isolated(a.now) || len(a.told) != n {
+		t.Errorf("alone %v, told %+v", a.c.hear.Isolated(a.now), a.told[n:])
 	}
 }
 
@@ -1511,10 +1511,10 @@
 		result         Result
 		open           bool
 	}{
-		{80, 3, NoConnection, false}, {80, 3, TimedOut, false}, {80, 6, NoConnection, true}, {80, 3, Full, true}, {4, 3, NoConnection, true},
+		{80, 3, ConnectFailed, false}, {80, 3, TimedOut, false}, {80, 6, ConnectFailed, true}, {80, 3, Rejected, true}, {4, 3, ConnectFailed, true},
 	} {
 		set := settings()
-		set.Siblings, set.CanTell, set.SendCap = c.siblings, true, 99
+		set.FleetSize, set.CanGossip, set.MaxAttempts = c.siblings, true, 99
 		r := newRecorder(t, set)
 		r.ready(0, 6)
 		r.arrive(1, 0, 0)
@@ -1551,8 +1551,8 @@
 		{1000, 0, 4300 * ms, 3600 * ms},
 	} {
 		set := settings()
-		set.Siblings, set.MustAsk, set.Ask = c.siblings, c.mustAsk, true
-		if got := set.AskSpread(); got != c.spread {
+		set.FleetSize, set.MaxPollInterval, set.PollsList = c.siblings, c.mustAsk, true
+		if got := set.PollSpread(); got != c.spread {
 			t.Errorf("%+v: %v", c, got)
 		}
 		// What is told at one instant is known in 6 s by all, an answer of 1.2 s included; the rest is a tenth longer at most.
@@ -1565,7 +1565,7 @@
 			r := newRecorder(t, set)
 			for range 8 {
 				r.c.asking = true
-				r.c.Endpoints(r.now, ListFailed, nil)
+				r.c.UpdateEndpoints(r.now, ListFailed, nil)
 				longest = max(longest, r.c.askAt-r.now)
 			}
 		}
@@ -1593,14 +1593,14 @@
 		{"from before the return", func(i int) int { return i }, 5 * time.Second, 12, 0.2, 0.3},
 	} {
 		set := settings()
-		set.Siblings, set.CanTell, set.Weights, set.ReportShare, set.ReportLimit = 80, true, RoughWeights, -1, -1
+		set.FleetSize, set.CanGossip, set.WeightKind, set.HeadroomIndex, set.LimitIndex = 80, true, WeightsApproximate, -1, -1
 		r := newRecorder(t, set)
 		r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 800})
 		e := r.c.endpoints[1]
 		r.c.back(e.route)
 		r.pass(100 * ms)
 		for i := range c.words {
-			r.c.Heard(r.now, Note{Endpoint: 1, What: SawWarm, From: c.from(i), Ago: c.ago})
+			r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedWarm, Peer: c.from(i), Age: c.ago})
 		}
 		if got := r.c.pace(e) / r.c.part(e); got < c.part || got > c.most*evenCold && got > 1 || c.most < 1 && got > c.most*evenCold {
 			t.Errorf("%s: %.2f of its even part", c.name, got)
@@ -1614,9 +1614,9 @@
 		again.c.back(rt)
 		again.pass(100 * ms)
 		for i := range 30 {
-			again.c.Heard(again.now, Note{Endpoint: 0, What: SawWarm, From: i})
+			again.c.ReceiveGossip(again.now, Observation{Endpoint: 0, Kind: ObservedWarm, Peer: i})
 		}
-		if got := rt.backAt - rt.warmAt; got != again.set.Cold || len(rt.warmBy) > 10 {
+		if got := rt.backAt - rt.warmAt; got != again.set.WarmUp || len(rt.warmBy) > 10 {
 			t.Errorf("return %d: %v earlier by the word of %d", n, got, len(rt.warmBy))
 		}
 	}
@@ -1625,7 +1625,7 @@
 	e.route.before = 100 * ms
 	told := func() (n int) {
 		for _, x := range r.told {
-			if x.What == SawWarm {
+			if x.Kind == ObservedWarm {
 				n++
 			}
 		}
@@ -1635,12 +1635,12 @@
 	for range 20 {
 		r.now += 400 * ms
 		r.c.clock(r.now)
-		r.c.judge(&attempt{endpoint: e, sent: r.now - 10*ms}, Outcome{Result: Served, Took: 10 * ms})
+		r.c.judge(&attempt{endpoint: e, sent: r.now - 10*ms}, Outcome{Result: Served, Elapsed: 10 * ms})
 	}
 	if n := told(); n < 1 || n > 8 {
 		t.Errorf("told %d times that it is warm", n)
 	}
-	if !e.route.warming || r.c.now-e.route.warmAt < r.set.Cold {
+	if !e.route.warming || r.c.now-e.route.warmAt < r.set.WarmUp {
 		t.Errorf("after 20 brisk calls: warming %v, from %v on", e.route.warming, e.route.warmAt-r.now)
 	}
 }
--- a/control/recorder_test.go
+++ b/control/recorder_test.go
@@ -12,16 +12,16 @@
 
 // settings returns plain settings: one safe, one keyed and one unsafe class.
 func settings() Settings {
-	class := Class{Aim: 1000 * ms, Deadline: 8000 * ms, Worth: 1, LateWorth: 0.5, Memory: 5000 * ms}
+	class := Class{LatencyObjective: 1000 * ms, Deadline: 8000 * ms, PriorityWeight: 1, LateWeight: 0.5, KeyRetention: 5000 * ms}
 	safe, keyed, unsafe := class, class, class
-	keyed.Effect, keyed.Worth = Keyed, 2
-	unsafe.Effect, unsafe.Worth = Unsafe, 4
+	keyed.Idempotency, keyed.PriorityWeight = IdempotentByKey, 2
+	unsafe.Idempotency, unsafe.PriorityWeight = NotIdempotent, 4
 	return Settings{
-		Seed: 1, Siblings: 2, Classes: []Class{safe, keyed, unsafe}, Kinds: []Kind{{Batch: 1}}, Slots: 8,
-		HoldCap: 200, SendCap: 12, CanCancel: true, CanProbe: true, CanAdvise: true, MaxAdvice: 2000 * ms,
-		StreamsPerConn: 1, ConnIdle: 10000 * ms, ConnectTimeout: 1000 * ms, ReportShare: 0, ReportLimit: 1,
-		Tick: 5 * ms, AnswerSlack: 20 * ms, MustAsk: 10000 * ms, DrainGrace: 500 * ms, ColdFrom: 0.2,
-		Cold: 9000 * ms, FallMultiple: 2, FallWindow: 1500 * ms, TurnGap: 700 * ms,
+		Seed: 1, FleetSize: 2, Classes: []Class{safe, keyed, unsafe}, Kinds: []Kind{{MaxBatch: 1}}, MaxInFlight: 8,
+		MaxOpenMessages: 200, MaxAttempts: 12, CanCancel: true, CanHealthCheck: true, CanSendRetryAfter: true, MaxRetryAfter: 2000 * ms,
+		StreamsPerConn: 1, ConnIdleTimeout: 10000 * ms, ConnectTimeout: 1000 * ms, HeadroomIndex: 0, LimitIndex: 1,
+		Tick: 5 * ms, ResponseGrace: 20 * ms, MaxPollInterval: 10000 * ms, DrainGrace: 500 * ms, ColdCapacity: 0.2,
+		WarmUp: 9000 * ms, OverloadFactor: 2, OverloadWindow: 1500 * ms, OrderedPause: 700 * ms,
 	}
 }
 
@@ -39,7 +39,7 @@
 	wakes    []wake
 	watches  int
 	closed   []EndpointID
-	told     []Note
+	told     []Observation
 }
 
 type wake struct {
@@ -100,17 +100,17 @@
 		r.broken("sent message %d to endpoint %d, not of its destination", id, to)
 	case m.out:
 		r.broken("message %d has two attempts out", id)
-	case m.ran && m.class.Effect == Unsafe:
+	case m.ran && m.class.Idempotency == NotIdempotent:
 		r.broken("unsafe message %d sent again", id)
-	case m.ran && m.class.Effect == Keyed && r.now > m.ranAt+m.class.Memory:
+	case m.ran && m.class.Idempotency == IdempotentByKey && r.now > m.ranAt+m.class.KeyRetention:
 		r.broken("keyed message %d sent after its memory", id)
-	case m.ran && m.class.Effect == Keyed && m.class.ZoneScope && e.Zone != m.ranZone:
+	case m.ran && m.class.Idempotency == IdempotentByKey && m.class.KeyZoneScoped && e.Zone != m.ranZone:
 		r.broken("keyed message %d sent outside its zone", id)
 	case e.stop > 0 && r.now > e.stop+r.set.DrainGrace:
 		r.broken("sent to endpoint %d after its drain", to)
 	case r.now < r.waitOf(e):
 		r.broken("sent to endpoint %d before its wait is over", to)
-	case m.sends >= r.set.SendCap:
+	case m.sends >= r.set.MaxAttempts:
 		r.broken("message %d sent too often", id)
 	}
 	r.checkTurn(m)
@@ -121,7 +121,7 @@
 
 // waitOf is the end of the waits that bind an endpoint.
 func (r *recorder) waitOf(e *listed) time.Duration {
-	if r.set.Kinds[e.Kind].Apart {
+	if r.set.Kinds[e.Kind].SeparateRoutes {
 		return e.wait
 	}
 	var end time.Duration
@@ -134,7 +134,7 @@
 }
 
 func (r *recorder) checkTurn(m *tracked) {
-	if !m.class.InOrder || m.Key == 0 {
+	if !m.class.Ordered || m.Key == 0 {
 		return
 	}
 	for _, id := range r.arrivals {
@@ -142,7 +142,7 @@
 		if o == m {
 			return
 		}
-		if o.class.InOrder && o.Key == m.Key && (o.final == "" || o.out || r.now < o.restTill) {
+		if o.class.Ordered && o.Key == m.Key && (o.final == "" || o.out || r.now < o.restTill) {
 			r.broken("message %d sent out of its turn, after %d", m.ID, o.ID)
 		}
 	}
@@ -157,10 +157,10 @@
 	m.cancelled = true
 }
 
-func (r *recorder) Refuse(id MessageID, after time.Duration) {
+func (r *recorder) Reject(id MessageID, after time.Duration) {
 	r.log("refuse %d, back after %v", id, after)
 	m := r.msgs[id]
-	if m.ran && (m.class.Effect == Unsafe || m.class.Effect == Keyed && m.class.ZoneScope) || m.out {
+	if m.ran && (m.class.Idempotency == NotIdempotent || m.class.Idempotency == IdempotentByKey && m.class.KeyZoneScoped) || m.out {
 		r.broken("message %d refused though it may have run", id)
 	}
 	m.advice = after
@@ -177,15 +177,15 @@
 	if m == nil || m.final != "" {
 		r.broken("second answer for message %d: %s", id, how)
 	}
-	if r.now > m.due+r.set.AnswerSlack {
+	if r.now > m.due+r.set.ResponseGrace {
 		r.broken("answer for message %d came %v late", id, r.now-m.due)
 	}
 	m.final = how
 }
 
-func (r *recorder) Probe(to EndpointID) {
+func (r *recorder) HealthCheck(to EndpointID) {
 	r.log("probe %d", to)
-	if e := r.list[to]; !r.set.CanProbe || r.now < r.waitOf(e) {
+	if e := r.list[to]; !r.set.CanHealthCheck || r.now < r.waitOf(e) {
 		r.broken("probe of %d against the rules", to)
 	}
 	r.probes = append(r.probes, to)
@@ -203,15 +203,15 @@
 
 func (r *recorder) Fetch() { r.log("fetch") }
 
-func (r *recorder) Wake(after time.Duration, token uint32) {
+func (r *recorder) SetTimer(after time.Duration, token uint32) {
 	r.wakes = append(r.wakes, wake{r.now + after, token})
 }
 
-func (r *recorder) Tell(n Note)     { r.told = append(r.told, n) }
-func (r *recorder) Log(text string) { r.log("log %s", text) }
+func (r *recorder) Gossip(n Observation) { r.told = append(r.told, n) }
+func (r *recorder) Log(text string)      { r.log("log %s", text) }
 
 // lists tells of endpoints.
-func (r *recorder) lists(news ListNews, list ...Endpoint) {
+func (r *recorder) lists(news ListUpdateKind, list ...Endpoint) {
 	named := map[EndpointID]bool{}
 	for _, e := range list {
 		named[e.ID] = true
@@ -231,7 +231,7 @@
 			l.stop = r.now
 		}
 	}
-	r.c.Endpoints(r.now, news, list)
+	r.c.UpdateEndpoints(r.now, news, list)
 	r.c.Decide(r.now)
 }
 
@@ -246,15 +246,15 @@
 
 // arrive hands in a message with all its time left.
 func (r *recorder) arrive(id MessageID, class, dest int) *tracked {
-	return r.hand(Message{ID: id, Class: class, Destination: dest, Remaining: r.set.Classes[class].Deadline})
+	return r.hand(Message{ID: id, Class: class, Destination: dest, TimeLeft: r.set.Classes[class].Deadline})
 }
 
 func (r *recorder) hand(m Message) *tracked {
-	r.log("arrive %d class %d dest %d left %v", m.ID, m.Class, m.Destination, m.Remaining)
-	k := &tracked{Message: m, class: r.set.Classes[m.Class], due: r.now + m.Remaining}
+	r.log("arrive %d class %d dest %d left %v", m.ID, m.Class, m.Destination, m.TimeLeft)
+	k := &tracked{Message: m, class: r.set.Classes[m.Class], due: r.now + m.TimeLeft}
 	r.msgs[m.ID] = k
 	r.arrivals = append(r.arrivals, m.ID)
-	r.c.Arrive(r.now, m)
+	r.c.Submit(r.now, m)
 	r.c.Decide(r.now)
 	return k
 }
@@ -270,8 +270,8 @@
 	if res.MayHaveRun() && !m.ran {
 		m.ran, m.ranAt, m.ranZone = true, m.sentAt, r.list[m.to].Zone
 	}
-	if res == TimedOut || res == Broken || res == Cancelled || res == Unknown {
-		m.restTill = r.now + r.set.TurnGap
+	if res == TimedOut || res == ConnectionLost || res == Canceled || res == Unknown {
+		m.restTill = r.now + r.set.OrderedPause
 	}
 	if wait > 0 {
 		r.list[m.to].wait = r.now + wait
@@ -279,8 +279,8 @@
 	if res == Served && m.final == "" {
 		m.final = "served"
 	}
-	r.c.Done(r.now, Outcome{ID: id, Attempt: m.sends - 1, Endpoint: m.to, Result: res, Took: r.now - m.sentAt,
-		Finished: m.final != "", Wait: wait, Load: load})
+	r.c.AttemptDone(r.now, Outcome{ID: id, Attempt: m.sends - 1, Endpoint: m.to, Result: res, Elapsed: r.now - m.sentAt,
+		Final: m.final != "", RetryAfter: wait, LoadReport: load})
 	r.c.Decide(r.now)
 }
 
@@ -292,7 +292,7 @@
 			if w := r.wakes[i]; w.at <= r.now {
 				r.wakes = slices.Delete(r.wakes, i, i+1)
 				i--
-				r.c.Woken(r.now, w.token)
+				r.c.TimerFired(r.now, w.token)
 				r.c.Decide(r.now)
 			}
 		}
@@ -300,12 +300,12 @@
 			m := r.msgs[id]
 			if m.out && m.cancelled {
 				m.cancelled = false
-				r.answer(id, Cancelled, 0)
+				r.answer(id, Canceled, 0)
 			}
 			if m.out && r.now >= m.sentAt+m.timeout {
 				r.answer(id, TimedOut, 0)
 			}
-			if m.final == "" && r.now > m.due+r.set.AnswerSlack {
+			if m.final == "" && r.now > m.due+r.set.ResponseGrace {
 				r.broken("message %d lost", id)
 			}
 		}
@@ -350,19 +350,19 @@
 	rng := rand.New(rand.NewPCG(seed, 7))
 	set := settings()
 	set.Seed = seed
-	set.Kinds = []Kind{{Batch: 1 + rng.IntN(4), Apart: rng.IntN(3) == 0}}
-	set.HalvingWorth = rng.IntN(2) == 0
-	set.CanProbe = rng.IntN(2) == 0
-	set.Ask = rng.IntN(2) == 0
-	set.Weights = Weights(rng.IntN(3))
-	set.SecondCopies = rng.IntN(2) == 0
+	set.Kinds = []Kind{{MaxBatch: 1 + rng.IntN(4), SeparateRoutes: rng.IntN(3) == 0}}
+	set.WeightHalves = rng.IntN(2) == 0
+	set.CanHealthCheck = rng.IntN(2) == 0
+	set.PollsList = rng.IntN(2) == 0
+	set.WeightKind = WeightKind(rng.IntN(3))
+	set.AllowHedging = rng.IntN(2) == 0
 	for i := range set.Classes {
-		set.Classes[i].InOrder = rng.IntN(2) == 0
-		set.Classes[i].ZoneScope = rng.IntN(2) == 0
+		set.Classes[i].Ordered = rng.IntN(2) == 0
+		set.Classes[i].KeyZoneScoped = rng.IntN(2) == 0
 	}
 	r := newRecorder(t, set)
 	id := MessageID(0)
-	results := []Result{Served, Served, Served, Served, Errored, Full, TimedOut, NoConnection, Crowded, Broken, Unknown, Moot}
+	results := []Result{Served, Served, Served, Served, Failed, Rejected, TimedOut, ConnectFailed, ConnectionRejected, ConnectionLost, Unknown, NotSent}
 	for range 1500 {
 		switch rng.IntN(12) {
 		case 0, 1, 2, 3:
@@ -372,26 +372,26 @@
 			if rng.IntN(20) == 0 {
 				left = -ms
 			}
-			r.hand(Message{ID: id, Class: class, Destination: rng.IntN(4), Remaining: left, Key: uint64(rng.IntN(3))})
+			r.hand(Message{ID: id, Class: class, Destination: rng.IntN(4), TimeLeft: left, Key: uint64(rng.IntN(3))})
 		case 4:
 			e := EndpointID(rng.IntN(9))
-			r.lists(ListDelta, Endpoint{ID: e, Destination: int(e) % 3, Zone: int(e) % 2, State: State(rng.IntN(3)),
+			r.lists(ListDelta, Endpoint{ID: e, Destination: int(e) % 3, Zone: int(e) % 2, State: EndpointState(rng.IntN(3)),
 				Weight: 1 + 9*rng.Float64()})
 		case 5:
-			r.c.Done(r.now, Outcome{ID: MessageID(rng.IntN(100) + 1000000), Result: Served})
-			r.c.Gone(r.now, MessageID(rng.IntN(100)+1000000))
+			r.c.AttemptDone(r.now, Outcome{ID: MessageID(rng.IntN(100) + 1000000), Result: Served})
+			r.c.Abandon(r.now, MessageID(rng.IntN(100)+1000000))
 			r.c.Decide(r.now)
-			r.c.Woken(r.now, rng.Uint32())
+			r.c.TimerFired(r.now, rng.Uint32())
 			r.c.Decide(r.now)
-			r.c.Endpoints(r.now, ListFailed, nil)
+			r.c.UpdateEndpoints(r.now, ListFailed, nil)
 			r.c.Decide(r.now)
 		case 6:
 			if len(r.probes) > 0 {
 				res := results[rng.IntN(len(results))]
-				if res == Moot {
+				if res == NotSent {
 					res = TimedOut
 				}
-				r.c.Probed(r.now, r.probes[0], res, 20*ms, nil)
+				r.c.HealthChecked(r.now, r.probes[0], res, 20*ms, nil)
 				r.c.Decide(r.now)
 				r.probes = r.probes[1:]
 			}
@@ -400,7 +400,7 @@
 				gone := MessageID(1 + rng.IntN(int(id)))
 				if m := r.msgs[gone]; m.final == "" {
 					m.final = "gone"
-					r.c.Gone(r.now, gone)
+					r.c.Abandon(r.now, gone)
 					r.c.Decide(r.now)
 				}
 			}
@@ -410,7 +410,7 @@
 				if m := r.msgs[a]; m.out && rng.IntN(3) > 0 {
 					res := results[rng.IntN(len(results))]
 					wait := time.Duration(0)
-					if res == Full && rng.IntN(2) == 0 {
+					if res == Rejected && rng.IntN(2) == 0 {
 						wait = time.Duration(rng.IntN(1500)) * ms
 					}
 					r.answer(a, res, wait, float32(rng.Float64()), float32(rng.IntN(10)))
--- a/control/restart_test.go
+++ b/control/restart_test.go
@@ -26,10 +26,10 @@
 		{"unsafe, never ran", 2, false, 0, 0, 3, "sent"},
 	} {
 		set := settings()
-		set.Classes[1].ZoneScope = true
+		set.Classes[1].KeyZoneScoped = true
 		r := newRecorder(t, set)
 		r.ready(0, 1)
-		m := r.hand(Message{ID: 1, Class: c.class, Remaining: 4 * time.Second, Sends: c.sends, Ran: c.ran, RanAgo: c.ago, RanZone: c.zone})
+		m := r.hand(Message{ID: 1, Class: c.class, TimeLeft: 4 * time.Second, Attempts: c.sends, MayHaveRun: c.ran, FirstRunAgo: c.ago, FirstRunZone: c.zone})
 		got := m.final
 		switch {
 		case m.out:
@@ -68,21 +68,21 @@
 // and where nothing is known it is not to come back at once.
 func TestAdviceBySoonestRoute(t *testing.T) {
 	set := settings()
-	set.Kinds = []Kind{{Batch: 1, Apart: true}}
+	set.Kinds = []Kind{{MaxBatch: 1, SeparateRoutes: true}}
 	r := newRecorder(t, set)
 	r.ready(0, 2)
 	m := r.arrive(1, 0, 0)
-	r.answer(1, Full, 1900*ms) // goes to the other one
-	r.answer(1, Full, 1400*ms)
+	r.answer(1, Rejected, 1900*ms) // goes to the other one
+	r.answer(1, Rejected, 1400*ms)
 	if m.out {
 		t.Fatal("sent during the waits")
 	}
-	late := r.hand(Message{ID: 3, Destination: 0, Remaining: 5 * ms})
+	late := r.hand(Message{ID: 3, Destination: 0, TimeLeft: 5 * ms})
 	if late.final != "refused" || late.advice != 1400*ms {
 		t.Errorf("%q, advice %v", late.final, late.advice)
 	}
-	homeless := r.hand(Message{ID: 4, Destination: 9, Remaining: 5 * ms})
-	if homeless.final != "refused" || homeless.advice != set.Classes[0].Aim {
+	homeless := r.hand(Message{ID: 4, Destination: 9, TimeLeft: 5 * ms})
+	if homeless.final != "refused" || homeless.advice != set.Classes[0].LatencyObjective {
 		t.Errorf("without a target: %q, advice %v", homeless.final, homeless.advice)
 	}
 }
@@ -99,7 +99,7 @@
 		}
 		r.pass(time.Second)
 	}
-	keep := int((2*r.c.set.Cold+r.c.set.FallWindow+r.c.set.DrainGrace)/time.Second) + 1
+	keep := int((2*r.c.set.WarmUp+r.c.set.OverloadWindow+r.c.set.DrainGrace)/time.Second) + 1
 	if len(r.c.endpoints) > keep || len(r.c.byID) > keep {
 		t.Errorf("%d endpoints and %d destinations known, %d at most", len(r.c.endpoints), len(r.c.byID), keep)
 	}
@@ -110,7 +110,7 @@
 // served calls raise again.
 func TestRefusalsBetweenAnswers(t *testing.T) {
 	set := settings()
-	set.Weights = RoughWeights
+	set.WeightKind = WeightsApproximate
 	r := newRecorder(t, set)
 	r.lists(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
 	e := r.c.endpoints[1]
@@ -123,7 +123,7 @@
 		for !m.out {
 			r.pass(50 * ms)
 		}
-		r.answer(2, Full, 0)
+		r.answer(2, Rejected, 0)
 	}
 	low := r.c.pace(e)
 	if e.route.open || low >= whole/2 {
@@ -148,7 +148,7 @@
 // long: what waits for it meanwhile runs out of time.
 func TestOpenRouteTestedOften(t *testing.T) {
 	set := settings()
-	set.Weights = RoughWeights
+	set.WeightKind = WeightsApproximate
 	r := newRecorder(t, set)
 	r.lists(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
 	m := r.arrive(1, 0, 0)
@@ -166,9 +166,9 @@
 		}
 		last = r.c.now
 		r.pass(10 * ms)
-		r.answer(m.ID, Full, 0)
+		r.answer(m.ID, Rejected, 0)
 	}
-	if limit := set.Cold / 4; most == 0 || most > limit {
+	if limit := set.WarmUp / 4; most == 0 || most > limit {
 		t.Errorf("tests %v apart, %v at most", most, limit)
 	}
 }
--- a/control/state.go
+++ b/control/state.go
@@ -8,8 +8,8 @@
 	"sort"
 	"time"
 
+	"cleathold/internal/fleethealth"
 	"cleathold/internal/reachability"
-	"cleathold/internal/verdict"
 )
 
 // A route is what waits, limits and outages hold for: a destination, or one
@@ -54,7 +54,7 @@
 	left   time.Duration // when it was last seen to be listed
 	last   *call         // the latest call, which sends of one instant may share
 
-	verdict verdict.Verdict // what siblings and this sender found of it, in a large fleet
+	verdict fleethealth.Health // what siblings and this sender found of it, in a large fleet
 }
 
 // A call is one connection's worth of messages: one slot, one fate.
@@ -131,7 +131,7 @@
 // kind returns what is known of a kind of destination.
 func (c *Controller) kind(i int) Kind {
 	if i < 0 || i >= len(c.set.Kinds) {
-		return Kind{Batch: 1}
+		return Kind{MaxBatch: 1}
 	}
 	return c.set.Kinds[i]
 }
@@ -153,25 +153,27 @@
 
 // dead tells that siblings found an endpoint dead, and not too many others of its destination.
 func (c *Controller) dead(e *endpoint) bool {
-	if !e.verdict.Holds(c.now, c.terms()) { // nothing ever does in a small fleet
+	if !e.verdict.Ejected(c.now, c.terms()) { // nothing ever does in a small fleet
 		return false
 	}
 	n, all := 0, 0
 	for _, o := range e.dest.endpoints {
 		if o.State == Ready {
-			if all++; o.verdict.Holds(c.now, c.terms()) {
+			if all++; o.verdict.Ejected(c.now, c.terms()) {
 				n++
 			}
 		}
 	}
-	return verdict.Few(n, all)
+	return fleethealth.WithinEjectionLimit(n, all)
 }
 
-func (c *Controller) terms() verdict.Terms { return verdict.Of(c.set.Siblings, c.set.FallWindow) }
+func (c *Controller) terms() fleethealth.Params {
+	return fleethealth.NewParams(c.set.FleetSize, c.set.OverloadWindow)
+}
 
 // word takes what a sibling found of an endpoint. One that is back has its even part of the senders look at it first.
-func (c *Controller) word(e *endpoint, w verdict.Word) {
-	over, back := e.verdict.Heard(c.now, w, c.terms(), c.rng.Float64())
+func (c *Controller) word(e *endpoint, w fleethealth.Report) {
+	over, back := e.verdict.Merge(c.now, w, c.terms(), c.rng.Float64())
 	if over {
 		e.bad = 0
 	}
@@ -181,9 +183,9 @@
 }
 
 // speak tells siblings what a call to an endpoint has just shown, as often as a fleet may.
-func (c *Controller) speak(e *endpoint, what Seen) {
-	if !c.hear.Alone(c.now) && c.voice.May(c.now, c.terms()) {
-		c.act.Tell(Note{Endpoint: e.ID, What: what})
+func (c *Controller) speak(e *endpoint, what ObservationKind) {
+	if !c.hear.Isolated(c.now) && c.voice.Allow(c.now, c.terms()) {
+		c.act.Gossip(Observation{Endpoint: e.ID, Kind: what})
 	}
 }
 
@@ -255,7 +257,7 @@
 	blind     bool // the latest ask failed
 	askAt     time.Duration
 	hear      reachability.Detector
-	voice     verdict.Voice
+	voice     fleethealth.RateLimiter
 }
 
 // New returns a controller for one instance, or an error that names the
@@ -265,7 +267,7 @@
 		return nil, err
 	}
 	return &Controller{
-		hear: reachability.Detector{Siblings: set.Siblings}, set: set, act: act, rng: rand.New(rand.NewPCG(set.Seed, 0)),
+		hear: reachability.Detector{FleetSize: set.FleetSize}, set: set, act: act, rng: rand.New(rand.NewPCG(set.Seed, 0)),
 		endpoints: map[EndpointID]*endpoint{}, byID: map[int]*dest{},
 		crowd: map[int]float64{}, messages: map[MessageID]*message{}, turns: map[uint64]*turn{},
 	}, nil
@@ -273,12 +275,12 @@
 
 // say tells siblings of a refusal, and asks whether anybody hears, as what is heard has it.
 func (c *Controller) say(e *endpoint, ago time.Duration) {
-	tell, ask := c.hear.Refused(c.now)
+	tell, ask := c.hear.Rejected(c.now)
 	if tell {
-		c.act.Tell(Note{Endpoint: e.ID, What: SawRefusal, Ago: ago})
+		c.act.Gossip(Observation{Endpoint: e.ID, Kind: ObservedRejection, Age: ago})
 	}
 	if ask {
-		c.act.Tell(Note{Endpoint: e.ID, What: SawAsk})
+		c.act.Gossip(Observation{Endpoint: e.ID, Kind: ReachabilityQuery})
 	}
 }
 
@@ -286,7 +288,7 @@
 func (c *Controller) newRoute() *route {
 	r := &route{share: 1, tokens: 1, filled: c.now}
 	if c.even() {
-		r.share, r.tokens = evenStart/float64(c.set.Siblings), evenStart
+		r.share, r.tokens = evenStart/float64(c.set.FleetSize), evenStart
 	}
 	return r
 }
@@ -298,7 +300,7 @@
 
 // joins tells whether a send would share the call made at this instant.
 func (c *Controller) joins(e *endpoint) bool {
-	return e.last != nil && e.last.left > 0 && e.last.at == c.now && e.last.size < c.kind(e.Kind).Batch
+	return e.last != nil && e.last.left > 0 && e.last.at == c.now && e.last.size < c.kind(e.Kind).MaxBatch
 }
 
 // unlist takes endpoints that a whole list leaves out for removed.
@@ -332,7 +334,7 @@
 // look through it. One that comes back within a cold return is known again, so
 // that an outage seen before is not forgotten.
 func (c *Controller) prune() {
-	keep := 2*c.set.Cold + c.set.FallWindow + c.set.DrainGrace
+	keep := 2*c.set.WarmUp + c.set.OverloadWindow + c.set.DrainGrace
 	for id, e := range c.endpoints {
 		if e.State != Removed || e.out > 0 || c.now-e.left < keep {
 			continue
@@ -355,7 +357,7 @@
 		}
 		d := c.dest(line.Destination)
 		e = &endpoint{dest: d, route: d.shared}
-		if c.kind(line.Kind).Apart {
+		if c.kind(line.Kind).SeparateRoutes {
 			e.route = c.newRoute()
 		}
 		c.endpoints[line.ID] = e
@@ -445,13 +447,13 @@
 	c.now = now
 }
 
-// Retune takes other settings while messages are held and out. Each keeps the class that it came with. What
+// UpdateSettings takes other settings while messages are held and out. Each keeps the class that it came with. What
 // this instance is among its siblings, and how destinations are built, no settings can change under way.
-func (c *Controller) Retune(now time.Duration, set Settings) error {
+func (c *Controller) UpdateSettings(now time.Duration, set Settings) error {
 	c.clock(now)
 	old := &c.set
-	set.Seed, set.Index, set.Siblings, set.Zone = old.Seed, old.Index, old.Siblings, old.Zone
-	set.Kinds, set.CanTell, set.Ask = old.Kinds, old.CanTell, old.Ask
+	set.Seed, set.Index, set.FleetSize, set.Zone = old.Seed, old.Index, old.FleetSize, old.Zone
+	set.Kinds, set.CanGossip, set.PollsList = old.Kinds, old.CanGossip, old.PollsList
 	if err := validate(&set); err != nil {
 		return err
 	}
@@ -466,7 +468,7 @@
 
 // reuse learns how calls fare on connections by the time these lay idle.
 func (c *Controller) reuse(a *attempt, r Result) {
-	if r == TimedOut || r == Broken {
+	if r == TimedOut || r == ConnectionLost {
 		c.lost[a.idle] += lossWeight * (1 - c.lost[a.idle])
 	} else if r == Served {
 		c.lost[a.idle] -= lossWeight * c.lost[a.idle]
@@ -479,7 +481,7 @@
 	if _, known := c.crowd[e.Kind]; !known && c.set.many() {
 		c.crowd[e.Kind] = 1
 	}
-	if (r == NoConnection || r == Crowded && c.even()) && !e.route.open {
+	if (r == ConnectFailed || r == ConnectionRejected && c.even()) && !e.route.open {
 		c.crowd[e.Kind] += crowdWeight
 	}
 	c.crowd[e.Kind] *= 1 - crowdWeight
@@ -498,24 +500,24 @@
 	return true
 }
 
-// Started tells that the streamed answer to an attempt has begun; from then on it belongs to the client.
-func (c *Controller) Started(now time.Duration, id MessageID) {
+// StreamStarted tells that the streamed answer to an attempt has begun; from then on it belongs to the client.
+func (c *Controller) StreamStarted(now time.Duration, id MessageID) {
 	c.clock(now)
 	if m := c.messages[id]; m != nil {
 		m.live = true
 	}
 }
 
-// Gone tells that nobody wants a message any more.
-func (c *Controller) Gone(now time.Duration, id MessageID) {
+// Abandon tells that nobody wants a message any more.
+func (c *Controller) Abandon(now time.Duration, id MessageID) {
 	c.clock(now)
 	if m := c.messages[id]; m != nil {
 		c.close(m)
 	}
 }
 
-// Woken answers an earlier Wake.
-func (c *Controller) Woken(now time.Duration, token uint32) {
+// TimerFired answers an earlier Wake.
+func (c *Controller) TimerFired(now time.Duration, token uint32) {
 	c.clock(now)
 	if token == c.token {
 		c.armed = 0
@@ -529,7 +531,7 @@
 
 // report takes what an endpoint told of its limit.
 func (c *Controller) report(e *endpoint, load []float32) {
-	if i := c.set.ReportLimit; i >= 0 && i < len(load) {
+	if i := c.set.LimitIndex; i >= 0 && i < len(load) {
 		e.route.limit, e.route.told = float64(load[i]), true
 	}
 }
@@ -580,7 +582,7 @@
 			}
 		}
 	}
-	if c.set.Ask && !c.watching && !c.asking {
+	if c.set.PollsList && !c.watching && !c.asking {
 		at(c.askAt)
 	}
 	if next == math.MaxInt64 || c.armed > c.now && c.armed <= next {
@@ -588,29 +590,29 @@
 	}
 	c.token++
 	c.armed = next
-	c.act.Wake(next-c.now, c.token)
+	c.act.SetTimer(next-c.now, c.token)
 }
 
-// Recall tells what is known of the endpoints listed.
-func (c *Controller) Recall(now time.Duration) []Recollection {
+// RouteStates tells what is known of the endpoints listed.
+func (c *Controller) RouteStates(now time.Duration) []RouteState {
 	c.clock(now)
-	var list []Recollection
+	var list []RouteState
 	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) {
 		e := c.endpoints[id]
 		if rt := e.route; e.State != Removed {
-			list = append(list, Recollection{
-				Endpoint: id, Wait: max(0, rt.wait-now), Bad: rt.bad, Since: now - rt.since, Open: rt.open,
-				Retry: max(0, rt.retryAt-now), Backoff: rt.backoff, Warming: rt.warming, Back: now - rt.backAt,
-				Share: rt.share, TM: e.dest.tm, Dev: e.dest.dev,
+			list = append(list, RouteState{
+				Endpoint: id, RetryAfter: max(0, rt.wait-now), ConsecutiveFailures: rt.bad, FailingFor: now - rt.since, CircuitOpen: rt.open,
+				NextTrial: max(0, rt.retryAt-now), Backoff: rt.backoff, SlowStart: rt.warming, RecoveredFor: now - rt.backAt,
+				LimitFraction: rt.share, CallTime: e.dest.tm, CallTimeDeviation: e.dest.dev,
 			})
 		}
 	}
 	return list
 }
 
-// Remember takes up what the controller before this one knew of endpoints that this one has in its list. A clock
+// RestoreRoutes takes up what the controller before this one knew of endpoints that this one has in its list. A clock
 // of this controller's begins at its start: times before it are negative.
-func (c *Controller) Remember(now time.Duration, list []Recollection) {
+func (c *Controller) RestoreRoutes(now time.Duration, list []RouteState) {
 	c.clock(now)
 	for _, r := range list {
 		e := c.endpoints[r.Endpoint]
@@ -618,47 +620,47 @@
 			continue
 		}
 		rt := e.route
-		rt.wait = max(rt.wait, now+r.Wait)
-		rt.bad, rt.since, rt.badAt = r.Bad, now-r.Since, now
-		rt.open, rt.retryAt, rt.backoff, rt.before = r.Open, now+r.Retry, r.Backoff, r.TM
-		rt.risky = r.Open // what the lone calls met is not told: a probe goes first, where it may
-		if rt.warming = r.Warming; rt.warming {
-			rt.backAt, rt.warmAt, rt.tokens = now-r.Back, now-r.Back, 0
+		rt.wait = max(rt.wait, now+r.RetryAfter)
+		rt.bad, rt.since, rt.badAt = r.ConsecutiveFailures, now-r.FailingFor, now
+		rt.open, rt.retryAt, rt.backoff, rt.before = r.CircuitOpen, now+r.NextTrial, r.Backoff, r.CallTime
+		rt.risky = r.CircuitOpen // what the lone calls met is not told: a probe goes first, where it may
+		if rt.warming = r.SlowStart; rt.warming {
+			rt.backAt, rt.warmAt, rt.tokens = now-r.RecoveredFor, now-r.RecoveredFor, 0
 		}
-		if r.Share > 0 && r.Share <= 1 {
-			rt.share = r.Share
+		if r.LimitFraction > 0 && r.LimitFraction <= 1 {
+			rt.share = r.LimitFraction
 		}
-		if r.TM > 0 && e.dest.tm == 0 {
-			e.dest.tm, e.dest.dev, e.dest.answers = r.TM, r.Dev, 1
+		if r.CallTime > 0 && e.dest.tm == 0 {
+			e.dest.tm, e.dest.dev, e.dest.answers = r.CallTime, r.CallTimeDeviation, 1
 		}
 		rt.filled = now
 	}
 }
 
-// Bind has a wait bind an endpoint that was told before the endpoint was listed, as by another one at its address.
-func (c *Controller) Bind(now time.Duration, id EndpointID, wait time.Duration) {
+// ApplyRetryAfter has a wait bind an endpoint that was told before the endpoint was listed, as by another one at its address.
+func (c *Controller) ApplyRetryAfter(now time.Duration, id EndpointID, wait time.Duration) {
 	c.clock(now)
 	if e := c.endpoints[id]; e != nil {
 		e.route.wait = max(e.route.wait, now+wait)
 	}
 }
 
-// Abroad tells how many slots calls of another process of this instance take.
-func (c *Controller) Abroad(now time.Duration, calls int) {
+// SetRemoteInFlight tells how many slots calls of another process of this instance take.
+func (c *Controller) SetRemoteInFlight(now time.Duration, calls int) {
 	c.clock(now)
 	c.abroad = calls
 }
 
-// Saw takes the outcome of a call that another process of this instance had out, sent so long ago: its waits bind,
+// RemoteOutcome takes the outcome of a call that another process of this instance had out, sent so long ago: its waits bind,
 // and it tells of the endpoint's health. What became of its message the host has seen to.
-func (c *Controller) Saw(now time.Duration, o Outcome, ago time.Duration) {
+func (c *Controller) RemoteOutcome(now time.Duration, o Outcome, ago time.Duration) {
 	c.clock(now)
 	e := c.endpoints[o.Endpoint]
-	if e == nil || o.Result == Moot || o.Result == Rejected || o.Result == Cancelled || o.Result == Crowded {
+	if e == nil || o.Result == NotSent || o.Result == Unprocessable || o.Result == Canceled || o.Result == ConnectionRejected {
 		return
 	}
-	if o.Wait > 0 {
-		e.route.wait = max(e.route.wait, c.now+o.Wait)
+	if o.RetryAfter > 0 {
+		e.route.wait = max(e.route.wait, c.now+o.RetryAfter)
 	}
-	c.health(e, now-ago, o.Result, o.Wait)
+	c.health(e, now-ago, o.Result, o.RetryAfter)
 }
--- a/internal/admin/front.go
+++ b/internal/admin/front.go
@@ -33,7 +33,7 @@
 	// SetAside takes which targets operators have taken out, all of them, as of an epoch.
 	SetAside(epoch uint64, ids []string, until time.Time) error
 	Status() Status
-	Targets() []state.Listed
+	Targets() []state.ListedTarget
 }
 
 // The calls of the lifecycle, behind both fronts of the plane. Drain and activate are by hand without a query, and by
@@ -99,7 +99,7 @@
 		switch {
 		case err == nil:
 			fmt.Fprintln(w, done)
-		case lease.Refuses(err):
+		case lease.IsRejection(err):
 			http.Error(w, err.Error(), http.StatusConflict)
 		default:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -144,8 +144,8 @@
 		}),
 		"PUT " + AsidePath: ordered(nil, "set aside", func(o *ordering) func() error {
 			epoch, until, ids := o.number("epoch"), o.time("until"), o.query["id"]
-			if len(ids) > lease.AsideMost && o.err == nil {
-				o.err = fmt.Errorf("id: %d at most", lease.AsideMost)
+			if len(ids) > lease.MaxExcluded && o.err == nil {
+				o.err = fmt.Errorf("id: %d at most", lease.MaxExcluded)
 			}
 			return func() error { return s.SetAside(epoch, ids, until) }
 		}),
--- a/internal/admin/front_test.go
+++ b/internal/admin/front_test.go
@@ -39,8 +39,8 @@
 	p.told <- fmt.Sprint("aside ", epoch, " ", ids, " ", until.UnixMilli())
 	return p.refuse
 }
-func (p *post) Targets() []state.Listed { return nil }
-func (p *post) Status() Status          { return Status{Name: "n1"} }
+func (p *post) Targets() []state.ListedTarget { return nil }
+func (p *post) Status() Status                { return Status{Name: "n1"} }
 
 func front(t *testing.T, p *post) *Front {
 	t.Helper()
@@ -91,10 +91,10 @@
 		{"PUT /v1/sender/hold", nil, nil, http.StatusBadRequest, ""},
 		{"PUT /v1/sender/drain?process=p&epoch=7&by=1000", nil, nil, http.StatusBadRequest, ""},
 		{"PUT /v1/sender/drain?process=p&epoch=-7&by=1000&until=1", nil, nil, http.StatusBadRequest, ""},
-		{"PUT /v1/sender/drain?process=p&epoch=7&by=1000&until=2000", nil, lease.ErrLate, http.StatusConflict, "take p 7 1000 2000 true"},
+		{"PUT /v1/sender/drain?process=p&epoch=7&by=1000&until=2000", nil, lease.ErrExpired, http.StatusConflict, "take p 7 1000 2000 true"},
 		{"PUT /v1/sender/renew?epoch=7&until=3000", nil, nil, http.StatusOK, "renew 7 3000"},
 		{"PUT /v1/sender/activate?epoch=7", nil, nil, http.StatusOK, "end 7"},
-		{"PUT /v1/sender/activate?epoch=7", nil, lease.ErrOlder, http.StatusConflict, "end 7"},
+		{"PUT /v1/sender/activate?epoch=7", nil, lease.ErrStaleEpoch, http.StatusConflict, "end 7"},
 		{"PUT /v1/sender/aside?epoch=7&until=3000&id=a&id=b", nil, nil, http.StatusOK, "aside 7 [a b] 3000"},
 		{"PUT /v1/sender/aside?epoch=7&until=3000", nil, nil, http.StatusOK, "aside 7 [] 3000"},
 		{"PUT /v1/sender/aside?id=a", nil, nil, http.StatusBadRequest, ""},
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -10,7 +10,7 @@
 // TestGoldenAnswers writes and reads the answers of the admin API as 096da04 did.
 func TestGoldenAnswers(t *testing.T) {
 	golden.JSON[Status](t, "status.json")
-	golden.JSON[[]state.Listed](t, "targets.json")
+	golden.JSON[[]state.ListedTarget](t, "targets.json")
 	golden.JSON[Order](t, "order.json")
 	golden.JSON[Page](t, "page.json")
 }
--- a/internal/verdict/verdict_test.go
+++ b/internal/fleethealth/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package fleethealth
 
 import (
 	"testing"
@@ -9,20 +9,20 @@
 
 const ms = time.Millisecond
 
-var terms = Terms{Siblings: 300, Span: time.Second, Life: 6 * time.Second, Return: 2 * time.Second}
+var terms = Params{FleetSize: 300, TrialInterval: time.Second, ReportTTL: 6 * time.Second, RecoverySpread: 2 * time.Second}
 
 // Words come to the same, in any order, however often each comes.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		word := rapid.Custom(func(t *rapid.T) Word {
-			return Word{rapid.IntRange(Own, 9).Draw(t, "by"), time.Duration(rapid.IntRange(0, 30).Draw(t, "at")) * 100 * ms, rapid.IntRange(0, 4).Draw(t, "up") == 0}
+		word := rapid.Custom(func(t *rapid.T) Report {
+			return Report{rapid.IntRange(Self, 9).Draw(t, "by"), time.Duration(rapid.IntRange(0, 30).Draw(t, "at")) * 100 * ms, rapid.IntRange(0, 4).Draw(t, "up") == 0}
 		})
 		words := rapid.SliceOfN(word, 0, 25).Draw(t, "words")
 		again := rapid.Permutation(words).Draw(t, "order")
 		for range len(words) {
 			again = append(again, rapid.SampledFrom(words).Draw(t, "again"))
 		}
-		var a, b Facts
+		var a, b Evidence
 		for _, w := range words {
 			a.Take(w)
 		}
@@ -40,7 +40,7 @@
 	})
 }
 
-func same(a, b *Facts) bool {
+func same(a, b *Evidence) bool {
 	if a.n != b.n || a.up != b.up || a.upSeen != b.upSeen {
 		return false
 	}
@@ -71,36 +71,36 @@
 	}{
 		{"one word takes it from nobody", []step{{at: s, by: 3}, {at: 2 * s, by: 3}}, 3 * s, false},
 		{"two senders' do", []step{{at: s, by: 3}, {at: 2 * s, by: 4, holds: true}}, 3 * s, true},
-		{"its own counts", []step{{at: s, by: 3}, {at: 2 * s, by: Own, tell: true, holds: true}}, 3 * s, true},
+		{"its own counts", []step{{at: s, by: 3}, {at: 2 * s, by: Self, tell: true, holds: true}}, 3 * s, true},
 		{"it ends by itself", []step{{at: s, by: 3}, {at: 2 * s, by: 4, holds: true}}, 7*s + ms, false},
 		{"a test renews it", []step{{at: s, by: 3}, {at: 2 * s, by: 4, holds: true}, {at: 6 * s, by: 5, holds: true}}, 7*s + ms, true},
-		{"a served call ends it", []step{{at: s, by: 3}, {at: 2 * s, by: 4, holds: true}, {at: 3 * s, by: Own, up: true, tell: true}}, 3*s + ms, false},
+		{"a served call ends it", []step{{at: s, by: 3}, {at: 2 * s, by: 4, holds: true}, {at: 3 * s, by: Self, up: true, tell: true}}, 3*s + ms, false},
 		{"an older one does not", []step{{at: 3 * s, by: 3}, {at: 4 * s, by: 4, holds: true}, {at: 2 * s, by: 5, up: true, holds: true}}, 5 * s, true},
-		{"what is known is not told", []step{{at: s, by: 3}, {at: s, by: 4, holds: true}, {at: s + 100*ms, by: Own, holds: true}}, 2 * s, true},
-		{"a test of its own is told", []step{{at: s, by: 3}, {at: s, by: 4, holds: true}, {at: 3 * s, by: Own, tell: true, holds: true}}, 4 * s, true},
-		{"nobody asked whether it serves", []step{{at: s, by: Own, up: true}}, 2 * s, false},
-		{"a word alone is contradicted", []step{{at: s, by: 3}, {at: s + ms, by: Own, up: true, tell: true}, {at: s + 2*ms, by: Own, up: true}}, 2 * s, false},
+		{"what is known is not told", []step{{at: s, by: 3}, {at: s, by: 4, holds: true}, {at: s + 100*ms, by: Self, holds: true}}, 2 * s, true},
+		{"a test of its own is told", []step{{at: s, by: 3}, {at: s, by: 4, holds: true}, {at: 3 * s, by: Self, tell: true, holds: true}}, 4 * s, true},
+		{"nobody asked whether it serves", []step{{at: s, by: Self, up: true}}, 2 * s, false},
+		{"a word alone is contradicted", []step{{at: s, by: 3}, {at: s + ms, by: Self, up: true, tell: true}, {at: s + 2*ms, by: Self, up: true}}, 2 * s, false},
 		{"one who was contradicted speaks for itself", []step{{at: s, by: 3}, {at: s + ms, by: 5, up: true}, {at: s + 2*ms, by: 3}, {at: 2 * s, by: 4}}, 3 * s, false},
 		{"while it goes on", []step{{at: s, by: 3}, {at: s + ms, by: 5, up: true}, {at: 6 * s, by: 3}, {at: 8 * s, by: 3}, {at: 8 * s, by: 4}}, 9 * s, false},
-		{"until its own call is served", []step{{at: s, by: Own, tell: true}, {at: s + ms, by: 5, up: true}, {at: 2 * s, by: Own, up: true}, {at: 3 * s, by: Own, tell: true}}, 4 * s, false},
+		{"until its own call is served", []step{{at: s, by: Self, tell: true}, {at: s + ms, by: 5, up: true}, {at: 2 * s, by: Self, up: true}, {at: 3 * s, by: Self, tell: true}}, 4 * s, false},
 		{"but others count", []step{{at: s, by: 3}, {at: s + ms, by: 5, up: true}, {at: 2 * s, by: 6}, {at: 2 * s, by: 4, holds: true}}, 3 * s, true},
 	} {
-		var v Verdict
+		var v Health
 		for i, x := range c.steps {
 			tell := false
 			switch {
-			case x.by != Own:
-				v.Heard(x.at, Word{x.by, x.at, x.up}, terms, 0)
+			case x.by != Self:
+				v.Merge(x.at, Report{x.by, x.at, x.up}, terms, 0)
 			case x.up:
 				tell = v.Served(x.at, terms)
 			default:
 				tell = v.Failed(x.at, terms, 0)
 			}
-			if holds := v.Holds(x.at, terms); tell != x.tell || holds != x.holds {
+			if holds := v.Ejected(x.at, terms); tell != x.tell || holds != x.holds {
 				t.Errorf("%s, step %d: told %v, holds %v", c.name, i, tell, holds)
 			}
 		}
-		if holds := v.Holds(c.later, terms); holds != c.holds {
+		if holds := v.Ejected(c.later, terms); holds != c.holds {
 			t.Errorf("%s: later it holds %v", c.name, holds)
 		}
 	}
@@ -108,41 +108,41 @@
 
 // One whose own way is broken sees that it is alone: others are served. Many such, or an endpoint that comes and goes, and nobody's word counts.
 func TestBrokenWay(t *testing.T) {
-	var v Verdict
-	if v.Failed(time.Second, terms, 0); v.Alone(time.Second, terms) {
+	var v Health
+	if v.Failed(time.Second, terms, 0); v.Contradicted(time.Second, terms) {
 		t.Error("alone before anybody was served")
 	}
-	over, _ := v.Heard(time.Second+5*ms, Word{7, time.Second + 4*ms, true}, terms, 0)
-	if over || !v.Alone(time.Second+5*ms, terms) {
-		t.Errorf("others are served: over %v, alone %v", over, v.Alone(time.Second+5*ms, terms))
+	over, _ := v.Merge(time.Second+5*ms, Report{7, time.Second + 4*ms, true}, terms, 0)
+	if over || !v.Contradicted(time.Second+5*ms, terms) {
+		t.Errorf("others are served: over %v, alone %v", over, v.Contradicted(time.Second+5*ms, terms))
 	}
 	if v.Failed(3*time.Second, terms, 0) {
 		t.Error("it tells again what was contradicted")
 	}
-	if v.Alone(9*time.Second+ms, terms) || !v.Failed(10*time.Second, terms, 0) {
+	if v.Contradicted(9*time.Second+ms, terms) || !v.Failed(10*time.Second, terms, 0) {
 		t.Error("after a life it should speak again")
 	}
-	var u Verdict
+	var u Health
 	at := time.Second
 	for round := range 3 { // a building finds it dead, another is served
 		for by := range 2 {
 			at += 10 * ms
-			u.Heard(at, Word{10*round + by, at, false}, terms, 0)
+			u.Merge(at, Report{10*round + by, at, false}, terms, 0)
 		}
 		if at += 10 * ms; u.Disputed(at) {
 			t.Errorf("round %d: disputed", round)
 		}
-		u.Heard(at, Word{100, at, true}, terms, 0)
+		u.Merge(at, Report{100, at, true}, terms, 0)
 	}
 	if x := u; x.Failed(at+ms, terms, 0) {
 		t.Error("told in a dispute")
 	}
-	u.Heard(at+ms, Word{50, at + ms, false}, terms, 0)
-	u.Heard(at+ms, Word{51, at + ms, false}, terms, 0)
-	if !u.Disputed(at+ms) || u.Holds(at+ms, terms) || u.Careful(at+ms, terms) || u.Failed(at+2*ms, terms, 0) {
-		t.Errorf("six were contradicted within a life: disputed %v, holds %v", u.Disputed(at+ms), u.Holds(at+ms, terms))
+	u.Merge(at+ms, Report{50, at + ms, false}, terms, 0)
+	u.Merge(at+ms, Report{51, at + ms, false}, terms, 0)
+	if !u.Disputed(at+ms) || u.Ejected(at+ms, terms) || u.Suspected(at+ms, terms) || u.Failed(at+2*ms, terms, 0) {
+		t.Errorf("six were contradicted within a life: disputed %v, holds %v", u.Disputed(at+ms), u.Ejected(at+ms, terms))
 	}
-	if u.Disputed(at + terms.Life) {
+	if u.Disputed(at + terms.ReportTTL) {
 		t.Error("a dispute ends by itself")
 	}
 }
@@ -154,18 +154,18 @@
 		own  time.Duration // this sender's own call failed; 0 = none
 		over bool
 	}{{"heard of only", 0, false}, {"found too, a while ago", 2 * time.Second, true}, {"found a moment ago", 3900 * ms, false}} {
-		var v Verdict
-		v.Heard(time.Second, Word{3, time.Second, false}, terms, 0)
-		v.Heard(time.Second, Word{4, time.Second, false}, terms, 0)
+		var v Health
+		v.Merge(time.Second, Report{3, time.Second, false}, terms, 0)
+		v.Merge(time.Second, Report{4, time.Second, false}, terms, 0)
 		if c.own > 0 {
 			v.Failed(c.own, terms, 0)
 		}
 		now := 4 * time.Second
-		over, back := v.Heard(now, Word{5, now, true}, terms, 0.5)
-		if over != c.over || !back || !v.Holds(now+999*ms, terms) || v.Holds(now+time.Second, terms) {
-			t.Errorf("%s: over %v, back %v, holds just before its turn %v, and after %v", c.name, over, back, v.Holds(now+999*ms, terms), v.Holds(now+time.Second, terms))
+		over, back := v.Merge(now, Report{5, now, true}, terms, 0.5)
+		if over != c.over || !back || !v.Ejected(now+999*ms, terms) || v.Ejected(now+time.Second, terms) {
+			t.Errorf("%s: over %v, back %v, holds just before its turn %v, and after %v", c.name, over, back, v.Ejected(now+999*ms, terms), v.Ejected(now+time.Second, terms))
 		}
-		if v.Served(now+ms, terms); v.Holds(now+2*ms, terms) {
+		if v.Served(now+ms, terms); v.Ejected(now+2*ms, terms) {
 			t.Errorf("%s: its own call was served, and it still waits for its turn", c.name)
 		}
 	}
@@ -175,17 +175,17 @@
 func TestFleetRates(t *testing.T) {
 	for _, n := range []int{20, 80, 300, 1000} {
 		x := terms
-		x.Siblings = n
+		x.FleetSize = n
 		const due = 5 * time.Second
 		tests := 0
 		for i := range n {
-			var v Verdict
+			var v Health
 			for by := range 2 {
-				v.Heard(due, Word{by, due, false}, x, (float64(i)+0.5)/float64(n))
+				v.Merge(due, Report{by, due, false}, x, (float64(i)+0.5)/float64(n))
 			}
-			if at := v.TestAt(); at < due+x.Span {
+			if at := v.NextTrialAt(); at < due+x.TrialInterval {
 				t.Fatalf("%d senders: a test after %v", n, at-due)
-			} else if at < due+x.Span+500*ms {
+			} else if at < due+x.TrialInterval+500*ms {
 				tests++
 			}
 		}
@@ -194,9 +194,9 @@
 		}
 		words := 0
 		for range n {
-			var o Voice
+			var o RateLimiter
 			for at := time.Duration(0); at < 10*time.Second; at += 5 * ms { // all would speak all the time
-				if o.May(at, x) {
+				if o.Allow(at, x) {
 					words++
 				}
 			}
--- a/internal/note/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -1,4 +1,4 @@
-package note
+package gossip
 
 import (
 	"fmt"
@@ -14,11 +14,11 @@
 // TestGoldenDatagrams writes and reads a datagram of each kind of note as 096da04 did.
 func TestGoldenDatagrams(t *testing.T) {
 	var b strings.Builder
-	var all []Fact
-	for what := control.SawNothing + 1; what.Known(); what++ {
-		f := Fact{Name: Name("target-1"), What: what, Ago: 130 * time.Millisecond}
+	var all []Observation
+	for what := control.ObservedNothing + 1; what.Known(); what++ {
+		f := Observation{EndpointHash: HashID("target-1"), Kind: what, Age: 130 * time.Millisecond}
 		all = append(all, f)
-		fmt.Fprintf(&b, "%d %x\n", what, Encode([]Fact{f}))
+		fmt.Fprintf(&b, "%d %x\n", what, Encode([]Observation{f}))
 	}
 	fmt.Fprintf(&b, "all %x\n", Encode(all))
 	golden.Bytes(t, "datagrams.txt", []byte(b.String()), false)
--- a/internal/note/note.go
+++ b/internal/gossip/note.go
@@ -1,6 +1,6 @@
-// Package note puts what senders tell one another of targets into datagrams.
+// Package gossip puts what senders tell one another of targets into datagrams.
 // A note states what one sender saw, and how long ago; it orders nothing.
-package note
+package gossip
 
 import (
 	"encoding/binary"
@@ -23,32 +23,32 @@
 	oldest   = 255 * unit            // an older fact is told as this old
 )
 
-// Most is how many facts one note holds.
-const Most = (MaxSize - headSize) / factSize
+// MaxObservations is how many facts one note holds.
+const MaxObservations = (MaxSize - headSize) / factSize
 
-// A Fact is a note of one target, under a name that is the same at all senders.
-type Fact struct {
-	Name uint32
-	What control.Seen
-	Ago  time.Duration
+// A Observation is a note of one target, under a name that is the same at all senders.
+type Observation struct {
+	EndpointHash uint32
+	Kind         control.ObservationKind
+	Age          time.Duration
 }
 
-// Name shortens a target's id. Two targets of one name, one of four billion
+// HashID shortens a target's id. Two targets of one name, one of four billion
 // pairs, would only make senders more careful with the one for the other.
-func Name(id string) uint32 {
+func HashID(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return h.Sum32()
 }
 
 // Encode writes the first Most facts of a list.
-func Encode(facts []Fact) []byte {
-	facts = facts[:min(len(facts), Most)]
+func Encode(facts []Observation) []byte {
+	facts = facts[:min(len(facts), MaxObservations)]
 	b := make([]byte, headSize, headSize+factSize*len(facts))
 	b[0] = version
 	for _, f := range facts {
-		b = binary.LittleEndian.AppendUint32(b, f.Name)
-		b = append(b, byte(f.What), byte(min(max(f.Ago, 0), oldest)/unit))
+		b = binary.LittleEndian.AppendUint32(b, f.EndpointHash)
+		b = append(b, byte(f.Kind), byte(min(max(f.Age, 0), oldest)/unit))
 	}
 	return b
 }
@@ -58,7 +58,7 @@
 
 // Decode reads a note. What it states of kinds not known here is left out, so
 // that senders of a later version can say more.
-func Decode(b []byte) ([]Fact, error) {
+func Decode(b []byte) ([]Observation, error) {
 	switch {
 	case len(b) < headSize || len(b) > MaxSize:
 		return nil, fmt.Errorf("note: %d bytes", len(b))
@@ -67,10 +67,10 @@
 	case (len(b)-headSize)%factSize != 0:
 		return nil, fmt.Errorf("note: cut short at %d bytes", len(b))
 	}
-	var facts []Fact
+	var facts []Observation
 	for b = b[headSize:]; len(b) > 0; b = b[factSize:] {
-		f := Fact{binary.LittleEndian.Uint32(b), control.Seen(b[4]), time.Duration(b[5]) * unit}
-		if f.What.Known() {
+		f := Observation{binary.LittleEndian.Uint32(b), control.ObservationKind(b[4]), time.Duration(b[5]) * unit}
+		if f.Kind.Known() {
 			facts = append(facts, f)
 		}
 	}
--- a/internal/note/note_test.go
+++ b/internal/gossip/note_test.go
@@ -1,4 +1,4 @@
-package note
+package gossip
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 // What is told is read as told; what can't be read gives an error, and what a later version says is left out.
 func TestDecode(t *testing.T) {
-	good := Encode([]Fact{{7, control.SawRefusal, 50 * time.Millisecond}, {8, control.SawRefusal, time.Hour}})
+	good := Encode([]Observation{{7, control.ObservedRejection, 50 * time.Millisecond}, {8, control.ObservedRejection, time.Hour}})
 	for _, c := range []struct {
 		name  string
 		in    []byte
@@ -31,16 +31,16 @@
 			t.Errorf("%s: %v, %v", c.name, facts, err)
 		}
 	}
-	if facts, _ := Decode(good); facts[1].Ago != oldest || facts[0] != (Fact{7, control.SawRefusal, 50 * time.Millisecond}) {
+	if facts, _ := Decode(good); facts[1].Age != oldest || facts[0] != (Observation{7, control.ObservedRejection, 50 * time.Millisecond}) {
 		t.Errorf("read as %v", facts)
 	}
-	if n := len(Encode(make([]Fact, 1000))); n > MaxSize {
+	if n := len(Encode(make([]Observation, 1000))); n > MaxSize {
 		t.Errorf("%d bytes", n)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode([]Fact{{1, control.SawRefusal, time.Second}}))
+	f.Add(Encode([]Observation{{1, control.ObservedRejection, time.Second}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		facts, err := Decode(b)
 		if err != nil {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -14,7 +14,7 @@
 
 // TestGoldenMessages writes and reads each line of a hand-over as 096da04 did, with the length before it.
 func TestGoldenMessages(t *testing.T) {
-	estate, returned := golden.Fill[state.Estate](), golden.Fill[state.Returned]()
+	estate, returned := golden.Fill[state.HandoverState](), golden.Fill[state.RemoteResult]()
 	for name, m := range map[string]message{
 		"ask":      {Version: version, Ask: true},
 		"refused":  {Refused: "why"},
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -33,14 +33,14 @@
 )
 
 const (
-	version    = 1
-	lineMost   = 4 << 20         // the longest line: an estate
-	askSpan    = 2 * time.Second // a connection must ask within this
-	giveSpan   = 5 * time.Second // an estate must have come within this
-	ReadySpan  = 6 * time.Second // an heir must serve within this, or everything is taken back
-	passSpan   = time.Second     // a line must be taken within this
-	pathMost   = 100             // a Unix address is no longer than 107 bytes
-	socketName = "cleathold-%016x.sock"
+	version      = 1
+	lineMost     = 4 << 20         // the longest line: an estate
+	askSpan      = 2 * time.Second // a connection must ask within this
+	giveSpan     = 5 * time.Second // an estate must have come within this
+	ReadyTimeout = 6 * time.Second // an heir must serve within this, or everything is taken back
+	passSpan     = time.Second     // a line must be taken within this
+	pathMost     = 100             // a Unix address is no longer than 107 bytes
+	socketName   = "cleathold-%016x.sock"
 )
 
 // Path is the socket of the sender with a state folder: the same for each process of it, and for no other's.
@@ -55,14 +55,14 @@
 
 // message is one line, in either direction.
 type message struct {
-	Version  int             `json:"v,omitempty"`
-	Ask      bool            `json:"ask,omitempty"`      // heir: give way
-	Refused  string          `json:"refused,omitempty"`  // why not
-	Estate   *state.Estate   `json:"estate,omitempty"`   // with the listening socket
-	Ready    bool            `json:"ready,omitempty"`    // heir: it serves
-	Yours    bool            `json:"yours,omitempty"`    // acknowledged
-	Returned *state.Returned `json:"returned,omitempty"` // of a forward that was out
-	Last     bool            `json:"last,omitempty"`     // nothing is out any more
+	Version  int                  `json:"v,omitempty"`
+	Ask      bool                 `json:"ask,omitempty"`      // heir: give way
+	Refused  string               `json:"refused,omitempty"`  // why not
+	Estate   *state.HandoverState `json:"estate,omitempty"`   // with the listening socket
+	Ready    bool                 `json:"ready,omitempty"`    // heir: it serves
+	Yours    bool                 `json:"yours,omitempty"`    // acknowledged
+	Returned *state.RemoteResult  `json:"returned,omitempty"` // of a forward that was out
+	Last     bool                 `json:"last,omitempty"`     // nothing is out any more
 }
 
 func send(c *net.UnixConn, m message, rights []byte, by time.Time) error {
@@ -98,18 +98,18 @@
 	return m, json.Unmarshal(b, &m)
 }
 
-// A Desk is where the next process asks.
-type Desk struct {
+// A Listener is where the next process asks.
+type Listener struct {
 	path string
 	sock *net.UnixListener
 	log  *slog.Logger
-	asks chan *Ask
+	asks chan *Request
 	once sync.Once
 	quit chan struct{}
 }
 
-// Open takes the place of a desk that was there: of a process that died, or that gave way to this one.
-func Open(path string, log *slog.Logger) (*Desk, error) {
+// Listen takes the place of a desk that was there: of a process that died, or that gave way to this one.
+func Listen(path string, log *slog.Logger) (*Listener, error) {
 	if len(path) > pathMost {
 		return nil, fmt.Errorf("handover: %s: too long for a socket; set TMPDIR to a shorter one", path)
 	}
@@ -117,13 +117,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	d := &Desk{path: path, sock: sock, log: log, asks: make(chan *Ask), quit: make(chan struct{})}
+	d := &Listener{path: path, sock: sock, log: log, asks: make(chan *Request), quit: make(chan struct{})}
 	go d.run()
 	return d, nil
 }
 
-// Asks are the processes that want to take over, one after another.
-func (d *Desk) Asks() <-chan *Ask {
+// Requests are the processes that want to take over, one after another.
+func (d *Listener) Requests() <-chan *Request {
 	if d == nil {
 		return nil
 	}
@@ -131,7 +131,7 @@
 }
 
 // Close ends the desk. Its path stays with the heir, if there is one.
-func (d *Desk) Close(heir bool) {
+func (d *Listener) Close(heir bool) {
 	if d == nil {
 		return
 	}
@@ -144,7 +144,7 @@
 	})
 }
 
-func (d *Desk) run() {
+func (d *Listener) run() {
 	for {
 		c, err := d.sock.AcceptUnix()
 		if err != nil {
@@ -168,7 +168,7 @@
 			continue
 		}
 		select {
-		case d.asks <- &Ask{conn: c}:
+		case d.asks <- &Request{conn: c}:
 		case <-time.After(askSpan):
 			send(c, message{Refused: "a hand-over is under way"}, nil, time.Now().Add(passSpan))
 			c.Close()
@@ -179,24 +179,24 @@
 	}
 }
 
-// An Ask is a process that wants to take over.
-type Ask struct{ conn *net.UnixConn }
+// An Request is a process that wants to take over.
+type Request struct{ conn *net.UnixConn }
 
-// Refuse tells it why not.
-func (a *Ask) Refuse(why string) {
+// Reject tells it why not.
+func (a *Request) Reject(why string) {
 	send(a.conn, message{Refused: why}, nil, time.Now().Add(passSpan))
 	a.conn.Close()
 }
 
-// Give hands it the listening socket and the estate, and waits until it serves. After an error everything
+// HandOver hands it the listening socket and the estate, and waits until it serves. After an error everything
 // belongs to the giver again.
-func (a *Ask) Give(sock syscall.Conn, e state.Estate) error {
+func (a *Request) HandOver(sock syscall.Conn, e state.HandoverState) error {
 	raw, err := sock.SyscallConn()
 	if err != nil {
 		a.conn.Close()
 		return err
 	}
-	by := time.Now().Add(ReadySpan)
+	by := time.Now().Add(ReadyTimeout)
 	failed := raw.Control(func(fd uintptr) {
 		err = send(a.conn, message{Version: version, Estate: &e}, unix.UnixRights(int(fd)), by)
 	})
@@ -217,29 +217,29 @@
 	return err
 }
 
-// Pass tells it what comes of the forwards that are out, until the last one or until it is gone.
-func (a *Ask) Pass(ctx context.Context, l *Legacy) error {
+// ForwardResults tells it what comes of the forwards that are out, until the last one or until it is gone.
+func (a *Request) ForwardResults(ctx context.Context, l *ResultQueue) error {
 	defer a.conn.Close()
-	return l.each(ctx, func(r *state.Returned, last bool) error {
+	return l.each(ctx, func(r *state.RemoteResult, last bool) error {
 		return send(a.conn, message{Returned: r, Last: last}, nil, time.Now().Add(passSpan))
 	})
 }
 
-// A Legacy collects what comes of forwards that are out when a loop gives way. As many as the slots at most.
-type Legacy struct {
+// A ResultQueue collects what comes of forwards that are out when a loop gives way. As many as the slots at most.
+type ResultQueue struct {
 	mu   sync.Mutex
-	list []state.Returned
+	list []state.RemoteResult
 	last bool
 	news chan struct{} // closed and made anew with each
 }
 
-// NewLegacy returns one in which nothing is known yet.
-func NewLegacy() *Legacy { return &Legacy{news: make(chan struct{})} }
+// NewResultQueue returns one in which nothing is known yet.
+func NewResultQueue() *ResultQueue { return &ResultQueue{news: make(chan struct{})} }
 
-var _ state.Heir = (*Legacy)(nil)
+var _ state.Successor = (*ResultQueue)(nil)
 
-// Returned adds what came of a forward; one without a number only tells that there are no more.
-func (l *Legacy) Returned(r state.Returned, last bool) {
+// RemoteResult adds what came of a forward; one without a number only tells that there are no more.
+func (l *ResultQueue) RemoteResult(r state.RemoteResult, last bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r.Target != "" {
@@ -250,18 +250,18 @@
 	l.news = make(chan struct{})
 }
 
-// Over is closed once nothing is out any more.
-func (l *Legacy) Over(ctx context.Context) <-chan struct{} {
+// Drained is closed once nothing is out any more.
+func (l *ResultQueue) Drained(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.each(ctx, func(*state.Returned, bool) error { return nil })
+		l.each(ctx, func(*state.RemoteResult, bool) error { return nil })
 	}()
 	return done
 }
 
 // each goes through all of it as it comes, until the last, the end of the context or an error.
-func (l *Legacy) each(ctx context.Context, do func(r *state.Returned, last bool) error) error {
+func (l *ResultQueue) each(ctx context.Context, do func(r *state.RemoteResult, last bool) error) error {
 	for i := 0; ; i++ {
 		r, last, ok := l.next(ctx, i)
 		if !ok {
@@ -274,7 +274,7 @@
 }
 
 // next returns the one with that number, waiting for it, and whether it is the last. Nil: there is none, nor will be.
-func (l *Legacy) next(ctx context.Context, i int) (r *state.Returned, last, ok bool) {
+func (l *ResultQueue) next(ctx context.Context, i int) (r *state.RemoteResult, last, ok bool) {
 	for {
 		l.mu.Lock()
 		news := l.news
@@ -296,35 +296,35 @@
 	}
 }
 
-// Poster takes events; the loop is one.
-type Poster interface{ Post(event any) }
+// EventPoster takes events; the loop is one.
+type EventPoster interface{ Post(event any) }
 
-// Feed posts all of it to the loop of a process that took back what it gave.
-func (l *Legacy) Feed(ctx context.Context, to Poster) {
-	l.each(ctx, func(r *state.Returned, last bool) error {
+// PostTo posts all of it to the loop of a process that took back what it gave.
+func (l *ResultQueue) PostTo(ctx context.Context, to EventPoster) {
+	l.each(ctx, func(r *state.RemoteResult, last bool) error {
 		if r != nil {
 			to.Post(*r)
 		}
 		if last {
-			to.Post(state.Lost{})
+			to.Post(state.PredecessorLost{})
 		}
 		return nil
 	})
 }
 
-// An Inheritance is what an heir got.
-type Inheritance struct {
-	Estate state.Estate
-	Sock   net.Listener
-	conn   *net.UnixConn
-	in     *bufio.Reader
+// An Takeover is what an heir got.
+type Takeover struct {
+	State    state.HandoverState
+	Listener net.Listener
+	conn     *net.UnixConn
+	in       *bufio.Reader
 }
 
-// ErrRefused tells that the process that serves does not give way.
-var ErrRefused = errors.New("handover: refused")
+// ErrRejected tells that the process that serves does not give way.
+var ErrRejected = errors.New("handover: refused")
 
-// Take asks the process at a desk to give way. Nil without an error: there is none.
-func Take(path string) (*Inheritance, error) {
+// RequestTakeover asks the process at a desk to give way. Nil without an error: there is none.
+func RequestTakeover(path string) (*Takeover, error) {
 	conn, err := net.Dial("unix", path)
 	if err != nil {
 		return nil, nil // whoever was there is dead, or there never was one
@@ -346,7 +346,7 @@
 	if err != nil || m.Estate == nil {
 		c.Close()
 		if m.Refused != "" {
-			return nil, fmt.Errorf("%w: %s", ErrRefused, m.Refused)
+			return nil, fmt.Errorf("%w: %s", ErrRejected, m.Refused)
 		}
 		return nil, fmt.Errorf("handover: the estate can't be read: %w", err)
 	}
@@ -356,7 +356,7 @@
 		return nil, err
 	}
 	c.SetReadDeadline(time.Time{})
-	return &Inheritance{Estate: *m.Estate, Sock: sock, conn: c, in: in}, nil
+	return &Takeover{State: *m.Estate, Listener: sock, conn: c, in: in}, nil
 }
 
 // listenerOf makes a listener of the descriptor that came along.
@@ -379,9 +379,9 @@
 	return sock, nil
 }
 
-// Ready tells the one that gave that this process serves. An error means that it has taken everything back, and
+// ConfirmReady tells the one that gave that this process serves. An error means that it has taken everything back, and
 // this process must end; one that is gone can't.
-func (i *Inheritance) Ready() error {
+func (i *Takeover) ConfirmReady() error {
 	if err := send(i.conn, message{Ready: true}, nil, time.Now().Add(passSpan)); err != nil {
 		return nil
 	}
@@ -389,13 +389,13 @@
 	defer i.conn.SetReadDeadline(time.Time{})
 	m, err := receive(i.in)
 	if err == nil && !m.Yours {
-		return fmt.Errorf("%w: %s", ErrRefused, m.Refused)
+		return fmt.Errorf("%w: %s", ErrRejected, m.Refused)
 	}
 	return nil
 }
 
 // Run posts what comes of the forwards that are out at the other process, until the last one or until it ends.
-func (i *Inheritance) Run(ctx context.Context, to Poster) {
+func (i *Takeover) Run(ctx context.Context, to EventPoster) {
 	stop := context.AfterFunc(ctx, func() { i.conn.Close() })
 	defer stop()
 	defer i.conn.Close()
@@ -405,11 +405,11 @@
 			to.Post(*m.Returned)
 		}
 		if err != nil || m.Last {
-			to.Post(state.Lost{})
+			to.Post(state.PredecessorLost{})
 			return
 		}
 	}
 }
 
-// Drop gives up what was taken before this process served: the other one goes on.
-func (i *Inheritance) Drop() { i.conn.Close() }
+// Abort gives up what was taken before this process served: the other one goes on.
+func (i *Takeover) Abort() { i.conn.Close() }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -39,15 +39,15 @@
 	return filepath.Join(dir, "s")
 }
 
-func anEstate() state.Estate {
-	return state.Estate{Version: 7, Drained: true, Lease: lease.Book{Epoch: 9, Until: time.Now().Add(time.Minute), Drain: true}, Out: []state.Abroad{{Num: 3, Attempt: 1, Call: 1}}}
+func anEstate() state.HandoverState {
+	return state.HandoverState{Version: 7, Drained: true, Lease: lease.Holder{Epoch: 9, Until: time.Now().Add(time.Minute), Drain: true}, InFlight: []state.RemoteAttempt{{Message: 3, Attempt: 1, Call: 1}}}
 }
 
 // The heir says what it says up to each byte in turn, and is gone. Before the last byte of 'ready' the giver keeps all,
 // and gives it to the next one that asks; after it the heir has it.
 func TestHeirCutAtEachByte(t *testing.T) {
 	path := socketPath(t)
-	desk, err := Open(path, slog.New(slog.DiscardHandler))
+	desk, err := Listen(path, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,8 +59,8 @@
 	defer sock.Close()
 	gave := make(chan error, 1)
 	go func() {
-		for ask := range desk.Asks() {
-			gave <- ask.Give(sock.(*net.TCPListener), anEstate())
+		for ask := range desk.Requests() {
+			gave <- ask.HandOver(sock.(*net.TCPListener), anEstate())
 		}
 	}()
 	ask, ready := line(t, message{Version: version, Ask: true}), line(t, message{Ready: true})
@@ -128,7 +128,7 @@
 	defer file.Close()
 	e := anEstate()
 	estate := line(t, message{Version: version, Estate: &e})
-	r := state.Returned{Num: 3, Attempt: 1, Target: "s", Result: control.Served, Finished: true}
+	r := state.RemoteResult{Message: 3, Attempt: 1, Target: "s", Result: control.Served, Final: true}
 	yours, rest := line(t, message{Yours: true}), line(t, message{Returned: &r, Last: true})
 	total := len(estate) + len(yours) + len(rest)
 	for k := range total + 1 {
@@ -157,7 +157,7 @@
 			c.Write(yours[:min(k-len(estate), len(yours))])
 			c.Write(rest[:max(0, min(k-len(estate)-len(yours), len(rest)))])
 		}()
-		i, err := Take(path)
+		i, err := RequestTakeover(path)
 		if k < len(estate) {
 			if err == nil || i != nil {
 				t.Fatalf("%d of %d bytes of the estate were enough", k, len(estate))
@@ -168,22 +168,22 @@
 		if err != nil {
 			t.Fatalf("%d bytes: %v", k, err)
 		}
-		if i.Estate.Version != e.Version || i.Estate.Lease.Epoch != 9 || !i.Estate.Lease.Standing() || !i.Estate.Drained {
-			t.Errorf("%+v", i.Estate)
+		if i.State.Version != e.Version || i.State.Lease.Epoch != 9 || !i.State.Lease.Active() || !i.State.Drained {
+			t.Errorf("%+v", i.State)
 		}
 		// A giver that is gone can't take anything back: this process goes on.
-		if err := i.Ready(); err != nil {
+		if err := i.ConfirmReady(); err != nil {
 			t.Errorf("%d bytes: %v", k, err)
 		}
 		var p posted
 		i.Run(context.Background(), &p)
-		i.Sock.Close()
+		i.Listener.Close()
 		returned, lost := 0, 0
 		for _, e := range p.list {
 			switch e.(type) {
-			case state.Returned:
+			case state.RemoteResult:
 				returned++
-			case state.Lost:
+			case state.PredecessorLost:
 				lost++
 			}
 		}
--- a/internal/held/bench_test.go
+++ b/internal/held/bench_test.go
@@ -50,10 +50,10 @@
 		b.Fatal(err)
 	}
 	k := NewKeeper(Setup{Settings: set, Log: quiet, Platform: control.Settings{Classes: make([]control.Class, 1)}, Names: Names{Classes: []string{"fee-payment"}}})
-	p := &state.Parting{Message: &state.Message{ID: "id", Deadline: time.Now()}, At: time.Now()}
+	p := &state.DeadLetter{Message: &state.Message{ID: "id", Deadline: time.Now()}, At: time.Now()}
 	b.ReportAllocs()
 	for b.Loop() {
-		k.Wants(p)
+		k.Accepts(p)
 	}
 }
 
@@ -63,8 +63,8 @@
 	k := NewKeeper(Setup{Settings: set, Log: quiet})
 	b.ReportAllocs()
 	for b.Loop() {
-		k.Saw(7, control.Served, 0, false)
-		k.Busy(state.Load{})
+		k.CallEnded(7, control.Served, 0, false)
+		k.LoadChanged(state.LoopLoad{})
 	}
 }
 
--- a/internal/held/keeper.go
+++ b/internal/held/keeper.go
@@ -161,8 +161,8 @@
 	return k
 }
 
-// Classes takes what the settings call classes, and what they say.
-func (k *Keeper) Classes(names []string, now map[string]int, set control.Settings) {
+// ClassesChanged takes what the settings call classes, and what they say.
+func (k *Keeper) ClassesChanged(names []string, now map[string]int, set control.Settings) {
 	k.speak(names, now, set)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -185,7 +185,7 @@
 	old := k.words.Load()
 	v := &vocabulary{
 		Names: Names{Classes: names, Tenants: old.Tenants}, numbers: now, plat: set,
-		terms: Terms{Classes: map[string]control.Class{}, SendCap: set.SendCap},
+		terms: Terms{Classes: map[string]control.Class{}, SendCap: set.MaxAttempts},
 	}
 	for i, name := range names {
 		if n, is := now[name]; is {
@@ -203,8 +203,8 @@
 func (k *Keeper) limits() resend.Limits {
 	plat := &k.words.Load().plat
 	return resend.Limits{
-		Siblings: plat.Siblings, ColdFrom: plat.ColdFrom, Cold: plat.Cold, FallMultiple: plat.FallMultiple,
-		FallWindow: plat.FallWindow, Share: k.set.Resend.Share, MaxOut: k.set.Resend.MaxOut,
+		Siblings: plat.FleetSize, ColdFrom: plat.ColdCapacity, Cold: plat.WarmUp, FallMultiple: plat.OverloadFactor,
+		FallWindow: plat.OverloadWindow, Share: k.set.Resend.Share, MaxOut: k.set.Resend.MaxOut,
 	}
 }
 
@@ -236,7 +236,7 @@
 	k.mu.Lock()
 	k.queue = append(k.queue, items...)
 	for _, x := range items {
-		if p, ok := x.(state.Parting); ok && p.Seq == 0 {
+		if p, ok := x.(state.DeadLetter); ok && p.Seq == 0 {
 			k.parts++
 		}
 	}
@@ -249,14 +249,14 @@
 // Begin takes what the journal knows.
 func (k *Keeper) Begin(owed []string, out []uint64) { k.push(beginning{owed, out}) }
 
-// Take takes a parting.
-func (k *Keeper) Take(p state.Parting) { k.push(p) }
+// Add takes a parting.
+func (k *Keeper) Add(p state.DeadLetter) { k.push(p) }
 
-// Settled takes ids that the journal has forgotten.
-func (k *Keeper) Settled(ids []string) { k.push(settled{ids}) }
+// Forget takes ids that the journal has forgotten.
+func (k *Keeper) Forget(ids []string) { k.push(settled{ids}) }
 
-// Saw takes what came of a call.
-func (k *Keeper) Saw(dest int, r control.Result, wait time.Duration, again bool) {
+// CallEnded takes what came of a call.
+func (k *Keeper) CallEnded(dest int, r control.Result, wait time.Duration, again bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.planner.Saw(k.since(), dest, told(r), wait, again)
@@ -265,18 +265,18 @@
 // told is what a call's result tells of its partner.
 func told(r control.Result) resend.Result {
 	switch r {
-	case control.Served, control.Rejected: // the partner was there
+	case control.Served, control.Unprocessable: // the partner was there
 		return resend.Served
-	case control.Full, control.Crowded:
+	case control.Rejected, control.ConnectionRejected:
 		return resend.Refused
-	case control.Moot:
+	case control.NotSent:
 		return resend.Nothing
 	}
 	return resend.Failed
 }
 
-// Listed takes what is known of the destinations.
-func (k *Keeper) Listed(all map[int]state.Listing) {
+// CapacityChanged takes what is known of the destinations.
+func (k *Keeper) CapacityChanged(all map[int]state.DestinationCapacity) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for dest, x := range all {
@@ -284,8 +284,8 @@
 	}
 }
 
-// Busy takes how busy the loop is.
-func (k *Keeper) Busy(l state.Load) {
+// LoadChanged takes how busy the loop is.
+func (k *Keeper) LoadChanged(l state.LoopLoad) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.load = resend.Load(l)
@@ -294,9 +294,9 @@
 // since is the planner's clock.
 func (k *Keeper) since() time.Duration { return time.Since(k.clock.start) }
 
-// Wants asks the rule hold. Where the store fails, or its queue is full, nothing
+// Accepts asks the rule hold. Where the store fails, or its queue is full, nothing
 // is held: the message ends as it would without a store.
-func (k *Keeper) Wants(p *state.Parting) bool {
+func (k *Keeper) Accepts(p *state.DeadLetter) bool {
 	k.mu.Lock()
 	full := k.failing || k.parts >= k.set.Held.Queue
 	set, words := k.set, k.words.Load()
@@ -307,13 +307,13 @@
 		return false
 	}
 	ran := false
-	for _, t := range p.Tries {
+	for _, t := range p.Attempts {
 		ran = ran || t.Open || t.Result.MayHaveRun()
 	}
 	hold, err := set.Hold(settings.Record{
 		ID: p.Message.ID, Key: p.Message.Key, Class: word(words.Classes, p.Message.Class), Tenant: word(words.Tenants, p.Message.Tenant),
 		Destination: p.Message.Destination, Size: len(p.Message.Body), Reason: p.Reason, MayHaveRun: ran, Deferred: p.Deferred,
-		Attempts: p.Sends, Left: max(0, p.Message.Deadline.Sub(p.At)),
+		Attempts: p.AttemptCount, Left: max(0, p.Message.Deadline.Sub(p.At)),
 	}, partner)
 	if err != nil {
 		k.say("held: the rule hold failed", "err", err.Error())
@@ -596,7 +596,7 @@
 		k.mu.Lock()
 		k.queue = k.queue[len(items):]
 		for _, x := range items {
-			if p, ok := x.(state.Parting); ok && p.Seq == 0 {
+			if p, ok := x.(state.DeadLetter); ok && p.Seq == 0 {
 				k.parts--
 			}
 		}
@@ -612,7 +612,7 @@
 		rest := len(k.queue)
 		k.mu.Unlock()
 		if len(stored) > 0 {
-			k.post.Post(state.Stored{Nums: stored})
+			k.post.Post(state.DeadLettersStored{Nums: stored})
 		}
 		if rest > 0 {
 			return 0, nil
@@ -640,12 +640,12 @@
 				return err
 			}
 		}
-	case state.Parting:
-		if !x.Turned {
+	case state.DeadLetter:
+		if !x.NotAdmitted {
 			*stored = append(*stored, x.Num)
 		}
 		if x.Seq > 0 {
-			*back = append(*back, comeback{x.Seq, !x.Turned})
+			*back = append(*back, comeback{x.Seq, !x.NotAdmitted})
 			return k.returned(t, &x, now)
 		}
 		return k.hold(t, &x, now)
@@ -662,7 +662,7 @@
 }
 
 // history turns the loop's tries into attempts.
-func (k *Keeper) history(tries []state.Try, n int, now time.Time) []Attempt {
+func (k *Keeper) history(tries []state.AttemptRecord, n int, now time.Time) []Attempt {
 	list := attempts(tries, n)
 	for i := range list {
 		list[i].At = k.at(list[i].At, now)
@@ -671,14 +671,14 @@
 }
 
 // hold enters a message that is new to the store.
-func (k *Keeper) hold(t *Tx, p *state.Parting, now time.Time) error {
+func (k *Keeper) hold(t *Tx, p *state.DeadLetter, now time.Time) error {
 	m, words := p.Message, k.words.Load()
 	r := Record{
 		State: Held, ID: m.ID, Key: m.Key, Class: word(words.Classes, m.Class), Tenant: word(words.Tenants, m.Tenant),
 		Destination: m.Destination, Size: len(m.Body), Reason: p.Reason, Deferred: p.Deferred, Deadline: m.Deadline.Round(0),
-		HeldAt: now, Sends: p.Sends,
+		HeldAt: now, Sends: p.AttemptCount,
 	}
-	r.add(k.history(p.Tries, 0, now))
+	r.add(k.history(p.Attempts, 0, now))
 	k.mu.Lock()
 	asks := k.set.Rules()
 	k.mu.Unlock()
@@ -693,24 +693,24 @@
 }
 
 // returned enters what came of a resend. A second time it changes nothing.
-func (k *Keeper) returned(t *Tx, p *state.Parting, now time.Time) error {
+func (k *Keeper) returned(t *Tx, p *state.DeadLetter, now time.Time) error {
 	err := t.change(p.Seq, func(r *Record) error {
 		if r.State != Out || r.ID != p.Message.ID {
 			return errUnchanged
 		}
-		if p.Turned { // it never was with the controller
+		if p.NotAdmitted { // it never was with the controller
 			r.Resends--
 			r.order(now.Add(turnedPause), r.Until)
 			return nil
 		}
-		r.Sends = max(r.Sends, p.Sends)
-		r.add(k.history(p.Tries, r.Resends, now))
+		r.Sends = max(r.Sends, p.AttemptCount)
+		r.add(k.history(p.Attempts, r.Resends, now))
 		switch {
 		case p.Delivered:
 			r.did(now, "delivered", "sender")
 			r.end(now, Delivered)
 			return nil
-		case p.Over:
+		case p.Final:
 			r.did(now, "the partner's side says that it is over", "sender")
 			r.end(now, Over)
 			return nil
@@ -992,7 +992,7 @@
 	if len(grants) == 0 {
 		return false, nil
 	}
-	var leaving []state.Resend
+	var leaving []state.Redelivery
 	var unused []int
 	err := s.Update(func(t *Tx) error {
 		leaving, unused = leaving[:0], unused[:0]
@@ -1028,7 +1028,7 @@
 
 // release takes the next record for a destination out of the store; nil where
 // the one that was next may not go.
-func (k *Keeper) release(t *Tx, dest int, now time.Time) (*state.Resend, error) {
+func (k *Keeper) release(t *Tx, dest int, now time.Time) (*state.Redelivery, error) {
 	tenants := t.readyTenants(dest)
 	if len(tenants) == 0 {
 		return nil, nil
@@ -1040,7 +1040,7 @@
 	if !found {
 		return nil, nil
 	}
-	var leaving *state.Resend
+	var leaving *state.Redelivery
 	err := t.change(seq, func(r *Record) error {
 		why := k.eligible(r, now)
 		switch {
@@ -1059,10 +1059,10 @@
 		if err != nil {
 			return err
 		}
-		e := &state.Resend{Seq: seq, Sends: r.Sends, Message: k.message(r, body, now)}
+		e := &state.Redelivery{Seq: seq, Attempts: r.Sends, Message: k.message(r, body, now)}
 		at, zone, ran := r.Ran()
-		if e.Ran, e.RanZone = ran, zone; ran {
-			e.RanAgo = now.Sub(at)
+		if e.MayHaveRun, e.FirstRunZone = ran, zone; ran {
+			e.FirstRunAgo = now.Sub(at)
 		}
 		r.State, r.Ready = Out, false
 		r.Resends++
@@ -1079,9 +1079,9 @@
 func (k *Keeper) message(r *Record, body []byte, now time.Time) *state.Message {
 	words := k.words.Load()
 	class := words.terms.Classes[r.Class]
-	left := max(class.Deadline-class.Aim, class.Deadline/2)
+	left := max(class.Deadline-class.LatencyObjective, class.Deadline/2)
 	m := &state.Message{
-		ID: r.ID, Key: r.Key, Destination: r.Destination, Again: true,
+		ID: r.ID, Key: r.Key, Destination: r.Destination, Resubmitted: true,
 		Deadline: time.Now().Add(min(left, r.Until.Sub(now))), Body: append([]byte(nil), body...),
 		Class: words.number(r.Class), Tenant: max(0, slices.Index(words.Tenants, r.Tenant)),
 	}
--- a/internal/held/keeper_test.go
+++ b/internal/held/keeper_test.go
@@ -23,15 +23,15 @@
 
 // posts are what the keeper tells the loop.
 type posts struct {
-	resends chan state.Resend
-	stored  chan state.Stored
+	resends chan state.Redelivery
+	stored  chan state.DeadLettersStored
 }
 
 func (p *posts) Post(event any) {
 	switch e := event.(type) {
-	case state.Resend:
+	case state.Redelivery:
 		p.resends <- e
-	case state.Stored:
+	case state.DeadLettersStored:
 		p.stored <- e
 	}
 }
@@ -59,21 +59,21 @@
 // start runs a keeper over a folder until the test ends, or stop is called.
 func start(t *testing.T, dir, rules string, change func(*Keeper)) (k *Keeper, p *posts, stop func()) {
 	t.Helper()
-	platform := control.Settings{Siblings: 1, ColdFrom: 0.5, Cold: 100 * time.Millisecond, FallWindow: 50 * time.Millisecond, FallMultiple: 2}
+	platform := control.Settings{FleetSize: 1, ColdCapacity: 0.5, WarmUp: 100 * time.Millisecond, OverloadWindow: 50 * time.Millisecond, OverloadFactor: 2}
 	names := Names{Classes: []string{"safe", "keyed", "unsafe"}, Tenants: []string{"t0", "t1"}}
 	for _, name := range names.Classes {
 		c := terms.Classes[name]
-		c.Aim, c.Deadline = time.Second, 10*time.Second
+		c.LatencyObjective, c.Deadline = time.Second, 10*time.Second
 		platform.Classes = append(platform.Classes, c)
 	}
 	k = NewKeeper(Setup{Settings: parse(t, dir, rules), Platform: platform, Names: names, Log: quiet})
-	p = &posts{make(chan state.Resend, 1024), make(chan state.Stored, 1024)}
+	p = &posts{make(chan state.Redelivery, 1024), make(chan state.DeadLettersStored, 1024)}
 	k.Connect(p)
 	if change != nil {
 		change(k)
 	}
-	k.Busy(state.Load{Slots: 64, HoldCap: 1000})
-	k.Listed(map[int]state.Listing{1: {Weight: 1000, Ready: 1}, 2: {Weight: 1000, Ready: 1}})
+	k.LoadChanged(state.LoopLoad{MaxInFlight: 64, MaxOpenMessages: 1000})
+	k.CapacityChanged(map[int]state.DestinationCapacity{1: {Weight: 1000, Ready: 1}, 2: {Weight: 1000, Ready: 1}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); k.Run(ctx) }()
@@ -83,11 +83,11 @@
 }
 
 // hold gives a keeper a message and waits until it has it.
-func hold(t *testing.T, k *Keeper, p *posts, id string, class, dest, tenant int, tries ...state.Try) {
+func hold(t *testing.T, k *Keeper, p *posts, id string, class, dest, tenant int, tries ...state.AttemptRecord) {
 	t.Helper()
-	k.Take(state.Parting{Num: 1, Message: &state.Message{ID: id, Key: "key-" + id, Class: class, Tenant: tenant, Destination: dest, Deadline: time.Now(), Body: []byte("body")}, Tries: tries, At: time.Now(), Reason: state.ReasonExpired})
+	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: id, Key: "key-" + id, Class: class, Tenant: tenant, Destination: dest, Deadline: time.Now(), Body: []byte("body")}, Attempts: tries, At: time.Now(), Reason: state.ReasonExpired})
 	get(t, p.stored)
-	k.Settled([]string{id})
+	k.Forget([]string{id})
 }
 
 func (k *Keeper) record(t *testing.T, seq uint64) (r Record) {
@@ -113,9 +113,9 @@
 }
 
 // back gives the keeper what came of a resend.
-func back(k *Keeper, e state.Resend, delivered bool, tries ...state.Try) {
-	k.Saw(e.Message.Destination, map[bool]control.Result{true: control.Served, false: control.Full}[delivered], 0, true)
-	k.Take(state.Parting{Num: 1, Seq: e.Seq, Message: e.Message, Delivered: delivered, Sends: e.Sends + 1, Tries: tries, At: time.Now(), Reason: state.ReasonExpired})
+func back(k *Keeper, e state.Redelivery, delivered bool, tries ...state.AttemptRecord) {
+	k.CallEnded(e.Message.Destination, map[bool]control.Result{true: control.Served, false: control.Rejected}[delivered], 0, true)
+	k.Add(state.DeadLetter{Num: 1, Seq: e.Seq, Message: e.Message, Delivered: delivered, AttemptCount: e.Attempts + 1, Attempts: tries, At: time.Now(), Reason: state.ReasonExpired})
 }
 
 var ctx = context.Background()
@@ -125,12 +125,12 @@
 func TestResendRoundTrip(t *testing.T) {
 	k, p, _ := start(t, t.TempDir(), "", nil)
 	k.Begin(nil, nil)
-	hold(t, k, p, "a", 2, 1, 0, state.Try{Target: "s", At: time.Now(), Result: control.Full})
+	hold(t, k, p, "a", 2, 1, 0, state.AttemptRecord{Target: "s", At: time.Now(), Result: control.Rejected})
 	if o, err := k.Resend(ctx, "uid 1", one(1), time.Minute, false); err != nil || o.Done != 1 {
 		t.Fatal(o, err)
 	}
 	e := get(t, p.resends)
-	if e.Message.ID != "a" || string(e.Message.Body) != "body" || e.Message.Key != "key-a" || e.Ran || k.record(t, 1).State != Out {
+	if e.Message.ID != "a" || string(e.Message.Body) != "body" || e.Message.Key != "key-a" || e.MayHaveRun || k.record(t, 1).State != Out {
 		t.Errorf("%+v, %+v", e, k.record(t, 1))
 	}
 	if left := time.Until(e.Message.Deadline); left > 9*time.Second { // deadline less aim: among the deferred
@@ -139,7 +139,7 @@
 	if o, _ := k.Drop(ctx, "uid 1", one(1), false); o.Done != 0 || o.Refused[0].Why != "it is being sent" {
 		t.Errorf("drop of one that is out: %+v", o)
 	}
-	back(k, e, false, state.Try{Target: "s", At: time.Now(), Result: control.Broken})
+	back(k, e, false, state.AttemptRecord{Target: "s", At: time.Now(), Result: control.ConnectionLost})
 	get(t, p.stored)
 	r := k.until(t, 1, Held) // unsafe, and it may have run: never again
 	if _, _, ran := r.Ran(); !ran || r.Resends != 1 || len(r.Attempts) != 2 || r.Attempts[1].Resend != 1 {
@@ -202,7 +202,7 @@
 func TestNotBeforeTold(t *testing.T) {
 	k, p, _ := start(t, t.TempDir(), "", nil)
 	k.Begin(nil, nil)
-	k.Take(state.Parting{Num: 1, Message: &state.Message{ID: "a", Destination: 1, Body: []byte("x")}, At: time.Now()})
+	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: "a", Destination: 1, Body: []byte("x")}, At: time.Now()})
 	get(t, p.stored)
 	hold(t, k, p, "b", 0, 1, 0)
 	for seq := range uint64(2) {
@@ -211,8 +211,8 @@
 	if e := get(t, p.resends); e.Message.ID != "b" || k.record(t, 1).State != Ordered {
 		t.Errorf("%+v", e)
 	}
-	back(k, state.Resend{Seq: 2, Message: &state.Message{ID: "b", Destination: 1}}, true)
-	k.Settled([]string{"a"})
+	back(k, state.Redelivery{Seq: 2, Message: &state.Message{ID: "b", Destination: 1}}, true)
+	k.Forget([]string{"a"})
 	if e := get(t, p.resends); e.Message.ID != "a" {
 		t.Errorf("%+v", e)
 	}
@@ -234,7 +234,7 @@
 	if e := get(t, p.resends); e.Seq != 1 { // safe
 		t.Errorf("%+v", e)
 	}
-	if e := get(t, p.resends); e.Seq != 2 || !e.Ran { // keyed, within its memory
+	if e := get(t, p.resends); e.Seq != 2 || !e.MayHaveRun { // keyed, within its memory
 		t.Errorf("%+v", e)
 	}
 	if r := k.until(t, 3, Held); terms.Eligible(&r, time.Now(), true) == nil {
@@ -250,7 +250,7 @@
 	dir := t.TempDir()
 	k, p, stop := start(t, dir, "", func(k *Keeper) { k.clock.base = k.clock.base.Add(time.Hour) })
 	k.Begin(nil, nil)
-	ran := state.Try{At: time.Now(), Open: true}
+	ran := state.AttemptRecord{At: time.Now(), Open: true}
 	hold(t, k, p, "a", 1, 1, 0, ran)
 	hold(t, k, p, "b", 0, 1, 0, ran)
 	stop()
@@ -258,7 +258,7 @@
 		k.clock.base, k.clock.start = k.clock.base.Add(-time.Second), k.clock.start.Add(-time.Second)
 	})
 	k.Begin(nil, nil)
-	hold(t, k, p, "c", 1, 1, 0, state.Try{At: time.Now(), Open: true})
+	hold(t, k, p, "c", 1, 1, 0, state.AttemptRecord{At: time.Now(), Open: true})
 	for seq, want := range map[uint64]string{1: "the clock went back", 2: "", 3: ""} {
 		o, err := k.Resend(ctx, "uid 1", one(seq), time.Minute, true)
 		if err != nil || (want == "") != (o.Done == 1) || want != "" && !strings.Contains(o.Refused[0].Why, want) {
@@ -343,8 +343,8 @@
 	k, p, _ := start(t, dir, "", nil)
 	m := &state.Message{ID: "a", Destination: 1, Body: []byte("body")}
 	k.Begin(nil, nil)
-	k.Take(state.Parting{Num: 1, Message: m, At: time.Now()})
-	for limit := time.Now().Add(20 * time.Second); k.Wants(&state.Parting{Message: m, At: time.Now()}); time.Sleep(time.Millisecond) {
+	k.Add(state.DeadLetter{Num: 1, Message: m, At: time.Now()})
+	for limit := time.Now().Add(20 * time.Second); k.Accepts(&state.DeadLetter{Message: m, At: time.Now()}); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatal("it goes on holding")
 		}
@@ -354,7 +354,7 @@
 	}
 	os.Remove(folder)
 	get(t, p.stored)
-	k.Settled([]string{"a"})
+	k.Forget([]string{"a"})
 	for i := range 20 {
 		hold(t, k, p, fmt.Sprint("b", i), 0, 1, 0)
 	}
@@ -371,7 +371,7 @@
 		f.WriteAt(bytes.Repeat([]byte{0xff}, 16), int64(at))
 	}
 	f.Close()
-	k.Take(state.Parting{Num: 1, Message: &state.Message{ID: "c", Destination: 1, Body: []byte("body")}, At: time.Now()})
+	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: "c", Destination: 1, Body: []byte("body")}, At: time.Now()})
 	get(t, p.stored)
 	var n Stats
 	k.View(func(tx *Tx) (err error) { n, err = tx.Stats(); return })
@@ -410,8 +410,8 @@
 // A partner without room for a connection is there: it has turned a call away, and is not out of order.
 func TestCrowdedIsNoFailure(t *testing.T) {
 	for r, want := range map[control.Result]resend.Result{
-		control.Served: resend.Served, control.Full: resend.Refused, control.Crowded: resend.Refused,
-		control.NoConnection: resend.Failed, control.Moot: resend.Nothing,
+		control.Served: resend.Served, control.Rejected: resend.Refused, control.ConnectionRejected: resend.Refused,
+		control.ConnectFailed: resend.Failed, control.NotSent: resend.Nothing,
 	} {
 		if got := told(r); got != want {
 			t.Errorf("result %v: told %v, want %v", r, got, want)
--- a/internal/held/record.go
+++ b/internal/held/record.go
@@ -173,9 +173,9 @@
 		return never("the class %q is not known here", r.Class)
 	case t.SendCap > 0 && r.Sends >= t.SendCap:
 		return never("it has had all its %d attempts", t.SendCap)
-	case !ran || class.Effect == control.Safe:
+	case !ran || class.Idempotency == control.Idempotent:
 		return nil
-	case class.Effect == control.Unsafe:
+	case class.Idempotency == control.NotIdempotent:
 		if r.Doubt {
 			return never("its history is not whole, so it may have taken effect, and a %s must never take effect twice", r.Class)
 		}
@@ -184,23 +184,23 @@
 		return never("it may have run at a time that is not known, so the partner may have forgotten its key")
 	case !sure:
 		return never("the clock went back, so whether the partner remembers its key can't be told")
-	case !now.Before(at.Add(class.Memory - class.Memory/4)):
+	case !now.Before(at.Add(class.KeyRetention - class.KeyRetention/4)):
 		// The repeat must arrive while the first is remembered: a quarter is kept for the way, as control does.
-		return never("it may have run %v ago, and the partner remembers its key for %v", now.Sub(at).Round(time.Millisecond), class.Memory)
+		return never("it may have run %v ago, and the partner remembers its key for %v", now.Sub(at).Round(time.Millisecond), class.KeyRetention)
 	}
 	return nil
 }
 
 // results are the words for what came of an attempt.
 var results = map[control.Result]string{
-	control.Unknown: "unknown", control.Served: "served", control.Errored: "error", control.Full: "refused",
-	control.TimedOut: "timed-out", control.NoConnection: "no-connection", control.Broken: "reset",
-	control.Cancelled: "cancelled", control.Moot: "not-sent", control.Rejected: "rejected",
-	control.Crowded: "no-room",
+	control.Unknown: "unknown", control.Served: "served", control.Failed: "error", control.Rejected: "refused",
+	control.TimedOut: "timed-out", control.ConnectFailed: "no-connection", control.ConnectionLost: "reset",
+	control.Canceled: "cancelled", control.NotSent: "not-sent", control.Unprocessable: "rejected",
+	control.ConnectionRejected: "no-room",
 }
 
 // attempts turns the loop's history into a record's.
-func attempts(tries []state.Try, resend int) []Attempt {
+func attempts(tries []state.AttemptRecord, resend int) []Attempt {
 	list := make([]Attempt, 0, len(tries))
 	for _, t := range tries {
 		a := Attempt{Target: t.Target, Zone: t.Zone, At: t.At, Result: results[t.Result], MayHaveRun: t.Result.MayHaveRun(), Resend: resend}
--- a/internal/held/store_test.go
+++ b/internal/held/store_test.go
@@ -20,7 +20,7 @@
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 var terms = Terms{SendCap: 12, Classes: map[string]control.Class{
-	"safe": {Effect: control.Safe}, "keyed": {Effect: control.Keyed, Memory: 12 * time.Second}, "unsafe": {Effect: control.Unsafe},
+	"safe": {Idempotency: control.Idempotent}, "keyed": {Idempotency: control.IdempotentByKey, KeyRetention: 12 * time.Second}, "unsafe": {Idempotency: control.NotIdempotent},
 }}
 
 func openStore(t testing.TB, dir string) *Store {
--- a/internal/lab/agents.go
+++ b/internal/lab/agents.go
@@ -290,7 +290,7 @@
 	out, text := 0, ""
 	for _, z := range s.senders {
 		away := z.dead && s.now-z.leftAt > margin || z.stopped() && s.now-z.stoppedAt > margin
-		if z.book.Standing() || away {
+		if z.book.Active() || away {
 			out++
 			text += " " + z.party
 		}
@@ -396,7 +396,7 @@
 		a.sim.result.Plans = append(a.sim.result.Plans, fmt.Sprintf("%d %s %s %s", p.ID, p.Kind, p.Phase, p.Why))
 	}
 	for _, y := range a.sim.senders {
-		if y.book.Standing() {
+		if y.book.Active() {
 			a.sim.result.Left = append(a.sim.result.Left, y.party)
 		}
 	}
@@ -409,7 +409,7 @@
 		Sender: x.party, At: x.sim.clock(), Process: x.id, Version: x.runs, Epoch: x.book.Epoch, Ended: x.book.Ended, Phase: "serving", Open: c.Open,
 		Facts: rollout.Facts{Taken: c.Taken, Refused: c.Refused, Delivered: c.Delivered, Deferred: c.Deferred, Failed: c.Undeliverable, Called: c.Called, Late: c.Late, FirstCall: c.FirstCall},
 	}
-	v.Serving, v.Drained = !x.book.Standing(), x.book.Standing() && x.book.Drain
+	v.Serving, v.Drained = !x.book.Active(), x.book.Active() && x.book.Drain
 	return v
 }
 
@@ -419,7 +419,7 @@
 	until := x.book.Until
 	s.at(max(s.now, until.Sub(epoch)), func() {
 		x.when(func() {
-			if x.book.Standing() && x.book.Until.Equal(until) {
+			if x.book.Active() && x.book.Until.Equal(until) {
 				x.book.Expire(s.clock())
 			}
 		})
@@ -434,4 +434,4 @@
 }
 
 // ordered tells whether clients are sent away by an order.
-func (x *sender) ordered() bool { return x.book.Standing() && x.book.Drain }
+func (x *sender) ordered() bool { return x.book.Active() && x.book.Drain }
--- a/internal/lab/ground.go
+++ b/internal/lab/ground.go
@@ -26,7 +26,7 @@
 	Dest    int
 	Kind    int
 	Zone    int
-	State   control.State
+	State   control.EndpointState
 	Weight  float64
 }
 
@@ -112,7 +112,7 @@
 func Terms(p *scenario.Plan, set control.Settings) audit.Terms {
 	var classes []audit.Class
 	for _, c := range set.Classes {
-		classes = append(classes, audit.Class{Effect: audit.Effect(c.Effect), Memory: c.Memory})
+		classes = append(classes, audit.Class{Effect: audit.Effect(c.Idempotency), Memory: c.KeyRetention})
 	}
 	terms := audit.Sockets(classes, set.DrainGrace)
 	for i := range p.Dests {
--- a/internal/lab/sender.go
+++ b/internal/lab/sender.go
@@ -9,8 +9,8 @@
 
 	"cleathold/control"
 	"cleathold/internal/audit"
+	"cleathold/internal/gossip"
 	"cleathold/internal/lease"
-	"cleathold/internal/note"
 	"cleathold/internal/partner"
 	"cleathold/internal/scenario"
 	"cleathold/internal/state"
@@ -46,7 +46,7 @@
 
 	id, before string // of its process, and of the one before that handed over to it
 	runs       string // its version
-	book       lease.Book
+	book       lease.Holder
 	counters   state.Counters
 }
 
@@ -78,7 +78,7 @@
 // awaiting is a hand-in whose client waits for the verdict.
 type awaiting struct {
 	id      string
-	verdict <-chan state.Verdict
+	verdict <-chan state.Response
 }
 
 // newSender begins a process's life.
@@ -97,8 +97,8 @@
 	}
 	dir, kept := s.dirs[num]
 	loop, err := state.NewLoop(state.Setup{
-		Settings: set, Known: state.News{Form: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6, Log: s.log,
-		Clock: func() time.Time { return epoch.Add(s.now) }, Dir: dir, NoDir: !kept, Counters: &x.counters,
+		Settings: set, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6, Log: s.log,
+		Clock: func() time.Time { return epoch.Add(s.now) }, Dir: dir, InMemory: !kept, Counters: &x.counters,
 	})
 	if err != nil {
 		return nil, err
@@ -139,7 +139,7 @@
 // wind looks whether all is done.
 func (x *sender) wind() {
 	s := x.sim
-	if x.loop.Quiet() || s.now >= x.leftAt+finishSpan {
+	if x.loop.Drained() || s.now >= x.leftAt+finishSpan {
 		x.die()
 		return
 	}
@@ -217,8 +217,8 @@
 			m := s.messages[h.id]
 			if back := s.way(x.party, scenario.Clients); m == nil || !back.Passes() {
 				// Nobody waits any more, or the answer does not arrive.
-				if v.Taken {
-					answered = append(answered, state.Answered{ID: h.id, OK: m != nil && back.Silent})
+				if v.Accepted {
+					answered = append(answered, state.ResponseWritten{ID: h.id, OK: m != nil && back.Silent})
 				}
 				if m != nil && back.Cut {
 					s.gone(m, h.id, x)
@@ -227,13 +227,13 @@
 				}
 				continue
 			}
-			if v.Taken {
+			if v.Accepted {
 				s.note(audit.Event{What: audit.Taken, Sender: x.num, Message: h.id})
-				answered = append(answered, state.Answered{ID: h.id, OK: true})
+				answered = append(answered, state.ResponseWritten{ID: h.id, OK: true})
 			} else {
-				s.note(audit.Event{What: audit.TurnedAt, Sender: x.num, Message: h.id, Wait: v.Again})
-				if m != nil && !v.Fatal {
-					s.refused(m, h.id, v.Again)
+				s.note(audit.Event{What: audit.TurnedAt, Sender: x.num, Message: h.id, Wait: v.RetryAfter})
+				if m != nil && !v.Permanent {
+					s.refused(m, h.id, v.RetryAfter)
 				}
 			}
 		default:
@@ -269,12 +269,12 @@
 
 // retune has the loop take other settings, as a reload does.
 func (x *sender) retune(set control.Settings) {
-	done := make(chan state.Retuned, 1)
+	done := make(chan state.SettingsResult, 1)
 	var classes []state.NamedClass
 	for i, c := range set.Classes {
 		classes = append(classes, state.NamedClass{Name: x.sim.plan.Scenario.Traffic.Classes[i].Name, Class: c})
 	}
-	x.step(state.Retune{Settings: set, Classes: classes, Done: done})
+	x.step(state.UpdateSettings{Settings: set, Classes: classes, Done: done})
 	x.when(func() {
 		select {
 		case r := <-done:
@@ -299,7 +299,7 @@
 			s.at(s.now+f.hop, func() { s.ground.Model.Cancel(s.now, f.id, f.to.ID) })
 		}
 		if f.left {
-			f.all(state.End{Result: control.Broken})
+			f.all(state.AttemptResult{Result: control.ConnectionLost})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(x.idle)) {
@@ -333,7 +333,7 @@
 	if !s.way(x.party, scenario.Discovery).Cut && !s.way(scenario.Discovery, x.party).Cut {
 		after = askSpan
 	}
-	s.at(s.now+after, func() { x.step(state.News{Form: control.ListFailed}) })
+	s.at(s.now+after, func() { x.step(state.ListUpdate{Kind: control.ListFailed}) })
 }
 
 // A flight is a call between a sender and an endpoint.
@@ -347,17 +347,17 @@
 	crowded bool
 	left    bool // its first byte has gone
 	over    bool
-	ended   map[*state.Forward]bool
+	ended   map[*state.Attempt]bool
 	since   time.Duration
 }
 
-// Carry takes a call out: on an idle connection, or on a new one.
-func (x *sender) Carry(c *state.Call) {
+// Send takes a call out: on an idle connection, or on a new one.
+func (x *sender) Send(c *state.Call) {
 	f := x.launch(c.Target)
-	f.call, f.ended = c, map[*state.Forward]bool{}
+	f.call, f.ended = c, map[*state.Attempt]bool{}
 	x.flying[c] = f
-	for _, fw := range c.Forwards {
-		x.sim.at(fw.Deadline.Sub(epoch), func() { f.end(fw, state.End{Result: control.TimedOut}) })
+	for _, fw := range c.Attempts {
+		x.sim.at(fw.Deadline.Sub(epoch), func() { f.end(fw, state.AttemptResult{Result: control.TimedOut}) })
 	}
 }
 
@@ -390,7 +390,7 @@
 			if !x.dead && !f.over {
 				s.note(audit.Event{What: audit.Saw, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
 			}
-			f.all(state.End{Result: control.NoConnection})
+			f.all(state.AttemptResult{Result: control.ConnectFailed})
 		})
 		return f
 	}
@@ -402,7 +402,7 @@
 				if !x.dead {
 					s.note(audit.Event{What: audit.Saw, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
 				}
-				f.all(state.End{Result: control.NoConnection})
+				f.all(state.AttemptResult{Result: control.ConnectFailed})
 			case f.over && door == partner.Opens:
 				s.ground.Model.Disconnect(s.now, to.ID)
 			case !f.over:
@@ -429,14 +429,14 @@
 	there, back := f.ways()
 	if there.Cut || back.Cut {
 		s.ground.Model.Disconnect(s.now, f.to.ID)
-		f.all(state.End{Result: control.NoConnection})
+		f.all(state.AttemptResult{Result: control.ConnectFailed})
 		return
 	}
 	f.left = true
 	c := partner.Call{ID: f.id, Sender: f.x.num, Endpoint: f.to.ID, Fresh: f.fresh, Crowded: f.crowded, Probe: f.call == nil}
 	var ids []string
 	if f.call != nil {
-		for _, fw := range f.call.Forwards {
+		for _, fw := range f.call.Attempts {
 			c.Messages = append(c.Messages, partner.Message{ID: fw.Message.ID, Key: fw.Message.Key, Class: fw.Message.Class})
 			ids = append(ids, fw.Message.ID)
 		}
@@ -479,7 +479,7 @@
 		s.note(audit.Event{What: audit.Saw, Sender: f.x.num, Dest: f.to.Destination, Endpoint: f.to.ID})
 	}
 	if a.Kind == partner.Delivered && f.call != nil {
-		for _, fw := range f.call.Forwards {
+		for _, fw := range f.call.Attempts {
 			s.delivered(fw.Message.ID)
 		}
 	}
@@ -489,18 +489,18 @@
 	if a.Kind != partner.Reset && !f.over {
 		f.park()
 	}
-	end := state.End{Wait: a.Wait}
+	end := state.AttemptResult{RetryAfter: a.Wait}
 	switch a.Kind {
 	case partner.Delivered:
-		end.Result, end.Finished = control.Served, true
+		end.Result, end.Final = control.Served, true
 	case partner.Errored:
-		end.Result = control.Errored
+		end.Result = control.Failed
 	case partner.Refused:
-		end.Result = control.Full
+		end.Result = control.Rejected
 	case partner.Reset:
-		end.Result = control.Broken
+		end.Result = control.ConnectionLost
 	case partner.Rejected:
-		end.Result = control.Rejected
+		end.Result = control.Unprocessable
 	default:
 		end.Result = control.Unknown
 	}
@@ -521,28 +521,28 @@
 }
 
 // all ends what is left of a flight.
-func (f *flight) all(e state.End) {
+func (f *flight) all(e state.AttemptResult) {
 	if f.over {
 		return
 	}
 	f.finish()
 	if f.call == nil {
-		f.x.step(state.Probed{Target: f.to.Endpoint.ID, Result: e.Result, Took: f.x.sim.now - f.since})
+		f.x.step(state.HealthChecked{Target: f.to.Endpoint.ID, Result: e.Result, Elapsed: f.x.sim.now - f.since})
 		return
 	}
-	var ends []state.End
-	for _, fw := range f.call.Forwards {
+	var ends []state.AttemptResult
+	for _, fw := range f.call.Attempts {
 		if !f.ended[fw] {
 			f.ended[fw] = true
-			e.Forward, e.Took = fw, f.x.sim.now-f.since
+			e.Attempt, e.Elapsed = fw, f.x.sim.now-f.since
 			ends = append(ends, e)
 		}
 	}
-	f.x.step(state.Ended{Call: f.call, Ends: ends})
+	f.x.step(state.CallEnded{Call: f.call, Results: ends})
 }
 
 // end ends one forward; a flight without any is abandoned.
-func (f *flight) end(fw *state.Forward, e state.End) {
+func (f *flight) end(fw *state.Attempt, e state.AttemptResult) {
 	if f.x.stopped() {
 		f.x.when(func() { f.end(fw, e) })
 		return
@@ -554,11 +554,11 @@
 	if e.Result == control.TimedOut {
 		f.x.sim.note(audit.Event{What: audit.Saw, Sender: f.x.num, Dest: f.to.Destination, Endpoint: f.to.ID})
 	}
-	e.Forward, e.Took = fw, f.x.sim.now-f.since
-	if len(f.ended) == len(f.call.Forwards) {
+	e.Attempt, e.Elapsed = fw, f.x.sim.now-f.since
+	if len(f.ended) == len(f.call.Attempts) {
 		f.abandon("timeout")
 	}
-	f.x.step(state.Ended{Call: f.call, Ends: []state.End{e}})
+	f.x.step(state.CallEnded{Call: f.call, Results: []state.AttemptResult{e}})
 }
 
 // abandon stops waiting: the connection goes, the work may go on.
@@ -573,10 +573,10 @@
 	s.at(s.now+f.hop, func() { s.ground.Model.Cancel(s.now, f.id, f.to.ID) })
 }
 
-// Abandon calls a call off.
-func (x *sender) Abandon(c *state.Call) {
+// Cancel calls a call off.
+func (x *sender) Cancel(c *state.Call) {
 	if f := x.flying[c]; f != nil {
-		x.sim.at(x.sim.now, func() { f.quit(control.Cancelled) })
+		x.sim.at(x.sim.now, func() { f.quit(control.Canceled) })
 	}
 }
 
@@ -586,29 +586,29 @@
 		return
 	}
 	f.abandon("cancelled")
-	var ends []state.End
-	for _, fw := range f.call.Forwards {
+	var ends []state.AttemptResult
+	for _, fw := range f.call.Attempts {
 		if !f.ended[fw] {
 			f.ended[fw] = true
-			ends = append(ends, state.End{Forward: fw, Result: r, Took: f.x.sim.now - f.since})
+			ends = append(ends, state.AttemptResult{Attempt: fw, Result: r, Elapsed: f.x.sim.now - f.since})
 		}
 	}
-	f.x.step(state.Ended{Call: f.call, Ends: ends})
+	f.x.step(state.CallEnded{Call: f.call, Results: ends})
 }
 
-// Withhold ends a call whose first byte has not gone.
-func (x *sender) Withhold(c *state.Call) {
+// CancelUnsent ends a call whose first byte has not gone.
+func (x *sender) CancelUnsent(c *state.Call) {
 	if f := x.flying[c]; f != nil && !f.left {
 		x.sim.at(x.sim.now, func() {
 			if !f.left {
-				f.quit(control.Moot)
+				f.quit(control.NotSent)
 			}
 		})
 	}
 }
 
-// Probe asks an endpoint how it is.
-func (x *sender) Probe(t state.Target, deadline time.Time) {
+// HealthCheck asks an endpoint how it is.
+func (x *sender) HealthCheck(t state.Target, deadline time.Time) {
 	f := x.launch(t)
 	x.sim.at(deadline.Sub(epoch), func() {
 		x.when(func() {
@@ -621,7 +621,7 @@
 				s.note(audit.Event{What: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "timeout"})
 				s.ground.Model.Cancel(s.now, f.id, f.to.ID)
 			}
-			f.all(state.End{Result: control.TimedOut})
+			f.all(state.AttemptResult{Result: control.TimedOut})
 		})
 	})
 }
@@ -652,7 +652,7 @@
 			s.ground.Asked(s.now, x.num, !blind, blind)
 		}
 		if blind {
-			x.step(state.News{Form: control.ListFailed})
+			x.step(state.ListUpdate{Kind: control.ListFailed})
 			return
 		}
 		x.watches = true
@@ -678,7 +678,7 @@
 			s.ground.Asked(s.now, x.num, false, blind)
 		}
 		if blind {
-			x.step(state.News{Form: control.ListFailed})
+			x.step(state.ListUpdate{Kind: control.ListFailed})
 			return
 		}
 		x.whole()
@@ -708,8 +708,8 @@
 	}
 }
 
-func (x *sender) told(form control.ListNews, version int64, lines []Line) {
-	news := state.News{Form: form, Version: version}
+func (x *sender) told(form control.ListUpdateKind, version int64, lines []Line) {
+	news := state.ListUpdate{Kind: form, Version: version}
 	for _, l := range lines {
 		if l.State != control.Ready || form == control.ListDelta {
 			x.sim.note(audit.Event{What: audit.Told, Sender: x.num, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready})
@@ -726,7 +726,7 @@
 	if x.watches && !x.dead {
 		x.watches = false
 		x.sim.ground.Asked(x.sim.now, x.num, false, true)
-		x.step(state.News{Form: control.ListFailed})
+		x.step(state.ListUpdate{Kind: control.ListFailed})
 	}
 }
 
@@ -736,9 +736,9 @@
 // NoteFrom and NoteTo are how long a note takes.
 const NoteFrom, NoteTo = 1300 * time.Microsecond, 8700 * time.Microsecond
 
-func (t teller) Tell(facts []note.Fact) {
+func (t teller) SendGossip(facts []gossip.Observation) {
 	s := t.sim
-	sent := note.Encode(facts)
+	sent := gossip.Encode(facts)
 	for _, x := range s.senders {
 		if x == t.sender {
 			continue
@@ -758,9 +758,9 @@
 				after += 10 * w.Jitter
 			}
 			s.at(s.now+after, func() {
-				if facts, err := note.Decode(sent); err == nil && !x.dead {
+				if facts, err := gossip.Decode(sent); err == nil && !x.dead {
 					s.result.NotesHeard++
-					x.step(state.Heard{Sender: t.num, Facts: facts})
+					x.step(state.GossipReceived{Peer: t.num, Observations: facts})
 				}
 			})
 		}
@@ -770,12 +770,12 @@
 // noticeAgain is when a notice that reached nobody is told again.
 const noticeAgain = 500 * time.Millisecond
 
-// Tell takes a notice; the client hears of it, and may come again.
-func (x *sender) Tell(n state.Notice) {
+// Report takes a notice; the client hears of it, and may come again.
+func (x *sender) Report(n state.DeliveryReport) {
 	x.sim.at(x.sim.now+noticeTime, func() { x.when(func() { x.notice(n) }) })
 }
 
-func (x *sender) notice(n state.Notice) {
+func (x *sender) notice(n state.DeliveryReport) {
 	s := x.sim
 	if x.dead {
 		return // it is in the journal
@@ -784,12 +784,12 @@
 		s.at(s.now+noticeAgain, func() { x.when(func() { x.notice(n) }) })
 		return
 	}
-	s.note(audit.Event{What: audit.Notice, Sender: x.num, Message: n.ID, Deferred: n.Deferred, Wait: n.Again})
+	s.note(audit.Event{What: audit.Notice, Sender: x.num, Message: n.ID, Deferred: n.Deferred, Wait: n.RetryAfter})
 	m := s.messages[n.ID]
 	if m != nil && n.Deferred {
-		s.refused(m, n.ID, n.Again)
+		s.refused(m, n.ID, n.RetryAfter)
 	} else if m != nil {
 		delete(s.messages, n.ID)
 	}
-	x.step(state.Acknowledged{Nums: []control.MessageID{n.Num}})
+	x.step(state.ReportsAcknowledged{Nums: []control.MessageID{n.Num}})
 }
--- a/internal/lab/sim.go
+++ b/internal/lab/sim.go
@@ -277,9 +277,9 @@
 			s.gone(m, id, to)
 			return
 		}
-		verdict := make(chan state.Verdict, 1)
-		h := state.Handed{Verdict: verdict, Message: &state.Message{
-			ID: id, Class: m.Class, Tenant: m.Tenant, Destination: m.Dest, Deadline: epoch.Add(s.now + left), Again: again,
+		verdict := make(chan state.Response, 1)
+		h := state.Submitted{Response: verdict, Message: &state.Message{
+			ID: id, Class: m.Class, Tenant: m.Tenant, Destination: m.Dest, Deadline: epoch.Add(s.now + left), Resubmitted: again,
 			Body: make([]byte, m.Size), Key: key,
 		}}
 		to.waiting = append(to.waiting, awaiting{id, verdict})
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -30,7 +30,7 @@
 	Limits                         Limits
 	Settings                       control.Settings
 	Names                          protocol.Names
-	Known                          state.News
+	Known                          state.ListUpdate
 	Ours                           *settings.Settings // nil: no script was named
 	text                           string             // as it was read
 	given                          []state.NamedClass // the classes of the settings in force, as they stood there
@@ -115,7 +115,7 @@
 			return c, fmt.Errorf("configuration: known: %w", err)
 		}
 	}
-	c.Known.Form = control.ListCached
+	c.Known.Kind = control.ListCached
 	return c, nil
 }
 
@@ -190,8 +190,8 @@
 
 // fits wants room among the descriptors for the calls that the settings allow, besides what the sender needs itself.
 func fits(l Limits, s control.Settings) error {
-	if least := s.Slots + leastSockets; l.Sockets < least {
-		return fmt.Errorf("configuration: limits.sockets: %d: %d wanted at least, for specifics.max-calls %d", l.Sockets, least, s.Slots)
+	if least := s.MaxInFlight + leastSockets; l.Sockets < least {
+		return fmt.Errorf("configuration: limits.sockets: %d: %d wanted at least, for specifics.max-calls %d", l.Sockets, least, s.MaxInFlight)
 	}
 	return nil
 }
@@ -224,7 +224,7 @@
 		return err
 	}
 	// At a start none means no limit. Under way it is a slip of who wrote the file, not a wish.
-	if cap := gjson.Get(new.text, "settings.limits.send-cap"); old.Settings.SendCap > 0 && cap.Float() <= 0 {
+	if cap := gjson.Get(new.text, "settings.limits.send-cap"); old.Settings.MaxAttempts > 0 && cap.Float() <= 0 {
 		return fmt.Errorf("configuration: settings: limits.send-cap: %q: a number above 0 wanted", cap.Raw)
 	}
 	return nil
--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -37,7 +37,7 @@
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
-		if c.want == "" && (got.Listen != "127.0.0.1:8080" || got.Limits.DiskBytes != 3e6 || got.Settings.Slots != 16 ||
+		if c.want == "" && (got.Listen != "127.0.0.1:8080" || got.Limits.DiskBytes != 3e6 || got.Settings.MaxInFlight != 16 ||
 			got.Names.Classes["fee-payment"] != 2 || got.Names.Kinds["plain"] != 1) {
 			t.Errorf("%s: read as %+v", c.name, got)
 		}
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -41,9 +41,9 @@
 	mu    sync.Mutex
 	is    phase
 	hand  bool // ordered by hand: clients are to be sent away
-	book  lease.Book
+	book  lease.Holder
 	timer *time.Timer // looks at the book again when the lease is up
-	aside lease.Aside
+	aside lease.Exclusions
 	since *time.Timer    // looks at aside again
 	out   func([]string) // tells the loop which targets are taken out; from the end of the start on
 	door  door           // from the end of the start on
@@ -108,7 +108,7 @@
 func (s *machine) Activate() error {
 	return s.order(false, func(time.Time) error {
 		s.hand = false
-		if s.book.Standing() {
+		if s.book.Active() {
 			return s.book.End(s.book.Epoch)
 		}
 		return nil
@@ -144,7 +144,7 @@
 // tellAside tells the loop, and has the set looked at when its time is up.
 func (s *machine) tellAside() {
 	if s.out != nil {
-		s.out(s.aside.IDs)
+		s.out(s.aside.EndpointIDs)
 	}
 	if s.since != nil {
 		s.since.Stop()
@@ -165,13 +165,13 @@
 func (s *machine) connect(out func([]string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.out = out; len(s.aside.IDs) > 0 {
-		out(s.aside.IDs)
+	if s.out = out; len(s.aside.EndpointIDs) > 0 {
+		out(s.aside.EndpointIDs)
 	}
 }
 
 // away tells whether clients are to be sent away.
-func (s *machine) away() bool { return s.hand || s.book.Standing() && s.book.Drain }
+func (s *machine) away() bool { return s.hand || s.book.Active() && s.book.Drain }
 
 // watch has the book looked at when the lease that stands is up.
 func (s *machine) watch() {
@@ -179,7 +179,7 @@
 		s.timer.Stop()
 		s.timer = nil
 	}
-	if s.book.Standing() {
+	if s.book.Active() {
 		s.timer = time.AfterFunc(max(0, s.book.Until.Sub(s.clock())), s.expire)
 	}
 }
@@ -191,7 +191,7 @@
 	if s.book.Expire(s.clock()) {
 		s.log.Warn("nobody has renewed the lease to be out: back to work", "epoch", s.book.Epoch)
 		s.obey()
-	} else if s.book.Standing() { // the clock was set back, or the lease was renewed
+	} else if s.book.Active() { // the clock was set back, or the lease was renewed
 		s.watch()
 	}
 }
@@ -236,14 +236,14 @@
 
 // ordered tells what the process that comes after this one must know: whether clients are sent away by hand, and
 // the book of leases.
-func (s *machine) ordered() (hand bool, book lease.Book) {
+func (s *machine) ordered() (hand bool, book lease.Holder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hand, s.book
 }
 
 // inherit takes over what the process before this one was ordered.
-func (s *machine) inherit(hand bool, book lease.Book) {
+func (s *machine) inherit(hand bool, book lease.Holder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hand = s.hand || hand
@@ -254,7 +254,7 @@
 }
 
 // standing is what the machine itself knows for a status.
-func (s *machine) standing() (id string, is phase, book lease.Book) {
+func (s *machine) standing() (id string, is phase, book lease.Holder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.id, s.is, s.book
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -70,7 +70,7 @@
 			case "expire":
 				s.expire()
 			case "inherit":
-				s.inherit(false, lease.Book{Epoch: uint64(n), Until: at(10), Drain: true})
+				s.inherit(false, lease.Holder{Epoch: uint64(n), Until: at(10), Drain: true})
 			}
 			if err != nil {
 				refused = append(refused, do)
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -87,7 +87,7 @@
 		return err
 	}
 	if before != nil {
-		log.Info("taking over from the process that serves", "out", len(before.estate.Out))
+		log.Info("taking over from the process that serves", "out", len(before.estate.InFlight))
 		p.machine.inherit(before.estate.Drained, before.estate.Lease)
 	}
 	for {
@@ -149,22 +149,22 @@
 		setup.Durability, setup.GroupWait = durabilities[c.Ours.Journal.Durability], c.Ours.Journal.Wait
 	}
 	if before != nil {
-		setup.Estate = &before.estate
+		setup.Handover = &before.estate
 	}
 	keeper := newKeeper(*c, log)
 	if keeper != nil {
-		setup.Keeper = keeper
+		setup.DeadLetters = keeper
 	}
 	peers := openPeers(*c, log)
-	setup.Settings.CanTell = peers != nil
+	setup.Settings.CanGossip = peers != nil
 	loop, err := newLoop(setup, before != nil)
 	if err != nil {
 		return nil, err
 	}
 	clients, idle := shareSockets(*c)
-	sender := protocol.NewSender(loop, c.Settings.ConnIdle, idle, log)
+	sender := protocol.NewSender(loop, c.Settings.ConnIdleTimeout, idle, log)
 	discovery := protocol.NewDiscovery(loop, protocol.DiscoverySetup{
-		Addr: c.Discovery, Names: c.Names, MustAsk: c.Settings.MustAsk, Rest: c.Settings.AskSpread(), DrainGrace: c.Settings.DrainGrace, Log: log,
+		Addr: c.Discovery, Names: c.Names, MustAsk: c.Settings.MaxPollInterval, Rest: c.Settings.PollSpread(), DrainGrace: c.Settings.DrainGrace, Log: log,
 	})
 	notices := protocol.NewNotices(loop, c.Discovery, log)
 	loop.Connect(sender, discovery, notices)
@@ -246,11 +246,11 @@
 	defer desk.Close(false)
 	p.board.loop.Store(loop)
 	p.machine.connect(func(ids []string) {
-		loop.PostBefore(state.SetAside{IDs: ids}, time.Now().Add(tuneSpan))
+		loop.PostBefore(state.ExclusionsChanged{IDs: ids}, time.Now().Add(tuneSpan))
 	})
 	p.machine.begin(listener)
 	var told time.Time // to stop
-	log.Info("serving", "name", c.Name, "listen", listener.Addr().String(), "siblings", c.Settings.Siblings,
+	log.Info("serving", "name", c.Name, "listen", listener.Addr().String(), "siblings", c.Settings.FleetSize,
 		"list", c.Known.Version, "targets", len(c.Known.Targets), "discovery", c.Discovery)
 	for {
 		select {
@@ -261,14 +261,14 @@
 				keeper.Reload(c.Ours)
 			}
 			continue
-		case ask := <-desk.Asks():
+		case ask := <-desk.Requests():
 			sock, err := listener.File()
-			if err == nil && !loop.Sound() {
+			if err == nil && !loop.JournalIntact() {
 				err = errors.New("the journal can't be written")
 			}
 			if err != nil {
 				log.Error("not handed over", "err", err)
-				ask.Refuse(err.Error())
+				ask.Reject(err.Error())
 				continue
 			}
 			back := p.giveWay(ask, sock, listener, loop, leave, rest, desk)
@@ -312,7 +312,7 @@
 
 // openPeers opens the way to the other senders where there is one. Without it the sender serves all the same.
 func openPeers(c Config, log *slog.Logger) *protocol.Peers {
-	if !c.Settings.CanTell || c.PeerListen == "" || c.PeersAll == "" {
+	if !c.Settings.CanGossip || c.PeerListen == "" || c.PeersAll == "" {
 		return nil
 	}
 	peers, err := persist(log, "peers", peersSpan, func() (*protocol.Peers, error) {
@@ -371,7 +371,7 @@
 	if waits := c.waits(now); len(waits) > 0 {
 		log.Warn("configuration read again: some of what has changed waits for the next start", "keys", waits)
 	}
-	log.Info("configuration read again", "discovery", now.Discovery, "classes", len(now.Names.Classes), "attempts", now.Settings.SendCap)
+	log.Info("configuration read again", "discovery", now.Discovery, "classes", len(now.Names.Classes), "attempts", now.Settings.MaxAttempts)
 	return now
 }
 
@@ -384,7 +384,7 @@
 		{"listen", c.Listen == now.Listen}, {"state", c.State == now.State}, {"admin", c.Admin == now.Admin},
 		{"peers", c.PeerListen == now.PeerListen && c.PeersAll == now.PeersAll && slices.Equal(c.Peers, now.Peers)},
 		{"limits.sockets", c.Limits.Sockets == now.Limits.Sockets}, {"limits.disk_mb", c.Limits.DiskBytes == now.Limits.DiskBytes},
-		{"settings.siblings", c.Settings.Siblings == now.Settings.Siblings}, {"settings.me", c.Settings.Index == now.Settings.Index},
+		{"settings.siblings", c.Settings.FleetSize == now.Settings.FleetSize}, {"settings.me", c.Settings.Index == now.Settings.Index},
 		{"settings.kinds", slices.Equal(c.Settings.Kinds, now.Settings.Kinds)},
 	} {
 		if !k.same {
@@ -397,7 +397,7 @@
 // retune has the loop take new settings, and the listener the words of them.
 func retune(old, c Config, to changes, log *slog.Logger) (Config, error) {
 	same := c.Settings
-	same.Seed, same.Classes, same.CanTell = old.Settings.Seed, old.Settings.Classes, old.Settings.CanTell
+	same.Seed, same.Classes, same.CanGossip = old.Settings.Seed, old.Settings.Classes, old.Settings.CanGossip
 	classes := c.named()
 	if reflect.DeepEqual(same, old.Settings) && slices.Equal(classes, old.given) {
 		return old, nil
@@ -410,8 +410,8 @@
 			}
 		}
 	}
-	done := make(chan state.Retuned, 1)
-	if !to.loop.PostBefore(state.Retune{Settings: c.Settings, Classes: classes, Done: done}, time.Now().Add(tuneSpan)) {
+	done := make(chan state.SettingsResult, 1)
+	if !to.loop.PostBefore(state.UpdateSettings{Settings: c.Settings, Classes: classes, Done: done}, time.Now().Add(tuneSpan)) {
 		return old, errors.New("settings: the loop does not take them")
 	}
 	r := <-done
@@ -422,8 +422,8 @@
 	now.given = classes
 	now.Names, now.Settings = c.Names, c.Settings
 	now.Names.Classes, now.Names.Kinds = r.Numbers, old.Names.Kinds
-	now.Settings.Classes, now.Settings.Seed, now.Settings.CanTell = r.Classes, old.Settings.Seed, old.Settings.CanTell
-	now.Settings.Siblings, now.Settings.Index, now.Settings.Kinds = old.Settings.Siblings, old.Settings.Index, old.Settings.Kinds
+	now.Settings.Classes, now.Settings.Seed, now.Settings.CanGossip = r.Classes, old.Settings.Seed, old.Settings.CanGossip
+	now.Settings.FleetSize, now.Settings.Index, now.Settings.Kinds = old.Settings.FleetSize, old.Settings.Index, old.Settings.Kinds
 	if to.tenants != nil {
 		to.tenants(wordsOf(now.Names.Tenants))
 	}
@@ -512,7 +512,7 @@
 // ones to targets, besides those of calls that are out. Clients may hold a
 // third of all for requests, and some connect that have none. Those that are being closed have their part of it.
 func shareSockets(c Config) (clients, idle int) {
-	left := c.Limits.Sockets - spareSockets - c.Settings.Slots
+	left := c.Limits.Sockets - spareSockets - c.Settings.MaxInFlight
 	if c.Admin != "" {
 		left -= admin.FrontPlaces
 	}
--- a/internal/lifecycle/status.go
+++ b/internal/lifecycle/status.go
@@ -28,9 +28,9 @@
 const listedSpan = 500 * time.Millisecond
 
 // Targets are those that discovery lists.
-func (d *board) Targets() []state.Listed {
+func (d *board) Targets() []state.ListedTarget {
 	if l := d.loop.Load(); l != nil {
-		return l.Listed(time.Now().Add(listedSpan))
+		return l.ListedTargets(time.Now().Add(listedSpan))
 	}
 	return nil
 }
@@ -39,7 +39,7 @@
 func (d *board) Status() admin.Status {
 	id, is, book := d.standing()
 	s := admin.Status{
-		Name: d.name, Process: id, Pid: os.Getpid(), Phase: is.String(), Epoch: book.Epoch, Ended: book.Ended, Stands: book.Standing(), Until: book.Until,
+		Name: d.name, Process: id, Pid: os.Getpid(), Phase: is.String(), Epoch: book.Epoch, Ended: book.Ended, Stands: book.Active(), Until: book.Until,
 		Release: d.release, Started: d.started, Counts: d.counters.Counts(), Clients: d.clients.Counts(), MemoryMB: residentMB(),
 	}
 	if c := d.config.Load(); c != nil {
--- a/internal/lifecycle/succession.go
+++ b/internal/lifecycle/succession.go
@@ -18,11 +18,11 @@
 
 // A predecessor is the process before this one, or this one's own last term, whose calls are still out.
 type predecessor struct {
-	estate state.Estate
+	estate state.HandoverState
 	sock   net.Listener
-	ready  func() error                           // tells it that this process serves
-	run    func(context.Context, handover.Poster) // posts what comes of its calls
-	over   <-chan struct{}                        // of an own last term: nothing is out any more
+	ready  func() error                                // tells it that this process serves
+	run    func(context.Context, handover.EventPoster) // posts what comes of its calls
+	over   <-chan struct{}                             // of an own last term: nothing is out any more
 }
 
 // predecessorOf asks the process that serves the same state folder to give way; nil where there is none.
@@ -30,20 +30,20 @@
 	if c.Admin == "" {
 		return nil, nil
 	}
-	i, err := handover.Take(handover.Path(c.State))
+	i, err := handover.RequestTakeover(handover.Path(c.State))
 	if i == nil || err != nil {
 		return nil, err
 	}
-	return &predecessor{estate: i.Estate, sock: i.Sock, ready: i.Ready, run: i.Run}, nil
+	return &predecessor{estate: i.State, sock: i.Listener, ready: i.ConfirmReady, run: i.Run}, nil
 }
 
 // openDesk opens the desk where the next process asks. Without one the sender serves, but has to be stopped for
 // another version. Nil works as a desk at which nobody asks.
-func openDesk(c Config, log *slog.Logger) *handover.Desk {
+func openDesk(c Config, log *slog.Logger) *handover.Listener {
 	if c.Admin == "" {
 		return nil
 	}
-	desk, err := handover.Open(handover.Path(c.State), log)
+	desk, err := handover.Listen(handover.Path(c.State), log)
 	if err != nil {
 		log.Error("no hand-over to another process: stop this one for a new version", "err", err)
 		return nil
@@ -58,25 +58,25 @@
 
 // giveWay lets another process take over, and returns once nothing of this one's is out any more. Where that one does
 // not come to serve, what it was given is returned.
-func (p *process) giveWay(ask *handover.Ask, sock *os.File, listener *protocol.Listener, loop *state.Loop, leave func(), rest func() error, desk *handover.Desk) *predecessor {
+func (p *process) giveWay(ask *handover.Request, sock *os.File, listener *protocol.Listener, loop *state.Loop, leave func(), rest func() error, desk *handover.Listener) *predecessor {
 	began := time.Now()
 	p.machine.enter(leaving)
 	listener.Close(began.Add(closeSpan))
 	leave()
 	// The keeper goes first: it sends nothing again any more, and what it has not written yet stays with the journal.
 	rested := rest()
-	legacy := handover.NewLegacy()
-	done := make(chan state.Given, 1)
-	loop.Post(state.GiveWay{Heir: legacy, Done: done})
+	legacy := handover.NewResultQueue()
+	done := make(chan state.HandOverResult, 1)
+	loop.Post(state.HandOver{Successor: legacy, Done: done})
 	given := <-done
-	given.Estate.Drained, given.Estate.Lease = p.machine.ordered()
+	given.State.Drained, given.State.Lease = p.machine.ordered()
 	gave := make(chan error, 1)
 	err := errors.Join(given.Err, rested)
 	if err != nil {
-		ask.Refuse(err.Error())
+		ask.Reject(err.Error())
 		gave <- err
 	} else {
-		go func() { gave <- ask.Give(sock, given.Estate) }()
+		go func() { gave <- ask.HandOver(sock, given.State) }()
 	}
 	var told time.Time
 	select {
@@ -97,19 +97,19 @@
 			return nil
 		}
 		return &predecessor{
-			estate: given.Estate, sock: back, ready: func() error { return nil }, run: legacy.Feed, over: legacy.Over(p.ctx),
+			estate: given.State, sock: back, ready: func() error { return nil }, run: legacy.PostTo, over: legacy.Drained(p.ctx),
 		}
 	}
 	if err != nil {
 		p.log.Error("stopped before another process had taken over; the journal has everything", "err", err)
 		return nil
 	}
-	p.log.Info("another process has taken over", "after", time.Since(began).Round(time.Millisecond), "out", len(given.Estate.Out))
+	p.log.Info("another process has taken over", "after", time.Since(began).Round(time.Millisecond), "out", len(given.State.InFlight))
 	desk.Close(true)
 	passing, end := context.WithCancel(p.ctx)
 	defer end()
 	passed := make(chan error, 1)
-	go func() { passed <- ask.Pass(passing, legacy) }()
+	go func() { passed <- ask.ForwardResults(passing, legacy) }()
 	if told.IsZero() {
 		select {
 		case <-passed:
--- a/internal/protocol/copies_test.go
+++ b/internal/protocol/copies_test.go
@@ -19,9 +19,9 @@
 // nowhere is a discovery and a platform that nothing is heard of.
 type nowhere struct{}
 
-func (nowhere) Watch(bool, int64) {}
-func (nowhere) Fetch()            {}
-func (nowhere) Tell(state.Notice) {}
+func (nowhere) Watch(bool, int64)           {}
+func (nowhere) Fetch()                      {}
+func (nowhere) Report(state.DeliveryReport) {}
 
 // Where second copies are not allowed, a message whose call is out on an open connection is not sent again: its
 // call may hold others that are waited for longer, and all of them wait as long.
@@ -72,12 +72,12 @@
 	}()
 
 	classes := []control.Class{
-		{Aim: 100 * time.Millisecond, Deadline: time.Minute, Worth: 1, Effect: control.Safe},
-		{Aim: 100 * time.Millisecond, Deadline: time.Minute, Worth: 1, Effect: control.Unsafe},
+		{LatencyObjective: 100 * time.Millisecond, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.Idempotent},
+		{LatencyObjective: 100 * time.Millisecond, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.NotIdempotent},
 	}
 	set := control.Settings{
-		Siblings: 1, Classes: classes, Kinds: []control.Kind{{Batch: 3, Apart: true}}, Slots: 8, SendCap: 12, ReportShare: -1, ReportLimit: -1,
-		FallWindow: 2 * time.Second, Cold: 10 * time.Second, ColdFrom: 0.2, FallMultiple: 2, CanCancel: true,
+		FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 3, SeparateRoutes: true}}, MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
+		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2, CanCancel: true,
 	}
 	var targets []state.Target // two routes to one address: the other is open at once
 	for _, id := range []string{"s", "t"} {
@@ -87,7 +87,7 @@
 	}
 	l, err := state.NewLoop(state.Setup{
 		Settings: set, Dir: t.TempDir(), DiskBytes: 1e6, Log: quiet,
-		Known: state.News{Form: control.ListCached, Version: 1, Targets: targets},
+		Known: state.ListUpdate{Kind: control.ListCached, Version: 1, Targets: targets},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -96,8 +96,8 @@
 	l.Connect(s, nowhere{}, nowhere{})
 	for i, id := range []string{"repeatable", "unrepeatable"} {
 		m := &state.Message{ID: id, Class: i, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("b")}
-		l.Post(state.Handed{Message: m, Verdict: make(chan state.Verdict, 1)})
-		l.Post(state.Answered{ID: id, OK: true})
+		l.Post(state.Submitted{Message: m, Response: make(chan state.Response, 1)})
+		l.Post(state.ResponseWritten{ID: id, OK: true})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
