--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -196,7 +196,7 @@
 	if !now.settles() {
 		return time.NewTimer(time.Hour)
 	}
-	return time.AfterFunc(openSpan, func() { d.post.Post(state.Settled{}) })
+	return time.AfterFunc(openSpan, func() { d.post.Post(state.PollOpen{}) })
 }
 
 // answerMost is how long an answer may take from its first byte on. Where that is longer than usual the list counts as
@@ -209,7 +209,7 @@
 }
 
 // told passes an answer on, and rests before the next question where that is called for.
-func (d *Discovery) told(ctx context.Context, now *want, news state.News, asked time.Time) {
+func (d *Discovery) told(ctx context.Context, now *want, news state.ListUpdate, asked time.Time) {
 	if now.retries > 0 {
 		d.Log.Info("discovery: the list is known again", "asks", now.retries, "version", news.Version)
 	}
@@ -220,7 +220,7 @@
 	rests := d.Rest > 0 && len(news.Targets) > 0
 	if rests && d.DrainGrace > 0 {
 		now.uncertain = time.Now()
-		news.Rests = true
+		news.PollPaused = true
 	}
 	d.post.Post(news)
 	if rests {
@@ -245,13 +245,13 @@
 	switch {
 	case errors.As(err, &unread):
 		d.Log.Warn("discovery: an answer broke off and is asked for again", "err", err, "bytes", len(unread.body), "asks", now.retries)
-		d.post.Post(state.Unread{At: unread.began, Leaving: leavingOf(unread.body, d.Names)})
+		d.post.Post(state.ListUnreadable{At: unread.began, Leaving: leavingOf(unread.body, d.Names)})
 		now.uncertain = unread.began
 		d.retry(ctx, now, err)
-	case !now.uncertain.IsZero() && time.Since(now.uncertain) < state.UncertainSpan(d.MustAsk):
+	case !now.uncertain.IsZero() && time.Since(now.uncertain) < state.UncertaintyTimeout(d.MustAsk):
 		d.Log.Info("discovery: no answer while the list is uncertain, asked again", "err", err, "asks", now.retries)
 		if !now.whole() {
-			d.post.Post(state.Unsettled{Since: now.uncertain})
+			d.post.Post(state.PollFailed{Since: now.uncertain})
 		}
 		d.retry(ctx, now, err)
 	case now.watch && !now.missed && (errors.Is(err, errSilent) || errors.Is(err, errEnded) && d.Rest == 0):
@@ -260,7 +260,7 @@
 	default:
 		d.Log.Info("discovery failed", "err", err, "since", now.since, "missed", now.missed)
 		now.failed()
-		d.post.Post(state.News{Form: control.ListFailed})
+		d.post.Post(state.ListUpdate{Kind: control.ListFailed})
 	}
 }
 
@@ -325,7 +325,7 @@
 
 // get asks once. A first watch without a version is the whole list. Its error is an unreadError where an answer began,
 // errSilent where none did in time, and errEnded where a connection that was up ended instead.
-func (d *Discovery) get(ctx context.Context, link *dialog, w want) (state.News, error) {
+func (d *Discovery) get(ctx context.Context, link *dialog, w want) (state.ListUpdate, error) {
 	path, limit := listPath, time.Now().Add(listSpan)
 	if !w.whole() {
 		wait := d.wait
@@ -338,40 +338,40 @@
 	said, err := link.ask(ctx, http.MethodGet, path, nil, limit)
 	switch {
 	case err == nil && said.status != http.StatusOK:
-		return state.News{}, fmt.Errorf("status %d", said.status)
+		return state.ListUpdate{}, fmt.Errorf("status %d", said.status)
 	case err == nil:
 		news, err := ParseList(said.body, d.Names)
 		if err != nil {
-			return state.News{}, &unreadError{said.began, said.body, err}
+			return state.ListUpdate{}, &unreadError{said.began, said.body, err}
 		}
 		return news, nil
 	case !said.began.IsZero() && !(!w.whole() && tellsNothing(said.body, w.since)):
-		return state.News{}, &unreadError{said.began, said.body, err}
+		return state.ListUpdate{}, &unreadError{said.began, said.body, err}
 	case !time.Now().Before(limit) || !said.began.IsZero():
-		return state.News{}, fmt.Errorf("%w: %w", errSilent, err)
+		return state.ListUpdate{}, fmt.Errorf("%w: %w", errSilent, err)
 	case errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE):
-		return state.News{}, fmt.Errorf("%w: %w", errEnded, err)
+		return state.ListUpdate{}, fmt.Errorf("%w: %w", errEnded, err)
 	}
-	return state.News{}, err
+	return state.ListUpdate{}, err
 }
 
 // ParseList reads discovery's list, or its changes.
-func ParseList(body []byte, n Names) (state.News, error) {
+func ParseList(body []byte, n Names) (state.ListUpdate, error) {
 	if !gjson.ValidBytes(body) {
-		return state.News{}, fmt.Errorf("list: not JSON")
+		return state.ListUpdate{}, fmt.Errorf("list: not JSON")
 	}
 	list := gjson.ParseBytes(body)
 	if !list.Get("servers").IsArray() || list.Get("version").Type != gjson.Number {
-		return state.News{}, fmt.Errorf("list: no servers or no version")
+		return state.ListUpdate{}, fmt.Errorf("list: no servers or no version")
 	}
-	news := state.News{Form: control.ListDelta, Version: list.Get("version").Int()}
+	news := state.ListUpdate{Kind: control.ListDelta, Version: list.Get("version").Int()}
 	if list.Get("full").Bool() {
-		news.Form = control.ListFull
+		news.Kind = control.ListFull
 	}
 	for _, s := range list.Get("servers").Array() {
 		t := targetOf(s, n)
 		if t.ID == "" {
-			return state.News{}, fmt.Errorf("list: an entry without id")
+			return state.ListUpdate{}, fmt.Errorf("list: an entry without id")
 		}
 		news.Targets = append(news.Targets, t)
 	}
--- a/internal/protocol/ends_test.go
+++ b/internal/protocol/ends_test.go
@@ -105,7 +105,7 @@
 		"makes room":       (*Listener).evict,
 	} {
 		p := newPosts()
-		p.verdict = state.Verdict{Taken: true}
+		p.verdict = state.Response{Accepted: true}
 		reading, there := make(chan struct{}), make(chan struct{})
 		l, conn := stage(t, &staged{read: func() error {
 			close(reading)
@@ -127,7 +127,7 @@
 // it sends the request once more on another connection.
 func TestRequestAcrossTheHalfClose(t *testing.T) {
 	p := newPosts()
-	p.verdict = state.Verdict{Taken: true}
+	p.verdict = state.Response{Accepted: true}
 	var conn net.Conn
 	s := &staged{read: func() error { return os.ErrDeadlineExceeded }}
 	connected := make(chan struct{})
@@ -152,16 +152,16 @@
 	for _, c := range []struct {
 		name, send string
 		status     int
-		verdict    state.Verdict
+		verdict    state.Response
 		leave      bool
 	}{
-		{"requests behind the last", last + strings.Repeat(handIn, 20), 202, state.Verdict{Taken: true}, false},
-		{"requests behind a refusal of one that leaves", handIn + strings.Repeat(handIn, 20), 503, state.Verdict{}, true},
-		{"a flood behind the last", last + flood, 202, state.Verdict{Taken: true}, false},
-		{"body too long", strings.Replace(handIn, "Length: 2", "Length: 400000", 1) + flood, 413, state.Verdict{}, false},
-		{"chunked", strings.Replace(handIn, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\nfffff\r\n", 1) + flood, 411, state.Verdict{}, false},
-		{"head too large", "GET /_health HTTP/1.1\r\nA: " + flood, 431, state.Verdict{}, false},
-		{"noise", "what is this\r\n\r\n" + flood, 400, state.Verdict{}, false},
+		{"requests behind the last", last + strings.Repeat(handIn, 20), 202, state.Response{Accepted: true}, false},
+		{"requests behind a refusal of one that leaves", handIn + strings.Repeat(handIn, 20), 503, state.Response{}, true},
+		{"a flood behind the last", last + flood, 202, state.Response{Accepted: true}, false},
+		{"body too long", strings.Replace(handIn, "Length: 2", "Length: 400000", 1) + flood, 413, state.Response{}, false},
+		{"chunked", strings.Replace(handIn, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\nfffff\r\n", 1) + flood, 411, state.Response{}, false},
+		{"head too large", "GET /_health HTTP/1.1\r\nA: " + flood, 431, state.Response{}, false},
+		{"noise", "what is this\r\n\r\n" + flood, 400, state.Response{}, false},
 	} {
 		p := newPosts()
 		p.verdict = c.verdict
@@ -196,11 +196,11 @@
 // A client whose verdict does not come is refused in its time, and its message is not taken on after that.
 func TestVerdictThatComesTooLate(t *testing.T) {
 	set := control.Settings{
-		Siblings: 1, Classes: testClasses, Kinds: []control.Kind{{Batch: 1}}, Slots: 8, SendCap: 12, ReportShare: -1, ReportLimit: -1,
-		Ask: true, MustAsk: time.Minute, FallWindow: 2 * time.Second, Cold: 10 * time.Second, ColdFrom: 0.2, FallMultiple: 2,
+		FleetSize: 1, Classes: testClasses, Kinds: []control.Kind{{MaxBatch: 1}}, MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
+		PollsList: true, MaxPollInterval: time.Minute, OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2,
 	}
 	dir := t.TempDir()
-	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, DiskBytes: 1e6, Log: quiet, Known: state.News{Form: control.ListCached}})
+	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, DiskBytes: 1e6, Log: quiet, Known: state.ListUpdate{Kind: control.ListCached}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,14 +269,14 @@
 // A 202 that can't be written whole is no 202: its client may hand the message in again, so this one is over.
 func TestHalfAnAnswer(t *testing.T) {
 	p := newPosts()
-	p.verdict = state.Verdict{Taken: true}
+	p.verdict = state.Response{Accepted: true}
 	_, conn := stage(t, &staged{write: func(c *net.TCPConn, b []byte) (int, error) {
 		n, _ := c.Write(b[:len(b)/2])
 		return n, syscall.ECONNRESET
 	}}, p)
 	io.WriteString(conn, handIn)
-	next[state.Handed](t, p)
-	if a := next[state.Answered](t, p); a.ID != "i" || a.OK {
+	next[state.Submitted](t, p)
+	if a := next[state.ResponseWritten](t, p); a.ID != "i" || a.OK {
 		t.Errorf("%+v", a)
 	}
 	if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
@@ -301,7 +301,7 @@
 
 func (p *askedPosts) PostBefore(e any, _ time.Time) bool {
 	p.ask()
-	e.(state.Handed).Verdict <- state.Verdict{Taken: true}
+	e.(state.Submitted).Response <- state.Response{Accepted: true}
 	return true
 }
 
--- a/internal/protocol/intake.go
+++ b/internal/protocol/intake.go
@@ -62,7 +62,7 @@
 		return nil, bad("X-Request-Id missing or malformed")
 	}
 	// Without its key a keyed message could not be repeated safely.
-	if m.Key == "" && classes[class].Effect == control.Keyed {
+	if m.Key == "" && classes[class].Idempotency == control.IdempotentByKey {
 		return nil, bad("Idempotency-Key missing")
 	}
 	if m.Key != "" && (!visible(m.Key) || m.Key == "-") {
@@ -81,7 +81,7 @@
 		return nil, bad("dest unparsable")
 	}
 	retry := r.Header.Get("X-Retry")
-	m.Again, m.Inherited = retry == "1", retry == "again"
+	m.Resubmitted, m.Inherited = retry == "1", retry == "again"
 	return m, nil
 }
 
--- a/internal/protocol/late_test.go
+++ b/internal/protocol/late_test.go
@@ -25,10 +25,10 @@
 		ends   []control.Result
 	}{
 		{"in time", nil, nil, "/receive-many a b c", []control.Result{control.Served, control.Served, control.Served}},
-		{"one is over", []int{1}, nil, "/receive-many a c", []control.Result{control.Served, control.NoConnection, control.Served}},
-		{"all but one are over", []int{0, 1}, nil, "/receive c", []control.Result{control.NoConnection, control.NoConnection, control.Served}},
-		{"withheld", []int{1}, (*Sender).Withhold, "", []control.Result{control.Moot, control.NoConnection, control.Moot}},
-		{"called off", nil, (*Sender).Abandon, "", []control.Result{control.NoConnection, control.NoConnection, control.NoConnection}},
+		{"one is over", []int{1}, nil, "/receive-many a c", []control.Result{control.Served, control.ConnectFailed, control.Served}},
+		{"all but one are over", []int{0, 1}, nil, "/receive c", []control.Result{control.ConnectFailed, control.ConnectFailed, control.Served}},
+		{"withheld", []int{1}, (*Sender).CancelUnsent, "", []control.Result{control.NotSent, control.ConnectFailed, control.NotSent}},
+		{"called off", nil, (*Sender).Cancel, "", []control.Result{control.ConnectFailed, control.ConnectFailed, control.ConnectFailed}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPosts()
@@ -62,19 +62,19 @@
 			call := callTo(addr, time.Minute, "a", "b", "c")
 			for n, i := range c.brief { // their time is up, or the window for repeats is over
 				if soon := time.Now().Add(10 * time.Millisecond); n%2 == 0 {
-					call.Forwards[i].Leave = soon
+					call.Attempts[i].NotAfter = soon
 				} else {
-					call.Forwards[i].Deadline = soon
+					call.Attempts[i].Deadline = soon
 				}
 			}
-			s.Carry(call)
-			ends := map[*state.Forward]control.Result{}
+			s.Send(call)
+			ends := map[*state.Attempt]control.Result{}
 			take := func() {
-				for _, e := range next[state.Ended](t, p).Ends {
-					if _, twice := ends[e.Forward]; twice {
-						t.Errorf("%s ended twice", e.Forward.Message.ID)
+				for _, e := range next[state.CallEnded](t, p).Results {
+					if _, twice := ends[e.Attempt]; twice {
+						t.Errorf("%s ended twice", e.Attempt.Message.ID)
 					}
-					ends[e.Forward] = e.Result
+					ends[e.Attempt] = e.Result
 				}
 			}
 			for len(ends) < len(c.brief) {
@@ -89,7 +89,7 @@
 				take()
 			}
 			for i, want := range c.ends {
-				if f := call.Forwards[i]; ends[f] != want {
+				if f := call.Attempts[i]; ends[f] != want {
 					t.Errorf("%s ended with %v, want %v", f.Message.ID, ends[f], want)
 				}
 			}
@@ -113,7 +113,7 @@
 		return socktest.Status(200)
 	})
 	call := callTo(addr, 0, "a") // over from the start, as those of a call to which others belonged
-	f := &flight{Sender: s, call: call, ended: make([]bool, 1), forwards: call.Forwards}
+	f := &flight{Sender: s, call: call, ended: make([]bool, 1), forwards: call.Attempts}
 	f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 	defer f.cancel()
 	up, flown := make(chan struct{}), make(chan struct{})
@@ -122,7 +122,7 @@
 		return dial(context.Background(), addr)
 	}
 	go func() { defer close(flown); f.fly() }()
-	if e := next[state.Ended](t, p).Ends[0]; e.Result != control.NoConnection {
+	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.ConnectFailed {
 		t.Errorf("%+v", e)
 	}
 	close(up)
@@ -140,12 +140,12 @@
 	defer theirs.Close()
 	s.dial = func(context.Context, string) (*link, error) { return newLink(ours), nil }
 	call := callTo("nowhere", time.Minute, "a", "b")
-	call.Forwards[1].Deadline = time.Now().Add(50 * time.Millisecond)
-	s.Carry(call)
+	call.Attempts[1].Deadline = time.Now().Add(50 * time.Millisecond)
+	s.Send(call)
 	io.ReadFull(theirs, make([]byte, 40)) // the begin, and nothing more
-	for _, e := range next[state.Ended](t, p).Ends {
-		if e.Result != control.NoConnection {
-			t.Errorf("%s: %+v", e.Forward.Message.ID, e)
+	for _, e := range next[state.CallEnded](t, p).Results {
+		if e.Result != control.ConnectFailed {
+			t.Errorf("%s: %+v", e.Attempt.Message.ID, e)
 		}
 	}
 }
@@ -155,15 +155,15 @@
 func TestAnsweredBeforeTheLastByte(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
-		want         state.End
+		want         state.AttemptResult
 	}{
-		{"a wait", socktest.Status(429, "Retry-After: 0.75"), state.End{Result: control.Full, Wait: 750 * time.Millisecond}},
-		{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"), state.End{Result: control.Full, Wait: 4 * time.Second}},
-		{"no room", socktest.Status(503, "Connection: close"), state.End{Result: control.Crowded}},
-		{"an error", socktest.Status(500), state.End{Result: control.NoConnection}},
-		{"delivered, it says", socktest.Status(200), state.End{Result: control.NoConnection}},
-		{"half an answer", "HTTP/1.1 429 x\r\nRetry-Af", state.End{Result: control.NoConnection}},
-		{"nothing", "", state.End{Result: control.NoConnection}},
+		{"a wait", socktest.Status(429, "Retry-After: 0.75"), state.AttemptResult{Result: control.Rejected, RetryAfter: 750 * time.Millisecond}},
+		{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"), state.AttemptResult{Result: control.Rejected, RetryAfter: 4 * time.Second}},
+		{"no room", socktest.Status(503, "Connection: close"), state.AttemptResult{Result: control.ConnectionRejected}},
+		{"an error", socktest.Status(500), state.AttemptResult{Result: control.ConnectFailed}},
+		{"delivered, it says", socktest.Status(200), state.AttemptResult{Result: control.ConnectFailed}},
+		{"half an answer", "HTTP/1.1 429 x\r\nRetry-Af", state.AttemptResult{Result: control.ConnectFailed}},
+		{"nothing", "", state.AttemptResult{Result: control.ConnectFailed}},
 	} {
 		p := newPosts()
 		s := NewSender(p, time.Minute, 8, quiet)
@@ -190,13 +190,13 @@
 			return l, err
 		}
 		call := callTo(sock.Addr().String(), time.Minute, "a")
-		call.Forwards[0].Message.Body = make([]byte, 8<<20) // more than any buffer on the way holds
-		s.Carry(call)
-		e := next[state.Ended](t, p).Ends[0]
-		if e.Left.IsZero() {
+		call.Attempts[0].Message.Body = make([]byte, 8<<20) // more than any buffer on the way holds
+		s.Send(call)
+		e := next[state.CallEnded](t, p).Results[0]
+		if e.SentAt.IsZero() {
 			t.Errorf("%s: nothing was written", c.name)
 		}
-		e.Took, e.Left, e.Forward = 0, time.Time{}, nil
+		e.Elapsed, e.SentAt, e.Attempt = 0, time.Time{}, nil
 		if e != c.want {
 			t.Errorf("%s: %+v, want %+v", c.name, e, c.want)
 		}
@@ -233,12 +233,12 @@
 				io.WriteString(conn, c.answer[:n])
 				conn.Close()
 			}()
-			s.Carry(callTo(sock.Addr().String(), time.Minute, c.ids...))
-			ends := next[state.Ended](t, p).Ends
-			want := control.Errored
+			s.Send(callTo(sock.Addr().String(), time.Minute, c.ids...))
+			ends := next[state.CallEnded](t, p).Results
+			want := control.Failed
 			switch {
 			case n == 0:
-				want = control.Broken
+				want = control.ConnectionLost
 			case n >= c.whole:
 				want = control.Served
 			}
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -420,12 +420,12 @@
 	if l.turnsAway() {
 		return l.reply(k, http.StatusServiceUnavailable, busyPause, "drained", true)
 	}
-	verdict := make(chan state.Verdict, 1)
+	verdict := make(chan state.Response, 1)
 	limit := time.Now().Add(answerSpan)
 	if l.claims != nil && m.Key != "" && !l.claims.Claim(m.Class, m.Key, limit) {
 		return l.reply(k, http.StatusServiceUnavailable, busyPause, "a message with this key is on its way", last)
 	}
-	handed := state.Handed{Message: m, Verdict: verdict, Decision: &state.Decision{}}
+	handed := state.Submitted{Message: m, Response: verdict, Decision: &state.AdmissionDecision{}}
 	if !l.to.PostBefore(handed, limit) {
 		return l.reply(k, http.StatusServiceUnavailable, busyPause, "busy", last)
 	}
@@ -434,23 +434,23 @@
 	switch {
 	case !decided:
 		return l.reply(k, http.StatusServiceUnavailable, busyPause, "busy", last)
-	case v.Taken:
+	case v.Accepted:
 		err := l.write(k, http.StatusAccepted, 0, "", last)
-		l.to.Post(state.Answered{ID: m.ID, OK: err == nil})
+		l.to.Post(state.ResponseWritten{ID: m.ID, OK: err == nil})
 		return err == nil && !last
-	case v.Wrong == state.NoDestination:
+	case v.Invalid == state.UnknownDestination:
 		return l.reply(k, http.StatusBadRequest, 0, "unknown destination", last)
-	case v.Wrong == state.IDTaken:
+	case v.Invalid == state.DuplicateID:
 		return l.reply(k, http.StatusConflict, 0, "X-Request-Id in use", last)
-	case v.Fatal:
+	case v.Permanent:
 		return l.reply(k, http.StatusInternalServerError, 0, "failed", last)
 	}
-	return l.reply(k, http.StatusServiceUnavailable, v.Again, "come again", last)
+	return l.reply(k, http.StatusServiceUnavailable, v.RetryAfter, "come again", last)
 }
 
 // await waits for the verdict on a message until a limit. Where none has come by then the message is refused, and can't
 // be taken on any more; one that was taken on in that instant is not refused.
-func await(verdict <-chan state.Verdict, d *state.Decision, limit time.Time) (v state.Verdict, decided bool) {
+func await(verdict <-chan state.Response, d *state.AdmissionDecision, limit time.Time) (v state.Response, decided bool) {
 	timer := time.NewTimer(time.Until(limit))
 	defer timer.Stop()
 	select {
@@ -458,7 +458,7 @@
 		return v, true
 	case <-timer.C:
 	}
-	if d.Refuse() {
+	if d.Reject() {
 		return v, false
 	}
 	return <-verdict, true
--- a/internal/protocol/notices.go
+++ b/internal/protocol/notices.go
@@ -31,7 +31,7 @@
 
 	mu   sync.Mutex
 	addr string
-	wait []state.Notice
+	wait []state.DeliveryReport
 }
 
 // NewNotices returns the platform's notifier.
@@ -39,8 +39,8 @@
 	return &Notices{post: post, addr: addr, log: log, more: make(chan struct{}, 1)}
 }
 
-// Tell queues a notice.
-func (n *Notices) Tell(notice state.Notice) {
+// Report queues a notice.
+func (n *Notices) Report(notice state.DeliveryReport) {
 	n.mu.Lock()
 	n.wait = append(n.wait, notice)
 	n.mu.Unlock()
@@ -58,7 +58,7 @@
 }
 
 // head returns the notices that go next, and where to.
-func (n *Notices) head() ([]state.Notice, string) {
+func (n *Notices) head() ([]state.DeliveryReport, string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.wait[:min(len(n.wait), noticeMost)], n.addr
@@ -73,7 +73,7 @@
 	}
 	n.wait = n.wait[count:]
 	n.mu.Unlock()
-	n.post.Post(state.Acknowledged{Nums: nums})
+	n.post.Post(state.ReportsAcknowledged{Nums: nums})
 }
 
 // Run delivers notices until the context ends.
@@ -127,7 +127,7 @@
 }
 
 // encodeNotices writes one JSON object a line.
-func encodeNotices(batch []state.Notice) []byte {
+func encodeNotices(batch []state.DeliveryReport) []byte {
 	var out []byte
 	for _, n := range batch {
 		line := struct {
@@ -137,7 +137,7 @@
 		}{ID: n.ID, Status: "undeliverable"}
 		if n.Deferred {
 			line.Status = "deferred"
-			if ms := n.Again.Milliseconds(); ms > 0 {
+			if ms := n.RetryAfter.Milliseconds(); ms > 0 {
 				line.Again = &ms
 			}
 		}
--- a/internal/protocol/parse_test.go
+++ b/internal/protocol/parse_test.go
@@ -18,7 +18,7 @@
 		Zones: map[string]int{"a": 0, "b": 1}, Kinds: map[string]int{"big": 0},
 	}
 	testClasses = []control.Class{
-		{Deadline: 8 * time.Second}, {Deadline: 20 * time.Second, Effect: control.Keyed},
+		{Deadline: 8 * time.Second}, {Deadline: 20 * time.Second, Idempotency: control.IdempotentByKey},
 	}
 )
 
@@ -87,9 +87,9 @@
 
 func TestParseEnds(t *testing.T) {
 	got := parseEnds([]byte("a delivered\r\nb failed\nc refused\nd over\ne spent\n"))
-	for id, want := range map[string]state.End{
-		"a": {Result: control.Served, Finished: true}, "b": {Result: control.Errored}, "c": {Result: control.Full},
-		"d": {Result: control.Moot, Finished: true}, "e": {Result: control.Moot},
+	for id, want := range map[string]state.AttemptResult{
+		"a": {Result: control.Served, Final: true}, "b": {Result: control.Failed}, "c": {Result: control.Rejected},
+		"d": {Result: control.NotSent, Final: true}, "e": {Result: control.NotSent},
 	} {
 		if got[id] != want {
 			t.Errorf("%s: %+v, want %+v", id, got[id], want)
@@ -121,7 +121,7 @@
 		if len(n.Targets) == 1 && c.ok {
 			want := state.Target{ID: "s", Addr: "h:1"}
 			want.Endpoint = control.Endpoint{Destination: 3, Zone: 1, State: control.Draining, Weight: 1.5}
-			if n.Targets[0] != want || n.Form == control.ListFailed || n.Version != 4 {
+			if n.Targets[0] != want || n.Kind == control.ListFailed || n.Version != 4 {
 				t.Errorf("read as %+v", n)
 			}
 		}
@@ -129,13 +129,13 @@
 }
 
 func TestEncode(t *testing.T) {
-	body := encodeFrames([]*state.Forward{
+	body := encodeFrames([]*state.Attempt{
 		{Message: &state.Message{ID: "a", Body: []byte("he\r\nlo")}}, {Message: &state.Message{ID: "b", Key: "k"}},
 	})
 	if want := "a - 6\r\nhe\r\nlo\r\nb k 0\r\n\r\n"; string(body) != want {
 		t.Errorf("frames %q, want %q", body, want)
 	}
-	notices := encodeNotices([]state.Notice{{ID: "a", Deferred: true, Again: 500 * time.Millisecond}, {ID: "b"}})
+	notices := encodeNotices([]state.DeliveryReport{{ID: "a", Deferred: true, RetryAfter: 500 * time.Millisecond}, {ID: "b"}})
 	want := `{"id":"a","status":"deferred","again_ms":500}` + "\n" + `{"id":"b","status":"undeliverable"}` + "\n"
 	if string(notices) != want {
 		t.Errorf("notices %q, want %q", notices, want)
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"cleathold/internal/note"
+	"cleathold/internal/gossip"
 	"cleathold/internal/state"
 )
 
@@ -52,9 +52,9 @@
 	return p, err
 }
 
-// Tell sends a note to all. One that can't be sent is lost, as any may be.
-func (p *Peers) Tell(facts []note.Fact) {
-	p.conn.WriteToUDPAddrPort(note.Encode(facts), p.all)
+// SendGossip sends a note to all. One that can't be sent is lost, as any may be.
+func (p *Peers) SendGossip(facts []gossip.Observation) {
+	p.conn.WriteToUDPAddrPort(gossip.Encode(facts), p.all)
 }
 
 // Run takes notes until the context ends. Those from strangers, too long, cut
@@ -67,7 +67,7 @@
 			p.log.Info("notes dropped", "count", n)
 		}
 	}()
-	buf := make([]byte, note.MaxSize+1)
+	buf := make([]byte, gossip.MaxSize+1)
 	for span, read := time.Now(), 0; ; read++ {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -84,11 +84,11 @@
 			span, read = now, 0
 		}
 		sender, known := p.known[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		facts, err := note.Decode(buf[:n])
+		facts, err := gossip.Decode(buf[:n])
 		if !known || err != nil {
 			p.dropped.Add(1)
 			continue
 		}
-		post.Post(state.Heard{Sender: sender, Facts: facts})
+		post.Post(state.GossipReceived{Peer: sender, Observations: facts})
 	}
 }
--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"cleathold/control"
-	"cleathold/internal/note"
+	"cleathold/internal/gossip"
 	"cleathold/internal/state"
 )
 
@@ -31,22 +31,22 @@
 	posts, ended := newPosts(), make(chan struct{})
 	go func() { defer close(ended); p.Run(ctx, posts) }()
 	to := p.conn.LocalAddr().(*net.UDPAddr)
-	good := note.Encode([]note.Fact{{Name: 5, What: control.SawRefusal, Ago: 20 * time.Millisecond}})
+	good := gossip.Encode([]gossip.Observation{{EndpointHash: 5, Kind: control.ObservedRejection, Age: 20 * time.Millisecond}})
 	stranger.WriteToUDP(good, to)
 	own.WriteToUDP(good, to)
-	sibling.WriteToUDP(make([]byte, 2*note.MaxSize), to)
+	sibling.WriteToUDP(make([]byte, 2*gossip.MaxSize), to)
 	sibling.WriteToUDP(good[:4], to)
 	sibling.WriteToUDP([]byte{200, 1, 2, 3, 4, 5, 6}, to)
 	sibling.WriteToUDP(good, to)
-	h := next[state.Heard](t, posts)
-	if h.Sender != 1 || len(h.Facts) != 1 || h.Facts[0].Name != 5 || len(posts.events) > 0 {
+	h := next[state.GossipReceived](t, posts)
+	if h.Peer != 1 || len(h.Observations) != 1 || h.Observations[0].EndpointHash != 5 || len(posts.events) > 0 {
 		t.Errorf("heard %+v, and %d more", h, len(posts.events))
 	}
 	if n := p.dropped.Load(); n != 5 {
 		t.Errorf("%d dropped, want 5", n)
 	}
-	p.Tell(h.Facts)
-	buf := make([]byte, note.MaxSize)
+	p.SendGossip(h.Observations)
+	buf := make([]byte, gossip.MaxSize)
 	sibling.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, _, err := sibling.ReadFromUDP(buf); err != nil || string(buf[:n]) != string(good) {
 		t.Errorf("told %x, %v", buf[:n], err)
--- a/internal/protocol/relay.go
+++ b/internal/protocol/relay.go
@@ -17,24 +17,24 @@
 
 // all ends every forward that has not ended yet in the same way.
 func (f *flight) all(r control.Result) {
-	f.end(func(*state.Forward) (state.End, bool) { return state.End{Result: r}, true })
+	f.end(func(*state.Attempt) (state.AttemptResult, bool) { return state.AttemptResult{Result: r}, true })
 }
 
 // end posts the ends of the forwards for which there is one.
-func (f *flight) end(of func(w *state.Forward) (state.End, bool)) {
-	var ends []state.End
+func (f *flight) end(of func(w *state.Attempt) (state.AttemptResult, bool)) {
+	var ends []state.AttemptResult
 	for i, w := range f.forwards {
 		if f.ended[i] {
 			continue
 		}
 		if e, ok := of(w); ok {
-			e.Forward, e.Took, e.Left = w, time.Since(f.began), f.left
+			e.Attempt, e.Elapsed, e.SentAt = w, time.Since(f.began), f.left
 			f.ended[i] = true
 			ends = append(ends, e)
 		}
 	}
 	if len(ends) > 0 {
-		f.post.Post(state.Ended{Call: f.call, Ends: ends})
+		f.post.Post(state.CallEnded{Call: f.call, Results: ends})
 	}
 }
 
@@ -94,14 +94,16 @@
 }
 
 // overdue ends the forwards whose time has come.
-func (f *flight) overdue(r control.Result, by func(*state.Forward) time.Time) {
+func (f *flight) overdue(r control.Result, by func(*state.Attempt) time.Time) {
 	now := time.Now()
-	f.end(func(w *state.Forward) (state.End, bool) { return state.End{Result: r}, !now.Before(by(w)) })
+	f.end(func(w *state.Attempt) (state.AttemptResult, bool) {
+		return state.AttemptResult{Result: r}, !now.Before(by(w))
+	})
 }
 
 // next is the earliest time of a forward that waits, if the call itself ends later; the zero time, for none, lifts
 // a connection's deadline.
-func (f *flight) next(by func(*state.Forward) time.Time) (next time.Time, ok bool) {
+func (f *flight) next(by func(*state.Attempt) time.Time) (next time.Time, ok bool) {
 	last, _ := f.ctx.Deadline()
 	for i, w := range f.forwards {
 		if t := by(w); !f.ended[i] && t.Before(last) && (!ok || t.Before(next)) {
@@ -112,12 +114,12 @@
 }
 
 // answerBy is how long a forward that has left is waited for.
-func answerBy(w *state.Forward) time.Time { return w.Deadline }
+func answerBy(w *state.Attempt) time.Time { return w.Deadline }
 
 // leaveBy is the time after which a forward must not leave.
-func leaveBy(w *state.Forward) time.Time {
-	if !w.Leave.IsZero() && w.Leave.Before(w.Deadline) {
-		return w.Leave
+func leaveBy(w *state.Attempt) time.Time {
+	if !w.NotAfter.IsZero() && w.NotAfter.Before(w.Deadline) {
+		return w.NotAfter
 	}
 	return w.Deadline
 }
@@ -127,11 +129,11 @@
 	last, _ := f.ctx.Deadline()
 	switch {
 	case errors.Is(err, errMalformed):
-		f.all(control.Errored) // the target is there, and what it did is not known
+		f.all(control.Failed) // the target is there, and what it did is not known
 	case f.ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded):
-		f.all(control.Broken)
+		f.all(control.ConnectionLost)
 	case time.Now().Before(last):
-		f.all(control.Cancelled)
+		f.all(control.Canceled)
 	default:
 		f.all(control.TimedOut)
 	}
@@ -143,28 +145,28 @@
 	case http.StatusOK:
 		return control.Served
 	case http.StatusInternalServerError:
-		return control.Errored
+		return control.Failed
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return control.Full
+		return control.Rejected
 	case http.StatusGatewayTimeout, http.StatusGone:
-		return control.Moot
+		return control.NotSent
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
-		return control.Rejected
+		return control.Unprocessable
 	}
 	return control.Unknown
 }
 
 // endOf is what an answer says of all messages of a call.
-func endOf(r reply) state.End {
-	e := state.End{Result: resultOf(r.status), Finished: r.status == http.StatusOK || r.status == http.StatusGone}
-	e.Wait, _ = parseSeconds(r.header.Get("Retry-After"))
+func endOf(r reply) state.AttemptResult {
+	e := state.AttemptResult{Result: resultOf(r.status), Final: r.status == http.StatusOK || r.status == http.StatusGone}
+	e.RetryAfter, _ = parseSeconds(r.header.Get("Retry-After"))
 	if r.header.Get("X-Over-Slots") == "1" {
-		e.Result, e.NoSlot = control.Moot, true
+		e.Result, e.NoSlot = control.NotSent, true
 	}
 	// One who turns a call away above a limit keeps the connection for the next. One who closes it has no room
 	// for connections: that is over as soon as another is closed, and says nothing of the limit.
-	if e.Result == control.Full && r.last && e.Wait == 0 {
-		e.Result = control.Crowded
+	if e.Result == control.Rejected && r.last && e.RetryAfter == 0 {
+		e.Result = control.ConnectionRejected
 	}
 	return e
 }
@@ -180,11 +182,11 @@
 		return
 	}
 	status, e := r.status, endOf(r)
-	if e.Result == control.Rejected {
+	if e.Result == control.Unprocessable {
 		f.log.Error("target rejects a call", "target", f.call.Target.ID, "status", status, "messages", len(f.forwards))
 	}
 	if status != http.StatusOK || len(f.forwards) == 1 {
-		f.end(func(*state.Forward) (state.End, bool) { return e, true })
+		f.end(func(*state.Attempt) (state.AttemptResult, bool) { return e, true })
 		return
 	}
 	said := parseEnds(r.body)
@@ -194,17 +196,17 @@
 			return
 		}
 	}
-	f.end(func(w *state.Forward) (state.End, bool) {
+	f.end(func(w *state.Attempt) (state.AttemptResult, bool) {
 		each := said[w.Message.ID]
-		each.Wait = e.Wait
+		each.RetryAfter = e.RetryAfter
 		return each, true
 	})
 }
 
 // parseEnds reads the lines with each message's end. Where one can't be read
 // or names a message twice, none of the others is to be believed.
-func parseEnds(body []byte) map[string]state.End {
-	ends := map[string]state.End{}
+func parseEnds(body []byte) map[string]state.AttemptResult {
+	ends := map[string]state.AttemptResult{}
 	for line := range bytes.Lines(body) {
 		w := strings.Fields(string(line))
 		if len(w) == 0 {
@@ -218,15 +220,15 @@
 		}
 		switch w[1] {
 		case "delivered":
-			ends[w[0]] = state.End{Result: control.Served, Finished: true}
+			ends[w[0]] = state.AttemptResult{Result: control.Served, Final: true}
 		case "failed":
-			ends[w[0]] = state.End{Result: control.Errored}
+			ends[w[0]] = state.AttemptResult{Result: control.Failed}
 		case "refused":
-			ends[w[0]] = state.End{Result: control.Full}
+			ends[w[0]] = state.AttemptResult{Result: control.Rejected}
 		case "over":
-			ends[w[0]] = state.End{Result: control.Moot, Finished: true}
+			ends[w[0]] = state.AttemptResult{Result: control.NotSent, Final: true}
 		case "spent":
-			ends[w[0]] = state.End{Result: control.Moot}
+			ends[w[0]] = state.AttemptResult{Result: control.NotSent}
 		default:
 			return nil
 		}
--- a/internal/protocol/reset_test.go
+++ b/internal/protocol/reset_test.go
@@ -35,7 +35,7 @@
 // had left, so the call may have run, and none of its messages is taken for one that has not.
 func TestResetUnderCall(t *testing.T) {
 	f := &flight{call: callTo("127.0.0.1:99999", time.Minute, "a", "b")}
-	f.forwards = f.call.Forwards
+	f.forwards = f.call.Attempts
 	f.ctx = t.Context()
 	head, body := f.encode()
 	for _, kept := range []bool{false, true} {
@@ -52,14 +52,14 @@
 				reset(conn)
 			})
 			if kept {
-				s.Carry(callTo(addr, time.Minute, "first"))
-				if e := next[state.Ended](t, p).Ends[0]; e.Result != control.Errored {
+				s.Send(callTo(addr, time.Minute, "first"))
+				if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Failed {
 					t.Fatalf("%+v", e)
 				}
 			}
-			s.Carry(callTo(addr, time.Minute, "a", "b"))
-			ends := next[state.Ended](t, p).Ends
-			if len(ends) != 2 || ends[0].Result != control.Broken || ends[1].Result != control.Broken {
+			s.Send(callTo(addr, time.Minute, "a", "b"))
+			ends := next[state.CallEnded](t, p).Results
+			if len(ends) != 2 || ends[0].Result != control.ConnectionLost || ends[1].Result != control.ConnectionLost {
 				t.Errorf("kept %t, reset after %d bytes: %+v", kept, n, ends)
 			}
 		}
@@ -74,9 +74,9 @@
 		end  func(*net.TCPConn)
 		want control.Result
 	}{
-		{"closed", func(conn *net.TCPConn) { conn.Close() }, control.Broken},
-		{"half-closed", func(conn *net.TCPConn) { conn.CloseWrite() }, control.Broken},
-		{"reset", reset, control.NoConnection},
+		{"closed", func(conn *net.TCPConn) { conn.Close() }, control.ConnectionLost},
+		{"half-closed", func(conn *net.TCPConn) { conn.CloseWrite() }, control.ConnectionLost},
+		{"reset", reset, control.ConnectFailed},
 	} {
 		p := newPosts()
 		s := NewSender(p, time.Minute, 8, quiet)
@@ -87,12 +87,12 @@
 			receive(in)
 			io.WriteString(conn, socktest.Status(200))
 		})
-		s.Carry(callTo(addr, time.Minute, "first"))
-		if e := next[state.Ended](t, p).Ends[0]; e.Result != control.Served {
+		s.Send(callTo(addr, time.Minute, "first"))
+		if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served {
 			t.Fatalf("%+v", e)
 		}
 		call := callTo(addr, time.Minute, "a")
-		f := &flight{Sender: s, call: call, ended: make([]bool, 1), forwards: call.Forwards}
+		f := &flight{Sender: s, call: call, ended: make([]bool, 1), forwards: call.Attempts}
 		f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 		defer f.cancel()
 		l, err := f.connection() // it looks...
@@ -104,7 +104,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		f.carry(l)
-		if e := next[state.Ended](t, p).Ends[0]; e.Result != c.want {
+		if e := next[state.CallEnded](t, p).Results[0]; e.Result != c.want {
 			t.Errorf("%s: %+v, want %v", c.name, e, c.want)
 		}
 		if s.pool.pop("s") != nil {
@@ -125,9 +125,9 @@
 			}
 			return socktest.Status(500)
 		})
-		for _, want := range []control.Result{control.Served, control.Errored} {
-			s.Carry(callTo(addr, time.Minute, "a"))
-			if e := next[state.Ended](t, p).Ends[0]; e.Result != want {
+		for _, want := range []control.Result{control.Served, control.Failed} {
+			s.Send(callTo(addr, time.Minute, "a"))
+			if e := next[state.CallEnded](t, p).Results[0]; e.Result != want {
 				t.Errorf("%q: %+v, want %v", stray, e, want)
 			}
 		}
@@ -141,8 +141,8 @@
 }
 
 func (a *abandoner) Post(e any) {
-	if e, ok := e.(state.Ended); ok {
-		a.s.Abandon(e.Call)
+	if e, ok := e.(state.CallEnded); ok {
+		a.s.Cancel(e.Call)
 	}
 	a.posts.Post(e)
 }
@@ -160,10 +160,10 @@
 		conns <- conn
 		switch when {
 		case "before":
-			s.Abandon(call)
+			s.Cancel(call)
 			s.settle()
 		case "between":
-			s.Abandon(call)
+			s.Cancel(call)
 		}
 		return socktest.Status(200)
 	})
@@ -174,14 +174,14 @@
 	}{
 		{"after", []control.Result{control.Served}, false},
 		{"after", []control.Result{control.Served}, true},
-		{"before", []control.Result{control.Cancelled}, true},
+		{"before", []control.Result{control.Canceled}, true},
 		{"after", []control.Result{control.Served}, false},
-		{"between", []control.Result{control.Cancelled, control.Served}, true},
+		{"between", []control.Result{control.Canceled, control.Served}, true},
 	} {
 		call, when = callTo(addr, time.Minute, "a"), c.when
 		last := s.pool.count
-		s.Carry(call)
-		ends := next[state.Ended](t, p.posts).Ends
+		s.Send(call)
+		ends := next[state.CallEnded](t, p.posts).Results
 		if len(ends) != 1 || !slices.Contains(c.want, ends[0].Result) || c.kept != (last == 1) {
 			t.Errorf("%s: %+v, want one of %v; %d connections kept before", c.when, ends, c.want, last)
 		}
@@ -234,7 +234,7 @@
 	<-watched
 	d.Move(addr)
 	close(moved)
-	if n := next[state.News](t, p); n.Form != control.ListFull || n.Targets[0].ID != "new" {
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
 		t.Errorf("%+v", n)
 	}
 }
@@ -265,7 +265,7 @@
 	d.Watch(true, 3)
 	moved := time.Now()
 	d.Move(addr)
-	if n := next[state.News](t, p); n.Form != control.ListFull || n.Targets[0].ID != "new" {
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
 		t.Errorf("%+v", n)
 	}
 	if took := time.Since(moved); took > 4*time.Second {
--- a/internal/protocol/send.go
+++ b/internal/protocol/send.go
@@ -34,7 +34,7 @@
 	live map[*state.Call]*flight
 }
 
-var _ state.Carrier = (*Sender)(nil)
+var _ state.Transport = (*Sender)(nil)
 
 // maxProbes bounds the probes out at once.
 const maxProbes = 32
@@ -51,17 +51,17 @@
 // Run drops connections before their targets do, until the context ends.
 func (s *Sender) Run(ctx context.Context) { s.pool.run(ctx) }
 
-// Carry sends a call on a goroutine of its own. The controller's slots bound
+// Send sends a call on a goroutine of its own. The controller's slots bound
 // how many there are.
-func (s *Sender) Carry(c *state.Call) {
-	last := c.Forwards[0].Deadline
-	for _, f := range c.Forwards {
+func (s *Sender) Send(c *state.Call) {
+	last := c.Attempts[0].Deadline
+	for _, f := range c.Attempts {
 		if f.Deadline.After(last) {
 			last = f.Deadline
 		}
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), last)
-	f := &flight{Sender: s, call: c, ctx: ctx, cancel: cancel, began: time.Now(), forwards: c.Forwards, ended: make([]bool, len(c.Forwards))}
+	f := &flight{Sender: s, call: c, ctx: ctx, cancel: cancel, began: time.Now(), forwards: c.Attempts, ended: make([]bool, len(c.Attempts))}
 	s.mu.Lock()
 	s.live[c] = f
 	s.mu.Unlock()
@@ -74,8 +74,8 @@
 	}()
 }
 
-// Abandon gives a call up by closing its connection.
-func (s *Sender) Abandon(c *state.Call) {
+// Cancel gives a call up by closing its connection.
+func (s *Sender) Cancel(c *state.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.live[c]; f != nil {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Withhold ends a call that still waits for its connection.
-func (s *Sender) Withhold(c *state.Call) {
+// CancelUnsent ends a call that still waits for its connection.
+func (s *Sender) CancelUnsent(c *state.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.live[c]; f != nil && f.stage.CompareAndSwap(connecting, withheld) {
@@ -95,19 +95,19 @@
 // Disconnect closes the idle connections to a target.
 func (s *Sender) Disconnect(target string) { s.pool.drop(target) }
 
-// Probe asks a target how it is, on a goroutine of its own.
-func (s *Sender) Probe(t state.Target, deadline time.Time) {
+// HealthCheck asks a target how it is, on a goroutine of its own.
+func (s *Sender) HealthCheck(t state.Target, deadline time.Time) {
 	select {
 	case s.probes <- struct{}{}:
 	default:
-		go s.post.Post(state.Probed{Target: t.Endpoint.ID, Result: control.Unknown})
+		go s.post.Post(state.HealthChecked{Target: t.Endpoint.ID, Result: control.Unknown})
 		return
 	}
 	go func() {
 		defer func() { <-s.probes }()
 		began := time.Now()
 		r := s.probe(t, deadline)
-		s.post.Post(state.Probed{Target: t.Endpoint.ID, Result: r, Took: time.Since(began)})
+		s.post.Post(state.HealthChecked{Target: t.Endpoint.ID, Result: r, Elapsed: time.Since(began)})
 	}()
 }
 
@@ -116,7 +116,7 @@
 	defer cancel()
 	l, err := s.connect(ctx, t)
 	if err != nil {
-		return control.NoConnection
+		return control.ConnectFailed
 	}
 	d := dialog{addr: t.Addr, link: l}
 	said, err := d.ask(ctx, http.MethodGet, "/ping", nil, deadline)
@@ -124,7 +124,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return control.TimedOut
 	case err != nil:
-		return control.Broken
+		return control.ConnectionLost
 	}
 	if d.link != nil {
 		s.pool.put(t.ID, d.link)
@@ -150,7 +150,7 @@
 	left   time.Time // when its first byte was written; zero: not yet
 	stage  atomic.Int32
 
-	forwards []*state.Forward // of the call, those that go out with it...
+	forwards []*state.Attempt // of the call, those that go out with it...
 	ended    []bool           // ...and which of them have ended
 }
 
@@ -170,11 +170,11 @@
 		if err == nil {
 			f.pool.put(t.ID, l)
 		}
-		f.all(control.Moot)
+		f.all(control.NotSent)
 		return
 	}
 	if err != nil {
-		f.all(control.NoConnection)
+		f.all(control.ConnectFailed)
 		return
 	}
 	if !f.load() {
@@ -191,7 +191,7 @@
 		e := f.early(l)
 		stop()
 		l.Close()
-		f.end(func(*state.Forward) (state.End, bool) { return e, true })
+		f.end(func(*state.Attempt) (state.AttemptResult, bool) { return e, true })
 		return
 	}
 	r, err := f.relay(l)
@@ -210,11 +210,11 @@
 // more end as those that got none, and the others wait on.
 func (f *flight) connection() (*link, error) {
 	t := f.call.Target
-	defer f.overdue(control.NoConnection, leaveBy) // nothing goes out after its time
+	defer f.overdue(control.ConnectFailed, leaveBy) // nothing goes out after its time
 	if l := f.pool.get(t.ID, t.Addr); l != nil {
 		return l, nil
 	}
-	dialing, cancel := context.WithDeadline(f.ctx, f.call.Connect)
+	dialing, cancel := context.WithDeadline(f.ctx, f.call.ConnectBy)
 	defer cancel()
 	type dialed struct {
 		l   *link
@@ -234,14 +234,14 @@
 		case d := <-up:
 			return d.l, d.err
 		case <-late:
-			f.overdue(control.NoConnection, leaveBy)
+			f.overdue(control.ConnectFailed, leaveBy)
 		}
 	}
 }
 
 // load leaves out the forwards that ended before the call goes out, and tells whether any is left.
 func (f *flight) load() bool {
-	var live []*state.Forward // the call's own list is the loop's
+	var live []*state.Attempt // the call's own list is the loop's
 	for i, w := range f.forwards {
 		if !f.ended[i] {
 			live = append(live, w)
@@ -267,14 +267,14 @@
 
 // early is the end of a call that was broken off before its last byte was written. It has not run. What the target has
 // answered by then may tell that it turns calls away, and a wait that binds.
-func (f *flight) early(l *link) state.End {
-	e := state.End{Result: control.NoConnection}
+func (f *flight) early(l *link) state.AttemptResult {
+	e := state.AttemptResult{Result: control.ConnectFailed}
 	if f.ctx.Err() != nil {
 		return e
 	}
 	l.limit.N = maxHead
 	r, err := l.answer(http.MethodPost, state.MaxBody, func(int) time.Time { return time.Now().Add(tailSpan) })
-	if f.ctx.Err() != nil || err != nil || resultOf(r.status) != control.Full {
+	if f.ctx.Err() != nil || err != nil || resultOf(r.status) != control.Rejected {
 		return e
 	}
 	return endOf(r)
@@ -302,7 +302,7 @@
 }
 
 // encodeFrames writes each message as a line with id, key and length and its bytes.
-func encodeFrames(forwards []*state.Forward) []byte {
+func encodeFrames(forwards []*state.Attempt) []byte {
 	var b bytes.Buffer
 	for _, f := range forwards {
 		key := f.Message.Key
--- a/internal/protocol/silence_test.go
+++ b/internal/protocol/silence_test.go
@@ -52,11 +52,11 @@
 			began := time.Now()
 			d.Watch(true, 4)
 			if c.unread {
-				if u := next[state.Unread](t, p); u.At.Sub(began) > 200*time.Millisecond {
+				if u := next[state.ListUnreadable](t, p); u.At.Sub(began) > 200*time.Millisecond {
 					t.Errorf("an answer that began %v after the question", u.At.Sub(began))
 				}
 			}
-			if n := next[state.News](t, p); n.Form != control.ListDelta || n.Version != 9 {
+			if n := next[state.ListUpdate](t, p); n.Kind != control.ListDelta || n.Version != 9 {
 				t.Errorf("%+v", n)
 			}
 			if took := time.Since(began); took > c.within {
@@ -83,7 +83,7 @@
 	go func() { defer close(ended); d.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
 	d.Watch(true, 4)
-	if n := next[state.News](t, p); n.Form != control.ListFailed || len(asked) != 2 {
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed || len(asked) != 2 {
 		t.Errorf("%+v after %d asks", n, len(asked))
 	}
 }
@@ -108,7 +108,7 @@
 	go func() { defer close(ended); d.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
 	d.Watch(true, 4)
-	if n := next[state.News](t, p); n.Version != 3 || n.Targets[0].ID != "a" {
+	if n := next[state.ListUpdate](t, p); n.Version != 3 || n.Targets[0].ID != "a" {
 		t.Errorf("%+v", n)
 	}
 	if len(asked) < 2 {
@@ -135,11 +135,11 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); n.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
-	n.Tell(state.Notice{Num: 1, ID: "a"})
-	next[state.Acknowledged](t, p)
+	n.Report(state.DeliveryReport{Num: 1, ID: "a"})
+	next[state.ReportsAcknowledged](t, p)
 	began := time.Now()
-	n.Tell(state.Notice{Num: 2, ID: "b"})
-	next[state.Acknowledged](t, p)
+	n.Report(state.DeliveryReport{Num: 2, ID: "b"})
+	next[state.ReportsAcknowledged](t, p)
 	if took := time.Since(began); took > 300*time.Millisecond {
 		t.Errorf("acknowledged after %v", took)
 	}
@@ -197,8 +197,8 @@
 	defer func() { cancel(); <-ended }()
 	at := time.Now().Add(1500 * time.Millisecond)
 	back.Store(&at)
-	n.Tell(state.Notice{Num: 1, ID: "a"})
-	next[state.Acknowledged](t, p)
+	n.Report(state.DeliveryReport{Num: 1, ID: "a"})
+	next[state.ReportsAcknowledged](t, p)
 	if late := (<-told).Sub(at); late > 200*time.Millisecond {
 		t.Errorf("told %v after the platform could be reached", late)
 	}
@@ -227,15 +227,15 @@
 			go func() { defer close(ended); d.Run(ctx) }()
 			defer func() { cancel(); <-ended }()
 			d.Watch(true, 4)
-			if n := next[state.News](t, p); !n.Rests {
+			if n := next[state.ListUpdate](t, p); !n.PollPaused {
 				t.Errorf("%+v", n)
 			}
 			if c.open > 0 {
-				next[state.Settled](t, p)
-				next[state.News](t, p)
+				next[state.PollOpen](t, p)
+				next[state.ListUpdate](t, p)
 				return
 			}
-			if u := next[state.Unsettled](t, p); time.Since(u.Since) > time.Second {
+			if u := next[state.PollFailed](t, p); time.Since(u.Since) > time.Second {
 				t.Errorf("uncertain for %v", time.Since(u.Since))
 			}
 		})
--- a/internal/protocol/socket_test.go
+++ b/internal/protocol/socket_test.go
@@ -23,7 +23,7 @@
 // posts collects what is posted; the listener's side answers each message as told.
 type posts struct {
 	events  chan any
-	verdict state.Verdict
+	verdict state.Response
 }
 
 func newPosts() *posts { return &posts{events: make(chan any, 64)} }
@@ -32,7 +32,7 @@
 
 func (p *posts) PostBefore(e any, _ time.Time) bool {
 	p.events <- e
-	e.(state.Handed).Verdict <- p.verdict
+	e.(state.Submitted).Response <- p.verdict
 	return true
 }
 
@@ -50,10 +50,10 @@
 
 // callTo makes a call of messages to an address, for so long.
 func callTo(addr string, limit time.Duration, ids ...string) *state.Call {
-	c := &state.Call{Target: state.Target{ID: "s", Addr: addr}, Connect: time.Now().Add(time.Minute)}
+	c := &state.Call{Target: state.Target{ID: "s", Addr: addr}, ConnectBy: time.Now().Add(time.Minute)}
 	for _, id := range ids {
 		m := &state.Message{ID: id, Key: "k-" + id, Body: []byte("body of " + id)}
-		c.Forwards = append(c.Forwards, &state.Forward{Message: m, Deadline: time.Now().Add(limit)})
+		c.Attempts = append(c.Attempts, &state.Attempt{Message: m, Deadline: time.Now().Add(limit)})
 	}
 	return c
 }
@@ -63,34 +63,34 @@
 	for _, c := range []struct {
 		name, answer string
 		limit        time.Duration
-		want         state.End
+		want         state.AttemptResult
 	}{
-		{"served", socktest.Status(200), time.Minute, state.End{Result: control.Served, Finished: true}},
-		{"error", socktest.Status(500), time.Minute, state.End{Result: control.Errored}},
-		{"wait", socktest.Status(429, "Retry-After: 0.25"), time.Minute, state.End{Result: control.Full, Wait: 250 * time.Millisecond}},
-		{"full", socktest.Status(503), time.Minute, state.End{Result: control.Full}},
-		{"no room for connections", socktest.Status(503, "Connection: close"), time.Minute, state.End{Result: control.Crowded}},
-		{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"), time.Minute, state.End{Result: control.Full, Wait: 4 * time.Second}},
-		{"no slot", socktest.Status(503, "X-Over-Slots: 1"), time.Minute, state.End{Result: control.Moot, NoSlot: true}},
-		{"spent", socktest.Status(504), time.Minute, state.End{Result: control.Moot}},
-		{"over", socktest.Status(410), time.Minute, state.End{Result: control.Moot, Finished: true}},
-		{"odd", socktest.Status(302), time.Minute, state.End{Result: control.Unknown}},
-		{"not for it", socktest.Status(400), time.Minute, state.End{Result: control.Rejected}},
-		{"no HTTP", "what?\r\n\r\n", time.Minute, state.End{Result: control.Errored}},
-		{"noise without end", "what?", time.Minute, state.End{Result: control.Errored}},
-		{"head without end", "HTTP/1.1 503 x\r\nA: " + strings.Repeat("x", 2*maxHead+state.MaxBody), time.Minute, state.End{Result: control.Errored}},
-		{"head left off", "HTTP/1.1 503 x\r\nRetry-After: 1\r\n", time.Minute, state.End{Result: control.Errored}},
-		{"body left off", "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\nx", time.Minute, state.End{Result: control.Errored}},
-		{"served, then noise", "HTTP/1.1 200 x\r\nwhat\r\n\r\n", time.Minute, state.End{Result: control.Served, Finished: true}},
-		{"served, head left off", "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 x\r\nA: b", time.Minute, state.End{Result: control.Served, Finished: true}},
-		{"served, body left off", "HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nx", time.Minute, state.End{Result: control.Served, Finished: true}},
-		{"no such status", "HTTP/1.1 2000 x\r\n\r\n", time.Minute, state.End{Result: control.Errored}},
-		{"news first", "HTTP/1.1 103 x\r\n\r\n" + socktest.Status(500), time.Minute, state.End{Result: control.Errored}},
-		{"news without end", strings.Repeat("HTTP/1.1 103 x\r\n\r\n", maxHead+state.MaxBody), time.Minute, state.End{Result: control.Errored}},
-		{"reset", "", time.Minute, state.End{Result: control.Broken}},
-		{"hang", "hang", 500 * time.Millisecond, state.End{Result: control.TimedOut}},
-		{"called off", "hang", time.Minute, state.End{Result: control.Cancelled}},
-		{"refused", "shut", time.Minute, state.End{Result: control.NoConnection}},
+		{"served", socktest.Status(200), time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
+		{"error", socktest.Status(500), time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"wait", socktest.Status(429, "Retry-After: 0.25"), time.Minute, state.AttemptResult{Result: control.Rejected, RetryAfter: 250 * time.Millisecond}},
+		{"full", socktest.Status(503), time.Minute, state.AttemptResult{Result: control.Rejected}},
+		{"no room for connections", socktest.Status(503, "Connection: close"), time.Minute, state.AttemptResult{Result: control.ConnectionRejected}},
+		{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"), time.Minute, state.AttemptResult{Result: control.Rejected, RetryAfter: 4 * time.Second}},
+		{"no slot", socktest.Status(503, "X-Over-Slots: 1"), time.Minute, state.AttemptResult{Result: control.NotSent, NoSlot: true}},
+		{"spent", socktest.Status(504), time.Minute, state.AttemptResult{Result: control.NotSent}},
+		{"over", socktest.Status(410), time.Minute, state.AttemptResult{Result: control.NotSent, Final: true}},
+		{"odd", socktest.Status(302), time.Minute, state.AttemptResult{Result: control.Unknown}},
+		{"not for it", socktest.Status(400), time.Minute, state.AttemptResult{Result: control.Unprocessable}},
+		{"no HTTP", "what?\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"noise without end", "what?", time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"head without end", "HTTP/1.1 503 x\r\nA: " + strings.Repeat("x", 2*maxHead+state.MaxBody), time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"head left off", "HTTP/1.1 503 x\r\nRetry-After: 1\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"body left off", "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\nx", time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"served, then noise", "HTTP/1.1 200 x\r\nwhat\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
+		{"served, head left off", "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 x\r\nA: b", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
+		{"served, body left off", "HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nx", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
+		{"no such status", "HTTP/1.1 2000 x\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"news first", "HTTP/1.1 103 x\r\n\r\n" + socktest.Status(500), time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"news without end", strings.Repeat("HTTP/1.1 103 x\r\n\r\n", maxHead+state.MaxBody), time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"reset", "", time.Minute, state.AttemptResult{Result: control.ConnectionLost}},
+		{"hang", "hang", 500 * time.Millisecond, state.AttemptResult{Result: control.TimedOut}},
+		{"called off", "hang", time.Minute, state.AttemptResult{Result: control.Canceled}},
+		{"refused", "shut", time.Minute, state.AttemptResult{Result: control.ConnectFailed}},
 	} {
 		p := newPosts()
 		s := NewSender(p, time.Minute, 8, quiet)
@@ -106,16 +106,16 @@
 			addr = socktest.Refusing(t)
 		}
 		call := callTo(addr, c.limit, "a")
-		s.Carry(call)
+		s.Send(call)
 		if c.name == "called off" {
 			<-got
-			s.Abandon(call)
+			s.Cancel(call)
 		}
-		e := next[state.Ended](t, p).Ends[0]
-		if e.Left.IsZero() != (c.want.Result == control.NoConnection) {
-			t.Errorf("%s: left at %v", c.name, e.Left)
+		e := next[state.CallEnded](t, p).Results[0]
+		if e.SentAt.IsZero() != (c.want.Result == control.ConnectFailed) {
+			t.Errorf("%s: left at %v", c.name, e.SentAt)
 		}
-		e.Took, e.Left, e.Forward = 0, time.Time{}, nil
+		e.Elapsed, e.SentAt, e.Attempt = 0, time.Time{}, nil
 		if e != c.want {
 			t.Errorf("%s: %+v, want %+v", c.name, e, c.want)
 		}
@@ -133,20 +133,20 @@
 		return socktest.Status(200)
 	})
 	left := callTo(addr, time.Minute, "left")
-	s.Carry(left)
+	s.Send(left)
 	<-got
-	s.Withhold(left)
+	s.CancelUnsent(left)
 	f := &flight{Sender: s, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
-	f.forwards = f.call.Forwards
+	f.forwards = f.call.Attempts
 	f.ctx, f.cancel = context.WithCancel(t.Context())
 	s.live[f.call] = f
-	s.Withhold(f.call)
+	s.CancelUnsent(f.call)
 	f.fly()
-	if e := next[state.Ended](t, p).Ends[0]; e.Result != control.Moot || e.Finished {
+	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.NotSent || e.Final {
 		t.Errorf("withheld: %+v", e)
 	}
 	close(goOn)
-	if e := next[state.Ended](t, p).Ends[0]; e.Result != control.Served || len(got) > 0 {
+	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served || len(got) > 0 {
 		t.Errorf("left: %+v, and %d more calls", e, len(got))
 	}
 }
@@ -166,15 +166,15 @@
 		return fmt.Sprintf("HTTP/1.1 200 x\r\nRetry-After: 2\r\nContent-Length: %d\r\n\r\n%s", len(ends), ends)
 	})
 	c := callTo(addr, time.Minute, "a", "b", "c")
-	c.Forwards[2].Deadline = time.Now().Add(20 * time.Millisecond)
-	s.Carry(c)
-	first := next[state.Ended](t, p).Ends
-	if len(first) != 1 || first[0].Forward != c.Forwards[2] || first[0].Result != control.TimedOut {
+	c.Attempts[2].Deadline = time.Now().Add(20 * time.Millisecond)
+	s.Send(c)
+	first := next[state.CallEnded](t, p).Results
+	if len(first) != 1 || first[0].Attempt != c.Attempts[2] || first[0].Result != control.TimedOut {
 		t.Fatalf("first %+v", first)
 	}
 	close(goOn)
-	then := next[state.Ended](t, p).Ends
-	if len(then) != 2 || then[0].Result != control.Served || then[1].Result != control.Full || then[1].Wait != 2*time.Second {
+	then := next[state.CallEnded](t, p).Results
+	if len(then) != 2 || then[0].Result != control.Served || then[1].Result != control.Rejected || then[1].RetryAfter != 2*time.Second {
 		t.Fatalf("then %+v", then)
 	}
 }
@@ -191,9 +191,9 @@
 	} {
 		p := newPosts()
 		s := NewSender(p, time.Minute, 8, quiet)
-		s.Carry(callTo(socktest.Serve(t, func(int, *http.Request, string) string { return answer }), time.Minute, "a", "b"))
-		ends := next[state.Ended](t, p).Ends
-		if len(ends) != 2 || ends[0].Result != control.Errored || ends[1].Result != control.Errored {
+		s.Send(callTo(socktest.Serve(t, func(int, *http.Request, string) string { return answer }), time.Minute, "a", "b"))
+		ends := next[state.CallEnded](t, p).Results
+		if len(ends) != 2 || ends[0].Result != control.Failed || ends[1].Result != control.Failed {
 			t.Errorf("%q: %+v", answer, ends)
 		}
 	}
@@ -210,8 +210,8 @@
 		return socktest.Status(200)
 	})
 	call := func() int {
-		s.Carry(callTo(addr, time.Minute, "a"))
-		if e := next[state.Ended](t, p).Ends[0]; e.Result != control.Served {
+		s.Send(callTo(addr, time.Minute, "a"))
+		if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served {
 			t.Fatalf("%+v", e)
 		}
 		return <-conns
@@ -245,23 +245,23 @@
 	l := listener(t, p)
 	for _, c := range []struct {
 		name, send string
-		verdict    state.Verdict
+		verdict    state.Response
 		status     int
 		again      string
 	}{
-		{"taken", handIn, state.Verdict{Taken: true}, 202, ""},
-		{"refused", handIn, state.Verdict{Again: 250 * time.Millisecond}, 503, "0.250"},
-		{"failed", handIn, state.Verdict{Fatal: true}, 500, ""},
-		{"nowhere to go", handIn, state.Verdict{Wrong: state.NoDestination}, 400, ""},
-		{"id in use", handIn, state.Verdict{Wrong: state.IDTaken}, 409, ""},
-		{"bad", strings.Replace(handIn, "dest=1", "dest=", 1), state.Verdict{}, 400, ""},
-		{"no HTTP", "what is this\r\n\r\n", state.Verdict{}, 400, ""},
-		{"head too large", "GET /_health HTTP/1.1\r\nA: " + strings.Repeat("x", maxHead), state.Verdict{}, 431, ""},
-		{"body too large", strings.Replace(handIn, "Length: 2", "Length: 99999", 1), state.Verdict{}, 413, ""},
-		{"chunked", strings.Replace(handIn, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 1), state.Verdict{}, 411, ""},
-		{"id twice", strings.Replace(handIn, "X-Tenant", "X-Request-Id: j\r\nX-Tenant", 1), state.Verdict{}, 400, ""},
-		{"older HTTP", strings.Replace(handIn, "HTTP/1.1", "HTTP/1.0", 1), state.Verdict{}, 505, ""},
-		{"health", "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", state.Verdict{}, 200, ""},
+		{"taken", handIn, state.Response{Accepted: true}, 202, ""},
+		{"refused", handIn, state.Response{RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{"failed", handIn, state.Response{Permanent: true}, 500, ""},
+		{"nowhere to go", handIn, state.Response{Invalid: state.UnknownDestination}, 400, ""},
+		{"id in use", handIn, state.Response{Invalid: state.DuplicateID}, 409, ""},
+		{"bad", strings.Replace(handIn, "dest=1", "dest=", 1), state.Response{}, 400, ""},
+		{"no HTTP", "what is this\r\n\r\n", state.Response{}, 400, ""},
+		{"head too large", "GET /_health HTTP/1.1\r\nA: " + strings.Repeat("x", maxHead), state.Response{}, 431, ""},
+		{"body too large", strings.Replace(handIn, "Length: 2", "Length: 99999", 1), state.Response{}, 413, ""},
+		{"chunked", strings.Replace(handIn, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 1), state.Response{}, 411, ""},
+		{"id twice", strings.Replace(handIn, "X-Tenant", "X-Request-Id: j\r\nX-Tenant", 1), state.Response{}, 400, ""},
+		{"older HTTP", strings.Replace(handIn, "HTTP/1.1", "HTTP/1.0", 1), state.Response{}, 505, ""},
+		{"health", "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", state.Response{}, 200, ""},
 	} {
 		p.verdict = c.verdict
 		conn, err := net.Dial("tcp", l.Addr().String())
@@ -274,12 +274,12 @@
 			t.Errorf("%s: %v %+v", c.name, err, r)
 		}
 		conn.Close()
-		if c.status == 202 || c.verdict != (state.Verdict{}) {
-			if m := next[state.Handed](t, p).Message; string(m.Body) != "hi" {
+		if c.status == 202 || c.verdict != (state.Response{}) {
+			if m := next[state.Submitted](t, p).Message; string(m.Body) != "hi" {
 				t.Errorf("%s: body %q", c.name, m.Body)
 			}
 		}
-		if c.verdict.Taken && !next[state.Answered](t, p).OK {
+		if c.verdict.Accepted && !next[state.ResponseWritten](t, p).OK {
 			t.Errorf("%s: answer not confirmed", c.name)
 		}
 	}
@@ -288,7 +288,7 @@
 // A request with two lengths hides another in its body: neither is taken in.
 func TestHiddenRequest(t *testing.T) {
 	p := newPosts()
-	p.verdict = state.Verdict{Taken: true}
+	p.verdict = state.Response{Accepted: true}
 	l := listener(t, p)
 	for _, outer := range []string{handIn, strings.Replace(handIn, "/status", "/nothing", 1)} {
 		conn, err := net.Dial("tcp", l.Addr().String())
@@ -334,7 +334,7 @@
 // its connection ends with the answer.
 func TestLeave(t *testing.T) {
 	p := newPosts()
-	p.verdict = state.Verdict{Taken: true}
+	p.verdict = state.Response{Accepted: true}
 	l := listener(t, p)
 	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -460,10 +460,10 @@
 	defer cancel()
 	go d.Run(ctx)
 	d.Watch(true, 4)
-	if n := next[state.News](t, p); n.Form != control.ListFull || n.Version != 9 {
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Version != 9 {
 		t.Errorf("first %+v", n)
 	}
-	if n := next[state.News](t, p); n.Form != control.ListFailed {
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed {
 		t.Errorf("then %+v", n)
 	}
 	if a, b := <-asked, <-asked; a != "4" || b != "9" {
@@ -526,14 +526,14 @@
 	p := newPosts()
 	n := NewNotices(p, addr, quiet)
 	for i, id := range []string{"a", "b", "c"} {
-		n.Tell(state.Notice{Num: control.MessageID(i), ID: id})
+		n.Report(state.DeliveryReport{Num: control.MessageID(i), ID: id})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go n.Run(ctx)
 	var nums []control.MessageID
 	for len(nums) < 3 {
-		nums = append(nums, next[state.Acknowledged](t, p).Nums...)
+		nums = append(nums, next[state.ReportsAcknowledged](t, p).Nums...)
 	}
 	if nums[0] != 0 || nums[1] != 1 || nums[2] != 2 || !strings.Contains(strings.Join(got, ""), `"a"`) || !strings.Contains(strings.Join(got, ""), `"c"`) {
 		t.Errorf("acknowledged %v, told %q", nums, got)
@@ -544,8 +544,8 @@
 // while, with a time to come back; activated, it is as before.
 func TestDrainedListener(t *testing.T) {
 	p := newPosts()
-	p.verdict = state.Verdict{Taken: true}
-	classes := []control.Class{{Deadline: time.Minute, Effect: control.Safe}}
+	p.verdict = state.Response{Accepted: true}
+	classes := []control.Class{{Deadline: time.Minute, Idempotency: control.Idempotent}}
 	l, err := Listen("127.0.0.1:0", p, Names{Classes: map[string]int{"status": 0}}, classes, 8, 8, quiet)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -25,8 +25,8 @@
 
 // Detector is what one sender knows. The zero value has heard nobody, and asked nobody; Siblings must be set.
 type Detector struct {
-	Siblings int           // this one included
-	Asked    time.Duration // the first time that it asked since somebody was heard
+	FleetSize int           // this one included
+	QueriedAt time.Duration // the first time that it asked since somebody was heard
 
 	heardAt time.Duration
 	next    time.Duration // when it asks again
@@ -41,23 +41,23 @@
 	at   time.Duration
 }
 
-// Heard takes that a sibling was heard.
-func (h *Detector) Heard(now time.Duration, from int) {
+// PeerHeard takes that a sibling was heard.
+func (h *Detector) PeerHeard(now time.Duration, from int) {
 	h.unheard, h.heardAt, h.next = 0, now, now
 	h.list[h.n%ring] = heard{from, now}
 	h.n++
 	h.part = h.estimate(now)
 }
 
-// Refused takes a refusal of its own: whether to tell of it (nobody is heard: ever fewer, as nobody may hear, and none while it
+// Rejected takes a refusal of its own: whether to tell of it (nobody is heard: ever fewer, as nobody may hear, and none while it
 // is alone but with a question), and whether to ask with it if anybody hears.
-func (h *Detector) Refused(now time.Duration) (tell, ask bool) {
+func (h *Detector) Rejected(now time.Duration) (tell, ask bool) {
 	h.unheard++
 	tell = h.unheard&(h.unheard-1) == 0
 	ask = tell && now-h.heardAt >= quiet && now >= h.next
-	tell = tell && (ask || !h.Alone(now))
-	if ask && h.heardAt >= h.Asked {
-		h.Asked = now
+	tell = tell && (ask || !h.Isolated(now))
+	if ask && h.heardAt >= h.QueriedAt {
+		h.QueriedAt = now
 	}
 	if ask {
 		h.next = now + h.span()
@@ -65,27 +65,27 @@
 	return tell, ask
 }
 
-func (h *Detector) span() time.Duration { return max(quiet, time.Duration(h.Siblings)*again) }
+func (h *Detector) span() time.Duration { return max(quiet, time.Duration(h.FleetSize)*again) }
 
-// Again tells whether one that is alone asks now, though nothing was refused.
-func (h *Detector) Again(now time.Duration) bool {
-	if !h.Alone(now) || now < h.next {
+// RepeatQuery tells whether one that is alone asks now, though nothing was refused.
+func (h *Detector) RepeatQuery(now time.Duration) bool {
+	if !h.Isolated(now) || now < h.next {
 		return false
 	}
 	h.next = now + h.span()
 	return true
 }
 
-// Answers tells whether to answer one that asks, by a draw from 0 to 1: of any number of siblings about as many do.
-func (h *Detector) Answers(draw float64) bool { return draw*float64(h.Siblings) < answers }
+// ShouldReply tells whether to answer one that asks, by a draw from 0 to 1: of any number of siblings about as many do.
+func (h *Detector) ShouldReply(draw float64) bool { return draw*float64(h.FleetSize) < answers }
 
-// Alone tells that nobody has answered what it asked: its siblings do not hear of its refusals, nor it of theirs.
-func (h *Detector) Alone(now time.Duration) bool {
-	return h.heardAt < h.Asked && now >= h.Asked+answer
+// Isolated tells that nobody has answered what it asked: its siblings do not hear of its refusals, nor it of theirs.
+func (h *Detector) Isolated(now time.Duration) bool {
+	return h.heardAt < h.QueriedAt && now >= h.QueriedAt+answer
 }
 
-// Part is about which part of the siblings it hears; all of them where nothing speaks against it.
-func (h *Detector) Part(now time.Duration) float64 {
+// ReachableFraction is about which part of the siblings it hears; all of them where nothing speaks against it.
+func (h *Detector) ReachableFraction(now time.Duration) float64 {
 	if h.n == 0 || now-h.heardAt > memory {
 		return 1
 	}
@@ -129,7 +129,7 @@
 // of is the part of the siblings that k notes from d tellers speak for.
 func (h *Detector) of(k, d int) float64 {
 	m := float64(d)
-	for all := float64(h.Siblings); m < all && m*(1-math.Exp(-float64(k)/m)) < float64(d)-0.5; m++ {
+	for all := float64(h.FleetSize); m < all && m*(1-math.Exp(-float64(k)/m)) < float64(d)-0.5; m++ {
 	}
-	return min(1, spare*(m+1)/float64(h.Siblings))
+	return min(1, spare*(m+1)/float64(h.FleetSize))
 }
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -10,7 +10,7 @@
 
 // Alone is one whose question nobody answers, from half a second on and until somebody is heard.
 func TestAlone(t *testing.T) {
-	h := Detector{Siblings: 100}
+	h := Detector{FleetSize: 100}
 	steps := []struct {
 		at        time.Duration
 		heard     bool // before
@@ -42,14 +42,14 @@
 	}
 	for i, x := range steps {
 		if x.heard {
-			h.Heard(x.at, 7)
+			h.PeerHeard(x.at, 7)
 		}
 		if x.refused {
-			if tell, ask := h.Refused(x.at); tell != x.tell || ask != x.ask {
+			if tell, ask := h.Rejected(x.at); tell != x.tell || ask != x.ask {
 				t.Errorf("step %d: tells %t, asks %t", i, tell, ask)
 			}
 		}
-		if h.Alone(x.at) != x.alone {
+		if h.Isolated(x.at) != x.alone {
 			t.Errorf("step %d: alone %t", i, !x.alone)
 		}
 	}
@@ -58,21 +58,21 @@
 // One that is alone asks again until somebody is heard; all of a fleet together as often at any size.
 func TestAgain(t *testing.T) {
 	for _, n := range []int{8, 40, 300, 1000} {
-		h, asked := Detector{Siblings: n}, 0
-		if h.Again(5 * s) {
+		h, asked := Detector{FleetSize: n}, 0
+		if h.RepeatQuery(5 * s) {
 			t.Error("asks though nothing was refused")
 		}
-		h.Refused(10 * s)
+		h.Rejected(10 * s)
 		for at := 10 * s; at < 610*s; at += 20 * time.Millisecond {
-			if h.Again(at) {
+			if h.RepeatQuery(at) {
 				asked++
 			}
 		}
 		if all := float64(asked*n) / 600; all > 21 || asked == 0 {
 			t.Errorf("%d siblings ask %.1f times a second", n, all)
 		}
-		h.Heard(620*s, 1)
-		if h.Again(700 * s) {
+		h.PeerHeard(620*s, 1)
+		if h.RepeatQuery(700 * s) {
 			t.Errorf("%d siblings: asks on", n)
 		}
 	}
@@ -91,42 +91,42 @@
 	} {
 		least, most := 2.0, 0.0
 		for range 50 {
-			h := Detector{Siblings: c.siblings}
+			h := Detector{FleetSize: c.siblings}
 			for i := range 200 {
 				who := rng.IntN(c.heard)
 				for c.uneven && who%3 > 0 && rng.IntN(3) > 0 { // a third of them tell most
 					who = rng.IntN(c.heard)
 				}
-				h.Heard(time.Duration(i)*100*time.Millisecond, who)
+				h.PeerHeard(time.Duration(i)*100*time.Millisecond, who)
 			}
-			p := h.Part(20 * s)
+			p := h.ReachableFraction(20 * s)
 			least, most = min(least, p), max(most, p)
 		}
 		if least < c.from || most > c.to {
 			t.Errorf("%+v: from %.2f to %.2f", c, least, most)
 		}
 	}
-	cut := Detector{Siblings: 40} // all are heard, then a part of eight
+	cut := Detector{FleetSize: 40} // all are heard, then a part of eight
 	for i := range ring + latest {
 		who := i % 39
 		if i >= ring {
 			who = i % 7
 		}
-		cut.Heard(time.Duration(i)*100*time.Millisecond, who)
+		cut.PeerHeard(time.Duration(i)*100*time.Millisecond, who)
 	}
-	if p := cut.Part(time.Duration(ring+latest) * 100 * time.Millisecond); p > 0.35 {
+	if p := cut.ReachableFraction(time.Duration(ring+latest) * 100 * time.Millisecond); p > 0.35 {
 		t.Errorf("%.2f after %d notes of a part of eight", p, latest)
 	}
-	h := Detector{Siblings: 300}
+	h := Detector{FleetSize: 300}
 	for i := range fewest - 1 {
-		h.Heard(s, i%2)
+		h.PeerHeard(s, i%2)
 	}
-	if h.Part(2*s) != 1 {
+	if h.ReachableFraction(2*s) != 1 {
 		t.Error("few notes prove something")
 	}
-	h.Heard(s, 1)
-	if h.Part(2*s) > 0.1 || h.Part(30*s) != 1 {
-		t.Errorf("two of 300: %.2f, long ago %.2f", h.Part(2*s), h.Part(30*s))
+	h.PeerHeard(s, 1)
+	if h.ReachableFraction(2*s) > 0.1 || h.ReachableFraction(30*s) != 1 {
+		t.Errorf("two of 300: %.2f, long ago %.2f", h.ReachableFraction(2*s), h.ReachableFraction(30*s))
 	}
 }
 
@@ -134,9 +134,9 @@
 func TestAnswers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for _, n := range []int{8, 40, 300, 1000} {
-		h, sum := Detector{Siblings: n}, 0
+		h, sum := Detector{FleetSize: n}, 0
 		for range 1000 * n {
-			if h.Answers(rng.Float64()) {
+			if h.ShouldReply(rng.Float64()) {
 				sum++
 			}
 		}
--- a/internal/resend/planner.go
+++ b/internal/resend/planner.go
@@ -40,7 +40,7 @@
 )
 
 // Load is how busy this sender is.
-type Load struct{ Slots, Flying, HoldCap, Open int }
+type Load struct{ MaxInFlight, InFlight, MaxOpenMessages, Open int }
 
 const (
 	pauseFirst   = 2                      // fall windows of rest after the first trouble...
@@ -249,10 +249,10 @@
 // each, in turn, so that hundreds for one don't keep back those for others. Each
 // grant counts as out until Ended. The list is in any order, without doubles.
 func (p *Planner) Grant(now time.Duration, ready []int, load Load) []int {
-	if now < p.paused || load.HoldCap > 0 && holdFree*load.Open >= load.HoldCap {
+	if now < p.paused || load.MaxOpenMessages > 0 && holdFree*load.Open >= load.MaxOpenMessages {
 		return nil
 	}
-	room := min(p.lim.MaxOut-p.out, load.Slots-load.Slots/slotsFree-load.Flying)
+	room := min(p.lim.MaxOut-p.out, load.MaxInFlight-load.MaxInFlight/slotsFree-load.InFlight)
 	if room <= 0 || len(ready) == 0 {
 		return nil
 	}
--- a/internal/resend/planner_test.go
+++ b/internal/resend/planner_test.go
@@ -13,7 +13,7 @@
 	Siblings: 1, ColdFrom: 0.22, Cold: 13 * time.Second, FallMultiple: 2, FallWindow: 2 * time.Second, Share: 0.5, MaxOut: 8,
 }
 
-var idle = Load{Slots: 16, HoldCap: 200}
+var idle = Load{MaxInFlight: 16, MaxOpenMessages: 200}
 
 // A cold partner takes ColdFrom of its capacity as it returns and all of it
 // after Cold. All siblings resend at the same time, none knowing of the others.
@@ -167,7 +167,7 @@
 		t.Errorf("%d alone, %d beside full live traffic", alone, n)
 	}
 	for name, load := range map[string]Load{
-		"slots": {Slots: 16, Flying: 12, HoldCap: 200}, "hold": {Slots: 16, HoldCap: 200, Open: 100},
+		"slots": {MaxInFlight: 16, InFlight: 12, MaxOpenMessages: 200}, "hold": {MaxInFlight: 16, MaxOpenMessages: 200, Open: 100},
 	} {
 		p, now := warm(t, 20, 7)
 		if n := grants(p, now, 5*time.Second, load, 7); n[7] > 0 {
--- a/internal/rig/platform.go
+++ b/internal/rig/platform.go
@@ -159,7 +159,7 @@
 		Full    bool     `json:"full"`
 		Servers []server `json:"servers"`
 	}{version, whole, []server{}}
-	states := map[control.State]string{control.Ready: "up", control.Draining: "draining", control.Removed: "removed"}
+	states := map[control.EndpointState]string{control.Ready: "up", control.Draining: "draining", control.Removed: "removed"}
 	s := w.plan.Scenario
 	for _, l := range lines {
 		if !whole || l.State != control.Ready {
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -30,7 +30,7 @@
 type modelSender struct {
 	alive, stopped bool
 	process        int
-	book           lease.Book
+	book           lease.Holder
 	off            time.Duration
 	gone           time.Duration // since when it does not serve without an order; -1 = it serves
 }
@@ -100,8 +100,8 @@
 		return
 	}
 	v := Sight{
-		Sender: modelNames[i], At: modelTime(m.now + m.offs[i]), Serving: !s.book.Standing(), Process: fmt.Sprint(s.process),
-		Epoch: s.book.Epoch, Ended: s.book.Ended, Drained: s.book.Standing() && s.book.Drain,
+		Sender: modelNames[i], At: modelTime(m.now + m.offs[i]), Serving: !s.book.Active(), Process: fmt.Sprint(s.process),
+		Epoch: s.book.Epoch, Ended: s.book.Ended, Drained: s.book.Active() && s.book.Drain,
 	}
 	for to := range agents {
 		if to == i {
@@ -122,8 +122,8 @@
 		return
 	}
 	m.saw(i, Sight{
-		Sender: modelNames[k], At: modelTime(m.now + m.offs[i]), Serving: !s.book.Standing(), Process: fmt.Sprint(s.process),
-		Epoch: s.book.Epoch, Ended: s.book.Ended, Drained: s.book.Standing() && s.book.Drain, Far: true,
+		Sender: modelNames[k], At: modelTime(m.now + m.offs[i]), Serving: !s.book.Active(), Process: fmt.Sprint(s.process),
+		Epoch: s.book.Epoch, Ended: s.book.Ended, Drained: s.book.Active() && s.book.Drain, Far: true,
 	})
 }
 
@@ -167,7 +167,7 @@
 	if !s.alive || s.stopped {
 		return
 	}
-	stood := s.book.Standing() && s.book.Epoch == o.o.Epoch
+	stood := s.book.Active() && s.book.Epoch == o.o.Epoch
 	if s.book.Take(o.o, fmt.Sprint(s.process), modelTime(m.now+s.off)) != nil || stood {
 		return
 	}
@@ -175,7 +175,7 @@
 	margin := modelFresh + modelAccept + 4*modelError
 	var out []string
 	for i, x := range m.senders {
-		if x.alive && x.book.Standing() || x.gone >= 0 && m.now-x.gone > margin {
+		if x.alive && x.book.Active() || x.gone >= 0 && m.now-x.gone > margin {
 			out = append(out, modelNames[i])
 		}
 	}
--- a/internal/state/aside_test.go
+++ b/internal/state/aside_test.go
@@ -12,24 +12,24 @@
 func TestAside(t *testing.T) {
 	g := newGroup()
 	now := time.Unix(1000, 0)
-	target := func(id string, s control.State) Target {
+	target := func(id string, s control.EndpointState) Target {
 		return Target{ID: id, Endpoint: control.Endpoint{Destination: 7, State: s}}
 	}
 	states := func(lines []control.Endpoint) (text string) {
 		for _, e := range lines {
-			text += map[control.State]string{control.Ready: "r", control.Draining: "d", control.Removed: "x"}[e.State]
+			text += map[control.EndpointState]string{control.Ready: "r", control.Draining: "d", control.Removed: "x"}[e.State]
 		}
 		return text
 	}
-	whole := News{Form: control.ListFull, Version: 1, Targets: []Target{target("a", control.Ready), target("b", control.Ready), target("c", control.Draining)}}
+	whole := ListUpdate{Kind: control.ListFull, Version: 1, Targets: []Target{target("a", control.Ready), target("b", control.Ready), target("c", control.Draining)}}
 	for i, c := range []struct{ got, want string }{
 		{states(g.take(whole, now)), "rrd"},
 		{states(g.setAside([]string{"a", "c", "unknown"})), "dd"},
 		{states(g.setAside([]string{"a", "c"})), ""},
 		{states(g.take(whole, now)), "drd"},
-		{states(g.take(News{Form: control.ListDelta, Version: 2, Targets: []Target{target("a", control.Ready)}}, now)), "d"},
+		{states(g.take(ListUpdate{Kind: control.ListDelta, Version: 2, Targets: []Target{target("a", control.Ready)}}, now)), "d"},
 		{states(g.setAside([]string{"b"})), "rdd"},
-		{states(g.take(News{Form: control.ListDelta, Version: 3, Targets: []Target{target("b", control.Removed)}}, now)), "x"},
+		{states(g.take(ListUpdate{Kind: control.ListDelta, Version: 3, Targets: []Target{target("b", control.Removed)}}, now)), "x"},
 		{states(g.setAside(nil)), ""},
 	} {
 		if c.got != c.want {
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -14,14 +14,14 @@
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("keeper=%t", on), func(b *testing.B) {
 			dir := b.TempDir()
-			classes := []control.Class{{Aim: time.Second, Deadline: time.Minute, Worth: 1, Effect: control.Safe}}
+			classes := []control.Class{{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.Idempotent}}
 			target := Target{ID: "s", Addr: "nowhere", Endpoint: control.Endpoint{Destination: 7, State: control.Ready}}
 			setup := Setup{
-				Settings: control.Settings{Siblings: 1, Classes: classes, Kinds: []control.Kind{{Batch: 1}}, Slots: 64, HoldCap: 256, ReportShare: -1, ReportLimit: -1},
-				Dir:      dir, DiskBytes: 8e6, Log: quiet, Known: News{Form: control.ListCached, Version: 1, Targets: []Target{target}},
+				Settings: control.Settings{FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 1}}, MaxInFlight: 64, MaxOpenMessages: 256, HeadroomIndex: -1, LimitIndex: -1},
+				Dir:      dir, DiskBytes: 8e6, Log: quiet, Known: ListUpdate{Kind: control.ListCached, Version: 1, Targets: []Target{target}},
 			}
 			if on {
-				setup.Keeper = newKeeperStub(true)
+				setup.DeadLetters = newKeeperStub(true)
 			}
 			l, err := NewLoop(setup)
 			if err != nil {
@@ -32,20 +32,20 @@
 			l.timer = time.NewTimer(time.Hour)
 			l.turn()
 			body := make([]byte, 200)
-			verdict := make(chan Verdict, 1)
+			verdict := make(chan Response, 1)
 			n := 0
 			b.ReportAllocs()
 			for b.Loop() {
 				n++
 				id := fmt.Sprint(n)
-				l.backlog = append(l.backlog, Handed{Message: &Message{ID: id, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: body}, Verdict: verdict})
+				l.backlog = append(l.backlog, Submitted{Message: &Message{ID: id, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: body}, Response: verdict})
 				l.turn()
-				if v := <-verdict; !v.Taken {
+				if v := <-verdict; !v.Accepted {
 					b.Fatalf("%+v", v)
 				}
-				l.backlog = append(l.backlog, Answered{id, true})
+				l.backlog = append(l.backlog, ResponseWritten{id, true})
 				l.turn()
-				l.backlog = append(l.backlog, Ended{c.last, []End{{Forward: c.last.Forwards[0], Result: control.Served, Finished: true}}})
+				l.backlog = append(l.backlog, CallEnded{c.last, []AttemptResult{{Attempt: c.last.Attempts[0], Result: control.Served, Final: true}}})
 				l.turn()
 			}
 		})
@@ -54,11 +54,11 @@
 
 type carrierStub struct{ last *Call }
 
-func (c *carrierStub) Carry(call *Call)        { c.last = call }
-func (c *carrierStub) Abandon(*Call)           {}
-func (c *carrierStub) Withhold(*Call)          {}
-func (c *carrierStub) Probe(Target, time.Time) {}
-func (c *carrierStub) Disconnect(string)       {}
-func (c *carrierStub) Watch(bool, int64)       {}
-func (c *carrierStub) Fetch()                  {}
-func (c *carrierStub) Tell(Notice)             {}
+func (c *carrierStub) Send(call *Call)               { c.last = call }
+func (c *carrierStub) Cancel(*Call)                  {}
+func (c *carrierStub) CancelUnsent(*Call)            {}
+func (c *carrierStub) HealthCheck(Target, time.Time) {}
+func (c *carrierStub) Disconnect(string)             {}
+func (c *carrierStub) Watch(bool, int64)             {}
+func (c *carrierStub) Fetch()                        {}
+func (c *carrierStub) Report(DeliveryReport)         {}
--- a/internal/state/book.go
+++ b/internal/state/book.go
@@ -10,12 +10,12 @@
 // message is told to whoever is owed it.
 
 // book enters what came of some forwards of a call.
-func (l *Loop) book(ev Ended) {
-	for _, end := range ev.Ends {
-		f := end.Forward
+func (l *Loop) book(ev CallEnded) {
+	for _, end := range ev.Results {
+		f := end.Attempt
 		l.judge(ev.Call, end)
-		if end.Wait > 0 {
-			l.remember(ev.Call.Target, end.Wait)
+		if end.RetryAfter > 0 {
+			l.remember(ev.Call.Target, end.RetryAfter)
 			l.waited(ev.Call.Target)
 		}
 		if f.ended {
@@ -32,10 +32,10 @@
 		if e != nil {
 			e.flights--
 		}
-		if end.Result == control.Rejected && ev.Call.size > 1 {
+		if end.Result == control.Unprocessable && ev.Call.size > 1 {
 			// One of them is to blame. Each goes by itself from now on, so that
 			// the others arrive and the one is found.
-			end.Result = control.Moot
+			end.Result = control.NotSent
 			if e != nil {
 				e.alone = true
 			}
@@ -46,18 +46,18 @@
 		}
 		if e != nil && l.keeper != nil {
 			e.came(f.attempt, end.Result)
-			e.rejected = e.rejected || end.Result == control.Rejected
-			l.keeper.Saw(f.Message.Destination, end.Result, end.Wait, e.seq > 0)
+			e.rejected = e.rejected || end.Result == control.Unprocessable
+			l.keeper.CallEnded(f.Message.Destination, end.Result, end.RetryAfter, e.seq > 0)
 		}
-		l.ctl.Done(l.since(), control.Outcome{
+		l.ctl.AttemptDone(l.since(), control.Outcome{
 			ID: f.num, Attempt: f.attempt, Endpoint: ev.Call.Target.Endpoint.ID, Result: end.Result,
-			Took: end.Took, Finished: end.Finished, Wait: end.Wait, NoSlot: end.NoSlot,
+			Elapsed: end.Elapsed, Final: end.Final, RetryAfter: end.RetryAfter, NoSlot: end.NoSlot,
 		})
-		if e != nil && end.Finished && end.Result == control.Served && e.notice == nil {
+		if e != nil && end.Final && end.Result == control.Served && e.notice == nil {
 			l.counters.delivered.Add(1)
 		}
 		switch {
-		case e == nil || !end.Finished || l.table.entries[f.num] != e:
+		case e == nil || !end.Final || l.table.entries[f.num] != e:
 		case e.seq > 0 && e.notice == nil: // the keeper hears of it first
 			l.resent(e, end.Result)
 		case e.notice == nil || e.parting == nil:
@@ -74,7 +74,7 @@
 		if e.seq == 0 {
 			l.table.retire(e.ID, l.now)
 		}
-		if e.seq == 0 && e.notice != nil && e.notice.Kept != nil {
+		if e.seq == 0 && e.notice != nil && e.notice.DeadLetter != nil {
 			l.settled = append(l.settled, e.ID)
 		}
 	}
@@ -82,13 +82,13 @@
 
 // end gives a message its end: a fixed response if its client still waits for
 // one, else a notice.
-func (l *Loop) end(id control.MessageID, n Notice) {
+func (l *Loop) end(id control.MessageID, n DeliveryReport) {
 	e := l.table.entries[id]
 	if e == nil || e.notice != nil {
 		return
 	}
 	if e.verdict != nil {
-		l.refuseNow(e, Verdict{Again: n.Again, Fatal: !n.Deferred})
+		l.refuseNow(e, Response{RetryAfter: n.RetryAfter, Permanent: !n.Deferred})
 		return
 	}
 	if n.Deferred {
@@ -101,7 +101,7 @@
 		return
 	}
 	if p, kept := l.keeps(e, &n); kept {
-		n.Deferred, n.Again = false, 0
+		n.Deferred, n.RetryAfter = false, 0
 		l.part(e, n, p)
 		l.notices = append(l.notices, *e.notice)
 		return
@@ -112,14 +112,14 @@
 	l.notices = append(l.notices, n)
 }
 
-func (a *actions) Refuse(id control.MessageID, retryAfter time.Duration) {
-	a.loop().end(id, Notice{Deferred: true, Again: retryAfter})
+func (a *actions) Reject(id control.MessageID, retryAfter time.Duration) {
+	a.loop().end(id, DeliveryReport{Deferred: true, RetryAfter: retryAfter})
 }
 
-func (a *actions) Fail(id control.MessageID) { a.loop().end(id, Notice{}) }
+func (a *actions) Fail(id control.MessageID) { a.loop().end(id, DeliveryReport{}) }
 
 // acknowledged forgets the messages whose notices the platform has.
-func (l *Loop) acknowledged(a Acknowledged) {
+func (l *Loop) acknowledged(a ReportsAcknowledged) {
 	for _, num := range a.Nums {
 		if e := l.table.entries[num]; e != nil && e.notice != nil {
 			if e.told = true; e.parting == nil {
--- a/internal/state/certainty.go
+++ b/internal/state/certainty.go
@@ -15,27 +15,27 @@
 // uncertainSpan is UncertainSpan where the settings tell no period for asking.
 const uncertainSpan = 10 * time.Second
 
-// UncertainSpan is how long sends are held back after discovery last began an answer that could not be read. If nothing
+// UncertaintyTimeout is how long sends are held back after discovery last began an answer that could not be read. If nothing
 // was heard of it for so long, as in an outage, the list that is known counts again.
-func UncertainSpan(mustAsk time.Duration) time.Duration {
+func UncertaintyTimeout(mustAsk time.Duration) time.Duration {
 	if mustAsk <= 0 {
 		return uncertainSpan
 	}
 	return mustAsk
 }
 
-// Unread tells that an answer of discovery began at a time and could not be read, or not to its end. Leaving are the
+// ListUnreadable tells that an answer of discovery began at a time and could not be read, or not to its end. Leaving are the
 // targets that the part which came names as draining or gone.
-type Unread struct {
+type ListUnreadable struct {
 	At      time.Time
 	Leaving []Target
 }
 
-// Settled tells that a question is open at discovery, which would have answered had there been anything to tell.
-type Settled struct{}
+// PollOpen tells that a question is open at discovery, which would have answered had there been anything to tell.
+type PollOpen struct{}
 
-// Unsettled tells that the question after a rest failed: what was told since a time is not known.
-type Unsettled struct{ Since time.Time }
+// PollFailed tells that the question after a rest failed: what was told since a time is not known.
+type PollFailed struct{ Since time.Time }
 
 // A certainty tells from when until when sends are held back because the list may not be the one that was told last.
 type certainty struct {
@@ -56,7 +56,7 @@
 	if c.first.IsZero() || grace <= 0 { // or the settings know no such rule
 		return false, time.Time{}
 	}
-	from, to := c.first.Add(permit.HoldAfter(grace)), c.last.Add(span)
+	from, to := c.first.Add(permit.LastSendAfter(grace)), c.last.Add(span)
 	switch {
 	case now.Before(from):
 		return false, from
@@ -68,12 +68,12 @@
 }
 
 // unread takes the news that an answer of discovery could not be read.
-func (l *Loop) unread(u Unread) {
+func (l *Loop) unread(u ListUnreadable) {
 	l.certain.doubt(u.At)
 	l.counters.unread.Add(1)
 	if lines := l.group.takeLeaving(u.Leaving, l.now); len(lines) > 0 {
 		l.log.Info("targets that leave, by a part of the list", "targets", len(lines))
-		l.ctl.Endpoints(l.since(), control.ListAside, lines)
+		l.ctl.UpdateEndpoints(l.since(), control.ListExcluded, lines)
 		l.unlisted()
 		l.departures.follow(l.group)
 	}
@@ -95,7 +95,7 @@
 	if l.heir != nil {
 		return // another process sends
 	}
-	held, next := l.certain.holds(l.now, l.set.DrainGrace, UncertainSpan(l.set.MustAsk))
+	held, next := l.certain.holds(l.now, l.set.DrainGrace, UncertaintyTimeout(l.set.MaxPollInterval))
 	if !next.IsZero() {
 		at := next
 		time.AfterFunc(max(0, at.Sub(l.now)), func() { l.Post(inspect(l.reviewList)) })
@@ -110,6 +110,6 @@
 	} else {
 		l.log.Info("sending goes on", "targets", len(lines))
 	}
-	l.ctl.Endpoints(l.since(), control.ListAside, lines)
+	l.ctl.UpdateEndpoints(l.since(), control.ListExcluded, lines)
 	l.unlisted()
 }
--- a/internal/state/certainty_test.go
+++ b/internal/state/certainty_test.go
@@ -42,7 +42,7 @@
 	g := newGroup()
 	now := time.Now()
 	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
-	g.take(News{Form: control.ListFull, Version: 3, Targets: []Target{up("a"), up("b"), up("c")}}, now)
+	g.take(ListUpdate{Kind: control.ListFull, Version: 3, Targets: []Target{up("a"), up("b"), up("c")}}, now)
 	g.setAside([]string{"c"})
 	leaves := up("a")
 	leaves.State = control.Draining
--- a/internal/state/classes.go
+++ b/internal/state/classes.go
@@ -76,16 +76,16 @@
 	for _, f := range []struct {
 		on  bool
 		bit byte
-	}{{c.ZoneScope, classZone}, {c.InOrder, classInOrder}, {c.Streamed, classStreamed}} {
+	}{{c.KeyZoneScoped, classZone}, {c.Ordered, classInOrder}, {c.Streaming, classStreamed}} {
 		if f.on {
 			bits |= f.bit
 		}
 	}
-	p = append(p, byte(c.Effect), bits)
-	for _, d := range []time.Duration{c.Aim, c.Deadline, c.Memory} {
+	p = append(p, byte(c.Idempotency), bits)
+	for _, d := range []time.Duration{c.LatencyObjective, c.Deadline, c.KeyRetention} {
 		p = binary.AppendVarint(p, int64(d))
 	}
-	for _, v := range []float64{c.AimStretch, c.Worth, c.LateWorth} {
+	for _, v := range []float64{c.ObjectiveStretch, c.PriorityWeight, c.LateWeight} {
 		p = binary.LittleEndian.AppendUint64(p, math.Float64bits(v))
 	}
 	return p
@@ -94,16 +94,16 @@
 // class reads such a record; one that makes no sense is a misfit.
 func (s *scan) class() NamedClass {
 	c := NamedClass{Name: s.text()}
-	c.Effect = control.Effect(s.octet())
+	c.Idempotency = control.Idempotency(s.octet())
 	bits := s.octet()
-	c.ZoneScope, c.InOrder, c.Streamed = bits&classZone != 0, bits&classInOrder != 0, bits&classStreamed != 0
-	for _, d := range []*time.Duration{&c.Aim, &c.Deadline, &c.Memory} {
+	c.KeyZoneScoped, c.Ordered, c.Streaming = bits&classZone != 0, bits&classInOrder != 0, bits&classStreamed != 0
+	for _, d := range []*time.Duration{&c.LatencyObjective, &c.Deadline, &c.KeyRetention} {
 		*d = time.Duration(s.number())
 	}
-	for _, v := range []*float64{&c.AimStretch, &c.Worth, &c.LateWorth} {
+	for _, v := range []*float64{&c.ObjectiveStretch, &c.PriorityWeight, &c.LateWeight} {
 		*v = s.float()
 	}
-	s.bad = s.bad || c.Effect > control.Unsafe || c.Deadline <= 0 || c.Aim < 0 || c.Memory < 0
+	s.bad = s.bad || c.Idempotency > control.NotIdempotent || c.Deadline <= 0 || c.LatencyObjective < 0 || c.KeyRetention < 0
 	return c
 }
 
@@ -130,24 +130,24 @@
 	return v
 }
 
-// Retune is new settings under way. Classes holds their classes with names.
-type Retune struct {
+// UpdateSettings is new settings under way. Classes holds their classes with names.
+type UpdateSettings struct {
 	Settings control.Settings
 	Classes  []NamedClass
-	Done     chan<- Retuned // takes one without blocking
+	Done     chan<- SettingsResult // takes one without blocking
 }
 
-// Retuned tells the numbers of the classes that hold now, by name, or why the old settings stay.
-type Retuned struct {
+// SettingsResult tells the numbers of the classes that hold now, by name, or why the old settings stay.
+type SettingsResult struct {
 	Numbers map[string]int
 	Classes []control.Class // by number, those of before included
 	Err     error
 }
 
 // retune takes new settings, or none of them.
-func (l *Loop) retune(r Retune) {
+func (l *Loop) retune(r UpdateSettings) {
 	if len(l.table.classes.list)+len(r.Classes) > classesMost {
-		r.Done <- Retuned{Err: errClasses}
+		r.Done <- SettingsResult{Err: errClasses}
 		return
 	}
 	book := &classBook{list: l.table.classes.list, records: l.table.classes.records}
@@ -156,8 +156,8 @@
 		numbers[c.Name] = book.number(c)
 	}
 	r.Settings.Classes = book.classes()
-	if err := l.ctl.Retune(l.since(), r.Settings); err != nil {
-		r.Done <- Retuned{Err: err}
+	if err := l.ctl.UpdateSettings(l.since(), r.Settings); err != nil {
+		r.Done <- SettingsResult{Err: err}
 		return
 	}
 	l.table.classes = book
@@ -165,5 +165,5 @@
 	set.Kinds = l.set.Kinds
 	l.set = set
 	l.tellClasses(numbers)
-	r.Done <- Retuned{Numbers: numbers, Classes: set.Classes}
+	r.Done <- SettingsResult{Numbers: numbers, Classes: set.Classes}
 }
--- a/internal/state/classes_test.go
+++ b/internal/state/classes_test.go
@@ -11,8 +11,8 @@
 // A message keeps its class over a restart with other settings: of the same name and stricter, in another order, or
 // gone. Numbers of classes that hold are those of the settings.
 func TestClassOutlastsSettings(t *testing.T) {
-	named := func(name string, e control.Effect) NamedClass {
-		return NamedClass{name, control.Class{Aim: time.Second, Deadline: time.Minute, Worth: 1, LateWorth: 0.25, Effect: e, Memory: 12 * time.Second, ZoneScope: e == control.Keyed}}
+	named := func(name string, e control.Idempotency) NamedClass {
+		return NamedClass{name, control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, LateWeight: 0.25, Idempotency: e, KeyRetention: 12 * time.Second, KeyZoneScoped: e == control.IdempotentByKey}}
 	}
 	book := func(list ...NamedClass) *classBook {
 		b := &classBook{}
@@ -21,7 +21,7 @@
 		}
 		return b
 	}
-	safe, keyed := named("status", control.Safe), named("print-order", control.Keyed)
+	safe, keyed := named("status", control.Idempotent), named("print-order", control.IdempotentByKey)
 	for _, c := range []struct {
 		name  string
 		after *classBook
@@ -29,9 +29,9 @@
 	}{
 		{"the same", book(safe, keyed), 1},
 		{"another order", book(keyed, safe), 0},
-		{"stricter", book(safe, named("print-order", control.Unsafe)), 2},
+		{"stricter", book(safe, named("print-order", control.NotIdempotent)), 2},
 		{"gone", book(safe), 1},
-		{"another name", book(safe, named("order", control.Keyed)), 2},
+		{"another name", book(safe, named("order", control.IdempotentByKey)), 2},
 	} {
 		dir := t.TempDir()
 		j, table, err := openJournal(journalSetup{dir: dir, limit: 1e6, durability: store.Process, classes: book(safe, keyed), log: quiet})
@@ -63,38 +63,38 @@
 func TestRetuneLoop(t *testing.T) {
 	l, o := loop(t, t.TempDir(), 1e6)
 	start(t, l)
-	tune := func(classes []NamedClass, change func(*control.Settings)) Retuned {
+	tune := func(classes []NamedClass, change func(*control.Settings)) SettingsResult {
 		set := l.set
 		change(&set)
-		done := make(chan Retuned, 1)
-		l.Post(Retune{Settings: set, Classes: classes, Done: done})
+		done := make(chan SettingsResult, 1)
+		l.Post(UpdateSettings{Settings: set, Classes: classes, Done: done})
 		return get(t, done)
 	}
 	get(t, handIn(l, "a", 10))
-	l.Post(Answered{ID: "a", OK: true})
+	l.Post(ResponseWritten{ID: "a", OK: true})
 	c := get(t, o.calls)
-	strict := NamedClass{"status", control.Class{Aim: time.Second, Deadline: time.Minute, Worth: 1, Effect: control.Unsafe}}
+	strict := NamedClass{"status", control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.NotIdempotent}}
 	r := tune([]NamedClass{strict}, func(*control.Settings) {})
 	if r.Err != nil || r.Numbers["status"] != 3 && r.Numbers["status"] != 2 {
 		t.Fatalf("%+v", r)
 	}
-	if n := r.Numbers["status"]; r.Classes[n].Effect != control.Unsafe || r.Classes[0].Effect != control.Safe {
+	if n := r.Numbers["status"]; r.Classes[n].Idempotency != control.NotIdempotent || r.Classes[0].Idempotency != control.Idempotent {
 		t.Fatalf("%+v", r)
 	}
 	// It was safe when it came: broken off, it goes again.
-	l.Post(Ended{c, []End{{Forward: c.Forwards[0], Result: control.Broken}}})
-	if again := get(t, o.calls); again.Forwards[0].Message.ID != "a" {
-		t.Errorf("%+v", again.Forwards[0].Message)
+	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.ConnectionLost}}})
+	if again := get(t, o.calls); again.Attempts[0].Message.ID != "a" {
+		t.Errorf("%+v", again.Attempts[0].Message)
 	}
 	many := make([]NamedClass, classesMost)
 	for i := range many {
 		many[i] = strict
-		many[i].Aim = time.Duration(i)
+		many[i].LatencyObjective = time.Duration(i)
 	}
 	if r := tune(many, func(*control.Settings) {}); r.Err == nil {
 		t.Error("classes without bound")
 	}
-	if r := tune([]NamedClass{strict}, func(s *control.Settings) { s.Slots = 0 }); r.Err == nil {
+	if r := tune([]NamedClass{strict}, func(s *control.Settings) { s.MaxInFlight = 0 }); r.Err == nil {
 		t.Error("settings that make no sense are taken")
 	}
 }
--- a/internal/state/count.go
+++ b/internal/state/count.go
@@ -13,7 +13,7 @@
 
 	unread, holds atomic.Int64
 
-	withheld, broken [permit.Refusals]atomic.Int64 // sends, by what was against them
+	withheld, broken [permit.DenialCount]atomic.Int64 // sends, by what was against them
 }
 
 // Counts are what counters show, since the start of the process but for Open.
--- a/internal/state/gate.go
+++ b/internal/state/gate.go
@@ -66,33 +66,33 @@
 		}
 		if w := l.waits[addressOf(*t)]; l.now.Before(w.until) {
 			l.waits[l.routeOf(*t)] = w
-			l.ctl.Bind(l.since(), t.Endpoint.ID, w.until.Sub(l.now))
+			l.ctl.ApplyRetryAfter(l.since(), t.Endpoint.ID, w.until.Sub(l.now))
 		}
 	}
 }
 
 // rules are those in force for all sends.
 func (l *Loop) rules() permit.Rules {
-	return permit.Rules{Grace: l.set.DrainGrace, OneCopy: !l.set.SecondCopies, Stopping: l.halted}
+	return permit.Rules{DrainGrace: l.set.DrainGrace, NoHedging: !l.set.AllowHedging, Stopping: l.halted}
 }
 
 // facts are what is known of a target for a send to it.
 func (l *Loop) facts(t Target) permit.Route {
 	w := l.waits[l.routeOf(t)]
-	return permit.Route{Left: l.group.toldLeft[t.Endpoint.ID], Uncertain: l.certain.first, WaitFrom: w.from, WaitUntil: w.until}
+	return permit.Route{LeftAt: l.group.toldLeft[t.Endpoint.ID], UncertainSince: l.certain.first, RetryAfterFrom: w.from, RetryAfterUntil: w.until}
 }
 
 // permits tells whether a forward of a call may leave now. What may not is counted and ends as one that was called off.
-func (l *Loop) permits(c *Call, f *Forward, e *entry) bool {
-	m := permit.Message{Deadline: f.Message.Deadline, MayHaveRun: len(e.ran) > 0, RememberTil: f.Leave, CopyOut: e.flights > 1}
+func (l *Loop) permits(c *Call, f *Attempt, e *entry) bool {
+	m := permit.Message{Deadline: f.Message.Deadline, MayHaveRun: len(e.ran) > 0, KeyRetainedUntil: f.NotAfter, InFlight: e.flights > 1}
 	if e.Class >= 0 && e.Class < len(l.set.Classes) {
-		m.Effect = l.set.Classes[e.Class].Effect
+		m.Idempotency = l.set.Classes[e.Class].Idempotency
 	}
-	if m.Effect != control.Keyed {
-		m.RememberTil = f.Message.Deadline
+	if m.Idempotency != control.IdempotentByKey {
+		m.KeyRetainedUntil = f.Message.Deadline
 	}
-	refusal := l.rules().Send(l.now, m, l.facts(c.Target))
-	if refusal == permit.None {
+	refusal := l.rules().Check(l.now, m, l.facts(c.Target))
+	if refusal == permit.Allowed {
 		return true
 	}
 	l.counters.withheld[refusal].Add(1)
@@ -101,19 +101,19 @@
 }
 
 // judge looks at when a call left, once what came of it is known.
-func (l *Loop) judge(c *Call, end End) {
-	if end.Left.IsZero() {
+func (l *Loop) judge(c *Call, end AttemptResult) {
+	if end.SentAt.IsZero() {
 		return
 	}
-	if broken := l.rules().Left(end.Left, l.facts(c.Target)); broken != permit.None {
+	if broken := l.rules().CheckSent(end.SentAt, l.facts(c.Target)); broken != permit.Allowed {
 		l.counters.broken[broken].Add(1)
-		l.log.Error("a call left that should not have", "why", broken, "message", end.Forward.Message.ID,
-			"attempt", end.Forward.attempt, "target", c.Target.ID, "left", l.now.Sub(end.Left))
+		l.log.Error("a call left that should not have", "why", broken, "message", end.Attempt.Message.ID,
+			"attempt", end.Attempt.attempt, "target", c.Target.ID, "left", l.now.Sub(end.SentAt))
 	}
 }
 
 // tally are the counts of refusals that are not zero, by name.
-func tally(counts *[permit.Refusals]atomic.Int64) map[string]int64 {
+func tally(counts *[permit.DenialCount]atomic.Int64) map[string]int64 {
 	list := map[string]int64{}
 	for _, r := range permit.All() {
 		if n := counts[r].Load(); n > 0 {
--- a/internal/state/gate_test.go
+++ b/internal/state/gate_test.go
@@ -14,25 +14,25 @@
 		name  string
 		class int
 		known func(l *Loop, to control.EndpointID) // what is known as the second send is decided on
-		want  permit.Refusal
+		want  permit.Denial
 	}{
-		{"a second call of an unsafe message", 2, func(*Loop, control.EndpointID) {}, permit.Repeat},
-		{"a copy where one is allowed", 0, func(l *Loop, _ control.EndpointID) { l.set.SecondCopies = false }, permit.SecondCopy},
-		{"a target that left", 0, func(l *Loop, to control.EndpointID) { l.group.toldLeft[to] = l.now.Add(-2 * time.Second) }, permit.TargetLeft},
-		{"an uncertain list", 0, func(l *Loop, _ control.EndpointID) { l.certain.doubt(l.now.Add(-2 * time.Second)) }, permit.Uncertain},
+		{"a second call of an unsafe message", 2, func(*Loop, control.EndpointID) {}, permit.NotRepeatable},
+		{"a copy where one is allowed", 0, func(l *Loop, _ control.EndpointID) { l.set.AllowHedging = false }, permit.InFlight},
+		{"a target that left", 0, func(l *Loop, to control.EndpointID) { l.group.toldLeft[to] = l.now.Add(-2 * time.Second) }, permit.EndpointGone},
+		{"an uncertain list", 0, func(l *Loop, _ control.EndpointID) { l.certain.doubt(l.now.Add(-2 * time.Second)) }, permit.ListUncertain},
 		{"a wait", 0, func(l *Loop, to control.EndpointID) {
 			l.remember(*l.group.byNum[to], time.Second)
 			l.now = l.now.Add(time.Millisecond) // sends decided on as it is told are excused
-		}, permit.Waiting},
+		}, permit.RetryAfterPending},
 		{"a process that ends", 0, func(l *Loop, _ control.EndpointID) { l.halted = true }, permit.Stopping},
 	} {
 		l, o := loop(t, t.TempDir(), 1e6)
 		l.set.DrainGrace = 2 * time.Second
 		start(t, l)
-		verdict := make(chan Verdict, 1)
-		l.Post(Handed{Message: &Message{ID: "a", Class: c.class, Destination: 7, Deadline: time.Now().Add(time.Minute)}, Verdict: verdict})
+		verdict := make(chan Response, 1)
+		l.Post(Submitted{Message: &Message{ID: "a", Class: c.class, Destination: 7, Deadline: time.Now().Add(time.Minute)}, Response: verdict})
 		get(t, verdict)
-		l.Post(Answered{"a", true})
+		l.Post(ResponseWritten{"a", true})
 		get(t, o.calls)
 		done := make(chan bool)
 		l.Post(inspect(func() {
@@ -58,9 +58,9 @@
 	now := time.Now()
 	l.Post(inspect(func() { l.group.toldLeft[call.Target.Endpoint.ID] = now }))
 	for i, left := range []time.Duration{900 * time.Millisecond, 1100 * time.Millisecond} {
-		l.Post(Ended{call, []End{{Forward: call.Forwards[0], Result: control.Served, Finished: true, Left: now.Add(left)}}})
+		l.Post(CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: control.Served, Final: true, SentAt: now.Add(left)}}})
 		l.Idle()
-		if n := l.counters.Counts().Broken[permit.TargetLeft.String()]; n != int64(i) {
+		if n := l.counters.Counts().Broken[permit.EndpointGone.String()]; n != int64(i) {
 			t.Errorf("left after %v: %d counted", left, n)
 		}
 	}
@@ -82,11 +82,11 @@
 		l.Post(inspect(func() {
 			time.Sleep(c.busy)
 			told = time.Now()
-			l.events <- Ended{call, []End{{Forward: call.Forwards[0], Result: control.Full, Wait: wait}}}
+			l.events <- CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: control.Rejected, RetryAfter: wait}}}
 			if c.news {
 				gone, next := call.Target, call.Target
 				gone.State, next.ID = control.Removed, "s2"
-				l.events <- News{Form: control.ListDelta, Version: 2, Targets: []Target{gone, next}}
+				l.events <- ListUpdate{Kind: control.ListDelta, Version: 2, Targets: []Target{gone, next}}
 			}
 		}))
 		if again := get(t, o.calls); time.Since(told) < wait {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -16,8 +16,8 @@
 
 // goldenClass is the class of the messages in the golden journal.
 var goldenClass = NamedClass{Name: "keyed", Class: control.Class{
-	Aim: 2 * time.Second, AimStretch: 1.5, Deadline: 20 * time.Second, Worth: 3, LateWorth: 0.25, Effect: control.Keyed,
-	ZoneScope: true, Memory: 12 * time.Second, InOrder: true, Streamed: true,
+	LatencyObjective: 2 * time.Second, ObjectiveStretch: 1.5, Deadline: 20 * time.Second, PriorityWeight: 3, LateWeight: 0.25, Idempotency: control.IdempotentByKey,
+	KeyZoneScoped: true, KeyRetention: 12 * time.Second, Ordered: true, Streaming: true,
 }}
 
 // goldenEntries are messages of each fate: taken, forwarded, spared, with a notice owed, of the dead-letter queue, and repeated by it.
@@ -27,7 +27,7 @@
 	var list []*entry
 	for i, id := range []string{"taken", "forwarded", "spared", "deferred", "undeliverable", "kept", "resent"} {
 		m := &Message{
-			ID: id, Key: "key-" + id, Class: number, Tenant: 2, Destination: 3, Again: i%2 == 0,
+			ID: id, Key: "key-" + id, Class: number, Tenant: 2, Destination: 3, Resubmitted: i%2 == 0,
 			Deadline: at.Add(time.Duration(i) * time.Second), Body: bytes.Repeat([]byte{byte(i), 'b'}, 5),
 		}
 		list = append(list, &entry{Message: m, num: control.MessageID(i + 1), answered: true, class: classes.record(number)})
@@ -35,12 +35,12 @@
 	list[1].ran = []sent{{attempt: 0, at: at, zone: 1, target: "s1", told: true}, {attempt: 2, at: at.Add(time.Second), zone: -1}}
 	list[1].sends = 3
 	list[2].sends = 2
-	list[3].notice = &Notice{Num: 4, ID: "deferred", Deferred: true, Again: 1500 * time.Millisecond}
-	list[4].notice = &Notice{Num: 5, ID: "undeliverable"}
-	list[5].notice = &Notice{Num: 6, ID: "kept", Deferred: true, Kept: &Parting{
-		Num: 6, Reason: "expired", At: at, Delivered: true, Over: true, Deferred: true,
+	list[3].notice = &DeliveryReport{Num: 4, ID: "deferred", Deferred: true, RetryAfter: 1500 * time.Millisecond}
+	list[4].notice = &DeliveryReport{Num: 5, ID: "undeliverable"}
+	list[5].notice = &DeliveryReport{Num: 6, ID: "kept", Deferred: true, DeadLetter: &DeadLetter{
+		Num: 6, Reason: "expired", At: at, Delivered: true, Final: true, Deferred: true,
 	}}
-	list[5].parting = list[5].notice.Kept
+	list[5].parting = list[5].notice.DeadLetter
 	list[6].seq = 77
 	return list
 }
@@ -50,14 +50,14 @@
 	var b strings.Builder
 	for _, e := range t.ordered() {
 		fmt.Fprintf(&b, "%d id=%q key=%q class=%q tenant=%d destination=%d deadline=%d again=%t body=%x seq=%d sends=%d\n", e.num, e.ID, e.Key,
-			t.classes.list[e.Class].Name, e.Tenant, e.Destination, t.base.stampOf(e.Deadline), e.Again, e.Body, e.seq, e.sends)
+			t.classes.list[e.Class].Name, e.Tenant, e.Destination, t.base.stampOf(e.Deadline), e.Resubmitted, e.Body, e.seq, e.sends)
 		for _, s := range e.ran {
 			fmt.Fprintf(&b, "  ran attempt=%d at=%d zone=%d target=%q told=%t\n", s.attempt, t.base.stampOf(s.at), s.zone, s.target, s.told)
 		}
 		if n := e.notice; n != nil {
-			fmt.Fprintf(&b, "  notice id=%q deferred=%t again=%s\n", n.ID, n.Deferred, n.Again)
-			if k := n.Kept; k != nil {
-				fmt.Fprintf(&b, "  kept reason=%q at=%d delivered=%t over=%t deferred=%t\n", k.Reason, t.base.stampOf(k.At), k.Delivered, k.Over, k.Deferred)
+			fmt.Fprintf(&b, "  notice id=%q deferred=%t again=%s\n", n.ID, n.Deferred, n.RetryAfter)
+			if k := n.DeadLetter; k != nil {
+				fmt.Fprintf(&b, "  kept reason=%q at=%d delivered=%t over=%t deferred=%t\n", k.Reason, t.base.stampOf(k.At), k.Delivered, k.Final, k.Deferred)
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 	}
 	var b bytes.Buffer
 	for _, p := range pending {
-		fmt.Fprintf(&b, "%s %d %d %d %t %s\n", p.ID, p.Destination, p.Deadline.UnixMicro(), p.Forwards, p.MayHaveRun, p.Owed)
+		fmt.Fprintf(&b, "%s %d %d %d %t %s\n", p.ID, p.Destination, p.Deadline.UnixMicro(), p.Attempts, p.MayHaveRun, p.Owed)
 	}
 	return b.Bytes()
 }
@@ -124,8 +124,8 @@
 // TestGoldenState writes and reads the structs that go to files, to another process and to operators as JSON.
 func TestGoldenState(t *testing.T) {
 	golden.JSON[anchor](t, "timebase.json")
-	golden.JSON[Estate](t, "estate.json")
-	golden.JSON[Returned](t, "returned.json")
-	golden.JSON[Listed](t, "listed.json")
+	golden.JSON[HandoverState](t, "estate.json")
+	golden.JSON[RemoteResult](t, "returned.json")
+	golden.JSON[ListedTarget](t, "listed.json")
 	golden.JSON[Counts](t, "counts.json")
 }
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -14,57 +14,57 @@
 // controller before what came of the forward is known, or the other process is lost, which leaves it as one that
 // may have run.
 
-// Estate is what a process that leaves tells the next.
-type Estate struct {
-	At      time.Time                       `json:"At"`
-	Stamp   int64                           `json:"Stamp"` // the same by the time base of the journal; 0 = from a program that had none
-	Version int64                           `json:"Version"`
-	Targets []Target                        `json:"Targets"`
-	Known   map[string]control.Recollection `json:"Known"` // by the ids of targets
-	Out     []Abroad                        `json:"Out"`
-	Drained bool                            `json:"Drained"` // clients are sent away, by hand
-	Lease   lease.Book                      `json:"Lease"`
+// HandoverState is what a process that leaves tells the next.
+type HandoverState struct {
+	At       time.Time                     `json:"At"`
+	Stamp    int64                         `json:"Stamp"` // the same by the time base of the journal; 0 = from a program that had none
+	Version  int64                         `json:"Version"`
+	Targets  []Target                      `json:"Targets"`
+	Routes   map[string]control.RouteState `json:"Known"` // by the ids of targets
+	InFlight []RemoteAttempt               `json:"Out"`
+	Drained  bool                          `json:"Drained"` // clients are sent away, by hand
+	Lease    lease.Holder                  `json:"Lease"`
 
-	// Uncertain is for how long the list has been uncertain; 0 = it is not. See certainty.
-	Uncertain time.Duration `json:"Uncertain"`
+	// UncertainFor is for how long the list has been uncertain; 0 = it is not. See certainty.
+	UncertainFor time.Duration `json:"Uncertain"`
 }
 
-// Abroad is a forward that another process has out.
-type Abroad struct {
-	Num     control.MessageID `json:"Num"`
+// RemoteAttempt is a forward that another process has out.
+type RemoteAttempt struct {
+	Message control.MessageID `json:"Num"`
 	Attempt int               `json:"Attempt"`
 	Call    int               `json:"Call"` // forwards of one call take one slot
 }
 
-// Returned is what came of such a forward.
-type Returned struct {
-	Num      control.MessageID `json:"Num"`
-	Attempt  int               `json:"Attempt"`
-	Target   string            `json:"Target"`
-	Result   control.Result    `json:"Result"`
-	Took     time.Duration     `json:"Took"`
-	Wait     time.Duration     `json:"Wait"`
-	Finished bool              `json:"Finished"`
+// RemoteResult is what came of such a forward.
+type RemoteResult struct {
+	Message    control.MessageID `json:"Num"`
+	Attempt    int               `json:"Attempt"`
+	Target     string            `json:"Target"`
+	Result     control.Result    `json:"Result"`
+	Elapsed    time.Duration     `json:"Took"`
+	RetryAfter time.Duration     `json:"Wait"`
+	Final      bool              `json:"Finished"`
 }
 
-// Lost tells that the other process has ended: what it had out may have run.
-type Lost struct{}
+// PredecessorLost tells that the other process has ended: what it had out may have run.
+type PredecessorLost struct{}
 
-// Heir is the process that comes after this one, to one that has given way.
-type Heir interface {
-	// Returned tells what came of a forward; none more is out after the last.
-	Returned(r Returned, last bool)
+// Successor is the process that comes after this one, to one that has given way.
+type Successor interface {
+	// RemoteResult tells what came of a forward; none more is out after the last.
+	RemoteResult(r RemoteResult, last bool)
 }
 
-// GiveWay has the loop let go of everything for an heir. The estate is told once the journal is closed. From then
+// HandOver has the loop let go of everything for an heir. The estate is told once the journal is closed. From then
 // on the loop serves nobody but the heir.
-type GiveWay struct {
-	Heir Heir
-	Done chan<- Given // takes one without blocking
+type HandOver struct {
+	Successor Successor
+	Done      chan<- HandOverResult // takes one without blocking
 }
 
-// Sound tells whether the journal holds all that the loop knows; only then may it give way.
-func (l *Loop) Sound() bool {
+// JournalIntact tells whether the journal holds all that the loop knows; only then may it give way.
+func (l *Loop) JournalIntact() bool {
 	answer := make(chan bool, 1)
 	l.Post(inspect(func() { answer <- l.heir == nil && !l.journal.dirty }))
 	select {
@@ -75,18 +75,18 @@
 	}
 }
 
-// Given answers GiveWay.
-type Given struct {
-	Estate Estate
-	Err    error
+// HandOverResult answers GiveWay.
+type HandOverResult struct {
+	State HandoverState
+	Err   error
 }
 
 // giveWay is asked for in a round, and done at its end.
-func (l *Loop) giveWay(g GiveWay) {
+func (l *Loop) giveWay(g HandOver) {
 	l.leaving = &g
 	l.stopped, l.halted = true, true
 	for _, c := range l.ready { // waited for a slot: they never left
-		l.unsend(c, control.NoConnection)
+		l.unsend(c, control.ConnectFailed)
 	}
 	l.ready = nil
 	// What still waits for its connection goes by the next process, which hears of drains and told waits.
@@ -100,13 +100,13 @@
 	}
 	g := l.leaving
 	l.leaving = nil
-	e := Estate{At: l.now, Stamp: l.journal.base.stampOf(l.now), Version: l.group.version, Known: map[string]control.Recollection{}}
+	e := HandoverState{At: l.now, Stamp: l.journal.base.stampOf(l.now), Version: l.group.version, Routes: map[string]control.RouteState{}}
 	if !l.certain.first.IsZero() {
-		e.Uncertain = max(1, l.now.Sub(l.certain.first))
+		e.UncertainFor = max(1, l.now.Sub(l.certain.first))
 	}
-	for _, r := range l.ctl.Recall(l.since()) {
+	for _, r := range l.ctl.RouteStates(l.since()) {
 		if t := l.group.byNum[r.Endpoint]; t != nil {
-			e.Known[t.ID] = r
+			e.Routes[t.ID] = r
 			e.Targets = append(e.Targets, *t)
 		}
 	}
@@ -117,32 +117,32 @@
 			continue
 		}
 		n++
-		for _, f := range c.Forwards {
+		for _, f := range c.Attempts {
 			if !f.ended && l.table.entries[f.num] != nil {
-				e.Out = append(e.Out, Abroad{f.num, f.attempt, n})
+				e.InFlight = append(e.InFlight, RemoteAttempt{f.num, f.attempt, n})
 			}
 		}
 	}
 	for a, call := range l.abroad { // of a process before this one: passed on when it is told
-		e.Out = append(e.Out, Abroad{a.num, a.attempt, n + 1 + call})
+		e.InFlight = append(e.InFlight, RemoteAttempt{a.num, a.attempt, n + 1 + call})
 	}
 	err := l.journal.close()
 	if l.journal.dirty {
 		err = errors.Join(errDirty, err)
 	}
-	l.heir = g.Heir
-	g.Done <- Given{e, err}
+	l.heir = g.Successor
+	g.Done <- HandOverResult{e, err}
 	if len(l.out)+len(l.abroad) == 0 {
-		l.heir.Returned(Returned{}, true)
+		l.heir.RemoteResult(RemoteResult{}, true)
 	}
 }
 
 // pass is all that a loop still does once it has given way.
 func (l *Loop) pass(event any) {
 	switch e := event.(type) {
-	case Ended:
-		for _, end := range e.Ends {
-			f := end.Forward
+	case CallEnded:
+		for _, end := range e.Results {
+			f := end.Attempt
 			if f.ended {
 				continue
 			}
@@ -150,27 +150,27 @@
 			if l.out[e.Call]--; l.out[e.Call] <= 0 {
 				delete(l.out, e.Call)
 			}
-			l.heir.Returned(Returned{
-				Num: f.num, Attempt: f.attempt, Target: e.Call.Target.ID, Result: end.Result, Took: end.Took, Wait: end.Wait,
-				Finished: end.Finished,
+			l.heir.RemoteResult(RemoteResult{
+				Message: f.num, Attempt: f.attempt, Target: e.Call.Target.ID, Result: end.Result, Elapsed: end.Elapsed, RetryAfter: end.RetryAfter,
+				Final: end.Final,
 			}, len(l.out)+len(l.abroad) == 0)
 		}
-	case Returned:
-		if a := (abroad{e.Num, e.Attempt}); l.isAbroad(a) {
+	case RemoteResult:
+		if a := (abroad{e.Message, e.Attempt}); l.isAbroad(a) {
 			delete(l.abroad, a)
-			l.heir.Returned(e, len(l.out)+len(l.abroad) == 0)
+			l.heir.RemoteResult(e, len(l.out)+len(l.abroad) == 0)
 		}
-	case Lost:
+	case PredecessorLost:
 		l.abroad = nil
 		if len(l.out) == 0 {
-			l.heir.Returned(Returned{}, true)
+			l.heir.RemoteResult(RemoteResult{}, true)
 		}
-	case Handed:
-		e.Verdict <- Verdict{Again: l.pause(leavePause)}
-	case Retune:
-		e.Done <- Retuned{Err: errGiven}
-	case GiveWay:
-		e.Done <- Given{Err: errGiven}
+	case Submitted:
+		e.Response <- Response{RetryAfter: l.pause(leavePause)}
+	case UpdateSettings:
+		e.Done <- SettingsResult{Err: errGiven}
+	case HandOver:
+		e.Done <- HandOverResult{Err: errGiven}
 	case inspect:
 		e()
 	}
@@ -183,7 +183,7 @@
 }
 
 // estateAt is when an estate was told. Its wall time does not outlast a step of the clock.
-func (l *Loop) estateAt(e *Estate) time.Time {
+func (l *Loop) estateAt(e *HandoverState) time.Time {
 	if e.Stamp == 0 {
 		return e.At
 	}
@@ -191,33 +191,33 @@
 }
 
 // inherit takes up what the process before this one has told, before the loop's first round.
-func (l *Loop) inherit(e *Estate) {
+func (l *Loop) inherit(e *HandoverState) {
 	l.abroad = map[abroad]int{}
-	for _, a := range e.Out {
-		if x := l.table.entries[a.Num]; x != nil && x.notice == nil {
-			l.abroad[abroad{a.Num, a.Attempt}] = a.Call
+	for _, a := range e.InFlight {
+		if x := l.table.entries[a.Message]; x != nil && x.notice == nil {
+			l.abroad[abroad{a.Message, a.Attempt}] = a.Call
 			x.abroad++
 		}
 	}
-	l.backlog = append(l.backlog, News{Form: control.ListCached, Version: e.Version, Targets: e.Targets}, inspect(func() {
+	l.backlog = append(l.backlog, ListUpdate{Kind: control.ListCached, Version: e.Version, Targets: e.Targets}, inspect(func() {
 		since := max(0, l.now.Sub(l.estateAt(e)))
-		if e.Uncertain > 0 {
-			l.certain.doubt(l.now.Add(-since - e.Uncertain))
+		if e.UncertainFor > 0 {
+			l.certain.doubt(l.now.Add(-since - e.UncertainFor))
 			l.reviewList()
 		}
-		var list []control.Recollection
-		for id, r := range e.Known {
+		var list []control.RouteState
+		for id, r := range e.Routes {
 			t := l.group.byID[id]
 			if t == nil {
 				continue
 			}
 			r.Endpoint = t.Endpoint.ID
-			r.Wait, r.Retry = max(0, r.Wait-since), max(0, r.Retry-since)
-			r.Since, r.Back = r.Since+since, r.Back+since
+			r.RetryAfter, r.NextTrial = max(0, r.RetryAfter-since), max(0, r.NextTrial-since)
+			r.FailingFor, r.RecoveredFor = r.FailingFor+since, r.RecoveredFor+since
 			list = append(list, r)
 		}
-		l.ctl.Remember(l.since(), list)
-		l.ctl.Abroad(l.since(), l.abroadCalls())
+		l.ctl.RestoreRoutes(l.since(), list)
+		l.ctl.SetRemoteInFlight(l.since(), l.abroadCalls())
 	}))
 }
 
@@ -236,20 +236,20 @@
 }
 
 // returned enters what came of a forward abroad, as book does for those of its own.
-func (l *Loop) returned(r Returned) {
-	a := abroad{r.Num, r.Attempt}
+func (l *Loop) returned(r RemoteResult) {
+	a := abroad{r.Message, r.Attempt}
 	if !l.isAbroad(a) {
 		return
 	}
 	delete(l.abroad, a)
-	l.ctl.Abroad(l.since(), l.abroadCalls())
+	l.ctl.SetRemoteInFlight(l.since(), l.abroadCalls())
 	if t := l.group.byID[r.Target]; t != nil {
-		l.ctl.Saw(l.since(), control.Outcome{Endpoint: t.Endpoint.ID, Result: r.Result, Wait: r.Wait}, r.Took)
-		if r.Wait > 0 {
+		l.ctl.RemoteOutcome(l.since(), control.Outcome{Endpoint: t.Endpoint.ID, Result: r.Result, RetryAfter: r.RetryAfter}, r.Elapsed)
+		if r.RetryAfter > 0 {
 			l.waited(*t)
 		}
 	}
-	e := l.table.entries[r.Num]
+	e := l.table.entries[r.Message]
 	if e == nil {
 		return
 	}
@@ -260,7 +260,7 @@
 	}
 	e.abroad--
 	switch {
-	case r.Finished:
+	case r.Final:
 		if r.Result == control.Served && e.notice == nil {
 			l.counters.delivered.Add(1)
 		}
@@ -278,7 +278,7 @@
 // lost takes what is still abroad for what may have run.
 func (l *Loop) lost() {
 	clear(l.abroad)
-	l.ctl.Abroad(l.since(), 0)
+	l.ctl.SetRemoteInFlight(l.since(), 0)
 	for _, e := range l.table.ordered() {
 		if e.abroad > 0 {
 			e.abroad = 0
--- a/internal/state/journal.go
+++ b/internal/state/journal.go
@@ -125,7 +125,7 @@
 		p = binary.AppendVarint(p, int64(n))
 	}
 	p = binary.AppendVarint(p, b.stampOf(e.Deadline))
-	p = flag(p, e.Again)
+	p = flag(p, e.Resubmitted)
 	p = text(p, string(e.Body))
 	return append(binary.AppendUvarint(p, e.seq), e.class...)
 }
@@ -154,7 +154,7 @@
 	formClients   = 16 // without the keeper it would be its client's again
 )
 
-func noticeRecord(b *timebase, n *Notice) []byte {
+func noticeRecord(b *timebase, n *DeliveryReport) []byte {
 	form := uint64(0)
 	bit := func(b uint64, on bool) {
 		if on {
@@ -162,16 +162,16 @@
 		}
 	}
 	bit(formDeferred, n.Deferred)
-	if k := n.Kept; k != nil {
+	if k := n.DeadLetter; k != nil {
 		form |= formKept
 		bit(formDelivered, k.Delivered)
-		bit(formOver, k.Over)
+		bit(formOver, k.Final)
 		bit(formClients, k.Deferred)
 	}
 	p := binary.AppendUvarint(payload(recNotice, n.Num), form)
-	p = binary.AppendVarint(p, n.Again.Milliseconds())
-	if n.Kept != nil {
-		p = binary.AppendVarint(text(p, n.Kept.Reason), b.stampOf(n.Kept.At))
+	p = binary.AppendVarint(p, n.RetryAfter.Milliseconds())
+	if n.DeadLetter != nil {
+		p = binary.AppendVarint(text(p, n.DeadLetter.Reason), b.stampOf(n.DeadLetter.At))
 	}
 	return p
 }
@@ -366,7 +366,7 @@
 		m := &Message{ID: s.text(), Key: s.text()}
 		m.Class, m.Tenant, m.Destination = int(s.number()), int(s.number()), int(s.number())
 		m.Deadline = t.base.timeOf(s.number())
-		m.Again = s.count() == 1
+		m.Resubmitted = s.count() == 1
 		m.Body = []byte(s.text())
 		seq := uint64(0)
 		if len(s.rest) > 0 {
@@ -404,16 +404,16 @@
 		}
 	case recNotice:
 		form := s.count()
-		n := Notice{Num: num, Deferred: form&formDeferred != 0, Again: time.Duration(s.number()) * time.Millisecond}
+		n := DeliveryReport{Num: num, Deferred: form&formDeferred != 0, RetryAfter: time.Duration(s.number()) * time.Millisecond}
 		if form&formKept != 0 {
-			n.Kept = &Parting{
+			n.DeadLetter = &DeadLetter{
 				Num: num, Reason: s.text(), At: t.base.timeOf(s.number()),
-				Delivered: form&formDelivered != 0, Over: form&formOver != 0, Deferred: form&formClients != 0,
+				Delivered: form&formDelivered != 0, Final: form&formOver != 0, Deferred: form&formClients != 0,
 			}
 		}
 		if !s.bad && e != nil && e.notice == nil {
 			n.ID = e.ID
-			e.parting = n.Kept
+			e.parting = n.DeadLetter
 			t.settle(e, n)
 		}
 	default:
@@ -427,7 +427,7 @@
 	ID          string
 	Destination int
 	Deadline    time.Time
-	Forwards    int
+	Attempts    int
 	MayHaveRun  bool
 	Owed        string // "delivery", "deferred" or "undeliverable"
 }
@@ -449,7 +449,7 @@
 	return list, nil
 }
 
-func (n *Notice) status() string {
+func (n *DeliveryReport) status() string {
 	if n.Deferred {
 		return "deferred"
 	}
--- a/internal/state/journal_test.go
+++ b/internal/state/journal_test.go
@@ -29,7 +29,7 @@
 
 // take enters a message into the table and the journal.
 func take(j *journal, table *table, id string, size int) *entry {
-	m := &Message{ID: id, Key: "k-" + id, Class: 1, Tenant: 2, Destination: 3, Again: true,
+	m := &Message{ID: id, Key: "k-" + id, Class: 1, Tenant: 2, Destination: 3, Resubmitted: true,
 		Deadline: time.UnixMicro(1e15), Body: bytes.Repeat([]byte("x"), size)}
 	e := &entry{Message: m, num: table.next, answered: true}
 	table.add(e)
@@ -69,7 +69,7 @@
 			j.add(overRecord(e.num))
 		}
 		if id == "deferred" {
-			j.add(noticeRecord(nil, &Notice{Num: e.num, Deferred: true, Again: 500 * time.Millisecond}))
+			j.add(noticeRecord(nil, &DeliveryReport{Num: e.num, Deferred: true, RetryAfter: 500 * time.Millisecond}))
 		}
 	}
 	if err := errors.Join(j.flush(), j.close()); err != nil {
@@ -89,11 +89,11 @@
 			t.Fatalf("owes %q, want %q", got, historyOwes)
 		}
 		e := tb.ids["out"]
-		if e.Key != "k-out" || e.Destination != 3 || e.Tenant != 2 || e.Class != 1 || !e.Again || len(e.Body) != 10 ||
+		if e.Key != "k-out" || e.Destination != 3 || e.Tenant != 2 || e.Class != 1 || !e.Resubmitted || len(e.Body) != 10 ||
 			e.Deadline.Sub(time.UnixMicro(1e15)).Abs() > time.Millisecond || e.ran[0].zone != 1 || tb.base.stampOf(e.ran[0].at) != 7 {
 			t.Fatalf("read as %+v %+v", e.Message, e.ran)
 		}
-		if n := tb.ids["deferred"].notice; n.Again != 500*time.Millisecond || n.ID != "deferred" {
+		if n := tb.ids["deferred"].notice; n.RetryAfter != 500*time.Millisecond || n.ID != "deferred" {
 			t.Fatalf("notice %+v", n)
 		}
 		if tb.next != 6 { // of "over", which has ended, no number may come again
@@ -178,7 +178,7 @@
 			refused++
 			for k, e := range tb.ordered()[:5] {
 				if k%2 == 0 && e.notice == nil {
-					tb.settle(e, Notice{Num: e.num, ID: e.ID})
+					tb.settle(e, DeliveryReport{Num: e.num, ID: e.ID})
 					j.settled(e)
 					continue
 				}
@@ -227,7 +227,7 @@
 				data = oldRecord(data, forwardRecord(nil, e.num, sent{attempt: 0, at: time.UnixMicro(7), zone: 1}))
 			}
 			if i == 2 {
-				data = oldRecord(data, noticeRecord(nil, &Notice{Num: e.num, Deferred: true}))
+				data = oldRecord(data, noticeRecord(nil, &DeliveryReport{Num: e.num, Deferred: true}))
 			}
 		}
 		if err := os.WriteFile(filepath.Join(dir, oldName), append(data, "torn"...), 0o600); err != nil {
--- a/internal/state/keep.go
+++ b/internal/state/keep.go
@@ -12,8 +12,8 @@
 // the keeper has it, the journal keeps it. A message that the keeper sends again
 // comes back as one more message to the controller, without a client.
 
-// A Try is one attempt in the history of a message.
-type Try struct {
+// A AttemptRecord is one attempt in the history of a message.
+type AttemptRecord struct {
 	Target string // its id; "" = not known, from before a restart
 	Zone   int
 	At     time.Time // Unix time 0: not known
@@ -28,74 +28,74 @@
 // triesMost bounds the history of a message where the settings don't.
 const triesMost = 64
 
-// A Parting is a message that goes to the keeper, or comes back to it.
-type Parting struct {
-	Num       control.MessageID
-	Seq       uint64 // the record that was sent again; 0 = a message that is new to the keeper
-	Message   *Message
-	Tries     []Try // of a message sent again: those since
-	Sends     int   // attempts in all
-	Reason    string
-	Deferred  bool // without the keeper it would be handed back to its client
-	Delivered bool
-	Over      bool // the target says that nothing more is owed
-	Turned    bool // not let in: it was never journaled and never sent
-	At        time.Time
+// A DeadLetter is a message that goes to the keeper, or comes back to it.
+type DeadLetter struct {
+	Num          control.MessageID
+	Seq          uint64 // the record that was sent again; 0 = a message that is new to the keeper
+	Message      *Message
+	Attempts     []AttemptRecord // of a message sent again: those since
+	AttemptCount int             // attempts in all
+	Reason       string
+	Deferred     bool // without the keeper it would be handed back to its client
+	Delivered    bool
+	Final        bool // the target says that nothing more is owed
+	NotAdmitted  bool // not let in: it was never journaled and never sent
+	At           time.Time
 }
 
 // The reasons for which a message ends undelivered.
 const (
-	ReasonExpired  = "expired"        // its time was up
-	ReasonRan      = "may-have-run"   // an attempt may have run, and its class allows no other
-	ReasonMemory   = "memory-passed"  // the same, and the partner's memory of its key is over
-	ReasonAttempts = "attempts-spent" // it had all its attempts
-	ReasonRejected = "rejected"       // a target can't use it
+	ReasonExpired           = "expired"        // its time was up
+	ReasonMayHaveRun        = "may-have-run"   // an attempt may have run, and its class allows no other
+	ReasonKeyExpired        = "memory-passed"  // the same, and the partner's memory of its key is over
+	ReasonAttemptsExhausted = "attempts-spent" // it had all its attempts
+	ReasonUnprocessable     = "rejected"       // a target can't use it
 )
 
-// A Resend asks for a held message to be sent again.
-type Resend struct {
-	Seq     uint64
-	Message *Message
-	Sends   int           // attempts before
-	Ran     bool          // one of them may have run
-	RanAgo  time.Duration // the first such
-	RanZone int
+// A Redelivery asks for a held message to be sent again.
+type Redelivery struct {
+	Seq          uint64
+	Message      *Message
+	Attempts     int           // attempts before
+	MayHaveRun   bool          // one of them may have run
+	FirstRunAgo  time.Duration // the first such
+	FirstRunZone int
 }
 
-// Load is how busy the loop is.
-type Load struct{ Slots, Flying, HoldCap, Open int }
+// LoopLoad is how busy the loop is.
+type LoopLoad struct{ MaxInFlight, InFlight, MaxOpenMessages, Open int }
 
-// Listing is what the target group knows of a destination.
-type Listing struct {
+// DestinationCapacity is what the target group knows of a destination.
+type DestinationCapacity struct {
 	Weight float64 // calls a second that it takes from all senders together; 0 = not told
 	Ready  int     // targets that take new work
 }
 
-// Keeper keeps what can't be delivered. None of its methods may block: the loop
+// DeadLetterQueue keeps what can't be delivered. None of its methods may block: the loop
 // calls them within its rounds. It posts Resend, and Stored once it has a parting.
-type Keeper interface {
-	// Classes tells, before Begin and again with new settings, the names of all classes by number, those of messages from
+type DeadLetterQueue interface {
+	// ClassesChanged tells, before Begin and again with new settings, the names of all classes by number, those of messages from
 	// before other settings included, which numbers the names of the settings have now, and the settings.
-	Classes(names []string, now map[string]int, set control.Settings)
+	ClassesChanged(names []string, now map[string]int, set control.Settings)
 	// Begin tells once, at the start, which partings the journal still owes (by id),
 	// and which records it is sending again.
 	Begin(owed []string, out []uint64)
-	// Wants tells who gets a message that ends: the keeper (true) or its client.
-	Wants(p *Parting) bool
-	// Take gives it a parting; an answer is owed by Stored, except where it was turned.
-	Take(p Parting)
-	// Settled tells that the journal has forgotten messages, so that they never come again.
-	Settled(ids []string)
-	// Saw tells what came of a call.
-	Saw(destination int, r control.Result, wait time.Duration, resend bool)
-	// Listed tells what is known of the destinations.
-	Listed(map[int]Listing)
-	// Busy tells how busy the loop is, once a round.
-	Busy(Load)
+	// Accepts tells who gets a message that ends: the keeper (true) or its client.
+	Accepts(p *DeadLetter) bool
+	// Add gives it a parting; an answer is owed by Stored, except where it was turned.
+	Add(p DeadLetter)
+	// Forget tells that the journal has forgotten messages, so that they never come again.
+	Forget(ids []string)
+	// CallEnded tells what came of a call.
+	CallEnded(destination int, r control.Result, wait time.Duration, resend bool)
+	// CapacityChanged tells what is known of the destinations.
+	CapacityChanged(map[int]DestinationCapacity)
+	// LoadChanged tells how busy the loop is, once a round.
+	LoadChanged(LoopLoad)
 }
 
-// Stored tells that the keeper has partings for good.
-type Stored struct{ Nums []control.MessageID }
+// DeadLettersStored tells that the keeper has partings for good.
+type DeadLettersStored struct{ Nums []control.MessageID }
 
 // reasonOf says why a message ends undelivered.
 func (l *Loop) reasonOf(e *entry) string {
@@ -103,46 +103,46 @@
 	first, ran := e.first()
 	switch {
 	case e.rejected:
-		return ReasonRejected
-	case ran && class.Effect == control.Unsafe:
-		return ReasonRan
-	case l.set.SendCap > 0 && e.sends >= l.set.SendCap:
-		return ReasonAttempts
-	case ran && class.Effect == control.Keyed && l.now.Sub(first.at) >= class.Memory/2 && l.now.Before(e.Deadline.Add(-class.Deadline/10)):
-		return ReasonMemory
+		return ReasonUnprocessable
+	case ran && class.Idempotency == control.NotIdempotent:
+		return ReasonMayHaveRun
+	case l.set.MaxAttempts > 0 && e.sends >= l.set.MaxAttempts:
+		return ReasonAttemptsExhausted
+	case ran && class.Idempotency == control.IdempotentByKey && l.now.Sub(first.at) >= class.KeyRetention/2 && l.now.Before(e.Deadline.Add(-class.Deadline/10)):
+		return ReasonKeyExpired
 	}
 	return ReasonExpired
 }
 
 // parting makes one of a message that ends.
-func (l *Loop) parting(e *entry) *Parting {
-	return &Parting{
-		Num: e.num, Seq: e.seq, Message: e.Message, Tries: e.history(), Sends: e.sends, Reason: l.reasonOf(e), At: l.now,
+func (l *Loop) parting(e *entry) *DeadLetter {
+	return &DeadLetter{
+		Num: e.num, Seq: e.seq, Message: e.Message, Attempts: e.history(), AttemptCount: e.sends, Reason: l.reasonOf(e), At: l.now,
 	}
 }
 
 // history returns what is known of a message's attempts. Of those from before a
 // restart only the ones that may have run stand in the journal.
-func (e *entry) history() []Try {
-	list := make([]Try, 0, len(e.tries)+len(e.ran))
+func (e *entry) history() []AttemptRecord {
+	list := make([]AttemptRecord, 0, len(e.tries)+len(e.ran))
 	for _, s := range e.ran {
 		known := s.told
 		for _, t := range e.tries {
 			known = known || t.attempt == s.attempt
 		}
 		if !known {
-			list = append(list, Try{Target: s.target, Zone: s.zone, At: s.at, Open: true})
+			list = append(list, AttemptRecord{Target: s.target, Zone: s.zone, At: s.at, Open: true})
 		}
 	}
 	for _, t := range e.tries {
-		list = append(list, t.Try)
+		list = append(list, t.AttemptRecord)
 	}
 	return list
 }
 
 // A numbered try knows its attempt.
 type numberedTry struct {
-	Try
+	AttemptRecord
 	attempt int
 }
 
@@ -151,7 +151,7 @@
 	if l.keeper == nil || len(e.tries) >= triesMost {
 		return
 	}
-	e.tries = append(e.tries, numberedTry{Try{Target: s.target, Zone: s.zone, At: s.at, Open: true}, s.attempt})
+	e.tries = append(e.tries, numberedTry{AttemptRecord{Target: s.target, Zone: s.zone, At: s.at, Open: true}, s.attempt})
 }
 
 // came notes what came of an attempt.
@@ -167,19 +167,19 @@
 // message whose client has not been answered yet may come again: it is not kept.
 // Nor is it where what waits for the keeper takes a tenth of the journal: a store
 // that is slow must not keep new messages out.
-func (l *Loop) keeps(e *entry, n *Notice) (*Parting, bool) {
+func (l *Loop) keeps(e *entry, n *DeliveryReport) (*DeadLetter, bool) {
 	if l.keeper == nil || !e.answered || l.table.kept+e.cost > l.journal.limit/keptPart {
 		return nil, false
 	}
 	p := l.parting(e)
 	p.Deferred = n.Deferred
-	return p, l.keeper.Wants(p)
+	return p, l.keeper.Accepts(p)
 }
 
 // part ends a message that the keeper is owed: the journal says so, and at the
 // end of the round the keeper is told.
-func (l *Loop) part(e *entry, n Notice, p *Parting) {
-	n.Num, n.ID, n.Kept = e.num, e.ID, p
+func (l *Loop) part(e *entry, n DeliveryReport, p *DeadLetter) {
+	n.Num, n.ID, n.DeadLetter = e.num, e.ID, p
 	e.parting = p
 	l.table.settle(e, n)
 	l.journal.settled(e)
@@ -189,16 +189,16 @@
 // admitHeld lets a message in that the keeper sends again. Live traffic goes
 // first: it is turned where slots or room run short, or live messages for its
 // destination wait.
-func (l *Loop) admitHeld(r Resend) {
+func (l *Loop) admitHeld(r Redelivery) {
 	e := &entry{
-		Message: r.Message, num: l.table.next, answered: true, seq: r.Seq, sends: r.Sends,
+		Message: r.Message, num: l.table.next, answered: true, seq: r.Seq, sends: r.Attempts,
 	}
 	if why := l.turns(e); why != "" {
-		l.keeper.Take(Parting{Seq: r.Seq, Message: r.Message, Turned: true, Reason: why, At: l.now})
+		l.keeper.Add(DeadLetter{Seq: r.Seq, Message: r.Message, NotAdmitted: true, Reason: why, At: l.now})
 		return
 	}
-	if r.Ran {
-		e.ran = append(e.ran, sent{attempt: max(0, r.Sends-1), at: l.now.Add(-r.RanAgo), zone: r.RanZone, told: true})
+	if r.MayHaveRun {
+		e.ran = append(e.ran, sent{attempt: max(0, r.Attempts-1), at: l.now.Add(-r.FirstRunAgo), zone: r.FirstRunZone, told: true})
 	}
 	l.table.add(e)
 	// Before the controller sees it: it may end within this round.
@@ -216,9 +216,9 @@
 		return "its id is in use"
 	case !l.group.serves(e.Destination):
 		return "no target of its destination is listed"
-	case l.set.HoldCap > 0 && 2*l.table.open >= l.set.HoldCap:
+	case l.set.MaxOpenMessages > 0 && 2*l.table.open >= l.set.MaxOpenMessages:
 		return "the sender holds much live traffic"
-	case 4*l.flying >= 3*l.set.Slots:
+	case 4*l.flying >= 3*l.set.MaxInFlight:
 		return "few slots are free"
 	case !l.journal.room(2 * (l.table.live + takeCost(e.Message))):
 		return "the journal has little room"
@@ -238,7 +238,7 @@
 func (l *Loop) isOut(e *entry) bool { return e.flights > 0 }
 
 // stored goes on once the keeper has partings: nothing of them is owed to it.
-func (l *Loop) stored(s Stored) {
+func (l *Loop) stored(s DeadLettersStored) {
 	for _, num := range s.Nums {
 		e := l.table.entries[num]
 		if e == nil || e.parting == nil {
@@ -255,11 +255,11 @@
 func (l *Loop) tell() {
 	for _, p := range l.partings {
 		if l.keeper != nil {
-			l.keeper.Take(*p)
+			l.keeper.Add(*p)
 		}
 	}
 	if l.keeper != nil && len(l.settled) > 0 {
-		l.keeper.Settled(l.settled)
+		l.keeper.Forget(l.settled)
 	}
 	l.partings, l.settled = nil, nil
 }
@@ -290,11 +290,11 @@
 	for i, c := range l.table.classes.list {
 		names[i] = c.Name
 	}
-	l.keeper.Classes(names, now, l.set)
+	l.keeper.ClassesChanged(names, now, l.set)
 }
 
 // known enters what came of a forward that another process had out.
-func (l *Loop) known(e *entry, r Returned) {
+func (l *Loop) known(e *entry, r RemoteResult) {
 	if l.keeper == nil {
 		return
 	}
@@ -304,15 +304,15 @@
 		}
 	}
 	e.came(r.Attempt, r.Result)
-	e.rejected = e.rejected || r.Result == control.Rejected
-	l.keeper.Saw(e.Destination, r.Result, r.Wait, e.seq > 0)
+	e.rejected = e.rejected || r.Result == control.Unprocessable
+	l.keeper.CallEnded(e.Destination, r.Result, r.RetryAfter, e.seq > 0)
 }
 
 // resent ends a message that the keeper had sent again: it hears of that first.
 func (l *Loop) resent(e *entry, r control.Result) {
 	p := l.parting(e)
-	p.Delivered, p.Over = r == control.Served, r != control.Served
-	l.part(e, Notice{}, p)
+	p.Delivered, p.Final = r == control.Served, r != control.Served
+	l.part(e, DeliveryReport{}, p)
 }
 
 // tellListing tells the keeper what the target group knows.
@@ -320,7 +320,7 @@
 	if l.keeper == nil {
 		return
 	}
-	all := map[int]Listing{}
+	all := map[int]DestinationCapacity{}
 	for _, t := range l.group.byID {
 		if t.State == control.Removed {
 			continue
@@ -336,13 +336,13 @@
 		}
 		all[t.Destination] = x
 	}
-	l.keeper.Listed(all)
+	l.keeper.CapacityChanged(all)
 }
 
 // reparted completes a parting that the journal told of.
-func (l *Loop) reparted(e *entry) *Parting {
+func (l *Loop) reparted(e *entry) *DeadLetter {
 	p := *e.parting
-	p.Num, p.Seq, p.Message, p.Tries, p.Sends = e.num, e.seq, e.Message, e.history(), e.sends
-	e.notice.Kept = &p
+	p.Num, p.Seq, p.Message, p.Attempts, p.AttemptCount = e.num, e.seq, e.Message, e.history(), e.sends
+	e.notice.DeadLetter = &p
 	return &p
 }
--- a/internal/state/keep_test.go
+++ b/internal/state/keep_test.go
@@ -13,22 +13,22 @@
 type keeperStub struct {
 	wants   bool
 	began   chan [2]int
-	parts   chan Parting
+	parts   chan DeadLetter
 	settled chan string
 }
 
 func newKeeperStub(wants bool) *keeperStub {
-	return &keeperStub{wants, make(chan [2]int, 4), make(chan Parting, 64), make(chan string, 64)}
+	return &keeperStub{wants, make(chan [2]int, 4), make(chan DeadLetter, 64), make(chan string, 64)}
 }
 
-func (k *keeperStub) Begin(owed []string, out []uint64)                  { k.began <- [2]int{len(owed), len(out)} }
-func (k *keeperStub) Wants(*Parting) bool                                { return k.wants }
-func (k *keeperStub) Take(p Parting)                                     { k.parts <- p }
-func (k *keeperStub) Saw(int, control.Result, time.Duration, bool)       {}
-func (k *keeperStub) Listed(map[int]Listing)                             {}
-func (k *keeperStub) Classes([]string, map[string]int, control.Settings) {}
-func (k *keeperStub) Busy(Load)                                          {}
-func (k *keeperStub) Settled(ids []string) {
+func (k *keeperStub) Begin(owed []string, out []uint64)                         { k.began <- [2]int{len(owed), len(out)} }
+func (k *keeperStub) Accepts(*DeadLetter) bool                                  { return k.wants }
+func (k *keeperStub) Add(p DeadLetter)                                          { k.parts <- p }
+func (k *keeperStub) CallEnded(int, control.Result, time.Duration, bool)        {}
+func (k *keeperStub) CapacityChanged(map[int]DestinationCapacity)               {}
+func (k *keeperStub) ClassesChanged([]string, map[string]int, control.Settings) {}
+func (k *keeperStub) LoadChanged(LoopLoad)                                      {}
+func (k *keeperStub) Forget(ids []string) {
 	for _, id := range ids {
 		k.settled <- id
 	}
@@ -55,13 +55,13 @@
 // class does not outlive.
 func fails(t *testing.T, l *Loop, o *outside, id string, r control.Result) {
 	t.Helper()
-	v := make(chan Verdict, 1)
-	l.Post(Handed{Message: &Message{ID: id, Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}, Verdict: v})
+	v := make(chan Response, 1)
+	l.Post(Submitted{Message: &Message{ID: id, Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}, Response: v})
 	get(t, v)
-	l.Post(Answered{id, true})
+	l.Post(ResponseWritten{id, true})
 	c := get(t, o.calls)
 	<-o.pending
-	l.Post(Ended{c, []End{{Forward: c.Forwards[0], Result: r}}})
+	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: r}}})
 }
 
 // A message has one owner. The keeper's is undeliverable to the platform, and
@@ -76,20 +76,20 @@
 		l, o := keepLoop(t, dir, k)
 		start(t, l)
 		get(t, k.began)
-		fails(t, l, o, "a", control.Broken)
+		fails(t, l, o, "a", control.ConnectionLost)
 		n, p := get(t, o.notices), get(t, k.parts)
-		if n.Deferred || n.ID != "a" || p.Message.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonRan ||
-			len(p.Tries) != 1 || p.Tries[0].Target != "s" || p.Tries[0].Result != control.Broken {
+		if n.Deferred || n.ID != "a" || p.Message.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonMayHaveRun ||
+			len(p.Attempts) != 1 || p.Attempts[0].Target != "s" || p.Attempts[0].Result != control.ConnectionLost {
 			t.Fatalf("%s: %+v, %+v", c.name, n, p)
 		}
 		if list, _ := ReadPending(dir, quiet); len(list) != 1 || list[0].Owed != "undeliverable" {
 			t.Fatalf("%s: the journal has %+v", c.name, list)
 		}
 		if c.acked {
-			l.Post(Acknowledged{[]control.MessageID{n.Num}})
+			l.Post(ReportsAcknowledged{[]control.MessageID{n.Num}})
 		}
 		if c.store {
-			l.Post(Stored{[]control.MessageID{p.Num}})
+			l.Post(DeadLettersStored{[]control.MessageID{p.Num}})
 		}
 		l.Idle()
 		l.Idle()
@@ -105,11 +105,11 @@
 			continue
 		}
 		n, p = get(t, o2.notices), get(t, again.parts)
-		if owed != 1 || n.Deferred || n.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonRan || !p.Tries[0].Open {
+		if owed != 1 || n.Deferred || n.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonMayHaveRun || !p.Attempts[0].Open {
 			t.Errorf("%s: after the kill: owed %d, %+v, %+v", c.name, owed, n, p)
 		}
-		l2.Post(Acknowledged{[]control.MessageID{n.Num}})
-		l2.Post(Stored{[]control.MessageID{p.Num}})
+		l2.Post(ReportsAcknowledged{[]control.MessageID{n.Num}})
+		l2.Post(DeadLettersStored{[]control.MessageID{p.Num}})
 		get(t, again.settled)
 		if list, _ := ReadPending(dir, quiet); len(list) != 0 {
 			t.Errorf("%s: still owed: %+v", c.name, list)
@@ -147,12 +147,12 @@
 	start(t, l)
 	get(t, k.began)
 	resend := func(l *Loop, seq uint64, id string, class int, ran bool, ago time.Duration) {
-		l.Post(Resend{Seq: seq, Sends: 2, Ran: ran, RanAgo: ago,
+		l.Post(Redelivery{Seq: seq, Attempts: 2, MayHaveRun: ran, FirstRunAgo: ago,
 			Message: &Message{ID: id, Class: class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
 	}
 	resend(l, 5, "a", 2, false, 0)
 	c := get(t, o.calls)
-	if list := <-o.pending; len(list) != 1 || list[0].ID != "a" || list[0].Forwards != 3 {
+	if list := <-o.pending; len(list) != 1 || list[0].ID != "a" || list[0].Attempts != 3 {
 		t.Fatalf("journal as it leaves: %+v", list)
 	}
 	again := newKeeperStub(true)
@@ -161,21 +161,21 @@
 	if got := get(t, again.began); got != [2]int{0, 1} {
 		t.Errorf("after the kill the journal tells %v", got)
 	}
-	if p := get(t, again.parts); p.Seq != 5 || p.Delivered || p.Reason != ReasonRan || len(p.Tries) != 1 || !p.Tries[0].Open || p.Sends != 3 {
+	if p := get(t, again.parts); p.Seq != 5 || p.Delivered || p.Reason != ReasonMayHaveRun || len(p.Attempts) != 1 || !p.Attempts[0].Open || p.AttemptCount != 3 {
 		t.Errorf("after the kill: %+v", p)
 	}
 	if l2.Idle(); len(o2.notices)+len(o2.calls) > 0 {
 		t.Error("a notice, or a second call")
 	}
-	l.Post(Ended{c, []End{{Forward: c.Forwards[0], Result: control.Served, Finished: true}}})
+	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Served, Final: true}}})
 	if p := get(t, k.parts); p.Seq != 5 || !p.Delivered {
 		t.Errorf("delivered: %+v", p)
 	} else {
-		l.Post(Stored{[]control.MessageID{p.Num}})
+		l.Post(DeadLettersStored{[]control.MessageID{p.Num}})
 	}
 	// What must not go again does not, whatever the keeper asks for.
 	resend(l, 6, "b", 2, true, time.Second)
-	if p := get(t, k.parts); p.Seq != 6 || p.Delivered || p.Turned || p.Sends != 2 {
+	if p := get(t, k.parts); p.Seq != 6 || p.Delivered || p.NotAdmitted || p.AttemptCount != 2 {
 		t.Errorf("unsafe that may have run: %+v", p)
 	}
 	resend(l, 7, "c", 1, true, time.Hour)
@@ -186,7 +186,7 @@
 	resend(l, 8, "d", 0, false, 0)
 	get(t, o.calls)
 	resend(l, 9, "d", 0, false, 0)
-	if p := get(t, k.parts); p.Seq != 9 || !p.Turned {
+	if p := get(t, k.parts); p.Seq != 9 || !p.NotAdmitted {
 		t.Errorf("a second one under its id: %+v", p)
 	}
 	if l.Idle(); len(o.notices) > 0 {
@@ -202,21 +202,21 @@
 	start(t, l)
 	kept := 0
 	for i := range 20 {
-		v := make(chan Verdict, 1)
+		v := make(chan Response, 1)
 		id := string(rune('a' + i))
-		l.Post(Handed{Message: &Message{ID: id, Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: make([]byte, 20_000)}, Verdict: v})
-		if got := get(t, v); !got.Taken {
+		l.Post(Submitted{Message: &Message{ID: id, Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: make([]byte, 20_000)}, Response: v})
+		if got := get(t, v); !got.Accepted {
 			t.Fatalf("message %d: %+v", i, got)
 		}
-		l.Post(Answered{id, true})
+		l.Post(ResponseWritten{id, true})
 		c := get(t, o.calls)
 		<-o.pending
-		l.Post(Ended{c, []End{{Forward: c.Forwards[0], Result: control.Rejected}}})
+		l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Unprocessable}}})
 		n := get(t, o.notices)
-		if n.Kept != nil {
+		if n.DeadLetter != nil {
 			kept++
 		} else {
-			l.Post(Acknowledged{[]control.MessageID{n.Num}})
+			l.Post(ReportsAcknowledged{[]control.MessageID{n.Num}})
 		}
 	}
 	if kept < 3 || kept > 4 {
@@ -230,8 +230,8 @@
 	l, o := keepLoop(t, t.TempDir(), k)
 	l.journal.close()
 	start(t, l)
-	l.Post(Resend{Seq: 5, Message: &Message{ID: "a", Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
-	if p := get(t, k.parts); p.Seq != 5 || !p.Turned {
+	l.Post(Redelivery{Seq: 5, Message: &Message{ID: "a", Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
+	if p := get(t, k.parts); p.Seq != 5 || !p.NotAdmitted {
 		t.Errorf("%+v", p)
 	}
 	if l.Idle(); len(o.calls) > 0 {
@@ -245,51 +245,51 @@
 		name    string
 		result  control.Result
 		more    bool // it may go again
-		parting func(p Parting) bool
+		parting func(p DeadLetter) bool
 	}{
-		{"served", control.Served, false, func(p Parting) bool { return p.Delivered && p.Tries[0].Result == control.Served }},
-		{"rejected", control.Rejected, false, func(p Parting) bool { return !p.Delivered && p.Reason == ReasonRejected && !p.Tries[0].Open }},
-		{"broken", control.Broken, false, func(p Parting) bool {
-			return !p.Delivered && p.Reason == ReasonRan && p.Tries[0].Result == control.Broken
+		{"served", control.Served, false, func(p DeadLetter) bool { return p.Delivered && p.Attempts[0].Result == control.Served }},
+		{"rejected", control.Unprocessable, false, func(p DeadLetter) bool { return !p.Delivered && p.Reason == ReasonUnprocessable && !p.Attempts[0].Open }},
+		{"broken", control.ConnectionLost, false, func(p DeadLetter) bool {
+			return !p.Delivered && p.Reason == ReasonMayHaveRun && p.Attempts[0].Result == control.ConnectionLost
 		}},
-		{"refused", control.NoConnection, true, nil},
-		{"the other process is lost", control.Unknown, false, func(p Parting) bool { return !p.Delivered && p.Reason == ReasonRan && p.Tries[0].Open }},
+		{"refused", control.ConnectFailed, true, nil},
+		{"the other process is lost", control.Unknown, false, func(p DeadLetter) bool { return !p.Delivered && p.Reason == ReasonMayHaveRun && p.Attempts[0].Open }},
 	} {
 		dir := t.TempDir()
 		k := newKeeperStub(true)
 		l, o := keepLoop(t, dir, k)
 		start(t, l)
 		get(t, k.began)
-		l.Post(Resend{Seq: 5, Message: &Message{ID: "a", Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
+		l.Post(Redelivery{Seq: 5, Message: &Message{ID: "a", Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
 		call := get(t, o.calls)
 		<-o.pending
-		done, heir := make(chan Given, 1), heirStub(make(chan Returned, 4))
-		l.Post(GiveWay{Heir: heir, Done: done})
+		done, heir := make(chan HandOverResult, 1), heirStub(make(chan RemoteResult, 4))
+		l.Post(HandOver{Successor: heir, Done: done})
 		given := get(t, done)
-		if given.Err != nil || len(given.Estate.Out) != 1 {
+		if given.Err != nil || len(given.State.InFlight) != 1 {
 			t.Fatalf("%s: %+v", c.name, given)
 		}
 		next := newKeeperStub(true)
 		l2, o2 := loop(t, dir, 1e6)
 		l2.keeper = next
-		l2.inherit(&given.Estate)
+		l2.inherit(&given.State)
 		start(t, l2)
 		if got := get(t, next.began); got != [2]int{0, 1} {
 			t.Errorf("%s: the next keeper hears of %v", c.name, got)
 		}
 		if c.result == control.Unknown {
-			l2.Post(Lost{})
+			l2.Post(PredecessorLost{})
 		} else {
-			l.Post(Ended{call, []End{{Forward: call.Forwards[0], Result: c.result, Finished: !c.more && c.result != control.Broken}}})
+			l.Post(CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: c.result, Final: !c.more && c.result != control.ConnectionLost}}})
 			l2.Post(get(t, heir))
 		}
 		if c.more {
-			if again := get(t, o2.calls); again.Forwards[0].Message.ID != "a" {
+			if again := get(t, o2.calls); again.Attempts[0].Message.ID != "a" {
 				t.Errorf("%s: %+v", c.name, again)
 			}
 			continue
 		}
-		if p := get(t, next.parts); p.Seq != 5 || len(p.Tries) != 1 || !c.parting(p) {
+		if p := get(t, next.parts); p.Seq != 5 || len(p.Attempts) != 1 || !c.parting(p) {
 			t.Errorf("%s: %+v", c.name, p)
 		}
 		if l2.Idle(); len(o2.calls)+len(o2.notices)+len(k.parts) > 0 {
@@ -298,9 +298,9 @@
 	}
 }
 
-type heirStub chan Returned
+type heirStub chan RemoteResult
 
-func (h heirStub) Returned(r Returned, _ bool) {
+func (h heirStub) RemoteResult(r RemoteResult, _ bool) {
 	if r.Target != "" {
 		h <- r
 	}
--- a/internal/state/killed_test.go
+++ b/internal/state/killed_test.go
@@ -37,16 +37,16 @@
 			}
 			return len(text)
 		}
-		v := make(chan Verdict, 1)
-		l.Post(Handed{Message: &Message{ID: "a", Class: class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}, Verdict: v})
-		if !get(t, v).Taken {
+		v := make(chan Response, 1)
+		l.Post(Submitted{Message: &Message{ID: "a", Class: class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}, Response: v})
+		if !get(t, v).Accepted {
 			t.Fatal("not taken on")
 		}
 		taken := size()
-		l.Post(Answered{"a", true})
+		l.Post(ResponseWritten{"a", true})
 		call := get(t, o.calls)
 		sent := size()
-		l.Post(Ended{Call: call, Ends: []End{{Forward: call.Forwards[0], Result: control.Served, Finished: true}}})
+		l.Post(CallEnded{Call: call, Results: []AttemptResult{{Attempt: call.Attempts[0], Result: control.Served, Final: true}}})
 		ended := size()
 		cancel()
 		<-l.finished
@@ -67,11 +67,11 @@
 				t.Fatalf("cut at %d of %d: called without a list", n, len(whole))
 			}
 			other := Target{ID: "other", Addr: "elsewhere", Endpoint: control.Endpoint{Destination: 7, State: control.Ready}}
-			l.Post(News{Form: control.ListFull, Version: 2, Targets: []Target{other}})
+			l.Post(ListUpdate{Kind: control.ListFull, Version: 2, Targets: []Target{other}})
 			l.Idle()
 			switch {
 			case n >= taken && n < sent, n >= sent && n < ended && class == 0:
-				if call := get(t, o.calls); call.Target.ID != "other" || call.Forwards[0].Message.ID != "a" {
+				if call := get(t, o.calls); call.Target.ID != "other" || call.Attempts[0].Message.ID != "a" {
 					t.Errorf("class %d, cut at %d of %d, %d, %d: %+v", class, n, taken, sent, ended, call)
 				}
 			case n >= sent && n < ended:
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"cleathold/control"
-	"cleathold/internal/note"
+	"cleathold/internal/gossip"
 	"cleathold/internal/store"
 )
 
@@ -16,15 +16,15 @@
 
 // Setup is what a loop is built from.
 type Setup struct {
-	Settings  control.Settings
-	Classes   []string // names of the classes in the settings, by their numbers
-	Known     News
-	Dir       string
-	DiskBytes int64
-	Log       *slog.Logger
-	Keeper    Keeper // nil: what can't be delivered is not kept
+	Settings    control.Settings
+	Classes     []string // names of the classes in the settings, by their numbers
+	Known       ListUpdate
+	Dir         string
+	DiskBytes   int64
+	Log         *slog.Logger
+	DeadLetters DeadLetterQueue // nil: what can't be delivered is not kept
 
-	Estate *Estate // of a process before this one that runs on; nil: there is none
+	Handover *HandoverState // of a process before this one that runs on; nil: there is none
 
 	Counters *Counters // of the process; nil: of this loop alone
 
@@ -32,8 +32,8 @@
 	GroupWait  time.Duration    // where that is Group
 
 	// For a laboratory that drives the loop by Step, in a time of its own.
-	Clock func() time.Time // nil: the machine's
-	NoDir bool             // the journal is kept nowhere; its limit holds all the same
+	Clock    func() time.Time // nil: the machine's
+	InMemory bool             // the journal is kept nowhere; its limit holds all the same
 }
 
 // Loop owns the controller, the table, the target group and the journal. All
@@ -42,12 +42,12 @@
 	set      control.Settings
 	log      *slog.Logger
 	ctl      *control.Controller
-	carrier  Carrier
-	list     Directory
-	notifier Notifier
-	keeper   Keeper
-	teller   Teller
-	tidings  []note.Fact // to be told to the other senders at the end of the round
+	carrier  Transport
+	list     Discovery
+	notifier Reporter
+	keeper   DeadLetterQueue
+	teller   GossipSender
+	tidings  []gossip.Observation // to be told to the other senders at the end of the round
 
 	events chan any
 	clock  func() time.Time
@@ -64,17 +64,17 @@
 
 	fresh    []*entry // taken in this round, their clients not answered yet
 	round    map[control.EndpointID]*Call
-	calls    []*Call       // of this round
-	ready    []*Call       // to be launched at the end of the round
-	notices  []Notice      // to be told at the end of the round
-	partings []*Parting    // to be given to the keeper at the end of the round
-	settled  []string      // ids that the journal has forgotten, of messages that the keeper has
-	backlog  []any         // events of the loop's own making, for the next round
-	out      map[*Call]int // forwards without an end
-	flying   int           // calls with the carrier
-
-	leaving *GiveWay       // asked for in this round
-	heir    Heir           // to whom everything was given
+	calls    []*Call          // of this round
+	ready    []*Call          // to be launched at the end of the round
+	notices  []DeliveryReport // to be told at the end of the round
+	partings []*DeadLetter    // to be given to the keeper at the end of the round
+	settled  []string         // ids that the journal has forgotten, of messages that the keeper has
+	backlog  []any            // events of the loop's own making, for the next round
+	out      map[*Call]int    // forwards without an end
+	flying   int              // calls with the carrier
+
+	leaving *HandOver      // asked for in this round
+	heir    Successor      // to whom everything was given
 	abroad  map[abroad]int // forwards out at another process, and in which of its calls
 
 	departures *departures
@@ -106,7 +106,7 @@
 		classes.list, classes.records = append(classes.list, named), append(classes.records, string(classRecord(named)))
 	}
 	j, t, err := &journal{limit: s.DiskBytes, nowhere: true}, newTable(), error(nil)
-	if t.classes = classes; !s.NoDir {
+	if t.classes = classes; !s.InMemory {
 		j, t, err = openJournal(journalSetup{
 			dir: s.Dir, limit: s.DiskBytes, durability: s.Durability, groupWait: s.GroupWait, classes: classes, virtual: virtual, log: s.Log,
 		})
@@ -116,7 +116,7 @@
 	}
 	s.Settings.Classes = classes.classes() // with those of messages from before other settings
 	l := &Loop{
-		set: s.Settings, log: s.Log, keeper: s.Keeper, events: make(chan any, 2*roundMost),
+		set: s.Settings, log: s.Log, keeper: s.DeadLetters, events: make(chan any, 2*roundMost),
 		clock: s.Clock, start: s.Clock(), table: t, group: newGroup(), journal: j, counters: s.Counters,
 		waits: map[routeKey]toldWait{}, round: map[control.EndpointID]*Call{}, out: map[*Call]int{}, finished: make(chan struct{}),
 	}
@@ -129,11 +129,11 @@
 	}
 	l.tellClasses(now)
 	l.departures = &departures{}
-	if !s.NoDir {
+	if !s.InMemory {
 		l.departures = openDepartures(s.Dir, s.Log)
 	}
-	if s.Estate != nil {
-		l.inherit(s.Estate)
+	if s.Handover != nil {
+		l.inherit(s.Handover)
 	} else {
 		s.Known.Targets = slices.Clone(s.Known.Targets)
 		l.departures.apply(s.Known.Targets)
@@ -143,12 +143,12 @@
 }
 
 // Connect names those that carry, list and notify; before Run.
-func (l *Loop) Connect(c Carrier, d Directory, n Notifier) {
+func (l *Loop) Connect(c Transport, d Discovery, n Reporter) {
 	l.carrier, l.list, l.notifier = c, d, n
 }
 
 // ConnectPeers names the one who tells the other senders; before Run. Without one nothing is told.
-func (l *Loop) ConnectPeers(t Teller) { l.teller = t }
+func (l *Loop) ConnectPeers(t GossipSender) { l.teller = t }
 
 // Post hands an event to the loop. It blocks while the queue is full, as its
 // callers are goroutines of their own.
@@ -181,7 +181,7 @@
 // Idle tells whether nothing is owed any more, or nothing is out of a halted loop.
 func (l *Loop) Idle() bool {
 	answer := make(chan bool, 1)
-	l.Post(inspect(func() { answer <- l.Quiet() }))
+	l.Post(inspect(func() { answer <- l.Drained() }))
 	select {
 	case idle := <-answer:
 		return idle
@@ -200,9 +200,9 @@
 	}
 }
 
-// Listed are the targets that discovery lists; none where the loop does not answer by a time.
-func (l *Loop) Listed(by time.Time) []Listed {
-	answer := make(chan []Listed, 1)
+// ListedTargets are the targets that discovery lists; none where the loop does not answer by a time.
+func (l *Loop) ListedTargets(by time.Time) []ListedTarget {
+	answer := make(chan []ListedTarget, 1)
 	if !l.PostBefore(inspect(func() { answer <- l.group.listed() }), by) {
 		return nil
 	}
@@ -217,8 +217,8 @@
 	return nil
 }
 
-// Quiet is Idle for one who calls Step.
-func (l *Loop) Quiet() bool {
+// Drained is Idle for one who calls Step.
+func (l *Loop) Drained() bool {
 	if l.heir != nil {
 		return len(l.out)+len(l.abroad) == 0
 	}
@@ -259,7 +259,7 @@
 			l.partings = append(l.partings, e.parting)
 		}
 		if e.notice != nil && e.seq == 0 {
-			l.notifier.Tell(*e.notice)
+			l.notifier.Report(*e.notice)
 		}
 		if e.notice != nil || e.abroad > 0 {
 			continue
@@ -328,59 +328,59 @@
 // handle passes one event to its stage.
 func (l *Loop) handle(event any) {
 	switch e := event.(type) {
-	case Handed:
+	case Submitted:
 		l.admit(e)
-	case Answered:
+	case ResponseWritten:
 		l.answered(e)
-	case Ended:
+	case CallEnded:
 		l.book(e)
-	case News:
-		l.ctl.Endpoints(l.since(), e.Form, l.group.take(e, l.now))
+	case ListUpdate:
+		l.ctl.UpdateEndpoints(l.since(), e.Kind, l.group.take(e, l.now))
 		l.bind(e.Targets)
 		l.unlisted()
 		l.tellListing()
-		if e.Form == control.ListFull || e.Form == control.ListDelta {
+		if e.Kind == control.ListFull || e.Kind == control.ListDelta {
 			l.departures.follow(l.group)
-			l.listKnown(e.Rests)
+			l.listKnown(e.PollPaused)
 		}
-	case Unread:
+	case ListUnreadable:
 		l.unread(e)
-	case Settled:
+	case PollOpen:
 		l.listKnown(false)
-	case Unsettled:
+	case PollFailed:
 		l.certain.doubt(e.Since)
 		l.reviewList()
-	case Resend:
+	case Redelivery:
 		l.admitHeld(e)
-	case Stored:
+	case DeadLettersStored:
 		l.stored(e)
-	case SetAside:
+	case ExclusionsChanged:
 		if lines := l.group.setAside(e.IDs); len(lines) > 0 {
-			l.ctl.Endpoints(l.since(), control.ListAside, lines)
+			l.ctl.UpdateEndpoints(l.since(), control.ListExcluded, lines)
 			l.unlisted()
 			l.log.Info("targets taken out by the operators", "out", len(e.IDs), "changed", len(lines))
 		}
-	case Probed:
-		l.ctl.Probed(l.since(), e.Target, e.Result, e.Took, nil)
-	case Heard:
+	case HealthChecked:
+		l.ctl.HealthChecked(l.since(), e.Target, e.Result, e.Elapsed, nil)
+	case GossipReceived:
 		l.heard(e)
-	case Acknowledged:
+	case ReportsAcknowledged:
 		l.acknowledged(e)
 	case uint32:
-		l.ctl.Woken(l.since(), e)
+		l.ctl.TimerFired(l.since(), e)
 	case stopping:
 		l.stopped = true
 	case halting:
 		// What has not left now is tried by the next process: it would be cut off in the middle.
 		l.halted = true
 		l.withhold(func(Target) bool { return true })
-	case Retune:
+	case UpdateSettings:
 		l.retune(e)
-	case GiveWay:
+	case HandOver:
 		l.giveWay(e)
-	case Returned:
+	case RemoteResult:
 		l.returned(e)
-	case Lost:
+	case PredecessorLost:
 		l.lost()
 	case inspect:
 		e()
@@ -405,7 +405,7 @@
 	clear(l.round)
 	// A call that was parted by its size takes a slot more than the controller
 	// knows of: it waits for one.
-	wait := l.ready[min(len(l.ready), max(0, l.set.Slots-l.flying-l.abroadCalls())):]
+	wait := l.ready[min(len(l.ready), max(0, l.set.MaxInFlight-l.flying-l.abroadCalls())):]
 	l.ready = l.ready[:len(l.ready)-len(wait)]
 	for _, c := range l.ready {
 		l.recordCall(c)
@@ -416,11 +416,11 @@
 	}
 	for _, e := range l.fresh {
 		if l.table.entries[e.num] == e && e.verdict != nil {
-			if !e.decision.take() {
+			if !e.decision.accept() {
 				l.tooLate(e)
 				continue
 			}
-			e.verdict <- Verdict{Taken: true}
+			e.verdict <- Response{Accepted: true}
 			e.verdict = nil
 			l.counters.taken.Add(1)
 		}
@@ -430,7 +430,7 @@
 	}
 	l.counters.open.Store(int64(l.table.open))
 	if len(l.tidings) > 0 {
-		l.teller.Tell(l.tidings)
+		l.teller.SendGossip(l.tidings)
 		l.tidings = l.tidings[:0]
 	}
 	l.fresh, l.ready = nil, wait
@@ -440,23 +440,23 @@
 		return
 	}
 	for _, n := range l.notices {
-		l.notifier.Tell(n)
+		l.notifier.Report(n)
 	}
 	l.notices = nil
 	if l.keeper != nil {
 		l.tell()
-		l.keeper.Busy(Load{l.set.Slots, l.flying, l.set.HoldCap, l.table.open})
+		l.keeper.LoadChanged(LoopLoad{l.set.MaxInFlight, l.flying, l.set.MaxOpenMessages, l.table.open})
 	}
 }
 
 // tellOverdue tells the notices of messages whose time is up, though the journal lacks them: the next process, if it comes to
 // that, gives these messages up as well, and a second notice does no harm.
 func (l *Loop) tellOverdue() {
-	l.notices = slices.DeleteFunc(l.notices, func(n Notice) bool {
+	l.notices = slices.DeleteFunc(l.notices, func(n DeliveryReport) bool {
 		e := l.table.entries[n.Num]
 		overdue := e != nil && !l.now.Before(e.Deadline)
 		if overdue {
-			l.notifier.Tell(n)
+			l.notifier.Report(n)
 		}
 		return overdue
 	})
@@ -479,7 +479,7 @@
 	e.verdict = nil
 	l.counters.refused.Add(1)
 	l.backlog = append(l.backlog, inspect(func() { // what it lets go leaves with the records of the next round
-		l.ctl.Gone(l.since(), e.num)
+		l.ctl.Abandon(l.since(), e.num)
 		l.over(e)
 		l.release(e)
 	}))
@@ -489,19 +489,19 @@
 func (l *Loop) withdraw() {
 	for _, e := range l.fresh {
 		if l.table.entries[e.num] == e && e.seq > 0 && e.notice == nil {
-			l.ctl.Gone(l.since(), e.num)
+			l.ctl.Abandon(l.since(), e.num)
 			l.table.drop(e)
 			l.journal.forget(e.num)
-			l.keeper.Take(Parting{Seq: e.seq, Message: e.Message, Turned: true, Reason: "the journal can't be written", At: l.now})
+			l.keeper.Add(DeadLetter{Seq: e.seq, Message: e.Message, NotAdmitted: true, Reason: "the journal can't be written", At: l.now})
 		} else if l.table.entries[e.num] == e && e.verdict != nil {
-			l.refuseNow(e, Verdict{Again: l.pause(fullPause)})
+			l.refuseNow(e, Response{RetryAfter: l.pause(fullPause)})
 			l.journal.forget(e.num)
-			l.ctl.Gone(l.since(), e.num)
+			l.ctl.Abandon(l.since(), e.num)
 			l.release(e)
 		}
 	}
 	for _, c := range l.ready {
-		l.unsend(c, control.NoConnection)
+		l.unsend(c, control.ConnectFailed)
 	}
 	l.ready = nil
 }
--- a/internal/state/loop_test.go
+++ b/internal/state/loop_test.go
@@ -18,12 +18,12 @@
 	t       *testing.T
 	dir     string
 	calls   chan *Call
-	notices chan Notice
+	notices chan DeliveryReport
 	pending chan []Pending // of the journal, as each call leaves
 	held    chan *Call
 }
 
-func (o *outside) Carry(c *Call) {
+func (o *outside) Send(c *Call) {
 	list, err := ReadPending(o.dir, quiet)
 	if err != nil {
 		o.t.Error(err)
@@ -31,13 +31,13 @@
 	o.pending <- list
 	o.calls <- c
 }
-func (o *outside) Abandon(*Call)           {}
-func (o *outside) Withhold(c *Call)        { o.held <- c }
-func (o *outside) Probe(Target, time.Time) {}
-func (o *outside) Disconnect(string)       {}
-func (o *outside) Watch(bool, int64)       {}
-func (o *outside) Fetch()                  {}
-func (o *outside) Tell(n Notice)           { o.notices <- n }
+func (o *outside) Cancel(*Call)                  {}
+func (o *outside) CancelUnsent(c *Call)          { o.held <- c }
+func (o *outside) HealthCheck(Target, time.Time) {}
+func (o *outside) Disconnect(string)             {}
+func (o *outside) Watch(bool, int64)             {}
+func (o *outside) Fetch()                        {}
+func (o *outside) Report(n DeliveryReport)       { o.notices <- n }
 
 // get waits for something; only a hang makes it fail.
 func get[T any](t *testing.T, from <-chan T) T {
@@ -57,32 +57,32 @@
 	t.Helper()
 	target := Target{ID: "s", Addr: "nowhere"}
 	target.Endpoint = control.Endpoint{Destination: 7, State: control.Ready}
-	return loopWith(t, dir, disk, News{Form: control.ListCached, Version: 1, Targets: []Target{target}})
+	return loopWith(t, dir, disk, ListUpdate{Kind: control.ListCached, Version: 1, Targets: []Target{target}})
 }
 
 // listless makes a loop that was started while discovery is down, without a list.
 func listless(t *testing.T, dir string) (*Loop, *outside) {
 	t.Helper()
-	return loopWith(t, dir, 1e6, News{Form: control.ListCached, Version: NoVersion})
+	return loopWith(t, dir, 1e6, ListUpdate{Kind: control.ListCached, Version: NoVersion})
 }
 
-func loopWith(t *testing.T, dir string, disk int64, known News) (*Loop, *outside) {
+func loopWith(t *testing.T, dir string, disk int64, known ListUpdate) (*Loop, *outside) {
 	t.Helper()
 	classes := []control.Class{
-		{Aim: time.Second, Deadline: time.Minute, Worth: 1, Effect: control.Safe},
-		{Aim: time.Second, Deadline: time.Minute, Worth: 1, Effect: control.Keyed, Memory: 12 * time.Second},
-		{Aim: time.Second, Deadline: time.Minute, Worth: 1, Effect: control.Unsafe},
+		{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.Idempotent},
+		{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.IdempotentByKey, KeyRetention: 12 * time.Second},
+		{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.NotIdempotent},
 	}
 	set := control.Settings{
-		Siblings: 1, Classes: classes, Kinds: []control.Kind{{Batch: 3, Apart: true}}, Slots: 8, HoldCap: 6,
-		SendCap: 12, CanAdvise: true, MaxAdvice: time.Minute, ConnectTimeout: time.Second, ReportShare: -1, ReportLimit: -1, SecondCopies: true, CanCancel: true,
-		FallWindow: 2 * time.Second, Cold: 10 * time.Second, ColdFrom: 0.2, FallMultiple: 2,
+		FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 3, SeparateRoutes: true}}, MaxInFlight: 8, MaxOpenMessages: 6,
+		MaxAttempts: 12, CanSendRetryAfter: true, MaxRetryAfter: time.Minute, ConnectTimeout: time.Second, HeadroomIndex: -1, LimitIndex: -1, AllowHedging: true, CanCancel: true,
+		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2,
 	}
 	l, err := NewLoop(Setup{Settings: set, Dir: dir, DiskBytes: disk, Log: quiet, Known: known})
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &outside{t, dir, make(chan *Call, 64), make(chan Notice, 64), make(chan []Pending, 64), make(chan *Call, 64)}
+	o := &outside{t, dir, make(chan *Call, 64), make(chan DeliveryReport, 64), make(chan []Pending, 64), make(chan *Call, 64)}
 	l.Connect(o, o, o)
 	return l, o
 }
@@ -95,9 +95,9 @@
 }
 
 // handIn posts a message and returns where its verdict will come.
-func handIn(l *Loop, id string, size int) chan Verdict {
-	v := make(chan Verdict, 1)
-	l.Post(Handed{Message: &Message{ID: id, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: make([]byte, size)}, Verdict: v})
+func handIn(l *Loop, id string, size int) chan Response {
+	v := make(chan Response, 1)
+	l.Post(Submitted{Message: &Message{ID: id, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: make([]byte, size)}, Response: v})
 	return v
 }
 
@@ -107,22 +107,22 @@
 	dir := t.TempDir()
 	l, o := loop(t, dir, 1e6)
 	start(t, l)
-	if v := get(t, handIn(l, "a", 10)); !v.Taken {
+	if v := get(t, handIn(l, "a", 10)); !v.Accepted {
 		t.Fatalf("verdict %+v", v)
 	}
-	if list, _ := ReadPending(dir, quiet); len(list) != 1 || list[0].ID != "a" || list[0].Forwards != 0 {
+	if list, _ := ReadPending(dir, quiet); len(list) != 1 || list[0].ID != "a" || list[0].Attempts != 0 {
 		t.Fatalf("journal after the verdict: %+v", list)
 	}
 	l.Idle() // a round passes
 	if len(o.calls) > 0 {
 		t.Fatal("forward left before the client was answered")
 	}
-	l.Post(Answered{"a", true})
+	l.Post(ResponseWritten{"a", true})
 	c := get(t, o.calls)
-	if list := <-o.pending; len(list) != 1 || !list[0].MayHaveRun || list[0].Forwards != 1 {
+	if list := <-o.pending; len(list) != 1 || !list[0].MayHaveRun || list[0].Attempts != 1 {
 		t.Fatalf("journal as the forward leaves: %+v", list)
 	}
-	l.Post(Ended{c, []End{{Forward: c.Forwards[0], Result: control.Served, Finished: true}}})
+	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Served, Final: true}}})
 	if !l.Idle() {
 		t.Fatal("something is owed after the end")
 	}
@@ -137,7 +137,7 @@
 	l, o := loop(t, t.TempDir(), 1e6)
 	start(t, l)
 	get(t, handIn(l, "a", 10))
-	l.Post(Answered{"a", false})
+	l.Post(ResponseWritten{"a", false})
 	if l.Idle(); !l.Idle() || len(o.calls) > 0 {
 		t.Error("message kept, or sent")
 	}
@@ -151,19 +151,19 @@
 		want        []int
 	}{{10, 8, []int{3, 1}}, {30 << 10, 8, []int{2, 2}}, {30 << 10, 1, []int{2}}} {
 		l, o := loop(t, t.TempDir(), 1e6)
-		l.set.Slots = c.slots // the controller still has eight
-		var verdicts []chan Verdict
+		l.set.MaxInFlight = c.slots // the controller still has eight
+		var verdicts []chan Response
 		for _, id := range []string{"a", "b", "c", "d"} {
 			verdicts = append(verdicts, handIn(l, id, c.size))
 		}
 		start(t, l)
 		for i, v := range verdicts {
 			get(t, v)
-			l.Post(Answered{string(rune('a' + i)), true})
+			l.Post(ResponseWritten{string(rune('a' + i)), true})
 		}
 		for _, want := range c.want {
-			if got := get(t, o.calls); len(got.Forwards) != want {
-				t.Errorf("bodies of %d: a call of %d, want %d", c.size, len(got.Forwards), want)
+			if got := get(t, o.calls); len(got.Attempts) != want {
+				t.Errorf("bodies of %d: a call of %d, want %d", c.size, len(got.Attempts), want)
 			}
 		}
 		if l.Idle(); len(o.calls) > 0 {
@@ -180,7 +180,7 @@
 		want   string // the messages in the order in which they stand in the call, and how long it waits for each
 	}{{true, "unsafe 4s, safe 1.5s, brief 700ms, "}, {false, "safe 4s, unsafe 4s, brief 700ms, "}} {
 		l, o := loop(t, t.TempDir(), 1e6)
-		l.set.SecondCopies = c.copies
+		l.set.AllowHedging = c.copies
 		now := time.Now()
 		l.clock = func() time.Time { return now }
 		l.start = now
@@ -188,13 +188,13 @@
 			if m.Destination = 7; i > 0 {
 				m.Deadline = now.Add(time.Minute)
 			}
-			l.Post(Handed{Message: &m, Verdict: make(chan Verdict, 1)})
-			l.Post(Answered{m.ID, true})
+			l.Post(Submitted{Message: &m, Response: make(chan Response, 1)})
+			l.Post(ResponseWritten{m.ID, true})
 		}
 		start(t, l)
 		call := get(t, o.calls)
 		got := ""
-		for _, f := range call.Forwards {
+		for _, f := range call.Attempts {
 			got += f.Message.ID + " " + f.Deadline.Sub(now).String() + ", "
 		}
 		if got != c.want {
@@ -207,20 +207,20 @@
 func (o *outside) callOf(t *testing.T, l *Loop, id string) *Call {
 	t.Helper()
 	get(t, handIn(l, id, 10))
-	l.Post(Answered{id, true})
+	l.Post(ResponseWritten{id, true})
 	return get(t, o.calls)
 }
 
 // A time-out and the answer of one forward in one round of the loop: the first counts, and its slot is freed once.
 func TestTimeOutAndAnswerInOneRound(t *testing.T) {
-	served, timedOut := End{Result: control.Served, Finished: true}, End{Result: control.TimedOut}
+	served, timedOut := AttemptResult{Result: control.Served, Final: true}, AttemptResult{Result: control.TimedOut}
 	for _, c := range []struct {
 		name    string
-		ends    []End
+		ends    []AttemptResult
 		pending int
 	}{
-		{"answer first", []End{served, timedOut}, 0},
-		{"time-out first", []End{timedOut, served}, 1},
+		{"answer first", []AttemptResult{served, timedOut}, 0},
+		{"time-out first", []AttemptResult{timedOut, served}, 1},
 	} {
 		l, o := loop(t, t.TempDir(), 1e6)
 		start(t, l)
@@ -228,8 +228,8 @@
 		drained, flying := make(chan struct{}), make(chan int, 1)
 		l.Post(inspect(func() { <-drained })) // the next events come in this round
 		for _, end := range c.ends {
-			end.Forward = call.Forwards[0]
-			l.Post(Ended{call, []End{end}})
+			end.Attempt = call.Attempts[0]
+			l.Post(CallEnded{call, []AttemptResult{end}})
 		}
 		l.Post(inspect(func() { flying <- l.flying }))
 		close(drained)
@@ -237,7 +237,7 @@
 			t.Errorf("%s: %d calls count as out", c.name, n)
 		}
 		if l.Idle(); c.pending == 1 {
-			if again := get(t, o.calls); again.Forwards[0].Message.ID != "a" {
+			if again := get(t, o.calls); again.Attempts[0].Message.ID != "a" {
 				t.Errorf("%s: %+v", c.name, again)
 			}
 		}
@@ -254,11 +254,11 @@
 	start(t, l)
 	first, second := o.callOf(t, l, "a"), o.callOf(t, l, "b")
 	get(t, handIn(l, "c", 10)) // its client is not answered yet
-	l.Post(Ended{first, []End{{Forward: first.Forwards[0], Result: control.Full, Wait: time.Hour}}})
+	l.Post(CallEnded{first, []AttemptResult{{Attempt: first.Attempts[0], Result: control.Rejected, RetryAfter: time.Hour}}})
 	if c := get(t, o.held); c != second && get(t, o.held) != second {
 		t.Error("the call on its way was not withheld")
 	}
-	l.Post(Answered{"c", true})
+	l.Post(ResponseWritten{"c", true})
 	if l.Idle(); l.Idle() || len(o.calls) > 0 {
 		t.Error("left during the wait")
 	}
@@ -270,9 +270,9 @@
 	drains := Target{ID: "s", Addr: "nowhere"}
 	drains.Endpoint = control.Endpoint{Destination: 7, State: control.Draining}
 	for name, event := range map[string]any{
-		"drains":    News{Form: control.ListDelta, Version: 2, Targets: []Target{drains}},
-		"is gone":   News{Form: control.ListFull, Version: 2},
-		"set aside": SetAside{IDs: []string{"s"}},
+		"drains":    ListUpdate{Kind: control.ListDelta, Version: 2, Targets: []Target{drains}},
+		"is gone":   ListUpdate{Kind: control.ListFull, Version: 2},
+		"set aside": ExclusionsChanged{IDs: []string{"s"}},
 		"halted":    halting{},
 	} {
 		l, o := loop(t, t.TempDir(), 1e6)
@@ -283,8 +283,8 @@
 		if c := get(t, o.held); c != connecting {
 			t.Errorf("%s: another call was withheld", name)
 		}
-		l.Post(Ended{connecting, []End{{Forward: connecting.Forwards[0], Result: control.Moot}}})
-		l.Post(Answered{"b", true})
+		l.Post(CallEnded{connecting, []AttemptResult{{Attempt: connecting.Attempts[0], Result: control.NotSent}}})
+		l.Post(ResponseWritten{"b", true})
 		l.Idle()
 		l.Idle() // two rounds
 		if len(o.calls) > 0 {
@@ -308,21 +308,21 @@
 	l, o := loop(t, t.TempDir(), 1e6)
 	start(t, l)
 	connecting := o.callOf(t, l, "a")
-	done, heir := make(chan Given, 1), heirStub(make(chan Returned, 1))
-	l.Post(GiveWay{Heir: heir, Done: done})
+	done, heir := make(chan HandOverResult, 1), heirStub(make(chan RemoteResult, 1))
+	l.Post(HandOver{Successor: heir, Done: done})
 	given := get(t, done)
-	if given.Err != nil || len(given.Estate.Out) != 1 {
+	if given.Err != nil || len(given.State.InFlight) != 1 {
 		t.Fatalf("%+v", given)
 	}
 	if c := get(t, o.held); c != connecting {
 		t.Error("another call was withheld")
 	}
 	next, o2 := loop(t, o.dir, 1e6)
-	next.inherit(&given.Estate)
+	next.inherit(&given.State)
 	start(t, next)
-	l.Post(Ended{connecting, []End{{Forward: connecting.Forwards[0], Result: control.Moot}}})
+	l.Post(CallEnded{connecting, []AttemptResult{{Attempt: connecting.Attempts[0], Result: control.NotSent}}})
 	next.Post(get(t, heir))
-	if again := get(t, o2.calls); again.Forwards[0].Message.ID != "a" {
+	if again := get(t, o2.calls); again.Attempts[0].Message.ID != "a" {
 		t.Errorf("%+v", again)
 	}
 	if next.Idle(); len(o2.calls)+len(o2.notices) > 0 {
@@ -358,12 +358,12 @@
 	l, o := loop(t, t.TempDir(), 1e6)
 	start(t, l)
 	hand := func(id string, class int, within time.Duration) {
-		v := make(chan Verdict, 1)
-		l.Post(Handed{Message: &Message{ID: id, Class: class, Destination: 7, Deadline: time.Now().Add(within)}, Verdict: v})
-		if !get(t, v).Taken {
+		v := make(chan Response, 1)
+		l.Post(Submitted{Message: &Message{ID: id, Class: class, Destination: 7, Deadline: time.Now().Add(within)}, Response: v})
+		if !get(t, v).Accepted {
 			t.Fatalf("%s is not taken on", id)
 		}
-		l.Post(Answered{id, true})
+		l.Post(ResponseWritten{id, true})
 	}
 	hand("unsafe", 2, time.Minute)
 	call := get(t, o.calls)
@@ -371,7 +371,9 @@
 	began := time.Now()
 	hand("short", 2, within)
 	short := get(t, o.calls)
-	time.AfterFunc(within, func() { l.Post(Ended{short, []End{{Forward: short.Forwards[0], Result: control.TimedOut}}}) })
+	time.AfterFunc(within, func() {
+		l.Post(CallEnded{short, []AttemptResult{{Attempt: short.Attempts[0], Result: control.TimedOut}}})
+	})
 	whole := make(chan *store.Store, 1)
 	l.Post(inspect(func() {
 		broken, _ := open(t, t.TempDir(), 1e6)
@@ -379,7 +381,7 @@
 		whole <- l.journal.store
 		l.journal.store = broken.store
 	}))
-	l.Post(Ended{call, []End{{Forward: call.Forwards[0], Result: control.Broken}}}) // given up at once
+	l.Post(CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: control.ConnectionLost}}}) // given up at once
 	if n := get(t, o.notices); n.ID != "short" {
 		t.Errorf("%s is told while it could be forgotten", n.ID)
 	}
@@ -399,16 +401,16 @@
 	start(t, l)
 	for i, id := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		v := get(t, handIn(l, id, 10))
-		if want := i < 6; v.Taken != want || !want && v.Again <= 0 {
+		if want := i < 6; v.Accepted != want || !want && v.RetryAfter <= 0 {
 			t.Errorf("message %d: %+v", i, v)
 		}
 	}
 	l, _ = loop(t, t.TempDir(), 100_000)
 	start(t, l)
-	if v := get(t, handIn(l, "a", 50_000)); v.Taken || v.Again <= 0 {
+	if v := get(t, handIn(l, "a", 50_000)); v.Accepted || v.RetryAfter <= 0 {
 		t.Errorf("more than the disk holds: %+v", v)
 	}
-	if v := get(t, handIn(l, "b", 10)); !v.Taken {
+	if v := get(t, handIn(l, "b", 10)); !v.Accepted {
 		t.Errorf("what fits: %+v", v)
 	}
 }
@@ -418,19 +420,19 @@
 func TestWrongMessages(t *testing.T) {
 	l, o := loop(t, t.TempDir(), 1e6)
 	start(t, l)
-	v := make(chan Verdict, 1)
-	l.Post(Handed{Message: &Message{ID: "x", Destination: 8, Deadline: time.Now().Add(time.Minute)}, Verdict: v})
-	if got := get(t, v); got.Taken || got.Wrong != NoDestination {
+	v := make(chan Response, 1)
+	l.Post(Submitted{Message: &Message{ID: "x", Destination: 8, Deadline: time.Now().Add(time.Minute)}, Response: v})
+	if got := get(t, v); got.Accepted || got.Invalid != UnknownDestination {
 		t.Errorf("nowhere to go: %+v", got)
 	}
 	get(t, handIn(l, "a", 10))
-	if got := get(t, handIn(l, "a", 10)); got.Taken || got.Wrong != IDTaken {
+	if got := get(t, handIn(l, "a", 10)); got.Accepted || got.Invalid != DuplicateID {
 		t.Errorf("id of an open one: %+v", got)
 	}
-	l.Post(Answered{"a", true})
+	l.Post(ResponseWritten{"a", true})
 	c := get(t, o.calls)
-	l.Post(Ended{c, []End{{Forward: c.Forwards[0], Result: control.Served, Finished: true}}})
-	if got := get(t, handIn(l, "a", 10)); got.Taken || got.Wrong != IDTaken {
+	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Served, Final: true}}})
+	if got := get(t, handIn(l, "a", 10)); got.Accepted || got.Invalid != DuplicateID {
 		t.Errorf("id of a finished one: %+v", got)
 	}
 }
@@ -443,23 +445,23 @@
 		handIn(l, id, 10)
 	}
 	start(t, l)
-	l.Post(Answered{"a", true})
-	l.Post(Answered{"b", true})
+	l.Post(ResponseWritten{"a", true})
+	l.Post(ResponseWritten{"b", true})
 	both := get(t, o.calls)
-	if len(both.Forwards) != 2 {
-		t.Fatalf("a call of %d", len(both.Forwards))
+	if len(both.Attempts) != 2 {
+		t.Fatalf("a call of %d", len(both.Attempts))
 	}
-	l.Post(Ended{both, []End{{Forward: both.Forwards[0], Result: control.Rejected}, {Forward: both.Forwards[1], Result: control.Rejected}}})
+	l.Post(CallEnded{both, []AttemptResult{{Attempt: both.Attempts[0], Result: control.Unprocessable}, {Attempt: both.Attempts[1], Result: control.Unprocessable}}})
 	for range 2 {
 		c := get(t, o.calls)
-		end := End{Forward: c.Forwards[0], Result: control.Served, Finished: true}
-		if end.Forward.Message.ID == "a" {
-			end = End{Forward: c.Forwards[0], Result: control.Rejected}
+		end := AttemptResult{Attempt: c.Attempts[0], Result: control.Served, Final: true}
+		if end.Attempt.Message.ID == "a" {
+			end = AttemptResult{Attempt: c.Attempts[0], Result: control.Unprocessable}
 		}
-		if len(c.Forwards) != 1 {
-			t.Fatalf("then a call of %d", len(c.Forwards))
+		if len(c.Attempts) != 1 {
+			t.Fatalf("then a call of %d", len(c.Attempts))
 		}
-		l.Post(Ended{c, []End{end}})
+		l.Post(CallEnded{c, []AttemptResult{end}})
 	}
 	if n := get(t, o.notices); n.ID != "a" || n.Deferred {
 		t.Errorf("notice %+v", n)
@@ -518,13 +520,13 @@
 			}
 			continue
 		}
-		f := get(t, o.calls).Forwards[0]
+		f := get(t, o.calls).Attempts[0]
 		want := time.Time{}
 		if c.class == 1 && c.ran { // a repeat that leaves late must not leave the window
 			want = now.Add(-c.ago).Add(12 * time.Second)
 		}
-		if off := f.Leave.Sub(want).Abs(); off > time.Millisecond { // the journal has whole microseconds, by two readings
-			t.Errorf("%s: may leave until %v, want %v", c.name, f.Leave, want)
+		if off := f.NotAfter.Sub(want).Abs(); off > time.Millisecond { // the journal has whole microseconds, by two readings
+			t.Errorf("%s: may leave until %v, want %v", c.name, f.NotAfter, want)
 		}
 		if f.attempt != c.sends || !bytes.Equal(f.Message.Body, []byte("body")) || len(o.notices) > 0 {
 			t.Errorf("%s: attempt %d of %+v", c.name, f.attempt, f.Message)
@@ -557,9 +559,9 @@
 		}
 		l, o := loop(t, dir, 1e6)
 		start(t, l)
-		f := get(t, o.calls).Forwards[0]
-		if off := f.Leave.Sub(now.Add(7 * time.Second)).Abs(); off > 50*time.Millisecond {
-			t.Errorf("step %v: may leave in %v, not 7s", step, f.Leave.Sub(now))
+		f := get(t, o.calls).Attempts[0]
+		if off := f.NotAfter.Sub(now.Add(7 * time.Second)).Abs(); off > 50*time.Millisecond {
+			t.Errorf("step %v: may leave in %v, not 7s", step, f.NotAfter.Sub(now))
 		}
 		if off := f.Message.Deadline.Sub(now.Add(20 * time.Second)).Abs(); off > 50*time.Millisecond {
 			t.Errorf("step %v: due in %v, not 20s", step, f.Message.Deadline.Sub(now))
@@ -596,10 +598,10 @@
 	g, now := newGroup(), time.Now()
 	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
 	back := up("back")
-	first := g.take(News{Form: control.ListDelta, Targets: []Target{back, up("gone")}}, now)
-	g.take(News{Form: control.ListFull, Targets: nil}, now)
-	again := g.take(News{Form: control.ListDelta, Targets: []Target{back}}, now.Add(goneSpan/2))
-	g.take(News{Form: control.ListDelta}, now.Add(2*goneSpan))
+	first := g.take(ListUpdate{Kind: control.ListDelta, Targets: []Target{back, up("gone")}}, now)
+	g.take(ListUpdate{Kind: control.ListFull, Targets: nil}, now)
+	again := g.take(ListUpdate{Kind: control.ListDelta, Targets: []Target{back}}, now.Add(goneSpan/2))
+	g.take(ListUpdate{Kind: control.ListDelta}, now.Add(2*goneSpan))
 	if again[0].ID != first[0].ID || g.byID["back"] == nil || g.byID["gone"] != nil || len(g.byNum) != 1 || len(g.left) != 0 {
 		t.Errorf("numbers %d and %d, known %v", first[0].ID, again[0].ID, g.byID)
 	}
@@ -634,7 +636,7 @@
 		l, o := loop(t, dir, 1e6)
 		start(t, l)
 		if c.owed == "" {
-			if f := get(t, o.calls).Forwards[0]; f.Message.ID != "a" {
+			if f := get(t, o.calls).Attempts[0]; f.Message.ID != "a" {
 				t.Errorf("%s: %s was sent", c.name, f.Message.ID)
 			}
 			continue
@@ -648,7 +650,7 @@
 			}
 		}
 		for len(o.calls) > 0 {
-			if f := (<-o.calls).Forwards[0]; f.Message.ID == "a" {
+			if f := (<-o.calls).Attempts[0]; f.Message.ID == "a" {
 				t.Errorf("%s: sent again", c.name)
 			}
 		}
--- a/internal/state/route.go
+++ b/internal/state/route.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"cleathold/control"
-	"cleathold/internal/note"
+	"cleathold/internal/gossip"
 )
 
 // Route: the third stage. The controller says what goes where; its sends of a
@@ -30,24 +30,24 @@
 			e.sends++
 		}
 		l.backlog = append(l.backlog, inspect(func() {
-			l.ctl.Done(l.since(), control.Outcome{ID: id, Attempt: attempt, Endpoint: to, Result: control.Moot, Finished: e == nil})
+			l.ctl.AttemptDone(l.since(), control.Outcome{ID: id, Attempt: attempt, Endpoint: to, Result: control.NotSent, Final: e == nil})
 		}))
 		return
 	}
-	f := &Forward{Message: e.Message, Deadline: l.now.Add(timeout), Leave: l.windowEnd(e), num: id, attempt: e.sends}
+	f := &Attempt{Message: e.Message, Deadline: l.now.Add(timeout), NotAfter: l.windowEnd(e), num: id, attempt: e.sends}
 	e.sends++
 	e.flights++
 	room := len(e.ID) + len(e.Key) + len(e.Body) + FrameRoom
 	c := l.round[to]
 	// A body holds so much: what doesn't fit one call takes another.
-	if c == nil || e.alone || len(c.Forwards) >= l.batch(t.Kind) || c.room+room > MaxBody {
-		c = &Call{Target: *t, Connect: l.connectBy()}
+	if c == nil || e.alone || len(c.Attempts) >= l.batch(t.Kind) || c.room+room > MaxBody {
+		c = &Call{Target: *t, ConnectBy: l.connectBy()}
 		if !e.alone {
 			l.round[to] = c
 		}
 		l.calls = append(l.calls, c)
 	}
-	c.Forwards = append(c.Forwards, f)
+	c.Attempts = append(c.Attempts, f)
 	c.room += room
 	l.out[c]++
 	if !e.answered {
@@ -60,10 +60,10 @@
 // in the window may leave late: its connection takes its time.
 func (l *Loop) windowEnd(e *entry) time.Time {
 	first, ran := e.first()
-	if !ran || e.Class < 0 || e.Class >= len(l.set.Classes) || l.set.Classes[e.Class].Effect != control.Keyed {
+	if !ran || e.Class < 0 || e.Class >= len(l.set.Classes) || l.set.Classes[e.Class].Idempotency != control.IdempotentByKey {
 		return time.Time{}
 	}
-	return first.at.Add(l.set.Classes[e.Class].Memory)
+	return first.at.Add(l.set.Classes[e.Class].KeyRetention)
 }
 
 // unknownConnect is used where the settings don't tell how long a connection may take.
@@ -82,12 +82,12 @@
 	if kind < 0 || kind >= len(l.set.Kinds) {
 		return 1
 	}
-	return max(1, l.set.Kinds[kind].Batch)
+	return max(1, l.set.Kinds[kind].MaxBatch)
 }
 
 // recordCall writes down the forwards of a call that is about to leave.
 func (l *Loop) recordCall(c *Call) {
-	for _, f := range c.Forwards {
+	for _, f := range c.Attempts {
 		if e := l.table.entries[f.num]; e != nil && !f.ended {
 			if f.withheld = !l.permits(c, f, e); f.withheld {
 				continue
@@ -107,30 +107,30 @@
 // launch hands a call to the carrier, less the messages that are over by now.
 func (l *Loop) launch(c *Call) {
 	c.launched = true
-	live := make([]*Forward, 0, len(c.Forwards))
-	for _, f := range c.Forwards {
+	live := make([]*Attempt, 0, len(c.Attempts))
+	for _, f := range c.Attempts {
 		if e := l.table.entries[f.num]; e != nil && !f.off && !f.withheld && !c.withheld {
 			live = append(live, f)
 			continue
 		}
-		l.backlog = append(l.backlog, Ended{c, []End{{Forward: f, Result: control.Moot, Finished: l.table.entries[f.num] == nil}}})
+		l.backlog = append(l.backlog, CallEnded{c, []AttemptResult{{Attempt: f, Result: control.NotSent, Final: l.table.entries[f.num] == nil}}})
 	}
-	if !l.set.SecondCopies {
+	if !l.set.AllowHedging {
 		endTogether(live)
 	}
 	// The platform counts a call's answer for the others only while the call's first message is waited for.
-	slices.SortStableFunc(live, func(a, b *Forward) int { return b.Deadline.Compare(a.Deadline) })
-	if c.Forwards, c.size = live, len(live); len(live) > 0 {
+	slices.SortStableFunc(live, func(a, b *Attempt) int { return b.Deadline.Compare(a.Deadline) })
+	if c.Attempts, c.size = live, len(live); len(live) > 0 {
 		c.carried = true
 		l.flying++
-		l.carrier.Carry(c)
+		l.carrier.Send(c)
 	}
 }
 
 // endTogether has the forwards of a call time out at one instant, where no second copies are allowed. One that
 // timed out before the others would be sent again while its first copy is still out on the open connection. None
 // waits beyond the deadline of its message: after that it is not sent again.
-func endTogether(forwards []*Forward) {
+func endTogether(forwards []*Attempt) {
 	var last time.Time
 	for _, f := range forwards {
 		if f.Deadline.After(last) {
@@ -151,11 +151,11 @@
 // unsend ends the forwards of a call that never left.
 func (l *Loop) unsend(c *Call, r control.Result) {
 	c.launched = true
-	ends := make([]End, len(c.Forwards))
-	for i, f := range c.Forwards {
-		ends[i] = End{Forward: f, Result: r}
+	ends := make([]AttemptResult, len(c.Attempts))
+	for i, f := range c.Attempts {
+		ends[i] = AttemptResult{Attempt: f, Result: r}
 	}
-	l.backlog = append(l.backlog, Ended{c, ends})
+	l.backlog = append(l.backlog, CallEnded{c, ends})
 }
 
 // withhold keeps back the calls that were decided on before and have not left, of those to some targets. One that
@@ -166,7 +166,7 @@
 			continue
 		}
 		if c.withheld = !c.launched; c.launched {
-			l.carrier.Withhold(c)
+			l.carrier.CancelUnsent(c)
 		}
 	}
 }
@@ -189,7 +189,7 @@
 
 // apart tells whether a wait binds the one target, not all of its destination.
 func (l *Loop) apart(kind int) bool {
-	return kind >= 0 && kind < len(l.set.Kinds) && l.set.Kinds[kind].Apart
+	return kind >= 0 && kind < len(l.set.Kinds) && l.set.Kinds[kind].SeparateRoutes
 }
 
 // Cancel calls one forward off. Its call is abandoned once no other is in it.
@@ -197,22 +197,22 @@
 	l := a.loop()
 	for c := range l.out {
 		hit, wanted := false, false
-		for _, f := range c.Forwards {
+		for _, f := range c.Attempts {
 			if f.num == id && f.attempt == attempt && !f.ended {
 				f.off, hit = true, true
 			}
 			wanted = wanted || !f.off && !f.ended
 		}
 		if hit && !wanted && c.launched {
-			l.carrier.Abandon(c)
+			l.carrier.Cancel(c)
 		}
 	}
 }
 
-// Probe asks a target how it is.
-func (a *actions) Probe(to control.EndpointID) {
+// HealthCheck asks a target how it is.
+func (a *actions) HealthCheck(to control.EndpointID) {
 	if t := a.group.byNum[to]; t != nil {
-		a.carrier.Probe(*t, a.loop().connectBy())
+		a.carrier.HealthCheck(*t, a.loop().connectBy())
 	}
 }
 
@@ -227,26 +227,26 @@
 
 func (a *actions) Fetch() { a.list.Fetch() }
 
-// Wake sets the one timer: the controller heeds its latest token alone.
-func (a *actions) Wake(after time.Duration, token uint32) {
+// SetTimer sets the one timer: the controller heeds its latest token alone.
+func (a *actions) SetTimer(after time.Duration, token uint32) {
 	a.token, a.wakeAt = token, a.now.Add(max(after, 0))
 	if a.timer != nil {
 		a.timer.Reset(max(after, 0))
 	}
 }
 
-// Tell puts a note among those of this round.
-func (a *actions) Tell(n control.Note) {
-	if t := a.group.byNum[n.Endpoint]; t != nil && a.teller != nil && len(a.tidings) < note.Most {
-		a.tidings = append(a.tidings, note.Fact{Name: note.Name(t.ID), What: n.What, Ago: n.Ago})
+// Gossip puts a note among those of this round.
+func (a *actions) Gossip(n control.Observation) {
+	if t := a.group.byNum[n.Endpoint]; t != nil && a.teller != nil && len(a.tidings) < gossip.MaxObservations {
+		a.tidings = append(a.tidings, gossip.Observation{EndpointHash: gossip.HashID(t.ID), Kind: n.Kind, Age: n.Age})
 	}
 }
 
 // heard passes on what another sender tells of targets that this one knows.
-func (l *Loop) heard(h Heard) {
-	for _, f := range h.Facts {
-		if num, known := l.group.names[f.Name]; known {
-			l.ctl.Heard(l.since(), control.Note{Endpoint: num, What: f.What, Ago: f.Ago, From: h.Sender})
+func (l *Loop) heard(h GossipReceived) {
+	for _, f := range h.Observations {
+		if num, known := l.group.names[f.EndpointHash]; known {
+			l.ctl.ReceiveGossip(l.since(), control.Observation{Endpoint: num, Kind: f.Kind, Age: f.Age, Peer: h.Peer})
 		}
 	}
 }
