--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cleathold/control"
-	"cleathold/internal/note"
+	"cleathold/internal/gossip"
 )
 
 // MaxBody is the most that one message, or one call of several, may hold.
@@ -24,7 +24,7 @@
 	Tenant      int
 	Destination int
 	Deadline    time.Time
-	Again       bool // handed in before, here or to a sender that died
+	Resubmitted bool // handed in before, here or to a sender that died
 	Inherited   bool // an earlier sender had it and did not answer
 	Body        []byte
 }
@@ -36,8 +36,8 @@
 	control.Endpoint
 }
 
-// Listed is a target as discovery has it.
-type Listed struct {
+// ListedTarget is a target as discovery has it.
+type ListedTarget struct {
 	ID   string `json:"id"`
 	Dest int    `json:"dest"`
 	Kind int    `json:"kind"`
@@ -48,19 +48,19 @@
 // which has not changed yet.
 const NoVersion = -1
 
-// News is one answer of discovery. Its targets are not numbered yet.
-type News struct {
-	Form    control.ListNews
-	Version int64
-	Targets []Target
-	Rests   bool // the next question does not follow at once
+// ListUpdate is one answer of discovery. Its targets are not numbered yet.
+type ListUpdate struct {
+	Kind       control.ListUpdateKind
+	Version    int64
+	Targets    []Target
+	PollPaused bool // the next question does not follow at once
 }
 
-// A Forward is one attempt for one message.
-type Forward struct {
+// A Attempt is one attempt for one message.
+type Attempt struct {
 	Message  *Message
 	Deadline time.Time // waited for until then
-	Leave    time.Time // not sent after that; the zero time stands for the deadline
+	NotAfter time.Time // not sent after that; the zero time stands for the deadline
 	num      control.MessageID
 	attempt  int
 	ended    bool
@@ -71,123 +71,123 @@
 // A Call is what travels on one connection: one forward, or several that go
 // to one target in one round.
 type Call struct {
-	Target   Target
-	Forwards []*Forward
-	Connect  time.Time // by when a connection must be up
-	room     int       // what the forwards take in one body
-	size     int       // forwards that left with it
-	unsent   int       // forwards whose client has not been answered yet
-	launched bool
-	carried  bool
-	withheld bool // its target told to wait before it left
+	Target    Target
+	Attempts  []*Attempt
+	ConnectBy time.Time // by when a connection must be up
+	room      int       // what the forwards take in one body
+	size      int       // forwards that left with it
+	unsent    int       // forwards whose client has not been answered yet
+	launched  bool
+	carried   bool
+	withheld  bool // its target told to wait before it left
 }
 
-// End is what came of one forward of a call.
-type End struct {
-	Forward  *Forward
-	Result   control.Result
-	Took     time.Duration
-	Left     time.Time     // when the first byte of its call was written; zero: none was, or it is not known
-	Wait     time.Duration // told to send nothing there for so long
-	Finished bool          // nothing more is owed
-	NoSlot   bool
+// AttemptResult is what came of one forward of a call.
+type AttemptResult struct {
+	Attempt    *Attempt
+	Result     control.Result
+	Elapsed    time.Duration
+	SentAt     time.Time     // when the first byte of its call was written; zero: none was, or it is not known
+	RetryAfter time.Duration // told to send nothing there for so long
+	Final      bool          // nothing more is owed
+	NoSlot     bool
 }
 
-// Verdict answers a client that hands a message in.
-type Verdict struct {
-	Taken bool
-	Again time.Duration // a fixed response: when to come back; 0 = not told
-	Fatal bool          // a fixed response after which coming back is of no use
-	Wrong Wrong         // a fixed response to what can't be taken on
+// Response answers a client that hands a message in.
+type Response struct {
+	Accepted   bool
+	RetryAfter time.Duration // a fixed response: when to come back; 0 = not told
+	Permanent  bool          // a fixed response after which coming back is of no use
+	Invalid    InvalidReason // a fixed response to what can't be taken on
 }
 
-// A Decision is made once: the loop takes a message on, or the listener, whose client can't wait any longer, refuses it.
-type Decision struct{ made atomic.Bool }
+// A AdmissionDecision is made once: the loop takes a message on, or the listener, whose client can't wait any longer, refuses it.
+type AdmissionDecision struct{ made atomic.Bool }
 
-// Refuse decides against the message. False: it has been taken on.
-func (d *Decision) Refuse() bool { return d.made.CompareAndSwap(false, true) }
+// Reject decides against the message. False: it has been taken on.
+func (d *AdmissionDecision) Reject() bool { return d.made.CompareAndSwap(false, true) }
 
-// take decides for it. False: its client has been refused.
-func (d *Decision) take() bool { return d == nil || d.made.CompareAndSwap(false, true) }
+// accept decides for it. False: its client has been refused.
+func (d *AdmissionDecision) accept() bool { return d == nil || d.made.CompareAndSwap(false, true) }
 
-// Wrong says what keeps a message that reads well from being taken on.
-type Wrong uint8
+// InvalidReason says what keeps a message that reads well from being taken on.
+type InvalidReason uint8
 
 const (
-	Nothing       Wrong = iota
-	NoDestination       // no target of its destination was ever listed
-	IDTaken             // another message has or had this id
+	Valid              InvalidReason = iota
+	UnknownDestination               // no target of its destination was ever listed
+	DuplicateID                      // another message has or had this id
 )
 
-// Notice ends a message that was taken on and is not delivered.
-type Notice struct {
-	Num      control.MessageID
-	ID       string
-	Deferred bool // handed back; else undeliverable
-	Again    time.Duration
-	Kept     *Parting // the keeper gets the message
+// DeliveryReport ends a message that was taken on and is not delivered.
+type DeliveryReport struct {
+	Num        control.MessageID
+	ID         string
+	Deferred   bool // handed back; else undeliverable
+	RetryAfter time.Duration
+	DeadLetter *DeadLetter // the keeper gets the message
 }
 
-// Carrier carries calls to targets. None of its methods may block; what comes
+// Transport carries calls to targets. None of its methods may block; what comes
 // of a call is posted to the loop, once for each forward.
-type Carrier interface {
-	Carry(c *Call)
-	Abandon(c *Call)
-	// Withhold ends a call as moot if its first byte has not left yet.
-	Withhold(c *Call)
-	Probe(t Target, deadline time.Time)
+type Transport interface {
+	Send(c *Call)
+	Cancel(c *Call)
+	// CancelUnsent ends a call as moot if its first byte has not left yet.
+	CancelUnsent(c *Call)
+	HealthCheck(t Target, deadline time.Time)
 	Disconnect(target string)
 }
 
-// Directory asks discovery. It posts News.
-type Directory interface {
+// Discovery asks discovery. It posts News.
+type Discovery interface {
 	Watch(on bool, since int64)
 	Fetch()
 }
 
-// Notifier delivers notices in order until they are acknowledged. It never blocks.
-type Notifier interface {
-	Tell(n Notice)
+// Reporter delivers notices in order until they are acknowledged. It never blocks.
+type Reporter interface {
+	Report(n DeliveryReport)
 }
 
-// Teller tells the other senders of the tier. It never blocks.
-type Teller interface {
-	Tell(facts []note.Fact)
+// GossipSender tells the other senders of the tier. It never blocks.
+type GossipSender interface {
+	SendGossip(facts []gossip.Observation)
 }
 
 // The events that others post to the loop.
 type (
-	// Handed is a message that a listener has read; the verdict goes to its client.
-	Handed struct {
+	// Submitted is a message that a listener has read; the verdict goes to its client.
+	Submitted struct {
 		Message  *Message
-		Verdict  chan<- Verdict // takes one without blocking
-		Decision *Decision      // nil: its client waits for the verdict however long that takes
+		Response chan<- Response    // takes one without blocking
+		Decision *AdmissionDecision // nil: its client waits for the verdict however long that takes
 	}
-	// Heard is a note from another sender, by its number.
-	Heard struct {
-		Sender int
-		Facts  []note.Fact
+	// GossipReceived is a note from another sender, by its number.
+	GossipReceived struct {
+		Peer         int
+		Observations []gossip.Observation
 	}
-	// Answered tells that the verdict "taken" was written to the client, or could not be.
-	Answered struct {
+	// ResponseWritten tells that the verdict "taken" was written to the client, or could not be.
+	ResponseWritten struct {
 		ID string
 		OK bool
 	}
-	// Ended tells what came of some forwards of a call.
-	Ended struct {
-		Call *Call
-		Ends []End
+	// CallEnded tells what came of some forwards of a call.
+	CallEnded struct {
+		Call    *Call
+		Results []AttemptResult
 	}
-	// Probed answers a probe.
-	Probed struct {
-		Target control.EndpointID
-		Result control.Result
-		Took   time.Duration
+	// HealthChecked answers a probe.
+	HealthChecked struct {
+		Target  control.EndpointID
+		Result  control.Result
+		Elapsed time.Duration
 	}
-	// SetAside tells which targets operators have taken out: all of them, by their ids.
-	SetAside struct{ IDs []string }
-	// Acknowledged tells that the platform has taken notices.
-	Acknowledged struct{ Nums []control.MessageID }
+	// ExclusionsChanged tells which targets operators have taken out: all of them, by their ids.
+	ExclusionsChanged struct{ IDs []string }
+	// ReportsAcknowledged tells that the platform has taken notices.
+	ReportsAcknowledged struct{ Nums []control.MessageID }
 	// stopping asks for no new messages; halting for no new forwards.
 	stopping struct{}
 	halting  struct{}
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"cleathold/control"
-	"cleathold/internal/note"
+	"cleathold/internal/gossip"
 )
 
 // An entry is one message of the table, until its end is known to whoever is owed it.
@@ -15,16 +15,16 @@
 	num      control.MessageID
 	sends    int
 	ran      []sent // forwards that may have run, or may yet
-	verdict  chan<- Verdict
-	decision *Decision // with the verdict
-	answered bool      // its client has heard that it is taken on
-	call     *Call     // held back until then
-	alone    bool      // goes in a call by itself: a target could not use one that it shared
-	notice   *Notice   // ended, and the platform is owed this
-	cost     int64     // what it may take in the journal
-	class    string    // its class as it stands there
-	flights  int       // forwards without an end
-	abroad   int       // forwards out at another process of this sender; until they are known it waits
+	verdict  chan<- Response
+	decision *AdmissionDecision // with the verdict
+	answered bool               // its client has heard that it is taken on
+	call     *Call              // held back until then
+	alone    bool               // goes in a call by itself: a target could not use one that it shared
+	notice   *DeliveryReport    // ended, and the platform is owed this
+	cost     int64              // what it may take in the journal
+	class    string             // its class as it stands there
+	flights  int                // forwards without an end
+	abroad   int                // forwards out at another process of this sender; until they are known it waits
 	at       time.Time
 	called   bool // a forward of it has left, or was about to
 
@@ -32,7 +32,7 @@
 	seq      uint64        // the keeper's record that this sends again; 0 = a client's message
 	tries    []numberedTry // its history
 	rejected bool          // a target can't use it
-	parting  *Parting      // ended, and the keeper is owed this
+	parting  *DeadLetter   // ended, and the keeper is owed this
 	told     bool          // the platform has its notice
 }
 
@@ -117,14 +117,14 @@
 
 // settle ends a message to which a notice is owed; its body is needed no more,
 // if no keeper gets it.
-func (t *table) settle(e *entry, n Notice) {
+func (t *table) settle(e *entry, n DeliveryReport) {
 	e.notice = &n
-	if n.Kept == nil || e.seq > 0 {
+	if n.DeadLetter == nil || e.seq > 0 {
 		e.Body = nil
 	}
 	t.live += takeCost(e.Message) - e.cost
 	e.cost = takeCost(e.Message)
-	if n.Kept != nil {
+	if n.DeadLetter != nil {
 		t.kept += e.cost
 	}
 	t.open--
@@ -140,7 +140,7 @@
 		delete(t.ids, e.ID)
 	}
 	t.live -= e.cost
-	if e.notice != nil && e.notice.Kept != nil {
+	if e.notice != nil && e.notice.DeadLetter != nil {
 		t.kept -= e.cost
 	}
 	if e.notice == nil {
@@ -239,18 +239,18 @@
 	if len(known) == 0 {
 		return nil
 	}
-	return g.take(News{Form: control.ListDelta, Version: g.version, Targets: known}, now)
+	return g.take(ListUpdate{Kind: control.ListDelta, Version: g.version, Targets: known}, now)
 }
 
 // listed are the targets that are on the list, by id.
-func (g *group) listed() []Listed {
-	list := make([]Listed, 0, len(g.byID))
+func (g *group) listed() []ListedTarget {
+	list := make([]ListedTarget, 0, len(g.byID))
 	for id, t := range g.byID {
 		if _, gone := g.left[id]; !gone {
-			list = append(list, Listed{ID: id, Dest: t.Destination, Kind: t.Kind, Up: t.State == control.Ready})
+			list = append(list, ListedTarget{ID: id, Dest: t.Destination, Kind: t.Kind, Up: t.State == control.Ready})
 		}
 	}
-	slices.SortFunc(list, func(a, b Listed) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b ListedTarget) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
@@ -271,12 +271,12 @@
 
 // take enters news and returns its lines as the controller wants them. A
 // target that leaves keeps its number for a while.
-func (g *group) take(n News, now time.Time) []control.Endpoint {
-	if n.Form == control.ListFailed {
+func (g *group) take(n ListUpdate, now time.Time) []control.Endpoint {
+	if n.Kind == control.ListFailed {
 		return nil
 	}
 	g.version = n.Version
-	if n.Form != control.ListDelta {
+	if n.Kind != control.ListDelta {
 		for id := range g.byID { // those that a whole list leaves out are gone
 			g.leave(id, now)
 		}
@@ -293,7 +293,7 @@
 			known.Endpoint.ID = g.next
 			g.next++
 			g.byID[t.ID], g.byNum[known.Endpoint.ID] = known, known
-			g.names[note.Name(t.ID)] = known.Endpoint.ID
+			g.names[gossip.HashID(t.ID)] = known.Endpoint.ID
 			known.Destination = t.Destination
 			g.served[t.Destination] = true
 		}
@@ -341,7 +341,7 @@
 		num := g.byID[id].Endpoint.ID
 		delete(g.byNum, num)
 		delete(g.toldLeft, num)
-		if name := note.Name(id); g.names[name] == num {
+		if name := gossip.HashID(id); g.names[name] == num {
 			delete(g.names, name)
 		}
 		delete(g.byID, id)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -84,41 +84,41 @@
 		return control.Settings{}, fmt.Errorf("profile-data: %w", err)
 	}
 	s := control.Settings{
-		Seed: seed, Index: p.Me, Siblings: orElse(p.Siblings, 1), Zone: p.Zone,
-		OverShareWorth: orElse(p.OverShareWorth, 1), HalvingWorth: p.Specifics.Fades == "by_half",
-		WorthByWork: p.WorthBy == "work", Slots: p.Specifics.MaxCalls, HoldCap: p.Limits.OpenCap,
-		SendCap: p.Limits.SendCap, SecondCopies: p.Limits.SecondCopies, CanCancel: p.Limits.Cancel,
-		CanProbe: p.Limits.Probes, CanTell: p.Limits.Peers, CanAdvise: p.Limits.RetryAfter, MaxAdvice: Duration(p.Limits.MaxAdviceMs),
-		StreamsPerConn: orElse(p.Limits.Streams, 1), ConnIdle: Duration(p.Limits.IdleMs),
-		ConnectTimeout: Duration(p.Limits.ConnectMs), Ask: p.Discovery == "ask", Tick: Duration(p.TickMs),
-		AnswerSlack: Duration(p.Guarantees.SlackMs), MustAsk: Duration(p.Guarantees.MustAskMs),
-		DrainGrace: Duration(p.Guarantees.DrainMs), ColdFrom: p.Guarantees.ColdFrom,
-		Cold: Duration(p.Guarantees.ColdMs), FallMultiple: p.Guarantees.FallMultiple,
-		FallWindow: Duration(p.Guarantees.FallMs), TurnGap: Duration(p.Guarantees.TurnGapMs),
-		RefusedPrice: p.Specifics.Refused, HandshakePrice: p.Prices.Handshake, ProbePrice: p.Prices.Probe,
-		WastePrice: p.Prices.Waste, Tolls: p.Specifics.Toll, ReportShare: -1, ReportLimit: -1,
+		Seed: seed, Index: p.Me, FleetSize: orElse(p.Siblings, 1), Zone: p.Zone,
+		OverQuotaFactor: orElse(p.OverShareWorth, 1), WeightHalves: p.Specifics.Fades == "by_half",
+		WeightByWork: p.WorthBy == "work", MaxInFlight: p.Specifics.MaxCalls, MaxOpenMessages: p.Limits.OpenCap,
+		MaxAttempts: p.Limits.SendCap, AllowHedging: p.Limits.SecondCopies, CanCancel: p.Limits.Cancel,
+		CanHealthCheck: p.Limits.Probes, CanGossip: p.Limits.Peers, CanSendRetryAfter: p.Limits.RetryAfter, MaxRetryAfter: Duration(p.Limits.MaxAdviceMs),
+		StreamsPerConn: orElse(p.Limits.Streams, 1), ConnIdleTimeout: Duration(p.Limits.IdleMs),
+		ConnectTimeout: Duration(p.Limits.ConnectMs), PollsList: p.Discovery == "ask", Tick: Duration(p.TickMs),
+		ResponseGrace: Duration(p.Guarantees.SlackMs), MaxPollInterval: Duration(p.Guarantees.MustAskMs),
+		DrainGrace: Duration(p.Guarantees.DrainMs), ColdCapacity: p.Guarantees.ColdFrom,
+		WarmUp: Duration(p.Guarantees.ColdMs), OverloadFactor: p.Guarantees.FallMultiple,
+		OverloadWindow: Duration(p.Guarantees.FallMs), OrderedPause: Duration(p.Guarantees.TurnGapMs),
+		RejectionCost: p.Specifics.Refused, ConnectionCost: p.Prices.Handshake, HealthCheckCost: p.Prices.Probe,
+		WastedWorkCost: p.Prices.Waste, ZoneCosts: p.Specifics.Toll, HeadroomIndex: -1, LimitIndex: -1,
 	}
 	var err error
 	if s.Classes, err = classes(&p); err != nil {
 		return s, err
 	}
 	for _, t := range p.Tenants {
-		s.Tenants = append(s.Tenants, control.Tenant{Rate: t.Allowance, Portion: t.Portion})
+		s.Tenants = append(s.Tenants, control.Tenant{Quota: t.Allowance, Fraction: t.Portion})
 	}
 	s.Kinds = kinds(&p)
 	switch p.Weights {
 	case "nominal":
-		s.Weights = control.NominalWeights
+		s.WeightKind = control.WeightsNominal
 	case "rough":
-		s.Weights = control.RoughWeights
+		s.WeightKind = control.WeightsApproximate
 	}
 	if p.Reporting.How != "off" {
 		for i, name := range p.Reporting.Fields {
 			switch name {
 			case "x0":
-				s.ReportShare = i
+				s.HeadroomIndex = i
 			case "x1":
-				s.ReportLimit = i
+				s.LimitIndex = i
 			}
 		}
 	}
@@ -130,17 +130,17 @@
 	var out []control.Class
 	for i, c := range p.Profiles {
 		k := control.Class{
-			Aim: Duration(c.AimMs), AimStretch: c.AimStretch, Deadline: Duration(c.DeadlineMs),
-			Worth: orElse(c.Worth, 1), LateWorth: c.LateWorth, ZoneScope: c.KeyScope == "zone" || c.KeyScope == "cell",
-			Memory: Duration(c.MemoryMs), InOrder: c.ByArrival, Streamed: c.Streamed,
+			LatencyObjective: Duration(c.AimMs), ObjectiveStretch: c.AimStretch, Deadline: Duration(c.DeadlineMs),
+			PriorityWeight: orElse(c.Worth, 1), LateWeight: c.LateWorth, KeyZoneScoped: c.KeyScope == "zone" || c.KeyScope == "cell",
+			KeyRetention: Duration(c.MemoryMs), Ordered: c.ByArrival, Streaming: c.Streamed,
 		}
 		switch c.Effect {
 		case "safe":
-			k.Effect = control.Safe
+			k.Idempotency = control.Idempotent
 		case "keyed":
-			k.Effect = control.Keyed
+			k.Idempotency = control.IdempotentByKey
 		case "unsafe":
-			k.Effect = control.Unsafe
+			k.Idempotency = control.NotIdempotent
 		default:
 			return nil, fmt.Errorf("profiles[%d].effect: %q", i, c.Effect)
 		}
@@ -154,11 +154,11 @@
 	n := max(len(p.Kinds), len(p.Specifics.Batch), len(p.Specifics.Separate))
 	out := make([]control.Kind, n)
 	for i := range out {
-		out[i].Batch = 1
+		out[i].MaxBatch = 1
 		if i < len(p.Specifics.Batch) {
-			out[i].Batch = p.Specifics.Batch[i]
+			out[i].MaxBatch = p.Specifics.Batch[i]
 		}
-		out[i].Apart = i < len(p.Specifics.Separate) && p.Specifics.Separate[i]
+		out[i].SeparateRoutes = i < len(p.Specifics.Separate) && p.Specifics.Separate[i]
 	}
 	return out
 }
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -26,17 +26,17 @@
 		t.Fatal(err)
 	}
 	checks := map[string]bool{
-		"seed, index, siblings": s.Seed == 9 && s.Index == 1 && s.Siblings == 3 && s.Zone == 1,
-		"safe class":            s.Classes[0].Worth == 2 && s.Classes[0].InOrder && s.Classes[0].LateWorth == 0.25,
-		"keyed class":           s.Classes[1].Effect == control.Keyed && s.Classes[1].ZoneScope && s.Classes[1].Worth == 1,
-		"unsafe class":          s.Classes[2].Effect == control.Unsafe && s.Classes[2].Streamed && s.Classes[2].AimStretch == 1.5,
-		"kinds":                 len(s.Kinds) == 2 && s.Kinds[0].Batch == 4 && !s.Kinds[0].Apart && s.Kinds[1].Apart,
-		"reports":               s.ReportShare == 2 && s.ReportLimit == 1,
-		"list":                  s.Ask && s.Weights == control.RoughWeights && s.MustAsk == 8*time.Second,
-		"worth":                 s.HalvingWorth && s.WorthByWork && s.OverShareWorth == 0.2,
-		"limits":                s.SendCap == 5 && s.HoldCap == 40 && s.Slots == 6 && s.SecondCopies && s.StreamsPerConn == 1,
-		"figures":               s.TurnGap == 300*time.Millisecond && s.ColdFrom == 0.25 && s.Tick == 2500*time.Microsecond,
-		"prices":                s.RefusedPrice == 0.25 && len(s.Tolls) == 1 && s.Tenants[0].Rate == 9,
+		"seed, index, siblings": s.Seed == 9 && s.Index == 1 && s.FleetSize == 3 && s.Zone == 1,
+		"safe class":            s.Classes[0].PriorityWeight == 2 && s.Classes[0].Ordered && s.Classes[0].LateWeight == 0.25,
+		"keyed class":           s.Classes[1].Idempotency == control.IdempotentByKey && s.Classes[1].KeyZoneScoped && s.Classes[1].PriorityWeight == 1,
+		"unsafe class":          s.Classes[2].Idempotency == control.NotIdempotent && s.Classes[2].Streaming && s.Classes[2].ObjectiveStretch == 1.5,
+		"kinds":                 len(s.Kinds) == 2 && s.Kinds[0].MaxBatch == 4 && !s.Kinds[0].SeparateRoutes && s.Kinds[1].SeparateRoutes,
+		"reports":               s.HeadroomIndex == 2 && s.LimitIndex == 1,
+		"list":                  s.PollsList && s.WeightKind == control.WeightsApproximate && s.MaxPollInterval == 8*time.Second,
+		"worth":                 s.WeightHalves && s.WeightByWork && s.OverQuotaFactor == 0.2,
+		"limits":                s.MaxAttempts == 5 && s.MaxOpenMessages == 40 && s.MaxInFlight == 6 && s.AllowHedging && s.StreamsPerConn == 1,
+		"figures":               s.OrderedPause == 300*time.Millisecond && s.ColdCapacity == 0.25 && s.Tick == 2500*time.Microsecond,
+		"prices":                s.RejectionCost == 0.25 && len(s.ZoneCosts) == 1 && s.Tenants[0].Quota == 9,
 	}
 	for name, ok := range checks {
 		if !ok {
@@ -44,7 +44,7 @@
 		}
 	}
 	off, err := ParseSettings([]byte(`{"profiles": [], "reporting": {"fields": ["x0"], "how": "off"}}`), 0)
-	if err != nil || off.ReportShare != -1 || off.Siblings != 1 {
+	if err != nil || off.HeadroomIndex != -1 || off.FleetSize != 1 {
 		t.Errorf("absent keys: %+v, %v", off, err)
 	}
 }
