--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -297,7 +297,7 @@
 }
 
 // EventPoster takes events; the loop is one.
-type EventPoster interface{ Post(event any) }
+type EventPoster interface{ Post(event state.Event) }
 
 // PostTo posts all of it to the loop of a process that took back what it gave.
 func (l *ResultQueue) PostTo(ctx context.Context, to EventPoster) {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -103,9 +103,9 @@
 }
 
 // posted are what an heir hears of the forwards that were out.
-type posted struct{ list []any }
+type posted struct{ list []state.Event }
 
-func (p *posted) Post(e any) { p.list = append(p.list, e) }
+func (p *posted) Post(e state.Event) { p.list = append(p.list, e) }
 
 // The giver says what it says up to each byte in turn, and is gone. An heir without the whole estate takes nothing over. One
 // that serves hears of each forward at most once, and that the rest is lost.
--- a/internal/held/keeper.go
+++ b/internal/held/keeper.go
@@ -41,7 +41,7 @@
 }
 
 // Poster takes events; the loop is one.
-type Poster interface{ Post(event any) }
+type Poster interface{ Post(event state.Event) }
 
 // A vocabulary is what a platform's settings say. Nothing in it changes.
 type vocabulary struct {
--- a/internal/held/keeper_test.go
+++ b/internal/held/keeper_test.go
@@ -27,7 +27,7 @@
 	stored  chan state.DeadLettersStored
 }
 
-func (p *posts) Post(event any) {
+func (p *posts) Post(event state.Event) {
 	switch e := event.(type) {
 	case state.Redelivery:
 		p.resends <- e
--- a/internal/lab/sender.go
+++ b/internal/lab/sender.go
@@ -199,7 +199,7 @@
 }
 
 // step gives the loop events and deals with what came of them.
-func (x *sender) step(events ...any) {
+func (x *sender) step(events ...state.Event) {
 	s := x.sim
 	if x.dead {
 		return
@@ -209,7 +209,7 @@
 		return
 	}
 	x.loop.Step(events...)
-	var answered []any
+	var answered []state.Event
 	rest := x.waiting[:0]
 	for _, h := range x.waiting {
 		select {
@@ -252,7 +252,7 @@
 			s.at(when, func() {
 				if x.wakeAt == when && s.now >= when {
 					x.wakeAt = -1
-					x.step(any(nil)) // the timer
+					x.step(state.TimerElapsed{})
 				}
 			})
 		}
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -332,7 +332,7 @@
 type changes struct {
 	discovery, notices mover
 	loop               interface {
-		PostBefore(event any, limit time.Time) bool
+		PostBefore(event state.Event, limit time.Time) bool
 	}
 	listener interface {
 		Rename(protocol.Names, []control.Class)
--- a/internal/protocol/ends_test.go
+++ b/internal/protocol/ends_test.go
@@ -299,7 +299,7 @@
 	ask func()
 }
 
-func (p *askedPosts) PostBefore(e any, _ time.Time) bool {
+func (p *askedPosts) PostBefore(e state.Event, _ time.Time) bool {
 	p.ask()
 	e.(state.Submitted).Response <- state.Response{Accepted: true}
 	return true
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -37,7 +37,7 @@
 // Intake takes what the listener reads; the loop is one.
 type Intake interface {
 	Poster
-	PostBefore(event any, limit time.Time) bool
+	PostBefore(event state.Event, limit time.Time) bool
 }
 
 // Listener is the clients' side.
--- a/internal/protocol/reset_test.go
+++ b/internal/protocol/reset_test.go
@@ -140,7 +140,7 @@
 	s *Sender
 }
 
-func (a *abandoner) Post(e any) {
+func (a *abandoner) Post(e state.Event) {
 	if e, ok := e.(state.CallEnded); ok {
 		a.s.Cancel(e.Call)
 	}
--- a/internal/protocol/send.go
+++ b/internal/protocol/send.go
@@ -20,7 +20,7 @@
 // comes back is read by the next stage, relay.
 
 // Poster takes events; the loop is one.
-type Poster interface{ Post(event any) }
+type Poster interface{ Post(event state.Event) }
 
 // Sender carries calls and probes to targets.
 type Sender struct {
--- a/internal/protocol/socket_test.go
+++ b/internal/protocol/socket_test.go
@@ -22,15 +22,15 @@
 
 // posts collects what is posted; the listener's side answers each message as told.
 type posts struct {
-	events  chan any
+	events  chan state.Event
 	verdict state.Response
 }
 
-func newPosts() *posts { return &posts{events: make(chan any, 64)} }
+func newPosts() *posts { return &posts{events: make(chan state.Event, 64)} }
 
-func (p *posts) Post(e any) { p.events <- e }
+func (p *posts) Post(e state.Event) { p.events <- e }
 
-func (p *posts) PostBefore(e any, _ time.Time) bool {
+func (p *posts) PostBefore(e state.Event, _ time.Time) bool {
 	p.events <- e
 	e.(state.Submitted).Response <- p.verdict
 	return true
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -138,7 +138,7 @@
 }
 
 // pass is all that a loop still does once it has given way.
-func (l *Loop) pass(event any) {
+func (l *Loop) pass(event Event) {
 	switch e := event.(type) {
 	case CallEnded:
 		for _, end := range e.Results {
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -49,7 +49,7 @@
 	teller   GossipSender
 	tidings  []gossip.Observation // to be told to the other senders at the end of the round
 
-	events chan any
+	events chan Event
 	clock  func() time.Time
 	start  time.Time
 	now    time.Time // of the round
@@ -69,7 +69,7 @@
 	notices  []DeliveryReport // to be told at the end of the round
 	partings []*DeadLetter    // to be given to the keeper at the end of the round
 	settled  []string         // ids that the journal has forgotten, of messages that the keeper has
-	backlog  []any            // events of the loop's own making, for the next round
+	backlog  []Event          // events of the loop's own making, for the next round
 	out      map[*Call]int    // forwards without an end
 	flying   int              // calls with the carrier
 
@@ -116,7 +116,7 @@
 	}
 	s.Settings.Classes = classes.classes() // with those of messages from before other settings
 	l := &Loop{
-		set: s.Settings, log: s.Log, keeper: s.DeadLetters, events: make(chan any, 2*roundMost),
+		set: s.Settings, log: s.Log, keeper: s.DeadLetters, events: make(chan Event, 2*roundMost),
 		clock: s.Clock, start: s.Clock(), table: t, group: newGroup(), journal: j, counters: s.Counters,
 		waits: map[routeKey]toldWait{}, round: map[control.EndpointID]*Call{}, out: map[*Call]int{}, finished: make(chan struct{}),
 	}
@@ -152,7 +152,7 @@
 
 // Post hands an event to the loop. It blocks while the queue is full, as its
 // callers are goroutines of their own.
-func (l *Loop) Post(event any) {
+func (l *Loop) Post(event Event) {
 	select {
 	case l.events <- event:
 	case <-l.finished:
@@ -160,7 +160,7 @@
 }
 
 // PostBefore is Post for one who can't wait longer than to a time.
-func (l *Loop) PostBefore(event any, limit time.Time) bool {
+func (l *Loop) PostBefore(event Event, limit time.Time) bool {
 	timer := time.NewTimer(time.Until(limit))
 	defer timer.Stop()
 	select {
@@ -241,7 +241,7 @@
 			case e := <-l.events:
 				l.backlog = append(l.backlog, e)
 			case <-l.timer.C:
-				l.backlog = append(l.backlog, l.token)
+				l.backlog = append(l.backlog, timerFired{l.token})
 			}
 		}
 		l.turn()
@@ -269,15 +269,15 @@
 }
 
 // Step runs rounds until these events and what they bring about are dealt with. It
-// takes the place of Run, for one who has the time in hand; a nil event is the timer.
-func (l *Loop) Step(events ...any) {
+// takes the place of Run, for one who has the time in hand; TimerElapsed stands for the timer.
+func (l *Loop) Step(events ...Event) {
 	if !l.begun {
 		l.begin()
 	}
 	for _, e := range events {
-		if e == nil {
+		if _, timer := e.(TimerElapsed); timer {
 			l.wakeAt = time.Time{}
-			e = l.token
+			e = timerFired{l.token}
 		}
 		l.backlog = append(l.backlog, e)
 	}
@@ -326,7 +326,7 @@
 func (l *Loop) since() time.Duration { return l.now.Sub(l.start) }
 
 // handle passes one event to its stage.
-func (l *Loop) handle(event any) {
+func (l *Loop) handle(event Event) {
 	switch e := event.(type) {
 	case Submitted:
 		l.admit(e)
@@ -366,8 +366,8 @@
 		l.heard(e)
 	case ReportsAcknowledged:
 		l.acknowledged(e)
-	case uint32:
-		l.ctl.TimerFired(l.since(), e)
+	case timerFired:
+		l.ctl.TimerFired(l.since(), e.token)
 	case stopping:
 		l.stopped = true
 	case halting:
--- a/internal/state/loop_test.go
+++ b/internal/state/loop_test.go
@@ -269,7 +269,7 @@
 func TestWithheldFromLeaving(t *testing.T) {
 	drains := Target{ID: "s", Addr: "nowhere"}
 	drains.Endpoint = control.Endpoint{Destination: 7, State: control.Draining}
-	for name, event := range map[string]any{
+	for name, event := range map[string]Event{
 		"drains":    ListUpdate{Kind: control.ListDelta, Version: 2, Targets: []Target{drains}},
 		"is gone":   ListUpdate{Kind: control.ListFull, Version: 2},
 		"set aside": ExclusionsChanged{IDs: []string{"s"}},
