--- a/cmd/cleathold/fleet_test.go
+++ b/cmd/cleathold/fleet_test.go
@@ -88,8 +88,8 @@
 		}
 	}
 	r := y.Finish()
-	if len(r.Over) > 0 || len(r.Breaks) > 0 || r.Orders != 2 || r.Most != 1 {
-		t.Errorf("over %v, breaks %v, %d orders, %d at once", r.Over, r.Breaks, r.Orders, r.Most)
+	if len(r.Over) > 0 || len(r.Violations) > 0 || r.Orders != 2 || r.Most != 1 {
+		t.Errorf("over %v, breaks %v, %d orders, %d at once", r.Over, r.Violations, r.Orders, r.Most)
 	}
 }
 
@@ -153,7 +153,7 @@
 	for _, b := range r.Over {
 		t.Errorf("over the budget at %v: %s", b.At, b.Text)
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		t.Errorf("rule broken at %v by %d: %s: %s", b.At, b.Sender, b.Rule, b.Text)
 	}
 	return r
--- a/cmd/cleathold/lab.go
+++ b/cmd/cleathold/lab.go
@@ -146,7 +146,7 @@
 		if r.err != nil {
 			return exit{fmt.Errorf("seed %d: %w", c.Seed+uint64(i), r.err), exitOff}
 		}
-		broken += len(r.result.Breaks)
+		broken += len(r.result.Violations)
 		if c.JSON {
 			if err := writeJSON(out, r.result); err != nil {
 				return err
@@ -154,14 +154,14 @@
 			continue
 		}
 		fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, %d connections; %.1f virtual seconds a second\n",
-			r.result.Seed, r.result.Service, r.result.Whole, r.result.Worst, r.result.WorstAt, r.result.Messages, r.result.Calls, r.result.Refused,
-			r.result.Conns, s.Length.Seconds()/r.took.Seconds())
-		writeBreaks(out, r.result.Breaks)
+			r.result.Seed, r.result.Service, r.result.Overall, r.result.Worst, r.result.WorstAt, r.result.Messages, r.result.Calls, r.result.RejectedCalls,
+			r.result.Connections, s.Length.Seconds()/r.took.Seconds())
+		writeBreaks(out, r.result.Violations)
 	}
 	return brokenExit(broken)
 }
 
-func writeBreaks(out io.Writer, breaks []audit.Break) {
+func writeBreaks(out io.Writer, breaks []audit.Violation) {
 	for _, b := range breaks {
 		fmt.Fprintf(out, "  BROKEN at %v by sender %d: %s: %s (message %s, calls %v, times %v)\n", b.At, b.Sender, b.Rule, b.Text, b.Message, b.Calls, b.Times)
 	}
@@ -246,18 +246,18 @@
 		if err := writeJSON(out, r); err != nil {
 			return err
 		}
-		return brokenExit(len(r.Breaks))
+		return brokenExit(len(r.Violations))
 	}
 	fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, %d connections, %d restarts\n",
-		r.Seed, r.Service, r.Whole, r.Worst, r.WorstAt, r.Messages, r.Calls, r.Refused, r.Conns, r.Restarts)
+		r.Seed, r.Service, r.Overall, r.Worst, r.WorstAt, r.Messages, r.Calls, r.RejectedCalls, r.Connections, r.Restarts)
 	fmt.Fprintf(out, "lag of the rig: partners %.2f ms at the 99th percentile, %.2f at most; clients %.2f and %.2f; hand-ins answered after %.2f ms at the 99th percentile\n",
 		r.Rig.P99, r.Rig.Max, r.Clients.Lag.P99, r.Clients.Lag.Max, r.Clients.Door.P99)
 	fmt.Fprintf(out, "a sender had %.0f MB at most\n", r.PeakMB)
 	for _, m := range r.Marks {
 		fmt.Fprintln(out, "NOTE:", m)
 	}
-	writeBreaks(out, r.Breaks)
-	return brokenExit(len(r.Breaks))
+	writeBreaks(out, r.Violations)
+	return brokenExit(len(r.Violations))
 }
 
 // playSockets is one run on sockets. Its folder is a temporary one if none is named.
@@ -493,7 +493,7 @@
 	if err := json.Unmarshal(run.Result, &r); err != nil {
 		return nil, fmt.Errorf("%s: result: %w", folder, err)
 	}
-	f.Breaks, f.Notes = r.Breaks, append(f.Notes, r.Marks...)
+	f.Breaks, f.Notes = r.Violations, append(f.Notes, r.Marks...)
 	if run.Head.Mode == "sockets" {
 		f.Head = append(f.Head, report.Line{Name: "lag of the rig", Value: fmt.Sprintf("partners %.2f ms at the 99th percentile, clients %.2f ms", r.Rig.P99, r.Clients.Lag.P99)})
 	}
@@ -582,7 +582,7 @@
 			return 0, 0, err
 		}
 		r, err := playSockets(ctx, s, rig.Setup{Plan: s.Plan(seed), Program: program, Settings: []string{c.SettingsA, c.SettingsB}[side], Log: log})
-		return r.Service, len(r.Breaks), err
+		return r.Service, len(r.Violations), err
 	}
 	if scripts {
 		s, err := scenario.Load(path, c.Set)
@@ -590,7 +590,7 @@
 			return 0, 0, err
 		}
 		r := (&labSimCmd{}).play(ctx, s, seed, slog.New(slog.DiscardHandler))
-		return r.result.Service, len(r.result.Breaks), r.err
+		return r.result.Service, len(r.result.Violations), r.err
 	}
 	program, err := filepath.Abs(program)
 	if err != nil {
@@ -614,5 +614,5 @@
 	if err := json.Unmarshal(text, &r); err != nil {
 		return 0, 0, fmt.Errorf("its result can't be read: %w", err)
 	}
-	return r.Service, len(r.Breaks), nil
+	return r.Service, len(r.Violations), nil
 }
--- a/cmd/cleathold/lab_test.go
+++ b/cmd/cleathold/lab_test.go
@@ -107,7 +107,7 @@
 	if err := json.Unmarshal(out.Bytes(), &r); err != nil {
 		t.Fatal(err)
 	}
-	if r.Messages < 50 || r.Whole < 0.5 || r.Restarts != 1 || r.Crashes != 0 || r.Counts.Taken == 0 {
+	if r.Messages < 50 || r.Overall < 0.5 || r.Restarts != 1 || r.Crashes != 0 || r.Counts.Accepted == 0 {
 		t.Errorf("%+v", r)
 	}
 	allGone(t, addresses(t, folder))
@@ -168,7 +168,7 @@
 	s = setup(t, shorter(t, ""))
 	ctx, cancel := context.WithCancel(t.Context())
 	s.Sink = func(e audit.Event) error {
-		if e.What == audit.Taken {
+		if e.Kind == audit.Accepted {
 			cancel()
 		}
 		return nil
@@ -272,10 +272,10 @@
 	set.Sink = func(e audit.Event) error {
 		mu.Lock()
 		defer mu.Unlock()
-		if e.What == audit.Taken {
+		if e.Kind == audit.Accepted {
 			taken[[2]int{e.Sender, int(e.At / (100 * time.Millisecond))}]++
 		}
-		if e.What == audit.Died && first[e.Sender] == 0 {
+		if e.Kind == audit.Died && first[e.Sender] == 0 {
 			first[e.Sender] = e.At
 		}
 		return nil
@@ -290,8 +290,8 @@
 		}
 		return n
 	}
-	if len(r.Breaks) > 0 || r.Restarts != 1 || r.Crashes != 0 {
-		t.Errorf("%d restarts, %d crashes: %+v", r.Restarts, r.Crashes, r.Breaks)
+	if len(r.Violations) > 0 || r.Restarts != 1 || r.Crashes != 0 {
+		t.Errorf("%d restarts, %d crashes: %+v", r.Restarts, r.Crashes, r.Violations)
 	}
 	for _, c := range []struct {
 		sender   int
@@ -336,7 +336,7 @@
 	if err := json.Unmarshal(out.Bytes(), &r); err != nil {
 		t.Fatal(err)
 	}
-	if r.Falls != 0 || r.Restarts != 3 || r.Crashes != 0 || r.Whole < 0.5 {
+	if r.Overloads != 0 || r.Restarts != 3 || r.Crashes != 0 || r.Overall < 0.5 {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/audit/auditor.go
+++ b/internal/audit/auditor.go
@@ -12,14 +12,14 @@
 
 // Auditor reads a ledger, event by event.
 type Auditor struct {
-	terms    Terms
+	terms    Rules
 	now      time.Duration
 	messages map[string]*message
 	calls    map[uint64]*call
 	due      []*message // taken, by the time at which they are looked at
 	senders  map[int]*sender
 	routes   map[routeKey]*route
-	breaks   []Break
+	breaks   []Violation
 	count    map[Rule]int
 	seen     Counts
 	effects  map[string]effect // of unsafe messages
@@ -39,8 +39,8 @@
 // Counts tell how much was judged.
 type Counts struct {
 	Events        int `json:"Events"`
-	HandIns       int `json:"HandIns"`
-	Taken         int `json:"Taken"`
+	Submissions   int `json:"HandIns"`
+	Accepted      int `json:"Taken"`
 	Calls         int `json:"Calls"`
 	Delivered     int `json:"Delivered"`
 	Deferred      int `json:"Deferred"`
@@ -109,7 +109,7 @@
 }
 
 // New returns an auditor.
-func New(t Terms) *Auditor {
+func New(t Rules) *Auditor {
 	return &Auditor{
 		terms: t, messages: map[string]*message{}, calls: map[uint64]*call{}, senders: map[int]*sender{},
 		routes: map[routeKey]*route{}, count: map[Rule]int{}, effects: map[string]effect{},
@@ -126,7 +126,7 @@
 }
 
 func (a *Auditor) key(dest int, endpoint string) routeKey {
-	if a.terms.Apart[dest] {
+	if a.terms.SeparateRoutes[dest] {
 		return routeKey{dest, endpoint}
 	}
 	return routeKey{dest: dest}
@@ -141,7 +141,7 @@
 	return r
 }
 
-func (a *Auditor) broken(b Break) {
+func (a *Auditor) broken(b Violation) {
 	a.count[b.Rule]++
 	if len(a.breaks) < breaksMost {
 		a.breaks = append(a.breaks, b)
@@ -157,43 +157,43 @@
 	a.overdue(e.At)
 	a.now = e.At
 	a.seen.Events++
-	switch e.What {
-	case HandIn:
+	switch e.Kind {
+	case Submitted:
 		return a.handIn(e)
-	case Asked:
-	case Took:
+	case Requested:
+	case Executed:
 		a.took(e)
-	case Taken, TurnedAt, Gone:
+	case Accepted, Rejected, Abandoned:
 		m := a.messages[e.Message]
 		if m == nil {
 			return fmt.Errorf("audit: an answer to %q, which nobody handed in", e.Message)
 		}
-		a.answered(m, e.What)
+		a.answered(m, e.Kind)
 	case Sent:
 		return a.sent(e)
 	case Ended:
 		return a.ended(e)
 	case Notice:
 		a.notice(e)
-	case Told:
+	case Notified:
 		s := a.sender(e.Sender)
 		if at, before := s.left[e.Endpoint]; !e.Leaves {
 			delete(s.left, e.Endpoint)
 		} else if !before || e.At < at {
 			s.left[e.Endpoint] = e.At
 		}
-	case Trouble:
+	case OutageBegan:
 		r := a.route(a.key(e.Dest, e.Endpoint))
 		if !r.out {
 			r.out, r.saw = true, map[int]bool{}
 		}
-	case Back:
+	case OutageEnded:
 		a.route(a.key(e.Dest, e.Endpoint)).out = false
-	case Saw:
+	case FailureSeen:
 		if r := a.route(a.key(e.Dest, e.Endpoint)); r.out && !a.sender(e.Sender).down {
 			r.saw[e.Sender] = true
 		}
-	case Fell:
+	case Overloaded:
 		a.fell(e)
 	case Died:
 		s := a.sender(e.Sender)
@@ -222,18 +222,18 @@
 				s.left[id] = e.At
 			}
 		}
-	case CutOff:
+	case Unreachable:
 		s := a.sender(e.Sender)
 		if s.cutOff = true; !s.down {
 			s.diedAt = e.At
 		}
-	case Reached:
+	case ReachableAgain:
 		s := a.sender(e.Sender)
 		if s.cutOff = false; !s.down {
 			s.restarts, s.readyAt = true, e.At // what could not be told is told now
 		}
 	default:
-		return fmt.Errorf("audit: an event of kind %d", e.What)
+		return fmt.Errorf("audit: an event of kind %d", e.Kind)
 	}
 	return nil
 }
@@ -245,34 +245,34 @@
 	if e.Class < 0 || e.Class >= len(a.terms.Classes) {
 		return fmt.Errorf("audit: %q has class %d", e.Message, e.Class)
 	}
-	a.seen.HandIns++
-	a.messages[e.Message] = &message{id: e.Message, sender: e.Sender, class: a.terms.Classes[e.Class], dest: e.Dest, due: e.At + e.Left}
+	a.seen.Submissions++
+	a.messages[e.Message] = &message{id: e.Message, sender: e.Sender, class: a.terms.Classes[e.Class], dest: e.Dest, due: e.At + e.TimeLeft}
 	return nil
 }
 
 // answered: from 202 on the message is owed its end.
-func (a *Auditor) answered(m *message, what What) {
+func (a *Auditor) answered(m *message, what EventKind) {
 	switch what {
-	case Gone: // the sender may have it and not know: what it sends counts for nothing, and breaks nothing. One that was
+	case Abandoned: // the sender may have it and not know: what it sends counts for nothing, and breaks nothing. One that was
 		// stopped reads it late, and counts its time from then.
 		a.end(m)
 		m.checkAt = m.due + effectSpan
 		a.queue(m)
 		return
-	case TurnedAt:
+	case Rejected:
 		a.end(m)
 		if len(m.calls) == 0 {
 			delete(a.messages, m.id)
 		}
 		return
 	}
-	a.seen.Taken++
+	a.seen.Accepted++
 	m.taken = true
 	if m.delivered {
 		a.end(m)
 		return
 	}
-	m.checkAt = m.due + a.terms.AnswerSlack
+	m.checkAt = m.due + a.terms.ResponseGrace
 	a.queue(m)
 }
 
@@ -306,8 +306,8 @@
 			a.queue(m)
 			continue
 		}
-		a.broken(Break{
-			Rule: Lost, At: m.checkAt, Sender: m.sender, Message: m.id, Calls: m.numbers(), Times: []time.Duration{m.due},
+		a.broken(Violation{
+			Rule: RuleOutcome, At: m.checkAt, Sender: m.sender, Message: m.id, Calls: m.numbers(), Times: []time.Duration{m.due},
 			Text: fmt.Sprintf("taken on, and neither delivered nor ended by a notice at %v; its time was up at %v", m.checkAt, m.due),
 		})
 		a.end(m)
@@ -361,27 +361,27 @@
 	a.calls[e.Call] = c
 	s := a.sender(e.Sender)
 	at := func(rule Rule, id string, since time.Duration, text string) {
-		a.broken(Break{Rule: rule, At: e.At, Sender: e.Sender, Message: id, Calls: []uint64{e.Call}, Times: []time.Duration{since, e.At}, Text: text})
+		a.broken(Violation{Rule: rule, At: e.At, Sender: e.Sender, Message: id, Calls: []uint64{e.Call}, Times: []time.Duration{since, e.At}, Text: text})
 	}
 	if told, leaves := s.left[e.Endpoint]; leaves && first > told+a.terms.DrainGrace {
-		at(Drained, "", told, fmt.Sprintf("a call to %s %v after the sender was told that it drains or is gone", e.Endpoint, first-told))
+		at(RuleDrain, "", told, fmt.Sprintf("a call to %s %v after the sender was told that it drains or is gone", e.Endpoint, first-told))
 	}
 	if w, told := s.waits[a.key(e.Dest, e.Endpoint)]; told {
 		switch {
 		case e.At >= w.until:
 			delete(s.waits, a.key(e.Dest, e.Endpoint))
-		case e.At > w.from+a.terms.WaitSlack:
-			at(Waited, "", w.from, fmt.Sprintf("a call to destination %d %v before the end of a wait", e.Dest, w.until-e.At))
+		case e.At > w.from+a.terms.RetryAfterSlack:
+			at(RuleRetryAfter, "", w.from, fmt.Sprintf("a call to destination %d %v before the end of a wait", e.Dest, w.until-e.At))
 		}
 	}
 	for _, id := range e.Messages {
 		m := a.messages[id]
 		if m == nil {
-			at(WrongWay, id, e.At, "a message that nobody handed in, or that ended long ago")
+			at(RuleDestination, id, e.At, "a message that nobody handed in, or that ended long ago")
 			continue
 		}
 		if m.dest != e.Dest {
-			at(WrongWay, id, e.At, fmt.Sprintf("for destination %d, sent to %s of %d", m.dest, e.Endpoint, e.Dest))
+			at(RuleDestination, id, e.At, fmt.Sprintf("for destination %d, sent to %s of %d", m.dest, e.Endpoint, e.Dest))
 		}
 		a.repeat(m, c)
 		m.calls = append(m.calls, &attempt{call: c})
@@ -392,8 +392,8 @@
 // repeat judges a further call of a message. A call's time is that of its first byte (PROTOCOL, 'Figures'): where the way to its
 // target is held up, the rest arrives once that lets something pass, and the message may have ended meanwhile.
 func (a *Auditor) repeat(m *message, c *call) {
-	if m.ended && m.taken && m.class.Effect == Unsafe && c.first > m.endedAt {
-		a.broken(Break{Rule: Repeated, At: c.at, Sender: c.sender, Message: m.id, Calls: append(m.numbers(), c.id), Text: "sent after its end"})
+	if m.ended && m.taken && m.class.Idempotency == NotIdempotent && c.first > m.endedAt {
+		a.broken(Violation{Rule: RuleRepeat, At: c.at, Sender: c.sender, Message: m.id, Calls: append(m.numbers(), c.id), Text: "sent after its end"})
 		return
 	}
 	for _, t := range m.calls {
@@ -401,20 +401,20 @@
 			continue
 		}
 		why := ""
-		switch m.class.Effect {
-		case Unsafe:
+		switch m.class.Idempotency {
+		case NotIdempotent:
 			why = "it may have run, and must never run twice"
-		case Keyed:
+		case IdempotentByKey:
 			switch {
-			case c.first-t.call.first >= m.class.Memory:
-				why = fmt.Sprintf("it may have run %v before, and its key is remembered for %v", c.first-t.call.first, m.class.Memory)
-			case m.class.Zoned && c.zone != t.call.zone:
+			case c.first-t.call.first >= m.class.KeyRetention:
+				why = fmt.Sprintf("it may have run %v before, and its key is remembered for %v", c.first-t.call.first, m.class.KeyRetention)
+			case m.class.KeyZoneScoped && c.zone != t.call.zone:
 				why = fmt.Sprintf("it may have run in zone %d, and goes to zone %d", t.call.zone, c.zone)
 			}
 		}
 		if why != "" {
-			a.broken(Break{
-				Rule: Repeated, At: c.at, Sender: c.sender, Message: m.id, Calls: []uint64{t.call.id, c.id},
+			a.broken(Violation{
+				Rule: RuleRepeat, At: c.at, Sender: c.sender, Message: m.id, Calls: []uint64{t.call.id, c.id},
 				Times: []time.Duration{t.call.at, c.at}, Text: why,
 			})
 			return
@@ -428,10 +428,10 @@
 		return fmt.Errorf("audit: call %d ends and never began", e.Call)
 	}
 	delete(a.calls, e.Call)
-	if e.Wait > 0 && !a.sender(c.sender).down {
+	if e.RetryAfter > 0 && !a.sender(c.sender).down {
 		s, k := a.sender(c.sender), a.key(c.dest, c.endpoint)
-		if w := s.waits[k]; e.At+e.Wait > w.until {
-			s.waits[k] = wait{e.At, e.At + e.Wait}
+		if w := s.waits[k]; e.At+e.RetryAfter > w.until {
+			s.waits[k] = wait{e.At, e.At + e.RetryAfter}
 		}
 	}
 	for _, id := range c.messages {
@@ -440,7 +440,7 @@
 			continue
 		}
 		outcome := e.Outcome
-		if o, apart := e.Ends[id]; apart {
+		if o, apart := e.Outcomes[id]; apart {
 			outcome = o
 		}
 		for _, t := range m.calls {
@@ -483,12 +483,12 @@
 		}
 		a.sweepAt = a.now + effectSpan/4
 	}
-	if e.Class < 0 || e.Class >= len(a.terms.Classes) || a.terms.Classes[e.Class].Effect != Unsafe {
+	if e.Class < 0 || e.Class >= len(a.terms.Classes) || a.terms.Classes[e.Class].Idempotency != NotIdempotent {
 		return
 	}
 	if before, twice := a.effects[e.Message]; twice {
-		a.broken(Break{
-			Rule: Repeated, At: e.At, Sender: e.Sender, Message: e.Message, Calls: []uint64{before.call, e.Call},
+		a.broken(Violation{
+			Rule: RuleRepeat, At: e.At, Sender: e.Sender, Message: e.Message, Calls: []uint64{before.call, e.Call},
 			Times: []time.Duration{before.at, e.At}, Text: "took effect twice",
 		})
 	}
@@ -509,9 +509,9 @@
 	}
 	for _, t := range m.calls {
 		ran := !t.ended || t.outcome == Failed || t.outcome == Delivered
-		if e.Deferred && ran && (m.class.Effect == Unsafe || m.class.Effect == Keyed && m.class.Zoned) {
-			a.broken(Break{
-				Rule: Repeated, At: e.At, Sender: e.Sender, Message: m.id, Calls: []uint64{t.call.id}, Times: []time.Duration{t.call.at, e.At},
+		if e.Deferred && ran && (m.class.Idempotency == NotIdempotent || m.class.Idempotency == IdempotentByKey && m.class.KeyZoneScoped) {
+			a.broken(Violation{
+				Rule: RuleRepeat, At: e.At, Sender: e.Sender, Message: m.id, Calls: []uint64{t.call.id}, Times: []time.Duration{t.call.at, e.At},
 				Text: "handed back though it may have run",
 			})
 			break
@@ -524,7 +524,7 @@
 func (a *Auditor) fell(e Event) {
 	r := a.route(a.key(e.Dest, e.Endpoint))
 	all, seen, most, worst := 0, 0, 0, 0
-	for who, n := range e.Pushes {
+	for who, n := range e.CallsBySender {
 		all += n
 		if !r.saw[who] {
 			continue
@@ -533,18 +533,18 @@
 			most, worst = n, who
 		}
 	}
-	if all == 0 || float64(seen) < a.terms.PushShare*float64(all) {
+	if all == 0 || float64(seen) < a.terms.OverloadShare*float64(all) {
 		return
 	}
-	a.broken(Break{
-		Rule: Pushed, At: e.At, Sender: worst, Times: []time.Duration{e.At},
+	a.broken(Violation{
+		Rule: RuleOverload, At: e.At, Sender: worst, Times: []time.Duration{e.At},
 		Text: fmt.Sprintf("destination %d was pushed over: %d of %d calls came from senders that had seen it fail, most from sender %d", e.Dest, seen, all, worst),
 	})
 }
 
 // Close judges what is left at the end of a ledger, and returns the breaks. The
 // end is a time by which all should be answered.
-func (a *Auditor) Close(end time.Duration) []Break {
+func (a *Auditor) Close(end time.Duration) []Violation {
 	for _, s := range a.senders { // one that never came back owes what it had
 		if s.down {
 			s.down, s.readyAt = false, a.now
@@ -555,8 +555,8 @@
 	return a.breaks
 }
 
-// Counted tells how much was judged, and how often each rule was broken.
-func (a *Auditor) Counted() (Counts, map[Rule]int) { return a.seen, a.count }
+// Totals tells how much was judged, and how often each rule was broken.
+func (a *Auditor) Totals() (Counts, map[Rule]int) { return a.seen, a.count }
 
 // Owed is how many messages were taken on and have no end, and calls that are out.
 func (a *Auditor) Owed() int {
--- a/internal/audit/auditor_test.go
+++ b/internal/audit/auditor_test.go
@@ -9,9 +9,9 @@
 
 const ms = time.Millisecond
 
-func terms() Terms {
-	t := Sockets([]Class{{Effect: Safe}, {Effect: Keyed, Memory: 12 * time.Second}, {Effect: Unsafe}, {Effect: Keyed, Memory: 12 * time.Second, Zoned: true}}, 2*time.Second)
-	t.Apart[9] = true
+func terms() Rules {
+	t := SocketRules([]Class{{Idempotency: Idempotent}, {Idempotency: IdempotentByKey, KeyRetention: 12 * time.Second}, {Idempotency: NotIdempotent}, {Idempotency: IdempotentByKey, KeyRetention: 12 * time.Second, KeyZoneScoped: true}}, 2*time.Second)
+	t.SeparateRoutes[9] = true
 	return t
 }
 
@@ -32,51 +32,51 @@
 }
 
 func in(at time.Duration, id string, class, dest int) Event {
-	return Event{At: at, What: HandIn, Message: id, Class: class, Dest: dest, Left: 10 * time.Second}
+	return Event{At: at, Kind: Submitted, Message: id, Class: class, Dest: dest, TimeLeft: 10 * time.Second}
 }
 
-func taken(at time.Duration, id string) Event { return Event{At: at, What: Taken, Message: id} }
+func taken(at time.Duration, id string) Event { return Event{At: at, Kind: Accepted, Message: id} }
 
 func sent(at time.Duration, n uint64, endpoint string, dest int, ids ...string) Event {
-	return Event{At: at, What: Sent, Call: n, Endpoint: endpoint, Dest: dest, Messages: ids}
+	return Event{At: at, Kind: Sent, Call: n, Endpoint: endpoint, Dest: dest, Messages: ids}
 }
 
 func ended(at time.Duration, n uint64, o Outcome) Event {
-	return Event{At: at, What: Ended, Call: n, Outcome: o}
+	return Event{At: at, Kind: Ended, Call: n, Outcome: o}
 }
 
 func took(at time.Duration, call uint64, id string, class int) Event {
-	return Event{At: at, What: Took, Call: call, Message: id, Class: class}
+	return Event{At: at, Kind: Executed, Call: call, Message: id, Class: class}
 }
 
 func first(e Event, at time.Duration) Event { e.First = at; return e }
 
 // Each rule broken by one step is found, and its twin just inside is not.
 func TestMutants(t *testing.T) {
-	const lost, repeated, drained, pushed, waited, wrong = string(Lost), string(Repeated), string(Drained), string(Pushed), string(Waited), string(WrongWay)
+	const lost, repeated, drained, pushed, waited, wrong = string(RuleOutcome), string(RuleRepeat), string(RuleDrain), string(RuleOverload), string(RuleRetryAfter), string(RuleDestination)
 	notice := func(at time.Duration, id string, deferred bool) Event {
-		return Event{At: at, What: Notice, Message: id, Deferred: deferred}
+		return Event{At: at, Kind: Notice, Message: id, Deferred: deferred}
 	}
 	zoned := func(e Event, zone int) Event { e.Zone = zone; return e }
 	told := func(at time.Duration, endpoint string, leaves bool) Event {
-		return Event{At: at, What: Told, Endpoint: endpoint, Leaves: leaves}
+		return Event{At: at, Kind: Notified, Endpoint: endpoint, Leaves: leaves}
 	}
 	refused := func(at time.Duration, n uint64, wait time.Duration) Event {
-		return Event{At: at, What: Ended, Call: n, Outcome: NeverRan, Wait: wait}
+		return Event{At: at, Kind: Ended, Call: n, Outcome: NeverRan, RetryAfter: wait}
 	}
-	longer := func(e Event) Event { e.Left = 20 * time.Second; return e }
+	longer := func(e Event) Event { e.TimeLeft = 20 * time.Second; return e }
 	by := func(e Event, sender int) Event { e.Sender = sender; return e }
 	fall := func(saw []int, pushes map[int]int) []Event {
-		list := []Event{{At: 1 * ms, What: Trouble, Dest: 7}}
+		list := []Event{{At: 1 * ms, Kind: OutageBegan, Dest: 7}}
 		for _, s := range saw {
-			list = append(list, Event{At: 2 * ms, What: Saw, Dest: 7, Sender: s})
+			list = append(list, Event{At: 2 * ms, Kind: FailureSeen, Dest: 7, Sender: s})
 		}
-		return append(list, Event{At: 3 * ms, What: Back, Dest: 7}, Event{At: 4 * ms, What: Fell, Dest: 7, Pushes: pushes})
+		return append(list, Event{At: 3 * ms, Kind: OutageEnded, Dest: 7}, Event{At: 4 * ms, Kind: Overloaded, Dest: 7, CallsBySender: pushes})
 	}
 	// first is a call of a message of a class, with its end; then a second one.
 	again := func(class int, first Outcome, gap time.Duration, zone int) []Event {
 		first20 := in(0, "m", class, 7)
-		first20.Left = 20 * time.Second
+		first20.TimeLeft = 20 * time.Second
 		return []Event{first20, taken(ms, "m"), sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, first),
 			zoned(sent(2*ms+gap, 2, "b", 7, "m"), zone), ended(3*ms+gap, 2, Delivered)}
 	}
@@ -88,15 +88,15 @@
 		{"delivered", []Event{in(0, "m", 0, 7), taken(ms, "m"), sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Delivered)}, ""},
 		{"delivered before its client heard", []Event{in(0, "m", 0, 7), sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Delivered), taken(4*ms, "m")}, ""},
 		{"never ended", []Event{in(0, "m", 0, 7), taken(ms, "m")}, lost},
-		{"never taken on", []Event{in(0, "m", 0, 7), {At: ms, What: TurnedAt, Message: "m"}}, ""},
+		{"never taken on", []Event{in(0, "m", 0, 7), {At: ms, Kind: Rejected, Message: "m"}}, ""},
 		{"a notice at the last instant", []Event{in(0, "m", 0, 7), taken(ms, "m"), notice(10300*ms, "m", true)}, ""},
 		{"a notice after it", []Event{in(0, "m", 0, 7), taken(ms, "m"), notice(10301*ms, "m", true)}, lost},
 		{"over", []Event{in(0, "m", 0, 7), taken(ms, "m"), sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Over)}, ""},
-		{"late after a restart", []Event{in(0, "m", 0, 7), taken(ms, "m"), {At: 10 * time.Second, What: Died}, {At: 12 * time.Second, What: Ready}, notice(13500*ms, "m", true)}, ""},
-		{"too late after a restart", []Event{in(0, "m", 0, 7), taken(ms, "m"), {At: 10 * time.Second, What: Died}, {At: 12 * time.Second, What: Ready}, notice(13501*ms, "m", true)}, lost},
-		{"overdue before the restart", []Event{in(0, "m", 0, 7), taken(ms, "m"), {At: 10301 * ms, What: Died}, {At: 12 * time.Second, What: Ready}, notice(13*time.Second, "m", true)}, lost},
+		{"late after a restart", []Event{in(0, "m", 0, 7), taken(ms, "m"), {At: 10 * time.Second, Kind: Died}, {At: 12 * time.Second, Kind: Ready}, notice(13500*ms, "m", true)}, ""},
+		{"too late after a restart", []Event{in(0, "m", 0, 7), taken(ms, "m"), {At: 10 * time.Second, Kind: Died}, {At: 12 * time.Second, Kind: Ready}, notice(13501*ms, "m", true)}, lost},
+		{"overdue before the restart", []Event{in(0, "m", 0, 7), taken(ms, "m"), {At: 10301 * ms, Kind: Died}, {At: 12 * time.Second, Kind: Ready}, notice(13*time.Second, "m", true)}, lost},
 		{"one of a call fails", []Event{in(0, "m", 0, 7), taken(ms, "m"), in(ms, "n", 2, 7), taken(ms, "n"), sent(2*ms, 1, "a", 7, "m", "n"),
-			{At: 3 * ms, What: Ended, Call: 1, Outcome: Delivered, Ends: map[string]Outcome{"n": Failed}}, notice(4*ms, "n", false)}, ""},
+			{At: 3 * ms, Kind: Ended, Call: 1, Outcome: Delivered, Outcomes: map[string]Outcome{"n": Failed}}, notice(4*ms, "n", false)}, ""},
 
 		{"safe, again", again(0, Failed, time.Second, 0), ""},
 		{"unsafe, never ran", again(2, NeverRan, time.Second, 0), ""},
@@ -127,7 +127,7 @@
 		{"another sender goes on", []Event{in(0, "m", 0, 7), taken(ms, "m"), sent(2*ms, 1, "a", 7, "m"), refused(3*ms, 1, time.Second), by(sent(500*ms, 2, "b", 7, "m"), 1), ended(1004*ms, 2, Delivered)}, ""},
 		{"routes apart", []Event{in(0, "m", 0, 9), taken(ms, "m"), sent(2*ms, 1, "a", 9, "m"), refused(3*ms, 1, time.Second), sent(500*ms, 2, "b", 9, "m"), ended(1004*ms, 2, Delivered)}, ""},
 		{"one route", []Event{in(0, "m", 0, 9), taken(ms, "m"), sent(2*ms, 1, "a", 9, "m"), refused(3*ms, 1, time.Second), sent(500*ms, 2, "a", 9, "m"), ended(1004*ms, 2, Delivered)}, waited},
-		{"a restart ends it", []Event{in(0, "m", 0, 7), taken(ms, "m"), sent(2*ms, 1, "a", 7, "m"), refused(3*ms, 1, time.Second), {At: 200 * ms, What: Died}, {At: 300 * ms, What: Ready}, sent(500*ms, 2, "b", 7, "m"), ended(1004*ms, 2, Delivered)}, ""},
+		{"a restart ends it", []Event{in(0, "m", 0, 7), taken(ms, "m"), sent(2*ms, 1, "a", 7, "m"), refused(3*ms, 1, time.Second), {At: 200 * ms, Kind: Died}, {At: 300 * ms, Kind: Ready}, sent(500*ms, 2, "b", 7, "m"), ended(1004*ms, 2, Delivered)}, ""},
 
 		{"pushed by those that saw it", fall([]int{0, 1}, map[int]int{0: 10, 1: 10}), pushed},
 		{"two thirds", fall([]int{0}, map[int]int{0: 20, 1: 10}), pushed},
@@ -139,14 +139,14 @@
 		{"two effects that are allowed", []Event{in(0, "m", 0, 7), taken(ms, "m"), sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Delivered), took(3*ms, 1, "m", 0), took(4*ms, 1, "m", 0)}, ""},
 		{"a first byte in time", []Event{in(0, "m", 0, 7), taken(ms, "m"), told(10*ms, "a", true), first(sent(2100*ms, 1, "a", 7, "m"), 2060*ms), ended(2200*ms, 1, Delivered)}, ""},
 		{"a first byte too late", []Event{in(0, "m", 0, 7), taken(ms, "m"), told(10*ms, "a", true), first(sent(2100*ms, 1, "a", 7, "m"), 2061*ms), ended(2200*ms, 1, Delivered)}, drained},
-		{"a hand-in without an answer", []Event{in(0, "m", 2, 7), {At: ms, What: Gone, Message: "m"}}, ""},
-		{"sent after its client gave up", []Event{in(0, "m", 2, 7), {At: ms, What: Gone, Message: "m"}, sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Delivered)}, ""},
-		{"sent long after its client gave up", []Event{in(0, "m", 2, 7), {At: ms, What: Gone, Message: "m"}, sent(15*time.Second, 1, "a", 7, "m"), ended(16*time.Second, 1, Delivered)}, ""},
+		{"a hand-in without an answer", []Event{in(0, "m", 2, 7), {At: ms, Kind: Abandoned, Message: "m"}}, ""},
+		{"sent after its client gave up", []Event{in(0, "m", 2, 7), {At: ms, Kind: Abandoned, Message: "m"}, sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Delivered)}, ""},
+		{"sent long after its client gave up", []Event{in(0, "m", 2, 7), {At: ms, Kind: Abandoned, Message: "m"}, sent(15*time.Second, 1, "a", 7, "m"), ended(16*time.Second, 1, Delivered)}, ""},
 		{"held up on its way beyond its end", []Event{in(0, "m", 2, 7), taken(ms, "m"), notice(5*time.Second, "m", false), first(sent(20*time.Second, 1, "a", 7, "m"), 4*time.Second), ended(21*time.Second, 1, Delivered)}, ""},
 		{"held up on its way, and sent after its end", []Event{in(0, "m", 2, 7), taken(ms, "m"), notice(5*time.Second, "m", false), first(sent(20*time.Second, 1, "a", 7, "m"), 6*time.Second), ended(21*time.Second, 1, Delivered)}, repeated},
 		{"a repeat that is held up beyond its window", []Event{longer(in(0, "m", 1, 7)), taken(ms, "m"), sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Failed), first(sent(13*time.Second, 2, "a", 7, "m"), 12*time.Second), ended(14*time.Second, 2, Delivered)}, ""},
 		{"a repeat that is held up, and left after its window", []Event{longer(in(0, "m", 1, 7)), taken(ms, "m"), sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Failed), first(sent(13*time.Second, 2, "a", 7, "m"), 12*time.Second+2*ms), ended(14*time.Second, 2, Delivered)}, repeated},
-		{"sent after it was turned away", []Event{in(0, "m", 2, 7), {At: ms, What: TurnedAt, Message: "m"}, sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Delivered)}, wrong},
+		{"sent after it was turned away", []Event{in(0, "m", 2, 7), {At: ms, Kind: Rejected, Message: "m"}, sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Delivered)}, wrong},
 
 		{"right cell", []Event{in(0, "m", 0, 7), taken(ms, "m"), sent(2*ms, 1, "a", 7, "m"), ended(3*ms, 1, Delivered)}, ""},
 		{"wrong cell", []Event{in(0, "m", 0, 7), taken(ms, "m"), sent(2*ms, 1, "a", 8, "m"), ended(3*ms, 1, Delivered)}, wrong},
@@ -181,7 +181,7 @@
 		"end of no call": {ended(0, 1, Delivered)},
 		"call twice":     {sent(0, 1, "a", 7), sent(0, 1, "a", 7)},
 		"no hand-in":     {taken(0, "m")},
-		"unknown":        {{What: 99}},
+		"unknown":        {{Kind: 99}},
 	} {
 		a := New(terms())
 		var err error
@@ -213,7 +213,7 @@
 		}
 	}
 	// 100 a second, known for 10 s and heldUpSpan: as many in the first half as in all.
-	if n, _ := a.Counted(); most > 2600 || most > half || n.Delivered != 20_000 {
+	if n, _ := a.Totals(); most > 2600 || most > half || n.Delivered != 20_000 {
 		t.Errorf("held %d at most, %d in the first half, %+v", most, half, n)
 	}
 }
@@ -221,21 +221,21 @@
 // Of a sender that is stopped, cut off from the platform or that has lost its folder only what it can know or tell is asked.
 func TestOutOfReach(t *testing.T) {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	was := func(s float64, what What, cause string) Event { return Event{At: at(s), What: what, Cause: cause} }
-	told := Event{At: at(3), What: Told, Endpoint: "e", Dest: 1, Leaves: true}
+	was := func(s float64, what EventKind, cause string) Event { return Event{At: at(s), Kind: what, Cause: cause} }
+	told := Event{At: at(3), Kind: Notified, Endpoint: "e", Dest: 1, Leaves: true}
 	for _, c := range []struct {
 		name string
 		list []Event
 		want string
 	}{
-		{"a notice that is late", []Event{in(0, "a", 0, 1), taken(0, "a"), was(12, Asked, "")}, string(Lost)},
-		{"cut off, told as it can be", []Event{in(0, "a", 0, 1), taken(0, "a"), was(5, CutOff, ""), was(20, Reached, ""), {At: at(21), What: Notice, Message: "a"}}, ""},
-		{"cut off, and never told", []Event{in(0, "a", 0, 1), taken(0, "a"), was(5, CutOff, ""), was(20, Reached, ""), was(22, Asked, "")}, string(Lost)},
-		{"killed", []Event{in(0, "a", 0, 1), taken(0, "a"), was(5, Died, ""), was(6, Ready, ""), was(22, Asked, "")}, string(Lost)},
-		{"killed, and its folder is lost", []Event{in(0, "a", 0, 1), taken(0, "a"), was(5, Died, Wiped), was(6, Ready, ""), was(22, Asked, "")}, ""},
-		{"a call after a drain", []Event{in(0, "a", 0, 1), taken(0, "a"), told, sent(at(6), 1, "e", 1, "a"), ended(at(7), 1, Delivered)}, string(Drained)},
+		{"a notice that is late", []Event{in(0, "a", 0, 1), taken(0, "a"), was(12, Requested, "")}, string(RuleOutcome)},
+		{"cut off, told as it can be", []Event{in(0, "a", 0, 1), taken(0, "a"), was(5, Unreachable, ""), was(20, ReachableAgain, ""), {At: at(21), Kind: Notice, Message: "a"}}, ""},
+		{"cut off, and never told", []Event{in(0, "a", 0, 1), taken(0, "a"), was(5, Unreachable, ""), was(20, ReachableAgain, ""), was(22, Requested, "")}, string(RuleOutcome)},
+		{"killed", []Event{in(0, "a", 0, 1), taken(0, "a"), was(5, Died, ""), was(6, Ready, ""), was(22, Requested, "")}, string(RuleOutcome)},
+		{"killed, and its folder is lost", []Event{in(0, "a", 0, 1), taken(0, "a"), was(5, Died, Wiped), was(6, Ready, ""), was(22, Requested, "")}, ""},
+		{"a call after a drain", []Event{in(0, "a", 0, 1), taken(0, "a"), told, sent(at(6), 1, "e", 1, "a"), ended(at(7), 1, Delivered)}, string(RuleDrain)},
 		{"told while it was stopped", []Event{in(0, "a", 0, 1), taken(0, "a"), was(2, Died, ""), told, was(6, Ready, ""), sent(at(7), 1, "e", 1, "a"), ended(at(8), 1, Delivered)}, ""},
-		{"and two seconds later", []Event{in(0, "a", 0, 1), taken(0, "a"), was(2, Died, ""), told, was(6, Ready, ""), sent(at(8.5), 1, "e", 1, "a"), ended(at(9), 1, Delivered)}, string(Drained)},
+		{"and two seconds later", []Event{in(0, "a", 0, 1), taken(0, "a"), was(2, Died, ""), told, was(6, Ready, ""), sent(at(8.5), 1, "e", 1, "a"), ended(at(9), 1, Delivered)}, string(RuleDrain)},
 	} {
 		if got := judge(t, c.name, c.list); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
--- a/internal/lab/agents.go
+++ b/internal/lab/agents.go
@@ -77,7 +77,7 @@
 		x.catchUp()
 	}
 	s.at(0, a.drive)
-	for _, d := range s.plan.Struck {
+	for _, d := range s.plan.AgentActions {
 		s.at(d.At, func() { a.strike(a.list[d.Agent], d) })
 	}
 	for _, o := range s.plan.Orders {
@@ -296,12 +296,12 @@
 		}
 	}
 	if out > a.terms.Budget.Fleet {
-		s.result.Over = append(s.result.Over, fmt.Sprintf("%v: %s went out, out are%s", s.now, y.party, text))
+		s.result.OverBudget = append(s.result.OverBudget, fmt.Sprintf("%v: %s went out, out are%s", s.now, y.party, text))
 	}
 }
 
 // strike does something to an agent.
-func (a *agents) strike(x *agent, d scenario.PlannedAgent) {
+func (a *agents) strike(x *agent, d scenario.PlannedAgentAction) {
 	s := a.sim
 	switch d.What {
 	case "stop":
@@ -397,7 +397,7 @@
 	}
 	for _, y := range a.sim.senders {
 		if y.book.Active() {
-			a.sim.result.Left = append(a.sim.result.Left, y.party)
+			a.sim.result.StillOut = append(a.sim.result.StillOut, y.party)
 		}
 	}
 }
--- a/internal/lab/agents_test.go
+++ b/internal/lab/agents_test.go
@@ -25,8 +25,8 @@
 				t.Fatal(err)
 			}
 			r, err := sim.Run()
-			if err != nil || len(r.Over)+len(r.Left)+len(r.Breaks) > 0 {
-				t.Errorf("%v senders, seed %d: %v; over %v; left %v; %v; %+v", c.senders, seed, err, r.Over, r.Left, r.Plans, r.Breaks)
+			if err != nil || len(r.OverBudget)+len(r.StillOut)+len(r.Violations) > 0 {
+				t.Errorf("%v senders, seed %d: %v; over %v; left %v; %v; %+v", c.senders, seed, err, r.OverBudget, r.StillOut, r.Plans, r.Violations)
 			}
 			orders += r.Orders
 			for _, p := range r.Plans {
@@ -59,7 +59,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		over += len(r.Over)
+		over += len(r.OverBudget)
 	}
 	if over == 0 {
 		t.Error("nothing is seen")
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -10,13 +10,13 @@
 
 // What both fronts take for the clients and the front layer before the senders.
 const (
-	FrontSpan = 2 * time.Second // the front goes on sending to a dead sender for so long
-	deadTries = 8               // hand-ins of one message that reach nobody, at most
+	DeadSenderTimeout = 2 * time.Second // the front goes on sending to a dead sender for so long
+	deadTries         = 8               // hand-ins of one message that reach nobody, at most
 )
 
-// Wanted is a client's message with its hand-ins, as BRIEF 6 has clients come again.
+// ClientRequest is a client's message with its hand-ins, as BRIEF 6 has clients come again.
 // It does no I/O and is not safe for concurrent use.
-type Wanted struct {
+type ClientRequest struct {
 	scenario.Arrival
 	Done    bool // delivered
 	serial  int  // hand-ins
@@ -24,43 +24,43 @@
 	nowhere int  // those that reached nobody
 }
 
-// Left is the time for which the message may still be delivered; none where it is over.
-func (m *Wanted) Left(s *scenario.Scenario, now time.Duration) time.Duration {
+// TimeLeft is the time for which the message may still be delivered; none where it is over.
+func (m *ClientRequest) TimeLeft(s *scenario.Scenario, now time.Duration) time.Duration {
 	if m.Done {
 		return 0
 	}
 	return max(0, m.At+s.Traffic.Classes[m.Class].Deadline-now)
 }
 
-// Next is the id of the next hand-in, and whether one was before it.
-func (m *Wanted) Next() (id string, again bool) {
+// NextSubmission is the id of the next hand-in, and whether one was before it.
+func (m *ClientRequest) NextSubmission() (id string, again bool) {
 	id, again = fmt.Sprintf("m%d-%d", m.N, m.serial), m.serial > 0
 	m.serial++
 	return id, again
 }
 
 // Key is the message's key, where its class has one.
-func (m *Wanted) Key(s *scenario.Scenario) string {
+func (m *ClientRequest) Key(s *scenario.Scenario) string {
 	if s.Traffic.Classes[m.Class].Effect == "keyed" {
 		return fmt.Sprint("k", m.N)
 	}
 	return ""
 }
 
-// Refused tells whether its client comes again after a refusal, and after how long.
-func (m *Wanted) Refused(s *scenario.Scenario, rng *rand.Rand, told time.Duration) (time.Duration, bool) {
+// Rejected tells whether its client comes again after a refusal, and after how long.
+func (m *ClientRequest) Rejected(s *scenario.Scenario, rng *rand.Rand, told time.Duration) (time.Duration, bool) {
 	if m.tries++; m.Done || m.tries > s.Traffic.Retries {
 		return 0, false
 	}
-	return max(told, seconds(s.Traffic.RetryIn, rng)), true
+	return max(told, seconds(s.Traffic.RetryDelay, rng)), true
 }
 
-// Nowhere tells the same of a hand-in that reached nobody, or got no answer.
-func (m *Wanted) Nowhere(s *scenario.Scenario, rng *rand.Rand) (time.Duration, bool) {
+// Unanswered tells the same of a hand-in that reached nobody, or got no answer.
+func (m *ClientRequest) Unanswered(s *scenario.Scenario, rng *rand.Rand) (time.Duration, bool) {
 	if m.nowhere++; m.nowhere >= deadTries {
 		return 0, false
 	}
-	return seconds(s.Traffic.AgainIn, rng), true
+	return seconds(s.Traffic.ResubmitDelay, rng), true
 }
 
 // seconds draws from a range.
--- a/internal/lab/fleet_test.go
+++ b/internal/lab/fleet_test.go
@@ -33,12 +33,12 @@
 				t.Fatal(err)
 			}
 			r, err := sim.Run()
-			if err != nil || len(r.Breaks) > 0 {
-				t.Fatalf("%s, %.1f of the notes lost: %v, %+v", sc.Name, lost, err, r.Breaks)
+			if err != nil || len(r.Violations) > 0 {
+				t.Fatalf("%s, %.1f of the notes lost: %v, %+v", sc.Name, lost, err, r.Violations)
 			}
-			t.Logf("%s, %.1f lost: service %.3f, %d refused of %d calls, %d notes", sc.Name, lost, r.Service, r.Refused, r.Calls, r.Notes)
-			if lost == 0 && (r.Service < c.service || r.Refused > c.turned || r.Notes == 0) {
-				t.Errorf("%s: service %.3f, %d refused, %d notes; want %.2f, %d", sc.Name, r.Service, r.Refused, r.Notes, c.service, c.turned)
+			t.Logf("%s, %.1f lost: service %.3f, %d refused of %d calls, %d notes", sc.Name, lost, r.Service, r.RejectedCalls, r.Calls, r.GossipSent)
+			if lost == 0 && (r.Service < c.service || r.RejectedCalls > c.turned || r.GossipSent == 0) {
+				t.Errorf("%s: service %.3f, %d refused, %d notes; want %.2f, %d", sc.Name, r.Service, r.RejectedCalls, r.GossipSent, c.service, c.turned)
 			}
 			if lost == 1 && r.Service < c.service-0.12 {
 				t.Errorf("%s without notes: service %.3f", sc.Name, r.Service)
@@ -73,8 +73,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if r, err := sim.Run(); err != nil || r.Falls > 0 || len(r.Breaks) > 0 {
-					t.Errorf("seed %d: %d falls, %v, %+v", seed+1, r.Falls, err, r.Breaks)
+				if r, err := sim.Run(); err != nil || r.Overloads > 0 || len(r.Violations) > 0 {
+					t.Errorf("seed %d: %d falls, %v, %+v", seed+1, r.Overloads, err, r.Violations)
 				}
 			}
 		})
--- a/internal/lab/ground.go
+++ b/internal/lab/ground.go
@@ -19,8 +19,8 @@
 	hopCross = 10 * time.Millisecond
 )
 
-// Line is an endpoint as discovery lists it.
-type Line struct {
+// ListedEndpoint is an endpoint as discovery lists it.
+type ListedEndpoint struct {
 	ID      string
 	Address string // the id of the endpoint that had this address first
 	Dest    int
@@ -34,22 +34,22 @@
 type telling struct {
 	due     time.Duration
 	version int64
-	line    Line
-	before  Line // as the sender knew it...
-	known   bool // ...if it did
+	line    ListedEndpoint
+	before  ListedEndpoint // as the sender knew it...
+	known   bool           // ...if it did
 }
 
-// Ground is what lies outside the senders, on sockets and in virtual time alike:
+// Environment is what lies outside the senders, on sockets and in virtual time alike:
 // the partners, the changes that a plan brings them, and discovery's list with the
 // time at which each sender is told of it. It does no I/O.
-type Ground struct {
+type Environment struct {
 	Plan  *scenario.Plan
 	Model *partner.Model
 
 	note    func(audit.Event)
 	rng     *rand.Rand
 	kinds   map[string]int
-	lines   map[string]Line
+	lines   map[string]ListedEndpoint
 	order   []string
 	version int64
 	told    [][]telling // by sender, in the order of their times and versions
@@ -73,17 +73,17 @@
 	dest int
 }
 
-// Look is how often Deem is to be called.
-const Look = 250 * time.Millisecond
+// NotifiedCheckInterval is how often Deem is to be called.
+const NotifiedCheckInterval = 250 * time.Millisecond
 
-// NewGround makes the ground of a plan. What is seen on it is noted.
-func NewGround(p *scenario.Plan, note func(audit.Event)) (*Ground, error) {
+// NewEnvironment makes the ground of a plan. What is seen on it is noted.
+func NewEnvironment(p *scenario.Plan, note func(audit.Event)) (*Environment, error) {
 	m, err := p.Model()
 	if err != nil {
 		return nil, err
 	}
-	g := &Ground{
-		Plan: p, Model: m, note: note, rng: rand.New(rand.NewPCG(p.Seed, 97)), kinds: map[string]int{}, lines: map[string]Line{},
+	g := &Environment{
+		Plan: p, Model: m, note: note, rng: rand.New(rand.NewPCG(p.Seed, 97)), kinds: map[string]int{}, lines: map[string]ListedEndpoint{},
 		version: 1, told: make([][]telling, p.Scenario.Senders), base: make([]int64, p.Scenario.Senders),
 		asks: make([]ask, p.Scenario.Senders),
 	}
@@ -101,37 +101,37 @@
 	return g, nil
 }
 
-func (g *Ground) list(d *scenario.Destination, e partner.EndpointSpec, address string) Line {
-	l := Line{e.ID, address, d.Dest, g.kinds[d.Kind], e.Zone, control.Ready, d.Told}
+func (g *Environment) list(d *scenario.Destination, e partner.EndpointSpec, address string) ListedEndpoint {
+	l := ListedEndpoint{e.ID, address, d.Dest, g.kinds[d.Kind], e.Zone, control.Ready, d.AnnouncedRate}
 	g.lines[e.ID] = l
 	g.order = append(g.order, e.ID)
 	return l
 }
 
-// Terms are the rules as a plan's senders must keep them.
-func Terms(p *scenario.Plan, set control.Settings) audit.Terms {
+// Rules are the rules as a plan's senders must keep them.
+func Rules(p *scenario.Plan, set control.Settings) audit.Rules {
 	var classes []audit.Class
 	for _, c := range set.Classes {
-		classes = append(classes, audit.Class{Effect: audit.Effect(c.Idempotency), Memory: c.KeyRetention})
+		classes = append(classes, audit.Class{Idempotency: audit.Idempotency(c.Idempotency), KeyRetention: c.KeyRetention})
 	}
-	terms := audit.Sockets(classes, set.DrainGrace)
+	terms := audit.SocketRules(classes, set.DrainGrace)
 	for i := range p.Dests {
-		terms.Apart[p.Dests[i].Dest] = p.Dests[i].Apart
+		terms.SeparateRoutes[p.Dests[i].Dest] = p.Dests[i].SeparateRoutes
 	}
 	return terms
 }
 
-// Hop is the time one way between a sender and an endpoint.
-func Hop(zone, other int) time.Duration {
+// NetworkDelay is the time one way between a sender and an endpoint.
+func NetworkDelay(zone, other int) time.Duration {
 	if zone == other {
 		return hopSame
 	}
 	return hopCross
 }
 
-// Change does what the plan says to an endpoint. If discovery tells of it, told
+// Apply does what the plan says to an endpoint. If discovery tells of it, told
 // has, for each sender, the time from which on it does.
-func (g *Ground) Change(now time.Duration, c scenario.Change) (told []time.Duration, err error) {
+func (g *Environment) Apply(now time.Duration, c scenario.Change) (told []time.Duration, err error) {
 	l, listed := g.lines[c.Endpoint]
 	switch {
 	case c.Joins != nil:
@@ -143,7 +143,7 @@
 			address = old.Address
 		}
 		g.list(&g.Plan.Dests[c.Dest-1], *c.Joins, address)
-		return g.announce(now, Line{}, false, c.Joins.ID), nil
+		return g.announce(now, ListedEndpoint{}, false, c.Joins.ID), nil
 	case !listed || l.State == control.Removed:
 		return nil, nil
 	case c.Drains:
@@ -151,7 +151,7 @@
 		l.State = control.Draining
 		g.lines[l.ID] = l
 		g.left = append(g.left, left{now, l.ID, l.Dest})
-		return g.announce(now, before, true, l.ID), g.Model.Set(now, l.ID, partner.Trouble{Mode: partner.Draining})
+		return g.announce(now, before, true, l.ID), g.Model.SetFault(now, l.ID, partner.Fault{Mode: partner.Draining})
 	case c.Leaves:
 		before := l
 		l.State = control.Removed
@@ -161,19 +161,19 @@
 	case l.State == control.Draining:
 		return nil, nil // a trouble finds it leaving
 	}
-	was, is := g.Model.Trouble(l.ID), c.Trouble
-	err = g.Model.Set(now, l.ID, is)
+	was, is := g.Model.Fault(l.ID), c.Fault
+	err = g.Model.SetFault(now, l.ID, is)
 	if is.Outage() && !was.Outage() {
-		g.note(audit.Event{What: audit.Trouble, Dest: l.Dest, Endpoint: l.ID})
+		g.note(audit.Event{Kind: audit.OutageBegan, Dest: l.Dest, Endpoint: l.ID})
 	} else if was.Outage() && !is.Outage() {
-		g.note(audit.Event{What: audit.Back, Dest: l.Dest, Endpoint: l.ID})
+		g.note(audit.Event{Kind: audit.OutageEnded, Dest: l.Dest, Endpoint: l.ID})
 	}
 	return nil, err
 }
 
 // announce draws when each sender is told of a change. Its order stays: no sender
 // is told of the newer of two changes first.
-func (g *Ground) announce(now time.Duration, before Line, known bool, id string) []time.Duration {
+func (g *Environment) announce(now time.Duration, before ListedEndpoint, known bool, id string) []time.Duration {
 	g.version++
 	due := make([]time.Duration, len(g.told))
 	for i := range g.told {
@@ -186,19 +186,19 @@
 	return due
 }
 
-// Asked tells that a sender asked discovery, or that its watch ended, and whether
+// Polled tells that a sender asked discovery, or that its watch ended, and whether
 // discovery failed it.
-func (g *Ground) Asked(now time.Duration, sender int, watches, failed bool) {
+func (g *Environment) Polled(now time.Duration, sender int, watches, failed bool) {
 	a := &g.asks[sender]
 	a.at, a.watches, a.failed = now, watches, failed
 }
 
-// Watches tells whether a sender has a call open at discovery that waits for news.
-func (g *Ground) Watches(sender int) bool { return g.asks[sender].watches }
+// Watching tells whether a sender has a call open at discovery that waits for news.
+func (g *Environment) Watching(sender int) bool { return g.asks[sender].watches }
 
-// Deem notes what senders count as told of that have neither watched nor asked for
+// MarkNotified notes what senders count as told of that have neither watched nor asked for
 // as long as they may.
-func (g *Ground) Deem(now time.Duration) {
+func (g *Environment) MarkNotified(now time.Duration) {
 	for i := range g.asks {
 		a := &g.asks[i]
 		span := mustAsk
@@ -210,14 +210,14 @@
 		}
 		for ; a.deemed < len(g.left) && g.left[a.deemed].at <= now-span; a.deemed++ {
 			l := g.left[a.deemed]
-			g.note(audit.Event{What: audit.Told, Sender: i, Endpoint: l.id, Dest: l.dest, Leaves: true})
+			g.note(audit.Event{Kind: audit.Notified, Sender: i, Endpoint: l.id, Dest: l.dest, Leaves: true})
 		}
 	}
 }
 
-// Blind tells whether discovery is down, and until when.
-func (g *Ground) Blind(now time.Duration) (until time.Duration, blind bool) {
-	for _, b := range g.Plan.Blind {
+// DiscoveryOutage tells whether discovery is down, and until when.
+func (g *Environment) DiscoveryOutage(now time.Duration) (until time.Duration, blind bool) {
+	for _, b := range g.Plan.DiscoveryOutages {
 		if now >= b.From && now < b.To {
 			return b.To, true
 		}
@@ -225,11 +225,11 @@
 	return 0, false
 }
 
-// Since returns what has changed for a sender after a version, and its version now.
+// ListChanges returns what has changed for a sender after a version, and its version now.
 // Whole is true where too much was forgotten: it is then the whole list.
-func (g *Ground) Since(now time.Duration, sender int, since int64) (lines []Line, version int64, whole bool) {
+func (g *Environment) ListChanges(now time.Duration, sender int, since int64) (lines []ListedEndpoint, version int64, whole bool) {
 	if since < g.base[sender] {
-		lines, version = g.Whole(now, sender)
+		lines, version = g.FullList(now, sender)
 		return lines, version, true
 	}
 	version = since
@@ -251,9 +251,9 @@
 	return lines, version, false
 }
 
-// Next is when a sender is told of something newer than a version; false where
+// NextListUpdate is when a sender is told of something newer than a version; false where
 // nothing is on its way.
-func (g *Ground) Next(sender int, since int64) (time.Duration, bool) {
+func (g *Environment) NextListUpdate(sender int, since int64) (time.Duration, bool) {
 	for _, t := range g.told[sender] {
 		if t.version > since {
 			return t.due, true
@@ -262,8 +262,8 @@
 	return 0, false
 }
 
-// Whole is the list as a sender is told of it now.
-func (g *Ground) Whole(now time.Duration, sender int) ([]Line, int64) {
+// FullList is the list as a sender is told of it now.
+func (g *Environment) FullList(now time.Duration, sender int) ([]ListedEndpoint, int64) {
 	version := g.base[sender]
 	late := map[string]telling{}
 	for _, t := range slices.Backward(g.told[sender]) {
@@ -273,7 +273,7 @@
 		}
 		version = max(version, t.version)
 	}
-	var lines []Line
+	var lines []ListedEndpoint
 	for _, id := range g.order {
 		l, known := g.lines[id], true
 		if t, is := late[id]; is {
@@ -286,11 +286,11 @@
 	return lines, version
 }
 
-// Settle notes what the model has done since, and returns the answers that it gave.
-func (g *Ground) Settle() []partner.Answer {
-	for _, f := range g.Model.Falls() {
+// Collect notes what the model has done since, and returns the answers that it gave.
+func (g *Environment) Collect() []partner.Answer {
+	for _, f := range g.Model.Overloads() {
 		g.falls++
-		g.note(audit.Event{What: audit.Fell, Dest: f.Dest, Endpoint: f.Endpoint, Pushes: f.Pushes})
+		g.note(audit.Event{Kind: audit.Overloaded, Dest: f.Dest, Endpoint: f.Endpoint, CallsBySender: f.CallsBySender})
 	}
 	for _, e := range g.Model.Effects() {
 		cause := ""
@@ -299,20 +299,20 @@
 		} else if e.Late {
 			cause = "late"
 		}
-		g.note(audit.Event{What: audit.Took, Sender: e.Sender, Call: e.Call, Message: e.Message.ID, Class: e.Message.Class, Endpoint: e.Endpoint, Cause: cause})
+		g.note(audit.Event{Kind: audit.Executed, Sender: e.Sender, Call: e.Call, Message: e.Message.ID, Class: e.Message.Class, Endpoint: e.Endpoint, Cause: cause})
 	}
 	return g.Model.Answers()
 }
 
-// Falls is how many routes were pushed over.
-func (g *Ground) Falls() int { return g.falls }
+// Overloads is how many routes were pushed over.
+func (g *Environment) Overloads() int { return g.falls }
 
 // OutcomeOf is how an answer counts for the rules, and the word for it in a ledger.
-func OutcomeOf(k partner.Kind) (audit.Outcome, string) {
+func OutcomeOf(k partner.AnswerKind) (audit.Outcome, string) {
 	switch k {
 	case partner.Delivered:
 		return audit.Delivered, ""
-	case partner.Refused, partner.Rejected:
+	case partner.Rejected, partner.Unprocessable:
 		return audit.NeverRan, k.String()
 	}
 	return audit.Failed, k.String()
--- a/internal/lab/links_test.go
+++ b/internal/lab/links_test.go
@@ -80,19 +80,19 @@
 			if e.Sender == 0 {
 				who = &n0
 			}
-			switch e.What {
-			case audit.Taken:
+			switch e.Kind {
+			case audit.Accepted:
 				who.taken++
-			case audit.TurnedAt:
+			case audit.Rejected:
 				who.refused++
-			case audit.Gone:
+			case audit.Abandoned:
 				who.gone++
 			case audit.Sent:
 				who.calls++
 			}
 		})
-		if text := c.want(n0, rest); text != "" || len(r.Breaks) > 0 {
-			t.Errorf("%s: %s: n0 %+v, the rest %+v; %+v", c.name, text, n0, rest, r.Breaks)
+		if text := c.want(n0, rest); text != "" || len(r.Violations) > 0 {
+			t.Errorf("%s: %s: n0 %+v, the rest %+v; %+v", c.name, text, n0, rest, r.Violations)
 		}
 	}
 }
@@ -121,10 +121,10 @@
 			t.Fatal(err)
 		}
 		r, err := sim.Run()
-		if err != nil || len(r.Breaks) > 0 || r.Notes == 0 {
-			t.Errorf("%s: %v %+v, %d notes", name, err, r.Breaks, r.Notes)
+		if err != nil || len(r.Violations) > 0 || r.GossipSent == 0 {
+			t.Errorf("%s: %v %+v, %d notes", name, err, r.Violations, r.GossipSent)
 		}
-		heard[name] = r.NotesHeard
+		heard[name] = r.GossipReceived
 	}
 	if heard["sound"] == 0 || heard["cut"] != 0 || heard["lost"] != 0 || heard["doubled"] < heard["sound"] {
 		t.Errorf("notes heard: %v", heard)
@@ -147,10 +147,10 @@
 				t.Fatal(err)
 			}
 			r, err := sim.Run()
-			if err != nil || len(r.Breaks) > 0 || r.Whole < 0.6 {
-				t.Errorf("%v senders, seed %d: %v, service %.3f, whole %.3f, %+v", c.senders, seed, err, r.Service, r.Whole, r.Breaks)
+			if err != nil || len(r.Violations) > 0 || r.Overall < 0.6 {
+				t.Errorf("%v senders, seed %d: %v, service %.3f, whole %.3f, %+v", c.senders, seed, err, r.Service, r.Overall, r.Violations)
 			}
-			t.Logf("%v senders, seed %d: whole %.3f, %d restarts, %d notes heard", c.senders, seed, r.Whole, r.Restarts, r.NotesHeard)
+			t.Logf("%v senders, seed %d: whole %.3f, %d restarts, %d notes heard", c.senders, seed, r.Overall, r.Restarts, r.GossipReceived)
 		}
 	}
 }
--- a/internal/lab/profile.go
+++ b/internal/lab/profile.go
@@ -19,8 +19,8 @@
 	var profiles, tenants []object
 	for _, c := range s.Traffic.Classes {
 		profiles = append(profiles, object{
-			"name": c.Name, "aim-ms": wire.Millis(c.Aim), "deadline-ms": wire.Millis(c.Deadline), "effect": c.Effect, "key-scope": "all",
-			"late-worth": c.Late, "memory-span-ms": wire.Millis(c.Memory), "worth": c.Worth, "streamed": false,
+			"name": c.Name, "aim-ms": wire.Millis(c.LatencyObjective), "deadline-ms": wire.Millis(c.Deadline), "effect": c.Effect, "key-scope": "all",
+			"late-worth": c.LateWeight, "memory-span-ms": wire.Millis(c.KeyRetention), "worth": c.PriorityWeight, "streamed": false,
 		})
 	}
 	shares := 0.0
@@ -34,7 +34,7 @@
 	var batch []int
 	var apart []bool
 	for _, k := range s.Kinds {
-		kinds, batch, apart = append(kinds, k.Name), append(batch, k.Batch), append(apart, k.Apart)
+		kinds, batch, apart = append(kinds, k.Name), append(batch, k.Batch), append(apart, k.SeparateRoutes)
 	}
 	busy := 0.0 // calls that the load keeps out
 	for _, d := range p.Dests {
@@ -42,8 +42,8 @@
 	}
 	part := 1 / float64(s.Senders)
 	pick := func(r scenario.Range) float64 { return r.From + (r.To-r.From)*rng.Float64() }
-	slots := max(3, int(math.Ceil(pick(s.Slots)*busy*part)))
-	hold := max(16, int(math.Ceil(pick(s.Hold)*p.Rate*part)))
+	slots := max(3, int(math.Ceil(pick(s.InFlight)*busy*part)))
+	hold := max(16, int(math.Ceil(pick(s.OpenMessages)*p.Rate*part)))
 	return object{
 		"clients": object{"marks-retry": true}, "discovery": "ask", "kind-of-service": "deliver", "weights": "rough", "worth-by": "request",
 		"tick-ms": 5.0, "tier": 0, "me": sender, "siblings": s.Senders, "zone": sender % len(s.Zones), "zones": s.Zones,
@@ -62,15 +62,15 @@
 	}
 }
 
-// Retuned is what a sender is told by new settings under way.
-func Retuned(p *scenario.Plan, d scenario.PlannedDeed) map[string]any {
+// UpdatedSettings is what a sender is told by new settings under way.
+func UpdatedSettings(p *scenario.Plan, d scenario.PlannedAction) map[string]any {
 	told := Profile(p, d.Sender)
 	scale := func(part, key string, by float64, least int) {
 		object := told[part].(map[string]any)
 		object[key] = max(least, int(math.Ceil(float64(object[key].(int))*by)))
 	}
-	scale("specifics", "max-calls", d.Slots, 1)
-	scale("limits", "open-cap", d.Hold, 1)
+	scale("specifics", "max-calls", d.InFlight, 1)
+	scale("limits", "open-cap", d.OpenMessages, 1)
 	return told
 }
 
--- a/internal/lab/sender.go
+++ b/internal/lab/sender.go
@@ -67,7 +67,7 @@
 	if x.stopped() || x.dead {
 		return
 	}
-	x.sim.note(audit.Event{What: audit.Ready, Sender: x.num})
+	x.sim.note(audit.Event{Kind: audit.Ready, Sender: x.num})
 	for len(x.pending) > 0 && !x.dead {
 		do := x.pending[0]
 		x.pending = x.pending[1:]
@@ -112,10 +112,10 @@
 
 // shunned tells whether the front knows that there is nobody.
 func (x *sender) shunned(now time.Duration) bool {
-	if x.stopped() && now-x.stoppedAt >= FrontSpan {
+	if x.stopped() && now-x.stoppedAt >= DeadSenderTimeout {
 		return true
 	}
-	return x.away || x.ordered() || (x.dead || x.leaving) && now-x.leftAt >= FrontSpan || x.leaving && now-x.leftAt >= stopSpan-200*time.Millisecond
+	return x.away || x.ordered() || (x.dead || x.leaving) && now-x.leftAt >= DeadSenderTimeout || x.leaving && now-x.leftAt >= stopSpan-200*time.Millisecond
 }
 
 // leave is SIGTERM: the stages of lifecycle, in virtual time.
@@ -166,7 +166,7 @@
 		f.over = true
 		if f.left && s.calls[f.id] != nil {
 			delete(s.calls, f.id)
-			s.note(audit.Event{What: audit.Ended, Call: f.id, Outcome: audit.Failed, Cause: "reset"})
+			s.note(audit.Event{Kind: audit.Ended, Call: f.id, Outcome: audit.Failed, Cause: "reset"})
 			s.at(s.now+f.hop, func() { s.ground.Model.Cancel(s.now, f.id, f.to.ID) })
 		}
 	}
@@ -183,7 +183,7 @@
 		}
 		s.result.Restarts++
 		s.senders[x.num] = y
-		s.note(audit.Event{What: audit.Ready, Sender: x.num})
+		s.note(audit.Event{Kind: audit.Ready, Sender: x.num})
 	})
 }
 
@@ -228,10 +228,10 @@
 				continue
 			}
 			if v.Accepted {
-				s.note(audit.Event{What: audit.Taken, Sender: x.num, Message: h.id})
+				s.note(audit.Event{Kind: audit.Accepted, Sender: x.num, Message: h.id})
 				answered = append(answered, state.ResponseWritten{ID: h.id, OK: true})
 			} else {
-				s.note(audit.Event{What: audit.TurnedAt, Sender: x.num, Message: h.id, Wait: v.RetryAfter})
+				s.note(audit.Event{Kind: audit.Rejected, Sender: x.num, Message: h.id, RetryAfter: v.RetryAfter})
 				if m != nil && !v.Permanent {
 					s.refused(m, h.id, v.RetryAfter)
 				}
@@ -260,7 +260,7 @@
 }
 
 // impatient: a client that has no answer yet waits no longer.
-func (x *sender) impatient(m *Wanted, id string) {
+func (x *sender) impatient(m *ClientRequest, id string) {
 	waits := func(a awaiting) bool { return a.id == id }
 	if x.sim.messages[id] == m && slices.ContainsFunc(x.waiting, waits) {
 		x.sim.unanswered(m, id, x)
@@ -295,7 +295,7 @@
 		}
 		if f.left && s.calls[f.id] != nil {
 			delete(s.calls, f.id)
-			s.note(audit.Event{What: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "reset"})
+			s.note(audit.Event{Kind: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "reset"})
 			s.at(s.now+f.hop, func() { s.ground.Model.Cancel(s.now, f.id, f.to.ID) })
 		}
 		if f.left {
@@ -309,13 +309,13 @@
 	}
 	if cut := !x.reaches(); cut != x.cutOff {
 		x.cutOff = cut
-		s.note(audit.Event{What: map[bool]audit.What{true: audit.CutOff, false: audit.Reached}[cut], Sender: x.num})
+		s.note(audit.Event{Kind: map[bool]audit.EventKind{true: audit.Unreachable, false: audit.ReachableAgain}[cut], Sender: x.num})
 	}
 	if x.reaches() {
 		x.hear()
 	} else if x.watches {
 		x.watches = false
-		s.ground.Asked(s.now, x.num, false, true)
+		s.ground.Polled(s.now, x.num, false, true)
 		x.unheard()
 	}
 }
@@ -365,7 +365,7 @@
 func (x *sender) launch(to state.Target) *flight {
 	s := x.sim
 	s.callNum++
-	f := &flight{x: x, to: to, id: s.callNum, hop: Hop(to.Zone, x.zone), since: s.now}
+	f := &flight{x: x, to: to, id: s.callNum, hop: NetworkDelay(to.Zone, x.zone), since: s.now}
 	x.flights[f] = true
 	idle := x.idle[to.ID]
 	for len(idle) > 0 && s.now-idle[0] >= idleSpan { // the endpoint has closed these
@@ -379,7 +379,7 @@
 	}
 	x.idle[to.ID] = idle
 	f.fresh = true
-	s.result.Conns++
+	s.result.Connections++
 	there, back := f.ways()
 	if there.Cut || back.Cut || there.Silent || back.Silent {
 		after := f.hop
@@ -388,7 +388,7 @@
 		}
 		s.at(s.now+after, func() {
 			if !x.dead && !f.over {
-				s.note(audit.Event{What: audit.Saw, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
+				s.note(audit.Event{Kind: audit.FailureSeen, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
 			}
 			f.all(state.AttemptResult{Result: control.ConnectFailed})
 		})
@@ -398,15 +398,15 @@
 		door := s.ground.Model.Connect(s.now, to.ID)
 		s.at(s.now+f.hop, func() {
 			switch {
-			case door == partner.Refuses:
+			case door == partner.ConnectionRefused:
 				if !x.dead {
-					s.note(audit.Event{What: audit.Saw, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
+					s.note(audit.Event{Kind: audit.FailureSeen, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
 				}
 				f.all(state.AttemptResult{Result: control.ConnectFailed})
-			case f.over && door == partner.Opens:
+			case f.over && door == partner.ConnectionOpened:
 				s.ground.Model.Disconnect(s.now, to.ID)
 			case !f.over:
-				f.crowded = door == partner.Crowds
+				f.crowded = door == partner.ConnectionOverCapacity
 				f.send()
 			}
 		})
@@ -415,7 +415,7 @@
 }
 
 // ways are those between its sender and its endpoint.
-func (f *flight) ways() (there, back scenario.Way) {
+func (f *flight) ways() (there, back scenario.LinkState) {
 	return f.x.sim.way(f.x.party, f.to.ID), f.x.sim.way(f.to.ID, f.x.party)
 }
 
@@ -433,7 +433,7 @@
 		return
 	}
 	f.left = true
-	c := partner.Call{ID: f.id, Sender: f.x.num, Endpoint: f.to.ID, Fresh: f.fresh, Crowded: f.crowded, Probe: f.call == nil}
+	c := partner.Call{ID: f.id, Sender: f.x.num, Endpoint: f.to.ID, Fresh: f.fresh, OverCapacity: f.crowded, HealthCheck: f.call == nil}
 	var ids []string
 	if f.call != nil {
 		for _, fw := range f.call.Attempts {
@@ -441,7 +441,7 @@
 			ids = append(ids, fw.Message.ID)
 		}
 	}
-	s.note(audit.Event{What: audit.Sent, Sender: f.x.num, Call: f.id, Endpoint: f.to.ID, Zone: f.to.Zone, Dest: f.to.Destination, Messages: ids})
+	s.note(audit.Event{Kind: audit.Sent, Sender: f.x.num, Call: f.id, Endpoint: f.to.ID, Zone: f.to.Zone, Dest: f.to.Destination, Messages: ids})
 	s.calls[f.id] = f
 	if !there.Passes() {
 		return // its time will be up, or the cut has broken it
@@ -473,10 +473,10 @@
 	}
 	delete(s.calls, f.id)
 	outcome, cause := OutcomeOf(a.Kind)
-	s.note(audit.Event{What: audit.Ended, Sender: f.x.num, Call: f.id, Outcome: outcome, Wait: a.Wait, Cause: cause})
+	s.note(audit.Event{Kind: audit.Ended, Sender: f.x.num, Call: f.id, Outcome: outcome, RetryAfter: a.RetryAfter, Cause: cause})
 	_, back := f.ways()
 	if a.Kind != partner.Delivered && back.Passes() {
-		s.note(audit.Event{What: audit.Saw, Sender: f.x.num, Dest: f.to.Destination, Endpoint: f.to.ID})
+		s.note(audit.Event{Kind: audit.FailureSeen, Sender: f.x.num, Dest: f.to.Destination, Endpoint: f.to.ID})
 	}
 	if a.Kind == partner.Delivered && f.call != nil {
 		for _, fw := range f.call.Attempts {
@@ -489,17 +489,17 @@
 	if a.Kind != partner.Reset && !f.over {
 		f.park()
 	}
-	end := state.AttemptResult{RetryAfter: a.Wait}
+	end := state.AttemptResult{RetryAfter: a.RetryAfter}
 	switch a.Kind {
 	case partner.Delivered:
 		end.Result, end.Final = control.Served, true
 	case partner.Errored:
 		end.Result = control.Failed
-	case partner.Refused:
+	case partner.Rejected:
 		end.Result = control.Rejected
 	case partner.Reset:
 		end.Result = control.ConnectionLost
-	case partner.Rejected:
+	case partner.Unprocessable:
 		end.Result = control.Unprocessable
 	default:
 		end.Result = control.Unknown
@@ -552,7 +552,7 @@
 	}
 	f.ended[fw] = true
 	if e.Result == control.TimedOut {
-		f.x.sim.note(audit.Event{What: audit.Saw, Sender: f.x.num, Dest: f.to.Destination, Endpoint: f.to.ID})
+		f.x.sim.note(audit.Event{Kind: audit.FailureSeen, Sender: f.x.num, Dest: f.to.Destination, Endpoint: f.to.ID})
 	}
 	e.Attempt, e.Elapsed = fw, f.x.sim.now-f.since
 	if len(f.ended) == len(f.call.Attempts) {
@@ -569,7 +569,7 @@
 		return
 	}
 	delete(s.calls, f.id)
-	s.note(audit.Event{What: audit.Ended, Sender: f.x.num, Call: f.id, Outcome: audit.Failed, Cause: cause})
+	s.note(audit.Event{Kind: audit.Ended, Sender: f.x.num, Call: f.id, Outcome: audit.Failed, Cause: cause})
 	s.at(s.now+f.hop, func() { s.ground.Model.Cancel(s.now, f.id, f.to.ID) })
 }
 
@@ -618,7 +618,7 @@
 			s := x.sim
 			if f.left && s.calls[f.id] != nil {
 				delete(s.calls, f.id)
-				s.note(audit.Event{What: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "timeout"})
+				s.note(audit.Event{Kind: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "timeout"})
 				s.ground.Model.Cancel(s.now, f.id, f.to.ID)
 			}
 			f.all(state.AttemptResult{Result: control.TimedOut})
@@ -638,18 +638,18 @@
 func (x *sender) Watch(on bool, since int64) {
 	s := x.sim
 	if x.watches = false; !on {
-		s.ground.Asked(s.now, x.num, false, false)
+		s.ground.Polled(s.now, x.num, false, false)
 		return
 	}
 	s.at(s.now+listFirst, func() {
 		if !x.reaches() {
-			s.ground.Asked(s.now, x.num, false, true)
+			s.ground.Polled(s.now, x.num, false, true)
 			x.unheard()
 			return
 		}
-		_, blind := s.ground.Blind(s.now)
+		_, blind := s.ground.DiscoveryOutage(s.now)
 		if !x.dead {
-			s.ground.Asked(s.now, x.num, !blind, blind)
+			s.ground.Polled(s.now, x.num, !blind, blind)
 		}
 		if blind {
 			x.step(state.ListUpdate{Kind: control.ListFailed})
@@ -673,9 +673,9 @@
 			x.unheard()
 			return
 		}
-		_, blind := s.ground.Blind(s.now)
+		_, blind := s.ground.DiscoveryOutage(s.now)
 		if !x.dead && !x.watches {
-			s.ground.Asked(s.now, x.num, false, blind)
+			s.ground.Polled(s.now, x.num, false, blind)
 		}
 		if blind {
 			x.step(state.ListUpdate{Kind: control.ListFailed})
@@ -689,17 +689,17 @@
 	if x.dead {
 		return
 	}
-	lines, version := x.sim.ground.Whole(x.sim.now, x.num)
+	lines, version := x.sim.ground.FullList(x.sim.now, x.num)
 	x.version = max(x.version, version)
 	x.told(control.ListFull, version, lines)
 }
 
 // hear tells a sender that watches what is new.
 func (x *sender) hear() {
-	if _, blind := x.sim.ground.Blind(x.sim.now); blind || !x.watches || x.dead || !x.reaches() {
+	if _, blind := x.sim.ground.DiscoveryOutage(x.sim.now); blind || !x.watches || x.dead || !x.reaches() {
 		return
 	}
-	lines, version, whole := x.sim.ground.Since(x.sim.now, x.num, x.version)
+	lines, version, whole := x.sim.ground.ListChanges(x.sim.now, x.num, x.version)
 	x.version = version
 	if whole {
 		x.told(control.ListFull, version, lines)
@@ -708,11 +708,11 @@
 	}
 }
 
-func (x *sender) told(form control.ListUpdateKind, version int64, lines []Line) {
+func (x *sender) told(form control.ListUpdateKind, version int64, lines []ListedEndpoint) {
 	news := state.ListUpdate{Kind: form, Version: version}
 	for _, l := range lines {
 		if l.State != control.Ready || form == control.ListDelta {
-			x.sim.note(audit.Event{What: audit.Told, Sender: x.num, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready})
+			x.sim.note(audit.Event{Kind: audit.Notified, Sender: x.num, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready})
 		}
 		t := state.Target{ID: l.ID, Addr: l.Address}
 		t.Destination, t.Kind, t.Zone, t.State, t.Weight = l.Dest, l.Kind, l.Zone, l.State, l.Weight
@@ -725,7 +725,7 @@
 func (x *sender) blinded() {
 	if x.watches && !x.dead {
 		x.watches = false
-		x.sim.ground.Asked(x.sim.now, x.num, false, true)
+		x.sim.ground.Polled(x.sim.now, x.num, false, true)
 		x.step(state.ListUpdate{Kind: control.ListFailed})
 	}
 }
@@ -733,8 +733,8 @@
 // A teller carries notes to the other senders: each arrives late, or not at all.
 type teller struct{ *sender }
 
-// NoteFrom and NoteTo are how long a note takes.
-const NoteFrom, NoteTo = 1300 * time.Microsecond, 8700 * time.Microsecond
+// MinGossipDelay and NoteTo are how long a note takes.
+const MinGossipDelay, MaxGossipDelay = 1300 * time.Microsecond, 8700 * time.Microsecond
 
 func (t teller) SendGossip(facts []gossip.Observation) {
 	s := t.sim
@@ -743,23 +743,23 @@
 		if x == t.sender {
 			continue
 		}
-		s.result.Notes++
+		s.result.GossipSent++
 		w := s.way(t.party, x.party)
-		if s.rng.Float64() < s.plan.Scenario.NotesLost || !w.Passes() || w.Loss > 0 && s.rng.Float64() < w.Loss {
+		if s.rng.Float64() < s.plan.Scenario.GossipLoss || !w.Passes() || w.Loss > 0 && s.rng.Float64() < w.Loss {
 			continue
 		}
 		times := 1
-		if w.Double > 0 && s.rng.Float64() < w.Double {
+		if w.Duplicate > 0 && s.rng.Float64() < w.Duplicate {
 			times = 2
 		}
 		for range times {
-			after := NoteFrom + time.Duration(s.rng.Int64N(int64(NoteTo-NoteFrom))) + s.late(w)
+			after := MinGossipDelay + time.Duration(s.rng.Int64N(int64(MaxGossipDelay-MinGossipDelay))) + s.late(w)
 			if w.Reorder > 0 && s.rng.Float64() < w.Reorder {
 				after += 10 * w.Jitter
 			}
 			s.at(s.now+after, func() {
 				if facts, err := gossip.Decode(sent); err == nil && !x.dead {
-					s.result.NotesHeard++
+					s.result.GossipReceived++
 					x.step(state.GossipReceived{Peer: t.num, Observations: facts})
 				}
 			})
@@ -784,7 +784,7 @@
 		s.at(s.now+noticeAgain, func() { x.when(func() { x.notice(n) }) })
 		return
 	}
-	s.note(audit.Event{What: audit.Notice, Sender: x.num, Message: n.ID, Deferred: n.Deferred, Wait: n.RetryAfter})
+	s.note(audit.Event{Kind: audit.Notice, Sender: x.num, Message: n.ID, Deferred: n.Deferred, RetryAfter: n.RetryAfter})
 	m := s.messages[n.ID]
 	if m != nil && n.Deferred {
 		s.refused(m, n.ID, n.RetryAfter)
--- a/internal/lab/sim.go
+++ b/internal/lab/sim.go
@@ -48,24 +48,24 @@
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
 	Score
-	Conns      int           `json:"connections"`
-	Falls      int           `json:"falls"`
-	Restarts   int           `json:"restarts"`
-	Notes      int           `json:"notes"`            // between senders, one for each receiver...
-	NotesHeard int           `json:"notes_heard"`      // ...and those that arrived, again where they came twice
-	Orders     int           `json:"orders,omitempty"` // times that a sender went out by order of agents
-	Over       []string      `json:"over,omitempty"`   // of them, those that were one too many
-	Plans      []string      `json:"plans,omitempty"`  // what became of each
-	Left       []string      `json:"left,omitempty"`   // senders that are out in the end
-	Counts     audit.Counts  `json:"counts"`
-	Breaks     []audit.Break `json:"breaks,omitempty"`
-	Events     int           `json:"events"` // of the simulation
+	Connections    int               `json:"connections"`
+	Overloads      int               `json:"falls"`
+	Restarts       int               `json:"restarts"`
+	GossipSent     int               `json:"notes"`            // between senders, one for each receiver...
+	GossipReceived int               `json:"notes_heard"`      // ...and those that arrived, again where they came twice
+	Orders         int               `json:"orders,omitempty"` // times that a sender went out by order of agents
+	OverBudget     []string          `json:"over,omitempty"`   // of them, those that were one too many
+	Plans          []string          `json:"plans,omitempty"`  // what became of each
+	StillOut       []string          `json:"left,omitempty"`   // senders that are out in the end
+	Counts         audit.Counts      `json:"counts"`
+	Violations     []audit.Violation `json:"breaks,omitempty"`
+	Events         int               `json:"events"` // of the simulation
 }
 
 // A Sim plays one plan.
 type Sim struct {
 	plan    *scenario.Plan
-	ground  *Ground
+	ground  *Environment
 	rng     *rand.Rand
 	agents  *agents // nil: none
 	log     *slog.Logger
@@ -76,17 +76,17 @@
 	modelAt time.Duration // when the model is looked at next; below 0 = not
 
 	senders  []*sender
-	starts   uint64                       // of senders, for their seeds
-	dirs     map[int]string               // of those that are killed: where their journals are
-	tuned    map[int]scenario.PlannedDeed // the latest new settings, by sender
+	starts   uint64                         // of senders, for their seeds
+	dirs     map[int]string                 // of those that are killed: where their journals are
+	tuned    map[int]scenario.PlannedAction // the latest new settings, by sender
 	tmp      string
 	calls    map[uint64]*flight
 	callNum  uint64
 	auditor  *audit.Auditor
-	tally    *Tally
+	tally    *ServiceMeter
 	sink     func(audit.Event) error
 	arrivals *scenario.Arrivals
-	messages map[string]*Wanted
+	messages map[string]*ClientRequest
 	result   Result
 	err      error
 }
@@ -124,11 +124,11 @@
 // error ends the run.
 func NewSim(p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*Sim, error) {
 	s := &Sim{
-		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 99)), log: log, modelAt: -1, dirs: map[int]string{}, tuned: map[int]scenario.PlannedDeed{},
-		calls: map[uint64]*flight{}, messages: map[string]*Wanted{}, arrivals: p.Arrivals(), tally: NewTally(p.Scenario), sink: sink,
+		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 99)), log: log, modelAt: -1, dirs: map[int]string{}, tuned: map[int]scenario.PlannedAction{},
+		calls: map[uint64]*flight{}, messages: map[string]*ClientRequest{}, arrivals: p.Arrivals(), tally: NewServiceMeter(p.Scenario), sink: sink,
 	}
 	var err error
-	if s.ground, err = NewGround(p, s.note); err != nil {
+	if s.ground, err = NewEnvironment(p, s.note); err != nil {
 		return nil, err
 	}
 	s.result.Scenario, s.result.Seed = p.Scenario.Name, p.Seed
@@ -136,12 +136,12 @@
 	if err != nil {
 		return nil, err
 	}
-	s.auditor = audit.New(Terms(p, set))
-	if len(p.Deeds) > 0 {
+	s.auditor = audit.New(Rules(p, set))
+	if len(p.Actions) > 0 {
 		if s.tmp, err = os.MkdirTemp("", "cleathold-lab-"); err != nil {
 			return nil, fmt.Errorf("lab: %w", err)
 		}
-		for _, d := range p.Deeds {
+		for _, d := range p.Actions {
 			if d.What != "kill" && d.What != "wipe" && d.What != "term" && d.What != "signals" {
 				continue
 			}
@@ -163,7 +163,7 @@
 	for _, c := range p.Changes {
 		s.at(c.At, func() { s.change(c) })
 	}
-	for _, b := range p.Blind {
+	for _, b := range p.DiscoveryOutages {
 		s.at(b.From, func() {
 			for _, x := range s.senders {
 				x.blinded()
@@ -171,18 +171,18 @@
 		})
 	}
 	s.struck = len(p.Links) > 0
-	for _, d := range p.Deeds {
+	for _, d := range p.Actions {
 		s.at(d.At, func() { s.deed(d) })
 		s.struck = s.struck || d.What == "stop"
 	}
-	for _, at := range p.Turns() {
+	for _, at := range p.LinkChanges() {
 		s.at(at, s.turn)
 	}
 	if p.Scenario.Agents.Number > 0 {
 		s.agents = newAgents(s)
 	}
 	if len(p.Scenario.Churns) > 0 {
-		s.at(Look, s.look)
+		s.at(NotifiedCheckInterval, s.look)
 	}
 	s.next()
 	return s, nil
@@ -190,8 +190,8 @@
 
 // look finds who counts as told though it did not ask.
 func (s *Sim) look() {
-	s.ground.Deem(s.now)
-	s.at(s.now+Look, s.look)
+	s.ground.MarkNotified(s.now)
+	s.at(s.now+NotifiedCheckInterval, s.look)
 }
 
 // Run plays the plan to its end, and leaves nothing behind.
@@ -216,10 +216,10 @@
 	if s.agents != nil {
 		s.agents.finish()
 	}
-	s.result.Breaks = s.auditor.Close(end)
-	s.result.Counts, _ = s.auditor.Counted()
+	s.result.Violations = s.auditor.Close(end)
+	s.result.Counts, _ = s.auditor.Totals()
 	s.result.Score = s.tally.Score()
-	s.result.Falls = s.ground.Falls()
+	s.result.Overloads = s.ground.Overloads()
 	return s.result, nil
 }
 
@@ -233,8 +233,8 @@
 		return
 	}
 	s.at(a.At, func() {
-		s.note(audit.Event{What: audit.Asked, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
-		s.handIn(&Wanted{Arrival: a})
+		s.note(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
+		s.handIn(&ClientRequest{Arrival: a})
 		s.next()
 	})
 }
@@ -252,8 +252,8 @@
 }
 
 // handIn hands a message in, for the first time or again.
-func (s *Sim) handIn(m *Wanted) {
-	left := m.Left(s.plan.Scenario, s.now)
+func (s *Sim) handIn(m *ClientRequest) {
+	left := m.TimeLeft(s.plan.Scenario, s.now)
 	if left <= 0 {
 		return
 	}
@@ -263,16 +263,16 @@
 		s.nowhere(m)
 		return
 	}
-	id, again := m.Next()
+	id, again := m.NextSubmission()
 	key := m.Key(s.plan.Scenario)
 	s.messages[id] = m
 	if there.Silent {
-		s.note(audit.Event{What: audit.HandIn, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, Left: left, Key: key, N: m.N, Tenant: m.Tenant})
+		s.note(audit.Event{Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: left, Key: key, N: m.N, Tenant: m.Tenant})
 		s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.unanswered(m, id, to) })
 		return
 	}
 	s.at(s.now+clientHop+s.late(there), func() {
-		s.note(audit.Event{What: audit.HandIn, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, Left: left, Key: key, N: m.N, Tenant: m.Tenant})
+		s.note(audit.Event{Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: left, Key: key, N: m.N, Tenant: m.Tenant})
 		if !to.open { // it has died meanwhile
 			s.gone(m, id, to)
 			return
@@ -291,15 +291,15 @@
 }
 
 // way is what ails the way between two parties now.
-func (s *Sim) way(from, to string) scenario.Way {
+func (s *Sim) way(from, to string) scenario.LinkState {
 	if len(s.plan.Links) == 0 {
-		return scenario.Way{}
+		return scenario.LinkState{}
 	}
-	return s.plan.Way(s.now, from, to)
+	return s.plan.LinkState(s.now, from, to)
 }
 
 // late draws how much later something arrives than on a sound way.
-func (s *Sim) late(w scenario.Way) time.Duration {
+func (s *Sim) late(w scenario.LinkState) time.Duration {
 	if w.Jitter > 0 {
 		return w.Delay + time.Duration(s.rng.Int64N(int64(w.Jitter)))
 	}
@@ -314,8 +314,8 @@
 }
 
 // unanswered: a client has waited long enough, and hands in again.
-func (s *Sim) unanswered(m *Wanted, id string, x *sender) {
-	s.note(audit.Event{What: audit.Gone, Sender: x.num, Message: id, Cause: "timeout"})
+func (s *Sim) unanswered(m *ClientRequest, id string, x *sender) {
+	s.note(audit.Event{Kind: audit.Abandoned, Sender: x.num, Message: id, Cause: "timeout"})
 	delete(s.messages, id)
 	if !m.Done {
 		s.nowhere(m)
@@ -323,23 +323,23 @@
 }
 
 // gone: a client has no answer, and hands in again.
-func (s *Sim) gone(m *Wanted, id string, x *sender) {
-	s.note(audit.Event{What: audit.Gone, Sender: x.num, Message: id, Cause: "died"})
+func (s *Sim) gone(m *ClientRequest, id string, x *sender) {
+	s.note(audit.Event{Kind: audit.Abandoned, Sender: x.num, Message: id, Cause: "died"})
 	delete(s.messages, id)
 	s.nowhere(m)
 }
 
 // nowhere has a client hand in again what reached nobody.
-func (s *Sim) nowhere(m *Wanted) {
-	if after, again := m.Nowhere(s.plan.Scenario, s.rng); again {
+func (s *Sim) nowhere(m *ClientRequest) {
+	if after, again := m.Unanswered(s.plan.Scenario, s.rng); again {
 		s.at(s.now+after, func() { s.handIn(m) })
 	}
 }
 
 // refused has a client come again, as often as the scenario says.
-func (s *Sim) refused(m *Wanted, id string, told time.Duration) {
+func (s *Sim) refused(m *ClientRequest, id string, told time.Duration) {
 	delete(s.messages, id)
-	if after, again := m.Refused(s.plan.Scenario, s.rng, told); again {
+	if after, again := m.Rejected(s.plan.Scenario, s.rng, told); again {
 		s.at(s.now+after, func() { s.handIn(m) })
 	}
 }
@@ -354,7 +354,7 @@
 
 // change does what the plan says, and discovery tells of it, late.
 func (s *Sim) change(c scenario.Change) {
-	told, err := s.ground.Change(s.now, c)
+	told, err := s.ground.Apply(s.now, c)
 	if err != nil {
 		s.fail(err)
 	}
@@ -365,7 +365,7 @@
 
 // deed does something to a sender. A reload without anything new changes nothing in virtual time, where there is no
 // file to read again.
-func (s *Sim) deed(d scenario.PlannedDeed) {
+func (s *Sim) deed(d scenario.PlannedAction) {
 	x := s.senders[d.Sender]
 	if x.dead || x.leaving {
 		return
@@ -376,7 +376,7 @@
 		if d.What == "wipe" {
 			lost = audit.Wiped
 		}
-		s.note(audit.Event{What: audit.Died, Sender: x.num, Cause: lost})
+		s.note(audit.Event{Kind: audit.Died, Sender: x.num, Cause: lost})
 		x.die()
 		if dir, kept := s.dirs[x.num]; kept && d.What == "wipe" {
 			if err := errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700)); err != nil {
@@ -386,14 +386,14 @@
 	case "term", "signals":
 		x.when(func() {
 			if !x.dead && !x.leaving {
-				s.note(audit.Event{What: audit.Died, Sender: x.num})
+				s.note(audit.Event{Kind: audit.Died, Sender: x.num})
 				x.leave()
 			}
 		})
 	case "stop":
 		if !x.stopped() {
 			x.stoppedAt = s.now
-			s.note(audit.Event{What: audit.Died, Sender: x.num}) // nothing is due from it until it goes on
+			s.note(audit.Event{Kind: audit.Died, Sender: x.num}) // nothing is due from it until it goes on
 		}
 		x.wakes = max(x.wakes, d.Until)
 		s.at(x.wakes, x.wake)
@@ -418,14 +418,14 @@
 // told is what a sender's configuration says now.
 func (s *Sim) told(num int) map[string]any {
 	if d, is := s.tuned[num]; is {
-		return Retuned(s.plan, d)
+		return UpdatedSettings(s.plan, d)
 	}
 	return Profile(s.plan, num)
 }
 
 // settle hands on what the model has done, and plans its next look.
 func (s *Sim) settle() {
-	for _, a := range s.ground.Settle() {
+	for _, a := range s.ground.Collect() {
 		if f := s.calls[a.Call]; f != nil {
 			s.at(max(s.now, a.At)+f.hop, func() { f.answered(a) })
 		}
--- a/internal/lab/sim_test.go
+++ b/internal/lab/sim_test.go
@@ -43,12 +43,12 @@
 func TestRehearsal(t *testing.T) {
 	calmSum, roughSum := 0.0, 0.0
 	for seed := range uint64(4) {
-		calm := play(t, refuses, seed, func(s *scenario.Scenario) { s.Troubles = nil })
+		calm := play(t, refuses, seed, func(s *scenario.Scenario) { s.Faults = nil })
 		rough := play(t, refuses, seed, nil)
 		for name, r := range map[string]Result{"calm": calm, "rough": rough} {
 			t.Logf("seed %d, %s: service %.3f, whole %.3f, worst %.3f at %v, %d messages, %d calls, %d refused, %d events",
-				seed, name, r.Service, r.Whole, r.Worst, r.WorstAt, r.Messages, r.Calls, r.Refused, r.Events)
-			for _, b := range r.Breaks {
+				seed, name, r.Service, r.Overall, r.Worst, r.WorstAt, r.Messages, r.Calls, r.RejectedCalls, r.Events)
+			for _, b := range r.Violations {
 				t.Errorf("seed %d, %s: %s: %s (message %s, calls %v, times %v)", seed, name, b.Rule, b.Text, b.Message, b.Calls, b.Times)
 			}
 		}
@@ -72,10 +72,10 @@
 // Endpoints come and go: nothing new goes to one that drains, and service stays.
 func TestChurnRun(t *testing.T) {
 	r := play(t, refuses, 2, func(s *scenario.Scenario) {
-		s.Troubles = nil
+		s.Faults = nil
 		s.Churns = []scenario.Churn{{At: scenario.Range{From: 5, To: 5}, Every: 3 * time.Second, Drain: 3 * time.Second}}
 	})
-	if len(r.Breaks) > 0 || r.Whole < 0.85 {
+	if len(r.Violations) > 0 || r.Overall < 0.85 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -84,7 +84,7 @@
 func deeds(s *scenario.Scenario) {
 	at := func(x float64) scenario.Range { return scenario.Range{From: x, To: x} }
 	s.Length = 40 * time.Second
-	s.Deeds = []scenario.Deed{{At: at(8), Sender: 0, What: "kill"}, {At: at(15), Sender: 1, What: "term"}, {At: at(22), Sender: 0, What: "kill"}, {At: at(23), Sender: 2, What: "hup"}}
+	s.Actions = []scenario.Action{{At: at(8), Sender: 0, What: "kill"}, {At: at(15), Sender: 1, What: "term"}, {At: at(22), Sender: 0, What: "kill"}, {At: at(23), Sender: 2, What: "hup"}}
 }
 
 // Kills and stops in virtual time: the journal is the new process's, no rule is
@@ -97,7 +97,7 @@
 		if !reflect.DeepEqual(a, b) {
 			t.Errorf("seed %d: %+v and %+v", seed, a, b)
 		}
-		if a.Restarts != 3 || len(a.Breaks) > 0 || a.Whole < 0.7 || a.Counts.Taken < 500 {
+		if a.Restarts != 3 || len(a.Violations) > 0 || a.Overall < 0.7 || a.Counts.Accepted < 500 {
 			t.Errorf("seed %d: %+v", seed, a)
 		}
 	}
@@ -125,8 +125,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Breaks) == 0 || r.Breaks[0].Rule != audit.Lost {
-		t.Errorf("%+v", r.Breaks)
+	if len(r.Violations) == 0 || r.Violations[0].Rule != audit.RuleOutcome {
+		t.Errorf("%+v", r.Violations)
 	}
 }
 
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	sim, err := NewSim(sc.Plan(3), quiet, func(e audit.Event) error {
-		if e.What == audit.Told && e.Leaves {
+		if e.Kind == audit.Notified && e.Leaves {
 			told++
 		}
 		return nil
@@ -151,7 +151,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Breaks) > 0 || told == 0 || r.Whole < 0.7 {
+	if len(r.Violations) > 0 || told == 0 || r.Overall < 0.7 {
 		t.Errorf("%d told; %+v", told, r)
 	}
 }
@@ -161,9 +161,9 @@
 	list, _ := filepath.Glob("../../examples/scenarios/*.star")
 	for _, path := range list {
 		r := play(t, path, 2, nil)
-		t.Logf("%s: service %.3f, whole %.3f, worst %.3f, %d messages", filepath.Base(path), r.Service, r.Whole, r.Worst, r.Messages)
-		if len(r.Breaks) > 0 {
-			t.Errorf("%s: %+v", path, r.Breaks)
+		t.Logf("%s: service %.3f, whole %.3f, worst %.3f, %d messages", filepath.Base(path), r.Service, r.Overall, r.Worst, r.Messages)
+		if len(r.Violations) > 0 {
+			t.Errorf("%s: %+v", path, r.Violations)
 		}
 	}
 }
@@ -176,39 +176,39 @@
 		t.Fatal(err)
 	}
 	p := sc.Plan(1)
-	g, err := NewGround(p, func(audit.Event) {})
+	g, err := NewEnvironment(p, func(audit.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	e := p.Dests[0].Endpoints[0]
-	all, _ := g.Whole(0, 0)
-	first, err := g.Change(time.Second, scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
+	all, _ := g.FullList(0, 0)
+	first, err := g.Apply(time.Second, scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, _ := g.Change(1100*time.Millisecond, scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
+	second, _ := g.Apply(1100*time.Millisecond, scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
 	for i := range first {
 		if second[i] < first[i] || first[i] > time.Second+listLate {
 			t.Errorf("sender %d is told at %v and %v", i, first[i], second[i])
 		}
 	}
-	if lines, version, whole := g.Since(first[0]-1, 0, 1); len(lines) != 0 || version != 1 || whole {
+	if lines, version, whole := g.ListChanges(first[0]-1, 0, 1); len(lines) != 0 || version != 1 || whole {
 		t.Errorf("told early: %+v %d", lines, version)
 	}
-	if lines, _ := g.Whole(first[0]-1, 0); len(lines) != len(all) || lines[0].State != control.Ready {
+	if lines, _ := g.FullList(first[0]-1, 0); len(lines) != len(all) || lines[0].State != control.Ready {
 		t.Errorf("the whole list tells early: %+v", lines[0])
 	}
-	lines, version, _ := g.Since(second[0], 0, 1)
+	lines, version, _ := g.ListChanges(second[0], 0, 1)
 	if len(lines) == 0 || lines[len(lines)-1].State != control.Removed || version != 3 {
 		t.Errorf("%+v %d", lines, version)
 	}
-	if lines, _ := g.Whole(second[0], 0); len(lines) != len(all)-1 {
+	if lines, _ := g.FullList(second[0], 0); len(lines) != len(all)-1 {
 		t.Errorf("%d lines after %d", len(lines), len(all))
 	}
-	if lines, _, _ := g.Since(second[0], 0, 3); len(lines) != 0 {
+	if lines, _, _ := g.ListChanges(second[0], 0, 3); len(lines) != 0 {
 		t.Errorf("told again: %+v", lines)
 	}
-	if lines, _, whole := g.Since(second[0], 0, 1); !whole || len(lines) != len(all)-1 {
+	if lines, _, whole := g.ListChanges(second[0], 0, 1); !whole || len(lines) != len(all)-1 {
 		t.Error("what is forgotten is not told by the whole list")
 	}
 }
--- a/internal/lab/tally.go
+++ b/internal/lab/tally.go
@@ -12,22 +12,22 @@
 
 // Score is the service of a run, as BRIEF 9 weighs it.
 type Score struct {
-	Messages int           `json:"messages"`
-	Service  float64       `json:"service"`
-	Whole    float64       `json:"whole"`
-	Worst    float64       `json:"worst_10s"`
-	WorstAt  time.Duration `json:"worst_at"`
-	Classes  []float64     `json:"classes"`
-	Tenants  []float64     `json:"tenants"`
-	Turned   int           `json:"turned"`  // hand-ins that got a fixed response
-	Refused  int           `json:"refused"` // calls that a partner turned away
-	Calls    int           `json:"calls"`
+	Messages      int           `json:"messages"`
+	Service       float64       `json:"service"`
+	Overall       float64       `json:"whole"`
+	Worst         float64       `json:"worst_10s"`
+	WorstAt       time.Duration `json:"worst_at"`
+	Classes       []float64     `json:"classes"`
+	Tenants       []float64     `json:"tenants"`
+	Rejected      int           `json:"turned"`  // hand-ins that got a fixed response
+	RejectedCalls int           `json:"refused"` // calls that a partner turned away
+	Calls         int           `json:"calls"`
 }
 
-// A Tally counts service from a ledger's events. It keeps messages until their time
+// A ServiceMeter counts service from a ledger's events. It keeps messages until their time
 // is up.
-type Tally struct {
-	Brought func(n int, worth float64) // hears of each message of a client that brings its worth; nil = nobody
+type ServiceMeter struct {
+	OnDelivered func(n int, worth float64) // hears of each message of a client that brings its worth; nil = nobody
 
 	classes  []scenario.Class
 	messages map[int]*asked
@@ -66,9 +66,9 @@
 	delivered bool // before its client heard that it is taken on
 }
 
-// NewTally counts the service of a scenario's run.
-func NewTally(s *scenario.Scenario) *Tally {
-	t := &Tally{
+// NewServiceMeter counts the service of a scenario's run.
+func NewServiceMeter(s *scenario.Scenario) *ServiceMeter {
+	t := &ServiceMeter{
 		classes: s.Traffic.Classes, messages: map[int]*asked{}, ids: map[string]*tried{}, calls: map[uint64][]string{},
 		byClass: make([]worth, len(s.Traffic.Classes)), byTenant: make([]worth, len(s.Traffic.Tenants)),
 	}
@@ -79,25 +79,25 @@
 }
 
 // Read takes an event.
-func (t *Tally) Read(e audit.Event) error {
-	switch e.What {
-	case audit.Asked:
+func (t *ServiceMeter) Read(e audit.Event) error {
+	switch e.Kind {
+	case audit.Requested:
 		t.asked(e)
-	case audit.HandIn:
+	case audit.Submitted:
 		t.ids[e.Message] = &tried{n: e.N}
 		if m := t.messages[e.N]; m != nil {
 			m.ids = append(m.ids, e.Message)
 		}
-	case audit.Taken:
+	case audit.Accepted:
 		if x := t.ids[e.Message]; x != nil {
 			if x.taken = true; x.delivered {
 				t.bring(x, e.At)
 			}
 		}
-	case audit.TurnedAt:
-		t.score.Turned++
+	case audit.Rejected:
+		t.score.Rejected++
 		delete(t.ids, e.Message)
-	case audit.Gone, audit.Notice:
+	case audit.Abandoned, audit.Notice:
 		delete(t.ids, e.Message)
 	case audit.Sent:
 		t.score.Calls++
@@ -106,7 +106,7 @@
 		}
 	case audit.Ended:
 		if e.Outcome == audit.NeverRan {
-			t.score.Refused++
+			t.score.RejectedCalls++
 		}
 		for _, id := range t.calls[e.Call] {
 			if x := t.ids[id]; x != nil && e.Outcome == audit.Delivered {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-func (t *Tally) asked(e audit.Event) {
-	w := t.classes[e.Class].Worth
+func (t *ServiceMeter) asked(e audit.Event) {
+	w := t.classes[e.Class].PriorityWeight
 	for i := int(e.At / windowSpan); len(t.windows) <= i; {
 		t.windows = append(t.windows, worth{})
 	}
@@ -145,31 +145,31 @@
 }
 
 // bring counts the worth of a message, once.
-func (t *Tally) bring(x *tried, at time.Duration) {
+func (t *ServiceMeter) bring(x *tried, at time.Duration) {
 	m := t.messages[x.n]
 	if m == nil || m.done {
 		return
 	}
 	m.done = true
-	w := Worth(&t.classes[m.class], at-m.born)
+	w := PriorityWeightAt(&t.classes[m.class], at-m.born)
 	t.windows[m.born/windowSpan].brought += w
 	t.byClass[m.class].brought += w
 	t.byTenant[m.tenant].brought += w
-	if t.Brought != nil {
-		t.Brought(x.n, w)
+	if t.OnDelivered != nil {
+		t.OnDelivered(x.n, w)
 	}
 }
 
-// Worth is what a message is worth that is delivered so long after it was wanted.
-func Worth(c *scenario.Class, age time.Duration) float64 {
-	if age <= c.Aim {
-		return c.Worth
+// PriorityWeightAt is what a message is worth that is delivered so long after it was wanted.
+func PriorityWeightAt(c *scenario.Class, age time.Duration) float64 {
+	if age <= c.LatencyObjective {
+		return c.PriorityWeight
 	}
-	return c.Worth * (1 - (1-c.Late)*min(1, float64(age-c.Aim)/float64(c.Deadline-c.Aim)))
+	return c.PriorityWeight * (1 - (1-c.LateWeight)*min(1, float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)))
 }
 
 // Score is the service so far.
-func (t *Tally) Score() Score {
+func (t *ServiceMeter) Score() Score {
 	s := t.score
 	s.Worst = 1
 	whole := worth{}
@@ -180,7 +180,7 @@
 			s.Worst, s.WorstAt = x, time.Duration(i)*windowSpan
 		}
 	}
-	s.Whole = whole.share()
+	s.Overall = whole.share()
 	class, tenant := 1.0, 1.0
 	for _, w := range t.byClass {
 		s.Classes = append(s.Classes, w.share())
@@ -190,9 +190,9 @@
 		s.Tenants = append(s.Tenants, w.share())
 		tenant = min(tenant, w.share())
 	}
-	s.Service = 0.4*s.Whole + 0.3*s.Worst + 0.2*class + 0.1*tenant
+	s.Service = 0.4*s.Overall + 0.3*s.Worst + 0.2*class + 0.1*tenant
 	return s
 }
 
 // Held is how many messages, hand-ins and calls are remembered.
-func (t *Tally) Held() int { return len(t.messages) + len(t.ids) + len(t.calls) }
+func (t *ServiceMeter) Held() int { return len(t.messages) + len(t.ids) + len(t.calls) }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -12,7 +12,7 @@
 )
 
 func event(i int) audit.Event {
-	return audit.Event{At: time.Duration(i) * time.Millisecond, What: audit.HandIn, Message: fmt.Sprint("m", i), N: i}
+	return audit.Event{At: time.Duration(i) * time.Millisecond, Kind: audit.Submitted, Message: fmt.Sprint("m", i), N: i}
 }
 
 // write writes a run of so many events and returns its folder.
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -162,11 +162,11 @@
 		return nil, err
 	}
 	clients, idle := shareSockets(*c)
-	sender := protocol.NewSender(loop, c.Settings.ConnIdleTimeout, idle, log)
-	discovery := protocol.NewDiscovery(loop, protocol.DiscoverySetup{
-		Addr: c.Discovery, Names: c.Names, MustAsk: c.Settings.MaxPollInterval, Rest: c.Settings.PollSpread(), DrainGrace: c.Settings.DrainGrace, Log: log,
+	sender := protocol.NewTransport(loop, c.Settings.ConnIdleTimeout, idle, log)
+	discovery := protocol.NewDiscovery(loop, protocol.DiscoveryConfig{
+		Addr: c.Discovery, Names: c.Names, MaxPollInterval: c.Settings.MaxPollInterval, PollSpread: c.Settings.PollSpread(), DrainGrace: c.Settings.DrainGrace, Log: log,
 	})
-	notices := protocol.NewNotices(loop, c.Discovery, log)
+	notices := protocol.NewReporter(loop, c.Discovery, log)
 	loop.Connect(sender, discovery, notices)
 	if peers != nil {
 		loop.ConnectPeers(peers)
@@ -179,7 +179,7 @@
 	}); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	listener.Count(p.clients)
+	listener.SetCounters(p.clients)
 	plane, err := openPlane(*c, keeper, p.board, log)
 	if err != nil {
 		listener.Close(time.Now())
@@ -196,7 +196,7 @@
 		close(kept)
 	} else {
 		keeper.Connect(loop)
-		listener.Ask(keeper)
+		listener.SetKeyClaimer(keeper)
 		go func() { defer close(kept); keeper.Run(keeping) }()
 	}
 	var tenants func([]string)
@@ -279,7 +279,7 @@
 			}
 			cancel()
 			wg.Wait()
-			listener.Finish(time.Now().Add(readOutSpan))
+			listener.Wait(time.Now().Add(readOutSpan))
 			log.Info("stopped: another process has taken over", "name", c.Name)
 			return nil, nil
 		case told = <-p.stop:
@@ -311,12 +311,12 @@
 }
 
 // openPeers opens the way to the other senders where there is one. Without it the sender serves all the same.
-func openPeers(c Config, log *slog.Logger) *protocol.Peers {
+func openPeers(c Config, log *slog.Logger) *protocol.GossipTransport {
 	if !c.Settings.CanGossip || c.PeerListen == "" || c.PeersAll == "" {
 		return nil
 	}
-	peers, err := persist(log, "peers", peersSpan, func() (*protocol.Peers, error) {
-		return protocol.OpenPeers(c.PeerListen, c.PeersAll, c.Peers, c.Settings.Index, log)
+	peers, err := persist(log, "peers", peersSpan, func() (*protocol.GossipTransport, error) {
+		return protocol.OpenGossip(c.PeerListen, c.PeersAll, c.Peers, c.Settings.Index, log)
 	})
 	if err != nil {
 		log.Error("no notes between senders: see peer_listen, peers and peers_all", "err", err)
@@ -325,17 +325,17 @@
 	return peers
 }
 
-// A mover can turn to another address.
-type mover interface{ Move(addr string) }
+// addressSetter can be pointed at another address.
+type addressSetter interface{ SetAddress(addr string) }
 
 // changes are those that a configuration which is read again is told to.
 type changes struct {
-	discovery, notices mover
+	discovery, notices addressSetter
 	loop               interface {
 		PostBefore(event state.Event, limit time.Time) bool
 	}
 	listener interface {
-		Rename(protocol.Names, []control.Class)
+		SetNames(protocol.Names, []control.Class)
 	}
 	tenants func([]string) // takes the names of tenants by number; nil: nobody keeps messages by them
 }
@@ -361,8 +361,8 @@
 		return old
 	}
 	if c.Discovery != old.Discovery {
-		to.discovery.Move(c.Discovery)
-		to.notices.Move(c.Discovery)
+		to.discovery.SetAddress(c.Discovery)
+		to.notices.SetAddress(c.Discovery)
 	}
 	limitRuntime(c.Limits)
 	now.Discovery, now.text = c.Discovery, c.text
@@ -427,7 +427,7 @@
 	if to.tenants != nil {
 		to.tenants(wordsOf(now.Names.Tenants))
 	}
-	to.listener.Rename(now.Names, now.Settings.Classes)
+	to.listener.SetNames(now.Names, now.Settings.Classes)
 	return now, nil
 }
 
@@ -483,7 +483,7 @@
 
 // shutDown brings a sender to its end, counted from the signal.
 func shutDown(loop *state.Loop, listener *protocol.Listener, told time.Time) {
-	listener.Leave()
+	listener.DisableKeepAlive()
 	time.Sleep(time.Until(told.Add(acceptSpan)))
 	loop.Stop()
 	listener.Close(told.Add(finishSpan))
@@ -495,7 +495,7 @@
 		}
 		time.Sleep(idleCheck)
 	}
-	listener.Finish(told.Add(finishSpan))
+	listener.Wait(told.Add(finishSpan))
 }
 
 // limitRuntime keeps the runtime within the machine's limits.
@@ -518,5 +518,5 @@
 	}
 	left = max(left, 12)
 	clients = left * 2 / 3
-	return max(clients-protocol.Lingering(clients), clients/2), left / 3
+	return max(clients-protocol.MaxLingering(clients), clients/2), left / 3
 }
--- a/internal/partner/model.go
+++ b/internal/partner/model.go
@@ -21,7 +21,7 @@
 	due       timeline.Queue[entry]
 	answers   []Answer
 	effects   []Effect
-	falls     []Fall
+	falls     []Overload
 	serial    uint64
 }
 
@@ -62,7 +62,7 @@
 	EndpointSpec
 	dest    *dest
 	route   *route
-	trouble Trouble
+	trouble Fault
 	running []*job
 	queue   []*job
 	conns   int
@@ -79,7 +79,7 @@
 	version   uint64 // of its entry in the agenda
 	running   bool
 	cancelled bool
-	fate      Kind
+	fate      AnswerKind
 	early     bool // Breaking: before its effect
 	silent    bool
 }
@@ -130,7 +130,7 @@
 		return fmt.Errorf("endpoint %q: no destination %d, or an id that was used", s.ID, to)
 	}
 	e := &endpoint{EndpointSpec: s, dest: d, route: d.shared}
-	if d.Apart {
+	if d.SeparateRoutes {
 		e.route = m.newRoute(d, e)
 	}
 	m.endpoints[s.ID] = e
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// Set gives an endpoint a trouble, or takes it away. From an outage it returns cold.
-func (m *Model) Set(now time.Duration, id string, t Trouble) error {
+// SetFault gives an endpoint a trouble, or takes it away. From an outage it returns cold.
+func (m *Model) SetFault(now time.Duration, id string, t Fault) error {
 	m.Advance(now)
 	e := m.endpoints[id]
 	if e == nil || e.removed {
@@ -168,7 +168,7 @@
 	m.settle(e)
 	e.trouble = t
 	switch {
-	case t.Mode == Down || t.Mode == Fallen:
+	case t.Mode == Down || t.Mode == Overloaded:
 		m.resetAll(e)
 	case old.Outage() && !t.Outage() && e.alone():
 		r := e.route
@@ -193,12 +193,12 @@
 	return true
 }
 
-// Trouble tells what ails an endpoint.
-func (m *Model) Trouble(id string) Trouble {
+// Fault tells what ails an endpoint.
+func (m *Model) Fault(id string) Fault {
 	if e := m.endpoints[id]; e != nil {
 		return e.trouble
 	}
-	return Trouble{Mode: Down}
+	return Fault{Mode: Down}
 }
 
 // bucket is the depth of a rate's tokens.
@@ -219,11 +219,11 @@
 	if !r.cold {
 		return 1
 	}
-	if d.Cold <= 0 || m.now >= r.backAt+d.Cold {
+	if d.WarmUp <= 0 || m.now >= r.backAt+d.WarmUp {
 		r.cold = false
 		return 1
 	}
-	return d.ColdFrom + (1-d.ColdFrom)*float64(m.now-r.backAt)/float64(d.Cold)
+	return d.ColdCapacity + (1-d.ColdCapacity)*float64(m.now-r.backAt)/float64(d.WarmUp)
 }
 
 // rated is the calls a second at which a warm route is at its capacity: what its
@@ -238,17 +238,17 @@
 
 // Connect opens a connection. One that crowds is not counted: it needs no
 // Disconnect, and a Call on it is Crowded.
-func (m *Model) Connect(now time.Duration, id string) Door {
+func (m *Model) Connect(now time.Duration, id string) ConnectionResult {
 	m.Advance(now)
 	e := m.endpoints[id]
 	switch {
-	case e == nil || e.removed || e.trouble.Mode == Down || e.trouble.Mode == Fallen:
-		return Refuses
-	case e.dest.Conns > 0 && e.conns >= e.dest.Conns:
-		return Crowds
+	case e == nil || e.removed || e.trouble.Mode == Down || e.trouble.Mode == Overloaded:
+		return ConnectionRefused
+	case e.dest.MaxConnections > 0 && e.conns >= e.dest.MaxConnections:
+		return ConnectionOverCapacity
 	}
 	e.conns++
-	return Opens
+	return ConnectionOpened
 }
 
 // Disconnect closes a connection on which no call is out.
@@ -262,7 +262,7 @@
 // Listens tells whether an endpoint takes connections at all.
 func (m *Model) Listens(id string) bool {
 	e := m.endpoints[id]
-	return e != nil && !e.removed && e.trouble.Mode != Down && e.trouble.Mode != Fallen
+	return e != nil && !e.removed && e.trouble.Mode != Down && e.trouble.Mode != Overloaded
 }
 
 // Call takes a call in, on an open connection. Its answer comes by Answers.
@@ -275,52 +275,52 @@
 	if m.calls[c.ID] != nil {
 		return fmt.Errorf("partner: call %d is out already", c.ID)
 	}
-	answer := func(k Kind, wait time.Duration) {
-		if c.Probe {
+	answer := func(k AnswerKind, wait time.Duration) {
+		if c.HealthCheck {
 			wait = 0 // PROTOCOL: a probe is answered 200 or 503
 		}
 		m.answers = append(m.answers, Answer{c.ID, m.now, k, wait})
 	}
 	t := e.trouble
-	if t.Mode != Fallen {
+	if t.Mode != Overloaded {
 		m.push(e.route, c.Sender)
 	}
 	switch {
-	case t.Mode == Down || t.Mode == Fallen:
+	case t.Mode == Down || t.Mode == Overloaded:
 		answer(Reset, 0)
 		return nil
 	case t.Mode == Shut:
-		answer(Refused, m.told(e, t.Until))
+		answer(Rejected, m.told(e, t.Until))
 		return nil
-	case t.Mode == Draining, c.Crowded && t.Mode != Silent:
-		answer(Refused, 0)
-		return nil
-	case len(c.Messages) > e.dest.Batch || !c.Probe && len(c.Messages) == 0:
+	case t.Mode == Draining, c.OverCapacity && t.Mode != Unresponsive:
 		answer(Rejected, 0)
 		return nil
-	case t.Mode != Silent && !m.admit(e): // a silent one refuses nobody
-		answer(Refused, m.told(e, 0))
+	case len(c.Messages) > e.dest.MaxBatch || !c.HealthCheck && len(c.Messages) == 0:
+		answer(Unprocessable, 0)
+		return nil
+	case t.Mode != Unresponsive && !m.admit(e): // a silent one refuses nobody
+		answer(Rejected, m.told(e, 0))
 		return nil
-	case c.Probe && t.Mode != Silent && t.Mode != Paused: // answered beside the queue
+	case c.HealthCheck && t.Mode != Unresponsive && t.Mode != Paused: // answered beside the queue
 		answer(Delivered, 0)
 		return nil
-	case len(e.running) >= e.dest.Servers && len(e.queue) >= e.dest.Depth:
-		answer(Refused, m.told(e, 0))
+	case len(e.running) >= e.dest.Servers && len(e.queue) >= e.dest.QueueLength:
+		answer(Rejected, m.told(e, 0))
 		return nil
 	}
-	j := &job{Call: c, at: e, work: m.draw(e.dest, &c), silent: t.Mode == Silent}
+	j := &job{Call: c, at: e, work: m.draw(e.dest, &c), silent: t.Mode == Unresponsive}
 	switch t.Mode {
-	case Failing:
+	case ReturningErrors:
 		if m.rng.Float64() < t.Share {
 			j.fate, j.work = Errored, j.work/10 // they fail quickly
 		}
-	case Breaking:
+	case BreakingConnections:
 		if m.rng.Float64() < t.Share {
 			j.fate, j.early = Reset, m.rng.IntN(2) == 0
 		}
-	case Spoiling:
+	case GarblingAnswers:
 		if m.rng.Float64() < t.Share {
-			j.fate = Spoilt
+			j.fate = Garbled
 		}
 	}
 	m.calls[c.ID] = j
@@ -349,7 +349,7 @@
 // there is room again, unless others have taken it.
 func (m *Model) told(e *endpoint, until time.Duration) time.Duration {
 	d := e.dest
-	if m.rng.Float64() >= d.TellsWait {
+	if m.rng.Float64() >= d.RetryAfterShare {
 		return 0
 	}
 	switch {
@@ -358,16 +358,16 @@
 	case e.trouble.Mode == Shut:
 		return 0 // it does not know itself
 	case d.Limit.Form == Window:
-		return d.Limit.Span - m.now%d.Limit.Span
+		return d.Limit.Window - m.now%d.Limit.Window
 	case d.Limit.Form == Rate:
-		return max(d.Wait, time.Duration((1-e.route.tokens)/e.limit()*float64(time.Second)))
+		return max(d.RetryAfter, time.Duration((1-e.route.tokens)/e.limit()*float64(time.Second)))
 	}
-	return d.Wait
+	return d.RetryAfter
 }
 
 // limit is the calls a second that an endpoint's route takes now.
 func (e *endpoint) limit() float64 {
-	if e.trouble.Mode == Cut {
+	if e.trouble.Mode == LimitReduced {
 		return e.dest.Limit.PerSecond * e.trouble.Factor
 	}
 	return e.dest.Limit.PerSecond
@@ -384,20 +384,20 @@
 			r.tokens--
 			return true
 		}
-		if l.CountRefused { // what keeps coming keeps it exhausted
+		if l.CountRejected { // what keeps coming keeps it exhausted
 			r.tokens = max(r.tokens-1, -r.bucket())
 		}
 		return false
 	case Window:
-		if span := int64(m.now / l.Span); span != r.span {
+		if span := int64(m.now / l.Window); span != r.span {
 			r.span, r.count = span, 0
 		}
-		most := int(rate*l.Span.Seconds() + 1e-9)
+		most := int(rate*l.Window.Seconds() + 1e-9)
 		if r.count < max(1, most) {
 			r.count++
 			return true
 		}
-		if l.CountRefused {
+		if l.CountRejected {
 			r.count++
 		}
 		return false
@@ -408,22 +408,22 @@
 // push counts what reaches a cold route, refused or not, and pushes it over.
 func (m *Model) push(r *route, sender int) {
 	d := r.dest
-	if m.warmth(r) >= 1 || d.FallWindow <= 0 {
+	if m.warmth(r) >= 1 || d.OverloadWindow <= 0 {
 		r.pushes = r.pushes[:0]
 		return
 	}
 	r.pushes = append(r.pushes, push{m.now, sender})
-	for len(r.pushes) > 0 && m.now-r.pushes[0].at >= d.FallWindow {
+	for len(r.pushes) > 0 && m.now-r.pushes[0].at >= d.OverloadWindow {
 		r.pushes = r.pushes[1:]
 	}
 	const slack = 2 // calls; for chance
-	budget := d.FallMultiple*m.warmth(r)*r.rated()*d.FallWindow.Seconds() + slack
+	budget := d.OverloadFactor*m.warmth(r)*r.rated()*d.OverloadWindow.Seconds() + slack
 	if float64(len(r.pushes)) <= budget {
 		return
 	}
-	f := Fall{At: m.now, Dest: d.Dest, Since: r.backAt, Pushes: map[int]int{}}
+	f := Overload{At: m.now, Dest: d.Dest, RecoveredAt: r.backAt, CallsBySender: map[int]int{}}
 	for _, p := range r.pushes {
-		f.Pushes[p.sender]++
+		f.CallsBySender[p.sender]++
 	}
 	r.pushes = nil
 	for _, e := range d.all {
@@ -431,7 +431,7 @@
 			continue
 		}
 		m.settle(e)
-		e.trouble = Trouble{Mode: Fallen}
+		e.trouble = Fault{Mode: Overloaded}
 		m.resetAll(e)
 	}
 	if r.only != nil {
@@ -596,9 +596,9 @@
 	e, d := j.at, j.at.dest
 	for _, msg := range j.Messages {
 		dropped := false
-		if msg.Key != "" && d.KeyMemory > 0 {
+		if msg.Key != "" && d.KeyRetention > 0 {
 			k, known := d.keys[msg.Key]
-			known = known && m.now-k.at < d.KeyMemory
+			known = known && m.now-k.at < d.KeyRetention
 			switch d.KeyScope {
 			case SameZone:
 				known = known && k.zone == e.Zone
@@ -613,11 +613,11 @@
 	}
 	if m.now >= d.sweep {
 		for key, k := range d.keys {
-			if m.now-k.at >= d.KeyMemory {
+			if m.now-k.at >= d.KeyRetention {
 				delete(d.keys, key)
 			}
 		}
-		d.sweep = m.now + d.KeyMemory
+		d.sweep = m.now + d.KeyRetention
 	}
 }
 
@@ -635,8 +635,8 @@
 	return list
 }
 
-// Falls returns what was pushed over since it was last asked.
-func (m *Model) Falls() []Fall {
+// Overloads returns what was pushed over since it was last asked.
+func (m *Model) Overloads() []Overload {
 	list := m.falls
 	m.falls = nil
 	return list
--- a/internal/partner/model_test.go
+++ b/internal/partner/model_test.go
@@ -14,7 +14,7 @@
 // plain is a destination of one endpoint without a limit.
 func plain() Spec {
 	return Spec{
-		Dest: 7, Endpoints: []EndpointSpec{{ID: "a"}}, Mean: 100 * ms, Servers: 2, Depth: 2, Batch: 3, ColdFrom: 0.25, Cold: 10 * time.Second,
+		Dest: 7, Endpoints: []EndpointSpec{{ID: "a"}}, Mean: 100 * ms, Servers: 2, QueueLength: 2, MaxBatch: 3, ColdCapacity: 0.25, WarmUp: 10 * time.Second,
 	}
 }
 
@@ -65,7 +65,7 @@
 	for range 5 { // two served, two wait, one too many
 		call(t, m, 0, "a", 0)
 	}
-	if a := only(t, m); a.Kind != Refused || a.Wait != 0 {
+	if a := only(t, m); a.Kind != Rejected || a.RetryAfter != 0 {
 		t.Errorf("%+v", a)
 	}
 	m.Advance(time.Second)
@@ -102,14 +102,14 @@
 // told wait ends at that instant.
 func TestWindowEdge(t *testing.T) {
 	m := make1(t, func(s *Spec) {
-		s.Limit, s.TellsWait, s.Servers = Limit{Form: Window, PerSecond: 2, Span: time.Second}, 1, 10
+		s.Limit, s.RetryAfterShare, s.Servers = Limit{Form: Window, PerSecond: 2, Window: time.Second}, 1, 10
 	})
 	call(t, m, 0, "a", 0)
 	call(t, m, 0, "a", 0)
 	m.Advance(900 * ms)
 	m.Answers()
 	call(t, m, 999*ms, "a", 0)
-	if a := only(t, m); a.Kind != Refused || a.Wait != ms {
+	if a := only(t, m); a.Kind != Rejected || a.RetryAfter != ms {
 		t.Errorf("before the edge: %+v", a)
 	}
 	call(t, m, 1000*ms, "a", 0)
@@ -123,7 +123,7 @@
 func TestRefusedCount(t *testing.T) {
 	for _, counts := range []bool{false, true} {
 		m := make1(t, func(s *Spec) {
-			s.Limit, s.Servers, s.Depth = Limit{Form: Rate, PerSecond: 10, Burst: 200 * ms, CountRefused: counts}, 100, 100
+			s.Limit, s.Servers, s.QueueLength = Limit{Form: Rate, PerSecond: 10, Burst: 200 * ms, CountRejected: counts}, 100, 100
 		})
 		for i := range 100 { // twice the limit for 5 s
 			call(t, m, time.Duration(i)*50*ms, "a", 0)
@@ -144,24 +144,24 @@
 // A wait that a rate tells is honest: at its end there is room.
 func TestHonestWait(t *testing.T) {
 	m := make1(t, func(s *Spec) {
-		s.Limit, s.TellsWait, s.Servers, s.Depth = Limit{Form: Rate, PerSecond: 5}, 1, 100, 100
+		s.Limit, s.RetryAfterShare, s.Servers, s.QueueLength = Limit{Form: Rate, PerSecond: 5}, 1, 100, 100
 	})
 	call(t, m, 0, "a", 0)
 	call(t, m, 0, "a", 0)
 	a := only(t, m)
-	if a.Kind != Refused || a.Wait != 200*ms {
+	if a.Kind != Rejected || a.RetryAfter != 200*ms {
 		t.Fatalf("%+v", a)
 	}
-	call(t, m, a.Wait, "a", 0)
+	call(t, m, a.RetryAfter, "a", 0)
 	m.Advance(time.Second)
 	for _, a := range m.Answers() {
 		if a.Kind != Delivered {
 			t.Errorf("%+v", a)
 		}
 	}
-	m.Set(time.Second, "a", Trouble{Mode: Shut, Until: 4 * time.Second})
+	m.SetFault(time.Second, "a", Fault{Mode: Shut, Until: 4 * time.Second})
 	call(t, m, 2*time.Second, "a", 0)
-	if a := only(t, m); a.Kind != Refused || a.Wait != 2*time.Second {
+	if a := only(t, m); a.Kind != Rejected || a.RetryAfter != 2*time.Second {
 		t.Errorf("shut: %+v", a)
 	}
 }
@@ -179,7 +179,7 @@
 	} {
 		m := make1(t, func(s *Spec) {
 			s.Endpoints = []EndpointSpec{{"a", 0}, {"b", 0}, {"c", 1}}
-			s.KeyMemory, s.KeyScope = 12*time.Second, c.scope
+			s.KeyRetention, s.KeyScope = 12*time.Second, c.scope
 		})
 		call(t, m, 0, "a", 0, "k", "other")
 		call(t, m, c.after, c.to, 1, "k")
@@ -192,14 +192,14 @@
 }
 
 func TestConnections(t *testing.T) {
-	m := make1(t, func(s *Spec) { s.Conns, s.ConnCost = 2, 30*ms })
-	for i, want := range []Door{Opens, Opens, Crowds} {
+	m := make1(t, func(s *Spec) { s.MaxConnections, s.ConnCost = 2, 30*ms })
+	for i, want := range []ConnectionResult{ConnectionOpened, ConnectionOpened, ConnectionOverCapacity} {
 		if got := m.Connect(0, "a"); got != want {
 			t.Errorf("connection %d: %v, want %v", i, got, want)
 		}
 	}
 	m.Disconnect(0, "a")
-	if m.Connect(0, "a") != Opens {
+	if m.Connect(0, "a") != ConnectionOpened {
 		t.Error("a closed one still counts")
 	}
 	m.Call(0, Call{ID: 1 << 40, Endpoint: "a", Fresh: true, Messages: []Message{{ID: "x"}}})
@@ -208,8 +208,8 @@
 		t.Errorf("a new one costs nothing: %+v", a)
 	}
 	call(t, m, time.Second, "a", 0)
-	m.Set(1050*ms, "a", Trouble{Mode: Down})
-	if a := only(t, m); a.Kind != Reset || a.At != 1050*ms || m.Connect(1060*ms, "a") == Opens || len(m.Effects()) != 1 {
+	m.SetFault(1050*ms, "a", Fault{Mode: Down})
+	if a := only(t, m); a.Kind != Reset || a.At != 1050*ms || m.Connect(1060*ms, "a") == ConnectionOpened || len(m.Effects()) != 1 {
 		t.Errorf("down: %+v", a)
 	}
 }
@@ -217,20 +217,20 @@
 func TestTroubles(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		trouble Trouble
-		kind    Kind
+		trouble Fault
+		kind    AnswerKind
 		at      time.Duration
 		effects int
 	}{
-		{"well", Trouble{}, Delivered, 100 * ms, 1},
-		{"slow", Trouble{Mode: Slow, Factor: 2}, Delivered, 200 * ms, 1},
-		{"failing", Trouble{Mode: Failing, Share: 1}, Errored, 10 * ms, 0},
-		{"spoiling", Trouble{Mode: Spoiling, Share: 1}, Spoilt, 100 * ms, 1},
-		{"draining", Trouble{Mode: Draining}, Refused, 0, 0},
-		{"shut", Trouble{Mode: Shut}, Refused, 0, 0},
+		{"well", Fault{}, Delivered, 100 * ms, 1},
+		{"slow", Fault{Mode: Slow, Factor: 2}, Delivered, 200 * ms, 1},
+		{"failing", Fault{Mode: ReturningErrors, Share: 1}, Errored, 10 * ms, 0},
+		{"spoiling", Fault{Mode: GarblingAnswers, Share: 1}, Garbled, 100 * ms, 1},
+		{"draining", Fault{Mode: Draining}, Rejected, 0, 0},
+		{"shut", Fault{Mode: Shut}, Rejected, 0, 0},
 	} {
 		m := make1(t, nil)
-		m.Set(0, "a", c.trouble)
+		m.SetFault(0, "a", c.trouble)
 		call(t, m, 0, "a", 0)
 		m.Advance(time.Second)
 		if a := only(t, m); a.Kind != c.kind || a.At != c.at || len(m.Effects()) != c.effects {
@@ -238,7 +238,7 @@
 		}
 	}
 	m := make1(t, nil)
-	m.Set(0, "a", Trouble{Mode: Silent})
+	m.SetFault(0, "a", Fault{Mode: Unresponsive})
 	call(t, m, 0, "a", 0)
 	m.Advance(time.Minute)
 	if len(m.Answers()) != 0 || len(m.Effects()) != 1 {
@@ -246,15 +246,15 @@
 	}
 	m = make1(t, nil)
 	call(t, m, 0, "a", 0)
-	m.Set(50*ms, "a", Trouble{Mode: Paused})
-	m.Set(5*time.Second, "a", Trouble{})
+	m.SetFault(50*ms, "a", Fault{Mode: Paused})
+	m.SetFault(5*time.Second, "a", Fault{})
 	m.Advance(10 * time.Second)
 	if a := only(t, m); a.At != 5050*ms {
 		t.Errorf("paused: %+v", a)
 	}
 	early, late := 0, 0
 	m = make1(t, func(s *Spec) { s.Servers = 1000 })
-	m.Set(0, "a", Trouble{Mode: Breaking, Share: 1})
+	m.SetFault(0, "a", Fault{Mode: BreakingConnections, Share: 1})
 	for range 200 {
 		call(t, m, 0, "a", 0)
 	}
@@ -270,12 +270,12 @@
 // fall says by whom, also where one of the senders never saw the outage.
 func TestColdReturn(t *testing.T) {
 	cold := func(s *Spec) {
-		s.Servers, s.Depth = 2, 1000 // 20 calls a second
-		s.FallMultiple, s.FallWindow = 2, 2*time.Second
+		s.Servers, s.QueueLength = 2, 1000 // 20 calls a second
+		s.OverloadFactor, s.OverloadWindow = 2, 2*time.Second
 	}
 	m := make1(t, cold)
-	m.Set(0, "a", Trouble{Mode: Down})
-	m.Set(10*time.Second, "a", Trouble{})
+	m.SetFault(0, "a", Fault{Mode: Down})
+	m.SetFault(10*time.Second, "a", Fault{})
 	call(t, m, 10*time.Second, "a", 0)
 	m.Advance(11 * time.Second)
 	if a := only(t, m); a.At < 10*time.Second+350*ms || a.At > 10*time.Second+400*ms { // a quarter of its speed, rising
@@ -293,16 +293,16 @@
 		falls     bool
 	}{{4, false}, {12, true}} {
 		m := make1(t, cold)
-		m.Set(0, "a", Trouble{Mode: Shut})
-		m.Set(time.Second, "a", Trouble{})
+		m.SetFault(0, "a", Fault{Mode: Shut})
+		m.SetFault(time.Second, "a", Fault{})
 		for i := range 2 * c.perSecond * 3 {
 			call(t, m, time.Second+time.Duration(i)*time.Second/time.Duration(2*c.perSecond), "a", i%2)
 		}
-		falls := m.Falls()
+		falls := m.Overloads()
 		if (len(falls) == 1) != c.falls {
 			t.Fatalf("%d a second: %+v", c.perSecond, falls)
 		}
-		if c.falls && (falls[0].Since != time.Second || falls[0].Pushes[0] < 8 || falls[0].Pushes[1] < 8 || m.Connect(10*time.Second, "a") != Refuses) {
+		if c.falls && (falls[0].RecoveredAt != time.Second || falls[0].CallsBySender[0] < 8 || falls[0].CallsBySender[1] < 8 || m.Connect(10*time.Second, "a") != ConnectionRefused) {
 			t.Errorf("%+v", falls[0])
 		}
 	}
@@ -311,15 +311,15 @@
 // A destination of which an endpoint went on serving is not cold.
 func TestPartOutage(t *testing.T) {
 	m := make1(t, func(s *Spec) { s.Endpoints = []EndpointSpec{{"a", 0}, {"b", 1}} })
-	m.Set(0, "a", Trouble{Mode: Down})
-	m.Set(time.Second, "a", Trouble{})
+	m.SetFault(0, "a", Fault{Mode: Down})
+	m.SetFault(time.Second, "a", Fault{})
 	if m.Capacity("a") != 1 {
 		t.Errorf("%.2f after a part of it was down", m.Capacity("a"))
 	}
-	m.Set(2*time.Second, "a", Trouble{Mode: Down})
-	m.Set(2*time.Second, "b", Trouble{Mode: Down})
-	m.Set(3*time.Second, "a", Trouble{})
-	m.Set(4*time.Second, "b", Trouble{})
+	m.SetFault(2*time.Second, "a", Fault{Mode: Down})
+	m.SetFault(2*time.Second, "b", Fault{Mode: Down})
+	m.SetFault(3*time.Second, "a", Fault{})
+	m.SetFault(4*time.Second, "b", Fault{})
 	if c := m.Capacity("a"); c < 0.3 || c > 0.35 {
 		t.Errorf("%.2f a second after all of it was down", c)
 	}
@@ -344,20 +344,20 @@
 // Routes apart have limits, outages and returns of their own.
 func TestApart(t *testing.T) {
 	m := make1(t, func(s *Spec) {
-		s.Endpoints, s.Apart = []EndpointSpec{{"a", 0}, {"b", 1}}, true
-		s.Limit, s.Servers, s.Depth = Limit{Form: Rate, PerSecond: 1}, 10, 10
+		s.Endpoints, s.SeparateRoutes = []EndpointSpec{{"a", 0}, {"b", 1}}, true
+		s.Limit, s.Servers, s.QueueLength = Limit{Form: Rate, PerSecond: 1}, 10, 10
 	})
 	for _, id := range []string{"a", "b", "a", "b"} {
 		call(t, m, 0, id, 0)
 	}
 	m.Advance(time.Second)
-	kinds := map[Kind]int{}
+	kinds := map[AnswerKind]int{}
 	for _, a := range m.Answers() {
 		kinds[a.Kind]++
 	}
-	m.Set(time.Second, "a", Trouble{Mode: Down})
-	m.Set(2*time.Second, "a", Trouble{})
-	if kinds[Delivered] != 2 || kinds[Refused] != 2 || m.Capacity("a") > 0.3 || m.Capacity("b") != 1 {
+	m.SetFault(time.Second, "a", Fault{Mode: Down})
+	m.SetFault(2*time.Second, "a", Fault{})
+	if kinds[Delivered] != 2 || kinds[Rejected] != 2 || m.Capacity("a") > 0.3 || m.Capacity("b") != 1 {
 		t.Errorf("%v, capacities %.2f %.2f", kinds, m.Capacity("a"), m.Capacity("b"))
 	}
 }
@@ -373,9 +373,9 @@
 			m := New(3)
 			s := plain()
 			s.Endpoints = []EndpointSpec{{"a", 0}, {"b", 0}, {"c", 1}}
-			s.CV, s.KeyMemory, s.TellsWait, s.StopsOnCancel = 0.5, 5*time.Second, 0.5, 0.3
-			s.Limit = Limit{Form: Window, PerSecond: 8, Span: time.Second, CountRefused: true}
-			s.FallMultiple, s.FallWindow = 2, 2*time.Second
+			s.CV, s.KeyRetention, s.RetryAfterShare, s.StopsOnCancel = 0.5, 5*time.Second, 0.5, 0.3
+			s.Limit = Limit{Form: Window, PerSecond: 8, Window: time.Second, CountRejected: true}
+			s.OverloadFactor, s.OverloadWindow = 2, 2*time.Second
 			if err := m.Add(s); err != nil {
 				t.Fatal(err)
 			}
@@ -389,7 +389,7 @@
 				case 3:
 					m.Cancel(now, uint64(x[3]+1), id)
 				case 4:
-					m.Set(now, id, Trouble{Mode: Mode(x[3] % int(Fallen)), Share: 0.7, Factor: 2})
+					m.SetFault(now, id, Fault{Mode: Mode(x[3] % int(Overloaded)), Share: 0.7, Factor: 2})
 				case 5:
 					if m.Connect(now, id); x[3] == 0 {
 						m.Disconnect(now, id)
@@ -397,7 +397,7 @@
 				}
 			}
 			for _, id := range []string{"a", "b", "c"} {
-				m.Set(now, id, Trouble{})
+				m.SetFault(now, id, Fault{})
 			}
 			m.Advance(now + time.Hour)
 			if len(m.calls) > 0 {
@@ -426,7 +426,7 @@
 }
 
 func BenchmarkCall(b *testing.B) {
-	m := make1(b, func(s *Spec) { s.Servers, s.Depth, s.CV = 50, 100, 0.5 })
+	m := make1(b, func(s *Spec) { s.Servers, s.QueueLength, s.CV = 50, 100, 0.5 })
 	b.ReportAllocs()
 	msg := []Message{{ID: "x"}}
 	n := uint64(0)
--- a/internal/partner/spec.go
+++ b/internal/partner/spec.go
@@ -25,10 +25,10 @@
 type Limit struct {
 	Form      LimitForm
 	PerSecond float64       // calls
-	Span      time.Duration // Window: the span; spans follow one another from time 0 on
+	Window    time.Duration // Window: the span; spans follow one another from time 0 on
 	Burst     time.Duration // Rate: depth of the bucket, in time
-	// CountRefused: calls refused use it up, too.
-	CountRefused bool
+	// CountRejected: calls refused use it up, too.
+	CountRejected bool
 }
 
 // Scope says where a repeat with a known key is dropped.
@@ -43,34 +43,34 @@
 
 // Spec describes one destination.
 type Spec struct {
-	Dest      int
-	Kind      string
-	Endpoints []EndpointSpec
-	Apart     bool // endpoints are routes apart: own limit, waits, outages
-	Limit     Limit
-	// TellsWait is the part of the refusals that tell how long to wait: to the end of
+	Dest           int
+	Kind           string
+	Endpoints      []EndpointSpec
+	SeparateRoutes bool // endpoints are routes apart: own limit, waits, outages
+	Limit          Limit
+	// RetryAfterShare is the part of the refusals that tell how long to wait: to the end of
 	// the span or of the closure where these are known, else Wait.
-	TellsWait float64
-	Wait      time.Duration
-
-	Mean     time.Duration // of the service time of a call with one message
-	CV       float64       // its coefficient of variation; 0 = always the mean
-	ItemCost float64       // what each further message of a call adds, as a part of the mean
-	Servers  int           // calls that an endpoint serves at once
-	Depth    int           // calls that wait behind them
-	Batch    int           // messages in a call at most
-	Conns    int           // connections an endpoint holds, idle ones counted; 0 = any number
-	ConnCost time.Duration // added to the first call on a connection
-
-	KeyMemory time.Duration // a repeat with a key is dropped for so long; 0 = never
-	KeyScope  Scope
+	RetryAfterShare float64
+	RetryAfter      time.Duration
+
+	Mean           time.Duration // of the service time of a call with one message
+	CV             float64       // its coefficient of variation; 0 = always the mean
+	ItemCost       float64       // what each further message of a call adds, as a part of the mean
+	Servers        int           // calls that an endpoint serves at once
+	QueueLength    int           // calls that wait behind them
+	MaxBatch       int           // messages in a call at most
+	MaxConnections int           // connections an endpoint holds, idle ones counted; 0 = any number
+	ConnCost       time.Duration // added to the first call on a connection
+
+	KeyRetention time.Duration // a repeat with a key is dropped for so long; 0 = never
+	KeyScope     Scope
 	// StopsOnCancel is the part of the cancelled calls whose work ends with that.
 	StopsOnCancel float64
 
-	ColdFrom     float64       // share of its capacity as it returns
-	Cold         time.Duration // time by which it has all of it
-	FallMultiple float64       // times its present capacity that push it over...
-	FallWindow   time.Duration // ...when they come for so long; 0 = it never falls
+	ColdCapacity   float64       // share of its capacity as it returns
+	WarmUp         time.Duration // time by which it has all of it
+	OverloadFactor float64       // times its present capacity that push it over...
+	OverloadWindow time.Duration // ...when they come for so long; 0 = it never falls
 }
 
 // EndpointSpec is one endpoint of a destination.
@@ -96,17 +96,17 @@
 		return bad("no endpoints")
 	case s.Limit.Form != NoLimit && s.Limit.PerSecond <= 0:
 		return bad("a limit of %g a second", s.Limit.PerSecond)
-	case s.Limit.Form == Window && s.Limit.Span <= 0:
+	case s.Limit.Form == Window && s.Limit.Window <= 0:
 		return bad("a window without a span")
-	case s.TellsWait < 0 || s.TellsWait > 1 || s.StopsOnCancel < 0 || s.StopsOnCancel > 1:
+	case s.RetryAfterShare < 0 || s.RetryAfterShare > 1 || s.StopsOnCancel < 0 || s.StopsOnCancel > 1:
 		return bad("a share outside 0 to 1")
 	case s.Mean <= 0 || s.CV < 0 || s.ItemCost < 0:
 		return bad("service time")
-	case s.Servers < 1 || s.Depth < 0 || s.Batch < 1 || s.Conns < 0:
+	case s.Servers < 1 || s.QueueLength < 0 || s.MaxBatch < 1 || s.MaxConnections < 0:
 		return bad("servers, depth, batch or connections out of range")
-	case s.ColdFrom <= 0 || s.ColdFrom > 1:
+	case s.ColdCapacity <= 0 || s.ColdCapacity > 1:
 		return bad("cold-from: more than 0, 1 at most")
-	case s.FallWindow > 0 && s.FallMultiple <= 1:
+	case s.OverloadWindow > 0 && s.OverloadFactor <= 1:
 		return bad("it would fall over at its capacity")
 	}
 	return nil
@@ -117,22 +117,22 @@
 
 // The modes.
 const (
-	Well     Mode = iota
-	Down          // connections are refused, and those that stood are reset
-	Shut          // every call is refused
-	Silent        // calls are taken in and never answered; their work may be done
-	Failing       // a share of the calls is answered with an error
-	Slow          // calls take longer
-	Paused        // a stop of the world: all goes on after it
-	Draining      // finishes what it has and refuses new work
-	Breaking      // a share of the calls breaks in the middle, after their effect or before
-	Spoiling      // a share of the answers can't be read
-	Fallen        // pushed over: down until it is set otherwise
-	Cut           // its limit is a part of the usual
+	Healthy             Mode = iota
+	Down                     // connections are refused, and those that stood are reset
+	Shut                     // every call is refused
+	Unresponsive             // calls are taken in and never answered; their work may be done
+	ReturningErrors          // a share of the calls is answered with an error
+	Slow                     // calls take longer
+	Paused                   // a stop of the world: all goes on after it
+	Draining                 // finishes what it has and refuses new work
+	BreakingConnections      // a share of the calls breaks in the middle, after their effect or before
+	GarblingAnswers          // a share of the answers can't be read
+	Overloaded               // pushed over: down until it is set otherwise
+	LimitReduced             // its limit is a part of the usual
 )
 
-// Trouble is a mode with its size.
-type Trouble struct {
+// Fault is a mode with its size.
+type Fault struct {
 	Mode   Mode
 	Share  float64       // Failing, Breaking, Spoiling: of the calls
 	Factor float64       // Slow: times the service time. Cut: times the limit
@@ -140,11 +140,11 @@
 }
 
 // Outage tells whether an endpoint returns cold from it.
-func (t Trouble) Outage() bool {
+func (t Fault) Outage() bool {
 	switch t.Mode {
-	case Down, Shut, Silent, Fallen:
+	case Down, Shut, Unresponsive, Overloaded:
 		return true
-	case Failing:
+	case ReturningErrors:
 		return t.Share > 0.5
 	}
 	return false
@@ -159,48 +159,48 @@
 
 // Call is one call that has come in whole.
 type Call struct {
-	ID       uint64
-	Sender   int
-	Endpoint string
-	Fresh    bool // the first on its connection
-	Crowded  bool // on a connection that is one too many
-	Probe    bool // without messages
-	Messages []Message
+	ID           uint64
+	Sender       int
+	Endpoint     string
+	Fresh        bool // the first on its connection
+	OverCapacity bool // on a connection that is one too many
+	HealthCheck  bool // without messages
+	Messages     []Message
 }
 
-// Door is how a connection is received.
-type Door uint8
+// ConnectionResult is how a connection is received.
+type ConnectionResult uint8
 
 // The receptions.
 const (
-	Opens   Door = iota
-	Refuses      // nobody listens
-	Crowds       // it comes up, and what is sent on it is turned away
+	ConnectionOpened       ConnectionResult = iota
+	ConnectionRefused                       // nobody listens
+	ConnectionOverCapacity                  // it comes up, and what is sent on it is turned away
 )
 
-// Kind says how a call is answered.
-type Kind uint8
+// AnswerKind says how a call is answered.
+type AnswerKind uint8
 
 // The kinds of answer.
 const (
-	Delivered Kind = iota
+	Delivered AnswerKind = iota
 	Errored
-	Refused
-	Reset  // the connection breaks
-	Spoilt // an answer that can't be read
 	Rejected
+	Reset   // the connection breaks
+	Garbled // an answer that can't be read
+	Unprocessable
 )
 
-func (k Kind) String() string {
+func (k AnswerKind) String() string {
 	return [...]string{"delivered", "error", "refused", "reset", "spoilt", "rejected"}[k]
 }
 
 // Answer ends a call. A call that gets none was taken in by a silent endpoint.
 type Answer struct {
-	Call uint64
-	At   time.Duration
-	Kind Kind
-	Wait time.Duration // told with a refusal; 0 = none
+	Call       uint64
+	At         time.Duration
+	Kind       AnswerKind
+	RetryAfter time.Duration // told with a refusal; 0 = none
 }
 
 // Effect is a message that took effect, or was dropped as a repeat.
@@ -214,13 +214,13 @@
 	Late     bool // after the call was cancelled
 }
 
-// Fall is a destination, or route, that was pushed over.
-type Fall struct {
-	At       time.Duration
-	Dest     int
-	Endpoint string        // of a route apart; else empty
-	Since    time.Duration // its return
-	Pushes   map[int]int   // calls in the window, by sender
+// Overload is a destination, or route, that was pushed over.
+type Overload struct {
+	At            time.Duration
+	Dest          int
+	Endpoint      string        // of a route apart; else empty
+	RecoveredAt   time.Duration // its return
+	CallsBySender map[int]int   // calls in the window, by sender
 }
 
 // ErrUnknown tells of an endpoint that the model does not have.
--- a/internal/protocol/copies_test.go
+++ b/internal/protocol/copies_test.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewSender(l, time.Minute, 8, quiet)
+	s := NewTransport(l, time.Minute, 8, quiet)
 	l.Connect(s, nowhere{}, nowhere{})
 	for i, id := range []string{"repeatable", "unrepeatable"} {
 		m := &state.Message{ID: id, Class: i, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("b")}
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -63,15 +63,15 @@
 
 func (e *unreadError) Unwrap() error { return e.cause }
 
-// DiscoverySetup is what a client of discovery is built from.
-type DiscoverySetup struct {
+// DiscoveryConfig is what a client of discovery is built from.
+type DiscoveryConfig struct {
 	Addr  string
 	Names Names
-	// MustAsk bounds how long a watch waits; 0 = it does not.
-	MustAsk time.Duration
-	// Rest is left, on average, between news and the next question. A change is told to all senders at one instant, and
+	// MaxPollInterval bounds how long a watch waits; 0 = it does not.
+	MaxPollInterval time.Duration
+	// PollSpread is left, on average, between news and the next question. A change is told to all senders at one instant, and
 	// where these are many, their next questions would come together and keep discovery from all else.
-	Rest time.Duration
+	PollSpread time.Duration
 	// DrainGrace is the time within which a drain that was told must be heeded; 0 = not told by the settings.
 	DrainGrace time.Duration
 	Log        *slog.Logger
@@ -79,8 +79,8 @@
 
 // Discovery asks for the target group, on one goroutine.
 type Discovery struct {
-	DiscoverySetup
-	post  Poster
+	DiscoveryConfig
+	post  EventPoster
 	wait  time.Duration // that a watch is asked to wait
 	wants chan want
 
@@ -115,12 +115,12 @@
 }
 
 // NewDiscovery returns a client of discovery.
-func NewDiscovery(post Poster, s DiscoverySetup) *Discovery {
+func NewDiscovery(post EventPoster, s DiscoveryConfig) *Discovery {
 	wait := watchMost
-	if s.MustAsk > 0 {
-		wait = min(wait, s.MustAsk)
+	if s.MaxPollInterval > 0 {
+		wait = min(wait, s.MaxPollInterval)
 	}
-	return &Discovery{DiscoverySetup: s, post: post, addr: s.Addr, wait: wait, wants: make(chan want, 16)}
+	return &Discovery{DiscoveryConfig: s, post: post, addr: s.Addr, wait: wait, wants: make(chan want, 16)}
 }
 
 // Watch begins or ends a watch on what is newer than a version.
@@ -137,9 +137,9 @@
 	}
 }
 
-// Move turns to another address, where the whole list is asked for first, again and again if need be: what it has to tell
+// SetAddress turns to another address, where the whole list is asked for first, again and again if need be: what it has to tell
 // counts as told 4 s later. What is under way at the old one is called off, as it may stay silent for good.
-func (d *Discovery) Move(addr string) {
+func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	d.addr = addr
 	if d.callOff != nil {
@@ -217,7 +217,7 @@
 		d.Log.Info("discovery told changes", "version", news.Version, "since", now.since, "targets", len(news.Targets), "asked", time.Since(asked).Round(time.Millisecond))
 	}
 	now.answered(news.Version)
-	rests := d.Rest > 0 && len(news.Targets) > 0
+	rests := d.PollSpread > 0 && len(news.Targets) > 0
 	if rests && d.DrainGrace > 0 {
 		now.uncertain = time.Now()
 		news.PollPaused = true
@@ -234,9 +234,9 @@
 // restAfterNews is how long a large fleet's sender waits between news and its next question.
 func (d *Discovery) restAfterNews() time.Duration {
 	if d.DrainGrace <= 0 {
-		return d.Rest*9/10 + rand.N(d.Rest/5)
+		return d.PollSpread*9/10 + rand.N(d.PollSpread/5)
 	}
-	return rand.N(min(d.Rest, time.Duration(restPart*float64(d.DrainGrace))))
+	return rand.N(min(d.PollSpread, time.Duration(restPart*float64(d.DrainGrace))))
 }
 
 // missed deals with a question that got no answer that can be used: it is asked again here, or is over.
@@ -248,13 +248,13 @@
 		d.post.Post(state.ListUnreadable{At: unread.began, Leaving: leavingOf(unread.body, d.Names)})
 		now.uncertain = unread.began
 		d.retry(ctx, now, err)
-	case !now.uncertain.IsZero() && time.Since(now.uncertain) < state.UncertaintyTimeout(d.MustAsk):
+	case !now.uncertain.IsZero() && time.Since(now.uncertain) < state.UncertaintyTimeout(d.MaxPollInterval):
 		d.Log.Info("discovery: no answer while the list is uncertain, asked again", "err", err, "asks", now.retries)
 		if !now.whole() {
 			d.post.Post(state.PollFailed{Since: now.uncertain})
 		}
 		d.retry(ctx, now, err)
-	case now.watch && !now.missed && (errors.Is(err, errSilent) || errors.Is(err, errEnded) && d.Rest == 0):
+	case now.watch && !now.missed && (errors.Is(err, errSilent) || errors.Is(err, errEnded) && d.PollSpread == 0):
 		d.Log.Info("discovery: the watch fell silent or ended and is opened anew", "err", err)
 		now.missed = true
 	default:
@@ -270,11 +270,11 @@
 	first, most := retryFirst, retryMost
 	var unread *unreadError
 	switch {
-	case d.Rest == 0 || localFailure(err):
+	case d.PollSpread == 0 || localFailure(err):
 	case errors.As(err, &unread) || now.whole():
 		first, most = max(first, time.Duration(retryFleet*float64(d.DrainGrace))), retryFleetMost
 	default: // it may be behind with the questions of all
-		first, most = max(first, d.Rest/retryBehind), retryFleetMost
+		first, most = max(first, d.PollSpread/retryBehind), retryFleetMost
 	}
 	wait := min(first<<min(now.retries, 10), most)
 	now.missed = true
--- a/internal/protocol/ends_test.go
+++ b/internal/protocol/ends_test.go
@@ -167,7 +167,7 @@
 		p.verdict = c.verdict
 		l, conn := stage(t, &staged{}, p)
 		if c.leave {
-			l.Leave()
+			l.DisableKeepAlive()
 		}
 		sent := make(chan struct{})
 		go func() { defer close(sent); io.WriteString(conn, c.send) }()
@@ -205,7 +205,7 @@
 		t.Fatal(err)
 	}
 	s := stalled{in: make(chan struct{}), on: make(chan struct{})}
-	loop.Connect(NewSender(loop, time.Minute, 8, quiet), s, s)
+	loop.Connect(NewTransport(loop, time.Minute, 8, quiet), s, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); loop.Run(ctx) }()
@@ -260,7 +260,7 @@
 		t.Error("the connection was not read out any more when Close came back")
 	}
 	conn.Close()
-	l.Finish(time.Now().Add(10 * time.Second))
+	l.Wait(time.Now().Add(10 * time.Second))
 	if len(l.linger) != 0 {
 		t.Error("Finish came back before the end of the read-out")
 	}
@@ -307,7 +307,7 @@
 
 // An end that is asked for while a verdict is awaited is told with the answer, which is the last of its connection.
 func TestEndWhileVerdictIsAwaited(t *testing.T) {
-	for name, end := range map[string]func(*Listener){"leaves": (*Listener).Leave, "drained": (*Listener).Drain} {
+	for name, end := range map[string]func(*Listener){"leaves": (*Listener).DisableKeepAlive, "drained": (*Listener).Drain} {
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/protocol/late_test.go
+++ b/internal/protocol/late_test.go
@@ -20,19 +20,19 @@
 	for _, c := range []struct {
 		name   string
 		brief  []int // the forwards whose deadline comes while the connection is not up
-		during func(s *Sender, call *state.Call)
+		during func(s *Transport, call *state.Call)
 		sent   string // path and messages that arrive; empty = none
 		ends   []control.Result
 	}{
 		{"in time", nil, nil, "/receive-many a b c", []control.Result{control.Served, control.Served, control.Served}},
 		{"one is over", []int{1}, nil, "/receive-many a c", []control.Result{control.Served, control.ConnectFailed, control.Served}},
 		{"all but one are over", []int{0, 1}, nil, "/receive c", []control.Result{control.ConnectFailed, control.ConnectFailed, control.Served}},
-		{"withheld", []int{1}, (*Sender).CancelUnsent, "", []control.Result{control.NotSent, control.ConnectFailed, control.NotSent}},
-		{"called off", nil, (*Sender).Cancel, "", []control.Result{control.ConnectFailed, control.ConnectFailed, control.ConnectFailed}},
+		{"withheld", []int{1}, (*Transport).CancelUnsent, "", []control.Result{control.NotSent, control.ConnectFailed, control.NotSent}},
+		{"called off", nil, (*Transport).Cancel, "", []control.Result{control.ConnectFailed, control.ConnectFailed, control.ConnectFailed}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPosts()
-			s := NewSender(p, time.Minute, 8, quiet)
+			s := NewTransport(p, time.Minute, 8, quiet)
 			got := make(chan string, 1)
 			addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
 				ids := r.Header.Get("X-Request-Id")
@@ -107,13 +107,13 @@
 // A connection that comes up once all of a call has ended carries nothing, and serves the next call.
 func TestConnectionForNobody(t *testing.T) {
 	p := newPosts()
-	s := NewSender(p, time.Minute, 8, quiet)
+	s := NewTransport(p, time.Minute, 8, quiet)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		t.Errorf("%s was sent", r.Header.Get("X-Request-Id"))
 		return socktest.Status(200)
 	})
 	call := callTo(addr, 0, "a") // over from the start, as those of a call to which others belonged
-	f := &flight{Sender: s, call: call, ended: make([]bool, 1), forwards: call.Attempts}
+	f := &flight{Transport: s, call: call, ended: make([]bool, 1), forwards: call.Attempts}
 	f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 	defer f.cancel()
 	up, flown := make(chan struct{}), make(chan struct{})
@@ -135,7 +135,7 @@
 // A call whose bytes can't all be written before a forward of it is over has not run, and ends whole.
 func TestWriteThatStalls(t *testing.T) {
 	p := newPosts()
-	s := NewSender(p, time.Minute, 8, quiet)
+	s := NewTransport(p, time.Minute, 8, quiet)
 	ours, theirs := net.Pipe() // takes no byte that is not read
 	defer theirs.Close()
 	s.dial = func(context.Context, string) (*link, error) { return newLink(ours), nil }
@@ -166,7 +166,7 @@
 		{"nothing", "", state.AttemptResult{Result: control.ConnectFailed}},
 	} {
 		p := newPosts()
-		s := NewSender(p, time.Minute, 8, quiet)
+		s := NewTransport(p, time.Minute, 8, quiet)
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -217,7 +217,7 @@
 	} {
 		for n := range len(c.answer) + 1 {
 			p := newPosts()
-			s := NewSender(p, time.Minute, 8, quiet)
+			s := NewTransport(p, time.Minute, 8, quiet)
 			sock, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -34,15 +34,15 @@
 	acceptPauseMost = 100 * time.Millisecond // ...this
 )
 
-// Intake takes what the listener reads; the loop is one.
-type Intake interface {
-	Poster
+// EventQueue takes what the listener reads; the loop is one.
+type EventQueue interface {
+	EventPoster
 	PostBefore(event state.Event, limit time.Time) bool
 }
 
 // Listener is the clients' side.
 type Listener struct {
-	to      Intake
+	to      EventQueue
 	terms   atomic.Pointer[terms]
 	log     *slog.Logger
 	sock    net.Listener
@@ -55,8 +55,8 @@
 	wg      sync.WaitGroup            // of connections that are served
 	out     sync.WaitGroup            // and of those that are read out
 
-	keep   int     // so many connections are kept after a request
-	claims Claimer // nil: keys have no owner besides the table
+	keep   int        // so many connections are kept after a request
+	claims KeyClaimer // nil: keys have no owner besides the table
 	counts *Counters
 
 	mu     sync.Mutex
@@ -70,20 +70,20 @@
 	classes []control.Class
 }
 
-// Rename has requests read by other words from now on.
-func (l *Listener) Rename(n Names, classes []control.Class) { l.terms.Store(&terms{n, classes}) }
+// SetNames has requests read by other words from now on.
+func (l *Listener) SetNames(n Names, classes []control.Class) { l.terms.Store(&terms{n, classes}) }
 
-// Claimer is asked before a message with a key is taken on: one of that key may be
+// KeyClaimer is asked before a message with a key is taken on: one of that key may be
 // kept for later. False: it is on its way, and the client should come again.
-type Claimer interface {
+type KeyClaimer interface {
 	Claim(class int, key string, by time.Time) bool
 }
 
-// Ask names the claimer; before Serve.
-func (l *Listener) Ask(c Claimer) { l.claims = c }
+// SetKeyClaimer names the claimer; before Serve.
+func (l *Listener) SetKeyClaimer(c KeyClaimer) { l.claims = c }
 
-// Count has what it does added to counters from now on; before Serve.
-func (l *Listener) Count(c *Counters) { l.counts = c }
+// SetCounters has what it does added to counters from now on; before Serve.
+func (l *Listener) SetCounters(c *Counters) { l.counts = c }
 
 // A client is one client's connection.
 type client struct {
@@ -104,7 +104,7 @@
 // Listen opens the listening socket, for so many connections at most. Of those
 // that had a request so many are kept for the next one: some clients ask once and
 // hold on to their connection for good, and clients may not hold that many.
-func Listen(addr string, to Intake, n Names, classes []control.Class, most, keep int, log *slog.Logger) (*Listener, error) {
+func Listen(addr string, to EventQueue, n Names, classes []control.Class, most, keep int, log *slog.Logger) (*Listener, error) {
 	sock, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -113,18 +113,18 @@
 }
 
 // ListenOn is Listen on a socket that another process has opened.
-func ListenOn(sock net.Listener, to Intake, n Names, classes []control.Class, most, keep int, log *slog.Logger) *Listener {
+func ListenOn(sock net.Listener, to EventQueue, n Names, classes []control.Class, most, keep int, log *slog.Logger) *Listener {
 	l := &Listener{
 		to: to, log: log, sock: sock,
-		places: make(chan struct{}, most), linger: make(chan struct{}, Lingering(most)), keep: keep, open: map[*client]struct{}{}, counts: &Counters{},
+		places: make(chan struct{}, most), linger: make(chan struct{}, MaxLingering(most)), keep: keep, open: map[*client]struct{}{}, counts: &Counters{},
 	}
-	l.Rename(n, classes)
+	l.SetNames(n, classes)
 	l.wg.Add(1) // for Serve
 	return l
 }
 
-// Lingering is how many connections may be read out before they are closed, beside so many that are served.
-func Lingering(served int) int { return max(lingerBase, served/lingerPart) }
+// MaxLingering is how many connections may be read out before they are closed, beside so many that are served.
+func MaxLingering(served int) int { return max(lingerBase, served/lingerPart) }
 
 // File is the listening socket for another process: connections that wait in its queue outlast Close.
 func (l *Listener) File() (*os.File, error) {
@@ -219,9 +219,9 @@
 	return l.served > l.keep
 }
 
-// Leave ends each connection with its next answer. Clients that are told so
+// DisableKeepAlive ends each connection with its next answer. Clients that are told so
 // send nothing more on it, while a plain close could cross a request.
-func (l *Listener) Leave() { l.leaving.Store(true) }
+func (l *Listener) DisableKeepAlive() { l.leaving.Store(true) }
 
 // Drain sends clients away: health says no, connections end with their next answer, idle ones at once,
 // and after a while messages get a fixed response. What was taken on is not touched.
@@ -260,9 +260,9 @@
 	until(deadline, &l.wg)
 }
 
-// Finish waits after Close until all connections are closed, or the deadline: the end of the process would reset those
+// Wait waits after Close until all connections are closed, or the deadline: the end of the process would reset those
 // that are still read out.
-func (l *Listener) Finish(deadline time.Time) { until(deadline, &l.out) }
+func (l *Listener) Wait(deadline time.Time) { until(deadline, &l.out) }
 
 // until waits for a group until a deadline.
 func until(deadline time.Time, wg *sync.WaitGroup) {
--- a/internal/protocol/notices.go
+++ b/internal/protocol/notices.go
@@ -22,10 +22,10 @@
 	pauseMost  = 40 * time.Millisecond // ...this: a notice is late 300 ms after its time
 )
 
-// Notices tells the platform of the ends of messages, in order, each until it
+// Reporter tells the platform of the ends of messages, in order, each until it
 // is acknowledged. The table of messages bounds how many wait.
-type Notices struct {
-	post Poster
+type Reporter struct {
+	post EventPoster
 	log  *slog.Logger
 	more chan struct{}
 
@@ -34,13 +34,13 @@
 	wait []state.DeliveryReport
 }
 
-// NewNotices returns the platform's notifier.
-func NewNotices(post Poster, addr string, log *slog.Logger) *Notices {
-	return &Notices{post: post, addr: addr, log: log, more: make(chan struct{}, 1)}
+// NewReporter returns the platform's notifier.
+func NewReporter(post EventPoster, addr string, log *slog.Logger) *Reporter {
+	return &Reporter{post: post, addr: addr, log: log, more: make(chan struct{}, 1)}
 }
 
 // Report queues a notice.
-func (n *Notices) Report(notice state.DeliveryReport) {
+func (n *Reporter) Report(notice state.DeliveryReport) {
 	n.mu.Lock()
 	n.wait = append(n.wait, notice)
 	n.mu.Unlock()
@@ -50,22 +50,22 @@
 	}
 }
 
-// Move sends notices to another address from now on.
-func (n *Notices) Move(addr string) {
+// SetAddress sends notices to another address from now on.
+func (n *Reporter) SetAddress(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.addr = addr
 }
 
 // head returns the notices that go next, and where to.
-func (n *Notices) head() ([]state.DeliveryReport, string) {
+func (n *Reporter) head() ([]state.DeliveryReport, string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.wait[:min(len(n.wait), noticeMost)], n.addr
 }
 
 // done takes the first notices off the queue and has them forgotten.
-func (n *Notices) done(count int) {
+func (n *Reporter) done(count int) {
 	n.mu.Lock()
 	nums := make([]control.MessageID, count)
 	for i := range nums {
@@ -77,7 +77,7 @@
 }
 
 // Run delivers notices until the context ends.
-func (n *Notices) Run(ctx context.Context) {
+func (n *Reporter) Run(ctx context.Context) {
 	link := &dialog{}
 	defer link.hangUp()
 	wait, most := pauseFirst, noticeMost
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -13,8 +13,8 @@
 	"cleathold/internal/state"
 )
 
-// Peers sends notes to the other senders of the tier, and takes theirs.
-type Peers struct {
+// GossipTransport sends notes to the other senders of the tier, and takes theirs.
+type GossipTransport struct {
 	log   *slog.Logger
 	conn  *net.UDPConn
 	all   netip.AddrPort
@@ -27,10 +27,10 @@
 // socket's buffer, where the kernel drops what has no room.
 const noteRate = 2000
 
-// OpenPeers listens for notes. The addresses are those of all senders by their
+// OpenGossip listens for notes. The addresses are those of all senders by their
 // numbers, of which this one has the number me, and the one that reaches all.
-func OpenPeers(listen, all string, peers []string, me int, log *slog.Logger) (*Peers, error) {
-	p := &Peers{log: log, known: map[netip.AddrPort]int{}}
+func OpenGossip(listen, all string, peers []string, me int, log *slog.Logger) (*GossipTransport, error) {
+	p := &GossipTransport{log: log, known: map[netip.AddrPort]int{}}
 	var err error
 	if p.all, err = netip.ParseAddrPort(all); err != nil {
 		return nil, fmt.Errorf("peers_all: %w", err)
@@ -53,13 +53,13 @@
 }
 
 // SendGossip sends a note to all. One that can't be sent is lost, as any may be.
-func (p *Peers) SendGossip(facts []gossip.Observation) {
+func (p *GossipTransport) SendGossip(facts []gossip.Observation) {
 	p.conn.WriteToUDPAddrPort(gossip.Encode(facts), p.all)
 }
 
 // Run takes notes until the context ends. Those from strangers, too long, cut
 // short or in another version are counted and dropped.
-func (p *Peers) Run(ctx context.Context, post Poster) {
+func (p *GossipTransport) Run(ctx context.Context, post EventPoster) {
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
 	defer func() {
--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -23,7 +23,7 @@
 		return c
 	}
 	sibling, stranger, own := open(), open(), open()
-	p, err := OpenPeers("127.0.0.1:0", sibling.LocalAddr().String(), []string{own.LocalAddr().String(), sibling.LocalAddr().String()}, 0, quiet)
+	p, err := OpenGossip("127.0.0.1:0", sibling.LocalAddr().String(), []string{own.LocalAddr().String(), sibling.LocalAddr().String()}, 0, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	for _, c := range []struct{ listen, all, peer string }{
 		{"127.0.0.1:x", "127.0.0.1:1", "127.0.0.1:2"}, {"127.0.0.1:0", "all", "127.0.0.1:2"}, {"127.0.0.1:0", "127.0.0.1:1", "you"},
 	} {
-		if _, err := OpenPeers(c.listen, c.all, []string{c.peer}, 5, quiet); err == nil {
+		if _, err := OpenGossip(c.listen, c.all, []string{c.peer}, 5, quiet); err == nil {
 			t.Errorf("%+v: no error", c)
 		}
 	}
--- a/internal/protocol/reset_test.go
+++ b/internal/protocol/reset_test.go
@@ -41,7 +41,7 @@
 	for _, kept := range []bool{false, true} {
 		for _, n := range []int{1, len(head), len(head) + 1, len(head) + len(body) - 1, len(head) + len(body)} {
 			p := newPosts()
-			s := NewSender(p, time.Minute, 8, quiet)
+			s := NewTransport(p, time.Minute, 8, quiet)
 			addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
 				in := bufio.NewReader(conn)
 				if kept {
@@ -79,7 +79,7 @@
 		{"reset", reset, control.ConnectFailed},
 	} {
 		p := newPosts()
-		s := NewSender(p, time.Minute, 8, quiet)
+		s := NewTransport(p, time.Minute, 8, quiet)
 		conns := make(chan *net.TCPConn, 4)
 		addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
 			in := bufio.NewReader(conn)
@@ -92,7 +92,7 @@
 			t.Fatalf("%+v", e)
 		}
 		call := callTo(addr, time.Minute, "a")
-		f := &flight{Sender: s, call: call, ended: make([]bool, 1), forwards: call.Attempts}
+		f := &flight{Transport: s, call: call, ended: make([]bool, 1), forwards: call.Attempts}
 		f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 		defer f.cancel()
 		l, err := f.connection() // it looks...
@@ -118,7 +118,7 @@
 func TestSecondAnswer(t *testing.T) {
 	for _, stray := range []string{socktest.Status(200), "HTTP/1.1 2", "\r\n"} {
 		p := newPosts()
-		s := NewSender(p, time.Minute, 8, quiet)
+		s := NewTransport(p, time.Minute, 8, quiet)
 		addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
 			if conn == 0 {
 				return socktest.Status(200) + stray
@@ -137,7 +137,7 @@
 // abandoner calls a call off in the instant in which its end is posted.
 type abandoner struct {
 	*posts
-	s *Sender
+	s *Transport
 }
 
 func (a *abandoner) Post(e state.Event) {
@@ -151,7 +151,7 @@
 // and between the two as either. The connection of one that was answered serves the next call.
 func TestAbandonedAsAnswered(t *testing.T) {
 	p := &abandoner{posts: newPosts()}
-	s := NewSender(p, time.Minute, 8, quiet)
+	s := NewTransport(p, time.Minute, 8, quiet)
 	p.s = s
 	var call *state.Call
 	when := ""
@@ -194,14 +194,14 @@
 }
 
 // settle waits until no call is on its way.
-func (s *Sender) settle() {
+func (s *Transport) settle() {
 	for s.flying() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // flying is how many calls are on their way.
-func (s *Sender) flying() int {
+func (s *Transport) flying() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.live)
@@ -225,14 +225,14 @@
 		return list("new")
 	})
 	p := newPosts()
-	d := NewDiscovery(p, DiscoverySetup{Addr: old, Names: testNames, MustAsk: 10 * time.Second, Rest: 0, Log: quiet})
+	d := NewDiscovery(p, DiscoveryConfig{Addr: old, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: quiet})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); d.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
 	d.Watch(true, 3)
 	<-watched
-	d.Move(addr)
+	d.SetAddress(addr)
 	close(moved)
 	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
 		t.Errorf("%+v", n)
@@ -257,14 +257,14 @@
 		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"new","state":"up","cell":1}]}`)
 	})
 	p := newPosts()
-	d := NewDiscovery(p, DiscoverySetup{Addr: old, Names: testNames, MustAsk: 10 * time.Second, Rest: 4 * time.Second, DrainGrace: 2 * time.Second, Log: quiet})
+	d := NewDiscovery(p, DiscoveryConfig{Addr: old, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second, DrainGrace: 2 * time.Second, Log: quiet})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); d.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
 	d.Watch(true, 3)
 	moved := time.Now()
-	d.Move(addr)
+	d.SetAddress(addr)
 	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
 		t.Errorf("%+v", n)
 	}
--- a/internal/protocol/send.go
+++ b/internal/protocol/send.go
@@ -19,12 +19,12 @@
 // Send: the fourth stage. A call goes out on a connection of its own; what
 // comes back is read by the next stage, relay.
 
-// Poster takes events; the loop is one.
-type Poster interface{ Post(event state.Event) }
+// EventPoster takes events; the loop is one.
+type EventPoster interface{ Post(event state.Event) }
 
-// Sender carries calls and probes to targets.
-type Sender struct {
-	post   Poster
+// Transport carries calls and probes to targets.
+type Transport struct {
+	post   EventPoster
 	log    *slog.Logger
 	pool   *pool
 	probes chan struct{} // holds a token for each probe out
@@ -34,26 +34,26 @@
 	live map[*state.Call]*flight
 }
 
-var _ state.Transport = (*Sender)(nil)
+var _ state.Transport = (*Transport)(nil)
 
 // maxProbes bounds the probes out at once.
 const maxProbes = 32
 
-// NewSender returns a sender whose connections may lie idle for so long at
+// NewTransport returns a sender whose connections may lie idle for so long at
 // the target, and which keeps so many at most.
-func NewSender(post Poster, idle time.Duration, most int, log *slog.Logger) *Sender {
-	return &Sender{
+func NewTransport(post EventPoster, idle time.Duration, most int, log *slog.Logger) *Transport {
+	return &Transport{
 		post: post, log: log, pool: newPool(idle, most), probes: make(chan struct{}, maxProbes), dial: dial,
 		live: map[*state.Call]*flight{},
 	}
 }
 
 // Run drops connections before their targets do, until the context ends.
-func (s *Sender) Run(ctx context.Context) { s.pool.run(ctx) }
+func (s *Transport) Run(ctx context.Context) { s.pool.run(ctx) }
 
 // Send sends a call on a goroutine of its own. The controller's slots bound
 // how many there are.
-func (s *Sender) Send(c *state.Call) {
+func (s *Transport) Send(c *state.Call) {
 	last := c.Attempts[0].Deadline
 	for _, f := range c.Attempts {
 		if f.Deadline.After(last) {
@@ -61,7 +61,7 @@
 		}
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), last)
-	f := &flight{Sender: s, call: c, ctx: ctx, cancel: cancel, began: time.Now(), forwards: c.Attempts, ended: make([]bool, len(c.Attempts))}
+	f := &flight{Transport: s, call: c, ctx: ctx, cancel: cancel, began: time.Now(), forwards: c.Attempts, ended: make([]bool, len(c.Attempts))}
 	s.mu.Lock()
 	s.live[c] = f
 	s.mu.Unlock()
@@ -75,7 +75,7 @@
 }
 
 // Cancel gives a call up by closing its connection.
-func (s *Sender) Cancel(c *state.Call) {
+func (s *Transport) Cancel(c *state.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.live[c]; f != nil {
@@ -84,7 +84,7 @@
 }
 
 // CancelUnsent ends a call that still waits for its connection.
-func (s *Sender) CancelUnsent(c *state.Call) {
+func (s *Transport) CancelUnsent(c *state.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f := s.live[c]; f != nil && f.stage.CompareAndSwap(connecting, withheld) {
@@ -93,10 +93,10 @@
 }
 
 // Disconnect closes the idle connections to a target.
-func (s *Sender) Disconnect(target string) { s.pool.drop(target) }
+func (s *Transport) Disconnect(target string) { s.pool.drop(target) }
 
 // HealthCheck asks a target how it is, on a goroutine of its own.
-func (s *Sender) HealthCheck(t state.Target, deadline time.Time) {
+func (s *Transport) HealthCheck(t state.Target, deadline time.Time) {
 	select {
 	case s.probes <- struct{}{}:
 	default:
@@ -111,7 +111,7 @@
 	}()
 }
 
-func (s *Sender) probe(t state.Target, deadline time.Time) control.Result {
+func (s *Transport) probe(t state.Target, deadline time.Time) control.Result {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	l, err := s.connect(ctx, t)
@@ -133,7 +133,7 @@
 }
 
 // connect takes a connection that lies idle, or opens one.
-func (s *Sender) connect(ctx context.Context, t state.Target) (*link, error) {
+func (s *Transport) connect(ctx context.Context, t state.Target) (*link, error) {
 	if l := s.pool.get(t.ID, t.Addr); l != nil {
 		return l, nil
 	}
@@ -142,7 +142,7 @@
 
 // A flight is one call on its way.
 type flight struct {
-	*Sender
+	*Transport
 	call   *state.Call
 	ctx    context.Context
 	cancel context.CancelFunc
--- a/internal/protocol/socket_test.go
+++ b/internal/protocol/socket_test.go
@@ -93,7 +93,7 @@
 		{"refused", "shut", time.Minute, state.AttemptResult{Result: control.ConnectFailed}},
 	} {
 		p := newPosts()
-		s := NewSender(p, time.Minute, 8, quiet)
+		s := NewTransport(p, time.Minute, 8, quiet)
 		got := make(chan struct{}, 1)
 		addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
 			if r.URL.Path != "/receive" || r.Header.Get("X-Request-Id") != "a" || r.Header.Get("Idempotency-Key") != "k-a" || body != "body of a" {
@@ -125,7 +125,7 @@
 // A call withheld before its connection is up never leaves; one that has left goes on.
 func TestWithhold(t *testing.T) {
 	p := newPosts()
-	s := NewSender(p, time.Minute, 8, quiet)
+	s := NewTransport(p, time.Minute, 8, quiet)
 	got, goOn := make(chan string, 2), make(chan struct{})
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		got <- r.Header.Get("X-Request-Id")
@@ -136,7 +136,7 @@
 	s.Send(left)
 	<-got
 	s.CancelUnsent(left)
-	f := &flight{Sender: s, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
+	f := &flight{Transport: s, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
 	f.forwards = f.call.Attempts
 	f.ctx, f.cancel = context.WithCancel(t.Context())
 	s.live[f.call] = f
@@ -155,7 +155,7 @@
 // alone, and the others still get theirs.
 func TestBatchEnds(t *testing.T) {
 	p := newPosts()
-	s := NewSender(p, time.Minute, 8, quiet)
+	s := NewTransport(p, time.Minute, 8, quiet)
 	goOn := make(chan struct{})
 	addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
 		if r.URL.Path != "/receive-many" || !strings.HasPrefix(body, "a k-a 9\r\nbody of a\r\nb k-b 9\r\n") {
@@ -190,7 +190,7 @@
 		socktest.JSON("a deliv\r\nb delivered\r\n"),
 	} {
 		p := newPosts()
-		s := NewSender(p, time.Minute, 8, quiet)
+		s := NewTransport(p, time.Minute, 8, quiet)
 		s.Send(callTo(socktest.Serve(t, func(int, *http.Request, string) string { return answer }), time.Minute, "a", "b"))
 		ends := next[state.CallEnded](t, p).Results
 		if len(ends) != 2 || ends[0].Result != control.Failed || ends[1].Result != control.Failed {
@@ -203,7 +203,7 @@
 // request written to that one would be lost.
 func TestConnectionReuse(t *testing.T) {
 	p := newPosts()
-	s := NewSender(p, time.Minute, 8, quiet)
+	s := NewTransport(p, time.Minute, 8, quiet)
 	conns := make(chan int, 8)
 	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
 		conns <- conn
@@ -344,7 +344,7 @@
 	in := bufio.NewReader(conn)
 	for _, last := range []bool{false, true} {
 		if last {
-			l.Leave()
+			l.DisableKeepAlive()
 		}
 		io.WriteString(conn, handIn)
 		if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 202 || r.Close != last {
@@ -455,7 +455,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	})
 	p := newPosts()
-	d := NewDiscovery(p, DiscoverySetup{Addr: addr, Names: testNames, MustAsk: time.Second, Rest: 0, Log: quiet})
+	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second, PollSpread: 0, Log: quiet})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
@@ -490,7 +490,7 @@
 		first, then string
 	}{{0, "since=0&timeout_ms=1000", "since=0&timeout_ms=1000"}, {state.NoVersion, "", "since=0&timeout_ms=1000"}} {
 		ctx, cancel := context.WithCancel(t.Context())
-		d := NewDiscovery(newPosts(), DiscoverySetup{Addr: addr, Names: testNames, MustAsk: time.Second, Rest: rest, Log: quiet})
+		d := NewDiscovery(newPosts(), DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second, PollSpread: rest, Log: quiet})
 		ended := make(chan struct{})
 		go func() { defer close(ended); d.Run(ctx) }()
 		d.Watch(true, c.since)
@@ -524,7 +524,7 @@
 		return socktest.Status(204)
 	})
 	p := newPosts()
-	n := NewNotices(p, addr, quiet)
+	n := NewReporter(p, addr, quiet)
 	for i, id := range []string{"a", "b", "c"} {
 		n.Report(state.DeliveryReport{Num: control.MessageID(i), ID: id})
 	}
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -32,7 +32,7 @@
 	plan   *scenario.Plan
 	width  time.Duration
 	bins   []bin
-	tally  *lab.Tally
+	tally  *lab.ServiceMeter
 	at     time.Duration
 	events int
 
@@ -57,7 +57,7 @@
 // NewCollector gathers the events of a plan's run.
 func NewCollector(p *scenario.Plan) *Collector {
 	c := &Collector{
-		plan: p, width: time.Second, tally: lab.NewTally(p.Scenario), wanted: map[int]wanted{}, ids: map[string]int{},
+		plan: p, width: time.Second, tally: lab.NewServiceMeter(p.Scenario), wanted: map[int]wanted{}, ids: map[string]int{},
 		calls: map[uint64][]string{}, open: map[string]time.Duration{}, causes: map[string]int{},
 	}
 	for p.Scenario.Length/c.width > binsMost {
@@ -103,27 +103,27 @@
 	c.events++
 	c.at = e.At
 	b := c.bin(e.At)
-	switch e.What {
-	case audit.Asked:
-		b.asked += c.plan.Scenario.Traffic.Classes[e.Class].Worth
+	switch e.Kind {
+	case audit.Requested:
+		b.asked += c.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
 		c.wanted[e.N] = wanted{class: e.Class, born: e.At}
 		c.forget(e)
-	case audit.HandIn:
+	case audit.Submitted:
 		c.ids[e.Message] = e.N
 		if w, known := c.wanted[e.N]; known {
 			w.ids = append(w.ids, e.Message)
 			c.wanted[e.N] = w
 		}
-	case audit.Taken:
+	case audit.Accepted:
 		if _, known := c.ids[e.Message]; known {
 			c.open[e.Message] = e.At
 			c.line = append(c.line, e.Message)
 			b.waiting = max(b.waiting, len(c.open))
 		}
-	case audit.TurnedAt:
+	case audit.Rejected:
 		c.cause(b, "turned away at the door")
 		delete(c.ids, e.Message)
-	case audit.Gone:
+	case audit.Abandoned:
 		c.cause(b, "no answer at the door")
 		delete(c.ids, e.Message)
 	case audit.Notice:
@@ -160,7 +160,7 @@
 		}
 		age := e.At - w.born
 		c.byClass[w.class].RecordValue(min(max(age.Milliseconds(), 1), 599_999)) // fails only out of range
-		c.bins[w.born/c.width].brought += lab.Worth(&c.plan.Scenario.Traffic.Classes[w.class], age)
+		c.bins[w.born/c.width].brought += lab.PriorityWeightAt(&c.plan.Scenario.Traffic.Classes[w.class], age)
 		for _, other := range w.ids {
 			delete(c.ids, other)
 		}
--- a/internal/report/limits.go
+++ b/internal/report/limits.go
@@ -43,8 +43,8 @@
 
 // Read takes the next event.
 func (s *Sums) Read(e audit.Event) error {
-	switch e.What {
-	case audit.Asked:
+	switch e.Kind {
+	case audit.Requested:
 		s.of(e.Dest, e.At).Wanted++
 	case audit.Sent:
 		x := s.of(e.Dest, e.At)
@@ -56,7 +56,7 @@
 		delete(s.calls, e.Call)
 		switch {
 		case x == nil:
-		case e.Cause == partner.Refused.String():
+		case e.Cause == partner.Rejected.String():
 			x.Refused++
 		case e.Outcome == audit.Delivered:
 			x.Served++
@@ -96,15 +96,15 @@
 				break
 			}
 			if c.Endpoint == e.ID && !c.Drains && !c.Leaves && c.Joins == nil {
-				if factor = 1; c.Trouble.Mode == partner.Cut {
-					factor = c.Trouble.Factor
+				if factor = 1; c.Fault.Mode == partner.LimitReduced {
+					factor = c.Fault.Factor
 				}
 			}
 		}
 		sum += factor * d.Limit.PerSecond
 		least = min(least, factor)
 	}
-	if d.Apart {
+	if d.SeparateRoutes {
 		return sum
 	}
 	return least * d.Limit.PerSecond
@@ -186,7 +186,7 @@
 			cut := false
 			for _, e := range d.Endpoints {
 				for _, c := range s.plan.Changes {
-					cut = cut || c.Endpoint == e.ID && c.Trouble.Mode == partner.Cut
+					cut = cut || c.Endpoint == e.ID && c.Fault.Mode == partner.LimitReduced
 				}
 			}
 			if d.Limit.Form != partner.NoLimit && (cut || !only) {
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -38,8 +38,8 @@
 			}
 		}
 	}
-	if calls != r.Calls || refused != r.Refused || senders < 30 || senders > 40 {
-		t.Errorf("%d calls and %d refused, the run had %d and %d; %d senders in a second", calls, refused, r.Calls, r.Refused, senders)
+	if calls != r.Calls || refused != r.RejectedCalls || senders < 30 || senders > 40 {
+		t.Errorf("%d calls and %d refused, the run had %d and %d; %d senders in a second", calls, refused, r.Calls, r.RejectedCalls, senders)
 	}
 	only := sums.Limited()
 	if len(only) != 1 {
@@ -80,15 +80,15 @@
 				t.Fatal(err)
 			}
 			s.Length = 24 * time.Second
-			s.Troubles = s.Troubles[:1]
+			s.Faults = s.Faults[:1]
 			p := s.Plan(seed + 1)
 			sums := NewSums(p)
 			sim, err := lab.NewSim(p, slog.New(slog.DiscardHandler), sums.Read)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r, err := sim.Run(); err != nil || len(r.Breaks) > 0 {
-				t.Fatalf("%+v: %v %+v", c, err, r.Breaks)
+			if r, err := sim.Run(); err != nil || len(r.Violations) > 0 {
+				t.Fatalf("%+v: %v %+v", c, err, r.Violations)
 			}
 			x := sums.Between(sums.Limited()[0], 15, 22)
 			n := float64(seeds)
--- a/internal/report/outages.go
+++ b/internal/report/outages.go
@@ -32,7 +32,7 @@
 type Outages struct {
 	plan  *scenario.Plan
 	list  []*outage
-	tally *lab.Tally
+	tally *lab.ServiceMeter
 	asked map[int]*outage // by message: the one in which it was wanted
 }
 
@@ -47,14 +47,14 @@
 
 // NewOutages follows the outages of a plan's run.
 func NewOutages(p *scenario.Plan) *Outages {
-	o := &Outages{plan: p, tally: lab.NewTally(p.Scenario), asked: map[int]*outage{}}
-	o.tally.Brought = func(n int, worth float64) {
+	o := &Outages{plan: p, tally: lab.NewServiceMeter(p.Scenario), asked: map[int]*outage{}}
+	o.tally.OnDelivered = func(n int, worth float64) {
 		if x := o.asked[n]; x != nil {
 			x.brings += worth
 			delete(o.asked, n)
 		}
 	}
-	for i := range p.Scenario.Troubles {
+	for i := range p.Scenario.Faults {
 		for _, d := range p.Dests {
 			x := &outage{struck: map[string]bool{}, by: map[int]int{}}
 			for _, c := range p.Changes {
@@ -62,7 +62,7 @@
 				if c.Of != i || c.Joins != nil || c.Drains || c.Leaves || !ours {
 					continue
 				}
-				if mode := c.Trouble.Mode; mode != partner.Well && mode != partner.Cut && !x.struck[c.Endpoint] {
+				if mode := c.Fault.Mode; mode != partner.Healthy && mode != partner.LimitReduced && !x.struck[c.Endpoint] {
 					x.struck[c.Endpoint], x.from = true, c.At
 				} else if x.struck[c.Endpoint] {
 					x.to = c.At
@@ -89,11 +89,11 @@
 
 // Read takes the next event.
 func (o *Outages) Read(e audit.Event) error {
-	switch e.What {
-	case audit.Asked:
+	switch e.Kind {
+	case audit.Requested:
 		if x := o.at(e.Dest, e.At); x != nil {
 			x.Wanted++
-			x.worth += o.plan.Scenario.Traffic.Classes[e.Class].Worth
+			x.worth += o.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
 			o.asked[e.N] = x
 		}
 	case audit.Sent:
@@ -109,7 +109,7 @@
 				x.after[n][0]++
 			}
 		}
-	case audit.Saw:
+	case audit.FailureSeen:
 		if x := o.at(e.Dest, e.At); x != nil && x.struck[e.Endpoint] {
 			x.Finds++
 			if x.by[e.Sender]++; e.At < x.from+time.Second {
--- a/internal/report/outages_test.go
+++ b/internal/report/outages_test.go
@@ -32,8 +32,8 @@
 		t.Fatal(err)
 	}
 	r, err := sim.Run()
-	if err != nil || len(r.Breaks) > 0 {
-		t.Fatalf("%v: %v %+v", set, err, r.Breaks)
+	if err != nil || len(r.Violations) > 0 {
+		t.Fatalf("%v: %v %+v", set, err, r.Violations)
 	}
 	return o.List(), r
 }
@@ -45,11 +45,11 @@
 		if e.At < 14*time.Second || e.At >= 20*time.Second {
 			return
 		}
-		switch e.What {
-		case audit.Saw: // no limits, and room for all: nothing else fails
+		switch e.Kind {
+		case audit.FailureSeen: // no limits, and room for all: nothing else fails
 			finds++
 			senders[e.Sender] = true
-		case audit.Asked:
+		case audit.Requested:
 			wanted++
 		}
 	})
@@ -85,7 +85,7 @@
 				t.Errorf("%v senders, mode %v, %v parts: %+v", senders, mode, parts, x)
 			}
 		}
-		t.Logf("%v senders, mode %v, %v parts: %d finds, %d notes", senders, mode, parts, n, r.Notes)
+		t.Logf("%v senders, mode %v, %v parts: %d finds, %d notes", senders, mode, parts, n, r.GossipSent)
 		return n
 	}
 	few, many := finds(20, 160, 0, 1), finds(250, 500, 0, 1)
@@ -118,8 +118,8 @@
 			if e.Dest != 1 || e.At < 10*time.Second || e.At >= 28*time.Second {
 				return
 			}
-			switch e.What {
-			case audit.Saw:
+			switch e.Kind {
+			case audit.FailureSeen:
 				finds++
 			case audit.Sent:
 				if calls++; e.Endpoint == "e00001" {
@@ -128,9 +128,9 @@
 			}
 		}, c.more)
 		part := float64(there) / float64(calls)
-		t.Logf("%s: %.3f of the calls go there, %d finds, %.3f served", c.name, part, finds, r.Whole)
-		if part < c.least || finds > c.finds || finds == 0 || r.Whole < 0.98 {
-			t.Errorf("%s: %.3f of the calls go there, %d finds, %.3f served", c.name, part, finds, r.Whole)
+		t.Logf("%s: %.3f of the calls go there, %d finds, %.3f served", c.name, part, finds, r.Overall)
+		if part < c.least || finds > c.finds || finds == 0 || r.Overall < 0.98 {
+			t.Errorf("%s: %.3f of the calls go there, %d finds, %.3f served", c.name, part, finds, r.Overall)
 		}
 	}
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -24,7 +24,7 @@
 type Page struct {
 	Title   string
 	Lines   []Line // what was played, and what came of it
-	Breaks  []audit.Break
+	Breaks  []audit.Violation
 	Marks   []Mark
 	Classes []ClassLine
 	Causes  []CauseLine
@@ -65,7 +65,7 @@
 // Facts are what a page says of a run besides its events.
 type Facts struct {
 	Head   []Line
-	Breaks []audit.Break
+	Breaks []audit.Violation
 	Notes  []string // warnings: late rig, ledger broken off
 }
 
@@ -75,8 +75,8 @@
 	p := &Page{Title: c.plan.Scenario.Name, Breaks: f.Breaks, notes: f.Notes}
 	p.Lines = append(p.Lines, f.Head...)
 	p.Lines = append(p.Lines,
-		Line{"service", fmt.Sprintf("%.3f (whole %.3f, worst 10 s %.3f at %v)", score.Service, score.Whole, score.Worst, score.WorstAt)},
-		Line{"messages", fmt.Sprintf("%d; %d calls, %d of them turned away by partners; %d hand-ins turned away", score.Messages, score.Calls, score.Refused, score.Turned)},
+		Line{"service", fmt.Sprintf("%.3f (whole %.3f, worst 10 s %.3f at %v)", score.Service, score.Overall, score.Worst, score.WorstAt)},
+		Line{"messages", fmt.Sprintf("%d; %d calls, %d of them turned away by partners; %d hand-ins turned away", score.Messages, score.Calls, score.RejectedCalls, score.Rejected)},
 		Line{"senders that ended", fmt.Sprint(c.deaths)},
 		Line{"rules", rules(f.Breaks)},
 	)
@@ -117,7 +117,7 @@
 	return p, nil
 }
 
-func rules(breaks []audit.Break) string {
+func rules(breaks []audit.Violation) string {
 	if len(breaks) == 0 {
 		return "kept"
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -48,7 +48,7 @@
 	c := NewCollector(p)
 	most, asked, delivered := 0, 0, 0
 	sim, err := lab.NewSim(p, slog.New(slog.DiscardHandler), func(e audit.Event) error {
-		if e.What == audit.Asked {
+		if e.Kind == audit.Requested {
 			asked++
 		}
 		most = max(most, c.Held())
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, err := c.Page(Facts{Breaks: []audit.Break{{Rule: audit.Lost, Message: "<m1>"}}, Notes: []string{"late"}})
+	page, err := c.Page(Facts{Breaks: []audit.Violation{{Rule: audit.RuleOutcome, Message: "<m1>"}}, Notes: []string{"late"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/clients.go
+++ b/internal/rig/clients.go
@@ -40,7 +40,7 @@
 	open    int
 	left    int // left out
 	asked   int
-	pending map[string]*lab.Wanted // ids that may still be heard of
+	pending map[string]*lab.ClientRequest // ids that may still be heard of
 	lag     *hdrhistogram.Histogram
 	door    *hdrhistogram.Histogram // from the time wanted to the sender's answer
 	answers map[int]int             // by status; 0 = none
@@ -67,7 +67,7 @@
 // NewClients makes clients of senders at these addresses.
 func (w *World) NewClients(addresses []string) *Clients {
 	c := &Clients{
-		w: w, rng: rand.New(rand.NewPCG(w.plan.Seed, 99)), pending: map[string]*lab.Wanted{}, lag: newLag(), door: newLag(), answers: map[int]int{},
+		w: w, rng: rand.New(rand.NewPCG(w.plan.Seed, 99)), pending: map[string]*lab.ClientRequest{}, lag: newLag(), door: newLag(), answers: map[int]int{},
 	}
 	for _, a := range addresses {
 		c.senders = append(c.senders, &front{addr: a})
@@ -118,11 +118,11 @@
 			c.open++
 		}
 		c.mu.Unlock()
-		c.w.Note(audit.Event{What: audit.Asked, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
+		c.w.Note(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
 		if full {
 			continue
 		}
-		m := &lab.Wanted{Arrival: a}
+		m := &lab.ClientRequest{Arrival: a}
 		c.w.wg.Go(func() {
 			c.handIn(m)
 			c.mu.Lock()
@@ -164,7 +164,7 @@
 		n := (first + i) % len(c.senders)
 		f := c.senders[n]
 		f.mu.Lock()
-		known := f.away || !f.down.IsZero() && time.Since(f.down) > lab.FrontSpan && !(c.keep && len(f.idle) > 0)
+		known := f.away || !f.down.IsZero() && time.Since(f.down) > lab.DeadSenderTimeout && !(c.keep && len(f.idle) > 0)
 		f.mu.Unlock()
 		if !known {
 			return n, f
@@ -177,11 +177,11 @@
 var errNobody = errors.New("nobody there")
 
 // handIn hands a message in, for the first time or again.
-func (c *Clients) handIn(m *lab.Wanted) {
+func (c *Clients) handIn(m *lab.ClientRequest) {
 	w := c.w
 	s := w.plan.Scenario
 	c.mu.Lock()
-	left := m.Left(s, w.now())
+	left := m.TimeLeft(s, w.now())
 	c.mu.Unlock()
 	if left <= 0 {
 		return
@@ -193,11 +193,11 @@
 		return
 	}
 	c.mu.Lock()
-	id, again := m.Next()
+	id, again := m.NextSubmission()
 	c.pending[id] = m
 	c.mu.Unlock()
 	key := m.Key(s)
-	w.hand(audit.Event{What: audit.HandIn, Sender: num, Message: id, Class: m.Class, Dest: m.Dest, Left: left, Key: key, N: m.N, Tenant: m.Tenant})
+	w.hand(audit.Event{Kind: audit.Submitted, Sender: num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: left, Key: key, N: m.N, Tenant: m.Tenant})
 	limit := time.Now().Add(s.Traffic.Patience)
 	text := request(s, m, id, key, left, again)
 	r, err := conn.ask(text, limit)
@@ -229,20 +229,20 @@
 		if errors.Is(err, errLate) {
 			cause = "timeout"
 		}
-		w.Note(audit.Event{What: audit.Gone, Sender: num, Message: id, Cause: cause})
+		w.Note(audit.Event{Kind: audit.Abandoned, Sender: num, Message: id, Cause: cause})
 		c.forget(id)
 		c.nowhere(m)
 		return
 	case status == http.StatusAccepted || status == http.StatusOK:
-		w.Note(audit.Event{What: audit.Taken, Sender: num, Message: id})
+		w.Note(audit.Event{Kind: audit.Accepted, Sender: num, Message: id})
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		wait, _ := strconv.ParseFloat(r.Header.Get("Retry-After"), 64)
 		told := time.Duration(wait * float64(time.Second))
-		w.Note(audit.Event{What: audit.TurnedAt, Sender: num, Message: id, Wait: told})
+		w.Note(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, RetryAfter: told})
 		c.forget(id)
 		c.refused(m, told)
 	default:
-		w.Note(audit.Event{What: audit.TurnedAt, Sender: num, Message: id, Cause: "failed"})
+		w.Note(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, Cause: "failed"})
 		c.forget(id)
 	}
 	if r.Close {
@@ -282,7 +282,7 @@
 }
 
 // request is a hand-in as PROTOCOL has it.
-func request(s *scenario.Scenario, m *lab.Wanted, id, key string, left time.Duration, again bool) []byte {
+func request(s *scenario.Scenario, m *lab.ClientRequest, id, key string, left time.Duration, again bool) []byte {
 	text := fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Tenant: %s\r\nX-Deadline: %.6f\r\nX-Addressing: dest=%d\r\nContent-Length: %d\r\n",
 		s.Traffic.Classes[m.Class].Name, id, s.Traffic.Tenants[m.Tenant].Name, left.Seconds(), m.Dest, m.Size)
 	if key != "" {
@@ -302,9 +302,9 @@
 }
 
 // nowhere has a client hand in again what reached nobody.
-func (c *Clients) nowhere(m *lab.Wanted) {
+func (c *Clients) nowhere(m *lab.ClientRequest) {
 	c.mu.Lock()
-	after, again := m.Nowhere(c.w.plan.Scenario, c.rng)
+	after, again := m.Unanswered(c.w.plan.Scenario, c.rng)
 	c.mu.Unlock()
 	if again {
 		c.after(after, func() { c.handIn(m) })
@@ -312,9 +312,9 @@
 }
 
 // refused has a client come again, as often as the scenario says.
-func (c *Clients) refused(m *lab.Wanted, told time.Duration) {
+func (c *Clients) refused(m *lab.ClientRequest, told time.Duration) {
 	c.mu.Lock()
-	after, again := m.Refused(c.w.plan.Scenario, c.rng, told)
+	after, again := m.Rejected(c.w.plan.Scenario, c.rng, told)
 	c.mu.Unlock()
 	if again {
 		c.after(after, func() { c.handIn(m) })
--- a/internal/rig/door.go
+++ b/internal/rig/door.go
@@ -96,7 +96,7 @@
 }
 
 // addressOf finds where a sender reaches an endpoint; under the lock.
-func (w *World) addressOf(sender int, l lab.Line) string {
+func (w *World) addressOf(sender int, l lab.ListedEndpoint) string {
 	if d := w.doors[sender][l.Address]; d != nil {
 		return d.addr
 	}
@@ -121,7 +121,7 @@
 }
 
 // ways are those between its sender and its endpoint; under the lock.
-func (d *door) ways() (there, back scenario.Way) {
+func (d *door) ways() (there, back scenario.LinkState) {
 	return d.w.way(scenario.Sender(d.sender), d.endpoint), d.w.way(d.endpoint, scenario.Sender(d.sender))
 }
 
@@ -220,11 +220,11 @@
 	w := d.w
 	w.mu.Lock()
 	v := &visit{d: d, conn: c, in: bufio.NewReader(c), endpoint: d.endpoint, dest: d.dest, zone: d.zone, fresh: true}
-	v.hop = lab.Hop(d.zone, d.sender%len(w.plan.Scenario.Zones))
+	v.hop = lab.NetworkDelay(d.zone, d.sender%len(w.plan.Scenario.Zones))
 	kind := w.ground.Model.Connect(w.now(), v.endpoint)
-	v.crowded = kind == partner.Crowds
+	v.crowded = kind == partner.ConnectionOverCapacity
 	w.conns++
-	if d.listener == nil || kind == partner.Refuses {
+	if d.listener == nil || kind == partner.ConnectionRefused {
 		w.mu.Unlock()
 		reset(c)
 		return
@@ -316,7 +316,7 @@
 func (v *visit) play(c *inCall, first time.Duration) bool {
 	w := v.d.w
 	answer := make(chan partner.Answer, 1)
-	call := partner.Call{Sender: v.d.sender, Endpoint: v.endpoint, Fresh: v.fresh, Crowded: v.crowded, Probe: c.probe}
+	call := partner.Call{Sender: v.d.sender, Endpoint: v.endpoint, Fresh: v.fresh, OverCapacity: v.crowded, HealthCheck: c.probe}
 	var ids []string
 	w.mu.Lock()
 	w.calls++
@@ -327,7 +327,7 @@
 		ids = append(ids, m.ID)
 	}
 	w.answers[call.ID] = answer
-	w.note(audit.Event{What: audit.Sent, Sender: v.d.sender, Call: call.ID, Endpoint: v.endpoint, Zone: v.zone, Dest: v.dest, Messages: ids, First: first})
+	w.note(audit.Event{Kind: audit.Sent, Sender: v.d.sender, Call: call.ID, Endpoint: v.endpoint, Zone: v.zone, Dest: v.dest, Messages: ids, First: first})
 	w.mu.Unlock()
 
 	v.conn.SetReadDeadline(time.Time{})
@@ -402,9 +402,9 @@
 	cause := "cancelled"
 	if limit > 0 && w.now()-first >= limit-timeoutSlack {
 		cause = "timeout"
-		w.note(audit.Event{What: audit.Saw, Sender: v.d.sender, Dest: v.dest, Endpoint: v.endpoint})
+		w.note(audit.Event{Kind: audit.FailureSeen, Sender: v.d.sender, Dest: v.dest, Endpoint: v.endpoint})
 	}
-	w.note(audit.Event{What: audit.Ended, Sender: v.d.sender, Call: id, Outcome: audit.Failed, Cause: cause})
+	w.note(audit.Event{Kind: audit.Ended, Sender: v.d.sender, Call: id, Outcome: audit.Failed, Cause: cause})
 }
 
 // ended notes an answer just before it is written.
@@ -412,9 +412,9 @@
 	w := v.d.w
 	outcome, cause := lab.OutcomeOf(a.Kind)
 	w.mu.Lock()
-	w.note(audit.Event{What: audit.Ended, Sender: v.d.sender, Call: id, Outcome: outcome, Wait: a.Wait, Cause: cause})
+	w.note(audit.Event{Kind: audit.Ended, Sender: v.d.sender, Call: id, Outcome: outcome, RetryAfter: a.RetryAfter, Cause: cause})
 	if _, back := v.d.ways(); a.Kind != partner.Delivered && back.Passes() {
-		w.note(audit.Event{What: audit.Saw, Sender: v.d.sender, Dest: v.dest, Endpoint: v.endpoint})
+		w.note(audit.Event{Kind: audit.FailureSeen, Sender: v.d.sender, Dest: v.dest, Endpoint: v.endpoint})
 	}
 	w.mu.Unlock()
 	if a.Kind == partner.Delivered && len(ids) > 0 {
@@ -437,15 +437,15 @@
 		}
 	case partner.Errored:
 		status = http.StatusInternalServerError
-	case partner.Refused:
+	case partner.Rejected:
 		status = http.StatusServiceUnavailable
-		if a.Wait > 0 {
+		if a.RetryAfter > 0 {
 			status = http.StatusTooManyRequests
-			head = "Retry-After: " + strconv.FormatFloat(a.Wait.Seconds(), 'f', 6, 64) + "\r\n"
+			head = "Retry-After: " + strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 6, 64) + "\r\n"
 		}
-	case partner.Rejected:
+	case partner.Unprocessable:
 		status = http.StatusRequestEntityTooLarge
-	case partner.Spoilt:
+	case partner.Garbled:
 		io.WriteString(v.conn, "HTTP/9.9 what\r\n\x00\x01\r\n\r\n")
 		return false
 	case partner.Reset:
--- a/internal/rig/fault/fault.go
+++ b/internal/rig/fault/fault.go
@@ -13,13 +13,13 @@
 
 // State is what ails one way between two parties. The zero value is a sound one.
 type State struct {
-	Cut     bool          `json:"Cut"`     // connections break and none comes up; datagrams are lost
-	Silent  bool          `json:"Silent"`  // connections stay open and nothing passes; datagrams are lost
-	Delay   time.Duration `json:"Delay"`   // each piece, each datagram
-	Jitter  time.Duration `json:"Jitter"`  // up to so much more; datagrams overtake one another by it
-	Loss    float64       `json:"Loss"`    // part of the datagrams; a piece of a connection comes later by a retransmission
-	Double  float64       `json:"Double"`  // part of the datagrams that come twice
-	Reorder float64       `json:"Reorder"` // part of the datagrams that come later by ten times the jitter
+	Cut       bool          `json:"Cut"`     // connections break and none comes up; datagrams are lost
+	Silent    bool          `json:"Silent"`  // connections stay open and nothing passes; datagrams are lost
+	Delay     time.Duration `json:"Delay"`   // each piece, each datagram
+	Jitter    time.Duration `json:"Jitter"`  // up to so much more; datagrams overtake one another by it
+	Loss      float64       `json:"Loss"`    // part of the datagrams; a piece of a connection comes later by a retransmission
+	Duplicate float64       `json:"Double"`  // part of the datagrams that come twice
+	Reorder   float64       `json:"Reorder"` // part of the datagrams that come later by ten times the jitter
 }
 
 // retransmission is about how long TCP takes to make up for a loss.
--- a/internal/rig/fault/fault_test.go
+++ b/internal/rig/fault/fault_test.go
@@ -168,7 +168,7 @@
 		t.Errorf("the other way: %q", a)
 	}
 	n.Heal()
-	n.Set("n0", "n1", State{Double: 1})
+	n.Set("n0", "n1", State{Duplicate: 1})
 	send(0, d.Peers()[1], "x")
 	if a, b := hear(1, long), hear(1, long); a != "0:x" || b != "0:x" {
 		t.Errorf("doubled: %q, %q", a, b)
--- a/internal/rig/fault/udp.go
+++ b/internal/rig/fault/udp.go
@@ -101,7 +101,7 @@
 		return
 	}
 	times := 1
-	if d.n.draw(s.Double) {
+	if d.n.draw(s.Duplicate) {
 		times = 2
 	}
 	for range times {
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -134,13 +134,13 @@
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.cutOff[sender] || w.ground.Watches(sender) {
+		if w.cutOff[sender] || w.ground.Watching(sender) {
 			return // it can't be told, or what it is told comes by the call that it has open
 		}
-		lines, _, whole := w.ground.Since(w.now(), sender, version)
+		lines, _, whole := w.ground.ListChanges(w.now(), sender, version)
 		for _, l := range lines {
 			if !whole && l.State != control.Ready {
-				w.note(audit.Event{What: audit.Told, Sender: sender, Endpoint: l.ID, Dest: l.Dest, Leaves: true})
+				w.note(audit.Event{Kind: audit.Notified, Sender: sender, Endpoint: l.ID, Dest: l.Dest, Leaves: true})
 			}
 		}
 	})
--- a/internal/rig/fleet/campaign.go
+++ b/internal/rig/fleet/campaign.go
@@ -34,7 +34,7 @@
 	Good   bool          `json:"good,omitempty"`
 	Back   bool          `json:"back,omitempty"`
 
-	planned scenario.PlannedDeed // of a scenario
+	planned scenario.PlannedAction // of a scenario
 }
 
 // History is a campaign's script for one seed, and what came of it. As a file it plays again.
@@ -112,13 +112,13 @@
 		Seed: p.Seed, Senders: p.Scenario.Senders, Agents: a.Number, Length: p.Scenario.Length,
 		Budget: rollout.Budget{Fleet: a.Fleet, Building: a.Building, Serving: a.Serving}, Lease: a.Lease,
 	}
-	for _, d := range p.Struck {
+	for _, d := range p.AgentActions {
 		h.Deeds = append(h.Deeds, Deed{At: d.At, What: d.What + " agent", Agent: d.Agent, For: d.Until - d.At})
 	}
 	for _, o := range p.Orders {
 		h.Deeds = append(h.Deeds, Deed{At: o.At, What: o.What, Agent: o.Agent, Of: o.Of, For: o.Hold, Good: !o.Bad, Back: o.GoBack})
 	}
-	for _, d := range p.Deeds {
+	for _, d := range p.Actions {
 		h.Deeds = append(h.Deeds, Deed{At: d.At, What: d.What + " sender", Sender: d.Sender, For: max(0, d.Until-d.At), planned: d})
 	}
 	slices.SortStableFunc(h.Deeds, func(a, b Deed) int { return cmp.Compare(a.At, b.At) })
@@ -197,7 +197,7 @@
 	for _, b := range r.Over {
 		h.Faults = append(h.Faults, fmt.Sprintf("over the budget at %v: %s", b.At, b.Text))
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		h.Faults = append(h.Faults, fmt.Sprintf("rule broken at %v by %d: %s: %s (%s)", b.At, b.Sender, b.Rule, b.Text, b.Message))
 	}
 	return nil
@@ -290,12 +290,12 @@
 		notices := other == scenario.Discovery // what can't be told there is not due
 		y.Net.Both(y.Names[d.Sender], other, d.State)
 		if notices {
-			y.World.Note(audit.Event{What: audit.CutOff, Sender: d.Sender})
+			y.World.Note(audit.Event{Kind: audit.Unreachable, Sender: d.Sender})
 		}
 		return func() {
 			y.Net.Both(y.Names[d.Sender], other, fault.State{})
 			if notices {
-				y.World.Note(audit.Event{What: audit.Reached, Sender: d.Sender})
+				y.World.Note(audit.Event{Kind: audit.ReachableAgain, Sender: d.Sender})
 			}
 		}
 	case "one way":
@@ -319,7 +319,7 @@
 		y.SignalSender(d.Sender, syscall.SIGHUP)
 	case "wipe sender":
 		if y.SignalSender(d.Sender, syscall.SIGKILL) {
-			y.World.Note(audit.Event{What: audit.Died, Sender: d.Sender, Cause: audit.Wiped})
+			y.World.Note(audit.Event{Kind: audit.Died, Sender: d.Sender, Cause: audit.Wiped})
 			os.RemoveAll(filepath.Join(filepath.Dir(y.senders[d.Sender].config), "state"))
 		}
 	case "retune sender":
--- a/internal/rig/fleet/poll.go
+++ b/internal/rig/fleet/poll.go
@@ -117,17 +117,17 @@
 	switch {
 	case l.is == quiet:
 		p.y.Clients.SetDown(l.sender, true)
-		p.y.World.Note(audit.Event{What: audit.Died, Sender: l.sender})
+		p.y.World.Note(audit.Event{Kind: audit.Died, Sender: l.sender})
 	case was == quiet:
 		p.y.Clients.SetDown(l.sender, false)
-		p.y.World.Note(audit.Event{What: audit.Ready, Sender: l.sender})
+		p.y.World.Note(audit.Event{Kind: audit.Ready, Sender: l.sender})
 	}
 }
 
 // did tells of a signal that the yard itself sent to a sender, for which nobody's order is to blame.
 func (p *Poll) did(sender int, s syscall.Signal) {
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		p.y.World.Note(audit.Event{What: audit.Died, Sender: sender})
+		p.y.World.Note(audit.Event{Kind: audit.Died, Sender: sender})
 	}
 }
 
--- a/internal/rig/fleet/release.go
+++ b/internal/rig/fleet/release.go
@@ -237,7 +237,7 @@
 	}
 	m.Back = time.Since(began)
 	r := y.Finish()
-	m.Served, m.Breaks, m.Over = r.Service, len(r.Breaks), len(r.Over)
+	m.Served, m.Breaks, m.Over = r.Service, len(r.Violations), len(r.Over)
 	return m, nil
 }
 
--- a/internal/rig/fleet/yard.go
+++ b/internal/rig/fleet/yard.go
@@ -195,11 +195,11 @@
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	switch {
-	case e.What == audit.Sent:
+	case e.Kind == audit.Sent:
 		y.calls[e.Endpoint] = time.Now()
-	case e.What == audit.Asked:
+	case e.Kind == audit.Requested:
 		y.wanted++
-	case e.What == audit.Took && e.Cause == "":
+	case e.Kind == audit.Executed && e.Cause == "":
 		y.came++
 	}
 	return nil
--- a/internal/rig/platform.go
+++ b/internal/rig/platform.go
@@ -77,18 +77,18 @@
 			}
 			return
 		}
-		if _, blind := w.ground.Blind(now); blind {
-			w.ground.Asked(now, sender, false, true)
+		if _, blind := w.ground.DiscoveryOutage(now); blind {
+			w.ground.Polled(now, sender, false, true)
 			w.mu.Unlock()
 			http.Error(out, "discovery is down", http.StatusServiceUnavailable)
 			return
 		}
-		var lines []lab.Line
+		var lines []lab.ListedEndpoint
 		version, whole := int64(0), !watch
 		if watch {
-			lines, version, whole = w.ground.Since(now, sender, since)
+			lines, version, whole = w.ground.ListChanges(now, sender, since)
 		} else {
-			lines, version = w.ground.Whole(now, sender)
+			lines, version = w.ground.FullList(now, sender)
 		}
 		if whole || len(lines) > 0 || !time.Now().Before(until) {
 			fault, cut := w.answerFault(), w.chance.Float64()
@@ -107,7 +107,7 @@
 				return
 			}
 			text := w.list(sender, lines, version, whole)
-			w.ground.Asked(now, sender, false, false)
+			w.ground.Polled(now, sender, false, false)
 			w.mu.Unlock()
 			if fault != "" && fault != Delays {
 				w.spoil(out, fault, text, cut)
@@ -120,8 +120,8 @@
 			out.Write(text)
 			return
 		}
-		w.ground.Asked(now, sender, true, false)
-		next, some := w.ground.Next(sender, since)
+		w.ground.Polled(now, sender, true, false)
+		next, some := w.ground.NextListUpdate(sender, since)
 		bell := w.bell
 		w.mu.Unlock()
 		rest := time.Until(until)
@@ -143,7 +143,7 @@
 }
 
 // list writes lines as PROTOCOL has it, and notes what is told; under the lock.
-func (w *World) list(sender int, lines []lab.Line, version int64, whole bool) []byte {
+func (w *World) list(sender int, lines []lab.ListedEndpoint, version int64, whole bool) []byte {
 	type server struct {
 		ID      string  `json:"id"`
 		Addr    string  `json:"addr"`
@@ -163,7 +163,7 @@
 	s := w.plan.Scenario
 	for _, l := range lines {
 		if !whole || l.State != control.Ready {
-			w.note(audit.Event{What: audit.Told, Sender: sender, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready})
+			w.note(audit.Event{Kind: audit.Notified, Sender: sender, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready})
 		}
 		answer.Servers = append(answer.Servers, server{
 			l.ID, w.addressOf(sender, l), s.Zones[l.Zone], s.Kinds[l.Kind].Name, l.Dest, states[l.State], l.Weight, 0,
@@ -183,7 +183,7 @@
 	gjson.ForEachLine(string(body), func(line gjson.Result) bool {
 		id, deferred := line.Get("id").String(), line.Get("status").String() == "deferred"
 		again := time.Duration(line.Get("again_ms").Float() * float64(time.Millisecond))
-		w.Note(audit.Event{What: audit.Notice, Sender: sender, Message: id, Deferred: deferred, Wait: again})
+		w.Note(audit.Event{Kind: audit.Notice, Sender: sender, Message: id, Deferred: deferred, RetryAfter: again})
 		w.heard(id, deferred, again)
 		return true
 	})
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -121,7 +121,7 @@
 }
 
 // Reconfigure puts other settings into the configuration of a plan's sender. Where it listens and what it may have stays.
-func Reconfigure(path string, d scenario.PlannedDeed, p *scenario.Plan) error {
+func Reconfigure(path string, d scenario.PlannedAction, p *scenario.Plan) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("rig: %w", err)
@@ -130,12 +130,12 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		return fmt.Errorf("rig: %s: %w", path, err)
 	}
-	config["settings"] = lab.Retuned(p, d)
+	config["settings"] = lab.UpdatedSettings(p, d)
 	return write(path, config)
 }
 
 // retune writes other settings, and has the one that runs read them.
-func (x *Process) retune(d scenario.PlannedDeed) error {
+func (x *Process) retune(d scenario.PlannedAction) error {
 	if err := Reconfigure(x.config(), d, x.plan); err != nil {
 		return err
 	}
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -96,8 +96,8 @@
 
 // handIn enters a message that a client handed in to sender 0.
 func handIn(w *World, id string, dest int) {
-	w.hand(audit.Event{What: audit.HandIn, Message: id, Dest: dest, Left: 8 * time.Second})
-	w.Note(audit.Event{What: audit.Taken, Message: id})
+	w.hand(audit.Event{Kind: audit.Submitted, Message: id, Dest: dest, TimeLeft: 8 * time.Second})
+	w.Note(audit.Event{Kind: audit.Accepted, Message: id})
 }
 
 func TestDoor(t *testing.T) {
@@ -123,14 +123,14 @@
 			t.Errorf("%s: %v %v", name, r, err)
 		}
 	}
-	set := func(tr partner.Trouble) {
+	set := func(tr partner.Fault) {
 		w.with(func() {
-			w.ground.Model.Set(w.now(), door.endpoint, tr)
+			w.ground.Model.SetFault(w.now(), door.endpoint, tr)
 			w.refit()
 			w.settle()
 		})
 	}
-	set(partner.Trouble{Mode: partner.Shut, Until: time.Hour})
+	set(partner.Fault{Mode: partner.Shut, Until: time.Hour})
 	if r, _, err := say(t, door.addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil || r.StatusCode != 503 && r.StatusCode != 429 {
 		t.Errorf("shut: %v %v", r, err)
 	}
@@ -141,7 +141,7 @@
 	defer idle.Close()
 	// Down: connections that stand break, new ones are refused, the port is kept.
 	addr := door.addr
-	set(partner.Trouble{Mode: partner.Down})
+	set(partner.Fault{Mode: partner.Down})
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
 		t.Error("a connection outlives its endpoint")
 	}
@@ -154,7 +154,7 @@
 		l.Close()
 		t.Error("somebody else got its port")
 	}
-	set(partner.Trouble{})
+	set(partner.Fault{})
 	served(t, addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
 }
 
@@ -164,7 +164,7 @@
 	w, p := aWorld(t, "")
 	d := p.Dests[0]
 	door := w.doors[0][d.Endpoints[0].ID]
-	w.with(func() { w.ground.Model.Set(w.now(), door.endpoint, partner.Trouble{Mode: partner.Silent}) })
+	w.with(func() { w.ground.Model.SetFault(w.now(), door.endpoint, partner.Fault{Mode: partner.Unresponsive}) })
 	handIn(w, "a", d.Dest)
 	c, err := net.Dial("tcp", door.addr)
 	if err != nil {
@@ -180,7 +180,7 @@
 	wait(t, "its end", func() bool { return running() == 0 })
 	wait(t, "its effect", func() bool {
 		n := 0
-		w.with(func() { s, _ := w.auditor.Counted(); n = s.Effects })
+		w.with(func() { s, _ := w.auditor.Totals(); n = s.Effects })
 		return n == 1
 	})
 }
@@ -239,7 +239,7 @@
 		}
 	}
 	served(t, w.doors[0][e.ID].addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n") // the new one at the old address
-	w.with(func() { w.plan.Blind = []scenario.Span{{From: 0, To: time.Hour}}; w.ring() })
+	w.with(func() { w.plan.DiscoveryOutages = []scenario.Span{{From: 0, To: time.Hour}}; w.ring() })
 	if status, _ := get("?since=4&timeout_ms=10000"); status != 503 {
 		t.Errorf("down: %d", status)
 	}
@@ -334,7 +334,7 @@
 		}
 	}
 	cancel()
-	if r := <-done; len(r.Breaks) > 0 || len(r.Marks) == 0 {
+	if r := <-done; len(r.Violations) > 0 || len(r.Marks) == 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -415,7 +415,7 @@
 			served(t, door.addr, receive("a"))
 		}
 		calls := 0
-		w.with(func() { s, _ := w.auditor.Counted(); calls = s.Effects + s.Dropped })
+		w.with(func() { s, _ := w.auditor.Totals(); calls = s.Effects + s.Dropped })
 		if strings.HasPrefix(c.link, `of = "n0", to = "partners", what = "SILENT"`) && calls != 1 {
 			t.Errorf("%s: %d calls took effect", c.link, calls)
 		}
