--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -264,10 +264,10 @@
 // keep does what the plan does to one sender, and starts it again after each end.
 func (g *stage) keep(num int) {
 	w, x := g.world, g.processes[num]
-	deeds := make(chan scenario.PlannedDeed)
+	deeds := make(chan scenario.PlannedAction)
 	w.wg.Go(func() {
 		defer close(deeds)
-		for _, d := range g.Plan.Deeds {
+		for _, d := range g.Plan.Actions {
 			if d.Sender != num {
 				continue
 			}
@@ -296,7 +296,7 @@
 			}
 			told = true
 		case <-x.Ended():
-			w.Note(audit.Event{What: audit.Died, Sender: num})
+			w.Note(audit.Event{Kind: audit.Died, Sender: num})
 			g.clients.SetDown(num, true)
 		}
 		g.mu.Lock()
@@ -319,16 +319,16 @@
 			}
 			return
 		}
-		w.Note(audit.Event{What: audit.Ready, Sender: num})
+		w.Note(audit.Event{Kind: audit.Ready, Sender: num})
 		g.clients.SetDown(num, false)
 	}
 }
 
 // strike does a deed to a sender, and tells whether its process has ended by it.
-func (g *stage) strike(x *Process, d scenario.PlannedDeed) (ended bool) {
+func (g *stage) strike(x *Process, d scenario.PlannedAction) (ended bool) {
 	w := g.world
 	died := func(cause string) {
-		w.Note(audit.Event{What: audit.Died, Sender: x.num, Cause: cause})
+		w.Note(audit.Event{Kind: audit.Died, Sender: x.num, Cause: cause})
 		g.clients.SetDown(x.num, true)
 	}
 	// later does something at the deed's end, unless the process has ended by then.
@@ -382,7 +382,7 @@
 		x.Signal(syscall.SIGSTOP)
 		later(func() {
 			x.Signal(syscall.SIGCONT)
-			w.Note(audit.Event{What: audit.Ready, Sender: x.num})
+			w.Note(audit.Event{Kind: audit.Ready, Sender: x.num})
 			g.clients.SetDown(x.num, false)
 		})
 	case "drain":
@@ -453,7 +453,7 @@
 	r := Result{Result: w.Close(), Rig: lagOf(w.lag)}
 	r.mark()
 	// Who handed in what is not seen here, and most of the rules rest on it.
-	r.Breaks = nil
+	r.Violations = nil
 	r.Marks = append(r.Marks, "service and rules are not judged: what clients elsewhere hand in is not seen here")
 	return r, err
 }
--- a/internal/rig/world.go
+++ b/internal/rig/world.go
@@ -40,9 +40,9 @@
 	mu      sync.Mutex
 	begun   time.Time // zero: not yet
 	last    time.Duration
-	ground  *lab.Ground
+	ground  *lab.Environment
 	auditor *audit.Auditor
-	tally   *lab.Tally
+	tally   *lab.ServiceMeter
 	sink    func(audit.Event) error
 	answers map[uint64]chan partner.Answer
 	calls   uint64
@@ -92,7 +92,7 @@
 // What goes wrong in it ends its context, with the cause.
 func NewWorld(ctx context.Context, p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*World, error) {
 	w := &World{
-		plan: p, log: log, tally: lab.NewTally(p.Scenario), sink: sink, answers: map[uint64]chan partner.Answer{}, handed: map[string]handed{},
+		plan: p, log: log, tally: lab.NewServiceMeter(p.Scenario), sink: sink, answers: map[uint64]chan partner.Answer{}, handed: map[string]handed{},
 		bell: make(chan struct{}), turn: make(chan struct{}), cutOff: make([]bool, p.Scenario.Senders), wake: make(chan struct{}, 1), lag: newLag(),
 		chance: rand.New(rand.NewPCG(p.Seed, 96)), heard: func(string, bool, time.Duration) {}, served: func([]string) {},
 	}
@@ -101,8 +101,8 @@
 	if err != nil {
 		return nil, err
 	}
-	w.auditor = audit.New(lab.Terms(p, set))
-	if w.ground, err = lab.NewGround(p, w.note); err != nil {
+	w.auditor = audit.New(lab.Rules(p, set))
+	if w.ground, err = lab.NewEnvironment(p, w.note); err != nil {
 		return nil, err
 	}
 	return w, nil
@@ -150,9 +150,9 @@
 	w.wg.Go(w.pump)
 	w.wg.Go(w.script)
 	w.wg.Go(func() {
-		for w.sleep(lab.Look) {
+		for w.sleep(lab.NotifiedCheckInterval) {
 			w.mu.Lock()
-			w.ground.Deem(w.now())
+			w.ground.MarkNotified(w.now())
 			w.mu.Unlock()
 		}
 	})
@@ -219,15 +219,15 @@
 // deliver hands the model's answers on, and measures how late they are; under the
 // lock.
 func (w *World) deliver() {
-	falls := w.ground.Falls()
-	for _, a := range w.ground.Settle() {
+	falls := w.ground.Overloads()
+	for _, a := range w.ground.Collect() {
 		record(w.lag, w.now()-a.At)
 		if c := w.answers[a.Call]; c != nil {
 			c <- a // has room for one, and gets one
 			delete(w.answers, a.Call)
 		}
 	}
-	if w.ground.Falls() > falls {
+	if w.ground.Overloads() > falls {
 		w.refit()
 	}
 }
@@ -239,11 +239,11 @@
 	for i, c := range w.plan.Changes {
 		acts.Push(c.At, uint64(i), func() { w.change(c) })
 	}
-	for _, b := range w.plan.Blind {
+	for _, b := range w.plan.DiscoveryOutages {
 		acts.Push(b.From, 0, w.ring)
 		acts.Push(b.To, 0, w.ring)
 	}
-	for _, at := range w.plan.Turns() {
+	for _, at := range w.plan.LinkChanges() {
 		acts.Push(at, 0, w.turned)
 	}
 	w.mu.Unlock()
@@ -265,7 +265,7 @@
 }
 
 // way is what ails the way between two parties now; under the lock.
-func (w *World) way(from, to string) scenario.Way { return w.plan.Way(w.now(), from, to) }
+func (w *World) way(from, to string) scenario.LinkState { return w.plan.LinkState(w.now(), from, to) }
 
 // turned: ways have changed; under the lock.
 func (w *World) turned() {
@@ -275,9 +275,9 @@
 			continue
 		}
 		w.cutOff[i] = cut
-		w.note(audit.Event{What: map[bool]audit.What{true: audit.CutOff, false: audit.Reached}[cut], Sender: i})
+		w.note(audit.Event{Kind: map[bool]audit.EventKind{true: audit.Unreachable, false: audit.ReachableAgain}[cut], Sender: i})
 		if cut {
-			w.ground.Asked(w.now(), i, false, true)
+			w.ground.Polled(w.now(), i, false, true)
 		}
 	}
 	w.refit()
@@ -303,10 +303,10 @@
 		senders[scenario.Sender(i)] = true
 	}
 	return func(from, to string) fault.State {
-		s := fault.State(w.plan.Way(time.Since(begun), from, to))
+		s := fault.State(w.plan.LinkState(time.Since(begun), from, to))
 		if senders[from] && senders[to] {
-			s.Loss = 1 - (1-s.Loss)*(1-w.plan.Scenario.NotesLost)
-			s.Delay, s.Jitter = s.Delay+lab.NoteFrom, s.Jitter+lab.NoteTo-lab.NoteFrom
+			s.Loss = 1 - (1-s.Loss)*(1-w.plan.Scenario.GossipLoss)
+			s.Delay, s.Jitter = s.Delay+lab.MinGossipDelay, s.Jitter+lab.MaxGossipDelay-lab.MinGossipDelay
 		}
 		return s
 	}
@@ -314,7 +314,7 @@
 
 // change is a step of the plan; under the lock.
 func (w *World) change(c scenario.Change) {
-	told, err := w.ground.Change(w.now(), c)
+	told, err := w.ground.Apply(w.now(), c)
 	if err != nil {
 		w.end(err)
 		return
@@ -372,9 +372,9 @@
 	w.wg.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := lab.Result{Scenario: w.plan.Scenario.Name, Seed: w.plan.Seed, Conns: w.conns, Falls: w.ground.Falls()}
-	r.Breaks = w.auditor.Close(w.last)
-	r.Counts, _ = w.auditor.Counted()
+	r := lab.Result{Scenario: w.plan.Scenario.Name, Seed: w.plan.Seed, Connections: w.conns, Overloads: w.ground.Overloads()}
+	r.Violations = w.auditor.Close(w.last)
+	r.Counts, _ = w.auditor.Totals()
 	r.Score = w.tally.Score()
 	return r
 }
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -26,7 +26,7 @@
 // PlannedLink is a fault of ways, drawn.
 type PlannedLink struct {
 	From, To time.Duration
-	Way      Way
+	Way      LinkState
 	Text     string
 
 	of, to map[string]bool // to nil: all that are not in of
@@ -45,8 +45,8 @@
 	return there(from, to) || !l.oneWay && there(to, from)
 }
 
-// Way is what ails the way from one party to another at a time: what began last stands.
-func (p *Plan) Way(at time.Duration, from, to string) (w Way) {
+// LinkState is what ails the way from one party to another at a time: what began last stands.
+func (p *Plan) LinkState(at time.Duration, from, to string) (w LinkState) {
 	for i := range p.Links {
 		l := &p.Links[i]
 		if l.From > at {
@@ -59,8 +59,8 @@
 	return w
 }
 
-// Turns are the instants at which ways change, in order.
-func (p *Plan) Turns() (list []time.Duration) {
+// LinkChanges are the instants at which ways change, in order.
+func (p *Plan) LinkChanges() (list []time.Duration) {
 	for _, l := range p.Links {
 		list = append(list, l.From, l.To)
 	}
@@ -138,7 +138,7 @@
 func (p *Plan) drawLinks(rng *rand.Rand) {
 	n := p.Scenario.Senders
 	for _, l := range p.Scenario.Links {
-		x := PlannedLink{From: l.At.seconds(rng), Way: l.Way, oneWay: l.OneWay}
+		x := PlannedLink{From: l.At.seconds(rng), Way: l.LinkState, oneWay: l.OneWay}
 		x.To = x.From + l.Length.seconds(rng)
 		of := l.Of
 		if len(of) == 0 {
@@ -149,26 +149,26 @@
 		if x.of = p.parties(of); len(l.To) > 0 {
 			x.to = p.parties(l.To)
 		}
-		x.Text = l.Way.text() + " between " + some(of) + " and " + some(l.To)
+		x.Text = l.LinkState.text() + " between " + some(of) + " and " + some(l.To)
 		if l.OneWay {
-			x.Text = l.Way.text() + " from " + some(of) + " to " + some(l.To)
+			x.Text = l.LinkState.text() + " from " + some(of) + " to " + some(l.To)
 		}
 		p.Links = append(p.Links, x)
 	}
-	for _, c := range p.Scenario.Parts {
-		x := PlannedLink{From: c.At.seconds(rng), Way: c.Way, part: map[string]int{}, Text: fmt.Sprintf("%s between %d parts of the senders", c.Way.text(), c.Parts)}
+	for _, c := range p.Scenario.Partitions {
+		x := PlannedLink{From: c.At.seconds(rng), Way: c.LinkState, part: map[string]int{}, Text: fmt.Sprintf("%s between %d parts of the senders", c.LinkState.text(), c.Sides)}
 		x.To = x.From + c.Length.seconds(rng)
 		for i, num := range rng.Perm(n) {
-			x.part[Sender(num)] = i % c.Parts
+			x.part[Sender(num)] = i % c.Sides
 		}
 		p.Links = append(p.Links, x)
 	}
 	slices.SortStableFunc(p.Links, func(a, b PlannedLink) int { return cmp.Compare(a.From, b.From) })
 }
 
-// PlannedAgent is something done to an agent, and PlannedOrder what staff want, drawn.
+// PlannedAgentAction is something done to an agent, and PlannedOrder what staff want, drawn.
 type (
-	PlannedAgent struct {
+	PlannedAgentAction struct {
 		At, Until time.Duration
 		Agent     int
 		What      string
@@ -185,11 +185,11 @@
 
 // drawAgents draws what befalls agents, and what staff order.
 func (p *Plan) drawAgents(rng *rand.Rand) {
-	for _, d := range p.Scenario.Struck {
+	for _, d := range p.Scenario.AgentActions {
 		at := d.At.seconds(rng)
-		p.Struck = append(p.Struck, PlannedAgent{at, at + d.Length.seconds(rng), d.Agent, d.What})
+		p.AgentActions = append(p.AgentActions, PlannedAgentAction{at, at + d.Length.seconds(rng), d.Agent, d.What})
 	}
-	slices.SortStableFunc(p.Struck, func(a, b PlannedAgent) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(p.AgentActions, func(a, b PlannedAgentAction) int { return cmp.Compare(a.At, b.At) })
 	for _, o := range p.Scenario.Orders {
 		x := PlannedOrder{At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.What, Bad: o.Bad, GoBack: o.GoBack}
 		of := p.parties(o.Of)
@@ -215,7 +215,7 @@
 }
 
 // text is what ails a way, in a word or two.
-func (w Way) text() string {
+func (w LinkState) text() string {
 	switch {
 	case w.Cut:
 		return "cut"
@@ -229,7 +229,7 @@
 	for _, part := range []struct {
 		word string
 		of   float64
-	}{{"lost", w.Loss}, {"doubled", w.Double}, {"out of order", w.Reorder}} {
+	}{{"lost", w.Loss}, {"doubled", w.Duplicate}, {"out of order", w.Reorder}} {
 		if part.of > 0 {
 			list = append(list, fmt.Sprintf("%.0f%% %s", 100*part.of, part.word))
 		}
--- a/internal/scenario/links_test.go
+++ b/internal/scenario/links_test.go
@@ -19,33 +19,33 @@
 link(at = 40, seconds = 5, share = 0.5, to = "partners", what = "CUT")
 parts(at = 50, seconds = 5, parts = 3, what = "CUT")
 `).Plan(3)
-	cut, silent := Way{Cut: true}, Way{Silent: true}
+	cut, silent := LinkState{Cut: true}, LinkState{Silent: true}
 	other, second := p.Dests[0].Endpoints[0].ID, p.Dests[1].Endpoints[0].ID
 	for _, c := range []struct {
 		at       float64
 		from, to string
-		want     Way
+		want     LinkState
 	}{
-		{9.9, "n0", "n1", Way{}}, {10, "n0", "n1", cut}, {10, "n1", "n0", cut}, {14.9, "clients", "n0", cut}, {12, "n1", "n2", Way{}}, {15, "n0", "n1", Way{}},
-		{20, "n0", Clients, silent}, {20, Clients, "n0", Way{}}, {20, "n2", Discovery, silent}, {20, "n1", Discovery, Way{}}, {20, "n0", "n1", Way{}},
-		{22, "n0", Clients, Way{Delay: 250 * time.Millisecond, Jitter: 500 * time.Millisecond, Loss: 0.5}}, {23, "n0", Clients, silent},
-		{30, "n1", second, cut}, {30, second, "n1", cut}, {30, "n1", other, Way{}}, {30, "n0", second, Way{}},
-		{50, "n0", "n1", cut}, {50, "n2", "n1", cut}, {50, "n0", Clients, Way{}}, {50, "n0", other, Way{}},
+		{9.9, "n0", "n1", LinkState{}}, {10, "n0", "n1", cut}, {10, "n1", "n0", cut}, {14.9, "clients", "n0", cut}, {12, "n1", "n2", LinkState{}}, {15, "n0", "n1", LinkState{}},
+		{20, "n0", Clients, silent}, {20, Clients, "n0", LinkState{}}, {20, "n2", Discovery, silent}, {20, "n1", Discovery, LinkState{}}, {20, "n0", "n1", LinkState{}},
+		{22, "n0", Clients, LinkState{Delay: 250 * time.Millisecond, Jitter: 500 * time.Millisecond, Loss: 0.5}}, {23, "n0", Clients, silent},
+		{30, "n1", second, cut}, {30, second, "n1", cut}, {30, "n1", other, LinkState{}}, {30, "n0", second, LinkState{}},
+		{50, "n0", "n1", cut}, {50, "n2", "n1", cut}, {50, "n0", Clients, LinkState{}}, {50, "n0", other, LinkState{}},
 	} {
-		if got := p.Way(time.Duration(c.at*float64(time.Second)), c.from, c.to); got != c.want {
+		if got := p.LinkState(time.Duration(c.at*float64(time.Second)), c.from, c.to); got != c.want {
 			t.Errorf("%v s, %s to %s: %+v, want %+v", c.at, c.from, c.to, got, c.want)
 		}
 	}
 	struck := 0
 	for i := range 3 {
-		if !p.Way(40*time.Second, Sender(i), other).Passes() {
+		if !p.LinkState(40*time.Second, Sender(i), other).Passes() {
 			struck++
 		}
 	}
 	if struck != 2 {
 		t.Errorf("%d of 3 senders are half of them", struck)
 	}
-	if turns := p.Turns(); len(turns) != 12 || turns[0] != 10*time.Second {
+	if turns := p.LinkChanges(); len(turns) != 12 || turns[0] != 10*time.Second {
 		t.Errorf("ways change at %v", turns)
 	}
 }
@@ -57,14 +57,14 @@
 sender(number = 1, at = 30, what = "retune", slots = 0.5)
 `).Plan(3)
 	seen := map[int]bool{}
-	for _, d := range p.Deeds[:2] {
+	for _, d := range p.Actions[:2] {
 		seen[d.Sender] = true
 		if d.At < 10*time.Second || d.At > 12*time.Second || d.Until-d.At != 4*time.Second {
 			t.Errorf("%+v", d)
 		}
 	}
-	if len(seen) != 2 || len(p.Deeds) != 3 || p.Deeds[2].Slots != 0.5 || p.Deeds[2].Hold != 1 || p.Deeds[0].At == p.Deeds[1].At {
-		t.Errorf("%+v", p.Deeds)
+	if len(seen) != 2 || len(p.Actions) != 3 || p.Actions[2].InFlight != 0.5 || p.Actions[2].OpenMessages != 1 || p.Actions[0].At == p.Actions[1].At {
+		t.Errorf("%+v", p.Actions)
 	}
 }
 
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -28,9 +28,9 @@
 // Parse reads a script's text and checks it. Errors name file, line and column.
 func Parse(path string, text []byte, figures map[string]float64) (*Scenario, error) {
 	s := &Scenario{
-		Path: path, Script: text, Figures: figures, Senders: 1, Slots: Range{1.8, 2.4}, Hold: Range{7, 11},
+		Path: path, Script: text, Figures: figures, Senders: 1, InFlight: Range{1.8, 2.4}, OpenMessages: Range{7, 11},
 		Traffic: Traffic{
-			Zipf: Range{0.8, 1.15}, Clump: Range{1, 3}, RetryIn: Range{0.3, 2}, AgainIn: Range{0.8, 2}, Body: Range{100, 400},
+			Zipf: Range{0.8, 1.15}, Clump: Range{1, 3}, RetryDelay: Range{0.3, 2}, ResubmitDelay: Range{0.8, 2}, Body: Range{100, 400},
 			Patience: 400 * time.Millisecond,
 		},
 	}
@@ -90,8 +90,8 @@
 
 // modes are the words for what may ail a partner.
 var modes = map[string]partner.Mode{
-	"DOWN": partner.Down, "SHUT": partner.Shut, "SILENT": partner.Silent, "FAILING": partner.Failing, "SLOW": partner.Slow,
-	"PAUSED": partner.Paused, "BREAKING": partner.Breaking, "SPOILING": partner.Spoiling, "CUT": partner.Cut,
+	"DOWN": partner.Down, "SHUT": partner.Shut, "SILENT": partner.Unresponsive, "FAILING": partner.ReturningErrors, "SLOW": partner.Slow,
+	"PAUSED": partner.Paused, "BREAKING": partner.BreakingConnections, "SPOILING": partner.GarblingAnswers, "CUT": partner.LimitReduced,
 }
 
 // args are the arguments of a call, taken by name.
@@ -205,10 +205,10 @@
 	a.text("name", &s.Name)
 	a.span("seconds", &s.Length)
 	a.count("senders", &s.Senders)
-	a.between("slots", &s.Slots)
-	a.between("hold", &s.Hold)
-	if a.number("notes_lost", &s.NotesLost); s.NotesLost < 0 || s.NotesLost > 1 {
-		a.fail("notes_lost", "a part from 0 to 1", starlark.Float(s.NotesLost))
+	a.between("slots", &s.InFlight)
+	a.between("hold", &s.OpenMessages)
+	if a.number("notes_lost", &s.GossipLoss); s.GossipLoss < 0 || s.GossipLoss > 1 {
+		a.fail("notes_lost", "a part from 0 to 1", starlark.Float(s.GossipLoss))
 	}
 	if v, ok := a.take("zones"); ok {
 		list, isList := v.(*starlark.List)
@@ -226,26 +226,26 @@
 
 func (s *Scenario) addKind(a *args) error {
 	k := Kind{
-		Headroom: Range{1.3, 2}, Least: Range{2, 4}, Span: time.Second, Spare: Range{1.15, 1.6}, Depth: Range{0.3, 1}, CV: Range{0.3, 0.8},
-		Batch: 1, ItemCost: Range{0.05, 0.25}, LeastConn: Range{6, 16}, Endpoints: Range{2, 2.3}, Wait: Range{0.3, 1},
+		Headroom: Range{1.3, 2}, MinLimit: Range{2, 4}, Span: time.Second, SpareCapacity: Range{1.15, 1.6}, QueueLength: Range{0.3, 1}, CV: Range{0.3, 0.8},
+		Batch: 1, ItemCost: Range{0.05, 0.25}, MinConnections: Range{6, 16}, Endpoints: Range{2, 2.3}, RetryAfter: Range{0.3, 1},
 	}
 	form := "rate"
 	a.text("name", &k.Name)
 	a.text("limit", &form)
 	a.between("headroom", &k.Headroom)
-	a.between("least", &k.Least)
+	a.between("least", &k.MinLimit)
 	a.span("span", &k.Span)
-	a.yes("refused_count", &k.Counts)
-	a.between("tells_wait", &k.TellsWait)
-	a.between("wait", &k.Wait)
-	a.between("spare", &k.Spare)
-	a.between("depth", &k.Depth)
+	a.yes("refused_count", &k.CountRejected)
+	a.between("tells_wait", &k.RetryAfterShare)
+	a.between("wait", &k.RetryAfter)
+	a.between("spare", &k.SpareCapacity)
+	a.between("depth", &k.QueueLength)
 	a.between("cv", &k.CV)
 	a.count("batch", &k.Batch)
 	a.between("item_cost", &k.ItemCost)
-	a.yes("apart", &k.Apart)
-	a.between("conns", &k.Conns)
-	a.between("least_conns", &k.LeastConn)
+	a.yes("apart", &k.SeparateRoutes)
+	a.between("conns", &k.Connections)
+	a.between("least_conns", &k.MinConnections)
 	a.between("endpoints", &k.Endpoints)
 	switch form {
 	case "rate":
@@ -257,7 +257,7 @@
 	default:
 		return fmt.Errorf("limit: %q is none of rate, window and none", form)
 	}
-	if k.Name == "" || k.Batch < 1 || k.Span <= 0 || k.TellsWait.To > 1 || k.Endpoints.From < 1 || k.Spare.From < 1 {
+	if k.Name == "" || k.Batch < 1 || k.Span <= 0 || k.RetryAfterShare.To > 1 || k.Endpoints.From < 1 || k.SpareCapacity.From < 1 {
 		return errors.Join(a.err, errors.New("name, batch, span, tells_wait (0 to 1), endpoints (1 up) or spare (1 up) out of range"))
 	}
 	s.Kinds = append(s.Kinds, k)
@@ -284,8 +284,8 @@
 	a.between("clumps", &t.Clumps)
 	a.between("clump", &t.Clump)
 	a.count("retries", &t.Retries)
-	a.between("retry_in", &t.RetryIn)
-	a.between("again_in", &t.AgainIn)
+	a.between("retry_in", &t.RetryDelay)
+	a.between("again_in", &t.ResubmitDelay)
 	a.between("body", &t.Body)
 	a.span("patience", &t.Patience)
 	if t.Clumps.To > 1 || t.Retries < 0 || t.Retries > 100 || t.Body.To > 64<<10 {
@@ -295,22 +295,22 @@
 }
 
 func (s *Scenario) addClass(a *args) error {
-	c := Class{Worth: 1, Effect: "safe"}
+	c := Class{PriorityWeight: 1, Effect: "safe"}
 	a.text("name", &c.Name)
 	a.number("share", &c.Share)
 	a.between("service", &c.Service)
-	a.span("aim", &c.Aim)
+	a.span("aim", &c.LatencyObjective)
 	a.span("deadline", &c.Deadline)
 	a.text("effect", &c.Effect)
-	a.span("memory", &c.Memory)
-	a.number("late", &c.Late)
-	a.number("worth", &c.Worth)
+	a.span("memory", &c.KeyRetention)
+	a.number("late", &c.LateWeight)
+	a.number("worth", &c.PriorityWeight)
 	switch {
 	case c.Effect != "safe" && c.Effect != "keyed" && c.Effect != "unsafe":
 		return fmt.Errorf("effect: %q is none of safe, keyed and unsafe", c.Effect)
-	case c.Effect == "keyed" && c.Memory <= 0:
+	case c.Effect == "keyed" && c.KeyRetention <= 0:
 		return errors.New("a keyed class needs its memory")
-	case c.Name == "" || !(c.Share > 0) || c.Service.From <= 0 || c.Aim <= 0 || c.Deadline <= c.Aim:
+	case c.Name == "" || !(c.Share > 0) || c.Service.From <= 0 || c.LatencyObjective <= 0 || c.Deadline <= c.LatencyObjective:
 		return errors.Join(a.err, errors.New("name, share, service, aim and a deadline after it are needed"))
 	}
 	s.Traffic.Classes = append(s.Traffic.Classes, c)
@@ -329,52 +329,52 @@
 }
 
 func (s *Scenario) addRamp(a *args) error {
-	var p RampPoint
+	var p RatePoint
 	a.span("at", &p.At)
 	a.number("factor", &p.Factor)
-	if n := len(s.Traffic.Ramp); p.Factor < 0 || n > 0 && p.At <= s.Traffic.Ramp[n-1].At {
+	if n := len(s.Traffic.RateCurve); p.Factor < 0 || n > 0 && p.At <= s.Traffic.RateCurve[n-1].At {
 		return errors.Join(a.err, errors.New("points in the order of their times, factors from 0 up"))
 	}
-	s.Traffic.Ramp = append(s.Traffic.Ramp, p)
+	s.Traffic.RateCurve = append(s.Traffic.RateCurve, p)
 	return a.err
 }
 
 func (s *Scenario) addTrouble(a *args) error {
-	t := Trouble{Dest: -1, Share: Range{1, 1}, Factor: Range{2, 2}, Part: Range{1, 1}}
+	t := Fault{Dest: -1, Share: Range{1, 1}, Factor: Range{2, 2}, TrafficShare: Range{1, 1}}
 	var what string
 	a.text("what", &what)
 	a.between("at", &t.At)
 	a.between("seconds", &t.Length)
 	a.between("share", &t.Share)
 	a.between("factor", &t.Factor)
-	a.between("part", &t.Part)
+	a.between("part", &t.TrafficShare)
 	a.text("zone", &t.Zone)
 	a.number("endpoints", &t.Endpoints)
 	a.text("kind", &t.Kind)
 	a.count("destination", &t.Dest)
-	a.yes("knows_end", &t.Knows)
+	a.yes("knows_end", &t.EndKnown)
 	mode, known := modes[what]
 	switch {
 	case !known:
 		return fmt.Errorf("what: %q is no trouble", what)
-	case t.Share.To > 1 || t.Part.To > 1 || t.Endpoints < 0 || t.Endpoints > 1 || t.Length.From <= 0 || t.Factor.From <= 0:
+	case t.Share.To > 1 || t.TrafficShare.To > 1 || t.Endpoints < 0 || t.Endpoints > 1 || t.Length.From <= 0 || t.Factor.From <= 0:
 		return errors.Join(a.err, errors.New("share, part and endpoints: 0 to 1; seconds and factor: above 0"))
-	case mode == partner.Cut && t.Factor.To >= 1:
+	case mode == partner.LimitReduced && t.Factor.To >= 1:
 		return errors.Join(a.err, errors.New("factor: a cut limit is less than 1 times the usual"))
 	}
 	t.Mode = mode
-	s.Troubles = append(s.Troubles, t)
+	s.Faults = append(s.Faults, t)
 	return a.err
 }
 
 func (s *Scenario) addBlind(a *args) error {
-	var b Blind
+	var b DiscoveryOutage
 	a.between("at", &b.At)
 	a.between("seconds", &b.Length)
 	if b.Length.From <= 0 {
 		return errors.Join(a.err, errors.New("seconds above 0 are needed"))
 	}
-	s.Blind = append(s.Blind, b)
+	s.DiscoveryOutages = append(s.DiscoveryOutages, b)
 	return a.err
 }
 
@@ -391,7 +391,7 @@
 }
 
 func (s *Scenario) addHot(a *args) error {
-	h := Hot{Keys: 1}
+	h := HotKeys{Keys: 1}
 	a.between("at", &h.At)
 	a.between("seconds", &h.Length)
 	a.between("share", &h.Share)
@@ -399,20 +399,20 @@
 	if h.Length.From <= 0 || h.Share.From <= 0 || h.Share.To >= 1 || h.Keys < 1 {
 		return errors.Join(a.err, errors.New("seconds above 0, a share between 0 and 1, and destinations from 1 up are needed"))
 	}
-	s.Hot = append(s.Hot, h)
+	s.HotKeys = append(s.HotKeys, h)
 	return a.err
 }
 
 func (s *Scenario) addDeed(a *args) error {
-	d := Deed{Sender: -1, Slots: 1, Hold: 1}
+	d := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
 	a.between("at", &d.At)
 	a.between("seconds", &d.Length)
 	a.count("number", &d.Sender)
 	a.number("share", &d.Share)
 	a.between("spread", &d.Spread)
 	a.text("what", &d.What)
-	a.number("slots", &d.Slots)
-	a.number("hold", &d.Hold)
+	a.number("slots", &d.InFlight)
+	a.number("hold", &d.OpenMessages)
 	if _, known := deeds[d.What]; !known {
 		return errors.Join(a.err, fmt.Errorf("what: %q is none of %s", d.What, strings.Join(slices.Sorted(maps.Keys(deeds)), ", ")))
 	}
@@ -423,12 +423,12 @@
 		return errors.Join(a.err, errors.New("a stop needs its seconds"))
 	case d.Length.To > 0 && d.What != "stop" && d.What != "drain":
 		return errors.Join(a.err, fmt.Errorf("seconds: a %s takes none", d.What))
-	case !(d.Slots > 0 && d.Slots <= 100 && d.Hold > 0 && d.Hold <= 100):
+	case !(d.InFlight > 0 && d.InFlight <= 100 && d.OpenMessages > 0 && d.OpenMessages <= 100):
 		return errors.Join(a.err, errors.New("slots and hold: multiples above 0, 100 at most"))
-	case d.What != "retune" && (d.Slots != 1 || d.Hold != 1):
+	case d.What != "retune" && (d.InFlight != 1 || d.OpenMessages != 1):
 		return errors.Join(a.err, fmt.Errorf("slots and hold: a %s takes none", d.What))
 	}
-	s.Deeds = append(s.Deeds, d)
+	s.Actions = append(s.Actions, d)
 	return a.err
 }
 
@@ -450,7 +450,7 @@
 }
 
 func (s *Scenario) addAgentDeed(a *args) error {
-	var d AgentDeed
+	var d AgentAction
 	a.between("at", &d.At)
 	a.between("seconds", &d.Length)
 	a.count("number", &d.Agent)
@@ -461,7 +461,7 @@
 	case d.Length.From <= 0:
 		return errors.Join(a.err, errors.New("seconds above 0 are needed: it is back after them"))
 	}
-	s.Struck = append(s.Struck, d)
+	s.AgentActions = append(s.AgentActions, d)
 	return a.err
 }
 
@@ -482,12 +482,12 @@
 }
 
 // way reads what ails a way.
-func (a *args) way(w *Way) error {
+func (a *args) way(w *LinkState) error {
 	what := ""
 	a.text("what", &what)
 	a.span("delay", &w.Delay)
 	a.span("jitter", &w.Jitter)
-	for name, to := range map[string]*float64{"loss": &w.Loss, "double": &w.Double, "reorder": &w.Reorder} {
+	for name, to := range map[string]*float64{"loss": &w.Loss, "double": &w.Duplicate, "reorder": &w.Reorder} {
 		if a.number(name, to); *to < 0 || *to > 1 {
 			return fmt.Errorf("%s: a part from 0 to 1", name)
 		}
@@ -498,7 +498,7 @@
 	case "SILENT":
 		w.Silent = true
 	case "":
-		if *w == (Way{}) {
+		if *w == (LinkState{}) {
 			return errors.New("nothing ails it: what (CUT or SILENT), delay, jitter, loss, double or reorder is needed")
 		}
 	default:
@@ -546,7 +546,7 @@
 	a.names("to", &l.To)
 	a.number("share", &l.Share)
 	a.yes("one_way", &l.OneWay)
-	if err := a.way(&l.Way); err != nil {
+	if err := a.way(&l.LinkState); err != nil {
 		return errors.Join(a.err, err)
 	}
 	switch {
@@ -560,17 +560,17 @@
 }
 
 func (s *Scenario) addPart(a *args) error {
-	p := Part{Parts: 2}
+	p := Partition{Sides: 2}
 	a.between("at", &p.At)
 	a.between("seconds", &p.Length)
-	a.count("parts", &p.Parts)
-	if err := a.way(&p.Way); err != nil {
+	a.count("parts", &p.Sides)
+	if err := a.way(&p.LinkState); err != nil {
 		return errors.Join(a.err, err)
 	}
-	if p.Length.From <= 0 || p.Parts < 2 {
+	if p.Length.From <= 0 || p.Sides < 2 {
 		return errors.Join(a.err, errors.New("seconds above 0, and two parts at least, are needed"))
 	}
-	s.Parts = append(s.Parts, p)
+	s.Partitions = append(s.Partitions, p)
 	return a.err
 }
 
@@ -622,17 +622,17 @@
 			return fmt.Errorf("fleet: no kind %q", f.Kind)
 		}
 	}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		if !zones[t.Zone] || t.Kind != "" && !kinds[t.Kind] {
 			return fmt.Errorf("trouble: no zone %q or no kind %q", t.Zone, t.Kind)
 		}
 	}
-	for _, d := range s.Deeds {
+	for _, d := range s.Actions {
 		if d.Sender >= s.Senders {
 			return fmt.Errorf("sender: no number %d", d.Sender)
 		}
 	}
-	for _, d := range s.Struck {
+	for _, d := range s.AgentActions {
 		if d.Agent < 0 || d.Agent >= s.Agents.Number {
 			return fmt.Errorf("agent: no number %d", d.Agent)
 		}
@@ -647,7 +647,7 @@
 			}
 		}
 	}
-	for _, d := range s.Deeds {
+	for _, d := range s.Actions {
 		if s.Agents.Number > 0 && (d.What == "drain" || d.What == "activate") {
 			return fmt.Errorf("sender: %s: with agents, order() does that", d.What)
 		}
@@ -659,9 +659,9 @@
 			}
 		}
 	}
-	for _, p := range s.Parts {
-		if p.Parts > s.Senders {
-			return fmt.Errorf("parts: %d of %d senders", p.Parts, s.Senders)
+	for _, p := range s.Partitions {
+		if p.Sides > s.Senders {
+			return fmt.Errorf("parts: %d of %d senders", p.Sides, s.Senders)
 		}
 	}
 	return nil
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -15,34 +15,34 @@
 // Plan is a scenario with everything drawn but its messages, which Arrivals draws
 // as they are asked for.
 type Plan struct {
-	Scenario *Scenario
-	Seed     uint64
-	Rate     float64 // messages a second at full load
-	Dests    []Destination
-	Changes  []Change
-	Deeds    []PlannedDeed
-	Struck   []PlannedAgent
-	Orders   []PlannedOrder
-	Links    []PlannedLink // in the order in which they begin
-	Blind    []Span        // discovery answers nobody
-	bursts   []window
-	hots     []window
-	clumps   float64
-	clump    Range
+	Scenario         *Scenario
+	Seed             uint64
+	Rate             float64 // messages a second at full load
+	Dests            []Destination
+	Changes          []Change
+	Actions          []PlannedAction
+	AgentActions     []PlannedAgentAction
+	Orders           []PlannedOrder
+	Links            []PlannedLink // in the order in which they begin
+	DiscoveryOutages []Span        // discovery answers nobody
+	bursts           []window
+	hots             []window
+	clumps           float64
+	clump            Range
 }
 
 // Destination is a partner system that was drawn.
 type Destination struct {
 	partner.Spec
-	Share float64 // of the messages
-	Told  float64 // the rough rate that the list tells, in calls a second
+	Share         float64 // of the messages
+	AnnouncedRate float64 // the rough rate that the list tells, in calls a second
 }
 
 // Change is a trouble that comes to an endpoint or leaves it, or a replacement.
 type Change struct {
 	At       time.Duration
 	Endpoint string
-	Trouble  partner.Trouble
+	Fault    partner.Fault
 	Of       int                   // the scenario's trouble; below 0 = a replacement
 	Drains   bool                  // the endpoint drains from now on
 	Leaves   bool                  // it is gone
@@ -51,15 +51,15 @@
 	Address  string // ...at the address of this one; empty = a new one
 }
 
-// PlannedDeed is something done to a sender.
-type PlannedDeed struct {
-	At     time.Duration
-	Until  time.Duration // of a stop and a drain; 0 = none
-	Sender int
-	What   string
-	Slots  float64 // of a retune
-	Hold   float64
-	Of     int // the scenario's deed
+// PlannedAction is something done to a sender.
+type PlannedAction struct {
+	At           time.Duration
+	Until        time.Duration // of a stop and a drain; 0 = none
+	Sender       int
+	What         string
+	InFlight     float64 // of a retune
+	OpenMessages float64
+	Of           int // the scenario's deed
 }
 
 // Span is a time between two instants.
@@ -108,9 +108,9 @@
 	p.drawAgents(stream(seed, drawAgents))
 	p.drawChurns(stream(seed, drawChurn))
 	rng := stream(seed, drawBlind)
-	for _, b := range s.Blind {
+	for _, b := range s.DiscoveryOutages {
 		from := b.At.seconds(rng)
-		p.Blind = append(p.Blind, Span{from, from + b.Length.seconds(rng)})
+		p.DiscoveryOutages = append(p.DiscoveryOutages, Span{from, from + b.Length.seconds(rng)})
 	}
 	slices.SortStableFunc(p.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
 	return p
@@ -156,7 +156,7 @@
 		load := share * p.Rate // calls a second at full load
 		d := Destination{Share: share}
 		pace := math.Exp(0.4 * rng.NormFloat64()) // they answer at very different speeds
-		d.Dest, d.Kind, d.Apart, d.Batch = i+1, k.Name, k.Apart, k.Batch
+		d.Dest, d.Kind, d.SeparateRoutes, d.MaxBatch = i+1, k.Name, k.SeparateRoutes, k.Batch
 		d.Mean = time.Duration(work / shares * pace * float64(time.Second))
 		d.CV, d.ItemCost = k.CV.draw(rng), k.ItemCost.draw(rng)
 		n := int(math.Round(k.Endpoints.draw(rng) * (0.8 + 0.8*x.weight/largest)))
@@ -164,34 +164,34 @@
 		if x.endpoints > 0 {
 			n = x.endpoints
 		}
-		limit := max(k.Headroom.draw(rng)*load, k.Least.draw(rng))
-		if k.Apart {
+		limit := max(k.Headroom.draw(rng)*load, k.MinLimit.draw(rng))
+		if k.SeparateRoutes {
 			limit /= float64(n)
 		}
-		d.Limit = partner.Limit{Form: k.Form, PerSecond: limit, Span: k.Span, Burst: 200 * time.Millisecond, CountRefused: k.Counts}
-		d.TellsWait, d.Wait = k.TellsWait.draw(rng), k.Wait.seconds(rng)
+		d.Limit = partner.Limit{Form: k.Form, PerSecond: limit, Window: k.Span, Burst: 200 * time.Millisecond, CountRejected: k.CountRejected}
+		d.RetryAfterShare, d.RetryAfter = k.RetryAfterShare.draw(rng), k.RetryAfter.seconds(rng)
 		parts := float64(n)
-		if k.Apart {
+		if k.SeparateRoutes {
 			parts = 1 // each has the capacity of its own limit
 		}
-		capacity := limit * k.Spare.draw(rng) / parts
+		capacity := limit * k.SpareCapacity.draw(rng) / parts
 		d.Servers = max(1, int(math.Ceil(capacity*d.Mean.Seconds())))
-		d.Depth = max(1, int(math.Ceil(capacity*k.Depth.draw(rng))))
-		if k.Conns.To > 0 {
-			d.Conns = int(math.Ceil(max(k.Conns.draw(rng)*float64(d.Servers), k.LeastConn.draw(rng))))
+		d.QueueLength = max(1, int(math.Ceil(capacity*k.QueueLength.draw(rng))))
+		if k.Connections.To > 0 {
+			d.MaxConnections = int(math.Ceil(max(k.Connections.draw(rng)*float64(d.Servers), k.MinConnections.draw(rng))))
 		}
 		d.ConnCost = 10 * time.Millisecond
 		for _, c := range s.Traffic.Classes {
-			d.KeyMemory = max(d.KeyMemory, c.Memory)
+			d.KeyRetention = max(d.KeyRetention, c.KeyRetention)
 		}
-		d.ColdFrom, d.Cold, d.FallMultiple, d.FallWindow = 0.22, 13*time.Second, 2, 2*time.Second
+		d.ColdCapacity, d.WarmUp, d.OverloadFactor, d.OverloadWindow = 0.22, 13*time.Second, 2, 2*time.Second
 		for range n {
 			endpoints++
 			d.Endpoints = append(d.Endpoints, partner.EndpointSpec{ID: fmt.Sprintf("e%05d", endpoints), Zone: rng.IntN(len(s.Zones))})
 		}
-		d.Told = limit * (0.85 + 0.3*rng.Float64()) // of the route, from all senders together
+		d.AnnouncedRate = limit * (0.85 + 0.3*rng.Float64()) // of the route, from all senders together
 		if k.Form == partner.NoLimit {
-			d.Told = 0
+			d.AnnouncedRate = 0
 		}
 		p.Dests = append(p.Dests, d)
 	}
@@ -200,7 +200,7 @@
 // drawDeeds draws what is done to senders, and when.
 func (p *Plan) drawDeeds(rng *rand.Rand) {
 	n := p.Scenario.Senders
-	for k, d := range p.Scenario.Deeds {
+	for k, d := range p.Scenario.Actions {
 		at := d.At.seconds(rng)
 		struck := []int{d.Sender}
 		if d.Sender < 0 {
@@ -211,27 +211,27 @@
 			spread = d.Spread.seconds(rng)
 		}
 		for i, num := range struck {
-			x := PlannedDeed{At: at + spread*time.Duration(i)/time.Duration(len(struck)), Sender: num, What: d.What, Slots: d.Slots, Hold: d.Hold, Of: k}
+			x := PlannedAction{At: at + spread*time.Duration(i)/time.Duration(len(struck)), Sender: num, What: d.What, InFlight: d.InFlight, OpenMessages: d.OpenMessages, Of: k}
 			if d.Length.To > 0 {
 				x.Until = x.At + d.Length.seconds(rng)
 			}
-			p.Deeds = append(p.Deeds, x)
+			p.Actions = append(p.Actions, x)
 		}
 	}
-	slices.SortStableFunc(p.Deeds, func(a, b PlannedDeed) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(p.Actions, func(a, b PlannedAction) int { return cmp.Compare(a.At, b.At) })
 }
 
 // drawTroubles chooses whom a trouble strikes: as many destinations as its part of
 // the traffic allows, the one that was drawn first in any case.
 func (p *Plan) drawTroubles(rng *rand.Rand) {
-	for i, t := range p.Scenario.Troubles {
+	for i, t := range p.Scenario.Faults {
 		from := t.At.seconds(rng)
 		to := from + t.Length.seconds(rng)
-		trouble := partner.Trouble{Mode: t.Mode, Share: t.Share.draw(rng), Factor: t.Factor.draw(rng)}
-		if t.Knows {
+		trouble := partner.Fault{Mode: t.Mode, Share: t.Share.draw(rng), Factor: t.Factor.draw(rng)}
+		if t.EndKnown {
 			trouble.Until = to
 		}
-		part, struck := t.Part.draw(rng), 0.0
+		part, struck := t.TrafficShare.draw(rng), 0.0
 		for _, n := range rng.Perm(len(p.Dests)) {
 			d := &p.Dests[n]
 			var hit []string
@@ -251,7 +251,7 @@
 			}
 			struck += share
 			for _, id := range hit {
-				p.Changes = append(p.Changes, Change{At: from, Endpoint: id, Trouble: trouble, Of: i}, Change{At: to, Endpoint: id, Of: i})
+				p.Changes = append(p.Changes, Change{At: from, Endpoint: id, Fault: trouble, Of: i}, Change{At: to, Endpoint: id, Of: i})
 			}
 		}
 	}
@@ -264,13 +264,13 @@
 	on := map[string][]Change{} // by endpoint, in the order in which they began
 	for i := range p.Changes {
 		c := &p.Changes[i]
-		if c.Trouble.Mode != partner.Well {
+		if c.Fault.Mode != partner.Healthy {
 			on[c.Endpoint] = append(on[c.Endpoint], *c)
 			continue
 		}
 		left := slices.DeleteFunc(on[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
 		if on[c.Endpoint] = left; len(left) > 0 {
-			c.Trouble = left[len(left)-1].Trouble
+			c.Fault = left[len(left)-1].Fault
 		}
 	}
 }
@@ -280,7 +280,7 @@
 		from := b.At.seconds(rng)
 		p.bursts = append(p.bursts, window{from, from + b.Length.seconds(rng), b.Factor.draw(rng), 0})
 	}
-	for _, h := range p.Scenario.Hot {
+	for _, h := range p.Scenario.HotKeys {
 		from := h.At.seconds(rng)
 		p.hots = append(p.hots, window{from, from + h.Length.seconds(rng), h.Share.draw(rng), h.Keys})
 	}
@@ -329,7 +329,7 @@
 	for word, mode := range modes {
 		words[mode] = word
 	}
-	for i, t := range p.Scenario.Troubles {
+	for i, t := range p.Scenario.Faults {
 		m := Mark{From: -1}
 		dests, share := map[int]bool{}, 0.0
 		for _, c := range p.Changes {
@@ -371,13 +371,13 @@
 	for _, h := range p.hots {
 		list = append(list, Mark{h.from, h.to, fmt.Sprintf("%d large destinations draw %.0f%% more", h.keys, 100*h.size)})
 	}
-	for _, b := range p.Blind {
+	for _, b := range p.DiscoveryOutages {
 		list = append(list, Mark{b.From, b.To, "discovery is down"})
 	}
-	for i, d := range p.Scenario.Deeds {
+	for i, d := range p.Scenario.Actions {
 		m := Mark{From: -1}
 		struck := 0
-		for _, x := range p.Deeds {
+		for _, x := range p.Actions {
 			if x.Of == i {
 				if struck++; m.From < 0 {
 					m.From = x.At
@@ -390,7 +390,7 @@
 		}
 		list = append(list, m)
 	}
-	for _, d := range p.Struck {
+	for _, d := range p.AgentActions {
 		list = append(list, Mark{d.At, d.Until, fmt.Sprintf("agent %d: %s", d.Agent, d.What)})
 	}
 	for _, o := range p.Orders {
@@ -406,8 +406,8 @@
 // Load is the rate of messages at a time, as a multiple of the full load.
 func (p *Plan) Load(at time.Duration) float64 {
 	x := 1.0
-	if ramp := p.Scenario.Traffic.Ramp; len(ramp) > 0 {
-		i, _ := slices.BinarySearchFunc(ramp, at, func(r RampPoint, at time.Duration) int { return cmp.Compare(r.At, at) })
+	if ramp := p.Scenario.Traffic.RateCurve; len(ramp) > 0 {
+		i, _ := slices.BinarySearchFunc(ramp, at, func(r RatePoint, at time.Duration) int { return cmp.Compare(r.At, at) })
 		switch {
 		case i == 0:
 			x = ramp[0].Factor
@@ -429,7 +429,7 @@
 // peak is a rate that Load never passes.
 func (p *Plan) peak() float64 {
 	x := 1.0
-	if ramp := p.Scenario.Traffic.Ramp; len(ramp) > 0 {
+	if ramp := p.Scenario.Traffic.RateCurve; len(ramp) > 0 {
 		x = 0
 		for _, r := range ramp {
 			x = max(x, r.Factor)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -15,52 +15,52 @@
 
 // Scenario is what a script says.
 type Scenario struct {
-	Path     string
-	Script   []byte
-	Figures  map[string]float64 // that the script was given
-	Name     string
-	Length   time.Duration
-	Senders  int
-	Zones    []string
-	Kinds    []Kind
-	Fleets   []Fleet
-	Traffic  Traffic
-	Troubles []Trouble
-	Bursts   []Burst
-	Hot      []Hot
-	Deeds    []Deed
-	Agents   Agents
-	Struck   []AgentDeed
-	Orders   []Order
-	Links    []Link
-	Parts    []Part
-	Churns   []Churn
-	Blind    []Blind
-	Slots    Range // a sender's slots, as a multiple of what its part of the load keeps busy
-	Hold     Range // seconds of its load that a sender may hold
-
-	NotesLost float64 // part of the notes between senders that never arrive
+	Path             string
+	Script           []byte
+	Figures          map[string]float64 // that the script was given
+	Name             string
+	Length           time.Duration
+	Senders          int
+	Zones            []string
+	Kinds            []Kind
+	Fleets           []Fleet
+	Traffic          Traffic
+	Faults           []Fault
+	Bursts           []Burst
+	HotKeys          []HotKeys
+	Actions          []Action
+	Agents           Agents
+	AgentActions     []AgentAction
+	Orders           []Order
+	Links            []Link
+	Partitions       []Partition
+	Churns           []Churn
+	DiscoveryOutages []DiscoveryOutage
+	InFlight         Range // a sender's slots, as a multiple of what its part of the load keeps busy
+	OpenMessages     Range // seconds of its load that a sender may hold
+
+	GossipLoss float64 // part of the notes between senders that never arrive
 }
 
 // Kind describes a kind of destination. Ranges are drawn for each destination.
 type Kind struct {
-	Name      string
-	Form      partner.LimitForm
-	Headroom  Range // the limit, as a multiple of the calls at full load
-	Least     Range // and so many calls a second at least
-	Span      time.Duration
-	Counts    bool  // refused calls use up the limit
-	TellsWait Range // part of the refusals
-	Wait      Range // seconds
-	Spare     Range // capacity over the limit
-	Depth     Range // of the queue, in seconds of the capacity
-	CV        Range
-	Batch     int
-	ItemCost  Range
-	Apart     bool
-	Conns     Range // connections, as a multiple of the calls served at once; 0 = any number
-	LeastConn Range
-	Endpoints Range // in the mean; those with more traffic have more
+	Name            string
+	Form            partner.LimitForm
+	Headroom        Range // the limit, as a multiple of the calls at full load
+	MinLimit        Range // and so many calls a second at least
+	Span            time.Duration
+	CountRejected   bool  // refused calls use up the limit
+	RetryAfterShare Range // part of the refusals
+	RetryAfter      Range // seconds
+	SpareCapacity   Range // capacity over the limit
+	QueueLength     Range // of the queue, in seconds of the capacity
+	CV              Range
+	Batch           int
+	ItemCost        Range
+	SeparateRoutes  bool
+	Connections     Range // connections, as a multiple of the calls served at once; 0 = any number
+	MinConnections  Range
+	Endpoints       Range // in the mean; those with more traffic have more
 }
 
 // Fleet is a number of destinations of a kind.
@@ -73,15 +73,15 @@
 
 // Class describes a class of messages.
 type Class struct {
-	Name     string
-	Share    float64
-	Service  Range // seconds at a partner of usual pace
-	Aim      time.Duration
-	Deadline time.Duration
-	Effect   string // safe, keyed, unsafe
-	Memory   time.Duration
-	Late     float64 // part of the worth left at the deadline
-	Worth    float64
+	Name             string
+	Share            float64
+	Service          Range // seconds at a partner of usual pace
+	LatencyObjective time.Duration
+	Deadline         time.Duration
+	Effect           string // safe, keyed, unsafe
+	KeyRetention     time.Duration
+	LateWeight       float64 // part of the worth left at the deadline
+	PriorityWeight   float64
 }
 
 // Tenant is a program and its share.
@@ -92,38 +92,38 @@
 
 // Traffic is what comes.
 type Traffic struct {
-	Rate     Range // messages a second, over all
-	Zipf     Range // how unevenly over the destinations
-	Clumps   Range // part of the messages that come in clumps
-	Clump    Range // seconds of the limit that a clump holds
-	Classes  []Class
-	Tenants  []Tenant
-	Retries  int           // times that a client hands in again after a refusal
-	RetryIn  Range         // seconds
-	AgainIn  Range         // seconds after which what a dead sender held comes again
-	Ramp     []RampPoint   // the rate over time, as a multiple; empty = even
-	Body     Range         // bytes
-	Patience time.Duration // that a client waits for its answer
-}
-
-// RampPoint is a point of a ramp: from there the rate goes evenly to the next.
-type RampPoint struct {
+	Rate          Range // messages a second, over all
+	Zipf          Range // how unevenly over the destinations
+	Clumps        Range // part of the messages that come in clumps
+	Clump         Range // seconds of the limit that a clump holds
+	Classes       []Class
+	Tenants       []Tenant
+	Retries       int           // times that a client hands in again after a refusal
+	RetryDelay    Range         // seconds
+	ResubmitDelay Range         // seconds after which what a dead sender held comes again
+	RateCurve     []RatePoint   // the rate over time, as a multiple; empty = even
+	Body          Range         // bytes
+	Patience      time.Duration // that a client waits for its answer
+}
+
+// RatePoint is a point of a ramp: from there the rate goes evenly to the next.
+type RatePoint struct {
 	At     time.Duration
 	Factor float64
 }
 
-// Trouble ails some of the fleet for a time.
-type Trouble struct {
-	At, Length Range // seconds
-	Mode       partner.Mode
-	Share      Range // of the calls, where the mode has one
-	Factor     Range
-	Part       Range   // of the traffic that is struck, at most
-	Zone       string  // only endpoints there; empty = any
-	Endpoints  float64 // so much of each destination's endpoints, drawn; 0 = all of them
-	Kind       string
-	Dest       int  // only this destination; below 0 = any
-	Knows      bool // a told wait tells its end
+// Fault ails some of the fleet for a time.
+type Fault struct {
+	At, Length   Range // seconds
+	Mode         partner.Mode
+	Share        Range // of the calls, where the mode has one
+	Factor       Range
+	TrafficShare Range   // of the traffic that is struck, at most
+	Zone         string  // only endpoints there; empty = any
+	Endpoints    float64 // so much of each destination's endpoints, drawn; 0 = all of them
+	Kind         string
+	Dest         int  // only this destination; below 0 = any
+	EndKnown     bool // a told wait tells its end
 }
 
 // Burst is more traffic for a time.
@@ -131,22 +131,22 @@
 	At, Length, Factor Range
 }
 
-// Hot draws a share of all messages to a few large destinations.
-type Hot struct {
+// HotKeys draws a share of all messages to a few large destinations.
+type HotKeys struct {
 	At, Length, Share Range
 	Keys              int
 }
 
-// Deed is something done to senders.
-type Deed struct {
-	At     Range
-	Length Range   // of a stop, and of a drain; 0 = until it is told otherwise
-	Sender int     // its number; below 0 = a share of them
-	Share  float64 // of the senders, drawn
-	Spread Range   // seconds over which they are struck, one after the other
-	What   string  // see deeds
-	Slots  float64 // of a retune: calls out at once, as a multiple of what the scenario told...
-	Hold   float64 // ...and messages held
+// Action is something done to senders.
+type Action struct {
+	At           Range
+	Length       Range   // of a stop, and of a drain; 0 = until it is told otherwise
+	Sender       int     // its number; below 0 = a share of them
+	Share        float64 // of the senders, drawn
+	Spread       Range   // seconds over which they are struck, one after the other
+	What         string  // see deeds
+	InFlight     float64 // of a retune: calls out at once, as a multiple of what the scenario told...
+	OpenMessages float64 // ...and messages held
 }
 
 // deeds are what can be done to a sender.
@@ -169,8 +169,8 @@
 	Lease                    time.Duration
 }
 
-// AgentDeed is something done to an agent.
-type AgentDeed struct {
+// AgentAction is something done to an agent.
+type AgentAction struct {
 	At, Length Range
 	Agent      int
 	What       string // kill, wipe (its folder is lost, too), stop
@@ -194,29 +194,29 @@
 	Of, To     []string // To empty: all that are not in Of
 	Share      float64  // of the senders, drawn, where Of names none
 	OneWay     bool     // from Of to To alone
-	Way        Way
+	LinkState  LinkState
 }
 
-// Part cuts the senders into parts, among which nothing passes as it should.
-type Part struct {
+// Partition cuts the senders into parts, among which nothing passes as it should.
+type Partition struct {
 	At, Length Range
-	Parts      int
-	Way        Way
+	Sides      int
+	LinkState  LinkState
 }
 
-// Way is what ails one way between two parties. The zero value is a sound one.
-type Way struct {
-	Cut     bool          // connections break and none comes up; datagrams are lost
-	Silent  bool          // connections stay open and nothing passes; datagrams are lost
-	Delay   time.Duration // each piece, each datagram
-	Jitter  time.Duration // up to so much more
-	Loss    float64       // part of the datagrams
-	Double  float64       // part of the datagrams that come twice
-	Reorder float64       // part of the datagrams that come later by ten times the jitter
+// LinkState is what ails one way between two parties. The zero value is a sound one.
+type LinkState struct {
+	Cut       bool          // connections break and none comes up; datagrams are lost
+	Silent    bool          // connections stay open and nothing passes; datagrams are lost
+	Delay     time.Duration // each piece, each datagram
+	Jitter    time.Duration // up to so much more
+	Loss      float64       // part of the datagrams
+	Duplicate float64       // part of the datagrams that come twice
+	Reorder   float64       // part of the datagrams that come later by ten times the jitter
 }
 
 // Passes tells whether anything passes.
-func (w Way) Passes() bool { return !w.Cut && !w.Silent }
+func (w LinkState) Passes() bool { return !w.Cut && !w.Silent }
 
 // Churn replaces an endpoint: the old one drains, then goes, and a new one comes.
 type Churn struct {
@@ -226,7 +226,7 @@
 	Reuse bool // the new one has the address of the old one
 }
 
-// Blind is a time in which discovery answers nobody.
-type Blind struct {
+// DiscoveryOutage is a time in which discovery answers nobody.
+type DiscoveryOutage struct {
 	At, Length Range
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -166,16 +166,16 @@
 		shut := map[int]bool{}
 		for _, c := range p.Changes {
 			switch {
-			case c.Of == 0 && c.Trouble.Mode == partner.Down:
+			case c.Of == 0 && c.Fault.Mode == partner.Down:
 				d := where[c.Endpoint]
 				struck += d.Share / float64(len(d.Endpoints))
 				hits[d.Dest]++
 				if zone[c.Endpoint] != "bldg-b" {
 					t.Errorf("seed %d: %s of %s is struck", seed, c.Endpoint, zone[c.Endpoint])
 				}
-			case c.Of == 1 && c.Trouble.Mode == partner.Shut:
+			case c.Of == 1 && c.Fault.Mode == partner.Shut:
 				shut[where[c.Endpoint].Dest] = true
-				if c.Trouble.Until != 35*time.Second || where[c.Endpoint].Kind != "large-partners" {
+				if c.Fault.Until != 35*time.Second || where[c.Endpoint].Kind != "large-partners" {
 					t.Errorf("seed %d: %+v", seed, c)
 				}
 			}
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	r := &Report{Result: result}
-	for _, b := range result.Breaks {
+	for _, b := range result.Violations {
 		r.find("%v sender %d: %s: %s (message %s, calls %v, times %v)", b.At, b.Sender, b.Rule, b.Text, b.Message, b.Calls, b.Times)
 	}
 	if result.Crashes > 0 {
