--- a/cmd/cleathold/agent.go
+++ b/cmd/cleathold/agent.go
@@ -54,7 +54,7 @@
 func (c *agentFoundCmd) Run(out io.Writer, log *slog.Logger) error {
 	set, err := c.load(log)
 	if err == nil {
-		err = agent.Found(set)
+		err = agent.Bootstrap(set)
 	}
 	if err != nil {
 		return err
--- a/cmd/cleathold/fleet.go
+++ b/cmd/cleathold/fleet.go
@@ -80,7 +80,7 @@
 	return none, exit{errors.Join(faults...), exitNobody}
 }
 
-func (f *fleetCmd) look() (agent.View, error) { return first(f, agent.Look) }
+func (f *fleetCmd) look() (agent.View, error) { return first(f, agent.FetchView) }
 
 // order has something done. An agent that does not answer may have done it: only one that can't be reached at all is
 // passed over.
@@ -90,10 +90,10 @@
 		return agent.Result{}, err
 	}
 	r, err := first(f, func(ctx context.Context, addr string) (agent.Result, error) {
-		if _, err := agent.Look(ctx, addr); err != nil {
+		if _, err := agent.FetchView(ctx, addr); err != nil {
 			return agent.Result{}, err
 		}
-		r, err := agent.Order(ctx, addr, agent.Call{Command: c, DryRun: dry})
+		r, err := agent.SendCommand(ctx, addr, agent.Call{Command: c, DryRun: dry})
 		if err != nil {
 			r = agent.Result{Text: fmt.Sprintf("%v: %v", agent.ErrUnknown, err), Kind: agent.KindUnknown}
 		}
@@ -102,7 +102,7 @@
 	if err != nil || r.Text == "" {
 		return r, err
 	}
-	code := map[string]int{agent.KindRefused: exitRefused, agent.KindNoMajority: exitNobody, agent.KindUnknown: exitUnsure}[r.Kind]
+	code := map[string]int{agent.KindRejected: exitRefused, agent.KindNoMajority: exitNobody, agent.KindUnknown: exitUnsure}[r.Kind]
 	return r, exit{errors.New(r.Text), cmp.Or(code, 1)}
 }
 
@@ -137,7 +137,7 @@
 
 // standing says how a sender stands, in a word or two, and whether it counts as out.
 func standing(v agent.View, name string) (text string, out bool) {
-	s, some := v.Sights[name]
+	s, some := v.Observations[name]
 	g := v.State.Grants[name]
 	old := v.At.Sub(s.At) > v.State.Terms.Timing.Fresh
 	switch {
@@ -171,7 +171,7 @@
 		if isOut {
 			outs++
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", name, m.Building, m.Agent, m.Version.Name, v.Sights[name].Open, text)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", name, m.Building, m.Agent, m.Version.Name, v.Observations[name].Open, text)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -187,11 +187,11 @@
 	case v.Quorum == nil:
 		fmt.Fprintf(out, "WARNING: seen by agent %s alone: %s\n", v.Agent, v.Why)
 	case v.Quorum.Leader == "":
-		fmt.Fprintf(out, "WARNING: agent %s reaches no majority of the %d agents: nothing new goes out, and what is out comes back as its leases end\n", v.Agent, len(v.Quorum.Seats))
+		fmt.Fprintf(out, "WARNING: agent %s reaches no majority of the %d agents: nothing new goes out, and what is out comes back as its leases end\n", v.Agent, len(v.Quorum.Members))
 	case !v.Quorum.Leads:
 		fmt.Fprintf(out, "WARNING: the leading agent %s does not answer; agent %s sees its own senders alone\n", v.Quorum.Leader, v.Agent)
 	default:
-		fmt.Fprintf(out, "agent %s leads %d agents, term %d, entry %d\n", v.Agent, len(v.Quorum.Seats), v.Quorum.Term, v.Quorum.Applied)
+		fmt.Fprintf(out, "agent %s leads %d agents, term %d, entry %d\n", v.Agent, len(v.Quorum.Members), v.Quorum.Term, v.Quorum.Applied)
 	}
 	return nil
 }
@@ -359,8 +359,8 @@
 
 func (c *fleetReleaseCmd) Run(out io.Writer, f *fleetCmd) error {
 	p := &rollout.Plan{
-		Kind: rollout.Release, To: rollout.Version{Name: c.Name, Program: c.Program, Config: c.Config}, GoBack: c.GoBack,
-		Gate: rollout.Gate{Least: c.Least, Soak: c.Soak, Wait: c.Wait, Slack: c.Slack},
+		Kind: rollout.Release, To: rollout.Version{Name: c.Name, Program: c.Program, Config: c.Config}, RollBackOnFailure: c.GoBack,
+		Gate: rollout.Gate{MinMessages: c.Least, Soak: c.Soak, Wait: c.Wait, Slack: c.Slack},
 	}
 	if len(c.Senders) > 0 {
 		p.Stages = [][]string{c.Senders}
@@ -397,7 +397,7 @@
 type fleetBackCmd struct{ turns }
 
 func (c *fleetBackCmd) Run(out io.Writer, f *fleetCmd) error {
-	return c.run(out, f, rollout.Command{Verb: rollout.GoBack})
+	return c.run(out, f, rollout.Command{Verb: rollout.RollBack})
 }
 
 type fleetResumeCmd struct {
@@ -456,7 +456,7 @@
 }
 
 func (c *fleetEndpointOutCmd) Run(out io.Writer, f *fleetCmd) error {
-	_, err := f.order(rollout.Command{Verb: rollout.TakeOut, Endpoint: c.ID}, c.told, false)
+	_, err := f.order(rollout.Command{Verb: rollout.ExcludeEndpoint, Endpoint: c.ID}, c.told, false)
 	if err == nil {
 		_, err = fmt.Fprintf(out, "%s is out until 'fleet endpoint in %s'\n", c.ID, c.ID)
 	}
@@ -469,7 +469,7 @@
 }
 
 func (c *fleetEndpointInCmd) Run(out io.Writer, f *fleetCmd) error {
-	_, err := f.order(rollout.Command{Verb: rollout.PutIn, Endpoint: c.ID}, c.told, false)
+	_, err := f.order(rollout.Command{Verb: rollout.IncludeEndpoint, Endpoint: c.ID}, c.told, false)
 	if err == nil {
 		_, err = fmt.Fprintf(out, "%s is in again\n", c.ID)
 	}
--- a/cmd/cleathold/fleet_faults_test.go
+++ b/cmd/cleathold/fleet_faults_test.go
@@ -24,7 +24,7 @@
 )
 
 // others are the agents but for one, by number.
-func others(y *fleet.Yard, not int) (list []int) {
+func others(y *fleet.Cluster, not int) (list []int) {
 	for i := range y.AgentNames() {
 		if i != not {
 			list = append(list, i)
@@ -34,7 +34,7 @@
 }
 
 // leader waits for the number of the agent that leads.
-func leader(t *testing.T, y *fleet.Yard) int {
+func leader(t *testing.T, y *fleet.Cluster) int {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		if i := y.Leader(); i >= 0 {
@@ -48,24 +48,24 @@
 // strike is what befalls an agent, and how it ends.
 type strike struct {
 	name    string
-	hit     func(t *testing.T, y *fleet.Yard, i int)
-	recover func(t *testing.T, y *fleet.Yard, i int)
+	hit     func(t *testing.T, y *fleet.Cluster, i int)
+	recover func(t *testing.T, y *fleet.Cluster, i int)
 }
 
 var strikes = []strike{
-	{"killed", func(_ *testing.T, y *fleet.Yard, i int) { y.SignalAgent(i, syscall.SIGKILL) },
-		func(t *testing.T, y *fleet.Yard, i int) { must(t, y.StartAgent(i)) }},
-	{"cut off", func(_ *testing.T, y *fleet.Yard, i int) {
-		y.Net.Part([]string{y.AgentNames()[i]}, y.AgentNames(), fault.State{Silent: true})
-	}, func(_ *testing.T, y *fleet.Yard, _ int) { y.Net.Heal() }},
-	{"stopped", func(_ *testing.T, y *fleet.Yard, i int) { y.SignalAgent(i, syscall.SIGSTOP) },
-		func(_ *testing.T, y *fleet.Yard, i int) { y.SignalAgent(i, syscall.SIGCONT) }},
-	{"heard by nobody", func(_ *testing.T, y *fleet.Yard, i int) { oneWay(y, i, true) }, func(_ *testing.T, y *fleet.Yard, _ int) { y.Net.Heal() }},
-	{"hears nobody", func(_ *testing.T, y *fleet.Yard, i int) { oneWay(y, i, false) }, func(_ *testing.T, y *fleet.Yard, _ int) { y.Net.Heal() }},
+	{"killed", func(_ *testing.T, y *fleet.Cluster, i int) { y.SignalAgent(i, syscall.SIGKILL) },
+		func(t *testing.T, y *fleet.Cluster, i int) { must(t, y.StartAgent(i)) }},
+	{"cut off", func(_ *testing.T, y *fleet.Cluster, i int) {
+		y.Net.Partition([]string{y.AgentNames()[i]}, y.AgentNames(), fault.State{Silent: true})
+	}, func(_ *testing.T, y *fleet.Cluster, _ int) { y.Net.Heal() }},
+	{"stopped", func(_ *testing.T, y *fleet.Cluster, i int) { y.SignalAgent(i, syscall.SIGSTOP) },
+		func(_ *testing.T, y *fleet.Cluster, i int) { y.SignalAgent(i, syscall.SIGCONT) }},
+	{"heard by nobody", func(_ *testing.T, y *fleet.Cluster, i int) { oneWay(y, i, true) }, func(_ *testing.T, y *fleet.Cluster, _ int) { y.Net.Heal() }},
+	{"hears nobody", func(_ *testing.T, y *fleet.Cluster, i int) { oneWay(y, i, false) }, func(_ *testing.T, y *fleet.Cluster, _ int) { y.Net.Heal() }},
 }
 
 // oneWay silences what an agent says to the others, or what they say to it.
-func oneWay(y *fleet.Yard, i int, out bool) {
+func oneWay(y *fleet.Cluster, i int, out bool) {
 	names := y.AgentNames()
 	for _, k := range others(y, i) {
 		if out {
@@ -135,7 +135,7 @@
 	id, err := y.Order(first, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{y.Names}}})
 	must(t, err)
 	must(t, y.Await(20*time.Second, "one is out", func(v agent.View) bool { return len(v.State.Grants) == 1 }))
-	y.Net.Part(y.AgentNames()[first:first+1], y.AgentNames(), fault.State{Silent: true})
+	y.Net.Partition(y.AgentNames()[first:first+1], y.AgentNames(), fault.State{Silent: true})
 	began := time.Now()
 	_, err = y.Order(others(y, first)[0], rollout.Command{Verb: rollout.Halt, Plan: id})
 	if took := time.Since(began); err != nil || took > 10*time.Second {
@@ -179,7 +179,7 @@
 			for again := 0; ; again++ {
 				p, err := y.AwaitPlan(60*time.Second, id, rollout.Done, rollout.Halted)
 				if again > 3 {
-					out, _ := y.Tool(nil, "events")
+					out, _ := y.RunCommand(nil, "events")
 					t.Fatal(out)
 				}
 				must(t, err)
@@ -197,7 +197,7 @@
 }
 
 // resume has a halted plan go on, as staff would after looking.
-func resume(t *testing.T, y *fleet.Yard, id uint64) {
+func resume(t *testing.T, y *fleet.Cluster, id uint64) {
 	t.Helper()
 	must(t, y.Await(20*time.Second, "the plan", func(v agent.View) bool { return v.State.Plan(id) != nil }))
 	v, err := y.View(leader(t, y), true)
@@ -221,12 +221,12 @@
 				return p != nil && p.Tasks["n0"].Step == rollout.Out
 			}))
 			small := y.AgentNames()[:c.small]
-			y.Net.Part(small, y.AgentNames(), fault.State{Silent: true})
+			y.Net.Partition(small, y.AgentNames(), fault.State{Silent: true})
 			cut := time.Now()
 			rest := c.small
 			must(t, y.Await(20*time.Second, "a leader on the larger side", func(v agent.View) bool { return !slices.Contains(small, v.Agent) }))
 			for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-				out, code := y.Tool([]int{0}, "drain", "n5", "--reason", "r")
+				out, code := y.RunCommand([]int{0}, "drain", "n5", "--reason", "r")
 				if code == exitNobody && strings.Contains(out, "majority") {
 					break
 				}
@@ -234,10 +234,10 @@
 					t.Fatalf("asked on the smaller side: code %d: %s", code, out)
 				}
 			}
-			if out, code := y.Tool([]int{0}, "list"); code != 0 || !strings.Contains(out, "reaches no majority") {
+			if out, code := y.RunCommand([]int{0}, "list"); code != 0 || !strings.Contains(out, "reaches no majority") {
 				t.Errorf("list on the smaller side: code %d: %s", code, out)
 			}
-			out, code := y.Tool([]int{rest}, "drain", "n"+strconv.Itoa(rest), "--for", "100ms", "--watch", "--reason", "r")
+			out, code := y.RunCommand([]int{rest}, "drain", "n"+strconv.Itoa(rest), "--for", "100ms", "--watch", "--reason", "r")
 			if code != 0 {
 				t.Errorf("on the larger side: code %d: %s", code, out)
 			}
@@ -249,7 +249,7 @@
 				t.Errorf("n0 was out for %v after its agent was cut off", d)
 			}
 			y.Net.Heal()
-			must(t, y.Await(20*time.Second, "n0 is seen serving", func(v agent.View) bool { return v.Sights["n0"].Serving }))
+			must(t, y.Await(20*time.Second, "n0 is seen serving", func(v agent.View) bool { return v.Observations["n0"].Serving }))
 			sound(t, y)
 		})
 	}
@@ -264,7 +264,7 @@
 	codes := make([]int, 4)
 	for i, args := range [][]string{{"n0", "n1"}, {"n1", "n0"}, {"n2", "n3"}, {"n3", "n2"}} {
 		wg.Go(func() {
-			_, codes[i] = y.Tool([]int{i % 3}, append([]string{"drain", "--for", "500ms", "--reason", "r"}, args...)...)
+			_, codes[i] = y.RunCommand([]int{i % 3}, append([]string{"drain", "--for", "500ms", "--reason", "r"}, args...)...)
 		})
 	}
 	wg.Wait()
@@ -297,7 +297,7 @@
 }
 
 // put makes one call at the second address of a sender, and returns the status.
-func put(y *fleet.Yard, sender int, path string, q url.Values) int {
+func put(y *fleet.Cluster, sender int, path string, q url.Values) int {
 	for _, addr := range y.Admin(sender) {
 		r, err := http.NewRequest(http.MethodPut, "http://"+addr+path+"?"+q.Encode(), nil)
 		if err != nil {
@@ -319,11 +319,11 @@
 	y := aYard(t, fleet.Setup{Senders: 6, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 2})})
 	order := func(v agent.View, name string, epoch uint64, by time.Duration) url.Values {
 		ms := func(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
-		return url.Values{"process": {v.Sights[name].Process}, "epoch": {fmt.Sprint(epoch)}, "by": {ms(time.Now().Add(by))}, "until": {ms(time.Now().Add(3 * time.Second))}}
+		return url.Values{"process": {v.Observations[name].Process}, "epoch": {fmt.Sprint(epoch)}, "by": {ms(time.Now().Add(by))}, "until": {ms(time.Now().Add(3 * time.Second))}}
 	}
 	id := planOf(t, tool(t, y, 0, "drain", "n0", "n2", "n4", "--reason", "r")) // all of one building
 	var v agent.View
-	must(t, y.Await(20*time.Second, "two are out", func(now agent.View) bool { v = now; return y.Poll.Away() == 2 && len(now.State.Grants) == 2 }))
+	must(t, y.Await(20*time.Second, "two are out", func(now agent.View) bool { v = now; return y.Poll.OutByOrder() == 2 && len(now.State.Grants) == 2 }))
 	g := v.State.Grants["n0"]
 	if g == nil {
 		t.Fatalf("%v", v.State.Grants)
@@ -357,7 +357,7 @@
 	}
 	pid := y.LastPid(2)
 	tool(t, y, 0, "activate", fmt.Sprint(id), "--reason", "r")
-	must(t, y.Await(20*time.Second, "n0 is back", func(now agent.View) bool { return now.State.Grants["n0"] == nil && now.Sights["n0"].Serving }))
+	must(t, y.Await(20*time.Second, "n0 is back", func(now agent.View) bool { return now.State.Grants["n0"] == nil && now.Observations["n0"].Serving }))
 	more := planOf(t, tool(t, y, 0, "drain", "n1", "n3", "--for", "300ms", "--reason", "r"))
 	_, err := y.AwaitPlan(30*time.Second, more, rollout.Done)
 	must(t, err)
@@ -372,7 +372,7 @@
 	must(t, err)
 	// Somebody else restarts n5: its agent takes the new process over, and it can be drained.
 	y.Replace(5)
-	must(t, y.Await(30*time.Second, "n5 serves", func(now agent.View) bool { return now.Sights["n5"].Serving && y.Poll.Now(5) == "serves" }))
+	must(t, y.Await(30*time.Second, "n5 serves", func(now agent.View) bool { return now.Observations["n5"].Serving && y.Poll.Now(5) == "serves" }))
 	tool(t, y, 0, "drain", "n5", "--for", "100ms", "--watch", "--reason", "r")
 	sound(t, y)
 }
@@ -384,14 +384,14 @@
 	y := aYard(t, fleet.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
 	v, err := y.View(2, true)
 	must(t, err)
-	old := v.Quorum.Seat.Number
+	old := v.Quorum.Member.Number
 	pids := []int{y.Pid(0), y.Pid(1), y.Pid(2)}
 	y.SignalAgent(2, syscall.SIGKILL)
 	must(t, y.WipeAgent(2))
 	must(t, y.StartAgent(2))
 	must(t, y.Await(30*time.Second, "it has a seat of its own", func(v agent.View) bool {
-		_, is := v.Quorum.Seats[old]
-		return !is && len(v.Quorum.Seats) == 3 && v.Sights["n2"].Serving
+		_, is := v.Quorum.Members[old]
+		return !is && len(v.Quorum.Members) == 3 && v.Observations["n2"].Serving
 	}))
 	tool(t, y, 0, "drain", "n2", "--for", "100ms", "--watch", "--reason", "r")
 	for i, pid := range pids {
@@ -423,7 +423,7 @@
 		rest := others(y, struck)
 		room(struck, false)
 		if leads { // it fails with the first entry that it can't write
-			y.Tool([]int{struck}, "drain", "n0", "--reason", "whether this is done is not known")
+			y.RunCommand([]int{struck}, "drain", "n0", "--reason", "whether this is done is not known")
 			must(t, y.Await(30*time.Second, "another agent leads", func(v agent.View) bool { return v.Agent != y.AgentNames()[struck] }))
 			if v, err := y.View(leader(t, y), true); err == nil {
 				for _, p := range v.State.Plans {
@@ -440,12 +440,12 @@
 			var out string
 			for until := time.Now().Add(30 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 				var code int
-				if out, code = y.Tool(rest, "drain", fmt.Sprint("n", i), "--for", "100ms", "--watch", "--reason", "r"); code == 0 {
+				if out, code = y.RunCommand(rest, "drain", fmt.Sprint("n", i), "--for", "100ms", "--watch", "--reason", "r"); code == 0 {
 					break
 				}
 				if code != exitNobody || time.Now().After(until) { // until another one leads
-					a, _ := y.Tool(rest, "list")
-					b, _ := y.Tool(rest, "events")
+					a, _ := y.RunCommand(rest, "list")
+					b, _ := y.RunCommand(rest, "events")
 					t.Fatalf("leads %t: n%d: code %d: %s\n%s\n%s", leads, i, code, out, a, b)
 				}
 			}
@@ -453,7 +453,7 @@
 		if y.AgentPid(struck) == 0 {
 			t.Errorf("leads %t: the agent has ended", leads)
 		}
-		out, _ := y.Tool(rest, "drain", fmt.Sprint("n", struck), "--for", "100ms", "--reason", "r")
+		out, _ := y.RunCommand(rest, "drain", fmt.Sprint("n", struck), "--for", "100ms", "--reason", "r")
 		id := planOf(t, out)
 		time.Sleep(2 * time.Second)
 		if now := y.Poll.Now(struck); now != "serves" {
@@ -557,7 +557,7 @@
 		t.Errorf("%s is called %v after it was ordered out", id, y.LastCall(id).Sub(ordered))
 	}
 	y.SignalSender(1, syscall.SIGKILL)
-	must(t, y.Await(20*time.Second, "n1 serves", func(v agent.View) bool { return y.Poll.Now(1) == "serves" && v.Sights["n1"].Serving }))
+	must(t, y.Await(20*time.Second, "n1 serves", func(v agent.View) bool { return y.Poll.Now(1) == "serves" && v.Observations["n1"].Serving }))
 	time.Sleep(time.Second)
 	if called(time.Second) {
 		t.Errorf("%s is called by a sender that was started anew", id)
--- a/cmd/cleathold/fleet_test.go
+++ b/cmd/cleathold/fleet_test.go
@@ -17,13 +17,13 @@
 
 // quick are terms under which tests need not wait long.
 func quick(budget rollout.Budget) rollout.Terms {
-	t := rollout.Usual
+	t := rollout.DefaultTerms
 	t.Budget, t.Timing.Lease = budget, 4*time.Second
 	return t
 }
 
 // aYard is a fleet of processes of this test's own program.
-func aYard(t *testing.T, s fleet.Setup) *fleet.Yard {
+func aYard(t *testing.T, s fleet.Setup) *fleet.Cluster {
 	t.Helper()
 	s.Program, s.Folder = os.Args[0], t.TempDir()
 	s.Env = append(s.Env, "CLEATHOLD_CHILD=1")
@@ -44,9 +44,9 @@
 }
 
 // tool runs a command of the fleet's as staff do, and wants it to end with a code.
-func tool(t *testing.T, y *fleet.Yard, code int, args ...string) string {
+func tool(t *testing.T, y *fleet.Cluster, code int, args ...string) string {
 	t.Helper()
-	out, got := y.Tool(nil, args...)
+	out, got := y.RunCommand(nil, args...)
 	if got != code {
 		t.Fatalf("fleet %s: exit code %d, want %d: %s", strings.Join(args, " "), got, code, out)
 	}
@@ -88,8 +88,8 @@
 		}
 	}
 	r := y.Finish()
-	if len(r.Over) > 0 || len(r.Violations) > 0 || r.Orders != 2 || r.Most != 1 {
-		t.Errorf("over %v, breaks %v, %d orders, %d at once", r.Over, r.Violations, r.Orders, r.Most)
+	if len(r.OverBudget) > 0 || len(r.Violations) > 0 || r.Orders != 2 || r.MaxOut != 1 {
+		t.Errorf("over %v, breaks %v, %d orders, %d at once", r.OverBudget, r.Violations, r.Orders, r.MaxOut)
 	}
 }
 
@@ -147,10 +147,10 @@
 }
 
 // sound wants that no order took one out too many, and that no rule for messages was broken.
-func sound(t *testing.T, y *fleet.Yard) fleet.Report {
+func sound(t *testing.T, y *fleet.Cluster) fleet.Report {
 	t.Helper()
 	r := y.Finish()
-	for _, b := range r.Over {
+	for _, b := range r.OverBudget {
 		t.Errorf("over the budget at %v: %s", b.At, b.Text)
 	}
 	for _, b := range r.Violations {
--- a/cmd/cleathold/held.go
+++ b/cmd/cleathold/held.go
@@ -69,7 +69,7 @@
 }
 
 // plane finds whom to ask.
-func (w *where) plane() (admin.Plane, error) {
+func (w *where) plane() (admin.API, error) {
 	socket, folder := w.Socket, w.Folder
 	if socket == "" && folder == "" {
 		if w.Settings == "" {
@@ -101,7 +101,7 @@
 }
 
 // ask runs something on the plane. Ctrl-C ends it between two pages.
-func (w *where) ask(f func(context.Context, admin.Plane) error) error {
+func (w *where) ask(f func(context.Context, admin.API) error) error {
 	p, err := w.plane()
 	if err != nil {
 		return err
@@ -159,14 +159,14 @@
 	if err != nil {
 		return err
 	}
-	return h.Where.ask(func(ctx context.Context, p admin.Plane) error {
+	return h.Where.ask(func(ctx context.Context, p admin.API) error {
 		tab := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		if !h.Where.JSON {
 			fmt.Fprintln(tab, "SEQ\tSTATE\tDEST\tCLASS\tTENANT\tREASON\tMAY HAVE RUN\tATTEMPTS\tBYTES\tHELD AT\tID")
 		}
 		next := c.After
 		for left := max(c.Limit, 1); left > 0; {
-			page, err := p.List(ctx, f, next, min(left, held.PageMost))
+			page, err := p.List(ctx, f, next, min(left, held.MaxPageSize))
 			if err != nil {
 				return err
 			}
@@ -175,9 +175,9 @@
 					json.NewEncoder(out).Encode(r)
 					continue
 				}
-				_, _, ran := r.Ran()
-				fmt.Fprintf(tab, "%d\t%s\t%d\t%s\t%s\t%s\t%t\t%d\t%d\t%s\t%s\n", r.Seq, r.State, r.Destination, r.Class, r.Tenant,
-					r.Reason, ran, r.Sends, r.Size, r.HeldAt.Format(time.RFC3339), r.ID)
+				_, _, ran := r.FirstRun()
+				fmt.Fprintf(tab, "%d\t%s\t%d\t%s\t%s\t%s\t%t\t%d\t%d\t%s\t%s\n", r.Sequence, r.State, r.Destination, r.Class, r.Tenant,
+					r.Reason, ran, r.AttemptCount, r.Size, r.HeldAt.Format(time.RFC3339), r.ID)
 			}
 			left -= len(page.Records)
 			if next = page.Next; next == 0 {
@@ -197,7 +197,7 @@
 }
 
 func (c *heldShowCmd) Run(out io.Writer, h *heldCmd) error {
-	return h.Where.ask(func(ctx context.Context, p admin.Plane) error {
+	return h.Where.ask(func(ctx context.Context, p admin.API) error {
 		l, err := p.Show(ctx, c.Seq)
 		if err != nil {
 			return err
@@ -205,19 +205,19 @@
 		if h.Where.JSON {
 			return writeJSON(out, l)
 		}
-		_, _, ran := l.Ran()
+		_, _, ran := l.FirstRun()
 		fmt.Fprintf(out, "record %d, %s\n  id %s  key %s\n  %s for destination %d, tenant %s, %d bytes\n  ended: %s; deadline %s; held %s\n  may have run: %t",
-			l.Seq, l.State, l.ID, l.Key, l.Class, l.Destination, l.Tenant, l.Size, l.Reason,
+			l.Sequence, l.State, l.ID, l.Key, l.Class, l.Destination, l.Tenant, l.Size, l.Reason,
 			l.Deadline.Format(time.RFC3339Nano), l.HeldAt.Format(time.RFC3339Nano), ran)
-		if l.Doubt {
+		if l.HistoryIncomplete {
 			fmt.Fprint(out, " (its history is not whole)")
 		}
-		fmt.Fprintf(out, "\n  attempts: %d, resends: %d\n", l.Sends, l.Resends)
+		fmt.Fprintf(out, "\n  attempts: %d, resends: %d\n", l.AttemptCount, l.Redeliveries)
 		for _, a := range l.Attempts {
-			fmt.Fprintf(out, "    %s  target %s  %s  may have run: %t  resend %d\n", a.At.Format(time.RFC3339Nano), orDash(a.Target), a.Result, a.MayHaveRun, a.Resend)
+			fmt.Fprintf(out, "    %s  target %s  %s  may have run: %t  resend %d\n", a.At.Format(time.RFC3339Nano), orDash(a.Target), a.Result, a.MayHaveRun, a.Redelivery)
 		}
-		for _, d := range l.Deeds {
-			fmt.Fprintf(out, "  %s  %s (%s)\n", d.At.Format(time.RFC3339Nano), d.What, d.By)
+		for _, d := range l.Events {
+			fmt.Fprintf(out, "  %s  %s (%s)\n", d.At.Format(time.RFC3339Nano), d.Kind, d.By)
 		}
 		return nil
 	})
@@ -250,21 +250,21 @@
 		return errors.New("name numbers, a filter, or --all")
 	}
 	o.DryRun = a.DryRun
-	return h.Where.ask(func(ctx context.Context, p admin.Plane) error {
+	return h.Where.ask(func(ctx context.Context, p admin.API) error {
 		total := held.Outcome{}
 		whys := map[string]int{}
 		note := func(got held.Outcome) {
 			total.Done += got.Done
-			for _, r := range got.Refused {
-				if len(total.Refused) < held.PageMost {
-					total.Refused = append(total.Refused, r)
+			for _, r := range got.Rejected {
+				if len(total.Rejected) < held.MaxPageSize {
+					total.Rejected = append(total.Rejected, r)
 				}
-				whys[r.Why]++
+				whys[r.Reason]++
 			}
 		}
 		for seqs := a.Seqs; len(seqs) > 0; {
-			o.Selection = held.Selection{Seqs: seqs[:min(len(seqs), held.PageMost)]}
-			seqs = seqs[len(o.Selection.Seqs):]
+			o.Selection = held.Selection{Sequences: seqs[:min(len(seqs), held.MaxPageSize)]}
+			seqs = seqs[len(o.Selection.Sequences):]
 			got, err := p.Act(ctx, verb, o)
 			if err != nil {
 				return err
@@ -272,7 +272,7 @@
 			note(got)
 		}
 		for next, pages := uint64(0), 0; len(a.Seqs) == 0; pages++ {
-			o.Selection = held.Selection{Filter: f, After: next, Most: held.PageMost}
+			o.Selection = held.Selection{Filter: f, After: next, Limit: held.MaxPageSize}
 			got, err := p.Act(ctx, verb, o)
 			if err != nil {
 				return fmt.Errorf("after %d done: %w", total.Done, err)
@@ -291,12 +291,12 @@
 		}
 		if h.Where.JSON {
 			if err := writeJSON(out, struct {
-				Done    int            `json:"done"`
-				Refused int            `json:"refused"`
-				Whys    map[string]int `json:"whys,omitempty"`
-				Records []held.Refused `json:"refused_records,omitempty"`
-				DryRun  bool           `json:"dry_run,omitempty"`
-			}{total.Done, refused, whys, total.Refused, a.DryRun}); err != nil {
+				Done    int                   `json:"done"`
+				Refused int                   `json:"refused"`
+				Whys    map[string]int        `json:"whys,omitempty"`
+				Records []held.RejectedRecord `json:"refused_records,omitempty"`
+				DryRun  bool                  `json:"dry_run,omitempty"`
+			}{total.Done, refused, whys, total.Rejected, a.DryRun}); err != nil {
 				return err
 			}
 		} else {
@@ -305,10 +305,10 @@
 				would = " (dry run: nothing was changed)"
 			}
 			fmt.Fprintf(out, "%s: %d done, %d refused%s\n", verb, total.Done, refused, would)
-			for _, r := range total.Refused[:min(len(total.Refused), 20)] {
-				fmt.Fprintf(out, "  %d: %s\n", r.Seq, r.Why)
+			for _, r := range total.Rejected[:min(len(total.Rejected), 20)] {
+				fmt.Fprintf(out, "  %d: %s\n", r.Seq, r.Reason)
 			}
-			if len(total.Refused) > 20 {
+			if len(total.Rejected) > 20 {
 				for why, n := range whys {
 					fmt.Fprintf(out, "  %d times: %s\n", n, why)
 				}
@@ -354,7 +354,7 @@
 		defer func() { err = errors.Join(err, file.Close()) }()
 		out = file
 	}
-	return h.Where.ask(func(ctx context.Context, p admin.Plane) error {
+	return h.Where.ask(func(ctx context.Context, p admin.API) error {
 		n := 0
 		for next := uint64(0); ; {
 			page, err := p.Export(ctx, f, next)
@@ -395,14 +395,14 @@
 		defer f.Close()
 		in = f
 	}
-	return h.Where.ask(func(ctx context.Context, p admin.Plane) error {
+	return h.Where.ask(func(ctx context.Context, p admin.API) error {
 		done, refused, line := 0, 0, 0
 		refuse := func(at int, why string) {
 			if refused++; refused <= 20 && !h.Where.JSON {
 				fmt.Fprintf(out, "  line %d: %s\n", at, why)
 			}
 		}
-		var batch []held.Line
+		var batch []held.ExportLine
 		bytes := 0
 		flush := func() error {
 			if len(batch) == 0 {
@@ -413,8 +413,8 @@
 				return fmt.Errorf("after %d records: %w", done, err)
 			}
 			done += got.Done
-			for _, r := range got.Refused {
-				refuse(line, fmt.Sprintf("record %d: %s", r.Seq, r.Why))
+			for _, r := range got.Rejected {
+				refuse(line, fmt.Sprintf("record %d: %s", r.Seq, r.Reason))
 			}
 			batch, bytes = batch[:0], 0
 			return nil
@@ -426,13 +426,13 @@
 			if strings.TrimSpace(lines.Text()) == "" {
 				continue
 			}
-			var l held.Line
+			var l held.ExportLine
 			if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 				refuse(line, err.Error())
 				continue
 			}
 			batch = append(batch, l)
-			if bytes += len(lines.Bytes()); len(batch) == admin.ImportMost || bytes > 4<<20 {
+			if bytes += len(lines.Bytes()); len(batch) == admin.MaxImportLines || bytes > 4<<20 {
 				if err := flush(); err != nil {
 					return err
 				}
@@ -459,7 +459,7 @@
 type heldStatsCmd struct{}
 
 func (c *heldStatsCmd) Run(out io.Writer, h *heldCmd) error {
-	return h.Where.ask(func(ctx context.Context, p admin.Plane) error {
+	return h.Where.ask(func(ctx context.Context, p admin.API) error {
 		s, err := p.Stats(ctx)
 		if err != nil {
 			return err
@@ -489,7 +489,7 @@
 }
 
 func (c *heldAuditCmd) Run(out io.Writer, h *heldCmd) error {
-	return h.Where.ask(func(ctx context.Context, p admin.Plane) error {
+	return h.Where.ask(func(ctx context.Context, p admin.API) error {
 		list, err := p.Audit(ctx, c.Limit)
 		if err != nil {
 			return err
@@ -498,7 +498,7 @@
 			return writeJSON(out, list)
 		}
 		for _, a := range list {
-			fmt.Fprintf(out, "%s  %s  %s  done %d, refused %d", a.At.Format(time.RFC3339), a.By, a.Verb, a.Done, a.Refused)
+			fmt.Fprintf(out, "%s  %s  %s  done %d, refused %d", a.At.Format(time.RFC3339), a.By, a.Verb, a.Done, a.Rejected)
 			if a.Filter != nil {
 				text, _ := json.Marshal(a.Filter)
 				fmt.Fprintf(out, "  filter %s", text)
--- a/cmd/cleathold/held_test.go
+++ b/cmd/cleathold/held_test.go
@@ -171,7 +171,7 @@
 	return w
 }
 
-func (w *world) plane() admin.Plane {
+func (w *world) plane() admin.API {
 	p := admin.Dial(filepath.Join(filepath.Dir(w.script), "a.sock"))
 	w.t.Cleanup(func() { p.Close() })
 	return p
@@ -220,7 +220,7 @@
 }
 
 // stats asks until a condition holds.
-func (w *world) stats(p admin.Plane, what string, done func(states map[string]int, s held.Stats) bool) map[string]int {
+func (w *world) stats(p admin.API, what string, done func(states map[string]int, s held.Stats) bool) map[string]int {
 	w.t.Helper()
 	states := map[string]int{}
 	for until := time.Now().Add(60 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -305,14 +305,14 @@
 			}
 		}
 		if resends {
-			got, err := plane.Act(context.Background(), "resend", admin.Order{Selection: held.Selection{Most: held.PageMost}, WithinS: 60})
+			got, err := plane.Act(context.Background(), "resend", admin.Order{Selection: held.Selection{Limit: held.MaxPageSize}, WithinS: 60})
 			for next := got.Next; err == nil && next > 0; {
 				var more held.Outcome
-				more, err = plane.Act(context.Background(), "resend", admin.Order{Selection: held.Selection{Most: held.PageMost, After: next}, WithinS: 60})
-				got.Done, got.Refused, next = got.Done+more.Done, append(got.Refused, more.Refused...), more.Next
+				more, err = plane.Act(context.Background(), "resend", admin.Order{Selection: held.Selection{Limit: held.MaxPageSize, After: next}, WithinS: 60})
+				got.Done, got.Rejected, next = got.Done+more.Done, append(got.Rejected, more.Rejected...), more.Next
 			}
-			if err != nil || got.Done != records+ran-broken || len(got.Refused) != broken || !strings.Contains(got.Refused[0].Why, "must never take effect twice") {
-				t.Fatalf("ordered %d, refused %d, %v", got.Done, len(got.Refused), err)
+			if err != nil || got.Done != records+ran-broken || len(got.Rejected) != broken || !strings.Contains(got.Rejected[0].Reason, "must never take effect twice") {
+				t.Fatalf("ordered %d, refused %d, %v", got.Done, len(got.Rejected), err)
 			}
 		}
 		p.mu.Lock()
--- a/cmd/cleathold/kills_test.go
+++ b/cmd/cleathold/kills_test.go
@@ -125,7 +125,7 @@
 				taken[id] = true
 			}
 		}
-		go w.plane().Act(context.Background(), "resend", admin.Order{Selection: held.Selection{Most: held.PageMost}, WithinS: 1})
+		go w.plane().Act(context.Background(), "resend", admin.Order{Selection: held.Selection{Limit: held.MaxPageSize}, WithinS: 1})
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 		over(w, c)
 	}
@@ -138,14 +138,14 @@
 	w.stats(plane, "nothing on its way", quiet)
 	time.Sleep(time.Second) // live ones have 0.55 s at most
 	order := admin.Order{WithinS: 60}
-	order.Selection.Most = held.PageMost
+	order.Selection.Limit = held.MaxPageSize
 	refused := map[uint64]bool{}
 	for {
 		got, err := plane.Act(context.Background(), "resend", order)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, r := range got.Refused {
+		for _, r := range got.Rejected {
 			refused[r.Seq] = true
 		}
 		if order.Selection.After = got.Next; got.Next == 0 {
@@ -155,7 +155,7 @@
 	states := w.stats(plane, "all sent that may be", quiet)
 	records := map[string]held.Record{}
 	for next := uint64(0); ; {
-		page, err := plane.List(context.Background(), held.Filter{}, next, held.PageMost)
+		page, err := plane.List(context.Background(), held.Filter{}, next, held.MaxPageSize)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -181,7 +181,7 @@
 			t.Errorf("%s is lost", id)
 		case kept && !told(id):
 			t.Errorf("%s is held, and the platform does not know: %+v", id, r)
-		case kept && r.State == held.Held && !refused[r.Seq]:
+		case kept && r.State == held.Held && !refused[r.Sequence]:
 			t.Errorf("%s may be sent and was not: %+v", id, r)
 		case kept && r.State == held.Delivered && p.effects[id] == 0:
 			t.Errorf("%s is delivered by the store's word alone", id)
--- a/cmd/cleathold/lab.go
+++ b/cmd/cleathold/lab.go
@@ -251,9 +251,9 @@
 	fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, %d connections, %d restarts\n",
 		r.Seed, r.Service, r.Overall, r.Worst, r.WorstAt, r.Messages, r.Calls, r.RejectedCalls, r.Connections, r.Restarts)
 	fmt.Fprintf(out, "lag of the rig: partners %.2f ms at the 99th percentile, %.2f at most; clients %.2f and %.2f; hand-ins answered after %.2f ms at the 99th percentile\n",
-		r.Rig.P99, r.Rig.Max, r.Clients.Lag.P99, r.Clients.Lag.Max, r.Clients.Door.P99)
+		r.Rig.P99, r.Rig.Max, r.Clients.Lag.P99, r.Clients.Lag.Max, r.Clients.ResponseTime.P99)
 	fmt.Fprintf(out, "a sender had %.0f MB at most\n", r.PeakMB)
-	for _, m := range r.Marks {
+	for _, m := range r.Warnings {
 		fmt.Fprintln(out, "NOTE:", m)
 	}
 	writeBreaks(out, r.Violations)
@@ -343,7 +343,7 @@
 	case c.Sink == (len(c.To) > 0):
 		return errors.New("name the senders by --to, or --sink")
 	case c.Sink:
-		addr, err := rig.Sink(ctx)
+		addr, err := rig.StartSink(ctx)
 		if err != nil {
 			return err
 		}
@@ -356,8 +356,8 @@
 	if c.JSON {
 		return writeJSON(out, seen)
 	}
-	fmt.Fprintf(out, "answers by status (0 = none): %v; left out: %d\n", seen.Answers, seen.LeftOut)
-	fmt.Fprintf(out, "from the time wanted to the answer: %.2f ms at the median, %.2f at the 99th percentile, %.2f at most\n", seen.Door.P50, seen.Door.P99, seen.Door.Max)
+	fmt.Fprintf(out, "answers by status (0 = none): %v; left out: %d\n", seen.Answers, seen.Skipped)
+	fmt.Fprintf(out, "from the time wanted to the answer: %.2f ms at the median, %.2f at the 99th percentile, %.2f at most\n", seen.ResponseTime.P50, seen.ResponseTime.P99, seen.ResponseTime.Max)
 	_, err = fmt.Fprintf(out, "lag of the clients themselves: %.2f ms at the 99th percentile, %.2f at most\n", seen.Lag.P99, seen.Lag.Max)
 	return err
 }
@@ -493,7 +493,7 @@
 	if err := json.Unmarshal(run.Result, &r); err != nil {
 		return nil, fmt.Errorf("%s: result: %w", folder, err)
 	}
-	f.Breaks, f.Notes = r.Violations, append(f.Notes, r.Marks...)
+	f.Breaks, f.Notes = r.Violations, append(f.Notes, r.Warnings...)
 	if run.Head.Mode == "sockets" {
 		f.Head = append(f.Head, report.Line{Name: "lag of the rig", Value: fmt.Sprintf("partners %.2f ms at the 99th percentile, clients %.2f ms", r.Rig.P99, r.Clients.Lag.P99)})
 	}
--- a/cmd/cleathold/labfleet.go
+++ b/cmd/cleathold/labfleet.go
@@ -100,7 +100,7 @@
 }
 
 func writeHistory(out io.Writer, h *fleet.History) {
-	fmt.Fprintf(out, "seed %d: %d out at once at most (%d may be), %d times by order, service %.3f, %d plans\n", h.Seed, h.Most, h.Budget.Fleet, h.Orders, h.Served, len(h.Plans))
+	fmt.Fprintf(out, "seed %d: %d out at once at most (%d may be), %d times by order, service %.3f, %d plans\n", h.Seed, h.MaxOut, h.Budget.Fleet, h.Orders, h.Served, len(h.Plans))
 	for _, f := range h.Faults {
 		fmt.Fprintf(out, "  BROKEN: %.600s\n", f)
 	}
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	s.Senders, s.Agents, s.Seed, s.Terms = c.Senders, c.Agents, 1, rollout.Usual
+	s.Senders, s.Agents, s.Seed, s.Terms = c.Senders, c.Agents, 1, rollout.DefaultTerms
 	s.Terms.Budget.Fleet = c.Budget
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -156,20 +156,20 @@
 		return writeJSON(out, m)
 	}
 	round := func(d time.Duration) time.Duration { return d.Round(10 * time.Millisecond) }
-	fmt.Fprintf(out, "%d senders, %d agents, faults %t: all serve after %v\n", m.Senders, m.Agents, m.Struck, round(m.Begin))
-	fmt.Fprintf(out, "release %v, resumed %d times; %d of %d hand-ins ended at the door; back %v\n", round(m.Release), m.Resumes, m.Door, m.HandIns, round(m.Back))
+	fmt.Fprintf(out, "%d senders, %d agents, faults %t: all serve after %v\n", m.Senders, m.Agents, m.WithFaults, round(m.Begin))
+	fmt.Fprintf(out, "release %v, resumed %d times; %d of %d hand-ins ended at the door; back %v\n", round(m.Release), m.Resumes, m.FailedSubmissions, m.Submissions, round(m.RollBack))
 	fmt.Fprintf(out, "after a halt the last sender went out at %v; with the leader cut off %v\n", round(m.HaltAll), round(m.HaltCut))
-	fmt.Fprintf(out, "service %.3f, %d rules broken, %d times over the budget\n", m.Served, m.Breaks, m.Over)
+	fmt.Fprintf(out, "service %.3f, %d rules broken, %d times over the budget\n", m.Served, m.Violations, m.OverBudget)
 	for _, k := range []struct {
 		name string
 		c    fleet.Cost
-	}{{"at rest", m.Rest}, {"in the release", m.Busy}} {
+	}{{"at rest", m.AtRest}, {"in the release", m.DuringRelease}} {
 		fmt.Fprintf(out, "an agent %s: %.3f of a processor, %.0f MB; a second: raft %.0f bytes and %.1f calls, sights %.0f bytes and %.1f calls, looks %.0f bytes and %.1f calls\n",
 			k.name, k.c.Processor, k.c.MemoryMB, k.c.RaftBytes, k.c.RaftCalls, k.c.ToldBytes, k.c.ToldCalls, k.c.LookBytes, k.c.Looks)
 	}
-	fmt.Fprintf(out, "a sender at rest: watched %.4f of a processor, %.1f MB; with all agents stopped %.4f, %.1f MB\n", m.Watched.Processor, m.Watched.MemoryMB, m.Alone.Processor, m.Alone.MemoryMB)
+	fmt.Fprintf(out, "a sender at rest: watched %.4f of a processor, %.1f MB; with all agents stopped %.4f, %.1f MB\n", m.WithAgent.Processor, m.WithAgent.MemoryMB, m.WithoutAgent.Processor, m.WithoutAgent.MemoryMB)
 	fmt.Fprintf(out, "messages that took effect: %.4f of those wanted before the release, %.4f in it\n", m.Before, m.During)
-	return brokenExit(m.Breaks + m.Over)
+	return brokenExit(m.Violations + m.OverBudget)
 }
 
 // runAgents plays a scenario that has agents: they run the senders.
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -15,13 +15,13 @@
 	"cleathold/internal/held"
 )
 
-// Plane is what may be asked of held messages.
-type Plane interface {
+// API is what may be asked of held messages.
+type API interface {
 	List(ctx context.Context, f held.Filter, after uint64, most int) (Page, error)
 	Export(ctx context.Context, f held.Filter, after uint64) (Page, error)
-	Show(ctx context.Context, seq uint64) (held.Line, error)
+	Show(ctx context.Context, seq uint64) (held.ExportLine, error)
 	Stats(ctx context.Context) (held.Stats, error)
-	Audit(ctx context.Context, most int) ([]held.Act, error)
+	Audit(ctx context.Context, most int) ([]held.AuditEntry, error)
 	Act(ctx context.Context, verb string, o Order) (held.Outcome, error)
 	Close() error
 }
@@ -33,7 +33,7 @@
 )
 
 // Dial returns the plane of a running sender.
-func Dial(socket string) Plane {
+func Dial(socket string) API {
 	return &remote{socket, &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			var d net.Dialer
@@ -89,10 +89,10 @@
 }
 
 func (c *remote) Export(ctx context.Context, f held.Filter, after uint64) (p Page, err error) {
-	return p, c.ask(ctx, http.MethodGet, "/held/export?"+query(f, after, ImportMost).Encode(), nil, &p)
+	return p, c.ask(ctx, http.MethodGet, "/held/export?"+query(f, after, MaxImportLines).Encode(), nil, &p)
 }
 
-func (c *remote) Show(ctx context.Context, seq uint64) (l held.Line, err error) {
+func (c *remote) Show(ctx context.Context, seq uint64) (l held.ExportLine, err error) {
 	return l, c.ask(ctx, http.MethodGet, "/held/show/"+strconv.FormatUint(seq, 10), nil, &l)
 }
 
@@ -100,7 +100,7 @@
 	return s, c.ask(ctx, http.MethodGet, "/held/stats", nil, &s)
 }
 
-func (c *remote) Audit(ctx context.Context, most int) (list []held.Act, err error) {
+func (c *remote) Audit(ctx context.Context, most int) (list []held.AuditEntry, err error) {
 	return list, c.ask(ctx, http.MethodGet, "/held/audit?most="+strconv.Itoa(most), nil, &list)
 }
 
@@ -109,7 +109,7 @@
 }
 
 // OpenFolder returns the plane of a stopped sender's folder.
-func OpenFolder(folder string) (Plane, error) {
+func OpenFolder(folder string) (API, error) {
 	s, err := held.OpenReading(folder)
 	if err != nil {
 		return nil, err
@@ -123,18 +123,18 @@
 
 func (l local) List(_ context.Context, f held.Filter, after uint64, most int) (p Page, err error) {
 	err = l.store.View(func(t *held.Tx) (err error) {
-		p.Records, p.Next, err = t.List(f, after, min(most, held.PageMost))
+		p.Records, p.Next, err = t.List(f, after, min(most, held.MaxPageSize))
 		return
 	})
 	return
 }
 
 func (l local) Export(_ context.Context, f held.Filter, after uint64) (p Page, err error) {
-	err = l.store.View(func(t *held.Tx) (err error) { p.Lines, p.Next, err = t.Export(f, after, ImportMost); return })
+	err = l.store.View(func(t *held.Tx) (err error) { p.Lines, p.Next, err = t.Export(f, after, MaxImportLines); return })
 	return
 }
 
-func (l local) Show(_ context.Context, seq uint64) (line held.Line, err error) {
+func (l local) Show(_ context.Context, seq uint64) (line held.ExportLine, err error) {
 	err = l.store.View(func(t *held.Tx) (err error) { line, err = show(t, seq); return })
 	return
 }
@@ -144,7 +144,7 @@
 	return
 }
 
-func (l local) Audit(_ context.Context, most int) (list []held.Act, err error) {
+func (l local) Audit(_ context.Context, most int) (list []held.AuditEntry, err error) {
 	err = l.store.View(func(t *held.Tx) (err error) { list, err = t.Audit(most); return })
 	return
 }
--- a/internal/admin/front.go
+++ b/internal/admin/front.go
@@ -30,8 +30,8 @@
 	Take(o lease.Order) error
 	Renew(epoch uint64, until time.Time) error
 	End(epoch uint64) error
-	// SetAside takes which targets operators have taken out, all of them, as of an epoch.
-	SetAside(epoch uint64, ids []string, until time.Time) error
+	// SetExclusions takes which targets operators have taken out, all of them, as of an epoch.
+	SetExclusions(epoch uint64, ids []string, until time.Time) error
 	Status() Status
 	Targets() []state.ListedTarget
 }
@@ -39,32 +39,32 @@
 // The calls of the lifecycle, behind both fronts of the plane. Drain and activate are by hand without a query, and by
 // an agent's order with one.
 const (
-	ReadyPath    = "/v1/readyz"
-	DrainPath    = "/v1/sender/drain"
-	ActivatePath = "/v1/sender/activate"
-	HoldPath     = "/v1/sender/hold" // a lease under which the sender goes on serving, while it changes
-	RenewPath    = "/v1/sender/renew"
-	StatusPath   = "/v1/sender/status"
-	TargetsPath  = "/v1/sender/targets"
-	AsidePath    = "/v1/sender/aside"
+	ReadyPath      = "/v1/readyz"
+	DrainPath      = "/v1/sender/drain"
+	ActivatePath   = "/v1/sender/activate"
+	HoldPath       = "/v1/sender/hold" // a lease under which the sender goes on serving, while it changes
+	RenewPath      = "/v1/sender/renew"
+	StatusPath     = "/v1/sender/status"
+	TargetsPath    = "/v1/sender/targets"
+	ExclusionsPath = "/v1/sender/aside"
 )
 
 // Status is how one process of a sender is.
 type Status struct {
-	Name     string          `json:"name"`
-	Process  string          `json:"process"` // drawn at its start
-	Pid      int             `json:"pid"`
-	Phase    string          `json:"phase"`
-	Epoch    uint64          `json:"epoch"` // the highest of an order that it has seen...
-	Ended    bool            `json:"ended"` // ...of which nothing stands
-	Stands   bool            `json:"stands"`
-	Until    time.Time       `json:"until,omitzero"`
-	Release  string          `json:"release,omitempty"`
-	Config   string          `json:"config"` // digest of the configuration in force
-	Started  time.Time       `json:"started"`
-	Counts   state.Counts    `json:"counts"`
-	Clients  protocol.Counts `json:"clients"`
-	MemoryMB float64         `json:"memory_mb"`
+	Name        string          `json:"name"`
+	Process     string          `json:"process"` // drawn at its start
+	Pid         int             `json:"pid"`
+	Phase       string          `json:"phase"`
+	Epoch       uint64          `json:"epoch"` // the highest of an order that it has seen...
+	Ended       bool            `json:"ended"` // ...of which nothing stands
+	LeaseActive bool            `json:"stands"`
+	Until       time.Time       `json:"until,omitzero"`
+	Release     string          `json:"release,omitempty"`
+	Config      string          `json:"config"` // digest of the configuration in force
+	Started     time.Time       `json:"started"`
+	Counts      state.Counts    `json:"counts"`
+	Clients     protocol.Counts `json:"clients"`
+	MemoryMB    float64         `json:"memory_mb"`
 }
 
 // Digest names a text.
@@ -87,10 +87,10 @@
 func (o *ordering) time(name string) time.Time { return time.UnixMilli(int64(o.number(name))) }
 
 const (
-	FrontPlaces = 32                     // connections at the second address; the oldest gives way to the next
-	frontSpan   = 2 * time.Second        // a call must have come within this
-	frontHead   = 8 << 10                // and its head may hold so much
-	replySpan   = 500 * time.Millisecond // an answer must be taken within this
+	MaxHTTPConnections = 32                     // connections at the second address; the oldest gives way to the next
+	frontSpan          = 2 * time.Second        // a call must have come within this
+	frontHead          = 8 << 10                // and its head may hold so much
+	replySpan          = 500 * time.Millisecond // an answer must be taken within this
 )
 
 // lifecycleCalls are the handlers of the lifecycle's calls by their patterns.
@@ -142,12 +142,12 @@
 			epoch := o.number("epoch")
 			return func() error { return s.End(epoch) }
 		}),
-		"PUT " + AsidePath: ordered(nil, "set aside", func(o *ordering) func() error {
+		"PUT " + ExclusionsPath: ordered(nil, "set aside", func(o *ordering) func() error {
 			epoch, until, ids := o.number("epoch"), o.time("until"), o.query["id"]
 			if len(ids) > lease.MaxExcluded && o.err == nil {
 				o.err = fmt.Errorf("id: %d at most", lease.MaxExcluded)
 			}
-			return func() error { return s.SetAside(epoch, ids, until) }
+			return func() error { return s.SetExclusions(epoch, ids, until) }
 		}),
 		"GET " + TargetsPath: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
@@ -160,16 +160,16 @@
 	}
 }
 
-// Front serves calls at a TCP address, where nobody can be told apart.
-type Front struct {
+// HTTPServer serves calls at a TCP address, where nobody can be told apart.
+type HTTPServer struct {
 	sock *places
 	http *http.Server
 	log  *slog.Logger
 }
 
 // ListenTCP binds the second address, for the lifecycle's calls alone, one call a connection.
-func ListenTCP(addr string, s Lifecycle, log *slog.Logger) (*Front, error) {
-	f, err := ListenCalls(addr, lifecycleCalls(s), FrontPlaces, frontSpan, log)
+func ListenTCP(addr string, s Lifecycle, log *slog.Logger) (*HTTPServer, error) {
+	f, err := ListenCalls(addr, lifecycleCalls(s), MaxHTTPConnections, frontSpan, log)
 	if err == nil {
 		f.http.SetKeepAlivesEnabled(false)
 		f.http.MaxHeaderBytes = frontHead
@@ -179,7 +179,7 @@
 
 // ListenCalls binds an address for calls by their patterns, on so many connections. A call must have come whole within
 // a span, and be answered within it.
-func ListenCalls(addr string, calls map[string]http.HandlerFunc, most int, span time.Duration, log *slog.Logger) (*Front, error) {
+func ListenCalls(addr string, calls map[string]http.HandlerFunc, most int, span time.Duration, log *slog.Logger) (*HTTPServer, error) {
 	sock, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
@@ -188,24 +188,24 @@
 	for pattern, h := range calls {
 		mux.HandleFunc(pattern, h)
 	}
-	return &Front{sock: &places{Listener: sock, most: most}, log: log, http: &http.Server{
+	return &HTTPServer{sock: &places{Listener: sock, most: most}, log: log, http: &http.Server{
 		Handler: mux, ReadHeaderTimeout: frontSpan, ReadTimeout: span, WriteTimeout: span + replySpan, IdleTimeout: idleSpan,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}}, nil
 }
 
 // Addr is the address that it listens on.
-func (f *Front) Addr() net.Addr { return f.sock.Addr() }
+func (f *HTTPServer) Addr() net.Addr { return f.sock.Addr() }
 
 // Serve serves until Close.
-func (f *Front) Serve() {
+func (f *HTTPServer) Serve() {
 	if err := f.http.Serve(f.sock); !errors.Is(err, http.ErrServerClosed) {
 		f.log.Error("second address ended", "err", err)
 	}
 }
 
 // Close ends it at once.
-func (f *Front) Close() { f.http.Close() }
+func (f *HTTPServer) Close() { f.http.Close() }
 
 // places bounds the connections of a listener. Where all places are taken the oldest connection
 // is closed: who has sent no whole call for so long must not keep out one who will.
--- a/internal/admin/front_test.go
+++ b/internal/admin/front_test.go
@@ -35,14 +35,14 @@
 	return p.refuse
 }
 func (p *post) End(epoch uint64) error { p.told <- fmt.Sprint("end ", epoch); return p.refuse }
-func (p *post) SetAside(epoch uint64, ids []string, until time.Time) error {
+func (p *post) SetExclusions(epoch uint64, ids []string, until time.Time) error {
 	p.told <- fmt.Sprint("aside ", epoch, " ", ids, " ", until.UnixMilli())
 	return p.refuse
 }
 func (p *post) Targets() []state.ListedTarget { return nil }
 func (p *post) Status() Status                { return Status{Name: "n1"} }
 
-func front(t *testing.T, p *post) *Front {
+func front(t *testing.T, p *post) *HTTPServer {
 	t.Helper()
 	f, err := ListenTCP("127.0.0.1:0", p, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -54,7 +54,7 @@
 }
 
 // ask makes one call, and wants its connection closed after it.
-func ask(t *testing.T, f *Front, request string) (int, error) {
+func ask(t *testing.T, f *HTTPServer, request string) (int, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", f.Addr().String())
 	if err != nil {
@@ -121,7 +121,7 @@
 // and a head without end costs its own connection.
 func TestFrontBesideHalfCalls(t *testing.T) {
 	f := front(t, &post{told: make(chan string, 1)})
-	for i := range 2 * FrontPlaces {
+	for i := range 2 * MaxHTTPConnections {
 		c, err := net.Dial("tcp", f.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -137,7 +137,7 @@
 	f.sock.mu.Lock()
 	n := len(f.sock.open)
 	f.sock.mu.Unlock()
-	if n > FrontPlaces {
+	if n > MaxHTTPConnections {
 		t.Errorf("%d connections held", n)
 	}
 	if status, _ := ask(t, f, "GET /v1/readyz HTTP/1.1\r\nX: "+strings.Repeat("x", 8*frontHead)+"\r\n\r\n"); status != 0 && status != http.StatusRequestHeaderFieldsTooLarge {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -21,41 +21,41 @@
 )
 
 const (
-	bodyMost   = 8 << 20          // bytes of a request: an import's page
-	actSpan    = 30 * time.Second // an act may wait so long for the store
-	headSpan   = 2 * time.Second
-	idleSpan   = 30 * time.Second
-	callsMost  = 4 // requests at once; each may hold a page in memory
-	ImportMost = 64
+	bodyMost       = 8 << 20          // bytes of a request: an import's page
+	actSpan        = 30 * time.Second // an act may wait so long for the store
+	headSpan       = 2 * time.Second
+	idleSpan       = 30 * time.Second
+	callsMost      = 4 // requests at once; each may hold a page in memory
+	MaxImportLines = 64
 )
 
-// Keeper is what the plane works on.
-type Keeper interface {
+// DeadLetterQueue is what the plane works on.
+type DeadLetterQueue interface {
 	View(func(*held.Tx) error) error
-	Resend(ctx context.Context, by string, sel held.Selection, within time.Duration, dry bool) (held.Outcome, error)
+	Redeliver(ctx context.Context, by string, sel held.Selection, within time.Duration, dry bool) (held.Outcome, error)
 	Drop(ctx context.Context, by string, sel held.Selection, dry bool) (held.Outcome, error)
-	Import(ctx context.Context, by string, lines []held.Line, dry bool) (held.Outcome, error)
+	Import(ctx context.Context, by string, lines []held.ExportLine, dry bool) (held.Outcome, error)
 }
 
 // Order is the body of an act.
 type Order struct {
-	Selection held.Selection `json:"selection,omitzero"`
-	Lines     []held.Line    `json:"lines,omitempty"`
-	WithinS   float64        `json:"within_s,omitempty"`
-	DryRun    bool           `json:"dry_run,omitempty"`
+	Selection held.Selection    `json:"selection,omitzero"`
+	Lines     []held.ExportLine `json:"lines,omitempty"`
+	WithinS   float64           `json:"within_s,omitempty"`
+	DryRun    bool              `json:"dry_run,omitempty"`
 }
 
 // Page is a page of records, or of lines with their bodies.
 type Page struct {
-	Records []held.Record `json:"records,omitempty"`
-	Lines   []held.Line   `json:"lines,omitempty"`
-	Next    uint64        `json:"next,omitempty"`
+	Records []held.Record     `json:"records,omitempty"`
+	Lines   []held.ExportLine `json:"lines,omitempty"`
+	Next    uint64            `json:"next,omitempty"`
 }
 
 // Server serves the plane until it is closed.
 type Server struct {
 	path   string
-	keeper Keeper
+	keeper DeadLetterQueue
 	log    *slog.Logger
 	sock   *net.UnixListener
 	http   *http.Server
@@ -66,7 +66,7 @@
 
 // Listen binds the socket, for its owner alone. One that a dead process left is replaced.
 // Without a keeper only the lifecycle's calls are served.
-func Listen(path string, k Keeper, lifecycle Lifecycle, log *slog.Logger) (*Server, error) {
+func Listen(path string, k DeadLetterQueue, lifecycle Lifecycle, log *slog.Logger) (*Server, error) {
 	if c, err := net.Dial("unix", path); err == nil {
 		c.Close()
 		return nil, fmt.Errorf("admin: %s is in use by another process", path)
@@ -217,7 +217,7 @@
 	read("before", func(s string) (err error) { f.Before, err = time.Parse(time.RFC3339Nano, s); return })
 	read("after", func(s string) (err error) { after, err = strconv.ParseUint(s, 10, 64); return })
 	read("most", func(s string) (err error) { most, err = strconv.Atoi(s); return })
-	return f, after, min(max(most, 1), held.PageMost), err
+	return f, after, min(max(most, 1), held.MaxPageSize), err
 }
 
 func (s *Server) list(r *http.Request) (any, error) {
@@ -229,7 +229,7 @@
 
 func (s *Server) export(r *http.Request) (any, error) {
 	return s.page(r, func(t *held.Tx, f held.Filter, after uint64, most int) (p Page, err error) {
-		p.Lines, p.Next, err = t.Export(f, after, min(most, ImportMost))
+		p.Lines, p.Next, err = t.Export(f, after, min(most, MaxImportLines))
 		return
 	})
 }
@@ -249,24 +249,24 @@
 	if err != nil {
 		return nil, &fault{http.StatusBadRequest, "a number is wanted"}
 	}
-	var line held.Line
+	var line held.ExportLine
 	err = s.keeper.View(func(t *held.Tx) (err error) { line, err = show(t, seq); return })
 	return line, err
 }
 
 // show is one record whole.
-func show(t *held.Tx, seq uint64) (held.Line, error) {
+func show(t *held.Tx, seq uint64) (held.ExportLine, error) {
 	rec, err := t.Get(seq)
 	if err != nil {
-		return held.Line{}, err
+		return held.ExportLine{}, err
 	}
 	var body []byte
-	if !rec.NoBody {
+	if !rec.BodyMissing {
 		if body, err = t.Body(seq); err != nil {
-			return held.Line{}, err
+			return held.ExportLine{}, err
 		}
 	}
-	return held.NewLine(rec, body), nil
+	return held.NewExportLine(rec, body), nil
 }
 
 func (s *Server) stats(*http.Request) (any, error) {
@@ -277,8 +277,8 @@
 
 func (s *Server) audit(r *http.Request) (any, error) {
 	most, _ := strconv.Atoi(r.URL.Query().Get("most"))
-	var list []held.Act
-	err := s.keeper.View(func(t *held.Tx) (err error) { list, err = t.Audit(min(max(most, 1), held.PageMost)); return })
+	var list []held.AuditEntry
+	err := s.keeper.View(func(t *held.Tx) (err error) { list, err = t.Audit(min(max(most, 1), held.MaxPageSize)); return })
 	return list, err
 }
 
@@ -300,7 +300,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.keeper.Resend(r.Context(), by(r), o.Selection, time.Duration(o.WithinS*float64(time.Second)), o.DryRun)
+	return s.keeper.Redeliver(r.Context(), by(r), o.Selection, time.Duration(o.WithinS*float64(time.Second)), o.DryRun)
 }
 
 func (s *Server) drop(r *http.Request) (any, error) {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -73,12 +73,12 @@
 // spent counts what an agent sends and asks beside the agreement.
 type spent struct{ toldBytes, toldCalls, lookBytes, looks atomic.Int64 }
 
-// Spent is that, since its start.
-type Spent struct {
-	ToldBytes int64 `json:"told_bytes"` // of sights, to the leader
-	ToldCalls int64 `json:"told_calls"`
-	LookBytes int64 `json:"look_bytes"` // that its senders answered, at their second addresses
-	Looks     int64 `json:"looks"`
+// Traffic is that, since its start.
+type Traffic struct {
+	ReportedBytes int64 `json:"told_bytes"` // of sights, to the leader
+	Reports       int64 `json:"told_calls"`
+	PolledBytes   int64 `json:"look_bytes"` // that its senders answered, at their second addresses
+	Polls         int64 `json:"looks"`
 }
 
 // fleet is what is agreed on and what was seen, and the machine of the log. It has one mutex.
@@ -87,9 +87,9 @@
 
 	mu     sync.Mutex
 	state  *rollout.State
-	sights map[string]rollout.Sight // the latest of each sender, from whoever is beside it
-	waits  map[string]chan applied  // commands of this agent's, by ID
-	listed map[string]listing       // what discovery lists, as each agent's senders have it
+	sights map[string]rollout.Observation // the latest of each sender, from whoever is beside it
+	waits  map[string]chan applied        // commands of this agent's, by ID
+	listed map[string]listing             // what discovery lists, as each agent's senders have it
 }
 
 // listing is what one agent tells of endpoints.
@@ -137,7 +137,7 @@
 }
 
 func newFleet(name string) *fleet {
-	return &fleet{name: name, state: rollout.New(), sights: map[string]rollout.Sight{}, waits: map[string]chan applied{}, listed: map[string]listing{}}
+	return &fleet{name: name, state: rollout.New(), sights: map[string]rollout.Observation{}, waits: map[string]chan applied{}, listed: map[string]listing{}}
 }
 
 // Apply applies an entry of the log. One that can't be read is of a newer agent, and changes nothing here.
@@ -157,8 +157,8 @@
 	}
 }
 
-// Image is all that was applied.
-func (f *fleet) Image() ([]byte, error) {
+// Snapshot is all that was applied.
+func (f *fleet) Snapshot() ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return json.Marshal(f.state)
@@ -178,19 +178,19 @@
 }
 
 // with does something under the mutex. It must neither wait nor keep what it is given.
-func (f *fleet) with(do func(s *rollout.State, sights map[string]rollout.Sight)) {
+func (f *fleet) with(do func(s *rollout.State, sights map[string]rollout.Observation)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do(f.state, f.sights)
 }
 
 // saw enters a sight unless a later one is there.
-func (f *fleet) saw(list ...rollout.Sight) {
+func (f *fleet) saw(list ...rollout.Observation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, v := range list {
 		if old, some := f.sights[v.Sender]; !some || v.At.After(old.At) {
-			if !some && len(f.sights) >= 2*rollout.SendersMost {
+			if !some && len(f.sights) >= 2*rollout.MaxSenders {
 				continue
 			}
 			f.sights[v.Sender] = v
@@ -208,10 +208,10 @@
 	timing  rollout.Timing
 }
 
-func (f *fleet) duty(v rollout.Sight, tried uint64) duty {
+func (f *fleet) duty(v rollout.Observation, tried uint64) duty {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := duty{timing: f.state.Terms.Timing, aside: f.state.Aside, outs: f.state.Outs()}
+	d := duty{timing: f.state.Terms.Timing, aside: f.state.ExclusionEpoch, outs: f.state.Outs()}
 	if g := f.state.Grants[v.Sender]; g != nil {
 		copied := *g
 		d.grant, d.do = &copied, f.state.Duty(g, v, tried, time.Now())
@@ -243,13 +243,13 @@
 
 func logFolder(folder string) store.Dir { return store.Dir(filepath.Join(folder, "log")) }
 
-// Found makes the folder of one of the first agents.
-func Found(c Config) error {
+// Bootstrap makes the folder of one of the first agents.
+func Bootstrap(c Config) error {
 	folder := logFolder(c.Folder)
 	if err := os.MkdirAll(string(folder), 0o700); err != nil {
 		return fmt.Errorf("agent: %w", err)
 	}
-	return quorum.Found(folder, c.Name, slices.Sorted(maps.Keys(c.Peers)))
+	return quorum.Bootstrap(folder, c.Name, slices.Sorted(maps.Keys(c.Peers)))
 }
 
 // Run runs until the context ends. The senders run on.
@@ -337,7 +337,7 @@
 		}
 		for name, addr := range a.cfg.Peers {
 			if name != a.cfg.Name {
-				a.call(ctx, addr, joinPath, s.Seat, nil)
+				a.call(ctx, addr, joinPath, s.Member, nil)
 			}
 		}
 	}
@@ -393,7 +393,7 @@
 		}
 		var list []rollout.Command
 		now := time.Now().UTC()
-		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Sight) {
+		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Observation) {
 			if s.Terms.Budget.Fleet == 0 {
 				terms := a.cfg.Terms
 				list = append(list, rollout.Command{Verb: rollout.SetTerms, At: now, By: a.cfg.Name, Reason: "the settings of the first leader", Terms: &terms})
@@ -445,9 +445,9 @@
 
 // sightings are what one agent sees.
 type sightings struct {
-	Agent     string             `json:"agent"`
-	List      []rollout.Sight    `json:"list"`
-	Endpoints []rollout.Endpoint `json:"endpoints,omitempty"` // now and then
+	Agent     string                `json:"agent"`
+	List      []rollout.Observation `json:"list"`
+	Endpoints []rollout.Endpoint    `json:"endpoints,omitempty"` // now and then
 }
 
 // listed is what discovery lists, as the first of this agent's senders has it that answers.
@@ -461,9 +461,9 @@
 }
 
 // mine are the latest sights of this agent's senders.
-func (a *Agent) mine() []rollout.Sight {
-	list := make([]rollout.Sight, 0, len(a.minders))
-	a.fleet.with(func(_ *rollout.State, sights map[string]rollout.Sight) {
+func (a *Agent) mine() []rollout.Observation {
+	list := make([]rollout.Observation, 0, len(a.minders))
+	a.fleet.with(func(_ *rollout.State, sights map[string]rollout.Observation) {
 		for _, m := range a.minders {
 			if v, some := sights[m.Name]; some {
 				list = append(list, v)
@@ -476,7 +476,7 @@
 // roster is what the log should know of this agent's senders, and differs from it as text.
 func (a *Agent) roster() string {
 	text := ""
-	a.fleet.with(func(s *rollout.State, _ map[string]rollout.Sight) {
+	a.fleet.with(func(s *rollout.State, _ map[string]rollout.Observation) {
 		for _, m := range a.minders {
 			k := s.Members[m.Name]
 			text += fmt.Sprint(m.Name, k != nil && k.Agent == a.cfg.Name && k.Building == m.Building && slices.Equal(k.Reach, m.Admin[:]), ";")
@@ -489,7 +489,7 @@
 func (a *Agent) enroll(ctx context.Context) error {
 	c := rollout.Command{Verb: rollout.SetRoster, At: time.Now().UTC(), By: a.cfg.Name}
 	same := true
-	a.fleet.with(func(s *rollout.State, _ map[string]rollout.Sight) {
+	a.fleet.with(func(s *rollout.State, _ map[string]rollout.Observation) {
 		mine := 0
 		for _, k := range s.Members {
 			if k.Agent == a.cfg.Name {
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -30,14 +30,14 @@
 
 // View is how the fleet stands, as one agent knows it.
 type View struct {
-	Agent  string                   `json:"agent"`
-	At     time.Time                `json:"at"`
-	Quorum *quorum.Status           `json:"quorum,omitempty"` // nil: it takes no part
-	Why    string                   `json:"why,omitempty"`    // then
-	State  *rollout.State           `json:"state"`
-	Sights map[string]rollout.Sight `json:"sights"` // whole at the leader; elsewhere of its own senders alone
-	Listed []rollout.Endpoint       `json:"listed"`
-	Spent  Spent                    `json:"spent"` // by this agent
+	Agent        string                         `json:"agent"`
+	At           time.Time                      `json:"at"`
+	Quorum       *quorum.Status                 `json:"quorum,omitempty"` // nil: it takes no part
+	Why          string                         `json:"why,omitempty"`    // then
+	State        *rollout.State                 `json:"state"`
+	Observations map[string]rollout.Observation `json:"sights"` // whole at the leader; elsewhere of its own senders alone
+	Listed       []rollout.Endpoint             `json:"listed"`
+	Traffic      Traffic                        `json:"spent"` // by this agent
 }
 
 // Result answers a command.
@@ -50,7 +50,7 @@
 
 // Kinds of errors, for exit codes.
 const (
-	KindRefused    = "refused"     // nothing was changed, and won't be until something else has
+	KindRejected   = "refused"     // nothing was changed, and won't be until something else has
 	KindNoMajority = "no-majority" // nothing was changed
 	KindUnknown    = "unknown"     // it may have been
 )
@@ -73,7 +73,7 @@
 // hopHeader marks a call that another agent has passed on: it is not passed on again.
 const hopHeader = "X-Passed-By"
 
-func (a *Agent) listen() (*admin.Front, error) {
+func (a *Agent) listen() (*admin.HTTPServer, error) {
 	return admin.ListenCalls(a.cfg.Listen, map[string]http.HandlerFunc{
 		"GET " + viewPath:     a.showView,
 		"POST " + commandPath: a.takeCommand,
@@ -120,15 +120,15 @@
 func (a *Agent) view() View {
 	v := View{Agent: a.cfg.Name, At: time.Now().UTC(), Listed: a.fleet.endpoints()}
 	x := &a.spent
-	v.Spent = Spent{x.toldBytes.Load(), x.toldCalls.Load(), x.lookBytes.Load(), x.looks.Load()}
+	v.Traffic = Traffic{x.toldBytes.Load(), x.toldCalls.Load(), x.lookBytes.Load(), x.looks.Load()}
 	if n, err := a.quorum(); err != nil {
 		v.Why = err.Error()
 	} else {
 		s := n.Status()
 		v.Quorum = &s
 	}
-	a.fleet.with(func(s *rollout.State, sights map[string]rollout.Sight) {
-		v.State, v.Sights = copyOf(s), maps.Clone(sights)
+	a.fleet.with(func(s *rollout.State, sights map[string]rollout.Observation) {
+		v.State, v.Observations = copyOf(s), maps.Clone(sights)
 	})
 	return v
 }
@@ -144,7 +144,7 @@
 
 func (a *Agent) takeSights(w http.ResponseWriter, r *http.Request) {
 	var s sightings
-	if read(w, r, &s) && len(s.List) <= rollout.SendersMost {
+	if read(w, r, &s) && len(s.List) <= rollout.MaxSenders {
 		a.fleet.saw(s.List...)
 		if len(s.Endpoints) > 0 {
 			a.fleet.lists(s.Agent, s.Endpoints)
@@ -153,7 +153,7 @@
 }
 
 func (a *Agent) takeJoin(w http.ResponseWriter, r *http.Request) {
-	var s quorum.Seat
+	var s quorum.Member
 	if !read(w, r, &s) {
 		return
 	}
@@ -163,7 +163,7 @@
 	}
 	n, err := a.quorum()
 	if err == nil {
-		err = n.TakeIn(r.Context(), s)
+		err = n.AddMember(r.Context(), s)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -225,7 +225,7 @@
 }
 
 func failure(err error) Result {
-	kind := KindRefused
+	kind := KindRejected
 	switch {
 	case errors.Is(err, quorum.ErrNoMajority), errors.Is(err, quorum.ErrStopped):
 		kind = KindNoMajority
@@ -236,15 +236,15 @@
 }
 
 // staff are the verbs that the tool may ask for.
-var staff = []rollout.Verb{rollout.SetTerms, rollout.Start, rollout.Halt, rollout.Resume, rollout.GoBack, rollout.Activate, rollout.TakeOut, rollout.PutIn}
+var staff = []rollout.Verb{rollout.SetTerms, rollout.Start, rollout.Halt, rollout.Resume, rollout.RollBack, rollout.Activate, rollout.ExcludeEndpoint, rollout.IncludeEndpoint}
 
 func (a *Agent) command(ctx context.Context, call Call) Result {
 	c := call.Command
 	if !slices.Contains(staff, c.Verb) {
-		return failure(fmt.Errorf("%w: %q is not for staff", rollout.ErrRefused, c.Verb))
+		return failure(fmt.Errorf("%w: %q is not for staff", rollout.ErrRejected, c.Verb))
 	}
 	if c.By == "" || c.Reason == "" {
-		return failure(fmt.Errorf("%w: an author and a reason are needed", rollout.ErrRefused))
+		return failure(fmt.Errorf("%w: an author and a reason are needed", rollout.ErrRejected))
 	}
 	c.At = time.Now().UTC()
 	if c.Verb == rollout.Start {
@@ -252,7 +252,7 @@
 		var err error
 		a.allSeen(ctx)
 		c.At = time.Now().UTC()
-		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Sight) {
+		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Observation) {
 			c.Seen = s.Seen(sights, c.At)
 			draft, err = s.Draft(s.Index+1, c)
 		})
@@ -266,9 +266,9 @@
 			return Result{Plan: draft}
 		}
 		c.At = time.Now().UTC() // the probes took a while
-		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Sight) { c.Seen = s.Seen(sights, c.At) })
+		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Observation) { c.Seen = s.Seen(sights, c.At) })
 	}
-	if c.Verb == rollout.TakeOut {
+	if c.Verb == rollout.ExcludeEndpoint {
 		c.Listed = a.fleet.endpoints()
 	}
 	index, err := a.propose(ctx, c)
@@ -276,7 +276,7 @@
 		return failure(err)
 	}
 	answer := Result{Index: index}
-	a.fleet.with(func(s *rollout.State, _ map[string]rollout.Sight) {
+	a.fleet.with(func(s *rollout.State, _ map[string]rollout.Observation) {
 		if p := s.Plan(index); p != nil {
 			answer.Plan = copyOf(p)
 		}
@@ -288,7 +288,7 @@
 func (a *Agent) allSeen(ctx context.Context) {
 	for began := time.Now(); ; {
 		all, fresh := false, time.Duration(0)
-		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Sight) {
+		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Observation) {
 			all, fresh = len(s.Seen(sights, time.Now())) == len(s.Members), s.Terms.Timing.Fresh
 		})
 		if all || time.Since(began) > fresh || !pause(ctx, driveSpan) {
@@ -297,8 +297,8 @@
 	}
 }
 
-// Probe asks an agent whether its senders can run a version, and go back from it.
-type Probe struct {
+// CompatibilityCheck asks an agent whether its senders can run a version, and go back from it.
+type CompatibilityCheck struct {
 	To      rollout.Version `json:"to"`
 	Senders []string        `json:"senders"`
 }
@@ -306,7 +306,7 @@
 // probeAll asks each agent that has senders in the plan. All must say yes before the first stage.
 func (a *Agent) probeAll(ctx context.Context, p *rollout.Plan) error {
 	of := map[string][]string{}
-	a.fleet.with(func(s *rollout.State, _ map[string]rollout.Sight) {
+	a.fleet.with(func(s *rollout.State, _ map[string]rollout.Observation) {
 		for name, t := range p.Tasks {
 			if m := s.Members[name]; m != nil && t.Step == rollout.Waiting {
 				of[m.Agent] = append(of[m.Agent], name)
@@ -321,10 +321,10 @@
 			var answer Result
 			var err error
 			if agent == a.cfg.Name {
-				err = a.probe(ctx, Probe{p.To, names})
+				err = a.probe(ctx, CompatibilityCheck{p.To, names})
 			} else if addr := a.cfg.Peers[agent]; addr == "" {
 				err = errors.New("its address is not known here")
-			} else if err = a.callBefore(ctx, addr, probePath, Probe{p.To, names}, &answer, time.Now().Add(2*probeSpan)); err == nil && answer.Text != "" {
+			} else if err = a.callBefore(ctx, addr, probePath, CompatibilityCheck{p.To, names}, &answer, time.Now().Add(2*probeSpan)); err == nil && answer.Text != "" {
 				err = errors.New(answer.Text)
 			}
 			if err != nil {
@@ -337,25 +337,25 @@
 	wg.Wait()
 	if len(faults) > 0 {
 		slices.Sort(faults)
-		return fmt.Errorf("%w: %s", rollout.ErrRefused, strings.Join(faults, "; "))
+		return fmt.Errorf("%w: %s", rollout.ErrRejected, strings.Join(faults, "; "))
 	}
 	return nil
 }
 
 func (a *Agent) takeProbe(w http.ResponseWriter, r *http.Request) {
-	var p Probe
+	var p CompatibilityCheck
 	if !read(w, r, &p) {
 		return
 	}
 	if err := a.probe(r.Context(), p); err != nil {
-		reply(w, Result{Text: err.Error(), Kind: KindRefused})
+		reply(w, Result{Text: err.Error(), Kind: KindRejected})
 		return
 	}
 	reply(w, Result{})
 }
 
-// About is what a program tells of itself, by `version --json`.
-type About struct {
+// ProgramInfo is what a program tells of itself, by `version --json`.
+type ProgramInfo struct {
 	Version string `json:"version"`
 	Reads   []int  `json:"journal_reads"` // forms of the journal that it understands
 	Writes  int    `json:"journal_writes"`
@@ -363,7 +363,7 @@
 
 // probe looks at what a version needs on this machine: a program that runs and can go on from the old one's journal, and
 // the old one from its, or a configuration for each sender.
-func (a *Agent) probe(ctx context.Context, p Probe) error {
+func (a *Agent) probe(ctx context.Context, p CompatibilityCheck) error {
 	next, err := about(ctx, p.To.Program)
 	if p.To.Program != "" && err != nil {
 		return err
@@ -393,7 +393,7 @@
 	return nil
 }
 
-func about(ctx context.Context, program string) (v About, err error) {
+func about(ctx context.Context, program string) (v ProgramInfo, err error) {
 	if program == "" {
 		return v, errors.New("no program")
 	}
@@ -466,17 +466,17 @@
 	return text, nil
 }
 
-// Look asks an agent how the fleet stands.
-func Look(ctx context.Context, addr string) (v View, err error) {
+// FetchView asks an agent how the fleet stands.
+func FetchView(ctx context.Context, addr string) (v View, err error) {
 	return v, Ask(ctx, http.DefaultClient, addr, viewPath, nil, &v, nil)
 }
 
-// LookOwn asks an agent what it knows by itself, without the leader.
-func LookOwn(ctx context.Context, addr string) (v View, err error) {
+// FetchOwnView asks an agent what it knows by itself, without the leader.
+func FetchOwnView(ctx context.Context, addr string) (v View, err error) {
 	return v, Ask(ctx, http.DefaultClient, addr, viewPath+"?own=1", nil, &v, nil)
 }
 
-// Order has an agent do what staff ask for.
-func Order(ctx context.Context, addr string, c Call) (r Result, err error) {
+// SendCommand has an agent do what staff ask for.
+func SendCommand(ctx context.Context, addr string, c Call) (r Result, err error) {
 	return r, Ask(ctx, http.DefaultClient, addr, commandPath, c, &r, nil)
 }
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -13,6 +13,6 @@
 	golden.JSON[View](t, "view.json")
 	golden.JSON[Result](t, "result.json")
 	golden.JSON[Call](t, "call.json")
-	golden.JSON[Probe](t, "probe.json")
-	golden.JSON[About](t, "about.json")
+	golden.JSON[CompatibilityCheck](t, "probe.json")
+	golden.JSON[ProgramInfo](t, "about.json")
 }
--- a/internal/agent/minder.go
+++ b/internal/agent/minder.go
@@ -46,7 +46,7 @@
 	pace    pace
 	crashes int
 	status  admin.Status
-	sight   rollout.Sight
+	sight   rollout.Observation
 	busy    bool // a change is under way: whatever the sender says, it is out
 
 	tried      uint64 // epoch of the grant that was last acted on
@@ -185,7 +185,7 @@
 	if err != nil {
 		m.a.log.Error("not started", "sender", m.Name, "err", err)
 		m.restart = m.pace.next(0, time.Now())
-		m.tell(rollout.Sight{Phase: err.Error()}, time.Now())
+		m.tell(rollout.Observation{Phase: err.Error()}, time.Now())
 		return
 	}
 	m.took(k)
@@ -213,7 +213,7 @@
 			m.proc = nil
 		}
 		if now.Before(m.restart) {
-			m.tell(rollout.Sight{Phase: "ended, to be started again"}, now)
+			m.tell(rollout.Observation{Phase: "ended, to be started again"}, now)
 			return
 		}
 		m.begin(ctx)
@@ -225,7 +225,7 @@
 			m.a.log.Error("the sender neither answers nor ends: killed", "sender", m.Name, "err", err)
 			m.proc.kill()
 		}
-		m.tell(rollout.Sight{Phase: "no answer"}, time.Now())
+		m.tell(rollout.Observation{Phase: "no answer"}, time.Now())
 		return
 	}
 	m.answers, m.status = true, s
@@ -239,7 +239,7 @@
 }
 
 // tell enters a sight of the sender.
-func (m *minder) tell(v rollout.Sight, at time.Time) {
+func (m *minder) tell(v rollout.Observation, at time.Time) {
 	v.Sender, v.At = m.Name, at.UTC().Round(0)
 	v.Facts.Restarts = m.crashes
 	v.FaultEpoch, v.Fault = m.faultEpoch, m.fault
@@ -285,7 +285,7 @@
 		return
 	}
 	q := url.Values{"epoch": {strconv.FormatUint(d.aside, 10)}, "until": {ms(time.Now().Add(d.timing.Lease))}, "id": d.outs}
-	if err := m.put(ctx, m.record().Admin, admin.AsidePath, q); err != nil {
+	if err := m.put(ctx, m.record().Admin, admin.ExclusionsPath, q); err != nil {
 		m.a.log.Warn("the sender was not told which endpoints are out", "sender", m.Name, "err", err)
 		return
 	}
--- a/internal/agent/overlook.go
+++ b/internal/agent/overlook.go
@@ -24,15 +24,15 @@
 			continue
 		}
 		type target struct {
-			last  rollout.Sight
+			last  rollout.Observation
 			reach []string
 		}
 		var list []target
-		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Sight) {
+		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Observation) {
 			for name, m := range s.Members {
 				v, some := sights[name]
 				if !some { // since this agent leads nobody has told of it
-					v = rollout.Sight{Sender: name, Version: m.Version.Name}
+					v = rollout.Observation{Sender: name, Version: m.Version.Name}
 				}
 				if m.Agent != a.cfg.Name && time.Since(v.At) > s.Terms.Timing.Fresh*6/10 {
 					list = append(list, target{v, m.Reach})
@@ -58,7 +58,7 @@
 }
 
 // farSight asks a sender at one of its second addresses. What only its agent knows is as it was.
-func (a *Agent) farSight(ctx context.Context, client *http.Client, addr string, last rollout.Sight) (rollout.Sight, bool) {
+func (a *Agent) farSight(ctx context.Context, client *http.Client, addr string, last rollout.Observation) (rollout.Observation, bool) {
 	now := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, now.Add(callSpan/2))
 	defer cancel()
@@ -78,12 +78,12 @@
 }
 
 // sightOf is what a status shows.
-func sightOf(s admin.Status) rollout.Sight {
-	return rollout.Sight{
-		Serving: s.Phase == "serving" && !s.Stands, Process: s.Process, Epoch: s.Epoch, Ended: s.Ended, Drained: s.Phase == "drained",
+func sightOf(s admin.Status) rollout.Observation {
+	return rollout.Observation{
+		Serving: s.Phase == "serving" && !s.LeaseActive, Process: s.Process, Epoch: s.Epoch, Ended: s.Ended, Drained: s.Phase == "drained",
 		Open: s.Counts.Open, Phase: s.Phase,
-		Facts: rollout.Facts{
-			Taken: s.Counts.Taken, Refused: s.Counts.Refused, Delivered: s.Counts.Delivered, Deferred: s.Counts.Deferred,
+		Facts: rollout.Counters{
+			Accepted: s.Counts.Taken, Rejected: s.Counts.Refused, Delivered: s.Counts.Delivered, Deferred: s.Counts.Deferred,
 			Failed: s.Counts.Undeliverable, Called: s.Counts.Called, Late: s.Counts.Late, FirstCall: s.Counts.FirstCall, MemoryMB: s.MemoryMB,
 		},
 	}
--- a/internal/held/admin.go
+++ b/internal/held/admin.go
@@ -12,26 +12,26 @@
 
 // Selection names records one by one, or by filter from a number on.
 type Selection struct {
-	Seqs   []uint64 `json:"seqs,omitempty"`
-	Filter Filter   `json:"filter,omitzero"`
-	After  uint64   `json:"after,omitempty"`
-	Most   int      `json:"most,omitempty"`
+	Sequences []uint64 `json:"seqs,omitempty"`
+	Filter    Filter   `json:"filter,omitzero"`
+	After     uint64   `json:"after,omitempty"`
+	Limit     int      `json:"most,omitempty"`
 }
 
-// PageMost is the most records of one page.
-const PageMost = 500
+// MaxPageSize is the most records of one page.
+const MaxPageSize = 500
 
-// Refused is a record to which an act was refused.
-type Refused struct {
-	Seq uint64 `json:"seq"`
-	Why string `json:"why"`
+// RejectedRecord is a record to which an act was refused.
+type RejectedRecord struct {
+	Seq    uint64 `json:"seq"`
+	Reason string `json:"why"`
 }
 
 // Outcome tells what an act did.
 type Outcome struct {
-	Done    int       `json:"done"`
-	Refused []Refused `json:"refused,omitempty"`
-	Next    uint64    `json:"next,omitempty"` // go on after this; 0 = that was all
+	Done     int              `json:"done"`
+	Rejected []RejectedRecord `json:"refused,omitempty"`
+	Next     uint64           `json:"next,omitempty"` // go on after this; 0 = that was all
 }
 
 // ErrNoStore tells that the store is not open.
@@ -41,7 +41,7 @@
 var errDry = errors.New("held: dry run")
 
 // View lets a reader look at the store.
-func (k *Keeper) View(f func(*Tx) error) error {
+func (k *Queue) View(f func(*Tx) error) error {
 	k.mu.Lock()
 	s := k.store
 	k.mu.Unlock()
@@ -52,7 +52,7 @@
 }
 
 // act runs an act over a selection. The function changes a record, or says why not.
-func (k *Keeper) act(ctx context.Context, by, verb string, sel Selection, dry bool, f func(r *Record, now time.Time) error) (Outcome, error) {
+func (k *Queue) act(ctx context.Context, by, verb string, sel Selection, dry bool, f func(r *Record, now time.Time) error) (Outcome, error) {
 	var o Outcome
 	if k.View(func(*Tx) error { return nil }) != nil {
 		return o, ErrNoStore
@@ -60,31 +60,31 @@
 	err := k.order(ctx, func(t *Tx) error {
 		o = Outcome{}
 		now := k.clock.now()
-		seqs := sel.Seqs
-		if len(seqs) > PageMost {
-			return fmt.Errorf("held: %d records named, %d at most at a time", len(seqs), PageMost)
+		seqs := sel.Sequences
+		if len(seqs) > MaxPageSize {
+			return fmt.Errorf("held: %d records named, %d at most at a time", len(seqs), MaxPageSize)
 		}
 		if seqs == nil {
-			list, next, err := t.List(sel.Filter, sel.After, min(max(sel.Most, 1), PageMost))
+			list, next, err := t.List(sel.Filter, sel.After, min(max(sel.Limit, 1), MaxPageSize))
 			if err != nil {
 				return err
 			}
 			o.Next = next
 			for _, r := range list {
 				if !r.State.Ended() { // a filter means those that something can be done with
-					seqs = append(seqs, r.Seq)
+					seqs = append(seqs, r.Sequence)
 				}
 			}
 		}
 		var done []uint64
 		for _, seq := range seqs {
 			err := t.change(seq, func(r *Record) error { return f(r, now) })
-			var why *Refusal
+			var why *NotEligible
 			switch {
 			case errors.As(err, &why):
-				o.Refused = append(o.Refused, Refused{seq, why.Why})
+				o.Rejected = append(o.Rejected, RejectedRecord{seq, why.Reason})
 			case errors.Is(err, ErrNotFound):
-				o.Refused = append(o.Refused, Refused{seq, "there is no such record"})
+				o.Rejected = append(o.Rejected, RejectedRecord{seq, "there is no such record"})
 			case err != nil:
 				return err
 			default:
@@ -98,8 +98,8 @@
 		if len(seqs) == 0 {
 			return nil
 		}
-		a := Act{At: now, By: by, Verb: verb, Records: done, Done: o.Done, Refused: len(o.Refused)}
-		if sel.Seqs == nil {
+		a := AuditEntry{At: now, By: by, Verb: verb, Records: done, Done: o.Done, Rejected: len(o.Rejected)}
+		if sel.Sequences == nil {
 			a.Filter = &sel.Filter
 		}
 		return t.audit(a)
@@ -111,8 +111,8 @@
 	return o, err
 }
 
-// Resend orders records to be sent again, within a time; 0 = the settings'.
-func (k *Keeper) Resend(ctx context.Context, by string, sel Selection, within time.Duration, dry bool) (Outcome, error) {
+// Redeliver orders records to be sent again, within a time; 0 = the settings'.
+func (k *Queue) Redeliver(ctx context.Context, by string, sel Selection, within time.Duration, dry bool) (Outcome, error) {
 	if within <= 0 {
 		k.mu.Lock()
 		within = k.set.Resend.Within
@@ -120,7 +120,7 @@
 	}
 	return k.act(ctx, by, "resend", sel, dry, func(r *Record, now time.Time) error {
 		if r.State == Ordered {
-			return &Refusal{"it is ordered already", true}
+			return &NotEligible{"it is ordered already", true}
 		}
 		if why := k.eligible(r, now); why != nil {
 			return why
@@ -132,11 +132,11 @@
 }
 
 // Drop ends records. One that is being sent can't be dropped.
-func (k *Keeper) Drop(ctx context.Context, by string, sel Selection, dry bool) (Outcome, error) {
+func (k *Queue) Drop(ctx context.Context, by string, sel Selection, dry bool) (Outcome, error) {
 	return k.act(ctx, by, "drop", sel, dry, func(r *Record, now time.Time) error {
 		switch {
 		case r.State == Out:
-			return &Refusal{"it is being sent", true}
+			return &NotEligible{"it is being sent", true}
 		case r.State.Ended():
 			return never("it has ended: %s", r.State)
 		}
@@ -147,13 +147,13 @@
 }
 
 // Import takes lines that were exported. One whose id is known is left alone.
-func (k *Keeper) Import(ctx context.Context, by string, lines []Line, dry bool) (Outcome, error) {
+func (k *Queue) Import(ctx context.Context, by string, lines []ExportLine, dry bool) (Outcome, error) {
 	var o Outcome
 	if k.View(func(*Tx) error { return nil }) != nil {
 		return o, ErrNoStore
 	}
-	if len(lines) > PageMost {
-		return o, fmt.Errorf("held: %d lines, %d at most at a time", len(lines), PageMost)
+	if len(lines) > MaxPageSize {
+		return o, fmt.Errorf("held: %d lines, %d at most at a time", len(lines), MaxPageSize)
 	}
 	err := k.order(ctx, func(t *Tx) error {
 		o = Outcome{}
@@ -162,7 +162,7 @@
 		for i := range lines {
 			r, body, err := lines[i].imported(now)
 			if err != nil {
-				o.Refused = append(o.Refused, Refused{lines[i].Seq, err.Error()})
+				o.Rejected = append(o.Rejected, RejectedRecord{lines[i].Sequence, err.Error()})
 				continue
 			}
 			r.did(now, "imported: what happened to it elsewhere is not known", by)
@@ -171,16 +171,16 @@
 			case err != nil:
 				return err
 			case !added:
-				o.Refused = append(o.Refused, Refused{lines[i].Seq, "a record with its id is here"})
+				o.Rejected = append(o.Rejected, RejectedRecord{lines[i].Sequence, "a record with its id is here"})
 			default:
 				o.Done++
-				done = append(done, r.Seq)
+				done = append(done, r.Sequence)
 			}
 		}
 		if dry {
 			return errDry
 		}
-		return t.audit(Act{At: now, By: by, Verb: "import", Records: done, Done: o.Done, Refused: len(o.Refused)})
+		return t.audit(AuditEntry{At: now, By: by, Verb: "import", Records: done, Done: o.Done, Rejected: len(o.Rejected)})
 	})
 	if errors.Is(err, errDry) {
 		err = nil
@@ -189,19 +189,19 @@
 }
 
 // Export returns a page of records with their bodies, and where to go on.
-func (t *Tx) Export(f Filter, after uint64, most int) (lines []Line, next uint64, err error) {
+func (t *Tx) Export(f Filter, after uint64, most int) (lines []ExportLine, next uint64, err error) {
 	list, next, err := t.List(f, after, most)
 	if err != nil {
 		return nil, 0, err
 	}
 	for _, r := range list {
 		var body []byte
-		if !r.NoBody {
-			if body, err = t.Body(r.Seq); err != nil {
+		if !r.BodyMissing {
+			if body, err = t.Body(r.Sequence); err != nil {
 				return nil, 0, err
 			}
 		}
-		lines = append(lines, NewLine(r, body))
+		lines = append(lines, NewExportLine(r, body))
 	}
 	return lines, next, nil
 }
--- a/internal/held/bench_test.go
+++ b/internal/held/bench_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	k := NewKeeper(Setup{Settings: set, Log: quiet, Platform: control.Settings{Classes: make([]control.Class, 1)}, Names: Names{Classes: []string{"fee-payment"}}})
+	k := NewQueue(Config{Settings: set, Log: quiet, Platform: control.Settings{Classes: make([]control.Class, 1)}, Names: Names{Classes: []string{"fee-payment"}}})
 	p := &state.DeadLetter{Message: &state.Message{ID: "id", Deadline: time.Now()}, At: time.Now()}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -60,7 +60,7 @@
 // What each call's end costs the loop beside that.
 func BenchmarkSaw(b *testing.B) {
 	set, _ := settings.Parse("s.star", []byte(`held(folder = "/h")`))
-	k := NewKeeper(Setup{Settings: set, Log: quiet})
+	k := NewQueue(Config{Settings: set, Log: quiet})
 	b.ReportAllocs()
 	for b.Loop() {
 		k.CallEnded(7, control.Served, 0, false)
@@ -107,7 +107,7 @@
 			n = 0
 			for next := uint64(0); ; {
 				s.View(func(tx *Tx) error {
-					page, after, _ := tx.List(Filter{Destination: &dest, Class: "unsafe"}, next, PageMost)
+					page, after, _ := tx.List(Filter{Destination: &dest, Class: "unsafe"}, next, MaxPageSize)
 					n, next = n+len(page), after
 					return nil
 				})
--- a/internal/held/frame.go
+++ b/internal/held/frame.go
@@ -71,7 +71,7 @@
 	if p.kind != kindRecord || json.Unmarshal(p.payload, &r) != nil {
 		return Record{}, false
 	}
-	r.Seq, r.Rev = p.seq, p.rev
+	r.Sequence, r.Revision = p.seq, p.rev
 	return r, true
 }
 
--- a/internal/held/golden_test.go
+++ b/internal/held/golden_test.go
@@ -12,8 +12,8 @@
 // TestGoldenHeld writes and reads the records, exports and answers of the store as 096da04 did.
 func TestGoldenHeld(t *testing.T) {
 	golden.JSON[Record](t, "record.json")
-	golden.JSON[Line](t, "line.json")
-	golden.JSON[Act](t, "act.json")
+	golden.JSON[ExportLine](t, "line.json")
+	golden.JSON[AuditEntry](t, "act.json")
 	golden.JSON[Selection](t, "selection.json")
 	golden.JSON[Outcome](t, "outcome.json")
 	golden.JSON[Stats](t, "stats.json")
--- a/internal/held/keeper.go
+++ b/internal/held/keeper.go
@@ -40,8 +40,8 @@
 	return list[i]
 }
 
-// Poster takes events; the loop is one.
-type Poster interface{ Post(event state.Event) }
+// EventPoster takes events; the loop is one.
+type EventPoster interface{ Post(event state.Event) }
 
 // A vocabulary is what a platform's settings say. Nothing in it changes.
 type vocabulary struct {
@@ -64,8 +64,8 @@
 	return 0
 }
 
-// Setup is what a keeper is built from.
-type Setup struct {
+// Config is what a keeper is built from.
+type Config struct {
 	Settings *settings.Settings // with a Held part
 	Platform control.Settings
 	Names    Names
@@ -87,13 +87,13 @@
 	done chan error
 }
 
-// Keeper is the sender's keeper of undeliverable messages. One goroutine, Run,
+// Queue is the sender's keeper of undeliverable messages. One goroutine, Run,
 // writes the store; what others tell it waits in a bounded queue, and until the
 // store has it, in the journal.
-type Keeper struct {
+type Queue struct {
 	log    *slog.Logger
 	words  atomic.Pointer[vocabulary] // as of the latest settings
-	post   Poster
+	post   EventPoster
 	more   chan struct{}
 	orders chan order
 
@@ -144,9 +144,9 @@
 // sure tells whether the time since another can be told.
 func (c *clock) sure(at time.Time) bool { return !c.back || !at.Before(c.base) }
 
-// NewKeeper returns a keeper; Run opens its store.
-func NewKeeper(s Setup) *Keeper {
-	k := &Keeper{
+// NewQueue returns a keeper; Run opens its store.
+func NewQueue(s Config) *Queue {
+	k := &Queue{
 		log: s.Log, set: s.Settings, clock: newClock(),
 		more: make(chan struct{}, 1), orders: make(chan order, ordersMost),
 		claims: map[[2]string]bool{}, said: map[string]time.Time{}, granted: map[uint64]int{},
@@ -162,15 +162,15 @@
 }
 
 // ClassesChanged takes what the settings call classes, and what they say.
-func (k *Keeper) ClassesChanged(names []string, now map[string]int, set control.Settings) {
+func (k *Queue) ClassesChanged(names []string, now map[string]int, set control.Settings) {
 	k.speak(names, now, set)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.planner.Limit(k.limits())
+	k.planner.SetLimits(k.limits())
 }
 
-// Tenants takes the names of tenants, by number. Those that were numbered before keep their numbers.
-func (k *Keeper) Tenants(names []string) {
+// TenantsChanged takes the names of tenants, by number. Those that were numbered before keep their numbers.
+func (k *Queue) TenantsChanged(names []string) {
 	for {
 		old := k.words.Load()
 		v := *old
@@ -181,7 +181,7 @@
 	}
 }
 
-func (k *Keeper) speak(names []string, now map[string]int, set control.Settings) {
+func (k *Queue) speak(names []string, now map[string]int, set control.Settings) {
 	old := k.words.Load()
 	v := &vocabulary{
 		Names: Names{Classes: names, Tenants: old.Tenants}, numbers: now, plat: set,
@@ -200,22 +200,22 @@
 	}
 }
 
-func (k *Keeper) limits() resend.Limits {
+func (k *Queue) limits() resend.Limits {
 	plat := &k.words.Load().plat
 	return resend.Limits{
-		Siblings: plat.FleetSize, ColdFrom: plat.ColdCapacity, Cold: plat.WarmUp, FallMultiple: plat.OverloadFactor,
-		FallWindow: plat.OverloadWindow, Share: k.set.Resend.Share, MaxOut: k.set.Resend.MaxOut,
+		FleetSize: plat.FleetSize, ColdCapacity: plat.ColdCapacity, WarmUp: plat.WarmUp, OverloadFactor: plat.OverloadFactor,
+		OverloadWindow: plat.OverloadWindow, CapacityShare: k.set.Resend.Share, MaxInFlight: k.set.Resend.MaxOut,
 	}
 }
 
 // Connect names the loop; before Run.
-func (k *Keeper) Connect(p Poster) { k.post = p }
+func (k *Queue) Connect(p EventPoster) { k.post = p }
 
-// Reload takes other settings: bounds, pace and rules. The folder stays.
-func (k *Keeper) Reload(s *settings.Settings) {
+// UpdateSettings takes other settings: bounds, pace and rules. The folder stays.
+func (k *Queue) UpdateSettings(s *settings.Settings) {
 	k.mu.Lock()
 	k.set = s
-	k.planner.Limit(k.limits())
+	k.planner.SetLimits(k.limits())
 	k.mu.Unlock()
 	select {
 	case k.orders <- order{run: func(*Tx) error { k.sweep, k.sweeps = 0, s.Rules(); return nil }, done: make(chan error, 1)}:
@@ -225,14 +225,14 @@
 }
 
 // wake has the writer look at its queue.
-func (k *Keeper) wake() {
+func (k *Queue) wake() {
 	select {
 	case k.more <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Keeper) push(items ...any) {
+func (k *Queue) push(items ...any) {
 	k.mu.Lock()
 	k.queue = append(k.queue, items...)
 	for _, x := range items {
@@ -247,19 +247,19 @@
 // What the loop calls. None of it waits for the store.
 
 // Begin takes what the journal knows.
-func (k *Keeper) Begin(owed []string, out []uint64) { k.push(beginning{owed, out}) }
+func (k *Queue) Begin(owed []string, out []uint64) { k.push(beginning{owed, out}) }
 
 // Add takes a parting.
-func (k *Keeper) Add(p state.DeadLetter) { k.push(p) }
+func (k *Queue) Add(p state.DeadLetter) { k.push(p) }
 
 // Forget takes ids that the journal has forgotten.
-func (k *Keeper) Forget(ids []string) { k.push(settled{ids}) }
+func (k *Queue) Forget(ids []string) { k.push(settled{ids}) }
 
 // CallEnded takes what came of a call.
-func (k *Keeper) CallEnded(dest int, r control.Result, wait time.Duration, again bool) {
+func (k *Queue) CallEnded(dest int, r control.Result, wait time.Duration, again bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.planner.Saw(k.since(), dest, told(r), wait, again)
+	k.planner.CallEnded(k.since(), dest, told(r), wait, again)
 }
 
 // told is what a call's result tells of its partner.
@@ -268,35 +268,35 @@
 	case control.Served, control.Unprocessable: // the partner was there
 		return resend.Served
 	case control.Rejected, control.ConnectionRejected:
-		return resend.Refused
+		return resend.Rejected
 	case control.NotSent:
-		return resend.Nothing
+		return resend.NotSent
 	}
 	return resend.Failed
 }
 
 // CapacityChanged takes what is known of the destinations.
-func (k *Keeper) CapacityChanged(all map[int]state.DestinationCapacity) {
+func (k *Queue) CapacityChanged(all map[int]state.DestinationCapacity) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for dest, x := range all {
-		k.planner.Listed(k.since(), dest, x.Weight, x.Ready > 0)
+		k.planner.CapacityChanged(k.since(), dest, x.Weight, x.Ready > 0)
 	}
 }
 
 // LoadChanged takes how busy the loop is.
-func (k *Keeper) LoadChanged(l state.LoopLoad) {
+func (k *Queue) LoadChanged(l state.LoopLoad) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.load = resend.Load(l)
 }
 
 // since is the planner's clock.
-func (k *Keeper) since() time.Duration { return time.Since(k.clock.start) }
+func (k *Queue) since() time.Duration { return time.Since(k.clock.start) }
 
 // Accepts asks the rule hold. Where the store fails, or its queue is full, nothing
 // is held: the message ends as it would without a store.
-func (k *Keeper) Accepts(p *state.DeadLetter) bool {
+func (k *Queue) Accepts(p *state.DeadLetter) bool {
 	k.mu.Lock()
 	full := k.failing || k.parts >= k.set.Held.Queue
 	set, words := k.set, k.words.Load()
@@ -313,7 +313,7 @@
 	hold, err := set.Hold(settings.Record{
 		ID: p.Message.ID, Key: p.Message.Key, Class: word(words.Classes, p.Message.Class), Tenant: word(words.Tenants, p.Message.Tenant),
 		Destination: p.Message.Destination, Size: len(p.Message.Body), Reason: p.Reason, MayHaveRun: ran, Deferred: p.Deferred,
-		Attempts: p.AttemptCount, Left: max(0, p.Message.Deadline.Sub(p.At)),
+		Attempts: p.AttemptCount, TimeLeft: max(0, p.Message.Deadline.Sub(p.At)),
 	}, partner)
 	if err != nil {
 		k.say("held: the rule hold failed", "err", err.Error())
@@ -322,11 +322,11 @@
 }
 
 // partner is a destination as rules see it; under the mutex.
-func (k *Keeper) partner(dest int) settings.Partner {
+func (k *Queue) partner(dest int) settings.Partner {
 	v := k.planner.View(k.since(), dest)
-	p := settings.Partner{Out: v.Out, Failing: v.Failing, Served: v.Served, WaitLeft: v.WaitLeft}
-	if v.Seen {
-		p.Last = map[resend.Result]string{resend.Served: "served", resend.Refused: "refused", resend.Failed: "failed"}[v.Last]
+	p := settings.Partner{InFlight: v.InFlight, Failing: v.Failing, Served: v.Served, RetryAfter: v.RetryAfter}
+	if v.Known {
+		p.Last = map[resend.Result]string{resend.Served: "served", resend.Rejected: "refused", resend.Failed: "failed"}[v.Last]
 	}
 	if k.store != nil {
 		p.Held = k.store.Count(dest)
@@ -335,7 +335,7 @@
 }
 
 // say logs the same thing once in a while.
-func (k *Keeper) say(text string, args ...any) {
+func (k *Queue) say(text string, args ...any) {
 	id := text
 	for _, a := range args {
 		if s, ok := a.(string); ok {
@@ -358,12 +358,12 @@
 	}
 }
 
-// Claim ends the held records of a key that a client hands in anew: from now on
+// ClaimKey ends the held records of a key that a client hands in anew: from now on
 // the message is its client's. It is called before the message is taken on, by
 // the client's goroutine, and waits for the store only if a record may be held.
 // Where one is being sent, or the store can't be asked, the answer is no: the
 // client should come again.
-func (k *Keeper) Claim(number int, key string, by time.Time) bool {
+func (k *Queue) ClaimKey(number int, key string, by time.Time) bool {
 	class := word(k.words.Load().Classes, number)
 	k.mu.Lock()
 	s := k.store
@@ -393,7 +393,7 @@
 var errOut = errors.New("held: a record of that key is being sent")
 
 // isOut tells whether a record of that key is being sent.
-func (k *Keeper) isOut(s *Store, class, key string) (out bool) {
+func (k *Queue) isOut(s *Store, class, key string) (out bool) {
 	err := s.View(func(t *Tx) error {
 		out = len(t.outKeys(class, key)) > 0
 		return nil
@@ -406,7 +406,7 @@
 	list, _, err := t.List(Filter{State: Out}, 0, 4096)
 	for _, r := range list {
 		if r.Class == class && r.Key == key {
-			seqs = append(seqs, r.Seq)
+			seqs = append(seqs, r.Sequence)
 		}
 	}
 	if err != nil {
@@ -415,7 +415,7 @@
 	return seqs
 }
 
-func (k *Keeper) supersede(t *Tx, class, key string) error {
+func (k *Queue) supersede(t *Tx, class, key string) error {
 	now := k.clock.now()
 	for _, seq := range t.byKey(class, key) {
 		err := t.change(seq, func(r *Record) error {
@@ -431,7 +431,7 @@
 }
 
 // order has the writer run a change, and waits for it.
-func (k *Keeper) order(ctx context.Context, run func(*Tx) error) error {
+func (k *Queue) order(ctx context.Context, run func(*Tx) error) error {
 	o := order{run, make(chan error, 1)}
 	select {
 	case k.orders <- o:
@@ -448,7 +448,7 @@
 
 // Run opens the store and writes it until the context ends. What has not been
 // written then stays with the journal.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Queue) Run(ctx context.Context) {
 	retry := retryFirst
 	pause := func(err error) {
 		k.fail(true)
@@ -510,7 +510,7 @@
 }
 
 // rest waits until there is something to do, and runs an order if one comes.
-func (k *Keeper) rest(ctx context.Context, s *Store, most time.Duration) error {
+func (k *Queue) rest(ctx context.Context, s *Store, most time.Duration) error {
 	k.fail(false)
 	timer := time.NewTimer(most)
 	defer timer.Stop()
@@ -526,14 +526,14 @@
 	return nil
 }
 
-func (k *Keeper) fail(on bool) {
+func (k *Queue) fail(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.failing = on
 }
 
 // opened takes a store over.
-func (k *Keeper) opened(s *Store) {
+func (k *Queue) opened(s *Store) {
 	s.View(func(t *Tx) error {
 		if us := t.counter(metaLatest); us > 0 {
 			k.clock.adopt(time.UnixMicro(int64(us)))
@@ -550,7 +550,7 @@
 }
 
 // run runs an order.
-func (k *Keeper) run(s *Store, o order) error {
+func (k *Queue) run(s *Store, o order) error {
 	err := s.Update(func(t *Tx) error {
 		if err := o.run(t); err != nil {
 			return err
@@ -562,13 +562,13 @@
 }
 
 // stamp keeps the latest time.
-func (k *Keeper) stamp(t *Tx) error {
+func (k *Queue) stamp(t *Tx) error {
 	return t.Bucket(bucketMeta).Put([]byte(metaLatest), num(uint64(k.clock.now().UnixMicro())))
 }
 
 // round writes what is queued, looks after what is due and sends what may be
 // sent. It returns how long nothing more is to be done.
-func (k *Keeper) round(s *Store) (time.Duration, error) {
+func (k *Queue) round(s *Store) (time.Duration, error) {
 	k.mu.Lock()
 	items := k.queue[:min(len(k.queue), batchMost)]
 	claims := maps.Clone(k.claims)
@@ -606,7 +606,7 @@
 		for _, b := range back {
 			if dest, ours := k.granted[b.seq]; ours {
 				delete(k.granted, b.seq)
-				k.planner.Ended(k.since(), dest, b.letIn)
+				k.planner.RedeliveryEnded(k.since(), dest, b.letIn)
 			}
 		}
 		rest := len(k.queue)
@@ -628,7 +628,7 @@
 }
 
 // enter enters one item.
-func (k *Keeper) enter(t *Tx, item any, stored *[]control.MessageID, back *[]comeback) error {
+func (k *Queue) enter(t *Tx, item any, stored *[]control.MessageID, back *[]comeback) error {
 	now := k.clock.now()
 	switch x := item.(type) {
 	case beginning:
@@ -654,7 +654,7 @@
 }
 
 // at turns a time of the loop into one of the keeper's clock.
-func (k *Keeper) at(when, now time.Time) time.Time {
+func (k *Queue) at(when, now time.Time) time.Time {
 	if when.IsZero() || when.Unix() == 0 {
 		return time.Time{}
 	}
@@ -662,7 +662,7 @@
 }
 
 // history turns the loop's tries into attempts.
-func (k *Keeper) history(tries []state.AttemptRecord, n int, now time.Time) []Attempt {
+func (k *Queue) history(tries []state.AttemptRecord, n int, now time.Time) []Attempt {
 	list := attempts(tries, n)
 	for i := range list {
 		list[i].At = k.at(list[i].At, now)
@@ -671,19 +671,19 @@
 }
 
 // hold enters a message that is new to the store.
-func (k *Keeper) hold(t *Tx, p *state.DeadLetter, now time.Time) error {
+func (k *Queue) hold(t *Tx, p *state.DeadLetter, now time.Time) error {
 	m, words := p.Message, k.words.Load()
 	r := Record{
 		State: Held, ID: m.ID, Key: m.Key, Class: word(words.Classes, m.Class), Tenant: word(words.Tenants, m.Tenant),
 		Destination: m.Destination, Size: len(m.Body), Reason: p.Reason, Deferred: p.Deferred, Deadline: m.Deadline.Round(0),
-		HeldAt: now, Sends: p.AttemptCount,
+		HeldAt: now, AttemptCount: p.AttemptCount,
 	}
 	r.add(k.history(p.Attempts, 0, now))
 	k.mu.Lock()
 	asks := k.set.Rules()
 	k.mu.Unlock()
 	if asks {
-		r.AskAt = now
+		r.ReviewAt = now
 	}
 	added, err := t.Add(&r, m.Body)
 	if err == nil && added {
@@ -693,18 +693,18 @@
 }
 
 // returned enters what came of a resend. A second time it changes nothing.
-func (k *Keeper) returned(t *Tx, p *state.DeadLetter, now time.Time) error {
+func (k *Queue) returned(t *Tx, p *state.DeadLetter, now time.Time) error {
 	err := t.change(p.Seq, func(r *Record) error {
 		if r.State != Out || r.ID != p.Message.ID {
 			return errUnchanged
 		}
 		if p.NotAdmitted { // it never was with the controller
-			r.Resends--
+			r.Redeliveries--
 			r.order(now.Add(turnedPause), r.Until)
 			return nil
 		}
-		r.Sends = max(r.Sends, p.AttemptCount)
-		r.add(k.history(p.Attempts, r.Resends, now))
+		r.AttemptCount = max(r.AttemptCount, p.AttemptCount)
+		r.add(k.history(p.Attempts, r.Redeliveries, now))
 		switch {
 		case p.Delivered:
 			r.did(now, "delivered", "sender")
@@ -721,7 +721,7 @@
 		why := k.eligible(r, now)
 		switch {
 		case why != nil:
-			r.did(now, "not delivered: "+p.Reason+"; "+why.Why, "sender")
+			r.did(now, "not delivered: "+p.Reason+"; "+why.Reason, "sender")
 		case now.Before(until):
 			r.did(now, "not delivered: "+p.Reason, "sender")
 			r.order(now, until)
@@ -730,7 +730,7 @@
 			r.did(now, "not delivered: "+p.Reason+"; its order has run out", "sender")
 		}
 		if k.rules() {
-			r.AskAt = now
+			r.ReviewAt = now
 		}
 		return nil
 	})
@@ -744,28 +744,28 @@
 
 var errUnchanged = errors.New("held: nothing to change")
 
-func (k *Keeper) rules() bool {
+func (k *Queue) rules() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.set.Rules()
 }
 
 // eligible asks whether a record may be sent now.
-func (k *Keeper) eligible(r *Record, now time.Time) *Refusal {
+func (k *Queue) eligible(r *Record, now time.Time) *NotEligible {
 	k.mu.Lock()
 	blind := k.blind
 	k.mu.Unlock()
 	if r.Key != "" && !blind.IsZero() && r.HeldAt.Before(blind) {
 		return never("its key may have been handed in anew while the store could not be asked")
 	}
-	at, _, _ := r.Ran()
+	at, _, _ := r.FirstRun()
 	return k.words.Load().terms.Eligible(r, now, k.clock.sure(at))
 }
 
 // begin makes the store agree with the journal: what that still owes may come
 // once more, and what is out and not known to it counts as sent, as it was
 // written down before it left.
-func (k *Keeper) begin(t *Tx, b beginning, now time.Time) error {
+func (k *Queue) begin(t *Tx, b beginning, now time.Time) error {
 	owed := map[string]bool{}
 	for _, id := range b.owed {
 		owed[id] = true
@@ -798,15 +798,15 @@
 		return err
 	}
 	for _, r := range list {
-		if out[r.Seq] {
+		if out[r.Sequence] {
 			continue
 		}
-		err := t.change(r.Seq, func(r *Record) error {
+		err := t.change(r.Sequence, func(r *Record) error {
 			at := r.HeldAt
-			if n := len(r.Deeds); n > 0 {
-				at = r.Deeds[n-1].At
+			if n := len(r.Events); n > 0 {
+				at = r.Events[n-1].At
 			}
-			r.add([]Attempt{{At: at, Result: results[control.Unknown], MayHaveRun: true, Resend: r.Resends}})
+			r.add([]Attempt{{At: at, Result: results[control.Unknown], MayHaveRun: true, Redelivery: r.Redeliveries}})
 			until := r.Until
 			r.rest(time.Time{})
 			r.did(now, "on its way as the sender ended: it may have been sent", "sender")
@@ -823,7 +823,7 @@
 }
 
 // look does what time alone has made due: bounds, rules, resends.
-func (k *Keeper) look(s *Store) (time.Duration, error) {
+func (k *Queue) look(s *Store) (time.Duration, error) {
 	now := k.clock.now()
 	var dests []int
 	var seqs []uint64
@@ -888,24 +888,24 @@
 	if len(dests) > 0 {
 		k.mu.Lock()
 		at := k.since()
-		wait = min(wait, k.planner.Next(at, dests)-at)
+		wait = min(wait, k.planner.NextGrant(at, dests)-at)
 		k.mu.Unlock()
 	}
 	return max(wait, time.Millisecond), nil
 }
 
 // decide asks the rules about records whose time has come, and readies orders.
-func (k *Keeper) decide(t *Tx, set *settings.Settings, seqs []uint64, now time.Time) error {
+func (k *Queue) decide(t *Tx, set *settings.Settings, seqs []uint64, now time.Time) error {
 	if k.sweeps {
 		list, next, err := t.List(Filter{State: Held}, k.sweep, sweepMost)
 		if err != nil {
 			return err
 		}
 		for _, r := range list {
-			if !r.AskAt.IsZero() {
+			if !r.ReviewAt.IsZero() {
 				continue
 			}
-			if err := t.change(r.Seq, func(r *Record) error { r.AskAt = now; return nil }); err != nil {
+			if err := t.change(r.Sequence, func(r *Record) error { r.ReviewAt = now; return nil }); err != nil {
 				return err
 			}
 		}
@@ -918,7 +918,7 @@
 				if r.State == Ordered {
 					r.NotBefore = now.Add(owedPause)
 				} else {
-					r.AskAt = now.Add(owedPause)
+					r.ReviewAt = now.Add(owedPause)
 				}
 			case r.State == Ordered && !now.Before(r.Until):
 				k.runOut(r, now)
@@ -937,35 +937,35 @@
 }
 
 // runOut ends an order that was not carried out in its time.
-func (k *Keeper) runOut(r *Record, now time.Time) {
+func (k *Queue) runOut(r *Record, now time.Time) {
 	r.rest(time.Time{})
 	r.did(now, "its order has run out", "sender")
 	if k.rules() {
-		r.AskAt = now
+		r.ReviewAt = now
 	}
 }
 
 // ask asks the rule after about a held record.
-func (k *Keeper) ask(r *Record, set *settings.Settings, now time.Time) {
+func (k *Queue) ask(r *Record, set *settings.Settings, now time.Time) {
 	k.mu.Lock()
 	partner := k.partner(r.Destination)
 	k.mu.Unlock()
-	answer, err := set.After(view(r, now), partner)
+	answer, err := set.Decide(view(r, now), partner)
 	if err != nil {
 		k.say("held: the rule after failed, the record is kept", "err", err.Error())
 	}
-	r.AskAt = time.Time{}
-	switch answer.What {
-	case settings.Keep:
-		if answer.For > 0 {
-			r.AskAt = now.Add(answer.For)
+	r.ReviewAt = time.Time{}
+	switch answer.Action {
+	case settings.KeepRecord:
+		if answer.ReviewIn > 0 {
+			r.ReviewAt = now.Add(answer.ReviewIn)
 		}
-	case settings.Drop:
+	case settings.DropRecord:
 		r.did(now, "dropped", "rule")
 		r.end(now, Dropped)
-	case settings.Again:
+	case settings.Redeliver:
 		if why := k.eligible(r, now); why != nil {
-			r.did(now, "not sent again: "+why.Why, "rule")
+			r.did(now, "not sent again: "+why.Reason, "rule")
 			return
 		}
 		r.did(now, "ordered", "rule")
@@ -975,17 +975,17 @@
 
 // view is a record as rules see it.
 func view(r *Record, now time.Time) settings.Record {
-	_, _, ran := r.Ran()
+	_, _, ran := r.FirstRun()
 	return settings.Record{
 		ID: r.ID, Key: r.Key, Class: r.Class, Tenant: r.Tenant, Destination: r.Destination, Size: r.Size, Reason: r.Reason,
-		MayHaveRun: ran, Deferred: r.Deferred, Attempts: r.Sends, Resends: r.Resends,
-		Left: max(0, r.Deadline.Sub(r.HeldAt)), Age: max(0, now.Sub(r.HeldAt)),
+		MayHaveRun: ran, Deferred: r.Deferred, Attempts: r.AttemptCount, Resends: r.Redeliveries,
+		TimeLeft: max(0, r.Deadline.Sub(r.HeldAt)), Age: max(0, now.Sub(r.HeldAt)),
 	}
 }
 
 // send has the planner say what may go, writes it down as sent, and gives it to
 // the loop.
-func (k *Keeper) send(s *Store, dests []int, now time.Time) (bool, error) {
+func (k *Queue) send(s *Store, dests []int, now time.Time) (bool, error) {
 	k.mu.Lock()
 	grants := k.planner.Grant(k.since(), dests, k.load)
 	k.mu.Unlock()
@@ -1014,7 +1014,7 @@
 	}
 	k.mu.Lock()
 	for _, dest := range unused {
-		k.planner.Ended(k.since(), dest, true)
+		k.planner.RedeliveryEnded(k.since(), dest, true)
 	}
 	for _, e := range leaving {
 		k.granted[e.Seq] = e.Message.Destination
@@ -1028,13 +1028,13 @@
 
 // release takes the next record for a destination out of the store; nil where
 // the one that was next may not go.
-func (k *Keeper) release(t *Tx, dest int, now time.Time) (*state.Redelivery, error) {
+func (k *Queue) release(t *Tx, dest int, now time.Time) (*state.Redelivery, error) {
 	tenants := t.readyTenants(dest)
 	if len(tenants) == 0 {
 		return nil, nil
 	}
 	k.mu.Lock()
-	tenant := k.planner.Tenant(k.since(), dest, tenants)
+	tenant := k.planner.NextTenant(k.since(), dest, tenants)
 	k.mu.Unlock()
 	seq, found := t.readyFirst(dest, tenant)
 	if !found {
@@ -1052,20 +1052,20 @@
 			return nil
 		case why != nil:
 			r.rest(time.Time{})
-			r.did(now, "not sent again: "+why.Why, "sender")
+			r.did(now, "not sent again: "+why.Reason, "sender")
 			return nil
 		}
 		body, err := t.Body(seq)
 		if err != nil {
 			return err
 		}
-		e := &state.Redelivery{Seq: seq, Attempts: r.Sends, Message: k.message(r, body, now)}
-		at, zone, ran := r.Ran()
+		e := &state.Redelivery{Seq: seq, Attempts: r.AttemptCount, Message: k.message(r, body, now)}
+		at, zone, ran := r.FirstRun()
 		if e.MayHaveRun, e.FirstRunZone = ran, zone; ran {
 			e.FirstRunAgo = now.Sub(at)
 		}
 		r.State, r.Ready = Out, false
-		r.Resends++
+		r.Redeliveries++
 		r.did(now, "sent again", "sender")
 		leaving = e
 		return nil
@@ -1076,7 +1076,7 @@
 // message is a record as a message once more. Its time is short of its class's
 // by the aim, so that it is among the deferred ones from the start: by the
 // design's selection round, fresh messages for the partner go first.
-func (k *Keeper) message(r *Record, body []byte, now time.Time) *state.Message {
+func (k *Queue) message(r *Record, body []byte, now time.Time) *state.Message {
 	words := k.words.Load()
 	class := words.terms.Classes[r.Class]
 	left := max(class.Deadline-class.LatencyObjective, class.Deadline/2)
--- a/internal/held/keeper_test.go
+++ b/internal/held/keeper_test.go
@@ -57,7 +57,7 @@
 }
 
 // start runs a keeper over a folder until the test ends, or stop is called.
-func start(t *testing.T, dir, rules string, change func(*Keeper)) (k *Keeper, p *posts, stop func()) {
+func start(t *testing.T, dir, rules string, change func(*Queue)) (k *Queue, p *posts, stop func()) {
 	t.Helper()
 	platform := control.Settings{FleetSize: 1, ColdCapacity: 0.5, WarmUp: 100 * time.Millisecond, OverloadWindow: 50 * time.Millisecond, OverloadFactor: 2}
 	names := Names{Classes: []string{"safe", "keyed", "unsafe"}, Tenants: []string{"t0", "t1"}}
@@ -66,7 +66,7 @@
 		c.LatencyObjective, c.Deadline = time.Second, 10*time.Second
 		platform.Classes = append(platform.Classes, c)
 	}
-	k = NewKeeper(Setup{Settings: parse(t, dir, rules), Platform: platform, Names: names, Log: quiet})
+	k = NewQueue(Config{Settings: parse(t, dir, rules), Platform: platform, Names: names, Log: quiet})
 	p = &posts{make(chan state.Redelivery, 1024), make(chan state.DeadLettersStored, 1024)}
 	k.Connect(p)
 	if change != nil {
@@ -83,14 +83,14 @@
 }
 
 // hold gives a keeper a message and waits until it has it.
-func hold(t *testing.T, k *Keeper, p *posts, id string, class, dest, tenant int, tries ...state.AttemptRecord) {
+func hold(t *testing.T, k *Queue, p *posts, id string, class, dest, tenant int, tries ...state.AttemptRecord) {
 	t.Helper()
 	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: id, Key: "key-" + id, Class: class, Tenant: tenant, Destination: dest, Deadline: time.Now(), Body: []byte("body")}, Attempts: tries, At: time.Now(), Reason: state.ReasonExpired})
 	get(t, p.stored)
 	k.Forget([]string{id})
 }
 
-func (k *Keeper) record(t *testing.T, seq uint64) (r Record) {
+func (k *Queue) record(t *testing.T, seq uint64) (r Record) {
 	t.Helper()
 	if err := k.View(func(tx *Tx) (err error) { r, err = tx.Get(seq); return }); err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 }
 
 // until waits for a record to come to a state.
-func (k *Keeper) until(t *testing.T, seq uint64, s State) Record {
+func (k *Queue) until(t *testing.T, seq uint64, s State) Record {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		var r Record
@@ -113,20 +113,20 @@
 }
 
 // back gives the keeper what came of a resend.
-func back(k *Keeper, e state.Redelivery, delivered bool, tries ...state.AttemptRecord) {
+func back(k *Queue, e state.Redelivery, delivered bool, tries ...state.AttemptRecord) {
 	k.CallEnded(e.Message.Destination, map[bool]control.Result{true: control.Served, false: control.Rejected}[delivered], 0, true)
 	k.Add(state.DeadLetter{Num: 1, Seq: e.Seq, Message: e.Message, Delivered: delivered, AttemptCount: e.Attempts + 1, Attempts: tries, At: time.Now(), Reason: state.ReasonExpired})
 }
 
 var ctx = context.Background()
 
-func one(seq uint64) Selection { return Selection{Seqs: []uint64{seq}} }
+func one(seq uint64) Selection { return Selection{Sequences: []uint64{seq}} }
 
 func TestResendRoundTrip(t *testing.T) {
 	k, p, _ := start(t, t.TempDir(), "", nil)
 	k.Begin(nil, nil)
 	hold(t, k, p, "a", 2, 1, 0, state.AttemptRecord{Target: "s", At: time.Now(), Result: control.Rejected})
-	if o, err := k.Resend(ctx, "uid 1", one(1), time.Minute, false); err != nil || o.Done != 1 {
+	if o, err := k.Redeliver(ctx, "uid 1", one(1), time.Minute, false); err != nil || o.Done != 1 {
 		t.Fatal(o, err)
 	}
 	e := get(t, p.resends)
@@ -136,38 +136,38 @@
 	if left := time.Until(e.Message.Deadline); left > 9*time.Second { // deadline less aim: among the deferred
 		t.Errorf("%v left: live messages would not go first", left)
 	}
-	if o, _ := k.Drop(ctx, "uid 1", one(1), false); o.Done != 0 || o.Refused[0].Why != "it is being sent" {
+	if o, _ := k.Drop(ctx, "uid 1", one(1), false); o.Done != 0 || o.Rejected[0].Reason != "it is being sent" {
 		t.Errorf("drop of one that is out: %+v", o)
 	}
 	back(k, e, false, state.AttemptRecord{Target: "s", At: time.Now(), Result: control.ConnectionLost})
 	get(t, p.stored)
 	r := k.until(t, 1, Held) // unsafe, and it may have run: never again
-	if _, _, ran := r.Ran(); !ran || r.Resends != 1 || len(r.Attempts) != 2 || r.Attempts[1].Resend != 1 {
+	if _, _, ran := r.FirstRun(); !ran || r.Redeliveries != 1 || len(r.Attempts) != 2 || r.Attempts[1].Redelivery != 1 {
 		t.Errorf("%+v", r)
 	}
-	if o, _ := k.Resend(ctx, "uid 1", one(1), time.Minute, false); o.Done != 0 || !strings.Contains(o.Refused[0].Why, "must never take effect twice") {
+	if o, _ := k.Redeliver(ctx, "uid 1", one(1), time.Minute, false); o.Done != 0 || !strings.Contains(o.Rejected[0].Reason, "must never take effect twice") {
 		t.Errorf("%+v", o)
 	}
 	hold(t, k, p, "b", 0, 1, 0)
-	k.Resend(ctx, "uid 1", one(2), time.Minute, false)
+	k.Redeliver(ctx, "uid 1", one(2), time.Minute, false)
 	e = get(t, p.resends)
 	back(k, e, false)
 	e = get(t, p.resends) // its order still stands
 	back(k, e, true)
 	back(k, e, true) // the journal brings it twice
-	if r := k.until(t, 2, Delivered); r.Resends != 2 {
+	if r := k.until(t, 2, Delivered); r.Redeliveries != 2 {
 		t.Errorf("%+v", r)
 	}
-	var acts []Act
+	var acts []AuditEntry
 	k.View(func(tx *Tx) (err error) { acts, err = tx.Audit(10); return })
-	if len(acts) != 4 || acts[3].Verb != "resend" || acts[3].By != "uid 1" || acts[3].Done != 1 || acts[2].Refused != 1 {
+	if len(acts) != 4 || acts[3].Verb != "resend" || acts[3].By != "uid 1" || acts[3].Done != 1 || acts[2].Rejected != 1 {
 		t.Errorf("audit %+v", acts)
 	}
 }
 
 // Two operators at the same time: one order. An order that is dropped in time is not sent.
 func TestRaces(t *testing.T) {
-	k, p, _ := start(t, t.TempDir(), "", func(k *Keeper) { k.planner.Saw(0, 1, 1, time.Hour, false) }) // told to wait
+	k, p, _ := start(t, t.TempDir(), "", func(k *Queue) { k.planner.CallEnded(0, 1, 1, time.Hour, false) }) // told to wait
 	k.Begin(nil, nil)
 	hold(t, k, p, "a", 0, 1, 0)
 	var wg sync.WaitGroup
@@ -175,10 +175,10 @@
 	done, dropped := 0, 0
 	for range 8 {
 		wg.Go(func() {
-			o, err := k.Resend(ctx, "uid 1", one(1), time.Minute, false)
+			o, err := k.Redeliver(ctx, "uid 1", one(1), time.Minute, false)
 			mu.Lock()
 			defer mu.Unlock()
-			if done += o.Done; err != nil || o.Done == 0 && o.Refused[0].Why != "it is ordered already" {
+			if done += o.Done; err != nil || o.Done == 0 && o.Rejected[0].Reason != "it is ordered already" {
 				t.Errorf("%+v %v", o, err)
 			}
 		})
@@ -206,7 +206,7 @@
 	get(t, p.stored)
 	hold(t, k, p, "b", 0, 1, 0)
 	for seq := range uint64(2) {
-		k.Resend(ctx, "uid 1", one(seq+1), time.Minute, false)
+		k.Redeliver(ctx, "uid 1", one(seq+1), time.Minute, false)
 	}
 	if e := get(t, p.resends); e.Message.ID != "b" || k.record(t, 1).State != Ordered {
 		t.Errorf("%+v", e)
@@ -225,7 +225,7 @@
 	k.Begin(nil, nil)
 	for i, class := range []int{0, 1, 2, 2} {
 		hold(t, k, p, fmt.Sprint("a", i), class, i+1, 0)
-		k.Resend(ctx, "uid 1", one(uint64(i+1)), time.Minute, false)
+		k.Redeliver(ctx, "uid 1", one(uint64(i+1)), time.Minute, false)
 		get(t, p.resends)
 	}
 	stop()
@@ -248,20 +248,20 @@
 // A clock that went back while the sender was down: no memory span can be judged.
 func TestClockWentBack(t *testing.T) {
 	dir := t.TempDir()
-	k, p, stop := start(t, dir, "", func(k *Keeper) { k.clock.base = k.clock.base.Add(time.Hour) })
+	k, p, stop := start(t, dir, "", func(k *Queue) { k.clock.base = k.clock.base.Add(time.Hour) })
 	k.Begin(nil, nil)
 	ran := state.AttemptRecord{At: time.Now(), Open: true}
 	hold(t, k, p, "a", 1, 1, 0, ran)
 	hold(t, k, p, "b", 0, 1, 0, ran)
 	stop()
-	k, p, _ = start(t, dir, "", func(k *Keeper) { // a second goes by until its store is open
+	k, p, _ = start(t, dir, "", func(k *Queue) { // a second goes by until its store is open
 		k.clock.base, k.clock.start = k.clock.base.Add(-time.Second), k.clock.start.Add(-time.Second)
 	})
 	k.Begin(nil, nil)
 	hold(t, k, p, "c", 1, 1, 0, state.AttemptRecord{At: time.Now(), Open: true})
 	for seq, want := range map[uint64]string{1: "the clock went back", 2: "", 3: ""} {
-		o, err := k.Resend(ctx, "uid 1", one(seq), time.Minute, true)
-		if err != nil || (want == "") != (o.Done == 1) || want != "" && !strings.Contains(o.Refused[0].Why, want) {
+		o, err := k.Redeliver(ctx, "uid 1", one(seq), time.Minute, true)
+		if err != nil || (want == "") != (o.Done == 1) || want != "" && !strings.Contains(o.Rejected[0].Reason, want) {
 			t.Errorf("number %d: %+v %v", seq, o, err)
 		}
 	}
@@ -275,12 +275,12 @@
 	k.Begin(nil, nil)
 	hold(t, k, p, "a", 0, 1, 0)
 	hold(t, k, p, "b", 0, 1, 1)
-	k.Resend(ctx, "uid 1", one(2), time.Minute, false)
+	k.Redeliver(ctx, "uid 1", one(2), time.Minute, false)
 	e := get(t, p.resends)
 	if r := k.record(t, 1); r.State != Held {
 		t.Errorf("%+v", r)
 	}
-	k.Reload(parse(t, dir, "def after(record, partner):\n  return drop() if record.tenant == \"t0\" else again()\n"))
+	k.UpdateSettings(parse(t, dir, "def after(record, partner):\n  return drop() if record.tenant == \"t0\" else again()\n"))
 	k.until(t, 1, Dropped)
 	if r := k.record(t, 2); r.State != Out {
 		t.Errorf("the one that is out: %+v", r)
@@ -288,7 +288,7 @@
 	back(k, e, false)
 	back(k, get(t, p.resends), true)
 	k.until(t, 2, Delivered)
-	k.Reload(parse(t, dir, "def after(record, partner):\n  return keep(0.05) if record.age < 0.2 else drop()\n"))
+	k.UpdateSettings(parse(t, dir, "def after(record, partner):\n  return keep(0.05) if record.age < 0.2 else drop()\n"))
 	hold(t, k, p, "c", 0, 1, 0)
 	k.until(t, 3, Dropped)
 }
@@ -303,25 +303,25 @@
 	hold(t, k, p, "a", 1, 1, 0)
 	hold(t, k, p, "b", 1, 1, 0)
 	hold(t, k, p, "c", 1, 1, 0)
-	if !k.Claim(1, "key-z", by()) || !k.Claim(1, "key-a", by()) {
+	if !k.ClaimKey(1, "key-z", by()) || !k.ClaimKey(1, "key-a", by()) {
 		t.Error("not free")
 	}
 	if r := k.record(t, 1); r.State != Superseded {
 		t.Errorf("%+v", r)
 	}
-	k.Resend(ctx, "uid 1", one(2), time.Minute, false)
+	k.Redeliver(ctx, "uid 1", one(2), time.Minute, false)
 	e := get(t, p.resends)
-	if k.Claim(1, "key-b", by()) {
+	if k.ClaimKey(1, "key-b", by()) {
 		t.Error("free while it is out")
 	}
 	back(k, e, true)
 	k.until(t, 2, Delivered)
-	if !k.Claim(1, "key-b", by()) {
+	if !k.ClaimKey(1, "key-b", by()) {
 		t.Error("not free after its end")
 	}
 	stop()
-	k, _, _ = start(t, dir, "", func(k *Keeper) { // before the store is open
-		if !k.Claim(1, "key-c", by()) {
+	k, _, _ = start(t, dir, "", func(k *Queue) { // before the store is open
+		if !k.ClaimKey(1, "key-c", by()) {
 			t.Error("a client waits for a store that is not open")
 		}
 	})
@@ -349,7 +349,7 @@
 			t.Fatal("it goes on holding")
 		}
 	}
-	if _, err := k.Resend(ctx, "uid 1", one(1), 0, false); err != ErrNoStore {
+	if _, err := k.Redeliver(ctx, "uid 1", one(1), 0, false); err != ErrNoStore {
 		t.Errorf("an order without a store: %v", err)
 	}
 	os.Remove(folder)
@@ -383,9 +383,9 @@
 
 // Hundreds held for one destination, or of one tenant, keep nobody else's back.
 func TestTurnsInStore(t *testing.T) {
-	k, p, _ := start(t, t.TempDir(), "", func(k *Keeper) {
-		k.planner.Saw(0, 1, 1, time.Second, false)
-		k.planner.Saw(0, 2, 1, time.Second, false)
+	k, p, _ := start(t, t.TempDir(), "", func(k *Queue) {
+		k.planner.CallEnded(0, 1, 1, time.Second, false)
+		k.planner.CallEnded(0, 2, 1, time.Second, false)
 	})
 	k.Begin(nil, nil)
 	for i := range 60 {
@@ -393,7 +393,7 @@
 	}
 	hold(t, k, p, "other-tenant", 0, 1, 1)
 	hold(t, k, p, "other-destination", 0, 2, 0)
-	if o, err := k.Resend(ctx, "uid 1", Selection{Most: PageMost}, time.Minute, false); err != nil || o.Done != 62 {
+	if o, err := k.Redeliver(ctx, "uid 1", Selection{Limit: MaxPageSize}, time.Minute, false); err != nil || o.Done != 62 {
 		t.Fatal(o, err)
 	}
 	at := map[string]int{}
@@ -410,8 +410,8 @@
 // A partner without room for a connection is there: it has turned a call away, and is not out of order.
 func TestCrowdedIsNoFailure(t *testing.T) {
 	for r, want := range map[control.Result]resend.Result{
-		control.Served: resend.Served, control.Rejected: resend.Refused, control.ConnectionRejected: resend.Refused,
-		control.ConnectFailed: resend.Failed, control.NotSent: resend.Nothing,
+		control.Served: resend.Served, control.Rejected: resend.Rejected, control.ConnectionRejected: resend.Rejected,
+		control.ConnectFailed: resend.Failed, control.NotSent: resend.NotSent,
 	} {
 		if got := told(r); got != want {
 			t.Errorf("result %v: told %v, want %v", r, got, want)
--- a/internal/held/record.go
+++ b/internal/held/record.go
@@ -37,44 +37,44 @@
 	At         time.Time `json:"at"` // zero = not known
 	Result     string    `json:"result"`
 	MayHaveRun bool      `json:"may_have_run"`
-	Resend     int       `json:"resend,omitempty"` // the resend it belongs to; 0 = the message's own time
+	Redelivery int       `json:"resend,omitempty"` // the resend it belongs to; 0 = the message's own time
 }
 
-// Deed is one thing that was done with a record.
-type Deed struct {
+// Event is one thing that was done with a record.
+type Event struct {
 	At   time.Time `json:"at"`
-	What string    `json:"what"`
+	Kind string    `json:"what"`
 	By   string    `json:"by,omitempty"` // "uid 1000", "rule", "sender"
 }
 
 // Record is one held message, without its body.
 type Record struct {
-	Seq         uint64    `json:"seq"` // its number in the store, which commands take as ID
-	Rev         uint64    `json:"rev"` // counts its changes
-	State       State     `json:"state"`
-	ID          string    `json:"id"` // as its client named it: it goes out under this id again
-	Key         string    `json:"key,omitempty"`
-	Class       string    `json:"class"`
-	Tenant      string    `json:"tenant,omitempty"`
-	Destination int       `json:"destination"`
-	Size        int       `json:"size"` // bytes of the body
-	Reason      string    `json:"reason"`
-	Deferred    bool      `json:"deferred,omitempty"` // without the store it would have been its client's again
-	Deadline    time.Time `json:"deadline"`
-	HeldAt      time.Time `json:"held_at"`
-	Sends       int       `json:"sends"` // attempts in all
-	Resends     int       `json:"resends"`
-	// Doubt: the history is not whole, so that any attempt may have run, at any time.
-	Doubt    bool      `json:"doubt,omitempty"`
-	Attempts []Attempt `json:"attempts,omitempty"`
-	Deeds    []Deed    `json:"deeds,omitempty"`
-
-	Until     time.Time `json:"until,omitzero"`      // ordered: given up for now after this
-	NotBefore time.Time `json:"not_before,omitzero"` // ordered: not before this
-	Ready     bool      `json:"ready,omitempty"`     // ordered, and its time has come
-	AskAt     time.Time `json:"ask_at,omitzero"`     // held: when the rule is asked next
-	EndedAt   time.Time `json:"ended_at,omitzero"`
-	NoBody    bool      `json:"no_body,omitempty"` // the body is gone: ended, or lost to damage
+	Sequence     uint64    `json:"seq"` // its number in the store, which commands take as ID
+	Revision     uint64    `json:"rev"` // counts its changes
+	State        State     `json:"state"`
+	ID           string    `json:"id"` // as its client named it: it goes out under this id again
+	Key          string    `json:"key,omitempty"`
+	Class        string    `json:"class"`
+	Tenant       string    `json:"tenant,omitempty"`
+	Destination  int       `json:"destination"`
+	Size         int       `json:"size"` // bytes of the body
+	Reason       string    `json:"reason"`
+	Deferred     bool      `json:"deferred,omitempty"` // without the store it would have been its client's again
+	Deadline     time.Time `json:"deadline"`
+	HeldAt       time.Time `json:"held_at"`
+	AttemptCount int       `json:"sends"` // attempts in all
+	Redeliveries int       `json:"resends"`
+	// HistoryIncomplete: the history is not whole, so that any attempt may have run, at any time.
+	HistoryIncomplete bool      `json:"doubt,omitempty"`
+	Attempts          []Attempt `json:"attempts,omitempty"`
+	Events            []Event   `json:"deeds,omitempty"`
+
+	Until       time.Time `json:"until,omitzero"`      // ordered: given up for now after this
+	NotBefore   time.Time `json:"not_before,omitzero"` // ordered: not before this
+	Ready       bool      `json:"ready,omitempty"`     // ordered, and its time has come
+	ReviewAt    time.Time `json:"ask_at,omitzero"`     // held: when the rule is asked next
+	EndedAt     time.Time `json:"ended_at,omitzero"`
+	BodyMissing bool      `json:"no_body,omitempty"` // the body is gone: ended, or lost to damage
 }
 
 const (
@@ -84,9 +84,9 @@
 
 // did notes what was done; only the latest deeds are kept.
 func (r *Record) did(now time.Time, what, by string) {
-	r.Deeds = append(r.Deeds, Deed{now, what, by})
-	if n := len(r.Deeds) - deedsMost; n > 0 {
-		r.Deeds = append([]Deed(nil), r.Deeds[n:]...)
+	r.Events = append(r.Events, Event{now, what, by})
+	if n := len(r.Events) - deedsMost; n > 0 {
+		r.Events = append([]Event(nil), r.Events[n:]...)
 	}
 }
 
@@ -96,15 +96,15 @@
 	for _, a := range list {
 		if len(r.Attempts) < attemptsMost {
 			r.Attempts = append(r.Attempts, a)
-		} else if _, _, ran := r.Ran(); a.MayHaveRun && !ran {
-			r.Doubt = true
+		} else if _, _, ran := r.FirstRun(); a.MayHaveRun && !ran {
+			r.HistoryIncomplete = true
 		}
 	}
 }
 
-// Ran tells whether the message may have run, when the first such attempt was
+// FirstRun tells whether the message may have run, when the first such attempt was
 // sent and to which zone. A zero time: not known.
-func (r *Record) Ran() (at time.Time, zone int, ran bool) {
+func (r *Record) FirstRun() (at time.Time, zone int, ran bool) {
 	for _, a := range r.Attempts {
 		if !a.MayHaveRun {
 			continue
@@ -116,7 +116,7 @@
 			at, zone, ran = a.At, a.Zone, true
 		}
 	}
-	if r.Doubt {
+	if r.HistoryIncomplete {
 		return time.Time{}, 0, true
 	}
 	return at, zone, ran
@@ -124,18 +124,18 @@
 
 // end ends a record.
 func (r *Record) end(now time.Time, s State) {
-	r.State, r.EndedAt, r.NoBody, r.Ready = s, now, true, false
-	r.Until, r.NotBefore, r.AskAt = time.Time{}, time.Time{}, time.Time{}
+	r.State, r.EndedAt, r.BodyMissing, r.Ready = s, now, true, false
+	r.Until, r.NotBefore, r.ReviewAt = time.Time{}, time.Time{}, time.Time{}
 }
 
 // order has a record sent again.
 func (r *Record) order(notBefore, until time.Time) {
-	r.State, r.NotBefore, r.Until, r.Ready, r.AskAt = Ordered, notBefore, until, false, time.Time{}
+	r.State, r.NotBefore, r.Until, r.Ready, r.ReviewAt = Ordered, notBefore, until, false, time.Time{}
 }
 
 // rest takes a record back among the held ones.
 func (r *Record) rest(askAt time.Time) {
-	r.State, r.Ready, r.AskAt = Held, false, askAt
+	r.State, r.Ready, r.ReviewAt = Held, false, askAt
 	r.Until, r.NotBefore = time.Time{}, time.Time{}
 }
 
@@ -145,38 +145,40 @@
 	SendCap int
 }
 
-// A Refusal says why a record can't be sent again. It holds for good, unless
+// A NotEligible says why a record can't be sent again. It holds for good, unless
 // Passing.
-type Refusal struct {
-	Why     string
-	Passing bool
+type NotEligible struct {
+	Reason    string
+	Temporary bool
 }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *NotEligible) Error() string { return r.Reason }
 
-func never(format string, args ...any) *Refusal { return &Refusal{Why: fmt.Sprintf(format, args...)} }
+func never(format string, args ...any) *NotEligible {
+	return &NotEligible{Reason: fmt.Sprintf(format, args...)}
+}
 
 // Eligible tells whether a record may be sent at a time, or why not. The clock
 // must be one that never goes back (Clock); where it did, sure is false and no
 // memory span can be judged.
-func (t *Terms) Eligible(r *Record, now time.Time, sure bool) *Refusal {
+func (t *Terms) Eligible(r *Record, now time.Time, sure bool) *NotEligible {
 	class, known := t.Classes[r.Class]
-	at, _, ran := r.Ran()
+	at, _, ran := r.FirstRun()
 	switch {
 	case r.State.Ended():
 		return never("it has ended: %s", r.State)
 	case r.State == Out:
-		return &Refusal{"it is being sent", true}
-	case r.NoBody:
+		return &NotEligible{"it is being sent", true}
+	case r.BodyMissing:
 		return never("its body is lost")
 	case !known:
 		return never("the class %q is not known here", r.Class)
-	case t.SendCap > 0 && r.Sends >= t.SendCap:
+	case t.SendCap > 0 && r.AttemptCount >= t.SendCap:
 		return never("it has had all its %d attempts", t.SendCap)
 	case !ran || class.Idempotency == control.Idempotent:
 		return nil
 	case class.Idempotency == control.NotIdempotent:
-		if r.Doubt {
+		if r.HistoryIncomplete {
 			return never("its history is not whole, so it may have taken effect, and a %s must never take effect twice", r.Class)
 		}
 		return never("it may have taken effect, and a %s must never take effect twice", r.Class)
@@ -203,7 +205,7 @@
 func attempts(tries []state.AttemptRecord, resend int) []Attempt {
 	list := make([]Attempt, 0, len(tries))
 	for _, t := range tries {
-		a := Attempt{Target: t.Target, Zone: t.Zone, At: t.At, Result: results[t.Result], MayHaveRun: t.Result.MayHaveRun(), Resend: resend}
+		a := Attempt{Target: t.Target, Zone: t.Zone, At: t.At, Result: results[t.Result], MayHaveRun: t.Result.MayHaveRun(), Redelivery: resend}
 		if t.Open {
 			a.Result, a.MayHaveRun = results[control.Unknown], true
 		}
@@ -215,21 +217,21 @@
 	return list
 }
 
-// Line is a record as it is exported: whole, with its body.
-type Line struct {
+// ExportLine is a record as it is exported: whole, with its body.
+type ExportLine struct {
 	Record
 	Body string `json:"body"` // base64
 }
 
-// NewLine makes one.
-func NewLine(r Record, body []byte) Line {
-	return Line{r, base64.StdEncoding.EncodeToString(body)}
+// NewExportLine makes one.
+func NewExportLine(r Record, body []byte) ExportLine {
+	return ExportLine{r, base64.StdEncoding.EncodeToString(body)}
 }
 
 // imported checks a line from outside and makes a new record of it. What
 // happened to the message since it was exported is not known here: it counts as
 // one that may have run, at an unknown time.
-func (l *Line) imported(now time.Time) (Record, []byte, error) {
+func (l *ExportLine) imported(now time.Time) (Record, []byte, error) {
 	body, err := base64.StdEncoding.DecodeString(l.Body)
 	switch {
 	case err != nil:
@@ -242,13 +244,13 @@
 		return Record{}, nil, fmt.Errorf("class missing")
 	case l.State.Ended():
 		return Record{}, nil, fmt.Errorf("it has ended: %s", l.State)
-	case l.NoBody:
+	case l.BodyMissing:
 		return Record{}, nil, fmt.Errorf("without its body")
-	case len(l.Attempts) > attemptsMost || len(l.Deeds) > deedsMost || l.Sends < 0 || l.Resends < 0:
+	case len(l.Attempts) > attemptsMost || len(l.Events) > deedsMost || l.AttemptCount < 0 || l.Redeliveries < 0:
 		return Record{}, nil, fmt.Errorf("its history is out of bounds")
 	}
 	r := l.Record
-	r.Seq, r.Rev, r.Size, r.HeldAt, r.Doubt = 0, 0, len(body), now, true
+	r.Sequence, r.Revision, r.Size, r.HeldAt, r.HistoryIncomplete = 0, 0, len(body), now, true
 	r.rest(time.Time{})
 	return r, body, nil
 }
--- a/internal/held/recover.go
+++ b/internal/held/recover.go
@@ -265,11 +265,11 @@
 					continue
 				}
 				rev, led := f.tree[seq]
-				if led && rev == r.Rev {
+				if led && rev == r.Revision {
 					sure++
 				} else {
 					doubtful++
-					r.Doubt = true
+					r.HistoryIncomplete = true
 					if !r.State.Ended() {
 						r.rest(time.Time{})
 					}
@@ -280,7 +280,7 @@
 					b, whole := read(f.bodies[seq])
 					if !whole || b.kind != kindBody {
 						lost++
-						r.NoBody = true
+						r.BodyMissing = true
 					}
 					body = b.payload
 				}
@@ -313,8 +313,8 @@
 // restore enters a record under the number that it had.
 func (t *Tx) restore(r *Record, body []byte) error {
 	b := t.Bucket(bucketRecords)
-	if b.Sequence() < r.Seq {
-		if err := b.SetSequence(r.Seq); err != nil {
+	if b.Sequence() < r.Sequence {
+		if err := b.SetSequence(r.Sequence); err != nil {
 			return err
 		}
 	}
@@ -322,8 +322,8 @@
 		return err
 	}
 	if body != nil {
-		framed := frame(kindBody, r.Seq, 0, body)
-		if err := t.Bucket(bucketBodies).Put(num(r.Seq), framed); err != nil {
+		framed := frame(kindBody, r.Sequence, 0, body)
+		if err := t.Bucket(bucketBodies).Put(num(r.Sequence), framed); err != nil {
 			return err
 		}
 		if err := t.count(metaBytes, int64(len(framed))); err != nil {
--- a/internal/held/store.go
+++ b/internal/held/store.go
@@ -71,10 +71,10 @@
 
 // Bounds are what a store may hold.
 type Bounds struct {
-	Bytes     int64
-	Records   int
-	Age       time.Duration
-	KeepEnded time.Duration
+	Bytes          int64
+	Records        int
+	Age            time.Duration
+	EndedRetention time.Duration
 }
 
 // Store is the file. Any goroutine may read; one alone may write.
@@ -427,7 +427,7 @@
 
 // slots are the index entries of a record.
 func slots(r *Record) []slot {
-	seq := num(r.Seq)
+	seq := num(r.Sequence)
 	list := []slot{
 		{bucketIDs, name(r.ID), seq},
 		{bucketTimes, join(num(uint64(r.HeldAt.UnixMicro())), seq), nil},
@@ -445,8 +445,8 @@
 		list = append(list, slot{bucketReady, join(signed(r.Destination), name(r.Tenant), seq), nil})
 	case r.State == Ordered:
 		list = append(list, slot{bucketDue, at(r.NotBefore), nil})
-	case r.State == Held && !r.AskAt.IsZero():
-		list = append(list, slot{bucketDue, at(r.AskAt), nil})
+	case r.State == Held && !r.ReviewAt.IsZero():
+		list = append(list, slot{bucketDue, at(r.ReviewAt), nil})
 	}
 	if r.Key != "" && (r.State == Held || r.State == Ordered) {
 		list = append(list, slot{bucketKeys, join(name(r.Class), name(r.Key), seq), nil})
@@ -493,7 +493,7 @@
 // put writes a record in the place of its former state (nil: it is new), with
 // its indexes. A body that an ended record needs no more goes with it.
 func (t *Tx) put(r, former *Record) error {
-	before := t.weight(r.Seq)
+	before := t.weight(r.Sequence)
 	if former != nil {
 		if err := t.unslot(former); err != nil {
 			return err
@@ -504,12 +504,12 @@
 		}
 	}
 	t.keyed(r, 1)
-	r.Rev++
+	r.Revision++
 	payload, err := encode(r)
 	if err != nil {
 		return fmt.Errorf("held: %w", err)
 	}
-	if err := t.Bucket(bucketRecords).Put(num(r.Seq), frame(kindRecord, r.Seq, r.Rev, payload)); err != nil {
+	if err := t.Bucket(bucketRecords).Put(num(r.Sequence), frame(kindRecord, r.Sequence, r.Revision, payload)); err != nil {
 		return err
 	}
 	for _, s := range slots(r) {
@@ -518,13 +518,13 @@
 		}
 	}
 	if r.State.Ended() {
-		if err := t.Bucket(bucketBodies).Delete(num(r.Seq)); err != nil {
+		if err := t.Bucket(bucketBodies).Delete(num(r.Sequence)); err != nil {
 			return err
 		}
 	} else {
 		t.deltas[r.Destination]++
 	}
-	return t.count(metaBytes, t.weight(r.Seq)-before)
+	return t.count(metaBytes, t.weight(r.Sequence)-before)
 }
 
 // change reads a record, has it changed and writes it.
@@ -555,14 +555,14 @@
 	if _, known := t.byID(r.ID); known || t.Bucket(bucketOwed).Get(name(r.ID)) != nil {
 		return false, nil
 	}
-	if r.Seq, err = t.Bucket(bucketRecords).NextSequence(); err != nil {
+	if r.Sequence, err = t.Bucket(bucketRecords).NextSequence(); err != nil {
 		return false, err
 	}
 	if err := t.put(r, nil); err != nil {
 		return false, err
 	}
-	framed := frame(kindBody, r.Seq, 0, body)
-	if err := t.Bucket(bucketBodies).Put(num(r.Seq), framed); err != nil {
+	framed := frame(kindBody, r.Sequence, 0, body)
+	if err := t.Bucket(bucketBodies).Put(num(r.Sequence), framed); err != nil {
 		return false, err
 	}
 	if err := t.count(metaBytes, int64(len(framed))); err != nil {
@@ -573,7 +573,7 @@
 
 // remove takes a record out of the store for good.
 func (t *Tx) remove(r *Record) error {
-	before := t.weight(r.Seq)
+	before := t.weight(r.Sequence)
 	if err := t.unslot(r); err != nil {
 		return err
 	}
@@ -582,7 +582,7 @@
 		t.deltas[r.Destination]--
 	}
 	for _, b := range [][]byte{bucketRecords, bucketBodies} {
-		if err := t.Bucket(b).Delete(num(r.Seq)); err != nil {
+		if err := t.Bucket(b).Delete(num(r.Sequence)); err != nil {
 			return err
 		}
 	}
@@ -646,7 +646,7 @@
 	}
 	err := errors.Join(
 		sweep(bucketTimes, func(at time.Time) bool { return now.Sub(at) < b.Age }, &gone.Aged),
-		sweep(bucketEnded, func(at time.Time) bool { return now.Sub(at) < b.KeepEnded }, &gone.Ended),
+		sweep(bucketEnded, func(at time.Time) bool { return now.Sub(at) < b.EndedRetention }, &gone.Ended),
 		sweep(bucketEnded, over, &gone.Ended),
 		sweep(bucketTimes, over, &gone.Open),
 	)
@@ -659,21 +659,21 @@
 	return gone, err
 }
 
-// Act is an entry of the audit trail.
-type Act struct {
-	At      time.Time `json:"at"`
-	By      string    `json:"by"`
-	Verb    string    `json:"verb"`
-	Filter  *Filter   `json:"filter,omitempty"`
-	Records []uint64  `json:"records,omitempty"` // the first ones
-	Done    int       `json:"done"`
-	Refused int       `json:"refused"`
+// AuditEntry is an entry of the audit trail.
+type AuditEntry struct {
+	At       time.Time `json:"at"`
+	By       string    `json:"by"`
+	Verb     string    `json:"verb"`
+	Filter   *Filter   `json:"filter,omitempty"`
+	Records  []uint64  `json:"records,omitempty"` // the first ones
+	Done     int       `json:"done"`
+	Rejected int       `json:"refused"`
 }
 
 const auditNames = 100 // records named in one entry
 
 // audit adds an entry to the trail, which keeps the latest.
-func (t *Tx) audit(a Act) error {
+func (t *Tx) audit(a AuditEntry) error {
 	b := t.Bucket(bucketAudit)
 	n, err := b.NextSequence()
 	if err != nil {
@@ -693,11 +693,11 @@
 }
 
 // Audit returns the latest entries of the trail, the newest first.
-func (t *Tx) Audit(most int) ([]Act, error) {
-	var list []Act
+func (t *Tx) Audit(most int) ([]AuditEntry, error) {
+	var list []AuditEntry
 	c := t.Bucket(bucketAudit).Cursor()
 	for k, v := c.Last(); k != nil && len(list) < most; k, v = c.Prev() {
-		var a Act
+		var a AuditEntry
 		if err := json.Unmarshal(v, &a); err != nil {
 			return list, fmt.Errorf("%w: audit trail: %w", ErrDamaged, err)
 		}
--- a/internal/held/store_test.go
+++ b/internal/held/store_test.go
@@ -51,7 +51,7 @@
 				r := Record{
 					State: Held, ID: fmt.Sprint("id-", i), Key: fmt.Sprint("key-", i), Class: []string{"safe", "keyed", "unsafe"}[i%3],
 					Tenant: fmt.Sprint("t", i%3), Destination: i%4 - 1, Reason: "expired", HeldAt: start.Add(time.Duration(i) * time.Millisecond),
-					Attempts: []Attempt{{Target: "s", At: start, Result: "refused"}}, Sends: 1, Size: 100,
+					Attempts: []Attempt{{Target: "s", At: start, Result: "refused"}}, AttemptCount: 1, Size: 100,
 				}
 				if _, err := tx.Add(&r, []byte(strings.Repeat("x", 100))); err != nil {
 					return err
@@ -93,7 +93,7 @@
 		{Filter{Since: start.Add(100 * time.Millisecond)}, 20}, {Filter{Before: start.Add(20 * time.Millisecond)}, 20},
 		{Filter{Since: start.Add(time.Hour)}, 0},
 	} {
-		if got := all(t, s, c.f); len(got) != c.want || !slices.IsSortedFunc(got, func(a, b Record) int { return int(a.Seq) - int(b.Seq) }) {
+		if got := all(t, s, c.f); len(got) != c.want || !slices.IsSortedFunc(got, func(a, b Record) int { return int(a.Sequence) - int(b.Sequence) }) {
 			t.Errorf("%+v: %d, want %d", c.f, len(got), c.want)
 		}
 	}
@@ -114,26 +114,26 @@
 		{"safe that ran", Record{Class: "safe", Attempts: ran(time.Hour)}, false, ""},
 		{"unsafe that never ran", Record{Class: "unsafe", Attempts: []Attempt{{Result: "refused"}}}, false, ""},
 		{"unsafe that may have run", Record{Class: "unsafe", Attempts: ran(time.Second)}, false, "must never take effect twice"},
-		{"unsafe in doubt", Record{Class: "unsafe", Doubt: true}, false, "not whole"},
+		{"unsafe in doubt", Record{Class: "unsafe", HistoryIncomplete: true}, false, "not whole"},
 		{"keyed within the span", Record{Class: "keyed", Attempts: ran(5 * time.Second)}, false, ""},
 		{"keyed near its end", Record{Class: "keyed", Attempts: ran(9 * time.Second)}, false, "remembers its key for"},
 		{"keyed beyond", Record{Class: "keyed", Attempts: ran(time.Minute)}, false, "remembers its key for"},
 		{"keyed, the first counts", Record{Class: "keyed", Attempts: append(ran(time.Minute), ran(0)...)}, false, "remembers"},
 		{"keyed at an unknown time", Record{Class: "keyed", Attempts: []Attempt{{MayHaveRun: true}}}, false, "not known"},
-		{"keyed in doubt", Record{Class: "keyed", Attempts: ran(time.Second), Doubt: true}, false, "not known"},
+		{"keyed in doubt", Record{Class: "keyed", Attempts: ran(time.Second), HistoryIncomplete: true}, false, "not known"},
 		{"keyed, the clock went back", Record{Class: "keyed", Attempts: ran(time.Second)}, true, "clock"},
 		{"safe, the clock went back", Record{Class: "safe", Attempts: ran(time.Second)}, true, ""},
 		{"out", Record{Class: "safe", State: Out}, false, "being sent"},
 		{"ended", Record{Class: "safe", State: Dropped}, false, "ended"},
-		{"no body", Record{Class: "safe", NoBody: true}, false, "body"},
-		{"attempts", Record{Class: "safe", Sends: 12}, false, "12 attempts"},
+		{"no body", Record{Class: "safe", BodyMissing: true}, false, "body"},
+		{"attempts", Record{Class: "safe", AttemptCount: 12}, false, "12 attempts"},
 		{"class", Record{Class: "what"}, false, "class"},
 	} {
 		if c.r.State == "" {
 			c.r.State = Held
 		}
 		why := terms.Eligible(&c.r, now, !c.back)
-		if (why == nil) != (c.want == "") || why != nil && !strings.Contains(why.Why, c.want) {
+		if (why == nil) != (c.want == "") || why != nil && !strings.Contains(why.Reason, c.want) {
 			t.Errorf("%s: %v, want %q", c.name, why, c.want)
 		}
 	}
@@ -141,10 +141,10 @@
 	for range attemptsMost + 1 {
 		r.add([]Attempt{{At: now, Result: "refused"}})
 	}
-	if r.Doubt {
+	if r.HistoryIncomplete {
 		t.Error("in doubt without cause")
 	}
-	if r.add([]Attempt{{At: now, MayHaveRun: true}}); !r.Doubt {
+	if r.add([]Attempt{{At: now, MayHaveRun: true}}); !r.HistoryIncomplete {
 		t.Error("an attempt that may have run is lost")
 	}
 }
@@ -168,7 +168,7 @@
 		update(t, s, func(tx *Tx) (err error) { gone, err = tx.evict(b, now); return })
 		return gone
 	}
-	wide := Bounds{Bytes: 1e9, Records: 1000, Age: 24 * time.Hour, KeepEnded: time.Hour}
+	wide := Bounds{Bytes: 1e9, Records: 1000, Age: 24 * time.Hour, EndedRetention: time.Hour}
 	if got := evict(wide); got != (Evicted{}) {
 		t.Errorf("within bounds: %+v", got)
 	}
@@ -178,8 +178,8 @@
 		t.Errorf("records: %+v", got)
 	}
 	list := all(t, s, Filter{})
-	if len(list) != 85 || list[0].Seq != 1 || list[1].Seq != 2 || list[2].Seq != 8 {
-		t.Errorf("left: %d, %d %d %d", len(list), list[0].Seq, list[1].Seq, list[2].Seq)
+	if len(list) != 85 || list[0].Sequence != 1 || list[1].Sequence != 2 || list[2].Sequence != 8 {
+		t.Errorf("left: %d, %d %d %d", len(list), list[0].Sequence, list[1].Sequence, list[2].Sequence)
 	}
 	b = wide
 	s.View(func(tx *Tx) error { b.Bytes = int64(tx.counter(metaBytes)) / 2; return nil })
@@ -269,8 +269,8 @@
 			list, _, err := tx.List(Filter{}, 0, 1000)
 			kept = len(list)
 			for _, r := range list {
-				if (r.Seq == 3 || r.Seq == 6) && terms.Eligible(&r, time.Now(), true) == nil {
-					return fmt.Errorf("number %d may be sent again: %+v", r.Seq, r)
+				if (r.Sequence == 3 || r.Sequence == 6) && terms.Eligible(&r, time.Now(), true) == nil {
+					return fmt.Errorf("number %d may be sent again: %+v", r.Sequence, r)
 				}
 			}
 			return err
@@ -346,7 +346,7 @@
 				case what == 0:
 					r := Record{State: Held, ID: fmt.Sprint("i", i), Key: fmt.Sprint("k", i%3), Class: "safe", Destination: i % 2, HeldAt: now}
 					_, err := tx.Add(&r, []byte("x"))
-					model[r.Seq] = Held
+					model[r.Sequence] = Held
 					return err
 				case !known:
 					return nil
--- a/internal/lab/agents.go
+++ b/internal/lab/agents.go
@@ -35,7 +35,7 @@
 	name    string
 	state   *rollout.State
 	applied int
-	sights  map[string]rollout.Sight
+	sights  map[string]rollout.Observation
 	watch   rollout.Watch
 	dead    bool
 	wakes   time.Duration
@@ -56,13 +56,13 @@
 // newAgents begins with terms and members agreed on, as after the first seconds of a fleet.
 func newAgents(s *Sim) *agents {
 	p := s.plan.Scenario
-	a := &agents{sim: s, terms: rollout.Usual, lost: -agentElect}
+	a := &agents{sim: s, terms: rollout.DefaultTerms, lost: -agentElect}
 	a.terms.Budget = rollout.Budget{Fleet: p.Agents.Fleet, Building: p.Agents.Building, Serving: p.Agents.Serving}
 	a.terms.Timing.Lease = p.Agents.Lease
 	terms := a.terms
 	a.log = append(a.log, rollout.Command{Verb: rollout.SetTerms, At: s.clock(), By: "lab", Reason: "the scenario", Terms: &terms})
 	for i := range p.Agents.Number {
-		x := &agent{all: a, num: i, name: scenario.Agent(i), state: rollout.New(), sights: map[string]rollout.Sight{}, minds: map[string]*minding{}}
+		x := &agent{all: a, num: i, name: scenario.Agent(i), state: rollout.New(), sights: map[string]rollout.Observation{}, minds: map[string]*minding{}}
 		c := rollout.Command{Verb: rollout.SetRoster, At: s.clock(), By: x.name}
 		for k := i; k < p.Senders; k += p.Agents.Number {
 			name := scenario.Sender(k)
@@ -182,7 +182,7 @@
 	}
 }
 
-func (x *agent) saw(v rollout.Sight) {
+func (x *agent) saw(v rollout.Observation) {
 	if old, some := x.sights[v.Sender]; !some || v.At.After(old.At) {
 		x.sights[v.Sender] = v
 	}
@@ -195,10 +195,10 @@
 }
 
 // sight is what a look at a sender shows.
-func (x *agent) sight(m *minding) rollout.Sight {
+func (x *agent) sight(m *minding) rollout.Observation {
 	s := x.all.sim
 	y := s.senders[m.x]
-	v := rollout.Sight{Sender: y.party, At: s.clock(), Phase: "no answer", FaultEpoch: m.faultEpoch, Fault: m.fault}
+	v := rollout.Observation{Sender: y.party, At: s.clock(), Phase: "no answer", FaultEpoch: m.faultEpoch, Fault: m.fault}
 	if !x.reached(y) {
 		return v
 	}
@@ -227,7 +227,7 @@
 }
 
 // mind does what is agreed on for a sender.
-func (x *agent) mind(m *minding, v rollout.Sight, led bool) {
+func (x *agent) mind(m *minding, v rollout.Observation, led bool) {
 	s := x.all.sim
 	y := s.senders[m.x]
 	g := x.state.Grants[y.party]
@@ -309,7 +309,7 @@
 	case "kill", "wipe":
 		x.dead = true
 		s.at(d.Until, func() {
-			x.dead, x.sights, x.watch = false, map[string]rollout.Sight{}, rollout.Watch{}
+			x.dead, x.sights, x.watch = false, map[string]rollout.Observation{}, rollout.Watch{}
 			for _, m := range x.minds {
 				m.tried, m.busy, m.process = 0, false, ""
 			}
@@ -341,13 +341,13 @@
 			if o.Bad {
 				to.Program = badProgram
 			}
-			c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Release, To: to, GoBack: o.GoBack, Stages: [][]string{o.Of}, Gate: gateOfOrders}
+			c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Release, To: to, RollBackOnFailure: o.GoBack, Stages: [][]string{o.Of}, Gate: gateOfOrders}
 		default:
 			if len(l.state.Plans) == 0 {
 				return
 			}
 			p := l.state.Plans[len(l.state.Plans)-1]
-			c.Verb = map[string]rollout.Verb{"halt": rollout.Halt, "resume": rollout.Resume, "back": rollout.GoBack}[o.What]
+			c.Verb = map[string]rollout.Verb{"halt": rollout.Halt, "resume": rollout.Resume, "back": rollout.RollBack}[o.What]
 			c.Plan, c.Revision = p.ID, p.Revision
 		}
 		c.Seen = l.state.Seen(l.sights, s.clock())
@@ -361,7 +361,7 @@
 }
 
 // gateOfOrders is the gate of a scenario's releases: short, as its days are.
-var gateOfOrders = rollout.Gate{Least: 5, Soak: time.Second, Wait: 10 * time.Second, Slack: 0.5}
+var gateOfOrders = rollout.Gate{MinMessages: 5, Soak: time.Second, Wait: 10 * time.Second, Slack: 0.5}
 
 // home has staff bring back what a halted drain left out, until nothing is.
 func (a *agents) home() {
@@ -403,11 +403,11 @@
 }
 
 // sight is what a sender says of itself.
-func (x *sender) sight() rollout.Sight {
+func (x *sender) sight() rollout.Observation {
 	c := x.counters.Counts()
-	v := rollout.Sight{
+	v := rollout.Observation{
 		Sender: x.party, At: x.sim.clock(), Process: x.id, Version: x.runs, Epoch: x.book.Epoch, Ended: x.book.Ended, Phase: "serving", Open: c.Open,
-		Facts: rollout.Facts{Taken: c.Taken, Refused: c.Refused, Delivered: c.Delivered, Deferred: c.Deferred, Failed: c.Undeliverable, Called: c.Called, Late: c.Late, FirstCall: c.FirstCall},
+		Facts: rollout.Counters{Accepted: c.Taken, Rejected: c.Refused, Delivered: c.Delivered, Deferred: c.Deferred, Failed: c.Undeliverable, Called: c.Called, Late: c.Late, FirstCall: c.FirstCall},
 	}
 	v.Serving, v.Drained = !x.book.Active(), x.book.Active() && x.book.Drain
 	return v
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -130,8 +130,8 @@
 	return s.order(false, func(time.Time) error { return s.book.End(epoch) })
 }
 
-// SetAside takes which targets are out, as of an epoch.
-func (s *machine) SetAside(epoch uint64, ids []string, until time.Time) error {
+// SetExclusions takes which targets are out, as of an epoch.
+func (s *machine) SetExclusions(epoch uint64, ids []string, until time.Time) error {
 	return s.order(true, func(now time.Time) error {
 		if err := s.aside.Take(epoch, ids, until, now); err != nil {
 			return err
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -75,7 +75,7 @@
 	p.board = &board{machine: p.machine, name: c.Name, release: c.Release, started: time.Now(), counters: p.counters, clients: p.clients}
 	p.inForce(c)
 	if c.Admin != "" {
-		front, err := persist(log, "admin", persistSpan, func() (*admin.Front, error) { return admin.ListenTCP(c.Admin, p.board, log) })
+		front, err := persist(log, "admin", persistSpan, func() (*admin.HTTPServer, error) { return admin.ListenTCP(c.Admin, p.board, log) })
 		if err != nil {
 			return err
 		}
@@ -201,7 +201,7 @@
 	}
 	var tenants func([]string)
 	if keeper != nil {
-		tenants = keeper.Tenants
+		tenants = keeper.TenantsChanged
 	}
 	rest := func() error {
 		release()
@@ -258,7 +258,7 @@
 			*c = renew(*c, p.load, changes{discovery, notices, loop, listener, tenants}, log)
 			p.inForce(*c)
 			if keeper != nil && c.Ours != nil {
-				keeper.Reload(c.Ours)
+				keeper.UpdateSettings(c.Ours)
 			}
 			continue
 		case ask := <-desk.Requests():
@@ -459,22 +459,22 @@
 var durabilities = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
 
 // newKeeper makes the keeper of undeliverable messages, if the settings ask for one.
-func newKeeper(c Config, log *slog.Logger) *held.Keeper {
+func newKeeper(c Config, log *slog.Logger) *held.Queue {
 	if c.Ours == nil || c.Ours.Held == nil {
 		return nil
 	}
-	return held.NewKeeper(held.Setup{
+	return held.NewQueue(held.Config{
 		Settings: c.Ours, Platform: c.Settings, Log: log,
 		Names: held.Names{Classes: wordsOf(c.Names.Classes), Tenants: wordsOf(c.Names.Tenants)},
 	})
 }
 
 // openPlane opens the front of the admin plane on a Unix socket, if the settings ask for it.
-func openPlane(c Config, keeper *held.Keeper, post *board, log *slog.Logger) (*admin.Server, error) {
+func openPlane(c Config, keeper *held.Queue, post *board, log *slog.Logger) (*admin.Server, error) {
 	if c.Ours == nil || c.Ours.Admin == nil {
 		return nil, nil
 	}
-	var k admin.Keeper // an interface that holds a nil keeper is not nil
+	var k admin.DeadLetterQueue // an interface that holds a nil keeper is not nil
 	if keeper != nil {
 		k = keeper
 	}
@@ -514,7 +514,7 @@
 func shareSockets(c Config) (clients, idle int) {
 	left := c.Limits.Sockets - spareSockets - c.Settings.MaxInFlight
 	if c.Admin != "" {
-		left -= admin.FrontPlaces
+		left -= admin.MaxHTTPConnections
 	}
 	left = max(left, 12)
 	clients = left * 2 / 3
--- a/internal/lifecycle/status.go
+++ b/internal/lifecycle/status.go
@@ -39,7 +39,7 @@
 func (d *board) Status() admin.Status {
 	id, is, book := d.standing()
 	s := admin.Status{
-		Name: d.name, Process: id, Pid: os.Getpid(), Phase: is.String(), Epoch: book.Epoch, Ended: book.Ended, Stands: book.Active(), Until: book.Until,
+		Name: d.name, Process: id, Pid: os.Getpid(), Phase: is.String(), Epoch: book.Epoch, Ended: book.Ended, LeaseActive: book.Active(), Until: book.Until,
 		Release: d.release, Started: d.started, Counts: d.counters.Counts(), Clients: d.clients.Counts(), MemoryMB: residentMB(),
 	}
 	if c := d.config.Load(); c != nil {
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -76,7 +76,7 @@
 // KeyClaimer is asked before a message with a key is taken on: one of that key may be
 // kept for later. False: it is on its way, and the client should come again.
 type KeyClaimer interface {
-	Claim(class int, key string, by time.Time) bool
+	ClaimKey(class int, key string, by time.Time) bool
 }
 
 // SetKeyClaimer names the claimer; before Serve.
@@ -422,7 +422,7 @@
 	}
 	verdict := make(chan state.Response, 1)
 	limit := time.Now().Add(answerSpan)
-	if l.claims != nil && m.Key != "" && !l.claims.Claim(m.Class, m.Key, limit) {
+	if l.claims != nil && m.Key != "" && !l.claims.ClaimKey(m.Class, m.Key, limit) {
 		return l.reply(k, http.StatusServiceUnavailable, busyPause, "a message with this key is on its way", last)
 	}
 	handed := state.Submitted{Message: m, Response: verdict, Decision: &state.AdmissionDecision{}}
--- a/internal/quorum/disk.go
+++ b/internal/quorum/disk.go
@@ -27,17 +27,17 @@
 	budgetBytes = 64 << 20
 )
 
-// Seat is who an agent is among the others. The number outlasts its process, and goes with its folder.
-type Seat struct {
+// Member is who an agent is among the others. The number outlasts its process, and goes with its folder.
+type Member struct {
 	Name   string `json:"name"`
 	Number uint64 `json:"number"`
 }
 
 // Errors of a folder.
 var (
-	ErrNoSeat  = errors.New("quorum: the folder holds no seat")
-	ErrFounded = errors.New("quorum: the folder holds a seat already")
-	ErrDamaged = errors.New("quorum: the folder is damaged, and a vote may be missing from it; give the agent an empty one, and it is taken in anew")
+	ErrNoMember            = errors.New("quorum: the folder holds no seat")
+	ErrAlreadyBootstrapped = errors.New("quorum: the folder holds a seat already")
+	ErrDamaged             = errors.New("quorum: the folder is damaged, and a vote may be missing from it; give the agent an empty one, and it is taken in anew")
 )
 
 // founder is the number of a seat that was there from the start.
@@ -51,7 +51,7 @@
 type disk struct {
 	store *store.Store
 	mem   *raft.MemoryStorage
-	seat  Seat
+	seat  Member
 	last  uint64 // of the entries that the folder holds
 	first uint64 // below it there are none
 }
@@ -68,8 +68,8 @@
 	return s, nil
 }
 
-// Found makes the folder of one of the first agents. All of them must name the same others.
-func Found(fs store.FS, name string, all []string) error {
+// Bootstrap makes the folder of one of the first agents. All of them must name the same others.
+func Bootstrap(fs store.FS, name string, all []string) error {
 	if !slices.Contains(all, name) {
 		return fmt.Errorf("quorum: %s is not among %v", name, all)
 	}
@@ -79,7 +79,7 @@
 	}
 	defer s.Close()
 	if _, has := s.Get(seatEntity); has {
-		return ErrFounded
+		return ErrAlreadyBootstrapped
 	}
 	names := map[uint64]string{}
 	var voters []uint64
@@ -99,15 +99,15 @@
 		Index: new(uint64(1)), Term: new(uint64(1)), ConfState: &pb.ConfState{Voters: voters},
 	}}
 	hard := &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
-	return write(s, Seat{name, founder(name)}, hard, snap)
+	return write(s, Member{name, founder(name)}, hard, snap)
 }
 
 // join makes the folder of an agent that is to be taken in: with a number of its own, and nothing to vote on.
 func join(s *store.Store, name string) error {
-	return write(s, Seat{name, rand.Uint64()&^1 | 1<<63}, nil, nil)
+	return write(s, Member{name, rand.Uint64()&^1 | 1<<63}, nil, nil)
 }
 
-func write(s *store.Store, seat Seat, hard *pb.HardState, snap *pb.Snapshot) error {
+func write(s *store.Store, seat Member, hard *pb.HardState, snap *pb.Snapshot) error {
 	text, err := json.Marshal(seat)
 	if err != nil {
 		return err
--- a/internal/quorum/golden_test.go
+++ b/internal/quorum/golden_test.go
@@ -13,7 +13,7 @@
 
 // TestGoldenQuorum writes and reads what goes to an agent's folder and to operators as 096da04 did.
 func TestGoldenQuorum(t *testing.T) {
-	golden.JSON[Seat](t, "seat.json")
+	golden.JSON[Member](t, "seat.json")
 	golden.JSON[image](t, "image.json")
 	golden.JSON[Status](t, "status.json")
 }
@@ -25,8 +25,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := node.Status(); s.Seat.Name != "a" || s.Seat.Number != founder("a") {
-		t.Errorf("%+v", s.Seat)
+	if s := node.Status(); s.Member.Name != "a" || s.Member.Number != founder("a") {
+		t.Errorf("%+v", s.Member)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -35,7 +35,7 @@
 // Machine is what the log is applied to, in order, by the node's goroutine alone.
 type Machine interface {
 	Apply(index uint64, data []byte)
-	Image() ([]byte, error) // all that was applied
+	Snapshot() ([]byte, error) // all that was applied
 	Restore(index uint64, image []byte) error
 }
 
@@ -56,13 +56,13 @@
 
 // Status of a node, as of its last round.
 type Status struct {
-	Seat    Seat              `json:"seat"`
+	Member  Member            `json:"seat"`
 	Leader  string            `json:"leader"` // empty: none is known, and nothing new can be agreed on
 	Leads   bool              `json:"leads"`
 	Term    uint64            `json:"term"`
 	Applied uint64            `json:"applied"`
 	Voter   bool              `json:"voter"`
-	Seats   map[uint64]string `json:"seats"`
+	Members map[uint64]string `json:"seats"`
 	Disk    int64             `json:"disk_bytes"`
 	Sent    int64             `json:"sent_bytes"`
 	Calls   int64             `json:"calls"`
@@ -90,7 +90,7 @@
 
 type ask struct {
 	data []byte
-	seat *Seat // to be taken in
+	seat *Member // to be taken in
 	done chan error
 }
 
@@ -294,7 +294,7 @@
 	if err := proto.Unmarshal(e.GetData(), c); err != nil {
 		return fmt.Errorf("quorum: entry %d: %w", e.GetIndex(), err)
 	}
-	var in Seat
+	var in Member
 	if len(c.GetContext()) > 0 && json.Unmarshal(c.GetContext(), &in) == nil {
 		n.seats = maps.Clone(n.seats)
 		maps.DeleteFunc(n.seats, func(_ uint64, name string) bool { return name == in.Name })
@@ -312,7 +312,7 @@
 		return nil
 	}
 	n.moved = false
-	data, err := n.cfg.Machine.Image()
+	data, err := n.cfg.Machine.Snapshot()
 	if err == nil {
 		data, err = json.Marshal(image{Seats: n.seats, Machine: data})
 	}
@@ -368,8 +368,8 @@
 	return n.hand(ctx, ask{data: data, done: make(chan error, 1)})
 }
 
-// TakeIn has an agent take a seat, in the place of the one of its name. Only the leader does it.
-func (n *Node) TakeIn(ctx context.Context, s Seat) error {
+// AddMember has an agent take a seat, in the place of the one of its name. Only the leader does it.
+func (n *Node) AddMember(ctx context.Context, s Member) error {
 	return n.hand(ctx, ask{seat: &s, done: make(chan error, 1)})
 }
 
@@ -397,7 +397,7 @@
 func (n *Node) publish() {
 	b := n.raw.BasicStatus()
 	s := &Status{
-		Seat: n.disk.seat, Leads: b.RaftState == raft.StateLeader, Term: b.HardState.GetTerm(), Applied: n.applied, Seats: n.seats,
+		Member: n.disk.seat, Leads: b.RaftState == raft.StateLeader, Term: b.HardState.GetTerm(), Applied: n.applied, Members: n.seats,
 		Voter: slices.Contains(n.conf.GetVoters(), n.disk.seat.Number), Disk: n.disk.store.Stats().DiskBytes,
 	}
 	if b.Lead != raft.None {
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -41,7 +41,7 @@
 	t.news = make(chan struct{})
 }
 
-func (t *tape) Image() ([]byte, error) {
+func (t *tape) Snapshot() ([]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return json.Marshal(t.List)
@@ -128,7 +128,7 @@
 			}
 			a.peers[b.name] = addr
 		}
-		if err := Found(store.Dir(a.dir), a.name, x.names); err != nil {
+		if err := Bootstrap(store.Dir(a.dir), a.name, x.names); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -217,7 +217,7 @@
 					x.net.Set("a0", other, fault.State{Silent: true})
 				}
 			} else {
-				x.net.Part(c.small, x.names, fault.State{Cut: true})
+				x.net.Partition(c.small, x.names, fault.State{Cut: true})
 			}
 			if !x.put(x.holders[1], "larger", 20*time.Second) {
 				t.Errorf("%v: the larger side agrees on nothing", c)
@@ -265,18 +265,18 @@
 		}
 		x.holders[0].node.Propose(t.Context(), []byte(fmt.Sprint("f", i)))
 	}
-	old := lost.node.Status().Seat
+	old := lost.node.Status().Member
 	lost.halt()
 	lost.dir = t.TempDir()
 	x.begin(lost)
-	seat := lost.node.Status().Seat
+	seat := lost.node.Status().Member
 	if seat.Number == old.Number || lost.node.Status().Voter {
 		t.Fatalf("%+v, %+v", seat, old)
 	}
 	for until := time.Now().Add(20 * time.Second); !lost.node.Status().Voter && time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		x.leader(0, 1).node.TakeIn(t.Context(), seat)
+		x.leader(0, 1).node.AddMember(t.Context(), seat)
 	}
-	if s := lost.node.Status(); !s.Voter || len(s.Seats) != 3 || s.Seats[old.Number] != "" {
+	if s := lost.node.Status(); !s.Voter || len(s.Members) != 3 || s.Members[old.Number] != "" {
 		t.Fatalf("%+v", s)
 	}
 	x.holders[0].halt()
@@ -287,7 +287,7 @@
 		t.Errorf("%d entries came with the snapshot", len(got))
 	}
 	lost.halt()
-	if err := Found(store.Dir(lost.dir), lost.name, x.names); !errors.Is(err, ErrFounded) {
+	if err := Bootstrap(store.Dir(lost.dir), lost.name, x.names); !errors.Is(err, ErrAlreadyBootstrapped) {
 		t.Errorf("founded again: %v", err)
 	}
 }
@@ -326,7 +326,7 @@
 // is opened again. A damaged one is not opened at all.
 func TestFolder(t *testing.T) {
 	dir := t.TempDir()
-	if err := Found(store.Dir(dir), "a", []string{"a"}); err != nil {
+	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); err != nil {
 		t.Fatal(err)
 	}
 	full := false
@@ -372,7 +372,7 @@
 	if err := stop(); err != nil {
 		t.Error(err)
 	}
-	if err := Found(store.Dir(dir), "a", []string{"a"}); !errors.Is(err, ErrFounded) {
+	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); !errors.Is(err, ErrAlreadyBootstrapped) {
 		t.Errorf("founded twice: %v", err)
 	}
 	if _, err := Open(Config{Name: "b", FS: store.Dir(dir), Machine: newTape(), Log: slog.New(slog.DiscardHandler)}); err == nil {
--- a/internal/resend/planner.go
+++ b/internal/resend/planner.go
@@ -19,13 +19,13 @@
 
 // Limits are what a planner keeps to.
 type Limits struct {
-	Siblings     int           // senders that may be resending at the same time, this one included
-	ColdFrom     float64       // share of its capacity that a partner has as it returns...
-	Cold         time.Duration // ...and the time by which it has all of it
-	FallMultiple float64       // times its present capacity that push it over...
-	FallWindow   time.Duration // ...when sent for so long
-	Share        float64       // part of what a partner takes that resends may use
-	MaxOut       int           // resends out at once
+	FleetSize      int           // senders that may be resending at the same time, this one included
+	ColdCapacity   float64       // share of its capacity that a partner has as it returns...
+	WarmUp         time.Duration // ...and the time by which it has all of it
+	OverloadFactor float64       // times its present capacity that push it over...
+	OverloadWindow time.Duration // ...when sent for so long
+	CapacityShare  float64       // part of what a partner takes that resends may use
+	MaxInFlight    int           // resends out at once
 }
 
 // Result is what came of a call to a partner.
@@ -33,10 +33,10 @@
 
 // The results.
 const (
-	Served  Result = iota
-	Refused        // turned away, or told to wait
-	Failed         // anything else that did not serve
-	Nothing        // not sent at all: it tells nothing of the partner
+	Served   Result = iota
+	Rejected        // turned away, or told to wait
+	Failed          // anything else that did not serve
+	NotSent         // not sent at all: it tells nothing of the partner
 )
 
 // Load is how busy this sender is.
@@ -95,18 +95,18 @@
 // returns cold: its messages are held because it failed.
 func New(l Limits, seed uint64) *Planner {
 	p := &Planner{rng: rand.New(rand.NewPCG(seed, 7)), partners: map[int]*partner{}, turn: math.MinInt}
-	p.Limit(l)
+	p.SetLimits(l)
 	return p
 }
 
-// Limit takes other limits; what is known stays.
-func (p *Planner) Limit(l Limits) {
-	l.Siblings, l.MaxOut = max(1, l.Siblings), max(1, l.MaxOut)
-	if l.ColdFrom <= 0 || l.ColdFrom > 1 {
-		l.ColdFrom = 0.1
+// SetLimits takes other limits; what is known stays.
+func (p *Planner) SetLimits(l Limits) {
+	l.FleetSize, l.MaxInFlight = max(1, l.FleetSize), max(1, l.MaxInFlight)
+	if l.ColdCapacity <= 0 || l.ColdCapacity > 1 {
+		l.ColdCapacity = 0.1
 	}
-	if l.FallWindow <= 0 {
-		l.FallWindow = 2 * time.Second
+	if l.OverloadWindow <= 0 {
+		l.OverloadWindow = 2 * time.Second
 	}
 	p.lim = l
 }
@@ -115,7 +115,7 @@
 	x := p.partners[dest]
 	if x == nil {
 		x = &partner{
-			guess: guessFirst, level: p.lim.ColdFrom, levelAt: now, filledAt: now, tokens: p.rng.Float64(),
+			guess: guessFirst, level: p.lim.ColdCapacity, levelAt: now, filledAt: now, tokens: p.rng.Float64(),
 			testing: true, served: -1, failing: -1, listed: true,
 		}
 		p.partners[dest] = x
@@ -124,17 +124,17 @@
 	return x
 }
 
-// Listed takes the calls a second that a destination takes from all senders
+// CapacityChanged takes the calls a second that a destination takes from all senders
 // together (0 = not told), and whether a target of it takes new work.
-func (p *Planner) Listed(now time.Duration, dest int, weight float64, ready bool) {
+func (p *Planner) CapacityChanged(now time.Duration, dest int, weight float64, ready bool) {
 	x := p.partner(now, dest)
 	x.weight, x.listed = max(0, weight), ready
 }
 
-// Saw takes what came of a call, of live traffic or of a resend.
-func (p *Planner) Saw(now time.Duration, dest int, r Result, wait time.Duration, resend bool) {
+// CallEnded takes what came of a call, of live traffic or of a resend.
+func (p *Planner) CallEnded(now time.Duration, dest int, r Result, wait time.Duration, resend bool) {
 	x := p.partner(now, dest)
-	if r == Nothing && wait <= 0 {
+	if r == NotSent && wait <= 0 {
 		return
 	}
 	if !resend {
@@ -163,9 +163,9 @@
 		return
 	}
 	x.pauses = 0
-	if p.lim.Cold > 0 {
-		step := min(now-x.levelAt, p.lim.Cold/4) // longer times without answers do not count
-		x.level = min(1, x.level+(1-p.lim.ColdFrom)*float64(step)/float64(p.lim.Cold))
+	if p.lim.WarmUp > 0 {
+		step := min(now-x.levelAt, p.lim.WarmUp/4) // longer times without answers do not count
+		x.level = min(1, x.level+(1-p.lim.ColdCapacity)*float64(step)/float64(p.lim.WarmUp))
 	} else {
 		x.level = 1
 	}
@@ -183,27 +183,27 @@
 		x.failing = now
 	}
 	x.waitEnd = max(x.waitEnd, now+wait)
-	lone := r == Refused && wait < p.lim.FallWindow && x.served >= 0 && now-x.served < p.lim.FallWindow
+	lone := r == Rejected && wait < p.lim.OverloadWindow && x.served >= 0 && now-x.served < p.lim.OverloadWindow
 	if now < x.until { // calls sent before the stop; they prolong a wait, not the pause
 		x.until = max(x.until, x.waitEnd)
 		return
 	}
-	pause := p.lim.FallWindow * pauseFirst << min(x.pauses, pauseDoubles)
+	pause := p.lim.OverloadWindow * pauseFirst << min(x.pauses, pauseDoubles)
 	if lone {
-		pause = p.lim.FallWindow / 2
-		x.level = max(p.lim.ColdFrom*lonePart, x.level*lonePart)
+		pause = p.lim.OverloadWindow / 2
+		x.level = max(p.lim.ColdCapacity*lonePart, x.level*lonePart)
 	} else {
 		x.pauses++
-		x.level, x.testing = p.lim.ColdFrom, true
+		x.level, x.testing = p.lim.ColdCapacity, true
 		x.guess = max(guessFirst, x.guess*lonePart)
 	}
 	x.until = max(x.waitEnd, now+time.Duration((0.75+p.rng.Float64()/2)*float64(pause)))
 	x.tokens, x.levelAt, x.filledAt = 0, x.until, x.until
 }
 
-// Ended takes back what a grant gave: a resend has ended, whatever came of it.
+// RedeliveryEnded takes back what a grant gave: a resend has ended, whatever came of it.
 // One that was not let in tells of this sender, not of the partner.
-func (p *Planner) Ended(now time.Duration, dest int, letIn bool) {
+func (p *Planner) RedeliveryEnded(now time.Duration, dest int, letIn bool) {
 	x := p.partner(now, dest)
 	x.out, p.out = max(0, x.out-1), max(0, p.out-1)
 	if !letIn {
@@ -216,11 +216,11 @@
 func (p *Planner) pace(now time.Duration, x *partner) float64 {
 	whole := x.guess
 	if x.weight > 0 {
-		whole = x.weight / float64(p.lim.Siblings)
+		whole = x.weight / float64(p.lim.FleetSize)
 	}
 	live := x.live * math.Exp(-float64(now-x.liveAt)/float64(liveSpan)) / liveSpan.Seconds()
 	room := whole*x.level - live
-	return max(0, min(room, p.lim.Share*whole*x.level))
+	return max(0, min(room, p.lim.CapacityShare*whole*x.level))
 }
 
 // refill fills a partner's tokens.
@@ -252,7 +252,7 @@
 	if now < p.paused || load.MaxOpenMessages > 0 && holdFree*load.Open >= load.MaxOpenMessages {
 		return nil
 	}
-	room := min(p.lim.MaxOut-p.out, load.MaxInFlight-load.MaxInFlight/slotsFree-load.InFlight)
+	room := min(p.lim.MaxInFlight-p.out, load.MaxInFlight-load.MaxInFlight/slotsFree-load.InFlight)
 	if room <= 0 || len(ready) == 0 {
 		return nil
 	}
@@ -277,8 +277,8 @@
 	return grants
 }
 
-// Tenant chooses whose message of a destination goes next: each in turn.
-func (p *Planner) Tenant(now time.Duration, dest int, tenants []string) string {
+// NextTenant chooses whose message of a destination goes next: each in turn.
+func (p *Planner) NextTenant(now time.Duration, dest int, tenants []string) string {
 	x := p.partner(now, dest)
 	order := slices.Sorted(slices.Values(tenants))
 	i, found := slices.BinarySearch(order, x.tenant)
@@ -293,12 +293,12 @@
 
 // A View is what the rules see of a partner.
 type View struct {
-	Out      int
-	Seen     bool
-	Last     Result
-	Failing  time.Duration // since the first of the calls in a row that did not serve; 0 = the last one did
-	Served   time.Duration // since a call was served; below 0 = never
-	WaitLeft time.Duration
+	InFlight   int
+	Known      bool
+	Last       Result
+	Failing    time.Duration // since the first of the calls in a row that did not serve; 0 = the last one did
+	Served     time.Duration // since a call was served; below 0 = never
+	RetryAfter time.Duration
 }
 
 // View tells what is known of a destination; it changes nothing.
@@ -307,7 +307,7 @@
 	if x == nil {
 		return View{Served: -1}
 	}
-	v := View{Out: x.out, Seen: x.seen, Last: x.last, Served: -1, WaitLeft: max(0, x.waitEnd-now)}
+	v := View{InFlight: x.out, Known: x.seen, Last: x.last, Served: -1, RetryAfter: max(0, x.waitEnd-now)}
 	if x.failing >= 0 {
 		v.Failing = max(1, now-x.failing)
 	}
@@ -317,9 +317,9 @@
 	return v
 }
 
-// Next is when to ask again if nothing happens before: the soonest that one of
+// NextGrant is when to ask again if nothing happens before: the soonest that one of
 // the destinations may be sent to, but not at once.
-func (p *Planner) Next(now time.Duration, ready []int) time.Duration {
+func (p *Planner) NextGrant(now time.Duration, ready []int) time.Duration {
 	const least, most = 10 * time.Millisecond, time.Second
 	next := now + most
 	for _, dest := range ready {
--- a/internal/resend/planner_test.go
+++ b/internal/resend/planner_test.go
@@ -10,7 +10,7 @@
 )
 
 var limits = Limits{
-	Siblings: 1, ColdFrom: 0.22, Cold: 13 * time.Second, FallMultiple: 2, FallWindow: 2 * time.Second, Share: 0.5, MaxOut: 8,
+	FleetSize: 1, ColdCapacity: 0.22, WarmUp: 13 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second, CapacityShare: 0.5, MaxInFlight: 8,
 }
 
 var idle = Load{MaxInFlight: 16, MaxOpenMessages: 200}
@@ -20,12 +20,12 @@
 func TestColdReturn(t *testing.T) {
 	for _, siblings := range []int{1, 2, 3, 8} {
 		lim := limits
-		lim.Siblings = siblings
+		lim.FleetSize = siblings
 		const weight, back = 20.0, 30 * time.Second
 		var fleet []*Planner
 		for i := range siblings {
 			p := New(lim, uint64(i+1))
-			p.Listed(0, 7, weight, true)
+			p.CapacityChanged(0, 7, weight, true)
 			fleet = append(fleet, p)
 		}
 		var calls []time.Duration
@@ -36,15 +36,15 @@
 				for range p.Grant(now, []int{7}, idle) {
 					if now < back {
 						tests++
-						p.Saw(now, 7, Failed, 0, true)
+						p.CallEnded(now, 7, Failed, 0, true)
 					} else {
 						calls = append(calls, now)
-						p.Saw(now, 7, Served, 0, true)
+						p.CallEnded(now, 7, Served, 0, true)
 						if now > end-10*time.Second {
 							full++
 						}
 					}
-					p.Ended(now, 7, true)
+					p.RedeliveryEnded(now, 7, true)
 				}
 			}
 		}
@@ -55,17 +55,17 @@
 		for i, from := range calls { // any window of FallWindow from a call on
 			n := 0
 			for _, at := range calls[i:] {
-				if at < from+lim.FallWindow {
+				if at < from+lim.OverloadWindow {
 					n++
 				}
 			}
-			warm := min(1, lim.ColdFrom+(1-lim.ColdFrom)*float64(from-first)/float64(lim.Cold))
-			if budget := lim.FallMultiple * warm * weight * lim.FallWindow.Seconds(); float64(n) > budget {
+			warm := min(1, lim.ColdCapacity+(1-lim.ColdCapacity)*float64(from-first)/float64(lim.WarmUp))
+			if budget := lim.OverloadFactor * warm * weight * lim.OverloadWindow.Seconds(); float64(n) > budget {
 				t.Fatalf("%d siblings: %d calls in the window from %v, %.1f allowed", siblings, n, from, budget)
 			}
 		}
-		if rate := full / 10; rate < 0.8*lim.Share*weight || rate > 1.05*lim.Share*weight {
-			t.Errorf("%d siblings: %.1f a second once warm, near %.1f wanted", siblings, rate, lim.Share*weight)
+		if rate := full / 10; rate < 0.8*lim.CapacityShare*weight || rate > 1.05*lim.CapacityShare*weight {
+			t.Errorf("%d siblings: %.1f a second once warm, near %.1f wanted", siblings, rate, lim.CapacityShare*weight)
 		}
 	}
 }
@@ -75,12 +75,12 @@
 	t.Helper()
 	p, now := New(limits, 1), time.Duration(0)
 	for _, d := range dests {
-		p.Listed(now, d, weight, true)
+		p.CapacityChanged(now, d, weight, true)
 	}
 	for ; now < 40*time.Second; now += 20 * time.Millisecond {
 		for _, d := range p.Grant(now, dests, idle) {
-			p.Saw(now, d, Served, 0, true)
-			p.Ended(now, d, true)
+			p.CallEnded(now, d, Served, 0, true)
+			p.RedeliveryEnded(now, d, true)
 		}
 	}
 	return p, now
@@ -92,8 +92,8 @@
 	for end := now + span; now < end; now += 10 * time.Millisecond {
 		for _, d := range p.Grant(now, dests, load) {
 			n[d]++
-			p.Saw(now, d, Served, 0, true)
-			p.Ended(now, d, true)
+			p.CallEnded(now, d, Served, 0, true)
+			p.RedeliveryEnded(now, d, true)
 		}
 	}
 	return n
@@ -107,13 +107,13 @@
 		silence time.Duration
 		lone    bool
 	}{
-		{"refusal between served calls", Refused, 0, 700 * time.Millisecond, true},
-		{"told wait", Refused, 5 * time.Second, 5 * time.Second, false},
+		{"refusal between served calls", Rejected, 0, 700 * time.Millisecond, true},
+		{"told wait", Rejected, 5 * time.Second, 5 * time.Second, false},
 		{"failure", Failed, 0, 3 * time.Second, false},
 		{"a wait told with an answer that served", Served, time.Second, time.Second, false},
 	} {
 		p, now := warm(t, 20, 7)
-		p.Saw(now, 7, c.r, c.wait, false) // live traffic stops resends too
+		p.CallEnded(now, 7, c.r, c.wait, false) // live traffic stops resends too
 		if n := grants(p, now, c.silence, idle, 7); n[7] > 0 {
 			t.Errorf("%s: %d within %v", c.name, n[7], c.silence)
 		}
@@ -131,13 +131,13 @@
 // A partner that stays shut costs a few tests, ever more seldom.
 func TestStaysShut(t *testing.T) {
 	p := New(limits, 3)
-	p.Listed(0, 7, 20, true)
+	p.CapacityChanged(0, 7, 20, true)
 	var at []time.Duration
 	for now := time.Duration(0); now < 10*time.Minute; now += 10 * time.Millisecond {
 		for range p.Grant(now, []int{7}, idle) {
 			at = append(at, now)
-			p.Saw(now, 7, Failed, 0, true)
-			p.Ended(now, 7, true)
+			p.CallEnded(now, 7, Failed, 0, true)
+			p.RedeliveryEnded(now, 7, true)
 		}
 	}
 	if len(at) > 12 || len(at) < 5 {
@@ -153,14 +153,14 @@
 	for i := range 1000 { // 20 live calls a second: all that it takes
 		now += 10 * time.Millisecond
 		if i%5 == 0 {
-			p.Saw(now, 7, Served, 0, false)
+			p.CallEnded(now, 7, Served, 0, false)
 		}
 		if i < 300 {
 			continue
 		}
 		for range p.Grant(now, []int{7}, idle) {
 			n++
-			p.Ended(now, 7, true)
+			p.RedeliveryEnded(now, 7, true)
 		}
 	}
 	if alone < 30 || n > 14 { // a tenth of the live calls
@@ -187,9 +187,9 @@
 	}
 	var got []string
 	for range 4 {
-		got = append(got, p.Tenant(now, 1, []string{"b", "a", "c"}))
+		got = append(got, p.NextTenant(now, 1, []string{"b", "a", "c"}))
 	}
-	got = append(got, p.Tenant(now, 1, []string{"c"}), p.Tenant(now, 1, []string{"b", "c"}))
+	got = append(got, p.NextTenant(now, 1, []string{"c"}), p.NextTenant(now, 1, []string{"b", "c"}))
 	if want := []string{"a", "b", "c", "a", "c", "b"}; !slices.Equal(got, want) {
 		t.Errorf("turns %v, want %v", got, want)
 	}
@@ -209,15 +209,15 @@
 			dest := rapid.SampledFrom(all).Draw(t, "dest")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				p.Listed(now, dest, rapid.Float64Range(0, 100).Draw(t, "weight"), rapid.Bool().Draw(t, "ready"))
+				p.CapacityChanged(now, dest, rapid.Float64Range(0, 100).Draw(t, "weight"), rapid.Bool().Draw(t, "ready"))
 			case 1:
 				wait := time.Duration(rapid.IntRange(0, 4000).Draw(t, "wait")) * time.Millisecond
-				p.Saw(now, dest, rapid.SampledFrom([]Result{Served, Refused, Failed, Nothing}).Draw(t, "result"), wait, rapid.Bool().Draw(t, "own"))
+				p.CallEnded(now, dest, rapid.SampledFrom([]Result{Served, Rejected, Failed, NotSent}).Draw(t, "result"), wait, rapid.Bool().Draw(t, "own"))
 				waits[dest] = max(waits[dest], now+wait)
 			case 2:
 				if out[dest] > 0 {
 					out[dest]--
-					p.Ended(now, dest, rapid.Bool().Draw(t, "in"))
+					p.RedeliveryEnded(now, dest, rapid.Bool().Draw(t, "in"))
 				}
 			}
 			sum := 0
@@ -233,10 +233,10 @@
 			for _, n := range out {
 				sum += n
 			}
-			if sum > limits.MaxOut {
+			if sum > limits.MaxInFlight {
 				t.Fatalf("%d out", sum)
 			}
-			if next := p.Next(now, all); next <= now || next > now+2*time.Second {
+			if next := p.NextGrant(now, all); next <= now || next > now+2*time.Second {
 				t.Fatalf("%v: next at %v", now, next)
 			}
 		}
--- a/internal/rig/clients.go
+++ b/internal/rig/clients.go
@@ -29,7 +29,7 @@
 // those before it, and come again as BRIEF 6 says. Latency counts from the time at
 // which a message was wanted.
 type Clients struct {
-	w       *World
+	w       *Environment
 	senders []*front
 
 	enough atomic.Bool // Run ends before the plan's last arrival
@@ -65,7 +65,7 @@
 }
 
 // NewClients makes clients of senders at these addresses.
-func (w *World) NewClients(addresses []string) *Clients {
+func (w *Environment) NewClients(addresses []string) *Clients {
 	c := &Clients{
 		w: w, rng: rand.New(rand.NewPCG(w.plan.Seed, 99)), pending: map[string]*lab.ClientRequest{}, lag: newLag(), door: newLag(), answers: map[int]int{},
 	}
@@ -93,8 +93,8 @@
 	f.down, f.up = time.Time{}, time.Now()
 }
 
-// SetAway tells the front layer what a sender said of its health. It heeds that at once.
-func (c *Clients) SetAway(sender int, away bool) {
+// SetDraining tells the front layer what a sender said of its health. It heeds that at once.
+func (c *Clients) SetDraining(sender int, away bool) {
 	f := c.senders[sender]
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +118,7 @@
 			c.open++
 		}
 		c.mu.Unlock()
-		c.w.Note(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
+		c.w.Record(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
 		if full {
 			continue
 		}
@@ -132,8 +132,8 @@
 	}
 }
 
-// Enough ends Run at its next arrival.
-func (c *Clients) Enough() { c.enough.Store(true) }
+// Stop ends Run at its next arrival.
+func (c *Clients) Stop() { c.enough.Store(true) }
 
 // after does something later, unless the world ends before.
 func (c *Clients) after(d time.Duration, do func()) {
@@ -229,20 +229,20 @@
 		if errors.Is(err, errLate) {
 			cause = "timeout"
 		}
-		w.Note(audit.Event{Kind: audit.Abandoned, Sender: num, Message: id, Cause: cause})
+		w.Record(audit.Event{Kind: audit.Abandoned, Sender: num, Message: id, Cause: cause})
 		c.forget(id)
 		c.nowhere(m)
 		return
 	case status == http.StatusAccepted || status == http.StatusOK:
-		w.Note(audit.Event{Kind: audit.Accepted, Sender: num, Message: id})
+		w.Record(audit.Event{Kind: audit.Accepted, Sender: num, Message: id})
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
 		wait, _ := strconv.ParseFloat(r.Header.Get("Retry-After"), 64)
 		told := time.Duration(wait * float64(time.Second))
-		w.Note(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, RetryAfter: told})
+		w.Record(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, RetryAfter: told})
 		c.forget(id)
 		c.refused(m, told)
 	default:
-		w.Note(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, Cause: "failed"})
+		w.Record(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, Cause: "failed"})
 		c.forget(id)
 	}
 	if r.Close {
@@ -255,7 +255,7 @@
 // crowded tells whether a crowd is about, or was a moment ago: new connections may be shut unread then.
 func (c *Clients) crowded() bool {
 	now := c.w.nowOf()
-	for _, crowd := range c.w.faults.Crowds {
+	for _, crowd := range c.w.faults.IdleClients {
 		if now >= crowd.From && now < crowd.To+time.Second {
 			return true
 		}
@@ -344,23 +344,23 @@
 	}
 }
 
-// Seen is what the clients saw.
-type Seen struct {
-	Lag     Lag         `json:"lag"`  // of the hand-ins, against the plan
-	Door    Lag         `json:"door"` // from the time wanted to the sender's answer
-	Answers map[int]int `json:"answers"`
-	LeftOut int         `json:"left_out"`
+// ClientStats is what the clients saw.
+type ClientStats struct {
+	Lag          Lag         `json:"lag"`  // of the hand-ins, against the plan
+	ResponseTime Lag         `json:"door"` // from the time wanted to the sender's answer
+	Answers      map[int]int `json:"answers"`
+	Skipped      int         `json:"left_out"`
 
 	// Unanswered are requests that were written whole on a new connection to a sender that was there, and whose
 	// connection then ended with no answer, while no crowd was about.
 	Unanswered int `json:"unanswered"`
 }
 
-// Seen tells what the clients saw so far.
-func (c *Clients) Seen() Seen {
+// Stats tells what the clients saw so far.
+func (c *Clients) Stats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := Seen{Lag: lagOf(c.lag), Door: lagOf(c.door), Answers: map[int]int{}, LeftOut: c.left, Unanswered: c.unanswered}
+	s := ClientStats{Lag: lagOf(c.lag), ResponseTime: lagOf(c.door), Answers: map[int]int{}, Skipped: c.left, Unanswered: c.unanswered}
 	for status, n := range c.answers {
 		s.Answers[status] = n
 	}
--- a/internal/rig/door.go
+++ b/internal/rig/door.go
@@ -35,7 +35,7 @@
 // The port is held for as long as the world stands; while its endpoint is down
 // nobody listens there, so that connections are refused.
 type door struct {
-	w        *World
+	w        *Environment
 	sender   int
 	addr     string
 	endpoint string // whose address it is now
@@ -55,8 +55,8 @@
 	return err
 }}
 
-// Doors opens an address for each endpoint and sender.
-func (w *World) Doors() error {
+// OpenEndpoints opens an address for each endpoint and sender.
+func (w *Environment) OpenEndpoints() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range w.plan.Scenario.Senders {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (w *World) addDoor(sender, dest int, e partner.EndpointSpec) (*door, error) {
+func (w *Environment) addDoor(sender, dest int, e partner.EndpointSpec) (*door, error) {
 	d := &door{w: w, sender: sender, addr: "127.0.0.1:0", endpoint: e.ID, zone: e.Zone, dest: dest, hold: -1, conns: map[net.Conn]bool{}}
 	if err := d.open(); err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 }
 
 // moveIn gives a new endpoint its doors: new ones, or those at another's address.
-func (w *World) moveIn(c scenario.Change) {
+func (w *Environment) moveIn(c scenario.Change) {
 	for i, doors := range w.doors {
 		old := doors[c.Address]
 		if c.Address == "" || old == nil {
@@ -96,7 +96,7 @@
 }
 
 // addressOf finds where a sender reaches an endpoint; under the lock.
-func (w *World) addressOf(sender int, l lab.ListedEndpoint) string {
+func (w *Environment) addressOf(sender int, l lab.ListedEndpoint) string {
 	if d := w.doors[sender][l.Address]; d != nil {
 		return d.addr
 	}
@@ -104,7 +104,7 @@
 }
 
 // refit opens and shuts doors as the model has it; under the lock.
-func (w *World) refit() {
+func (w *Environment) refit() {
 	for _, doors := range w.doors {
 		for _, d := range doors {
 			there, back := d.ways()
@@ -262,7 +262,7 @@
 	return v.play(c, first)
 }
 
-func (w *World) nowOf() time.Duration {
+func (w *Environment) nowOf() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.now()
@@ -457,7 +457,7 @@
 	return err == nil && !v.crowded
 }
 
-func (w *World) listensStill(id string) bool {
+func (w *Environment) listensStill(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.ground.Model.Listens(id)
--- a/internal/rig/fault/fault.go
+++ b/internal/rig/fault/fault.go
@@ -59,14 +59,14 @@
 	n.rouse()
 }
 
-// Both is Set in both directions.
-func (n *Net) Both(a, b string, s State) {
+// SetBoth is Set in both directions.
+func (n *Net) SetBoth(a, b string, s State) {
 	n.Set(a, b, s)
 	n.Set(b, a, s)
 }
 
-// Part cuts off a group from all others among the names, both ways, by the given state.
-func (n *Net) Part(group, all []string, s State) {
+// Partition cuts off a group from all others among the names, both ways, by the given state.
+func (n *Net) Partition(group, all []string, s State) {
 	in := map[string]bool{}
 	for _, g := range group {
 		in[g] = true
@@ -96,8 +96,8 @@
 	n.rouse()
 }
 
-// Turn looks at all ways anew. Connections that a cut hits break at once.
-func (n *Net) Turn() {
+// Refresh looks at all ways anew. Connections that a cut hits break at once.
+func (n *Net) Refresh() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rouse()
--- a/internal/rig/fault/fault_test.go
+++ b/internal/rig/fault/fault_test.go
@@ -106,7 +106,7 @@
 		}
 		c.Close()
 	}
-	n.Both("a", "b", State{Delay: 30 * time.Millisecond})
+	n.SetBoth("a", "b", State{Delay: 30 * time.Millisecond})
 	began := time.Now()
 	if err := dial(t, addr).say("one", long); err != nil || time.Since(began) < 60*time.Millisecond {
 		t.Errorf("slow: %v after %v", err, time.Since(began))
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -15,8 +15,8 @@
 
 // Faults are what a run on sockets does besides its plan.
 type Faults struct {
-	Answers []AnswerFault // of discovery
-	Crowds  []Crowd
+	Answers     []AnswerFault // of discovery
+	IdleClients []IdleClients
 	// KeepConnections has clients go on using the connections that they have to a sender which is ending, until these end.
 	KeepConnections bool
 	// WatchTail has changes in the 200 ms after an answer to a watch count as told, as PROTOCOL says of a watch.
@@ -51,8 +51,8 @@
 	Share    float64
 }
 
-// A Crowd is idle clients that connect to each sender, hold on for a time and say nothing.
-type Crowd struct {
+// A IdleClients is idle clients that connect to each sender, hold on for a time and say nothing.
+type IdleClients struct {
 	From, To    time.Duration
 	Connections int // to each sender
 }
@@ -65,7 +65,7 @@
 )
 
 // answerFault draws whether an answer that is due now fails; under the lock.
-func (w *World) answerFault() AnswerFailure {
+func (w *Environment) answerFault() AnswerFailure {
 	now := w.now()
 	for _, f := range w.faults.Answers {
 		if now >= f.From && now < f.To && w.chance.Float64() < f.Share {
@@ -77,7 +77,7 @@
 
 // spoil writes an answer that fails, and ends its connection or waits until the sender does. The part of the answer that
 // is written is drawn.
-func (w *World) spoil(out http.ResponseWriter, how AnswerFailure, body []byte, cut float64) {
+func (w *Environment) spoil(out http.ResponseWriter, how AnswerFailure, body []byte, cut float64) {
 	hijacker, ok := out.(http.Hijacker)
 	if !ok {
 		return
@@ -112,7 +112,7 @@
 }
 
 // dribble writes a text piece by piece.
-func (w *World) dribble(to net.Conn, text []byte) {
+func (w *Environment) dribble(to net.Conn, text []byte) {
 	size := max(1, len(text)/dribbleParts)
 	for len(text) > 0 {
 		n := min(size, len(text))
@@ -124,7 +124,7 @@
 }
 
 // tail notes what counts as told after an answer to a watch, as the watch goes on for a while.
-func (w *World) tail(sender int, version int64) {
+func (w *Environment) tail(sender int, version int64) {
 	if !w.faults.WatchTail {
 		return
 	}
@@ -147,8 +147,8 @@
 }
 
 // crowds plays the idle clients against addresses of senders.
-func (w *World) crowds(addresses []string) {
-	for _, c := range w.faults.Crowds {
+func (w *Environment) crowds(addresses []string) {
+	for _, c := range w.faults.IdleClients {
 		for _, addr := range addresses {
 			w.wg.Go(func() { w.crowd(c, addr) })
 		}
@@ -156,7 +156,7 @@
 }
 
 // crowd connects idle clients to one sender. Those that are closed on are gone.
-func (w *World) crowd(c Crowd, addr string) {
+func (w *Environment) crowd(c IdleClients, addr string) {
 	if !w.at(c.From) {
 		return
 	}
