--- a/internal/rig/fleet/campaign.go
+++ b/internal/rig/fleet/campaign.go
@@ -21,10 +21,10 @@
 	"cleathold/internal/scenario"
 )
 
-// Deed is one thing that befalls a fleet, or that staff order, in a campaign.
-type Deed struct {
+// Action is one thing that befalls a fleet, or that staff order, in a campaign.
+type Action struct {
 	At     time.Duration `json:"at"`
-	What   string        `json:"what"` // see do
+	Kind   string        `json:"what"` // see do
 	Agent  int           `json:"agent,omitempty"`
 	Other  int           `json:"other,omitempty"`
 	Sender int           `json:"sender,omitempty"`
@@ -45,10 +45,10 @@
 	Length  time.Duration  `json:"length"`
 	Budget  rollout.Budget `json:"Budget"`
 	Lease   time.Duration  `json:"lease,omitempty"` // 0 = 3 s
-	Deeds   []Deed         `json:"deeds"`
+	Actions []Action       `json:"deeds"`
 	Faults  []string       `json:"faults,omitempty"` // what was broken
 	Orders  int            `json:"orders"`           // times that a sender went out by order, as seen from outside
-	Most    int            `json:"most"`             // out by order at once
+	MaxOut  int            `json:"most"`             // out by order at once
 	Plans   []string       `json:"plans,omitempty"`
 	Served  float64        `json:"served"`
 }
@@ -61,47 +61,47 @@
 		h.Budget.Building = max(1, h.Budget.Fleet-1)
 	}
 	span := func(from, to time.Duration) time.Duration { return from + time.Duration(rng.Int64N(int64(to-from))) }
-	add := func(d Deed) {
+	add := func(d Action) {
 		d.At = min(d.At, length)
-		h.Deeds = append(h.Deeds, d)
+		h.Actions = append(h.Actions, d)
 	}
 	for at := span(0, time.Second); at < length; at += span(length/15, length/6) {
-		d := Deed{At: at, What: "drain", Agent: rng.IntN(agents), For: span(100*time.Millisecond, 900*time.Millisecond)}
+		d := Action{At: at, Kind: "drain", Agent: rng.IntN(agents), For: span(100*time.Millisecond, 900*time.Millisecond)}
 		for _, i := range rng.Perm(senders)[:1+rng.IntN(max(1, senders/3))] {
 			d.Of = append(d.Of, fmt.Sprint("n", i))
 		}
 		if rng.IntN(3) == 0 {
-			d.What, d.Good, d.Back = "release", rng.IntN(3) > 0, rng.IntN(2) == 0
+			d.Kind, d.Good, d.Back = "release", rng.IntN(3) > 0, rng.IntN(2) == 0
 		}
 		add(d)
 		if rng.IntN(4) == 0 {
-			add(Deed{At: at + span(0, 2*time.Second), What: []string{"halt", "back", "resume"}[rng.IntN(3)], Agent: rng.IntN(agents)})
+			add(Action{At: at + span(0, 2*time.Second), Kind: []string{"halt", "back", "resume"}[rng.IntN(3)], Agent: rng.IntN(agents)})
 		}
 	}
 	for at := span(500*time.Millisecond, 2*time.Second); at < length; at += span(300*time.Millisecond, 1500*time.Millisecond) {
-		d := Deed{At: at, Agent: rng.IntN(agents), Other: rng.IntN(agents), Sender: rng.IntN(senders), For: span(300*time.Millisecond, 5*time.Second)}
+		d := Action{At: at, Agent: rng.IntN(agents), Other: rng.IntN(agents), Sender: rng.IntN(senders), For: span(300*time.Millisecond, 5*time.Second)}
 		switch n := rng.IntN(13); {
 		case n < 2:
-			d.What = "kill agent"
+			d.Kind = "kill agent"
 		case n < 4:
-			d.What = "stop agent"
+			d.Kind = "stop agent"
 		case n < 5:
-			d.What = "kill sender"
+			d.Kind = "kill sender"
 		case n < 6:
-			d.What = "stop sender"
+			d.Kind = "stop sender"
 		case n < 8:
-			d.What = "part agent"
+			d.Kind = "part agent"
 			d.State = []fault.State{{Cut: true}, {Silent: true}}[rng.IntN(2)]
 		case n < 10:
-			d.What = "one way"
+			d.Kind = "one way"
 			d.State = []fault.State{{Silent: true}, {Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond, Loss: 0.3}}[rng.IntN(2)]
 		default: // a sender's ways to its agent, to clients or to discovery
-			d.What = []string{"agent's way", "clients' way", "discovery's way"}[n-10]
+			d.Kind = []string{"agent's way", "clients' way", "discovery's way"}[n-10]
 			d.State = []fault.State{{Cut: true}, {Silent: true}, {Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond}}[rng.IntN(3)]
 		}
 		add(d)
 	}
-	slices.SortStableFunc(h.Deeds, func(a, b Deed) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(h.Actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
 	return h
 }
 
@@ -113,22 +113,22 @@
 		Budget: rollout.Budget{Fleet: a.Fleet, Building: a.Building, Serving: a.Serving}, Lease: a.Lease,
 	}
 	for _, d := range p.AgentActions {
-		h.Deeds = append(h.Deeds, Deed{At: d.At, What: d.What + " agent", Agent: d.Agent, For: d.Until - d.At})
+		h.Actions = append(h.Actions, Action{At: d.At, Kind: d.What + " agent", Agent: d.Agent, For: d.Until - d.At})
 	}
 	for _, o := range p.Orders {
-		h.Deeds = append(h.Deeds, Deed{At: o.At, What: o.What, Agent: o.Agent, Of: o.Of, For: o.Hold, Good: !o.Bad, Back: o.GoBack})
+		h.Actions = append(h.Actions, Action{At: o.At, Kind: o.What, Agent: o.Agent, Of: o.Of, For: o.Hold, Good: !o.Bad, Back: o.GoBack})
 	}
 	for _, d := range p.Actions {
-		h.Deeds = append(h.Deeds, Deed{At: d.At, What: d.What + " sender", Sender: d.Sender, For: max(0, d.Until-d.At), planned: d})
+		h.Actions = append(h.Actions, Action{At: d.At, Kind: d.What + " sender", Sender: d.Sender, For: max(0, d.Until-d.At), planned: d})
 	}
-	slices.SortStableFunc(h.Deeds, func(a, b Deed) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(h.Actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
 	return h
 }
 
 // Play plays a history with processes, and enters what it showed.
 func (h *History) Play(ctx context.Context, s Setup) error {
 	s.Senders, s.Agents, s.Seed, s.Links = h.Senders, h.Agents, h.Seed, true
-	s.Terms = rollout.Usual
+	s.Terms = rollout.DefaultTerms
 	s.Terms.Budget, s.Terms.Timing.Lease = h.Budget, cmp.Or(h.Lease, 3*time.Second)
 	y, err := New(ctx, s)
 	if err != nil {
@@ -145,7 +145,7 @@
 	x := &player{y: y, h: h, good: good, bad: bad, free: make([]time.Time, h.Agents), asleep: make([]time.Time, h.Senders)}
 	begun := time.Now()
 	undo := []undoing{}
-	for _, d := range h.Deeds {
+	for _, d := range h.Actions {
 		for len(undo) > 0 && undo[0].at.Before(begun.Add(d.At)) {
 			time.Sleep(time.Until(undo[0].at))
 			undo[0].do()
@@ -168,7 +168,7 @@
 	h.Faults, h.Plans = nil, nil
 	err = y.Await(60*time.Second, "all serve again, and no plan runs", func(v agent.View) bool {
 		for _, p := range v.State.Plans {
-			if p.Phase == rollout.Running || p.Phase == rollout.Backing {
+			if p.Phase == rollout.Running || p.Phase == rollout.RollingBack {
 				return false
 			}
 			for name, t := range p.Tasks {
@@ -178,7 +178,7 @@
 			}
 		}
 		for _, name := range y.Names {
-			if !v.Sights[name].Serving {
+			if !v.Observations[name].Serving {
 				return false
 			}
 		}
@@ -193,8 +193,8 @@
 		}
 	}
 	r := y.Finish()
-	h.Orders, h.Most, h.Served = r.Orders, r.Most, r.Service
-	for _, b := range r.Over {
+	h.Orders, h.MaxOut, h.Served = r.Orders, r.MaxOut, r.Service
+	for _, b := range r.OverBudget {
 		h.Faults = append(h.Faults, fmt.Sprintf("over the budget at %v: %s", b.At, b.Text))
 	}
 	for _, b := range r.Violations {
@@ -221,7 +221,7 @@
 
 // player does a history's deeds.
 type player struct {
-	y         *Yard
+	y         *Cluster
 	h         *History
 	good, bad string
 	released  int
@@ -230,9 +230,9 @@
 }
 
 // do does one, and returns what ends it.
-func (x *player) do(d Deed) func() {
+func (x *player) do(d Action) func() {
 	y, names, now := x.y, x.y.AgentNames(), time.Now()
-	switch d.What {
+	switch d.Kind {
 	case "drain":
 		x.order(d.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{d.Of}, Hold: d.For}})
 	case "release":
@@ -245,8 +245,8 @@
 			to.Program = x.bad
 		}
 		x.order(d.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
-			Kind: rollout.Release, To: to, GoBack: d.Back, Stages: [][]string{d.Of},
-			Gate: rollout.Gate{Least: 3, Soak: 200 * time.Millisecond, Wait: 3 * time.Second, Slack: 0.5},
+			Kind: rollout.Release, To: to, RollBackOnFailure: d.Back, Stages: [][]string{d.Of},
+			Gate: rollout.Gate{MinMessages: 3, Soak: 200 * time.Millisecond, Wait: 3 * time.Second, Slack: 0.5},
 		}})
 	case "halt", "back", "resume":
 		v, err := y.View(d.Agent, false)
@@ -254,19 +254,19 @@
 			return nil
 		}
 		p := v.State.Plans[len(v.State.Plans)-1]
-		verb := map[string]rollout.Verb{"halt": rollout.Halt, "back": rollout.GoBack, "resume": rollout.Resume}[d.What]
+		verb := map[string]rollout.Verb{"halt": rollout.Halt, "back": rollout.RollBack, "resume": rollout.Resume}[d.Kind]
 		x.order(d.Agent, rollout.Command{Verb: verb, Plan: p.ID, Revision: p.Revision})
 	case "kill agent", "wipe agent", "stop agent":
 		if now.Before(x.free[d.Agent]) {
 			return nil
 		}
 		x.free[d.Agent] = now.Add(d.For + time.Second)
-		if d.What == "stop agent" {
+		if d.Kind == "stop agent" {
 			y.SignalAgent(d.Agent, syscall.SIGSTOP)
 			return func() { y.SignalAgent(d.Agent, syscall.SIGCONT) }
 		}
 		y.SignalAgent(d.Agent, syscall.SIGKILL)
-		if d.What == "wipe agent" {
+		if d.Kind == "wipe agent" {
 			y.WipeAgent(d.Agent)
 		}
 		return func() { y.StartAgent(d.Agent) }
@@ -283,19 +283,19 @@
 		syscall.Kill(pid, syscall.SIGSTOP)
 		return func() { syscall.Kill(pid, syscall.SIGCONT) }
 	case "part agent":
-		y.Net.Part(names[d.Agent:d.Agent+1], names, d.State)
-		return func() { y.Net.Part(names[d.Agent:d.Agent+1], names, fault.State{}) }
+		y.Net.Partition(names[d.Agent:d.Agent+1], names, d.State)
+		return func() { y.Net.Partition(names[d.Agent:d.Agent+1], names, fault.State{}) }
 	case "agent's way", "clients' way", "discovery's way":
-		other := map[string]string{"agent's way": names[d.Sender%len(names)], "clients' way": scenario.Clients, "discovery's way": scenario.Discovery}[d.What]
+		other := map[string]string{"agent's way": names[d.Sender%len(names)], "clients' way": scenario.Clients, "discovery's way": scenario.Discovery}[d.Kind]
 		notices := other == scenario.Discovery // what can't be told there is not due
-		y.Net.Both(y.Names[d.Sender], other, d.State)
+		y.Net.SetBoth(y.Names[d.Sender], other, d.State)
 		if notices {
-			y.World.Note(audit.Event{Kind: audit.Unreachable, Sender: d.Sender})
+			y.World.Record(audit.Event{Kind: audit.Unreachable, Sender: d.Sender})
 		}
 		return func() {
-			y.Net.Both(y.Names[d.Sender], other, fault.State{})
+			y.Net.SetBoth(y.Names[d.Sender], other, fault.State{})
 			if notices {
-				y.World.Note(audit.Event{Kind: audit.ReachableAgain, Sender: d.Sender})
+				y.World.Record(audit.Event{Kind: audit.ReachableAgain, Sender: d.Sender})
 			}
 		}
 	case "one way":
@@ -308,9 +308,9 @@
 }
 
 // strike does to a sender what takes no time.
-func (x *player) strike(d Deed) {
+func (x *player) strike(d Action) {
 	y := x.y
-	switch d.What {
+	switch d.Kind {
 	case "kill sender":
 		y.SignalSender(d.Sender, syscall.SIGKILL)
 	case "term sender":
@@ -319,7 +319,7 @@
 		y.SignalSender(d.Sender, syscall.SIGHUP)
 	case "wipe sender":
 		if y.SignalSender(d.Sender, syscall.SIGKILL) {
-			y.World.Note(audit.Event{Kind: audit.Died, Sender: d.Sender, Cause: audit.Wiped})
+			y.World.Record(audit.Event{Kind: audit.Died, Sender: d.Sender, Cause: audit.Wiped})
 			os.RemoveAll(filepath.Join(filepath.Dir(y.senders[d.Sender].config), "state"))
 		}
 	case "retune sender":
@@ -335,7 +335,7 @@
 func (x *player) order(first int, c rollout.Command) {
 	go func() {
 		for i := range x.h.Agents {
-			if _, err := x.y.Order((first+i)%x.h.Agents, c); err == nil || strings.HasPrefix(err.Error(), agent.KindRefused) {
+			if _, err := x.y.Order((first+i)%x.h.Agents, c); err == nil || strings.HasPrefix(err.Error(), agent.KindRejected) {
 				return
 			}
 		}
--- a/internal/rig/fleet/poll.go
+++ b/internal/rig/fleet/poll.go
@@ -15,7 +15,7 @@
 // anything else. A sender that answers and says no is out by order: staff send nobody away by hand in a yard.
 // One that does not answer has crashed, hangs or was stopped.
 type Poll struct {
-	y      *Yard
+	y      *Cluster
 	cancel chan struct{}
 	once   sync.Once
 	wg     sync.WaitGroup
@@ -44,8 +44,8 @@
 	is     seen
 }
 
-// Breach is an instant at which one sender too many was out, and an order had taken the last one out.
-type Breach struct {
+// BudgetExceeded is an instant at which one sender too many was out, and an order had taken the last one out.
+type BudgetExceeded struct {
 	At   time.Duration
 	Text string
 }
@@ -55,7 +55,7 @@
 	quietSpan = 500 * time.Millisecond // a look without an answer
 )
 
-func newPoll(y *Yard) *Poll {
+func newPoll(y *Cluster) *Poll {
 	return &Poll{y: y, cancel: make(chan struct{}), now: make([]seen, y.Senders)}
 }
 
@@ -112,22 +112,22 @@
 		return
 	}
 	if l.is != quiet { // what it said last stands
-		p.y.Clients.SetAway(l.sender, l.is == away)
+		p.y.Clients.SetDraining(l.sender, l.is == away)
 	}
 	switch {
 	case l.is == quiet:
 		p.y.Clients.SetDown(l.sender, true)
-		p.y.World.Note(audit.Event{Kind: audit.Died, Sender: l.sender})
+		p.y.World.Record(audit.Event{Kind: audit.Died, Sender: l.sender})
 	case was == quiet:
 		p.y.Clients.SetDown(l.sender, false)
-		p.y.World.Note(audit.Event{Kind: audit.Ready, Sender: l.sender})
+		p.y.World.Record(audit.Event{Kind: audit.Ready, Sender: l.sender})
 	}
 }
 
 // did tells of a signal that the yard itself sent to a sender, for which nobody's order is to blame.
 func (p *Poll) did(sender int, s syscall.Signal) {
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		p.y.World.Note(audit.Event{Kind: audit.Died, Sender: sender})
+		p.y.World.Record(audit.Event{Kind: audit.Died, Sender: sender})
 	}
 }
 
@@ -138,8 +138,8 @@
 	return p.now[sender].String()
 }
 
-// Away counts the senders that say no now.
-func (p *Poll) Away() (n int) {
+// OutByOrder counts the senders that say no now.
+func (p *Poll) OutByOrder() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, is := range p.now {
@@ -164,7 +164,7 @@
 
 // judge goes through all that was seen. When a sender goes away by order, those that are away already count, and those
 // that have been quiet for longer than an order may rest on an old sight.
-func (p *Poll) judge() (over []Breach, orders, most int) {
+func (p *Poll) judge() (over []BudgetExceeded, orders, most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.y.Terms.Timing
@@ -200,7 +200,7 @@
 		most = max(most, ordered)
 		b := p.y.Terms.Budget
 		if out > b.Fleet || b.Building > 0 && buildings[p.y.Building(l.sender)] > b.Building {
-			over = append(over, Breach{l.at.Sub(begun), fmt.Sprintf("%s went away:%s", p.y.Names[l.sender], text)})
+			over = append(over, BudgetExceeded{l.at.Sub(begun), fmt.Sprintf("%s went away:%s", p.y.Names[l.sender], text)})
 		}
 	}
 	return over, orders, most
--- a/internal/rig/fleet/release.go
+++ b/internal/rig/fleet/release.go
@@ -14,24 +14,24 @@
 	"cleathold/internal/rollout"
 )
 
-// Measured is what a release over a fleet, and halts of drains, took.
-type Measured struct {
-	Senders, Agents int
-	Struck          bool          // agents are killed and links cut meanwhile
-	Begin           time.Duration // until all serve
-	Release         time.Duration // from the order to the end
-	Resumes         int           // times that staff had to have it go on
-	Back            time.Duration // until all run the old version again
-	HaltAll         time.Duration // from a halt to the last sender that goes out after it; 0: none did
-	HaltCut         time.Duration // the same with the leader cut off as it is ordered
-	Door            int           // hand-ins without an answer, or turned away, during the release
-	HandIns         int           // in that time
-	Served          float64
-	Breaks          int
-	Over            int
-	Before, During  float64     // part of the messages wanted that took effect: in 5 s before the release, and in it
-	Rest, Busy      Cost        // of an agent, in the mean: at rest, and during the release
-	Watched, Alone  SenderSpent // of a sender, in the mean, at rest: with its agent, and while all agents are stopped
+// Measurement is what a release over a fleet, and halts of drains, took.
+type Measurement struct {
+	Senders, Agents         int
+	WithFaults              bool          // agents are killed and links cut meanwhile
+	Begin                   time.Duration // until all serve
+	Release                 time.Duration // from the order to the end
+	Resumes                 int           // times that staff had to have it go on
+	RollBack                time.Duration // until all run the old version again
+	HaltAll                 time.Duration // from a halt to the last sender that goes out after it; 0: none did
+	HaltCut                 time.Duration // the same with the leader cut off as it is ordered
+	FailedSubmissions       int           // hand-ins without an answer, or turned away, during the release
+	Submissions             int           // in that time
+	Served                  float64
+	Violations              int
+	OverBudget              int
+	Before, During          float64     // part of the messages wanted that took effect: in 5 s before the release, and in it
+	AtRest, DuringRelease   Cost        // of an agent, in the mean: at rest, and during the release
+	WithAgent, WithoutAgent SenderSpent // of a sender, in the mean, at rest: with its agent, and while all agents are stopped
 }
 
 // SenderSpent is what a sender spends in a second, and holds.
@@ -59,7 +59,7 @@
 	mem   float64
 	bytes int64
 	calls int64
-	spent agent.Spent
+	spent agent.Traffic
 	n     int
 }
 
@@ -78,7 +78,7 @@
 }
 
 // senders is what senders spend for so long, in the mean.
-func (y *Yard) spending(span time.Duration) (s SenderSpent) {
+func (y *Cluster) spending(span time.Duration) (s SenderSpent) {
 	sum := func() (cpu, mem float64) {
 		for pid := range y.processes() {
 			c, m := spentBy(pid)
@@ -93,7 +93,7 @@
 	return SenderSpent{(after - before) / span.Seconds() / n, mem / n}
 }
 
-func (y *Yard) usage() (u usage) {
+func (y *Cluster) usage() (u usage) {
 	u.at = time.Now()
 	for i, a := range y.agents {
 		if a.cmd == nil {
@@ -103,8 +103,8 @@
 		u.cpu, u.mem = u.cpu+cpu, u.mem+mem
 		if v, err := y.View(i, true); err == nil && v.Quorum != nil {
 			u.bytes, u.calls = u.bytes+v.Quorum.Sent, u.calls+v.Quorum.Calls
-			u.spent.ToldBytes, u.spent.ToldCalls = u.spent.ToldBytes+v.Spent.ToldBytes, u.spent.ToldCalls+v.Spent.ToldCalls
-			u.spent.LookBytes, u.spent.Looks = u.spent.LookBytes+v.Spent.LookBytes, u.spent.Looks+v.Spent.Looks
+			u.spent.ReportedBytes, u.spent.Reports = u.spent.ReportedBytes+v.Traffic.ReportedBytes, u.spent.Reports+v.Traffic.Reports
+			u.spent.PolledBytes, u.spent.Polls = u.spent.PolledBytes+v.Traffic.PolledBytes, u.spent.Polls+v.Traffic.Polls
 		}
 		u.n++
 	}
@@ -116,14 +116,14 @@
 	n, s := float64(max(1, b.n)), b.at.Sub(a.at).Seconds()
 	each := func(a, b int64) float64 { return float64(b-a) / s / n }
 	return Cost{
-		(b.cpu - a.cpu) / s / n, b.mem / n, each(a.bytes, b.bytes), each(a.calls, b.calls), each(a.spent.ToldBytes, b.spent.ToldBytes),
-		each(a.spent.ToldCalls, b.spent.ToldCalls), each(a.spent.LookBytes, b.spent.LookBytes), each(a.spent.Looks, b.spent.Looks),
+		(b.cpu - a.cpu) / s / n, b.mem / n, each(a.bytes, b.bytes), each(a.calls, b.calls), each(a.spent.ReportedBytes, b.spent.ReportedBytes),
+		each(a.spent.Reports, b.spent.Reports), each(a.spent.PolledBytes, b.spent.PolledBytes), each(a.spent.Polls, b.spent.Polls),
 	}
 }
 
 // Measure plays a release over a whole fleet to its end and back, then two drains that are halted.
-func Measure(ctx context.Context, s Setup, strike bool) (Measured, error) {
-	m := Measured{Senders: s.Senders, Agents: s.Agents, Struck: strike}
+func Measure(ctx context.Context, s Setup, strike bool) (Measurement, error) {
+	m := Measurement{Senders: s.Senders, Agents: s.Agents, WithFaults: strike}
 	y, err := New(ctx, s)
 	if err != nil {
 		return m, err
@@ -142,22 +142,22 @@
 	for i := range y.agents {
 		y.SignalAgent(i, syscall.SIGSTOP)
 	}
-	m.Alone = y.spending(calm)
+	m.WithoutAgent = y.spending(calm)
 	for i := range y.agents {
 		y.SignalAgent(i, syscall.SIGCONT)
 	}
-	if err := y.Await(time.Minute, "all are seen again", func(v agent.View) bool { return len(v.State.Seen(v.Sights, time.Now())) == y.Senders }); err != nil {
+	if err := y.Await(time.Minute, "all are seen again", func(v agent.View) bool { return len(v.State.Seen(v.Observations, time.Now())) == y.Senders }); err != nil {
 		return m, err
 	}
 	before := y.usage()
 	wanted, came := y.served()
-	m.Watched = y.spending(calm)
+	m.WithAgent = y.spending(calm)
 	after := y.usage()
-	m.Rest = cost(before, after)
+	m.AtRest = cost(before, after)
 	wanted2, came2 := y.served()
 	m.Before = float64(came2-came) / float64(max(1, wanted2-wanted))
 	door := func() (ended, all int) {
-		for status, n := range y.Clients.Seen().Answers {
+		for status, n := range y.Clients.Stats().Answers {
 			if all += n; status != 202 && status != 200 {
 				ended += n
 			}
@@ -165,7 +165,7 @@
 		return ended, all
 	}
 	d0, n0 := door()
-	gate := rollout.Gate{Least: 30, Soak: time.Second, Wait: time.Minute}
+	gate := rollout.Gate{MinMessages: 30, Soak: time.Second, Wait: time.Minute}
 	id, err := y.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Release, To: rollout.Version{Name: "v2", Program: good}, Gate: gate}})
 	if err != nil {
 		return m, err
@@ -205,12 +205,12 @@
 	close(done)
 	<-struck
 	if !strike {
-		m.Busy = cost(after, y.usage())
+		m.DuringRelease = cost(after, y.usage())
 	}
 	d1, n1 := door()
 	wanted3, came3 := y.served()
 	m.During = float64(came3-came2) / float64(max(1, wanted3-wanted2))
-	m.Door, m.HandIns = d1-d0, n1-n0
+	m.FailedSubmissions, m.Submissions = d1-d0, n1-n0
 	if m.HaltAll, err = y.halted(false); err != nil {
 		return m, err
 	}
@@ -229,20 +229,20 @@
 		return m, err
 	}
 	began = time.Now()
-	if _, err := y.OrderAny(rollout.Command{Verb: rollout.GoBack, Plan: id}); err != nil {
+	if _, err := y.OrderAny(rollout.Command{Verb: rollout.RollBack, Plan: id}); err != nil {
 		return m, err
 	}
 	if _, err := y.AwaitPlan(5*time.Minute, id, rollout.Ended); err != nil {
 		return m, err
 	}
-	m.Back = time.Since(began)
+	m.RollBack = time.Since(began)
 	r := y.Finish()
-	m.Served, m.Breaks, m.Over = r.Service, len(r.Violations), len(r.Over)
+	m.Served, m.Violations, m.OverBudget = r.Service, len(r.Violations), len(r.OverBudget)
 	return m, nil
 }
 
 // torment strikes one agent after the other, never a majority of them at once, until it is enough.
-func (y *Yard) torment(done <-chan struct{}) {
+func (y *Cluster) torment(done <-chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-done:
@@ -260,7 +260,7 @@
 			wait(2 * time.Second)
 			y.StartAgent(k)
 		case 1:
-			y.Net.Part(names[k:k+1], names, fault.State{Silent: true})
+			y.Net.Partition(names[k:k+1], names, fault.State{Silent: true})
 			wait(2 * time.Second)
 			y.Net.Heal()
 		case 2:
@@ -273,7 +273,7 @@
 
 // halted drains the whole fleet, a few at a time, and halts it in the middle: how long after the halt was ordered the last
 // sender went out. With the leader cut off the halt goes to another agent, as soon as one leads.
-func (y *Yard) halted(cut bool) (time.Duration, error) {
+func (y *Cluster) halted(cut bool) (time.Duration, error) {
 	id, err := y.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{y.Names}, Hold: 300 * time.Millisecond}})
 	if err != nil {
 		return 0, err
@@ -293,7 +293,7 @@
 	}
 	first := y.Leader()
 	if cut && first >= 0 {
-		y.Net.Part(y.AgentNames()[first:first+1], y.AgentNames(), fault.State{Silent: true})
+		y.Net.Partition(y.AgentNames()[first:first+1], y.AgentNames(), fault.State{Silent: true})
 		defer y.Net.Heal()
 	}
 	ordered := time.Now()
--- a/internal/rig/fleet/yard.go
+++ b/internal/rig/fleet/yard.go
@@ -48,12 +48,12 @@
 	Log     *slog.Logger
 }
 
-// Yard is a fleet that runs.
-type Yard struct {
+// Cluster is a fleet that runs.
+type Cluster struct {
 	Setup
 	Net     *fault.Net
 	blocks  []*fault.Block
-	World   *rig.World
+	World   *rig.Environment
 	plan    *scenario.Plan
 	Clients *rig.Clients
 	Poll    *Poll
@@ -100,20 +100,20 @@
 `
 
 // Building is where a sender stands.
-func (y *Yard) Building(i int) string {
+func (y *Cluster) Building(i int) string {
 	zones := y.plan.Scenario.Zones
 	return zones[i%len(zones)]
 }
 
 // New prepares a yard: folders, links, partners. Nothing of the program runs yet.
-func New(ctx context.Context, s Setup) (*Yard, error) {
+func New(ctx context.Context, s Setup) (*Cluster, error) {
 	if s.Length == 0 {
 		s.Length = 10 * time.Minute // Finish ends the traffic
 	}
 	if s.Log == nil {
 		s.Log = slog.New(slog.DiscardHandler)
 	}
-	y := &Yard{Setup: s, Net: fault.New(s.Seed), calls: map[string]time.Time{}}
+	y := &Cluster{Setup: s, Net: fault.New(s.Seed), calls: map[string]time.Time{}}
 	y.ctx, y.end = context.WithCancel(ctx)
 	err := y.prepare()
 	if err != nil {
@@ -123,7 +123,7 @@
 	return y, nil
 }
 
-func (y *Yard) prepare() (err error) {
+func (y *Cluster) prepare() (err error) {
 	for range 1 + y.Senders/hostsMost {
 		b, err := fault.NewBlock()
 		if err != nil {
@@ -140,14 +140,14 @@
 		plan = sc.Plan(y.Seed)
 	}
 	y.plan = plan
-	if y.World, err = rig.NewWorld(y.ctx, plan, y.Log, y.see); err != nil {
+	if y.World, err = rig.NewEnvironment(y.ctx, plan, y.Log, y.see); err != nil {
 		return err
 	}
-	y.World.Link(y.Net)
-	if err = y.World.Doors(); err != nil {
+	y.World.UseLinks(y.Net)
+	if err = y.World.OpenEndpoints(); err != nil {
 		return err
 	}
-	platform, err := y.World.Platform()
+	platform, err := y.World.OpenPlatform()
 	if err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 				return err
 			}
 		}
-		at := rig.Place{Listen: x.listen, Discovery: discovery, State: state, MemoryMB: 192, PeerListen: listens[i], PeersAll: ways.All(i), Peers: ways.Peers()}
+		at := rig.ProcessSpec{Listen: x.listen, Discovery: discovery, State: state, MemoryMB: 192, PeerListen: listens[i], PeersAll: ways.All(i), Peers: ways.Peers()}
 		if err := rig.Configure(x.config, plan, i, at); err != nil {
 			return err
 		}
@@ -191,7 +191,7 @@
 }
 
 // see notes what partners see.
-func (y *Yard) see(e audit.Event) error {
+func (y *Cluster) see(e audit.Event) error {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	switch {
@@ -206,21 +206,21 @@
 }
 
 // served counts messages that clients wanted, and those that took effect.
-func (y *Yard) served() (wanted, came int) {
+func (y *Cluster) served() (wanted, came int) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return y.wanted, y.came
 }
 
 // LastCall is when an endpoint saw a call last.
-func (y *Yard) LastCall(endpoint string) time.Time {
+func (y *Cluster) LastCall(endpoint string) time.Time {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return y.calls[endpoint]
 }
 
 // prepareAgents writes their scripts and founds their folders. Each reaches each other one by a link of its own.
-func (y *Yard) prepareAgents() error {
+func (y *Cluster) prepareAgents() error {
 	for i := range y.Agents {
 		name := fmt.Sprint("a", i)
 		folder := filepath.Join(y.Folder, name)
@@ -277,20 +277,20 @@
 }
 
 // command is one of the program. Its folder for temporary files is the yard's own: desks stand there.
-func (y *Yard) command(args ...string) *exec.Cmd {
+func (y *Cluster) command(args ...string) *exec.Cmd {
 	c := exec.Command(y.Program, args...)
 	c.Env = append(append(os.Environ(), y.Env...), "TMPDIR="+y.temp())
 	return c
 }
 
-func (y *Yard) temp() string {
+func (y *Cluster) temp() string {
 	dir := filepath.Join(os.TempDir(), fmt.Sprintf("cy-%d-%s", os.Getpid(), y.blocks[0].Host(0)))
 	os.MkdirAll(dir, 0o700)
 	return dir
 }
 
-// Tool runs the program as staff do, with the addresses of agents; none named: all of them.
-func (y *Yard) Tool(agents []int, args ...string) (string, int) {
+// RunCommand runs the program as staff do, with the addresses of agents; none named: all of them.
+func (y *Cluster) RunCommand(agents []int, args ...string) (string, int) {
 	if agents == nil {
 		for i := range y.agents {
 			agents = append(agents, i)
@@ -315,7 +315,7 @@
 }
 
 // StartAgent starts one that does not run.
-func (y *Yard) StartAgent(i int) error {
+func (y *Cluster) StartAgent(i int) error {
 	a := y.agents[i]
 	log, err := os.OpenFile(filepath.Join(filepath.Dir(a.script), "log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
@@ -334,7 +334,7 @@
 }
 
 // SignalAgent sends a signal to an agent. One that is killed is waited for.
-func (y *Yard) SignalAgent(i int, s syscall.Signal) {
+func (y *Cluster) SignalAgent(i int, s syscall.Signal) {
 	a := y.agents[i]
 	if a.cmd == nil {
 		return
@@ -347,7 +347,7 @@
 }
 
 // AgentPid is the process of an agent; 0: none runs.
-func (y *Yard) AgentPid(i int) int {
+func (y *Cluster) AgentPid(i int) int {
 	a := y.agents[i]
 	if a.cmd == nil {
 		return 0
@@ -361,10 +361,10 @@
 }
 
 // WipeAgent loses the folder of an agent that does not run.
-func (y *Yard) WipeAgent(i int) error { return os.RemoveAll(y.agents[i].folder) }
+func (y *Cluster) WipeAgent(i int) error { return os.RemoveAll(y.agents[i].folder) }
 
 // AgentNames are the agents, for links.
-func (y *Yard) AgentNames() (list []string) {
+func (y *Cluster) AgentNames() (list []string) {
 	for _, a := range y.agents {
 		list = append(list, a.name)
 	}
@@ -372,17 +372,17 @@
 }
 
 // View is how one agent sees the fleet: by its own means alone, or by way of the leader.
-func (y *Yard) View(i int, own bool) (agent.View, error) {
+func (y *Cluster) View(i int, own bool) (agent.View, error) {
 	ctx, cancel := context.WithDeadline(y.ctx, time.Now().Add(3*time.Second))
 	defer cancel()
 	if own {
-		return agent.LookOwn(ctx, y.agents[i].addr)
+		return agent.FetchOwnView(ctx, y.agents[i].addr)
 	}
-	return agent.Look(ctx, y.agents[i].addr)
+	return agent.FetchView(ctx, y.agents[i].addr)
 }
 
 // Leader is the number of the agent that leads, by the word of most; -1 while there is none.
-func (y *Yard) Leader() int {
+func (y *Cluster) Leader() int {
 	terms := map[int]uint64{}
 	for i, a := range y.agents {
 		if a.cmd == nil {
@@ -402,7 +402,7 @@
 }
 
 // Begin starts all agents, waits until all senders are known to serve, and lets the clients come.
-func (y *Yard) Begin() error {
+func (y *Cluster) Begin() error {
 	for i := range y.agents {
 		if err := y.StartAgent(i); err != nil {
 			return err
@@ -411,7 +411,7 @@
 	err := y.Await(60*time.Second, "all senders serve", func(v agent.View) bool {
 		seen := 0
 		for _, name := range y.Names {
-			if s := v.Sights[name]; s.Serving && v.State.Members[name] != nil {
+			if s := v.Observations[name]; s.Serving && v.State.Members[name] != nil {
 				seen++
 			}
 		}
@@ -429,7 +429,7 @@
 }
 
 // Await looks at the fleet by way of any agent until it is as wanted.
-func (y *Yard) Await(span time.Duration, what string, so func(v agent.View) bool) error {
+func (y *Cluster) Await(span time.Duration, what string, so func(v agent.View) bool) error {
 	var last agent.View
 	for until := time.Now().Add(span); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		for i := range y.agents {
@@ -453,7 +453,7 @@
 }
 
 // AwaitPlan waits until a plan is in one of some phases, and returns it.
-func (y *Yard) AwaitPlan(span time.Duration, id uint64, phases ...rollout.Phase) (p *rollout.Plan, err error) {
+func (y *Cluster) AwaitPlan(span time.Duration, id uint64, phases ...rollout.Phase) (p *rollout.Plan, err error) {
 	err = y.Await(span, fmt.Sprintf("plan %d is %v", id, phases), func(v agent.View) bool {
 		p = v.State.Plan(id)
 		return p != nil && slices.Contains(phases, p.Phase)
@@ -462,7 +462,7 @@
 }
 
 // Order has something done by way of an agent; a refusal is an error.
-func (y *Yard) Order(i int, c rollout.Command) (uint64, error) {
+func (y *Cluster) Order(i int, c rollout.Command) (uint64, error) {
 	r, err := y.order(i, c)
 	if err == nil && r.Text != "" {
 		err = fmt.Errorf("%s: %s", r.Kind, r.Text)
@@ -470,7 +470,7 @@
 	return r.Index, err
 }
 
-func (y *Yard) order(i int, c rollout.Command) (agent.Result, error) {
+func (y *Cluster) order(i int, c rollout.Command) (agent.Result, error) {
 	ctx, cancel := context.WithDeadline(y.ctx, time.Now().Add(20*time.Second))
 	defer cancel()
 	if c.By == "" {
@@ -479,12 +479,12 @@
 	if c.Reason == "" {
 		c.Reason = "a test"
 	}
-	return agent.Order(ctx, y.agents[i].addr, agent.Call{Command: c})
+	return agent.SendCommand(ctx, y.agents[i].addr, agent.Call{Command: c})
 }
 
 // OrderAny asks one agent after the other, as staff's tool does, for as long as nobody takes the order: one that was killed may not
 // listen again yet, and no agent may lead. An order that may have been taken is not given twice.
-func (y *Yard) OrderAny(c rollout.Command) (uint64, error) {
+func (y *Cluster) OrderAny(c rollout.Command) (uint64, error) {
 	var r agent.Result
 	var err error
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
@@ -504,7 +504,7 @@
 }
 
 // Pid is that of the process which serves for a sender; 0: nobody answers.
-func (y *Yard) Pid(i int) int {
+func (y *Cluster) Pid(i int) int {
 	for _, addr := range y.senders[i].admin {
 		c := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 		r, err := c.Get("http://" + addr + "/v1/sender/status")
@@ -525,13 +525,13 @@
 }
 
 // Admin are the second addresses of a sender.
-func (y *Yard) Admin(i int) []string { return y.senders[i].admin[:] }
+func (y *Cluster) Admin(i int) []string { return y.senders[i].admin[:] }
 
 // Config is its configuration file.
-func (y *Yard) Config(i int) string { return y.senders[i].config }
+func (y *Cluster) Config(i int) string { return y.senders[i].config }
 
 // LastPid is that of a process of a sender which may not answer; 0: none is there.
-func (y *Yard) LastPid(i int) int {
+func (y *Cluster) LastPid(i int) int {
 	for pid, config := range y.processes() {
 		if config == y.senders[i].config {
 			return pid
@@ -541,7 +541,7 @@
 }
 
 // Replace ends a sender's process and starts another in its place, as somebody would who does not know of its agent.
-func (y *Yard) Replace(i int) error {
+func (y *Cluster) Replace(i int) error {
 	pid := y.LastPid(i)
 	env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
@@ -560,7 +560,7 @@
 }
 
 // SignalSender sends a signal to the process that serves for a sender.
-func (y *Yard) SignalSender(i int, s syscall.Signal) bool {
+func (y *Cluster) SignalSender(i int, s syscall.Signal) bool {
 	pid := y.Pid(i)
 	if pid > 0 {
 		y.Poll.did(i, s)
@@ -572,28 +572,28 @@
 // Report is what a yard showed in the end.
 type Report struct {
 	lab.Result
-	Over    []Breach // instants at which an order took one out too many
-	Clients rig.Seen
-	Orders  int // times that a sender went out by order, as seen from outside
-	Most    int // senders out by order at once
+	OverBudget []BudgetExceeded // instants at which an order took one out too many
+	Clients    rig.ClientStats
+	Orders     int // times that a sender went out by order, as seen from outside
+	MaxOut     int // senders out by order at once
 }
 
 // Finish ends the traffic, waits for what is owed, and judges.
-func (y *Yard) Finish() Report {
-	y.Clients.Enough()
+func (y *Cluster) Finish() Report {
+	y.Clients.Stop()
 	y.handing.Wait()
 	for until := time.Now().Add(40 * time.Second); time.Now().Before(until) && (y.World.Open() > 0 || !y.Clients.Idle()); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	y.Poll.stop()
-	r := Report{Clients: y.Clients.Seen()}
-	r.Over, r.Orders, r.Most = y.Poll.judge()
+	r := Report{Clients: y.Clients.Stats()}
+	r.OverBudget, r.Orders, r.MaxOut = y.Poll.judge()
 	r.Result = y.World.Close()
 	return r
 }
 
 // Close ends all processes of the yard.
-func (y *Yard) Close() {
+func (y *Cluster) Close() {
 	y.Poll.stop()
 	for i := range y.agents {
 		y.SignalAgent(i, syscall.SIGCONT)
@@ -621,7 +621,7 @@
 }
 
 // processes are the configurations of the yard's senders by their pids, as their environment says.
-func (y *Yard) processes() map[int]string {
+func (y *Cluster) processes() map[int]string {
 	pids := map[int]string{}
 	dirs, _ := filepath.Glob("/proc/[0-9]*")
 	for _, d := range dirs {
@@ -641,7 +641,7 @@
 }
 
 // Logs copies the end of each log, for a failure's report.
-func (y *Yard) Logs(out io.Writer) {
+func (y *Cluster) Logs(out io.Writer) {
 	for _, pattern := range []string{"a*/log", "a*/state/*.log"} {
 		files, _ := filepath.Glob(filepath.Join(y.Folder, pattern))
 		for _, f := range files {
--- a/internal/rig/platform.go
+++ b/internal/rig/platform.go
@@ -22,9 +22,9 @@
 	watchMost   = time.Minute
 )
 
-// Platform opens an address of discovery for each sender, by which it is known who
+// OpenPlatform opens an address of discovery for each sender, by which it is known who
 // asks, and returns them. Notices go there, too.
-func (w *World) Platform() ([]string, error) {
+func (w *Environment) OpenPlatform() ([]string, error) {
 	var list []string
 	for i := range w.plan.Scenario.Senders {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -50,7 +50,7 @@
 }
 
 // members answers with the list, or with what changes in it.
-func (w *World) members(sender int, out http.ResponseWriter, r *http.Request) {
+func (w *Environment) members(sender int, out http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, wait, watch := int64(0), time.Duration(0), query.Has("since")
 	if watch {
@@ -143,7 +143,7 @@
 }
 
 // list writes lines as PROTOCOL has it, and notes what is told; under the lock.
-func (w *World) list(sender int, lines []lab.ListedEndpoint, version int64, whole bool) []byte {
+func (w *Environment) list(sender int, lines []lab.ListedEndpoint, version int64, whole bool) []byte {
 	type server struct {
 		ID      string  `json:"id"`
 		Addr    string  `json:"addr"`
@@ -174,7 +174,7 @@
 }
 
 // status takes notices, also while discovery is down.
-func (w *World) status(sender int, out http.ResponseWriter, r *http.Request) {
+func (w *Environment) status(sender int, out http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, noticesMost))
 	if err != nil || !gjson.ValidBytes(body) && !linesValid(body) {
 		http.Error(out, "notices unreadable", http.StatusBadRequest)
@@ -183,7 +183,7 @@
 	gjson.ForEachLine(string(body), func(line gjson.Result) bool {
 		id, deferred := line.Get("id").String(), line.Get("status").String() == "deferred"
 		again := time.Duration(line.Get("again_ms").Float() * float64(time.Millisecond))
-		w.Note(audit.Event{Kind: audit.Notice, Sender: sender, Message: id, Deferred: deferred, RetryAfter: again})
+		w.Record(audit.Event{Kind: audit.Notice, Sender: sender, Message: id, Deferred: deferred, RetryAfter: again})
 		w.heard(id, deferred, again)
 		return true
 	})
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -42,7 +42,7 @@
 	hold     int    // the socket that keeps the port
 	settings string // a script of our own; may be empty
 	plan     *scenario.Plan
-	place    Place
+	place    ProcessSpec
 	wrap     func(sender int, program string) []string // nil: none
 
 	mu    sync.Mutex
@@ -52,7 +52,7 @@
 }
 
 // NewProcess prepares a sender's folder. Where it listens and what it may have is chosen here. Nothing runs yet.
-func NewProcess(s Setup, num int, dir string, at Place) (*Process, error) {
+func NewProcess(s Setup, num int, dir string, at ProcessSpec) (*Process, error) {
 	if at.MemoryMB = s.MemoryMB; at.MemoryMB <= 0 {
 		at.MemoryMB = usualMB
 	}
@@ -76,8 +76,8 @@
 	return x, nil
 }
 
-// A Place is where a sender runs, and what it has there. Without a PeerListen it exchanges no notes.
-type Place struct {
+// A ProcessSpec is where a sender runs, and what it has there. Without a PeerListen it exchanges no notes.
+type ProcessSpec struct {
 	Listen, Discovery, State string
 	MemoryMB                 float64
 	Sockets                  int // descriptors; 0 = 1,024
@@ -87,7 +87,7 @@
 }
 
 // Configure writes the configuration of a plan's sender.
-func Configure(path string, p *scenario.Plan, num int, at Place) error {
+func Configure(path string, p *scenario.Plan, num int, at ProcessSpec) error {
 	if at.Sockets <= 0 {
 		at.Sockets = usualSockets
 	}
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -27,7 +27,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // aWorld is one with doors and a clock that runs.
-func aWorld(t *testing.T, more string) (*World, *scenario.Plan) {
+func aWorld(t *testing.T, more string) (*Environment, *scenario.Plan) {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/building-refuses.star")
 	if err != nil {
@@ -39,11 +39,11 @@
 		t.Fatal(err)
 	}
 	p := s.Plan(1)
-	w, err := NewWorld(t.Context(), p, slog.New(slog.DiscardHandler), nil)
+	w, err := NewEnvironment(t.Context(), p, slog.New(slog.DiscardHandler), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Doors(); err != nil {
+	if err := w.OpenEndpoints(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { w.Close() })
@@ -88,16 +88,16 @@
 }
 
 // with does something under the world's lock.
-func (w *World) with(do func()) {
+func (w *Environment) with(do func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	do()
 }
 
 // handIn enters a message that a client handed in to sender 0.
-func handIn(w *World, id string, dest int) {
+func handIn(w *Environment, id string, dest int) {
 	w.hand(audit.Event{Kind: audit.Submitted, Message: id, Dest: dest, TimeLeft: 8 * time.Second})
-	w.Note(audit.Event{Kind: audit.Accepted, Message: id})
+	w.Record(audit.Event{Kind: audit.Accepted, Message: id})
 }
 
 func TestDoor(t *testing.T) {
@@ -198,7 +198,7 @@
 // late, an address taken over by a new id, and a time in which nobody answers.
 func TestPlatform(t *testing.T) {
 	w, p := aWorld(t, "discovery_out(at = 10000, seconds = 1)\n")
-	addresses, err := w.Platform()
+	addresses, err := w.OpenPlatform()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -304,8 +304,8 @@
 		<-asked
 	}
 	close(stall)
-	wait(t, "answers", func() bool { return c.Seen().Answers[202]+c.Seen().Answers[0] >= 5 })
-	if s := c.Seen(); s.Door.Max < 5 {
+	wait(t, "answers", func() bool { return c.Stats().Answers[202]+c.Stats().Answers[0] >= 5 })
+	if s := c.Stats(); s.ResponseTime.Max < 5 {
 		t.Errorf("the wait does not show: %+v", s)
 	}
 }
@@ -334,7 +334,7 @@
 		}
 	}
 	cancel()
-	if r := <-done; len(r.Violations) > 0 || len(r.Marks) == 0 {
+	if r := <-done; len(r.Violations) > 0 || len(r.Warnings) == 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -426,7 +426,7 @@
 func TestWayToDiscovery(t *testing.T) {
 	w, _ := aWorld(t, `link(at = 0, seconds = 1, of = "n0", to = "discovery", what = "SILENT")`+"\n")
 	wait(t, "the fault", func() (off bool) { w.with(func() { off = w.cutOff[0] }); return off })
-	list, err := w.Platform()
+	list, err := w.OpenPlatform()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/run.go
+++ b/internal/rig/run.go
@@ -40,17 +40,17 @@
 // Result is what a run on sockets showed.
 type Result struct {
 	lab.Result
-	Rig     Lag      `json:"rig_lag"` // of the partners' answers, against the model
-	Clients Seen     `json:"clients"`
-	Crashes int      `json:"crashes"`
-	PeakMB  float64  `json:"peak_mb"`         // the most memory that a sender had which ran to the end
-	Marks   []string `json:"marks,omitempty"` // why the run is to be read with care
+	Rig      Lag         `json:"rig_lag"` // of the partners' answers, against the model
+	Clients  ClientStats `json:"clients"`
+	Crashes  int         `json:"crashes"`
+	PeakMB   float64     `json:"peak_mb"`         // the most memory that a sender had which ran to the end
+	Warnings []string    `json:"marks,omitempty"` // why the run is to be read with care
 }
 
 // A stage is a run under way.
 type stage struct {
 	Setup
-	world     *World
+	world     *Environment
 	clients   *Clients
 	addresses []string // of the senders, as clients reach them
 	processes []*Process
@@ -68,7 +68,7 @@
 // Run plays a plan on sockets, to its end or until the context ends. No process is
 // left behind in any case.
 func Run(ctx context.Context, s Setup) (Result, error) {
-	w, err := NewWorld(ctx, s.Plan, s.Log, s.Sink)
+	w, err := NewEnvironment(ctx, s.Plan, s.Log, s.Sink)
 	if err != nil {
 		return Result{}, err
 	}
@@ -85,9 +85,9 @@
 	}
 	g.stop(orderly)
 	cause := context.Cause(w.ctx)
-	seen := Seen{}
+	seen := ClientStats{}
 	if g.clients != nil {
-		seen = g.clients.Seen()
+		seen = g.clients.Stats()
 		defer g.clients.Close()
 	}
 	r := Result{Result: w.Close(), Rig: lagOf(w.lag), Clients: seen, Crashes: g.crashes, PeakMB: peak}
@@ -106,21 +106,21 @@
 func (r *Result) mark() {
 	add := func(on bool, format string, args ...any) {
 		if on {
-			r.Marks = append(r.Marks, fmt.Sprintf(format, args...))
+			r.Warnings = append(r.Warnings, fmt.Sprintf(format, args...))
 		}
 	}
 	add(r.Rig.P99 > lagMost, "the rig's partners were late themselves: %.1f ms at the 99th percentile, %.1f at most", r.Rig.P99, r.Rig.Max)
 	add(r.Clients.Lag.P99 > lagMost, "the rig's clients were late themselves: %.1f ms at the 99th percentile, %.1f at most", r.Clients.Lag.P99, r.Clients.Lag.Max)
-	add(r.Clients.LeftOut > 0, "%d hand-ins were left out: too many were under way", r.Clients.LeftOut)
+	add(r.Clients.Skipped > 0, "%d hand-ins were left out: too many were under way", r.Clients.Skipped)
 	add(r.Crashes > 0, "senders ended %d times without being told to", r.Crashes)
 }
 
 // begin opens the world and starts the senders.
 func (g *stage) begin() error {
-	if err := g.world.Doors(); err != nil {
+	if err := g.world.OpenEndpoints(); err != nil {
 		return err
 	}
-	platform, err := g.world.Platform()
+	platform, err := g.world.OpenPlatform()
 	if err != nil {
 		return err
 	}
@@ -164,10 +164,10 @@
 
 // places chooses where senders have their other addresses, and how they reach one another and discovery. What the plan
 // lets fail passes through links; what it does not goes straight.
-func (g *stage) places(platform []string) ([]Place, error) {
+func (g *stage) places(platform []string) ([]ProcessSpec, error) {
 	n := g.Plan.Scenario.Senders
 	g.net = fault.New(g.Plan.Seed)
-	g.world.Link(g.net)
+	g.world.UseLinks(g.net)
 	for range 1 + (n-1)/hostsMost {
 		b, err := fault.NewBlock()
 		if err != nil {
@@ -175,11 +175,11 @@
 		}
 		g.blocks = append(g.blocks, b)
 	}
-	places := make([]Place, n)
+	places := make([]ProcessSpec, n)
 	var names, listens []string
 	for i := range places {
 		host := g.blocks[i/hostsMost].Host(2 + i%hostsMost)
-		places[i] = Place{Discovery: platform[i], Admin: host + ":9001"}
+		places[i] = ProcessSpec{Discovery: platform[i], Admin: host + ":9001"}
 		if len(g.Plan.Links) > 0 {
 			var err error
 			if places[i].Discovery, err = g.net.TCP(scenario.Sender(i), scenario.Discovery, "127.0.0.1", platform[i]); err != nil {
@@ -296,7 +296,7 @@
 			}
 			told = true
 		case <-x.Ended():
-			w.Note(audit.Event{Kind: audit.Died, Sender: num})
+			w.Record(audit.Event{Kind: audit.Died, Sender: num})
 			g.clients.SetDown(num, true)
 		}
 		g.mu.Lock()
@@ -308,7 +308,7 @@
 		if !w.sleep(restartSpan) {
 			return
 		}
-		g.clients.SetAway(num, false) // what is ordered by hand ends with the process
+		g.clients.SetDraining(num, false) // what is ordered by hand ends with the process
 		if err := x.Start(); err != nil {
 			w.end(err)
 			return
@@ -319,7 +319,7 @@
 			}
 			return
 		}
-		w.Note(audit.Event{Kind: audit.Ready, Sender: num})
+		w.Record(audit.Event{Kind: audit.Ready, Sender: num})
 		g.clients.SetDown(num, false)
 	}
 }
@@ -328,7 +328,7 @@
 func (g *stage) strike(x *Process, d scenario.PlannedAction) (ended bool) {
 	w := g.world
 	died := func(cause string) {
-		w.Note(audit.Event{Kind: audit.Died, Sender: x.num, Cause: cause})
+		w.Record(audit.Event{Kind: audit.Died, Sender: x.num, Cause: cause})
 		g.clients.SetDown(x.num, true)
 	}
 	// later does something at the deed's end, unless the process has ended by then.
@@ -353,7 +353,7 @@
 			w.log.Warn("an order of the plan is not taken", "sender", x.num, "order", verb, "err", err)
 			return
 		}
-		g.clients.SetAway(x.num, away)
+		g.clients.SetDraining(x.num, away)
 	}
 	switch d.What {
 	case "hup":
@@ -382,7 +382,7 @@
 		x.Signal(syscall.SIGSTOP)
 		later(func() {
 			x.Signal(syscall.SIGCONT)
-			w.Note(audit.Event{Kind: audit.Ready, Sender: x.num})
+			w.Record(audit.Event{Kind: audit.Ready, Sender: x.num})
 			g.clients.SetDown(x.num, false)
 		})
 	case "drain":
@@ -426,19 +426,19 @@
 // writes a configuration for each sender, and stays until the context ends. The
 // plan's clock starts at once.
 func Serve(ctx context.Context, s Setup, out io.Writer) (Result, error) {
-	w, err := NewWorld(ctx, s.Plan, s.Log, s.Sink)
+	w, err := NewEnvironment(ctx, s.Plan, s.Log, s.Sink)
 	if err != nil {
 		return Result{}, err
 	}
-	err = w.Doors()
+	err = w.OpenEndpoints()
 	var platform []string
 	if err == nil {
-		platform, err = w.Platform()
+		platform, err = w.OpenPlatform()
 	}
 	for i := 0; err == nil && i < s.Plan.Scenario.Senders; i++ {
 		var x *Process
 		dir := filepath.Join(s.Folder, fmt.Sprint("n", i))
-		if x, err = NewProcess(s, i, dir, Place{Discovery: platform[i]}); err == nil {
+		if x, err = NewProcess(s, i, dir, ProcessSpec{Discovery: platform[i]}); err == nil {
 			defer x.Release()
 			fmt.Fprintf(out, "sender %d: listens on %s, discovery %s, start it by: LB_CONFIG=%s cleathold serve\n", i, x.addr, platform[i], x.config())
 		}
@@ -454,19 +454,19 @@
 	r.mark()
 	// Who handed in what is not seen here, and most of the rules rest on it.
 	r.Violations = nil
-	r.Marks = append(r.Marks, "service and rules are not judged: what clients elsewhere hand in is not seen here")
+	r.Warnings = append(r.Warnings, "service and rules are not judged: what clients elsewhere hand in is not seen here")
 	return r, err
 }
 
 // Load hands a plan's arrivals in to senders that run elsewhere, and judges nothing
 // but the clients' side.
-func Load(ctx context.Context, p *scenario.Plan, addresses []string, log *slog.Logger, progress io.Writer) (Seen, error) {
+func Load(ctx context.Context, p *scenario.Plan, addresses []string, log *slog.Logger, progress io.Writer) (ClientStats, error) {
 	if len(addresses) == 0 {
-		return Seen{}, errors.New("load: no address to hand in to")
+		return ClientStats{}, errors.New("load: no address to hand in to")
 	}
-	w, err := NewWorld(ctx, p, log, nil)
+	w, err := NewEnvironment(ctx, p, log, nil)
 	if err != nil {
-		return Seen{}, err
+		return ClientStats{}, err
 	}
 	c := w.NewClients(addresses)
 	defer c.Close()
@@ -490,7 +490,7 @@
 	if errors.Is(cause, context.Canceled) {
 		cause = errors.New("broken off")
 	}
-	return c.Seen(), cause
+	return c.Stats(), cause
 }
 
 func (c *Clients) count() int {
--- a/internal/rig/sink.go
+++ b/internal/rig/sink.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Sink takes on whatever is handed in, at once, until the context ends: what the
+// StartSink takes on whatever is handed in, at once, until the context ends: what the
 // load tool itself can do is measured against it.
-func Sink(ctx context.Context) (addr string, err error) {
+func StartSink(ctx context.Context) (addr string, err error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("rig: sink: %w", err)
--- a/internal/rig/world.go
+++ b/internal/rig/world.go
@@ -28,9 +28,9 @@
 // rememberSpan is how long an id is known after it was handed in.
 const rememberSpan = 3 * time.Minute
 
-// A World is all that is outside the senders. Everything in it is touched under its
+// A Environment is all that is outside the senders. Everything in it is touched under its
 // lock; its clock stands at 0 until it begins.
-type World struct {
+type Environment struct {
 	plan *scenario.Plan
 	log  *slog.Logger
 	ctx  context.Context
@@ -88,10 +88,10 @@
 	return Lag{h.TotalCount(), ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(99)), ms(h.Max())}
 }
 
-// NewWorld makes the world of a plan. Events go to the sink too, if there is one.
+// NewEnvironment makes the world of a plan. Events go to the sink too, if there is one.
 // What goes wrong in it ends its context, with the cause.
-func NewWorld(ctx context.Context, p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*World, error) {
-	w := &World{
+func NewEnvironment(ctx context.Context, p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*Environment, error) {
+	w := &Environment{
 		plan: p, log: log, tally: lab.NewServiceMeter(p.Scenario), sink: sink, answers: map[uint64]chan partner.Answer{}, handed: map[string]handed{},
 		bell: make(chan struct{}), turn: make(chan struct{}), cutOff: make([]bool, p.Scenario.Senders), wake: make(chan struct{}, 1), lag: newLag(),
 		chance: rand.New(rand.NewPCG(p.Seed, 96)), heard: func(string, bool, time.Duration) {}, served: func([]string) {},
@@ -109,7 +109,7 @@
 }
 
 // now is the time on the plan's clock.
-func (w *World) now() time.Duration {
+func (w *Environment) now() time.Duration {
 	if w.begun.IsZero() {
 		return 0
 	}
@@ -117,7 +117,7 @@
 }
 
 // note gives an event to all that read them; under the lock.
-func (w *World) note(e audit.Event) {
+func (w *Environment) note(e audit.Event) {
 	w.last = max(w.last, w.now())
 	e.At = w.last
 	err := w.auditor.Read(e)
@@ -132,15 +132,15 @@
 	}
 }
 
-// Note is note for those that do not hold the lock.
-func (w *World) Note(e audit.Event) {
+// Record is note for those that do not hold the lock.
+func (w *Environment) Record(e audit.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.note(e)
 }
 
 // Begin starts the clock, and what goes by it.
-func (w *World) Begin() {
+func (w *Environment) Begin() {
 	w.mu.Lock()
 	w.begun = time.Now()
 	if w.net != nil {
@@ -159,7 +159,7 @@
 }
 
 // at waits until a time on the plan's clock; false at the end of the world.
-func (w *World) at(when time.Duration) bool {
+func (w *Environment) at(when time.Duration) bool {
 	timer := time.NewTimer(time.Until(w.begun.Add(when)))
 	defer timer.Stop()
 	select {
@@ -171,7 +171,7 @@
 }
 
 // sleep passes a span of time; false at the end of the world.
-func (w *World) sleep(d time.Duration) bool {
+func (w *Environment) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -183,7 +183,7 @@
 }
 
 // pump lets the model come up to the time, whenever something happens in it.
-func (w *World) pump() {
+func (w *Environment) pump() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -208,7 +208,7 @@
 
 // settle hands on what came of a step, and has the pump look at what comes next;
 // under the lock.
-func (w *World) settle() {
+func (w *Environment) settle() {
 	w.deliver()
 	select {
 	case w.wake <- struct{}{}:
@@ -218,7 +218,7 @@
 
 // deliver hands the model's answers on, and measures how late they are; under the
 // lock.
-func (w *World) deliver() {
+func (w *Environment) deliver() {
 	falls := w.ground.Overloads()
 	for _, a := range w.ground.Collect() {
 		record(w.lag, w.now()-a.At)
@@ -233,7 +233,7 @@
 }
 
 // script does what the plan says to the endpoints, and to discovery.
-func (w *World) script() {
+func (w *Environment) script() {
 	var acts timeline.Queue[func()]
 	w.mu.Lock()
 	for i, c := range w.plan.Changes {
@@ -259,16 +259,18 @@
 }
 
 // ring tells all who wait for news to look again; under the lock.
-func (w *World) ring() {
+func (w *Environment) ring() {
 	close(w.bell)
 	w.bell = make(chan struct{})
 }
 
 // way is what ails the way between two parties now; under the lock.
-func (w *World) way(from, to string) scenario.LinkState { return w.plan.LinkState(w.now(), from, to) }
+func (w *Environment) way(from, to string) scenario.LinkState {
+	return w.plan.LinkState(w.now(), from, to)
+}
 
 // turned: ways have changed; under the lock.
-func (w *World) turned() {
+func (w *Environment) turned() {
 	for i := range w.cutOff {
 		cut := !w.way(scenario.Sender(i), scenario.Discovery).Passes() || !w.way(scenario.Discovery, scenario.Sender(i)).Passes()
 		if cut == w.cutOff[i] {
@@ -284,20 +286,20 @@
 	close(w.turn)
 	w.turn = make(chan struct{})
 	if w.net != nil {
-		w.net.Turn()
+		w.net.Refresh()
 	}
 }
 
-// Link has what passes through links of a net fail as the plan says, from Begin on. Between senders datagrams take as
+// UseLinks has what passes through links of a net fail as the plan says, from Begin on. Between senders datagrams take as
 // long, and are lost as often, as in virtual time.
-func (w *World) Link(n *fault.Net) {
+func (w *Environment) UseLinks(n *fault.Net) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.net = n
 }
 
 // rule is what ails a way of the net. It takes no lock: the net has its own.
-func (w *World) rule(begun time.Time) func(from, to string) fault.State {
+func (w *Environment) rule(begun time.Time) func(from, to string) fault.State {
 	senders := map[string]bool{}
 	for i := range w.plan.Scenario.Senders {
 		senders[scenario.Sender(i)] = true
@@ -313,7 +315,7 @@
 }
 
 // change is a step of the plan; under the lock.
-func (w *World) change(c scenario.Change) {
+func (w *Environment) change(c scenario.Change) {
 	told, err := w.ground.Apply(w.now(), c)
 	if err != nil {
 		w.end(err)
@@ -330,7 +332,7 @@
 }
 
 // hand enters a hand-in before its first byte leaves.
-func (w *World) hand(e audit.Event) {
+func (w *Environment) hand(e audit.Event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.handed[e.Message] = handed{e.Class, w.now()}
@@ -346,21 +348,21 @@
 }
 
 // Open is how many messages and calls are still without an end.
-func (w *World) Open() int {
+func (w *Environment) Open() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.auditor.Owed()
 }
 
 // Score is the service so far.
-func (w *World) Score() lab.Score {
+func (w *Environment) Score() lab.Score {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.tally.Score()
 }
 
 // Close ends the world, waits for all in it, and judges what was seen.
-func (w *World) Close() lab.Result {
+func (w *Environment) Close() lab.Result {
 	w.end(context.Canceled)
 	w.mu.Lock()
 	for _, doors := range w.doors {
--- a/internal/rollout/endpoint.go
+++ b/internal/rollout/endpoint.go
@@ -14,11 +14,11 @@
 	}
 	s.settleEndpoints(c.At)
 	out := s.Endpoints[c.Endpoint]
-	if c.Verb == PutIn {
+	if c.Verb == IncludeEndpoint {
 		if out == nil || !out.Back.IsZero() {
 			return "", refuse("endpoint %q is not out by order", c.Endpoint)
 		}
-		out.Back, s.Aside = c.At, index
+		out.Back, s.ExclusionEpoch = c.At, index
 		return fmt.Sprintf("endpoint %s is in again", c.Endpoint), nil
 	}
 	if out != nil && out.Back.IsZero() {
@@ -33,7 +33,7 @@
 		return "", err
 	}
 	s.Endpoints[e.ID] = &EndpointOut{Endpoint: e, By: c.By, Reason: c.Reason, At: c.At}
-	s.Aside = index
+	s.ExclusionEpoch = index
 	return fmt.Sprintf("endpoint %s of destination %d is out", e.ID, e.Dest), nil
 }
 
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -15,8 +15,8 @@
 // stageWatch is what was gathered of the stage that a plan is in.
 type stageWatch struct {
 	stage int
-	since time.Time        // all of the stage's senders had changed, or zero
-	base  map[string]Sight // what they and the others were like then
+	since time.Time              // all of the stage's senders had changed, or zero
+	base  map[string]Observation // what they and the others were like then
 
 	silent map[string]time.Time // senders under way that did not serve, as their agents saw since then
 
@@ -37,13 +37,13 @@
 }
 
 // add adds what a sender did since a sight of before. A process that is new since then began at nothing.
-func (x *Sums) add(now, then Sight) {
+func (x *Sums) add(now, then Observation) {
 	f, b := now.Facts, then.Facts
 	if now.Process != then.Process {
-		b = Facts{Restarts: b.Restarts}
+		b = Counters{Restarts: b.Restarts}
 	}
-	x.Taken += f.Taken - b.Taken
-	x.Refused += f.Refused - b.Refused
+	x.Taken += f.Accepted - b.Accepted
+	x.Refused += f.Rejected - b.Rejected
 	x.Failed += f.Failed - b.Failed
 	x.Ends += f.Failed + f.Delivered + f.Deferred - b.Failed - b.Delivered - b.Deferred
 	x.Called += f.Called - b.Called
@@ -69,7 +69,7 @@
 }
 
 // Verdict is that on the stage that a plan is in. Several plans may run.
-func (w *Watch) Verdict(s *State, p *Plan, sights map[string]Sight, now time.Time) Verdict {
+func (w *Watch) Verdict(s *State, p *Plan, sights map[string]Observation, now time.Time) Verdict {
 	if w.plans == nil {
 		w.plans = map[uint64]*stageWatch{}
 	}
@@ -89,7 +89,7 @@
 	return x.verdict(s, p, sights, now)
 }
 
-func (w *stageWatch) verdict(s *State, p *Plan, sights map[string]Sight, now time.Time) Verdict {
+func (w *stageWatch) verdict(s *State, p *Plan, sights map[string]Observation, now time.Time) Verdict {
 	bad := func(format string, args ...any) Verdict {
 		return Verdict{Known: true, Text: fmt.Sprintf(format, args...)}
 	}
@@ -110,7 +110,7 @@
 	}
 	w.silent = nil
 	if w.since.IsZero() {
-		w.since, w.base = now, map[string]Sight{}
+		w.since, w.base = now, map[string]Observation{}
 		for name := range s.Members {
 			w.base[name] = sights[name]
 		}
@@ -149,7 +149,7 @@
 			old.add(v, then)
 		}
 	}
-	if p.Others != nil && (old.Senders == 0 || old.Taken+old.Refused < int64(p.Gate.Least)) {
+	if p.Others != nil && (old.Senders == 0 || old.Taken+old.Refused < int64(p.Gate.MinMessages)) {
 		old = *p.Others
 	}
 	if why := worse(new, old, p.Gate); why != "" {
@@ -166,12 +166,12 @@
 	case waited < p.Gate.Soak || unseen != "" || pending && waited < p.Gate.Wait:
 		return Verdict{}
 	case pending:
-		return bad("not known to be good: first calls came late, and %d have been made since, %d wanted", new.Called-w.late.Called, p.Gate.Least)
-	case new.Ends >= int64(p.Gate.Least) && old.Ends >= int64(p.Gate.Least):
+		return bad("not known to be good: first calls came late, and %d have been made since, %d wanted", new.Called-w.late.Called, p.Gate.MinMessages)
+	case new.Ends >= int64(p.Gate.MinMessages) && old.Ends >= int64(p.Gate.MinMessages):
 		return Verdict{true, true, fmt.Sprintf("%d messages ended at %d changed senders, %d at others; none worse", new.Ends, new.Senders, old.Ends), old}
 	case waited >= p.Gate.Wait:
 		return bad("not known to be good: after %v %d messages have ended at the changed senders and %d beside them, %d wanted",
-			waited.Round(time.Second), new.Ends, old.Ends, p.Gate.Least)
+			waited.Round(time.Second), new.Ends, old.Ends, p.Gate.MinMessages)
 	}
 	return Verdict{}
 }
@@ -179,7 +179,7 @@
 // lost names a sender of the stage that went out and has not served for the gate's soak since, as its agent sees it.
 // An agent that is still at the change does not look, so its sight is not fresh. Without this rule a version that fell
 // silent between its agent's question and the sight after it would leave its grant open and the plan waiting for good.
-func (w *stageWatch) lost(s *State, p *Plan, sights map[string]Sight, now time.Time) string {
+func (w *stageWatch) lost(s *State, p *Plan, sights map[string]Observation, now time.Time) string {
 	if w.silent == nil {
 		w.silent = map[string]time.Time{}
 	}
@@ -216,7 +216,7 @@
 	case w.foundLate.IsZero():
 		w.foundLate, w.late = now, new
 		return "", true
-	case now.Sub(w.foundLate) < g.Soak || since.Called < int64(g.Least):
+	case now.Sub(w.foundLate) < g.Soak || since.Called < int64(g.MinMessages):
 		return "", true
 	}
 	w.foundLate, w.late = time.Time{}, new
@@ -244,7 +244,7 @@
 
 // worsePart tells that n of so many are a greater part than n0 of so many beside them; empty: it isn't, or isn't known.
 func worsePart(what string, n, of, n0, of0 int64, g Gate) string {
-	if least := int64(g.Least); of < least || of0 < least || of == 0 || of0 == 0 {
+	if least := int64(g.MinMessages); of < least || of0 < least || of == 0 || of0 == 0 {
 		return ""
 	}
 	a, b := float64(n)/float64(of), float64(n0)/float64(of0)
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -40,7 +40,7 @@
 	log     []Command
 	states  [agents]*State
 	applied [agents]int
-	sights  [agents]map[string]Sight
+	sights  [agents]map[string]Observation
 	watches [agents]Watch
 	offs    [agents]time.Duration
 	senders [agents]*modelSender
@@ -50,7 +50,7 @@
 	proposals []Command
 	told      []struct {
 		to int
-		v  Sight
+		v  Observation
 	}
 	orders []struct {
 		to int
@@ -73,7 +73,7 @@
 	for i, name := range modelNames {
 		agent := fmt.Sprint("a", i)
 		m.log = append(m.log, Command{Verb: SetRoster, By: agent, Roster: []Member{{Name: name, Agent: agent}}})
-		m.states[i], m.sights[i], m.offs[i] = New(), map[string]Sight{}, offs[i]
+		m.states[i], m.sights[i], m.offs[i] = New(), map[string]Observation{}, offs[i]
 		m.senders[i] = &modelSender{alive: true, process: m.draw(), off: offs[agents+i], gone: -1}
 	}
 	plan := &Plan{Kind: Drain, Stages: [][]string{modelNames}, Hold: modelStep}
@@ -99,7 +99,7 @@
 	if !s.alive || s.stopped {
 		return
 	}
-	v := Sight{
+	v := Observation{
 		Sender: modelNames[i], At: modelTime(m.now + m.offs[i]), Serving: !s.book.Active(), Process: fmt.Sprint(s.process),
 		Epoch: s.book.Epoch, Ended: s.book.Ended, Drained: s.book.Active() && s.book.Drain,
 	}
@@ -109,7 +109,7 @@
 		} else {
 			m.told = append(m.told, struct {
 				to int
-				v  Sight
+				v  Observation
 			}{to, v})
 		}
 	}
@@ -121,13 +121,13 @@
 	if i == k || !s.alive || s.stopped {
 		return
 	}
-	m.saw(i, Sight{
+	m.saw(i, Observation{
 		Sender: modelNames[k], At: modelTime(m.now + m.offs[i]), Serving: !s.book.Active(), Process: fmt.Sprint(s.process),
 		Epoch: s.book.Epoch, Ended: s.book.Ended, Drained: s.book.Active() && s.book.Drain, Far: true,
 	})
 }
 
-func (m *model) saw(to int, v Sight) {
+func (m *model) saw(to int, v Observation) {
 	if old, some := m.sights[to][v.Sender]; !some || v.At.After(old.At) {
 		m.sights[to][v.Sender] = v
 	}
@@ -315,7 +315,7 @@
 	now := modelTime(m.now + m.offs[i])
 	for _, p := range s.Plans {
 		if t := p.Tasks[v.Sender]; p.Phase == Running && t != nil && t.Step == Waiting {
-			m.log = append(m.log, Command{Verb: GrantThese, At: now, Plan: p.ID, Asks: []Ask{{v.Sender, v.Process, v.At}}, Seen: s.Seen(m.sights[i], now)})
+			m.log = append(m.log, Command{Verb: GrantThese, At: now, Plan: p.ID, Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.Seen(m.sights[i], now)})
 		}
 	}
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -77,7 +77,7 @@
 		return nil, refuse("a release needs a name, and a program or a folder of configurations")
 	case n.AtOnce < 0 || n.AtOnce > s.Terms.Budget.Fleet:
 		return nil, refuse("%d senders at once: the budget has 1 to %d", n.AtOnce, s.Terms.Budget.Fleet)
-	case n.Hold < 0 || n.Gate.Least < 0 || n.Gate.Soak < 0 || n.Gate.Wait < 0 || n.Gate.Slack < 0:
+	case n.Hold < 0 || n.Gate.MinMessages < 0 || n.Gate.Soak < 0 || n.Gate.Wait < 0 || n.Gate.Slack < 0:
 		return nil, refuse("a span or a figure below 0")
 	}
 	if err := s.Terms.Check(len(s.Members)); err != nil {
@@ -103,7 +103,7 @@
 		return nil, refuse("%d senders are out or not seen now, the budget has %d: %s; bring them back first", len(k.out), s.Terms.Budget.Fleet, some(k.out))
 	}
 	p := *n
-	p.ID, p.By, p.Reason, p.At, p.Phase, p.Stage, p.Revision, p.Back, p.Why, p.Others = index, c.By, c.Reason, c.At, Running, 0, index, false, "", nil
+	p.ID, p.By, p.Reason, p.At, p.Phase, p.Stage, p.Revision, p.RolledBack, p.Why, p.Others = index, c.By, c.Reason, c.At, Running, 0, index, false, "", nil
 	p.Tasks = map[string]*Task{}
 	touched := names[:0:0]
 	for _, name := range names {
@@ -129,12 +129,12 @@
 
 // filled puts the usual in the place of what a gate leaves out.
 func (g Gate) filled() Gate {
-	u := UsualGate
-	return Gate{cmp.Or(g.Least, u.Least), cmp.Or(g.Soak, u.Soak), cmp.Or(g.Wait, u.Wait), cmp.Or(g.Slack, u.Slack)}
+	u := DefaultGate
+	return Gate{cmp.Or(g.MinMessages, u.MinMessages), cmp.Or(g.Soak, u.Soak), cmp.Or(g.Wait, u.Wait), cmp.Or(g.Slack, u.Slack)}
 }
 
 // Seen lists who was seen serving at most Fresh before.
-func (s *State) Seen(sights map[string]Sight, now time.Time) []string {
+func (s *State) Seen(sights map[string]Observation, now time.Time) []string {
 	var list []string
 	for name := range s.Members {
 		if v, some := sights[name]; some && v.Serving && now.Sub(v.At) <= s.Terms.Timing.Fresh {
@@ -147,7 +147,7 @@
 
 // Next is what the leading agent should propose now: what has come true first, then what may go out. The verdict on
 // a stage is the watch's, which sees facts over time.
-func (s *State) Next(sights map[string]Sight, w *Watch, now time.Time) []Command {
+func (s *State) Next(sights map[string]Observation, w *Watch, now time.Time) []Command {
 	var list []Command
 	for _, name := range slices.Sorted(maps.Keys(s.Grants)) {
 		g := s.Grants[name]
@@ -156,7 +156,7 @@
 			continue
 		}
 		if s.Closable(g, &v) {
-			list = append(list, Command{Verb: Close, At: now, Sender: name, Epoch: g.Epoch, Sight: &v})
+			list = append(list, Command{Verb: Close, At: now, Sender: name, Epoch: g.Epoch, Observation: &v})
 		} else if p := s.Plan(g.Plan); g.Drain && p != nil && v.Drained && v.Epoch == g.Epoch && !v.Ended && p.Tasks[name].Step == Granted {
 			list = append(list, Command{Verb: MarkOut, At: now, Sender: name, Epoch: g.Epoch})
 		}
@@ -177,12 +177,12 @@
 				list = append(list, Command{Verb: Activate, At: now, By: p.By, Reason: "held out for as long as asked", Plan: p.ID, Senders: back})
 			}
 		}
-		if p.Phase != Running && p.Phase != Backing {
+		if p.Phase != Running && p.Phase != RollingBack {
 			continue
 		}
 		if p.Kind == Release && p.Phase == Running {
 			if v := w.Verdict(s, p, sights, now); v.Known {
-				c := Command{Verb: Judge, At: now, Plan: p.ID, Stage: p.Stage, Good: v.Good, Text: v.Text}
+				c := Command{Verb: JudgeGate, At: now, Plan: p.ID, Stage: p.Stage, Good: v.Good, Text: v.Text}
 				if v.Good {
 					c.Others = &v.Others
 				}
@@ -202,15 +202,15 @@
 
 // The duties.
 const (
-	Rest  Duty = iota
-	Take       // have the sender take it up
-	Renew      // the drain that stands
-	End        // it is wanted back
-	Fail       // end a change that an agent before this one began
+	NoDuty Duty = iota
+	Take        // have the sender take it up
+	Renew       // the drain that stands
+	End         // it is wanted back
+	Fail        // end a change that an agent before this one began
 )
 
 // Duty is the one for a grant as a sender was seen; tried is the epoch that the sender was asked to take up last.
-func (s *State) Duty(g *Grant, v Sight, tried uint64, now time.Time) Duty {
+func (s *State) Duty(g *Grant, v Observation, tried uint64, now time.Time) Duty {
 	p := s.Plan(g.Plan)
 	come := p == nil || p.Tasks[g.Sender] == nil || p.Tasks[g.Sender].Step == Returning || !p.Phase.Open()
 	stands := v.Epoch == g.Epoch && !v.Ended
@@ -222,16 +222,16 @@
 	case stands:
 		return Fail
 	case v.Process != g.Process || v.Epoch >= g.Epoch || tried == g.Epoch || now.After(g.By):
-		return Rest
+		return NoDuty
 	}
 	return Take
 }
 
 // ask is the entry that asks for as many grants as there is room for now.
-func (s *State) ask(p *Plan, k count, sights map[string]Sight, now time.Time) (Command, bool) {
+func (s *State) ask(p *Plan, k count, sights map[string]Observation, now time.Time) (Command, bool) {
 	c := Command{Verb: GrantThese, At: now, Plan: p.ID}
 	wanted := p.Stages[p.Stage]
-	if p.Back { // the last that changed goes back first
+	if p.RolledBack { // the last that changed goes back first
 		wanted = s.Order(slices.Collect(maps.Keys(p.Tasks)))
 		slices.Reverse(wanted)
 	}
@@ -248,11 +248,11 @@
 		if t.Step != Waiting || m == nil || v.Far || s.room(k, m) != nil { // a grant that nobody is there to carry out is none
 			continue
 		}
-		c.Asks = append(c.Asks, Ask{Sender: name, Process: v.Process, Saw: v.At})
+		c.Requests = append(c.Requests, GrantRequest{Sender: name, Process: v.Process, ObservedAt: v.At})
 		k.out[name] = true
 		k.building[m.Building]++
 		room--
 	}
 	c.Seen = s.Seen(sights, now)
-	return c, len(c.Asks) > 0
+	return c, len(c.Requests) > 0
 }
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -12,11 +12,11 @@
 
 // Bounds of a state.
 const (
-	SendersMost = 10_000
-	plansMost   = 64   // open and ended ones
-	eventsMost  = 1000 // the latest
-	asksMost    = 255  // grants of one entry
-	triesMost   = 3    // grants that a sender may leave untaken
+	MaxSenders = 10_000
+	plansMost  = 64   // open and ended ones
+	eventsMost = 1000 // the latest
+	asksMost   = 255  // grants of one entry
+	triesMost  = 3    // grants that a sender may leave untaken
 )
 
 // State is what all agents agree on. It is not safe for concurrent use.
@@ -28,8 +28,8 @@
 	Plans   []*Plan            `json:"plans"`  // by ID
 	Events  []Event            `json:"events"` // by Index
 
-	Endpoints map[string]*EndpointOut `json:"endpoints,omitempty"`
-	Aside     uint64                  `json:"aside,omitempty"` // the entry that changed them last
+	Endpoints      map[string]*EndpointOut `json:"endpoints,omitempty"`
+	ExclusionEpoch uint64                  `json:"aside,omitempty"` // the entry that changed them last
 }
 
 // New returns the state before the first entry.
@@ -37,11 +37,11 @@
 	return &State{Members: map[string]*Member{}, Grants: map[string]*Grant{}, Endpoints: map[string]*EndpointOut{}}
 }
 
-// ErrRefused tells that a command changed nothing.
-var ErrRefused = errors.New("refused")
+// ErrRejected tells that a command changed nothing.
+var ErrRejected = errors.New("refused")
 
 func refuse(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", ErrRefused, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: %s", ErrRejected, fmt.Sprintf(format, args...))
 }
 
 // Apply applies one entry of the log. An error wraps ErrRefused: the entry changed nothing but the index. It
@@ -61,7 +61,7 @@
 		text, err = s.setRoster(c)
 	case Start:
 		text, err = s.start(index, c)
-	case Halt, Resume, GoBack:
+	case Halt, Resume, RollBack:
 		text, err = s.turn(index, c)
 	case Activate:
 		text, err = s.activate(c)
@@ -71,9 +71,9 @@
 		text, err = s.close(index, c)
 	case MarkOut:
 		text, err = s.markOut(c)
-	case Judge:
+	case JudgeGate:
 		text, err = s.judge(index, c)
-	case TakeOut, PutIn:
+	case ExcludeEndpoint, IncludeEndpoint:
 		text, err = s.turnEndpoint(index, c)
 	default:
 		err = refuse("a newer agent's command %q", c.Verb)
@@ -141,8 +141,8 @@
 // setRoster enters the senders of one agent, in the place of those that it had. One that is in an open plan, or has
 // an open grant, stays until that is over.
 func (s *State) setRoster(c Command) (string, error) {
-	if len(c.Roster) > SendersMost {
-		return "", refuse("%d senders, %d at most", len(c.Roster), SendersMost)
+	if len(c.Roster) > MaxSenders {
+		return "", refuse("%d senders, %d at most", len(c.Roster), MaxSenders)
 	}
 	now := map[string]bool{}
 	for _, m := range c.Roster {
@@ -154,7 +154,7 @@
 		}
 		now[m.Name] = true
 	}
-	if len(s.Members)+len(c.Roster) > 2*SendersMost {
+	if len(s.Members)+len(c.Roster) > 2*MaxSenders {
 		return "", refuse("too many senders")
 	}
 	var gone []string
@@ -228,15 +228,15 @@
 // grant opens grants, each where the budget has room for it; the entry stands if there was room for one.
 func (s *State) grant(index uint64, c Command) (string, error) {
 	p := s.Plan(c.Plan)
-	if p == nil || p.Phase != Running && p.Phase != Backing {
+	if p == nil || p.Phase != Running && p.Phase != RollingBack {
 		return "", refuse("plan %d does not run", c.Plan)
 	}
-	if len(c.Asks) == 0 || len(c.Asks) > asksMost {
-		return "", refuse("%d grants asked for in one entry", len(c.Asks))
+	if len(c.Requests) == 0 || len(c.Requests) > asksMost {
+		return "", refuse("%d grants asked for in one entry", len(c.Requests))
 	}
 	var given []string
 	var last error
-	for i, a := range c.Asks {
+	for i, a := range c.Requests {
 		t, m := p.Tasks[a.Sender], s.Members[a.Sender]
 		if t == nil || m == nil || t.Step != Waiting || s.Grants[a.Sender] != nil {
 			last = refuse("%s does not wait in plan %d", a.Sender, p.ID)
@@ -251,12 +251,12 @@
 			continue
 		}
 		g := &Grant{
-			Epoch: index<<8 | uint64(i), Plan: p.ID, Sender: a.Sender, Process: a.Process, Saw: a.Saw, At: c.At,
+			Epoch: index<<8 | uint64(i), Plan: p.ID, Sender: a.Sender, Process: a.Process, ObservedAt: a.ObservedAt, At: c.At,
 			By: c.At.Add(s.Terms.Timing.Accept), Until: c.At.Add(s.Terms.Timing.Lease), Drain: p.Kind == Drain,
 		}
 		switch {
 		case p.Kind != Release:
-		case p.Back:
+		case p.RolledBack:
 			g.To = t.From
 		default:
 			g.To, t.From = p.To, m.Version
@@ -282,7 +282,7 @@
 }
 
 // Closable tells whether a sight shows that a grant can have no effect any more, and the sender serves.
-func (s *State) Closable(g *Grant, v *Sight) bool {
+func (s *State) Closable(g *Grant, v *Observation) bool {
 	margin := 2 * s.Terms.Timing.Error
 	switch {
 	case !v.Serving || v.Sender != g.Sender:
@@ -294,7 +294,7 @@
 	case v.Epoch > g.Epoch:
 		return false
 	case v.Process != g.Process: // a later process, to which the order is not addressed
-		return v.At.After(g.Saw.Add(margin)) && !(v.Epoch == g.Epoch && !v.Ended)
+		return v.At.After(g.ObservedAt.Add(margin)) && !(v.Epoch == g.Epoch && !v.Ended)
 	}
 	return v.Epoch < g.Epoch && v.At.After(g.By.Add(margin)) // too late by its own clock
 }
@@ -302,10 +302,10 @@
 // close ends a grant.
 func (s *State) close(index uint64, c Command) (string, error) {
 	g := s.Grants[c.Sender]
-	if g == nil || g.Epoch != c.Epoch || c.Sight == nil {
+	if g == nil || g.Epoch != c.Epoch || c.Observation == nil {
 		return "", refuse("no grant %d of %s is open", c.Epoch, c.Sender)
 	}
-	v := c.Sight
+	v := c.Observation
 	if !s.Closable(g, v) {
 		return "", refuse("%s is not proved to serve for good", c.Sender)
 	}
@@ -322,7 +322,7 @@
 	untaken := v.FaultEpoch != g.Epoch && v.Epoch != g.Epoch
 	if p.Kind == Drain {
 		switch {
-		case p.Back || t.Step == Returning:
+		case p.RolledBack || t.Step == Returning:
 		case untaken && t.Step == Granted && v.Process == g.Process:
 			return s.again(index, p, t, c, "")
 		default: // it crashed while it was out, or nobody renewed its lease: it is still wanted out
@@ -337,7 +337,7 @@
 		m.Version = g.To
 	}
 	wish, done := p.To, Finished
-	if p.Back {
+	if p.RolledBack {
 		wish, done = t.From, Kept
 	}
 	switch {
@@ -370,7 +370,7 @@
 
 // fail ends a plan's advance. It goes back only from a release that went forward.
 func (s *State) fail(index uint64, p *Plan, why string) {
-	if p.GoBack && p.Kind == Release && !p.Back {
+	if p.RollBackOnFailure && p.Kind == Release && !p.RolledBack {
 		s.goBack(index, p, why)
 		return
 	}
@@ -381,7 +381,7 @@
 
 // goBack turns a plan round: what was touched is to be as before, the rest is left.
 func (s *State) goBack(index uint64, p *Plan, why string) {
-	p.Phase, p.Back, p.Why, p.Revision = Backing, true, why, index
+	p.Phase, p.RolledBack, p.Why, p.Revision = RollingBack, true, why, index
 	for name, t := range p.Tasks {
 		switch t.Step {
 		case Waiting:
@@ -408,7 +408,7 @@
 		}
 	}
 	switch {
-	case p.Back && p.Phase.Open():
+	case p.RolledBack && p.Phase.Open():
 		p.Phase, p.Revision = Ended, index
 	case p.Kind == Drain && p.Phase.Open():
 		p.Phase, p.Revision = Done, index
@@ -487,12 +487,12 @@
 				t.Step, t.Tries, t.Why = Waiting, 0, ""
 			}
 		}
-		if p.Back {
-			p.Phase = Backing
+		if p.RolledBack {
+			p.Phase = RollingBack
 		}
 		return fmt.Sprintf("plan %d is %s again", p.ID, p.Phase), nil
 	}
-	if p.Back {
+	if p.RolledBack {
 		return "", refuse("plan %d goes back already; resume it if it is halted", p.ID)
 	}
 	s.goBack(index, p, fmt.Sprintf("%s: %s", c.By, c.Reason))
@@ -502,7 +502,7 @@
 // judge is the verdict on a stage.
 func (s *State) judge(index uint64, c Command) (string, error) {
 	p := s.Plan(c.Plan)
-	if p == nil || p.Phase != Running || p.Back || p.Kind != Release || p.Stage != c.Stage {
+	if p == nil || p.Phase != Running || p.RolledBack || p.Kind != Release || p.Stage != c.Stage {
 		return "", refuse("plan %d has no stage %d to be judged", c.Plan, c.Stage)
 	}
 	if !c.Good {
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -14,15 +14,15 @@
 type stand struct {
 	t      *testing.T
 	s      *State
-	sights map[string]Sight
+	sights map[string]Observation
 	now    time.Time
 	watch  Watch
 }
 
 func newStand(t *testing.T, senders int, b Budget) *stand {
 	t.Helper()
-	x := &stand{t: t, s: New(), sights: map[string]Sight{}, now: time.Unix(1000, 0).UTC()}
-	terms := Usual
+	x := &stand{t: t, s: New(), sights: map[string]Observation{}, now: time.Unix(1000, 0).UTC()}
+	terms := DefaultTerms
 	terms.Budget = b
 	x.must(Command{Verb: SetTerms, Terms: &terms})
 	var roster []Member
@@ -31,7 +31,7 @@
 	}
 	x.must(Command{Verb: SetRoster, By: "x", Roster: roster})
 	for _, m := range roster {
-		x.see(m.Name, func(v *Sight) { v.Serving, v.Process, v.Version = true, "p", "v1" })
+		x.see(m.Name, func(v *Observation) { v.Serving, v.Process, v.Version = true, "p", "v1" })
 	}
 	return x
 }
@@ -52,7 +52,7 @@
 	return x.s.Index
 }
 
-func (x *stand) see(name string, change func(v *Sight)) {
+func (x *stand) see(name string, change func(v *Observation)) {
 	v := x.sights[name]
 	v.Sender, v.At = name, x.now
 	change(&v)
@@ -63,7 +63,7 @@
 func (x *stand) pass(d time.Duration) {
 	x.now = x.now.Add(d)
 	for name := range x.sights {
-		x.see(name, func(*Sight) {})
+		x.see(name, func(*Observation) {})
 	}
 }
 
@@ -91,10 +91,10 @@
 // changes is a sender that takes its grant up and runs what it is to run.
 func (x *stand) changes(g *Grant) {
 	x.pass(time.Millisecond)
-	x.see(g.Sender, func(v *Sight) {
+	x.see(g.Sender, func(v *Observation) {
 		if v.Epoch, v.Ended, v.Drained, v.Serving = g.Epoch, !g.Drain, g.Drain, !g.Drain; !g.Drain {
 			v.Version, v.Process = g.To.Name, v.Process+"'"
-			v.Facts = Facts{MemoryMB: v.Facts.MemoryMB}
+			v.Facts = Counters{MemoryMB: v.Facts.MemoryMB}
 		}
 	})
 }
@@ -116,9 +116,9 @@
 // work has senders end so many messages each, a part of which fail.
 func (x *stand) work(n int64, failed func(name string) int64) {
 	for name := range x.sights {
-		x.see(name, func(v *Sight) {
+		x.see(name, func(v *Observation) {
 			f := failed(name)
-			v.Facts.Taken, v.Facts.Called = v.Facts.Taken+n, v.Facts.Called+n
+			v.Facts.Accepted, v.Facts.Called = v.Facts.Accepted+n, v.Facts.Called+n
 			v.Facts.Failed, v.Facts.Delivered = v.Facts.Failed+f, v.Facts.Delivered+n-f
 			v.Facts.FirstCall += time.Duration(n) * 10 * time.Millisecond
 		})
@@ -150,7 +150,7 @@
 		x.now = x.now.Add(2 * time.Second)
 		for name := range x.sights {
 			if !strings.Contains(c.unseen, name) {
-				x.see(name, func(*Sight) {})
+				x.see(name, func(*Observation) {})
 			}
 		}
 		x.drive(nil)
@@ -164,23 +164,23 @@
 func TestClosable(t *testing.T) {
 	x := newStand(t, 2, Budget{Fleet: 1})
 	at := func(s float64) time.Time { return x.now.Add(time.Duration(s * float64(time.Second))) }
-	g := &Grant{Epoch: 5, Sender: "n0", Process: "p", Saw: at(-0.5), At: at(0), By: at(2), Until: at(10)}
+	g := &Grant{Epoch: 5, Sender: "n0", Process: "p", ObservedAt: at(-0.5), At: at(0), By: at(2), Until: at(10)}
 	for name, c := range map[string]struct {
-		v    Sight
+		v    Observation
 		want bool
 	}{
-		"it has ended it":                         {Sight{Process: "p", At: at(1), Serving: true, Epoch: 5, Ended: true}, true},
-		"it has ended a later one":                {Sight{Process: "p", At: at(1), Serving: true, Epoch: 6, Ended: true}, true},
-		"ended, but it does not serve":            {Sight{Process: "p", At: at(1), Epoch: 5, Ended: true}, false},
-		"ended, seen long ago":                    {Sight{Process: "p", At: at(-9), Serving: true, Epoch: 5, Ended: true}, true},
-		"not taken up, it may yet":                {Sight{Process: "p", At: at(1.9), Serving: true, Epoch: 4, Ended: true}, false},
-		"not taken up, too late by its clock":     {Sight{Process: "p", At: at(2.51), Serving: true, Epoch: 4, Ended: true}, true},
-		"not taken up, too late by another clock": {Sight{Process: "p", At: at(2.4), Serving: true, Epoch: 4, Ended: true}, false},
-		"another process":                         {Sight{Process: "q", At: at(0.1), Serving: true}, true},
-		"another process, from before":            {Sight{Process: "o", At: at(-0.4), Serving: true}, false},
-		"it took it up":                           {Sight{Process: "p", At: at(3), Epoch: 5}, false},
-		"seen by the leader, not its agent":       {Sight{Process: "p", At: at(3), Serving: true, Epoch: 5, Ended: true, Far: true}, false},
-		"another sender":                          {Sight{Sender: "n1", Process: "p", At: at(3), Serving: true, Epoch: 5, Ended: true}, false},
+		"it has ended it":                         {Observation{Process: "p", At: at(1), Serving: true, Epoch: 5, Ended: true}, true},
+		"it has ended a later one":                {Observation{Process: "p", At: at(1), Serving: true, Epoch: 6, Ended: true}, true},
+		"ended, but it does not serve":            {Observation{Process: "p", At: at(1), Epoch: 5, Ended: true}, false},
+		"ended, seen long ago":                    {Observation{Process: "p", At: at(-9), Serving: true, Epoch: 5, Ended: true}, true},
+		"not taken up, it may yet":                {Observation{Process: "p", At: at(1.9), Serving: true, Epoch: 4, Ended: true}, false},
+		"not taken up, too late by its clock":     {Observation{Process: "p", At: at(2.51), Serving: true, Epoch: 4, Ended: true}, true},
+		"not taken up, too late by another clock": {Observation{Process: "p", At: at(2.4), Serving: true, Epoch: 4, Ended: true}, false},
+		"another process":                         {Observation{Process: "q", At: at(0.1), Serving: true}, true},
+		"another process, from before":            {Observation{Process: "o", At: at(-0.4), Serving: true}, false},
+		"it took it up":                           {Observation{Process: "p", At: at(3), Epoch: 5}, false},
+		"seen by the leader, not its agent":       {Observation{Process: "p", At: at(3), Serving: true, Epoch: 5, Ended: true, Far: true}, false},
+		"another sender":                          {Observation{Sender: "n1", Process: "p", At: at(3), Serving: true, Epoch: 5, Ended: true}, false},
 	} {
 		if c.v.Sender == "" {
 			c.v.Sender = "n0"
@@ -197,7 +197,7 @@
 	first := x.drain("n0")
 	seen := x.s.Seen(x.sights, x.now)
 	start := func(p Plan) Command { return Command{Verb: Start, Reason: "r", New: &p, Seen: seen} }
-	terms := func(b Budget) Command { t := Usual; t.Budget = b; return Command{Verb: SetTerms, Terms: &t} }
+	terms := func(b Budget) Command { t := DefaultTerms; t.Budget = b; return Command{Verb: SetTerms, Terms: &t} }
 	for name, c := range map[string]struct {
 		c    Command
 		want string
@@ -218,15 +218,15 @@
 		"resume of one running": {Command{Verb: Resume, Reason: "r", Plan: first}, "is running"},
 		"another's activate":    {Command{Verb: Activate, Plan: first, Senders: []string{"n3"}}, "n3 is not in plan"},
 		"unknown verb":          {Command{Verb: "dance"}, "newer agent"},
-		"grant in no plan":      {Command{Verb: GrantThese, Plan: 99, Asks: []Ask{{Sender: "n0"}}}, "does not run"},
-		"close of no grant":     {Command{Verb: Close, Sender: "n0", Sight: &Sight{}}, "no grant"},
+		"grant in no plan":      {Command{Verb: GrantThese, Plan: 99, Requests: []GrantRequest{{Sender: "n0"}}}, "does not run"},
+		"close of no grant":     {Command{Verb: Close, Sender: "n0", Observation: &Observation{}}, "no grant"},
 	} {
 		before, _ := json.Marshal(x.s)
 		index := x.s.Index
 		err := x.apply(c.c)
 		x.s.Index = index
 		after, _ := json.Marshal(x.s)
-		if !errors.Is(err, ErrRefused) || !strings.Contains(fmt.Sprint(err), c.want) {
+		if !errors.Is(err, ErrRejected) || !strings.Contains(fmt.Sprint(err), c.want) {
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
 		if string(before) != string(after) {
@@ -242,7 +242,7 @@
 	x.must(Command{Verb: Halt, Reason: "r", Plan: id})
 	saw := x.s.Plan(id).Revision
 	x.must(Command{Verb: Halt, Reason: "again, by another", Plan: id})
-	if err := x.apply(Command{Verb: Resume, Reason: "r", Plan: id, Revision: saw}); !errors.Is(err, ErrRefused) {
+	if err := x.apply(Command{Verb: Resume, Reason: "r", Plan: id, Revision: saw}); !errors.Is(err, ErrRejected) {
 		t.Errorf("resume of what was seen before the second halt: %v", err)
 	}
 	if x.drive(nil); len(x.s.Grants) != 0 {
@@ -300,16 +300,16 @@
 		}, "ends that are failures"},
 		"refuses one in five": {func(x *stand, changed string) {
 			x.work(20, none)
-			x.see(changed, func(v *Sight) { v.Facts.Refused += 5 })
+			x.see(changed, func(v *Observation) { v.Facts.Rejected += 5 })
 		}, "messages refused"},
 		"fails as all do": {func(x *stand, _ string) { x.work(20, func(string) int64 { return 4 }) }, "stage 2 of"},
 		"slow to call": {func(x *stand, n string) {
 			x.work(20, none)
-			x.see(n, func(v *Sight) { v.Facts.Late += 10 })
+			x.see(n, func(v *Observation) { v.Facts.Late += 10 })
 		}, "time to the first call"},
 		"two stragglers": {func(x *stand, n string) {
 			if x.work(20, none); !x.sights[n].Drained {
-				x.see(n, func(v *Sight) {
+				x.see(n, func(v *Observation) {
 					if v.Facts.Called == 60 {
 						v.Facts.Late += 2
 					}
@@ -319,14 +319,14 @@
 		// Of a destination in trouble when the version began: late together, and never again.
 		"nine that waited together": {func(x *stand, n string) {
 			x.work(20, none)
-			x.see(n, func(v *Sight) {
+			x.see(n, func(v *Observation) {
 				if v.Facts.Called == 40 {
 					v.Facts.Late += 9
 				}
 			})
 		}, "stage 2 of"},
 		"some late at first, and no more traffic": {func(x *stand, n string) {
-			x.see(n, func(v *Sight) {
+			x.see(n, func(v *Observation) {
 				if v.Facts.Called < 40 {
 					x.work(40, none)
 					v.Facts = x.sights[n].Facts
@@ -336,16 +336,16 @@
 		}, "first calls came late, and 0 have been made since"},
 		"late again and again": {func(x *stand, n string) {
 			x.work(20, none)
-			x.see(n, func(v *Sight) {
+			x.see(n, func(v *Observation) {
 				if v.Facts.Called%60 <= 20 {
 					v.Facts.Late += 12
 				}
 			})
 		}, "time to the first call"},
-		"leaks":   {func(x *stand, n string) { x.work(20, none); x.see(n, func(v *Sight) { v.Facts.MemoryMB += 30 }) }, "memory"},
-		"crashes": {func(x *stand, n string) { x.see(n, func(v *Sight) { v.Facts.Restarts++ }) }, "crashed after its change"},
+		"leaks":   {func(x *stand, n string) { x.work(20, none); x.see(n, func(v *Observation) { v.Facts.MemoryMB += 30 }) }, "memory"},
+		"crashes": {func(x *stand, n string) { x.see(n, func(v *Observation) { v.Facts.Restarts++ }) }, "crashed after its change"},
 		"answers nothing": {func(x *stand, n string) {
-			x.see(n, func(v *Sight) { *v = Sight{Sender: n, At: x.now, Phase: "no answer"} })
+			x.see(n, func(v *Observation) { *v = Observation{Sender: n, At: x.now, Phase: "no answer"} })
 		}, "not seen any more: no answer"},
 		"its agent is away": {func(x *stand, n string) {
 			x.work(20, none)
@@ -355,16 +355,16 @@
 		}, "nobody has seen n0"},
 		"too little traffic": {func(x *stand, _ string) {}, "not known to be good"},
 		"traffic elsewhere":  {func(x *stand, n string) { v := x.sights[n]; x.work(20, none); v.At = x.now; x.sights[n] = v }, "not known to be good"},
-		"serves no more":     {func(x *stand, n string) { x.see(n, func(v *Sight) { v.Serving, v.Phase = false, "starting" }) }, "does not serve"},
+		"serves no more":     {func(x *stand, n string) { x.see(n, func(v *Observation) { v.Serving, v.Phase = false, "starting" }) }, "does not serve"},
 		"others have no traffic": {func(x *stand, n string) {
 			v := x.sights[n]
-			v.Facts.Taken, v.Facts.Delivered = v.Facts.Taken+50, v.Facts.Delivered+50
+			v.Facts.Accepted, v.Facts.Delivered = v.Facts.Accepted+50, v.Facts.Delivered+50
 			x.sights[n] = v
 		}, "not known to be good"},
 	} {
 		x := newStand(t, 10, Budget{Fleet: 3})
 		for n := range x.sights {
-			x.see(n, func(v *Sight) { v.Facts.MemoryMB = 20 })
+			x.see(n, func(v *Observation) { v.Facts.MemoryMB = 20 })
 		}
 		id := x.release(Plan{Gate: Gate{Wait: time.Minute}})
 		x.drive(x.changes)
@@ -396,7 +396,7 @@
 
 // An agent opens its folder anew, and all of its log comes once more: nothing changes by it.
 func TestAppliedTwice(t *testing.T) {
-	terms, at, replay := Usual, time.Unix(1000, 0).UTC(), New()
+	terms, at, replay := DefaultTerms, time.Unix(1000, 0).UTC(), New()
 	terms.Budget = Budget{Fleet: 2}
 	log := []Command{
 		{Verb: SetTerms, Terms: &terms, At: at, By: "x"},
@@ -418,7 +418,7 @@
 func TestGateOfNewLeader(t *testing.T) {
 	for name, failed := range map[string]int64{"as before": 0, "worse": 6} {
 		x := newStand(t, 10, Budget{Fleet: 9})
-		id := x.release(Plan{Gate: Gate{Least: 20, Wait: time.Minute}})
+		id := x.release(Plan{Gate: Gate{MinMessages: 20, Wait: time.Minute}})
 		p := x.s.Plan(id)
 		for p.Stage < len(p.Stages)-1 {
 			x.drive(x.changes)
@@ -447,15 +447,15 @@
 	x.drive(x.changes)
 	changed := x.s.Plan(id).Stages[0][0]
 	x.watch = Watch{}
-	x.see(changed, func(v *Sight) { v.Far = true })
+	x.see(changed, func(v *Observation) { v.Far = true })
 	x.drive(nil)
-	x.see(changed, func(v *Sight) { v.Far, v.Facts.Restarts = false, 2 })
+	x.see(changed, func(v *Observation) { v.Far, v.Facts.Restarts = false, 2 })
 	x.drive(nil)
 	if p := x.s.Plan(id); p.Phase != Running {
 		t.Errorf("%s: %s", p.Phase, p.Why)
 	}
 	x.pass(time.Second)
-	x.see(changed, func(v *Sight) { v.Facts.Restarts = 3 })
+	x.see(changed, func(v *Observation) { v.Facts.Restarts = 3 })
 	if x.drive(nil); x.s.Plan(id).Phase != Halted {
 		t.Error("a crash since is not seen")
 	}
@@ -465,10 +465,12 @@
 func TestFailedChange(t *testing.T) {
 	for _, goBack := range []bool{false, true} {
 		x := newStand(t, 10, Budget{Fleet: 3})
-		id := x.release(Plan{GoBack: goBack})
+		id := x.release(Plan{RollBackOnFailure: goBack})
 		x.drive(func(g *Grant) {
 			x.pass(time.Millisecond)
-			x.see(g.Sender, func(v *Sight) { v.Epoch, v.Ended, v.FaultEpoch, v.Fault = g.Epoch, true, g.Epoch, "exit status 1" })
+			x.see(g.Sender, func(v *Observation) {
+				v.Epoch, v.Ended, v.FaultEpoch, v.Fault = g.Epoch, true, g.Epoch, "exit status 1"
+			})
 		})
 		p := x.s.Plan(id)
 		if want := map[bool]Phase{false: Halted, true: Ended}[goBack]; p.Phase != want || !strings.Contains(p.Why, "exit status 1") {
@@ -484,14 +486,14 @@
 // the release, once its agent has not seen it serve for the gate's soak, and no sooner.
 func TestSilentBeforeItsFirstSight(t *testing.T) {
 	for name, c := range map[string]struct {
-		seen Sight
+		seen Observation
 		want Phase
 	}{
-		"no answer":          {Sight{Phase: "no answer"}, Halted},
-		"not healthy":        {Sight{Process: "p-new", Phase: "serving"}, Halted},
-		"seen now and then":  {Sight{Phase: "no answer", At: time.Unix(2, 0)}, Halted},
-		"its agent is at it": {Sight{Phase: "no answer", At: time.Unix(1, 0)}, Running},
-		"seen from afar":     {Sight{Phase: "no answer", Far: true}, Running},
+		"no answer":          {Observation{Phase: "no answer"}, Halted},
+		"not healthy":        {Observation{Process: "p-new", Phase: "serving"}, Halted},
+		"seen now and then":  {Observation{Phase: "no answer", At: time.Unix(2, 0)}, Halted},
+		"its agent is at it": {Observation{Phase: "no answer", At: time.Unix(1, 0)}, Running},
+		"seen from afar":     {Observation{Phase: "no answer", Far: true}, Running},
 	} {
 		x := newStand(t, 4, Budget{Fleet: 1})
 		id := x.release(Plan{Gate: Gate{Soak: 5 * time.Second, Wait: time.Minute}})
@@ -506,7 +508,7 @@
 			c.seen.Sender = changed
 			x.sights[changed] = c.seen
 			if c.seen.At.IsZero() || c.seen.At.Unix() == 2 && i%2 == 0 {
-				x.see(changed, func(v *Sight) { v.At = x.now })
+				x.see(changed, func(v *Observation) { v.At = x.now })
 			}
 			x.drive(nil)
 			if p.Phase == Halted && i < 5 {
@@ -540,7 +542,7 @@
 // one that is on its way when the plan turns does so, too.
 func TestGoBack(t *testing.T) {
 	x := newStand(t, 10, Budget{Fleet: 2})
-	id := x.release(Plan{Gate: Gate{Least: 1, Soak: time.Second}})
+	id := x.release(Plan{Gate: Gate{MinMessages: 1, Soak: time.Second}})
 	x.drive(x.changes)
 	x.pass(2 * time.Second)
 	x.work(20, none)
@@ -550,7 +552,7 @@
 	if x.s.Plan(id).Stage != 1 || len(x.s.Grants) != 2 {
 		t.Fatalf("stage %d, %d grants", x.s.Plan(id).Stage, len(x.s.Grants))
 	}
-	x.must(Command{Verb: GoBack, Reason: "r", Plan: id})
+	x.must(Command{Verb: RollBack, Reason: "r", Plan: id})
 	most := 0
 	for _, g := range x.s.Grants { // on their way as the plan turns
 		x.changes(g)
@@ -579,7 +581,7 @@
 		comeBack := func() {
 			for name, t := range x.s.Plan(id).Tasks {
 				if t.Step == Returning {
-					x.see(name, func(v *Sight) { v.Ended, v.Drained, v.Serving = true, false, true })
+					x.see(name, func(v *Observation) { v.Ended, v.Drained, v.Serving = true, false, true })
 				}
 			}
 		}
@@ -673,9 +675,9 @@
 			verb, id, _ := strings.Cut(do, ":")
 			switch verb {
 			case "out":
-				err = x.apply(Command{Verb: TakeOut, Reason: "r", Endpoint: id, Listed: listed})
+				err = x.apply(Command{Verb: ExcludeEndpoint, Reason: "r", Endpoint: id, Listed: listed})
 			case "in":
-				err = x.apply(Command{Verb: PutIn, Reason: "r", Endpoint: id})
+				err = x.apply(Command{Verb: IncludeEndpoint, Reason: "r", Endpoint: id})
 			case "drained":
 				for i := range listed {
 					listed[i].Up = listed[i].Up && listed[i].ID != id
--- a/internal/rollout/types.go
+++ b/internal/rollout/types.go
@@ -31,8 +31,8 @@
 	Timing Timing `json:"timing"`
 }
 
-// Usual are the terms where settings say nothing else.
-var Usual = Terms{
+// DefaultTerms are the terms where settings say nothing else.
+var DefaultTerms = Terms{
 	Budget: Budget{Fleet: 1},
 	Timing: Timing{Fresh: time.Second, Accept: 2 * time.Second, Lease: 10 * time.Second, Error: 250 * time.Millisecond},
 }
@@ -53,8 +53,8 @@
 	Version  Version  `json:"version"`
 }
 
-// Sight is what the agent beside a sender saw of it. Sights of a sender are ordered by At.
-type Sight struct {
+// Observation is what the agent beside a sender saw of it. Sights of a sender are ordered by At.
+type Observation struct {
 	Sender  string    `json:"sender"`
 	At      time.Time `json:"at"` // when it was asked, by the agent's clock
 	Serving bool      `json:"serving,omitempty"`
@@ -64,7 +64,7 @@
 	Ended   bool      `json:"ended,omitempty"`   // ...of which nothing stands
 	Drained bool      `json:"drained,omitempty"`
 	Open    int       `json:"open,omitempty"` // messages that it still owes an end
-	Facts   Facts     `json:"facts,omitzero"`
+	Facts   Counters  `json:"facts,omitzero"`
 	Phase   string    `json:"phase,omitempty"` // in its own word, or why there is none
 	Far     bool      `json:"far,omitempty"`   // the leader asked it itself, as the agent beside it is silent
 
@@ -73,10 +73,10 @@
 	Fault      string `json:"fault,omitempty"`
 }
 
-// Facts are counts of a process since its start, but for Restarts.
-type Facts struct {
-	Taken     int64         `json:"taken,omitempty"`     // messages taken on
-	Refused   int64         `json:"refused,omitempty"`   // turned away at the door
+// Counters are counts of a process since its start, but for Restarts.
+type Counters struct {
+	Accepted  int64         `json:"taken,omitempty"`     // messages taken on
+	Rejected  int64         `json:"refused,omitempty"`   // turned away at the door
 	Delivered int64         `json:"delivered,omitempty"` // ends, by kind
 	Deferred  int64         `json:"deferred,omitempty"`
 	Failed    int64         `json:"failed,omitempty"`
@@ -101,15 +101,15 @@
 
 // The phases.
 const (
-	Running Phase = "running"
-	Halted  Phase = "halted"
-	Backing Phase = "going back"
-	Done    Phase = "done"
-	Ended   Phase = "ended" // after going back
+	Running     Phase = "running"
+	Halted      Phase = "halted"
+	RollingBack Phase = "going back"
+	Done        Phase = "done"
+	Ended       Phase = "ended" // after going back
 )
 
 // Open tells whether anything of a plan is still to come.
-func (p Phase) Open() bool { return p == Running || p == Halted || p == Backing }
+func (p Phase) Open() bool { return p == Running || p == Halted || p == RollingBack }
 
 // Step of one sender within a plan.
 type Step string
@@ -137,49 +137,49 @@
 
 // Gate is what a plan wants to see before it goes on to its next stage.
 type Gate struct {
-	Least int           `json:"least"` // messages that the changed senders have ended, and those beside them
-	Soak  time.Duration `json:"soak"`  // at the least so long
-	Wait  time.Duration `json:"wait"`  // halted if it is not known by then
-	Slack float64       `json:"slack"` // a share may be worse by so much, besides chance
+	MinMessages int           `json:"least"` // messages that the changed senders have ended, and those beside them
+	Soak        time.Duration `json:"soak"`  // at the least so long
+	Wait        time.Duration `json:"wait"`  // halted if it is not known by then
+	Slack       float64       `json:"slack"` // a share may be worse by so much, besides chance
 }
 
-// UsualGate is a plan's gate where its author says nothing else.
-var UsualGate = Gate{Least: 30, Soak: 5 * time.Second, Wait: 10 * time.Minute, Slack: 0.02}
+// DefaultGate is a plan's gate where its author says nothing else.
+var DefaultGate = Gate{MinMessages: 30, Soak: 5 * time.Second, Wait: 10 * time.Minute, Slack: 0.02}
 
 // Plan is what staff asked for.
 type Plan struct {
-	ID       uint64           `json:"id"`
-	Kind     Kind             `json:"kind"`
-	By       string           `json:"by"`
-	Reason   string           `json:"reason"`
-	At       time.Time        `json:"at"`
-	To       Version          `json:"to,omitzero"`
-	AtOnce   int              `json:"at_once,omitempty"` // of its senders out at once; 0 = what the budget allows
-	Hold     time.Duration    `json:"hold,omitempty"`    // drains: for so long; 0 = until they are activated
-	Gate     Gate             `json:"gate,omitzero"`
-	GoBack   bool             `json:"go_back,omitempty"` // a gate that fails goes back, not only halts
-	Stages   [][]string       `json:"stages"`
-	Stage    int              `json:"stage"`
-	Phase    Phase            `json:"phase"`
-	Back     bool             `json:"back,omitempty"` // it has turned, for good
-	Why      string           `json:"why,omitempty"`
-	Revision uint64           `json:"revision"` // of its phase
-	Tasks    map[string]*Task `json:"tasks"`
-	Others   *Sums            `json:"others,omitempty"` // what changed senders were compared with last
+	ID                uint64           `json:"id"`
+	Kind              Kind             `json:"kind"`
+	By                string           `json:"by"`
+	Reason            string           `json:"reason"`
+	At                time.Time        `json:"at"`
+	To                Version          `json:"to,omitzero"`
+	AtOnce            int              `json:"at_once,omitempty"` // of its senders out at once; 0 = what the budget allows
+	Hold              time.Duration    `json:"hold,omitempty"`    // drains: for so long; 0 = until they are activated
+	Gate              Gate             `json:"gate,omitzero"`
+	RollBackOnFailure bool             `json:"go_back,omitempty"` // a gate that fails goes back, not only halts
+	Stages            [][]string       `json:"stages"`
+	Stage             int              `json:"stage"`
+	Phase             Phase            `json:"phase"`
+	RolledBack        bool             `json:"back,omitempty"` // it has turned, for good
+	Why               string           `json:"why,omitempty"`
+	Revision          uint64           `json:"revision"` // of its phase
+	Tasks             map[string]*Task `json:"tasks"`
+	Others            *Sums            `json:"others,omitempty"` // what changed senders were compared with last
 }
 
 // Grant is the leave for one sender to go out. It is open until a sight shows that no copy of it can have effect.
 type Grant struct {
-	Epoch   uint64    `json:"epoch"`
-	Plan    uint64    `json:"plan"`
-	Sender  string    `json:"sender"`
-	Process string    `json:"process"`
-	Saw     time.Time `json:"saw"` // of the sight that it rests on
-	At      time.Time `json:"at"`
-	By      time.Time `json:"by"`
-	Until   time.Time `json:"until"`
-	Drain   bool      `json:"drain,omitempty"`
-	To      Version   `json:"to,omitzero"`
+	Epoch      uint64    `json:"epoch"`
+	Plan       uint64    `json:"plan"`
+	Sender     string    `json:"sender"`
+	Process    string    `json:"process"`
+	ObservedAt time.Time `json:"saw"` // of the sight that it rests on
+	At         time.Time `json:"at"`
+	By         time.Time `json:"by"`
+	Until      time.Time `json:"until"`
+	Drain      bool      `json:"drain,omitempty"`
+	To         Version   `json:"to,omitzero"`
 }
 
 // Event is a line of the log that staff read.
@@ -213,50 +213,50 @@
 
 // The verbs. Those of staff need an author and a reason.
 const (
-	SetTerms   Verb = "terms"        // Terms
-	SetRoster  Verb = "roster"       // Author, Roster: the senders of one agent
-	Start      Verb = "plan"         // New, Seen
-	Halt       Verb = "halt"         // Plan
-	Resume     Verb = "resume"       // Plan, Revision
-	GoBack     Verb = "back"         // Plan
-	Activate   Verb = "activate"     // Plan, Senders
-	GrantThese Verb = "grant"        // Plan, Asks, Seen
-	Close      Verb = "close"        // Sender, Epoch, Sight
-	MarkOut    Verb = "out"          // Sender, Epoch
-	Judge      Verb = "verdict"      // Plan, Stage, Good, Text
-	TakeOut    Verb = "endpoint out" // Endpoint, Listed
-	PutIn      Verb = "endpoint in"  // Endpoint
+	SetTerms        Verb = "terms"        // Terms
+	SetRoster       Verb = "roster"       // Author, Roster: the senders of one agent
+	Start           Verb = "plan"         // New, Seen
+	Halt            Verb = "halt"         // Plan
+	Resume          Verb = "resume"       // Plan, Revision
+	RollBack        Verb = "back"         // Plan
+	Activate        Verb = "activate"     // Plan, Senders
+	GrantThese      Verb = "grant"        // Plan, Asks, Seen
+	Close           Verb = "close"        // Sender, Epoch, Sight
+	MarkOut         Verb = "out"          // Sender, Epoch
+	JudgeGate       Verb = "verdict"      // Plan, Stage, Good, Text
+	ExcludeEndpoint Verb = "endpoint out" // Endpoint, Listed
+	IncludeEndpoint Verb = "endpoint in"  // Endpoint
 )
 
-// Ask is for leave for one sender.
-type Ask struct {
-	Sender  string    `json:"sender"`
-	Process string    `json:"process"`
-	Saw     time.Time `json:"saw"`
+// GrantRequest is for leave for one sender.
+type GrantRequest struct {
+	Sender     string    `json:"sender"`
+	Process    string    `json:"process"`
+	ObservedAt time.Time `json:"saw"`
 }
 
 // Command is an entry of the log.
 type Command struct {
-	Verb     Verb       `json:"verb"`
-	ID       string     `json:"id,omitempty"` // the proposer's, by which it knows its own again
-	At       time.Time  `json:"at"`
-	By       string     `json:"by"`
-	Reason   string     `json:"reason,omitempty"`
-	Terms    *Terms     `json:"terms,omitempty"`
-	Roster   []Member   `json:"roster,omitempty"`
-	New      *Plan      `json:"new,omitempty"`
-	Plan     uint64     `json:"plan,omitempty"`
-	Revision uint64     `json:"revision,omitempty"`
-	Senders  []string   `json:"senders,omitempty"`
-	Asks     []Ask      `json:"asks,omitempty"`
-	Seen     []string   `json:"seen,omitempty"` // senders seen serving by the proposer, none earlier than Fresh before At
-	Sender   string     `json:"sender,omitempty"`
-	Epoch    uint64     `json:"epoch,omitempty"`
-	Sight    *Sight     `json:"sight,omitempty"`
-	Stage    int        `json:"stage,omitempty"`
-	Good     bool       `json:"good,omitempty"`
-	Text     string     `json:"text,omitempty"`
-	Others   *Sums      `json:"others,omitempty"` // of a stage that is left
-	Endpoint string     `json:"endpoint,omitempty"`
-	Listed   []Endpoint `json:"listed,omitempty"` // all that the proposer knows of
+	Verb        Verb           `json:"verb"`
+	ID          string         `json:"id,omitempty"` // the proposer's, by which it knows its own again
+	At          time.Time      `json:"at"`
+	By          string         `json:"by"`
+	Reason      string         `json:"reason,omitempty"`
+	Terms       *Terms         `json:"terms,omitempty"`
+	Roster      []Member       `json:"roster,omitempty"`
+	New         *Plan          `json:"new,omitempty"`
+	Plan        uint64         `json:"plan,omitempty"`
+	Revision    uint64         `json:"revision,omitempty"`
+	Senders     []string       `json:"senders,omitempty"`
+	Requests    []GrantRequest `json:"asks,omitempty"`
+	Seen        []string       `json:"seen,omitempty"` // senders seen serving by the proposer, none earlier than Fresh before At
+	Sender      string         `json:"sender,omitempty"`
+	Epoch       uint64         `json:"epoch,omitempty"`
+	Observation *Observation   `json:"sight,omitempty"`
+	Stage       int            `json:"stage,omitempty"`
+	Good        bool           `json:"good,omitempty"`
+	Text        string         `json:"text,omitempty"`
+	Others      *Sums          `json:"others,omitempty"` // of a stage that is left
+	Endpoint    string         `json:"endpoint,omitempty"`
+	Listed      []Endpoint     `json:"listed,omitempty"` // all that the proposer knows of
 }
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -17,18 +17,18 @@
 	Deferred               bool // without the store it would be handed back to its client
 	Attempts               int
 	Resends                int           // times it was sent again from the store
-	Left                   time.Duration // of its time, as it ended
+	TimeLeft               time.Duration // of its time, as it ended
 	Age                    time.Duration // since it was held
 }
 
 // Partner is what a rule sees of a message's destination, as this sender knows it.
 type Partner struct {
-	Held     int           // records held for it
-	Out      int           // resends out
-	Last     string        // the latest result of any call: "" before the first
-	Failing  time.Duration // since the first of the calls in a row that were not served; 0 = the last one was
-	Served   time.Duration // since a call was served; below 0 = never
-	WaitLeft time.Duration // of a wait that it told
+	Held       int           // records held for it
+	InFlight   int           // resends out
+	Last       string        // the latest result of any call: "" before the first
+	Failing    time.Duration // since the first of the calls in a row that were not served; 0 = the last one was
+	Served     time.Duration // since a call was served; below 0 = never
+	RetryAfter time.Duration // of a wait that it told
 }
 
 // attributes are the fields that a script may name.
@@ -83,7 +83,7 @@
 		case "resends":
 			return starlark.MakeInt(r.Resends)
 		case "left":
-			return seconds(r.Left)
+			return seconds(r.TimeLeft)
 		case "age":
 			return seconds(r.Age)
 		}
@@ -97,7 +97,7 @@
 		case "held":
 			return starlark.MakeInt(p.Held)
 		case "out":
-			return starlark.MakeInt(p.Out)
+			return starlark.MakeInt(p.InFlight)
 		case "last":
 			return starlark.String(p.Last)
 		case "failing":
@@ -105,34 +105,34 @@
 		case "served":
 			return seconds(p.Served)
 		case "wait_left":
-			return seconds(p.WaitLeft)
+			return seconds(p.RetryAfter)
 		}
 		return nil
 	}}
 }
 
-// What is a verdict's word.
-type What uint8
+// Action is a verdict's word.
+type Action uint8
 
 // The answers of the rule after.
 const (
-	Keep What = iota
-	Again
-	Drop
+	KeepRecord Action = iota
+	Redeliver
+	DropRecord
 )
 
-// After is what the rule after answers.
-type After struct {
-	What   What
-	For    time.Duration // Keep: asked again after this; 0 = not before something changes
-	Delay  time.Duration // Again: not before this
-	Within time.Duration // Again: and given up for good after this
+// Decision is what the rule after answers.
+type Decision struct {
+	Action   Action
+	ReviewIn time.Duration // Keep: asked again after this; 0 = not before something changes
+	Delay    time.Duration // Again: not before this
+	Within   time.Duration // Again: and given up for good after this
 }
 
 // A verdict is an answer of a rule as a value of the language.
 type verdict struct {
 	word  string
-	after After
+	after Decision
 }
 
 func (v verdict) String() string        { return v.word }
@@ -146,18 +146,18 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "seconds?", &seconds); err != nil {
 		return nil, err
 	}
-	v := verdict{word: "keep", after: After{What: Keep}}
+	v := verdict{word: "keep", after: Decision{Action: KeepRecord}}
 	if seconds == 0 {
 		return v, nil
 	}
 	var err error
-	v.after.For, err = span("keep: seconds", seconds)
+	v.after.ReviewIn, err = span("keep: seconds", seconds)
 	return v, err
 }
 
 func drop(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 	err := starlark.UnpackArgs(b.Name(), args, kwargs)
-	return verdict{word: "drop", after: After{What: Drop}}, err
+	return verdict{word: "drop", after: Decision{Action: DropRecord}}, err
 }
 
 func again(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
@@ -165,7 +165,7 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "within?", &within, "delay?", &delay); err != nil {
 		return nil, err
 	}
-	v := verdict{word: "again", after: After{What: Again}}
+	v := verdict{word: "again", after: Decision{Action: Redeliver}}
 	var err error
 	if within != 0 {
 		if v.after.Within, err = span("again: within", within); err != nil {
@@ -199,21 +199,21 @@
 	return !r.Deferred, &Error{File: s.Path, Text: fmt.Sprintf("hold answered %s, wanted HOLD or GIVE_BACK", v.Type())}
 }
 
-// After asks the rule after what becomes of a held record. Where the rule is
+// Decide asks the rule after what becomes of a held record. Where the rule is
 // missing, or fails, the record is kept.
-func (s *Settings) After(r Record, p Partner) (After, error) {
+func (s *Settings) Decide(r Record, p Partner) (Decision, error) {
 	if s.after == nil {
-		return After{}, nil
+		return Decision{}, nil
 	}
 	v, err := s.call(s.after, &r, &p)
 	if err != nil {
-		return After{}, err
+		return Decision{}, err
 	}
 	w, ok := v.(verdict)
 	if !ok || w.word == "HOLD" || w.word == "GIVE_BACK" {
-		return After{}, &Error{File: s.Path, Text: fmt.Sprintf("after answered %s, wanted keep(), again() or drop()", v.Type())}
+		return Decision{}, &Error{File: s.Path, Text: fmt.Sprintf("after answered %s, wanted keep(), again() or drop()", v.Type())}
 	}
-	if w.after.What == Again && w.after.Within == 0 {
+	if w.after.Action == Redeliver && w.after.Within == 0 {
 		w.after.Within = s.Resend.Within
 	}
 	return w.after, nil
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -99,9 +99,9 @@
 		err  string
 	}{
 		{"status", Record{Class: "status"}, Partner{}, false, ""},
-		{"little time", Record{Class: "print", Left: time.Second}, Partner{}, true, ""},
-		{"partner down", Record{Class: "print", Left: time.Minute}, Partner{Failing: time.Minute}, true, ""},
-		{"else", Record{Class: "print", Left: time.Minute}, Partner{}, false, ""},
+		{"little time", Record{Class: "print", TimeLeft: time.Second}, Partner{}, true, ""},
+		{"partner down", Record{Class: "print", TimeLeft: time.Minute}, Partner{Failing: time.Minute}, true, ""},
+		{"else", Record{Class: "print", TimeLeft: time.Minute}, Partner{}, false, ""},
 		{"endless, its client's", Record{Class: "loop", Deferred: true}, Partner{}, false, "s.star:10:"},
 		{"endless, nobody's", Record{Class: "loop"}, Partner{}, true, "too many steps"},
 		{"no answer", Record{Class: "odd"}, Partner{}, true, "hold answered int"},
@@ -115,15 +115,15 @@
 		name string
 		r    Record
 		p    Partner
-		want After
+		want Decision
 		err  bool
 	}{
-		{"again", Record{}, Partner{}, After{What: Again, Delay: 2 * time.Second, Within: 5 * time.Minute}, false},
-		{"told to wait", Record{}, Partner{WaitLeft: time.Minute}, After{What: Keep, For: time.Minute}, false},
-		{"often enough", Record{Resends: 3}, Partner{}, After{What: Drop}, false},
-		{"a rule that fails keeps", Record{Tenant: "bad"}, Partner{}, After{}, true},
+		{"again", Record{}, Partner{}, Decision{Action: Redeliver, Delay: 2 * time.Second, Within: 5 * time.Minute}, false},
+		{"told to wait", Record{}, Partner{RetryAfter: time.Minute}, Decision{Action: KeepRecord, ReviewIn: time.Minute}, false},
+		{"often enough", Record{Resends: 3}, Partner{}, Decision{Action: DropRecord}, false},
+		{"a rule that fails keeps", Record{Tenant: "bad"}, Partner{}, Decision{}, true},
 	} {
-		if got, err := s.After(c.r, c.p); got != c.want || (err != nil) != c.err {
+		if got, err := s.Decide(c.r, c.p); got != c.want || (err != nil) != c.err {
 			t.Errorf("after, %s: %+v %v", c.name, got, err)
 		}
 	}
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -172,8 +172,8 @@
 	c.note("clients keep using open connections: %t", c.Faults.KeepConnections)
 	if d.IntN(3) == 0 {
 		at := d.begin()
-		crowd := rig.Crowd{From: second(at), To: second(at + d.between(2, 6)), Connections: 200}
-		c.Faults.Crowds, c.Faults.Sockets = []rig.Crowd{crowd}, 192
+		crowd := rig.IdleClients{From: second(at), To: second(at + d.between(2, 6)), Connections: 200}
+		c.Faults.IdleClients, c.Faults.Sockets = []rig.IdleClients{crowd}, 192
 		c.note("a crowd of %d for each sender, %.1f to %.1f s", crowd.Connections, crowd.From.Seconds(), crowd.To.Seconds())
 	}
 }
