--- a/cmd/cleathold/fleet_faults_test.go
+++ b/cmd/cleathold/fleet_faults_test.go
@@ -18,13 +18,13 @@
 	"golang.org/x/sys/unix"
 
 	"cleathold/internal/agent"
-	"cleathold/internal/rig/fault"
-	"cleathold/internal/rig/fleet"
+	"cleathold/internal/cluster"
+	"cleathold/internal/netfault"
 	"cleathold/internal/rollout"
 )
 
 // others are the agents but for one, by number.
-func others(y *fleet.Cluster, not int) (list []int) {
+func others(y *cluster.Cluster, not int) (list []int) {
 	for i := range y.AgentNames() {
 		if i != not {
 			list = append(list, i)
@@ -34,7 +34,7 @@
 }
 
 // leader waits for the number of the agent that leads.
-func leader(t *testing.T, y *fleet.Cluster) int {
+func leader(t *testing.T, y *cluster.Cluster) int {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		if i := y.Leader(); i >= 0 {
@@ -48,30 +48,30 @@
 // strike is what befalls an agent, and how it ends.
 type strike struct {
 	name    string
-	hit     func(t *testing.T, y *fleet.Cluster, i int)
-	recover func(t *testing.T, y *fleet.Cluster, i int)
+	hit     func(t *testing.T, y *cluster.Cluster, i int)
+	recover func(t *testing.T, y *cluster.Cluster, i int)
 }
 
 var strikes = []strike{
-	{"killed", func(_ *testing.T, y *fleet.Cluster, i int) { y.SignalAgent(i, syscall.SIGKILL) },
-		func(t *testing.T, y *fleet.Cluster, i int) { must(t, y.StartAgent(i)) }},
-	{"cut off", func(_ *testing.T, y *fleet.Cluster, i int) {
-		y.Net.Partition([]string{y.AgentNames()[i]}, y.AgentNames(), fault.State{Silent: true})
-	}, func(_ *testing.T, y *fleet.Cluster, _ int) { y.Net.Heal() }},
-	{"stopped", func(_ *testing.T, y *fleet.Cluster, i int) { y.SignalAgent(i, syscall.SIGSTOP) },
-		func(_ *testing.T, y *fleet.Cluster, i int) { y.SignalAgent(i, syscall.SIGCONT) }},
-	{"heard by nobody", func(_ *testing.T, y *fleet.Cluster, i int) { oneWay(y, i, true) }, func(_ *testing.T, y *fleet.Cluster, _ int) { y.Net.Heal() }},
-	{"hears nobody", func(_ *testing.T, y *fleet.Cluster, i int) { oneWay(y, i, false) }, func(_ *testing.T, y *fleet.Cluster, _ int) { y.Net.Heal() }},
+	{"killed", func(_ *testing.T, y *cluster.Cluster, i int) { y.SignalAgent(i, syscall.SIGKILL) },
+		func(t *testing.T, y *cluster.Cluster, i int) { must(t, y.StartAgent(i)) }},
+	{"cut off", func(_ *testing.T, y *cluster.Cluster, i int) {
+		y.Net.Partition([]string{y.AgentNames()[i]}, y.AgentNames(), netfault.State{Silent: true})
+	}, func(_ *testing.T, y *cluster.Cluster, _ int) { y.Net.Heal() }},
+	{"stopped", func(_ *testing.T, y *cluster.Cluster, i int) { y.SignalAgent(i, syscall.SIGSTOP) },
+		func(_ *testing.T, y *cluster.Cluster, i int) { y.SignalAgent(i, syscall.SIGCONT) }},
+	{"heard by nobody", func(_ *testing.T, y *cluster.Cluster, i int) { oneWay(y, i, true) }, func(_ *testing.T, y *cluster.Cluster, _ int) { y.Net.Heal() }},
+	{"hears nobody", func(_ *testing.T, y *cluster.Cluster, i int) { oneWay(y, i, false) }, func(_ *testing.T, y *cluster.Cluster, _ int) { y.Net.Heal() }},
 }
 
 // oneWay silences what an agent says to the others, or what they say to it.
-func oneWay(y *fleet.Cluster, i int, out bool) {
+func oneWay(y *cluster.Cluster, i int, out bool) {
 	names := y.AgentNames()
 	for _, k := range others(y, i) {
 		if out {
-			y.Net.Set(names[i], names[k], fault.State{Silent: true})
+			y.Net.Set(names[i], names[k], netfault.State{Silent: true})
 		} else {
-			y.Net.Set(names[k], names[i], fault.State{Silent: true})
+			y.Net.Set(names[k], names[i], netfault.State{Silent: true})
 		}
 	}
 }
@@ -85,7 +85,7 @@
 	for _, k := range strikes {
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
-			y := aYard(t, fleet.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
+			y := aYard(t, cluster.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
 			for _, step := range []rollout.Step{rollout.Waiting, rollout.Granted, rollout.Out, rollout.Returning} {
 				first := leader(t, y)
 				id, err := y.Order(first, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
@@ -130,12 +130,12 @@
 // whoever leads next.
 func TestHaltWhileLeaderIsCutOff(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, fleet.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
+	y := aYard(t, cluster.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
 	first := leader(t, y)
 	id, err := y.Order(first, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{y.Names}}})
 	must(t, err)
 	must(t, y.Await(20*time.Second, "one is out", func(v agent.View) bool { return len(v.State.Grants) == 1 }))
-	y.Net.Partition(y.AgentNames()[first:first+1], y.AgentNames(), fault.State{Silent: true})
+	y.Net.Partition(y.AgentNames()[first:first+1], y.AgentNames(), netfault.State{Silent: true})
 	began := time.Now()
 	_, err = y.Order(others(y, first)[0], rollout.Command{Verb: rollout.Halt, Plan: id})
 	if took := time.Since(began); err != nil || took > 10*time.Second {
@@ -157,7 +157,7 @@
 	for _, k := range strikes {
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
-			y := aYard(t, fleet.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quick(rollout.Budget{Fleet: 2})})
+			y := aYard(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quick(rollout.Budget{Fleet: 2})})
 			program, ran := version(t, "v2", "")
 			out := tool(t, y, 0, gated("v2", program)...)
 			id := planOf(t, out)
@@ -197,7 +197,7 @@
 }
 
 // resume has a halted plan go on, as staff would after looking.
-func resume(t *testing.T, y *fleet.Cluster, id uint64) {
+func resume(t *testing.T, y *cluster.Cluster, id uint64) {
 	t.Helper()
 	must(t, y.Await(20*time.Second, "the plan", func(v agent.View) bool { return v.State.Plan(id) != nil }))
 	v, err := y.View(leader(t, y), true)
@@ -214,14 +214,14 @@
 	for _, c := range []struct{ agents, small int }{{3, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d of %d", c.small, c.agents), func(t *testing.T) {
 			t.Parallel()
-			y := aYard(t, fleet.Setup{Senders: 10, Agents: c.agents, Rate: 20, Terms: quick(rollout.Budget{Fleet: 6})})
+			y := aYard(t, cluster.Setup{Senders: 10, Agents: c.agents, Rate: 20, Terms: quick(rollout.Budget{Fleet: 6})})
 			id := planOf(t, tool(t, y, 0, "drain", "n0", "--reason", "r")) // of agent 0
 			must(t, y.Await(20*time.Second, "n0 is out", func(v agent.View) bool {
 				p := v.State.Plan(id)
 				return p != nil && p.Tasks["n0"].Step == rollout.Out
 			}))
 			small := y.AgentNames()[:c.small]
-			y.Net.Partition(small, y.AgentNames(), fault.State{Silent: true})
+			y.Net.Partition(small, y.AgentNames(), netfault.State{Silent: true})
 			cut := time.Now()
 			rest := c.small
 			must(t, y.Await(20*time.Second, "a leader on the larger side", func(v agent.View) bool { return !slices.Contains(small, v.Agent) }))
@@ -259,7 +259,7 @@
 // other resumes: the halt wins.
 func TestTwoOperators(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, fleet.Setup{Senders: 6, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
+	y := aYard(t, cluster.Setup{Senders: 6, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
 	var wg sync.WaitGroup
 	codes := make([]int, 4)
 	for i, args := range [][]string{{"n0", "n1"}, {"n1", "n0"}, {"n2", "n3"}, {"n3", "n2"}} {
@@ -297,7 +297,7 @@
 }
 
 // put makes one call at the second address of a sender, and returns the status.
-func put(y *fleet.Cluster, sender int, path string, q url.Values) int {
+func put(y *cluster.Cluster, sender int, path string, q url.Values) int {
 	for _, addr := range y.Admin(sender) {
 		r, err := http.NewRequest(http.MethodPut, "http://"+addr+path+"?"+q.Encode(), nil)
 		if err != nil {
@@ -316,7 +316,7 @@
 // newer one, or for a process that is no more.
 func TestSendersOnTheirOwn(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, fleet.Setup{Senders: 6, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 2})})
+	y := aYard(t, cluster.Setup{Senders: 6, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 2})})
 	order := func(v agent.View, name string, epoch uint64, by time.Duration) url.Values {
 		ms := func(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
 		return url.Values{"process": {v.Observations[name].Process}, "epoch": {fmt.Sprint(epoch)}, "by": {ms(time.Now().Add(by))}, "until": {ms(time.Now().Add(3 * time.Second))}}
@@ -381,7 +381,7 @@
 // once it is back. The agent that was lost can't vote twice.
 func TestAgentFolderLost(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, fleet.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
+	y := aYard(t, cluster.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
 	v, err := y.View(2, true)
 	must(t, err)
 	old := v.Quorum.Member.Number
@@ -406,7 +406,7 @@
 // goes out while it can't write down what was agreed on, and once there is room it has all that it missed.
 func TestAgentDiskFull(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, fleet.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
+	y := aYard(t, cluster.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
 	room := func(i int, some bool) { // the files of its process can't grow: writes fail as on a full disk
 		limit := unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY}
 		if some {
@@ -483,7 +483,7 @@
 // leaves the old one in force; going back puts all back.
 func TestConfigurationRelease(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, fleet.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quick(rollout.Budget{Fleet: 2})})
+	y := aYard(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quick(rollout.Budget{Fleet: 2})})
 	folder := func(change func(text string) string) string {
 		dir := t.TempDir()
 		for i, name := range y.Names {
@@ -526,7 +526,7 @@
 // is refused. Put back, it is called again. When nobody tells senders any more, it comes back by itself.
 func TestEndpointOut(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, fleet.Setup{Senders: 4, Agents: 3, Rate: 300, Terms: quick(rollout.Budget{Fleet: 1, Endpoints: 1})})
+	y := aYard(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 300, Terms: quick(rollout.Budget{Fleet: 1, Endpoints: 1})})
 	var list []rollout.Endpoint
 	must(t, y.Await(20*time.Second, "endpoints are listed", func(v agent.View) bool { list = v.Listed; return len(list) > 2 }))
 	id := list[0].ID
@@ -582,8 +582,8 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
 			t.Parallel()
-			h := fleet.Draw(seed+1, 12, 3, 5*time.Second)
-			must(t, h.Play(t.Context(), fleet.Setup{Program: os.Args[0], Env: []string{"CLEATHOLD_CHILD=1"}, Folder: t.TempDir(), Rate: 40}))
+			h := cluster.Draw(seed+1, 12, 3, 5*time.Second)
+			must(t, h.Play(t.Context(), cluster.Setup{Program: os.Args[0], Env: []string{"CLEATHOLD_CHILD=1"}, Folder: t.TempDir(), Rate: 40}))
 			for _, f := range h.Faults {
 				t.Error(f)
 			}
@@ -606,7 +606,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			y := aYard(t, fleet.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quick(rollout.Budget{Fleet: 1}), Script: c.script + "\n", Restart: c.restart})
+			y := aYard(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quick(rollout.Budget{Fleet: 1}), Script: c.script + "\n", Restart: c.restart})
 			program, ran := version(t, "v2", "")
 			id := planOf(t, tool(t, y, 0, gated("v2", program)...))
 			over := make(chan struct{})
--- a/cmd/cleathold/fleet_test.go
+++ b/cmd/cleathold/fleet_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"cleathold/internal/rig/fleet"
+	"cleathold/internal/cluster"
 	"cleathold/internal/rollout"
 )
 
@@ -23,11 +23,11 @@
 }
 
 // aYard is a fleet of processes of this test's own program.
-func aYard(t *testing.T, s fleet.Setup) *fleet.Cluster {
+func aYard(t *testing.T, s cluster.Setup) *cluster.Cluster {
 	t.Helper()
 	s.Program, s.Folder = os.Args[0], t.TempDir()
 	s.Env = append(s.Env, "CLEATHOLD_CHILD=1")
-	y, err := fleet.New(t.Context(), s)
+	y, err := cluster.New(t.Context(), s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 }
 
 // tool runs a command of the fleet's as staff do, and wants it to end with a code.
-func tool(t *testing.T, y *fleet.Cluster, code int, args ...string) string {
+func tool(t *testing.T, y *cluster.Cluster, code int, args ...string) string {
 	t.Helper()
 	out, got := y.RunCommand(nil, args...)
 	if got != code {
@@ -64,7 +64,7 @@
 // says who did what.
 func TestFleetDrain(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, fleet.Setup{Senders: 4, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
+	y := aYard(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
 	for args, want := range map[string]string{
 		"drain n9 --reason r":                                `no sender "n9"`,
 		"drain n0 --at-once 2 --reason r":                    "the budget has 1 to 1",
@@ -147,7 +147,7 @@
 }
 
 // sound wants that no order took one out too many, and that no rule for messages was broken.
-func sound(t *testing.T, y *fleet.Cluster) fleet.Report {
+func sound(t *testing.T, y *cluster.Cluster) cluster.Report {
 	t.Helper()
 	r := y.Finish()
 	for _, b := range r.OverBudget {
@@ -197,7 +197,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			y := aYard(t, fleet.Setup{Senders: 4, Agents: 3, Rate: 160, Terms: quick(rollout.Budget{Fleet: 2})})
+			y := aYard(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 160, Terms: quick(rollout.Budget{Fleet: 2})})
 			program, ran := version(t, "v2", c.serve)
 			code := exitStopped
 			if c.want == "" {
@@ -217,7 +217,7 @@
 // A version whose journal can't be read by the one before it, or that can't read that one's, is refused before the first stage.
 func TestNoWayBack(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, fleet.Setup{Senders: 2, Agents: 3, Terms: quick(rollout.Budget{Fleet: 1})})
+	y := aYard(t, cluster.Setup{Senders: 2, Agents: 3, Terms: quick(rollout.Budget{Fleet: 1})})
 	for about, want := range map[string]string{
 		`{"version":"v2","journal_reads":[1,2,3],"journal_writes":3}`: "no way back: v1 can't read the journal that v2 writes (form 3)",
 		`{"version":"v2","journal_reads":[3],"journal_writes":2}`:     "v2 can't read the journal that v1 writes (form 2)",
--- a/cmd/cleathold/held.go
+++ b/cmd/cleathold/held.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"cleathold/internal/admin"
-	"cleathold/internal/held"
+	"cleathold/internal/deadletter"
 	"cleathold/internal/settings"
 )
 
@@ -40,9 +40,9 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, held.ErrNotFound):
+	case errors.Is(err, deadletter.ErrNotFound):
 		return exit{err, exitNotFound}
-	case errors.Is(err, admin.ErrUnreachable), errors.Is(err, admin.ErrReadOnly), errors.Is(err, held.ErrInUse), errors.Is(err, os.ErrNotExist):
+	case errors.Is(err, admin.ErrUnreachable), errors.Is(err, admin.ErrReadOnly), errors.Is(err, deadletter.ErrInUse), errors.Is(err, os.ErrNotExist):
 		return exit{err, exitUnreachable}
 	}
 	return err
@@ -123,8 +123,8 @@
 	Before      string `help:"Held before this time."`
 }
 
-func (f *filter) filter() (held.Filter, error) {
-	out := held.Filter{Destination: f.Destination, Class: f.Class, Tenant: f.Tenant, Reason: f.Reason, State: held.State(f.State)}
+func (f *filter) filter() (deadletter.Filter, error) {
+	out := deadletter.Filter{Destination: f.Destination, Class: f.Class, Tenant: f.Tenant, Reason: f.Reason, State: deadletter.State(f.State)}
 	var err error
 	for _, t := range []struct {
 		name, text string
@@ -166,7 +166,7 @@
 		}
 		next := c.After
 		for left := max(c.Limit, 1); left > 0; {
-			page, err := p.List(ctx, f, next, min(left, held.MaxPageSize))
+			page, err := p.List(ctx, f, next, min(left, deadletter.MaxPageSize))
 			if err != nil {
 				return err
 			}
@@ -251,19 +251,19 @@
 	}
 	o.DryRun = a.DryRun
 	return h.Where.ask(func(ctx context.Context, p admin.API) error {
-		total := held.Outcome{}
+		total := deadletter.Outcome{}
 		whys := map[string]int{}
-		note := func(got held.Outcome) {
+		note := func(got deadletter.Outcome) {
 			total.Done += got.Done
 			for _, r := range got.Rejected {
-				if len(total.Rejected) < held.MaxPageSize {
+				if len(total.Rejected) < deadletter.MaxPageSize {
 					total.Rejected = append(total.Rejected, r)
 				}
 				whys[r.Reason]++
 			}
 		}
 		for seqs := a.Seqs; len(seqs) > 0; {
-			o.Selection = held.Selection{Sequences: seqs[:min(len(seqs), held.MaxPageSize)]}
+			o.Selection = deadletter.Selection{Sequences: seqs[:min(len(seqs), deadletter.MaxPageSize)]}
 			seqs = seqs[len(o.Selection.Sequences):]
 			got, err := p.Act(ctx, verb, o)
 			if err != nil {
@@ -272,7 +272,7 @@
 			note(got)
 		}
 		for next, pages := uint64(0), 0; len(a.Seqs) == 0; pages++ {
-			o.Selection = held.Selection{Filter: f, After: next, Limit: held.MaxPageSize}
+			o.Selection = deadletter.Selection{Filter: f, After: next, Limit: deadletter.MaxPageSize}
 			got, err := p.Act(ctx, verb, o)
 			if err != nil {
 				return fmt.Errorf("after %d done: %w", total.Done, err)
@@ -291,11 +291,11 @@
 		}
 		if h.Where.JSON {
 			if err := writeJSON(out, struct {
-				Done    int                   `json:"done"`
-				Refused int                   `json:"refused"`
-				Whys    map[string]int        `json:"whys,omitempty"`
-				Records []held.RejectedRecord `json:"refused_records,omitempty"`
-				DryRun  bool                  `json:"dry_run,omitempty"`
+				Done    int                         `json:"done"`
+				Refused int                         `json:"refused"`
+				Whys    map[string]int              `json:"whys,omitempty"`
+				Records []deadletter.RejectedRecord `json:"refused_records,omitempty"`
+				DryRun  bool                        `json:"dry_run,omitempty"`
 			}{total.Done, refused, whys, total.Rejected, a.DryRun}); err != nil {
 				return err
 			}
@@ -402,7 +402,7 @@
 				fmt.Fprintf(out, "  line %d: %s\n", at, why)
 			}
 		}
-		var batch []held.ExportLine
+		var batch []deadletter.ExportLine
 		bytes := 0
 		flush := func() error {
 			if len(batch) == 0 {
@@ -426,7 +426,7 @@
 			if strings.TrimSpace(lines.Text()) == "" {
 				continue
 			}
-			var l held.ExportLine
+			var l deadletter.ExportLine
 			if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 				refuse(line, err.Error())
 				continue
@@ -474,7 +474,7 @@
 		}
 		for _, g := range []struct {
 			name string
-			list []held.Group
+			list []deadletter.Group
 		}{{"state", s.States}, {"reason", s.Reasons}, {"class", s.Classes}, {"tenant", s.Tenants}, {"destination", s.Dests}} {
 			for _, x := range g.list {
 				fmt.Fprintf(out, "  %-12s %-24s %d\n", g.name, x.Name, x.Records)
--- a/cmd/cleathold/held_test.go
+++ b/cmd/cleathold/held_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"cleathold/internal/admin"
-	"cleathold/internal/held"
+	"cleathold/internal/deadletter"
 	"cleathold/internal/socktest"
 )
 
@@ -220,7 +220,7 @@
 }
 
 // stats asks until a condition holds.
-func (w *world) stats(p admin.API, what string, done func(states map[string]int, s held.Stats) bool) map[string]int {
+func (w *world) stats(p admin.API, what string, done func(states map[string]int, s deadletter.Stats) bool) map[string]int {
 	w.t.Helper()
 	states := map[string]int{}
 	for until := time.Now().Add(60 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -284,7 +284,7 @@
 				t.Fatalf("%d %v", status, err)
 			}
 		}
-		w.stats(plane, "those that may have run", func(s map[string]int, _ held.Stats) bool { return s["held"] == ran })
+		w.stats(plane, "those that may have run", func(s map[string]int, _ deadletter.Stats) bool { return s["held"] == ran })
 		p.mu.Lock()
 		p.breaks = false
 		broken := len(p.effects) // the others found the route taken for an outage, and never ran
@@ -298,17 +298,17 @@
 				t.Fatalf("%s: %d %v", id, status, err)
 			}
 		}
-		w.stats(plane, "all held", func(s map[string]int, x held.Stats) bool { return s["held"] == records+ran && x.Owed == 0 })
+		w.stats(plane, "all held", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == records+ran && x.Owed == 0 })
 		for n := range records {
 			if _, id, _ := class(n); !told(id) || p.effects[id] > 0 {
 				t.Fatalf("%s: told %t, effects %d", id, told(id), p.effects[id])
 			}
 		}
 		if resends {
-			got, err := plane.Act(context.Background(), "resend", admin.Order{Selection: held.Selection{Limit: held.MaxPageSize}, WithinS: 60})
+			got, err := plane.Act(context.Background(), "resend", admin.Order{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinS: 60})
 			for next := got.Next; err == nil && next > 0; {
-				var more held.Outcome
-				more, err = plane.Act(context.Background(), "resend", admin.Order{Selection: held.Selection{Limit: held.MaxPageSize, After: next}, WithinS: 60})
+				var more deadletter.Outcome
+				more, err = plane.Act(context.Background(), "resend", admin.Order{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize, After: next}, WithinS: 60})
 				got.Done, got.Rejected, next = got.Done+more.Done, append(got.Rejected, more.Rejected...), more.Next
 			}
 			if err != nil || got.Done != records+ran-broken || len(got.Rejected) != broken || !strings.Contains(got.Rejected[0].Reason, "must never take effect twice") {
@@ -329,9 +329,9 @@
 			}
 		}
 		if resends {
-			w.stats(plane, "all delivered", func(s map[string]int, _ held.Stats) bool { return s["delivered"] == records+ran-broken })
+			w.stats(plane, "all delivered", func(s map[string]int, _ deadletter.Stats) bool { return s["delivered"] == records+ran-broken })
 		}
-		w.stats(plane, "nothing out", func(s map[string]int, _ held.Stats) bool { return s["out"]+s["ordered"] == 0 })
+		w.stats(plane, "nothing out", func(s map[string]int, _ deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 })
 		time.Sleep(time.Until(start.Add(live*40*time.Millisecond + 4*time.Second)))
 		push := p.pushed(fallSpan)
 		p.mu.Lock()
@@ -388,7 +388,7 @@
 		name, id, key := class(n)
 		hand.handIn(name, id, key, 0.3)
 	}
-	w.stats(w.plane(), "held", func(s map[string]int, x held.Stats) bool { return s["held"] == 6 && x.Owed == 0 })
+	w.stats(w.plane(), "held", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == 6 && x.Owed == 0 })
 	file := filepath.Join(t.TempDir(), "out.jsonl")
 	for _, x := range []struct {
 		args string
@@ -436,7 +436,7 @@
 	o := newHeldWorld(t, p, holdAll)
 	o.drain()
 	o.start()
-	o.stats(o.plane(), "open", func(map[string]int, held.Stats) bool { return true })
+	o.stats(o.plane(), "open", func(map[string]int, deadletter.Stats) bool { return true })
 	if out, code := o.command("held", "import", file); code != 0 || !strings.Contains(out, "5 done") {
 		t.Errorf("import: %d %s", code, out)
 	}
@@ -460,7 +460,7 @@
 	}
 	hand.handIn("safe", "s1", "", 0.2)
 	plane := w.plane()
-	w.stats(plane, "held", func(s map[string]int, x held.Stats) bool { return s["held"] == 1 && x.Owed == 0 })
+	w.stats(plane, "held", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == 1 && x.Owed == 0 })
 	if out, code := w.command("check", "--settings", w.script); code != 0 {
 		t.Errorf("%d %s", code, out)
 	}
@@ -469,7 +469,7 @@
 		t.Errorf("%d %s", code, out)
 	}
 	hand.handIn("safe", "s2", "", 0.2)
-	w.stats(plane, "held by the old rules", func(s map[string]int, x held.Stats) bool { return s["held"] == 2 && x.Owed == 0 })
+	w.stats(plane, "held by the old rules", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == 2 && x.Owed == 0 })
 	write(holdAll + "\ndef after(record, partner):\n    return drop()\n")
-	w.stats(plane, "dropped by the new ones", func(s map[string]int, _ held.Stats) bool { return s["dropped"] == 2 })
+	w.stats(plane, "dropped by the new ones", func(s map[string]int, _ deadletter.Stats) bool { return s["dropped"] == 2 })
 }
--- a/cmd/cleathold/kills_test.go
+++ b/cmd/cleathold/kills_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"cleathold/internal/admin"
-	"cleathold/internal/held"
+	"cleathold/internal/deadletter"
 	"cleathold/internal/socktest"
 )
 
@@ -125,7 +125,7 @@
 				taken[id] = true
 			}
 		}
-		go w.plane().Act(context.Background(), "resend", admin.Order{Selection: held.Selection{Limit: held.MaxPageSize}, WithinS: 1})
+		go w.plane().Act(context.Background(), "resend", admin.Order{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinS: 1})
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 		over(w, c)
 	}
@@ -134,11 +134,11 @@
 	p.mu.Unlock()
 	start(w, c)
 	plane := w.plane()
-	quiet := func(s map[string]int, x held.Stats) bool { return s["out"]+s["ordered"] == 0 && x.Owed == 0 }
+	quiet := func(s map[string]int, x deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 && x.Owed == 0 }
 	w.stats(plane, "nothing on its way", quiet)
 	time.Sleep(time.Second) // live ones have 0.55 s at most
 	order := admin.Order{WithinS: 60}
-	order.Selection.Limit = held.MaxPageSize
+	order.Selection.Limit = deadletter.MaxPageSize
 	refused := map[uint64]bool{}
 	for {
 		got, err := plane.Act(context.Background(), "resend", order)
@@ -153,9 +153,9 @@
 		}
 	}
 	states := w.stats(plane, "all sent that may be", quiet)
-	records := map[string]held.Record{}
+	records := map[string]deadletter.Record{}
 	for next := uint64(0); ; {
-		page, err := plane.List(context.Background(), held.Filter{}, next, held.MaxPageSize)
+		page, err := plane.List(context.Background(), deadletter.Filter{}, next, deadletter.MaxPageSize)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -181,9 +181,9 @@
 			t.Errorf("%s is lost", id)
 		case kept && !told(id):
 			t.Errorf("%s is held, and the platform does not know: %+v", id, r)
-		case kept && r.State == held.Held && !refused[r.Sequence]:
+		case kept && r.State == deadletter.Held && !refused[r.Sequence]:
 			t.Errorf("%s may be sent and was not: %+v", id, r)
-		case kept && r.State == held.Delivered && p.effects[id] == 0:
+		case kept && r.State == deadletter.Delivered && p.effects[id] == 0:
 			t.Errorf("%s is delivered by the store's word alone", id)
 		}
 	}
--- a/cmd/cleathold/lab.go
+++ b/cmd/cleathold/lab.go
@@ -18,11 +18,11 @@
 	"time"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
+	"cleathold/internal/harness"
 	"cleathold/internal/ledger"
 	"cleathold/internal/report"
-	"cleathold/internal/rig"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 // exitBroken is the exit code of a rehearsal in which a rule was broken.
@@ -104,7 +104,7 @@
 
 // played is a run of many.
 type played struct {
-	result lab.Result
+	result simulation.Result
 	took   time.Duration
 	err    error
 }
@@ -202,7 +202,7 @@
 		}
 	}
 	began := time.Now()
-	sim, err := lab.NewSim(p, log, sink)
+	sim, err := simulation.NewSim(p, log, sink)
 	if err != nil {
 		return played{err: err}
 	}
@@ -238,7 +238,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	r, err := playSockets(ctx, s, rig.Setup{Plan: s.Plan(c.Seed), Program: c.Program, Settings: c.Settings, MemoryMB: c.MemoryMB, Folder: c.Out, Log: log, Progress: os.Stderr})
+	r, err := playSockets(ctx, s, harness.Setup{Plan: s.Plan(c.Seed), Program: c.Program, Settings: c.Settings, MemoryMB: c.MemoryMB, Folder: c.Out, Log: log, Progress: os.Stderr})
 	if err != nil {
 		return exit{err, exitOff}
 	}
@@ -261,11 +261,11 @@
 }
 
 // playSockets is one run on sockets. Its folder is a temporary one if none is named.
-func playSockets(ctx context.Context, s *scenario.Scenario, set rig.Setup) (rig.Result, error) {
+func playSockets(ctx context.Context, s *scenario.Scenario, set harness.Setup) (harness.Result, error) {
 	var err error
 	if set.Program == "" {
 		if set.Program, err = os.Executable(); err != nil {
-			return rig.Result{}, err
+			return harness.Result{}, err
 		}
 	}
 	for _, path := range []*string{&set.Program, &set.Settings, &set.Folder} { // the senders run elsewhere
@@ -273,22 +273,22 @@
 			continue
 		}
 		if *path, err = filepath.Abs(*path); err != nil {
-			return rig.Result{}, err
+			return harness.Result{}, err
 		}
 	}
 	if set.Folder == "" {
 		if set.Folder, err = os.MkdirTemp("", "cleathold-lab-"); err != nil {
-			return rig.Result{}, err
+			return harness.Result{}, err
 		}
 		defer os.RemoveAll(set.Folder)
-		return rig.Run(ctx, set)
+		return harness.Run(ctx, set)
 	}
 	book, err := ledger.Create(set.Folder, head(s, set.Plan.Seed, "sockets", set.Program), s.Script)
 	if err != nil {
-		return rig.Result{}, err
+		return harness.Result{}, err
 	}
 	set.Sink = book.Read
-	r, err := rig.Run(ctx, set)
+	r, err := harness.Run(ctx, set)
 	if err != nil {
 		return r, errors.Join(err, book.Close())
 	}
@@ -317,7 +317,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := rig.Serve(ctx, rig.Setup{Plan: s.Plan(c.Seed), Folder: folder, Settings: c.Settings, Log: log, Sink: book.Read}, out)
+	r, err := harness.Serve(ctx, harness.Setup{Plan: s.Plan(c.Seed), Folder: folder, Settings: c.Settings, Log: log, Sink: book.Read}, out)
 	if err != nil {
 		return exit{errors.Join(err, book.Close()), exitOff}
 	}
@@ -343,13 +343,13 @@
 	case c.Sink == (len(c.To) > 0):
 		return errors.New("name the senders by --to, or --sink")
 	case c.Sink:
-		addr, err := rig.StartSink(ctx)
+		addr, err := harness.StartSink(ctx)
 		if err != nil {
 			return err
 		}
 		c.To = []string{addr}
 	}
-	seen, err := rig.Load(ctx, s.Plan(c.Seed), c.To, log, os.Stderr)
+	seen, err := harness.Load(ctx, s.Plan(c.Seed), c.To, log, os.Stderr)
 	if err != nil {
 		return exit{err, exitOff}
 	}
@@ -489,7 +489,7 @@
 		f.Notes = append(f.Notes, "no result: the run was broken off, rules are not judged")
 		return c.Page(f)
 	}
-	var r rig.Result
+	var r harness.Result
 	if err := json.Unmarshal(run.Result, &r); err != nil {
 		return nil, fmt.Errorf("%s: result: %w", folder, err)
 	}
@@ -581,7 +581,7 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		r, err := playSockets(ctx, s, rig.Setup{Plan: s.Plan(seed), Program: program, Settings: []string{c.SettingsA, c.SettingsB}[side], Log: log})
+		r, err := playSockets(ctx, s, harness.Setup{Plan: s.Plan(seed), Program: program, Settings: []string{c.SettingsA, c.SettingsB}[side], Log: log})
 		return r.Service, len(r.Violations), err
 	}
 	if scripts {
@@ -610,7 +610,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	var r lab.Result
+	var r simulation.Result
 	if err := json.Unmarshal(text, &r); err != nil {
 		return 0, 0, fmt.Errorf("its result can't be read: %w", err)
 	}
--- a/cmd/cleathold/lab_test.go
+++ b/cmd/cleathold/lab_test.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"cleathold/internal/audit"
+	"cleathold/internal/harness"
 	"cleathold/internal/ledger"
-	"cleathold/internal/rig"
 	"cleathold/internal/scenario"
 )
 
@@ -41,13 +41,13 @@
 
 var nobody = slog.New(slog.DiscardHandler)
 
-func setup(t *testing.T, path string) rig.Setup {
+func setup(t *testing.T, path string) harness.Setup {
 	t.Helper()
 	s, err := scenario.Load(path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rig.Setup{Plan: s.Plan(1), Program: os.Args[0], Folder: t.TempDir(), Log: nobody}
+	return harness.Setup{Plan: s.Plan(1), Program: os.Args[0], Folder: t.TempDir(), Log: nobody}
 }
 
 // addresses are where a run's senders listen.
@@ -103,7 +103,7 @@
 	if err := (&labRunCmd{script: script{Scenario: path}, Seed: 1, Out: folder, Program: os.Args[0], JSON: true}).Run(out, nobody); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	var r rig.Result
+	var r harness.Result
 	if err := json.Unmarshal(out.Bytes(), &r); err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 		if err := os.WriteFile(s.Program, []byte(c.script), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := rig.Run(t.Context(), s); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := harness.Run(t.Context(), s); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %q", err, c.want)
 		}
 		allGone(t, addresses(t, s.Folder))
@@ -160,7 +160,7 @@
 		}
 		return nil
 	}
-	if _, err := rig.Run(t.Context(), s); !errors.Is(err, full) {
+	if _, err := harness.Run(t.Context(), s); !errors.Is(err, full) {
 		t.Errorf("a full disk: %v", err)
 	}
 	allGone(t, addresses(t, s.Folder))
@@ -173,7 +173,7 @@
 		}
 		return nil
 	}
-	if _, err := rig.Run(ctx, s); err == nil || err.Error() != "broken off" {
+	if _, err := harness.Run(ctx, s); err == nil || err.Error() != "broken off" {
 		t.Errorf("called off: %v", err)
 	}
 	allGone(t, addresses(t, s.Folder))
@@ -280,7 +280,7 @@
 		}
 		return nil
 	}
-	r, err := rig.Run(t.Context(), set)
+	r, err := harness.Run(t.Context(), set)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -332,7 +332,7 @@
 	if err := c.Run(out, nobody); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	var r rig.Result
+	var r harness.Result
 	if err := json.Unmarshal(out.Bytes(), &r); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/cleathold/labfleet.go
+++ b/cmd/cleathold/labfleet.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"cleathold/internal/rig/fleet"
+	"cleathold/internal/cluster"
 	"cleathold/internal/rollout"
 	"cleathold/internal/scenario"
 )
@@ -25,9 +25,9 @@
 }
 
 // yardSetup is a yard of this program's own processes.
-func yardSetup(folder string, rate float64) (fleet.Setup, error) {
+func yardSetup(folder string, rate float64) (cluster.Setup, error) {
 	program, err := os.Executable()
-	return fleet.Setup{Program: program, Folder: folder, Rate: rate, Log: slog.New(slog.DiscardHandler)}, err
+	return cluster.Setup{Program: program, Folder: folder, Rate: rate, Log: slog.New(slog.DiscardHandler)}, err
 }
 
 type labCampaignCmd struct {
@@ -60,7 +60,7 @@
 				if seed >= c.From+uint64(c.Seeds) || ctx.Err() != nil {
 					return
 				}
-				h := fleet.Draw(seed, c.Senders, c.Agents, c.Length)
+				h := cluster.Draw(seed, c.Senders, c.Agents, c.Length)
 				err := playHistory(ctx, h, c.Rate)
 				mu.Lock()
 				if err != nil {
@@ -86,7 +86,7 @@
 	return brokenExit(broken)
 }
 
-func playHistory(ctx context.Context, h *fleet.History, rate float64) error {
+func playHistory(ctx context.Context, h *cluster.History, rate float64) error {
 	folder, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return err
@@ -99,7 +99,7 @@
 	return h.Play(ctx, s)
 }
 
-func writeHistory(out io.Writer, h *fleet.History) {
+func writeHistory(out io.Writer, h *cluster.History) {
 	fmt.Fprintf(out, "seed %d: %d out at once at most (%d may be), %d times by order, service %.3f, %d plans\n", h.Seed, h.MaxOut, h.Budget.Fleet, h.Orders, h.Served, len(h.Plans))
 	for _, f := range h.Faults {
 		fmt.Fprintf(out, "  BROKEN: %.600s\n", f)
@@ -112,7 +112,7 @@
 }
 
 func (c *labReplayCmd) Run(out io.Writer) error {
-	h, err := fleet.LoadHistory(c.History)
+	h, err := cluster.LoadHistory(c.History)
 	if err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 	s.Terms.Budget.Fleet = c.Budget
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	m, err := fleet.Measure(ctx, s, c.Faults)
+	m, err := cluster.Measure(ctx, s, c.Faults)
 	if err != nil {
 		return exit{err, exitOff}
 	}
@@ -162,7 +162,7 @@
 	fmt.Fprintf(out, "service %.3f, %d rules broken, %d times over the budget\n", m.Served, m.Violations, m.OverBudget)
 	for _, k := range []struct {
 		name string
-		c    fleet.Cost
+		c    cluster.Cost
 	}{{"at rest", m.AtRest}, {"in the release", m.DuringRelease}} {
 		fmt.Fprintf(out, "an agent %s: %.3f of a processor, %.0f MB; a second: raft %.0f bytes and %.1f calls, sights %.0f bytes and %.1f calls, looks %.0f bytes and %.1f calls\n",
 			k.name, k.c.Processor, k.c.MemoryMB, k.c.RaftBytes, k.c.RaftCalls, k.c.ToldBytes, k.c.ToldCalls, k.c.LookBytes, k.c.Looks)
@@ -198,7 +198,7 @@
 	}
 	set.Plan = s.Plan(c.Seed)
 	set.Rate = set.Plan.Rate
-	h := fleet.FromPlan(set.Plan)
+	h := cluster.FromPlan(set.Plan)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if err := h.Play(ctx, set); err != nil {
--- a/cmd/cleathold/upgrade_cut_test.go
+++ b/cmd/cleathold/upgrade_cut_test.go
@@ -20,8 +20,8 @@
 
 	"cleathold/internal/admin"
 	"cleathold/internal/handover"
+	"cleathold/internal/netfault"
 	"cleathold/internal/ownsock"
-	"cleathold/internal/rig/fault"
 	"cleathold/internal/socktest"
 	"cleathold/internal/state"
 )
@@ -111,7 +111,7 @@
 type succession struct {
 	t     *testing.T
 	w     *world
-	block *fault.Block
+	block *netfault.Block
 	temp  string // each process has a folder of its own in it, where its desk stands
 	now   *exec.Cmd
 	at    string // its second address
@@ -131,7 +131,7 @@
 	temp, err := os.MkdirTemp("", "cs") // a Unix address is short
 	must(t, err)
 	t.Cleanup(func() { os.RemoveAll(temp) })
-	block, err := fault.NewBlock()
+	block, err := netfault.NewBlock()
 	must(t, err)
 	t.Cleanup(block.Close)
 	s := &succession{t: t, w: newWorld(t, nil), temp: temp, block: block, calls: map[string]int{}, hold: map[string]chan struct{}{}, notes: map[string]string{}}
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -12,17 +12,17 @@
 	"strconv"
 	"time"
 
-	"cleathold/internal/held"
+	"cleathold/internal/deadletter"
 )
 
 // API is what may be asked of held messages.
 type API interface {
-	List(ctx context.Context, f held.Filter, after uint64, most int) (Page, error)
-	Export(ctx context.Context, f held.Filter, after uint64) (Page, error)
-	Show(ctx context.Context, seq uint64) (held.ExportLine, error)
-	Stats(ctx context.Context) (held.Stats, error)
-	Audit(ctx context.Context, most int) ([]held.AuditEntry, error)
-	Act(ctx context.Context, verb string, o Order) (held.Outcome, error)
+	List(ctx context.Context, f deadletter.Filter, after uint64, most int) (Page, error)
+	Export(ctx context.Context, f deadletter.Filter, after uint64) (Page, error)
+	Show(ctx context.Context, seq uint64) (deadletter.ExportLine, error)
+	Stats(ctx context.Context) (deadletter.Stats, error)
+	Audit(ctx context.Context, most int) ([]deadletter.AuditEntry, error)
+	Act(ctx context.Context, verb string, o Order) (deadletter.Outcome, error)
 	Close() error
 }
 
@@ -79,76 +79,76 @@
 	var fault struct{ Error string }
 	json.NewDecoder(io.LimitReader(answer.Body, 1<<16)).Decode(&fault)
 	if answer.StatusCode == http.StatusNotFound && fault.Error != "" {
-		return fmt.Errorf("%w (%s)", held.ErrNotFound, fault.Error)
+		return fmt.Errorf("%w (%s)", deadletter.ErrNotFound, fault.Error)
 	}
 	return fmt.Errorf("the sender answers %s: %s", answer.Status, fault.Error)
 }
 
-func (c *remote) List(ctx context.Context, f held.Filter, after uint64, most int) (p Page, err error) {
+func (c *remote) List(ctx context.Context, f deadletter.Filter, after uint64, most int) (p Page, err error) {
 	return p, c.ask(ctx, http.MethodGet, "/held/list?"+query(f, after, most).Encode(), nil, &p)
 }
 
-func (c *remote) Export(ctx context.Context, f held.Filter, after uint64) (p Page, err error) {
+func (c *remote) Export(ctx context.Context, f deadletter.Filter, after uint64) (p Page, err error) {
 	return p, c.ask(ctx, http.MethodGet, "/held/export?"+query(f, after, MaxImportLines).Encode(), nil, &p)
 }
 
-func (c *remote) Show(ctx context.Context, seq uint64) (l held.ExportLine, err error) {
+func (c *remote) Show(ctx context.Context, seq uint64) (l deadletter.ExportLine, err error) {
 	return l, c.ask(ctx, http.MethodGet, "/held/show/"+strconv.FormatUint(seq, 10), nil, &l)
 }
 
-func (c *remote) Stats(ctx context.Context) (s held.Stats, err error) {
+func (c *remote) Stats(ctx context.Context) (s deadletter.Stats, err error) {
 	return s, c.ask(ctx, http.MethodGet, "/held/stats", nil, &s)
 }
 
-func (c *remote) Audit(ctx context.Context, most int) (list []held.AuditEntry, err error) {
+func (c *remote) Audit(ctx context.Context, most int) (list []deadletter.AuditEntry, err error) {
 	return list, c.ask(ctx, http.MethodGet, "/held/audit?most="+strconv.Itoa(most), nil, &list)
 }
 
-func (c *remote) Act(ctx context.Context, verb string, o Order) (out held.Outcome, err error) {
+func (c *remote) Act(ctx context.Context, verb string, o Order) (out deadletter.Outcome, err error) {
 	return out, c.ask(ctx, http.MethodPost, "/held/"+verb, o, &out)
 }
 
 // OpenFolder returns the plane of a stopped sender's folder.
 func OpenFolder(folder string) (API, error) {
-	s, err := held.OpenReading(folder)
+	s, err := deadletter.OpenReading(folder)
 	if err != nil {
 		return nil, err
 	}
 	return local{s}, nil
 }
 
-type local struct{ store *held.Store }
+type local struct{ store *deadletter.Store }
 
 func (l local) Close() error { return l.store.Close() }
 
-func (l local) List(_ context.Context, f held.Filter, after uint64, most int) (p Page, err error) {
-	err = l.store.View(func(t *held.Tx) (err error) {
-		p.Records, p.Next, err = t.List(f, after, min(most, held.MaxPageSize))
+func (l local) List(_ context.Context, f deadletter.Filter, after uint64, most int) (p Page, err error) {
+	err = l.store.View(func(t *deadletter.Tx) (err error) {
+		p.Records, p.Next, err = t.List(f, after, min(most, deadletter.MaxPageSize))
 		return
 	})
 	return
 }
 
-func (l local) Export(_ context.Context, f held.Filter, after uint64) (p Page, err error) {
-	err = l.store.View(func(t *held.Tx) (err error) { p.Lines, p.Next, err = t.Export(f, after, MaxImportLines); return })
+func (l local) Export(_ context.Context, f deadletter.Filter, after uint64) (p Page, err error) {
+	err = l.store.View(func(t *deadletter.Tx) (err error) { p.Lines, p.Next, err = t.Export(f, after, MaxImportLines); return })
 	return
 }
 
-func (l local) Show(_ context.Context, seq uint64) (line held.ExportLine, err error) {
-	err = l.store.View(func(t *held.Tx) (err error) { line, err = show(t, seq); return })
+func (l local) Show(_ context.Context, seq uint64) (line deadletter.ExportLine, err error) {
+	err = l.store.View(func(t *deadletter.Tx) (err error) { line, err = show(t, seq); return })
 	return
 }
 
-func (l local) Stats(context.Context) (s held.Stats, err error) {
-	err = l.store.View(func(t *held.Tx) (err error) { s, err = t.Stats(); return })
+func (l local) Stats(context.Context) (s deadletter.Stats, err error) {
+	err = l.store.View(func(t *deadletter.Tx) (err error) { s, err = t.Stats(); return })
 	return
 }
 
-func (l local) Audit(_ context.Context, most int) (list []held.AuditEntry, err error) {
-	err = l.store.View(func(t *held.Tx) (err error) { list, err = t.Audit(most); return })
+func (l local) Audit(_ context.Context, most int) (list []deadletter.AuditEntry, err error) {
+	err = l.store.View(func(t *deadletter.Tx) (err error) { list, err = t.Audit(most); return })
 	return
 }
 
-func (l local) Act(context.Context, string, Order) (held.Outcome, error) {
-	return held.Outcome{}, ErrReadOnly
+func (l local) Act(context.Context, string, Order) (deadletter.Outcome, error) {
+	return deadletter.Outcome{}, ErrReadOnly
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -16,7 +16,7 @@
 	"strconv"
 	"time"
 
-	"cleathold/internal/held"
+	"cleathold/internal/deadletter"
 	"cleathold/internal/ownsock"
 )
 
@@ -31,25 +31,25 @@
 
 // DeadLetterQueue is what the plane works on.
 type DeadLetterQueue interface {
-	View(func(*held.Tx) error) error
-	Redeliver(ctx context.Context, by string, sel held.Selection, within time.Duration, dry bool) (held.Outcome, error)
-	Drop(ctx context.Context, by string, sel held.Selection, dry bool) (held.Outcome, error)
-	Import(ctx context.Context, by string, lines []held.ExportLine, dry bool) (held.Outcome, error)
+	View(func(*deadletter.Tx) error) error
+	Redeliver(ctx context.Context, by string, sel deadletter.Selection, within time.Duration, dry bool) (deadletter.Outcome, error)
+	Drop(ctx context.Context, by string, sel deadletter.Selection, dry bool) (deadletter.Outcome, error)
+	Import(ctx context.Context, by string, lines []deadletter.ExportLine, dry bool) (deadletter.Outcome, error)
 }
 
 // Order is the body of an act.
 type Order struct {
-	Selection held.Selection    `json:"selection,omitzero"`
-	Lines     []held.ExportLine `json:"lines,omitempty"`
-	WithinS   float64           `json:"within_s,omitempty"`
-	DryRun    bool              `json:"dry_run,omitempty"`
+	Selection deadletter.Selection    `json:"selection,omitzero"`
+	Lines     []deadletter.ExportLine `json:"lines,omitempty"`
+	WithinS   float64                 `json:"within_s,omitempty"`
+	DryRun    bool                    `json:"dry_run,omitempty"`
 }
 
 // Page is a page of records, or of lines with their bodies.
 type Page struct {
-	Records []held.Record     `json:"records,omitempty"`
-	Lines   []held.ExportLine `json:"lines,omitempty"`
-	Next    uint64            `json:"next,omitempty"`
+	Records []deadletter.Record     `json:"records,omitempty"`
+	Lines   []deadletter.ExportLine `json:"lines,omitempty"`
+	Next    uint64                  `json:"next,omitempty"`
 }
 
 // Server serves the plane until it is closed.
@@ -154,9 +154,9 @@
 		case err == nil:
 		case errors.As(err, &f):
 			status = f.status
-		case errors.Is(err, held.ErrNotFound):
+		case errors.Is(err, deadletter.ErrNotFound):
 			status = http.StatusNotFound
-		case errors.Is(err, held.ErrNoStore), errors.Is(err, context.DeadlineExceeded):
+		case errors.Is(err, deadletter.ErrNoStore), errors.Is(err, context.DeadlineExceeded):
 			status = http.StatusServiceUnavailable
 		default:
 			status = http.StatusInternalServerError
@@ -174,7 +174,7 @@
 func by(r *http.Request) string { return fmt.Sprintf("uid %d", r.Context().Value(peerKey{})) }
 
 // query is a filter as it stands in a URL, and the page.
-func query(f held.Filter, after uint64, most int) url.Values {
+func query(f deadletter.Filter, after uint64, most int) url.Values {
 	v := url.Values{}
 	set := func(name, value string) {
 		if value != "" {
@@ -199,8 +199,8 @@
 	return v
 }
 
-func parseQuery(v url.Values) (f held.Filter, after uint64, most int, err error) {
-	f = held.Filter{Class: v.Get("class"), Tenant: v.Get("tenant"), Reason: v.Get("reason"), State: held.State(v.Get("state"))}
+func parseQuery(v url.Values) (f deadletter.Filter, after uint64, most int, err error) {
+	f = deadletter.Filter{Class: v.Get("class"), Tenant: v.Get("tenant"), Reason: v.Get("reason"), State: deadletter.State(v.Get("state"))}
 	read := func(name string, take func(string) error) {
 		if text := v.Get(name); text != "" && err == nil {
 			if e := take(text); e != nil {
@@ -217,30 +217,30 @@
 	read("before", func(s string) (err error) { f.Before, err = time.Parse(time.RFC3339Nano, s); return })
 	read("after", func(s string) (err error) { after, err = strconv.ParseUint(s, 10, 64); return })
 	read("most", func(s string) (err error) { most, err = strconv.Atoi(s); return })
-	return f, after, min(max(most, 1), held.MaxPageSize), err
+	return f, after, min(max(most, 1), deadletter.MaxPageSize), err
 }
 
 func (s *Server) list(r *http.Request) (any, error) {
-	return s.page(r, func(t *held.Tx, f held.Filter, after uint64, most int) (p Page, err error) {
+	return s.page(r, func(t *deadletter.Tx, f deadletter.Filter, after uint64, most int) (p Page, err error) {
 		p.Records, p.Next, err = t.List(f, after, most)
 		return
 	})
 }
 
 func (s *Server) export(r *http.Request) (any, error) {
-	return s.page(r, func(t *held.Tx, f held.Filter, after uint64, most int) (p Page, err error) {
+	return s.page(r, func(t *deadletter.Tx, f deadletter.Filter, after uint64, most int) (p Page, err error) {
 		p.Lines, p.Next, err = t.Export(f, after, min(most, MaxImportLines))
 		return
 	})
 }
 
-func (s *Server) page(r *http.Request, get func(*held.Tx, held.Filter, uint64, int) (Page, error)) (any, error) {
+func (s *Server) page(r *http.Request, get func(*deadletter.Tx, deadletter.Filter, uint64, int) (Page, error)) (any, error) {
 	f, after, most, err := parseQuery(r.URL.Query())
 	if err != nil {
 		return nil, err
 	}
 	var p Page
-	err = s.keeper.View(func(t *held.Tx) (err error) { p, err = get(t, f, after, most); return })
+	err = s.keeper.View(func(t *deadletter.Tx) (err error) { p, err = get(t, f, after, most); return })
 	return p, err
 }
 
@@ -249,36 +249,39 @@
 	if err != nil {
 		return nil, &fault{http.StatusBadRequest, "a number is wanted"}
 	}
-	var line held.ExportLine
-	err = s.keeper.View(func(t *held.Tx) (err error) { line, err = show(t, seq); return })
+	var line deadletter.ExportLine
+	err = s.keeper.View(func(t *deadletter.Tx) (err error) { line, err = show(t, seq); return })
 	return line, err
 }
 
 // show is one record whole.
-func show(t *held.Tx, seq uint64) (held.ExportLine, error) {
+func show(t *deadletter.Tx, seq uint64) (deadletter.ExportLine, error) {
 	rec, err := t.Get(seq)
 	if err != nil {
-		return held.ExportLine{}, err
+		return deadletter.ExportLine{}, err
 	}
 	var body []byte
 	if !rec.BodyMissing {
 		if body, err = t.Body(seq); err != nil {
-			return held.ExportLine{}, err
+			return deadletter.ExportLine{}, err
 		}
 	}
-	return held.NewExportLine(rec, body), nil
+	return deadletter.NewExportLine(rec, body), nil
 }
 
 func (s *Server) stats(*http.Request) (any, error) {
-	var v held.Stats
-	err := s.keeper.View(func(t *held.Tx) (err error) { v, err = t.Stats(); return })
+	var v deadletter.Stats
+	err := s.keeper.View(func(t *deadletter.Tx) (err error) { v, err = t.Stats(); return })
 	return v, err
 }
 
 func (s *Server) audit(r *http.Request) (any, error) {
 	most, _ := strconv.Atoi(r.URL.Query().Get("most"))
-	var list []held.AuditEntry
-	err := s.keeper.View(func(t *held.Tx) (err error) { list, err = t.Audit(min(max(most, 1), held.MaxPageSize)); return })
+	var list []deadletter.AuditEntry
+	err := s.keeper.View(func(t *deadletter.Tx) (err error) {
+		list, err = t.Audit(min(max(most, 1), deadletter.MaxPageSize))
+		return
+	})
 	return list, err
 }
 
--- a/internal/rig/fleet/campaign.go
+++ b/internal/cluster/campaign.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"cmp"
@@ -15,24 +15,24 @@
 
 	"cleathold/internal/agent"
 	"cleathold/internal/audit"
-	"cleathold/internal/rig"
-	"cleathold/internal/rig/fault"
+	"cleathold/internal/harness"
+	"cleathold/internal/netfault"
 	"cleathold/internal/rollout"
 	"cleathold/internal/scenario"
 )
 
 // Action is one thing that befalls a fleet, or that staff order, in a campaign.
 type Action struct {
-	At     time.Duration `json:"at"`
-	Kind   string        `json:"what"` // see do
-	Agent  int           `json:"agent,omitempty"`
-	Other  int           `json:"other,omitempty"`
-	Sender int           `json:"sender,omitempty"`
-	Of     []string      `json:"of,omitempty"`
-	For    time.Duration `json:"for,omitempty"`
-	State  fault.State   `json:"state,omitzero"`
-	Good   bool          `json:"good,omitempty"`
-	Back   bool          `json:"back,omitempty"`
+	At     time.Duration  `json:"at"`
+	Kind   string         `json:"what"` // see do
+	Agent  int            `json:"agent,omitempty"`
+	Other  int            `json:"other,omitempty"`
+	Sender int            `json:"sender,omitempty"`
+	Of     []string       `json:"of,omitempty"`
+	For    time.Duration  `json:"for,omitempty"`
+	State  netfault.State `json:"state,omitzero"`
+	Good   bool           `json:"good,omitempty"`
+	Back   bool           `json:"back,omitempty"`
 
 	planned scenario.PlannedAction // of a scenario
 }
@@ -91,13 +91,13 @@
 			d.Kind = "stop sender"
 		case n < 8:
 			d.Kind = "part agent"
-			d.State = []fault.State{{Cut: true}, {Silent: true}}[rng.IntN(2)]
+			d.State = []netfault.State{{Cut: true}, {Silent: true}}[rng.IntN(2)]
 		case n < 10:
 			d.Kind = "one way"
-			d.State = []fault.State{{Silent: true}, {Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond, Loss: 0.3}}[rng.IntN(2)]
+			d.State = []netfault.State{{Silent: true}, {Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond, Loss: 0.3}}[rng.IntN(2)]
 		default: // a sender's ways to its agent, to clients or to discovery
 			d.Kind = []string{"agent's way", "clients' way", "discovery's way"}[n-10]
-			d.State = []fault.State{{Cut: true}, {Silent: true}, {Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond}}[rng.IntN(3)]
+			d.State = []netfault.State{{Cut: true}, {Silent: true}, {Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond}}[rng.IntN(3)]
 		}
 		add(d)
 	}
@@ -284,7 +284,7 @@
 		return func() { syscall.Kill(pid, syscall.SIGCONT) }
 	case "part agent":
 		y.Net.Partition(names[d.Agent:d.Agent+1], names, d.State)
-		return func() { y.Net.Partition(names[d.Agent:d.Agent+1], names, fault.State{}) }
+		return func() { y.Net.Partition(names[d.Agent:d.Agent+1], names, netfault.State{}) }
 	case "agent's way", "clients' way", "discovery's way":
 		other := map[string]string{"agent's way": names[d.Sender%len(names)], "clients' way": scenario.Clients, "discovery's way": scenario.Discovery}[d.Kind]
 		notices := other == scenario.Discovery // what can't be told there is not due
@@ -293,7 +293,7 @@
 			y.World.Record(audit.Event{Kind: audit.Unreachable, Sender: d.Sender})
 		}
 		return func() {
-			y.Net.SetBoth(y.Names[d.Sender], other, fault.State{})
+			y.Net.SetBoth(y.Names[d.Sender], other, netfault.State{})
 			if notices {
 				y.World.Record(audit.Event{Kind: audit.ReachableAgain, Sender: d.Sender})
 			}
@@ -301,7 +301,7 @@
 	case "one way":
 		if d.Agent != d.Other {
 			y.Net.Set(names[d.Agent], names[d.Other], d.State)
-			return func() { y.Net.Set(names[d.Agent], names[d.Other], fault.State{}) }
+			return func() { y.Net.Set(names[d.Agent], names[d.Other], netfault.State{}) }
 		}
 	}
 	return nil
@@ -323,7 +323,7 @@
 			os.RemoveAll(filepath.Join(filepath.Dir(y.senders[d.Sender].config), "state"))
 		}
 	case "retune sender":
-		if err := rig.Reconfigure(y.senders[d.Sender].config, d.planned, y.plan); err != nil {
+		if err := harness.Reconfigure(y.senders[d.Sender].config, d.planned, y.plan); err != nil {
 			y.Log.Warn("a sender was not given other settings", "err", err)
 		}
 		y.SignalSender(d.Sender, syscall.SIGHUP)
--- a/internal/rig/fleet/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"testing"
--- a/internal/rig/fleet/release.go
+++ b/internal/cluster/release.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"time"
 
 	"cleathold/internal/agent"
-	"cleathold/internal/rig/fault"
+	"cleathold/internal/netfault"
 	"cleathold/internal/rollout"
 )
 
@@ -260,11 +260,11 @@
 			wait(2 * time.Second)
 			y.StartAgent(k)
 		case 1:
-			y.Net.Partition(names[k:k+1], names, fault.State{Silent: true})
+			y.Net.Partition(names[k:k+1], names, netfault.State{Silent: true})
 			wait(2 * time.Second)
 			y.Net.Heal()
 		case 2:
-			y.Net.Set(names[k], names[(k+1)%len(names)], fault.State{Cut: true})
+			y.Net.Set(names[k], names[(k+1)%len(names)], netfault.State{Cut: true})
 			wait(2 * time.Second)
 			y.Net.Heal()
 		}
@@ -293,7 +293,7 @@
 	}
 	first := y.Leader()
 	if cut && first >= 0 {
-		y.Net.Partition(y.AgentNames()[first:first+1], y.AgentNames(), fault.State{Silent: true})
+		y.Net.Partition(y.AgentNames()[first:first+1], y.AgentNames(), netfault.State{Silent: true})
 		defer y.Net.Heal()
 	}
 	ordered := time.Now()
--- a/internal/rig/fleet/yard.go
+++ b/internal/cluster/yard.go
@@ -1,7 +1,7 @@
-// Package fleet plays a fleet on one machine: senders and agents as processes of the program, each with loopback
+// Package cluster plays a fleet on one machine: senders and agents as processes of the program, each with loopback
 // addresses of its own, links between them that can fail, partners and clients of the rig, and an auditor that
 // judges by what it sees from outside.
-package fleet
+package cluster
 
 import (
 	"context"
@@ -23,11 +23,11 @@
 
 	"cleathold/internal/agent"
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
-	"cleathold/internal/rig"
-	"cleathold/internal/rig/fault"
+	"cleathold/internal/harness"
+	"cleathold/internal/netfault"
 	"cleathold/internal/rollout"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 // Setup is what a yard is made from.
@@ -51,11 +51,11 @@
 // Cluster is a fleet that runs.
 type Cluster struct {
 	Setup
-	Net     *fault.Net
-	blocks  []*fault.Block
-	World   *rig.Environment
+	Net     *netfault.Net
+	blocks  []*netfault.Block
+	World   *harness.Environment
 	plan    *scenario.Plan
-	Clients *rig.Clients
+	Clients *harness.Clients
 	Poll    *Poll
 	Names   []string // of the senders
 	agents  []*agentProcess
@@ -113,7 +113,7 @@
 	if s.Log == nil {
 		s.Log = slog.New(slog.DiscardHandler)
 	}
-	y := &Cluster{Setup: s, Net: fault.New(s.Seed), calls: map[string]time.Time{}}
+	y := &Cluster{Setup: s, Net: netfault.New(s.Seed), calls: map[string]time.Time{}}
 	y.ctx, y.end = context.WithCancel(ctx)
 	err := y.prepare()
 	if err != nil {
@@ -125,7 +125,7 @@
 
 func (y *Cluster) prepare() (err error) {
 	for range 1 + y.Senders/hostsMost {
-		b, err := fault.NewBlock()
+		b, err := netfault.NewBlock()
 		if err != nil {
 			return err
 		}
@@ -140,7 +140,7 @@
 		plan = sc.Plan(y.Seed)
 	}
 	y.plan = plan
-	if y.World, err = rig.NewEnvironment(y.ctx, plan, y.Log, y.see); err != nil {
+	if y.World, err = harness.NewEnvironment(y.ctx, plan, y.Log, y.see); err != nil {
 		return err
 	}
 	y.World.UseLinks(y.Net)
@@ -179,8 +179,8 @@
 				return err
 			}
 		}
-		at := rig.ProcessSpec{Listen: x.listen, Discovery: discovery, State: state, MemoryMB: 192, PeerListen: listens[i], PeersAll: ways.All(i), Peers: ways.Peers()}
-		if err := rig.Configure(x.config, plan, i, at); err != nil {
+		at := harness.ProcessSpec{Listen: x.listen, Discovery: discovery, State: state, MemoryMB: 192, PeerListen: listens[i], PeersAll: ways.All(i), Peers: ways.Peers()}
+		if err := harness.Configure(x.config, plan, i, at); err != nil {
 			return err
 		}
 		addresses = append(addresses, addr)
@@ -571,9 +571,9 @@
 
 // Report is what a yard showed in the end.
 type Report struct {
-	lab.Result
+	simulation.Result
 	OverBudget []BudgetExceeded // instants at which an order took one out too many
-	Clients    rig.ClientStats
+	Clients    harness.ClientStats
 	Orders     int // times that a sender went out by order, as seen from outside
 	MaxOut     int // senders out by order at once
 }
--- a/internal/held/bench_test.go
+++ b/internal/deadletter/bench_test.go
@@ -1,4 +1,4 @@
-package held
+package deadletter
 
 import (
 	"fmt"
--- a/internal/held/keeper.go
+++ b/internal/deadletter/keeper.go
@@ -1,4 +1,4 @@
-package held
+package deadletter
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"cleathold/control"
-	"cleathold/internal/resend"
+	"cleathold/internal/redelivery"
 	"cleathold/internal/settings"
 	"cleathold/internal/state"
 )
@@ -103,8 +103,8 @@
 	parts   int // partings in the queue, new ones only
 	failing bool
 	store   *Store // nil until it is open
-	planner *resend.Planner
-	load    resend.Load
+	planner *redelivery.Planner
+	load    redelivery.Load
 	claims  map[[2]string]bool // keys handed in while there was no store
 	blind   time.Time          // until then keys may have been handed in unseen
 	said    map[string]time.Time
@@ -157,7 +157,7 @@
 	}
 	k.words.Store(&vocabulary{Names: Names{Tenants: s.Names.Tenants}})
 	k.speak(s.Names.Classes, now, s.Platform)
-	k.planner = resend.New(k.limits(), s.Platform.Seed)
+	k.planner = redelivery.New(k.limits(), s.Platform.Seed)
 	return k
 }
 
@@ -200,9 +200,9 @@
 	}
 }
 
-func (k *Queue) limits() resend.Limits {
+func (k *Queue) limits() redelivery.Limits {
 	plat := &k.words.Load().plat
-	return resend.Limits{
+	return redelivery.Limits{
 		FleetSize: plat.FleetSize, ColdCapacity: plat.ColdCapacity, WarmUp: plat.WarmUp, OverloadFactor: plat.OverloadFactor,
 		OverloadWindow: plat.OverloadWindow, CapacityShare: k.set.Resend.Share, MaxInFlight: k.set.Resend.MaxOut,
 	}
@@ -263,16 +263,16 @@
 }
 
 // told is what a call's result tells of its partner.
-func told(r control.Result) resend.Result {
+func told(r control.Result) redelivery.Result {
 	switch r {
 	case control.Served, control.Unprocessable: // the partner was there
-		return resend.Served
+		return redelivery.Served
 	case control.Rejected, control.ConnectionRejected:
-		return resend.Rejected
+		return redelivery.Rejected
 	case control.NotSent:
-		return resend.NotSent
+		return redelivery.NotSent
 	}
-	return resend.Failed
+	return redelivery.Failed
 }
 
 // CapacityChanged takes what is known of the destinations.
@@ -288,7 +288,7 @@
 func (k *Queue) LoadChanged(l state.LoopLoad) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.load = resend.Load(l)
+	k.load = redelivery.Load(l)
 }
 
 // since is the planner's clock.
@@ -326,7 +326,7 @@
 	v := k.planner.View(k.since(), dest)
 	p := settings.Partner{InFlight: v.InFlight, Failing: v.Failing, Served: v.Served, RetryAfter: v.RetryAfter}
 	if v.Known {
-		p.Last = map[resend.Result]string{resend.Served: "served", resend.Rejected: "refused", resend.Failed: "failed"}[v.Last]
+		p.Last = map[redelivery.Result]string{redelivery.Served: "served", redelivery.Rejected: "refused", redelivery.Failed: "failed"}[v.Last]
 	}
 	if k.store != nil {
 		p.Held = k.store.Count(dest)
--- a/internal/held/keeper_test.go
+++ b/internal/deadletter/keeper_test.go
@@ -1,4 +1,4 @@
-package held
+package deadletter
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 
 	"cleathold/control"
-	"cleathold/internal/resend"
+	"cleathold/internal/redelivery"
 	"cleathold/internal/settings"
 	"cleathold/internal/state"
 )
@@ -409,9 +409,9 @@
 
 // A partner without room for a connection is there: it has turned a call away, and is not out of order.
 func TestCrowdedIsNoFailure(t *testing.T) {
-	for r, want := range map[control.Result]resend.Result{
-		control.Served: resend.Served, control.Rejected: resend.Rejected, control.ConnectionRejected: resend.Rejected,
-		control.ConnectFailed: resend.Failed, control.NotSent: resend.NotSent,
+	for r, want := range map[control.Result]redelivery.Result{
+		control.Served: redelivery.Served, control.Rejected: redelivery.Rejected, control.ConnectionRejected: redelivery.Rejected,
+		control.ConnectFailed: redelivery.Failed, control.NotSent: redelivery.NotSent,
 	} {
 		if got := told(r); got != want {
 			t.Errorf("result %v: told %v, want %v", r, got, want)
--- a/internal/held/record.go
+++ b/internal/deadletter/record.go
@@ -1,8 +1,8 @@
-// Package held keeps messages that could not be delivered: a store on bbolt, the
+// Package deadletter keeps messages that could not be delivered: a store on bbolt, the
 // keeper that alone writes it, and the ways to look into it. What may be sent
 // again, and when, is decided in Eligible here, by the rules of the settings and
 // by internal/resend; the controller decides about each message once more.
-package held
+package deadletter
 
 import (
 	"encoding/base64"
--- a/internal/rig/clients.go
+++ b/internal/harness/clients.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -16,8 +16,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 const (
@@ -40,7 +40,7 @@
 	open    int
 	left    int // left out
 	asked   int
-	pending map[string]*lab.ClientRequest // ids that may still be heard of
+	pending map[string]*simulation.ClientRequest // ids that may still be heard of
 	lag     *hdrhistogram.Histogram
 	door    *hdrhistogram.Histogram // from the time wanted to the sender's answer
 	answers map[int]int             // by status; 0 = none
@@ -67,7 +67,7 @@
 // NewClients makes clients of senders at these addresses.
 func (w *Environment) NewClients(addresses []string) *Clients {
 	c := &Clients{
-		w: w, rng: rand.New(rand.NewPCG(w.plan.Seed, 99)), pending: map[string]*lab.ClientRequest{}, lag: newLag(), door: newLag(), answers: map[int]int{},
+		w: w, rng: rand.New(rand.NewPCG(w.plan.Seed, 99)), pending: map[string]*simulation.ClientRequest{}, lag: newLag(), door: newLag(), answers: map[int]int{},
 	}
 	for _, a := range addresses {
 		c.senders = append(c.senders, &front{addr: a})
@@ -122,7 +122,7 @@
 		if full {
 			continue
 		}
-		m := &lab.ClientRequest{Arrival: a}
+		m := &simulation.ClientRequest{Arrival: a}
 		c.w.wg.Go(func() {
 			c.handIn(m)
 			c.mu.Lock()
@@ -164,7 +164,7 @@
 		n := (first + i) % len(c.senders)
 		f := c.senders[n]
 		f.mu.Lock()
-		known := f.away || !f.down.IsZero() && time.Since(f.down) > lab.DeadSenderTimeout && !(c.keep && len(f.idle) > 0)
+		known := f.away || !f.down.IsZero() && time.Since(f.down) > simulation.DeadSenderTimeout && !(c.keep && len(f.idle) > 0)
 		f.mu.Unlock()
 		if !known {
 			return n, f
@@ -177,7 +177,7 @@
 var errNobody = errors.New("nobody there")
 
 // handIn hands a message in, for the first time or again.
-func (c *Clients) handIn(m *lab.ClientRequest) {
+func (c *Clients) handIn(m *simulation.ClientRequest) {
 	w := c.w
 	s := w.plan.Scenario
 	c.mu.Lock()
@@ -282,7 +282,7 @@
 }
 
 // request is a hand-in as PROTOCOL has it.
-func request(s *scenario.Scenario, m *lab.ClientRequest, id, key string, left time.Duration, again bool) []byte {
+func request(s *scenario.Scenario, m *simulation.ClientRequest, id, key string, left time.Duration, again bool) []byte {
 	text := fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Tenant: %s\r\nX-Deadline: %.6f\r\nX-Addressing: dest=%d\r\nContent-Length: %d\r\n",
 		s.Traffic.Classes[m.Class].Name, id, s.Traffic.Tenants[m.Tenant].Name, left.Seconds(), m.Dest, m.Size)
 	if key != "" {
@@ -302,7 +302,7 @@
 }
 
 // nowhere has a client hand in again what reached nobody.
-func (c *Clients) nowhere(m *lab.ClientRequest) {
+func (c *Clients) nowhere(m *simulation.ClientRequest) {
 	c.mu.Lock()
 	after, again := m.Unanswered(c.w.plan.Scenario, c.rng)
 	c.mu.Unlock()
@@ -312,7 +312,7 @@
 }
 
 // refused has a client come again, as often as the scenario says.
-func (c *Clients) refused(m *lab.ClientRequest, told time.Duration) {
+func (c *Clients) refused(m *simulation.ClientRequest, told time.Duration) {
 	c.mu.Lock()
 	after, again := m.Rejected(c.w.plan.Scenario, c.rng, told)
 	c.mu.Unlock()
--- a/internal/rig/door.go
+++ b/internal/harness/door.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -18,9 +18,9 @@
 	"golang.org/x/sys/unix"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
 	"cleathold/internal/partner"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 const (
@@ -96,7 +96,7 @@
 }
 
 // addressOf finds where a sender reaches an endpoint; under the lock.
-func (w *Environment) addressOf(sender int, l lab.ListedEndpoint) string {
+func (w *Environment) addressOf(sender int, l simulation.ListedEndpoint) string {
 	if d := w.doors[sender][l.Address]; d != nil {
 		return d.addr
 	}
@@ -220,7 +220,7 @@
 	w := d.w
 	w.mu.Lock()
 	v := &visit{d: d, conn: c, in: bufio.NewReader(c), endpoint: d.endpoint, dest: d.dest, zone: d.zone, fresh: true}
-	v.hop = lab.NetworkDelay(d.zone, d.sender%len(w.plan.Scenario.Zones))
+	v.hop = simulation.NetworkDelay(d.zone, d.sender%len(w.plan.Scenario.Zones))
 	kind := w.ground.Model.Connect(w.now(), v.endpoint)
 	v.crowded = kind == partner.ConnectionOverCapacity
 	w.conns++
@@ -410,7 +410,7 @@
 // ended notes an answer just before it is written.
 func (v *visit) ended(id uint64, a partner.Answer, ids []string) {
 	w := v.d.w
-	outcome, cause := lab.OutcomeOf(a.Kind)
+	outcome, cause := simulation.OutcomeOf(a.Kind)
 	w.mu.Lock()
 	w.note(audit.Event{Kind: audit.Ended, Sender: v.d.sender, Call: id, Outcome: outcome, RetryAfter: a.RetryAfter, Cause: cause})
 	if _, back := v.d.ways(); a.Kind != partner.Delivered && back.Passes() {
--- a/internal/rig/platform.go
+++ b/internal/harness/platform.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 
 	"cleathold/control"
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
+	"cleathold/internal/simulation"
 )
 
 const (
@@ -83,7 +83,7 @@
 			http.Error(out, "discovery is down", http.StatusServiceUnavailable)
 			return
 		}
-		var lines []lab.ListedEndpoint
+		var lines []simulation.ListedEndpoint
 		version, whole := int64(0), !watch
 		if watch {
 			lines, version, whole = w.ground.ListChanges(now, sender, since)
@@ -143,7 +143,7 @@
 }
 
 // list writes lines as PROTOCOL has it, and notes what is told; under the lock.
-func (w *Environment) list(sender int, lines []lab.ListedEndpoint, version int64, whole bool) []byte {
+func (w *Environment) list(sender int, lines []simulation.ListedEndpoint, version int64, whole bool) []byte {
 	type server struct {
 		ID      string  `json:"id"`
 		Addr    string  `json:"addr"`
--- a/internal/rig/process.go
+++ b/internal/harness/process.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"cleathold/internal/lab"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 const (
@@ -95,7 +95,7 @@
 		"name": fmt.Sprint("n", num), "listen": at.Listen, "discovery": at.Discovery, "state": at.State,
 		"limits":   map[string]any{"cores": 1, "memory_mb": at.MemoryMB, "sockets": at.Sockets, "disk_mb": 3},
 		"known":    map[string]any{"version": 0, "full": true, "servers": []any{}},
-		"settings": lab.Profile(p, num),
+		"settings": simulation.Profile(p, num),
 	}
 	if at.Admin != "" {
 		config["admin"] = at.Admin
@@ -130,7 +130,7 @@
 	if err := json.Unmarshal(text, &config); err != nil {
 		return fmt.Errorf("rig: %s: %w", path, err)
 	}
-	config["settings"] = lab.UpdatedSettings(p, d)
+	config["settings"] = simulation.UpdatedSettings(p, d)
 	return write(path, config)
 }
 
--- a/internal/rig/run.go
+++ b/internal/harness/run.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"time"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
-	"cleathold/internal/rig/fault"
+	"cleathold/internal/netfault"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 const (
@@ -39,7 +39,7 @@
 
 // Result is what a run on sockets showed.
 type Result struct {
-	lab.Result
+	simulation.Result
 	Rig      Lag         `json:"rig_lag"` // of the partners' answers, against the model
 	Clients  ClientStats `json:"clients"`
 	Crashes  int         `json:"crashes"`
@@ -54,8 +54,8 @@
 	clients   *Clients
 	addresses []string // of the senders, as clients reach them
 	processes []*Process
-	net       *fault.Net
-	blocks    []*fault.Block
+	net       *netfault.Net
+	blocks    []*netfault.Block
 	mu        sync.Mutex
 	crashes   int
 	restarts  int
@@ -166,10 +166,10 @@
 // lets fail passes through links; what it does not goes straight.
 func (g *stage) places(platform []string) ([]ProcessSpec, error) {
 	n := g.Plan.Scenario.Senders
-	g.net = fault.New(g.Plan.Seed)
+	g.net = netfault.New(g.Plan.Seed)
 	g.world.UseLinks(g.net)
 	for range 1 + (n-1)/hostsMost {
-		b, err := fault.NewBlock()
+		b, err := netfault.NewBlock()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/rig/sink.go
+++ b/internal/harness/sink.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
--- a/internal/rig/world.go
+++ b/internal/harness/world.go
@@ -1,9 +1,9 @@
-// Package rig plays scenarios on sockets: partners behind loopback addresses,
+// Package harness plays scenarios on sockets: partners behind loopback addresses,
 // discovery and the platform's notices, clients that hand in by the plan's clock, and
 // senders as processes. How partners behave, what discovery tells and when, what
 // counts as service and what breaks a rule are those of packages partner, lab and
 // audit: the rig has no behaviour of its own but that of sockets and processes.
-package rig
+package harness
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
+	"cleathold/internal/netfault"
 	"cleathold/internal/partner"
-	"cleathold/internal/rig/fault"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 	"cleathold/internal/timeline"
 )
 
@@ -40,9 +40,9 @@
 	mu      sync.Mutex
 	begun   time.Time // zero: not yet
 	last    time.Duration
-	ground  *lab.Environment
+	ground  *simulation.Environment
 	auditor *audit.Auditor
-	tally   *lab.ServiceMeter
+	tally   *simulation.ServiceMeter
 	sink    func(audit.Event) error
 	answers map[uint64]chan partner.Answer
 	calls   uint64
@@ -54,7 +54,7 @@
 	wake    chan struct{}      // the pump looks anew
 	turn    chan struct{}      // closed as ways change
 	cutOff  []bool             // senders that discovery does not reach, nor they it
-	net     *fault.Net         // what passes through links of it; nil: nothing does
+	net     *netfault.Net      // what passes through links of it; nil: nothing does
 	lag     *hdrhistogram.Histogram
 	faults  Faults
 	chance  *rand.Rand                                          // draws which answers fail
@@ -92,17 +92,17 @@
 // What goes wrong in it ends its context, with the cause.
 func NewEnvironment(ctx context.Context, p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*Environment, error) {
 	w := &Environment{
-		plan: p, log: log, tally: lab.NewServiceMeter(p.Scenario), sink: sink, answers: map[uint64]chan partner.Answer{}, handed: map[string]handed{},
+		plan: p, log: log, tally: simulation.NewServiceMeter(p.Scenario), sink: sink, answers: map[uint64]chan partner.Answer{}, handed: map[string]handed{},
 		bell: make(chan struct{}), turn: make(chan struct{}), cutOff: make([]bool, p.Scenario.Senders), wake: make(chan struct{}, 1), lag: newLag(),
 		chance: rand.New(rand.NewPCG(p.Seed, 96)), heard: func(string, bool, time.Duration) {}, served: func([]string) {},
 	}
 	w.ctx, w.end = context.WithCancelCause(ctx)
-	set, err := lab.Settings(p, 0, 0)
+	set, err := simulation.Settings(p, 0, 0)
 	if err != nil {
 		return nil, err
 	}
-	w.auditor = audit.New(lab.Rules(p, set))
-	if w.ground, err = lab.NewEnvironment(p, w.note); err != nil {
+	w.auditor = audit.New(simulation.Rules(p, set))
+	if w.ground, err = simulation.NewEnvironment(p, w.note); err != nil {
 		return nil, err
 	}
 	return w, nil
@@ -150,7 +150,7 @@
 	w.wg.Go(w.pump)
 	w.wg.Go(w.script)
 	w.wg.Go(func() {
-		for w.sleep(lab.NotifiedCheckInterval) {
+		for w.sleep(simulation.NotifiedCheckInterval) {
 			w.mu.Lock()
 			w.ground.MarkNotified(w.now())
 			w.mu.Unlock()
@@ -292,23 +292,23 @@
 
 // UseLinks has what passes through links of a net fail as the plan says, from Begin on. Between senders datagrams take as
 // long, and are lost as often, as in virtual time.
-func (w *Environment) UseLinks(n *fault.Net) {
+func (w *Environment) UseLinks(n *netfault.Net) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.net = n
 }
 
 // rule is what ails a way of the net. It takes no lock: the net has its own.
-func (w *Environment) rule(begun time.Time) func(from, to string) fault.State {
+func (w *Environment) rule(begun time.Time) func(from, to string) netfault.State {
 	senders := map[string]bool{}
 	for i := range w.plan.Scenario.Senders {
 		senders[scenario.Sender(i)] = true
 	}
-	return func(from, to string) fault.State {
-		s := fault.State(w.plan.LinkState(time.Since(begun), from, to))
+	return func(from, to string) netfault.State {
+		s := netfault.State(w.plan.LinkState(time.Since(begun), from, to))
 		if senders[from] && senders[to] {
 			s.Loss = 1 - (1-s.Loss)*(1-w.plan.Scenario.GossipLoss)
-			s.Delay, s.Jitter = s.Delay+lab.MinGossipDelay, s.Jitter+lab.MaxGossipDelay-lab.MinGossipDelay
+			s.Delay, s.Jitter = s.Delay+simulation.MinGossipDelay, s.Jitter+simulation.MaxGossipDelay-simulation.MinGossipDelay
 		}
 		return s
 	}
@@ -355,14 +355,14 @@
 }
 
 // Score is the service so far.
-func (w *Environment) Score() lab.Score {
+func (w *Environment) Score() simulation.Score {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.tally.Score()
 }
 
 // Close ends the world, waits for all in it, and judges what was seen.
-func (w *Environment) Close() lab.Result {
+func (w *Environment) Close() simulation.Result {
 	w.end(context.Canceled)
 	w.mu.Lock()
 	for _, doors := range w.doors {
@@ -374,7 +374,7 @@
 	w.wg.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := lab.Result{Scenario: w.plan.Scenario.Name, Seed: w.plan.Seed, Connections: w.conns, Overloads: w.ground.Overloads()}
+	r := simulation.Result{Scenario: w.plan.Scenario.Name, Seed: w.plan.Seed, Connections: w.conns, Overloads: w.ground.Overloads()}
 	r.Violations = w.auditor.Close(w.last)
 	r.Counts, _ = w.auditor.Totals()
 	r.Score = w.tally.Score()
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -18,7 +18,7 @@
 
 	"cleathold/control"
 	"cleathold/internal/admin"
-	"cleathold/internal/held"
+	"cleathold/internal/deadletter"
 	"cleathold/internal/protocol"
 	"cleathold/internal/settings"
 	"cleathold/internal/state"
@@ -459,18 +459,18 @@
 var durabilities = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
 
 // newKeeper makes the keeper of undeliverable messages, if the settings ask for one.
-func newKeeper(c Config, log *slog.Logger) *held.Queue {
+func newKeeper(c Config, log *slog.Logger) *deadletter.Queue {
 	if c.Ours == nil || c.Ours.Held == nil {
 		return nil
 	}
-	return held.NewQueue(held.Config{
+	return deadletter.NewQueue(deadletter.Config{
 		Settings: c.Ours, Platform: c.Settings, Log: log,
-		Names: held.Names{Classes: wordsOf(c.Names.Classes), Tenants: wordsOf(c.Names.Tenants)},
+		Names: deadletter.Names{Classes: wordsOf(c.Names.Classes), Tenants: wordsOf(c.Names.Tenants)},
 	})
 }
 
 // openPlane opens the front of the admin plane on a Unix socket, if the settings ask for it.
-func openPlane(c Config, keeper *held.Queue, post *board, log *slog.Logger) (*admin.Server, error) {
+func openPlane(c Config, keeper *deadletter.Queue, post *board, log *slog.Logger) (*admin.Server, error) {
 	if c.Ours == nil || c.Ours.Admin == nil {
 		return nil, nil
 	}
--- a/internal/rig/fault/fault.go
+++ b/internal/netfault/fault.go
@@ -1,6 +1,6 @@
-// Package fault puts links between processes on loopback addresses: TCP and datagrams pass through them, and each way
+// Package netfault puts links between processes on loopback addresses: TCP and datagrams pass through them, and each way
 // of each pair can be cut, silent, slow, lossy, doubling or out of order, and healed. What passes is not read.
-package fault
+package netfault
 
 import (
 	"fmt"
--- a/internal/rig/fault/fault_test.go
+++ b/internal/netfault/fault_test.go
@@ -1,4 +1,4 @@
-package fault
+package netfault
 
 import (
 	"bufio"
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -18,7 +18,7 @@
 	"github.com/anishathalye/porcupine"
 	"go.uber.org/goleak"
 
-	"cleathold/internal/rig/fault"
+	"cleathold/internal/netfault"
 	"cleathold/internal/store"
 )
 
@@ -94,14 +94,14 @@
 // table is some agents, and the links between them.
 type table struct {
 	t       *testing.T
-	net     *fault.Net
+	net     *netfault.Net
 	holders []*seatHolder
 	names   []string
 }
 
 func newTable(t *testing.T, n int) *table {
 	t.Helper()
-	x := &table{t: t, net: fault.New(1)}
+	x := &table{t: t, net: netfault.New(1)}
 	t.Cleanup(func() {
 		for _, h := range x.holders {
 			h.halt()
@@ -214,10 +214,10 @@
 			}
 			if c.oneWay { // it hears the others, and nobody hears it
 				for _, other := range x.names[1:] {
-					x.net.Set("a0", other, fault.State{Silent: true})
+					x.net.Set("a0", other, netfault.State{Silent: true})
 				}
 			} else {
-				x.net.Partition(c.small, x.names, fault.State{Cut: true})
+				x.net.Partition(c.small, x.names, netfault.State{Cut: true})
 			}
 			if !x.put(x.holders[1], "larger", 20*time.Second) {
 				t.Errorf("%v: the larger side agrees on nothing", c)
@@ -457,7 +457,7 @@
 		rng := rand.New(rand.NewPCG(2, 2))
 		for ctx.Err() == nil {
 			a, b := rng.IntN(3), rng.IntN(3)
-			x.net.Set(x.names[a], x.names[b], []fault.State{{Cut: true}, {Silent: true}, {Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Loss: 0.2}}[rng.IntN(3)])
+			x.net.Set(x.names[a], x.names[b], []netfault.State{{Cut: true}, {Silent: true}, {Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Loss: 0.2}}[rng.IntN(3)])
 			time.Sleep(time.Duration(100+rng.IntN(600)) * time.Millisecond)
 			x.net.Heal()
 			time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
--- a/internal/resend/planner.go
+++ b/internal/redelivery/planner.go
@@ -1,4 +1,4 @@
-// Package resend decides when held messages may be sent again, and for which
+// Package redelivery decides when held messages may be sent again, and for which
 // partner. It does no I/O, takes the time as a parameter, and makes the same
 // decisions from the same events.
 //
@@ -8,7 +8,7 @@
 // partner takes, less what live traffic uses, and with a level that rises slowly
 // from the cold share of the settings while calls are served. A refusal, a told
 // wait or a failure stops a partner's resends at once; then a single one tests it.
-package resend
+package redelivery
 
 import (
 	"math"
--- a/internal/resend/planner_test.go
+++ b/internal/redelivery/planner_test.go
@@ -1,4 +1,4 @@
-package resend
+package redelivery
 
 import (
 	"math"
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -11,8 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 // binsMost is how finely a run is drawn at most.
@@ -32,7 +32,7 @@
 	plan   *scenario.Plan
 	width  time.Duration
 	bins   []bin
-	tally  *lab.ServiceMeter
+	tally  *simulation.ServiceMeter
 	at     time.Duration
 	events int
 
@@ -57,7 +57,7 @@
 // NewCollector gathers the events of a plan's run.
 func NewCollector(p *scenario.Plan) *Collector {
 	c := &Collector{
-		plan: p, width: time.Second, tally: lab.NewServiceMeter(p.Scenario), wanted: map[int]wanted{}, ids: map[string]int{},
+		plan: p, width: time.Second, tally: simulation.NewServiceMeter(p.Scenario), wanted: map[int]wanted{}, ids: map[string]int{},
 		calls: map[uint64][]string{}, open: map[string]time.Duration{}, causes: map[string]int{},
 	}
 	for p.Scenario.Length/c.width > binsMost {
@@ -160,7 +160,7 @@
 		}
 		age := e.At - w.born
 		c.byClass[w.class].RecordValue(min(max(age.Milliseconds(), 1), 599_999)) // fails only out of range
-		c.bins[w.born/c.width].brought += lab.PriorityWeightAt(&c.plan.Scenario.Traffic.Classes[w.class], age)
+		c.bins[w.born/c.width].brought += simulation.PriorityWeightAt(&c.plan.Scenario.Traffic.Classes[w.class], age)
 		for _, other := range w.ids {
 			delete(c.ids, other)
 		}
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"cleathold/internal/lab"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 // What all senders did together against a limit that is halved and rises again: each call is counted once, in its second.
@@ -21,7 +21,7 @@
 	}
 	p := s.Plan(1)
 	sums := NewSums(p)
-	sim, err := lab.NewSim(p, slog.New(slog.DiscardHandler), sums.Read)
+	sim, err := simulation.NewSim(p, slog.New(slog.DiscardHandler), sums.Read)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 			s.Faults = s.Faults[:1]
 			p := s.Plan(seed + 1)
 			sums := NewSums(p)
-			sim, err := lab.NewSim(p, slog.New(slog.DiscardHandler), sums.Read)
+			sim, err := simulation.NewSim(p, slog.New(slog.DiscardHandler), sums.Read)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/report/outages.go
+++ b/internal/report/outages.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
 	"cleathold/internal/partner"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 // Outage is a trouble of some endpoints of one destination, and what the fleet did meanwhile.
@@ -32,7 +32,7 @@
 type Outages struct {
 	plan  *scenario.Plan
 	list  []*outage
-	tally *lab.ServiceMeter
+	tally *simulation.ServiceMeter
 	asked map[int]*outage // by message: the one in which it was wanted
 }
 
@@ -47,7 +47,7 @@
 
 // NewOutages follows the outages of a plan's run.
 func NewOutages(p *scenario.Plan) *Outages {
-	o := &Outages{plan: p, tally: lab.NewServiceMeter(p.Scenario), asked: map[int]*outage{}}
+	o := &Outages{plan: p, tally: simulation.NewServiceMeter(p.Scenario), asked: map[int]*outage{}}
 	o.tally.OnDelivered = func(n int, worth float64) {
 		if x := o.asked[n]; x != nil {
 			x.brings += worth
--- a/internal/report/outages_test.go
+++ b/internal/report/outages_test.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 // dead plays fleet-dead.star and what is added to it, and tells what its senders ran into.
-func dead(t *testing.T, set map[string]float64, seed uint64, see func(audit.Event), more ...string) ([]Outage, lab.Result) {
+func dead(t *testing.T, set map[string]float64, seed uint64, see func(audit.Event), more ...string) ([]Outage, simulation.Result) {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/fleet-dead.star")
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 	p := s.Plan(seed)
 	o := NewOutages(p)
-	sim, err := lab.NewSim(p, slog.New(slog.DiscardHandler), func(e audit.Event) error { see(e); return o.Read(e) })
+	sim, err := simulation.NewSim(p, slog.New(slog.DiscardHandler), func(e audit.Event) error { see(e); return o.Read(e) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/lab"
 	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
 )
 
 func TestPair(t *testing.T) {
@@ -47,7 +47,7 @@
 	p := s.Plan(3)
 	c := NewCollector(p)
 	most, asked, delivered := 0, 0, 0
-	sim, err := lab.NewSim(p, slog.New(slog.DiscardHandler), func(e audit.Event) error {
+	sim, err := simulation.NewSim(p, slog.New(slog.DiscardHandler), func(e audit.Event) error {
 		if e.Kind == audit.Requested {
 			asked++
 		}
--- a/internal/lab/sim.go
+++ b/internal/simulation/sim.go
@@ -1,9 +1,9 @@
-// Package lab is the laboratory: it plays scenarios. Here in virtual time, where the
+// Package simulation is the laboratory: it plays scenarios. Here in virtual time, where the
 // senders are the loops that real senders run, with stages, table, limits, journal
 // and controller, and only sockets are left out. Partners are the model of
 // internal/partner, and internal/audit judges what was seen. What fronts on sockets
 // share with virtual time is Ground, Tally and Profile.
-package lab
+package simulation
 
 import (
 	"errors"
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"cleathold/internal/rig"
+	"cleathold/internal/harness"
 )
 
 // Options bound what is drawn.
@@ -25,7 +25,7 @@
 	Seed    uint64
 	Script  string // of the scenario
 	Senders int
-	Faults  rig.Faults
+	Faults  harness.Faults
 	Calls   map[int]string // by sender: what strace injects
 	Notes   []string       // the faults that stand in no script, in words
 }
@@ -162,8 +162,8 @@
 	second := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for range 1 + d.IntN(4) {
 		at := d.begin()
-		f := rig.AnswerFault{From: second(at), To: second(at + d.between(0.5, 5)), Share: d.between(0.3, 1)}
-		f.How = rig.AnswerFailures[d.IntN(len(rig.AnswerFailures))]
+		f := harness.AnswerFault{From: second(at), To: second(at + d.between(0.5, 5)), Share: d.between(0.3, 1)}
+		f.How = harness.AnswerFailures[d.IntN(len(harness.AnswerFailures))]
 		c.Faults.Answers = append(c.Faults.Answers, f)
 		c.note("answers of discovery, %.1f to %.1f s: %.2f of them %s", f.From.Seconds(), f.To.Seconds(), f.Share, f.How)
 	}
@@ -172,8 +172,8 @@
 	c.note("clients keep using open connections: %t", c.Faults.KeepConnections)
 	if d.IntN(3) == 0 {
 		at := d.begin()
-		crowd := rig.IdleClients{From: second(at), To: second(at + d.between(2, 6)), Connections: 200}
-		c.Faults.IdleClients, c.Faults.Sockets = []rig.IdleClients{crowd}, 192
+		crowd := harness.IdleClients{From: second(at), To: second(at + d.between(2, 6)), Connections: 200}
+		c.Faults.IdleClients, c.Faults.Sockets = []harness.IdleClients{crowd}, 192
 		c.note("a crowd of %d for each sender, %.1f to %.1f s", crowd.Connections, crowd.From.Seconds(), crowd.To.Seconds())
 	}
 }
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -11,13 +11,13 @@
 	"strings"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/rig"
+	"cleathold/internal/harness"
 	"cleathold/internal/scenario"
 )
 
 // A Report is what a case showed.
 type Report struct {
-	Result   rig.Result
+	Result   harness.Result
 	Findings []string // what is wrong, in words; none: the case is sound
 }
 
@@ -45,7 +45,7 @@
 	defer lines.Flush()
 	encoder := json.NewEncoder(lines)
 	sink := func(e audit.Event) error { return encoder.Encode(e) }
-	result, err := rig.Run(ctx, rig.Setup{Plan: s.Plan(c.Seed), Program: program, Folder: folder, Log: log, Faults: c.Faults, Sink: sink})
+	result, err := harness.Run(ctx, harness.Setup{Plan: s.Plan(c.Seed), Program: program, Folder: folder, Log: log, Faults: c.Faults, Sink: sink})
 	if err != nil {
 		return nil, err
 	}
