--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -398,7 +398,7 @@
 	b := n.raw.BasicStatus()
 	s := &Status{
 		Member: n.disk.seat, Leads: b.RaftState == raft.StateLeader, Term: b.HardState.GetTerm(), Applied: n.applied, Members: n.seats,
-		Voter: slices.Contains(n.conf.GetVoters(), n.disk.seat.Number), Disk: n.disk.store.Stats().DiskBytes,
+		Voter: n.votes(), Disk: n.disk.store.Stats().DiskBytes,
 	}
 	if b.Lead != raft.None {
 		if s.Leader = n.seats[b.Lead]; s.Leader == "" {
@@ -412,6 +412,12 @@
 	n.status.Store(s)
 }
 
+// votes reports whether this node is a voter and no member that it replaced is one any more. While raft still needs a majority of the
+// members before a change as well (its joint configuration), the replacement does not yet stand in for the one that is gone.
+func (n *Node) votes() bool {
+	return slices.Contains(n.conf.GetVoters(), n.disk.seat.Number) && len(n.conf.GetVotersOutgoing()) == 0
+}
+
 // Receive takes messages from another agent. A body is a message after its length in four bytes, again and again.
 func (n *Node) Receive(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -16,8 +16,10 @@
 	"time"
 
 	"github.com/anishathalye/porcupine"
+	pb "go.etcd.io/raft/v3/raftpb"
 	"go.uber.org/goleak"
 
+	"cleathold/internal/golden"
 	"cleathold/internal/netfault"
 	"cleathold/internal/store"
 )
@@ -292,6 +294,31 @@
 	}
 }
 
+// A node that replaces another counts as a voter only once raft needs no majority of the members before the change: until then
+// a further failure would leave nobody who can agree on anything.
+func TestVoterOnceReplacementIsComplete(t *testing.T) {
+	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), newTape()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer node.disk.close()
+	self := node.disk.seat.Number
+	for _, c := range []struct {
+		conf *pb.ConfState
+		want bool
+	}{
+		{&pb.ConfState{Voters: []uint64{1, 3, self}}, true},
+		{&pb.ConfState{Voters: []uint64{1, 3, self}, VotersOutgoing: []uint64{1, 3, 5}}, false},
+		{&pb.ConfState{Voters: []uint64{1, 3, 5}}, false},
+	} {
+		node.conf = c.conf
+		node.publish()
+		if got := node.Status().Voter; got != c.want {
+			t.Errorf("%v: voter %t, want %t", c.conf, got, c.want)
+		}
+	}
+}
+
 // broken fails writes once told to.
 type brokenDisk struct {
 	store.FS
