--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command drill runs one controller for each instance of the simulator's wire,
-// on standard input and output. It decides nothing.
+// Command simadapter connects the decision module (package control) to the operators' simulator: it speaks the simulator's protocol
+// on standard input and output and runs one controller for each simulated sender. It decides nothing.
 package main
 
 import (
@@ -11,7 +11,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -88,15 +88,15 @@
 	got, _ := forwards(t, out.Bytes())
 	var want [][2]uint32
 	for _, who := range []uint16{1, 2} {
-		alone := new(script)
-		alone.start(who, testSettings).list(who, 39+uint32(who)).end(1000)
+		separate := new(script)
+		separate.start(who, testSettings).list(who, 39+uint32(who)).end(1000)
 		if who == 1 {
-			alone.job(1, 7).job(1, 9).end(1005)
+			separate.job(1, 7).job(1, 9).end(1005)
 		} else {
-			alone.job(2, 8).end(1005)
+			separate.job(2, 8).end(1005)
 		}
 		out.Reset()
-		if err := run(alone, &out); err != nil {
+		if err := run(separate, &out); err != nil {
 			t.Fatal(err)
 		}
 		f, _ := forwards(t, out.Bytes())
@@ -197,7 +197,7 @@
 	a, b, c := control.Class{PriorityWeight: 1}, control.Class{PriorityWeight: 2}, control.Class{PriorityWeight: 3}
 	i := &instance{}
 	for _, x := range []struct {
-		told    []control.Class
+		classes    []control.Class
 		numbers []int
 		known   int
 	}{
@@ -205,10 +205,10 @@
 		{[]control.Class{c, b}, []int{3, 1}, 4},
 		{[]control.Class{a, a, c}, []int{0, 2, 3}, 4},
 	} {
-		set := control.Settings{Classes: x.told}
-		i.number(&set)
-		if !slices.Equal(i.numbers, x.numbers) || len(set.Classes) != x.known || i.class(len(x.told)) != -1 {
-			t.Errorf("%v: numbers %v of %d", x.told, i.numbers, len(set.Classes))
+		set := control.Settings{Classes: x.classes}
+		i.renumberClasses(&set)
+		if !slices.Equal(i.numbers, x.numbers) || len(set.Classes) != x.known || i.class(len(x.classes)) != -1 {
+			t.Errorf("%v: numbers %v of %d", x.classes, i.numbers, len(set.Classes))
 		}
 	}
 }
