--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -197,7 +197,7 @@
 	a, b, c := control.Class{PriorityWeight: 1}, control.Class{PriorityWeight: 2}, control.Class{PriorityWeight: 3}
 	i := &instance{}
 	for _, x := range []struct {
-		classes    []control.Class
+		classes []control.Class
 		numbers []int
 		known   int
 	}{
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -11,48 +11,52 @@
 	"go.starlark.net/starlark"
 )
 
-// Agent is what an agent beside senders is told.
+// Agent is the configuration of an agent, which runs the senders of a machine.
 type Agent struct {
 	Name    string
-	Listen  string            // its address for other agents and the tool
-	Folder  string            // its part of the agreement, and what it knows of its senders
+	Listen  string            // its address for other agents and the command line
+	Folder  string            // its quorum data and its records of senders
 	Agents  map[string]string // addresses of all agents by name
-	Version string            // the name of what its senders run before the first release
-	Program string            // and the file
+	Version string            // the name of the version that senders run before the first release
+	Program string            // and its program file
 	Senders []AgentSender
 	Budget  AgentBudget
 	Timing  AgentTiming
 }
 
-// AgentSender is a sender that the agent runs.
+// AgentSender is a sender that an agent runs.
 type AgentSender struct {
 	Name, Building string
 	Config         string    // its configuration file
-	Admin          [2]string // its second addresses: one for the process that serves, one for the next
-	Reach          [2]string // where the agent reaches them
-	Restart        bool      // a new version takes its place by a restart
+	Admin          [2]string // admin addresses: of the serving process and of its successor
+	Reach          [2]string // the addresses at which the agent reaches them
+	Restart        bool      // versions change by a restart, not by a hand-over
 }
 
-// AgentBudget bounds how many senders may be out at once.
+// AgentBudget bounds how many senders and endpoints may be out at once; see rollout.Budget.
 type AgentBudget struct{ Fleet, Building, Serving, Endpoints, Kind int }
 
-// AgentTiming is what the budget rests on.
+// AgentTiming is the timing of grants; see rollout.Timing.
 type AgentTiming struct{ Fresh, Accept, Lease, ClockError time.Duration }
 
 const (
-	agentsMost  = 9
-	sendersMost = 1000
+	maxAgents  = 9
+	maxSenders = 1000
 )
 
-func usualAgent() *Agent {
+// defaultAgent returns the values of arguments that are left out.
+func defaultAgent() *Agent {
 	return &Agent{
 		Agents: map[string]string{}, Budget: AgentBudget{Fleet: 1},
 		Timing: AgentTiming{time.Second, 2 * time.Second, 10 * time.Second, 250 * time.Millisecond},
 	}
 }
 
-func (s *Settings) setAgent(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	a := s.agent()
+// agentBuiltin is agent(name, ...): makes the settings an agent's.
+func (s *Settings) agentBuiltin(
+	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
+	a := s.draftAgent()
 	var agents *starlark.Dict
 	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "name", &a.Name, "listen", &a.Listen, "folder", &a.Folder, "agents", &agents,
 		"version", &a.Version, "program", &a.Program); err != nil {
@@ -67,8 +71,8 @@
 		a.Agents[name] = addr
 	}
 	switch {
-	case top(t, "agent") != nil:
-		return nil, top(t, "agent")
+	case checkTopLevel(t, "agent") != nil:
+		return nil, checkTopLevel(t, "agent")
 	case len(args) > 0:
 		return nil, errors.New("agent: arguments go by name")
 	case s.Agent != nil:
@@ -77,39 +81,43 @@
 		return nil, errors.New("agent: name, listen, folder, version and program must not be empty")
 	case a.Agents[a.Name] == "":
 		return nil, fmt.Errorf("agent: agents: %s itself is missing", a.Name)
-	case len(a.Agents) > agentsMost:
-		return nil, fmt.Errorf("agent: agents: %d at most", agentsMost)
+	case len(a.Agents) > maxAgents:
+		return nil, fmt.Errorf("agent: agents: %d at most", maxAgents)
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.Agents)) {
 		if _, _, err := net.SplitHostPort(a.Agents[name]); err != nil {
 			return nil, fmt.Errorf("agent: agents: %s: %w", name, err)
 		}
 	}
-	a.Folder, a.Program = s.place(a.Folder), s.place(a.Program)
+	a.Folder, a.Program = s.resolvePath(a.Folder), s.resolvePath(a.Program)
 	s.Agent = a
 	return starlark.None, nil
 }
 
-// agent is what is gathered of an agent's settings. Only a call of agent() makes it one.
-func (s *Settings) agent() *Agent {
+// draftAgent returns the agent that the calls so far describe. It takes effect only with a call of agent().
+func (s *Settings) draftAgent() *Agent {
 	if s.Agent != nil {
 		return s.Agent
 	}
-	if s.drafted == nil {
-		s.drafted = usualAgent()
+	if s.agentDraft == nil {
+		s.agentDraft = defaultAgent()
 	}
-	return s.drafted
+	return s.agentDraft
 }
 
-func (s *Settings) addSender(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+// senderBuiltin is sender(name, config, admin, ...): a sender that the agent runs.
+func (s *Settings) senderBuiltin(
+	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
 	var x AgentSender
 	var addresses, reach *starlark.List
 	change := "handover"
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "name", &x.Name, "config", &x.Config, "admin", &addresses, "building?", &x.Building, "change?", &change, "reach?", &reach); err != nil {
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "name", &x.Name, "config", &x.Config, "admin", &addresses,
+		"building?", &x.Building, "change?", &change, "reach?", &reach); err != nil {
 		return nil, err
 	}
-	if top(t, "sender") != nil {
-		return nil, top(t, "sender")
+	if checkTopLevel(t, "sender") != nil {
+		return nil, checkTopLevel(t, "sender")
 	}
 	if reach == nil {
 		reach = addresses
@@ -120,7 +128,7 @@
 	if change != "handover" && change != "restart" {
 		return nil, fmt.Errorf("sender: change: %q is neither handover nor restart", change)
 	}
-	a := s.agent()
+	a := s.draftAgent()
 	taken := map[string]bool{}
 	for _, other := range a.Senders {
 		if other.Name == x.Name {
@@ -145,23 +153,26 @@
 			return nil, fmt.Errorf("sender: reach: %s is no address", reach.Index(i))
 		}
 	}
-	if len(a.Senders) >= sendersMost {
-		return nil, fmt.Errorf("sender: %d beside one agent at most", sendersMost)
+	if len(a.Senders) >= maxSenders {
+		return nil, fmt.Errorf("sender: %d beside one agent at most", maxSenders)
 	}
-	x.Config, x.Restart = s.place(x.Config), change == "restart"
+	x.Config, x.Restart = s.resolvePath(x.Config), change == "restart"
 	a.Senders = append(a.Senders, x)
 	return starlark.None, nil
 }
 
-func (s *Settings) setBudget(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	x := &s.agent().Budget
+// budgetBuiltin is budget(fleet, ...): how many may be out at once.
+func (s *Settings) budgetBuiltin(
+	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
+	x := &s.draftAgent().Budget
 	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fleet", &x.Fleet, "building?", &x.Building, "serving?", &x.Serving,
 		"endpoints?", &x.Endpoints, "kind?", &x.Kind); err != nil {
 		return nil, err
 	}
 	switch {
-	case top(t, "budget") != nil:
-		return nil, top(t, "budget")
+	case checkTopLevel(t, "budget") != nil:
+		return nil, checkTopLevel(t, "budget")
 	case len(args) > 0:
 		return nil, errors.New("budget: arguments go by name")
 	case x.Fleet < 1 || x.Building < 0 || x.Serving < 0 || x.Endpoints < 0 || x.Kind < 0:
@@ -170,32 +181,37 @@
 	return starlark.None, nil
 }
 
-func (s *Settings) setTiming(t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
-	x := &s.agent().Timing
-	fresh, accept, lease, fault := number(x.Fresh.Seconds()), number(x.Accept.Seconds()), number(x.Lease.Seconds()), number(x.ClockError.Seconds())
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fresh?", &fresh, "accept?", &accept, "lease?", &lease, "clock_error?", &fault); err != nil {
+// timingBuiltin is timing(fresh, accept, lease, clock_error).
+func (s *Settings) timingBuiltin(
+	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
+	x := &s.draftAgent().Timing
+	fresh, accept := number(x.Fresh.Seconds()), number(x.Accept.Seconds())
+	lease, clockError := number(x.Lease.Seconds()), number(x.ClockError.Seconds())
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fresh?", &fresh, "accept?", &accept, "lease?", &lease,
+		"clock_error?", &clockError); err != nil {
 		return nil, err
 	}
-	if top(t, "timing") != nil {
-		return nil, top(t, "timing")
+	if checkTopLevel(t, "timing") != nil {
+		return nil, checkTopLevel(t, "timing")
 	}
 	for _, f := range []struct {
-		name string
-		from number
-		to   *time.Duration
-		most time.Duration
+		name    string
+		given   number
+		setting *time.Duration
+		max     time.Duration
 	}{
 		{"fresh", fresh, &x.Fresh, time.Minute}, {"accept", accept, &x.Accept, time.Minute},
-		{"lease", lease, &x.Lease, 10 * time.Minute}, {"clock_error", fault, &x.ClockError, 10 * time.Second},
+		{"lease", lease, &x.Lease, 10 * time.Minute}, {"clock_error", clockError, &x.ClockError, 10 * time.Second},
 	} {
-		d, err := span(f.name, f.from)
+		d, err := duration(f.name, f.given)
 		if err != nil {
 			return nil, fmt.Errorf("timing: %w", err)
 		}
-		if d > f.most {
-			return nil, fmt.Errorf("timing: %s: %v at most", f.name, f.most)
+		if d > f.max {
+			return nil, fmt.Errorf("timing: %s: %v at most", f.name, f.max)
 		}
-		*f.to = d
+		*f.setting = d
 	}
 	if len(args) > 0 {
 		return nil, errors.New("timing: arguments go by name")
--- /dev/null
+++ b/internal/settings/builtins.go
@@ -0,0 +1,181 @@
+package settings
+
+import (
+	"errors"
+	"fmt"
+	"path/filepath"
+	"time"
+
+	"go.starlark.net/starlark"
+)
+
+// predeclared returns the names that a script may use besides those of the language.
+func (s *Settings) predeclared() starlark.StringDict {
+	return starlark.StringDict{
+		holdAnswer: answer{name: holdAnswer}, giveBackAnswer: answer{name: giveBackAnswer},
+		"held":    starlark.NewBuiltin("held", s.heldBuiltin),
+		"admin":   starlark.NewBuiltin("admin", s.adminBuiltin),
+		"resend":  starlark.NewBuiltin("resend", s.resendBuiltin),
+		"journal": starlark.NewBuiltin("journal", s.journalBuiltin),
+		"agent":   starlark.NewBuiltin("agent", s.agentBuiltin),
+		"sender":  starlark.NewBuiltin("sender", s.senderBuiltin),
+		"budget":  starlark.NewBuiltin("budget", s.budgetBuiltin),
+		"timing":  starlark.NewBuiltin("timing", s.timingBuiltin),
+		"keep":    starlark.NewBuiltin("keep", keepBuiltin),
+		"drop":    starlark.NewBuiltin("drop", dropBuiltin),
+		"again":   starlark.NewBuiltin("again", againBuiltin),
+	}
+}
+
+// checkTopLevel returns an error unless the script is being loaded: a rule must not change settings in force.
+func checkTopLevel(t *starlark.Thread, name string) error {
+	if t.Name != "load" {
+		return fmt.Errorf("%s: not within a rule", name)
+	}
+	return nil
+}
+
+// heldBuiltin is held(folder, ...): the dead-letter queue and its bounds.
+func (s *Settings) heldBuiltin(
+	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
+	h := &Held{}
+	age, ended := number(7*86400), number(86400)
+	size, most, queue := int64(256_000_000), 100_000, 256
+	var folder string
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "folder", &folder, "max_bytes?", &size, "max_records?", &most,
+		"max_age?", &age, "keep_ended?", &ended, "queue?", &queue); err != nil {
+		return nil, err
+	}
+	var err error
+	if h.MaxAge, err = duration("max_age", age); err != nil {
+		return nil, err
+	}
+	if h.KeepEnded, err = duration("keep_ended", ended); err != nil {
+		return nil, err
+	}
+	switch {
+	case len(args) > 0:
+		return nil, errors.New("held: arguments go by name")
+	case checkTopLevel(t, "held") != nil:
+		return nil, checkTopLevel(t, "held")
+	case s.Held != nil:
+		return nil, errors.New("held: called twice")
+	case folder == "":
+		return nil, errors.New("held: folder is empty")
+	case size < 1_000_000:
+		return nil, errors.New("held: max_bytes under 1 MB")
+	case most < 1 || most > 10_000_000:
+		return nil, errors.New("held: max_records: 1 to 10,000,000")
+	case queue < 1 || queue > 65_536:
+		return nil, errors.New("held: queue: 1 to 65,536")
+	}
+	h.Folder, h.MaxBytes, h.MaxRecords, h.Queue = s.resolvePath(folder), size, most, queue
+	s.Held = h
+	return starlark.None, nil
+}
+
+// adminBuiltin is admin(socket): the Unix socket of the admin API.
+func (s *Settings) adminBuiltin(
+	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
+	var socket string
+	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "socket", &socket); err != nil {
+		return nil, err
+	}
+	const pathMost = 100 // of a socket's address the kernel takes 107 bytes
+	switch {
+	case checkTopLevel(t, "admin") != nil:
+		return nil, checkTopLevel(t, "admin")
+	case s.Admin != nil:
+		return nil, errors.New("admin: called twice")
+	case socket == "":
+		return nil, errors.New("admin: socket is empty")
+	case len(s.resolvePath(socket)) > pathMost:
+		return nil, fmt.Errorf("admin: the path of a socket has %d bytes at most", pathMost)
+	}
+	s.Admin = &Admin{Socket: s.resolvePath(socket)}
+	return starlark.None, nil
+}
+
+// resendBuiltin is resend(share, within, max_out): the bounds of redelivery.
+func (s *Settings) resendBuiltin(
+	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
+	share, within, out := number(s.Resend.Share), number(s.Resend.Within.Seconds()), s.Resend.MaxOut
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "share?", &share, "within?", &within, "max_out?", &out); err != nil {
+		return nil, err
+	}
+	stand, err := duration("within", within)
+	switch {
+	case err != nil:
+		return nil, err
+	case len(args) > 0:
+		return nil, errors.New("resend: arguments go by name")
+	case checkTopLevel(t, "resend") != nil:
+		return nil, checkTopLevel(t, "resend")
+	case !(share > 0 && share <= 1):
+		return nil, errors.New("resend: share: more than 0, 1 at most")
+	case out < 1 || out > 1024:
+		return nil, errors.New("resend: max_out: 1 to 1,024")
+	}
+	s.Resend = Resend{Share: float64(share), Within: stand, MaxOut: out}
+	return starlark.None, nil
+}
+
+// journalBuiltin is journal(durability, wait): when the write-ahead log is synced.
+func (s *Settings) journalBuiltin(
+	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
+	word, wait := "process", number(s.Journal.Wait.Seconds())
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "durability", &word, "wait?", &wait); err != nil {
+		return nil, err
+	}
+	span, err := duration("wait", wait)
+	switch {
+	case err != nil:
+		return nil, err
+	case len(args) > 0:
+		return nil, errors.New("journal: arguments go by name")
+	case checkTopLevel(t, "journal") != nil:
+		return nil, checkTopLevel(t, "journal")
+	case word != "process" && word != "group" && word != "each":
+		return nil, fmt.Errorf("journal: durability: %q is none of process, group and each", word)
+	case span > time.Second:
+		return nil, errors.New("journal: wait: a second at most")
+	}
+	s.Journal = Journal{Durability: word, Wait: span}
+	return starlark.None, nil
+}
+
+// resolvePath returns the path of a file that a script names relative to its own folder.
+func (s *Settings) resolvePath(path string) string {
+	if filepath.IsAbs(path) {
+		return path
+	}
+	return filepath.Join(filepath.Dir(s.Path), path)
+}
+
+// number is an argument that may be an int or a float.
+type number float64
+
+// Unpack implements starlark.Unpacker.
+func (n *number) Unpack(v starlark.Value) error {
+	f, ok := starlark.AsFloat(v)
+	if !ok {
+		return fmt.Errorf("got %s, want a number", v.Type())
+	}
+	*n = number(f)
+	return nil
+}
+
+// maxDuration is the longest duration that a script may give.
+const maxDuration = 10 * 365 * 24 * time.Hour
+
+// duration converts seconds, which must be above zero. An error names the argument.
+func duration(name string, seconds number) (time.Duration, error) {
+	if !(seconds > 0 && float64(seconds) <= maxDuration.Seconds()) {
+		return 0, fmt.Errorf("%s: seconds above 0 wanted, got %v", name, seconds)
+	}
+	return time.Duration(float64(seconds) * float64(time.Second)), nil
+}
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -7,223 +7,230 @@
 	"go.starlark.net/starlark"
 )
 
-// Record is what a rule sees of a message.
+// Record is what a rule sees of an undeliverable message.
 type Record struct {
 	ID, Key, Class, Tenant string
 	Destination            int
 	Size                   int    // bytes of the body
-	Reason                 string // why it ended
+	Reason                 string // why it was not delivered
 	MayHaveRun             bool
-	Deferred               bool // without the store it would be handed back to its client
+	Deferred               bool // without the dead-letter queue its client would be told to come again
 	Attempts               int
-	Resends                int           // times it was sent again from the store
-	TimeLeft               time.Duration // of its time, as it ended
-	Age                    time.Duration // since it was held
+	Resends                int           // redeliveries before
+	TimeLeft               time.Duration // to its deadline, when it ended
+	Age                    time.Duration // since it became a dead letter
 }
 
 // Partner is what a rule sees of a message's destination, as this sender knows it.
 type Partner struct {
-	Held       int           // records held for it
-	InFlight   int           // resends out
+	Held       int           // dead letters for it
+	InFlight   int           // redeliveries in flight
 	Last       string        // the latest result of any call: "" before the first
-	Failing    time.Duration // since the first of the calls in a row that were not served; 0 = the last one was
-	Served     time.Duration // since a call was served; below 0 = never
-	RetryAfter time.Duration // of a wait that it told
+	Failing    time.Duration // since the first of the consecutive failed calls; 0: the last call was served
+	Served     time.Duration // since the last served call; below 0: there was none
+	RetryAfter time.Duration // time left of a Retry-After that it sent
 }
 
-// attributes are the fields that a script may name.
-var attributes = map[string]bool{
-	"id": true, "key": true, "message_class": true, "tenant": true, "destination": true, "size": true, "reason": true,
-	"may_have_run": true, "deferred": true, "attempts": true, "resends": true, "left": true, "age": true,
-	"held": true, "out": true, "last": true, "failing": true, "served": true, "wait_left": true,
+// attributes are the fields of records and partners, which are all that a script may name.
+var attributes = func() map[string]bool {
+	names := map[string]bool{}
+	for name := range recordFields {
+		names[name] = true
+	}
+	for name := range partnerFields {
+		names[name] = true
+	}
+	return names
+}()
+
+// recordFields are the fields of a record by the names that scripts use.
+var recordFields = map[string]func(*Record) starlark.Value{
+	"id":            func(r *Record) starlark.Value { return starlark.String(r.ID) },
+	"key":           func(r *Record) starlark.Value { return starlark.String(r.Key) },
+	"message_class": func(r *Record) starlark.Value { return starlark.String(r.Class) },
+	"tenant":        func(r *Record) starlark.Value { return starlark.String(r.Tenant) },
+	"destination":   func(r *Record) starlark.Value { return starlark.MakeInt(r.Destination) },
+	"size":          func(r *Record) starlark.Value { return starlark.MakeInt(r.Size) },
+	"reason":        func(r *Record) starlark.Value { return starlark.String(r.Reason) },
+	"may_have_run":  func(r *Record) starlark.Value { return starlark.Bool(r.MayHaveRun) },
+	"deferred":      func(r *Record) starlark.Value { return starlark.Bool(r.Deferred) },
+	"attempts":      func(r *Record) starlark.Value { return starlark.MakeInt(r.Attempts) },
+	"resends":       func(r *Record) starlark.Value { return starlark.MakeInt(r.Resends) },
+	"left":          func(r *Record) starlark.Value { return seconds(r.TimeLeft) },
+	"age":           func(r *Record) starlark.Value { return seconds(r.Age) },
+}
+
+// partnerFields are the fields of a partner by the names that scripts use.
+var partnerFields = map[string]func(*Partner) starlark.Value{
+	"held":      func(p *Partner) starlark.Value { return starlark.MakeInt(p.Held) },
+	"out":       func(p *Partner) starlark.Value { return starlark.MakeInt(p.InFlight) },
+	"last":      func(p *Partner) starlark.Value { return starlark.String(p.Last) },
+	"failing":   func(p *Partner) starlark.Value { return seconds(p.Failing) },
+	"served":    func(p *Partner) starlark.Value { return seconds(p.Served) },
+	"wait_left": func(p *Partner) starlark.Value { return seconds(p.RetryAfter) },
 }
 
-// A fields is a value with fields that no script can change.
-type fields struct {
-	kind string
-	get  func(name string) starlark.Value
-	all  []string
+// object is a Starlark value with fields that no script can change.
+type object[T any] struct {
+	kind   string
+	value  *T
+	fields map[string]func(*T) starlark.Value
 }
 
-func (f *fields) String() string        { return f.kind }
-func (f *fields) Type() string          { return f.kind }
-func (f *fields) Freeze()               {}
-func (f *fields) Truth() starlark.Bool  { return true }
-func (f *fields) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable: %s", f.kind) }
-func (f *fields) AttrNames() []string   { return f.all }
-func (f *fields) Attr(name string) (starlark.Value, error) {
-	return f.get(name), nil // nil: no such field, which the interpreter says with its place
+func (o *object[T]) String() string        { return o.kind }
+func (o *object[T]) Type() string          { return o.kind }
+func (o *object[T]) Freeze()               {}
+func (o *object[T]) Truth() starlark.Bool  { return true }
+func (o *object[T]) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable: %s", o.kind) }
+func (o *object[T]) AttrNames() []string   { return nil }
+
+// Attr returns a field, or nil for an unknown one, which the interpreter reports with its place.
+func (o *object[T]) Attr(name string) (starlark.Value, error) {
+	if get, known := o.fields[name]; known {
+		return get(o.value), nil
+	}
+	return nil, nil
 }
 
 func seconds(d time.Duration) starlark.Value { return starlark.Float(d.Seconds()) }
 
 func (r *Record) value() starlark.Value {
-	return &fields{kind: "record", get: func(name string) starlark.Value {
-		switch name {
-		case "id":
-			return starlark.String(r.ID)
-		case "key":
-			return starlark.String(r.Key)
-		case "message_class":
-			return starlark.String(r.Class)
-		case "tenant":
-			return starlark.String(r.Tenant)
-		case "destination":
-			return starlark.MakeInt(r.Destination)
-		case "size":
-			return starlark.MakeInt(r.Size)
-		case "reason":
-			return starlark.String(r.Reason)
-		case "may_have_run":
-			return starlark.Bool(r.MayHaveRun)
-		case "deferred":
-			return starlark.Bool(r.Deferred)
-		case "attempts":
-			return starlark.MakeInt(r.Attempts)
-		case "resends":
-			return starlark.MakeInt(r.Resends)
-		case "left":
-			return seconds(r.TimeLeft)
-		case "age":
-			return seconds(r.Age)
-		}
-		return nil
-	}}
+	return &object[Record]{kind: "record", value: r, fields: recordFields}
 }
 
 func (p *Partner) value() starlark.Value {
-	return &fields{kind: "partner", get: func(name string) starlark.Value {
-		switch name {
-		case "held":
-			return starlark.MakeInt(p.Held)
-		case "out":
-			return starlark.MakeInt(p.InFlight)
-		case "last":
-			return starlark.String(p.Last)
-		case "failing":
-			return seconds(p.Failing)
-		case "served":
-			return seconds(p.Served)
-		case "wait_left":
-			return seconds(p.RetryAfter)
-		}
-		return nil
-	}}
+	return &object[Partner]{kind: "partner", value: p, fields: partnerFields}
 }
 
-// Action is a verdict's word.
+// Action says what becomes of a dead letter.
 type Action uint8
 
-// The answers of the rule after.
+// The actions that the rule after can choose.
 const (
 	KeepRecord Action = iota
 	Redeliver
 	DropRecord
 )
 
-// Decision is what the rule after answers.
+// Decision is the answer of the rule after.
 type Decision struct {
 	Action   Action
-	ReviewIn time.Duration // Keep: asked again after this; 0 = not before something changes
-	Delay    time.Duration // Again: not before this
-	Within   time.Duration // Again: and given up for good after this
+	ReviewIn time.Duration // KeepRecord: the rule is asked again after this; 0: once something changes
+	Delay    time.Duration // Redeliver: not before this
+	Within   time.Duration // Redeliver: abandoned for good after this
 }
 
-// A verdict is an answer of a rule as a value of the language.
-type verdict struct {
-	word  string
-	after Decision
+// answer is the answer of a rule as a Starlark value.
+type answer struct {
+	name     string
+	decision Decision // of keep, drop and again
 }
 
-func (v verdict) String() string        { return v.word }
-func (v verdict) Type() string          { return "verdict" }
-func (v verdict) Freeze()               {}
-func (v verdict) Truth() starlark.Bool  { return true }
-func (v verdict) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable: verdict") }
+// The names of the answers of the rule hold.
+const (
+	holdAnswer     = "HOLD"
+	giveBackAnswer = "GIVE_BACK"
+)
+
+// forHold reports whether the answer is one of the rule hold.
+func (a answer) forHold() bool { return a.name == holdAnswer || a.name == giveBackAnswer }
+
+func (a answer) String() string        { return a.name }
+func (a answer) Type() string          { return "verdict" }
+func (a answer) Freeze()               {}
+func (a answer) Truth() starlark.Bool  { return true }
+func (a answer) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable: %s", a.Type()) }
 
-func keep(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+// keepBuiltin is keep(seconds): the record stays.
+func keepBuiltin(
+	_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
 	seconds := number(0)
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "seconds?", &seconds); err != nil {
 		return nil, err
 	}
-	v := verdict{word: "keep", after: Decision{Action: KeepRecord}}
+	v := answer{name: "keep", decision: Decision{Action: KeepRecord}}
 	if seconds == 0 {
 		return v, nil
 	}
 	var err error
-	v.after.ReviewIn, err = span("keep: seconds", seconds)
+	v.decision.ReviewIn, err = duration("keep: seconds", seconds)
 	return v, err
 }
 
-func drop(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+// dropBuiltin is drop(): the record is dropped.
+func dropBuiltin(
+	_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
 	err := starlark.UnpackArgs(b.Name(), args, kwargs)
-	return verdict{word: "drop", after: Decision{Action: DropRecord}}, err
+	return answer{name: "drop", decision: Decision{Action: DropRecord}}, err
 }
 
-func again(_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
+// againBuiltin is again(within, delay): the record is redelivered.
+func againBuiltin(
+	_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
+) (starlark.Value, error) {
 	within, delay := number(0), number(0)
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "within?", &within, "delay?", &delay); err != nil {
 		return nil, err
 	}
-	v := verdict{word: "again", after: Decision{Action: Redeliver}}
+	v := answer{name: "again", decision: Decision{Action: Redeliver}}
 	var err error
 	if within != 0 {
-		if v.after.Within, err = span("again: within", within); err != nil {
+		if v.decision.Within, err = duration("again: within", within); err != nil {
 			return nil, err
 		}
 	}
 	if delay != 0 {
-		v.after.Delay, err = span("again: delay", delay)
+		v.decision.Delay, err = duration("again: delay", delay)
 	}
 	return v, err
 }
 
-// Hold asks the rule hold who gets a message that ends undelivered: the store
-// (true) or its client. Without the rule the store gets what would end as
-// undeliverable, and the client what it may hand in anew. The same holds where
-// the rule fails: then the error says why.
+// Hold asks the rule hold whether an undeliverable message becomes a dead letter (true) or goes back to its client. Without the rule,
+// and where the rule fails with an error, a message becomes a dead letter unless it would be deferred.
 func (s *Settings) Hold(r Record, p Partner) (bool, error) {
-	if s.hold == nil {
+	if s.holdRule == nil {
 		return !r.Deferred, nil
 	}
-	v, err := s.call(s.hold, &r, &p)
+	v, err := s.call(s.holdRule, &r, &p)
 	if err != nil {
 		return !r.Deferred, err
 	}
 	if b, ok := v.(starlark.Bool); ok {
 		return bool(b), nil
 	}
-	if w, ok := v.(verdict); ok && (w.word == "HOLD" || w.word == "GIVE_BACK") {
-		return w.word == "HOLD", nil
+	if a, ok := v.(answer); ok && a.forHold() {
+		return a.name == holdAnswer, nil
 	}
 	return !r.Deferred, &Error{File: s.Path, Text: fmt.Sprintf("hold answered %s, wanted HOLD or GIVE_BACK", v.Type())}
 }
 
-// Decide asks the rule after what becomes of a held record. Where the rule is
-// missing, or fails, the record is kept.
+// Decide asks the rule after what becomes of a dead letter. Where the rule is missing, or fails with an error, the record is kept.
 func (s *Settings) Decide(r Record, p Partner) (Decision, error) {
-	if s.after == nil {
+	if s.afterRule == nil {
 		return Decision{}, nil
 	}
-	v, err := s.call(s.after, &r, &p)
+	v, err := s.call(s.afterRule, &r, &p)
 	if err != nil {
 		return Decision{}, err
 	}
-	w, ok := v.(verdict)
-	if !ok || w.word == "HOLD" || w.word == "GIVE_BACK" {
+	a, ok := v.(answer)
+	if !ok || a.forHold() {
 		return Decision{}, &Error{File: s.Path, Text: fmt.Sprintf("after answered %s, wanted keep(), again() or drop()", v.Type())}
 	}
-	if w.after.Action == Redeliver && w.after.Within == 0 {
-		w.after.Within = s.Resend.Within
+	if a.decision.Action == Redeliver && a.decision.Within == 0 {
+		a.decision.Within = s.Resend.Within
 	}
-	return w.after, nil
+	return a.decision, nil
 }
 
-// Rules tells whether the script has a rule after.
-func (s *Settings) Rules() bool { return s.after != nil }
+// Rules reports whether the script has the rule after.
+func (s *Settings) Rules() bool { return s.afterRule != nil }
 
+// call calls a rule within its limit of steps.
 func (s *Settings) call(rule starlark.Callable, r *Record, p *Partner) (starlark.Value, error) {
-	v, err := starlark.Call(thread("rule", ruleSteps), rule, starlark.Tuple{r.value(), p.value()}, nil)
+	v, err := starlark.Call(newThread("rule", maxRuleSteps), rule, starlark.Tuple{r.value(), p.value()}, nil)
 	if err != nil {
 		return nil, locate(s.Path, err)
 	}
