--- a/internal/quorum/golden_test.go
+++ b/internal/quorum/golden_test.go
@@ -14,18 +14,18 @@
 // TestGoldenQuorum writes and reads what goes to an agent's folder and to operators as 096da04 did.
 func TestGoldenQuorum(t *testing.T) {
 	golden.JSON[Member](t, "seat.json")
-	golden.JSON[image](t, "image.json")
+	golden.JSON[snapshot](t, "image.json")
 	golden.JSON[Status](t, "status.json")
 }
 
 // TestGoldenFolder opens an agent's folder that 096da04 wrote: its name, its vote and three entries.
 func TestGoldenFolder(t *testing.T) {
-	log := newTape()
+	log := newRecordedLog()
 	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), log))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := node.Status(); s.Member.Name != "a" || s.Member.Number != founder("a") {
+	if s := node.Status(); s.Member.Name != "a" || s.Member.Number != founderNumber("a") {
 		t.Errorf("%+v", s.Member)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -1,5 +1,5 @@
-// Package quorum is how a few agents agree on one log: raft (go.etcd.io/raft), its log and votes in a store of the
-// project's, its messages over HTTP. What the log says is nobody's business here.
+// Package quorum replicates a log among a few agents. It runs raft (go.etcd.io/raft), keeps raft's log and votes in a store of package
+// store, and carries its messages over HTTP. It owns the members and the snapshots; what the entries mean is the Machine's matter.
 package quorum
 
 import (
@@ -7,140 +7,137 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"maps"
-	"net/http"
 	"slices"
 	"sync/atomic"
 	"time"
 
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
-	"google.golang.org/protobuf/proto"
 
 	"cleathold/internal/store"
 )
 
-// Times of raft in ticks: an agent that hears no leader for one to two seconds asks for votes.
+// Tick is the unit of raft's timers.
+const Tick = 100 * time.Millisecond
+
 const (
-	Tick          = 100 * time.Millisecond
-	heartbeat     = 1
-	election      = 10
-	snapshotEvery = 1000 // entries
-	keepEntries   = 200
-	bodyMost      = 8 << 20
+	heartbeatTicks   = 1
+	electionTicks    = 10   // a follower that hears no leader starts an election after one to two times this
+	snapshotInterval = 1000 // entries
+	keptEntries      = 200  // entries kept behind a snapshot, for members that are a little behind
+	maxLearnedNames  = 64
+
+	// The lengths of the queues to the node's goroutine.
+	incomingQueue = 512
+	proposalQueue = 64
+	deliveryQueue = 64
+
+	maxMessageSize     = 1 << 20  // bytes
+	maxInflight        = 64       // messages to one member
+	maxUncommittedSize = 16 << 20 // bytes
 )
 
-// Machine is what the log is applied to, in order, by the node's goroutine alone.
+// Machine is the state machine to which the log is applied, in order. The node's goroutine alone calls it.
 type Machine interface {
+	// Apply applies a committed entry.
 	Apply(index uint64, data []byte)
-	Snapshot() ([]byte, error) // all that was applied
+	// Snapshot returns all that was applied.
+	Snapshot() ([]byte, error)
+	// Restore replaces the state by a snapshot that ends with the entry of that index.
 	Restore(index uint64, image []byte) error
 }
 
-// Config of a node.
+// Config is the configuration of a node.
 type Config struct {
 	Name    string
 	FS      store.FS
-	Peers   map[string]string // addresses of the agents by name, this one's too
+	Peers   map[string]string // addresses (host:port) of all agents by name, this one included
 	Machine Machine
 	Log     *slog.Logger
 }
 
-// image is what a snapshot holds.
-type image struct {
-	Seats   map[uint64]string `json:"seats"`
+// snapshot is the content of a snapshot.
+type snapshot struct {
+	Members map[uint64]string `json:"seats"`
 	Machine json.RawMessage   `json:"machine,omitempty"`
 }
 
-// Status of a node, as of its last round.
+// Status is the state of a node as of the last iteration of its loop.
 type Status struct {
 	Member  Member            `json:"seat"`
-	Leader  string            `json:"leader"` // empty: none is known, and nothing new can be agreed on
+	Leader  string            `json:"leader"` // empty: none is known, and nothing can be committed
 	Leads   bool              `json:"leads"`
 	Term    uint64            `json:"term"`
 	Applied uint64            `json:"applied"`
-	Voter   bool              `json:"voter"`
+	Voter   bool              `json:"voter"` // it votes, and no replaced member does any more
 	Members map[uint64]string `json:"seats"`
 	Disk    int64             `json:"disk_bytes"`
-	Sent    int64             `json:"sent_bytes"`
-	Calls   int64             `json:"calls"`
+	Sent    int64             `json:"sent_bytes"` // to other members, since the start
+	Calls   int64             `json:"calls"`      // to other members, since the start
 }
 
-// Node is one agent's part in the agreement.
+// Node is one member of the quorum. Run owns its state; the other methods may be called from any goroutine.
 type Node struct {
-	cfg   Config
-	disk  *disk
-	raw   *raft.RawNode
-	conf  *pb.ConfState
-	seats map[uint64]string
-	in    chan letter
-	met   map[uint64]string // names of seats that have written, for one that has not been told of the seats yet
-	asks  chan ask
-	gone  chan report
-	posts map[string]*post
-
-	applied uint64
-	snapped uint64
-	moved   bool // the seats have changed since the latest snapshot
-	status  atomic.Pointer[Status]
-	ended   chan struct{}
-}
-
-type ask struct {
-	data []byte
-	seat *Member // to be taken in
-	done chan error
+	cfg          Config
+	storage      *storage
+	raft         *raft.RawNode
+	confState    *pb.ConfState
+	members      map[uint64]string
+	incoming     chan incomingMessage
+	learnedNames map[uint64]string // names of members that have sent messages, for a node that does not know the members yet
+	proposals    chan proposal
+	deliveries   chan delivery
+	transports   map[string]*transport
+
+	applied        uint64
+	snapshotIndex  uint64
+	membersChanged bool // since the latest snapshot
+	status         atomic.Pointer[Status]
+	ended          chan struct{}
 }
 
-// letter is a message, and the name of the agent that sent it.
-type letter struct {
+// incomingMessage is a message of raft with the name of the agent that sent it.
+type incomingMessage struct {
 	*pb.Message
-	by string
+	from string
 }
 
-const metMost = 64
-
-// report tells raft that messages to a seat did not arrive.
-type report struct {
-	to   uint64
-	snap bool
-	ok   bool
-}
-
-// Errors of a node.
+// Errors of a node. After ErrNoMajority nothing was changed; after ErrStopped and ErrReplaced the node takes no further part.
 var (
 	ErrNoMajority = errors.New("no majority of agents can be reached: nothing new can be agreed on")
 	ErrStopped    = errors.New("quorum: stopped")
-	ErrReplaced   = errors.New("quorum: another agent has taken this one's seat; give it an empty folder to be taken in anew")
+	ErrReplaced   = errors.New("quorum: another agent has taken this one's place; give it an empty folder to be added anew")
 )
 
-// Open reads the folder, and the state that it holds into the machine.
+// Open opens the folder of a member and restores the machine from its latest snapshot. Run must be called next.
 func Open(c Config) (*Node, error) {
-	d, err := openDisk(c.FS, c.Name, c.Log)
+	storage, err := openStorage(c.FS, c.Name, c.Log)
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{
-		cfg: c, disk: d, seats: map[uint64]string{}, in: make(chan letter, 512), met: map[uint64]string{}, asks: make(chan ask, 64), gone: make(chan report, 64),
-		posts: map[string]*post{}, ended: make(chan struct{}), conf: &pb.ConfState{},
+		cfg: c, storage: storage, members: map[uint64]string{}, learnedNames: map[uint64]string{},
+		incoming: make(chan incomingMessage, incomingQueue), proposals: make(chan proposal, proposalQueue),
+		deliveries: make(chan delivery, deliveryQueue), transports: map[string]*transport{},
+		ended: make(chan struct{}), confState: &pb.ConfState{},
 	}
-	if err := n.boot(); err != nil {
-		d.close()
+	if err := n.start(); err != nil {
+		storage.close()
 		return nil, err
 	}
 	for name, addr := range c.Peers {
 		if name != c.Name {
-			n.posts[name] = newPost(c.Name, addr)
+			n.transports[name] = newTransport(c.Name, addr)
 		}
 	}
 	n.publish()
 	return n, nil
 }
 
-func (n *Node) boot() error {
-	snap, err := n.disk.mem.Snapshot()
+// start restores the latest snapshot and starts raft on the log after it.
+func (n *Node) start() error {
+	snap, err := n.storage.memory.Snapshot()
 	if err != nil {
 		return err
 	}
@@ -149,45 +146,46 @@
 			return err
 		}
 	}
-	n.raw, err = raft.NewRawNode(&raft.Config{
-		ID: n.disk.seat.Number, ElectionTick: election, HeartbeatTick: heartbeat, Storage: n.disk.mem, Applied: n.applied,
-		MaxSizePerMsg: 1 << 20, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 16 << 20, CheckQuorum: true, PreVote: true, StepDownOnRemoval: true,
-		Logger: quiet{n.cfg.Log},
+	n.raft, err = raft.NewRawNode(&raft.Config{
+		ID: n.storage.member.Number, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
+		Storage: n.storage.memory, Applied: n.applied,
+		MaxSizePerMsg: maxMessageSize, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommittedSize,
+		CheckQuorum: true, PreVote: true, StepDownOnRemoval: true, Logger: raftLogger{n.cfg.Log},
 	})
 	return err
 }
 
-// restore takes a snapshot over.
+// restore replaces members and machine by those of a snapshot.
 func (n *Node) restore(snap *pb.Snapshot) error {
-	var m image
-	if err := json.Unmarshal(snap.GetData(), &m); err != nil {
+	var content snapshot
+	if err := json.Unmarshal(snap.GetData(), &content); err != nil {
 		return fmt.Errorf("quorum: snapshot: %w", err)
 	}
-	if len(m.Machine) > 0 {
-		if err := n.cfg.Machine.Restore(snap.GetMetadata().GetIndex(), m.Machine); err != nil {
+	if len(content.Machine) > 0 {
+		if err := n.cfg.Machine.Restore(snap.GetMetadata().GetIndex(), content.Machine); err != nil {
 			return fmt.Errorf("quorum: snapshot: %w", err)
 		}
 	}
-	n.seats = m.Seats
-	n.conf = snap.GetMetadata().GetConfState()
-	n.applied, n.snapped = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex()
+	n.members = content.Members
+	n.confState = snap.GetMetadata().GetConfState()
+	n.applied, n.snapshotIndex = snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex()
 	return nil
 }
 
-// Run takes part until the context ends, or until the folder fails: what can't be kept must not be promised, and the
-// node has to be opened anew.
+// Run takes part in the quorum until the context ends; then it returns nil. It returns an error when the folder fails, since a vote that
+// is not stored must not be given, and ErrReplaced when another agent has taken this one's place. The node has to be opened anew then.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		runPosts(ctx, n.posts, n.gone)
+		runTransports(ctx, n.transports, n.deliveries)
 	}()
 	defer func() {
 		close(n.ended)
 		stop()
 		<-done
-		n.disk.close()
+		n.storage.close()
 	}()
 	tick := time.NewTicker(Tick)
 	defer tick.Stop()
@@ -196,268 +194,90 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			n.raw.Tick()
-		case l := <-n.in:
-			if len(n.met) < metMost || n.met[l.GetFrom()] != "" {
-				n.met[l.GetFrom()] = l.by
-			}
-			n.raw.Step(l.Message) // one that can't be used is dropped
-		case a := <-n.asks:
-			a.done <- n.ask(a)
-		case r := <-n.gone:
-			if r.snap {
-				status := raft.SnapshotFailure
-				if r.ok {
-					status = raft.SnapshotFinish
-				}
-				n.raw.ReportSnapshot(r.to, status)
-			} else {
-				n.raw.ReportUnreachable(r.to)
-			}
+			n.raft.Tick()
+		case m := <-n.incoming:
+			n.step(m)
+		case p := <-n.proposals:
+			p.done <- n.propose(p)
+		case d := <-n.deliveries:
+			n.reportDelivery(d)
 		}
-		for n.raw.HasReady() {
-			if err := n.round(); err != nil {
-				n.lost()
-				return err
-			}
-		}
-		if err := n.shorten(); err != nil {
-			n.lost()
+		if err := n.advance(); err != nil {
+			n.publishStopped()
 			return err
 		}
-		n.publish()
-		if n.replaced() {
-			n.lost()
-			return ErrReplaced
-		}
 	}
 }
 
-// lost publishes that this node agrees on nothing any more.
-func (n *Node) lost() {
-	s := *n.status.Load()
-	s.Leader, s.Leads = "", false
-	n.status.Store(&s)
-}
-
-// replaced tells whether somebody else has this agent's name among the seats.
-func (n *Node) replaced() bool {
-	if _, mine := n.seats[n.disk.seat.Number]; mine || len(n.seats) == 0 {
-		return false
+// step gives raft a message of another member. Raft drops what it can't use.
+func (n *Node) step(m incomingMessage) {
+	if len(n.learnedNames) < maxLearnedNames || n.learnedNames[m.GetFrom()] != "" {
+		n.learnedNames[m.GetFrom()] = m.from
 	}
-	for _, name := range n.seats {
-		if name == n.cfg.Name {
-			return n.snapped > 1 || n.applied > 1
-		}
-	}
-	return false
+	n.raft.Step(m.Message)
 }
 
-// round does what raft wants done: first what must last, then messages, then what is agreed on.
-func (n *Node) round() error {
-	r := n.raw.Ready()
-	if err := n.disk.save(r.HardState, r.Entries, r.Snapshot); err != nil {
-		return fmt.Errorf("quorum: %w", err)
-	}
-	if !raft.IsEmptySnap(r.Snapshot) {
-		if err := n.restore(r.Snapshot); err != nil {
-			return err
-		}
-	}
-	n.send(r.Messages)
-	for _, e := range r.CommittedEntries {
-		if err := n.apply(e); err != nil {
-			return err
-		}
-	}
-	n.raw.Advance(r)
-	return nil
-}
-
-func (n *Node) apply(e *pb.Entry) error {
-	n.applied = e.GetIndex()
-	switch e.GetType() {
-	case pb.EntryNormal:
-		if len(e.GetData()) > 0 {
-			n.cfg.Machine.Apply(e.GetIndex(), e.GetData())
-		}
-		return nil
-	case pb.EntryConfChange:
-		c := &pb.ConfChange{}
-		if err := proto.Unmarshal(e.GetData(), c); err != nil {
-			return fmt.Errorf("quorum: entry %d: %w", e.GetIndex(), err)
-		}
-		n.conf = n.raw.ApplyConfChange(c)
-		return nil
-	}
-	c := &pb.ConfChangeV2{}
-	if err := proto.Unmarshal(e.GetData(), c); err != nil {
-		return fmt.Errorf("quorum: entry %d: %w", e.GetIndex(), err)
-	}
-	var in Member
-	if len(c.GetContext()) > 0 && json.Unmarshal(c.GetContext(), &in) == nil {
-		n.seats = maps.Clone(n.seats)
-		maps.DeleteFunc(n.seats, func(_ uint64, name string) bool { return name == in.Name })
-		n.seats[in.Number] = in.Name
-	}
-	n.conf = n.raw.ApplyConfChange(c)
-	n.moved = true
-	return nil
-}
-
-// shorten makes a snapshot of what has been applied once the log is long, or the seats have changed: a new seat takes
-// over no snapshot that does not know of it.
-func (n *Node) shorten() error {
-	if n.applied-n.snapped < snapshotEvery && !n.moved {
-		return nil
-	}
-	n.moved = false
-	data, err := n.cfg.Machine.Snapshot()
-	if err == nil {
-		data, err = json.Marshal(image{Seats: n.seats, Machine: data})
-	}
-	if err == nil {
-		err = n.disk.compact(n.applied, n.conf, data, keepEntries)
+// reportDelivery tells raft what became of messages to a member.
+func (n *Node) reportDelivery(d delivery) {
+	if !d.snapshot {
+		n.raft.ReportUnreachable(d.to)
+		return
 	}
-	if err != nil {
-		return fmt.Errorf("quorum: snapshot: %w", err)
+	status := raft.SnapshotFailure
+	if d.delivered {
+		status = raft.SnapshotFinish
 	}
-	n.snapped = n.applied
-	return nil
+	n.raft.ReportSnapshot(d.to, status)
 }
 
-// ask proposes an entry, or a change of seats.
-func (n *Node) ask(a ask) error {
-	if n.raw.BasicStatus().Lead == raft.None {
-		return ErrNoMajority
-	}
-	if a.seat == nil {
-		if err := n.raw.Propose(a.data); err != nil {
-			return fmt.Errorf("%w (%v)", ErrNoMajority, err)
+// advance does what raft has ready, and publishes the status.
+func (n *Node) advance() error {
+	for n.raft.HasReady() {
+		if err := n.handleReady(); err != nil {
+			return err
 		}
-		return nil
-	}
-	if n.raw.BasicStatus().RaftState != raft.StateLeader {
-		return errNotLeading
-	}
-	if _, has := n.seats[a.seat.Number]; has {
-		return nil
 	}
-	context, err := json.Marshal(a.seat)
-	if err != nil {
+	if err := n.takeSnapshot(); err != nil {
 		return err
 	}
-	c := &pb.ConfChangeV2{Context: context}
-	for number, name := range n.seats {
-		if name == a.seat.Name {
-			c.Changes = append(c.Changes, &pb.ConfChangeSingle{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: new(number)})
-		}
-	}
-	c.Changes = append(c.Changes, &pb.ConfChangeSingle{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(a.seat.Number)})
-	if err := n.raw.ProposeConfChange(c); err != nil {
-		return fmt.Errorf("%w (%v)", ErrNoMajority, err)
+	n.publish()
+	if n.replaced() {
+		return ErrReplaced
 	}
 	return nil
 }
 
-var errNotLeading = errors.New("quorum: this agent does not lead")
-
-// Propose has an entry put into the log, if there is a leader; it does not wait until it is there. An entry without
-// an error may still be lost.
-func (n *Node) Propose(ctx context.Context, data []byte) error {
-	return n.hand(ctx, ask{data: data, done: make(chan error, 1)})
-}
-
-// AddMember has an agent take a seat, in the place of the one of its name. Only the leader does it.
-func (n *Node) AddMember(ctx context.Context, s Member) error {
-	return n.hand(ctx, ask{seat: &s, done: make(chan error, 1)})
-}
-
-func (n *Node) hand(ctx context.Context, a ask) error {
-	select {
-	case n.asks <- a:
-	case <-n.ended:
-		return ErrStopped
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-	select {
-	case err := <-a.done:
-		return err
-	case <-n.ended:
-		return ErrStopped
-	case <-ctx.Done():
-		return ctx.Err()
-	}
+// publishStopped publishes that this node takes no further part.
+func (n *Node) publishStopped() {
+	s := *n.status.Load()
+	s.Leader, s.Leads = "", false
+	n.status.Store(&s)
 }
 
-// Status tells how the node stands.
+// Status returns the latest status.
 func (n *Node) Status() Status { return *n.status.Load() }
 
+// publish makes the current status available to other goroutines.
 func (n *Node) publish() {
-	b := n.raw.BasicStatus()
+	b := n.raft.BasicStatus()
 	s := &Status{
-		Member: n.disk.seat, Leads: b.RaftState == raft.StateLeader, Term: b.HardState.GetTerm(), Applied: n.applied, Members: n.seats,
-		Voter: n.votes(), Disk: n.disk.store.Stats().DiskBytes,
+		Member: n.storage.member, Leads: b.RaftState == raft.StateLeader, Term: b.HardState.GetTerm(),
+		Applied: n.applied, Members: n.members, Voter: n.votes(), Disk: n.storage.store.Stats().DiskBytes,
 	}
 	if b.Lead != raft.None {
-		if s.Leader = n.seats[b.Lead]; s.Leader == "" {
+		if s.Leader = n.members[b.Lead]; s.Leader == "" {
 			s.Leader = fmt.Sprint(b.Lead)
 		}
 	}
-	for _, p := range n.posts {
-		s.Sent += p.bytes.Load()
-		s.Calls += p.calls.Load()
+	for _, t := range n.transports {
+		s.Sent += t.bytes.Load()
+		s.Calls += t.calls.Load()
 	}
 	n.status.Store(s)
 }
 
-// votes reports whether this node is a voter and no member that it replaced is one any more. While raft still needs a majority of the
-// members before a change as well (its joint configuration), the replacement does not yet stand in for the one that is gone.
+// votes reports whether this node is a voter and no replaced member is one any more. As long as raft is in a joint configuration, it
+// needs a majority of the former members, too, and the failure of another one could leave none.
 func (n *Node) votes() bool {
-	return slices.Contains(n.conf.GetVoters(), n.disk.seat.Number) && len(n.conf.GetVotersOutgoing()) == 0
-}
-
-// Receive takes messages from another agent. A body is a message after its length in four bytes, again and again.
-func (n *Node) Receive(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
-	if err != nil {
-		http.Error(w, "messages: "+err.Error(), http.StatusBadRequest)
-		return
-	}
-	list, err := unpack(body)
-	if err != nil {
-		http.Error(w, "messages: "+err.Error(), http.StatusBadRequest)
-		return
-	}
-	for _, m := range list {
-		if m.GetTo() != n.disk.seat.Number {
-			http.Error(w, "another seat is meant", http.StatusGone)
-			return
-		}
-		select {
-		case n.in <- letter{m, r.Header.Get(nameHeader)}:
-		case <-n.ended:
-			http.Error(w, "stopped", http.StatusServiceUnavailable)
-			return
-		default: // raft sends again what it misses
-		}
-	}
+	return slices.Contains(n.confState.GetVoters(), n.storage.member.Number) && len(n.confState.GetVotersOutgoing()) == 0
 }
-
-// quiet is raft's log: what it says in order is of no use to staff.
-type quiet struct{ log *slog.Logger }
-
-func (quiet) Debug(...any)                    {}
-func (quiet) Debugf(string, ...any)           {}
-func (quiet) Info(...any)                     {}
-func (quiet) Infof(string, ...any)            {}
-func (q quiet) Warning(v ...any)              { q.say(slog.LevelDebug, fmt.Sprint(v...)) }
-func (q quiet) Warningf(f string, v ...any)   { q.say(slog.LevelDebug, fmt.Sprintf(f, v...)) }
-func (q quiet) Error(v ...any)                { q.say(slog.LevelWarn, fmt.Sprint(v...)) }
-func (q quiet) Errorf(f string, v ...any)     { q.say(slog.LevelWarn, fmt.Sprintf(f, v...)) }
-func (q quiet) Fatal(v ...any)                { panic(fmt.Sprint(v...)) }
-func (q quiet) Fatalf(f string, v ...any)     { panic(fmt.Sprintf(f, v...)) }
-func (q quiet) Panic(v ...any)                { panic(fmt.Sprint(v...)) }
-func (q quiet) Panicf(f string, v ...any)     { panic(fmt.Sprintf(f, v...)) }
-func (q quiet) say(l slog.Level, text string) { q.log.Log(context.Background(), l, "raft: "+text) }
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -26,49 +26,49 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// tape is a machine that keeps what it is given.
-type tape struct {
-	mu   sync.Mutex
-	List []string
-	news chan struct{}
+// recordedLog is a machine that keeps what it is given.
+type recordedLog struct {
+	mu      sync.Mutex
+	List    []string
+	changed chan struct{}
 }
 
-func newTape() *tape { return &tape{news: make(chan struct{})} }
+func newRecordedLog() *recordedLog { return &recordedLog{changed: make(chan struct{})} }
 
-func (t *tape) Apply(_ uint64, data []byte) {
+func (t *recordedLog) Apply(_ uint64, data []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.List = append(t.List, string(data))
-	close(t.news)
-	t.news = make(chan struct{})
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-func (t *tape) Snapshot() ([]byte, error) {
+func (t *recordedLog) Snapshot() ([]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return json.Marshal(t.List)
 }
 
-func (t *tape) Restore(_ uint64, data []byte) error {
+func (t *recordedLog) Restore(_ uint64, data []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.List = nil
 	return json.Unmarshal(data, &t.List)
 }
 
-func (t *tape) all() []string {
+func (t *recordedLog) all() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.List)
 }
 
-// has waits until something was applied; false: not in time.
-func (t *tape) has(text string, span time.Duration) bool {
+// waitFor waits until something was applied; false: not in time.
+func (t *recordedLog) waitFor(text string, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	for {
 		t.mu.Lock()
-		in, news := slices.Contains(t.List, text), t.news
+		in, news := slices.Contains(t.List, text), t.changed
 		t.mu.Unlock()
 		if in {
 			return true
@@ -81,33 +81,33 @@
 	}
 }
 
-// A seatHolder is one agent under test, with its folder and its address.
-type seatHolder struct {
+// A testAgent is one agent under test, with its folder and its address.
+type testAgent struct {
 	name, dir string
 	peers     map[string]string
-	sock      net.Listener
-	tape      *tape
+	listener  net.Listener
+	log       *recordedLog
 	node      *Node
 	server    *http.Server
-	stop      context.CancelFunc
+	cancel    context.CancelFunc
 	done      chan error
 }
 
-// table is some agents, and the links between them.
-type table struct {
-	t       *testing.T
-	net     *netfault.Net
-	holders []*seatHolder
-	names   []string
+// testCluster is some agents, and the links between them.
+type testCluster struct {
+	t      *testing.T
+	net    *netfault.Net
+	agents []*testAgent
+	names  []string
 }
 
-func newTable(t *testing.T, n int) *table {
+func newTestCluster(t *testing.T, n int) *testCluster {
 	t.Helper()
-	x := &table{t: t, net: netfault.New(1)}
+	x := &testCluster{t: t, net: netfault.New(1)}
 	t.Cleanup(func() {
-		for _, h := range x.holders {
-			h.halt()
-			h.sock.Close()
+		for _, h := range x.agents {
+			h.stop()
+			h.listener.Close()
 		}
 		x.net.Close()
 	})
@@ -117,11 +117,11 @@
 			t.Fatal(err)
 		}
 		x.names = append(x.names, fmt.Sprint("a", i))
-		x.holders = append(x.holders, &seatHolder{name: x.names[i], dir: t.TempDir(), sock: sock, peers: map[string]string{}})
+		x.agents = append(x.agents, &testAgent{name: x.names[i], dir: t.TempDir(), listener: sock, peers: map[string]string{}})
 	}
-	for _, a := range x.holders {
-		for _, b := range x.holders {
-			addr := b.sock.Addr().String()
+	for _, a := range x.agents {
+		for _, b := range x.agents {
+			addr := b.listener.Addr().String()
 			if a != b {
 				var err error
 				if addr, err = x.net.TCP(a.name, b.name, "127.0.0.1", addr); err != nil {
@@ -134,27 +134,27 @@
 			t.Fatal(err)
 		}
 	}
-	for _, h := range x.holders {
-		x.begin(h)
+	for _, h := range x.agents {
+		x.start(h)
 	}
 	return x
 }
 
-func (x *table) begin(h *seatHolder) {
+func (x *testCluster) start(h *testAgent) {
 	x.t.Helper()
-	h.tape = newTape()
-	node, err := Open(Config{Name: h.name, FS: store.Dir(h.dir), Peers: h.peers, Machine: h.tape, Log: slog.New(slog.DiscardHandler)})
+	h.log = newRecordedLog()
+	node, err := Open(Config{Name: h.name, FS: store.Dir(h.dir), Peers: h.peers, Machine: h.log, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		x.t.Fatal(err)
 	}
 	var ctx context.Context
-	ctx, h.stop = context.WithCancel(context.Background())
+	ctx, h.cancel = context.WithCancel(context.Background())
 	h.node, h.done = node, make(chan error, 1)
 	go func() { h.done <- node.Run(ctx) }()
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+Path, node.Receive)
 	h.server = &http.Server{Handler: mux}
-	sock, err := h.sock.(*net.TCPListener).File()
+	sock, err := h.listener.(*net.TCPListener).File()
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -166,20 +166,20 @@
 	go h.server.Serve(l)
 }
 
-func (h *seatHolder) halt() error {
-	if h.stop == nil {
+func (h *testAgent) stop() error {
+	if h.cancel == nil {
 		return nil
 	}
-	h.stop()
-	h.stop = nil
+	h.cancel()
+	h.cancel = nil
 	h.server.Close()
 	return <-h.done
 }
 
-// put proposes until it is applied at its proposer, or until a time.
-func (x *table) put(h *seatHolder, text string, span time.Duration) bool {
+// propose proposes until it is applied at its proposer, or until a time.
+func (x *testCluster) propose(h *testAgent, text string, span time.Duration) bool {
 	for until := time.Now().Add(span); time.Now().Before(until); {
-		if h.node.Propose(x.t.Context(), []byte(text)) == nil && h.tape.has(text, time.Second) {
+		if h.node.Propose(x.t.Context(), []byte(text)) == nil && h.log.waitFor(text, time.Second) {
 			return true
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -187,12 +187,12 @@
 	return false
 }
 
-func (x *table) leader(among ...int) *seatHolder {
+func (x *testCluster) leader(among ...int) *testAgent {
 	x.t.Helper()
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		for _, i := range among {
-			if s := x.holders[i].node.Status(); s.Leads {
-				return x.holders[i]
+			if s := x.agents[i].node.Status(); s.Leads {
+				return x.agents[i]
 			}
 		}
 	}
@@ -210,8 +210,8 @@
 	}{{3, []string{"a0"}, false}, {5, []string{"a0", "a3"}, false}, {3, []string{"a0"}, true}} {
 		t.Run(fmt.Sprintf("%d agents, %v, one way %t", c.agents, c.small, c.oneWay), func(t *testing.T) {
 			t.Parallel()
-			x := newTable(t, c.agents)
-			if !x.put(x.holders[0], "before", 20*time.Second) {
+			x := newTestCluster(t, c.agents)
+			if !x.propose(x.agents[0], "before", 20*time.Second) {
 				t.Fatal("nothing can be agreed on")
 			}
 			if c.oneWay { // it hears the others, and nobody hears it
@@ -221,34 +221,34 @@
 			} else {
 				x.net.Partition(c.small, x.names, netfault.State{Cut: true})
 			}
-			if !x.put(x.holders[1], "larger", 20*time.Second) {
+			if !x.propose(x.agents[1], "larger", 20*time.Second) {
 				t.Errorf("%v: the larger side agrees on nothing", c)
 			}
-			if x.put(x.holders[0], "smaller", 3*time.Second) {
+			if x.propose(x.agents[0], "smaller", 3*time.Second) {
 				t.Errorf("%v: the smaller side agrees on something", c)
 			}
 			if !c.oneWay {
-				if err := x.holders[0].node.Propose(t.Context(), []byte("x")); !errors.Is(err, ErrNoMajority) {
+				if err := x.agents[0].node.Propose(t.Context(), []byte("x")); !errors.Is(err, ErrNoMajority) {
 					t.Errorf("%v: asked on the smaller side: %v", c, err)
 				}
 			}
 			x.net.Heal()
-			if !x.put(x.holders[0], "after", 20*time.Second) {
+			if !x.propose(x.agents[0], "after", 20*time.Second) {
 				t.Errorf("%v: nothing is agreed on after it", c)
 			}
-			for _, h := range x.holders {
-				if !h.tape.has("after", 20*time.Second) {
+			for _, h := range x.agents {
+				if !h.log.waitFor("after", 20*time.Second) {
 					t.Errorf("%v: %s lacks the end", c, h.name)
 				}
 			}
 			// What was proposed again, as its answer was late, may still be on its way to some.
-			same := func(h *seatHolder) bool { return slices.Equal(h.tape.all(), x.holders[0].tape.all()) }
-			for _, h := range x.holders[1:] {
+			same := func(h *testAgent) bool { return slices.Equal(h.log.all(), x.agents[0].log.all()) }
+			for _, h := range x.agents[1:] {
 				for until := time.Now().Add(20 * time.Second); !same(h) && time.Now().Before(until); {
 					time.Sleep(5 * time.Millisecond)
 				}
 				if !same(h) {
-					t.Errorf("%v: %v, %v", c, h.tape.all(), x.holders[0].tape.all())
+					t.Errorf("%v: %v, %v", c, h.log.all(), x.agents[0].log.all())
 				}
 			}
 		})
@@ -259,37 +259,37 @@
 // majority holds even while another one is down.
 func TestReplaced(t *testing.T) {
 	t.Parallel()
-	x := newTable(t, 3)
-	lost := x.holders[2]
-	for i := range snapshotEvery + 100 {
-		if i%100 == 0 && !x.put(x.holders[0], fmt.Sprint("e", i), 20*time.Second) {
+	cluster := newTestCluster(t, 3)
+	lost := cluster.agents[2]
+	for i := range snapshotInterval + 100 {
+		if i%100 == 0 && !cluster.propose(cluster.agents[0], fmt.Sprint("e", i), 20*time.Second) {
 			t.Fatal("nothing can be agreed on")
 		}
-		x.holders[0].node.Propose(t.Context(), []byte(fmt.Sprint("f", i)))
+		cluster.agents[0].node.Propose(t.Context(), []byte(fmt.Sprint("f", i)))
 	}
 	old := lost.node.Status().Member
-	lost.halt()
+	lost.stop()
 	lost.dir = t.TempDir()
-	x.begin(lost)
-	seat := lost.node.Status().Member
-	if seat.Number == old.Number || lost.node.Status().Voter {
-		t.Fatalf("%+v, %+v", seat, old)
+	cluster.start(lost)
+	member := lost.node.Status().Member
+	if member.Number == old.Number || lost.node.Status().Voter {
+		t.Fatalf("%+v, %+v", member, old)
 	}
 	for until := time.Now().Add(20 * time.Second); !lost.node.Status().Voter && time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		x.leader(0, 1).node.AddMember(t.Context(), seat)
+		cluster.leader(0, 1).node.AddMember(t.Context(), member)
 	}
 	if s := lost.node.Status(); !s.Voter || len(s.Members) != 3 || s.Members[old.Number] != "" {
 		t.Fatalf("%+v", s)
 	}
-	x.holders[0].halt()
-	if !x.put(x.holders[1], "two of three", 20*time.Second) || !lost.tape.has("two of three", 20*time.Second) {
+	cluster.agents[0].stop()
+	if !cluster.propose(cluster.agents[1], "two of three", 20*time.Second) || !lost.log.waitFor("two of three", 20*time.Second) {
 		t.Error("nothing can be agreed on with the new seat")
 	}
-	if got := lost.tape.all(); !slices.Contains(got, "e0") || len(got) < snapshotEvery {
+	if got := lost.log.all(); !slices.Contains(got, "e0") || len(got) < snapshotInterval {
 		t.Errorf("%d entries came with the snapshot", len(got))
 	}
-	lost.halt()
-	if err := Bootstrap(store.Dir(lost.dir), lost.name, x.names); !errors.Is(err, ErrAlreadyBootstrapped) {
+	lost.stop()
+	if err := Bootstrap(store.Dir(lost.dir), lost.name, cluster.names); !errors.Is(err, ErrAlreadyBootstrapped) {
 		t.Errorf("founded again: %v", err)
 	}
 }
@@ -297,12 +297,12 @@
 // A node that replaces another counts as a voter only once raft needs no majority of the members before the change: until then
 // a further failure would leave nobody who can agree on anything.
 func TestVoterOnceReplacementIsComplete(t *testing.T) {
-	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), newTape()))
+	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), newRecordedLog()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer node.disk.close()
-	self := node.disk.seat.Number
+	defer node.storage.close()
+	self := node.storage.member.Number
 	for _, c := range []struct {
 		conf *pb.ConfState
 		want bool
@@ -311,7 +311,7 @@
 		{&pb.ConfState{Voters: []uint64{1, 3, self}, VotersOutgoing: []uint64{1, 3, 5}}, false},
 		{&pb.ConfState{Voters: []uint64{1, 3, 5}}, false},
 	} {
-		node.conf = c.conf
+		node.confState = c.conf
 		node.publish()
 		if got := node.Status().Voter; got != c.want {
 			t.Errorf("%v: voter %t, want %t", c.conf, got, c.want)
@@ -320,29 +320,29 @@
 }
 
 // broken fails writes once told to.
-type brokenDisk struct {
+type failingFS struct {
 	store.FS
 	full *bool
 }
 
-type brokenFile struct {
+type failingFile struct {
 	store.File
 	full *bool
 }
 
 var errFull = errors.New("no space left on device")
 
-func (d brokenDisk) Create(name string) (store.File, error) {
+func (d failingFS) Create(name string) (store.File, error) {
 	f, err := d.FS.Create(name)
-	return brokenFile{f, d.full}, err
+	return failingFile{f, d.full}, err
 }
 
-func (d brokenDisk) Open(name string) (store.File, error) {
+func (d failingFS) Open(name string) (store.File, error) {
 	f, err := d.FS.Open(name)
-	return brokenFile{f, d.full}, err
+	return failingFile{f, d.full}, err
 }
 
-func (f brokenFile) WriteAt(b []byte, at int64) (int, error) {
+func (f failingFile) WriteAt(b []byte, at int64) (int, error) {
 	if *f.full {
 		return 0, errFull
 	}
@@ -357,9 +357,9 @@
 		t.Fatal(err)
 	}
 	full := false
-	open := func() (*Node, *tape, func() error) {
-		m := newTape()
-		n, err := Open(Config{Name: "a", FS: brokenDisk{store.Dir(dir), &full}, Peers: map[string]string{"a": ""}, Machine: m, Log: slog.New(slog.DiscardHandler)})
+	open := func() (*Node, *recordedLog, func() error) {
+		m := newRecordedLog()
+		n, err := Open(Config{Name: "a", FS: failingFS{store.Dir(dir), &full}, Peers: map[string]string{"a": ""}, Machine: m, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -368,11 +368,11 @@
 		go func() { done <- n.Run(ctx) }()
 		return n, m, func() error { stop(); return <-done }
 	}
-	put := func(n *Node, m *tape, text string) bool {
+	put := func(n *Node, m *recordedLog, text string) bool {
 		for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 			err := n.Propose(t.Context(), []byte(text))
 			if err == nil {
-				return m.has(text, 300*time.Millisecond)
+				return m.waitFor(text, 300*time.Millisecond)
 			}
 			if errors.Is(err, ErrStopped) {
 				return false
@@ -402,7 +402,7 @@
 	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); !errors.Is(err, ErrAlreadyBootstrapped) {
 		t.Errorf("founded twice: %v", err)
 	}
-	if _, err := Open(Config{Name: "b", FS: store.Dir(dir), Machine: newTape(), Log: slog.New(slog.DiscardHandler)}); err == nil {
+	if _, err := Open(Config{Name: "b", FS: store.Dir(dir), Machine: newRecordedLog(), Log: slog.New(slog.DiscardHandler)}); err == nil {
 		t.Error("another agent's folder was opened")
 	}
 	names, _ := store.Dir(dir).List()
@@ -412,7 +412,7 @@
 			f.Close()
 		}
 	}
-	if _, err := Open(Config{Name: "a", FS: store.Dir(dir), Machine: newTape(), Log: slog.New(slog.DiscardHandler)}); !errors.Is(err, ErrDamaged) {
+	if _, err := Open(Config{Name: "a", FS: store.Dir(dir), Machine: newRecordedLog(), Log: slog.New(slog.DiscardHandler)}); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a damaged folder: %v", err)
 	}
 }
@@ -421,7 +421,7 @@
 // of its own orders must be explained by one order of all of them.
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
-	x := newTable(t, 3)
+	x := newTestCluster(t, 3)
 	type input struct {
 		take bool
 		who  string
@@ -454,7 +454,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), 6*time.Second)
 	defer stop()
 	var wg sync.WaitGroup
-	for i, h := range x.holders {
+	for i, h := range x.agents {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(1, uint64(i)))
 			for k := 0; ctx.Err() == nil; k++ {
@@ -467,8 +467,8 @@
 					continue
 				}
 				op := porcupine.Operation{ClientId: i, Input: in, Call: int64(call), Output: nil, Return: int64(time.Hour)}
-				if h.tape.has(text, 500*time.Millisecond) { // else nobody knows: it may take effect at any time later
-					ok, _ := granted(h.tape.all(), id)
+				if h.log.waitFor(text, 500*time.Millisecond) { // else nobody knows: it may take effect at any time later
+					ok, _ := granted(h.log.all(), id)
 					op.Output, op.Return = ok, int64(time.Since(begun))
 				} else {
 					op.ClientId = 1000 + len(history)
