--- a/cmd/cleathold/store.go
+++ b/cmd/cleathold/store.go
@@ -28,7 +28,7 @@
 
 // look opens a folder to be read.
 func look(folder string) (*store.Store, error) {
-	s, err := store.Look(store.Dir(folder))
+	s, err := store.OpenReadOnly(store.Dir(folder))
 	if errors.Is(err, store.ErrNewer) {
 		return nil, fmt.Errorf("%w: use that one to read it", err)
 	}
--- a/internal/state/journal.go
+++ b/internal/state/journal.go
@@ -308,7 +308,7 @@
 	if t, err := readOld(dir, log); t != nil || err != nil {
 		return t, err
 	}
-	s, err := store.Look(store.Dir(dir))
+	s, err := store.OpenReadOnly(store.Dir(dir))
 	if errors.Is(err, os.ErrNotExist) {
 		return newTable(), nil
 	}
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -2,78 +2,79 @@
 
 import "fmt"
 
-// makeRoom lets compaction take its steps beside an append of so many bytes, and
-// more of them where it would not fit otherwise. It returns what was read.
-func (s *Store) makeRoom(size, spare int64) (int64, error) {
-	if s.opt.Budget <= 0 {
+// minDeadFraction is the dead fraction of the log from which on compaction runs ahead of need.
+const minDeadFraction = 0.25
+
+// freeSpace does the steps of compaction that are due beside an append of size bytes, and as many as it takes for the append to fit
+// with spare bytes left over. It returns the bytes that it read, and ErrFull if the append does not fit.
+func (s *Store) freeSpace(size, spare int64) (int64, error) {
+	if s.options.Budget <= 0 {
 		return 0, nil
 	}
 	read := int64(0)
-	if float64(s.disk) > stepFrom*float64(s.opt.Budget) {
-		for read < stepFactor*size && s.worth() {
-			n, err := s.step(stepFactor*size - read)
+	if float64(s.diskBytes) > compactionThreshold*float64(s.options.Budget) {
+		for read < compactionFactor*size && s.worthCompacting() {
+			n, err := s.step(compactionFactor*size - read)
 			if read += n; err != nil {
 				return read, err
 			}
 		}
 	}
-	// Once through all of it frees whatever there is to free.
-	for most := 2 * s.disk; !s.room(size, spare) && read < most && len(s.segments) > 1; {
-		n, err := s.step(s.opt.Segment)
+	// One pass over the whole log frees everything that can be freed.
+	for limit := 2 * s.diskBytes; !s.fits(size, spare) && read < limit && len(s.segments) > 1; {
+		n, err := s.step(s.options.Segment)
 		if read += n; err != nil {
 			return read, err
 		}
 	}
-	if !s.room(size, spare) {
+	if !s.fits(size, spare) {
 		return read, ErrFull
 	}
 	return read, nil
 }
 
-// worth tells whether there is enough dead space for compaction to win any: a
-// quarter of what is used.
-func (s *Store) worth() bool {
-	return len(s.segments) > 1 && float64(s.disk-s.live) > 0.25*float64(s.disk)
+// worthCompacting reports whether enough of the log is dead.
+func (s *Store) worthCompacting() bool {
+	return len(s.segments) > 1 && float64(s.diskBytes-s.liveBytes) > minDeadFraction*float64(s.diskBytes)
 }
 
-// step copies what is live in the oldest segment forward, reading so many bytes at
-// most besides a last frame. Once all of it is copied, or none is live, the segment
-// goes. It returns what it read; a segment that goes unread counts as one frame.
-func (s *Store) step(most int64) (int64, error) {
+// step copies live records of the oldest segment to the end of the log, reading at most limit bytes besides a last frame. Once nothing in
+// the segment is live it is removed. It returns the bytes that it read; a segment that is removed unread counts as one frame.
+func (s *Store) step(limit int64) (int64, error) {
 	g := s.segments[0]
 	read := int64(0)
-	for g.live > 0 && s.scan < g.size && read < max(most, 1) {
-		batch, n, err := frameAt(g.file, s.scan, g.size)
+	for g.live > 0 && s.compactedTo < g.size && read < max(limit, 1) {
+		batch, n, err := frameAt(g.file, s.compactedTo, g.size)
 		if err != nil {
-			// A damaged part, which recovery told of: what is live lies behind it.
-			next := s.nextLive(g, s.scan)
+			// A damaged part, which recovery has reported: go on behind it.
+			next := s.nextLive(g, s.compactedTo)
 			if next < 0 {
-				return read, fmt.Errorf("store: %s at %d: %w", g.name, s.scan, err)
+				return read, fmt.Errorf("store: %s at %d: %w", g.name, s.compactedTo, err)
 			}
-			s.scan = next
+			s.compactedTo = next
 			continue
 		}
-		if err := s.forward(g, batch); err != nil {
+		if err := s.copyLive(g, batch); err != nil {
 			return read, err
 		}
-		s.scan += int64(n)
+		s.compactedTo += int64(n)
 		read += int64(n)
 	}
 	if g.live > 0 {
-		if s.scan >= g.size {
+		if s.compactedTo >= g.size {
 			return read, fmt.Errorf("store: %s: %d live bytes were not found in it", g.name, g.live)
 		}
 		return read, nil
 	}
-	return max(read, frameHead), s.remove(g)
+	return max(read, frameHeaderSize), s.remove(g)
 }
 
-// nextLive is the first offset after another at which a live record lies; below 0 =
-// none. It looks at all entities, which only a damage makes necessary.
+// nextLive returns the first offset behind another at which a live record lies, or -1. It searches all entities, which only damage makes
+// necessary.
 func (s *Store) nextLive(g *segment, after int64) int64 {
 	next := int64(-1)
 	for _, e := range s.entities {
-		for _, r := range e.refs {
+		for _, r := range e.locations {
 			if r.segment == g.number && r.offset > after && (next < 0 || r.offset < next) {
 				next = r.offset
 			}
@@ -82,8 +83,8 @@
 	return next
 }
 
-// forward copies the live records of a frame to the end of the log.
-func (s *Store) forward(g *segment, batch []Record) error {
+// copyLive copies the live records of a frame to the end of the log.
+func (s *Store) copyLive(g *segment, batch []Record) error {
 	var live []Record
 	for _, r := range batch {
 		if e := s.entities[r.Entity]; e != nil && e.find(g.number, r.LSN) >= 0 {
@@ -93,20 +94,20 @@
 	if len(live) == 0 {
 		return nil
 	}
-	s.buf = frame(s.buf[:0], live)
-	if !s.room(int64(len(s.buf)), 0) {
+	s.buffer = frame(s.buffer[:0], live)
+	if !s.fits(int64(len(s.buffer)), 0) {
 		return ErrFull
 	}
-	offset, err := s.write(s.buf)
+	offset, err := s.write(s.buffer)
 	if err != nil {
 		return err
 	}
 	s.dirty = true
-	s.stats.Copied += int64(len(s.buf))
+	s.stats.Copied += int64(len(s.buffer))
 	to := s.head()
 	for i := range live {
 		e := s.entities[live[i].Entity]
-		at := &e.refs[e.find(g.number, live[i].LSN)]
+		at := &e.locations[e.find(g.number, live[i].LSN)]
 		g.live -= int64(at.size)
 		to.live += int64(at.size)
 		at.segment, at.offset = to.number, offset
@@ -114,31 +115,30 @@
 	return nil
 }
 
-// find is the place of a record among an entity's, if it lies in that segment.
+// find returns the index of a record of the entity that lies in a segment, or -1.
 func (e *entity) find(segment, lsn uint64) int {
-	for i := range e.refs {
-		if e.refs[i].lsn == lsn && e.refs[i].segment == segment {
+	for i := range e.locations {
+		if e.locations[i].lsn == lsn && e.locations[i].segment == segment {
 			return i
 		}
 	}
 	return -1
 }
 
-// remove deletes the oldest segment, of which nothing is needed. What was copied from
-// it must last at least as long as it would have.
+// remove deletes the oldest segment, in which nothing is live. The copies of its records are synced first, as the originals were.
 func (s *Store) remove(g *segment) error {
-	if s.opt.Durability != Process {
+	if s.options.Durability != Process {
 		if err := s.sync(); err != nil {
 			return err
 		}
 	}
-	if err := s.opt.FS.Remove(g.name); err != nil {
+	if err := s.options.FS.Remove(g.name); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	g.file.Close() // nothing more is read from it
 	s.segments = s.segments[1:]
-	s.disk -= whole(g.size)
-	s.scan = headLen
+	s.diskBytes -= roundToBlocks(g.size)
+	s.compactedTo = segmentHeaderSize
 	s.stats.Removed++
 	return nil
 }
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -7,85 +7,82 @@
 	"hash/crc32"
 )
 
-// A segment begins with a head: its magic, the format's version, and its number.
-// Then frames follow one another: a mark, the length of the payload, its CRC-32C
-// (Castagnoli, as in RFC 3720 appendix B.4), and the payload. A frame is one batch:
-// it is read whole or not at all, and so a batch is atomic. All numbers are little
-// endian or varints.
+// A segment begins with a header: magic, version of the format and number of the segment. Frames follow: a mark, the length of the
+// payload, its CRC-32C (Castagnoli, RFC 3720 appendix B.4) and the payload. A frame holds one batch and is read whole or not at all, so
+// that a batch is atomic. Numbers are little endian or varints. Sizes are in bytes.
 const (
-	format    = 1
-	headLen   = 24
-	frameHead = 12
-	frameMost = 4 << 20
+	formatVersion     = 1
+	segmentHeaderSize = 24
+	frameHeaderSize   = 12
+	maxFrame          = 4 << 20
 )
 
 var (
-	magic    = []byte("cleatlog")
-	mark     = []byte{0xd7, 0x1c, 0xea, 0x70}
-	castle   = crc32.MakeTable(crc32.Castagnoli)
-	errShort = errors.New("it ends in the middle")
+	magic        = []byte("cleatlog")
+	mark         = []byte{0xd7, 0x1c, 0xea, 0x70}
+	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
+	errTruncated = errors.New("it ends in the middle")
 )
 
-// ErrNewer tells of a file in a format that this program does not know.
+// ErrNewer means that a file has a newer format than this program knows.
 var ErrNewer = errors.New("store: written by a newer program")
 
-// Kind says what a record does to its entity.
+// Kind is what a record does to its entity.
 type Kind uint8
 
 // The kinds.
 const (
-	Put  Kind = iota // something more of it
-	End              // nothing of it is needed any more
-	Base             // what it was before is not needed any more; this and what follows is
+	Put  Kind = iota // adds to the entity
+	End              // ends the entity: its records are dead
+	Base             // replaces the records of the entity before it, which are dead
 
-	// seal tells of a segment, by its number, that nothing lies in it from an offset on:
-	// an append that was cut short, and not promised.
+	// seal marks a segment, whose number is in Entity, as ended at the offset in Time: a torn append follows, which was not acknowledged.
 	seal
 )
 
-// Record is one entry of the log. An entity is whatever has a life of its own: a
-// message, a held record, a line of an audit trail.
+// Record is one entry of the log. Its entity is whatever the caller gives a number of its own, such as a message.
 type Record struct {
 	Entity uint64
 	Kind   Kind
-	LSN    uint64 // its place in the order of all; given by the store
+	LSN    uint64 // log sequence number: its place in the order of all records; set by the store
 	Time   int64  // Unix time in microseconds, for the index
 	Dest   int64  // destination, for the index
 	Key    string // for the index; may be empty
 	Data   []byte
 }
 
-// size is about what a record takes on disk.
-func (r *Record) size() int64 { return int64(len(r.Data)+len(r.Key)) + recordOver }
+// size estimates the bytes that a record takes on disk.
+func (r *Record) size() int64 { return int64(len(r.Data)+len(r.Key)) + recordOverhead }
 
-// recordOver is what a record takes besides key and data, at most.
-const recordOver = 32
+// recordOverhead is an upper bound of the bytes of a record besides key and data.
+const recordOverhead = 32
 
+// segmentHead returns the header of a segment.
 func segmentHead(number uint64) []byte {
-	b := make([]byte, 0, headLen)
+	b := make([]byte, 0, segmentHeaderSize)
 	b = append(b, magic...)
-	b = binary.LittleEndian.AppendUint32(b, format)
+	b = binary.LittleEndian.AppendUint32(b, formatVersion)
 	b = binary.LittleEndian.AppendUint64(b, number)
 	return append(b, crcOf(b)...)
 }
 
-// readHead checks a segment's head.
+// readHead checks the header of a segment and returns its number.
 func readHead(b []byte) (number uint64, err error) {
 	switch {
-	case len(b) < headLen:
-		return 0, errShort
+	case len(b) < segmentHeaderSize:
+		return 0, errTruncated
 	case string(b[:8]) != string(magic):
 		return 0, errors.New("not a segment")
-	case binary.LittleEndian.Uint32(b[20:]) != crc32.Checksum(b[:20], castle):
+	case binary.LittleEndian.Uint32(b[20:]) != crc32.Checksum(b[:20], castagnoli):
 		return 0, errors.New("its head is damaged")
 	}
-	if v := binary.LittleEndian.Uint32(b[8:]); v != format {
-		return 0, fmt.Errorf("%w: format %d, known is %d", ErrNewer, v, format)
+	if v := binary.LittleEndian.Uint32(b[8:]); v != formatVersion {
+		return 0, fmt.Errorf("%w: format %d, known is %d", ErrNewer, v, formatVersion)
 	}
 	return binary.LittleEndian.Uint64(b[12:]), nil
 }
 
-// frame appends a batch as one frame.
+// frame appends a batch to a buffer as one frame.
 func frame(to []byte, batch []Record) []byte {
 	at := len(to)
 	to = append(to, mark...)
@@ -102,32 +99,32 @@
 		to = binary.AppendUvarint(to, uint64(len(r.Data)))
 		to = append(to, r.Data...)
 	}
-	payload := to[at+frameHead:]
+	payload := to[at+frameHeaderSize:]
 	binary.LittleEndian.PutUint32(to[at+4:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(to[at+8:], crc32.Checksum(payload, castle))
+	binary.LittleEndian.PutUint32(to[at+8:], crc32.Checksum(payload, castagnoli))
 	return to
 }
 
-// errFrame tells of bytes that are no whole frame.
+// errFrame means that the bytes are no intact frame.
 var errFrame = errors.New("no frame")
 
-// readFrame reads the frame at the start of some bytes. Its records hold on to them.
+// readFrame reads the frame at the start of b. Its records refer to b.
 func readFrame(b []byte) (batch []Record, length int, err error) {
-	if len(b) < frameHead {
-		return nil, 0, errShort
+	if len(b) < frameHeaderSize {
+		return nil, 0, errTruncated
 	}
 	if string(b[:4]) != string(mark) {
 		return nil, 0, errFrame
 	}
 	n := int(binary.LittleEndian.Uint32(b[4:]))
-	if n > frameMost || n == 0 {
+	if n > maxFrame || n == 0 {
 		return nil, 0, errFrame
 	}
-	if len(b) < frameHead+n {
-		return nil, 0, errShort
+	if len(b) < frameHeaderSize+n {
+		return nil, 0, errTruncated
 	}
-	payload := b[frameHead : frameHead+n]
-	if crc32.Checksum(payload, castle) != binary.LittleEndian.Uint32(b[8:]) {
+	payload := b[frameHeaderSize : frameHeaderSize+n]
+	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
 		return nil, 0, errFrame
 	}
 	c := cursor{b: payload}
@@ -140,10 +137,10 @@
 	if c.bad {
 		return nil, 0, errFrame
 	}
-	return batch, frameHead + n, nil
+	return batch, frameHeaderSize + n, nil
 }
 
-// A cursor reads values; one that is not whole makes it bad.
+// cursor reads values one after another. After one that is cut short bad is set and all reads return zero.
 type cursor struct {
 	b   []byte
 	bad bool
@@ -190,5 +187,7 @@
 	return v
 }
 
-// crcOf is a checksum as it is written.
-func crcOf(b []byte) []byte { return binary.LittleEndian.AppendUint32(nil, crc32.Checksum(b, castle)) }
+// crcOf returns the checksum of b as it is stored.
+func crcOf(b []byte) []byte {
+	return binary.LittleEndian.AppendUint32(nil, crc32.Checksum(b, castagnoli))
+}
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -12,17 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is what the store needs of a file system; a test's can stand behind it. Names
-// are those of files in one folder.
+// FS is one folder of a file system, as far as the store needs it. Names are those of files in the folder.
 type FS interface {
-	Create(name string) (File, error) // must not exist yet
+	Create(name string) (File, error) // an error if it exists
 	Open(name string) (File, error)
 	Remove(name string) error
 	Rename(from, to string) error
 	List() ([]string, error)
 	Size(name string) (int64, error)
 	SyncDir() error
-	Lock() (io.Closer, error) // errors name the owner
+	Lock() (io.Closer, error) // the error of a locked folder names the owner
 }
 
 // File is an open file.
@@ -34,14 +33,14 @@
 	Close() error
 }
 
-// Dir is a folder of the machine's.
+// Dir is a folder of the operating system's file system, by its path.
 type Dir string
 
 const lockName = "lock"
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-// Create makes a file.
+// Create implements FS.
 func (d Dir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
@@ -50,7 +49,7 @@
 	return f, nil
 }
 
-// Open opens one.
+// Open implements FS. A file that may only be read is opened so.
 func (d Dir) Open(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR, 0o600)
 	if errors.Is(err, os.ErrPermission) {
@@ -62,13 +61,13 @@
 	return f, nil
 }
 
-// Remove deletes one.
+// Remove implements FS.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Rename gives one another name, over what may be there.
+// Rename implements FS. It replaces a file of the new name.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-// Size is how long one is.
+// Size implements FS.
 func (d Dir) Size(name string) (int64, error) {
 	info, err := os.Stat(d.path(name))
 	if err != nil {
@@ -77,7 +76,7 @@
 	return info.Size(), nil
 }
 
-// List names the files.
+// List implements FS. It returns the names of regular files.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -92,7 +91,7 @@
 	return names, nil
 }
 
-// SyncDir makes names last over a power cut.
+// SyncDir implements FS: creations, removals and renames outlast a power cut after it.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -102,8 +101,8 @@
 	return f.Sync()
 }
 
-// Lock takes the folder for this process alone, until it is closed or the process
-// ends. Its file holds the pid of the owner.
+// Lock implements FS. It locks the folder for this process until the Closer is closed or the process ends. Where another process has it,
+// the error is ErrLocked.
 func (d Dir) Lock() (io.Closer, error) {
 	f, err := os.OpenFile(d.path(lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -118,11 +117,11 @@
 		}
 		return nil, err
 	}
-	// The owner's number is for those who are refused: a disk that does not take it keeps nobody from starting.
+	// The pid is only for the error that others get, so that a full disk must not keep this process from starting.
 	f.Truncate(0)
 	f.WriteAt([]byte(strconv.Itoa(os.Getpid())+"\n"), 0)
 	return f, nil
 }
 
-// ErrLocked tells that another process has the folder.
+// ErrLocked means that another process has locked the folder.
 var ErrLocked = errors.New("store: in use")
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -9,6 +9,6 @@
 // TestGoldenStore writes and reads what the tools of the store print as 096da04 did.
 func TestGoldenStore(t *testing.T) {
 	golden.JSON[Summary](t, "summary.json")
-	golden.JSON[line](t, "line.json")
+	golden.JSON[dumpLine](t, "line.json")
 	golden.JSON[Damage](t, "damage.json")
 }
--- /dev/null
+++ b/internal/store/index.go
@@ -0,0 +1,165 @@
+package store
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/tidwall/btree"
+)
+
+// location is the place of a record in the log.
+type location struct {
+	segment uint64
+	offset  int64 // of its frame
+	lsn     uint64
+	size    int32
+}
+
+// entity is a live entity in the index.
+type entity struct {
+	id        uint64
+	locations []location // in the order of their LSNs
+	time      int64
+	dest      int64
+	key       string
+	doubtful  bool // a damaged part of the log may hide a record of it
+}
+
+// Entity is what the index holds of a live entity.
+type Entity struct {
+	ID       uint64
+	Time     int64
+	Dest     int64
+	Key      string
+	Records  int
+	Doubtful bool // a damaged part of the log may hide a record of it
+}
+
+// indexKey is the key of an entity in the ordered indexes.
+type indexKey struct {
+	time, dest int64
+	key        string
+	id         uint64
+}
+
+// newIndex returns an index in the order of compare, then of ids.
+func newIndex(compare func(a, b indexKey) int) *btree.BTreeG[indexKey] {
+	return btree.NewBTreeGOptions(func(a, b indexKey) bool {
+		if c := compare(a, b); c != 0 {
+			return c < 0
+		}
+		return a.id < b.id
+	}, btree.Options{NoLocks: true})
+}
+
+// addToIndex adds a record that lies in a segment at an offset.
+func (s *Store) addToIndex(r *Record, g *segment, offset int64) {
+	s.highest = max(s.highest, r.Entity)
+	e := s.entities[r.Entity]
+	if r.Kind == End {
+		if e != nil {
+			s.dropEntity(e)
+		}
+		return
+	}
+	if e == nil {
+		e = &entity{id: r.Entity, time: r.Time, dest: r.Dest, key: r.Key}
+		s.entities[e.id] = e
+		s.setIndexes(e, true)
+	}
+	if r.Kind == Base {
+		s.dropRecords(e)
+	}
+	size := r.size()
+	e.locations = append(e.locations, location{g.number, offset, r.LSN, int32(size)})
+	g.live += size
+	s.liveBytes += size
+}
+
+// setIndexes adds an entity to the ordered indexes, or removes it.
+func (s *Store) setIndexes(e *entity, in bool) {
+	x := indexKey{e.time, e.dest, e.key, e.id}
+	for _, t := range []*btree.BTreeG[indexKey]{s.byKey, s.byTime, s.byDest} {
+		if in {
+			t.Set(x)
+		} else {
+			t.Delete(x)
+		}
+	}
+}
+
+// dropRecords marks the records of an entity as dead.
+func (s *Store) dropRecords(e *entity) {
+	for _, r := range e.locations {
+		if g := s.segment(r.segment); g != nil {
+			g.live -= int64(r.size)
+		}
+		s.liveBytes -= int64(r.size)
+	}
+	e.locations = nil
+}
+
+// dropEntity removes an entity from the index.
+func (s *Store) dropEntity(e *entity) {
+	s.dropRecords(e)
+	s.setIndexes(e, false)
+	delete(s.entities, e.id)
+}
+
+// public returns the entity as callers see it.
+func (e *entity) public() Entity {
+	return Entity{e.id, e.time, e.dest, e.key, len(e.locations), e.doubtful}
+}
+
+// Get returns a live entity.
+func (s *Store) Get(id uint64) (Entity, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	e := s.entities[id]
+	if e == nil {
+		return Entity{}, false
+	}
+	return e.public(), true
+}
+
+// ByKey calls do for each live entity with a key, until do returns false. As in ByDest and ByTime, do must not call the store.
+func (s *Store) ByKey(key string, do func(Entity) bool) {
+	s.walk(s.byKey, indexKey{key: key}, do, func(x indexKey) bool { return x.key == key })
+}
+
+// ByDest calls do for each live entity of a destination in the order of ids, until do returns false.
+func (s *Store) ByDest(dest int64, do func(Entity) bool) {
+	s.walk(s.byDest, indexKey{dest: dest}, do, func(x indexKey) bool { return x.dest == dest })
+}
+
+// ByTime calls do for each live entity from a time on, the earliest first, until do returns false.
+func (s *Store) ByTime(from int64, do func(Entity) bool) {
+	s.walk(s.byTime, indexKey{time: from}, do, func(indexKey) bool { return true })
+}
+
+// walk calls do for the entities of an index from a key on while in holds, with the store locked.
+func (s *Store) walk(
+	t *btree.BTreeG[indexKey], from indexKey, do func(Entity) bool, in func(indexKey) bool,
+) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	t.Ascend(from, func(x indexKey) bool {
+		return in(x) && do(s.entities[x.id].public())
+	})
+}
+
+// Entities calls do for each live entity in the order of ids, until do returns false. It works on a copy: do may call the store.
+func (s *Store) Entities(do func(Entity) bool) {
+	s.mu.Lock()
+	list := make([]Entity, 0, len(s.entities))
+	for _, e := range s.entities {
+		list = append(list, e.public())
+	}
+	s.mu.Unlock()
+	slices.SortFunc(list, func(a, b Entity) int { return cmp.Compare(a.ID, b.ID) })
+	for _, e := range list {
+		if !do(e) {
+			return
+		}
+	}
+}
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -12,47 +12,44 @@
 	"sync"
 )
 
-// Damage is a part of a segment that could not be read. The records of it are lost;
-// all else was read.
+// Damage is a part of a segment that could not be read. Its records are lost; everything else was read.
 type Damage struct {
 	File   string `json:"file"`
 	Offset int64  `json:"offset"`
 	Length int64  `json:"length"`
-	// Tail: the log ends with it. A process that died in the middle of an append leaves
-	// such a part, and had not promised it.
+	// Tail: the log ends with it, as after a process died during an append, which was then not acknowledged.
 	Tail bool `json:"tail,omitempty"`
-	// Missing: segments before this file are not there.
+	// Missing: the segments before this file are missing.
 	Missing bool `json:"missing,omitempty"`
 }
 
-// found is what one segment holds.
-type found struct {
-	segment *segment
-	records []located
-	damages []Damage
-	highest uint64 // LSN
-	named   uint64 // the number that its name has
-	missing bool   // segments before it are
-	err     error
+// segmentContent is what was read of one segment.
+type segmentContent struct {
+	segment    *segment
+	records    []located
+	damages    []Damage
+	highestLSN uint64 // LSN
+	nameNumber uint64 // the number in its file name
+	missing    bool   // the segments before it are missing
+	err        error
 }
 
 // located is a record without its data.
 type located struct {
 	Record
-	at ref
+	at location
 }
 
-// Open reads a folder and makes a store of it. Damage is told by Damages and in the
-// log, and keeps nothing else from being read. A newer format is refused, and the
-// folder is left as it is.
+// Open opens the store in a folder, or creates one. Damaged parts are logged and returned by Damages; everything else is read. It
+// returns ErrLocked where another process has the folder, and ErrNewer for a newer format, which leaves the folder as it is.
 func Open(o Options) (*Store, error) {
 	if o.Segment <= 0 {
-		o.Segment = segmentMost
+		o.Segment = maxSegment
 		if o.Budget > 0 {
-			o.Segment = min(max(o.Budget/16, segmentMin), segmentMost)
+			o.Segment = min(max(o.Budget/16, minSegment), maxSegment)
 		}
 	}
-	if o.Budget > 0 && o.Budget < (reserve+2)*o.Segment {
+	if o.Budget > 0 && o.Budget < (reservedSegments+2)*o.Segment {
 		return nil, fmt.Errorf("store: a budget of %d bytes is too little for segments of %d", o.Budget, o.Segment)
 	}
 	if o.Durability == Group && o.GroupWait <= 0 {
@@ -62,9 +59,9 @@
 	if err != nil {
 		return nil, err
 	}
-	s := empty(o)
+	s := newStore(o)
 	s.lock = lock
-	if err := s.recover(); err != nil {
+	if err := s.rebuildFromDisk(); err != nil {
 		for _, g := range s.segments {
 			g.file.Close()
 		}
@@ -74,23 +71,23 @@
 	return s, nil
 }
 
-// empty is a store without segments.
-func empty(o Options) *Store {
+// newStore returns a store without segments.
+func newStore(o Options) *Store {
 	return &Store{
-		opt: o, entities: map[uint64]*entity{}, lsn: 1, number: 1, scan: headLen, disk: unit, // the lock file
-		byKey:  newIndex(func(a, b indexed) int { return cmp.Compare(a.key, b.key) }),
-		byTime: newIndex(func(a, b indexed) int { return cmp.Compare(a.time, b.time) }),
-		byDest: newIndex(func(a, b indexed) int { return cmp.Compare(a.dest, b.dest) }),
+		options: o, entities: map[uint64]*entity{}, nextLSN: 1, nextSegment: 1, compactedTo: segmentHeaderSize, diskBytes: blockSize, // the lock file
+		byKey:  newIndex(func(a, b indexKey) int { return cmp.Compare(a.key, b.key) }),
+		byTime: newIndex(func(a, b indexKey) int { return cmp.Compare(a.time, b.time) }),
+		byDest: newIndex(func(a, b indexKey) int { return cmp.Compare(a.dest, b.dest) }),
 	}
 }
 
-// readAll reads all segments, several at once.
-func (s *Store) readAll() ([]found, error) {
-	names, err := segments(s.opt.FS)
+// readAll reads all segments, some of them at once, and returns them in the order of their numbers.
+func (s *Store) readAll() ([]segmentContent, error) {
+	names, err := listSegments(s.options.FS)
 	if err != nil {
 		return nil, err
 	}
-	list := make([]found, len(names))
+	list := make([]segmentContent, len(names))
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(1, min(runtime.GOMAXPROCS(0), 4)))
 	for i, name := range names {
@@ -101,7 +98,7 @@
 		})
 	}
 	wg.Wait()
-	slices.SortStableFunc(list, func(a, b found) int { return cmp.Compare(a.segment.number, b.segment.number) })
+	slices.SortStableFunc(list, func(a, b segmentContent) int { return cmp.Compare(a.segment.number, b.segment.number) })
 	for i := range list {
 		if g := list[i].segment; g != nil && g.file != nil {
 			s.segments = append(s.segments, g)
@@ -122,33 +119,31 @@
 	return list, nil
 }
 
-// recover reads all there is and rebuilds the index.
-func (s *Store) recover() error {
+// rebuildFromDisk reads the folder and rebuilds the index.
+func (s *Store) rebuildFromDisk() error {
 	list, err := s.readAll()
 	if err != nil {
 		return err
 	}
-	seals := s.tails(list)
+	seals := s.sealTails(list)
 	s.rebuild(list)
 	if n := len(list); n > 0 && len(list[n-1].damages) == 0 && len(seals) == 0 {
 		return nil
 	}
-	// Nothing is appended behind a damage. What was cut short is left as it is, and told
-	// to whoever reads it next.
-	if err := s.roll(); err != nil || len(seals) == 0 {
+	// Nothing is appended behind a damaged part. A torn tail is left as it is, and sealed for those who read it later.
+	if err := s.startSegment(); err != nil || len(seals) == 0 {
 		return err
 	}
 	for i := range seals {
-		seals[i].LSN = s.lsn
-		s.lsn++
+		seals[i].LSN = s.nextLSN
+		s.nextLSN++
 	}
 	_, err = s.write(frame(nil, seals))
 	return err
 }
 
-// tails sorts out what was cut short, at the end of the log or where a seal tells of
-// it, and returns seals for what has none yet.
-func (s *Store) tails(list []found) (seals []Record) {
+// sealTails marks the damages that are torn tails and drops those for which a seal exists. It returns seals for the others.
+func (s *Store) sealTails(list []segmentContent) (seals []Record) {
 	sealed := map[uint64]int64{}
 	last := 0 // the last segment that holds something
 	for i := range list {
@@ -175,109 +170,126 @@
 	return seals
 }
 
-// readSegment reads one file. Only what the disk says, or a newer format, is an error.
-func (s *Store) readSegment(name string) found {
-	f := found{segment: &segment{name: name}}
-	size, err := s.opt.FS.Size(name)
-	if err == nil {
-		f.segment.file, err = s.opt.FS.Open(name)
+// readSegment reads one file. Only errors of the file system and a newer format are errors; damage is part of the content.
+func (s *Store) readSegment(name string) segmentContent {
+	f := segmentContent{segment: &segment{name: name}}
+	f.err = s.openSegment(&f)
+	if f.err == nil {
+		f.err = f.readFrames()
+	}
+	return f
+}
+
+// openSegment opens the file of a segment and takes its number from its name.
+func (s *Store) openSegment(f *segmentContent) error {
+	g := f.segment
+	var err error
+	if g.size, err = s.options.FS.Size(g.name); err == nil {
+		g.file, err = s.options.FS.Open(g.name)
 	}
 	if err != nil {
-		f.err = fmt.Errorf("store: %w", err)
-		return f
+		return fmt.Errorf("store: %w", err)
+	}
+	if _, err := fmt.Sscanf(g.name, "%016x.log", &g.number); err != nil {
+		return fmt.Errorf("store: %s is no name of a segment: move it elsewhere", g.name)
 	}
+	f.nameNumber = g.number
+	return nil
+}
+
+// readFrames reads the header, the frames and the damages of an open segment.
+func (f *segmentContent) readFrames() error {
 	g := f.segment
-	g.size = size
-	if _, err := fmt.Sscanf(name, "%016x.log", &g.number); err != nil {
-		f.err = fmt.Errorf("store: %s is no name of a segment: move it elsewhere", name)
-		return f
-	}
-	f.named = g.number
-	w := &window{file: g.file, size: size}
-	fail := func(err error) found {
-		f.err = fmt.Errorf("store: %s: %w", name, err)
-		return f
-	}
-	at := int64(headLen)
-	head, err := w.from(0, headLen)
+	w := &fileWindow{file: g.file, size: g.size}
+	at, err := f.readHeader(w)
 	if err != nil {
-		return fail(err)
-	}
-	if number, err := readHead(head); errors.Is(err, ErrNewer) {
-		f.err = fmt.Errorf("%s: %w", name, err)
-		return f
-	} else if err != nil {
-		at = 0
-	} else {
-		g.number = number // a file that was renamed is what it was
-	}
-	for at < size {
-		b, err := w.from(at, frameHead+frameMost)
+		return err
+	}
+	for at < g.size {
+		b, err := w.from(at, frameHeaderSize+maxFrame)
 		if err != nil {
-			return fail(err)
+			return fmt.Errorf("store: %s: %w", g.name, err)
 		}
 		batch, n, err := readFrame(b)
 		if err != nil {
-			next, err := w.resync(at + 1)
+			next, err := w.nextFrame(at + 1)
 			if err != nil {
-				return fail(err)
+				return fmt.Errorf("store: %s: %w", g.name, err)
 			}
-			f.damages = append(f.damages, Damage{File: name, Offset: at, Length: next - at})
+			f.damages = append(f.damages, Damage{File: g.name, Offset: at, Length: next - at})
 			at = next
 			continue
 		}
 		for _, r := range batch {
-			f.highest = max(f.highest, r.LSN)
-			x := located{r, ref{g.number, at, r.LSN, int32(r.size())}}
+			f.highestLSN = max(f.highestLSN, r.LSN)
+			x := located{r, location{g.number, at, r.LSN, int32(r.size())}}
 			x.Data = nil // it is read again when it is asked for
 			f.records = append(f.records, x)
 		}
 		at += int64(n)
 	}
-	if size == 0 { // killed between its making and its head
-		f.damages = append(f.damages, Damage{File: name, Offset: 0, Length: size})
+	if g.size == 0 { // the process was killed between creating the file and writing its header
+		f.damages = append(f.damages, Damage{File: g.name})
 	}
-	return f
+	return nil
 }
 
-// A window reads a file forward in memory that does not grow with it.
-type window struct {
+// readHeader takes the number of the segment from its header and returns the offset of the first frame. A damaged header is read as a
+// damaged frame.
+func (f *segmentContent) readHeader(w *fileWindow) (int64, error) {
+	g := f.segment
+	head, err := w.from(0, segmentHeaderSize)
+	if err != nil {
+		return 0, fmt.Errorf("store: %s: %w", g.name, err)
+	}
+	number, err := readHead(head)
+	switch {
+	case errors.Is(err, ErrNewer):
+		return 0, fmt.Errorf("%s: %w", g.name, err)
+	case err != nil:
+		return 0, nil
+	}
+	g.number = number // also where the file was renamed
+	return segmentHeaderSize, nil
+}
+
+// fileWindow reads a file from the front in bounded memory.
+type fileWindow struct {
 	file  File
 	size  int64
 	start int64 // of what is in b
-	b     []byte
+	data  []byte
 }
 
-// from returns what stands from an offset on: so many bytes at least, or all that
-// there is.
-func (w *window) from(at, least int64) ([]byte, error) {
+// from returns the bytes from an offset on: least of them, or all up to the end of the file.
+func (w *fileWindow) from(at, least int64) ([]byte, error) {
 	least = min(least, w.size-at)
-	if at < w.start || at+least > w.start+int64(len(w.b)) {
-		if w.b == nil {
-			w.b = make([]byte, 0, min(w.size, 2*frameMost))
+	if at < w.start || at+least > w.start+int64(len(w.data)) {
+		if w.data == nil {
+			w.data = make([]byte, 0, min(w.size, 2*maxFrame))
 		}
-		n := min(int64(cap(w.b)), w.size-at)
-		w.start, w.b = at, w.b[:n]
-		if read, err := w.file.ReadAt(w.b, at); err != nil && !(errors.Is(err, io.EOF) && int64(read) == n) {
+		n := min(int64(cap(w.data)), w.size-at)
+		w.start, w.data = at, w.data[:n]
+		if read, err := w.file.ReadAt(w.data, at); err != nil && !(errors.Is(err, io.EOF) && int64(read) == n) {
 			return nil, err
 		}
 	}
-	return w.b[at-w.start:], nil
+	return w.data[at-w.start:], nil
 }
 
-// resync finds the next whole frame from an offset on, or the end.
-func (w *window) resync(from int64) (int64, error) {
+// nextFrame returns the offset of the next intact frame from an offset on, or the end of the file.
+func (w *fileWindow) nextFrame(from int64) (int64, error) {
 	for from < w.size {
-		b, err := w.from(from, frameHead+frameMost)
+		b, err := w.from(from, frameHeaderSize+maxFrame)
 		if err != nil {
 			return 0, err
 		}
 		i := bytes.Index(b, mark)
-		if i < 0 { // a mark may lie over the end of what is in memory
+		if i < 0 { // a mark may extend beyond the window
 			from += max(1, int64(len(b)-len(mark)+1))
 			continue
 		}
-		b, err = w.from(from+int64(i), frameHead+frameMost)
+		b, err = w.from(from+int64(i), frameHeaderSize+maxFrame)
 		if err != nil {
 			return 0, err
 		}
@@ -289,16 +301,16 @@
 	return w.size, nil
 }
 
-// rebuild makes the index of what was read.
-func (s *Store) rebuild(list []found) {
+// rebuild builds the index from what was read.
+func (s *Store) rebuild(list []segmentContent) {
 	ended, bases := map[uint64]bool{}, map[uint64]uint64{}
 	total := 0
 	for i := range list {
 		total += len(list[i].records)
-		s.lsn = max(s.lsn, list[i].highest+1)
+		s.nextLSN = max(s.nextLSN, list[i].highestLSN+1)
 		if list[i].segment.file != nil {
-			s.number = max(s.number, list[i].segment.number+1, list[i].named+1)
-			s.disk += whole(list[i].segment.size)
+			s.nextSegment = max(s.nextSegment, list[i].segment.number+1, list[i].nameNumber+1)
+			s.diskBytes += roundToBlocks(list[i].segment.size)
 		}
 		for _, r := range list[i].records {
 			if r.Kind != seal {
@@ -320,69 +332,51 @@
 			}
 		}
 	}
-	// A record that was copied forward lies twice where the process died before the old
-	// segment was removed: the copy counts.
+	// A record that compaction has copied is there twice if the process died before the old segment was removed: the copy counts.
 	slices.SortStableFunc(all, func(a, b located) int {
 		return cmp.Or(cmp.Compare(a.LSN, b.LSN), cmp.Compare(b.at.segment, a.at.segment), cmp.Compare(b.at.offset, a.at.offset))
 	})
-	doubt := s.doubt(list)
+	doubt := s.doubtLimit(list)
 	for i, r := range all {
 		if i > 0 && all[i-1].LSN == r.LSN {
 			continue
 		}
 		g := s.segment(r.at.segment)
-		s.enter(&r.Record, g, r.at.offset)
+		s.addToIndex(&r.Record, g, r.at.offset)
 		e := s.entities[r.Entity]
-		e.refs[len(e.refs)-1].size = r.at.size
-		if size := r.Record.size(); size != int64(r.at.size) { // the data is not here: enter knew less
+		e.locations[len(e.locations)-1].size = r.at.size
+		if size := r.Record.size(); size != int64(r.at.size) { // the data was not read, so that its size was left out
 			g.live += int64(r.at.size) - size
-			s.live += int64(r.at.size) - size
+			s.liveBytes += int64(r.at.size) - size
 		}
-		if len(e.refs) == 1 {
-			e.doubt = r.LSN < doubt
+		if len(e.locations) == 1 {
+			e.doubtful = r.LSN < doubt
 		}
 	}
 }
 
-// doubt is the LSN before which entities began of which a damage may hide a record.
-// It is the highest of the segment that is damaged, or all where its end is.
-func (s *Store) doubt(list []found) uint64 {
+// doubtLimit logs the damages and returns the LSN before which began all entities of which a damage may hide a record: the highest of
+// the damaged segment, or of all where its end is damaged.
+func (s *Store) doubtLimit(list []segmentContent) uint64 {
 	limit := uint64(0)
 	for i := range list {
-		if list[i].missing { // what was in them is not known: an end, or a record of any before
+		if list[i].missing { // they may have held an End, or records of any older entity
 			s.damages = append(s.damages, Damage{File: list[i].segment.name, Missing: true})
-			s.tell("segments before a file are missing: what is live may lack a record, or have ended", "file", list[i].segment.name)
-			limit = max(limit, list[i].highest+1)
+			s.warn("segments missing, live entities may lack records or have ended", "before_file", list[i].segment.name)
+			limit = max(limit, list[i].highestLSN+1)
 		}
 		for _, d := range list[i].damages {
 			s.damages = append(s.damages, d)
 			if d.Tail {
-				s.tell("the log ends in the middle of an append, which was not promised", "file", d.File, "offset", d.Offset, "bytes", d.Length)
+				s.warn("torn append at the end of the log, it was not acknowledged", "file", d.File, "offset", d.Offset, "bytes", d.Length)
 				continue
 			}
-			s.tell("a part can't be read: what is live may lack a record", "file", d.File, "offset", d.Offset, "bytes", d.Length)
+			s.warn("damaged part, live entities may lack records", "file", d.File, "offset", d.Offset, "bytes", d.Length)
 			if d.Offset+d.Length >= list[i].segment.size {
 				limit = math.MaxUint64
 			}
-			limit = max(limit, list[i].highest)
+			limit = max(limit, list[i].highestLSN)
 		}
 	}
 	return limit
 }
-
-// Entities gives all live entities to a function in the order of their ids, which
-// ends it by false. It works on a copy: the store may be used meanwhile.
-func (s *Store) Entities(do func(Entity) bool) {
-	s.mu.Lock()
-	list := make([]Entity, 0, len(s.entities))
-	for _, e := range s.entities {
-		list = append(list, e.public())
-	}
-	s.mu.Unlock()
-	slices.SortFunc(list, func(a, b Entity) int { return cmp.Compare(a.ID, b.ID) })
-	for _, e := range list {
-		if !do(e) {
-			return
-		}
-	}
-}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -75,9 +75,9 @@
 }
 
 func (m *memory) used() int64 {
-	sum := int64(unit)
+	sum := int64(blockSize)
 	for _, f := range m.files {
-		sum += whole(int64(len(f.data)))
+		sum += roundToBlocks(int64(len(f.data)))
 	}
 	return sum
 }
@@ -352,7 +352,7 @@
 	if m.most > budget || stats.DiskBytes != m.used() {
 		t.Errorf("%d bytes at most of %d; %d counted, %d there", m.most, budget, stats.DiskBytes, m.used())
 	}
-	if stats.Removed < 50 || stats.LargestGap > 64<<10 {
+	if stats.Removed < 50 || stats.LargestStep > 64<<10 {
 		t.Errorf("%+v", stats)
 	}
 	t.Logf("%+v, write amplification %.2f", stats, 1+float64(stats.Copied)/float64(stats.Appended))
@@ -530,7 +530,7 @@
 	m := newMemory()
 	s := open(t, m, Process)
 	id := uint64(0)
-	for s.Room(1000) {
+	for s.CanAdmit(1000) {
 		id++
 		if err := s.Append(Record{Entity: id, Data: make([]byte, 900)}); err != nil {
 			t.Fatalf("%v though there is room: %+v", err, s.Stats())
@@ -549,7 +549,7 @@
 			t.Fatalf("end %d of %d: %v", i, id, err)
 		}
 	}
-	if err := s.Append(Record{Entity: id, Data: make([]byte, 900)}); err != nil || !s.Room(1000) {
+	if err := s.Append(Record{Entity: id, Data: make([]byte, 900)}); err != nil || !s.CanAdmit(1000) {
 		t.Errorf("after all have ended: %v", err)
 	}
 }
@@ -619,8 +619,8 @@
 	s.Close()
 	name := segmentName(1)
 	f := m.files[name]
-	f.data[8] = format + 1
-	copy(f.data[20:24], func() []byte { b := segmentHead(1); b[8] = format + 1; return crcOf(b[:20]) }())
+	f.data[8] = formatVersion + 1
+	copy(f.data[20:24], func() []byte { b := segmentHead(1); b[8] = formatVersion + 1; return crcOf(b[:20]) }())
 	before := slices.Clone(f.data)
 	if _, err := Open(Options{FS: m, Budget: budget, Segment: 16 << 10}); !errors.Is(err, ErrNewer) {
 		t.Errorf("%v", err)
@@ -739,7 +739,7 @@
 			t.Fatal(err)
 		}
 	}
-	seen, err := Look(m)
+	seen, err := OpenReadOnly(m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -753,7 +753,7 @@
 	if err := seen.Dump(&dump); err != nil || strings.Count(dump.String(), "\n") < len(l.live) {
 		t.Errorf("%v, %d lines", err, strings.Count(dump.String(), "\n"))
 	}
-	names, _ := segments(m)
+	names, _ := listSegments(m)
 	f := m.files[names[1]]
 	f.data[len(f.data)/2] ^= 1
 	before := slices.Clone(f.data)
@@ -822,7 +822,7 @@
 		}
 	}
 	s.Close()
-	names, _ := segments(base)
+	names, _ := listSegments(base)
 	clone := func() *memory {
 		m := newMemory()
 		for name, f := range base.files {
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -12,17 +12,16 @@
 	"unicode/utf8"
 )
 
-// Look reads a folder without taking it, also while a store has it open, and changes
-// nothing. The store that it returns can be read and looked into, not appended to.
-func Look(fsys FS) (*Store, error) {
-	// Compaction may remove a segment between the list and its reading. What was live in
-	// it then lies in a younger one, which the next try sees.
+// OpenReadOnly reads a folder without locking or changing it, also while another process has it open. The store that it returns can be
+// read, not appended to.
+func OpenReadOnly(fsys FS) (*Store, error) {
+	// Compaction may remove a segment after it was listed. Its live records then lie in a younger one, which the next attempt reads.
 	var err error
-	for range 5 {
-		s := empty(Options{FS: fsys})
-		var list []found
+	for range maxReadAttempts {
+		s := newStore(Options{FS: fsys})
+		var list []segmentContent
 		if list, err = s.readAll(); err == nil {
-			s.tails(list)
+			s.sealTails(list)
 			s.rebuild(list)
 			s.broken = errReadOnly
 			return s, nil
@@ -37,72 +36,78 @@
 	return nil, fmt.Errorf("store: the folder changes faster than it can be read: %w", err)
 }
 
+// maxReadAttempts bounds the attempts to read a folder that changes meanwhile.
+const maxReadAttempts = 5
+
 var errReadOnly = errors.New("store: opened to be read only")
 
-// Summary is what a folder holds.
+// Summary describes the content of a folder, for operators.
 type Summary struct {
 	Segments []SegmentSummary `json:"segments"`
 	Entities int              `json:"entities"`
-	Doubtful int              `json:"doubtful"` // of which a damage may hide a record
+	Doubtful int              `json:"doubtful"` // entities of which a damaged part may hide a record
 	Live     int64            `json:"live_bytes"`
 	Disk     int64            `json:"disk_bytes"`
 	Damages  []Damage         `json:"damages,omitempty"`
 }
 
-// SegmentSummary is one file.
+// SegmentSummary describes one file.
 type SegmentSummary struct {
 	File string `json:"file"`
 	Size int64  `json:"size"`
 	Live int64  `json:"live_bytes"`
 }
 
-// Summary tells what the folder holds.
+// Summary describes the store.
 func (s *Store) Summary() Summary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sum := Summary{Entities: len(s.entities), Live: s.live, Disk: s.disk, Damages: s.damages}
+	sum := Summary{Entities: len(s.entities), Live: s.liveBytes, Disk: s.diskBytes, Damages: s.damages}
 	for _, g := range s.segments {
 		sum.Segments = append(sum.Segments, SegmentSummary{g.name, g.size, g.live})
 	}
 	for _, e := range s.entities {
-		if e.doubt {
+		if e.doubtful {
 			sum.Doubtful++
 		}
 	}
 	return sum
 }
 
-// Verify reads every live record and returns what can't be read.
+// maxVerifyErrors bounds the errors that Verify returns.
+const maxVerifyErrors = 100
+
+// Verify reads every live record and returns the errors of up to 100 entities that can't be read.
 func (s *Store) Verify() error {
 	var errs []error
 	s.Entities(func(e Entity) bool {
 		if _, err := s.Load(e.ID); err != nil {
 			errs = append(errs, fmt.Errorf("entity %d: %w", e.ID, err))
 		}
-		return len(errs) < 100
+		return len(errs) < maxVerifyErrors
 	})
 	return errors.Join(errs...)
 }
 
-// line is a record as Dump writes it.
-type line struct {
+// dumpLine is a record in the output of Dump.
+type dumpLine struct {
 	Entity uint64 `json:"entity"`
 	LSN    uint64 `json:"lsn"`
 	Time   int64  `json:"time_us,omitempty"`
 	Dest   int64  `json:"dest,omitempty"`
 	Key    string `json:"key,omitempty"`
 	Text   string `json:"text,omitempty"`
-	Data   []byte `json:"data,omitempty"` // base64, where it is no text
+	Data   []byte `json:"data,omitempty"` // base64, where it is not UTF-8
 }
 
-// Dump writes the live records as JSON lines, by entity.
+// Dump writes the live records as JSON lines, in the order of entities.
 func (s *Store) Dump(out io.Writer) error {
 	enc := json.NewEncoder(out)
 	var failed error
 	s.Entities(func(e Entity) bool {
 		list, err := s.Load(e.ID)
 		for _, r := range list {
-			l := line{Entity: r.Entity, LSN: r.LSN, Time: r.Time, Dest: r.Dest, Key: r.Key}
+			l := dumpLine{Entity: r.Entity, LSN: r.LSN, Time: r.Time, Dest: r.Dest, Key: r.Key}
 			if utf8.Valid(r.Data) {
 				l.Text = string(r.Data)
 			} else {
@@ -116,17 +121,16 @@
 	return failed
 }
 
-// Backup copies the segments of a folder into another that holds none, in memory that
-// does not grow with them. The source may be in use. The oldest go first: what
-// compaction moves meanwhile moves into those that are copied later.
+// Backup copies the segments of a folder into one that has none, in bounded memory, and returns the bytes copied. The source may be in
+// use: the oldest segments go first, so that records which compaction moves meanwhile land in segments that are copied later.
 func Backup(from, to FS) (int64, error) {
-	if names, err := segments(to); err != nil || len(names) > 0 {
+	if names, err := listSegments(to); err != nil || len(names) > 0 {
 		return 0, errors.Join(err, errors.New("store: the folder for the copy must hold no segments"))
 	}
 	total := int64(0)
 	done := map[string]bool{}
 	for {
-		names, err := segments(from)
+		names, err := listSegments(from)
 		if err != nil {
 			return total, err
 		}
@@ -148,7 +152,8 @@
 	}
 }
 
-func segments(fsys FS) ([]string, error) {
+// listSegments returns the names of the segments in a folder, the oldest first.
+func listSegments(fsys FS) ([]string, error) {
 	names, err := fsys.List()
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -158,7 +163,7 @@
 	return names, nil
 }
 
-// copySegment copies a file as it is now, whole frames and what is between them.
+// copySegment copies the current content of a file.
 func copySegment(from, to FS, name string) (int64, error) {
 	src, err := from.Open(name)
 	if err != nil {
@@ -188,10 +193,10 @@
 	return size, dst.Sync()
 }
 
-// Repair writes what can be read of one folder into another, as a new store. Entities
-// that may lack a record are left out if sound is set. It returns how many it wrote.
-func Repair(from FS, to Options, sound bool) (written, left int, err error) {
-	s, err := Look(from)
+// Repair writes the entities that can be read in one folder into a new store in another, in the order in which they began. With sound
+// set it skips entities that may lack a record. It returns the numbers of entities written and skipped.
+func Repair(from FS, to Options, sound bool) (written, skipped int, err error) {
+	s, err := OpenReadOnly(from)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -212,7 +217,7 @@
 	var items []item
 	s.mu.Lock()
 	for id, e := range s.entities {
-		items = append(items, item{e.refs[0].lsn, id})
+		items = append(items, item{e.locations[0].lsn, id})
 	}
 	s.mu.Unlock()
 	slices.SortFunc(items, func(a, b item) int { return cmp.Compare(a.first, b.first) })
@@ -220,13 +225,13 @@
 		e, _ := s.Get(x.id)
 		list, err := s.Load(x.id)
 		if err != nil || sound && e.Doubtful {
-			left++
+			skipped++
 			continue
 		}
 		if err := fresh.Append(list...); err != nil {
-			return written, left, err
+			return written, skipped, err
 		}
 		written++
 	}
-	return written, left, nil
+	return written, skipped, nil
 }
