--- a/internal/redelivery/planner_test.go
+++ b/internal/redelivery/planner_test.go
@@ -226,7 +226,7 @@
 				if now < waits[d] {
 					t.Fatalf("%v: a grant within the wait until %v", now, waits[d])
 				}
-				if p.partners[d].testing && out[d] > 1 {
+				if p.partners[d].trial && out[d] > 1 {
 					t.Fatalf("%v: %d out under test", now, out[d])
 				}
 			}
