--- /dev/null
+++ b/internal/admin/folder.go
@@ -0,0 +1,56 @@
+package admin
+
+import (
+	"context"
+
+	"cleathold/internal/deadletter"
+)
+
+// OpenFolder returns the read-only API of a stopped sender's folder.
+func OpenFolder(path string) (API, error) {
+	s, err := deadletter.OpenReading(path)
+	if err != nil {
+		return nil, err
+	}
+	return folder{s}, nil
+}
+
+// folder is the API of a stopped sender.
+type folder struct{ store *deadletter.Store }
+
+func (f folder) Close() error { return f.store.Close() }
+
+func (f folder) List(_ context.Context, filter deadletter.Filter, after uint64, limit int) (p Page, err error) {
+	err = f.store.View(func(t *deadletter.Tx) (err error) {
+		p.Records, p.Next, err = t.List(filter, after, min(limit, deadletter.MaxPageSize))
+		return
+	})
+	return
+}
+
+func (f folder) Export(_ context.Context, filter deadletter.Filter, after uint64) (p Page, err error) {
+	err = f.store.View(func(t *deadletter.Tx) (err error) {
+		p.Lines, p.Next, err = t.Export(filter, after, MaxImportLines)
+		return
+	})
+	return
+}
+
+func (f folder) Show(_ context.Context, seq uint64) (line deadletter.ExportLine, err error) {
+	err = f.store.View(func(t *deadletter.Tx) (err error) { line, err = exportLine(t, seq); return })
+	return
+}
+
+func (f folder) Stats(context.Context) (s deadletter.Stats, err error) {
+	err = f.store.View(func(t *deadletter.Tx) (err error) { s, err = t.Stats(); return })
+	return
+}
+
+func (f folder) Audit(_ context.Context, limit int) (list []deadletter.AuditEntry, err error) {
+	err = f.store.View(func(t *deadletter.Tx) (err error) { list, err = t.Audit(limit); return })
+	return
+}
+
+func (f folder) Act(context.Context, string, Order) (deadletter.Outcome, error) {
+	return deadletter.Outcome{}, ErrReadOnly
+}
--- /dev/null
+++ b/internal/admin/httpserver.go
@@ -0,0 +1,113 @@
+package admin
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+)
+
+const (
+	callTimeout   = 2 * time.Second        // for the whole request
+	maxHeaderSize = 8 << 10                // bytes
+	writeTimeout  = 500 * time.Millisecond // for the response
+)
+
+// MaxHTTPConnections bounds the connections at the TCP admin address. Beyond it the oldest is closed.
+const MaxHTTPConnections = 32
+
+// HTTPServer serves calls at a TCP address, where callers can't be told apart.
+type HTTPServer struct {
+	listener *limitedListener
+	http     *http.Server
+	log      *slog.Logger
+}
+
+// ListenTCP binds the TCP admin address, for the calls of the lifecycle alone, one call on a connection.
+func ListenTCP(addr string, s Lifecycle, log *slog.Logger) (*HTTPServer, error) {
+	f, err := ListenCalls(addr, lifecycleCalls(s), MaxHTTPConnections, callTimeout, log)
+	if err == nil {
+		f.http.SetKeepAlivesEnabled(false)
+		f.http.MaxHeaderBytes = maxHeaderSize
+	}
+	return f, err
+}
+
+// ListenCalls binds an address for calls by their patterns (see http.ServeMux), on maxConns connections at most. A request must have
+// arrived within the timeout, and be answered within it.
+func ListenCalls(
+	addr string, calls map[string]http.HandlerFunc, maxConns int, timeout time.Duration, log *slog.Logger,
+) (*HTTPServer, error) {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("admin: %w", err)
+	}
+	mux := http.NewServeMux()
+	for pattern, h := range calls {
+		mux.HandleFunc(pattern, h)
+	}
+	return &HTTPServer{listener: &limitedListener{Listener: listener, max: maxConns}, log: log, http: &http.Server{
+		Handler: mux, ReadHeaderTimeout: callTimeout, ReadTimeout: timeout, WriteTimeout: timeout + writeTimeout, IdleTimeout: idleTimeout,
+		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
+	}}, nil
+}
+
+// Addr returns the address at which the server listens.
+func (f *HTTPServer) Addr() net.Addr { return f.listener.Addr() }
+
+// Serve serves until Close.
+func (f *HTTPServer) Serve() {
+	if err := f.http.Serve(f.listener); !errors.Is(err, http.ErrServerClosed) {
+		f.log.Error("admin address failed", "err", err)
+	}
+}
+
+// Close ends the server at once.
+func (f *HTTPServer) Close() { f.http.Close() }
+
+// limitedListener bounds the connections of a listener. At the bound the oldest connection is closed, so that clients which send no
+// request can't keep out others.
+type limitedListener struct {
+	net.Listener
+	max int
+
+	mu   sync.Mutex
+	open []*limitedConn // the oldest first
+}
+
+// limitedConn is a connection that its listener forgets when it is closed.
+type limitedConn struct {
+	net.Conn
+	listener *limitedListener
+}
+
+// Accept implements net.Listener.
+func (l *limitedListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	conn := &limitedConn{c, l}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.open) >= l.max {
+		l.open[0].Conn.Close()
+		l.open = l.open[1:]
+	}
+	l.open = append(l.open, conn)
+	return conn, nil
+}
+
+// Close implements net.Conn.
+func (c *limitedConn) Close() error {
+	c.listener.mu.Lock()
+	if i := slices.Index(c.listener.open, c); i >= 0 {
+		c.listener.open = slices.Delete(c.listener.open, i, i+1)
+	}
+	c.listener.mu.Unlock()
+	return c.Conn.Close()
+}
--- a/internal/admin/front_test.go
+++ b/internal/admin/httpserver_test.go
@@ -15,34 +15,37 @@
 	"cleathold/internal/state"
 )
 
-// post is a lifecycle that notes what it is told.
-type post struct {
-	ready  error
-	refuse error // of orders
-	told   chan string
+// recordingLifecycle is a lifecycle that notes what it is told.
+type recordingLifecycle struct {
+	ready     error
+	rejection error // of orders
+	calls     chan string
 }
 
-func (p *post) Ready() error    { return p.ready }
-func (p *post) Drain() error    { p.told <- "drain"; return nil }
-func (p *post) Activate() error { p.told <- "activate"; return nil }
+func (p *recordingLifecycle) Ready() error    { return p.ready }
+func (p *recordingLifecycle) Drain() error    { p.calls <- "drain"; return nil }
+func (p *recordingLifecycle) Activate() error { p.calls <- "activate"; return nil }
 
-func (p *post) Take(o lease.Order) error {
-	p.told <- fmt.Sprint("take ", o.Process, " ", o.Epoch, " ", o.By.UnixMilli(), " ", o.Until.UnixMilli(), " ", o.Drain)
-	return p.refuse
+func (p *recordingLifecycle) Take(o lease.Order) error {
+	p.calls <- fmt.Sprint("take ", o.Process, " ", o.Epoch, " ", o.By.UnixMilli(), " ", o.Until.UnixMilli(), " ", o.Drain)
+	return p.rejection
 }
-func (p *post) Renew(epoch uint64, until time.Time) error {
-	p.told <- fmt.Sprint("renew ", epoch, " ", until.UnixMilli())
-	return p.refuse
+func (p *recordingLifecycle) Renew(epoch uint64, until time.Time) error {
+	p.calls <- fmt.Sprint("renew ", epoch, " ", until.UnixMilli())
+	return p.rejection
 }
-func (p *post) End(epoch uint64) error { p.told <- fmt.Sprint("end ", epoch); return p.refuse }
-func (p *post) SetExclusions(epoch uint64, ids []string, until time.Time) error {
-	p.told <- fmt.Sprint("aside ", epoch, " ", ids, " ", until.UnixMilli())
-	return p.refuse
+func (p *recordingLifecycle) End(epoch uint64) error {
+	p.calls <- fmt.Sprint("end ", epoch)
+	return p.rejection
 }
-func (p *post) Targets() []state.ListedTarget { return nil }
-func (p *post) Status() Status                { return Status{Name: "n1"} }
+func (p *recordingLifecycle) SetExclusions(epoch uint64, ids []string, until time.Time) error {
+	p.calls <- fmt.Sprint("aside ", epoch, " ", ids, " ", until.UnixMilli())
+	return p.rejection
+}
+func (p *recordingLifecycle) Targets() []state.ListedTarget { return nil }
+func (p *recordingLifecycle) Status() Status                { return Status{Name: "n1"} }
 
-func front(t *testing.T, p *post) *HTTPServer {
+func startServer(t *testing.T, p *recordingLifecycle) *HTTPServer {
 	t.Helper()
 	f, err := ListenTCP("127.0.0.1:0", p, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -53,8 +56,8 @@
 	return f
 }
 
-// ask makes one call, and wants its connection closed after it.
-func ask(t *testing.T, f *HTTPServer, request string) (int, error) {
+// request makes one call, and wants its connection closed after it.
+func request(t *testing.T, f *HTTPServer, text string) (int, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", f.Addr().String())
 	if err != nil {
@@ -62,14 +65,14 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(c, request)
+	io.WriteString(c, text)
 	all, err := io.ReadAll(c)
 	status := 0
 	fmt.Sscanf(string(all), "HTTP/1.1 %d", &status)
 	return status, err
 }
 
-func TestFrontCalls(t *testing.T) {
+func TestHTTPServerCalls(t *testing.T) {
 	for _, c := range []struct {
 		request string
 		ready   error
@@ -101,14 +104,14 @@
 		{"GET /v1/sender/targets", nil, nil, http.StatusOK, ""},
 		{"PUT /v1/sender/activate?epoch=x", nil, nil, http.StatusBadRequest, ""},
 	} {
-		p := &post{c.ready, c.refuse, make(chan string, 1)}
-		f := front(t, p)
-		if status, err := ask(t, f, c.request+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"); status != c.status || err != nil {
+		p := &recordingLifecycle{c.ready, c.refuse, make(chan string, 1)}
+		f := startServer(t, p)
+		if status, err := request(t, f, c.request+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"); status != c.status || err != nil {
 			t.Errorf("%s: status %d, %v, want %d", c.request, status, err, c.status)
 		}
 		told := ""
 		select {
-		case told = <-p.told:
+		case told = <-p.calls:
 		default:
 		}
 		if told != c.told {
@@ -119,8 +122,8 @@
 
 // Callers that send half a call, or nothing, hold all places and more: the next whole call is answered all the same,
 // and a head without end costs its own connection.
-func TestFrontBesideHalfCalls(t *testing.T) {
-	f := front(t, &post{told: make(chan string, 1)})
+func TestHTTPServerBesideHalfRequests(t *testing.T) {
+	f := startServer(t, &recordingLifecycle{calls: make(chan string, 1)})
 	for i := range 2 * MaxHTTPConnections {
 		c, err := net.Dial("tcp", f.Addr().String())
 		if err != nil {
@@ -131,16 +134,16 @@
 			io.WriteString(c, "PUT /v1/sender/drain HTTP/1.1\r\nHos")
 		}
 	}
-	if status, err := ask(t, f, "GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n"); status != http.StatusOK || err != nil {
+	if status, err := request(t, f, "GET /v1/readyz HTTP/1.1\r\nHost: x\r\n\r\n"); status != http.StatusOK || err != nil {
 		t.Errorf("status %d, %v", status, err)
 	}
-	f.sock.mu.Lock()
-	n := len(f.sock.open)
-	f.sock.mu.Unlock()
+	f.listener.mu.Lock()
+	n := len(f.listener.open)
+	f.listener.mu.Unlock()
 	if n > MaxHTTPConnections {
 		t.Errorf("%d connections held", n)
 	}
-	if status, _ := ask(t, f, "GET /v1/readyz HTTP/1.1\r\nX: "+strings.Repeat("x", 8*frontHead)+"\r\n\r\n"); status != 0 && status != http.StatusRequestHeaderFieldsTooLarge {
+	if status, _ := request(t, f, "GET /v1/readyz HTTP/1.1\r\nX: "+strings.Repeat("x", 8*maxHeaderSize)+"\r\n\r\n"); status != 0 && status != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("endless head: status %d", status)
 	}
 }
--- /dev/null
+++ b/internal/admin/lifecycle.go
@@ -0,0 +1,169 @@
+package admin
+
+import (
+	"crypto/sha256"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"cleathold/internal/lease"
+	"cleathold/internal/protocol"
+	"cleathold/internal/state"
+)
+
+// Lifecycle is the lifecycle of a sender, as operators and agents control it.
+type Lifecycle interface {
+	// Ready returns nil if this process can serve, else why not.
+	Ready() error
+	// Drain has clients sent away, Activate has them accepted again. Repeating either changes nothing.
+	Drain() error
+	Activate() error
+	// Take, Renew and End carry out an agent's order for a lease.
+	Take(o lease.Order) error
+	Renew(epoch uint64, until time.Time) error
+	End(epoch uint64) error
+	// SetExclusions replaces the set of endpoints that operators have excluded, as of an epoch, until a time.
+	SetExclusions(epoch uint64, ids []string, until time.Time) error
+	// Status returns the current status.
+	Status() Status
+	// Targets returns the endpoints on the list.
+	Targets() []state.ListedTarget
+}
+
+// The paths of the calls of the lifecycle, on both servers. Drain and activate are an operator's without a query, and an agent's with one.
+const (
+	ReadyPath      = "/v1/readyz"
+	DrainPath      = "/v1/sender/drain"
+	ActivatePath   = "/v1/sender/activate"
+	HoldPath       = "/v1/sender/hold" // a lease under which the sender keeps serving while it changes its version
+	RenewPath      = "/v1/sender/renew"
+	StatusPath     = "/v1/sender/status"
+	TargetsPath    = "/v1/sender/targets"
+	ExclusionsPath = "/v1/sender/aside"
+)
+
+// Status is the state of one process of a sender.
+type Status struct {
+	Name        string          `json:"name"`
+	Process     string          `json:"process"` // a random id of the process
+	Pid         int             `json:"pid"`
+	Phase       string          `json:"phase"`
+	Epoch       uint64          `json:"epoch"` // the highest of the orders seen...
+	Ended       bool            `json:"ended"` // ...whose lease has ended
+	LeaseActive bool            `json:"stands"`
+	Until       time.Time       `json:"until,omitzero"`
+	Release     string          `json:"release,omitempty"`
+	Config      string          `json:"config"` // digest of the configuration in force
+	Started     time.Time       `json:"started"`
+	Counts      state.Counts    `json:"counts"`
+	Clients     protocol.Counts `json:"clients"`
+	MemoryMB    float64         `json:"memory_mb"`
+}
+
+// Digest returns a short digest of a text.
+func Digest(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text)))[:16] }
+
+// orderQuery reads the parameters of an order from a query; err is the first error. Times are Unix times in milliseconds.
+type orderQuery struct {
+	values url.Values
+	err    error
+}
+
+func (o *orderQuery) number(name string) uint64 {
+	v, err := strconv.ParseUint(o.values.Get(name), 10, 63)
+	if err != nil && o.err == nil {
+		o.err = fmt.Errorf("%s: a whole number is wanted", name)
+	}
+	return v
+}
+
+func (o *orderQuery) time(name string) time.Time { return time.UnixMilli(int64(o.number(name))) }
+
+// lifecycleCalls returns the handlers of the lifecycle's calls by their patterns.
+func lifecycleCalls(s Lifecycle) map[string]http.HandlerFunc {
+	return map[string]http.HandlerFunc{
+		"GET " + ReadyPath: byOperator(s.Ready, "ready"),
+		"PUT " + DrainPath: byOperatorOrAgent(s.Drain, "draining", takeLease(s, true)),
+		"PUT " + HoldPath:  byAgent("held", takeLease(s, false)),
+		"PUT " + RenewPath: byAgent("renewed", func(q *orderQuery) func() error {
+			epoch, until := q.number("epoch"), q.time("until")
+			return func() error { return s.Renew(epoch, until) }
+		}),
+		"PUT " + ActivatePath: byOperatorOrAgent(s.Activate, "active", func(q *orderQuery) func() error {
+			epoch := q.number("epoch")
+			return func() error { return s.End(epoch) }
+		}),
+		"PUT " + ExclusionsPath: byAgent("set aside", func(q *orderQuery) func() error {
+			epoch, until, ids := q.number("epoch"), q.time("until"), q.values["id"]
+			if len(ids) > lease.MaxExcluded && q.err == nil {
+				q.err = fmt.Errorf("id: %d at most", lease.MaxExcluded)
+			}
+			return func() error { return s.SetExclusions(epoch, ids, until) }
+		}),
+		"GET " + TargetsPath: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Targets()) },
+		"GET " + StatusPath:  func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Status()) },
+	}
+}
+
+// takeLease reads an order for a lease from its query.
+func takeLease(s Lifecycle, drain bool) func(q *orderQuery) func() error {
+	return func(q *orderQuery) func() error {
+		order := lease.Order{
+			Process: q.values.Get("process"), Epoch: q.number("epoch"), By: q.time("by"), Until: q.time("until"), Drain: drain,
+		}
+		return func() error { return s.Take(order) }
+	}
+}
+
+// byOperator returns the handler of a call without parameters.
+func byOperator(do func() error, done string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) { answer(w, do(), done) }
+}
+
+// byAgent returns the handler of a call whose query is an agent's order. The function read takes the order from the query and returns
+// what carries it out.
+func byAgent(done string, read func(q *orderQuery) func() error) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		query := &orderQuery{values: r.URL.Query()}
+		do := read(query)
+		if query.err != nil {
+			http.Error(w, query.err.Error(), http.StatusBadRequest)
+			return
+		}
+		answer(w, do(), done)
+	}
+}
+
+// byOperatorOrAgent returns the handler of a call that is an operator's without a query and an agent's with one.
+func byOperatorOrAgent(do func() error, done string, read func(q *orderQuery) func() error) http.HandlerFunc {
+	operator, agent := byOperator(do, done), byAgent(done, read)
+	return func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.RawQuery == "" {
+			operator(w, r)
+			return
+		}
+		agent(w, r)
+	}
+}
+
+// answer writes the outcome of a call: 409 for an order that the lease does not allow, 503 for any other error.
+func answer(w http.ResponseWriter, err error, done string) {
+	switch {
+	case err == nil:
+		fmt.Fprintln(w, done)
+	case lease.IsRejection(err):
+		http.Error(w, err.Error(), http.StatusConflict)
+	default:
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+	}
+}
+
+// writeJSON writes a response with a JSON body.
+func writeJSON(w http.ResponseWriter, status int, v any) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(status)
+	json.NewEncoder(w).Encode(v)
+}
