--- /dev/null
+++ b/internal/deadletter/audit.go
@@ -0,0 +1,54 @@
+package deadletter
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+)
+
+// AuditEntry is an entry of the audit trail.
+type AuditEntry struct {
+	At       time.Time `json:"at"`
+	By       string    `json:"by"`
+	Verb     string    `json:"verb"`
+	Filter   *Filter   `json:"filter,omitempty"`
+	Records  []uint64  `json:"records,omitempty"` // the first ones
+	Done     int       `json:"done"`
+	Rejected int       `json:"refused"`
+}
+
+const maxAuditRecords = 100 // records named in one entry
+
+// audit adds an entry to the trail, which keeps the latest.
+func (t *Tx) audit(a AuditEntry) error {
+	b := t.Bucket(bucketAudit)
+	n, err := b.NextSequence()
+	if err != nil {
+		return err
+	}
+	if len(a.Records) > maxAuditRecords {
+		a.Records = a.Records[:maxAuditRecords]
+	}
+	text, err := json.Marshal(a)
+	if err != nil {
+		return err
+	}
+	if err := b.Put(encodeUint(n), text); err != nil || n <= maxAuditEntries {
+		return err
+	}
+	return b.Delete(encodeUint(n - maxAuditEntries))
+}
+
+// Audit returns the latest entries of the trail, the newest first.
+func (t *Tx) Audit(most int) ([]AuditEntry, error) {
+	var list []AuditEntry
+	c := t.Bucket(bucketAudit).Cursor()
+	for k, v := c.Last(); k != nil && len(list) < most; k, v = c.Prev() {
+		var a AuditEntry
+		if err := json.Unmarshal(v, &a); err != nil {
+			return list, fmt.Errorf("%w: audit trail: %w", ErrDamaged, err)
+		}
+		list = append(list, a)
+	}
+	return list, nil
+}
--- a/internal/deadletter/admin.go
+++ b/internal/deadletter/commands.go
@@ -51,13 +51,13 @@
 	return s.View(f)
 }
 
-// act runs an act over a selection. The function changes a record, or says why not.
-func (k *Queue) act(ctx context.Context, by, verb string, sel Selection, dry bool, f func(r *Record, now time.Time) error) (Outcome, error) {
+// changeSelected runs an act over a selection. The function changes a record, or says why not.
+func (k *Queue) changeSelected(ctx context.Context, by, verb string, sel Selection, dry bool, f func(r *Record, now time.Time) error) (Outcome, error) {
 	var o Outcome
 	if k.View(func(*Tx) error { return nil }) != nil {
 		return o, ErrNoStore
 	}
-	err := k.order(ctx, func(t *Tx) error {
+	err := k.applyChange(ctx, func(t *Tx) error {
 		o = Outcome{}
 		now := k.clock.now()
 		seqs := sel.Sequences
@@ -107,7 +107,7 @@
 	if errors.Is(err, errDry) {
 		err = nil
 	}
-	k.wake()
+	k.signal()
 	return o, err
 }
 
@@ -115,32 +115,32 @@
 func (k *Queue) Redeliver(ctx context.Context, by string, sel Selection, within time.Duration, dry bool) (Outcome, error) {
 	if within <= 0 {
 		k.mu.Lock()
-		within = k.set.Resend.Within
+		within = k.settings.Resend.Within
 		k.mu.Unlock()
 	}
-	return k.act(ctx, by, "resend", sel, dry, func(r *Record, now time.Time) error {
+	return k.changeSelected(ctx, by, "resend", sel, dry, func(r *Record, now time.Time) error {
 		if r.State == Ordered {
 			return &NotEligible{"it is ordered already", true}
 		}
 		if why := k.eligible(r, now); why != nil {
 			return why
 		}
-		r.did(now, "ordered", by)
-		r.order(now, now.Add(within))
+		r.addEvent(now, "ordered", by)
+		r.schedule(now, now.Add(within))
 		return nil
 	})
 }
 
 // Drop ends records. One that is being sent can't be dropped.
 func (k *Queue) Drop(ctx context.Context, by string, sel Selection, dry bool) (Outcome, error) {
-	return k.act(ctx, by, "drop", sel, dry, func(r *Record, now time.Time) error {
+	return k.changeSelected(ctx, by, "drop", sel, dry, func(r *Record, now time.Time) error {
 		switch {
 		case r.State == Out:
 			return &NotEligible{"it is being sent", true}
 		case r.State.Ended():
-			return never("it has ended: %s", r.State)
+			return neverEligible("it has ended: %s", r.State)
 		}
-		r.did(now, "dropped", by)
+		r.addEvent(now, "dropped", by)
 		r.end(now, Dropped)
 		return nil
 	})
@@ -155,17 +155,17 @@
 	if len(lines) > MaxPageSize {
 		return o, fmt.Errorf("held: %d lines, %d at most at a time", len(lines), MaxPageSize)
 	}
-	err := k.order(ctx, func(t *Tx) error {
+	err := k.applyChange(ctx, func(t *Tx) error {
 		o = Outcome{}
 		now := k.clock.now()
 		var done []uint64
 		for i := range lines {
-			r, body, err := lines[i].imported(now)
+			r, body, err := lines[i].toRecord(now)
 			if err != nil {
 				o.Rejected = append(o.Rejected, RejectedRecord{lines[i].Sequence, err.Error()})
 				continue
 			}
-			r.did(now, "imported: what happened to it elsewhere is not known", by)
+			r.addEvent(now, "imported: what happened to it elsewhere is not known", by)
 			added, err := t.Add(&r, body)
 			switch {
 			case err != nil:
@@ -187,21 +187,3 @@
 	}
 	return o, err
 }
-
-// Export returns a page of records with their bodies, and where to go on.
-func (t *Tx) Export(f Filter, after uint64, most int) (lines []ExportLine, next uint64, err error) {
-	list, next, err := t.List(f, after, most)
-	if err != nil {
-		return nil, 0, err
-	}
-	for _, r := range list {
-		var body []byte
-		if !r.BodyMissing {
-			if body, err = t.Body(r.Sequence); err != nil {
-				return nil, 0, err
-			}
-		}
-		lines = append(lines, NewExportLine(r, body))
-	}
-	return lines, next, nil
-}
--- a/internal/deadletter/frame.go
+++ b/internal/deadletter/frame.go
@@ -14,8 +14,8 @@
 // number and revision of its record, the length and checksum of what follows.
 
 const (
-	frameHead = 4 + 1 + 8 + 8 + 4 + 4
-	frameMost = state.MaxBody + 1<<18 // a record's history and names are far smaller
+	frameHeaderSize = 4 + 1 + 8 + 8 + 4 + 4
+	maxPayload      = state.MaxBody + 1<<18 // a record's history and names are far smaller
 
 	kindRecord = 'R'
 	kindBody   = 'B'
@@ -27,7 +27,7 @@
 
 // frame wraps what is kept of a record.
 func frame(kind byte, seq, rev uint64, payload []byte) []byte {
-	to := make([]byte, 0, frameHead+len(payload))
+	to := make([]byte, 0, frameHeaderSize+len(payload))
 	to = append(append(to, frameMark...), kind)
 	to = binary.BigEndian.AppendUint64(to, seq)
 	to = binary.BigEndian.AppendUint64(to, rev)
@@ -38,11 +38,11 @@
 
 // frameSum covers the head, up to the sum itself, and the payload.
 func frameSum(head, payload []byte) uint32 {
-	return crc32.Update(crc32.Checksum(head[:frameHead-4], castagnoli), castagnoli, payload)
+	return crc32.Update(crc32.Checksum(head[:frameHeaderSize-4], castagnoli), castagnoli, payload)
 }
 
-// A piece is a frame taken apart.
-type piece struct {
+// A framed is a frame taken apart.
+type framed struct {
 	kind     byte
 	seq, rev uint64
 	payload  []byte
@@ -50,15 +50,15 @@
 }
 
 // unframe reads the frame that data starts with, or tells that there is none whole.
-func unframe(data []byte) (piece, bool) {
-	if len(data) < frameHead || !bytes.Equal(data[:4], frameMark) {
-		return piece{}, false
+func unframe(data []byte) (framed, bool) {
+	if len(data) < frameHeaderSize || !bytes.Equal(data[:4], frameMark) {
+		return framed{}, false
 	}
 	n := int(binary.BigEndian.Uint32(data[21:]))
-	if n > frameMost || n > len(data)-frameHead {
-		return piece{}, false
+	if n > maxPayload || n > len(data)-frameHeaderSize {
+		return framed{}, false
 	}
-	p := piece{data[4], binary.BigEndian.Uint64(data[5:]), binary.BigEndian.Uint64(data[13:]), data[frameHead : frameHead+n], frameHead + n}
+	p := framed{data[4], binary.BigEndian.Uint64(data[5:]), binary.BigEndian.Uint64(data[13:]), data[frameHeaderSize : frameHeaderSize+n], frameHeaderSize + n}
 	return p, frameSum(data, p.payload) == binary.BigEndian.Uint32(data[25:])
 }
 
@@ -66,7 +66,7 @@
 // revision are the frame's.
 func encode(r *Record) ([]byte, error) { return json.Marshal(r) }
 
-func decode(p piece) (Record, bool) {
+func decode(p framed) (Record, bool) {
 	var r Record
 	if p.kind != kindRecord || json.Unmarshal(p.payload, &r) != nil {
 		return Record{}, false
@@ -75,12 +75,12 @@
 	return r, true
 }
 
-func num(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeUint(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// signed keeps the order of whole numbers, those below zero first.
-func signed(n int) []byte { return num(uint64(int64(n)) ^ 1<<63) }
+// encodeInt keeps the order of whole numbers, those below zero first.
+func encodeInt(n int) []byte { return encodeUint(uint64(int64(n)) ^ 1<<63) }
 
-// name ends a name in a key, so that no name is the start of another.
-func name(s string) []byte { return append([]byte(s), 0) }
+// encodeName ends a name in a key, so that no name is the start of another.
+func encodeName(s string) []byte { return append([]byte(s), 0) }
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -49,7 +49,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(&b, "%s %q owed=%t\n", text, body, tx.Owed(r.ID))
+			fmt.Fprintf(&b, "%s %q owed=%t\n", text, body, tx.ReportPending(r.ID))
 		}
 		trail, err := tx.Audit(10)
 		text, _ := json.Marshal(trail)
--- /dev/null
+++ b/internal/deadletter/index.go
@@ -0,0 +1,76 @@
+package deadletter
+
+import (
+	"bytes"
+	"encoding/binary"
+	"hash/maphash"
+	"time"
+)
+
+// An entry of an index.
+type indexEntry struct{ bucket, key, value []byte }
+
+// indexEntries are the index entries of a record.
+func indexEntries(r *Record) []indexEntry {
+	seq := encodeUint(r.Sequence)
+	list := []indexEntry{
+		{bucketIDs, encodeName(r.ID), seq},
+		{bucketTimes, join(encodeUint(uint64(r.HeldAt.UnixMicro())), seq), nil},
+		{bucketDests, join(encodeInt(r.Destination), seq), nil},
+		{bucketTenants, join(encodeName(r.Tenant), seq), nil},
+		{bucketClasses, join(encodeName(r.Class), seq), nil},
+		{bucketReasons, join(encodeName(r.Reason), seq), nil},
+		{bucketStates, join(encodeName(string(r.State)), seq), encodeInt(r.Destination)},
+	}
+	at := func(t time.Time) []byte { return join(encodeUint(uint64(max(0, t.UnixMicro()))), seq) }
+	switch {
+	case r.State.Ended():
+		list = append(list, indexEntry{bucketEnded, at(r.EndedAt), nil})
+	case r.State == Ordered && r.Ready:
+		list = append(list, indexEntry{bucketReady, join(encodeInt(r.Destination), encodeName(r.Tenant), seq), nil})
+	case r.State == Ordered:
+		list = append(list, indexEntry{bucketDue, at(r.NotBefore), nil})
+	case r.State == Held && !r.ReviewAt.IsZero():
+		list = append(list, indexEntry{bucketDue, at(r.ReviewAt), nil})
+	}
+	if r.Key != "" && (r.State == Held || r.State == Ordered) {
+		list = append(list, indexEntry{bucketKeys, join(encodeName(r.Class), encodeName(r.Key), seq), nil})
+	}
+	return list
+}
+
+// countKey counts a record's key, as it comes or goes.
+func (t *Tx) countKey(r *Record, by int32) {
+	if r.Key != "" && (r.State == Held || r.State == Ordered) {
+		t.keyCounts[keyHash(r.Class, r.Key)] += by
+	}
+}
+
+// byKey lists the held and ordered records with a key.
+func (t *Tx) byKey(class, key string) (seqs []uint64) {
+	prefix := join(encodeName(class), encodeName(key))
+	c := t.Bucket(bucketKeys).Cursor()
+	for k, _ := c.Seek(prefix); bytes.HasPrefix(k, prefix) && len(k) == len(prefix)+8; k, _ = c.Next() {
+		seqs = append(seqs, binary.BigEndian.Uint64(k[len(prefix):]))
+	}
+	return seqs
+}
+
+// removeFromIndexes takes a record out of the indexes. The id may by now be another record's.
+func (t *Tx) removeFromIndexes(r *Record) error {
+	for _, s := range indexEntries(r) {
+		b := t.Bucket(s.bucket)
+		if s.value != nil && !bytes.Equal(b.Get(s.key), s.value) {
+			continue
+		}
+		if err := b.Delete(s.key); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+var keySeed = maphash.MakeSeed()
+
+// keyHash stands for a key in memory. Two keys of one hash cost a look at the file.
+func keyHash(class, key string) uint64 { return maphash.String(keySeed, class+"\x00"+key) }
--- a/internal/deadletter/query.go
+++ b/internal/deadletter/query.go
@@ -25,8 +25,8 @@
 // Empty tells whether all records are meant.
 func (f *Filter) Empty() bool { return *f == Filter{} }
 
-// fits tells whether a record is meant.
-func (f *Filter) fits(r *Record) bool {
+// matches tells whether a record is meant.
+func (f *Filter) matches(r *Record) bool {
 	return (f.Destination == nil || *f.Destination == r.Destination) &&
 		(f.Class == "" || f.Class == r.Class) && (f.Tenant == "" || f.Tenant == r.Tenant) &&
 		(f.Reason == "" || f.Reason == r.Reason) && (f.State == "" || f.State == r.State) &&
@@ -38,21 +38,21 @@
 func (f *Filter) index() (bucket, prefix []byte) {
 	switch {
 	case f.Destination != nil:
-		return bucketDests, signed(*f.Destination)
+		return bucketDests, encodeInt(*f.Destination)
 	case f.State != "":
-		return bucketStates, name(string(f.State))
+		return bucketStates, encodeName(string(f.State))
 	case f.Tenant != "":
-		return bucketTenants, name(f.Tenant)
+		return bucketTenants, encodeName(f.Tenant)
 	case f.Reason != "":
-		return bucketReasons, name(f.Reason)
+		return bucketReasons, encodeName(f.Reason)
 	case f.Class != "":
-		return bucketClasses, name(f.Class)
+		return bucketClasses, encodeName(f.Class)
 	}
 	return bucketRecords, nil
 }
 
-// looksMost bounds the records that one page may look at.
-const looksMost = 20_000
+// maxScanned bounds the records that one page may look at.
+const maxScanned = 20_000
 
 // List returns the records that fit, from the first number after one on, and
 // the number to go on after; 0 when there are no more. A page looks at so many
@@ -64,9 +64,9 @@
 	bucket, prefix := f.index()
 	c := t.Bucket(bucket).Cursor()
 	looks := 0
-	for k, _ := c.Seek(join(prefix, num(after+1))); bytes.HasPrefix(k, prefix) && len(k) == len(prefix)+8; k, _ = c.Next() {
+	for k, _ := c.Seek(join(prefix, encodeUint(after+1))); bytes.HasPrefix(k, prefix) && len(k) == len(prefix)+8; k, _ = c.Next() {
 		seq := binary.BigEndian.Uint64(k[len(prefix):])
-		if len(list) >= most || looks >= looksMost {
+		if len(list) >= most || looks >= maxScanned {
 			return list, after, nil
 		}
 		looks++
@@ -78,7 +78,7 @@
 			return list, 0, err
 		}
 		after = seq
-		if f.fits(&r) {
+		if f.matches(&r) {
 			list = append(list, r)
 		} else if !f.Before.IsZero() && !r.HeldAt.Before(f.Before) {
 			break // all that follow were held later
@@ -89,7 +89,7 @@
 
 // firstSince returns the number before the first record held since a time.
 func (t *Tx) firstSince(since time.Time) uint64 {
-	k, _ := t.Bucket(bucketTimes).Cursor().Seek(num(uint64(max(0, since.UnixMicro()))))
+	k, _ := t.Bucket(bucketTimes).Cursor().Seek(encodeUint(uint64(max(0, since.UnixMicro()))))
 	if len(k) != 16 {
 		return t.Bucket(bucketRecords).Sequence()
 	}
@@ -118,15 +118,15 @@
 	Dests   []Group   `json:"destinations"` // the largest
 }
 
-const groupsMost = 20 // groups of a kind that Stats names
+const maxGroups = 20 // groups of a kind that Stats names
 
 // Stats counts, by the indexes alone.
 func (t *Tx) Stats() (Stats, error) {
 	s := Stats{
 		Records: int(t.counter(metaCount)), Bytes: int64(t.counter(metaBytes)), File: t.Size(),
 		Evicted: t.counter(metaEvicted), Aged: t.counter(metaAged),
-		States: t.groups(bucketStates, cut), Reasons: t.groups(bucketReasons, cut), Classes: t.groups(bucketClasses, cut),
-		Tenants: t.groups(bucketTenants, cut), Dests: t.groups(bucketDests, digits),
+		States: t.groups(bucketStates, nameOf), Reasons: t.groups(bucketReasons, nameOf), Classes: t.groups(bucketClasses, nameOf),
+		Tenants: t.groups(bucketTenants, nameOf), Dests: t.groups(bucketDests, numberOf),
 	}
 	c := t.Bucket(bucketOwed).Cursor()
 	for k, _ := c.First(); k != nil; k, _ = c.Next() {
@@ -144,9 +144,9 @@
 	return s, nil
 }
 
-func cut(k []byte) string { return strings.TrimSuffix(string(k), "\x00") }
+func nameOf(k []byte) string { return strings.TrimSuffix(string(k), "\x00") }
 
-func digits(k []byte) string { return strconv.Itoa(unsign(k)) }
+func numberOf(k []byte) string { return strconv.Itoa(decodeInt(k)) }
 
 // groups counts the keys of an index by what stands before the number.
 func (t *Tx) groups(bucket []byte, word func([]byte) string) []Group {
@@ -161,20 +161,20 @@
 		list[len(list)-1].Records++
 	}
 	sort.SliceStable(list, func(i, j int) bool { return list[i].Records > list[j].Records })
-	return list[:min(len(list), groupsMost)]
+	return list[:min(len(list), maxGroups)]
 }
 
-// readyDests lists the destinations that have records ready to be sent.
-func (t *Tx) readyDests() []int {
+// readyDestinations lists the destinations that have records ready to be sent.
+func (t *Tx) readyDestinations() []int {
 	var list []int
 	c := t.Bucket(bucketReady).Cursor()
 	for k, _ := c.First(); len(k) >= 8; {
-		list = append(list, unsign(k[:8]))
+		list = append(list, decodeInt(k[:8]))
 		next := binary.BigEndian.Uint64(k[:8]) + 1
 		if next == 0 {
 			break
 		}
-		k, _ = c.Seek(num(next))
+		k, _ = c.Seek(encodeUint(next))
 	}
 	return list
 }
@@ -182,19 +182,19 @@
 // readyTenants lists the tenants that have records ready for a destination.
 func (t *Tx) readyTenants(dest int) []string {
 	var list []string
-	prefix := signed(dest)
+	prefix := encodeInt(dest)
 	c := t.Bucket(bucketReady).Cursor()
 	for k, _ := c.Seek(prefix); bytes.HasPrefix(k, prefix) && len(k) > 16; {
 		tenant := k[8 : len(k)-8]
-		list = append(list, cut(tenant))
-		k, _ = c.Seek(join(prefix, tenant, num(1<<64-1), []byte{0}))
+		list = append(list, nameOf(tenant))
+		k, _ = c.Seek(join(prefix, tenant, encodeUint(1<<64-1), []byte{0}))
 	}
 	return list
 }
 
 // readyFirst is the record of a tenant that was held first, of those ready for a destination.
 func (t *Tx) readyFirst(dest int, tenant string) (uint64, bool) {
-	prefix := join(signed(dest), name(tenant))
+	prefix := join(encodeInt(dest), encodeName(tenant))
 	k, _ := t.Bucket(bucketReady).Cursor().Seek(prefix)
 	if !bytes.HasPrefix(k, prefix) || len(k) != len(prefix)+8 {
 		return 0, false
--- a/internal/deadletter/keeper_test.go
+++ b/internal/deadletter/queue_test.go
@@ -21,13 +21,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// posts are what the keeper tells the loop.
-type posts struct {
+// recordedEvents are what the keeper tells the loop.
+type recordedEvents struct {
 	resends chan state.Redelivery
 	stored  chan state.DeadLettersStored
 }
 
-func (p *posts) Post(event state.Event) {
+func (p *recordedEvents) Post(event state.Event) {
 	switch e := event.(type) {
 	case state.Redelivery:
 		p.resends <- e
@@ -57,7 +57,7 @@
 }
 
 // start runs a keeper over a folder until the test ends, or stop is called.
-func start(t *testing.T, dir, rules string, change func(*Queue)) (k *Queue, p *posts, stop func()) {
+func start(t *testing.T, dir, rules string, change func(*Queue)) (k *Queue, p *recordedEvents, stop func()) {
 	t.Helper()
 	platform := control.Settings{FleetSize: 1, ColdCapacity: 0.5, WarmUp: 100 * time.Millisecond, OverloadWindow: 50 * time.Millisecond, OverloadFactor: 2}
 	names := Names{Classes: []string{"safe", "keyed", "unsafe"}, Tenants: []string{"t0", "t1"}}
@@ -67,7 +67,7 @@
 		platform.Classes = append(platform.Classes, c)
 	}
 	k = NewQueue(Config{Settings: parse(t, dir, rules), Platform: platform, Names: names, Log: quiet})
-	p = &posts{make(chan state.Redelivery, 1024), make(chan state.DeadLettersStored, 1024)}
+	p = &recordedEvents{make(chan state.Redelivery, 1024), make(chan state.DeadLettersStored, 1024)}
 	k.Connect(p)
 	if change != nil {
 		change(k)
@@ -83,7 +83,7 @@
 }
 
 // hold gives a keeper a message and waits until it has it.
-func hold(t *testing.T, k *Queue, p *posts, id string, class, dest, tenant int, tries ...state.AttemptRecord) {
+func hold(t *testing.T, k *Queue, p *recordedEvents, id string, class, dest, tenant int, tries ...state.AttemptRecord) {
 	t.Helper()
 	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: id, Key: "key-" + id, Class: class, Tenant: tenant, Destination: dest, Deadline: time.Now(), Body: []byte("body")}, Attempts: tries, At: time.Now(), Reason: state.ReasonExpired})
 	get(t, p.stored)
@@ -375,7 +375,7 @@
 	get(t, p.stored)
 	var n Stats
 	k.View(func(tx *Tx) (err error) { n, err = tx.Stats(); return })
-	aside, _ := filepath.Glob(path + damagedEnding + "*")
+	aside, _ := filepath.Glob(path + damagedSuffix + "*")
 	if n.Records != 22 || len(aside) != 1 {
 		t.Errorf("%d records of 22, set aside %v; the file had %d bytes", n.Records, aside, info.Size())
 	}
@@ -413,7 +413,7 @@
 		control.Served: redelivery.Served, control.Rejected: redelivery.Rejected, control.ConnectionRejected: redelivery.Rejected,
 		control.ConnectFailed: redelivery.Failed, control.NotSent: redelivery.NotSent,
 	} {
-		if got := told(r); got != want {
+		if got := partnerResult(r); got != want {
 			t.Errorf("result %v: told %v, want %v", r, got, want)
 		}
 	}
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -5,8 +5,6 @@
 package deadletter
 
 import (
-	"encoding/base64"
-	"fmt"
 	"time"
 
 	"cleathold/control"
@@ -78,23 +76,23 @@
 }
 
 const (
-	attemptsMost = 64 // kept of a record's history; the first ones, which count for what may have run
-	deedsMost    = 32 // the latest
+	maxAttempts = 64 // kept of a record's history; the first ones, which count for what may have run
+	maxEvents   = 32 // the latest
 )
 
-// did notes what was done; only the latest deeds are kept.
-func (r *Record) did(now time.Time, what, by string) {
+// addEvent notes what was done; only the latest deeds are kept.
+func (r *Record) addEvent(now time.Time, what, by string) {
 	r.Events = append(r.Events, Event{now, what, by})
-	if n := len(r.Events) - deedsMost; n > 0 {
+	if n := len(r.Events) - maxEvents; n > 0 {
 		r.Events = append([]Event(nil), r.Events[n:]...)
 	}
 }
 
-// add notes attempts. Where there is no room for one that may have run, the
+// addAttempts notes attempts. Where there is no room for one that may have run, the
 // history is in doubt.
-func (r *Record) add(list []Attempt) {
+func (r *Record) addAttempts(list []Attempt) {
 	for _, a := range list {
-		if len(r.Attempts) < attemptsMost {
+		if len(r.Attempts) < maxAttempts {
 			r.Attempts = append(r.Attempts, a)
 		} else if _, _, ran := r.FirstRun(); a.MayHaveRun && !ran {
 			r.HistoryIncomplete = true
@@ -128,86 +126,32 @@
 	r.Until, r.NotBefore, r.ReviewAt = time.Time{}, time.Time{}, time.Time{}
 }
 
-// order has a record sent again.
-func (r *Record) order(notBefore, until time.Time) {
+// schedule has a record sent again.
+func (r *Record) schedule(notBefore, until time.Time) {
 	r.State, r.NotBefore, r.Until, r.Ready, r.ReviewAt = Ordered, notBefore, until, false, time.Time{}
 }
 
-// rest takes a record back among the held ones.
-func (r *Record) rest(askAt time.Time) {
+// unschedule takes a record back among the held ones.
+func (r *Record) unschedule(askAt time.Time) {
 	r.State, r.Ready, r.ReviewAt = Held, false, askAt
 	r.Until, r.NotBefore = time.Time{}, time.Time{}
 }
 
-// Terms are what a class allows, as the settings of the platform have it.
-type Terms struct {
-	Classes map[string]control.Class
-	SendCap int
-}
-
-// A NotEligible says why a record can't be sent again. It holds for good, unless
-// Passing.
-type NotEligible struct {
-	Reason    string
-	Temporary bool
-}
-
-func (r *NotEligible) Error() string { return r.Reason }
-
-func never(format string, args ...any) *NotEligible {
-	return &NotEligible{Reason: fmt.Sprintf(format, args...)}
-}
-
-// Eligible tells whether a record may be sent at a time, or why not. The clock
-// must be one that never goes back (Clock); where it did, sure is false and no
-// memory span can be judged.
-func (t *Terms) Eligible(r *Record, now time.Time, sure bool) *NotEligible {
-	class, known := t.Classes[r.Class]
-	at, _, ran := r.FirstRun()
-	switch {
-	case r.State.Ended():
-		return never("it has ended: %s", r.State)
-	case r.State == Out:
-		return &NotEligible{"it is being sent", true}
-	case r.BodyMissing:
-		return never("its body is lost")
-	case !known:
-		return never("the class %q is not known here", r.Class)
-	case t.SendCap > 0 && r.AttemptCount >= t.SendCap:
-		return never("it has had all its %d attempts", t.SendCap)
-	case !ran || class.Idempotency == control.Idempotent:
-		return nil
-	case class.Idempotency == control.NotIdempotent:
-		if r.HistoryIncomplete {
-			return never("its history is not whole, so it may have taken effect, and a %s must never take effect twice", r.Class)
-		}
-		return never("it may have taken effect, and a %s must never take effect twice", r.Class)
-	case at.IsZero():
-		return never("it may have run at a time that is not known, so the partner may have forgotten its key")
-	case !sure:
-		return never("the clock went back, so whether the partner remembers its key can't be told")
-	case !now.Before(at.Add(class.KeyRetention - class.KeyRetention/4)):
-		// The repeat must arrive while the first is remembered: a quarter is kept for the way, as control does.
-		return never("it may have run %v ago, and the partner remembers its key for %v", now.Sub(at).Round(time.Millisecond), class.KeyRetention)
-	}
-	return nil
-}
-
-// results are the words for what came of an attempt.
-var results = map[control.Result]string{
+// resultNames are the words for what came of an attempt.
+var resultNames = map[control.Result]string{
 	control.Unknown: "unknown", control.Served: "served", control.Failed: "error", control.Rejected: "refused",
 	control.TimedOut: "timed-out", control.ConnectFailed: "no-connection", control.ConnectionLost: "reset",
 	control.Canceled: "cancelled", control.NotSent: "not-sent", control.Unprocessable: "rejected",
 	control.ConnectionRejected: "no-room",
 }
 
-// attempts turns the loop's history into a record's.
-func attempts(tries []state.AttemptRecord, resend int) []Attempt {
+// attemptsOf turns the loop's history into a record's.
+func attemptsOf(tries []state.AttemptRecord, resend int) []Attempt {
 	list := make([]Attempt, 0, len(tries))
 	for _, t := range tries {
-		a := Attempt{Target: t.Target, Zone: t.Zone, At: t.At, Result: results[t.Result], MayHaveRun: t.Result.MayHaveRun(), Redelivery: resend}
+		a := Attempt{Target: t.Target, Zone: t.Zone, At: t.At, Result: resultNames[t.Result], MayHaveRun: t.Result.MayHaveRun(), Redelivery: resend}
 		if t.Open {
-			a.Result, a.MayHaveRun = results[control.Unknown], true
+			a.Result, a.MayHaveRun = resultNames[control.Unknown], true
 		}
 		if t.At.Unix() == 0 {
 			a.At = time.Time{}
@@ -216,41 +160,3 @@
 	}
 	return list
 }
-
-// ExportLine is a record as it is exported: whole, with its body.
-type ExportLine struct {
-	Record
-	Body string `json:"body"` // base64
-}
-
-// NewExportLine makes one.
-func NewExportLine(r Record, body []byte) ExportLine {
-	return ExportLine{r, base64.StdEncoding.EncodeToString(body)}
-}
-
-// imported checks a line from outside and makes a new record of it. What
-// happened to the message since it was exported is not known here: it counts as
-// one that may have run, at an unknown time.
-func (l *ExportLine) imported(now time.Time) (Record, []byte, error) {
-	body, err := base64.StdEncoding.DecodeString(l.Body)
-	switch {
-	case err != nil:
-		return Record{}, nil, fmt.Errorf("body: %w", err)
-	case len(body) > state.MaxBody:
-		return Record{}, nil, fmt.Errorf("body: %d bytes, %d at most", len(body), state.MaxBody)
-	case l.ID == "" || len(l.ID) > 256 || len(l.Key) > 256 || len(l.Class) > 256 || len(l.Tenant) > 256 || len(l.Reason) > 256:
-		return Record{}, nil, fmt.Errorf("id missing, or a name over 256 bytes")
-	case l.Class == "":
-		return Record{}, nil, fmt.Errorf("class missing")
-	case l.State.Ended():
-		return Record{}, nil, fmt.Errorf("it has ended: %s", l.State)
-	case l.BodyMissing:
-		return Record{}, nil, fmt.Errorf("without its body")
-	case len(l.Attempts) > attemptsMost || len(l.Events) > deedsMost || l.AttemptCount < 0 || l.Redeliveries < 0:
-		return Record{}, nil, fmt.Errorf("its history is out of bounds")
-	}
-	r := l.Record
-	r.Sequence, r.Revision, r.Size, r.HeldAt, r.HistoryIncomplete = 0, 0, len(body), now, true
-	r.rest(time.Time{})
-	return r, body, nil
-}
--- a/internal/deadletter/recover.go
+++ b/internal/deadletter/recover.go
@@ -22,17 +22,17 @@
 // one that was removed: it comes back in doubt, which counts as may have run.
 
 const (
-	freshEnding   = ".new"
-	damagedEnding = ".damaged-"
-	damagedMost   = 4       // files set aside that are kept
-	scanChunk     = 1 << 20 // read at a time
-	salvageBatch  = 500     // records in a transaction
+	newSuffix       = ".new"
+	damagedSuffix   = ".damaged-"
+	maxDamagedFiles = 4       // files set aside that are kept
+	scanChunk       = 1 << 20 // read at a time
+	recoveryBatch   = 500     // records in a transaction
 )
 
-// metasWhole checks bbolt's two meta pages. With one of them damaged bbolt would
+// checkMetaPages checks bbolt's two meta pages. With one of them damaged bbolt would
 // go on from the other, an older state, in which a record that was sent may
 // still stand as held. A file that is missing or empty is whole.
-func metasWhole(path string) error {
+func checkMetaPages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -65,28 +65,28 @@
 	return nil
 }
 
-// A spot is where a frame stands in the raw file.
-type spot struct {
-	rev uint64
-	at  int64
-	len int
+// A fileRange is where a frame stands in the raw file.
+type fileRange struct {
+	revision uint64
+	offset   int64
+	size     int
 }
 
-// A salvage is what was found in a damaged file.
-type salvage struct {
-	tree    map[uint64]uint64 // revision of each record that the tree leads to
-	whole   bool              // the tree was read to its end without a fault
-	records map[uint64]spot
-	bodies  map[uint64]spot
-	acts    [][]byte
+// A recovered is what was found in a damaged file.
+type recovered struct {
+	treeRevisions map[uint64]uint64 // revision of each record that the tree leads to
+	treeIntact    bool              // the tree was read to its end without a fault
+	records       map[uint64]fileRange
+	bodies        map[uint64]fileRange
+	auditEntries  [][]byte
 }
 
 // recoverStore makes a new store of what a damaged one still tells, and puts the
 // old file aside. A crash at any point of it leaves one of the two complete.
 func recoverStore(path string, cause error, log *slog.Logger) (*Store, error) {
-	fresh := path + freshEnding
+	fresh := path + newSuffix
 	log.Error("held: the store is damaged; what can be read of it is taken over", "file", path, "err", cause)
-	found, err := find(path)
+	found, err := readDamaged(path)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	s.db.NoSync = true // until it is complete nobody relies on it
-	sure, doubtful, lost, err := s.takeOver(path, found)
+	sure, doubtful, lost, err := s.fillFrom(path, found)
 	if err == nil {
 		err = s.db.Sync()
 	}
@@ -106,22 +106,22 @@
 		os.Remove(fresh)
 		return nil, fmt.Errorf("held: recovery: %w", err)
 	}
-	aside := fmt.Sprintf("%s%s%d", path, damagedEnding, time.Now().UnixMilli())
+	aside := fmt.Sprintf("%s%s%d", path, damagedSuffix, time.Now().UnixMilli())
 	if err := os.Rename(path, aside); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
 	if err := os.Rename(fresh, path); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
-	log.Error("held: the damaged store is set aside", "file", aside, "records", sure, "in_doubt", doubtful, "bodies_lost", lost, "audit_entries", len(found.acts))
-	clearAside(path, log)
+	log.Error("held: the damaged store is set aside", "file", aside, "records", sure, "in_doubt", doubtful, "bodies_lost", lost, "audit_entries", len(found.auditEntries))
+	removeOldDamagedFiles(path, log)
 	return open(path, false)
 }
 
 // finishRecovery goes on with a recovery that was cut short. Where the old file
 // had been put aside the new one was complete; else it was not, and goes.
 func finishRecovery(path string) error {
-	fresh := path + freshEnding
+	fresh := path + newSuffix
 	if _, err := os.Stat(fresh); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
@@ -137,37 +137,37 @@
 	return nil
 }
 
-// clearAside keeps the latest of the files that were set aside.
-func clearAside(path string, log *slog.Logger) {
-	list, _ := filepath.Glob(path + damagedEnding + "*")
+// removeOldDamagedFiles keeps the latest of the files that were set aside.
+func removeOldDamagedFiles(path string, log *slog.Logger) {
+	list, _ := filepath.Glob(path + damagedSuffix + "*")
 	slices.Sort(list)
-	for ; len(list) > damagedMost; list = list[1:] {
+	for ; len(list) > maxDamagedFiles; list = list[1:] {
 		log.Warn("held: removed a damaged store set aside long ago", "file", list[0], "err", os.Remove(list[0]))
 	}
 }
 
-// find looks for all that a damaged file holds: by its tree, and in the raw.
-func find(path string) (*salvage, error) {
-	f := &salvage{tree: map[uint64]uint64{}, records: map[uint64]spot{}, bodies: map[uint64]spot{}}
-	err := guard(func() error {
-		db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockWait, ReadOnly: true})
+// readDamaged looks for all that a damaged file holds: by its tree, and in the raw.
+func readDamaged(path string) (*recovered, error) {
+	f := &recovered{treeRevisions: map[uint64]uint64{}, records: map[uint64]fileRange{}, bodies: map[uint64]fileRange{}}
+	err := recoverPanics(func() error {
+		db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: true})
 		if err != nil {
 			return err
 		}
 		defer db.Close()
-		return db.View(f.walk)
+		return db.View(f.readTree)
 	})
-	f.whole = err == nil
+	f.treeIntact = err == nil
 	raw, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
 	defer raw.Close()
-	return f, f.scan(raw)
+	return f, f.scanFrames(raw)
 }
 
-// walk follows the tree as far as it leads.
-func (f *salvage) walk(tx *bolt.Tx) error {
+// readTree follows the tree as far as it leads.
+func (f *recovered) readTree(tx *bolt.Tx) error {
 	records := tx.Bucket(bucketRecords)
 	if records == nil {
 		return ErrDamaged
@@ -175,7 +175,7 @@
 	spoilt := false
 	err := records.ForEach(func(k, v []byte) error {
 		if p, whole := unframe(v); whole && p.kind == kindRecord && len(k) == 8 && p.seq == binary.BigEndian.Uint64(k) {
-			f.tree[p.seq] = p.rev
+			f.treeRevisions[p.seq] = p.rev
 		} else {
 			spoilt = true
 		}
@@ -184,7 +184,7 @@
 	if audit := tx.Bucket(bucketAudit); audit != nil {
 		audit.ForEach(func(_, v []byte) error {
 			if json.Valid(v) {
-				f.acts = append(f.acts, bytes.Clone(v))
+				f.auditEntries = append(f.auditEntries, bytes.Clone(v))
 			}
 			return nil
 		})
@@ -195,10 +195,10 @@
 	return err
 }
 
-// scan looks for frames in the raw file, a chunk at a time. Of a record the
+// scanFrames looks for frames in the raw file, a chunk at a time. Of a record the
 // highest revision counts.
-func (f *salvage) scan(r io.ReaderAt) error {
-	const overlap = frameHead + frameMost
+func (f *recovered) scanFrames(r io.ReaderAt) error {
+	const overlap = frameHeaderSize + maxPayload
 	buf := make([]byte, scanChunk+overlap)
 	for base := int64(0); ; base += scanChunk {
 		n, err := r.ReadAt(buf, base)
@@ -221,8 +221,8 @@
 			if p.kind == kindBody {
 				to = f.bodies
 			}
-			if old, known := to[p.seq]; !known || p.rev >= old.rev {
-				to[p.seq] = spot{p.rev, base + int64(i), p.size}
+			if old, known := to[p.seq]; !known || p.rev >= old.revision {
+				to[p.seq] = fileRange{p.rev, base + int64(i), p.size}
 			}
 			i += p.size
 		}
@@ -232,30 +232,30 @@
 	}
 }
 
-// takeOver fills a new store with what was found.
-func (s *Store) takeOver(path string, f *salvage) (sure, doubtful, lost int, err error) {
+// fillFrom fills a new store with what was found.
+func (s *Store) fillFrom(path string, f *recovered) (sure, doubtful, lost int, err error) {
 	raw, err := os.Open(path)
 	if err != nil {
 		return 0, 0, 0, err
 	}
 	defer raw.Close()
-	read := func(at spot) (piece, bool) {
-		buf := make([]byte, at.len)
-		if _, err := raw.ReadAt(buf, at.at); err != nil {
-			return piece{}, false
+	read := func(at fileRange) (framed, bool) {
+		buf := make([]byte, at.size)
+		if _, err := raw.ReadAt(buf, at.offset); err != nil {
+			return framed{}, false
 		}
 		return unframe(buf)
 	}
 	var seqs []uint64
 	for seq := range f.records {
-		if _, led := f.tree[seq]; led || !f.whole {
+		if _, led := f.treeRevisions[seq]; led || !f.treeIntact {
 			seqs = append(seqs, seq)
 		}
 	}
 	slices.Sort(seqs)
 	now := time.Now()
 	for len(seqs) > 0 {
-		batch := seqs[:min(len(seqs), salvageBatch)]
+		batch := seqs[:min(len(seqs), recoveryBatch)]
 		seqs = seqs[len(batch):]
 		err = s.Update(func(t *Tx) error {
 			for _, seq := range batch {
@@ -264,16 +264,16 @@
 				if !whole || !ok {
 					continue
 				}
-				rev, led := f.tree[seq]
+				rev, led := f.treeRevisions[seq]
 				if led && rev == r.Revision {
 					sure++
 				} else {
 					doubtful++
 					r.HistoryIncomplete = true
 					if !r.State.Ended() {
-						r.rest(time.Time{})
+						r.unschedule(time.Time{})
 					}
-					r.did(now, "recovered from a damaged store, in doubt", "sender")
+					r.addEvent(now, "recovered from a damaged store, in doubt", "sender")
 				}
 				var body []byte
 				if !r.State.Ended() {
@@ -296,10 +296,10 @@
 	}
 	err = s.Update(func(t *Tx) error {
 		b := t.Bucket(bucketAudit)
-		for _, a := range f.acts {
+		for _, a := range f.auditEntries {
 			n, err := b.NextSequence()
 			if err == nil {
-				err = b.Put(num(n), a)
+				err = b.Put(encodeUint(n), a)
 			}
 			if err != nil {
 				return err
@@ -323,12 +323,12 @@
 	}
 	if body != nil {
 		framed := frame(kindBody, r.Sequence, 0, body)
-		if err := t.Bucket(bucketBodies).Put(num(r.Sequence), framed); err != nil {
+		if err := t.Bucket(bucketBodies).Put(encodeUint(r.Sequence), framed); err != nil {
 			return err
 		}
-		if err := t.count(metaBytes, int64(len(framed))); err != nil {
+		if err := t.addToCounter(metaBytes, int64(len(framed))); err != nil {
 			return err
 		}
 	}
-	return t.count(metaCount, 1)
+	return t.addToCounter(metaCount, 1)
 }
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -19,7 +19,7 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-var terms = Terms{SendCap: 12, Classes: map[string]control.Class{
+var terms = ClassRules{MaxAttempts: 12, Classes: map[string]control.Class{
 	"safe": {Idempotency: control.Idempotent}, "keyed": {Idempotency: control.IdempotentByKey, KeyRetention: 12 * time.Second}, "unsafe": {Idempotency: control.NotIdempotent},
 }}
 
@@ -138,13 +138,13 @@
 		}
 	}
 	r := Record{} // a history too long for its record is in doubt, unless that is known to it
-	for range attemptsMost + 1 {
-		r.add([]Attempt{{At: now, Result: "refused"}})
+	for range maxAttempts + 1 {
+		r.addAttempts([]Attempt{{At: now, Result: "refused"}})
 	}
 	if r.HistoryIncomplete {
 		t.Error("in doubt without cause")
 	}
-	if r.add([]Attempt{{At: now, MayHaveRun: true}}); !r.HistoryIncomplete {
+	if r.addAttempts([]Attempt{{At: now, MayHaveRun: true}}); !r.HistoryIncomplete {
 		t.Error("an attempt that may have run is lost")
 	}
 }
@@ -162,7 +162,7 @@
 			}
 		}
 		tx.change(1, func(r *Record) error { r.State = Out; return nil })
-		return tx.owe("id-1") // number 2
+		return tx.markReportPending("id-1") // number 2
 	})
 	evict := func(b Bounds) (gone Evicted) {
 		update(t, s, func(tx *Tx) (err error) { gone, err = tx.evict(b, now); return })
@@ -189,7 +189,7 @@
 	b = wide
 	b.Age = time.Minute
 	if evict(b); len(all(t, s, Filter{})) != 2 || s.Count(-1)+s.Count(0) != 2 {
-		t.Errorf("too old: %+v, counts %v", all(t, s, Filter{}), s.counts)
+		t.Errorf("too old: %+v, counts %v", all(t, s, Filter{}), s.openCounts)
 	}
 }
 
@@ -200,7 +200,7 @@
 		update(t, s, func(tx *Tx) (err error) {
 			r := Record{State: Held, ID: "a", Class: "safe"}
 			if added, err = tx.Add(&r, []byte("x")); err == nil && added {
-				err = tx.owe("a")
+				err = tx.markReportPending("a")
 			}
 			return err
 		})
@@ -216,7 +216,7 @@
 	if arrive() {
 		t.Error("it came back after it was removed, while the journal had it")
 	}
-	update(t, s, func(tx *Tx) error { return tx.settle("a") })
+	update(t, s, func(tx *Tx) error { return tx.clearReportPending("a") })
 	if !arrive() {
 		t.Error("another message of that id is not taken")
 	}
@@ -277,7 +277,7 @@
 		})
 		if errors.Is(err, ErrDamaged) { // seen at work: then it is taken over
 			s.Close()
-			if s, err = reopen(dir, err, quiet); err != nil {
+			if s, err = openOrRecover(dir, err, quiet); err != nil {
 				t.Fatalf("%s: at work: %v", name, err)
 			}
 			kept = len(all(t, s, Filter{}))
@@ -312,13 +312,13 @@
 	s := openStore(t, dir)
 	fill(t, s, 10)
 	s.Close()
-	os.WriteFile(path+freshEnding, []byte("half"), 0o600)
+	os.WriteFile(path+newSuffix, []byte("half"), 0o600)
 	s = openStore(t, dir)
 	if n := len(all(t, s, Filter{})); n != 10 {
 		t.Errorf("half a new file: %d", n)
 	}
 	s.Close()
-	os.Rename(path, path+freshEnding) // the old one was put aside already
+	os.Rename(path, path+newSuffix) // the old one was put aside already
 	if s = openStore(t, dir); len(all(t, s, Filter{})) != 10 {
 		t.Error("the new file was not taken")
 	}
@@ -332,9 +332,9 @@
 			for _, name := range allBuckets {
 				tx.DeleteBucket(name)
 			}
-			return prepare(tx.Tx)
+			return createBuckets(tx.Tx)
 		})
-		s.counts, s.keys = map[int]int{}, map[uint64]int32{}
+		s.openCounts, s.keyCounts = map[int]int{}, map[uint64]int32{}
 		model := map[uint64]State{}
 		for i := range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			seq := uint64(rapid.IntRange(1, 10).Draw(rt, "seq"))
@@ -360,12 +360,12 @@
 				return tx.change(seq, func(r *Record) error {
 					switch what {
 					case 2:
-						r.order(now, now.Add(time.Hour))
+						r.schedule(now, now.Add(time.Hour))
 						r.Ready = i%2 == 0
 					case 3:
 						r.State, r.Ready = Out, false
 					case 4:
-						r.rest(now)
+						r.unschedule(now)
 					case 5:
 						r.end(now, Delivered)
 					}
@@ -382,7 +382,7 @@
 				if err != nil || r.State != state {
 					rt.Fatalf("number %d: %v, %s, want %s", seq, err, r.State, state)
 				}
-				for _, x := range slots(&r) {
+				for _, x := range indexEntries(&r) {
 					want[string(x.bucket)]++
 					if got := tx.Bucket(x.bucket).Get(x.key); got == nil || string(got) != string(x.value) {
 						rt.Fatalf("number %d is not in %s", seq, x.bucket)
--- /dev/null
+++ b/internal/deadletter/tx.go
@@ -0,0 +1,170 @@
+package deadletter
+
+import (
+	"encoding/binary"
+	"fmt"
+
+	bolt "go.etcd.io/bbolt"
+)
+
+// Tx is a transaction on the store.
+type Tx struct {
+	*bolt.Tx
+	openCounts map[int]int
+	keyCounts  map[uint64]int32
+}
+
+func (t *Tx) counter(name string) uint64 {
+	if v := t.Bucket(bucketMeta).Get([]byte(name)); len(v) == 8 {
+		return binary.BigEndian.Uint64(v)
+	}
+	return 0
+}
+
+func (t *Tx) addToCounter(name string, by int64) error {
+	return t.Bucket(bucketMeta).Put([]byte(name), encodeUint(uint64(int64(t.counter(name))+by)))
+}
+
+// Get returns a record.
+func (t *Tx) Get(seq uint64) (Record, error) {
+	v := t.Bucket(bucketRecords).Get(encodeUint(seq))
+	if v == nil {
+		return Record{}, fmt.Errorf("%w: %d", ErrNotFound, seq)
+	}
+	p, whole := unframe(v)
+	if r, ok := decode(p); whole && ok && p.seq == seq {
+		return r, nil
+	}
+	return Record{}, fmt.Errorf("%w: record %d", ErrDamaged, seq)
+}
+
+// Body returns the body of a record. It holds until the transaction ends.
+func (t *Tx) Body(seq uint64) ([]byte, error) {
+	v := t.Bucket(bucketBodies).Get(encodeUint(seq))
+	if v == nil {
+		return nil, fmt.Errorf("%w: body of %d", ErrNotFound, seq)
+	}
+	p, whole := unframe(v)
+	if !whole || p.kind != kindBody || p.seq != seq {
+		return nil, fmt.Errorf("%w: body of %d", ErrDamaged, seq)
+	}
+	return p.payload, nil
+}
+
+// storedSize is what a record counts toward the bound in bytes.
+func (t *Tx) storedSize(seq uint64) int64 {
+	return int64(len(t.Bucket(bucketRecords).Get(encodeUint(seq))) + len(t.Bucket(bucketBodies).Get(encodeUint(seq))))
+}
+
+// put writes a record in the place of its former state (nil: it is new), with
+// its indexes. A body that an ended record needs no more goes with it.
+func (t *Tx) put(r, former *Record) error {
+	before := t.storedSize(r.Sequence)
+	if former != nil {
+		if err := t.removeFromIndexes(former); err != nil {
+			return err
+		}
+		t.countKey(former, -1)
+		if !former.State.Ended() {
+			t.openCounts[former.Destination]--
+		}
+	}
+	t.countKey(r, 1)
+	r.Revision++
+	payload, err := encode(r)
+	if err != nil {
+		return fmt.Errorf("held: %w", err)
+	}
+	if err := t.Bucket(bucketRecords).Put(encodeUint(r.Sequence), frame(kindRecord, r.Sequence, r.Revision, payload)); err != nil {
+		return err
+	}
+	for _, s := range indexEntries(r) {
+		if err := t.Bucket(s.bucket).Put(s.key, s.value); err != nil {
+			return err
+		}
+	}
+	if r.State.Ended() {
+		if err := t.Bucket(bucketBodies).Delete(encodeUint(r.Sequence)); err != nil {
+			return err
+		}
+	} else {
+		t.openCounts[r.Destination]++
+	}
+	return t.addToCounter(metaBytes, t.storedSize(r.Sequence)-before)
+}
+
+// change reads a record, has it changed and writes it.
+func (t *Tx) change(seq uint64, f func(*Record) error) error {
+	former, err := t.Get(seq)
+	if err != nil {
+		return err
+	}
+	r := former
+	if err := f(&r); err != nil {
+		return err
+	}
+	return t.put(&r, &former)
+}
+
+// byID finds the record of a message's id.
+func (t *Tx) byID(id string) (uint64, bool) {
+	v := t.Bucket(bucketIDs).Get(encodeName(id))
+	if len(v) != 8 {
+		return 0, false
+	}
+	return binary.BigEndian.Uint64(v), true
+}
+
+// Add enters a new record with its body. Where the id is known already, nothing
+// changes: the journal may bring a message twice.
+func (t *Tx) Add(r *Record, body []byte) (added bool, err error) {
+	if _, known := t.byID(r.ID); known || t.Bucket(bucketOwed).Get(encodeName(r.ID)) != nil {
+		return false, nil
+	}
+	if r.Sequence, err = t.Bucket(bucketRecords).NextSequence(); err != nil {
+		return false, err
+	}
+	if err := t.put(r, nil); err != nil {
+		return false, err
+	}
+	framed := frame(kindBody, r.Sequence, 0, body)
+	if err := t.Bucket(bucketBodies).Put(encodeUint(r.Sequence), framed); err != nil {
+		return false, err
+	}
+	if err := t.addToCounter(metaBytes, int64(len(framed))); err != nil {
+		return false, err
+	}
+	return true, t.addToCounter(metaCount, 1)
+}
+
+// remove takes a record out of the store for good.
+func (t *Tx) remove(r *Record) error {
+	before := t.storedSize(r.Sequence)
+	if err := t.removeFromIndexes(r); err != nil {
+		return err
+	}
+	t.countKey(r, -1)
+	if !r.State.Ended() {
+		t.openCounts[r.Destination]--
+	}
+	for _, b := range [][]byte{bucketRecords, bucketBodies} {
+		if err := t.Bucket(b).Delete(encodeUint(r.Sequence)); err != nil {
+			return err
+		}
+	}
+	if err := t.addToCounter(metaBytes, -before); err != nil {
+		return err
+	}
+	return t.addToCounter(metaCount, -1)
+}
+
+// markReportPending notes that the journal may bring a message once more; settle that it can't.
+func (t *Tx) markReportPending(id string) error {
+	return t.Bucket(bucketOwed).Put(encodeName(id), []byte{1})
+}
+
+func (t *Tx) clearReportPending(id string) error { return t.Bucket(bucketOwed).Delete(encodeName(id)) }
+
+// ReportPending tells whether the journal still has a message: its client may not have
+// been told that it is undeliverable, so it must not be sent again yet.
+func (t *Tx) ReportPending(id string) bool { return t.Bucket(bucketOwed).Get(encodeName(id)) != nil }
