--- a/internal/deadletter/commands.go
+++ b/internal/deadletter/commands.go
@@ -7,10 +7,7 @@
 	"time"
 )
 
-// What the admin plane asks for. Each act is one transaction of the writer, with
-// its entry in the audit trail.
-
-// Selection names records one by one, or by filter from a number on.
+// Selection selects records by their sequence numbers, or by a filter after a position.
 type Selection struct {
 	Sequences []uint64 `json:"seqs,omitempty"`
 	Filter    Filter   `json:"filter,omitzero"`
@@ -18,111 +15,131 @@
 	Limit     int      `json:"most,omitempty"`
 }
 
-// MaxPageSize is the most records of one page.
+// MaxPageSize is the highest number of records in a page, and in one command.
 const MaxPageSize = 500
 
-// RejectedRecord is a record to which an act was refused.
+// RejectedRecord is a record that a command left as it is.
 type RejectedRecord struct {
 	Seq    uint64 `json:"seq"`
 	Reason string `json:"why"`
 }
 
-// Outcome tells what an act did.
+// Outcome is the outcome of a command.
 type Outcome struct {
 	Done     int              `json:"done"`
 	Rejected []RejectedRecord `json:"refused,omitempty"`
-	Next     uint64           `json:"next,omitempty"` // go on after this; 0 = that was all
+	Next     uint64           `json:"next,omitempty"` // the position to go on after; 0: that was all
 }
 
-// ErrNoStore tells that the store is not open.
+// ErrNoStore means that the store is not open.
 var ErrNoStore = errors.New("held: the store is not open; the log says why")
 
-// errDry ends a transaction that is only to tell what it would do.
+// errDry rolls back the transaction of a dry run.
 var errDry = errors.New("held: dry run")
 
-// View lets a reader look at the store.
-func (k *Queue) View(f func(*Tx) error) error {
-	k.mu.Lock()
-	s := k.store
-	k.mu.Unlock()
+// View runs a read transaction. It returns ErrNoStore while the store is not open.
+func (q *Queue) View(f func(*Tx) error) error {
+	q.mu.Lock()
+	s := q.store
+	q.mu.Unlock()
 	if s == nil {
 		return ErrNoStore
 	}
 	return s.View(f)
 }
 
-// changeSelected runs an act over a selection. The function changes a record, or says why not.
-func (k *Queue) changeSelected(ctx context.Context, by, verb string, sel Selection, dry bool, f func(r *Record, now time.Time) error) (Outcome, error) {
+// changeSelected runs a command over a selection, in one transaction with its entry in the audit trail. The function f changes a record, or
+// returns why not, as a *NotEligible. A dry run changes nothing.
+func (q *Queue) changeSelected(
+	ctx context.Context, by, verb string, selection Selection, dry bool, f func(r *Record, now time.Time) error,
+) (Outcome, error) {
 	var o Outcome
-	if k.View(func(*Tx) error { return nil }) != nil {
+	if q.View(func(*Tx) error { return nil }) != nil {
 		return o, ErrNoStore
 	}
-	err := k.applyChange(ctx, func(t *Tx) error {
+	err := q.applyChange(ctx, func(t *Tx) error {
 		o = Outcome{}
-		now := k.clock.now()
-		seqs := sel.Sequences
-		if len(seqs) > MaxPageSize {
-			return fmt.Errorf("held: %d records named, %d at most at a time", len(seqs), MaxPageSize)
-		}
-		if seqs == nil {
-			list, next, err := t.List(sel.Filter, sel.After, min(max(sel.Limit, 1), MaxPageSize))
-			if err != nil {
-				return err
-			}
-			o.Next = next
-			for _, r := range list {
-				if !r.State.Ended() { // a filter means those that something can be done with
-					seqs = append(seqs, r.Sequence)
-				}
-			}
+		now := q.clock.now()
+		sequences, err := t.selected(selection, &o)
+		if err != nil {
+			return err
 		}
-		var done []uint64
-		for _, seq := range seqs {
-			err := t.change(seq, func(r *Record) error { return f(r, now) })
-			var why *NotEligible
-			switch {
-			case errors.As(err, &why):
-				o.Rejected = append(o.Rejected, RejectedRecord{seq, why.Reason})
-			case errors.Is(err, ErrNotFound):
-				o.Rejected = append(o.Rejected, RejectedRecord{seq, "there is no such record"})
-			case err != nil:
-				return err
-			default:
-				o.Done++
-				done = append(done, seq)
-			}
-		}
-		if dry {
+		done, err := t.changeEach(sequences, &o, func(r *Record) error { return f(r, now) })
+		switch {
+		case err != nil:
+			return err
+		case dry:
 			return errDry
-		}
-		if len(seqs) == 0 {
+		case len(sequences) == 0:
 			return nil
 		}
-		a := AuditEntry{At: now, By: by, Verb: verb, Records: done, Done: o.Done, Rejected: len(o.Rejected)}
-		if sel.Sequences == nil {
-			a.Filter = &sel.Filter
+		entry := AuditEntry{At: now, By: by, Verb: verb, Records: done, Done: o.Done, Rejected: len(o.Rejected)}
+		if selection.Sequences == nil {
+			entry.Filter = &selection.Filter
 		}
-		return t.audit(a)
+		return t.audit(entry)
 	})
 	if errors.Is(err, errDry) {
 		err = nil
 	}
-	k.signal()
+	q.signal()
 	return o, err
 }
 
-// Redeliver orders records to be sent again, within a time; 0 = the settings'.
-func (k *Queue) Redeliver(ctx context.Context, by string, sel Selection, within time.Duration, dry bool) (Outcome, error) {
+// selected returns the sequence numbers of a selection, and sets where the next page of a filter begins.
+func (t *Tx) selected(selection Selection, o *Outcome) ([]uint64, error) {
+	if len(selection.Sequences) > MaxPageSize {
+		return nil, fmt.Errorf("held: %d records named, %d at most at a time", len(selection.Sequences), MaxPageSize)
+	}
+	if selection.Sequences != nil {
+		return selection.Sequences, nil
+	}
+	list, next, err := t.List(selection.Filter, selection.After, min(max(selection.Limit, 1), MaxPageSize))
+	if err != nil {
+		return nil, err
+	}
+	o.Next = next
+	var sequences []uint64
+	for _, r := range list {
+		if !r.State.Ended() { // nothing can be done with ended ones
+			sequences = append(sequences, r.Sequence)
+		}
+	}
+	return sequences, nil
+}
+
+// changeEach changes records one by one, notes in the outcome what became of each, and returns those that were changed.
+func (t *Tx) changeEach(sequences []uint64, o *Outcome, f func(*Record) error) (done []uint64, err error) {
+	for _, sequence := range sequences {
+		err := t.change(sequence, f)
+		var notEligible *NotEligible
+		switch {
+		case errors.As(err, &notEligible):
+			o.Rejected = append(o.Rejected, RejectedRecord{sequence, notEligible.Reason})
+		case errors.Is(err, ErrNotFound):
+			o.Rejected = append(o.Rejected, RejectedRecord{sequence, "there is no such record"})
+		case err != nil:
+			return done, err
+		default:
+			o.Done++
+			done = append(done, sequence)
+		}
+	}
+	return done, nil
+}
+
+// Redeliver orders records to be redelivered within a time; 0 stands for that of the settings. By names the caller for the audit trail.
+func (q *Queue) Redeliver(ctx context.Context, by string, selection Selection, within time.Duration, dry bool) (Outcome, error) {
 	if within <= 0 {
-		k.mu.Lock()
-		within = k.settings.Resend.Within
-		k.mu.Unlock()
+		q.mu.Lock()
+		within = q.settings.Resend.Within
+		q.mu.Unlock()
 	}
-	return k.changeSelected(ctx, by, "resend", sel, dry, func(r *Record, now time.Time) error {
+	return q.changeSelected(ctx, by, "resend", selection, dry, func(r *Record, now time.Time) error {
 		if r.State == Ordered {
 			return &NotEligible{"it is ordered already", true}
 		}
-		if why := k.eligible(r, now); why != nil {
+		if why := q.eligible(r, now); why != nil {
 			return why
 		}
 		r.addEvent(now, "ordered", by)
@@ -131,9 +148,9 @@
 	})
 }
 
-// Drop ends records. One that is being sent can't be dropped.
-func (k *Queue) Drop(ctx context.Context, by string, sel Selection, dry bool) (Outcome, error) {
-	return k.changeSelected(ctx, by, "drop", sel, dry, func(r *Record, now time.Time) error {
+// Drop drops records. One that is being redelivered can't be dropped.
+func (q *Queue) Drop(ctx context.Context, by string, selection Selection, dry bool) (Outcome, error) {
+	return q.changeSelected(ctx, by, "drop", selection, dry, func(r *Record, now time.Time) error {
 		switch {
 		case r.State == Out:
 			return &NotEligible{"it is being sent", true}
@@ -146,18 +163,18 @@
 	})
 }
 
-// Import takes lines that were exported. One whose id is known is left alone.
-func (k *Queue) Import(ctx context.Context, by string, lines []ExportLine, dry bool) (Outcome, error) {
+// Import adds exported lines. A line whose id is in the store is rejected.
+func (q *Queue) Import(ctx context.Context, by string, lines []ExportLine, dry bool) (Outcome, error) {
 	var o Outcome
-	if k.View(func(*Tx) error { return nil }) != nil {
+	if q.View(func(*Tx) error { return nil }) != nil {
 		return o, ErrNoStore
 	}
 	if len(lines) > MaxPageSize {
 		return o, fmt.Errorf("held: %d lines, %d at most at a time", len(lines), MaxPageSize)
 	}
-	err := k.applyChange(ctx, func(t *Tx) error {
+	err := q.applyChange(ctx, func(t *Tx) error {
 		o = Outcome{}
-		now := k.clock.now()
+		now := q.clock.now()
 		var done []uint64
 		for i := range lines {
 			r, body, err := lines[i].toRecord(now)
--- a/internal/deadletter/platform.go
+++ b/internal/deadletter/platform.go
@@ -7,9 +7,10 @@
 	"cleathold/internal/redelivery"
 )
 
-// Names are the words for what the loop numbers.
+// Names are the names of classes and tenants by their numbers.
 type Names struct{ Classes, Tenants []string }
 
+// nameAt returns the name with a number, or nothing.
 func nameAt(list []string, i int) string {
 	if i < 0 || i >= len(list) {
 		return ""
@@ -17,17 +18,17 @@
 	return list[i]
 }
 
-// A platformSettings is what a platform's settings say. Nothing in it changes.
+// platformSettings are the platform's settings as far as the queue needs them. They are immutable.
 type platformSettings struct {
 	Names
-	numbers map[string]int // which number a class's name has now
+	numbers map[string]int // current numbers of the classes by name
 	rules   ClassRules
 	control control.Settings
 }
 
-// classNumber is that of a class by its name; one that the settings have no more keeps the last that it had.
+// classNumber returns the number of a class; of one that is no longer in the settings the last that it had.
 func (v *platformSettings) classNumber(class string) int {
-	if n, is := v.numbers[class]; is {
+	if n, known := v.numbers[class]; known {
 		return n
 	}
 	for n, name := range slices.Backward(v.Classes) {
@@ -38,49 +39,51 @@
 	return 0
 }
 
-// ClassesChanged takes what the settings call classes, and what they say.
-func (k *Queue) ClassesChanged(names []string, now map[string]int, set control.Settings) {
-	k.setPlatform(names, now, set)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.planner.SetLimits(k.limits())
+// ClassesChanged takes new classes: the names of all since the start by number, the current numbers, and the settings.
+func (q *Queue) ClassesChanged(names []string, now map[string]int, set control.Settings) {
+	q.setPlatform(names, now, set)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.planner.SetLimits(q.limits())
 }
 
-// TenantsChanged takes the names of tenants, by number. Those that were numbered before keep their numbers.
-func (k *Queue) TenantsChanged(names []string) {
+// TenantsChanged takes the names of tenants by number. Earlier numbers stay.
+func (q *Queue) TenantsChanged(names []string) {
 	for {
-		old := k.platform.Load()
+		old := q.platform.Load()
 		v := *old
 		v.Tenants = names
-		if k.platform.CompareAndSwap(old, &v) { // the loop may tell of classes meanwhile
+		if q.platform.CompareAndSwap(old, &v) { // the event loop may change the classes meanwhile
 			return
 		}
 	}
 }
 
-func (k *Queue) setPlatform(names []string, now map[string]int, set control.Settings) {
-	old := k.platform.Load()
+// setPlatform replaces the classes and settings, and leaves the tenants.
+func (q *Queue) setPlatform(names []string, now map[string]int, set control.Settings) {
+	old := q.platform.Load()
 	v := &platformSettings{
 		Names: Names{Classes: names, Tenants: old.Tenants}, numbers: now, control: set,
 		rules: ClassRules{Classes: map[string]control.Class{}, MaxAttempts: set.MaxAttempts},
 	}
 	for i, name := range names {
-		if n, is := now[name]; is {
+		if n, known := now[name]; known {
 			i = n
 		}
-		if i < len(set.Classes) { // one of before keeps its terms for the records that it has
+		if i < len(set.Classes) { // a former class keeps its rules for its records
 			v.rules.Classes[name] = set.Classes[i]
 		}
 	}
-	if !k.platform.CompareAndSwap(old, v) { // tenants came in between
-		k.setPlatform(names, now, set)
+	if !q.platform.CompareAndSwap(old, v) { // the tenants have changed meanwhile
+		q.setPlatform(names, now, set)
 	}
 }
 
-func (k *Queue) limits() redelivery.Limits {
-	plat := &k.platform.Load().control
+// limits returns the limits of redelivery by the current settings.
+func (q *Queue) limits() redelivery.Limits {
+	plat := &q.platform.Load().control
 	return redelivery.Limits{
 		FleetSize: plat.FleetSize, ColdCapacity: plat.ColdCapacity, WarmUp: plat.WarmUp, OverloadFactor: plat.OverloadFactor,
-		OverloadWindow: plat.OverloadWindow, CapacityShare: k.settings.Resend.Share, MaxInFlight: k.settings.Resend.MaxOut,
+		OverloadWindow: plat.OverloadWindow, CapacityShare: q.settings.Resend.Share, MaxInFlight: q.settings.Resend.MaxOut,
 	}
 }
--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -14,63 +14,62 @@
 
 const (
 	maxBatch            = 256                    // items in one transaction
-	maxDue              = 64                     // records whose time has come, in one: each may cost a call of a rule
-	maxSweep            = 256                    // records looked at for new rules, in one
-	maintenanceInterval = 10 * time.Second       // the bounds are looked after this often, where nothing happens
+	maxDue              = 64                     // records due in one transaction; each may cost the call of a rule
+	maxSweep            = 256                    // records scheduled for review by new rules, in one transaction
+	maintenanceInterval = 10 * time.Second       // the longest time between two checks of the bounds
 	minRetryDelay       = 100 * time.Millisecond // after a failure of the store, doubled up to...
 	maxRetryDelay       = 10 * time.Second       // ...this
-	clockTolerance      = 2 * time.Second        // a clock may differ by so much from the latest time in the store
-	maxPendingChanges   = 16                     // orders of the admin plane that wait
-	maxPendingClaims    = 4096                   // keys handed in before the store could be asked
-	reportPendingDelay  = time.Second            // until a record is looked at again whose end the platform has not heard of
-	logInterval         = time.Minute            // the same failure of a rule is logged once in this time
+	clockTolerance      = 2 * time.Second        // the clock may be behind the latest time in the store by this much
+	maxPendingChanges   = 16                     // changes that wait for the writer
+	maxPendingClaims    = 4096                   // keys submitted before the store was open
+	reportPendingDelay  = time.Second            // until a record is due again whose delivery report is not acknowledged
+	logInterval         = time.Minute            // the same warning is logged once in this time
 )
 
-// EventPoster takes events; the loop is one.
+// EventPoster takes events; the event loop is one.
 type EventPoster interface{ Post(event state.Event) }
 
-// Config is what a keeper is built from.
+// Config is the configuration of a queue.
 type Config struct {
-	Settings *settings.Settings // with a Held part
+	Settings *settings.Settings // its Held part must be set
 	Platform control.Settings
 	Names    Names
 	Log      *slog.Logger
 }
 
-// Queue is the sender's keeper of undeliverable messages. One goroutine, Run,
-// writes the store; what others tell it waits in a bounded queue, and until the
-// store has it, in the journal.
+// Queue is the dead-letter queue of a sender. The goroutine of Run alone writes the store. What other goroutines report waits in a bounded
+// list, and in the write-ahead log until the store has it.
 type Queue struct {
 	log      *slog.Logger
-	platform atomic.Pointer[platformSettings] // as of the latest settings
+	platform atomic.Pointer[platformSettings] // the latest settings
 	loop     EventPoster
 	work     chan struct{}
 	changes  chan change
 
 	mu              sync.Mutex
 	settings        *settings.Settings
-	items           []any
-	newLetters      int // partings in the queue, new ones only
+	items           []item
+	newLetters      int // dead letters among the items that are new to the store
 	failing         bool
 	store           *Store // nil until it is open
 	planner         *redelivery.Planner
 	load            redelivery.Load
-	pendingClaims   map[[2]string]bool // keys handed in while there was no store
-	claimsLostUntil time.Time          // until then keys may have been handed in unseen
+	pendingClaims   map[[2]string]bool // by class and key: submitted while the store was not open
+	claimsLostUntil time.Time          // until then keys may have been submitted that are not in pendingClaims
 	logged          map[string]time.Time
 
-	// The writer's alone.
+	// Owned by the goroutine of Run.
 	clock         clock
-	granted       map[uint64]int // records out by this process, and their destinations
-	sweepPosition uint64         // the rules have changed: held records up to here were asked
+	granted       map[uint64]int // destinations of the records that this process is redelivering, by sequence
+	sweepPosition uint64         // after a change of rules: held records up to here are scheduled for review
 	sweeping      bool
-	journalKnown  bool // the journal has told what it owes
+	journalKnown  bool // the state of the write-ahead log is known
 	maintainedAt  time.Time
 }
 
-// NewQueue returns a keeper; Run opens its store.
+// NewQueue returns a queue. Connect must be called next, then Run, which opens the store.
 func NewQueue(s Config) *Queue {
-	k := &Queue{
+	q := &Queue{
 		log: s.Log, settings: s.Settings, clock: newClock(),
 		work: make(chan struct{}, 1), changes: make(chan change, maxPendingChanges),
 		pendingClaims: map[[2]string]bool{}, logged: map[string]time.Time{}, granted: map[uint64]int{},
@@ -79,67 +78,72 @@
 	for i, name := range s.Names.Classes {
 		now[name] = i
 	}
-	k.platform.Store(&platformSettings{Names: Names{Tenants: s.Names.Tenants}})
-	k.setPlatform(s.Names.Classes, now, s.Platform)
-	k.planner = redelivery.New(k.limits(), s.Platform.Seed)
-	return k
+	q.platform.Store(&platformSettings{Names: Names{Tenants: s.Names.Tenants}})
+	q.setPlatform(s.Names.Classes, now, s.Platform)
+	q.planner = redelivery.New(q.limits(), s.Platform.Seed)
+	return q
 }
 
-// Connect names the loop; before Run.
-func (k *Queue) Connect(p EventPoster) { k.loop = p }
+// Connect sets the event loop. It must be called before Run.
+func (q *Queue) Connect(p EventPoster) { q.loop = p }
 
-// UpdateSettings takes other settings: bounds, pace and rules. The folder stays.
-func (k *Queue) UpdateSettings(s *settings.Settings) {
-	k.mu.Lock()
-	k.settings = s
-	k.planner.SetLimits(k.limits())
-	k.mu.Unlock()
+// UpdateSettings changes bounds, rates and rules. The folder stays.
+func (q *Queue) UpdateSettings(s *settings.Settings) {
+	q.mu.Lock()
+	q.settings = s
+	q.planner.SetLimits(q.limits())
+	q.mu.Unlock()
 	select {
-	case k.changes <- change{apply: func(*Tx) error { k.sweepPosition, k.sweeping = 0, s.Rules(); return nil }, done: make(chan error, 1)}:
-	default: // with that many orders waiting, the records are asked as their times come
-		k.log.Warn("held: too many orders wait, the new rules ask held records later")
+	case q.changes <- change{apply: func(*Tx) error { q.sweepPosition, q.sweeping = 0, s.Rules(); return nil }, done: make(chan error, 1)}:
+	default: // records are reviewed as they become due
+		q.log.Warn("too many changes pending, held records are reviewed by the new rules later")
 	}
 }
 
-// signal has the writer look at its queue.
-func (k *Queue) signal() {
+// signal wakes the writer.
+func (q *Queue) signal() {
 	select {
-	case k.work <- struct{}{}:
+	case q.work <- struct{}{}:
 	default:
 	}
 }
 
-func (k *Queue) push(items ...any) {
-	k.mu.Lock()
-	k.items = append(k.items, items...)
-	for _, x := range items {
-		if p, ok := x.(state.DeadLetter); ok && p.Seq == 0 {
-			k.newLetters++
-		}
+// push adds an item for the writer.
+func (q *Queue) push(x item) {
+	q.mu.Lock()
+	q.items = append(q.items, x)
+	if isNew(x) {
+		q.newLetters++
 	}
-	k.mu.Unlock()
-	k.signal()
+	q.mu.Unlock()
+	q.signal()
+}
+
+// isNew reports whether an item is a dead letter that is new to the store.
+func isNew(x item) bool {
+	letter, ok := x.(newLetter)
+	return ok && letter.Seq == 0
 }
 
-// What the loop calls. None of it waits for the store.
+// The methods below implement state.DeadLetterQueue. None of them waits for the store.
 
-// Begin takes what the journal knows.
-func (k *Queue) Begin(owed []string, out []uint64) { k.push(journalState{owed, out}) }
+// Begin takes the state of the write-ahead log at the start: the ids of messages owed to the queue, and the records in redelivery.
+func (q *Queue) Begin(owed []string, out []uint64) { q.push(journalState{owed, out}) }
 
-// Add takes a parting.
-func (k *Queue) Add(p state.DeadLetter) { k.push(p) }
+// Add takes a dead letter, or the end of a redelivery.
+func (q *Queue) Add(p state.DeadLetter) { q.push(newLetter(p)) }
 
-// Forget takes ids that the journal has forgotten.
-func (k *Queue) Forget(ids []string) { k.push(forgotten{ids}) }
+// Forget takes ids that the write-ahead log has forgotten.
+func (q *Queue) Forget(ids []string) { q.push(forgotten{ids}) }
 
-// CallEnded takes what came of a call.
-func (k *Queue) CallEnded(dest int, r control.Result, wait time.Duration, again bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.planner.CallEnded(k.since(), dest, partnerResult(r), wait, again)
+// CallEnded learns from the end of a call.
+func (q *Queue) CallEnded(dest int, r control.Result, wait time.Duration, again bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.planner.CallEnded(q.since(), dest, partnerResult(r), wait, again)
 }
 
-// partnerResult is what a call's result tells of its partner.
+// partnerResult converts the result of a call to what it says of the partner.
 func partnerResult(r control.Result) redelivery.Result {
 	switch r {
 	case control.Served, control.Unprocessable: // the partner was there
@@ -152,35 +156,34 @@
 	return redelivery.Failed
 }
 
-// CapacityChanged takes what is known of the destinations.
-func (k *Queue) CapacityChanged(all map[int]state.DestinationCapacity) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// CapacityChanged takes the capacity of destinations.
+func (q *Queue) CapacityChanged(all map[int]state.DestinationCapacity) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	for dest, x := range all {
-		k.planner.CapacityChanged(k.since(), dest, x.Weight, x.Ready > 0)
+		q.planner.CapacityChanged(q.since(), dest, x.Weight, x.Ready > 0)
 	}
 }
 
-// LoadChanged takes how busy the loop is.
-func (k *Queue) LoadChanged(l state.LoopLoad) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.load = redelivery.Load(l)
+// LoadChanged takes the load of the event loop.
+func (q *Queue) LoadChanged(l state.LoopLoad) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.load = redelivery.Load(l)
 }
 
-// since is the planner's clock.
-func (k *Queue) since() time.Duration { return time.Since(k.clock.start) }
-
-// Accepts asks the rule hold. Where the store fails, or its queue is full, nothing
-// is held: the message ends as it would without a store.
-func (k *Queue) Accepts(p *state.DeadLetter) bool {
-	k.mu.Lock()
-	full := k.failing || k.newLetters >= k.settings.Held.Queue
-	set, words := k.settings, k.platform.Load()
-	partner := k.partner(p.Message.Destination)
-	k.mu.Unlock()
+// since returns the time of the planner.
+func (q *Queue) since() time.Duration { return time.Since(q.clock.start) }
+
+// Accepts asks the rule hold whether a message becomes a dead letter. While the store fails or too many dead letters wait, none does.
+func (q *Queue) Accepts(p *state.DeadLetter) bool {
+	q.mu.Lock()
+	full := q.failing || q.newLetters >= q.settings.Held.Queue
+	set, words := q.settings, q.platform.Load()
+	partner := q.partner(p.Message.Destination)
+	q.mu.Unlock()
 	if full {
-		k.warnOnce("held: not held, as the store fails or its queue is full")
+		q.warnOnce("dead letter not accepted: the store fails or its queue is full")
 		return false
 	}
 	ran := false
@@ -193,26 +196,26 @@
 		Attempts: p.AttemptCount, TimeLeft: max(0, p.Message.Deadline.Sub(p.At)),
 	}, partner)
 	if err != nil {
-		k.warnOnce("held: the rule hold failed", "err", err.Error())
+		q.warnOnce("rule hold failed", "err", err.Error())
 	}
 	return hold
 }
 
-// partner is a destination as rules see it; under the mutex.
-func (k *Queue) partner(dest int) settings.Partner {
-	v := k.planner.View(k.since(), dest)
+// partner returns a destination as rules see it. The mutex must be held.
+func (q *Queue) partner(dest int) settings.Partner {
+	v := q.planner.View(q.since(), dest)
 	p := settings.Partner{InFlight: v.InFlight, Failing: v.Failing, Served: v.Served, RetryAfter: v.RetryAfter}
 	if v.Known {
 		p.Last = map[redelivery.Result]string{redelivery.Served: "served", redelivery.Rejected: "refused", redelivery.Failed: "failed"}[v.Last]
 	}
-	if k.store != nil {
-		p.Held = k.store.Count(dest)
+	if q.store != nil {
+		p.Held = q.store.Count(dest)
 	}
 	return p
 }
 
-// warnOnce logs the same thing once in a while.
-func (k *Queue) warnOnce(text string, args ...any) {
+// warnOnce logs a warning unless the same one was logged lately.
+func (q *Queue) warnOnce(text string, args ...any) {
 	id := text
 	for _, a := range args {
 		if s, ok := a.(string); ok {
@@ -220,17 +223,17 @@
 		}
 	}
 	now := time.Now()
-	k.mu.Lock()
-	last, known := k.logged[id]
+	q.mu.Lock()
+	last, known := q.logged[id]
 	speak := !known || now.Sub(last) >= logInterval
-	if len(k.logged) > 256 {
-		clear(k.logged)
+	if len(q.logged) > 256 {
+		clear(q.logged)
 	}
 	if speak {
-		k.logged[id] = now
+		q.logged[id] = now
 	}
-	k.mu.Unlock()
+	q.mu.Unlock()
 	if speak {
-		k.log.Warn(text, args...)
+		q.log.Warn(text, args...)
 	}
 }
--- a/internal/deadletter/recover.go
+++ b/internal/deadletter/recover.go
@@ -17,21 +17,19 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Recovery of a damaged store. What its tree still leads to, whole, stands as it
-// is. What is found in the raw file alone may be an older state of its record, or
-// one that was removed: it comes back in doubt, which counts as may have run.
+// Recovery of a damaged store. Records that the tree still leads to are recovered as they are. A record that is found only in the raw
+// file may be an older state of it, or one that was removed: it is recovered with an incomplete history, so that it may have run.
 
 const (
 	newSuffix       = ".new"
 	damagedSuffix   = ".damaged-"
-	maxDamagedFiles = 4       // files set aside that are kept
-	scanChunk       = 1 << 20 // read at a time
-	recoveryBatch   = 500     // records in a transaction
+	maxDamagedFiles = 4       // damaged files that are kept
+	scanChunk       = 1 << 20 // bytes read at a time
+	recoveryBatch   = 500     // records in one transaction
 )
 
-// checkMetaPages checks bbolt's two meta pages. With one of them damaged bbolt would
-// go on from the other, an older state, in which a record that was sent may
-// still stand as held. A file that is missing or empty is whole.
+// checkMetaPages returns ErrDamaged if one of bbolt's two meta pages is damaged. bbolt itself would go on with the other, an older state,
+// in which a record that was sent may still be held. A missing or empty file is no error.
 func checkMetaPages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -65,27 +63,27 @@
 	return nil
 }
 
-// A fileRange is where a frame stands in the raw file.
+// fileRange is the place of a frame in the raw file.
 type fileRange struct {
 	revision uint64
 	offset   int64
 	size     int
 }
 
-// A recovered is what was found in a damaged file.
+// recovered is what was found in a damaged file.
 type recovered struct {
-	treeRevisions map[uint64]uint64 // revision of each record that the tree leads to
-	treeIntact    bool              // the tree was read to its end without a fault
+	treeRevisions map[uint64]uint64 // by sequence: the revisions of the records that the tree leads to
+	treeIntact    bool              // the whole tree was read
 	records       map[uint64]fileRange
 	bodies        map[uint64]fileRange
 	auditEntries  [][]byte
 }
 
-// recoverStore makes a new store of what a damaged one still tells, and puts the
-// old file aside. A crash at any point of it leaves one of the two complete.
+// recoverStore creates a new store from what can be read of a damaged one, and renames the damaged file. A crash at any point leaves one of
+// the two complete.
 func recoverStore(path string, cause error, log *slog.Logger) (*Store, error) {
 	fresh := path + newSuffix
-	log.Error("held: the store is damaged; what can be read of it is taken over", "file", path, "err", cause)
+	log.Error("dead-letter store damaged, recovering what can be read", "file", path, "err", cause)
 	found, err := readDamaged(path)
 	if err != nil {
 		return nil, err
@@ -94,8 +92,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s.db.NoSync = true // until it is complete nobody relies on it
-	sure, doubtful, lost, err := s.fillFrom(path, found)
+	s.db.NoSync = true // it is synced as a whole below
+	result, err := s.fillFrom(path, found)
 	if err == nil {
 		err = s.db.Sync()
 	}
@@ -106,20 +104,21 @@
 		os.Remove(fresh)
 		return nil, fmt.Errorf("held: recovery: %w", err)
 	}
-	aside := fmt.Sprintf("%s%s%d", path, damagedSuffix, time.Now().UnixMilli())
-	if err := os.Rename(path, aside); err != nil {
+	damagedPath := fmt.Sprintf("%s%s%d", path, damagedSuffix, time.Now().UnixMilli())
+	if err := os.Rename(path, damagedPath); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
 	if err := os.Rename(fresh, path); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
-	log.Error("held: the damaged store is set aside", "file", aside, "records", sure, "in_doubt", doubtful, "bodies_lost", lost, "audit_entries", len(found.auditEntries))
+	log.Error("damaged dead-letter store replaced", "file", damagedPath, "records", result.intact, "history_incomplete", result.uncertain,
+		"bodies_lost", result.bodiesLost, "audit_entries", len(found.auditEntries))
 	removeOldDamagedFiles(path, log)
 	return open(path, false)
 }
 
-// finishRecovery goes on with a recovery that was cut short. Where the old file
-// had been put aside the new one was complete; else it was not, and goes.
+// finishRecovery completes a recovery that was interrupted. If the damaged file was renamed already, the new one is complete; else it is
+// removed.
 func finishRecovery(path string) error {
 	fresh := path + newSuffix
 	if _, err := os.Stat(fresh); errors.Is(err, os.ErrNotExist) {
@@ -137,16 +136,16 @@
 	return nil
 }
 
-// removeOldDamagedFiles keeps the latest of the files that were set aside.
+// removeOldDamagedFiles removes all but the latest damaged files.
 func removeOldDamagedFiles(path string, log *slog.Logger) {
 	list, _ := filepath.Glob(path + damagedSuffix + "*")
 	slices.Sort(list)
 	for ; len(list) > maxDamagedFiles; list = list[1:] {
-		log.Warn("held: removed a damaged store set aside long ago", "file", list[0], "err", os.Remove(list[0]))
+		log.Warn("old damaged dead-letter store removed", "file", list[0], "err", os.Remove(list[0]))
 	}
 }
 
-// readDamaged looks for all that a damaged file holds: by its tree, and in the raw.
+// readDamaged finds what a damaged file holds, by its tree and by a scan of the raw file.
 func readDamaged(path string) (*recovered, error) {
 	f := &recovered{treeRevisions: map[uint64]uint64{}, records: map[uint64]fileRange{}, bodies: map[uint64]fileRange{}}
 	err := recoverPanics(func() error {
@@ -166,18 +165,18 @@
 	return f, f.scanFrames(raw)
 }
 
-// readTree follows the tree as far as it leads.
+// readTree reads the tree as far as it can be read.
 func (f *recovered) readTree(tx *bolt.Tx) error {
 	records := tx.Bucket(bucketRecords)
 	if records == nil {
 		return ErrDamaged
 	}
-	spoilt := false
+	damaged := false
 	err := records.ForEach(func(k, v []byte) error {
 		if p, whole := unframe(v); whole && p.kind == kindRecord && len(k) == 8 && p.seq == binary.BigEndian.Uint64(k) {
 			f.treeRevisions[p.seq] = p.rev
 		} else {
-			spoilt = true
+			damaged = true
 		}
 		return nil
 	})
@@ -189,14 +188,13 @@
 			return nil
 		})
 	}
-	if spoilt {
+	if damaged {
 		return ErrDamaged
 	}
 	return err
 }
 
-// scanFrames looks for frames in the raw file, a chunk at a time. Of a record the
-// highest revision counts.
+// scanFrames finds frames in the raw file, in bounded memory. Of the frames of a record the highest revision counts.
 func (f *recovered) scanFrames(r io.ReaderAt) error {
 	const overlap = frameHeaderSize + maxPayload
 	buf := make([]byte, scanChunk+overlap)
@@ -232,85 +230,98 @@
 	}
 }
 
-// fillFrom fills a new store with what was found.
-func (s *Store) fillFrom(path string, f *recovered) (sure, doubtful, lost int, err error) {
+// recoveryResult counts the records of a recovery.
+type recoveryResult struct {
+	intact     int // recovered as they were
+	uncertain  int // recovered with an incomplete history
+	bodiesLost int
+}
+
+// fillFrom fills a new store with what was found in a damaged file.
+func (s *Store) fillFrom(path string, found *recovered) (recoveryResult, error) {
+	var result recoveryResult
 	raw, err := os.Open(path)
 	if err != nil {
-		return 0, 0, 0, err
+		return result, err
 	}
 	defer raw.Close()
-	read := func(at fileRange) (framed, bool) {
-		buf := make([]byte, at.size)
-		if _, err := raw.ReadAt(buf, at.offset); err != nil {
-			return framed{}, false
-		}
-		return unframe(buf)
-	}
-	var seqs []uint64
-	for seq := range f.records {
-		if _, led := f.treeRevisions[seq]; led || !f.treeIntact {
-			seqs = append(seqs, seq)
+	var sequences []uint64
+	for sequence := range found.records {
+		if _, inTree := found.treeRevisions[sequence]; inTree || !found.treeIntact {
+			sequences = append(sequences, sequence)
 		}
 	}
-	slices.Sort(seqs)
-	now := time.Now()
-	for len(seqs) > 0 {
-		batch := seqs[:min(len(seqs), recoveryBatch)]
-		seqs = seqs[len(batch):]
-		err = s.Update(func(t *Tx) error {
-			for _, seq := range batch {
-				p, whole := read(f.records[seq])
-				r, ok := decode(p)
-				if !whole || !ok {
-					continue
-				}
-				rev, led := f.treeRevisions[seq]
-				if led && rev == r.Revision {
-					sure++
-				} else {
-					doubtful++
-					r.HistoryIncomplete = true
-					if !r.State.Ended() {
-						r.unschedule(time.Time{})
-					}
-					r.addEvent(now, "recovered from a damaged store, in doubt", "sender")
-				}
-				var body []byte
-				if !r.State.Ended() {
-					b, whole := read(f.bodies[seq])
-					if !whole || b.kind != kindBody {
-						lost++
-						r.BodyMissing = true
-					}
-					body = b.payload
-				}
-				if err := t.restore(&r, body); err != nil {
+	slices.Sort(sequences)
+	for batch := range slices.Chunk(sequences, recoveryBatch) {
+		err := s.Update(func(t *Tx) error {
+			for _, sequence := range batch {
+				if err := t.recoverRecord(raw, found, sequence, &result); err != nil {
 					return err
 				}
 			}
 			return nil
 		})
 		if err != nil {
-			return
+			return result, err
 		}
 	}
-	err = s.Update(func(t *Tx) error {
-		b := t.Bucket(bucketAudit)
-		for _, a := range f.auditEntries {
-			n, err := b.NextSequence()
-			if err == nil {
-				err = b.Put(encodeUint(n), a)
-			}
-			if err != nil {
-				return err
-			}
-		}
+	return result, s.Update(func(t *Tx) error { return t.restoreAudit(found.auditEntries) })
+}
+
+// recoverRecord restores a record from the raw file, if it can be read.
+func (t *Tx) recoverRecord(raw io.ReaderAt, found *recovered, sequence uint64, result *recoveryResult) error {
+	p, whole := readFrame(raw, found.records[sequence])
+	r, ok := decode(p)
+	if !whole || !ok {
 		return nil
-	})
-	return
+	}
+	if revision, inTree := found.treeRevisions[sequence]; inTree && revision == r.Revision {
+		result.intact++
+	} else {
+		result.uncertain++
+		r.HistoryIncomplete = true
+		if !r.State.Ended() {
+			r.unschedule(time.Time{})
+		}
+		r.addEvent(time.Now(), "recovered from a damaged store, in doubt", "sender")
+	}
+	var body []byte
+	if !r.State.Ended() {
+		b, whole := readFrame(raw, found.bodies[sequence])
+		if !whole || b.kind != kindBody {
+			result.bodiesLost++
+			r.BodyMissing = true
+		}
+		body = b.payload
+	}
+	return t.restore(&r, body)
+}
+
+// readFrame reads a frame that the scan found.
+func readFrame(raw io.ReaderAt, at fileRange) (framed, bool) {
+	buf := make([]byte, at.size)
+	if _, err := raw.ReadAt(buf, at.offset); err != nil {
+		return framed{}, false
+	}
+	return unframe(buf)
+}
+
+// restoreAudit appends entries to the audit trail.
+func (t *Tx) restoreAudit(entries [][]byte) error {
+	b := t.Bucket(bucketAudit)
+	for _, entry := range entries {
+		n, err := b.NextSequence()
+		if err == nil {
+			err = b.Put(encodeUint(n), entry)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
 }
 
-// restore enters a record under the number that it had.
+// restore adds a record under its former sequence number.
 func (t *Tx) restore(r *Record, body []byte) error {
 	b := t.Bucket(bucketRecords)
 	if b.Sequence() < r.Sequence {
--- a/internal/deadletter/review.go
+++ b/internal/deadletter/review.go
@@ -7,57 +7,37 @@
 	"cleathold/internal/settings"
 )
 
-// maintain does what time alone has made due: bounds, rules, resends.
-func (k *Queue) maintain(s *Store) (time.Duration, error) {
-	now := k.clock.now()
-	var dests []int
-	var seqs []uint64
-	var next time.Time
-	over := false
-	k.mu.Lock()
-	set := k.settings
-	k.mu.Unlock()
-	bounds := Bounds{set.Held.MaxBytes, set.Held.MaxRecords, set.Held.MaxAge, set.Held.KeepEnded}
-	err := s.View(func(t *Tx) error {
-		seqs, next = t.due(now, maxDue)
-		dests = t.readyDestinations()
-		over = int64(t.counter(metaBytes)) > bounds.Bytes || t.counter(metaCount) > uint64(bounds.Records)
-		return nil
-	})
+// dueWork is what a look at the store found to be due.
+type dueWork struct {
+	records      []uint64 // due for review, by sequence
+	next         time.Time
+	destinations []int // with records that are ready to be redelivered
+	overBounds   bool
+}
+
+// maintain does what is due with time: it keeps the bounds, reviews records and redelivers. It returns the time until more is due.
+func (q *Queue) maintain(s *Store) (time.Duration, error) {
+	now := q.clock.now()
+	q.mu.Lock()
+	current := q.settings
+	q.mu.Unlock()
+	bounds := Bounds{current.Held.MaxBytes, current.Held.MaxRecords, current.Held.MaxAge, current.Held.KeepEnded}
+	due, err := s.findDue(now, bounds)
 	if err != nil {
 		return 0, err
 	}
-	busy := false
-	if over || now.Sub(k.maintainedAt) >= maintenanceInterval {
-		var gone Evicted
-		err := s.Update(func(t *Tx) (err error) {
-			if gone, err = t.evict(bounds, now); err == nil {
-				err = k.saveTime(t)
-			}
-			return err
-		})
-		if err != nil {
-			return 0, err
-		}
-		if gone.Open+gone.Aged > 0 {
-			k.log.Warn("held: records evicted", "over_bounds", gone.Open, "too_old", gone.Aged, "ended", gone.Ended)
-		}
-		busy = over && gone.Open+gone.Aged+gone.Ended > 0
-		if !busy {
-			k.maintainedAt = now
-		}
-		k.mu.Lock()
-		k.planner.Prune(k.since())
-		k.mu.Unlock()
+	busy, err := q.keepBounds(s, bounds, due.overBounds, now)
+	if err != nil {
+		return 0, err
 	}
-	if len(seqs) > 0 || k.sweeping {
-		if err := s.Update(func(t *Tx) error { return k.review(t, set, seqs, now) }); err != nil {
+	if len(due.records) > 0 || q.sweeping {
+		if err := s.Update(func(t *Tx) error { return q.review(t, current, due.records, now) }); err != nil {
 			return 0, err
 		}
 		busy = true
 	}
-	if k.journalKnown && len(dests) > 0 {
-		sent, err := k.redeliverReady(s, dests, now)
+	if q.journalKnown && len(due.destinations) > 0 {
+		sent, err := q.redeliverReady(s, due.destinations, now)
 		if err != nil {
 			return 0, err
 		}
@@ -66,52 +46,73 @@
 	if busy {
 		return 0, nil
 	}
+	return q.untilDue(due, now), nil
+}
+
+// findDue finds what is due.
+func (s *Store) findDue(now time.Time, bounds Bounds) (due dueWork, err error) {
+	err = s.View(func(t *Tx) error {
+		due.records, due.next = t.due(now, maxDue)
+		due.destinations = t.readyDestinations()
+		due.overBounds = int64(t.counter(metaBytes)) > bounds.Bytes || t.counter(metaCount) > uint64(bounds.Records)
+		return nil
+	})
+	return due, err
+}
+
+// keepBounds evicts records where the store is over its bounds, and once every maintenanceInterval. It reports whether there may be more.
+func (q *Queue) keepBounds(s *Store, bounds Bounds, over bool, now time.Time) (more bool, err error) {
+	if !over && now.Sub(q.maintainedAt) < maintenanceInterval {
+		return false, nil
+	}
+	var evicted Evicted
+	err = s.Update(func(t *Tx) (err error) {
+		if evicted, err = t.evict(bounds, now); err == nil {
+			err = q.saveTime(t)
+		}
+		return err
+	})
+	if err != nil {
+		return false, err
+	}
+	if evicted.Open+evicted.Aged > 0 {
+		q.log.Warn("dead letters evicted", "over_bounds", evicted.Open, "too_old", evicted.Aged, "ended", evicted.Ended)
+	}
+	more = over && evicted.Open+evicted.Aged+evicted.Ended > 0
+	if !more {
+		q.maintainedAt = now
+	}
+	q.mu.Lock()
+	q.planner.Prune(q.since())
+	q.mu.Unlock()
+	return more, nil
+}
+
+// untilDue returns the time until more is due.
+func (q *Queue) untilDue(due dueWork, now time.Time) time.Duration {
 	wait := maintenanceInterval
-	if !next.IsZero() {
-		wait = min(wait, max(0, next.Sub(now)))
+	if !due.next.IsZero() {
+		wait = min(wait, max(0, due.next.Sub(now)))
 	}
-	if len(dests) > 0 {
-		k.mu.Lock()
-		at := k.since()
-		wait = min(wait, k.planner.NextGrant(at, dests)-at)
-		k.mu.Unlock()
+	if len(due.destinations) > 0 {
+		q.mu.Lock()
+		at := q.since()
+		wait = min(wait, q.planner.NextGrant(at, due.destinations)-at)
+		q.mu.Unlock()
 	}
-	return max(wait, time.Millisecond), nil
+	return max(wait, time.Millisecond)
 }
 
-// review asks the rules about records whose time has come, and readies orders.
-func (k *Queue) review(t *Tx, set *settings.Settings, seqs []uint64, now time.Time) error {
-	if k.sweeping {
-		list, next, err := t.List(Filter{State: Held}, k.sweepPosition, maxSweep)
-		if err != nil {
+// review asks the rules about held records that are due, and makes ordered ones ready.
+func (q *Queue) review(t *Tx, current *settings.Settings, due []uint64, now time.Time) error {
+	if q.sweeping {
+		if err := q.scheduleReviews(t, now); err != nil {
 			return err
 		}
-		for _, r := range list {
-			if !r.ReviewAt.IsZero() {
-				continue
-			}
-			if err := t.change(r.Sequence, func(r *Record) error { r.ReviewAt = now; return nil }); err != nil {
-				return err
-			}
-		}
-		k.sweepPosition, k.sweeping = next, next > 0
-	}
-	for _, seq := range seqs {
-		err := t.change(seq, func(r *Record) error {
-			switch {
-			case t.ReportPending(r.ID): // not before its client was told
-				if r.State == Ordered {
-					r.NotBefore = now.Add(reportPendingDelay)
-				} else {
-					r.ReviewAt = now.Add(reportPendingDelay)
-				}
-			case r.State == Ordered && !now.Before(r.Until):
-				k.expireOrder(r, now)
-			case r.State == Ordered:
-				r.Ready = true
-			case r.State == Held:
-				k.askRule(r, set, now)
-			}
+	}
+	for _, sequence := range due {
+		err := t.change(sequence, func(r *Record) error {
+			q.reviewRecord(r, current, t.ReportPending(r.ID), now)
 			return nil
 		})
 		if err != nil && !errors.Is(err, ErrNotFound) {
@@ -121,44 +122,78 @@
 	return nil
 }
 
-// expireOrder ends an order that was not carried out in its time.
-func (k *Queue) expireOrder(r *Record, now time.Time) {
+// scheduleReviews schedules the next held records for review, after a change of rules.
+func (q *Queue) scheduleReviews(t *Tx, now time.Time) error {
+	list, next, err := t.List(Filter{State: Held}, q.sweepPosition, maxSweep)
+	if err != nil {
+		return err
+	}
+	for _, r := range list {
+		if !r.ReviewAt.IsZero() {
+			continue
+		}
+		if err := t.change(r.Sequence, func(r *Record) error { r.ReviewAt = now; return nil }); err != nil {
+			return err
+		}
+	}
+	q.sweepPosition, q.sweeping = next, next > 0
+	return nil
+}
+
+// reviewRecord does what is due with a record. Before the client was told of the message's outcome it is put off.
+func (q *Queue) reviewRecord(r *Record, current *settings.Settings, reportPending bool, now time.Time) {
+	switch {
+	case reportPending && r.State == Ordered:
+		r.NotBefore = now.Add(reportPendingDelay)
+	case reportPending:
+		r.ReviewAt = now.Add(reportPendingDelay)
+	case r.State == Ordered && !now.Before(r.Until):
+		q.expireOrder(r, now)
+	case r.State == Ordered:
+		r.Ready = true
+	case r.State == Held:
+		q.askRule(r, current, now)
+	}
+}
+
+// expireOrder ends an order to redeliver that was not carried out in time.
+func (q *Queue) expireOrder(r *Record, now time.Time) {
 	r.unschedule(time.Time{})
 	r.addEvent(now, "its order has run out", "sender")
-	if k.hasRules() {
+	if q.hasRules() {
 		r.ReviewAt = now
 	}
 }
 
-// askRule asks the rule after about a held record.
-func (k *Queue) askRule(r *Record, set *settings.Settings, now time.Time) {
-	k.mu.Lock()
-	partner := k.partner(r.Destination)
-	k.mu.Unlock()
-	answer, err := set.Decide(ruleView(r, now), partner)
+// askRule asks the rule after about a held record and does what it decides.
+func (q *Queue) askRule(r *Record, current *settings.Settings, now time.Time) {
+	q.mu.Lock()
+	partner := q.partner(r.Destination)
+	q.mu.Unlock()
+	decision, err := current.Decide(ruleView(r, now), partner)
 	if err != nil {
-		k.warnOnce("held: the rule after failed, the record is kept", "err", err.Error())
+		q.warnOnce("rule after failed, record kept", "err", err.Error())
 	}
 	r.ReviewAt = time.Time{}
-	switch answer.Action {
+	switch decision.Action {
 	case settings.KeepRecord:
-		if answer.ReviewIn > 0 {
-			r.ReviewAt = now.Add(answer.ReviewIn)
+		if decision.ReviewIn > 0 {
+			r.ReviewAt = now.Add(decision.ReviewIn)
 		}
 	case settings.DropRecord:
 		r.addEvent(now, "dropped", "rule")
 		r.end(now, Dropped)
 	case settings.Redeliver:
-		if why := k.eligible(r, now); why != nil {
-			r.addEvent(now, "not sent again: "+why.Reason, "rule")
+		if notEligible := q.eligible(r, now); notEligible != nil {
+			r.addEvent(now, "not sent again: "+notEligible.Reason, "rule")
 			return
 		}
 		r.addEvent(now, "ordered", "rule")
-		r.schedule(now.Add(answer.Delay), now.Add(answer.Delay+answer.Within))
+		r.schedule(now.Add(decision.Delay), now.Add(decision.Delay+decision.Within))
 	}
 }
 
-// ruleView is a record as rules see it.
+// ruleView returns a record as rules see it.
 func ruleView(r *Record, now time.Time) settings.Record {
 	_, _, ran := r.FirstRun()
 	return settings.Record{
@@ -168,20 +203,21 @@
 	}
 }
 
-func (k *Queue) hasRules() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.settings.Rules()
+// hasRules reports whether the settings have the rule after.
+func (q *Queue) hasRules() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.settings.Rules()
 }
 
-// eligible asks whether a record may be sent now.
-func (k *Queue) eligible(r *Record, now time.Time) *NotEligible {
-	k.mu.Lock()
-	blind := k.claimsLostUntil
-	k.mu.Unlock()
-	if r.Key != "" && !blind.IsZero() && r.HeldAt.Before(blind) {
+// eligible returns why a record may not be redelivered now, or nil.
+func (q *Queue) eligible(r *Record, now time.Time) *NotEligible {
+	q.mu.Lock()
+	claimsLostUntil := q.claimsLostUntil
+	q.mu.Unlock()
+	if r.Key != "" && !claimsLostUntil.IsZero() && r.HeldAt.Before(claimsLostUntil) {
 		return neverEligible("its key may have been handed in anew while the store could not be asked")
 	}
 	at, _, _ := r.FirstRun()
-	return k.platform.Load().rules.Eligible(r, now, k.clock.certain(at))
+	return q.platform.Load().rules.Eligible(r, now, q.clock.certain(at))
 }
--- a/internal/deadletter/writer.go
+++ b/internal/deadletter/writer.go
@@ -6,105 +6,114 @@
 	"maps"
 	"time"
 
-	"cleathold/control"
 	"cleathold/internal/state"
 )
 
-// An change is a change that somebody outside the queue waits for.
+// errStopped ends changes that wait when the sender stops.
+var errStopped = errors.New("held: the sender stops")
+
+// change is a change of the store for which another goroutine waits.
 type change struct {
 	apply func(*Tx) error
 	done  chan error
 }
 
-// applyChange has the writer run a change, and waits for it.
-func (k *Queue) applyChange(ctx context.Context, run func(*Tx) error) error {
-	o := change{run, make(chan error, 1)}
+// applyChange has the writer run a change in a transaction, and waits for it.
+func (q *Queue) applyChange(ctx context.Context, apply func(*Tx) error) error {
+	c := change{apply, make(chan error, 1)}
 	select {
-	case k.changes <- o:
+	case q.changes <- c:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	select {
-	case err := <-o.done:
+	case err := <-c.done:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Run opens the store and writes it until the context ends. What has not been
-// written then stays with the journal.
-func (k *Queue) Run(ctx context.Context) {
-	retry := minRetryDelay
-	pause := func(err error) {
-		k.setFailing(true)
-		k.log.Error("held: the store can't be written; nothing is held until it can", "err", err, "retry_in", retry)
-		select {
-		case <-ctx.Done():
-		case <-time.After(retry):
-		}
-		retry = min(2*retry, maxRetryDelay)
-	}
+// Run opens the store and writes it until the context ends. What is not written by then is still in the write-ahead log.
+func (q *Queue) Run(ctx context.Context) {
+	delay := minRetryDelay
 	var damage error
 	for ctx.Err() == nil {
-		k.mu.Lock()
-		s, folder := k.store, k.settings.Held.Folder
-		k.mu.Unlock()
-		if s == nil {
-			var err error
-			if s, err = openOrRecover(folder, damage, k.log); err != nil {
-				pause(err)
-				continue
-			}
-			damage = nil
-			k.useStore(s)
+		written, err := q.runOnce(ctx, &damage)
+		if written {
+			delay = minRetryDelay
 		}
-		next, err := k.iterate(s)
 		if err == nil {
-			err = k.wait(ctx, s, next)
-			retry = minRetryDelay
-		}
-		switch {
-		case errors.Is(err, ErrDamaged): // also seen by an order: bbolt may have left its lock taken
-			damage = err
-			k.mu.Lock()
-			k.store = nil
-			k.mu.Unlock()
-			s.abandon()
-			pause(err)
-			continue
-		case err != nil:
-			pause(err)
 			continue
 		}
+		q.setFailing(true)
+		q.log.Error("dead-letter store not writable, no dead letters are accepted", "err", err, "retry_in", delay)
+		select {
+		case <-ctx.Done():
+		case <-time.After(delay):
+		}
+		delay = min(2*delay, maxRetryDelay)
 	}
-	k.mu.Lock()
-	s := k.store
-	k.store = nil
-	k.mu.Unlock()
+	q.close()
+}
+
+// runOnce opens the store if it is not open, and does an iteration; it reports whether the store could be written. A damaged store is
+// abandoned; damage then holds the error for the recovery at the next opening.
+func (q *Queue) runOnce(ctx context.Context, damage *error) (written bool, err error) {
+	q.mu.Lock()
+	s, folder := q.store, q.settings.Held.Folder
+	q.mu.Unlock()
+	if s == nil {
+		if s, err = openOrRecover(folder, *damage, q.log); err != nil {
+			return false, err
+		}
+		*damage = nil
+		q.useStore(s)
+	}
+	next, err := q.iterate(s)
+	if written = err == nil; written {
+		err = q.wait(ctx, s, next)
+	}
+	if errors.Is(err, ErrDamaged) { // also found by a change: bbolt may still hold its own lock then
+		*damage = err
+		q.mu.Lock()
+		q.store = nil
+		q.mu.Unlock()
+		s.abandon()
+	}
+	return written, err
+}
+
+// close closes the store and ends the changes that still wait.
+func (q *Queue) close() {
+	q.mu.Lock()
+	s := q.store
+	q.store = nil
+	q.mu.Unlock()
 	if s != nil {
 		s.Close()
 	}
-	for { // whoever still waits is told
+	for {
 		select {
-		case o := <-k.changes:
-			o.done <- errors.New("held: the sender stops")
+		case c := <-q.changes:
+			c.done <- errStopped
 		default:
 			return
 		}
 	}
 }
 
-// wait waits until there is something to do, and runs an order if one comes.
-func (k *Queue) wait(ctx context.Context, s *Store, most time.Duration) error {
-	k.setFailing(false)
-	timer := time.NewTimer(most)
+// wait waits until there is something to do, at most for a timeout, and runs a change if one comes. It returns an error only for a damaged
+// store.
+func (q *Queue) wait(ctx context.Context, s *Store, timeout time.Duration) error {
+	q.setFailing(false)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-k.work:
-	case o := <-k.changes:
-		if err := k.runChange(s, o); errors.Is(err, ErrDamaged) {
+	case <-q.work:
+	case c := <-q.changes:
+		if err := q.runChange(s, c); errors.Is(err, ErrDamaged) {
 			return err
 		}
 	case <-timer.C:
@@ -112,103 +121,109 @@
 	return nil
 }
 
-func (k *Queue) setFailing(on bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.failing = on
+// setFailing sets whether the store fails.
+func (q *Queue) setFailing(on bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.failing = on
 }
 
-// useStore takes a store over.
-func (k *Queue) useStore(s *Store) {
+// useStore starts to use an open store.
+func (q *Queue) useStore(s *Store) {
 	s.View(func(t *Tx) error {
 		if us := t.counter(metaLatest); us > 0 {
-			k.clock.adopt(time.UnixMicro(int64(us)))
+			q.clock.adopt(time.UnixMicro(int64(us)))
 		}
 		return nil
 	})
-	if k.clock.wentBack {
-		k.log.Warn("held: the clock went back while the sender was down; memory spans from before can't be judged")
+	if q.clock.wentBack {
+		q.log.Warn("wall clock went back while the sender was down, retention of earlier keys is unknown")
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.store = s
-	k.sweeping = k.settings.Rules()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.store = s
+	q.sweeping = q.settings.Rules()
 }
 
-// runChange runs an order.
-func (k *Queue) runChange(s *Store, o change) error {
+// runChange runs a change and reports its result to whoever waits.
+func (q *Queue) runChange(s *Store, c change) error {
 	err := s.Update(func(t *Tx) error {
-		if err := o.apply(t); err != nil {
+		if err := c.apply(t); err != nil {
 			return err
 		}
-		return k.saveTime(t)
+		return q.saveTime(t)
 	})
-	o.done <- err
+	c.done <- err
 	return err
 }
 
-// saveTime keeps the latest time.
-func (k *Queue) saveTime(t *Tx) error {
-	return t.Bucket(bucketMeta).Put([]byte(metaLatest), encodeUint(uint64(k.clock.now().UnixMicro())))
+// saveTime stores the current time, by which the next start sees that the wall clock went back.
+func (q *Queue) saveTime(t *Tx) error {
+	return t.Bucket(bucketMeta).Put([]byte(metaLatest), encodeUint(uint64(q.clock.now().UnixMicro())))
 }
 
-// iterate writes what is queued, looks after what is due and sends what may be
-// sent. It returns how long nothing more is to be done.
-func (k *Queue) iterate(s *Store) (time.Duration, error) {
-	k.mu.Lock()
-	items := k.items[:min(len(k.items), maxBatch)]
-	claims := maps.Clone(k.pendingClaims)
-	k.mu.Unlock()
-	var stored []control.MessageID
-	var back []endedRedelivery
-	if len(items)+len(claims) > 0 {
-		err := s.Update(func(t *Tx) error {
-			stored, back = stored[:0], back[:0]
-			for _, x := range items {
-				if err := k.storeItem(t, x, &stored, &back); err != nil {
-					return err
-				}
-			}
-			for c := range claims {
-				if err := k.supersede(t, c[0], c[1]); err != nil {
-					return err
-				}
-			}
-			return k.saveTime(t)
-		})
-		if err != nil {
-			return 0, err
-		}
-		k.mu.Lock()
-		k.items = k.items[len(items):]
+// iterate writes what waits, does what is due and redelivers what may go. It returns the time until more is due.
+func (q *Queue) iterate(s *Store) (time.Duration, error) {
+	more, err := q.writeItems(s)
+	if err != nil || more {
+		return 0, err
+	}
+	return q.maintain(s)
+}
+
+// writeItems writes a batch of items and of keys claimed before the store was open. It reports whether more wait.
+func (q *Queue) writeItems(s *Store) (more bool, err error) {
+	q.mu.Lock()
+	items := q.items[:min(len(q.items), maxBatch)]
+	claims := maps.Clone(q.pendingClaims)
+	q.mu.Unlock()
+	if len(items)+len(claims) == 0 {
+		return false, nil
+	}
+	var written writtenBatch
+	err = s.Update(func(t *Tx) error {
+		written = writtenBatch{}
 		for _, x := range items {
-			if p, ok := x.(state.DeadLetter); ok && p.Seq == 0 {
-				k.newLetters--
+			written.now = q.clock.now()
+			if err := x.write(q, t, &written); err != nil {
+				return err
 			}
 		}
 		for c := range claims {
-			delete(k.pendingClaims, c)
-		}
-		for _, b := range back {
-			if dest, ours := k.granted[b.sequence]; ours {
-				delete(k.granted, b.sequence)
-				k.planner.RedeliveryEnded(k.since(), dest, b.admitted)
+			if err := q.supersede(t, c[0], c[1]); err != nil {
+				return err
 			}
 		}
-		rest := len(k.items)
-		k.mu.Unlock()
-		if len(stored) > 0 {
-			k.loop.Post(state.DeadLettersStored{Nums: stored})
-		}
-		if rest > 0 {
-			return 0, nil
-		}
+		return q.saveTime(t)
+	})
+	if err != nil {
+		return false, err
 	}
-	return k.maintain(s)
+	remaining := q.itemsWritten(items, claims, written.ended)
+	if len(written.stored) > 0 {
+		q.loop.Post(state.DeadLettersStored{Nums: written.stored})
+	}
+	return remaining > 0, nil
 }
 
-// A endedRedelivery is a resend that has ended.
-type endedRedelivery struct {
-	sequence uint64
-	admitted bool
+// itemsWritten forgets a batch that the store has, and returns the number of items that remain.
+func (q *Queue) itemsWritten(items []item, claims map[[2]string]bool, ended []endedRedelivery) int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.items = q.items[len(items):]
+	for _, x := range items {
+		if isNew(x) {
+			q.newLetters--
+		}
+	}
+	for c := range claims {
+		delete(q.pendingClaims, c)
+	}
+	for _, e := range ended {
+		if destination, granted := q.granted[e.sequence]; granted {
+			delete(q.granted, e.sequence)
+			q.planner.RedeliveryEnded(q.since(), destination, e.admitted)
+		}
+	}
+	return len(q.items)
 }
