--- a/internal/deadletter/audit.go
+++ b/internal/deadletter/audit.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// AuditEntry is an entry of the audit trail.
+// AuditEntry is an entry of the audit trail: one command of an operator.
 type AuditEntry struct {
 	At       time.Time `json:"at"`
 	By       string    `json:"by"`
 	Verb     string    `json:"verb"`
 	Filter   *Filter   `json:"filter,omitempty"`
-	Records  []uint64  `json:"records,omitempty"` // the first ones
+	Records  []uint64  `json:"records,omitempty"` // the first maxAuditRecords ones
 	Done     int       `json:"done"`
 	Rejected int       `json:"refused"`
 }
 
-const maxAuditRecords = 100 // records named in one entry
+// maxAuditRecords bounds the records named in one entry.
+const maxAuditRecords = 100
 
-// audit adds an entry to the trail, which keeps the latest.
+// audit adds an entry. The trail keeps the latest maxAuditEntries.
 func (t *Tx) audit(a AuditEntry) error {
 	b := t.Bucket(bucketAudit)
 	n, err := b.NextSequence()
@@ -39,11 +40,11 @@
 	return b.Delete(encodeUint(n - maxAuditEntries))
 }
 
-// Audit returns the latest entries of the trail, the newest first.
-func (t *Tx) Audit(most int) ([]AuditEntry, error) {
+// Audit returns the latest entries, the newest first.
+func (t *Tx) Audit(limit int) ([]AuditEntry, error) {
 	var list []AuditEntry
 	c := t.Bucket(bucketAudit).Cursor()
-	for k, v := c.Last(); k != nil && len(list) < most; k, v = c.Prev() {
+	for k, v := c.Last(); k != nil && len(list) < limit; k, v = c.Prev() {
 		var a AuditEntry
 		if err := json.Unmarshal(v, &a); err != nil {
 			return list, fmt.Errorf("%w: audit trail: %w", ErrDamaged, err)
--- a/internal/deadletter/eligibility.go
+++ b/internal/deadletter/eligibility.go
@@ -7,28 +7,28 @@
 	"cleathold/control"
 )
 
-// ClassRules are what a class allows, as the settings of the platform have it.
+// ClassRules are what the platform's settings allow for classes.
 type ClassRules struct {
 	Classes     map[string]control.Class
 	MaxAttempts int
 }
 
-// A NotEligible says why a record can't be sent again. It holds for good, unless
-// Passing.
+// NotEligible is the error for a record that may not be redelivered. Unless Temporary it never may.
 type NotEligible struct {
 	Reason    string
 	Temporary bool
 }
 
+// Error implements error.
 func (r *NotEligible) Error() string { return r.Reason }
 
+// neverEligible returns the error for a record that may never be redelivered.
 func neverEligible(format string, args ...any) *NotEligible {
 	return &NotEligible{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Eligible tells whether a record may be sent at a time, or why not. The clock
-// must be one that never goes back (Clock); where it did, sure is false and no
-// memory span can be judged.
+// Eligible returns why a record may not be redelivered now, or nil. The time must be of a clock that never goes back; where that can't be
+// known, sure is false, and keys count as forgotten.
 func (t *ClassRules) Eligible(r *Record, now time.Time, sure bool) *NotEligible {
 	class, known := t.Classes[r.Class]
 	at, _, ran := r.FirstRun()
@@ -55,7 +55,7 @@
 	case !sure:
 		return neverEligible("the clock went back, so whether the partner remembers its key can't be told")
 	case !now.Before(at.Add(class.KeyRetention - class.KeyRetention/4)):
-		// The repeat must arrive while the first is remembered: a quarter is kept for the way, as control does.
+		// The repeat must arrive while the key is retained; a quarter is left for its way, as in package control.
 		return neverEligible("it may have run %v ago, and the partner remembers its key for %v", now.Sub(at).Round(time.Millisecond), class.KeyRetention)
 	}
 	return nil
--- a/internal/deadletter/export.go
+++ b/internal/deadletter/export.go
@@ -8,20 +8,22 @@
 	"cleathold/internal/state"
 )
 
-// ExportLine is a record as it is exported: whole, with its body.
+// ExportLine is an exported record with its body.
 type ExportLine struct {
 	Record
 	Body string `json:"body"` // base64
 }
 
-// NewExportLine makes one.
+// NewExportLine returns the line for a record.
 func NewExportLine(r Record, body []byte) ExportLine {
 	return ExportLine{r, base64.StdEncoding.EncodeToString(body)}
 }
 
-// toRecord checks a line from outside and makes a new record of it. What
-// happened to the message since it was exported is not known here: it counts as
-// one that may have run, at an unknown time.
+// maxNameSize bounds the strings of an imported record, in bytes.
+const maxNameSize = 256
+
+// toRecord checks an imported line and returns a new record of it. What happened to the message since the export is unknown, so that it may
+// have run at any time.
 func (l *ExportLine) toRecord(now time.Time) (Record, []byte, error) {
 	body, err := base64.StdEncoding.DecodeString(l.Body)
 	switch {
@@ -29,7 +31,7 @@
 		return Record{}, nil, fmt.Errorf("body: %w", err)
 	case len(body) > state.MaxBody:
 		return Record{}, nil, fmt.Errorf("body: %d bytes, %d at most", len(body), state.MaxBody)
-	case l.ID == "" || len(l.ID) > 256 || len(l.Key) > 256 || len(l.Class) > 256 || len(l.Tenant) > 256 || len(l.Reason) > 256:
+	case l.ID == "" || max(len(l.ID), len(l.Key), len(l.Class), len(l.Tenant), len(l.Reason)) > maxNameSize:
 		return Record{}, nil, fmt.Errorf("id missing, or a name over 256 bytes")
 	case l.Class == "":
 		return Record{}, nil, fmt.Errorf("class missing")
@@ -46,7 +48,7 @@
 	return r, body, nil
 }
 
-// Export returns a page of records with their bodies, and where to go on.
+// Export returns a page of records with their bodies, and the position to go on after.
 func (t *Tx) Export(f Filter, after uint64, most int) (lines []ExportLine, next uint64, err error) {
 	list, next, err := t.List(f, after, most)
 	if err != nil {
--- a/internal/deadletter/frame.go
+++ b/internal/deadletter/frame.go
@@ -9,13 +9,13 @@
 	"cleathold/internal/state"
 )
 
-// Each value of the store is framed by itself, so that it can be told whole, or
-// found again in the raw file where the way to it is damaged: a mark, a kind, the
-// number and revision of its record, the length and checksum of what follows.
+// Each value of the store is framed: a mark, a kind, the sequence number and revision of its record, the length and checksum of the payload,
+// and the payload. A frame shows whether it is intact, and can be found in the raw file where the tree above it is damaged. Sizes are in
+// bytes.
 
 const (
 	frameHeaderSize = 4 + 1 + 8 + 8 + 4 + 4
-	maxPayload      = state.MaxBody + 1<<18 // a record's history and names are far smaller
+	maxPayload      = state.MaxBody + 1<<18 // far more than a record's history and names take
 
 	kindRecord = 'R'
 	kindBody   = 'B'
@@ -25,7 +25,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frame wraps what is kept of a record.
+// frame returns a payload in its frame.
 func frame(kind byte, seq, rev uint64, payload []byte) []byte {
 	to := make([]byte, 0, frameHeaderSize+len(payload))
 	to = append(append(to, frameMark...), kind)
@@ -36,20 +36,20 @@
 	return append(to, payload...)
 }
 
-// frameSum covers the head, up to the sum itself, and the payload.
+// frameSum returns the checksum of the header, up to the checksum, and the payload.
 func frameSum(head, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(head[:frameHeaderSize-4], castagnoli), castagnoli, payload)
 }
 
-// A framed is a frame taken apart.
+// framed is a decoded frame.
 type framed struct {
 	kind     byte
 	seq, rev uint64
 	payload  []byte
-	size     int // of the frame
+	size     int // of the whole frame
 }
 
-// unframe reads the frame that data starts with, or tells that there is none whole.
+// unframe decodes the frame at the start of data. It returns false if there is no intact one.
 func unframe(data []byte) (framed, bool) {
 	if len(data) < frameHeaderSize || !bytes.Equal(data[:4], frameMark) {
 		return framed{}, false
@@ -62,10 +62,10 @@
 	return p, frameSum(data, p.payload) == binary.BigEndian.Uint32(data[25:])
 }
 
-// encode and decode turn a record into a payload and back. Its number and
-// revision are the frame's.
+// encode returns the payload of a record.
 func encode(r *Record) ([]byte, error) { return json.Marshal(r) }
 
+// decode returns the record in a frame, with the sequence number and revision of the frame.
 func decode(p framed) (Record, bool) {
 	var r Record
 	if p.kind != kindRecord || json.Unmarshal(p.payload, &r) != nil {
@@ -75,12 +75,17 @@
 	return r, true
 }
 
+// encodeUint encodes a number in a key.
 func encodeUint(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// encodeInt keeps the order of whole numbers, those below zero first.
+// encodeInt encodes a signed number in a key so that keys are in the order of the numbers.
 func encodeInt(n int) []byte { return encodeUint(uint64(int64(n)) ^ 1<<63) }
 
-// encodeName ends a name in a key, so that no name is the start of another.
+// encodeName encodes a name in a key. Its end is marked, so that no name is a prefix of another.
 func encodeName(s string) []byte { return append([]byte(s), 0) }
 
+// join concatenates the parts of a key.
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
+
+// decodeInt decodes a number of encodeInt.
+func decodeInt(b []byte) int { return int(int64(binary.BigEndian.Uint64(b) ^ 1<<63)) }
--- a/internal/deadletter/index.go
+++ b/internal/deadletter/index.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// An entry of an index.
+// indexEntry is an entry of an index.
 type indexEntry struct{ bucket, key, value []byte }
 
-// indexEntries are the index entries of a record.
+// indexEntries returns the index entries of a record.
 func indexEntries(r *Record) []indexEntry {
 	seq := encodeUint(r.Sequence)
 	list := []indexEntry{
@@ -39,14 +39,14 @@
 	return list
 }
 
-// countKey counts a record's key, as it comes or goes.
+// countKey adds by to the count of a record's key, if the record is held or ordered.
 func (t *Tx) countKey(r *Record, by int32) {
 	if r.Key != "" && (r.State == Held || r.State == Ordered) {
 		t.keyCounts[keyHash(r.Class, r.Key)] += by
 	}
 }
 
-// byKey lists the held and ordered records with a key.
+// byKey returns the held and ordered records with a key.
 func (t *Tx) byKey(class, key string) (seqs []uint64) {
 	prefix := join(encodeName(class), encodeName(key))
 	c := t.Bucket(bucketKeys).Cursor()
@@ -56,7 +56,7 @@
 	return seqs
 }
 
-// removeFromIndexes takes a record out of the indexes. The id may by now be another record's.
+// removeFromIndexes removes the index entries of a record. Its id may belong to another record by now.
 func (t *Tx) removeFromIndexes(r *Record) error {
 	for _, s := range indexEntries(r) {
 		b := t.Bucket(s.bucket)
@@ -72,5 +72,5 @@
 
 var keySeed = maphash.MakeSeed()
 
-// keyHash stands for a key in memory. Two keys of one hash cost a look at the file.
+// keyHash returns the hash of a key. A collision only costs a read of the file.
 func keyHash(class, key string) uint64 { return maphash.String(keySeed, class+"\x00"+key) }
--- a/internal/deadletter/query.go
+++ b/internal/deadletter/query.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// Filter says which records are meant. Empty fields mean any.
+// Filter selects records. An empty field matches any.
 type Filter struct {
 	Destination *int      `json:"destination,omitempty"`
 	Class       string    `json:"class,omitempty"`
 	Tenant      string    `json:"tenant,omitempty"`
 	Reason      string    `json:"reason,omitempty"`
 	State       State     `json:"state,omitempty"`
-	Since       time.Time `json:"since,omitzero"` // held then or later
+	Since       time.Time `json:"since,omitzero"` // held at this time or later
 	Before      time.Time `json:"before,omitzero"`
 }
 
-// Empty tells whether all records are meant.
+// Empty reports whether the filter matches all records.
 func (f *Filter) Empty() bool { return *f == Filter{} }
 
-// matches tells whether a record is meant.
+// matches reports whether a record matches.
 func (f *Filter) matches(r *Record) bool {
 	return (f.Destination == nil || *f.Destination == r.Destination) &&
 		(f.Class == "" || f.Class == r.Class) && (f.Tenant == "" || f.Tenant == r.Tenant) &&
@@ -33,8 +33,8 @@
 		(f.Since.IsZero() || !r.HeldAt.Before(f.Since)) && (f.Before.IsZero() || r.HeldAt.Before(f.Before))
 }
 
-// index chooses the index to go by: bucket and the prefix of its keys. Numbers
-// grow with the time of holding, so each index is in the order of both.
+// index returns the index to use: its bucket and the prefix of its keys. Sequence numbers grow with the time held, so that each index is in
+// the order of both.
 func (f *Filter) index() (bucket, prefix []byte) {
 	switch {
 	case f.Destination != nil:
@@ -51,25 +51,24 @@
 	return bucketRecords, nil
 }
 
-// maxScanned bounds the records that one page may look at.
+// maxScanned bounds the records that are read for one page.
 const maxScanned = 20_000
 
-// List returns the records that fit, from the first number after one on, and
-// the number to go on after; 0 when there are no more. A page looks at so many
-// records at most: it may be short, or empty, and still not be the last.
-func (t *Tx) List(f Filter, after uint64, most int) (list []Record, next uint64, err error) {
+// List returns up to limit matching records behind a position, and the position to go on after; 0: there are no more. A page that is short,
+// or empty, may still not be the last, since the records read for it are bounded.
+func (t *Tx) List(f Filter, after uint64, limit int) (list []Record, next uint64, err error) {
 	if after == 0 && !f.Since.IsZero() {
 		after = t.firstSince(f.Since)
 	}
 	bucket, prefix := f.index()
 	c := t.Bucket(bucket).Cursor()
-	looks := 0
+	scanned := 0
 	for k, _ := c.Seek(join(prefix, encodeUint(after+1))); bytes.HasPrefix(k, prefix) && len(k) == len(prefix)+8; k, _ = c.Next() {
 		seq := binary.BigEndian.Uint64(k[len(prefix):])
-		if len(list) >= most || looks >= maxScanned {
+		if len(list) >= limit || scanned >= maxScanned {
 			return list, after, nil
 		}
-		looks++
+		scanned++
 		r, err := t.Get(seq)
 		if errors.Is(err, ErrNotFound) {
 			err = fmt.Errorf("%w: an index leads to number %d, which is not there", ErrDamaged, seq)
@@ -81,13 +80,13 @@
 		if f.matches(&r) {
 			list = append(list, r)
 		} else if !f.Before.IsZero() && !r.HeldAt.Before(f.Before) {
-			break // all that follow were held later
+			break // all following records were held later
 		}
 	}
 	return list, 0, nil
 }
 
-// firstSince returns the number before the first record held since a time.
+// firstSince returns the position before the first record held since a time.
 func (t *Tx) firstSince(since time.Time) uint64 {
 	k, _ := t.Bucket(bucketTimes).Cursor().Seek(encodeUint(uint64(max(0, since.UnixMicro()))))
 	if len(k) != 16 {
@@ -96,31 +95,32 @@
 	return binary.BigEndian.Uint64(k[8:]) - 1
 }
 
-// Group counts records that have a thing in common.
+// Group counts the records with a value in common.
 type Group struct {
 	Name    string `json:"name"`
 	Records int    `json:"records"`
 }
 
-// Stats tells what a store holds.
+// Stats describes the content of a store.
 type Stats struct {
 	Records int       `json:"records"`
 	Bytes   int64     `json:"bytes"`
 	File    int64     `json:"file_bytes"`
-	Owed    int       `json:"not_yet_told"` // the platform has not yet taken their notices
+	Owed    int       `json:"not_yet_told"` // the platform has not acknowledged their delivery reports
 	Evicted uint64    `json:"evicted_open"`
 	Aged    uint64    `json:"evicted_by_age"`
-	Oldest  time.Time `json:"oldest,omitzero"` // of the open ones
+	Oldest  time.Time `json:"oldest,omitzero"` // the oldest open record
 	States  []Group   `json:"states"`
 	Reasons []Group   `json:"reasons"`
 	Classes []Group   `json:"classes"`
-	Tenants []Group   `json:"tenants"`      // the largest
+	Tenants []Group   `json:"tenants"`      // the largest groups
 	Dests   []Group   `json:"destinations"` // the largest
 }
 
-const maxGroups = 20 // groups of a kind that Stats names
+// maxGroups bounds the groups of a kind in Stats.
+const maxGroups = 20
 
-// Stats counts, by the indexes alone.
+// Stats counts by the indexes alone.
 func (t *Tx) Stats() (Stats, error) {
 	s := Stats{
 		Records: int(t.counter(metaCount)), Bytes: int64(t.counter(metaBytes)), File: t.Size(),
@@ -144,18 +144,20 @@
 	return s, nil
 }
 
+// nameOf decodes a name in a key.
 func nameOf(k []byte) string { return strings.TrimSuffix(string(k), "\x00") }
 
+// numberOf decodes a number in a key, as text.
 func numberOf(k []byte) string { return strconv.Itoa(decodeInt(k)) }
 
-// groups counts the keys of an index by what stands before the number.
-func (t *Tx) groups(bucket []byte, word func([]byte) string) []Group {
+// groups counts the keys of an index by the value before the sequence number, the largest groups first.
+func (t *Tx) groups(bucket []byte, decode func([]byte) string) []Group {
 	var list []Group
 	var last []byte
 	c := t.Bucket(bucket).Cursor()
 	for k, _ := c.First(); len(k) > 8; k, _ = c.Next() {
 		if p := k[:len(k)-8]; list == nil || !bytes.Equal(p, last) {
-			list = append(list, Group{Name: word(p)})
+			list = append(list, Group{Name: decode(p)})
 			last = bytes.Clone(p)
 		}
 		list[len(list)-1].Records++
@@ -164,7 +166,7 @@
 	return list[:min(len(list), maxGroups)]
 }
 
-// readyDestinations lists the destinations that have records ready to be sent.
+// readyDestinations returns the destinations with records that are ready to be redelivered.
 func (t *Tx) readyDestinations() []int {
 	var list []int
 	c := t.Bucket(bucketReady).Cursor()
@@ -179,7 +181,7 @@
 	return list
 }
 
-// readyTenants lists the tenants that have records ready for a destination.
+// readyTenants returns the tenants with records that are ready for a destination.
 func (t *Tx) readyTenants(dest int) []string {
 	var list []string
 	prefix := encodeInt(dest)
@@ -192,7 +194,7 @@
 	return list
 }
 
-// readyFirst is the record of a tenant that was held first, of those ready for a destination.
+// readyFirst returns the first of a tenant's records that are ready for a destination.
 func (t *Tx) readyFirst(dest int, tenant string) (uint64, bool) {
 	prefix := join(encodeInt(dest), encodeName(tenant))
 	k, _ := t.Bucket(bucketReady).Cursor().Seek(prefix)
@@ -202,12 +204,12 @@
 	return binary.BigEndian.Uint64(k[len(prefix):]), true
 }
 
-// due lists the records whose time has come, and when the next one's will.
-func (t *Tx) due(now time.Time, most int) (seqs []uint64, next time.Time) {
+// due returns up to limit records that are due for review, and the time at which the next one will be.
+func (t *Tx) due(now time.Time, limit int) (seqs []uint64, next time.Time) {
 	c := t.Bucket(bucketDue).Cursor()
 	for k, _ := c.First(); len(k) == 16; k, _ = c.Next() {
 		at := time.UnixMicro(int64(binary.BigEndian.Uint64(k)))
-		if at.After(now) || len(seqs) >= most {
+		if at.After(now) || len(seqs) >= limit {
 			return seqs, at
 		}
 		seqs = append(seqs, binary.BigEndian.Uint64(k[8:]))
--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -176,24 +176,24 @@
 func (q *Queue) since() time.Duration { return time.Since(q.clock.start) }
 
 // Accepts asks the rule hold whether a message becomes a dead letter. While the store fails or too many dead letters wait, none does.
-func (q *Queue) Accepts(p *state.DeadLetter) bool {
+func (q *Queue) Accepts(letter *state.DeadLetter) bool {
 	q.mu.Lock()
 	full := q.failing || q.newLetters >= q.settings.Held.Queue
 	set, words := q.settings, q.platform.Load()
-	partner := q.partner(p.Message.Destination)
+	partner := q.partner(letter.Message.Destination)
 	q.mu.Unlock()
 	if full {
 		q.warnOnce("dead letter not accepted: the store fails or its queue is full")
 		return false
 	}
-	ran := false
-	for _, t := range p.Attempts {
-		ran = ran || t.Open || t.Result.MayHaveRun()
+	mayHaveRun := false
+	for _, t := range letter.Attempts {
+		mayHaveRun = mayHaveRun || t.Open || t.Result.MayHaveRun()
 	}
 	hold, err := set.Hold(settings.Record{
-		ID: p.Message.ID, Key: p.Message.Key, Class: nameAt(words.Classes, p.Message.Class), Tenant: nameAt(words.Tenants, p.Message.Tenant),
-		Destination: p.Message.Destination, Size: len(p.Message.Body), Reason: p.Reason, MayHaveRun: ran, Deferred: p.Deferred,
-		Attempts: p.AttemptCount, TimeLeft: max(0, p.Message.Deadline.Sub(p.At)),
+		ID: letter.Message.ID, Key: letter.Message.Key, Class: nameAt(words.Classes, letter.Message.Class), Tenant: nameAt(words.Tenants, letter.Message.Tenant),
+		Destination: letter.Message.Destination, Size: len(letter.Message.Body), Reason: letter.Reason, MayHaveRun: mayHaveRun, Deferred: letter.Deferred,
+		Attempts: letter.AttemptCount, TimeLeft: max(0, letter.Message.Deadline.Sub(letter.At)),
 	}, partner)
 	if err != nil {
 		q.warnOnce("rule hold failed", "err", err.Error())
@@ -225,15 +225,15 @@
 	now := time.Now()
 	q.mu.Lock()
 	last, known := q.logged[id]
-	speak := !known || now.Sub(last) >= logInterval
+	due := !known || now.Sub(last) >= logInterval
 	if len(q.logged) > 256 {
 		clear(q.logged)
 	}
-	if speak {
+	if due {
 		q.logged[id] = now
 	}
 	q.mu.Unlock()
-	if speak {
+	if due {
 		q.log.Warn(text, args...)
 	}
 }
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -1,7 +1,6 @@
-// Package deadletter keeps messages that could not be delivered: a store on bbolt, the
-// keeper that alone writes it, and the ways to look into it. What may be sent
-// again, and when, is decided in Eligible here, by the rules of the settings and
-// by internal/resend; the controller decides about each message once more.
+// Package deadletter is the queue of messages that could not be delivered. It owns a store on bbolt, which the goroutine of Queue.Run alone
+// writes, and the rules by which a dead letter may be sent again: ClassRules.Eligible, the rules of the settings and the rates of package
+// redelivery. It does not send by itself: redeliveries are events for the event loop, whose controller decides about each message again.
 package deadletter
 
 import (
@@ -11,76 +10,76 @@
 	"cleathold/internal/state"
 )
 
-// State is where a record stands.
+// State is the state of a record. Its values are stored.
 type State string
 
 // The states. The first three are open, the others ended.
 const (
-	Held       State = "held"       // kept until somebody or a rule decides
-	Ordered    State = "ordered"    // to be sent again, up to a time
-	Out        State = "out"        // with the sender: counts as sent
-	Delivered  State = "delivered"  // a resend was delivered
+	Held       State = "held"       // until an operator or a rule decides
+	Ordered    State = "ordered"    // to be redelivered, up to a time
+	Out        State = "out"        // in redelivery; counts as sent
+	Delivered  State = "delivered"  // by a redelivery
 	Dropped    State = "dropped"    // by an operator or a rule
-	Superseded State = "superseded" // its client handed the key in anew
-	Over       State = "over"       // the partner's side says that nothing is owed
+	Superseded State = "superseded" // its client submitted the key anew
+	Over       State = "over"       // the partner said that nothing more is owed
 )
 
-// Ended tells that nothing more becomes of a record.
+// Ended reports whether the record has ended.
 func (s State) Ended() bool { return s != Held && s != Ordered && s != Out }
 
-// Attempt is one attempt of a record's history.
+// Attempt is one attempt in the history of a record.
 type Attempt struct {
-	Target     string    `json:"target,omitempty"` // its id; empty = not known
+	Target     string    `json:"target,omitempty"` // id of the endpoint; empty: unknown
 	Zone       int       `json:"zone"`
-	At         time.Time `json:"at"` // zero = not known
+	At         time.Time `json:"at"` // zero: unknown
 	Result     string    `json:"result"`
 	MayHaveRun bool      `json:"may_have_run"`
-	Redelivery int       `json:"resend,omitempty"` // the resend it belongs to; 0 = the message's own time
+	Redelivery int       `json:"resend,omitempty"` // number of the redelivery; 0: before the message became a dead letter
 }
 
-// Event is one thing that was done with a record.
+// Event is something that was done with a record.
 type Event struct {
 	At   time.Time `json:"at"`
 	Kind string    `json:"what"`
 	By   string    `json:"by,omitempty"` // "uid 1000", "rule", "sender"
 }
 
-// Record is one held message, without its body.
+// Record is a dead letter without its body.
 type Record struct {
-	Sequence     uint64    `json:"seq"` // its number in the store, which commands take as ID
+	Sequence     uint64    `json:"seq"` // its number in the store, by which commands name it
 	Revision     uint64    `json:"rev"` // counts its changes
 	State        State     `json:"state"`
-	ID           string    `json:"id"` // as its client named it: it goes out under this id again
+	ID           string    `json:"id"` // the client's id; redeliveries go out under it
 	Key          string    `json:"key,omitempty"`
 	Class        string    `json:"class"`
 	Tenant       string    `json:"tenant,omitempty"`
 	Destination  int       `json:"destination"`
 	Size         int       `json:"size"` // bytes of the body
 	Reason       string    `json:"reason"`
-	Deferred     bool      `json:"deferred,omitempty"` // without the store it would have been its client's again
+	Deferred     bool      `json:"deferred,omitempty"` // its client would have been told to come again
 	Deadline     time.Time `json:"deadline"`
 	HeldAt       time.Time `json:"held_at"`
-	AttemptCount int       `json:"sends"` // attempts in all
+	AttemptCount int       `json:"sends"` // redeliveries included
 	Redeliveries int       `json:"resends"`
-	// HistoryIncomplete: the history is not whole, so that any attempt may have run, at any time.
+	// HistoryIncomplete: attempts are missing from the history; one may have run at any time.
 	HistoryIncomplete bool      `json:"doubt,omitempty"`
 	Attempts          []Attempt `json:"attempts,omitempty"`
 	Events            []Event   `json:"deeds,omitempty"`
 
-	Until       time.Time `json:"until,omitzero"`      // ordered: given up for now after this
+	Until       time.Time `json:"until,omitzero"`      // ordered: the order expires then
 	NotBefore   time.Time `json:"not_before,omitzero"` // ordered: not before this
-	Ready       bool      `json:"ready,omitempty"`     // ordered, and its time has come
-	ReviewAt    time.Time `json:"ask_at,omitzero"`     // held: when the rule is asked next
+	Ready       bool      `json:"ready,omitempty"`     // ordered, and due
+	ReviewAt    time.Time `json:"ask_at,omitzero"`     // held: the rule after is asked then
 	EndedAt     time.Time `json:"ended_at,omitzero"`
-	BodyMissing bool      `json:"no_body,omitempty"` // the body is gone: ended, or lost to damage
+	BodyMissing bool      `json:"no_body,omitempty"` // the record has ended, or the body was lost to damage
 }
 
 const (
-	maxAttempts = 64 // kept of a record's history; the first ones, which count for what may have run
-	maxEvents   = 32 // the latest
+	maxAttempts = 64 // in the history of a record: the first ones, which decide whether it may have run
+	maxEvents   = 32 // the latest ones
 )
 
-// addEvent notes what was done; only the latest deeds are kept.
+// addEvent adds an event. Only the latest ones are kept.
 func (r *Record) addEvent(now time.Time, what, by string) {
 	r.Events = append(r.Events, Event{now, what, by})
 	if n := len(r.Events) - maxEvents; n > 0 {
@@ -88,8 +87,7 @@
 	}
 }
 
-// addAttempts notes attempts. Where there is no room for one that may have run, the
-// history is in doubt.
+// addAttempts adds attempts. If the first one that may have run is beyond the limit, the history is incomplete.
 func (r *Record) addAttempts(list []Attempt) {
 	for _, a := range list {
 		if len(r.Attempts) < maxAttempts {
@@ -100,8 +98,7 @@
 	}
 }
 
-// FirstRun tells whether the message may have run, when the first such attempt was
-// sent and to which zone. A zero time: not known.
+// FirstRun reports whether the message may have run, and when and to which zone the first such attempt was sent. A zero time is unknown.
 func (r *Record) FirstRun() (at time.Time, zone int, ran bool) {
 	for _, a := range r.Attempts {
 		if !a.MayHaveRun {
@@ -126,18 +123,18 @@
 	r.Until, r.NotBefore, r.ReviewAt = time.Time{}, time.Time{}, time.Time{}
 }
 
-// schedule has a record sent again.
+// schedule orders a record to be redelivered.
 func (r *Record) schedule(notBefore, until time.Time) {
 	r.State, r.NotBefore, r.Until, r.Ready, r.ReviewAt = Ordered, notBefore, until, false, time.Time{}
 }
 
-// unschedule takes a record back among the held ones.
+// unschedule makes a record held, with the time of its next review; zero: none.
 func (r *Record) unschedule(askAt time.Time) {
 	r.State, r.Ready, r.ReviewAt = Held, false, askAt
 	r.Until, r.NotBefore = time.Time{}, time.Time{}
 }
 
-// resultNames are the words for what came of an attempt.
+// resultNames are the names of results in stored records.
 var resultNames = map[control.Result]string{
 	control.Unknown: "unknown", control.Served: "served", control.Failed: "error", control.Rejected: "refused",
 	control.TimedOut: "timed-out", control.ConnectFailed: "no-connection", control.ConnectionLost: "reset",
@@ -145,7 +142,7 @@
 	control.ConnectionRejected: "no-room",
 }
 
-// attemptsOf turns the loop's history into a record's.
+// attemptsOf converts attempts of the event loop.
 func attemptsOf(tries []state.AttemptRecord, resend int) []Attempt {
 	list := make([]Attempt, 0, len(tries))
 	for _, t := range tries {
--- a/internal/deadletter/recover.go
+++ b/internal/deadletter/recover.go
@@ -173,7 +173,7 @@
 	}
 	damaged := false
 	err := records.ForEach(func(k, v []byte) error {
-		if p, whole := unframe(v); whole && p.kind == kindRecord && len(k) == 8 && p.seq == binary.BigEndian.Uint64(k) {
+		if p, intact := unframe(v); intact && p.kind == kindRecord && len(k) == 8 && p.seq == binary.BigEndian.Uint64(k) {
 			f.treeRevisions[p.seq] = p.rev
 		} else {
 			damaged = true
@@ -210,8 +210,8 @@
 				break
 			}
 			i += j
-			p, whole := unframe(data[i:])
-			if !whole {
+			p, intact := unframe(data[i:])
+			if !intact {
 				i++
 				continue
 			}
@@ -270,9 +270,9 @@
 
 // recoverRecord restores a record from the raw file, if it can be read.
 func (t *Tx) recoverRecord(raw io.ReaderAt, found *recovered, sequence uint64, result *recoveryResult) error {
-	p, whole := readFrame(raw, found.records[sequence])
+	p, intact := readFrame(raw, found.records[sequence])
 	r, ok := decode(p)
-	if !whole || !ok {
+	if !intact || !ok {
 		return nil
 	}
 	if revision, inTree := found.treeRevisions[sequence]; inTree && revision == r.Revision {
@@ -287,8 +287,8 @@
 	}
 	var body []byte
 	if !r.State.Ended() {
-		b, whole := readFrame(raw, found.bodies[sequence])
-		if !whole || b.kind != kindBody {
+		b, intact := readFrame(raw, found.bodies[sequence])
+		if !intact || b.kind != kindBody {
 			result.bodiesLost++
 			r.BodyMissing = true
 		}
--- a/internal/deadletter/schema.go
+++ b/internal/deadletter/schema.go
@@ -8,25 +8,32 @@
 	bolt "go.etcd.io/bbolt"
 )
 
+// The buckets. Records and bodies are framed values; the others are indexes, whose keys follow from the record alone.
 var (
-	bucketMeta     = []byte("meta")
-	bucketRecords  = []byte("records") // seq -> record
-	bucketBodies   = []byte("bodies")  // seq -> body
-	bucketIDs      = []byte("ids")     // id -> seq
-	bucketKeys     = []byte("keys")    // class, key, seq; held and ordered ones
-	bucketOwed     = []byte("owed")    // ids that the journal may bring once more
-	bucketReady    = []byte("ready")   // destination, tenant, seq: ordered, and its time has come
-	bucketDue      = []byte("due")     // time, seq: looked at then
-	bucketEnded    = []byte("ended")   // time, seq
-	bucketTimes    = []byte("times")   // held at, seq
-	bucketDests    = []byte("destinations")
-	bucketTenants  = []byte("tenants")
-	bucketClasses  = []byte("classes")
-	bucketReasons  = []byte("reasons")
-	bucketStates   = []byte("states")
-	bucketAudit    = []byte("audit")
-	allBuckets     = [][]byte{bucketMeta, bucketRecords, bucketBodies, bucketIDs, bucketKeys, bucketOwed, bucketReady, bucketDue, bucketEnded, bucketTimes, bucketDests, bucketTenants, bucketClasses, bucketReasons, bucketStates, bucketAudit}
-	indexedBuckets = [][]byte{bucketIDs, bucketKeys, bucketReady, bucketDue, bucketEnded, bucketTimes, bucketDests, bucketTenants, bucketClasses, bucketReasons, bucketStates}
+	bucketMeta    = []byte("meta")
+	bucketRecords = []byte("records") // seq -> record
+	bucketBodies  = []byte("bodies")  // seq -> body
+	bucketIDs     = []byte("ids")     // id -> seq
+	bucketKeys    = []byte("keys")    // class, key, seq; held and ordered ones
+	bucketOwed    = []byte("owed")    // ids of messages whose delivery report is not acknowledged
+	bucketReady   = []byte("ready")   // destination, tenant, seq: ordered, and its time has come
+	bucketDue     = []byte("due")     // time, seq: due for review then
+	bucketEnded   = []byte("ended")   // time, seq
+	bucketTimes   = []byte("times")   // time held, seq
+	bucketDests   = []byte("destinations")
+	bucketTenants = []byte("tenants")
+	bucketClasses = []byte("classes")
+	bucketReasons = []byte("reasons")
+	bucketStates  = []byte("states")
+	bucketAudit   = []byte("audit")
+	allBuckets    = [][]byte{
+		bucketMeta, bucketRecords, bucketBodies, bucketIDs, bucketKeys, bucketOwed, bucketReady, bucketDue, bucketEnded, bucketTimes,
+		bucketDests, bucketTenants, bucketClasses, bucketReasons, bucketStates, bucketAudit,
+	}
+	indexedBuckets = [][]byte{
+		bucketIDs, bucketKeys, bucketReady, bucketDue, bucketEnded, bucketTimes, bucketDests, bucketTenants, bucketClasses,
+		bucketReasons, bucketStates,
+	}
 )
 
 // The counters in the meta bucket.
@@ -39,7 +46,7 @@
 	metaLatest  = "latest" // the latest time seen, Unix microseconds
 )
 
-// hasBuckets tells whether there is nothing to prepare.
+// hasBuckets returns an error unless all buckets exist.
 func hasBuckets(tx *bolt.Tx) error {
 	for _, name := range allBuckets {
 		if tx.Bucket(name) == nil {
@@ -49,6 +56,7 @@
 	return nil
 }
 
+// createBuckets creates missing buckets and checks the version of the format.
 func createBuckets(tx *bolt.Tx) error {
 	for _, name := range allBuckets {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -64,7 +72,7 @@
 	return nil
 }
 
-// verify reads each record's frame, and counts the open ones by destination.
+// verify checks the frame of each record, and counts open records by destination and held keys.
 func (s *Store) verify(tx *bolt.Tx) error {
 	for _, name := range allBuckets {
 		if tx.Bucket(name) == nil {
@@ -78,7 +86,7 @@
 	n := uint64(0)
 	err := tx.Bucket(bucketRecords).ForEach(func(k, v []byte) error {
 		n++
-		if p, whole := unframe(v); !whole || len(k) != 8 || p.kind != kindRecord || p.seq != binary.BigEndian.Uint64(k) {
+		if p, intact := unframe(v); !intact || len(k) != 8 || p.kind != kindRecord || p.seq != binary.BigEndian.Uint64(k) {
 			return fmt.Errorf("%w: record %x", ErrDamaged, k)
 		}
 		return nil
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -17,18 +16,16 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// The store is one bbolt file. Records and bodies are framed values; all other
-// buckets are indexes, whose keys follow from the record alone.
 const (
 	fileName        = "held.db"
 	lockName        = "held.lock"
-	lockTimeout     = 2 * time.Second // a predecessor may still be ending
+	lockTimeout     = 2 * time.Second // the predecessor may still be ending
 	formatVersion   = 1
 	maxAuditEntries = 10_000 // entries
-	maxEvictions    = 2_000  // records evicted in one go
+	maxEvictions    = 2_000  // records in one transaction
 )
 
-// Errors of the store.
+// Errors of a store.
 var (
 	ErrNotFound = errors.New("held: no such record")
 	ErrInUse    = errors.New("held: another process has the store open; ask the running sender by --socket")
@@ -36,11 +33,11 @@
 	ErrNewer    = errors.New("held: the store was written by a newer version")
 )
 
-// Store is the file. Any goroutine may read; one alone may write.
+// Store is an open store: one bbolt file. Any goroutine may read; one alone may write.
 type Store struct {
 	db   *bolt.DB
-	lock *os.File // held as long as the store is open
-	file *os.File // bbolt's own
+	lock *os.File // locked as long as the store is open
+	file *os.File // bbolt's own handle
 	path string
 
 	mu         sync.Mutex
@@ -48,21 +45,21 @@
 	keyCounts  map[uint64]int32 // held and ordered records by the hash of class and key
 }
 
-// Count is the number of open records for a destination.
+// Count returns the number of open records for a destination.
 func (s *Store) Count(dest int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.openCounts[dest]
 }
 
-// MayContain tells whether a record with that key may be held: false is certain.
+// MayContain reports whether a held or ordered record with a key may exist; false is certain.
 func (s *Store) MayContain(class, key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.keyCounts[keyHash(class, key)] > 0
 }
 
-// applyDeltas applies what a transaction changed. One that falls to nothing is forgotten.
+// applyDeltas adds the changes of a transaction to counts, and removes those that fall to zero.
 func applyDeltas[K comparable, N int | int32](to map[K]N, by map[K]N) {
 	for k, n := range by {
 		if to[k] += n; to[k] <= 0 {
@@ -71,13 +68,11 @@
 	}
 }
 
-// Open opens the store of a folder for writing, and makes one if there is none.
-// A damaged file is set aside under another name, and what can be read of it is
-// taken over; both are said in the log.
+// Open opens the store of a folder for writing, or creates one. A damaged file is renamed, and what can be read of it goes into a new one;
+// both are logged. It returns ErrInUse where another process has the store, and ErrNewer for a newer format.
 func Open(folder string, log *slog.Logger) (*Store, error) { return openOrRecover(folder, nil, log) }
 
-// openOrRecover is Open for a store that was found to be damaged at work (cause): it is
-// taken over even if it looks whole now.
+// openOrRecover is Open. With a cause, the damage that was found while the store was in use, it recovers the store even if it looks intact.
 func openOrRecover(folder string, cause error, log *slog.Logger) (*Store, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
@@ -106,7 +101,7 @@
 	return s, nil
 }
 
-// OpenReading opens the store of a folder whose sender does not run.
+// OpenReading opens the store of a folder for reading. It returns ErrInUse while a sender has it.
 func OpenReading(folder string) (*Store, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
@@ -125,8 +120,7 @@
 	return s, nil
 }
 
-// lockFolder keeps other processes off: a writer all of them, a reader writers.
-// The lock ends with the process.
+// lockFolder locks a folder: a writer against all other processes, a reader against writers. The lock ends with the process.
 func lockFolder(folder string, reading bool) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(folder, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -154,15 +148,16 @@
 	return f, nil
 }
 
+// open opens and verifies a file, which must be locked.
 func open(path string, reading bool) (*Store, error) {
 	if err := checkMetaPages(path); err != nil {
 		return nil, err
 	}
 	s := &Store{path: path, openCounts: map[int]int{}, keyCounts: map[uint64]int32{}}
-	var file *os.File // a panic within bolt.Open leaves it open, and locked
+	var file *os.File // a panic in bolt.Open leaves it open and locked
 	err := recoverPanics(func() error {
-		// The list of free pages is kept in the file: without it bbolt walks all pages on a
-		// goroutine of its own as it opens, and a damaged one would end the process there.
+		// The free list is stored in the file. Without it bbolt would read all pages on a goroutine of its own, where a damaged one would
+		// end the process.
 		db, err := bolt.Open(path, 0o600, &bolt.Options{
 			Timeout: lockTimeout, ReadOnly: reading, FreelistType: bolt.FreelistMapType, NoStatistics: true,
 			OpenFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
@@ -198,14 +193,13 @@
 	return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 }
 
-// isSystem tells an error of the disk from one of what stands on it.
+// isSystem reports whether an error is one of the file system, not of the content.
 func isSystem(err error) bool {
 	var p *os.PathError
 	return errors.As(err, &p)
 }
 
-// recoverPanics runs something on the file. bbolt takes the file for whole: where it is
-// not, it may panic, or read beyond what there is.
+// recoverPanics runs f and returns a panic in it as ErrDamaged: bbolt panics, or reads beyond the end, where the file is damaged.
 func recoverPanics(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -216,7 +210,7 @@
 	return f()
 }
 
-// Update runs a change as one transaction. Only the writer calls it.
+// Update runs a write transaction. Only the writer calls it.
 func (s *Store) Update(f func(*Tx) error) error {
 	return recoverPanics(func() error {
 		var t *Tx
@@ -234,14 +228,13 @@
 	})
 }
 
-// View runs a look at the store.
+// View runs a read transaction.
 func (s *Store) View(f func(*Tx) error) error {
 	return recoverPanics(func() error { return s.db.View(func(tx *bolt.Tx) error { return f(&Tx{Tx: tx}) }) })
 }
 
-// abandon leaves a damaged store. bbolt's own Close may wait for good for what a
-// panic within it has locked, and what it has mapped keeps the lock on the file: the
-// lock goes, and the mapping stays with the process.
+// abandon gives up a damaged store. bbolt's Close could wait forever for a mutex that was locked at a panic, and its mapping would keep the
+// file locked; so the lock is released here, and the mapping stays until the process ends.
 func (s *Store) abandon() {
 	if s.file != nil {
 		syscall.Flock(int(s.file.Fd()), syscall.LOCK_UN)
@@ -252,7 +245,7 @@
 	}
 }
 
-// Close closes the file and lets others in.
+// Close closes the file and unlocks the folder.
 func (s *Store) Close() error {
 	err := recoverPanics(s.db.Close)
 	if s.lock != nil {
@@ -260,5 +253,3 @@
 	}
 	return err
 }
-
-func decodeInt(b []byte) int { return int(int64(binary.BigEndian.Uint64(b) ^ 1<<63)) }
--- a/internal/deadletter/tx.go
+++ b/internal/deadletter/tx.go
@@ -14,6 +14,7 @@
 	keyCounts  map[uint64]int32
 }
 
+// counter returns a counter of the meta bucket.
 func (t *Tx) counter(name string) uint64 {
 	if v := t.Bucket(bucketMeta).Get([]byte(name)); len(v) == 8 {
 		return binary.BigEndian.Uint64(v)
@@ -21,43 +22,43 @@
 	return 0
 }
 
+// addToCounter adds to a counter of the meta bucket.
 func (t *Tx) addToCounter(name string, by int64) error {
 	return t.Bucket(bucketMeta).Put([]byte(name), encodeUint(uint64(int64(t.counter(name))+by)))
 }
 
-// Get returns a record.
+// Get returns a record. It returns ErrNotFound or ErrDamaged.
 func (t *Tx) Get(seq uint64) (Record, error) {
 	v := t.Bucket(bucketRecords).Get(encodeUint(seq))
 	if v == nil {
 		return Record{}, fmt.Errorf("%w: %d", ErrNotFound, seq)
 	}
-	p, whole := unframe(v)
-	if r, ok := decode(p); whole && ok && p.seq == seq {
+	p, intact := unframe(v)
+	if r, ok := decode(p); intact && ok && p.seq == seq {
 		return r, nil
 	}
 	return Record{}, fmt.Errorf("%w: record %d", ErrDamaged, seq)
 }
 
-// Body returns the body of a record. It holds until the transaction ends.
+// Body returns the body of a record, which is valid until the transaction ends. It returns ErrNotFound or ErrDamaged.
 func (t *Tx) Body(seq uint64) ([]byte, error) {
 	v := t.Bucket(bucketBodies).Get(encodeUint(seq))
 	if v == nil {
 		return nil, fmt.Errorf("%w: body of %d", ErrNotFound, seq)
 	}
-	p, whole := unframe(v)
-	if !whole || p.kind != kindBody || p.seq != seq {
+	p, intact := unframe(v)
+	if !intact || p.kind != kindBody || p.seq != seq {
 		return nil, fmt.Errorf("%w: body of %d", ErrDamaged, seq)
 	}
 	return p.payload, nil
 }
 
-// storedSize is what a record counts toward the bound in bytes.
+// storedSize returns the bytes that a record counts toward the bound.
 func (t *Tx) storedSize(seq uint64) int64 {
 	return int64(len(t.Bucket(bucketRecords).Get(encodeUint(seq))) + len(t.Bucket(bucketBodies).Get(encodeUint(seq))))
 }
 
-// put writes a record in the place of its former state (nil: it is new), with
-// its indexes. A body that an ended record needs no more goes with it.
+// put writes a record and its index entries in place of its former state; nil: it is new. The body of an ended record is removed.
 func (t *Tx) put(r, former *Record) error {
 	before := t.storedSize(r.Sequence)
 	if former != nil {
@@ -93,7 +94,7 @@
 	return t.addToCounter(metaBytes, t.storedSize(r.Sequence)-before)
 }
 
-// change reads a record, has it changed and writes it.
+// change changes a record by f. An error of f leaves it as it is.
 func (t *Tx) change(seq uint64, f func(*Record) error) error {
 	former, err := t.Get(seq)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return t.put(&r, &former)
 }
 
-// byID finds the record of a message's id.
+// byID returns the sequence number of the record with a message's id.
 func (t *Tx) byID(id string) (uint64, bool) {
 	v := t.Bucket(bucketIDs).Get(encodeName(id))
 	if len(v) != 8 {
@@ -115,8 +116,8 @@
 	return binary.BigEndian.Uint64(v), true
 }
 
-// Add enters a new record with its body. Where the id is known already, nothing
-// changes: the journal may bring a message twice.
+// Add adds a record with its body. If the id is known it changes nothing and returns false: after a restart a dead letter may be reported
+// twice.
 func (t *Tx) Add(r *Record, body []byte) (added bool, err error) {
 	if _, known := t.byID(r.ID); known || t.Bucket(bucketOwed).Get(encodeName(r.ID)) != nil {
 		return false, nil
@@ -137,7 +138,7 @@
 	return true, t.addToCounter(metaCount, 1)
 }
 
-// remove takes a record out of the store for good.
+// remove deletes a record.
 func (t *Tx) remove(r *Record) error {
 	before := t.storedSize(r.Sequence)
 	if err := t.removeFromIndexes(r); err != nil {
@@ -158,13 +159,14 @@
 	return t.addToCounter(metaCount, -1)
 }
 
-// markReportPending notes that the journal may bring a message once more; settle that it can't.
+// markReportPending notes that the write-ahead log still has a message, and may report it again.
 func (t *Tx) markReportPending(id string) error {
 	return t.Bucket(bucketOwed).Put(encodeName(id), []byte{1})
 }
 
+// clearReportPending notes that the write-ahead log has forgotten a message.
 func (t *Tx) clearReportPending(id string) error { return t.Bucket(bucketOwed).Delete(encodeName(id)) }
 
-// ReportPending tells whether the journal still has a message: its client may not have
-// been told that it is undeliverable, so it must not be sent again yet.
+// ReportPending reports whether the write-ahead log still has a message. Its client may then not know yet that it is undeliverable, so that
+// it must not be redelivered.
 func (t *Tx) ReportPending(id string) bool { return t.Bucket(bucketOwed).Get(encodeName(id)) != nil }
