--- a/internal/deadletter/queue_test.go
+++ b/internal/deadletter/queue_test.go
@@ -90,25 +90,25 @@
 	k.Forget([]string{id})
 }
 
-func (k *Queue) record(t *testing.T, seq uint64) (r Record) {
+func (q *Queue) record(t *testing.T, seq uint64) (r Record) {
 	t.Helper()
-	if err := k.View(func(tx *Tx) (err error) { r, err = tx.Get(seq); return }); err != nil {
+	if err := q.View(func(tx *Tx) (err error) { r, err = tx.Get(seq); return }); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
 // until waits for a record to come to a state.
-func (k *Queue) until(t *testing.T, seq uint64, s State) Record {
+func (q *Queue) until(t *testing.T, seq uint64, s State) Record {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		var r Record
-		k.View(func(tx *Tx) (err error) { r, err = tx.Get(seq); return }) // it may not have come yet
+		q.View(func(tx *Tx) (err error) { r, err = tx.Get(seq); return }) // it may not have come yet
 		if r.State == s {
 			return r
 		}
 	}
-	t.Fatalf("never %s: %+v", s, k.record(t, seq))
+	t.Fatalf("never %s: %+v", s, q.record(t, seq))
 	return Record{}
 }
 
