--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -211,7 +211,7 @@
 func (f *fleet) duty(v rollout.Observation, tried uint64) duty {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := duty{timing: f.state.Terms.Timing, aside: f.state.ExclusionEpoch, outs: f.state.Outs()}
+	d := duty{timing: f.state.Terms.Timing, aside: f.state.ExclusionEpoch, outs: f.state.ExcludedEndpoints()}
 	if g := f.state.Grants[v.Sender]; g != nil {
 		copied := *g
 		d.grant, d.do = &copied, f.state.Duty(g, v, tried, time.Now())
--- /dev/null
+++ b/internal/rollout/command.go
@@ -0,0 +1,65 @@
+package rollout
+
+import "time"
+
+// Verb of a command.
+type Verb string
+
+// The verbs. Those of staff need an author and a reason.
+const (
+	SetTerms        Verb = "terms"        // Terms
+	SetRoster       Verb = "roster"       // Author, Roster: the senders of one agent
+	Start           Verb = "plan"         // New, Seen
+	Halt            Verb = "halt"         // Plan
+	Resume          Verb = "resume"       // Plan, Revision
+	RollBack        Verb = "back"         // Plan
+	Activate        Verb = "activate"     // Plan, Senders
+	GrantThese      Verb = "grant"        // Plan, Asks, Seen
+	Close           Verb = "close"        // Sender, Epoch, Sight
+	MarkOut         Verb = "out"          // Sender, Epoch
+	JudgeGate       Verb = "verdict"      // Plan, Stage, Good, Text
+	ExcludeEndpoint Verb = "endpoint out" // Endpoint, Listed
+	IncludeEndpoint Verb = "endpoint in"  // Endpoint
+)
+
+// GrantRequest is for leave for one sender.
+type GrantRequest struct {
+	Sender     string    `json:"sender"`
+	Process    string    `json:"process"`
+	ObservedAt time.Time `json:"saw"`
+}
+
+// Command is an entry of the log.
+type Command struct {
+	Verb        Verb           `json:"verb"`
+	ID          string         `json:"id,omitempty"` // the proposer's, by which it knows its own again
+	At          time.Time      `json:"at"`
+	By          string         `json:"by"`
+	Reason      string         `json:"reason,omitempty"`
+	Terms       *Terms         `json:"terms,omitempty"`
+	Roster      []Member       `json:"roster,omitempty"`
+	New         *Plan          `json:"new,omitempty"`
+	Plan        uint64         `json:"plan,omitempty"`
+	Revision    uint64         `json:"revision,omitempty"`
+	Senders     []string       `json:"senders,omitempty"`
+	Requests    []GrantRequest `json:"asks,omitempty"`
+	Seen        []string       `json:"seen,omitempty"` // senders seen serving by the proposer, none earlier than Fresh before At
+	Sender      string         `json:"sender,omitempty"`
+	Epoch       uint64         `json:"epoch,omitempty"`
+	Observation *Observation   `json:"sight,omitempty"`
+	Stage       int            `json:"stage,omitempty"`
+	Good        bool           `json:"good,omitempty"`
+	Text        string         `json:"text,omitempty"`
+	Others      *Sums          `json:"others,omitempty"` // of a stage that is left
+	Endpoint    string         `json:"endpoint,omitempty"`
+	Listed      []Endpoint     `json:"listed,omitempty"` // all that the proposer knows of
+}
+
+// Event is a line of the log that staff read.
+type Event struct {
+	Index  uint64    `json:"index"`
+	At     time.Time `json:"at"`
+	By     string    `json:"by"`
+	Reason string    `json:"reason,omitempty"`
+	Text   string    `json:"text"`
+}
--- /dev/null
+++ b/internal/rollout/phase.go
@@ -0,0 +1,151 @@
+package rollout
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// fail ends a plan's advance. It goes back only from a release that went forward.
+func (s *State) fail(index uint64, p *Plan, why string) {
+	if p.RollBackOnFailure && p.Kind == Release && !p.RolledBack {
+		s.rollBack(index, p, why)
+		return
+	}
+	if p.Phase.Open() {
+		p.Phase, p.Why, p.Revision = Halted, why, index
+	}
+}
+
+// rollBack turns a plan round: what was touched is to be as before, the rest is left.
+func (s *State) rollBack(index uint64, p *Plan, why string) {
+	p.Phase, p.RolledBack, p.Why, p.Revision = RollingBack, true, why, index
+	for name, t := range p.Tasks {
+		switch t.Step {
+		case Waiting:
+			t.Step = Kept
+		case Finished, Failed:
+			t.Step, t.Tries = Waiting, 0
+			if m := s.Members[name]; p.Kind == Drain || m == nil || m.Version.Name == t.From.Name {
+				t.Step = Kept
+			}
+		case Granted, Out:
+			if p.Kind == Drain {
+				t.Step = Returning
+			}
+		}
+	}
+	s.finish(index, p)
+}
+
+// finish ends a plan with nothing left to do. A release that goes forward ends by the verdict on its last stage.
+func (s *State) finish(index uint64, p *Plan) {
+	for _, t := range p.Tasks {
+		if t.Step != Finished && t.Step != Kept {
+			return
+		}
+	}
+	switch {
+	case p.RolledBack && p.Phase.Open():
+		p.Phase, p.Revision = Ended, index
+	case p.Kind == Drain && p.Phase.Open():
+		p.Phase, p.Revision = Done, index
+	}
+}
+
+// activate has senders of a drain come back, or not go out any more.
+func (s *State) activate(c Command) (string, error) {
+	p := s.Plan(c.Plan)
+	if p == nil || !p.Phase.Open() || p.Kind != Drain {
+		return "", reject("no drain %d is open", c.Plan)
+	}
+	names := c.Senders
+	if len(names) == 0 {
+		names = slices.Sorted(maps.Keys(p.Tasks))
+	}
+	for _, name := range names {
+		if p.Tasks[name] == nil {
+			return "", reject("%s is not in plan %d", name, p.ID)
+		}
+	}
+	for _, name := range names {
+		switch t := p.Tasks[name]; t.Step {
+		case Waiting, Failed:
+			t.Step = Kept
+		case Granted, Out:
+			t.Step, t.Since = Returning, c.At
+		}
+	}
+	s.finish(s.Index, p)
+	return fmt.Sprintf("plan %d: %s back to work", p.ID, strings.Join(names, ", ")), nil
+}
+
+// changePhase halts, resumes or reverses a plan.
+func (s *State) changePhase(index uint64, c Command) (string, error) {
+	p := s.Plan(c.Plan)
+	switch {
+	case p == nil:
+		return "", reject("no plan %d", c.Plan)
+	case !p.Phase.Open():
+		return "", reject("plan %d is %s", p.ID, p.Phase)
+	case c.By == "" || c.Reason == "":
+		return "", reject("an author and a reason are needed")
+	}
+	switch c.Verb {
+	case Halt:
+		if p.Phase != Halted {
+			p.Phase = Halted
+		}
+		p.Why, p.Revision = fmt.Sprintf("%s: %s", c.By, c.Reason), index // also of one that is halted: a resume that crosses it is refused
+		return fmt.Sprintf("plan %d is halted", p.ID), nil
+	case Resume:
+		if p.Phase != Halted {
+			return "", reject("plan %d is %s", p.ID, p.Phase)
+		}
+		if c.Revision != p.Revision {
+			return "", reject("plan %d has changed since: %s (revision %d); look again", p.ID, p.Why, p.Revision)
+		}
+		p.Phase, p.Why, p.Revision = Running, "", index
+		for _, t := range p.Tasks {
+			if t.Step == Failed {
+				t.Step, t.Tries, t.Why = Waiting, 0, ""
+			}
+		}
+		if p.RolledBack {
+			p.Phase = RollingBack
+		}
+		return fmt.Sprintf("plan %d is %s again", p.ID, p.Phase), nil
+	}
+	if p.RolledBack {
+		return "", reject("plan %d goes back already; resume it if it is halted", p.ID)
+	}
+	s.rollBack(index, p, fmt.Sprintf("%s: %s", c.By, c.Reason))
+	return fmt.Sprintf("plan %d goes back", p.ID), nil
+}
+
+// judge is the verdict on a stage.
+func (s *State) judge(index uint64, c Command) (string, error) {
+	p := s.Plan(c.Plan)
+	if p == nil || p.Phase != Running || p.RolledBack || p.Kind != Release || p.Stage != c.Stage {
+		return "", reject("plan %d has no stage %d to be judged", c.Plan, c.Stage)
+	}
+	if !c.Good {
+		s.fail(index, p, c.Text)
+		return fmt.Sprintf("plan %d is %s: stage %d: %s", p.ID, p.Phase, p.Stage+1, c.Text), nil
+	}
+	for _, name := range p.Stages[p.Stage] {
+		if p.Tasks[name].Step != Finished {
+			return "", reject("%s of stage %d is %s", name, p.Stage+1, p.Tasks[name].Step)
+		}
+	}
+	if c.Others != nil {
+		p.Others = c.Others
+	}
+	if p.Stage++; p.Stage == len(p.Stages) {
+		p.Phase, p.Revision = Done, index
+		p.Stage--
+		return fmt.Sprintf("plan %d is done: %s", p.ID, c.Text), nil
+	}
+	return fmt.Sprintf("plan %d: stage %d of %d begins: %s", p.ID, p.Stage+1, len(p.Stages), c.Text), nil
+}
--- /dev/null
+++ b/internal/rollout/roster.go
@@ -0,0 +1,111 @@
+package rollout
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// setRoster enters the senders of one agent, in the place of those that it had. One that is in an open plan, or has
+// an open grant, stays until that is over.
+func (s *State) setRoster(c Command) (string, error) {
+	if len(c.Roster) > MaxSenders {
+		return "", reject("%d senders, %d at most", len(c.Roster), MaxSenders)
+	}
+	now := map[string]bool{}
+	for _, m := range c.Roster {
+		if m.Name == "" || m.Agent != c.By {
+			return "", reject("a sender of another agent, or without a name")
+		}
+		if was := s.Members[m.Name]; was != nil && was.Agent != m.Agent && s.committed(m.Name) {
+			return "", reject("sender %s has an open grant at agent %s", m.Name, was.Agent)
+		}
+		now[m.Name] = true
+	}
+	if len(s.Members)+len(c.Roster) > 2*MaxSenders {
+		return "", reject("too many senders")
+	}
+	var gone []string
+	for name, m := range s.Members {
+		if m.Agent == c.By && !now[name] && !s.committed(name) {
+			gone = append(gone, name)
+		}
+	}
+	for _, name := range gone {
+		delete(s.Members, name)
+	}
+	for _, m := range c.Roster {
+		if was := s.Members[m.Name]; was != nil && was.Version.Name != "" {
+			m.Version = was.Version // what it is to run is agreed on, not the agent's to say
+		}
+		s.Members[m.Name] = &m
+	}
+	return fmt.Sprintf("agent %s has %d senders", c.By, len(c.Roster)), nil
+}
+
+// committed tells whether a sender has an open grant or a part in an open plan.
+func (s *State) committed(name string) bool { return s.Grants[name] != nil || s.planOf(name) != nil }
+
+// A census is how the fleet stands: who is out, and who is so by building.
+type census struct {
+	out      map[string]bool
+	building map[string]int
+}
+
+// census takes all for out that have an open grant or are not among those seen serving. What is not known is out.
+func (s *State) census(seen []string) census {
+	in := make(map[string]bool, len(seen))
+	for _, name := range seen {
+		in[name] = true
+	}
+	k := census{out: map[string]bool{}, building: map[string]int{}}
+	for name, m := range s.Members {
+		if s.Grants[name] != nil || !in[name] {
+			k.out[name] = true
+			k.building[m.Building]++
+		}
+	}
+	return k
+}
+
+// checkBudget tells why a sender can't go out besides those that are; nil: it can. Nobody is out twice.
+func (s *State) checkBudget(fleet census, m *Member) error {
+	b := s.Terms.Budget
+	switch {
+	case fleet.out[m.Name]:
+		return reject("%s is out already, or nobody sees it serving", m.Name)
+	case len(fleet.out) >= b.Fleet:
+		return reject("%d senders are out, %d may be: %s", len(fleet.out), b.Fleet, firstNames(fleet.out))
+	case b.Building > 0 && fleet.building[m.Building] >= b.Building:
+		return reject("%d senders of building %s are out, %d may be", fleet.building[m.Building], m.Building, b.Building)
+	case len(s.Members)-len(fleet.out)-1 < b.Serving:
+		return reject("%d senders serve, %d must", len(s.Members)-len(fleet.out), b.Serving)
+	}
+	return nil
+}
+
+// firstNames names the first of many.
+func firstNames(set map[string]bool) string {
+	names := slices.Sorted(maps.Keys(set))
+	if n := len(names); n > 5 {
+		return strings.Join(names[:5], ", ") + fmt.Sprintf(" and %d more", n-5)
+	}
+	return strings.Join(names, ", ")
+}
+
+// Version is what a sender runs.
+type Version struct {
+	Name    string `json:"name"`
+	Program string `json:"program"`          // a file on the sender's machine
+	Config  string `json:"config,omitempty"` // a folder there with a NAME.json for each sender; empty = its own file
+}
+
+// Member is a sender of the roster.
+type Member struct {
+	Name     string   `json:"name"`
+	Building string   `json:"building,omitempty"`
+	Agent    string   `json:"agent"`           // beside it
+	Reach    []string `json:"reach,omitempty"` // its second addresses
+	Version  Version  `json:"version"`
+}
