--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -11,7 +11,7 @@
 // secondStageSize is the size of the second stage; later ones are a tenth of the senders.
 const secondStageSize = 3
 
-// Stages parts senders: first one, then a few, then a tenth of them at a time, in the order given.
+// Stages divides senders into stages: one, then a few, then a tenth of them at a time, in the given order.
 func Stages(names []string) [][]string {
 	var stages [][]string
 	tenth := max(1, (len(names)+9)/10)
@@ -30,7 +30,7 @@
 	return stages
 }
 
-// Order sorts senders by building, then by name.
+// Order sorts senders by building, then by name, without duplicates.
 func (s *State) Order(names []string) []string {
 	list := slices.Clone(names)
 	slices.SortFunc(list, func(a, b string) int {
@@ -39,6 +39,7 @@
 	return slices.Compact(list)
 }
 
+// building returns the building of a sender.
 func (s *State) building(name string) string {
 	if m := s.Members[name]; m != nil {
 		return m.Building
@@ -46,7 +47,7 @@
 	return ""
 }
 
-// start enters a new plan.
+// start adds a new plan.
 func (s *State) start(index uint64, c Command) (string, error) {
 	p, err := s.Draft(index, c)
 	if err != nil {
@@ -63,26 +64,71 @@
 	return fmt.Sprintf("plan %d: %s of %d senders in %d stages", p.ID, p.Kind, len(p.Tasks), len(p.Stages)), nil
 }
 
-// Draft is the plan that a command would start, or why it starts none. It changes nothing.
+// Draft returns the plan that a command would start, or an error that wraps ErrRejected. It changes nothing.
 func (s *State) Draft(index uint64, c Command) (*Plan, error) {
+	request := c.New
+	if err := s.checkRequest(c); err != nil {
+		return nil, err
+	}
+	names, err := s.plannedSenders(request)
+	if err != nil {
+		return nil, err
+	}
+	if fleet := s.census(c.Seen); len(fleet.out) > s.Terms.Budget.Fleet {
+		return nil, reject("%d senders are out or not seen now, the budget has %d: %s; bring them back first",
+			len(fleet.out), s.Terms.Budget.Fleet, firstNames(fleet.out))
+	}
+	p := &Plan{
+		ID: index, Kind: request.Kind, By: c.By, Reason: c.Reason, At: c.At, To: request.To, AtOnce: request.AtOnce, Hold: request.Hold,
+		Gate: request.Gate, RollBackOnFailure: request.RollBackOnFailure, Phase: Running, Revision: index, Tasks: map[string]*Task{},
+	}
+	changing := names[:0:0]
+	for _, name := range names {
+		t := &Task{Step: Waiting, Since: c.At}
+		if request.Kind == Release && s.Members[name].Version.Name == request.To.Name {
+			t.Step = Kept
+		} else {
+			changing = append(changing, name)
+		}
+		p.Tasks[name] = t
+	}
+	if len(changing) == 0 {
+		return nil, reject("all of them run %s already", request.To.Name)
+	}
+	if p.Kind == Drain {
+		p.Stages = [][]string{changing}
+	} else {
+		p.Stages = Stages(changing)
+		p.Gate = p.Gate.withDefaults()
+	}
+	return p, nil
+}
+
+// checkRequest checks the command for a new plan by itself.
+func (s *State) checkRequest(c Command) error {
 	request := c.New
 	switch {
 	case request == nil || request.Kind != Drain && request.Kind != Release:
-		return nil, reject("neither a drain nor a release")
+		return reject("neither a drain nor a release")
 	case c.By == "" || c.Reason == "":
-		return nil, reject("an author and a reason are needed")
+		return reject("an author and a reason are needed")
 	case len(s.Members) == 0:
-		return nil, reject("the fleet has no senders yet")
+		return reject("the fleet has no senders yet")
 	case request.Kind == Release && (request.To.Name == "" || request.To.Program == "" && request.To.Config == ""):
-		return nil, reject("a release needs a name, and a program or a folder of configurations")
+		return reject("a release needs a name, and a program or a folder of configurations")
 	case request.AtOnce < 0 || request.AtOnce > s.Terms.Budget.Fleet:
-		return nil, reject("%d senders at once: the budget has 1 to %d", request.AtOnce, s.Terms.Budget.Fleet)
+		return reject("%d senders at once: the budget has 1 to %d", request.AtOnce, s.Terms.Budget.Fleet)
 	case request.Hold < 0 || request.Gate.MinMessages < 0 || request.Gate.Soak < 0 || request.Gate.Wait < 0 || request.Gate.Slack < 0:
-		return nil, reject("a span or a figure below 0")
+		return reject("a span or a figure below 0")
 	}
 	if err := s.Terms.Check(len(s.Members)); err != nil {
-		return nil, reject("%v", err)
+		return reject("%v", err)
 	}
+	return nil
+}
+
+// plannedSenders returns the senders of a new plan in order. None of them may be in another open plan.
+func (s *State) plannedSenders(request *Plan) ([]string, error) {
 	names := slices.Concat(request.Stages...)
 	if len(names) == 0 {
 		if request.Kind == Drain {
@@ -99,44 +145,19 @@
 			return nil, reject("%s is in plan %d (%s, by %s)", name, other.ID, other.Phase, other.By)
 		}
 	}
-	if fleet := s.census(c.Seen); len(fleet.out) > s.Terms.Budget.Fleet {
-		return nil, reject("%d senders are out or not seen now, the budget has %d: %s; bring them back first", len(fleet.out), s.Terms.Budget.Fleet, firstNames(fleet.out))
-	}
-	p := *request
-	p.ID, p.By, p.Reason, p.At, p.Phase, p.Stage, p.Revision, p.RolledBack, p.Why, p.Others = index, c.By, c.Reason, c.At, Running, 0, index, false, "", nil
-	p.Tasks = map[string]*Task{}
-	changing := names[:0:0]
-	for _, name := range names {
-		t := &Task{Step: Waiting, Since: c.At}
-		if request.Kind == Release && s.Members[name].Version.Name == request.To.Name {
-			t.Step = Kept
-		} else {
-			changing = append(changing, name)
-		}
-		p.Tasks[name] = t
-	}
-	if len(changing) == 0 {
-		return nil, reject("all of them run %s already", request.To.Name)
-	}
-	if p.Kind == Drain {
-		p.Stages = [][]string{changing}
-	} else {
-		p.Stages = Stages(changing)
-		p.Gate = p.Gate.withDefaults()
-	}
-	return &p, nil
+	return names, nil
 }
 
-// Kind of plan.
+// Kind is the kind of a plan. Its values are stored.
 type Kind string
 
-// The kinds.
+// The kinds of plan.
 const (
 	Drain   Kind = "drain"
 	Release Kind = "release"
 )
 
-// Phase of a plan.
+// Phase is the phase of a plan. Its values are stored.
 type Phase string
 
 // The phases.
@@ -145,37 +166,37 @@
 	Halted      Phase = "halted"
 	RollingBack Phase = "going back"
 	Done        Phase = "done"
-	Ended       Phase = "ended" // after going back
+	Ended       Phase = "ended" // rolled back
 )
 
-// Open tells whether anything of a plan is still to come.
+// Open reports whether a plan in this phase may still change anything.
 func (p Phase) Open() bool { return p == Running || p == Halted || p == RollingBack }
 
-// Step of one sender within a plan.
+// Step is the step of one sender in a plan. Its values are stored.
 type Step string
 
 // The steps.
 const (
 	Waiting   Step = "waiting"
 	Granted   Step = "granted"
-	Out       Step = "out"       // drained, and held so
-	Returning Step = "returning" // told to come back
+	Out       Step = "out"       // drained
+	Returning Step = "returning" // ordered back
 	Finished  Step = "finished"
 	Failed    Step = "failed"
-	Kept      Step = "kept" // never touched, or as it was before
+	Kept      Step = "kept" // unchanged, or as it was before the plan
 )
 
-// Task is one sender's part of a plan.
+// Task is one sender's part in a plan.
 type Task struct {
 	Step  Step      `json:"step"`
-	Epoch uint64    `json:"epoch,omitempty"` // of its latest grant
-	Tries int       `json:"tries,omitempty"` // grants that were not taken up
+	Epoch uint64    `json:"epoch,omitempty"` // of the latest grant
+	Tries int       `json:"tries,omitempty"` // grants that the sender did not take up
 	Since time.Time `json:"since,omitzero"`  // of the step
-	From  Version   `json:"from,omitzero"`   // what it ran before the plan
+	From  Version   `json:"from,omitzero"`   // its version before the plan
 	Why   string    `json:"why,omitempty"`
 }
 
-// Plan is what staff asked for.
+// Plan is a drain or a release that operators have ordered.
 type Plan struct {
 	ID                uint64           `json:"id"`
 	Kind              Kind             `json:"kind"`
@@ -183,16 +204,16 @@
 	Reason            string           `json:"reason"`
 	At                time.Time        `json:"at"`
 	To                Version          `json:"to,omitzero"`
-	AtOnce            int              `json:"at_once,omitempty"` // of its senders out at once; 0 = what the budget allows
-	Hold              time.Duration    `json:"hold,omitempty"`    // drains: for so long; 0 = until they are activated
+	AtOnce            int              `json:"at_once,omitempty"` // of its senders out at once; 0: as the budget allows
+	Hold              time.Duration    `json:"hold,omitempty"`    // drains: how long; 0: until they are activated
 	Gate              Gate             `json:"gate,omitzero"`
-	RollBackOnFailure bool             `json:"go_back,omitempty"` // a gate that fails goes back, not only halts
+	RollBackOnFailure bool             `json:"go_back,omitempty"` // else a failed gate halts it
 	Stages            [][]string       `json:"stages"`
 	Stage             int              `json:"stage"`
 	Phase             Phase            `json:"phase"`
-	RolledBack        bool             `json:"back,omitempty"` // it has turned, for good
+	RolledBack        bool             `json:"back,omitempty"` // it rolls back, or has
 	Why               string           `json:"why,omitempty"`
-	Revision          uint64           `json:"revision"` // of its phase
+	Revision          uint64           `json:"revision"` // changes with each order; a resume must name it
 	Tasks             map[string]*Task `json:"tasks"`
-	Others            *Sums            `json:"others,omitempty"` // what changed senders were compared with last
+	Others            *Sums            `json:"others,omitempty"` // the baseline of the latest gate
 }
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -7,8 +7,7 @@
 	"strings"
 )
 
-// setRoster enters the senders of one agent, in the place of those that it had. One that is in an open plan, or has
-// an open grant, stays until that is over.
+// setRoster replaces the senders of one agent. A sender with an open grant, or in an open plan, stays until that is over.
 func (s *State) setRoster(c Command) (string, error) {
 	if len(c.Roster) > MaxSenders {
 		return "", reject("%d senders, %d at most", len(c.Roster), MaxSenders)
@@ -37,23 +36,23 @@
 	}
 	for _, m := range c.Roster {
 		if was := s.Members[m.Name]; was != nil && was.Version.Name != "" {
-			m.Version = was.Version // what it is to run is agreed on, not the agent's to say
+			m.Version = was.Version // the version is agreed on; an agent can't set it
 		}
 		s.Members[m.Name] = &m
 	}
 	return fmt.Sprintf("agent %s has %d senders", c.By, len(c.Roster)), nil
 }
 
-// committed tells whether a sender has an open grant or a part in an open plan.
+// committed reports whether a sender has an open grant or is in an open plan.
 func (s *State) committed(name string) bool { return s.Grants[name] != nil || s.planOf(name) != nil }
 
-// A census is how the fleet stands: who is out, and who is so by building.
+// census is which senders of a fleet are out, and how many by building.
 type census struct {
 	out      map[string]bool
 	building map[string]int
 }
 
-// census takes all for out that have an open grant or are not among those seen serving. What is not known is out.
+// census counts a sender as out if it has an open grant, or is not among those that were seen serving.
 func (s *State) census(seen []string) census {
 	in := make(map[string]bool, len(seen))
 	for _, name := range seen {
@@ -69,7 +68,7 @@
 	return k
 }
 
-// checkBudget tells why a sender can't go out besides those that are; nil: it can. Nobody is out twice.
+// checkBudget returns why a sender can't go out as well, or nil.
 func (s *State) checkBudget(fleet census, m *Member) error {
 	b := s.Terms.Budget
 	switch {
@@ -85,7 +84,7 @@
 	return nil
 }
 
-// firstNames names the first of many.
+// firstNames lists the first few of a set.
 func firstNames(set map[string]bool) string {
 	names := slices.Sorted(maps.Keys(set))
 	if n := len(names); n > 5 {
@@ -94,18 +93,18 @@
 	return strings.Join(names, ", ")
 }
 
-// Version is what a sender runs.
+// Version is a program with its configuration.
 type Version struct {
 	Name    string `json:"name"`
-	Program string `json:"program"`          // a file on the sender's machine
-	Config  string `json:"config,omitempty"` // a folder there with a NAME.json for each sender; empty = its own file
+	Program string `json:"program"`          // path on the sender's machine
+	Config  string `json:"config,omitempty"` // folder there with a NAME.json for each sender; empty: the sender's own file
 }
 
-// Member is a sender of the roster.
+// Member is a sender in the roster.
 type Member struct {
 	Name     string   `json:"name"`
 	Building string   `json:"building,omitempty"`
-	Agent    string   `json:"agent"`           // beside it
-	Reach    []string `json:"reach,omitempty"` // its second addresses
+	Agent    string   `json:"agent"`           // the one on its machine
+	Reach    []string `json:"reach,omitempty"` // its admin addresses
 	Version  Version  `json:"version"`
 }
--- a/internal/rollout/terms.go
+++ b/internal/rollout/terms.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Check tells what is wrong with terms, for a fleet of so many senders; 0 = not known.
+// Check returns what is wrong with terms for a fleet of so many senders; 0: unknown.
 func (t Terms) Check(senders int) error {
 	b, w := t.Budget, t.Timing
 	switch {
@@ -26,6 +26,7 @@
 	return nil
 }
 
+// setTerms changes the terms.
 func (s *State) setTerms(c Command) (string, error) {
 	if c.Terms == nil {
 		return "", reject("no terms")
@@ -38,31 +39,31 @@
 	return fmt.Sprintf("terms: %d out at once, %d of a building, %d must serve", b.Fleet, b.Building, b.Serving), nil
 }
 
-// Budget is how many senders may be out at once, as package documentation of the design has it.
+// Budget bounds how many senders and endpoints may be out at once.
 type Budget struct {
-	Fleet    int `json:"fleet"`    // of all; 1 at the least
-	Building int `json:"building"` // of one building; 0 = as many as of the fleet
-	Serving  int `json:"serving"`  // so many must serve
+	Fleet    int `json:"fleet"`    // senders; 1 at least
+	Building int `json:"building"` // senders of one building; 0: no bound of its own
+	Serving  int `json:"serving"`  // senders that must serve
 
-	Endpoints int `json:"endpoints"` // of one destination's endpoints, how many may be out; 0 = none by order
-	Kind      int `json:"kind"`      // of one kind's; 0 = any number
+	Endpoints int `json:"endpoints"` // of one destination; 0: none may be excluded
+	Kind      int `json:"kind"`      // of one kind; 0: no bound
 }
 
-// Timing is what the promises rest on.
+// Timing is the timing on which the guarantees rest.
 type Timing struct {
-	Fresh  time.Duration `json:"fresh"`  // a sight that is older shows nothing
+	Fresh  time.Duration `json:"fresh"`  // an older observation proves nothing
 	Accept time.Duration `json:"accept"` // a grant is taken up within this, or never
-	Lease  time.Duration `json:"lease"`  // a sender that hears nothing comes back after this
-	Error  time.Duration `json:"error"`  // no clock is further from the true time
+	Lease  time.Duration `json:"lease"`  // a lease that is not renewed ends after this
+	Error  time.Duration `json:"error"`  // the largest error of any clock
 }
 
-// Terms are what a fleet is run by.
+// Terms are the settings of a fleet, on which all agents agree.
 type Terms struct {
 	Budget Budget `json:"budget"`
 	Timing Timing `json:"timing"`
 }
 
-// DefaultTerms are the terms where settings say nothing else.
+// DefaultTerms are the terms without settings.
 var DefaultTerms = Terms{
 	Budget: Budget{Fleet: 1},
 	Timing: Timing{Fresh: time.Second, Accept: 2 * time.Second, Lease: 10 * time.Second, Error: 250 * time.Millisecond},
