--- a/internal/state/aside_test.go
+++ b/internal/state/aside_test.go
@@ -23,14 +23,14 @@
 	}
 	whole := ListUpdate{Kind: control.ListFull, Version: 1, Targets: []Target{target("a", control.Ready), target("b", control.Ready), target("c", control.Draining)}}
 	for i, c := range []struct{ got, want string }{
-		{states(g.take(whole, now)), "rrd"},
-		{states(g.setAside([]string{"a", "c", "unknown"})), "dd"},
-		{states(g.setAside([]string{"a", "c"})), ""},
-		{states(g.take(whole, now)), "drd"},
-		{states(g.take(ListUpdate{Kind: control.ListDelta, Version: 2, Targets: []Target{target("a", control.Ready)}}, now)), "d"},
-		{states(g.setAside([]string{"b"})), "rdd"},
-		{states(g.take(ListUpdate{Kind: control.ListDelta, Version: 3, Targets: []Target{target("b", control.Removed)}}, now)), "x"},
-		{states(g.setAside(nil)), ""},
+		{states(g.update(whole, now)), "rrd"},
+		{states(g.setExcluded([]string{"a", "c", "unknown"})), "dd"},
+		{states(g.setExcluded([]string{"a", "c"})), ""},
+		{states(g.update(whole, now)), "drd"},
+		{states(g.update(ListUpdate{Kind: control.ListDelta, Version: 2, Targets: []Target{target("a", control.Ready)}}, now)), "d"},
+		{states(g.setExcluded([]string{"b"})), "rdd"},
+		{states(g.update(ListUpdate{Kind: control.ListDelta, Version: 3, Targets: []Target{target("b", control.Removed)}}, now)), "x"},
+		{states(g.setExcluded(nil)), ""},
 	} {
 		if c.got != c.want {
 			t.Errorf("step %d: %q, want %q", i, c.got, c.want)
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -18,19 +18,19 @@
 			target := Target{ID: "s", Addr: "nowhere", Endpoint: control.Endpoint{Destination: 7, State: control.Ready}}
 			setup := Setup{
 				Settings: control.Settings{FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 1}}, MaxInFlight: 64, MaxOpenMessages: 256, HeadroomIndex: -1, LimitIndex: -1},
-				Dir:      dir, DiskBytes: 8e6, Log: quiet, Known: ListUpdate{Kind: control.ListCached, Version: 1, Targets: []Target{target}},
+				Dir:      dir, DiskBytes: 8e6, Log: discardLog, Known: ListUpdate{Kind: control.ListCached, Version: 1, Targets: []Target{target}},
 			}
 			if on {
-				setup.DeadLetters = newKeeperStub(true)
+				setup.DeadLetters = newQueueStub(true)
 			}
 			l, err := NewLoop(setup)
 			if err != nil {
 				b.Fatal(err)
 			}
-			c := &carrierStub{}
+			c := &transportStub{}
 			l.Connect(c, c, c)
 			l.timer = time.NewTimer(time.Hour)
-			l.turn()
+			l.iterate()
 			body := make([]byte, 200)
 			verdict := make(chan Response, 1)
 			n := 0
@@ -39,26 +39,26 @@
 				n++
 				id := fmt.Sprint(n)
 				l.backlog = append(l.backlog, Submitted{Message: &Message{ID: id, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: body}, Response: verdict})
-				l.turn()
+				l.iterate()
 				if v := <-verdict; !v.Accepted {
 					b.Fatalf("%+v", v)
 				}
 				l.backlog = append(l.backlog, ResponseWritten{id, true})
-				l.turn()
+				l.iterate()
 				l.backlog = append(l.backlog, CallEnded{c.last, []AttemptResult{{Attempt: c.last.Attempts[0], Result: control.Served, Final: true}}})
-				l.turn()
+				l.iterate()
 			}
 		})
 	}
 }
 
-type carrierStub struct{ last *Call }
+type transportStub struct{ last *Call }
 
-func (c *carrierStub) Send(call *Call)               { c.last = call }
-func (c *carrierStub) Cancel(*Call)                  {}
-func (c *carrierStub) CancelUnsent(*Call)            {}
-func (c *carrierStub) HealthCheck(Target, time.Time) {}
-func (c *carrierStub) Disconnect(string)             {}
-func (c *carrierStub) Watch(bool, int64)             {}
-func (c *carrierStub) Fetch()                        {}
-func (c *carrierStub) Report(DeliveryReport)         {}
+func (c *transportStub) Send(call *Call)               { c.last = call }
+func (c *transportStub) Cancel(*Call)                  {}
+func (c *transportStub) CancelUnsent(*Call)            {}
+func (c *transportStub) HealthCheck(Target, time.Time) {}
+func (c *transportStub) Disconnect(string)             {}
+func (c *transportStub) Watch(bool, int64)             {}
+func (c *transportStub) Fetch()                        {}
+func (c *transportStub) Report(DeliveryReport)         {}
--- a/internal/state/certainty.go
+++ b/internal/state/certainty.go
@@ -12,14 +12,14 @@
 // it may drain. So it is from an answer after which no question follows at once, as a watch goes on for 200 ms after it.
 // Before the grace of drains is over, counted from then, nothing new goes to any target.
 
-// uncertainSpan is UncertainSpan where the settings tell no period for asking.
-const uncertainSpan = 10 * time.Second
+// defaultUncertaintyTimeout is UncertainSpan where the settings tell no period for asking.
+const defaultUncertaintyTimeout = 10 * time.Second
 
 // UncertaintyTimeout is how long sends are held back after discovery last began an answer that could not be read. If nothing
 // was heard of it for so long, as in an outage, the list that is known counts again.
 func UncertaintyTimeout(mustAsk time.Duration) time.Duration {
 	if mustAsk <= 0 {
-		return uncertainSpan
+		return defaultUncertaintyTimeout
 	}
 	return mustAsk
 }
@@ -37,45 +37,45 @@
 // PollFailed tells that the question after a rest failed: what was told since a time is not known.
 type PollFailed struct{ Since time.Time }
 
-// A certainty tells from when until when sends are held back because the list may not be the one that was told last.
-type certainty struct {
-	first time.Time // when the first answer that could not be read began; zero: the list is known
-	last  time.Time // and the latest
+// A listCertainty tells from when until when sends are held back because the list may not be the one that was told last.
+type listCertainty struct {
+	since time.Time // when the first answer that could not be read began; zero: the list is known
+	latest  time.Time // and the latest
 }
 
-// doubt notes an answer that could not be read.
-func (c *certainty) doubt(at time.Time) {
-	if c.first.IsZero() {
-		c.first = at
+// markUncertain notes an answer that could not be read.
+func (c *listCertainty) markUncertain(at time.Time) {
+	if c.since.IsZero() {
+		c.since = at
 	}
-	c.last = at
+	c.latest = at
 }
 
-// holds tells whether nothing new may be sent at a time, and when to look again; the zero time stands for never.
-func (c *certainty) holds(now time.Time, grace, span time.Duration) (held bool, next time.Time) {
-	if c.first.IsZero() || grace <= 0 { // or the settings know no such rule
+// suspended tells whether nothing new may be sent at a time, and when to look again; the zero time stands for never.
+func (c *listCertainty) suspended(now time.Time, grace, timeout time.Duration) (suspend bool, next time.Time) {
+	if c.since.IsZero() || grace <= 0 { // or the settings know no such rule
 		return false, time.Time{}
 	}
-	from, to := c.first.Add(permit.LastSendAfter(grace)), c.last.Add(span)
+	from, to := c.since.Add(permit.LastSendAfter(grace)), c.latest.Add(timeout)
 	switch {
 	case now.Before(from):
 		return false, from
 	case now.Before(to):
 		return true, to
 	}
-	*c = certainty{}
+	*c = listCertainty{}
 	return false, time.Time{}
 }
 
-// unread takes the news that an answer of discovery could not be read.
-func (l *Loop) unread(u ListUnreadable) {
-	l.certain.doubt(u.At)
-	l.counters.unread.Add(1)
-	if lines := l.group.takeLeaving(u.Leaving, l.now); len(lines) > 0 {
+// listUnreadable takes the news that an answer of discovery could not be read.
+func (l *Loop) listUnreadable(u ListUnreadable) {
+	l.certainty.markUncertain(u.At)
+	l.counters.unreadableLists.Add(1)
+	if lines := l.group.updateLeaving(u.Leaving, l.now); len(lines) > 0 {
 		l.log.Info("targets that leave, by a part of the list", "targets", len(lines))
-		l.ctl.UpdateEndpoints(l.since(), control.ListExcluded, lines)
-		l.unlisted()
-		l.departures.follow(l.group)
+		l.controller.UpdateEndpoints(l.sinceStart(), control.ListExcluded, lines)
+		l.withholdUnavailable()
+		l.departures.update(l.group)
 	}
 	l.reviewList()
 }
@@ -83,33 +83,33 @@
 // listKnown takes a whole answer: all that was told before is known with it. Where the next question comes after a rest,
 // what is told in the meantime is not.
 func (l *Loop) listKnown(rests bool) {
-	l.certain = certainty{}
+	l.certainty = listCertainty{}
 	if rests {
-		l.certain.doubt(l.now)
+		l.certainty.markUncertain(l.now)
 	}
 	l.reviewList()
 }
 
 // reviewList holds sends back, or lets them go on, by what is known of the list. It sees to it that it is called again.
 func (l *Loop) reviewList() {
-	if l.heir != nil {
+	if l.successor != nil {
 		return // another process sends
 	}
-	held, next := l.certain.holds(l.now, l.set.DrainGrace, UncertaintyTimeout(l.set.MaxPollInterval))
+	held, next := l.certainty.suspended(l.now, l.settings.DrainGrace, UncertaintyTimeout(l.settings.MaxPollInterval))
 	if !next.IsZero() {
 		at := next
 		time.AfterFunc(max(0, at.Sub(l.now)), func() { l.Post(inspect(l.reviewList)) })
 	}
-	lines, changed := l.group.hold(held)
+	lines, changed := l.group.setSuspended(held)
 	if !changed {
 		return
 	}
 	if held {
-		l.counters.holds.Add(1)
+		l.counters.suspensions.Add(1)
 		l.log.Warn("nothing new is sent until the list of targets is known", "targets", len(lines))
 	} else {
 		l.log.Info("sending goes on", "targets", len(lines))
 	}
-	l.ctl.UpdateEndpoints(l.since(), control.ListExcluded, lines)
-	l.unlisted()
+	l.controller.UpdateEndpoints(l.sinceStart(), control.ListExcluded, lines)
+	l.withholdUnavailable()
 }
--- a/internal/state/certainty_test.go
+++ b/internal/state/certainty_test.go
@@ -13,26 +13,26 @@
 	const grace, span = 2 * time.Second, 10 * time.Second
 	zero := time.Now()
 	at := func(seconds float64) time.Time { return zero.Add(time.Duration(seconds * float64(time.Second))) }
-	var c certainty
-	c.doubt(at(0))
-	c.doubt(at(1))
+	var c listCertainty
+	c.markUncertain(at(0))
+	c.markUncertain(at(1))
 	for _, x := range []struct {
 		now  float64
 		held bool
 		next float64
 	}{{1, false, 1.75}, {1.75, true, 11}, {10.9, true, 11}} {
-		if held, next := c.holds(at(x.now), grace, span); held != x.held || !next.Equal(at(x.next)) {
+		if held, next := c.suspended(at(x.now), grace, span); held != x.held || !next.Equal(at(x.next)) {
 			t.Errorf("at %v: %t, next %v", x.now, held, next.Sub(zero))
 		}
 	}
-	if held, next := c.holds(at(5), 0, span); held || !next.IsZero() {
+	if held, next := c.suspended(at(5), 0, span); held || !next.IsZero() {
 		t.Errorf("without a grace: %t, next %v", held, next)
 	}
-	if held, next := c.holds(at(11), grace, span); held || !next.IsZero() {
+	if held, next := c.suspended(at(11), grace, span); held || !next.IsZero() {
 		t.Errorf("at the end: %t, next %v", held, next)
 	}
-	c.doubt(at(20))
-	if held, _ := c.holds(at(21), 300*time.Millisecond, span); !held {
+	c.markUncertain(at(20))
+	if held, _ := c.suspended(at(21), 300*time.Millisecond, span); !held {
 		t.Error("a short grace leaves no margin")
 	}
 }
@@ -42,16 +42,16 @@
 	g := newGroup()
 	now := time.Now()
 	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
-	g.take(ListUpdate{Kind: control.ListFull, Version: 3, Targets: []Target{up("a"), up("b"), up("c")}}, now)
-	g.setAside([]string{"c"})
+	g.update(ListUpdate{Kind: control.ListFull, Version: 3, Targets: []Target{up("a"), up("b"), up("c")}}, now)
+	g.setExcluded([]string{"c"})
 	leaves := up("a")
 	leaves.State = control.Draining
-	if lines := g.takeLeaving([]Target{leaves, {ID: "stranger"}}, now); len(lines) != 1 || g.version != 3 || len(g.byID) != 3 {
+	if lines := g.updateLeaving([]Target{leaves, {ID: "stranger"}}, now); len(lines) != 1 || g.version != 3 || len(g.byID) != 3 {
 		t.Errorf("%+v, version %d, %d targets", lines, g.version, len(g.byID))
 	}
 	for _, held := range []bool{true, false} {
-		lines, changed := g.hold(held)
-		if _, again := g.hold(held); !changed || again || len(lines) != 1 || (lines[0].State == control.Ready) == held {
+		lines, changed := g.setSuspended(held)
+		if _, again := g.setSuspended(held); !changed || again || len(lines) != 1 || (lines[0].State == control.Ready) == held {
 			t.Errorf("held %t: %+v, changed %t, again %t", held, lines, changed, again)
 		}
 	}
--- a/internal/state/classes.go
+++ b/internal/state/classes.go
@@ -13,13 +13,13 @@
 // other settings. So classes are numbered by name and figures, a number is never given to another one, and
 // the journal's record of a message holds its class whole.
 
-// classesMost bounds the classes that one process comes to know: settings may change all day.
-const classesMost = 1024
+// maxClasses bounds the classes that one process comes to know: settings may change all day.
+const maxClasses = 1024
 
 var (
-	errClasses = errors.New("too many classes since the start; restart the sender to begin anew")
-	errGiven   = errors.New("another process has taken over")
-	errDirty   = errors.New("the journal can't be written")
+	errTooManyClasses = errors.New("too many classes since the start; restart the sender to begin anew")
+	errHandedOver   = errors.New("another process has taken over")
+	errLogIncomplete   = errors.New("the journal can't be written")
 )
 
 // A NamedClass is a class as the settings name it.
@@ -28,14 +28,14 @@
 	control.Class
 }
 
-// classBook numbers classes.
-type classBook struct {
+// classRegistry numbers classes.
+type classRegistry struct {
 	list    []NamedClass
 	records []string // as they stand in the journal
 }
 
-// number returns the number of a class, a new one if it is not known.
-func (b *classBook) number(c NamedClass) int {
+// numberOf returns the number of a class, a new one if it is not known.
+func (b *classRegistry) numberOf(c NamedClass) int {
 	for i, known := range b.list {
 		if known == c {
 			return i
@@ -47,7 +47,7 @@
 }
 
 // record is a class as it stands in the journal; nothing for a number that is not known.
-func (b *classBook) record(number int) string {
+func (b *classRegistry) record(number int) string {
 	if number < 0 || number >= len(b.records) {
 		return ""
 	}
@@ -55,7 +55,7 @@
 }
 
 // classes lists them as the controller wants them.
-func (b *classBook) classes() []control.Class {
+func (b *classRegistry) classes() []control.Class {
 	list := make([]control.Class, len(b.list))
 	for i, c := range b.list {
 		list[i] = c.Class
@@ -65,18 +65,18 @@
 
 // The bits of a class's record.
 const (
-	classZone = 1 << iota
-	classInOrder
-	classStreamed
+	classKeyZoneScoped = 1 << iota
+	classOrdered
+	classStreaming
 )
 
 func classRecord(c NamedClass) []byte {
-	p := text(nil, c.Name)
+	p := appendText(nil, c.Name)
 	bits := byte(0)
 	for _, f := range []struct {
 		on  bool
 		bit byte
-	}{{c.KeyZoneScoped, classZone}, {c.Ordered, classInOrder}, {c.Streaming, classStreamed}} {
+	}{{c.KeyZoneScoped, classKeyZoneScoped}, {c.Ordered, classOrdered}, {c.Streaming, classStreaming}} {
 		if f.on {
 			bits |= f.bit
 		}
@@ -92,24 +92,24 @@
 }
 
 // class reads such a record; one that makes no sense is a misfit.
-func (s *scan) class() NamedClass {
+func (s *decoder) class() NamedClass {
 	c := NamedClass{Name: s.text()}
 	c.Idempotency = control.Idempotency(s.octet())
 	bits := s.octet()
-	c.KeyZoneScoped, c.Ordered, c.Streaming = bits&classZone != 0, bits&classInOrder != 0, bits&classStreamed != 0
+	c.KeyZoneScoped, c.Ordered, c.Streaming = bits&classKeyZoneScoped != 0, bits&classOrdered != 0, bits&classStreaming != 0
 	for _, d := range []*time.Duration{&c.LatencyObjective, &c.Deadline, &c.KeyRetention} {
-		*d = time.Duration(s.number())
+		*d = time.Duration(s.varint())
 	}
 	for _, v := range []*float64{&c.ObjectiveStretch, &c.PriorityWeight, &c.LateWeight} {
 		*v = s.float()
 	}
-	s.bad = s.bad || c.Idempotency > control.NotIdempotent || c.Deadline <= 0 || c.LatencyObjective < 0 || c.KeyRetention < 0
+	s.malformed = s.malformed || c.Idempotency > control.NotIdempotent || c.Deadline <= 0 || c.LatencyObjective < 0 || c.KeyRetention < 0
 	return c
 }
 
-func (s *scan) octet() byte {
+func (s *decoder) octet() byte {
 	if len(s.rest) < 1 {
-		s.bad, s.rest = true, nil
+		s.malformed, s.rest = true, nil
 		return 0
 	}
 	v := s.rest[0]
@@ -117,15 +117,15 @@
 	return v
 }
 
-func (s *scan) float() float64 {
+func (s *decoder) float() float64 {
 	if len(s.rest) < 8 {
-		s.bad, s.rest = true, nil
+		s.malformed, s.rest = true, nil
 		return 0
 	}
 	v := math.Float64frombits(binary.LittleEndian.Uint64(s.rest))
 	s.rest = s.rest[8:]
 	if math.IsNaN(v) || math.IsInf(v, 0) {
-		s.bad = true
+		s.malformed = true
 	}
 	return v
 }
@@ -144,26 +144,26 @@
 	Err     error
 }
 
-// retune takes new settings, or none of them.
-func (l *Loop) retune(r UpdateSettings) {
-	if len(l.table.classes.list)+len(r.Classes) > classesMost {
-		r.Done <- SettingsResult{Err: errClasses}
+// updateSettings takes new settings, or none of them.
+func (l *Loop) updateSettings(r UpdateSettings) {
+	if len(l.table.classes.list)+len(r.Classes) > maxClasses {
+		r.Done <- SettingsResult{Err: errTooManyClasses}
 		return
 	}
-	book := &classBook{list: l.table.classes.list, records: l.table.classes.records}
+	book := &classRegistry{list: l.table.classes.list, records: l.table.classes.records}
 	numbers := make(map[string]int, len(r.Classes))
 	for _, c := range r.Classes {
-		numbers[c.Name] = book.number(c)
+		numbers[c.Name] = book.numberOf(c)
 	}
 	r.Settings.Classes = book.classes()
-	if err := l.ctl.UpdateSettings(l.since(), r.Settings); err != nil {
+	if err := l.controller.UpdateSettings(l.sinceStart(), r.Settings); err != nil {
 		r.Done <- SettingsResult{Err: err}
 		return
 	}
 	l.table.classes = book
 	set := r.Settings
-	set.Kinds = l.set.Kinds
-	l.set = set
-	l.tellClasses(numbers)
+	set.Kinds = l.settings.Kinds
+	l.settings = set
+	l.notifyClasses(numbers)
 	r.Done <- SettingsResult{Numbers: numbers, Classes: set.Classes}
 }
--- a/internal/state/classes_test.go
+++ b/internal/state/classes_test.go
@@ -14,17 +14,17 @@
 	named := func(name string, e control.Idempotency) NamedClass {
 		return NamedClass{name, control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, LateWeight: 0.25, Idempotency: e, KeyRetention: 12 * time.Second, KeyZoneScoped: e == control.IdempotentByKey}}
 	}
-	book := func(list ...NamedClass) *classBook {
-		b := &classBook{}
+	book := func(list ...NamedClass) *classRegistry {
+		b := &classRegistry{}
 		for _, c := range list {
-			b.number(c)
+			b.numberOf(c)
 		}
 		return b
 	}
 	safe, keyed := named("status", control.Idempotent), named("print-order", control.IdempotentByKey)
 	for _, c := range []struct {
 		name  string
-		after *classBook
+		after *classRegistry
 		want  int
 	}{
 		{"the same", book(safe, keyed), 1},
@@ -34,19 +34,19 @@
 		{"another name", book(safe, named("order", control.IdempotentByKey)), 2},
 	} {
 		dir := t.TempDir()
-		j, table, err := openJournal(journalSetup{dir: dir, limit: 1e6, durability: store.Process, classes: book(safe, keyed), log: quiet})
+		j, table, err := openWAL(walOptions{dir: dir, limit: 1e6, durability: store.Process, classes: book(safe, keyed), log: discardLog})
 		if err != nil {
 			t.Fatal(err)
 		}
 		m := &Message{ID: "a", Key: "k", Class: 1, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}
-		e := &entry{Message: m, num: table.next, class: table.classes.record(1)}
+		e := &entry{Message: m, num: table.next, classRecord: table.classes.record(1)}
 		table.add(e)
-		j.take(e)
+		j.addAccepted(e)
 		if err := j.flush(); err != nil {
 			t.Fatal(err)
 		}
 		j.close()
-		j, table, err = openJournal(journalSetup{dir: dir, limit: 1e6, durability: store.Process, classes: c.after, log: quiet})
+		j, table, err = openWAL(walOptions{dir: dir, limit: 1e6, durability: store.Process, classes: c.after, log: discardLog})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,18 +61,18 @@
 // New settings under way: the loop numbers their classes, a message under way keeps its own, the bound on classes
 // turns down what would pass it, and what the controller won't have changes nothing.
 func TestRetuneLoop(t *testing.T) {
-	l, o := loop(t, t.TempDir(), 1e6)
+	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	tune := func(classes []NamedClass, change func(*control.Settings)) SettingsResult {
-		set := l.set
+		set := l.settings
 		change(&set)
 		done := make(chan SettingsResult, 1)
 		l.Post(UpdateSettings{Settings: set, Classes: classes, Done: done})
-		return get(t, done)
+		return receive(t, done)
 	}
-	get(t, handIn(l, "a", 10))
+	receive(t, submit(l, "a", 10))
 	l.Post(ResponseWritten{ID: "a", OK: true})
-	c := get(t, o.calls)
+	c := receive(t, o.calls)
 	strict := NamedClass{"status", control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.NotIdempotent}}
 	r := tune([]NamedClass{strict}, func(*control.Settings) {})
 	if r.Err != nil || r.Numbers["status"] != 3 && r.Numbers["status"] != 2 {
@@ -83,10 +83,10 @@
 	}
 	// It was safe when it came: broken off, it goes again.
 	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.ConnectionLost}}})
-	if again := get(t, o.calls); again.Attempts[0].Message.ID != "a" {
+	if again := receive(t, o.calls); again.Attempts[0].Message.ID != "a" {
 		t.Errorf("%+v", again.Attempts[0].Message)
 	}
-	many := make([]NamedClass, classesMost)
+	many := make([]NamedClass, maxClasses)
 	for i := range many {
 		many[i] = strict
 		many[i].LatencyObjective = time.Duration(i)
--- a/internal/state/count.go
+++ b/internal/state/count.go
@@ -9,11 +9,11 @@
 
 // Counters count what loops of one process do, one after another. The loop adds, anyone may read.
 type Counters struct {
-	taken, refused, delivered, deferred, undeliverable, called, late, firstCall, open atomic.Int64
+	accepted, rejected, delivered, deferred, undeliverable, attempted, late, firstAttemptWait, open atomic.Int64
 
-	unread, holds atomic.Int64
+	unreadableLists, suspensions atomic.Int64
 
-	withheld, broken [permit.DenialCount]atomic.Int64 // sends, by what was against them
+	withheld, violations [permit.DenialCount]atomic.Int64 // sends, by what was against them
 }
 
 // Counts are what counters show, since the start of the process but for Open.
@@ -37,23 +37,23 @@
 // Counts reads them. They are not of one instant.
 func (c *Counters) Counts() Counts {
 	return Counts{
-		Taken: c.taken.Load(), Refused: c.refused.Load(), Delivered: c.delivered.Load(), Deferred: c.deferred.Load(),
-		Undeliverable: c.undeliverable.Load(), Called: c.called.Load(), Late: c.late.Load(), FirstCall: time.Duration(c.firstCall.Load()), Open: int(c.open.Load()),
-		Unread: c.unread.Load(), Holds: c.holds.Load(), Withheld: tally(&c.withheld), Broken: tally(&c.broken),
+		Taken: c.accepted.Load(), Refused: c.rejected.Load(), Delivered: c.delivered.Load(), Deferred: c.deferred.Load(),
+		Undeliverable: c.undeliverable.Load(), Called: c.attempted.Load(), Late: c.late.Load(), FirstCall: time.Duration(c.firstAttemptWait.Load()), Open: int(c.open.Load()),
+		Unread: c.unreadableLists.Load(), Holds: c.suspensions.Load(), Withheld: nonZeroCounts(&c.withheld), Broken: nonZeroCounts(&c.violations),
 	}
 }
 
-// LateSpan is how long a message waits for its first forward at most where nothing is short.
-const LateSpan = 50 * time.Millisecond
+// lateAfter is how long a message waits for its first forward at most where nothing is short.
+const lateAfter = 50 * time.Millisecond
 
-// firstCall counts a message's first forward, unless the message is from before this process.
-func (l *Loop) firstCall(e *entry) {
-	if !e.called && !e.at.IsZero() {
-		l.counters.called.Add(1)
-		l.counters.firstCall.Add(int64(l.now.Sub(e.at)))
-		if l.now.Sub(e.at) > LateSpan {
+// countFirstAttempt counts a message's first forward, unless the message is from before this process.
+func (l *Loop) countFirstAttempt(e *entry) {
+	if !e.attempted && !e.acceptedAt.IsZero() {
+		l.counters.attempted.Add(1)
+		l.counters.firstAttemptWait.Add(int64(l.now.Sub(e.acceptedAt)))
+		if l.now.Sub(e.acceptedAt) > lateAfter {
 			l.counters.late.Add(1)
 		}
 	}
-	e.called = true
+	e.attempted = true
 }
--- a/internal/state/departures.go
+++ b/internal/state/departures.go
@@ -17,9 +17,9 @@
 // state folder.
 
 const (
-	departuresName = "departures"
-	departuresMost = 256     // ids that are kept; those that left last
-	departuresSize = 4 << 10 // bytes that the file may take; with its replacement twice that
+	departuresFile = "departures"
+	maxDepartures = 256     // ids that are kept; those that left last
+	maxDeparturesBytes = 4 << 10 // bytes that the file may take; with its replacement twice that
 )
 
 // A departures is the ids of targets that drain or are gone, in the order in which they left.
@@ -32,7 +32,7 @@
 
 // openDepartures reads what a process before this one has kept in a folder.
 func openDepartures(dir string, log *slog.Logger) *departures {
-	d := &departures{path: filepath.Join(dir, departuresName), log: log}
+	d := &departures{path: filepath.Join(dir, departuresFile), log: log}
 	text, err := os.ReadFile(d.path)
 	if err == nil {
 		err = json.Unmarshal(text, &d.ids)
@@ -53,8 +53,8 @@
 	}
 }
 
-// follow takes over which targets of a group have left, and keeps that if it has changed.
-func (d *departures) follow(g *group) {
+// update takes over which targets of a group have left, and keeps that if it has changed.
+func (d *departures) update(g *group) {
 	before := len(d.ids)
 	d.ids = slices.DeleteFunc(d.ids, func(id string) bool { return g.ready(id) })
 	d.dirty = d.dirty || len(d.ids) != before
@@ -75,9 +75,9 @@
 	if !d.dirty || d.path == "" {
 		return
 	}
-	d.ids = d.ids[max(0, len(d.ids)-departuresMost):]
+	d.ids = d.ids[max(0, len(d.ids)-maxDepartures):]
 	text, err := json.Marshal(d.ids)
-	for err == nil && len(text) > departuresSize {
+	for err == nil && len(text) > maxDeparturesBytes {
 		d.ids = d.ids[len(d.ids)/2:]
 		text, err = json.Marshal(d.ids)
 	}
--- a/internal/state/gate.go
+++ b/internal/state/gate.go
@@ -20,100 +20,100 @@
 	address     string
 }
 
-// A toldWait is a wait that a target has told.
-type toldWait struct{ from, until time.Time }
+// A retryAfter is a wait that a target has told.
+type retryAfter struct{ from, until time.Time }
 
-// waitsMost are remembered; beyond that those that are over are forgotten first.
-const waitsMost = 1024
+// maxRetryAfters are remembered; beyond that those that are over are forgotten first.
+const maxRetryAfters = 1024
 
-// routeOf is what a wait told by a target binds.
-func (l *Loop) routeOf(t Target) routeKey {
-	if l.apart(t.Kind) {
+// routeKeyOf is what a wait told by a target binds.
+func (l *Loop) routeKeyOf(t Target) routeKey {
+	if l.separateRoutes(t.Kind) {
 		return routeKey{destination: t.Destination, target: t.ID}
 	}
 	return routeKey{destination: t.Destination}
 }
 
-// remember notes a wait that a target has told.
-func (l *Loop) remember(t Target, wait time.Duration) {
-	if len(l.waits) >= waitsMost {
-		for key, w := range l.waits {
+// noteRetryAfter notes a wait that a target has told.
+func (l *Loop) noteRetryAfter(t Target, after time.Duration) {
+	if len(l.retryAfters) >= maxRetryAfters {
+		for key, w := range l.retryAfters {
 			if !l.now.Before(w.until) {
-				delete(l.waits, key)
+				delete(l.retryAfters, key)
 			}
 		}
 	}
-	keys := []routeKey{l.routeOf(t)}
-	if l.apart(t.Kind) {
-		keys = append(keys, addressOf(t))
+	keys := []routeKey{l.routeKeyOf(t)}
+	if l.separateRoutes(t.Kind) {
+		keys = append(keys, addressKeyOf(t))
 	}
 	for _, key := range keys {
-		if until := l.now.Add(wait); until.After(l.waits[key].until) && len(l.waits) < 2*waitsMost {
-			l.waits[key] = toldWait{l.now, until}
+		if until := l.now.Add(after); until.After(l.retryAfters[key].until) && len(l.retryAfters) < 2*maxRetryAfters {
+			l.retryAfters[key] = retryAfter{l.now, until}
 		}
 	}
 }
 
-// addressOf is what a wait told by a target binds besides the target itself.
-func addressOf(t Target) routeKey { return routeKey{destination: t.Destination, address: t.Addr} }
+// addressKeyOf is what a wait told by a target binds besides the target itself.
+func addressKeyOf(t Target) routeKey { return routeKey{destination: t.Destination, address: t.Addr} }
 
-// bind has waits told at an address bind the targets that are listed there now.
-func (l *Loop) bind(listed []Target) {
+// applyRetryAfters has waits told at an address bind the targets that are listed there now.
+func (l *Loop) applyRetryAfters(listed []Target) {
 	for _, line := range listed {
 		t := l.group.byID[line.ID]
-		if t == nil || !l.apart(t.Kind) {
+		if t == nil || !l.separateRoutes(t.Kind) {
 			continue
 		}
-		if w := l.waits[addressOf(*t)]; l.now.Before(w.until) {
-			l.waits[l.routeOf(*t)] = w
-			l.ctl.ApplyRetryAfter(l.since(), t.Endpoint.ID, w.until.Sub(l.now))
+		if w := l.retryAfters[addressKeyOf(*t)]; l.now.Before(w.until) {
+			l.retryAfters[l.routeKeyOf(*t)] = w
+			l.controller.ApplyRetryAfter(l.sinceStart(), t.Endpoint.ID, w.until.Sub(l.now))
 		}
 	}
 }
 
-// rules are those in force for all sends.
-func (l *Loop) rules() permit.Rules {
-	return permit.Rules{DrainGrace: l.set.DrainGrace, NoHedging: !l.set.AllowHedging, Stopping: l.halted}
+// permitRules are those in force for all sends.
+func (l *Loop) permitRules() permit.Rules {
+	return permit.Rules{DrainGrace: l.settings.DrainGrace, NoHedging: !l.settings.AllowHedging, Stopping: l.halted}
 }
 
-// facts are what is known of a target for a send to it.
-func (l *Loop) facts(t Target) permit.Route {
-	w := l.waits[l.routeOf(t)]
-	return permit.Route{LeftAt: l.group.toldLeft[t.Endpoint.ID], UncertainSince: l.certain.first, RetryAfterFrom: w.from, RetryAfterUntil: w.until}
+// permitRoute are what is known of a target for a send to it.
+func (l *Loop) permitRoute(t Target) permit.Route {
+	w := l.retryAfters[l.routeKeyOf(t)]
+	return permit.Route{LeftAt: l.group.leftAt[t.Endpoint.ID], UncertainSince: l.certainty.since, RetryAfterFrom: w.from, RetryAfterUntil: w.until}
 }
 
-// permits tells whether a forward of a call may leave now. What may not is counted and ends as one that was called off.
-func (l *Loop) permits(c *Call, f *Attempt, e *entry) bool {
-	m := permit.Message{Deadline: f.Message.Deadline, MayHaveRun: len(e.ran) > 0, KeyRetainedUntil: f.NotAfter, InFlight: e.flights > 1}
-	if e.Class >= 0 && e.Class < len(l.set.Classes) {
-		m.Idempotency = l.set.Classes[e.Class].Idempotency
+// permitted tells whether a forward of a call may leave now. What may not is counted and ends as one that was called off.
+func (l *Loop) permitted(c *Call, f *Attempt, e *entry) bool {
+	m := permit.Message{Deadline: f.Message.Deadline, MayHaveRun: len(e.mayHaveRun) > 0, KeyRetainedUntil: f.NotAfter, InFlight: e.inFlight > 1}
+	if e.Class >= 0 && e.Class < len(l.settings.Classes) {
+		m.Idempotency = l.settings.Classes[e.Class].Idempotency
 	}
 	if m.Idempotency != control.IdempotentByKey {
 		m.KeyRetainedUntil = f.Message.Deadline
 	}
-	refusal := l.rules().Check(l.now, m, l.facts(c.Target))
-	if refusal == permit.Allowed {
+	denial := l.permitRules().Check(l.now, m, l.permitRoute(c.Target))
+	if denial == permit.Allowed {
 		return true
 	}
-	l.counters.withheld[refusal].Add(1)
-	l.log.Warn("a send is withheld", "why", refusal, "message", e.ID, "class", e.Class, "attempt", f.attempt, "target", c.Target.ID)
+	l.counters.withheld[denial].Add(1)
+	l.log.Warn("a send is withheld", "why", denial, "message", e.ID, "class", e.Class, "attempt", f.attempt, "target", c.Target.ID)
 	return false
 }
 
-// judge looks at when a call left, once what came of it is known.
-func (l *Loop) judge(c *Call, end AttemptResult) {
+// checkSent looks at when a call left, once what came of it is known.
+func (l *Loop) checkSent(c *Call, end AttemptResult) {
 	if end.SentAt.IsZero() {
 		return
 	}
-	if broken := l.rules().CheckSent(end.SentAt, l.facts(c.Target)); broken != permit.Allowed {
-		l.counters.broken[broken].Add(1)
-		l.log.Error("a call left that should not have", "why", broken, "message", end.Attempt.Message.ID,
+	if denial := l.permitRules().CheckSent(end.SentAt, l.permitRoute(c.Target)); denial != permit.Allowed {
+		l.counters.violations[denial].Add(1)
+		l.log.Error("a call left that should not have", "why", denial, "message", end.Attempt.Message.ID,
 			"attempt", end.Attempt.attempt, "target", c.Target.ID, "left", l.now.Sub(end.SentAt))
 	}
 }
 
-// tally are the counts of refusals that are not zero, by name.
-func tally(counts *[permit.DenialCount]atomic.Int64) map[string]int64 {
+// nonZeroCounts are the counts of refusals that are not zero, by name.
+func nonZeroCounts(counts *[permit.DenialCount]atomic.Int64) map[string]int64 {
 	list := map[string]int64{}
 	for _, r := range permit.All() {
 		if n := counts[r].Load(); n > 0 {
--- a/internal/state/gate_test.go
+++ b/internal/state/gate_test.go
@@ -17,28 +17,28 @@
 		want  permit.Denial
 	}{
 		{"a second call of an unsafe message", 2, func(*Loop, control.EndpointID) {}, permit.NotRepeatable},
-		{"a copy where one is allowed", 0, func(l *Loop, _ control.EndpointID) { l.set.AllowHedging = false }, permit.InFlight},
-		{"a target that left", 0, func(l *Loop, to control.EndpointID) { l.group.toldLeft[to] = l.now.Add(-2 * time.Second) }, permit.EndpointGone},
-		{"an uncertain list", 0, func(l *Loop, _ control.EndpointID) { l.certain.doubt(l.now.Add(-2 * time.Second)) }, permit.ListUncertain},
+		{"a copy where one is allowed", 0, func(l *Loop, _ control.EndpointID) { l.settings.AllowHedging = false }, permit.InFlight},
+		{"a target that left", 0, func(l *Loop, to control.EndpointID) { l.group.leftAt[to] = l.now.Add(-2 * time.Second) }, permit.EndpointGone},
+		{"an uncertain list", 0, func(l *Loop, _ control.EndpointID) { l.certainty.markUncertain(l.now.Add(-2 * time.Second)) }, permit.ListUncertain},
 		{"a wait", 0, func(l *Loop, to control.EndpointID) {
-			l.remember(*l.group.byNum[to], time.Second)
+			l.noteRetryAfter(*l.group.byNumber[to], time.Second)
 			l.now = l.now.Add(time.Millisecond) // sends decided on as it is told are excused
 		}, permit.RetryAfterPending},
 		{"a process that ends", 0, func(l *Loop, _ control.EndpointID) { l.halted = true }, permit.Stopping},
 	} {
-		l, o := loop(t, t.TempDir(), 1e6)
-		l.set.DrainGrace = 2 * time.Second
+		l, o := newTestLoop(t, t.TempDir(), 1e6)
+		l.settings.DrainGrace = 2 * time.Second
 		start(t, l)
 		verdict := make(chan Response, 1)
 		l.Post(Submitted{Message: &Message{ID: "a", Class: c.class, Destination: 7, Deadline: time.Now().Add(time.Minute)}, Response: verdict})
-		get(t, verdict)
+		receive(t, verdict)
 		l.Post(ResponseWritten{"a", true})
-		get(t, o.calls)
+		receive(t, o.calls)
 		done := make(chan bool)
 		l.Post(inspect(func() {
 			to := l.group.byID["s"].Endpoint.ID
 			c.known(l, to)
-			(*actions)(l).Send(l.table.ids["a"].num, to, time.Second)
+			(*actions)(l).Send(l.table.byID["a"].num, to, time.Second)
 			done <- true
 		}))
 		<-done
@@ -51,12 +51,12 @@
 
 // A call whose first byte was written against a rule is counted, once it is known; one in time is not.
 func TestCallsAreJudged(t *testing.T) {
-	l, o := loop(t, t.TempDir(), 1e6)
-	l.set.DrainGrace = time.Second
+	l, o := newTestLoop(t, t.TempDir(), 1e6)
+	l.settings.DrainGrace = time.Second
 	start(t, l)
 	call := o.callOf(t, l, "a")
 	now := time.Now()
-	l.Post(inspect(func() { l.group.toldLeft[call.Target.Endpoint.ID] = now }))
+	l.Post(inspect(func() { l.group.leftAt[call.Target.Endpoint.ID] = now }))
 	for i, left := range []time.Duration{900 * time.Millisecond, 1100 * time.Millisecond} {
 		l.Post(CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: control.Served, Final: true, SentAt: now.Add(left)}}})
 		l.Idle()
@@ -75,7 +75,7 @@
 		busy time.Duration // so long the round has gone on
 		news bool
 	}{{"in the middle of a round", 150 * time.Millisecond, false}, {"another id at the address", 0, true}} {
-		l, o := loop(t, t.TempDir(), 1e6)
+		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
 		call := o.callOf(t, l, "a")
 		var told time.Time
@@ -89,7 +89,7 @@
 				l.events <- ListUpdate{Kind: control.ListDelta, Version: 2, Targets: []Target{gone, next}}
 			}
 		}))
-		if again := get(t, o.calls); time.Since(told) < wait {
+		if again := receive(t, o.calls); time.Since(told) < wait {
 			t.Errorf("%s: a call to %s %v after a wait of %v was told", c.name, again.Target.ID, time.Since(told), wait)
 		}
 	}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -21,8 +21,8 @@
 }}
 
 // goldenEntries are messages of each fate: taken, forwarded, spared, with a notice owed, of the dead-letter queue, and repeated by it.
-func goldenEntries(classes *classBook) []*entry {
-	number := classes.number(goldenClass)
+func goldenEntries(classes *classRegistry) []*entry {
+	number := classes.numberOf(goldenClass)
 	at := time.UnixMicro(1_700_000_000_000_000)
 	var list []*entry
 	for i, id := range []string{"taken", "forwarded", "spared", "deferred", "undeliverable", "kept", "resent"} {
@@ -30,18 +30,18 @@
 			ID: id, Key: "key-" + id, Class: number, Tenant: 2, Destination: 3, Resubmitted: i%2 == 0,
 			Deadline: at.Add(time.Duration(i) * time.Second), Body: bytes.Repeat([]byte{byte(i), 'b'}, 5),
 		}
-		list = append(list, &entry{Message: m, num: control.MessageID(i + 1), answered: true, class: classes.record(number)})
+		list = append(list, &entry{Message: m, num: control.MessageID(i + 1), responded: true, classRecord: classes.record(number)})
 	}
-	list[1].ran = []sent{{attempt: 0, at: at, zone: 1, target: "s1", told: true}, {attempt: 2, at: at.Add(time.Second), zone: -1}}
-	list[1].sends = 3
-	list[2].sends = 2
-	list[3].notice = &DeliveryReport{Num: 4, ID: "deferred", Deferred: true, RetryAfter: 1500 * time.Millisecond}
-	list[4].notice = &DeliveryReport{Num: 5, ID: "undeliverable"}
-	list[5].notice = &DeliveryReport{Num: 6, ID: "kept", Deferred: true, DeadLetter: &DeadLetter{
+	list[1].mayHaveRun = []sentAttempt{{attempt: 0, at: at, zone: 1, endpoint: "s1", inDeadLetter: true}, {attempt: 2, at: at.Add(time.Second), zone: -1}}
+	list[1].attempts = 3
+	list[2].attempts = 2
+	list[3].report = &DeliveryReport{Num: 4, ID: "deferred", Deferred: true, RetryAfter: 1500 * time.Millisecond}
+	list[4].report = &DeliveryReport{Num: 5, ID: "undeliverable"}
+	list[5].report = &DeliveryReport{Num: 6, ID: "kept", Deferred: true, DeadLetter: &DeadLetter{
 		Num: 6, Reason: "expired", At: at, Delivered: true, Final: true, Deferred: true,
 	}}
-	list[5].parting = list[5].notice.DeadLetter
-	list[6].seq = 77
+	list[5].deadLetter = list[5].report.DeadLetter
+	list[6].deadLetterSeq = 77
 	return list
 }
 
@@ -50,14 +50,14 @@
 	var b strings.Builder
 	for _, e := range t.ordered() {
 		fmt.Fprintf(&b, "%d id=%q key=%q class=%q tenant=%d destination=%d deadline=%d again=%t body=%x seq=%d sends=%d\n", e.num, e.ID, e.Key,
-			t.classes.list[e.Class].Name, e.Tenant, e.Destination, t.base.stampOf(e.Deadline), e.Resubmitted, e.Body, e.seq, e.sends)
-		for _, s := range e.ran {
-			fmt.Fprintf(&b, "  ran attempt=%d at=%d zone=%d target=%q told=%t\n", s.attempt, t.base.stampOf(s.at), s.zone, s.target, s.told)
+			t.classes.list[e.Class].Name, e.Tenant, e.Destination, t.times.stampOf(e.Deadline), e.Resubmitted, e.Body, e.deadLetterSeq, e.attempts)
+		for _, s := range e.mayHaveRun {
+			fmt.Fprintf(&b, "  ran attempt=%d at=%d zone=%d target=%q told=%t\n", s.attempt, t.times.stampOf(s.at), s.zone, s.endpoint, s.inDeadLetter)
 		}
-		if n := e.notice; n != nil {
+		if n := e.report; n != nil {
 			fmt.Fprintf(&b, "  notice id=%q deferred=%t again=%s\n", n.ID, n.Deferred, n.RetryAfter)
 			if k := n.DeadLetter; k != nil {
-				fmt.Fprintf(&b, "  kept reason=%q at=%d delivered=%t over=%t deferred=%t\n", k.Reason, t.base.stampOf(k.At), k.Delivered, k.Final, k.Deferred)
+				fmt.Fprintf(&b, "  kept reason=%q at=%d delivered=%t over=%t deferred=%t\n", k.Reason, t.times.stampOf(k.At), k.Delivered, k.Final, k.Deferred)
 			}
 		}
 	}
@@ -69,14 +69,14 @@
 func TestGoldenJournal(t *testing.T) {
 	dir := golden.Folder(t, "journal")
 	golden.Bytes(t, "journal-pending.txt", goldenPending(t, dir), false)
-	classes := &classBook{}
-	j, table, err := openJournal(journalSetup{dir: dir, limit: 1e6, durability: store.Process, classes: classes, log: quiet})
+	classes := &classRegistry{}
+	j, table, err := openWAL(walOptions{dir: dir, limit: 1e6, durability: store.Process, classes: classes, log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.close()
 	golden.Bytes(t, "journal-table.txt", []byte(goldenTable(table)), false)
-	if d := openDepartures(dir, quiet); len(d.ids) != 2 || d.ids[0] != "s7" || d.ids[1] != "s9" {
+	if d := openDepartures(dir, discardLog); len(d.ids) != 2 || d.ids[0] != "s7" || d.ids[1] != "s9" {
 		t.Errorf("departures: %q", d.ids)
 	}
 }
@@ -85,7 +85,7 @@
 func TestGoldenOldJournal(t *testing.T) {
 	dir := golden.Folder(t, "old-journal")
 	golden.Bytes(t, "old-journal-pending.txt", goldenPending(t, dir), false)
-	j, table, err := openJournal(journalSetup{dir: dir, limit: 1e6, durability: store.Process, classes: &classBook{}, log: quiet})
+	j, table, err := openWAL(walOptions{dir: dir, limit: 1e6, durability: store.Process, classes: &classRegistry{}, log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 
 func goldenPending(t *testing.T, dir string) []byte {
 	t.Helper()
-	pending, err := ReadPending(dir, quiet)
+	pending, err := ReadPending(dir, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,18 +112,18 @@
 // TestGoldenRecords writes the records of each kind as 096da04 did.
 func TestGoldenRecords(t *testing.T) {
 	var b strings.Builder
-	for _, e := range goldenEntries(&classBook{}) {
-		for _, p := range entryPayloads(nil, e) {
+	for _, e := range goldenEntries(&classRegistry{}) {
+		for _, p := range entryRecords(nil, e) {
 			fmt.Fprintf(&b, "%s %x\n", e.ID, p)
 		}
-		fmt.Fprintf(&b, "%s over %x spared %x\n", e.ID, overRecord(e.num), sparedRecord(e.num, 1))
+		fmt.Fprintf(&b, "%s over %x spared %x\n", e.ID, endedRecord(e.num), notRunRecord(e.num, 1))
 	}
 	golden.Bytes(t, "records.txt", []byte(b.String()), false)
 }
 
 // TestGoldenState writes and reads the structs that go to files, to another process and to operators as JSON.
 func TestGoldenState(t *testing.T) {
-	golden.JSON[anchor](t, "timebase.json")
+	golden.JSON[clockAnchor](t, "timebase.json")
 	golden.JSON[HandoverState](t, "estate.json")
 	golden.JSON[RemoteResult](t, "returned.json")
 	golden.JSON[ListedTarget](t, "listed.json")
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -66,7 +66,7 @@
 // JournalIntact tells whether the journal holds all that the loop knows; only then may it give way.
 func (l *Loop) JournalIntact() bool {
 	answer := make(chan bool, 1)
-	l.Post(inspect(func() { answer <- l.heir == nil && !l.journal.dirty }))
+	l.Post(inspect(func() { answer <- l.successor == nil && !l.wal.incomplete }))
 	select {
 	case sound := <-answer:
 		return sound
@@ -81,39 +81,39 @@
 	Err   error
 }
 
-// giveWay is asked for in a round, and done at its end.
-func (l *Loop) giveWay(g HandOver) {
-	l.leaving = &g
+// beginHandOver is asked for in a round, and done at its end.
+func (l *Loop) beginHandOver(g HandOver) {
+	l.handOver = &g
 	l.stopped, l.halted = true, true
-	for _, c := range l.ready { // waited for a slot: they never left
-		l.unsend(c, control.ConnectFailed)
+	for _, c := range l.readyCalls { // waited for a slot: they never left
+		l.endUnsent(c, control.ConnectFailed)
 	}
-	l.ready = nil
+	l.readyCalls = nil
 	// What still waits for its connection goes by the next process, which hears of drains and told waits.
 	l.withhold(func(Target) bool { return true })
 }
 
-// leave ends the loop's ownership of the journal at the end of a round.
-func (l *Loop) leave() {
+// completeHandOver ends the loop's ownership of the journal at the end of a round.
+func (l *Loop) completeHandOver() {
 	if len(l.backlog) > 0 {
 		return // what came of calls that never left is still to be entered
 	}
-	g := l.leaving
-	l.leaving = nil
-	e := HandoverState{At: l.now, Stamp: l.journal.base.stampOf(l.now), Version: l.group.version, Routes: map[string]control.RouteState{}}
-	if !l.certain.first.IsZero() {
-		e.UncertainFor = max(1, l.now.Sub(l.certain.first))
+	g := l.handOver
+	l.handOver = nil
+	e := HandoverState{At: l.now, Stamp: l.wal.times.stampOf(l.now), Version: l.group.version, Routes: map[string]control.RouteState{}}
+	if !l.certainty.since.IsZero() {
+		e.UncertainFor = max(1, l.now.Sub(l.certainty.since))
 	}
-	for _, r := range l.ctl.RouteStates(l.since()) {
-		if t := l.group.byNum[r.Endpoint]; t != nil {
+	for _, r := range l.controller.RouteStates(l.sinceStart()) {
+		if t := l.group.byNumber[r.Endpoint]; t != nil {
 			e.Routes[t.ID] = r
 			e.Targets = append(e.Targets, *t)
 		}
 	}
 	n := 0
-	for c := range l.out {
+	for c := range l.inFlight {
 		if !c.launched { // its client was not answered in time: it never leaves
-			delete(l.out, c)
+			delete(l.inFlight, c)
 			continue
 		}
 		n++
@@ -123,22 +123,22 @@
 			}
 		}
 	}
-	for a, call := range l.abroad { // of a process before this one: passed on when it is told
+	for a, call := range l.remoteInFlight { // of a process before this one: passed on when it is told
 		e.InFlight = append(e.InFlight, RemoteAttempt{a.num, a.attempt, n + 1 + call})
 	}
-	err := l.journal.close()
-	if l.journal.dirty {
-		err = errors.Join(errDirty, err)
+	err := l.wal.close()
+	if l.wal.incomplete {
+		err = errors.Join(errLogIncomplete, err)
 	}
-	l.heir = g.Successor
+	l.successor = g.Successor
 	g.Done <- HandOverResult{e, err}
-	if len(l.out)+len(l.abroad) == 0 {
-		l.heir.RemoteResult(RemoteResult{}, true)
+	if len(l.inFlight)+len(l.remoteInFlight) == 0 {
+		l.successor.RemoteResult(RemoteResult{}, true)
 	}
 }
 
-// pass is all that a loop still does once it has given way.
-func (l *Loop) pass(event Event) {
+// handleHandedOver is all that a loop still does once it has given way.
+func (l *Loop) handleHandedOver(event Event) {
 	switch e := event.(type) {
 	case CallEnded:
 		for _, end := range e.Results {
@@ -147,62 +147,62 @@
 				continue
 			}
 			f.ended = true
-			if l.out[e.Call]--; l.out[e.Call] <= 0 {
-				delete(l.out, e.Call)
+			if l.inFlight[e.Call]--; l.inFlight[e.Call] <= 0 {
+				delete(l.inFlight, e.Call)
 			}
-			l.heir.RemoteResult(RemoteResult{
+			l.successor.RemoteResult(RemoteResult{
 				Message: f.num, Attempt: f.attempt, Target: e.Call.Target.ID, Result: end.Result, Elapsed: end.Elapsed, RetryAfter: end.RetryAfter,
 				Final: end.Final,
-			}, len(l.out)+len(l.abroad) == 0)
+			}, len(l.inFlight)+len(l.remoteInFlight) == 0)
 		}
 	case RemoteResult:
-		if a := (abroad{e.Message, e.Attempt}); l.isAbroad(a) {
-			delete(l.abroad, a)
-			l.heir.RemoteResult(e, len(l.out)+len(l.abroad) == 0)
+		if a := (remoteAttemptKey{e.Message, e.Attempt}); l.isRemoteInFlight(a) {
+			delete(l.remoteInFlight, a)
+			l.successor.RemoteResult(e, len(l.inFlight)+len(l.remoteInFlight) == 0)
 		}
 	case PredecessorLost:
-		l.abroad = nil
-		if len(l.out) == 0 {
-			l.heir.RemoteResult(RemoteResult{}, true)
+		l.remoteInFlight = nil
+		if len(l.inFlight) == 0 {
+			l.successor.RemoteResult(RemoteResult{}, true)
 		}
 	case Submitted:
-		e.Response <- Response{RetryAfter: l.pause(leavePause)}
+		e.Response <- Response{RetryAfter: l.clientRetryAfter(stoppingRetryAfter)}
 	case UpdateSettings:
-		e.Done <- SettingsResult{Err: errGiven}
+		e.Done <- SettingsResult{Err: errHandedOver}
 	case HandOver:
-		e.Done <- HandOverResult{Err: errGiven}
+		e.Done <- HandOverResult{Err: errHandedOver}
 	case inspect:
 		e()
 	}
 }
 
-// abroad names a forward out at another process.
-type abroad struct {
+// remoteAttemptKey names a forward out at another process.
+type remoteAttemptKey struct {
 	num     control.MessageID
 	attempt int
 }
 
-// estateAt is when an estate was told. Its wall time does not outlast a step of the clock.
-func (l *Loop) estateAt(e *HandoverState) time.Time {
+// handoverTime is when an estate was told. Its wall time does not outlast a step of the clock.
+func (l *Loop) handoverTime(e *HandoverState) time.Time {
 	if e.Stamp == 0 {
 		return e.At
 	}
-	return l.journal.base.timeOf(e.Stamp)
+	return l.wal.times.timeOf(e.Stamp)
 }
 
-// inherit takes up what the process before this one has told, before the loop's first round.
-func (l *Loop) inherit(e *HandoverState) {
-	l.abroad = map[abroad]int{}
+// restoreHandover takes up what the process before this one has told, before the loop's first round.
+func (l *Loop) restoreHandover(e *HandoverState) {
+	l.remoteInFlight = map[remoteAttemptKey]int{}
 	for _, a := range e.InFlight {
-		if x := l.table.entries[a.Message]; x != nil && x.notice == nil {
-			l.abroad[abroad{a.Message, a.Attempt}] = a.Call
-			x.abroad++
+		if x := l.table.entries[a.Message]; x != nil && x.report == nil {
+			l.remoteInFlight[remoteAttemptKey{a.Message, a.Attempt}] = a.Call
+			x.remoteInFlight++
 		}
 	}
 	l.backlog = append(l.backlog, ListUpdate{Kind: control.ListCached, Version: e.Version, Targets: e.Targets}, inspect(func() {
-		since := max(0, l.now.Sub(l.estateAt(e)))
+		since := max(0, l.now.Sub(l.handoverTime(e)))
 		if e.UncertainFor > 0 {
-			l.certain.doubt(l.now.Add(-since - e.UncertainFor))
+			l.certainty.markUncertain(l.now.Add(-since - e.UncertainFor))
 			l.reviewList()
 		}
 		var list []control.RouteState
@@ -216,74 +216,74 @@
 			r.FailingFor, r.RecoveredFor = r.FailingFor+since, r.RecoveredFor+since
 			list = append(list, r)
 		}
-		l.ctl.RestoreRoutes(l.since(), list)
-		l.ctl.SetRemoteInFlight(l.since(), l.abroadCalls())
+		l.controller.RestoreRoutes(l.sinceStart(), list)
+		l.controller.SetRemoteInFlight(l.sinceStart(), l.remoteCalls())
 	}))
 }
 
-func (l *Loop) isAbroad(a abroad) bool {
-	_, is := l.abroad[a]
+func (l *Loop) isRemoteInFlight(a remoteAttemptKey) bool {
+	_, is := l.remoteInFlight[a]
 	return is
 }
 
-// abroadCalls is how many slots the calls of another process still take.
-func (l *Loop) abroadCalls() int {
+// remoteCalls is how many slots the calls of another process still take.
+func (l *Loop) remoteCalls() int {
 	calls := map[int]bool{}
-	for _, call := range l.abroad {
+	for _, call := range l.remoteInFlight {
 		calls[call] = true
 	}
 	return len(calls)
 }
 
-// returned enters what came of a forward abroad, as book does for those of its own.
-func (l *Loop) returned(r RemoteResult) {
-	a := abroad{r.Message, r.Attempt}
-	if !l.isAbroad(a) {
+// remoteResult enters what came of a forward abroad, as book does for those of its own.
+func (l *Loop) remoteResult(r RemoteResult) {
+	a := remoteAttemptKey{r.Message, r.Attempt}
+	if !l.isRemoteInFlight(a) {
 		return
 	}
-	delete(l.abroad, a)
-	l.ctl.SetRemoteInFlight(l.since(), l.abroadCalls())
+	delete(l.remoteInFlight, a)
+	l.controller.SetRemoteInFlight(l.sinceStart(), l.remoteCalls())
 	if t := l.group.byID[r.Target]; t != nil {
-		l.ctl.RemoteOutcome(l.since(), control.Outcome{Endpoint: t.Endpoint.ID, Result: r.Result, RetryAfter: r.RetryAfter}, r.Elapsed)
+		l.controller.RemoteOutcome(l.sinceStart(), control.Outcome{Endpoint: t.Endpoint.ID, Result: r.Result, RetryAfter: r.RetryAfter}, r.Elapsed)
 		if r.RetryAfter > 0 {
-			l.waited(*t)
+			l.withholdForRetryAfter(*t)
 		}
 	}
 	e := l.table.entries[r.Message]
 	if e == nil {
 		return
 	}
-	l.known(e, r)
+	l.recordRemoteResult(e, r)
 	if !r.Result.MayHaveRun() {
-		e.spare(r.Attempt)
-		l.journal.add(sparedRecord(e.num, r.Attempt))
+		e.markNotRun(r.Attempt)
+		l.wal.add(notRunRecord(e.num, r.Attempt))
 	}
-	e.abroad--
+	e.remoteInFlight--
 	switch {
 	case r.Final:
-		if r.Result == control.Served && e.notice == nil {
+		if r.Result == control.Served && e.report == nil {
 			l.counters.delivered.Add(1)
 		}
 		switch {
-		case e.seq > 0 && e.notice == nil:
-			l.resent(e, r.Result)
-		case e.notice == nil || e.parting == nil:
-			l.over(e)
+		case e.deadLetterSeq > 0 && e.report == nil:
+			l.endRedelivery(e, r.Result)
+		case e.report == nil || e.deadLetter == nil:
+			l.forget(e)
 		}
-	case e.abroad == 0 && e.notice == nil:
-		l.hand(e, true)
+	case e.remoteInFlight == 0 && e.report == nil:
+		l.submitToController(e, true)
 	}
 }
 
-// lost takes what is still abroad for what may have run.
-func (l *Loop) lost() {
-	clear(l.abroad)
-	l.ctl.SetRemoteInFlight(l.since(), 0)
+// predecessorLost takes what is still abroad for what may have run.
+func (l *Loop) predecessorLost() {
+	clear(l.remoteInFlight)
+	l.controller.SetRemoteInFlight(l.sinceStart(), 0)
 	for _, e := range l.table.ordered() {
-		if e.abroad > 0 {
-			e.abroad = 0
-			if e.notice == nil {
-				l.hand(e, true)
+		if e.remoteInFlight > 0 {
+			e.remoteInFlight = 0
+			if e.report == nil {
+				l.submitToController(e, true)
 			}
 		}
 	}
--- a/internal/state/journal_test.go
+++ b/internal/state/journal_test.go
@@ -15,25 +15,25 @@
 	"cleathold/internal/store"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// open opens the journal of a folder.
-func open(t *testing.T, dir string, limit int64) (*journal, *table) {
+// openTestWAL opens the journal of a folder.
+func openTestWAL(t *testing.T, dir string, limit int64) (*writeAheadLog, *table) {
 	t.Helper()
-	j, table, err := openJournal(journalSetup{dir: dir, limit: limit, durability: store.Process, classes: &classBook{}, log: quiet})
+	j, table, err := openWAL(walOptions{dir: dir, limit: limit, durability: store.Process, classes: &classRegistry{}, log: discardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return j, table
 }
 
-// take enters a message into the table and the journal.
-func take(j *journal, table *table, id string, size int) *entry {
+// addTestMessage enters a message into the table and the journal.
+func addTestMessage(j *writeAheadLog, table *table, id string, size int) *entry {
 	m := &Message{ID: id, Key: "k-" + id, Class: 1, Tenant: 2, Destination: 3, Resubmitted: true,
 		Deadline: time.UnixMicro(1e15), Body: bytes.Repeat([]byte("x"), size)}
-	e := &entry{Message: m, num: table.next, answered: true}
+	e := &entry{Message: m, num: table.next, responded: true}
 	table.add(e)
-	j.take(e)
+	j.addAccepted(e)
 	return e
 }
 
@@ -42,12 +42,12 @@
 	var b strings.Builder
 	for _, e := range t.ordered() {
 		b.WriteString(e.ID + ":")
-		for _, s := range e.ran {
+		for _, s := range e.mayHaveRun {
 			b.WriteString("r" + string(rune('0'+s.attempt)))
 		}
-		b.WriteString("/" + string(rune('0'+e.sends)))
-		if e.notice != nil {
-			b.WriteString(e.notice.status())
+		b.WriteString("/" + string(rune('0'+e.attempts)))
+		if e.report != nil {
+			b.WriteString(e.report.outcome())
 		}
 		b.WriteString(" ")
 	}
@@ -56,20 +56,20 @@
 
 // history writes one message of each fate.
 func history(t *testing.T, dir string) {
-	j, tb := open(t, dir, 1e6)
+	j, tb := openTestWAL(t, dir, 1e6)
 	for _, id := range []string{"new", "out", "spared", "over", "deferred"} {
-		e := take(j, tb, id, 10)
+		e := addTestMessage(j, tb, id, 10)
 		if id != "new" {
-			j.add(forwardRecord(nil, e.num, sent{attempt: 0, at: time.UnixMicro(7), zone: 1}))
+			j.add(attemptRecord(nil, e.num, sentAttempt{attempt: 0, at: time.UnixMicro(7), zone: 1}))
 		}
 		if id == "spared" || id == "deferred" {
-			j.add(sparedRecord(e.num, 0))
+			j.add(notRunRecord(e.num, 0))
 		}
 		if id == "over" {
-			j.add(overRecord(e.num))
+			j.add(endedRecord(e.num))
 		}
 		if id == "deferred" {
-			j.add(noticeRecord(nil, &DeliveryReport{Num: e.num, Deferred: true, RetryAfter: 500 * time.Millisecond}))
+			j.add(outcomeRecord(nil, &DeliveryReport{Num: e.num, Deferred: true, RetryAfter: 500 * time.Millisecond}))
 		}
 	}
 	if err := errors.Join(j.flush(), j.close()); err != nil {
@@ -84,16 +84,16 @@
 	dir := t.TempDir()
 	history(t, dir)
 	for range 2 {
-		j, tb := open(t, dir, 1e6)
+		j, tb := openTestWAL(t, dir, 1e6)
 		if got := describe(tb); got != historyOwes {
 			t.Fatalf("owes %q, want %q", got, historyOwes)
 		}
-		e := tb.ids["out"]
+		e := tb.byID["out"]
 		if e.Key != "k-out" || e.Destination != 3 || e.Tenant != 2 || e.Class != 1 || !e.Resubmitted || len(e.Body) != 10 ||
-			e.Deadline.Sub(time.UnixMicro(1e15)).Abs() > time.Millisecond || e.ran[0].zone != 1 || tb.base.stampOf(e.ran[0].at) != 7 {
-			t.Fatalf("read as %+v %+v", e.Message, e.ran)
+			e.Deadline.Sub(time.UnixMicro(1e15)).Abs() > time.Millisecond || e.mayHaveRun[0].zone != 1 || tb.times.stampOf(e.mayHaveRun[0].at) != 7 {
+			t.Fatalf("read as %+v %+v", e.Message, e.mayHaveRun)
 		}
-		if n := tb.ids["deferred"].notice; n.RetryAfter != 500*time.Millisecond || n.ID != "deferred" {
+		if n := tb.byID["deferred"].report; n.RetryAfter != 500*time.Millisecond || n.ID != "deferred" {
 			t.Fatalf("notice %+v", n)
 		}
 		if tb.next != 6 { // of "over", which has ended, no number may come again
@@ -128,15 +128,15 @@
 		if err := os.WriteFile(filepath.Join(dir, filepath.Base(name)), whole[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		j, tb := open(t, dir, 1e6) // one batch: all of it or nothing
+		j, tb := openTestWAL(t, dir, 1e6) // one batch: all of it or nothing
 		if len(tb.entries) > 0 {
 			t.Fatalf("cut at %d: owes %q", n, describe(tb))
 		}
-		take(j, tb, "next", 10)
+		addTestMessage(j, tb, "next", 10)
 		if err := errors.Join(j.flush(), j.close()); err != nil {
 			t.Fatal(err)
 		}
-		if list, err := ReadPending(dir, quiet); len(list) != 1 || err != nil {
+		if list, err := ReadPending(dir, discardLog); len(list) != 1 || err != nil {
 			t.Fatalf("cut at %d: then %+v, %v", n, list, err)
 		}
 	}
@@ -146,9 +146,9 @@
 // that was open before it counts as one that may have run.
 func TestJournalDamaged(t *testing.T) {
 	dir := t.TempDir()
-	j, tb := open(t, dir, 1e6)
+	j, tb := openTestWAL(t, dir, 1e6)
 	for _, id := range []string{"first", "second", "third"} {
-		take(j, tb, id, 10)
+		addTestMessage(j, tb, id, 10)
 		if err := j.flush(); err != nil {
 			t.Fatal(err)
 		}
@@ -159,7 +159,7 @@
 	at := bytes.Index(whole, []byte("second"))
 	whole[at] ^= 0xff
 	os.WriteFile(name, whole, 0o600)
-	_, tb = open(t, dir, 1e6)
+	_, tb = openTestWAL(t, dir, 1e6)
 	if got, want := describe(tb), "first:r0/1 third:/0 "; got != want {
 		t.Errorf("owes %q, want %q", got, want)
 	}
@@ -170,23 +170,23 @@
 func TestJournalLimit(t *testing.T) {
 	const limit = 400_000
 	dir := t.TempDir()
-	j, tb := open(t, dir, limit)
+	j, tb := openTestWAL(t, dir, limit)
 	refused := 0
 	for i := range 3000 {
 		size := 100 + i*37%4000
-		if !j.room(tb.live + int64(size) + 1000) {
+		if !j.hasRoom(tb.liveBytes + int64(size) + 1000) {
 			refused++
 			for k, e := range tb.ordered()[:5] {
-				if k%2 == 0 && e.notice == nil {
-					tb.settle(e, DeliveryReport{Num: e.num, ID: e.ID})
-					j.settled(e)
+				if k%2 == 0 && e.report == nil {
+					tb.markEnded(e, DeliveryReport{Num: e.num, ID: e.ID})
+					j.addEnded(e)
 					continue
 				}
 				tb.drop(e)
-				j.add(overRecord(e.num))
+				j.add(endedRecord(e.num))
 			}
 		} else {
-			take(j, tb, fmt.Sprint("m", i), size)
+			addTestMessage(j, tb, fmt.Sprint("m", i), size)
 		}
 		if err := j.flush(); err != nil {
 			t.Fatalf("message %d: %v, %+v", i, err, j.store.Stats())
@@ -208,7 +208,7 @@
 	}
 	want := describe(tb)
 	j.close()
-	if _, again := open(t, dir, limit); describe(again) != want {
+	if _, again := openTestWAL(t, dir, limit); describe(again) != want {
 		t.Errorf("owes %q, want %q", describe(again), want)
 	}
 }
@@ -220,32 +220,32 @@
 		tb := newTable()
 		var data []byte
 		for i, id := range []string{"new", "out", "deferred"} {
-			e := &entry{Message: &Message{ID: id, Destination: 3, Deadline: time.UnixMicro(1e15), Body: []byte("body")}, num: tb.next, answered: true}
+			e := &entry{Message: &Message{ID: id, Destination: 3, Deadline: time.UnixMicro(1e15), Body: []byte("body")}, num: tb.next, responded: true}
 			tb.add(e)
-			data = oldRecord(data, takeRecord(nil, e))
+			data = appendLegacyRecord(data, acceptedRecord(nil, e))
 			if i > 0 {
-				data = oldRecord(data, forwardRecord(nil, e.num, sent{attempt: 0, at: time.UnixMicro(7), zone: 1}))
+				data = appendLegacyRecord(data, attemptRecord(nil, e.num, sentAttempt{attempt: 0, at: time.UnixMicro(7), zone: 1}))
 			}
 			if i == 2 {
-				data = oldRecord(data, noticeRecord(nil, &DeliveryReport{Num: e.num, Deferred: true}))
+				data = appendLegacyRecord(data, outcomeRecord(nil, &DeliveryReport{Num: e.num, Deferred: true}))
 			}
 		}
-		if err := os.WriteFile(filepath.Join(dir, oldName), append(data, "torn"...), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, legacyFile), append(data, "torn"...), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	const want = "new:/0 out:r0/1 deferred:r0/1deferred "
 	dir := t.TempDir()
 	old(dir)
-	if list, err := ReadPending(dir, quiet); len(list) != 3 || err != nil {
+	if list, err := ReadPending(dir, discardLog); len(list) != 3 || err != nil {
 		t.Errorf("before: %+v, %v", list, err)
 	}
-	j, tb := open(t, dir, 1e6)
+	j, tb := openTestWAL(t, dir, 1e6)
 	if got := describe(tb); got != want {
 		t.Errorf("owes %q, want %q", got, want)
 	}
 	j.close()
-	if _, err := os.Stat(filepath.Join(dir, oldName)); !os.IsNotExist(err) {
+	if _, err := os.Stat(filepath.Join(dir, legacyFile)); !os.IsNotExist(err) {
 		t.Error("the old file is still there")
 	}
 	whole, _ := os.ReadFile(logFile(t, dir))
@@ -253,8 +253,8 @@
 		dir := t.TempDir()
 		old(dir)
 		os.WriteFile(filepath.Join(dir, "0000000000000001.log"), whole[:n], 0o600)
-		os.WriteFile(filepath.Join(dir, oldFresh), []byte("half a rewrite"), 0o600)
-		j, tb := open(t, dir, 1e6)
+		os.WriteFile(filepath.Join(dir, legacyRewriteFile), []byte("half a rewrite"), 0o600)
+		j, tb := openTestWAL(t, dir, 1e6)
 		if got := describe(tb); got != want {
 			t.Errorf("broken off at %d: owes %q, want %q", n, got, want)
 		}
--- a/internal/state/keep.go
+++ b/internal/state/keep.go
@@ -21,12 +21,12 @@
 	Open   bool // no end is known
 }
 
-// keptPart: messages that the keeper does not have yet take one part in so many of
+// deadLetterFraction: messages that the keeper does not have yet take one part in so many of
 // the journal at most.
-const keptPart = 10
+const deadLetterFraction = 10
 
-// triesMost bounds the history of a message where the settings don't.
-const triesMost = 64
+// maxAttemptLog bounds the history of a message where the settings don't.
+const maxAttemptLog = 64
 
 // A DeadLetter is a message that goes to the keeper, or comes back to it.
 type DeadLetter struct {
@@ -99,14 +99,14 @@
 
 // reasonOf says why a message ends undelivered.
 func (l *Loop) reasonOf(e *entry) string {
-	class := l.set.Classes[min(max(e.Class, 0), len(l.set.Classes)-1)]
-	first, ran := e.first()
+	class := l.settings.Classes[min(max(e.Class, 0), len(l.settings.Classes)-1)]
+	first, ran := e.firstRun()
 	switch {
-	case e.rejected:
+	case e.unprocessable:
 		return ReasonUnprocessable
 	case ran && class.Idempotency == control.NotIdempotent:
 		return ReasonMayHaveRun
-	case l.set.MaxAttempts > 0 && e.sends >= l.set.MaxAttempts:
+	case l.settings.MaxAttempts > 0 && e.attempts >= l.settings.MaxAttempts:
 		return ReasonAttemptsExhausted
 	case ran && class.Idempotency == control.IdempotentByKey && l.now.Sub(first.at) >= class.KeyRetention/2 && l.now.Before(e.Deadline.Add(-class.Deadline/10)):
 		return ReasonKeyExpired
@@ -114,120 +114,120 @@
 	return ReasonExpired
 }
 
-// parting makes one of a message that ends.
-func (l *Loop) parting(e *entry) *DeadLetter {
+// newDeadLetter makes one of a message that ends.
+func (l *Loop) newDeadLetter(e *entry) *DeadLetter {
 	return &DeadLetter{
-		Num: e.num, Seq: e.seq, Message: e.Message, Attempts: e.history(), AttemptCount: e.sends, Reason: l.reasonOf(e), At: l.now,
+		Num: e.num, Seq: e.deadLetterSeq, Message: e.Message, Attempts: e.history(), AttemptCount: e.attempts, Reason: l.reasonOf(e), At: l.now,
 	}
 }
 
 // history returns what is known of a message's attempts. Of those from before a
 // restart only the ones that may have run stand in the journal.
 func (e *entry) history() []AttemptRecord {
-	list := make([]AttemptRecord, 0, len(e.tries)+len(e.ran))
-	for _, s := range e.ran {
-		known := s.told
-		for _, t := range e.tries {
+	list := make([]AttemptRecord, 0, len(e.attemptLog)+len(e.mayHaveRun))
+	for _, s := range e.mayHaveRun {
+		known := s.inDeadLetter
+		for _, t := range e.attemptLog {
 			known = known || t.attempt == s.attempt
 		}
 		if !known {
-			list = append(list, AttemptRecord{Target: s.target, Zone: s.zone, At: s.at, Open: true})
+			list = append(list, AttemptRecord{Target: s.endpoint, Zone: s.zone, At: s.at, Open: true})
 		}
 	}
-	for _, t := range e.tries {
+	for _, t := range e.attemptLog {
 		list = append(list, t.AttemptRecord)
 	}
 	return list
 }
 
 // A numbered try knows its attempt.
-type numberedTry struct {
+type numberedAttempt struct {
 	AttemptRecord
 	attempt int
 }
 
-// tried notes an attempt that is about to leave.
-func (l *Loop) tried(e *entry, s sent) {
-	if l.keeper == nil || len(e.tries) >= triesMost {
+// logAttempt notes an attempt that is about to leave.
+func (l *Loop) logAttempt(e *entry, s sentAttempt) {
+	if l.deadLetterQueue == nil || len(e.attemptLog) >= maxAttemptLog {
 		return
 	}
-	e.tries = append(e.tries, numberedTry{AttemptRecord{Target: s.target, Zone: s.zone, At: s.at, Open: true}, s.attempt})
+	e.attemptLog = append(e.attemptLog, numberedAttempt{AttemptRecord{Target: s.endpoint, Zone: s.zone, At: s.at, Open: true}, s.attempt})
 }
 
-// came notes what came of an attempt.
-func (e *entry) came(attempt int, r control.Result) {
-	for i := range e.tries {
-		if e.tries[i].attempt == attempt {
-			e.tries[i].Result, e.tries[i].Open = r, false
+// logResult notes what came of an attempt.
+func (e *entry) logResult(attempt int, r control.Result) {
+	for i := range e.attemptLog {
+		if e.attemptLog[i].attempt == attempt {
+			e.attemptLog[i].Result, e.attemptLog[i].Open = r, false
 		}
 	}
 }
 
-// keeps tells whether the keeper gets a message that ends with a notice. A
+// offerDeadLetter tells whether the keeper gets a message that ends with a notice. A
 // message whose client has not been answered yet may come again: it is not kept.
 // Nor is it where what waits for the keeper takes a tenth of the journal: a store
 // that is slow must not keep new messages out.
-func (l *Loop) keeps(e *entry, n *DeliveryReport) (*DeadLetter, bool) {
-	if l.keeper == nil || !e.answered || l.table.kept+e.cost > l.journal.limit/keptPart {
+func (l *Loop) offerDeadLetter(e *entry, n *DeliveryReport) (*DeadLetter, bool) {
+	if l.deadLetterQueue == nil || !e.responded || l.table.deadLetterBytes+e.cost > l.wal.limit/deadLetterFraction {
 		return nil, false
 	}
-	p := l.parting(e)
+	p := l.newDeadLetter(e)
 	p.Deferred = n.Deferred
-	return p, l.keeper.Accepts(p)
+	return p, l.deadLetterQueue.Accepts(p)
 }
 
-// part ends a message that the keeper is owed: the journal says so, and at the
+// endWithDeadLetter ends a message that the keeper is owed: the journal says so, and at the
 // end of the round the keeper is told.
-func (l *Loop) part(e *entry, n DeliveryReport, p *DeadLetter) {
+func (l *Loop) endWithDeadLetter(e *entry, n DeliveryReport, p *DeadLetter) {
 	n.Num, n.ID, n.DeadLetter = e.num, e.ID, p
-	e.parting = p
-	l.table.settle(e, n)
-	l.journal.settled(e)
-	l.partings = append(l.partings, p)
+	e.deadLetter = p
+	l.table.markEnded(e, n)
+	l.wal.addEnded(e)
+	l.deadLetters = append(l.deadLetters, p)
 }
 
-// admitHeld lets a message in that the keeper sends again. Live traffic goes
+// admitRedelivery lets a message in that the keeper sends again. Live traffic goes
 // first: it is turned where slots or room run short, or live messages for its
 // destination wait.
-func (l *Loop) admitHeld(r Redelivery) {
+func (l *Loop) admitRedelivery(r Redelivery) {
 	e := &entry{
-		Message: r.Message, num: l.table.next, answered: true, seq: r.Seq, sends: r.Attempts,
+		Message: r.Message, num: l.table.next, responded: true, deadLetterSeq: r.Seq, attempts: r.Attempts,
 	}
-	if why := l.turns(e); why != "" {
-		l.keeper.Add(DeadLetter{Seq: r.Seq, Message: r.Message, NotAdmitted: true, Reason: why, At: l.now})
+	if why := l.redeliveryDenial(e); why != "" {
+		l.deadLetterQueue.Add(DeadLetter{Seq: r.Seq, Message: r.Message, NotAdmitted: true, Reason: why, At: l.now})
 		return
 	}
 	if r.MayHaveRun {
-		e.ran = append(e.ran, sent{attempt: max(0, r.Attempts-1), at: l.now.Add(-r.FirstRunAgo), zone: r.FirstRunZone, told: true})
+		e.mayHaveRun = append(e.mayHaveRun, sentAttempt{attempt: max(0, r.Attempts-1), at: l.now.Add(-r.FirstRunAgo), zone: r.FirstRunZone, inDeadLetter: true})
 	}
 	l.table.add(e)
 	// Before the controller sees it: it may end within this round.
-	l.journal.enter(e)
-	l.fresh = append(l.fresh, e)
-	l.hand(e, false)
+	l.wal.addEntry(e)
+	l.admitted = append(l.admitted, e)
+	l.submitToController(e, false)
 }
 
-// turns says why a resend is not let in now.
-func (l *Loop) turns(e *entry) string {
+// redeliveryDenial says why a resend is not let in now.
+func (l *Loop) redeliveryDenial(e *entry) string {
 	switch {
 	case l.stopped || l.halted:
 		return "the sender stops"
-	case l.table.ids[e.ID] != nil:
+	case l.table.byID[e.ID] != nil:
 		return "its id is in use"
 	case !l.group.serves(e.Destination):
 		return "no target of its destination is listed"
-	case l.set.MaxOpenMessages > 0 && 2*l.table.open >= l.set.MaxOpenMessages:
+	case l.settings.MaxOpenMessages > 0 && 2*l.table.open >= l.settings.MaxOpenMessages:
 		return "the sender holds much live traffic"
-	case 4*l.flying >= 3*l.set.MaxInFlight:
+	case 4*l.callsInFlight >= 3*l.settings.MaxInFlight:
 		return "few slots are free"
-	case !l.journal.room(2 * (l.table.live + takeCost(e.Message))):
+	case !l.wal.hasRoom(2 * (l.table.liveBytes + storageCost(e.Message))):
 		return "the journal has little room"
 	}
 	for _, o := range l.table.entries {
-		if o.notice == nil && e.Key != "" && o.Key == e.Key && o.Class == e.Class {
+		if o.report == nil && e.Key != "" && o.Key == e.Key && o.Class == e.Class {
 			return "a message with its key is open"
 		}
-		if o.notice == nil && o.seq == 0 && o.Destination == e.Destination && !l.isOut(o) {
+		if o.report == nil && o.deadLetterSeq == 0 && o.Destination == e.Destination && !l.isOut(o) {
 			return "live messages for its destination wait"
 		}
 	}
@@ -235,89 +235,89 @@
 }
 
 // isOut tells whether a forward of a message is out.
-func (l *Loop) isOut(e *entry) bool { return e.flights > 0 }
+func (l *Loop) isOut(e *entry) bool { return e.inFlight > 0 }
 
-// stored goes on once the keeper has partings: nothing of them is owed to it.
-func (l *Loop) stored(s DeadLettersStored) {
+// deadLettersStored goes on once the keeper has partings: nothing of them is owed to it.
+func (l *Loop) deadLettersStored(s DeadLettersStored) {
 	for _, num := range s.Nums {
 		e := l.table.entries[num]
-		if e == nil || e.parting == nil {
+		if e == nil || e.deadLetter == nil {
 			continue
 		}
-		e.parting = nil
-		if e.told || e.seq > 0 {
-			l.over(e)
+		e.deadLetter = nil
+		if e.reported || e.deadLetterSeq > 0 {
+			l.forget(e)
 		}
 	}
 }
 
-// tell gives the keeper the round's partings, and what the journal has forgotten.
-func (l *Loop) tell() {
-	for _, p := range l.partings {
-		if l.keeper != nil {
-			l.keeper.Add(*p)
+// passDeadLetters gives the keeper the round's partings, and what the journal has forgotten.
+func (l *Loop) passDeadLetters() {
+	for _, p := range l.deadLetters {
+		if l.deadLetterQueue != nil {
+			l.deadLetterQueue.Add(*p)
 		}
 	}
-	if l.keeper != nil && len(l.settled) > 0 {
-		l.keeper.Forget(l.settled)
+	if l.deadLetterQueue != nil && len(l.forgottenIDs) > 0 {
+		l.deadLetterQueue.Forget(l.forgottenIDs)
 	}
-	l.partings, l.settled = nil, nil
+	l.deadLetters, l.forgottenIDs = nil, nil
 }
 
-// beginKeeper tells the keeper what the journal knows, before anything else.
-func (l *Loop) beginKeeper() {
-	if l.keeper == nil {
+// beginDeadLetterQueue tells the keeper what the journal knows, before anything else.
+func (l *Loop) beginDeadLetterQueue() {
+	if l.deadLetterQueue == nil {
 		return
 	}
 	var owed []string
 	var out []uint64
 	for _, e := range l.table.ordered() {
-		if e.seq > 0 {
-			out = append(out, e.seq)
-		} else if e.parting != nil {
+		if e.deadLetterSeq > 0 {
+			out = append(out, e.deadLetterSeq)
+		} else if e.deadLetter != nil {
 			owed = append(owed, e.ID)
 		}
 	}
-	l.keeper.Begin(owed, out)
+	l.deadLetterQueue.Begin(owed, out)
 }
 
-// tellClasses tells the keeper how classes are numbered.
-func (l *Loop) tellClasses(now map[string]int) {
-	if l.keeper == nil {
+// notifyClasses tells the keeper how classes are numbered.
+func (l *Loop) notifyClasses(now map[string]int) {
+	if l.deadLetterQueue == nil {
 		return
 	}
 	names := make([]string, len(l.table.classes.list))
 	for i, c := range l.table.classes.list {
 		names[i] = c.Name
 	}
-	l.keeper.ClassesChanged(names, now, l.set)
+	l.deadLetterQueue.ClassesChanged(names, now, l.settings)
 }
 
-// known enters what came of a forward that another process had out.
-func (l *Loop) known(e *entry, r RemoteResult) {
-	if l.keeper == nil {
+// recordRemoteResult enters what came of a forward that another process had out.
+func (l *Loop) recordRemoteResult(e *entry, r RemoteResult) {
+	if l.deadLetterQueue == nil {
 		return
 	}
-	for _, s := range e.ran {
+	for _, s := range e.mayHaveRun {
 		if s.attempt == r.Attempt {
-			l.tried(e, sent{attempt: s.attempt, target: s.target, zone: s.zone, at: s.at})
+			l.logAttempt(e, sentAttempt{attempt: s.attempt, endpoint: s.endpoint, zone: s.zone, at: s.at})
 		}
 	}
-	e.came(r.Attempt, r.Result)
-	e.rejected = e.rejected || r.Result == control.Unprocessable
-	l.keeper.CallEnded(e.Destination, r.Result, r.RetryAfter, e.seq > 0)
+	e.logResult(r.Attempt, r.Result)
+	e.unprocessable = e.unprocessable || r.Result == control.Unprocessable
+	l.deadLetterQueue.CallEnded(e.Destination, r.Result, r.RetryAfter, e.deadLetterSeq > 0)
 }
 
-// resent ends a message that the keeper had sent again: it hears of that first.
-func (l *Loop) resent(e *entry, r control.Result) {
-	p := l.parting(e)
+// endRedelivery ends a message that the keeper had sent again: it hears of that first.
+func (l *Loop) endRedelivery(e *entry, r control.Result) {
+	p := l.newDeadLetter(e)
 	p.Delivered, p.Final = r == control.Served, r != control.Served
-	l.part(e, DeliveryReport{}, p)
+	l.endWithDeadLetter(e, DeliveryReport{}, p)
 }
 
-// tellListing tells the keeper what the target group knows.
-func (l *Loop) tellListing() {
-	if l.keeper == nil {
+// notifyCapacity tells the keeper what the target group knows.
+func (l *Loop) notifyCapacity() {
+	if l.deadLetterQueue == nil {
 		return
 	}
 	all := map[int]DestinationCapacity{}
@@ -326,7 +326,7 @@
 			continue
 		}
 		x := all[t.Destination]
-		if l.apart(t.Kind) {
+		if l.separateRoutes(t.Kind) {
 			x.Weight += t.Weight
 		} else {
 			x.Weight = max(x.Weight, t.Weight)
@@ -336,13 +336,13 @@
 		}
 		all[t.Destination] = x
 	}
-	l.keeper.CapacityChanged(all)
+	l.deadLetterQueue.CapacityChanged(all)
 }
 
-// reparted completes a parting that the journal told of.
-func (l *Loop) reparted(e *entry) *DeadLetter {
-	p := *e.parting
-	p.Num, p.Seq, p.Message, p.Attempts, p.AttemptCount = e.num, e.seq, e.Message, e.history(), e.sends
-	e.notice.DeadLetter = &p
+// restoreDeadLetter completes a parting that the journal told of.
+func (l *Loop) restoreDeadLetter(e *entry) *DeadLetter {
+	p := *e.deadLetter
+	p.Num, p.Seq, p.Message, p.Attempts, p.AttemptCount = e.num, e.deadLetterSeq, e.Message, e.history(), e.attempts
+	e.report.DeadLetter = &p
 	return &p
 }
--- a/internal/state/keep_test.go
+++ b/internal/state/keep_test.go
@@ -9,35 +9,35 @@
 	"cleathold/control"
 )
 
-// keeperStub wants what it is told to, and notes what it gets.
-type keeperStub struct {
+// queueStub wants what it is told to, and notes what it gets.
+type queueStub struct {
 	wants   bool
 	began   chan [2]int
-	parts   chan DeadLetter
-	settled chan string
+	added   chan DeadLetter
+	forgotten chan string
 }
 
-func newKeeperStub(wants bool) *keeperStub {
-	return &keeperStub{wants, make(chan [2]int, 4), make(chan DeadLetter, 64), make(chan string, 64)}
+func newQueueStub(wants bool) *queueStub {
+	return &queueStub{wants, make(chan [2]int, 4), make(chan DeadLetter, 64), make(chan string, 64)}
 }
 
-func (k *keeperStub) Begin(owed []string, out []uint64)                         { k.began <- [2]int{len(owed), len(out)} }
-func (k *keeperStub) Accepts(*DeadLetter) bool                                  { return k.wants }
-func (k *keeperStub) Add(p DeadLetter)                                          { k.parts <- p }
-func (k *keeperStub) CallEnded(int, control.Result, time.Duration, bool)        {}
-func (k *keeperStub) CapacityChanged(map[int]DestinationCapacity)               {}
-func (k *keeperStub) ClassesChanged([]string, map[string]int, control.Settings) {}
-func (k *keeperStub) LoadChanged(LoopLoad)                                      {}
-func (k *keeperStub) Forget(ids []string) {
+func (k *queueStub) Begin(owed []string, out []uint64)                         { k.began <- [2]int{len(owed), len(out)} }
+func (k *queueStub) Accepts(*DeadLetter) bool                                  { return k.wants }
+func (k *queueStub) Add(p DeadLetter)                                          { k.added <- p }
+func (k *queueStub) CallEnded(int, control.Result, time.Duration, bool)        {}
+func (k *queueStub) CapacityChanged(map[int]DestinationCapacity)               {}
+func (k *queueStub) ClassesChanged([]string, map[string]int, control.Settings) {}
+func (k *queueStub) LoadChanged(LoopLoad)                                      {}
+func (k *queueStub) Forget(ids []string) {
 	for _, id := range ids {
-		k.settled <- id
+		k.forgotten <- id
 	}
 }
 
-// keepLoop is a loop with a keeper.
-func keepLoop(t *testing.T, dir string, k *keeperStub) (*Loop, *outside) {
-	l, o := loop(t, dir, 1e6)
-	l.keeper = k
+// loopWithQueue is a loop with a keeper.
+func loopWithQueue(t *testing.T, dir string, k *queueStub) (*Loop, *environment) {
+	l, o := newTestLoop(t, dir, 1e6)
+	l.deadLetterQueue = k
 	return l, o
 }
 
@@ -53,13 +53,13 @@
 
 // fails hands a message in and has its only forward end with a result that its
 // class does not outlive.
-func fails(t *testing.T, l *Loop, o *outside, id string, r control.Result) {
+func fails(t *testing.T, l *Loop, o *environment, id string, r control.Result) {
 	t.Helper()
 	v := make(chan Response, 1)
 	l.Post(Submitted{Message: &Message{ID: id, Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}, Response: v})
-	get(t, v)
+	receive(t, v)
 	l.Post(ResponseWritten{id, true})
-	c := get(t, o.calls)
+	c := receive(t, o.calls)
 	<-o.pending
 	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: r}}})
 }
@@ -72,17 +72,17 @@
 		acked, store bool // what came before the kill
 	}{{"neither", false, false}, {"platform only", true, false}, {"store only", false, true}, {"both", true, true}} {
 		dir := t.TempDir()
-		k := newKeeperStub(true)
-		l, o := keepLoop(t, dir, k)
+		k := newQueueStub(true)
+		l, o := loopWithQueue(t, dir, k)
 		start(t, l)
-		get(t, k.began)
+		receive(t, k.began)
 		fails(t, l, o, "a", control.ConnectionLost)
-		n, p := get(t, o.notices), get(t, k.parts)
+		n, p := receive(t, o.notices), receive(t, k.added)
 		if n.Deferred || n.ID != "a" || p.Message.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonMayHaveRun ||
 			len(p.Attempts) != 1 || p.Attempts[0].Target != "s" || p.Attempts[0].Result != control.ConnectionLost {
 			t.Fatalf("%s: %+v, %+v", c.name, n, p)
 		}
-		if list, _ := ReadPending(dir, quiet); len(list) != 1 || list[0].Owed != "undeliverable" {
+		if list, _ := ReadPending(dir, discardLog); len(list) != 1 || list[0].Owed != "undeliverable" {
 			t.Fatalf("%s: the journal has %+v", c.name, list)
 		}
 		if c.acked {
@@ -93,25 +93,25 @@
 		}
 		l.Idle()
 		l.Idle()
-		again := newKeeperStub(true)
+		again := newQueueStub(true)
 		dir = killed(t, dir)
-		l2, o2 := keepLoop(t, dir, again)
+		l2, o2 := loopWithQueue(t, dir, again)
 		start(t, l2)
-		owed := get(t, again.began)[0]
+		owed := receive(t, again.began)[0]
 		if c.acked && c.store {
-			if id := get(t, k.settled); id != "a" || owed != 0 {
+			if id := receive(t, k.forgotten); id != "a" || owed != 0 {
 				t.Errorf("%s: settled %s, owed %d", c.name, id, owed)
 			}
 			continue
 		}
-		n, p = get(t, o2.notices), get(t, again.parts)
+		n, p = receive(t, o2.notices), receive(t, again.added)
 		if owed != 1 || n.Deferred || n.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonMayHaveRun || !p.Attempts[0].Open {
 			t.Errorf("%s: after the kill: owed %d, %+v, %+v", c.name, owed, n, p)
 		}
 		l2.Post(ReportsAcknowledged{[]control.MessageID{n.Num}})
 		l2.Post(DeadLettersStored{[]control.MessageID{p.Num}})
-		get(t, again.settled)
-		if list, _ := ReadPending(dir, quiet); len(list) != 0 {
+		receive(t, again.forgotten)
+		if list, _ := ReadPending(dir, discardLog); len(list) != 0 {
 			t.Errorf("%s: still owed: %+v", c.name, list)
 		}
 	}
@@ -119,22 +119,22 @@
 
 // What is given back is not in the store, and the same is found after a restart.
 func TestGivenBack(t *testing.T) {
-	k := newKeeperStub(false)
+	k := newQueueStub(false)
 	dir := t.TempDir()
-	j, tb := open(t, dir, 1e6)
+	j, tb := openTestWAL(t, dir, 1e6)
 	e := &entry{num: 9, Message: &Message{ID: "a", Class: 2, Destination: 7, Deadline: time.Now().Add(-time.Second), Body: []byte("body")}}
 	tb.add(e)
-	j.add(takeRecord(j.base, e))
+	j.add(acceptedRecord(j.times, e))
 	if err := errors.Join(j.flush(), j.close()); err != nil {
 		t.Fatal(err)
 	}
-	l, o := keepLoop(t, dir, k)
+	l, o := loopWithQueue(t, dir, k)
 	start(t, l)
-	if n := get(t, o.notices); !n.Deferred || n.ID != "a" {
+	if n := receive(t, o.notices); !n.Deferred || n.ID != "a" {
 		t.Errorf("notice %+v", n)
 	}
-	if l.Idle(); len(k.parts) > 0 {
-		t.Errorf("the keeper has it, too: %+v", <-k.parts)
+	if l.Idle(); len(k.added) > 0 {
+		t.Errorf("the keeper has it, too: %+v", <-k.added)
 	}
 }
 
@@ -142,51 +142,51 @@
 // of it goes to the keeper alone; so does one that was out at a kill.
 func TestResends(t *testing.T) {
 	dir := t.TempDir()
-	k := newKeeperStub(true)
-	l, o := keepLoop(t, dir, k)
+	k := newQueueStub(true)
+	l, o := loopWithQueue(t, dir, k)
 	start(t, l)
-	get(t, k.began)
+	receive(t, k.began)
 	resend := func(l *Loop, seq uint64, id string, class int, ran bool, ago time.Duration) {
 		l.Post(Redelivery{Seq: seq, Attempts: 2, MayHaveRun: ran, FirstRunAgo: ago,
 			Message: &Message{ID: id, Class: class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
 	}
 	resend(l, 5, "a", 2, false, 0)
-	c := get(t, o.calls)
+	c := receive(t, o.calls)
 	if list := <-o.pending; len(list) != 1 || list[0].ID != "a" || list[0].Attempts != 3 {
 		t.Fatalf("journal as it leaves: %+v", list)
 	}
-	again := newKeeperStub(true)
-	l2, o2 := keepLoop(t, killed(t, dir), again)
+	again := newQueueStub(true)
+	l2, o2 := loopWithQueue(t, killed(t, dir), again)
 	start(t, l2)
-	if got := get(t, again.began); got != [2]int{0, 1} {
+	if got := receive(t, again.began); got != [2]int{0, 1} {
 		t.Errorf("after the kill the journal tells %v", got)
 	}
-	if p := get(t, again.parts); p.Seq != 5 || p.Delivered || p.Reason != ReasonMayHaveRun || len(p.Attempts) != 1 || !p.Attempts[0].Open || p.AttemptCount != 3 {
+	if p := receive(t, again.added); p.Seq != 5 || p.Delivered || p.Reason != ReasonMayHaveRun || len(p.Attempts) != 1 || !p.Attempts[0].Open || p.AttemptCount != 3 {
 		t.Errorf("after the kill: %+v", p)
 	}
 	if l2.Idle(); len(o2.notices)+len(o2.calls) > 0 {
 		t.Error("a notice, or a second call")
 	}
 	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Served, Final: true}}})
-	if p := get(t, k.parts); p.Seq != 5 || !p.Delivered {
+	if p := receive(t, k.added); p.Seq != 5 || !p.Delivered {
 		t.Errorf("delivered: %+v", p)
 	} else {
 		l.Post(DeadLettersStored{[]control.MessageID{p.Num}})
 	}
 	// What must not go again does not, whatever the keeper asks for.
 	resend(l, 6, "b", 2, true, time.Second)
-	if p := get(t, k.parts); p.Seq != 6 || p.Delivered || p.NotAdmitted || p.AttemptCount != 2 {
+	if p := receive(t, k.added); p.Seq != 6 || p.Delivered || p.NotAdmitted || p.AttemptCount != 2 {
 		t.Errorf("unsafe that may have run: %+v", p)
 	}
 	resend(l, 7, "c", 1, true, time.Hour)
-	if p := get(t, k.parts); p.Seq != 7 || p.Delivered {
+	if p := receive(t, k.added); p.Seq != 7 || p.Delivered {
 		t.Errorf("keyed beyond its memory: %+v", p)
 	}
 	// One at a time under an id, and none while live messages wait.
 	resend(l, 8, "d", 0, false, 0)
-	get(t, o.calls)
+	receive(t, o.calls)
 	resend(l, 9, "d", 0, false, 0)
-	if p := get(t, k.parts); p.Seq != 9 || !p.NotAdmitted {
+	if p := receive(t, k.added); p.Seq != 9 || !p.NotAdmitted {
 		t.Errorf("a second one under its id: %+v", p)
 	}
 	if l.Idle(); len(o.notices) > 0 {
@@ -197,22 +197,22 @@
 // Where the keeper takes nothing, what waits for it has a tenth of the journal at
 // most: messages that end then are not kept, and new ones are taken on.
 func TestKeeperSlow(t *testing.T) {
-	k := newKeeperStub(true)
-	l, o := keepLoop(t, t.TempDir(), k) // 1 MB
+	k := newQueueStub(true)
+	l, o := loopWithQueue(t, t.TempDir(), k) // 1 MB
 	start(t, l)
 	kept := 0
 	for i := range 20 {
 		v := make(chan Response, 1)
 		id := string(rune('a' + i))
 		l.Post(Submitted{Message: &Message{ID: id, Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: make([]byte, 20_000)}, Response: v})
-		if got := get(t, v); !got.Accepted {
+		if got := receive(t, v); !got.Accepted {
 			t.Fatalf("message %d: %+v", i, got)
 		}
 		l.Post(ResponseWritten{id, true})
-		c := get(t, o.calls)
+		c := receive(t, o.calls)
 		<-o.pending
 		l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Unprocessable}}})
-		n := get(t, o.notices)
+		n := receive(t, o.notices)
 		if n.DeadLetter != nil {
 			kept++
 		} else {
@@ -226,12 +226,12 @@
 
 // A journal that can't be written lets no resend go.
 func TestResendNeedsJournal(t *testing.T) {
-	k := newKeeperStub(true)
-	l, o := keepLoop(t, t.TempDir(), k)
-	l.journal.close()
+	k := newQueueStub(true)
+	l, o := loopWithQueue(t, t.TempDir(), k)
+	l.wal.close()
 	start(t, l)
 	l.Post(Redelivery{Seq: 5, Message: &Message{ID: "a", Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
-	if p := get(t, k.parts); p.Seq != 5 || !p.NotAdmitted {
+	if p := receive(t, k.added); p.Seq != 5 || !p.NotAdmitted {
 		t.Errorf("%+v", p)
 	}
 	if l.Idle(); len(o.calls) > 0 {
@@ -256,51 +256,51 @@
 		{"the other process is lost", control.Unknown, false, func(p DeadLetter) bool { return !p.Delivered && p.Reason == ReasonMayHaveRun && p.Attempts[0].Open }},
 	} {
 		dir := t.TempDir()
-		k := newKeeperStub(true)
-		l, o := keepLoop(t, dir, k)
+		k := newQueueStub(true)
+		l, o := loopWithQueue(t, dir, k)
 		start(t, l)
-		get(t, k.began)
+		receive(t, k.began)
 		l.Post(Redelivery{Seq: 5, Message: &Message{ID: "a", Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
-		call := get(t, o.calls)
+		call := receive(t, o.calls)
 		<-o.pending
-		done, heir := make(chan HandOverResult, 1), heirStub(make(chan RemoteResult, 4))
+		done, heir := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 4))
 		l.Post(HandOver{Successor: heir, Done: done})
-		given := get(t, done)
+		given := receive(t, done)
 		if given.Err != nil || len(given.State.InFlight) != 1 {
 			t.Fatalf("%s: %+v", c.name, given)
 		}
-		next := newKeeperStub(true)
-		l2, o2 := loop(t, dir, 1e6)
-		l2.keeper = next
-		l2.inherit(&given.State)
+		next := newQueueStub(true)
+		l2, o2 := newTestLoop(t, dir, 1e6)
+		l2.deadLetterQueue = next
+		l2.restoreHandover(&given.State)
 		start(t, l2)
-		if got := get(t, next.began); got != [2]int{0, 1} {
+		if got := receive(t, next.began); got != [2]int{0, 1} {
 			t.Errorf("%s: the next keeper hears of %v", c.name, got)
 		}
 		if c.result == control.Unknown {
 			l2.Post(PredecessorLost{})
 		} else {
 			l.Post(CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: c.result, Final: !c.more && c.result != control.ConnectionLost}}})
-			l2.Post(get(t, heir))
+			l2.Post(receive(t, heir))
 		}
 		if c.more {
-			if again := get(t, o2.calls); again.Attempts[0].Message.ID != "a" {
+			if again := receive(t, o2.calls); again.Attempts[0].Message.ID != "a" {
 				t.Errorf("%s: %+v", c.name, again)
 			}
 			continue
 		}
-		if p := get(t, next.parts); p.Seq != 5 || len(p.Attempts) != 1 || !c.parting(p) {
+		if p := receive(t, next.added); p.Seq != 5 || len(p.Attempts) != 1 || !c.parting(p) {
 			t.Errorf("%s: %+v", c.name, p)
 		}
-		if l2.Idle(); len(o2.calls)+len(o2.notices)+len(k.parts) > 0 {
+		if l2.Idle(); len(o2.calls)+len(o2.notices)+len(k.added) > 0 {
 			t.Errorf("%s: a second call, a notice, or the keeper of before hears of it", c.name)
 		}
 	}
 }
 
-type heirStub chan RemoteResult
+type successorStub chan RemoteResult
 
-func (h heirStub) RemoteResult(r RemoteResult, _ bool) {
+func (h successorStub) RemoteResult(r RemoteResult, _ bool) {
 	if r.Target != "" {
 		h <- r
 	}
--- a/internal/state/killed_test.go
+++ b/internal/state/killed_test.go
@@ -26,7 +26,7 @@
 func TestKilledAtEachWrite(t *testing.T) {
 	for _, class := range []int{0, 2} { // safe, unsafe
 		dir := t.TempDir()
-		l, o := loop(t, dir, 1e6)
+		l, o := newTestLoop(t, dir, 1e6)
 		ctx, cancel := context.WithCancel(t.Context())
 		go l.Run(ctx)
 		size := func() int {
@@ -39,12 +39,12 @@
 		}
 		v := make(chan Response, 1)
 		l.Post(Submitted{Message: &Message{ID: "a", Class: class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}, Response: v})
-		if !get(t, v).Accepted {
+		if !receive(t, v).Accepted {
 			t.Fatal("not taken on")
 		}
 		taken := size()
 		l.Post(ResponseWritten{"a", true})
-		call := get(t, o.calls)
+		call := receive(t, o.calls)
 		sent := size()
 		l.Post(CallEnded{Call: call, Results: []AttemptResult{{Attempt: call.Attempts[0], Result: control.Served, Final: true}}})
 		ended := size()
@@ -59,7 +59,7 @@
 			t.Fatalf("the journal had %d, %d, %d of %d bytes", taken, sent, ended, len(whole))
 		}
 		for n := range len(whole) + 1 {
-			l, o := listless(t, cutShort(t, name, whole, n))
+			l, o := newTestLoopWithoutList(t, cutShort(t, name, whole, n))
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.Run(ctx)
 			l.Idle()
@@ -71,11 +71,11 @@
 			l.Idle()
 			switch {
 			case n >= taken && n < sent, n >= sent && n < ended && class == 0:
-				if call := get(t, o.calls); call.Target.ID != "other" || call.Attempts[0].Message.ID != "a" {
+				if call := receive(t, o.calls); call.Target.ID != "other" || call.Attempts[0].Message.ID != "a" {
 					t.Errorf("class %d, cut at %d of %d, %d, %d: %+v", class, n, taken, sent, ended, call)
 				}
 			case n >= sent && n < ended:
-				if notice := get(t, o.notices); notice.status() != "undeliverable" {
+				if notice := receive(t, o.notices); notice.outcome() != "undeliverable" {
 					t.Errorf("class %d, cut at %d of %d, %d, %d: %+v", class, n, taken, sent, ended, notice)
 				}
 			case n < taken && len(o.calls) > 0: // the client was told nothing yet: it may stand or not
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -11,8 +11,8 @@
 	"cleathold/internal/store"
 )
 
-// roundMost is the most events that are drained before the controller decides.
-const roundMost = 512
+// maxEventsPerIteration is the most events that are drained before the controller decides.
+const maxEventsPerIteration = 512
 
 // Setup is what a loop is built from.
 type Setup struct {
@@ -39,15 +39,15 @@
 // Loop owns the controller, the table, the target group and the journal. All
 // of them are touched by its own goroutine alone; others only post events.
 type Loop struct {
-	set      control.Settings
+	settings      control.Settings
 	log      *slog.Logger
-	ctl      *control.Controller
-	carrier  Transport
-	list     Discovery
-	notifier Reporter
-	keeper   DeadLetterQueue
-	teller   GossipSender
-	tidings  []gossip.Observation // to be told to the other senders at the end of the round
+	controller      *control.Controller
+	transport  Transport
+	discovery     Discovery
+	reporter Reporter
+	deadLetterQueue   DeadLetterQueue
+	gossipSender   GossipSender
+	gossip  []gossip.Observation // to be told to the other senders at the end of the round
 
 	events chan Event
 	clock  func() time.Time
@@ -59,30 +59,30 @@
 
 	table    *table
 	group    *group
-	journal  *journal
+	wal  *writeAheadLog
 	counters *Counters
 
-	fresh    []*entry // taken in this round, their clients not answered yet
-	round    map[control.EndpointID]*Call
-	calls    []*Call          // of this round
-	ready    []*Call          // to be launched at the end of the round
-	notices  []DeliveryReport // to be told at the end of the round
-	partings []*DeadLetter    // to be given to the keeper at the end of the round
-	settled  []string         // ids that the journal has forgotten, of messages that the keeper has
+	admitted    []*entry // taken in this round, their clients not answered yet
+	callsByEndpoint    map[control.EndpointID]*Call
+	newCalls    []*Call          // of this round
+	readyCalls    []*Call          // to be launched at the end of the round
+	reports  []DeliveryReport // to be told at the end of the round
+	deadLetters []*DeadLetter    // to be given to the keeper at the end of the round
+	forgottenIDs  []string         // ids that the journal has forgotten, of messages that the keeper has
 	backlog  []Event          // events of the loop's own making, for the next round
-	out      map[*Call]int    // forwards without an end
-	flying   int              // calls with the carrier
+	inFlight      map[*Call]int    // forwards without an end
+	callsInFlight   int              // calls with the carrier
 
-	leaving *HandOver      // asked for in this round
-	heir    Successor      // to whom everything was given
-	abroad  map[abroad]int // forwards out at another process, and in which of its calls
+	handOver *HandOver      // asked for in this round
+	successor    Successor      // to whom everything was given
+	remoteInFlight  map[remoteAttemptKey]int // forwards out at another process, and in which of its calls
 
 	departures *departures
-	waits      map[routeKey]toldWait
-	retrying   bool      // a round that writes the journal again is on its way
-	certain    certainty // whether the list of targets is the one that was told last
+	retryAfters      map[routeKey]retryAfter
+	walRetryPending   bool      // a round that writes the journal again is on its way
+	certainty    listCertainty // whether the list of targets is the one that was told last
 
-	begun    bool
+	started    bool
 	stopped  bool // no new messages
 	halted   bool // no new forwards
 	finished chan struct{}
@@ -97,7 +97,7 @@
 	if s.Counters == nil {
 		s.Counters = &Counters{}
 	}
-	classes := &classBook{}
+	classes := &classRegistry{}
 	for i, c := range s.Settings.Classes {
 		named := NamedClass{Class: c}
 		if i < len(s.Classes) {
@@ -105,9 +105,9 @@
 		}
 		classes.list, classes.records = append(classes.list, named), append(classes.records, string(classRecord(named)))
 	}
-	j, t, err := &journal{limit: s.DiskBytes, nowhere: true}, newTable(), error(nil)
+	j, t, err := &writeAheadLog{limit: s.DiskBytes, inMemory: true}, newTable(), error(nil)
 	if t.classes = classes; !s.InMemory {
-		j, t, err = openJournal(journalSetup{
+		j, t, err = openWAL(walOptions{
 			dir: s.Dir, limit: s.DiskBytes, durability: s.Durability, groupWait: s.GroupWait, classes: classes, virtual: virtual, log: s.Log,
 		})
 	}
@@ -116,24 +116,24 @@
 	}
 	s.Settings.Classes = classes.classes() // with those of messages from before other settings
 	l := &Loop{
-		set: s.Settings, log: s.Log, keeper: s.DeadLetters, events: make(chan Event, 2*roundMost),
-		clock: s.Clock, start: s.Clock(), table: t, group: newGroup(), journal: j, counters: s.Counters,
-		waits: map[routeKey]toldWait{}, round: map[control.EndpointID]*Call{}, out: map[*Call]int{}, finished: make(chan struct{}),
+		settings: s.Settings, log: s.Log, deadLetterQueue: s.DeadLetters, events: make(chan Event, 2*maxEventsPerIteration),
+		clock: s.Clock, start: s.Clock(), table: t, group: newGroup(), wal: j, counters: s.Counters,
+		retryAfters: map[routeKey]retryAfter{}, callsByEndpoint: map[control.EndpointID]*Call{}, inFlight: map[*Call]int{}, finished: make(chan struct{}),
 	}
-	if l.ctl, err = control.New(s.Settings, (*actions)(l)); err != nil {
+	if l.controller, err = control.New(s.Settings, (*actions)(l)); err != nil {
 		return nil, err
 	}
 	now := map[string]int{}
 	for i, name := range s.Classes {
 		now[name] = i
 	}
-	l.tellClasses(now)
+	l.notifyClasses(now)
 	l.departures = &departures{}
 	if !s.InMemory {
 		l.departures = openDepartures(s.Dir, s.Log)
 	}
 	if s.Handover != nil {
-		l.inherit(s.Handover)
+		l.restoreHandover(s.Handover)
 	} else {
 		s.Known.Targets = slices.Clone(s.Known.Targets)
 		l.departures.apply(s.Known.Targets)
@@ -144,11 +144,11 @@
 
 // Connect names those that carry, list and notify; before Run.
 func (l *Loop) Connect(c Transport, d Discovery, n Reporter) {
-	l.carrier, l.list, l.notifier = c, d, n
+	l.transport, l.discovery, l.reporter = c, d, n
 }
 
 // ConnectPeers names the one who tells the other senders; before Run. Without one nothing is told.
-func (l *Loop) ConnectPeers(t GossipSender) { l.teller = t }
+func (l *Loop) ConnectPeers(t GossipSender) { l.gossipSender = t }
 
 // Post hands an event to the loop. It blocks while the queue is full, as its
 // callers are goroutines of their own.
@@ -192,10 +192,10 @@
 
 // Close lets go of the journal, as the end of the process would. Run does it by itself.
 func (l *Loop) Close() {
-	if l.heir != nil {
+	if l.successor != nil {
 		return // it was closed when it was given
 	}
-	if err := l.journal.close(); err != nil {
+	if err := l.wal.close(); err != nil {
 		l.log.Error("journal not closed", "err", err)
 	}
 }
@@ -219,10 +219,10 @@
 
 // Drained is Idle for one who calls Step.
 func (l *Loop) Drained() bool {
-	if l.heir != nil {
-		return len(l.out)+len(l.abroad) == 0
+	if l.successor != nil {
+		return len(l.inFlight)+len(l.remoteInFlight) == 0
 	}
-	return l.table.idle() || l.halted && len(l.out)+len(l.abroad) == 0
+	return l.table.idle() || l.halted && len(l.inFlight)+len(l.remoteInFlight) == 0
 }
 
 // Run runs rounds until the context ends. In a round all events that are in
@@ -244,34 +244,34 @@
 				l.backlog = append(l.backlog, timerFired{l.token})
 			}
 		}
-		l.turn()
+		l.iterate()
 	}
 }
 
 // begin takes up what the journal told is owed.
 func (l *Loop) begin() {
-	l.begun = true
+	l.started = true
 	l.now = l.clock()
-	l.beginKeeper()
+	l.beginDeadLetterQueue()
 	for _, e := range l.table.ordered() {
-		if e.parting != nil {
-			e.parting = l.reparted(e)
-			l.partings = append(l.partings, e.parting)
+		if e.deadLetter != nil {
+			e.deadLetter = l.restoreDeadLetter(e)
+			l.deadLetters = append(l.deadLetters, e.deadLetter)
 		}
-		if e.notice != nil && e.seq == 0 {
-			l.notifier.Report(*e.notice)
+		if e.report != nil && e.deadLetterSeq == 0 {
+			l.reporter.Report(*e.report)
 		}
-		if e.notice != nil || e.abroad > 0 {
+		if e.report != nil || e.remoteInFlight > 0 {
 			continue
 		}
-		l.hand(e, true)
+		l.submitToController(e, true)
 	}
 }
 
 // Step runs rounds until these events and what they bring about are dealt with. It
 // takes the place of Run, for one who has the time in hand; TimerElapsed stands for the timer.
 func (l *Loop) Step(events ...Event) {
-	if !l.begun {
+	if !l.started {
 		l.begin()
 	}
 	for _, e := range events {
@@ -281,29 +281,29 @@
 		}
 		l.backlog = append(l.backlog, e)
 	}
-	for l.turn(); len(l.backlog) > 0; {
-		l.turn()
+	for l.iterate(); len(l.backlog) > 0; {
+		l.iterate()
 	}
 }
 
 // WakeAt is when the timer goes off; zero where it is not set. For one who calls Step.
 func (l *Loop) WakeAt() time.Time { return l.wakeAt }
 
-// turn is one round.
-func (l *Loop) turn() {
+// iterate is one round.
+func (l *Loop) iterate() {
 	l.now = l.clock()
 	events := l.backlog
 	l.backlog = nil
-	if l.heir != nil {
+	if l.successor != nil {
 		for _, e := range events {
-			l.pass(e)
+			l.handleHandedOver(e)
 		}
 		return
 	}
 	for _, e := range events {
 		l.handle(e)
 	}
-	for n := len(events); n < roundMost; n++ {
+	for n := len(events); n < maxEventsPerIteration; n++ {
 		select {
 		case e := <-l.events:
 			l.now = l.clock() // what came in the middle of the round is not older than that
@@ -314,16 +314,16 @@
 		break
 	}
 	if !l.halted {
-		l.ctl.Decide(l.since())
+		l.controller.Decide(l.sinceStart())
 	}
-	l.settle()
-	if l.leaving != nil {
-		l.leave()
+	l.commit()
+	if l.handOver != nil {
+		l.completeHandOver()
 	}
 }
 
-// since is the controller's clock.
-func (l *Loop) since() time.Duration { return l.now.Sub(l.start) }
+// sinceStart is the controller's clock.
+func (l *Loop) sinceStart() time.Duration { return l.now.Sub(l.start) }
 
 // handle passes one event to its stage.
 func (l *Loop) handle(event Event) {
@@ -331,43 +331,43 @@
 	case Submitted:
 		l.admit(e)
 	case ResponseWritten:
-		l.answered(e)
+		l.responseWritten(e)
 	case CallEnded:
-		l.book(e)
+		l.callEnded(e)
 	case ListUpdate:
-		l.ctl.UpdateEndpoints(l.since(), e.Kind, l.group.take(e, l.now))
-		l.bind(e.Targets)
-		l.unlisted()
-		l.tellListing()
+		l.controller.UpdateEndpoints(l.sinceStart(), e.Kind, l.group.update(e, l.now))
+		l.applyRetryAfters(e.Targets)
+		l.withholdUnavailable()
+		l.notifyCapacity()
 		if e.Kind == control.ListFull || e.Kind == control.ListDelta {
-			l.departures.follow(l.group)
+			l.departures.update(l.group)
 			l.listKnown(e.PollPaused)
 		}
 	case ListUnreadable:
-		l.unread(e)
+		l.listUnreadable(e)
 	case PollOpen:
 		l.listKnown(false)
 	case PollFailed:
-		l.certain.doubt(e.Since)
+		l.certainty.markUncertain(e.Since)
 		l.reviewList()
 	case Redelivery:
-		l.admitHeld(e)
+		l.admitRedelivery(e)
 	case DeadLettersStored:
-		l.stored(e)
+		l.deadLettersStored(e)
 	case ExclusionsChanged:
-		if lines := l.group.setAside(e.IDs); len(lines) > 0 {
-			l.ctl.UpdateEndpoints(l.since(), control.ListExcluded, lines)
-			l.unlisted()
+		if lines := l.group.setExcluded(e.IDs); len(lines) > 0 {
+			l.controller.UpdateEndpoints(l.sinceStart(), control.ListExcluded, lines)
+			l.withholdUnavailable()
 			l.log.Info("targets taken out by the operators", "out", len(e.IDs), "changed", len(lines))
 		}
 	case HealthChecked:
-		l.ctl.HealthChecked(l.since(), e.Target, e.Result, e.Elapsed, nil)
+		l.controller.HealthChecked(l.sinceStart(), e.Target, e.Result, e.Elapsed, nil)
 	case GossipReceived:
-		l.heard(e)
+		l.receiveGossip(e)
 	case ReportsAcknowledged:
-		l.acknowledged(e)
+		l.reportsAcknowledged(e)
 	case timerFired:
-		l.ctl.TimerFired(l.since(), e.token)
+		l.controller.TimerFired(l.sinceStart(), e.token)
 	case stopping:
 		l.stopped = true
 	case halting:
@@ -375,133 +375,133 @@
 		l.halted = true
 		l.withhold(func(Target) bool { return true })
 	case UpdateSettings:
-		l.retune(e)
+		l.updateSettings(e)
 	case HandOver:
-		l.giveWay(e)
+		l.beginHandOver(e)
 	case RemoteResult:
-		l.returned(e)
+		l.remoteResult(e)
 	case PredecessorLost:
-		l.lost()
+		l.predecessorLost()
 	case inspect:
 		e()
 	}
 }
 
-// settle makes a round's doings known. The journal comes first: no client
+// commit makes a round's doings known. The journal comes first: no client
 // hears that a message is taken on, no forward leaves and no notice goes out
 // before the record of it is written.
-func (l *Loop) settle() {
-	for _, e := range l.fresh {
-		if l.table.entries[e.num] == e && e.seq == 0 {
-			l.journal.take(e)
+func (l *Loop) commit() {
+	for _, e := range l.admitted {
+		if l.table.entries[e.num] == e && e.deadLetterSeq == 0 {
+			l.wal.addAccepted(e)
 		}
 	}
-	for _, c := range l.calls {
-		if c.unsent == 0 {
-			l.ready = append(l.ready, c)
+	for _, c := range l.newCalls {
+		if c.unanswered == 0 {
+			l.readyCalls = append(l.readyCalls, c)
 		}
 	}
-	l.calls = nil
-	clear(l.round)
+	l.newCalls = nil
+	clear(l.callsByEndpoint)
 	// A call that was parted by its size takes a slot more than the controller
 	// knows of: it waits for one.
-	wait := l.ready[min(len(l.ready), max(0, l.set.MaxInFlight-l.flying-l.abroadCalls())):]
-	l.ready = l.ready[:len(l.ready)-len(wait)]
-	for _, c := range l.ready {
-		l.recordCall(c)
+	wait := l.readyCalls[min(len(l.readyCalls), max(0, l.settings.MaxInFlight-l.callsInFlight-l.remoteCalls())):]
+	l.readyCalls = l.readyCalls[:len(l.readyCalls)-len(wait)]
+	for _, c := range l.readyCalls {
+		l.logCall(c)
 	}
-	if err := l.journal.flush(); err != nil {
+	if err := l.wal.flush(); err != nil {
 		l.log.Error("nothing can be promised", "err", err)
-		l.withdraw()
+		l.rollBack()
 	}
-	for _, e := range l.fresh {
-		if l.table.entries[e.num] == e && e.verdict != nil {
+	for _, e := range l.admitted {
+		if l.table.entries[e.num] == e && e.response != nil {
 			if !e.decision.accept() {
-				l.tooLate(e)
+				l.abandonRejected(e)
 				continue
 			}
-			e.verdict <- Response{Accepted: true}
-			e.verdict = nil
-			l.counters.taken.Add(1)
+			e.response <- Response{Accepted: true}
+			e.response = nil
+			l.counters.accepted.Add(1)
 		}
 	}
-	for _, c := range l.ready {
+	for _, c := range l.readyCalls {
 		l.launch(c)
 	}
 	l.counters.open.Store(int64(l.table.open))
-	if len(l.tidings) > 0 {
-		l.teller.SendGossip(l.tidings)
-		l.tidings = l.tidings[:0]
-	}
-	l.fresh, l.ready = nil, wait
-	if l.journal.dirty {
-		l.tellOverdue() // the rest is not known for good yet: in a later round
-		l.retryJournal()
+	if len(l.gossip) > 0 {
+		l.gossipSender.SendGossip(l.gossip)
+		l.gossip = l.gossip[:0]
+	}
+	l.admitted, l.readyCalls = nil, wait
+	if l.wal.incomplete {
+		l.reportOverdue() // the rest is not known for good yet: in a later round
+		l.scheduleWALRetry()
 		return
 	}
-	for _, n := range l.notices {
-		l.notifier.Report(n)
+	for _, n := range l.reports {
+		l.reporter.Report(n)
 	}
-	l.notices = nil
-	if l.keeper != nil {
-		l.tell()
-		l.keeper.LoadChanged(LoopLoad{l.set.MaxInFlight, l.flying, l.set.MaxOpenMessages, l.table.open})
+	l.reports = nil
+	if l.deadLetterQueue != nil {
+		l.passDeadLetters()
+		l.deadLetterQueue.LoadChanged(LoopLoad{l.settings.MaxInFlight, l.callsInFlight, l.settings.MaxOpenMessages, l.table.open})
 	}
 }
 
-// tellOverdue tells the notices of messages whose time is up, though the journal lacks them: the next process, if it comes to
+// reportOverdue tells the notices of messages whose time is up, though the journal lacks them: the next process, if it comes to
 // that, gives these messages up as well, and a second notice does no harm.
-func (l *Loop) tellOverdue() {
-	l.notices = slices.DeleteFunc(l.notices, func(n DeliveryReport) bool {
+func (l *Loop) reportOverdue() {
+	l.reports = slices.DeleteFunc(l.reports, func(n DeliveryReport) bool {
 		e := l.table.entries[n.Num]
 		overdue := e != nil && !l.now.Before(e.Deadline)
 		if overdue {
-			l.notifier.Report(n)
+			l.reporter.Report(n)
 		}
 		return overdue
 	})
 }
 
-// journalPause is left between two attempts to write what the journal lacks.
-const journalPause = 20 * time.Millisecond
+// walRetryInterval is left between two attempts to write what the journal lacks.
+const walRetryInterval = 20 * time.Millisecond
 
-// retryJournal sees to it that a round comes soon, in which the journal is written again.
-func (l *Loop) retryJournal() {
-	if l.retrying {
+// scheduleWALRetry sees to it that a round comes soon, in which the journal is written again.
+func (l *Loop) scheduleWALRetry() {
+	if l.walRetryPending {
 		return
 	}
-	l.retrying = true
-	time.AfterFunc(journalPause, func() { l.Post(inspect(func() { l.retrying = false })) })
+	l.walRetryPending = true
+	time.AfterFunc(walRetryInterval, func() { l.Post(inspect(func() { l.walRetryPending = false })) })
 }
 
-// tooLate gives up a message whose client was refused while it was written down: the disk stalled, or the loop.
-func (l *Loop) tooLate(e *entry) {
-	e.verdict = nil
-	l.counters.refused.Add(1)
+// abandonRejected gives up a message whose client was refused while it was written down: the disk stalled, or the loop.
+func (l *Loop) abandonRejected(e *entry) {
+	e.response = nil
+	l.counters.rejected.Add(1)
 	l.backlog = append(l.backlog, inspect(func() { // what it lets go leaves with the records of the next round
-		l.ctl.Abandon(l.since(), e.num)
-		l.over(e)
-		l.release(e)
+		l.controller.Abandon(l.sinceStart(), e.num)
+		l.forget(e)
+		l.releaseCall(e)
 	}))
 }
 
-// withdraw takes back what a round did and the journal could not hold.
-func (l *Loop) withdraw() {
-	for _, e := range l.fresh {
-		if l.table.entries[e.num] == e && e.seq > 0 && e.notice == nil {
-			l.ctl.Abandon(l.since(), e.num)
+// rollBack takes back what a round did and the journal could not hold.
+func (l *Loop) rollBack() {
+	for _, e := range l.admitted {
+		if l.table.entries[e.num] == e && e.deadLetterSeq > 0 && e.report == nil {
+			l.controller.Abandon(l.sinceStart(), e.num)
 			l.table.drop(e)
-			l.journal.forget(e.num)
-			l.keeper.Add(DeadLetter{Seq: e.seq, Message: e.Message, NotAdmitted: true, Reason: "the journal can't be written", At: l.now})
-		} else if l.table.entries[e.num] == e && e.verdict != nil {
-			l.refuseNow(e, Response{RetryAfter: l.pause(fullPause)})
-			l.journal.forget(e.num)
-			l.ctl.Abandon(l.since(), e.num)
-			l.release(e)
+			l.wal.forget(e.num)
+			l.deadLetterQueue.Add(DeadLetter{Seq: e.deadLetterSeq, Message: e.Message, NotAdmitted: true, Reason: "the journal can't be written", At: l.now})
+		} else if l.table.entries[e.num] == e && e.response != nil {
+			l.reject(e, Response{RetryAfter: l.clientRetryAfter(fullRetryAfter)})
+			l.wal.forget(e.num)
+			l.controller.Abandon(l.sinceStart(), e.num)
+			l.releaseCall(e)
 		}
 	}
-	for _, c := range l.ready {
-		l.unsend(c, control.ConnectFailed)
+	for _, c := range l.readyCalls {
+		l.endUnsent(c, control.ConnectFailed)
 	}
-	l.ready = nil
+	l.readyCalls = nil
 }
--- a/internal/state/loop_test.go
+++ b/internal/state/loop_test.go
@@ -13,8 +13,8 @@
 	"cleathold/internal/store"
 )
 
-// outside is everything around a loop.
-type outside struct {
+// environment is everything around a loop.
+type environment struct {
 	t       *testing.T
 	dir     string
 	calls   chan *Call
@@ -23,24 +23,24 @@
 	held    chan *Call
 }
 
-func (o *outside) Send(c *Call) {
-	list, err := ReadPending(o.dir, quiet)
+func (o *environment) Send(c *Call) {
+	list, err := ReadPending(o.dir, discardLog)
 	if err != nil {
 		o.t.Error(err)
 	}
 	o.pending <- list
 	o.calls <- c
 }
-func (o *outside) Cancel(*Call)                  {}
-func (o *outside) CancelUnsent(c *Call)          { o.held <- c }
-func (o *outside) HealthCheck(Target, time.Time) {}
-func (o *outside) Disconnect(string)             {}
-func (o *outside) Watch(bool, int64)             {}
-func (o *outside) Fetch()                        {}
-func (o *outside) Report(n DeliveryReport)       { o.notices <- n }
+func (o *environment) Cancel(*Call)                  {}
+func (o *environment) CancelUnsent(c *Call)          { o.held <- c }
+func (o *environment) HealthCheck(Target, time.Time) {}
+func (o *environment) Disconnect(string)             {}
+func (o *environment) Watch(bool, int64)             {}
+func (o *environment) Fetch()                        {}
+func (o *environment) Report(n DeliveryReport)       { o.notices <- n }
 
-// get waits for something; only a hang makes it fail.
-func get[T any](t *testing.T, from <-chan T) T {
+// receive waits for something; only a hang makes it fail.
+func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
@@ -51,22 +51,22 @@
 	}
 }
 
-// loop makes a loop over a folder with one target of a destination, which
+// newTestLoop makes a loop over a folder with one target of a destination, which
 // takes calls of three messages. The first function may still change it.
-func loop(t *testing.T, dir string, disk int64) (*Loop, *outside) {
+func newTestLoop(t *testing.T, dir string, disk int64) (*Loop, *environment) {
 	t.Helper()
 	target := Target{ID: "s", Addr: "nowhere"}
 	target.Endpoint = control.Endpoint{Destination: 7, State: control.Ready}
-	return loopWith(t, dir, disk, ListUpdate{Kind: control.ListCached, Version: 1, Targets: []Target{target}})
+	return newTestLoopWith(t, dir, disk, ListUpdate{Kind: control.ListCached, Version: 1, Targets: []Target{target}})
 }
 
-// listless makes a loop that was started while discovery is down, without a list.
-func listless(t *testing.T, dir string) (*Loop, *outside) {
+// newTestLoopWithoutList makes a loop that was started while discovery is down, without a list.
+func newTestLoopWithoutList(t *testing.T, dir string) (*Loop, *environment) {
 	t.Helper()
-	return loopWith(t, dir, 1e6, ListUpdate{Kind: control.ListCached, Version: NoVersion})
+	return newTestLoopWith(t, dir, 1e6, ListUpdate{Kind: control.ListCached, Version: NoVersion})
 }
 
-func loopWith(t *testing.T, dir string, disk int64, known ListUpdate) (*Loop, *outside) {
+func newTestLoopWith(t *testing.T, dir string, disk int64, known ListUpdate) (*Loop, *environment) {
 	t.Helper()
 	classes := []control.Class{
 		{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.Idempotent},
@@ -78,11 +78,11 @@
 		MaxAttempts: 12, CanSendRetryAfter: true, MaxRetryAfter: time.Minute, ConnectTimeout: time.Second, HeadroomIndex: -1, LimitIndex: -1, AllowHedging: true, CanCancel: true,
 		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2,
 	}
-	l, err := NewLoop(Setup{Settings: set, Dir: dir, DiskBytes: disk, Log: quiet, Known: known})
+	l, err := NewLoop(Setup{Settings: set, Dir: dir, DiskBytes: disk, Log: discardLog, Known: known})
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &outside{t, dir, make(chan *Call, 64), make(chan DeliveryReport, 64), make(chan []Pending, 64), make(chan *Call, 64)}
+	o := &environment{t, dir, make(chan *Call, 64), make(chan DeliveryReport, 64), make(chan []Pending, 64), make(chan *Call, 64)}
 	l.Connect(o, o, o)
 	return l, o
 }
@@ -94,8 +94,8 @@
 	t.Cleanup(func() { cancel(); <-l.finished })
 }
 
-// handIn posts a message and returns where its verdict will come.
-func handIn(l *Loop, id string, size int) chan Response {
+// submit posts a message and returns where its verdict will come.
+func submit(l *Loop, id string, size int) chan Response {
 	v := make(chan Response, 1)
 	l.Post(Submitted{Message: &Message{ID: id, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: make([]byte, size)}, Response: v})
 	return v
@@ -105,12 +105,12 @@
 // leaves; that is after the client was answered. Nothing is owed after its end.
 func TestOrderOfThings(t *testing.T) {
 	dir := t.TempDir()
-	l, o := loop(t, dir, 1e6)
+	l, o := newTestLoop(t, dir, 1e6)
 	start(t, l)
-	if v := get(t, handIn(l, "a", 10)); !v.Accepted {
+	if v := receive(t, submit(l, "a", 10)); !v.Accepted {
 		t.Fatalf("verdict %+v", v)
 	}
-	if list, _ := ReadPending(dir, quiet); len(list) != 1 || list[0].ID != "a" || list[0].Attempts != 0 {
+	if list, _ := ReadPending(dir, discardLog); len(list) != 1 || list[0].ID != "a" || list[0].Attempts != 0 {
 		t.Fatalf("journal after the verdict: %+v", list)
 	}
 	l.Idle() // a round passes
@@ -118,7 +118,7 @@
 		t.Fatal("forward left before the client was answered")
 	}
 	l.Post(ResponseWritten{"a", true})
-	c := get(t, o.calls)
+	c := receive(t, o.calls)
 	if list := <-o.pending; len(list) != 1 || !list[0].MayHaveRun || list[0].Attempts != 1 {
 		t.Fatalf("journal as the forward leaves: %+v", list)
 	}
@@ -127,16 +127,16 @@
 		t.Fatal("something is owed after the end")
 	}
 	l.Idle() // the round that booked it has passed
-	if list, _ := ReadPending(dir, quiet); len(list) != 0 {
+	if list, _ := ReadPending(dir, discardLog); len(list) != 0 {
 		t.Errorf("journal after the end: %+v", list)
 	}
 }
 
 // A client that could not be told has no message here: it may hand it in again.
 func TestUntoldClient(t *testing.T) {
-	l, o := loop(t, t.TempDir(), 1e6)
+	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
-	get(t, handIn(l, "a", 10))
+	receive(t, submit(l, "a", 10))
 	l.Post(ResponseWritten{"a", false})
 	if l.Idle(); !l.Idle() || len(o.calls) > 0 {
 		t.Error("message kept, or sent")
@@ -150,19 +150,19 @@
 		size, slots int
 		want        []int
 	}{{10, 8, []int{3, 1}}, {30 << 10, 8, []int{2, 2}}, {30 << 10, 1, []int{2}}} {
-		l, o := loop(t, t.TempDir(), 1e6)
-		l.set.MaxInFlight = c.slots // the controller still has eight
+		l, o := newTestLoop(t, t.TempDir(), 1e6)
+		l.settings.MaxInFlight = c.slots // the controller still has eight
 		var verdicts []chan Response
 		for _, id := range []string{"a", "b", "c", "d"} {
-			verdicts = append(verdicts, handIn(l, id, c.size))
+			verdicts = append(verdicts, submit(l, id, c.size))
 		}
 		start(t, l)
 		for i, v := range verdicts {
-			get(t, v)
+			receive(t, v)
 			l.Post(ResponseWritten{string(rune('a' + i)), true})
 		}
 		for _, want := range c.want {
-			if got := get(t, o.calls); len(got.Attempts) != want {
+			if got := receive(t, o.calls); len(got.Attempts) != want {
 				t.Errorf("bodies of %d: a call of %d, want %d", c.size, len(got.Attempts), want)
 			}
 		}
@@ -179,8 +179,8 @@
 		copies bool
 		want   string // the messages in the order in which they stand in the call, and how long it waits for each
 	}{{true, "unsafe 4s, safe 1.5s, brief 700ms, "}, {false, "safe 4s, unsafe 4s, brief 700ms, "}} {
-		l, o := loop(t, t.TempDir(), 1e6)
-		l.set.AllowHedging = c.copies
+		l, o := newTestLoop(t, t.TempDir(), 1e6)
+		l.settings.AllowHedging = c.copies
 		now := time.Now()
 		l.clock = func() time.Time { return now }
 		l.start = now
@@ -192,7 +192,7 @@
 			l.Post(ResponseWritten{m.ID, true})
 		}
 		start(t, l)
-		call := get(t, o.calls)
+		call := receive(t, o.calls)
 		got := ""
 		for _, f := range call.Attempts {
 			got += f.Message.ID + " " + f.Deadline.Sub(now).String() + ", "
@@ -204,11 +204,11 @@
 }
 
 // callOf hands a message in, has its client answered, and takes the call that leaves with it.
-func (o *outside) callOf(t *testing.T, l *Loop, id string) *Call {
+func (o *environment) callOf(t *testing.T, l *Loop, id string) *Call {
 	t.Helper()
-	get(t, handIn(l, id, 10))
+	receive(t, submit(l, id, 10))
 	l.Post(ResponseWritten{id, true})
-	return get(t, o.calls)
+	return receive(t, o.calls)
 }
 
 // A time-out and the answer of one forward in one round of the loop: the first counts, and its slot is freed once.
@@ -222,7 +222,7 @@
 		{"answer first", []AttemptResult{served, timedOut}, 0},
 		{"time-out first", []AttemptResult{timedOut, served}, 1},
 	} {
-		l, o := loop(t, t.TempDir(), 1e6)
+		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
 		call := o.callOf(t, l, "a")
 		drained, flying := make(chan struct{}), make(chan int, 1)
@@ -231,17 +231,17 @@
 			end.Attempt = call.Attempts[0]
 			l.Post(CallEnded{call, []AttemptResult{end}})
 		}
-		l.Post(inspect(func() { flying <- l.flying }))
+		l.Post(inspect(func() { flying <- l.callsInFlight }))
 		close(drained)
 		if n := <-flying; n != 0 {
 			t.Errorf("%s: %d calls count as out", c.name, n)
 		}
 		if l.Idle(); c.pending == 1 {
-			if again := get(t, o.calls); again.Attempts[0].Message.ID != "a" {
+			if again := receive(t, o.calls); again.Attempts[0].Message.ID != "a" {
 				t.Errorf("%s: %+v", c.name, again)
 			}
 		}
-		list, err := ReadPending(o.dir, quiet)
+		list, err := ReadPending(o.dir, discardLog)
 		if l.Idle(); err != nil || len(list) != c.pending || len(o.calls) > 0 {
 			t.Errorf("%s: pending %+v, %v, %d further calls", c.name, list, err, len(o.calls))
 		}
@@ -250,12 +250,12 @@
 
 // A wait that is told keeps back what was decided on before and has not left.
 func TestWaitWithholds(t *testing.T) {
-	l, o := loop(t, t.TempDir(), 1e6)
+	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	first, second := o.callOf(t, l, "a"), o.callOf(t, l, "b")
-	get(t, handIn(l, "c", 10)) // its client is not answered yet
+	receive(t, submit(l, "c", 10)) // its client is not answered yet
 	l.Post(CallEnded{first, []AttemptResult{{Attempt: first.Attempts[0], Result: control.Rejected, RetryAfter: time.Hour}}})
-	if c := get(t, o.held); c != second && get(t, o.held) != second {
+	if c := receive(t, o.held); c != second && receive(t, o.held) != second {
 		t.Error("the call on its way was not withheld")
 	}
 	l.Post(ResponseWritten{"c", true})
@@ -275,12 +275,12 @@
 		"set aside": ExclusionsChanged{IDs: []string{"s"}},
 		"halted":    halting{},
 	} {
-		l, o := loop(t, t.TempDir(), 1e6)
+		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
 		connecting := o.callOf(t, l, "a")
-		get(t, handIn(l, "b", 10)) // its client is not answered yet
+		receive(t, submit(l, "b", 10)) // its client is not answered yet
 		l.Post(event)
-		if c := get(t, o.held); c != connecting {
+		if c := receive(t, o.held); c != connecting {
 			t.Errorf("%s: another call was withheld", name)
 		}
 		l.Post(CallEnded{connecting, []AttemptResult{{Attempt: connecting.Attempts[0], Result: control.NotSent}}})
@@ -290,7 +290,7 @@
 		if len(o.calls) > 0 {
 			t.Errorf("%s: a call left", name)
 		}
-		list, err := ReadPending(o.dir, quiet)
+		list, err := ReadPending(o.dir, discardLog)
 		if err != nil || len(list) != 2 {
 			t.Errorf("%s: pending %+v, %v", name, list, err)
 		}
@@ -305,24 +305,24 @@
 // A process gives way while a call waits for its connection: the call does not leave any more, and the next process
 // makes it, as one that never ran.
 func TestWithheldAtHandOver(t *testing.T) {
-	l, o := loop(t, t.TempDir(), 1e6)
+	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	connecting := o.callOf(t, l, "a")
-	done, heir := make(chan HandOverResult, 1), heirStub(make(chan RemoteResult, 1))
+	done, heir := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 1))
 	l.Post(HandOver{Successor: heir, Done: done})
-	given := get(t, done)
+	given := receive(t, done)
 	if given.Err != nil || len(given.State.InFlight) != 1 {
 		t.Fatalf("%+v", given)
 	}
-	if c := get(t, o.held); c != connecting {
+	if c := receive(t, o.held); c != connecting {
 		t.Error("another call was withheld")
 	}
-	next, o2 := loop(t, o.dir, 1e6)
-	next.inherit(&given.State)
+	next, o2 := newTestLoop(t, o.dir, 1e6)
+	next.restoreHandover(&given.State)
 	start(t, next)
 	l.Post(CallEnded{connecting, []AttemptResult{{Attempt: connecting.Attempts[0], Result: control.NotSent}}})
-	next.Post(get(t, heir))
-	if again := get(t, o2.calls); again.Attempts[0].Message.ID != "a" {
+	next.Post(receive(t, heir))
+	if again := receive(t, o2.calls); again.Attempts[0].Message.ID != "a" {
 		t.Errorf("%+v", again)
 	}
 	if next.Idle(); len(o2.calls)+len(o2.notices) > 0 {
@@ -334,20 +334,20 @@
 // what was taken back meanwhile is not.
 func TestJournalRecovers(t *testing.T) {
 	dir := t.TempDir()
-	j, tb := open(t, dir, 1e6)
-	a, b := take(j, tb, "a", 10), take(j, tb, "b", 10)
+	j, tb := openTestWAL(t, dir, 1e6)
+	a, b := addTestMessage(j, tb, "a", 10), addTestMessage(j, tb, "b", 10)
 	j.store.Close()
-	if err := j.flush(); err == nil || !j.dirty {
+	if err := j.flush(); err == nil || !j.incomplete {
 		t.Fatal("a failed write went unseen")
 	}
 	tb.drop(b)
 	j.forget(b.num)
-	again, _ := open(t, dir, 1e6)
+	again, _ := openTestWAL(t, dir, 1e6)
 	j.store = again.store
-	if err := j.flush(); err != nil || j.dirty {
+	if err := j.flush(); err != nil || j.incomplete {
 		t.Fatal(err)
 	}
-	if list, _ := ReadPending(dir, quiet); len(list) != 1 || list[0].ID != a.ID {
+	if list, _ := ReadPending(dir, discardLog); len(list) != 1 || list[0].ID != a.ID {
 		t.Errorf("kept %+v", list)
 	}
 }
@@ -355,62 +355,62 @@
 // A journal that fails for a while holds no notice back beyond the time of its message, when a next process would not send
 // it any more; one of a message with time left waits until it is written.
 func TestNoticesWhileTheJournalFails(t *testing.T) {
-	l, o := loop(t, t.TempDir(), 1e6)
+	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	hand := func(id string, class int, within time.Duration) {
 		v := make(chan Response, 1)
 		l.Post(Submitted{Message: &Message{ID: id, Class: class, Destination: 7, Deadline: time.Now().Add(within)}, Response: v})
-		if !get(t, v).Accepted {
+		if !receive(t, v).Accepted {
 			t.Fatalf("%s is not taken on", id)
 		}
 		l.Post(ResponseWritten{id, true})
 	}
 	hand("unsafe", 2, time.Minute)
-	call := get(t, o.calls)
+	call := receive(t, o.calls)
 	const within = 400 * time.Millisecond
 	began := time.Now()
 	hand("short", 2, within)
-	short := get(t, o.calls)
+	short := receive(t, o.calls)
 	time.AfterFunc(within, func() {
 		l.Post(CallEnded{short, []AttemptResult{{Attempt: short.Attempts[0], Result: control.TimedOut}}})
 	})
 	whole := make(chan *store.Store, 1)
 	l.Post(inspect(func() {
-		broken, _ := open(t, t.TempDir(), 1e6)
+		broken, _ := openTestWAL(t, t.TempDir(), 1e6)
 		broken.store.Close()
-		whole <- l.journal.store
-		l.journal.store = broken.store
+		whole <- l.wal.store
+		l.wal.store = broken.store
 	}))
 	l.Post(CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: control.ConnectionLost}}}) // given up at once
-	if n := get(t, o.notices); n.ID != "short" {
+	if n := receive(t, o.notices); n.ID != "short" {
 		t.Errorf("%s is told while it could be forgotten", n.ID)
 	}
 	if took := time.Since(began); took > within+200*time.Millisecond {
 		t.Errorf("told %v after it was taken on, due after %v", took, within)
 	}
 	store := <-whole
-	l.Post(inspect(func() { l.journal.store = store }))
-	if n := get(t, o.notices); n.ID != "unsafe" { // with no event but the loop's own
+	l.Post(inspect(func() { l.wal.store = store }))
+	if n := receive(t, o.notices); n.ID != "unsafe" { // with no event but the loop's own
 		t.Errorf("then told of %s", n.ID)
 	}
 }
 
 // Beyond what may be held, or journaled, a message gets a fixed response.
 func TestFixedResponses(t *testing.T) {
-	l, _ := loop(t, t.TempDir(), 1e6)
+	l, _ := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	for i, id := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-		v := get(t, handIn(l, id, 10))
+		v := receive(t, submit(l, id, 10))
 		if want := i < 6; v.Accepted != want || !want && v.RetryAfter <= 0 {
 			t.Errorf("message %d: %+v", i, v)
 		}
 	}
-	l, _ = loop(t, t.TempDir(), 100_000)
+	l, _ = newTestLoop(t, t.TempDir(), 100_000)
 	start(t, l)
-	if v := get(t, handIn(l, "a", 50_000)); v.Accepted || v.RetryAfter <= 0 {
+	if v := receive(t, submit(l, "a", 50_000)); v.Accepted || v.RetryAfter <= 0 {
 		t.Errorf("more than the disk holds: %+v", v)
 	}
-	if v := get(t, handIn(l, "b", 10)); !v.Accepted {
+	if v := receive(t, submit(l, "b", 10)); !v.Accepted {
 		t.Errorf("what fits: %+v", v)
 	}
 }
@@ -418,21 +418,21 @@
 // What names no destination that there is, or an id that another message has
 // or had, is not taken on, and the other message goes its way.
 func TestWrongMessages(t *testing.T) {
-	l, o := loop(t, t.TempDir(), 1e6)
+	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	v := make(chan Response, 1)
 	l.Post(Submitted{Message: &Message{ID: "x", Destination: 8, Deadline: time.Now().Add(time.Minute)}, Response: v})
-	if got := get(t, v); got.Accepted || got.Invalid != UnknownDestination {
+	if got := receive(t, v); got.Accepted || got.Invalid != UnknownDestination {
 		t.Errorf("nowhere to go: %+v", got)
 	}
-	get(t, handIn(l, "a", 10))
-	if got := get(t, handIn(l, "a", 10)); got.Accepted || got.Invalid != DuplicateID {
+	receive(t, submit(l, "a", 10))
+	if got := receive(t, submit(l, "a", 10)); got.Accepted || got.Invalid != DuplicateID {
 		t.Errorf("id of an open one: %+v", got)
 	}
 	l.Post(ResponseWritten{"a", true})
-	c := get(t, o.calls)
+	c := receive(t, o.calls)
 	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Served, Final: true}}})
-	if got := get(t, handIn(l, "a", 10)); got.Accepted || got.Invalid != DuplicateID {
+	if got := receive(t, submit(l, "a", 10)); got.Accepted || got.Invalid != DuplicateID {
 		t.Errorf("id of a finished one: %+v", got)
 	}
 }
@@ -440,20 +440,20 @@
 // Where a target rejects a call of several, each of them goes by itself; one
 // that is rejected alone is at its end, and costs the others nothing.
 func TestRejected(t *testing.T) {
-	l, o := loop(t, t.TempDir(), 1e6)
+	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	for _, id := range []string{"a", "b"} {
-		handIn(l, id, 10)
+		submit(l, id, 10)
 	}
 	start(t, l)
 	l.Post(ResponseWritten{"a", true})
 	l.Post(ResponseWritten{"b", true})
-	both := get(t, o.calls)
+	both := receive(t, o.calls)
 	if len(both.Attempts) != 2 {
 		t.Fatalf("a call of %d", len(both.Attempts))
 	}
 	l.Post(CallEnded{both, []AttemptResult{{Attempt: both.Attempts[0], Result: control.Unprocessable}, {Attempt: both.Attempts[1], Result: control.Unprocessable}}})
 	for range 2 {
-		c := get(t, o.calls)
+		c := receive(t, o.calls)
 		end := AttemptResult{Attempt: c.Attempts[0], Result: control.Served, Final: true}
 		if end.Attempt.Message.ID == "a" {
 			end = AttemptResult{Attempt: c.Attempts[0], Result: control.Unprocessable}
@@ -463,7 +463,7 @@
 		}
 		l.Post(CallEnded{c, []AttemptResult{end}})
 	}
-	if n := get(t, o.notices); n.ID != "a" || n.Deferred {
+	if n := receive(t, o.notices); n.ID != "a" || n.Deferred {
 		t.Errorf("notice %+v", n)
 	}
 	if l.Idle(); len(o.calls) > 0 {
@@ -496,23 +496,23 @@
 		{"unsafe, overdue", 2, -time.Second, time.Second, true, -1, "undeliverable"},
 	} {
 		dir := t.TempDir()
-		j, tb := open(t, dir, 1e6)
+		j, tb := openTestWAL(t, dir, 1e6)
 		e := &entry{num: 9, Message: &Message{ID: "a", Class: c.class, Destination: 7, Deadline: now.Add(c.left), Body: []byte("body")}}
 		tb.add(e)
-		j.add(takeRecord(j.base, e))
+		j.add(acceptedRecord(j.times, e))
 		if c.ago != 0 {
-			j.add(forwardRecord(j.base, 9, sent{attempt: 0, at: now.Add(-c.ago), zone: 0}))
+			j.add(attemptRecord(j.times, 9, sentAttempt{attempt: 0, at: now.Add(-c.ago), zone: 0}))
 			if !c.ran {
-				j.add(sparedRecord(9, 0))
+				j.add(notRunRecord(9, 0))
 			}
 		}
 		if err := errors.Join(j.flush(), j.close()); err != nil {
 			t.Fatal(err)
 		}
-		l, o := loop(t, dir, 1e6)
+		l, o := newTestLoop(t, dir, 1e6)
 		start(t, l)
 		if c.owed != "" {
-			if n := get(t, o.notices); n.status() != c.owed || n.ID != "a" {
+			if n := receive(t, o.notices); n.outcome() != c.owed || n.ID != "a" {
 				t.Errorf("%s: %+v", c.name, n)
 			}
 			if l.Idle(); len(o.calls) > 0 {
@@ -520,7 +520,7 @@
 			}
 			continue
 		}
-		f := get(t, o.calls).Attempts[0]
+		f := receive(t, o.calls).Attempts[0]
 		want := time.Time{}
 		if c.class == 1 && c.ran { // a repeat that leaves late must not leave the window
 			want = now.Add(-c.ago).Add(12 * time.Second)
@@ -548,25 +548,25 @@
 			t.Fatal(err)
 		}
 		now := time.Now()
-		wall := &timebase{zero: now, stamp: now.Add(-step).UnixMicro()}
-		j, tb := open(t, dir, 1e6)
+		wall := &timeBase{zero: now, stamp: now.Add(-step).UnixMicro()}
+		j, tb := openTestWAL(t, dir, 1e6)
 		e := &entry{num: 9, Message: &Message{ID: "a", Class: 1, Destination: 7, Deadline: now.Add(20 * time.Second)}}
 		tb.add(e)
-		j.add(takeRecord(wall, e))
-		j.add(forwardRecord(wall, 9, sent{attempt: 0, at: now.Add(-5 * time.Second)}))
+		j.add(acceptedRecord(wall, e))
+		j.add(attemptRecord(wall, 9, sentAttempt{attempt: 0, at: now.Add(-5 * time.Second)}))
 		if err := errors.Join(j.flush(), j.close()); err != nil {
 			t.Fatal(err)
 		}
-		l, o := loop(t, dir, 1e6)
+		l, o := newTestLoop(t, dir, 1e6)
 		start(t, l)
-		f := get(t, o.calls).Attempts[0]
+		f := receive(t, o.calls).Attempts[0]
 		if off := f.NotAfter.Sub(now.Add(7 * time.Second)).Abs(); off > 50*time.Millisecond {
 			t.Errorf("step %v: may leave in %v, not 7s", step, f.NotAfter.Sub(now))
 		}
 		if off := f.Message.Deadline.Sub(now.Add(20 * time.Second)).Abs(); off > 50*time.Millisecond {
 			t.Errorf("step %v: due in %v, not 20s", step, f.Message.Deadline.Sub(now))
 		}
-		pending, err := ReadPending(dir, quiet)
+		pending, err := ReadPending(dir, discardLog)
 		if err != nil || len(pending) != 1 || pending[0].Deadline.Sub(now.Add(20*time.Second)).Abs() > 50*time.Millisecond {
 			t.Errorf("step %v: pending %+v, %v", step, pending, err)
 		}
@@ -577,17 +577,17 @@
 func TestTimebaseAfterABoot(t *testing.T) {
 	dir := t.TempDir()
 	ahead := time.Now().Add(time.Minute).UnixMicro()
-	if err := writeAnchor(dir, anchor{Boot: "another", Monotonic: 1, Stamp: ahead}); err != nil {
+	if err := writeAnchor(dir, clockAnchor{Boot: "another", Monotonic: 1, Stamp: ahead}); err != nil {
 		t.Fatal(err)
 	}
-	if got := openTimebase(dir, quiet).stampOf(time.Now()); got < ahead {
+	if got := openTimeBase(dir, discardLog).stampOf(time.Now()); got < ahead {
 		t.Errorf("%d after %d", got, ahead)
 	}
-	if err := os.WriteFile(filepath.Join(dir, timebaseName), []byte("half"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, timeBaseFile), []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now()
-	if got := openTimebase(dir, quiet).timeOf(now.UnixMicro()).Sub(now).Abs(); got > 50*time.Millisecond {
+	if got := openTimeBase(dir, discardLog).timeOf(now.UnixMicro()).Sub(now).Abs(); got > 50*time.Millisecond {
 		t.Errorf("a damaged anchor: %v off", got)
 	}
 }
@@ -598,11 +598,11 @@
 	g, now := newGroup(), time.Now()
 	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
 	back := up("back")
-	first := g.take(ListUpdate{Kind: control.ListDelta, Targets: []Target{back, up("gone")}}, now)
-	g.take(ListUpdate{Kind: control.ListFull, Targets: nil}, now)
-	again := g.take(ListUpdate{Kind: control.ListDelta, Targets: []Target{back}}, now.Add(goneSpan/2))
-	g.take(ListUpdate{Kind: control.ListDelta}, now.Add(2*goneSpan))
-	if again[0].ID != first[0].ID || g.byID["back"] == nil || g.byID["gone"] != nil || len(g.byNum) != 1 || len(g.left) != 0 {
+	first := g.update(ListUpdate{Kind: control.ListDelta, Targets: []Target{back, up("gone")}}, now)
+	g.update(ListUpdate{Kind: control.ListFull, Targets: nil}, now)
+	again := g.update(ListUpdate{Kind: control.ListDelta, Targets: []Target{back}}, now.Add(removedRetention/2))
+	g.update(ListUpdate{Kind: control.ListDelta}, now.Add(2*removedRetention))
+	if again[0].ID != first[0].ID || g.byID["back"] == nil || g.byID["gone"] != nil || len(g.byNumber) != 1 || len(g.removedAt) != 0 {
 		t.Errorf("numbers %d and %d, known %v", first[0].ID, again[0].ID, g.byID)
 	}
 }
@@ -616,14 +616,14 @@
 		owed  string
 	}{{"unsafe", 2, "undeliverable"}, {"keyed", 1, "deferred"}, {"safe", 0, ""}} {
 		dir := t.TempDir()
-		j, tb := open(t, dir, 1e6)
+		j, tb := openTestWAL(t, dir, 1e6)
 		e := &entry{num: 9, Message: &Message{ID: "a", Key: "k", Class: c.class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}}
 		tb.add(e)
-		j.take(e)
+		j.addAccepted(e)
 		err := j.flush()
-		j.add(forwardRecord(j.base, 9, sent{attempt: 0, at: time.Now().Add(-11 * time.Second), target: "target-in-the-damage"}))
+		j.add(attemptRecord(j.times, 9, sentAttempt{attempt: 0, at: time.Now().Add(-11 * time.Second), endpoint: "target-in-the-damage"}))
 		err = errors.Join(err, j.flush())
-		take(j, tb, "later", 10) // so that it is no torn tail
+		addTestMessage(j, tb, "later", 10) // so that it is no torn tail
 		if err = errors.Join(err, j.flush(), j.close()); err != nil {
 			t.Fatal(err)
 		}
@@ -633,17 +633,17 @@
 		if err := os.WriteFile(name, whole, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		l, o := loop(t, dir, 1e6)
+		l, o := newTestLoop(t, dir, 1e6)
 		start(t, l)
 		if c.owed == "" {
-			if f := get(t, o.calls).Attempts[0]; f.Message.ID != "a" {
+			if f := receive(t, o.calls).Attempts[0]; f.Message.ID != "a" {
 				t.Errorf("%s: %s was sent", c.name, f.Message.ID)
 			}
 			continue
 		}
-		for n := get(t, o.notices); n.ID != "a"; n = get(t, o.notices) {
+		for n := receive(t, o.notices); n.ID != "a"; n = receive(t, o.notices) {
 		}
-		list, _ := ReadPending(dir, quiet)
+		list, _ := ReadPending(dir, discardLog)
 		for _, p := range list {
 			if p.ID == "a" && p.Owed != c.owed {
 				t.Errorf("%s: owed %s", c.name, p.Owed)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -64,7 +64,7 @@
 	num      control.MessageID
 	attempt  int
 	ended    bool
-	off      bool // called off
+	canceled      bool // called off
 	withheld bool // may not leave
 }
 
@@ -74,11 +74,11 @@
 	Target    Target
 	Attempts  []*Attempt
 	ConnectBy time.Time // by when a connection must be up
-	room      int       // what the forwards take in one body
+	bytes      int       // what the forwards take in one body
 	size      int       // forwards that left with it
-	unsent    int       // forwards whose client has not been answered yet
+	unanswered    int       // forwards whose client has not been answered yet
 	launched  bool
-	carried   bool
+	sent   bool
 	withheld  bool // its target told to wait before it left
 }
 
--- a/internal/state/takeover.go
+++ b/internal/state/takeover.go
@@ -18,22 +18,22 @@
 // length and checksum of its payload, and the payload, that was rewritten whole under
 // another name and renamed. It is read and taken over once.
 const (
-	oldName    = "journal"
-	oldFresh   = "journal.new"
-	oldHeadLen = 12
+	legacyFile    = "journal"
+	legacyRewriteFile   = "journal.new"
+	legacyHeaderSize = 12
 )
 
-var mark = []byte{0xc1, 0xea, 0x7d, 0x01}
+var legacyMark = []byte{0xc1, 0xea, 0x7d, 0x01}
 
-// takeOver makes a store of an old file. The file counts until all of it is in the
+// importLegacy makes a store of an old file. The file counts until all of it is in the
 // store, and is removed then: a store that is found beside it is a take-over that was
 // broken off, and begins anew.
-func takeOver(dir string, limit int64, log *slog.Logger) error {
-	t, err := readOld(dir, log)
+func importLegacy(dir string, limit int64, log *slog.Logger) error {
+	t, err := readLegacy(dir, log)
 	if t == nil || err != nil {
 		return err
 	}
-	os.Remove(filepath.Join(dir, oldFresh)) // half a rewrite: the old file still holds
+	os.Remove(filepath.Join(dir, legacyRewriteFile)) // half a rewrite: the old file still holds
 	entries, err := os.ReadDir(dir)
 	for _, e := range entries {
 		if err == nil && strings.HasSuffix(e.Name(), ".log") {
@@ -42,22 +42,22 @@
 	}
 	if err == nil {
 		// Only what is owed: old and new must fit side by side.
-		err = shrinkOld(dir, t)
+		err = compactLegacy(dir, t)
 	}
 	if err != nil {
 		return fmt.Errorf("journal: take-over: %w", err)
 	}
-	info, err := os.Stat(filepath.Join(dir, oldName))
+	info, err := os.Stat(filepath.Join(dir, legacyFile))
 	if err != nil {
 		return fmt.Errorf("journal: take-over: %w", err)
 	}
-	s, err := store.Open(store.Options{FS: store.Dir(dir), Budget: limit - info.Size() - blockUnit, Segment: max(limit/16, 16<<10), Log: log})
+	s, err := store.Open(store.Options{FS: store.Dir(dir), Budget: limit - info.Size() - diskBlock, Segment: max(limit/16, 16<<10), Log: log})
 	if err != nil {
 		return fmt.Errorf("journal: take-over: %w", err)
 	}
-	j := &journal{store: s}
+	j := &writeAheadLog{store: s}
 	for _, e := range t.ordered() {
-		j.enter(e)
+		j.addEntry(e)
 	}
 	err = j.flush()
 	if err == nil {
@@ -67,21 +67,21 @@
 		return fmt.Errorf("journal: take-over: %w", err)
 	}
 	log.Info("journal of an older program taken over", "messages", len(t.entries))
-	return os.Remove(filepath.Join(dir, oldName))
+	return os.Remove(filepath.Join(dir, legacyFile))
 }
 
-// shrinkOld writes an old file anew with only what is owed.
-func shrinkOld(dir string, t *table) error {
+// compactLegacy writes an old file anew with only what is owed.
+func compactLegacy(dir string, t *table) error {
 	var live []byte
 	for _, e := range t.ordered() {
-		for _, p := range entryPayloads(nil, e) {
-			live = oldRecord(live, p)
+		for _, p := range entryRecords(nil, e) {
+			live = appendLegacyRecord(live, p)
 		}
 	}
-	name := filepath.Join(dir, oldFresh)
+	name := filepath.Join(dir, legacyRewriteFile)
 	err := os.WriteFile(name, live, 0o600)
 	if err == nil {
-		err = os.Rename(name, filepath.Join(dir, oldName))
+		err = os.Rename(name, filepath.Join(dir, legacyFile))
 	}
 	if err != nil {
 		os.Remove(name) // a file half written must not count against the limit
@@ -89,9 +89,9 @@
 	return err
 }
 
-// readOld reads an old file; no table where there is none.
-func readOld(dir string, log *slog.Logger) (*table, error) {
-	data, err := os.ReadFile(filepath.Join(dir, oldName))
+// readLegacy reads an old file; no table where there is none.
+func readLegacy(dir string, log *slog.Logger) (*table, error) {
+	data, err := os.ReadFile(filepath.Join(dir, legacyFile))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -99,31 +99,31 @@
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	t := newTable()
-	if bad := replay(data, t); bad > 0 {
+	if bad := replayLegacy(data, t); bad > 0 {
 		log.Warn("journal damaged or torn; kept what reads", "bytes", len(data), "unread", bad)
 	}
 	return t, nil
 }
 
-// oldRecord frames a payload.
-func oldRecord(to, payload []byte) []byte {
-	to = append(to, mark...)
+// appendLegacyRecord frames a payload.
+func appendLegacyRecord(to, payload []byte) []byte {
+	to = append(to, legacyMark...)
 	to = binary.LittleEndian.AppendUint32(to, uint32(len(payload)))
 	to = binary.LittleEndian.AppendUint32(to, crc32.ChecksumIEEE(payload))
 	return append(to, payload...)
 }
 
-// replay applies the records that read and returns the bytes that don't. A
+// replayLegacy applies the records that read and returns the bytes that don't. A
 // damaged record hides none of those after it: reading goes on at the next mark.
 // What it told is not known, so each message open then may have had a forward.
 // A torn tail is no such case: what it tells had not been acted on.
-func replay(data []byte, t *table) (bad int) {
+func replayLegacy(data []byte, t *table) (unread int) {
 	damaged := false
 	for len(data) > 0 {
-		if n := intact(data); n > 0 && apply(data[oldHeadLen:n], t) {
+		if n := legacyRecordSize(data); n > 0 && applyRecord(data[legacyHeaderSize:n], t) {
 			if damaged {
 				for _, e := range t.entries {
-					doubt(e)
+					assumeRun(e)
 				}
 			}
 			damaged = false
@@ -132,26 +132,26 @@
 		}
 		damaged = true
 		skip := len(data)
-		if i := bytes.Index(data[1:], mark); i >= 0 {
+		if i := bytes.Index(data[1:], legacyMark); i >= 0 {
 			skip = 1 + i
 		}
-		bad += skip
+		unread += skip
 		data = data[skip:]
 	}
-	return bad
+	return unread
 }
 
-// intact returns the length of the record that the data starts with, or 0.
-func intact(data []byte) int {
-	if len(data) < oldHeadLen || !bytes.Equal(data[:len(mark)], mark) {
+// legacyRecordSize returns the length of the record that the data starts with, or 0.
+func legacyRecordSize(data []byte) int {
+	if len(data) < legacyHeaderSize || !bytes.Equal(data[:len(legacyMark)], legacyMark) {
 		return 0
 	}
 	n := int(binary.LittleEndian.Uint32(data[4:]))
-	if n == 0 || n > maxRecord || n > len(data)-oldHeadLen {
+	if n == 0 || n > maxRecordBytes || n > len(data)-legacyHeaderSize {
 		return 0
 	}
-	if crc32.ChecksumIEEE(data[oldHeadLen:oldHeadLen+n]) != binary.LittleEndian.Uint32(data[8:]) {
+	if crc32.ChecksumIEEE(data[legacyHeaderSize:legacyHeaderSize+n]) != binary.LittleEndian.Uint32(data[8:]) {
 		return 0
 	}
-	return oldHeadLen + n
+	return legacyHeaderSize + n
 }
--- a/internal/state/timebase.go
+++ b/internal/state/timebase.go
@@ -18,18 +18,18 @@
 // again after the machine has been started anew.
 
 const (
-	timebaseName = "clock"
+	timeBaseFile = "clock"
 	bootIDPath   = "/proc/sys/kernel/random/boot_id"
 )
 
-// A timebase turns times of this process into stamps, microseconds, and back. A nil one goes by the wall clock.
-type timebase struct {
+// A timeBase turns times of this process into stamps, microseconds, and back. A nil one goes by the wall clock.
+type timeBase struct {
 	zero  time.Time // an instant, with its monotonic reading...
 	stamp int64     // ...and what stands for it
 }
 
-// An anchor is what a folder keeps of its time base.
-type anchor struct {
+// An clockAnchor is what a folder keeps of its time base.
+type clockAnchor struct {
 	Boot      string `json:"boot"`         // which start of the machine the monotonic clock counts from
 	Monotonic int64  `json:"monotonic_us"` // the monotonic clock at an instant...
 	Stamp     int64  `json:"stamp_us"`     // ...and what stands for it
@@ -37,8 +37,8 @@
 	zero time.Time // the instant, in this process
 }
 
-// openTimebase goes on with the time base of a folder, or begins one. A folder that can't keep it has this process's own.
-func openTimebase(dir string, log *slog.Logger) *timebase {
+// openTimeBase goes on with the time base of a folder, or begins one. A folder that can't keep it has this process's own.
+func openTimeBase(dir string, log *slog.Logger) *timeBase {
 	here, err := anchorNow()
 	if err != nil {
 		log.Warn("journal: no monotonic clock, times go by the wall clock", "err", err)
@@ -56,8 +56,8 @@
 	return here.base()
 }
 
-// lookTimebase is openTimebase for one who changes nothing.
-func lookTimebase(dir string) *timebase {
+// readTimeBase is openTimebase for one who changes nothing.
+func readTimeBase(dir string) *timeBase {
 	here, err := anchorNow()
 	if err != nil {
 		return nil
@@ -71,45 +71,45 @@
 }
 
 // anchorNow is an anchor of this instant, by the wall clock.
-func anchorNow() (anchor, error) {
+func anchorNow() (clockAnchor, error) {
 	boot, err := os.ReadFile(bootIDPath)
 	if err != nil {
-		return anchor{}, err
+		return clockAnchor{}, err
 	}
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
-		return anchor{}, fmt.Errorf("monotonic clock: %w", err)
+		return clockAnchor{}, fmt.Errorf("monotonic clock: %w", err)
 	}
 	zero := time.Now()
 	zero = zero.Add(-time.Duration(zero.Nanosecond()) % time.Microsecond) // a whole microsecond, as stamps are
-	return anchor{strings.TrimSpace(string(boot)), now.Nano() / int64(time.Microsecond), zero.UnixMicro(), zero}, nil
+	return clockAnchor{strings.TrimSpace(string(boot)), now.Nano() / int64(time.Microsecond), zero.UnixMicro(), zero}, nil
 }
 
 // follows tells whether a later anchor counts from the same start of the machine.
-func (a anchor) follows(before anchor) bool {
+func (a clockAnchor) follows(before clockAnchor) bool {
 	return a.Boot == before.Boot && a.Monotonic >= before.Monotonic
 }
 
-func (a anchor) base() *timebase { return &timebase{zero: a.zero, stamp: a.Stamp} }
+func (a clockAnchor) base() *timeBase { return &timeBase{zero: a.zero, stamp: a.Stamp} }
 
-func readAnchor(dir string) (a anchor, err error) {
-	text, err := os.ReadFile(filepath.Join(dir, timebaseName))
+func readAnchor(dir string) (a clockAnchor, err error) {
+	text, err := os.ReadFile(filepath.Join(dir, timeBaseFile))
 	if err == nil {
 		err = json.Unmarshal(text, &a)
 	}
 	if err != nil {
-		return anchor{}, err
+		return clockAnchor{}, err
 	}
 	return a, nil
 }
 
 // writeAnchor replaces the anchor whole or not at all.
-func writeAnchor(dir string, a anchor) error {
+func writeAnchor(dir string, a clockAnchor) error {
 	text, err := json.Marshal(a)
 	if err != nil {
 		return err
 	}
-	return replaceFile(filepath.Join(dir, timebaseName), text)
+	return replaceFile(filepath.Join(dir, timeBaseFile), text)
 }
 
 // replaceFile puts a text in the place of a file, whole or not at all.
@@ -126,7 +126,7 @@
 }
 
 // stampOf is what stands for a time.
-func (b *timebase) stampOf(t time.Time) int64 {
+func (b *timeBase) stampOf(t time.Time) int64 {
 	if b == nil {
 		return t.UnixMicro()
 	}
@@ -134,7 +134,7 @@
 }
 
 // timeOf is the time that a stamp stands for. It has a monotonic reading, so that steps of the wall clock leave it alone.
-func (b *timebase) timeOf(stamp int64) time.Time {
+func (b *timeBase) timeOf(stamp int64) time.Time {
 	if b == nil {
 		return time.UnixMicro(stamp)
 	}
