--- a/internal/state/certainty.go
+++ b/internal/state/certainty.go
@@ -39,8 +39,8 @@
 
 // A listCertainty tells from when until when sends are held back because the list may not be the one that was told last.
 type listCertainty struct {
-	since time.Time // when the first answer that could not be read began; zero: the list is known
-	latest  time.Time // and the latest
+	since  time.Time // when the first answer that could not be read began; zero: the list is known
+	latest time.Time // and the latest
 }
 
 // markUncertain notes an answer that could not be read.
--- a/internal/state/classes.go
+++ b/internal/state/classes.go
@@ -18,8 +18,8 @@
 
 var (
 	errTooManyClasses = errors.New("too many classes since the start; restart the sender to begin anew")
-	errHandedOver   = errors.New("another process has taken over")
-	errLogIncomplete   = errors.New("the journal can't be written")
+	errHandedOver     = errors.New("another process has taken over")
+	errLogIncomplete  = errors.New("the journal can't be written")
 )
 
 // A NamedClass is a class as the settings name it.
--- a/internal/state/departures.go
+++ b/internal/state/departures.go
@@ -17,8 +17,8 @@
 // state folder.
 
 const (
-	departuresFile = "departures"
-	maxDepartures = 256     // ids that are kept; those that left last
+	departuresFile     = "departures"
+	maxDepartures      = 256     // ids that are kept; those that left last
 	maxDeparturesBytes = 4 << 10 // bytes that the file may take; with its replacement twice that
 )
 
--- a/internal/state/journal.go
+++ b/internal/state/journal.go
@@ -18,9 +18,9 @@
 // timebase. What a round adds is appended as one batch; nothing is rewritten whole.
 const (
 	maxRecordBytes = MaxBody + 4096
-	diskBlock = 512                            // the disk counts files in whole units of this
-	reservedBytes = 4*diskBlock + 2*maxDeparturesBytes // kept free for the lock, the time base, departures, and what replaces them
-	maxBatchBytes = 1 << 20                        // bytes that are appended at once
+	diskBlock      = 512                                // the disk counts files in whole units of this
+	reservedBytes  = 4*diskBlock + 2*maxDeparturesBytes // kept free for the lock, the time base, departures, and what replaces them
+	maxBatchBytes  = 1 << 20                            // bytes that are appended at once
 )
 
 // Forms of the journal, for those who put one program in the place of another: 1 was a single file, 2 is a store.
@@ -31,19 +31,19 @@
 
 // The kinds of record.
 const (
-	recordAccepted    = 1 // a message was taken on
-	recordAttempt = 2 // an attempt is about to leave
-	recordNotRun  = 3 // an attempt proved never to have run
+	recordAccepted = 1 // a message was taken on
+	recordAttempt  = 2 // an attempt is about to leave
+	recordNotRun   = 3 // an attempt proved never to have run
 	recordEnded    = 4 // nothing more is owed
 	recordOutcome  = 5 // a notice is owed
 )
 
 // A writeAheadLog appends to a store within a limit on the folder.
 type writeAheadLog struct {
-	dir   string
-	store *store.Store
-	limit int64
-	batch []store.Record // added, and not written yet
+	dir        string
+	store      *store.Store
+	limit      int64
+	batch      []store.Record // added, and not written yet
 	incomplete bool           // a write failed: the store lacks something that the table holds
 
 	inMemory bool // nothing is written at all
@@ -147,11 +147,11 @@
 
 // The bits of a notice's form.
 const (
-	outcomeDeferred  = 1
-	outcomeDeadLetter      = 2 // the keeper gets the message, or what came of it
-	outcomeDelivered = 4
-	outcomeFinal      = 8
-	outcomeClientOwned   = 16 // without the keeper it would be its client's again
+	outcomeDeferred    = 1
+	outcomeDeadLetter  = 2 // the keeper gets the message, or what came of it
+	outcomeDelivered   = 4
+	outcomeFinal       = 8
+	outcomeClientOwned = 16 // without the keeper it would be its client's again
 )
 
 func outcomeRecord(b *timeBase, n *DeliveryReport) []byte {
@@ -321,8 +321,8 @@
 
 // A decoder takes a payload apart; after the first misfit everything is zero and bad is set.
 type decoder struct {
-	rest []byte
-	malformed  bool
+	rest      []byte
+	malformed bool
 }
 
 func (s *decoder) varint() int64 {
--- a/internal/state/keep_test.go
+++ b/internal/state/keep_test.go
@@ -11,9 +11,9 @@
 
 // queueStub wants what it is told to, and notes what it gets.
 type queueStub struct {
-	wants   bool
-	began   chan [2]int
-	added   chan DeadLetter
+	wants     bool
+	began     chan [2]int
+	added     chan DeadLetter
 	forgotten chan string
 }
 
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -39,15 +39,15 @@
 // Loop owns the controller, the table, the target group and the journal. All
 // of them are touched by its own goroutine alone; others only post events.
 type Loop struct {
-	settings      control.Settings
-	log      *slog.Logger
+	settings        control.Settings
+	log             *slog.Logger
 	controller      *control.Controller
-	transport  Transport
-	discovery     Discovery
-	reporter Reporter
-	deadLetterQueue   DeadLetterQueue
-	gossipSender   GossipSender
-	gossip  []gossip.Observation // to be told to the other senders at the end of the round
+	transport       Transport
+	discovery       Discovery
+	reporter        Reporter
+	deadLetterQueue DeadLetterQueue
+	gossipSender    GossipSender
+	gossip          []gossip.Observation // to be told to the other senders at the end of the round
 
 	events chan Event
 	clock  func() time.Time
@@ -59,30 +59,30 @@
 
 	table    *table
 	group    *group
-	wal  *writeAheadLog
+	wal      *writeAheadLog
 	counters *Counters
 
-	admitted    []*entry // taken in this round, their clients not answered yet
-	callsByEndpoint    map[control.EndpointID]*Call
-	newCalls    []*Call          // of this round
-	readyCalls    []*Call          // to be launched at the end of the round
-	reports  []DeliveryReport // to be told at the end of the round
-	deadLetters []*DeadLetter    // to be given to the keeper at the end of the round
-	forgottenIDs  []string         // ids that the journal has forgotten, of messages that the keeper has
-	backlog  []Event          // events of the loop's own making, for the next round
-	inFlight      map[*Call]int    // forwards without an end
+	admitted        []*entry // taken in this round, their clients not answered yet
+	callsByEndpoint map[control.EndpointID]*Call
+	newCalls        []*Call          // of this round
+	readyCalls      []*Call          // to be launched at the end of the round
+	reports         []DeliveryReport // to be told at the end of the round
+	deadLetters     []*DeadLetter    // to be given to the keeper at the end of the round
+	forgottenIDs    []string         // ids that the journal has forgotten, of messages that the keeper has
+	backlog         []Event          // events of the loop's own making, for the next round
+	inFlight        map[*Call]int    // forwards without an end
 	callsInFlight   int              // calls with the carrier
 
-	handOver *HandOver      // asked for in this round
-	successor    Successor      // to whom everything was given
-	remoteInFlight  map[remoteAttemptKey]int // forwards out at another process, and in which of its calls
+	handOver       *HandOver                // asked for in this round
+	successor      Successor                // to whom everything was given
+	remoteInFlight map[remoteAttemptKey]int // forwards out at another process, and in which of its calls
 
-	departures *departures
-	retryAfters      map[routeKey]retryAfter
-	walRetryPending   bool      // a round that writes the journal again is on its way
-	certainty    listCertainty // whether the list of targets is the one that was told last
+	departures      *departures
+	retryAfters     map[routeKey]retryAfter
+	walRetryPending bool          // a round that writes the journal again is on its way
+	certainty       listCertainty // whether the list of targets is the one that was told last
 
-	started    bool
+	started  bool
 	stopped  bool // no new messages
 	halted   bool // no new forwards
 	finished chan struct{}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -64,22 +64,22 @@
 	num      control.MessageID
 	attempt  int
 	ended    bool
-	canceled      bool // called off
+	canceled bool // called off
 	withheld bool // may not leave
 }
 
 // A Call is what travels on one connection: one forward, or several that go
 // to one target in one round.
 type Call struct {
-	Target    Target
-	Attempts  []*Attempt
-	ConnectBy time.Time // by when a connection must be up
+	Target     Target
+	Attempts   []*Attempt
+	ConnectBy  time.Time // by when a connection must be up
 	bytes      int       // what the forwards take in one body
-	size      int       // forwards that left with it
-	unanswered    int       // forwards whose client has not been answered yet
-	launched  bool
-	sent   bool
-	withheld  bool // its target told to wait before it left
+	size       int       // forwards that left with it
+	unanswered int       // forwards whose client has not been answered yet
+	launched   bool
+	sent       bool
+	withheld   bool // its target told to wait before it left
 }
 
 // AttemptResult is what came of one forward of a call.
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -12,37 +12,37 @@
 // An entry is one message of the table, until its end is known to whoever is owed it.
 type entry struct {
 	*Message
-	num      control.MessageID
-	attempts    int
-	mayHaveRun      []sentAttempt // forwards that may have run, or may yet
-	response  chan<- Response
-	decision *AdmissionDecision // with the verdict
-	responded bool               // its client has heard that it is taken on
-	call     *Call              // held back until then
-	sendAlone    bool               // goes in a call by itself: a target could not use one that it shared
-	report   *DeliveryReport    // ended, and the platform is owed this
-	cost     int64              // what it may take in the journal
+	num            control.MessageID
+	attempts       int
+	mayHaveRun     []sentAttempt // forwards that may have run, or may yet
+	response       chan<- Response
+	decision       *AdmissionDecision // with the verdict
+	responded      bool               // its client has heard that it is taken on
+	call           *Call              // held back until then
+	sendAlone      bool               // goes in a call by itself: a target could not use one that it shared
+	report         *DeliveryReport    // ended, and the platform is owed this
+	cost           int64              // what it may take in the journal
 	classRecord    string             // its class as it stands there
-	inFlight  int                // forwards without an end
-	remoteInFlight   int                // forwards out at another process of this sender; until they are known it waits
-	acceptedAt       time.Time
-	attempted   bool // a forward of it has left, or was about to
+	inFlight       int                // forwards without an end
+	remoteInFlight int                // forwards out at another process of this sender; until they are known it waits
+	acceptedAt     time.Time
+	attempted      bool // a forward of it has left, or was about to
 
 	// Where a keeper is connected.
-	deadLetterSeq      uint64        // the keeper's record that this sends again; 0 = a client's message
+	deadLetterSeq uint64            // the keeper's record that this sends again; 0 = a client's message
 	attemptLog    []numberedAttempt // its history
-	unprocessable bool          // a target can't use it
-	deadLetter  *DeadLetter   // ended, and the keeper is owed this
-	reported     bool          // the platform has its notice
+	unprocessable bool              // a target can't use it
+	deadLetter    *DeadLetter       // ended, and the keeper is owed this
+	reported      bool              // the platform has its notice
 }
 
 // sentAttempt is a forward that left.
 type sentAttempt struct {
-	attempt int
-	at      time.Time
-	zone    int
-	endpoint  string // its id, where a keeper is connected
-	inDeadLetter    bool   // stands in the keeper's record already
+	attempt      int
+	at           time.Time
+	zone         int
+	endpoint     string // its id, where a keeper is connected
+	inDeadLetter bool   // stands in the keeper's record already
 }
 
 // firstRun returns the earliest forward that may have run.
@@ -60,16 +60,16 @@
 
 // A table holds the messages that something is still owed for.
 type table struct {
-	entries map[control.MessageID]*entry
-	byID     map[string]*entry
-	next    control.MessageID
-	open    int             // not ended
-	liveBytes    int64           // journal bytes of all
-	deadLetterBytes    int64           // of those, the bytes of messages that a keeper does not have yet
-	recentIDs    map[string]bool // ids of messages that are over...
-	recentExpiry  []recentID        // ...until a time, in the order of it
-	classes *classRegistry
-	times    *timeBase // of the journal that it was read from
+	entries         map[control.MessageID]*entry
+	byID            map[string]*entry
+	next            control.MessageID
+	open            int             // not ended
+	liveBytes       int64           // journal bytes of all
+	deadLetterBytes int64           // of those, the bytes of messages that a keeper does not have yet
+	recentIDs       map[string]bool // ids of messages that are over...
+	recentExpiry    []recentID      // ...until a time, in the order of it
+	classes         *classRegistry
+	times           *timeBase // of the journal that it was read from
 }
 
 // recentID is an id that is not taken again before a time.
@@ -82,7 +82,7 @@
 // pastMost how many such ids are kept at most.
 const (
 	recentIDRetention = 20 * time.Second
-	maxRecentIDs = 4096
+	maxRecentIDs      = 4096
 )
 
 // idInUse tells whether an id is in use, or was a moment ago.
@@ -171,15 +171,15 @@
 
 // A group is the target group: what discovery has told, numbered for the controller.
 type group struct {
-	byID    map[string]*Target
-	byNumber   map[control.EndpointID]*Target
-	byHash   map[uint32]control.EndpointID // by the names that notes use
-	version int64
-	next    control.EndpointID
-	knownDestinations  map[int]bool         // destinations that have or had a target
-	removedAt    map[string]time.Time // targets off the list, and since when
-	excluded   map[string]bool      // ids of targets that operators have taken out
-	suspended    bool                 // nothing new goes to any target
+	byID              map[string]*Target
+	byNumber          map[control.EndpointID]*Target
+	byHash            map[uint32]control.EndpointID // by the names that notes use
+	version           int64
+	next              control.EndpointID
+	knownDestinations map[int]bool         // destinations that have or had a target
+	removedAt         map[string]time.Time // targets off the list, and since when
+	excluded          map[string]bool      // ids of targets that operators have taken out
+	suspended         bool                 // nothing new goes to any target
 
 	leftAt map[control.EndpointID]time.Time // when those were told that drain or are gone
 }
--- a/internal/state/takeover.go
+++ b/internal/state/takeover.go
@@ -18,9 +18,9 @@
 // length and checksum of its payload, and the payload, that was rewritten whole under
 // another name and renamed. It is read and taken over once.
 const (
-	legacyFile    = "journal"
-	legacyRewriteFile   = "journal.new"
-	legacyHeaderSize = 12
+	legacyFile        = "journal"
+	legacyRewriteFile = "journal.new"
+	legacyHeaderSize  = 12
 )
 
 var legacyMark = []byte{0xc1, 0xea, 0x7d, 0x01}
