--- /dev/null
+++ b/internal/endpointgroup/group_test.go
@@ -0,0 +1,74 @@
+package endpointgroup
+
+import (
+	"testing"
+	"time"
+
+	"cleathold/control"
+)
+
+// What operators exclude drains for the controller, whatever discovery says of it, until they include it again; what
+// discovery drains or removes stays so.
+func TestSetExcluded(t *testing.T) {
+	g := New()
+	now := time.Unix(1000, 0)
+	target := func(id string, s control.EndpointState) Target {
+		return Target{ID: id, Endpoint: control.Endpoint{Destination: 7, State: s}}
+	}
+	states := func(lines []control.Endpoint) (text string) {
+		for _, e := range lines {
+			text += map[control.EndpointState]string{control.Ready: "r", control.Draining: "d", control.Removed: "x"}[e.State]
+		}
+		return text
+	}
+	full := []Target{target("a", control.Ready), target("b", control.Ready), target("c", control.Draining)}
+	for i, c := range []struct{ got, want string }{
+		{states(g.Update(control.ListFull, 1, full, now)), "rrd"},
+		{states(g.SetExcluded([]string{"a", "c", "unknown"})), "dd"},
+		{states(g.SetExcluded([]string{"a", "c"})), ""},
+		{states(g.Update(control.ListFull, 1, full, now)), "drd"},
+		{states(g.Update(control.ListDelta, 2, []Target{target("a", control.Ready)}, now)), "d"},
+		{states(g.SetExcluded([]string{"b"})), "rdd"},
+		{states(g.Update(control.ListDelta, 3, []Target{target("b", control.Removed)}, now)), "x"},
+		{states(g.SetExcluded(nil)), ""},
+	} {
+		if c.got != c.want {
+			t.Errorf("step %d: %q, want %q", i, c.got, c.want)
+		}
+	}
+}
+
+// While sends are suspended no target is shown as ready; those that leave by a part of a list stay out afterwards.
+func TestSetSuspended(t *testing.T) {
+	g := New()
+	now := time.Now()
+	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
+	g.Update(control.ListFull, 3, []Target{up("a"), up("b"), up("c")}, now)
+	g.SetExcluded([]string{"c"})
+	leaves := up("a")
+	leaves.State = control.Draining
+	if lines := g.UpdateLeaving([]Target{leaves, {ID: "stranger"}}, now); len(lines) != 1 || g.version != 3 || len(g.byID) != 3 {
+		t.Errorf("%+v, version %d, %d targets", lines, g.version, len(g.byID))
+	}
+	for _, suspended := range []bool{true, false} {
+		lines, changed := g.SetSuspended(suspended)
+		if _, again := g.SetSuspended(suspended); !changed || again || len(lines) != 1 || (lines[0].State == control.Ready) == suspended {
+			t.Errorf("suspended %t: %+v, changed %t, again %t", suspended, lines, changed, again)
+		}
+	}
+}
+
+// The group forgets those that left long ago, also where only a whole list tells of it, and keeps the numbers of those that
+// come back.
+func TestForgetRemoved(t *testing.T) {
+	g, now := New(), time.Now()
+	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
+	back := up("back")
+	first := g.Update(control.ListDelta, 0, []Target{back, up("gone")}, now)
+	g.Update(control.ListFull, 0, nil, now)
+	again := g.Update(control.ListDelta, 0, []Target{back}, now.Add(removedRetention/2))
+	g.Update(control.ListDelta, 0, nil, now.Add(2*removedRetention))
+	if again[0].ID != first[0].ID || g.byID["back"] == nil || g.byID["gone"] != nil || len(g.byNumber) != 1 || len(g.removedAt) != 0 {
+		t.Errorf("numbers %d and %d, known %v", first[0].ID, again[0].ID, g.byID)
+	}
+}
--- a/internal/state/keep_test.go
+++ b/internal/state/deadletter_test.go
@@ -121,11 +121,11 @@
 func TestGivenBack(t *testing.T) {
 	k := newQueueStub(false)
 	dir := t.TempDir()
-	j, tb := openTestWAL(t, dir, 1e6)
+	j, tb := openTestLog(t, dir)
 	e := &entry{num: 9, Message: &Message{ID: "a", Class: 2, Destination: 7, Deadline: time.Now().Add(-time.Second), Body: []byte("body")}}
 	tb.add(e)
-	j.add(acceptedRecord(j.times, e))
-	if err := errors.Join(j.flush(), j.close()); err != nil {
+	logAccepted(j, e)
+	if err := errors.Join(j.Flush(), j.Close()); err != nil {
 		t.Fatal(err)
 	}
 	l, o := loopWithQueue(t, dir, k)
@@ -228,7 +228,7 @@
 func TestResendNeedsJournal(t *testing.T) {
 	k := newQueueStub(true)
 	l, o := loopWithQueue(t, t.TempDir(), k)
-	l.wal.close()
+	l.wal.Close()
 	start(t, l)
 	l.Post(Redelivery{Seq: 5, Message: &Message{ID: "a", Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
 	if p := receive(t, k.added); p.Seq != 5 || !p.NotAdmitted {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -10,8 +10,9 @@
 	"time"
 
 	"cleathold/control"
+	"cleathold/internal/endpointgroup"
 	"cleathold/internal/golden"
-	"cleathold/internal/store"
+	"cleathold/internal/wal"
 )
 
 // goldenClass is the class of the messages in the golden journal.
@@ -32,7 +33,7 @@
 		}
 		list = append(list, &entry{Message: m, num: control.MessageID(i + 1), responded: true, classRecord: classes.record(number)})
 	}
-	list[1].mayHaveRun = []sentAttempt{{attempt: 0, at: at, zone: 1, endpoint: "s1", inDeadLetter: true}, {attempt: 2, at: at.Add(time.Second), zone: -1}}
+	list[1].mayHaveRun = []wal.Attempt{{Index: 0, At: at, Zone: 1, Endpoint: "s1", InDeadLetter: true}, {Index: 2, At: at.Add(time.Second), Zone: -1}}
 	list[1].attempts = 3
 	list[2].attempts = 2
 	list[3].report = &DeliveryReport{Num: 4, ID: "deferred", Deferred: true, RetryAfter: 1500 * time.Millisecond}
@@ -46,18 +47,18 @@
 }
 
 // goldenTable says all that a table holds of its messages.
-func goldenTable(t *table) string {
+func goldenTable(t *table, times *wal.TimeBase) string {
 	var b strings.Builder
 	for _, e := range t.ordered() {
 		fmt.Fprintf(&b, "%d id=%q key=%q class=%q tenant=%d destination=%d deadline=%d again=%t body=%x seq=%d sends=%d\n", e.num, e.ID, e.Key,
-			t.classes.list[e.Class].Name, e.Tenant, e.Destination, t.times.stampOf(e.Deadline), e.Resubmitted, e.Body, e.deadLetterSeq, e.attempts)
+			t.classes.list[e.Class].Name, e.Tenant, e.Destination, times.Stamp(e.Deadline), e.Resubmitted, e.Body, e.deadLetterSeq, e.attempts)
 		for _, s := range e.mayHaveRun {
-			fmt.Fprintf(&b, "  ran attempt=%d at=%d zone=%d target=%q told=%t\n", s.attempt, t.times.stampOf(s.at), s.zone, s.endpoint, s.inDeadLetter)
+			fmt.Fprintf(&b, "  ran attempt=%d at=%d zone=%d target=%q told=%t\n", s.Index, times.Stamp(s.At), s.Zone, s.Endpoint, s.InDeadLetter)
 		}
 		if n := e.report; n != nil {
 			fmt.Fprintf(&b, "  notice id=%q deferred=%t again=%s\n", n.ID, n.Deferred, n.RetryAfter)
 			if k := n.DeadLetter; k != nil {
-				fmt.Fprintf(&b, "  kept reason=%q at=%d delivered=%t over=%t deferred=%t\n", k.Reason, t.times.stampOf(k.At), k.Delivered, k.Final, k.Deferred)
+				fmt.Fprintf(&b, "  kept reason=%q at=%d delivered=%t over=%t deferred=%t\n", k.Reason, times.Stamp(k.At), k.Delivered, k.Final, k.Deferred)
 			}
 		}
 	}
@@ -69,15 +70,14 @@
 func TestGoldenJournal(t *testing.T) {
 	dir := golden.Folder(t, "journal")
 	golden.Bytes(t, "journal-pending.txt", goldenPending(t, dir), false)
-	classes := &classRegistry{}
-	j, table, err := openWAL(walOptions{dir: dir, limit: 1e6, durability: store.Process, classes: classes, log: discardLog})
+	j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, &classRegistry{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer j.close()
-	golden.Bytes(t, "journal-table.txt", []byte(goldenTable(table)), false)
-	if d := openDepartures(dir, discardLog); len(d.ids) != 2 || d.ids[0] != "s7" || d.ids[1] != "s9" {
-		t.Errorf("departures: %q", d.ids)
+	defer j.Close()
+	golden.Bytes(t, "journal-table.txt", []byte(goldenTable(table, j.Times())), false)
+	if ids := endpointgroup.OpenDepartures(dir, discardLog).IDs(); len(ids) != 2 || ids[0] != "s7" || ids[1] != "s9" {
+		t.Errorf("departures: %q", ids)
 	}
 }
 
@@ -85,12 +85,12 @@
 func TestGoldenOldJournal(t *testing.T) {
 	dir := golden.Folder(t, "old-journal")
 	golden.Bytes(t, "old-journal-pending.txt", goldenPending(t, dir), false)
-	j, table, err := openWAL(walOptions{dir: dir, limit: 1e6, durability: store.Process, classes: &classRegistry{}, log: discardLog})
+	j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, &classRegistry{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer j.close()
-	golden.Bytes(t, "old-journal-table.txt", []byte(goldenTable(table)), false)
+	defer j.Close()
+	golden.Bytes(t, "old-journal-table.txt", []byte(goldenTable(table, j.Times())), false)
 	if _, err := os.Stat(filepath.Join(dir, "journal")); err == nil {
 		t.Error("the single file is still there")
 	}
@@ -113,17 +113,17 @@
 func TestGoldenRecords(t *testing.T) {
 	var b strings.Builder
 	for _, e := range goldenEntries(&classRegistry{}) {
-		for _, p := range entryRecords(nil, e) {
+		for _, p := range wal.EncodeEntry(nil, e.logEntry()) {
 			fmt.Fprintf(&b, "%s %x\n", e.ID, p)
 		}
-		fmt.Fprintf(&b, "%s over %x spared %x\n", e.ID, endedRecord(e.num), notRunRecord(e.num, 1))
+		fmt.Fprintf(&b, "%s over %x spared %x\n", e.ID, wal.EncodeEnded(e.num), wal.EncodeNotRun(e.num, 1))
 	}
 	golden.Bytes(t, "records.txt", []byte(b.String()), false)
 }
 
 // TestGoldenState writes and reads the structs that go to files, to another process and to operators as JSON.
 func TestGoldenState(t *testing.T) {
-	golden.JSON[clockAnchor](t, "timebase.json")
+	golden.JSON[wal.Anchor](t, "timebase.json")
 	golden.JSON[HandoverState](t, "estate.json")
 	golden.JSON[RemoteResult](t, "returned.json")
 	golden.JSON[ListedTarget](t, "listed.json")
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -8,35 +8,42 @@
 	"cleathold/internal/lease"
 )
 
-// Hand-over: one process of a sender gives way to the next while both run. The one that leaves lets go of the
-// journal and tells what it has out; from then on it only passes on what comes of those forwards. The one that
-// comes takes the journal up. To it a message with a forward out at the other is abroad: it is not given to the
-// controller before what came of the forward is known, or the other process is lost, which leaves it as one that
-// may have run.
+// Hand-over: one process of a sender passes all to the next while both run. The predecessor lets go of the log and tells
+// what it has in flight; from then on it only passes on the results of those attempts. The successor takes the log up. To it
+// a message with an attempt in flight at the predecessor is remote: it is not given to the controller before the attempt's
+// result is known, or the predecessor is lost, which leaves it as one that may have run.
 
-// HandoverState is what a process that leaves tells the next.
+// The errors of a hand-over.
+var (
+	// ErrHandedOver tells that another process has taken over.
+	ErrHandedOver = errors.New("another process has taken over")
+	// ErrLogIncomplete tells that the log lacks something that the loop knows.
+	ErrLogIncomplete = errors.New("the journal can't be written")
+)
+
+// HandoverState is what a process that hands over tells the next.
 type HandoverState struct {
 	At       time.Time                     `json:"At"`
-	Stamp    int64                         `json:"Stamp"` // the same by the time base of the journal; 0 = from a program that had none
+	Stamp    int64                         `json:"Stamp"` // the same by the time base of the log; 0 = from a program that had none
 	Version  int64                         `json:"Version"`
 	Targets  []Target                      `json:"Targets"`
 	Routes   map[string]control.RouteState `json:"Known"` // by the ids of targets
 	InFlight []RemoteAttempt               `json:"Out"`
-	Drained  bool                          `json:"Drained"` // clients are sent away, by hand
+	Drained  bool                          `json:"Drained"` // clients are sent away, by the operator
 	Lease    lease.Holder                  `json:"Lease"`
 
-	// UncertainFor is for how long the list has been uncertain; 0 = it is not. See certainty.
+	// UncertainFor is for how long the list has been uncertain; 0 = it is not. See listCertainty.
 	UncertainFor time.Duration `json:"Uncertain"`
 }
 
-// RemoteAttempt is a forward that another process has out.
+// RemoteAttempt is an attempt that another process has in flight.
 type RemoteAttempt struct {
 	Message control.MessageID `json:"Num"`
 	Attempt int               `json:"Attempt"`
-	Call    int               `json:"Call"` // forwards of one call take one slot
+	Call    int               `json:"Call"` // attempts of one call count as one call in flight
 }
 
-// RemoteResult is what came of such a forward.
+// RemoteResult is how such an attempt ended.
 type RemoteResult struct {
 	Message    control.MessageID `json:"Num"`
 	Attempt    int               `json:"Attempt"`
@@ -47,204 +54,200 @@
 	Final      bool              `json:"Finished"`
 }
 
-// PredecessorLost tells that the other process has ended: what it had out may have run.
+func (r RemoteResult) apply(l *Loop) { l.remoteResult(r) }
+
+// PredecessorLost tells that the other process has ended: what it had in flight may have run.
 type PredecessorLost struct{}
 
-// Successor is the process that comes after this one, to one that has given way.
-type Successor interface {
-	// RemoteResult tells what came of a forward; none more is out after the last.
-	RemoteResult(r RemoteResult, last bool)
-}
+func (PredecessorLost) apply(l *Loop) { l.predecessorLost() }
 
-// HandOver has the loop let go of everything for an heir. The estate is told once the journal is closed. From then
-// on the loop serves nobody but the heir.
+// HandOver has the loop let go of everything for a successor. The state is told once the log is closed. From then on the loop
+// serves nobody but the successor.
 type HandOver struct {
 	Successor Successor
 	Done      chan<- HandOverResult // takes one without blocking
 }
 
-// JournalIntact tells whether the journal holds all that the loop knows; only then may it give way.
-func (l *Loop) JournalIntact() bool {
-	answer := make(chan bool, 1)
-	l.Post(inspect(func() { answer <- l.successor == nil && !l.wal.incomplete }))
-	select {
-	case sound := <-answer:
-		return sound
-	case <-l.finished:
-		return false
+// The hand-over itself follows at the end of the iteration.
+func (h HandOver) apply(l *Loop) {
+	l.handOver = &h
+	l.stopped, l.halted = true, true
+	for _, c := range l.readyCalls { // waited for a call to end: they never left
+		l.endUnsent(c, control.ConnectFailed)
 	}
+	l.readyCalls = nil
+	// What still waits for its connection goes by the next process, which hears of drains and Retry-After.
+	l.withholdAll()
 }
 
-// HandOverResult answers GiveWay.
+// HandOverResult answers HandOver. Err is ErrHandedOver, ErrLogIncomplete or one of closing the log.
 type HandOverResult struct {
 	State HandoverState
 	Err   error
 }
 
-// beginHandOver is asked for in a round, and done at its end.
-func (l *Loop) beginHandOver(g HandOver) {
-	l.handOver = &g
-	l.stopped, l.halted = true, true
-	for _, c := range l.readyCalls { // waited for a slot: they never left
-		l.endUnsent(c, control.ConnectFailed)
+// JournalIntact tells whether the log holds all that the loop knows; only then may it hand over.
+func (l *Loop) JournalIntact() bool {
+	answer := make(chan bool, 1)
+	l.Post(inspect(func() { answer <- l.successor == nil && !l.wal.Incomplete() }))
+	select {
+	case intact := <-answer:
+		return intact
+	case <-l.finished:
+		return false
 	}
-	l.readyCalls = nil
-	// What still waits for its connection goes by the next process, which hears of drains and told waits.
-	l.withhold(func(Target) bool { return true })
 }
 
-// completeHandOver ends the loop's ownership of the journal at the end of a round.
+// completeHandOver ends the loop's ownership of the log at the end of an iteration.
 func (l *Loop) completeHandOver() {
 	if len(l.backlog) > 0 {
-		return // what came of calls that never left is still to be entered
+		return // results of calls that never left are still to be entered
 	}
-	g := l.handOver
+	h := l.handOver
 	l.handOver = nil
-	e := HandoverState{At: l.now, Stamp: l.wal.times.stampOf(l.now), Version: l.group.version, Routes: map[string]control.RouteState{}}
+	state := l.handoverState()
+	err := l.wal.Close()
+	if l.wal.Incomplete() {
+		err = errors.Join(ErrLogIncomplete, err)
+	}
+	l.successor = h.Successor
+	h.Done <- HandOverResult{state, err}
+	if l.nothingInFlight() {
+		l.successor.RemoteResult(RemoteResult{}, true)
+	}
+}
+
+// handoverState is what the successor is told.
+func (l *Loop) handoverState() HandoverState {
+	s := HandoverState{
+		At: l.now, Stamp: l.wal.Times().Stamp(l.now), Version: l.group.Version(), Routes: map[string]control.RouteState{},
+	}
 	if !l.certainty.since.IsZero() {
-		e.UncertainFor = max(1, l.now.Sub(l.certainty.since))
+		s.UncertainFor = max(1, l.now.Sub(l.certainty.since))
 	}
 	for _, r := range l.controller.RouteStates(l.sinceStart()) {
-		if t := l.group.byNumber[r.Endpoint]; t != nil {
-			e.Routes[t.ID] = r
-			e.Targets = append(e.Targets, *t)
+		if t := l.group.ByNumber(r.Endpoint); t != nil {
+			s.Routes[t.ID] = r
+			s.Targets = append(s.Targets, *t)
 		}
 	}
-	n := 0
+	call := 0
 	for c := range l.inFlight {
 		if !c.launched { // its client was not answered in time: it never leaves
 			delete(l.inFlight, c)
 			continue
 		}
-		n++
-		for _, f := range c.Attempts {
-			if !f.ended && l.table.entries[f.num] != nil {
-				e.InFlight = append(e.InFlight, RemoteAttempt{f.num, f.attempt, n})
+		call++
+		for _, a := range c.Attempts {
+			if !a.ended && l.table.entries[a.num] != nil {
+				s.InFlight = append(s.InFlight, RemoteAttempt{a.num, a.attempt, call})
 			}
 		}
 	}
-	for a, call := range l.remoteInFlight { // of a process before this one: passed on when it is told
-		e.InFlight = append(e.InFlight, RemoteAttempt{a.num, a.attempt, n + 1 + call})
-	}
-	err := l.wal.close()
-	if l.wal.incomplete {
-		err = errors.Join(errLogIncomplete, err)
-	}
-	l.successor = g.Successor
-	g.Done <- HandOverResult{e, err}
-	if len(l.inFlight)+len(l.remoteInFlight) == 0 {
-		l.successor.RemoteResult(RemoteResult{}, true)
+	for key, remoteCall := range l.remote { // of a process before this one: passed on when it is told
+		s.InFlight = append(s.InFlight, RemoteAttempt{key.num, key.attempt, call + 1 + remoteCall})
 	}
+	return s
 }
 
-// handleHandedOver is all that a loop still does once it has given way.
+// nothingInFlight tells whether neither this process nor the one before it waits for a call.
+func (l *Loop) nothingInFlight() bool { return len(l.inFlight)+len(l.remote) == 0 }
+
+// handleHandedOver is all that a loop still does with an event once it has handed over.
 func (l *Loop) handleHandedOver(event Event) {
 	switch e := event.(type) {
 	case CallEnded:
-		for _, end := range e.Results {
-			f := end.Attempt
-			if f.ended {
-				continue
-			}
-			f.ended = true
-			if l.inFlight[e.Call]--; l.inFlight[e.Call] <= 0 {
-				delete(l.inFlight, e.Call)
-			}
-			l.successor.RemoteResult(RemoteResult{
-				Message: f.num, Attempt: f.attempt, Target: e.Call.Target.ID, Result: end.Result, Elapsed: end.Elapsed, RetryAfter: end.RetryAfter,
-				Final: end.Final,
-			}, len(l.inFlight)+len(l.remoteInFlight) == 0)
-		}
+		l.passOn(e)
 	case RemoteResult:
-		if a := (remoteAttemptKey{e.Message, e.Attempt}); l.isRemoteInFlight(a) {
-			delete(l.remoteInFlight, a)
-			l.successor.RemoteResult(e, len(l.inFlight)+len(l.remoteInFlight) == 0)
+		if l.remote.remove(remoteAttemptKey{e.Message, e.Attempt}) {
+			l.successor.RemoteResult(e, l.nothingInFlight())
 		}
 	case PredecessorLost:
-		l.remoteInFlight = nil
+		l.remote = nil
 		if len(l.inFlight) == 0 {
 			l.successor.RemoteResult(RemoteResult{}, true)
 		}
 	case Submitted:
 		e.Response <- Response{RetryAfter: l.clientRetryAfter(stoppingRetryAfter)}
 	case UpdateSettings:
-		e.Done <- SettingsResult{Err: errHandedOver}
+		e.Done <- SettingsResult{Err: ErrHandedOver}
 	case HandOver:
-		e.Done <- HandOverResult{Err: errHandedOver}
+		e.Done <- HandOverResult{Err: ErrHandedOver}
 	case inspect:
 		e()
 	}
 }
 
-// remoteAttemptKey names a forward out at another process.
-type remoteAttemptKey struct {
-	num     control.MessageID
-	attempt int
+// passOn tells the successor how attempts of this process ended.
+func (l *Loop) passOn(ended CallEnded) {
+	for _, r := range ended.Results {
+		a := r.Attempt
+		if a.ended {
+			continue
+		}
+		a.ended = true
+		if l.inFlight[ended.Call]--; l.inFlight[ended.Call] <= 0 {
+			delete(l.inFlight, ended.Call)
+		}
+		l.successor.RemoteResult(RemoteResult{
+			Message: a.num, Attempt: a.attempt, Target: ended.Call.Target.ID, Result: r.Result, Elapsed: r.Elapsed,
+			RetryAfter: r.RetryAfter, Final: r.Final,
+		}, l.nothingInFlight())
+	}
 }
 
-// handoverTime is when an estate was told. Its wall time does not outlast a step of the clock.
-func (l *Loop) handoverTime(e *HandoverState) time.Time {
-	if e.Stamp == 0 {
-		return e.At
+// handoverTime is when a state was told. Its wall time does not outlast a step of the clock.
+func (l *Loop) handoverTime(s *HandoverState) time.Time {
+	if s.Stamp == 0 {
+		return s.At
 	}
-	return l.wal.times.timeOf(e.Stamp)
+	return l.wal.Times().Time(s.Stamp)
 }
 
-// restoreHandover takes up what the process before this one has told, before the loop's first round.
-func (l *Loop) restoreHandover(e *HandoverState) {
-	l.remoteInFlight = map[remoteAttemptKey]int{}
-	for _, a := range e.InFlight {
-		if x := l.table.entries[a.Message]; x != nil && x.report == nil {
-			l.remoteInFlight[remoteAttemptKey{a.Message, a.Attempt}] = a.Call
-			x.remoteInFlight++
+// restoreHandover takes up what the process before this one has told, before the loop's first iteration.
+func (l *Loop) restoreHandover(s *HandoverState) {
+	l.remote = remoteAttempts{}
+	for _, a := range s.InFlight {
+		if e := l.table.entries[a.Message]; e != nil && e.report == nil {
+			l.remote[remoteAttemptKey{a.Message, a.Attempt}] = a.Call
+			e.remoteInFlight++
 		}
 	}
-	l.backlog = append(l.backlog, ListUpdate{Kind: control.ListCached, Version: e.Version, Targets: e.Targets}, inspect(func() {
-		since := max(0, l.now.Sub(l.handoverTime(e)))
-		if e.UncertainFor > 0 {
-			l.certainty.markUncertain(l.now.Add(-since - e.UncertainFor))
-			l.reviewList()
-		}
-		var list []control.RouteState
-		for id, r := range e.Routes {
-			t := l.group.byID[id]
-			if t == nil {
-				continue
-			}
-			r.Endpoint = t.Endpoint.ID
-			r.RetryAfter, r.NextTrial = max(0, r.RetryAfter-since), max(0, r.NextTrial-since)
-			r.FailingFor, r.RecoveredFor = r.FailingFor+since, r.RecoveredFor+since
-			list = append(list, r)
-		}
-		l.controller.RestoreRoutes(l.sinceStart(), list)
-		l.controller.SetRemoteInFlight(l.sinceStart(), l.remoteCalls())
-	}))
+	list := ListUpdate{Kind: control.ListCached, Version: s.Version, Targets: s.Targets}
+	l.backlog = append(l.backlog, list, inspect(func() { l.restoreRoutes(s) }))
 }
 
-func (l *Loop) isRemoteInFlight(a remoteAttemptKey) bool {
-	_, is := l.remoteInFlight[a]
-	return is
-}
-
-// remoteCalls is how many slots the calls of another process still take.
-func (l *Loop) remoteCalls() int {
-	calls := map[int]bool{}
-	for _, call := range l.remoteInFlight {
-		calls[call] = true
+// restoreRoutes gives the controller what the process before this one knew of routes, once the endpoints are listed.
+func (l *Loop) restoreRoutes(s *HandoverState) {
+	elapsed := max(0, l.now.Sub(l.handoverTime(s)))
+	if s.UncertainFor > 0 {
+		l.certainty.markUncertain(l.now.Add(-elapsed - s.UncertainFor))
+		l.reviewList()
 	}
-	return len(calls)
+	var list []control.RouteState
+	for id, r := range s.Routes {
+		t := l.group.ByID(id)
+		if t == nil {
+			continue
+		}
+		r.Endpoint = t.Endpoint.ID
+		r.RetryAfter, r.NextTrial = max(0, r.RetryAfter-elapsed), max(0, r.NextTrial-elapsed)
+		r.FailingFor, r.RecoveredFor = r.FailingFor+elapsed, r.RecoveredFor+elapsed
+		list = append(list, r)
+	}
+	l.controller.RestoreRoutes(l.sinceStart(), list)
+	l.controller.SetRemoteInFlight(l.sinceStart(), l.remote.calls())
 }
 
-// remoteResult enters what came of a forward abroad, as book does for those of its own.
+// remoteResult enters how a remote attempt ended, as attemptEnded does for those of this process.
 func (l *Loop) remoteResult(r RemoteResult) {
-	a := remoteAttemptKey{r.Message, r.Attempt}
-	if !l.isRemoteInFlight(a) {
+	if !l.remote.remove(remoteAttemptKey{r.Message, r.Attempt}) {
 		return
 	}
-	delete(l.remoteInFlight, a)
-	l.controller.SetRemoteInFlight(l.sinceStart(), l.remoteCalls())
-	if t := l.group.byID[r.Target]; t != nil {
-		l.controller.RemoteOutcome(l.sinceStart(), control.Outcome{Endpoint: t.Endpoint.ID, Result: r.Result, RetryAfter: r.RetryAfter}, r.Elapsed)
+	l.controller.SetRemoteInFlight(l.sinceStart(), l.remote.calls())
+	if t := l.group.ByID(r.Target); t != nil {
+		outcome := control.Outcome{Endpoint: t.Endpoint.ID, Result: r.Result, RetryAfter: r.RetryAfter}
+		l.controller.RemoteOutcome(l.sinceStart(), outcome, r.Elapsed)
 		if r.RetryAfter > 0 {
 			l.withholdForRetryAfter(*t)
 		}
@@ -253,31 +256,38 @@
 	if e == nil {
 		return
 	}
-	l.recordRemoteResult(e, r)
+	l.logRemoteResult(e, r)
 	if !r.Result.MayHaveRun() {
 		e.markNotRun(r.Attempt)
-		l.wal.add(notRunRecord(e.num, r.Attempt))
+		l.wal.AddNotRun(e.num, r.Attempt)
 	}
 	e.remoteInFlight--
 	switch {
 	case r.Final:
-		if r.Result == control.Served && e.report == nil {
-			l.counters.delivered.Add(1)
-		}
-		switch {
-		case e.deadLetterSeq > 0 && e.report == nil:
-			l.endRedelivery(e, r.Result)
-		case e.report == nil || e.deadLetter == nil:
-			l.forget(e)
-		}
+		l.finalResult(e, r.Result)
 	case e.remoteInFlight == 0 && e.report == nil:
 		l.submitToController(e, true)
 	}
 }
 
-// predecessorLost takes what is still abroad for what may have run.
+// logRemoteResult enters how a remote attempt ended into the message's history.
+func (l *Loop) logRemoteResult(e *entry, r RemoteResult) {
+	if l.deadLetterQueue == nil {
+		return
+	}
+	for _, a := range e.mayHaveRun {
+		if a.Index == r.Attempt {
+			l.logAttempt(e, a)
+		}
+	}
+	e.logResult(r.Attempt, r.Result)
+	e.unprocessable = e.unprocessable || r.Result == control.Unprocessable
+	l.deadLetterQueue.CallEnded(e.Destination, r.Result, r.RetryAfter, e.deadLetterSeq > 0)
+}
+
+// predecessorLost takes the attempts that are still remote for such as may have run.
 func (l *Loop) predecessorLost() {
-	clear(l.remoteInFlight)
+	clear(l.remote)
 	l.controller.SetRemoteInFlight(l.sinceStart(), 0)
 	for _, e := range l.table.ordered() {
 		if e.remoteInFlight > 0 {
--- /dev/null
+++ b/internal/state/helpers_test.go
@@ -0,0 +1,178 @@
+package state
+
+import (
+	"context"
+	"log/slog"
+	"path/filepath"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/store"
+	"cleathold/internal/wal"
+)
+
+// environment is everything around a loop.
+type environment struct {
+	t       *testing.T
+	dir     string
+	calls   chan *Call
+	notices chan DeliveryReport
+	pending chan []Pending // of the journal, as each call leaves
+	held    chan *Call
+}
+
+func (o *environment) Send(c *Call) {
+	list, err := ReadPending(o.dir, discardLog)
+	if err != nil {
+		o.t.Error(err)
+	}
+	o.pending <- list
+	o.calls <- c
+}
+
+func (o *environment) Cancel(*Call) {}
+
+func (o *environment) CancelUnsent(c *Call) { o.held <- c }
+
+func (o *environment) HealthCheck(Target, time.Time) {}
+
+func (o *environment) Disconnect(string) {}
+
+func (o *environment) Watch(bool, int64) {}
+
+func (o *environment) Fetch() {}
+
+func (o *environment) Report(n DeliveryReport) { o.notices <- n }
+
+// receive waits for something; only a hang makes it fail.
+func receive[T any](t *testing.T, from <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-from:
+		return v
+	case <-time.After(10 * time.Second):
+		t.Fatal("nothing came")
+		panic("unreachable")
+	}
+}
+
+// newTestLoop makes a loop over a folder with one target of a destination, which
+// takes calls of three messages. The first function may still change it.
+func newTestLoop(t *testing.T, dir string, disk int64) (*Loop, *environment) {
+	t.Helper()
+	target := Target{ID: "s", Addr: "nowhere"}
+	target.Endpoint = control.Endpoint{Destination: 7, State: control.Ready}
+	return newTestLoopWith(t, dir, disk, ListUpdate{Kind: control.ListCached, Version: 1, Targets: []Target{target}})
+}
+
+// newTestLoopWithoutList makes a loop that was started while discovery is down, without a list.
+func newTestLoopWithoutList(t *testing.T, dir string) (*Loop, *environment) {
+	t.Helper()
+	return newTestLoopWith(t, dir, 1e6, ListUpdate{Kind: control.ListCached, Version: NoVersion})
+}
+
+func newTestLoopWith(t *testing.T, dir string, disk int64, known ListUpdate) (*Loop, *environment) {
+	t.Helper()
+	classes := []control.Class{
+		{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.Idempotent},
+		{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.IdempotentByKey, KeyRetention: 12 * time.Second},
+		{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.NotIdempotent},
+	}
+	set := control.Settings{
+		FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 3, SeparateRoutes: true}}, MaxInFlight: 8, MaxOpenMessages: 6,
+		MaxAttempts: 12, CanSendRetryAfter: true, MaxRetryAfter: time.Minute, ConnectTimeout: time.Second, HeadroomIndex: -1, LimitIndex: -1, AllowHedging: true, CanCancel: true,
+		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2,
+	}
+	l, err := NewLoop(Setup{Settings: set, Dir: dir, DiskBytes: disk, Log: discardLog, Known: known})
+	if err != nil {
+		t.Fatal(err)
+	}
+	o := &environment{t, dir, make(chan *Call, 64), make(chan DeliveryReport, 64), make(chan []Pending, 64), make(chan *Call, 64)}
+	l.Connect(o, o, o)
+	return l, o
+}
+
+// start runs a loop until the test ends.
+func start(t *testing.T, l *Loop) {
+	ctx, cancel := context.WithCancel(context.Background())
+	go l.Run(ctx)
+	t.Cleanup(func() { cancel(); <-l.finished })
+}
+
+// submit posts a message and returns where its verdict will come.
+func submit(l *Loop, id string, size int) chan Response {
+	v := make(chan Response, 1)
+	l.Post(Submitted{Message: &Message{ID: id, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: make([]byte, size)}, Response: v})
+	return v
+}
+
+// callOf hands a message in, has its client answered, and takes the call that leaves with it.
+func (o *environment) callOf(t *testing.T, l *Loop, id string) *Call {
+	t.Helper()
+	receive(t, submit(l, id, 10))
+	l.Post(ResponseWritten{id, true})
+	return receive(t, o.calls)
+}
+
+// discardLog is the log of loops under test.
+var discardLog = slog.New(slog.DiscardHandler)
+
+// openTestLog opens the log of a folder.
+func openTestLog(t *testing.T, dir string) (*wal.Log, *table) {
+	t.Helper()
+	l, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, &classRegistry{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l, table
+}
+
+// logAccepted adds the first record of a message.
+func logAccepted(l *wal.Log, e *entry) {
+	accepted := e.accepted()
+	l.AddAccepted(&accepted)
+}
+
+// logFile is the one segment of a small log.
+func logFile(t *testing.T, dir string) string {
+	t.Helper()
+	list, _ := filepath.Glob(filepath.Join(dir, "*.log"))
+	if len(list) != 1 {
+		t.Fatalf("segments: %v", list)
+	}
+	return list[0]
+}
+
+// fullableDisk is a folder whose files can't be written while the disk is full.
+type fullableDisk struct {
+	store.FS
+	full atomic.Bool
+}
+
+// Create makes a file on the disk.
+func (d *fullableDisk) Create(name string) (store.File, error) {
+	f, err := d.FS.Create(name)
+	return fullableFile{f, d}, err
+}
+
+// Open opens one.
+func (d *fullableDisk) Open(name string) (store.File, error) {
+	f, err := d.FS.Open(name)
+	return fullableFile{f, d}, err
+}
+
+type fullableFile struct {
+	store.File
+	disk *fullableDisk
+}
+
+// WriteAt fails while the disk is full.
+func (f fullableFile) WriteAt(b []byte, at int64) (int, error) {
+	if f.disk.full.Load() {
+		return 0, syscall.ENOSPC
+	}
+	return f.File.WriteAt(b, at)
+}
--- a/internal/state/certainty_test.go
+++ b/internal/state/listcertainty_test.go
@@ -3,8 +3,6 @@
 import (
 	"testing"
 	"time"
-
-	"cleathold/control"
 )
 
 // From the first answer that could not be read on, less the margin before the end of the grace, nothing is sent, until a
@@ -36,23 +34,3 @@
 		t.Error("a short grace leaves no margin")
 	}
 }
-
-// While sends are held back no target is shown as ready; those that leave by a part of a list stay out afterwards.
-func TestHeldGroup(t *testing.T) {
-	g := newGroup()
-	now := time.Now()
-	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
-	g.update(ListUpdate{Kind: control.ListFull, Version: 3, Targets: []Target{up("a"), up("b"), up("c")}}, now)
-	g.setExcluded([]string{"c"})
-	leaves := up("a")
-	leaves.State = control.Draining
-	if lines := g.updateLeaving([]Target{leaves, {ID: "stranger"}}, now); len(lines) != 1 || g.version != 3 || len(g.byID) != 3 {
-		t.Errorf("%+v, version %d, %d targets", lines, g.version, len(g.byID))
-	}
-	for _, held := range []bool{true, false} {
-		lines, changed := g.setSuspended(held)
-		if _, again := g.setSuspended(held); !changed || again || len(lines) != 1 || (lines[0].State == control.Ready) == held {
-			t.Errorf("held %t: %+v, changed %t, again %t", held, lines, changed, again)
-		}
-	}
-}
--- /dev/null
+++ b/internal/state/outcome.go
@@ -0,0 +1,170 @@
+package state
+
+import (
+	"cleathold/control"
+)
+
+// Outcomes: how an attempt ended is entered, and the outcome of a message is told to whoever is owed it.
+
+// CallEnded tells how some attempts of a call ended.
+type CallEnded struct {
+	Call    *Call
+	Results []AttemptResult
+}
+
+func (e CallEnded) apply(l *Loop) { l.callEnded(e) }
+
+// ReportsAcknowledged tells that the platform has taken reports.
+type ReportsAcknowledged struct{ Nums []control.MessageID }
+
+func (e ReportsAcknowledged) apply(l *Loop) { l.reportsAcknowledged(e) }
+
+// callEnded enters how some attempts of a call ended.
+func (l *Loop) callEnded(ended CallEnded) {
+	for _, r := range ended.Results {
+		l.checkSent(ended.Call, r)
+		if r.RetryAfter > 0 {
+			l.noteRetryAfter(ended.Call.Target, r.RetryAfter)
+			l.withholdForRetryAfter(ended.Call.Target)
+		}
+		if !r.Attempt.ended {
+			l.attemptEnded(ended.Call, r)
+		}
+	}
+}
+
+// attemptEnded enters the first result of an attempt.
+func (l *Loop) attemptEnded(c *Call, r AttemptResult) {
+	a := r.Attempt
+	a.ended = true
+	if l.inFlight[c]--; l.inFlight[c] <= 0 {
+		delete(l.inFlight, c)
+		if c.sent {
+			l.callsInFlight--
+		}
+	}
+	e := l.table.entries[a.num]
+	if e != nil {
+		e.inFlight--
+	}
+	if r.Result == control.Unprocessable && c.size > 1 {
+		// One of them is to blame. Each goes by itself from now on, so that the others arrive and the one is found.
+		r.Result = control.NotSent
+		if e != nil {
+			e.sendAlone = true
+		}
+	}
+	if e != nil && !r.Result.MayHaveRun() {
+		e.markNotRun(a.attempt)
+		l.wal.AddNotRun(e.num, a.attempt)
+	}
+	if e != nil && l.deadLetterQueue != nil {
+		e.logResult(a.attempt, r.Result)
+		e.unprocessable = e.unprocessable || r.Result == control.Unprocessable
+		l.deadLetterQueue.CallEnded(a.Message.Destination, r.Result, r.RetryAfter, e.deadLetterSeq > 0)
+	}
+	l.controller.AttemptDone(l.sinceStart(), control.Outcome{
+		ID: a.num, Attempt: a.attempt, Endpoint: c.Target.Endpoint.ID, Result: r.Result,
+		Elapsed: r.Elapsed, Final: r.Final, RetryAfter: r.RetryAfter, NoSlot: r.NoSlot,
+	})
+	if e != nil && r.Final {
+		l.finalResult(e, r.Result)
+	}
+}
+
+// finalResult enters a result after which an endpoint owes nothing more.
+func (l *Loop) finalResult(e *entry, r control.Result) {
+	if r == control.Served && e.report == nil {
+		l.counters.delivered.Add(1)
+	}
+	switch {
+	case l.table.entries[e.num] != e: // the controller has ended it
+	case e.deadLetterSeq > 0 && e.report == nil: // the dead-letter queue hears of it first
+		l.endRedelivery(e, r)
+	case e.report == nil || e.deadLetter == nil:
+		l.forget(e)
+	}
+}
+
+// forget drops a message for which nothing more is owed.
+func (l *Loop) forget(e *entry) {
+	if l.table.entries[e.num] != e {
+		return
+	}
+	l.table.drop(e)
+	l.wal.AddEnded(e.num)
+	if e.deadLetterSeq > 0 {
+		return
+	}
+	l.table.retainID(e.ID, l.now)
+	if e.report != nil && e.report.DeadLetter != nil {
+		l.forgottenIDs = append(l.forgottenIDs, e.ID)
+	}
+}
+
+// endMessage gives a message its outcome: a rejection if its client still waits for a response, else a report.
+func (l *Loop) endMessage(id control.MessageID, n DeliveryReport) {
+	e := l.table.entries[id]
+	if e == nil || e.report != nil {
+		return
+	}
+	if e.response != nil {
+		l.reject(e, Response{RetryAfter: n.RetryAfter, Permanent: !n.Deferred})
+		return
+	}
+	if n.Deferred {
+		l.counters.deferred.Add(1)
+	} else {
+		l.counters.undeliverable.Add(1)
+	}
+	if e.deadLetterSeq > 0 {
+		l.endWithDeadLetter(e, n, l.newDeadLetter(e))
+		return
+	}
+	if d, accepted := l.offerDeadLetter(e, &n); accepted {
+		n.Deferred, n.RetryAfter = false, 0
+		l.endWithDeadLetter(e, n, d)
+		l.reports = append(l.reports, *e.report)
+		return
+	}
+	n.Num, n.ID = id, e.ID
+	l.markEnded(e, n)
+	l.reports = append(l.reports, n)
+}
+
+// markEnded ends a message in the table and in the log. Where its body is needed no more, what is left takes the place of
+// all records before it, so that the body takes no room.
+func (l *Loop) markEnded(e *entry, n DeliveryReport) {
+	l.table.markEnded(e, n)
+	if len(e.Body) > 0 {
+		l.wal.AddOutcome(e.num, e.report.logOutcome())
+		return
+	}
+	l.wal.Replace(e.logEntry())
+}
+
+// reportsAcknowledged forgets the messages whose reports the platform has.
+func (l *Loop) reportsAcknowledged(a ReportsAcknowledged) {
+	for _, num := range a.Nums {
+		if e := l.table.entries[num]; e != nil && e.report != nil {
+			if e.reported = true; e.deadLetter == nil {
+				l.forget(e)
+			}
+		}
+	}
+}
+
+// reportOverdue reports messages whose time is up, though the log lacks them: the next process, if it comes to that, gives
+// these messages up as well, and a second report does no harm.
+func (l *Loop) reportOverdue() {
+	waiting := l.reports[:0]
+	for _, n := range l.reports {
+		if e := l.table.entries[n.Num]; e != nil && !l.now.Before(e.Deadline) {
+			l.reporter.Report(n)
+		} else {
+			waiting = append(waiting, n)
+		}
+	}
+	clear(l.reports[len(waiting):])
+	l.reports = waiting
+}
--- /dev/null
+++ b/internal/state/restart_test.go
@@ -0,0 +1,210 @@
+package state
+
+import (
+	"bytes"
+	"errors"
+	"os"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/store"
+	"cleathold/internal/wal"
+)
+
+// A journal that fails for a while holds no notice back beyond the time of its message, when a next process would not send
+// it any more; one of a message with time left waits until it is written.
+func TestNoticesWhileTheJournalFails(t *testing.T) {
+	dir := t.TempDir()
+	l, o := newTestLoop(t, dir, 1e6)
+	l.wal.Close()
+	disk := &fullableDisk{FS: store.Dir(dir)}
+	var err error
+	if l.wal, _, _, err = wal.Open(wal.Options{Dir: dir, Limit: 1e6, Log: discardLog, FS: disk}); err != nil {
+		t.Fatal(err)
+	}
+	start(t, l)
+	submit := func(id string, class int, within time.Duration) {
+		v := make(chan Response, 1)
+		l.Post(Submitted{Message: &Message{ID: id, Class: class, Destination: 7, Deadline: time.Now().Add(within)}, Response: v})
+		if !receive(t, v).Accepted {
+			t.Fatalf("%s is not taken on", id)
+		}
+		l.Post(ResponseWritten{id, true})
+	}
+	submit("unsafe", 2, time.Minute)
+	call := receive(t, o.calls)
+	const within = 400 * time.Millisecond
+	began := time.Now()
+	submit("short", 2, within)
+	short := receive(t, o.calls)
+	time.AfterFunc(within, func() {
+		l.Post(CallEnded{short, []AttemptResult{{Attempt: short.Attempts[0], Result: control.TimedOut}}})
+	})
+	l.Post(inspect(func() { disk.full.Store(true) }))
+	l.Post(CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: control.ConnectionLost}}}) // given up at once
+	if n := receive(t, o.notices); n.ID != "short" {
+		t.Errorf("%s is told while it could be forgotten", n.ID)
+	}
+	if took := time.Since(began); took > within+200*time.Millisecond {
+		t.Errorf("told %v after it was taken on, due after %v", took, within)
+	}
+	l.Post(inspect(func() { disk.full.Store(false) }))
+	if n := receive(t, o.notices); n.ID != "unsafe" { // with no event but the loop's own
+		t.Errorf("then told of %s", n.ID)
+	}
+}
+
+// After a restart each message is owed its end, within what its class allows.
+func TestRestart(t *testing.T) {
+	now := time.Now()
+	for _, c := range []struct {
+		name  string
+		class int
+		left  time.Duration
+		ago   time.Duration // since the forward; 0 = none
+		ran   bool          // it may have run
+		sends int           // expected attempt; -1 = none
+		owed  string
+	}{
+		{"safe, fresh", 0, time.Minute, 0, false, 0, ""},
+		{"safe, may have run", 0, time.Minute, time.Hour, true, 1, ""},
+		{"keyed, remembered", 1, time.Minute, time.Second, true, 1, ""},
+		{"keyed, forgotten", 1, time.Minute, 20 * time.Second, true, -1, "deferred"},
+		{"keyed, clock set back since", 1, time.Minute, -time.Second, true, -1, "deferred"},
+		{"keyed, never ran, clock set back", 1, time.Minute, -time.Second, false, 1, ""},
+		{"unsafe, fresh", 2, time.Minute, 0, false, 0, ""},
+		{"unsafe, never ran", 2, time.Minute, time.Second, false, 1, ""},
+		{"unsafe, may have run", 2, time.Minute, time.Second, true, -1, "undeliverable"},
+		{"safe, overdue", 0, -time.Second, 0, false, -1, "deferred"},
+		{"unsafe, overdue", 2, -time.Second, time.Second, true, -1, "undeliverable"},
+	} {
+		dir := t.TempDir()
+		j, tb := openTestLog(t, dir)
+		e := &entry{num: 9, Message: &Message{ID: "a", Class: c.class, Destination: 7, Deadline: now.Add(c.left), Body: []byte("body")}}
+		tb.add(e)
+		logAccepted(j, e)
+		if c.ago != 0 {
+			j.AddAttempt(9, wal.Attempt{At: now.Add(-c.ago)})
+			if !c.ran {
+				j.AddNotRun(9, 0)
+			}
+		}
+		if err := errors.Join(j.Flush(), j.Close()); err != nil {
+			t.Fatal(err)
+		}
+		l, o := newTestLoop(t, dir, 1e6)
+		start(t, l)
+		if c.owed != "" {
+			if n := receive(t, o.notices); n.outcome() != c.owed || n.ID != "a" {
+				t.Errorf("%s: %+v", c.name, n)
+			}
+			if l.Idle(); len(o.calls) > 0 {
+				t.Errorf("%s: sent all the same", c.name)
+			}
+			continue
+		}
+		f := receive(t, o.calls).Attempts[0]
+		want := time.Time{}
+		if c.class == 1 && c.ran { // a repeat that leaves late must not leave the window
+			want = now.Add(-c.ago).Add(12 * time.Second)
+		}
+		if off := f.NotAfter.Sub(want).Abs(); off > time.Millisecond { // the journal has whole microseconds, by two readings
+			t.Errorf("%s: may leave until %v, want %v", c.name, f.NotAfter, want)
+		}
+		if f.attempt != c.sends || !bytes.Equal(f.Message.Body, []byte("body")) || len(o.notices) > 0 {
+			t.Errorf("%s: attempt %d of %+v", c.name, f.attempt, f.Message)
+		}
+	}
+}
+
+// A step of the wall clock between two processes changes no span: what was sent 5 s ago and is due in 20 s is so to the
+// next process, whether the clock was put forward or back by an hour meanwhile.
+func TestRestartAcrossAStepOfTheWallClock(t *testing.T) {
+	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
+		dir := t.TempDir()
+		before, err := wal.AnchorNow()
+		if err != nil {
+			t.Fatal(err)
+		}
+		before.Stamp -= step.Microseconds() // the wall clock was there as the first process began
+		if err := wal.WriteAnchor(dir, before); err != nil {
+			t.Fatal(err)
+		}
+		now := time.Now()
+		wall := wal.NewTimeBase(now, now.Add(-step).UnixMicro())
+		j, tb := openTestLog(t, dir)
+		e := &entry{num: 9, Message: &Message{ID: "a", Class: 1, Destination: 7, Deadline: now.Add(20 * time.Second)}}
+		tb.add(e)
+		written := func(at time.Time) time.Time { return j.Times().Time(wall.Stamp(at)) } // is logged with the stamp that wall has for it
+		e.Deadline = written(e.Deadline)
+		logAccepted(j, e)
+		j.AddAttempt(9, wal.Attempt{At: written(now.Add(-5 * time.Second))})
+		if err := errors.Join(j.Flush(), j.Close()); err != nil {
+			t.Fatal(err)
+		}
+		l, o := newTestLoop(t, dir, 1e6)
+		start(t, l)
+		f := receive(t, o.calls).Attempts[0]
+		if off := f.NotAfter.Sub(now.Add(7 * time.Second)).Abs(); off > 50*time.Millisecond {
+			t.Errorf("step %v: may leave in %v, not 7s", step, f.NotAfter.Sub(now))
+		}
+		if off := f.Message.Deadline.Sub(now.Add(20 * time.Second)).Abs(); off > 50*time.Millisecond {
+			t.Errorf("step %v: due in %v, not 20s", step, f.Message.Deadline.Sub(now))
+		}
+		pending, err := ReadPending(dir, discardLog)
+		if err != nil || len(pending) != 1 || pending[0].Deadline.Sub(now.Add(20*time.Second)).Abs() > 50*time.Millisecond {
+			t.Errorf("step %v: pending %+v, %v", step, pending, err)
+		}
+	}
+}
+
+// The record of a forward lies in a damaged part: an unsafe message then ends as one
+// that may have run, and a keyed one near the end of its memory does not go again.
+func TestForwardInDamage(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		class int
+		owed  string
+	}{{"unsafe", 2, "undeliverable"}, {"keyed", 1, "deferred"}, {"safe", 0, ""}} {
+		dir := t.TempDir()
+		j, tb := openTestLog(t, dir)
+		e := &entry{num: 9, Message: &Message{ID: "a", Key: "k", Class: c.class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}}
+		tb.add(e)
+		logAccepted(j, e)
+		err := j.Flush()
+		j.AddAttempt(9, wal.Attempt{At: time.Now().Add(-11 * time.Second), Endpoint: "target-in-the-damage"})
+		err = errors.Join(err, j.Flush())
+		logAccepted(j, &entry{Message: &Message{ID: "later", Destination: 3, Deadline: time.UnixMicro(1e15), Body: []byte("body")}, num: 10}) // so that it is no torn tail
+		if err = errors.Join(err, j.Flush(), j.Close()); err != nil {
+			t.Fatal(err)
+		}
+		name := logFile(t, dir)
+		whole, _ := os.ReadFile(name)
+		whole[bytes.Index(whole, []byte("in-the-damage"))] ^= 1
+		if err := os.WriteFile(name, whole, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		l, o := newTestLoop(t, dir, 1e6)
+		start(t, l)
+		if c.owed == "" {
+			if f := receive(t, o.calls).Attempts[0]; f.Message.ID != "a" {
+				t.Errorf("%s: %s was sent", c.name, f.Message.ID)
+			}
+			continue
+		}
+		for n := receive(t, o.notices); n.ID != "a"; n = receive(t, o.notices) {
+		}
+		list, _ := ReadPending(dir, discardLog)
+		for _, p := range list {
+			if p.ID == "a" && p.Owed != c.owed {
+				t.Errorf("%s: owed %s", c.name, p.Owed)
+			}
+		}
+		for len(o.calls) > 0 {
+			if f := (<-o.calls).Attempts[0]; f.Message.ID == "a" {
+				t.Errorf("%s: sent again", c.name)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/state/sendcheck.go
@@ -0,0 +1,56 @@
+package state
+
+import (
+	"cleathold/control"
+	"cleathold/internal/permit"
+)
+
+// A send that the controller decided on is checked for the last time as its call is about to leave (package permit). The
+// result of a call tells when its first byte was written, which is checked by the same rules: a violation is counted and
+// logged, and never goes unseen.
+
+// permitRules are the rules in force for all sends.
+func (l *Loop) permitRules() permit.Rules {
+	return permit.Rules{DrainGrace: l.settings.DrainGrace, NoHedging: !l.settings.AllowHedging, Stopping: l.halted}
+}
+
+// permitRoute is what is known of an endpoint for a send to it.
+func (l *Loop) permitRoute(t Target) permit.Route {
+	w := l.retryAfters[l.routeKeyOf(t)]
+	return permit.Route{
+		LeftAt: l.group.LeftAt(t.Endpoint.ID), UncertainSince: l.certainty.since, RetryAfterFrom: w.from, RetryAfterUntil: w.until,
+	}
+}
+
+// permitted tells whether an attempt of a call may leave now. What may not is counted and ends as one that was canceled.
+func (l *Loop) permitted(c *Call, a *Attempt, e *entry) bool {
+	m := permit.Message{
+		Deadline: a.Message.Deadline, MayHaveRun: len(e.mayHaveRun) > 0, KeyRetainedUntil: a.NotAfter, InFlight: e.inFlight > 1,
+	}
+	if e.Class >= 0 && e.Class < len(l.settings.Classes) {
+		m.Idempotency = l.settings.Classes[e.Class].Idempotency
+	}
+	if m.Idempotency != control.IdempotentByKey {
+		m.KeyRetainedUntil = a.Message.Deadline
+	}
+	denial := l.permitRules().Check(l.now, m, l.permitRoute(c.Target))
+	if denial == permit.Allowed {
+		return true
+	}
+	l.counters.withheld[denial].Add(1)
+	l.log.Warn("send withheld",
+		"reason", denial, "message", e.ID, "class", e.Class, "attempt", a.attempt, "endpoint", c.Target.ID)
+	return false
+}
+
+// checkSent checks when a call left, once its result is known. Package soak looks for its log line.
+func (l *Loop) checkSent(c *Call, r AttemptResult) {
+	if r.SentAt.IsZero() {
+		return
+	}
+	if denial := l.permitRules().CheckSent(r.SentAt, l.permitRoute(c.Target)); denial != permit.Allowed {
+		l.counters.violations[denial].Add(1)
+		l.log.Error("a call left that should not have", "reason", denial, "message", r.Attempt.Message.ID,
+			"attempt", r.Attempt.attempt, "endpoint", c.Target.ID, "elapsed", l.now.Sub(r.SentAt))
+	}
+}
--- a/internal/state/gate_test.go
+++ b/internal/state/sendcheck_test.go
@@ -8,6 +8,13 @@
 	"cleathold/internal/permit"
 )
 
+// drainEndpoint has the endpoint group, and it alone, know that an endpoint drains since a time.
+func drainEndpoint(l *Loop, to control.EndpointID, at time.Time) {
+	t := *l.group.ByNumber(to)
+	t.State = control.Draining
+	l.group.Update(control.ListDelta, l.group.Version(), []Target{t}, at)
+}
+
 // What the controller must not have decided on does not leave, whatever the reason: it is counted, and the message goes on.
 func TestGate(t *testing.T) {
 	for _, c := range []struct {
@@ -18,10 +25,10 @@
 	}{
 		{"a second call of an unsafe message", 2, func(*Loop, control.EndpointID) {}, permit.NotRepeatable},
 		{"a copy where one is allowed", 0, func(l *Loop, _ control.EndpointID) { l.settings.AllowHedging = false }, permit.InFlight},
-		{"a target that left", 0, func(l *Loop, to control.EndpointID) { l.group.leftAt[to] = l.now.Add(-2 * time.Second) }, permit.EndpointGone},
+		{"a target that left", 0, func(l *Loop, to control.EndpointID) { drainEndpoint(l, to, l.now.Add(-2*time.Second)) }, permit.EndpointGone},
 		{"an uncertain list", 0, func(l *Loop, _ control.EndpointID) { l.certainty.markUncertain(l.now.Add(-2 * time.Second)) }, permit.ListUncertain},
 		{"a wait", 0, func(l *Loop, to control.EndpointID) {
-			l.noteRetryAfter(*l.group.byNumber[to], time.Second)
+			l.noteRetryAfter(*l.group.ByNumber(to), time.Second)
 			l.now = l.now.Add(time.Millisecond) // sends decided on as it is told are excused
 		}, permit.RetryAfterPending},
 		{"a process that ends", 0, func(l *Loop, _ control.EndpointID) { l.halted = true }, permit.Stopping},
@@ -36,7 +43,7 @@
 		receive(t, o.calls)
 		done := make(chan bool)
 		l.Post(inspect(func() {
-			to := l.group.byID["s"].Endpoint.ID
+			to := l.group.ByID("s").Endpoint.ID
 			c.known(l, to)
 			(*actions)(l).Send(l.table.byID["a"].num, to, time.Second)
 			done <- true
@@ -56,7 +63,7 @@
 	start(t, l)
 	call := o.callOf(t, l, "a")
 	now := time.Now()
-	l.Post(inspect(func() { l.group.leftAt[call.Target.Endpoint.ID] = now }))
+	l.Post(inspect(func() { drainEndpoint(l, call.Target.Endpoint.ID, now) }))
 	for i, left := range []time.Duration{900 * time.Millisecond, 1100 * time.Millisecond} {
 		l.Post(CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: control.Served, Final: true, SentAt: now.Add(left)}}})
 		l.Idle()
--- a/internal/state/classes_test.go
+++ b/internal/state/settings_test.go
@@ -5,14 +5,13 @@
 	"time"
 
 	"cleathold/control"
-	"cleathold/internal/store"
 )
 
 // A message keeps its class over a restart with other settings: of the same name and stricter, in another order, or
 // gone. Numbers of classes that hold are those of the settings.
 func TestClassOutlastsSettings(t *testing.T) {
 	named := func(name string, e control.Idempotency) NamedClass {
-		return NamedClass{name, control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, LateWeight: 0.25, Idempotency: e, KeyRetention: 12 * time.Second, KeyZoneScoped: e == control.IdempotentByKey}}
+		return NamedClass{Name: name, Class: control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, LateWeight: 0.25, Idempotency: e, KeyRetention: 12 * time.Second, KeyZoneScoped: e == control.IdempotentByKey}}
 	}
 	book := func(list ...NamedClass) *classRegistry {
 		b := &classRegistry{}
@@ -34,19 +33,19 @@
 		{"another name", book(safe, named("order", control.IdempotentByKey)), 2},
 	} {
 		dir := t.TempDir()
-		j, table, err := openWAL(walOptions{dir: dir, limit: 1e6, durability: store.Process, classes: book(safe, keyed), log: discardLog})
+		j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, book(safe, keyed))
 		if err != nil {
 			t.Fatal(err)
 		}
 		m := &Message{ID: "a", Key: "k", Class: 1, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}
 		e := &entry{Message: m, num: table.next, classRecord: table.classes.record(1)}
 		table.add(e)
-		j.addAccepted(e)
-		if err := j.flush(); err != nil {
+		logAccepted(j, e)
+		if err := j.Flush(); err != nil {
 			t.Fatal(err)
 		}
-		j.close()
-		j, table, err = openWAL(walOptions{dir: dir, limit: 1e6, durability: store.Process, classes: c.after, log: discardLog})
+		j.Close()
+		j, table, err = openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, c.after)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +53,7 @@
 		if len(got) != 1 || got[0].Class != c.want || table.classes.list[c.want] != keyed || string(got[0].Body) != "body" {
 			t.Errorf("%s: %d messages, class %d, want %d", c.name, len(got), got[0].Class, c.want)
 		}
-		j.close()
+		j.Close()
 	}
 }
 
@@ -73,7 +72,7 @@
 	receive(t, submit(l, "a", 10))
 	l.Post(ResponseWritten{ID: "a", OK: true})
 	c := receive(t, o.calls)
-	strict := NamedClass{"status", control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.NotIdempotent}}
+	strict := NamedClass{Name: "status", Class: control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.NotIdempotent}}
 	r := tune([]NamedClass{strict}, func(*control.Settings) {})
 	if r.Err != nil || r.Numbers["status"] != 3 && r.Numbers["status"] != 2 {
 		t.Fatalf("%+v", r)
--- /dev/null
+++ b/internal/wal/class.go
@@ -0,0 +1,60 @@
+package wal
+
+import (
+	"encoding/binary"
+	"math"
+	"time"
+
+	"cleathold/control"
+)
+
+// NamedClass is a class as the settings name it.
+type NamedClass struct {
+	Name string
+	control.Class
+}
+
+// The bits of a class's record.
+const (
+	classKeyZoneScoped = 1 << iota
+	classOrdered
+	classStreaming
+)
+
+// EncodeClass returns a class as it stands in the record of a message.
+func EncodeClass(c NamedClass) []byte {
+	p := appendText(nil, c.Name)
+	bits := byte(0)
+	for _, f := range []struct {
+		on  bool
+		bit byte
+	}{{c.KeyZoneScoped, classKeyZoneScoped}, {c.Ordered, classOrdered}, {c.Streaming, classStreaming}} {
+		if f.on {
+			bits |= f.bit
+		}
+	}
+	p = append(p, byte(c.Idempotency), bits)
+	for _, d := range []time.Duration{c.LatencyObjective, c.Deadline, c.KeyRetention} {
+		p = binary.AppendVarint(p, int64(d))
+	}
+	for _, v := range []float64{c.ObjectiveStretch, c.PriorityWeight, c.LateWeight} {
+		p = binary.LittleEndian.AppendUint64(p, math.Float64bits(v))
+	}
+	return p
+}
+
+// class reads such a record; one that makes no sense is malformed.
+func (d *decoder) class() NamedClass {
+	c := NamedClass{Name: d.text()}
+	c.Idempotency = control.Idempotency(d.octet())
+	bits := d.octet()
+	c.KeyZoneScoped, c.Ordered, c.Streaming = bits&classKeyZoneScoped != 0, bits&classOrdered != 0, bits&classStreaming != 0
+	for _, span := range []*time.Duration{&c.LatencyObjective, &c.Deadline, &c.KeyRetention} {
+		*span = time.Duration(d.varint())
+	}
+	for _, v := range []*float64{&c.ObjectiveStretch, &c.PriorityWeight, &c.LateWeight} {
+		*v = d.float()
+	}
+	d.malformed = d.malformed || c.Idempotency > control.NotIdempotent || c.Deadline <= 0 || c.LatencyObjective < 0 || c.KeyRetention < 0
+	return c
+}
--- /dev/null
+++ b/internal/wal/decoder.go
@@ -0,0 +1,70 @@
+package wal
+
+import (
+	"encoding/binary"
+	"math"
+)
+
+// decoder takes a record apart. After the first part that does not fit everything is zero and malformed is set.
+type decoder struct {
+	rest      []byte
+	malformed bool
+}
+
+func (d *decoder) fail() {
+	d.malformed, d.rest = true, nil
+}
+
+func (d *decoder) varint() int64 {
+	v, n := binary.Varint(d.rest)
+	return int64(d.advance(uint64(v), n))
+}
+
+func (d *decoder) uvarint() uint64 {
+	v, n := binary.Uvarint(d.rest)
+	return d.advance(v, n)
+}
+
+// advance passes over a number of n bytes and returns it.
+func (d *decoder) advance(v uint64, n int) uint64 {
+	if n <= 0 {
+		d.fail()
+		return 0
+	}
+	d.rest = d.rest[n:]
+	return v
+}
+
+func (d *decoder) text() string {
+	n := d.uvarint()
+	if n > uint64(len(d.rest)) {
+		d.fail()
+		return ""
+	}
+	v := string(d.rest[:n])
+	d.rest = d.rest[n:]
+	return v
+}
+
+func (d *decoder) octet() byte {
+	if len(d.rest) < 1 {
+		d.fail()
+		return 0
+	}
+	v := d.rest[0]
+	d.rest = d.rest[1:]
+	return v
+}
+
+func (d *decoder) float() float64 {
+	if len(d.rest) < 8 {
+		d.fail()
+		return 0
+	}
+	v := math.Float64frombits(binary.LittleEndian.Uint64(d.rest))
+	d.rest = d.rest[8:]
+	if math.IsNaN(v) || math.IsInf(v, 0) {
+		d.malformed = true
+	}
+	return v
+}
--- /dev/null
+++ b/internal/wal/replay.go
@@ -0,0 +1,118 @@
+package wal
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"cleathold/control"
+)
+
+// replay makes entries of records.
+type replay struct {
+	times   *TimeBase
+	entries map[control.MessageID]*Entry
+}
+
+func newReplay(times *TimeBase) *replay {
+	return &replay{times: times, entries: map[control.MessageID]*Entry{}}
+}
+
+// live returns the entries of messages that something is still owed for, in the order of their numbers.
+func (r *replay) live() []*Entry {
+	return slices.SortedFunc(maps.Values(r.entries), func(a, b *Entry) int { return cmp.Compare(a.Number, b.Number) })
+}
+
+// apply takes one record, and returns false where it makes no sense. Records of messages that are not known belong to a
+// damaged or finished one and say nothing.
+func (r *replay) apply(record []byte) bool {
+	d := &decoder{rest: record[1:]}
+	number := control.MessageID(d.uvarint())
+	e := r.entries[number]
+	switch record[0] {
+	case recordAccepted:
+		r.applyAccepted(d, number)
+	case recordAttempt:
+		a := Attempt{Index: int(d.uvarint()), At: r.times.Time(d.varint()), Zone: int(d.varint())}
+		if len(d.rest) > 0 {
+			a.Endpoint, a.InDeadLetter = d.text(), d.uvarint() == 1
+		}
+		if !d.malformed && e != nil {
+			e.MayHaveRun = append(e.MayHaveRun, a)
+			e.Attempts = max(e.Attempts, a.Index+1)
+		}
+	case recordNotRun:
+		attempt := int(d.uvarint())
+		if !d.malformed && e != nil {
+			e.applyNotRun(attempt)
+		}
+	case recordEnded:
+		if !d.malformed && e != nil {
+			delete(r.entries, number)
+		}
+	case recordOutcome:
+		o := r.decodeOutcome(d)
+		if !d.malformed && e != nil && e.Outcome == nil {
+			e.applyOutcome(o)
+		}
+	default:
+		d.malformed = true
+	}
+	return !d.malformed
+}
+
+func (r *replay) applyAccepted(d *decoder, number control.MessageID) {
+	e := &Entry{Accepted: Accepted{Number: number, ID: d.text(), Key: d.text()}}
+	e.Class, e.Tenant, e.Destination = int(d.varint()), int(d.varint()), int(d.varint())
+	e.Deadline = r.times.Time(d.varint())
+	e.Resubmitted = d.uvarint() == 1
+	e.Body = []byte(d.text())
+	if len(d.rest) > 0 {
+		e.DeadLetterSeq = d.uvarint()
+	}
+	if len(d.rest) > 0 { // its class, as it was when the message came
+		if c := d.class(); !d.malformed {
+			e.RecordedClass, e.ClassRecord = &c, string(EncodeClass(c))
+		}
+	}
+	if !d.malformed && r.entries[number] == nil {
+		r.entries[number] = e
+	}
+}
+
+func (e *Entry) applyNotRun(attempt int) {
+	if attempt >= attemptCountOffset {
+		e.Attempts = max(e.Attempts, attempt-attemptCountOffset+1)
+		return
+	}
+	e.MayHaveRun = slices.DeleteFunc(e.MayHaveRun, func(a Attempt) bool { return a.Index == attempt })
+}
+
+// applyOutcome ends an open message. Its body is needed only by a dead-letter queue that does not have it yet.
+func (e *Entry) applyOutcome(o *Outcome) {
+	e.Outcome = o
+	if o.DeadLetter == nil || e.DeadLetterSeq > 0 {
+		e.Body = nil
+	}
+}
+
+func (r *replay) decodeOutcome(d *decoder) *Outcome {
+	flags := d.uvarint()
+	o := &Outcome{Deferred: flags&outcomeDeferred != 0, RetryAfter: time.Duration(d.varint()) * time.Millisecond}
+	if flags&outcomeDeadLetter != 0 {
+		o.DeadLetter = &DeadLetterOutcome{
+			Reason: d.text(), At: r.times.Time(d.varint()),
+			Delivered: flags&outcomeDelivered != 0, Final: flags&outcomeFinal != 0, Deferred: flags&outcomeReturnable != 0,
+		}
+	}
+	return o
+}
+
+// assumeRun notes for an open message an attempt at an unknown time: damage may hide the record of one.
+func (e *Entry) assumeRun() {
+	if e.Outcome == nil {
+		e.MayHaveRun = append(e.MayHaveRun, Attempt{Index: e.Attempts, At: time.Unix(0, 0)})
+		e.Attempts++
+	}
+}
