--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,11 +1,11 @@
-// Package atomicfile replaces small files as a whole. It does not sync them: a file that is replaced outlasts a kill of the
-// process, but not the loss of power.
+// Package atomicfile replaces small files as a whole. It does not sync them: a file that is replaced outlasts a kill
+// of the process, but not the loss of power.
 package atomicfile
 
 import "os"
 
-// Write puts a text in the place of the file at path, whole or not at all. While it writes, a file of that name with ".new"
-// after it stands beside it. The error is of the os package.
+// Write puts a text in the place of the file at path, whole or not at all. While it writes, a file of that name with
+// ".new" after it stands beside it. The error is of the os package.
 func Write(path string, text []byte) error {
 	replacement := path + ".new"
 	err := os.WriteFile(replacement, text, 0o600)
--- a/internal/endpointgroup/departures.go
+++ b/internal/endpointgroup/departures.go
@@ -22,8 +22,9 @@
 
 // Departures is the ids of targets that drain or are gone, in the order in which they left, kept in the state folder.
 //
-// A process that starts has the list of its configuration, which may be older than what the process before it was told.
-// While discovery can't be asked, it must not send to targets that have left since. The zero value is kept nowhere.
+// A process that starts has the list of its configuration, which may be older than what the process before it was
+// told. While discovery can't be asked, it must not send to targets that have left since. The zero value is kept
+// nowhere.
 type Departures struct {
 	path  string // empty: they are kept nowhere
 	log   *slog.Logger
--- a/internal/endpointgroup/group.go
+++ b/internal/endpointgroup/group.go
@@ -11,8 +11,8 @@
 	"cleathold/internal/gossip"
 )
 
-// removedRetention is how long a target that left is known by its number: it may come back under its id, and the controller
-// remembers it for a while. Then it is forgotten, as new ones may replace old ones all day.
+// removedRetention is how long a target that left is known by its number: it may come back under its id, and the
+// controller remembers it for a while. Then it is forgotten, as new ones may replace old ones all day.
 const removedRetention = 2 * time.Minute
 
 // Group is the endpoint group. It is not safe for concurrent use.
@@ -91,7 +91,8 @@
 	return list
 }
 
-// effective is a target as the controller is to see it: one that is excluded drains, and all do while sends are suspended.
+// effective is a target as the controller is to see it: one that is excluded drains, and all do while sends are
+// suspended.
 func (g *Group) effective(t *Target) control.Endpoint {
 	e := t.Endpoint
 	if (g.suspended || g.excluded[t.ID]) && e.State == control.Ready {
@@ -100,8 +101,8 @@
 	return e
 }
 
-// SetExcluded takes the ids of all targets that are excluded, and returns those that change by it, as the controller is to
-// see them, by number.
+// SetExcluded takes the ids of all targets that are excluded, and returns those that change by it, as the controller
+// is to see them, by number.
 func (g *Group) SetExcluded(ids []string) []control.Endpoint {
 	before := g.excluded
 	g.excluded = make(map[string]bool, len(ids))
@@ -118,8 +119,8 @@
 	return changed
 }
 
-// SetSuspended suspends sends to all targets, or lets them go on, and returns those that change by it, as the controller is
-// to see them, by number.
+// SetSuspended suspends sends to all targets, or lets them go on, and returns those that change by it, as the
+// controller is to see them, by number.
 func (g *Group) SetSuspended(suspended bool) (endpoints []control.Endpoint, changed bool) {
 	if g.suspended == suspended {
 		return nil, false
@@ -136,8 +137,8 @@
 
 func byNumber(a, b control.Endpoint) int { return cmp.Compare(a.ID, b.ID) }
 
-// Update enters an answer of discovery and returns its targets as the controller is to see them, in the answer's order. A
-// target that leaves keeps its number for a while.
+// Update enters an answer of discovery and returns its targets as the controller is to see them, in the answer's
+// order. A target that leaves keeps its number for a while.
 func (g *Group) Update(kind control.ListUpdateKind, version int64, targets []Target, now time.Time) []control.Endpoint {
 	if kind == control.ListFailed {
 		return nil
@@ -172,8 +173,8 @@
 	return endpoints
 }
 
-// UpdateLeaving enters targets that drain or are gone, of those that are known, and returns them as the controller is to see
-// them. The version of the list stays: there may be more to it.
+// UpdateLeaving enters targets that drain or are gone, of those that are known, and returns them as the controller is
+// to see them. The version of the list stays: there may be more to it.
 func (g *Group) UpdateLeaving(leaving []Target, now time.Time) []control.Endpoint {
 	known := slices.DeleteFunc(slices.Clone(leaving), func(t Target) bool { return g.byID[t.ID] == nil })
 	if len(known) == 0 {
--- a/internal/endpointgroup/group_test.go
+++ b/internal/endpointgroup/group_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// The group forgets those that left long ago, also where only a whole list tells of it, and keeps the numbers of those that
-// come back.
+// The group forgets those that left long ago, also where only a whole list tells of it, and keeps the numbers of
+// those that come back.
 func TestForgetRemoved(t *testing.T) {
 	g, now := New(), time.Now()
 	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -15,55 +15,55 @@
 }
 
 // Each case is a history of a sender, and what the last step of it must come to.
-func TestBook(t *testing.T) {
-	type step func(b *Holder) error
+func TestHolder(t *testing.T) {
+	type step func(h *Holder) error
 	take := func(epoch uint64, by, until, now float64) step {
-		return func(b *Holder) error { return b.Take(order(epoch, by, until), "p", at(now)) }
+		return func(h *Holder) error { return h.Take(order(epoch, by, until), "p", at(now)) }
 	}
-	end := func(epoch uint64) step { return func(b *Holder) error { return b.End(epoch) } }
+	end := func(epoch uint64) step { return func(h *Holder) error { return h.End(epoch) } }
 	renew := func(epoch uint64, until, now float64) step {
-		return func(b *Holder) error { return b.Renew(epoch, at(until), at(now)) }
+		return func(h *Holder) error { return h.Renew(epoch, at(until), at(now)) }
 	}
-	expire := func(now float64) step { return func(b *Holder) error { b.Expire(at(now)); return nil } }
+	expire := func(now float64) step { return func(h *Holder) error { h.Expire(at(now)); return nil } }
 	for name, c := range map[string]struct {
 		steps  []step
 		err    error
-		stands bool
+		active bool
 	}{
-		"in time":                    {[]step{take(5, 2, 10, 1)}, nil, true},
-		"at the last instant":        {[]step{take(5, 2, 10, 2)}, nil, true},
-		"too late":                   {[]step{take(5, 2, 10, 2.001)}, ErrExpired, false},
-		"twice":                      {[]step{take(5, 2, 10, 1), take(5, 2, 10, 3)}, nil, true},
-		"again after its end":        {[]step{take(5, 2, 10, 1), end(5), take(5, 2, 10, 1)}, ErrEnded, false},
-		"ended before it came":       {[]step{end(5), take(5, 2, 10, 1)}, ErrEnded, false},
-		"after a newer one":          {[]step{take(6, 2, 10, 1), take(5, 2, 10, 1)}, ErrStaleEpoch, true},
-		"after a newer one's end":    {[]step{end(6), take(5, 2, 10, 1)}, ErrStaleEpoch, false},
-		"a newer one":                {[]step{take(5, 2, 10, 1), take(6, 3, 12, 2)}, nil, true},
-		"an older end":               {[]step{take(6, 2, 10, 1), end(5)}, ErrStaleEpoch, true},
-		"a later end":                {[]step{take(5, 2, 10, 1), end(6)}, nil, false},
-		"its time is up":             {[]step{take(5, 2, 10, 1), expire(10)}, nil, false},
-		"its time is not up":         {[]step{take(5, 2, 10, 1), expire(9.999)}, nil, true},
-		"renewed":                    {[]step{take(5, 2, 10, 1), renew(5, 20, 9), expire(15)}, nil, true},
-		"renewed when it was over":   {[]step{take(5, 2, 10, 1), expire(10), renew(5, 20, 11)}, ErrEnded, false},
-		"an older one renewed":       {[]step{take(6, 2, 10, 1), renew(5, 20, 2)}, ErrStaleEpoch, true},
-		"one never seen renewed":     {[]step{renew(5, 20, 2)}, ErrStaleEpoch, false},
-		"it would last too long":     {[]step{take(5, 2, 3602, 1)}, ErrInvalidEnd, false},
-		"it would end in the past":   {[]step{take(5, 2, 0.5, 1)}, ErrInvalidEnd, false},
-		"renewed into the past":      {[]step{take(5, 2, 10, 1), renew(5, 3, 4)}, ErrInvalidEnd, true},
-		"no epoch":                   {[]step{take(0, 2, 10, 1)}, ErrEnded, false},
-		"ended by hand, a new order": {[]step{take(5, 2, 10, 1), end(5), take(7, 9, 20, 8)}, nil, true},
+		"in time":                            {[]step{take(5, 2, 10, 1)}, nil, true},
+		"at the last instant":                {[]step{take(5, 2, 10, 2)}, nil, true},
+		"too late":                           {[]step{take(5, 2, 10, 2.001)}, ErrExpired, false},
+		"twice":                              {[]step{take(5, 2, 10, 1), take(5, 2, 10, 3)}, nil, true},
+		"again after its end":                {[]step{take(5, 2, 10, 1), end(5), take(5, 2, 10, 1)}, ErrEnded, false},
+		"ended before it came":               {[]step{end(5), take(5, 2, 10, 1)}, ErrEnded, false},
+		"after a newer one":                  {[]step{take(6, 2, 10, 1), take(5, 2, 10, 1)}, ErrStaleEpoch, true},
+		"after a newer one's end":            {[]step{end(6), take(5, 2, 10, 1)}, ErrStaleEpoch, false},
+		"a newer one":                        {[]step{take(5, 2, 10, 1), take(6, 3, 12, 2)}, nil, true},
+		"an older end":                       {[]step{take(6, 2, 10, 1), end(5)}, ErrStaleEpoch, true},
+		"a later end":                        {[]step{take(5, 2, 10, 1), end(6)}, nil, false},
+		"its time is up":                     {[]step{take(5, 2, 10, 1), expire(10)}, nil, false},
+		"its time is not up":                 {[]step{take(5, 2, 10, 1), expire(9.999)}, nil, true},
+		"renewed":                            {[]step{take(5, 2, 10, 1), renew(5, 20, 9), expire(15)}, nil, true},
+		"renewed when it was over":           {[]step{take(5, 2, 10, 1), expire(10), renew(5, 20, 11)}, ErrEnded, false},
+		"an older one renewed":               {[]step{take(6, 2, 10, 1), renew(5, 20, 2)}, ErrStaleEpoch, true},
+		"one never seen renewed":             {[]step{renew(5, 20, 2)}, ErrStaleEpoch, false},
+		"it would last too long":             {[]step{take(5, 2, 3602, 1)}, ErrInvalidEnd, false},
+		"it would end in the past":           {[]step{take(5, 2, 0.5, 1)}, ErrInvalidEnd, false},
+		"renewed into the past":              {[]step{take(5, 2, 10, 1), renew(5, 3, 4)}, ErrInvalidEnd, true},
+		"no epoch":                           {[]step{take(0, 2, 10, 1)}, ErrEnded, false},
+		"ended by the operator, a new order": {[]step{take(5, 2, 10, 1), end(5), take(7, 9, 20, 8)}, nil, true},
 	} {
-		var b Holder
+		var h Holder
 		var err error
 		for _, s := range c.steps {
-			err = s(&b)
+			err = s(&h)
 		}
-		if !errors.Is(err, c.err) || b.Active() != c.stands {
-			t.Errorf("%s: %v, stands %t; want %v, %t", name, err, b.Active(), c.err, c.stands)
+		if !errors.Is(err, c.err) || h.Active() != c.active {
+			t.Errorf("%s: %v, active %t; want %v, %t", name, err, h.Active(), c.err, c.active)
 		}
 	}
-	var b Holder
-	if err := b.Take(order(5, 2, 10), "another", at(1)); !errors.Is(err, ErrWrongProcess) || b.Epoch != 0 {
-		t.Errorf("for another process: %v, %+v", err, b)
+	var h Holder
+	if err := h.Take(order(5, 2, 10), "another", at(1)); !errors.Is(err, ErrWrongProcess) || h.Epoch != 0 {
+		t.Errorf("for another process: %v, %+v", err, h)
 	}
 }
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -1,6 +1,6 @@
-// Package permit decides whether a message may be sent now. The controller plans sends, and each is looked at once more
-// here as it is about to leave, with what is known by then; what has left is judged by the same rules afterwards. The
-// package does no I/O and knows no clock: times are parameters.
+// Package permit decides whether a message may be sent now. The controller plans sends, and each is checked once more
+// here as it is about to leave, with what is known by then; what has left is checked by the same rules afterwards.
+// The package does no I/O and knows no clock: times are parameters.
 //
 // The rules are those of PROTOCOL ('The rules on sockets') and STANDING; their figures come from the settings.
 package permit
@@ -11,20 +11,20 @@
 	"cleathold/control"
 )
 
-// Denial says why a message may not be sent. The zero value is None.
+// Denial says why a message may not be sent. The zero value is Allowed.
 type Denial int
 
-// The refusals, in the order in which they are looked for.
+// The denials, in the order in which they are looked for.
 const (
 	Allowed           Denial = iota
 	Stopping                 // the process ends, or another one sends
 	Expired                  // the message's time is up
 	NotRepeatable            // it may have run, and must not run twice
-	KeyExpired               // it may have run so long ago that its key is not remembered any more
-	InFlight                 // another copy is out, and the site allows one
-	EndpointGone             // the target drains or is gone, and the grace for that is over
-	RetryAfterPending        // the target, or its destination, told a wait that is not over
-	ListUncertain            // discovery may have told that the target leaves
+	KeyExpired               // it may have run so long ago that its key is not retained any more
+	InFlight                 // another attempt of it is in flight, and the site allows one
+	EndpointGone             // the endpoint drains or is gone, and the grace for that is over
+	RetryAfterPending        // the endpoint, or its destination, told a Retry-After that has not passed
+	ListUncertain            // discovery may have told that the endpoint leaves
 	DenialCount              // how many there are
 )
 
@@ -32,40 +32,41 @@
 	"none", "stopping", "overdue", "repeat", "forgotten", "second-copy", "target-left", "waiting", "list-uncertain",
 }
 
-// String is the refusal's name in logs and counts.
-func (r Denial) String() string {
-	if r < 0 || r >= DenialCount {
+// String returns the denial's name in logs and counts.
+func (d Denial) String() string {
+	if d < 0 || d >= DenialCount {
 		return "unknown"
 	}
-	return names[r]
+	return names[d]
 }
 
-// All are the refusals besides None.
+// All returns the denials besides Allowed.
 func All() []Denial {
 	list := make([]Denial, 0, DenialCount-1)
-	for r := Allowed + 1; r < DenialCount; r++ {
-		list = append(list, r)
+	for d := Allowed + 1; d < DenialCount; d++ {
+		list = append(list, d)
 	}
 	return list
 }
 
 const (
-	// holdMargin is left between the last send and the end of the grace of drains: the process may be held up between a
-	// look at its clock and a write (STANDING: 150 ms), and a call takes its time on the way.
-	holdMargin = 250 * time.Millisecond
-	// RetryAfterSlack is how soon after the answer that told a wait calls still get through (PROTOCOL).
+	// drainMargin lies between the last send and the end of the drain grace: the process may be held up between a look
+	// at its clock and a write (STANDING: 150 ms), and a call takes its time on the way.
+	drainMargin = 250 * time.Millisecond
+	// RetryAfterSlack is how soon after the answer that told a Retry-After calls still get through (PROTOCOL).
 	RetryAfterSlack = 100 * time.Millisecond
 )
 
-// LastSendAfter is how long after a target was told to leave nothing new is sent there any more, of the grace for it.
-func LastSendAfter(grace time.Duration) time.Duration { return grace - min(holdMargin, grace/2) }
+// LastSendAfter returns how long after an endpoint was told to leave nothing new is sent there any more, of the grace
+// for it.
+func LastSendAfter(grace time.Duration) time.Duration { return grace - min(drainMargin, grace/2) }
 
-// Route is what is known of a target when something is to be sent to it. Zero times stand for never.
+// Route is what is known of an endpoint when something is to be sent to it. Zero times stand for never.
 type Route struct {
-	LeftAt          time.Time // it was told that it drains or is gone
-	UncertainSince  time.Time // since then the list of targets may not be what was told last
-	RetryAfterFrom  time.Time // it, or its destination, told a wait then...
-	RetryAfterUntil time.Time // ...that ends then
+	LeftAt          time.Time // discovery told that it drains or is gone
+	UncertainSince  time.Time // since then the endpoint list may not be what was told last
+	RetryAfterFrom  time.Time // it, or its destination, told a Retry-After then...
+	RetryAfterUntil time.Time // ...that passes then
 }
 
 // Message is what is known of a message that is to be sent.
@@ -73,18 +74,18 @@
 	Idempotency      control.Idempotency
 	Deadline         time.Time
 	MayHaveRun       bool      // an attempt before may have run, or may yet
-	KeyRetainedUntil time.Time // its key is remembered until then; of one that may have run
-	InFlight         bool      // another copy of it is out
+	KeyRetainedUntil time.Time // its key is retained until then; of one that may have run
+	InFlight         bool      // another attempt of it is in flight
 }
 
 // Rules are the figures and states that hold for all sends of a process.
 type Rules struct {
-	DrainGrace time.Duration // for targets that leave; 0 = no such rule
-	NoHedging  bool          // a message may be out once at a time
+	DrainGrace time.Duration // for endpoints that leave; 0 = no such rule
+	NoHedging  bool          // a message may have one attempt in flight
 	Stopping   bool          // nothing new may be sent
 }
 
-// Check decides whether a message may be sent to a target now.
+// Check decides whether a message may be sent to an endpoint now.
 func (r Rules) Check(now time.Time, m Message, to Route) Denial {
 	switch {
 	case r.Stopping:
@@ -98,22 +99,25 @@
 	case m.InFlight && r.NoHedging:
 		return InFlight
 	}
-	return r.route(now, to, LastSendAfter(r.DrainGrace), 0)
+	return r.checkRoute(now, to, LastSendAfter(r.DrainGrace), 0)
 }
 
-// CheckSent judges a send by the time at which its first byte was written: nothing of the slack that Send leaves is left.
+// CheckSent checks a send by the time at which its first byte was written. It takes the rules to their limits:
+// nothing of the margins that Check leaves counts against the send.
 func (r Rules) CheckSent(at time.Time, to Route) Denial {
-	return r.route(at, to, r.DrainGrace, RetryAfterSlack)
+	return r.checkRoute(at, to, r.DrainGrace, RetryAfterSlack)
 }
 
-func (r Rules) route(now time.Time, to Route, grace, slack time.Duration) Denial {
-	over := func(since time.Time) bool { return r.DrainGrace > 0 && !since.IsZero() && now.Sub(since) > grace }
+func (r Rules) checkRoute(now time.Time, to Route, grace, slack time.Duration) Denial {
+	graceOver := func(since time.Time) bool {
+		return r.DrainGrace > 0 && !since.IsZero() && now.Sub(since) > grace
+	}
 	switch {
-	case over(to.LeftAt):
+	case graceOver(to.LeftAt):
 		return EndpointGone
 	case now.Before(to.RetryAfterUntil) && now.Sub(to.RetryAfterFrom) > slack:
 		return RetryAfterPending
-	case over(to.UncertainSince):
+	case graceOver(to.UncertainSince):
 		return ListUncertain
 	}
 	return Allowed
--- a/internal/state/actions.go
+++ b/internal/state/actions.go
@@ -7,8 +7,8 @@
 	"cleathold/internal/gossip"
 )
 
-// actions carries out what the controller asks for (control.Actions). It is the loop under another name, so that none of
-// this can be called from elsewhere.
+// actions carries out what the controller asks for (control.Actions). It is the loop under another name, so that none
+// of this can be called from elsewhere.
 type actions Loop
 
 func (a *actions) loop() *Loop { return (*Loop)(a) }
@@ -45,8 +45,8 @@
 	}))
 }
 
-// keyRetainedUntil is when a message with an idempotency key that may have run may no longer be sent again; zero for others.
-// What is decided before that may leave late: its connection takes its time.
+// keyRetainedUntil is when a message with an idempotency key that may have run may no longer be sent again; zero for
+// others. What is decided before that may leave late: its connection takes its time.
 func (l *Loop) keyRetainedUntil(e *entry) time.Time {
 	first, ran := e.firstRun()
 	if !ran || e.Class < 0 || e.Class >= len(l.settings.Classes) {
--- a/internal/state/admission.go
+++ b/internal/state/admission.go
@@ -6,8 +6,8 @@
 	"cleathold/control"
 )
 
-// Admission: a message read by a listener is accepted if the sender may hold one more. The controller sees it in the same
-// iteration, and its client is answered at the end of that.
+// Admission: a message read by a listener is accepted if the sender may hold one more. The controller sees it in the
+// same iteration, and its client is answered at the end of that.
 
 const (
 	// fullRetryAfter is when to come back to a sender that has no capacity, if clients heed a Retry-After that long.
@@ -123,7 +123,8 @@
 	}
 }
 
-// abandonRejected gives up a message whose client was rejected while it was written down: the disk stalled, or the loop.
+// abandonRejected gives up a message whose client was rejected while it was written down: the disk stalled, or the
+// loop.
 func (l *Loop) abandonRejected(e *entry) {
 	e.response = nil
 	l.counters.rejected.Add(1)
@@ -134,8 +135,8 @@
 	}))
 }
 
-// responseWritten goes on once a client has heard that its message is accepted. One that could not be told may submit the
-// message again: this one has ended.
+// responseWritten goes on once a client has heard that its message is accepted. One that could not be told may submit
+// the message again: this one has ended.
 func (l *Loop) responseWritten(w ResponseWritten) {
 	e := l.table.byID[w.ID]
 	if e == nil || e.responded {
--- a/internal/state/call.go
+++ b/internal/state/call.go
@@ -140,9 +140,9 @@
 	}
 }
 
-// alignDeadlines has the attempts of a call time out at one instant, where hedged requests are not allowed. One that timed
-// out before the others would be sent again while its first copy is still out on the open connection. None waits beyond the
-// deadline of its message: after that it is not sent again.
+// alignDeadlines has the attempts of a call time out at one instant, where hedged requests are not allowed. One that
+// timed out before the others would be sent again while its first copy is still out on the open connection. None
+// waits beyond the deadline of its message: after that it is not sent again.
 func alignDeadlines(attempts []*Attempt) {
 	var last time.Time
 	for _, a := range attempts {
@@ -171,8 +171,8 @@
 	l.backlog = append(l.backlog, CallEnded{c, results})
 }
 
-// withhold keeps back the calls to some endpoints that were decided on before and have not left. One that still waits for
-// its connection, or for its client to be answered, would leave only after what is known since.
+// withhold keeps back the calls to some endpoints that were decided on before and have not left. One that still waits
+// for its connection, or for its client to be answered, would leave only after what is known since.
 func (l *Loop) withhold(affected func(t Target) bool) {
 	for c := range l.inFlight {
 		if !affected(c.Target) {
--- a/internal/state/classregistry.go
+++ b/internal/state/classregistry.go
@@ -11,9 +11,9 @@
 // NamedClass is a class as the settings name it.
 type NamedClass = wal.NamedClass
 
-// classRegistry numbers classes. A message keeps the class that it came with: when the settings change under it, and over a
-// restart with other settings. So classes are numbered by name and figures, a number is never given to another one, and the
-// log's record of a message holds its class whole.
+// classRegistry numbers classes. A message keeps the class that it came with: when the settings change under it, and
+// over a restart with other settings. So classes are numbered by name and figures, a number is never given to another
+// one, and the log's record of a message holds its class whole.
 type classRegistry struct {
 	list    []NamedClass
 	records []string // as they stand in the log
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -10,7 +10,8 @@
 // lateAfter is how long a message waits for its first attempt at most where nothing is short.
 const lateAfter = 50 * time.Millisecond
 
-// Counters count what loops of one process do, one after another. The loop adds, anyone may read. The zero value is ready.
+// Counters count what loops of one process do, one after another. The loop adds, anyone may read. The zero value is
+// ready.
 type Counters struct {
 	accepted, rejected, delivered, deferred, undeliverable, attempted, late, firstAttemptWait, open atomic.Int64
 
--- a/internal/state/deadletter.go
+++ b/internal/state/deadletter.go
@@ -7,10 +7,10 @@
 	"cleathold/internal/wal"
 )
 
-// Dead letters: what becomes of a message that ends undelivered, where a dead-letter queue is connected. A message is then
-// either its client's again or the queue's, never both, and the log says which before anyone is told. Until the queue has
-// it, the log keeps it. A message that the queue sends again comes back as one more message to the controller, without a
-// client (redelivery.go).
+// Dead letters: what becomes of a message that ends undelivered, where a dead-letter queue is connected. A message is
+// then either its client's again or the queue's, never both, and the log says which before anyone is told. Until the
+// queue has it, the log keeps it. A message that the queue sends again comes back as one more message to the
+// controller, without a client (redelivery.go).
 
 const (
 	// deadLetterFraction: messages that the queue does not have yet take one part in so many of the log at most.
@@ -113,8 +113,8 @@
 }
 
 // offerDeadLetter tells whether the queue gets a message that ends with a report. A message whose client has not been
-// answered yet may come again: the queue does not get it. Nor does it where what waits for the queue takes a tenth of the
-// log: a store that is slow must not keep new messages out.
+// answered yet may come again: the queue does not get it. Nor does it where what waits for the queue takes a tenth of
+// the log: a store that is slow must not keep new messages out.
 func (l *Loop) offerDeadLetter(e *entry, n *DeliveryReport) (*DeadLetter, bool) {
 	if l.deadLetterQueue == nil || !e.responded || l.table.deadLetterBytes+e.cost > l.wal.Limit()/deadLetterFraction {
 		return nil, false
@@ -124,8 +124,8 @@
 	return d, l.deadLetterQueue.Accepts(d)
 }
 
-// endWithDeadLetter ends a message that the queue is owed: the log says so, and at the end of the iteration the queue is
-// told.
+// endWithDeadLetter ends a message that the queue is owed: the log says so, and at the end of the iteration the queue
+// is told.
 func (l *Loop) endWithDeadLetter(e *entry, n DeliveryReport, d *DeadLetter) {
 	n.Num, n.ID, n.DeadLetter = e.num, e.ID, d
 	e.deadLetter = d
--- a/internal/state/deadletter_test.go
+++ b/internal/state/deadletter_test.go
@@ -239,7 +239,8 @@
 	}
 }
 
-// A resend is out as the process gives way: what the other one passes on goes to the keeper of the next, and to it alone.
+// A resend is out as the process gives way: what the other one passes on goes to the keeper of the next, and to it
+// alone.
 func TestResendHandedOver(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/state/endpoints.go
+++ b/internal/state/endpoints.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// ListUnreadable tells that an answer of discovery began at a time and could not be read, or not to its end. Leaving are the
-// targets that the part which came names as draining or gone.
+// ListUnreadable tells that an answer of discovery began at a time and could not be read, or not to its end. Leaving
+// are the targets that the part which came names as draining or gone.
 type ListUnreadable struct {
 	At      time.Time
 	Leaving []Target
--- a/internal/state/entry.go
+++ b/internal/state/entry.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// history returns what is known of a message's attempts. Of those from before a restart only the ones that may have run
-// stand in the log.
+// history returns what is known of a message's attempts. Of those from before a restart only the ones that may have
+// run stand in the log.
 func (e *entry) history() []AttemptRecord {
 	list := make([]AttemptRecord, 0, len(e.attemptLog)+len(e.mayHaveRun))
 	for _, a := range e.mayHaveRun {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -21,7 +21,8 @@
 	KeyZoneScoped: true, KeyRetention: 12 * time.Second, Ordered: true, Streaming: true,
 }}
 
-// goldenEntries are messages of each fate: taken, forwarded, spared, with a notice owed, of the dead-letter queue, and repeated by it.
+// goldenEntries are messages of each fate: taken, forwarded, spared, with a notice owed, of the dead-letter queue,
+// and repeated by it.
 func goldenEntries(classes *classRegistry) []*entry {
 	number := classes.numberOf(goldenClass)
 	at := time.UnixMicro(1_700_000_000_000_000)
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -8,10 +8,10 @@
 	"cleathold/internal/lease"
 )
 
-// Hand-over: one process of a sender passes all to the next while both run. The predecessor lets go of the log and tells
-// what it has in flight; from then on it only passes on the results of those attempts. The successor takes the log up. To it
-// a message with an attempt in flight at the predecessor is remote: it is not given to the controller before the attempt's
-// result is known, or the predecessor is lost, which leaves it as one that may have run.
+// Hand-over: one process of a sender passes all to the next while both run. The predecessor lets go of the log and
+// tells what it has in flight; from then on it only passes on the results of those attempts. The successor takes the
+// log up. To it a message with an attempt in flight at the predecessor is remote: it is not given to the controller
+// before the attempt's result is known, or the predecessor is lost, which leaves it as one that may have run.
 
 // The errors of a hand-over.
 var (
@@ -61,8 +61,8 @@
 
 func (PredecessorLost) apply(l *Loop) { l.predecessorLost() }
 
-// HandOver has the loop let go of everything for a successor. The state is told once the log is closed. From then on the loop
-// serves nobody but the successor.
+// HandOver has the loop let go of everything for a successor. The state is told once the log is closed. From then on
+// the loop serves nobody but the successor.
 type HandOver struct {
 	Successor Successor
 	Done      chan<- HandOverResult // takes one without blocking
--- a/internal/state/interfaces.go
+++ b/internal/state/interfaces.go
@@ -7,8 +7,8 @@
 	"cleathold/internal/gossip"
 )
 
-// Transport carries calls to endpoints. None of its methods may block; how a call ended is posted to the loop, once for
-// each attempt (CallEnded), and so is the result of a health check (HealthChecked).
+// Transport carries calls to endpoints. None of its methods may block; how a call ended is posted to the loop, once
+// for each attempt (CallEnded), and so is the result of a health check (HealthChecked).
 type Transport interface {
 	Send(c *Call)
 	Cancel(c *Call)
@@ -49,11 +49,11 @@
 	Ready  int     // endpoints that take new work
 }
 
-// DeadLetterQueue keeps what can't be delivered. None of its methods may block: the loop calls them within its iterations.
-// It posts Redelivery, and DeadLettersStored once it has a dead letter.
+// DeadLetterQueue keeps what can't be delivered. None of its methods may block: the loop calls them within its
+// iterations. It posts Redelivery, and DeadLettersStored once it has a dead letter.
 type DeadLetterQueue interface {
-	// ClassesChanged tells, before Begin and again with new settings, the names of all classes by number, those of messages from
-	// before other settings included, which numbers the names of the settings have now, and the settings.
+	// ClassesChanged tells, before Begin and again with new settings, the names of all classes by number, those of
+	// messages from before other settings included, which numbers the names of the settings have now, and the settings.
 	ClassesChanged(names []string, now map[string]int, set control.Settings)
 	// Begin tells once, at the start, which dead letters the log still owes (by message id), and which records are being
 	// sent again.
--- a/internal/state/iteration.go
+++ b/internal/state/iteration.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// commit makes known what an iteration did. The log comes first: no client hears that a message is accepted, no attempt
-// leaves and no report goes out before the record of it is written.
+// commit makes known what an iteration did. The log comes first: no client hears that a message is accepted, no
+// attempt leaves and no report goes out before the record of it is written.
 func (l *Loop) commit() {
 	waiting := l.logIteration()
 	if err := l.wal.Flush(); err != nil {
@@ -119,7 +119,8 @@
 	}
 	l.newCalls = nil
 	clear(l.callsByEndpoint)
-	// A call that was split by its size is one more in flight than the controller knows of: it waits until one has ended.
+	// A call that was split by its size is one more in flight than the controller knows of: it waits until one has
+	// ended.
 	free := max(0, l.settings.MaxInFlight-l.callsInFlight-l.remote.calls())
 	waiting = l.readyCalls[min(len(l.readyCalls), free):]
 	l.readyCalls = l.readyCalls[:len(l.readyCalls)-len(waiting)]
--- a/internal/state/killed_test.go
+++ b/internal/state/killed_test.go
@@ -20,9 +20,9 @@
 	return dir
 }
 
-// Killed at any byte of its journal, with discovery down at the next start and another list when it is back: a message
-// that a client was told of and that was not tried is called, at a target of that list. One that was tried is called
-// again if it may be, or given up with a notice; what has ended is not called.
+// Killed at any byte of its journal, with discovery down at the next start and another list when it is back: a
+// message that a client was told of and that was not tried is called, at a target of that list. One that was tried is
+// called again if it may be, or given up with a notice; what has ended is not called.
 func TestKilledAtEachWrite(t *testing.T) {
 	for _, class := range []int{0, 2} { // safe, unsafe
 		dir := t.TempDir()
--- a/internal/state/listcertainty.go
+++ b/internal/state/listcertainty.go
@@ -6,16 +6,16 @@
 	"cleathold/internal/permit"
 )
 
-// What discovery has begun to write counts as notified, whether or not it could be read (PROTOCOL, 'The rules on sockets').
-// From the first byte of an answer that broke off until the next whole one the endpoint list is uncertain: an endpoint on
-// it may drain. So it is from an answer after which no poll follows at once, as a watch goes on for 200 ms after it.
-// Before the drain grace is over, counted from then, sends are suspended.
+// What discovery has begun to write counts as notified, whether or not it could be read (PROTOCOL, 'The rules on
+// sockets'). From the first byte of an answer that broke off until the next whole one the endpoint list is uncertain:
+// an endpoint on it may drain. So it is from an answer after which no poll follows at once, as a watch goes on for
+// 200 ms after it. Before the drain grace is over, counted from then, sends are suspended.
 
 // defaultUncertaintyTimeout is UncertaintyTimeout where the settings tell no poll interval.
 const defaultUncertaintyTimeout = 10 * time.Second
 
-// UncertaintyTimeout is how long sends are suspended after discovery last began an answer that could not be read. If nothing
-// was heard of it for so long, as in an outage, the list that is known counts again.
+// UncertaintyTimeout is how long sends are suspended after discovery last began an answer that could not be read. If
+// nothing was heard of it for so long, as in an outage, the list that is known counts again.
 func UncertaintyTimeout(maxPollInterval time.Duration) time.Duration {
 	if maxPollInterval <= 0 {
 		return defaultUncertaintyTimeout
@@ -23,7 +23,8 @@
 	return maxPollInterval
 }
 
-// listCertainty tells from when until when sends are suspended because the list may not be the one that was told last.
+// listCertainty tells from when until when sends are suspended because the list may not be the one that was told
+// last.
 type listCertainty struct {
 	since  time.Time // when the first answer that could not be read began; zero: the list is known
 	latest time.Time // when the latest did
@@ -53,8 +54,8 @@
 	return false, time.Time{}
 }
 
-// listKnown takes a whole answer: all that was told before is known with it. Where polls pause after it, what is told in
-// the meantime is not.
+// listKnown takes a whole answer: all that was told before is known with it. Where polls pause after it, what is told
+// in the meantime is not.
 func (l *Loop) listKnown(pollPaused bool) {
 	l.certainty = listCertainty{}
 	if pollPaused {
--- a/internal/state/listcertainty_test.go
+++ b/internal/state/listcertainty_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// From the first answer that could not be read on, less the margin before the end of the grace, nothing is sent, until a
-// while after the latest.
+// From the first answer that could not be read on, less the margin before the end of the grace, nothing is sent,
+// until a while after the latest.
 func TestCertainty(t *testing.T) {
 	const grace, span = 2 * time.Second, 10 * time.Second
 	zero := time.Now()
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -1,8 +1,10 @@
-// Package state is the sender's event loop, which alone owns the controller, the table of the messages that were accepted,
-// the endpoint group (internal/endpointgroup) and the write-ahead log (internal/wal). Others only post events to it.
+// Package state is the sender's event loop, which alone owns the controller, the table of the messages that were
+// accepted, the endpoint group (internal/endpointgroup) and the write-ahead log (internal/wal). Others only post
+// events to it.
 //
-// It speaks no protocol: its Transport carries calls, its Discovery polls, its Reporter delivers reports, and each posts what
-// came of that. It decides neither what is sent when (package control) nor whether a send is allowed (package permit).
+// It speaks no protocol: its Transport carries calls, its Discovery polls, its Reporter delivers reports, and each
+// posts what came of that. It decides neither what is sent when (package control) nor whether a send is allowed
+// (package permit).
 package state
 
 import (
@@ -95,8 +97,8 @@
 	finished chan struct{}
 }
 
-// NewLoop reads the log and makes a loop; Run starts it. Errors are those of the state folder and of settings that make no
-// sense.
+// NewLoop reads the log and makes a loop; Run starts it. Errors are those of the state folder and of settings that
+// make no sense.
 func NewLoop(s Setup) (*Loop, error) {
 	registry := &classRegistry{}
 	for i, c := range s.Settings.Classes {
@@ -169,8 +171,8 @@
 // ConnectPeers names the one who tells the other senders; before Run. Without one nothing is told.
 func (l *Loop) ConnectPeers(t GossipSender) { l.gossipSender = t }
 
-// Post hands an event to the loop. It blocks while the queue is full, as its callers are goroutines of their own. After the
-// end of Run the event is dropped.
+// Post hands an event to the loop. It blocks while the queue is full, as its callers are goroutines of their own.
+// After the end of Run the event is dropped.
 func (l *Loop) Post(event Event) {
 	select {
 	case l.events <- event:
@@ -244,8 +246,8 @@
 	}
 }
 
-// Run runs iterations until the context ends. In an iteration all events that are in are handled, the controller decides
-// once, and what it did is committed.
+// Run runs iterations until the context ends. In an iteration all events that are in are handled, the controller
+// decides once, and what it did is committed.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.Close()
 	defer close(l.finished)
@@ -267,8 +269,8 @@
 	}
 }
 
-// Step runs iterations until these events and what they bring about are dealt with. It takes the place of Run, for one who
-// has the time in hand; TimerElapsed stands for the timer.
+// Step runs iterations until these events and what they bring about are dealt with. It takes the place of Run, for
+// one who has the time in hand; TimerElapsed stands for the timer.
 func (l *Loop) Step(events ...Event) {
 	if !l.started {
 		l.begin()
--- a/internal/state/message.go
+++ b/internal/state/message.go
@@ -43,8 +43,8 @@
 	DuplicateID                      // another message has or had this id
 )
 
-// AdmissionDecision is made once: either the loop accepts a message, or the listener, whose client can't wait any longer,
-// rejects it.
+// AdmissionDecision is made once: either the loop accepts a message, or the listener, whose client can't wait any
+// longer, rejects it.
 type AdmissionDecision struct{ made atomic.Bool }
 
 // Reject decides against the message. False: it has been accepted.
--- a/internal/state/outcome.go
+++ b/internal/state/outcome.go
@@ -132,8 +132,8 @@
 	l.reports = append(l.reports, n)
 }
 
-// markEnded ends a message in the table and in the log. Where its body is needed no more, what is left takes the place of
-// all records before it, so that the body takes no room.
+// markEnded ends a message in the table and in the log. Where its body is needed no more, what is left takes the
+// place of all records before it, so that the body takes no room.
 func (l *Loop) markEnded(e *entry, n DeliveryReport) {
 	l.table.markEnded(e, n)
 	if len(e.Body) > 0 {
@@ -154,8 +154,8 @@
 	}
 }
 
-// reportOverdue reports messages whose time is up, though the log lacks them: the next process, if it comes to that, gives
-// these messages up as well, and a second report does no harm.
+// reportOverdue reports messages whose time is up, though the log lacks them: the next process, if it comes to that,
+// gives these messages up as well, and a second report does no harm.
 func (l *Loop) reportOverdue() {
 	waiting := l.reports[:0]
 	for _, n := range l.reports {
--- a/internal/state/pending.go
+++ b/internal/state/pending.go
@@ -23,7 +23,8 @@
 	Owed        string // "delivery", "deferred" or "undeliverable"
 }
 
-// ReadPending lists what the journal of a folder owes, without touching it. Errors are those of the folder and its files.
+// ReadPending lists what the journal of a folder owes, without touching it. Errors are those of the folder and its
+// files.
 func ReadPending(dir string, log *slog.Logger) ([]Pending, error) {
 	entries, err := wal.Read(dir, log)
 	if err != nil {
--- a/internal/state/redelivery.go
+++ b/internal/state/redelivery.go
@@ -19,8 +19,8 @@
 
 func (r Redelivery) apply(l *Loop) { l.admitRedelivery(r) }
 
-// RedeliveryDenial says why a redelivery is not admitted. It is the Reason of the dead letter that goes back to the queue, in
-// words for operators; empty: it is admitted.
+// RedeliveryDenial says why a redelivery is not admitted. It is the Reason of the dead letter that goes back to the
+// queue, in words for operators; empty: it is admitted.
 type RedeliveryDenial string
 
 // The denials, in the order in which they are looked for.
--- a/internal/state/remote.go
+++ b/internal/state/remote.go
@@ -8,7 +8,8 @@
 	attempt int
 }
 
-// remoteAttempts are the attempts that another process of this sender has in flight, each with the call that it is in.
+// remoteAttempts are the attempts that another process of this sender has in flight, each with the call that it is
+// in.
 type remoteAttempts map[remoteAttemptKey]int
 
 // remove takes an attempt off, and tells whether it was there.
--- a/internal/state/restart_test.go
+++ b/internal/state/restart_test.go
@@ -12,8 +12,8 @@
 	"cleathold/internal/wal"
 )
 
-// A journal that fails for a while holds no notice back beyond the time of its message, when a next process would not send
-// it any more; one of a message with time left waits until it is written.
+// A journal that fails for a while holds no notice back beyond the time of its message, when a next process would not
+// send it any more; one of a message with time left waits until it is written.
 func TestNoticesWhileTheJournalFails(t *testing.T) {
 	dir := t.TempDir()
 	l, o := newTestLoop(t, dir, 1e6)
@@ -118,8 +118,8 @@
 	}
 }
 
-// A step of the wall clock between two processes changes no span: what was sent 5 s ago and is due in 20 s is so to the
-// next process, whether the clock was put forward or back by an hour meanwhile.
+// A step of the wall clock between two processes changes no span: what was sent 5 s ago and is due in 20 s is so to
+// the next process, whether the clock was put forward or back by an hour meanwhile.
 func TestRestartAcrossAStepOfTheWallClock(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		dir := t.TempDir()
--- a/internal/state/retryafter.go
+++ b/internal/state/retryafter.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// maxRetryAfters are remembered; beyond that those that have passed are forgotten first, and beyond twice that no more are
-// taken.
+// maxRetryAfters are remembered; beyond that those that have passed are forgotten first, and beyond twice that no
+// more are taken.
 const maxRetryAfters = 1024
 
-// routeKey names what a Retry-After binds: a destination, or one endpoint where its kind has separate routes. That is bound by
-// its address, too: discovery may list another endpoint there before the wait has passed, or have done so unread.
+// routeKey names what a Retry-After binds: a destination, or one endpoint where its kind has separate routes. That is
+// bound by its address, too: discovery may list another endpoint there before the wait has passed, or have done so
+// unread.
 type routeKey struct {
 	destination int
 	target      string
--- a/internal/state/sendcheck.go
+++ b/internal/state/sendcheck.go
@@ -5,9 +5,9 @@
 	"cleathold/internal/permit"
 )
 
-// A send that the controller decided on is checked for the last time as its call is about to leave (package permit). The
-// result of a call tells when its first byte was written, which is checked by the same rules: a violation is counted and
-// logged, and never goes unseen.
+// A send that the controller decided on is checked for the last time as its call is about to leave (package permit).
+// The result of a call tells when its first byte was written, which is checked by the same rules: a violation is
+// counted and logged, and never goes unseen.
 
 // permitRules are the rules in force for all sends.
 func (l *Loop) permitRules() permit.Rules {
@@ -22,7 +22,8 @@
 	}
 }
 
-// permitted tells whether an attempt of a call may leave now. What may not is counted and ends as one that was canceled.
+// permitted tells whether an attempt of a call may leave now. What may not is counted and ends as one that was
+// canceled.
 func (l *Loop) permitted(c *Call, a *Attempt, e *entry) bool {
 	m := permit.Message{
 		Deadline: a.Message.Deadline, MayHaveRun: len(e.mayHaveRun) > 0, KeyRetainedUntil: a.NotAfter, InFlight: e.inFlight > 1,
--- a/internal/state/sendcheck_test.go
+++ b/internal/state/sendcheck_test.go
@@ -15,7 +15,8 @@
 	l.group.Update(control.ListDelta, l.group.Version(), []Target{t}, at)
 }
 
-// What the controller must not have decided on does not leave, whatever the reason: it is counted, and the message goes on.
+// What the controller must not have decided on does not leave, whatever the reason: it is counted, and the message
+// goes on.
 func TestGate(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -73,8 +74,8 @@
 	}
 }
 
-// A told wait counts from when its answer came, also where that was in the middle of a round; and it binds the next target
-// at the same address, under whatever id that is listed.
+// A told wait counts from when its answer came, also where that was in the middle of a round; and it binds the next
+// target at the same address, under whatever id that is listed.
 func TestWaitsAreKept(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	for _, c := range []struct {
--- a/internal/state/settings.go
+++ b/internal/state/settings.go
@@ -18,8 +18,8 @@
 
 func (e UpdateSettings) apply(l *Loop) { e.Done <- l.updateSettings(e) }
 
-// SettingsResult tells the numbers of the classes that hold now, by name, or why the old settings stay: ErrTooManyClasses,
-// ErrHandedOver or an error of the controller.
+// SettingsResult tells the numbers of the classes that hold now, by name, or why the old settings stay:
+// ErrTooManyClasses, ErrHandedOver or an error of the controller.
 type SettingsResult struct {
 	Numbers map[string]int
 	Classes []control.Class // by number, those of before included
@@ -48,7 +48,8 @@
 	return SettingsResult{Numbers: numbers, Classes: settings.Classes}
 }
 
-// notifyClasses tells the dead-letter queue how classes are numbered, and which numbers the names of the settings have.
+// notifyClasses tells the dead-letter queue how classes are numbered, and which numbers the names of the settings
+// have.
 func (l *Loop) notifyClasses(current map[string]int) {
 	if l.deadLetterQueue != nil {
 		l.deadLetterQueue.ClassesChanged(l.table.classes.names(), current, l.settings)
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// idle tells whether nothing is owed to endpoints and the platform. What the dead-letter queue is owed the log keeps for the
-// next start.
+// idle tells whether nothing is owed to endpoints and the platform. What the dead-letter queue is owed the log keeps
+// for the next start.
 func (t *table) idle() bool {
 	for _, e := range t.entries {
 		if e.report == nil || e.deadLetterSeq == 0 && !e.reported {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,9 +1,10 @@
-// Package wal is a sender's write-ahead log: the records of its messages in a store (internal/store) in the state folder, the
-// time base by which they are stamped, their replay at a start, and the import of the single file that was the log before.
+// Package wal is a sender's write-ahead log: the records of its messages in a store (internal/store) in the state
+// folder, the time base by which they are stamped, their replay at a start, and the import of the single file that
+// was the log before.
 //
-// Each message is an entity of the store, from its acceptance until nothing more is owed. What one iteration of the event
-// loop adds is appended as one batch; nothing is rewritten whole. The package knows the form of records and what they add up
-// to. What is written when, and what a message still needs, is decided by internal/state.
+// Each message is an entity of the store, from its acceptance until nothing more is owed. What one iteration of the
+// event loop adds is appended as one batch; nothing is rewritten whole. The package knows the form of records and
+// what they add up to. What is written when, and what a message still needs, is decided by internal/state.
 package wal
 
 import (
@@ -27,8 +28,8 @@
 	recordAllowance = 768
 )
 
-// FormWritten is the form of the log that this program writes, for those who put one program in the place of another: 1 was
-// a single file, 2 is a store.
+// FormWritten is the form of the log that this program writes, for those who put one program in the place of another:
+// 1 was a single file, 2 is a store.
 const FormWritten = 2
 
 // FormsRead are those that this program takes up.
@@ -56,9 +57,9 @@
 	FS         store.FS // of the store; nil: Dir
 }
 
-// Open opens the log of a folder, and returns what it tells of messages that something is still owed for, and the least
-// number for the next message. The single file of an older program is imported. Errors are those of the folder and of the
-// store; one that another process has open is such.
+// Open opens the log of a folder, and returns what it tells of messages that something is still owed for, and the
+// least number for the next message. The single file of an older program is imported. Errors are those of the folder
+// and of the store; one that another process has open is such.
 func Open(o Options) (*Log, []*Entry, control.MessageID, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, nil, 0, fmt.Errorf("journal: %w", err)
@@ -142,8 +143,8 @@
 	return int64(len(id) + len(key) + len(body) + recordAllowance)
 }
 
-// HasRoom tells whether live messages may take so many bytes. Two fifths of the limit for what is live leave compaction
-// more than it needs to keep up.
+// HasRoom tells whether live messages may take so many bytes. Two fifths of the limit for what is live leave
+// compaction more than it needs to keep up.
 func (l *Log) HasRoom(live int64) bool { return live <= l.limit*2/5 }
 
 // Limit returns the bytes that the store may take.
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -131,8 +131,8 @@
 	return list[0]
 }
 
-// A process killed at any byte leaves a folder from which all that was promised is read, and the next process goes on with
-// it.
+// A process killed at any byte leaves a folder from which all that was promised is read, and the next process goes on
+// with it.
 func TestLogTornAnywhere(t *testing.T) {
 	base := t.TempDir()
 	writeHistory(t, base)
@@ -160,8 +160,8 @@
 	}
 }
 
-// Damage costs what it touches alone. As that may have told of an attempt, each message that was open before it counts as
-// one that may have run.
+// Damage costs what it touches alone. As that may have told of an attempt, each message that was open before it
+// counts as one that may have run.
 func TestLogDamaged(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir, 1e6)
@@ -193,8 +193,8 @@
 	return sum
 }
 
-// The folder never holds more than its limit, and messages are refused before that. A body whose message has ended takes no
-// room, though its report is still owed.
+// The folder never holds more than its limit, and messages are refused before that. A body whose message has ended
+// takes no room, though its report is still owed.
 func TestLogLimit(t *testing.T) {
 	const limit = 400_000
 	dir := t.TempDir()
@@ -289,8 +289,8 @@
 	}
 }
 
-// What the log could not take is known as missing, and is in it once it can write again; what was taken back meanwhile is
-// not.
+// What the log could not take is known as missing, and is in it once it can write again; what was taken back
+// meanwhile is not.
 func TestLogRecovers(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir, 1e6)
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -121,8 +121,8 @@
 	return binary.AppendUvarint(newRecord(recordNotRun, number, 0), uint64(attempt))
 }
 
-// EncodeEnded returns the record of a message for which nothing more is owed, as the single-file format has it. The store
-// marks the end of an entity by itself.
+// EncodeEnded returns the record of a message for which nothing more is owed, as the single-file format has it. The
+// store marks the end of an entity by itself.
 func EncodeEnded(number control.MessageID) []byte { return newRecord(recordEnded, number, 0) }
 
 // EncodeOutcome returns the record of how a message ended undelivered.
@@ -150,8 +150,8 @@
 	return p
 }
 
-// EncodeEntry returns the records of all that is known of one message. A not-run record tells the count of attempts where
-// the last one never ran.
+// EncodeEntry returns the records of all that is known of one message. A not-run record tells the count of attempts
+// where the last one never ran.
 func EncodeEntry(b *TimeBase, e *Entry) [][]byte {
 	list := [][]byte{EncodeAccepted(b, &e.Accepted)}
 	for _, a := range e.MayHaveRun {
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -24,8 +24,8 @@
 	return slices.SortedFunc(maps.Values(r.entries), func(a, b *Entry) int { return cmp.Compare(a.Number, b.Number) })
 }
 
-// apply takes one record, and returns false where it makes no sense. Records of messages that are not known belong to a
-// damaged or finished one and say nothing.
+// apply takes one record, and returns false where it makes no sense. Records of messages that are not known belong to
+// a damaged or finished one and say nothing.
 func (r *replay) apply(record []byte) bool {
 	d := &decoder{rest: record[1:]}
 	number := control.MessageID(d.uvarint())
--- a/internal/wal/singlefile.go
+++ b/internal/wal/singlefile.go
@@ -15,8 +15,8 @@
 	"cleathold/internal/store"
 )
 
-// The log of programs from before the store: one file of records, each a mark, the length and checksum of its payload, and
-// the payload, that was rewritten whole under another name and renamed. It is read and imported once.
+// The log of programs from before the store: one file of records, each a mark, the length and checksum of its
+// payload, and the payload, that was rewritten whole under another name and renamed. It is read and imported once.
 const (
 	singleFileName        = "journal"
 	singleFileReplacement = "journal.new"
@@ -27,8 +27,8 @@
 
 var singleFileMark = []byte{0xc1, 0xea, 0x7d, 0x01}
 
-// importSingleFile makes a store of a single file. The file counts until all of it is in the store, and is removed then: a
-// store that is found beside it is an import that was broken off, and begins anew.
+// importSingleFile makes a store of a single file. The file counts until all of it is in the store, and is removed
+// then: a store that is found beside it is an import that was broken off, and begins anew.
 func importSingleFile(dir string, limit int64, log *slog.Logger) error {
 	r, err := readSingleFile(dir, log)
 	if r == nil || err != nil {
@@ -118,9 +118,9 @@
 	return append(to, record...)
 }
 
-// applyFramed applies the records that read and returns the number of bytes that don't. A damaged record hides none of those
-// after it: reading goes on at the next mark. What it told is not known, so each message open then may have had an attempt.
-// A torn tail is no such case: what it tells had not been acted on.
+// applyFramed applies the records that read and returns the number of bytes that don't. A damaged record hides none
+// of those after it: reading goes on at the next mark. What it told is not known, so each message open then may have
+// had an attempt. A torn tail is no such case: what it tells had not been acted on.
 func (r *replay) applyFramed(data []byte) (unread int) {
 	damaged := false
 	for len(data) > 0 {
--- a/internal/wal/timebase.go
+++ b/internal/wal/timebase.go
@@ -14,10 +14,10 @@
 	"cleathold/internal/atomicfile"
 )
 
-// Times in the log outlast the process, and what is counted from them are spans of real time: deadlines, key retention,
-// Retry-After. The wall clock may be stepped between two processes, and while one runs. So times are written by a time base
-// that goes on with the system's monotonic clock from one process to the next; it is set by the wall clock only once, and
-// again after the machine has been started anew.
+// Times in the log outlast the process, and what is counted from them are spans of real time: deadlines, key
+// retention, Retry-After. The wall clock may be stepped between two processes, and while one runs. So times are
+// written by a time base that goes on with the system's monotonic clock from one process to the next; it is set by
+// the wall clock only once, and again after the machine has been started anew.
 
 const (
 	// TimeBaseFile is the name of the file in the state folder that keeps the time base.
@@ -45,8 +45,8 @@
 	zero time.Time // the instant, in this process
 }
 
-// OpenTimeBase goes on with the time base of a folder, or begins one. Where the folder can't keep it, the time base holds
-// for this process alone; without a monotonic clock it is nil.
+// OpenTimeBase goes on with the time base of a folder, or begins one. Where the folder can't keep it, the time base
+// holds for this process alone; without a monotonic clock it is nil.
 func OpenTimeBase(dir string, log *slog.Logger) *TimeBase {
 	current, err := AnchorNow()
 	if err != nil {
@@ -130,7 +130,8 @@
 	return b.stamp + t.Sub(b.zero).Microseconds()
 }
 
-// Time returns the time that a stamp stands for. It has a monotonic reading, so that steps of the wall clock leave it alone.
+// Time returns the time that a stamp stands for. It has a monotonic reading, so that steps of the wall clock leave it
+// alone.
 func (b *TimeBase) Time(stamp int64) time.Time {
 	if b == nil {
 		return time.UnixMicro(stamp)
