--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -14,33 +14,33 @@
 
 // TestGoldenMessages writes and reads each line of a hand-over as 096da04 did, with the length before it.
 func TestGoldenMessages(t *testing.T) {
-	estate, returned := golden.Fill[state.HandoverState](), golden.Fill[state.RemoteResult]()
+	handedOver, result := golden.Fill[state.HandoverState](), golden.Fill[state.RemoteResult]()
 	for name, m := range map[string]message{
-		"ask":      {Version: version, Ask: true},
-		"refused":  {Refused: "why"},
-		"estate":   {Estate: &estate},
+		"ask":      {Version: version, Request: true},
+		"refused":  {Rejection: "why"},
+		"estate":   {State: &handedOver},
 		"ready":    {Ready: true},
-		"yours":    {Yours: true},
-		"returned": {Returned: &returned, Last: true},
+		"yours":    {Confirmed: true},
+		"returned": {Result: &result, Last: true},
 		"last":     {Last: true},
 	} {
-		golden.Bytes(t, name+".txt", sent(t, m), false)
+		golden.Bytes(t, name+".txt", socketBytes(t, m), false)
 		line, err := os.ReadFile(golden.Path(name + ".txt"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, err := receive(bytes.NewReader(line))
+		read, err := readMessage(bytes.NewReader(line))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if again := sent(t, read); !bytes.Equal(again, line) {
+		if again := socketBytes(t, read); !bytes.Equal(again, line) {
 			t.Errorf("%s: read as %q, want %q", name, again, line)
 		}
 	}
 }
 
-// sent is what goes over the socket for a message.
-func sent(t *testing.T, m message) []byte {
+// socketBytes is what goes over the socket for a message.
+func socketBytes(t *testing.T, m message) []byte {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if err := send(c, m, nil, time.Now().Add(time.Second)); err != nil {
+	if err := writeMessage(c, m, nil, time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	c.CloseWrite()
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -39,77 +39,77 @@
 	return filepath.Join(dir, "s")
 }
 
-func anEstate() state.HandoverState {
+func testState() state.HandoverState {
 	return state.HandoverState{Version: 7, Drained: true, Lease: lease.Holder{Epoch: 9, Until: time.Now().Add(time.Minute), Drain: true}, InFlight: []state.RemoteAttempt{{Message: 3, Attempt: 1, Call: 1}}}
 }
 
-// The heir says what it says up to each byte in turn, and is gone. Before the last byte of 'ready' the giver keeps all,
-// and gives it to the next one that asks; after it the heir has it.
-func TestHeirCutAtEachByte(t *testing.T) {
+// The successor says what it says up to each byte in turn, and is gone. Before the last byte of 'ready' the predecessor
+// keeps all, and hands it over to the next one that requests; after it the successor has it.
+func TestSuccessorCutAtEachByte(t *testing.T) {
 	path := socketPath(t)
-	desk, err := Listen(path, slog.New(slog.DiscardHandler))
+	listener, err := Listen(path, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer desk.Close(false)
+	defer listener.Close(false)
 	sock, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer sock.Close()
-	gave := make(chan error, 1)
+	handedOver := make(chan error, 1)
 	go func() {
-		for ask := range desk.Requests() {
-			gave <- ask.HandOver(sock.(*net.TCPListener), anEstate())
+		for request := range listener.Requests() {
+			handedOver <- request.HandOver(sock.(*net.TCPListener), testState())
 		}
 	}()
-	ask, ready := line(t, message{Version: version, Ask: true}), line(t, message{Ready: true})
-	all := append(append([]byte{}, ask...), ready...)
+	request, ready := line(t, message{Version: version, Request: true}), line(t, message{Ready: true})
+	all := append(append([]byte{}, request...), ready...)
 	for k := range len(all) + 1 {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Write(all[:min(k, len(ask))])
-		if k >= len(ask) { // it is asked; the rest is said once the estate is there
+		c.Write(all[:min(k, len(request))])
+		if k >= len(request) { // it is requested; the rest is said once the state is there
 			c.SetReadDeadline(time.Now().Add(20 * time.Second))
 			var size [4]byte
 			if _, err := io.ReadFull(c, size[:]); err != nil {
-				t.Fatalf("%d bytes: no estate: %v", k, err)
+				t.Fatalf("%d bytes: no state: %v", k, err)
 			}
 			if _, err := io.CopyN(io.Discard, c, int64(binary.BigEndian.Uint32(size[:]))); err != nil {
 				t.Fatal(err)
 			}
-			c.Write(all[len(ask):k])
+			c.Write(all[len(request):k])
 			if k == len(all) {
-				if m, err := receive(c); err != nil || !m.Yours {
-					t.Errorf("not acknowledged: %+v, %v", m, err)
+				if m, err := readMessage(c); err != nil || !m.Confirmed {
+					t.Errorf("not confirmed: %+v, %v", m, err)
 				}
 			}
 		}
 		c.Close()
-		if k < len(ask) {
+		if k < len(request) {
 			continue
 		}
 		select {
-		case err := <-gave:
+		case err := <-handedOver:
 			if (err == nil) != (k == len(all)) {
-				t.Errorf("%d of %d bytes: the giver believes %v", k, len(all), err)
+				t.Errorf("%d of %d bytes: the predecessor has %v", k, len(all), err)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%d bytes: the giver waits on", k)
+			t.Fatalf("%d bytes: the predecessor waits on", k)
 		}
 	}
 }
 
-// posted are what an heir hears of the forwards that were out.
+// posted are what a successor hears of the attempts that were in flight.
 type posted struct{ list []state.Event }
 
 func (p *posted) Post(e state.Event) { p.list = append(p.list, e) }
 
-// The giver says what it says up to each byte in turn, and is gone. An heir without the whole estate takes nothing over. One
-// that serves hears of each forward at most once, and that the rest is lost.
-func TestGiverCutAtEachByte(t *testing.T) {
+// The predecessor says what it says up to each byte in turn, and is gone. A successor without the whole state takes nothing
+// over. One that serves hears of each attempt at most once, and that the rest is lost.
+func TestPredecessorCutAtEachByte(t *testing.T) {
 	path := socketPath(t)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -126,41 +126,41 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	e := anEstate()
-	estate := line(t, message{Version: version, Estate: &e})
+	e := testState()
+	stateLine := line(t, message{Version: version, State: &e})
 	r := state.RemoteResult{Message: 3, Attempt: 1, Target: "s", Result: control.Served, Final: true}
-	yours, rest := line(t, message{Yours: true}), line(t, message{Returned: &r, Last: true})
-	total := len(estate) + len(yours) + len(rest)
+	confirmed, rest := line(t, message{Confirmed: true}), line(t, message{Result: &r, Last: true})
+	total := len(stateLine) + len(confirmed) + len(rest)
 	for k := range total + 1 {
 		served := make(chan struct{})
-		go func() { // the giver
+		go func() { // the predecessor
 			defer close(served)
 			c, err := l.AcceptUnix()
 			if err != nil {
 				return
 			}
 			defer c.Close()
-			if m, err := receive(c); err != nil || !m.Ask {
-				t.Errorf("asked: %+v, %v", m, err)
+			if m, err := readMessage(c); err != nil || !m.Request {
+				t.Errorf("requested: %+v, %v", m, err)
 			}
 			if k == 0 {
 				return
 			}
-			c.WriteMsgUnix(estate[:1], unix.UnixRights(int(file.Fd())), nil)
-			c.Write(estate[1:max(1, min(k, len(estate)))])
-			if k < len(estate) {
+			c.WriteMsgUnix(stateLine[:1], unix.UnixRights(int(file.Fd())), nil)
+			c.Write(stateLine[1:max(1, min(k, len(stateLine)))])
+			if k < len(stateLine) {
 				return
 			}
-			if m, err := receive(c); err != nil || !m.Ready {
-				t.Errorf("%d bytes: the heir is not ready: %+v, %v", k, m, err)
+			if m, err := readMessage(c); err != nil || !m.Ready {
+				t.Errorf("%d bytes: the successor is not ready: %+v, %v", k, m, err)
 			}
-			c.Write(yours[:min(k-len(estate), len(yours))])
-			c.Write(rest[:max(0, min(k-len(estate)-len(yours), len(rest)))])
+			c.Write(confirmed[:min(k-len(stateLine), len(confirmed))])
+			c.Write(rest[:max(0, min(k-len(stateLine)-len(confirmed), len(rest)))])
 		}()
 		i, err := RequestTakeover(path)
-		if k < len(estate) {
+		if k < len(stateLine) {
 			if err == nil || i != nil {
-				t.Fatalf("%d of %d bytes of the estate were enough", k, len(estate))
+				t.Fatalf("%d of %d bytes of the state were enough", k, len(stateLine))
 			}
 			<-served
 			continue
@@ -171,24 +171,24 @@
 		if i.State.Version != e.Version || i.State.Lease.Epoch != 9 || !i.State.Lease.Active() || !i.State.Drained {
 			t.Errorf("%+v", i.State)
 		}
-		// A giver that is gone can't take anything back: this process goes on.
+		// A predecessor that is gone can't take anything back: this process goes on.
 		if err := i.ConfirmReady(); err != nil {
 			t.Errorf("%d bytes: %v", k, err)
 		}
 		var p posted
 		i.Run(context.Background(), &p)
 		i.Listener.Close()
-		returned, lost := 0, 0
+		results, lost := 0, 0
 		for _, e := range p.list {
 			switch e.(type) {
 			case state.RemoteResult:
-				returned++
+				results++
 			case state.PredecessorLost:
 				lost++
 			}
 		}
-		if want := k == total; lost != 1 || (returned == 1) != want || returned > 1 {
-			t.Errorf("%d of %d bytes: heard of %d forwards, %d times that the rest is lost", k, total, returned, lost)
+		if want := k == total; lost != 1 || (results == 1) != want || results > 1 {
+			t.Errorf("%d of %d bytes: heard of %d attempts, %d times that the rest is lost", k, total, results, lost)
 		}
 		<-served
 	}
--- /dev/null
+++ b/internal/handover/takeover.go
@@ -0,0 +1,125 @@
+package handover
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"cleathold/internal/state"
+)
+
+// Takeover is what a successor got. It ends with Abort or Run.
+type Takeover struct {
+	State    state.HandoverState
+	Listener net.Listener
+	conn     *net.UnixConn
+	in       *bufio.Reader
+}
+
+// RequestTakeover requests the hand-over of the process at a path. Nil without an error: there is none. Errors are
+// ErrRejected, ErrNoState, ErrNoSocket and those of the connection.
+func RequestTakeover(path string) (*Takeover, error) {
+	conn, err := net.Dial("unix", path)
+	if err != nil {
+		return nil, nil // whoever was there is dead, or there never was one
+	}
+	c := conn.(*net.UnixConn)
+	if err := writeNow(c, message{Version: version, Request: true}); err != nil {
+		c.Close()
+		return nil, nil
+	}
+	t, err := readTakeover(c)
+	if err != nil {
+		c.Close()
+		return nil, err
+	}
+	return t, nil
+}
+
+// readTakeover reads the answer to a request: a state, with the listening socket beside its first byte.
+func readTakeover(c *net.UnixConn) (*Takeover, error) {
+	c.SetReadDeadline(time.Now().Add(stateTimeout))
+	first, oob := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
+	_, n, _, _, err := c.ReadMsgUnix(first, oob)
+	if err != nil {
+		return nil, fmt.Errorf("handover: the process that serves sent nothing: %w", err)
+	}
+	in := bufio.NewReader(c)
+	m, err := readMessage(io.MultiReader(bytes.NewReader(first), in))
+	switch {
+	case m.Rejection != "" && (err != nil || m.State == nil):
+		return nil, fmt.Errorf("%w: %s", ErrRejected, m.Rejection)
+	case err != nil:
+		return nil, fmt.Errorf("handover: the state can't be read: %w", err)
+	case m.State == nil:
+		return nil, ErrNoState
+	}
+	listener, err := listenerOf(oob[:n])
+	if err != nil {
+		return nil, err
+	}
+	c.SetReadDeadline(time.Time{})
+	return &Takeover{State: *m.State, Listener: listener, conn: c, in: in}, nil
+}
+
+// listenerOf makes a listener of the descriptor that came along.
+func listenerOf(oob []byte) (net.Listener, error) {
+	list, err := unix.ParseSocketControlMessage(oob)
+	if err != nil || len(list) != 1 {
+		return nil, ErrNoSocket
+	}
+	fds, err := unix.ParseUnixRights(&list[0])
+	if err != nil || len(fds) != 1 {
+		return nil, ErrNoSocket
+	}
+	unix.CloseOnExec(fds[0])
+	f := os.NewFile(uintptr(fds[0]), "listener")
+	defer f.Close()
+	listener, err := net.FileListener(f)
+	if err != nil {
+		return nil, fmt.Errorf("handover: %w", err)
+	}
+	return listener, nil
+}
+
+// ConfirmReady tells the predecessor that this process serves. The error is ErrRejected: the predecessor has taken
+// everything back, and this process must end. One that is gone can't.
+func (t *Takeover) ConfirmReady() error {
+	if err := writeNow(t.conn, message{Ready: true}); err != nil {
+		return nil
+	}
+	t.conn.SetReadDeadline(time.Now().Add(writeTimeout))
+	defer t.conn.SetReadDeadline(time.Time{})
+	m, err := readMessage(t.in)
+	if err == nil && !m.Confirmed {
+		return fmt.Errorf("%w: %s", ErrRejected, m.Rejection)
+	}
+	return nil
+}
+
+// Run posts the results of the attempts that are in flight at the other process, until the last one or until it ends.
+func (t *Takeover) Run(ctx context.Context, to EventPoster) {
+	stop := context.AfterFunc(ctx, func() { t.conn.Close() })
+	defer stop()
+	defer t.conn.Close()
+	for {
+		m, err := readMessage(t.in)
+		if m.Result != nil {
+			to.Post(*m.Result)
+		}
+		if err != nil || m.Last {
+			to.Post(state.PredecessorLost{})
+			return
+		}
+	}
+}
+
+// Abort gives up what was taken before this process served: the other one goes on.
+func (t *Takeover) Abort() { t.conn.Close() }
