--- a/internal/endpointgroup/group.go
+++ b/internal/endpointgroup/group.go
@@ -27,15 +27,15 @@
 	excluded          map[string]bool      // ids of targets that operators have taken out
 	suspended         bool                 // nothing new goes to any target
 
-	leftAt map[control.EndpointID]time.Time // when those were told that drain or are gone
+	unavailableSince map[control.EndpointID]time.Time // when those were told that drain or are gone
 }
 
 // New returns a group of which nothing is known yet.
 func New() *Group {
 	return &Group{
 		byID: map[string]*Target{}, byNumber: map[control.EndpointID]*Target{}, byHash: map[uint32]control.EndpointID{},
-		knownDestinations: map[int]bool{}, removedAt: map[string]time.Time{}, leftAt: map[control.EndpointID]time.Time{},
-		nextNumber: 1, version: NoVersion,
+		version: NoVersion, nextNumber: 1, knownDestinations: map[int]bool{}, removedAt: map[string]time.Time{},
+		unavailableSince: map[control.EndpointID]time.Time{},
 	}
 }
 
@@ -57,8 +57,10 @@
 // All returns all targets that are known, those that left not long ago included, in no order.
 func (g *Group) All() iter.Seq[*Target] { return maps.Values(g.byID) }
 
-// LeftAt returns when a target was told to drain or to be gone; the zero time stands for never.
-func (g *Group) LeftAt(number control.EndpointID) time.Time { return g.leftAt[number] }
+// UnavailableSince returns when a target was told to drain or to be gone; the zero time stands for never.
+func (g *Group) UnavailableSince(number control.EndpointID) time.Time {
+	return g.unavailableSince[number]
+}
 
 // Serves tells whether a destination has or had a target; as long as none is known at all, any may have one.
 func (g *Group) Serves(destination int) bool {
@@ -173,10 +175,10 @@
 	return endpoints
 }
 
-// UpdateLeaving enters targets that drain or are gone, of those that are known, and returns them as the controller is
+// UpdateDeparting enters targets that drain or are gone, of those that are known, and returns them as the controller is
 // to see them. The version of the list stays: there may be more to it.
-func (g *Group) UpdateLeaving(leaving []Target, now time.Time) []control.Endpoint {
-	known := slices.DeleteFunc(slices.Clone(leaving), func(t Target) bool { return g.byID[t.ID] == nil })
+func (g *Group) UpdateDeparting(departing []Target, now time.Time) []control.Endpoint {
+	known := slices.DeleteFunc(slices.Clone(departing), func(t Target) bool { return g.byID[t.ID] == nil })
 	if len(known) == 0 {
 		return nil
 	}
@@ -209,9 +211,9 @@
 func (g *Group) trackReadiness(t *Target, now time.Time) {
 	number := t.Endpoint.ID
 	if g.Ready(t.ID) {
-		delete(g.leftAt, number)
-	} else if _, before := g.leftAt[number]; !before {
-		g.leftAt[number] = now
+		delete(g.unavailableSince, number)
+	} else if _, before := g.unavailableSince[number]; !before {
+		g.unavailableSince[number] = now
 	}
 }
 
@@ -224,7 +226,7 @@
 		delete(g.removedAt, id)
 		number := g.byID[id].Endpoint.ID
 		delete(g.byNumber, number)
-		delete(g.leftAt, number)
+		delete(g.unavailableSince, number)
 		if hash := gossip.HashID(id); g.byHash[hash] == number {
 			delete(g.byHash, hash)
 		}
--- a/internal/endpointgroup/group_test.go
+++ b/internal/endpointgroup/group_test.go
@@ -47,13 +47,15 @@
 	g.SetExcluded([]string{"c"})
 	leaves := up("a")
 	leaves.State = control.Draining
-	if lines := g.UpdateLeaving([]Target{leaves, {ID: "stranger"}}, now); len(lines) != 1 || g.version != 3 || len(g.byID) != 3 {
+	if lines := g.UpdateDeparting([]Target{leaves, {ID: "stranger"}}, now); len(lines) != 1 || g.version != 3 ||
+		len(g.byID) != 3 {
 		t.Errorf("%+v, version %d, %d targets", lines, g.version, len(g.byID))
 	}
 	for _, suspended := range []bool{true, false} {
 		lines, changed := g.SetSuspended(suspended)
-		if _, again := g.SetSuspended(suspended); !changed || again || len(lines) != 1 || (lines[0].State == control.Ready) == suspended {
-			t.Errorf("suspended %t: %+v, changed %t, again %t", suspended, lines, changed, again)
+		if _, repeated := g.SetSuspended(suspended); !changed || repeated || len(lines) != 1 ||
+			(lines[0].State == control.Ready) == suspended {
+			t.Errorf("suspended %t: %+v, changed %t, again %t", suspended, lines, changed, repeated)
 		}
 	}
 }
@@ -68,7 +70,8 @@
 	g.Update(control.ListFull, 0, nil, now)
 	again := g.Update(control.ListDelta, 0, []Target{back}, now.Add(removedRetention/2))
 	g.Update(control.ListDelta, 0, nil, now.Add(2*removedRetention))
-	if again[0].ID != first[0].ID || g.byID["back"] == nil || g.byID["gone"] != nil || len(g.byNumber) != 1 || len(g.removedAt) != 0 {
+	if again[0].ID != first[0].ID || g.byID["back"] == nil || g.byID["gone"] != nil || len(g.byNumber) != 1 ||
+		len(g.removedAt) != 0 {
 		t.Errorf("numbers %d and %d, known %v", first[0].ID, again[0].ID, g.byID)
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -40,7 +40,10 @@
 }
 
 func testState() state.HandoverState {
-	return state.HandoverState{Version: 7, Drained: true, Lease: lease.Holder{Epoch: 9, Until: time.Now().Add(time.Minute), Drain: true}, InFlight: []state.RemoteAttempt{{Message: 3, Attempt: 1, Call: 1}}}
+	return state.HandoverState{
+		Version: 7, Drained: true, Lease: lease.Holder{Epoch: 9, Until: time.Now().Add(time.Minute), Drain: true},
+		InFlight: []state.RemoteAttempt{{Message: 3, Attempt: 1, Call: 1}},
+	}
 }
 
 // The successor says what it says up to each byte in turn, and is gone. Before the last byte of 'ready' the predecessor
@@ -107,8 +110,8 @@
 
 func (p *posted) Post(e state.Event) { p.list = append(p.list, e) }
 
-// The predecessor says what it says up to each byte in turn, and is gone. A successor without the whole state takes nothing
-// over. One that serves hears of each attempt at most once, and that the rest is lost.
+// The predecessor says what it says up to each byte in turn, and is gone. A successor without the whole state takes
+// nothing over. One that serves hears of each attempt at most once, and that the rest is lost.
 func TestPredecessorCutAtEachByte(t *testing.T) {
 	path := socketPath(t)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
--- a/internal/state/admission.go
+++ b/internal/state/admission.go
@@ -81,14 +81,15 @@
 	if limit > 0 && (l.table.open >= limit || len(l.table.entries) >= maxReportsFactor*limit) {
 		return false
 	}
-	return l.wal.HasRoom(l.table.liveBytes + storageCost(m))
+	return l.wal.HasCapacity(l.table.liveBytes + storageCost(m))
 }
 
 // submitToController gives a message to the controller, with all that was done for it before.
 func (l *Loop) submitToController(e *entry, restarted bool) {
 	m := control.Message{
 		ID: e.num, Class: e.Class, Destination: e.Destination, Tenant: e.Tenant,
-		TimeLeft: e.Deadline.Sub(l.now), Resubmitted: e.Resubmitted, Inherited: e.Inherited || restarted, Attempts: e.attempts,
+		TimeLeft: e.Deadline.Sub(l.now), Resubmitted: e.Resubmitted, Inherited: e.Inherited || restarted,
+		Attempts: e.attempts,
 	}
 	if a, ran := e.firstRun(); ran {
 		m.MayHaveRun, m.FirstRunZone = true, a.Zone
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -14,11 +14,13 @@
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("keeper=%t", on), func(b *testing.B) {
 			dir := b.TempDir()
-			classes := []control.Class{{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.Idempotent}}
+			classes := []control.Class{testClass(control.Idempotent)}
 			target := Target{ID: "s", Addr: "nowhere", Endpoint: control.Endpoint{Destination: 7, State: control.Ready}}
 			setup := Setup{
-				Settings: control.Settings{FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 1}}, MaxInFlight: 64, MaxOpenMessages: 256, HeadroomIndex: -1, LimitIndex: -1},
-				Dir:      dir, DiskBytes: 8e6, Log: discardLog, Known: ListUpdate{Kind: control.ListCached, Version: 1, Targets: []Target{target}},
+				Settings: control.Settings{FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 1}}, MaxInFlight: 64,
+					MaxOpenMessages: 256, HeadroomIndex: -1, LimitIndex: -1},
+				Dir: dir, DiskBytes: 8e6, Log: discardLog, Known: ListUpdate{Kind: control.ListCached, Version: 1,
+					Targets: []Target{target}},
 			}
 			if on {
 				setup.DeadLetters = newQueueStub(true)
@@ -32,20 +34,21 @@
 			l.timer = time.NewTimer(time.Hour)
 			l.iterate()
 			body := make([]byte, 200)
-			verdict := make(chan Response, 1)
+			response := make(chan Response, 1)
 			n := 0
 			b.ReportAllocs()
 			for b.Loop() {
 				n++
 				id := fmt.Sprint(n)
-				l.backlog = append(l.backlog, Submitted{Message: &Message{ID: id, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: body}, Response: verdict})
+				m := &Message{ID: id, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: body}
+				l.backlog = append(l.backlog, Submitted{Message: m, Response: response})
 				l.iterate()
-				if v := <-verdict; !v.Accepted {
+				if v := <-response; !v.Accepted {
 					b.Fatalf("%+v", v)
 				}
 				l.backlog = append(l.backlog, ResponseWritten{id, true})
 				l.iterate()
-				l.backlog = append(l.backlog, CallEnded{c.last, []AttemptResult{{Attempt: c.last.Attempts[0], Result: control.Served, Final: true}}})
+				l.backlog = append(l.backlog, endedWith(c.last, AttemptResult{Result: control.Served, Final: true}))
 				l.iterate()
 			}
 		})
--- a/internal/state/deadletter_test.go
+++ b/internal/state/deadletter_test.go
@@ -21,7 +21,10 @@
 	return &queueStub{wants, make(chan [2]int, 4), make(chan DeadLetter, 64), make(chan string, 64)}
 }
 
-func (k *queueStub) Begin(owed []string, out []uint64)                         { k.began <- [2]int{len(owed), len(out)} }
+func (k *queueStub) Begin(owed []string, out []uint64) {
+	k.began <- [2]int{len(owed), len(out)}
+}
+
 func (k *queueStub) Accepts(*DeadLetter) bool                                  { return k.wants }
 func (k *queueStub) Add(p DeadLetter)                                          { k.added <- p }
 func (k *queueStub) CallEnded(int, control.Result, time.Duration, bool)        {}
@@ -51,22 +54,22 @@
 	return to
 }
 
-// fails hands a message in and has its only forward end with a result that its
+// fails submits a message and has its only forward end with a result that its
 // class does not outlive.
 func fails(t *testing.T, l *Loop, o *environment, id string, r control.Result) {
 	t.Helper()
 	v := make(chan Response, 1)
-	l.Post(Submitted{Message: &Message{ID: id, Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}, Response: v})
+	l.Post(Submitted{Message: newMessage(id, 2, time.Minute), Response: v})
 	receive(t, v)
 	l.Post(ResponseWritten{id, true})
 	c := receive(t, o.calls)
 	<-o.pending
-	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: r}}})
+	l.Post(endedWith(c, AttemptResult{Result: r}))
 }
 
-// A message has one owner. The keeper's is undeliverable to the platform, and
-// the journal has it until both know, over a restart at any point between.
-func TestKeeperOwns(t *testing.T) {
+// A message has one owner. The queue's is undeliverable to the platform, and
+// the log has it until both know, over a restart at any point between.
+func TestDeadLetterOwnership(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		acked, store bool // what came before the kill
@@ -78,12 +81,13 @@
 		receive(t, k.began)
 		fails(t, l, o, "a", control.ConnectionLost)
 		n, p := receive(t, o.notices), receive(t, k.added)
-		if n.Deferred || n.ID != "a" || p.Message.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonMayHaveRun ||
+		if n.Deferred || n.ID != "a" || p.Message.ID != "a" || string(p.Message.Body) != "body" ||
+			p.Reason != ReasonMayHaveRun ||
 			len(p.Attempts) != 1 || p.Attempts[0].Target != "s" || p.Attempts[0].Result != control.ConnectionLost {
 			t.Fatalf("%s: %+v, %+v", c.name, n, p)
 		}
 		if list, _ := ReadPending(dir, discardLog); len(list) != 1 || list[0].Owed != "undeliverable" {
-			t.Fatalf("%s: the journal has %+v", c.name, list)
+			t.Fatalf("%s: the log has %+v", c.name, list)
 		}
 		if c.acked {
 			l.Post(ReportsAcknowledged{[]control.MessageID{n.Num}})
@@ -93,24 +97,25 @@
 		}
 		l.Idle()
 		l.Idle()
-		again := newQueueStub(true)
+		restarted := newQueueStub(true)
 		dir = killed(t, dir)
-		l2, o2 := loopWithQueue(t, dir, again)
+		l2, o2 := loopWithQueue(t, dir, restarted)
 		start(t, l2)
-		owed := receive(t, again.began)[0]
+		owed := receive(t, restarted.began)[0]
 		if c.acked && c.store {
 			if id := receive(t, k.forgotten); id != "a" || owed != 0 {
 				t.Errorf("%s: settled %s, owed %d", c.name, id, owed)
 			}
 			continue
 		}
-		n, p = receive(t, o2.notices), receive(t, again.added)
-		if owed != 1 || n.Deferred || n.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonMayHaveRun || !p.Attempts[0].Open {
+		n, p = receive(t, o2.notices), receive(t, restarted.added)
+		if owed != 1 || n.Deferred || n.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonMayHaveRun ||
+			!p.Attempts[0].Open {
 			t.Errorf("%s: after the kill: owed %d, %+v, %+v", c.name, owed, n, p)
 		}
 		l2.Post(ReportsAcknowledged{[]control.MessageID{n.Num}})
 		l2.Post(DeadLettersStored{[]control.MessageID{p.Num}})
-		receive(t, again.forgotten)
+		receive(t, restarted.forgotten)
 		if list, _ := ReadPending(dir, discardLog); len(list) != 0 {
 			t.Errorf("%s: still owed: %+v", c.name, list)
 		}
@@ -118,11 +123,11 @@
 }
 
 // What is given back is not in the store, and the same is found after a restart.
-func TestGivenBack(t *testing.T) {
+func TestDeferredToClient(t *testing.T) {
 	k := newQueueStub(false)
 	dir := t.TempDir()
 	j, tb := openTestLog(t, dir)
-	e := &entry{num: 9, Message: &Message{ID: "a", Class: 2, Destination: 7, Deadline: time.Now().Add(-time.Second), Body: []byte("body")}}
+	e := &entry{num: 9, Message: newMessage("a", 2, -time.Second)}
 	tb.add(e)
 	logAccepted(j, e)
 	if err := errors.Join(j.Flush(), j.Close()); err != nil {
@@ -131,16 +136,16 @@
 	l, o := loopWithQueue(t, dir, k)
 	start(t, l)
 	if n := receive(t, o.notices); !n.Deferred || n.ID != "a" {
-		t.Errorf("notice %+v", n)
+		t.Errorf("report %+v", n)
 	}
 	if l.Idle(); len(k.added) > 0 {
-		t.Errorf("the keeper has it, too: %+v", <-k.added)
+		t.Errorf("the queue has it, too: %+v", <-k.added)
 	}
 }
 
-// A resend is journaled before it leaves, goes out under its id, and what comes
-// of it goes to the keeper alone; so does one that was out at a kill.
-func TestResends(t *testing.T) {
+// A redelivery is loged before it leaves, goes out under its id, and what comes
+// of it goes to the queue alone; so does one that was out at a kill.
+func TestRedeliveries(t *testing.T) {
 	dir := t.TempDir()
 	k := newQueueStub(true)
 	l, o := loopWithQueue(t, dir, k)
@@ -148,39 +153,41 @@
 	receive(t, k.began)
 	resend := func(l *Loop, seq uint64, id string, class int, ran bool, ago time.Duration) {
 		l.Post(Redelivery{Seq: seq, Attempts: 2, MayHaveRun: ran, FirstRunAgo: ago,
-			Message: &Message{ID: id, Class: class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
+			Message: newMessage(id, class, time.Minute)})
 	}
 	resend(l, 5, "a", 2, false, 0)
 	c := receive(t, o.calls)
 	if list := <-o.pending; len(list) != 1 || list[0].ID != "a" || list[0].Attempts != 3 {
-		t.Fatalf("journal as it leaves: %+v", list)
+		t.Fatalf("log as it leaves: %+v", list)
 	}
-	again := newQueueStub(true)
-	l2, o2 := loopWithQueue(t, killed(t, dir), again)
+	restarted := newQueueStub(true)
+	l2, o2 := loopWithQueue(t, killed(t, dir), restarted)
 	start(t, l2)
-	if got := receive(t, again.began); got != [2]int{0, 1} {
-		t.Errorf("after the kill the journal tells %v", got)
+	if got := receive(t, restarted.began); got != [2]int{0, 1} {
+		t.Errorf("after the kill the log tells %v", got)
 	}
-	if p := receive(t, again.added); p.Seq != 5 || p.Delivered || p.Reason != ReasonMayHaveRun || len(p.Attempts) != 1 || !p.Attempts[0].Open || p.AttemptCount != 3 {
+	p := receive(t, restarted.added)
+	if p.Seq != 5 || p.Delivered || p.Reason != ReasonMayHaveRun || len(p.Attempts) != 1 || !p.Attempts[0].Open ||
+		p.AttemptCount != 3 {
 		t.Errorf("after the kill: %+v", p)
 	}
 	if l2.Idle(); len(o2.notices)+len(o2.calls) > 0 {
-		t.Error("a notice, or a second call")
+		t.Error("a report, or a second call")
 	}
-	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Served, Final: true}}})
+	l.Post(endedWith(c, AttemptResult{Result: control.Served, Final: true}))
 	if p := receive(t, k.added); p.Seq != 5 || !p.Delivered {
 		t.Errorf("delivered: %+v", p)
 	} else {
 		l.Post(DeadLettersStored{[]control.MessageID{p.Num}})
 	}
-	// What must not go again does not, whatever the keeper asks for.
+	// What must not go again does not, whatever the queue asks for.
 	resend(l, 6, "b", 2, true, time.Second)
 	if p := receive(t, k.added); p.Seq != 6 || p.Delivered || p.NotAdmitted || p.AttemptCount != 2 {
-		t.Errorf("unsafe that may have run: %+v", p)
+		t.Errorf("not idempotent, may have run: %+v", p)
 	}
 	resend(l, 7, "c", 1, true, time.Hour)
 	if p := receive(t, k.added); p.Seq != 7 || p.Delivered {
-		t.Errorf("keyed beyond its memory: %+v", p)
+		t.Errorf("by key, beyond its retention: %+v", p)
 	}
 	// One at a time under an id, and none while live messages wait.
 	resend(l, 8, "d", 0, false, 0)
@@ -190,47 +197,49 @@
 		t.Errorf("a second one under its id: %+v", p)
 	}
 	if l.Idle(); len(o.notices) > 0 {
-		t.Errorf("notice %+v", <-o.notices)
+		t.Errorf("report %+v", <-o.notices)
 	}
 }
 
-// Where the keeper takes nothing, what waits for it has a tenth of the journal at
-// most: messages that end then are not kept, and new ones are taken on.
-func TestKeeperSlow(t *testing.T) {
+// Where the queue takes nothing, what waits for it has a tenth of the log at
+// most: messages that end then are not kept, and new ones are accepted.
+func TestDeadLetterQueueSlow(t *testing.T) {
 	k := newQueueStub(true)
 	l, o := loopWithQueue(t, t.TempDir(), k) // 1 MB
 	start(t, l)
-	kept := 0
+	accepted := 0
 	for i := range 20 {
 		v := make(chan Response, 1)
 		id := string(rune('a' + i))
-		l.Post(Submitted{Message: &Message{ID: id, Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: make([]byte, 20_000)}, Response: v})
+		m := newMessage(id, 2, time.Minute)
+		m.Body = make([]byte, 20_000)
+		l.Post(Submitted{Message: m, Response: v})
 		if got := receive(t, v); !got.Accepted {
 			t.Fatalf("message %d: %+v", i, got)
 		}
 		l.Post(ResponseWritten{id, true})
 		c := receive(t, o.calls)
 		<-o.pending
-		l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Unprocessable}}})
+		l.Post(endedWith(c, AttemptResult{Result: control.Unprocessable}))
 		n := receive(t, o.notices)
 		if n.DeadLetter != nil {
-			kept++
+			accepted++
 		} else {
 			l.Post(ReportsAcknowledged{[]control.MessageID{n.Num}})
 		}
 	}
-	if kept < 3 || kept > 4 {
-		t.Errorf("%d of 20 kept", kept)
+	if accepted < 3 || accepted > 4 {
+		t.Errorf("%d of 20 kept", accepted)
 	}
 }
 
-// A journal that can't be written lets no resend go.
-func TestResendNeedsJournal(t *testing.T) {
+// A log that can't be written lets no redelivery go.
+func TestRedeliveryNeedsLog(t *testing.T) {
 	k := newQueueStub(true)
 	l, o := loopWithQueue(t, t.TempDir(), k)
 	l.wal.Close()
 	start(t, l)
-	l.Post(Redelivery{Seq: 5, Message: &Message{ID: "a", Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
+	l.Post(Redelivery{Seq: 5, Message: newMessage("a", 0, time.Minute)})
 	if p := receive(t, k.added); p.Seq != 5 || !p.NotAdmitted {
 		t.Errorf("%+v", p)
 	}
@@ -239,33 +248,39 @@
 	}
 }
 
-// A resend is out as the process gives way: what the other one passes on goes to the keeper of the next, and to it
-// alone.
-func TestResendHandedOver(t *testing.T) {
+// A redelivery is out as the process hands over: what the other one passes on goes to the queue of the next, and to
+// it alone.
+func TestRedeliveryHandedOver(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		result  control.Result
-		more    bool // it may go again
-		parting func(p DeadLetter) bool
+		name   string
+		result control.Result
+		more   bool // it may go again
+		valid  func(p DeadLetter) bool
 	}{
-		{"served", control.Served, false, func(p DeadLetter) bool { return p.Delivered && p.Attempts[0].Result == control.Served }},
-		{"rejected", control.Unprocessable, false, func(p DeadLetter) bool { return !p.Delivered && p.Reason == ReasonUnprocessable && !p.Attempts[0].Open }},
+		{"served", control.Served, false, func(p DeadLetter) bool {
+			return p.Delivered && p.Attempts[0].Result == control.Served
+		}},
+		{"rejected", control.Unprocessable, false, func(p DeadLetter) bool {
+			return !p.Delivered && p.Reason == ReasonUnprocessable && !p.Attempts[0].Open
+		}},
 		{"broken", control.ConnectionLost, false, func(p DeadLetter) bool {
 			return !p.Delivered && p.Reason == ReasonMayHaveRun && p.Attempts[0].Result == control.ConnectionLost
 		}},
 		{"refused", control.ConnectFailed, true, nil},
-		{"the other process is lost", control.Unknown, false, func(p DeadLetter) bool { return !p.Delivered && p.Reason == ReasonMayHaveRun && p.Attempts[0].Open }},
+		{"the other process is lost", control.Unknown, false, func(p DeadLetter) bool {
+			return !p.Delivered && p.Reason == ReasonMayHaveRun && p.Attempts[0].Open
+		}},
 	} {
 		dir := t.TempDir()
 		k := newQueueStub(true)
 		l, o := loopWithQueue(t, dir, k)
 		start(t, l)
 		receive(t, k.began)
-		l.Post(Redelivery{Seq: 5, Message: &Message{ID: "a", Class: 2, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}})
+		l.Post(Redelivery{Seq: 5, Message: newMessage("a", 2, time.Minute)})
 		call := receive(t, o.calls)
 		<-o.pending
-		done, heir := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 4))
-		l.Post(HandOver{Successor: heir, Done: done})
+		done, successor := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 4))
+		l.Post(HandOver{Successor: successor, Done: done})
 		given := receive(t, done)
 		if given.Err != nil || len(given.State.InFlight) != 1 {
 			t.Fatalf("%s: %+v", c.name, given)
@@ -276,25 +291,25 @@
 		l2.restoreHandover(&given.State)
 		start(t, l2)
 		if got := receive(t, next.began); got != [2]int{0, 1} {
-			t.Errorf("%s: the next keeper hears of %v", c.name, got)
+			t.Errorf("%s: the next queue hears of %v", c.name, got)
 		}
 		if c.result == control.Unknown {
 			l2.Post(PredecessorLost{})
 		} else {
-			l.Post(CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: c.result, Final: !c.more && c.result != control.ConnectionLost}}})
-			l2.Post(receive(t, heir))
+			l.Post(endedWith(call, AttemptResult{Result: c.result, Final: !c.more && c.result != control.ConnectionLost}))
+			l2.Post(receive(t, successor))
 		}
 		if c.more {
-			if again := receive(t, o2.calls); again.Attempts[0].Message.ID != "a" {
-				t.Errorf("%s: %+v", c.name, again)
+			if retry := receive(t, o2.calls); retry.Attempts[0].Message.ID != "a" {
+				t.Errorf("%s: %+v", c.name, retry)
 			}
 			continue
 		}
-		if p := receive(t, next.added); p.Seq != 5 || len(p.Attempts) != 1 || !c.parting(p) {
+		if p := receive(t, next.added); p.Seq != 5 || len(p.Attempts) != 1 || !c.valid(p) {
 			t.Errorf("%s: %+v", c.name, p)
 		}
 		if l2.Idle(); len(o2.calls)+len(o2.notices)+len(k.added) > 0 {
-			t.Errorf("%s: a second call, a notice, or the keeper of before hears of it", c.name)
+			t.Errorf("%s: a second call, a report, or the queue of before hears of it", c.name)
 		}
 	}
 }
--- a/internal/state/endpoints.go
+++ b/internal/state/endpoints.go
@@ -46,7 +46,7 @@
 func (e ListUnreadable) apply(l *Loop) {
 	l.certainty.markUncertain(e.At)
 	l.counters.unreadableLists.Add(1)
-	if endpoints := l.group.UpdateLeaving(e.Leaving, l.now); len(endpoints) > 0 {
+	if endpoints := l.group.UpdateDeparting(e.Leaving, l.now); len(endpoints) > 0 {
 		l.log.Info("endpoints leave, by part of a list", "count", len(endpoints))
 		l.endpointsExcluded(endpoints)
 		l.departures.Update(l.group)
@@ -104,7 +104,8 @@
 func (e GossipReceived) apply(l *Loop) {
 	for _, o := range e.Observations {
 		if number, known := l.group.NumberByHash(o.EndpointHash); known {
-			l.controller.ReceiveGossip(l.sinceStart(), control.Observation{Endpoint: number, Kind: o.Kind, Age: o.Age, Peer: e.Peer})
+			heard := control.Observation{Endpoint: number, Kind: o.Kind, Age: o.Age, Peer: e.Peer}
+			l.controller.ReceiveGossip(l.sinceStart(), heard)
 		}
 	}
 }
--- a/internal/state/entry.go
+++ b/internal/state/entry.go
@@ -23,7 +23,7 @@
 	cost           int64              // bytes that it may take in the log
 	classRecord    string             // its class as it stands there
 	inFlight       int                // attempts without an end
-	remoteInFlight int                // attempts that another process of this sender has out; until they are known it waits
+	remoteInFlight int                // attempts of another process; until they are known it waits
 	acceptedAt     time.Time
 	attempted      bool // an attempt of it has left, or was about to
 
@@ -68,8 +68,8 @@
 func (e *entry) history() []AttemptRecord {
 	list := make([]AttemptRecord, 0, len(e.attemptLog)+len(e.mayHaveRun))
 	for _, a := range e.mayHaveRun {
-		known := a.InDeadLetter || slices.ContainsFunc(e.attemptLog, func(x numberedAttempt) bool { return x.attempt == a.Index })
-		if !known {
+		inLog := func(x numberedAttempt) bool { return x.attempt == a.Index }
+		if !a.InDeadLetter && !slices.ContainsFunc(e.attemptLog, inLog) {
 			list = append(list, AttemptRecord{Target: a.Endpoint, Zone: a.Zone, At: a.At, Open: true})
 		}
 	}
@@ -82,8 +82,9 @@
 // accepted is the entry's first record in the log.
 func (e *entry) accepted() wal.Accepted {
 	return wal.Accepted{
-		Number: e.num, ID: e.ID, Key: e.Key, Class: e.Class, Tenant: e.Tenant, Destination: e.Destination, Deadline: e.Deadline,
-		Resubmitted: e.Resubmitted, Body: e.Body, DeadLetterSeq: e.deadLetterSeq, ClassRecord: e.classRecord,
+		Number: e.num, ID: e.ID, Key: e.Key, Class: e.Class, Tenant: e.Tenant, Destination: e.Destination,
+		Deadline: e.Deadline, Resubmitted: e.Resubmitted, Body: e.Body, DeadLetterSeq: e.deadLetterSeq,
+		ClassRecord: e.classRecord,
 	}
 }
 
@@ -100,7 +101,9 @@
 func (r *DeliveryReport) logOutcome() *wal.Outcome {
 	o := &wal.Outcome{Deferred: r.Deferred, RetryAfter: r.RetryAfter}
 	if d := r.DeadLetter; d != nil {
-		o.DeadLetter = &wal.DeadLetterOutcome{Reason: d.Reason, At: d.At, Delivered: d.Delivered, Final: d.Final, Deferred: d.Deferred}
+		o.DeadLetter = &wal.DeadLetterOutcome{
+			Reason: d.Reason, At: d.At, Delivered: d.Delivered, Final: d.Final, Deferred: d.Deferred,
+		}
 	}
 	return o
 }
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -1,7 +1,7 @@
 package state
 
-// Event is something that the loop handles in its next iteration. The set is sealed: only types of this package are events,
-// so that posting anything else does not compile. Each event's type stands beside what it does:
+// Event is something that the loop handles in its next iteration. The set is sealed: only types of this package are
+// events, so that posting anything else does not compile. Each event's type stands beside what it does:
 //
 //	Submitted, ResponseWritten                    admission.go
 //	CallEnded, ReportsAcknowledged                outcome.go
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -17,7 +17,8 @@
 
 // goldenClass is the class of the messages in the golden journal.
 var goldenClass = NamedClass{Name: "keyed", Class: control.Class{
-	LatencyObjective: 2 * time.Second, ObjectiveStretch: 1.5, Deadline: 20 * time.Second, PriorityWeight: 3, LateWeight: 0.25, Idempotency: control.IdempotentByKey,
+	LatencyObjective: 2 * time.Second, ObjectiveStretch: 1.5, Deadline: 20 * time.Second, PriorityWeight: 3,
+	LateWeight: 0.25, Idempotency: control.IdempotentByKey,
 	KeyZoneScoped: true, KeyRetention: 12 * time.Second, Ordered: true, Streaming: true,
 }}
 
@@ -32,9 +33,11 @@
 			ID: id, Key: "key-" + id, Class: number, Tenant: 2, Destination: 3, Resubmitted: i%2 == 0,
 			Deadline: at.Add(time.Duration(i) * time.Second), Body: bytes.Repeat([]byte{byte(i), 'b'}, 5),
 		}
-		list = append(list, &entry{Message: m, num: control.MessageID(i + 1), responded: true, classRecord: classes.record(number)})
+		list = append(list, &entry{Message: m, num: control.MessageID(i + 1), responded: true,
+			classRecord: classes.record(number)})
 	}
-	list[1].mayHaveRun = []wal.Attempt{{Index: 0, At: at, Zone: 1, Endpoint: "s1", InDeadLetter: true}, {Index: 2, At: at.Add(time.Second), Zone: -1}}
+	list[1].mayHaveRun = []wal.Attempt{{Index: 0, At: at, Zone: 1, Endpoint: "s1", InDeadLetter: true}, {Index: 2,
+		At: at.Add(time.Second), Zone: -1}}
 	list[1].attempts = 3
 	list[2].attempts = 2
 	list[3].report = &DeliveryReport{Num: 4, ID: "deferred", Deferred: true, RetryAfter: 1500 * time.Millisecond}
@@ -51,15 +54,19 @@
 func goldenTable(t *table, times *wal.TimeBase) string {
 	var b strings.Builder
 	for _, e := range t.ordered() {
-		fmt.Fprintf(&b, "%d id=%q key=%q class=%q tenant=%d destination=%d deadline=%d again=%t body=%x seq=%d sends=%d\n", e.num, e.ID, e.Key,
-			t.classes.list[e.Class].Name, e.Tenant, e.Destination, times.Stamp(e.Deadline), e.Resubmitted, e.Body, e.deadLetterSeq, e.attempts)
+		fmt.Fprintf(&b, "%d id=%q key=%q class=%q tenant=%d destination=%d deadline=%d again=%t body=%x seq=%d sends=%d\n",
+			e.num, e.ID, e.Key,
+			t.classes.list[e.Class].Name, e.Tenant, e.Destination, times.Stamp(e.Deadline), e.Resubmitted, e.Body,
+			e.deadLetterSeq, e.attempts)
 		for _, s := range e.mayHaveRun {
-			fmt.Fprintf(&b, "  ran attempt=%d at=%d zone=%d target=%q told=%t\n", s.Index, times.Stamp(s.At), s.Zone, s.Endpoint, s.InDeadLetter)
+			fmt.Fprintf(&b, "  ran attempt=%d at=%d zone=%d target=%q told=%t\n", s.Index, times.Stamp(s.At), s.Zone,
+				s.Endpoint, s.InDeadLetter)
 		}
 		if n := e.report; n != nil {
 			fmt.Fprintf(&b, "  notice id=%q deferred=%t again=%s\n", n.ID, n.Deferred, n.RetryAfter)
 			if k := n.DeadLetter; k != nil {
-				fmt.Fprintf(&b, "  kept reason=%q at=%d delivered=%t over=%t deferred=%t\n", k.Reason, times.Stamp(k.At), k.Delivered, k.Final, k.Deferred)
+				fmt.Fprintf(&b, "  kept reason=%q at=%d delivered=%t over=%t deferred=%t\n", k.Reason, times.Stamp(k.At),
+					k.Delivered, k.Final, k.Deferred)
 			}
 		}
 	}
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -24,7 +24,7 @@
 // HandoverState is what a process that hands over tells the next.
 type HandoverState struct {
 	At       time.Time                     `json:"At"`
-	Stamp    int64                         `json:"Stamp"` // the same by the time base of the log; 0 = from a program that had none
+	Stamp    int64                         `json:"Stamp"` // At by the log's time base; 0 = of a program without
 	Version  int64                         `json:"Version"`
 	Targets  []Target                      `json:"Targets"`
 	Routes   map[string]control.RouteState `json:"Known"` // by the ids of targets
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -20,7 +20,7 @@
 	dir     string
 	calls   chan *Call
 	notices chan DeliveryReport
-	pending chan []Pending // of the journal, as each call leaves
+	pending chan []Pending // of the log, as each call leaves
 	held    chan *Call
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// newTestLoop makes a loop over a folder with one target of a destination, which
-// takes calls of three messages. The first function may still change it.
+// newTestLoop makes a loop over a folder with one endpoint of a destination, which takes
+// calls of three messages.
 func newTestLoop(t *testing.T, dir string, disk int64) (*Loop, *environment) {
 	t.Helper()
 	target := Target{ID: "s", Addr: "nowhere"}
@@ -74,23 +74,32 @@
 	return newTestLoopWith(t, dir, 1e6, ListUpdate{Kind: control.ListCached, Version: NoVersion})
 }
 
+// testClass is a class by what repeating its messages may do.
+func testClass(i control.Idempotency) control.Class {
+	return control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: i}
+}
+
 func newTestLoopWith(t *testing.T, dir string, disk int64, known ListUpdate) (*Loop, *environment) {
 	t.Helper()
 	classes := []control.Class{
-		{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.Idempotent},
-		{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.IdempotentByKey, KeyRetention: 12 * time.Second},
-		{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.NotIdempotent},
+		testClass(control.Idempotent), testClass(control.IdempotentByKey), testClass(control.NotIdempotent),
 	}
+	classes[1].KeyRetention = 12 * time.Second
 	set := control.Settings{
-		FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 3, SeparateRoutes: true}}, MaxInFlight: 8, MaxOpenMessages: 6,
-		MaxAttempts: 12, CanSendRetryAfter: true, MaxRetryAfter: time.Minute, ConnectTimeout: time.Second, HeadroomIndex: -1, LimitIndex: -1, AllowHedging: true, CanCancel: true,
+		FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 3, SeparateRoutes: true}}, MaxInFlight: 8,
+		MaxOpenMessages: 6, MaxAttempts: 12, CanSendRetryAfter: true, MaxRetryAfter: time.Minute, ConnectTimeout: time.Second,
+		HeadroomIndex: -1, LimitIndex: -1, AllowHedging: true, CanCancel: true,
 		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2,
 	}
 	l, err := NewLoop(Setup{Settings: set, Dir: dir, DiskBytes: disk, Log: discardLog, Known: known})
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := &environment{t, dir, make(chan *Call, 64), make(chan DeliveryReport, 64), make(chan []Pending, 64), make(chan *Call, 64)}
+	o := &environment{
+		t: t, dir: dir, calls: make(chan *Call, 64), notices: make(chan DeliveryReport, 64), pending: make(chan []Pending,
+			64),
+		held: make(chan *Call, 64),
+	}
 	l.Connect(o, o, o)
 	return l, o
 }
@@ -102,14 +111,27 @@
 	t.Cleanup(func() { cancel(); <-l.finished })
 }
 
-// submit posts a message and returns where its verdict will come.
+// newMessage is a message to the endpoint's destination that is due within a time.
+func newMessage(id string, class int, within time.Duration) *Message {
+	return &Message{ID: id, Class: class, Destination: 7, Deadline: time.Now().Add(within), Body: []byte("body")}
+}
+
+// endedWith is the event that the first attempt of a call ended.
+func endedWith(c *Call, r AttemptResult) CallEnded {
+	r.Attempt = c.Attempts[0]
+	return CallEnded{c, []AttemptResult{r}}
+}
+
+// submit posts a message and returns where its response will come.
 func submit(l *Loop, id string, size int) chan Response {
 	v := make(chan Response, 1)
-	l.Post(Submitted{Message: &Message{ID: id, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: make([]byte, size)}, Response: v})
+	m := newMessage(id, 0, time.Minute)
+	m.Body = make([]byte, size)
+	l.Post(Submitted{Message: m, Response: v})
 	return v
 }
 
-// callOf hands a message in, has its client answered, and takes the call that leaves with it.
+// callOf submits a message, has its client answered, and takes the call that leaves with it.
 func (o *environment) callOf(t *testing.T, l *Loop, id string) *Call {
 	t.Helper()
 	receive(t, submit(l, id, 10))
--- a/internal/state/killed_test.go
+++ b/internal/state/killed_test.go
@@ -10,19 +10,19 @@
 	"cleathold/control"
 )
 
-// cutShort is a folder with the journal as a kill left it after so many bytes.
-func cutShort(t *testing.T, name string, whole []byte, n int) string {
+// cutShort is a folder with the log as a kill left it after so many bytes.
+func cutShort(t *testing.T, name string, content []byte, n int) string {
 	t.Helper()
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, filepath.Base(name)), whole[:n], 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, filepath.Base(name)), content[:n], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return dir
 }
 
-// Killed at any byte of its journal, with discovery down at the next start and another list when it is back: a
-// message that a client was told of and that was not tried is called, at a target of that list. One that was tried is
-// called again if it may be, or given up with a notice; what has ended is not called.
+// Killed at any byte of its log, with discovery down at the next start and another list when it is back: a message
+// that a client was told of and that was not tried is called, at an endpoint of that list. One that was tried is
+// called again if it may be, or given up with a report; what has ended is not called.
 func TestKilledAtEachWrite(t *testing.T) {
 	for _, class := range []int{0, 2} { // safe, unsafe
 		dir := t.TempDir()
@@ -38,33 +38,33 @@
 			return len(text)
 		}
 		v := make(chan Response, 1)
-		l.Post(Submitted{Message: &Message{ID: "a", Class: class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}, Response: v})
+		l.Post(Submitted{Message: newMessage("a", class, time.Minute), Response: v})
 		if !receive(t, v).Accepted {
-			t.Fatal("not taken on")
+			t.Fatal("not accepted")
 		}
 		taken := size()
 		l.Post(ResponseWritten{"a", true})
 		call := receive(t, o.calls)
 		sent := size()
-		l.Post(CallEnded{Call: call, Results: []AttemptResult{{Attempt: call.Attempts[0], Result: control.Served, Final: true}}})
+		l.Post(endedWith(call, AttemptResult{Result: control.Served, Final: true}))
 		ended := size()
 		cancel()
 		<-l.finished
 		name := logFile(t, dir)
-		whole, err := os.ReadFile(name)
+		content, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !(taken < sent && sent < ended && ended <= len(whole)) {
-			t.Fatalf("the journal had %d, %d, %d of %d bytes", taken, sent, ended, len(whole))
+		if !(taken < sent && sent < ended && ended <= len(content)) {
+			t.Fatalf("the log had %d, %d, %d of %d bytes", taken, sent, ended, len(content))
 		}
-		for n := range len(whole) + 1 {
-			l, o := newTestLoopWithoutList(t, cutShort(t, name, whole, n))
+		for n := range len(content) + 1 {
+			l, o := newTestLoopWithoutList(t, cutShort(t, name, content, n))
 			ctx, cancel := context.WithCancel(t.Context())
 			go l.Run(ctx)
 			l.Idle()
 			if len(o.calls) > 0 {
-				t.Fatalf("cut at %d of %d: called without a list", n, len(whole))
+				t.Fatalf("cut at %d of %d: called without a list", n, len(content))
 			}
 			other := Target{ID: "other", Addr: "elsewhere", Endpoint: control.Endpoint{Destination: 7, State: control.Ready}}
 			l.Post(ListUpdate{Kind: control.ListFull, Version: 2, Targets: []Target{other}})
@@ -82,7 +82,8 @@
 				<-o.calls
 			}
 			if len(o.calls)+len(o.notices) > 0 {
-				t.Errorf("class %d, cut at %d of %d, %d, %d: %d calls and %d notices besides", class, n, taken, sent, ended, len(o.calls), len(o.notices))
+				t.Errorf("class %d, cut at %d of %d, %d, %d: %d calls and %d notices besides", class, n, taken, sent, ended,
+					len(o.calls), len(o.notices))
 			}
 			cancel()
 			<-l.finished
--- a/internal/state/listcertainty_test.go
+++ b/internal/state/listcertainty_test.go
@@ -7,7 +7,7 @@
 
 // From the first answer that could not be read on, less the margin before the end of the grace, nothing is sent,
 // until a while after the latest.
-func TestCertainty(t *testing.T) {
+func TestListCertainty(t *testing.T) {
 	const grace, span = 2 * time.Second, 10 * time.Second
 	zero := time.Now()
 	at := func(seconds float64) time.Time { return zero.Add(time.Duration(seconds * float64(time.Second))) }
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -153,8 +153,8 @@
 		return wal.InMemory(s.DiskBytes), t, nil
 	}
 	log, entries, next, err := wal.Open(wal.Options{
-		Dir: s.Dir, Limit: s.DiskBytes, Reserved: 2 * endpointgroup.MaxDeparturesBytes, Durability: s.Durability, GroupWait: s.GroupWait,
-		Virtual: s.Clock != nil, Log: s.Log,
+		Dir: s.Dir, Limit: s.DiskBytes, Reserved: 2 * endpointgroup.MaxDeparturesBytes, Durability: s.Durability,
+		GroupWait: s.GroupWait, Virtual: s.Clock != nil, Log: s.Log,
 	})
 	if err != nil {
 		return nil, nil, err
--- a/internal/state/loop_test.go
+++ b/internal/state/loop_test.go
@@ -7,39 +7,39 @@
 	"cleathold/control"
 )
 
-// The journal knows a message before its client does, and a forward before it
+// The log knows a message before its client does, and an attempt before it
 // leaves; that is after the client was answered. Nothing is owed after its end.
-func TestOrderOfThings(t *testing.T) {
+func TestLogResponseSendOrder(t *testing.T) {
 	dir := t.TempDir()
 	l, o := newTestLoop(t, dir, 1e6)
 	start(t, l)
 	if v := receive(t, submit(l, "a", 10)); !v.Accepted {
-		t.Fatalf("verdict %+v", v)
+		t.Fatalf("response %+v", v)
 	}
 	if list, _ := ReadPending(dir, discardLog); len(list) != 1 || list[0].ID != "a" || list[0].Attempts != 0 {
-		t.Fatalf("journal after the verdict: %+v", list)
+		t.Fatalf("log after the response: %+v", list)
 	}
-	l.Idle() // a round passes
+	l.Idle() // an iteration passes
 	if len(o.calls) > 0 {
-		t.Fatal("forward left before the client was answered")
+		t.Fatal("attempt left before the client was answered")
 	}
 	l.Post(ResponseWritten{"a", true})
 	c := receive(t, o.calls)
 	if list := <-o.pending; len(list) != 1 || !list[0].MayHaveRun || list[0].Attempts != 1 {
-		t.Fatalf("journal as the forward leaves: %+v", list)
+		t.Fatalf("log as the attempt leaves: %+v", list)
 	}
-	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Served, Final: true}}})
+	l.Post(endedWith(c, AttemptResult{Result: control.Served, Final: true}))
 	if !l.Idle() {
 		t.Fatal("something is owed after the end")
 	}
-	l.Idle() // the round that booked it has passed
+	l.Idle() // the iteration that booked it has passed
 	if list, _ := ReadPending(dir, discardLog); len(list) != 0 {
-		t.Errorf("journal after the end: %+v", list)
+		t.Errorf("log after the end: %+v", list)
 	}
 }
 
-// A client that could not be told has no message here: it may hand it in again.
-func TestUntoldClient(t *testing.T) {
+// A client that could not be told has no message here: it may submit it again.
+func TestResponseNotWritten(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	receive(t, submit(l, "a", 10))
@@ -49,21 +49,21 @@
 	}
 }
 
-// What goes to one target in one round shares a call, up to the kind's batch
+// What goes to one endpoint in one iteration shares a call, up to the kind's batch
 // and to what a body may hold.
-func TestRoundShares(t *testing.T) {
+func TestIterationSharesCalls(t *testing.T) {
 	for _, c := range []struct {
 		size, slots int
 		want        []int
 	}{{10, 8, []int{3, 1}}, {30 << 10, 8, []int{2, 2}}, {30 << 10, 1, []int{2}}} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		l.settings.MaxInFlight = c.slots // the controller still has eight
-		var verdicts []chan Response
+		var responses []chan Response
 		for _, id := range []string{"a", "b", "c", "d"} {
-			verdicts = append(verdicts, submit(l, id, c.size))
+			responses = append(responses, submit(l, id, c.size))
 		}
 		start(t, l)
-		for i, v := range verdicts {
+		for i, v := range responses {
 			receive(t, v)
 			l.Post(ResponseWritten{string(rune('a' + i)), true})
 		}
@@ -73,24 +73,25 @@
 			}
 		}
 		if l.Idle(); len(o.calls) > 0 {
-			t.Errorf("%d slots: a call more than that", c.slots)
+			t.Errorf("%d calls at once: a call more than that", c.slots)
 		}
 	}
 }
 
-// The first message of a call is the one that is waited for longest, and where no second copies are allowed all
+// The first message of a call is the one that is waited for longest, and where no hedged requests are allowed all
 // are waited for as long, each within its own time.
-func TestLongestWaitedForGoesFirst(t *testing.T) {
+func TestLatestDeadlineFirst(t *testing.T) {
 	for _, c := range []struct {
-		copies bool
-		want   string // the messages in the order in which they stand in the call, and how long it waits for each
+		hedging bool
+		want    string // the messages in the order in which they stand in the call, and how long it waits for each
 	}{{true, "unsafe 4s, safe 1.5s, brief 700ms, "}, {false, "safe 4s, unsafe 4s, brief 700ms, "}} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
-		l.settings.AllowHedging = c.copies
+		l.settings.AllowHedging = c.hedging
 		now := time.Now()
 		l.clock = func() time.Time { return now }
 		l.start = now
-		for i, m := range []Message{{ID: "brief", Deadline: now.Add(700 * time.Millisecond)}, {ID: "safe"}, {ID: "unsafe", Class: 2}} {
+		for i, m := range []Message{{ID: "brief", Deadline: now.Add(700 * time.Millisecond)}, {ID: "safe"}, {ID: "unsafe",
+			Class: 2}} {
 			if m.Destination = 7; i > 0 {
 				m.Deadline = now.Add(time.Minute)
 			}
@@ -104,17 +105,18 @@
 			got += f.Message.ID + " " + f.Deadline.Sub(now).String() + ", "
 		}
 		if got != c.want {
-			t.Errorf("second copies allowed %v: %s, want %s", c.copies, got, c.want)
+			t.Errorf("hedged requests allowed %v: %s, want %s", c.hedging, got, c.want)
 		}
 	}
 }
 
-// A time-out and the answer of one forward in one round of the loop: the first counts, and its slot is freed once.
-func TestTimeOutAndAnswerInOneRound(t *testing.T) {
+// A time-out and the answer of one attempt in one iteration of the loop: the first counts, and its slot is freed
+// once.
+func TestTimeoutAndAnswerInOneIteration(t *testing.T) {
 	served, timedOut := AttemptResult{Result: control.Served, Final: true}, AttemptResult{Result: control.TimedOut}
 	for _, c := range []struct {
 		name    string
-		ends    []AttemptResult
+		results []AttemptResult
 		pending int
 	}{
 		{"answer first", []AttemptResult{served, timedOut}, 0},
@@ -123,20 +125,19 @@
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
 		call := o.callOf(t, l, "a")
-		drained, flying := make(chan struct{}), make(chan int, 1)
-		l.Post(inspect(func() { <-drained })) // the next events come in this round
-		for _, end := range c.ends {
-			end.Attempt = call.Attempts[0]
-			l.Post(CallEnded{call, []AttemptResult{end}})
+		drained, inFlight := make(chan struct{}), make(chan int, 1)
+		l.Post(inspect(func() { <-drained })) // the next events come in this iteration
+		for _, r := range c.results {
+			l.Post(endedWith(call, r))
 		}
-		l.Post(inspect(func() { flying <- l.callsInFlight }))
+		l.Post(inspect(func() { inFlight <- l.callsInFlight }))
 		close(drained)
-		if n := <-flying; n != 0 {
-			t.Errorf("%s: %d calls count as out", c.name, n)
+		if n := <-inFlight; n != 0 {
+			t.Errorf("%s: %d calls count as in flight", c.name, n)
 		}
 		if l.Idle(); c.pending == 1 {
-			if again := receive(t, o.calls); again.Attempts[0].Message.ID != "a" {
-				t.Errorf("%s: %+v", c.name, again)
+			if retry := receive(t, o.calls); retry.Attempts[0].Message.ID != "a" {
+				t.Errorf("%s: %+v", c.name, retry)
 			}
 		}
 		list, err := ReadPending(o.dir, discardLog)
@@ -146,25 +147,25 @@
 	}
 }
 
-// A wait that is told keeps back what was decided on before and has not left.
-func TestWaitWithholds(t *testing.T) {
+// A Retry-After keeps back what was decided on before and has not left.
+func TestRetryAfterWithholds(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	first, second := o.callOf(t, l, "a"), o.callOf(t, l, "b")
 	receive(t, submit(l, "c", 10)) // its client is not answered yet
-	l.Post(CallEnded{first, []AttemptResult{{Attempt: first.Attempts[0], Result: control.Rejected, RetryAfter: time.Hour}}})
+	l.Post(endedWith(first, AttemptResult{Result: control.Rejected, RetryAfter: time.Hour}))
 	if c := receive(t, o.held); c != second && receive(t, o.held) != second {
 		t.Error("the call on its way was not withheld")
 	}
 	l.Post(ResponseWritten{"c", true})
 	if l.Idle(); l.Idle() || len(o.calls) > 0 {
-		t.Error("left during the wait")
+		t.Error("left during the Retry-After")
 	}
 }
 
-// A call that has not left when its target drains, leaves the list or is taken out by the operators never leaves,
+// A call that has not left when its endpoint drains, leaves the list or is excluded by the operators never leaves,
 // and no call does that has not left when the loop is halted.
-func TestWithheldFromLeaving(t *testing.T) {
+func TestWithheldCalls(t *testing.T) {
 	drains := Target{ID: "s", Addr: "nowhere"}
 	drains.Endpoint = control.Endpoint{Destination: 7, State: control.Draining}
 	for name, event := range map[string]Event{
@@ -181,10 +182,10 @@
 		if c := receive(t, o.held); c != connecting {
 			t.Errorf("%s: another call was withheld", name)
 		}
-		l.Post(CallEnded{connecting, []AttemptResult{{Attempt: connecting.Attempts[0], Result: control.NotSent}}})
+		l.Post(endedWith(connecting, AttemptResult{Result: control.NotSent}))
 		l.Post(ResponseWritten{"b", true})
 		l.Idle()
-		l.Idle() // two rounds
+		l.Idle() // two iterations
 		if len(o.calls) > 0 {
 			t.Errorf("%s: a call left", name)
 		}
@@ -200,14 +201,14 @@
 	}
 }
 
-// A process gives way while a call waits for its connection: the call does not leave any more, and the next process
+// A process hands over while a call waits for its connection: the call does not leave any more, and the next process
 // makes it, as one that never ran.
 func TestWithheldAtHandOver(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	connecting := o.callOf(t, l, "a")
-	done, heir := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 1))
-	l.Post(HandOver{Successor: heir, Done: done})
+	done, successor := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 1))
+	l.Post(HandOver{Successor: successor, Done: done})
 	given := receive(t, done)
 	if given.Err != nil || len(given.State.InFlight) != 1 {
 		t.Fatalf("%+v", given)
@@ -218,18 +219,18 @@
 	next, o2 := newTestLoop(t, o.dir, 1e6)
 	next.restoreHandover(&given.State)
 	start(t, next)
-	l.Post(CallEnded{connecting, []AttemptResult{{Attempt: connecting.Attempts[0], Result: control.NotSent}}})
-	next.Post(receive(t, heir))
-	if again := receive(t, o2.calls); again.Attempts[0].Message.ID != "a" {
-		t.Errorf("%+v", again)
+	l.Post(endedWith(connecting, AttemptResult{Result: control.NotSent}))
+	next.Post(receive(t, successor))
+	if retry := receive(t, o2.calls); retry.Attempts[0].Message.ID != "a" {
+		t.Errorf("%+v", retry)
 	}
 	if next.Idle(); len(o2.calls)+len(o2.notices) > 0 {
-		t.Error("a second call, or a notice")
+		t.Error("a second call, or a report")
 	}
 }
 
-// Beyond what may be held, or journaled, a message gets a fixed response.
-func TestFixedResponses(t *testing.T) {
+// Beyond what may be held, or loged, a message gets a rejection.
+func TestRejections(t *testing.T) {
 	l, _ := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	for i, id := range []string{"a", "b", "c", "d", "e", "f", "g"} {
@@ -249,8 +250,8 @@
 }
 
 // What names no destination that there is, or an id that another message has
-// or had, is not taken on, and the other message goes its way.
-func TestWrongMessages(t *testing.T) {
+// or had, is not accepted, and the other message goes its way.
+func TestInvalidMessages(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	v := make(chan Response, 1)
@@ -264,15 +265,15 @@
 	}
 	l.Post(ResponseWritten{"a", true})
 	c := receive(t, o.calls)
-	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.Served, Final: true}}})
+	l.Post(endedWith(c, AttemptResult{Result: control.Served, Final: true}))
 	if got := receive(t, submit(l, "a", 10)); got.Accepted || got.Invalid != DuplicateID {
 		t.Errorf("id of a finished one: %+v", got)
 	}
 }
 
-// Where a target rejects a call of several, each of them goes by itself; one
+// Where an endpoint rejects a call of several, each of them goes by itself; one
 // that is rejected alone is at its end, and costs the others nothing.
-func TestRejected(t *testing.T) {
+func TestUnprocessable(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	for _, id := range []string{"a", "b"} {
 		submit(l, id, 10)
@@ -284,7 +285,10 @@
 	if len(both.Attempts) != 2 {
 		t.Fatalf("a call of %d", len(both.Attempts))
 	}
-	l.Post(CallEnded{both, []AttemptResult{{Attempt: both.Attempts[0], Result: control.Unprocessable}, {Attempt: both.Attempts[1], Result: control.Unprocessable}}})
+	l.Post(CallEnded{both, []AttemptResult{
+		{Attempt: both.Attempts[0], Result: control.Unprocessable}, {Attempt: both.Attempts[1],
+			Result: control.Unprocessable},
+	}})
 	for range 2 {
 		c := receive(t, o.calls)
 		end := AttemptResult{Attempt: c.Attempts[0], Result: control.Served, Final: true}
@@ -297,7 +301,7 @@
 		l.Post(CallEnded{c, []AttemptResult{end}})
 	}
 	if n := receive(t, o.notices); n.ID != "a" || n.Deferred {
-		t.Errorf("notice %+v", n)
+		t.Errorf("report %+v", n)
 	}
 	if l.Idle(); len(o.calls) > 0 {
 		t.Error("sent once more")
--- a/internal/state/redelivery.go
+++ b/internal/state/redelivery.go
@@ -59,7 +59,9 @@
 
 // denyRedelivery gives a message back to the queue that was never sent.
 func (l *Loop) denyRedelivery(e *entry, denial RedeliveryDenial) {
-	l.deadLetterQueue.Add(DeadLetter{Seq: e.deadLetterSeq, Message: e.Message, NotAdmitted: true, Reason: string(denial), At: l.now})
+	l.deadLetterQueue.Add(DeadLetter{
+		Seq: e.deadLetterSeq, Message: e.Message, NotAdmitted: true, Reason: string(denial), At: l.now,
+	})
 }
 
 // redeliveryDenial says why a redelivery is not admitted now.
@@ -75,7 +77,7 @@
 		return DeniedManyOpenMessages
 	case 4*l.callsInFlight >= 3*l.settings.MaxInFlight:
 		return DeniedManyCalls
-	case !l.wal.HasRoom(2 * (l.table.liveBytes + storageCost(e.Message))):
+	case !l.wal.HasCapacity(2 * (l.table.liveBytes + storageCost(e.Message))):
 		return DeniedLogFull
 	}
 	for _, other := range l.table.entries {
--- a/internal/state/restart_test.go
+++ b/internal/state/restart_test.go
@@ -12,9 +12,9 @@
 	"cleathold/internal/wal"
 )
 
-// A journal that fails for a while holds no notice back beyond the time of its message, when a next process would not
+// A log that fails for a while holds no report back beyond the time of its message, when a next process would not
 // send it any more; one of a message with time left waits until it is written.
-func TestNoticesWhileTheJournalFails(t *testing.T) {
+func TestReportsWhileLogFails(t *testing.T) {
 	dir := t.TempDir()
 	l, o := newTestLoop(t, dir, 1e6)
 	l.wal.Close()
@@ -26,9 +26,9 @@
 	start(t, l)
 	submit := func(id string, class int, within time.Duration) {
 		v := make(chan Response, 1)
-		l.Post(Submitted{Message: &Message{ID: id, Class: class, Destination: 7, Deadline: time.Now().Add(within)}, Response: v})
+		l.Post(Submitted{Message: newMessage(id, class, within), Response: v})
 		if !receive(t, v).Accepted {
-			t.Fatalf("%s is not taken on", id)
+			t.Fatalf("%s is not accepted", id)
 		}
 		l.Post(ResponseWritten{id, true})
 	}
@@ -39,15 +39,15 @@
 	submit("short", 2, within)
 	short := receive(t, o.calls)
 	time.AfterFunc(within, func() {
-		l.Post(CallEnded{short, []AttemptResult{{Attempt: short.Attempts[0], Result: control.TimedOut}}})
+		l.Post(endedWith(short, AttemptResult{Result: control.TimedOut}))
 	})
 	l.Post(inspect(func() { disk.full.Store(true) }))
-	l.Post(CallEnded{call, []AttemptResult{{Attempt: call.Attempts[0], Result: control.ConnectionLost}}}) // given up at once
+	l.Post(endedWith(call, AttemptResult{Result: control.ConnectionLost})) // given up at once
 	if n := receive(t, o.notices); n.ID != "short" {
-		t.Errorf("%s is told while it could be forgotten", n.ID)
+		t.Errorf("%s is reported while it could be forgotten", n.ID)
 	}
 	if took := time.Since(began); took > within+200*time.Millisecond {
-		t.Errorf("told %v after it was taken on, due after %v", took, within)
+		t.Errorf("told %v after it was accepted, due after %v", took, within)
 	}
 	l.Post(inspect(func() { disk.full.Store(false) }))
 	if n := receive(t, o.notices); n.ID != "unsafe" { // with no event but the loop's own
@@ -62,26 +62,26 @@
 		name  string
 		class int
 		left  time.Duration
-		ago   time.Duration // since the forward; 0 = none
+		ago   time.Duration // since the attempt; 0 = none
 		ran   bool          // it may have run
 		sends int           // expected attempt; -1 = none
 		owed  string
 	}{
-		{"safe, fresh", 0, time.Minute, 0, false, 0, ""},
-		{"safe, may have run", 0, time.Minute, time.Hour, true, 1, ""},
-		{"keyed, remembered", 1, time.Minute, time.Second, true, 1, ""},
-		{"keyed, forgotten", 1, time.Minute, 20 * time.Second, true, -1, "deferred"},
-		{"keyed, clock set back since", 1, time.Minute, -time.Second, true, -1, "deferred"},
-		{"keyed, never ran, clock set back", 1, time.Minute, -time.Second, false, 1, ""},
-		{"unsafe, fresh", 2, time.Minute, 0, false, 0, ""},
-		{"unsafe, never ran", 2, time.Minute, time.Second, false, 1, ""},
-		{"unsafe, may have run", 2, time.Minute, time.Second, true, -1, "undeliverable"},
-		{"safe, overdue", 0, -time.Second, 0, false, -1, "deferred"},
-		{"unsafe, overdue", 2, -time.Second, time.Second, true, -1, "undeliverable"},
+		{"idempotent, fresh", 0, time.Minute, 0, false, 0, ""},
+		{"idempotent, may have run", 0, time.Minute, time.Hour, true, 1, ""},
+		{"by key, key retained", 1, time.Minute, time.Second, true, 1, ""},
+		{"by key, key expired", 1, time.Minute, 20 * time.Second, true, -1, "deferred"},
+		{"by key, clock set back since", 1, time.Minute, -time.Second, true, -1, "deferred"},
+		{"by key, never ran, clock set back", 1, time.Minute, -time.Second, false, 1, ""},
+		{"not idempotent, fresh", 2, time.Minute, 0, false, 0, ""},
+		{"not idempotent, never ran", 2, time.Minute, time.Second, false, 1, ""},
+		{"not idempotent, may have run", 2, time.Minute, time.Second, true, -1, "undeliverable"},
+		{"idempotent, overdue", 0, -time.Second, 0, false, -1, "deferred"},
+		{"not idempotent, overdue", 2, -time.Second, time.Second, true, -1, "undeliverable"},
 	} {
 		dir := t.TempDir()
 		j, tb := openTestLog(t, dir)
-		e := &entry{num: 9, Message: &Message{ID: "a", Class: c.class, Destination: 7, Deadline: now.Add(c.left), Body: []byte("body")}}
+		e := &entry{num: 9, Message: newMessage("a", c.class, c.left)}
 		tb.add(e)
 		logAccepted(j, e)
 		if c.ago != 0 {
@@ -109,7 +109,7 @@
 		if c.class == 1 && c.ran { // a repeat that leaves late must not leave the window
 			want = now.Add(-c.ago).Add(12 * time.Second)
 		}
-		if off := f.NotAfter.Sub(want).Abs(); off > time.Millisecond { // the journal has whole microseconds, by two readings
+		if off := f.NotAfter.Sub(want).Abs(); off > time.Millisecond { // the log has whole microseconds, by two readings
 			t.Errorf("%s: may leave until %v, want %v", c.name, f.NotAfter, want)
 		}
 		if f.attempt != c.sends || !bytes.Equal(f.Message.Body, []byte("body")) || len(o.notices) > 0 {
@@ -120,7 +120,7 @@
 
 // A step of the wall clock between two processes changes no span: what was sent 5 s ago and is due in 20 s is so to
 // the next process, whether the clock was put forward or back by an hour meanwhile.
-func TestRestartAcrossAStepOfTheWallClock(t *testing.T) {
+func TestRestartAcrossClockStep(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		dir := t.TempDir()
 		before, err := wal.AnchorNow()
@@ -136,7 +136,8 @@
 		j, tb := openTestLog(t, dir)
 		e := &entry{num: 9, Message: &Message{ID: "a", Class: 1, Destination: 7, Deadline: now.Add(20 * time.Second)}}
 		tb.add(e)
-		written := func(at time.Time) time.Time { return j.Times().Time(wall.Stamp(at)) } // is logged with the stamp that wall has for it
+		// written is the time that the log writes with the stamp which wall has for it.
+		written := func(at time.Time) time.Time { return j.Times().Time(wall.Stamp(at)) }
 		e.Deadline = written(e.Deadline)
 		logAccepted(j, e)
 		j.AddAttempt(9, wal.Attempt{At: written(now.Add(-5 * time.Second))})
@@ -159,9 +160,9 @@
 	}
 }
 
-// The record of a forward lies in a damaged part: an unsafe message then ends as one
-// that may have run, and a keyed one near the end of its memory does not go again.
-func TestForwardInDamage(t *testing.T) {
+// The record of an attempt lies in a damaged part: a message that is not idempotent then ends as one
+// that may have run, and one with a key near the end of its retention does not go again.
+func TestAttemptInDamage(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -169,20 +170,21 @@
 	}{{"unsafe", 2, "undeliverable"}, {"keyed", 1, "deferred"}, {"safe", 0, ""}} {
 		dir := t.TempDir()
 		j, tb := openTestLog(t, dir)
-		e := &entry{num: 9, Message: &Message{ID: "a", Key: "k", Class: c.class, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("body")}}
+		e := &entry{num: 9, Message: newMessage("a", c.class, time.Minute)}
+		e.Key = "k"
 		tb.add(e)
 		logAccepted(j, e)
 		err := j.Flush()
 		j.AddAttempt(9, wal.Attempt{At: time.Now().Add(-11 * time.Second), Endpoint: "target-in-the-damage"})
 		err = errors.Join(err, j.Flush())
-		logAccepted(j, &entry{Message: &Message{ID: "later", Destination: 3, Deadline: time.UnixMicro(1e15), Body: []byte("body")}, num: 10}) // so that it is no torn tail
+		logAccepted(j, &entry{num: 10, Message: newMessage("later", 1, time.Hour)}) // so that it is no torn tail
 		if err = errors.Join(err, j.Flush(), j.Close()); err != nil {
 			t.Fatal(err)
 		}
 		name := logFile(t, dir)
-		whole, _ := os.ReadFile(name)
-		whole[bytes.Index(whole, []byte("in-the-damage"))] ^= 1
-		if err := os.WriteFile(name, whole, 0o600); err != nil {
+		content, _ := os.ReadFile(name)
+		content[bytes.Index(content, []byte("in-the-damage"))] ^= 1
+		if err := os.WriteFile(name, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		l, o := newTestLoop(t, dir, 1e6)
--- a/internal/state/retryafter.go
+++ b/internal/state/retryafter.go
@@ -81,8 +81,8 @@
 }
 
 // withholdForRetryAfter withholds the calls that a Retry-After of an endpoint binds: they would arrive within it.
-func (l *Loop) withholdForRetryAfter(told Target) {
+func (l *Loop) withholdForRetryAfter(from Target) {
 	l.withhold(func(t Target) bool {
-		return t.Destination == told.Destination && (t.ID == told.ID || !l.separateRoutes(told.Kind))
+		return t.Destination == from.Destination && (t.ID == from.ID || !l.separateRoutes(from.Kind))
 	})
 }
--- a/internal/state/sendcheck.go
+++ b/internal/state/sendcheck.go
@@ -18,7 +18,8 @@
 func (l *Loop) permitRoute(t Target) permit.Route {
 	w := l.retryAfters[l.routeKeyOf(t)]
 	return permit.Route{
-		LeftAt: l.group.LeftAt(t.Endpoint.ID), UncertainSince: l.certainty.since, RetryAfterFrom: w.from, RetryAfterUntil: w.until,
+		LeftAt: l.group.UnavailableSince(t.Endpoint.ID), UncertainSince: l.certainty.since,
+		RetryAfterFrom: w.from, RetryAfterUntil: w.until,
 	}
 }
 
@@ -26,7 +27,8 @@
 // canceled.
 func (l *Loop) permitted(c *Call, a *Attempt, e *entry) bool {
 	m := permit.Message{
-		Deadline: a.Message.Deadline, MayHaveRun: len(e.mayHaveRun) > 0, KeyRetainedUntil: a.NotAfter, InFlight: e.inFlight > 1,
+		Deadline: a.Message.Deadline, MayHaveRun: len(e.mayHaveRun) > 0, KeyRetainedUntil: a.NotAfter,
+		InFlight: e.inFlight > 1,
 	}
 	if e.Class >= 0 && e.Class < len(l.settings.Classes) {
 		m.Idempotency = l.settings.Classes[e.Class].Idempotency
--- a/internal/state/settings_test.go
+++ b/internal/state/settings_test.go
@@ -1,6 +1,7 @@
 package state
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -11,9 +12,11 @@
 // gone. Numbers of classes that hold are those of the settings.
 func TestClassOutlastsSettings(t *testing.T) {
 	named := func(name string, e control.Idempotency) NamedClass {
-		return NamedClass{Name: name, Class: control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, LateWeight: 0.25, Idempotency: e, KeyRetention: 12 * time.Second, KeyZoneScoped: e == control.IdempotentByKey}}
+		c := testClass(e)
+		c.LateWeight, c.KeyRetention, c.KeyZoneScoped = 0.25, 12*time.Second, e == control.IdempotentByKey
+		return NamedClass{Name: name, Class: c}
 	}
-	book := func(list ...NamedClass) *classRegistry {
+	registry := func(list ...NamedClass) *classRegistry {
 		b := &classRegistry{}
 		for _, c := range list {
 			b.numberOf(c)
@@ -26,14 +29,14 @@
 		after *classRegistry
 		want  int
 	}{
-		{"the same", book(safe, keyed), 1},
-		{"another order", book(keyed, safe), 0},
-		{"stricter", book(safe, named("print-order", control.NotIdempotent)), 2},
-		{"gone", book(safe), 1},
-		{"another name", book(safe, named("order", control.IdempotentByKey)), 2},
+		{"the same", registry(safe, keyed), 1},
+		{"another order", registry(keyed, safe), 0},
+		{"stricter", registry(safe, named("print-order", control.NotIdempotent)), 2},
+		{"gone", registry(safe), 1},
+		{"another name", registry(safe, named("order", control.IdempotentByKey)), 2},
 	} {
 		dir := t.TempDir()
-		j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, book(safe, keyed))
+		j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, registry(safe, keyed))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,10 +62,10 @@
 
 // New settings under way: the loop numbers their classes, a message under way keeps its own, the bound on classes
 // turns down what would pass it, and what the controller won't have changes nothing.
-func TestRetuneLoop(t *testing.T) {
+func TestUpdateSettings(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
-	tune := func(classes []NamedClass, change func(*control.Settings)) SettingsResult {
+	update := func(classes []NamedClass, change func(*control.Settings)) SettingsResult {
 		set := l.settings
 		change(&set)
 		done := make(chan SettingsResult, 1)
@@ -72,28 +75,29 @@
 	receive(t, submit(l, "a", 10))
 	l.Post(ResponseWritten{ID: "a", OK: true})
 	c := receive(t, o.calls)
-	strict := NamedClass{Name: "status", Class: control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.NotIdempotent}}
-	r := tune([]NamedClass{strict}, func(*control.Settings) {})
+	strict := NamedClass{Name: "status", Class: testClass(control.NotIdempotent)}
+	r := update([]NamedClass{strict}, func(*control.Settings) {})
 	if r.Err != nil || r.Numbers["status"] != 3 && r.Numbers["status"] != 2 {
 		t.Fatalf("%+v", r)
 	}
-	if n := r.Numbers["status"]; r.Classes[n].Idempotency != control.NotIdempotent || r.Classes[0].Idempotency != control.Idempotent {
+	strictClass := r.Classes[r.Numbers["status"]]
+	if strictClass.Idempotency != control.NotIdempotent || r.Classes[0].Idempotency != control.Idempotent {
 		t.Fatalf("%+v", r)
 	}
 	// It was safe when it came: broken off, it goes again.
-	l.Post(CallEnded{c, []AttemptResult{{Attempt: c.Attempts[0], Result: control.ConnectionLost}}})
-	if again := receive(t, o.calls); again.Attempts[0].Message.ID != "a" {
-		t.Errorf("%+v", again.Attempts[0].Message)
+	l.Post(endedWith(c, AttemptResult{Result: control.ConnectionLost}))
+	if retry := receive(t, o.calls); retry.Attempts[0].Message.ID != "a" {
+		t.Errorf("%+v", retry.Attempts[0].Message)
 	}
 	many := make([]NamedClass, maxClasses)
 	for i := range many {
 		many[i] = strict
 		many[i].LatencyObjective = time.Duration(i)
 	}
-	if r := tune(many, func(*control.Settings) {}); r.Err == nil {
+	if r := update(many, func(*control.Settings) {}); !errors.Is(r.Err, ErrTooManyClasses) {
 		t.Error("classes without bound")
 	}
-	if r := tune([]NamedClass{strict}, func(s *control.Settings) { s.MaxInFlight = 0 }); r.Err == nil {
+	if r := update([]NamedClass{strict}, func(s *control.Settings) { s.MaxInFlight = 0 }); r.Err == nil {
 		t.Error("settings that make no sense are taken")
 	}
 }
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -38,7 +38,8 @@
 
 func newTable(classes *classRegistry) *table {
 	return &table{
-		entries: map[control.MessageID]*entry{}, byID: map[string]*entry{}, recentIDs: map[string]bool{}, next: 1, classes: classes,
+		entries: map[control.MessageID]*entry{}, byID: map[string]*entry{}, recentIDs: map[string]bool{},
+		next: 1, classes: classes,
 	}
 }
 
--- a/internal/wal/class.go
+++ b/internal/wal/class.go
@@ -48,13 +48,15 @@
 	c := NamedClass{Name: d.text()}
 	c.Idempotency = control.Idempotency(d.octet())
 	bits := d.octet()
-	c.KeyZoneScoped, c.Ordered, c.Streaming = bits&classKeyZoneScoped != 0, bits&classOrdered != 0, bits&classStreaming != 0
+	c.KeyZoneScoped, c.Ordered, c.Streaming = bits&classKeyZoneScoped != 0, bits&classOrdered != 0,
+		bits&classStreaming != 0
 	for _, span := range []*time.Duration{&c.LatencyObjective, &c.Deadline, &c.KeyRetention} {
 		*span = time.Duration(d.varint())
 	}
 	for _, v := range []*float64{&c.ObjectiveStretch, &c.PriorityWeight, &c.LateWeight} {
 		*v = d.float()
 	}
-	d.malformed = d.malformed || c.Idempotency > control.NotIdempotent || c.Deadline <= 0 || c.LatencyObjective < 0 || c.KeyRetention < 0
+	d.malformed = d.malformed || c.Idempotency > control.NotIdempotent || c.Deadline <= 0 || c.LatencyObjective < 0 ||
+		c.KeyRetention < 0
 	return c
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -71,7 +71,9 @@
 	if o.FS == nil {
 		o.FS = store.Dir(o.Dir)
 	}
-	s, err := store.Open(store.Options{FS: o.FS, Budget: l.limit, Durability: o.Durability, GroupWait: o.GroupWait, Log: o.Log})
+	s, err := store.Open(store.Options{
+		FS: o.FS, Budget: l.limit, Durability: o.Durability, GroupWait: o.GroupWait, Log: o.Log,
+	})
 	if err != nil {
 		return nil, nil, 0, fmt.Errorf("journal: %w", err)
 	}
@@ -143,9 +145,9 @@
 	return int64(len(id) + len(key) + len(body) + recordAllowance)
 }
 
-// HasRoom tells whether live messages may take so many bytes. Two fifths of the limit for what is live leave
+// HasCapacity tells whether live messages may take so many bytes. Two fifths of the limit for what is live leave
 // compaction more than it needs to keep up.
-func (l *Log) HasRoom(live int64) bool { return live <= l.limit*2/5 }
+func (l *Log) HasCapacity(live int64) bool { return live <= l.limit*2/5 }
 
 // Limit returns the bytes that the store may take.
 func (l *Log) Limit() int64 { return l.limit }
@@ -159,7 +161,8 @@
 // AddAccepted adds a message that is accepted.
 func (l *Log) AddAccepted(a *Accepted) {
 	l.batch = append(l.batch, store.Record{
-		Entity: uint64(a.Number), Data: EncodeAccepted(l.times, a), Time: l.times.Stamp(a.Deadline), Dest: int64(a.Destination), Key: a.ID,
+		Entity: uint64(a.Number), Data: EncodeAccepted(l.times, a), Time: l.times.Stamp(a.Deadline),
+		Dest: int64(a.Destination), Key: a.ID,
 	})
 }
 
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -28,7 +28,9 @@
 // openLog opens the log of a folder.
 func openLog(t *testing.T, dir string, limit int64) *fixture {
 	t.Helper()
-	l, entries, next, err := Open(Options{Dir: dir, Limit: limit, Reserved: 8 << 10, Durability: store.Process, Log: discardLog})
+	l, entries, next, err := Open(Options{
+		Dir: dir, Limit: limit, Reserved: 8 << 10, Durability: store.Process, Log: discardLog,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +99,7 @@
 const historyOwes = "new:/0 out:r0/1 spared:/1 deferred:/1deferred "
 
 // What was written is read again, at each start.
-func TestLogKeeps(t *testing.T) {
+func TestLogReopened(t *testing.T) {
 	dir := t.TempDir()
 	writeHistory(t, dir)
 	for range 2 {
@@ -137,13 +139,13 @@
 	base := t.TempDir()
 	writeHistory(t, base)
 	name := logFile(t, base)
-	whole, err := os.ReadFile(name)
+	content, err := os.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range whole {
+	for n := range content {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, filepath.Base(name)), whole[:n], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, filepath.Base(name)), content[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		l := openLog(t, dir, 1e6) // one batch: all of it or nothing
@@ -173,10 +175,10 @@
 	}
 	l.Close()
 	name := logFile(t, dir)
-	whole, _ := os.ReadFile(name)
-	at := bytes.Index(whole, []byte("second"))
-	whole[at] ^= 0xff
-	os.WriteFile(name, whole, 0o600)
+	content, _ := os.ReadFile(name)
+	at := bytes.Index(content, []byte("second"))
+	content[at] ^= 0xff
+	os.WriteFile(name, content, 0o600)
 	l = openLog(t, dir, 1e6)
 	if got, want := describe(l.entries), "first:r0/1 third:/0 "; got != want {
 		t.Errorf("owes %q, want %q", got, want)
@@ -205,13 +207,13 @@
 		}
 		return sum
 	}
-	refused := 0
+	rejected := 0
 	for i := range 3000 {
 		size := 100 + i*37%4000
-		if l.HasRoom(live() + int64(size) + 1000) {
+		if l.HasCapacity(live() + int64(size) + 1000) {
 			l.accept(fmt.Sprint("m", i), size)
 		} else {
-			refused++
+			rejected++
 			for k, e := range slices.Clone(l.entries[:5]) {
 				if k%2 == 0 && e.Outcome == nil {
 					e.applyOutcome(&Outcome{})
@@ -229,12 +231,12 @@
 			t.Fatalf("message %d: %d bytes held", i, folderSize(dir))
 		}
 	}
-	if refused == 0 {
+	if rejected == 0 {
 		t.Error("nothing was refused")
 	}
 	l.Close()
-	if again := openLog(t, dir, limit); describe(again.entries) != describe(l.entries) {
-		t.Errorf("owes %q, want %q", describe(again.entries), describe(l.entries))
+	if reopened := openLog(t, dir, limit); describe(reopened.entries) != describe(l.entries) {
+		t.Errorf("owes %q, want %q", describe(reopened.entries), describe(l.entries))
 	}
 }
 
@@ -275,11 +277,11 @@
 	if _, err := os.Stat(filepath.Join(dir, singleFileName)); !os.IsNotExist(err) {
 		t.Error("the old file is still there")
 	}
-	whole, _ := os.ReadFile(logFile(t, dir))
-	for n := 0; n <= len(whole); n += 7 { // killed in its middle
+	content, _ := os.ReadFile(logFile(t, dir))
+	for n := 0; n <= len(content); n += 7 { // killed in its middle
 		dir := t.TempDir()
 		writeSingleFile(t, dir)
-		os.WriteFile(filepath.Join(dir, "0000000000000001.log"), whole[:n], 0o600)
+		os.WriteFile(filepath.Join(dir, "0000000000000001.log"), content[:n], 0o600)
 		os.WriteFile(filepath.Join(dir, singleFileReplacement), []byte("half a rewrite"), 0o600)
 		l := openLog(t, dir, 1e6)
 		if got := describe(l.entries); got != want {
--- a/internal/wal/timebase.go
+++ b/internal/wal/timebase.go
@@ -53,11 +53,11 @@
 		log.Warn("no monotonic clock, times go by the wall clock", "err", err)
 		return nil
 	}
-	kept, err := readAnchor(dir)
-	if err == nil && current.follows(kept) {
-		return current.continued(kept)
+	stored, err := readAnchor(dir)
+	if err == nil && current.follows(stored) {
+		return current.continued(stored)
 	}
-	current.Stamp = max(current.Stamp, kept.Stamp)
+	current.Stamp = max(current.Stamp, stored.Stamp)
 	if err := WriteAnchor(dir, current); err != nil {
 		log.Warn("time base not kept", "err", err)
 	}
@@ -70,11 +70,11 @@
 	if err != nil {
 		return nil
 	}
-	kept, err := readAnchor(dir)
-	if err != nil || !current.follows(kept) {
+	stored, err := readAnchor(dir)
+	if err != nil || !current.follows(stored) {
 		return nil
 	}
-	return current.continued(kept)
+	return current.continued(stored)
 }
 
 // AnchorNow returns an anchor of this instant, stamped by the wall clock.
