--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -110,6 +110,50 @@
 
 func (p *posted) Post(e state.Event) { p.list = append(p.list, e) }
 
+// count says how many results there are, and how often the rest is lost.
+func (p *posted) count() (results, lost int) {
+	for _, e := range p.list {
+		switch e.(type) {
+		case state.RemoteResult:
+			results++
+		case state.PredecessorLost:
+			lost++
+		}
+	}
+	return results, lost
+}
+
+// cutPredecessor is a predecessor that is gone after so many bytes of what it says.
+type cutPredecessor struct {
+	file                   *os.File // the listening socket
+	state, confirmed, rest []byte
+}
+
+// serve answers one successor with the first k bytes.
+func (p *cutPredecessor) serve(t *testing.T, l *net.UnixListener, k int) {
+	c, err := l.AcceptUnix()
+	if err != nil {
+		return
+	}
+	defer c.Close()
+	if m, err := readMessage(c); err != nil || !m.Request {
+		t.Errorf("requested: %+v, %v", m, err)
+	}
+	if k == 0 {
+		return
+	}
+	c.WriteMsgUnix(p.state[:1], unix.UnixRights(int(p.file.Fd())), nil)
+	c.Write(p.state[1:max(1, min(k, len(p.state)))])
+	if k < len(p.state) {
+		return
+	}
+	if m, err := readMessage(c); err != nil || !m.Ready {
+		t.Errorf("%d bytes: the successor is not ready: %+v, %v", k, m, err)
+	}
+	c.Write(p.confirmed[:min(k-len(p.state), len(p.confirmed))])
+	c.Write(p.rest[:max(0, min(k-len(p.state)-len(p.confirmed), len(p.rest)))])
+}
+
 // The predecessor says what it says up to each byte in turn, and is gone. A successor without the whole state takes
 // nothing over. One that serves hears of each attempt at most once, and that the rest is lost.
 func TestPredecessorCutAtEachByte(t *testing.T) {
@@ -119,51 +163,33 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	sock, err := net.Listen("tcp4", "127.0.0.1:0")
+	socket, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer sock.Close()
-	file, err := sock.(*net.TCPListener).File()
+	defer socket.Close()
+	file, err := socket.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
 	e := testState()
-	stateLine := line(t, message{Version: version, State: &e})
 	r := state.RemoteResult{Message: 3, Attempt: 1, Target: "s", Result: control.Served, Final: true}
-	confirmed, rest := line(t, message{Confirmed: true}), line(t, message{Result: &r, Last: true})
-	total := len(stateLine) + len(confirmed) + len(rest)
+	p := &cutPredecessor{
+		file: file, state: line(t, message{Version: version, State: &e}), confirmed: line(t, message{Confirmed: true}),
+		rest: line(t, message{Result: &r, Last: true}),
+	}
+	total := len(p.state) + len(p.confirmed) + len(p.rest)
 	for k := range total + 1 {
 		served := make(chan struct{})
-		go func() { // the predecessor
+		go func() {
 			defer close(served)
-			c, err := l.AcceptUnix()
-			if err != nil {
-				return
-			}
-			defer c.Close()
-			if m, err := readMessage(c); err != nil || !m.Request {
-				t.Errorf("requested: %+v, %v", m, err)
-			}
-			if k == 0 {
-				return
-			}
-			c.WriteMsgUnix(stateLine[:1], unix.UnixRights(int(file.Fd())), nil)
-			c.Write(stateLine[1:max(1, min(k, len(stateLine)))])
-			if k < len(stateLine) {
-				return
-			}
-			if m, err := readMessage(c); err != nil || !m.Ready {
-				t.Errorf("%d bytes: the successor is not ready: %+v, %v", k, m, err)
-			}
-			c.Write(confirmed[:min(k-len(stateLine), len(confirmed))])
-			c.Write(rest[:max(0, min(k-len(stateLine)-len(confirmed), len(rest)))])
+			p.serve(t, l, k)
 		}()
 		i, err := RequestTakeover(path)
-		if k < len(stateLine) {
+		if k < len(p.state) {
 			if err == nil || i != nil {
-				t.Fatalf("%d of %d bytes of the state were enough", k, len(stateLine))
+				t.Fatalf("%d of %d bytes of the state were enough", k, len(p.state))
 			}
 			<-served
 			continue
@@ -178,18 +204,10 @@
 		if err := i.ConfirmReady(); err != nil {
 			t.Errorf("%d bytes: %v", k, err)
 		}
-		var p posted
-		i.Run(context.Background(), &p)
+		var events posted
+		i.Run(context.Background(), &events)
 		i.Listener.Close()
-		results, lost := 0, 0
-		for _, e := range p.list {
-			switch e.(type) {
-			case state.RemoteResult:
-				results++
-			case state.PredecessorLost:
-				lost++
-			}
-		}
+		results, lost := events.count()
 		if want := k == total; lost != 1 || (results == 1) != want || results > 1 {
 			t.Errorf("%d of %d bytes: heard of %d attempts, %d times that the rest is lost", k, total, results, lost)
 		}
--- a/internal/state/deadletter_test.go
+++ b/internal/state/deadletter_test.go
@@ -279,16 +279,11 @@
 		l.Post(Redelivery{Seq: 5, Message: newMessage("a", 2, time.Minute)})
 		call := receive(t, o.calls)
 		<-o.pending
-		done, successor := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 4))
-		l.Post(HandOver{Successor: successor, Done: done})
-		given := receive(t, done)
-		if given.Err != nil || len(given.State.InFlight) != 1 {
-			t.Fatalf("%s: %+v", c.name, given)
-		}
+		handedOver, successor := handOver(t, l)
 		next := newQueueStub(true)
 		l2, o2 := newTestLoop(t, dir, 1e6)
 		l2.deadLetterQueue = next
-		l2.restoreHandover(&given.State)
+		l2.restoreHandover(&handedOver)
 		start(t, l2)
 		if got := receive(t, next.began); got != [2]int{0, 1} {
 			t.Errorf("%s: the next queue hears of %v", c.name, got)
@@ -313,11 +308,3 @@
 		}
 	}
 }
-
-type successorStub chan RemoteResult
-
-func (h successorStub) RemoteResult(r RemoteResult, _ bool) {
-	if r.Target != "" {
-		h <- r
-	}
-}
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -139,6 +139,27 @@
 	return receive(t, o.calls)
 }
 
+// successorStub takes the results of attempts that a loop had in flight as it handed over.
+type successorStub chan RemoteResult
+
+func (h successorStub) RemoteResult(r RemoteResult, _ bool) {
+	if r.Target != "" {
+		h <- r
+	}
+}
+
+// handOver has a loop hand over, with one attempt in flight.
+func handOver(t *testing.T, l *Loop) (HandoverState, successorStub) {
+	t.Helper()
+	done, successor := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 4))
+	l.Post(HandOver{Successor: successor, Done: done})
+	result := receive(t, done)
+	if result.Err != nil || len(result.State.InFlight) != 1 {
+		t.Fatalf("%+v", result)
+	}
+	return result.State, successor
+}
+
 // discardLog is the log of loops under test.
 var discardLog = slog.New(slog.DiscardHandler)
 
--- a/internal/state/loop_test.go
+++ b/internal/state/loop_test.go
@@ -207,17 +207,12 @@
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	connecting := o.callOf(t, l, "a")
-	done, successor := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 1))
-	l.Post(HandOver{Successor: successor, Done: done})
-	given := receive(t, done)
-	if given.Err != nil || len(given.State.InFlight) != 1 {
-		t.Fatalf("%+v", given)
-	}
+	handedOver, successor := handOver(t, l)
 	if c := receive(t, o.held); c != connecting {
 		t.Error("another call was withheld")
 	}
 	next, o2 := newTestLoop(t, o.dir, 1e6)
-	next.restoreHandover(&given.State)
+	next.restoreHandover(&handedOver)
 	start(t, next)
 	l.Post(endedWith(connecting, AttemptResult{Result: control.NotSent}))
 	next.Post(receive(t, successor))
--- a/internal/state/restart_test.go
+++ b/internal/state/restart_test.go
@@ -55,7 +55,23 @@
 	}
 }
 
-// After a restart each message is owed its end, within what its class allows.
+// writeAttempted writes a log with one message, and an attempt of it so long ago; 0 = none.
+func writeAttempted(t *testing.T, dir string, m *Message, now time.Time, ago time.Duration, mayHaveRun bool) {
+	t.Helper()
+	l, _ := openTestLog(t, dir)
+	logAccepted(l, &entry{num: 9, Message: m})
+	if ago != 0 {
+		l.AddAttempt(9, wal.Attempt{At: now.Add(-ago)})
+		if !mayHaveRun {
+			l.AddNotRun(9, 0)
+		}
+	}
+	if err := errors.Join(l.Flush(), l.Close()); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// After a restart each message is owed its outcome, within what its class allows.
 func TestRestart(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -80,19 +96,7 @@
 		{"not idempotent, overdue", 2, -time.Second, time.Second, true, -1, "undeliverable"},
 	} {
 		dir := t.TempDir()
-		j, tb := openTestLog(t, dir)
-		e := &entry{num: 9, Message: newMessage("a", c.class, c.left)}
-		tb.add(e)
-		logAccepted(j, e)
-		if c.ago != 0 {
-			j.AddAttempt(9, wal.Attempt{At: now.Add(-c.ago)})
-			if !c.ran {
-				j.AddNotRun(9, 0)
-			}
-		}
-		if err := errors.Join(j.Flush(), j.Close()); err != nil {
-			t.Fatal(err)
-		}
+		writeAttempted(t, dir, newMessage("a", c.class, c.left), now, c.ago, c.ran)
 		l, o := newTestLoop(t, dir, 1e6)
 		start(t, l)
 		if c.owed != "" {
