--- a/internal/endpointgroup/endpoint.go
+++ b/internal/endpointgroup/endpoint.go
@@ -1,4 +1,4 @@
-// Package endpointgroup holds what a sender knows of its endpoints: what discovery has told, numbered for the
+// Package endpointgroup holds what a sender knows of its endpoints: what discovery has listed, numbered for the
 // controller, which of them operators have excluded, whether sends are suspended while the list is uncertain, and the
 // endpoints that left, kept over a restart. It decides nothing about sends (package permit and the controller do),
 // and asks discovery nothing.
--- a/internal/endpointgroup/group.go
+++ b/internal/endpointgroup/group.go
@@ -27,7 +27,7 @@
 	excluded          map[string]bool      // ids of targets that operators have taken out
 	suspended         bool                 // nothing new goes to any target
 
-	unavailableSince map[control.EndpointID]time.Time // when those were told that drain or are gone
+	unavailableSince map[control.EndpointID]time.Time // when discovery told that a target drains or is gone
 }
 
 // New returns a group of which nothing is known yet.
@@ -39,7 +39,7 @@
 	}
 }
 
-// Version returns the version of the list that was told last; NoVersion where there was none.
+// Version returns the version of the latest list; NoVersion where there was none.
 func (g *Group) Version() int64 { return g.version }
 
 // ByID returns a target by its id; nil where it is not known.
@@ -57,7 +57,7 @@
 // All returns all targets that are known, those that left not long ago included, in no order.
 func (g *Group) All() iter.Seq[*Target] { return maps.Values(g.byID) }
 
-// UnavailableSince returns when a target was told to drain or to be gone; the zero time stands for never.
+// UnavailableSince returns when discovery told that a target drains or is gone; the zero time stands for never.
 func (g *Group) UnavailableSince(number control.EndpointID) time.Time {
 	return g.unavailableSince[number]
 }
@@ -175,8 +175,8 @@
 	return endpoints
 }
 
-// UpdateDeparting enters targets that drain or are gone, of those that are known, and returns them as the controller is
-// to see them. The version of the list stays: there may be more to it.
+// UpdateDeparting enters targets that drain or are gone, of those that are known, and returns them as the controller
+// is to see them. The version of the list stays: there may be more to it.
 func (g *Group) UpdateDeparting(departing []Target, now time.Time) []control.Endpoint {
 	known := slices.DeleteFunc(slices.Clone(departing), func(t Target) bool { return g.byID[t.ID] == nil })
 	if len(known) == 0 {
--- a/internal/state/admission.go
+++ b/internal/state/admission.go
@@ -37,7 +37,7 @@
 
 func (e ResponseWritten) apply(l *Loop) { l.responseWritten(e) }
 
-// clientRetryAfter is what a client is told: nothing, where clients receive no advice.
+// clientRetryAfter is the Retry-After of a rejection: none, where clients receive no advice.
 func (l *Loop) clientRetryAfter(want time.Duration) time.Duration {
 	if !l.settings.CanSendRetryAfter {
 		return 0
@@ -136,7 +136,7 @@
 	}))
 }
 
-// responseWritten goes on once a client has heard that its message is accepted. One that could not be told may submit
+// responseWritten goes on once a client has heard that its message is accepted. One that could not hear it may submit
 // the message again: this one has ended.
 func (l *Loop) responseWritten(w ResponseWritten) {
 	e := l.table.byID[w.ID]
--- a/internal/state/call.go
+++ b/internal/state/call.go
@@ -16,8 +16,9 @@
 	Message  *Message
 	Deadline time.Time // waited for until then
 	NotAfter time.Time // not sent after that; the zero time stands for the deadline
+
 	num      control.MessageID
-	attempt  int
+	attempt  int // of the message's, from 0
 	ended    bool
 	canceled bool
 	withheld bool // may not leave
@@ -25,13 +26,14 @@
 
 // Call is what travels on one connection: one attempt, or several that go to one endpoint in one iteration.
 type Call struct {
-	Target     Target
-	Attempts   []*Attempt
-	ConnectBy  time.Time // by when a connection must be up
-	bytes      int       // that the attempts take in one body
-	size       int       // attempts that left with it
-	unanswered int       // attempts whose client has not been answered yet
-	launched   bool
+	Target    Target
+	Attempts  []*Attempt
+	ConnectBy time.Time // by when a connection must be up
+
+	bytes      int  // that the attempts take in one body
+	size       int  // attempts that left with it
+	unanswered int  // attempts whose client has not been answered yet
+	launched   bool // the loop is done with it: it was sent, or never will be
 	sent       bool // it is with the transport
 	withheld   bool // sends to its endpoint were forbidden before it left
 }
@@ -42,9 +44,9 @@
 	Result     control.Result
 	Elapsed    time.Duration
 	SentAt     time.Time     // when the first byte of its call was written; zero: none was, or it is not known
-	RetryAfter time.Duration // nothing is to be sent there for so long; 0 = not told
+	RetryAfter time.Duration // nothing is to be sent there for so long; 0 = no such wait
 	Final      bool          // nothing more is owed
-	NoSlot     bool
+	NoSlot     bool          // not sent: there was no capacity for one more call
 }
 
 // connectBy is the time by which a connection asked for now must be up.
--- a/internal/state/deadletter.go
+++ b/internal/state/deadletter.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// restoreDeadLetter completes a dead letter that the log told of.
+// restoreDeadLetter completes a dead letter that came from the log.
 func (l *Loop) restoreDeadLetter(e *entry) *DeadLetter {
 	d := *e.deadLetter
 	d.Num, d.Seq, d.Message, d.Attempts, d.AttemptCount = e.num, e.deadLetterSeq, e.Message, e.history(), e.attempts
@@ -125,7 +125,7 @@
 }
 
 // endWithDeadLetter ends a message that the queue is owed: the log says so, and at the end of the iteration the queue
-// is told.
+// gets it.
 func (l *Loop) endWithDeadLetter(e *entry, n DeliveryReport, d *DeadLetter) {
 	n.Num, n.ID, n.DeadLetter = e.num, e.ID, d
 	e.deadLetter = d
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -61,8 +61,8 @@
 
 func (PredecessorLost) apply(l *Loop) { l.predecessorLost() }
 
-// HandOver has the loop let go of everything for a successor. The state is told once the log is closed. From then on
-// the loop serves nobody but the successor.
+// HandOver has the loop let go of everything for a successor. The state is handed over once the log is closed. From
+// then on the loop serves nobody but the successor.
 type HandOver struct {
 	Successor Successor
 	Done      chan<- HandOverResult // takes one without blocking
@@ -117,7 +117,7 @@
 	}
 }
 
-// handoverState is what the successor is told.
+// handoverState is the state for the successor.
 func (l *Loop) handoverState() HandoverState {
 	s := HandoverState{
 		At: l.now, Stamp: l.wal.Times().Stamp(l.now), Version: l.group.Version(), Routes: map[string]control.RouteState{},
@@ -144,7 +144,7 @@
 			}
 		}
 	}
-	for key, remoteCall := range l.remote { // of a process before this one: passed on when it is told
+	for key, remoteCall := range l.remote { // of a process before this one: passed on when they are known
 		s.InFlight = append(s.InFlight, RemoteAttempt{key.num, key.attempt, call + 1 + remoteCall})
 	}
 	return s
@@ -196,7 +196,7 @@
 	}
 }
 
-// handoverTime is when a state was told. Its wall time does not outlast a step of the clock.
+// handoverTime is when a state was made. Its wall time does not outlast a step of the clock.
 func (l *Loop) handoverTime(s *HandoverState) time.Time {
 	if s.Stamp == 0 {
 		return s.At
@@ -204,7 +204,7 @@
 	return l.wal.Times().Time(s.Stamp)
 }
 
-// restoreHandover takes up what the process before this one has told, before the loop's first iteration.
+// restoreHandover takes up the state of the process before this one, before the loop's first iteration.
 func (l *Loop) restoreHandover(s *HandoverState) {
 	l.remote = remoteAttempts{}
 	for _, a := range s.InFlight {
--- a/internal/state/interfaces.go
+++ b/internal/state/interfaces.go
@@ -45,7 +45,7 @@
 
 // DestinationCapacity is what the endpoint group knows of a destination.
 type DestinationCapacity struct {
-	Weight float64 // calls a second that it takes from all senders together; 0 = not told
+	Weight float64 // calls a second that it takes from all senders together; 0 = not known
 	Ready  int     // endpoints that take new work
 }
 
--- a/internal/state/iteration.go
+++ b/internal/state/iteration.go
@@ -12,7 +12,7 @@
 // sinceStart is the controller's clock.
 func (l *Loop) sinceStart() time.Duration { return l.now.Sub(l.start) }
 
-// begin takes up what the log told is owed.
+// begin takes up what is owed by the log.
 func (l *Loop) begin() {
 	l.started = true
 	l.now = l.clock()
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -26,10 +26,10 @@
 // Setup is what a loop is built from.
 type Setup struct {
 	Settings    control.Settings
-	Classes     []string // names of the classes in the settings, by their numbers
-	Known       ListUpdate
-	Dir         string
-	DiskBytes   int64
+	Classes     []string   // names of the classes in the settings, by their numbers
+	Known       ListUpdate // the endpoint list to start with; not used where Handover has one
+	Dir         string     // the state folder
+	DiskBytes   int64      // that all files in it may take
 	Log         *slog.Logger
 	DeadLetters DeadLetterQueue // nil: what can't be delivered is not kept
 
@@ -58,7 +58,7 @@
 
 	events chan Event
 	clock  func() time.Time
-	start  time.Time
+	start  time.Time // from which the controller counts
 	now    time.Time // of the iteration
 	timer  *time.Timer
 	token  uint32
@@ -152,14 +152,14 @@
 	if s.InMemory {
 		return wal.InMemory(s.DiskBytes), t, nil
 	}
-	log, entries, next, err := wal.Open(wal.Options{
+	log, recovered, err := wal.Open(wal.Options{
 		Dir: s.Dir, Limit: s.DiskBytes, Reserved: 2 * endpointgroup.MaxDeparturesBytes, Durability: s.Durability,
 		GroupWait: s.GroupWait, Virtual: s.Clock != nil, Log: s.Log,
 	})
 	if err != nil {
 		return nil, nil, err
 	}
-	t.restore(entries, next)
+	t.restore(recovered)
 	return log, t, nil
 }
 
--- a/internal/state/message.go
+++ b/internal/state/message.go
@@ -28,7 +28,7 @@
 // Response answers a client that submits a message.
 type Response struct {
 	Accepted   bool
-	RetryAfter time.Duration // of a rejection: when to come back; 0 = not told
+	RetryAfter time.Duration // of a rejection: when to come back; 0 = no advice
 	Permanent  bool          // a rejection after which coming back is of no use
 	Invalid    InvalidReason // of a rejection: why the message can't be accepted at all
 }
--- a/internal/state/restart_test.go
+++ b/internal/state/restart_test.go
@@ -20,7 +20,7 @@
 	l.wal.Close()
 	disk := &fullableDisk{FS: store.Dir(dir)}
 	var err error
-	if l.wal, _, _, err = wal.Open(wal.Options{Dir: dir, Limit: 1e6, Log: discardLog, FS: disk}); err != nil {
+	if l.wal, _, err = wal.Open(wal.Options{Dir: dir, Limit: 1e6, Log: discardLog, FS: disk}); err != nil {
 		t.Fatal(err)
 	}
 	start(t, l)
--- a/internal/state/retryafter.go
+++ b/internal/state/retryafter.go
@@ -18,7 +18,7 @@
 // addressKeyOf is what a Retry-After of an endpoint binds besides the endpoint itself.
 func addressKeyOf(t Target) routeKey { return routeKey{destination: t.Destination, address: t.Addr} }
 
-// retryAfter is a wait that an endpoint told, from when to when.
+// retryAfter is a wait that an endpoint asked for, from when to when.
 type retryAfter struct{ from, until time.Time }
 
 // retryAfterTable remembers the latest wait of each route.
@@ -56,7 +56,7 @@
 	return routeKey{destination: t.Destination}
 }
 
-// noteRetryAfter remembers a Retry-After that an endpoint told now.
+// noteRetryAfter remembers a Retry-After that came from an endpoint now.
 func (l *Loop) noteRetryAfter(t Target, after time.Duration) {
 	l.retryAfters.prune(l.now)
 	w := retryAfter{l.now, l.now.Add(after)}
@@ -66,7 +66,7 @@
 	}
 }
 
-// applyRetryAfters has waits told at an address bind the endpoints that are listed there now.
+// applyRetryAfters has the waits of an address bind the endpoints that are listed there now.
 func (l *Loop) applyRetryAfters(listed []Target) {
 	for _, x := range listed {
 		t := l.group.ByID(x.ID)
--- a/internal/state/retryafter_test.go
+++ b/internal/state/retryafter_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Of several waits for a route the one that ends last holds; what has passed is forgotten once many are remembered, and
-// beyond twice as many no more are taken.
+// Of several waits for a route the one that ends last holds; what has passed is forgotten once many are remembered,
+// and beyond twice as many no more are taken.
 func TestRetryAfterTable(t *testing.T) {
 	now := time.Unix(1000, 0)
 	key := routeKey{destination: 7}
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// restore enters what the log tells of messages from before, and the least number for the next one.
-func (t *table) restore(entries []*wal.Entry, next control.MessageID) {
-	for _, x := range entries {
+// restore enters what the log tells.
+func (t *table) restore(recovered wal.Recovered) {
+	for _, x := range recovered.Entries {
 		if x.RecordedClass != nil {
 			x.Class = t.classes.numberOf(*x.RecordedClass)
 		}
@@ -64,7 +64,7 @@
 			t.markEnded(e, r)
 		}
 	}
-	t.next = max(t.next, next)
+	t.next = max(t.next, recovered.NextNumber)
 }
 
 // idInUse tells whether an id is in use, or was a moment ago.
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -57,16 +57,21 @@
 	FS         store.FS // of the store; nil: Dir
 }
 
-// Open opens the log of a folder, and returns what it tells of messages that something is still owed for, and the
-// least number for the next message. The single file of an older program is imported. Errors are those of the folder
-// and of the store; one that another process has open is such.
-func Open(o Options) (*Log, []*Entry, control.MessageID, error) {
+// Recovered is what a log tells at a start.
+type Recovered struct {
+	Entries    []*Entry          // the messages that something is still owed for, by number
+	NextNumber control.MessageID // the least number for the next message
+}
+
+// Open opens the log of a folder, and returns what it tells. The single file of an older program is imported. Errors are
+// those of the folder and of the store; one that another process has open is such.
+func Open(o Options) (*Log, Recovered, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
-		return nil, nil, 0, fmt.Errorf("journal: %w", err)
+		return nil, Recovered{}, fmt.Errorf("journal: %w", err)
 	}
 	l := &Log{limit: o.Limit - o.Reserved - reservedBytes}
 	if err := importSingleFile(o.Dir, l.limit, o.Log); err != nil {
-		return nil, nil, 0, err
+		return nil, Recovered{}, err
 	}
 	if o.FS == nil {
 		o.FS = store.Dir(o.Dir)
@@ -75,7 +80,7 @@
 		FS: o.FS, Budget: l.limit, Durability: o.Durability, GroupWait: o.GroupWait, Log: o.Log,
 	})
 	if err != nil {
-		return nil, nil, 0, fmt.Errorf("journal: %w", err)
+		return nil, Recovered{}, fmt.Errorf("journal: %w", err)
 	}
 	l.store = s
 	if !o.Virtual {
@@ -84,9 +89,9 @@
 	entries, err := entriesOf(s, l.times, o.Log)
 	if err != nil {
 		s.Close()
-		return nil, nil, 0, err
+		return nil, Recovered{}, err
 	}
-	return l, entries, control.MessageID(s.Highest() + 1), nil
+	return l, Recovered{entries, control.MessageID(s.Highest() + 1)}, nil
 }
 
 // InMemory returns a log that writes nothing; its limit in bytes holds all the same.
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -28,13 +28,13 @@
 // openLog opens the log of a folder.
 func openLog(t *testing.T, dir string, limit int64) *fixture {
 	t.Helper()
-	l, entries, next, err := Open(Options{
+	l, recovered, err := Open(Options{
 		Dir: dir, Limit: limit, Reserved: 8 << 10, Durability: store.Process, Log: discardLog,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &fixture{l, entries, next}
+	return &fixture{l, recovered.Entries, recovered.NextNumber}
 }
 
 // accept adds a message.
