--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -63,8 +63,8 @@
 	NextNumber control.MessageID // the least number for the next message
 }
 
-// Open opens the log of a folder, and returns what it tells. The single file of an older program is imported. Errors are
-// those of the folder and of the store; one that another process has open is such.
+// Open opens the log of a folder, and returns what it tells. The single file of an older program is imported. Errors
+// are those of the folder and of the store; one that another process has open is such.
 func Open(o Options) (*Log, Recovered, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
 		return nil, Recovered{}, fmt.Errorf("journal: %w", err)
