--- a/internal/state/actions.go
+++ b/internal/state/actions.go
@@ -19,7 +19,7 @@
 	e, t := l.table.entries[id], l.group.ByNumber(to)
 	if e == nil || t == nil || e.report != nil || t.Destination != e.Destination {
 		// No such message, or an endpoint that is not its destination's: never to leave.
-		l.refuseSend(id, to, e)
+		l.rejectSend(id, to, e)
 		return
 	}
 	attempt := &Attempt{
@@ -30,8 +30,8 @@
 	l.addToCall(e, t, attempt)
 }
 
-// refuseSend ends a send that the controller must not have asked for. Package soak looks for its log line.
-func (l *Loop) refuseSend(id control.MessageID, to control.EndpointID, e *entry) {
+// rejectSend ends a send that the controller must not have asked for. Package soak looks for its log line.
+func (l *Loop) rejectSend(id control.MessageID, to control.EndpointID, e *entry) {
 	l.log.Error("send that must not be", "message", id, "endpoint", to)
 	attempt := 0
 	if e != nil {
--- a/internal/state/call.go
+++ b/internal/state/call.go
@@ -70,9 +70,9 @@
 	to := t.Endpoint.ID
 	size := len(e.ID) + len(e.Key) + len(e.Body) + FrameOverhead
 	c := l.callsByEndpoint[to]
-	if c == nil || e.sendAlone || len(c.Attempts) >= l.maxBatch(t.Kind) || c.bytes+size > MaxBody {
+	if c == nil || e.unbatched || len(c.Attempts) >= l.maxBatch(t.Kind) || c.bytes+size > MaxBody {
 		c = &Call{Target: *t, ConnectBy: l.connectBy()}
-		if !e.sendAlone {
+		if !e.unbatched {
 			l.callsByEndpoint[to] = c
 		}
 		l.newCalls = append(l.newCalls, c)
--- a/internal/state/endpoints.go
+++ b/internal/state/endpoints.go
@@ -104,8 +104,8 @@
 func (e GossipReceived) apply(l *Loop) {
 	for _, o := range e.Observations {
 		if number, known := l.group.NumberByHash(o.EndpointHash); known {
-			heard := control.Observation{Endpoint: number, Kind: o.Kind, Age: o.Age, Peer: e.Peer}
-			l.controller.ReceiveGossip(l.sinceStart(), heard)
+			observation := control.Observation{Endpoint: number, Kind: o.Kind, Age: o.Age, Peer: e.Peer}
+			l.controller.ReceiveGossip(l.sinceStart(), observation)
 		}
 	}
 }
--- a/internal/state/entry.go
+++ b/internal/state/entry.go
@@ -18,7 +18,7 @@
 	decision       *AdmissionDecision // with the response
 	responded      bool               // its client has heard that it is accepted
 	call           *Call              // held back until then
-	sendAlone      bool               // an endpoint could not use a call that it shared
+	unbatched      bool               // goes in a call by itself: an endpoint could not use one that it shared
 	report         *DeliveryReport    // ended, and the platform is owed this
 	cost           int64              // bytes that it may take in the log
 	classRecord    string             // its class as it stands there
--- a/internal/state/outcome.go
+++ b/internal/state/outcome.go
@@ -51,7 +51,7 @@
 		// One of them is to blame. Each goes by itself from now on, so that the others arrive and the one is found.
 		r.Result = control.NotSent
 		if e != nil {
-			e.sendAlone = true
+			e.unbatched = true
 		}
 	}
 	if e != nil && !r.Result.MayHaveRun() {
--- a/internal/state/sendcheck_test.go
+++ b/internal/state/sendcheck_test.go
@@ -92,10 +92,10 @@
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
 		call := o.callOf(t, l, "a")
-		var toldAt time.Time
+		var answeredAt time.Time
 		l.Post(inspect(func() {
 			time.Sleep(c.busy)
-			toldAt = time.Now()
+			answeredAt = time.Now()
 			l.events <- endedWith(call, AttemptResult{Result: control.Rejected, RetryAfter: wait})
 			if c.moved {
 				gone, next := call.Target, call.Target
@@ -103,8 +103,8 @@
 				l.events <- ListUpdate{Kind: control.ListDelta, Version: 2, Targets: []Target{gone, next}}
 			}
 		}))
-		if retry := receive(t, o.calls); time.Since(toldAt) < wait {
-			t.Errorf("%s: a call to %s %v after a wait of %v was told", c.name, retry.Target.ID, time.Since(toldAt), wait)
+		if retry := receive(t, o.calls); time.Since(answeredAt) < wait {
+			t.Errorf("%s: a call to %s %v after a wait of %v was told", c.name, retry.Target.ID, time.Since(answeredAt), wait)
 		}
 	}
 }
