--- /dev/null
+++ b/internal/state/listcertainty_test.go
@@ -0,0 +1,36 @@
+package state
+
+import (
+	"testing"
+	"time"
+)
+
+// From the first answer that could not be read on, less the margin before the end of the grace, nothing is sent,
+// until a while after the latest.
+func TestListCertainty(t *testing.T) {
+	const grace, span = 2 * time.Second, 10 * time.Second
+	zero := time.Now()
+	at := func(seconds float64) time.Time { return zero.Add(time.Duration(seconds * float64(time.Second))) }
+	var c listCertainty
+	c.markUncertain(at(0))
+	c.markUncertain(at(1))
+	for _, x := range []struct {
+		now  float64
+		held bool
+		next float64
+	}{{1, false, 1.75}, {1.75, true, 11}, {10.9, true, 11}} {
+		if held, next := c.suspended(at(x.now), grace, span); held != x.held || !next.Equal(at(x.next)) {
+			t.Errorf("at %v: %t, next %v", x.now, held, next.Sub(zero))
+		}
+	}
+	if held, next := c.suspended(at(5), 0, span); held || !next.IsZero() {
+		t.Errorf("without a grace: %t, next %v", held, next)
+	}
+	if held, next := c.suspended(at(11), grace, span); held || !next.IsZero() {
+		t.Errorf("at the end: %t, next %v", held, next)
+	}
+	c.markUncertain(at(20))
+	if held, _ := c.suspended(at(21), 300*time.Millisecond, span); !held {
+		t.Error("a short grace leaves no margin")
+	}
+}
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -1,3 +1,10 @@
+// Package state is the sender's event loop, which alone owns the controller, the table of the messages that were
+// accepted, the endpoint group (internal/endpointgroup) and the write-ahead log (internal/wal). Others only post
+// events to it.
+//
+// It speaks no protocol: its Transport carries calls, its Discovery polls, its Reporter delivers reports, and each
+// posts what came of that. It decides neither what is sent when (package control) nor whether a send is allowed
+// (package permit).
 package state
 
 import (
@@ -7,20 +14,22 @@
 	"time"
 
 	"cleathold/control"
+	"cleathold/internal/endpointgroup"
 	"cleathold/internal/gossip"
 	"cleathold/internal/store"
+	"cleathold/internal/wal"
 )
 
-// roundMost is the most events that are drained before the controller decides.
-const roundMost = 512
+// maxEventsPerIteration is the most events that are drained before the controller decides.
+const maxEventsPerIteration = 512
 
 // Setup is what a loop is built from.
 type Setup struct {
 	Settings    control.Settings
-	Classes     []string // names of the classes in the settings, by their numbers
-	Known       ListUpdate
-	Dir         string
-	DiskBytes   int64
+	Classes     []string   // names of the classes in the settings, by their numbers
+	Known       ListUpdate // the endpoint list to start with; not used where Handover has one
+	Dir         string     // the state folder
+	DiskBytes   int64      // that all files in it may take
 	Log         *slog.Logger
 	DeadLetters DeadLetterQueue // nil: what can't be delivered is not kept
 
@@ -28,130 +37,142 @@
 
 	Counters *Counters // of the process; nil: of this loop alone
 
-	Durability store.Durability // of the journal
+	Durability store.Durability // of the log
 	GroupWait  time.Duration    // where that is Group
 
-	// For a laboratory that drives the loop by Step, in a time of its own.
+	// For a simulation that drives the loop by Step, in a time of its own.
 	Clock    func() time.Time // nil: the machine's
-	InMemory bool             // the journal is kept nowhere; its limit holds all the same
+	InMemory bool             // the log is kept nowhere; its limit holds all the same
 }
 
-// Loop owns the controller, the table, the target group and the journal. All
-// of them are touched by its own goroutine alone; others only post events.
+// Loop is the event loop. All it owns is touched by its own goroutine alone.
 type Loop struct {
-	set      control.Settings
-	log      *slog.Logger
-	ctl      *control.Controller
-	carrier  Transport
-	list     Discovery
-	notifier Reporter
-	keeper   DeadLetterQueue
-	teller   GossipSender
-	tidings  []gossip.Observation // to be told to the other senders at the end of the round
+	settings        control.Settings
+	log             *slog.Logger
+	controller      *control.Controller
+	transport       Transport
+	discovery       Discovery
+	reporter        Reporter
+	deadLetterQueue DeadLetterQueue
+	gossipSender    GossipSender
 
 	events chan Event
 	clock  func() time.Time
-	start  time.Time
-	now    time.Time // of the round
+	start  time.Time // from which the controller counts
+	now    time.Time // of the iteration
 	timer  *time.Timer
 	token  uint32
 	wakeAt time.Time // what the timer is set to
 
-	table    *table
-	group    *group
-	journal  *journal
-	counters *Counters
-
-	fresh    []*entry // taken in this round, their clients not answered yet
-	round    map[control.EndpointID]*Call
-	calls    []*Call          // of this round
-	ready    []*Call          // to be launched at the end of the round
-	notices  []DeliveryReport // to be told at the end of the round
-	partings []*DeadLetter    // to be given to the keeper at the end of the round
-	settled  []string         // ids that the journal has forgotten, of messages that the keeper has
-	backlog  []Event          // events of the loop's own making, for the next round
-	out      map[*Call]int    // forwards without an end
-	flying   int              // calls with the carrier
-
-	leaving *HandOver      // asked for in this round
-	heir    Successor      // to whom everything was given
-	abroad  map[abroad]int // forwards out at another process, and in which of its calls
-
-	departures *departures
-	waits      map[routeKey]toldWait
-	retrying   bool      // a round that writes the journal again is on its way
-	certain    certainty // whether the list of targets is the one that was told last
-
-	begun    bool
+	table       *table
+	group       *endpointgroup.Group
+	departures  *endpointgroup.Departures
+	wal         *wal.Log
+	counters    *Counters
+	retryAfters retryAfterTable
+	certainty   listCertainty // whether the endpoint list is the one that was told last
+
+	// What an iteration collects for its end.
+	admitted        []*entry // their clients are not answered yet
+	callsByEndpoint map[control.EndpointID]*Call
+	newCalls        []*Call
+	readyCalls      []*Call // to be launched
+	reports         []DeliveryReport
+	deadLetters     []*DeadLetter
+	forgottenIDs    []string // that the log has forgotten, of messages that the dead-letter queue has
+	gossip          []gossip.Observation
+	backlog         []Event // of the loop's own making, for the next iteration
+
+	inFlight        map[*Call]int // attempts without an end
+	callsInFlight   int           // calls with the transport
+	walRetryPending bool          // an iteration that writes the log again is on its way
+
+	handOver  *HandOver      // asked for in this iteration
+	successor Successor      // to whom everything was handed over
+	remote    remoteAttempts // in flight at the predecessor
+
+	started  bool
 	stopped  bool // no new messages
-	halted   bool // no new forwards
+	halted   bool // no new attempts
 	finished chan struct{}
 }
 
-// NewLoop reads the journal and makes a loop; Run starts it.
+// NewLoop reads the log and makes a loop; Run starts it. Errors are those of the state folder and of settings that
+// make no sense.
 func NewLoop(s Setup) (*Loop, error) {
-	virtual := s.Clock != nil
-	if !virtual {
-		s.Clock = time.Now
-	}
-	if s.Counters == nil {
-		s.Counters = &Counters{}
-	}
-	classes := &classBook{}
+	registry := &classRegistry{}
 	for i, c := range s.Settings.Classes {
 		named := NamedClass{Class: c}
 		if i < len(s.Classes) {
 			named.Name = s.Classes[i]
 		}
-		classes.list, classes.records = append(classes.list, named), append(classes.records, string(classRecord(named)))
-	}
-	j, t, err := &journal{limit: s.DiskBytes, nowhere: true}, newTable(), error(nil)
-	if t.classes = classes; !s.InMemory {
-		j, t, err = openJournal(journalSetup{
-			dir: s.Dir, limit: s.DiskBytes, durability: s.Durability, groupWait: s.GroupWait, classes: classes, virtual: virtual, log: s.Log,
-		})
+		registry.add(named)
 	}
+	log, messages, err := openLog(s, registry)
 	if err != nil {
 		return nil, err
 	}
-	s.Settings.Classes = classes.classes() // with those of messages from before other settings
+	if s.Clock == nil {
+		s.Clock = time.Now
+	}
+	if s.Counters == nil {
+		s.Counters = &Counters{}
+	}
+	s.Settings.Classes = registry.classes() // with those of messages from before other settings
 	l := &Loop{
-		set: s.Settings, log: s.Log, keeper: s.DeadLetters, events: make(chan Event, 2*roundMost),
-		clock: s.Clock, start: s.Clock(), table: t, group: newGroup(), journal: j, counters: s.Counters,
-		waits: map[routeKey]toldWait{}, round: map[control.EndpointID]*Call{}, out: map[*Call]int{}, finished: make(chan struct{}),
+		settings: s.Settings, log: s.Log, deadLetterQueue: s.DeadLetters, events: make(chan Event, 2*maxEventsPerIteration),
+		clock: s.Clock, start: s.Clock(), table: messages, group: endpointgroup.New(), wal: log, counters: s.Counters,
+		retryAfters: retryAfterTable{}, callsByEndpoint: map[control.EndpointID]*Call{}, inFlight: map[*Call]int{},
+		departures: &endpointgroup.Departures{}, finished: make(chan struct{}),
 	}
-	if l.ctl, err = control.New(s.Settings, (*actions)(l)); err != nil {
+	if l.controller, err = control.New(s.Settings, (*actions)(l)); err != nil {
 		return nil, err
 	}
-	now := map[string]int{}
+	numbers := map[string]int{}
 	for i, name := range s.Classes {
-		now[name] = i
+		numbers[name] = i
 	}
-	l.tellClasses(now)
-	l.departures = &departures{}
+	l.notifyClasses(numbers)
 	if !s.InMemory {
-		l.departures = openDepartures(s.Dir, s.Log)
+		l.departures = endpointgroup.OpenDepartures(s.Dir, s.Log)
 	}
 	if s.Handover != nil {
-		l.inherit(s.Handover)
+		l.restoreHandover(s.Handover)
 	} else {
 		s.Known.Targets = slices.Clone(s.Known.Targets)
-		l.departures.apply(s.Known.Targets)
+		l.departures.Apply(s.Known.Targets)
 		l.backlog = append(l.backlog, s.Known)
 	}
 	return l, nil
 }
 
-// Connect names those that carry, list and notify; before Run.
+// openLog opens the log, and makes a table of what it tells.
+func openLog(s Setup, registry *classRegistry) (*wal.Log, *table, error) {
+	t := newTable(registry)
+	if s.InMemory {
+		return wal.InMemory(s.DiskBytes), t, nil
+	}
+	log, recovered, err := wal.Open(wal.Options{
+		Dir: s.Dir, Limit: s.DiskBytes, Reserved: 2 * endpointgroup.MaxDeparturesBytes, Durability: s.Durability,
+		GroupWait: s.GroupWait, Virtual: s.Clock != nil, Log: s.Log,
+	})
+	if err != nil {
+		return nil, nil, err
+	}
+	t.restore(recovered)
+	return log, t, nil
+}
+
+// Connect names those that carry calls, poll discovery and deliver reports; before Run.
 func (l *Loop) Connect(c Transport, d Discovery, n Reporter) {
-	l.carrier, l.list, l.notifier = c, d, n
+	l.transport, l.discovery, l.reporter = c, d, n
 }
 
 // ConnectPeers names the one who tells the other senders; before Run. Without one nothing is told.
-func (l *Loop) ConnectPeers(t GossipSender) { l.teller = t }
+func (l *Loop) ConnectPeers(t GossipSender) { l.gossipSender = t }
 
-// Post hands an event to the loop. It blocks while the queue is full, as its
-// callers are goroutines of their own.
+// Post hands an event to the loop. It blocks while the queue is full, as its callers are goroutines of their own.
+// After the end of Run the event is dropped.
 func (l *Loop) Post(event Event) {
 	select {
 	case l.events <- event:
@@ -159,7 +180,7 @@
 	}
 }
 
-// PostBefore is Post for one who can't wait longer than to a time.
+// PostBefore is Post for one who can't wait longer than to a time; false where the event was not posted.
 func (l *Loop) PostBefore(event Event, limit time.Time) bool {
 	timer := time.NewTimer(time.Until(limit))
 	defer timer.Stop()
@@ -172,13 +193,13 @@
 	return false
 }
 
-// Stop ends the taking of new messages.
+// Stop ends the acceptance of new messages.
 func (l *Loop) Stop() { l.Post(stopping{}) }
 
-// Halt ends the making of new forwards; those out are awaited.
+// Halt ends the making of new attempts; those in flight are awaited.
 func (l *Loop) Halt() { l.Post(halting{}) }
 
-// Idle tells whether nothing is owed any more, or nothing is out of a halted loop.
+// Idle tells whether nothing is owed any more, or nothing is in flight of a halted loop.
 func (l *Loop) Idle() bool {
 	answer := make(chan bool, 1)
 	l.Post(inspect(func() { answer <- l.Drained() }))
@@ -190,20 +211,18 @@
 	}
 }
 
-// Close lets go of the journal, as the end of the process would. Run does it by itself.
-func (l *Loop) Close() {
-	if l.heir != nil {
-		return // it was closed when it was given
-	}
-	if err := l.journal.close(); err != nil {
-		l.log.Error("journal not closed", "err", err)
+// Drained is Idle for one who calls Step.
+func (l *Loop) Drained() bool {
+	if l.successor != nil {
+		return l.nothingInFlight()
 	}
+	return l.table.idle() || l.halted && l.nothingInFlight()
 }
 
 // ListedTargets are the targets that discovery lists; none where the loop does not answer by a time.
 func (l *Loop) ListedTargets(by time.Time) []ListedTarget {
 	answer := make(chan []ListedTarget, 1)
-	if !l.PostBefore(inspect(func() { answer <- l.group.listed() }), by) {
+	if !l.PostBefore(inspect(func() { answer <- l.group.Listed() }), by) {
 		return nil
 	}
 	timer := time.NewTimer(time.Until(by))
@@ -217,16 +236,18 @@
 	return nil
 }
 
-// Drained is Idle for one who calls Step.
-func (l *Loop) Drained() bool {
-	if l.heir != nil {
-		return len(l.out)+len(l.abroad) == 0
+// Close lets go of the log, as the end of the process would. Run does it by itself.
+func (l *Loop) Close() {
+	if l.successor != nil {
+		return // it was closed when it was handed over
+	}
+	if err := l.wal.Close(); err != nil {
+		l.log.Error("write-ahead log not closed", "err", err)
 	}
-	return l.table.idle() || l.halted && len(l.out)+len(l.abroad) == 0
 }
 
-// Run runs rounds until the context ends. In a round all events that are in
-// are handed on, the controller decides once, and what it did is settled.
+// Run runs iterations until the context ends. In an iteration all events that are in are handled, the controller
+// decides once, and what it did is committed.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.Close()
 	defer close(l.finished)
@@ -244,34 +265,14 @@
 				l.backlog = append(l.backlog, timerFired{l.token})
 			}
 		}
-		l.turn()
-	}
-}
-
-// begin takes up what the journal told is owed.
-func (l *Loop) begin() {
-	l.begun = true
-	l.now = l.clock()
-	l.beginKeeper()
-	for _, e := range l.table.ordered() {
-		if e.parting != nil {
-			e.parting = l.reparted(e)
-			l.partings = append(l.partings, e.parting)
-		}
-		if e.notice != nil && e.seq == 0 {
-			l.notifier.Report(*e.notice)
-		}
-		if e.notice != nil || e.abroad > 0 {
-			continue
-		}
-		l.hand(e, true)
+		l.iterate()
 	}
 }
 
-// Step runs rounds until these events and what they bring about are dealt with. It
-// takes the place of Run, for one who has the time in hand; TimerElapsed stands for the timer.
+// Step runs iterations until these events and what they bring about are dealt with. It takes the place of Run, for
+// one who has the time in hand; TimerElapsed stands for the timer.
 func (l *Loop) Step(events ...Event) {
-	if !l.begun {
+	if !l.started {
 		l.begin()
 	}
 	for _, e := range events {
@@ -281,227 +282,10 @@
 		}
 		l.backlog = append(l.backlog, e)
 	}
-	for l.turn(); len(l.backlog) > 0; {
-		l.turn()
+	for l.iterate(); len(l.backlog) > 0; {
+		l.iterate()
 	}
 }
 
 // WakeAt is when the timer goes off; zero where it is not set. For one who calls Step.
 func (l *Loop) WakeAt() time.Time { return l.wakeAt }
-
-// turn is one round.
-func (l *Loop) turn() {
-	l.now = l.clock()
-	events := l.backlog
-	l.backlog = nil
-	if l.heir != nil {
-		for _, e := range events {
-			l.pass(e)
-		}
-		return
-	}
-	for _, e := range events {
-		l.handle(e)
-	}
-	for n := len(events); n < roundMost; n++ {
-		select {
-		case e := <-l.events:
-			l.now = l.clock() // what came in the middle of the round is not older than that
-			l.handle(e)
-			continue
-		default:
-		}
-		break
-	}
-	if !l.halted {
-		l.ctl.Decide(l.since())
-	}
-	l.settle()
-	if l.leaving != nil {
-		l.leave()
-	}
-}
-
-// since is the controller's clock.
-func (l *Loop) since() time.Duration { return l.now.Sub(l.start) }
-
-// handle passes one event to its stage.
-func (l *Loop) handle(event Event) {
-	switch e := event.(type) {
-	case Submitted:
-		l.admit(e)
-	case ResponseWritten:
-		l.answered(e)
-	case CallEnded:
-		l.book(e)
-	case ListUpdate:
-		l.ctl.UpdateEndpoints(l.since(), e.Kind, l.group.take(e, l.now))
-		l.bind(e.Targets)
-		l.unlisted()
-		l.tellListing()
-		if e.Kind == control.ListFull || e.Kind == control.ListDelta {
-			l.departures.follow(l.group)
-			l.listKnown(e.PollPaused)
-		}
-	case ListUnreadable:
-		l.unread(e)
-	case PollOpen:
-		l.listKnown(false)
-	case PollFailed:
-		l.certain.doubt(e.Since)
-		l.reviewList()
-	case Redelivery:
-		l.admitHeld(e)
-	case DeadLettersStored:
-		l.stored(e)
-	case ExclusionsChanged:
-		if lines := l.group.setAside(e.IDs); len(lines) > 0 {
-			l.ctl.UpdateEndpoints(l.since(), control.ListExcluded, lines)
-			l.unlisted()
-			l.log.Info("targets taken out by the operators", "out", len(e.IDs), "changed", len(lines))
-		}
-	case HealthChecked:
-		l.ctl.HealthChecked(l.since(), e.Target, e.Result, e.Elapsed, nil)
-	case GossipReceived:
-		l.heard(e)
-	case ReportsAcknowledged:
-		l.acknowledged(e)
-	case timerFired:
-		l.ctl.TimerFired(l.since(), e.token)
-	case stopping:
-		l.stopped = true
-	case halting:
-		// What has not left now is tried by the next process: it would be cut off in the middle.
-		l.halted = true
-		l.withhold(func(Target) bool { return true })
-	case UpdateSettings:
-		l.retune(e)
-	case HandOver:
-		l.giveWay(e)
-	case RemoteResult:
-		l.returned(e)
-	case PredecessorLost:
-		l.lost()
-	case inspect:
-		e()
-	}
-}
-
-// settle makes a round's doings known. The journal comes first: no client
-// hears that a message is taken on, no forward leaves and no notice goes out
-// before the record of it is written.
-func (l *Loop) settle() {
-	for _, e := range l.fresh {
-		if l.table.entries[e.num] == e && e.seq == 0 {
-			l.journal.take(e)
-		}
-	}
-	for _, c := range l.calls {
-		if c.unsent == 0 {
-			l.ready = append(l.ready, c)
-		}
-	}
-	l.calls = nil
-	clear(l.round)
-	// A call that was parted by its size takes a slot more than the controller
-	// knows of: it waits for one.
-	wait := l.ready[min(len(l.ready), max(0, l.set.MaxInFlight-l.flying-l.abroadCalls())):]
-	l.ready = l.ready[:len(l.ready)-len(wait)]
-	for _, c := range l.ready {
-		l.recordCall(c)
-	}
-	if err := l.journal.flush(); err != nil {
-		l.log.Error("nothing can be promised", "err", err)
-		l.withdraw()
-	}
-	for _, e := range l.fresh {
-		if l.table.entries[e.num] == e && e.verdict != nil {
-			if !e.decision.accept() {
-				l.tooLate(e)
-				continue
-			}
-			e.verdict <- Response{Accepted: true}
-			e.verdict = nil
-			l.counters.taken.Add(1)
-		}
-	}
-	for _, c := range l.ready {
-		l.launch(c)
-	}
-	l.counters.open.Store(int64(l.table.open))
-	if len(l.tidings) > 0 {
-		l.teller.SendGossip(l.tidings)
-		l.tidings = l.tidings[:0]
-	}
-	l.fresh, l.ready = nil, wait
-	if l.journal.dirty {
-		l.tellOverdue() // the rest is not known for good yet: in a later round
-		l.retryJournal()
-		return
-	}
-	for _, n := range l.notices {
-		l.notifier.Report(n)
-	}
-	l.notices = nil
-	if l.keeper != nil {
-		l.tell()
-		l.keeper.LoadChanged(LoopLoad{l.set.MaxInFlight, l.flying, l.set.MaxOpenMessages, l.table.open})
-	}
-}
-
-// tellOverdue tells the notices of messages whose time is up, though the journal lacks them: the next process, if it comes to
-// that, gives these messages up as well, and a second notice does no harm.
-func (l *Loop) tellOverdue() {
-	l.notices = slices.DeleteFunc(l.notices, func(n DeliveryReport) bool {
-		e := l.table.entries[n.Num]
-		overdue := e != nil && !l.now.Before(e.Deadline)
-		if overdue {
-			l.notifier.Report(n)
-		}
-		return overdue
-	})
-}
-
-// journalPause is left between two attempts to write what the journal lacks.
-const journalPause = 20 * time.Millisecond
-
-// retryJournal sees to it that a round comes soon, in which the journal is written again.
-func (l *Loop) retryJournal() {
-	if l.retrying {
-		return
-	}
-	l.retrying = true
-	time.AfterFunc(journalPause, func() { l.Post(inspect(func() { l.retrying = false })) })
-}
-
-// tooLate gives up a message whose client was refused while it was written down: the disk stalled, or the loop.
-func (l *Loop) tooLate(e *entry) {
-	e.verdict = nil
-	l.counters.refused.Add(1)
-	l.backlog = append(l.backlog, inspect(func() { // what it lets go leaves with the records of the next round
-		l.ctl.Abandon(l.since(), e.num)
-		l.over(e)
-		l.release(e)
-	}))
-}
-
-// withdraw takes back what a round did and the journal could not hold.
-func (l *Loop) withdraw() {
-	for _, e := range l.fresh {
-		if l.table.entries[e.num] == e && e.seq > 0 && e.notice == nil {
-			l.ctl.Abandon(l.since(), e.num)
-			l.table.drop(e)
-			l.journal.forget(e.num)
-			l.keeper.Add(DeadLetter{Seq: e.seq, Message: e.Message, NotAdmitted: true, Reason: "the journal can't be written", At: l.now})
-		} else if l.table.entries[e.num] == e && e.verdict != nil {
-			l.refuseNow(e, Response{RetryAfter: l.pause(fullPause)})
-			l.journal.forget(e.num)
-			l.ctl.Abandon(l.since(), e.num)
-			l.release(e)
-		}
-	}
-	for _, c := range l.ready {
-		l.unsend(c, control.ConnectFailed)
-	}
-	l.ready = nil
-}
--- /dev/null
+++ b/internal/state/restart_test.go
@@ -0,0 +1,216 @@
+package state
+
+import (
+	"bytes"
+	"errors"
+	"os"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/store"
+	"cleathold/internal/wal"
+)
+
+// A log that fails for a while holds no report back beyond the time of its message, when a next process would not
+// send it any more; one of a message with time left waits until it is written.
+func TestReportsWhileLogFails(t *testing.T) {
+	dir := t.TempDir()
+	l, o := newTestLoop(t, dir, 1e6)
+	l.wal.Close()
+	disk := &fullableDisk{FS: store.Dir(dir)}
+	var err error
+	if l.wal, _, err = wal.Open(wal.Options{Dir: dir, Limit: 1e6, Log: discardLog, FS: disk}); err != nil {
+		t.Fatal(err)
+	}
+	start(t, l)
+	submit := func(id string, class int, within time.Duration) {
+		v := make(chan Response, 1)
+		l.Post(Submitted{Message: newMessage(id, class, within), Response: v})
+		if !receive(t, v).Accepted {
+			t.Fatalf("%s is not accepted", id)
+		}
+		l.Post(ResponseWritten{id, true})
+	}
+	submit("unsafe", 2, time.Minute)
+	call := receive(t, o.calls)
+	const within = 400 * time.Millisecond
+	began := time.Now()
+	submit("short", 2, within)
+	short := receive(t, o.calls)
+	time.AfterFunc(within, func() {
+		l.Post(endedWith(short, AttemptResult{Result: control.TimedOut}))
+	})
+	l.Post(inspect(func() { disk.full.Store(true) }))
+	l.Post(endedWith(call, AttemptResult{Result: control.ConnectionLost})) // given up at once
+	if n := receive(t, o.notices); n.ID != "short" {
+		t.Errorf("%s is reported while it could be forgotten", n.ID)
+	}
+	if took := time.Since(began); took > within+200*time.Millisecond {
+		t.Errorf("told %v after it was accepted, due after %v", took, within)
+	}
+	l.Post(inspect(func() { disk.full.Store(false) }))
+	if n := receive(t, o.notices); n.ID != "unsafe" { // with no event but the loop's own
+		t.Errorf("then told of %s", n.ID)
+	}
+}
+
+// writeAttempted writes a log with one message, and an attempt of it so long ago; 0 = none.
+func writeAttempted(t *testing.T, dir string, m *Message, now time.Time, ago time.Duration, mayHaveRun bool) {
+	t.Helper()
+	l, _ := openTestLog(t, dir)
+	logAccepted(l, &entry{num: 9, Message: m})
+	if ago != 0 {
+		l.AddAttempt(9, wal.Attempt{At: now.Add(-ago)})
+		if !mayHaveRun {
+			l.AddNotRun(9, 0)
+		}
+	}
+	if err := errors.Join(l.Flush(), l.Close()); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// After a restart each message is owed its outcome, within what its class allows.
+func TestRestart(t *testing.T) {
+	now := time.Now()
+	for _, c := range []struct {
+		name  string
+		class int
+		left  time.Duration
+		ago   time.Duration // since the attempt; 0 = none
+		ran   bool          // it may have run
+		sends int           // expected attempt; -1 = none
+		owed  string
+	}{
+		{"idempotent, fresh", 0, time.Minute, 0, false, 0, ""},
+		{"idempotent, may have run", 0, time.Minute, time.Hour, true, 1, ""},
+		{"by key, key retained", 1, time.Minute, time.Second, true, 1, ""},
+		{"by key, key expired", 1, time.Minute, 20 * time.Second, true, -1, "deferred"},
+		{"by key, clock set back since", 1, time.Minute, -time.Second, true, -1, "deferred"},
+		{"by key, never ran, clock set back", 1, time.Minute, -time.Second, false, 1, ""},
+		{"not idempotent, fresh", 2, time.Minute, 0, false, 0, ""},
+		{"not idempotent, never ran", 2, time.Minute, time.Second, false, 1, ""},
+		{"not idempotent, may have run", 2, time.Minute, time.Second, true, -1, "undeliverable"},
+		{"idempotent, overdue", 0, -time.Second, 0, false, -1, "deferred"},
+		{"not idempotent, overdue", 2, -time.Second, time.Second, true, -1, "undeliverable"},
+	} {
+		dir := t.TempDir()
+		writeAttempted(t, dir, newMessage("a", c.class, c.left), now, c.ago, c.ran)
+		l, o := newTestLoop(t, dir, 1e6)
+		start(t, l)
+		if c.owed != "" {
+			if n := receive(t, o.notices); n.outcome() != c.owed || n.ID != "a" {
+				t.Errorf("%s: %+v", c.name, n)
+			}
+			if l.Idle(); len(o.calls) > 0 {
+				t.Errorf("%s: sent all the same", c.name)
+			}
+			continue
+		}
+		f := receive(t, o.calls).Attempts[0]
+		want := time.Time{}
+		if c.class == 1 && c.ran { // a repeat that leaves late must not leave the window
+			want = now.Add(-c.ago).Add(12 * time.Second)
+		}
+		if off := f.NotAfter.Sub(want).Abs(); off > time.Millisecond { // the log has whole microseconds, by two readings
+			t.Errorf("%s: may leave until %v, want %v", c.name, f.NotAfter, want)
+		}
+		if f.attempt != c.sends || !bytes.Equal(f.Message.Body, []byte("body")) || len(o.notices) > 0 {
+			t.Errorf("%s: attempt %d of %+v", c.name, f.attempt, f.Message)
+		}
+	}
+}
+
+// A step of the wall clock between two processes changes no span: what was sent 5 s ago and is due in 20 s is so to
+// the next process, whether the clock was put forward or back by an hour meanwhile.
+func TestRestartAcrossClockStep(t *testing.T) {
+	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
+		dir := t.TempDir()
+		before, err := wal.AnchorNow()
+		if err != nil {
+			t.Fatal(err)
+		}
+		before.Stamp -= step.Microseconds() // the wall clock was there as the first process began
+		if err := wal.WriteAnchor(dir, before); err != nil {
+			t.Fatal(err)
+		}
+		now := time.Now()
+		wall := wal.NewTimeBase(now, now.Add(-step).UnixMicro())
+		j, tb := openTestLog(t, dir)
+		e := &entry{num: 9, Message: &Message{ID: "a", Class: 1, Destination: 7, Deadline: now.Add(20 * time.Second)}}
+		tb.add(e)
+		// written is the time that the log writes with the stamp which wall has for it.
+		written := func(at time.Time) time.Time { return j.Times().Time(wall.Stamp(at)) }
+		e.Deadline = written(e.Deadline)
+		logAccepted(j, e)
+		j.AddAttempt(9, wal.Attempt{At: written(now.Add(-5 * time.Second))})
+		if err := errors.Join(j.Flush(), j.Close()); err != nil {
+			t.Fatal(err)
+		}
+		l, o := newTestLoop(t, dir, 1e6)
+		start(t, l)
+		f := receive(t, o.calls).Attempts[0]
+		if off := f.NotAfter.Sub(now.Add(7 * time.Second)).Abs(); off > 50*time.Millisecond {
+			t.Errorf("step %v: may leave in %v, not 7s", step, f.NotAfter.Sub(now))
+		}
+		if off := f.Message.Deadline.Sub(now.Add(20 * time.Second)).Abs(); off > 50*time.Millisecond {
+			t.Errorf("step %v: due in %v, not 20s", step, f.Message.Deadline.Sub(now))
+		}
+		pending, err := ReadPending(dir, discardLog)
+		if err != nil || len(pending) != 1 || pending[0].Deadline.Sub(now.Add(20*time.Second)).Abs() > 50*time.Millisecond {
+			t.Errorf("step %v: pending %+v, %v", step, pending, err)
+		}
+	}
+}
+
+// The record of an attempt lies in a damaged part: a message that is not idempotent then ends as one
+// that may have run, and one with a key near the end of its retention does not go again.
+func TestAttemptInDamage(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		class int
+		owed  string
+	}{{"unsafe", 2, "undeliverable"}, {"keyed", 1, "deferred"}, {"safe", 0, ""}} {
+		dir := t.TempDir()
+		j, tb := openTestLog(t, dir)
+		e := &entry{num: 9, Message: newMessage("a", c.class, time.Minute)}
+		e.Key = "k"
+		tb.add(e)
+		logAccepted(j, e)
+		err := j.Flush()
+		j.AddAttempt(9, wal.Attempt{At: time.Now().Add(-11 * time.Second), Endpoint: "target-in-the-damage"})
+		err = errors.Join(err, j.Flush())
+		logAccepted(j, &entry{num: 10, Message: newMessage("later", 1, time.Hour)}) // so that it is no torn tail
+		if err = errors.Join(err, j.Flush(), j.Close()); err != nil {
+			t.Fatal(err)
+		}
+		name := logFile(t, dir)
+		content, _ := os.ReadFile(name)
+		content[bytes.Index(content, []byte("in-the-damage"))] ^= 1
+		if err := os.WriteFile(name, content, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		l, o := newTestLoop(t, dir, 1e6)
+		start(t, l)
+		if c.owed == "" {
+			if f := receive(t, o.calls).Attempts[0]; f.Message.ID != "a" {
+				t.Errorf("%s: %s was sent", c.name, f.Message.ID)
+			}
+			continue
+		}
+		for n := receive(t, o.notices); n.ID != "a"; n = receive(t, o.notices) {
+		}
+		list, _ := ReadPending(dir, discardLog)
+		for _, p := range list {
+			if p.ID == "a" && p.Owed != c.owed {
+				t.Errorf("%s: owed %s", c.name, p.Owed)
+			}
+		}
+		for len(o.calls) > 0 {
+			if f := (<-o.calls).Attempts[0]; f.Message.ID == "a" {
+				t.Errorf("%s: sent again", c.name)
+			}
+		}
+	}
+}
