--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Verb of a command.
+// Verb is the kind of a command. Its values are stored.
 type Verb string
 
-// The verbs. Those of staff need an author and a reason.
+// The verbs, with the fields that they use. Those of operators need an author and a reason.
 const (
 	SetTerms        Verb = "terms"        // Terms
 	SetRoster       Verb = "roster"       // Author, Roster: the senders of one agent
@@ -22,17 +22,17 @@
 	IncludeEndpoint Verb = "endpoint in"  // Endpoint
 )
 
-// GrantRequest is for leave for one sender.
+// GrantRequest requests a grant for one sender.
 type GrantRequest struct {
 	Sender     string    `json:"sender"`
 	Process    string    `json:"process"`
 	ObservedAt time.Time `json:"saw"`
 }
 
-// Command is an entry of the log.
+// Command is an entry of the replicated log.
 type Command struct {
 	Verb        Verb           `json:"verb"`
-	ID          string         `json:"id,omitempty"` // the proposer's, by which it knows its own again
+	ID          string         `json:"id,omitempty"` // by which the proposer recognizes its own command
 	At          time.Time      `json:"at"`
 	By          string         `json:"by"`
 	Reason      string         `json:"reason,omitempty"`
@@ -43,19 +43,19 @@
 	Revision    uint64         `json:"revision,omitempty"`
 	Senders     []string       `json:"senders,omitempty"`
 	Requests    []GrantRequest `json:"asks,omitempty"`
-	Seen        []string       `json:"seen,omitempty"` // senders seen serving by the proposer, none earlier than Fresh before At
+	Seen        []string       `json:"seen,omitempty"` // senders that the proposer saw serving, none longer than Timing.Fresh before At
 	Sender      string         `json:"sender,omitempty"`
 	Epoch       uint64         `json:"epoch,omitempty"`
 	Observation *Observation   `json:"sight,omitempty"`
 	Stage       int            `json:"stage,omitempty"`
 	Good        bool           `json:"good,omitempty"`
 	Text        string         `json:"text,omitempty"`
-	Others      *Sums          `json:"others,omitempty"` // of a stage that is left
+	Others      *Sums          `json:"others,omitempty"` // baseline of the stage that is left
 	Endpoint    string         `json:"endpoint,omitempty"`
-	Listed      []Endpoint     `json:"listed,omitempty"` // all that the proposer knows of
+	Listed      []Endpoint     `json:"listed,omitempty"` // all that the proposer knows
 }
 
-// Event is a line of the log that staff read.
+// Event is a line of the history that operators read.
 type Event struct {
 	Index  uint64    `json:"index"`
 	At     time.Time `json:"at"`
--- a/internal/rollout/endpoint.go
+++ b/internal/rollout/endpoint.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// changeEndpoint takes an endpoint out, or puts it back.
+// changeEndpoint excludes an endpoint, or includes it again.
 func (s *State) changeEndpoint(index uint64, c Command) (string, error) {
 	if c.By == "" || c.Reason == "" {
 		return "", reject("an author and a reason are needed")
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("endpoint %s of destination %d is out", e.ID, e.Dest), nil
 }
 
-// checkEndpointBudget tells why an endpoint can't go out. Those that discovery drains, and those on their way back, are out, too;
-// and never is the last one of a destination taken.
+// checkEndpointBudget returns why an endpoint can't be excluded, or nil. Endpoints that discovery drains, and those that are being included
+// again, count as out; the last one of a destination is never excluded.
 func (s *State) checkEndpointBudget(e Endpoint, listed []Endpoint) error {
 	b := s.Terms.Budget
 	dest, kind, serving := map[string]bool{}, map[string]bool{}, 0
@@ -60,7 +60,7 @@
 			serving++
 		}
 	}
-	for _, x := range s.Endpoints { // some may be listed no more
+	for _, x := range s.Endpoints { // some may not be listed any more
 		if x.ID != e.ID {
 			count(x.Endpoint)
 		}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// forgetIncluded forgets those that were put back so long ago that no sender can still hold them out.
+// forgetIncluded forgets endpoints that were included so long ago that no sender can still exclude them.
 func (s *State) forgetIncluded(now time.Time) {
 	t := s.Terms.Timing
 	maps.DeleteFunc(s.Endpoints, func(_ string, x *EndpointOut) bool {
@@ -84,7 +84,7 @@
 	})
 }
 
-// ExcludedEndpoints are the endpoints that senders are to leave alone.
+// ExcludedEndpoints returns the ids of the excluded endpoints in order.
 func (s *State) ExcludedEndpoints() (list []string) {
 	for id, x := range s.Endpoints {
 		if x.Back.IsZero() {
@@ -95,7 +95,7 @@
 	return list
 }
 
-// Endpoint is one that discovery lists, as the fleet sees it.
+// Endpoint is an endpoint that discovery lists.
 type Endpoint struct {
 	ID   string `json:"id"`
 	Dest int    `json:"dest"`
@@ -103,11 +103,11 @@
 	Up   bool   `json:"up"` // else discovery drains it
 }
 
-// EndpointOut is one that operators have taken out, or are putting back: senders hear of it within a lease.
+// EndpointOut is an endpoint that operators have excluded, or include again: senders learn of it within a lease.
 type EndpointOut struct {
 	Endpoint
 	By     string    `json:"by"`
 	Reason string    `json:"reason"`
 	At     time.Time `json:"at"`
-	Back   time.Time `json:"back,omitzero"` // when it was ordered in
+	Back   time.Time `json:"back,omitzero"` // when it was included again; zero: it is excluded
 }
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -3,35 +3,34 @@
 import (
 	"cmp"
 	"fmt"
-	"slices"
 	"time"
 )
 
-// Watch gathers what a stage's gate is decided from. It is the leading agent's own: a new leader begins to look
-// anew, which takes longer and never passes what an old one would not have. What those that had not changed were like is
-// agreed on with each stage that is left: in the last one nobody is left to compare with. The zero value is ready.
+// Watch gathers what the gates of stages are decided by. It belongs to the leading agent: a new leader gathers anew, which takes longer, but
+// lets nothing pass that the old one would not have. The sums of the unchanged senders are replicated with each stage that is left, since in
+// the last stage none remain to compare with. The zero value is ready for use.
 type Watch struct{ plans map[uint64]*stageWatch }
 
-// stageWatch is what was gathered of the stage that a plan is in.
+// stageWatch is what was gathered of the current stage of a plan.
 type stageWatch struct {
 	stage    int
-	since    time.Time              // all of the stage's senders had changed, or zero
-	baseline map[string]Observation // what they and the others were like then
+	since    time.Time              // when all of its senders had changed; zero: not yet
+	baseline map[string]Observation // of all senders at that time
 
-	notServingSince map[string]time.Time // senders under way that did not serve, as their agents saw since then
+	notServingSince map[string]time.Time // by sender: since when one that is changing was seen not to serve
 
-	lateBaseline Sums      // what the changed senders had done when their first calls were last found late, or put right
-	lateSince    time.Time // when that was, and is yet to be confirmed; or zero
+	lateBaseline Sums      // the changed senders' sums when late first attempts were last found, or cleared
+	lateSince    time.Time // when that was, if it is to be confirmed; else zero
 }
 
-// A Verdict tells whether a stage may be left, as far as that is known, and why.
+// Verdict says whether a stage may be left, as far as Known, and why.
 type Verdict struct {
 	Good, Known bool
 	Text        string
-	Others      Sums // what the changed senders were compared with
+	Others      Sums // the sums with which the changed senders were compared
 }
 
-// Verdict is that on the stage that a plan is in. Several plans may run.
+// Verdict returns the verdict on the current stage of a plan. Several plans may run.
 func (w *Watch) Verdict(s *State, p *Plan, observations map[string]Observation, now time.Time) Verdict {
 	if w.plans == nil {
 		w.plans = map[uint64]*stageWatch{}
@@ -52,22 +51,17 @@
 	return x.verdict(s, p, observations, now)
 }
 
+// failed returns the verdict that a stage may not be left, and why.
+func failed(format string, args ...any) Verdict {
+	return Verdict{Known: true, Text: fmt.Sprintf(format, args...)}
+}
+
+// verdict returns the verdict on the current stage of a plan.
 func (w *stageWatch) verdict(s *State, p *Plan, observations map[string]Observation, now time.Time) Verdict {
-	fail := func(format string, args ...any) Verdict {
-		return Verdict{Known: true, Text: fmt.Sprintf(format, args...)}
-	}
-	changed := map[string]bool{}
-	complete := true
-	for name, t := range p.Tasks {
-		changed[name] = t.Step == Finished
-		if t.Step != Finished && slices.Contains(p.Stages[p.Stage], name) {
-			complete = false
-		}
-	}
-	if !complete {
+	if !p.stageComplete() {
 		w.since = time.Time{}
 		if name := w.lostSender(s, p, observations, now); name != "" {
-			return fail("%s went out for its change and is not seen any more: %s", name, observations[name].Phase)
+			return failed("%s went out for its change and is not seen any more: %s", name, observations[name].Phase)
 		}
 		return Verdict{}
 	}
@@ -78,70 +72,114 @@
 			w.baseline[name] = observations[name]
 		}
 	}
-	var changedSums, otherSums Sums
-	unseen := ""
-	for name := range s.Members {
-		then, v := w.baseline[name], observations[name]
-		if then.Process == "" && v.Process != "" { // a new leader has not seen all at first
-			then = v
-			w.baseline[name] = v
-		}
-		if then.Far && !v.Far { // only its agent counts restarts
-			then.Facts.Restarts, then.Far = v.Facts.Restarts, false
-			w.baseline[name] = then
+	x, problem := w.compare(s, p, observations, now)
+	if problem != nil {
+		return *problem
+	}
+	if p.Others != nil && (x.others.Senders == 0 || x.others.Taken+x.others.Refused < int64(p.Gate.MinMessages)) {
+		x.others = *p.Others
+	}
+	if reason := worse(x.changed, x.others, p.Gate); reason != "" {
+		return failed("%s", reason)
+	}
+	reason, pending := w.confirmLate(x.changed, x.others, p.Gate, now)
+	if reason != "" {
+		return failed("%s", reason)
+	}
+	return w.decide(p, x, pending, observations, now)
+}
+
+// stageComplete reports whether all senders of the current stage have changed.
+func (p *Plan) stageComplete() bool {
+	for _, name := range p.Stages[p.Stage] {
+		if t := p.Tasks[name]; t != nil && t.Step != Finished {
+			return false
 		}
+	}
+	return true
+}
+
+// comparison is what the changed senders and the others have done since the stage was complete.
+type comparison struct {
+	changed, others Sums
+	unseen          string // a changed sender that was not observed lately
+}
+
+// compare sums up what the senders have done. It returns a verdict if a changed sender has failed.
+func (w *stageWatch) compare(s *State, p *Plan, observations map[string]Observation, now time.Time) (comparison, *Verdict) {
+	var x comparison
+	for name := range s.Members {
+		before, observed := w.updateBaseline(name, observations[name])
+		changed := p.Tasks[name] != nil && p.Tasks[name].Step == Finished
+		stale := now.Sub(observed.At) > s.Terms.Timing.Fresh
+		soaked := now.Sub(w.since) > p.Gate.Soak
 		switch {
-		case v.Process == "":
-			if changed[name] && now.Sub(v.At) > s.Terms.Timing.Fresh {
-				unseen = name
-			} else if changed[name] && now.Sub(w.since) > p.Gate.Soak {
-				return fail("%s changed and is not seen any more: %s", name, v.Phase)
-			}
-		case changed[name]:
-			changedSums.add(v, then)
-			if v.Facts.Restarts > then.Facts.Restarts {
-				return fail("%s crashed after its change", name)
+		case observed.Process == "" && changed && stale:
+			x.unseen = name
+		case observed.Process == "" && changed && soaked:
+			v := failed("%s changed and is not seen any more: %s", name, observed.Phase)
+			return x, &v
+		case observed.Process == "":
+		case changed:
+			x.changed.add(observed, before)
+			if observed.Facts.Restarts > before.Facts.Restarts {
+				v := failed("%s crashed after its change", name)
+				return x, &v
 			}
-			if !v.Serving && now.Sub(v.At) <= s.Terms.Timing.Fresh && s.Grants[name] == nil && now.Sub(w.since) > p.Gate.Soak {
-				return fail("%s changed and does not serve: %s", name, v.Phase)
+			if !observed.Serving && !stale && s.Grants[name] == nil && soaked {
+				v := failed("%s changed and does not serve: %s", name, observed.Phase)
+				return x, &v
 			}
-			if now.Sub(v.At) > s.Terms.Timing.Fresh { // its agent is away: that says nothing of the version
-				unseen = name
+			if stale { // its agent is away, which says nothing of the version
+				x.unseen = name
 			}
 		default:
-			otherSums.add(v, then)
+			x.others.add(observed, before)
 		}
 	}
-	if p.Others != nil && (otherSums.Senders == 0 || otherSums.Taken+otherSums.Refused < int64(p.Gate.MinMessages)) {
-		otherSums = *p.Others
-	}
-	if reason := worse(changedSums, otherSums, p.Gate); reason != "" {
-		return fail("%s", reason)
-	}
-	reason, pending := w.confirmLate(changedSums, otherSums, p.Gate, now)
-	if reason != "" {
-		return fail("%s", reason)
-	}
+	return x, nil
+}
+
+// updateBaseline returns the baseline of a sender and its latest observation. A new leader completes its baseline with the first observation
+// of a process, and with the count of restarts that only the sender's own agent knows.
+func (w *stageWatch) updateBaseline(name string, observed Observation) (before, after Observation) {
+	before = w.baseline[name]
+	if before.Process == "" && observed.Process != "" {
+		before = observed
+		w.baseline[name] = observed
+	}
+	if before.Far && !observed.Far {
+		before.Facts.Restarts, before.Far = observed.Facts.Restarts, false
+		w.baseline[name] = before
+	}
+	return before, observed
+}
+
+// decide returns the verdict where nothing is worse: once the gate's soak is over and enough messages were compared, or its wait is over.
+func (w *stageWatch) decide(p *Plan, x comparison, pending bool, observations map[string]Observation, now time.Time) Verdict {
 	waited := now.Sub(w.since)
+	enough := int64(p.Gate.MinMessages)
 	switch {
-	case unseen != "" && waited >= p.Gate.Wait:
-		return fail("not known to be good: nobody has seen %s for %v", unseen, now.Sub(observations[unseen].At).Round(time.Second))
-	case waited < p.Gate.Soak || unseen != "" || pending && waited < p.Gate.Wait:
+	case x.unseen != "" && waited >= p.Gate.Wait:
+		return failed("not known to be good: nobody has seen %s for %v", x.unseen, now.Sub(observations[x.unseen].At).Round(time.Second))
+	case waited < p.Gate.Soak || x.unseen != "" || pending && waited < p.Gate.Wait:
 		return Verdict{}
 	case pending:
-		return fail("not known to be good: first calls came late, and %d have been made since, %d wanted", changedSums.Called-w.lateBaseline.Called, p.Gate.MinMessages)
-	case changedSums.Ends >= int64(p.Gate.MinMessages) && otherSums.Ends >= int64(p.Gate.MinMessages):
-		return Verdict{true, true, fmt.Sprintf("%d messages ended at %d changed senders, %d at others; none worse", changedSums.Ends, changedSums.Senders, otherSums.Ends), otherSums}
+		return failed("not known to be good: first calls came late, and %d have been made since, %d wanted",
+			x.changed.Called-w.lateBaseline.Called, p.Gate.MinMessages)
+	case x.changed.Ends >= enough && x.others.Ends >= enough:
+		return Verdict{true, true, fmt.Sprintf("%d messages ended at %d changed senders, %d at others; none worse",
+			x.changed.Ends, x.changed.Senders, x.others.Ends), x.others}
 	case waited >= p.Gate.Wait:
-		return fail("not known to be good: after %v %d messages have ended at the changed senders and %d beside them, %d wanted",
-			waited.Round(time.Second), changedSums.Ends, otherSums.Ends, p.Gate.MinMessages)
+		return failed("not known to be good: after %v %d messages have ended at the changed senders and %d beside them, %d wanted",
+			waited.Round(time.Second), x.changed.Ends, x.others.Ends, p.Gate.MinMessages)
 	}
 	return Verdict{}
 }
 
-// lostSender names a sender of the stage that went out and has not served for the gate's soak since, as its agent sees it.
-// An agent that is still at the change does not look, so its sight is not fresh. Without this rule a version that fell
-// silent between its agent's question and the sight after it would leave its grant open and the plan waiting for good.
+// lostSender returns a sender of the stage that went out and has not served for the soak of the gate since, as observed by its own agent, or
+// nothing. An agent that is still changing the version observes nothing, so that its observation is stale. Without this rule a version that
+// becomes unresponsive right after the change would leave its grant open, and the plan waiting, forever.
 func (w *stageWatch) lostSender(s *State, p *Plan, observations map[string]Observation, now time.Time) string {
 	if w.notServingSince == nil {
 		w.notServingSince = map[string]time.Time{}
@@ -150,8 +188,8 @@
 	for _, name := range p.Stages[p.Stage] {
 		g, v := s.Grants[name], observations[name]
 		known := !v.Far && v.At.After(now.Add(-s.Terms.Timing.Fresh))
-		stands := g != nil && v.Epoch == g.Epoch && !v.Ended // the agent fails or renews what stands
-		if p.Tasks[name].Step != Granted || g == nil || stands || v.Serving {
+		active := g != nil && v.Epoch == g.Epoch && !v.Ended // the agent ends or renews an active lease
+		if p.Tasks[name].Step != Granted || g == nil || active || v.Serving {
 			delete(w.notServingSince, name)
 			continue
 		}
@@ -165,10 +203,9 @@
 	return lost
 }
 
-// confirmLate tells that the changed senders' first calls come late again a soak after they were found to, or that this is
-// still to be seen. Messages that wait behind one destination in trouble are late together and count as one
-// finding: their chance isn't that of as many which are late each by itself. A sender that has just begun knows nothing of a
-// trouble that the others have learned already, and meets it later than they.
+// confirmLate returns why the changed senders' first attempts are late, once that was found twice, a soak apart, or that this is still to be
+// seen. Messages that wait for one faulty destination are late together, so that a single finding may be chance; and a sender that has just
+// started learns of a fault later than the others.
 func (w *stageWatch) confirmLate(changed, others Sums, g Gate, now time.Time) (reason string, pending bool) {
 	since := changed
 	since.Called, since.Late = changed.Called-w.lateBaseline.Called, changed.Late-w.lateBaseline.Late
@@ -186,18 +223,18 @@
 	return late, false
 }
 
-// Gate is what a plan wants to see before it goes on to its next stage.
+// Gate is the condition under which a release goes on to its next stage.
 type Gate struct {
-	MinMessages int           `json:"least"` // messages that the changed senders have ended, and those beside them
-	Soak        time.Duration `json:"soak"`  // at the least so long
-	Wait        time.Duration `json:"wait"`  // halted if it is not known by then
-	Slack       float64       `json:"slack"` // a share may be worse by so much, besides chance
+	MinMessages int           `json:"least"` // messages with an outcome, at the changed senders and at the others
+	Soak        time.Duration `json:"soak"`  // minimum time
+	Wait        time.Duration `json:"wait"`  // halted if the verdict is not known by then
+	Slack       float64       `json:"slack"` // by which a share may be worse, besides chance
 }
 
-// DefaultGate is a plan's gate where its author says nothing else.
+// DefaultGate is the gate of a plan that gives none.
 var DefaultGate = Gate{MinMessages: 30, Soak: 5 * time.Second, Wait: 10 * time.Minute, Slack: 0.02}
 
-// withDefaults puts the usual in the place of what a gate leaves out.
+// withDefaults replaces what a gate leaves out by the defaults.
 func (g Gate) withDefaults() Gate {
 	u := DefaultGate
 	return Gate{cmp.Or(g.MinMessages, u.MinMessages), cmp.Or(g.Soak, u.Soak), cmp.Or(g.Wait, u.Wait), cmp.Or(g.Slack, u.Slack)}
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// grant opens grants, each where the budget has room for it; the entry stands if there was room for one.
+// grant opens the requested grants for which the budget has room. The entry is rejected if it has room for none.
 func (s *State) grant(index uint64, c Command) (string, error) {
 	p := s.Plan(c.Plan)
 	if p == nil || p.Phase != Running && p.Phase != RollingBack {
@@ -15,44 +15,50 @@
 	if len(c.Requests) == 0 || len(c.Requests) > maxGrantsPerEntry {
 		return "", reject("%d grants asked for in one entry", len(c.Requests))
 	}
-	var given []string
-	var last error
-	for i, a := range c.Requests {
-		t, m := p.Tasks[a.Sender], s.Members[a.Sender]
-		if t == nil || m == nil || t.Step != Waiting || s.Grants[a.Sender] != nil {
-			last = reject("%s does not wait in plan %d", a.Sender, p.ID)
+	var granted []string
+	var lastErr error
+	for i, request := range c.Requests {
+		t, m := p.Tasks[request.Sender], s.Members[request.Sender]
+		if t == nil || m == nil || t.Step != Waiting || s.Grants[request.Sender] != nil {
+			lastErr = reject("%s does not wait in plan %d", request.Sender, p.ID)
 			continue
 		}
 		if p.AtOnce > 0 && s.openGrants(p) >= p.AtOnce {
-			last = reject("%d of plan %d are out", p.AtOnce, p.ID)
+			lastErr = reject("%d of plan %d are out", p.AtOnce, p.ID)
 			break
 		}
 		if err := s.checkBudget(s.census(c.Seen), m); err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		g := &Grant{
-			Epoch: index<<8 | uint64(i), Plan: p.ID, Sender: a.Sender, Process: a.Process, ObservedAt: a.ObservedAt, At: c.At,
-			By: c.At.Add(s.Terms.Timing.Accept), Until: c.At.Add(s.Terms.Timing.Lease), Drain: p.Kind == Drain,
-		}
-		switch {
-		case p.Kind != Release:
-		case p.RolledBack:
-			g.To = t.From
-		default:
-			g.To, t.From = p.To, m.Version
-		}
-		s.Grants[a.Sender] = g
-		t.Step, t.Epoch, t.Since, t.Why = Granted, g.Epoch, c.At, ""
-		given = append(given, a.Sender)
+		s.openGrant(index<<8|uint64(i), p, request, c.At)
+		granted = append(granted, request.Sender)
 	}
-	if given == nil {
-		return "", last
+	if granted == nil {
+		return "", lastErr
 	}
-	return fmt.Sprintf("plan %d: %s may go out", p.ID, strings.Join(given, ", ")), nil
+	return fmt.Sprintf("plan %d: %s may go out", p.ID, strings.Join(granted, ", ")), nil
 }
 
-// openGrants is how many of a plan's senders have open grants.
+// openGrant opens a grant of an epoch for a sender that waits in a plan.
+func (s *State) openGrant(epoch uint64, p *Plan, request GrantRequest, at time.Time) {
+	t, m := p.Tasks[request.Sender], s.Members[request.Sender]
+	g := &Grant{
+		Epoch: epoch, Plan: p.ID, Sender: request.Sender, Process: request.Process, ObservedAt: request.ObservedAt, At: at,
+		By: at.Add(s.Terms.Timing.Accept), Until: at.Add(s.Terms.Timing.Lease), Drain: p.Kind == Drain,
+	}
+	switch {
+	case p.Kind != Release:
+	case p.RolledBack:
+		g.To = t.From
+	default:
+		g.To, t.From = p.To, m.Version
+	}
+	s.Grants[request.Sender] = g
+	t.Step, t.Epoch, t.Since, t.Why = Granted, g.Epoch, at, ""
+}
+
+// openGrants returns how many of a plan's senders have open grants.
 func (s *State) openGrants(p *Plan) (n int) {
 	for name := range p.Tasks {
 		if g := s.Grants[name]; g != nil && g.Plan == p.ID {
@@ -62,32 +68,32 @@
 	return n
 }
 
-// Closable tells whether a sight shows that a grant can have no effect any more, and the sender serves.
+// Closable reports whether an observation proves that the sender serves and a grant can have no effect any more.
 func (s *State) Closable(g *Grant, v *Observation) bool {
 	margin := 2 * s.Terms.Timing.Error
 	switch {
 	case !v.Serving || v.Sender != g.Sender:
 		return false
-	case v.Far: // only the agent beside it knows whether a change is still under way
+	case v.Far: // only the sender's own agent knows whether a change is under way
 		return false
-	case v.Epoch >= g.Epoch && v.Ended: // it refuses all copies of the order from then on
+	case v.Epoch >= g.Epoch && v.Ended: // it rejects all further copies of the order
 		return true
 	case v.Epoch > g.Epoch:
 		return false
-	case v.Process != g.Process: // a later process, to which the order is not addressed
+	case v.Process != g.Process: // a later process, for which the order is not meant
 		return v.At.After(g.ObservedAt.Add(margin)) && !(v.Epoch == g.Epoch && !v.Ended)
 	}
-	return v.Epoch < g.Epoch && v.At.After(g.By.Add(margin)) // too late by its own clock
+	return v.Epoch < g.Epoch && v.At.After(g.By.Add(margin)) // too late, also by the sender's clock
 }
 
-// close ends a grant.
+// close ends a grant whose sender serves for good again, and moves its task on.
 func (s *State) close(index uint64, c Command) (string, error) {
 	g := s.Grants[c.Sender]
 	if g == nil || g.Epoch != c.Epoch || c.Observation == nil {
 		return "", reject("no grant %d of %s is open", c.Epoch, c.Sender)
 	}
-	v := c.Observation
-	if !s.Closable(g, v) {
+	observed := c.Observation
+	if !s.Closable(g, observed) {
 		return "", reject("%s is not proved to serve for good", c.Sender)
 	}
 	delete(s.Grants, c.Sender)
@@ -100,21 +106,34 @@
 		return "", nil
 	}
 	t.Since = c.At
-	notTaken := v.FaultEpoch != g.Epoch && v.Epoch != g.Epoch
 	if p.Kind == Drain {
-		switch {
-		case p.RolledBack || t.Step == Returning:
-		case notTaken && t.Step == Granted && v.Process == g.Process:
-			return s.retryOrFail(index, p, t, c, "")
-		default: // it crashed while it was out, or nobody renewed its lease: it is still wanted out
-			t.Step = Waiting
-			return fmt.Sprintf("%s came back by itself, and is to go out again", c.Sender), nil
-		}
-		t.Step = Finished
-		s.finish(index, p)
-		return fmt.Sprintf("%s serves again", c.Sender), nil
+		return s.drainClosed(index, p, t, g, c)
 	}
-	if v.Version == g.To.Name {
+	return s.changeClosed(index, p, t, g, c)
+}
+
+// notTaken reports whether a sender has not taken up a grant, as far as was observed.
+func (v *Observation) notTaken(g *Grant) bool { return v.FaultEpoch != g.Epoch && v.Epoch != g.Epoch }
+
+// drainClosed moves on the task of a drain whose grant has ended.
+func (s *State) drainClosed(index uint64, p *Plan, t *Task, g *Grant, c Command) (string, error) {
+	switch {
+	case p.RolledBack || t.Step == Returning:
+	case c.Observation.notTaken(g) && t.Step == Granted && c.Observation.Process == g.Process:
+		return s.retryOrFail(index, p, t, c, "")
+	default: // it crashed while it was out, or nobody renewed its lease: it must go out again
+		t.Step = Waiting
+		return fmt.Sprintf("%s came back by itself, and is to go out again", c.Sender), nil
+	}
+	t.Step = Finished
+	s.finish(index, p)
+	return fmt.Sprintf("%s serves again", c.Sender), nil
+}
+
+// changeClosed moves on the task of a release whose grant has ended.
+func (s *State) changeClosed(index uint64, p *Plan, t *Task, g *Grant, c Command) (string, error) {
+	m := s.Members[c.Sender]
+	if c.Observation.Version == g.To.Name {
 		m.Version = g.To
 	}
 	target, done := p.To, Finished
@@ -126,16 +145,16 @@
 		t.Step = done
 		s.finish(index, p)
 		return fmt.Sprintf("%s runs %s", c.Sender, target.Name), nil
-	case g.To.Name != target.Name: // the plan turned while it was under way
+	case g.To.Name != target.Name: // the plan was rolled back meanwhile
 		t.Step = Waiting
 		return fmt.Sprintf("%s runs %s, and is to go back", c.Sender, m.Version.Name), nil
-	case notTaken:
+	case c.Observation.notTaken(g):
 		return s.retryOrFail(index, p, t, c, "")
 	}
-	return s.retryOrFail(index, p, t, c, v.Fault)
+	return s.retryOrFail(index, p, t, c, c.Observation.Fault)
 }
 
-// retryOrFail has a sender wait once more after a grant that it did not take up, or fails it.
+// retryOrFail has a sender wait for another grant after one that it did not take up. After several, or with a fault, its task fails.
 func (s *State) retryOrFail(index uint64, p *Plan, t *Task, c Command, fault string) (string, error) {
 	if fault == "" {
 		if t.Tries++; t.Tries < maxGrantAttempts {
@@ -149,6 +168,7 @@
 	return fmt.Sprintf("plan %d is %s: %s: %s", p.ID, p.Phase, c.Sender, fault), nil
 }
 
+// markOut notes that a sender is drained.
 func (s *State) markOut(c Command) (string, error) {
 	g := s.Grants[c.Sender]
 	if g == nil || g.Epoch != c.Epoch || !g.Drain {
@@ -163,13 +183,13 @@
 	return fmt.Sprintf("%s is drained", c.Sender), nil
 }
 
-// Grant is the leave for one sender to go out. It is open until a sight shows that no copy of it can have effect.
+// Grant permits one sender to go out. It stays open until an observation proves that no copy of it can have effect any more.
 type Grant struct {
 	Epoch      uint64    `json:"epoch"`
 	Plan       uint64    `json:"plan"`
 	Sender     string    `json:"sender"`
 	Process    string    `json:"process"`
-	ObservedAt time.Time `json:"saw"` // of the sight that it rests on
+	ObservedAt time.Time `json:"saw"` // time of the observation on which it rests
 	At         time.Time `json:"at"`
 	By         time.Time `json:"by"`
 	Until      time.Time `json:"until"`
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Seen lists who was seen serving at most Fresh before.
+// Seen returns the senders that were observed to serve, not longer than Timing.Fresh ago, in order.
 func (s *State) Seen(observations map[string]Observation, now time.Time) []string {
 	var list []string
 	for name := range s.Members {
@@ -18,9 +18,33 @@
 	return list
 }
 
-// Next is what the leading agent should propose now: what has come true first, then what may go out. The verdict on
-// a stage is the watch's, which sees facts over time.
+// Next returns what the leading agent should propose now. Observed changes come first, since everything else depends on them.
 func (s *State) Next(observations map[string]Observation, w *Watch, now time.Time) []Command {
+	if list := s.observedChanges(observations, now); len(list) > 0 {
+		return list
+	}
+	var list []Command
+	fleet := s.census(s.Seen(observations, now))
+	for _, p := range s.Plans {
+		if due := p.endOfHold(now); len(due) > 0 {
+			list = append(list, Command{
+				Verb: Activate, At: now, By: p.By, Reason: "held out for as long as asked", Plan: p.ID, Senders: due,
+			})
+		}
+		if p.Phase != Running && p.Phase != RollingBack {
+			continue
+		}
+		if c, known := s.gateVerdict(p, w, observations, now); known {
+			list = append(list, c)
+		} else if c, any := s.requestGrants(p, fleet, observations, now); any {
+			list = append(list, c)
+		}
+	}
+	return list
+}
+
+// observedChanges returns the commands for what the observations prove: that grants have ended, or senders are drained.
+func (s *State) observedChanges(observations map[string]Observation, now time.Time) []Command {
 	var list []Command
 	for _, name := range slices.Sorted(maps.Keys(s.Grants)) {
 		g := s.Grants[name]
@@ -30,51 +54,53 @@
 		}
 		if s.Closable(g, &v) {
 			list = append(list, Command{Verb: Close, At: now, Sender: name, Epoch: g.Epoch, Observation: &v})
-		} else if p := s.Plan(g.Plan); g.Drain && p != nil && v.Drained && v.Epoch == g.Epoch && !v.Ended && p.Tasks[name].Step == Granted {
+			continue
+		}
+		p := s.Plan(g.Plan)
+		drained := g.Drain && v.Drained && v.Epoch == g.Epoch && !v.Ended
+		if drained && p != nil && p.Tasks[name].Step == Granted {
 			list = append(list, Command{Verb: MarkOut, At: now, Sender: name, Epoch: g.Epoch})
 		}
 	}
-	if len(list) > 0 {
-		return list // what comes next rests on them
+	return list
+}
+
+// endOfHold returns the senders of a drain that have been out for as long as it holds, in order.
+func (p *Plan) endOfHold(now time.Time) []string {
+	if p.Kind != Drain || p.Hold <= 0 || !p.Phase.Open() {
+		return nil
 	}
-	fleet := s.census(s.Seen(observations, now))
-	for _, p := range s.Plans {
-		if p.Kind == Drain && p.Hold > 0 && p.Phase.Open() {
-			var due []string
-			for name, t := range p.Tasks {
-				if t.Step == Out && now.Sub(t.Since) >= p.Hold {
-					due = append(due, name)
-				}
-			}
-			if slices.Sort(due); len(due) > 0 {
-				list = append(list, Command{Verb: Activate, At: now, By: p.By, Reason: "held out for as long as asked", Plan: p.ID, Senders: due})
-			}
-		}
-		if p.Phase != Running && p.Phase != RollingBack {
-			continue
-		}
-		if p.Kind == Release && p.Phase == Running {
-			if v := w.Verdict(s, p, observations, now); v.Known {
-				c := Command{Verb: JudgeGate, At: now, Plan: p.ID, Stage: p.Stage, Good: v.Good, Text: v.Text}
-				if v.Good {
-					c.Others = &v.Others
-				}
-				list = append(list, c)
-				continue
-			}
-		}
-		if c, known := s.requestGrants(p, fleet, observations, now); known {
-			list = append(list, c)
+	var due []string
+	for name, t := range p.Tasks {
+		if t.Step == Out && now.Sub(t.Since) >= p.Hold {
+			due = append(due, name)
 		}
 	}
-	return list
+	slices.Sort(due)
+	return due
+}
+
+// gateVerdict returns the command for the verdict on the current stage of a release, if it is known.
+func (s *State) gateVerdict(p *Plan, w *Watch, observations map[string]Observation, now time.Time) (c Command, known bool) {
+	if p.Kind != Release || p.Phase != Running {
+		return Command{}, false
+	}
+	v := w.Verdict(s, p, observations, now)
+	if !v.Known {
+		return Command{}, false
+	}
+	c = Command{Verb: JudgeGate, At: now, Plan: p.ID, Stage: p.Stage, Good: v.Good, Text: v.Text}
+	if v.Good {
+		c.Others = &v.Others
+	}
+	return c, true
 }
 
-// requestGrants is the entry that asks for as many grants as there is room for now.
+// requestGrants returns the command for as many grants as the budget allows now, if any.
 func (s *State) requestGrants(p *Plan, fleet census, observations map[string]Observation, now time.Time) (Command, bool) {
 	c := Command{Verb: GrantThese, At: now, Plan: p.ID}
 	order := p.Stages[p.Stage]
-	if p.RolledBack { // the last that changed goes back first
+	if p.RolledBack { // in the reverse order
 		order = s.Order(slices.Collect(maps.Keys(p.Tasks)))
 		slices.Reverse(order)
 	}
@@ -88,7 +114,7 @@
 			break
 		}
 		v := observations[name]
-		if t.Step != Waiting || m == nil || v.Far || s.checkBudget(fleet, m) != nil { // a grant that nobody is there to carry out is none
+		if t.Step != Waiting || m == nil || v.Far || s.checkBudget(fleet, m) != nil { // nobody would carry out the grant of a sender whose agent is silent
 			continue
 		}
 		c.Requests = append(c.Requests, GrantRequest{Sender: name, Process: v.Process, ObservedAt: v.At})
@@ -100,19 +126,19 @@
 	return c, len(c.Requests) > 0
 }
 
-// Duty is what an agent does about a grant of one of its senders.
+// Duty is what an agent must do about a grant of one of its senders.
 type Duty uint8
 
 // The duties.
 const (
 	NoDuty Duty = iota
-	Take        // have the sender take it up
-	Renew       // the drain that stands
-	End         // it is wanted back
-	Fail        // end a change that an agent before this one began
+	Take        // give the order to the sender
+	Renew       // the lease of a drain
+	End         // order it back
+	Fail        // end a change that an earlier process of the agent began
 )
 
-// Duty is the one for a grant as a sender was seen; tried is the epoch that the sender was asked to take up last.
+// Duty returns the duty for a grant, by an observation of the sender. lastTaken is the epoch that the sender was last ordered to take up.
 func (s *State) Duty(g *Grant, observed Observation, lastTaken uint64, now time.Time) Duty {
 	p := s.Plan(g.Plan)
 	endWanted := p == nil || p.Tasks[g.Sender] == nil || p.Tasks[g.Sender].Step == Returning || !p.Phase.Open()
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// fail ends a plan's advance. It goes back only from a release that went forward.
+// fail halts a plan, or rolls it back if it is a release that wants that and is not rolled back yet.
 func (s *State) fail(index uint64, p *Plan, why string) {
 	if p.RollBackOnFailure && p.Kind == Release && !p.RolledBack {
 		s.rollBack(index, p, why)
@@ -18,7 +18,7 @@
 	}
 }
 
-// rollBack turns a plan round: what was touched is to be as before, the rest is left.
+// rollBack has the changed senders of a plan go back, and leaves the others as they are.
 func (s *State) rollBack(index uint64, p *Plan, why string) {
 	p.Phase, p.RolledBack, p.Why, p.Revision = RollingBack, true, why, index
 	for name, t := range p.Tasks {
@@ -39,7 +39,7 @@
 	s.finish(index, p)
 }
 
-// finish ends a plan with nothing left to do. A release that goes forward ends by the verdict on its last stage.
+// finish ends a plan if all its tasks are done. A release that is not rolled back ends by the verdict on its last stage.
 func (s *State) finish(index uint64, p *Plan) {
 	for _, t := range p.Tasks {
 		if t.Step != Finished && t.Step != Kept {
@@ -54,7 +54,7 @@
 	}
 }
 
-// activate has senders of a drain come back, or not go out any more.
+// activate ends the drain of senders, or of all senders of the plan.
 func (s *State) activate(c Command) (string, error) {
 	p := s.Plan(c.Plan)
 	if p == nil || !p.Phase.Open() || p.Kind != Drain {
@@ -81,7 +81,7 @@
 	return fmt.Sprintf("plan %d: %s back to work", p.ID, strings.Join(names, ", ")), nil
 }
 
-// changePhase halts, resumes or reverses a plan.
+// changePhase halts, resumes or rolls back a plan by order of an operator.
 func (s *State) changePhase(index uint64, c Command) (string, error) {
 	p := s.Plan(c.Plan)
 	switch {
@@ -97,7 +97,7 @@
 		if p.Phase != Halted {
 			p.Phase = Halted
 		}
-		p.Why, p.Revision = fmt.Sprintf("%s: %s", c.By, c.Reason), index // also of one that is halted: a resume that crosses it is refused
+		p.Why, p.Revision = fmt.Sprintf("%s: %s", c.By, c.Reason), index // also if it is halted, so that a resume ordered before is rejected
 		return fmt.Sprintf("plan %d is halted", p.ID), nil
 	case Resume:
 		if p.Phase != Halted {
@@ -124,7 +124,7 @@
 	return fmt.Sprintf("plan %d goes back", p.ID), nil
 }
 
-// judge is the verdict on a stage.
+// judge applies the verdict on the current stage of a release.
 func (s *State) judge(index uint64, c Command) (string, error) {
 	p := s.Plan(c.Plan)
 	if p == nil || p.Phase != Running || p.RolledBack || p.Kind != Release || p.Stage != c.Stage {
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -16,7 +16,7 @@
 	maxGrantAttempts  = 3    // grants that a sender may leave untaken
 )
 
-// State is what all agents agree on. It is not safe for concurrent use.
+// State is the replicated state of a fleet. It is not safe for concurrent use.
 type State struct {
 	Index   uint64             `json:"index"` // of the last entry applied
 	Terms   Terms              `json:"terms,omitzero"`
@@ -26,24 +26,24 @@
 	Events  []Event            `json:"events"` // by Index
 
 	Endpoints      map[string]*EndpointOut `json:"endpoints,omitempty"`
-	ExclusionEpoch uint64                  `json:"aside,omitempty"` // the entry that changed them last
+	ExclusionEpoch uint64                  `json:"aside,omitempty"` // index of the entry that changed them last
 }
 
-// New returns the state before the first entry.
+// New returns the state before the first entry of the log.
 func New() *State {
 	return &State{Members: map[string]*Member{}, Grants: map[string]*Grant{}, Endpoints: map[string]*EndpointOut{}}
 }
 
-// ErrRejected tells that a command changed nothing.
+// ErrRejected means that a command changed nothing.
 var ErrRejected = errors.New("refused")
 
+// reject returns an error that wraps ErrRejected.
 func reject(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrRejected, fmt.Sprintf(format, args...))
 }
 
-// Apply applies one entry of the log. An error wraps ErrRefused: the entry changed nothing but the index. It
-// depends on the state and the entry alone. One that was applied before, as when an agent opens its folder anew, changes
-// nothing.
+// Apply applies an entry of the log. Its effect depends on the state and the entry alone. After an error, which wraps ErrRejected, the entry
+// changed nothing but Index. An entry that was applied before changes nothing.
 func (s *State) Apply(index uint64, c Command) error {
 	if index <= s.Index {
 		return nil
@@ -84,7 +84,7 @@
 	return err
 }
 
-// Plan finds one; nil where there is none, or none any more.
+// Plan returns a plan, or nil.
 func (s *State) Plan(id uint64) *Plan {
 	i, found := slices.BinarySearchFunc(s.Plans, id, func(p *Plan, id uint64) int { return cmp.Compare(p.ID, id) })
 	if !found {
@@ -93,7 +93,7 @@
 	return s.Plans[i]
 }
 
-// planOf finds the open plan that a sender is in.
+// planOf returns the open plan of a sender, or nil.
 func (s *State) planOf(sender string) *Plan {
 	for _, p := range s.Plans {
 		if t := p.Tasks[sender]; p.Phase.Open() && t != nil {
--- a/internal/rollout/sums.go
+++ b/internal/rollout/sums.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Sums are facts over many senders.
+// Sums are the counters of several senders over a time.
 type Sums struct {
 	Refused  int64   `json:"refused"`
 	Taken    int64   `json:"taken"`
@@ -14,10 +14,10 @@
 	Called   int64   `json:"called"`
 	Late     int64   `json:"late"`
 	Senders  int     `json:"senders"`
-	MemoryMB float64 `json:"memory_mb"` // the most of one
+	MemoryMB float64 `json:"memory_mb"` // the highest of one sender
 }
 
-// add adds what a sender did since a sight of before. A process that is new since then began at nothing.
+// add adds what a sender has done since an earlier observation. A new process has started to count at zero.
 func (x *Sums) add(now, then Observation) {
 	f, b := now.Facts, then.Facts
 	if now.Process != then.Process {
@@ -33,7 +33,7 @@
 	x.Senders++
 }
 
-// worse tells in what the new are worse than the old; empty: in nothing that is known.
+// worse returns in what the changed senders are worse than the others, or nothing.
 func worse(changed, others Sums, g Gate) string {
 	if why := worseShare("messages refused", changed.Refused, changed.Taken+changed.Refused, others.Refused, others.Taken+others.Refused, g); why != "" {
 		return why
@@ -47,30 +47,30 @@
 	return ""
 }
 
-// worseLate tells that the new make more first calls late than the old.
+// worseLate returns that more first attempts of the changed senders are late than of the others, or nothing.
 func worseLate(changed, others Sums, g Gate) string {
 	return worseShare("time to the first call too long", changed.Late, changed.Called, others.Late, others.Called, g)
 }
 
-// worseShare tells that n of so many are a greater part than n0 of so many beside them; empty: it isn't, or isn't known.
-func worseShare(what string, n, of, n0, of0 int64, g Gate) string {
-	if least := int64(g.MinMessages); of < least || of0 < least || of == 0 || of0 == 0 {
+// worseShare returns that n of total is a greater share than n0 of total0, by more than the slack of the gate and chance, or nothing.
+func worseShare(what string, n, total, n0, total0 int64, g Gate) string {
+	if least := int64(g.MinMessages); total < least || total0 < least || total == 0 || total0 == 0 {
 		return ""
 	}
-	a, b := float64(n)/float64(of), float64(n0)/float64(of0)
-	pool := float64(n+n0) / float64(of+of0)
-	err := math.Sqrt(pool * (1 - pool) * (1/float64(of) + 1/float64(of0)))
+	a, b := float64(n)/float64(total), float64(n0)/float64(total0)
+	pool := float64(n+n0) / float64(total+total0)
+	err := math.Sqrt(pool * (1 - pool) * (1/float64(total) + 1/float64(total0)))
 	if a-b <= g.Slack+maxStandardErrors*err {
 		return ""
 	}
-	return fmt.Sprintf("%s: %.1f%% of %d, %.1f%% of %d beside them", what, 100*a, of, 100*b, of0)
+	return fmt.Sprintf("%s: %.1f%% of %d, %.1f%% of %d beside them", what, 100*a, total, 100*b, total0)
 }
 
-// Figures of the comparison. A share is worse if it lies above the other by the plan's slack and by what chance
-// explains but once in some hundreds; memory if it lies above it by the factor and the floor. Of times only the part that is
-// late is compared: a mean of few is moved by one message that waits for seconds.
+// Parameters of the comparison. A share is worse if it is higher than the other by the slack of the plan's gate and by more standard errors
+// than chance explains; memory, if it is higher by the factor and by the margin. Times are compared by the share that is late, as one message
+// that waits for seconds would move the mean of a few.
 const (
-	maxStandardErrors = 3.0 // standard errors
+	maxStandardErrors = 3.0 // which chance exceeds in less than one of some hundred comparisons
 	memoryFactor      = 1.5
 	memoryMarginMB    = 24.0 // MB
 )
