--- a/cmd/cleathold/lab.go
+++ b/cmd/cleathold/lab.go
@@ -462,7 +462,7 @@
 	}
 	fmt.Fprintf(out, "%11s %7s %7s %8s %8s %8s %8s %10s %6s\n", "DESTINATION", "FROM", "TO", "LIMIT", "CALLS", "REFUSED", "SERVED", "WORST/LIMIT", "USED")
 	for _, x := range list {
-		fmt.Fprintf(out, "%11d %7d %7d %8.1f %8.1f %8.1f %8.1f %11.2f %6.2f\n", x.Dest, x.From, x.To, x.Limit, x.Calls, x.Refused, x.Served, x.MostOver, x.Used)
+		fmt.Fprintf(out, "%11d %7d %7d %8.1f %8.1f %8.1f %8.1f %11.2f %6.2f\n", x.Dest, x.From, x.To, x.Limit, x.Calls, x.Rejected, x.Served, x.MaxExcess, x.Used)
 	}
 	return nil
 }
@@ -493,7 +493,7 @@
 	if err := json.Unmarshal(run.Result, &r); err != nil {
 		return nil, fmt.Errorf("%s: result: %w", folder, err)
 	}
-	f.Breaks, f.Notes = r.Violations, append(f.Notes, r.Warnings...)
+	f.Violations, f.Notes = r.Violations, append(f.Notes, r.Warnings...)
 	if run.Head.Mode == "sockets" {
 		f.Head = append(f.Head, report.Line{Name: "lag of the rig", Value: fmt.Sprintf("partners %.2f ms at the 99th percentile, clients %.2f ms", r.Rig.P99, r.Clients.Lag.P99)})
 	}
@@ -560,7 +560,7 @@
 	}
 	word := "a difference"
 	if cmp.Noise {
-		word = fmt.Sprintf("noise: %d pairs would not show a difference under %.4f", cmp.Pairs, cmp.Smallest)
+		word = fmt.Sprintf("noise: %d pairs would not show a difference under %.4f", cmp.Pairs, cmp.Detectable)
 	}
 	fmt.Fprintf(out, "A %.4f, B %.4f; B less A: %+.4f, 95%% interval %+.4f to %+.4f over %d pairs: %s\n",
 		cmp.Difference.A, cmp.Difference.B, cmp.Mean, cmp.Low, cmp.High, cmp.Pairs, word)
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -1,6 +1,6 @@
-// Package report makes one page of a run: what was asked for and brought over time,
-// what was refused and why, calls in flight, ages in the queue, and how long each
-// class took, with the troubles on the time axis. It reads a ledger event by event.
+// Package report turns the ledger of a run into a page: service over time, what failed and why, calls in flight, the age of the oldest open
+// message, and latencies by class, with the faults on the time axis. It also sums up limits and outages, and compares paired runs. It reads a
+// ledger event by event in bounded memory, and judges nothing: that is package audit's.
 package report
 
 import (
@@ -15,177 +15,179 @@
 	"cleathold/internal/simulation"
 )
 
-// binsMost is how finely a run is drawn at most.
-const binsMost = 600
+// maxBins bounds the number of points in a plot.
+const maxBins = 600
 
-// A bin is a stretch of the time axis.
-type bin struct {
-	asked, brought float64        // worth, by the time at which it was wanted
-	causes         map[string]int // calls and hand-ins that came to nothing
-	flying         int            // calls out, at most
-	waiting        int            // messages taken on without an end, at most
-	oldest         time.Duration  // the age of the oldest of them, at the end of the bin
+// timeBin is one interval of the time axis.
+type timeBin struct {
+	requested, delivered float64        // priority weight, by the time of the request
+	causes               map[string]int // failed calls and submissions by cause
+	callsInFlight        int            // the most at any time
+	openMessages         int            // the most at any time
+	oldestAge            time.Duration  // of the oldest open message, at the end of the bin
 }
 
-// Collector gathers a run's events.
+// Collector collects the events of a run for its page.
 type Collector struct {
-	plan   *scenario.Plan
-	width  time.Duration
-	bins   []bin
-	tally  *simulation.ServiceMeter
-	at     time.Duration
-	events int
-
-	wanted  map[int]wanted // messages whose time is not up
-	first   int            // the oldest that may be among them
-	longest time.Duration
-	ids     map[string]int
-	calls   map[uint64][]string
-	open    map[string]time.Duration // taken on, no end yet
-	line    []string                 // the same in the order in which they were taken on
-	byClass []*hdrhistogram.Histogram
-	causes  map[string]int
-	deaths  int
+	plan     *scenario.Plan
+	binWidth time.Duration
+	bins     []timeBin
+	meter    *simulation.ServiceMeter
+	at       time.Duration
+	events   int
+
+	requests        map[int]request // by number: those whose deadline is not past
+	oldestRequest   int             // the oldest that may be among them
+	longestDeadline time.Duration
+	requestByID     map[string]int
+	calls           map[uint64][]string
+	openSince       map[string]time.Duration // by id: when an open message was accepted
+	openOrder       []string                 // the same, in order
+	byClass         []*hdrhistogram.Histogram
+	causes          map[string]int
+	deaths          int
 }
 
-type wanted struct {
-	class int
-	born  time.Duration
-	ids   []string
+type request struct {
+	class       int
+	requestedAt time.Duration
+	ids         []string
 }
 
-// NewCollector gathers the events of a plan's run.
+// NewCollector returns a collector for a run of a plan.
 func NewCollector(p *scenario.Plan) *Collector {
 	c := &Collector{
-		plan: p, width: time.Second, tally: simulation.NewServiceMeter(p.Scenario), wanted: map[int]wanted{}, ids: map[string]int{},
-		calls: map[uint64][]string{}, open: map[string]time.Duration{}, causes: map[string]int{},
+		plan: p, binWidth: time.Second, meter: simulation.NewServiceMeter(p.Scenario), requests: map[int]request{}, requestByID: map[string]int{},
+		calls: map[uint64][]string{}, openSince: map[string]time.Duration{}, causes: map[string]int{},
 	}
-	for p.Scenario.Length/c.width > binsMost {
-		c.width *= 2
+	for p.Scenario.Length/c.binWidth > maxBins {
+		c.binWidth *= 2
 	}
 	for _, class := range p.Scenario.Traffic.Classes {
-		c.longest = max(c.longest, class.Deadline)
+		c.longestDeadline = max(c.longestDeadline, class.Deadline)
 		c.byClass = append(c.byClass, hdrhistogram.New(1, 600_000, 3)) // milliseconds
 	}
 	return c
 }
 
-// bin is where a time belongs. Bins that it passes are closed.
-func (c *Collector) bin(at time.Duration) *bin {
-	i := int(at / c.width)
+// bin returns the bin of a time, and completes the bins before it.
+func (c *Collector) bin(at time.Duration) *timeBin {
+	i := int(at / c.binWidth)
 	for len(c.bins) <= i {
 		if n := len(c.bins); n > 0 {
-			c.bins[n-1].oldest = c.oldest(time.Duration(n) * c.width)
+			c.bins[n-1].oldestAge = c.oldest(time.Duration(n) * c.binWidth)
 		}
-		c.bins = append(c.bins, bin{causes: map[string]int{}, flying: len(c.calls), waiting: len(c.open)})
+		c.bins = append(c.bins, timeBin{causes: map[string]int{}, callsInFlight: len(c.calls), openMessages: len(c.openSince)})
 	}
 	return &c.bins[i]
 }
 
-// oldest is the age of the oldest message without an end.
+// oldest returns the age of the oldest open message.
 func (c *Collector) oldest(now time.Duration) time.Duration {
-	for len(c.line) > 0 {
-		if at, open := c.open[c.line[0]]; open {
+	for len(c.openOrder) > 0 {
+		if at, open := c.openSince[c.openOrder[0]]; open {
 			return now - at
 		}
-		c.line = c.line[1:]
+		c.openOrder = c.openOrder[1:]
 	}
 	return 0
 }
 
-func (c *Collector) cause(b *bin, word string) {
+func (c *Collector) addCause(b *timeBin, word string) {
 	b.causes[word]++
 	c.causes[word]++
 }
 
-// Read takes the next event.
+// Read takes the next event. It never fails.
 func (c *Collector) Read(e audit.Event) error {
 	c.events++
 	c.at = e.At
 	b := c.bin(e.At)
 	switch e.Kind {
 	case audit.Requested:
-		b.asked += c.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
-		c.wanted[e.N] = wanted{class: e.Class, born: e.At}
+		b.requested += c.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
+		c.requests[e.N] = request{class: e.Class, requestedAt: e.At}
 		c.forget(e)
 	case audit.Submitted:
-		c.ids[e.Message] = e.N
-		if w, known := c.wanted[e.N]; known {
+		c.requestByID[e.Message] = e.N
+		if w, known := c.requests[e.N]; known {
 			w.ids = append(w.ids, e.Message)
-			c.wanted[e.N] = w
+			c.requests[e.N] = w
 		}
 	case audit.Accepted:
-		if _, known := c.ids[e.Message]; known {
-			c.open[e.Message] = e.At
-			c.line = append(c.line, e.Message)
-			b.waiting = max(b.waiting, len(c.open))
+		if _, known := c.requestByID[e.Message]; known {
+			c.openSince[e.Message] = e.At
+			c.openOrder = append(c.openOrder, e.Message)
+			b.openMessages = max(b.openMessages, len(c.openSince))
 		}
 	case audit.Rejected:
-		c.cause(b, "turned away at the door")
-		delete(c.ids, e.Message)
+		c.addCause(b, "turned away at the door")
+		delete(c.requestByID, e.Message)
 	case audit.Abandoned:
-		c.cause(b, "no answer at the door")
-		delete(c.ids, e.Message)
+		c.addCause(b, "no answer at the door")
+		delete(c.requestByID, e.Message)
 	case audit.Notice:
 		if e.Deferred {
-			c.cause(b, "deferred")
+			c.addCause(b, "deferred")
 		} else {
-			c.cause(b, "undeliverable")
+			c.addCause(b, "undeliverable")
 		}
-		delete(c.open, e.Message)
+		delete(c.openSince, e.Message)
 	case audit.Sent:
 		c.calls[e.Call] = e.Messages
-		b.flying = max(b.flying, len(c.calls))
+		b.callsInFlight = max(b.callsInFlight, len(c.calls))
 	case audit.Ended:
 		if e.Outcome == audit.Delivered {
 			c.delivered(e)
 		} else if e.Cause != "" {
-			c.cause(b, "call "+e.Cause)
+			c.addCause(b, "call "+e.Cause)
 		}
 		delete(c.calls, e.Call)
 	case audit.Died:
 		c.deaths++
 	}
-	return c.tally.Read(e)
+	return c.meter.Read(e)
 }
 
-// delivered enters how long the messages of a call took, from when they were wanted.
+// delivered records the latencies of the messages of a call, from their requests on.
 func (c *Collector) delivered(e audit.Event) {
 	for _, id := range c.calls[e.Call] {
-		n, known := c.ids[id]
-		w, still := c.wanted[n]
-		delete(c.open, id)
+		n, known := c.requestByID[id]
+		w, still := c.requests[n]
+		delete(c.openSince, id)
 		if !known || !still {
 			continue
 		}
-		age := e.At - w.born
+		age := e.At - w.requestedAt
 		c.byClass[w.class].RecordValue(min(max(age.Milliseconds(), 1), 599_999)) // fails only out of range
-		c.bins[w.born/c.width].brought += simulation.PriorityWeightAt(&c.plan.Scenario.Traffic.Classes[w.class], age)
+		c.bins[w.requestedAt/c.binWidth].delivered += simulation.PriorityWeightAt(&c.plan.Scenario.Traffic.Classes[w.class], age)
 		for _, other := range w.ids {
-			delete(c.ids, other)
+			delete(c.requestByID, other)
 		}
-		delete(c.wanted, n)
+		delete(c.requests, n)
 	}
 }
 
-// forget drops messages whose time is long up.
+// forget drops requests whose deadline is long past.
 func (c *Collector) forget(e audit.Event) {
-	for ; c.first < e.N; c.first++ {
-		w, known := c.wanted[c.first]
-		if known && e.At < w.born+c.longest+5*time.Second {
+	for ; c.oldestRequest < e.N; c.oldestRequest++ {
+		w, known := c.requests[c.oldestRequest]
+		if known && e.At < w.requestedAt+c.longestDeadline+5*time.Second {
 			return
 		}
 		for _, id := range w.ids {
-			delete(c.ids, id)
+			delete(c.requestByID, id)
 		}
-		delete(c.wanted, c.first)
+		delete(c.requests, c.oldestRequest)
 	}
 }
 
-// Held is how much is remembered; for the tests of its bounds.
-func (c *Collector) Held() int { return len(c.wanted) + len(c.ids) + len(c.calls) + len(c.open) }
+// Remembered returns the number of remembered requests, submissions, calls and messages, for tests of the bounds.
+func (c *Collector) Remembered() int {
+	return len(c.requests) + len(c.requestByID) + len(c.calls) + len(c.openSince)
+}
 
-// Causes are the words for what came to nothing, those seen most often first.
+// Causes returns the causes of failures, the most frequent first.
 func (c *Collector) Causes() []string {
 	words := slices.Sorted(maps.Keys(c.causes))
 	slices.SortStableFunc(words, func(a, b string) int { return c.causes[b] - c.causes[a] })
--- a/internal/report/limits.go
+++ b/internal/report/limits.go
@@ -11,45 +11,46 @@
 	"cleathold/internal/scenario"
 )
 
-// Sum is a second of one destination: what its limit was, and what all senders together did.
+// Sum is one second of a destination: its limit, and the calls of all senders.
 type Sum struct {
-	At      int     `json:"at"`    // seconds of the run
-	Limit   float64 `json:"limit"` // calls in the second; 0 = it has none
-	Wanted  int     `json:"wanted"`
-	Calls   int     `json:"calls"`
-	Refused int     `json:"refused"`
-	Served  int     `json:"served"`
-	Senders int     `json:"senders"` // that called
-	Most    int     `json:"most"`    // calls of the one that called most
+	At             int     `json:"at"`    // seconds of the run
+	Limit          float64 `json:"limit"` // calls in the second; 0: none
+	Requested      int     `json:"wanted"`
+	Calls          int     `json:"calls"`
+	Rejected       int     `json:"refused"`
+	Served         int     `json:"served"`
+	Senders        int     `json:"senders"` // those that called
+	MaxOfOneSender int     `json:"most"`    // the most calls of one sender
 }
 
-// Sums counts a run's calls against the limits, by second, over all senders.
+// Sums counts the calls of a run against the limits, by second, over all senders.
 type Sums struct {
-	plan  *scenario.Plan
-	dests map[int][]*second
-	calls map[uint64]*second
-	limit map[string]float64 // of endpoints whose limit is cut: the factor
+	plan          *scenario.Plan
+	byDestination map[int][]*secondCount
+	calls         map[uint64]*secondCount
+	limitFactors  map[string]float64 // by endpoint with a reduced limit: the factor
 }
 
-type second struct {
+// secondCount is a second under way.
+type secondCount struct {
 	Sum
-	by map[int]int // calls of each sender
+	callsBySender map[int]int // calls of each sender
 }
 
-// NewSums counts a plan's run.
+// NewSums returns the counts for a run of a plan.
 func NewSums(p *scenario.Plan) *Sums {
-	return &Sums{plan: p, dests: map[int][]*second{}, calls: map[uint64]*second{}, limit: map[string]float64{}}
+	return &Sums{plan: p, byDestination: map[int][]*secondCount{}, calls: map[uint64]*secondCount{}, limitFactors: map[string]float64{}}
 }
 
 // Read takes the next event.
 func (s *Sums) Read(e audit.Event) error {
 	switch e.Kind {
 	case audit.Requested:
-		s.of(e.Dest, e.At).Wanted++
+		s.secondAt(e.Dest, e.At).Requested++
 	case audit.Sent:
-		x := s.of(e.Dest, e.At)
+		x := s.secondAt(e.Dest, e.At)
 		x.Calls++
-		x.by[e.Sender]++
+		x.callsBySender[e.Sender]++
 		s.calls[e.Call] = x
 	case audit.Ended:
 		x := s.calls[e.Call]
@@ -57,7 +58,7 @@
 		switch {
 		case x == nil:
 		case e.Cause == partner.Rejected.String():
-			x.Refused++
+			x.Rejected++
 		case e.Outcome == audit.Delivered:
 			x.Served++
 		}
@@ -65,16 +66,16 @@
 	return nil
 }
 
-// of is the second of a destination that a time falls into. Those before it are there then, too.
-func (s *Sums) of(dest int, at time.Duration) *second {
+// secondAt returns the second of a destination at a time, and creates the ones before it.
+func (s *Sums) secondAt(dest int, at time.Duration) *secondCount {
 	n := int(at / time.Second)
-	for len(s.dests[dest]) <= n {
-		s.dests[dest] = append(s.dests[dest], &second{Sum: Sum{At: len(s.dests[dest])}, by: map[int]int{}})
+	for len(s.byDestination[dest]) <= n {
+		s.byDestination[dest] = append(s.byDestination[dest], &secondCount{Sum: Sum{At: len(s.byDestination[dest])}, callsBySender: map[int]int{}})
 	}
-	return s.dests[dest][n]
+	return s.byDestination[dest][n]
 }
 
-// Limit is what a destination takes in a second, in the mean over it.
+// Limit returns the limit of a destination, as a mean over a second of the run.
 func (s *Sums) Limit(d *scenario.Destination, sec int) float64 {
 	if d.Limit.Form == partner.NoLimit {
 		return 0
@@ -87,6 +88,7 @@
 	return sum
 }
 
+// limitAt returns the limit of a destination at a time.
 func (s *Sums) limitAt(d *scenario.Destination, at time.Duration) float64 {
 	sum, least := 0.0, 1.0
 	for _, e := range d.Endpoints {
@@ -110,7 +112,7 @@
 	return least * d.Limit.PerSecond
 }
 
-// Of is a destination's run, second by second.
+// Of returns a destination's run, second by second.
 func (s *Sums) Of(dest int) []Sum {
 	var list []Sum
 	for i := range s.plan.Dests {
@@ -118,10 +120,10 @@
 		if d.Dest != dest {
 			continue
 		}
-		for _, x := range s.dests[dest] {
-			x.Limit, x.Senders, x.Most = s.Limit(d, x.At), len(x.by), 0
-			for _, n := range x.by {
-				x.Most = max(x.Most, n)
+		for _, x := range s.byDestination[dest] {
+			x.Limit, x.Senders, x.MaxOfOneSender = s.Limit(d, x.At), len(x.callsBySender), 0
+			for _, n := range x.callsBySender {
+				x.MaxOfOneSender = max(x.MaxOfOneSender, n)
 			}
 			list = append(list, x.Sum)
 		}
@@ -129,20 +131,20 @@
 	return list
 }
 
-// Span is a stretch of a destination's run.
+// Span is an interval of a destination's run, with figures a second.
 type Span struct {
-	Dest     int     `json:"destination"`
-	From     int     `json:"from"` // seconds
-	To       int     `json:"to"`
-	Limit    float64 `json:"limit"` // in the mean
-	Calls    float64 `json:"calls"` // a second
-	Refused  float64 `json:"refused"`
-	Served   float64 `json:"served"`
-	MostOver float64 `json:"most_over"` // the worst second's calls, as a multiple of its limit
-	Used     float64 `json:"used"`      // served, of what the limit or the traffic allows
+	Dest      int     `json:"destination"`
+	From      int     `json:"from"` // seconds
+	To        int     `json:"to"`
+	Limit     float64 `json:"limit"` // in the mean
+	Calls     float64 `json:"calls"` // a second
+	Rejected  float64 `json:"refused"`
+	Served    float64 `json:"served"`
+	MaxExcess float64 `json:"most_over"` // the calls of the worst second, as a multiple of its limit
+	Used      float64 `json:"used"`      // served calls, as a fraction of what limit and traffic allow
 }
 
-// Between sums a destination up over some seconds.
+// Between sums up a destination from one second to before another.
 func (s *Sums) Between(dest, from, to int) Span {
 	x := Span{Dest: dest, From: from, To: to}
 	allowed := 0.0
@@ -152,10 +154,10 @@
 		}
 		n := float64(to - from)
 		x.Limit, x.Calls = x.Limit+sum.Limit/n, x.Calls+float64(sum.Calls)/n
-		x.Refused, x.Served = x.Refused+float64(sum.Refused)/n, x.Served+float64(sum.Served)/n
+		x.Rejected, x.Served = x.Rejected+float64(sum.Rejected)/n, x.Served+float64(sum.Served)/n
 		if sum.Limit > 0 {
-			x.MostOver = max(x.MostOver, float64(sum.Calls)/sum.Limit)
-			allowed += min(sum.Limit, float64(sum.Wanted))
+			x.MaxExcess = max(x.MaxExcess, float64(sum.Calls)/sum.Limit)
+			allowed += min(sum.Limit, float64(sum.Requested))
 		}
 	}
 	if allowed > 0 {
@@ -164,7 +166,7 @@
 	return x
 }
 
-// Spans are the stretches in which a destination's limit stays as it is, or nothing ails it.
+// Spans returns the intervals in which a destination's limit is constant.
 func (s *Sums) Spans(dest int) (list []Span) {
 	all := s.Of(dest)
 	for from := 0; from < len(all); {
@@ -178,7 +180,7 @@
 	return list
 }
 
-// Limited are the destinations with a limit that is cut in the run, or all that have one where none is.
+// Limited returns the destinations whose limit is reduced in the run, or all with a limit if there is none.
 func (s *Sums) Limited() (list []int) {
 	for _, only := range []bool{true, false} {
 		for i := range s.plan.Dests {
@@ -200,11 +202,11 @@
 	return nil
 }
 
-// Table writes a destination's seconds.
+// Table writes a destination's run, a line a second.
 func (s *Sums) Table(out io.Writer, dest int) error {
 	fmt.Fprintf(out, "destination %d\n%8s %8s %8s %8s %8s %8s %8s %8s\n", dest, "SECOND", "LIMIT", "WANTED", "CALLS", "REFUSED", "SERVED", "SENDERS", "MOST")
 	for _, x := range s.Of(dest) {
-		if _, err := fmt.Fprintf(out, "%8d %8.1f %8d %8d %8d %8d %8d %8d\n", x.At, x.Limit, x.Wanted, x.Calls, x.Refused, x.Served, x.Senders, x.Most); err != nil {
+		if _, err := fmt.Fprintf(out, "%8d %8.1f %8d %8d %8d %8d %8d %8d\n", x.At, x.Limit, x.Requested, x.Calls, x.Rejected, x.Served, x.Senders, x.MaxOfOneSender); err != nil {
 			return err
 		}
 	}
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -32,8 +32,8 @@
 	calls, refused, senders := 0, 0, 0
 	for _, d := range p.Dests {
 		for _, x := range sums.Of(d.Dest) {
-			calls, refused, senders = calls+x.Calls, refused+x.Refused, max(senders, x.Senders)
-			if x.Refused+x.Served > x.Calls || x.Most > x.Calls || x.Senders > x.Calls {
+			calls, refused, senders = calls+x.Calls, refused+x.Rejected, max(senders, x.Senders)
+			if x.Rejected+x.Served > x.Calls || x.MaxOfOneSender > x.Calls || x.Senders > x.Calls {
 				t.Errorf("destination %d: %+v", d.Dest, x)
 			}
 		}
@@ -49,7 +49,7 @@
 	if len(spans) != 3 || spans[0].To != 12 || spans[1].To != 32 || math.Abs(spans[1].Limit-56) > 1e-6 || math.Abs(spans[0].Limit-112)+math.Abs(spans[2].Limit-112) > 1e-6 {
 		t.Errorf("%+v", spans)
 	}
-	if x := spans[1]; x.Calls <= x.Served || x.MostOver < 1 || x.Used < 0.9 {
+	if x := spans[1]; x.Calls <= x.Served || x.MaxExcess < 1 || x.Used < 0.9 {
 		t.Errorf("%+v", x)
 	}
 	var out bytes.Buffer
@@ -92,14 +92,14 @@
 			}
 			x := sums.Between(sums.Limited()[0], 15, 22)
 			n := float64(seeds)
-			if x.Refused > c.worst*x.Limit || x.Used < c.used {
-				t.Errorf("%v senders in %v parts, seed %d: limit %.0f, refused %.1f a second, used %.2f", c.senders, c.parts, seed+1, x.Limit, x.Refused, x.Used)
+			if x.Rejected > c.worst*x.Limit || x.Used < c.used {
+				t.Errorf("%v senders in %v parts, seed %d: limit %.0f, refused %.1f a second, used %.2f", c.senders, c.parts, seed+1, x.Limit, x.Rejected, x.Used)
 			}
-			sum.Limit, sum.Refused, sum.Served = sum.Limit+x.Limit/n, sum.Refused+x.Refused/n, sum.Served+x.Served/n
+			sum.Limit, sum.Rejected, sum.Served = sum.Limit+x.Limit/n, sum.Rejected+x.Rejected/n, sum.Served+x.Served/n
 		}
-		t.Logf("%v senders in %v parts: limit %.0f, refused %.1f, served %.1f a second", c.senders, c.parts, sum.Limit, sum.Refused, sum.Served)
-		if sum.Refused > c.refused*sum.Limit || sum.Served < 0.85*sum.Limit {
-			t.Errorf("%v senders in %v parts: limit %.0f, refused %.1f, served %.1f a second", c.senders, c.parts, sum.Limit, sum.Refused, sum.Served)
+		t.Logf("%v senders in %v parts: limit %.0f, refused %.1f, served %.1f a second", c.senders, c.parts, sum.Limit, sum.Rejected, sum.Served)
+		if sum.Rejected > c.refused*sum.Limit || sum.Served < 0.85*sum.Limit {
+			t.Errorf("%v senders in %v parts: limit %.0f, refused %.1f, served %.1f a second", c.senders, c.parts, sum.Limit, sum.Rejected, sum.Served)
 		}
 	}
 }
--- a/internal/report/outages.go
+++ b/internal/report/outages.go
@@ -12,64 +12,65 @@
 	"cleathold/internal/simulation"
 )
 
-// Outage is a trouble of some endpoints of one destination, and what the fleet did meanwhile.
+// Outage is a fault of some endpoints of a destination, and what the fleet did meanwhile.
 type Outage struct {
-	Dest    int     `json:"destination"`
-	Struck  int     `json:"struck"` // endpoints
-	Of      int     `json:"of"`     // of so many
-	From    float64 `json:"from"`   // seconds
-	To      float64 `json:"to"`
-	Wanted  int     `json:"wanted"`  // messages, meanwhile
-	Served  float64 `json:"served"`  // worth that they brought, of what they could
-	Finds   int     `json:"finds"`   // calls and probes by which senders found a struck endpoint, or found it again
-	First   int     `json:"first"`   // those of them in the first second
-	Finders int     `json:"finders"` // senders that did
-	Most    int     `json:"most"`    // by one sender
-	Even    float64 `json:"even"`    // seconds from its end until the struck have two thirds of their even part again; below 0 = never
+	Dest                     int     `json:"destination"`
+	Affected                 int     `json:"struck"` // endpoints with the fault
+	Of                       int     `json:"of"`     // endpoints of the destination
+	From                     float64 `json:"from"`   // seconds
+	To                       float64 `json:"to"`
+	Requested                int     `json:"wanted"`  // messages, during the outage
+	Served                   float64 `json:"served"`  // fraction of their priority weight that was delivered
+	Discoveries              int     `json:"finds"`   // calls and health checks that met the fault
+	DiscoveriesInFirstSecond int     `json:"first"`   // of them, in the first second
+	DiscoveringSenders       int     `json:"finders"` // senders that met it
+	MaxOfOneSender           int     `json:"most"`    // discoveries by one sender
+	BalancedAfter            float64 `json:"even"`    // seconds from its end until the endpoints get two thirds of their fair share of calls; below 0: never
 }
 
-// Outages follows a run's outages of endpoints. Cut limits are none: Sums has them.
+// Outages follows the outages of endpoints in a run. Reduced limits are not among them; see Sums.
 type Outages struct {
-	plan  *scenario.Plan
-	list  []*outage
-	tally *simulation.ServiceMeter
-	asked map[int]*outage // by message: the one in which it was wanted
+	plan      *scenario.Plan
+	list      []*outage
+	meter     *simulation.ServiceMeter
+	byMessage map[int]*outage // by message: the outage during which it was requested
 }
 
+// outage is an outage under way.
 type outage struct {
 	Outage
-	from, to      time.Duration
-	struck        map[string]bool
-	by            map[int]int // finds of each sender
-	worth, brings float64
-	after         [][2]int // calls to the struck, and to all, by tenths of a second from its end
+	from, to                         time.Duration
+	affected                         map[string]bool
+	discoveriesBySender              map[int]int // by sender
+	requestedWeight, deliveredWeight float64
+	callsAfter                       [][2]int // calls to the affected endpoints, and to all, in steps of outageStep from its end
 }
 
-// NewOutages follows the outages of a plan's run.
+// NewOutages returns the outages of a run of a plan.
 func NewOutages(p *scenario.Plan) *Outages {
-	o := &Outages{plan: p, tally: simulation.NewServiceMeter(p.Scenario), asked: map[int]*outage{}}
-	o.tally.OnDelivered = func(n int, worth float64) {
-		if x := o.asked[n]; x != nil {
-			x.brings += worth
-			delete(o.asked, n)
+	o := &Outages{plan: p, meter: simulation.NewServiceMeter(p.Scenario), byMessage: map[int]*outage{}}
+	o.meter.OnDelivered = func(n int, worth float64) {
+		if x := o.byMessage[n]; x != nil {
+			x.deliveredWeight += worth
+			delete(o.byMessage, n)
 		}
 	}
 	for i := range p.Scenario.Faults {
 		for _, d := range p.Dests {
-			x := &outage{struck: map[string]bool{}, by: map[int]int{}}
+			x := &outage{affected: map[string]bool{}, discoveriesBySender: map[int]int{}}
 			for _, c := range p.Changes {
 				ours := slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == c.Endpoint })
 				if c.Of != i || c.Joins != nil || c.Drains || c.Leaves || !ours {
 					continue
 				}
-				if mode := c.Fault.Mode; mode != partner.Healthy && mode != partner.LimitReduced && !x.struck[c.Endpoint] {
-					x.struck[c.Endpoint], x.from = true, c.At
-				} else if x.struck[c.Endpoint] {
+				if mode := c.Fault.Mode; mode != partner.Healthy && mode != partner.LimitReduced && !x.affected[c.Endpoint] {
+					x.affected[c.Endpoint], x.from = true, c.At
+				} else if x.affected[c.Endpoint] {
 					x.to = c.At
 				}
 			}
-			if len(x.struck) > 0 {
-				x.Dest, x.Struck, x.Of, x.From, x.To = d.Dest, len(x.struck), len(d.Endpoints), x.from.Seconds(), x.to.Seconds()
+			if len(x.affected) > 0 {
+				x.Dest, x.Affected, x.Of, x.From, x.To = d.Dest, len(x.affected), len(d.Endpoints), x.from.Seconds(), x.to.Seconds()
 				o.list = append(o.list, x)
 			}
 		}
@@ -77,7 +78,7 @@
 	return o
 }
 
-// at is the outage of a destination at a time, if it has one.
+// at returns the outage of a destination at a time, or nil.
 func (o *Outages) at(dest int, at time.Duration) *outage {
 	for _, x := range o.list {
 		if x.Dest == dest && at >= x.from && at < x.to {
@@ -92,9 +93,9 @@
 	switch e.Kind {
 	case audit.Requested:
 		if x := o.at(e.Dest, e.At); x != nil {
-			x.Wanted++
-			x.worth += o.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
-			o.asked[e.N] = x
+			x.Requested++
+			x.requestedWeight += o.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
+			o.byMessage[e.N] = x
 		}
 	case audit.Sent:
 		for _, x := range o.list {
@@ -102,50 +103,50 @@
 				continue
 			}
 			n := int((e.At - x.to) / outageStep)
-			for len(x.after) <= n {
-				x.after = append(x.after, [2]int{})
+			for len(x.callsAfter) <= n {
+				x.callsAfter = append(x.callsAfter, [2]int{})
 			}
-			if x.after[n][1]++; x.struck[e.Endpoint] {
-				x.after[n][0]++
+			if x.callsAfter[n][1]++; x.affected[e.Endpoint] {
+				x.callsAfter[n][0]++
 			}
 		}
 	case audit.FailureSeen:
-		if x := o.at(e.Dest, e.At); x != nil && x.struck[e.Endpoint] {
-			x.Finds++
-			if x.by[e.Sender]++; e.At < x.from+time.Second {
-				x.First++
+		if x := o.at(e.Dest, e.At); x != nil && x.affected[e.Endpoint] {
+			x.Discoveries++
+			if x.discoveriesBySender[e.Sender]++; e.At < x.from+time.Second {
+				x.DiscoveriesInFirstSecond++
 			}
 		}
 	}
-	return o.tally.Read(e)
+	return o.meter.Read(e)
 }
 
-// outageStep is how finely the time after an outage is seen.
+// outageStep is the resolution of the time after an outage.
 const outageStep = 100 * time.Millisecond
 
-// List is what became of each outage.
+// List returns the outages so far.
 func (o *Outages) List() (list []Outage) {
 	for _, x := range o.list {
 		y := x.Outage
-		y.Served, y.Finders, y.Even = 1, len(x.by), x.even()
-		if x.worth > 0 {
-			y.Served = x.brings / x.worth
+		y.Served, y.DiscoveringSenders, y.BalancedAfter = 1, len(x.discoveriesBySender), x.balancedAfter()
+		if x.requestedWeight > 0 {
+			y.Served = x.deliveredWeight / x.requestedWeight
 		}
-		for _, n := range x.by {
-			y.Most = max(y.Most, n)
+		for _, n := range x.discoveriesBySender {
+			y.MaxOfOneSender = max(y.MaxOfOneSender, n)
 		}
 		list = append(list, y)
 	}
 	return list
 }
 
-// even is the end of the first second in which the struck had two thirds of their even part.
-func (x *outage) even() float64 {
+// balancedAfter returns the end of the first second, after the outage, in which the affected endpoints got two thirds of their fair share.
+func (x *outage) balancedAfter() float64 {
 	const second = int(time.Second / outageStep)
-	want := 2.0 / 3 * float64(x.Struck) / float64(x.Of)
-	for n := second; n <= len(x.after); n++ {
+	want := 2.0 / 3 * float64(x.Affected) / float64(x.Of)
+	for n := second; n <= len(x.callsAfter); n++ {
 		struck, all := 0, 0
-		for _, c := range x.after[n-second : n] {
+		for _, c := range x.callsAfter[n-second : n] {
 			struck, all = struck+c[0], all+c[1]
 		}
 		if all > 0 && float64(struck) >= want*float64(all) {
@@ -155,11 +156,11 @@
 	return -1
 }
 
-// WriteOutages writes a line for each.
+// WriteOutages writes a table with a line for each outage.
 func WriteOutages(out io.Writer, list []Outage) error {
 	fmt.Fprintf(out, "%11s %7s %7s %7s %7s %7s %7s %7s %7s %5s %6s\n", "DESTINATION", "STRUCK", "FROM", "TO", "WANTED", "SERVED", "FINDS", "FIRST", "FINDERS", "MOST", "EVEN")
 	for _, x := range list {
-		_, err := fmt.Fprintf(out, "%11d %7s %7.1f %7.1f %7d %7.3f %7d %7d %7d %5d %6.1f\n", x.Dest, fmt.Sprintf("%d/%d", x.Struck, x.Of), x.From, x.To, x.Wanted, x.Served, x.Finds, x.First, x.Finders, x.Most, x.Even)
+		_, err := fmt.Fprintf(out, "%11d %7s %7.1f %7.1f %7d %7.3f %7d %7d %7d %5d %6.1f\n", x.Dest, fmt.Sprintf("%d/%d", x.Affected, x.Of), x.From, x.To, x.Requested, x.Served, x.Discoveries, x.DiscoveriesInFirstSecond, x.DiscoveringSenders, x.MaxOfOneSender, x.BalancedAfter)
 		if err != nil {
 			return err
 		}
--- a/internal/report/outages_test.go
+++ b/internal/report/outages_test.go
@@ -57,11 +57,11 @@
 		t.Fatalf("%+v", list)
 	}
 	a, b := list[0], list[1]
-	if a.Finds+b.Finds != finds || a.Wanted+b.Wanted != wanted || finds == 0 || max(a.Finders, b.Finders) > len(senders) || a.Finders+b.Finders < len(senders) {
+	if a.Discoveries+b.Discoveries != finds || a.Requested+b.Requested != wanted || finds == 0 || max(a.DiscoveringSenders, b.DiscoveringSenders) > len(senders) || a.DiscoveringSenders+b.DiscoveringSenders < len(senders) {
 		t.Errorf("%d finds by %d senders, %d messages wanted: %+v", finds, len(senders), wanted, list)
 	}
 	for _, x := range list {
-		if x.Struck != 3 || x.Of != 6 || x.From != 14 || x.To != 20 || x.First > x.Finds || x.Most > x.Finds || x.Served <= 0.5 || x.Served > 1 || x.Even < 1 || x.Even > 10 {
+		if x.Affected != 3 || x.Of != 6 || x.From != 14 || x.To != 20 || x.DiscoveriesInFirstSecond > x.Discoveries || x.MaxOfOneSender > x.Discoveries || x.Served <= 0.5 || x.Served > 1 || x.BalancedAfter < 1 || x.BalancedAfter > 10 {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -81,7 +81,7 @@
 		list, r := dead(t, map[string]float64{"senders": senders, "rate": rate, "mode": mode, "parts": parts}, 2, func(audit.Event) {})
 		n := 0
 		for _, x := range list {
-			if n += x.Finds; x.Served < 0.97 {
+			if n += x.Discoveries; x.Served < 0.97 {
 				t.Errorf("%v senders, mode %v, %v parts: %+v", senders, mode, parts, x)
 			}
 		}
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -20,29 +20,29 @@
 	"cleathold/internal/scenario"
 )
 
-// Page is a run's report.
+// Page is the report on a run.
 type Page struct {
-	Title   string
-	Lines   []Line // what was played, and what came of it
-	Breaks  []audit.Violation
-	Marks   []Mark
-	Classes []ClassLine
-	Causes  []CauseLine
-	Plots   []Plot
-	notes   []string
+	Title      string
+	Lines      []Line // what was played, and the results
+	Violations []audit.Violation
+	Marks      []Mark
+	Classes    []ClassLine
+	Causes     []CauseLine
+	Plots      []Plot
+	notes      []string
 }
 
-// Line is a fact with its name.
+// Line is a named fact.
 type Line struct{ Name, Value string }
 
-// Mark is something on the time axis.
+// Mark is a numbered interval of the time axis.
 type Mark struct {
 	Number int
 	Span   string
 	Text   string
 }
 
-// ClassLine is how long a class's messages took, in milliseconds.
+// ClassLine is the latency of a class, in milliseconds.
 type ClassLine struct {
 	Class                        string
 	Delivered                    int64
@@ -50,13 +50,13 @@
 	P50, P90, P99, P999, Longest int64
 }
 
-// CauseLine is how often something came to nothing.
+// CauseLine is the number of failures with a cause.
 type CauseLine struct {
 	Cause string
 	Count int
 }
 
-// Plot is a drawing.
+// Plot is a plot as SVG.
 type Plot struct {
 	Title string
 	SVG   template.HTML
@@ -64,25 +64,25 @@
 
 // Facts are what a page says of a run besides its events.
 type Facts struct {
-	Head   []Line
-	Breaks []audit.Violation
-	Notes  []string // warnings: late rig, ledger broken off
+	Head       []Line
+	Violations []audit.Violation
+	Notes      []string // warnings: late rig, ledger broken off
 }
 
-// Page draws what was collected.
+// Page returns the page of the collected events.
 func (c *Collector) Page(f Facts) (*Page, error) {
-	score := c.tally.Score()
-	p := &Page{Title: c.plan.Scenario.Name, Breaks: f.Breaks, notes: f.Notes}
+	score := c.meter.Score()
+	p := &Page{Title: c.plan.Scenario.Name, Violations: f.Violations, notes: f.Notes}
 	p.Lines = append(p.Lines, f.Head...)
 	p.Lines = append(p.Lines,
 		Line{"service", fmt.Sprintf("%.3f (whole %.3f, worst 10 s %.3f at %v)", score.Service, score.Overall, score.Worst, score.WorstAt)},
 		Line{"messages", fmt.Sprintf("%d; %d calls, %d of them turned away by partners; %d hand-ins turned away", score.Messages, score.Calls, score.RejectedCalls, score.Rejected)},
 		Line{"senders that ended", fmt.Sprint(c.deaths)},
-		Line{"rules", rules(f.Breaks)},
+		Line{"rules", rulesText(f.Violations)},
 	)
 	marks := c.plan.Marks()
 	for i, m := range marks {
-		p.Marks = append(p.Marks, Mark{i + 1, span(m), m.Text})
+		p.Marks = append(p.Marks, Mark{i + 1, spanText(m), m.Text})
 	}
 	for i, class := range c.plan.Scenario.Traffic.Classes {
 		h := c.byClass[i]
@@ -99,13 +99,13 @@
 		lines    []series
 		marks    bool
 	}{
-		{"Service", "share of the worth asked for", []series{{"brought, by the time it was wanted", c.series(func(b *bin) (float64, bool) { return b.brought / max(b.asked, 1e-9), b.asked > 0 })}}, true},
-		{"What came to nothing", "in each " + c.width.String(), c.causeSeries(), true},
+		{"Service", "share of the worth asked for", []series{{"brought, by the time it was wanted", c.seriesOf(func(b *timeBin) (float64, bool) { return b.delivered / max(b.requested, 1e-9), b.requested > 0 })}}, true},
+		{"What came to nothing", "in each " + c.binWidth.String(), c.causeSeries(), true},
 		{"Calls in flight, messages that wait", "at most", []series{
-			{"calls out", c.series(func(b *bin) (float64, bool) { return float64(b.flying), true })},
-			{"messages without an end", c.series(func(b *bin) (float64, bool) { return float64(b.waiting), true })},
+			{"calls out", c.seriesOf(func(b *timeBin) (float64, bool) { return float64(b.callsInFlight), true })},
+			{"messages without an end", c.seriesOf(func(b *timeBin) (float64, bool) { return float64(b.openMessages), true })},
 		}, true},
-		{"Age of the oldest message without an end", "seconds", []series{{"oldest", c.series(func(b *bin) (float64, bool) { return b.oldest.Seconds(), true })}}, true},
+		{"Age of the oldest message without an end", "seconds", []series{{"oldest", c.seriesOf(func(b *timeBin) (float64, bool) { return b.oldestAge.Seconds(), true })}}, true},
 		{"How long messages took, by class", "share delivered by then", c.latencies(), false},
 	} {
 		svg, err := c.draw(d.title, d.y, d.lines, marks, d.marks)
@@ -117,52 +117,55 @@
 	return p, nil
 }
 
-func rules(breaks []audit.Violation) string {
+// rulesText says whether the rules were kept.
+func rulesText(breaks []audit.Violation) string {
 	if len(breaks) == 0 {
 		return "kept"
 	}
 	return fmt.Sprintf("BROKEN %d times", len(breaks))
 }
 
-func span(m scenario.Mark) string {
+// spanText returns the time of a mark.
+func spanText(m scenario.Mark) string {
 	if m.To <= m.From {
 		return fmt.Sprintf("%.1f s", m.From.Seconds())
 	}
 	return fmt.Sprintf("%.1f to %.1f s", m.From.Seconds(), m.To.Seconds())
 }
 
-// series is one line of a plot.
+// series is one line in a plot.
 type series struct {
 	name   string
 	points plotter.XYs
 }
 
-// series draws a figure of each bin.
-func (c *Collector) series(of func(*bin) (float64, bool)) plotter.XYs {
+// seriesOf returns the points of a figure that bins have.
+func (c *Collector) seriesOf(of func(*timeBin) (float64, bool)) plotter.XYs {
 	var list plotter.XYs
 	for i := range c.bins {
 		if y, some := of(&c.bins[i]); some {
-			list = append(list, plotter.XY{X: (time.Duration(i) * c.width).Seconds(), Y: y})
+			list = append(list, plotter.XY{X: (time.Duration(i) * c.binWidth).Seconds(), Y: y})
 		}
 	}
 	return list
 }
 
-// causesMost are drawn; the rest stand in the table.
-const causesMost = 6
+// maxCausesDrawn bounds the causes in a plot; the table lists all.
+const maxCausesDrawn = 6
 
+// causeSeries returns the failures over time of the most frequent causes.
 func (c *Collector) causeSeries() []series {
 	var list []series
 	for _, word := range c.Causes() {
-		if len(list) == causesMost {
+		if len(list) == maxCausesDrawn {
 			break
 		}
-		list = append(list, series{word, c.series(func(b *bin) (float64, bool) { return float64(b.causes[word]), true })})
+		list = append(list, series{word, c.seriesOf(func(b *timeBin) (float64, bool) { return float64(b.causes[word]), true })})
 	}
 	return list
 }
 
-// latencies are the histograms as shares over milliseconds.
+// latencies returns the cumulative distributions of the latencies by class.
 func (c *Collector) latencies() []series {
 	var list []series
 	for i, class := range c.plan.Scenario.Traffic.Classes {
@@ -175,12 +178,13 @@
 	return list
 }
 
-var colours = []color.Color{
+// palette has the colours of the lines.
+var palette = []color.Color{
 	color.RGBA{31, 119, 180, 255}, color.RGBA{214, 39, 40, 255}, color.RGBA{44, 160, 44, 255}, color.RGBA{148, 103, 189, 255},
 	color.RGBA{255, 127, 14, 255}, color.RGBA{23, 190, 207, 255},
 }
 
-// draw makes one plot. Times that a trouble takes are shaded, and numbered.
+// draw returns a plot as SVG. With timed set, the marks are shaded and numbered.
 func (c *Collector) draw(title, y string, lines []series, marks []scenario.Mark, timed bool) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text, p.X.Label.Text = title, y, "seconds"
@@ -195,27 +199,8 @@
 		top = 1
 	}
 	if timed {
-		labels := plotter.XYLabels{}
-		for i, m := range marks {
-			from, to := m.From.Seconds(), m.To.Seconds()
-			if to <= from {
-				to = from + c.plan.Scenario.Length.Seconds()/1000
-			}
-			box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
-			if err != nil {
-				return "", err
-			}
-			box.Color, box.LineStyle.Width = color.RGBA{235, 225, 205, 255}, 0
-			p.Add(box)
-			labels.XYs = append(labels.XYs, plotter.XY{X: from, Y: top})
-			labels.Labels = append(labels.Labels, fmt.Sprint(i+1))
-		}
-		if len(labels.Labels) > 0 {
-			l, err := plotter.NewLabels(labels)
-			if err != nil {
-				return "", err
-			}
-			p.Add(l)
+		if err := c.shadeMarks(p, marks, top); err != nil {
+			return "", err
 		}
 	}
 	for i, s := range lines {
@@ -226,7 +211,7 @@
 		if err != nil {
 			return "", err
 		}
-		l.Color, l.Width = colours[i%len(colours)], vg.Points(1.2)
+		l.Color, l.Width = palette[i%len(palette)], vg.Points(1.2)
 		p.Add(l)
 		p.Legend.Add(s.name, l)
 	}
@@ -240,19 +225,48 @@
 	}
 	svg := text.String()
 	if i := strings.Index(svg, "<svg"); i >= 0 {
-		svg = svg[i:] // the page has a head of its own
+		svg = svg[i:] // without the XML header
+	}
+	return template.HTML(svg), nil // generated above, with escaped text
+}
+
+// shadeMarks shades the times of marks in a plot, and numbers them at its top.
+func (c *Collector) shadeMarks(p *plot.Plot, marks []scenario.Mark, top float64) error {
+	labels := plotter.XYLabels{}
+	for i, m := range marks {
+		from, to := m.From.Seconds(), m.To.Seconds()
+		if to <= from {
+			to = from + c.plan.Scenario.Length.Seconds()/1000
+		}
+		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
+		if err != nil {
+			return err
+		}
+		box.Color, box.LineStyle.Width = color.RGBA{235, 225, 205, 255}, 0
+		p.Add(box)
+		labels.XYs = append(labels.XYs, plotter.XY{X: from, Y: top})
+		labels.Labels = append(labels.Labels, fmt.Sprint(i+1))
+	}
+	if len(labels.Labels) == 0 {
+		return nil
+	}
+	l, err := plotter.NewLabels(labels)
+	if err != nil {
+		return err
 	}
-	return template.HTML(svg), nil // made here, from numbers and escaped words
+	p.Add(l)
+	return nil
 }
 
-var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+// pageTemplate is the HTML page.
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font:15px sans-serif;margin:2em auto;max-width:60em}td,th{padding:.15em .8em;text-align:left;vertical-align:top}
 th{font-weight:600}.bad{color:#b00}svg{display:block;margin:1em 0;max-width:100%;height:auto}</style></head><body>
 <h1>{{.Title}}</h1>
 {{range .Notes}}<p class="bad">{{.}}</p>{{end}}
 <table>{{range .Lines}}<tr><th>{{.Name}}</th><td>{{.Value}}</td></tr>{{end}}</table>
-{{if .Breaks}}<h2 class="bad">Broken rules</h2><table>{{range .Breaks}}<tr><td>{{.At}}</td><td>sender {{.Sender}}</td><td>{{.Rule}}: {{.Text}}</td><td>message {{.Message}} calls {{.Calls}} times {{.Times}}</td></tr>{{end}}</table>{{end}}
+{{if .Violations}}<h2 class="bad">Broken rules</h2><table>{{range .Violations}}<tr><td>{{.At}}</td><td>sender {{.Sender}}</td><td>{{.Rule}}: {{.Text}}</td><td>message {{.Message}} calls {{.Calls}} times {{.Times}}</td></tr>{{end}}</table>{{end}}
 {{if .Marks}}<h2>What happened</h2><table>{{range .Marks}}<tr><th>{{.Number}}</th><td>{{.Span}}</td><td>{{.Text}}</td></tr>{{end}}</table>{{end}}
 {{range .Plots}}{{.SVG}}{{end}}
 <h2>How long messages took, in ms from when they were wanted</h2>
@@ -263,13 +277,13 @@
 </body></html>
 `))
 
-// Notes are the warnings.
+// Notes returns the warnings.
 func (p *Page) Notes() []string { return p.notes }
 
-// HTML writes the page as one file.
-func (p *Page) HTML(out io.Writer) error { return page.Execute(out, p) }
+// HTML writes the page as one HTML file.
+func (p *Page) HTML(out io.Writer) error { return pageTemplate.Execute(out, p) }
 
-// Text writes it without its drawings.
+// Text writes the page as plain text, without its plots.
 func (p *Page) Text(out io.Writer) error {
 	fmt.Fprintln(out, p.Title)
 	for _, n := range p.notes {
@@ -279,7 +293,7 @@
 	for _, l := range p.Lines {
 		fmt.Fprintf(t, "%s\t%s\n", l.Name, l.Value)
 	}
-	for _, b := range p.Breaks {
+	for _, b := range p.Violations {
 		fmt.Fprintf(t, "BROKEN\t%v by sender %d: %s: %s (message %s, calls %v, times %v)\n", b.At, b.Sender, b.Rule, b.Text, b.Message, b.Calls, b.Times)
 	}
 	for _, m := range p.Marks {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -51,7 +51,7 @@
 		if e.Kind == audit.Requested {
 			asked++
 		}
-		most = max(most, c.Held())
+		most = max(most, c.Remembered())
 		return c.Read(e)
 	})
 	if err != nil {
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, err := c.Page(Facts{Breaks: []audit.Violation{{Rule: audit.RuleOutcome, Message: "<m1>"}}, Notes: []string{"late"}})
+	page, err := c.Page(Facts{Violations: []audit.Violation{{Rule: audit.RuleOutcome, Message: "<m1>"}}, Notes: []string{"late"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -15,22 +15,22 @@
 	"cleathold/internal/scenario"
 )
 
-// A Report is what a case showed.
+// Report is the result of a case.
 type Report struct {
 	Result   harness.Result
-	Findings []string // what is wrong, in words; none: the case is sound
+	Findings []string // what was wrong; none: the case passed
 }
 
-// confessions are parts of log lines that no sound process writes.
-var confessions = []string{"a call left that should not have", "panic:", "fatal error:", "DATA RACE", "send that must not be"}
+// forbiddenLogLines are parts of log lines that mean a fault of the program.
+var forbiddenLogLines = []string{"a call left that should not have", "panic:", "fatal error:", "DATA RACE", "send that must not be"}
 
-// logLineMost bounds a line of a log that is read.
-const logLineMost = 1 << 20
+// maxLogLine bounds the length of a line of a log.
+const maxLogLine = 1 << 20
 
-// eventsName is the file of a folder with what was seen, one event a line.
+// eventsName is the file with the events of a case, one a line.
 const eventsName = "events.jsonl"
 
-// Play plays a case with a program's processes. What they write, and what was seen, stays in the folder.
+// Play plays a case with processes of a program. Logs, state and events stay in the folder.
 func Play(ctx context.Context, c *Case, program, folder string, log *slog.Logger) (*Report, error) {
 	s, err := scenario.Parse(fmt.Sprintf("soak-%d.star", c.Seed), []byte(c.Script), nil)
 	if err != nil {
@@ -51,13 +51,13 @@
 	}
 	r := &Report{Result: result}
 	for _, b := range result.Violations {
-		r.find("%v sender %d: %s: %s (message %s, calls %v, times %v)", b.At, b.Sender, b.Rule, b.Text, b.Message, b.Calls, b.Times)
+		r.addFinding("%v sender %d: %s: %s (message %s, calls %v, times %v)", b.At, b.Sender, b.Rule, b.Text, b.Message, b.Calls, b.Times)
 	}
 	if result.Crashes > 0 {
-		r.find("%d processes ended without being told to", result.Crashes)
+		r.addFinding("%d processes ended without being told to", result.Crashes)
 	}
 	if n := result.Clients.Unanswered; n > 0 {
-		r.find("%d requests on new connections ended with no answer", n)
+		r.addFinding("%d requests on new connections ended with no answer", n)
 	}
 	for i := range c.Senders {
 		if err := r.readLog(i, filepath.Join(folder, fmt.Sprint("n", i), "log")); err != nil {
@@ -67,11 +67,12 @@
 	return r, nil
 }
 
-func (r *Report) find(format string, args ...any) {
+// addFinding notes something that was wrong.
+func (r *Report) addFinding(format string, args ...any) {
 	r.Findings = append(r.Findings, fmt.Sprintf(format, args...))
 }
 
-// readLog looks for confessions in a sender's log.
+// readLog searches the log of a sender for forbidden lines.
 func (r *Report) readLog(sender int, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -79,11 +80,11 @@
 	}
 	defer file.Close()
 	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, logLineMost)
+	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
-		for _, part := range confessions {
+		for _, part := range forbiddenLogLines {
 			if strings.Contains(lines.Text(), part) {
-				r.find("n%d: %s", sender, lines.Text())
+				r.addFinding("n%d: %s", sender, lines.Text())
 			}
 		}
 	}
