--- a/internal/protocol/ends_test.go
+++ b/internal/protocol/ends_test.go
@@ -346,10 +346,9 @@
 	return d.TCPConn.SetReadDeadline(t)
 }
 
-// A connection that is to make room between its accept and the wait for its first byte ends at once: whoever waits for
-// its place, and all behind it, would wait for its time otherwise.
-func TestEvictedAsItIsAccepted(t *testing.T) {
-	l := listener(t, newPosts())
+// idleClient is a connection that the listener has accepted and that waits for its first request.
+func idleClient(t *testing.T, l *Listener) (*client, *deadlines) {
+	t.Helper()
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -359,23 +358,78 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer theirs.Close()
+	t.Cleanup(func() { theirs.Close() })
 	ours, err := sock.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
+	t.Cleanup(func() { ours.Close() })
 	conn := &deadlines{TCPConn: ours.(*net.TCPConn)}
 	k := &client{link: newLink(conn), idle: true, since: time.Now()}
+	l.mu.Lock()
 	l.open[k] = struct{}{}
+	l.mu.Unlock()
+	return k, conn
+}
+
+// While an idle connection that was chosen for eviction is on its way out, the others keep theirs.
+func TestEvictionEndsOneConnection(t *testing.T) {
+	l := listener(t, newPosts())
+	k, _ := idleClient(t, l)
+	l.evict()
+	conn, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	in := bufio.NewReader(conn)
+	for i := range 2 {
+		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+		r, err := http.ReadResponse(in, nil)
+		if err != nil || r.StatusCode != 200 || r.Close {
+			t.Fatalf("request %d: %+v, %v", i, r, err)
+		}
+		io.Copy(io.Discard, r.Body)
+		time.Sleep(2 * closeGrace)
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !k.evicted {
+		t.Error("the idle connection was not chosen")
+	}
+	delete(l.open, k)
+}
+
+// An evicted connection whose request was read in that instant hears with its answer that it is the last.
+func TestEvictedWithARequest(t *testing.T) {
+	l := listener(t, newPosts())
+	k, _ := idleClient(t, l)
+	l.evict()
+	ends := l.ending(k)
+	l.mu.Lock()
+	delete(l.open, k)
+	l.mu.Unlock()
+	if !ends {
+		t.Error("another request may follow")
+	}
+}
+
+// A connection that is to make room between its accept and the wait for its first byte ends at once: whoever waits for
+// its place, and all behind it, would wait for its time otherwise.
+func TestEvictedAsItIsAccepted(t *testing.T) {
+	l := listener(t, newPosts())
+	k, conn := idleClient(t, l)
 	l.evict()
 	if l.begins(k) {
 		t.Error("it waits for a request")
 	}
+	l.mu.Lock()
 	delete(l.open, k)
+	l.mu.Unlock()
 	for _, at := range conn.set {
 		if at.After(time.Now().Add(-time.Minute)) {
 			t.Errorf("a deadline %v from now was set", time.Until(at))
 		}
 	}
-	conn.Close()
 }
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -180,7 +180,6 @@
 func (l *Listener) evict() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.crowded.Store(true)
 	for {
 		var first *client
 		for k := range l.open {
@@ -189,6 +188,7 @@
 			}
 		}
 		if first == nil {
+			l.crowded.Store(true)
 			return
 		}
 		first.gone = true
@@ -209,14 +209,14 @@
 	return k.since.Before(o.since)
 }
 
-// ending tells that connections are to end after the answer under way.
-func (l *Listener) ending() bool {
+// ending tells that a connection is to end after the answer under way.
+func (l *Listener) ending(k *client) bool {
 	if l.closing.Load() || l.leaving.Load() || l.crowded.Load() || l.away.Load() != nil {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.served > l.keep
+	return k.evicted || l.served > l.keep
 }
 
 // DisableKeepAlive ends each connection with its next answer. Clients that are told so
@@ -386,7 +386,7 @@
 	errors.As(err, &f)
 	// A body that nobody wanted must not be taken for the next request.
 	rest := m == nil && (f == nil || !f.shut) && !drained(r)
-	last := r.Close || rest || k.last || l.ending()
+	last := r.Close || rest || k.last || l.ending(k)
 	switch {
 	case f != nil:
 		f.shut = f.shut || rest
@@ -430,7 +430,7 @@
 		return l.reply(k, http.StatusServiceUnavailable, busyPause, "busy", last)
 	}
 	v, decided := await(verdict, handed.Decision, limit)
-	last = last || l.ending() // the end may have been asked for meanwhile: the answer says so
+	last = last || l.ending(k) // the end may have been asked for meanwhile: the answer says so
 	switch {
 	case !decided:
 		return l.reply(k, http.StatusServiceUnavailable, busyPause, "busy", last)
