--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -32,8 +32,8 @@
 	Names                          protocol.Names
 	Known                          state.ListUpdate
 	Ours                           *settings.Settings // nil: no script was named
-	text                           string             // as it was read
-	given                          []state.NamedClass // the classes of the settings in force, as they stood there
+	raw                           string             // as it was read
+	classes                          []state.NamedClass // the classes of the settings in force, as they stood there
 }
 
 // Limits are what the machine gives.
@@ -67,9 +67,9 @@
 	return c, err
 }
 
-// named lists the classes of settings that have just been read.
-func (c Config) named() []state.NamedClass {
-	words := wordsOf(c.Names.Classes)
+// namedClasses lists the classes of settings that have just been read.
+func (c Config) namedClasses() []state.NamedClass {
+	words := namesByNumber(c.Names.Classes)
 	list := make([]state.NamedClass, len(c.Settings.Classes))
 	for i, k := range c.Settings.Classes {
 		list[i] = state.NamedClass{Name: words[i], Class: k}
@@ -77,8 +77,8 @@
 	return list
 }
 
-// wordsOf lists the names that were numbered.
-func wordsOf(numbers map[string]int) []string {
+// namesByNumber lists the names that were numbered.
+func namesByNumber(numbers map[string]int) []string {
 	list := make([]string, len(numbers))
 	for name, i := range numbers {
 		if i < len(list) {
@@ -94,8 +94,8 @@
 		return Config{}, errors.New("configuration: not JSON")
 	}
 	doc := gjson.ParseBytes(text)
-	c := Config{text: string(text), Release: env("CLEATHOLD_RELEASE")}
-	if err := c.parsePlaces(doc, env); err != nil {
+	c := Config{raw: string(text), Release: env("CLEATHOLD_RELEASE")}
+	if err := c.parseAddresses(doc, env); err != nil {
 		return c, err
 	}
 	var err error
@@ -119,8 +119,8 @@
 	return c, nil
 }
 
-// parsePlaces reads where the sender listens, asks and keeps its state.
-func (c *Config) parsePlaces(doc gjson.Result, env func(string) string) error {
+// parseAddresses reads where the sender listens, asks and keeps its state.
+func (c *Config) parseAddresses(doc gjson.Result, env func(string) string) error {
 	for _, f := range []struct {
 		to       *string
 		name, in string
@@ -151,7 +151,7 @@
 	if !set.IsObject() {
 		return errors.New("configuration: no settings")
 	}
-	if err := figures(set); err != nil {
+	if err := checkPositive(set); err != nil {
 		return err
 	}
 	if c.Settings, err = wire.ParseSettings([]byte(set.Raw), seed); err == nil {
@@ -161,19 +161,19 @@
 		return fmt.Errorf("configuration: settings: %w", err)
 	}
 	c.Names = protocol.Names{
-		Classes: names(set.Get("profiles.#.name")), Tenants: names(set.Get("tenants.#.name")),
-		Zones: names(set.Get("zones")), Kinds: names(set.Get("kinds")),
+		Classes: numberNames(set.Get("profiles.#.name")), Tenants: numberNames(set.Get("tenants.#.name")),
+		Zones: numberNames(set.Get("zones")), Kinds: numberNames(set.Get("kinds")),
 	}
 	for _, list := range []string{"profiles", "tenants"} {
-		if err := named(list, set.Get(list)); err != nil {
+		if err := checkNames(list, set.Get(list)); err != nil {
 			return err
 		}
 	}
-	return fits(c.Limits, c.Settings)
+	return checkSockets(c.Limits, c.Settings)
 }
 
-// named wants a name of its own for each of a list.
-func named(list string, of gjson.Result) error {
+// checkNames wants a name of its own for each of a list.
+func checkNames(list string, of gjson.Result) error {
 	seen := map[string]bool{}
 	for i, e := range of.Array() {
 		switch name := e.Get("name").String(); {
@@ -188,20 +188,20 @@
 	return nil
 }
 
-// fits wants room among the descriptors for the calls that the settings allow, besides what the sender needs itself.
-func fits(l Limits, s control.Settings) error {
-	if least := s.MaxInFlight + leastSockets; l.Sockets < least {
+// checkSockets wants room among the descriptors for the calls that the settings allow, besides what the sender needs itself.
+func checkSockets(l Limits, s control.Settings) error {
+	if least := s.MaxInFlight + minSockets; l.Sockets < least {
 		return fmt.Errorf("configuration: limits.sockets: %d: %d wanted at least, for specifics.max-calls %d", l.Sockets, least, s.MaxInFlight)
 	}
 	return nil
 }
 
-// leastSockets are the descriptors without which a sender does not work: those of discovery, the platform, the
+// minSockets are the descriptors without which a sender does not work: those of discovery, the platform, the
 // listener, notes, the journal's files and a few clients.
-const leastSockets = 32
+const minSockets = 32
 
-// figures wants those that must be numbers above 0, where they are given, to be so.
-func figures(set gjson.Result) error {
+// checkPositive wants those that must be numbers above 0, where they are given, to be so.
+func checkPositive(set gjson.Result) error {
 	var err error
 	positive := func(name string, v gjson.Result, must bool) {
 		if err == nil && (v.Exists() || must) && (v.Type != gjson.Number || v.Float() <= 0) {
@@ -218,47 +218,47 @@
 	return err
 }
 
-// readAgain tells why a configuration can't take the place of the one before it.
-func readAgain(old, new Config) error {
-	if err := lacks(gjson.Parse(old.text), gjson.Parse(new.text), ""); err != nil {
+// checkReload tells why a configuration can't take the place of the one before it.
+func checkReload(old, new Config) error {
+	if err := checkKeysKept(gjson.Parse(old.raw), gjson.Parse(new.raw), ""); err != nil {
 		return err
 	}
 	// At a start none means no limit. Under way it is a slip of who wrote the file, not a wish.
-	if cap := gjson.Get(new.text, "settings.limits.send-cap"); old.Settings.MaxAttempts > 0 && cap.Float() <= 0 {
+	if cap := gjson.Get(new.raw, "settings.limits.send-cap"); old.Settings.MaxAttempts > 0 && cap.Float() <= 0 {
 		return fmt.Errorf("configuration: settings: limits.send-cap: %q: a number above 0 wanted", cap.Raw)
 	}
 	return nil
 }
 
-// elective are keys that a configuration which is read again need not have: they are for the start alone.
-var elective = map[string]bool{"seed": true, "known": true, "admin": true, "name": true}
+// startOnlyKeys are keys that a configuration which is read again need not have: they are for the start alone.
+var startOnlyKeys = map[string]bool{"seed": true, "known": true, "admin": true, "name": true}
 
-// lacks finds a key that a configuration had and the one read after it has not, or has of another type. Who
+// checkKeysKept finds a key that a configuration had and the one read after it has not, or has of another type. Who
 // replaces the file writes all of it: a key that is gone is a mistake, not a wish for what holds without it.
-func lacks(old, new gjson.Result, path string) error {
+func checkKeysKept(old, new gjson.Result, path string) error {
 	var err error
 	old.ForEach(func(key, was gjson.Result) bool {
 		name := key.String()
 		at := strings.TrimPrefix(path+"."+name, ".")
 		is := new.Get(gjson.Escape(name))
 		switch {
-		case path == "" && elective[name]:
+		case path == "" && startOnlyKeys[name]:
 		case !is.Exists():
 			err = fmt.Errorf("configuration: %s: missing", at)
 		case kindOf(was) != kindOf(is):
 			err = fmt.Errorf("configuration: %s: %.40s: not of the kind that it was", at, is.Raw)
 		case was.IsObject():
-			err = lacks(was, is, at)
+			err = checkKeysKept(was, is, at)
 		case was.IsArray():
-			err = lacksEach(was.Array(), is.Array(), at)
+			err = checkListKeysKept(was.Array(), is.Array(), at)
 		}
 		return err == nil
 	})
 	return err
 }
 
-// lacksEach wants of each object of a list the keys that all objects of the list before had.
-func lacksEach(old, new []gjson.Result, path string) error {
+// checkListKeysKept wants of each object of a list the keys that all objects of the list before had.
+func checkListKeysKept(old, new []gjson.Result, path string) error {
 	common := map[string]bool{}
 	for i, o := range old {
 		if !o.IsObject() {
@@ -321,8 +321,8 @@
 	return l, nil
 }
 
-// names numbers a list of names.
-func names(list gjson.Result) map[string]int {
+// numberNames numbers a list of names.
+func numberNames(list gjson.Result) map[string]int {
 	m := map[string]int{}
 	for i, n := range list.Array() {
 		m[n.String()] = i
--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -54,7 +54,7 @@
 }
 
 // A configuration that is read again is taken whole or not at all.
-func TestReadAgain(t *testing.T) {
+func TestReload(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 	} {
 		c2, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)), none)
 		if err == nil {
-			err = readAgain(old, c2)
+			err = checkReload(old, c2)
 		}
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -10,14 +10,14 @@
 	"cleathold/internal/lease"
 )
 
-type noted []string
+type gateRecorder []string
 
-func (n *noted) Drain()    { *n = append(*n, "drain") }
-func (n *noted) Activate() { *n = append(*n, "activate") }
+func (n *gateRecorder) Drain()    { *n = append(*n, "drain") }
+func (n *gateRecorder) Activate() { *n = append(*n, "activate") }
 
 // Orders and leases in each phase: those from before the end of the start hold after it, repeats are harmless, and whoever
 // stops or leaves takes none. Times are seconds; "take 5" is an order of epoch 5 to be taken up by 2 whose lease ends at 10.
-func TestMachineOrders(t *testing.T) {
+func TestStateMachine(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, c := range []struct{ does, door, is, refused string }{
 		{"begin take:5", "drain", "drained", ""},
@@ -38,7 +38,7 @@
 		{"inherit:5 begin take:5 end:5", "drain activate", "serving", ""},
 		{"inherit:5 begin take:4", "drain", "drained", "take:4"},
 	} {
-		s, d := newMachine(slog.New(slog.DiscardHandler)), &noted{}
+		s, d := newStateMachine(slog.New(slog.DiscardHandler)), &gateRecorder{}
 		now := start
 		s.now = func() time.Time { return now }
 		at := func(n int) time.Time { return start.Add(time.Duration(n) * time.Second) }
@@ -50,15 +50,15 @@
 			o := lease.Order{Process: s.id, Epoch: uint64(n), By: at(2), Until: at(10), Drain: verb == "take"}
 			switch verb {
 			case "begin":
-				s.begin(d)
+				s.startServing(d)
 			case "drain":
 				err = s.Drain()
 			case "activate":
 				err = s.Activate()
 			case "stop":
-				s.enter(stopping)
+				s.advance(stopping)
 			case "leave":
-				s.enter(leaving)
+				s.advance(handingOver)
 			case "take", "hold":
 				err = s.Take(o)
 			case "renew":
@@ -68,7 +68,7 @@
 			case "at":
 				now = at(n)
 			case "expire":
-				s.expire()
+				s.expireLease()
 			case "inherit":
 				s.inherit(false, lease.Holder{Epoch: uint64(n), Until: at(10), Drain: true})
 			}
@@ -76,10 +76,10 @@
 				refused = append(refused, do)
 			}
 		}
-		if got := strings.Join(*d, " "); got != c.door || s.is.String() != c.is || strings.Join(refused, " ") != c.refused {
-			t.Errorf("%s: door %q, is %v, refused %v", c.does, got, s.is, refused)
+		if got := strings.Join(*d, " "); got != c.door || s.phase.String() != c.is || strings.Join(refused, " ") != c.refused {
+			t.Errorf("%s: door %q, is %v, refused %v", c.does, got, s.phase, refused)
 		}
-		if ready := s.Ready() == nil; ready != (s.is == serving || s.is == drained) {
+		if ready := s.Ready() == nil; ready != (s.phase == serving || s.phase == drained) {
 			t.Errorf("%s: ready %v", c.does, ready)
 		}
 	}
--- a/internal/lifecycle/persist.go
+++ b/internal/lifecycle/persist.go
@@ -11,20 +11,20 @@
 // ended then would have crashed; it tries again for a while, within the time in which it has to be ready.
 
 const (
-	persistSpan  = 8 * time.Second // for what it can't do without; a sender is to be ready within 10 s
-	rereadSpan   = time.Second     // of a configuration after SIGHUP, while signals wait
-	peersSpan    = 500 * time.Millisecond
-	persistPause = 50 * time.Millisecond
+	startTimeout  = 8 * time.Second // for what it can't do without; a sender is to be ready within 10 s
+	reloadTimeout   = time.Second     // of a configuration after SIGHUP, while signals wait
+	gossipTimeout    = 500 * time.Millisecond
+	retryInterval = 50 * time.Millisecond
 )
 
-// passing are errors of the system that may be over in a moment.
-var passing = []syscall.Errno{
+// transientErrors are errors of the system that may be over in a moment.
+var transientErrors = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.EIO, syscall.ENOSPC, syscall.EDQUOT, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 }
 
-// passes tells whether an error may be over in a moment.
-func passes(err error) bool {
-	for _, e := range passing {
+// isTransient tells whether an error may be over in a moment.
+func isTransient(err error) bool {
+	for _, e := range transientErrors {
 		if errors.Is(err, e) {
 			return true
 		}
@@ -32,15 +32,15 @@
 	return false
 }
 
-// persist opens something, again and again for a time while the system refuses it for what may pass.
-func persist[T any](log *slog.Logger, what string, span time.Duration, open func() (T, error)) (T, error) {
+// retry opens something, again and again for a time while the system refuses it for what may pass.
+func retry[T any](log *slog.Logger, what string, span time.Duration, open func() (T, error)) (T, error) {
 	until := time.Now().Add(span)
 	for {
 		v, err := open()
-		if err == nil || !passes(err) || time.Now().After(until) {
+		if err == nil || !isTransient(err) || time.Now().After(until) {
 			return v, err
 		}
 		log.Warn("start: tried again", "what", what, "err", err)
-		time.Sleep(persistPause)
+		time.Sleep(retryInterval)
 	}
 }
--- a/internal/lifecycle/persist_test.go
+++ b/internal/lifecycle/persist_test.go
@@ -12,7 +12,7 @@
 )
 
 // What the system refuses for a moment is tried again until it is there, or the time is up; any other error ends at once.
-func TestPersist(t *testing.T) {
+func TestRetry(t *testing.T) {
 	odd := errors.New("odd")
 	for _, c := range []struct {
 		name  string
@@ -28,7 +28,7 @@
 		{"what does not pass in time", syscall.EIO, 1000, 0, syscall.EIO},
 	} {
 		tries := 0
-		got, err := persist(slog.New(slog.DiscardHandler), c.name, 4*persistPause, func() (int, error) {
+		got, err := retry(slog.New(slog.DiscardHandler), c.name, 4*retryInterval, func() (int, error) {
 			if tries++; tries <= c.fails {
 				return 0, c.err
 			}
@@ -38,14 +38,14 @@
 			t.Errorf("%s: %d, %v after %d tries", c.name, got, err, tries)
 		}
 	}
-	if persistSpan+2*time.Second > 10*time.Second {
+	if startTimeout+2*time.Second > 10*time.Second {
 		t.Error("a sender is to be ready within 10 s")
 	}
 }
 
 // A stop counts from its signal, also where the process is busy then, as with a configuration that it reads again; of several
 // signals the first counts.
-func TestStopCountsFromItsSignal(t *testing.T) {
+func TestStopTimeIsSignalTime(t *testing.T) {
 	signals := make(chan os.Signal, 4)
 	told := stopTimes(t.Context(), signals)
 	began := time.Now()
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -28,20 +28,20 @@
 // The stop, counted from SIGTERM. The front notices only after a while that no
 // more is wanted; SIGKILL follows at 3.7 s at the soonest.
 const (
-	acceptSpan = 500 * time.Millisecond // new messages are still taken
-	launchSpan = 2 * time.Second        // new forwards are still made
-	finishSpan = 3300 * time.Millisecond
-	leaveSpan  = 3400 * time.Millisecond
-	idleCheck  = 20 * time.Millisecond
+	acceptWindow = 500 * time.Millisecond // new messages are still taken
+	sendWindow = 2 * time.Second        // new forwards are still made
+	finishTimeout = 3300 * time.Millisecond
+	exitTimeout  = 3400 * time.Millisecond
+	idlePollInterval  = 20 * time.Millisecond
 )
 
-// readOutSpan is how long a process that has given way waits for the connections that it still reads out.
-const readOutSpan = 500 * time.Millisecond
+// lingerTimeout is how long a process that has given way waits for the connections that it still reads out.
+const lingerTimeout = 500 * time.Millisecond
 
 const (
-	memoryShare  = 0.7 // of the memory limit: files and stacks count, too
-	keepPart     = 4   // the part of the descriptors that clients' connections take between requests, less than the third they may hold
-	spareSockets = 64  // for the journal, discovery, the platform, probes and dials
+	memoryLimitFraction  = 0.7 // of the memory limit: files and stacks count, too
+	keptAliveDivisor     = 4   // the part of the descriptors that clients' connections take between requests, less than the third they may hold
+	reservedSockets = 64  // for the journal, discovery, the platform, probes and dials
 )
 
 // A Source reads the configuration, as it is now.
@@ -61,38 +61,38 @@
 
 // Run is Serve with the signals as parameters.
 func Run(load Source, log *slog.Logger, stop, reload <-chan os.Signal) error {
-	c, err := persist(log, "configuration", persistSpan, load)
+	c, err := retry(log, "configuration", startTimeout, load)
 	if err != nil {
 		return err
 	}
 	limitRuntime(c.Limits)
-	c.given = c.named()
-	p := &process{load: load, log: log, reload: reload, machine: newMachine(log), counters: &state.Counters{}, clients: &protocol.Counters{}}
+	c.classes = c.namedClasses()
+	p := &process{load: load, log: log, reload: reload, machine: newStateMachine(log), counters: &state.Counters{}, clients: &protocol.Counters{}}
 	var end context.CancelFunc
 	p.ctx, end = context.WithCancel(context.Background())
 	defer end()
 	p.stop = stopTimes(p.ctx, stop)
-	p.board = &board{machine: p.machine, name: c.Name, release: c.Release, started: time.Now(), counters: p.counters, clients: p.clients}
-	p.inForce(c)
+	p.board = &statusBoard{stateMachine: p.machine, name: c.Name, release: c.Release, started: time.Now(), counters: p.counters, clients: p.clients}
+	p.setConfig(c)
 	if c.Admin != "" {
-		front, err := persist(log, "admin", persistSpan, func() (*admin.HTTPServer, error) { return admin.ListenTCP(c.Admin, p.board, log) })
+		front, err := retry(log, "admin", startTimeout, func() (*admin.HTTPServer, error) { return admin.ListenTCP(c.Admin, p.board, log) })
 		if err != nil {
 			return err
 		}
 		defer front.Close()
 		go front.Serve()
 	}
-	before, err := predecessorOf(c)
+	before, err := requestTakeover(c)
 	if err != nil {
 		return err
 	}
 	if before != nil {
-		log.Info("taking over from the process that serves", "out", len(before.estate.InFlight))
-		p.machine.inherit(before.estate.Drained, before.estate.Lease)
+		log.Info("taking over from the process that serves", "out", len(before.state.InFlight))
+		p.machine.inherit(before.state.Drained, before.state.Lease)
 	}
 	for {
 		// More than once only where a process that was to take over did not come to serve.
-		if before, err = p.term(&c, before); before == nil || err != nil {
+		if before, err = p.serve(&c, before); before == nil || err != nil {
 			return err
 		}
 	}
@@ -104,8 +104,8 @@
 	log      *slog.Logger
 	reload   <-chan os.Signal
 	stop     <-chan time.Time // when it was told to stop
-	machine  *machine
-	board    *board
+	machine  *stateMachine
+	board    *statusBoard
 	counters *state.Counters
 	clients  *protocol.Counters
 	ctx      context.Context // ends with the process
@@ -131,37 +131,37 @@
 	return told
 }
 
-// inForce has the status name the configuration that holds.
-func (p *process) inForce(c Config) {
-	digest := admin.Digest(c.text)
+// setConfig has the status name the configuration that holds.
+func (p *process) setConfig(c Config) {
+	digest := admin.Digest(c.raw)
 	p.board.config.Store(&digest)
 }
 
-// lockSpan is how long a journal that is taken back may still be locked by the process that failed to take over.
-const lockSpan = 3 * time.Second
+// journalLockTimeout is how long a journal that is taken back may still be locked by the process that failed to take over.
+const journalLockTimeout = 3 * time.Second
 
-// term serves until a stop, or until another process has taken over. Where that one fails, what it was given is
+// serve serves until a stop, or until another process has taken over. Where that one fails, what it was given is
 // returned, for the next term of this process.
-func (p *process) term(c *Config, before *predecessor) (*predecessor, error) {
+func (p *process) serve(c *Config, before *predecessor) (*predecessor, error) {
 	log := p.log
-	setup := state.Setup{Settings: c.Settings, Classes: wordsOf(c.Names.Classes), Known: c.Known, Dir: c.State, DiskBytes: c.Limits.DiskBytes, Log: log, Counters: p.counters}
+	setup := state.Setup{Settings: c.Settings, Classes: namesByNumber(c.Names.Classes), Known: c.Known, Dir: c.State, DiskBytes: c.Limits.DiskBytes, Log: log, Counters: p.counters}
 	if c.Ours != nil {
 		setup.Durability, setup.GroupWait = durabilities[c.Ours.Journal.Durability], c.Ours.Journal.Wait
 	}
 	if before != nil {
-		setup.Handover = &before.estate
+		setup.Handover = &before.state
 	}
-	keeper := newKeeper(*c, log)
+	keeper := newDeadLetterQueue(*c, log)
 	if keeper != nil {
 		setup.DeadLetters = keeper
 	}
-	peers := openPeers(*c, log)
+	peers := openGossip(*c, log)
 	setup.Settings.CanGossip = peers != nil
 	loop, err := newLoop(setup, before != nil)
 	if err != nil {
 		return nil, err
 	}
-	clients, idle := shareSockets(*c)
+	clients, idle := socketBudget(*c)
 	sender := protocol.NewTransport(loop, c.Settings.ConnIdleTimeout, idle, log)
 	discovery := protocol.NewDiscovery(loop, protocol.DiscoveryConfig{
 		Addr: c.Discovery, Names: c.Names, MaxPollInterval: c.Settings.MaxPollInterval, PollSpread: c.Settings.PollSpread(), DrainGrace: c.Settings.DrainGrace, Log: log,
@@ -173,14 +173,14 @@
 	}
 	var listener *protocol.Listener
 	if before != nil {
-		listener = protocol.ListenOn(before.sock, loop, c.Names, c.Settings.Classes, clients, c.Limits.Sockets/keepPart, log)
-	} else if listener, err = persist(log, "listen", persistSpan, func() (*protocol.Listener, error) {
-		return protocol.Listen(c.Listen, loop, c.Names, c.Settings.Classes, clients, c.Limits.Sockets/keepPart, log)
+		listener = protocol.ListenOn(before.socket, loop, c.Names, c.Settings.Classes, clients, c.Limits.Sockets/keptAliveDivisor, log)
+	} else if listener, err = retry(log, "listen", startTimeout, func() (*protocol.Listener, error) {
+		return protocol.Listen(c.Listen, loop, c.Names, c.Settings.Classes, clients, c.Limits.Sockets/keptAliveDivisor, log)
 	}); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	listener.SetCounters(p.clients)
-	plane, err := openPlane(*c, keeper, p.board, log)
+	plane, err := listenAdmin(*c, keeper, p.board, log)
 	if err != nil {
 		listener.Close(time.Now())
 		return nil, err
@@ -208,8 +208,8 @@
 		select {
 		case <-kept:
 			return nil
-		case <-time.After(keptSpan):
-			return errKept
+		case <-time.After(deadLetterCloseTimeout):
+			return errDeadLettersOpen
 		}
 	}
 	if plane != nil {
@@ -233,30 +233,30 @@
 		facing.Wait()
 	}
 	if before != nil {
-		if err := before.ready(); err != nil {
+		if err := before.confirmReady(); err != nil {
 			cancel()
 			listener.Close(time.Now())
 			leave()
 			wg.Wait()
 			return nil, err
 		}
-		wg.Go(func() { before.run(ctx, loop) })
+		wg.Go(func() { before.postResults(ctx, loop) })
 	}
-	desk := openDesk(*c, log)
+	desk := listenForSuccessor(*c, log)
 	defer desk.Close(false)
 	p.board.loop.Store(loop)
-	p.machine.connect(func(ids []string) {
-		loop.PostBefore(state.ExclusionsChanged{IDs: ids}, time.Now().Add(tuneSpan))
+	p.machine.connectExclusions(func(ids []string) {
+		loop.PostBefore(state.ExclusionsChanged{IDs: ids}, time.Now().Add(settingsTimeout))
 	})
-	p.machine.begin(listener)
+	p.machine.startServing(listener)
 	var told time.Time // to stop
 	log.Info("serving", "name", c.Name, "listen", listener.Addr().String(), "siblings", c.Settings.FleetSize,
 		"list", c.Known.Version, "targets", len(c.Known.Targets), "discovery", c.Discovery)
 	for {
 		select {
 		case <-p.reload:
-			*c = renew(*c, p.load, changes{discovery, notices, loop, listener, tenants}, log)
-			p.inForce(*c)
+			*c = reloadConfig(*c, p.load, reloadTargets{discovery, notices, loop, listener, tenants}, log)
+			p.setConfig(*c)
 			if keeper != nil && c.Ours != nil {
 				keeper.UpdateSettings(c.Ours)
 			}
@@ -271,29 +271,29 @@
 				ask.Reject(err.Error())
 				continue
 			}
-			back := p.giveWay(ask, sock, listener, loop, leave, rest, desk)
+			back := p.handOver(ask, sock, listener, loop, leave, rest, desk)
 			sock.Close()
 			if back != nil {
-				go func() { <-back.over; cancel() }() // calls out have their ends passed on until then
+				go func() { <-back.drained; cancel() }() // calls out have their ends passed on until then
 				return back, nil
 			}
 			cancel()
 			wg.Wait()
-			listener.Wait(time.Now().Add(readOutSpan))
+			listener.Wait(time.Now().Add(lingerTimeout))
 			log.Info("stopped: another process has taken over", "name", c.Name)
 			return nil, nil
 		case told = <-p.stop:
 		}
 		break
 	}
-	p.machine.enter(stopping)
+	p.machine.advance(stopping)
 	shutDown(loop, listener, told)
 	leave()
 	cancel()
 	wg.Wait()
 	select {
 	case <-kept:
-	case <-time.After(time.Until(told.Add(leaveSpan))): // a disk that hangs must not
+	case <-time.After(time.Until(told.Add(exitTimeout))): // a disk that hangs must not
 		log.Warn("the held store did not close in time; the journal has what it lacks")
 	}
 	log.Info("stopped", "name", c.Name)
@@ -302,20 +302,20 @@
 
 // newLoop makes a loop. One that takes over may find the journal locked for a moment.
 func newLoop(s state.Setup, over bool) (*state.Loop, error) {
-	for until := time.Now().Add(lockSpan); ; time.Sleep(idleCheck) {
-		loop, err := persist(s.Log, "journal", persistSpan, func() (*state.Loop, error) { return state.NewLoop(s) })
+	for until := time.Now().Add(journalLockTimeout); ; time.Sleep(idlePollInterval) {
+		loop, err := retry(s.Log, "journal", startTimeout, func() (*state.Loop, error) { return state.NewLoop(s) })
 		if !over || !errors.Is(err, store.ErrLocked) || time.Now().After(until) {
 			return loop, err
 		}
 	}
 }
 
-// openPeers opens the way to the other senders where there is one. Without it the sender serves all the same.
-func openPeers(c Config, log *slog.Logger) *protocol.GossipTransport {
+// openGossip opens the way to the other senders where there is one. Without it the sender serves all the same.
+func openGossip(c Config, log *slog.Logger) *protocol.GossipTransport {
 	if !c.Settings.CanGossip || c.PeerListen == "" || c.PeersAll == "" {
 		return nil
 	}
-	peers, err := persist(log, "peers", peersSpan, func() (*protocol.GossipTransport, error) {
+	peers, err := retry(log, "peers", gossipTimeout, func() (*protocol.GossipTransport, error) {
 		return protocol.OpenGossip(c.PeerListen, c.PeersAll, c.Peers, c.Settings.Index, log)
 	})
 	if err != nil {
@@ -328,33 +328,33 @@
 // addressSetter can be pointed at another address.
 type addressSetter interface{ SetAddress(addr string) }
 
-// changes are those that a configuration which is read again is told to.
-type changes struct {
-	discovery, notices addressSetter
+// reloadTargets are those that a configuration which is read again is told to.
+type reloadTargets struct {
+	discovery, reports addressSetter
 	loop               interface {
 		PostBefore(event state.Event, limit time.Time) bool
 	}
 	listener interface {
 		SetNames(protocol.Names, []control.Class)
 	}
-	tenants func([]string) // takes the names of tenants by number; nil: nobody keeps messages by them
+	tenantsChanged func([]string) // takes the names of tenants by number; nil: nobody keeps messages by them
 }
 
-// tuneSpan is how long the loop may take to answer new settings.
-const tuneSpan = time.Second
+// settingsTimeout is how long the loop may take to answer new settings.
+const settingsTimeout = time.Second
 
-// renew reads the configuration again and returns the one in force. The address
+// reloadConfig reads the configuration again and returns the one in force. The address
 // of discovery, the settings of the controller and the runtime's limits are taken
 // over as the sender runs, all of them or none. What else has changed waits for the
 // next start: the journal and the listener are built on it.
-func renew(old Config, load Source, to changes, log *slog.Logger) Config {
-	c, err := persist(log, "configuration", rereadSpan, load)
+func reloadConfig(old Config, load Source, to reloadTargets, log *slog.Logger) Config {
+	c, err := retry(log, "configuration", reloadTimeout, load)
 	if err == nil {
-		err = readAgain(old, c)
+		err = checkReload(old, c)
 	}
 	now := old
 	if err == nil {
-		now, err = retune(old, c, to, log)
+		now, err = updateSettings(old, c, to, log)
 	}
 	if err != nil {
 		log.Error("configuration not read again, the old one holds", "err", err)
@@ -362,21 +362,21 @@
 	}
 	if c.Discovery != old.Discovery {
 		to.discovery.SetAddress(c.Discovery)
-		to.notices.SetAddress(c.Discovery)
+		to.reports.SetAddress(c.Discovery)
 	}
 	limitRuntime(c.Limits)
-	now.Discovery, now.text = c.Discovery, c.text
+	now.Discovery, now.raw = c.Discovery, c.raw
 	now.Limits.Cores, now.Limits.MemoryMB = c.Limits.Cores, c.Limits.MemoryMB
-	now.Ours = renewOurs(old.Ours, c.Ours, log)
-	if waits := c.waits(now); len(waits) > 0 {
+	now.Ours = reloadOwnSettings(old.Ours, c.Ours, log)
+	if waits := c.pendingRestart(now); len(waits) > 0 {
 		log.Warn("configuration read again: some of what has changed waits for the next start", "keys", waits)
 	}
 	log.Info("configuration read again", "discovery", now.Discovery, "classes", len(now.Names.Classes), "attempts", now.Settings.MaxAttempts)
 	return now
 }
 
-// waits names what of a configuration does not hold until the next start.
-func (c Config) waits(now Config) (list []string) {
+// pendingRestart names what of a configuration does not hold until the next start.
+func (c Config) pendingRestart(now Config) (list []string) {
 	for _, k := range []struct {
 		name string
 		same bool
@@ -394,15 +394,15 @@
 	return list
 }
 
-// retune has the loop take new settings, and the listener the words of them.
-func retune(old, c Config, to changes, log *slog.Logger) (Config, error) {
+// updateSettings has the loop take new settings, and the listener the words of them.
+func updateSettings(old, c Config, to reloadTargets, log *slog.Logger) (Config, error) {
 	same := c.Settings
 	same.Seed, same.Classes, same.CanGossip = old.Settings.Seed, old.Settings.Classes, old.Settings.CanGossip
-	classes := c.named()
-	if reflect.DeepEqual(same, old.Settings) && slices.Equal(classes, old.given) {
+	classes := c.namedClasses()
+	if reflect.DeepEqual(same, old.Settings) && slices.Equal(classes, old.classes) {
 		return old, nil
 	}
-	if to.tenants != nil {
+	if to.tenantsChanged != nil {
 		for name, n := range old.Names.Tenants {
 			if c.Names.Tenants[name] != n {
 				log.Warn("settings read again: while messages are held, tenants that are numbered anew wait for the next start", "tenant", name)
@@ -411,7 +411,7 @@
 		}
 	}
 	done := make(chan state.SettingsResult, 1)
-	if !to.loop.PostBefore(state.UpdateSettings{Settings: c.Settings, Classes: classes, Done: done}, time.Now().Add(tuneSpan)) {
+	if !to.loop.PostBefore(state.UpdateSettings{Settings: c.Settings, Classes: classes, Done: done}, time.Now().Add(settingsTimeout)) {
 		return old, errors.New("settings: the loop does not take them")
 	}
 	r := <-done
@@ -419,21 +419,21 @@
 		return old, fmt.Errorf("settings: %w", r.Err)
 	}
 	now := old
-	now.given = classes
+	now.classes = classes
 	now.Names, now.Settings = c.Names, c.Settings
 	now.Names.Classes, now.Names.Kinds = r.Numbers, old.Names.Kinds
 	now.Settings.Classes, now.Settings.Seed, now.Settings.CanGossip = r.Classes, old.Settings.Seed, old.Settings.CanGossip
 	now.Settings.FleetSize, now.Settings.Index, now.Settings.Kinds = old.Settings.FleetSize, old.Settings.Index, old.Settings.Kinds
-	if to.tenants != nil {
-		to.tenants(wordsOf(now.Names.Tenants))
+	if to.tenantsChanged != nil {
+		to.tenantsChanged(namesByNumber(now.Names.Tenants))
 	}
 	to.listener.SetNames(now.Names, now.Settings.Classes)
 	return now, nil
 }
 
-// renewOurs takes over what a script may change as the sender runs: bounds, pace
+// reloadOwnSettings takes over what a script may change as the sender runs: bounds, pace
 // and rules. Where the store and the admin plane are waits for the next start.
-func renewOurs(old, new *settings.Settings, log *slog.Logger) *settings.Settings {
+func reloadOwnSettings(old, new *settings.Settings, log *slog.Logger) *settings.Settings {
 	if old == nil || new == nil || (old.Held == nil) != (new.Held == nil) {
 		if old != nil || new != nil {
 			log.Warn("settings read again: to switch the held store on or off waits for the next start")
@@ -458,19 +458,19 @@
 // durabilities by the words of the settings.
 var durabilities = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
 
-// newKeeper makes the keeper of undeliverable messages, if the settings ask for one.
-func newKeeper(c Config, log *slog.Logger) *deadletter.Queue {
+// newDeadLetterQueue makes the keeper of undeliverable messages, if the settings ask for one.
+func newDeadLetterQueue(c Config, log *slog.Logger) *deadletter.Queue {
 	if c.Ours == nil || c.Ours.Held == nil {
 		return nil
 	}
 	return deadletter.NewQueue(deadletter.Config{
 		Settings: c.Ours, Platform: c.Settings, Log: log,
-		Names: deadletter.Names{Classes: wordsOf(c.Names.Classes), Tenants: wordsOf(c.Names.Tenants)},
+		Names: deadletter.Names{Classes: namesByNumber(c.Names.Classes), Tenants: namesByNumber(c.Names.Tenants)},
 	})
 }
 
-// openPlane opens the front of the admin plane on a Unix socket, if the settings ask for it.
-func openPlane(c Config, keeper *deadletter.Queue, post *board, log *slog.Logger) (*admin.Server, error) {
+// listenAdmin opens the front of the admin plane on a Unix socket, if the settings ask for it.
+func listenAdmin(c Config, keeper *deadletter.Queue, post *statusBoard, log *slog.Logger) (*admin.Server, error) {
 	if c.Ours == nil || c.Ours.Admin == nil {
 		return nil, nil
 	}
@@ -484,18 +484,18 @@
 // shutDown brings a sender to its end, counted from the signal.
 func shutDown(loop *state.Loop, listener *protocol.Listener, told time.Time) {
 	listener.DisableKeepAlive()
-	time.Sleep(time.Until(told.Add(acceptSpan)))
+	time.Sleep(time.Until(told.Add(acceptWindow)))
 	loop.Stop()
-	listener.Close(told.Add(finishSpan))
+	listener.Close(told.Add(finishTimeout))
 	halt := false
-	for time.Now().Before(told.Add(finishSpan)) && !loop.Idle() {
-		if !halt && time.Now().After(told.Add(launchSpan)) {
+	for time.Now().Before(told.Add(finishTimeout)) && !loop.Idle() {
+		if !halt && time.Now().After(told.Add(sendWindow)) {
 			loop.Halt()
 			halt = true
 		}
-		time.Sleep(idleCheck)
+		time.Sleep(idlePollInterval)
 	}
-	listener.Wait(told.Add(finishSpan))
+	listener.Wait(told.Add(finishTimeout))
 }
 
 // limitRuntime keeps the runtime within the machine's limits.
@@ -504,15 +504,15 @@
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
 	}
 	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(l.MemoryMB * memoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(l.MemoryMB * memoryLimitFraction * (1 << 20)))
 	}
 }
 
-// shareSockets parts the descriptors between clients' connections and idle
+// socketBudget parts the descriptors between clients' connections and idle
 // ones to targets, besides those of calls that are out. Clients may hold a
 // third of all for requests, and some connect that have none. Those that are being closed have their part of it.
-func shareSockets(c Config) (clients, idle int) {
-	left := c.Limits.Sockets - spareSockets - c.Settings.MaxInFlight
+func socketBudget(c Config) (clients, idle int) {
+	left := c.Limits.Sockets - reservedSockets - c.Settings.MaxInFlight
 	if c.Admin != "" {
 		left -= admin.MaxHTTPConnections
 	}
--- a/internal/lifecycle/sites_test.go
+++ b/internal/lifecycle/sites_test.go
@@ -15,7 +15,7 @@
 
 // No name of a site stands in the code of the sender or of its decisions, and no figure of a class but those that
 // everybody uses: all of them come from the settings.
-func TestNothingIsFittedToASite(t *testing.T) {
+func TestNoSiteSpecificNames(t *testing.T) {
 	const root = "../.."
 	names := map[string]string{}
 	figures := map[string]string{}
--- a/internal/lifecycle/status.go
+++ b/internal/lifecycle/status.go
@@ -12,9 +12,9 @@
 	"cleathold/internal/state"
 )
 
-// board is the machine together with what else a status tells: what those who run the sender see of a process.
-type board struct {
-	*machine
+// statusBoard is the machine together with what else a status tells: what those who run the sender see of a process.
+type statusBoard struct {
+	*stateMachine
 	name     string
 	release  string // as whoever started the process calls its version
 	started  time.Time
@@ -24,20 +24,20 @@
 	loop     atomic.Pointer[state.Loop] // once there is one
 }
 
-// listedSpan is how long a loop may take to tell its targets.
-const listedSpan = 500 * time.Millisecond
+// targetsTimeout is how long a loop may take to tell its targets.
+const targetsTimeout = 500 * time.Millisecond
 
 // Targets are those that discovery lists.
-func (d *board) Targets() []state.ListedTarget {
+func (d *statusBoard) Targets() []state.ListedTarget {
 	if l := d.loop.Load(); l != nil {
-		return l.ListedTargets(time.Now().Add(listedSpan))
+		return l.ListedTargets(time.Now().Add(targetsTimeout))
 	}
 	return nil
 }
 
 // Status tells how the process is. It waits for nobody.
-func (d *board) Status() admin.Status {
-	id, is, book := d.standing()
+func (d *statusBoard) Status() admin.Status {
+	id, is, book := d.snapshot()
 	s := admin.Status{
 		Name: d.name, Process: id, Pid: os.Getpid(), Phase: is.String(), Epoch: book.Epoch, Ended: book.Ended, LeaseActive: book.Active(), Until: book.Until,
 		Release: d.release, Started: d.started, Counts: d.counters.Counts(), Clients: d.clients.Counts(), MemoryMB: residentMB(),
--- a/internal/lifecycle/succession.go
+++ b/internal/lifecycle/succession.go
@@ -13,20 +13,20 @@
 	"cleathold/internal/state"
 )
 
-// closeSpan is how long clients' connections may take to end with the answers under way before the journal passes on.
-const closeSpan = 350 * time.Millisecond
+// closeTimeout is how long clients' connections may take to end with the answers under way before the journal passes on.
+const closeTimeout = 350 * time.Millisecond
 
 // A predecessor is the process before this one, or this one's own last term, whose calls are still out.
 type predecessor struct {
-	estate state.HandoverState
-	sock   net.Listener
-	ready  func() error                                // tells it that this process serves
-	run    func(context.Context, handover.EventPoster) // posts what comes of its calls
-	over   <-chan struct{}                             // of an own last term: nothing is out any more
+	state state.HandoverState
+	socket   net.Listener
+	confirmReady  func() error                                // tells it that this process serves
+	postResults    func(context.Context, handover.EventPoster) // posts what comes of its calls
+	drained   <-chan struct{}                             // of an own last term: nothing is out any more
 }
 
-// predecessorOf asks the process that serves the same state folder to give way; nil where there is none.
-func predecessorOf(c Config) (*predecessor, error) {
+// requestTakeover asks the process that serves the same state folder to give way; nil where there is none.
+func requestTakeover(c Config) (*predecessor, error) {
 	if c.Admin == "" {
 		return nil, nil
 	}
@@ -34,12 +34,12 @@
 	if i == nil || err != nil {
 		return nil, err
 	}
-	return &predecessor{estate: i.State, sock: i.Listener, ready: i.ConfirmReady, run: i.Run}, nil
+	return &predecessor{state: i.State, socket: i.Listener, confirmReady: i.ConfirmReady, postResults: i.Run}, nil
 }
 
-// openDesk opens the desk where the next process asks. Without one the sender serves, but has to be stopped for
+// listenForSuccessor opens the desk where the next process asks. Without one the sender serves, but has to be stopped for
 // another version. Nil works as a desk at which nobody asks.
-func openDesk(c Config, log *slog.Logger) *handover.Listener {
+func listenForSuccessor(c Config, log *slog.Logger) *handover.Listener {
 	if c.Admin == "" {
 		return nil
 	}
@@ -51,17 +51,17 @@
 	return desk
 }
 
-// keptSpan is how long the held store may take to close when another process takes over.
-const keptSpan = 2 * time.Second
+// deadLetterCloseTimeout is how long the held store may take to close when another process takes over.
+const deadLetterCloseTimeout = 2 * time.Second
 
-var errKept = errors.New("the held store does not close")
+var errDeadLettersOpen = errors.New("the held store does not close")
 
-// giveWay lets another process take over, and returns once nothing of this one's is out any more. Where that one does
+// handOver lets another process take over, and returns once nothing of this one's is out any more. Where that one does
 // not come to serve, what it was given is returned.
-func (p *process) giveWay(ask *handover.Request, sock *os.File, listener *protocol.Listener, loop *state.Loop, leave func(), rest func() error, desk *handover.Listener) *predecessor {
+func (p *process) handOver(ask *handover.Request, sock *os.File, listener *protocol.Listener, loop *state.Loop, leave func(), rest func() error, desk *handover.Listener) *predecessor {
 	began := time.Now()
-	p.machine.enter(leaving)
-	listener.Close(began.Add(closeSpan))
+	p.machine.advance(handingOver)
+	listener.Close(began.Add(closeTimeout))
 	leave()
 	// The keeper goes first: it sends nothing again any more, and what it has not written yet stays with the journal.
 	rested := rest()
@@ -69,7 +69,7 @@
 	done := make(chan state.HandOverResult, 1)
 	loop.Post(state.HandOver{Successor: legacy, Done: done})
 	given := <-done
-	given.State.Drained, given.State.Lease = p.machine.ordered()
+	given.State.Drained, given.State.Lease = p.machine.orders()
 	gave := make(chan error, 1)
 	err := errors.Join(given.Err, rested)
 	if err != nil {
@@ -82,10 +82,10 @@
 	select {
 	case err = <-gave:
 	case told = <-p.stop:
-		p.machine.enter(stopping)
+		p.machine.advance(stopping)
 		select {
 		case err = <-gave:
-		case <-time.After(time.Until(told.Add(finishSpan))):
+		case <-time.After(time.Until(told.Add(finishTimeout))):
 			err = errors.New("stopped")
 		}
 	}
@@ -97,7 +97,7 @@
 			return nil
 		}
 		return &predecessor{
-			estate: given.State, sock: back, ready: func() error { return nil }, run: legacy.PostTo, over: legacy.Drained(p.ctx),
+			state: given.State, socket: back, confirmReady: func() error { return nil }, postResults: legacy.PostTo, drained: legacy.Drained(p.ctx),
 		}
 	}
 	if err != nil {
@@ -115,12 +115,12 @@
 		case <-passed:
 			return nil
 		case told = <-p.stop:
-			p.machine.enter(stopping)
+			p.machine.advance(stopping)
 		}
 	}
 	select {
 	case <-passed:
-	case <-time.After(time.Until(told.Add(finishSpan))):
+	case <-time.After(time.Until(told.Add(finishTimeout))):
 	}
 	return nil
 }
--- a/internal/protocol/copies_test.go
+++ b/internal/protocol/copies_test.go
@@ -16,18 +16,18 @@
 	"cleathold/internal/state"
 )
 
-// nowhere is a discovery and a platform that nothing is heard of.
-type nowhere struct{}
+// noPeers is a discovery and a platform that nothing is heard of.
+type noPeers struct{}
 
-func (nowhere) Watch(bool, int64)           {}
-func (nowhere) Fetch()                      {}
-func (nowhere) Report(state.DeliveryReport) {}
+func (noPeers) Watch(bool, int64)           {}
+func (noPeers) Fetch()                      {}
+func (noPeers) Report(state.DeliveryReport) {}
 
 // Where second copies are not allowed, a message whose call is out on an open connection is not sent again: its
 // call may hold others that are waited for longer, and all of them wait as long.
-func TestNoSecondCopyWhileItsCallIsOpen(t *testing.T) {
+func TestNoHedgeWhileCallIsOpen(t *testing.T) {
 	var mu sync.Mutex
-	out := map[string]*link{} // by message: the connection on which it came first
+	out := map[string]*bufferedConn{} // by message: the connection on which it came first
 	again := make(chan string, 8)
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,16 +41,16 @@
 				return
 			}
 			go func() {
-				k := newLink(c)
-				k.limit.N = 1 << 20
-				r, err := http.ReadRequest(k.in)
+				k := newBufferedConn(c)
+				k.readLimit.N = 1 << 20
+				r, err := http.ReadRequest(k.reader)
 				if err != nil {
 					return
 				}
 				body, _ := io.ReadAll(r.Body)
 				ids := []string{r.Header.Get("X-Request-Id")}
 				if ids[0] == "" {
-					ids = framed(string(body))
+					ids = batchIDs(string(body))
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -58,7 +58,7 @@
 					switch first := out[id]; {
 					case first == nil:
 						out[id] = k // and hangs
-					case first.quiet():
+					case first.openWithoutInput():
 						again <- id + " while its first copy was out"
 					default:
 						again <- id
@@ -86,14 +86,14 @@
 		targets = append(targets, target)
 	}
 	l, err := state.NewLoop(state.Setup{
-		Settings: set, Dir: t.TempDir(), DiskBytes: 1e6, Log: quiet,
+		Settings: set, Dir: t.TempDir(), DiskBytes: 1e6, Log: discardLog,
 		Known: state.ListUpdate{Kind: control.ListCached, Version: 1, Targets: targets},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewTransport(l, time.Minute, 8, quiet)
-	l.Connect(s, nowhere{}, nowhere{})
+	s := NewTransport(l, time.Minute, 8, discardLog)
+	l.Connect(s, noPeers{}, noPeers{})
 	for i, id := range []string{"repeatable", "unrepeatable"} {
 		m := &state.Message{ID: id, Class: i, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("b")}
 		l.Post(state.Submitted{Message: m, Response: make(chan state.Response, 1)})
@@ -113,8 +113,8 @@
 	}
 }
 
-// framed lists the ids of the messages in a call's body.
-func framed(body string) (ids []string) {
+// batchIDs lists the ids of the messages in a call's body.
+func batchIDs(body string) (ids []string) {
 	for in := bufio.NewReader(strings.NewReader(body)); ; {
 		head, err := in.ReadString('\n')
 		if err != nil {
--- a/internal/protocol/ends_test.go
+++ b/internal/protocol/ends_test.go
@@ -18,39 +18,39 @@
 	"cleathold/internal/state"
 )
 
-// staged is a listening socket whose connections do something of the test's at the seam.
-type staged struct {
+// faultyListener is a listening socket whose connections do something of the test's at the seam.
+type faultyListener struct {
 	net.Listener
-	read    func() error // before the first read of a connection
-	closing func()       // before a half-close, or a close without one
+	beforeRead    func() error // before the first read of a connection
+	beforeClose func()       // before a half-close, or a close without one
 	write   func(c *net.TCPConn, b []byte) (int, error)
-	accept  []error // of the first accepts
+	acceptErrs  []error // of the first accepts
 }
 
-func (s *staged) Accept() (net.Conn, error) {
-	if len(s.accept) > 0 {
-		err := s.accept[0]
-		s.accept = s.accept[1:]
+func (s *faultyListener) Accept() (net.Conn, error) {
+	if len(s.acceptErrs) > 0 {
+		err := s.acceptErrs[0]
+		s.acceptErrs = s.acceptErrs[1:]
 		return nil, err
 	}
 	c, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &stagedConn{TCPConn: c.(*net.TCPConn), to: s}, nil
+	return &faultyConn{TCPConn: c.(*net.TCPConn), to: s}, nil
 }
 
-type stagedConn struct {
+type faultyConn struct {
 	*net.TCPConn
-	to            *staged
+	to            *faultyListener
 	once, closing sync.Once
 }
 
-func (c *stagedConn) Read(b []byte) (int, error) {
+func (c *faultyConn) Read(b []byte) (int, error) {
 	var err error
 	c.once.Do(func() {
-		if c.to.read != nil {
-			err = c.to.read()
+		if c.to.beforeRead != nil {
+			err = c.to.beforeRead()
 		}
 	})
 	if err != nil {
@@ -59,31 +59,31 @@
 	return c.TCPConn.Read(b)
 }
 
-func (c *stagedConn) Write(b []byte) (int, error) {
+func (c *faultyConn) Write(b []byte) (int, error) {
 	if c.to.write != nil {
 		return c.to.write(c.TCPConn, b)
 	}
 	return c.TCPConn.Write(b)
 }
 
-func (c *stagedConn) ends() {
-	if c.to.closing != nil {
-		c.closing.Do(c.to.closing)
+func (c *faultyConn) ends() {
+	if c.to.beforeClose != nil {
+		c.closing.Do(c.to.beforeClose)
 	}
 }
 
-func (c *stagedConn) CloseWrite() error { c.ends(); return c.TCPConn.CloseWrite() }
-func (c *stagedConn) Close() error      { c.ends(); return c.TCPConn.Close() }
+func (c *faultyConn) CloseWrite() error { c.ends(); return c.TCPConn.CloseWrite() }
+func (c *faultyConn) Close() error      { c.ends(); return c.TCPConn.Close() }
 
-// stage starts a listener on such a socket, and connects to it.
-func stage(t *testing.T, s *staged, p *posts) (*Listener, net.Conn) {
+// startFaulty starts a listener on such a socket, and connects to it.
+func startFaulty(t *testing.T, s *faultyListener, p *eventRecorder) (*Listener, net.Conn) {
 	t.Helper()
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Listener = sock
-	l := ListenOn(s, p, testNames, testClasses, 4, 3, quiet)
+	l := ListenOn(s, p, testNames, testClasses, 4, 3, discardLog)
 	go l.Serve()
 	t.Cleanup(func() { l.Close(time.Now().Add(10 * time.Second)) })
 	conn, err := net.Dial("tcp", sock.Addr().String())
@@ -97,24 +97,24 @@
 
 // A request that is there in the instant in which its connection is to end, for whatever reason, gets its whole answer,
 // as the last.
-func TestRequestAsItsConnectionEnds(t *testing.T) {
+func TestRequestAsConnectionCloses(t *testing.T) {
 	for name, ending := range map[string]func(l *Listener){
 		"its time is over": func(*Listener) {},
 		"drained":          (*Listener).Drain,
 		"stopped":          func(l *Listener) { go l.Close(time.Now().Add(10 * time.Second)) },
-		"makes room":       (*Listener).evict,
+		"makes room":       (*Listener).evictIdle,
 	} {
-		p := newPosts()
-		p.verdict = state.Response{Accepted: true}
+		p := newEventRecorder()
+		p.response = state.Response{Accepted: true}
 		reading, there := make(chan struct{}), make(chan struct{})
-		l, conn := stage(t, &staged{read: func() error {
+		l, conn := startFaulty(t, &faultyListener{beforeRead: func() error {
 			close(reading)
 			<-there
 			return os.ErrDeadlineExceeded // though the request is there
 		}}, p)
 		<-reading
 		ending(l)
-		io.WriteString(conn, handIn)
+		io.WriteString(conn, submission)
 		close(there)
 		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || r.StatusCode != 202 || !r.Close {
@@ -125,17 +125,17 @@
 
 // A request that comes between the last look and the half-close is not acted on, and its client reads an end, no reset:
 // it sends the request once more on another connection.
-func TestRequestAcrossTheHalfClose(t *testing.T) {
-	p := newPosts()
-	p.verdict = state.Response{Accepted: true}
+func TestRequestAcrossHalfClose(t *testing.T) {
+	p := newEventRecorder()
+	p.response = state.Response{Accepted: true}
 	var conn net.Conn
-	s := &staged{read: func() error { return os.ErrDeadlineExceeded }}
+	s := &faultyListener{beforeRead: func() error { return os.ErrDeadlineExceeded }}
 	connected := make(chan struct{})
-	s.closing = func() {
+	s.beforeClose = func() {
 		<-connected
-		io.WriteString(conn, handIn)
+		io.WriteString(conn, submission)
 	}
-	_, conn = stage(t, s, p)
+	_, conn = startFaulty(t, s, p)
 	close(connected)
 	if rest, err := io.ReadAll(conn); err != nil || len(rest) > 0 {
 		t.Errorf("read %q, %v", rest, err)
@@ -146,8 +146,8 @@
 }
 
 // The last answer before a close arrives whole and ends the connection in order, whatever else was sent behind its request.
-func TestLastAnswerArrivesWhole(t *testing.T) {
-	last := strings.Replace(handIn, "Host: h", "Host: h\r\nConnection: close", 1)
+func TestLastResponseArrivesComplete(t *testing.T) {
+	last := strings.Replace(submission, "Host: h", "Host: h\r\nConnection: close", 1)
 	flood := strings.Repeat("x", 400<<10)
 	for _, c := range []struct {
 		name, send string
@@ -155,17 +155,17 @@
 		verdict    state.Response
 		leave      bool
 	}{
-		{"requests behind the last", last + strings.Repeat(handIn, 20), 202, state.Response{Accepted: true}, false},
-		{"requests behind a refusal of one that leaves", handIn + strings.Repeat(handIn, 20), 503, state.Response{}, true},
+		{"requests behind the last", last + strings.Repeat(submission, 20), 202, state.Response{Accepted: true}, false},
+		{"requests behind a refusal of one that leaves", submission + strings.Repeat(submission, 20), 503, state.Response{}, true},
 		{"a flood behind the last", last + flood, 202, state.Response{Accepted: true}, false},
-		{"body too long", strings.Replace(handIn, "Length: 2", "Length: 400000", 1) + flood, 413, state.Response{}, false},
-		{"chunked", strings.Replace(handIn, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\nfffff\r\n", 1) + flood, 411, state.Response{}, false},
+		{"body too long", strings.Replace(submission, "Length: 2", "Length: 400000", 1) + flood, 413, state.Response{}, false},
+		{"chunked", strings.Replace(submission, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\nfffff\r\n", 1) + flood, 411, state.Response{}, false},
 		{"head too large", "GET /_health HTTP/1.1\r\nA: " + flood, 431, state.Response{}, false},
 		{"noise", "what is this\r\n\r\n" + flood, 400, state.Response{}, false},
 	} {
-		p := newPosts()
-		p.verdict = c.verdict
-		l, conn := stage(t, &staged{}, p)
+		p := newEventRecorder()
+		p.response = c.verdict
+		l, conn := startFaulty(t, &faultyListener{}, p)
 		if c.leave {
 			l.DisableKeepAlive()
 		}
@@ -185,31 +185,31 @@
 	}
 }
 
-// stalled is a discovery that holds the loop up, as a disk could.
-type stalled struct {
-	nowhere
+// stalledDiscovery is a discovery that holds the loop up, as a disk could.
+type stalledDiscovery struct {
+	noPeers
 	in, on chan struct{}
 }
 
-func (s stalled) Watch(bool, int64) { close(s.in); <-s.on }
+func (s stalledDiscovery) Watch(bool, int64) { close(s.in); <-s.on }
 
 // A client whose verdict does not come is refused in its time, and its message is not taken on after that.
-func TestVerdictThatComesTooLate(t *testing.T) {
+func TestResponseTimeout(t *testing.T) {
 	set := control.Settings{
 		FleetSize: 1, Classes: testClasses, Kinds: []control.Kind{{MaxBatch: 1}}, MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
 		PollsList: true, MaxPollInterval: time.Minute, OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2,
 	}
 	dir := t.TempDir()
-	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, DiskBytes: 1e6, Log: quiet, Known: state.ListUpdate{Kind: control.ListCached}})
+	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, DiskBytes: 1e6, Log: discardLog, Known: state.ListUpdate{Kind: control.ListCached}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := stalled{in: make(chan struct{}), on: make(chan struct{})}
-	loop.Connect(NewTransport(loop, time.Minute, 8, quiet), s, s)
+	s := stalledDiscovery{in: make(chan struct{}), on: make(chan struct{})}
+	loop.Connect(NewTransport(loop, time.Minute, 8, discardLog), s, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); loop.Run(ctx) }()
-	l, err := Listen("127.0.0.1:0", loop, testNames, testClasses, 4, 3, quiet)
+	l, err := Listen("127.0.0.1:0", loop, testNames, testClasses, 4, 3, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,7 +221,7 @@
 		}
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(10 * time.Second))
-		io.WriteString(conn, strings.Replace(handIn, "Request-Id: i", "Request-Id: "+id, 1))
+		io.WriteString(conn, strings.Replace(submission, "Request-Id: i", "Request-Id: "+id, 1))
 		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -239,7 +239,7 @@
 	l.Close(time.Now().Add(10 * time.Second))
 	cancel()
 	<-ended
-	list, err := state.ReadPending(dir, quiet)
+	list, err := state.ReadPending(dir, discardLog)
 	if err != nil || len(list) != 1 || list[0].ID != "fresh" {
 		t.Errorf("taken on: %+v, %v", list, err)
 	}
@@ -250,31 +250,31 @@
 
 // Close waits for requests, not for clients that leave their ended connection open: another process waits to take over.
 func TestCloseWaitsForRequestsOnly(t *testing.T) {
-	l, conn := stage(t, &staged{}, newPosts())
+	l, conn := startFaulty(t, &faultyListener{}, newEventRecorder())
 	io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
 	if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
 		t.Fatal(r, err)
 	}
 	l.Close(time.Now().Add(10 * time.Second))
-	if len(l.linger) != 1 {
+	if len(l.lingerSlots) != 1 {
 		t.Error("the connection was not read out any more when Close came back")
 	}
 	conn.Close()
 	l.Wait(time.Now().Add(10 * time.Second))
-	if len(l.linger) != 0 {
+	if len(l.lingerSlots) != 0 {
 		t.Error("Finish came back before the end of the read-out")
 	}
 }
 
 // A 202 that can't be written whole is no 202: its client may hand the message in again, so this one is over.
-func TestHalfAnAnswer(t *testing.T) {
-	p := newPosts()
-	p.verdict = state.Response{Accepted: true}
-	_, conn := stage(t, &staged{write: func(c *net.TCPConn, b []byte) (int, error) {
+func TestPartialResponseWrite(t *testing.T) {
+	p := newEventRecorder()
+	p.response = state.Response{Accepted: true}
+	_, conn := startFaulty(t, &faultyListener{write: func(c *net.TCPConn, b []byte) (int, error) {
 		n, _ := c.Write(b[:len(b)/2])
 		return n, syscall.ECONNRESET
 	}}, p)
-	io.WriteString(conn, handIn)
+	io.WriteString(conn, submission)
 	next[state.Submitted](t, p)
 	if a := next[state.ResponseWritten](t, p); a.ID != "i" || a.OK {
 		t.Errorf("%+v", a)
@@ -286,42 +286,42 @@
 
 // Accepts that fail for want of descriptors cost nobody the listener.
 func TestAcceptWithoutDescriptors(t *testing.T) {
-	_, conn := stage(t, &staged{accept: []error{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED}}, newPosts())
+	_, conn := startFaulty(t, &faultyListener{acceptErrs: []error{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED}}, newEventRecorder())
 	io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
 	if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
 
-// askedPosts does something before it answers a message.
-type askedPosts struct {
-	*posts
-	ask func()
+// hookedRecorder does something before it answers a message.
+type hookedRecorder struct {
+	*eventRecorder
+	before func()
 }
 
-func (p *askedPosts) PostBefore(e state.Event, _ time.Time) bool {
-	p.ask()
+func (p *hookedRecorder) PostBefore(e state.Event, _ time.Time) bool {
+	p.before()
 	e.(state.Submitted).Response <- state.Response{Accepted: true}
 	return true
 }
 
 // An end that is asked for while a verdict is awaited is told with the answer, which is the last of its connection.
-func TestEndWhileVerdictIsAwaited(t *testing.T) {
+func TestCloseWhileResponsePending(t *testing.T) {
 	for name, end := range map[string]func(*Listener){"leaves": (*Listener).DisableKeepAlive, "drained": (*Listener).Drain} {
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &askedPosts{posts: newPosts()}
-		l := ListenOn(sock, p, testNames, testClasses, 4, 3, quiet)
-		p.ask = func() { end(l) }
+		p := &hookedRecorder{eventRecorder: newEventRecorder()}
+		l := ListenOn(sock, p, testNames, testClasses, 4, 3, discardLog)
+		p.before = func() { end(l) }
 		go l.Serve()
 		conn, err := net.Dial("tcp", sock.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		conn.SetDeadline(time.Now().Add(10 * time.Second))
-		io.WriteString(conn, handIn)
+		io.WriteString(conn, submission)
 		if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 202 || !r.Close {
 			t.Errorf("%s: %+v, %v", name, r, err)
 		}
@@ -330,24 +330,24 @@
 	}
 }
 
-// deadlines is a connection that notes the deadlines set on it.
-type deadlines struct {
+// deadlineRecorder is a connection that notes the deadlines set on it.
+type deadlineRecorder struct {
 	*net.TCPConn
 	set []time.Time
 }
 
-func (d *deadlines) SetDeadline(t time.Time) error {
+func (d *deadlineRecorder) SetDeadline(t time.Time) error {
 	d.set = append(d.set, t)
 	return d.TCPConn.SetDeadline(t)
 }
 
-func (d *deadlines) SetReadDeadline(t time.Time) error {
+func (d *deadlineRecorder) SetReadDeadline(t time.Time) error {
 	d.set = append(d.set, t)
 	return d.TCPConn.SetReadDeadline(t)
 }
 
 // idleClient is a connection that the listener has accepted and that waits for its first request.
-func idleClient(t *testing.T, l *Listener) (*client, *deadlines) {
+func idleClient(t *testing.T, l *Listener) (*clientConn, *deadlineRecorder) {
 	t.Helper()
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -364,19 +364,19 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ours.Close() })
-	conn := &deadlines{TCPConn: ours.(*net.TCPConn)}
-	k := &client{link: newLink(conn), idle: true, since: time.Now()}
+	conn := &deadlineRecorder{TCPConn: ours.(*net.TCPConn)}
+	k := &clientConn{bufferedConn: newBufferedConn(conn), idle: true, since: time.Now()}
 	l.mu.Lock()
-	l.open[k] = struct{}{}
+	l.conns[k] = struct{}{}
 	l.mu.Unlock()
 	return k, conn
 }
 
 // While an idle connection that was chosen for eviction is on its way out, the others keep theirs.
 func TestEvictionEndsOneConnection(t *testing.T) {
-	l := listener(t, newPosts())
+	l := startListener(t, newEventRecorder())
 	k, _ := idleClient(t, l)
-	l.evict()
+	l.evictIdle()
 	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -398,17 +398,17 @@
 	if !k.evicted {
 		t.Error("the idle connection was not chosen")
 	}
-	delete(l.open, k)
+	delete(l.conns, k)
 }
 
 // An evicted connection whose request was read in that instant hears with its answer that it is the last.
 func TestEvictedWithARequest(t *testing.T) {
-	l := listener(t, newPosts())
+	l := startListener(t, newEventRecorder())
 	k, _ := idleClient(t, l)
-	l.evict()
-	ends := l.ending(k)
+	l.evictIdle()
+	ends := l.closesAfterResponse(k)
 	l.mu.Lock()
-	delete(l.open, k)
+	delete(l.conns, k)
 	l.mu.Unlock()
 	if !ends {
 		t.Error("another request may follow")
@@ -417,15 +417,15 @@
 
 // A connection that is to make room between its accept and the wait for its first byte ends at once: whoever waits for
 // its place, and all behind it, would wait for its time otherwise.
-func TestEvictedAsItIsAccepted(t *testing.T) {
-	l := listener(t, newPosts())
+func TestEvictedOnAccept(t *testing.T) {
+	l := startListener(t, newEventRecorder())
 	k, conn := idleClient(t, l)
-	l.evict()
-	if l.begins(k) {
+	l.evictIdle()
+	if l.awaitRequest(k) {
 		t.Error("it waits for a request")
 	}
 	l.mu.Lock()
-	delete(l.open, k)
+	delete(l.conns, k)
 	l.mu.Unlock()
 	for _, at := range conn.set {
 		if at.After(time.Now().Add(-time.Minute)) {
--- a/internal/protocol/intake.go
+++ b/internal/protocol/intake.go
@@ -20,94 +20,94 @@
 	Classes, Tenants, Zones, Kinds map[string]int
 }
 
-// A fault is why a request is not taken in.
-type fault struct {
+// A requestError is why a request is not taken in.
+type requestError struct {
 	status int
 	text   string
-	shut   bool // what follows on the connection can't be told from this request
+	closes   bool // what follows on the connection can't be told from this request
 }
 
-func (f *fault) Error() string { return f.text }
+func (f *requestError) Error() string { return f.text }
 
-func bad(text string) error { return &fault{status: http.StatusBadRequest, text: text} }
+func badRequest(text string) error { return &requestError{status: http.StatusBadRequest, text: text} }
 
 const (
 	healthPath = "/_health"
-	// dueLimit bounds a deadline where the class's own is longer.
-	dueLimit = 24 * time.Hour
+	// maxDeadline bounds a deadline where the class's own is longer.
+	maxDeadline = 24 * time.Hour
 )
 
 // parseMessage reads the body of a request and makes a message of it. A nil message
 // without an error is a question about health.
 func parseMessage(r *http.Request, arrived time.Time, n Names, classes []control.Class) (*state.Message, error) {
-	if err := plain(r); err != nil {
+	if err := checkFraming(r); err != nil {
 		return nil, err
 	}
-	class, err := classOf(r, n)
+	class, err := classOfRequest(r, n)
 	if err != nil || class < 0 {
 		return nil, err
 	}
 	if r.ContentLength > state.MaxBody {
-		return nil, &fault{http.StatusRequestEntityTooLarge, "body too large", true}
+		return nil, &requestError{http.StatusRequestEntityTooLarge, "body too large", true}
 	}
 	body, err := readBody(r.Body, state.MaxBody)
 	if errors.Is(err, errTooLong) {
-		return nil, &fault{http.StatusRequestEntityTooLarge, "body too large", true}
+		return nil, &requestError{http.StatusRequestEntityTooLarge, "body too large", true}
 	}
 	if err != nil {
-		return nil, &fault{http.StatusBadRequest, "body unreadable", true}
+		return nil, &requestError{http.StatusBadRequest, "body unreadable", true}
 	}
 	m := &state.Message{ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), Class: class, Body: body}
-	if !visible(m.ID) {
-		return nil, bad("X-Request-Id missing or malformed")
+	if !validToken(m.ID) {
+		return nil, badRequest("X-Request-Id missing or malformed")
 	}
 	// Without its key a keyed message could not be repeated safely.
 	if m.Key == "" && classes[class].Idempotency == control.IdempotentByKey {
-		return nil, bad("Idempotency-Key missing")
+		return nil, badRequest("Idempotency-Key missing")
 	}
-	if m.Key != "" && (!visible(m.Key) || m.Key == "-") {
-		return nil, bad("Idempotency-Key malformed")
+	if m.Key != "" && (!validToken(m.Key) || m.Key == "-") {
+		return nil, badRequest("Idempotency-Key malformed")
 	}
 	var known bool
 	if m.Tenant, known = n.Tenants[r.Header.Get("X-Tenant")]; !known && len(n.Tenants) > 0 {
-		return nil, bad("unknown tenant")
+		return nil, badRequest("unknown tenant")
 	}
 	left, ok := parseSeconds(r.Header.Get("X-Deadline"))
 	if !ok {
-		return nil, bad("X-Deadline unparsable")
+		return nil, badRequest("X-Deadline unparsable")
 	}
-	m.Deadline = arrived.Add(min(left, classes[class].Deadline, dueLimit))
-	if m.Destination, ok = parseDest(r.Header.Get("X-Addressing")); !ok {
-		return nil, bad("dest unparsable")
+	m.Deadline = arrived.Add(min(left, classes[class].Deadline, maxDeadline))
+	if m.Destination, ok = parseDestination(r.Header.Get("X-Addressing")); !ok {
+		return nil, badRequest("dest unparsable")
 	}
 	retry := r.Header.Get("X-Retry")
 	m.Resubmitted, m.Inherited = retry == "1", retry == "again"
 	return m, nil
 }
 
-// plain wants one length and one value of each header that matters. A body in
+// checkFraming wants one length and one value of each header that matters. A body in
 // chunks may come with a Content-Length as well, which the parser drops: where
 // it ends is then a matter of opinion, and what one side takes for a body the
 // other takes for a request. Clients know their lengths, so that is not taken.
-func plain(r *http.Request) error {
+func checkFraming(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
-		return &fault{http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted", true}
+		return &requestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted", true}
 	case len(r.TransferEncoding) > 0:
-		return &fault{http.StatusLengthRequired, "Content-Length alone wanted", true}
+		return &requestError{http.StatusLengthRequired, "Content-Length alone wanted", true}
 	}
 	for _, name := range []string{"X-Request-Id", "Idempotency-Key", "X-Tenant", "X-Deadline", "X-Addressing"} {
 		if len(r.Header[name]) > 1 {
-			return bad(name + " twice")
+			return badRequest(name + " twice")
 		}
 	}
 	return nil
 }
 
-// classOf finds the class in the path; -1 stands for the question about health.
-func classOf(r *http.Request, n Names) (int, error) {
+// classOfRequest finds the class in the path; -1 stands for the question about health.
+func classOfRequest(r *http.Request, n Names) (int, error) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	wrong := &fault{status: http.StatusMethodNotAllowed, text: "method not allowed"}
+	wrong := &requestError{status: http.StatusMethodNotAllowed, text: "method not allowed"}
 	class, known := n.Classes[first]
 	switch {
 	case r.URL.Path == healthPath && r.Method == http.MethodGet:
@@ -117,13 +117,13 @@
 	case known:
 		return class, nil
 	case r.Method == http.MethodPost && first != "" && !strings.HasPrefix(first, "_"):
-		return 0, bad("unknown class")
+		return 0, badRequest("unknown class")
 	}
-	return 0, &fault{status: http.StatusNotFound, text: "no such path"}
+	return 0, &requestError{status: http.StatusNotFound, text: "no such path"}
 }
 
-// parseDest finds dest among the fields of the addressing header.
-func parseDest(s string) (int, bool) {
+// parseDestination finds dest among the fields of the addressing header.
+func parseDestination(s string) (int, bool) {
 	for field := range strings.FieldsFuncSeq(s, func(r rune) bool { return r == ',' || r == ';' || r == ' ' }) {
 		if v, found := strings.CutPrefix(field, "dest="); found {
 			n, err := strconv.ParseUint(v, 10, 16)
@@ -138,7 +138,7 @@
 func readRequest(in *bufio.Reader) (*http.Request, error) {
 	r, err := http.ReadRequest(in)
 	if err == nil && r.Header.Get("Expect") != "" && !strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
-		return r, &fault{http.StatusExpectationFailed, "expectation unknown", true}
+		return r, &requestError{http.StatusExpectationFailed, "expectation unknown", true}
 	}
 	return r, err
 }
--- a/internal/protocol/late_test.go
+++ b/internal/protocol/late_test.go
@@ -31,8 +31,8 @@
 		{"called off", nil, (*Transport).Cancel, "", []control.Result{control.ConnectFailed, control.ConnectFailed, control.ConnectFailed}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPosts()
-			s := NewTransport(p, time.Minute, 8, quiet)
+			p := newEventRecorder()
+			s := NewTransport(p, time.Minute, 8, discardLog)
 			got := make(chan string, 1)
 			addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
 				ids := r.Header.Get("X-Request-Id")
@@ -41,7 +41,7 @@
 					return socktest.Status(200)
 				}
 				answer := ""
-				for _, id := range framed(body) {
+				for _, id := range batchIDs(body) {
 					ids += " " + id
 					answer += id + " delivered\r\n"
 				}
@@ -49,7 +49,7 @@
 				return socktest.JSON(answer)
 			})
 			up := make(chan struct{})
-			s.dial = func(ctx context.Context, addr string) (*link, error) {
+			s.dial = func(ctx context.Context, addr string) (*bufferedConn, error) {
 				l, err := dial(context.Background(), addr)
 				select {
 				case <-up:
@@ -105,23 +105,23 @@
 }
 
 // A connection that comes up once all of a call has ended carries nothing, and serves the next call.
-func TestConnectionForNobody(t *testing.T) {
-	p := newPosts()
-	s := NewTransport(p, time.Minute, 8, quiet)
+func TestLateConnectionWithoutAttempts(t *testing.T) {
+	p := newEventRecorder()
+	s := NewTransport(p, time.Minute, 8, discardLog)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		t.Errorf("%s was sent", r.Header.Get("X-Request-Id"))
 		return socktest.Status(200)
 	})
 	call := callTo(addr, 0, "a") // over from the start, as those of a call to which others belonged
-	f := &flight{Transport: s, call: call, ended: make([]bool, 1), forwards: call.Attempts}
+	f := &inFlightCall{Transport: s, call: call, ended: make([]bool, 1), attempts: call.Attempts}
 	f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 	defer f.cancel()
 	up, flown := make(chan struct{}), make(chan struct{})
-	s.dial = func(_ context.Context, addr string) (*link, error) {
+	s.dial = func(_ context.Context, addr string) (*bufferedConn, error) {
 		<-up
 		return dial(context.Background(), addr)
 	}
-	go func() { defer close(flown); f.fly() }()
+	go func() { defer close(flown); f.run() }()
 	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.ConnectFailed {
 		t.Errorf("%+v", e)
 	}
@@ -133,12 +133,12 @@
 }
 
 // A call whose bytes can't all be written before a forward of it is over has not run, and ends whole.
-func TestWriteThatStalls(t *testing.T) {
-	p := newPosts()
-	s := NewTransport(p, time.Minute, 8, quiet)
+func TestStalledWrite(t *testing.T) {
+	p := newEventRecorder()
+	s := NewTransport(p, time.Minute, 8, discardLog)
 	ours, theirs := net.Pipe() // takes no byte that is not read
 	defer theirs.Close()
-	s.dial = func(context.Context, string) (*link, error) { return newLink(ours), nil }
+	s.dial = func(context.Context, string) (*bufferedConn, error) { return newBufferedConn(ours), nil }
 	call := callTo("nowhere", time.Minute, "a", "b")
 	call.Attempts[1].Deadline = time.Now().Add(50 * time.Millisecond)
 	s.Send(call)
@@ -152,7 +152,7 @@
 
 // A target that answers and closes before it has read the whole call: nothing of the call has run, and a wait that it
 // told binds all the same.
-func TestAnsweredBeforeTheLastByte(t *testing.T) {
+func TestResponseBeforeRequestSent(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		want         state.AttemptResult
@@ -165,8 +165,8 @@
 		{"half an answer", "HTTP/1.1 429 x\r\nRetry-Af", state.AttemptResult{Result: control.ConnectFailed}},
 		{"nothing", "", state.AttemptResult{Result: control.ConnectFailed}},
 	} {
-		p := newPosts()
-		s := NewTransport(p, time.Minute, 8, quiet)
+		p := newEventRecorder()
+		s := NewTransport(p, time.Minute, 8, discardLog)
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -182,7 +182,7 @@
 			io.WriteString(conn, c.answer)
 			conn.Close() // over bytes that were not read
 		}()
-		s.dial = func(ctx context.Context, addr string) (*link, error) {
+		s.dial = func(ctx context.Context, addr string) (*bufferedConn, error) {
 			l, err := dial(ctx, addr)
 			if err == nil {
 				l.Conn.(*net.TCPConn).SetWriteBuffer(1 << 10)
@@ -205,7 +205,7 @@
 
 // An answer that is cut at any byte ends a call, and each of its messages once: a 200 to one message is true from its
 // first line on, all else has to come whole.
-func TestAnswerCutAnywhere(t *testing.T) {
+func TestTruncatedResponse(t *testing.T) {
 	for _, c := range []struct {
 		ids    []string
 		answer string
@@ -216,8 +216,8 @@
 		{[]string{"a", "b"}, socktest.JSON("a delivered\r\nb delivered\r\n"), len(socktest.JSON("a delivered\r\nb delivered\r\n"))},
 	} {
 		for n := range len(c.answer) + 1 {
-			p := newPosts()
-			s := NewTransport(p, time.Minute, 8, quiet)
+			p := newEventRecorder()
+			s := NewTransport(p, time.Minute, 8, discardLog)
 			sock, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
--- a/internal/protocol/parse_test.go
+++ b/internal/protocol/parse_test.go
@@ -22,7 +22,7 @@
 	}
 )
 
-func TestTakeIn(t *testing.T) {
+func TestParseMessage(t *testing.T) {
 	const good = "X-Request-Id: i1\r\nX-Tenant: acme\r\nX-Deadline: 1.5\r\nX-Addressing: a=1, dest=7\r\n"
 	for _, c := range []struct {
 		name, line, head, body string
@@ -59,7 +59,7 @@
 		now := time.Now()
 		m, err := parseMessage(r, now, testNames, testClasses)
 		got := 0
-		if f, ok := err.(*fault); ok {
+		if f, ok := err.(*requestError); ok {
 			got = f.status
 		} else if m == nil {
 			got = 200
@@ -85,8 +85,8 @@
 	}
 }
 
-func TestParseEnds(t *testing.T) {
-	got := parseEnds([]byte("a delivered\r\nb failed\nc refused\nd over\ne spent\n"))
+func TestParseResults(t *testing.T) {
+	got := parseResults([]byte("a delivered\r\nb failed\nc refused\nd over\ne spent\n"))
 	for id, want := range map[string]state.AttemptResult{
 		"a": {Result: control.Served, Final: true}, "b": {Result: control.Failed}, "c": {Result: control.Rejected},
 		"d": {Result: control.NotSent, Final: true}, "e": {Result: control.NotSent},
@@ -96,7 +96,7 @@
 		}
 	}
 	for _, spoilt := range []string{"a delivered\nb what\n", "a refused\nnonsense\n", "a refused\na refused\n", "a refused\nb deliv"} {
-		if got := parseEnds([]byte(spoilt)); len(got) > 0 {
+		if got := parseResults([]byte(spoilt)); len(got) > 0 {
 			t.Errorf("%q: %+v", spoilt, got)
 		}
 	}
@@ -128,14 +128,14 @@
 	}
 }
 
-func TestEncode(t *testing.T) {
-	body := encodeFrames([]*state.Attempt{
+func TestEncodeBodies(t *testing.T) {
+	body := encodeBatch([]*state.Attempt{
 		{Message: &state.Message{ID: "a", Body: []byte("he\r\nlo")}}, {Message: &state.Message{ID: "b", Key: "k"}},
 	})
 	if want := "a - 6\r\nhe\r\nlo\r\nb k 0\r\n\r\n"; string(body) != want {
 		t.Errorf("frames %q, want %q", body, want)
 	}
-	notices := encodeNotices([]state.DeliveryReport{{ID: "a", Deferred: true, RetryAfter: 500 * time.Millisecond}, {ID: "b"}})
+	notices := encodeReports([]state.DeliveryReport{{ID: "a", Deferred: true, RetryAfter: 500 * time.Millisecond}, {ID: "b"}})
 	want := `{"id":"a","status":"deferred","again_ms":500}` + "\n" + `{"id":"b","status":"undeliverable"}` + "\n"
 	if string(notices) != want {
 		t.Errorf("notices %q, want %q", notices, want)
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -17,22 +17,22 @@
 type GossipTransport struct {
 	log   *slog.Logger
 	conn  *net.UDPConn
-	all   netip.AddrPort
-	known map[netip.AddrPort]int // number of the sender at an address
+	broadcast   netip.AddrPort
+	peerByAddr map[netip.AddrPort]int // number of the sender at an address
 
 	dropped atomic.Int64
 }
 
-// noteRate bounds the notes that are read in a second: a flood is left in the
+// maxDatagramsPerSecond bounds the notes that are read in a second: a flood is left in the
 // socket's buffer, where the kernel drops what has no room.
-const noteRate = 2000
+const maxDatagramsPerSecond = 2000
 
 // OpenGossip listens for notes. The addresses are those of all senders by their
 // numbers, of which this one has the number me, and the one that reaches all.
 func OpenGossip(listen, all string, peers []string, me int, log *slog.Logger) (*GossipTransport, error) {
-	p := &GossipTransport{log: log, known: map[netip.AddrPort]int{}}
+	p := &GossipTransport{log: log, peerByAddr: map[netip.AddrPort]int{}}
 	var err error
-	if p.all, err = netip.ParseAddrPort(all); err != nil {
+	if p.broadcast, err = netip.ParseAddrPort(all); err != nil {
 		return nil, fmt.Errorf("peers_all: %w", err)
 	}
 	for i, text := range peers {
@@ -41,7 +41,7 @@
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
 		if i != me { // what comes back to this sender it knows
-			p.known[addr] = i
+			p.peerByAddr[addr] = i
 		}
 	}
 	at, err := netip.ParseAddrPort(listen)
@@ -54,7 +54,7 @@
 
 // SendGossip sends a note to all. One that can't be sent is lost, as any may be.
 func (p *GossipTransport) SendGossip(facts []gossip.Observation) {
-	p.conn.WriteToUDPAddrPort(gossip.Encode(facts), p.all)
+	p.conn.WriteToUDPAddrPort(gossip.Encode(facts), p.broadcast)
 }
 
 // Run takes notes until the context ends. Those from strangers, too long, cut
@@ -74,16 +74,16 @@
 			if ctx.Err() != nil {
 				return
 			}
-			pause(ctx, time.Now().Add(quickAnswer))
+			sleepUntil(ctx, time.Now().Add(minPollInterval))
 			continue
 		}
-		if read >= noteRate {
-			pause(ctx, span.Add(time.Second))
+		if read >= maxDatagramsPerSecond {
+			sleepUntil(ctx, span.Add(time.Second))
 		}
 		if now := time.Now(); now.Sub(span) >= time.Second {
 			span, read = now, 0
 		}
-		sender, known := p.known[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		sender, known := p.peerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		facts, err := gossip.Decode(buf[:n])
 		if !known || err != nil {
 			p.dropped.Add(1)
--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -13,7 +13,7 @@
 
 // Notes from siblings arrive with their numbers; those of strangers, too long, cut short or of another version
 // are dropped, and so is what a sender told itself.
-func TestPeers(t *testing.T) {
+func TestGossipTransport(t *testing.T) {
 	open := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
@@ -23,12 +23,12 @@
 		return c
 	}
 	sibling, stranger, own := open(), open(), open()
-	p, err := OpenGossip("127.0.0.1:0", sibling.LocalAddr().String(), []string{own.LocalAddr().String(), sibling.LocalAddr().String()}, 0, quiet)
+	p, err := OpenGossip("127.0.0.1:0", sibling.LocalAddr().String(), []string{own.LocalAddr().String(), sibling.LocalAddr().String()}, 0, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	posts, ended := newPosts(), make(chan struct{})
+	posts, ended := newEventRecorder(), make(chan struct{})
 	go func() { defer close(ended); p.Run(ctx, posts) }()
 	to := p.conn.LocalAddr().(*net.UDPAddr)
 	good := gossip.Encode([]gossip.Observation{{EndpointHash: 5, Kind: control.ObservedRejection, Age: 20 * time.Millisecond}})
@@ -55,11 +55,11 @@
 	<-ended
 }
 
-func TestOpenPeersNamesWhatIsWrong(t *testing.T) {
+func TestOpenGossipErrors(t *testing.T) {
 	for _, c := range []struct{ listen, all, peer string }{
 		{"127.0.0.1:x", "127.0.0.1:1", "127.0.0.1:2"}, {"127.0.0.1:0", "all", "127.0.0.1:2"}, {"127.0.0.1:0", "127.0.0.1:1", "you"},
 	} {
-		if _, err := OpenGossip(c.listen, c.all, []string{c.peer}, 5, quiet); err == nil {
+		if _, err := OpenGossip(c.listen, c.all, []string{c.peer}, 5, discardLog); err == nil {
 			t.Errorf("%+v: no error", c)
 		}
 	}
--- a/internal/protocol/pool.go
+++ b/internal/protocol/pool.go
@@ -6,46 +6,46 @@
 	"time"
 )
 
-// A pool keeps connections to targets that lie idle, the latest used on top.
-type pool struct {
-	keep time.Duration // less than the targets keep them
-	most int
+// A connPool keeps connections to targets that lie idle, the latest used on top.
+type connPool struct {
+	maxIdleTime time.Duration // less than the targets keep them
+	maxIdleConns int
 
 	mu    sync.Mutex
-	idle  map[string][]*link
-	count int
+	idle  map[string][]*bufferedConn
+	idleCount int
 }
 
-// keepShare of the time that a target keeps an idle connection is when it is
+// idleTimeFraction of the time that a target keeps an idle connection is when it is
 // dropped here: a request that crosses the target's close would be lost.
-const keepShare = 0.8
+const idleTimeFraction = 0.8
 
-// unknownKeep is used where the settings don't tell how long targets keep one.
-const unknownKeep = 2 * time.Second
+// defaultIdleTimeout is used where the settings don't tell how long targets keep one.
+const defaultIdleTimeout = 2 * time.Second
 
-func newPool(idle time.Duration, most int) *pool {
+func newConnPool(idle time.Duration, most int) *connPool {
 	if idle <= 0 {
-		idle = unknownKeep
+		idle = defaultIdleTimeout
 	}
-	return &pool{keep: time.Duration(keepShare * float64(idle)), most: most, idle: map[string][]*link{}}
+	return &connPool{maxIdleTime: time.Duration(idleTimeFraction * float64(idle)), maxIdleConns: most, idle: map[string][]*bufferedConn{}}
 }
 
 // get takes the connection to a target that lay idle for the shortest time, if
 // it is sound and leads to its present address.
-func (p *pool) get(target, addr string) *link {
+func (p *connPool) get(target, addr string) *bufferedConn {
 	for {
 		l := p.pop(target)
 		if l == nil {
 			return nil
 		}
-		if time.Since(l.idle) < p.keep && l.addr == addr && !l.stale() {
+		if time.Since(l.idleSince) < p.maxIdleTime && l.addr == addr && !l.stale() {
 			return l
 		}
 		l.Close()
 	}
 }
 
-func (p *pool) pop(target string) *link {
+func (p *connPool) pop(target string) *bufferedConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[target]
@@ -54,43 +54,43 @@
 	}
 	l := list[len(list)-1]
 	p.idle[target] = list[:len(list)-1]
-	p.count--
+	p.idleCount--
 	return l
 }
 
 // put lets a connection lie idle, or closes it if there are too many.
-func (p *pool) put(target string, l *link) {
-	l.idle = time.Now()
+func (p *connPool) put(target string, l *bufferedConn) {
+	l.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.count >= p.most {
+	if p.idleCount >= p.maxIdleConns {
 		l.Close()
 		return
 	}
 	p.idle[target] = append(p.idle[target], l)
-	p.count++
+	p.idleCount++
 }
 
-// drop closes the idle connections to a target.
-func (p *pool) drop(target string) {
+// closeIdle closes the idle connections to a target.
+func (p *connPool) closeIdle(target string) {
 	for l := p.pop(target); l != nil; l = p.pop(target) {
 		l.Close()
 	}
 }
 
-// sweep closes those that lay idle for too long or that the target has closed.
-func (p *pool) sweep() {
+// closeStale closes those that lay idle for too long or that the target has closed.
+func (p *connPool) closeStale() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for target, list := range p.idle {
 		kept := list[:0]
 		for _, l := range list {
-			if time.Since(l.idle) < p.keep && !l.stale() {
+			if time.Since(l.idleSince) < p.maxIdleTime && !l.stale() {
 				kept = append(kept, l)
 				continue
 			}
 			l.Close()
-			p.count--
+			p.idleCount--
 		}
 		if p.idle[target] = kept; len(kept) == 0 {
 			delete(p.idle, target)
@@ -98,15 +98,15 @@
 	}
 }
 
-func (p *pool) run(ctx context.Context) {
-	tick := time.NewTicker(max(p.keep/20, 50*time.Millisecond))
+func (p *connPool) run(ctx context.Context) {
+	tick := time.NewTicker(max(p.maxIdleTime/20, 50*time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			p.sweep()
+			p.closeStale()
 		}
 	}
 }
--- a/internal/protocol/relay.go
+++ b/internal/protocol/relay.go
@@ -15,73 +15,73 @@
 // Relay: the fifth stage. A target's answer, or its silence, becomes the end
 // of each forward of a call.
 
-// all ends every forward that has not ended yet in the same way.
-func (f *flight) all(r control.Result) {
-	f.end(func(*state.Attempt) (state.AttemptResult, bool) { return state.AttemptResult{Result: r}, true })
+// endAll ends every forward that has not ended yet in the same way.
+func (f *inFlightCall) endAll(r control.Result) {
+	f.endEach(func(*state.Attempt) (state.AttemptResult, bool) { return state.AttemptResult{Result: r}, true })
 }
 
-// end posts the ends of the forwards for which there is one.
-func (f *flight) end(of func(w *state.Attempt) (state.AttemptResult, bool)) {
+// endEach posts the ends of the forwards for which there is one.
+func (f *inFlightCall) endEach(of func(w *state.Attempt) (state.AttemptResult, bool)) {
 	var ends []state.AttemptResult
-	for i, w := range f.forwards {
+	for i, w := range f.attempts {
 		if f.ended[i] {
 			continue
 		}
 		if e, ok := of(w); ok {
-			e.Attempt, e.Elapsed, e.SentAt = w, time.Since(f.began), f.left
+			e.Attempt, e.Elapsed, e.SentAt = w, time.Since(f.startedAt), f.sentAt
 			f.ended[i] = true
 			ends = append(ends, e)
 		}
 	}
 	if len(ends) > 0 {
-		f.post.Post(state.CallEnded{Call: f.call, Results: ends})
+		f.events.Post(state.CallEnded{Call: f.call, Results: ends})
 	}
 }
 
 // Once an answer has begun its rest must follow within these. Of a 200 to a
 // single message nothing but its first line matters.
 const (
-	restSpan = 300 * time.Millisecond
-	tailSpan = 50 * time.Millisecond
+	responseTailTimeout = 300 * time.Millisecond
+	servedTailTimeout = 50 * time.Millisecond
 )
 
-// errMalformed tells of an answer that came and can't be read.
-var errMalformed = errors.New("answer can't be read")
+// errMalformedResponse tells of an answer that came and can't be read.
+var errMalformedResponse = errors.New("answer can't be read")
 
-// relay reads the answer to a call that was written.
-func (f *flight) relay(l *link) (reply, error) {
-	l.limit.N = maxHead
-	if err := f.await(l); err != nil {
-		return reply{last: true}, err
+// readResponse reads the answer to a call that was written.
+func (f *inFlightCall) readResponse(l *bufferedConn) (response, error) {
+	l.readLimit.N = maxHeaderBytes
+	if err := f.awaitFirstByte(l); err != nil {
+		return response{closes: true}, err
 	}
 	began := time.Now()
-	r, err := l.answer(http.MethodPost, state.MaxBody, func(first int) time.Time {
-		if f.alone(first) {
-			return began.Add(tailSpan)
+	r, err := l.readResponse(http.MethodPost, state.MaxBody, func(first int) time.Time {
+		if f.statusSuffices(first) {
+			return began.Add(servedTailTimeout)
 		}
-		return began.Add(restSpan)
+		return began.Add(responseTailTimeout)
 	})
 	if err != nil && f.ctx.Err() == nil {
-		err = errMalformed
+		err = errMalformedResponse
 	}
 	return r, err
 }
 
-// alone tells whether a first line is all there is to know of a call.
-func (f *flight) alone(first int) bool {
-	return first == http.StatusOK && len(f.forwards) == 1
+// statusSuffices tells whether a first line is all there is to know of a call.
+func (f *inFlightCall) statusSuffices(first int) bool {
+	return first == http.StatusOK && len(f.attempts) == 1
 }
 
-// await waits for the first byte of the answer. Forwards whose own deadline
+// awaitFirstByte waits for the first byte of the answer. Forwards whose own deadline
 // comes before that end as timed out, while the others of the call wait on.
-func (f *flight) await(l *link) error {
+func (f *inFlightCall) awaitFirstByte(l *bufferedConn) error {
 	for {
-		next, _ := f.next(answerBy)
+		next, _ := f.nextDeadline(responseDeadline)
 		l.SetReadDeadline(next)
 		if f.ctx.Err() != nil { // it ended while the deadline was moved
 			return f.ctx.Err()
 		}
-		_, err := l.in.Peek(1)
+		_, err := l.reader.Peek(1)
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			l.SetReadDeadline(time.Time{})
 			return err
@@ -89,23 +89,23 @@
 		if f.ctx.Err() != nil {
 			return f.ctx.Err()
 		}
-		f.overdue(control.TimedOut, answerBy)
+		f.endOverdue(control.TimedOut, responseDeadline)
 	}
 }
 
-// overdue ends the forwards whose time has come.
-func (f *flight) overdue(r control.Result, by func(*state.Attempt) time.Time) {
+// endOverdue ends the forwards whose time has come.
+func (f *inFlightCall) endOverdue(r control.Result, by func(*state.Attempt) time.Time) {
 	now := time.Now()
-	f.end(func(w *state.Attempt) (state.AttemptResult, bool) {
+	f.endEach(func(w *state.Attempt) (state.AttemptResult, bool) {
 		return state.AttemptResult{Result: r}, !now.Before(by(w))
 	})
 }
 
-// next is the earliest time of a forward that waits, if the call itself ends later; the zero time, for none, lifts
+// nextDeadline is the earliest time of a forward that waits, if the call itself ends later; the zero time, for none, lifts
 // a connection's deadline.
-func (f *flight) next(by func(*state.Attempt) time.Time) (next time.Time, ok bool) {
+func (f *inFlightCall) nextDeadline(by func(*state.Attempt) time.Time) (next time.Time, ok bool) {
 	last, _ := f.ctx.Deadline()
-	for i, w := range f.forwards {
+	for i, w := range f.attempts {
 		if t := by(w); !f.ended[i] && t.Before(last) && (!ok || t.Before(next)) {
 			next, ok = t, true
 		}
@@ -113,34 +113,34 @@
 	return next, ok
 }
 
-// answerBy is how long a forward that has left is waited for.
-func answerBy(w *state.Attempt) time.Time { return w.Deadline }
+// responseDeadline is how long a forward that has left is waited for.
+func responseDeadline(w *state.Attempt) time.Time { return w.Deadline }
 
-// leaveBy is the time after which a forward must not leave.
-func leaveBy(w *state.Attempt) time.Time {
+// sendDeadline is the time after which a forward must not leave.
+func sendDeadline(w *state.Attempt) time.Time {
 	if !w.NotAfter.IsZero() && w.NotAfter.Before(w.Deadline) {
 		return w.NotAfter
 	}
 	return w.Deadline
 }
 
-// lost ends the forwards of a call that may have run and was not answered.
-func (f *flight) lost(err error) {
+// endUnanswered ends the forwards of a call that may have run and was not answered.
+func (f *inFlightCall) endUnanswered(err error) {
 	last, _ := f.ctx.Deadline()
 	switch {
-	case errors.Is(err, errMalformed):
-		f.all(control.Failed) // the target is there, and what it did is not known
+	case errors.Is(err, errMalformedResponse):
+		f.endAll(control.Failed) // the target is there, and what it did is not known
 	case f.ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded):
-		f.all(control.ConnectionLost)
+		f.endAll(control.ConnectionLost)
 	case time.Now().Before(last):
-		f.all(control.Canceled)
+		f.endAll(control.Canceled)
 	default:
-		f.all(control.TimedOut)
+		f.endAll(control.TimedOut)
 	}
 }
 
-// resultOf is what a status says of a call.
-func resultOf(status int) control.Result {
+// resultOfStatus is what a status says of a call.
+func resultOfStatus(status int) control.Result {
 	switch status {
 	case http.StatusOK:
 		return control.Served
@@ -156,56 +156,56 @@
 	return control.Unknown
 }
 
-// endOf is what an answer says of all messages of a call.
-func endOf(r reply) state.AttemptResult {
-	e := state.AttemptResult{Result: resultOf(r.status), Final: r.status == http.StatusOK || r.status == http.StatusGone}
+// resultOfResponse is what an answer says of all messages of a call.
+func resultOfResponse(r response) state.AttemptResult {
+	e := state.AttemptResult{Result: resultOfStatus(r.status), Final: r.status == http.StatusOK || r.status == http.StatusGone}
 	e.RetryAfter, _ = parseSeconds(r.header.Get("Retry-After"))
 	if r.header.Get("X-Over-Slots") == "1" {
 		e.Result, e.NoSlot = control.NotSent, true
 	}
 	// One who turns a call away above a limit keeps the connection for the next. One who closes it has no room
 	// for connections: that is over as soon as another is closed, and says nothing of the limit.
-	if e.Result == control.Rejected && r.last && e.RetryAfter == 0 {
+	if e.Result == control.Rejected && r.closes && e.RetryAfter == 0 {
 		e.Result = control.ConnectionRejected
 	}
 	return e
 }
 
-// answered ends the forwards of a call by its answer. The first line of a 200
+// endAnswered ends the forwards of a call by its answer. The first line of a 200
 // is enough for a single message; all else must have come whole.
-func (f *flight) answered(r reply, err error) {
-	if f.alone(r.first) {
+func (f *inFlightCall) endAnswered(r response, err error) {
+	if f.statusSuffices(r.firstStatus) {
 		r.status, err = http.StatusOK, nil
 	}
 	if err != nil {
-		f.lost(err)
+		f.endUnanswered(err)
 		return
 	}
-	status, e := r.status, endOf(r)
+	status, e := r.status, resultOfResponse(r)
 	if e.Result == control.Unprocessable {
-		f.log.Error("target rejects a call", "target", f.call.Target.ID, "status", status, "messages", len(f.forwards))
+		f.log.Error("target rejects a call", "target", f.call.Target.ID, "status", status, "messages", len(f.attempts))
 	}
-	if status != http.StatusOK || len(f.forwards) == 1 {
-		f.end(func(*state.Attempt) (state.AttemptResult, bool) { return e, true })
+	if status != http.StatusOK || len(f.attempts) == 1 {
+		f.endEach(func(*state.Attempt) (state.AttemptResult, bool) { return e, true })
 		return
 	}
-	said := parseEnds(r.body)
-	for _, w := range f.forwards {
+	said := parseResults(r.body)
+	for _, w := range f.attempts {
 		if _, named := said[w.Message.ID]; !named {
-			f.lost(errMalformed)
+			f.endUnanswered(errMalformedResponse)
 			return
 		}
 	}
-	f.end(func(w *state.Attempt) (state.AttemptResult, bool) {
+	f.endEach(func(w *state.Attempt) (state.AttemptResult, bool) {
 		each := said[w.Message.ID]
 		each.RetryAfter = e.RetryAfter
 		return each, true
 	})
 }
 
-// parseEnds reads the lines with each message's end. Where one can't be read
+// parseResults reads the lines with each message's end. Where one can't be read
 // or names a message twice, none of the others is to be believed.
-func parseEnds(body []byte) map[string]state.AttemptResult {
+func parseResults(body []byte) map[string]state.AttemptResult {
 	ends := map[string]state.AttemptResult{}
 	for line := range bytes.Lines(body) {
 		w := strings.Fields(string(line))
--- a/internal/protocol/reset_test.go
+++ b/internal/protocol/reset_test.go
@@ -34,14 +34,14 @@
 // A connection that is reset once so many bytes of a call have come, on a new connection and on a kept one: all bytes
 // had left, so the call may have run, and none of its messages is taken for one that has not.
 func TestResetUnderCall(t *testing.T) {
-	f := &flight{call: callTo("127.0.0.1:99999", time.Minute, "a", "b")}
-	f.forwards = f.call.Attempts
+	f := &inFlightCall{call: callTo("127.0.0.1:99999", time.Minute, "a", "b")}
+	f.attempts = f.call.Attempts
 	f.ctx = t.Context()
-	head, body := f.encode()
+	head, body := f.encodeRequest()
 	for _, kept := range []bool{false, true} {
 		for _, n := range []int{1, len(head), len(head) + 1, len(head) + len(body) - 1, len(head) + len(body)} {
-			p := newPosts()
-			s := NewTransport(p, time.Minute, 8, quiet)
+			p := newEventRecorder()
+			s := NewTransport(p, time.Minute, 8, discardLog)
 			addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
 				in := bufio.NewReader(conn)
 				if kept {
@@ -68,7 +68,7 @@
 
 // A target closes a connection that lay idle after the look at it and before the write. What was written there may have
 // been read: it counts as run. Where no byte could leave any more it has not run, and may go again.
-func TestClosedAfterTheLook(t *testing.T) {
+func TestClosedAfterStaleCheck(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(*net.TCPConn)
@@ -78,8 +78,8 @@
 		{"half-closed", func(conn *net.TCPConn) { conn.CloseWrite() }, control.ConnectionLost},
 		{"reset", reset, control.ConnectFailed},
 	} {
-		p := newPosts()
-		s := NewTransport(p, time.Minute, 8, quiet)
+		p := newEventRecorder()
+		s := NewTransport(p, time.Minute, 8, discardLog)
 		conns := make(chan *net.TCPConn, 4)
 		addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
 			in := bufio.NewReader(conn)
@@ -92,18 +92,18 @@
 			t.Fatalf("%+v", e)
 		}
 		call := callTo(addr, time.Minute, "a")
-		f := &flight{Transport: s, call: call, ended: make([]bool, 1), forwards: call.Attempts}
+		f := &inFlightCall{Transport: s, call: call, ended: make([]bool, 1), attempts: call.Attempts}
 		f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 		defer f.cancel()
-		l, err := f.connection() // it looks...
+		l, err := f.openConnection() // it looks...
 		if err != nil || len(conns) != 1 {
 			t.Fatalf("%s: %v, %d connections", c.name, err, len(conns))
 		}
 		c.end(<-conns)
-		for l.quiet() { // ...and the end comes
+		for l.openWithoutInput() { // ...and the end comes
 			time.Sleep(time.Millisecond)
 		}
-		f.carry(l)
+		f.transmit(l)
 		if e := next[state.CallEnded](t, p).Results[0]; e.Result != c.want {
 			t.Errorf("%s: %+v, want %v", c.name, e, c.want)
 		}
@@ -115,10 +115,10 @@
 
 // Bytes behind an answer are nobody's: a second answer that came with the first is not the next call's, whose
 // connection is another one.
-func TestSecondAnswer(t *testing.T) {
+func TestUnsolicitedResponse(t *testing.T) {
 	for _, stray := range []string{socktest.Status(200), "HTTP/1.1 2", "\r\n"} {
-		p := newPosts()
-		s := NewTransport(p, time.Minute, 8, quiet)
+		p := newEventRecorder()
+		s := NewTransport(p, time.Minute, 8, discardLog)
 		addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
 			if conn == 0 {
 				return socktest.Status(200) + stray
@@ -134,24 +134,24 @@
 	}
 }
 
-// abandoner calls a call off in the instant in which its end is posted.
-type abandoner struct {
-	*posts
+// cancelOnEnd calls a call off in the instant in which its end is posted.
+type cancelOnEnd struct {
+	*eventRecorder
 	s *Transport
 }
 
-func (a *abandoner) Post(e state.Event) {
+func (a *cancelOnEnd) Post(e state.Event) {
 	if e, ok := e.(state.CallEnded); ok {
 		a.s.Cancel(e.Call)
 	}
-	a.posts.Post(e)
+	a.eventRecorder.Post(e)
 }
 
 // A call given up in the instant of its answer ends once: before the answer as called off, with the answer as it says,
 // and between the two as either. The connection of one that was answered serves the next call.
-func TestAbandonedAsAnswered(t *testing.T) {
-	p := &abandoner{posts: newPosts()}
-	s := NewTransport(p, time.Minute, 8, quiet)
+func TestCancelDuringResponse(t *testing.T) {
+	p := &cancelOnEnd{eventRecorder: newEventRecorder()}
+	s := NewTransport(p, time.Minute, 8, discardLog)
 	p.s = s
 	var call *state.Call
 	when := ""
@@ -161,7 +161,7 @@
 		switch when {
 		case "before":
 			s.Cancel(call)
-			s.settle()
+			s.waitUntilIdle()
 		case "between":
 			s.Cancel(call)
 		}
@@ -179,36 +179,36 @@
 		{"between", []control.Result{control.Canceled, control.Served}, true},
 	} {
 		call, when = callTo(addr, time.Minute, "a"), c.when
-		last := s.pool.count
+		last := s.pool.idleCount
 		s.Send(call)
-		ends := next[state.CallEnded](t, p.posts).Results
+		ends := next[state.CallEnded](t, p.eventRecorder).Results
 		if len(ends) != 1 || !slices.Contains(c.want, ends[0].Result) || c.kept != (last == 1) {
 			t.Errorf("%s: %+v, want one of %v; %d connections kept before", c.when, ends, c.want, last)
 		}
 		<-conns
-		s.settle() // whatever it still did is done
+		s.waitUntilIdle() // whatever it still did is done
 		if len(p.events) > 0 {
 			t.Errorf("%s: ended again: %+v", c.when, <-p.events)
 		}
 	}
 }
 
-// settle waits until no call is on its way.
-func (s *Transport) settle() {
-	for s.flying() > 0 {
+// waitUntilIdle waits until no call is on its way.
+func (s *Transport) waitUntilIdle() {
+	for s.inFlightCount() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// flying is how many calls are on their way.
-func (s *Transport) flying() int {
+// inFlightCount is how many calls are on their way.
+func (s *Transport) inFlightCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.live)
+	return len(s.inFlight)
 }
 
 // An answer of the old address that comes after a move is not the list: the new address is asked, for the whole one.
-func TestAnswerOfTheOldAddress(t *testing.T) {
+func TestResponseFromOldAddress(t *testing.T) {
 	list := func(id string) string {
 		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"` + id + `","state":"up","cell":1}]}`)
 	}
@@ -224,8 +224,8 @@
 		}
 		return list("new")
 	})
-	p := newPosts()
-	d := NewDiscovery(p, DiscoveryConfig{Addr: old, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: quiet})
+	p := newEventRecorder()
+	d := NewDiscovery(p, DiscoveryConfig{Addr: old, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: discardLog})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); d.Run(ctx) }()
@@ -241,7 +241,7 @@
 
 // What the address after a move has to tell counts as told 4 s later, so that a first question there which is not answered is
 // asked again here, soon, and is no failed ask of which the controller says when to repeat it.
-func TestMoveToASlowAddress(t *testing.T) {
+func TestSetAddressToSlowServer(t *testing.T) {
 	old := socktest.Serve(t, func(int, *http.Request, string) string { return socktest.Hang })
 	var asked atomic.Int32
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
@@ -256,8 +256,8 @@
 		}
 		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"new","state":"up","cell":1}]}`)
 	})
-	p := newPosts()
-	d := NewDiscovery(p, DiscoveryConfig{Addr: old, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second, DrainGrace: 2 * time.Second, Log: quiet})
+	p := newEventRecorder()
+	d := NewDiscovery(p, DiscoveryConfig{Addr: old, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second, DrainGrace: 2 * time.Second, Log: discardLog})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); d.Run(ctx) }()
--- a/internal/protocol/send.go
+++ b/internal/protocol/send.go
@@ -24,27 +24,27 @@
 
 // Transport carries calls and probes to targets.
 type Transport struct {
-	post   EventPoster
+	events   EventPoster
 	log    *slog.Logger
-	pool   *pool
-	probes chan struct{} // holds a token for each probe out
-	dial   func(ctx context.Context, addr string) (*link, error)
+	pool   *connPool
+	healthChecks chan struct{} // holds a token for each probe out
+	dial   func(ctx context.Context, addr string) (*bufferedConn, error)
 
 	mu   sync.Mutex
-	live map[*state.Call]*flight
+	inFlight map[*state.Call]*inFlightCall
 }
 
 var _ state.Transport = (*Transport)(nil)
 
-// maxProbes bounds the probes out at once.
-const maxProbes = 32
+// maxHealthChecks bounds the probes out at once.
+const maxHealthChecks = 32
 
 // NewTransport returns a sender whose connections may lie idle for so long at
 // the target, and which keeps so many at most.
 func NewTransport(post EventPoster, idle time.Duration, most int, log *slog.Logger) *Transport {
 	return &Transport{
-		post: post, log: log, pool: newPool(idle, most), probes: make(chan struct{}, maxProbes), dial: dial,
-		live: map[*state.Call]*flight{},
+		events: post, log: log, pool: newConnPool(idle, most), healthChecks: make(chan struct{}, maxHealthChecks), dial: dial,
+		inFlight: map[*state.Call]*inFlightCall{},
 	}
 }
 
@@ -61,15 +61,15 @@
 		}
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), last)
-	f := &flight{Transport: s, call: c, ctx: ctx, cancel: cancel, began: time.Now(), forwards: c.Attempts, ended: make([]bool, len(c.Attempts))}
+	f := &inFlightCall{Transport: s, call: c, ctx: ctx, cancel: cancel, startedAt: time.Now(), attempts: c.Attempts, ended: make([]bool, len(c.Attempts))}
 	s.mu.Lock()
-	s.live[c] = f
+	s.inFlight[c] = f
 	s.mu.Unlock()
 	go func() {
 		defer cancel()
-		f.fly()
+		f.run()
 		s.mu.Lock()
-		delete(s.live, c)
+		delete(s.inFlight, c)
 		s.mu.Unlock()
 	}()
 }
@@ -78,7 +78,7 @@
 func (s *Transport) Cancel(c *state.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.live[c]; f != nil {
+	if f := s.inFlight[c]; f != nil {
 		f.cancel()
 	}
 }
@@ -87,137 +87,137 @@
 func (s *Transport) CancelUnsent(c *state.Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f := s.live[c]; f != nil && f.stage.CompareAndSwap(connecting, withheld) {
+	if f := s.inFlight[c]; f != nil && f.state.CompareAndSwap(connecting, canceledUnsent) {
 		f.cancel()
 	}
 }
 
 // Disconnect closes the idle connections to a target.
-func (s *Transport) Disconnect(target string) { s.pool.drop(target) }
+func (s *Transport) Disconnect(target string) { s.pool.closeIdle(target) }
 
 // HealthCheck asks a target how it is, on a goroutine of its own.
 func (s *Transport) HealthCheck(t state.Target, deadline time.Time) {
 	select {
-	case s.probes <- struct{}{}:
+	case s.healthChecks <- struct{}{}:
 	default:
-		go s.post.Post(state.HealthChecked{Target: t.Endpoint.ID, Result: control.Unknown})
+		go s.events.Post(state.HealthChecked{Target: t.Endpoint.ID, Result: control.Unknown})
 		return
 	}
 	go func() {
-		defer func() { <-s.probes }()
+		defer func() { <-s.healthChecks }()
 		began := time.Now()
-		r := s.probe(t, deadline)
-		s.post.Post(state.HealthChecked{Target: t.Endpoint.ID, Result: r, Elapsed: time.Since(began)})
+		r := s.checkHealth(t, deadline)
+		s.events.Post(state.HealthChecked{Target: t.Endpoint.ID, Result: r, Elapsed: time.Since(began)})
 	}()
 }
 
-func (s *Transport) probe(t state.Target, deadline time.Time) control.Result {
+func (s *Transport) checkHealth(t state.Target, deadline time.Time) control.Result {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	l, err := s.connect(ctx, t)
 	if err != nil {
 		return control.ConnectFailed
 	}
-	d := dialog{addr: t.Addr, link: l}
-	said, err := d.ask(ctx, http.MethodGet, "/ping", nil, deadline)
+	d := httpClient{addr: t.Addr, conn: l}
+	said, err := d.do(ctx, http.MethodGet, "/ping", nil, deadline)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return control.TimedOut
 	case err != nil:
 		return control.ConnectionLost
 	}
-	if d.link != nil {
-		s.pool.put(t.ID, d.link)
+	if d.conn != nil {
+		s.pool.put(t.ID, d.conn)
 	}
-	return resultOf(said.status)
+	return resultOfStatus(said.status)
 }
 
 // connect takes a connection that lies idle, or opens one.
-func (s *Transport) connect(ctx context.Context, t state.Target) (*link, error) {
+func (s *Transport) connect(ctx context.Context, t state.Target) (*bufferedConn, error) {
 	if l := s.pool.get(t.ID, t.Addr); l != nil {
 		return l, nil
 	}
 	return s.dial(ctx, t.Addr)
 }
 
-// A flight is one call on its way.
-type flight struct {
+// A inFlightCall is one call on its way.
+type inFlightCall struct {
 	*Transport
 	call   *state.Call
 	ctx    context.Context
 	cancel context.CancelFunc
-	began  time.Time
-	left   time.Time // when its first byte was written; zero: not yet
-	stage  atomic.Int32
+	startedAt  time.Time
+	sentAt   time.Time // when its first byte was written; zero: not yet
+	state  atomic.Int32
 
-	forwards []*state.Attempt // of the call, those that go out with it...
+	attempts []*state.Attempt // of the call, those that go out with it...
 	ended    []bool           // ...and which of them have ended
 }
 
 // The stages of a flight, of which it leaves the first one for one of the others.
 const (
 	connecting int32 = iota
-	leaving
-	withheld
+	sending
+	canceledUnsent
 )
 
-// fly sends the call and waits for its answer.
-func (f *flight) fly() {
+// run sends the call and waits for its answer.
+func (f *inFlightCall) run() {
 	t := f.call.Target
 	// Before the last byte is written nothing has run, whatever went wrong.
-	l, err := f.connection()
-	if !f.stage.CompareAndSwap(connecting, leaving) {
+	l, err := f.openConnection()
+	if !f.state.CompareAndSwap(connecting, sending) {
 		if err == nil {
 			f.pool.put(t.ID, l)
 		}
-		f.all(control.NotSent)
+		f.endAll(control.NotSent)
 		return
 	}
 	if err != nil {
-		f.all(control.ConnectFailed)
+		f.endAll(control.ConnectFailed)
 		return
 	}
-	if !f.load() {
+	if !f.dropEnded() {
 		f.pool.put(t.ID, l)
 		return
 	}
-	f.carry(l)
+	f.transmit(l)
 }
 
-// carry sends the call on a connection that is up, and waits for its answer.
-func (f *flight) carry(l *link) {
-	stop := watch(f.ctx, l)
-	if !f.write(l) {
-		e := f.early(l)
+// transmit sends the call on a connection that is up, and waits for its answer.
+func (f *inFlightCall) transmit(l *bufferedConn) {
+	stop := interruptOnDone(f.ctx, l)
+	if !f.writeRequest(l) {
+		e := f.resultBeforeSent(l)
 		stop()
 		l.Close()
-		f.end(func(*state.Attempt) (state.AttemptResult, bool) { return e, true })
+		f.endEach(func(*state.Attempt) (state.AttemptResult, bool) { return e, true })
 		return
 	}
-	r, err := f.relay(l)
+	r, err := f.readResponse(l)
 	// The connection first, then the news: with the news comes the next call to
 	// this target, which should find the connection idle and the slot free.
 	l.SetReadDeadline(time.Time{})
-	if stop() && err == nil && !r.last {
+	if stop() && err == nil && !r.closes {
 		f.pool.put(f.call.Target.ID, l)
 	} else {
 		l.Close()
 	}
-	f.answered(r, err)
+	f.endAnswered(r, err)
 }
 
-// connection takes a connection that lies idle, or opens one. It may come up late: forwards that must not leave any
+// openConnection takes a connection that lies idle, or opens one. It may come up late: forwards that must not leave any
 // more end as those that got none, and the others wait on.
-func (f *flight) connection() (*link, error) {
+func (f *inFlightCall) openConnection() (*bufferedConn, error) {
 	t := f.call.Target
-	defer f.overdue(control.ConnectFailed, leaveBy) // nothing goes out after its time
+	defer f.endOverdue(control.ConnectFailed, sendDeadline) // nothing goes out after its time
 	if l := f.pool.get(t.ID, t.Addr); l != nil {
 		return l, nil
 	}
 	dialing, cancel := context.WithDeadline(f.ctx, f.call.ConnectBy)
 	defer cancel()
 	type dialed struct {
-		l   *link
+		l   *bufferedConn
 		err error
 	}
 	up := make(chan dialed, 1)
@@ -227,65 +227,65 @@
 	}()
 	for {
 		var late <-chan time.Time
-		if next, ok := f.next(leaveBy); ok {
+		if next, ok := f.nextDeadline(sendDeadline); ok {
 			late = time.After(time.Until(next))
 		}
 		select {
 		case d := <-up:
 			return d.l, d.err
 		case <-late:
-			f.overdue(control.ConnectFailed, leaveBy)
+			f.endOverdue(control.ConnectFailed, sendDeadline)
 		}
 	}
 }
 
-// load leaves out the forwards that ended before the call goes out, and tells whether any is left.
-func (f *flight) load() bool {
+// dropEnded leaves out the forwards that ended before the call goes out, and tells whether any is left.
+func (f *inFlightCall) dropEnded() bool {
 	var live []*state.Attempt // the call's own list is the loop's
-	for i, w := range f.forwards {
+	for i, w := range f.attempts {
 		if !f.ended[i] {
 			live = append(live, w)
 		}
 	}
-	f.forwards, f.ended = live, make([]bool, len(live))
+	f.attempts, f.ended = live, make([]bool, len(live))
 	return len(live) > 0
 }
 
-// write writes the call, and tells whether its last byte was written, from when on it may have run. A forward whose
+// writeRequest writes the call, and tells whether its last byte was written, from when on it may have run. A forward whose
 // time comes in the middle of it ends the whole call: it can't be taken out any more.
-func (f *flight) write(l *link) bool {
-	head, body := f.encode()
-	next, _ := f.next(leaveBy)
+func (f *inFlightCall) writeRequest(l *bufferedConn) bool {
+	head, body := f.encodeRequest()
+	next, _ := f.nextDeadline(sendDeadline)
 	l.SetWriteDeadline(next)
 	if f.ctx.Err() != nil { // it ended while the deadline was moved
 		return false
 	}
-	f.left = time.Now()
+	f.sentAt = time.Now()
 	n, err := l.Write(append(head, body...))
 	return err == nil || n == len(head)+len(body)
 }
 
-// early is the end of a call that was broken off before its last byte was written. It has not run. What the target has
+// resultBeforeSent is the end of a call that was broken off before its last byte was written. It has not run. What the target has
 // answered by then may tell that it turns calls away, and a wait that binds.
-func (f *flight) early(l *link) state.AttemptResult {
+func (f *inFlightCall) resultBeforeSent(l *bufferedConn) state.AttemptResult {
 	e := state.AttemptResult{Result: control.ConnectFailed}
 	if f.ctx.Err() != nil {
 		return e
 	}
-	l.limit.N = maxHead
-	r, err := l.answer(http.MethodPost, state.MaxBody, func(int) time.Time { return time.Now().Add(tailSpan) })
-	if f.ctx.Err() != nil || err != nil || resultOf(r.status) != control.Rejected {
+	l.readLimit.N = maxHeaderBytes
+	r, err := l.readResponse(http.MethodPost, state.MaxBody, func(int) time.Time { return time.Now().Add(servedTailTimeout) })
+	if f.ctx.Err() != nil || err != nil || resultOfStatus(r.status) != control.Rejected {
 		return e
 	}
-	return endOf(r)
+	return resultOfResponse(r)
 }
 
-// encode writes a single call, or one of several messages as frames.
-func (f *flight) encode() (head, body []byte) {
+// encodeRequest writes a single call, or one of several messages as frames.
+func (f *inFlightCall) encodeRequest() (head, body []byte) {
 	var h bytes.Buffer
 	c := f.call
-	if len(f.forwards) == 1 {
-		m := f.forwards[0].Message
+	if len(f.attempts) == 1 {
+		m := f.attempts[0].Message
 		h.WriteString("POST /receive HTTP/1.1\r\nHost: " + c.Target.Addr + "\r\nX-Request-Id: " + m.ID + "\r\n")
 		if m.Key != "" {
 			h.WriteString("Idempotency-Key: " + m.Key + "\r\n")
@@ -293,16 +293,16 @@
 		body = m.Body
 	} else {
 		h.WriteString("POST /receive-many HTTP/1.1\r\nHost: " + c.Target.Addr + "\r\n")
-		body = encodeFrames(f.forwards)
+		body = encodeBatch(f.attempts)
 	}
 	deadline, _ := f.ctx.Deadline()
-	h.WriteString("X-Deadline: " + seconds(time.Until(deadline)) + "\r\n")
+	h.WriteString("X-Deadline: " + formatSeconds(time.Until(deadline)) + "\r\n")
 	h.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n")
 	return h.Bytes(), body
 }
 
-// encodeFrames writes each message as a line with id, key and length and its bytes.
-func encodeFrames(forwards []*state.Attempt) []byte {
+// encodeBatch writes each message as a line with id, key and length and its bytes.
+func encodeBatch(forwards []*state.Attempt) []byte {
 	var b bytes.Buffer
 	for _, f := range forwards {
 		key := f.Message.Key
--- a/internal/protocol/silence_test.go
+++ b/internal/protocol/silence_test.go
@@ -17,7 +17,7 @@
 
 // A watch that falls silent is opened anew, without a wait: before an answer so that what it missed is known within the
 // 6 s after which that counts as told, in an answer within a second, as what has begun to come counts as told at once.
-func TestSilentWatch(t *testing.T) {
+func TestUnresponsivePoll(t *testing.T) {
 	answer := socktest.JSON(changedList)
 	for _, c := range []struct {
 		name, first string
@@ -43,8 +43,8 @@
 				}
 				return answer
 			})
-			p := newPosts()
-			d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: quiet})
+			p := newEventRecorder()
+			d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: discardLog})
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan struct{})
 			go func() { defer close(ended); d.Run(ctx) }()
@@ -73,11 +73,11 @@
 }
 
 // A discovery that stays silent is a failed ask to the controller, which says when to ask again.
-func TestSilentDiscovery(t *testing.T) {
+func TestUnresponsiveDiscovery(t *testing.T) {
 	asked := make(chan struct{}, 8)
 	addr := socktest.Serve(t, func(int, *http.Request, string) string { asked <- struct{}{}; return socktest.Hang })
-	p := newPosts()
-	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Millisecond, PollSpread: 0, Log: quiet})
+	p := newEventRecorder()
+	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Millisecond, PollSpread: 0, Log: discardLog})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); d.Run(ctx) }()
@@ -89,7 +89,7 @@
 }
 
 // A list older than the one known does not take its place: the whole list is asked for, and holds whatever its version.
-func TestOlderList(t *testing.T) {
+func TestOlderListVersion(t *testing.T) {
 	asked := make(chan string, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		asked <- r.URL.RawQuery
@@ -101,8 +101,8 @@
 		}
 		return socktest.JSON(`{"version":2,"full":true,"servers":[{"id":"b","state":"up","cell":1}]}`)
 	})
-	p := newPosts()
-	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: quiet})
+	p := newEventRecorder()
+	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: discardLog})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); d.Run(ctx) }()
@@ -120,7 +120,7 @@
 }
 
 // A notice on a connection that has fallen silent goes again on a new one in time: it is due 300 ms after its message's.
-func TestNoticeOnSilentConnection(t *testing.T) {
+func TestReportOnUnresponsiveConnection(t *testing.T) {
 	told := make(chan int, 8)
 	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
 		told <- conn
@@ -129,8 +129,8 @@
 		}
 		return socktest.Status(204)
 	})
-	p := newPosts()
-	n := NewReporter(p, addr, quiet)
+	p := newEventRecorder()
+	n := NewReporter(p, addr, discardLog)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); n.Run(ctx) }()
@@ -150,12 +150,12 @@
 
 // Of an answer that broke off, the targets that are named whole as draining or gone are known, and one that could only
 // have told the version that is known has told nothing.
-func TestPartOfAList(t *testing.T) {
+func TestTruncatedList(t *testing.T) {
 	const list = `{"version":41,"full":false,"servers":[{"id":"a","state":"draining","cell":1},{"id":"b","state":"up","cell":1},{"id":"c","state":"removed","cell":1}]}`
 	for cut := range len(list) {
 		part := []byte(list[:cut])
 		var ids string
-		for _, target := range leavingOf(part, testNames) {
+		for _, target := range parseDraining(part, testNames) {
 			ids += target.ID
 		}
 		want := ""
@@ -168,10 +168,10 @@
 		if ids != want {
 			t.Errorf("of %s: %q leave, want %q", part, ids, want)
 		}
-		if is, want := tellsNothing(part, 41), cut > strings.Index(list, "41,")+2; is != want {
+		if is, want := isUnchanged(part, 41), cut > strings.Index(list, "41,")+2; is != want {
 			t.Errorf("%s tells nothing new: %t", part, is)
 		}
-		if tellsNothing(part, 4) {
+		if isUnchanged(part, 4) {
 			t.Errorf("%s is taken for version 4", part)
 		}
 	}
@@ -179,7 +179,7 @@
 
 // A platform that could not be reached for a while is told soon after it can be: a notice is due 300 ms after the time of
 // its message, which may fall into that while.
-func TestNoticeSoonAfterThePlatformIsBack(t *testing.T) {
+func TestReportAfterPlatformRecovers(t *testing.T) {
 	var back atomic.Pointer[time.Time]
 	told := make(chan time.Time, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
@@ -189,8 +189,8 @@
 		told <- time.Now()
 		return socktest.Status(204)
 	})
-	p := newPosts()
-	n := NewReporter(p, addr, quiet)
+	p := newEventRecorder()
+	n := NewReporter(p, addr, discardLog)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { defer close(ended); n.Run(ctx) }()
@@ -206,11 +206,11 @@
 
 // In a large fleet the list is known once the watch after a rest has been open for a while. A watch that ends later was
 // received; one that is refused at once leaves what was told before it unknown.
-func TestWatchAfterARest(t *testing.T) {
+func TestPollAfterPause(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		open time.Duration // before it is refused
-	}{{"ends later", listSpan + 200*time.Millisecond}, {"is refused", 0}} {
+	}{{"ends later", pollTimeout + 200*time.Millisecond}, {"is refused", 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
@@ -220,8 +220,8 @@
 				time.Sleep(c.open)
 				return socktest.Status(http.StatusServiceUnavailable)
 			})
-			p := newPosts()
-			d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 100 * time.Millisecond, DrainGrace: 2 * time.Second, Log: quiet})
+			p := newEventRecorder()
+			d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 100 * time.Millisecond, DrainGrace: 2 * time.Second, Log: discardLog})
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan struct{})
 			go func() { defer close(ended); d.Run(ctx) }()
--- a/internal/protocol/socket_test.go
+++ b/internal/protocol/socket_test.go
@@ -18,26 +18,26 @@
 	"cleathold/internal/state"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// posts collects what is posted; the listener's side answers each message as told.
-type posts struct {
+// eventRecorder collects what is posted; the listener's side answers each message as told.
+type eventRecorder struct {
 	events  chan state.Event
-	verdict state.Response
+	response state.Response
 }
 
-func newPosts() *posts { return &posts{events: make(chan state.Event, 64)} }
+func newEventRecorder() *eventRecorder { return &eventRecorder{events: make(chan state.Event, 64)} }
 
-func (p *posts) Post(e state.Event) { p.events <- e }
+func (p *eventRecorder) Post(e state.Event) { p.events <- e }
 
-func (p *posts) PostBefore(e state.Event, _ time.Time) bool {
+func (p *eventRecorder) PostBefore(e state.Event, _ time.Time) bool {
 	p.events <- e
-	e.(state.Submitted).Response <- p.verdict
+	e.(state.Submitted).Response <- p.response
 	return true
 }
 
 // next waits for an event; only a hang makes it fail.
-func next[T any](t *testing.T, p *posts) T {
+func next[T any](t *testing.T, p *eventRecorder) T {
 	t.Helper()
 	select {
 	case e := <-p.events:
@@ -59,7 +59,7 @@
 }
 
 // Each way in which a call can end has its outcome.
-func TestForwardOutcomes(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		limit        time.Duration
@@ -78,7 +78,7 @@
 		{"not for it", socktest.Status(400), time.Minute, state.AttemptResult{Result: control.Unprocessable}},
 		{"no HTTP", "what?\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
 		{"noise without end", "what?", time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"head without end", "HTTP/1.1 503 x\r\nA: " + strings.Repeat("x", 2*maxHead+state.MaxBody), time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"head without end", "HTTP/1.1 503 x\r\nA: " + strings.Repeat("x", 2*maxHeaderBytes+state.MaxBody), time.Minute, state.AttemptResult{Result: control.Failed}},
 		{"head left off", "HTTP/1.1 503 x\r\nRetry-After: 1\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
 		{"body left off", "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\nx", time.Minute, state.AttemptResult{Result: control.Failed}},
 		{"served, then noise", "HTTP/1.1 200 x\r\nwhat\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
@@ -86,14 +86,14 @@
 		{"served, body left off", "HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nx", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
 		{"no such status", "HTTP/1.1 2000 x\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
 		{"news first", "HTTP/1.1 103 x\r\n\r\n" + socktest.Status(500), time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"news without end", strings.Repeat("HTTP/1.1 103 x\r\n\r\n", maxHead+state.MaxBody), time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"news without end", strings.Repeat("HTTP/1.1 103 x\r\n\r\n", maxHeaderBytes+state.MaxBody), time.Minute, state.AttemptResult{Result: control.Failed}},
 		{"reset", "", time.Minute, state.AttemptResult{Result: control.ConnectionLost}},
 		{"hang", "hang", 500 * time.Millisecond, state.AttemptResult{Result: control.TimedOut}},
 		{"called off", "hang", time.Minute, state.AttemptResult{Result: control.Canceled}},
 		{"refused", "shut", time.Minute, state.AttemptResult{Result: control.ConnectFailed}},
 	} {
-		p := newPosts()
-		s := NewTransport(p, time.Minute, 8, quiet)
+		p := newEventRecorder()
+		s := NewTransport(p, time.Minute, 8, discardLog)
 		got := make(chan struct{}, 1)
 		addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
 			if r.URL.Path != "/receive" || r.Header.Get("X-Request-Id") != "a" || r.Header.Get("Idempotency-Key") != "k-a" || body != "body of a" {
@@ -123,9 +123,9 @@
 }
 
 // A call withheld before its connection is up never leaves; one that has left goes on.
-func TestWithhold(t *testing.T) {
-	p := newPosts()
-	s := NewTransport(p, time.Minute, 8, quiet)
+func TestCancelUnsent(t *testing.T) {
+	p := newEventRecorder()
+	s := NewTransport(p, time.Minute, 8, discardLog)
 	got, goOn := make(chan string, 2), make(chan struct{})
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		got <- r.Header.Get("X-Request-Id")
@@ -136,12 +136,12 @@
 	s.Send(left)
 	<-got
 	s.CancelUnsent(left)
-	f := &flight{Transport: s, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
-	f.forwards = f.call.Attempts
+	f := &inFlightCall{Transport: s, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
+	f.attempts = f.call.Attempts
 	f.ctx, f.cancel = context.WithCancel(t.Context())
-	s.live[f.call] = f
+	s.inFlight[f.call] = f
 	s.CancelUnsent(f.call)
-	f.fly()
+	f.run()
 	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.NotSent || e.Final {
 		t.Errorf("withheld: %+v", e)
 	}
@@ -153,9 +153,9 @@
 
 // Messages of one call have an end each; one whose own time is up first ends
 // alone, and the others still get theirs.
-func TestBatchEnds(t *testing.T) {
-	p := newPosts()
-	s := NewTransport(p, time.Minute, 8, quiet)
+func TestBatchResults(t *testing.T) {
+	p := newEventRecorder()
+	s := NewTransport(p, time.Minute, 8, discardLog)
 	goOn := make(chan struct{})
 	addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
 		if r.URL.Path != "/receive-many" || !strings.HasPrefix(body, "a k-a 9\r\nbody of a\r\nb k-b 9\r\n") {
@@ -181,7 +181,7 @@
 
 // A spoilt answer to several messages ends them all alike, at once, and its
 // connection is not used again.
-func TestBatchSpoilt(t *testing.T) {
+func TestMalformedBatchResponse(t *testing.T) {
 	for _, answer := range []string{
 		"HTTP/1.1 200 x\r\nContent-Length: 13\r\n\r\na delivered\r\n", // nothing of b
 		"HTTP/1.1 200 x\r\nContent-Length: 90\r\n\r\na delivered\r\nb deli",
@@ -189,8 +189,8 @@
 		socktest.JSON("a delivered\r\na delivered\r\nb delivered\r\n"),
 		socktest.JSON("a deliv\r\nb delivered\r\n"),
 	} {
-		p := newPosts()
-		s := NewTransport(p, time.Minute, 8, quiet)
+		p := newEventRecorder()
+		s := NewTransport(p, time.Minute, 8, discardLog)
 		s.Send(callTo(socktest.Serve(t, func(int, *http.Request, string) string { return answer }), time.Minute, "a", "b"))
 		ends := next[state.CallEnded](t, p).Results
 		if len(ends) != 2 || ends[0].Result != control.Failed || ends[1].Result != control.Failed {
@@ -202,8 +202,8 @@
 // A connection is used again, unless its target has closed it meanwhile: a
 // request written to that one would be lost.
 func TestConnectionReuse(t *testing.T) {
-	p := newPosts()
-	s := NewTransport(p, time.Minute, 8, quiet)
+	p := newEventRecorder()
+	s := NewTransport(p, time.Minute, 8, discardLog)
 	conns := make(chan int, 8)
 	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
 		conns <- conn
@@ -225,10 +225,10 @@
 	}
 }
 
-// listener starts a listener over the posts.
-func listener(t *testing.T, p *posts) *Listener {
+// startListener starts a listener over the posts.
+func startListener(t *testing.T, p *eventRecorder) *Listener {
 	t.Helper()
-	l, err := Listen("127.0.0.1:0", p, testNames, testClasses, 4, 3, quiet)
+	l, err := Listen("127.0.0.1:0", p, testNames, testClasses, 4, 3, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,33 +237,33 @@
 	return l
 }
 
-const handIn = "POST /status HTTP/1.1\r\nHost: h\r\nX-Request-Id: i\r\nX-Tenant: acme\r\nX-Deadline: 1\r\nX-Addressing: dest=1\r\nContent-Length: 2\r\n\r\nhi"
+const submission = "POST /status HTTP/1.1\r\nHost: h\r\nX-Request-Id: i\r\nX-Tenant: acme\r\nX-Deadline: 1\r\nX-Addressing: dest=1\r\nContent-Length: 2\r\n\r\nhi"
 
 // Every request that can be read gets an answer, and malformed ones hurt nobody.
-func TestListenerAnswers(t *testing.T) {
-	p := newPosts()
-	l := listener(t, p)
+func TestListenerResponses(t *testing.T) {
+	p := newEventRecorder()
+	l := startListener(t, p)
 	for _, c := range []struct {
 		name, send string
 		verdict    state.Response
 		status     int
 		again      string
 	}{
-		{"taken", handIn, state.Response{Accepted: true}, 202, ""},
-		{"refused", handIn, state.Response{RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
-		{"failed", handIn, state.Response{Permanent: true}, 500, ""},
-		{"nowhere to go", handIn, state.Response{Invalid: state.UnknownDestination}, 400, ""},
-		{"id in use", handIn, state.Response{Invalid: state.DuplicateID}, 409, ""},
-		{"bad", strings.Replace(handIn, "dest=1", "dest=", 1), state.Response{}, 400, ""},
+		{"taken", submission, state.Response{Accepted: true}, 202, ""},
+		{"refused", submission, state.Response{RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{"failed", submission, state.Response{Permanent: true}, 500, ""},
+		{"nowhere to go", submission, state.Response{Invalid: state.UnknownDestination}, 400, ""},
+		{"id in use", submission, state.Response{Invalid: state.DuplicateID}, 409, ""},
+		{"bad", strings.Replace(submission, "dest=1", "dest=", 1), state.Response{}, 400, ""},
 		{"no HTTP", "what is this\r\n\r\n", state.Response{}, 400, ""},
-		{"head too large", "GET /_health HTTP/1.1\r\nA: " + strings.Repeat("x", maxHead), state.Response{}, 431, ""},
-		{"body too large", strings.Replace(handIn, "Length: 2", "Length: 99999", 1), state.Response{}, 413, ""},
-		{"chunked", strings.Replace(handIn, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 1), state.Response{}, 411, ""},
-		{"id twice", strings.Replace(handIn, "X-Tenant", "X-Request-Id: j\r\nX-Tenant", 1), state.Response{}, 400, ""},
-		{"older HTTP", strings.Replace(handIn, "HTTP/1.1", "HTTP/1.0", 1), state.Response{}, 505, ""},
+		{"head too large", "GET /_health HTTP/1.1\r\nA: " + strings.Repeat("x", maxHeaderBytes), state.Response{}, 431, ""},
+		{"body too large", strings.Replace(submission, "Length: 2", "Length: 99999", 1), state.Response{}, 413, ""},
+		{"chunked", strings.Replace(submission, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 1), state.Response{}, 411, ""},
+		{"id twice", strings.Replace(submission, "X-Tenant", "X-Request-Id: j\r\nX-Tenant", 1), state.Response{}, 400, ""},
+		{"older HTTP", strings.Replace(submission, "HTTP/1.1", "HTTP/1.0", 1), state.Response{}, 505, ""},
 		{"health", "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", state.Response{}, 200, ""},
 	} {
-		p.verdict = c.verdict
+		p.response = c.verdict
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -286,18 +286,18 @@
 }
 
 // A request with two lengths hides another in its body: neither is taken in.
-func TestHiddenRequest(t *testing.T) {
-	p := newPosts()
-	p.verdict = state.Response{Accepted: true}
-	l := listener(t, p)
-	for _, outer := range []string{handIn, strings.Replace(handIn, "/status", "/nothing", 1)} {
+func TestRequestSmuggling(t *testing.T) {
+	p := newEventRecorder()
+	p.response = state.Response{Accepted: true}
+	l := startListener(t, p)
+	for _, outer := range []string{submission, strings.Replace(submission, "/status", "/nothing", 1)} {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		io.WriteString(conn, strings.Replace(outer, "Content-Length: 2\r\n\r\nhi",
-			fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", len(handIn)+5, handIn), 1))
+			fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", len(submission)+5, submission), 1))
 		answers, err := io.ReadAll(conn)
 		if err != nil || !strings.HasPrefix(string(answers), "HTTP/1.1 411 ") || strings.Count(string(answers), "HTTP/1.1") != 1 || len(p.events) > 0 {
 			t.Errorf("%v %d messages, answers %q", err, len(p.events), answers)
@@ -306,8 +306,8 @@
 }
 
 // The body of a request that is not taken in is not read as the next request.
-func TestUnwantedBody(t *testing.T) {
-	l := listener(t, newPosts())
+func TestUnreadBody(t *testing.T) {
+	l := startListener(t, newEventRecorder())
 	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -318,7 +318,7 @@
 		send string
 		want int
 	}{
-		{strings.Replace(handIn, "/status", "/nothing", 1), 400}, {strings.Replace(handIn, "POST", "PUT", 1), 405},
+		{strings.Replace(submission, "/status", "/nothing", 1), 400}, {strings.Replace(submission, "POST", "PUT", 1), 405},
 		{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", 200},
 	} {
 		io.WriteString(conn, c.send)
@@ -332,10 +332,10 @@
 
 // A listener that leaves still takes messages in, and tells each client that
 // its connection ends with the answer.
-func TestLeave(t *testing.T) {
-	p := newPosts()
-	p.verdict = state.Response{Accepted: true}
-	l := listener(t, p)
+func TestDisableKeepAlive(t *testing.T) {
+	p := newEventRecorder()
+	p.response = state.Response{Accepted: true}
+	l := startListener(t, p)
 	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -346,7 +346,7 @@
 		if last {
 			l.DisableKeepAlive()
 		}
-		io.WriteString(conn, handIn)
+		io.WriteString(conn, submission)
 		if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 202 || r.Close != last {
 			t.Fatalf("last %t: %v %+v", last, err, r)
 		}
@@ -359,8 +359,8 @@
 // Peers that connect and say nothing, however many, keep nobody else out: a
 // connection that has served and lies idle stays, and a new one is served. Each
 // of them, and one that leaves off in the middle of a request, is closed.
-func TestSilentPeers(t *testing.T) {
-	l := listener(t, newPosts())
+func TestIdleConnectionFlood(t *testing.T) {
+	l := startListener(t, newEventRecorder())
 	dialed := func() net.Conn {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -397,8 +397,8 @@
 // Of clients that ask once and hold on to their connection only so many are let:
 // the next ones hear that theirs ends with the answer, and those that lie idle
 // for long are closed. Clients that may not hold more could not ask otherwise.
-func TestConnectionsKept(t *testing.T) {
-	l := listener(t, newPosts())
+func TestKeepAliveLimit(t *testing.T) {
+	l := startListener(t, newEventRecorder())
 	var held []net.Conn
 	for i := range 8 {
 		conn, err := net.Dial("tcp", l.Addr().String())
@@ -409,7 +409,7 @@
 		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
 		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil || r.Close != (i >= l.keep) {
+		if err != nil || r.Close != (i >= l.maxKeptAlive) {
 			t.Fatalf("connection %d: %v, ends %t", i, err, err == nil && r.Close)
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
@@ -427,8 +427,8 @@
 }
 
 // At the limit of connections one that lies idle gives way to a new one.
-func TestListenerLimit(t *testing.T) {
-	l := listener(t, newPosts())
+func TestConnectionLimit(t *testing.T) {
+	l := startListener(t, newEventRecorder())
 	for i := range 12 {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -444,7 +444,7 @@
 }
 
 // A watch follows each answer until one fails, and asks from the latest version.
-func TestWatch(t *testing.T) {
+func TestPoll(t *testing.T) {
 	asked := make(chan string, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		asked <- r.URL.Query().Get("since")
@@ -454,8 +454,8 @@
 		const list = `{"version":9,"full":true,"servers":[]}`
 		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	})
-	p := newPosts()
-	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second, PollSpread: 0, Log: quiet})
+	p := newEventRecorder()
+	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second, PollSpread: 0, Log: discardLog})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.Run(ctx)
@@ -473,7 +473,7 @@
 
 // A list that has not changed yet has version zero: what is asked for then is what has changed since. Only
 // where no version is known the whole list is asked for. After news a large fleet's sender rests.
-func TestWatchFromVersionZero(t *testing.T) {
+func TestPollFromVersionZero(t *testing.T) {
 	type ask struct {
 		path string
 		at   time.Time
@@ -490,7 +490,7 @@
 		first, then string
 	}{{0, "since=0&timeout_ms=1000", "since=0&timeout_ms=1000"}, {state.NoVersion, "", "since=0&timeout_ms=1000"}} {
 		ctx, cancel := context.WithCancel(t.Context())
-		d := NewDiscovery(newPosts(), DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second, PollSpread: rest, Log: quiet})
+		d := NewDiscovery(newEventRecorder(), DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second, PollSpread: rest, Log: discardLog})
 		ended := make(chan struct{})
 		go func() { defer close(ended); d.Run(ctx) }()
 		d.Watch(true, c.since)
@@ -510,7 +510,7 @@
 }
 
 // Notices go out in order and again until 204; one that can't be read is left out.
-func TestNotices(t *testing.T) {
+func TestReports(t *testing.T) {
 	var got []string
 	tries := 0
 	addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
@@ -523,8 +523,8 @@
 		got = append(got, body)
 		return socktest.Status(204)
 	})
-	p := newPosts()
-	n := NewReporter(p, addr, quiet)
+	p := newEventRecorder()
+	n := NewReporter(p, addr, discardLog)
 	for i, id := range []string{"a", "b", "c"} {
 		n.Report(state.DeliveryReport{Num: control.MessageID(i), ID: id})
 	}
@@ -543,10 +543,10 @@
 // A drained sender says no, ends connections with their answers and idle ones at once, and turns messages away after a
 // while, with a time to come back; activated, it is as before.
 func TestDrainedListener(t *testing.T) {
-	p := newPosts()
-	p.verdict = state.Response{Accepted: true}
+	p := newEventRecorder()
+	p.response = state.Response{Accepted: true}
 	classes := []control.Class{{Deadline: time.Minute, Idempotency: control.Idempotent}}
-	l, err := Listen("127.0.0.1:0", p, Names{Classes: map[string]int{"status": 0}}, classes, 8, 8, quiet)
+	l, err := Listen("127.0.0.1:0", p, Names{Classes: map[string]int{"status": 0}}, classes, 8, 8, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -580,7 +580,7 @@
 	half, _ := open()
 	io.WriteString(half, "POST /status HTTP/1.1\r\nHost: x\r\n")
 	half.Close()
-	for until := time.Now().Add(10 * time.Second); l.counts.unanswered.Load() == 0; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); l.counters.unanswered.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("a request that broke off is not counted")
 		}
@@ -591,7 +591,7 @@
 	}
 	l.Drain()
 	began := time.Now()
-	if _, err := heldIn.ReadByte(); err != io.EOF || time.Since(began) > idleSpan/2 { // it was idle, and had longer
+	if _, err := heldIn.ReadByte(); err != io.EOF || time.Since(began) > idleTimeout/2 { // it was idle, and had longer
 		t.Errorf("an idle connection: %v after %v", err, time.Since(began))
 	}
 	for _, c := range []struct {
@@ -601,11 +601,11 @@
 	}{
 		{"health", health, 0, http.StatusServiceUnavailable},
 		{"a message at once", message(), 0, http.StatusAccepted},
-		{"a message later", message(), drainGrace + time.Second, http.StatusServiceUnavailable},
-		{"health later", health, drainGrace + time.Second, http.StatusServiceUnavailable},
+		{"a message later", message(), drainAcceptWindow + time.Second, http.StatusServiceUnavailable},
+		{"health later", health, drainAcceptWindow + time.Second, http.StatusServiceUnavailable},
 	} {
 		since := time.Now().Add(-c.since)
-		l.away.Store(&since)
+		l.drainedSince.Store(&since)
 		conn, in := open()
 		r := ask(conn, in, c.request)
 		if r.StatusCode != c.status || !r.Close {
@@ -615,7 +615,7 @@
 			t.Errorf("%s: Retry-After %q", c.name, again)
 		}
 	}
-	if n := l.counts.Counts(); n.Requests != 6 || n.Unanswered != 1 || n.Answers["202"] != 2 || n.Answers["503"] != 3 {
+	if n := l.counters.Counts(); n.Requests != 6 || n.Unanswered != 1 || n.Answers["202"] != 2 || n.Answers["503"] != 3 {
 		t.Errorf("counted %+v", n)
 	}
 	l.Activate()
