--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -32,8 +32,8 @@
 	Names                          protocol.Names
 	Known                          state.ListUpdate
 	Ours                           *settings.Settings // nil: no script was named
-	raw                           string             // as it was read
-	classes                          []state.NamedClass // the classes of the settings in force, as they stood there
+	raw                            string             // as it was read
+	classes                        []state.NamedClass // the classes of the settings in force, as they stood there
 }
 
 // Limits are what the machine gives.
--- a/internal/lifecycle/handover.go
+++ b/internal/lifecycle/handover.go
@@ -18,11 +18,11 @@
 
 // A predecessor is the process before this one, or this one's own last term, whose calls are still out.
 type predecessor struct {
-	state state.HandoverState
-	socket   net.Listener
-	confirmReady  func() error                                // tells it that this process serves
-	postResults    func(context.Context, handover.EventPoster) // posts what comes of its calls
-	drained   <-chan struct{}                             // of an own last term: nothing is out any more
+	state        state.HandoverState
+	socket       net.Listener
+	confirmReady func() error                                // tells it that this process serves
+	postResults  func(context.Context, handover.EventPoster) // posts what comes of its calls
+	drained      <-chan struct{}                             // of an own last term: nothing is out any more
 }
 
 // requestTakeover asks the process that serves the same state folder to give way; nil where there is none.
--- a/internal/lifecycle/retry.go
+++ b/internal/lifecycle/retry.go
@@ -12,8 +12,8 @@
 
 const (
 	startTimeout  = 8 * time.Second // for what it can't do without; a sender is to be ready within 10 s
-	reloadTimeout   = time.Second     // of a configuration after SIGHUP, while signals wait
-	gossipTimeout    = 500 * time.Millisecond
+	reloadTimeout = time.Second     // of a configuration after SIGHUP, while signals wait
+	gossipTimeout = 500 * time.Millisecond
 	retryInterval = 50 * time.Millisecond
 )
 
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -28,20 +28,20 @@
 // The stop, counted from SIGTERM. The front notices only after a while that no
 // more is wanted; SIGKILL follows at 3.7 s at the soonest.
 const (
-	acceptWindow = 500 * time.Millisecond // new messages are still taken
-	sendWindow = 2 * time.Second        // new forwards are still made
-	finishTimeout = 3300 * time.Millisecond
-	exitTimeout  = 3400 * time.Millisecond
-	idlePollInterval  = 20 * time.Millisecond
+	acceptWindow     = 500 * time.Millisecond // new messages are still taken
+	sendWindow       = 2 * time.Second        // new forwards are still made
+	finishTimeout    = 3300 * time.Millisecond
+	exitTimeout      = 3400 * time.Millisecond
+	idlePollInterval = 20 * time.Millisecond
 )
 
 // lingerTimeout is how long a process that has given way waits for the connections that it still reads out.
 const lingerTimeout = 500 * time.Millisecond
 
 const (
-	memoryLimitFraction  = 0.7 // of the memory limit: files and stacks count, too
-	keptAliveDivisor     = 4   // the part of the descriptors that clients' connections take between requests, less than the third they may hold
-	reservedSockets = 64  // for the journal, discovery, the platform, probes and dials
+	memoryLimitFraction = 0.7 // of the memory limit: files and stacks count, too
+	keptAliveDivisor    = 4   // the part of the descriptors that clients' connections take between requests, less than the third they may hold
+	reservedSockets     = 64  // for the journal, discovery, the platform, probes and dials
 )
 
 // A Source reads the configuration, as it is now.
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -16,7 +16,7 @@
 const (
 	starting phase = iota
 	serving
-	drained // clients are sent away; what is held goes on
+	drained     // clients are sent away; what is held goes on
 	handingOver // another process takes over, or has
 	stopping
 )
@@ -38,23 +38,23 @@
 	id  string           // of the process
 	now func() time.Time // nil: the machine's clock
 
-	mu    sync.Mutex
-	phase    phase
-	drainedByOperator  bool // ordered by hand: clients are to be sent away
-	lease  lease.Holder
-	leaseTimer *time.Timer // looks at the book again when the lease is up
-	exclusions lease.Exclusions
-	exclusionsTimer *time.Timer    // looks at aside again
-	setExcluded   func([]string) // tells the loop which targets are taken out; from the end of the start on
-	clients  clientGate           // from the end of the start on
+	mu                sync.Mutex
+	phase             phase
+	drainedByOperator bool // ordered by hand: clients are to be sent away
+	lease             lease.Holder
+	leaseTimer        *time.Timer // looks at the book again when the lease is up
+	exclusions        lease.Exclusions
+	exclusionsTimer   *time.Timer    // looks at aside again
+	setExcluded       func([]string) // tells the loop which targets are taken out; from the end of the start on
+	clients           clientGate     // from the end of the start on
 }
 
 func newStateMachine(log *slog.Logger) *stateMachine { return &stateMachine{log: log, id: rand.Text()} }
 
 var (
-	errStarting = errors.New("starting")
-	errHandingOver  = errors.New("another process takes over")
-	errStopping = errors.New("stopping")
+	errStarting    = errors.New("starting")
+	errHandingOver = errors.New("another process takes over")
+	errStopping    = errors.New("stopping")
 )
 
 // Ready tells whether this process can serve, drained or not.
@@ -171,7 +171,9 @@
 }
 
 // wantsDrain tells whether clients are to be sent away.
-func (s *stateMachine) wantsDrain() bool { return s.drainedByOperator || s.lease.Active() && s.lease.Drain }
+func (s *stateMachine) wantsDrain() bool {
+	return s.drainedByOperator || s.lease.Active() && s.lease.Drain
+}
 
 // armLeaseTimer has the book looked at when the lease that stands is up.
 func (s *stateMachine) armLeaseTimer() {
--- a/internal/protocol/callresult.go
+++ b/internal/protocol/callresult.go
@@ -42,7 +42,7 @@
 // single message nothing but its first line matters.
 const (
 	responseTailTimeout = 300 * time.Millisecond
-	servedTailTimeout = 50 * time.Millisecond
+	servedTailTimeout   = 50 * time.Millisecond
 )
 
 // errMalformedResponse tells of an answer that came and can't be read.
--- a/internal/protocol/conn.go
+++ b/internal/protocol/conn.go
@@ -21,7 +21,7 @@
 
 const (
 	maxHeaderBytes = 16 << 10 // a request line or status line with its headers
-	maxListBytes = 4 << 20  // discovery's answer
+	maxListBytes   = 4 << 20  // discovery's answer
 )
 
 var errTooLong = errors.New("longer than allowed")
@@ -32,8 +32,8 @@
 	net.Conn
 	readLimit *io.LimitedReader
 	reader    *bufio.Reader
-	addr  string    // that it was dialled for
-	idleSince  time.Time // since when it lies idle
+	addr      string    // that it was dialled for
+	idleSince time.Time // since when it lies idle
 }
 
 func newBufferedConn(c net.Conn) *bufferedConn {
@@ -87,11 +87,11 @@
 
 // A response is what came back on a connection, as far as it could be read.
 type response struct {
-	firstStatus  int // the status that the first line tells, even if nothing else can be read
-	status int // of an answer whose head can be read
-	header http.Header
-	body   []byte
-	closes   bool // the connection is of no use any more
+	firstStatus int // the status that the first line tells, even if nothing else can be read
+	status      int // of an answer whose head can be read
+	header      http.Header
+	body        []byte
+	closes      bool // the connection is of no use any more
 }
 
 // readResponse reads a response and its body. Once its first byte is in, the rest
@@ -169,15 +169,15 @@
 
 // A readPacing bounds an answer from its first byte on, whatever the question's deadline is.
 type readPacing struct {
-	maxGap  time.Duration // no pause between two pieces is longer
+	maxGap      time.Duration // no pause between two pieces is longer
 	maxDuration time.Duration // the whole answer takes no longer
 }
 
 // An exchange is what became of a question.
 type exchange struct {
-	status int
-	body   []byte    // as far as it came
-	startedAt  time.Time // when the first byte of the answer was there; zero: none was
+	status    int
+	body      []byte    // as far as it came
+	startedAt time.Time // when the first byte of the answer was there; zero: none was
 }
 
 // do sends a request and reads its answer, by the deadline. It never asks twice. With an error the exchange tells how
@@ -234,10 +234,10 @@
 
 // A pacedReader reads a connection within the bounds of a steadiness, and only while its context lasts.
 type pacedReader struct {
-	ctx   context.Context
-	conn  net.Conn
-	maxGap   time.Duration
-	until time.Time
+	ctx    context.Context
+	conn   net.Conn
+	maxGap time.Duration
+	until  time.Time
 }
 
 // Read fails with os.ErrDeadlineExceeded after a pause that is too long, or once the time is up.
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -21,9 +21,9 @@
 // faultyListener is a listening socket whose connections do something of the test's at the seam.
 type faultyListener struct {
 	net.Listener
-	beforeRead    func() error // before the first read of a connection
+	beforeRead  func() error // before the first read of a connection
 	beforeClose func()       // before a half-close, or a close without one
-	write   func(c *net.TCPConn, b []byte) (int, error)
+	write       func(c *net.TCPConn, b []byte) (int, error)
 	acceptErrs  []error // of the first accepts
 }
 
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -34,11 +34,11 @@
 	maxAnswerGap = 300 * time.Millisecond
 	// minRetryBackoff is waited before an answer that broke off is asked for again; doubled up to retryMost.
 	minRetryBackoff = 20 * time.Millisecond
-	maxRetryBackoff  = 640 * time.Millisecond
+	maxRetryBackoff = 640 * time.Millisecond
 	// fleetBackoffFraction of the grace of drains takes the place of retryFirst in a large fleet, and retryFleetMost that of retryMost:
 	// what was told to all of it at one instant may have broken off for all.
-	fleetBackoffFraction     = 0.3
-	maxFleetBackoff = 2400 * time.Millisecond
+	fleetBackoffFraction = 0.3
+	maxFleetBackoff      = 2400 * time.Millisecond
 	// refusedBackoffDivisor parts of the time over which a fleet spreads its questions make the first pause after one that was refused.
 	refusedBackoffDivisor = 4
 	// maxPauseFraction of the grace of drains is the most that a large fleet's sender rests after news. A watch goes on for 200 ms
@@ -55,8 +55,8 @@
 // An brokenAnswerError tells of an answer that began and can't be read, or not to its end. What it told is not known.
 type brokenAnswerError struct {
 	startedAt time.Time // when its first byte was there
-	body  []byte    // as far as it came
-	cause error
+	body      []byte    // as far as it came
+	cause     error
 }
 
 func (e *brokenAnswerError) Error() string { return "the answer broke off: " + e.cause.Error() }
@@ -80,29 +80,31 @@
 // Discovery asks for the target group, on one goroutine.
 type Discovery struct {
 	DiscoveryConfig
-	events  EventPoster
-	longPoll  time.Duration // that a watch is asked to wait
+	events   EventPoster
+	longPoll time.Duration // that a watch is asked to wait
 	requests chan pollRequest
 
-	mu      sync.Mutex
-	addr    string
+	mu         sync.Mutex
+	addr       string
 	cancelPoll context.CancelFunc // ends the question under way
 }
 
 // A pollRequest is what the controller asks for, and how asking for it went so far.
 type pollRequest struct {
-	watch, fetch bool
-	since        int64
-	immediate       bool      // the watch before fell silent or broke off: what it missed is asked for, without a wait
-	retries      int       // asks since the list became uncertain that failed
-	uncertainSince    time.Time // since when there may be more that was told; zero: nothing is
+	watch, fetch   bool
+	since          int64
+	immediate      bool      // the watch before fell silent or broke off: what it missed is asked for, without a wait
+	retries        int       // asks since the list became uncertain that failed
+	uncertainSince time.Time // since when there may be more that was told; zero: nothing is
 }
 
 // fullList tells that the whole list is asked for, not what has changed.
 func (w pollRequest) fullList() bool { return w.fetch || w.since == state.NoVersion }
 
 // resumesAfterPause tells whether this is the watch after a rest: once it is open the list is known.
-func (w pollRequest) resumesAfterPause() bool { return !w.uncertainSince.IsZero() && !w.immediate && !w.fullList() }
+func (w pollRequest) resumesAfterPause() bool {
+	return !w.uncertainSince.IsZero() && !w.immediate && !w.fullList()
+}
 
 // stop ends the asking: when to ask again is the controller's to say.
 func (w *pollRequest) stop() {
--- a/internal/protocol/gossip.go
+++ b/internal/protocol/gossip.go
@@ -15,9 +15,9 @@
 
 // GossipTransport sends notes to the other senders of the tier, and takes theirs.
 type GossipTransport struct {
-	log   *slog.Logger
-	conn  *net.UDPConn
-	broadcast   netip.AddrPort
+	log        *slog.Logger
+	conn       *net.UDPConn
+	broadcast  netip.AddrPort
 	peerByAddr map[netip.AddrPort]int // number of the sender at an address
 
 	dropped atomic.Int64
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	idleTimeout   = 2500 * time.Millisecond // a client's connection may lie idle so long after a request
-	readTimeout   = 2 * time.Second         // a request must be read within this; the first one from the connection on
-	responseTimeout = 300 * time.Millisecond  // ... and answered within this, as clients wait 400 ms
-	closeGrace = 20 * time.Millisecond   // one that is to end: a request on its way still gets its answer
-	lingerTimeout = 500 * time.Millisecond  // after the half-close what still comes is read for so long...
+	idleTimeout        = 2500 * time.Millisecond // a client's connection may lie idle so long after a request
+	readTimeout        = 2 * time.Second         // a request must be read within this; the first one from the connection on
+	responseTimeout    = 300 * time.Millisecond  // ... and answered within this, as clients wait 400 ms
+	closeGrace         = 20 * time.Millisecond   // one that is to end: a request on its way still gets its answer
+	lingerTimeout      = 500 * time.Millisecond  // after the half-close what still comes is read for so long...
 	shortLingerTimeout = 5 * time.Millisecond    // ...or for so long, where too many are being closed
-	lingeringDivisor = 8                       // part of the connections served that may be read out beside them...
-	minLingering = 8                       // ...but so many at least
-	drainAcceptWindow = time.Second             // a drained sender still takes messages on for so long, in which the front notices
-	busyRetryAfter  = time.Second             // when to come again if the loop is not to be had
+	lingeringDivisor   = 8                       // part of the connections served that may be read out beside them...
+	minLingering       = 8                       // ...but so many at least
+	drainAcceptWindow  = time.Second             // a drained sender still takes messages on for so long, in which the front notices
+	busyRetryAfter     = time.Second             // when to come again if the loop is not to be had
 
-	minAcceptBackoff     = 5 * time.Millisecond   // after an accept that failed, doubled up to...
+	minAcceptBackoff = 5 * time.Millisecond   // after an accept that failed, doubled up to...
 	maxAcceptBackoff = 100 * time.Millisecond // ...this
 )
 
@@ -42,25 +42,25 @@
 
 // Listener is the clients' side.
 type Listener struct {
-	events      EventQueue
-	settings   atomic.Pointer[requestSettings]
-	log     *slog.Logger
-	socket    net.Listener
-	servingSlots  chan struct{} // holds a token for each connection that is served
-	lingerSlots  chan struct{} // and for each that is read out before it is closed
-	closing atomic.Bool
+	events            EventQueue
+	settings          atomic.Pointer[requestSettings]
+	log               *slog.Logger
+	socket            net.Listener
+	servingSlots      chan struct{} // holds a token for each connection that is served
+	lingerSlots       chan struct{} // and for each that is read out before it is closed
+	closing           atomic.Bool
 	keepAliveDisabled atomic.Bool               // messages are still taken, each as the last on its connection
-	slotAwaited atomic.Bool               // a connection waits for a place: others end after their answer
-	drainedSince    atomic.Pointer[time.Time] // since when clients are sent away, by the monotonic clock; nil = they are not
-	serving      sync.WaitGroup            // of connections that are served
-	lingering     sync.WaitGroup            // and of those that are read out
+	slotAwaited       atomic.Bool               // a connection waits for a place: others end after their answer
+	drainedSince      atomic.Pointer[time.Time] // since when clients are sent away, by the monotonic clock; nil = they are not
+	serving           sync.WaitGroup            // of connections that are served
+	lingering         sync.WaitGroup            // and of those that are read out
 
-	maxKeptAlive   int        // so many connections are kept after a request
-	keyClaimer KeyClaimer // nil: keys have no owner besides the table
-	counters *Counters
+	maxKeptAlive int        // so many connections are kept after a request
+	keyClaimer   KeyClaimer // nil: keys have no owner besides the table
+	counters     *Counters
 
-	mu     sync.Mutex
-	conns   map[*clientConn]struct{}
+	mu        sync.Mutex
+	conns     map[*clientConn]struct{}
 	usedConns int // of those, the ones that had a request
 }
 
@@ -71,7 +71,9 @@
 }
 
 // SetNames has requests read by other words from now on.
-func (l *Listener) SetNames(n Names, classes []control.Class) { l.settings.Store(&requestSettings{n, classes}) }
+func (l *Listener) SetNames(n Names, classes []control.Class) {
+	l.settings.Store(&requestSettings{n, classes})
+}
 
 // KeyClaimer is asked before a message with a key is taken on: one of that key may be
 // kept for later. False: it is on its way, and the client should come again.
@@ -89,16 +91,16 @@
 type clientConn struct {
 	*bufferedConn
 	// All under the listener's mutex.
-	idle    bool // no request is being read or answered
-	evictionTried    bool // looked at for eviction since it is idle
-	evicted bool // it makes room, with the answer to a request that came in that instant at the latest
-	used  bool // it has had a request
-	since   time.Time
+	idle          bool // no request is being read or answered
+	evictionTried bool // looked at for eviction since it is idle
+	evicted       bool // it makes room, with the answer to a request that came in that instant at the latest
+	used          bool // it has had a request
+	since         time.Time
 
 	// Its own goroutine's.
-	lastRequest bool  // the request that it reads is the last
+	lastRequest  bool  // the request that it reads is the last
 	responseOwed bool  // a request was read, or a part of one, and has no answer
-	err  error // why that is so, if it is
+	err          error // why that is so, if it is
 }
 
 // Listen opens the listening socket, for so many connections at most. Of those
--- a/internal/protocol/pool.go
+++ b/internal/protocol/pool.go
@@ -8,11 +8,11 @@
 
 // A connPool keeps connections to targets that lie idle, the latest used on top.
 type connPool struct {
-	maxIdleTime time.Duration // less than the targets keep them
+	maxIdleTime  time.Duration // less than the targets keep them
 	maxIdleConns int
 
-	mu    sync.Mutex
-	idle  map[string][]*bufferedConn
+	mu        sync.Mutex
+	idle      map[string][]*bufferedConn
 	idleCount int
 }
 
--- a/internal/protocol/reporter.go
+++ b/internal/protocol/reporter.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	reportPath = "/status"
-	reportTimeout = 500 * time.Millisecond // an answer to notices may take so long, connecting included...
-	reusedConnTimeout   = 130 * time.Millisecond // ...and on a connection from before so long: it may have fallen silent, and
+	reportPath        = "/status"
+	reportTimeout     = 500 * time.Millisecond // an answer to notices may take so long, connecting included...
+	reusedConnTimeout = 130 * time.Millisecond // ...and on a connection from before so long: it may have fallen silent, and
 	// a notice is due 300 ms after its message's time
-	maxReportBatch = 256                   // notices in one call
+	maxReportBatch   = 256                   // notices in one call
 	minReportBackoff = 10 * time.Millisecond // after a failure, doubled up to...
-	maxReportBackoff  = 40 * time.Millisecond // ...this: a notice is late 300 ms after its time
+	maxReportBackoff = 40 * time.Millisecond // ...this: a notice is late 300 ms after its time
 )
 
 // Reporter tells the platform of the ends of messages, in order, each until it
 // is acknowledged. The table of messages bounds how many wait.
 type Reporter struct {
 	events EventPoster
-	log  *slog.Logger
-	wake chan struct{}
+	log    *slog.Logger
+	wake   chan struct{}
 
-	mu   sync.Mutex
-	addr string
+	mu    sync.Mutex
+	addr  string
 	queue []state.DeliveryReport
 }
 
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -24,7 +24,7 @@
 type requestError struct {
 	status int
 	text   string
-	closes   bool // what follows on the connection can't be told from this request
+	closes bool // what follows on the connection can't be told from this request
 }
 
 func (f *requestError) Error() string { return f.text }
--- a/internal/protocol/socket_test.go
+++ b/internal/protocol/socket_test.go
@@ -22,7 +22,7 @@
 
 // eventRecorder collects what is posted; the listener's side answers each message as told.
 type eventRecorder struct {
-	events  chan state.Event
+	events   chan state.Event
 	response state.Response
 }
 
--- a/internal/protocol/transport.go
+++ b/internal/protocol/transport.go
@@ -24,13 +24,13 @@
 
 // Transport carries calls and probes to targets.
 type Transport struct {
-	events   EventPoster
-	log    *slog.Logger
-	pool   *connPool
+	events       EventPoster
+	log          *slog.Logger
+	pool         *connPool
 	healthChecks chan struct{} // holds a token for each probe out
-	dial   func(ctx context.Context, addr string) (*bufferedConn, error)
+	dial         func(ctx context.Context, addr string) (*bufferedConn, error)
 
-	mu   sync.Mutex
+	mu       sync.Mutex
 	inFlight map[*state.Call]*inFlightCall
 }
 
@@ -143,12 +143,12 @@
 // A inFlightCall is one call on its way.
 type inFlightCall struct {
 	*Transport
-	call   *state.Call
-	ctx    context.Context
-	cancel context.CancelFunc
-	startedAt  time.Time
-	sentAt   time.Time // when its first byte was written; zero: not yet
-	state  atomic.Int32
+	call      *state.Call
+	ctx       context.Context
+	cancel    context.CancelFunc
+	startedAt time.Time
+	sentAt    time.Time // when its first byte was written; zero: not yet
+	state     atomic.Int32
 
 	attempts []*state.Attempt // of the call, those that go out with it...
 	ended    []bool           // ...and which of them have ended
