--- /dev/null
+++ b/internal/protocol/clientconn_test.go
@@ -0,0 +1,83 @@
+package protocol
+
+import (
+	"net"
+	"testing"
+	"time"
+)
+
+// pipeDeadline records the last read deadline.
+type pipeDeadline struct {
+	net.Conn
+	read time.Time
+}
+
+func (p *pipeDeadline) SetDeadline(t time.Time) error { p.read = t; return p.Conn.SetDeadline(t) }
+func (p *pipeDeadline) SetReadDeadline(t time.Time) error {
+	p.read = t
+	return p.Conn.SetReadDeadline(t)
+}
+
+// The state that a connection waits in and the time that it may wait follow from what the listener is doing.
+func TestConnStateAtRest(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		used  bool
+		is    connState
+		while func(l *Listener)
+		want  connState
+		limit time.Duration // 0 = the deadline that is set stays
+	}{
+		{"first request", false, connNew, func(*Listener) {}, connNew, readTimeout},
+		{"another request", true, connActive, func(*Listener) {}, connIdle, idleTimeout},
+		{"drained before its first request", false, connNew, (*Listener).Drain, connNew, readTimeout},
+		{"drained", true, connActive, (*Listener).Drain, connDraining, closeGrace},
+		{"a slot is awaited", true, connActive, (*Listener).evictIdle, connDraining, closeGrace},
+		{"closing", false, connNew, func(l *Listener) { l.closing.Store(true) }, connDraining, closeGrace},
+		{"keep-alive disabled", true, connActive, (*Listener).DisableKeepAlive, connIdle, idleTimeout},
+		{"evicted", false, connEvicted, func(*Listener) {}, connEvicted, 0},
+	} {
+		l := ListenOn(nil, nil, testNames, testClasses, 4, 3, discardLog)
+		ours, theirs := net.Pipe()
+		pipe := &pipeDeadline{Conn: ours}
+		conn := newClientConn(pipe)
+		conn.used, conn.state = c.used, c.is
+		c.while(l)
+		before := time.Now()
+		l.rest(conn)
+		if conn.state != c.want {
+			t.Errorf("%s: %v, want %v", c.name, conn.state, c.want)
+		}
+		if limit := pipe.read.Sub(before); c.limit > 0 && (limit < c.limit || limit > c.limit+time.Since(before)) {
+			t.Errorf("%s: may wait %v, want %v", c.name, limit, c.limit)
+		}
+		if c.limit == 0 && !pipe.read.IsZero() {
+			t.Errorf("%s: its deadline was moved", c.name)
+		}
+		ours.Close()
+		theirs.Close()
+	}
+}
+
+// A connection that is used counts until it lingers, once.
+func TestConnStateCountsUsedConnections(t *testing.T) {
+	l := ListenOn(nil, nil, testNames, testClasses, 4, 3, discardLog)
+	ours, theirs := net.Pipe()
+	defer theirs.Close()
+	c := newClientConn(ours)
+	l.conns[c] = struct{}{}
+	for _, step := range []struct {
+		next connState
+		used int
+		last bool
+	}{{connNew, 0, false}, {connActive, 1, false}, {connIdle, 1, false}, {connActive, 1, false}, {connDraining, 1, false},
+		{connEvicted, 1, false}, {connActive, 1, true}, {connLingering, 0, true}} {
+		l.setState(c, step.next)
+		if c.state != step.next || l.usedConns != step.used || c.lastRequest != step.last {
+			t.Errorf("%v: %d used, last %t", c.state, l.usedConns, c.lastRequest)
+		}
+	}
+	if len(l.conns) > 0 {
+		t.Error("it is listed after its end")
+	}
+}
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -365,7 +365,7 @@
 	}
 	t.Cleanup(func() { ours.Close() })
 	conn := &deadlineRecorder{TCPConn: ours.(*net.TCPConn)}
-	k := &clientConn{bufferedConn: newBufferedConn(conn), idle: true, since: time.Now()}
+	k := newClientConn(conn)
 	l.mu.Lock()
 	l.conns[k] = struct{}{}
 	l.mu.Unlock()
@@ -395,24 +395,24 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !k.evicted {
+	if k.state != connEvicted {
 		t.Error("the idle connection was not chosen")
 	}
 	delete(l.conns, k)
 }
 
-// An evicted connection whose request was read in that instant hears with its answer that it is the last.
+// An evicted connection whose request was read in that instant is told with its response that it is the last.
 func TestEvictedWithARequest(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	k, _ := idleClient(t, l)
 	l.evictIdle()
-	ends := l.closesAfterResponse(k)
-	l.mu.Lock()
-	delete(l.conns, k)
-	l.mu.Unlock()
-	if !ends {
+	l.activate(k)
+	if !l.closesAfterResponse(k) {
 		t.Error("another request may follow")
 	}
+	l.mu.Lock()
+	l.setState(k, connLingering)
+	l.mu.Unlock()
 }
 
 // A connection that is to make room between its accept and the wait for its first byte ends at once: whoever waits for
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -272,7 +272,7 @@
 	first, most := minRetryBackoff, maxRetryBackoff
 	var unread *brokenAnswerError
 	switch {
-	case d.PollSpread == 0 || localFailure(err):
+	case d.PollSpread == 0 || isLocalError(err):
 	case errors.As(err, &unread) || now.fullList():
 		first, most = max(first, time.Duration(fleetBackoffFraction*float64(d.DrainGrace))), maxFleetBackoff
 	default: // it may be behind with the questions of all
--- /dev/null
+++ b/internal/protocol/handler.go
@@ -0,0 +1,178 @@
+package protocol
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"time"
+
+	"cleathold/internal/state"
+)
+
+// busyRetryAfter is the Retry-After where the loop does not answer, or will not.
+const busyRetryAfter = time.Second
+
+// serveRequest reads one request and answers it. It reports whether another may follow.
+func (l *Listener) serveRequest(c *clientConn) bool {
+	r, err := readRequest(c.reader)
+	arrived := time.Now()
+	if err != nil {
+		rejected := c.requestErrorOf(err)
+		if rejected == nil {
+			c.err = err
+			return false
+		}
+		return l.respondError(c, rejected, true)
+	}
+	c.readLimit.N = state.MaxBody + maxHeaderBytes // chunks take more than what they hold
+	if r.Header.Get("Expect") != "" && r.ContentLength <= state.MaxBody {
+		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
+	}
+	settings := l.settings.Load()
+	m, err := parseMessage(r, arrived, settings.names, settings.classes)
+	var rejected *requestError
+	errors.As(err, &rejected)
+	// A body that nobody wanted must not be taken for the next request.
+	unread := m == nil && (rejected == nil || !rejected.closes) && !discardBody(r)
+	last := r.Close || unread || l.closesAfterResponse(c)
+	switch {
+	case rejected != nil:
+		rejected.closes = rejected.closes || unread
+		return l.respondError(c, rejected, last)
+	case m == nil:
+		return l.respondHealth(c, last)
+	}
+	return l.submit(c, m, last)
+}
+
+// requestErrorOf is what is wrong with a request whose head can't be read; nil if the connection has ended.
+func (c *clientConn) requestErrorOf(err error) *requestError {
+	var rejected *requestError
+	switch {
+	case errors.As(err, &rejected):
+		return rejected
+	case c.readLimit.N <= 0:
+		return &requestError{http.StatusRequestHeaderFieldsTooLarge, "head too large", true}
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return &requestError{http.StatusRequestTimeout, "request not whole in time", true}
+	case isConnectionEnd(err):
+		return nil
+	}
+	return &requestError{http.StatusBadRequest, "malformed request", true}
+}
+
+// isConnectionEnd tells an end of the connection from a request that can't be read.
+func isConnectionEnd(err error) bool {
+	var n net.Error
+	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &n)
+}
+
+// discardBody reads what is left of a request, and reports whether that was all.
+func discardBody(r *http.Request) bool {
+	_, err := io.CopyN(io.Discard, r.Body, state.MaxBody+1)
+	return err == io.EOF
+}
+
+// respondHealth answers a health check.
+func (l *Listener) respondHealth(c *clientConn, last bool) bool {
+	switch {
+	case l.closing.Load():
+		return l.respond(c, http.StatusServiceUnavailable, 0, "stopping", true)
+	case l.drainedSince.Load() != nil:
+		return l.respond(c, http.StatusServiceUnavailable, 0, "drained", true)
+	}
+	return l.respond(c, http.StatusOK, 0, "ok", last)
+}
+
+// submit gives a message to the loop and its client the response.
+func (l *Listener) submit(c *clientConn, m *state.Message, last bool) bool {
+	if l.rejectsMessages() {
+		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "drained", true)
+	}
+	answer := make(chan state.Response, 1)
+	deadline := time.Now().Add(responseTimeout)
+	if l.keyClaimer != nil && m.Key != "" && !l.keyClaimer.ClaimKey(m.Class, m.Key, deadline) {
+		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "a message with this key is on its way", last)
+	}
+	submitted := state.Submitted{Message: m, Response: answer, Decision: &state.AdmissionDecision{}}
+	if !l.events.PostBefore(submitted, deadline) {
+		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", last)
+	}
+	r, decided := awaitResponse(answer, submitted.Decision, deadline)
+	last = last || l.closesAfterResponse(c) // the end may have been asked for meanwhile: the response says so
+	switch {
+	case !decided:
+		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", last)
+	case r.Accepted:
+		err := l.writeResponse(c, http.StatusAccepted, 0, "", last)
+		l.events.Post(state.ResponseWritten{ID: m.ID, OK: err == nil})
+		return err == nil && !last
+	case r.Invalid == state.UnknownDestination:
+		return l.respond(c, http.StatusBadRequest, 0, "unknown destination", last)
+	case r.Invalid == state.DuplicateID:
+		return l.respond(c, http.StatusConflict, 0, "X-Request-Id in use", last)
+	case r.Permanent:
+		return l.respond(c, http.StatusInternalServerError, 0, "failed", last)
+	}
+	return l.respond(c, http.StatusServiceUnavailable, r.RetryAfter, "come again", last)
+}
+
+// awaitResponse waits for the loop's response to a message until a deadline. Where none has come by then the message is
+// rejected, and can't be accepted any more; one that was accepted in that instant is not rejected.
+func awaitResponse(
+	answer <-chan state.Response, d *state.AdmissionDecision, deadline time.Time,
+) (r state.Response, decided bool) {
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
+	select {
+	case r = <-answer:
+		return r, true
+	case <-timer.C:
+	}
+	if d.Reject() {
+		return r, false
+	}
+	return <-answer, true
+}
+
+// respondError answers a request that is rejected unseen by the loop.
+func (l *Listener) respondError(c *clientConn, e *requestError, last bool) bool {
+	return l.respond(c, e.status, 0, e.text, last || e.closes)
+}
+
+// respond writes a response and reports whether another request may follow.
+func (l *Listener) respond(c *clientConn, status int, retryAfter time.Duration, text string, last bool) bool {
+	return l.writeResponse(c, status, retryAfter, text, last) == nil && !last
+}
+
+// writeResponse writes a response; the last one on its connection says so.
+func (l *Listener) writeResponse(c *clientConn, status int, retryAfter time.Duration, text string, last bool) error {
+	var b bytes.Buffer
+	b.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
+	if retryAfter > 0 {
+		b.WriteString("Retry-After: " + formatSeconds(max(retryAfter, time.Millisecond)) + "\r\n")
+	}
+	if status == http.StatusMethodNotAllowed {
+		b.WriteString("Allow: POST, GET\r\n")
+	}
+	if last {
+		b.WriteString("Connection: close\r\n")
+	}
+	if text != "" {
+		b.WriteString("Content-Type: text/plain\r\n")
+		text += "\n"
+	}
+	b.WriteString("Content-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + text)
+	c.SetWriteDeadline(time.Now().Add(responseTimeout))
+	if _, err := c.Write(b.Bytes()); err != nil {
+		c.err = err
+		return err
+	}
+	c.responseOwed = false
+	l.counters.answers[status].Add(1)
+	return nil
+}
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -142,3 +142,14 @@
 	}
 	return r, err
 }
+
+// validToken reports whether a header's value can stand in the frame of a batch: no blanks, no control characters, 1 to
+// 256 bytes.
+func validToken(s string) bool {
+	for i := 0; i < len(s); i++ {
+		if s[i] <= ' ' || s[i] >= 0x7f {
+			return false
+		}
+	}
+	return len(s) > 0 && len(s) <= 256
+}
