--- a/internal/protocol/callresult.go
+++ b/internal/protocol/callresult.go
@@ -12,124 +12,43 @@
 	"cleathold/internal/state"
 )
 
-// Relay: the fifth stage. A target's answer, or its silence, becomes the end
-// of each forward of a call.
-
-// endAll ends every forward that has not ended yet in the same way.
+// endAll ends every attempt that has not ended yet in the same way.
 func (f *inFlightCall) endAll(r control.Result) {
 	f.endEach(func(*state.Attempt) (state.AttemptResult, bool) { return state.AttemptResult{Result: r}, true })
 }
 
-// endEach posts the ends of the forwards for which there is one.
-func (f *inFlightCall) endEach(of func(w *state.Attempt) (state.AttemptResult, bool)) {
-	var ends []state.AttemptResult
-	for i, w := range f.attempts {
+// endEach posts the results of the attempts that have not ended and for which there is one.
+func (f *inFlightCall) endEach(result func(a *state.Attempt) (state.AttemptResult, bool)) {
+	var results []state.AttemptResult
+	for i, a := range f.attempts {
 		if f.ended[i] {
 			continue
 		}
-		if e, ok := of(w); ok {
-			e.Attempt, e.Elapsed, e.SentAt = w, time.Since(f.startedAt), f.sentAt
+		if r, ok := result(a); ok {
+			r.Attempt, r.Elapsed, r.SentAt = a, time.Since(f.startedAt), f.sentAt
 			f.ended[i] = true
-			ends = append(ends, e)
-		}
-	}
-	if len(ends) > 0 {
-		f.events.Post(state.CallEnded{Call: f.call, Results: ends})
-	}
-}
-
-// Once an answer has begun its rest must follow within these. Of a 200 to a
-// single message nothing but its first line matters.
-const (
-	responseTailTimeout = 300 * time.Millisecond
-	servedTailTimeout   = 50 * time.Millisecond
-)
-
-// errMalformedResponse tells of an answer that came and can't be read.
-var errMalformedResponse = errors.New("answer can't be read")
-
-// readResponse reads the answer to a call that was written.
-func (f *inFlightCall) readResponse(l *bufferedConn) (response, error) {
-	l.readLimit.N = maxHeaderBytes
-	if err := f.awaitFirstByte(l); err != nil {
-		return response{closes: true}, err
-	}
-	began := time.Now()
-	r, err := l.readResponse(http.MethodPost, state.MaxBody, func(first int) time.Time {
-		if f.statusSuffices(first) {
-			return began.Add(servedTailTimeout)
+			results = append(results, r)
 		}
-		return began.Add(responseTailTimeout)
-	})
-	if err != nil && f.ctx.Err() == nil {
-		err = errMalformedResponse
 	}
-	return r, err
-}
-
-// statusSuffices tells whether a first line is all there is to know of a call.
-func (f *inFlightCall) statusSuffices(first int) bool {
-	return first == http.StatusOK && len(f.attempts) == 1
-}
-
-// awaitFirstByte waits for the first byte of the answer. Forwards whose own deadline
-// comes before that end as timed out, while the others of the call wait on.
-func (f *inFlightCall) awaitFirstByte(l *bufferedConn) error {
-	for {
-		next, _ := f.nextDeadline(responseDeadline)
-		l.SetReadDeadline(next)
-		if f.ctx.Err() != nil { // it ended while the deadline was moved
-			return f.ctx.Err()
-		}
-		_, err := l.reader.Peek(1)
-		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			l.SetReadDeadline(time.Time{})
-			return err
-		}
-		if f.ctx.Err() != nil {
-			return f.ctx.Err()
-		}
-		f.endOverdue(control.TimedOut, responseDeadline)
+	if len(results) > 0 {
+		f.events.Post(state.CallEnded{Call: f.call, Results: results})
 	}
 }
 
-// endOverdue ends the forwards whose time has come.
-func (f *inFlightCall) endOverdue(r control.Result, by func(*state.Attempt) time.Time) {
+// endOverdue ends the attempts whose deadline has come.
+func (f *inFlightCall) endOverdue(r control.Result, deadline func(*state.Attempt) time.Time) {
 	now := time.Now()
-	f.endEach(func(w *state.Attempt) (state.AttemptResult, bool) {
-		return state.AttemptResult{Result: r}, !now.Before(by(w))
+	f.endEach(func(a *state.Attempt) (state.AttemptResult, bool) {
+		return state.AttemptResult{Result: r}, !now.Before(deadline(a))
 	})
 }
 
-// nextDeadline is the earliest time of a forward that waits, if the call itself ends later; the zero time, for none, lifts
-// a connection's deadline.
-func (f *inFlightCall) nextDeadline(by func(*state.Attempt) time.Time) (next time.Time, ok bool) {
-	last, _ := f.ctx.Deadline()
-	for i, w := range f.attempts {
-		if t := by(w); !f.ended[i] && t.Before(last) && (!ok || t.Before(next)) {
-			next, ok = t, true
-		}
-	}
-	return next, ok
-}
-
-// responseDeadline is how long a forward that has left is waited for.
-func responseDeadline(w *state.Attempt) time.Time { return w.Deadline }
-
-// sendDeadline is the time after which a forward must not leave.
-func sendDeadline(w *state.Attempt) time.Time {
-	if !w.NotAfter.IsZero() && w.NotAfter.Before(w.Deadline) {
-		return w.NotAfter
-	}
-	return w.Deadline
-}
-
-// endUnanswered ends the forwards of a call that may have run and was not answered.
+// endUnanswered ends the attempts of a call that may have run and got no response.
 func (f *inFlightCall) endUnanswered(err error) {
 	last, _ := f.ctx.Deadline()
 	switch {
 	case errors.Is(err, errMalformedResponse):
-		f.endAll(control.Failed) // the target is there, and what it did is not known
+		f.endAll(control.Failed) // the endpoint is there, and what it did is not known
 	case f.ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded):
 		f.endAll(control.ConnectionLost)
 	case time.Now().Before(last):
@@ -139,7 +58,56 @@
 	}
 }
 
-// resultOfStatus is what a status says of a call.
+// resultBeforeSent is the result of a call that was broken off before its last byte was written. It has not run. What
+// the endpoint has answered by then may tell that it rejects calls, and a Retry-After that binds.
+func (f *inFlightCall) resultBeforeSent(c *bufferedConn) state.AttemptResult {
+	failed := state.AttemptResult{Result: control.ConnectFailed}
+	if f.ctx.Err() != nil {
+		return failed
+	}
+	c.readLimit.N = maxHeaderBytes
+	r, err := c.readResponse(http.MethodPost, state.MaxBody, func(int) time.Time {
+		return time.Now().Add(servedTailTimeout)
+	})
+	if f.ctx.Err() != nil || err != nil || resultOfStatus(r.status) != control.Rejected {
+		return failed
+	}
+	return resultOfResponse(r)
+}
+
+// endAnswered ends the attempts of a call by its response. The status line of a 200 is enough for a single message; all
+// else must have come complete.
+func (f *inFlightCall) endAnswered(r response, err error) {
+	if f.statusSuffices(r.firstStatus) {
+		r.status, err = http.StatusOK, nil
+	}
+	if err != nil {
+		f.endUnanswered(err)
+		return
+	}
+	common := resultOfResponse(r)
+	if common.Result == control.Unprocessable {
+		f.log.Error("call unprocessable", "endpoint", f.call.Target.ID, "status", r.status, "count", len(f.attempts))
+	}
+	if r.status != http.StatusOK || len(f.attempts) == 1 {
+		f.endEach(func(*state.Attempt) (state.AttemptResult, bool) { return common, true })
+		return
+	}
+	results := parseResults(r.body)
+	for _, a := range f.attempts {
+		if _, named := results[a.Message.ID]; !named {
+			f.endUnanswered(errMalformedResponse)
+			return
+		}
+	}
+	f.endEach(func(a *state.Attempt) (state.AttemptResult, bool) {
+		own := results[a.Message.ID]
+		own.RetryAfter = common.RetryAfter
+		return own, true
+	})
+}
+
+// resultOfStatus is what a status tells of a call.
 func resultOfStatus(status int) control.Result {
 	switch status {
 	case http.StatusOK:
@@ -156,82 +124,50 @@
 	return control.Unknown
 }
 
-// resultOfResponse is what an answer says of all messages of a call.
+// resultOfResponse is what a response tells of all messages of a call.
 func resultOfResponse(r response) state.AttemptResult {
-	e := state.AttemptResult{Result: resultOfStatus(r.status), Final: r.status == http.StatusOK || r.status == http.StatusGone}
-	e.RetryAfter, _ = parseSeconds(r.header.Get("Retry-After"))
+	result := state.AttemptResult{
+		Result: resultOfStatus(r.status),
+		Final:  r.status == http.StatusOK || r.status == http.StatusGone,
+	}
+	result.RetryAfter, _ = parseSeconds(r.header.Get("Retry-After"))
 	if r.header.Get("X-Over-Slots") == "1" {
-		e.Result, e.NoSlot = control.NotSent, true
+		result.Result, result.NoSlot = control.NotSent, true
 	}
-	// One who turns a call away above a limit keeps the connection for the next. One who closes it has no room
-	// for connections: that is over as soon as another is closed, and says nothing of the limit.
-	if e.Result == control.Rejected && r.closes && e.RetryAfter == 0 {
-		e.Result = control.ConnectionRejected
+	// An endpoint that rejects a call above its limit keeps the connection for the next. One that closes it has no
+	// capacity for connections: that is over as soon as another is closed, and tells nothing of the limit.
+	if result.Result == control.Rejected && r.closes && result.RetryAfter == 0 {
+		result.Result = control.ConnectionRejected
 	}
-	return e
+	return result
 }
 
-// endAnswered ends the forwards of a call by its answer. The first line of a 200
-// is enough for a single message; all else must have come whole.
-func (f *inFlightCall) endAnswered(r response, err error) {
-	if f.statusSuffices(r.firstStatus) {
-		r.status, err = http.StatusOK, nil
-	}
-	if err != nil {
-		f.endUnanswered(err)
-		return
-	}
-	status, e := r.status, resultOfResponse(r)
-	if e.Result == control.Unprocessable {
-		f.log.Error("target rejects a call", "target", f.call.Target.ID, "status", status, "messages", len(f.attempts))
-	}
-	if status != http.StatusOK || len(f.attempts) == 1 {
-		f.endEach(func(*state.Attempt) (state.AttemptResult, bool) { return e, true })
-		return
-	}
-	said := parseResults(r.body)
-	for _, w := range f.attempts {
-		if _, named := said[w.Message.ID]; !named {
-			f.endUnanswered(errMalformedResponse)
-			return
-		}
-	}
-	f.endEach(func(w *state.Attempt) (state.AttemptResult, bool) {
-		each := said[w.Message.ID]
-		each.RetryAfter = e.RetryAfter
-		return each, true
-	})
+// batchResults are the words for a message's result in the response to a batch.
+var batchResults = map[string]state.AttemptResult{
+	"delivered": {Result: control.Served, Final: true},
+	"failed":    {Result: control.Failed},
+	"refused":   {Result: control.Rejected},
+	"over":      {Result: control.NotSent, Final: true},
+	"spent":     {Result: control.NotSent},
 }
 
-// parseResults reads the lines with each message's end. Where one can't be read
-// or names a message twice, none of the others is to be believed.
+// parseResults reads the lines with each message's result. Where one can't be read or names a message twice it returns
+// nil: the others are not to be believed either.
 func parseResults(body []byte) map[string]state.AttemptResult {
-	ends := map[string]state.AttemptResult{}
+	results := map[string]state.AttemptResult{}
 	for line := range bytes.Lines(body) {
-		w := strings.Fields(string(line))
-		if len(w) == 0 {
+		words := strings.Fields(string(line))
+		if len(words) == 0 {
 			continue
 		}
-		if len(w) != 2 {
-			return nil
-		}
-		if _, twice := ends[w[0]]; twice {
+		if len(words) != 2 {
 			return nil
 		}
-		switch w[1] {
-		case "delivered":
-			ends[w[0]] = state.AttemptResult{Result: control.Served, Final: true}
-		case "failed":
-			ends[w[0]] = state.AttemptResult{Result: control.Failed}
-		case "refused":
-			ends[w[0]] = state.AttemptResult{Result: control.Rejected}
-		case "over":
-			ends[w[0]] = state.AttemptResult{Result: control.NotSent, Final: true}
-		case "spent":
-			ends[w[0]] = state.AttemptResult{Result: control.NotSent}
-		default:
+		result, known := batchResults[words[1]]
+		if _, twice := results[words[0]]; twice || !known {
 			return nil
 		}
+		results[words[0]] = result
 	}
-	return ends
+	return results
 }
--- a/internal/protocol/clientconn.go
+++ b/internal/protocol/clientconn.go
@@ -57,8 +57,8 @@
 	return &clientConn{bufferedConn: newBufferedConn(conn), waitingSince: time.Now()}
 }
 
-// setState has a connection enter a state, and sets how long it may be in it. Its caller holds the listener's mutex, and
-// is the goroutine that serves the connection for each state but connEvicted and connDraining.
+// setState has a connection enter a state, and sets how long it may be in it. Its caller holds the listener's mutex,
+// and is the goroutine that serves the connection for each state but connEvicted and connDraining.
 func (l *Listener) setState(c *clientConn, next connState) {
 	now := time.Now()
 	switch next {
@@ -136,7 +136,8 @@
 
 // closesAfterResponse reports whether a connection is to end after the response under way.
 func (l *Listener) closesAfterResponse(c *clientConn) bool {
-	if c.lastRequest || l.closing.Load() || l.keepAliveDisabled.Load() || l.slotAwaited.Load() || l.drainedSince.Load() != nil {
+	if c.lastRequest || l.closing.Load() || l.keepAliveDisabled.Load() ||
+		l.slotAwaited.Load() || l.drainedSince.Load() != nil {
 		return true
 	}
 	l.mu.Lock()
--- a/internal/protocol/conn.go
+++ b/internal/protocol/conn.go
@@ -63,8 +63,8 @@
 	return err == nil && open
 }
 
-// closeGracefully half-closes a connection, reads and discards what still comes until a deadline, and closes it. A plain
-// close over unread bytes resets the connection, and the other side loses what it has not read of a response.
+// closeGracefully half-closes a connection, reads and discards what still comes until a deadline, and closes it. A
+// plain close over unread bytes resets the connection, and the other side loses what it has not read of a response.
 func (c *bufferedConn) closeGracefully(deadline time.Time) {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		c.SetReadDeadline(deadline)
@@ -73,8 +73,8 @@
 	c.Close()
 }
 
-// interruptOnDone interrupts reads and writes on a connection when the context ends. stop ends that, and reports whether
-// the connection had not been interrupted.
+// interruptOnDone interrupts reads and writes on a connection when the context ends. stop ends that, and reports
+// whether the connection had not been interrupted.
 func interruptOnDone(ctx context.Context, c *bufferedConn) (stop func() bool) {
 	c.SetDeadline(time.Time{})
 	return context.AfterFunc(ctx, func() { c.SetDeadline(longAgo) })
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -145,7 +145,8 @@
 	}
 }
 
-// The last answer before a close arrives whole and ends the connection in order, whatever else was sent behind its request.
+// The last answer before a close arrives whole and ends the connection in order, whatever else was sent behind its
+// request.
 func TestLastResponseArrivesComplete(t *testing.T) {
 	last := strings.Replace(submission, "Host: h", "Host: h\r\nConnection: close", 1)
 	flood := strings.Repeat("x", 400<<10)
--- a/internal/protocol/counters.go
+++ b/internal/protocol/counters.go
@@ -6,24 +6,24 @@
 	"sync/atomic"
 )
 
-// Counters count what listeners of one process do, one after another. Anyone may read.
+// Counters count what the listeners of one process do. They may be read and added to from any goroutine.
 type Counters struct {
 	accepted, acceptFailed, requests, evicted, unanswered atomic.Int64
 
 	answers [http.StatusNetworkAuthenticationRequired + 1]atomic.Int64 // by status
 }
 
-// Counts are what counters show, since the start of the process.
+// Counts are the values of Counters since the start of the process.
 type Counts struct {
 	Accepted     int64            `json:"accepted"`      // connections
 	AcceptFailed int64            `json:"accept_failed"` // accepts that the system refused
-	Requests     int64            `json:"requests"`      // of which at least a first byte came
+	Requests     int64            `json:"requests"`      // of which a first byte came at least
 	Answers      map[string]int64 `json:"answers,omitempty"`
-	Unanswered   int64            `json:"unanswered"` // requests whose connection ended with no whole answer
+	Unanswered   int64            `json:"unanswered"` // requests whose connection ended with no complete response
 	Evicted      int64            `json:"evicted"`    // connections that made room for others
 }
 
-// Counts reads them. They are not of one instant.
+// Counts reads the counters, which are not of one instant.
 func (c *Counters) Counts() Counts {
 	list := Counts{
 		Accepted: c.accepted.Load(), AcceptFailed: c.acceptFailed.Load(), Requests: c.requests.Load(),
--- a/internal/protocol/gossip.go
+++ b/internal/protocol/gossip.go
@@ -13,26 +13,31 @@
 	"cleathold/internal/state"
 )
 
-// GossipTransport sends notes to the other senders of the tier, and takes theirs.
+const (
+	// maxDatagramsPerSecond bounds how much gossip is read: a flood is left in the socket's buffer, where the kernel drops
+	// what does not fit.
+	maxDatagramsPerSecond = 2000
+
+	// gossipReadBackoff is waited after a read that failed.
+	gossipReadBackoff = 100 * time.Millisecond
+)
+
+// GossipTransport sends gossip to the peers over UDP, and receives theirs.
 type GossipTransport struct {
 	log        *slog.Logger
 	conn       *net.UDPConn
 	broadcast  netip.AddrPort
-	peerByAddr map[netip.AddrPort]int // number of the sender at an address
+	peerByAddr map[netip.AddrPort]int // the peer's number
 
 	dropped atomic.Int64
 }
 
-// maxDatagramsPerSecond bounds the notes that are read in a second: a flood is left in the
-// socket's buffer, where the kernel drops what has no room.
-const maxDatagramsPerSecond = 2000
-
-// OpenGossip listens for notes. The addresses are those of all senders by their
-// numbers, of which this one has the number me, and the one that reaches all.
+// OpenGossip listens for gossip. peers are the addresses of all senders by their numbers, of which this one has the
+// number me, and all is the address that reaches all.
 func OpenGossip(listen, all string, peers []string, me int, log *slog.Logger) (*GossipTransport, error) {
-	p := &GossipTransport{log: log, peerByAddr: map[netip.AddrPort]int{}}
+	g := &GossipTransport{log: log, peerByAddr: map[netip.AddrPort]int{}}
 	var err error
-	if p.broadcast, err = netip.ParseAddrPort(all); err != nil {
+	if g.broadcast, err = netip.ParseAddrPort(all); err != nil {
 		return nil, fmt.Errorf("peers_all: %w", err)
 	}
 	for i, text := range peers {
@@ -40,55 +45,55 @@
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		if i != me { // what comes back to this sender it knows
-			p.peerByAddr[addr] = i
+		if i != me { // its own datagrams come back, too
+			g.peerByAddr[addr] = i
 		}
 	}
-	at, err := netip.ParseAddrPort(listen)
+	addr, err := netip.ParseAddrPort(listen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	p.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
-	return p, err
+	g.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(addr))
+	return g, err
 }
 
-// SendGossip sends a note to all. One that can't be sent is lost, as any may be.
-func (p *GossipTransport) SendGossip(facts []gossip.Observation) {
-	p.conn.WriteToUDPAddrPort(gossip.Encode(facts), p.broadcast)
+// SendGossip sends observations to all peers. A datagram that can't be sent is lost, as any may be.
+func (g *GossipTransport) SendGossip(observations []gossip.Observation) {
+	g.conn.WriteToUDPAddrPort(gossip.Encode(observations), g.broadcast)
 }
 
-// Run takes notes until the context ends. Those from strangers, too long, cut
-// short or in another version are counted and dropped.
-func (p *GossipTransport) Run(ctx context.Context, post EventPoster) {
-	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
+// Run posts what peers tell as state.GossipReceived until the context ends. Datagrams from strangers, too long, cut
+// short or of another version are counted and dropped.
+func (g *GossipTransport) Run(ctx context.Context, events EventPoster) {
+	stop := context.AfterFunc(ctx, func() { g.conn.Close() })
 	defer stop()
 	defer func() {
-		if n := p.dropped.Load(); n > 0 {
-			p.log.Info("notes dropped", "count", n)
+		if n := g.dropped.Load(); n > 0 {
+			g.log.Info("gossip dropped", "count", n)
 		}
 	}()
 	buf := make([]byte, gossip.MaxSize+1)
-	for span, read := time.Now(), 0; ; read++ {
-		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
+	for second, read := time.Now(), 0; ; read++ {
+		n, from, err := g.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if ctx.Err() != nil {
 				return
 			}
-			sleepUntil(ctx, time.Now().Add(minPollInterval))
+			sleepUntil(ctx, time.Now().Add(gossipReadBackoff))
 			continue
 		}
 		if read >= maxDatagramsPerSecond {
-			sleepUntil(ctx, span.Add(time.Second))
+			sleepUntil(ctx, second.Add(time.Second))
 		}
-		if now := time.Now(); now.Sub(span) >= time.Second {
-			span, read = now, 0
+		if now := time.Now(); now.Sub(second) >= time.Second {
+			second, read = now, 0
 		}
-		sender, known := p.peerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		facts, err := gossip.Decode(buf[:n])
+		peer, known := g.peerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		observations, err := gossip.Decode(buf[:n])
 		if !known || err != nil {
-			p.dropped.Add(1)
+			g.dropped.Add(1)
 			continue
 		}
-		post.Post(state.GossipReceived{Peer: sender, Observations: facts})
+		events.Post(state.GossipReceived{Peer: peer, Observations: observations})
 	}
 }
--- a/internal/protocol/httpclient.go
+++ b/internal/protocol/httpclient.go
@@ -35,8 +35,8 @@
 	startedAt time.Time // when the first byte of the response came; zero: none did
 }
 
-// do sends a request and reads its response, by the deadline. It never sends twice. With an error the exchange tells how
-// much of the response came.
+// do sends a request and reads its response, by the deadline. It never sends twice. With an error the exchange tells
+// how much of the response came.
 func (h *httpClient) do(ctx context.Context, method, path string, body []byte, deadline time.Time) (exchange, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -73,7 +73,8 @@
 	return out.Bytes()
 }
 
-// readResponse reads the response to a request that was sent, and reports whether the connection can't be used any more.
+// readResponse reads the response to a request that was sent, and reports whether the connection can't be used any
+// more.
 func (h *httpClient) readResponse(ctx context.Context, method string) (e exchange, closes bool, err error) {
 	c := h.conn
 	c.readLimit.N = maxHeaderBytes + maxListBytes
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -54,7 +54,7 @@
 
 	closing           atomic.Bool
 	keepAliveDisabled atomic.Bool               // each connection ends with its next response
-	slotAwaited       atomic.Bool               // a connection waits for a slot and none is idle: others end after their response
+	slotAwaited       atomic.Bool               // a connection waits for a slot, and none could be evicted
 	drainedSince      atomic.Pointer[time.Time] // by the monotonic clock; nil: not drained
 
 	maxKeptAlive int // so many connections are kept after a request
@@ -70,8 +70,8 @@
 	classes []control.Class
 }
 
-// Listen opens the listening socket, for most connections at once. Of those that had a request keep are kept for the next
-// one: some clients ask once and never close their connection, and clients may not hold that many.
+// Listen opens the listening socket, for most connections at once. Of those that had a request keep are kept for the
+// next one: some clients ask once and never close their connection, and clients may not hold that many.
 func Listen(
 	addr string, events EventQueue, n Names, classes []control.Class, most, keep int, log *slog.Logger,
 ) (*Listener, error) {
@@ -161,9 +161,9 @@
 	}
 }
 
-// evictIdle ends the connection that has waited for a request for longest, if no input is pending on it. Those that never
-// had a request come first: some peers connect by hundreds and send nothing, and others should not have to make room for
-// them. Where none can be evicted, the next that has its response ends.
+// evictIdle ends the connection that has waited for a request for longest, if no input is pending on it. Those that
+// never had a request come first: some peers connect by hundreds and send nothing, and others should not have to make
+// room for them. Where none can be evicted, the next that has its response ends.
 func (l *Listener) evictIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,8 +187,8 @@
 	}
 }
 
-// DisableKeepAlive ends each connection with its next response. Clients that are told so send nothing more on it, while a
-// plain close could cross a request.
+// DisableKeepAlive ends each connection with its next response. Clients that are told so send nothing more on it,
+// while a plain close could cross a request.
 func (l *Listener) DisableKeepAlive() { l.keepAliveDisabled.Store(true) }
 
 // Drain sends clients away: health says no, connections end with their next response, idle ones at once, and after
--- a/internal/protocol/pool.go
+++ b/internal/protocol/pool.go
@@ -6,9 +6,18 @@
 	"time"
 )
 
-// A connPool keeps connections to targets that lie idle, the latest used on top.
+const (
+	// idleTimeFraction of the time that an endpoint keeps an idle connection is how long it is kept here: a request that
+	// crosses the endpoint's close would be lost.
+	idleTimeFraction = 0.8
+
+	// defaultIdleTimeout is used where the settings don't tell how long endpoints keep an idle connection.
+	defaultIdleTimeout = 2 * time.Second
+)
+
+// A connPool keeps idle connections to endpoints, by the endpoint's id, the latest used on top.
 type connPool struct {
-	maxIdleTime  time.Duration // less than the targets keep them
+	maxIdleTime  time.Duration
 	maxIdleConns int
 
 	mu        sync.Mutex
@@ -16,88 +25,85 @@
 	idleCount int
 }
 
-// idleTimeFraction of the time that a target keeps an idle connection is when it is
-// dropped here: a request that crosses the target's close would be lost.
-const idleTimeFraction = 0.8
-
-// defaultIdleTimeout is used where the settings don't tell how long targets keep one.
-const defaultIdleTimeout = 2 * time.Second
-
-func newConnPool(idle time.Duration, most int) *connPool {
-	if idle <= 0 {
-		idle = defaultIdleTimeout
+func newConnPool(idleTimeout time.Duration, maxIdleConns int) *connPool {
+	if idleTimeout <= 0 {
+		idleTimeout = defaultIdleTimeout
+	}
+	return &connPool{
+		maxIdleTime: time.Duration(idleTimeFraction * float64(idleTimeout)), maxIdleConns: maxIdleConns,
+		idle: map[string][]*bufferedConn{},
 	}
-	return &connPool{maxIdleTime: time.Duration(idleTimeFraction * float64(idle)), maxIdleConns: most, idle: map[string][]*bufferedConn{}}
 }
 
-// get takes the connection to a target that lay idle for the shortest time, if
-// it is sound and leads to its present address.
-func (p *connPool) get(target, addr string) *bufferedConn {
+// get takes the connection to an endpoint that was used last, if it can be used and leads to the endpoint's present
+// address; nil if there is none.
+func (p *connPool) get(id, addr string) *bufferedConn {
 	for {
-		l := p.pop(target)
-		if l == nil {
+		c := p.pop(id)
+		if c == nil {
 			return nil
 		}
-		if time.Since(l.idleSince) < p.maxIdleTime && l.addr == addr && !l.stale() {
-			return l
+		if time.Since(c.idleSince) < p.maxIdleTime && c.addr == addr && !c.stale() {
+			return c
 		}
-		l.Close()
+		c.Close()
 	}
 }
 
-func (p *connPool) pop(target string) *bufferedConn {
+func (p *connPool) pop(id string) *bufferedConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[target]
-	if len(list) == 0 {
+	conns := p.idle[id]
+	if len(conns) == 0 {
 		return nil
 	}
-	l := list[len(list)-1]
-	p.idle[target] = list[:len(list)-1]
+	c := conns[len(conns)-1]
+	p.idle[id] = conns[:len(conns)-1]
 	p.idleCount--
-	return l
+	return c
 }
 
-// put lets a connection lie idle, or closes it if there are too many.
-func (p *connPool) put(target string, l *bufferedConn) {
-	l.idleSince = time.Now()
+// put keeps an idle connection, or closes it if there are too many.
+func (p *connPool) put(id string, c *bufferedConn) {
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idleCount >= p.maxIdleConns {
-		l.Close()
+		c.Close()
 		return
 	}
-	p.idle[target] = append(p.idle[target], l)
+	p.idle[id] = append(p.idle[id], c)
 	p.idleCount++
 }
 
-// closeIdle closes the idle connections to a target.
-func (p *connPool) closeIdle(target string) {
-	for l := p.pop(target); l != nil; l = p.pop(target) {
-		l.Close()
+// closeIdle closes the idle connections to an endpoint.
+func (p *connPool) closeIdle(id string) {
+	for c := p.pop(id); c != nil; c = p.pop(id) {
+		c.Close()
 	}
 }
 
-// closeStale closes those that lay idle for too long or that the target has closed.
+// closeStale closes connections that were idle for too long or that the endpoint has closed.
 func (p *connPool) closeStale() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for target, list := range p.idle {
-		kept := list[:0]
-		for _, l := range list {
-			if time.Since(l.idleSince) < p.maxIdleTime && !l.stale() {
-				kept = append(kept, l)
+	for id, conns := range p.idle {
+		kept := conns[:0]
+		for _, c := range conns {
+			if time.Since(c.idleSince) < p.maxIdleTime && !c.stale() {
+				kept = append(kept, c)
 				continue
 			}
-			l.Close()
+			c.Close()
 			p.idleCount--
 		}
-		if p.idle[target] = kept; len(kept) == 0 {
-			delete(p.idle, target)
+		if p.idle[id] = kept; len(kept) == 0 {
+			delete(p.idle, id)
 		}
 	}
 }
 
+// run closes stale connections until the context ends.
 func (p *connPool) run(ctx context.Context) {
 	tick := time.NewTicker(max(p.maxIdleTime/20, 50*time.Millisecond))
 	defer tick.Stop()
--- a/internal/protocol/reporter.go
+++ b/internal/protocol/reporter.go
@@ -12,18 +12,18 @@
 	"cleathold/internal/state"
 )
 
+// A delivery report is due 300 ms after its message's time, which bounds the timeouts and the backoff.
 const (
 	reportPath        = "/status"
-	reportTimeout     = 500 * time.Millisecond // an answer to notices may take so long, connecting included...
-	reusedConnTimeout = 130 * time.Millisecond // ...and on a connection from before so long: it may have fallen silent, and
-	// a notice is due 300 ms after its message's time
-	maxReportBatch   = 256                   // notices in one call
-	minReportBackoff = 10 * time.Millisecond // after a failure, doubled up to...
-	maxReportBackoff = 40 * time.Millisecond // ...this: a notice is late 300 ms after its time
+	reportTimeout     = 500 * time.Millisecond // of a call with reports, connecting included...
+	reusedConnTimeout = 130 * time.Millisecond // ...and on a connection that has served, which may be dead
+	maxReportBatch    = 256                    // reports in one call
+	minReportBackoff  = 10 * time.Millisecond  // after a failure, doubled up to maxReportBackoff
+	maxReportBackoff  = 40 * time.Millisecond
 )
 
-// Reporter tells the platform of the ends of messages, in order, each until it
-// is acknowledged. The table of messages bounds how many wait.
+// Reporter tells the platform of the outcomes of messages, in order, each until it is acknowledged. The loop's table of
+// messages bounds how many wait.
 type Reporter struct {
 	events EventPoster
 	log    *slog.Logger
@@ -34,93 +34,93 @@
 	queue []state.DeliveryReport
 }
 
-// NewReporter returns the platform's notifier.
-func NewReporter(post EventPoster, addr string, log *slog.Logger) *Reporter {
-	return &Reporter{events: post, addr: addr, log: log, wake: make(chan struct{}, 1)}
+// NewReporter returns a reporter to the platform's address. It sends nothing before Run.
+func NewReporter(events EventPoster, addr string, log *slog.Logger) *Reporter {
+	return &Reporter{events: events, addr: addr, log: log, wake: make(chan struct{}, 1)}
 }
 
-// Report queues a notice.
-func (n *Reporter) Report(notice state.DeliveryReport) {
-	n.mu.Lock()
-	n.queue = append(n.queue, notice)
-	n.mu.Unlock()
+// Report queues a delivery report. state.ReportsAcknowledged is posted once the platform has it.
+func (r *Reporter) Report(report state.DeliveryReport) {
+	r.mu.Lock()
+	r.queue = append(r.queue, report)
+	r.mu.Unlock()
 	select {
-	case n.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// SetAddress sends notices to another address from now on.
-func (n *Reporter) SetAddress(addr string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.addr = addr
+// SetAddress sends reports to another address from now on.
+func (r *Reporter) SetAddress(addr string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.addr = addr
 }
 
-// nextBatch returns the notices that go next, and where to.
-func (n *Reporter) nextBatch() ([]state.DeliveryReport, string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.queue[:min(len(n.queue), maxReportBatch)], n.addr
+// nextBatch returns the reports that go next, and where to.
+func (r *Reporter) nextBatch() ([]state.DeliveryReport, string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.queue[:min(len(r.queue), maxReportBatch)], r.addr
 }
 
-// acknowledge takes the first notices off the queue and has them forgotten.
-func (n *Reporter) acknowledge(count int) {
-	n.mu.Lock()
+// acknowledge takes the first reports off the queue and tells the loop.
+func (r *Reporter) acknowledge(count int) {
+	r.mu.Lock()
 	nums := make([]control.MessageID, count)
 	for i := range nums {
-		nums[i] = n.queue[i].Num
+		nums[i] = r.queue[i].Num
 	}
-	n.queue = n.queue[count:]
-	n.mu.Unlock()
-	n.events.Post(state.ReportsAcknowledged{Nums: nums})
+	r.queue = r.queue[count:]
+	r.mu.Unlock()
+	r.events.Post(state.ReportsAcknowledged{Nums: nums})
 }
 
-// Run delivers notices until the context ends.
-func (n *Reporter) Run(ctx context.Context) {
-	link := &httpClient{}
-	defer link.close()
-	wait, most := minReportBackoff, maxReportBatch
+// Run delivers reports until the context ends.
+func (r *Reporter) Run(ctx context.Context) {
+	client := &httpClient{}
+	defer client.close()
+	backoff, limit := minReportBackoff, maxReportBatch
 	for ctx.Err() == nil {
-		batch, addr := n.nextBatch()
-		link.setAddress(addr)
-		batch = batch[:min(len(batch), most)]
+		batch, addr := r.nextBatch()
+		client.setAddress(addr)
+		batch = batch[:min(len(batch), limit)]
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
 				return
-			case <-n.wake:
+			case <-r.wake:
 			}
 			continue
 		}
-		kept := link.conn != nil
-		said, err := link.do(ctx, http.MethodPost, reportPath, encodeReports(batch), time.Now().Add(link.reportTimeout()))
+		reused := client.conn != nil
+		e, err := client.do(ctx, http.MethodPost, reportPath, encodeReports(batch), time.Now().Add(client.reportTimeout()))
 		switch {
-		case err == nil && said.status == http.StatusNoContent:
-			n.acknowledge(len(batch))
-			wait, most = minReportBackoff, maxReportBatch
+		case err == nil && e.status == http.StatusNoContent:
+			r.acknowledge(len(batch))
+			backoff, limit = minReportBackoff, maxReportBatch
 			continue
-		case err == nil && said.status == http.StatusBadRequest && len(batch) == 1:
-			// One that can't be read never will be, and would hold up all the others.
-			n.log.Error("notice not readable to the platform, dropped", "id", batch[0].ID)
-			n.acknowledge(1)
+		case err == nil && e.status == http.StatusBadRequest && len(batch) == 1:
+			// A report that the platform can't read it never will read, and all others would wait behind it.
+			r.log.Error("delivery report unreadable to the platform, dropped", "message", batch[0].ID)
+			r.acknowledge(1)
 			continue
-		case err == nil && said.status == http.StatusBadRequest:
-			most = 1 // find out which one it is
+		case err == nil && e.status == http.StatusBadRequest:
+			limit = 1 // find out which one it is
 			continue
 		}
-		n.log.Warn("notices not delivered", "count", len(batch), "status", said.status, "err", err)
-		if kept && err != nil {
+		r.log.Warn("delivery reports not acknowledged", "count", len(batch), "status", e.status, "err", err)
+		if reused && err != nil {
 			continue // at once, on a new connection
 		}
-		sleepUntil(ctx, time.Now().Add(wait))
-		wait = min(2*wait, maxReportBackoff)
+		sleepUntil(ctx, time.Now().Add(backoff))
+		backoff = min(2*backoff, maxReportBackoff)
 	}
 }
 
-// reportTimeout is how long the platform's answer is waited for. It answers at once.
-func (d *httpClient) reportTimeout() time.Duration {
-	if d.conn != nil {
+// reportTimeout is how long the platform's response is awaited.
+func (h *httpClient) reportTimeout() time.Duration {
+	if h.conn != nil {
 		return reusedConnTimeout
 	}
 	return reportTimeout
@@ -129,19 +129,19 @@
 // encodeReports writes one JSON object a line.
 func encodeReports(batch []state.DeliveryReport) []byte {
 	var out []byte
-	for _, n := range batch {
+	for _, report := range batch {
 		line := struct {
 			ID     string `json:"id"`
 			Status string `json:"status"`
 			Again  *int64 `json:"again_ms,omitempty"`
-		}{ID: n.ID, Status: "undeliverable"}
-		if n.Deferred {
+		}{ID: report.ID, Status: "undeliverable"}
+		if report.Deferred {
 			line.Status = "deferred"
-			if ms := n.RetryAfter.Milliseconds(); ms > 0 {
+			if ms := report.RetryAfter.Milliseconds(); ms > 0 {
 				line.Again = &ms
 			}
 		}
-		text, _ := json.Marshal(line) // strings and a number always have a form
+		text, _ := json.Marshal(line) // strings and a number can always be encoded
 		out = append(append(out, text...), '\n')
 	}
 	return out
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -12,71 +12,72 @@
 	"cleathold/internal/state"
 )
 
-// Intake: the first stage. A request becomes a message, or gets a fixed
-// response that says what is wrong with it.
+const (
+	healthPath = "/_health"
+
+	// healthCheck takes the place of a class's number where a request is a health check.
+	healthCheck = -1
+
+	// maxDeadline bounds a deadline where the class's own is longer.
+	maxDeadline = 24 * time.Hour
+)
 
-// Names are the words that the settings use for what the controller numbers.
+// Names map the names in the settings to the numbers that package control knows them by.
 type Names struct {
 	Classes, Tenants, Zones, Kinds map[string]int
 }
 
-// A requestError is why a request is not taken in.
+// A requestError is why a request is rejected unseen by the loop, as its client hears it.
 type requestError struct {
 	status int
 	text   string
-	closes bool // what follows on the connection can't be told from this request
+	closes bool // where the next request on the connection begins can't be told
 }
 
-func (f *requestError) Error() string { return f.text }
+// Error is the text that the client gets.
+func (e *requestError) Error() string { return e.text }
 
 func badRequest(text string) error { return &requestError{status: http.StatusBadRequest, text: text} }
 
-const (
-	healthPath = "/_health"
-	// maxDeadline bounds a deadline where the class's own is longer.
-	maxDeadline = 24 * time.Hour
-)
+func bodyTooLarge() error {
+	return &requestError{http.StatusRequestEntityTooLarge, "body too large", true}
+}
 
-// parseMessage reads the body of a request and makes a message of it. A nil message
-// without an error is a question about health.
+// parseMessage reads the body of a request and makes a message of it. A nil message without an error is a health check.
 func parseMessage(r *http.Request, arrived time.Time, n Names, classes []control.Class) (*state.Message, error) {
 	if err := checkFraming(r); err != nil {
 		return nil, err
 	}
 	class, err := classOfRequest(r, n)
-	if err != nil || class < 0 {
+	if err != nil || class == healthCheck {
 		return nil, err
 	}
-	if r.ContentLength > state.MaxBody {
-		return nil, &requestError{http.StatusRequestEntityTooLarge, "body too large", true}
-	}
-	body, err := readBody(r.Body, state.MaxBody)
-	if errors.Is(err, errTooLong) {
-		return nil, &requestError{http.StatusRequestEntityTooLarge, "body too large", true}
-	}
+	body, err := readRequestBody(r)
 	if err != nil {
-		return nil, &requestError{http.StatusBadRequest, "body unreadable", true}
+		return nil, err
+	}
+	m := &state.Message{
+		ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), Class: class, Body: body,
 	}
-	m := &state.Message{ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), Class: class, Body: body}
 	if !validToken(m.ID) {
 		return nil, badRequest("X-Request-Id missing or malformed")
 	}
-	// Without its key a keyed message could not be repeated safely.
+	// Without its key a message that is idempotent by key could not be repeated safely.
 	if m.Key == "" && classes[class].Idempotency == control.IdempotentByKey {
 		return nil, badRequest("Idempotency-Key missing")
 	}
-	if m.Key != "" && (!validToken(m.Key) || m.Key == "-") {
+	if m.Key != "" && (!validToken(m.Key) || m.Key == noKey) {
 		return nil, badRequest("Idempotency-Key malformed")
 	}
 	var known bool
 	if m.Tenant, known = n.Tenants[r.Header.Get("X-Tenant")]; !known && len(n.Tenants) > 0 {
 		return nil, badRequest("unknown tenant")
 	}
-	left, ok := parseSeconds(r.Header.Get("X-Deadline"))
+	timeLeft, ok := parseSeconds(r.Header.Get("X-Deadline"))
 	if !ok {
 		return nil, badRequest("X-Deadline unparsable")
 	}
-	m.Deadline = arrived.Add(min(left, classes[class].Deadline, maxDeadline))
+	m.Deadline = arrived.Add(min(timeLeft, classes[class].Deadline, maxDeadline))
 	if m.Destination, ok = parseDestination(r.Header.Get("X-Addressing")); !ok {
 		return nil, badRequest("dest unparsable")
 	}
@@ -85,10 +86,24 @@
 	return m, nil
 }
 
-// checkFraming wants one length and one value of each header that matters. A body in
-// chunks may come with a Content-Length as well, which the parser drops: where
-// it ends is then a matter of opinion, and what one side takes for a body the
-// other takes for a request. Clients know their lengths, so that is not taken.
+// readRequestBody reads a request's body, of state.MaxBody bytes at most.
+func readRequestBody(r *http.Request) ([]byte, error) {
+	if r.ContentLength > state.MaxBody {
+		return nil, bodyTooLarge()
+	}
+	body, err := readBody(r.Body, state.MaxBody)
+	if errors.Is(err, errTooLong) {
+		return nil, bodyTooLarge()
+	}
+	if err != nil {
+		return nil, &requestError{http.StatusBadRequest, "body unreadable", true}
+	}
+	return body, nil
+}
+
+// checkFraming wants one length and one value of each header that matters. A body in chunks may come with a
+// Content-Length as well, which the parser drops: where the body ends is then ambiguous, and a request could be
+// smuggled in it. Clients know their lengths, so chunks are rejected.
 func checkFraming(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
@@ -104,16 +119,15 @@
 	return nil
 }
 
-// classOfRequest finds the class in the path; -1 stands for the question about health.
+// classOfRequest finds the class in the path; healthCheck stands for a health check.
 func classOfRequest(r *http.Request, n Names) (int, error) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	wrong := &requestError{status: http.StatusMethodNotAllowed, text: "method not allowed"}
 	class, known := n.Classes[first]
 	switch {
 	case r.URL.Path == healthPath && r.Method == http.MethodGet:
-		return -1, nil
+		return healthCheck, nil
 	case r.URL.Path == healthPath, known && r.Method != http.MethodPost:
-		return 0, wrong
+		return 0, &requestError{status: http.StatusMethodNotAllowed, text: "method not allowed"}
 	case known:
 		return class, nil
 	case r.Method == http.MethodPost && first != "" && !strings.HasPrefix(first, "_"):
@@ -133,8 +147,8 @@
 	return 0, false
 }
 
-// readRequest reads a request's head. A malformed one gets a fixed response,
-// and one that never came is an end of the connection.
+// readRequest reads a request's head. Its error is a requestError for an expectation that can't be met, else the
+// parser's or the connection's.
 func readRequest(in *bufio.Reader) (*http.Request, error) {
 	r, err := http.ReadRequest(in)
 	if err == nil && r.Header.Get("Expect") != "" && !strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
--- a/internal/protocol/reset_test.go
+++ b/internal/protocol/reset_test.go
@@ -194,17 +194,17 @@
 }
 
 // waitUntilIdle waits until no call is on its way.
-func (s *Transport) waitUntilIdle() {
-	for s.inFlightCount() > 0 {
+func (t *Transport) waitUntilIdle() {
+	for t.inFlightCount() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // inFlightCount is how many calls are on their way.
-func (s *Transport) inFlightCount() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.inFlight)
+func (t *Transport) inFlightCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.inFlight)
 }
 
 // An answer of the old address that comes after a move is not the list: the new address is asked, for the whole one.
@@ -239,8 +239,8 @@
 	}
 }
 
-// What the address after a move has to tell counts as told 4 s later, so that a first question there which is not answered is
-// asked again here, soon, and is no failed ask of which the controller says when to repeat it.
+// What the address after a move has to tell counts as told 4 s later, so that a first question there which is not
+// answered is asked again here, soon, and is no failed ask of which the controller says when to repeat it.
 func TestSetAddressToSlowServer(t *testing.T) {
 	old := socktest.Serve(t, func(int, *http.Request, string) string { return socktest.Hang })
 	var asked atomic.Int32
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -25,10 +25,12 @@
 	closes      bool // the connection can't be used any more
 }
 
-// readResponse reads a response with a body of maxBody bytes at most. Once its first byte is in, the rest must follow by
-// a time that deadline, if it is not nil, tells from the status of the first line (0: not read yet): an endpoint may stop
-// in the middle and keep the connection open.
-func (c *bufferedConn) readResponse(method string, maxBody int64, deadline func(firstStatus int) time.Time) (response, error) {
+// readResponse reads a response with a body of maxBody bytes at most. Once its first byte is in, the rest must follow
+// by a time that deadline, if it is not nil, tells from the status of the first line (0: not read yet): an endpoint
+// may stop in the middle and keep the connection open.
+func (c *bufferedConn) readResponse(
+	method string, maxBody int64, deadline func(firstStatus int) time.Time,
+) (response, error) {
 	c.readLimit.N = maxHeaderBytes + maxBody
 	limitTime := func(status int) {
 		if deadline != nil {
--- a/internal/protocol/silence_test.go
+++ b/internal/protocol/silence_test.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// A notice on a connection that has fallen silent goes again on a new one in time: it is due 300 ms after its message's.
+// A notice on a connection that has fallen silent goes again on a new one in time: it is due 300 ms after its
+// message's.
 func TestReportOnUnresponsiveConnection(t *testing.T) {
 	told := make(chan int, 8)
 	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
@@ -177,8 +178,8 @@
 	}
 }
 
-// A platform that could not be reached for a while is told soon after it can be: a notice is due 300 ms after the time of
-// its message, which may fall into that while.
+// A platform that could not be reached for a while is told soon after it can be: a notice is due 300 ms after the
+// time of its message, which may fall into that while.
 func TestReportAfterPlatformRecovers(t *testing.T) {
 	var back atomic.Pointer[time.Time]
 	told := make(chan time.Time, 8)
