--- /dev/null
+++ b/internal/protocol/batch_test.go
@@ -0,0 +1,92 @@
+package protocol
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/socktest"
+	"cleathold/internal/state"
+)
+
+func TestParseResults(t *testing.T) {
+	got := parseResults([]byte("a delivered\r\nb failed\nc refused\nd over\ne spent\n"))
+	for id, want := range map[string]state.AttemptResult{
+		"a": {Result: control.Served, Final: true}, "b": {Result: control.Failed}, "c": {Result: control.Rejected},
+		"d": {Result: control.NotSent, Final: true}, "e": {Result: control.NotSent},
+	} {
+		if got[id] != want {
+			t.Errorf("%s: %+v, want %+v", id, got[id], want)
+		}
+	}
+	for _, spoilt := range []string{"a delivered\nb what\n", "a refused\nnonsense\n", "a refused\na refused\n", "a refused\nb deliv"} {
+		if got := parseResults([]byte(spoilt)); len(got) > 0 {
+			t.Errorf("%q: %+v", spoilt, got)
+		}
+	}
+}
+
+func TestEncodeBodies(t *testing.T) {
+	body := encodeBatch([]*state.Attempt{
+		{Message: &state.Message{ID: "a", Body: []byte("he\r\nlo")}}, {Message: &state.Message{ID: "b", Key: "k"}},
+	})
+	if want := "a - 6\r\nhe\r\nlo\r\nb k 0\r\n\r\n"; string(body) != want {
+		t.Errorf("frames %q, want %q", body, want)
+	}
+	notices := encodeReports([]state.DeliveryReport{{ID: "a", Deferred: true, RetryAfter: 500 * time.Millisecond}, {ID: "b"}})
+	want := `{"id":"a","status":"deferred","again_ms":500}` + "\n" + `{"id":"b","status":"undeliverable"}` + "\n"
+	if string(notices) != want {
+		t.Errorf("notices %q, want %q", notices, want)
+	}
+}
+
+// Messages of one call have an end each; one whose own time is up first ends
+// alone, and the others still get theirs.
+func TestBatchResults(t *testing.T) {
+	p := newEventRecorder()
+	s := NewTransport(p, time.Minute, 8, discardLog)
+	goOn := make(chan struct{})
+	addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
+		if r.URL.Path != "/receive-many" || !strings.HasPrefix(body, "a k-a 9\r\nbody of a\r\nb k-b 9\r\n") {
+			t.Errorf("target got %v %q", r, body)
+		}
+		<-goOn
+		const ends = "a delivered\r\nb refused\r\nc delivered\r\n"
+		return fmt.Sprintf("HTTP/1.1 200 x\r\nRetry-After: 2\r\nContent-Length: %d\r\n\r\n%s", len(ends), ends)
+	})
+	c := callTo(addr, time.Minute, "a", "b", "c")
+	c.Attempts[2].Deadline = time.Now().Add(20 * time.Millisecond)
+	s.Send(c)
+	first := next[state.CallEnded](t, p).Results
+	if len(first) != 1 || first[0].Attempt != c.Attempts[2] || first[0].Result != control.TimedOut {
+		t.Fatalf("first %+v", first)
+	}
+	close(goOn)
+	then := next[state.CallEnded](t, p).Results
+	if len(then) != 2 || then[0].Result != control.Served || then[1].Result != control.Rejected || then[1].RetryAfter != 2*time.Second {
+		t.Fatalf("then %+v", then)
+	}
+}
+
+// A spoilt answer to several messages ends them all alike, at once, and its
+// connection is not used again.
+func TestMalformedBatchResponse(t *testing.T) {
+	for _, answer := range []string{
+		"HTTP/1.1 200 x\r\nContent-Length: 13\r\n\r\na delivered\r\n", // nothing of b
+		"HTTP/1.1 200 x\r\nContent-Length: 90\r\n\r\na delivered\r\nb deli",
+		"HTTP/1.1 200 x\r\nContent-Length: -1\r\n\r\n",
+		socktest.JSON("a delivered\r\na delivered\r\nb delivered\r\n"),
+		socktest.JSON("a deliv\r\nb delivered\r\n"),
+	} {
+		p := newEventRecorder()
+		s := NewTransport(p, time.Minute, 8, discardLog)
+		s.Send(callTo(socktest.Serve(t, func(int, *http.Request, string) string { return answer }), time.Minute, "a", "b"))
+		ends := next[state.CallEnded](t, p).Results
+		if len(ends) != 2 || ends[0].Result != control.Failed || ends[1].Result != control.Failed {
+			t.Errorf("%q: %+v", answer, ends)
+		}
+	}
+}
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -9,7 +9,6 @@
 	"net/http"
 	"os"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -18,83 +17,6 @@
 	"cleathold/internal/state"
 )
 
-// faultyListener is a listening socket whose connections do something of the test's at the seam.
-type faultyListener struct {
-	net.Listener
-	beforeRead  func() error // before the first read of a connection
-	beforeClose func()       // before a half-close, or a close without one
-	write       func(c *net.TCPConn, b []byte) (int, error)
-	acceptErrs  []error // of the first accepts
-}
-
-func (s *faultyListener) Accept() (net.Conn, error) {
-	if len(s.acceptErrs) > 0 {
-		err := s.acceptErrs[0]
-		s.acceptErrs = s.acceptErrs[1:]
-		return nil, err
-	}
-	c, err := s.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	return &faultyConn{TCPConn: c.(*net.TCPConn), to: s}, nil
-}
-
-type faultyConn struct {
-	*net.TCPConn
-	to            *faultyListener
-	once, closing sync.Once
-}
-
-func (c *faultyConn) Read(b []byte) (int, error) {
-	var err error
-	c.once.Do(func() {
-		if c.to.beforeRead != nil {
-			err = c.to.beforeRead()
-		}
-	})
-	if err != nil {
-		return 0, err
-	}
-	return c.TCPConn.Read(b)
-}
-
-func (c *faultyConn) Write(b []byte) (int, error) {
-	if c.to.write != nil {
-		return c.to.write(c.TCPConn, b)
-	}
-	return c.TCPConn.Write(b)
-}
-
-func (c *faultyConn) ends() {
-	if c.to.beforeClose != nil {
-		c.closing.Do(c.to.beforeClose)
-	}
-}
-
-func (c *faultyConn) CloseWrite() error { c.ends(); return c.TCPConn.CloseWrite() }
-func (c *faultyConn) Close() error      { c.ends(); return c.TCPConn.Close() }
-
-// startFaulty starts a listener on such a socket, and connects to it.
-func startFaulty(t *testing.T, s *faultyListener, p *eventRecorder) (*Listener, net.Conn) {
-	t.Helper()
-	sock, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s.Listener = sock
-	l := ListenOn(s, p, testNames, testClasses, 4, 3, discardLog)
-	go l.Serve()
-	t.Cleanup(func() { l.Close(time.Now().Add(10 * time.Second)) })
-	conn, err := net.Dial("tcp", sock.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	return l, conn
-}
-
 // A request that is there in the instant in which its connection is to end, for whatever reason, gets its whole answer,
 // as the last.
 func TestRequestAsConnectionCloses(t *testing.T) {
@@ -186,14 +108,6 @@
 	}
 }
 
-// stalledDiscovery is a discovery that holds the loop up, as a disk could.
-type stalledDiscovery struct {
-	noPeers
-	in, on chan struct{}
-}
-
-func (s stalledDiscovery) Watch(bool, int64) { close(s.in); <-s.on }
-
 // A client whose verdict does not come is refused in its time, and its message is not taken on after that.
 func TestResponseTimeout(t *testing.T) {
 	set := control.Settings{
@@ -285,27 +199,6 @@
 	}
 }
 
-// Accepts that fail for want of descriptors cost nobody the listener.
-func TestAcceptWithoutDescriptors(t *testing.T) {
-	_, conn := startFaulty(t, &faultyListener{acceptErrs: []error{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED}}, newEventRecorder())
-	io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
-	if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
-		t.Errorf("%+v, %v", r, err)
-	}
-}
-
-// hookedRecorder does something before it answers a message.
-type hookedRecorder struct {
-	*eventRecorder
-	before func()
-}
-
-func (p *hookedRecorder) PostBefore(e state.Event, _ time.Time) bool {
-	p.before()
-	e.(state.Submitted).Response <- state.Response{Accepted: true}
-	return true
-}
-
 // An end that is asked for while a verdict is awaited is told with the answer, which is the last of its connection.
 func TestCloseWhileResponsePending(t *testing.T) {
 	for name, end := range map[string]func(*Listener){"leaves": (*Listener).DisableKeepAlive, "drained": (*Listener).Drain} {
@@ -331,22 +224,6 @@
 	}
 }
 
-// deadlineRecorder is a connection that notes the deadlines set on it.
-type deadlineRecorder struct {
-	*net.TCPConn
-	set []time.Time
-}
-
-func (d *deadlineRecorder) SetDeadline(t time.Time) error {
-	d.set = append(d.set, t)
-	return d.TCPConn.SetDeadline(t)
-}
-
-func (d *deadlineRecorder) SetReadDeadline(t time.Time) error {
-	d.set = append(d.set, t)
-	return d.TCPConn.SetReadDeadline(t)
-}
-
 // idleClient is a connection that the listener has accepted and that waits for its first request.
 func idleClient(t *testing.T, l *Listener) (*clientConn, *deadlineRecorder) {
 	t.Helper()
--- a/internal/protocol/silence_test.go
+++ b/internal/protocol/discovery_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
+	"fmt"
 	"net/http"
-	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -13,7 +13,65 @@
 	"cleathold/internal/state"
 )
 
-const changedList = `{"version":9,"full":false,"servers":[{"id":"a","state":"draining","cell":1}]}`
+// An answer of the old address that comes after a move is not the list: the new address is asked, for the whole one.
+func TestResponseFromOldAddress(t *testing.T) {
+	list := func(id string) string {
+		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"` + id + `","state":"up","cell":1}]}`)
+	}
+	watched, moved := make(chan struct{}), make(chan struct{})
+	old := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		close(watched)
+		<-moved
+		return list("old")
+	})
+	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		if r.URL.Query().Has("since") {
+			return socktest.Hang
+		}
+		return list("new")
+	})
+	p := newEventRecorder()
+	d := NewDiscovery(p, DiscoveryConfig{Addr: old, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: discardLog})
+	runUntilEnd(t, d.Run)
+	d.Watch(true, 3)
+	<-watched
+	d.SetAddress(addr)
+	close(moved)
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
+		t.Errorf("%+v", n)
+	}
+}
+
+// What the address after a move has to tell counts as told 4 s later, so that a first question there which is not
+// answered is asked again here, soon, and is no failed ask of which the controller says when to repeat it.
+func TestSetAddressToSlowServer(t *testing.T) {
+	old := socktest.Serve(t, func(int, *http.Request, string) string { return socktest.Hang })
+	var asked atomic.Int32
+	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		if r.URL.Query().Has("since") {
+			return socktest.Hang
+		}
+		switch asked.Add(1) {
+		case 1:
+			return socktest.Hang
+		case 2:
+			return socktest.Status(http.StatusServiceUnavailable)
+		}
+		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"new","state":"up","cell":1}]}`)
+	})
+	p := newEventRecorder()
+	d := NewDiscovery(p, DiscoveryConfig{Addr: old, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second, DrainGrace: 2 * time.Second, Log: discardLog})
+	runUntilEnd(t, d.Run)
+	d.Watch(true, 3)
+	moved := time.Now()
+	d.SetAddress(addr)
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
+		t.Errorf("%+v", n)
+	}
+	if took := time.Since(moved); took > 4*time.Second {
+		t.Errorf("known %v after the move", took)
+	}
+}
 
 // A watch that falls silent is opened anew, without a wait: before an answer so that what it missed is known within the
 // 6 s after which that counts as told, in an answer within a second, as what has begun to come counts as told at once.
@@ -45,10 +103,7 @@
 			})
 			p := newEventRecorder()
 			d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: discardLog})
-			ctx, cancel := context.WithCancel(t.Context())
-			ended := make(chan struct{})
-			go func() { defer close(ended); d.Run(ctx) }()
-			defer func() { cancel(); <-ended }()
+			runUntilEnd(t, d.Run)
 			began := time.Now()
 			d.Watch(true, 4)
 			if c.unread {
@@ -78,10 +133,7 @@
 	addr := socktest.Serve(t, func(int, *http.Request, string) string { asked <- struct{}{}; return socktest.Hang })
 	p := newEventRecorder()
 	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Millisecond, PollSpread: 0, Log: discardLog})
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { defer close(ended); d.Run(ctx) }()
-	defer func() { cancel(); <-ended }()
+	runUntilEnd(t, d.Run)
 	d.Watch(true, 4)
 	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed || len(asked) != 2 {
 		t.Errorf("%+v after %d asks", n, len(asked))
@@ -103,10 +155,7 @@
 	})
 	p := newEventRecorder()
 	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: discardLog})
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { defer close(ended); d.Run(ctx) }()
-	defer func() { cancel(); <-ended }()
+	runUntilEnd(t, d.Run)
 	d.Watch(true, 4)
 	if n := next[state.ListUpdate](t, p); n.Version != 3 || n.Targets[0].ID != "a" {
 		t.Errorf("%+v", n)
@@ -119,92 +168,6 @@
 	}
 }
 
-// A notice on a connection that has fallen silent goes again on a new one in time: it is due 300 ms after its
-// message's.
-func TestReportOnUnresponsiveConnection(t *testing.T) {
-	told := make(chan int, 8)
-	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
-		told <- conn
-		if conn == 0 && len(told) > 1 {
-			return socktest.Hang
-		}
-		return socktest.Status(204)
-	})
-	p := newEventRecorder()
-	n := NewReporter(p, addr, discardLog)
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { defer close(ended); n.Run(ctx) }()
-	defer func() { cancel(); <-ended }()
-	n.Report(state.DeliveryReport{Num: 1, ID: "a"})
-	next[state.ReportsAcknowledged](t, p)
-	began := time.Now()
-	n.Report(state.DeliveryReport{Num: 2, ID: "b"})
-	next[state.ReportsAcknowledged](t, p)
-	if took := time.Since(began); took > 300*time.Millisecond {
-		t.Errorf("acknowledged after %v", took)
-	}
-	if a, b, c := <-told, <-told, <-told; a != 0 || b != 0 || c != 1 {
-		t.Errorf("told on connections %d, %d, %d", a, b, c)
-	}
-}
-
-// Of an answer that broke off, the targets that are named whole as draining or gone are known, and one that could only
-// have told the version that is known has told nothing.
-func TestTruncatedList(t *testing.T) {
-	const list = `{"version":41,"full":false,"servers":[{"id":"a","state":"draining","cell":1},{"id":"b","state":"up","cell":1},{"id":"c","state":"removed","cell":1}]}`
-	for cut := range len(list) {
-		part := []byte(list[:cut])
-		var ids string
-		for _, target := range parseDraining(part, testNames) {
-			ids += target.ID
-		}
-		want := ""
-		if cut >= strings.Index(list, `},{"id":"b"`)+1 {
-			want = "a"
-		}
-		if cut >= strings.Index(list, `}]}`)+1 {
-			want = "ac"
-		}
-		if ids != want {
-			t.Errorf("of %s: %q leave, want %q", part, ids, want)
-		}
-		if is, want := isUnchanged(part, 41), cut > strings.Index(list, "41,")+2; is != want {
-			t.Errorf("%s tells nothing new: %t", part, is)
-		}
-		if isUnchanged(part, 4) {
-			t.Errorf("%s is taken for version 4", part)
-		}
-	}
-}
-
-// A platform that could not be reached for a while is told soon after it can be: a notice is due 300 ms after the
-// time of its message, which may fall into that while.
-func TestReportAfterPlatformRecovers(t *testing.T) {
-	var back atomic.Pointer[time.Time]
-	told := make(chan time.Time, 8)
-	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
-		if at := back.Load(); at == nil || time.Now().Before(*at) {
-			return ""
-		}
-		told <- time.Now()
-		return socktest.Status(204)
-	})
-	p := newEventRecorder()
-	n := NewReporter(p, addr, discardLog)
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { defer close(ended); n.Run(ctx) }()
-	defer func() { cancel(); <-ended }()
-	at := time.Now().Add(1500 * time.Millisecond)
-	back.Store(&at)
-	n.Report(state.DeliveryReport{Num: 1, ID: "a"})
-	next[state.ReportsAcknowledged](t, p)
-	if late := (<-told).Sub(at); late > 200*time.Millisecond {
-		t.Errorf("told %v after the platform could be reached", late)
-	}
-}
-
 // In a large fleet the list is known once the watch after a rest has been open for a while. A watch that ends later was
 // received; one that is refused at once leaves what was told before it unknown.
 func TestPollAfterPause(t *testing.T) {
@@ -223,10 +186,7 @@
 			})
 			p := newEventRecorder()
 			d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 100 * time.Millisecond, DrainGrace: 2 * time.Second, Log: discardLog})
-			ctx, cancel := context.WithCancel(t.Context())
-			ended := make(chan struct{})
-			go func() { defer close(ended); d.Run(ctx) }()
-			defer func() { cancel(); <-ended }()
+			runUntilEnd(t, d.Run)
 			d.Watch(true, 4)
 			if n := next[state.ListUpdate](t, p); !n.PollPaused {
 				t.Errorf("%+v", n)
@@ -242,3 +202,67 @@
 		})
 	}
 }
+
+// A watch follows each answer until one fails, and asks from the latest version.
+func TestPoll(t *testing.T) {
+	asked := make(chan string, 8)
+	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		asked <- r.URL.Query().Get("since")
+		if r.URL.Query().Get("since") == "9" {
+			return socktest.Status(503)
+		}
+		const list = `{"version":9,"full":true,"servers":[]}`
+		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+	})
+	p := newEventRecorder()
+	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second, PollSpread: 0, Log: discardLog})
+	runUntilEnd(t, d.Run)
+	d.Watch(true, 4)
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Version != 9 {
+		t.Errorf("first %+v", n)
+	}
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed {
+		t.Errorf("then %+v", n)
+	}
+	if a, b := <-asked, <-asked; a != "4" || b != "9" {
+		t.Errorf("asked since %s and %s", a, b)
+	}
+}
+
+// A list that has not changed yet has version zero: what is asked for then is what has changed since. Only
+// where no version is known the whole list is asked for. After news a large fleet's sender rests.
+func TestPollFromVersionZero(t *testing.T) {
+	type ask struct {
+		path string
+		at   time.Time
+	}
+	asked := make(chan ask, 8)
+	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		asked <- ask{r.URL.RawQuery, time.Now()}
+		const list = `{"version":0,"full":true,"servers":[{"id":"a","state":"up"}]}`
+		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+	})
+	const rest = 100 * time.Millisecond
+	for _, c := range []struct {
+		since       int64
+		first, then string
+	}{{0, "since=0&timeout_ms=1000", "since=0&timeout_ms=1000"}, {state.NoVersion, "", "since=0&timeout_ms=1000"}} {
+		ctx, cancel := context.WithCancel(t.Context())
+		d := NewDiscovery(newEventRecorder(), DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second, PollSpread: rest, Log: discardLog})
+		ended := make(chan struct{})
+		go func() { defer close(ended); d.Run(ctx) }()
+		d.Watch(true, c.since)
+		a, b := <-asked, <-asked
+		if a.path != c.first || b.path != c.then {
+			t.Errorf("since %d: asked %q, then %q", c.since, a.path, b.path)
+		}
+		if gap := b.at.Sub(a.at); gap < rest/2 {
+			t.Errorf("asked again %v after news, wanted a rest of %v at least", gap, rest/2)
+		}
+		cancel()
+		<-ended
+		for len(asked) > 0 {
+			<-asked
+		}
+	}
+}
--- a/internal/protocol/hedge_test.go
+++ b/internal/protocol/hedge_test.go
@@ -1,12 +1,10 @@
 package protocol
 
 import (
-	"bufio"
 	"context"
 	"io"
 	"net"
 	"net/http"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -16,13 +14,6 @@
 	"cleathold/internal/state"
 )
 
-// noPeers is a discovery and a platform that nothing is heard of.
-type noPeers struct{}
-
-func (noPeers) Watch(bool, int64)           {}
-func (noPeers) Fetch()                      {}
-func (noPeers) Report(state.DeliveryReport) {}
-
 // Where second copies are not allowed, a message whose call is out on an open connection is not sent again: its
 // call may hold others that are waited for longer, and all of them wait as long.
 func TestNoHedgeWhileCallIsOpen(t *testing.T) {
@@ -112,15 +103,3 @@
 		t.Fatal("the repeatable message was not sent again")
 	}
 }
-
-// batchIDs lists the ids of the messages in a call's body.
-func batchIDs(body string) (ids []string) {
-	for in := bufio.NewReader(strings.NewReader(body)); ; {
-		head, err := in.ReadString('\n')
-		if err != nil {
-			return ids
-		}
-		ids = append(ids, strings.Fields(head)[0])
-		in.ReadString('\n') // bodies here hold no line's end
-	}
-}
--- /dev/null
+++ b/internal/protocol/helpers_test.go
@@ -0,0 +1,265 @@
+package protocol
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/state"
+)
+
+// faultyListener is a listening socket whose connections do something of the test's at the seam.
+type faultyListener struct {
+	net.Listener
+	beforeRead  func() error // before the first read of a connection
+	beforeClose func()       // before a half-close, or a close without one
+	write       func(c *net.TCPConn, b []byte) (int, error)
+	acceptErrs  []error // of the first accepts
+}
+
+func (s *faultyListener) Accept() (net.Conn, error) {
+	if len(s.acceptErrs) > 0 {
+		err := s.acceptErrs[0]
+		s.acceptErrs = s.acceptErrs[1:]
+		return nil, err
+	}
+	c, err := s.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &faultyConn{TCPConn: c.(*net.TCPConn), to: s}, nil
+}
+
+type faultyConn struct {
+	*net.TCPConn
+	to            *faultyListener
+	once, closing sync.Once
+}
+
+func (c *faultyConn) Read(b []byte) (int, error) {
+	var err error
+	c.once.Do(func() {
+		if c.to.beforeRead != nil {
+			err = c.to.beforeRead()
+		}
+	})
+	if err != nil {
+		return 0, err
+	}
+	return c.TCPConn.Read(b)
+}
+
+func (c *faultyConn) Write(b []byte) (int, error) {
+	if c.to.write != nil {
+		return c.to.write(c.TCPConn, b)
+	}
+	return c.TCPConn.Write(b)
+}
+
+func (c *faultyConn) ends() {
+	if c.to.beforeClose != nil {
+		c.closing.Do(c.to.beforeClose)
+	}
+}
+
+func (c *faultyConn) CloseWrite() error { c.ends(); return c.TCPConn.CloseWrite() }
+func (c *faultyConn) Close() error      { c.ends(); return c.TCPConn.Close() }
+
+// startFaulty starts a listener on such a socket, and connects to it.
+func startFaulty(t *testing.T, s *faultyListener, p *eventRecorder) (*Listener, net.Conn) {
+	t.Helper()
+	sock, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Listener = sock
+	l := ListenOn(s, p, testNames, testClasses, 4, 3, discardLog)
+	go l.Serve()
+	t.Cleanup(func() { l.Close(time.Now().Add(10 * time.Second)) })
+	conn, err := net.Dial("tcp", sock.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	return l, conn
+}
+
+// stalledDiscovery is a discovery that holds the loop up, as a disk could.
+type stalledDiscovery struct {
+	noPeers
+	in, on chan struct{}
+}
+
+func (s stalledDiscovery) Watch(bool, int64) { close(s.in); <-s.on }
+
+// hookedRecorder does something before it answers a message.
+type hookedRecorder struct {
+	*eventRecorder
+	before func()
+}
+
+func (p *hookedRecorder) PostBefore(e state.Event, _ time.Time) bool {
+	p.before()
+	e.(state.Submitted).Response <- state.Response{Accepted: true}
+	return true
+}
+
+// deadlineRecorder is a connection that notes the deadlines set on it.
+type deadlineRecorder struct {
+	*net.TCPConn
+	set []time.Time
+}
+
+func (d *deadlineRecorder) SetDeadline(t time.Time) error {
+	d.set = append(d.set, t)
+	return d.TCPConn.SetDeadline(t)
+}
+
+func (d *deadlineRecorder) SetReadDeadline(t time.Time) error {
+	d.set = append(d.set, t)
+	return d.TCPConn.SetReadDeadline(t)
+}
+
+// noPeers is a discovery and a platform that nothing is heard of.
+type noPeers struct{}
+
+func (noPeers) Watch(bool, int64)           {}
+func (noPeers) Fetch()                      {}
+func (noPeers) Report(state.DeliveryReport) {}
+
+// batchIDs lists the ids of the messages in a call's body.
+func batchIDs(body string) (ids []string) {
+	for in := bufio.NewReader(strings.NewReader(body)); ; {
+		head, err := in.ReadString('\n')
+		if err != nil {
+			return ids
+		}
+		ids = append(ids, strings.Fields(head)[0])
+		in.ReadString('\n') // bodies here hold no line's end
+	}
+}
+
+var (
+	testNames = Names{
+		Classes: map[string]int{"status": 0, "order": 1}, Tenants: map[string]int{"acme": 0},
+		Zones: map[string]int{"a": 0, "b": 1}, Kinds: map[string]int{"big": 0},
+	}
+	testClasses = []control.Class{
+		{Deadline: 8 * time.Second}, {Deadline: 20 * time.Second, Idempotency: control.IdempotentByKey},
+	}
+)
+
+// reset ends a connection with a reset.
+func reset(conn *net.TCPConn) {
+	conn.SetLinger(0)
+	conn.Close()
+}
+
+// receive reads a request and its body.
+func receive(in *bufio.Reader) (*http.Request, error) {
+	r, err := http.ReadRequest(in)
+	if err == nil {
+		_, err = io.Copy(io.Discard, r.Body)
+	}
+	return r, err
+}
+
+// cancelOnEnd calls a call off in the instant in which its end is posted.
+type cancelOnEnd struct {
+	*eventRecorder
+	s *Transport
+}
+
+func (a *cancelOnEnd) Post(e state.Event) {
+	if e, ok := e.(state.CallEnded); ok {
+		a.s.Cancel(e.Call)
+	}
+	a.eventRecorder.Post(e)
+}
+
+// waitUntilIdle waits until no call is on its way.
+func (t *Transport) waitUntilIdle() {
+	for t.inFlightCount() > 0 {
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// inFlightCount is how many calls are on their way.
+func (t *Transport) inFlightCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.inFlight)
+}
+
+const changedList = `{"version":9,"full":false,"servers":[{"id":"a","state":"draining","cell":1}]}`
+
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
+
+// eventRecorder collects what is posted; the listener's side answers each message as told.
+type eventRecorder struct {
+	events   chan state.Event
+	response state.Response
+}
+
+func newEventRecorder() *eventRecorder { return &eventRecorder{events: make(chan state.Event, 64)} }
+
+func (p *eventRecorder) Post(e state.Event) { p.events <- e }
+
+func (p *eventRecorder) PostBefore(e state.Event, _ time.Time) bool {
+	p.events <- e
+	e.(state.Submitted).Response <- p.response
+	return true
+}
+
+// runUntilEnd runs something until the end of the test, which waits for it.
+func runUntilEnd(t *testing.T, run func(context.Context)) {
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan struct{})
+	go func() { defer close(ended); run(ctx) }()
+	t.Cleanup(func() { cancel(); <-ended })
+}
+
+// next waits for an event; only a hang makes it fail.
+func next[T any](t *testing.T, p *eventRecorder) T {
+	t.Helper()
+	select {
+	case e := <-p.events:
+		return e.(T)
+	case <-time.After(10 * time.Second):
+		t.Fatal("nothing was posted")
+		panic("unreachable")
+	}
+}
+
+// callTo makes a call of messages to an address, for so long.
+func callTo(addr string, limit time.Duration, ids ...string) *state.Call {
+	c := &state.Call{Target: state.Target{ID: "s", Addr: addr}, ConnectBy: time.Now().Add(time.Minute)}
+	for _, id := range ids {
+		m := &state.Message{ID: id, Key: "k-" + id, Body: []byte("body of " + id)}
+		c.Attempts = append(c.Attempts, &state.Attempt{Message: m, Deadline: time.Now().Add(limit)})
+	}
+	return c
+}
+
+// startListener starts a listener over the posts.
+func startListener(t *testing.T, p *eventRecorder) *Listener {
+	t.Helper()
+	l, err := Listen("127.0.0.1:0", p, testNames, testClasses, 4, 3, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go l.Serve()
+	t.Cleanup(func() { l.Close(time.Now().Add(10 * time.Second)) })
+	return l
+}
+
+const submission = "POST /status HTTP/1.1\r\nHost: h\r\nX-Request-Id: i\r\nX-Tenant: acme\r\nX-Deadline: 1\r\nX-Addressing: dest=1\r\nContent-Length: 2\r\n\r\nhi"
--- /dev/null
+++ b/internal/protocol/list_test.go
@@ -0,0 +1,64 @@
+package protocol
+
+import (
+	"strings"
+	"testing"
+
+	"cleathold/control"
+	"cleathold/internal/state"
+)
+
+func TestParseList(t *testing.T) {
+	const entry = `{"id":"s","addr":"h:1","zone":"b","kind":"big","cell":3,"state":"draining","weight":1.5}`
+	for _, c := range []struct {
+		text string
+		ok   bool
+	}{
+		{`{"version":4,"full":true,"servers":[` + entry + `]}`, true},
+		{`{"version":4,"full":false,"servers":[]}`, true},
+		{`{"version":4,"servers":[` + strings.Replace(entry, "draining", "odd", 1) + `]}`, true},
+		{`{"version":4,"servers":[` + strings.Replace(entry, `"id":"s"`, `"id":""`, 1) + `]}`, false},
+		{`{"servers":[]}`, false}, {`{"version":4}`, false}, {`{"version":4,"servers":[`, false}, {``, false},
+	} {
+		n, err := ParseList([]byte(c.text), testNames)
+		if (err == nil) != c.ok {
+			t.Errorf("%s: %v", c.text, err)
+		}
+		if len(n.Targets) == 1 && c.ok {
+			want := state.Target{ID: "s", Addr: "h:1"}
+			want.Endpoint = control.Endpoint{Destination: 3, Zone: 1, State: control.Draining, Weight: 1.5}
+			if n.Targets[0] != want || n.Kind == control.ListFailed || n.Version != 4 {
+				t.Errorf("read as %+v", n)
+			}
+		}
+	}
+}
+
+// Of an answer that broke off, the targets that are named whole as draining or gone are known, and one that could only
+// have told the version that is known has told nothing.
+func TestTruncatedList(t *testing.T) {
+	const list = `{"version":41,"full":false,"servers":[{"id":"a","state":"draining","cell":1},{"id":"b","state":"up","cell":1},{"id":"c","state":"removed","cell":1}]}`
+	for cut := range len(list) {
+		part := []byte(list[:cut])
+		var ids string
+		for _, target := range parseDraining(part, testNames) {
+			ids += target.ID
+		}
+		want := ""
+		if cut >= strings.Index(list, `},{"id":"b"`)+1 {
+			want = "a"
+		}
+		if cut >= strings.Index(list, `}]}`)+1 {
+			want = "ac"
+		}
+		if ids != want {
+			t.Errorf("of %s: %q leave, want %q", part, ids, want)
+		}
+		if is, want := isUnchanged(part, 41), cut > strings.Index(list, "41,")+2; is != want {
+			t.Errorf("%s tells nothing new: %t", part, is)
+		}
+		if isUnchanged(part, 4) {
+			t.Errorf("%s is taken for version 4", part)
+		}
+	}
+}
--- /dev/null
+++ b/internal/protocol/listener_test.go
@@ -0,0 +1,317 @@
+package protocol
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/state"
+)
+
+// Accepts that fail for want of descriptors cost nobody the listener.
+func TestAcceptWithoutDescriptors(t *testing.T) {
+	_, conn := startFaulty(t, &faultyListener{acceptErrs: []error{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED}}, newEventRecorder())
+	io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+	if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
+		t.Errorf("%+v, %v", r, err)
+	}
+}
+
+// Every request that can be read gets an answer, and malformed ones hurt nobody.
+func TestListenerResponses(t *testing.T) {
+	p := newEventRecorder()
+	l := startListener(t, p)
+	for _, c := range []struct {
+		name, send string
+		verdict    state.Response
+		status     int
+		again      string
+	}{
+		{"taken", submission, state.Response{Accepted: true}, 202, ""},
+		{"refused", submission, state.Response{RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{"failed", submission, state.Response{Permanent: true}, 500, ""},
+		{"nowhere to go", submission, state.Response{Invalid: state.UnknownDestination}, 400, ""},
+		{"id in use", submission, state.Response{Invalid: state.DuplicateID}, 409, ""},
+		{"bad", strings.Replace(submission, "dest=1", "dest=", 1), state.Response{}, 400, ""},
+		{"no HTTP", "what is this\r\n\r\n", state.Response{}, 400, ""},
+		{"head too large", "GET /_health HTTP/1.1\r\nA: " + strings.Repeat("x", maxHeaderBytes), state.Response{}, 431, ""},
+		{"body too large", strings.Replace(submission, "Length: 2", "Length: 99999", 1), state.Response{}, 413, ""},
+		{"chunked", strings.Replace(submission, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 1), state.Response{}, 411, ""},
+		{"id twice", strings.Replace(submission, "X-Tenant", "X-Request-Id: j\r\nX-Tenant", 1), state.Response{}, 400, ""},
+		{"older HTTP", strings.Replace(submission, "HTTP/1.1", "HTTP/1.0", 1), state.Response{}, 505, ""},
+		{"health", "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", state.Response{}, 200, ""},
+	} {
+		p.response = c.verdict
+		conn, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		io.WriteString(conn, c.send)
+		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil || r.StatusCode != c.status || r.Header.Get("Retry-After") != c.again {
+			t.Errorf("%s: %v %+v", c.name, err, r)
+		}
+		conn.Close()
+		if c.status == 202 || c.verdict != (state.Response{}) {
+			if m := next[state.Submitted](t, p).Message; string(m.Body) != "hi" {
+				t.Errorf("%s: body %q", c.name, m.Body)
+			}
+		}
+		if c.verdict.Accepted && !next[state.ResponseWritten](t, p).OK {
+			t.Errorf("%s: answer not confirmed", c.name)
+		}
+	}
+}
+
+// A request with two lengths hides another in its body: neither is taken in.
+func TestRequestSmuggling(t *testing.T) {
+	p := newEventRecorder()
+	p.response = state.Response{Accepted: true}
+	l := startListener(t, p)
+	for _, outer := range []string{submission, strings.Replace(submission, "/status", "/nothing", 1)} {
+		conn, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		io.WriteString(conn, strings.Replace(outer, "Content-Length: 2\r\n\r\nhi",
+			fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", len(submission)+5, submission), 1))
+		answers, err := io.ReadAll(conn)
+		if err != nil || !strings.HasPrefix(string(answers), "HTTP/1.1 411 ") || strings.Count(string(answers), "HTTP/1.1") != 1 || len(p.events) > 0 {
+			t.Errorf("%v %d messages, answers %q", err, len(p.events), answers)
+		}
+	}
+}
+
+// The body of a request that is not taken in is not read as the next request.
+func TestUnreadBody(t *testing.T) {
+	l := startListener(t, newEventRecorder())
+	conn, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	for _, c := range []struct {
+		send string
+		want int
+	}{
+		{strings.Replace(submission, "/status", "/nothing", 1), 400}, {strings.Replace(submission, "POST", "PUT", 1), 405},
+		{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", 200},
+	} {
+		io.WriteString(conn, c.send)
+		if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != c.want {
+			t.Fatalf("want %d: %v %+v", c.want, err, r)
+		} else {
+			io.Copy(io.Discard, r.Body)
+		}
+	}
+}
+
+// A listener that leaves still takes messages in, and tells each client that
+// its connection ends with the answer.
+func TestDisableKeepAlive(t *testing.T) {
+	p := newEventRecorder()
+	p.response = state.Response{Accepted: true}
+	l := startListener(t, p)
+	conn, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	for _, last := range []bool{false, true} {
+		if last {
+			l.DisableKeepAlive()
+		}
+		io.WriteString(conn, submission)
+		if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != 202 || r.Close != last {
+			t.Fatalf("last %t: %v %+v", last, err, r)
+		}
+	}
+	if _, err := in.ReadByte(); err != io.EOF {
+		t.Errorf("connection still open: %v", err)
+	}
+}
+
+// Peers that connect and say nothing, however many, keep nobody else out: a
+// connection that has served and lies idle stays, and a new one is served. Each
+// of them, and one that leaves off in the middle of a request, is closed.
+func TestIdleConnectionFlood(t *testing.T) {
+	l := startListener(t, newEventRecorder())
+	dialed := func() net.Conn {
+		conn, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { conn.Close() })
+		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		return conn
+	}
+	ask := func(conn net.Conn) {
+		t.Helper()
+		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+		if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
+			t.Fatal(err)
+		}
+	}
+	kept := dialed()
+	ask(kept)
+	half := dialed()
+	io.WriteString(half, "POST /status HTTP/1.1\r\nHost")
+	silent := []net.Conn{half}
+	for range 40 {
+		silent = append(silent, dialed())
+	}
+	ask(dialed())
+	ask(kept)
+	for i, conn := range silent {
+		if _, err := io.Copy(io.Discard, conn); os.IsTimeout(err) {
+			t.Errorf("silent connection %d: %v", i, err)
+		}
+	}
+}
+
+// Of clients that ask once and hold on to their connection only so many are let:
+// the next ones hear that theirs ends with the answer, and those that lie idle
+// for long are closed. Clients that may not hold more could not ask otherwise.
+func TestKeepAliveLimit(t *testing.T) {
+	l := startListener(t, newEventRecorder())
+	var held []net.Conn
+	for i := range 8 {
+		conn, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil || r.Close != (i >= l.maxKeptAlive) {
+			t.Fatalf("connection %d: %v, ends %t", i, err, err == nil && r.Close)
+		}
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			t.Fatal(err)
+		}
+		if held = append(held, conn); r.Close {
+			io.Copy(io.Discard, conn) // until it has ended
+		}
+	}
+	for i, conn := range held {
+		if _, err := io.Copy(io.Discard, conn); os.IsTimeout(err) {
+			t.Errorf("connection %d stays for good", i)
+		}
+	}
+}
+
+// At the limit of connections one that lies idle gives way to a new one.
+func TestConnectionLimit(t *testing.T) {
+	l := startListener(t, newEventRecorder())
+	for i := range 12 {
+		conn, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
+			t.Fatalf("connection %d: %v", i, err)
+		}
+	}
+}
+
+// A drained sender says no, ends connections with their answers and idle ones at once, and turns messages away after a
+// while, with a time to come back; activated, it is as before.
+func TestDrainedListener(t *testing.T) {
+	p := newEventRecorder()
+	p.response = state.Response{Accepted: true}
+	classes := []control.Class{{Deadline: time.Minute, Idempotency: control.Idempotent}}
+	l, err := Listen("127.0.0.1:0", p, Names{Classes: map[string]int{"status": 0}}, classes, 8, 8, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go l.Serve()
+	defer l.Close(time.Now().Add(time.Minute))
+	open := func() (net.Conn, *bufio.Reader) {
+		c, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		c.SetDeadline(time.Now().Add(20 * time.Second))
+		return c, bufio.NewReader(c)
+	}
+	ask := func(c net.Conn, in *bufio.Reader, request string) *http.Response {
+		t.Helper()
+		io.WriteString(c, request)
+		r, err := http.ReadResponse(in, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		io.Copy(io.Discard, r.Body)
+		return r
+	}
+	const health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
+	n := 0
+	message := func() string {
+		n++
+		return fmt.Sprintf("POST /status HTTP/1.1\r\nHost: x\r\nX-Request-Id: m%d\r\nX-Deadline: 5\r\nX-Addressing: dest=1\r\nContent-Length: 0\r\n\r\n", n)
+	}
+	half, _ := open()
+	io.WriteString(half, "POST /status HTTP/1.1\r\nHost: x\r\n")
+	half.Close()
+	for until := time.Now().Add(10 * time.Second); l.counters.unanswered.Load() == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(until) {
+			t.Fatal("a request that broke off is not counted")
+		}
+	}
+	held, heldIn := open()
+	if r := ask(held, heldIn, message()); r.StatusCode != http.StatusAccepted || r.Close {
+		t.Fatalf("before: %d, close %v", r.StatusCode, r.Close)
+	}
+	l.Drain()
+	began := time.Now()
+	if _, err := heldIn.ReadByte(); err != io.EOF || time.Since(began) > idleTimeout/2 { // it was idle, and had longer
+		t.Errorf("an idle connection: %v after %v", err, time.Since(began))
+	}
+	for _, c := range []struct {
+		name, request string
+		since         time.Duration // before now
+		status        int
+	}{
+		{"health", health, 0, http.StatusServiceUnavailable},
+		{"a message at once", message(), 0, http.StatusAccepted},
+		{"a message later", message(), drainAcceptWindow + time.Second, http.StatusServiceUnavailable},
+		{"health later", health, drainAcceptWindow + time.Second, http.StatusServiceUnavailable},
+	} {
+		since := time.Now().Add(-c.since)
+		l.drainedSince.Store(&since)
+		conn, in := open()
+		r := ask(conn, in, c.request)
+		if r.StatusCode != c.status || !r.Close {
+			t.Errorf("%s: %d, close %v", c.name, r.StatusCode, r.Close)
+		}
+		if again := r.Header.Get("Retry-After"); strings.HasPrefix(c.name, "a message later") != (again != "") {
+			t.Errorf("%s: Retry-After %q", c.name, again)
+		}
+	}
+	if n := l.counters.Counts(); n.Requests != 6 || n.Unanswered != 1 || n.Answers["202"] != 2 || n.Answers["503"] != 3 {
+		t.Errorf("counted %+v", n)
+	}
+	l.Activate()
+	conn, in := open()
+	for _, request := range []string{health, message(), health} {
+		if r := ask(conn, in, request); r.StatusCode >= 300 || r.Close {
+			t.Errorf("activated: %d, close %v", r.StatusCode, r.Close)
+		}
+	}
+}
--- a/internal/protocol/parse_test.go
+++ b/internal/protocol/request_test.go
@@ -8,20 +8,9 @@
 	"testing"
 	"time"
 
-	"cleathold/control"
 	"cleathold/internal/state"
 )
 
-var (
-	testNames = Names{
-		Classes: map[string]int{"status": 0, "order": 1}, Tenants: map[string]int{"acme": 0},
-		Zones: map[string]int{"a": 0, "b": 1}, Kinds: map[string]int{"big": 0},
-	}
-	testClasses = []control.Class{
-		{Deadline: 8 * time.Second}, {Deadline: 20 * time.Second, Idempotency: control.IdempotentByKey},
-	}
-)
-
 func TestParseMessage(t *testing.T) {
 	const good = "X-Request-Id: i1\r\nX-Tenant: acme\r\nX-Deadline: 1.5\r\nX-Addressing: a=1, dest=7\r\n"
 	for _, c := range []struct {
@@ -84,60 +73,3 @@
 		}
 	}
 }
-
-func TestParseResults(t *testing.T) {
-	got := parseResults([]byte("a delivered\r\nb failed\nc refused\nd over\ne spent\n"))
-	for id, want := range map[string]state.AttemptResult{
-		"a": {Result: control.Served, Final: true}, "b": {Result: control.Failed}, "c": {Result: control.Rejected},
-		"d": {Result: control.NotSent, Final: true}, "e": {Result: control.NotSent},
-	} {
-		if got[id] != want {
-			t.Errorf("%s: %+v, want %+v", id, got[id], want)
-		}
-	}
-	for _, spoilt := range []string{"a delivered\nb what\n", "a refused\nnonsense\n", "a refused\na refused\n", "a refused\nb deliv"} {
-		if got := parseResults([]byte(spoilt)); len(got) > 0 {
-			t.Errorf("%q: %+v", spoilt, got)
-		}
-	}
-}
-
-func TestParseList(t *testing.T) {
-	const entry = `{"id":"s","addr":"h:1","zone":"b","kind":"big","cell":3,"state":"draining","weight":1.5}`
-	for _, c := range []struct {
-		text string
-		ok   bool
-	}{
-		{`{"version":4,"full":true,"servers":[` + entry + `]}`, true},
-		{`{"version":4,"full":false,"servers":[]}`, true},
-		{`{"version":4,"servers":[` + strings.Replace(entry, "draining", "odd", 1) + `]}`, true},
-		{`{"version":4,"servers":[` + strings.Replace(entry, `"id":"s"`, `"id":""`, 1) + `]}`, false},
-		{`{"servers":[]}`, false}, {`{"version":4}`, false}, {`{"version":4,"servers":[`, false}, {``, false},
-	} {
-		n, err := ParseList([]byte(c.text), testNames)
-		if (err == nil) != c.ok {
-			t.Errorf("%s: %v", c.text, err)
-		}
-		if len(n.Targets) == 1 && c.ok {
-			want := state.Target{ID: "s", Addr: "h:1"}
-			want.Endpoint = control.Endpoint{Destination: 3, Zone: 1, State: control.Draining, Weight: 1.5}
-			if n.Targets[0] != want || n.Kind == control.ListFailed || n.Version != 4 {
-				t.Errorf("read as %+v", n)
-			}
-		}
-	}
-}
-
-func TestEncodeBodies(t *testing.T) {
-	body := encodeBatch([]*state.Attempt{
-		{Message: &state.Message{ID: "a", Body: []byte("he\r\nlo")}}, {Message: &state.Message{ID: "b", Key: "k"}},
-	})
-	if want := "a - 6\r\nhe\r\nlo\r\nb k 0\r\n\r\n"; string(body) != want {
-		t.Errorf("frames %q, want %q", body, want)
-	}
-	notices := encodeReports([]state.DeliveryReport{{ID: "a", Deferred: true, RetryAfter: 500 * time.Millisecond}, {ID: "b"}})
-	want := `{"id":"a","status":"deferred","again_ms":500}` + "\n" + `{"id":"b","status":"undeliverable"}` + "\n"
-	if string(notices) != want {
-		t.Errorf("notices %q, want %q", notices, want)
-	}
-}
--- /dev/null
+++ b/internal/protocol/transport_test.go
@@ -0,0 +1,285 @@
+package protocol
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/socktest"
+	"cleathold/internal/state"
+)
+
+// A connection that is reset once so many bytes of a call have come, on a new connection and on a kept one: all bytes
+// had left, so the call may have run, and none of its messages is taken for one that has not.
+func TestResetUnderCall(t *testing.T) {
+	f := &inFlightCall{call: callTo("127.0.0.1:99999", time.Minute, "a", "b")}
+	f.attempts = f.call.Attempts
+	f.ctx = t.Context()
+	head, body := f.encodeRequest()
+	for _, kept := range []bool{false, true} {
+		for _, n := range []int{1, len(head), len(head) + 1, len(head) + len(body) - 1, len(head) + len(body)} {
+			p := newEventRecorder()
+			s := NewTransport(p, time.Minute, 8, discardLog)
+			addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
+				in := bufio.NewReader(conn)
+				if kept {
+					receive(in)
+					io.WriteString(conn, socktest.Status(500))
+				}
+				io.ReadFull(in, make([]byte, n))
+				reset(conn)
+			})
+			if kept {
+				s.Send(callTo(addr, time.Minute, "first"))
+				if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Failed {
+					t.Fatalf("%+v", e)
+				}
+			}
+			s.Send(callTo(addr, time.Minute, "a", "b"))
+			ends := next[state.CallEnded](t, p).Results
+			if len(ends) != 2 || ends[0].Result != control.ConnectionLost || ends[1].Result != control.ConnectionLost {
+				t.Errorf("kept %t, reset after %d bytes: %+v", kept, n, ends)
+			}
+		}
+	}
+}
+
+// A target closes a connection that lay idle after the look at it and before the write. What was written there may have
+// been read: it counts as run. Where no byte could leave any more it has not run, and may go again.
+func TestClosedAfterStaleCheck(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		end  func(*net.TCPConn)
+		want control.Result
+	}{
+		{"closed", func(conn *net.TCPConn) { conn.Close() }, control.ConnectionLost},
+		{"half-closed", func(conn *net.TCPConn) { conn.CloseWrite() }, control.ConnectionLost},
+		{"reset", reset, control.ConnectFailed},
+	} {
+		p := newEventRecorder()
+		s := NewTransport(p, time.Minute, 8, discardLog)
+		conns := make(chan *net.TCPConn, 4)
+		addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
+			in := bufio.NewReader(conn)
+			conns <- conn
+			receive(in)
+			io.WriteString(conn, socktest.Status(200))
+		})
+		s.Send(callTo(addr, time.Minute, "first"))
+		if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served {
+			t.Fatalf("%+v", e)
+		}
+		call := callTo(addr, time.Minute, "a")
+		f := &inFlightCall{Transport: s, call: call, ended: make([]bool, 1), attempts: call.Attempts}
+		f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
+		defer f.cancel()
+		l, err := f.openConnection() // it looks...
+		if err != nil || len(conns) != 1 {
+			t.Fatalf("%s: %v, %d connections", c.name, err, len(conns))
+		}
+		c.end(<-conns)
+		for l.openWithoutInput() { // ...and the end comes
+			time.Sleep(time.Millisecond)
+		}
+		f.transmit(l)
+		if e := next[state.CallEnded](t, p).Results[0]; e.Result != c.want {
+			t.Errorf("%s: %+v, want %v", c.name, e, c.want)
+		}
+		if s.pool.pop("s") != nil {
+			t.Errorf("%s: the connection was kept", c.name)
+		}
+	}
+}
+
+// Bytes behind an answer are nobody's: a second answer that came with the first is not the next call's, whose
+// connection is another one.
+func TestUnsolicitedResponse(t *testing.T) {
+	for _, stray := range []string{socktest.Status(200), "HTTP/1.1 2", "\r\n"} {
+		p := newEventRecorder()
+		s := NewTransport(p, time.Minute, 8, discardLog)
+		addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
+			if conn == 0 {
+				return socktest.Status(200) + stray
+			}
+			return socktest.Status(500)
+		})
+		for _, want := range []control.Result{control.Served, control.Failed} {
+			s.Send(callTo(addr, time.Minute, "a"))
+			if e := next[state.CallEnded](t, p).Results[0]; e.Result != want {
+				t.Errorf("%q: %+v, want %v", stray, e, want)
+			}
+		}
+	}
+}
+
+// A call given up in the instant of its answer ends once: before the answer as called off, with the answer as it says,
+// and between the two as either. The connection of one that was answered serves the next call.
+func TestCancelDuringResponse(t *testing.T) {
+	p := &cancelOnEnd{eventRecorder: newEventRecorder()}
+	s := NewTransport(p, time.Minute, 8, discardLog)
+	p.s = s
+	var call *state.Call
+	when := ""
+	conns := make(chan int, 8)
+	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
+		conns <- conn
+		switch when {
+		case "before":
+			s.Cancel(call)
+			s.waitUntilIdle()
+		case "between":
+			s.Cancel(call)
+		}
+		return socktest.Status(200)
+	})
+	for _, c := range []struct {
+		when string
+		want []control.Result
+		kept bool // the connection is the one before
+	}{
+		{"after", []control.Result{control.Served}, false},
+		{"after", []control.Result{control.Served}, true},
+		{"before", []control.Result{control.Canceled}, true},
+		{"after", []control.Result{control.Served}, false},
+		{"between", []control.Result{control.Canceled, control.Served}, true},
+	} {
+		call, when = callTo(addr, time.Minute, "a"), c.when
+		last := s.pool.idleCount
+		s.Send(call)
+		ends := next[state.CallEnded](t, p.eventRecorder).Results
+		if len(ends) != 1 || !slices.Contains(c.want, ends[0].Result) || c.kept != (last == 1) {
+			t.Errorf("%s: %+v, want one of %v; %d connections kept before", c.when, ends, c.want, last)
+		}
+		<-conns
+		s.waitUntilIdle() // whatever it still did is done
+		if len(p.events) > 0 {
+			t.Errorf("%s: ended again: %+v", c.when, <-p.events)
+		}
+	}
+}
+
+// Each way in which a call can end has its outcome.
+func TestAttemptOutcomes(t *testing.T) {
+	for _, c := range []struct {
+		name, answer string
+		limit        time.Duration
+		want         state.AttemptResult
+	}{
+		{"served", socktest.Status(200), time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
+		{"error", socktest.Status(500), time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"wait", socktest.Status(429, "Retry-After: 0.25"), time.Minute, state.AttemptResult{Result: control.Rejected, RetryAfter: 250 * time.Millisecond}},
+		{"full", socktest.Status(503), time.Minute, state.AttemptResult{Result: control.Rejected}},
+		{"no room for connections", socktest.Status(503, "Connection: close"), time.Minute, state.AttemptResult{Result: control.ConnectionRejected}},
+		{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"), time.Minute, state.AttemptResult{Result: control.Rejected, RetryAfter: 4 * time.Second}},
+		{"no slot", socktest.Status(503, "X-Over-Slots: 1"), time.Minute, state.AttemptResult{Result: control.NotSent, NoSlot: true}},
+		{"spent", socktest.Status(504), time.Minute, state.AttemptResult{Result: control.NotSent}},
+		{"over", socktest.Status(410), time.Minute, state.AttemptResult{Result: control.NotSent, Final: true}},
+		{"odd", socktest.Status(302), time.Minute, state.AttemptResult{Result: control.Unknown}},
+		{"not for it", socktest.Status(400), time.Minute, state.AttemptResult{Result: control.Unprocessable}},
+		{"no HTTP", "what?\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"noise without end", "what?", time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"head without end", "HTTP/1.1 503 x\r\nA: " + strings.Repeat("x", 2*maxHeaderBytes+state.MaxBody), time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"head left off", "HTTP/1.1 503 x\r\nRetry-After: 1\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"body left off", "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\nx", time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"served, then noise", "HTTP/1.1 200 x\r\nwhat\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
+		{"served, head left off", "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 x\r\nA: b", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
+		{"served, body left off", "HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nx", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
+		{"no such status", "HTTP/1.1 2000 x\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"news first", "HTTP/1.1 103 x\r\n\r\n" + socktest.Status(500), time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"news without end", strings.Repeat("HTTP/1.1 103 x\r\n\r\n", maxHeaderBytes+state.MaxBody), time.Minute, state.AttemptResult{Result: control.Failed}},
+		{"reset", "", time.Minute, state.AttemptResult{Result: control.ConnectionLost}},
+		{"hang", "hang", 500 * time.Millisecond, state.AttemptResult{Result: control.TimedOut}},
+		{"called off", "hang", time.Minute, state.AttemptResult{Result: control.Canceled}},
+		{"refused", "shut", time.Minute, state.AttemptResult{Result: control.ConnectFailed}},
+	} {
+		p := newEventRecorder()
+		s := NewTransport(p, time.Minute, 8, discardLog)
+		got := make(chan struct{}, 1)
+		addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
+			if r.URL.Path != "/receive" || r.Header.Get("X-Request-Id") != "a" || r.Header.Get("Idempotency-Key") != "k-a" || body != "body of a" {
+				t.Errorf("%s: target got %v %q", c.name, r, body)
+			}
+			got <- struct{}{}
+			return c.answer
+		})
+		if c.answer == "shut" {
+			addr = socktest.Refusing(t)
+		}
+		call := callTo(addr, c.limit, "a")
+		s.Send(call)
+		if c.name == "called off" {
+			<-got
+			s.Cancel(call)
+		}
+		e := next[state.CallEnded](t, p).Results[0]
+		if e.SentAt.IsZero() != (c.want.Result == control.ConnectFailed) {
+			t.Errorf("%s: left at %v", c.name, e.SentAt)
+		}
+		e.Elapsed, e.SentAt, e.Attempt = 0, time.Time{}, nil
+		if e != c.want {
+			t.Errorf("%s: %+v, want %+v", c.name, e, c.want)
+		}
+	}
+}
+
+// A call withheld before its connection is up never leaves; one that has left goes on.
+func TestCancelUnsent(t *testing.T) {
+	p := newEventRecorder()
+	s := NewTransport(p, time.Minute, 8, discardLog)
+	got, goOn := make(chan string, 2), make(chan struct{})
+	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		got <- r.Header.Get("X-Request-Id")
+		<-goOn
+		return socktest.Status(200)
+	})
+	left := callTo(addr, time.Minute, "left")
+	s.Send(left)
+	<-got
+	s.CancelUnsent(left)
+	f := &inFlightCall{Transport: s, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
+	f.attempts = f.call.Attempts
+	f.ctx, f.cancel = context.WithCancel(t.Context())
+	s.inFlight[f.call] = f
+	s.CancelUnsent(f.call)
+	f.run()
+	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.NotSent || e.Final {
+		t.Errorf("withheld: %+v", e)
+	}
+	close(goOn)
+	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served || len(got) > 0 {
+		t.Errorf("left: %+v, and %d more calls", e, len(got))
+	}
+}
+
+// A connection is used again, unless its target has closed it meanwhile: a
+// request written to that one would be lost.
+func TestConnectionReuse(t *testing.T) {
+	p := newEventRecorder()
+	s := NewTransport(p, time.Minute, 8, discardLog)
+	conns := make(chan int, 8)
+	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
+		conns <- conn
+		return socktest.Status(200)
+	})
+	call := func() int {
+		s.Send(callTo(addr, time.Minute, "a"))
+		if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served {
+			t.Fatalf("%+v", e)
+		}
+		return <-conns
+	}
+	a, b := call(), call() // the connection is back before its call's end is known
+	l := s.pool.pop("s")
+	l.Conn.(*net.TCPConn).CloseRead() // reads as closed by the other side
+	s.pool.put("s", l)
+	if c := call(); a != b || b == c {
+		t.Errorf("connections %d %d %d, want the first twice and then another", a, b, c)
+	}
+}
