--- a/internal/protocol/clientconn.go
+++ b/internal/protocol/clientconn.go
@@ -42,10 +42,10 @@
 	*bufferedConn
 
 	// Under the listener's mutex.
-	state         connState
-	used          bool      // it has had a request
-	evictionTried bool      // it had input pending when it was to be evicted, since it waits
-	waitingSince  time.Time // for a request
+	state           connState
+	used            bool      // it has had a request
+	evictionChecked bool      // it had input pending when it was to be evicted, since it waits
+	waitingSince    time.Time // for a request
 
 	// Of the goroutine that serves it.
 	lastRequest  bool  // the request that it reads is the last
@@ -108,7 +108,7 @@
 	if c.state == connEvicted { // between its accept and now
 		return
 	}
-	c.evictionTried, c.waitingSince = false, time.Now()
+	c.evictionChecked, c.waitingSince = false, time.Now()
 	switch {
 	case l.closing.Load() || (l.slotAwaited.Load() || l.drainedSince.Load() != nil) && c.used:
 		l.setState(c, connDraining)
@@ -142,7 +142,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usedConns > l.maxKeptAlive
+	return l.usedConns > l.maxKeepAlive
 }
 
 // serveConn serves one connection, one request after another, and closes it.
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -73,10 +73,10 @@
 	last := strings.Replace(submission, "Host: h", "Host: h\r\nConnection: close", 1)
 	flood := strings.Repeat("x", 400<<10)
 	for _, c := range []struct {
-		name, send string
-		status     int
-		verdict    state.Response
-		leave      bool
+		name, send       string
+		status           int
+		verdict          state.Response
+		disableKeepAlive bool
 	}{
 		{"requests behind the last", last + strings.Repeat(submission, 20), 202, state.Response{Accepted: true}, false},
 		{"requests behind a refusal of one that leaves", submission + strings.Repeat(submission, 20), 503, state.Response{}, true},
@@ -89,7 +89,7 @@
 		p := newEventRecorder()
 		p.response = c.verdict
 		l, conn := startFaulty(t, &faultyListener{}, p)
-		if c.leave {
+		if c.disableKeepAlive {
 			l.DisableKeepAlive()
 		}
 		sent := make(chan struct{})
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	go l.Serve()
-	ask := func(id string) int {
+	send := func(id string) int {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -144,11 +144,11 @@
 		return r.StatusCode
 	}
 	<-s.in
-	if status := ask("late"); status != 503 {
+	if status := send("late"); status != 503 {
 		t.Errorf("while the loop stalls: %d", status)
 	}
 	close(s.on)
-	if status := ask("fresh"); status != 202 {
+	if status := send("fresh"); status != 202 {
 		t.Errorf("then: %d", status)
 	}
 	l.Close(time.Now().Add(10 * time.Second))
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -28,14 +28,14 @@
 
 	// refusedBackoffDivisor divides the time over which a fleet spreads its polls into the first backoff after a poll that
 	// was refused.
-	refusedBackoffDivisor = 4
+	rejectedBackoffDivisor = 4
 
-	// maxPauseFraction of the grace of drains is the longest pause of a large fleet's sender after a change. A watch
+	// maxPauseFraction of the grace of drains is the longest delay of a large fleet's sender after a change. A watch
 	// goes on for 200 ms after an answer, in which changes count as told: they must be known before the grace is over.
-	maxPauseFraction = 0.4
+	maxUpdateDelayFraction = 0.4
 
 	// pollOpenDelay is how long a poll has been open when it counts as received: discovery answers 503 where one waited
-	// too long. A pause and this are over before sends would be held back.
+	// too long. That delay and this are over before sends would be held back.
 	pollOpenDelay = 900 * time.Millisecond
 )
 
@@ -45,7 +45,7 @@
 	Names Names
 	// MaxPollInterval bounds how long a poll waits for a change; 0 = it does not.
 	MaxPollInterval time.Duration
-	// PollSpread is the pause, on average, between a change and the next poll. A change is told to all senders at one
+	// PollSpread is the delay, on average, between a change and the next poll. A change is told to all senders at one
 	// instant, and the next polls of many would come together and keep discovery from all else.
 	PollSpread time.Duration
 	// DrainGrace is the time within which a drain that was told must be heeded; 0 = not told by the settings.
@@ -128,7 +128,7 @@
 		case polling.Err() != nil: // the address changed, also where an answer came in that instant
 			now.watch, now.fetch = false, false // what to poll at the new address is among the requests
 		case err != nil:
-			if now.resumesAfterPause() && time.Since(startedAt) > pollTimeout {
+			if now.resumesAfterDelay() && time.Since(startedAt) > pollTimeout {
 				now.uncertainSince = time.Time{} // it was received, and ended later
 			}
 			d.handleFailure(polling, &now, err)
@@ -166,16 +166,16 @@
 	return false
 }
 
-// reportPollOpen posts state.PollOpen once a poll after a pause has been open for pollOpenDelay: the list is known
+// reportPollOpen posts state.PollOpen once a poll after a delay has been open for pollOpenDelay: the list is known
 // then, as what was told before the poll would have come by then.
 func (d *Discovery) reportPollOpen(now pollRequest) *time.Timer {
-	if !now.resumesAfterPause() {
+	if !now.resumesAfterDelay() {
 		return time.NewTimer(time.Hour)
 	}
 	return time.AfterFunc(pollOpenDelay, func() { d.events.Post(state.PollOpen{}) })
 }
 
-// handleUpdate passes an answer on, and pauses before the next poll where that is called for.
+// handleUpdate passes an answer on, and delays the next poll where that is called for.
 func (d *Discovery) handleUpdate(ctx context.Context, now *pollRequest, update state.ListUpdate, startedAt time.Time) {
 	if now.retries > 0 {
 		d.Log.Info("discovery list certain again", "attempt", now.retries, "version", update.Version)
@@ -185,14 +185,14 @@
 			"elapsed", time.Since(startedAt).Round(time.Millisecond))
 	}
 	now.advance(update.Version)
-	pauses := d.PollSpread > 0 && len(update.Targets) > 0
-	if pauses && d.DrainGrace > 0 {
+	delays := d.PollSpread > 0 && len(update.Targets) > 0
+	if delays && d.DrainGrace > 0 {
 		now.uncertainSince = time.Now()
 		update.PollPaused = true
 	}
 	d.events.Post(update)
-	if pauses {
-		sleepUntil(ctx, time.Now().Add(d.pauseAfterUpdate()))
+	if delays {
+		sleepUntil(ctx, time.Now().Add(d.delayAfterUpdate()))
 	} else if len(update.Targets) == 0 && time.Since(startedAt) < minPollInterval {
 		// A discovery that answers at once must not be flooded.
 		sleepUntil(ctx, time.Now().Add(minPollInterval))
@@ -200,11 +200,11 @@
 }
 
 // pauseAfterUpdate is how long a large fleet's sender waits between a change and its next poll.
-func (d *Discovery) pauseAfterUpdate() time.Duration {
+func (d *Discovery) delayAfterUpdate() time.Duration {
 	if d.DrainGrace <= 0 {
 		return d.PollSpread*9/10 + rand.N(d.PollSpread/5)
 	}
-	return rand.N(min(d.PollSpread, time.Duration(maxPauseFraction*float64(d.DrainGrace))))
+	return rand.N(min(d.PollSpread, time.Duration(maxUpdateDelayFraction*float64(d.DrainGrace))))
 }
 
 // handleFailure deals with a poll that got no answer that can be used: it is repeated here, or is over.
@@ -248,7 +248,7 @@
 	case errors.As(err, &broken) || now.fullList():
 		first, most = max(first, time.Duration(fleetBackoffFraction*float64(d.DrainGrace))), maxFleetBackoff
 	default: // it may be behind with the polls of all
-		first, most = max(first, d.PollSpread/refusedBackoffDivisor), maxFleetBackoff
+		first, most = max(first, d.PollSpread/rejectedBackoffDivisor), maxFleetBackoff
 	}
 	backoff := min(first<<min(now.retries, 10), most)
 	now.immediate = true
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -46,12 +46,12 @@
 // answered is asked again here, soon, and is no failed ask of which the controller says when to repeat it.
 func TestSetAddressToSlowServer(t *testing.T) {
 	old := socktest.Serve(t, func(int, *http.Request, string) string { return socktest.Hang })
-	var asked atomic.Int32
+	var queries atomic.Int32
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		if r.URL.Query().Has("since") {
 			return socktest.Hang
 		}
-		switch asked.Add(1) {
+		switch queries.Add(1) {
 		case 1:
 			return socktest.Hang
 		case 2:
@@ -90,9 +90,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			asked := make(chan [2]string, 8)
+			queries := make(chan [2]string, 8)
 			addr := socktest.Serve(t, func(conn int, r *http.Request, _ string) string {
-				asked <- [2]string{r.URL.Query().Get("since"), r.URL.Query().Get("timeout_ms")}
+				queries <- [2]string{r.URL.Query().Get("since"), r.URL.Query().Get("timeout_ms")}
 				if conn == 0 {
 					return c.first
 				}
@@ -117,10 +117,10 @@
 			if took := time.Since(began); took > c.within {
 				t.Errorf("known after %v", took)
 			}
-			if len(asked) < 2 {
-				t.Fatalf("asked %d times", len(asked))
+			if len(queries) < 2 {
+				t.Fatalf("asked %d times", len(queries))
 			}
-			if a, b := <-asked, <-asked; a != [2]string{"4", "3000"} || b != [2]string{"4", "1"} {
+			if a, b := <-queries, <-queries; a != [2]string{"4", "3000"} || b != [2]string{"4", "1"} {
 				t.Errorf("asked since %v, then %v", a, b)
 			}
 		})
@@ -129,22 +129,22 @@
 
 // A discovery that stays silent is a failed ask to the controller, which says when to ask again.
 func TestUnresponsiveDiscovery(t *testing.T) {
-	asked := make(chan struct{}, 8)
-	addr := socktest.Serve(t, func(int, *http.Request, string) string { asked <- struct{}{}; return socktest.Hang })
+	queries := make(chan struct{}, 8)
+	addr := socktest.Serve(t, func(int, *http.Request, string) string { queries <- struct{}{}; return socktest.Hang })
 	p := newEventRecorder()
 	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Millisecond, PollSpread: 0, Log: discardLog})
 	runUntilEnd(t, d.Run)
 	d.Watch(true, 4)
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed || len(asked) != 2 {
-		t.Errorf("%+v after %d asks", n, len(asked))
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed || len(queries) != 2 {
+		t.Errorf("%+v after %d asks", n, len(queries))
 	}
 }
 
 // A list older than the one known does not take its place: the whole list is asked for, and holds whatever its version.
 func TestOlderListVersion(t *testing.T) {
-	asked := make(chan string, 8)
+	queries := make(chan string, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
-		asked <- r.URL.RawQuery
+		queries <- r.URL.RawQuery
 		if r.URL.RawQuery == "" {
 			return socktest.JSON(`{"version":3,"full":true,"servers":[{"id":"a","state":"up","cell":1}]}`)
 		}
@@ -160,17 +160,17 @@
 	if n := next[state.ListUpdate](t, p); n.Version != 3 || n.Targets[0].ID != "a" {
 		t.Errorf("%+v", n)
 	}
-	if len(asked) < 2 {
-		t.Fatalf("asked %d times", len(asked))
+	if len(queries) < 2 {
+		t.Fatalf("asked %d times", len(queries))
 	}
-	if a, b := <-asked, <-asked; a != "since=4&timeout_ms=3000" || b != "" {
+	if a, b := <-queries, <-queries; a != "since=4&timeout_ms=3000" || b != "" {
 		t.Errorf("asked %q, then %q", a, b)
 	}
 }
 
 // In a large fleet the list is known once the watch after a rest has been open for a while. A watch that ends later was
 // received; one that is refused at once leaves what was told before it unknown.
-func TestPollAfterPause(t *testing.T) {
+func TestPollAfterDelay(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		open time.Duration // before it is refused
@@ -205,9 +205,9 @@
 
 // A watch follows each answer until one fails, and asks from the latest version.
 func TestPoll(t *testing.T) {
-	asked := make(chan string, 8)
+	queries := make(chan string, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
-		asked <- r.URL.Query().Get("since")
+		queries <- r.URL.Query().Get("since")
 		if r.URL.Query().Get("since") == "9" {
 			return socktest.Status(503)
 		}
@@ -224,7 +224,7 @@
 	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed {
 		t.Errorf("then %+v", n)
 	}
-	if a, b := <-asked, <-asked; a != "4" || b != "9" {
+	if a, b := <-queries, <-queries; a != "4" || b != "9" {
 		t.Errorf("asked since %s and %s", a, b)
 	}
 }
@@ -232,13 +232,13 @@
 // A list that has not changed yet has version zero: what is asked for then is what has changed since. Only
 // where no version is known the whole list is asked for. After news a large fleet's sender rests.
 func TestPollFromVersionZero(t *testing.T) {
-	type ask struct {
+	type query struct {
 		path string
 		at   time.Time
 	}
-	asked := make(chan ask, 8)
+	queries := make(chan query, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
-		asked <- ask{r.URL.RawQuery, time.Now()}
+		queries <- query{r.URL.RawQuery, time.Now()}
 		const list = `{"version":0,"full":true,"servers":[{"id":"a","state":"up"}]}`
 		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	})
@@ -252,7 +252,7 @@
 		ended := make(chan struct{})
 		go func() { defer close(ended); d.Run(ctx) }()
 		d.Watch(true, c.since)
-		a, b := <-asked, <-asked
+		a, b := <-queries, <-queries
 		if a.path != c.first || b.path != c.then {
 			t.Errorf("since %d: asked %q, then %q", c.since, a.path, b.path)
 		}
@@ -261,8 +261,8 @@
 		}
 		cancel()
 		<-ended
-		for len(asked) > 0 {
-			<-asked
+		for len(queries) > 0 {
+			<-queries
 		}
 	}
 }
--- a/internal/protocol/hedge_test.go
+++ b/internal/protocol/hedge_test.go
@@ -19,7 +19,7 @@
 func TestNoHedgeWhileCallIsOpen(t *testing.T) {
 	var mu sync.Mutex
 	out := map[string]*bufferedConn{} // by message: the connection on which it came first
-	again := make(chan string, 8)
+	repeated := make(chan string, 8)
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -50,9 +50,9 @@
 					case first == nil:
 						out[id] = k // and hangs
 					case first.openWithoutInput():
-						again <- id + " while its first copy was out"
+						repeated <- id + " while its first copy was out"
 					default:
-						again <- id
+						repeated <- id
 					}
 				}
 				if out[ids[0]] != k {
@@ -95,7 +95,7 @@
 	go func() { defer close(ended); l.Run(ctx) }()
 	defer func() { cancel(); <-ended }()
 	select {
-	case id := <-again:
+	case id := <-repeated:
 		if id != "repeatable" {
 			t.Errorf("sent again: %s", id)
 		}
--- a/internal/protocol/lateconn_test.go
+++ b/internal/protocol/lateconn_test.go
@@ -207,9 +207,9 @@
 // first line on, all else has to come whole.
 func TestTruncatedResponse(t *testing.T) {
 	for _, c := range []struct {
-		ids    []string
-		answer string
-		whole  int // from so many bytes on the messages are delivered
+		ids      []string
+		answer   string
+		complete int // from so many bytes on the messages are delivered
 	}{
 		{[]string{"a"}, "HTTP/1.1 200 OK\r\nX-Load: x0=0.4\r\nContent-Length: 2\r\n\r\nok", len("HTTP/1.1 200 OK\r\n")},
 		{[]string{"a"}, "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", len("HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\n")},
@@ -239,7 +239,7 @@
 			switch {
 			case n == 0:
 				want = control.ConnectionLost
-			case n >= c.whole:
+			case n >= c.complete:
 				want = control.Served
 			}
 			if len(ends) != len(c.ids) || ends[0].Result != want || ends[len(ends)-1].Result != want {
--- a/internal/protocol/list_test.go
+++ b/internal/protocol/list_test.go
@@ -39,9 +39,9 @@
 func TestTruncatedList(t *testing.T) {
 	const list = `{"version":41,"full":false,"servers":[{"id":"a","state":"draining","cell":1},{"id":"b","state":"up","cell":1},{"id":"c","state":"removed","cell":1}]}`
 	for cut := range len(list) {
-		part := []byte(list[:cut])
+		prefix := []byte(list[:cut])
 		var ids string
-		for _, target := range parseDraining(part, testNames) {
+		for _, target := range parseDraining(prefix, testNames) {
 			ids += target.ID
 		}
 		want := ""
@@ -52,13 +52,13 @@
 			want = "ac"
 		}
 		if ids != want {
-			t.Errorf("of %s: %q leave, want %q", part, ids, want)
+			t.Errorf("of %s: %q leave, want %q", prefix, ids, want)
 		}
-		if is, want := isUnchanged(part, 41), cut > strings.Index(list, "41,")+2; is != want {
-			t.Errorf("%s tells nothing new: %t", part, is)
+		if is, want := isUnchanged(prefix, 41), cut > strings.Index(list, "41,")+2; is != want {
+			t.Errorf("%s tells nothing new: %t", prefix, is)
 		}
-		if isUnchanged(part, 4) {
-			t.Errorf("%s is taken for version 4", part)
+		if isUnchanged(prefix, 4) {
+			t.Errorf("%s is taken for version 4", prefix)
 		}
 	}
 }
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -57,7 +57,7 @@
 	slotAwaited       atomic.Bool               // a connection waits for a slot, and none could be evicted
 	drainedSince      atomic.Pointer[time.Time] // by the monotonic clock; nil: not drained
 
-	maxKeptAlive int // so many connections are kept after a request
+	maxKeepAlive int // so many connections are kept after a request
 
 	mu        sync.Mutex
 	conns     map[*clientConn]struct{}
@@ -87,7 +87,7 @@
 	socket net.Listener, events EventQueue, n Names, classes []control.Class, most, keep int, log *slog.Logger,
 ) *Listener {
 	l := &Listener{
-		events: events, log: log, socket: socket, counters: &Counters{}, maxKeptAlive: keep,
+		events: events, log: log, socket: socket, counters: &Counters{}, maxKeepAlive: keep,
 		servingSlots: make(chan struct{}, most), lingerSlots: make(chan struct{}, MaxLingering(most)),
 		conns: map[*clientConn]struct{}{},
 	}
@@ -170,7 +170,7 @@
 	for {
 		var first *clientConn
 		for c := range l.conns {
-			if c.state.waiting() && !c.evictionTried && (first == nil || c.evictedBefore(first)) {
+			if c.state.waiting() && !c.evictionChecked && (first == nil || c.evictedBefore(first)) {
 				first = c
 			}
 		}
@@ -178,7 +178,7 @@
 			l.slotAwaited.Store(true)
 			return
 		}
-		first.evictionTried = true
+		first.evictionChecked = true
 		if first.openWithoutInput() {
 			l.counters.evicted.Add(1)
 			l.setState(first, connEvicted)
--- a/internal/protocol/listener_test.go
+++ b/internal/protocol/listener_test.go
@@ -33,7 +33,7 @@
 		name, send string
 		verdict    state.Response
 		status     int
-		again      string
+		retryAfter string
 	}{
 		{"taken", submission, state.Response{Accepted: true}, 202, ""},
 		{"refused", submission, state.Response{RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
@@ -56,7 +56,7 @@
 		}
 		io.WriteString(conn, c.send)
 		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil || r.StatusCode != c.status || r.Header.Get("Retry-After") != c.again {
+		if err != nil || r.StatusCode != c.status || r.Header.Get("Retry-After") != c.retryAfter {
 			t.Errorf("%s: %v %+v", c.name, err, r)
 		}
 		conn.Close()
@@ -156,23 +156,23 @@
 		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 		return conn
 	}
-	ask := func(conn net.Conn) {
+	roundTrip := func(conn net.Conn) {
 		t.Helper()
 		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
 		if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
 			t.Fatal(err)
 		}
 	}
-	kept := dialed()
-	ask(kept)
+	used := dialed()
+	roundTrip(used)
 	half := dialed()
 	io.WriteString(half, "POST /status HTTP/1.1\r\nHost")
 	silent := []net.Conn{half}
 	for range 40 {
 		silent = append(silent, dialed())
 	}
-	ask(dialed())
-	ask(kept)
+	roundTrip(dialed())
+	roundTrip(used)
 	for i, conn := range silent {
 		if _, err := io.Copy(io.Discard, conn); os.IsTimeout(err) {
 			t.Errorf("silent connection %d: %v", i, err)
@@ -195,7 +195,7 @@
 		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
 		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil || r.Close != (i >= l.maxKeptAlive) {
+		if err != nil || r.Close != (i >= l.maxKeepAlive) {
 			t.Fatalf("connection %d: %v, ends %t", i, err, err == nil && r.Close)
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
@@ -250,7 +250,7 @@
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		return c, bufio.NewReader(c)
 	}
-	ask := func(c net.Conn, in *bufio.Reader, request string) *http.Response {
+	roundTrip := func(c net.Conn, in *bufio.Reader, request string) *http.Response {
 		t.Helper()
 		io.WriteString(c, request)
 		r, err := http.ReadResponse(in, nil)
@@ -275,7 +275,7 @@
 		}
 	}
 	held, heldIn := open()
-	if r := ask(held, heldIn, message()); r.StatusCode != http.StatusAccepted || r.Close {
+	if r := roundTrip(held, heldIn, message()); r.StatusCode != http.StatusAccepted || r.Close {
 		t.Fatalf("before: %d, close %v", r.StatusCode, r.Close)
 	}
 	l.Drain()
@@ -296,12 +296,12 @@
 		since := time.Now().Add(-c.since)
 		l.drainedSince.Store(&since)
 		conn, in := open()
-		r := ask(conn, in, c.request)
+		r := roundTrip(conn, in, c.request)
 		if r.StatusCode != c.status || !r.Close {
 			t.Errorf("%s: %d, close %v", c.name, r.StatusCode, r.Close)
 		}
-		if again := r.Header.Get("Retry-After"); strings.HasPrefix(c.name, "a message later") != (again != "") {
-			t.Errorf("%s: Retry-After %q", c.name, again)
+		if retryAfter := r.Header.Get("Retry-After"); strings.HasPrefix(c.name, "a message later") != (retryAfter != "") {
+			t.Errorf("%s: Retry-After %q", c.name, retryAfter)
 		}
 	}
 	if n := l.counters.Counts(); n.Requests != 6 || n.Unanswered != 1 || n.Answers["202"] != 2 || n.Answers["503"] != 3 {
@@ -310,7 +310,7 @@
 	l.Activate()
 	conn, in := open()
 	for _, request := range []string{health, message(), health} {
-		if r := ask(conn, in, request); r.StatusCode >= 300 || r.Close {
+		if r := roundTrip(conn, in, request); r.StatusCode >= 300 || r.Close {
 			t.Errorf("activated: %d, close %v", r.StatusCode, r.Close)
 		}
 	}
--- a/internal/protocol/pool.go
+++ b/internal/protocol/pool.go
@@ -88,16 +88,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, conns := range p.idle {
-		kept := conns[:0]
+		usable := conns[:0]
 		for _, c := range conns {
 			if time.Since(c.idleSince) < p.maxIdleTime && !c.stale() {
-				kept = append(kept, c)
+				usable = append(usable, c)
 				continue
 			}
 			c.Close()
 			p.idleCount--
 		}
-		if p.idle[id] = kept; len(kept) == 0 {
+		if p.idle[id] = usable; len(usable) == 0 {
 			delete(p.idle, id)
 		}
 	}
--- a/internal/protocol/reporter.go
+++ b/internal/protocol/reporter.go
@@ -131,14 +131,14 @@
 	var out []byte
 	for _, report := range batch {
 		line := struct {
-			ID     string `json:"id"`
-			Status string `json:"status"`
-			Again  *int64 `json:"again_ms,omitempty"`
+			ID         string `json:"id"`
+			Status     string `json:"status"`
+			RetryAfter *int64 `json:"again_ms,omitempty"`
 		}{ID: report.ID, Status: "undeliverable"}
 		if report.Deferred {
 			line.Status = "deferred"
 			if ms := report.RetryAfter.Milliseconds(); ms > 0 {
-				line.Again = &ms
+				line.RetryAfter = &ms
 			}
 		}
 		text, _ := json.Marshal(line) // strings and a number can always be encoded
--- a/internal/protocol/reporter_test.go
+++ b/internal/protocol/reporter_test.go
@@ -15,10 +15,10 @@
 // A notice on a connection that has fallen silent goes again on a new one in time: it is due 300 ms after its
 // message's.
 func TestReportOnUnresponsiveConnection(t *testing.T) {
-	told := make(chan int, 8)
+	received := make(chan int, 8)
 	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
-		told <- conn
-		if conn == 0 && len(told) > 1 {
+		received <- conn
+		if conn == 0 && len(received) > 1 {
 			return socktest.Hang
 		}
 		return socktest.Status(204)
@@ -34,7 +34,7 @@
 	if took := time.Since(began); took > 300*time.Millisecond {
 		t.Errorf("acknowledged after %v", took)
 	}
-	if a, b, c := <-told, <-told, <-told; a != 0 || b != 0 || c != 1 {
+	if a, b, c := <-received, <-received, <-received; a != 0 || b != 0 || c != 1 {
 		t.Errorf("told on connections %d, %d, %d", a, b, c)
 	}
 }
@@ -43,12 +43,12 @@
 // time of its message, which may fall into that while.
 func TestReportAfterPlatformRecovers(t *testing.T) {
 	var back atomic.Pointer[time.Time]
-	told := make(chan time.Time, 8)
+	received := make(chan time.Time, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		if at := back.Load(); at == nil || time.Now().Before(*at) {
 			return ""
 		}
-		told <- time.Now()
+		received <- time.Now()
 		return socktest.Status(204)
 	})
 	p := newEventRecorder()
@@ -58,7 +58,7 @@
 	back.Store(&at)
 	n.Report(state.DeliveryReport{Num: 1, ID: "a"})
 	next[state.ReportsAcknowledged](t, p)
-	if late := (<-told).Sub(at); late > 200*time.Millisecond {
+	if late := (<-received).Sub(at); late > 200*time.Millisecond {
 		t.Errorf("told %v after the platform could be reached", late)
 	}
 }
@@ -66,9 +66,9 @@
 // Notices go out in order and again until 204; one that can't be read is left out.
 func TestReports(t *testing.T) {
 	var got []string
-	tries := 0
+	calls := 0
 	addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
-		if tries++; tries == 1 {
+		if calls++; calls == 1 {
 			return socktest.Status(503)
 		}
 		if strings.Contains(body, `"b"`) {
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -73,11 +73,11 @@
 	if m.Tenant, known = n.Tenants[r.Header.Get("X-Tenant")]; !known && len(n.Tenants) > 0 {
 		return nil, badRequest("unknown tenant")
 	}
-	timeLeft, ok := parseSeconds(r.Header.Get("X-Deadline"))
+	remaining, ok := parseSeconds(r.Header.Get("X-Deadline"))
 	if !ok {
 		return nil, badRequest("X-Deadline unparsable")
 	}
-	m.Deadline = arrived.Add(min(timeLeft, classes[class].Deadline, maxDeadline))
+	m.Deadline = arrived.Add(min(remaining, classes[class].Deadline, maxDeadline))
 	if m.Destination, ok = parseDestination(r.Header.Get("X-Addressing")); !ok {
 		return nil, badRequest("dest unparsable")
 	}
--- a/internal/protocol/transport_test.go
+++ b/internal/protocol/transport_test.go
@@ -23,20 +23,20 @@
 	f.attempts = f.call.Attempts
 	f.ctx = t.Context()
 	head, body := f.encodeRequest()
-	for _, kept := range []bool{false, true} {
+	for _, reused := range []bool{false, true} {
 		for _, n := range []int{1, len(head), len(head) + 1, len(head) + len(body) - 1, len(head) + len(body)} {
 			p := newEventRecorder()
 			s := NewTransport(p, time.Minute, 8, discardLog)
 			addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
 				in := bufio.NewReader(conn)
-				if kept {
+				if reused {
 					receive(in)
 					io.WriteString(conn, socktest.Status(500))
 				}
 				io.ReadFull(in, make([]byte, n))
 				reset(conn)
 			})
-			if kept {
+			if reused {
 				s.Send(callTo(addr, time.Minute, "first"))
 				if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Failed {
 					t.Fatalf("%+v", e)
@@ -45,7 +45,7 @@
 			s.Send(callTo(addr, time.Minute, "a", "b"))
 			ends := next[state.CallEnded](t, p).Results
 			if len(ends) != 2 || ends[0].Result != control.ConnectionLost || ends[1].Result != control.ConnectionLost {
-				t.Errorf("kept %t, reset after %d bytes: %+v", kept, n, ends)
+				t.Errorf("kept %t, reset after %d bytes: %+v", reused, n, ends)
 			}
 		}
 	}
@@ -140,9 +140,9 @@
 		return socktest.Status(200)
 	})
 	for _, c := range []struct {
-		when string
-		want []control.Result
-		kept bool // the connection is the one before
+		when   string
+		want   []control.Result
+		reused bool // the connection is the one before
 	}{
 		{"after", []control.Result{control.Served}, false},
 		{"after", []control.Result{control.Served}, true},
@@ -154,7 +154,7 @@
 		last := s.pool.idleCount
 		s.Send(call)
 		ends := next[state.CallEnded](t, p.eventRecorder).Results
-		if len(ends) != 1 || !slices.Contains(c.want, ends[0].Result) || c.kept != (last == 1) {
+		if len(ends) != 1 || !slices.Contains(c.want, ends[0].Result) || c.reused != (last == 1) {
 			t.Errorf("%s: %+v, want one of %v; %d connections kept before", c.when, ends, c.want, last)
 		}
 		<-conns
@@ -239,10 +239,10 @@
 		<-goOn
 		return socktest.Status(200)
 	})
-	left := callTo(addr, time.Minute, "left")
-	s.Send(left)
+	sent := callTo(addr, time.Minute, "left")
+	s.Send(sent)
 	<-got
-	s.CancelUnsent(left)
+	s.CancelUnsent(sent)
 	f := &inFlightCall{Transport: s, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
 	f.attempts = f.call.Attempts
 	f.ctx, f.cancel = context.WithCancel(t.Context())
