--- /dev/null
+++ b/internal/lifecycle/build.go
@@ -0,0 +1,139 @@
+package lifecycle
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"cleathold/internal/admin"
+	"cleathold/internal/deadletter"
+	"cleathold/internal/protocol"
+	"cleathold/internal/state"
+	"cleathold/internal/store"
+)
+
+// journalLockTimeout is how long a write-ahead log that is taken back may still be locked by the process that failed to
+// take over.
+const journalLockTimeout = 3 * time.Second
+
+// durabilities by their names in the settings.
+var durabilities = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
+
+// build opens what a server needs, and connects its parts. Nothing runs yet.
+func (p *process) build(c *Config, before *predecessor) (*server, error) {
+	s := &server{process: p, config: c, predecessor: before}
+	s.deadLetters = newDeadLetterQueue(*c, p.log)
+	s.gossip = openGossip(*c, p.log)
+	var err error
+	if s.loop, err = newLoop(s.loopSetup(), before != nil); err != nil {
+		return nil, err
+	}
+	clients, idle := socketBudget(*c)
+	s.transport = protocol.NewTransport(s.loop, c.Settings.ConnIdleTimeout, idle, p.log)
+	s.discovery = protocol.NewDiscovery(s.loop, protocol.DiscoveryConfig{
+		Addr: c.Discovery, Names: c.Names, MaxPollInterval: c.Settings.MaxPollInterval,
+		PollSpread: c.Settings.PollSpread(), DrainGrace: c.Settings.DrainGrace, Log: p.log,
+	})
+	s.reporter = protocol.NewReporter(s.loop, c.Discovery, p.log)
+	s.loop.Connect(s.transport, s.discovery, s.reporter)
+	if s.gossip != nil {
+		s.loop.ConnectPeers(s.gossip)
+	}
+	if s.listener, err = s.listen(clients); err != nil {
+		return nil, err
+	}
+	s.listener.SetCounters(p.clients)
+	if s.admin, err = listenAdmin(*c, s.deadLetters, p.board, p.log); err != nil {
+		s.listener.Close(time.Now())
+		return nil, err
+	}
+	s.calls = newTaskGroup(s.ctx)
+	s.facing = newTaskGroup(s.calls.ctx)
+	s.deadLettersClosed = make(chan struct{})
+	return s, nil
+}
+
+// loopSetup is what the loop is built from.
+func (s *server) loopSetup() state.Setup {
+	c := s.config
+	setup := state.Setup{
+		Settings: c.Settings, Classes: namesByNumber(c.Names.Classes), Known: c.Known, Dir: c.State,
+		DiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
+	}
+	if c.Ours != nil {
+		setup.Durability, setup.GroupWait = durabilities[c.Ours.Journal.Durability], c.Ours.Journal.Wait
+	}
+	if s.predecessor != nil {
+		setup.Handover = &s.predecessor.state
+	}
+	if s.deadLetters != nil { // an interface that holds a nil queue is not nil
+		setup.DeadLetters = s.deadLetters
+	}
+	setup.Settings.CanGossip = s.gossip != nil
+	return setup
+}
+
+// newLoop makes a loop. One that takes over may find the write-ahead log locked for a moment.
+func newLoop(setup state.Setup, takesOver bool) (*state.Loop, error) {
+	for until := time.Now().Add(journalLockTimeout); ; time.Sleep(idlePollInterval) {
+		loop, err := retry(setup.Log, "journal", startTimeout, func() (*state.Loop, error) { return state.NewLoop(setup) })
+		if !takesOver || !errors.Is(err, store.ErrLocked) || time.Now().After(until) {
+			return loop, err
+		}
+	}
+}
+
+// listen opens the clients' socket, or takes over the predecessor's, for so many connections.
+func (s *server) listen(clients int) (*protocol.Listener, error) {
+	c, keepAlive := s.config, s.config.Limits.Sockets/keepAliveDivisor
+	if s.predecessor != nil {
+		return protocol.ListenOn(
+			s.predecessor.socket, s.loop, c.Names, c.Settings.Classes, clients, keepAlive, s.log), nil
+	}
+	listener, err := retry(s.log, "listen", startTimeout, func() (*protocol.Listener, error) {
+		return protocol.Listen(c.Listen, s.loop, c.Names, c.Settings.Classes, clients, keepAlive, s.log)
+	})
+	if err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
+	}
+	return listener, nil
+}
+
+// openGossip opens the way to the peers where there is one; nil if not. Without it the sender serves all the same.
+func openGossip(c Config, log *slog.Logger) *protocol.GossipTransport {
+	if !c.Settings.CanGossip || c.PeerListen == "" || c.PeersAll == "" {
+		return nil
+	}
+	transport, err := retry(log, "gossip", gossipTimeout, func() (*protocol.GossipTransport, error) {
+		return protocol.OpenGossip(c.PeerListen, c.PeersAll, c.Peers, c.Settings.Index, log)
+	})
+	if err != nil {
+		log.Error("gossip unavailable: see peer_listen, peers and peers_all", "err", err)
+		return nil
+	}
+	return transport
+}
+
+// newDeadLetterQueue makes the queue of undeliverable messages, if the settings ask for one; nil if not.
+func newDeadLetterQueue(c Config, log *slog.Logger) *deadletter.Queue {
+	if c.Ours == nil || c.Ours.Held == nil {
+		return nil
+	}
+	return deadletter.NewQueue(deadletter.Config{
+		Settings: c.Ours, Platform: c.Settings, Log: log,
+		Names: deadletter.Names{Classes: namesByNumber(c.Names.Classes), Tenants: namesByNumber(c.Names.Tenants)},
+	})
+}
+
+// listenAdmin opens the admin API on a Unix socket, if the settings ask for it; nil if not.
+func listenAdmin(c Config, queue *deadletter.Queue, board *statusBoard, log *slog.Logger) (*admin.Server, error) {
+	if c.Ours == nil || c.Ours.Admin == nil {
+		return nil, nil
+	}
+	var q admin.DeadLetterQueue // an interface that holds a nil queue is not nil
+	if queue != nil {
+		q = queue
+	}
+	return admin.Listen(c.Ours.Admin.Socket, q, board, log)
+}
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -1,14 +1,10 @@
-// Package lifecycle starts and stops the sender: configuration, limits, signals.
 package lifecycle
 
 import (
 	"errors"
 	"fmt"
-	"maps"
 	"os"
-	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"github.com/tidwall/gjson"
@@ -20,41 +16,45 @@
 	"cleathold/internal/wire"
 )
 
-// Config is what a sender is told.
+// Config is what a sender is told by its configuration file, its environment and its script.
 type Config struct {
 	Name, Listen, Discovery, State string
-	Admin                          string   // the second address, for those who run the sender; empty = none
-	PeerListen, PeersAll           string   // where notes between senders come in, and what reaches all
-	Peers                          []string // where those of the others come from, by their numbers
+	Admin                          string   // the second address, for the operators; empty = none
+	PeerListen, PeersAll           string   // where gossip of the peers comes in, and the address that reaches all
+	Peers                          []string // where the peers' gossip comes from, by their numbers
 	Release                        string   // as whoever starts the process calls its version; may be empty
 	Limits                         Limits
 	Settings                       control.Settings
 	Names                          protocol.Names
 	Known                          state.ListUpdate
-	Ours                           *settings.Settings // nil: no script was named
-	raw                            string             // as it was read
-	classes                        []state.NamedClass // the classes of the settings in force, as they stood there
+	Ours                           *settings.Settings // of the script; nil: no script was named
+
+	raw     string             // the file's text
+	classes []state.NamedClass // the classes of the settings in force, as they stood in the file
 }
 
-// Limits are what the machine gives.
+// Limits are what the machine gives; 0 cores or MB of memory = unlimited.
 type Limits struct {
 	Cores     float64
 	MemoryMB  float64
-	Sockets   int
+	Sockets   int // file descriptors
 	DiskBytes int64
 }
 
-// defaults where the configuration leaves a limit out.
 const (
+	// Where the configuration leaves a limit out.
 	defaultSockets = 1024
 	defaultDiskMB  = 3
+
+	// minSockets are the descriptors without which a sender does not work: those of discovery, the platform, the listener,
+	// gossip, the write-ahead log's files and a few clients.
+	minSockets = 32
 )
 
-// Load reads a configuration file; the environment's LB_NAME, LB_LISTEN and
-// LB_STATE go before what stands in it. LB_DISCOVERY only fills its place where
-// the file names none: the file can be replaced under a process that runs, its
-// environment can't.
-// A script with settings of our own is read too, if one is named.
+// Load reads a configuration file, and the script with settings of our own if one is named. The environment's
+// LB_NAME, LB_LISTEN and LB_STATE go before what stands in the file. LB_DISCOVERY only fills its place where the file
+// names none: the file can be replaced under a process that runs, its environment can't. Errors of the file begin
+// with "configuration:".
 func Load(path, script string, env func(string) string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return c, err
 }
 
-// namedClasses lists the classes of settings that have just been read.
+// namedClasses lists the classes of settings that have just been read, by their numbers.
 func (c Config) namedClasses() []state.NamedClass {
 	words := namesByNumber(c.Names.Classes)
 	list := make([]state.NamedClass, len(c.Settings.Classes))
@@ -77,7 +77,7 @@
 	return list
 }
 
-// namesByNumber lists the names that were numbered.
+// namesByNumber lists names that were numbered.
 func namesByNumber(numbers map[string]int) []string {
 	list := make([]string, len(numbers))
 	for name, i := range numbers {
@@ -88,7 +88,7 @@
 	return list
 }
 
-// Parse reads a configuration.
+// Parse reads a configuration file's text. env looks up a variable of the environment.
 func Parse(text []byte, env func(string) string) (Config, error) {
 	if !gjson.ValidBytes(text) {
 		return Config{}, errors.New("configuration: not JSON")
@@ -119,7 +119,7 @@
 	return c, nil
 }
 
-// parseAddresses reads where the sender listens, asks and keeps its state.
+// parseAddresses reads where the sender listens, polls and keeps its state.
 func (c *Config) parseAddresses(doc gjson.Result, env func(string) string) error {
 	for _, f := range []struct {
 		to       *string
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// parseSettings reads what the controller is told, and the names it numbers.
+// parseSettings reads the controller's settings, and the names that they number.
 func (c *Config) parseSettings(set gjson.Result, seedText string) error {
 	seed, err := parseSeed(seedText)
 	if err != nil {
@@ -172,7 +172,7 @@
 	return checkSockets(c.Limits, c.Settings)
 }
 
-// checkNames wants a name of its own for each of a list.
+// checkNames wants a name of its own for each entry of a list.
 func checkNames(list string, of gjson.Result) error {
 	seen := map[string]bool{}
 	for i, e := range of.Array() {
@@ -188,19 +188,16 @@
 	return nil
 }
 
-// checkSockets wants room among the descriptors for the calls that the settings allow, besides what the sender needs itself.
+// checkSockets wants descriptors enough for the calls that the settings allow, besides what the sender needs itself.
 func checkSockets(l Limits, s control.Settings) error {
 	if least := s.MaxInFlight + minSockets; l.Sockets < least {
-		return fmt.Errorf("configuration: limits.sockets: %d: %d wanted at least, for specifics.max-calls %d", l.Sockets, least, s.MaxInFlight)
+		return fmt.Errorf("configuration: limits.sockets: %d: %d wanted at least, for specifics.max-calls %d",
+			l.Sockets, least, s.MaxInFlight)
 	}
 	return nil
 }
 
-// minSockets are the descriptors without which a sender does not work: those of discovery, the platform, the
-// listener, notes, the journal's files and a few clients.
-const minSockets = 32
-
-// checkPositive wants those that must be numbers above 0, where they are given, to be so.
+// checkPositive wants the settings that must be numbers above 0 to be so, where they are given.
 func checkPositive(set gjson.Result) error {
 	var err error
 	positive := func(name string, v gjson.Result, must bool) {
@@ -218,79 +215,7 @@
 	return err
 }
 
-// checkReload tells why a configuration can't take the place of the one before it.
-func checkReload(old, new Config) error {
-	if err := checkKeysKept(gjson.Parse(old.raw), gjson.Parse(new.raw), ""); err != nil {
-		return err
-	}
-	// At a start none means no limit. Under way it is a slip of who wrote the file, not a wish.
-	if cap := gjson.Get(new.raw, "settings.limits.send-cap"); old.Settings.MaxAttempts > 0 && cap.Float() <= 0 {
-		return fmt.Errorf("configuration: settings: limits.send-cap: %q: a number above 0 wanted", cap.Raw)
-	}
-	return nil
-}
-
-// startOnlyKeys are keys that a configuration which is read again need not have: they are for the start alone.
-var startOnlyKeys = map[string]bool{"seed": true, "known": true, "admin": true, "name": true}
-
-// checkKeysKept finds a key that a configuration had and the one read after it has not, or has of another type. Who
-// replaces the file writes all of it: a key that is gone is a mistake, not a wish for what holds without it.
-func checkKeysKept(old, new gjson.Result, path string) error {
-	var err error
-	old.ForEach(func(key, was gjson.Result) bool {
-		name := key.String()
-		at := strings.TrimPrefix(path+"."+name, ".")
-		is := new.Get(gjson.Escape(name))
-		switch {
-		case path == "" && startOnlyKeys[name]:
-		case !is.Exists():
-			err = fmt.Errorf("configuration: %s: missing", at)
-		case kindOf(was) != kindOf(is):
-			err = fmt.Errorf("configuration: %s: %.40s: not of the kind that it was", at, is.Raw)
-		case was.IsObject():
-			err = checkKeysKept(was, is, at)
-		case was.IsArray():
-			err = checkListKeysKept(was.Array(), is.Array(), at)
-		}
-		return err == nil
-	})
-	return err
-}
-
-// checkListKeysKept wants of each object of a list the keys that all objects of the list before had.
-func checkListKeysKept(old, new []gjson.Result, path string) error {
-	common := map[string]bool{}
-	for i, o := range old {
-		if !o.IsObject() {
-			return nil
-		}
-		has := map[string]bool{}
-		o.ForEach(func(key, _ gjson.Result) bool { has[key.String()] = i == 0 || common[key.String()]; return true })
-		common = has
-	}
-	for _, name := range slices.Sorted(maps.Keys(common)) {
-		for i, o := range new {
-			if is := o.Get(gjson.Escape(name)); common[name] && (!is.Exists() || kindOf(is) != kindOf(old[0].Get(gjson.Escape(name)))) {
-				return fmt.Errorf("configuration: %s[%d].%s: missing, or not of the kind that it was", path, i, name)
-			}
-		}
-	}
-	return nil
-}
-
-// kindOf is the kind of a value; both truth values are one.
-func kindOf(v gjson.Result) string {
-	switch {
-	case v.IsObject():
-		return "object"
-	case v.IsArray():
-		return "list"
-	case v.IsBool():
-		return "truth"
-	}
-	return v.Type.String()
-}
-
+// parseSeed reads a seed of hexadecimal digits; without one it is the time.
 func parseSeed(s string) (uint64, error) {
 	if s == "" {
 		return uint64(time.Now().UnixNano()), nil
@@ -302,6 +227,7 @@
 	return seed, nil
 }
 
+// parseLimits reads the limits and fills in their defaults.
 func parseLimits(doc gjson.Result) (Limits, error) {
 	l := Limits{
 		Cores: doc.Get("cores").Float(), MemoryMB: doc.Get("memory_mb").Float(),
--- a/internal/lifecycle/handover.go
+++ b/internal/lifecycle/handover.go
@@ -9,118 +9,151 @@
 	"time"
 
 	"cleathold/internal/handover"
-	"cleathold/internal/protocol"
 	"cleathold/internal/state"
 )
 
-// closeTimeout is how long clients' connections may take to end with the answers under way before the journal passes on.
-const closeTimeout = 350 * time.Millisecond
+const (
+	// closeTimeout is how long clients' connections may take to end with the responses under way before the write-ahead
+	// log passes on.
+	closeTimeout = 350 * time.Millisecond
 
-// A predecessor is the process before this one, or this one's own last term, whose calls are still out.
+	// deadLetterCloseTimeout is how long the dead-letter queue may take to close when another process takes over.
+	deadLetterCloseTimeout = 2 * time.Second
+)
+
+var (
+	errDeadLettersOpen   = errors.New("the held store does not close")
+	errStoppedInHandover = errors.New("stopped")
+)
+
+// A predecessor is the process before this one, or this one's own last server, whose calls are still out.
 type predecessor struct {
-	state        state.HandoverState
-	socket       net.Listener
-	confirmReady func() error                                // tells it that this process serves
-	postResults  func(context.Context, handover.EventPoster) // posts what comes of its calls
-	drained      <-chan struct{}                             // of an own last term: nothing is out any more
+	state          state.HandoverState
+	socket         net.Listener                                // the clients'
+	confirmReady   func() error                                // tells it that this process serves
+	receiveResults func(context.Context, handover.EventPoster) // posts the results of its calls
+	drained        <-chan struct{}                             // closed once no call is out; of an own last server only
 }
 
-// requestTakeover asks the process that serves the same state folder to give way; nil where there is none.
+// requestTakeover asks the process that serves the same state folder to hand over; nil where there is none.
 func requestTakeover(c Config) (*predecessor, error) {
 	if c.Admin == "" {
 		return nil, nil
 	}
-	i, err := handover.RequestTakeover(handover.Path(c.State))
-	if i == nil || err != nil {
+	t, err := handover.RequestTakeover(handover.Path(c.State))
+	if t == nil || err != nil {
 		return nil, err
 	}
-	return &predecessor{state: i.State, socket: i.Listener, confirmReady: i.ConfirmReady, postResults: i.Run}, nil
+	return &predecessor{state: t.State, socket: t.Listener, confirmReady: t.ConfirmReady, receiveResults: t.Run}, nil
 }
 
-// listenForSuccessor opens the desk where the next process asks. Without one the sender serves, but has to be stopped for
-// another version. Nil works as a desk at which nobody asks.
+// listenForSuccessor opens the socket where the next process asks to take over. Without one the sender serves, but
+// has to be stopped for another version. A nil listener can be used: nobody asks there.
 func listenForSuccessor(c Config, log *slog.Logger) *handover.Listener {
 	if c.Admin == "" {
 		return nil
 	}
-	desk, err := handover.Listen(handover.Path(c.State), log)
+	l, err := handover.Listen(handover.Path(c.State), log)
 	if err != nil {
-		log.Error("no hand-over to another process: stop this one for a new version", "err", err)
+		log.Error("hand-over unavailable: stop this process before another version starts", "err", err)
 		return nil
 	}
-	return desk
+	return l
 }
 
-// deadLetterCloseTimeout is how long the held store may take to close when another process takes over.
-const deadLetterCloseTimeout = 2 * time.Second
-
-var errDeadLettersOpen = errors.New("the held store does not close")
+// handOver lets another process take over, and returns once no call of this one is out any more. Where the other one
+// does not come to serve, what it was given is returned.
+func (s *server) handOver(request *handover.Request, socket *os.File) *predecessor {
+	startedAt := time.Now()
+	s.machine.advance(handingOver)
+	s.listener.Close(startedAt.Add(closeTimeout))
+	s.stopFacing()
+	// The dead-letter queue goes first: it redelivers nothing any more, and what it has not written yet stays with the
+	// write-ahead log.
+	closeErr := s.closeDeadLetters()
+	results := handover.NewResultQueue()
+	given := s.detachState(results)
+	signaledAt, err := s.offer(request, socket, given.State, errors.Join(given.Err, closeErr))
+	switch {
+	case err != nil && signaledAt.IsZero():
+		s.log.Error("hand-over failed, serving on", "err", err)
+		return s.takeBack(socket, given.State, results)
+	case err != nil:
+		s.log.Error("stopped during hand-over; the write-ahead log has everything", "err", err)
+		return nil
+	}
+	s.log.Info("handed over to successor",
+		"elapsed", time.Since(startedAt).Round(time.Millisecond), "in_flight", len(given.State.InFlight))
+	s.successors.Close(true)
+	s.forwardResults(request, results, signaledAt)
+	return nil
+}
 
-// handOver lets another process take over, and returns once nothing of this one's is out any more. Where that one does
-// not come to serve, what it was given is returned.
-func (p *process) handOver(ask *handover.Request, sock *os.File, listener *protocol.Listener, loop *state.Loop, leave func(), rest func() error, desk *handover.Listener) *predecessor {
-	began := time.Now()
-	p.machine.advance(handingOver)
-	listener.Close(began.Add(closeTimeout))
-	leave()
-	// The keeper goes first: it sends nothing again any more, and what it has not written yet stays with the journal.
-	rested := rest()
-	legacy := handover.NewResultQueue()
+// detachState has the loop give its state away. Results of its calls go to the queue from then on.
+func (s *server) detachState(results *handover.ResultQueue) state.HandOverResult {
 	done := make(chan state.HandOverResult, 1)
-	loop.Post(state.HandOver{Successor: legacy, Done: done})
+	s.loop.Post(state.HandOver{Successor: results, Done: done})
 	given := <-done
-	given.State.Drained, given.State.Lease = p.machine.orders()
-	gave := make(chan error, 1)
-	err := errors.Join(given.Err, rested)
+	given.State.Drained, given.State.Lease = s.machine.orders()
+	return given
+}
+
+// offer gives the state to the other process, unless there is an error already, and waits until that one serves.
+// signaledAt is when this process was told to stop meanwhile; zero: it was not.
+func (s *server) offer(
+	request *handover.Request, socket *os.File, given state.HandoverState, err error,
+) (signaledAt time.Time, _ error) {
+	taken := make(chan error, 1)
 	if err != nil {
-		ask.Reject(err.Error())
-		gave <- err
+		request.Reject(err.Error())
+		taken <- err
 	} else {
-		go func() { gave <- ask.HandOver(sock, given.State) }()
+		go func() { taken <- request.HandOver(socket, given) }()
 	}
-	var told time.Time
 	select {
-	case err = <-gave:
-	case told = <-p.stop:
-		p.machine.advance(stopping)
-		select {
-		case err = <-gave:
-		case <-time.After(time.Until(told.Add(finishTimeout))):
-			err = errors.New("stopped")
-		}
+	case err = <-taken:
+		return time.Time{}, err
+	case signaledAt = <-s.stop:
 	}
-	if err != nil && told.IsZero() {
-		p.log.Error("another process did not take over, this one serves on", "err", err)
-		back, err := net.FileListener(sock)
-		if err != nil {
-			p.log.Error("the listening socket is lost", "err", err)
-			return nil
-		}
-		return &predecessor{
-			state: given.State, socket: back, confirmReady: func() error { return nil }, postResults: legacy.PostTo, drained: legacy.Drained(p.ctx),
-		}
+	s.machine.advance(stopping)
+	select {
+	case err = <-taken:
+	case <-time.After(time.Until(signaledAt.Add(finishTimeout))):
+		err = errStoppedInHandover
 	}
+	return signaledAt, err
+}
+
+// takeBack makes a predecessor for the next server of this process of what another one did not take.
+func (s *server) takeBack(socket *os.File, given state.HandoverState, results *handover.ResultQueue) *predecessor {
+	listener, err := net.FileListener(socket)
 	if err != nil {
-		p.log.Error("stopped before another process had taken over; the journal has everything", "err", err)
+		s.log.Error("listening socket lost", "err", err)
 		return nil
 	}
-	p.log.Info("another process has taken over", "after", time.Since(began).Round(time.Millisecond), "out", len(given.State.InFlight))
-	desk.Close(true)
-	passing, end := context.WithCancel(p.ctx)
-	defer end()
-	passed := make(chan error, 1)
-	go func() { passed <- ask.ForwardResults(passing, legacy) }()
-	if told.IsZero() {
+	return &predecessor{
+		state: given, socket: listener, confirmReady: func() error { return nil },
+		receiveResults: results.PostTo, drained: results.Drained(s.ctx),
+	}
+}
+
+// forwardResults passes the results of calls that are out on to the successor until there are no more, or until the
+// time of a stop.
+func (s *server) forwardResults(request *handover.Request, results *handover.ResultQueue, signaledAt time.Time) {
+	ctx, cancel := context.WithCancel(s.ctx)
+	defer cancel()
+	forwarded := make(chan error, 1)
+	go func() { forwarded <- request.ForwardResults(ctx, results) }()
+	if signaledAt.IsZero() {
 		select {
-		case <-passed:
-			return nil
-		case told = <-p.stop:
-			p.machine.advance(stopping)
+		case <-forwarded:
+			return
+		case signaledAt = <-s.stop:
+			s.machine.advance(stopping)
 		}
 	}
 	select {
-	case <-passed:
-	case <-time.After(time.Until(told.Add(finishTimeout))):
+	case <-forwarded:
+	case <-time.After(time.Until(signaledAt.Add(finishTimeout))):
 	}
-	return nil
 }
--- /dev/null
+++ b/internal/lifecycle/reload.go
@@ -0,0 +1,144 @@
+package lifecycle
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"reflect"
+	"slices"
+	"time"
+
+	"cleathold/internal/settings"
+	"cleathold/internal/state"
+)
+
+var errLoopBusy = errors.New("settings: the loop does not take them")
+
+// reloadConfig reads the configuration again and puts it in force: the addresses of discovery and the platform, the
+// settings of the controller and the runtime's limits, all of them or none. What else has changed waits for the next
+// start: the write-ahead log and the listener are built on it.
+func (s *server) reloadConfig() {
+	*s.config = s.reread(*s.config)
+	s.publishConfig(*s.config)
+	if s.deadLetters != nil && s.config.Ours != nil {
+		s.deadLetters.UpdateSettings(s.config.Ours)
+	}
+}
+
+// reread reads the configuration again and returns the one in force.
+func (s *server) reread(old Config) Config {
+	c, err := retry(s.log, "configuration", reloadTimeout, s.load)
+	if err == nil {
+		err = checkReload(old, c)
+	}
+	now := old
+	if err == nil {
+		now, err = s.updateSettings(old, c)
+	}
+	if err != nil {
+		s.log.Error("configuration not read again, the old one stays in force", "err", err)
+		return old
+	}
+	if c.Discovery != old.Discovery {
+		s.discovery.SetAddress(c.Discovery)
+		s.reporter.SetAddress(c.Discovery)
+	}
+	limitRuntime(c.Limits)
+	now.Discovery, now.raw = c.Discovery, c.raw
+	now.Limits.Cores, now.Limits.MemoryMB = c.Limits.Cores, c.Limits.MemoryMB
+	now.Ours = reloadOwnSettings(old.Ours, c.Ours, s.log)
+	if pending := c.pendingRestart(now); len(pending) > 0 {
+		s.log.Warn("configuration changes wait for the next start", "keys", pending)
+	}
+	s.log.Info("configuration read again", "discovery", now.Discovery,
+		"classes", len(now.Names.Classes), "max_attempts", now.Settings.MaxAttempts)
+	return now
+}
+
+// updateSettings has the loop take new settings, and the listener the names in them. It returns the configuration
+// with the settings in force.
+func (s *server) updateSettings(old, c Config) (Config, error) {
+	same := c.Settings
+	same.Seed, same.Classes, same.CanGossip = old.Settings.Seed, old.Settings.Classes, old.Settings.CanGossip
+	classes := c.namedClasses()
+	if reflect.DeepEqual(same, old.Settings) && slices.Equal(classes, old.classes) {
+		return old, nil
+	}
+	if s.deadLetters != nil {
+		for name, n := range old.Names.Tenants {
+			if c.Names.Tenants[name] != n {
+				s.log.Warn("settings change waits for the next start: tenants renumbered while dead letters are kept",
+					"tenant", name)
+				return old, nil
+			}
+		}
+	}
+	done := make(chan state.SettingsResult, 1)
+	update := state.UpdateSettings{Settings: c.Settings, Classes: classes, Done: done}
+	if !s.loop.PostBefore(update, time.Now().Add(settingsTimeout)) {
+		return old, errLoopBusy
+	}
+	r := <-done
+	if r.Err != nil {
+		return old, fmt.Errorf("settings: %w", r.Err)
+	}
+	now := old
+	now.classes = classes
+	now.Names, now.Settings = c.Names, c.Settings
+	now.Names.Classes, now.Names.Kinds = r.Numbers, old.Names.Kinds
+	now.Settings.Classes, now.Settings.Seed, now.Settings.CanGossip = r.Classes, old.Settings.Seed, old.Settings.CanGossip
+	now.Settings.FleetSize, now.Settings.Index, now.Settings.Kinds =
+		old.Settings.FleetSize, old.Settings.Index, old.Settings.Kinds
+	if s.deadLetters != nil {
+		s.deadLetters.TenantsChanged(namesByNumber(now.Names.Tenants))
+	}
+	s.listener.SetNames(now.Names, now.Settings.Classes)
+	return now, nil
+}
+
+// pendingRestart names the keys of a configuration that are not in force before the next start.
+func (c Config) pendingRestart(now Config) (keys []string) {
+	for _, k := range []struct {
+		name string
+		same bool
+	}{
+		{"listen", c.Listen == now.Listen},
+		{"state", c.State == now.State},
+		{"admin", c.Admin == now.Admin},
+		{"peers", c.PeerListen == now.PeerListen && c.PeersAll == now.PeersAll && slices.Equal(c.Peers, now.Peers)},
+		{"limits.sockets", c.Limits.Sockets == now.Limits.Sockets},
+		{"limits.disk_mb", c.Limits.DiskBytes == now.Limits.DiskBytes},
+		{"settings.siblings", c.Settings.FleetSize == now.Settings.FleetSize},
+		{"settings.me", c.Settings.Index == now.Settings.Index},
+		{"settings.kinds", slices.Equal(c.Settings.Kinds, now.Settings.Kinds)},
+	} {
+		if !k.same {
+			keys = append(keys, k.name)
+		}
+	}
+	return keys
+}
+
+// reloadOwnSettings takes over what a script may change as the sender runs: bounds, rates and rules. The folder of the
+// dead-letter queue, the write-ahead log's durability and the admin socket wait for the next start.
+func reloadOwnSettings(old, c *settings.Settings, log *slog.Logger) *settings.Settings {
+	if old == nil || c == nil || (old.Held == nil) != (c.Held == nil) {
+		if old != nil || c != nil {
+			log.Warn("settings change waits for the next start: dead-letter queue on or off")
+		}
+		return old
+	}
+	if c.Held != nil && c.Held.Folder != old.Held.Folder {
+		log.Warn("settings change waits for the next start: folder of the dead-letter queue", "folder", c.Held.Folder)
+		c.Held.Folder = old.Held.Folder
+	}
+	if c.Journal != old.Journal {
+		log.Warn("settings change waits for the next start: durability of the write-ahead log")
+		c.Journal = old.Journal
+	}
+	if (old.Admin == nil) != (c.Admin == nil) || c.Admin != nil && *c.Admin != *old.Admin {
+		log.Warn("settings change waits for the next start: admin socket")
+		c.Admin = old.Admin
+	}
+	return c
+}
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -10,14 +10,14 @@
 	"cleathold/internal/lease"
 )
 
-// A phase is what a sender is doing as a whole.
+// A phase is what a sender is doing as a whole. Its names stand in the status.
 type phase int
 
 const (
-	starting phase = iota
-	serving
-	drained     // clients are sent away; what is held goes on
-	handingOver // another process takes over, or has
+	starting    phase = iota
+	serving           // clients are served
+	drained           // clients are sent away; accepted messages go on
+	handingOver       // another process takes over, or has
 	stopping
 )
 
@@ -31,8 +31,9 @@
 	Activate()
 }
 
-// A stateMachine is the state machine of the process: the one owner of the phase, and of the book of leases. Orders that come during the start hold once it is
-// over. Clients are sent away while somebody has said so by hand, or while a lease stands that wants it.
+// A stateMachine is the one owner of the process's phase, its lease and its exclusions. Orders that come during the
+// start hold once it is over. Clients are sent away while the operator has said so, or while a lease is active that
+// wants it. Its methods may be called from any goroutine.
 type stateMachine struct {
 	log *slog.Logger
 	id  string           // of the process
@@ -40,224 +41,223 @@
 
 	mu                sync.Mutex
 	phase             phase
-	drainedByOperator bool // ordered by hand: clients are to be sent away
+	drainedByOperator bool
 	lease             lease.Holder
-	leaseTimer        *time.Timer // looks at the book again when the lease is up
+	leaseTimer        *time.Timer // fires when the lease is up
 	exclusions        lease.Exclusions
-	exclusionsTimer   *time.Timer    // looks at aside again
-	setExcluded       func([]string) // tells the loop which targets are taken out; from the end of the start on
-	clients           clientGate     // from the end of the start on
+	exclusionsTimer   *time.Timer    // fires when the exclusions are up
+	setExcluded       func([]string) // tells the loop which endpoints are excluded; nil during the start
+	clients           clientGate     // nil during the start
 }
 
 func newStateMachine(log *slog.Logger) *stateMachine { return &stateMachine{log: log, id: rand.Text()} }
 
+// Why an order is rejected, or the process is not ready.
 var (
 	errStarting    = errors.New("starting")
 	errHandingOver = errors.New("another process takes over")
 	errStopping    = errors.New("stopping")
 )
 
-// Ready tells whether this process can serve, drained or not.
-func (s *stateMachine) Ready() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.rejection(true)
+// Ready tells why this process can't serve; nil if it can, drained or not.
+func (m *stateMachine) Ready() error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.rejection(true)
 }
 
-// rejection is why an order, or readiness, is not to be had now.
-func (s *stateMachine) rejection(ready bool) error {
+// rejection is why an order is rejected now; nil if it is not. Some orders need the end of the start.
+func (m *stateMachine) rejection(needsStart bool) error {
 	switch {
-	case s.phase == starting && ready:
+	case m.phase == starting && needsStart:
 		return errStarting
-	case s.phase == handingOver:
+	case m.phase == handingOver:
 		return errHandingOver
-	case s.phase == stopping:
+	case m.phase == stopping:
 		return errStopping
 	}
 	return nil
 }
 
-// apply does something to the book, or by hand, unless this process takes no orders now.
-func (s *stateMachine) apply(ready bool, do func(now time.Time) error) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if err := s.rejection(ready); err != nil {
+// apply carries out an order, unless this process takes none now.
+func (m *stateMachine) apply(needsStart bool, order func(now time.Time) error) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err := m.rejection(needsStart); err != nil {
 		return err
 	}
-	if err := do(s.clock()); err != nil {
+	if err := order(m.clock()); err != nil {
 		return err
 	}
-	s.armLeaseTimer()
-	s.updatePhase()
+	m.armLeaseTimer()
+	m.updatePhase()
 	return nil
 }
 
-func (s *stateMachine) clock() time.Time {
-	if s.now != nil {
-		return s.now()
+func (m *stateMachine) clock() time.Time {
+	if m.now != nil {
+		return m.now()
 	}
 	return time.Now()
 }
 
-// Drain sends clients away by hand: whatever leases say, until Activate.
-func (s *stateMachine) Drain() error {
-	return s.apply(false, func(time.Time) error { s.drainedByOperator = true; return nil })
+// Drain sends clients away by the operator's order: whatever leases say, until Activate.
+func (m *stateMachine) Drain() error {
+	return m.apply(false, func(time.Time) error { m.drainedByOperator = true; return nil })
 }
 
-// Activate takes them back by hand. A lease that stands ends: who stands beside the sender decides.
-func (s *stateMachine) Activate() error {
-	return s.apply(false, func(time.Time) error {
-		s.drainedByOperator = false
-		if s.lease.Active() {
-			return s.lease.End(s.lease.Epoch)
+// Activate takes clients back by the operator's order, which goes before an active lease and ends it.
+func (m *stateMachine) Activate() error {
+	return m.apply(false, func(time.Time) error {
+		m.drainedByOperator = false
+		if m.lease.Active() {
+			return m.lease.End(m.lease.Epoch)
 		}
 		return nil
 	})
 }
 
-// Take takes up the leave to go out. During the start nothing is taken up: nobody knows this process yet.
-func (s *stateMachine) Take(o lease.Order) error {
-	return s.apply(true, func(now time.Time) error { return s.lease.Take(o, s.id, now) })
+// Take takes up a lease. During the start none is taken up: nobody knows this process yet.
+func (m *stateMachine) Take(o lease.Order) error {
+	return m.apply(true, func(now time.Time) error { return m.lease.Take(o, m.id, now) })
 }
 
-// Renew sets another end to the lease that stands.
-func (s *stateMachine) Renew(epoch uint64, until time.Time) error {
-	return s.apply(false, func(now time.Time) error { return s.lease.Renew(epoch, until, now) })
+// Renew sets another end to the active lease.
+func (m *stateMachine) Renew(epoch uint64, until time.Time) error {
+	return m.apply(false, func(now time.Time) error { return m.lease.Renew(epoch, until, now) })
 }
 
-// End ends an epoch, and the lease that stands for it.
-func (s *stateMachine) End(epoch uint64) error {
-	return s.apply(false, func(time.Time) error { return s.lease.End(epoch) })
+// End ends an epoch, and the active lease of it.
+func (m *stateMachine) End(epoch uint64) error {
+	return m.apply(false, func(time.Time) error { return m.lease.End(epoch) })
 }
 
-// SetExclusions takes which targets are out, as of an epoch.
-func (s *stateMachine) SetExclusions(epoch uint64, ids []string, until time.Time) error {
-	return s.apply(true, func(now time.Time) error {
-		if err := s.exclusions.Take(epoch, ids, until, now); err != nil {
+// SetExclusions takes which endpoints are excluded, as of an epoch, until a time.
+func (m *stateMachine) SetExclusions(epoch uint64, ids []string, until time.Time) error {
+	return m.apply(true, func(now time.Time) error {
+		if err := m.exclusions.Take(epoch, ids, until, now); err != nil {
 			return err
 		}
-		s.applyExclusions()
+		m.applyExclusions()
 		return nil
 	})
 }
 
-// applyExclusions tells the loop, and has the set looked at when its time is up.
-func (s *stateMachine) applyExclusions() {
-	if s.setExcluded != nil {
-		s.setExcluded(s.exclusions.EndpointIDs)
+// applyExclusions tells the loop, and arms the timer.
+func (m *stateMachine) applyExclusions() {
+	if m.setExcluded != nil {
+		m.setExcluded(m.exclusions.EndpointIDs)
 	}
-	if s.exclusionsTimer != nil {
-		s.exclusionsTimer.Stop()
+	if m.exclusionsTimer != nil {
+		m.exclusionsTimer.Stop()
 	}
-	s.exclusionsTimer = time.AfterFunc(max(0, s.exclusions.Until.Sub(s.clock())), func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if s.exclusions.Expire(s.clock()) {
-			s.log.Warn("nobody has said again which targets are out: all are in")
-			if s.setExcluded != nil && s.phase < handingOver {
-				s.setExcluded(nil)
-			}
+	m.exclusionsTimer = time.AfterFunc(max(0, m.exclusions.Until.Sub(m.clock())), m.expireExclusions)
+}
+
+// expireExclusions ends exclusions that are up.
+func (m *stateMachine) expireExclusions() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.exclusions.Expire(m.clock()) {
+		m.log.Warn("exclusions expired: no endpoint is excluded any more")
+		if m.setExcluded != nil && m.phase < handingOver {
+			m.setExcluded(nil)
 		}
-	})
+	}
 }
 
-// connectExclusions names who is told which targets are out.
-func (s *stateMachine) connectExclusions(out func([]string)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.setExcluded = out; len(s.exclusions.EndpointIDs) > 0 {
-		out(s.exclusions.EndpointIDs)
+// connectExclusions names who is told which endpoints are excluded.
+func (m *stateMachine) connectExclusions(setExcluded func([]string)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.setExcluded = setExcluded; len(m.exclusions.EndpointIDs) > 0 {
+		setExcluded(m.exclusions.EndpointIDs)
 	}
 }
 
-// wantsDrain tells whether clients are to be sent away.
-func (s *stateMachine) wantsDrain() bool {
-	return s.drainedByOperator || s.lease.Active() && s.lease.Drain
+// wantsDrain reports whether clients are to be sent away.
+func (m *stateMachine) wantsDrain() bool {
+	return m.drainedByOperator || m.lease.Active() && m.lease.Drain
 }
 
-// armLeaseTimer has the book looked at when the lease that stands is up.
-func (s *stateMachine) armLeaseTimer() {
-	if s.leaseTimer != nil {
-		s.leaseTimer.Stop()
-		s.leaseTimer = nil
+// armLeaseTimer has the active lease looked at when it is up.
+func (m *stateMachine) armLeaseTimer() {
+	if m.leaseTimer != nil {
+		m.leaseTimer.Stop()
+		m.leaseTimer = nil
 	}
-	if s.lease.Active() {
-		s.leaseTimer = time.AfterFunc(max(0, s.lease.Until.Sub(s.clock())), s.expireLease)
+	if m.lease.Active() {
+		m.leaseTimer = time.AfterFunc(max(0, m.lease.Until.Sub(m.clock())), m.expireLease)
 	}
 }
 
-// expireLease ends the lease that is up. A process that was stopped in between does so as soon as it goes on.
-func (s *stateMachine) expireLease() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.lease.Expire(s.clock()) {
-		s.log.Warn("nobody has renewed the lease to be out: back to work", "epoch", s.lease.Epoch)
-		s.updatePhase()
-	} else if s.lease.Active() { // the clock was set back, or the lease was renewed
-		s.armLeaseTimer()
+// expireLease ends a lease that is up. A process that was stopped in between does so as soon as it goes on.
+func (m *stateMachine) expireLease() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.lease.Expire(m.clock()) {
+		m.log.Warn("lease expired", "epoch", m.lease.Epoch)
+		m.updatePhase()
+	} else if m.lease.Active() { // the clock was set back, or the lease was renewed
+		m.armLeaseTimer()
 	}
 }
 
-// updatePhase brings the phase in line with what is ordered.
-func (s *stateMachine) updatePhase() {
-	away := s.wantsDrain()
+// updatePhase brings the phase in line with the orders.
+func (m *stateMachine) updatePhase() {
+	drain := m.wantsDrain()
 	switch {
-	case s.phase == serving && away:
-		s.phase = drained
-		s.clients.Drain()
-	case s.phase == drained && !away:
-		s.phase = serving
-		s.clients.Activate()
+	case m.phase == serving && drain:
+		m.phase = drained
+		m.clients.Drain()
+	case m.phase == drained && !drain:
+		m.phase = serving
+		m.clients.Activate()
 	default:
 		return
 	}
-	s.log.Info("ordered by the operators", "now", s.phase.String(), "epoch", s.lease.Epoch)
+	m.log.Info("phase changed by order", "phase", m.phase.String(), "epoch", m.lease.Epoch)
 }
 
-// startServing ends the start, or a leave that came to nothing.
-func (s *stateMachine) startServing(d clientGate) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.phase == stopping {
+// startServing ends the start, or a hand-over that failed.
+func (m *stateMachine) startServing(clients clientGate) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.phase == stopping {
 		return
 	}
-	s.clients, s.phase = d, serving
-	s.updatePhase()
+	m.clients, m.phase = clients, serving
+	m.updatePhase()
 }
 
-// advance goes on to a later phase. False: it has gone further already.
-func (s *stateMachine) advance(p phase) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.phase >= p {
-		return false
-	}
-	s.phase = p
-	return true
+// advance goes on to a later phase. It does nothing if the process is in that phase or a later one already.
+func (m *stateMachine) advance(p phase) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.phase = max(m.phase, p)
 }
 
-// orders tells what the process that comes after this one must know: whether clients are sent away by hand, and
-// the book of leases.
-func (s *stateMachine) orders() (hand bool, book lease.Holder) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.drainedByOperator, s.lease
+// orders are what the successor must know: whether the operator sends clients away, and the lease.
+func (m *stateMachine) orders() (drainedByOperator bool, l lease.Holder) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.drainedByOperator, m.lease
 }
 
-// inherit takes over what the process before this one was ordered.
-func (s *stateMachine) inherit(hand bool, book lease.Holder) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.drainedByOperator = s.drainedByOperator || hand
-	if book.Epoch >= s.lease.Epoch {
-		s.lease = book
+// inherit takes over the orders of the predecessor.
+func (m *stateMachine) inherit(drainedByOperator bool, l lease.Holder) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.drainedByOperator = m.drainedByOperator || drainedByOperator
+	if l.Epoch >= m.lease.Epoch {
+		m.lease = l
 	}
-	s.armLeaseTimer()
+	m.armLeaseTimer()
 }
 
-// snapshot is what the machine itself knows for a status.
-func (s *stateMachine) snapshot() (id string, is phase, book lease.Holder) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.id, s.phase, s.lease
+// snapshot is what the status tells of the state machine.
+func (m *stateMachine) snapshot() (id string, p phase, l lease.Holder) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.id, m.phase, m.lease
 }
--- a/internal/lifecycle/statusboard.go
+++ b/internal/lifecycle/statusboard.go
@@ -12,7 +12,10 @@
 	"cleathold/internal/state"
 )
 
-// statusBoard is the machine together with what else a status tells: what those who run the sender see of a process.
+// targetsTimeout is how long a loop may take to list its targets.
+const targetsTimeout = 500 * time.Millisecond
+
+// A statusBoard is what the operators see of a process, and the state machine that takes their orders.
 type statusBoard struct {
 	*stateMachine
 	name     string
@@ -21,29 +24,28 @@
 	config   atomic.Pointer[string] // digest of the configuration in force
 	counters *state.Counters
 	clients  *protocol.Counters
-	loop     atomic.Pointer[state.Loop] // once there is one
+	loop     atomic.Pointer[state.Loop] // nil during the start
 }
 
-// targetsTimeout is how long a loop may take to tell its targets.
-const targetsTimeout = 500 * time.Millisecond
-
-// Targets are those that discovery lists.
-func (d *statusBoard) Targets() []state.ListedTarget {
-	if l := d.loop.Load(); l != nil {
+// Targets are those that discovery lists; nil during the start, or if the loop does not answer in time.
+func (b *statusBoard) Targets() []state.ListedTarget {
+	if l := b.loop.Load(); l != nil {
 		return l.ListedTargets(time.Now().Add(targetsTimeout))
 	}
 	return nil
 }
 
-// Status tells how the process is. It waits for nobody.
-func (d *statusBoard) Status() admin.Status {
-	id, is, book := d.snapshot()
+// Status tells how the process is. It waits for nothing.
+func (b *statusBoard) Status() admin.Status {
+	id, phase, lease := b.snapshot()
 	s := admin.Status{
-		Name: d.name, Process: id, Pid: os.Getpid(), Phase: is.String(), Epoch: book.Epoch, Ended: book.Ended, LeaseActive: book.Active(), Until: book.Until,
-		Release: d.release, Started: d.started, Counts: d.counters.Counts(), Clients: d.clients.Counts(), MemoryMB: residentMB(),
+		Name: b.name, Process: id, Pid: os.Getpid(), Phase: phase.String(),
+		Epoch: lease.Epoch, Ended: lease.Ended, LeaseActive: lease.Active(), Until: lease.Until,
+		Release: b.release, Started: b.started, Counts: b.counters.Counts(), Clients: b.clients.Counts(),
+		MemoryMB: residentMB(),
 	}
-	if c := d.config.Load(); c != nil {
-		s.Config = *c
+	if digest := b.config.Load(); digest != nil {
+		s.Config = *digest
 	}
 	return s
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// pauseAfterUpdate is how long a large fleet's sender waits between a change and its next poll.
+// delayAfterUpdate is how long a large fleet's sender waits between a change and its next poll.
 func (d *Discovery) delayAfterUpdate() time.Duration {
 	if d.DrainGrace <= 0 {
 		return d.PollSpread*9/10 + rand.N(d.PollSpread/5)
