--- /dev/null
+++ b/internal/lifecycle/limits_test.go
@@ -0,0 +1,28 @@
+package lifecycle
+
+import (
+	"testing"
+
+	"cleathold/control"
+	"cleathold/internal/admin"
+)
+
+// Clients' connections, lingering ones and idle ones to endpoints share what calls and the sender itself leave over.
+func TestSocketBudget(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		sockets, calls int
+		admin          string
+		clients, idle  int
+	}{
+		{"usual", 1024, 16, "", 551, 314},
+		{"with the admin address", 1024 + admin.MaxHTTPConnections, 16, "127.0.0.1:1", 551, 314},
+		{"few: lingering ones take half", 96, 16, "", 5, 5},
+		{"too few: the least", 48, 16, "", 4, 4},
+	} {
+		config := Config{Admin: c.admin, Limits: Limits{Sockets: c.sockets}, Settings: control.Settings{MaxInFlight: c.calls}}
+		if clients, idle := socketBudget(config); clients != c.clients || idle != c.idle {
+			t.Errorf("%s: %d clients and %d idle, want %d and %d", c.name, clients, idle, c.clients, c.idle)
+		}
+	}
+}
--- /dev/null
+++ b/internal/lifecycle/reload_test.go
@@ -0,0 +1,71 @@
+package lifecycle
+
+import (
+	"log/slog"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"cleathold/internal/settings"
+)
+
+// What of a configuration waits for the next start is named by its keys.
+func TestPendingRestart(t *testing.T) {
+	text, err := os.ReadFile("../../examples/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	parse := func(text string) Config {
+		c, err := Parse([]byte(text), func(string) string { return "" })
+		if err != nil {
+			t.Fatal(err)
+		}
+		return c
+	}
+	inForce := parse(string(text))
+	for _, c := range []struct {
+		old, new string
+		keys     []string
+	}{
+		{"", "", nil},
+		{`"discovery": "127.0.0.1:8500"`, `"discovery": "127.0.0.1:8501"`, nil},
+		{`"listen": "127.0.0.1:8080"`, `"listen": "127.0.0.1:8081"`, []string{"listen"}},
+		{`"sockets": 1024`, `"sockets": 1000`, []string{"limits.sockets"}},
+		{`"disk_mb": 3`, `"disk_mb": 4`, []string{"limits.disk_mb"}},
+		{`"name": "n0"`, `"name": "n0", "peer_listen": "127.0.0.1:1", "admin": "127.0.0.1:2"`, []string{"admin", "peers"}},
+	} {
+		if !strings.Contains(string(text), c.old) {
+			t.Fatalf("the example has no %s", c.old)
+		}
+		read := parse(strings.Replace(string(text), c.old, c.new, 1))
+		if keys := read.pendingRestart(inForce); !slices.Equal(keys, c.keys) {
+			t.Errorf("%s: %v wait, want %v", c.new, keys, c.keys)
+		}
+	}
+}
+
+// Of the script's settings, what the start alone can change stays as it was.
+func TestReloadOwnSettings(t *testing.T) {
+	log := slog.New(slog.DiscardHandler)
+	with := func(folder, durability, socket string) *settings.Settings {
+		return &settings.Settings{
+			Held: &settings.Held{Folder: folder}, Admin: &settings.Admin{Socket: socket},
+			Journal: settings.Journal{Durability: durability},
+		}
+	}
+	old := with("a", "group", "s")
+	got := reloadOwnSettings(old, with("b", "each", "t"), log)
+	if got == old || got.Held.Folder != "a" || got.Journal.Durability != "group" || got.Admin.Socket != "s" {
+		t.Errorf("in force: %+v, %+v, %+v", got.Held, got.Journal, got.Admin)
+	}
+	if got := reloadOwnSettings(old, &settings.Settings{}, log); got != old {
+		t.Error("the dead-letter queue was switched off")
+	}
+	if got := reloadOwnSettings(nil, old, log); got != nil {
+		t.Error("the dead-letter queue was switched on")
+	}
+	if got := reloadOwnSettings(old, nil, log); got != old {
+		t.Error("a script that is gone took effect")
+	}
+}
