--- a/internal/ownsock/ownsock.go
+++ b/internal/ownsock/ownsock.go
@@ -1,4 +1,7 @@
-// Package ownsock has Unix sockets that serve the program's own user.
+// Package ownsock opens Unix sockets that only the program's own user can connect to, and tells which user a peer is.
+//
+// It owns nothing: a socket and its path belong to whoever called Listen. It must not decide who may do what: callers
+// compare Peer's result with their own rules.
 package ownsock
 
 import (
@@ -8,9 +11,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen binds a socket for its owner alone, in the place of one that was there. Its path outlasts Close.
+// ownerOnly is the mode of a socket's path: read and write, which connecting needs, for its owner alone.
+const ownerOnly = 0o600
+
+// Listen binds a socket at a path for its owner alone, in the place of one that was there. The path outlasts Close. Its
+// errors are those of net.ListenUnix, os.Chmod and os.Rename.
 func Listen(path string) (*net.UnixListener, error) {
-	// Under another name until its mode is set.
+	// The socket has another name until its mode is set: nobody else may connect before.
 	fresh := path + ".new"
 	os.Remove(fresh)
 	sock, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
@@ -18,7 +25,7 @@
 		return nil, err
 	}
 	sock.SetUnlinkOnClose(false)
-	if err = os.Chmod(fresh, 0o600); err == nil {
+	if err = os.Chmod(fresh, ownerOnly); err == nil {
 		err = os.Rename(fresh, path)
 	}
 	if err != nil {
@@ -29,7 +36,7 @@
 	return sock, nil
 }
 
-// Peer is the user at the other end of a connection; -1 if the kernel won't tell.
+// Peer returns the user id at the other end of a connection; -1 if it is no Unix socket or the kernel does not tell.
 func Peer(c net.Conn) int {
 	u, ok := c.(*net.UnixConn)
 	if !ok {
--- a/internal/socktest/socktest.go
+++ b/internal/socktest/socktest.go
@@ -1,4 +1,7 @@
-// Package socktest gives tests the other side of a socket.
+// Package socktest gives tests the other side of a TCP connection: servers that answer as the test says, refuse, or
+// never accept. All that it opens is closed with the test.
+//
+// It must be used by tests only, and checks nothing itself.
 package socktest
 
 import (
@@ -13,11 +16,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Hang as an answer is none, on a connection that stays open.
+// Hang is an answer to Serve that sends nothing and leaves the connection open.
 const Hang = "hang"
 
-// Serve serves one address until the test ends: each request read is answered by
-// the function, with an empty answer closing the connection and Hang leaving it silent.
+// Serve listens at an address, which it returns, until the test ends. Each request is answered with what the function
+// returns for the number of its connection, counted from 0, its head and its body: an empty answer closes the
+// connection, and Hang leaves it silent.
 func Serve(t testing.TB, answer func(conn int, r *http.Request, body string) string) string {
 	t.Helper()
 	return Accept(t, func(n int, c *net.TCPConn) {
@@ -40,8 +44,8 @@
 	})
 }
 
-// Accept listens at one address until the test ends. The function has each connection, numbered from 0, for itself;
-// what it leaves open is closed with the test.
+// Accept listens at an address, which it returns, until the test ends. Each connection, numbered from 0, is passed to
+// the function on a goroutine of its own; what that leaves open is closed with the test.
 func Accept(t testing.TB, serve func(n int, c *net.TCPConn)) string {
 	t.Helper()
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,6 +57,7 @@
 	return sock.Addr().String()
 }
 
+// accept passes each connection to a function until the socket is closed.
 func accept(t testing.TB, sock net.Listener, serve func(n int, c *net.TCPConn)) {
 	for n := 0; ; n++ {
 		c, err := sock.Accept()
@@ -64,8 +69,9 @@
 	}
 }
 
-// Full listens at an address whose queue is full: connections to it wait to be up until open has them served as Accept
-// does, the first being one that says nothing. The system offers one that waits again after a second.
+// Full listens at an address whose accept queue is full: connections to it are not established until open has them
+// passed to a function, as Accept does. The first is one that sends nothing. The system retries one that waits after
+// a second.
 func Full(t testing.TB) (addr string, open func(serve func(n int, c *net.TCPConn))) {
 	t.Helper()
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
@@ -88,8 +94,8 @@
 	return sock.Addr().String(), func(serve func(n int, c *net.TCPConn)) { go accept(t, sock, serve) }
 }
 
-// Refusing is an address that refuses connections until the test ends. It stays bound: one of a listener that was
-// closed may be given to the next who asks for any port.
+// Refusing returns an address that refuses connections until the test ends. It stays bound: the address of a listener
+// that was closed could be given to the next who asks for any port.
 func Refusing(t testing.TB) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -107,12 +113,12 @@
 	return fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
 }
 
-// Status is an answer without a body.
+// Status returns an answer without a body. Each header is a line such as "Retry-After: 1".
 func Status(code int, headers ...string) string {
 	return fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: 0\r\n\r\n", code, strings.Join(append(headers, ""), "\r\n"))
 }
 
-// JSON is an answer with a body.
+// JSON returns an answer 200 with a body.
 func JSON(text string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
