--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// A configuration that is read again is taken whole or not at all.
+// A reloaded configuration is taken as a whole or not at all.
 func TestReload(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
--- a/internal/lifecycle/retry_test.go
+++ b/internal/lifecycle/retry_test.go
@@ -11,8 +11,7 @@
 	"time"
 )
 
-// What the system refuses for a moment is tried again until it is there, or the time is up; any other error ends at
-// once.
+// A transient error is retried until it is over, or the time is up; any other error ends at once.
 func TestRetry(t *testing.T) {
 	odd := errors.New("odd")
 	for _, c := range []struct {
@@ -44,8 +43,8 @@
 	}
 }
 
-// A stop counts from its signal, also where the process is busy then, as with a configuration that it reads again; of
-// several signals the first counts.
+// A stop counts from its signal, also where the process is busy then, as with a reload; of several signals the first
+// counts.
 func TestStopTimeIsSignalTime(t *testing.T) {
 	signals := make(chan os.Signal, 4)
 	told := stopTimes(t.Context(), signals)
--- a/internal/lifecycle/statemachine_test.go
+++ b/internal/lifecycle/statemachine_test.go
@@ -15,9 +15,9 @@
 func (n *gateRecorder) Drain()    { *n = append(*n, "drain") }
 func (n *gateRecorder) Activate() { *n = append(*n, "activate") }
 
-// Orders and leases in each phase: those from before the end of the start hold after it, repeats are harmless, and
-// whoever stops or leaves takes none. Times are seconds; "take 5" is an order of epoch 5 to be taken up by 2 whose
-// lease ends at 10.
+// Orders and leases in each phase: those from before the end of the start hold after it, repeats are harmless, and a
+// process that stops or hands over takes none. Times are seconds; "take:5" is an order of epoch 5 to be taken up by 2
+// whose lease ends at 10.
 func TestStateMachine(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, c := range []struct{ does, door, is, refused string }{
--- a/internal/protocol/batch_test.go
+++ b/internal/protocol/batch_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Messages of one call have an end each; one whose own time is up first ends
-// alone, and the others still get theirs.
+// Each message of a batch has a result of its own. One whose deadline comes first ends alone, and the others still
+// get theirs.
 func TestBatchResults(t *testing.T) {
 	p := newEventRecorder()
 	s := NewTransport(p, time.Minute, 8, discardLog)
@@ -71,8 +71,7 @@
 	}
 }
 
-// A spoilt answer to several messages ends them all alike, at once, and its
-// connection is not used again.
+// A malformed response to a batch ends all its messages in the same way, at once, and its connection is not reused.
 func TestMalformedBatchResponse(t *testing.T) {
 	for _, answer := range []string{
 		"HTTP/1.1 200 x\r\nContent-Length: 13\r\n\r\na delivered\r\n", // nothing of b
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -17,8 +17,8 @@
 	"cleathold/internal/state"
 )
 
-// A request that is there in the instant in which its connection is to end, for whatever reason, gets its whole answer,
-// as the last.
+// A request that arrives in the instant in which its connection is to end, for whatever reason, gets its complete
+// response, as the last.
 func TestRequestAsConnectionCloses(t *testing.T) {
 	for name, ending := range map[string]func(l *Listener){
 		"its time is over": func(*Listener) {},
@@ -45,8 +45,8 @@
 	}
 }
 
-// A request that comes between the last look and the half-close is not acted on, and its client reads an end, no reset:
-// it sends the request once more on another connection.
+// A request that comes between the last check for input and the half-close is not acted on, and its client reads an
+// end, not a reset: it sends the request again on another connection.
 func TestRequestAcrossHalfClose(t *testing.T) {
 	p := newEventRecorder()
 	p.response = state.Response{Accepted: true}
@@ -67,8 +67,8 @@
 	}
 }
 
-// The last answer before a close arrives whole and ends the connection in order, whatever else was sent behind its
-// request.
+// The last response before a close arrives complete and ends the connection in order, whatever else was sent behind
+// its request.
 func TestLastResponseArrivesComplete(t *testing.T) {
 	last := strings.Replace(submission, "Host: h", "Host: h\r\nConnection: close", 1)
 	flood := strings.Repeat("x", 400<<10)
@@ -108,7 +108,8 @@
 	}
 }
 
-// A client whose verdict does not come is refused in its time, and its message is not taken on after that.
+// A client whose message the loop does not decide on in time is rejected then, and the message is not accepted
+// afterwards.
 func TestResponseTimeout(t *testing.T) {
 	set := control.Settings{
 		FleetSize: 1, Classes: testClasses, Kinds: []control.Kind{{MaxBatch: 1}}, MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
@@ -163,7 +164,8 @@
 	}
 }
 
-// Close waits for requests, not for clients that leave their ended connection open: another process waits to take over.
+// Close waits for requests, not for clients that leave their ended connection open: another process waits to take
+// over.
 func TestCloseWaitsForRequestsOnly(t *testing.T) {
 	l, conn := startFaulty(t, &faultyListener{}, newEventRecorder())
 	io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -172,16 +174,16 @@
 	}
 	l.Close(time.Now().Add(10 * time.Second))
 	if len(l.lingerSlots) != 1 {
-		t.Error("the connection was not read out any more when Close came back")
+		t.Error("the connection did not linger any more when Close returned")
 	}
 	conn.Close()
 	l.Wait(time.Now().Add(10 * time.Second))
 	if len(l.lingerSlots) != 0 {
-		t.Error("Finish came back before the end of the read-out")
+		t.Error("Wait returned before the connection was closed")
 	}
 }
 
-// A 202 that can't be written whole is no 202: its client may hand the message in again, so this one is over.
+// A 202 that can't be written completely is none: its client may resubmit the message, so this one is over.
 func TestPartialResponseWrite(t *testing.T) {
 	p := newEventRecorder()
 	p.response = state.Response{Accepted: true}
@@ -199,7 +201,8 @@
 	}
 }
 
-// An end that is asked for while a verdict is awaited is told with the answer, which is the last of its connection.
+// A close that is asked for while the loop decides is announced with the response, which is the last of its
+// connection.
 func TestCloseWhileResponsePending(t *testing.T) {
 	for name, end := range map[string]func(*Listener){"leaves": (*Listener).DisableKeepAlive, "drained": (*Listener).Drain} {
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
@@ -250,7 +253,7 @@
 	return k, conn
 }
 
-// While an idle connection that was chosen for eviction is on its way out, the others keep theirs.
+// While an evicted connection is on its way out, the others stay.
 func TestEvictionEndsOneConnection(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	k, _ := idleClient(t, l)
@@ -293,8 +296,8 @@
 	l.mu.Unlock()
 }
 
-// A connection that is to make room between its accept and the wait for its first byte ends at once: whoever waits for
-// its place, and all behind it, would wait for its time otherwise.
+// A connection that is evicted between its accept and the wait for its first byte ends at once: whoever waits for its
+// slot, and all behind it, would wait for its timeout otherwise.
 func TestEvictedOnAccept(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	k, conn := idleClient(t, l)
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -13,7 +13,8 @@
 	"cleathold/internal/state"
 )
 
-// An answer of the old address that comes after a move is not the list: the new address is asked, for the whole one.
+// An answer from the old address that comes after a change of address is not the list: the new address is polled, for
+// the full one.
 func TestResponseFromOldAddress(t *testing.T) {
 	list := func(id string) string {
 		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"` + id + `","state":"up","cell":1}]}`)
@@ -42,8 +43,8 @@
 	}
 }
 
-// What the address after a move has to tell counts as told 4 s later, so that a first question there which is not
-// answered is asked again here, soon, and is no failed ask of which the controller says when to repeat it.
+// What a new address has to tell counts as told 4 s after the change. A first poll there that is not answered is
+// repeated soon, and is not left to the controller to repeat.
 func TestSetAddressToSlowServer(t *testing.T) {
 	old := socktest.Serve(t, func(int, *http.Request, string) string { return socktest.Hang })
 	var queries atomic.Int32
@@ -73,8 +74,9 @@
 	}
 }
 
-// A watch that falls silent is opened anew, without a wait: before an answer so that what it missed is known within the
-// 6 s after which that counts as told, in an answer within a second, as what has begun to come counts as told at once.
+// A poll that becomes unresponsive is repeated without a wait: before an answer so that what it missed is known
+// within the 6 s after which that counts as told, in an answer within a second, as what has begun to come counts as
+// told at once.
 func TestUnresponsivePoll(t *testing.T) {
 	answer := socktest.JSON(changedList)
 	for _, c := range []struct {
@@ -127,7 +129,7 @@
 	}
 }
 
-// A discovery that stays silent is a failed ask to the controller, which says when to ask again.
+// An unresponsive discovery is a failed poll to the controller, which decides when to poll again.
 func TestUnresponsiveDiscovery(t *testing.T) {
 	queries := make(chan struct{}, 8)
 	addr := socktest.Serve(t, func(int, *http.Request, string) string { queries <- struct{}{}; return socktest.Hang })
@@ -140,7 +142,8 @@
 	}
 }
 
-// A list older than the one known does not take its place: the whole list is asked for, and holds whatever its version.
+// A list older than the known one does not take its place: the full list is polled, and holds whatever its version
+// is.
 func TestOlderListVersion(t *testing.T) {
 	queries := make(chan string, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
@@ -168,8 +171,8 @@
 	}
 }
 
-// In a large fleet the list is known once the watch after a rest has been open for a while. A watch that ends later was
-// received; one that is refused at once leaves what was told before it unknown.
+// In a large fleet the list is known once the poll after a delay has been open for a while. A poll that ends later
+// was received; one that is rejected at once leaves what was told before it unknown.
 func TestPollAfterDelay(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -203,7 +206,7 @@
 	}
 }
 
-// A watch follows each answer until one fails, and asks from the latest version.
+// A poll follows each answer until one fails, and asks for what is newer than the latest version.
 func TestPoll(t *testing.T) {
 	queries := make(chan string, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
@@ -229,8 +232,8 @@
 	}
 }
 
-// A list that has not changed yet has version zero: what is asked for then is what has changed since. Only
-// where no version is known the whole list is asked for. After news a large fleet's sender rests.
+// A list that has not changed yet has version zero: what is polled then is what has changed since. Only where no
+// version is known the full list is polled. After a change a large fleet's sender delays its next poll.
 func TestPollFromVersionZero(t *testing.T) {
 	type query struct {
 		path string
--- a/internal/protocol/gossip_test.go
+++ b/internal/protocol/gossip_test.go
@@ -11,8 +11,8 @@
 	"cleathold/internal/state"
 )
 
-// Notes from siblings arrive with their numbers; those of strangers, too long, cut short or of another version
-// are dropped, and so is what a sender told itself.
+// Gossip of peers arrives with their numbers. Datagrams of strangers, too long, cut short or of another version are
+// dropped, and so are the sender's own.
 func TestGossipTransport(t *testing.T) {
 	open := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/protocol/hedge_test.go
+++ b/internal/protocol/hedge_test.go
@@ -14,8 +14,8 @@
 	"cleathold/internal/state"
 )
 
-// Where second copies are not allowed, a message whose call is out on an open connection is not sent again: its
-// call may hold others that are waited for longer, and all of them wait as long.
+// Where hedged requests are not allowed, a message whose call is out on an open connection is not sent again: its
+// call may hold others that are awaited for longer, and all of them wait as long.
 func TestNoHedgeWhileCallIsOpen(t *testing.T) {
 	var mu sync.Mutex
 	out := map[string]*bufferedConn{} // by message: the connection on which it came first
--- a/internal/protocol/helpers_test.go
+++ b/internal/protocol/helpers_test.go
@@ -16,7 +16,7 @@
 	"cleathold/internal/state"
 )
 
-// faultyListener is a listening socket whose connections do something of the test's at the seam.
+// faultyListener is a listening socket whose connections run hooks of the test.
 type faultyListener struct {
 	net.Listener
 	beforeRead  func() error // before the first read of a connection
@@ -93,7 +93,7 @@
 	return l, conn
 }
 
-// stalledDiscovery is a discovery that holds the loop up, as a disk could.
+// stalledDiscovery is a discovery that stalls the loop, as a disk could.
 type stalledDiscovery struct {
 	noPeers
 	in, on chan struct{}
@@ -101,7 +101,7 @@
 
 func (s stalledDiscovery) Watch(bool, int64) { close(s.in); <-s.on }
 
-// hookedRecorder does something before it answers a message.
+// hookedRecorder runs a hook before it accepts a message.
 type hookedRecorder struct {
 	*eventRecorder
 	before func()
@@ -113,7 +113,7 @@
 	return true
 }
 
-// deadlineRecorder is a connection that notes the deadlines set on it.
+// deadlineRecorder is a connection that records the deadlines set on it.
 type deadlineRecorder struct {
 	*net.TCPConn
 	set []time.Time
@@ -129,7 +129,7 @@
 	return d.TCPConn.SetReadDeadline(t)
 }
 
-// noPeers is a discovery and a platform that nothing is heard of.
+// noPeers is a discovery and a platform that tell nothing.
 type noPeers struct{}
 
 func (noPeers) Watch(bool, int64)           {}
@@ -173,7 +173,7 @@
 	return r, err
 }
 
-// cancelOnEnd calls a call off in the instant in which its end is posted.
+// cancelOnEnd cancels a call in the instant in which its result is posted.
 type cancelOnEnd struct {
 	*eventRecorder
 	s *Transport
@@ -186,14 +186,14 @@
 	a.eventRecorder.Post(e)
 }
 
-// waitUntilIdle waits until no call is on its way.
+// waitUntilIdle waits until no call is in flight.
 func (t *Transport) waitUntilIdle() {
 	for t.inFlightCount() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// inFlightCount is how many calls are on their way.
+// inFlightCount is how many calls are in flight.
 func (t *Transport) inFlightCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,7 +204,7 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// eventRecorder collects what is posted; the listener's side answers each message as told.
+// eventRecorder records what is posted, and answers each message with its response.
 type eventRecorder struct {
 	events   chan state.Event
 	response state.Response
@@ -240,7 +240,7 @@
 	}
 }
 
-// callTo makes a call of messages to an address, for so long.
+// callTo makes a call of messages to an address, with a deadline.
 func callTo(addr string, limit time.Duration, ids ...string) *state.Call {
 	c := &state.Call{Target: state.Target{ID: "s", Addr: addr}, ConnectBy: time.Now().Add(time.Minute)}
 	for _, id := range ids {
@@ -250,7 +250,7 @@
 	return c
 }
 
-// startListener starts a listener over the posts.
+// startListener starts a listener on the recorder.
 func startListener(t *testing.T, p *eventRecorder) *Listener {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0", p, testNames, testClasses, 4, 3, discardLog)
--- a/internal/protocol/lateconn_test.go
+++ b/internal/protocol/lateconn_test.go
@@ -14,8 +14,8 @@
 	"cleathold/internal/state"
 )
 
-// A connection that comes up late carries only what is still wanted then: no forward whose deadline has come, and
-// nothing of a call that is withheld or over. Each forward ends at its own deadline, and the connection is kept.
+// A connection that comes up late carries only what is still wanted: no attempt whose deadline has come, and nothing
+// of a call that is withdrawn or over. Each attempt ends at its own deadline, and the connection is kept.
 func TestLateConnection(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -104,7 +104,7 @@
 	}
 }
 
-// A connection that comes up once all of a call has ended carries nothing, and serves the next call.
+// A connection that comes up once all attempts of a call have ended carries nothing, and serves the next call.
 func TestLateConnectionWithoutAttempts(t *testing.T) {
 	p := newEventRecorder()
 	s := NewTransport(p, time.Minute, 8, discardLog)
@@ -132,7 +132,8 @@
 	}
 }
 
-// A call whose bytes can't all be written before a forward of it is over has not run, and ends whole.
+// A call that can't be written completely before the deadline of one of its attempts has not run, and ends as a
+// whole.
 func TestStalledWrite(t *testing.T) {
 	p := newEventRecorder()
 	s := NewTransport(p, time.Minute, 8, discardLog)
@@ -150,8 +151,8 @@
 	}
 }
 
-// A target that answers and closes before it has read the whole call: nothing of the call has run, and a wait that it
-// told binds all the same.
+// An endpoint answers and closes before it has read the whole call: nothing of the call has run, and its Retry-After
+// binds all the same.
 func TestResponseBeforeRequestSent(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -203,8 +204,8 @@
 	}
 }
 
-// An answer that is cut at any byte ends a call, and each of its messages once: a 200 to one message is true from its
-// first line on, all else has to come whole.
+// A response that is cut at any byte ends a call, and each of its messages once: a 200 to one message counts from its
+// status line on, all else has to come completely.
 func TestTruncatedResponse(t *testing.T) {
 	for _, c := range []struct {
 		ids      []string
--- a/internal/protocol/listener_test.go
+++ b/internal/protocol/listener_test.go
@@ -16,7 +16,7 @@
 	"cleathold/internal/state"
 )
 
-// Accepts that fail for want of descriptors cost nobody the listener.
+// Accepts that fail for want of descriptors do not end the listener.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	_, conn := startFaulty(t, &faultyListener{acceptErrs: []error{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED}}, newEventRecorder())
 	io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -25,7 +25,7 @@
 	}
 }
 
-// Every request that can be read gets an answer, and malformed ones hurt nobody.
+// Every request that can be read gets a response, and malformed ones do no harm.
 func TestListenerResponses(t *testing.T) {
 	p := newEventRecorder()
 	l := startListener(t, p)
@@ -71,7 +71,7 @@
 	}
 }
 
-// A request with two lengths hides another in its body: neither is taken in.
+// A request with two lengths hides another in its body: neither is accepted.
 func TestRequestSmuggling(t *testing.T) {
 	p := newEventRecorder()
 	p.response = state.Response{Accepted: true}
@@ -91,7 +91,7 @@
 	}
 }
 
-// The body of a request that is not taken in is not read as the next request.
+// The body of a rejected request is not read as the next request.
 func TestUnreadBody(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	conn, err := net.Dial("tcp", l.Addr().String())
@@ -116,8 +116,8 @@
 	}
 }
 
-// A listener that leaves still takes messages in, and tells each client that
-// its connection ends with the answer.
+// A listener without keep-alive still accepts messages, and tells each client that its connection ends with the
+// response.
 func TestDisableKeepAlive(t *testing.T) {
 	p := newEventRecorder()
 	p.response = state.Response{Accepted: true}
@@ -142,9 +142,8 @@
 	}
 }
 
-// Peers that connect and say nothing, however many, keep nobody else out: a
-// connection that has served and lies idle stays, and a new one is served. Each
-// of them, and one that leaves off in the middle of a request, is closed.
+// Peers that connect and send nothing, however many, keep nobody else out: a connection that has been served and is
+// idle stays, and a new one is served. Each of them, and one that stops in the middle of a request, is closed.
 func TestIdleConnectionFlood(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	dialed := func() net.Conn {
@@ -180,9 +179,9 @@
 	}
 }
 
-// Of clients that ask once and hold on to their connection only so many are let:
-// the next ones hear that theirs ends with the answer, and those that lie idle
-// for long are closed. Clients that may not hold more could not ask otherwise.
+// Of clients that ask once and keep their connection open only so many are kept: the next ones are told that theirs
+// ends with the response, and those that are idle for long are closed. Clients that may not hold more connections
+// could not send otherwise.
 func TestKeepAliveLimit(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	var held []net.Conn
@@ -212,7 +211,7 @@
 	}
 }
 
-// At the limit of connections one that lies idle gives way to a new one.
+// At the limit of connections an idle one is evicted for a new one.
 func TestConnectionLimit(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	for i := range 12 {
@@ -229,8 +228,8 @@
 	}
 }
 
-// A drained sender says no, ends connections with their answers and idle ones at once, and turns messages away after a
-// while, with a time to come back; activated, it is as before.
+// A drained sender is not healthy, ends connections with their responses and idle ones at once, and rejects messages
+// after a while, with a Retry-After; activated, it is as before.
 func TestDrainedListener(t *testing.T) {
 	p := newEventRecorder()
 	p.response = state.Response{Accepted: true}
--- a/internal/protocol/reporter_test.go
+++ b/internal/protocol/reporter_test.go
@@ -12,8 +12,8 @@
 	"cleathold/internal/state"
 )
 
-// A notice on a connection that has fallen silent goes again on a new one in time: it is due 300 ms after its
-// message's.
+// A report on a connection that has become unresponsive goes again on a new one in time: it is due 300 ms after its
+// message's time.
 func TestReportOnUnresponsiveConnection(t *testing.T) {
 	received := make(chan int, 8)
 	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
@@ -39,8 +39,8 @@
 	}
 }
 
-// A platform that could not be reached for a while is told soon after it can be: a notice is due 300 ms after the
-// time of its message, which may fall into that while.
+// A platform that could not be reached for a while gets reports soon after it can be: they are due 300 ms after the
+// time of their messages, which may fall into that while.
 func TestReportAfterPlatformRecovers(t *testing.T) {
 	var back atomic.Pointer[time.Time]
 	received := make(chan time.Time, 8)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Notices go out in order and again until 204; one that can't be read is left out.
+// Reports go out in order and again until 204; one that can't be read is dropped.
 func TestReports(t *testing.T) {
 	var got []string
 	calls := 0
--- a/internal/protocol/transport_test.go
+++ b/internal/protocol/transport_test.go
@@ -16,8 +16,8 @@
 	"cleathold/internal/state"
 )
 
-// A connection that is reset once so many bytes of a call have come, on a new connection and on a kept one: all bytes
-// had left, so the call may have run, and none of its messages is taken for one that has not.
+// A connection is reset once so many bytes of a call have come, on a new connection and on a reused one: all bytes
+// had been sent, so the call may have run, and none of its messages counts as not run.
 func TestResetUnderCall(t *testing.T) {
 	f := &inFlightCall{call: callTo("127.0.0.1:99999", time.Minute, "a", "b")}
 	f.attempts = f.call.Attempts
@@ -51,8 +51,8 @@
 	}
 }
 
-// A target closes a connection that lay idle after the look at it and before the write. What was written there may have
-// been read: it counts as run. Where no byte could leave any more it has not run, and may go again.
+// An endpoint closes an idle connection after the check for staleness and before the write. What was written there
+// may have been read: it counts as run. Where no byte could be sent any more it has not run, and may be sent again.
 func TestClosedAfterStaleCheck(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -98,8 +98,8 @@
 	}
 }
 
-// Bytes behind an answer are nobody's: a second answer that came with the first is not the next call's, whose
-// connection is another one.
+// Bytes behind a response are nobody's: a second response that came with the first is not the next call's, which goes
+// out on another connection.
 func TestUnsolicitedResponse(t *testing.T) {
 	for _, stray := range []string{socktest.Status(200), "HTTP/1.1 2", "\r\n"} {
 		p := newEventRecorder()
@@ -119,8 +119,8 @@
 	}
 }
 
-// A call given up in the instant of its answer ends once: before the answer as called off, with the answer as it says,
-// and between the two as either. The connection of one that was answered serves the next call.
+// A call canceled in the instant of its response ends once: before the response as canceled, with the response as it
+// says, and between the two as either. The connection of one that was answered serves the next call.
 func TestCancelDuringResponse(t *testing.T) {
 	p := &cancelOnEnd{eventRecorder: newEventRecorder()}
 	s := NewTransport(p, time.Minute, 8, discardLog)
@@ -165,7 +165,7 @@
 	}
 }
 
-// Each way in which a call can end has its outcome.
+// Each way in which a call can end has its result.
 func TestAttemptOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -229,7 +229,7 @@
 	}
 }
 
-// A call withheld before its connection is up never leaves; one that has left goes on.
+// A call withdrawn before its connection is up is never sent; one that has been sent goes on.
 func TestCancelUnsent(t *testing.T) {
 	p := newEventRecorder()
 	s := NewTransport(p, time.Minute, 8, discardLog)
@@ -258,8 +258,7 @@
 	}
 }
 
-// A connection is used again, unless its target has closed it meanwhile: a
-// request written to that one would be lost.
+// A connection is reused, unless its endpoint has closed it meanwhile: a request written to that one would be lost.
 func TestConnectionReuse(t *testing.T) {
 	p := newEventRecorder()
 	s := NewTransport(p, time.Minute, 8, discardLog)
