--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -30,7 +30,8 @@
 		{"a window of 0", `"memory-span-ms": 12000`, `"memory-span-ms": 0`, "profiles[1].memory-span-ms"},
 		{"no window", `"memory-span-ms": 12000`, `"x": 0`, "profiles[1].memory-span-ms"},
 		{"limits that don't fit", `"sockets": 1024`, `"sockets": 40`, "limits.sockets"},
-		{"tenants of one name", `"portion": 1}]`, `"portion": 0.5}, {"name": "school-bands", "allowance-per-s": 9, "portion": 0.5}]`, "tenants[1].name"},
+		{"tenants of one name", `"portion": 1}]`,
+			`"portion": 0.5}, {"name": "school-bands", "allowance-per-s": 9, "portion": 0.5}]`, "tenants[1].name"},
 		{"bad list", `"servers": []`, `"servers": 1`, "known"},
 	} {
 		got, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)), func(string) string { return "" })
@@ -48,7 +49,8 @@
 	if got, err := Parse(text, env); err != nil || got.Listen != "127.0.0.9:1" || got.Discovery != "127.0.0.1:8500" {
 		t.Errorf("environment: %v, %q, %q", err, got.Listen, got.Discovery)
 	}
-	if got, err := Parse([]byte(strings.Replace(good, `"discovery": "127.0.0.1:8500"`, `"x": 1`, 1)), env); err != nil || got.Discovery != "127.0.0.9:2" {
+	if got, err := Parse([]byte(strings.Replace(good, `"discovery": "127.0.0.1:8500"`, `"x": 1`, 1)), env); err != nil ||
+		got.Discovery != "127.0.0.9:2" {
 		t.Errorf("discovery from the environment: %v, %q", err, got.Discovery)
 	}
 }
@@ -67,8 +69,11 @@
 	}
 	for _, c := range []struct{ name, old, new, want string }{
 		{"as it is", "", "", ""},
-		{"a class more", `{"name": "fee-payment"`, `{"name": "proof", "aim-ms": 1, "deadline-ms": 9, "effect": "safe", "late-worth": 0.5, "worth": 2}, {"name": "fee-payment"`, ""},
-		{"a class less", `"effect": "unsafe", "late-worth": 0.5, "worth": 3}`, `"effect": "unsafe", "late-worth": 0.5, "worth": 3}`, ""},
+		{"a class more", `{"name": "fee-payment"`,
+			`{"name": "proof", "aim-ms": 1, "deadline-ms": 9, "effect": "safe", "late-worth": 0.5, "worth": 2}, ` +
+				`{"name": "fee-payment"`, ""},
+		{"a class less", `"effect": "unsafe", "late-worth": 0.5, "worth": 3}`,
+			`"effect": "unsafe", "late-worth": 0.5, "worth": 3}`, ""},
 		{"stricter", `"effect": "safe"`, `"effect": "unsafe"`, ""},
 		{"fewer attempts", `"send-cap": 12`, `"send-cap": 3`, ""},
 		{"without what only a start asks for", `"seed": "7", "admin": "127.0.0.1:1", `, ``, ""},
--- a/internal/lifecycle/deploy_test.go
+++ b/internal/lifecycle/deploy_test.go
@@ -12,7 +12,6 @@
 
 // The deploy file names each package of the sender, and no path that does not exist.
 func TestDeployFileNamesPackages(t *testing.T) {
-	const root = "../.."
 	text, err := os.ReadFile(root + "/deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lifecycle/retry_test.go
+++ b/internal/lifecycle/retry_test.go
@@ -15,11 +15,11 @@
 func TestRetry(t *testing.T) {
 	odd := errors.New("odd")
 	for _, c := range []struct {
-		name  string
-		err   error
-		fails int
-		tries int
-		want  error
+		name     string
+		err      error
+		fails    int
+		attempts int
+		want     error
 	}{
 		{"nothing wrong", nil, 0, 1, nil},
 		{"a disk that is full for a moment", fmt.Errorf("journal: %w", syscall.ENOSPC), 2, 3, nil},
@@ -27,15 +27,15 @@
 		{"what does not pass", odd, 1, 1, odd},
 		{"what does not pass in time", syscall.EIO, 1000, 0, syscall.EIO},
 	} {
-		tries := 0
+		attempts := 0
 		got, err := retry(slog.New(slog.DiscardHandler), c.name, 4*retryInterval, func() (int, error) {
-			if tries++; tries <= c.fails {
+			if attempts++; attempts <= c.fails {
 				return 0, c.err
 			}
 			return 7, nil
 		})
-		if !errors.Is(err, c.want) || err == nil && got != 7 || c.tries > 0 && tries != c.tries || tries > 6 {
-			t.Errorf("%s: %d, %v after %d tries", c.name, got, err, tries)
+		if !errors.Is(err, c.want) || err == nil && got != 7 || c.attempts > 0 && attempts != c.attempts || attempts > 6 {
+			t.Errorf("%s: %d, %v after %d attempts", c.name, got, err, attempts)
 		}
 	}
 	if startTimeout+2*time.Second > 10*time.Second {
@@ -47,13 +47,13 @@
 // counts.
 func TestStopTimeIsSignalTime(t *testing.T) {
 	signals := make(chan os.Signal, 4)
-	told := stopTimes(t.Context(), signals)
+	signaledAt := stopTimes(t.Context(), signals)
 	began := time.Now()
 	signals <- syscall.SIGTERM
 	time.Sleep(300 * time.Millisecond) // busy
 	signals <- syscall.SIGINT
 	time.Sleep(50 * time.Millisecond)
-	if late := (<-told).Sub(began); late > 200*time.Millisecond {
+	if late := (<-signaledAt).Sub(began); late > 200*time.Millisecond {
 		t.Errorf("counted from %v after the signal", late)
 	}
 }
--- a/internal/lifecycle/statemachine_test.go
+++ b/internal/lifecycle/statemachine_test.go
@@ -19,8 +19,7 @@
 // process that stops or hands over takes none. Times are seconds; "take:5" is an order of epoch 5 to be taken up by 2
 // whose lease ends at 10.
 func TestStateMachine(t *testing.T) {
-	start := time.Unix(1000, 0)
-	for _, c := range []struct{ does, door, is, refused string }{
+	for _, c := range []struct{ orders, gate, phase, rejected string }{
 		{"begin take:5", "drain", "drained", ""},
 		{"begin take:5 at:9 expire", "drain", "drained", ""},
 		{"begin take:5 at:10 expire", "drain activate", "serving", ""},
@@ -29,9 +28,9 @@
 		{"begin hold:5", "", "serving", ""},
 		{"begin at:3 take:5", "", "serving", "take:5"},
 		{"take:5 begin", "", "serving", "take:5"},
-		{"begin take:5 activate", "drain activate", "serving", ""},  // by hand goes before
-		{"begin drain take:5 end:5", "drain", "drained", ""},        // by hand stays
-		{"begin drain take:5 at:10 expire", "drain", "drained", ""}, //
+		{"begin take:5 activate", "drain activate", "serving", ""},  // the operator's order goes before
+		{"begin drain take:5 end:5", "drain", "drained", ""},        // the operator's order stays
+		{"begin drain take:5 at:10 expire", "drain", "drained", ""}, // so it does
 		{"begin take:5 leave take:6 renew:5", "drain", "leaving", "take:6 renew:5"},
 		{"begin take:5 leave at:10 expire begin", "drain", "serving", ""}, // up while another process was to take over
 		{"begin take:5 stop end:5", "drain", "stopping", "end:5"},
@@ -39,49 +38,69 @@
 		{"inherit:5 begin take:5 end:5", "drain activate", "serving", ""},
 		{"inherit:5 begin take:4", "drain", "drained", "take:4"},
 	} {
-		s, d := newStateMachine(slog.New(slog.DiscardHandler)), &gateRecorder{}
-		now := start
-		s.now = func() time.Time { return now }
-		at := func(n int) time.Time { return start.Add(time.Duration(n) * time.Second) }
-		var refused []string
-		for _, do := range strings.Fields(c.does) {
-			var err error
-			verb, arg, _ := strings.Cut(do, ":")
-			n, _ := strconv.Atoi(arg)
-			o := lease.Order{Process: s.id, Epoch: uint64(n), By: at(2), Until: at(10), Drain: verb == "take"}
-			switch verb {
-			case "begin":
-				s.startServing(d)
-			case "drain":
-				err = s.Drain()
-			case "activate":
-				err = s.Activate()
-			case "stop":
-				s.advance(stopping)
-			case "leave":
-				s.advance(handingOver)
-			case "take", "hold":
-				err = s.Take(o)
-			case "renew":
-				err = s.Renew(uint64(n), at(20))
-			case "end":
-				err = s.End(uint64(n))
-			case "at":
-				now = at(n)
-			case "expire":
-				s.expireLease()
-			case "inherit":
-				s.inherit(false, lease.Holder{Epoch: uint64(n), Until: at(10), Drain: true})
-			}
-			if err != nil {
-				refused = append(refused, do)
+		r := newOrderRun()
+		var rejected []string
+		for _, order := range strings.Fields(c.orders) {
+			if r.give(order) != nil {
+				rejected = append(rejected, order)
 			}
 		}
-		if got := strings.Join(*d, " "); got != c.door || s.phase.String() != c.is || strings.Join(refused, " ") != c.refused {
-			t.Errorf("%s: door %q, is %v, refused %v", c.does, got, s.phase, refused)
+		gate, phase := strings.Join(r.gate, " "), r.m.phase
+		if gate != c.gate || phase.String() != c.phase || strings.Join(rejected, " ") != c.rejected {
+			t.Errorf("%s: gate %q, phase %v, rejected %v", c.orders, gate, phase, rejected)
 		}
-		if ready := s.Ready() == nil; ready != (s.phase == serving || s.phase == drained) {
-			t.Errorf("%s: ready %v", c.does, ready)
+		if ready := r.m.Ready() == nil; ready != (phase == serving || phase == drained) {
+			t.Errorf("%s: ready %v", c.orders, ready)
 		}
 	}
 }
+
+// orderRun is a state machine under orders, by a clock of its own.
+type orderRun struct {
+	m    *stateMachine
+	gate gateRecorder
+	now  time.Time
+}
+
+// orderRunStart is when each run starts.
+var orderRunStart = time.Unix(1000, 0)
+
+func newOrderRun() *orderRun {
+	r := &orderRun{m: newStateMachine(slog.New(slog.DiscardHandler)), now: orderRunStart}
+	r.m.now = func() time.Time { return r.now }
+	return r
+}
+
+// give gives an order, such as "take:5", and returns why it is rejected.
+func (r *orderRun) give(order string) error {
+	at := func(n int) time.Time { return orderRunStart.Add(time.Duration(n) * time.Second) }
+	verb, arg, _ := strings.Cut(order, ":")
+	n, _ := strconv.Atoi(arg)
+	switch verb {
+	case "begin":
+		r.m.startServing(&r.gate)
+	case "drain":
+		return r.m.Drain()
+	case "activate":
+		return r.m.Activate()
+	case "stop":
+		r.m.advance(stopping)
+	case "leave":
+		r.m.advance(handingOver)
+	case "take", "hold":
+		return r.m.Take(lease.Order{
+			Process: r.m.id, Epoch: uint64(n), By: at(2), Until: at(10), Drain: verb == "take",
+		})
+	case "renew":
+		return r.m.Renew(uint64(n), at(20))
+	case "end":
+		return r.m.End(uint64(n))
+	case "at":
+		r.now = at(n)
+	case "expire":
+		r.m.expireLease()
+	case "inherit":
+		r.m.inherit(false, lease.Holder{Epoch: uint64(n), Until: at(10), Drain: true})
+	}
+	return nil
+}
--- a/internal/protocol/batch_test.go
+++ b/internal/protocol/batch_test.go
@@ -22,7 +22,8 @@
 			t.Errorf("%s: %+v, want %+v", id, got[id], want)
 		}
 	}
-	for _, spoilt := range []string{"a delivered\nb what\n", "a refused\nnonsense\n", "a refused\na refused\n", "a refused\nb deliv"} {
+	for _, spoilt := range []string{"a delivered\nb what\n", "a refused\nnonsense\n", "a refused\na refused\n",
+		"a refused\nb deliv"} {
 		if got := parseResults([]byte(spoilt)); len(got) > 0 {
 			t.Errorf("%q: %+v", spoilt, got)
 		}
@@ -36,7 +37,8 @@
 	if want := "a - 6\r\nhe\r\nlo\r\nb k 0\r\n\r\n"; string(body) != want {
 		t.Errorf("frames %q, want %q", body, want)
 	}
-	notices := encodeReports([]state.DeliveryReport{{ID: "a", Deferred: true, RetryAfter: 500 * time.Millisecond}, {ID: "b"}})
+	notices := encodeReports([]state.DeliveryReport{{ID: "a", Deferred: true, RetryAfter: 500 * time.Millisecond},
+		{ID: "b"}})
 	want := `{"id":"a","status":"deferred","again_ms":500}` + "\n" + `{"id":"b","status":"undeliverable"}` + "\n"
 	if string(notices) != want {
 		t.Errorf("notices %q, want %q", notices, want)
@@ -66,7 +68,8 @@
 	}
 	close(goOn)
 	then := next[state.CallEnded](t, p).Results
-	if len(then) != 2 || then[0].Result != control.Served || then[1].Result != control.Rejected || then[1].RetryAfter != 2*time.Second {
+	if len(then) != 2 || then[0].Result != control.Served || then[1].Result != control.Rejected ||
+		then[1].RetryAfter != 2*time.Second {
 		t.Fatalf("then %+v", then)
 	}
 }
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -79,10 +79,13 @@
 		disableKeepAlive bool
 	}{
 		{"requests behind the last", last + strings.Repeat(submission, 20), 202, state.Response{Accepted: true}, false},
-		{"requests behind a refusal of one that leaves", submission + strings.Repeat(submission, 20), 503, state.Response{}, true},
+		{"requests behind a refusal of one that leaves", submission + strings.Repeat(submission, 20), 503, state.Response{},
+			true},
 		{"a flood behind the last", last + flood, 202, state.Response{Accepted: true}, false},
-		{"body too long", strings.Replace(submission, "Length: 2", "Length: 400000", 1) + flood, 413, state.Response{}, false},
-		{"chunked", strings.Replace(submission, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\nfffff\r\n", 1) + flood, 411, state.Response{}, false},
+		{"body too long", strings.Replace(submission, "Length: 2", "Length: 400000", 1) + flood, 413, state.Response{},
+			false},
+		{"chunked", strings.Replace(submission, "Content-Length: 2\r\n\r\nhi",
+			"Transfer-Encoding: chunked\r\n\r\nfffff\r\n", 1) + flood, 411, state.Response{}, false},
 		{"head too large", "GET /_health HTTP/1.1\r\nA: " + flood, 431, state.Response{}, false},
 		{"noise", "what is this\r\n\r\n" + flood, 400, state.Response{}, false},
 	} {
@@ -112,11 +115,14 @@
 // afterwards.
 func TestResponseTimeout(t *testing.T) {
 	set := control.Settings{
-		FleetSize: 1, Classes: testClasses, Kinds: []control.Kind{{MaxBatch: 1}}, MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
-		PollsList: true, MaxPollInterval: time.Minute, OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2,
+		FleetSize: 1, Classes: testClasses, Kinds: []control.Kind{{MaxBatch: 1}},
+		MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
+		PollsList: true, MaxPollInterval: time.Minute, OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second,
+		ColdCapacity: 0.2, OverloadFactor: 2,
 	}
 	dir := t.TempDir()
-	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, DiskBytes: 1e6, Log: discardLog, Known: state.ListUpdate{Kind: control.ListCached}})
+	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, DiskBytes: 1e6, Log: discardLog,
+		Known: state.ListUpdate{Kind: control.ListCached}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +174,7 @@
 // over.
 func TestCloseWaitsForRequestsOnly(t *testing.T) {
 	l, conn := startFaulty(t, &faultyListener{}, newEventRecorder())
-	io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+	io.WriteString(conn, healthRequest)
 	if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
 		t.Fatal(r, err)
 	}
@@ -204,7 +210,8 @@
 // A close that is asked for while the loop decides is announced with the response, which is the last of its
 // connection.
 func TestCloseWhileResponsePending(t *testing.T) {
-	for name, end := range map[string]func(*Listener){"leaves": (*Listener).DisableKeepAlive, "drained": (*Listener).Drain} {
+	for name, end := range map[string]func(*Listener){"leaves": (*Listener).DisableKeepAlive,
+		"drained": (*Listener).Drain} {
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -266,7 +273,7 @@
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	in := bufio.NewReader(conn)
 	for i := range 2 {
-		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+		io.WriteString(conn, healthRequest)
 		r, err := http.ReadResponse(in, nil)
 		if err != nil || r.StatusCode != 200 || r.Close {
 			t.Fatalf("request %d: %+v, %v", i, r, err)
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -13,6 +13,14 @@
 	"cleathold/internal/state"
 )
 
+// startDiscovery runs a client of discovery that posts to the recorder.
+func startDiscovery(t *testing.T, p *eventRecorder, c DiscoveryConfig) *Discovery {
+	c.Names, c.Log = testNames, discardLog
+	d := NewDiscovery(p, c)
+	runUntilEnd(t, d.Run)
+	return d
+}
+
 // An answer from the old address that comes after a change of address is not the list: the new address is polled, for
 // the full one.
 func TestResponseFromOldAddress(t *testing.T) {
@@ -32,8 +40,7 @@
 		return list("new")
 	})
 	p := newEventRecorder()
-	d := NewDiscovery(p, DiscoveryConfig{Addr: old, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: discardLog})
-	runUntilEnd(t, d.Run)
+	d := startDiscovery(t, p, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second})
 	d.Watch(true, 3)
 	<-watched
 	d.SetAddress(addr)
@@ -61,8 +68,8 @@
 		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"new","state":"up","cell":1}]}`)
 	})
 	p := newEventRecorder()
-	d := NewDiscovery(p, DiscoveryConfig{Addr: old, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second, DrainGrace: 2 * time.Second, Log: discardLog})
-	runUntilEnd(t, d.Run)
+	d := startDiscovery(t, p, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second,
+		DrainGrace: 2 * time.Second})
 	d.Watch(true, 3)
 	moved := time.Now()
 	d.SetAddress(addr)
@@ -104,8 +111,7 @@
 				return answer
 			})
 			p := newEventRecorder()
-			d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: discardLog})
-			runUntilEnd(t, d.Run)
+			d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
 			began := time.Now()
 			d.Watch(true, 4)
 			if c.unread {
@@ -134,8 +140,7 @@
 	queries := make(chan struct{}, 8)
 	addr := socktest.Serve(t, func(int, *http.Request, string) string { queries <- struct{}{}; return socktest.Hang })
 	p := newEventRecorder()
-	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Millisecond, PollSpread: 0, Log: discardLog})
-	runUntilEnd(t, d.Run)
+	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Millisecond})
 	d.Watch(true, 4)
 	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed || len(queries) != 2 {
 		t.Errorf("%+v after %d asks", n, len(queries))
@@ -157,8 +162,7 @@
 		return socktest.JSON(`{"version":2,"full":true,"servers":[{"id":"b","state":"up","cell":1}]}`)
 	})
 	p := newEventRecorder()
-	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 0, Log: discardLog})
-	runUntilEnd(t, d.Run)
+	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
 	d.Watch(true, 4)
 	if n := next[state.ListUpdate](t, p); n.Version != 3 || n.Targets[0].ID != "a" {
 		t.Errorf("%+v", n)
@@ -188,8 +192,8 @@
 				return socktest.Status(http.StatusServiceUnavailable)
 			})
 			p := newEventRecorder()
-			d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: 10 * time.Second, PollSpread: 100 * time.Millisecond, DrainGrace: 2 * time.Second, Log: discardLog})
-			runUntilEnd(t, d.Run)
+			d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second,
+				PollSpread: 100 * time.Millisecond, DrainGrace: 2 * time.Second})
 			d.Watch(true, 4)
 			if n := next[state.ListUpdate](t, p); !n.PollPaused {
 				t.Errorf("%+v", n)
@@ -218,8 +222,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	})
 	p := newEventRecorder()
-	d := NewDiscovery(p, DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second, PollSpread: 0, Log: discardLog})
-	runUntilEnd(t, d.Run)
+	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: time.Second})
 	d.Watch(true, 4)
 	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Version != 9 {
 		t.Errorf("first %+v", n)
@@ -251,7 +254,8 @@
 		first, then string
 	}{{0, "since=0&timeout_ms=1000", "since=0&timeout_ms=1000"}, {state.NoVersion, "", "since=0&timeout_ms=1000"}} {
 		ctx, cancel := context.WithCancel(t.Context())
-		d := NewDiscovery(newEventRecorder(), DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second, PollSpread: rest, Log: discardLog})
+		d := NewDiscovery(newEventRecorder(), DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second,
+			PollSpread: rest, Log: discardLog})
 		ended := make(chan struct{})
 		go func() { defer close(ended); d.Run(ctx) }()
 		d.Watch(true, c.since)
--- a/internal/protocol/gossip_test.go
+++ b/internal/protocol/gossip_test.go
@@ -23,7 +23,8 @@
 		return c
 	}
 	sibling, stranger, own := open(), open(), open()
-	p, err := OpenGossip("127.0.0.1:0", sibling.LocalAddr().String(), []string{own.LocalAddr().String(), sibling.LocalAddr().String()}, 0, discardLog)
+	p, err := OpenGossip("127.0.0.1:0", sibling.LocalAddr().String(),
+		[]string{own.LocalAddr().String(), sibling.LocalAddr().String()}, 0, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +32,8 @@
 	posts, ended := newEventRecorder(), make(chan struct{})
 	go func() { defer close(ended); p.Run(ctx, posts) }()
 	to := p.conn.LocalAddr().(*net.UDPAddr)
-	good := gossip.Encode([]gossip.Observation{{EndpointHash: 5, Kind: control.ObservedRejection, Age: 20 * time.Millisecond}})
+	good := gossip.Encode([]gossip.Observation{{EndpointHash: 5, Kind: control.ObservedRejection,
+		Age: 20 * time.Millisecond}})
 	stranger.WriteToUDP(good, to)
 	own.WriteToUDP(good, to)
 	sibling.WriteToUDP(make([]byte, 2*gossip.MaxSize), to)
@@ -57,7 +59,8 @@
 
 func TestOpenGossipErrors(t *testing.T) {
 	for _, c := range []struct{ listen, all, peer string }{
-		{"127.0.0.1:x", "127.0.0.1:1", "127.0.0.1:2"}, {"127.0.0.1:0", "all", "127.0.0.1:2"}, {"127.0.0.1:0", "127.0.0.1:1", "you"},
+		{"127.0.0.1:x", "127.0.0.1:1", "127.0.0.1:2"}, {"127.0.0.1:0", "all", "127.0.0.1:2"}, {"127.0.0.1:0", "127.0.0.1:1",
+			"you"},
 	} {
 		if _, err := OpenGossip(c.listen, c.all, []string{c.peer}, 5, discardLog); err == nil {
 			t.Errorf("%+v: no error", c)
--- a/internal/protocol/hedge_test.go
+++ b/internal/protocol/hedge_test.go
@@ -1,7 +1,6 @@
 package protocol
 
 import (
-	"context"
 	"io"
 	"net"
 	"net/http"
@@ -17,62 +16,21 @@
 // Where hedged requests are not allowed, a message whose call is out on an open connection is not sent again: its
 // call may hold others that are awaited for longer, and all of them wait as long.
 func TestNoHedgeWhileCallIsOpen(t *testing.T) {
-	var mu sync.Mutex
-	out := map[string]*bufferedConn{} // by message: the connection on which it came first
 	repeated := make(chan string, 8)
-	sock, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer sock.Close()
-	go func() {
-		for {
-			c, err := sock.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				k := newBufferedConn(c)
-				k.readLimit.N = 1 << 20
-				r, err := http.ReadRequest(k.reader)
-				if err != nil {
-					return
-				}
-				body, _ := io.ReadAll(r.Body)
-				ids := []string{r.Header.Get("X-Request-Id")}
-				if ids[0] == "" {
-					ids = batchIDs(string(body))
-				}
-				mu.Lock()
-				defer mu.Unlock()
-				for _, id := range ids {
-					switch first := out[id]; {
-					case first == nil:
-						out[id] = k // and hangs
-					case first.openWithoutInput():
-						repeated <- id + " while its first copy was out"
-					default:
-						repeated <- id
-					}
-				}
-				if out[ids[0]] != k {
-					io.WriteString(c, socktest.Status(200))
-				}
-			}()
-		}
-	}()
-
+	addr := serveRepeatsOnly(t, repeated)
 	classes := []control.Class{
 		{LatencyObjective: 100 * time.Millisecond, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.Idempotent},
-		{LatencyObjective: 100 * time.Millisecond, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.NotIdempotent},
+		{LatencyObjective: 100 * time.Millisecond, Deadline: time.Minute, PriorityWeight: 1,
+			Idempotency: control.NotIdempotent},
 	}
 	set := control.Settings{
-		FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 3, SeparateRoutes: true}}, MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
+		FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 3, SeparateRoutes: true}},
+		MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
 		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2, CanCancel: true,
 	}
 	var targets []state.Target // two routes to one address: the other is open at once
 	for _, id := range []string{"s", "t"} {
-		target := state.Target{ID: id, Addr: sock.Addr().String()}
+		target := state.Target{ID: id, Addr: addr}
 		target.Endpoint = control.Endpoint{Destination: 7, State: control.Ready}
 		targets = append(targets, target)
 	}
@@ -90,10 +48,7 @@
 		l.Post(state.Submitted{Message: m, Response: make(chan state.Response, 1)})
 		l.Post(state.ResponseWritten{ID: id, OK: true})
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { defer close(ended); l.Run(ctx) }()
-	defer func() { cancel(); <-ended }()
+	runUntilEnd(t, l.Run)
 	select {
 	case id := <-repeated:
 		if id != "repeatable" {
@@ -103,3 +58,38 @@
 		t.Fatal("the repeatable message was not sent again")
 	}
 }
+
+// serveRepeatsOnly serves an address that never answers the first copy of a message, and answers later ones. It sends
+// the id of each message that comes again, and whether its first copy was still out.
+func serveRepeatsOnly(t *testing.T, repeated chan<- string) (addr string) {
+	var mu sync.Mutex
+	first := map[string]*bufferedConn{} // by message: the connection on which it came first
+	return socktest.Accept(t, func(_ int, conn *net.TCPConn) {
+		c := newBufferedConn(conn)
+		c.readLimit.N = 1 << 20
+		r, err := http.ReadRequest(c.reader)
+		if err != nil {
+			return
+		}
+		body, _ := io.ReadAll(r.Body)
+		ids := []string{r.Header.Get("X-Request-Id")}
+		if ids[0] == "" {
+			ids = batchIDs(string(body))
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		for _, id := range ids {
+			switch before := first[id]; {
+			case before == nil:
+				first[id] = c // and hangs
+			case before.openWithoutInput():
+				repeated <- id + " while its first copy was out"
+			default:
+				repeated <- id
+			}
+		}
+		if first[ids[0]] != c {
+			io.WriteString(conn, socktest.Status(200))
+		}
+	})
+}
--- a/internal/protocol/helpers_test.go
+++ b/internal/protocol/helpers_test.go
@@ -262,4 +262,9 @@
 	return l
 }
 
-const submission = "POST /status HTTP/1.1\r\nHost: h\r\nX-Request-Id: i\r\nX-Tenant: acme\r\nX-Deadline: 1\r\nX-Addressing: dest=1\r\nContent-Length: 2\r\n\r\nhi"
+// healthRequest is a health check.
+const healthRequest = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"
+
+// submission is a request with a message.
+const submission = "POST /status HTTP/1.1\r\nHost: h\r\nX-Request-Id: i\r\nX-Tenant: acme\r\nX-Deadline: 1\r\n" +
+	"X-Addressing: dest=1\r\nContent-Length: 2\r\n\r\nhi"
--- a/internal/protocol/lateconn_test.go
+++ b/internal/protocol/lateconn_test.go
@@ -19,64 +19,33 @@
 func TestLateConnection(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		brief  []int // the forwards whose deadline comes while the connection is not up
+		brief  []int // the attempts whose deadline comes while the connection is not up
 		during func(s *Transport, call *state.Call)
 		sent   string // path and messages that arrive; empty = none
 		ends   []control.Result
 	}{
 		{"in time", nil, nil, "/receive-many a b c", []control.Result{control.Served, control.Served, control.Served}},
-		{"one is over", []int{1}, nil, "/receive-many a c", []control.Result{control.Served, control.ConnectFailed, control.Served}},
-		{"all but one are over", []int{0, 1}, nil, "/receive c", []control.Result{control.ConnectFailed, control.ConnectFailed, control.Served}},
-		{"withheld", []int{1}, (*Transport).CancelUnsent, "", []control.Result{control.NotSent, control.ConnectFailed, control.NotSent}},
-		{"called off", nil, (*Transport).Cancel, "", []control.Result{control.ConnectFailed, control.ConnectFailed, control.ConnectFailed}},
+		{"one is over", []int{1}, nil, "/receive-many a c",
+			[]control.Result{control.Served, control.ConnectFailed, control.Served}},
+		{"all but one are over", []int{0, 1}, nil, "/receive c",
+			[]control.Result{control.ConnectFailed, control.ConnectFailed, control.Served}},
+		{"withdrawn", []int{1}, (*Transport).CancelUnsent, "",
+			[]control.Result{control.NotSent, control.ConnectFailed, control.NotSent}},
+		{"canceled", nil, (*Transport).Cancel, "",
+			[]control.Result{control.ConnectFailed, control.ConnectFailed, control.ConnectFailed}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newEventRecorder()
 			s := NewTransport(p, time.Minute, 8, discardLog)
 			got := make(chan string, 1)
-			addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
-				ids := r.Header.Get("X-Request-Id")
-				if r.URL.Path == "/receive" {
-					got <- r.URL.Path + " " + ids
-					return socktest.Status(200)
-				}
-				answer := ""
-				for _, id := range batchIDs(body) {
-					ids += " " + id
-					answer += id + " delivered\r\n"
-				}
-				got <- r.URL.Path + ids
-				return socktest.JSON(answer)
-			})
+			addr := serveBatches(t, got)
 			up := make(chan struct{})
-			s.dial = func(ctx context.Context, addr string) (*bufferedConn, error) {
-				l, err := dial(context.Background(), addr)
-				select {
-				case <-up:
-					return l, err
-				case <-ctx.Done():
-					l.Close()
-					return nil, ctx.Err()
-				}
-			}
+			s.dial = dialWhenUp(up)
 			call := callTo(addr, time.Minute, "a", "b", "c")
-			for n, i := range c.brief { // their time is up, or the window for repeats is over
-				if soon := time.Now().Add(10 * time.Millisecond); n%2 == 0 {
-					call.Attempts[i].NotAfter = soon
-				} else {
-					call.Attempts[i].Deadline = soon
-				}
-			}
+			shorten(call, c.brief)
 			s.Send(call)
 			ends := map[*state.Attempt]control.Result{}
-			take := func() {
-				for _, e := range next[state.CallEnded](t, p).Results {
-					if _, twice := ends[e.Attempt]; twice {
-						t.Errorf("%s ended twice", e.Attempt.Message.ID)
-					}
-					ends[e.Attempt] = e.Result
-				}
-			}
+			take := func() { takeResults(t, p, ends) }
 			for len(ends) < len(c.brief) {
 				take() // at their own deadline, though the connection is not up
 			}
@@ -104,6 +73,59 @@
 	}
 }
 
+// shorten has some attempts of a call end soon: their deadline has come, or they must not be repeated any more.
+func shorten(call *state.Call, attempts []int) {
+	for n, i := range attempts {
+		if soon := time.Now().Add(10 * time.Millisecond); n%2 == 0 {
+			call.Attempts[i].NotAfter = soon
+		} else {
+			call.Attempts[i].Deadline = soon
+		}
+	}
+}
+
+// takeResults waits for results and adds them to others, each attempt once.
+func takeResults(t *testing.T, p *eventRecorder, ends map[*state.Attempt]control.Result) {
+	for _, e := range next[state.CallEnded](t, p).Results {
+		if _, twice := ends[e.Attempt]; twice {
+			t.Errorf("%s ended twice", e.Attempt.Message.ID)
+		}
+		ends[e.Attempt] = e.Result
+	}
+}
+
+// serveBatches serves an address whose messages are all delivered, and sends the path and the messages of each call.
+func serveBatches(t *testing.T, got chan<- string) (addr string) {
+	return socktest.Serve(t, func(_ int, r *http.Request, body string) string {
+		ids := r.Header.Get("X-Request-Id")
+		if r.URL.Path == "/receive" {
+			got <- r.URL.Path + " " + ids
+			return socktest.Status(200)
+		}
+		answer := ""
+		for _, id := range batchIDs(body) {
+			ids += " " + id
+			answer += id + " delivered\r\n"
+		}
+		got <- r.URL.Path + ids
+		return socktest.JSON(answer)
+	})
+}
+
+// dialWhenUp dials, and has the connection up once the channel is closed.
+func dialWhenUp(up <-chan struct{}) func(context.Context, string) (*bufferedConn, error) {
+	return func(ctx context.Context, addr string) (*bufferedConn, error) {
+		c, err := dial(context.Background(), addr)
+		select {
+		case <-up:
+			return c, err
+		case <-ctx.Done():
+			c.Close()
+			return nil, ctx.Err()
+		}
+	}
+}
+
 // A connection that comes up once all attempts of a call have ended carries nothing, and serves the next call.
 func TestLateConnectionWithoutAttempts(t *testing.T) {
 	p := newEventRecorder()
@@ -158,8 +180,10 @@
 		name, answer string
 		want         state.AttemptResult
 	}{
-		{"a wait", socktest.Status(429, "Retry-After: 0.75"), state.AttemptResult{Result: control.Rejected, RetryAfter: 750 * time.Millisecond}},
-		{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"), state.AttemptResult{Result: control.Rejected, RetryAfter: 4 * time.Second}},
+		{"a wait", socktest.Status(429, "Retry-After: 0.75"),
+			state.AttemptResult{Result: control.Rejected, RetryAfter: 750 * time.Millisecond}},
+		{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"),
+			state.AttemptResult{Result: control.Rejected, RetryAfter: 4 * time.Second}},
 		{"no room", socktest.Status(503, "Connection: close"), state.AttemptResult{Result: control.ConnectionRejected}},
 		{"an error", socktest.Status(500), state.AttemptResult{Result: control.ConnectFailed}},
 		{"delivered, it says", socktest.Status(200), state.AttemptResult{Result: control.ConnectFailed}},
@@ -213,8 +237,10 @@
 		complete int // from so many bytes on the messages are delivered
 	}{
 		{[]string{"a"}, "HTTP/1.1 200 OK\r\nX-Load: x0=0.4\r\nContent-Length: 2\r\n\r\nok", len("HTTP/1.1 200 OK\r\n")},
-		{[]string{"a"}, "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", len("HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\n")},
-		{[]string{"a", "b"}, socktest.JSON("a delivered\r\nb delivered\r\n"), len(socktest.JSON("a delivered\r\nb delivered\r\n"))},
+		{[]string{"a"}, "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+			len("HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\n")},
+		{[]string{"a", "b"}, socktest.JSON("a delivered\r\nb delivered\r\n"),
+			len(socktest.JSON("a delivered\r\nb delivered\r\n"))},
 	} {
 		for n := range len(c.answer) + 1 {
 			p := newEventRecorder()
--- a/internal/protocol/list_test.go
+++ b/internal/protocol/list_test.go
@@ -37,7 +37,9 @@
 // Of an answer that broke off, the targets that are named completely as draining or removed are known. One that could
 // only have told the known version has told nothing.
 func TestTruncatedList(t *testing.T) {
-	const list = `{"version":41,"full":false,"servers":[{"id":"a","state":"draining","cell":1},{"id":"b","state":"up","cell":1},{"id":"c","state":"removed","cell":1}]}`
+	const list = `{"version":41,"full":false,"servers":[{"id":"a","state":"draining","cell":1},` +
+		`{"id":"b","state":"up","cell":1},` +
+		`{"id":"c","state":"removed","cell":1}]}`
 	for cut := range len(list) {
 		prefix := []byte(list[:cut])
 		var ids string
--- a/internal/protocol/listener_test.go
+++ b/internal/protocol/listener_test.go
@@ -18,8 +18,9 @@
 
 // Accepts that fail for want of descriptors do not end the listener.
 func TestAcceptWithoutDescriptors(t *testing.T) {
-	_, conn := startFaulty(t, &faultyListener{acceptErrs: []error{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED}}, newEventRecorder())
-	io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+	_, conn := startFaulty(t, &faultyListener{acceptErrs: []error{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED}},
+		newEventRecorder())
+	io.WriteString(conn, healthRequest)
 	if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
 		t.Errorf("%+v, %v", r, err)
 	}
@@ -44,10 +45,11 @@
 		{"no HTTP", "what is this\r\n\r\n", state.Response{}, 400, ""},
 		{"head too large", "GET /_health HTTP/1.1\r\nA: " + strings.Repeat("x", maxHeaderBytes), state.Response{}, 431, ""},
 		{"body too large", strings.Replace(submission, "Length: 2", "Length: 99999", 1), state.Response{}, 413, ""},
-		{"chunked", strings.Replace(submission, "Content-Length: 2\r\n\r\nhi", "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 1), state.Response{}, 411, ""},
+		{"chunked", strings.Replace(submission, "Content-Length: 2\r\n\r\nhi",
+			"Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", 1), state.Response{}, 411, ""},
 		{"id twice", strings.Replace(submission, "X-Tenant", "X-Request-Id: j\r\nX-Tenant", 1), state.Response{}, 400, ""},
 		{"older HTTP", strings.Replace(submission, "HTTP/1.1", "HTTP/1.0", 1), state.Response{}, 505, ""},
-		{"health", "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", state.Response{}, 200, ""},
+		{"health", healthRequest, state.Response{}, 200, ""},
 	} {
 		p.response = c.verdict
 		conn, err := net.Dial("tcp", l.Addr().String())
@@ -83,9 +85,11 @@
 		}
 		defer conn.Close()
 		io.WriteString(conn, strings.Replace(outer, "Content-Length: 2\r\n\r\nhi",
-			fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", len(submission)+5, submission), 1))
+			fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", len(submission)+5,
+				submission), 1))
 		answers, err := io.ReadAll(conn)
-		if err != nil || !strings.HasPrefix(string(answers), "HTTP/1.1 411 ") || strings.Count(string(answers), "HTTP/1.1") != 1 || len(p.events) > 0 {
+		if err != nil || !strings.HasPrefix(string(answers), "HTTP/1.1 411 ") ||
+			strings.Count(string(answers), "HTTP/1.1") != 1 || len(p.events) > 0 {
 			t.Errorf("%v %d messages, answers %q", err, len(p.events), answers)
 		}
 	}
@@ -105,7 +109,7 @@
 		want int
 	}{
 		{strings.Replace(submission, "/status", "/nothing", 1), 400}, {strings.Replace(submission, "POST", "PUT", 1), 405},
-		{"GET /_health HTTP/1.1\r\nHost: h\r\n\r\n", 200},
+		{healthRequest, 200},
 	} {
 		io.WriteString(conn, c.send)
 		if r, err := http.ReadResponse(in, nil); err != nil || r.StatusCode != c.want {
@@ -157,7 +161,7 @@
 	}
 	roundTrip := func(conn net.Conn) {
 		t.Helper()
-		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+		io.WriteString(conn, healthRequest)
 		if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
 			t.Fatal(err)
 		}
@@ -192,7 +196,7 @@
 		}
 		defer conn.Close()
 		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+		io.WriteString(conn, healthRequest)
 		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || r.Close != (i >= l.maxKeepAlive) {
 			t.Fatalf("connection %d: %v, ends %t", i, err, err == nil && r.Close)
@@ -220,7 +224,7 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		io.WriteString(conn, "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n")
+		io.WriteString(conn, healthRequest)
 		conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
 			t.Fatalf("connection %d: %v", i, err)
@@ -228,6 +232,48 @@
 	}
 }
 
+// listenerClient is a client's side of a connection.
+type listenerClient struct {
+	net.Conn
+	in *bufio.Reader
+}
+
+// dialListener connects to a listener until the end of the test.
+func dialListener(t *testing.T, l *Listener) *listenerClient {
+	t.Helper()
+	conn, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(20 * time.Second))
+	return &listenerClient{conn, bufio.NewReader(conn)}
+}
+
+// roundTrip sends a request and reads its response.
+func (c *listenerClient) roundTrip(t *testing.T, request string) *http.Response {
+	t.Helper()
+	io.WriteString(c, request)
+	r, err := http.ReadResponse(c.in, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	io.Copy(io.Discard, r.Body)
+	return r
+}
+
+// breakOffRequest sends a part of a request, and waits until it counts as unanswered.
+func breakOffRequest(t *testing.T, l *Listener) {
+	half := dialListener(t, l)
+	io.WriteString(half, "POST /status HTTP/1.1\r\nHost: x\r\n")
+	half.Close()
+	for until := time.Now().Add(10 * time.Second); l.counters.unanswered.Load() == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(until) {
+			t.Fatal("a request that broke off is not counted")
+		}
+	}
+}
+
 // A drained sender is not healthy, ends connections with their responses and idle ones at once, and rejects messages
 // after a while, with a Retry-After; activated, it is as before.
 func TestDrainedListener(t *testing.T) {
@@ -240,46 +286,20 @@
 	}
 	go l.Serve()
 	defer l.Close(time.Now().Add(time.Minute))
-	open := func() (net.Conn, *bufio.Reader) {
-		c, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(20 * time.Second))
-		return c, bufio.NewReader(c)
-	}
-	roundTrip := func(c net.Conn, in *bufio.Reader, request string) *http.Response {
-		t.Helper()
-		io.WriteString(c, request)
-		r, err := http.ReadResponse(in, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		io.Copy(io.Discard, r.Body)
-		return r
-	}
-	const health = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 	n := 0
 	message := func() string {
 		n++
-		return fmt.Sprintf("POST /status HTTP/1.1\r\nHost: x\r\nX-Request-Id: m%d\r\nX-Deadline: 5\r\nX-Addressing: dest=1\r\nContent-Length: 0\r\n\r\n", n)
-	}
-	half, _ := open()
-	io.WriteString(half, "POST /status HTTP/1.1\r\nHost: x\r\n")
-	half.Close()
-	for until := time.Now().Add(10 * time.Second); l.counters.unanswered.Load() == 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatal("a request that broke off is not counted")
-		}
+		return fmt.Sprintf("POST /status HTTP/1.1\r\nHost: x\r\nX-Request-Id: m%d\r\n"+
+			"X-Deadline: 5\r\nX-Addressing: dest=1\r\nContent-Length: 0\r\n\r\n", n)
 	}
-	held, heldIn := open()
-	if r := roundTrip(held, heldIn, message()); r.StatusCode != http.StatusAccepted || r.Close {
+	breakOffRequest(t, l)
+	idle := dialListener(t, l)
+	if r := idle.roundTrip(t, message()); r.StatusCode != http.StatusAccepted || r.Close {
 		t.Fatalf("before: %d, close %v", r.StatusCode, r.Close)
 	}
 	l.Drain()
 	began := time.Now()
-	if _, err := heldIn.ReadByte(); err != io.EOF || time.Since(began) > idleTimeout/2 { // it was idle, and had longer
+	if _, err := idle.in.ReadByte(); err != io.EOF || time.Since(began) > idleTimeout/2 { // it was idle, and had longer
 		t.Errorf("an idle connection: %v after %v", err, time.Since(began))
 	}
 	for _, c := range []struct {
@@ -287,15 +307,14 @@
 		since         time.Duration // before now
 		status        int
 	}{
-		{"health", health, 0, http.StatusServiceUnavailable},
+		{"health", healthRequest, 0, http.StatusServiceUnavailable},
 		{"a message at once", message(), 0, http.StatusAccepted},
 		{"a message later", message(), drainAcceptWindow + time.Second, http.StatusServiceUnavailable},
-		{"health later", health, drainAcceptWindow + time.Second, http.StatusServiceUnavailable},
+		{"health later", healthRequest, drainAcceptWindow + time.Second, http.StatusServiceUnavailable},
 	} {
 		since := time.Now().Add(-c.since)
 		l.drainedSince.Store(&since)
-		conn, in := open()
-		r := roundTrip(conn, in, c.request)
+		r := dialListener(t, l).roundTrip(t, c.request)
 		if r.StatusCode != c.status || !r.Close {
 			t.Errorf("%s: %d, close %v", c.name, r.StatusCode, r.Close)
 		}
@@ -307,9 +326,9 @@
 		t.Errorf("counted %+v", n)
 	}
 	l.Activate()
-	conn, in := open()
-	for _, request := range []string{health, message(), health} {
-		if r := roundTrip(conn, in, request); r.StatusCode >= 300 || r.Close {
+	conn := dialListener(t, l)
+	for _, request := range []string{healthRequest, message(), healthRequest} {
+		if r := conn.roundTrip(t, request); r.StatusCode >= 300 || r.Close {
 			t.Errorf("activated: %d, close %v", r.StatusCode, r.Close)
 		}
 	}
--- a/internal/protocol/reporter_test.go
+++ b/internal/protocol/reporter_test.go
@@ -87,7 +87,8 @@
 	for len(nums) < 3 {
 		nums = append(nums, next[state.ReportsAcknowledged](t, p).Nums...)
 	}
-	if nums[0] != 0 || nums[1] != 1 || nums[2] != 2 || !strings.Contains(strings.Join(got, ""), `"a"`) || !strings.Contains(strings.Join(got, ""), `"c"`) {
+	if nums[0] != 0 || nums[1] != 1 || nums[2] != 2 || !strings.Contains(strings.Join(got, ""), `"a"`) ||
+		!strings.Contains(strings.Join(got, ""), `"c"`) {
 		t.Errorf("acknowledged %v, told %q", nums, got)
 	}
 }
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -40,7 +40,8 @@
 		{"largest", "POST /status", good, strings.Repeat("x", state.MaxBody), 0},
 		{"too large", "POST /status", good, strings.Repeat("x", state.MaxBody+1), 413},
 	} {
-		text := c.line + " HTTP/1.1\r\nHost: h\r\n" + c.head + "Content-Length: " + strconv.Itoa(len(c.body)) + "\r\n\r\n" + c.body
+		text := c.line + " HTTP/1.1\r\nHost: h\r\n" + c.head + "Content-Length: " + strconv.Itoa(len(c.body)) + "\r\n\r\n" +
+			c.body
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			t.Fatal(c.name, err)
@@ -56,7 +57,8 @@
 		if got != c.status {
 			t.Errorf("%s: %d, want %d", c.name, got, c.status)
 		}
-		if m != nil && (m.ID != "i1" || m.Destination != 7 || string(m.Body) != c.body || !m.Deadline.Equal(now.Add(1500*time.Millisecond))) {
+		if m != nil && (m.ID != "i1" || m.Destination != 7 || string(m.Body) != c.body ||
+			!m.Deadline.Equal(now.Add(1500*time.Millisecond))) {
 			t.Errorf("%s: taken in as %+v", c.name, m)
 		}
 	}
--- a/internal/protocol/transport_test.go
+++ b/internal/protocol/transport_test.go
@@ -165,45 +165,60 @@
 	}
 }
 
+// attemptOutcomes are answers of an endpoint to a single message, and what comes of them.
+var attemptOutcomes = []struct {
+	name, answer string
+	limit        time.Duration
+	want         state.AttemptResult
+}{
+	{"served", socktest.Status(200), time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
+	{"error", socktest.Status(500), time.Minute, state.AttemptResult{Result: control.Failed}},
+	{"wait", socktest.Status(429, "Retry-After: 0.25"), time.Minute,
+		state.AttemptResult{Result: control.Rejected, RetryAfter: 250 * time.Millisecond}},
+	{"full", socktest.Status(503), time.Minute, state.AttemptResult{Result: control.Rejected}},
+	{"no room for connections", socktest.Status(503, "Connection: close"), time.Minute,
+		state.AttemptResult{Result: control.ConnectionRejected}},
+	{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"), time.Minute,
+		state.AttemptResult{Result: control.Rejected, RetryAfter: 4 * time.Second}},
+	{"no slot", socktest.Status(503, "X-Over-Slots: 1"), time.Minute,
+		state.AttemptResult{Result: control.NotSent, NoSlot: true}},
+	{"spent", socktest.Status(504), time.Minute, state.AttemptResult{Result: control.NotSent}},
+	{"over", socktest.Status(410), time.Minute, state.AttemptResult{Result: control.NotSent, Final: true}},
+	{"odd", socktest.Status(302), time.Minute, state.AttemptResult{Result: control.Unknown}},
+	{"not for it", socktest.Status(400), time.Minute, state.AttemptResult{Result: control.Unprocessable}},
+	{"no HTTP", "what?\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
+	{"noise without end", "what?", time.Minute, state.AttemptResult{Result: control.Failed}},
+	{"head without end", "HTTP/1.1 503 x\r\nA: " + strings.Repeat("x", 2*maxHeaderBytes+state.MaxBody), time.Minute,
+		state.AttemptResult{Result: control.Failed}},
+	{"head left off", "HTTP/1.1 503 x\r\nRetry-After: 1\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
+	{"body left off", "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\nx", time.Minute,
+		state.AttemptResult{Result: control.Failed}},
+	{"served, then noise", "HTTP/1.1 200 x\r\nwhat\r\n\r\n", time.Minute,
+		state.AttemptResult{Result: control.Served, Final: true}},
+	{"served, head left off", "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 x\r\nA: b", time.Minute,
+		state.AttemptResult{Result: control.Served, Final: true}},
+	{"served, body left off", "HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nx", time.Minute,
+		state.AttemptResult{Result: control.Served, Final: true}},
+	{"no such status", "HTTP/1.1 2000 x\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
+	{"news first", "HTTP/1.1 103 x\r\n\r\n" + socktest.Status(500), time.Minute,
+		state.AttemptResult{Result: control.Failed}},
+	{"news without end", strings.Repeat("HTTP/1.1 103 x\r\n\r\n", maxHeaderBytes+state.MaxBody), time.Minute,
+		state.AttemptResult{Result: control.Failed}},
+	{"reset", "", time.Minute, state.AttemptResult{Result: control.ConnectionLost}},
+	{"hang", "hang", 500 * time.Millisecond, state.AttemptResult{Result: control.TimedOut}},
+	{"canceled", "hang", time.Minute, state.AttemptResult{Result: control.Canceled}},
+	{"refused", "shut", time.Minute, state.AttemptResult{Result: control.ConnectFailed}},
+}
+
 // Each way in which a call can end has its result.
 func TestAttemptOutcomes(t *testing.T) {
-	for _, c := range []struct {
-		name, answer string
-		limit        time.Duration
-		want         state.AttemptResult
-	}{
-		{"served", socktest.Status(200), time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
-		{"error", socktest.Status(500), time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"wait", socktest.Status(429, "Retry-After: 0.25"), time.Minute, state.AttemptResult{Result: control.Rejected, RetryAfter: 250 * time.Millisecond}},
-		{"full", socktest.Status(503), time.Minute, state.AttemptResult{Result: control.Rejected}},
-		{"no room for connections", socktest.Status(503, "Connection: close"), time.Minute, state.AttemptResult{Result: control.ConnectionRejected}},
-		{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"), time.Minute, state.AttemptResult{Result: control.Rejected, RetryAfter: 4 * time.Second}},
-		{"no slot", socktest.Status(503, "X-Over-Slots: 1"), time.Minute, state.AttemptResult{Result: control.NotSent, NoSlot: true}},
-		{"spent", socktest.Status(504), time.Minute, state.AttemptResult{Result: control.NotSent}},
-		{"over", socktest.Status(410), time.Minute, state.AttemptResult{Result: control.NotSent, Final: true}},
-		{"odd", socktest.Status(302), time.Minute, state.AttemptResult{Result: control.Unknown}},
-		{"not for it", socktest.Status(400), time.Minute, state.AttemptResult{Result: control.Unprocessable}},
-		{"no HTTP", "what?\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"noise without end", "what?", time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"head without end", "HTTP/1.1 503 x\r\nA: " + strings.Repeat("x", 2*maxHeaderBytes+state.MaxBody), time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"head left off", "HTTP/1.1 503 x\r\nRetry-After: 1\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"body left off", "HTTP/1.1 503 x\r\nContent-Length: 3000000000\r\n\r\nx", time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"served, then noise", "HTTP/1.1 200 x\r\nwhat\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
-		{"served, head left off", "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 x\r\nA: b", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
-		{"served, body left off", "HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nx", time.Minute, state.AttemptResult{Result: control.Served, Final: true}},
-		{"no such status", "HTTP/1.1 2000 x\r\n\r\n", time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"news first", "HTTP/1.1 103 x\r\n\r\n" + socktest.Status(500), time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"news without end", strings.Repeat("HTTP/1.1 103 x\r\n\r\n", maxHeaderBytes+state.MaxBody), time.Minute, state.AttemptResult{Result: control.Failed}},
-		{"reset", "", time.Minute, state.AttemptResult{Result: control.ConnectionLost}},
-		{"hang", "hang", 500 * time.Millisecond, state.AttemptResult{Result: control.TimedOut}},
-		{"called off", "hang", time.Minute, state.AttemptResult{Result: control.Canceled}},
-		{"refused", "shut", time.Minute, state.AttemptResult{Result: control.ConnectFailed}},
-	} {
+	for _, c := range attemptOutcomes {
 		p := newEventRecorder()
 		s := NewTransport(p, time.Minute, 8, discardLog)
 		got := make(chan struct{}, 1)
 		addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
-			if r.URL.Path != "/receive" || r.Header.Get("X-Request-Id") != "a" || r.Header.Get("Idempotency-Key") != "k-a" || body != "body of a" {
+			if r.URL.Path != "/receive" || r.Header.Get("X-Request-Id") != "a" || r.Header.Get("Idempotency-Key") != "k-a" ||
+				body != "body of a" {
 				t.Errorf("%s: target got %v %q", c.name, r, body)
 			}
 			got <- struct{}{}
@@ -214,7 +229,7 @@
 		}
 		call := callTo(addr, c.limit, "a")
 		s.Send(call)
-		if c.name == "called off" {
+		if c.name == "canceled" {
 			<-got
 			s.Cancel(call)
 		}
