--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -16,7 +16,7 @@
 	"cleathold/internal/wire"
 )
 
-// Config is what a sender is told by its configuration file, its environment and its script.
+// Config is the configuration of a sender, from its file, its environment and its script.
 type Config struct {
 	Name, Listen, Discovery, State string
 	Admin                          string   // the second address, for the operators; empty = none
--- a/internal/protocol/clientconn.go
+++ b/internal/protocol/clientconn.go
@@ -14,7 +14,7 @@
 	responseTimeout = 300 * time.Millisecond  // ...and answered within this: clients wait 400 ms
 	closeGrace      = 20 * time.Millisecond   // a connection that is to end: a request on its way still gets its response
 
-	lingerTimeout      = 500 * time.Millisecond // how long a connection is read out after its half-close...
+	lingerTimeout      = 500 * time.Millisecond // how long input is discarded after a half-close...
 	shortLingerTimeout = 5 * time.Millisecond   // ...and where too many linger
 )
 
@@ -27,7 +27,7 @@
 	connDraining                   // is to end, unless a request is on its way
 	connActive                     // a request is being read or answered
 	connEvicted                    // chosen to make room; a request that came in that instant is still served, as the last
-	connLingering                  // read out after the last response, before the close; the last state
+	connLingering                  // half-closed: input is discarded until the close; the last state
 )
 
 func (s connState) String() string {
@@ -101,8 +101,8 @@
 	return deadline
 }
 
-// rest has a connection wait for a request.
-func (l *Listener) rest(c *clientConn) {
+// enterWaiting has a connection wait for a request, in the state that follows from what the listener is doing.
+func (l *Listener) enterWaiting(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.state == connEvicted { // between its accept and now
@@ -168,7 +168,7 @@
 // awaitRequest waits for the first byte of a request. Whoever wants the connection to end moves its deadline; a request
 // that came in that instant still gets its response, as the last.
 func (l *Listener) awaitRequest(c *clientConn) bool {
-	l.rest(c)
+	l.enterWaiting(c)
 	c.readLimit.N = maxHeaderBytes
 	_, err := c.reader.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) && !c.openWithoutInput() {
--- a/internal/protocol/clientconn_test.go
+++ b/internal/protocol/clientconn_test.go
@@ -44,7 +44,7 @@
 		conn.used, conn.state = c.used, c.is
 		c.while(l)
 		before := time.Now()
-		l.rest(conn)
+		l.enterWaiting(conn)
 		if conn.state != c.want {
 			t.Errorf("%s: %v, want %v", c.name, conn.state, c.want)
 		}
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -22,7 +22,7 @@
 	maxRetryBackoff = 640 * time.Millisecond
 
 	// fleetBackoffFraction of the grace of drains takes the place of minRetryBackoff in a large fleet, and maxFleetBackoff
-	// that of maxRetryBackoff: a change that was told to all at one instant may have broken off for all.
+	// that of maxRetryBackoff: the answers with a change that all got at one instant may have broken off for all.
 	fleetBackoffFraction = 0.3
 	maxFleetBackoff      = 2400 * time.Millisecond
 
@@ -31,7 +31,8 @@
 	rejectedBackoffDivisor = 4
 
 	// maxPauseFraction of the grace of drains is the longest delay of a large fleet's sender after a change. A watch
-	// goes on for 200 ms after an answer, in which changes count as told: they must be known before the grace is over.
+	// goes on for 200 ms after an answer, in which the sender counts as notified of changes: they must be known before
+	// the grace is over.
 	maxUpdateDelayFraction = 0.4
 
 	// pollOpenDelay is how long a poll has been open when it counts as received: discovery answers 503 where one waited
@@ -45,10 +46,10 @@
 	Names Names
 	// MaxPollInterval bounds how long a poll waits for a change; 0 = it does not.
 	MaxPollInterval time.Duration
-	// PollSpread is the delay, on average, between a change and the next poll. A change is told to all senders at one
+	// PollSpread is the delay, on average, between a change and the next poll. All senders are notified of a change at one
 	// instant, and the next polls of many would come together and keep discovery from all else.
 	PollSpread time.Duration
-	// DrainGrace is the time within which a drain that was told must be heeded; 0 = not told by the settings.
+	// DrainGrace is the time within which a sender must heed a drain that it was notified of; 0 = unknown.
 	DrainGrace time.Duration
 	Log        *slog.Logger
 }
@@ -58,7 +59,7 @@
 type Discovery struct {
 	DiscoveryConfig
 	events   EventPoster
-	longPoll time.Duration // how long a poll is asked to wait for a change
+	longPoll time.Duration // how long a poll may wait for a change
 	requests chan pollRequest
 
 	mu         sync.Mutex
@@ -66,7 +67,7 @@
 	cancelPoll context.CancelFunc // ends the poll under way
 }
 
-// NewDiscovery returns a client of discovery. It asks nothing before Run.
+// NewDiscovery returns a client of discovery. It polls nothing before Run.
 func NewDiscovery(events EventPoster, c DiscoveryConfig) *Discovery {
 	longPoll := maxLongPoll
 	if c.MaxPollInterval > 0 {
@@ -91,8 +92,9 @@
 	}
 }
 
-// SetAddress turns to another address, where the full list is polled first, again and again if need be: what it has to
-// tell counts as told 4 s later. A poll under way at the old one is canceled, as it may never be answered.
+// SetAddress turns to another address, where the full list is polled first, again and again if need be: the sender
+// counts as notified of what it has to tell 4 s later. A poll under way at the old one is canceled, as it may never
+// be answered.
 func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	d.addr = addr
@@ -111,7 +113,7 @@
 	return ctx, d.cancelPoll, d.addr
 }
 
-// Run polls as it is told until the context ends. A watch goes on with the next poll right after each answer, until one
+// Run polls as requested until the context ends. A watch goes on with the next poll right after each answer, until one
 // fails: when to poll then is the controller's decision.
 func (d *Discovery) Run(ctx context.Context) {
 	client := &httpClient{pacing: readPacing{maxGap: maxAnswerGap, maxDuration: d.maxAnswerTime()}}
@@ -167,7 +169,7 @@
 }
 
 // reportPollOpen posts state.PollOpen once a poll after a delay has been open for pollOpenDelay: the list is known
-// then, as what was told before the poll would have come by then.
+// then, as what the sender was notified of before the poll would have come by then.
 func (d *Discovery) reportPollOpen(now pollRequest) *time.Timer {
 	if !now.resumesAfterDelay() {
 		return time.NewTimer(time.Hour)
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -96,7 +96,7 @@
 	return l
 }
 
-// MaxLingering is how many connections may be read out before they are closed, beside so many that are served.
+// MaxLingering is how many half-closed connections may linger until their close, beside so many that are served.
 func MaxLingering(served int) int { return max(minLingering, served/lingeringDivisor) }
 
 // SetNames has requests read by other names and classes from now on; also while it serves.
--- a/internal/protocol/poll.go
+++ b/internal/protocol/poll.go
@@ -16,16 +16,16 @@
 const (
 	listPath = "/catalog/members"
 
-	// pollTimeout is how long an answer may take, and how much longer than it was asked to wait a poll may.
+	// pollTimeout is how long an answer may take, and how much longer than its wait a poll may.
 	pollTimeout = 1200 * time.Millisecond
 
 	// maxLongPoll is the longest that a poll is asked to wait. One that is unresponsive is noticed that much and
-	// pollTimeout later, and repeated within another pollTimeout: under the 6 s after which what it missed counts as
-	// told.
+	// pollTimeout later, and repeated within another pollTimeout: under the 6 s after which the sender counts as notified
+	// of what it missed.
 	maxLongPoll = 3 * time.Second
 
-	// maxAnswerGap is the longest gap within an answer. What discovery has begun to write counts as told, so that an
-	// answer which breaks off is polled again long before the grace of drains is over.
+	// maxAnswerGap is the longest gap within an answer. The sender counts as notified of what discovery has begun to
+	// write, so that an answer which breaks off is polled again long before the grace of drains is over.
 	maxAnswerGap = 300 * time.Millisecond
 )
 
@@ -37,7 +37,7 @@
 	errConnectionEnded = errors.New("the connection ended without an answer")
 )
 
-// A brokenAnswerError tells of an answer that began and can't be read, or not to its end. What it told is not known.
+// A brokenAnswerError tells of an answer that began and can't be read, or not to its end. What was in it is not known.
 type brokenAnswerError struct {
 	startedAt time.Time // when its first byte came
 	body      []byte    // as far as it came
@@ -56,7 +56,7 @@
 	since          int64     // the version that is known
 	immediate      bool      // the poll before was unresponsive or broke off: what it missed is polled without a wait
 	retries        int       // polls that failed since the list became uncertain
-	uncertainSince time.Time // since when there may be more that was told; zero: nothing is
+	uncertainSince time.Time // since when there may be changes that are not known; zero: there are none
 }
 
 // fullList reports whether the full list is polled, not what has changed.
@@ -91,8 +91,8 @@
 	return min(pollTimeout, d.DrainGrace/2)
 }
 
-// poll asks once. Its error is a brokenAnswerError where an answer began, errNoAnswer where none did in time, and
-// errConnectionEnded where a connection that was up ended instead.
+// poll sends one request. Its error is a brokenAnswerError where an answer began, errNoAnswer where none did in time,
+// and errConnectionEnded where a connection that was up ended instead.
 func (d *Discovery) poll(ctx context.Context, client *httpClient, r pollRequest) (state.ListUpdate, error) {
 	path, deadline := listPath, time.Now().Add(pollTimeout)
 	if !r.fullList() {
