--- a/internal/protocol/listener_test.go
+++ b/internal/protocol/listener_test.go
@@ -150,7 +150,30 @@
 // idle stays, and a new one is served. Each of them, and one that stops in the middle of a request, is closed.
 func TestIdleConnectionFlood(t *testing.T) {
 	l := startListener(t, newEventRecorder())
-	dialed := func() net.Conn {
+	for i, conn := range floodIdle(t, l) {
+		if _, err := io.Copy(io.Discard, conn); os.IsTimeout(err) {
+			t.Errorf("silent connection %d: %v", i, err)
+		}
+	}
+}
+
+// The connection that has been served stays also where it is still on its way to wait for the next request, as on a
+// busy machine, while an idle one is evicted.
+func TestIdleConnectionFloodAfterResponse(t *testing.T) {
+	l, first := startFaulty(t, &faultyListener{write: func(c *net.TCPConn, b []byte) (int, error) {
+		n, err := c.Write(b)
+		time.Sleep(closeGrace + 10*time.Millisecond)
+		return n, err
+	}}, newEventRecorder())
+	first.Close()
+	floodIdle(t, l)
+}
+
+// floodIdle has a connection served, opens more that send nothing or half a request, and checks that the first one and a
+// new one are served. It returns the silent ones.
+func floodIdle(t *testing.T, l *Listener) (silent []net.Conn) {
+	t.Helper()
+	dial := func() net.Conn {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -166,21 +189,17 @@
 			t.Fatal(err)
 		}
 	}
-	used := dialed()
+	used := dial()
 	roundTrip(used)
-	half := dialed()
+	half := dial()
 	io.WriteString(half, "POST /status HTTP/1.1\r\nHost")
-	silent := []net.Conn{half}
+	silent = append(silent, half)
 	for range 40 {
-		silent = append(silent, dialed())
+		silent = append(silent, dial())
 	}
-	roundTrip(dialed())
+	roundTrip(dial())
 	roundTrip(used)
-	for i, conn := range silent {
-		if _, err := io.Copy(io.Discard, conn); os.IsTimeout(err) {
-			t.Errorf("silent connection %d: %v", i, err)
-		}
-	}
+	return silent
 }
 
 // Of clients that ask once and keep their connection open only so many are kept: the next ones are told that theirs
