--- a/internal/lifecycle/deploy_test.go
+++ b/internal/lifecycle/deploy_test.go
@@ -11,8 +11,7 @@
 )
 
 // The deploy file names each package of the sender, and no path that does not exist.
-func TestDeployFileNamesTheSender(t *testing.T) {
-	const root = "../.."
+func TestDeployFileNamesPackages(t *testing.T) {
 	text, err := os.ReadFile(root + "/deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/protocol/connclose_test.go
@@ -0,0 +1,323 @@
+package protocol
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/state"
+)
+
+// A request that arrives in the instant in which its connection is to end, for whatever reason, gets its complete
+// response, as the last.
+func TestRequestAsConnectionCloses(t *testing.T) {
+	for name, ending := range map[string]func(l *Listener){
+		"its time is over": func(*Listener) {},
+		"drained":          (*Listener).Drain,
+		"stopped":          func(l *Listener) { go l.Close(time.Now().Add(10 * time.Second)) },
+		"makes room":       (*Listener).evictIdle,
+	} {
+		p := newEventRecorder()
+		p.response = state.Response{Accepted: true}
+		reading, there := make(chan struct{}), make(chan struct{})
+		l, conn := startFaulty(t, &faultyListener{beforeRead: func() error {
+			close(reading)
+			<-there
+			return os.ErrDeadlineExceeded // though the request is there
+		}}, p)
+		<-reading
+		ending(l)
+		io.WriteString(conn, submission)
+		close(there)
+		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil || r.StatusCode != 202 || !r.Close {
+			t.Errorf("%s: %+v, %v", name, r, err)
+		}
+	}
+}
+
+// A request that comes between the last check for input and the half-close is not acted on, and its client reads an
+// end, not a reset: it sends the request again on another connection.
+func TestRequestAcrossHalfClose(t *testing.T) {
+	p := newEventRecorder()
+	p.response = state.Response{Accepted: true}
+	var conn net.Conn
+	s := &faultyListener{beforeRead: func() error { return os.ErrDeadlineExceeded }}
+	connected := make(chan struct{})
+	s.beforeClose = func() {
+		<-connected
+		io.WriteString(conn, submission)
+	}
+	_, conn = startFaulty(t, s, p)
+	close(connected)
+	if rest, err := io.ReadAll(conn); err != nil || len(rest) > 0 {
+		t.Errorf("read %q, %v", rest, err)
+	}
+	if len(p.events) > 0 {
+		t.Errorf("acted on: %+v", <-p.events)
+	}
+}
+
+// The last response before a close arrives complete and ends the connection in order, whatever else was sent behind
+// its request.
+func TestLastResponseArrivesComplete(t *testing.T) {
+	last := strings.Replace(submission, "Host: h", "Host: h\r\nConnection: close", 1)
+	flood := strings.Repeat("x", 400<<10)
+	for _, c := range []struct {
+		name, send       string
+		status           int
+		verdict          state.Response
+		disableKeepAlive bool
+	}{
+		{"requests behind the last", last + strings.Repeat(submission, 20), 202, state.Response{Accepted: true}, false},
+		{"requests behind a refusal of one that leaves", submission + strings.Repeat(submission, 20), 503, state.Response{},
+			true},
+		{"a flood behind the last", last + flood, 202, state.Response{Accepted: true}, false},
+		{"body too long", strings.Replace(submission, "Length: 2", "Length: 400000", 1) + flood, 413, state.Response{},
+			false},
+		{"chunked", strings.Replace(submission, "Content-Length: 2\r\n\r\nhi",
+			"Transfer-Encoding: chunked\r\n\r\nfffff\r\n", 1) + flood, 411, state.Response{}, false},
+		{"head too large", "GET /_health HTTP/1.1\r\nA: " + flood, 431, state.Response{}, false},
+		{"noise", "what is this\r\n\r\n" + flood, 400, state.Response{}, false},
+	} {
+		p := newEventRecorder()
+		p.response = c.verdict
+		l, conn := startFaulty(t, &faultyListener{}, p)
+		if c.disableKeepAlive {
+			l.DisableKeepAlive()
+		}
+		sent := make(chan struct{})
+		go func() { defer close(sent); io.WriteString(conn, c.send) }()
+		in := bufio.NewReader(conn)
+		r, err := http.ReadResponse(in, nil)
+		if err != nil || r.StatusCode != c.status || !r.Close {
+			t.Errorf("%s: %+v, %v", c.name, r, err)
+			continue
+		}
+		_, err = io.Copy(io.Discard, r.Body)
+		<-sent
+		if rest, end := io.ReadAll(in); err != nil || end != nil || len(rest) > 0 {
+			t.Errorf("%s: the answer %v, then %q, %v", c.name, err, rest, end)
+		}
+	}
+}
+
+// A client whose message the loop does not decide on in time is rejected then, and the message is not accepted
+// afterwards.
+func TestResponseTimeout(t *testing.T) {
+	set := control.Settings{
+		FleetSize: 1, Classes: testClasses, Kinds: []control.Kind{{MaxBatch: 1}},
+		MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
+		PollsList: true, MaxPollInterval: time.Minute, OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second,
+		ColdCapacity: 0.2, OverloadFactor: 2,
+	}
+	dir := t.TempDir()
+	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, DiskBytes: 1e6, Log: discardLog,
+		Known: state.ListUpdate{Kind: control.ListCached}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := stalledDiscovery{in: make(chan struct{}), on: make(chan struct{})}
+	loop.Connect(NewTransport(loop, time.Minute, 8, discardLog), s, s)
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan struct{})
+	go func() { defer close(ended); loop.Run(ctx) }()
+	l, err := Listen("127.0.0.1:0", loop, testNames, testClasses, 4, 3, discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go l.Serve()
+	send := func(id string) int {
+		conn, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		io.WriteString(conn, strings.Replace(submission, "Request-Id: i", "Request-Id: "+id, 1))
+		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return r.StatusCode
+	}
+	<-s.in
+	if status := send("late"); status != 503 {
+		t.Errorf("while the loop stalls: %d", status)
+	}
+	close(s.on)
+	if status := send("fresh"); status != 202 {
+		t.Errorf("then: %d", status)
+	}
+	l.Close(time.Now().Add(10 * time.Second))
+	cancel()
+	<-ended
+	list, err := state.ReadPending(dir, discardLog)
+	if err != nil || len(list) != 1 || list[0].ID != "fresh" {
+		t.Errorf("taken on: %+v, %v", list, err)
+	}
+	if !errors.Is(ctx.Err(), context.Canceled) {
+		t.Error(ctx.Err())
+	}
+}
+
+// Close waits for requests, not for clients that leave their ended connection open: another process waits to take
+// over.
+func TestCloseWaitsForRequestsOnly(t *testing.T) {
+	l, conn := startFaulty(t, &faultyListener{}, newEventRecorder())
+	io.WriteString(conn, healthRequest)
+	if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 200 {
+		t.Fatal(r, err)
+	}
+	l.Close(time.Now().Add(10 * time.Second))
+	if len(l.lingerSlots) != 1 {
+		t.Error("the connection did not linger any more when Close returned")
+	}
+	conn.Close()
+	l.Wait(time.Now().Add(10 * time.Second))
+	if len(l.lingerSlots) != 0 {
+		t.Error("Wait returned before the connection was closed")
+	}
+}
+
+// A 202 that can't be written completely is none: its client may resubmit the message, so this one is over.
+func TestPartialResponseWrite(t *testing.T) {
+	p := newEventRecorder()
+	p.response = state.Response{Accepted: true}
+	_, conn := startFaulty(t, &faultyListener{write: func(c *net.TCPConn, b []byte) (int, error) {
+		n, _ := c.Write(b[:len(b)/2])
+		return n, syscall.ECONNRESET
+	}}, p)
+	io.WriteString(conn, submission)
+	next[state.Submitted](t, p)
+	if a := next[state.ResponseWritten](t, p); a.ID != "i" || a.OK {
+		t.Errorf("%+v", a)
+	}
+	if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
+		t.Errorf("read %+v", r)
+	}
+}
+
+// A close that is asked for while the loop decides is announced with the response, which is the last of its
+// connection.
+func TestCloseWhileResponsePending(t *testing.T) {
+	for name, end := range map[string]func(*Listener){"leaves": (*Listener).DisableKeepAlive,
+		"drained": (*Listener).Drain} {
+		sock, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		p := &hookedRecorder{eventRecorder: newEventRecorder()}
+		l := ListenOn(sock, p, testNames, testClasses, 4, 3, discardLog)
+		p.before = func() { end(l) }
+		go l.Serve()
+		conn, err := net.Dial("tcp", sock.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		io.WriteString(conn, submission)
+		if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || r.StatusCode != 202 || !r.Close {
+			t.Errorf("%s: %+v, %v", name, r, err)
+		}
+		conn.Close()
+		l.Close(time.Now().Add(10 * time.Second))
+	}
+}
+
+// idleClient is a connection that the listener has accepted and that waits for its first request.
+func idleClient(t *testing.T, l *Listener) (*clientConn, *deadlineRecorder) {
+	t.Helper()
+	sock, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer sock.Close()
+	theirs, err := net.Dial("tcp", sock.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { theirs.Close() })
+	ours, err := sock.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ours.Close() })
+	conn := &deadlineRecorder{TCPConn: ours.(*net.TCPConn)}
+	k := newClientConn(conn)
+	l.mu.Lock()
+	l.conns[k] = struct{}{}
+	l.mu.Unlock()
+	return k, conn
+}
+
+// While an evicted connection is on its way out, the others stay.
+func TestEvictionEndsOneConnection(t *testing.T) {
+	l := startListener(t, newEventRecorder())
+	k, _ := idleClient(t, l)
+	l.evictIdle()
+	conn, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	in := bufio.NewReader(conn)
+	for i := range 2 {
+		io.WriteString(conn, healthRequest)
+		r, err := http.ReadResponse(in, nil)
+		if err != nil || r.StatusCode != 200 || r.Close {
+			t.Fatalf("request %d: %+v, %v", i, r, err)
+		}
+		io.Copy(io.Discard, r.Body)
+		time.Sleep(2 * closeGrace)
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if k.state != connEvicted {
+		t.Error("the idle connection was not chosen")
+	}
+	delete(l.conns, k)
+}
+
+// An evicted connection whose request was read in that instant is told with its response that it is the last.
+func TestEvictedWithARequest(t *testing.T) {
+	l := startListener(t, newEventRecorder())
+	k, _ := idleClient(t, l)
+	l.evictIdle()
+	l.activate(k)
+	if !l.closesAfterResponse(k) {
+		t.Error("another request may follow")
+	}
+	l.mu.Lock()
+	l.setState(k, connLingering)
+	l.mu.Unlock()
+}
+
+// A connection that is evicted between its accept and the wait for its first byte ends at once: whoever waits for its
+// slot, and all behind it, would wait for its timeout otherwise.
+func TestEvictedOnAccept(t *testing.T) {
+	l := startListener(t, newEventRecorder())
+	k, conn := idleClient(t, l)
+	l.evictIdle()
+	if l.awaitRequest(k) {
+		t.Error("it waits for a request")
+	}
+	l.mu.Lock()
+	delete(l.conns, k)
+	l.mu.Unlock()
+	for _, at := range conn.set {
+		if at.After(time.Now().Add(-time.Minute)) {
+			t.Errorf("a deadline %v from now was set", time.Until(at))
+		}
+	}
+}
--- /dev/null
+++ b/internal/protocol/discovery_test.go
@@ -0,0 +1,275 @@
+package protocol
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/socktest"
+	"cleathold/internal/state"
+)
+
+// startDiscovery runs a client of discovery that posts to the recorder.
+func startDiscovery(t *testing.T, p *eventRecorder, c DiscoveryConfig) *Discovery {
+	c.Names, c.Log = testNames, discardLog
+	d := NewDiscovery(p, c)
+	runUntilEnd(t, d.Run)
+	return d
+}
+
+// An answer from the old address that comes after a change of address is not the list: the new address is polled, for
+// the full one.
+func TestResponseFromOldAddress(t *testing.T) {
+	list := func(id string) string {
+		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"` + id + `","state":"up","cell":1}]}`)
+	}
+	watched, moved := make(chan struct{}), make(chan struct{})
+	old := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		close(watched)
+		<-moved
+		return list("old")
+	})
+	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		if r.URL.Query().Has("since") {
+			return socktest.Hang
+		}
+		return list("new")
+	})
+	p := newEventRecorder()
+	d := startDiscovery(t, p, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second})
+	d.Watch(true, 3)
+	<-watched
+	d.SetAddress(addr)
+	close(moved)
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
+		t.Errorf("%+v", n)
+	}
+}
+
+// What a new address has to tell counts as told 4 s after the change. A first poll there that is not answered is
+// repeated soon, and is not left to the controller to repeat.
+func TestSetAddressToSlowServer(t *testing.T) {
+	old := socktest.Serve(t, func(int, *http.Request, string) string { return socktest.Hang })
+	var queries atomic.Int32
+	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		if r.URL.Query().Has("since") {
+			return socktest.Hang
+		}
+		switch queries.Add(1) {
+		case 1:
+			return socktest.Hang
+		case 2:
+			return socktest.Status(http.StatusServiceUnavailable)
+		}
+		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"new","state":"up","cell":1}]}`)
+	})
+	p := newEventRecorder()
+	d := startDiscovery(t, p, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second,
+		DrainGrace: 2 * time.Second})
+	d.Watch(true, 3)
+	moved := time.Now()
+	d.SetAddress(addr)
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
+		t.Errorf("%+v", n)
+	}
+	if took := time.Since(moved); took > 4*time.Second {
+		t.Errorf("known %v after the move", took)
+	}
+}
+
+// A poll that becomes unresponsive is repeated without a wait: before an answer so that what it missed is known
+// within the 6 s after which that counts as told, in an answer within a second, as what has begun to come counts as
+// told at once.
+func TestUnresponsivePoll(t *testing.T) {
+	answer := socktest.JSON(changedList)
+	for _, c := range []struct {
+		name, first string
+		unread      bool
+		within      time.Duration
+	}{
+		{"before an answer", socktest.Hang, false, 6 * time.Second},
+		{"in the first line", answer[:9], true, time.Second},
+		{"in the head", answer[:30], true, time.Second},
+		{"at the end of the head", answer[:len(answer)-len(changedList)], true, time.Second},
+		{"in the list", answer[:len(answer)-20], true, time.Second},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			queries := make(chan [2]string, 8)
+			addr := socktest.Serve(t, func(conn int, r *http.Request, _ string) string {
+				queries <- [2]string{r.URL.Query().Get("since"), r.URL.Query().Get("timeout_ms")}
+				if conn == 0 {
+					return c.first
+				}
+				if r.URL.Query().Get("since") == "9" {
+					return socktest.Hang
+				}
+				return answer
+			})
+			p := newEventRecorder()
+			d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
+			began := time.Now()
+			d.Watch(true, 4)
+			if c.unread {
+				if u := next[state.ListUnreadable](t, p); u.At.Sub(began) > 200*time.Millisecond {
+					t.Errorf("an answer that began %v after the question", u.At.Sub(began))
+				}
+			}
+			if n := next[state.ListUpdate](t, p); n.Kind != control.ListDelta || n.Version != 9 {
+				t.Errorf("%+v", n)
+			}
+			if took := time.Since(began); took > c.within {
+				t.Errorf("known after %v", took)
+			}
+			if len(queries) < 2 {
+				t.Fatalf("asked %d times", len(queries))
+			}
+			if a, b := <-queries, <-queries; a != [2]string{"4", "3000"} || b != [2]string{"4", "1"} {
+				t.Errorf("asked since %v, then %v", a, b)
+			}
+		})
+	}
+}
+
+// An unresponsive discovery is a failed poll to the controller, which decides when to poll again.
+func TestUnresponsiveDiscovery(t *testing.T) {
+	queries := make(chan struct{}, 8)
+	addr := socktest.Serve(t, func(int, *http.Request, string) string { queries <- struct{}{}; return socktest.Hang })
+	p := newEventRecorder()
+	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Millisecond})
+	d.Watch(true, 4)
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed || len(queries) != 2 {
+		t.Errorf("%+v after %d asks", n, len(queries))
+	}
+}
+
+// A list older than the known one does not take its place: the full list is polled, and holds whatever its version
+// is.
+func TestOlderListVersion(t *testing.T) {
+	queries := make(chan string, 8)
+	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		queries <- r.URL.RawQuery
+		if r.URL.RawQuery == "" {
+			return socktest.JSON(`{"version":3,"full":true,"servers":[{"id":"a","state":"up","cell":1}]}`)
+		}
+		if r.URL.Query().Get("since") == "3" {
+			return socktest.Hang
+		}
+		return socktest.JSON(`{"version":2,"full":true,"servers":[{"id":"b","state":"up","cell":1}]}`)
+	})
+	p := newEventRecorder()
+	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
+	d.Watch(true, 4)
+	if n := next[state.ListUpdate](t, p); n.Version != 3 || n.Targets[0].ID != "a" {
+		t.Errorf("%+v", n)
+	}
+	if len(queries) < 2 {
+		t.Fatalf("asked %d times", len(queries))
+	}
+	if a, b := <-queries, <-queries; a != "since=4&timeout_ms=3000" || b != "" {
+		t.Errorf("asked %q, then %q", a, b)
+	}
+}
+
+// In a large fleet the list is known once the poll after a delay has been open for a while. A poll that ends later
+// was received; one that is rejected at once leaves what was told before it unknown.
+func TestPollAfterDelay(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		open time.Duration // before it is refused
+	}{{"ends later", pollTimeout + 200*time.Millisecond}, {"is refused", 0}} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+				if r.URL.Query().Get("since") == "4" {
+					return socktest.JSON(changedList)
+				}
+				time.Sleep(c.open)
+				return socktest.Status(http.StatusServiceUnavailable)
+			})
+			p := newEventRecorder()
+			d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second,
+				PollSpread: 100 * time.Millisecond, DrainGrace: 2 * time.Second})
+			d.Watch(true, 4)
+			if n := next[state.ListUpdate](t, p); !n.PollPaused {
+				t.Errorf("%+v", n)
+			}
+			if c.open > 0 {
+				next[state.PollOpen](t, p)
+				next[state.ListUpdate](t, p)
+				return
+			}
+			if u := next[state.PollFailed](t, p); time.Since(u.Since) > time.Second {
+				t.Errorf("uncertain for %v", time.Since(u.Since))
+			}
+		})
+	}
+}
+
+// A poll follows each answer until one fails, and asks for what is newer than the latest version.
+func TestPoll(t *testing.T) {
+	queries := make(chan string, 8)
+	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		queries <- r.URL.Query().Get("since")
+		if r.URL.Query().Get("since") == "9" {
+			return socktest.Status(503)
+		}
+		const list = `{"version":9,"full":true,"servers":[]}`
+		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+	})
+	p := newEventRecorder()
+	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: time.Second})
+	d.Watch(true, 4)
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Version != 9 {
+		t.Errorf("first %+v", n)
+	}
+	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed {
+		t.Errorf("then %+v", n)
+	}
+	if a, b := <-queries, <-queries; a != "4" || b != "9" {
+		t.Errorf("asked since %s and %s", a, b)
+	}
+}
+
+// A list that has not changed yet has version zero: what is polled then is what has changed since. Only where no
+// version is known the full list is polled. After a change a large fleet's sender delays its next poll.
+func TestPollFromVersionZero(t *testing.T) {
+	type query struct {
+		path string
+		at   time.Time
+	}
+	queries := make(chan query, 8)
+	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		queries <- query{r.URL.RawQuery, time.Now()}
+		const list = `{"version":0,"full":true,"servers":[{"id":"a","state":"up"}]}`
+		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
+	})
+	const rest = 100 * time.Millisecond
+	for _, c := range []struct {
+		since       int64
+		first, then string
+	}{{0, "since=0&timeout_ms=1000", "since=0&timeout_ms=1000"}, {state.NoVersion, "", "since=0&timeout_ms=1000"}} {
+		ctx, cancel := context.WithCancel(t.Context())
+		d := NewDiscovery(newEventRecorder(), DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second,
+			PollSpread: rest, Log: discardLog})
+		ended := make(chan struct{})
+		go func() { defer close(ended); d.Run(ctx) }()
+		d.Watch(true, c.since)
+		a, b := <-queries, <-queries
+		if a.path != c.first || b.path != c.then {
+			t.Errorf("since %d: asked %q, then %q", c.since, a.path, b.path)
+		}
+		if gap := b.at.Sub(a.at); gap < rest/2 {
+			t.Errorf("asked again %v after news, wanted a rest of %v at least", gap, rest/2)
+		}
+		cancel()
+		<-ended
+		for len(queries) > 0 {
+			<-queries
+		}
+	}
+}
--- /dev/null
+++ b/internal/protocol/hedge_test.go
@@ -0,0 +1,95 @@
+package protocol
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/socktest"
+	"cleathold/internal/state"
+)
+
+// Where hedged requests are not allowed, a message whose call is out on an open connection is not sent again: its
+// call may hold others that are awaited for longer, and all of them wait as long.
+func TestNoHedgeWhileCallIsOpen(t *testing.T) {
+	repeated := make(chan string, 8)
+	addr := serveRepeatsOnly(t, repeated)
+	classes := []control.Class{
+		{LatencyObjective: 100 * time.Millisecond, Deadline: time.Minute, PriorityWeight: 1, Idempotency: control.Idempotent},
+		{LatencyObjective: 100 * time.Millisecond, Deadline: time.Minute, PriorityWeight: 1,
+			Idempotency: control.NotIdempotent},
+	}
+	set := control.Settings{
+		FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 3, SeparateRoutes: true}},
+		MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
+		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2, CanCancel: true,
+	}
+	var targets []state.Target // two routes to one address: the other is open at once
+	for _, id := range []string{"s", "t"} {
+		target := state.Target{ID: id, Addr: addr}
+		target.Endpoint = control.Endpoint{Destination: 7, State: control.Ready}
+		targets = append(targets, target)
+	}
+	l, err := state.NewLoop(state.Setup{
+		Settings: set, Dir: t.TempDir(), DiskBytes: 1e6, Log: discardLog,
+		Known: state.ListUpdate{Kind: control.ListCached, Version: 1, Targets: targets},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := NewTransport(l, time.Minute, 8, discardLog)
+	l.Connect(s, noPeers{}, noPeers{})
+	for i, id := range []string{"repeatable", "unrepeatable"} {
+		m := &state.Message{ID: id, Class: i, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("b")}
+		l.Post(state.Submitted{Message: m, Response: make(chan state.Response, 1)})
+		l.Post(state.ResponseWritten{ID: id, OK: true})
+	}
+	runUntilEnd(t, l.Run)
+	select {
+	case id := <-repeated:
+		if id != "repeatable" {
+			t.Errorf("sent again: %s", id)
+		}
+	case <-time.After(20 * time.Second):
+		t.Fatal("the repeatable message was not sent again")
+	}
+}
+
+// serveRepeatsOnly serves an address that never answers the first copy of a message, and answers later ones. It sends
+// the id of each message that comes again, and whether its first copy was still out.
+func serveRepeatsOnly(t *testing.T, repeated chan<- string) (addr string) {
+	var mu sync.Mutex
+	first := map[string]*bufferedConn{} // by message: the connection on which it came first
+	return socktest.Accept(t, func(_ int, conn *net.TCPConn) {
+		c := newBufferedConn(conn)
+		c.readLimit.N = 1 << 20
+		r, err := http.ReadRequest(c.reader)
+		if err != nil {
+			return
+		}
+		body, _ := io.ReadAll(r.Body)
+		ids := []string{r.Header.Get("X-Request-Id")}
+		if ids[0] == "" {
+			ids = batchIDs(string(body))
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		for _, id := range ids {
+			switch before := first[id]; {
+			case before == nil:
+				first[id] = c // and hangs
+			case before.openWithoutInput():
+				repeated <- id + " while its first copy was out"
+			default:
+				repeated <- id
+			}
+		}
+		if first[ids[0]] != c {
+			io.WriteString(conn, socktest.Status(200))
+		}
+	})
+}
--- a/internal/protocol/late_test.go
+++ b/internal/protocol/lateconn_test.go
@@ -14,69 +14,38 @@
 	"cleathold/internal/state"
 )
 
-// A connection that comes up late carries only what is still wanted then: no forward whose deadline has come, and
-// nothing of a call that is withheld or over. Each forward ends at its own deadline, and the connection is kept.
+// A connection that comes up late carries only what is still wanted: no attempt whose deadline has come, and nothing
+// of a call that is withdrawn or over. Each attempt ends at its own deadline, and the connection is kept.
 func TestLateConnection(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		brief  []int // the forwards whose deadline comes while the connection is not up
+		brief  []int // the attempts whose deadline comes while the connection is not up
 		during func(s *Transport, call *state.Call)
 		sent   string // path and messages that arrive; empty = none
 		ends   []control.Result
 	}{
 		{"in time", nil, nil, "/receive-many a b c", []control.Result{control.Served, control.Served, control.Served}},
-		{"one is over", []int{1}, nil, "/receive-many a c", []control.Result{control.Served, control.ConnectFailed, control.Served}},
-		{"all but one are over", []int{0, 1}, nil, "/receive c", []control.Result{control.ConnectFailed, control.ConnectFailed, control.Served}},
-		{"withheld", []int{1}, (*Transport).CancelUnsent, "", []control.Result{control.NotSent, control.ConnectFailed, control.NotSent}},
-		{"called off", nil, (*Transport).Cancel, "", []control.Result{control.ConnectFailed, control.ConnectFailed, control.ConnectFailed}},
+		{"one is over", []int{1}, nil, "/receive-many a c",
+			[]control.Result{control.Served, control.ConnectFailed, control.Served}},
+		{"all but one are over", []int{0, 1}, nil, "/receive c",
+			[]control.Result{control.ConnectFailed, control.ConnectFailed, control.Served}},
+		{"withdrawn", []int{1}, (*Transport).CancelUnsent, "",
+			[]control.Result{control.NotSent, control.ConnectFailed, control.NotSent}},
+		{"canceled", nil, (*Transport).Cancel, "",
+			[]control.Result{control.ConnectFailed, control.ConnectFailed, control.ConnectFailed}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPosts()
-			s := NewTransport(p, time.Minute, 8, quiet)
+			p := newEventRecorder()
+			s := NewTransport(p, time.Minute, 8, discardLog)
 			got := make(chan string, 1)
-			addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
-				ids := r.Header.Get("X-Request-Id")
-				if r.URL.Path == "/receive" {
-					got <- r.URL.Path + " " + ids
-					return socktest.Status(200)
-				}
-				answer := ""
-				for _, id := range framed(body) {
-					ids += " " + id
-					answer += id + " delivered\r\n"
-				}
-				got <- r.URL.Path + ids
-				return socktest.JSON(answer)
-			})
+			addr := serveBatches(t, got)
 			up := make(chan struct{})
-			s.dial = func(ctx context.Context, addr string) (*link, error) {
-				l, err := dial(context.Background(), addr)
-				select {
-				case <-up:
-					return l, err
-				case <-ctx.Done():
-					l.Close()
-					return nil, ctx.Err()
-				}
-			}
+			s.dial = dialWhenUp(up)
 			call := callTo(addr, time.Minute, "a", "b", "c")
-			for n, i := range c.brief { // their time is up, or the window for repeats is over
-				if soon := time.Now().Add(10 * time.Millisecond); n%2 == 0 {
-					call.Attempts[i].NotAfter = soon
-				} else {
-					call.Attempts[i].Deadline = soon
-				}
-			}
+			shorten(call, c.brief)
 			s.Send(call)
 			ends := map[*state.Attempt]control.Result{}
-			take := func() {
-				for _, e := range next[state.CallEnded](t, p).Results {
-					if _, twice := ends[e.Attempt]; twice {
-						t.Errorf("%s ended twice", e.Attempt.Message.ID)
-					}
-					ends[e.Attempt] = e.Result
-				}
-			}
+			take := func() { takeResults(t, p, ends) }
 			for len(ends) < len(c.brief) {
 				take() // at their own deadline, though the connection is not up
 			}
@@ -104,24 +73,77 @@
 	}
 }
 
-// A connection that comes up once all of a call has ended carries nothing, and serves the next call.
-func TestConnectionForNobody(t *testing.T) {
-	p := newPosts()
-	s := NewTransport(p, time.Minute, 8, quiet)
+// shorten has some attempts of a call end soon: their deadline has come, or they must not be repeated any more.
+func shorten(call *state.Call, attempts []int) {
+	for n, i := range attempts {
+		if soon := time.Now().Add(10 * time.Millisecond); n%2 == 0 {
+			call.Attempts[i].NotAfter = soon
+		} else {
+			call.Attempts[i].Deadline = soon
+		}
+	}
+}
+
+// takeResults waits for results and adds them to others, each attempt once.
+func takeResults(t *testing.T, p *eventRecorder, ends map[*state.Attempt]control.Result) {
+	for _, e := range next[state.CallEnded](t, p).Results {
+		if _, twice := ends[e.Attempt]; twice {
+			t.Errorf("%s ended twice", e.Attempt.Message.ID)
+		}
+		ends[e.Attempt] = e.Result
+	}
+}
+
+// serveBatches serves an address whose messages are all delivered, and sends the path and the messages of each call.
+func serveBatches(t *testing.T, got chan<- string) (addr string) {
+	return socktest.Serve(t, func(_ int, r *http.Request, body string) string {
+		ids := r.Header.Get("X-Request-Id")
+		if r.URL.Path == "/receive" {
+			got <- r.URL.Path + " " + ids
+			return socktest.Status(200)
+		}
+		answer := ""
+		for _, id := range batchIDs(body) {
+			ids += " " + id
+			answer += id + " delivered\r\n"
+		}
+		got <- r.URL.Path + ids
+		return socktest.JSON(answer)
+	})
+}
+
+// dialWhenUp dials, and has the connection up once the channel is closed.
+func dialWhenUp(up <-chan struct{}) func(context.Context, string) (*bufferedConn, error) {
+	return func(ctx context.Context, addr string) (*bufferedConn, error) {
+		c, err := dial(context.Background(), addr)
+		select {
+		case <-up:
+			return c, err
+		case <-ctx.Done():
+			c.Close()
+			return nil, ctx.Err()
+		}
+	}
+}
+
+// A connection that comes up once all attempts of a call have ended carries nothing, and serves the next call.
+func TestLateConnectionWithoutAttempts(t *testing.T) {
+	p := newEventRecorder()
+	s := NewTransport(p, time.Minute, 8, discardLog)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		t.Errorf("%s was sent", r.Header.Get("X-Request-Id"))
 		return socktest.Status(200)
 	})
 	call := callTo(addr, 0, "a") // over from the start, as those of a call to which others belonged
-	f := &flight{Transport: s, call: call, ended: make([]bool, 1), forwards: call.Attempts}
+	f := &inFlightCall{Transport: s, call: call, ended: make([]bool, 1), attempts: call.Attempts}
 	f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 	defer f.cancel()
 	up, flown := make(chan struct{}), make(chan struct{})
-	s.dial = func(_ context.Context, addr string) (*link, error) {
+	s.dial = func(_ context.Context, addr string) (*bufferedConn, error) {
 		<-up
 		return dial(context.Background(), addr)
 	}
-	go func() { defer close(flown); f.fly() }()
+	go func() { defer close(flown); f.run() }()
 	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.ConnectFailed {
 		t.Errorf("%+v", e)
 	}
@@ -132,13 +154,14 @@
 	}
 }
 
-// A call whose bytes can't all be written before a forward of it is over has not run, and ends whole.
-func TestWriteThatStalls(t *testing.T) {
-	p := newPosts()
-	s := NewTransport(p, time.Minute, 8, quiet)
+// A call that can't be written completely before the deadline of one of its attempts has not run, and ends as a
+// whole.
+func TestStalledWrite(t *testing.T) {
+	p := newEventRecorder()
+	s := NewTransport(p, time.Minute, 8, discardLog)
 	ours, theirs := net.Pipe() // takes no byte that is not read
 	defer theirs.Close()
-	s.dial = func(context.Context, string) (*link, error) { return newLink(ours), nil }
+	s.dial = func(context.Context, string) (*bufferedConn, error) { return newBufferedConn(ours), nil }
 	call := callTo("nowhere", time.Minute, "a", "b")
 	call.Attempts[1].Deadline = time.Now().Add(50 * time.Millisecond)
 	s.Send(call)
@@ -150,23 +173,25 @@
 	}
 }
 
-// A target that answers and closes before it has read the whole call: nothing of the call has run, and a wait that it
-// told binds all the same.
-func TestAnsweredBeforeTheLastByte(t *testing.T) {
+// An endpoint answers and closes before it has read the whole call: nothing of the call has run, and its Retry-After
+// binds all the same.
+func TestResponseBeforeRequestSent(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		want         state.AttemptResult
 	}{
-		{"a wait", socktest.Status(429, "Retry-After: 0.75"), state.AttemptResult{Result: control.Rejected, RetryAfter: 750 * time.Millisecond}},
-		{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"), state.AttemptResult{Result: control.Rejected, RetryAfter: 4 * time.Second}},
+		{"a wait", socktest.Status(429, "Retry-After: 0.75"),
+			state.AttemptResult{Result: control.Rejected, RetryAfter: 750 * time.Millisecond}},
+		{"shut", socktest.Status(503, "Connection: close", "Retry-After: 4"),
+			state.AttemptResult{Result: control.Rejected, RetryAfter: 4 * time.Second}},
 		{"no room", socktest.Status(503, "Connection: close"), state.AttemptResult{Result: control.ConnectionRejected}},
 		{"an error", socktest.Status(500), state.AttemptResult{Result: control.ConnectFailed}},
 		{"delivered, it says", socktest.Status(200), state.AttemptResult{Result: control.ConnectFailed}},
 		{"half an answer", "HTTP/1.1 429 x\r\nRetry-Af", state.AttemptResult{Result: control.ConnectFailed}},
 		{"nothing", "", state.AttemptResult{Result: control.ConnectFailed}},
 	} {
-		p := newPosts()
-		s := NewTransport(p, time.Minute, 8, quiet)
+		p := newEventRecorder()
+		s := NewTransport(p, time.Minute, 8, discardLog)
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -182,7 +207,7 @@
 			io.WriteString(conn, c.answer)
 			conn.Close() // over bytes that were not read
 		}()
-		s.dial = func(ctx context.Context, addr string) (*link, error) {
+		s.dial = func(ctx context.Context, addr string) (*bufferedConn, error) {
 			l, err := dial(ctx, addr)
 			if err == nil {
 				l.Conn.(*net.TCPConn).SetWriteBuffer(1 << 10)
@@ -203,21 +228,23 @@
 	}
 }
 
-// An answer that is cut at any byte ends a call, and each of its messages once: a 200 to one message is true from its
-// first line on, all else has to come whole.
-func TestAnswerCutAnywhere(t *testing.T) {
+// A response that is cut at any byte ends a call, and each of its messages once: a 200 to one message counts from its
+// status line on, all else has to come completely.
+func TestTruncatedResponse(t *testing.T) {
 	for _, c := range []struct {
-		ids    []string
-		answer string
-		whole  int // from so many bytes on the messages are delivered
+		ids      []string
+		answer   string
+		complete int // from so many bytes on the messages are delivered
 	}{
 		{[]string{"a"}, "HTTP/1.1 200 OK\r\nX-Load: x0=0.4\r\nContent-Length: 2\r\n\r\nok", len("HTTP/1.1 200 OK\r\n")},
-		{[]string{"a"}, "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", len("HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\n")},
-		{[]string{"a", "b"}, socktest.JSON("a delivered\r\nb delivered\r\n"), len(socktest.JSON("a delivered\r\nb delivered\r\n"))},
+		{[]string{"a"}, "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+			len("HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\n")},
+		{[]string{"a", "b"}, socktest.JSON("a delivered\r\nb delivered\r\n"),
+			len(socktest.JSON("a delivered\r\nb delivered\r\n"))},
 	} {
 		for n := range len(c.answer) + 1 {
-			p := newPosts()
-			s := NewTransport(p, time.Minute, 8, quiet)
+			p := newEventRecorder()
+			s := NewTransport(p, time.Minute, 8, discardLog)
 			sock, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -239,7 +266,7 @@
 			switch {
 			case n == 0:
 				want = control.ConnectionLost
-			case n >= c.whole:
+			case n >= c.complete:
 				want = control.Served
 			}
 			if len(ends) != len(c.ids) || ends[0].Result != want || ends[len(ends)-1].Result != want {
--- a/internal/protocol/pool.go
+++ b/internal/protocol/pool.go
@@ -6,107 +6,113 @@
 	"time"
 )
 
-// A pool keeps connections to targets that lie idle, the latest used on top.
-type pool struct {
-	keep time.Duration // less than the targets keep them
-	most int
+const (
+	// idleTimeFraction of the time that an endpoint keeps an idle connection is how long it is kept here: a request that
+	// crosses the endpoint's close would be lost.
+	idleTimeFraction = 0.8
 
-	mu    sync.Mutex
-	idle  map[string][]*link
-	count int
-}
+	// defaultIdleTimeout is used where the settings don't tell how long endpoints keep an idle connection.
+	defaultIdleTimeout = 2 * time.Second
+)
 
-// keepShare of the time that a target keeps an idle connection is when it is
-// dropped here: a request that crosses the target's close would be lost.
-const keepShare = 0.8
+// A connPool keeps idle connections to endpoints, by the endpoint's id, the latest used on top.
+type connPool struct {
+	maxIdleTime  time.Duration
+	maxIdleConns int
 
-// unknownKeep is used where the settings don't tell how long targets keep one.
-const unknownKeep = 2 * time.Second
+	mu        sync.Mutex
+	idle      map[string][]*bufferedConn
+	idleCount int
+}
 
-func newPool(idle time.Duration, most int) *pool {
-	if idle <= 0 {
-		idle = unknownKeep
+func newConnPool(idleTimeout time.Duration, maxIdleConns int) *connPool {
+	if idleTimeout <= 0 {
+		idleTimeout = defaultIdleTimeout
+	}
+	return &connPool{
+		maxIdleTime: time.Duration(idleTimeFraction * float64(idleTimeout)), maxIdleConns: maxIdleConns,
+		idle: map[string][]*bufferedConn{},
 	}
-	return &pool{keep: time.Duration(keepShare * float64(idle)), most: most, idle: map[string][]*link{}}
 }
 
-// get takes the connection to a target that lay idle for the shortest time, if
-// it is sound and leads to its present address.
-func (p *pool) get(target, addr string) *link {
+// get takes the connection to an endpoint that was used last, if it can be used and leads to the endpoint's present
+// address; nil if there is none.
+func (p *connPool) get(id, addr string) *bufferedConn {
 	for {
-		l := p.pop(target)
-		if l == nil {
+		c := p.pop(id)
+		if c == nil {
 			return nil
 		}
-		if time.Since(l.idle) < p.keep && l.addr == addr && !l.stale() {
-			return l
+		if time.Since(c.idleSince) < p.maxIdleTime && c.addr == addr && !c.stale() {
+			return c
 		}
-		l.Close()
+		c.Close()
 	}
 }
 
-func (p *pool) pop(target string) *link {
+func (p *connPool) pop(id string) *bufferedConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[target]
-	if len(list) == 0 {
+	conns := p.idle[id]
+	if len(conns) == 0 {
 		return nil
 	}
-	l := list[len(list)-1]
-	p.idle[target] = list[:len(list)-1]
-	p.count--
-	return l
+	c := conns[len(conns)-1]
+	p.idle[id] = conns[:len(conns)-1]
+	p.idleCount--
+	return c
 }
 
-// put lets a connection lie idle, or closes it if there are too many.
-func (p *pool) put(target string, l *link) {
-	l.idle = time.Now()
+// put keeps an idle connection, or closes it if there are too many.
+func (p *connPool) put(id string, c *bufferedConn) {
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.count >= p.most {
-		l.Close()
+	if p.idleCount >= p.maxIdleConns {
+		c.Close()
 		return
 	}
-	p.idle[target] = append(p.idle[target], l)
-	p.count++
+	p.idle[id] = append(p.idle[id], c)
+	p.idleCount++
 }
 
-// drop closes the idle connections to a target.
-func (p *pool) drop(target string) {
-	for l := p.pop(target); l != nil; l = p.pop(target) {
-		l.Close()
+// closeIdle closes the idle connections to an endpoint.
+func (p *connPool) closeIdle(id string) {
+	for c := p.pop(id); c != nil; c = p.pop(id) {
+		c.Close()
 	}
 }
 
-// sweep closes those that lay idle for too long or that the target has closed.
-func (p *pool) sweep() {
+// closeStale closes connections that were idle for too long or that the endpoint has closed.
+func (p *connPool) closeStale() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for target, list := range p.idle {
-		kept := list[:0]
-		for _, l := range list {
-			if time.Since(l.idle) < p.keep && !l.stale() {
-				kept = append(kept, l)
+	for id, conns := range p.idle {
+		usable := conns[:0]
+		for _, c := range conns {
+			if time.Since(c.idleSince) < p.maxIdleTime && !c.stale() {
+				usable = append(usable, c)
 				continue
 			}
-			l.Close()
-			p.count--
+			c.Close()
+			p.idleCount--
 		}
-		if p.idle[target] = kept; len(kept) == 0 {
-			delete(p.idle, target)
+		if p.idle[id] = usable; len(usable) == 0 {
+			delete(p.idle, id)
 		}
 	}
 }
 
-func (p *pool) run(ctx context.Context) {
-	tick := time.NewTicker(max(p.keep/20, 50*time.Millisecond))
+// run closes stale connections until the context ends.
+func (p *connPool) run(ctx context.Context) {
+	tick := time.NewTicker(max(p.maxIdleTime/20, 50*time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			p.sweep()
+			p.closeStale()
 		}
 	}
 }
--- /dev/null
+++ b/internal/protocol/request.go
@@ -0,0 +1,169 @@
+package protocol
+
+import (
+	"bufio"
+	"errors"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/state"
+)
+
+const (
+	healthPath = "/_health"
+
+	// healthCheck takes the place of a class's number where a request is a health check.
+	healthCheck = -1
+
+	// maxDeadline bounds a deadline where the class's own is longer.
+	maxDeadline = 24 * time.Hour
+)
+
+// Names map the names in the settings to the numbers that package control knows them by.
+type Names struct {
+	Classes, Tenants, Zones, Kinds map[string]int
+}
+
+// A requestError is why a request is rejected unseen by the loop, as its client hears it.
+type requestError struct {
+	status int
+	text   string
+	closes bool // where the next request on the connection begins can't be told
+}
+
+// Error is the text that the client gets.
+func (e *requestError) Error() string { return e.text }
+
+func badRequest(text string) error { return &requestError{status: http.StatusBadRequest, text: text} }
+
+func bodyTooLarge() error {
+	return &requestError{http.StatusRequestEntityTooLarge, "body too large", true}
+}
+
+// parseMessage reads the body of a request and makes a message of it. A nil message without an error is a health check.
+func parseMessage(r *http.Request, arrived time.Time, n Names, classes []control.Class) (*state.Message, error) {
+	if err := checkFraming(r); err != nil {
+		return nil, err
+	}
+	class, err := classOfRequest(r, n)
+	if err != nil || class == healthCheck {
+		return nil, err
+	}
+	body, err := readRequestBody(r)
+	if err != nil {
+		return nil, err
+	}
+	m := &state.Message{
+		ID: r.Header.Get("X-Request-Id"), Key: r.Header.Get("Idempotency-Key"), Class: class, Body: body,
+	}
+	if !validToken(m.ID) {
+		return nil, badRequest("X-Request-Id missing or malformed")
+	}
+	// Without its key a message that is idempotent by key could not be repeated safely.
+	if m.Key == "" && classes[class].Idempotency == control.IdempotentByKey {
+		return nil, badRequest("Idempotency-Key missing")
+	}
+	if m.Key != "" && (!validToken(m.Key) || m.Key == noKey) {
+		return nil, badRequest("Idempotency-Key malformed")
+	}
+	var known bool
+	if m.Tenant, known = n.Tenants[r.Header.Get("X-Tenant")]; !known && len(n.Tenants) > 0 {
+		return nil, badRequest("unknown tenant")
+	}
+	remaining, ok := parseSeconds(r.Header.Get("X-Deadline"))
+	if !ok {
+		return nil, badRequest("X-Deadline unparsable")
+	}
+	m.Deadline = arrived.Add(min(remaining, classes[class].Deadline, maxDeadline))
+	if m.Destination, ok = parseDestination(r.Header.Get("X-Addressing")); !ok {
+		return nil, badRequest("dest unparsable")
+	}
+	retry := r.Header.Get("X-Retry")
+	m.Resubmitted, m.Inherited = retry == "1", retry == "again"
+	return m, nil
+}
+
+// readRequestBody reads a request's body, of state.MaxBody bytes at most.
+func readRequestBody(r *http.Request) ([]byte, error) {
+	if r.ContentLength > state.MaxBody {
+		return nil, bodyTooLarge()
+	}
+	body, err := readBody(r.Body, state.MaxBody)
+	if errors.Is(err, errTooLong) {
+		return nil, bodyTooLarge()
+	}
+	if err != nil {
+		return nil, &requestError{http.StatusBadRequest, "body unreadable", true}
+	}
+	return body, nil
+}
+
+// checkFraming wants one length and one value of each header that matters. A body in chunks may come with a
+// Content-Length as well, which the parser drops: where the body ends is then ambiguous, and a request could be
+// smuggled in it. Clients know their lengths, so chunks are rejected.
+func checkFraming(r *http.Request) error {
+	switch {
+	case !r.ProtoAtLeast(1, 1):
+		return &requestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted", true}
+	case len(r.TransferEncoding) > 0:
+		return &requestError{http.StatusLengthRequired, "Content-Length alone wanted", true}
+	}
+	for _, name := range []string{"X-Request-Id", "Idempotency-Key", "X-Tenant", "X-Deadline", "X-Addressing"} {
+		if len(r.Header[name]) > 1 {
+			return badRequest(name + " twice")
+		}
+	}
+	return nil
+}
+
+// classOfRequest finds the class in the path; healthCheck stands for a health check.
+func classOfRequest(r *http.Request, n Names) (int, error) {
+	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	class, known := n.Classes[first]
+	switch {
+	case r.URL.Path == healthPath && r.Method == http.MethodGet:
+		return healthCheck, nil
+	case r.URL.Path == healthPath, known && r.Method != http.MethodPost:
+		return 0, &requestError{status: http.StatusMethodNotAllowed, text: "method not allowed"}
+	case known:
+		return class, nil
+	case r.Method == http.MethodPost && first != "" && !strings.HasPrefix(first, "_"):
+		return 0, badRequest("unknown class")
+	}
+	return 0, &requestError{status: http.StatusNotFound, text: "no such path"}
+}
+
+// parseDestination finds dest among the fields of the addressing header.
+func parseDestination(s string) (int, bool) {
+	for field := range strings.FieldsFuncSeq(s, func(r rune) bool { return r == ',' || r == ';' || r == ' ' }) {
+		if v, found := strings.CutPrefix(field, "dest="); found {
+			n, err := strconv.ParseUint(v, 10, 16)
+			return int(n), err == nil
+		}
+	}
+	return 0, false
+}
+
+// readRequest reads a request's head. Its error is a requestError for an expectation that can't be met, else the
+// parser's or the connection's.
+func readRequest(in *bufio.Reader) (*http.Request, error) {
+	r, err := http.ReadRequest(in)
+	if err == nil && r.Header.Get("Expect") != "" && !strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
+		return r, &requestError{http.StatusExpectationFailed, "expectation unknown", true}
+	}
+	return r, err
+}
+
+// validToken reports whether a header's value can stand in the frame of a batch: no blanks, no control characters, 1 to
+// 256 bytes.
+func validToken(s string) bool {
+	for i := 0; i < len(s); i++ {
+		if s[i] <= ' ' || s[i] >= 0x7f {
+			return false
+		}
+	}
+	return len(s) > 0 && len(s) <= 256
+}
--- /dev/null
+++ b/internal/protocol/transport.go
@@ -0,0 +1,139 @@
+package protocol
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/state"
+)
+
+// maxHealthChecks bounds the health checks out at once.
+const maxHealthChecks = 32
+
+// EventPoster takes events; the loop is one.
+type EventPoster interface{ Post(event state.Event) }
+
+// Transport carries calls and health checks to endpoints, each on a goroutine of its own. Its methods may be called
+// from any goroutine; what comes of them is posted.
+type Transport struct {
+	events       EventPoster
+	log          *slog.Logger
+	pool         *connPool
+	healthChecks chan struct{} // holds a token for each health check out
+	dial         func(ctx context.Context, addr string) (*bufferedConn, error)
+
+	mu       sync.Mutex
+	inFlight map[*state.Call]*inFlightCall
+}
+
+var _ state.Transport = (*Transport)(nil)
+
+// NewTransport returns a transport whose connections endpoints keep idle for so long, and which keeps most idle ones.
+func NewTransport(events EventPoster, idle time.Duration, most int, log *slog.Logger) *Transport {
+	return &Transport{
+		events: events, log: log, pool: newConnPool(idle, most), dial: dial,
+		healthChecks: make(chan struct{}, maxHealthChecks), inFlight: map[*state.Call]*inFlightCall{},
+	}
+}
+
+// Run closes idle connections before their endpoints do, until the context ends.
+func (t *Transport) Run(ctx context.Context) { t.pool.run(ctx) }
+
+// Send sends a call and posts state.CallEnded for its attempts, some of which may end before others. The controller
+// bounds how many calls are out.
+func (t *Transport) Send(c *state.Call) {
+	last := c.Attempts[0].Deadline
+	for _, a := range c.Attempts {
+		if a.Deadline.After(last) {
+			last = a.Deadline
+		}
+	}
+	ctx, cancel := context.WithDeadline(context.Background(), last)
+	f := &inFlightCall{
+		Transport: t, call: c, ctx: ctx, cancel: cancel, startedAt: time.Now(),
+		attempts: c.Attempts, ended: make([]bool, len(c.Attempts)),
+	}
+	t.mu.Lock()
+	t.inFlight[c] = f
+	t.mu.Unlock()
+	go func() {
+		defer cancel()
+		f.run()
+		t.mu.Lock()
+		delete(t.inFlight, c)
+		t.mu.Unlock()
+	}()
+}
+
+// Cancel abandons a call by closing its connection.
+func (t *Transport) Cancel(c *state.Call) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if f := t.inFlight[c]; f != nil {
+		f.cancel()
+	}
+}
+
+// CancelUnsent ends a call that still waits for its connection; one that is being sent goes on.
+func (t *Transport) CancelUnsent(c *state.Call) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if f := t.inFlight[c]; f != nil && f.advance(callWithdrawn) {
+		f.cancel()
+	}
+}
+
+// Disconnect closes the idle connections to an endpoint.
+func (t *Transport) Disconnect(endpoint string) { t.pool.closeIdle(endpoint) }
+
+// HealthCheck asks an endpoint how it is and posts state.HealthChecked, by the deadline.
+func (t *Transport) HealthCheck(target state.Target, deadline time.Time) {
+	id := target.Endpoint.ID
+	select {
+	case t.healthChecks <- struct{}{}:
+	default:
+		go t.events.Post(state.HealthChecked{Target: id, Result: control.Unknown})
+		return
+	}
+	go func() {
+		defer func() { <-t.healthChecks }()
+		startedAt := time.Now()
+		result := t.checkHealth(target, deadline)
+		t.events.Post(state.HealthChecked{Target: id, Result: result, Elapsed: time.Since(startedAt)})
+	}()
+}
+
+func (t *Transport) checkHealth(target state.Target, deadline time.Time) control.Result {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
+	defer cancel()
+	c, err := t.connect(ctx, target)
+	if err != nil {
+		return control.ConnectFailed
+	}
+	h := httpClient{addr: target.Addr, conn: c}
+	e, err := h.do(ctx, http.MethodGet, "/ping", nil, deadline)
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return control.TimedOut
+	case err != nil:
+		return control.ConnectionLost
+	}
+	if h.conn != nil {
+		t.pool.put(target.ID, h.conn)
+	}
+	return resultOfStatus(e.status)
+}
+
+// connect takes an idle connection, or opens one.
+func (t *Transport) connect(ctx context.Context, target state.Target) (*bufferedConn, error) {
+	if c := t.pool.get(target.ID, target.Addr); c != nil {
+		return c, nil
+	}
+	return t.dial(ctx, target.Addr)
+}
