--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	placesMost = 128
-	frontSpan  = 15 * time.Second // a call that asks all agents to look at a program takes a while
-	bodyMost   = 8 << 20
-	probeSpan  = 5 * time.Second // a program must tell its version within this
+	maxConnections = 128
+	serverTimeout  = 15 * time.Second // a call that asks all agents to look at a program takes a while
+	maxBodySize    = 8 << 20
+	versionTimeout = 5 * time.Second // a program must tell its version within this
 )
 
 // View is how the fleet stands, as one agent knows it.
@@ -63,78 +63,78 @@
 
 // Paths of an agent.
 const (
-	viewPath    = "/v1/fleet"
-	commandPath = "/v1/command"
-	probePath   = "/v1/probe"
-	sightsPath  = "/v1/sights"
-	joinPath    = "/v1/join"
+	viewPath          = "/v1/fleet"
+	commandPath       = "/v1/command"
+	compatibilityPath = "/v1/probe"
+	observationsPath  = "/v1/sights"
+	joinPath          = "/v1/join"
 )
 
-// hopHeader marks a call that another agent has passed on: it is not passed on again.
-const hopHeader = "X-Passed-By"
+// forwardedHeader marks a call that another agent has passed on: it is not passed on again.
+const forwardedHeader = "X-Passed-By"
 
 func (a *Agent) listen() (*admin.HTTPServer, error) {
 	return admin.ListenCalls(a.cfg.Listen, map[string]http.HandlerFunc{
-		"GET " + viewPath:     a.showView,
-		"POST " + commandPath: a.takeCommand,
-		"POST " + probePath:   a.takeProbe,
-		"POST " + sightsPath:  a.takeSights,
-		"POST " + joinPath:    a.takeJoin,
+		"GET " + viewPath:           a.handleView,
+		"POST " + commandPath:       a.handleCommand,
+		"POST " + compatibilityPath: a.handleCompatibilityCheck,
+		"POST " + observationsPath:  a.handleObservations,
+		"POST " + joinPath:          a.handleJoin,
 		"POST " + quorum.Path: func(w http.ResponseWriter, r *http.Request) {
-			n, err := a.quorum()
+			n, err := a.quorumNode()
 			if err != nil {
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
 				return
 			}
 			n.Receive(w, r)
 		},
-	}, placesMost, frontSpan, a.log)
+	}, maxConnections, serverTimeout, a.log)
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
 
-// read takes a body; false: it was of no use, which is answered.
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyMost)).Decode(into)
+// readJSON takes a body; false: it was of no use, which is answered.
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodySize)).Decode(into)
 	if err != nil {
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 	}
 	return err == nil
 }
 
-// showView passes the question on to the leader, who sees all; if that can't be had this agent's own view has to do.
-func (a *Agent) showView(w http.ResponseWriter, r *http.Request) {
-	if leader, leads := a.contact(); leader != "" && !leads && r.Header.Get(hopHeader) == "" && r.URL.Query().Get("own") == "" {
+// handleView passes the question on to the leader, who sees all; if that can't be had this agent's own view has to do.
+func (a *Agent) handleView(w http.ResponseWriter, r *http.Request) {
+	if leader, leads := a.leadership(); leader != "" && !leads && r.Header.Get(forwardedHeader) == "" && r.URL.Query().Get("own") == "" {
 		var v View
 		if a.call(r.Context(), a.cfg.Peers[leader], viewPath, nil, &v) == nil {
-			reply(w, v)
+			writeJSON(w, v)
 			return
 		}
 	}
-	reply(w, a.view())
+	writeJSON(w, a.view())
 }
 
 func (a *Agent) view() View {
 	v := View{Agent: a.cfg.Name, At: time.Now().UTC(), Listed: a.fleet.endpoints()}
-	x := &a.spent
-	v.Traffic = Traffic{x.toldBytes.Load(), x.toldCalls.Load(), x.lookBytes.Load(), x.looks.Load()}
-	if n, err := a.quorum(); err != nil {
+	counters := &a.traffic
+	v.Traffic = Traffic{counters.reportedBytes.Load(), counters.reports.Load(), counters.polledBytes.Load(), counters.polls.Load()}
+	if node, err := a.quorumNode(); err != nil {
 		v.Why = err.Error()
 	} else {
-		s := n.Status()
+		s := node.Status()
 		v.Quorum = &s
 	}
-	a.fleet.with(func(s *rollout.State, sights map[string]rollout.Observation) {
-		v.State, v.Observations = copyOf(s), maps.Clone(sights)
+	a.fleet.withLock(func(s *rollout.State, sights map[string]rollout.Observation) {
+		v.State, v.Observations = deepCopy(s), maps.Clone(sights)
 	})
 	return v
 }
 
-// copyOf copies by way of the text: what is handed out is read outside the fleet's mutex.
-func copyOf[T any](v *T) *T {
+// deepCopy copies by way of the text: what is handed out is read outside the fleet's mutex.
+func deepCopy[T any](v *T) *T {
 	c := new(T)
 	if text, err := json.Marshal(v); err == nil {
 		json.Unmarshal(text, c)
@@ -142,71 +142,71 @@
 	return c
 }
 
-func (a *Agent) takeSights(w http.ResponseWriter, r *http.Request) {
-	var s sightings
-	if read(w, r, &s) && len(s.List) <= rollout.MaxSenders {
-		a.fleet.saw(s.List...)
-		if len(s.Endpoints) > 0 {
-			a.fleet.lists(s.Agent, s.Endpoints)
+func (a *Agent) handleObservations(w http.ResponseWriter, r *http.Request) {
+	var report observationReport
+	if readJSON(w, r, &report) && len(report.Observations) <= rollout.MaxSenders {
+		a.fleet.observe(report.Observations...)
+		if len(report.Endpoints) > 0 {
+			a.fleet.setEndpoints(report.Agent, report.Endpoints)
 		}
 	}
 }
 
-func (a *Agent) takeJoin(w http.ResponseWriter, r *http.Request) {
-	var s quorum.Member
-	if !read(w, r, &s) {
+func (a *Agent) handleJoin(w http.ResponseWriter, r *http.Request) {
+	var member quorum.Member
+	if !readJSON(w, r, &member) {
 		return
 	}
-	if a.cfg.Peers[s.Name] == "" || s.Number == 0 {
+	if a.cfg.Peers[member.Name] == "" || member.Number == 0 {
 		http.Error(w, "no agent of that name is known here", http.StatusForbidden)
 		return
 	}
-	n, err := a.quorum()
+	node, err := a.quorumNode()
 	if err == nil {
-		err = n.AddMember(r.Context(), s)
+		err = node.AddMember(r.Context(), member)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	a.log.Info("an agent is taken in", "name", s.Name, "seat", s.Number)
+	a.log.Info("an agent is taken in", "name", member.Name, "seat", member.Number)
 }
 
-// takeCommand does what the tool asks for, by way of the leader: it alone sees the fleet.
-func (a *Agent) takeCommand(w http.ResponseWriter, r *http.Request) {
-	var c Call
-	if !read(w, r, &c) {
+// handleCommand does what the tool asks for, by way of the leader: it alone sees the fleet.
+func (a *Agent) handleCommand(w http.ResponseWriter, r *http.Request) {
+	var call Call
+	if !readJSON(w, r, &call) {
 		return
 	}
-	leader, leads := a.contact()
+	leader, leads := a.leadership()
 	if leader == "" {
-		reply(w, failure(quorum.ErrNoMajority))
+		writeJSON(w, errorResult(quorum.ErrNoMajority))
 		return
 	}
-	for !leads && r.Header.Get(hopHeader) == "" {
+	for !leads && r.Header.Get(forwardedHeader) == "" {
 		var answer Result
 		ctx, stop := a.whileLeads(r.Context(), leader)
-		err := a.call(ctx, a.cfg.Peers[leader], commandPath, c, &answer)
+		err := a.call(ctx, a.cfg.Peers[leader], commandPath, call, &answer)
 		changed := ctx.Err() != nil && r.Context().Err() == nil
 		stop()
-		if err == nil || !changed || c.Command.Verb != rollout.Halt {
+		if err == nil || !changed || call.Command.Verb != rollout.Halt {
 			if err != nil {
-				answer = failure(fmt.Errorf("%w (the leading agent %s: %w)", ErrUnknown, leader, err))
+				answer = errorResult(fmt.Errorf("%w (the leading agent %s: %w)", ErrUnknown, leader, err))
 			}
-			reply(w, answer)
+			writeJSON(w, answer)
 			return
 		}
 		// A halt twice is a halt: whoever leads next is asked, as nothing more may go out meanwhile.
-		by := time.Now().Add(commandSpan)
-		for leader, leads = a.contact(); leader == "" && time.Now().Before(by) && pause(r.Context(), driveSpan); {
-			leader, leads = a.contact()
+		by := time.Now().Add(commandTimeout)
+		for leader, leads = a.leadership(); leader == "" && time.Now().Before(by) && sleep(r.Context(), leaderInterval); {
+			leader, leads = a.leadership()
 		}
 		if leader == "" {
-			reply(w, failure(quorum.ErrNoMajority))
+			writeJSON(w, errorResult(quorum.ErrNoMajority))
 			return
 		}
 	}
-	reply(w, a.command(r.Context(), c))
+	writeJSON(w, a.execute(r.Context(), call))
 }
 
 // whileLeads ends with its parent, or once another agent than that one leads, or none: what it was asked may never be
@@ -215,8 +215,8 @@
 	ctx, stop := context.WithCancel(parent)
 	go func() {
 		defer stop()
-		for pause(ctx, driveSpan) {
-			if now, leads := a.contact(); now != leader || leads {
+		for sleep(ctx, leaderInterval) {
+			if now, leads := a.leadership(); now != leader || leads {
 				return
 			}
 		}
@@ -224,7 +224,7 @@
 	return ctx, stop
 }
 
-func failure(err error) Result {
+func errorResult(err error) Result {
 	kind := KindRejected
 	switch {
 	case errors.Is(err, quorum.ErrNoMajority), errors.Is(err, quorum.ErrStopped):
@@ -235,63 +235,65 @@
 	return Result{Text: err.Error(), Kind: kind}
 }
 
-// staff are the verbs that the tool may ask for.
-var staff = []rollout.Verb{rollout.SetTerms, rollout.Start, rollout.Halt, rollout.Resume, rollout.RollBack, rollout.Activate, rollout.ExcludeEndpoint, rollout.IncludeEndpoint}
+// operatorVerbs are the verbs that the tool may ask for.
+var operatorVerbs = []rollout.Verb{rollout.SetTerms, rollout.Start, rollout.Halt, rollout.Resume, rollout.RollBack, rollout.Activate, rollout.ExcludeEndpoint, rollout.IncludeEndpoint}
 
-func (a *Agent) command(ctx context.Context, call Call) Result {
-	c := call.Command
-	if !slices.Contains(staff, c.Verb) {
-		return failure(fmt.Errorf("%w: %q is not for staff", rollout.ErrRejected, c.Verb))
+func (a *Agent) execute(ctx context.Context, call Call) Result {
+	command := call.Command
+	if !slices.Contains(operatorVerbs, command.Verb) {
+		return errorResult(fmt.Errorf("%w: %q is not for staff", rollout.ErrRejected, command.Verb))
 	}
-	if c.By == "" || c.Reason == "" {
-		return failure(fmt.Errorf("%w: an author and a reason are needed", rollout.ErrRejected))
+	if command.By == "" || command.Reason == "" {
+		return errorResult(fmt.Errorf("%w: an author and a reason are needed", rollout.ErrRejected))
 	}
-	c.At = time.Now().UTC()
-	if c.Verb == rollout.Start {
+	command.At = time.Now().UTC()
+	if command.Verb == rollout.Start {
 		var draft *rollout.Plan
 		var err error
-		a.allSeen(ctx)
-		c.At = time.Now().UTC()
-		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Observation) {
-			c.Seen = s.Seen(sights, c.At)
-			draft, err = s.Draft(s.Index+1, c)
+		a.awaitObservations(ctx)
+		command.At = time.Now().UTC()
+		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+			command.Seen = state.Seen(observations, command.At)
+			draft, err = state.Draft(state.Index+1, command)
 		})
 		if err == nil && draft.Kind == rollout.Release {
-			err = a.probeAll(ctx, draft)
+			err = a.checkPlan(ctx, draft)
 		}
 		if err != nil {
-			return failure(err)
+			return errorResult(err)
 		}
 		if call.DryRun {
 			return Result{Plan: draft}
 		}
-		c.At = time.Now().UTC() // the probes took a while
-		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Observation) { c.Seen = s.Seen(sights, c.At) })
+		command.At = time.Now().UTC() // the probes took a while
+		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+			command.Seen = state.Seen(observations, command.At)
+		})
 	}
-	if c.Verb == rollout.ExcludeEndpoint {
-		c.Listed = a.fleet.endpoints()
+	if command.Verb == rollout.ExcludeEndpoint {
+		command.Listed = a.fleet.endpoints()
 	}
-	index, err := a.propose(ctx, c)
+	index, err := a.propose(ctx, command)
 	if err != nil {
-		return failure(err)
+		return errorResult(err)
 	}
 	answer := Result{Index: index}
-	a.fleet.with(func(s *rollout.State, _ map[string]rollout.Observation) {
-		if p := s.Plan(index); p != nil {
-			answer.Plan = copyOf(p)
+	a.fleet.withLock(func(state *rollout.State, _ map[string]rollout.Observation) {
+		if p := state.Plan(index); p != nil {
+			answer.Plan = deepCopy(p)
 		}
 	})
 	return answer
 }
 
-// allSeen waits until all senders are seen serving, or for as long as a sight holds: a new leader has heard of few at first.
-func (a *Agent) allSeen(ctx context.Context) {
+// awaitObservations waits until all senders are seen serving, or for as long as a sight holds: a new leader has heard of few at first.
+func (a *Agent) awaitObservations(ctx context.Context) {
 	for began := time.Now(); ; {
 		all, fresh := false, time.Duration(0)
-		a.fleet.with(func(s *rollout.State, sights map[string]rollout.Observation) {
-			all, fresh = len(s.Seen(sights, time.Now())) == len(s.Members), s.Terms.Timing.Fresh
+		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+			all, fresh = len(state.Seen(observations, time.Now())) == len(state.Members), state.Terms.Timing.Fresh
 		})
-		if all || time.Since(began) > fresh || !pause(ctx, driveSpan) {
+		if all || time.Since(began) > fresh || !sleep(ctx, leaderInterval) {
 			return
 		}
 	}
@@ -303,55 +305,55 @@
 	Senders []string        `json:"senders"`
 }
 
-// probeAll asks each agent that has senders in the plan. All must say yes before the first stage.
-func (a *Agent) probeAll(ctx context.Context, p *rollout.Plan) error {
-	of := map[string][]string{}
-	a.fleet.with(func(s *rollout.State, _ map[string]rollout.Observation) {
-		for name, t := range p.Tasks {
-			if m := s.Members[name]; m != nil && t.Step == rollout.Waiting {
-				of[m.Agent] = append(of[m.Agent], name)
+// checkPlan asks each agent that has senders in the plan. All must say yes before the first stage.
+func (a *Agent) checkPlan(ctx context.Context, plan *rollout.Plan) error {
+	sendersOf := map[string][]string{}
+	a.fleet.withLock(func(state *rollout.State, _ map[string]rollout.Observation) {
+		for name, t := range plan.Tasks {
+			if m := state.Members[name]; m != nil && t.Step == rollout.Waiting {
+				sendersOf[m.Agent] = append(sendersOf[m.Agent], name)
 			}
 		}
 	})
 	var mu sync.Mutex
-	var faults []string
+	var failures []string
 	var wg sync.WaitGroup
-	for agent, names := range of {
+	for agent, names := range sendersOf {
 		wg.Go(func() {
 			var answer Result
 			var err error
 			if agent == a.cfg.Name {
-				err = a.probe(ctx, CompatibilityCheck{p.To, names})
+				err = a.checkCompatibility(ctx, CompatibilityCheck{plan.To, names})
 			} else if addr := a.cfg.Peers[agent]; addr == "" {
 				err = errors.New("its address is not known here")
-			} else if err = a.callBefore(ctx, addr, probePath, CompatibilityCheck{p.To, names}, &answer, time.Now().Add(2*probeSpan)); err == nil && answer.Text != "" {
+			} else if err = a.callUntil(ctx, addr, compatibilityPath, CompatibilityCheck{plan.To, names}, &answer, time.Now().Add(2*versionTimeout)); err == nil && answer.Text != "" {
 				err = errors.New(answer.Text)
 			}
 			if err != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				faults = append(faults, fmt.Sprintf("agent %s: %v", agent, err))
+				failures = append(failures, fmt.Sprintf("agent %s: %v", agent, err))
 			}
 		})
 	}
 	wg.Wait()
-	if len(faults) > 0 {
-		slices.Sort(faults)
-		return fmt.Errorf("%w: %s", rollout.ErrRejected, strings.Join(faults, "; "))
+	if len(failures) > 0 {
+		slices.Sort(failures)
+		return fmt.Errorf("%w: %s", rollout.ErrRejected, strings.Join(failures, "; "))
 	}
 	return nil
 }
 
-func (a *Agent) takeProbe(w http.ResponseWriter, r *http.Request) {
-	var p CompatibilityCheck
-	if !read(w, r, &p) {
+func (a *Agent) handleCompatibilityCheck(w http.ResponseWriter, r *http.Request) {
+	var check CompatibilityCheck
+	if !readJSON(w, r, &check) {
 		return
 	}
-	if err := a.probe(r.Context(), p); err != nil {
-		reply(w, Result{Text: err.Error(), Kind: KindRejected})
+	if err := a.checkCompatibility(r.Context(), check); err != nil {
+		writeJSON(w, Result{Text: err.Error(), Kind: KindRejected})
 		return
 	}
-	reply(w, Result{})
+	writeJSON(w, Result{})
 }
 
 // ProgramInfo is what a program tells of itself, by `version --json`.
@@ -361,88 +363,88 @@
 	Writes  int    `json:"journal_writes"`
 }
 
-// probe looks at what a version needs on this machine: a program that runs and can go on from the old one's journal, and
+// checkCompatibility looks at what a version needs on this machine: a program that runs and can go on from the old one's journal, and
 // the old one from its, or a configuration for each sender.
-func (a *Agent) probe(ctx context.Context, p CompatibilityCheck) error {
-	next, err := about(ctx, p.To.Program)
-	if p.To.Program != "" && err != nil {
+func (a *Agent) checkCompatibility(ctx context.Context, check CompatibilityCheck) error {
+	next, err := programInfo(ctx, check.To.Program)
+	if check.To.Program != "" && err != nil {
 		return err
 	}
-	for _, m := range a.minders {
-		if !slices.Contains(p.Senders, m.Name) {
+	for _, s := range a.supervisors {
+		if !slices.Contains(check.Senders, s.Name) {
 			continue
 		}
-		if p.To.Config != "" {
-			if _, err := os.Stat(p.To.Config + "/" + m.Name + ".json"); err != nil {
-				return fmt.Errorf("no configuration for %s: %w", m.Name, err)
+		if check.To.Config != "" {
+			if _, err := os.Stat(check.To.Config + "/" + s.Name + ".json"); err != nil {
+				return fmt.Errorf("no configuration for %s: %w", s.Name, err)
 			}
 		}
-		if p.To.Program == "" {
+		if check.To.Program == "" {
 			continue
 		}
-		old, err := about(ctx, m.running().Program)
+		old, err := programInfo(ctx, s.version().Program)
 		switch {
 		case err != nil:
-			return fmt.Errorf("%s: the version that it runs can't be asked whether there is a way back: %w", m.Name, err)
+			return fmt.Errorf("%s: the version that it runs can't be asked whether there is a way back: %w", s.Name, err)
 		case !slices.Contains(next.Reads, old.Writes):
-			return fmt.Errorf("%s: %s can't read the journal that %s writes (form %d)", m.Name, p.To.Name, m.running().Name, old.Writes)
+			return fmt.Errorf("%s: %s can't read the journal that %s writes (form %d)", s.Name, check.To.Name, s.version().Name, old.Writes)
 		case !slices.Contains(old.Reads, next.Writes):
-			return fmt.Errorf("%s: no way back: %s can't read the journal that %s writes (form %d)", m.Name, m.running().Name, p.To.Name, next.Writes)
+			return fmt.Errorf("%s: no way back: %s can't read the journal that %s writes (form %d)", s.Name, s.version().Name, check.To.Name, next.Writes)
 		}
 	}
 	return nil
 }
 
-func about(ctx context.Context, program string) (v ProgramInfo, err error) {
+func programInfo(ctx context.Context, program string) (info ProgramInfo, err error) {
 	if program == "" {
-		return v, errors.New("no program")
+		return info, errors.New("no program")
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(probeSpan))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(versionTimeout))
 	defer cancel()
-	c := exec.CommandContext(ctx, program, "version", "--json")
-	var out, fault bytes.Buffer
-	c.Stdout, c.Stderr = &out, &fault
-	c.WaitDelay = time.Second
-	if err := c.Run(); err != nil {
-		return v, fmt.Errorf("%s can't be run: %w: %.200s", program, err, strings.TrimSpace(fault.String()))
+	command := exec.CommandContext(ctx, program, "version", "--json")
+	var stdout, stderr bytes.Buffer
+	command.Stdout, command.Stderr = &stdout, &stderr
+	command.WaitDelay = time.Second
+	if err := command.Run(); err != nil {
+		return info, fmt.Errorf("%s can't be run: %w: %.200s", program, err, strings.TrimSpace(stderr.String()))
 	}
-	if err := json.Unmarshal(out.Bytes(), &v); err != nil || len(v.Reads) == 0 {
-		return v, fmt.Errorf("%s does not say which journals it reads; it is no version that agents can manage", program)
+	if err := json.Unmarshal(stdout.Bytes(), &info); err != nil || len(info.Reads) == 0 {
+		return info, fmt.Errorf("%s does not say which journals it reads; it is no version that agents can manage", program)
 	}
-	return v, nil
+	return info, nil
 }
 
 // call makes one call to another agent.
 func (a *Agent) call(ctx context.Context, addr, path string, body, into any) error {
-	span := callSpan
+	span := callTimeout
 	if path == commandPath {
-		span = frontSpan
+		span = serverTimeout
 	}
-	return a.callBefore(ctx, addr, path, body, into, time.Now().Add(span))
+	return a.callUntil(ctx, addr, path, body, into, time.Now().Add(span))
 }
 
-func (a *Agent) callBefore(ctx context.Context, addr, path string, body, into any, until time.Time) error {
-	ctx, cancel := context.WithDeadline(ctx, until)
+func (a *Agent) callUntil(ctx context.Context, addr, path string, body, into any, deadline time.Time) error {
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	return Ask(ctx, a.http, addr, path, body, into, http.Header{hopHeader: {a.cfg.Name}})
+	return sendJSON(ctx, a.http, addr, path, body, into, http.Header{forwardedHeader: {a.cfg.Name}})
 }
 
-// Ask makes one call to an agent: a question without a body, else an order.
-func Ask(ctx context.Context, client *http.Client, addr, path string, body, into any, head http.Header) error {
-	method, send := http.MethodGet, io.Reader(nil)
+// sendJSON makes one call to an agent: a question without a body, else an order.
+func sendJSON(ctx context.Context, client *http.Client, addr, path string, body, into any, header http.Header) error {
+	method, reader := http.MethodGet, io.Reader(nil)
 	if body != nil {
 		text, err := json.Marshal(body)
 		if err != nil {
 			return err
 		}
-		method, send = http.MethodPost, bytes.NewReader(text)
+		method, reader = http.MethodPost, bytes.NewReader(text)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, send)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, reader)
 	if err != nil {
 		return err
 	}
-	maps.Copy(r.Header, head)
-	text, err := fetch(client, r)
+	maps.Copy(request.Header, header)
+	text, err := fetch(client, request)
 	if err == nil && into != nil {
 		err = json.Unmarshal(text, into)
 	}
@@ -450,33 +452,33 @@
 }
 
 // fetch makes a call and reads what is answered; anything but a yes is an error.
-func fetch(client *http.Client, r *http.Request) ([]byte, error) {
-	answer, err := client.Do(r)
+func fetch(client *http.Client, request *http.Request) ([]byte, error) {
+	response, err := client.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errNoAnswer, err)
+		return nil, fmt.Errorf("%w: %w", errNoResponse, err)
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, 4*bodyMost))
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, 4*maxBodySize))
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errNoAnswer, err)
+		return nil, fmt.Errorf("%w: %w", errNoResponse, err)
 	}
-	if answer.StatusCode/100 != 2 {
-		return nil, fmt.Errorf("%s: %.300s", answer.Status, bytes.TrimSpace(text))
+	if response.StatusCode/100 != 2 {
+		return nil, fmt.Errorf("%s: %.300s", response.Status, bytes.TrimSpace(text))
 	}
 	return text, nil
 }
 
 // FetchView asks an agent how the fleet stands.
 func FetchView(ctx context.Context, addr string) (v View, err error) {
-	return v, Ask(ctx, http.DefaultClient, addr, viewPath, nil, &v, nil)
+	return v, sendJSON(ctx, http.DefaultClient, addr, viewPath, nil, &v, nil)
 }
 
 // FetchOwnView asks an agent what it knows by itself, without the leader.
 func FetchOwnView(ctx context.Context, addr string) (v View, err error) {
-	return v, Ask(ctx, http.DefaultClient, addr, viewPath+"?own=1", nil, &v, nil)
+	return v, sendJSON(ctx, http.DefaultClient, addr, viewPath+"?own=1", nil, &v, nil)
 }
 
 // SendCommand has an agent do what staff ask for.
 func SendCommand(ctx context.Context, addr string, c Call) (r Result, err error) {
-	return r, Ask(ctx, http.DefaultClient, addr, commandPath, c, &r, nil)
+	return r, sendJSON(ctx, http.DefaultClient, addr, commandPath, c, &r, nil)
 }
--- a/internal/agent/minder.go
+++ b/internal/agent/minder.go
@@ -22,279 +22,279 @@
 
 // Times of a change.
 const (
-	readySpan  = 8 * time.Second // a process that takes over serves within this
-	tuneSpan   = 3 * time.Second // new settings are in force within this
-	emptySpan  = time.Minute     // a sender that is to be restarted may work off what it holds for so long
-	changeTick = 50 * time.Millisecond
-	startSpan  = 10 * time.Second // a process that neither answers nor ends within this is killed
+	readyTimeout         = 8 * time.Second // a process that takes over serves within this
+	reloadTimeout        = 3 * time.Second // new settings are in force within this
+	settleTimeout        = time.Minute     // a sender that is to be restarted may work off what it holds for so long
+	changePollInterval   = 50 * time.Millisecond
+	firstResponseTimeout = 10 * time.Second // a process that neither answers nor ends within this is killed
 )
 
-// minder looks after one sender. All of it belongs to its goroutine, but for the record, which others may ask for.
-type minder struct {
+// supervisor looks after one sender. All of it belongs to its goroutine, but for the record, which others may ask for.
+type supervisor struct {
 	Sender
-	a    *Agent
-	path string // of the record
-	http *http.Client
+	agent      *Agent
+	recordPath string // of the record
+	http       *http.Client
 
 	mu  sync.Mutex
 	rec record
 
-	proc    *child
-	began   time.Time // of the process, as far as this agent knows
-	answers bool      // it has answered since
-	restart time.Time // when one that has ended is started again
-	pace    pace
-	crashes int
-	status  admin.Status
-	sight   rollout.Observation
-	busy    bool // a change is under way: whatever the sender says, it is out
+	process          *process
+	processStartedAt time.Time // of the process, as far as this agent knows
+	answered         bool      // it has answered since
+	restartAt        time.Time // when one that has ended is started again
+	backoff          restartBackoff
+	crashes          int
+	lastStatus       admin.Status
+	observation      rollout.Observation
+	changing         bool // a change is under way: whatever the sender says, it is out
 
-	tried      uint64 // epoch of the grant that was last acted on
-	faultEpoch uint64
-	fault      string
-	trimmed    time.Time
+	lastTakenEpoch uint64 // epoch of the grant that was last acted on
+	faultEpoch     uint64
+	fault          string
+	logTrimmedAt   time.Time
 
-	asideEpoch   uint64 // what the sender was told of endpoints
-	asideProcess string
-	asideAt      time.Time
+	exclusionEpoch   uint64 // what the sender was told of endpoints
+	exclusionProcess string
+	exclusionsSentAt time.Time
 }
 
 // record is what an agent must know of a sender after its own restart.
 type record struct {
-	Version rollout.Version `json:"version"` // that its process runs
-	Admin   int             `json:"admin"`   // which of its second addresses it has
-	Pid     int             `json:"pid,omitempty"`
-	Start   string          `json:"start,omitempty"`
-	Heir    *heir           `json:"heir,omitempty"` // a process that was to take over
+	Version   rollout.Version `json:"version"` // that its process runs
+	Admin     int             `json:"admin"`   // which of its second addresses it has
+	Pid       int             `json:"pid,omitempty"`
+	StartTime string          `json:"start,omitempty"`
+	Successor *successor      `json:"heir,omitempty"` // a process that was to take over
 }
 
-type heir struct {
-	Version rollout.Version `json:"version"`
-	Pid     int             `json:"pid"`
-	Start   string          `json:"start"`
+type successor struct {
+	Version   rollout.Version `json:"version"`
+	Pid       int             `json:"pid"`
+	StartTime string          `json:"start"`
 }
 
-func newMinder(a *Agent, s Sender) (*minder, error) {
-	m := &minder{
-		Sender: s, a: a, path: filepath.Join(a.cfg.Folder, s.Name+".json"),
+func newSupervisor(a *Agent, sender Sender) (*supervisor, error) {
+	s := &supervisor{
+		Sender: sender, agent: a, recordPath: filepath.Join(a.cfg.Folder, sender.Name+".json"),
 		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 	}
-	text, err := os.ReadFile(m.path)
+	text, err := os.ReadFile(s.recordPath)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		m.rec = record{Version: a.cfg.First}
+		s.rec = record{Version: a.cfg.First}
 	case err != nil:
 		return nil, fmt.Errorf("agent: %w", err)
 	default:
-		if err := json.Unmarshal(text, &m.rec); err != nil {
-			return nil, fmt.Errorf("agent: %s: %w; remove it to have the sender run %s", m.path, err, a.cfg.First.Name)
+		if err := json.Unmarshal(text, &s.rec); err != nil {
+			return nil, fmt.Errorf("agent: %s: %w; remove it to have the sender run %s", s.recordPath, err, a.cfg.First.Name)
 		}
 	}
-	return m, nil
+	return s, nil
 }
 
-// running is what the sender runs.
-func (m *minder) running() rollout.Version {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.rec.Version
+// version is what the sender runs.
+func (s *supervisor) version() rollout.Version {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rec.Version
 }
 
-// keep changes the record, on disk first.
-func (m *minder) keep(change func(*record)) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	next := m.rec
-	change(&next)
-	text, err := json.Marshal(next)
+// updateRecord changes the record, on disk first.
+func (s *supervisor) updateRecord(change func(*record)) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	changed := s.rec
+	change(&changed)
+	text, err := json.Marshal(changed)
 	if err == nil {
-		if err = os.WriteFile(m.path+".new", text, 0o600); err == nil {
-			err = os.Rename(m.path+".new", m.path)
+		if err = os.WriteFile(s.recordPath+".new", text, 0o600); err == nil {
+			err = os.Rename(s.recordPath+".new", s.recordPath)
 		}
 	}
 	if err != nil {
-		return fmt.Errorf("agent: the record of %s: %w", m.Name, err)
+		return fmt.Errorf("agent: the record of %s: %w", s.Name, err)
 	}
-	m.rec = next
+	s.rec = changed
 	return nil
 }
 
-func (m *minder) record() record {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.rec
+func (s *supervisor) record() record {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.rec
 }
 
-func (m *minder) logPath() string { return filepath.Join(m.a.cfg.Folder, m.Name+".log") }
+func (s *supervisor) logPath() string { return filepath.Join(s.agent.cfg.Folder, s.Name+".log") }
 
 // run looks after the sender until the context ends. The sender runs on.
-func (m *minder) run(ctx context.Context) {
-	m.takeUp(ctx)
+func (s *supervisor) run(ctx context.Context) {
+	s.recoverProcesses(ctx)
 	for {
-		m.look(ctx)
-		m.mind(ctx)
-		if !pause(ctx, lookSpan) {
+		s.poll(ctx)
+		s.carryOutDuty(ctx)
+		if !sleep(ctx, pollInterval) {
 			return
 		}
 	}
 }
 
-// takeUp finds the process that an agent before this one has left, or two where it was in the middle of a change.
-func (m *minder) takeUp(ctx context.Context) {
-	rec := m.record()
+// recoverProcesses finds the process that an agent before this one has left, or two where it was in the middle of a change.
+func (s *supervisor) recoverProcesses(ctx context.Context) {
+	rec := s.record()
 	if rec.Pid > 0 {
-		if k, err := adopt(rec.Pid, rec.Start); err == nil {
-			m.proc, m.began, m.answers = k, time.Now(), true
+		if p, err := adoptProcess(rec.Pid, rec.StartTime); err == nil {
+			s.process, s.processStartedAt, s.answered = p, time.Now(), true
 		}
 	}
-	if rec.Heir == nil {
+	if rec.Successor == nil {
 		return
 	}
-	m.busy = true
-	defer func() { m.busy = false }()
-	k, err := adopt(rec.Heir.Pid, rec.Heir.Start)
-	if err == nil && m.awaitHeir(ctx, k, 1-rec.Admin, time.Now().Add(readySpan)) == nil {
-		m.succeed(ctx, k, *rec.Heir, 1-rec.Admin)
+	s.changing = true
+	defer func() { s.changing = false }()
+	p, err := adoptProcess(rec.Successor.Pid, rec.Successor.StartTime)
+	if err == nil && s.awaitServing(ctx, p, 1-rec.Admin, time.Now().Add(readyTimeout)) == nil {
+		s.promote(ctx, p, *rec.Successor, 1-rec.Admin)
 		return
 	}
 	if err == nil {
-		k.kill()
+		p.kill()
 	}
-	if err := m.keep(func(r *record) { r.Heir = nil }); err != nil {
-		m.a.log.Error("record", "err", err)
+	if err := s.updateRecord(func(r *record) { r.Successor = nil }); err != nil {
+		s.agent.log.Error("record", "err", err)
 	}
 }
 
-// env is what a process of the sender is told.
-func (m *minder) env(v rollout.Version, address int) []string {
-	return []string{"LB_CONFIG=" + m.Config, "LB_ADMIN=" + m.Admin[address], "CLEATHOLD_RELEASE=" + v.Name}
+// processEnv is what a process of the sender is told.
+func (s *supervisor) processEnv(v rollout.Version, address int) []string {
+	return []string{"LB_CONFIG=" + s.Config, "LB_ADMIN=" + s.Admin[address], "CLEATHOLD_RELEASE=" + v.Name}
 }
 
-// begin starts the sender's process, unless somebody else has.
-func (m *minder) begin(ctx context.Context) {
-	rec := m.record()
-	if s, err := m.ask(ctx, rec.Admin); err == nil && s.Pid > 0 {
-		if k, err := adopt(s.Pid, ""); err == nil {
-			m.a.log.Warn("a process that this agent did not start runs the sender", "sender", m.Name, "pid", s.Pid)
-			m.took(k)
+// startProcess starts the sender's process, unless somebody else has.
+func (s *supervisor) startProcess(ctx context.Context) {
+	rec := s.record()
+	if status, err := s.pollStatus(ctx, rec.Admin); err == nil && status.Pid > 0 {
+		if p, err := adoptProcess(status.Pid, ""); err == nil {
+			s.agent.log.Warn("a process that this agent did not start runs the sender", "sender", s.Name, "pid", status.Pid)
+			s.setProcess(p)
 			return
 		}
 	}
-	m.pace.started(time.Now())
-	k, err := start(rec.Version.Program, m.env(rec.Version, rec.Admin), m.logPath())
+	s.backoff.started(time.Now())
+	p, err := launch(rec.Version.Program, s.processEnv(rec.Version, rec.Admin), s.logPath())
 	if err != nil {
-		m.a.log.Error("not started", "sender", m.Name, "err", err)
-		m.restart = m.pace.next(0, time.Now())
-		m.tell(rollout.Observation{Phase: err.Error()}, time.Now())
+		s.agent.log.Error("not started", "sender", s.Name, "err", err)
+		s.restartAt = s.backoff.nextStart(0, time.Now())
+		s.publish(rollout.Observation{Phase: err.Error()}, time.Now())
 		return
 	}
-	m.took(k)
+	s.setProcess(p)
 }
 
-func (m *minder) took(k *child) {
-	m.proc, m.began, m.answers = k, time.Now(), false
-	if err := m.keep(func(r *record) { r.Pid, r.Start = k.pid, k.start }); err != nil {
-		m.a.log.Error("record", "err", err)
+func (s *supervisor) setProcess(p *process) {
+	s.process, s.processStartedAt, s.answered = p, time.Now(), false
+	if err := s.updateRecord(func(r *record) { r.Pid, r.StartTime = p.pid, p.startTime }); err != nil {
+		s.agent.log.Error("record", "err", err)
 	}
 }
 
-// look asks the sender how it is, and tells.
-func (m *minder) look(ctx context.Context) {
-	if time.Since(m.trimmed) > time.Minute {
-		m.trimmed = time.Now()
-		trimLog(m.logPath())
+// poll asks the sender how it is, and tells.
+func (s *supervisor) poll(ctx context.Context) {
+	if time.Since(s.logTrimmedAt) > time.Minute {
+		s.logTrimmedAt = time.Now()
+		trimLog(s.logPath())
 	}
 	now := time.Now()
-	if !m.proc.runs() {
-		if m.proc != nil {
-			m.crashes++
-			m.restart = m.pace.next(now.Sub(m.began), now)
-			m.a.log.Warn("the sender's process has ended", "sender", m.Name, "how", m.proc.how, "again", m.restart.Sub(now).Round(time.Millisecond))
-			m.proc = nil
+	if !s.process.running() {
+		if s.process != nil {
+			s.crashes++
+			s.restartAt = s.backoff.nextStart(now.Sub(s.processStartedAt), now)
+			s.agent.log.Warn("the sender's process has ended", "sender", s.Name, "how", s.process.exitStatus, "again", s.restartAt.Sub(now).Round(time.Millisecond))
+			s.process = nil
 		}
-		if now.Before(m.restart) {
-			m.tell(rollout.Observation{Phase: "ended, to be started again"}, now)
+		if now.Before(s.restartAt) {
+			s.publish(rollout.Observation{Phase: "ended, to be started again"}, now)
 			return
 		}
-		m.begin(ctx)
+		s.startProcess(ctx)
 		return
 	}
-	s, err := m.ask(ctx, m.record().Admin)
+	status, err := s.pollStatus(ctx, s.record().Admin)
 	if err != nil {
-		if !m.answers && now.Sub(m.began) > startSpan {
-			m.a.log.Error("the sender neither answers nor ends: killed", "sender", m.Name, "err", err)
-			m.proc.kill()
+		if !s.answered && now.Sub(s.processStartedAt) > firstResponseTimeout {
+			s.agent.log.Error("the sender neither answers nor ends: killed", "sender", s.Name, "err", err)
+			s.process.kill()
 		}
-		m.tell(rollout.Observation{Phase: "no answer"}, time.Now())
+		s.publish(rollout.Observation{Phase: "no answer"}, time.Now())
 		return
 	}
-	m.answers, m.status = true, s
-	v := sightOf(s)
-	v.Version = m.running().Name
-	v.Serving = v.Serving && m.healthy(ctx) == nil
-	if s.Release != "" && s.Release != v.Version && m.running().Config == "" {
-		v.Version = s.Release // it was started by somebody else
+	s.answered, s.lastStatus = true, status
+	observed := observationOf(status)
+	observed.Version = s.version().Name
+	observed.Serving = observed.Serving && s.checkHealth(ctx) == nil
+	if status.Release != "" && status.Release != observed.Version && s.version().Config == "" {
+		observed.Version = status.Release // it was started by somebody else
 	}
-	m.tell(v, now)
+	s.publish(observed, now)
 }
 
-// tell enters a sight of the sender.
-func (m *minder) tell(v rollout.Observation, at time.Time) {
-	v.Sender, v.At = m.Name, at.UTC().Round(0)
-	v.Facts.Restarts = m.crashes
-	v.FaultEpoch, v.Fault = m.faultEpoch, m.fault
-	if m.busy {
-		v.Serving = false
+// publish enters a sight of the sender.
+func (s *supervisor) publish(observed rollout.Observation, at time.Time) {
+	observed.Sender, observed.At = s.Name, at.UTC().Round(0)
+	observed.Facts.Restarts = s.crashes
+	observed.FaultEpoch, observed.Fault = s.faultEpoch, s.fault
+	if s.changing {
+		observed.Serving = false
 	}
-	m.sight = v
-	m.a.fleet.saw(v)
+	s.observation = observed
+	s.agent.fleet.observe(observed)
 }
 
-// mind does what is agreed on for this sender.
-func (m *minder) mind(ctx context.Context) {
-	d := m.a.fleet.duty(m.sight, m.tried)
-	m.setAside(ctx, d)
-	g := d.grant
-	if g == nil || !m.proc.runs() {
+// carryOutDuty does what is agreed on for this sender.
+func (s *supervisor) carryOutDuty(ctx context.Context) {
+	assigned := s.agent.fleet.assignment(s.observation, s.lastTakenEpoch)
+	s.sendExclusions(ctx, assigned)
+	grant := assigned.grant
+	if grant == nil || !s.process.running() {
 		return
 	}
-	switch d.do {
+	switch assigned.duty {
 	case rollout.End:
-		m.end(ctx, g.Epoch)
+		s.endLease(ctx, grant.Epoch)
 	case rollout.Renew:
-		if leader, _ := m.a.contact(); leader != "" {
-			m.renew(ctx, g.Epoch, d.timing.Lease)
+		if leader, _ := s.agent.leadership(); leader != "" {
+			s.renewLease(ctx, grant.Epoch, assigned.timing.Lease)
 		}
 	case rollout.Fail:
-		m.failed(ctx, g, "its agent was started anew in the middle of the change")
+		s.failGrant(ctx, grant, "its agent was started anew in the middle of the change")
 	case rollout.Take:
-		if m.status.Phase == "serving" {
-			m.take(ctx, g, d.timing)
+		if s.lastStatus.Phase == "serving" {
+			s.takeGrant(ctx, grant, assigned.timing)
 		}
 	}
 }
 
-// setAside tells the sender which endpoints are out, again and again while any is: it forgets by itself.
-func (m *minder) setAside(ctx context.Context, d duty) {
-	leader, _ := m.a.contact()
-	same := d.aside == m.asideEpoch && m.sight.Process == m.asideProcess
-	if leader == "" || m.sight.Process == "" || same && (len(d.outs) == 0 || time.Since(m.asideAt) < d.timing.Lease/3) {
+// sendExclusions tells the sender which endpoints are out, again and again while any is: it forgets by itself.
+func (s *supervisor) sendExclusions(ctx context.Context, assigned assignment) {
+	leader, _ := s.agent.leadership()
+	current := assigned.exclusionEpoch == s.exclusionEpoch && s.observation.Process == s.exclusionProcess
+	if leader == "" || s.observation.Process == "" || current && (len(assigned.excluded) == 0 || time.Since(s.exclusionsSentAt) < assigned.timing.Lease/3) {
 		return
 	}
-	if d.aside == 0 && len(d.outs) == 0 {
+	if assigned.exclusionEpoch == 0 && len(assigned.excluded) == 0 {
 		return
 	}
-	q := url.Values{"epoch": {strconv.FormatUint(d.aside, 10)}, "until": {ms(time.Now().Add(d.timing.Lease))}, "id": d.outs}
-	if err := m.put(ctx, m.record().Admin, admin.ExclusionsPath, q); err != nil {
-		m.a.log.Warn("the sender was not told which endpoints are out", "sender", m.Name, "err", err)
+	query := url.Values{"epoch": {strconv.FormatUint(assigned.exclusionEpoch, 10)}, "until": {unixMillis(time.Now().Add(assigned.timing.Lease))}, "id": assigned.excluded}
+	if err := s.put(ctx, s.record().Admin, admin.ExclusionsPath, query); err != nil {
+		s.agent.log.Warn("the sender was not told which endpoints are out", "sender", s.Name, "err", err)
 		return
 	}
-	m.asideEpoch, m.asideProcess, m.asideAt = d.aside, m.sight.Process, time.Now()
+	s.exclusionEpoch, s.exclusionProcess, s.exclusionsSentAt = assigned.exclusionEpoch, s.observation.Process, time.Now()
 }
 
-// targets are the endpoints that the sender knows of.
-func (m *minder) targets(ctx context.Context) ([]rollout.Endpoint, error) {
-	text, err := m.get(ctx, http.MethodGet, m.Reach[m.record().Admin], admin.TargetsPath)
+// endpoints are the endpoints that the sender knows of.
+func (s *supervisor) endpoints(ctx context.Context) ([]rollout.Endpoint, error) {
+	text, err := s.call(ctx, http.MethodGet, s.Reach[s.record().Admin], admin.TargetsPath)
 	if err != nil {
 		return nil, err
 	}
@@ -302,270 +302,270 @@
 	return list, json.Unmarshal(text, &list)
 }
 
-// take takes a grant up: the sender is asked, and it decides.
-func (m *minder) take(ctx context.Context, g *rollout.Grant, t rollout.Timing) {
-	m.tried = g.Epoch
-	verb := admin.HoldPath
-	if g.Drain || m.Restart && m.program(g.To) {
-		verb = admin.DrainPath
+// takeGrant takes a grant up: the sender is asked, and it decides.
+func (s *supervisor) takeGrant(ctx context.Context, grant *rollout.Grant, timing rollout.Timing) {
+	s.lastTakenEpoch = grant.Epoch
+	path := admin.HoldPath
+	if grant.Drain || s.Restart && s.needsNewProcess(grant.To) {
+		path = admin.DrainPath
 	}
-	q := url.Values{"process": {g.Process}, "epoch": {strconv.FormatUint(g.Epoch, 10)}, "by": {ms(g.By)}, "until": {ms(g.Until)}}
-	if err := m.put(ctx, m.record().Admin, verb, q); err != nil {
-		m.a.log.Warn("a grant was not taken up", "sender", m.Name, "epoch", g.Epoch, "err", err)
-		if errors.Is(err, errNoAnswer) {
-			m.tried = 0 // it may not have come; the sender tells a repeat from a new one
+	query := url.Values{"process": {grant.Process}, "epoch": {strconv.FormatUint(grant.Epoch, 10)}, "by": {unixMillis(grant.By)}, "until": {unixMillis(grant.Until)}}
+	if err := s.put(ctx, s.record().Admin, path, query); err != nil {
+		s.agent.log.Warn("a grant was not taken up", "sender", s.Name, "epoch", grant.Epoch, "err", err)
+		if errors.Is(err, errNoResponse) {
+			s.lastTakenEpoch = 0 // it may not have come; the sender tells a repeat from a new one
 		}
 		return
 	}
-	m.a.log.Info("a grant is taken up", "sender", m.Name, "epoch", g.Epoch, "drain", g.Drain, "to", g.To.Name)
-	if g.Drain {
+	s.agent.log.Info("a grant is taken up", "sender", s.Name, "epoch", grant.Epoch, "drain", grant.Drain, "to", grant.To.Name)
+	if grant.Drain {
 		return
 	}
-	m.busy = true
-	err := m.change(ctx, g, t)
-	m.busy = false
+	s.changing = true
+	err := s.changeVersion(ctx, grant, timing)
+	s.changing = false
 	if ctx.Err() != nil {
 		return // whoever comes after this agent finds what it needs in the record
 	}
 	if err != nil {
-		m.a.log.Error("the sender was not changed", "sender", m.Name, "to", g.To.Name, "err", err)
-		m.failed(ctx, g, err.Error())
+		s.agent.log.Error("the sender was not changed", "sender", s.Name, "to", grant.To.Name, "err", err)
+		s.failGrant(ctx, grant, err.Error())
 		return
 	}
-	m.a.log.Info("the sender runs another version", "sender", m.Name, "version", g.To.Name)
-	m.end(ctx, g.Epoch)
+	s.agent.log.Info("the sender runs another version", "sender", s.Name, "version", grant.To.Name)
+	s.endLease(ctx, grant.Epoch)
 }
 
-// failed ends a grant that came to nothing.
-func (m *minder) failed(ctx context.Context, g *rollout.Grant, why string) {
-	m.fault, m.faultEpoch = why, g.Epoch
-	m.end(ctx, g.Epoch)
+// failGrant ends a grant that came to nothing.
+func (s *supervisor) failGrant(ctx context.Context, grant *rollout.Grant, reason string) {
+	s.fault, s.faultEpoch = reason, grant.Epoch
+	s.endLease(ctx, grant.Epoch)
 }
 
-func (m *minder) end(ctx context.Context, epoch uint64) {
-	if err := m.put(ctx, m.record().Admin, admin.ActivatePath, url.Values{"epoch": {strconv.FormatUint(epoch, 10)}}); err != nil {
-		m.a.log.Warn("a lease was not ended; it ends by itself", "sender", m.Name, "epoch", epoch, "err", err)
+func (s *supervisor) endLease(ctx context.Context, epoch uint64) {
+	if err := s.put(ctx, s.record().Admin, admin.ActivatePath, url.Values{"epoch": {strconv.FormatUint(epoch, 10)}}); err != nil {
+		s.agent.log.Warn("a lease was not ended; it ends by itself", "sender", s.Name, "epoch", epoch, "err", err)
 	}
 }
 
-func (m *minder) renew(ctx context.Context, epoch uint64, lease time.Duration) error {
-	return m.put(ctx, m.record().Admin, admin.RenewPath, url.Values{"epoch": {strconv.FormatUint(epoch, 10)}, "until": {ms(time.Now().Add(lease))}})
+func (s *supervisor) renewLease(ctx context.Context, epoch uint64, lease time.Duration) error {
+	return s.put(ctx, s.record().Admin, admin.RenewPath, url.Values{"epoch": {strconv.FormatUint(epoch, 10)}, "until": {unixMillis(time.Now().Add(lease))}})
 }
 
-// program tells whether a version needs another process.
-func (m *minder) program(to rollout.Version) bool {
-	return to.Program != "" && to.Program != m.running().Program
+// needsNewProcess tells whether a version needs another process.
+func (s *supervisor) needsNewProcess(to rollout.Version) bool {
+	return to.Program != "" && to.Program != s.version().Program
 }
 
-// during renews the lease while something is waited for, until it is so or can't be any more.
-func (m *minder) during(ctx context.Context, g *rollout.Grant, t rollout.Timing, until time.Time, so func() (bool, error)) error {
+// waitWithLease renews the lease while something is waited for, until it is so or can't be any more.
+func (s *supervisor) waitWithLease(ctx context.Context, grant *rollout.Grant, timing rollout.Timing, deadline time.Time, reached func() (bool, error)) error {
 	renewed := time.Now()
 	for {
-		if yes, err := so(); yes || err != nil {
+		if done, err := reached(); done || err != nil {
 			return err
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return errors.New("not in time")
 		}
-		if time.Since(renewed) > t.Lease/3 {
+		if time.Since(renewed) > timing.Lease/3 {
 			renewed = time.Now()
-			m.renew(ctx, g.Epoch, t.Lease) // one that fails ends the lease, and no change by itself
+			s.renewLease(ctx, grant.Epoch, timing.Lease) // one that fails ends the lease, and no change by itself
 		}
-		if !pause(ctx, changeTick) {
+		if !sleep(ctx, changePollInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// change has the sender run another version. After an error it runs the one that it ran.
-func (m *minder) change(ctx context.Context, g *rollout.Grant, t rollout.Timing) error {
-	old := m.running()
-	to := g.To
+// changeVersion has the sender run another version. After an error it runs the one that it ran.
+func (s *supervisor) changeVersion(ctx context.Context, grant *rollout.Grant, timing rollout.Timing) error {
+	old := s.version()
+	to := grant.To
 	if to.Program == "" {
 		to.Program = old.Program
 	}
-	back := func() error { return nil }
+	restore := func() error { return nil }
 	if to.Config != "" {
 		var err error
-		if back, err = m.replaceConfig(to.Config); err != nil {
+		if restore, err = s.replaceConfig(to.Config); err != nil {
 			return err
 		}
 	}
 	var err error
 	switch {
-	case to.Program != old.Program && m.Restart:
-		err = m.changeByRestart(ctx, g, t, to)
+	case to.Program != old.Program && s.Restart:
+		err = s.changeByRestart(ctx, grant, timing, to)
 	case to.Program != old.Program:
-		err = m.changeByHeir(ctx, g, t, to)
+		err = s.changeByHandover(ctx, grant, timing, to)
 	default:
-		err = m.changeConfig(ctx, g, t, to)
+		err = s.reloadConfig(ctx, grant, timing, to)
 	}
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
-	if undo := back(); undo != nil {
-		return fmt.Errorf("%w; and the configuration before it is not back: %w", err, undo)
+	if restoreErr := restore(); restoreErr != nil {
+		return fmt.Errorf("%w; and the configuration before it is not back: %w", err, restoreErr)
 	}
-	if to.Config != "" && to.Program == old.Program && m.proc.runs() {
-		m.proc.signal(syscall.SIGHUP)
+	if to.Config != "" && to.Program == old.Program && s.process.running() {
+		s.process.signal(syscall.SIGHUP)
 	}
 	return err
 }
 
 // replaceConfig puts the sender's file of a release in place, and returns the way back.
-func (m *minder) replaceConfig(folder string) (back func() error, err error) {
-	text, err := os.ReadFile(filepath.Join(folder, m.Name+".json"))
+func (s *supervisor) replaceConfig(folder string) (restore func() error, err error) {
+	text, err := os.ReadFile(filepath.Join(folder, s.Name+".json"))
 	if err != nil {
 		return nil, fmt.Errorf("the release has no configuration for it: %w", err)
 	}
-	old, err := os.ReadFile(m.Config)
+	old, err := os.ReadFile(s.Config)
 	if err != nil {
 		return nil, err
 	}
-	put := func(text []byte) error {
-		if err := os.WriteFile(m.Config+".new", text, 0o600); err != nil {
+	write := func(text []byte) error {
+		if err := os.WriteFile(s.Config+".new", text, 0o600); err != nil {
 			return err
 		}
-		return os.Rename(m.Config+".new", m.Config)
+		return os.Rename(s.Config+".new", s.Config)
 	}
-	if err := put(text); err != nil {
+	if err := write(text); err != nil {
 		return nil, err
 	}
-	return func() error { return put(old) }, nil
+	return func() error { return write(old) }, nil
 }
 
-// changeConfig has the process read its file again.
-func (m *minder) changeConfig(ctx context.Context, g *rollout.Grant, t rollout.Timing, to rollout.Version) error {
-	text, err := os.ReadFile(m.Config)
+// reloadConfig has the process read its file again.
+func (s *supervisor) reloadConfig(ctx context.Context, grant *rollout.Grant, timing rollout.Timing, to rollout.Version) error {
+	text, err := os.ReadFile(s.Config)
 	if err != nil {
 		return err
 	}
-	want := admin.Digest(string(text))
-	m.proc.signal(syscall.SIGHUP)
-	err = m.during(ctx, g, t, time.Now().Add(tuneSpan), func() (bool, error) {
-		if !m.proc.runs() {
+	wanted := admin.Digest(string(text))
+	s.process.signal(syscall.SIGHUP)
+	err = s.waitWithLease(ctx, grant, timing, time.Now().Add(reloadTimeout), func() (bool, error) {
+		if !s.process.running() {
 			return false, errors.New("the process ended")
 		}
-		s, err := m.ask(ctx, m.record().Admin)
-		return err == nil && s.Config == want, nil
+		status, err := s.pollStatus(ctx, s.record().Admin)
+		return err == nil && status.Config == wanted, nil
 	})
 	if err != nil {
 		return fmt.Errorf("the new configuration is not in force, its log says why: %w", err)
 	}
-	return m.keep(func(r *record) { r.Version = to })
+	return s.updateRecord(func(r *record) { r.Version = to })
 }
 
-// changeByHeir starts the new process beside the old one, which gives way to it.
-func (m *minder) changeByHeir(ctx context.Context, g *rollout.Grant, t rollout.Timing, to rollout.Version) error {
-	address := 1 - m.record().Admin
-	k, err := start(to.Program, m.env(to, address), m.logPath())
+// changeByHandover starts the new process beside the old one, which gives way to it.
+func (s *supervisor) changeByHandover(ctx context.Context, grant *rollout.Grant, timing rollout.Timing, to rollout.Version) error {
+	address := 1 - s.record().Admin
+	p, err := launch(to.Program, s.processEnv(to, address), s.logPath())
 	if err != nil {
 		return err
 	}
-	h := heir{to, k.pid, k.start}
-	if err := m.keep(func(r *record) { r.Heir = &h }); err != nil {
-		k.kill()
+	next := successor{to, p.pid, p.startTime}
+	if err := s.updateRecord(func(r *record) { r.Successor = &next }); err != nil {
+		p.kill()
 		return err
 	}
-	err = m.during(ctx, g, t, time.Now().Add(readySpan), func() (bool, error) {
-		if !k.runs() {
-			return false, fmt.Errorf("the new process ended before it served: %s: %s", k.how, tail(m.logPath()))
+	err = s.waitWithLease(ctx, grant, timing, time.Now().Add(readyTimeout), func() (bool, error) {
+		if !p.running() {
+			return false, fmt.Errorf("the new process ended before it served: %s: %s", p.exitStatus, logTail(s.logPath()))
 		}
-		return m.serves(ctx, k, address), nil
+		return s.servesAt(ctx, p, address), nil
 	})
 	if ctx.Err() != nil {
 		return err
 	}
 	if err == nil {
-		m.succeed(ctx, k, h, address)
+		s.promote(ctx, p, next, address)
 		return nil
 	}
-	k.kill()
-	if forget := m.keep(func(r *record) { r.Heir = nil }); forget != nil {
-		m.a.log.Error("record", "err", forget)
+	p.kill()
+	if forgetErr := s.updateRecord(func(r *record) { r.Successor = nil }); forgetErr != nil {
+		s.agent.log.Error("record", "err", forgetErr)
 	}
 	return err
 }
 
-// serves tells whether a process serves at a second address.
-func (m *minder) serves(ctx context.Context, k *child, address int) bool {
-	s, err := m.ask(ctx, address)
-	return err == nil && s.Pid == k.pid && (s.Phase == "serving" || s.Phase == "drained")
+// servesAt tells whether a process serves at a second address.
+func (s *supervisor) servesAt(ctx context.Context, p *process, address int) bool {
+	status, err := s.pollStatus(ctx, address)
+	return err == nil && status.Pid == p.pid && (status.Phase == "serving" || status.Phase == "drained")
 }
 
-// awaitHeir waits for a process that an agent before this one started.
-func (m *minder) awaitHeir(ctx context.Context, k *child, address int, until time.Time) error {
-	for time.Now().Before(until) && k.runs() {
-		if m.serves(ctx, k, address) {
+// awaitServing waits for a process that an agent before this one started.
+func (s *supervisor) awaitServing(ctx context.Context, p *process, address int, deadline time.Time) error {
+	for time.Now().Before(deadline) && p.running() {
+		if s.servesAt(ctx, p, address) {
 			return nil
 		}
-		if !pause(ctx, changeTick) {
+		if !sleep(ctx, changePollInterval) {
 			return ctx.Err()
 		}
 	}
 	return errors.New("it never served")
 }
 
-// succeed makes the new process the sender's, and sees the old one off.
-func (m *minder) succeed(ctx context.Context, k *child, h heir, address int) {
-	old := m.proc
-	m.proc, m.began, m.answers = k, time.Now(), true
-	err := m.keep(func(r *record) {
-		r.Version, r.Admin, r.Pid, r.Start, r.Heir = h.Version, address, k.pid, k.start, nil
+// promote makes the new process the sender's, and sees the old one off.
+func (s *supervisor) promote(ctx context.Context, p *process, next successor, address int) {
+	old := s.process
+	s.process, s.processStartedAt, s.answered = p, time.Now(), true
+	err := s.updateRecord(func(r *record) {
+		r.Version, r.Admin, r.Pid, r.StartTime, r.Successor = next.Version, address, p.pid, p.startTime, nil
 	})
 	if err != nil {
-		m.a.log.Error("record", "err", err)
+		s.agent.log.Error("record", "err", err)
 	}
-	if old.runs() {
+	if old.running() {
 		old.stop() // it may have ended by itself
 	}
 }
 
 // changeByRestart waits until the drained process owes nothing, ends it and starts the new one. If that does not come
 // to serve the old one is started again.
-func (m *minder) changeByRestart(ctx context.Context, g *rollout.Grant, t rollout.Timing, to rollout.Version) error {
-	m.during(ctx, g, t, time.Now().Add(emptySpan), func() (bool, error) { // what it still owes the next one takes up
-		s, err := m.ask(ctx, m.record().Admin)
-		return err != nil || s.Counts.Open == 0, nil
+func (s *supervisor) changeByRestart(ctx context.Context, grant *rollout.Grant, timing rollout.Timing, to rollout.Version) error {
+	s.waitWithLease(ctx, grant, timing, time.Now().Add(settleTimeout), func() (bool, error) { // what it still owes the next one takes up
+		status, err := s.pollStatus(ctx, s.record().Admin)
+		return err != nil || status.Counts.Open == 0, nil
 	})
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	old := m.running()
-	err := m.replace(ctx, to)
+	old := s.version()
+	err := s.replaceProcess(ctx, to)
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
-	if again := m.replace(ctx, old); again != nil {
-		return fmt.Errorf("%w; and %s was not started again: %w", err, old.Name, again)
+	if restartErr := s.replaceProcess(ctx, old); restartErr != nil {
+		return fmt.Errorf("%w; and %s was not started again: %w", err, old.Name, restartErr)
 	}
 	return err
 }
 
-// replace ends the process and has another version in its place.
-func (m *minder) replace(ctx context.Context, v rollout.Version) error {
-	if m.proc.runs() {
-		m.proc.stop()
+// replaceProcess ends the process and has another version in its place.
+func (s *supervisor) replaceProcess(ctx context.Context, v rollout.Version) error {
+	if s.process.running() {
+		s.process.stop()
 	}
-	address := m.record().Admin
-	k, err := start(v.Program, m.env(v, address), m.logPath())
+	address := s.record().Admin
+	p, err := launch(v.Program, s.processEnv(v, address), s.logPath())
 	if err != nil {
-		m.proc = nil
+		s.process = nil
 		return err
 	}
-	m.took(k)
-	if err := m.awaitHeir(ctx, k, address, time.Now().Add(readySpan)); err != nil {
-		if !k.runs() {
-			return fmt.Errorf("%w: %s: %s", err, k.how, tail(m.logPath()))
+	s.setProcess(p)
+	if err := s.awaitServing(ctx, p, address, time.Now().Add(readyTimeout)); err != nil {
+		if !p.running() {
+			return fmt.Errorf("%w: %s: %s", err, p.exitStatus, logTail(s.logPath()))
 		}
 		return err
 	}
-	m.answers = true
-	return m.keep(func(r *record) { r.Version = v })
+	s.answered = true
+	return s.updateRecord(func(r *record) { r.Version = v })
 }
 
-// tail is the end of a log.
-func tail(path string) string {
+// logTail is the end of a log.
+func logTail(path string) string {
 	const most = 300
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -574,43 +574,43 @@
 	return string(text[max(0, len(text)-most):])
 }
 
-// errNoAnswer tells that a sender may or may not have had a call.
-var errNoAnswer = errors.New("no answer")
+// errNoResponse tells that a sender may or may not have had a call.
+var errNoResponse = errors.New("no answer")
 
 // put makes one call of the second address.
-func (m *minder) put(ctx context.Context, address int, path string, q url.Values) error {
-	_, err := m.get(ctx, http.MethodPut, m.Reach[address], path+"?"+q.Encode())
+func (s *supervisor) put(ctx context.Context, address int, path string, query url.Values) error {
+	_, err := s.call(ctx, http.MethodPut, s.Reach[address], path+"?"+query.Encode())
 	return err
 }
 
-// ask asks the process at a second address how it is.
-func (m *minder) ask(ctx context.Context, address int) (s admin.Status, err error) {
-	text, err := m.get(ctx, http.MethodGet, m.Reach[address], admin.StatusPath)
+// pollStatus asks the process at a second address how it is.
+func (s *supervisor) pollStatus(ctx context.Context, address int) (status admin.Status, err error) {
+	text, err := s.call(ctx, http.MethodGet, s.Reach[address], admin.StatusPath)
 	if err == nil {
-		err = json.Unmarshal(text, &s)
+		err = json.Unmarshal(text, &status)
 	}
-	return s, err
+	return status, err
 }
 
-// healthy asks at the clients' address, as clients' front does.
-func (m *minder) healthy(ctx context.Context) error {
-	text, err := os.ReadFile(m.Config)
+// checkHealth asks at the clients' address, as clients' front does.
+func (s *supervisor) checkHealth(ctx context.Context) error {
+	text, err := os.ReadFile(s.Config)
 	if err != nil {
 		return err
 	}
-	_, err = m.get(ctx, http.MethodGet, gjson.GetBytes(text, "listen").String(), "/_health")
+	_, err = s.call(ctx, http.MethodGet, gjson.GetBytes(text, "listen").String(), "/_health")
 	return err
 }
 
-func (m *minder) get(ctx context.Context, method, addr, path string) ([]byte, error) {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(callSpan))
+func (s *supervisor) call(ctx context.Context, method, addr, path string) ([]byte, error) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(callTimeout))
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
 		return nil, err
 	}
-	text, err := fetch(m.http, r)
-	m.a.spent.looks.Add(1)
-	m.a.spent.lookBytes.Add(int64(len(text)))
+	text, err := fetch(s.http, request)
+	s.agent.traffic.polls.Add(1)
+	s.agent.traffic.polledBytes.Add(int64(len(text)))
 	return text, err
 }
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -13,60 +13,60 @@
 	"golang.org/x/sys/unix"
 )
 
-// child is a process of a sender. It may have been started by an agent before this one, or by somebody else: it is
+// process is a process of a sender. It may have been started by an agent before this one, or by somebody else: it is
 // not its parent who watches it, but whoever holds its descriptor.
-type child struct {
-	pid   int
-	start string // by the kernel's count, so that another process of that number is told from it
-	ended chan struct{}
-	how   string // once it has ended; empty where its parent was another
+type process struct {
+	pid        int
+	startTime  string // by the kernel's count, so that another process of that number is told from it
+	ended      chan struct{}
+	exitStatus string // once it has ended; empty where its parent was another
 }
 
-// start runs a program. It outlasts the agent.
-func start(program string, env []string, log string) (*child, error) {
+// launch runs a program. It outlasts the agent.
+func launch(program string, env []string, log string) (*process, error) {
 	out, err := openLog(log)
 	if err != nil {
 		return nil, err
 	}
 	defer out.Close()
-	c := exec.Command(program, "serve")
-	c.Env = append(os.Environ(), env...)
-	c.Stdout, c.Stderr = out, out
+	command := exec.Command(program, "serve")
+	command.Env = append(os.Environ(), env...)
+	command.Stdout, command.Stderr = out, out
 	// Ctrl-C at the agent's terminal is not for its senders.
-	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if err := c.Start(); err != nil {
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	if err := command.Start(); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
-	k := &child{pid: c.Process.Pid, ended: make(chan struct{})}
-	k.start, _ = startOf(k.pid)
+	p := &process{pid: command.Process.Pid, ended: make(chan struct{})}
+	p.startTime, _ = processStartTime(p.pid)
 	go func() {
-		defer close(k.ended)
-		if err := c.Wait(); err != nil {
-			k.how = err.Error()
+		defer close(p.ended)
+		if err := command.Wait(); err != nil {
+			p.exitStatus = err.Error()
 		} else {
-			k.how = "exit status 0"
+			p.exitStatus = "exit status 0"
 		}
 	}()
-	return k, nil
+	return p, nil
 }
 
-// errGone tells that a process is no more.
-var errGone = errors.New("agent: no such process")
+// errProcessGone tells that a process is no more.
+var errProcessGone = errors.New("agent: no such process")
 
-// adopt watches a process that somebody else has started. Where a start is given it must be the one that it had.
-func adopt(pid int, began string) (*child, error) {
+// adoptProcess watches a process that somebody else has started. Where a start is given it must be the one that it had.
+func adoptProcess(pid int, startTime string) (*process, error) {
 	fd, err := unix.PidfdOpen(pid, 0)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %d: %w", errGone, pid, err)
+		return nil, fmt.Errorf("%w: %d: %w", errProcessGone, pid, err)
 	}
-	now, err := startOf(pid)
-	if err != nil || began != "" && now != began {
+	now, err := processStartTime(pid)
+	if err != nil || startTime != "" && now != startTime {
 		unix.Close(fd)
-		return nil, errGone
+		return nil, errProcessGone
 	}
-	k := &child{pid: pid, start: now, ended: make(chan struct{})}
+	p := &process{pid: pid, startTime: now, ended: make(chan struct{})}
 	go func() {
-		defer close(k.ended)
+		defer close(p.ended)
 		defer unix.Close(fd)
 		for {
 			n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, -1)
@@ -75,29 +75,29 @@
 			}
 		}
 	}()
-	return k, nil
+	return p, nil
 }
 
-// startOf is when a process began, as the kernel counts.
-func startOf(pid int) (string, error) {
+// processStartTime is when a process began, as the kernel counts.
+func processStartTime(pid int) (string, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return "", errGone
+		return "", errProcessGone
 	}
 	_, rest, ok := strings.Cut(string(text), ") ") // the name before may hold anything
 	fields := strings.Fields(rest)
 	if !ok || len(fields) < 20 || fields[0] == "Z" {
-		return "", errGone
+		return "", errProcessGone
 	}
 	return fields[19], nil
 }
 
-func (k *child) runs() bool {
-	if k == nil {
+func (p *process) running() bool {
+	if p == nil {
 		return false
 	}
 	select {
-	case <-k.ended:
+	case <-p.ended:
 		return false
 	default:
 		return true
@@ -105,39 +105,39 @@
 }
 
 // signal sends one, if the process runs.
-func (k *child) signal(s syscall.Signal) {
-	if k.runs() {
-		if now, err := startOf(k.pid); err == nil && (k.start == "" || now == k.start) {
-			unix.Kill(k.pid, s)
+func (p *process) signal(s syscall.Signal) {
+	if p.running() {
+		if now, err := processStartTime(p.pid); err == nil && (p.startTime == "" || now == p.startTime) {
+			unix.Kill(p.pid, s)
 		}
 	}
 }
 
 // A sender is given this long from SIGTERM to its end; then it is killed (PROTOCOL).
-const stopSpan = 3700 * time.Millisecond
+const stopTimeout = 3700 * time.Millisecond
 
 // stop ends it in order, or at once where that takes too long.
-func (k *child) stop() {
-	k.signal(syscall.SIGTERM)
-	t := time.NewTimer(stopSpan)
-	defer t.Stop()
+func (p *process) stop() {
+	p.signal(syscall.SIGTERM)
+	timer := time.NewTimer(stopTimeout)
+	defer timer.Stop()
 	select {
-	case <-k.ended:
-	case <-t.C:
-		k.kill()
+	case <-p.ended:
+	case <-timer.C:
+		p.kill()
 	}
 }
 
-func (k *child) kill() {
-	k.signal(syscall.SIGKILL)
-	<-k.ended
+func (p *process) kill() {
+	p.signal(syscall.SIGKILL)
+	<-p.ended
 }
 
-const logMost = 16 << 20 // bytes of a sender's log, and of the one before it
+const maxLogSize = 16 << 20 // bytes of a sender's log, and of the one before it
 
 // openLog opens a sender's log for more. One that has grown too long becomes the one before it.
 func openLog(path string) (*os.File, error) {
-	if info, err := os.Stat(path); err == nil && info.Size() > logMost {
+	if info, err := os.Stat(path); err == nil && info.Size() > maxLogSize {
 		os.Rename(path, path+".1")
 	}
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
@@ -151,45 +151,45 @@
 // the process goes on writing at the end of the same file.
 func trimLog(path string) {
 	info, err := os.Stat(path)
-	if err != nil || info.Size() <= logMost {
+	if err != nil || info.Size() <= maxLogSize {
 		return
 	}
 	text, err := os.ReadFile(path)
-	if err == nil && os.WriteFile(path+".1", text[max(0, len(text)-logMost):], 0o600) == nil {
+	if err == nil && os.WriteFile(path+".1", text[max(0, len(text)-maxLogSize):], 0o600) == nil {
 		os.Truncate(path, 0)
 	}
 }
 
-// A pace bounds restarts: so many within a span, each after a pause that doubles, until one has run for a while.
-type pace struct {
+// A restartBackoff bounds restarts: so many within a span, each after a pause that doubles, until one has run for a while.
+type restartBackoff struct {
 	starts []time.Time
-	pause  time.Duration
+	delay  time.Duration
 }
 
 const (
-	firstPause = 600 * time.Millisecond // the platform's
-	pauseMost  = 15 * time.Second
-	startsMost = 6
-	startsSpan = time.Minute
+	minRestartDelay = 600 * time.Millisecond // the platform's
+	maxRestartDelay = 15 * time.Second
+	maxStarts       = 6
+	startWindow     = time.Minute
 )
 
-// next is when a process that has ended after so long may be started again.
-func (p *pace) next(ran time.Duration, now time.Time) time.Time {
-	p.pause = min(max(2*p.pause, firstPause), pauseMost)
-	if ran > startsSpan {
-		p.pause = firstPause
+// nextStart is when a process that has ended after so long may be started again.
+func (b *restartBackoff) nextStart(ran time.Duration, now time.Time) time.Time {
+	b.delay = min(max(2*b.delay, minRestartDelay), maxRestartDelay)
+	if ran > startWindow {
+		b.delay = minRestartDelay
 	}
-	at := now.Add(p.pause)
-	for len(p.starts) > 0 && now.Sub(p.starts[0]) > startsSpan {
-		p.starts = p.starts[1:]
+	at := now.Add(b.delay)
+	for len(b.starts) > 0 && now.Sub(b.starts[0]) > startWindow {
+		b.starts = b.starts[1:]
 	}
-	if len(p.starts) >= startsMost {
-		at = latest(at, p.starts[0].Add(startsSpan))
+	if len(b.starts) >= maxStarts {
+		at = latest(at, b.starts[0].Add(startWindow))
 	}
 	return at
 }
 
-func (p *pace) started(now time.Time) { p.starts = append(p.starts, now) }
+func (b *restartBackoff) started(now time.Time) { b.starts = append(b.starts, now) }
 
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
@@ -198,5 +198,5 @@
 	return b
 }
 
-// ms is a time as orders have it.
-func ms(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
+// unixMillis is a time as orders have it.
+func unixMillis(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
