--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -133,39 +133,6 @@
 	<-p.ended
 }
 
-const maxLogSize = 16 << 20 // bytes of a sender's log, and of the one before it
-
-// openLog opens a sender's log for more. One that has grown too long becomes the one before it.
-func openLog(path string) (*os.File, error) {
-	if info, err := os.Stat(path); err == nil && info.Size() > maxLogSize {
-		os.Rename(path, path+".1")
-	}
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
-	if err != nil {
-		return nil, fmt.Errorf("agent: %w", err)
-	}
-	return f, nil
-}
-
-// trimLog keeps the log of a process that runs within its bound: what is there becomes the one before, by copy, as
-// the process goes on writing at the end of the same file.
-func trimLog(path string) {
-	info, err := os.Stat(path)
-	if err != nil || info.Size() <= maxLogSize {
-		return
-	}
-	text, err := os.ReadFile(path)
-	if err == nil && os.WriteFile(path+".1", text[max(0, len(text)-maxLogSize):], 0o600) == nil {
-		os.Truncate(path, 0)
-	}
-}
-
-// A restartBackoff bounds restarts: so many within a span, each after a pause that doubles, until one has run for a while.
-type restartBackoff struct {
-	starts []time.Time
-	delay  time.Duration
-}
-
 const (
 	minRestartDelay = 600 * time.Millisecond // the platform's
 	maxRestartDelay = 15 * time.Second
@@ -173,30 +140,5 @@
 	startWindow     = time.Minute
 )
 
-// nextStart is when a process that has ended after so long may be started again.
-func (b *restartBackoff) nextStart(ran time.Duration, now time.Time) time.Time {
-	b.delay = min(max(2*b.delay, minRestartDelay), maxRestartDelay)
-	if ran > startWindow {
-		b.delay = minRestartDelay
-	}
-	at := now.Add(b.delay)
-	for len(b.starts) > 0 && now.Sub(b.starts[0]) > startWindow {
-		b.starts = b.starts[1:]
-	}
-	if len(b.starts) >= maxStarts {
-		at = latest(at, b.starts[0].Add(startWindow))
-	}
-	return at
-}
-
-func (b *restartBackoff) started(now time.Time) { b.starts = append(b.starts, now) }
-
-func latest(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
 // unixMillis is a time as orders have it.
 func unixMillis(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
