--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,10 @@
-// Package agent is the program that runs beside the senders of a machine: it starts and watches them, restarts those
-// that crash, and has them drain and change as the agents have agreed (internal/rollout, internal/quorum). What
-// it may do to a sender it is told by grants alone, which the sender checks by itself (internal/lease).
+// Package agent runs beside the senders of one machine. It starts and supervises their processes, restarts those that
+// crash, and drains them and changes their versions as the agents of the fleet have agreed.
+//
+// The package owns the processes, the log files and the records of its senders, the agent's HTTP API, and the loops
+// that replicate and lead the fleet's rollouts. It decides none of them: internal/rollout holds the decisions, and
+// internal/quorum the replicated log. An agent orders nothing of a sender on its own account: it passes on grants,
+// and the sender itself checks whether a grant is still in force (internal/lease).
 package agent
 
 import (
@@ -8,28 +12,23 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"maps"
 	"net/http"
 	"os"
-	"path/filepath"
-	"slices"
 	"sync"
 	"time"
 
 	"cleathold/internal/quorum"
-	"cleathold/internal/store"
 )
 
-// Times of an agent.
 const (
-	pollInterval   = 200 * time.Millisecond // between two looks at a sender, and between two tellings of them
-	leaderInterval = 50 * time.Millisecond  // between two looks of the leader at what comes next
-	callTimeout    = time.Second            // a call to a sender or an agent may take so long
-	commandTimeout = 5 * time.Second        // a command is in the log within this, or its fate is not known
-	reopenDelay    = time.Second            // after the folder failed
+	pollInterval   = 200 * time.Millisecond // between two polls of a sender, and between two reports to the leader
+	leaderInterval = 50 * time.Millisecond  // between two looks of the leader for commands to propose
+	callTimeout    = time.Second            // of a call to a sender or to another agent
+	commandTimeout = 5 * time.Second        // a proposal that is not applied within this has an unknown outcome
+	reopenDelay    = time.Second            // before the quorum's folder is opened again after a failure
 )
 
-// Agent is one of them.
+// Agent supervises the senders of one machine and takes part in the fleet's quorum.
 type Agent struct {
 	cfg         Config
 	log         *slog.Logger
@@ -39,22 +38,18 @@
 	traffic     trafficCounters
 
 	mu      sync.Mutex
-	node    *quorum.Node // nil while its folder can't be used
-	nodeErr error        // then
+	node    *quorum.Node // nil while the quorum's folder can't be used
+	nodeErr error        // why node is nil
 }
 
-// endpointListWindow is how long what an agent told of endpoints holds.
-const endpointListWindow = 10 * time.Second
-
-const maxAgents = 64
-
-// New makes an agent. Nothing runs yet.
+// New returns an agent for a configuration. It makes the agent's folder and reads the records of its senders; nothing
+// runs before Run.
 func New(cfg Config) (*Agent, error) {
 	if err := os.MkdirAll(cfg.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
 	a := &Agent{
-		cfg: cfg, log: cfg.Log, fleet: newFleetState(cfg.Name), nodeErr: errors.New("starting"),
+		cfg: cfg, log: cfg.Log, fleet: newFleetState(), nodeErr: errors.New("starting"),
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Second}},
 	}
 	for _, sender := range cfg.Senders {
@@ -67,18 +62,8 @@
 	return a, nil
 }
 
-func quorumFolder(folder string) store.Dir { return store.Dir(filepath.Join(folder, "log")) }
-
-// Bootstrap makes the folder of one of the first agents.
-func Bootstrap(cfg Config) error {
-	folder := quorumFolder(cfg.Folder)
-	if err := os.MkdirAll(string(folder), 0o700); err != nil {
-		return fmt.Errorf("agent: %w", err)
-	}
-	return quorum.Bootstrap(folder, cfg.Name, slices.Sorted(maps.Keys(cfg.Peers)))
-}
-
-// Run runs until the context ends. The senders run on.
+// Run serves the agent's address and runs its loops until the context ends or the quorum's folder can't be made. The
+// senders' processes go on without it.
 func (a *Agent) Run(ctx context.Context) error {
 	server, err := a.listen()
 	if err != nil {
@@ -92,14 +77,14 @@
 	}
 	wg.Go(func() { a.runReports(ctx) })
 	wg.Go(func() { a.runLeader(ctx) })
-	wg.Go(func() { a.observeRemoteSenders(ctx) })
-	a.log.Info("agent runs", "name", a.cfg.Name, "listen", a.cfg.Listen, "senders", len(a.supervisors))
+	wg.Go(func() { newRemoteObserver(a).run(ctx) })
+	a.log.Info("agent started", "agent", a.cfg.Name, "listen", a.cfg.Listen, "senders", len(a.supervisors))
 	err = a.runQuorum(ctx)
 	wg.Wait()
 	return err
 }
 
-// sleep waits for a span; false at the end of the context.
+// sleep waits for d. It reports false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/agent/backoff.go
+++ b/internal/agent/backoff.go
@@ -2,13 +2,22 @@
 
 import "time"
 
-// A restartBackoff bounds restarts: so many within a span, each after a pause that doubles, until one has run for a while.
+// The delays match those with which the platform restarts a process.
+const (
+	minRestartDelay = 600 * time.Millisecond
+	maxRestartDelay = 15 * time.Second
+	maxStarts       = 6 // within startWindow
+	startWindow     = time.Minute
+)
+
+// restartBackoff bounds the restarts of a process. The delay doubles with each restart, until a process has run for
+// longer than startWindow; and there are at most maxStarts within startWindow. The zero value is ready.
 type restartBackoff struct {
 	starts []time.Time
 	delay  time.Duration
 }
 
-// nextStart is when a process that has ended after so long may be started again.
+// nextStart returns the time of the next start, for a process that has ended after it ran for so long.
 func (b *restartBackoff) nextStart(ran time.Duration, now time.Time) time.Time {
 	b.delay = min(max(2*b.delay, minRestartDelay), maxRestartDelay)
 	if ran > startWindow {
@@ -19,16 +28,12 @@
 		b.starts = b.starts[1:]
 	}
 	if len(b.starts) >= maxStarts {
-		at = latest(at, b.starts[0].Add(startWindow))
+		if free := b.starts[0].Add(startWindow); free.After(at) {
+			at = free
+		}
 	}
 	return at
 }
 
+// started counts a start.
 func (b *restartBackoff) started(now time.Time) { b.starts = append(b.starts, now) }
-
-func latest(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"maps"
@@ -11,23 +12,48 @@
 	"time"
 )
 
-// call makes one call to another agent.
+const maxResponseSize = 4 * maxBodySize // bytes
+
+// errNoResponse says that a call may or may not have arrived.
+var errNoResponse = errors.New("no answer")
+
+// FetchView returns the state of the fleet from the agent at addr (host:port): the leader's view, if that agent
+// reaches the leader.
+func FetchView(ctx context.Context, addr string) (v View, err error) {
+	err = sendJSON(ctx, http.DefaultClient, addr, viewPath, nil, &v, nil)
+	return v, err
+}
+
+// FetchOwnView returns the state of the fleet as the agent at addr (host:port) knows it without the leader.
+func FetchOwnView(ctx context.Context, addr string) (v View, err error) {
+	err = sendJSON(ctx, http.DefaultClient, addr, viewPath+"?own=1", nil, &v, nil)
+	return v, err
+}
+
+// SendCommand has the agent at addr (host:port) execute a command. After an error there is no usable response, and
+// what became of the command is not known. A rejection is no error: it is in the Result.
+func SendCommand(ctx context.Context, addr string, call Call) (result Result, err error) {
+	err = sendJSON(ctx, http.DefaultClient, addr, commandPath, call, &result, nil)
+	return result, err
+}
+
+// call makes a call to another agent, within callTimeout.
 func (a *Agent) call(ctx context.Context, addr, path string, body, into any) error {
-	span := callTimeout
-	if path == commandPath {
-		span = serverTimeout
-	}
-	return a.callUntil(ctx, addr, path, body, into, time.Now().Add(span))
+	return a.callWithin(ctx, callTimeout, addr, path, body, into)
 }
 
-func (a *Agent) callUntil(ctx context.Context, addr, path string, body, into any, deadline time.Time) error {
-	ctx, cancel := context.WithDeadline(ctx, deadline)
+// callWithin makes a call to another agent, which is not to forward it.
+func (a *Agent) callWithin(ctx context.Context, timeout time.Duration, addr, path string, body, into any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return sendJSON(ctx, a.http, addr, path, body, into, http.Header{forwardedHeader: {a.cfg.Name}})
 }
 
-// sendJSON makes one call to an agent: a question without a body, else an order.
-func sendJSON(ctx context.Context, client *http.Client, addr, path string, body, into any, header http.Header) error {
+// sendJSON makes a call to an agent: a GET without a body, else a POST. The response is decoded into a value, unless
+// that is nil.
+func sendJSON(
+	ctx context.Context, client *http.Client, addr, path string, body, into any, header http.Header,
+) error {
 	method, reader := http.MethodGet, io.Reader(nil)
 	if body != nil {
 		text, err := json.Marshal(body)
@@ -48,14 +74,15 @@
 	return err
 }
 
-// fetch makes a call and reads what is answered; anything but a yes is an error.
+// fetch makes a call and returns the response's body. Any status but 2xx is an error; errNoResponse says that there
+// was none.
 func fetch(client *http.Client, request *http.Request) ([]byte, error) {
 	response, err := client.Do(request)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errNoResponse, err)
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, 4*maxBodySize))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errNoResponse, err)
 	}
@@ -64,18 +91,3 @@
 	}
 	return text, nil
 }
-
-// FetchView asks an agent how the fleet stands.
-func FetchView(ctx context.Context, addr string) (v View, err error) {
-	return v, sendJSON(ctx, http.DefaultClient, addr, viewPath, nil, &v, nil)
-}
-
-// FetchOwnView asks an agent what it knows by itself, without the leader.
-func FetchOwnView(ctx context.Context, addr string) (v View, err error) {
-	return v, sendJSON(ctx, http.DefaultClient, addr, viewPath+"?own=1", nil, &v, nil)
-}
-
-// SendCommand has an agent do what staff ask for.
-func SendCommand(ctx context.Context, addr string, c Call) (r Result, err error) {
-	return r, sendJSON(ctx, http.DefaultClient, addr, commandPath, c, &r, nil)
-}
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -11,6 +11,13 @@
 	"cleathold/internal/rollout"
 )
 
+// operatorVerbs are the verbs that the command line may send. The others are the agents' own.
+var operatorVerbs = []rollout.Verb{
+	rollout.SetTerms, rollout.Start, rollout.Halt, rollout.Resume, rollout.RollBack, rollout.Activate,
+	rollout.ExcludeEndpoint, rollout.IncludeEndpoint,
+}
+
+// errorResult returns the response for an error.
 func errorResult(err error) Result {
 	kind := KindRejected
 	switch {
@@ -22,9 +29,65 @@
 	return Result{Text: err.Error(), Kind: kind}
 }
 
-// operatorVerbs are the verbs that the tool may ask for.
-var operatorVerbs = []rollout.Verb{rollout.SetTerms, rollout.Start, rollout.Halt, rollout.Resume, rollout.RollBack, rollout.Activate, rollout.ExcludeEndpoint, rollout.IncludeEndpoint}
+// submit has the leader execute a command, as the leader alone has the observations of all senders. A command that
+// another agent has forwarded is executed here in any case.
+func (a *Agent) submit(ctx context.Context, call Call, forwarded bool) Result {
+	leader, leads := a.leadership()
+	if leader == "" {
+		return errorResult(quorum.ErrNoMajority)
+	}
+	for !leads && !forwarded {
+		result, leaderLost := a.forwardCommand(ctx, leader, call)
+		if !leaderLost || call.Command.Verb != rollout.Halt {
+			return result
+		}
+		// To halt twice does no harm, and nothing more may go out meanwhile: the next leader is asked, too.
+		if leader, leads = a.awaitLeader(ctx); leader == "" {
+			return errorResult(quorum.ErrNoMajority)
+		}
+	}
+	return a.execute(ctx, call)
+}
+
+// forwardCommand sends a command to the leader. leaderLost reports that there was no answer and that the agent no
+// longer leads.
+func (a *Agent) forwardCommand(ctx context.Context, leader string, call Call) (result Result, leaderLost bool) {
+	leaderCtx, stop := a.whileLeads(ctx, leader)
+	defer stop()
+	err := a.callWithin(leaderCtx, serverTimeout, a.cfg.Peers[leader], commandPath, call, &result)
+	if err == nil {
+		return result, false
+	}
+	leaderLost = leaderCtx.Err() != nil && ctx.Err() == nil
+	return errorResult(fmt.Errorf("%w (the leading agent %s: %w)", ErrUnknown, leader, err)), leaderLost
+}
+
+// whileLeads returns a context that ends with its parent, or once the given agent no longer leads: it may never
+// answer then.
+func (a *Agent) whileLeads(parent context.Context, leader string) (context.Context, context.CancelFunc) {
+	ctx, stop := context.WithCancel(parent)
+	go func() {
+		defer stop()
+		for sleep(ctx, leaderInterval) {
+			if now, leads := a.leadership(); now != leader || leads {
+				return
+			}
+		}
+	}()
+	return ctx, stop
+}
 
+// awaitLeader waits until a leader is known, at most for commandTimeout.
+func (a *Agent) awaitLeader(ctx context.Context) (leader string, leads bool) {
+	deadline := time.Now().Add(commandTimeout)
+	leader, leads = a.leadership()
+	for leader == "" && time.Now().Before(deadline) && sleep(ctx, leaderInterval) {
+		leader, leads = a.leadership()
+	}
+	return leader, leads
+}
+
+// execute checks a command, completes it with what this agent knows, and proposes it.
 func (a *Agent) execute(ctx context.Context, call Call) Result {
 	command := call.Command
 	if !slices.Contains(operatorVerbs, command.Verb) {
@@ -35,24 +98,14 @@
 	}
 	command.At = time.Now().UTC()
 	if command.Verb == rollout.Start {
-		var draft *rollout.Plan
-		var err error
-		a.awaitObservations(ctx)
-		command.At = time.Now().UTC()
-		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
-			command.Seen = state.Seen(observations, command.At)
-			draft, err = state.Draft(state.Index+1, command)
-		})
-		if err == nil && draft.Kind == rollout.Release {
-			err = a.checkPlan(ctx, draft)
-		}
+		draft, err := a.draftPlan(ctx, command)
 		if err != nil {
 			return errorResult(err)
 		}
 		if call.DryRun {
 			return Result{Plan: draft}
 		}
-		command.At = time.Now().UTC() // the probes took a while
+		command.At = time.Now().UTC() // the checks of the draft took a while
 		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
 			command.Seen = state.Seen(observations, command.At)
 		})
@@ -64,21 +117,39 @@
 	if err != nil {
 		return errorResult(err)
 	}
-	answer := Result{Index: index}
+	result := Result{Index: index}
 	a.fleet.withLock(func(state *rollout.State, _ map[string]rollout.Observation) {
-		if p := state.Plan(index); p != nil {
-			answer.Plan = deepCopy(p)
+		if plan := state.Plan(index); plan != nil {
+			result.Plan = deepCopy(plan)
 		}
 	})
-	return answer
+	return result
+}
+
+// draftPlan returns the plan that a rollout.Start would begin, after a check of the senders that a release concerns.
+func (a *Agent) draftPlan(ctx context.Context, command rollout.Command) (*rollout.Plan, error) {
+	a.awaitObservations(ctx)
+	var draft *rollout.Plan
+	var err error
+	command.At = time.Now().UTC()
+	a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+		command.Seen = state.Seen(observations, command.At)
+		draft, err = state.Draft(state.Index+1, command)
+	})
+	if err == nil && draft.Kind == rollout.Release {
+		err = a.checkPlan(ctx, draft)
+	}
+	return draft, err
 }
 
-// awaitObservations waits until all senders are seen serving, or for as long as a sight holds: a new leader has heard of few at first.
+// awaitObservations waits until all senders are observed serving, at most for as long as an observation holds: a new
+// leader has got few reports at first.
 func (a *Agent) awaitObservations(ctx context.Context) {
 	for began := time.Now(); ; {
 		all, fresh := false, time.Duration(0)
 		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
-			all, fresh = len(state.Seen(observations, time.Now())) == len(state.Members), state.Terms.Timing.Fresh
+			all = len(state.Seen(observations, time.Now())) == len(state.Members)
+			fresh = state.Terms.Timing.Fresh
 		})
 		if all || time.Since(began) > fresh || !sleep(ctx, leaderInterval) {
 			return
--- a/internal/agent/compatibility.go
+++ b/internal/agent/compatibility.go
@@ -16,44 +16,26 @@
 	"cleathold/internal/rollout"
 )
 
-// CompatibilityCheck asks an agent whether its senders can run a version, and go back from it.
-type CompatibilityCheck struct {
-	To      rollout.Version `json:"to"`
-	Senders []string        `json:"senders"`
-}
-
-// ProgramInfo is what a program tells of itself, by `version --json`.
-type ProgramInfo struct {
-	Version string `json:"version"`
-	Reads   []int  `json:"journal_reads"` // forms of the journal that it understands
-	Writes  int    `json:"journal_writes"`
-}
+// versionTimeout is how long a program may take to tell its version.
+const versionTimeout = 5 * time.Second
 
-// checkPlan asks each agent that has senders in the plan. All must say yes before the first stage.
+// checkPlan has each agent that has senders in the plan check them. The error wraps rollout.ErrRejected and names
+// every agent that failed.
 func (a *Agent) checkPlan(ctx context.Context, plan *rollout.Plan) error {
-	sendersOf := map[string][]string{}
+	sendersOf := map[string][]string{} // by agent
 	a.fleet.withLock(func(state *rollout.State, _ map[string]rollout.Observation) {
-		for name, t := range plan.Tasks {
-			if m := state.Members[name]; m != nil && t.Step == rollout.Waiting {
-				sendersOf[m.Agent] = append(sendersOf[m.Agent], name)
+		for name, task := range plan.Tasks {
+			if member := state.Members[name]; member != nil && task.Step == rollout.Waiting {
+				sendersOf[member.Agent] = append(sendersOf[member.Agent], name)
 			}
 		}
 	})
 	var mu sync.Mutex
 	var failures []string
 	var wg sync.WaitGroup
-	for agent, names := range sendersOf {
+	for agent, senders := range sendersOf {
 		wg.Go(func() {
-			var answer Result
-			var err error
-			if agent == a.cfg.Name {
-				err = a.checkCompatibility(ctx, CompatibilityCheck{plan.To, names})
-			} else if addr := a.cfg.Peers[agent]; addr == "" {
-				err = errors.New("its address is not known here")
-			} else if err = a.callUntil(ctx, addr, compatibilityPath, CompatibilityCheck{plan.To, names}, &answer, time.Now().Add(2*versionTimeout)); err == nil && answer.Text != "" {
-				err = errors.New(answer.Text)
-			}
-			if err != nil {
+			if err := a.checkAt(ctx, agent, CompatibilityCheck{plan.To, senders}); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
 				failures = append(failures, fmt.Sprintf("agent %s: %v", agent, err))
@@ -68,43 +50,75 @@
 	return nil
 }
 
-// checkCompatibility looks at what a version needs on this machine: a program that runs and can go on from the old one's journal, and
-// the old one from its, or a configuration for each sender.
+// checkAt has an agent, this one or another, check its senders.
+func (a *Agent) checkAt(ctx context.Context, agent string, check CompatibilityCheck) error {
+	if agent == a.cfg.Name {
+		return a.checkCompatibility(ctx, check)
+	}
+	addr := a.cfg.Peers[agent]
+	if addr == "" {
+		return errors.New("its address is not known here")
+	}
+	var result Result
+	if err := a.callWithin(ctx, 2*versionTimeout, addr, compatibilityPath, check, &result); err != nil {
+		return err
+	}
+	if result.Text != "" {
+		return errors.New(result.Text)
+	}
+	return nil
+}
+
+// checkCompatibility checks whether senders of this agent can run a version: a new program must run here and be able
+// to take over the write-ahead log, and the old one to take it back; a new configuration must be there for each
+// sender.
 func (a *Agent) checkCompatibility(ctx context.Context, check CompatibilityCheck) error {
-	next, err := programInfo(ctx, check.To.Program)
+	next, err := readProgramInfo(ctx, check.To.Program)
 	if check.To.Program != "" && err != nil {
 		return err
 	}
 	for _, s := range a.supervisors {
-		if !slices.Contains(check.Senders, s.Name) {
+		name := s.cfg.Name
+		if !slices.Contains(check.Senders, name) {
 			continue
 		}
 		if check.To.Config != "" {
-			if _, err := os.Stat(check.To.Config + "/" + s.Name + ".json"); err != nil {
-				return fmt.Errorf("no configuration for %s: %w", s.Name, err)
+			if _, err := os.Stat(check.To.Config + "/" + name + ".json"); err != nil {
+				return fmt.Errorf("no configuration for %s: %w", name, err)
 			}
 		}
 		if check.To.Program == "" {
 			continue
 		}
-		old, err := programInfo(ctx, s.version().Program)
-		switch {
-		case err != nil:
-			return fmt.Errorf("%s: the version that it runs can't be asked whether there is a way back: %w", s.Name, err)
-		case !slices.Contains(next.Reads, old.Writes):
-			return fmt.Errorf("%s: %s can't read the journal that %s writes (form %d)", s.Name, check.To.Name, s.version().Name, old.Writes)
-		case !slices.Contains(old.Reads, next.Writes):
-			return fmt.Errorf("%s: no way back: %s can't read the journal that %s writes (form %d)", s.Name, s.version().Name, check.To.Name, next.Writes)
+		version := s.version()
+		old, err := readProgramInfo(ctx, version.Program)
+		if err != nil {
+			return fmt.Errorf("%s: the version that it runs can't be asked whether there is a way back: %w", name, err)
 		}
+		if err := checkLogFormats(old, next, version.Name, check.To.Name); err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+	}
+	return nil
+}
+
+// checkLogFormats checks that each of two programs reads the write-ahead log that the other writes.
+func checkLogFormats(old, next ProgramInfo, oldName, nextName string) error {
+	if !slices.Contains(next.Reads, old.Writes) {
+		return fmt.Errorf("%s can't read the journal that %s writes (form %d)", nextName, oldName, old.Writes)
+	}
+	if !slices.Contains(old.Reads, next.Writes) {
+		return fmt.Errorf("no way back: %s can't read the journal that %s writes (form %d)", oldName, nextName, next.Writes)
 	}
 	return nil
 }
 
-func programInfo(ctx context.Context, program string) (info ProgramInfo, err error) {
+// readProgramInfo runs a program to have it tell its version.
+func readProgramInfo(ctx context.Context, program string) (info ProgramInfo, err error) {
 	if program == "" {
 		return info, errors.New("no program")
 	}
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(versionTimeout))
+	ctx, cancel := context.WithTimeout(ctx, versionTimeout)
 	defer cancel()
 	command := exec.CommandContext(ctx, program, "version", "--json")
 	var stdout, stderr bytes.Buffer
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -6,24 +6,24 @@
 	"cleathold/internal/rollout"
 )
 
-// Sender is one that the agent runs.
+// Sender is the configuration of one sender that the agent runs.
 type Sender struct {
 	Name     string
 	Building string
-	Config   string    // its configuration file
-	Admin    [2]string // second addresses, for its process and for the one that takes over
-	Reach    [2]string // where this agent reaches them
-	Restart  bool      // a new version takes its place by a restart, not by a hand-over
+	Config   string    // path of its configuration file
+	Admin    [2]string // admin addresses (host:port): one for the serving process, the other for its successor
+	Reach    [2]string // the addresses at which this agent reaches Admin
+	Restart  bool      // a new version is started after the old process has ended, without a hand-over
 }
 
-// Config of an agent.
+// Config is the configuration of an agent.
 type Config struct {
 	Name    string
-	Listen  string // its address for the other agents and the tool
-	Folder  string
-	Peers   map[string]string // addresses of all agents by name, this one's too
+	Listen  string            // address (host:port) for the other agents and the command line
+	Folder  string            // holds the quorum's log, and the record and the log file of each sender
+	Peers   map[string]string // addresses of all agents by name, this one included
 	Senders []Sender
-	First   rollout.Version // that senders run before the first release
-	Terms   rollout.Terms   // proposed where none are agreed on yet
+	First   rollout.Version // the version that senders run before the first release
+	Terms   rollout.Terms   // proposed by the leader while the fleet has agreed on none
 	Log     *slog.Logger
 }
--- a/internal/agent/fleetstate.go
+++ b/internal/agent/fleetstate.go
@@ -11,61 +11,42 @@
 	"cleathold/internal/rollout"
 )
 
-// fleetState is what is agreed on and what was seen, and the machine of the log. It has one mutex.
-type fleetState struct {
-	name string
+const (
+	endpointListWindow = 10 * time.Second // an agent's endpoint list that is older is left out
+	maxAgents          = 64               // agents whose endpoint lists are kept
+)
 
+// fleetState is what this agent knows of the fleet: the replicated state, and the latest observations and endpoint
+// lists, which are not replicated. It is the quorum's state machine. It is safe for concurrent use.
+type fleetState struct {
 	mu            sync.Mutex
 	state         *rollout.State
-	observations  map[string]rollout.Observation // the latest of each sender, from whoever is beside it
-	proposals     map[string]chan applyResult    // commands of this agent's, by ID
-	endpointLists map[string]endpointList        // what discovery lists, as each agent's senders have it
+	observations  map[string]rollout.Observation // the latest by sender
+	proposals     map[string]chan applyResult    // commands that this agent has proposed, by ID
+	endpointLists map[string]endpointList        // by the agent that reported it
 }
 
-// endpointList is what one agent tells of endpoints.
+// endpointList is what the senders of one agent know of discovery.
 type endpointList struct {
 	receivedAt time.Time
 	endpoints  []rollout.Endpoint
 }
 
+// applyResult is what came of a proposal: the index of its entry, and the state's error if it was rejected.
 type applyResult struct {
 	index uint64
 	err   error
 }
 
-func newFleetState(name string) *fleetState {
-	return &fleetState{name: name, state: rollout.New(), observations: map[string]rollout.Observation{}, proposals: map[string]chan applyResult{}, endpointLists: map[string]endpointList{}}
-}
-
-// setEndpoints enters what an agent tells of endpoints.
-func (f *fleetState) setEndpoints(agent string, endpoints []rollout.Endpoint) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.endpointLists) < maxAgents || f.endpointLists[agent].endpoints != nil {
-		f.endpointLists[agent] = endpointList{time.Now(), endpoints}
+func newFleetState() *fleetState {
+	return &fleetState{
+		state: rollout.New(), observations: map[string]rollout.Observation{},
+		proposals: map[string]chan applyResult{}, endpointLists: map[string]endpointList{},
 	}
 }
 
-// endpoints are those that any agent has told of lately. One is up if all that know it say so.
-func (f *fleetState) endpoints() []rollout.Endpoint {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	all := map[string]rollout.Endpoint{}
-	for _, list := range f.endpointLists {
-		if time.Since(list.receivedAt) > endpointListWindow {
-			continue
-		}
-		for _, e := range list.endpoints {
-			if old, some := all[e.ID]; some {
-				e.Up = e.Up && old.Up
-			}
-			all[e.ID] = e
-		}
-	}
-	return slices.SortedFunc(maps.Values(all), func(a, b rollout.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
-}
-
-// Apply applies an entry of the log. One that can't be read is of a newer agent, and changes nothing here.
+// Apply applies an entry of the log and tells a waiting proposer. An entry that can't be decoded comes from a newer
+// agent: only the index advances.
 func (f *fleetState) Apply(index uint64, data []byte) {
 	var command rollout.Command
 	err := json.Unmarshal(data, &command)
@@ -82,14 +63,14 @@
 	}
 }
 
-// Snapshot is all that was applied.
+// Snapshot returns the replicated state as JSON.
 func (f *fleetState) Snapshot() ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return json.Marshal(f.state)
 }
 
-// Restore takes another agent's image over, or one from the folder.
+// Restore replaces the replicated state by a snapshot of the entries up to index.
 func (f *fleetState) Restore(index uint64, data []byte) error {
 	state := rollout.New()
 	if err := json.Unmarshal(data, state); err != nil {
@@ -102,52 +83,97 @@
 	return nil
 }
 
-// withLock does something under the mutex. It must neither wait nor keep what it is given.
-func (f *fleetState) withLock(do func(s *rollout.State, observations map[string]rollout.Observation)) {
+// addProposal registers a command's ID before it is proposed. The channel, which has room for it, gets the result.
+func (f *fleetState) addProposal(id string) <-chan applyResult {
+	done := make(chan applyResult, 1)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.proposals[id] = done
+	return done
+}
+
+// dropProposal forgets a command that nobody waits for any more.
+func (f *fleetState) dropProposal(id string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.proposals, id)
+}
+
+// withLock calls do with the state and the observations, under the mutex. do must neither block nor retain them.
+func (f *fleetState) withLock(do func(state *rollout.State, observations map[string]rollout.Observation)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do(f.state, f.observations)
 }
 
-// observe enters a sight unless a later one is there.
+// observe enters observations. One that is no later than the known one of the same sender is dropped.
 func (f *fleetState) observe(observations ...rollout.Observation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, observed := range observations {
-		if old, some := f.observations[observed.Sender]; !some || observed.At.After(old.At) {
-			if !some && len(f.observations) >= 2*rollout.MaxSenders {
-				continue
-			}
+		last, known := f.observations[observed.Sender]
+		switch {
+		case known && !observed.At.After(last.At):
+		case !known && len(f.observations) >= 2*rollout.MaxSenders:
+		default:
 			f.observations[observed.Sender] = observed
 		}
 	}
 }
 
-func (f *fleetState) assignment(observed rollout.Observation, lastTakenEpoch uint64) assignment {
+// setEndpoints enters the endpoint list of an agent.
+func (f *fleetState) setEndpoints(agent string, endpoints []rollout.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := assignment{timing: f.state.Terms.Timing, exclusionEpoch: f.state.ExclusionEpoch, excluded: f.state.ExcludedEndpoints()}
-	if grant := f.state.Grants[observed.Sender]; grant != nil {
-		copied := *grant
-		d.grant, d.duty = &copied, f.state.Duty(grant, observed, lastTakenEpoch, time.Now())
+	if len(f.endpointLists) < maxAgents || f.endpointLists[agent].endpoints != nil {
+		f.endpointLists[agent] = endpointList{time.Now(), endpoints}
 	}
-	if m := f.state.Members[observed.Sender]; m != nil {
-		d.version = m.Version
+}
+
+// endpoints returns the endpoints of all recent lists, ordered by ID. One is up if every list that has it says so.
+func (f *fleetState) endpoints() []rollout.Endpoint {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	all := map[string]rollout.Endpoint{}
+	for _, list := range f.endpointLists {
+		if time.Since(list.receivedAt) > endpointListWindow {
+			continue
+		}
+		for _, e := range list.endpoints {
+			if other, known := all[e.ID]; known {
+				e.Up = e.Up && other.Up
+			}
+			all[e.ID] = e
+		}
 	}
-	return d
+	return slices.SortedFunc(maps.Values(all), func(a, b rollout.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// assignment is what a sender's minder must know of what is agreed on.
+// assignment is what the fleet has agreed on for one sender.
 type assignment struct {
-	grant          *rollout.Grant
-	duty           rollout.Duty
-	version        rollout.Version
-	exclusionEpoch uint64 // the entry that changed the endpoints that are out
-	excluded       []string
+	grant          *rollout.Grant // nil if it has none
+	duty           rollout.Duty   // what its supervisor is to do about the grant
+	exclusionEpoch uint64         // the entry that changed the excluded endpoints last
+	excluded       []string       // ids of excluded endpoints
 	timing         rollout.Timing
 }
 
-// deepCopy copies by way of the text: what is handed out is read outside the fleet's mutex.
+// assignment returns what is to be done for a sender, given the latest observation of it and the epoch of the grant
+// that it was asked to take last.
+func (f *fleetState) assignment(observed rollout.Observation, lastTakenEpoch uint64) assignment {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	assigned := assignment{
+		timing: f.state.Terms.Timing, exclusionEpoch: f.state.ExclusionEpoch, excluded: f.state.ExcludedEndpoints(),
+	}
+	if grant := f.state.Grants[observed.Sender]; grant != nil {
+		copied := *grant
+		assigned.grant, assigned.duty = &copied, f.state.Duty(grant, observed, lastTakenEpoch, time.Now())
+	}
+	return assigned
+}
+
+// deepCopy copies a value through JSON, so that it can be read without the mutex.
 func deepCopy[T any](v *T) *T {
 	c := new(T)
 	if text, err := json.Marshal(v); err == nil {
--- a/internal/agent/grant.go
+++ b/internal/agent/grant.go
@@ -3,15 +3,13 @@
 import (
 	"context"
 	"errors"
-	"net/url"
-	"strconv"
 	"time"
 
 	"cleathold/internal/admin"
 	"cleathold/internal/rollout"
 )
 
-// carryOutDuty does what is agreed on for this sender.
+// carryOutDuty does what the fleet has agreed on for this sender.
 func (s *supervisor) carryOutDuty(ctx context.Context) {
 	assigned := s.agent.fleet.assignment(s.observation, s.lastTakenEpoch)
 	s.sendExclusions(ctx, assigned)
@@ -29,78 +27,85 @@
 	case rollout.Fail:
 		s.failGrant(ctx, grant, "its agent was started anew in the middle of the change")
 	case rollout.Take:
-		if s.lastStatus.Phase == "serving" {
+		if s.lastStatus.Phase == phaseServing {
 			s.takeGrant(ctx, grant, assigned.timing)
 		}
 	}
 }
 
-// takeGrant takes a grant up: the sender is asked, and it decides.
+// sendExclusions tells the sender which endpoints are excluded. It repeats this while there are any, as the sender
+// forgets them after a lease.
+func (s *supervisor) sendExclusions(ctx context.Context, assigned assignment) {
+	leader, _ := s.agent.leadership()
+	if leader == "" || !s.exclusions.due(assigned, s.observation.Process, time.Now()) {
+		return
+	}
+	until := time.Now().Add(assigned.timing.Lease)
+	err := s.client.exclude(ctx, s.adminIndex(), assigned.exclusionEpoch, until, assigned.excluded)
+	if err != nil {
+		s.log.Warn("exclusions not sent", "epoch", assigned.exclusionEpoch, "err", err)
+		return
+	}
+	s.exclusions = sentExclusions{assigned.exclusionEpoch, s.observation.Process, time.Now()}
+}
+
+// due reports whether the excluded endpoints must be sent to a process, which is empty while it is not known.
+func (e sentExclusions) due(assigned assignment, process string, now time.Time) bool {
+	if process == "" {
+		return false
+	}
+	if assigned.exclusionEpoch == e.epoch && process == e.process { // it has the present list
+		return len(assigned.excluded) > 0 && now.Sub(e.at) >= assigned.timing.Lease/3
+	}
+	return assigned.exclusionEpoch != 0 || len(assigned.excluded) > 0
+}
+
+// takeGrant asks the sender to take a grant, which the sender decides on by itself, and then carries the grant out.
 func (s *supervisor) takeGrant(ctx context.Context, grant *rollout.Grant, timing rollout.Timing) {
 	s.lastTakenEpoch = grant.Epoch
 	path := admin.HoldPath
-	if grant.Drain || s.Restart && s.needsNewProcess(grant.To) {
+	if grant.Drain || s.cfg.Restart && needsNewProcess(grant.To, s.version()) {
 		path = admin.DrainPath
 	}
-	query := url.Values{"process": {grant.Process}, "epoch": {strconv.FormatUint(grant.Epoch, 10)}, "by": {unixMillis(grant.By)}, "until": {unixMillis(grant.Until)}}
-	if err := s.put(ctx, s.record().Admin, path, query); err != nil {
-		s.agent.log.Warn("a grant was not taken up", "sender", s.Name, "epoch", grant.Epoch, "err", err)
+	if err := s.client.take(ctx, s.adminIndex(), path, grant); err != nil {
+		s.log.Warn("grant not taken", "epoch", grant.Epoch, "err", err)
 		if errors.Is(err, errNoResponse) {
-			s.lastTakenEpoch = 0 // it may not have come; the sender tells a repeat from a new one
+			s.lastTakenEpoch = 0 // the request may not have arrived; the sender knows a repeated one
 		}
 		return
 	}
-	s.agent.log.Info("a grant is taken up", "sender", s.Name, "epoch", grant.Epoch, "drain", grant.Drain, "to", grant.To.Name)
+	s.log.Info("grant taken", "epoch", grant.Epoch, "drain", grant.Drain, "version", grant.To.Name)
 	if grant.Drain {
 		return
 	}
-	s.changing = true
 	err := s.changeVersion(ctx, grant, timing)
-	s.changing = false
 	if ctx.Err() != nil {
-		return // whoever comes after this agent finds what it needs in the record
+		return // the agent's next run finds in the record what it needs
 	}
 	if err != nil {
-		s.agent.log.Error("the sender was not changed", "sender", s.Name, "to", grant.To.Name, "err", err)
+		s.log.Error("version change failed", "epoch", grant.Epoch, "version", grant.To.Name, "err", err)
 		s.failGrant(ctx, grant, err.Error())
 		return
 	}
-	s.agent.log.Info("the sender runs another version", "sender", s.Name, "version", grant.To.Name)
+	s.log.Info("version changed", "epoch", grant.Epoch, "version", grant.To.Name)
 	s.endLease(ctx, grant.Epoch)
 }
 
-// failGrant ends a grant that came to nothing.
+// failGrant ends a grant that could not be carried out. The reason goes to the leader with the next observation.
 func (s *supervisor) failGrant(ctx context.Context, grant *rollout.Grant, reason string) {
 	s.fault, s.faultEpoch = reason, grant.Epoch
 	s.endLease(ctx, grant.Epoch)
 }
 
+// endLease has the sender serve again. If the sender does not hear of it the lease ends by time.
 func (s *supervisor) endLease(ctx context.Context, epoch uint64) {
-	if err := s.put(ctx, s.record().Admin, admin.ActivatePath, url.Values{"epoch": {strconv.FormatUint(epoch, 10)}}); err != nil {
-		s.agent.log.Warn("a lease was not ended; it ends by itself", "sender", s.Name, "epoch", epoch, "err", err)
+	if err := s.client.activate(ctx, s.adminIndex(), epoch); err != nil {
+		s.log.Warn("lease not ended", "epoch", epoch, "err", err)
 	}
 }
 
-func (s *supervisor) renewLease(ctx context.Context, epoch uint64, lease time.Duration) error {
-	return s.put(ctx, s.record().Admin, admin.RenewPath, url.Values{"epoch": {strconv.FormatUint(epoch, 10)}, "until": {unixMillis(time.Now().Add(lease))}})
-}
-
-// waitWithLease renews the lease while something is waited for, until it is so or can't be any more.
-func (s *supervisor) waitWithLease(ctx context.Context, grant *rollout.Grant, timing rollout.Timing, deadline time.Time, reached func() (bool, error)) error {
-	renewed := time.Now()
-	for {
-		if done, err := reached(); done || err != nil {
-			return err
-		}
-		if time.Now().After(deadline) {
-			return errors.New("not in time")
-		}
-		if time.Since(renewed) > timing.Lease/3 {
-			renewed = time.Now()
-			s.renewLease(ctx, grant.Epoch, timing.Lease) // one that fails ends the lease, and no change by itself
-		}
-		if !sleep(ctx, changePollInterval) {
-			return ctx.Err()
-		}
-	}
+// renewLease extends the sender's lease. A failure is not an error: the lease ends by time, unless the next renewal
+// arrives.
+func (s *supervisor) renewLease(ctx context.Context, epoch uint64, lease time.Duration) {
+	_ = s.client.renew(ctx, s.adminIndex(), epoch, time.Now().Add(lease))
 }
--- a/internal/agent/leader.go
+++ b/internal/agent/leader.go
@@ -7,7 +7,7 @@
 	"cleathold/internal/rollout"
 )
 
-// runLeader is what the leader does: it proposes what comes next.
+// runLeader proposes what comes next in the fleet's plans, while this agent leads.
 func (a *Agent) runLeader(ctx context.Context) {
 	var watch rollout.Watch
 	led := false
@@ -16,27 +16,32 @@
 			led = false
 			continue
 		}
-		if !led { // what an earlier term saw is no base for this one
+		if !led { // what an earlier term observed is no baseline for this one
 			watch, led = rollout.Watch{}, true
 		}
-		var commands []rollout.Command
-		now := time.Now().UTC()
-		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
-			if state.Terms.Budget.Fleet == 0 {
-				terms := a.cfg.Terms
-				commands = append(commands, rollout.Command{Verb: rollout.SetTerms, At: now, By: a.cfg.Name, Reason: "the settings of the first leader", Terms: &terms})
-				return
-			}
-			commands = state.Next(observations, &watch, now)
-		})
-		for _, command := range commands {
+		for _, command := range a.nextCommands(&watch, time.Now().UTC()) {
 			if command.By == "" {
 				command.By = a.cfg.Name
 			}
 			if _, err := a.propose(ctx, command); err != nil {
-				a.log.Debug("not agreed on", "what", command.Verb, "err", err)
+				a.log.Debug("proposal failed", "command", command.Verb, "err", err)
 				break
 			}
 		}
 	}
 }
+
+// nextCommands returns what the leader should propose now. A fleet without terms gets this agent's own first.
+func (a *Agent) nextCommands(watch *rollout.Watch, now time.Time) (commands []rollout.Command) {
+	a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+		if state.Terms.Budget.Fleet != 0 {
+			commands = state.Next(observations, watch, now)
+			return
+		}
+		terms := a.cfg.Terms
+		commands = []rollout.Command{{
+			Verb: rollout.SetTerms, At: now, By: a.cfg.Name, Reason: "the settings of the first leader", Terms: &terms,
+		}}
+	})
+	return commands
+}
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -3,33 +3,48 @@
 import (
 	"context"
 	"fmt"
+	"maps"
 	"os"
+	"path/filepath"
+	"slices"
 
 	"cleathold/internal/quorum"
+	"cleathold/internal/store"
 )
 
-// runQuorum takes part in the agreement, and opens the folder again after it has failed: a disk may be full for a while.
+// Bootstrap makes the quorum's folder of one of the fleet's first agents, with all of cfg.Peers as its members. An
+// agent that joins later starts with an empty folder instead.
+func Bootstrap(cfg Config) error {
+	folder, err := makeQuorumFolder(cfg.Folder)
+	if err != nil {
+		return err
+	}
+	return quorum.Bootstrap(folder, cfg.Name, slices.Sorted(maps.Keys(cfg.Peers)))
+}
+
+// makeQuorumFolder makes the quorum's folder in the agent's folder, if it is not there.
+func makeQuorumFolder(folder string) (store.Dir, error) {
+	path := filepath.Join(folder, "log")
+	if err := os.MkdirAll(path, 0o700); err != nil {
+		return "", fmt.Errorf("agent: %w", err)
+	}
+	return store.Dir(path), nil
+}
+
+// runQuorum runs the quorum's node until the context ends. A node that fails is opened again, as a disk may be full
+// for a while; the senders run on meanwhile.
 func (a *Agent) runQuorum(ctx context.Context) error {
-	folder := quorumFolder(a.cfg.Folder)
-	if err := os.MkdirAll(string(folder), 0o700); err != nil {
-		return fmt.Errorf("agent: %w", err)
+	folder, err := makeQuorumFolder(a.cfg.Folder)
+	if err != nil {
+		return err
 	}
 	for ctx.Err() == nil {
-		node, err := quorum.Open(quorum.Config{Name: a.cfg.Name, FS: folder, Peers: a.cfg.Peers, Machine: a.fleet, Log: a.log})
-		if err == nil {
-			a.setNode(node, nil)
-			joined, stop := context.WithCancel(ctx)
-			done := make(chan struct{})
-			go func() { defer close(done); a.requestMembership(joined, node) }()
-			err = node.Run(ctx)
-			stop()
-			<-done
-		}
+		err := a.runNode(ctx, folder)
 		a.setNode(nil, err)
 		if err == nil {
 			return nil
 		}
-		a.log.Error("no part in the agreement; senders run on", "err", err)
+		a.log.Error("quorum node failed", "err", err)
 		if !sleep(ctx, reopenDelay) {
 			return nil
 		}
@@ -37,13 +52,34 @@
 	return nil
 }
 
+// runNode opens the quorum's node and runs it until it fails or the context ends.
+func (a *Agent) runNode(ctx context.Context, folder store.Dir) error {
+	node, err := quorum.Open(quorum.Config{
+		Name: a.cfg.Name, FS: folder, Peers: a.cfg.Peers, Machine: a.fleet, Log: a.log,
+	})
+	if err != nil {
+		return err
+	}
+	a.setNode(node, nil)
+	joinCtx, stop := context.WithCancel(ctx)
+	joined := make(chan struct{})
+	go func() {
+		defer close(joined)
+		a.requestMembership(joinCtx, node)
+	}()
+	err = node.Run(ctx)
+	stop()
+	<-joined
+	return err
+}
+
 func (a *Agent) setNode(node *quorum.Node, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.node, a.nodeErr = node, err
 }
 
-// quorumNode is the node, or why there is none.
+// quorumNode returns the running node, or an error that says why there is none.
 func (a *Agent) quorumNode() (*quorum.Node, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -53,7 +89,7 @@
 	return a.node, nil
 }
 
-// leadership tells whether this agent knows of a leader, and whether it is the one.
+// leadership returns the name of the leading agent, empty if this agent knows of none, and whether it is this agent.
 func (a *Agent) leadership() (leader string, leads bool) {
 	node, err := a.quorumNode()
 	if err != nil {
@@ -63,7 +99,7 @@
 	return status.Leader, status.Leads
 }
 
-// requestMembership asks to be taken in for as long as this agent has no seat.
+// requestMembership asks the other agents to add this one as a member, until it is one.
 func (a *Agent) requestMembership(ctx context.Context, node *quorum.Node) {
 	for sleep(ctx, reopenDelay) {
 		status := node.Status()
--- a/internal/agent/observation.go
+++ b/internal/agent/observation.go
@@ -5,14 +5,34 @@
 	"cleathold/internal/rollout"
 )
 
-// observationOf is what a status shows.
+// The phases of a sender's status that an agent tells apart; see package lifecycle.
+const (
+	phaseServing = "serving"
+	phaseDrained = "drained"
+)
+
+// started reports whether a sender in this phase has started and is not stopping.
+func started(status admin.Status) bool {
+	return status.Phase == phaseServing || status.Phase == phaseDrained
+}
+
+// observationOf returns what a sender's status shows. The sender's name, the time, the version and the agent's own
+// facts are left to the caller.
 func observationOf(status admin.Status) rollout.Observation {
+	counts := status.Counts
 	return rollout.Observation{
-		Serving: status.Phase == "serving" && !status.LeaseActive, Process: status.Process, Epoch: status.Epoch, Ended: status.Ended, Drained: status.Phase == "drained",
-		Open: status.Counts.Open, Phase: status.Phase,
+		Serving: status.Phase == phaseServing && !status.LeaseActive,
+		Drained: status.Phase == phaseDrained,
+		Process: status.Process,
+		Epoch:   status.Epoch,
+		Ended:   status.Ended,
+		Open:    counts.Open,
+		Phase:   status.Phase,
 		Facts: rollout.Counters{
-			Accepted: status.Counts.Taken, Rejected: status.Counts.Refused, Delivered: status.Counts.Delivered, Deferred: status.Counts.Deferred,
-			Failed: status.Counts.Undeliverable, Called: status.Counts.Called, Late: status.Counts.Late, FirstCall: status.Counts.FirstCall, MemoryMB: status.MemoryMB,
+			Accepted: counts.Taken, Rejected: counts.Refused,
+			Delivered: counts.Delivered, Deferred: counts.Deferred, Failed: counts.Undeliverable,
+			Called: counts.Called, Late: counts.Late, FirstCall: counts.FirstCall,
+			MemoryMB: status.MemoryMB,
 		},
 	}
 }
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"os"
 	"os/exec"
-	"strconv"
 	"strings"
 	"syscall"
 	"time"
@@ -13,17 +12,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// process is a process of a sender. It may have been started by an agent before this one, or by somebody else: it is
-// not its parent who watches it, but whoever holds its descriptor.
+// stopTimeout is how long a process may take from SIGTERM to its end, by the platform's protocol. Then it is killed.
+const stopTimeout = 3700 * time.Millisecond
+
+// errProcessGone says that there is no such process, or no longer.
+var errProcessGone = errors.New("agent: no such process")
+
+// process is an operating system's process of a sender. Its parent may be an earlier run of the agent, or a stranger:
+// its end is then noticed by its pidfd. A nil process is one that does not run.
 type process struct {
 	pid        int
-	startTime  string // by the kernel's count, so that another process of that number is told from it
-	ended      chan struct{}
-	exitStatus string // once it has ended; empty where its parent was another
+	startTime  string        // in clock ticks since the machine's boot; tells it from a later process with the same pid
+	ended      chan struct{} // closed at the end
+	exitStatus string        // valid once ended is closed; empty where another process is the parent
 }
 
-// launch runs a program. It outlasts the agent.
-func launch(program string, env []string, log string) (*process, error) {
+// launchProcess starts a program, with its output appended to a log file. The process goes on when the agent ends.
+func launchProcess(program string, env []string, log string) (*process, error) {
 	out, err := openLog(log)
 	if err != nil {
 		return nil, err
@@ -32,8 +37,7 @@
 	command := exec.Command(program, "serve")
 	command.Env = append(os.Environ(), env...)
 	command.Stdout, command.Stderr = out, out
-	// Ctrl-C at the agent's terminal is not for its senders.
-	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a Ctrl-C at the agent's terminal must not reach it
 	if err := command.Start(); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
 	}
@@ -50,10 +54,8 @@
 	return p, nil
 }
 
-// errProcessGone tells that a process is no more.
-var errProcessGone = errors.New("agent: no such process")
-
-// adoptProcess watches a process that somebody else has started. Where a start is given it must be the one that it had.
+// adoptProcess returns a running process that this run of the agent has not started. If startTime is not empty the
+// process must have it; if not, errProcessGone is returned.
 func adoptProcess(pid int, startTime string) (*process, error) {
 	fd, err := unix.PidfdOpen(pid, 0)
 	if err != nil {
@@ -68,23 +70,29 @@
 	go func() {
 		defer close(p.ended)
 		defer unix.Close(fd)
-		for {
-			n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, -1)
-			if n > 0 || err != nil && !errors.Is(err, unix.EINTR) {
-				return
-			}
-		}
+		awaitPidfd(fd)
 	}()
 	return p, nil
 }
 
-// processStartTime is when a process began, as the kernel counts.
+// awaitPidfd waits until the process of a pidfd has ended.
+func awaitPidfd(fd int) {
+	for {
+		n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, -1)
+		if n > 0 || err != nil && !errors.Is(err, unix.EINTR) {
+			return
+		}
+	}
+}
+
+// processStartTime returns the start time of a process from /proc/PID/stat (proc(5), field 22), or errProcessGone,
+// also for a zombie.
 func processStartTime(pid int) (string, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return "", errProcessGone
 	}
-	_, rest, ok := strings.Cut(string(text), ") ") // the name before may hold anything
+	_, rest, ok := strings.Cut(string(text), ") ") // skips pid and name: the rest begins with field 3
 	fields := strings.Fields(rest)
 	if !ok || len(fields) < 20 || fields[0] == "Z" {
 		return "", errProcessGone
@@ -92,6 +100,7 @@
 	return fields[19], nil
 }
 
+// running reports whether the process has not ended yet.
 func (p *process) running() bool {
 	if p == nil {
 		return false
@@ -104,7 +113,7 @@
 	}
 }
 
-// signal sends one, if the process runs.
+// signal sends a signal, unless the process has ended.
 func (p *process) signal(s syscall.Signal) {
 	if p.running() {
 		if now, err := processStartTime(p.pid); err == nil && (p.startTime == "" || now == p.startTime) {
@@ -113,10 +122,7 @@
 	}
 }
 
-// A sender is given this long from SIGTERM to its end; then it is killed (PROTOCOL).
-const stopTimeout = 3700 * time.Millisecond
-
-// stop ends it in order, or at once where that takes too long.
+// stop ends the process by SIGTERM, and after stopTimeout by SIGKILL.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	timer := time.NewTimer(stopTimeout)
@@ -128,17 +134,8 @@
 	}
 }
 
+// kill ends the process by SIGKILL and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
-
-const (
-	minRestartDelay = 600 * time.Millisecond // the platform's
-	maxRestartDelay = 15 * time.Second
-	maxStarts       = 6
-	startWindow     = time.Minute
-)
-
-// unixMillis is a time as orders have it.
-func unixMillis(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
--- a/internal/agent/processlog.go
+++ b/internal/agent/processlog.go
@@ -3,21 +3,16 @@
 import (
 	"fmt"
 	"os"
+	"time"
 )
 
-// logTail is the end of a log.
-func logTail(path string) string {
-	const most = 300
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return err.Error()
-	}
-	return string(text[max(0, len(text)-most):])
-}
-
-const maxLogSize = 16 << 20 // bytes of a sender's log, and of the one before it
+const (
+	maxLogSize      = 16 << 20    // bytes of a sender's log file, and of the older one beside it
+	logTrimInterval = time.Minute // between two checks of the size
+	logTailSize     = 300         // bytes of a log that an error quotes
+)
 
-// openLog opens a sender's log for more. One that has grown too long becomes the one before it.
+// openLog opens a sender's log file for appending. One beyond maxLogSize becomes the older one.
 func openLog(path string) (*os.File, error) {
 	if info, err := os.Stat(path); err == nil && info.Size() > maxLogSize {
 		os.Rename(path, path+".1")
@@ -29,8 +24,8 @@
 	return f, nil
 }
 
-// trimLog keeps the log of a process that runs within its bound: what is there becomes the one before, by copy, as
-// the process goes on writing at the end of the same file.
+// trimLog bounds the log file of a running process. The content is copied, not renamed: the process goes on appending
+// to the same file.
 func trimLog(path string) {
 	info, err := os.Stat(path)
 	if err != nil || info.Size() <= maxLogSize {
@@ -41,3 +36,12 @@
 		os.Truncate(path, 0)
 	}
 }
+
+// logTail returns the end of a log file, or why it can't be read.
+func logTail(path string) string {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err.Error()
+	}
+	return string(text[max(0, len(text)-logTailSize):])
+}
--- a/internal/agent/proposal.go
+++ b/internal/agent/proposal.go
@@ -5,15 +5,15 @@
 	"crypto/rand"
 	"encoding/json"
 	"errors"
-	"time"
 
 	"cleathold/internal/rollout"
 )
 
-// ErrUnknown tells that it is not known whether a command took effect.
+// ErrUnknown says that it is not known whether a command took effect.
 var ErrUnknown = errors.New("no answer in time: it may have taken effect, look before you repeat it")
 
-// propose has a command put into the log, and waits until it is applied here.
+// propose appends a command to the replicated log and waits until it is applied here. It returns the index of the
+// command's entry. The error is that of the state (rollout.ErrRejected), that of the quorum, or ErrUnknown.
 func (a *Agent) propose(ctx context.Context, command rollout.Command) (uint64, error) {
 	node, err := a.quorumNode()
 	if err != nil {
@@ -24,16 +24,9 @@
 	if err != nil {
 		return 0, err
 	}
-	done := make(chan applyResult, 1)
-	a.fleet.mu.Lock()
-	a.fleet.proposals[command.ID] = done
-	a.fleet.mu.Unlock()
-	defer func() {
-		a.fleet.mu.Lock()
-		delete(a.fleet.proposals, command.ID)
-		a.fleet.mu.Unlock()
-	}()
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(commandTimeout))
+	done := a.fleet.addProposal(command.ID)
+	defer a.fleet.dropProposal(command.ID)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	if err := node.Propose(ctx, data); err != nil {
 		return 0, err
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -2,55 +2,84 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
+	"sync"
 
 	"cleathold/internal/rollout"
 )
 
 // record is what an agent must know of a sender after its own restart.
 type record struct {
-	Version   rollout.Version `json:"version"` // that its process runs
-	Admin     int             `json:"admin"`   // which of its second addresses it has
-	Pid       int             `json:"pid,omitempty"`
-	StartTime string          `json:"start,omitempty"`
-	Successor *successor      `json:"heir,omitempty"` // a process that was to take over
+	Version    rollout.Version `json:"version"` // that its process runs
+	AdminIndex int             `json:"admin"`   // which of its admin addresses the process has
+	Pid        int             `json:"pid,omitempty"`
+	StartTime  string          `json:"start,omitempty"` // of the process; see process.startTime
+	Successor  *successor      `json:"heir,omitempty"`  // nil unless a hand-over is under way
 }
 
+// successor is a process that takes over from the sender's present one. It has the other admin address.
 type successor struct {
 	Version   rollout.Version `json:"version"`
 	Pid       int             `json:"pid"`
 	StartTime string          `json:"start"`
 }
 
-// updateRecord changes the record, on disk first.
-func (s *supervisor) updateRecord(change func(*record)) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	changed := s.rec
-	change(&changed)
-	text, err := json.Marshal(changed)
-	if err == nil {
-		if err = os.WriteFile(s.recordPath+".new", text, 0o600); err == nil {
-			err = os.Rename(s.recordPath+".new", s.recordPath)
-		}
+// recordFile is the record of one sender with its file. It is safe for concurrent use.
+type recordFile struct {
+	sender string
+	path   string
+
+	mu      sync.Mutex
+	current record
+}
+
+// openRecord reads a sender's record. A sender without one runs the first version.
+func openRecord(sender, path string, first rollout.Version) (*recordFile, error) {
+	f := &recordFile{sender: sender, path: path, current: record{Version: first}}
+	text, err := os.ReadFile(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return f, nil
 	}
 	if err != nil {
-		return fmt.Errorf("agent: the record of %s: %w", s.Name, err)
+		return nil, fmt.Errorf("agent: %w", err)
 	}
-	s.rec = changed
-	return nil
+	f.current = record{}
+	if err := json.Unmarshal(text, &f.current); err != nil {
+		return nil, fmt.Errorf("agent: %s: %w; remove it to have the sender run %s", path, err, first.Name)
+	}
+	return f, nil
+}
+
+// get returns the record.
+func (f *recordFile) get() record {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.current
 }
 
-func (s *supervisor) record() record {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.rec
+// update changes the record, in the file first. After an error it is as it was.
+func (f *recordFile) update(change func(*record)) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	next := f.current
+	change(&next)
+	text, err := json.Marshal(next)
+	if err == nil {
+		err = replaceFile(f.path, text)
+	}
+	if err != nil {
+		return fmt.Errorf("agent: the record of %s: %w", f.sender, err)
+	}
+	f.current = next
+	return nil
 }
 
-// version is what the sender runs.
-func (s *supervisor) version() rollout.Version {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.rec.Version
+// replaceFile replaces a file by a rename, so that a reader sees either its old or its new content.
+func replaceFile(path string, text []byte) error {
+	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
+		return err
+	}
+	return os.Rename(path+".new", path)
 }
--- a/internal/agent/remoteobserver.go
+++ b/internal/agent/remoteobserver.go
@@ -11,67 +11,91 @@
 	"cleathold/internal/rollout"
 )
 
-// maxRemotePolls senders are asked at once.
-const maxRemotePolls = 16
+const (
+	maxRemotePolls    = 16              // polls at once
+	remotePollTimeout = callTimeout / 2 // of one poll
+)
+
+// remoteObserver polls the senders whose own agents are silent, while this agent leads. A machine without its agent
+// is thereby not taken for one without senders. Its observations (rollout.Observation.Far) count for the budget
+// alone: they neither bring a sender a grant nor close one. A sender whose admin addresses can't be reached from here
+// stays unknown.
+type remoteObserver struct {
+	agent *Agent
+	http  *http.Client
+}
+
+// remoteSender is a sender to be polled.
+type remoteSender struct {
+	last  rollout.Observation
+	reach []string // its admin addresses
+}
 
-// observeRemoteSenders is what the leader does about senders whose agents are silent: it asks them itself, so that a fleet whose agent is
-// away is not taken for one that is out. What it sees counts for the budget alone: such senders get no grants, and their
-// open ones are not closed by it. Where second addresses can't be reached from here they stay unknown.
-func (a *Agent) observeRemoteSenders(ctx context.Context) {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+func newRemoteObserver(a *Agent) *remoteObserver {
+	return &remoteObserver{a, &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+}
+
+// run polls until the context ends.
+func (o *remoteObserver) run(ctx context.Context) {
 	for sleep(ctx, pollInterval) {
-		if _, leads := a.leadership(); !leads {
-			continue
+		if _, leads := o.agent.leadership(); leads {
+			o.pollAll(ctx, o.unreported())
 		}
-		type target struct {
-			last  rollout.Observation
-			reach []string
+	}
+}
+
+// unreported returns the other agents' senders of which no fresh observation is known.
+func (o *remoteObserver) unreported() (senders []remoteSender) {
+	o.agent.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+		for name, member := range state.Members {
+			last, known := observations[name]
+			if !known { // nobody has reported it since this agent leads
+				last = rollout.Observation{Sender: name, Version: member.Version.Name}
+			}
+			if member.Agent != o.agent.cfg.Name && time.Since(last.At) > state.Terms.Timing.Fresh*6/10 {
+				senders = append(senders, remoteSender{last, member.Reach})
+			}
 		}
-		var targets []target
-		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
-			for name, m := range state.Members {
-				observed, some := observations[name]
-				if !some { // since this agent leads nobody has told of it
-					observed = rollout.Observation{Sender: name, Version: m.Version.Name}
-				}
-				if m.Agent != a.cfg.Name && time.Since(observed.At) > state.Terms.Timing.Fresh*6/10 {
-					targets = append(targets, target{observed, m.Reach})
+	})
+	return senders
+}
+
+// pollAll polls senders at the first of their addresses that answers.
+func (o *remoteObserver) pollAll(ctx context.Context, senders []remoteSender) {
+	slots := make(chan struct{}, maxRemotePolls)
+	var wg sync.WaitGroup
+	for _, sender := range senders {
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
+			for _, addr := range sender.reach {
+				if observed, ok := o.poll(ctx, addr, sender.last); ok {
+					o.agent.fleet.observe(observed)
+					return
 				}
 			}
 		})
-		slots := make(chan struct{}, maxRemotePolls)
-		var wg sync.WaitGroup
-		for _, target := range targets {
-			slots <- struct{}{}
-			wg.Go(func() {
-				defer func() { <-slots }()
-				for _, addr := range target.reach {
-					if observed, ok := a.pollRemote(ctx, client, addr, target.last); ok {
-						a.fleet.observe(observed)
-						return
-					}
-				}
-			})
-		}
-		wg.Wait()
 	}
+	wg.Wait()
 }
 
-// pollRemote asks a sender at one of its second addresses. What only its agent knows is as it was.
-func (a *Agent) pollRemote(ctx context.Context, client *http.Client, addr string, last rollout.Observation) (rollout.Observation, bool) {
+// poll polls a sender at one address. What only its own agent knows is taken from the last observation.
+func (o *remoteObserver) poll(
+	ctx context.Context, addr string, last rollout.Observation,
+) (observed rollout.Observation, ok bool) {
 	now := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, now.Add(callTimeout/2))
+	ctx, cancel := context.WithDeadline(ctx, now.Add(remotePollTimeout))
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+admin.StatusPath, nil)
 	if err != nil {
 		return last, false
 	}
-	text, err := fetch(client, request)
+	text, err := fetch(o.http, request)
 	var status admin.Status
-	if err != nil || json.Unmarshal(text, &status) != nil || status.Name != last.Sender || status.Phase != "serving" && status.Phase != "drained" {
+	if err != nil || json.Unmarshal(text, &status) != nil || status.Name != last.Sender || !started(status) {
 		return last, false
 	}
-	observed := observationOf(status)
+	observed = observationOf(status)
 	observed.Sender, observed.At, observed.Far, observed.Version = last.Sender, now.UTC().Round(0), true, last.Version
 	observed.Facts.Restarts, observed.FaultEpoch, observed.Fault = last.Facts.Restarts, last.FaultEpoch, last.Fault
 	return observed, true
--- a/internal/agent/reports.go
+++ b/internal/agent/reports.go
@@ -3,21 +3,22 @@
 import (
 	"context"
 	"encoding/json"
+	"slices"
 	"time"
 
 	"cleathold/internal/rollout"
 )
 
-// observationReport are what one agent sees.
+// observationReport is what one agent reports to the leader.
 type observationReport struct {
 	Agent        string                `json:"agent"`
 	Observations []rollout.Observation `json:"list"`
-	Endpoints    []rollout.Endpoint    `json:"endpoints,omitempty"` // now and then
+	Endpoints    []rollout.Endpoint    `json:"endpoints,omitempty"` // in one report of each quarter of endpointListWindow
 }
 
-// runReports tells the leader what this agent sees, and the log which senders it has.
+// runReports reports to the leader what this agent observes, and keeps its senders in the roster.
 func (a *Agent) runReports(ctx context.Context) {
-	reported := ""
+	var enrolled []bool // the roster's matches when it was last known to be complete
 	var endpointsAt time.Time
 	for sleep(ctx, pollInterval) {
 		leader, leads := a.leadership()
@@ -32,35 +33,45 @@
 		if report.Endpoints != nil {
 			a.fleet.setEndpoints(a.cfg.Name, report.Endpoints)
 		}
-		if text, err := json.Marshal(report); err == nil && !leads {
-			a.traffic.reportedBytes.Add(int64(len(text)))
-			a.traffic.reports.Add(1)
-			a.call(ctx, a.cfg.Peers[leader], observationsPath, json.RawMessage(text), nil)
+		if !leads {
+			a.sendReport(ctx, leader, report)
 		}
-		if text := a.rosterDigest(); text != reported {
+		if matches := a.rosterMatches(); !slices.Equal(matches, enrolled) {
 			if a.updateRoster(ctx) == nil {
-				reported = text
+				enrolled = matches
 			}
 		}
 	}
 }
 
-// discoveredEndpoints is what discovery lists, as the first of this agent's senders has it that answers.
+// sendReport sends a report to the leader. One that is lost is made up for by the next.
+func (a *Agent) sendReport(ctx context.Context, leader string, report observationReport) {
+	text, err := json.Marshal(report)
+	if err != nil {
+		return
+	}
+	a.traffic.reportedBytes.Add(int64(len(text)))
+	a.traffic.reports.Add(1)
+	a.call(ctx, a.cfg.Peers[leader], observationsPath, json.RawMessage(text), nil)
+}
+
+// discoveredEndpoints returns what discovery lists, as told by the first of this agent's senders that answers with a
+// list.
 func (a *Agent) discoveredEndpoints(ctx context.Context) []rollout.Endpoint {
 	for _, s := range a.supervisors {
-		if list, err := s.endpoints(ctx); err == nil && len(list) > 0 {
+		if list, err := s.client.endpoints(ctx, s.adminIndex()); err == nil && len(list) > 0 {
 			return list
 		}
 	}
 	return nil
 }
 
-// ownObservations are the latest sights of this agent's senders.
+// ownObservations returns the latest observations of this agent's senders.
 func (a *Agent) ownObservations() []rollout.Observation {
 	list := make([]rollout.Observation, 0, len(a.supervisors))
 	a.fleet.withLock(func(_ *rollout.State, observations map[string]rollout.Observation) {
 		for _, s := range a.supervisors {
-			if observed, some := observations[s.Name]; some {
+			if observed, known := observations[s.cfg.Name]; known {
 				list = append(list, observed)
 			}
 		}
--- a/internal/agent/roster.go
+++ b/internal/agent/roster.go
@@ -2,29 +2,33 @@
 
 import (
 	"context"
-	"fmt"
 	"slices"
 	"time"
 
 	"cleathold/internal/rollout"
 )
 
-// rosterDigest is what the log should know of this agent's senders, and differs from it as text.
-func (a *Agent) rosterDigest() string {
-	text := ""
+// enrolled reports whether the roster has a sender of this agent as it is configured here. member may be nil.
+func (a *Agent) enrolled(member *rollout.Member, sender Sender) bool {
+	return member != nil && member.Agent == a.cfg.Name && member.Building == sender.Building &&
+		slices.Equal(member.Reach, sender.Admin[:])
+}
+
+// rosterMatches reports for each of this agent's senders whether it is enrolled.
+func (a *Agent) rosterMatches() []bool {
+	matches := make([]bool, 0, len(a.supervisors))
 	a.fleet.withLock(func(state *rollout.State, _ map[string]rollout.Observation) {
 		for _, s := range a.supervisors {
-			member := state.Members[s.Name]
-			text += fmt.Sprint(s.Name, member != nil && member.Agent == a.cfg.Name && member.Building == s.Building && slices.Equal(member.Reach, s.Admin[:]), ";")
+			matches = append(matches, a.enrolled(state.Members[s.cfg.Name], s.cfg))
 		}
 	})
-	return text
+	return matches
 }
 
-// updateRoster enters this agent's senders, if the log has not the same.
+// updateRoster proposes this agent's senders for the roster, unless the roster has just these.
 func (a *Agent) updateRoster(ctx context.Context) error {
 	command := rollout.Command{Verb: rollout.SetRoster, At: time.Now().UTC(), By: a.cfg.Name}
-	same := true
+	complete := true
 	a.fleet.withLock(func(state *rollout.State, _ map[string]rollout.Observation) {
 		own := 0
 		for _, member := range state.Members {
@@ -32,19 +36,20 @@
 				own++
 			}
 		}
-		same = own == len(a.supervisors)
+		complete = own == len(a.supervisors)
 		for _, s := range a.supervisors {
-			member := state.Members[s.Name]
-			same = same && member != nil && member.Agent == a.cfg.Name && member.Building == s.Building && slices.Equal(member.Reach, s.Admin[:])
-			command.Roster = append(command.Roster, rollout.Member{Name: s.Name, Building: s.Building, Agent: a.cfg.Name, Version: s.version(), Reach: s.Admin[:]})
+			complete = complete && a.enrolled(state.Members[s.cfg.Name], s.cfg)
+			command.Roster = append(command.Roster, rollout.Member{
+				Name: s.cfg.Name, Building: s.cfg.Building, Agent: a.cfg.Name, Version: s.version(), Reach: s.cfg.Admin[:],
+			})
 		}
 	})
-	if same {
+	if complete {
 		return nil
 	}
 	_, err := a.propose(ctx, command)
 	if err != nil {
-		a.log.Warn("this agent's senders are not in the roster", "err", err)
+		a.log.Warn("roster update failed", "err", err)
 	}
 	return err
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -1,9 +1,7 @@
 package agent
 
 import (
-	"context"
 	"encoding/json"
-	"fmt"
 	"maps"
 	"net/http"
 	"time"
@@ -13,6 +11,13 @@
 	"cleathold/internal/rollout"
 )
 
+const (
+	maxConnections = 128
+	serverTimeout  = 15 * time.Second // for a whole request: a plan's compatibility checks at all agents take a while
+	maxBodySize    = 8 << 20          // bytes of a request
+)
+
+// listen binds the agent's address for the other agents and the command line.
 func (a *Agent) listen() (*admin.HTTPServer, error) {
 	return admin.ListenCalls(a.cfg.Listen, map[string]http.HandlerFunc{
 		"GET " + viewPath:           a.handleView,
@@ -20,14 +25,7 @@
 		"POST " + compatibilityPath: a.handleCompatibilityCheck,
 		"POST " + observationsPath:  a.handleObservations,
 		"POST " + joinPath:          a.handleJoin,
-		"POST " + quorum.Path: func(w http.ResponseWriter, r *http.Request) {
-			n, err := a.quorumNode()
-			if err != nil {
-				http.Error(w, err.Error(), http.StatusServiceUnavailable)
-				return
-			}
-			n.Receive(w, r)
-		},
+		"POST " + quorum.Path:       a.handleQuorum,
 	}, maxConnections, serverTimeout, a.log)
 }
 
@@ -36,7 +34,7 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// readJSON takes a body; false: it was of no use, which is answered.
+// readJSON decodes the request's body. It reports false after it has answered a body that can't be decoded.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodySize)).Decode(into)
 	if err != nil {
@@ -45,9 +43,12 @@
 	return err == nil
 }
 
-// handleView passes the question on to the leader, who sees all; if that can't be had this agent's own view has to do.
+// handleView answers with the leader's view, which has the observations of all senders, or with this agent's own
+// where the leader does not answer.
 func (a *Agent) handleView(w http.ResponseWriter, r *http.Request) {
-	if leader, leads := a.leadership(); leader != "" && !leads && r.Header.Get(forwardedHeader) == "" && r.URL.Query().Get("own") == "" {
+	leader, leads := a.leadership()
+	ownOnly := r.Header.Get(forwardedHeader) != "" || r.URL.Query().Get("own") != ""
+	if leader != "" && !leads && !ownOnly {
 		var v View
 		if a.call(r.Context(), a.cfg.Peers[leader], viewPath, nil, &v) == nil {
 			writeJSON(w, v)
@@ -57,22 +58,43 @@
 	writeJSON(w, a.view())
 }
 
+// view returns this agent's own view.
 func (a *Agent) view() View {
-	v := View{Agent: a.cfg.Name, At: time.Now().UTC(), Listed: a.fleet.endpoints()}
-	counters := &a.traffic
-	v.Traffic = Traffic{counters.reportedBytes.Load(), counters.reports.Load(), counters.polledBytes.Load(), counters.polls.Load()}
+	v := View{Agent: a.cfg.Name, At: time.Now().UTC(), Listed: a.fleet.endpoints(), Traffic: a.traffic.totals()}
 	if node, err := a.quorumNode(); err != nil {
 		v.Why = err.Error()
 	} else {
-		s := node.Status()
-		v.Quorum = &s
+		status := node.Status()
+		v.Quorum = &status
 	}
-	a.fleet.withLock(func(s *rollout.State, sights map[string]rollout.Observation) {
-		v.State, v.Observations = deepCopy(s), maps.Clone(sights)
+	a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+		v.State, v.Observations = deepCopy(state), maps.Clone(observations)
 	})
 	return v
 }
 
+// handleCommand executes a command of the operators.
+func (a *Agent) handleCommand(w http.ResponseWriter, r *http.Request) {
+	var call Call
+	if readJSON(w, r, &call) {
+		writeJSON(w, a.submit(r.Context(), call, r.Header.Get(forwardedHeader) != ""))
+	}
+}
+
+// handleCompatibilityCheck checks this agent's senders for a plan of the leader.
+func (a *Agent) handleCompatibilityCheck(w http.ResponseWriter, r *http.Request) {
+	var check CompatibilityCheck
+	if !readJSON(w, r, &check) {
+		return
+	}
+	if err := a.checkCompatibility(r.Context(), check); err != nil {
+		writeJSON(w, Result{Text: err.Error(), Kind: KindRejected})
+		return
+	}
+	writeJSON(w, Result{})
+}
+
+// handleObservations enters another agent's report.
 func (a *Agent) handleObservations(w http.ResponseWriter, r *http.Request) {
 	var report observationReport
 	if readJSON(w, r, &report) && len(report.Observations) <= rollout.MaxSenders {
@@ -83,6 +105,7 @@
 	}
 }
 
+// handleJoin adds an agent to the quorum. It must be one of the configured peers.
 func (a *Agent) handleJoin(w http.ResponseWriter, r *http.Request) {
 	var member quorum.Member
 	if !readJSON(w, r, &member) {
@@ -100,72 +123,15 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	a.log.Info("an agent is taken in", "name", member.Name, "seat", member.Number)
-}
-
-// handleCommand does what the tool asks for, by way of the leader: it alone sees the fleet.
-func (a *Agent) handleCommand(w http.ResponseWriter, r *http.Request) {
-	var call Call
-	if !readJSON(w, r, &call) {
-		return
-	}
-	leader, leads := a.leadership()
-	if leader == "" {
-		writeJSON(w, errorResult(quorum.ErrNoMajority))
-		return
-	}
-	for !leads && r.Header.Get(forwardedHeader) == "" {
-		var answer Result
-		ctx, stop := a.whileLeads(r.Context(), leader)
-		err := a.call(ctx, a.cfg.Peers[leader], commandPath, call, &answer)
-		changed := ctx.Err() != nil && r.Context().Err() == nil
-		stop()
-		if err == nil || !changed || call.Command.Verb != rollout.Halt {
-			if err != nil {
-				answer = errorResult(fmt.Errorf("%w (the leading agent %s: %w)", ErrUnknown, leader, err))
-			}
-			writeJSON(w, answer)
-			return
-		}
-		// A halt twice is a halt: whoever leads next is asked, as nothing more may go out meanwhile.
-		by := time.Now().Add(commandTimeout)
-		for leader, leads = a.leadership(); leader == "" && time.Now().Before(by) && sleep(r.Context(), leaderInterval); {
-			leader, leads = a.leadership()
-		}
-		if leader == "" {
-			writeJSON(w, errorResult(quorum.ErrNoMajority))
-			return
-		}
-	}
-	writeJSON(w, a.execute(r.Context(), call))
+	a.log.Info("member added", "agent", member.Name, "member", member.Number)
 }
 
-func (a *Agent) handleCompatibilityCheck(w http.ResponseWriter, r *http.Request) {
-	var check CompatibilityCheck
-	if !readJSON(w, r, &check) {
-		return
-	}
-	if err := a.checkCompatibility(r.Context(), check); err != nil {
-		writeJSON(w, Result{Text: err.Error(), Kind: KindRejected})
+// handleQuorum passes messages of the quorum to this agent's node.
+func (a *Agent) handleQuorum(w http.ResponseWriter, r *http.Request) {
+	node, err := a.quorumNode()
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	writeJSON(w, Result{})
-}
-
-// whileLeads ends with its parent, or once another agent than that one leads, or none: what it was asked may never be
-// answered then.
-func (a *Agent) whileLeads(parent context.Context, leader string) (context.Context, context.CancelFunc) {
-	ctx, stop := context.WithCancel(parent)
-	go func() {
-		defer stop()
-		for sleep(ctx, leaderInterval) {
-			if now, leads := a.leadership(); now != leader || leads {
-				return
-			}
-		}
-	}()
-	return ctx, stop
+	node.Receive(w, r)
 }
-
-// forwardedHeader marks a call that another agent has passed on: it is not passed on again.
-const forwardedHeader = "X-Passed-By"
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -2,80 +2,70 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
-	"fmt"
-	"net/http"
-	"os"
+	"log/slog"
 	"path/filepath"
-	"sync"
 	"time"
 
 	"cleathold/internal/admin"
 	"cleathold/internal/rollout"
 )
 
-// Times of a change.
-const (
-	readyTimeout         = 8 * time.Second // a process that takes over serves within this
-	reloadTimeout        = 3 * time.Second // new settings are in force within this
-	settleTimeout        = time.Minute     // a sender that is to be restarted may work off what it holds for so long
-	changePollInterval   = 50 * time.Millisecond
-	firstResponseTimeout = 10 * time.Second // a process that neither answers nor ends within this is killed
-)
+// firstResponseTimeout is how long a process may neither answer nor end after its start. Then it is killed.
+const firstResponseTimeout = 10 * time.Second
 
-// supervisor looks after one sender. All of it belongs to its goroutine, but for the record, which others may ask for.
+// supervisor runs and observes one sender, and carries out the grants of the fleet for it. Its fields belong to the
+// goroutine of run, but for those that are safe for concurrent use.
 type supervisor struct {
-	Sender
-	agent      *Agent
-	recordPath string // of the record
-	http       *http.Client
-
-	mu  sync.Mutex
-	rec record
-
-	process          *process
-	processStartedAt time.Time // of the process, as far as this agent knows
-	answered         bool      // it has answered since
-	restartAt        time.Time // when one that has ended is started again
+	cfg    Sender
+	agent  *Agent
+	log    *slog.Logger
+	client *senderClient
+	record *recordFile
+
+	process          *process  // nil before the first start, and after the end was noticed
+	processStartedAt time.Time // as far as this agent knows
+	answered         bool      // the process has answered a poll
 	backoff          restartBackoff
-	crashes          int
-	lastStatus       admin.Status
-	observation      rollout.Observation
-	changing         bool // a change is under way: whatever the sender says, it is out
-
-	lastTakenEpoch uint64 // epoch of the grant that was last acted on
-	faultEpoch     uint64
-	fault          string
-	logTrimmedAt   time.Time
-
-	exclusionEpoch   uint64 // what the sender was told of endpoints
-	exclusionProcess string
-	exclusionsSentAt time.Time
+	restartAt        time.Time // when a process that has ended is started again
+	crashes          int       // since the agent's start
+	logTrimmedAt     time.Time
+
+	lastStatus  admin.Status
+	observation rollout.Observation // the latest
+
+	lastTakenEpoch uint64 // epoch of the grant that the sender was asked to take last
+	faultEpoch     uint64 // epoch of the last grant that failed
+	fault          string // why it failed
+	exclusions     sentExclusions
+}
+
+// sentExclusions tells which list of excluded endpoints a sender has got.
+type sentExclusions struct {
+	epoch   uint64
+	process string // id of the process that got it
+	at      time.Time
 }
 
 func newSupervisor(a *Agent, sender Sender) (*supervisor, error) {
-	s := &supervisor{
-		Sender: sender, agent: a, recordPath: filepath.Join(a.cfg.Folder, sender.Name+".json"),
-		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
-	}
-	text, err := os.ReadFile(s.recordPath)
-	switch {
-	case errors.Is(err, os.ErrNotExist):
-		s.rec = record{Version: a.cfg.First}
-	case err != nil:
-		return nil, fmt.Errorf("agent: %w", err)
-	default:
-		if err := json.Unmarshal(text, &s.rec); err != nil {
-			return nil, fmt.Errorf("agent: %s: %w; remove it to have the sender run %s", s.recordPath, err, a.cfg.First.Name)
-		}
+	rec, err := openRecord(sender.Name, filepath.Join(a.cfg.Folder, sender.Name+".json"), a.cfg.First)
+	if err != nil {
+		return nil, err
 	}
-	return s, nil
+	return &supervisor{
+		cfg: sender, agent: a, log: a.log.With("sender", sender.Name), client: newSenderClient(sender, &a.traffic),
+		record: rec,
+	}, nil
 }
 
-func (s *supervisor) logPath() string { return filepath.Join(s.agent.cfg.Folder, s.Name+".log") }
+// version returns the version that the sender runs. It may be called from any goroutine.
+func (s *supervisor) version() rollout.Version { return s.record.get().Version }
 
-// run looks after the sender until the context ends. The sender runs on.
+// adminIndex returns which admin address the sender's process has. It may be called from any goroutine.
+func (s *supervisor) adminIndex() int { return s.record.get().AdminIndex }
+
+func (s *supervisor) logPath() string { return filepath.Join(s.agent.cfg.Folder, s.cfg.Name+".log") }
+
+// run supervises the sender until the context ends. The sender's process goes on.
 func (s *supervisor) run(ctx context.Context) {
 	s.recoverProcesses(ctx)
 	for {
@@ -87,9 +77,10 @@
 	}
 }
 
-// recoverProcesses finds the process that an agent before this one has left, or two where it was in the middle of a change.
+// recoverProcesses adopts the process that this agent has left at its last end. Of two, where it ended within a
+// hand-over, the successor is kept if it comes to serve.
 func (s *supervisor) recoverProcesses(ctx context.Context) {
-	rec := s.record()
+	rec := s.record.get()
 	if rec.Pid > 0 {
 		if p, err := adoptProcess(rec.Pid, rec.StartTime); err == nil {
 			s.process, s.processStartedAt, s.answered = p, time.Now(), true
@@ -98,40 +89,79 @@
 	if rec.Successor == nil {
 		return
 	}
-	s.changing = true
-	defer func() { s.changing = false }()
 	p, err := adoptProcess(rec.Successor.Pid, rec.Successor.StartTime)
-	if err == nil && s.awaitServing(ctx, p, 1-rec.Admin, time.Now().Add(readyTimeout)) == nil {
-		s.promote(ctx, p, *rec.Successor, 1-rec.Admin)
-		return
-	}
 	if err == nil {
+		if s.awaitServing(ctx, p, 1-rec.AdminIndex) == nil {
+			s.promote(p, *rec.Successor, 1-rec.AdminIndex)
+			return
+		}
 		p.kill()
 	}
-	if err := s.updateRecord(func(r *record) { r.Successor = nil }); err != nil {
-		s.agent.log.Error("record", "err", err)
+	s.updateRecord(func(r *record) { r.Successor = nil })
+}
+
+// poll polls the sender and publishes the observation. A process that has ended is started again, and one that has
+// never answered is killed.
+func (s *supervisor) poll(ctx context.Context) {
+	if time.Since(s.logTrimmedAt) > logTrimInterval {
+		s.logTrimmedAt = time.Now()
+		trimLog(s.logPath())
+	}
+	now := time.Now()
+	if !s.process.running() {
+		s.restartProcess(ctx, now)
+		return
+	}
+	status, err := s.client.status(ctx, s.adminIndex())
+	if err != nil {
+		if !s.answered && now.Sub(s.processStartedAt) > firstResponseTimeout {
+			s.log.Error("unresponsive process killed", "pid", s.process.pid, "err", err)
+			s.process.kill()
+		}
+		s.publish(rollout.Observation{Phase: "no answer"}, time.Now())
+		return
+	}
+	s.answered, s.lastStatus = true, status
+	observed := observationOf(status)
+	version := s.version()
+	observed.Version = version.Name
+	observed.Serving = observed.Serving && s.client.checkHealth(ctx) == nil
+	if status.Release != "" && version.Config == "" {
+		observed.Version = status.Release // another one where the process was not started by this agent
 	}
+	s.publish(observed, now)
 }
 
-// processEnv is what a process of the sender is told.
-func (s *supervisor) processEnv(v rollout.Version, address int) []string {
-	return []string{"LB_CONFIG=" + s.Config, "LB_ADMIN=" + s.Admin[address], "CLEATHOLD_RELEASE=" + v.Name}
+// restartProcess starts the sender's process again, once the backoff allows it.
+func (s *supervisor) restartProcess(ctx context.Context, now time.Time) {
+	if s.process != nil {
+		s.crashes++
+		s.restartAt = s.backoff.nextStart(now.Sub(s.processStartedAt), now)
+		s.log.Warn("process ended", "pid", s.process.pid, "exit_status", s.process.exitStatus,
+			"restart_in", s.restartAt.Sub(now).Round(time.Millisecond))
+		s.process = nil
+	}
+	if now.Before(s.restartAt) {
+		s.publish(rollout.Observation{Phase: "ended, to be started again"}, now)
+		return
+	}
+	s.startProcess(ctx)
 }
 
-// startProcess starts the sender's process, unless somebody else has.
+// startProcess starts the sender's process, or adopts one that answers at its admin address.
 func (s *supervisor) startProcess(ctx context.Context) {
-	rec := s.record()
-	if status, err := s.pollStatus(ctx, rec.Admin); err == nil && status.Pid > 0 {
+	rec := s.record.get()
+	if status, err := s.client.status(ctx, rec.AdminIndex); err == nil && status.Pid > 0 {
 		if p, err := adoptProcess(status.Pid, ""); err == nil {
-			s.agent.log.Warn("a process that this agent did not start runs the sender", "sender", s.Name, "pid", status.Pid)
+			s.log.Warn("unknown process adopted", "pid", status.Pid)
 			s.setProcess(p)
 			return
 		}
 	}
 	s.backoff.started(time.Now())
-	p, err := launch(rec.Version.Program, s.processEnv(rec.Version, rec.Admin), s.logPath())
+	p, err := s.launch(rec.Version, rec.AdminIndex)
 	if err != nil {
-		s.agent.log.Error("not started", "sender", s.Name, "err", err)
+		s.log.Error("process not started", "err", err)
 		s.restartAt = s.backoff.nextStart(0, time.Now())
 		s.publish(rollout.Observation{Phase: err.Error()}, time.Now())
 		return
@@ -139,61 +169,32 @@
 	s.setProcess(p)
 }
 
+// launch starts a process of the sender with a version and an admin address.
+func (s *supervisor) launch(v rollout.Version, adminIndex int) (*process, error) {
+	env := []string{
+		"LB_CONFIG=" + s.cfg.Config, "LB_ADMIN=" + s.cfg.Admin[adminIndex], "CLEATHOLD_RELEASE=" + v.Name,
+	}
+	return launchProcess(v.Program, env, s.logPath())
+}
+
+// setProcess makes a process that has not answered yet the sender's.
 func (s *supervisor) setProcess(p *process) {
 	s.process, s.processStartedAt, s.answered = p, time.Now(), false
-	if err := s.updateRecord(func(r *record) { r.Pid, r.StartTime = p.pid, p.startTime }); err != nil {
-		s.agent.log.Error("record", "err", err)
-	}
+	s.updateRecord(func(r *record) { r.Pid, r.StartTime = p.pid, p.startTime })
 }
 
-// poll asks the sender how it is, and tells.
-func (s *supervisor) poll(ctx context.Context) {
-	if time.Since(s.logTrimmedAt) > time.Minute {
-		s.logTrimmedAt = time.Now()
-		trimLog(s.logPath())
+// updateRecord changes the record where the sender goes on whether or not the change can be written.
+func (s *supervisor) updateRecord(change func(*record)) {
+	if err := s.record.update(change); err != nil {
+		s.log.Error("record not written", "err", err)
 	}
-	now := time.Now()
-	if !s.process.running() {
-		if s.process != nil {
-			s.crashes++
-			s.restartAt = s.backoff.nextStart(now.Sub(s.processStartedAt), now)
-			s.agent.log.Warn("the sender's process has ended", "sender", s.Name, "how", s.process.exitStatus, "again", s.restartAt.Sub(now).Round(time.Millisecond))
-			s.process = nil
-		}
-		if now.Before(s.restartAt) {
-			s.publish(rollout.Observation{Phase: "ended, to be started again"}, now)
-			return
-		}
-		s.startProcess(ctx)
-		return
-	}
-	status, err := s.pollStatus(ctx, s.record().Admin)
-	if err != nil {
-		if !s.answered && now.Sub(s.processStartedAt) > firstResponseTimeout {
-			s.agent.log.Error("the sender neither answers nor ends: killed", "sender", s.Name, "err", err)
-			s.process.kill()
-		}
-		s.publish(rollout.Observation{Phase: "no answer"}, time.Now())
-		return
-	}
-	s.answered, s.lastStatus = true, status
-	observed := observationOf(status)
-	observed.Version = s.version().Name
-	observed.Serving = observed.Serving && s.checkHealth(ctx) == nil
-	if status.Release != "" && status.Release != observed.Version && s.version().Config == "" {
-		observed.Version = status.Release // it was started by somebody else
-	}
-	s.publish(observed, now)
 }
 
-// publish enters a sight of the sender.
+// publish completes an observation of the sender by what its agent knows, and enters it.
 func (s *supervisor) publish(observed rollout.Observation, at time.Time) {
-	observed.Sender, observed.At = s.Name, at.UTC().Round(0)
+	observed.Sender, observed.At = s.cfg.Name, at.UTC().Round(0)
 	observed.Facts.Restarts = s.crashes
 	observed.FaultEpoch, observed.Fault = s.faultEpoch, s.fault
-	if s.changing {
-		observed.Serving = false
-	}
 	s.observation = observed
 	s.agent.fleet.observe(observed)
 }
--- a/internal/agent/traffic.go
+++ b/internal/agent/traffic.go
@@ -2,13 +2,21 @@
 
 import "sync/atomic"
 
-// trafficCounters counts what an agent sends and asks beside the agreement.
-type trafficCounters struct{ reportedBytes, reports, polledBytes, polls atomic.Int64 }
-
-// Traffic is that, since its start.
+// Traffic counts what an agent has sent and polled since its start, besides the quorum's messages.
 type Traffic struct {
-	ReportedBytes int64 `json:"told_bytes"` // of sights, to the leader
+	ReportedBytes int64 `json:"told_bytes"` // of observation reports to the leader
 	Reports       int64 `json:"told_calls"`
-	PolledBytes   int64 `json:"look_bytes"` // that its senders answered, at their second addresses
+	PolledBytes   int64 `json:"look_bytes"` // of its senders' responses at their admin addresses
 	Polls         int64 `json:"looks"`
 }
+
+// trafficCounters are the counters behind Traffic.
+type trafficCounters struct{ reportedBytes, reports, polledBytes, polls atomic.Int64 }
+
+// totals returns the counts so far.
+func (c *trafficCounters) totals() Traffic {
+	return Traffic{
+		ReportedBytes: c.reportedBytes.Load(), Reports: c.reports.Load(),
+		PolledBytes: c.polledBytes.Load(), Polls: c.polls.Load(),
+	}
+}
--- a/internal/agent/versionchange.go
+++ b/internal/agent/versionchange.go
@@ -13,28 +13,57 @@
 	"cleathold/internal/rollout"
 )
 
-// changeVersion has the sender run another version. After an error it runs the one that it ran.
+const (
+	readyTimeout       = 8 * time.Second // from the start of a process until it serves
+	reloadTimeout      = 3 * time.Second // from a SIGHUP until the new configuration is in force
+	settleTimeout      = time.Minute     // for a drained sender's open messages, before its restart
+	changePollInterval = 50 * time.Millisecond
+)
+
+// The texts of these errors go into the grant's fault, which operators see.
+var (
+	errTimeout      = errors.New("not in time")
+	errNeverServed  = errors.New("it never served")
+	errProcessEnded = errors.New("the process ended")
+)
+
+// versionChange is a change of a sender's version, under the lease of a grant.
+type versionChange struct {
+	*supervisor
+	epoch uint64        // of the grant
+	lease time.Duration // by which the grant's lease is renewed
+	from  rollout.Version
+	to    rollout.Version
+}
+
+// needsNewProcess reports whether a change of versions needs another process.
+func needsNewProcess(to, from rollout.Version) bool {
+	return to.Program != "" && to.Program != from.Program
+}
+
+// changeVersion has the sender run the version of a grant. After an error it runs the one that it ran before, as far
+// as possible.
 func (s *supervisor) changeVersion(ctx context.Context, grant *rollout.Grant, timing rollout.Timing) error {
-	old := s.version()
-	to := grant.To
-	if to.Program == "" {
-		to.Program = old.Program
+	c := &versionChange{supervisor: s, epoch: grant.Epoch, lease: timing.Lease, from: s.version(), to: grant.To}
+	newProcess := needsNewProcess(c.to, c.from)
+	if c.to.Program == "" {
+		c.to.Program = c.from.Program
 	}
 	restore := func() error { return nil }
-	if to.Config != "" {
+	if c.to.Config != "" {
 		var err error
-		if restore, err = s.replaceConfig(to.Config); err != nil {
+		if restore, err = s.replaceConfig(c.to.Config); err != nil {
 			return err
 		}
 	}
 	var err error
 	switch {
-	case to.Program != old.Program && s.Restart:
-		err = s.changeByRestart(ctx, grant, timing, to)
-	case to.Program != old.Program:
-		err = s.changeByHandover(ctx, grant, timing, to)
+	case newProcess && s.cfg.Restart:
+		err = c.restart(ctx)
+	case newProcess:
+		err = c.handOver(ctx)
 	default:
-		err = s.reloadConfig(ctx, grant, timing, to)
+		err = c.reload(ctx)
 	}
 	if err == nil || ctx.Err() != nil {
 		return err
@@ -42,165 +71,173 @@
 	if restoreErr := restore(); restoreErr != nil {
 		return fmt.Errorf("%w; and the configuration before it is not back: %w", err, restoreErr)
 	}
-	if to.Config != "" && to.Program == old.Program && s.process.running() {
+	if c.to.Config != "" && !newProcess && s.process.running() {
 		s.process.signal(syscall.SIGHUP)
 	}
 	return err
 }
 
-// needsNewProcess tells whether a version needs another process.
-func (s *supervisor) needsNewProcess(to rollout.Version) bool {
-	return to.Program != "" && to.Program != s.version().Program
-}
-
-// replaceConfig puts the sender's file of a release in place, and returns the way back.
+// replaceConfig replaces the sender's configuration file by that of a release. restore puts the old content back.
 func (s *supervisor) replaceConfig(folder string) (restore func() error, err error) {
-	text, err := os.ReadFile(filepath.Join(folder, s.Name+".json"))
+	text, err := os.ReadFile(filepath.Join(folder, s.cfg.Name+".json"))
 	if err != nil {
 		return nil, fmt.Errorf("the release has no configuration for it: %w", err)
 	}
-	old, err := os.ReadFile(s.Config)
+	old, err := os.ReadFile(s.cfg.Config)
 	if err != nil {
 		return nil, err
 	}
-	write := func(text []byte) error {
-		if err := os.WriteFile(s.Config+".new", text, 0o600); err != nil {
+	if err := replaceFile(s.cfg.Config, text); err != nil {
+		return nil, err
+	}
+	return func() error { return replaceFile(s.cfg.Config, old) }, nil
+}
+
+// await renews the lease and polls until reached reports true or an error, or the timeout is over. A lease that can't
+// be renewed ends, but does not end the change.
+func (c *versionChange) await(ctx context.Context, timeout time.Duration, reached func() (bool, error)) error {
+	renewedAt := time.Now()
+	deadline := renewedAt.Add(timeout)
+	for {
+		if done, err := reached(); done || err != nil {
 			return err
 		}
-		return os.Rename(s.Config+".new", s.Config)
-	}
-	if err := write(text); err != nil {
-		return nil, err
+		if time.Now().After(deadline) {
+			return errTimeout
+		}
+		if time.Since(renewedAt) > c.lease/3 {
+			renewedAt = time.Now()
+			c.renewLease(ctx, c.epoch, c.lease)
+		}
+		if !sleep(ctx, changePollInterval) {
+			return ctx.Err()
+		}
 	}
-	return func() error { return write(old) }, nil
 }
 
-// reloadConfig has the process read its file again.
-func (s *supervisor) reloadConfig(ctx context.Context, grant *rollout.Grant, timing rollout.Timing, to rollout.Version) error {
-	text, err := os.ReadFile(s.Config)
+// reload has the process read its configuration file again.
+func (c *versionChange) reload(ctx context.Context) error {
+	text, err := os.ReadFile(c.cfg.Config)
 	if err != nil {
 		return err
 	}
-	wanted := admin.Digest(string(text))
-	s.process.signal(syscall.SIGHUP)
-	err = s.waitWithLease(ctx, grant, timing, time.Now().Add(reloadTimeout), func() (bool, error) {
-		if !s.process.running() {
-			return false, errors.New("the process ended")
+	digest := admin.Digest(string(text))
+	c.process.signal(syscall.SIGHUP)
+	err = c.await(ctx, reloadTimeout, func() (bool, error) {
+		if !c.process.running() {
+			return false, errProcessEnded
 		}
-		status, err := s.pollStatus(ctx, s.record().Admin)
-		return err == nil && status.Config == wanted, nil
+		status, err := c.client.status(ctx, c.adminIndex())
+		return err == nil && status.Config == digest, nil
 	})
 	if err != nil {
 		return fmt.Errorf("the new configuration is not in force, its log says why: %w", err)
 	}
-	return s.updateRecord(func(r *record) { r.Version = to })
+	return c.record.update(func(r *record) { r.Version = c.to })
 }
 
-// changeByHandover starts the new process beside the old one, which gives way to it.
-func (s *supervisor) changeByHandover(ctx context.Context, grant *rollout.Grant, timing rollout.Timing, to rollout.Version) error {
-	address := 1 - s.record().Admin
-	p, err := launch(to.Program, s.processEnv(to, address), s.logPath())
+// handOver starts a process with the new version beside the old one, which hands over to it. The record names the
+// successor from its start on, so that the agent's next run finds it.
+func (c *versionChange) handOver(ctx context.Context) error {
+	adminIndex := 1 - c.adminIndex()
+	p, err := c.launch(c.to, adminIndex)
 	if err != nil {
 		return err
 	}
-	next := successor{to, p.pid, p.startTime}
-	if err := s.updateRecord(func(r *record) { r.Successor = &next }); err != nil {
+	next := successor{c.to, p.pid, p.startTime}
+	if err := c.record.update(func(r *record) { r.Successor = &next }); err != nil {
 		p.kill()
 		return err
 	}
-	err = s.waitWithLease(ctx, grant, timing, time.Now().Add(readyTimeout), func() (bool, error) {
+	err = c.await(ctx, readyTimeout, func() (bool, error) {
 		if !p.running() {
-			return false, fmt.Errorf("the new process ended before it served: %s: %s", p.exitStatus, logTail(s.logPath()))
+			return false, fmt.Errorf("the new process ended before it served: %s: %s", p.exitStatus, logTail(c.logPath()))
 		}
-		return s.servesAt(ctx, p, address), nil
+		return c.serves(ctx, p, adminIndex), nil
 	})
 	if ctx.Err() != nil {
 		return err
 	}
 	if err == nil {
-		s.promote(ctx, p, next, address)
+		c.promote(p, next, adminIndex)
 		return nil
 	}
 	p.kill()
-	if forgetErr := s.updateRecord(func(r *record) { r.Successor = nil }); forgetErr != nil {
-		s.agent.log.Error("record", "err", forgetErr)
-	}
+	c.updateRecord(func(r *record) { r.Successor = nil })
 	return err
 }
 
-// servesAt tells whether a process serves at a second address.
-func (s *supervisor) servesAt(ctx context.Context, p *process, address int) bool {
-	status, err := s.pollStatus(ctx, address)
-	return err == nil && status.Pid == p.pid && (status.Phase == "serving" || status.Phase == "drained")
-}
-
-// awaitServing waits for a process that an agent before this one started.
-func (s *supervisor) awaitServing(ctx context.Context, p *process, address int, deadline time.Time) error {
-	for time.Now().Before(deadline) && p.running() {
-		if s.servesAt(ctx, p, address) {
-			return nil
-		}
-		if !sleep(ctx, changePollInterval) {
-			return ctx.Err()
-		}
-	}
-	return errors.New("it never served")
-}
-
-// promote makes the new process the sender's, and sees the old one off.
-func (s *supervisor) promote(ctx context.Context, p *process, next successor, address int) {
+// promote makes the successor the sender's process, and stops the old one, which may have ended after its hand-over.
+func (s *supervisor) promote(p *process, next successor, adminIndex int) {
 	old := s.process
 	s.process, s.processStartedAt, s.answered = p, time.Now(), true
-	err := s.updateRecord(func(r *record) {
-		r.Version, r.Admin, r.Pid, r.StartTime, r.Successor = next.Version, address, p.pid, p.startTime, nil
+	s.updateRecord(func(r *record) {
+		*r = record{Version: next.Version, AdminIndex: adminIndex, Pid: p.pid, StartTime: p.startTime}
 	})
-	if err != nil {
-		s.agent.log.Error("record", "err", err)
-	}
 	if old.running() {
-		old.stop() // it may have ended by itself
+		old.stop()
 	}
 }
 
-// changeByRestart waits until the drained process owes nothing, ends it and starts the new one. If that does not come
-// to serve the old one is started again.
-func (s *supervisor) changeByRestart(ctx context.Context, grant *rollout.Grant, timing rollout.Timing, to rollout.Version) error {
-	s.waitWithLease(ctx, grant, timing, time.Now().Add(settleTimeout), func() (bool, error) { // what it still owes the next one takes up
-		status, err := s.pollStatus(ctx, s.record().Admin)
+// restart waits until the drained process has no open messages, stops it and starts the new version. If that does not
+// come to serve the old version is started again.
+func (c *versionChange) restart(ctx context.Context) error {
+	// Messages that are still open after the timeout stay in the write-ahead log, for the next process.
+	c.await(ctx, settleTimeout, func() (bool, error) {
+		status, err := c.client.status(ctx, c.adminIndex())
 		return err != nil || status.Counts.Open == 0, nil
 	})
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	old := s.version()
-	err := s.replaceProcess(ctx, to)
+	err := c.replaceProcess(ctx, c.to)
 	if err == nil || ctx.Err() != nil {
 		return err
 	}
-	if restartErr := s.replaceProcess(ctx, old); restartErr != nil {
-		return fmt.Errorf("%w; and %s was not started again: %w", err, old.Name, restartErr)
+	if restartErr := c.replaceProcess(ctx, c.from); restartErr != nil {
+		return fmt.Errorf("%w; and %s was not started again: %w", err, c.from.Name, restartErr)
 	}
 	return err
 }
 
-// replaceProcess ends the process and has another version in its place.
+// replaceProcess stops the sender's process and starts another with a version.
 func (s *supervisor) replaceProcess(ctx context.Context, v rollout.Version) error {
 	if s.process.running() {
 		s.process.stop()
 	}
-	address := s.record().Admin
-	p, err := launch(v.Program, s.processEnv(v, address), s.logPath())
+	adminIndex := s.adminIndex()
+	p, err := s.launch(v, adminIndex)
 	if err != nil {
 		s.process = nil
 		return err
 	}
 	s.setProcess(p)
-	if err := s.awaitServing(ctx, p, address, time.Now().Add(readyTimeout)); err != nil {
+	if err := s.awaitServing(ctx, p, adminIndex); err != nil {
 		if !p.running() {
 			return fmt.Errorf("%w: %s: %s", err, p.exitStatus, logTail(s.logPath()))
 		}
 		return err
 	}
 	s.answered = true
-	return s.updateRecord(func(r *record) { r.Version = v })
+	return s.record.update(func(r *record) { r.Version = v })
+}
+
+// awaitServing waits until a process serves, for readyTimeout at most. No lease is renewed meanwhile.
+func (s *supervisor) awaitServing(ctx context.Context, p *process, adminIndex int) error {
+	deadline := time.Now().Add(readyTimeout)
+	for time.Now().Before(deadline) && p.running() {
+		if s.serves(ctx, p, adminIndex) {
+			return nil
+		}
+		if !sleep(ctx, changePollInterval) {
+			return ctx.Err()
+		}
+	}
+	return errNeverServed
+}
+
+// serves reports whether a process has started to serve, or is drained, at an admin address.
+func (s *supervisor) serves(ctx context.Context, p *process, adminIndex int) bool {
+	status, err := s.client.status(ctx, adminIndex)
+	return err == nil && status.Pid == p.pid && started(status)
 }
