--- /dev/null
+++ b/internal/agent/command.go
@@ -0,0 +1,158 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"cleathold/internal/quorum"
+	"cleathold/internal/rollout"
+)
+
+// operatorVerbs are the verbs that the command line may send. The others are the agents' own.
+var operatorVerbs = []rollout.Verb{
+	rollout.SetTerms, rollout.Start, rollout.Halt, rollout.Resume, rollout.RollBack, rollout.Activate,
+	rollout.ExcludeEndpoint, rollout.IncludeEndpoint,
+}
+
+// errorResult returns the response for an error.
+func errorResult(err error) Result {
+	kind := KindRejected
+	switch {
+	case errors.Is(err, quorum.ErrNoMajority), errors.Is(err, quorum.ErrStopped):
+		kind = KindNoMajority
+	case errors.Is(err, ErrUnknown):
+		kind = KindUnknown
+	}
+	return Result{Text: err.Error(), Kind: kind}
+}
+
+// submit has the leader execute a command, as the leader alone has the observations of all senders. A command that
+// another agent has forwarded is executed here in any case.
+func (a *Agent) submit(ctx context.Context, call Call, forwarded bool) Result {
+	leader, leads := a.leadership()
+	if leader == "" {
+		return errorResult(quorum.ErrNoMajority)
+	}
+	for !leads && !forwarded {
+		result, leaderLost := a.forwardCommand(ctx, leader, call)
+		if !leaderLost || call.Command.Verb != rollout.Halt {
+			return result
+		}
+		// To halt twice does no harm, and nothing more may go out meanwhile: the next leader is asked, too.
+		if leader, leads = a.awaitLeader(ctx); leader == "" {
+			return errorResult(quorum.ErrNoMajority)
+		}
+	}
+	return a.execute(ctx, call)
+}
+
+// forwardCommand sends a command to the leader. leaderLost reports that there was no answer and that the agent no
+// longer leads.
+func (a *Agent) forwardCommand(ctx context.Context, leader string, call Call) (result Result, leaderLost bool) {
+	leaderCtx, stop := a.whileLeads(ctx, leader)
+	defer stop()
+	err := a.callWithin(leaderCtx, serverTimeout, a.cfg.Peers[leader], commandPath, call, &result)
+	if err == nil {
+		return result, false
+	}
+	leaderLost = leaderCtx.Err() != nil && ctx.Err() == nil
+	return errorResult(fmt.Errorf("%w (the leading agent %s: %w)", ErrUnknown, leader, err)), leaderLost
+}
+
+// whileLeads returns a context that ends with its parent, or once the given agent no longer leads: it may never
+// answer then.
+func (a *Agent) whileLeads(parent context.Context, leader string) (context.Context, context.CancelFunc) {
+	ctx, stop := context.WithCancel(parent)
+	go func() {
+		defer stop()
+		for sleep(ctx, leaderInterval) {
+			if now, leads := a.leadership(); now != leader || leads {
+				return
+			}
+		}
+	}()
+	return ctx, stop
+}
+
+// awaitLeader waits until a leader is known, at most for commandTimeout.
+func (a *Agent) awaitLeader(ctx context.Context) (leader string, leads bool) {
+	deadline := time.Now().Add(commandTimeout)
+	leader, leads = a.leadership()
+	for leader == "" && time.Now().Before(deadline) && sleep(ctx, leaderInterval) {
+		leader, leads = a.leadership()
+	}
+	return leader, leads
+}
+
+// execute checks a command, completes it with what this agent knows, and proposes it.
+func (a *Agent) execute(ctx context.Context, call Call) Result {
+	command := call.Command
+	if !slices.Contains(operatorVerbs, command.Verb) {
+		return errorResult(fmt.Errorf("%w: %q is not for staff", rollout.ErrRejected, command.Verb))
+	}
+	if command.By == "" || command.Reason == "" {
+		return errorResult(fmt.Errorf("%w: an author and a reason are needed", rollout.ErrRejected))
+	}
+	command.At = time.Now().UTC()
+	if command.Verb == rollout.Start {
+		draft, err := a.draftPlan(ctx, command)
+		if err != nil {
+			return errorResult(err)
+		}
+		if call.DryRun {
+			return Result{Plan: draft}
+		}
+		command.At = time.Now().UTC() // the checks of the draft took a while
+		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+			command.Seen = state.Seen(observations, command.At)
+		})
+	}
+	if command.Verb == rollout.ExcludeEndpoint {
+		command.Listed = a.fleet.endpoints()
+	}
+	index, err := a.propose(ctx, command)
+	if err != nil {
+		return errorResult(err)
+	}
+	result := Result{Index: index}
+	a.fleet.withLock(func(state *rollout.State, _ map[string]rollout.Observation) {
+		if plan := state.Plan(index); plan != nil {
+			result.Plan = deepCopy(plan)
+		}
+	})
+	return result
+}
+
+// draftPlan returns the plan that a rollout.Start would begin, after a check of the senders that a release concerns.
+func (a *Agent) draftPlan(ctx context.Context, command rollout.Command) (*rollout.Plan, error) {
+	a.awaitObservations(ctx)
+	var draft *rollout.Plan
+	var err error
+	command.At = time.Now().UTC()
+	a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+		command.Seen = state.Seen(observations, command.At)
+		draft, err = state.Draft(state.Index+1, command)
+	})
+	if err == nil && draft.Kind == rollout.Release {
+		err = a.checkPlan(ctx, draft)
+	}
+	return draft, err
+}
+
+// awaitObservations waits until all senders are observed serving, at most for as long as an observation holds: a new
+// leader has got few reports at first.
+func (a *Agent) awaitObservations(ctx context.Context) {
+	for began := time.Now(); ; {
+		all, fresh := false, time.Duration(0)
+		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+			all = len(state.Seen(observations, time.Now())) == len(state.Members)
+			fresh = state.Terms.Timing.Fresh
+		})
+		if all || time.Since(began) > fresh || !sleep(ctx, leaderInterval) {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/agent/remoteobserver.go
@@ -0,0 +1,102 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"sync"
+	"time"
+
+	"cleathold/internal/admin"
+	"cleathold/internal/rollout"
+)
+
+const (
+	maxRemotePolls    = 16              // polls at once
+	remotePollTimeout = callTimeout / 2 // of one poll
+)
+
+// remoteObserver polls the senders whose own agents are silent, while this agent leads. A machine without its agent
+// is thereby not taken for one without senders. Its observations (rollout.Observation.Far) count for the budget
+// alone: they neither bring a sender a grant nor close one. A sender whose admin addresses can't be reached from here
+// stays unknown.
+type remoteObserver struct {
+	agent *Agent
+	http  *http.Client
+}
+
+// remoteSender is a sender to be polled.
+type remoteSender struct {
+	last  rollout.Observation
+	reach []string // its admin addresses
+}
+
+func newRemoteObserver(a *Agent) *remoteObserver {
+	return &remoteObserver{a, &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+}
+
+// run polls until the context ends.
+func (o *remoteObserver) run(ctx context.Context) {
+	for sleep(ctx, pollInterval) {
+		if _, leads := o.agent.leadership(); leads {
+			o.pollAll(ctx, o.unreported())
+		}
+	}
+}
+
+// unreported returns the other agents' senders of which no fresh observation is known.
+func (o *remoteObserver) unreported() (senders []remoteSender) {
+	o.agent.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
+		for name, member := range state.Members {
+			last, known := observations[name]
+			if !known { // nobody has reported it since this agent leads
+				last = rollout.Observation{Sender: name, Version: member.Version.Name}
+			}
+			if member.Agent != o.agent.cfg.Name && time.Since(last.At) > state.Terms.Timing.Fresh*6/10 {
+				senders = append(senders, remoteSender{last, member.Reach})
+			}
+		}
+	})
+	return senders
+}
+
+// pollAll polls senders at the first of their addresses that answers.
+func (o *remoteObserver) pollAll(ctx context.Context, senders []remoteSender) {
+	slots := make(chan struct{}, maxRemotePolls)
+	var wg sync.WaitGroup
+	for _, sender := range senders {
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
+			for _, addr := range sender.reach {
+				if observed, ok := o.poll(ctx, addr, sender.last); ok {
+					o.agent.fleet.observe(observed)
+					return
+				}
+			}
+		})
+	}
+	wg.Wait()
+}
+
+// poll polls a sender at one address. What only its own agent knows is taken from the last observation.
+func (o *remoteObserver) poll(
+	ctx context.Context, addr string, last rollout.Observation,
+) (observed rollout.Observation, ok bool) {
+	now := time.Now()
+	ctx, cancel := context.WithDeadline(ctx, now.Add(remotePollTimeout))
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+admin.StatusPath, nil)
+	if err != nil {
+		return last, false
+	}
+	text, err := fetch(o.http, request)
+	var status admin.Status
+	if err != nil || json.Unmarshal(text, &status) != nil || status.Name != last.Sender || !started(status) {
+		return last, false
+	}
+	observed = observationOf(status)
+	observed.Sender, observed.At, observed.Far, observed.Version = last.Sender, now.UTC().Round(0), true, last.Version
+	observed.Facts.Restarts, observed.FaultEpoch, observed.Fault = last.Facts.Restarts, last.FaultEpoch, last.Fault
+	return observed, true
+}
