--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -10,18 +10,18 @@
 
 // What both fronts take for the clients and the front layer before the senders.
 const (
-	DeadSenderTimeout = 2 * time.Second // the front goes on sending to a dead sender for so long
-	deadTries         = 8               // hand-ins of one message that reach nobody, at most
+	DeadSenderTimeout  = 2 * time.Second // the front goes on sending to a dead sender for so long
+	maxLostSubmissions = 8               // hand-ins of one message that reach nobody, at most
 )
 
 // ClientRequest is a client's message with its hand-ins, as BRIEF 6 has clients come again.
 // It does no I/O and is not safe for concurrent use.
 type ClientRequest struct {
 	scenario.Arrival
-	Done    bool // delivered
-	serial  int  // hand-ins
-	tries   int  // refused, at most as often as clients come again
-	nowhere int  // those that reached nobody
+	Done        bool // delivered
+	submissions int  // hand-ins
+	rejections  int  // refused, at most as often as clients come again
+	lost        int  // those that reached nobody
 }
 
 // TimeLeft is the time for which the message may still be delivered; none where it is over.
@@ -33,10 +33,10 @@
 }
 
 // NextSubmission is the id of the next hand-in, and whether one was before it.
-func (m *ClientRequest) NextSubmission() (id string, again bool) {
-	id, again = fmt.Sprintf("m%d-%d", m.N, m.serial), m.serial > 0
-	m.serial++
-	return id, again
+func (m *ClientRequest) NextSubmission() (id string, resubmitted bool) {
+	id, resubmitted = fmt.Sprintf("m%d-%d", m.N, m.submissions), m.submissions > 0
+	m.submissions++
+	return id, resubmitted
 }
 
 // Key is the message's key, where its class has one.
@@ -48,22 +48,22 @@
 }
 
 // Rejected tells whether its client comes again after a refusal, and after how long.
-func (m *ClientRequest) Rejected(s *scenario.Scenario, rng *rand.Rand, told time.Duration) (time.Duration, bool) {
-	if m.tries++; m.Done || m.tries > s.Traffic.Retries {
+func (m *ClientRequest) Rejected(s *scenario.Scenario, rng *rand.Rand, retryAfter time.Duration) (time.Duration, bool) {
+	if m.rejections++; m.Done || m.rejections > s.Traffic.Retries {
 		return 0, false
 	}
-	return max(told, seconds(s.Traffic.RetryDelay, rng)), true
+	return max(retryAfter, drawSeconds(s.Traffic.RetryDelay, rng)), true
 }
 
 // Unanswered tells the same of a hand-in that reached nobody, or got no answer.
 func (m *ClientRequest) Unanswered(s *scenario.Scenario, rng *rand.Rand) (time.Duration, bool) {
-	if m.nowhere++; m.nowhere >= deadTries {
+	if m.lost++; m.lost >= maxLostSubmissions {
 		return 0, false
 	}
-	return seconds(s.Traffic.ResubmitDelay, rng), true
+	return drawSeconds(s.Traffic.ResubmitDelay, rng), true
 }
 
-// seconds draws from a range.
-func seconds(r scenario.Range, rng *rand.Rand) time.Duration {
+// drawSeconds draws from a range.
+func drawSeconds(r scenario.Range, rng *rand.Rand) time.Duration {
 	return time.Duration((r.From + (r.To-r.From)*rng.Float64()) * float64(time.Second))
 }
--- a/internal/simulation/profile.go
+++ b/internal/simulation/profile.go
@@ -23,36 +23,36 @@
 			"late-worth": c.LateWeight, "memory-span-ms": wire.Millis(c.KeyRetention), "worth": c.PriorityWeight, "streamed": false,
 		})
 	}
-	shares := 0.0
+	shareSum := 0.0
 	for _, t := range s.Traffic.Tenants {
-		shares += t.Share
+		shareSum += t.Share
 	}
 	for _, t := range s.Traffic.Tenants {
-		tenants = append(tenants, object{"name": t.Name, "allowance-per-s": p.Rate * t.Share / shares, "portion": t.Share / shares})
+		tenants = append(tenants, object{"name": t.Name, "allowance-per-s": p.Rate * t.Share / shareSum, "portion": t.Share / shareSum})
 	}
 	var kinds []string
 	var batch []int
-	var apart []bool
+	var separateRoutes []bool
 	for _, k := range s.Kinds {
-		kinds, batch, apart = append(kinds, k.Name), append(batch, k.Batch), append(apart, k.SeparateRoutes)
+		kinds, batch, separateRoutes = append(kinds, k.Name), append(batch, k.Batch), append(separateRoutes, k.SeparateRoutes)
 	}
 	busy := 0.0 // calls that the load keeps out
 	for _, d := range p.Dests {
-		busy += p.Rate * d.Share * (d.Mean.Seconds() + 2*hopCross.Seconds()/2)
+		busy += p.Rate * d.Share * (d.Mean.Seconds() + 2*crossZoneDelay.Seconds()/2)
 	}
-	part := 1 / float64(s.Senders)
+	fraction := 1 / float64(s.Senders)
 	pick := func(r scenario.Range) float64 { return r.From + (r.To-r.From)*rng.Float64() }
-	slots := max(3, int(math.Ceil(pick(s.InFlight)*busy*part)))
-	hold := max(16, int(math.Ceil(pick(s.OpenMessages)*p.Rate*part)))
+	maxInFlight := max(3, int(math.Ceil(pick(s.InFlight)*busy*fraction)))
+	maxOpen := max(16, int(math.Ceil(pick(s.OpenMessages)*p.Rate*fraction)))
 	return object{
 		"clients": object{"marks-retry": true}, "discovery": "ask", "kind-of-service": "deliver", "weights": "rough", "worth-by": "request",
 		"tick-ms": 5.0, "tier": 0, "me": sender, "siblings": s.Senders, "zone": sender % len(s.Zones), "zones": s.Zones,
 		"kinds": kinds, "profiles": profiles, "tenants": tenants, "over-share-worth": 1.0,
 		"goal":      object{"whole": 0.4, "worst-class": 0.2, "worst-tenant": 0.1, "worst-window": 0.3},
 		"reporting": object{"fields": []string{}, "how": "off"},
-		"specifics": object{"fades": "even", "kind-batch": batch, "separate-routes": apart, "max-calls": slots},
+		"specifics": object{"fades": "even", "kind-batch": batch, "separate-routes": separateRoutes, "max-calls": maxInFlight},
 		"limits": object{
-			"cancel": true, "conn-idle-ms": wire.Millis(idleSpan), "connect-timeout-ms": 1500.0, "max-retry-after-ms": 3000.0, "open-cap": hold,
+			"cancel": true, "conn-idle-ms": wire.Millis(idleConnTimeout), "connect-timeout-ms": 1500.0, "max-retry-after-ms": 3000.0, "open-cap": maxOpen,
 			"peers": true, "probes": true, "retry-after": true, "second-copies": true, "send-cap": 12, "streams-per-conn": 1,
 		},
 		"guarantees": object{
@@ -64,14 +64,14 @@
 
 // UpdatedSettings is what a sender is told by new settings under way.
 func UpdatedSettings(p *scenario.Plan, d scenario.PlannedAction) map[string]any {
-	told := Profile(p, d.Sender)
-	scale := func(part, key string, by float64, least int) {
-		object := told[part].(map[string]any)
-		object[key] = max(least, int(math.Ceil(float64(object[key].(int))*by)))
+	profile := Profile(p, d.Sender)
+	scale := func(section, key string, by float64, minimum int) {
+		object := profile[section].(map[string]any)
+		object[key] = max(minimum, int(math.Ceil(float64(object[key].(int))*by)))
 	}
 	scale("specifics", "max-calls", d.InFlight, 1)
 	scale("limits", "open-cap", d.OpenMessages, 1)
-	return told
+	return profile
 }
 
 // Settings are the same, read as a sender reads them.
@@ -79,8 +79,8 @@
 	return readProfile(Profile(p, sender), seed)
 }
 
-func readProfile(told map[string]any, seed uint64) (control.Settings, error) {
-	text, err := json.Marshal(told)
+func readProfile(profile map[string]any, seed uint64) (control.Settings, error) {
+	text, err := json.Marshal(profile)
 	if err != nil {
 		return control.Settings{}, err
 	}
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -19,116 +19,116 @@
 // A sender is one process's life: a loop with the virtual world as its carrier,
 // directory and notifier. After its death another takes its place and its journal.
 type sender struct {
-	sim     *Sim
-	num     int
-	party   string // its name, for links
-	zone    int
-	loop    *state.Loop
-	waiting []awaiting // hand-ins without a verdict yet
-	idle    map[string][]time.Duration
-	flying  map[*state.Call]*flight
-	flights map[*flight]bool // calls and probes
-	wakeAt  time.Duration    // below 0 = none
-
-	watches bool  // discovery tells it of changes...
-	version int64 // ...after this version
-
-	open    bool // it takes connections
-	leaving bool // since leftAt
-	dead    bool // since leftAt
-	leftAt  time.Duration
-
-	cutOff    bool          // from discovery, where notices go, too
-	away      bool          // it sends clients away; the front hears of it at once
-	wakes     time.Duration // it is stopped until then
-	stoppedAt time.Duration
-	pending   []func() // to be done as it goes on, in order
-
-	id, before string // of its process, and of the one before that handed over to it
-	runs       string // its version
-	book       lease.Holder
-	counters   state.Counters
+	sim         *Sim
+	num         int
+	name        string // its name, for links
+	zone        int
+	loop        *state.Loop
+	submissions []pendingSubmission // hand-ins without a verdict yet
+	idleConns   map[string][]time.Duration
+	byCall      map[*state.Call]*inFlightCall
+	inFlight    map[*inFlightCall]bool // calls and probes
+	timerAt     time.Duration          // below 0 = none
+
+	watching    bool  // discovery tells it of changes...
+	listVersion int64 // ...after this version
+
+	accepting    bool // it takes connections
+	shuttingDown bool // since leftAt
+	dead         bool // since leftAt
+	endedAt      time.Duration
+
+	unreachable  bool          // from discovery, where notices go, too
+	draining     bool          // it sends clients away; the front hears of it at once
+	stoppedUntil time.Duration // it is stopped until then
+	stoppedAt    time.Duration
+	deferred     []func() // to be done as it goes on, in order
+
+	process, predecessor string // of its process, and of the one before that handed over to it
+	version              string // its version
+	lease                lease.Holder
+	counters             state.Counters
 }
 
 // stopped tells whether its process is.
-func (x *sender) stopped() bool { return x.sim.now < x.wakes }
+func (x *sender) stopped() bool { return x.sim.now < x.stoppedUntil }
 
-// when does something as soon as its process runs.
-func (x *sender) when(do func()) {
+// whenRunning does something as soon as its process runs.
+func (x *sender) whenRunning(do func()) {
 	if x.stopped() {
-		x.pending = append(x.pending, do)
+		x.deferred = append(x.deferred, do)
 		return
 	}
 	do()
 }
 
-// wake has a process go on, with all that came while it was stopped.
-func (x *sender) wake() {
+// resume has a process go on, with all that came while it was stopped.
+func (x *sender) resume() {
 	if x.stopped() || x.dead {
 		return
 	}
-	x.sim.note(audit.Event{Kind: audit.Ready, Sender: x.num})
-	for len(x.pending) > 0 && !x.dead {
-		do := x.pending[0]
-		x.pending = x.pending[1:]
+	x.sim.record(audit.Event{Kind: audit.Ready, Sender: x.num})
+	for len(x.deferred) > 0 && !x.dead {
+		do := x.deferred[0]
+		x.deferred = x.deferred[1:]
 		do()
 	}
 }
 
-// awaiting is a hand-in whose client waits for the verdict.
-type awaiting struct {
-	id      string
-	verdict <-chan state.Response
+// pendingSubmission is a hand-in whose client waits for the verdict.
+type pendingSubmission struct {
+	id       string
+	response <-chan state.Response
 }
 
 // newSender begins a process's life.
 func (s *Sim) newSender(num int) (*sender, error) {
-	s.starts++
-	set, err := readProfile(s.told(num), s.plan.Seed*1_000_003+s.starts-1)
+	s.senderStarts++
+	set, err := readProfile(s.profile(num), s.plan.Seed*1_000_003+s.senderStarts-1)
 	if err != nil {
 		return nil, err
 	}
 	x := &sender{
-		sim: s, num: num, party: scenario.Sender(num), zone: set.Zone, idle: map[string][]time.Duration{}, flying: map[*state.Call]*flight{}, flights: map[*flight]bool{},
-		wakeAt: -1, open: true, id: fmt.Sprintf("n%d-%d", num, s.starts), runs: "v1",
+		sim: s, num: num, name: scenario.Sender(num), zone: set.Zone, idleConns: map[string][]time.Duration{}, byCall: map[*state.Call]*inFlightCall{}, inFlight: map[*inFlightCall]bool{},
+		timerAt: -1, accepting: true, process: fmt.Sprintf("n%d-%d", num, s.senderStarts), version: "v1",
 	}
 	if num < len(s.senders) { // what it runs its agent has written down; the book is a process's own
-		x.runs = s.senders[num].runs
+		x.version = s.senders[num].version
 	}
-	dir, kept := s.dirs[num]
+	dir, hasDir := s.walDirs[num]
 	loop, err := state.NewLoop(state.Setup{
 		Settings: set, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6, Log: s.log,
-		Clock: func() time.Time { return epoch.Add(s.now) }, Dir: dir, InMemory: !kept, Counters: &x.counters,
+		Clock: func() time.Time { return virtualStart.Add(s.now) }, Dir: dir, InMemory: !hasDir, Counters: &x.counters,
 	})
 	if err != nil {
 		return nil, err
 	}
 	loop.Connect(x, x, x)
-	loop.ConnectPeers(teller{x})
+	loop.ConnectPeers(gossipSender{x})
 	x.loop = loop
 	s.at(s.now, func() { x.step() })
 	return x, nil
 }
 
-// shunned tells whether the front knows that there is nobody.
-func (x *sender) shunned(now time.Duration) bool {
+// knownUnavailable tells whether the front knows that there is nobody.
+func (x *sender) knownUnavailable(now time.Duration) bool {
 	if x.stopped() && now-x.stoppedAt >= DeadSenderTimeout {
 		return true
 	}
-	return x.away || x.ordered() || (x.dead || x.leaving) && now-x.leftAt >= DeadSenderTimeout || x.leaving && now-x.leftAt >= stopSpan-200*time.Millisecond
+	return x.draining || x.drainingByOrder() || (x.dead || x.shuttingDown) && now-x.endedAt >= DeadSenderTimeout || x.shuttingDown && now-x.endedAt >= stopDelay-200*time.Millisecond
 }
 
-// leave is SIGTERM: the stages of lifecycle, in virtual time.
-func (x *sender) leave() {
+// terminate is SIGTERM: the stages of lifecycle, in virtual time.
+func (x *sender) terminate() {
 	s := x.sim
-	x.leaving, x.leftAt = true, s.now
-	s.at(s.now+stopSpan, func() {
+	x.shuttingDown, x.endedAt = true, s.now
+	s.at(s.now+stopDelay, func() {
 		x.loop.Stop()
 		x.step()
-		x.open = false
-		x.wind()
+		x.accepting = false
+		x.awaitDrained()
 	})
-	s.at(s.now+haltSpan, func() {
+	s.at(s.now+haltDelay, func() {
 		if !x.dead {
 			x.loop.Halt()
 			x.step()
@@ -136,46 +136,46 @@
 	})
 }
 
-// wind looks whether all is done.
-func (x *sender) wind() {
+// awaitDrained looks whether all is done.
+func (x *sender) awaitDrained() {
 	s := x.sim
-	if x.loop.Drained() || s.now >= x.leftAt+finishSpan {
-		x.die()
+	if x.loop.Drained() || s.now >= x.endedAt+shutdownTimeout {
+		x.exit()
 		return
 	}
-	s.at(s.now+quietCheck, x.wind)
+	s.at(s.now+drainedCheckInterval, x.awaitDrained)
 }
 
-// die ends the process: its connections break, and another comes after a while.
-func (x *sender) die() {
+// exit ends the process: its connections break, and another comes after a while.
+func (x *sender) exit() {
 	s := x.sim
 	if x.dead {
 		return
 	}
-	x.dead, x.open = true, false
-	if !x.leaving {
-		x.leftAt = s.now
+	x.dead, x.accepting = true, false
+	if !x.shuttingDown {
+		x.endedAt = s.now
 	}
-	for _, w := range x.waiting {
+	for _, w := range x.submissions {
 		if m := s.messages[w.id]; m != nil {
-			s.gone(m, w.id, x)
+			s.senderLost(m, w.id, x)
 		}
 	}
-	x.waiting = nil
-	for _, f := range s.flightsOf(x) {
-		f.over = true
-		if f.left && s.calls[f.id] != nil {
+	x.submissions = nil
+	for _, f := range s.callsOf(x) {
+		f.done = true
+		if f.sent && s.calls[f.id] != nil {
 			delete(s.calls, f.id)
-			s.note(audit.Event{Kind: audit.Ended, Call: f.id, Outcome: audit.Failed, Cause: "reset"})
-			s.at(s.now+f.hop, func() { s.ground.Model.Cancel(s.now, f.id, f.to.ID) })
+			s.record(audit.Event{Kind: audit.Ended, Call: f.id, Outcome: audit.Failed, Cause: "reset"})
+			s.at(s.now+f.delay, func() { s.environment.Model.Cancel(s.now, f.id, f.target.ID) })
 		}
 	}
-	x.flights, x.flying = nil, nil
+	x.inFlight, x.byCall = nil, nil
 	x.loop.Close()
-	for _, id := range slices.Sorted(maps.Keys(x.idle)) {
+	for _, id := range slices.Sorted(maps.Keys(x.idleConns)) {
 		x.Disconnect(id)
 	}
-	s.at(s.now+restartSpan+startSpan, func() {
+	s.at(s.now+restartDelay+startupDelay, func() {
 		y, err := s.newSender(x.num)
 		if err != nil {
 			s.fail(err)
@@ -183,18 +183,18 @@
 		}
 		s.result.Restarts++
 		s.senders[x.num] = y
-		s.note(audit.Event{Kind: audit.Ready, Sender: x.num})
+		s.record(audit.Event{Kind: audit.Ready, Sender: x.num})
 	})
 }
 
-// flightsOf lists a sender's calls in the order in which they began: a map's would
+// callsOf lists a sender's calls in the order in which they began: a map's would
 // be another in each run.
-func (s *Sim) flightsOf(x *sender) []*flight {
-	var list []*flight
-	for f := range x.flights {
+func (s *Sim) callsOf(x *sender) []*inFlightCall {
+	var list []*inFlightCall
+	for f := range x.inFlight {
 		list = append(list, f)
 	}
-	slices.SortFunc(list, func(a, b *flight) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(list, func(a, b *inFlightCall) int { return cmp.Compare(a.id, b.id) })
 	return list
 }
 
@@ -205,53 +205,53 @@
 		return
 	}
 	if x.stopped() {
-		x.when(func() { x.step(events...) })
+		x.whenRunning(func() { x.step(events...) })
 		return
 	}
 	x.loop.Step(events...)
-	var answered []state.Event
-	rest := x.waiting[:0]
-	for _, h := range x.waiting {
+	var responses []state.Event
+	remaining := x.submissions[:0]
+	for _, pending := range x.submissions {
 		select {
-		case v := <-h.verdict:
-			m := s.messages[h.id]
-			if back := s.way(x.party, scenario.Clients); m == nil || !back.Passes() {
+		case v := <-pending.response:
+			m := s.messages[pending.id]
+			if reply := s.link(x.name, scenario.Clients); m == nil || !reply.Passes() {
 				// Nobody waits any more, or the answer does not arrive.
 				if v.Accepted {
-					answered = append(answered, state.ResponseWritten{ID: h.id, OK: m != nil && back.Silent})
+					responses = append(responses, state.ResponseWritten{ID: pending.id, OK: m != nil && reply.Silent})
 				}
-				if m != nil && back.Cut {
-					s.gone(m, h.id, x)
+				if m != nil && reply.Cut {
+					s.senderLost(m, pending.id, x)
 				} else if m != nil {
-					s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.unanswered(m, h.id, x) })
+					s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, pending.id, x) })
 				}
 				continue
 			}
 			if v.Accepted {
-				s.note(audit.Event{Kind: audit.Accepted, Sender: x.num, Message: h.id})
-				answered = append(answered, state.ResponseWritten{ID: h.id, OK: true})
+				s.record(audit.Event{Kind: audit.Accepted, Sender: x.num, Message: pending.id})
+				responses = append(responses, state.ResponseWritten{ID: pending.id, OK: true})
 			} else {
-				s.note(audit.Event{Kind: audit.Rejected, Sender: x.num, Message: h.id, RetryAfter: v.RetryAfter})
+				s.record(audit.Event{Kind: audit.Rejected, Sender: x.num, Message: pending.id, RetryAfter: v.RetryAfter})
 				if m != nil && !v.Permanent {
-					s.refused(m, h.id, v.RetryAfter)
+					s.rejected(m, pending.id, v.RetryAfter)
 				}
 			}
 		default:
-			rest = append(rest, h)
+			remaining = append(remaining, pending)
 		}
 	}
-	x.waiting = rest
-	if len(answered) > 0 {
-		x.step(answered...)
+	x.submissions = remaining
+	if len(responses) > 0 {
+		x.step(responses...)
 		return
 	}
 	if at := x.loop.WakeAt(); !at.IsZero() {
-		when := at.Sub(epoch)
-		if x.wakeAt != when {
-			x.wakeAt = when
+		when := at.Sub(virtualStart)
+		if x.timerAt != when {
+			x.timerAt = when
 			s.at(when, func() {
-				if x.wakeAt == when && s.now >= when {
-					x.wakeAt = -1
+				if x.timerAt == when && s.now >= when {
+					x.timerAt = -1
 					x.step(state.TimerElapsed{})
 				}
 			})
@@ -259,23 +259,23 @@
 	}
 }
 
-// impatient: a client that has no answer yet waits no longer.
-func (x *sender) impatient(m *ClientRequest, id string) {
-	waits := func(a awaiting) bool { return a.id == id }
-	if x.sim.messages[id] == m && slices.ContainsFunc(x.waiting, waits) {
-		x.sim.unanswered(m, id, x)
+// clientTimeout: a client that has no answer yet waits no longer.
+func (x *sender) clientTimeout(m *ClientRequest, id string) {
+	waits := func(a pendingSubmission) bool { return a.id == id }
+	if x.sim.messages[id] == m && slices.ContainsFunc(x.submissions, waits) {
+		x.sim.responseTimedOut(m, id, x)
 	}
 }
 
-// retune has the loop take other settings, as a reload does.
-func (x *sender) retune(set control.Settings) {
+// updateSettings has the loop take other settings, as a reload does.
+func (x *sender) updateSettings(set control.Settings) {
 	done := make(chan state.SettingsResult, 1)
 	var classes []state.NamedClass
 	for i, c := range set.Classes {
 		classes = append(classes, state.NamedClass{Name: x.sim.plan.Scenario.Traffic.Classes[i].Name, Class: c})
 	}
 	x.step(state.UpdateSettings{Settings: set, Classes: classes, Done: done})
-	x.when(func() {
+	x.whenRunning(func() {
 		select {
 		case r := <-done:
 			if r.Err != nil {
@@ -286,127 +286,127 @@
 	})
 }
 
-// turned looks at its ways after a change.
-func (x *sender) turned() {
+// linksChanged looks at its ways after a change.
+func (x *sender) linksChanged() {
 	s := x.sim
-	for _, f := range s.flightsOf(x) {
-		if !s.way(x.party, f.to.ID).Cut && !s.way(f.to.ID, x.party).Cut {
+	for _, f := range s.callsOf(x) {
+		if !s.link(x.name, f.target.ID).Cut && !s.link(f.target.ID, x.name).Cut {
 			continue
 		}
-		if f.left && s.calls[f.id] != nil {
+		if f.sent && s.calls[f.id] != nil {
 			delete(s.calls, f.id)
-			s.note(audit.Event{Kind: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "reset"})
-			s.at(s.now+f.hop, func() { s.ground.Model.Cancel(s.now, f.id, f.to.ID) })
+			s.record(audit.Event{Kind: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "reset"})
+			s.at(s.now+f.delay, func() { s.environment.Model.Cancel(s.now, f.id, f.target.ID) })
 		}
-		if f.left {
-			f.all(state.AttemptResult{Result: control.ConnectionLost})
+		if f.sent {
+			f.endAll(state.AttemptResult{Result: control.ConnectionLost})
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(x.idle)) {
-		if s.way(x.party, id).Cut || s.way(id, x.party).Cut {
+	for _, id := range slices.Sorted(maps.Keys(x.idleConns)) {
+		if s.link(x.name, id).Cut || s.link(id, x.name).Cut {
 			x.Disconnect(id)
 		}
 	}
-	if cut := !x.reaches(); cut != x.cutOff {
-		x.cutOff = cut
-		s.note(audit.Event{Kind: map[bool]audit.EventKind{true: audit.Unreachable, false: audit.ReachableAgain}[cut], Sender: x.num})
+	if cut := !x.reachesDiscovery(); cut != x.unreachable {
+		x.unreachable = cut
+		s.record(audit.Event{Kind: map[bool]audit.EventKind{true: audit.Unreachable, false: audit.ReachableAgain}[cut], Sender: x.num})
 	}
-	if x.reaches() {
-		x.hear()
-	} else if x.watches {
-		x.watches = false
-		s.ground.Polled(s.now, x.num, false, true)
-		x.unheard()
+	if x.reachesDiscovery() {
+		x.receiveChanges()
+	} else if x.watching {
+		x.watching = false
+		s.environment.Polled(s.now, x.num, false, true)
+		x.pollFailed()
 	}
 }
 
-// reaches tells whether discovery and it hear each other.
-func (x *sender) reaches() bool {
+// reachesDiscovery tells whether discovery and it hear each other.
+func (x *sender) reachesDiscovery() bool {
 	s := x.sim
-	return s.way(x.party, scenario.Discovery).Passes() && s.way(scenario.Discovery, x.party).Passes()
+	return s.link(x.name, scenario.Discovery).Passes() && s.link(scenario.Discovery, x.name).Passes()
 }
 
-// unheard: discovery does not answer, and the sender sees it at once or after a while.
-func (x *sender) unheard() {
+// pollFailed: discovery does not answer, and the sender sees it at once or after a while.
+func (x *sender) pollFailed() {
 	s := x.sim
-	after := listFirst
-	if !s.way(x.party, scenario.Discovery).Cut && !s.way(scenario.Discovery, x.party).Cut {
-		after = askSpan
+	after := discoveryDelay
+	if !s.link(x.name, scenario.Discovery).Cut && !s.link(scenario.Discovery, x.name).Cut {
+		after = pollTimeout
 	}
 	s.at(s.now+after, func() { x.step(state.ListUpdate{Kind: control.ListFailed}) })
 }
 
-// A flight is a call between a sender and an endpoint.
-type flight struct {
-	x       *sender
-	call    *state.Call // nil: a probe
-	to      state.Target
-	id      uint64
-	hop     time.Duration
-	fresh   bool
-	crowded bool
-	left    bool // its first byte has gone
-	over    bool
-	ended   map[*state.Attempt]bool
-	since   time.Duration
+// A inFlightCall is a call between a sender and an endpoint.
+type inFlightCall struct {
+	sender       *sender
+	call         *state.Call // nil: a probe
+	target       state.Target
+	id           uint64
+	delay        time.Duration
+	newConn      bool
+	overCapacity bool
+	sent         bool // its first byte has gone
+	done         bool
+	ended        map[*state.Attempt]bool
+	startedAt    time.Duration
 }
 
 // Send takes a call out: on an idle connection, or on a new one.
 func (x *sender) Send(c *state.Call) {
-	f := x.launch(c.Target)
+	f := x.startCall(c.Target)
 	f.call, f.ended = c, map[*state.Attempt]bool{}
-	x.flying[c] = f
+	x.byCall[c] = f
 	for _, fw := range c.Attempts {
-		x.sim.at(fw.Deadline.Sub(epoch), func() { f.end(fw, state.AttemptResult{Result: control.TimedOut}) })
+		x.sim.at(fw.Deadline.Sub(virtualStart), func() { f.endAttempt(fw, state.AttemptResult{Result: control.TimedOut}) })
 	}
 }
 
-// launch begins a flight.
-func (x *sender) launch(to state.Target) *flight {
+// startCall begins a flight.
+func (x *sender) startCall(to state.Target) *inFlightCall {
 	s := x.sim
-	s.callNum++
-	f := &flight{x: x, to: to, id: s.callNum, hop: NetworkDelay(to.Zone, x.zone), since: s.now}
-	x.flights[f] = true
-	idle := x.idle[to.ID]
-	for len(idle) > 0 && s.now-idle[0] >= idleSpan { // the endpoint has closed these
-		s.ground.Model.Disconnect(s.now, to.ID)
+	s.lastCall++
+	f := &inFlightCall{sender: x, target: to, id: s.lastCall, delay: NetworkDelay(to.Zone, x.zone), startedAt: s.now}
+	x.inFlight[f] = true
+	idle := x.idleConns[to.ID]
+	for len(idle) > 0 && s.now-idle[0] >= idleConnTimeout { // the endpoint has closed these
+		s.environment.Model.Disconnect(s.now, to.ID)
 		idle = idle[1:]
 	}
 	if n := len(idle); n > 0 {
-		x.idle[to.ID] = idle[:n-1]
+		x.idleConns[to.ID] = idle[:n-1]
 		s.at(s.now, f.send)
 		return f
 	}
-	x.idle[to.ID] = idle
-	f.fresh = true
+	x.idleConns[to.ID] = idle
+	f.newConn = true
 	s.result.Connections++
-	there, back := f.ways()
-	if there.Cut || back.Cut || there.Silent || back.Silent {
-		after := f.hop
-		if !there.Cut && !back.Cut {
-			after = connectSpan
+	request, reply := f.links()
+	if request.Cut || reply.Cut || request.Silent || reply.Silent {
+		after := f.delay
+		if !request.Cut && !reply.Cut {
+			after = connectTimeout
 		}
 		s.at(s.now+after, func() {
-			if !x.dead && !f.over {
-				s.note(audit.Event{Kind: audit.FailureSeen, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
+			if !x.dead && !f.done {
+				s.record(audit.Event{Kind: audit.FailureSeen, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
 			}
-			f.all(state.AttemptResult{Result: control.ConnectFailed})
+			f.endAll(state.AttemptResult{Result: control.ConnectFailed})
 		})
 		return f
 	}
-	s.at(s.now+f.hop, func() {
-		door := s.ground.Model.Connect(s.now, to.ID)
-		s.at(s.now+f.hop, func() {
+	s.at(s.now+f.delay, func() {
+		result := s.environment.Model.Connect(s.now, to.ID)
+		s.at(s.now+f.delay, func() {
 			switch {
-			case door == partner.ConnectionRefused:
+			case result == partner.ConnectionRefused:
 				if !x.dead {
-					s.note(audit.Event{Kind: audit.FailureSeen, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
+					s.record(audit.Event{Kind: audit.FailureSeen, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
 				}
-				f.all(state.AttemptResult{Result: control.ConnectFailed})
-			case f.over && door == partner.ConnectionOpened:
-				s.ground.Model.Disconnect(s.now, to.ID)
-			case !f.over:
-				f.crowded = door == partner.ConnectionOverCapacity
+				f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+			case f.done && result == partner.ConnectionOpened:
+				s.environment.Model.Disconnect(s.now, to.ID)
+			case !f.done:
+				f.overCapacity = result == partner.ConnectionOverCapacity
 				f.send()
 			}
 		})
@@ -414,26 +414,26 @@
 	return f
 }
 
-// ways are those between its sender and its endpoint.
-func (f *flight) ways() (there, back scenario.LinkState) {
-	return f.x.sim.way(f.x.party, f.to.ID), f.x.sim.way(f.to.ID, f.x.party)
+// links are those between its sender and its endpoint.
+func (f *inFlightCall) links() (request, reply scenario.LinkState) {
+	return f.sender.sim.link(f.sender.name, f.target.ID), f.sender.sim.link(f.target.ID, f.sender.name)
 }
 
 // send lets the first byte go; the call is whole at the endpoint a hop later.
-func (f *flight) send() {
-	s := f.x.sim
-	if f.over {
-		f.park()
+func (f *inFlightCall) send() {
+	s := f.sender.sim
+	if f.done {
+		f.releaseConn()
 		return
 	}
-	there, back := f.ways()
-	if there.Cut || back.Cut {
-		s.ground.Model.Disconnect(s.now, f.to.ID)
-		f.all(state.AttemptResult{Result: control.ConnectFailed})
+	request, reply := f.links()
+	if request.Cut || reply.Cut {
+		s.environment.Model.Disconnect(s.now, f.target.ID)
+		f.endAll(state.AttemptResult{Result: control.ConnectFailed})
 		return
 	}
-	f.left = true
-	c := partner.Call{ID: f.id, Sender: f.x.num, Endpoint: f.to.ID, Fresh: f.fresh, OverCapacity: f.crowded, HealthCheck: f.call == nil}
+	f.sent = true
+	c := partner.Call{ID: f.id, Sender: f.sender.num, Endpoint: f.target.ID, Fresh: f.newConn, OverCapacity: f.overCapacity, HealthCheck: f.call == nil}
 	var ids []string
 	if f.call != nil {
 		for _, fw := range f.call.Attempts {
@@ -441,53 +441,53 @@
 			ids = append(ids, fw.Message.ID)
 		}
 	}
-	s.note(audit.Event{Kind: audit.Sent, Sender: f.x.num, Call: f.id, Endpoint: f.to.ID, Zone: f.to.Zone, Dest: f.to.Destination, Messages: ids})
+	s.record(audit.Event{Kind: audit.Sent, Sender: f.sender.num, Call: f.id, Endpoint: f.target.ID, Zone: f.target.Zone, Dest: f.target.Destination, Messages: ids})
 	s.calls[f.id] = f
-	if !there.Passes() {
+	if !request.Passes() {
 		return // its time will be up, or the cut has broken it
 	}
-	s.at(s.now+f.hop+s.late(there), func() {
-		if err := s.ground.Model.Call(s.now, c); err != nil { // it has left the list and the earth
-			s.at(s.now+f.hop, func() { f.answered(partner.Answer{Call: f.id, Kind: partner.Reset}) })
+	s.at(s.now+f.delay+s.extraDelay(request), func() {
+		if err := s.environment.Model.Call(s.now, c); err != nil { // it has left the list and the earth
+			s.at(s.now+f.delay, func() { f.receiveAnswer(partner.Answer{Call: f.id, Kind: partner.Reset}) })
 		}
 	})
 }
 
-// park keeps a connection for the next call.
-func (f *flight) park() {
-	x, s := f.x, f.x.sim
+// releaseConn keeps a connection for the next call.
+func (f *inFlightCall) releaseConn() {
+	x, s := f.sender, f.sender.sim
 	switch {
-	case f.crowded:
+	case f.overCapacity:
 	case x.dead:
-		s.ground.Model.Disconnect(s.now, f.to.ID)
+		s.environment.Model.Disconnect(s.now, f.target.ID)
 	default:
-		x.idle[f.to.ID] = append(x.idle[f.to.ID], s.now)
+		x.idleConns[f.target.ID] = append(x.idleConns[f.target.ID], s.now)
 	}
 }
 
-// answered brings an answer to the sender.
-func (f *flight) answered(a partner.Answer) {
-	s := f.x.sim
+// receiveAnswer brings an answer to the sender.
+func (f *inFlightCall) receiveAnswer(a partner.Answer) {
+	s := f.sender.sim
 	if s.calls[f.id] == nil {
 		return
 	}
 	delete(s.calls, f.id)
 	outcome, cause := OutcomeOf(a.Kind)
-	s.note(audit.Event{Kind: audit.Ended, Sender: f.x.num, Call: f.id, Outcome: outcome, RetryAfter: a.RetryAfter, Cause: cause})
-	_, back := f.ways()
-	if a.Kind != partner.Delivered && back.Passes() {
-		s.note(audit.Event{Kind: audit.FailureSeen, Sender: f.x.num, Dest: f.to.Destination, Endpoint: f.to.ID})
+	s.record(audit.Event{Kind: audit.Ended, Sender: f.sender.num, Call: f.id, Outcome: outcome, RetryAfter: a.RetryAfter, Cause: cause})
+	_, reply := f.links()
+	if a.Kind != partner.Delivered && reply.Passes() {
+		s.record(audit.Event{Kind: audit.FailureSeen, Sender: f.sender.num, Dest: f.target.Destination, Endpoint: f.target.ID})
 	}
 	if a.Kind == partner.Delivered && f.call != nil {
 		for _, fw := range f.call.Attempts {
 			s.delivered(fw.Message.ID)
 		}
 	}
-	if !back.Passes() {
+	if !reply.Passes() {
 		return // the partner has answered, and the sender does not hear it
 	}
-	if a.Kind != partner.Reset && !f.over {
-		f.park()
+	if a.Kind != partner.Reset && !f.done {
+		f.releaseConn()
 	}
 	end := state.AttemptResult{RetryAfter: a.RetryAfter}
 	switch a.Kind {
@@ -504,85 +504,85 @@
 	default:
 		end.Result = control.Unknown
 	}
-	if after := s.late(back); after > 0 {
-		s.at(s.now+after, func() { f.all(end) })
+	if after := s.extraDelay(reply); after > 0 {
+		s.at(s.now+after, func() { f.endAll(end) })
 		return
 	}
-	f.all(end)
+	f.endAll(end)
 }
 
 // finish marks a flight as over.
-func (f *flight) finish() {
-	f.over = true
-	delete(f.x.flights, f)
+func (f *inFlightCall) finish() {
+	f.done = true
+	delete(f.sender.inFlight, f)
 	if f.call != nil {
-		delete(f.x.flying, f.call)
+		delete(f.sender.byCall, f.call)
 	}
 }
 
-// all ends what is left of a flight.
-func (f *flight) all(e state.AttemptResult) {
-	if f.over {
+// endAll ends what is left of a flight.
+func (f *inFlightCall) endAll(e state.AttemptResult) {
+	if f.done {
 		return
 	}
 	f.finish()
 	if f.call == nil {
-		f.x.step(state.HealthChecked{Target: f.to.Endpoint.ID, Result: e.Result, Elapsed: f.x.sim.now - f.since})
+		f.sender.step(state.HealthChecked{Target: f.target.Endpoint.ID, Result: e.Result, Elapsed: f.sender.sim.now - f.startedAt})
 		return
 	}
 	var ends []state.AttemptResult
 	for _, fw := range f.call.Attempts {
 		if !f.ended[fw] {
 			f.ended[fw] = true
-			e.Attempt, e.Elapsed = fw, f.x.sim.now-f.since
+			e.Attempt, e.Elapsed = fw, f.sender.sim.now-f.startedAt
 			ends = append(ends, e)
 		}
 	}
-	f.x.step(state.CallEnded{Call: f.call, Results: ends})
+	f.sender.step(state.CallEnded{Call: f.call, Results: ends})
 }
 
-// end ends one forward; a flight without any is abandoned.
-func (f *flight) end(fw *state.Attempt, e state.AttemptResult) {
-	if f.x.stopped() {
-		f.x.when(func() { f.end(fw, e) })
+// endAttempt ends one forward; a flight without any is abandoned.
+func (f *inFlightCall) endAttempt(fw *state.Attempt, e state.AttemptResult) {
+	if f.sender.stopped() {
+		f.sender.whenRunning(func() { f.endAttempt(fw, e) })
 		return
 	}
-	if f.over || f.ended[fw] {
+	if f.done || f.ended[fw] {
 		return
 	}
 	f.ended[fw] = true
 	if e.Result == control.TimedOut {
-		f.x.sim.note(audit.Event{Kind: audit.FailureSeen, Sender: f.x.num, Dest: f.to.Destination, Endpoint: f.to.ID})
+		f.sender.sim.record(audit.Event{Kind: audit.FailureSeen, Sender: f.sender.num, Dest: f.target.Destination, Endpoint: f.target.ID})
 	}
-	e.Attempt, e.Elapsed = fw, f.x.sim.now-f.since
+	e.Attempt, e.Elapsed = fw, f.sender.sim.now-f.startedAt
 	if len(f.ended) == len(f.call.Attempts) {
 		f.abandon("timeout")
 	}
-	f.x.step(state.CallEnded{Call: f.call, Results: []state.AttemptResult{e}})
+	f.sender.step(state.CallEnded{Call: f.call, Results: []state.AttemptResult{e}})
 }
 
 // abandon stops waiting: the connection goes, the work may go on.
-func (f *flight) abandon(cause string) {
+func (f *inFlightCall) abandon(cause string) {
 	f.finish()
-	s := f.x.sim
-	if !f.left || s.calls[f.id] == nil {
+	s := f.sender.sim
+	if !f.sent || s.calls[f.id] == nil {
 		return
 	}
 	delete(s.calls, f.id)
-	s.note(audit.Event{Kind: audit.Ended, Sender: f.x.num, Call: f.id, Outcome: audit.Failed, Cause: cause})
-	s.at(s.now+f.hop, func() { s.ground.Model.Cancel(s.now, f.id, f.to.ID) })
+	s.record(audit.Event{Kind: audit.Ended, Sender: f.sender.num, Call: f.id, Outcome: audit.Failed, Cause: cause})
+	s.at(s.now+f.delay, func() { s.environment.Model.Cancel(s.now, f.id, f.target.ID) })
 }
 
 // Cancel calls a call off.
 func (x *sender) Cancel(c *state.Call) {
-	if f := x.flying[c]; f != nil {
-		x.sim.at(x.sim.now, func() { f.quit(control.Canceled) })
+	if f := x.byCall[c]; f != nil {
+		x.sim.at(x.sim.now, func() { f.cancel(control.Canceled) })
 	}
 }
 
-// quit ends a flight for a reason of the sender's own.
-func (f *flight) quit(r control.Result) {
-	if f.over {
+// cancel ends a flight for a reason of the sender's own.
+func (f *inFlightCall) cancel(r control.Result) {
+	if f.done {
 		return
 	}
 	f.abandon("cancelled")
@@ -590,18 +590,18 @@
 	for _, fw := range f.call.Attempts {
 		if !f.ended[fw] {
 			f.ended[fw] = true
-			ends = append(ends, state.AttemptResult{Attempt: fw, Result: r, Elapsed: f.x.sim.now - f.since})
+			ends = append(ends, state.AttemptResult{Attempt: fw, Result: r, Elapsed: f.sender.sim.now - f.startedAt})
 		}
 	}
-	f.x.step(state.CallEnded{Call: f.call, Results: ends})
+	f.sender.step(state.CallEnded{Call: f.call, Results: ends})
 }
 
 // CancelUnsent ends a call whose first byte has not gone.
 func (x *sender) CancelUnsent(c *state.Call) {
-	if f := x.flying[c]; f != nil && !f.left {
+	if f := x.byCall[c]; f != nil && !f.sent {
 		x.sim.at(x.sim.now, func() {
-			if !f.left {
-				f.quit(control.NotSent)
+			if !f.sent {
+				f.cancel(control.NotSent)
 			}
 		})
 	}
@@ -609,134 +609,134 @@
 
 // HealthCheck asks an endpoint how it is.
 func (x *sender) HealthCheck(t state.Target, deadline time.Time) {
-	f := x.launch(t)
-	x.sim.at(deadline.Sub(epoch), func() {
-		x.when(func() {
-			if f.over {
+	f := x.startCall(t)
+	x.sim.at(deadline.Sub(virtualStart), func() {
+		x.whenRunning(func() {
+			if f.done {
 				return
 			}
 			s := x.sim
-			if f.left && s.calls[f.id] != nil {
+			if f.sent && s.calls[f.id] != nil {
 				delete(s.calls, f.id)
-				s.note(audit.Event{Kind: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "timeout"})
-				s.ground.Model.Cancel(s.now, f.id, f.to.ID)
+				s.record(audit.Event{Kind: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "timeout"})
+				s.environment.Model.Cancel(s.now, f.id, f.target.ID)
 			}
-			f.all(state.AttemptResult{Result: control.TimedOut})
+			f.endAll(state.AttemptResult{Result: control.TimedOut})
 		})
 	})
 }
 
 // Disconnect closes the idle connections to an endpoint.
 func (x *sender) Disconnect(endpoint string) {
-	for range x.idle[endpoint] {
-		x.sim.ground.Model.Disconnect(x.sim.now, endpoint)
+	for range x.idleConns[endpoint] {
+		x.sim.environment.Model.Disconnect(x.sim.now, endpoint)
 	}
-	delete(x.idle, endpoint)
+	delete(x.idleConns, endpoint)
 }
 
 // Watch begins or ends a watch; without a version it answers with the whole list.
 func (x *sender) Watch(on bool, since int64) {
 	s := x.sim
-	if x.watches = false; !on {
-		s.ground.Polled(s.now, x.num, false, false)
+	if x.watching = false; !on {
+		s.environment.Polled(s.now, x.num, false, false)
 		return
 	}
-	s.at(s.now+listFirst, func() {
-		if !x.reaches() {
-			s.ground.Polled(s.now, x.num, false, true)
-			x.unheard()
+	s.at(s.now+discoveryDelay, func() {
+		if !x.reachesDiscovery() {
+			s.environment.Polled(s.now, x.num, false, true)
+			x.pollFailed()
 			return
 		}
-		_, blind := s.ground.DiscoveryOutage(s.now)
+		_, down := s.environment.DiscoveryOutage(s.now)
 		if !x.dead {
-			s.ground.Polled(s.now, x.num, !blind, blind)
+			s.environment.Polled(s.now, x.num, !down, down)
 		}
-		if blind {
+		if down {
 			x.step(state.ListUpdate{Kind: control.ListFailed})
 			return
 		}
-		x.watches = true
+		x.watching = true
 		if since != state.NoVersion {
-			x.version = since
-			x.hear()
+			x.listVersion = since
+			x.receiveChanges()
 			return
 		}
-		x.whole()
+		x.receiveFullList()
 	})
 }
 
 // Fetch answers with the whole list once.
 func (x *sender) Fetch() {
 	s := x.sim
-	s.at(s.now+listFirst, func() {
-		if !x.reaches() {
-			x.unheard()
+	s.at(s.now+discoveryDelay, func() {
+		if !x.reachesDiscovery() {
+			x.pollFailed()
 			return
 		}
-		_, blind := s.ground.DiscoveryOutage(s.now)
-		if !x.dead && !x.watches {
-			s.ground.Polled(s.now, x.num, false, blind)
+		_, down := s.environment.DiscoveryOutage(s.now)
+		if !x.dead && !x.watching {
+			s.environment.Polled(s.now, x.num, false, down)
 		}
-		if blind {
+		if down {
 			x.step(state.ListUpdate{Kind: control.ListFailed})
 			return
 		}
-		x.whole()
+		x.receiveFullList()
 	})
 }
 
-func (x *sender) whole() {
+func (x *sender) receiveFullList() {
 	if x.dead {
 		return
 	}
-	lines, version := x.sim.ground.FullList(x.sim.now, x.num)
-	x.version = max(x.version, version)
-	x.told(control.ListFull, version, lines)
+	endpoints, version := x.sim.environment.FullList(x.sim.now, x.num)
+	x.listVersion = max(x.listVersion, version)
+	x.receiveUpdate(control.ListFull, version, endpoints)
 }
 
-// hear tells a sender that watches what is new.
-func (x *sender) hear() {
-	if _, blind := x.sim.ground.DiscoveryOutage(x.sim.now); blind || !x.watches || x.dead || !x.reaches() {
+// receiveChanges tells a sender that watches what is new.
+func (x *sender) receiveChanges() {
+	if _, down := x.sim.environment.DiscoveryOutage(x.sim.now); down || !x.watching || x.dead || !x.reachesDiscovery() {
 		return
 	}
-	lines, version, whole := x.sim.ground.ListChanges(x.sim.now, x.num, x.version)
-	x.version = version
-	if whole {
-		x.told(control.ListFull, version, lines)
-	} else if len(lines) > 0 {
-		x.told(control.ListDelta, version, lines)
+	endpoints, version, full := x.sim.environment.ListChanges(x.sim.now, x.num, x.listVersion)
+	x.listVersion = version
+	if full {
+		x.receiveUpdate(control.ListFull, version, endpoints)
+	} else if len(endpoints) > 0 {
+		x.receiveUpdate(control.ListDelta, version, endpoints)
 	}
 }
 
-func (x *sender) told(form control.ListUpdateKind, version int64, lines []ListedEndpoint) {
-	news := state.ListUpdate{Kind: form, Version: version}
-	for _, l := range lines {
-		if l.State != control.Ready || form == control.ListDelta {
-			x.sim.note(audit.Event{Kind: audit.Notified, Sender: x.num, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready})
+func (x *sender) receiveUpdate(kind control.ListUpdateKind, version int64, endpoints []ListedEndpoint) {
+	update := state.ListUpdate{Kind: kind, Version: version}
+	for _, l := range endpoints {
+		if l.State != control.Ready || kind == control.ListDelta {
+			x.sim.record(audit.Event{Kind: audit.Notified, Sender: x.num, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready})
 		}
 		t := state.Target{ID: l.ID, Addr: l.Address}
 		t.Destination, t.Kind, t.Zone, t.State, t.Weight = l.Dest, l.Kind, l.Zone, l.State, l.Weight
-		news.Targets = append(news.Targets, t)
+		update.Targets = append(update.Targets, t)
 	}
-	x.step(news)
+	x.step(update)
 }
 
-// blinded: discovery goes down, and watches end.
-func (x *sender) blinded() {
-	if x.watches && !x.dead {
-		x.watches = false
-		x.sim.ground.Polled(x.sim.now, x.num, false, true)
+// discoveryDown: discovery goes down, and watches end.
+func (x *sender) discoveryDown() {
+	if x.watching && !x.dead {
+		x.watching = false
+		x.sim.environment.Polled(x.sim.now, x.num, false, true)
 		x.step(state.ListUpdate{Kind: control.ListFailed})
 	}
 }
 
-// A teller carries notes to the other senders: each arrives late, or not at all.
-type teller struct{ *sender }
+// A gossipSender carries notes to the other senders: each arrives late, or not at all.
+type gossipSender struct{ *sender }
 
 // MinGossipDelay and NoteTo are how long a note takes.
 const MinGossipDelay, MaxGossipDelay = 1300 * time.Microsecond, 8700 * time.Microsecond
 
-func (t teller) SendGossip(facts []gossip.Observation) {
+func (t gossipSender) SendGossip(facts []gossip.Observation) {
 	s := t.sim
 	sent := gossip.Encode(facts)
 	for _, x := range s.senders {
@@ -744,7 +744,7 @@
 			continue
 		}
 		s.result.GossipSent++
-		w := s.way(t.party, x.party)
+		w := s.link(t.name, x.name)
 		if s.rng.Float64() < s.plan.Scenario.GossipLoss || !w.Passes() || w.Loss > 0 && s.rng.Float64() < w.Loss {
 			continue
 		}
@@ -753,7 +753,7 @@
 			times = 2
 		}
 		for range times {
-			after := MinGossipDelay + time.Duration(s.rng.Int64N(int64(MaxGossipDelay-MinGossipDelay))) + s.late(w)
+			after := MinGossipDelay + time.Duration(s.rng.Int64N(int64(MaxGossipDelay-MinGossipDelay))) + s.extraDelay(w)
 			if w.Reorder > 0 && s.rng.Float64() < w.Reorder {
 				after += 10 * w.Jitter
 			}
@@ -767,27 +767,27 @@
 	}
 }
 
-// noticeAgain is when a notice that reached nobody is told again.
-const noticeAgain = 500 * time.Millisecond
+// reportRetryDelay is when a notice that reached nobody is told again.
+const reportRetryDelay = 500 * time.Millisecond
 
 // Report takes a notice; the client hears of it, and may come again.
 func (x *sender) Report(n state.DeliveryReport) {
-	x.sim.at(x.sim.now+noticeTime, func() { x.when(func() { x.notice(n) }) })
+	x.sim.at(x.sim.now+reportAckDelay, func() { x.whenRunning(func() { x.deliverReport(n) }) })
 }
 
-func (x *sender) notice(n state.DeliveryReport) {
+func (x *sender) deliverReport(n state.DeliveryReport) {
 	s := x.sim
 	if x.dead {
 		return // it is in the journal
 	}
-	if !x.reaches() {
-		s.at(s.now+noticeAgain, func() { x.when(func() { x.notice(n) }) })
+	if !x.reachesDiscovery() {
+		s.at(s.now+reportRetryDelay, func() { x.whenRunning(func() { x.deliverReport(n) }) })
 		return
 	}
-	s.note(audit.Event{Kind: audit.Notice, Sender: x.num, Message: n.ID, Deferred: n.Deferred, RetryAfter: n.RetryAfter})
+	s.record(audit.Event{Kind: audit.Notice, Sender: x.num, Message: n.ID, Deferred: n.Deferred, RetryAfter: n.RetryAfter})
 	m := s.messages[n.ID]
 	if m != nil && n.Deferred {
-		s.refused(m, n.ID, n.RetryAfter)
+		s.rejected(m, n.ID, n.RetryAfter)
 	} else if m != nil {
 		delete(s.messages, n.ID)
 	}
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -20,27 +20,27 @@
 	"cleathold/internal/timeline"
 )
 
-// epoch is when virtual time begins, by the loops' clock.
-var epoch = time.Unix(1_700_000_000, 0)
+// virtualStart is when virtual time begins, by the loops' clock.
+var virtualStart = time.Unix(1_700_000_000, 0)
 
 const (
-	listFirst  = 20 * time.Millisecond  // until discovery answers a question
-	noticeTime = 2 * time.Millisecond   // until the platform has acknowledged a notice
-	clientHop  = 500 * time.Microsecond // from a client to a sender
-	idleSpan   = 15 * time.Second       // an idle connection is closed after this
-	drainSpan  = 30 * time.Second       // a run goes on for so long after the last arrival
+	discoveryDelay  = 20 * time.Millisecond  // until discovery answers a question
+	reportAckDelay  = 2 * time.Millisecond   // until the platform has acknowledged a notice
+	clientDelay     = 500 * time.Microsecond // from a client to a sender
+	idleConnTimeout = 15 * time.Second       // an idle connection is closed after this
+	drainPeriod     = 30 * time.Second       // a run goes on for so long after the last arrival
 
 	// Of a sender that ends. The figures of lifecycle and of DEPLOY.
-	restartSpan = 600 * time.Millisecond
-	startSpan   = 50 * time.Millisecond // until it is ready
-	stopSpan    = 500 * time.Millisecond
-	haltSpan    = 2 * time.Second
-	finishSpan  = 3300 * time.Millisecond
-	quietCheck  = 20 * time.Millisecond
+	restartDelay         = 600 * time.Millisecond
+	startupDelay         = 50 * time.Millisecond // until it is ready
+	stopDelay            = 500 * time.Millisecond
+	haltDelay            = 2 * time.Second
+	shutdownTimeout      = 3300 * time.Millisecond
+	drainedCheckInterval = 20 * time.Millisecond
 
 	// Of ways that fail. The figures of internal/protocol.
-	connectSpan = 1500 * time.Millisecond // until a connection that does not come up is given up
-	askSpan     = 2 * time.Second         // until discovery's silence counts as a failure
+	connectTimeout = 1500 * time.Millisecond // until a connection that does not come up is given up
+	pollTimeout    = 2 * time.Second         // until discovery's silence counts as a failure
 )
 
 // Result is what a run showed.
@@ -64,37 +64,37 @@
 
 // A Sim plays one plan.
 type Sim struct {
-	plan    *scenario.Plan
-	ground  *Environment
-	rng     *rand.Rand
-	agents  *agents // nil: none
-	log     *slog.Logger
-	struck  bool // answers to clients may not come: ways fail, or processes are stopped
-	now     time.Duration
-	todo    timeline.Queue[func()]
-	serial  uint64
-	modelAt time.Duration // when the model is looked at next; below 0 = not
+	plan             *scenario.Plan
+	environment      *Environment
+	rng              *rand.Rand
+	agents           *agents // nil: none
+	log              *slog.Logger
+	responsesMayFail bool // answers to clients may not come: ways fail, or processes are stopped
+	now              time.Duration
+	schedule         timeline.Queue[func()]
+	serial           uint64
+	modelWakeAt      time.Duration // when the model is looked at next; below 0 = not
 
-	senders  []*sender
-	starts   uint64                         // of senders, for their seeds
-	dirs     map[int]string                 // of those that are killed: where their journals are
-	tuned    map[int]scenario.PlannedAction // the latest new settings, by sender
-	tmp      string
-	calls    map[uint64]*flight
-	callNum  uint64
-	auditor  *audit.Auditor
-	tally    *ServiceMeter
-	sink     func(audit.Event) error
-	arrivals *scenario.Arrivals
-	messages map[string]*ClientRequest
-	result   Result
-	err      error
+	senders         []*sender
+	senderStarts    uint64                         // of senders, for their seeds
+	walDirs         map[int]string                 // of those that are killed: where their journals are
+	settingsUpdates map[int]scenario.PlannedAction // the latest new settings, by sender
+	tempDir         string
+	calls           map[uint64]*inFlightCall
+	lastCall        uint64
+	auditor         *audit.Auditor
+	meter           *ServiceMeter
+	sink            func(audit.Event) error
+	arrivals        *scenario.Arrivals
+	messages        map[string]*ClientRequest
+	result          Result
+	err             error
 }
 
 // at has something done at a time.
 func (s *Sim) at(when time.Duration, do func()) {
 	s.serial++
-	s.todo.Push(max(when, s.now), s.serial, do)
+	s.schedule.Push(max(when, s.now), s.serial, do)
 }
 
 // fail ends the run; the first error counts.
@@ -104,13 +104,13 @@
 	}
 }
 
-// note gives an event to all that read them.
-func (s *Sim) note(e audit.Event) {
+// record gives an event to all that read them.
+func (s *Sim) record(e audit.Event) {
 	e.At = s.now
 	if err := s.auditor.Read(e); err != nil {
 		s.fail(err)
 	}
-	if err := s.tally.Read(e); err != nil {
+	if err := s.meter.Read(e); err != nil {
 		s.fail(err)
 	}
 	if s.sink != nil {
@@ -124,11 +124,11 @@
 // error ends the run.
 func NewSim(p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*Sim, error) {
 	s := &Sim{
-		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 99)), log: log, modelAt: -1, dirs: map[int]string{}, tuned: map[int]scenario.PlannedAction{},
-		calls: map[uint64]*flight{}, messages: map[string]*ClientRequest{}, arrivals: p.Arrivals(), tally: NewServiceMeter(p.Scenario), sink: sink,
+		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 99)), log: log, modelWakeAt: -1, walDirs: map[int]string{}, settingsUpdates: map[int]scenario.PlannedAction{},
+		calls: map[uint64]*inFlightCall{}, messages: map[string]*ClientRequest{}, arrivals: p.Arrivals(), meter: NewServiceMeter(p.Scenario), sink: sink,
 	}
 	var err error
-	if s.ground, err = NewEnvironment(p, s.note); err != nil {
+	if s.environment, err = NewEnvironment(p, s.record); err != nil {
 		return nil, err
 	}
 	s.result.Scenario, s.result.Seed = p.Scenario.Name, p.Seed
@@ -138,16 +138,16 @@
 	}
 	s.auditor = audit.New(Rules(p, set))
 	if len(p.Actions) > 0 {
-		if s.tmp, err = os.MkdirTemp("", "cleathold-lab-"); err != nil {
+		if s.tempDir, err = os.MkdirTemp("", "cleathold-lab-"); err != nil {
 			return nil, fmt.Errorf("lab: %w", err)
 		}
 		for _, d := range p.Actions {
 			if d.What != "kill" && d.What != "wipe" && d.What != "term" && d.What != "signals" {
 				continue
 			}
-			s.dirs[d.Sender] = filepath.Join(s.tmp, fmt.Sprint("n", d.Sender))
+			s.walDirs[d.Sender] = filepath.Join(s.tempDir, fmt.Sprint("n", d.Sender))
 		}
-		for _, dir := range s.dirs {
+		for _, dir := range s.walDirs {
 			if err := os.MkdirAll(dir, 0o700); err != nil {
 				return nil, fmt.Errorf("lab: %w", err)
 			}
@@ -161,53 +161,53 @@
 		s.senders = append(s.senders, x)
 	}
 	for _, c := range p.Changes {
-		s.at(c.At, func() { s.change(c) })
+		s.at(c.At, func() { s.applyChange(c) })
 	}
 	for _, b := range p.DiscoveryOutages {
 		s.at(b.From, func() {
 			for _, x := range s.senders {
-				x.blinded()
+				x.discoveryDown()
 			}
 		})
 	}
-	s.struck = len(p.Links) > 0
+	s.responsesMayFail = len(p.Links) > 0
 	for _, d := range p.Actions {
-		s.at(d.At, func() { s.deed(d) })
-		s.struck = s.struck || d.What == "stop"
+		s.at(d.At, func() { s.inject(d) })
+		s.responsesMayFail = s.responsesMayFail || d.What == "stop"
 	}
 	for _, at := range p.LinkChanges() {
-		s.at(at, s.turn)
+		s.at(at, s.linksChanged)
 	}
 	if p.Scenario.Agents.Number > 0 {
 		s.agents = newAgents(s)
 	}
 	if len(p.Scenario.Churns) > 0 {
-		s.at(NotifiedCheckInterval, s.look)
+		s.at(NotifiedCheckInterval, s.markNotified)
 	}
-	s.next()
+	s.scheduleArrival()
 	return s, nil
 }
 
-// look finds who counts as told though it did not ask.
-func (s *Sim) look() {
-	s.ground.MarkNotified(s.now)
-	s.at(s.now+NotifiedCheckInterval, s.look)
+// markNotified finds who counts as told though it did not ask.
+func (s *Sim) markNotified() {
+	s.environment.MarkNotified(s.now)
+	s.at(s.now+NotifiedCheckInterval, s.markNotified)
 }
 
 // Run plays the plan to its end, and leaves nothing behind.
 func (s *Sim) Run() (Result, error) {
 	defer func() {
-		if s.tmp != "" {
-			os.RemoveAll(s.tmp)
+		if s.tempDir != "" {
+			os.RemoveAll(s.tempDir)
 		}
 	}()
-	end := s.plan.Scenario.Length + drainSpan
-	for at, _, some := s.todo.First(); some && at <= end && s.err == nil; at, _, some = s.todo.First() {
-		now, do := s.todo.Pop()
+	end := s.plan.Scenario.Length + drainPeriod
+	for at, _, some := s.schedule.First(); some && at <= end && s.err == nil; at, _, some = s.schedule.First() {
+		now, do := s.schedule.Pop()
 		s.now = now
 		s.result.Events++
 		do()
-		s.settle()
+		s.collect()
 	}
 	if s.err != nil {
 		return s.result, s.err
@@ -218,129 +218,129 @@
 	}
 	s.result.Violations = s.auditor.Close(end)
 	s.result.Counts, _ = s.auditor.Totals()
-	s.result.Score = s.tally.Score()
-	s.result.Overloads = s.ground.Overloads()
+	s.result.Score = s.meter.Score()
+	s.result.Overloads = s.environment.Overloads()
 	return s.result, nil
 }
 
 // Now is the virtual time, for progress.
 func (s *Sim) Now() time.Duration { return s.now }
 
-// next plans the next arrival.
-func (s *Sim) next() {
+// scheduleArrival plans the next arrival.
+func (s *Sim) scheduleArrival() {
 	a, some := s.arrivals.Next()
 	if !some {
 		return
 	}
 	s.at(a.At, func() {
-		s.note(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
-		s.handIn(&ClientRequest{Arrival: a})
-		s.next()
+		s.record(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
+		s.submit(&ClientRequest{Arrival: a})
+		s.scheduleArrival()
 	})
 }
 
-// front deals a hand-in out: to any sender but those that it knows are dead.
-func (s *Sim) front() *sender {
+// pickSender deals a hand-in out: to any sender but those that it knows are dead.
+func (s *Sim) pickSender() *sender {
 	first := s.rng.IntN(len(s.senders))
 	for i := range s.senders {
 		x := s.senders[(first+i)%len(s.senders)]
-		if !x.shunned(s.now) {
+		if !x.knownUnavailable(s.now) {
 			return x
 		}
 	}
 	return s.senders[first]
 }
 
-// handIn hands a message in, for the first time or again.
-func (s *Sim) handIn(m *ClientRequest) {
-	left := m.TimeLeft(s.plan.Scenario, s.now)
-	if left <= 0 {
+// submit hands a message in, for the first time or again.
+func (s *Sim) submit(m *ClientRequest) {
+	timeLeft := m.TimeLeft(s.plan.Scenario, s.now)
+	if timeLeft <= 0 {
 		return
 	}
-	to := s.front()
-	there := s.way(scenario.Clients, to.party)
-	if !to.open || there.Cut {
-		s.nowhere(m)
+	to := s.pickSender()
+	request := s.link(scenario.Clients, to.name)
+	if !to.accepting || request.Cut {
+		s.submissionLost(m)
 		return
 	}
-	id, again := m.NextSubmission()
+	id, resubmitted := m.NextSubmission()
 	key := m.Key(s.plan.Scenario)
 	s.messages[id] = m
-	if there.Silent {
-		s.note(audit.Event{Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: left, Key: key, N: m.N, Tenant: m.Tenant})
-		s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.unanswered(m, id, to) })
+	if request.Silent {
+		s.record(audit.Event{Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key, N: m.N, Tenant: m.Tenant})
+		s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, to) })
 		return
 	}
-	s.at(s.now+clientHop+s.late(there), func() {
-		s.note(audit.Event{Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: left, Key: key, N: m.N, Tenant: m.Tenant})
-		if !to.open { // it has died meanwhile
-			s.gone(m, id, to)
+	s.at(s.now+clientDelay+s.extraDelay(request), func() {
+		s.record(audit.Event{Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key, N: m.N, Tenant: m.Tenant})
+		if !to.accepting { // it has died meanwhile
+			s.senderLost(m, id, to)
 			return
 		}
-		verdict := make(chan state.Response, 1)
-		h := state.Submitted{Response: verdict, Message: &state.Message{
-			ID: id, Class: m.Class, Tenant: m.Tenant, Destination: m.Dest, Deadline: epoch.Add(s.now + left), Resubmitted: again,
+		response := make(chan state.Response, 1)
+		submitted := state.Submitted{Response: response, Message: &state.Message{
+			ID: id, Class: m.Class, Tenant: m.Tenant, Destination: m.Dest, Deadline: virtualStart.Add(s.now + timeLeft), Resubmitted: resubmitted,
 			Body: make([]byte, m.Size), Key: key,
 		}}
-		to.waiting = append(to.waiting, awaiting{id, verdict})
-		to.step(h)
-		if s.struck {
-			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { to.impatient(m, id) })
+		to.submissions = append(to.submissions, pendingSubmission{id, response})
+		to.step(submitted)
+		if s.responsesMayFail {
+			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { to.clientTimeout(m, id) })
 		}
 	})
 }
 
-// way is what ails the way between two parties now.
-func (s *Sim) way(from, to string) scenario.LinkState {
+// link is what ails the way between two parties now.
+func (s *Sim) link(from, to string) scenario.LinkState {
 	if len(s.plan.Links) == 0 {
 		return scenario.LinkState{}
 	}
 	return s.plan.LinkState(s.now, from, to)
 }
 
-// late draws how much later something arrives than on a sound way.
-func (s *Sim) late(w scenario.LinkState) time.Duration {
+// extraDelay draws how much later something arrives than on a sound way.
+func (s *Sim) extraDelay(w scenario.LinkState) time.Duration {
 	if w.Jitter > 0 {
 		return w.Delay + time.Duration(s.rng.Int64N(int64(w.Jitter)))
 	}
 	return w.Delay
 }
 
-// turn: ways have changed. Connections on those that are cut now break, and a watch goes on where it was silent.
-func (s *Sim) turn() {
+// linksChanged: ways have changed. Connections on those that are cut now break, and a watch goes on where it was silent.
+func (s *Sim) linksChanged() {
 	for _, x := range s.senders {
-		x.turned()
+		x.linksChanged()
 	}
 }
 
-// unanswered: a client has waited long enough, and hands in again.
-func (s *Sim) unanswered(m *ClientRequest, id string, x *sender) {
-	s.note(audit.Event{Kind: audit.Abandoned, Sender: x.num, Message: id, Cause: "timeout"})
+// responseTimedOut: a client has waited long enough, and hands in again.
+func (s *Sim) responseTimedOut(m *ClientRequest, id string, x *sender) {
+	s.record(audit.Event{Kind: audit.Abandoned, Sender: x.num, Message: id, Cause: "timeout"})
 	delete(s.messages, id)
 	if !m.Done {
-		s.nowhere(m)
+		s.submissionLost(m)
 	}
 }
 
-// gone: a client has no answer, and hands in again.
-func (s *Sim) gone(m *ClientRequest, id string, x *sender) {
-	s.note(audit.Event{Kind: audit.Abandoned, Sender: x.num, Message: id, Cause: "died"})
+// senderLost: a client has no answer, and hands in again.
+func (s *Sim) senderLost(m *ClientRequest, id string, x *sender) {
+	s.record(audit.Event{Kind: audit.Abandoned, Sender: x.num, Message: id, Cause: "died"})
 	delete(s.messages, id)
-	s.nowhere(m)
+	s.submissionLost(m)
 }
 
-// nowhere has a client hand in again what reached nobody.
-func (s *Sim) nowhere(m *ClientRequest) {
-	if after, again := m.Unanswered(s.plan.Scenario, s.rng); again {
-		s.at(s.now+after, func() { s.handIn(m) })
+// submissionLost has a client hand in again what reached nobody.
+func (s *Sim) submissionLost(m *ClientRequest) {
+	if after, resubmits := m.Unanswered(s.plan.Scenario, s.rng); resubmits {
+		s.at(s.now+after, func() { s.submit(m) })
 	}
 }
 
-// refused has a client come again, as often as the scenario says.
-func (s *Sim) refused(m *ClientRequest, id string, told time.Duration) {
+// rejected has a client come again, as often as the scenario says.
+func (s *Sim) rejected(m *ClientRequest, id string, retryAfter time.Duration) {
 	delete(s.messages, id)
-	if after, again := m.Rejected(s.plan.Scenario, s.rng, told); again {
-		s.at(s.now+after, func() { s.handIn(m) })
+	if after, resubmits := m.Rejected(s.plan.Scenario, s.rng, retryAfter); resubmits {
+		s.at(s.now+after, func() { s.submit(m) })
 	}
 }
 
@@ -352,88 +352,88 @@
 	}
 }
 
-// change does what the plan says, and discovery tells of it, late.
-func (s *Sim) change(c scenario.Change) {
-	told, err := s.ground.Apply(s.now, c)
+// applyChange does what the plan says, and discovery tells of it, late.
+func (s *Sim) applyChange(c scenario.Change) {
+	notifiedAt, err := s.environment.Apply(s.now, c)
 	if err != nil {
 		s.fail(err)
 	}
-	for num, at := range told {
-		s.at(at, func() { s.senders[num].hear() })
+	for num, at := range notifiedAt {
+		s.at(at, func() { s.senders[num].receiveChanges() })
 	}
 }
 
-// deed does something to a sender. A reload without anything new changes nothing in virtual time, where there is no
+// inject does something to a sender. A reload without anything new changes nothing in virtual time, where there is no
 // file to read again.
-func (s *Sim) deed(d scenario.PlannedAction) {
+func (s *Sim) inject(d scenario.PlannedAction) {
 	x := s.senders[d.Sender]
-	if x.dead || x.leaving {
+	if x.dead || x.shuttingDown {
 		return
 	}
 	switch d.What {
 	case "kill", "wipe":
-		lost := ""
+		cause := ""
 		if d.What == "wipe" {
-			lost = audit.Wiped
+			cause = audit.Wiped
 		}
-		s.note(audit.Event{Kind: audit.Died, Sender: x.num, Cause: lost})
-		x.die()
-		if dir, kept := s.dirs[x.num]; kept && d.What == "wipe" {
+		s.record(audit.Event{Kind: audit.Died, Sender: x.num, Cause: cause})
+		x.exit()
+		if dir, hasDir := s.walDirs[x.num]; hasDir && d.What == "wipe" {
 			if err := errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700)); err != nil {
 				s.fail(err)
 			}
 		}
 	case "term", "signals":
-		x.when(func() {
-			if !x.dead && !x.leaving {
-				s.note(audit.Event{Kind: audit.Died, Sender: x.num})
-				x.leave()
+		x.whenRunning(func() {
+			if !x.dead && !x.shuttingDown {
+				s.record(audit.Event{Kind: audit.Died, Sender: x.num})
+				x.terminate()
 			}
 		})
 	case "stop":
 		if !x.stopped() {
 			x.stoppedAt = s.now
-			s.note(audit.Event{Kind: audit.Died, Sender: x.num}) // nothing is due from it until it goes on
+			s.record(audit.Event{Kind: audit.Died, Sender: x.num}) // nothing is due from it until it goes on
 		}
-		x.wakes = max(x.wakes, d.Until)
-		s.at(x.wakes, x.wake)
+		x.stoppedUntil = max(x.stoppedUntil, d.Until)
+		s.at(x.stoppedUntil, x.resume)
 	case "drain":
-		x.away = true
+		x.draining = true
 		if d.Until > 0 {
-			s.at(d.Until, func() { s.senders[d.Sender].away = false })
+			s.at(d.Until, func() { s.senders[d.Sender].draining = false })
 		}
 	case "activate":
-		x.away = false
+		x.draining = false
 	case "retune":
-		s.tuned[x.num] = d
-		set, err := readProfile(s.told(x.num), 0)
+		s.settingsUpdates[x.num] = d
+		set, err := readProfile(s.profile(x.num), 0)
 		if err != nil {
 			s.fail(err)
 			return
 		}
-		x.retune(set)
+		x.updateSettings(set)
 	}
 }
 
-// told is what a sender's configuration says now.
-func (s *Sim) told(num int) map[string]any {
-	if d, is := s.tuned[num]; is {
+// profile is what a sender's configuration says now.
+func (s *Sim) profile(num int) map[string]any {
+	if d, is := s.settingsUpdates[num]; is {
 		return UpdatedSettings(s.plan, d)
 	}
 	return Profile(s.plan, num)
 }
 
-// settle hands on what the model has done, and plans its next look.
-func (s *Sim) settle() {
-	for _, a := range s.ground.Collect() {
+// collect hands on what the model has done, and plans its next look.
+func (s *Sim) collect() {
+	for _, a := range s.environment.Collect() {
 		if f := s.calls[a.Call]; f != nil {
-			s.at(max(s.now, a.At)+f.hop, func() { f.answered(a) })
+			s.at(max(s.now, a.At)+f.delay, func() { f.receiveAnswer(a) })
 		}
 	}
-	at, some := s.ground.Model.Next()
-	if !some || s.modelAt >= 0 && s.modelAt <= at && s.modelAt > s.now {
+	at, some := s.environment.Model.Next()
+	if !some || s.modelWakeAt >= 0 && s.modelWakeAt <= at && s.modelWakeAt > s.now {
 		return
 	}
-	s.modelAt = at
-	s.at(at, func() { s.ground.Model.Advance(s.now) })
+	s.modelWakeAt = at
+	s.at(at, func() { s.environment.Model.Advance(s.now) })
 }
--- a/internal/simulation/sim_test.go
+++ b/internal/simulation/sim_test.go
@@ -117,9 +117,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim.at(8*time.Second+restartSpan/2, func() { // between its death and its return
-		os.RemoveAll(sim.dirs[0])
-		os.MkdirAll(sim.dirs[0], 0o700)
+	sim.at(8*time.Second+restartDelay/2, func() { // between its death and its return
+		os.RemoveAll(sim.walDirs[0])
+		os.MkdirAll(sim.walDirs[0], 0o700)
 	})
 	r, err := sim.Run()
 	if err != nil {
@@ -188,7 +188,7 @@
 	}
 	second, _ := g.Apply(1100*time.Millisecond, scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
 	for i := range first {
-		if second[i] < first[i] || first[i] > time.Second+listLate {
+		if second[i] < first[i] || first[i] > time.Second+maxListDelay {
 			t.Errorf("sender %d is told at %v and %v", i, first[i], second[i])
 		}
 	}
--- a/internal/simulation/tally.go
+++ b/internal/simulation/tally.go
@@ -7,8 +7,8 @@
 	"cleathold/internal/scenario"
 )
 
-// windowSpan is the length of the stretches of which the worst counts.
-const windowSpan = 10 * time.Second
+// scoreWindow is the length of the stretches of which the worst counts.
+const scoreWindow = 10 * time.Second
 
 // Score is the service of a run, as BRIEF 9 weighs it.
 type Score struct {
@@ -29,51 +29,51 @@
 type ServiceMeter struct {
 	OnDelivered func(n int, worth float64) // hears of each message of a client that brings its worth; nil = nobody
 
-	classes  []scenario.Class
-	messages map[int]*asked
-	oldest   int // the first that may still be among them
-	longest  time.Duration
-	ids      map[string]*tried
-	calls    map[uint64][]string
-	windows  []worth
-	byClass  []worth
-	byTenant []worth
-	score    Score
+	classes     []scenario.Class
+	requests    map[int]*request
+	oldest      int // the first that may still be among them
+	maxDeadline time.Duration
+	submissions map[string]*submission
+	calls       map[uint64][]string
+	windows     []weightSum
+	byClass     []weightSum
+	byTenant    []weightSum
+	score       Score
 }
 
-// A worth is what was asked for and what was brought.
-type worth struct{ asked, brought float64 }
+// A weightSum is what was asked for and what was brought.
+type weightSum struct{ requested, delivered float64 }
 
-func (w worth) share() float64 {
-	if w.asked == 0 {
+func (w weightSum) fraction() float64 {
+	if w.requested == 0 {
 		return 1
 	}
-	return w.brought / w.asked
+	return w.delivered / w.requested
 }
 
-// asked is a client's message, over all its hand-ins.
-type asked struct {
+// request is a client's message, over all its hand-ins.
+type request struct {
 	class, tenant int
-	born          time.Duration
+	requestedAt   time.Duration
 	done          bool
 	ids           []string
 }
 
-// tried is one hand-in.
-type tried struct {
-	n         int
-	taken     bool
+// submission is one hand-in.
+type submission struct {
+	request   int
+	accepted  bool
 	delivered bool // before its client heard that it is taken on
 }
 
 // NewServiceMeter counts the service of a scenario's run.
 func NewServiceMeter(s *scenario.Scenario) *ServiceMeter {
 	t := &ServiceMeter{
-		classes: s.Traffic.Classes, messages: map[int]*asked{}, ids: map[string]*tried{}, calls: map[uint64][]string{},
-		byClass: make([]worth, len(s.Traffic.Classes)), byTenant: make([]worth, len(s.Traffic.Tenants)),
+		classes: s.Traffic.Classes, requests: map[int]*request{}, submissions: map[string]*submission{}, calls: map[uint64][]string{},
+		byClass: make([]weightSum, len(s.Traffic.Classes)), byTenant: make([]weightSum, len(s.Traffic.Tenants)),
 	}
 	for _, c := range s.Traffic.Classes {
-		t.longest = max(t.longest, c.Deadline)
+		t.maxDeadline = max(t.maxDeadline, c.Deadline)
 	}
 	return t
 }
@@ -82,23 +82,23 @@
 func (t *ServiceMeter) Read(e audit.Event) error {
 	switch e.Kind {
 	case audit.Requested:
-		t.asked(e)
+		t.addRequest(e)
 	case audit.Submitted:
-		t.ids[e.Message] = &tried{n: e.N}
-		if m := t.messages[e.N]; m != nil {
+		t.submissions[e.Message] = &submission{request: e.N}
+		if m := t.requests[e.N]; m != nil {
 			m.ids = append(m.ids, e.Message)
 		}
 	case audit.Accepted:
-		if x := t.ids[e.Message]; x != nil {
-			if x.taken = true; x.delivered {
-				t.bring(x, e.At)
+		if x := t.submissions[e.Message]; x != nil {
+			if x.accepted = true; x.delivered {
+				t.addDelivered(x, e.At)
 			}
 		}
 	case audit.Rejected:
 		t.score.Rejected++
-		delete(t.ids, e.Message)
+		delete(t.submissions, e.Message)
 	case audit.Abandoned, audit.Notice:
-		delete(t.ids, e.Message)
+		delete(t.submissions, e.Message)
 	case audit.Sent:
 		t.score.Calls++
 		if len(e.Messages) > 0 {
@@ -109,9 +109,9 @@
 			t.score.RejectedCalls++
 		}
 		for _, id := range t.calls[e.Call] {
-			if x := t.ids[id]; x != nil && e.Outcome == audit.Delivered {
-				if x.delivered = true; x.taken {
-					t.bring(x, e.At)
+			if x := t.submissions[id]; x != nil && e.Outcome == audit.Delivered {
+				if x.delivered = true; x.accepted {
+					t.addDelivered(x, e.At)
 				}
 			}
 		}
@@ -120,43 +120,43 @@
 	return nil
 }
 
-func (t *ServiceMeter) asked(e audit.Event) {
+func (t *ServiceMeter) addRequest(e audit.Event) {
 	w := t.classes[e.Class].PriorityWeight
-	for i := int(e.At / windowSpan); len(t.windows) <= i; {
-		t.windows = append(t.windows, worth{})
+	for i := int(e.At / scoreWindow); len(t.windows) <= i; {
+		t.windows = append(t.windows, weightSum{})
 	}
-	t.windows[e.At/windowSpan].asked += w
-	t.byClass[e.Class].asked += w
-	t.byTenant[e.Tenant].asked += w
+	t.windows[e.At/scoreWindow].requested += w
+	t.byClass[e.Class].requested += w
+	t.byTenant[e.Tenant].requested += w
 	t.score.Messages++
-	t.messages[e.N] = &asked{class: e.Class, tenant: e.Tenant, born: e.At}
+	t.requests[e.N] = &request{class: e.Class, tenant: e.Tenant, requestedAt: e.At}
 	for ; t.oldest < e.N; t.oldest++ { // those whose time is up go
-		m := t.messages[t.oldest]
-		if m != nil && e.At < m.born+t.longest+5*time.Second {
+		m := t.requests[t.oldest]
+		if m != nil && e.At < m.requestedAt+t.maxDeadline+5*time.Second {
 			break
 		}
 		if m != nil {
 			for _, id := range m.ids {
-				delete(t.ids, id)
+				delete(t.submissions, id)
 			}
-			delete(t.messages, t.oldest)
+			delete(t.requests, t.oldest)
 		}
 	}
 }
 
-// bring counts the worth of a message, once.
-func (t *ServiceMeter) bring(x *tried, at time.Duration) {
-	m := t.messages[x.n]
+// addDelivered counts the worth of a message, once.
+func (t *ServiceMeter) addDelivered(x *submission, at time.Duration) {
+	m := t.requests[x.request]
 	if m == nil || m.done {
 		return
 	}
 	m.done = true
-	w := PriorityWeightAt(&t.classes[m.class], at-m.born)
-	t.windows[m.born/windowSpan].brought += w
-	t.byClass[m.class].brought += w
-	t.byTenant[m.tenant].brought += w
+	w := PriorityWeightAt(&t.classes[m.class], at-m.requestedAt)
+	t.windows[m.requestedAt/scoreWindow].delivered += w
+	t.byClass[m.class].delivered += w
+	t.byTenant[m.tenant].delivered += w
 	if t.OnDelivered != nil {
-		t.OnDelivered(x.n, w)
+		t.OnDelivered(x.request, w)
 	}
 }
 
@@ -172,27 +172,27 @@
 func (t *ServiceMeter) Score() Score {
 	s := t.score
 	s.Worst = 1
-	whole := worth{}
+	total := weightSum{}
 	for i, w := range t.windows {
-		whole.asked += w.asked
-		whole.brought += w.brought
-		if x := w.share(); x < s.Worst && w.asked > 0 {
-			s.Worst, s.WorstAt = x, time.Duration(i)*windowSpan
+		total.requested += w.requested
+		total.delivered += w.delivered
+		if x := w.fraction(); x < s.Worst && w.requested > 0 {
+			s.Worst, s.WorstAt = x, time.Duration(i)*scoreWindow
 		}
 	}
-	s.Overall = whole.share()
+	s.Overall = total.fraction()
 	class, tenant := 1.0, 1.0
 	for _, w := range t.byClass {
-		s.Classes = append(s.Classes, w.share())
-		class = min(class, w.share())
+		s.Classes = append(s.Classes, w.fraction())
+		class = min(class, w.fraction())
 	}
 	for _, w := range t.byTenant {
-		s.Tenants = append(s.Tenants, w.share())
-		tenant = min(tenant, w.share())
+		s.Tenants = append(s.Tenants, w.fraction())
+		tenant = min(tenant, w.fraction())
 	}
 	s.Service = 0.4*s.Overall + 0.3*s.Worst + 0.2*class + 0.1*tenant
 	return s
 }
 
 // Held is how many messages, hand-ins and calls are remembered.
-func (t *ServiceMeter) Held() int { return len(t.messages) + len(t.ids) + len(t.calls) }
+func (t *ServiceMeter) Held() int { return len(t.requests) + len(t.submissions) + len(t.calls) }
