--- a/internal/simulation/call.go
+++ b/internal/simulation/call.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 
@@ -12,32 +13,80 @@
 	"cleathold/internal/state"
 )
 
-// A inFlightCall is a call between a sender and an endpoint.
+// An inFlightCall is a call, or a health check, of a sender to an endpoint.
 type inFlightCall struct {
 	sender       *sender
-	call         *state.Call // nil: a probe
+	call         *state.Call // nil: a health check
 	target       state.Target
 	id           uint64
-	delay        time.Duration
-	newConn      bool
-	overCapacity bool
-	sent         bool // its first byte has gone
-	done         bool
+	delay        time.Duration // of the network, one way
+	newConn      bool          // it is the first on its connection
+	overCapacity bool          // its connection is one more than the endpoint takes
+	sent         bool          // its first byte has left
+	done         bool          // the sender waits for it no more
 	ended        map[*state.Attempt]bool
 	startedAt    time.Duration
 }
 
-// Send takes a call out: on an idle connection, or on a new one.
+// Send makes a call, on an idle connection or on a new one. It implements state's connections, as do Cancel, CancelUnsent,
+// HealthCheck and Disconnect.
 func (x *sender) Send(c *state.Call) {
 	f := x.startCall(c.Target)
 	f.call, f.ended = c, map[*state.Attempt]bool{}
 	x.byCall[c] = f
-	for _, fw := range c.Attempts {
-		x.sim.at(fw.Deadline.Sub(virtualStart), func() { f.endAttempt(fw, state.AttemptResult{Result: control.TimedOut}) })
+	for _, a := range c.Attempts {
+		x.sim.at(a.Deadline.Sub(virtualStart), func() { f.timeOut(a) })
 	}
 }
 
-// startCall begins a flight.
+// HealthCheck makes a call without a message.
+func (x *sender) HealthCheck(t state.Target, deadline time.Time) {
+	f := x.startCall(t)
+	x.sim.at(deadline.Sub(virtualStart), func() {
+		x.whenRunning(func() {
+			if f.done {
+				return
+			}
+			if s := x.sim; f.forget(x.num, "timeout") {
+				s.environment.Model.Cancel(s.now, f.id, f.target.ID)
+			}
+			f.endAll(state.AttemptResult{Result: control.TimedOut})
+		})
+	})
+}
+
+// Cancel abandons a call.
+func (x *sender) Cancel(c *state.Call) {
+	if f := x.byCall[c]; f != nil {
+		x.sim.at(x.sim.now, func() { f.cancel(control.Canceled) })
+	}
+}
+
+// CancelUnsent abandons a call whose first byte has not left.
+func (x *sender) CancelUnsent(c *state.Call) {
+	if f := x.byCall[c]; f != nil && !f.sent {
+		x.sim.at(x.sim.now, func() {
+			if !f.sent {
+				f.cancel(control.NotSent)
+			}
+		})
+	}
+}
+
+// Disconnect closes the idle connections to an endpoint.
+func (x *sender) Disconnect(endpoint string) {
+	for range x.idleConns[endpoint] {
+		x.sim.environment.Model.Disconnect(x.sim.now, endpoint)
+	}
+	delete(x.idleConns, endpoint)
+}
+
+// callsOf returns a sender's calls in the order in which they began, since that of a map differs from run to run.
+func (s *Sim) callsOf(x *sender) []*inFlightCall {
+	return slices.SortedFunc(maps.Keys(x.inFlight), func(a, b *inFlightCall) int { return cmp.Compare(a.id, b.id) })
+}
+
+// startCall sends on the connection that was idle for the shortest time, or on a new one.
 func (x *sender) startCall(to state.Target) *inFlightCall {
 	s := x.sim
 	s.lastCall++
@@ -54,48 +103,64 @@
 		return f
 	}
 	x.idleConns[to.ID] = idle
+	f.connect()
+	return f
+}
+
+// connect opens a connection and sends on it.
+func (f *inFlightCall) connect() {
+	x, s := f.sender, f.sender.sim
 	f.newConn = true
 	s.result.Connections++
-	request, reply := f.links()
-	if request.Cut || reply.Cut || request.Silent || reply.Silent {
+	if request, reply := f.links(); !request.Passes() || !reply.Passes() {
 		after := f.delay
 		if !request.Cut && !reply.Cut {
 			after = connectTimeout
 		}
 		s.at(s.now+after, func() {
 			if !x.dead && !f.done {
-				s.record(audit.Event{Kind: audit.FailureSeen, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
+				f.recordFailure()
 			}
 			f.endAll(state.AttemptResult{Result: control.ConnectFailed})
 		})
-		return f
+		return
 	}
 	s.at(s.now+f.delay, func() {
-		result := s.environment.Model.Connect(s.now, to.ID)
-		s.at(s.now+f.delay, func() {
-			switch {
-			case result == partner.ConnectionRefused:
-				if !x.dead {
-					s.record(audit.Event{Kind: audit.FailureSeen, Sender: x.num, Dest: to.Destination, Endpoint: to.ID})
-				}
-				f.endAll(state.AttemptResult{Result: control.ConnectFailed})
-			case f.done && result == partner.ConnectionOpened:
-				s.environment.Model.Disconnect(s.now, to.ID)
-			case !f.done:
-				f.overCapacity = result == partner.ConnectionOverCapacity
-				f.send()
-			}
-		})
+		result := s.environment.Model.Connect(s.now, f.target.ID)
+		s.at(s.now+f.delay, func() { f.connected(result) })
 	})
-	return f
 }
 
-// links are those between its sender and its endpoint.
+// connected takes the result of an attempt to connect.
+func (f *inFlightCall) connected(result partner.ConnectionResult) {
+	s := f.sender.sim
+	switch {
+	case result == partner.ConnectionRefused:
+		if !f.sender.dead {
+			f.recordFailure()
+		}
+		f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+	case f.done && result == partner.ConnectionOpened:
+		s.environment.Model.Disconnect(s.now, f.target.ID)
+	case !f.done:
+		f.overCapacity = result == partner.ConnectionOverCapacity
+		f.send()
+	}
+}
+
+// links returns the states of the links from its sender to its endpoint and back.
 func (f *inFlightCall) links() (request, reply scenario.LinkState) {
 	return f.sender.sim.link(f.sender.name, f.target.ID), f.sender.sim.link(f.target.ID, f.sender.name)
 }
 
-// send lets the first byte go; the call is whole at the endpoint a hop later.
+// recordFailure records that its sender has seen the endpoint fail.
+func (f *inFlightCall) recordFailure() {
+	f.sender.sim.record(audit.Event{
+		Kind: audit.FailureSeen, Sender: f.sender.num, Dest: f.target.Destination, Endpoint: f.target.ID,
+	})
+}
+
+// send sends the first byte. The endpoint has the whole call after the network's delay.
 func (f *inFlightCall) send() {
 	s := f.sender.sim
 	if f.done {
@@ -109,27 +174,33 @@
 		return
 	}
 	f.sent = true
-	c := partner.Call{ID: f.id, Sender: f.sender.num, Endpoint: f.target.ID, Fresh: f.newConn, OverCapacity: f.overCapacity, HealthCheck: f.call == nil}
+	c := partner.Call{
+		ID: f.id, Sender: f.sender.num, Endpoint: f.target.ID, Fresh: f.newConn, OverCapacity: f.overCapacity,
+		HealthCheck: f.call == nil,
+	}
 	var ids []string
 	if f.call != nil {
-		for _, fw := range f.call.Attempts {
-			c.Messages = append(c.Messages, partner.Message{ID: fw.Message.ID, Key: fw.Message.Key, Class: fw.Message.Class})
-			ids = append(ids, fw.Message.ID)
+		for _, a := range f.call.Attempts {
+			c.Messages = append(c.Messages, partner.Message{ID: a.Message.ID, Key: a.Message.Key, Class: a.Message.Class})
+			ids = append(ids, a.Message.ID)
 		}
 	}
-	s.record(audit.Event{Kind: audit.Sent, Sender: f.sender.num, Call: f.id, Endpoint: f.target.ID, Zone: f.target.Zone, Dest: f.target.Destination, Messages: ids})
+	s.record(audit.Event{
+		Kind: audit.Sent, Sender: f.sender.num, Call: f.id, Endpoint: f.target.ID, Zone: f.target.Zone, Dest: f.target.Destination,
+		Messages: ids,
+	})
 	s.calls[f.id] = f
 	if !request.Passes() {
-		return // its time will be up, or the cut has broken it
+		return // it never arrives: it times out, or a cut breaks its connection
 	}
 	s.at(s.now+f.delay+s.extraDelay(request), func() {
-		if err := s.environment.Model.Call(s.now, c); err != nil { // it has left the list and the earth
+		if err := s.environment.Model.Call(s.now, c); err != nil { // the endpoint was removed meanwhile
 			s.at(s.now+f.delay, func() { f.receiveAnswer(partner.Answer{Call: f.id, Kind: partner.Reset}) })
 		}
 	})
 }
 
-// releaseConn keeps a connection for the next call.
+// releaseConn keeps its connection for the next call.
 func (f *inFlightCall) releaseConn() {
 	x, s := f.sender, f.sender.sim
 	switch {
@@ -141,7 +212,7 @@
 	}
 }
 
-// receiveAnswer brings an answer to the sender.
+// receiveAnswer brings the endpoint's answer to the sender, unless that has stopped waiting.
 func (f *inFlightCall) receiveAnswer(a partner.Answer) {
 	s := f.sender.sim
 	if s.calls[f.id] == nil {
@@ -149,37 +220,25 @@
 	}
 	delete(s.calls, f.id)
 	outcome, cause := OutcomeOf(a.Kind)
-	s.record(audit.Event{Kind: audit.Ended, Sender: f.sender.num, Call: f.id, Outcome: outcome, RetryAfter: a.RetryAfter, Cause: cause})
+	s.record(audit.Event{
+		Kind: audit.Ended, Sender: f.sender.num, Call: f.id, Outcome: outcome, RetryAfter: a.RetryAfter, Cause: cause,
+	})
 	_, reply := f.links()
 	if a.Kind != partner.Delivered && reply.Passes() {
-		s.record(audit.Event{Kind: audit.FailureSeen, Sender: f.sender.num, Dest: f.target.Destination, Endpoint: f.target.ID})
+		f.recordFailure()
 	}
 	if a.Kind == partner.Delivered && f.call != nil {
-		for _, fw := range f.call.Attempts {
-			s.delivered(fw.Message.ID)
+		for _, at := range f.call.Attempts {
+			s.delivered(at.Message.ID)
 		}
 	}
 	if !reply.Passes() {
-		return // the partner has answered, and the sender does not hear it
+		return // the answer does not arrive
 	}
 	if a.Kind != partner.Reset && !f.done {
 		f.releaseConn()
 	}
-	end := state.AttemptResult{RetryAfter: a.RetryAfter}
-	switch a.Kind {
-	case partner.Delivered:
-		end.Result, end.Final = control.Served, true
-	case partner.Errored:
-		end.Result = control.Failed
-	case partner.Rejected:
-		end.Result = control.Rejected
-	case partner.Reset:
-		end.Result = control.ConnectionLost
-	case partner.Unprocessable:
-		end.Result = control.Unprocessable
-	default:
-		end.Result = control.Unknown
-	}
+	end := attemptResult(a)
 	if after := s.extraDelay(reply); after > 0 {
 		s.at(s.now+after, func() { f.endAll(end) })
 		return
@@ -187,136 +246,111 @@
 	f.endAll(end)
 }
 
-// finish marks a flight as over.
-func (f *inFlightCall) finish() {
-	f.done = true
-	delete(f.sender.inFlight, f)
-	if f.call != nil {
-		delete(f.sender.byCall, f.call)
-	}
-}
-
-// endAll ends what is left of a flight.
-func (f *inFlightCall) endAll(e state.AttemptResult) {
-	if f.done {
-		return
-	}
-	f.finish()
-	if f.call == nil {
-		f.sender.step(state.HealthChecked{Target: f.target.Endpoint.ID, Result: e.Result, Elapsed: f.sender.sim.now - f.startedAt})
-		return
-	}
-	var ends []state.AttemptResult
-	for _, fw := range f.call.Attempts {
-		if !f.ended[fw] {
-			f.ended[fw] = true
-			e.Attempt, e.Elapsed = fw, f.sender.sim.now-f.startedAt
-			ends = append(ends, e)
-		}
+// attemptResult is what an answer of an endpoint means to a sender.
+func attemptResult(a partner.Answer) state.AttemptResult {
+	r := state.AttemptResult{RetryAfter: a.RetryAfter}
+	switch a.Kind {
+	case partner.Delivered:
+		r.Result, r.Final = control.Served, true
+	case partner.Errored:
+		r.Result = control.Failed
+	case partner.Rejected:
+		r.Result = control.Rejected
+	case partner.Reset:
+		r.Result = control.ConnectionLost
+	case partner.Unprocessable:
+		r.Result = control.Unprocessable
+	default:
+		r.Result = control.Unknown
 	}
-	f.sender.step(state.CallEnded{Call: f.call, Results: ends})
+	return r
 }
 
-// endAttempt ends one forward; a flight without any is abandoned.
-func (f *inFlightCall) endAttempt(fw *state.Attempt, e state.AttemptResult) {
+// timeOut ends one attempt. The call is abandoned with its last one.
+func (f *inFlightCall) timeOut(a *state.Attempt) {
 	if f.sender.stopped() {
-		f.sender.whenRunning(func() { f.endAttempt(fw, e) })
+		f.sender.whenRunning(func() { f.timeOut(a) })
 		return
 	}
-	if f.done || f.ended[fw] {
+	if f.done || f.ended[a] {
 		return
 	}
-	f.ended[fw] = true
-	if e.Result == control.TimedOut {
-		f.sender.sim.record(audit.Event{Kind: audit.FailureSeen, Sender: f.sender.num, Dest: f.target.Destination, Endpoint: f.target.ID})
-	}
-	e.Attempt, e.Elapsed = fw, f.sender.sim.now-f.startedAt
+	f.ended[a] = true
+	f.recordFailure()
+	r := state.AttemptResult{Attempt: a, Result: control.TimedOut, Elapsed: f.sender.sim.now - f.startedAt}
 	if len(f.ended) == len(f.call.Attempts) {
 		f.abandon("timeout")
 	}
-	f.sender.step(state.CallEnded{Call: f.call, Results: []state.AttemptResult{e}})
+	f.sender.step(state.CallEnded{Call: f.call, Results: []state.AttemptResult{r}})
 }
 
-// abandon stops waiting: the connection goes, the work may go on.
-func (f *inFlightCall) abandon(cause string) {
-	f.finish()
-	s := f.sender.sim
-	if !f.sent || s.calls[f.id] == nil {
+// cancel abandons the call for the sender's own reasons.
+func (f *inFlightCall) cancel(r control.Result) {
+	if f.done {
 		return
 	}
-	delete(s.calls, f.id)
-	s.record(audit.Event{Kind: audit.Ended, Sender: f.sender.num, Call: f.id, Outcome: audit.Failed, Cause: cause})
-	s.at(s.now+f.delay, func() { s.environment.Model.Cancel(s.now, f.id, f.target.ID) })
-}
-
-// Cancel calls a call off.
-func (x *sender) Cancel(c *state.Call) {
-	if f := x.byCall[c]; f != nil {
-		x.sim.at(x.sim.now, func() { f.cancel(control.Canceled) })
-	}
+	f.abandon("cancelled")
+	f.endAttempts(state.AttemptResult{Result: r})
 }
 
-// cancel ends a flight for a reason of the sender's own.
-func (f *inFlightCall) cancel(r control.Result) {
+// endAll ends the call, with one result for all attempts that have none yet.
+func (f *inFlightCall) endAll(r state.AttemptResult) {
 	if f.done {
 		return
 	}
-	f.abandon("cancelled")
-	var ends []state.AttemptResult
-	for _, fw := range f.call.Attempts {
-		if !f.ended[fw] {
-			f.ended[fw] = true
-			ends = append(ends, state.AttemptResult{Attempt: fw, Result: r, Elapsed: f.sender.sim.now - f.startedAt})
-		}
+	f.finish()
+	if f.call == nil {
+		elapsed := f.sender.sim.now - f.startedAt
+		f.sender.step(state.HealthChecked{Target: f.target.Endpoint.ID, Result: r.Result, Elapsed: elapsed})
+		return
 	}
-	f.sender.step(state.CallEnded{Call: f.call, Results: ends})
+	f.endAttempts(r)
 }
 
-// CancelUnsent ends a call whose first byte has not gone.
-func (x *sender) CancelUnsent(c *state.Call) {
-	if f := x.byCall[c]; f != nil && !f.sent {
-		x.sim.at(x.sim.now, func() {
-			if !f.sent {
-				f.cancel(control.NotSent)
-			}
-		})
+// endAttempts tells the loop one result for all attempts that have none yet.
+func (f *inFlightCall) endAttempts(r state.AttemptResult) {
+	var results []state.AttemptResult
+	for _, a := range f.call.Attempts {
+		if !f.ended[a] {
+			f.ended[a] = true
+			r.Attempt, r.Elapsed = a, f.sender.sim.now-f.startedAt
+			results = append(results, r)
+		}
 	}
+	f.sender.step(state.CallEnded{Call: f.call, Results: results})
 }
 
-// HealthCheck asks an endpoint how it is.
-func (x *sender) HealthCheck(t state.Target, deadline time.Time) {
-	f := x.startCall(t)
-	x.sim.at(deadline.Sub(virtualStart), func() {
-		x.whenRunning(func() {
-			if f.done {
-				return
-			}
-			s := x.sim
-			if f.sent && s.calls[f.id] != nil {
-				delete(s.calls, f.id)
-				s.record(audit.Event{Kind: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "timeout"})
-				s.environment.Model.Cancel(s.now, f.id, f.target.ID)
-			}
-			f.endAll(state.AttemptResult{Result: control.TimedOut})
-		})
-	})
+// abandon stops waiting: the connection is closed, though the endpoint may go on with its work.
+func (f *inFlightCall) abandon(cause string) {
+	f.finish()
+	if f.forget(f.sender.num, cause) {
+		f.notifyCanceled()
+	}
 }
 
-// Disconnect closes the idle connections to an endpoint.
-func (x *sender) Disconnect(endpoint string) {
-	for range x.idleConns[endpoint] {
-		x.sim.environment.Model.Disconnect(x.sim.now, endpoint)
+// finish marks the call as done.
+func (f *inFlightCall) finish() {
+	f.done = true
+	delete(f.sender.inFlight, f)
+	if f.call != nil {
+		delete(f.sender.byCall, f.call)
 	}
-	delete(x.idleConns, endpoint)
 }
 
-// callsOf lists a sender's calls in the order in which they began: a map's would
-// be another in each run.
-func (s *Sim) callsOf(x *sender) []*inFlightCall {
-	var list []*inFlightCall
-	for f := range x.inFlight {
-		list = append(list, f)
+// forget records that a call ended without an answer, and ignores one that still comes. It returns false if there was one,
+// or if the call was not sent.
+func (f *inFlightCall) forget(sender int, cause string) bool {
+	s := f.sender.sim
+	if !f.sent || s.calls[f.id] == nil {
+		return false
 	}
-	slices.SortFunc(list, func(a, b *inFlightCall) int { return cmp.Compare(a.id, b.id) })
-	return list
+	delete(s.calls, f.id)
+	s.record(audit.Event{Kind: audit.Ended, Sender: sender, Call: f.id, Outcome: audit.Failed, Cause: cause})
+	return true
+}
+
+// notifyCanceled has the endpoint see, after the network's delay, that the connection was closed.
+func (f *inFlightCall) notifyCanceled() {
+	s := f.sender.sim
+	s.at(s.now+f.delay, func() { s.environment.Model.Cancel(s.now, f.id, f.target.ID) })
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -13,25 +13,34 @@
 	"cleathold/internal/state"
 )
 
-// inject does something to a sender. A reload without anything new changes nothing in virtual time, where there is no
-// file to read again.
-func (s *Sim) inject(d scenario.PlannedAction) {
-	x := s.senders[d.Sender]
+// applyChange makes a change to a partner's endpoint. Discovery notifies the senders of it later.
+func (s *Sim) applyChange(c scenario.Change) {
+	notifiedAt, err := s.environment.Apply(s.now, c)
+	if err != nil {
+		s.fail(err)
+	}
+	for num, at := range notifiedAt {
+		s.at(at, func() { s.senders[num].receiveChanges() })
+	}
+}
+
+// inject carries out an action on a sender, unless its process has ended or is about to. "hup" changes nothing in virtual
+// time, where there is no file to read again.
+func (s *Sim) inject(a scenario.PlannedAction) {
+	x := s.senders[a.Sender]
 	if x.dead || x.shuttingDown {
 		return
 	}
-	switch d.What {
-	case "kill", "wipe":
-		cause := ""
-		if d.What == "wipe" {
-			cause = audit.Wiped
-		}
-		s.record(audit.Event{Kind: audit.Died, Sender: x.num, Cause: cause})
+	switch a.What {
+	case "kill":
+		s.record(audit.Event{Kind: audit.Died, Sender: x.num})
 		x.exit()
-		if dir, hasDir := s.walDirs[x.num]; hasDir && d.What == "wipe" {
-			if err := errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700)); err != nil {
-				s.fail(err)
-			}
+	case "wipe":
+		s.record(audit.Event{Kind: audit.Died, Sender: x.num, Cause: audit.Wiped})
+		x.exit()
+		dir := s.walDirs[x.num]
+		if err := errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700)); err != nil {
+			s.fail(err)
 		}
 	case "term", "signals":
 		x.whenRunning(func() {
@@ -41,21 +50,16 @@
 			}
 		})
 	case "stop":
-		if !x.stopped() {
-			x.stoppedAt = s.now
-			s.record(audit.Event{Kind: audit.Died, Sender: x.num}) // nothing is due from it until it goes on
-		}
-		x.stoppedUntil = max(x.stoppedUntil, d.Until)
-		s.at(x.stoppedUntil, x.resume)
+		x.stop(a.Until)
 	case "drain":
 		x.draining = true
-		if d.Until > 0 {
-			s.at(d.Until, func() { s.senders[d.Sender].draining = false })
+		if a.Until > 0 {
+			s.at(a.Until, func() { s.senders[a.Sender].draining = false })
 		}
 	case "activate":
 		x.draining = false
 	case "retune":
-		s.settingsUpdates[x.num] = d
+		s.settingsUpdates[x.num] = a
 		set, err := readProfile(s.profile(x.num), 0)
 		if err != nil {
 			s.fail(err)
@@ -65,15 +69,15 @@
 	}
 }
 
-// profile is what a sender's configuration says now.
+// profile returns a sender's configuration as it stands.
 func (s *Sim) profile(num int) map[string]any {
-	if d, is := s.settingsUpdates[num]; is {
-		return UpdatedSettings(s.plan, d)
+	if a, ok := s.settingsUpdates[num]; ok {
+		return UpdatedSettings(s.plan, a)
 	}
 	return Profile(s.plan, num)
 }
 
-// link is what ails the way between two parties now.
+// link returns the state of the link from one party to another.
 func (s *Sim) link(from, to string) scenario.LinkState {
 	if len(s.plan.Links) == 0 {
 		return scenario.LinkState{}
@@ -81,47 +85,52 @@
 	return s.plan.LinkState(s.now, from, to)
 }
 
-// extraDelay draws how much later something arrives than on a sound way.
-func (s *Sim) extraDelay(w scenario.LinkState) time.Duration {
-	if w.Jitter > 0 {
-		return w.Delay + time.Duration(s.rng.Int64N(int64(w.Jitter)))
+// cutBetween reports whether the link between two parties is cut in either direction.
+func (s *Sim) cutBetween(a, b string) bool { return s.link(a, b).Cut || s.link(b, a).Cut }
+
+// extraDelay draws how much longer than on a healthy link something is under way.
+func (s *Sim) extraDelay(l scenario.LinkState) time.Duration {
+	if l.Jitter > 0 {
+		return l.Delay + time.Duration(s.rng.Int64N(int64(l.Jitter)))
 	}
-	return w.Delay
+	return l.Delay
 }
 
-// linksChanged: ways have changed. Connections on those that are cut now break, and a watch goes on where it was silent.
+// linksChanged has every sender look at its links.
 func (s *Sim) linksChanged() {
 	for _, x := range s.senders {
 		x.linksChanged()
 	}
 }
 
-// linksChanged looks at its ways after a change.
+// linksChanged breaks the connections on links that are cut now, and resumes the watch of discovery where that is
+// reachable again.
 func (x *sender) linksChanged() {
 	s := x.sim
 	for _, f := range s.callsOf(x) {
-		if !s.link(x.name, f.target.ID).Cut && !s.link(f.target.ID, x.name).Cut {
+		if !f.sent || !s.cutBetween(x.name, f.target.ID) {
 			continue
 		}
-		if f.sent && s.calls[f.id] != nil {
-			delete(s.calls, f.id)
-			s.record(audit.Event{Kind: audit.Ended, Sender: x.num, Call: f.id, Outcome: audit.Failed, Cause: "reset"})
-			s.at(s.now+f.delay, func() { s.environment.Model.Cancel(s.now, f.id, f.target.ID) })
-		}
-		if f.sent {
-			f.endAll(state.AttemptResult{Result: control.ConnectionLost})
+		if f.forget(x.num, "reset") {
+			f.notifyCanceled()
 		}
+		f.endAll(state.AttemptResult{Result: control.ConnectionLost})
 	}
 	for _, id := range slices.Sorted(maps.Keys(x.idleConns)) {
-		if s.link(x.name, id).Cut || s.link(id, x.name).Cut {
+		if s.cutBetween(x.name, id) {
 			x.Disconnect(id)
 		}
 	}
-	if cut := !x.reachesDiscovery(); cut != x.unreachable {
-		x.unreachable = cut
-		s.record(audit.Event{Kind: map[bool]audit.EventKind{true: audit.Unreachable, false: audit.ReachableAgain}[cut], Sender: x.num})
+	reachable := x.reachesDiscovery()
+	if reachable == x.unreachable {
+		x.unreachable = !reachable
+		kind := audit.Unreachable
+		if reachable {
+			kind = audit.ReachableAgain
+		}
+		s.record(audit.Event{Kind: kind, Sender: x.num})
 	}
-	if x.reachesDiscovery() {
+	if reachable {
 		x.receiveChanges()
 	} else if x.watching {
 		x.watching = false
@@ -130,7 +139,7 @@
 	}
 }
 
-// discoveryDown: discovery goes down, and watches end.
+// discoveryDown ends the watch as an outage of discovery begins.
 func (x *sender) discoveryDown() {
 	if x.watching && !x.dead {
 		x.watching = false
@@ -138,14 +147,3 @@
 		x.step(state.ListUpdate{Kind: control.ListFailed})
 	}
 }
-
-// applyChange does what the plan says, and discovery tells of it, late.
-func (s *Sim) applyChange(c scenario.Change) {
-	notifiedAt, err := s.environment.Apply(s.now, c)
-	if err != nil {
-		s.fail(err)
-	}
-	for num, at := range notifiedAt {
-		s.at(at, func() { s.senders[num].receiveChanges() })
-	}
-}
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -1,8 +1,10 @@
-// Package simulation is the laboratory: it plays scenarios. Here in virtual time, where the
-// senders are the loops that real senders run, with stages, table, limits, journal
-// and controller, and only sockets are left out. Partners are the model of
-// internal/partner, and internal/audit judges what was seen. What fronts on sockets
-// share with virtual time is Ground, Tally and Profile.
+// Package simulation plays scenarios in virtual time. The senders run the event loop, the write-ahead log and the controller
+// that real senders run; only sockets are left out. Partners are the model of internal/partner, and internal/audit judges
+// what was recorded. Environment, ServiceMeter, ClientRequest and Profile are shared with internal/harness, which plays the
+// same scenarios on sockets.
+//
+// The same plan gives the same events: nothing here may depend on the wall clock, on goroutines or on the iteration order of
+// a map, and the order of random draws is part of the behavior.
 package simulation
 
 import (
@@ -18,30 +20,30 @@
 	"cleathold/internal/timeline"
 )
 
-// virtualStart is when virtual time begins, by the loops' clock.
+// virtualStart is the wall-clock time that the event loops read at virtual time 0.
 var virtualStart = time.Unix(1_700_000_000, 0)
 
 const (
-	discoveryDelay  = 20 * time.Millisecond  // until discovery answers a question
-	reportAckDelay  = 2 * time.Millisecond   // until the platform has acknowledged a notice
-	clientDelay     = 500 * time.Microsecond // from a client to a sender
-	idleConnTimeout = 15 * time.Second       // an idle connection is closed after this
-	drainPeriod     = 30 * time.Second       // a run goes on for so long after the last arrival
-
-	// Of a sender that ends. The figures of lifecycle and of DEPLOY.
-	restartDelay         = 600 * time.Millisecond
-	startupDelay         = 50 * time.Millisecond // until it is ready
-	stopDelay            = 500 * time.Millisecond
-	haltDelay            = 2 * time.Second
-	shutdownTimeout      = 3300 * time.Millisecond
-	drainedCheckInterval = 20 * time.Millisecond
-
-	// Of ways that fail. The figures of internal/protocol.
-	connectTimeout = 1500 * time.Millisecond // until a connection that does not come up is given up
-	pollTimeout    = 2 * time.Second         // until discovery's silence counts as a failure
+	discoveryDelay  = 20 * time.Millisecond  // until discovery answers a poll
+	reportAckDelay  = 2 * time.Millisecond   // until the platform has acknowledged a delivery report
+	clientDelay     = 500 * time.Microsecond // from a client to a sender, one way
+	idleConnTimeout = 15 * time.Second       // endpoints close connections that were idle for this long
+	drainPeriod     = 30 * time.Second       // how long a run goes on after the end of the scenario
+
+	// Graceful shutdown of a sender, counted from SIGTERM, and its restart. The values of lifecycle and of DEPLOY.
+	restartDelay         = 600 * time.Millisecond  // until a process that ended is started again
+	startupDelay         = 50 * time.Millisecond   // from the start until it is ready
+	stopDelay            = 500 * time.Millisecond  // until it accepts no more messages
+	haltDelay            = 2 * time.Second         // until it starts no more attempts
+	shutdownTimeout      = 3300 * time.Millisecond // until it exits, whatever is in flight
+	drainedCheckInterval = 20 * time.Millisecond   // between checks whether anything is in flight
+
+	// Links that fail. The values of internal/protocol.
+	connectTimeout = 1500 * time.Millisecond // for a connection that does not come up
+	pollTimeout    = 2 * time.Second         // for discovery to answer
 )
 
-// Result is what a run showed.
+// Result is the outcome of a run. Its JSON form is that of result.json.
 type Result struct {
 	Scenario string `json:"scenario"`
 	Seed     uint64 `json:"seed"`
@@ -49,60 +51,60 @@
 	Connections    int               `json:"connections"`
 	Overloads      int               `json:"falls"`
 	Restarts       int               `json:"restarts"`
-	GossipSent     int               `json:"notes"`            // between senders, one for each receiver...
-	GossipReceived int               `json:"notes_heard"`      // ...and those that arrived, again where they came twice
-	Orders         int               `json:"orders,omitempty"` // times that a sender went out by order of agents
-	OverBudget     []string          `json:"over,omitempty"`   // of them, those that were one too many
-	Plans          []string          `json:"plans,omitempty"`  // what became of each
-	StillOut       []string          `json:"left,omitempty"`   // senders that are out in the end
+	GossipSent     int               `json:"notes"`            // gossip between senders, counted for each receiver
+	GossipReceived int               `json:"notes_heard"`      // of them, those that arrived; duplicates count again
+	Orders         int               `json:"orders,omitempty"` // times that agents took a sender out of service
+	OverBudget     []string          `json:"over,omitempty"`   // of them, those beyond the budget
+	Plans          []string          `json:"plans,omitempty"`  // each rollout plan with its last phase
+	StillOut       []string          `json:"left,omitempty"`   // senders that are out of service at the end
 	Counts         audit.Counts      `json:"counts"`
 	Violations     []audit.Violation `json:"breaks,omitempty"`
-	Events         int               `json:"events"` // of the simulation
+	Events         int               `json:"events"` // steps of the simulation
 }
 
-// A Sim plays one plan.
+// A Sim plays one plan. It is not safe for concurrent use.
 type Sim struct {
 	plan             *scenario.Plan
 	environment      *Environment
 	rng              *rand.Rand
 	agents           *agents // nil: none
 	log              *slog.Logger
-	responsesMayFail bool // answers to clients may not come: ways fail, or processes are stopped
+	responsesMayFail bool // links fail, or processes are stopped
 	now              time.Duration
 	schedule         timeline.Queue[func()]
-	serial           uint64
-	modelWakeAt      time.Duration // when the model is looked at next; below 0 = not
+	serial           uint64        // of the latest scheduled step; steps of one time run in this order
+	modelWakeAt      time.Duration // when the model advances next; below 0: not scheduled
 
 	senders         []*sender
-	senderStarts    uint64                         // of senders, for their seeds
-	walDirs         map[int]string                 // of those that are killed: where their journals are
-	settingsUpdates map[int]scenario.PlannedAction // the latest new settings, by sender
+	senderStarts    uint64                         // processes started so far; seeds their random sources
+	walDirs         map[int]string                 // folders of the write-ahead logs of senders that restart
+	settingsUpdates map[int]scenario.PlannedAction // the latest settings update of each sender
 	tempDir         string
-	calls           map[uint64]*inFlightCall
+	calls           map[uint64]*inFlightCall // calls that a partner still has to answer, by id
 	lastCall        uint64
 	auditor         *audit.Auditor
 	meter           *ServiceMeter
 	sink            func(audit.Event) error
 	arrivals        *scenario.Arrivals
-	messages        map[string]*ClientRequest
+	messages        map[string]*ClientRequest // by the id of their latest submission
 	result          Result
 	err             error
 }
 
-// at has something done at a time.
+// at schedules a step; one in the past runs now.
 func (s *Sim) at(when time.Duration, do func()) {
 	s.serial++
 	s.schedule.Push(max(when, s.now), s.serial, do)
 }
 
-// fail ends the run; the first error counts.
+// fail ends the run. The first error is the one that Run returns.
 func (s *Sim) fail(err error) {
 	if s.err == nil {
 		s.err = err
 	}
 }
 
-// record gives an event to all that read them.
+// record passes an event to the auditor, the service meter and the sink.
 func (s *Sim) record(e audit.Event) {
 	e.At = s.now
 	if err := s.auditor.Read(e); err != nil {
@@ -118,12 +120,12 @@
 	}
 }
 
-// NewSim makes a run of a plan. Each event goes to the sink, if there is one; its
-// error ends the run.
+// NewSim prepares a run of a plan. Each event goes to sink, unless it is nil; an error of sink ends the run.
 func NewSim(p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*Sim, error) {
 	s := &Sim{
-		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 99)), log: log, modelWakeAt: -1, walDirs: map[int]string{}, settingsUpdates: map[int]scenario.PlannedAction{},
-		calls: map[uint64]*inFlightCall{}, messages: map[string]*ClientRequest{}, arrivals: p.Arrivals(), meter: NewServiceMeter(p.Scenario), sink: sink,
+		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 99)), log: log, modelWakeAt: -1, walDirs: map[int]string{},
+		settingsUpdates: map[int]scenario.PlannedAction{}, calls: map[uint64]*inFlightCall{}, messages: map[string]*ClientRequest{},
+		arrivals: p.Arrivals(), meter: NewServiceMeter(p.Scenario), sink: sink,
 	}
 	var err error
 	if s.environment, err = NewEnvironment(p, s.record); err != nil {
@@ -135,21 +137,8 @@
 		return nil, err
 	}
 	s.auditor = audit.New(Rules(p, set))
-	if len(p.Actions) > 0 {
-		if s.tempDir, err = os.MkdirTemp("", "cleathold-lab-"); err != nil {
-			return nil, fmt.Errorf("lab: %w", err)
-		}
-		for _, d := range p.Actions {
-			if d.What != "kill" && d.What != "wipe" && d.What != "term" && d.What != "signals" {
-				continue
-			}
-			s.walDirs[d.Sender] = filepath.Join(s.tempDir, fmt.Sprint("n", d.Sender))
-		}
-		for _, dir := range s.walDirs {
-			if err := os.MkdirAll(dir, 0o700); err != nil {
-				return nil, fmt.Errorf("lab: %w", err)
-			}
-		}
+	if err := s.makeWALDirs(); err != nil {
+		return nil, err
 	}
 	for i := range p.Scenario.Senders {
 		x, err := s.newSender(i)
@@ -158,6 +147,36 @@
 		}
 		s.senders = append(s.senders, x)
 	}
+	s.schedulePlan()
+	s.scheduleArrival()
+	return s, nil
+}
+
+// makeWALDirs makes a folder for the write-ahead log of each sender that is restarted. The others keep theirs in memory.
+func (s *Sim) makeWALDirs() error {
+	if len(s.plan.Actions) == 0 {
+		return nil
+	}
+	var err error
+	if s.tempDir, err = os.MkdirTemp("", "cleathold-lab-"); err != nil {
+		return fmt.Errorf("lab: %w", err)
+	}
+	for _, d := range s.plan.Actions {
+		switch d.What {
+		case "kill", "wipe", "term", "signals":
+			dir := filepath.Join(s.tempDir, fmt.Sprint("n", d.Sender))
+			if err := os.MkdirAll(dir, 0o700); err != nil {
+				return fmt.Errorf("lab: %w", err)
+			}
+			s.walDirs[d.Sender] = dir
+		}
+	}
+	return nil
+}
+
+// schedulePlan schedules all that the plan has drawn, but the arrivals. The order of what falls on one time stays.
+func (s *Sim) schedulePlan() {
+	p := s.plan
 	for _, c := range p.Changes {
 		s.at(c.At, func() { s.applyChange(c) })
 	}
@@ -182,17 +201,16 @@
 	if len(p.Scenario.Churns) > 0 {
 		s.at(NotifiedCheckInterval, s.markNotified)
 	}
-	s.scheduleArrival()
-	return s, nil
 }
 
-// markNotified finds who counts as told though it did not ask.
+// markNotified records, again and again, which senders count as notified though they did not poll.
 func (s *Sim) markNotified() {
 	s.environment.MarkNotified(s.now)
 	s.at(s.now+NotifiedCheckInterval, s.markNotified)
 }
 
-// Run plays the plan to its end, and leaves nothing behind.
+// Run plays the plan to its end and removes the temporary files. It returns the first error of a loop, of the auditor or of
+// the sink.
 func (s *Sim) Run() (Result, error) {
 	defer func() {
 		if s.tempDir != "" {
@@ -200,7 +218,10 @@
 		}
 	}()
 	end := s.plan.Scenario.Length + drainPeriod
-	for at, _, some := s.schedule.First(); some && at <= end && s.err == nil; at, _, some = s.schedule.First() {
+	for s.err == nil {
+		if at, _, ok := s.schedule.First(); !ok || at > end {
+			break
+		}
 		now, do := s.schedule.Pop()
 		s.now = now
 		s.result.Events++
@@ -221,18 +242,18 @@
 	return s.result, nil
 }
 
-// Now is the virtual time, for progress.
+// Now returns the virtual time, counted from the start of the run.
 func (s *Sim) Now() time.Duration { return s.now }
 
-// collect hands on what the model has done, and plans its next look.
+// collect schedules the answers that the model gave since the last step, and the model's next one.
 func (s *Sim) collect() {
 	for _, a := range s.environment.Collect() {
 		if f := s.calls[a.Call]; f != nil {
 			s.at(max(s.now, a.At)+f.delay, func() { f.receiveAnswer(a) })
 		}
 	}
-	at, some := s.environment.Model.Next()
-	if !some || s.modelWakeAt >= 0 && s.modelWakeAt <= at && s.modelWakeAt > s.now {
+	at, ok := s.environment.Model.Next()
+	if !ok || s.modelWakeAt >= 0 && s.modelWakeAt <= at && s.modelWakeAt > s.now {
 		return
 	}
 	s.modelWakeAt = at
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"slices"
 	"time"
 
 	"cleathold/internal/audit"
@@ -8,10 +9,16 @@
 	"cleathold/internal/state"
 )
 
-// scheduleArrival plans the next arrival.
+// pendingSubmission is a submission whose client waits for the response.
+type pendingSubmission struct {
+	id       string
+	response <-chan state.Response
+}
+
+// scheduleArrival schedules the next message that a client wants delivered; that one schedules the next.
 func (s *Sim) scheduleArrival() {
-	a, some := s.arrivals.Next()
-	if !some {
+	a, ok := s.arrivals.Next()
+	if !ok {
 		return
 	}
 	s.at(a.At, func() {
@@ -21,7 +28,8 @@
 	})
 }
 
-// pickSender deals a hand-in out: to any sender but those that it knows are dead.
+// pickSender is the load balancer in front of the senders: it draws one that is not known to be unavailable, or any where
+// all are.
 func (s *Sim) pickSender() *sender {
 	first := s.rng.IntN(len(s.senders))
 	for i := range s.senders {
@@ -33,46 +41,103 @@
 	return s.senders[first]
 }
 
-// submit hands a message in, for the first time or again.
+// submit has a client submit or resubmit a message, unless its time is over.
 func (s *Sim) submit(m *ClientRequest) {
 	timeLeft := m.TimeLeft(s.plan.Scenario, s.now)
 	if timeLeft <= 0 {
 		return
 	}
 	to := s.pickSender()
-	request := s.link(scenario.Clients, to.name)
-	if !to.accepting || request.Cut {
+	link := s.link(scenario.Clients, to.name)
+	if !to.accepting || link.Cut {
 		s.submissionLost(m)
 		return
 	}
 	id, resubmitted := m.NextSubmission()
 	key := m.Key(s.plan.Scenario)
 	s.messages[id] = m
-	if request.Silent {
-		s.record(audit.Event{Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key, N: m.N, Tenant: m.Tenant})
+	submitted := audit.Event{
+		Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key,
+		N: m.N, Tenant: m.Tenant,
+	}
+	if link.Silent {
+		s.record(submitted)
 		s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, to) })
 		return
 	}
-	s.at(s.now+clientDelay+s.extraDelay(request), func() {
-		s.record(audit.Event{Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key, N: m.N, Tenant: m.Tenant})
-		if !to.accepting { // it has died meanwhile
+	s.at(s.now+clientDelay+s.extraDelay(link), func() {
+		s.record(submitted)
+		if !to.accepting { // it has ended meanwhile
 			s.senderLost(m, id, to)
 			return
 		}
-		response := make(chan state.Response, 1)
-		submitted := state.Submitted{Response: response, Message: &state.Message{
-			ID: id, Class: m.Class, Tenant: m.Tenant, Destination: m.Dest, Deadline: virtualStart.Add(s.now + timeLeft), Resubmitted: resubmitted,
-			Body: make([]byte, m.Size), Key: key,
-		}}
-		to.submissions = append(to.submissions, pendingSubmission{id, response})
-		to.step(submitted)
+		to.submit(&state.Message{
+			ID: id, Class: m.Class, Tenant: m.Tenant, Destination: m.Dest, Deadline: virtualStart.Add(s.now + timeLeft),
+			Resubmitted: resubmitted, Body: make([]byte, m.Size), Key: key,
+		})
 		if s.responsesMayFail {
 			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { to.clientTimeout(m, id) })
 		}
 	})
 }
 
-// responseTimedOut: a client has waited long enough, and hands in again.
+// submit gives the loop a message and waits for its response.
+func (x *sender) submit(m *state.Message) {
+	response := make(chan state.Response, 1)
+	x.submissions = append(x.submissions, pendingSubmission{m.ID, response})
+	x.step(state.Submitted{Response: response, Message: m})
+}
+
+// answerClients passes the responses that are there to their clients. It returns what the loop has to know of them.
+func (x *sender) answerClients() []state.Event {
+	var written []state.Event
+	remaining := x.submissions[:0]
+	for _, pending := range x.submissions {
+		select {
+		case r := <-pending.response:
+			if e, ok := x.respond(pending.id, r); ok {
+				written = append(written, e)
+			}
+		default:
+			remaining = append(remaining, pending)
+		}
+	}
+	x.submissions = remaining
+	return written
+}
+
+// respond passes a response to its client. It returns false where the loop need not know whether it arrived.
+func (x *sender) respond(id string, r state.Response) (state.ResponseWritten, bool) {
+	s := x.sim
+	m := s.messages[id]
+	if link := s.link(x.name, scenario.Clients); m == nil || !link.Passes() { // nobody waits, or the response does not arrive
+		if m != nil && link.Cut {
+			s.senderLost(m, id, x)
+		} else if m != nil {
+			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, x) })
+		}
+		return state.ResponseWritten{ID: id, OK: m != nil && link.Silent}, r.Accepted
+	}
+	if r.Accepted {
+		s.record(audit.Event{Kind: audit.Accepted, Sender: x.num, Message: id})
+		return state.ResponseWritten{ID: id, OK: true}, true
+	}
+	s.record(audit.Event{Kind: audit.Rejected, Sender: x.num, Message: id, RetryAfter: r.RetryAfter})
+	if !r.Permanent {
+		s.rejected(m, id, r.RetryAfter)
+	}
+	return state.ResponseWritten{}, false
+}
+
+// clientTimeout ends a client's wait, unless it has its response.
+func (x *sender) clientTimeout(m *ClientRequest, id string) {
+	waits := func(p pendingSubmission) bool { return p.id == id }
+	if x.sim.messages[id] == m && slices.ContainsFunc(x.submissions, waits) {
+		x.sim.responseTimedOut(m, id, x)
+	}
+}
+
+// responseTimedOut has a client that waited long enough resubmit its message.
 func (s *Sim) responseTimedOut(m *ClientRequest, id string, x *sender) {
 	s.record(audit.Event{Kind: audit.Abandoned, Sender: x.num, Message: id, Cause: "timeout"})
 	delete(s.messages, id)
@@ -81,24 +146,24 @@
 	}
 }
 
-// senderLost: a client has no answer, and hands in again.
+// senderLost has a client whose connection broke resubmit its message.
 func (s *Sim) senderLost(m *ClientRequest, id string, x *sender) {
 	s.record(audit.Event{Kind: audit.Abandoned, Sender: x.num, Message: id, Cause: "died"})
 	delete(s.messages, id)
 	s.submissionLost(m)
 }
 
-// submissionLost has a client hand in again what reached nobody.
+// submissionLost has a client resubmit, after a while, a message that nobody answered for.
 func (s *Sim) submissionLost(m *ClientRequest) {
-	if after, resubmits := m.Unanswered(s.plan.Scenario, s.rng); resubmits {
+	if after, ok := m.Unanswered(s.plan.Scenario, s.rng); ok {
 		s.at(s.now+after, func() { s.submit(m) })
 	}
 }
 
-// rejected has a client come again, as often as the scenario says.
+// rejected has a client retry a rejected message, as often as the scenario says.
 func (s *Sim) rejected(m *ClientRequest, id string, retryAfter time.Duration) {
 	delete(s.messages, id)
-	if after, resubmits := m.Rejected(s.plan.Scenario, s.rng, retryAfter); resubmits {
+	if after, ok := m.Rejected(s.plan.Scenario, s.rng, retryAfter); ok {
 		s.at(s.now+after, func() { s.submit(m) })
 	}
 }
