--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -9,38 +9,76 @@
 	"cleathold/internal/scenario"
 )
 
+// An agent supervises the senders whose numbers, divided by the number of agents, leave its own as the remainder.
 type agent struct {
 	fleet        *agents
 	num          int
 	name         string
 	state        *rollout.State
-	applied      int
-	observations map[string]rollout.Observation
+	applied      int                            // commands of the log that state has
+	observations map[string]rollout.Observation // by sender; those of other agents' senders only while it leads
 	watch        rollout.Watch
 	dead         bool
 	stoppedUntil time.Duration
-	supervised   map[string]*supervision
+	supervised   map[string]*supervision // by sender
 }
 
 // supervision is what an agent knows of one of its senders.
 type supervision struct {
-	sender        int // the sender
-	acceptedEpoch uint64
-	changing      bool
-	fault         string
+	sender        int    // its number
+	acceptedEpoch uint64 // of the latest grant that the agent had it take
+	changing      bool   // a change of version is under way
+	fault         string // why the change of faultEpoch failed
 	faultEpoch    uint64
-	crashes       int
-	process       string
+	crashes       int    // processes that ended by themselves
+	process       string // that it saw last
+}
+
+func newAgent(fleet *agents, num int) *agent {
+	x := &agent{
+		fleet: fleet, num: num, name: scenario.Agent(num), state: rollout.New(),
+		observations: map[string]rollout.Observation{}, supervised: map[string]*supervision{},
+	}
+	p := fleet.sim.plan.Scenario
+	for k := num; k < p.Senders; k += p.Agents.Number {
+		x.supervised[scenario.Sender(k)] = &supervision{sender: k}
+	}
+	return x
+}
+
+// roster returns the command that makes the agent's senders known.
+func (x *agent) roster(p *scenario.Scenario) rollout.Command {
+	c := rollout.Command{Verb: rollout.SetRoster, At: x.fleet.sim.clock(), By: x.name}
+	for k := x.num; k < p.Senders; k += p.Agents.Number {
+		c.Roster = append(c.Roster, rollout.Member{
+			Name: scenario.Sender(k), Building: p.Zones[k%len(p.Zones)], Agent: x.name,
+			Version: rollout.Version{Name: "v1", Program: "v1"},
+		})
+	}
+	return c
+}
+
+// restart has an agent that was killed run again. What it kept in memory is lost, and its copy of the log as well if
+// wiped.
+func (x *agent) restart(wiped bool) {
+	x.dead, x.observations, x.watch = false, map[string]rollout.Observation{}, rollout.Watch{}
+	for _, m := range x.supervised {
+		m.acceptedEpoch, m.changing, m.process = 0, false, ""
+	}
+	if wiped {
+		x.state, x.applied = rollout.New(), 0
+	}
 }
 
 func (x *agent) running() bool { return !x.dead && x.fleet.sim.now >= x.stoppedUntil }
 
-// connectedTo tells whether two agents hear each other.
+// connectedTo reports whether it and another agent can talk to each other.
 func (x *agent) connectedTo(y *agent) bool {
 	s := x.fleet.sim
 	return x == y || y.running() && s.link(x.name, y.name).Passes() && s.link(y.name, x.name).Passes()
 }
 
+// hasMajority reports whether it runs and is connected to a majority of the agents, itself included.
 func (x *agent) hasMajority() bool {
 	n := 0
 	for _, y := range x.fleet.members {
@@ -51,29 +89,30 @@
 	return x.running() && 2*n > len(x.fleet.members)
 }
 
-// catchUp applies what is agreed on and was not known here.
+// catchUp applies the commands of the log that it does not have yet.
 func (x *agent) catchUp() {
 	for ; x.applied < len(x.fleet.log); x.applied++ {
 		x.state.Apply(uint64(x.applied+1), x.fleet.log[x.applied])
 	}
 }
 
-// observeSenders looks at an agent's senders, tells the leader, and does what is agreed on.
+// observeSenders observes the agent's senders, passes the observations to the leader, and carries out the agreed
+// commands.
 func (x *agent) observeSenders() {
 	s, a := x.fleet.sim, x.fleet
 	s.at(s.now+observeInterval, x.observeSenders)
 	if !x.running() {
 		return
 	}
-	led := a.leader != nil && a.leader != x && x.connectedTo(a.leader)
-	if led {
+	follows := a.leader != nil && a.leader != x && x.connectedTo(a.leader)
+	if follows {
 		x.catchUp()
 	}
 	for k := x.num; k < len(s.senders); k += len(a.members) {
 		m := x.supervised[scenario.Sender(k)]
 		v := x.observe(m)
 		x.addObservation(v)
-		if led {
+		if follows {
 			l, after := a.leader, agentDelay+s.extraDelay(s.link(x.name, a.leader.name))
 			s.at(s.now+after, func() {
 				if l.running() {
@@ -81,23 +120,25 @@
 				}
 			})
 		}
-		x.supervise(m, v, led || a.leader == x)
+		x.supervise(m, v, follows || a.leader == x)
 	}
 }
 
+// addObservation keeps an observation unless there is a newer one of the same sender.
 func (x *agent) addObservation(v rollout.Observation) {
-	if old, some := x.observations[v.Sender]; !some || v.At.After(old.At) {
+	if old, ok := x.observations[v.Sender]; !ok || v.At.After(old.At) {
 		x.observations[v.Sender] = v
 	}
 }
 
-// reaches tells whether a sender's process answers an agent.
+// reaches reports whether a sender's process answers the agent.
 func (x *agent) reaches(y *sender) bool {
 	s := x.fleet.sim
-	return !y.dead && !y.shuttingDown && !y.stopped() && s.link(x.name, y.name).Passes() && s.link(y.name, x.name).Passes()
+	answers := !y.dead && !y.shuttingDown && !y.stopped()
+	return answers && s.link(x.name, y.name).Passes() && s.link(y.name, x.name).Passes()
 }
 
-// observe is what a look at a sender shows.
+// observe returns what the agent sees of a sender, and counts crashes.
 func (x *agent) observe(m *supervision) rollout.Observation {
 	s := x.fleet.sim
 	y := s.senders[m.sender]
@@ -115,7 +156,7 @@
 	return v
 }
 
-// observeRemotely has a leader look itself at senders whose agents are silent.
+// observeRemotely has a leader observe senders itself whose agents are silent.
 func (x *agent) observeRemotely() {
 	s := x.fleet.sim
 	for name, v := range x.observations {
@@ -123,14 +164,16 @@
 		fmt.Sscanf(name, "n%d", &num)
 		if y := s.senders[num]; s.clock().Sub(v.At) > x.fleet.terms.Timing.Fresh*6/10 && x.reaches(y) {
 			now := y.observe()
-			now.Far, now.Version, now.Facts.Restarts, now.FaultEpoch, now.Fault = true, v.Version, v.Facts.Restarts, v.FaultEpoch, v.Fault
+			now.Far, now.Version, now.Facts.Restarts = true, v.Version, v.Facts.Restarts
+			now.FaultEpoch, now.Fault = v.FaultEpoch, v.Fault
 			x.observations[name] = now
 		}
 	}
 }
 
-// supervise does what is agreed on for a sender.
-func (x *agent) supervise(m *supervision, v rollout.Observation, led bool) {
+// supervise carries out what was agreed on for a sender. Leases are renewed only while the agent is connected to a
+// leader.
+func (x *agent) supervise(m *supervision, v rollout.Observation, connected bool) {
 	s := x.fleet.sim
 	y := s.senders[m.sender]
 	g := x.state.Grants[y.name]
@@ -145,7 +188,7 @@
 	case rollout.End:
 		y.lease.End(g.Epoch)
 	case rollout.Renew:
-		if led && y.lease.Renew(g.Epoch, now.Add(x.fleet.terms.Timing.Lease), now) == nil {
+		if connected && y.lease.Renew(g.Epoch, now.Add(x.fleet.terms.Timing.Lease), now) == nil {
 			y.scheduleExpiry()
 		}
 	case rollout.Take:
@@ -153,11 +196,12 @@
 	}
 }
 
-// acceptGrant has a sender take a grant up; its book decides.
+// acceptGrant has a sender accept a grant, if its lease allows it, and changes the version if the grant is for that.
 func (x *agent) acceptGrant(m *supervision, y *sender, g *rollout.Grant) {
 	s := x.fleet.sim
 	m.acceptedEpoch = g.Epoch
-	if y.lease.Take(lease.Order{Process: g.Process, Epoch: g.Epoch, By: g.By, Until: g.Until, Drain: g.Drain}, y.process, s.clock()) != nil {
+	order := lease.Order{Process: g.Process, Epoch: g.Epoch, By: g.By, Until: g.Until, Drain: g.Drain}
+	if y.lease.Take(order, y.process, s.clock()) != nil {
 		return
 	}
 	y.scheduleExpiry()
@@ -167,7 +211,7 @@
 	}
 	m.changing = true
 	s.at(s.now+versionChangeDelay, func() {
-		if !x.running() { // whoever comes after finds the change half done
+		if !x.running() { // its next process finds the change half done
 			m.changing = false
 			return
 		}
@@ -182,18 +226,22 @@
 	})
 }
 
-// observe is what a sender says of itself.
+// observe returns what a sender tells of itself.
 func (x *sender) observe() rollout.Observation {
 	c := x.counters.Counts()
 	v := rollout.Observation{
-		Sender: x.name, At: x.sim.clock(), Process: x.process, Version: x.version, Epoch: x.lease.Epoch, Ended: x.lease.Ended, Phase: "serving", Open: c.Open,
-		Facts: rollout.Counters{Accepted: c.Taken, Rejected: c.Refused, Delivered: c.Delivered, Deferred: c.Deferred, Failed: c.Undeliverable, Called: c.Called, Late: c.Late, FirstCall: c.FirstCall},
+		Sender: x.name, At: x.sim.clock(), Process: x.process, Version: x.version, Epoch: x.lease.Epoch, Ended: x.lease.Ended,
+		Phase: "serving", Open: c.Open,
+		Facts: rollout.Counters{
+			Accepted: c.Taken, Rejected: c.Refused, Delivered: c.Delivered, Deferred: c.Deferred, Failed: c.Undeliverable,
+			Called: c.Called, Late: c.Late, FirstCall: c.FirstCall,
+		},
 	}
 	v.Serving, v.Drained = !x.lease.Active(), x.lease.Active() && x.lease.Drain
 	return v
 }
 
-// scheduleExpiry has the lease that stands end by itself, unless it is renewed before.
+// scheduleExpiry ends the lease at its time, unless it is renewed before.
 func (x *sender) scheduleExpiry() {
 	s := x.sim
 	until := x.lease.Until
@@ -206,12 +254,12 @@
 	})
 }
 
-// handOver puts another process in its place, which goes on with what it has.
+// handOver has another process of the sender, with its state, take its place.
 func (x *sender) handOver(version string) {
 	x.sim.senderStarts++
 	x.predecessor = x.process
 	x.process, x.version = fmt.Sprintf("%s-%d", x.name, x.sim.senderStarts), version
 }
 
-// drainingByOrder tells whether clients are sent away by an order.
+// drainingByOrder reports whether it sends clients away because of its lease.
 func (x *sender) drainingByOrder() bool { return x.lease.Active() && x.lease.Drain }
--- a/internal/simulation/agents.go
+++ b/internal/simulation/agents.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -8,43 +9,43 @@
 	"cleathold/internal/scenario"
 )
 
-// Agents in virtual time: the decisions are those of internal/rollout, the senders' books those of internal/lease. Agreement
-// is a log that a leader alone may append to, and only while it and a majority hear each other; raft itself is played by
-// internal/quorum's own tests. A change of version is a process in the place of another, which takes a while.
 const (
-	observeInterval    = 200 * time.Millisecond // between two looks of an agent at its senders
-	leaderInterval     = 50 * time.Millisecond  // between two looks of the leader at what comes next
-	electionDelay      = time.Second            // until the rest know that a leader is gone, and have another one
-	agentDelay         = time.Millisecond       // a message between two of them, or to a sender
-	versionChangeDelay = 400 * time.Millisecond // of a sender to another version
+	observeInterval    = 200 * time.Millisecond // between two observations of an agent's senders
+	leaderInterval     = 50 * time.Millisecond  // between two decisions of the leader
+	electionDelay      = time.Second            // from the loss of a leader until the next one is elected
+	agentDelay         = time.Millisecond       // of a message between two agents
+	versionChangeDelay = 400 * time.Millisecond // of a sender's hand-over to another version
 )
 
+// errNoLeader is returned where no agent has a majority.
+var errNoLeader = errors.New("lab: no leader")
+
+// agents are the agents in virtual time. Decisions are those of internal/rollout, and the senders' leases those of
+// internal/lease. Consensus is a log that only the leader may append to, and only while it is connected to a
+// majority; Raft itself is simulated by the tests of internal/quorum. A change of version puts another process in the
+// place of one, which takes a while.
 type agents struct {
 	sim          *Sim
 	terms        rollout.Terms
 	members      []*agent
 	log          []rollout.Command
 	leader       *agent        // nil: none
-	leaderLostAt time.Duration // since when there is none
+	leaderLostAt time.Duration // since when there is none; meaningless while there is one
 }
 
-// newAgents begins with terms and members agreed on, as after the first seconds of a fleet.
+// newAgents makes agents that have agreed on terms and members, and schedules what the plan has for them.
 func newAgents(s *Sim) *agents {
 	p := s.plan.Scenario
 	a := &agents{sim: s, terms: rollout.DefaultTerms, leaderLostAt: -electionDelay}
 	a.terms.Budget = rollout.Budget{Fleet: p.Agents.Fleet, Building: p.Agents.Building, Serving: p.Agents.Serving}
 	a.terms.Timing.Lease = p.Agents.Lease
 	terms := a.terms
-	a.log = append(a.log, rollout.Command{Verb: rollout.SetTerms, At: s.clock(), By: "lab", Reason: "the scenario", Terms: &terms})
+	a.log = append(a.log, rollout.Command{
+		Verb: rollout.SetTerms, At: s.clock(), By: "lab", Reason: "the scenario", Terms: &terms,
+	})
 	for i := range p.Agents.Number {
-		x := &agent{fleet: a, num: i, name: scenario.Agent(i), state: rollout.New(), observations: map[string]rollout.Observation{}, supervised: map[string]*supervision{}}
-		c := rollout.Command{Verb: rollout.SetRoster, At: s.clock(), By: x.name}
-		for k := i; k < p.Senders; k += p.Agents.Number {
-			name := scenario.Sender(k)
-			x.supervised[name] = &supervision{sender: k}
-			c.Roster = append(c.Roster, rollout.Member{Name: name, Building: p.Zones[k%len(p.Zones)], Agent: x.name, Version: rollout.Version{Name: "v1", Program: "v1"}})
-		}
-		a.log = append(a.log, c)
+		x := newAgent(a, i)
+		a.log = append(a.log, x.roster(p))
 		a.members = append(a.members, x)
 		s.at(time.Duration(i)*observeInterval/time.Duration(p.Agents.Number), x.observeSenders)
 	}
@@ -52,8 +53,8 @@
 		x.catchUp()
 	}
 	s.at(0, a.lead)
-	for _, d := range s.plan.AgentActions {
-		s.at(d.At, func() { a.inject(a.members[d.Agent], d) })
+	for _, action := range s.plan.AgentActions {
+		s.at(action.At, func() { a.inject(a.members[action.Agent], action) })
 	}
 	for _, o := range s.plan.Orders {
 		s.at(o.At, func() { a.submitOrder(o, s.now+orderTimeout) })
@@ -62,22 +63,22 @@
 	return a
 }
 
-// clock is the time by everybody's clock.
+// clock returns the wall-clock time of all processes.
 func (s *Sim) clock() time.Time { return virtualStart.Add(s.now) }
 
-// propose puts a command into the log. False: there is nobody who could.
-func (a *agents) propose(c rollout.Command) (error, bool) {
+// propose appends a command to the log. It returns errNoLeader, or the error of applying the command.
+func (a *agents) propose(c rollout.Command) error {
 	l := a.leader
 	if l == nil || !l.hasMajority() {
-		return nil, false
+		return errNoLeader
 	}
 	l.catchUp()
 	a.log = append(a.log, c)
 	l.applied = len(a.log)
-	return l.state.Apply(uint64(len(a.log)), c), true
+	return l.state.Apply(uint64(len(a.log)), c)
 }
 
-// lead sees to a leader, and has it propose what comes next.
+// lead elects a leader where there is none, and has it propose what comes next.
 func (a *agents) lead() {
 	s := a.sim
 	s.at(s.now+leaderInterval, a.lead)
@@ -99,22 +100,22 @@
 		if c.By == "" {
 			c.By = l.name
 		}
-		if err, ok := a.propose(c); !ok || err != nil {
+		if err := a.propose(c); err != nil {
 			break
 		}
 	}
 }
 
-// checkBudget counts who is out as a sender goes out by order: those out by order, and those who have been away for longer than
-// an order may rest on an old sight.
+// checkBudget counts, as a sender goes out of service by order, the senders out of service: those with a lease, and
+// those down for longer than an order may rest on an old observation.
 func (a *agents) checkBudget(y *sender) {
 	s, t := a.sim, a.terms.Timing
 	s.result.Orders++
 	margin := t.Fresh + t.Accept + 4*t.Error + 2*observeInterval
 	out, text := 0, ""
 	for _, z := range s.senders {
-		gone := z.dead && s.now-z.endedAt > margin || z.stopped() && s.now-z.stoppedAt > margin
-		if z.lease.Active() || gone {
+		down := z.dead && s.now-z.endedAt > margin || z.stopped() && s.now-z.stoppedAt > margin
+		if z.lease.Active() || down {
 			out++
 			text += " " + z.name
 		}
@@ -124,27 +125,19 @@
 	}
 }
 
-// inject does something to an agent.
-func (a *agents) inject(x *agent, d scenario.PlannedAgentAction) {
+// inject carries out an action on an agent.
+func (a *agents) inject(x *agent, action scenario.PlannedAgentAction) {
 	s := a.sim
-	switch d.What {
+	switch action.What {
 	case "stop":
-		x.stoppedUntil = max(x.stoppedUntil, d.Until)
+		x.stoppedUntil = max(x.stoppedUntil, action.Until)
 	case "kill", "wipe":
 		x.dead = true
-		s.at(d.Until, func() {
-			x.dead, x.observations, x.watch = false, map[string]rollout.Observation{}, rollout.Watch{}
-			for _, m := range x.supervised {
-				m.acceptedEpoch, m.changing, m.process = 0, false, ""
-			}
-			if d.What == "wipe" {
-				x.state, x.applied = rollout.New(), 0
-			}
-		})
+		s.at(action.Until, func() { x.restart(action.What == "wipe") })
 	}
 }
 
-// finish enters what came of it.
+// finish enters the rollout plans and the senders that are out of service into the result.
 func (a *agents) finish() {
 	l := a.leader
 	if l == nil {
--- a/internal/simulation/call.go
+++ b/internal/simulation/call.go
@@ -28,8 +28,8 @@
 	startedAt    time.Duration
 }
 
-// Send makes a call, on an idle connection or on a new one. It implements state's connections, as do Cancel, CancelUnsent,
-// HealthCheck and Disconnect.
+// Send makes a call, on an idle connection or on a new one. It implements state's connections, as do Cancel,
+// CancelUnsent, HealthCheck and Disconnect.
 func (x *sender) Send(c *state.Call) {
 	f := x.startCall(c.Target)
 	f.call, f.ended = c, map[*state.Attempt]bool{}
@@ -186,8 +186,8 @@
 		}
 	}
 	s.record(audit.Event{
-		Kind: audit.Sent, Sender: f.sender.num, Call: f.id, Endpoint: f.target.ID, Zone: f.target.Zone, Dest: f.target.Destination,
-		Messages: ids,
+		Kind: audit.Sent, Sender: f.sender.num, Call: f.id, Endpoint: f.target.ID, Zone: f.target.Zone,
+		Dest: f.target.Destination, Messages: ids,
 	})
 	s.calls[f.id] = f
 	if !request.Passes() {
@@ -337,8 +337,8 @@
 	}
 }
 
-// forget records that a call ended without an answer, and ignores one that still comes. It returns false if there was one,
-// or if the call was not sent.
+// forget records that a call ended without an answer, and ignores one that still comes. It returns false if there was
+// one, or if the call was not sent.
 func (f *inFlightCall) forget(sender int, cause string) bool {
 	s := f.sender.sim
 	if !f.sent || s.calls[f.id] == nil {
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -8,23 +8,25 @@
 	"cleathold/internal/scenario"
 )
 
-// What both fronts take for the clients and the front layer before the senders.
+// The clients and the load balancer in front of the senders, on sockets and in virtual time alike.
 const (
-	DeadSenderTimeout  = 2 * time.Second // the front goes on sending to a dead sender for so long
-	maxLostSubmissions = 8               // hand-ins of one message that reach nobody, at most
+	// DeadSenderTimeout is how long the load balancer goes on sending to a sender that has died.
+	DeadSenderTimeout = 2 * time.Second
+
+	maxLostSubmissions = 8 // submissions of one message without a response
 )
 
-// ClientRequest is a client's message with its hand-ins, as BRIEF 6 has clients come again.
-// It does no I/O and is not safe for concurrent use.
+// ClientRequest is a message that a client wants delivered, with its submissions: clients resubmit as BRIEF 6 says.
+// It does no I/O and is not safe for concurrent use. Times are counted from the start of the run.
 type ClientRequest struct {
 	scenario.Arrival
 	Done        bool // delivered
-	submissions int  // hand-ins
-	rejections  int  // refused, at most as often as clients come again
-	lost        int  // those that reached nobody
+	submissions int  // so far
+	rejections  int  // at most as many as the scenario has retries, and one
+	lost        int  // submissions without a response
 }
 
-// TimeLeft is the time for which the message may still be delivered; none where it is over.
+// TimeLeft returns the time for which the message may still be delivered; 0 where it is delivered or its time is over.
 func (m *ClientRequest) TimeLeft(s *scenario.Scenario, now time.Duration) time.Duration {
 	if m.Done {
 		return 0
@@ -32,14 +34,14 @@
 	return max(0, m.At+s.Traffic.Classes[m.Class].Deadline-now)
 }
 
-// NextSubmission is the id of the next hand-in, and whether one was before it.
+// NextSubmission returns the id of the next submission, and whether there was one before it.
 func (m *ClientRequest) NextSubmission() (id string, resubmitted bool) {
 	id, resubmitted = fmt.Sprintf("m%d-%d", m.N, m.submissions), m.submissions > 0
 	m.submissions++
 	return id, resubmitted
 }
 
-// Key is the message's key, where its class has one.
+// Key returns the message's idempotency key; empty where its class has none.
 func (m *ClientRequest) Key(s *scenario.Scenario) string {
 	if s.Traffic.Classes[m.Class].Effect == "keyed" {
 		return fmt.Sprint("k", m.N)
@@ -47,7 +49,8 @@
 	return ""
 }
 
-// Rejected tells whether its client comes again after a refusal, and after how long.
+// Rejected notes that a submission was rejected. It returns whether the client submits again, and after how long:
+// retryAfter at the least.
 func (m *ClientRequest) Rejected(s *scenario.Scenario, rng *rand.Rand, retryAfter time.Duration) (time.Duration, bool) {
 	if m.rejections++; m.Done || m.rejections > s.Traffic.Retries {
 		return 0, false
@@ -55,7 +58,7 @@
 	return max(retryAfter, drawSeconds(s.Traffic.RetryDelay, rng)), true
 }
 
-// Unanswered tells the same of a hand-in that reached nobody, or got no answer.
+// Unanswered notes that a submission got no response. It returns whether the client submits again, and after how long.
 func (m *ClientRequest) Unanswered(s *scenario.Scenario, rng *rand.Rand) (time.Duration, bool) {
 	if m.lost++; m.lost >= maxLostSubmissions {
 		return 0, false
@@ -63,7 +66,7 @@
 	return drawSeconds(s.Traffic.ResubmitDelay, rng), true
 }
 
-// drawSeconds draws from a range.
+// drawSeconds draws a time from a range of seconds.
 func drawSeconds(r scenario.Range, rng *rand.Rand) time.Duration {
 	return time.Duration((r.From + (r.To-r.From)*rng.Float64()) * float64(time.Second))
 }
--- a/internal/simulation/deliveryreport.go
+++ b/internal/simulation/deliveryreport.go
@@ -8,18 +8,20 @@
 	"cleathold/internal/state"
 )
 
-// reportRetryDelay is when a notice that reached nobody is told again.
+// reportRetryDelay is the time until a delivery report that did not arrive is sent again.
 const reportRetryDelay = 500 * time.Millisecond
 
-// Report takes a notice; the client hears of it, and may come again.
+// Report sends a delivery report to the platform. It implements state's reports.
 func (x *sender) Report(n state.DeliveryReport) {
 	x.sim.at(x.sim.now+reportAckDelay, func() { x.whenRunning(func() { x.deliverReport(n) }) })
 }
 
+// deliverReport has a report arrive, as soon as the platform can be reached. The client of a deferred message may
+// retry it.
 func (x *sender) deliverReport(n state.DeliveryReport) {
 	s := x.sim
 	if x.dead {
-		return // it is in the journal
+		return // its write-ahead log has the report
 	}
 	if !x.reachesDiscovery() {
 		s.at(s.now+reportRetryDelay, func() { x.whenRunning(func() { x.deliverReport(n) }) })
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -7,23 +7,24 @@
 	"cleathold/internal/state"
 )
 
-// reachesDiscovery tells whether discovery and it hear each other.
+// reachesDiscovery reports whether the links to discovery and back pass anything.
 func (x *sender) reachesDiscovery() bool {
 	s := x.sim
 	return s.link(x.name, scenario.Discovery).Passes() && s.link(scenario.Discovery, x.name).Passes()
 }
 
-// pollFailed: discovery does not answer, and the sender sees it at once or after a while.
+// pollFailed has the loop see that discovery does not answer: soon where the link is cut, else after a timeout.
 func (x *sender) pollFailed() {
 	s := x.sim
 	after := discoveryDelay
-	if !s.link(x.name, scenario.Discovery).Cut && !s.link(scenario.Discovery, x.name).Cut {
+	if !s.cutBetween(x.name, scenario.Discovery) {
 		after = pollTimeout
 	}
 	s.at(s.now+after, func() { x.step(state.ListUpdate{Kind: control.ListFailed}) })
 }
 
-// Watch begins or ends a watch; without a version it answers with the whole list.
+// Watch begins or ends a watch. Since is the version that the loop knows; for state.NoVersion the first update is the
+// full list. It implements state's discovery, as does Fetch.
 func (x *sender) Watch(on bool, since int64) {
 	s := x.sim
 	if x.watching = false; !on {
@@ -54,7 +55,7 @@
 	})
 }
 
-// Fetch answers with the whole list once.
+// Fetch gives the loop the full list once.
 func (x *sender) Fetch() {
 	s := x.sim
 	s.at(s.now+discoveryDelay, func() {
@@ -74,6 +75,7 @@
 	})
 }
 
+// receiveFullList gives the loop the list as discovery tells it to this sender now.
 func (x *sender) receiveFullList() {
 	if x.dead {
 		return
@@ -83,7 +85,7 @@
 	x.receiveUpdate(control.ListFull, version, endpoints)
 }
 
-// receiveChanges tells a sender that watches what is new.
+// receiveChanges gives the loop of a sender that watches what has changed after its version.
 func (x *sender) receiveChanges() {
 	if _, down := x.sim.environment.DiscoveryOutage(x.sim.now); down || !x.watching || x.dead || !x.reachesDiscovery() {
 		return
@@ -97,11 +99,14 @@
 	}
 }
 
+// receiveUpdate gives the loop an update, and records of which endpoints it notifies the sender.
 func (x *sender) receiveUpdate(kind control.ListUpdateKind, version int64, endpoints []ListedEndpoint) {
 	update := state.ListUpdate{Kind: kind, Version: version}
 	for _, l := range endpoints {
 		if l.State != control.Ready || kind == control.ListDelta {
-			x.sim.record(audit.Event{Kind: audit.Notified, Sender: x.num, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready})
+			x.sim.record(audit.Event{
+				Kind: audit.Notified, Sender: x.num, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready,
+			})
 		}
 		t := state.Target{ID: l.ID, Addr: l.Address}
 		t.Destination, t.Kind, t.Zone, t.State, t.Weight = l.Dest, l.Kind, l.Zone, l.State, l.Weight
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// inject carries out an action on a sender, unless its process has ended or is about to. "hup" changes nothing in virtual
-// time, where there is no file to read again.
+// inject carries out an action on a sender, unless its process has ended or is about to. "hup" changes nothing in
+// virtual time, where there is no file to read again.
 func (s *Sim) inject(a scenario.PlannedAction) {
 	x := s.senders[a.Sender]
 	if x.dead || x.shuttingDown {
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -7,39 +7,44 @@
 	"cleathold/internal/state"
 )
 
-// A gossipSender carries notes to the other senders: each arrives late, or not at all.
-type gossipSender struct{ *sender }
-
-// MinGossipDelay and NoteTo are how long a note takes.
+// MinGossipDelay and MaxGossipDelay bound the time that gossip between two senders takes.
 const MinGossipDelay, MaxGossipDelay = 1300 * time.Microsecond, 8700 * time.Microsecond
 
-func (t gossipSender) SendGossip(facts []gossip.Observation) {
-	s := t.sim
-	sent := gossip.Encode(facts)
-	for _, x := range s.senders {
-		if x == t.sender {
-			continue
-		}
-		s.result.GossipSent++
-		w := s.link(t.name, x.name)
-		if s.rng.Float64() < s.plan.Scenario.GossipLoss || !w.Passes() || w.Loss > 0 && s.rng.Float64() < w.Loss {
-			continue
+// A gossipSender carries one sender's gossip to its peers. Each copy arrives late, twice or not at all.
+type gossipSender struct{ *sender }
+
+// SendGossip implements state's peers.
+func (g gossipSender) SendGossip(observations []gossip.Observation) {
+	packet := gossip.Encode(observations)
+	for _, peer := range g.sim.senders {
+		if peer != g.sender {
+			g.sendTo(peer, packet)
 		}
-		times := 1
-		if w.Duplicate > 0 && s.rng.Float64() < w.Duplicate {
-			times = 2
+	}
+}
+
+// sendTo draws what becomes of a packet on its way to a peer.
+func (g gossipSender) sendTo(peer *sender, packet []byte) {
+	s := g.sim
+	s.result.GossipSent++
+	l := s.link(g.name, peer.name)
+	if s.rng.Float64() < s.plan.Scenario.GossipLoss || !l.Passes() || l.Loss > 0 && s.rng.Float64() < l.Loss {
+		return
+	}
+	copies := 1
+	if l.Duplicate > 0 && s.rng.Float64() < l.Duplicate {
+		copies = 2
+	}
+	for range copies {
+		after := MinGossipDelay + time.Duration(s.rng.Int64N(int64(MaxGossipDelay-MinGossipDelay))) + s.extraDelay(l)
+		if l.Reorder > 0 && s.rng.Float64() < l.Reorder {
+			after += 10 * l.Jitter
 		}
-		for range times {
-			after := MinGossipDelay + time.Duration(s.rng.Int64N(int64(MaxGossipDelay-MinGossipDelay))) + s.extraDelay(w)
-			if w.Reorder > 0 && s.rng.Float64() < w.Reorder {
-				after += 10 * w.Jitter
+		s.at(s.now+after, func() {
+			if observations, err := gossip.Decode(packet); err == nil && !peer.dead {
+				s.result.GossipReceived++
+				peer.step(state.GossipReceived{Peer: g.num, Observations: observations})
 			}
-			s.at(s.now+after, func() {
-				if facts, err := gossip.Decode(sent); err == nil && !x.dead {
-					s.result.GossipReceived++
-					x.step(state.GossipReceived{Peer: t.num, Observations: facts})
-				}
-			})
-		}
+		})
 	}
 }
--- a/internal/simulation/listupdates.go
+++ b/internal/simulation/listupdates.go
@@ -9,11 +9,13 @@
 )
 
 const (
-	maxListDelay                = 3 * time.Second     // discovery tells a sender of a change this late at most
-	maxPollInterval             = 10 * time.Second    // a sender that has not asked for so long counts as told what was listed before that...
-	maxPollIntervalAfterFailure = 4 * maxPollInterval // ...and for so long if discovery failed it then (WIRE, guarantees.must-ask-in-ms)
-	sameZoneDelay               = 500 * time.Microsecond
-	crossZoneDelay              = 10 * time.Millisecond
+	// maxListDelay is the longest time until discovery notifies a sender of a change.
+	maxListDelay = 3 * time.Second
+	// maxPollInterval is the longest time that a sender may leave between polls: after it, the sender counts as notified
+	// of what was listed before it (WIRE, guarantees.must-ask-in-ms).
+	maxPollInterval = 10 * time.Second
+	// maxPollIntervalAfterFailure is the same where discovery did not answer the last poll.
+	maxPollIntervalAfterFailure = 4 * maxPollInterval
 )
 
 // ListedEndpoint is an endpoint as discovery lists it.
@@ -27,34 +29,34 @@
 	Weight  float64
 }
 
-// A scheduledUpdate is a change that a sender is told of from a time on.
+// A scheduledUpdate is a change of which discovery tells one sender from a time on.
 type scheduledUpdate struct {
 	due      time.Duration
 	version  int64
 	endpoint ListedEndpoint
-	previous ListedEndpoint // as the sender knew it...
-	known    bool           // ...if it did
+	previous ListedEndpoint // before the change...
+	known    bool           // ...if it was listed
 }
 
-// NotifiedCheckInterval is how often Deem is to be called.
+// NotifiedCheckInterval is how often MarkNotified is to be called.
 const NotifiedCheckInterval = 250 * time.Millisecond
 
-// An pollState is how a sender stands with discovery.
+// A pollState is what is known of a sender's polls.
 type pollState struct {
-	lastAt   time.Duration // it asked last, or its watch ended
+	lastAt   time.Duration // of its last poll, or of the end of its watch
 	watching bool
-	failed   bool
-	notified int // of left, those of which it counts as told
+	failed   bool // discovery did not answer the last poll
+	notified int  // departures of which it counts as notified, though discovery did not tell it
 }
 
+// A departure is an endpoint that began to drain or was removed.
 type departure struct {
 	at   time.Duration
 	id   string
 	dest int
 }
 
-// announce draws when each sender is told of a change. Its order stays: no sender
-// is told of the newer of two changes first.
+// announce draws when each sender is notified of a change. No sender is notified of the newer of two changes first.
 func (g *Environment) announce(now time.Duration, previous ListedEndpoint, known bool, id string) []time.Duration {
 	g.version++
 	due := make([]time.Duration, len(g.updates))
@@ -68,36 +70,34 @@
 	return due
 }
 
-// Polled tells that a sender asked discovery, or that its watch ended, and whether
-// discovery failed it.
-func (g *Environment) Polled(now time.Duration, sender int, watches, failed bool) {
-	a := &g.polls[sender]
-	a.lastAt, a.watching, a.failed = now, watches, failed
+// Polled notes that a sender polled discovery or that its watch ended, whether it watches now, and whether discovery
+// failed to answer.
+func (g *Environment) Polled(now time.Duration, sender int, watching, failed bool) {
+	g.polls[sender].lastAt, g.polls[sender].watching, g.polls[sender].failed = now, watching, failed
 }
 
-// Watching tells whether a sender has a call open at discovery that waits for news.
+// Watching reports whether a sender has a poll open at discovery that waits for changes.
 func (g *Environment) Watching(sender int) bool { return g.polls[sender].watching }
 
-// MarkNotified notes what senders count as told of that have neither watched nor asked for
-// as long as they may.
+// MarkNotified records as notified the senders that have neither watched nor polled for longer than they may.
 func (g *Environment) MarkNotified(now time.Duration) {
 	for i := range g.polls {
-		a := &g.polls[i]
+		p := &g.polls[i]
 		interval := maxPollInterval
-		if a.failed {
+		if p.failed {
 			interval = maxPollIntervalAfterFailure
 		}
-		if a.watching || now-a.lastAt < interval {
+		if p.watching || now-p.lastAt < interval {
 			continue
 		}
-		for ; a.notified < len(g.departures) && g.departures[a.notified].at <= now-interval; a.notified++ {
-			l := g.departures[a.notified]
-			g.record(audit.Event{Kind: audit.Notified, Sender: i, Endpoint: l.id, Dest: l.dest, Leaves: true})
+		for ; p.notified < len(g.departures) && g.departures[p.notified].at <= now-interval; p.notified++ {
+			d := g.departures[p.notified]
+			g.record(audit.Event{Kind: audit.Notified, Sender: i, Endpoint: d.id, Dest: d.dest, Leaves: true})
 		}
 	}
 }
 
-// DiscoveryOutage tells whether discovery is down, and until when.
+// DiscoveryOutage reports whether discovery is down, and until when.
 func (g *Environment) DiscoveryOutage(now time.Duration) (until time.Duration, down bool) {
 	for _, b := range g.Plan.DiscoveryOutages {
 		if now >= b.From && now < b.To {
@@ -107,24 +107,27 @@
 	return 0, false
 }
 
-// ListChanges returns what has changed for a sender after a version, and its version now.
-// Whole is true where too much was forgotten: it is then the whole list.
-func (g *Environment) ListChanges(now time.Duration, sender int, since int64) (endpoints []ListedEndpoint, version int64, full bool) {
+// ListChanges returns the endpoints that changed after the version since, as far as the sender is notified by now,
+// and the version that it then knows. Where changes after since were forgotten, endpoints is the full list, and full
+// is true. The sender's changes up to since are forgotten.
+func (g *Environment) ListChanges(
+	now time.Duration, sender int, since int64,
+) (endpoints []ListedEndpoint, version int64, full bool) {
 	if since < g.baseVersions[sender] {
 		endpoints, version = g.FullList(now, sender)
 		return endpoints, version, true
 	}
 	version = since
 	seen := 0
-	for _, t := range g.updates[sender] {
-		if t.due > now {
+	for _, u := range g.updates[sender] {
+		if u.due > now {
 			break
 		}
-		if t.version <= since {
-			seen++ // it has these
+		if u.version <= since {
+			seen++
 			continue
 		}
-		endpoints, version = append(endpoints, t.endpoint), t.version
+		endpoints, version = append(endpoints, u.endpoint), u.version
 	}
 	if seen > 0 {
 		g.baseVersions[sender] = g.updates[sender][seen-1].version
@@ -133,33 +136,32 @@
 	return endpoints, version, false
 }
 
-// NextListUpdate is when a sender is told of something newer than a version; false where
-// nothing is on its way.
+// NextListUpdate returns when a sender is notified of a change after the version since; false where there is none.
 func (g *Environment) NextListUpdate(sender int, since int64) (time.Duration, bool) {
-	for _, t := range g.updates[sender] {
-		if t.version > since {
-			return t.due, true
+	for _, u := range g.updates[sender] {
+		if u.version > since {
+			return u.due, true
 		}
 	}
 	return 0, false
 }
 
-// FullList is the list as a sender is told of it now.
+// FullList returns the endpoint list as discovery tells it to a sender now, and its version.
 func (g *Environment) FullList(now time.Duration, sender int) ([]ListedEndpoint, int64) {
 	version := g.baseVersions[sender]
 	pending := map[string]scheduledUpdate{}
-	for _, t := range slices.Backward(g.updates[sender]) {
-		if t.due > now {
-			pending[t.endpoint.ID] = t // the earliest that it does not know of counts
+	for _, u := range slices.Backward(g.updates[sender]) {
+		if u.due > now {
+			pending[u.endpoint.ID] = u // the earliest one stays
 			continue
 		}
-		version = max(version, t.version)
+		version = max(version, u.version)
 	}
 	var endpoints []ListedEndpoint
 	for _, id := range g.order {
 		l, known := g.listed[id], true
-		if t, is := pending[id]; is {
-			l, known = t.previous, t.known
+		if u, ok := pending[id]; ok {
+			l, known = u.previous, u.known
 		}
 		if known && l.State != control.Removed {
 			endpoints = append(endpoints, l)
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -8,12 +9,17 @@
 	"cleathold/internal/scenario"
 )
 
-// orderTimeout is how long staff ask again where nobody leads.
+// orderTimeout is how long staff repeat an order that no agent takes.
 const orderTimeout = 10 * time.Second
 
+// failingProgram names a program that ends before it is ready.
 const failingProgram = "ends at its start"
 
-// submitOrder has staff ask one agent, and the next where that one can't be had; again in a while where none can.
+// releaseGate is the gate of a scenario's releases: short, since scenarios last a minute or two.
+var releaseGate = rollout.Gate{MinMessages: 5, Soak: time.Second, Wait: 10 * time.Second, Slack: 0.5}
+
+// submitOrder has staff give an order to the first agent that runs and is connected to the leader, beginning with the
+// one that the order names; and again after a while where there is none.
 func (a *agents) submitOrder(o scenario.PlannedOrder, until time.Duration) {
 	s := a.sim
 	c := rollout.Command{By: "staff", Reason: "the scenario", At: s.clock()}
@@ -23,25 +29,11 @@
 			continue
 		}
 		l := a.leader
-		switch o.What {
-		case "drain":
-			c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{o.Of}, Hold: o.Hold}
-		case "release":
-			to := rollout.Version{Name: fmt.Sprint("r", len(a.log)), Program: fmt.Sprint("p", len(a.log))}
-			if o.Bad {
-				to.Program = failingProgram
-			}
-			c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Release, To: to, RollBackOnFailure: o.GoBack, Stages: [][]string{o.Of}, Gate: releaseGate}
-		default:
-			if len(l.state.Plans) == 0 {
-				return
-			}
-			p := l.state.Plans[len(l.state.Plans)-1]
-			c.Verb = map[string]rollout.Verb{"halt": rollout.Halt, "resume": rollout.Resume, "back": rollout.RollBack}[o.What]
-			c.Plan, c.Revision = p.ID, p.Revision
+		if !a.fillCommand(&c, o) {
+			return
 		}
 		c.Seen = l.state.Seen(l.observations, s.clock())
-		if _, ok := a.propose(c); ok {
+		if err := a.propose(c); !errors.Is(err, errNoLeader) {
 			return
 		}
 	}
@@ -50,10 +42,34 @@
 	}
 }
 
-// releaseGate is the gate of a scenario's releases: short, as its days are.
-var releaseGate = rollout.Gate{MinMessages: 5, Soak: time.Second, Wait: 10 * time.Second, Slack: 0.5}
+// fillCommand sets what a command has to do for an order. It returns false where the order is about a plan and there
+// is none.
+func (a *agents) fillCommand(c *rollout.Command, o scenario.PlannedOrder) bool {
+	switch o.What {
+	case "drain":
+		c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{o.Of}, Hold: o.Hold}
+	case "release":
+		to := rollout.Version{Name: fmt.Sprint("r", len(a.log)), Program: fmt.Sprint("p", len(a.log))}
+		if o.Bad {
+			to.Program = failingProgram
+		}
+		c.Verb = rollout.Start
+		c.New = &rollout.Plan{
+			Kind: rollout.Release, To: to, RollBackOnFailure: o.GoBack, Stages: [][]string{o.Of}, Gate: releaseGate,
+		}
+	default:
+		plans := a.leader.state.Plans
+		if len(plans) == 0 {
+			return false
+		}
+		p := plans[len(plans)-1]
+		c.Verb = map[string]rollout.Verb{"halt": rollout.Halt, "resume": rollout.Resume, "back": rollout.RollBack}[o.What]
+		c.Plan, c.Revision = p.ID, p.Revision
+	}
+	return true
+}
 
-// reactivate has staff bring back what a halted drain left out, until nothing is.
+// reactivate has staff put back into service what a halted drain left out, until nothing is left.
 func (a *agents) reactivate() {
 	s := a.sim
 	if l := a.leader; l != nil {
@@ -68,7 +84,9 @@
 				}
 			}
 			if len(out) > 0 && p.Phase == rollout.Halted {
-				a.propose(rollout.Command{Verb: rollout.Activate, At: s.clock(), By: "staff", Reason: "the end", Plan: p.ID, Senders: l.state.Order(out)})
+				a.propose(rollout.Command{
+					Verb: rollout.Activate, At: s.clock(), By: "staff", Reason: "the end", Plan: p.ID, Senders: l.state.Order(out),
+				})
 			}
 		}
 	}
--- a/internal/simulation/profile.go
+++ b/internal/simulation/profile.go
@@ -10,8 +10,7 @@
 	"cleathold/internal/wire"
 )
 
-// Profile is what a sender of a plan is told by the platform: the object that
-// stands under "settings" in its configuration.
+// Profile returns the "settings" object of the configuration that the platform gives a sender of a plan.
 func Profile(p *scenario.Plan, sender int) map[string]any {
 	s := p.Scenario
 	rng := rand.New(rand.NewPCG(p.Seed, 98))
@@ -19,8 +18,9 @@
 	var profiles, tenants []object
 	for _, c := range s.Traffic.Classes {
 		profiles = append(profiles, object{
-			"name": c.Name, "aim-ms": wire.Millis(c.LatencyObjective), "deadline-ms": wire.Millis(c.Deadline), "effect": c.Effect, "key-scope": "all",
-			"late-worth": c.LateWeight, "memory-span-ms": wire.Millis(c.KeyRetention), "worth": c.PriorityWeight, "streamed": false,
+			"name": c.Name, "aim-ms": wire.Millis(c.LatencyObjective), "deadline-ms": wire.Millis(c.Deadline),
+			"effect": c.Effect, "key-scope": "all", "late-worth": c.LateWeight, "memory-span-ms": wire.Millis(c.KeyRetention),
+			"worth": c.PriorityWeight, "streamed": false,
 		})
 	}
 	shareSum := 0.0
@@ -28,7 +28,9 @@
 		shareSum += t.Share
 	}
 	for _, t := range s.Traffic.Tenants {
-		tenants = append(tenants, object{"name": t.Name, "allowance-per-s": p.Rate * t.Share / shareSum, "portion": t.Share / shareSum})
+		tenants = append(tenants, object{
+			"name": t.Name, "allowance-per-s": p.Rate * t.Share / shareSum, "portion": t.Share / shareSum,
+		})
 	}
 	var kinds []string
 	var batch []int
@@ -36,7 +38,7 @@
 	for _, k := range s.Kinds {
 		kinds, batch, separateRoutes = append(kinds, k.Name), append(batch, k.Batch), append(separateRoutes, k.SeparateRoutes)
 	}
-	busy := 0.0 // calls that the load keeps out
+	busy := 0.0 // calls that are in flight on average, over all senders
 	for _, d := range p.Dests {
 		busy += p.Rate * d.Share * (d.Mean.Seconds() + 2*crossZoneDelay.Seconds()/2)
 	}
@@ -45,24 +47,28 @@
 	maxInFlight := max(3, int(math.Ceil(pick(s.InFlight)*busy*fraction)))
 	maxOpen := max(16, int(math.Ceil(pick(s.OpenMessages)*p.Rate*fraction)))
 	return object{
-		"clients": object{"marks-retry": true}, "discovery": "ask", "kind-of-service": "deliver", "weights": "rough", "worth-by": "request",
-		"tick-ms": 5.0, "tier": 0, "me": sender, "siblings": s.Senders, "zone": sender % len(s.Zones), "zones": s.Zones,
+		"clients": object{"marks-retry": true}, "discovery": "ask", "kind-of-service": "deliver", "weights": "rough",
+		"worth-by": "request", "tick-ms": 5.0, "tier": 0, "me": sender, "siblings": s.Senders,
+		"zone": sender % len(s.Zones), "zones": s.Zones,
 		"kinds": kinds, "profiles": profiles, "tenants": tenants, "over-share-worth": 1.0,
 		"goal":      object{"whole": 0.4, "worst-class": 0.2, "worst-tenant": 0.1, "worst-window": 0.3},
 		"reporting": object{"fields": []string{}, "how": "off"},
-		"specifics": object{"fades": "even", "kind-batch": batch, "separate-routes": separateRoutes, "max-calls": maxInFlight},
+		"specifics": object{
+			"fades": "even", "kind-batch": batch, "separate-routes": separateRoutes, "max-calls": maxInFlight,
+		},
 		"limits": object{
-			"cancel": true, "conn-idle-ms": wire.Millis(idleConnTimeout), "connect-timeout-ms": 1500.0, "max-retry-after-ms": 3000.0, "open-cap": maxOpen,
-			"peers": true, "probes": true, "retry-after": true, "second-copies": true, "send-cap": 12, "streams-per-conn": 1,
+			"cancel": true, "conn-idle-ms": wire.Millis(idleConnTimeout), "connect-timeout-ms": 1500.0,
+			"max-retry-after-ms": 3000.0, "open-cap": maxOpen, "peers": true, "probes": true, "retry-after": true,
+			"second-copies": true, "send-cap": 12, "streams-per-conn": 1,
 		},
 		"guarantees": object{
-			"answer-slack-ms": 20.0, "cold-from": 0.22, "cold-ms": 13000.0, "drain-grace-ms": 2000.0, "fall-ms": 2000.0, "fall-multiple": 2.0,
-			"must-ask-in-ms": 10000.0,
+			"answer-slack-ms": 20.0, "cold-from": 0.22, "cold-ms": 13000.0, "drain-grace-ms": 2000.0, "fall-ms": 2000.0,
+			"fall-multiple": 2.0, "must-ask-in-ms": 10000.0,
 		},
 	}
 }
 
-// UpdatedSettings is what a sender is told by new settings under way.
+// UpdatedSettings returns the "settings" object after a "retune" action: Profile with other limits.
 func UpdatedSettings(p *scenario.Plan, d scenario.PlannedAction) map[string]any {
 	profile := Profile(p, d.Sender)
 	scale := func(section, key string, by float64, minimum int) {
@@ -74,11 +80,12 @@
 	return profile
 }
 
-// Settings are the same, read as a sender reads them.
+// Settings returns a sender's profile, parsed as the sender does.
 func Settings(p *scenario.Plan, sender int, seed uint64) (control.Settings, error) {
 	return readProfile(Profile(p, sender), seed)
 }
 
+// readProfile parses a profile. The seed is that of the sender's random source.
 func readProfile(profile map[string]any, seed uint64) (control.Settings, error) {
 	text, err := json.Marshal(profile)
 	if err != nil {
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -64,8 +64,8 @@
 	}
 	dir, hasDir := s.walDirs[num]
 	loop, err := state.NewLoop(state.Setup{
-		Settings: set, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6, Log: s.log,
-		Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &x.counters,
+		Settings: set, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6,
+		Log: s.log, Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &x.counters,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/simulation/servicemeter.go
+++ b/internal/simulation/servicemeter.go
@@ -7,10 +7,10 @@
 	"cleathold/internal/scenario"
 )
 
-// scoreWindow is the length of the stretches of which the worst counts.
+// scoreWindow is the length of the windows of which the worst one counts.
 const scoreWindow = 10 * time.Second
 
-// Score is the service of a run, as BRIEF 9 weighs it.
+// Score is the service of a run, with the weights of BRIEF 9. Shares are from 0 to 1.
 type Score struct {
 	Messages      int           `json:"messages"`
 	Service       float64       `json:"service"`
@@ -19,15 +19,16 @@
 	WorstAt       time.Duration `json:"worst_at"`
 	Classes       []float64     `json:"classes"`
 	Tenants       []float64     `json:"tenants"`
-	Rejected      int           `json:"turned"`  // hand-ins that got a fixed response
-	RejectedCalls int           `json:"refused"` // calls that a partner turned away
+	Rejected      int           `json:"turned"`  // submissions that got an error response
+	RejectedCalls int           `json:"refused"` // calls that a partner rejected
 	Calls         int           `json:"calls"`
 }
 
-// A ServiceMeter counts service from a ledger's events. It keeps messages until their time
-// is up.
+// A ServiceMeter computes the service of a run from a ledger's events. It keeps messages until their time is over. It
+// is not safe for concurrent use.
 type ServiceMeter struct {
-	OnDelivered func(n int, worth float64) // hears of each message of a client that brings its worth; nil = nobody
+	// OnDelivered is called for each delivered message with its number and the weight that it got. It may be nil.
+	OnDelivered func(n int, weight float64)
 
 	classes     []scenario.Class
 	requests    map[int]*request
@@ -41,9 +42,10 @@
 	score       Score
 }
 
-// A weightSum is what was asked for and what was brought.
+// A weightSum is the weight of the requested messages and of the delivered ones.
 type weightSum struct{ requested, delivered float64 }
 
+// fraction returns the delivered part; 1 where nothing was requested.
 func (w weightSum) fraction() float64 {
 	if w.requested == 0 {
 		return 1
@@ -51,7 +53,7 @@
 	return w.delivered / w.requested
 }
 
-// request is a client's message, over all its hand-ins.
+// request is a client's message, over all its submissions.
 type request struct {
 	class, tenant int
 	requestedAt   time.Duration
@@ -59,17 +61,18 @@
 	ids           []string
 }
 
-// submission is one hand-in.
+// submission is one submission of a request.
 type submission struct {
 	request   int
 	accepted  bool
-	delivered bool // before its client heard that it is taken on
+	delivered bool // by a partner, though its client may not know yet that it was accepted
 }
 
-// NewServiceMeter counts the service of a scenario's run.
+// NewServiceMeter returns a meter for a run of a scenario.
 func NewServiceMeter(s *scenario.Scenario) *ServiceMeter {
 	t := &ServiceMeter{
-		classes: s.Traffic.Classes, requests: map[int]*request{}, submissions: map[string]*submission{}, calls: map[uint64][]string{},
+		classes: s.Traffic.Classes, requests: map[int]*request{}, submissions: map[string]*submission{},
+		calls:   map[uint64][]string{},
 		byClass: make([]weightSum, len(s.Traffic.Classes)), byTenant: make([]weightSum, len(s.Traffic.Tenants)),
 	}
 	for _, c := range s.Traffic.Classes {
@@ -78,7 +81,7 @@
 	return t
 }
 
-// Read takes an event.
+// Read takes the next event. It returns no error.
 func (t *ServiceMeter) Read(e audit.Event) error {
 	switch e.Kind {
 	case audit.Requested:
@@ -120,6 +123,7 @@
 	return nil
 }
 
+// addRequest counts a requested message, and forgets those whose time is over.
 func (t *ServiceMeter) addRequest(e audit.Event) {
 	w := t.classes[e.Class].PriorityWeight
 	for i := int(e.At / scoreWindow); len(t.windows) <= i; {
@@ -130,7 +134,7 @@
 	t.byTenant[e.Tenant].requested += w
 	t.score.Messages++
 	t.requests[e.N] = &request{class: e.Class, tenant: e.Tenant, requestedAt: e.At}
-	for ; t.oldest < e.N; t.oldest++ { // those whose time is up go
+	for ; t.oldest < e.N; t.oldest++ {
 		m := t.requests[t.oldest]
 		if m != nil && e.At < m.requestedAt+t.maxDeadline+5*time.Second {
 			break
@@ -144,7 +148,7 @@
 	}
 }
 
-// addDelivered counts the worth of a message, once.
+// addDelivered counts the weight of a delivered message, once.
 func (t *ServiceMeter) addDelivered(x *submission, at time.Duration) {
 	m := t.requests[x.request]
 	if m == nil || m.done {
@@ -160,15 +164,17 @@
 	}
 }
 
-// PriorityWeightAt is what a message is worth that is delivered so long after it was wanted.
+// PriorityWeightAt returns the weight of a message that is delivered at this age: the full one up to the latency
+// objective, and from there falling evenly to that at the deadline.
 func PriorityWeightAt(c *scenario.Class, age time.Duration) float64 {
 	if age <= c.LatencyObjective {
 		return c.PriorityWeight
 	}
-	return c.PriorityWeight * (1 - (1-c.LateWeight)*min(1, float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective)))
+	late := min(1, float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective))
+	return c.PriorityWeight * (1 - (1-c.LateWeight)*late)
 }
 
-// Score is the service so far.
+// Score returns the service so far.
 func (t *ServiceMeter) Score() Score {
 	s := t.score
 	s.Worst = 1
@@ -194,5 +200,5 @@
 	return s
 }
 
-// Held is how many messages, hand-ins and calls are remembered.
+// Held returns how many messages, submissions and calls are remembered.
 func (t *ServiceMeter) Held() int { return len(t.requests) + len(t.submissions) + len(t.calls) }
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -1,10 +1,10 @@
-// Package simulation plays scenarios in virtual time. The senders run the event loop, the write-ahead log and the controller
-// that real senders run; only sockets are left out. Partners are the model of internal/partner, and internal/audit judges
-// what was recorded. Environment, ServiceMeter, ClientRequest and Profile are shared with internal/harness, which plays the
-// same scenarios on sockets.
+// Package simulation plays scenarios in virtual time. The senders run the event loop, the write-ahead log and the
+// controller that real senders run; only sockets are left out. Partners are the model of internal/partner, and
+// internal/audit judges what was recorded. Environment, ServiceMeter, ClientRequest and Profile are shared with
+// internal/harness, which plays the same scenarios on sockets.
 //
-// The same plan gives the same events: nothing here may depend on the wall clock, on goroutines or on the iteration order of
-// a map, and the order of random draws is part of the behavior.
+// The same plan gives the same events: nothing here may depend on the wall clock, on goroutines or on the iteration
+// order of a map, and the order of random draws is part of the behavior.
 package simulation
 
 import (
@@ -124,8 +124,8 @@
 func NewSim(p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*Sim, error) {
 	s := &Sim{
 		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 99)), log: log, modelWakeAt: -1, walDirs: map[int]string{},
-		settingsUpdates: map[int]scenario.PlannedAction{}, calls: map[uint64]*inFlightCall{}, messages: map[string]*ClientRequest{},
-		arrivals: p.Arrivals(), meter: NewServiceMeter(p.Scenario), sink: sink,
+		settingsUpdates: map[int]scenario.PlannedAction{}, calls: map[uint64]*inFlightCall{},
+		messages: map[string]*ClientRequest{}, arrivals: p.Arrivals(), meter: NewServiceMeter(p.Scenario), sink: sink,
 	}
 	var err error
 	if s.environment, err = NewEnvironment(p, s.record); err != nil {
@@ -152,7 +152,8 @@
 	return s, nil
 }
 
-// makeWALDirs makes a folder for the write-ahead log of each sender that is restarted. The others keep theirs in memory.
+// makeWALDirs makes a folder for the write-ahead log of each sender that is restarted. The others keep theirs in
+// memory.
 func (s *Sim) makeWALDirs() error {
 	if len(s.plan.Actions) == 0 {
 		return nil
@@ -209,8 +210,8 @@
 	s.at(s.now+NotifiedCheckInterval, s.markNotified)
 }
 
-// Run plays the plan to its end and removes the temporary files. It returns the first error of a loop, of the auditor or of
-// the sink.
+// Run plays the plan to its end and removes the temporary files. It returns the first error of a loop, of the auditor
+// or of the sink.
 func (s *Sim) Run() (Result, error) {
 	defer func() {
 		if s.tempDir != "" {
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// pickSender is the load balancer in front of the senders: it draws one that is not known to be unavailable, or any where
-// all are.
+// pickSender is the load balancer in front of the senders: it draws one that is not known to be unavailable, or any
+// where all are.
 func (s *Sim) pickSender() *sender {
 	first := s.rng.IntN(len(s.senders))
 	for i := range s.senders {
@@ -110,7 +110,8 @@
 func (x *sender) respond(id string, r state.Response) (state.ResponseWritten, bool) {
 	s := x.sim
 	m := s.messages[id]
-	if link := s.link(x.name, scenario.Clients); m == nil || !link.Passes() { // nobody waits, or the response does not arrive
+	// Either nobody waits any more, or the response does not arrive.
+	if link := s.link(x.name, scenario.Clients); m == nil || !link.Passes() {
 		if m != nil && link.Cut {
 			s.senderLost(m, id, x)
 		} else if m != nil {
