--- a/internal/partner/model.go
+++ b/internal/partner/model.go
@@ -13,46 +13,46 @@
 // Model is a set of destinations. It is not safe for concurrent use. Times are
 // counted from its start and never go back.
 type Model struct {
-	rng       *rand.Rand
-	now       time.Duration
-	dests     map[int]*dest
-	endpoints map[string]*endpoint
-	calls     map[uint64]*job
-	due       timeline.Queue[entry]
-	answers   []Answer
-	effects   []Effect
-	falls     []Overload
-	serial    uint64
+	rng          *rand.Rand
+	now          time.Duration
+	destinations map[int]*destination
+	endpoints    map[string]*endpoint
+	jobs         map[uint64]*job
+	agenda       timeline.Queue[agendaEntry]
+	answers      []Answer
+	effects      []Effect
+	overloads    []Overload
+	serial       uint64
 }
 
 // A route is what a limit, a wait and a fall hold for.
 type route struct {
-	dest     *dest
-	only     *endpoint // a route apart
-	tokens   float64
-	filledAt time.Duration
-	span     int64 // Window: the number of the span...
-	count    int   // ...and what it has taken
-	backAt   time.Duration
-	cold     bool
-	pushes   []push
-}
-
-type push struct {
+	dest        *destination
+	endpoint    *endpoint // a route apart
+	tokens      float64
+	filledAt    time.Duration
+	window      int64 // Window: the number of the span...
+	count       int   // ...and what it has taken
+	recoveredAt time.Duration
+	warming     bool
+	arrivals    []arrival
+}
+
+type arrival struct {
 	at     time.Duration
 	sender int
 }
 
-type dest struct {
+type destination struct {
 	Spec
-	shared *route
-	all    []*endpoint
-	keys   map[string]memory
-	sweep  time.Duration // keys are looked through then
+	route     *route
+	endpoints []*endpoint
+	seenKeys  map[string]keyUse
+	sweepAt   time.Duration // keys are looked through then
 }
 
-// memory is where and when a key was seen first.
-type memory struct {
+// keyUse is where and when a key was seen first.
+type keyUse struct {
 	at       time.Duration
 	zone     int
 	endpoint string
@@ -60,9 +60,9 @@
 
 type endpoint struct {
 	EndpointSpec
-	dest    *dest
+	dest    *destination
 	route   *route
-	trouble Fault
+	fault   Fault
 	running []*job
 	queue   []*job
 	conns   int
@@ -72,20 +72,20 @@
 // A job is a call that was taken in.
 type job struct {
 	Call
-	at        *endpoint
-	work      time.Duration // left to do, at full speed
-	since     time.Duration // running since
-	ends      time.Duration
-	version   uint64 // of its entry in the agenda
-	running   bool
-	cancelled bool
-	fate      AnswerKind
-	early     bool // Breaking: before its effect
-	silent    bool
-}
-
-// An entry of the agenda; one whose version is not its job's any more is void.
-type entry struct {
+	endpoint   *endpoint
+	workLeft   time.Duration // left to do, at full speed
+	since      time.Duration // running since
+	endsAt     time.Duration
+	version    uint64 // of its entry in the agenda
+	running    bool
+	canceled   bool
+	answer     AnswerKind
+	failsEarly bool // Breaking: before its effect
+	unanswered bool
+}
+
+// An agendaEntry of the agenda; one whose version is not its job's any more is void.
+type agendaEntry struct {
 	version uint64
 	job     *job
 }
@@ -93,7 +93,7 @@
 // New makes a model; each seed draws its own times.
 func New(seed uint64) *Model {
 	return &Model{
-		rng: rand.New(rand.NewPCG(seed, 11)), dests: map[int]*dest{}, endpoints: map[string]*endpoint{}, calls: map[uint64]*job{},
+		rng: rand.New(rand.NewPCG(seed, 11)), destinations: map[int]*destination{}, endpoints: map[string]*endpoint{}, jobs: map[uint64]*job{},
 	}
 }
 
@@ -102,12 +102,12 @@
 	if err := s.Check(); err != nil {
 		return err
 	}
-	if m.dests[s.Dest] != nil {
+	if m.destinations[s.Dest] != nil {
 		return fmt.Errorf("destination %d: twice", s.Dest)
 	}
-	d := &dest{Spec: s, keys: map[string]memory{}}
-	d.shared = m.newRoute(d, nil)
-	m.dests[s.Dest] = d
+	d := &destination{Spec: s, seenKeys: map[string]keyUse{}}
+	d.route = m.newRoute(d, nil)
+	m.destinations[s.Dest] = d
 	for _, e := range s.Endpoints {
 		if err := m.Join(m.now, s.Dest, e); err != nil {
 			return err
@@ -116,25 +116,25 @@
 	return nil
 }
 
-func (m *Model) newRoute(d *dest, only *endpoint) *route {
-	r := &route{dest: d, only: only, filledAt: m.now, span: -1}
-	r.tokens = r.bucket()
+func (m *Model) newRoute(d *destination, only *endpoint) *route {
+	r := &route{dest: d, endpoint: only, filledAt: m.now, window: -1}
+	r.tokens = r.bucketSize()
 	return r
 }
 
 // Join adds an endpoint to a destination.
 func (m *Model) Join(now time.Duration, to int, s EndpointSpec) error {
 	m.Advance(now)
-	d := m.dests[to]
+	d := m.destinations[to]
 	if d == nil || m.endpoints[s.ID] != nil {
 		return fmt.Errorf("endpoint %q: no destination %d, or an id that was used", s.ID, to)
 	}
-	e := &endpoint{EndpointSpec: s, dest: d, route: d.shared}
+	e := &endpoint{EndpointSpec: s, dest: d, route: d.route}
 	if d.SeparateRoutes {
 		e.route = m.newRoute(d, e)
 	}
 	m.endpoints[s.ID] = e
-	d.all = append(d.all, e)
+	d.endpoints = append(d.endpoints, e)
 	return nil
 }
 
@@ -148,7 +148,7 @@
 	}
 	m.resetAll(e)
 	e.removed = true
-	e.dest.all = slices.DeleteFunc(e.dest.all, func(o *endpoint) bool { return o == e })
+	e.dest.endpoints = slices.DeleteFunc(e.dest.endpoints, func(o *endpoint) bool { return o == e })
 	return nil
 }
 
@@ -159,34 +159,34 @@
 	if e == nil || e.removed {
 		return ErrUnknown
 	}
-	old := e.trouble
+	old := e.fault
 	if old.Mode == Paused && t.Mode != Paused { // all that stood goes on
 		for _, j := range e.running {
 			j.since = m.now
 		}
 	}
-	m.settle(e)
-	e.trouble = t
+	m.updateWork(e)
+	e.fault = t
 	switch {
 	case t.Mode == Down || t.Mode == Overloaded:
 		m.resetAll(e)
-	case old.Outage() && !t.Outage() && e.alone():
+	case old.Outage() && !t.Outage() && e.othersDown():
 		r := e.route
-		r.cold, r.backAt, r.pushes = true, m.now, nil
+		r.warming, r.recoveredAt, r.arrivals = true, m.now, nil
 	}
 	m.schedule(e)
-	m.fill(e)
+	m.startQueued(e)
 	return nil
 }
 
-// alone tells whether all others of an endpoint's route are out: a destination
+// othersDown tells whether all others of an endpoint's route are out: a destination
 // of which some endpoints went on serving is not cold.
-func (e *endpoint) alone() bool {
-	if e.route.only != nil {
+func (e *endpoint) othersDown() bool {
+	if e.route.endpoint != nil {
 		return true
 	}
-	for _, o := range e.dest.all {
-		if o != e && !o.trouble.Outage() {
+	for _, o := range e.dest.endpoints {
+		if o != e && !o.fault.Outage() {
 			return false
 		}
 	}
@@ -196,41 +196,41 @@
 // Fault tells what ails an endpoint.
 func (m *Model) Fault(id string) Fault {
 	if e := m.endpoints[id]; e != nil {
-		return e.trouble
+		return e.fault
 	}
 	return Fault{Mode: Down}
 }
 
-// bucket is the depth of a rate's tokens.
-func (r *route) bucket() float64 {
+// bucketSize is the depth of a rate's tokens.
+func (r *route) bucketSize() float64 {
 	return max(1, r.dest.Limit.PerSecond*r.dest.Limit.Burst.Seconds())
 }
 
 // Capacity is the part of its capacity that an endpoint's route has now.
 func (m *Model) Capacity(id string) float64 {
 	if e := m.endpoints[id]; e != nil {
-		return m.warmth(e.route)
+		return m.capacity(e.route)
 	}
 	return 0
 }
 
-func (m *Model) warmth(r *route) float64 {
+func (m *Model) capacity(r *route) float64 {
 	d := r.dest
-	if !r.cold {
+	if !r.warming {
 		return 1
 	}
-	if d.WarmUp <= 0 || m.now >= r.backAt+d.WarmUp {
-		r.cold = false
+	if d.WarmUp <= 0 || m.now >= r.recoveredAt+d.WarmUp {
+		r.warming = false
 		return 1
 	}
-	return d.ColdCapacity + (1-d.ColdCapacity)*float64(m.now-r.backAt)/float64(d.WarmUp)
+	return d.ColdCapacity + (1-d.ColdCapacity)*float64(m.now-r.recoveredAt)/float64(d.WarmUp)
 }
 
-// rated is the calls a second at which a warm route is at its capacity: what its
+// ratedCapacity is the calls a second at which a warm route is at its capacity: what its
 // servers do. Its limit lies below that.
-func (r *route) rated() float64 {
-	servers := r.dest.Servers * max(1, len(r.dest.all))
-	if r.only != nil {
+func (r *route) ratedCapacity() float64 {
+	servers := r.dest.Servers * max(1, len(r.dest.endpoints))
+	if r.endpoint != nil {
 		servers = r.dest.Servers
 	}
 	return float64(servers) / r.dest.Mean.Seconds()
@@ -242,7 +242,7 @@
 	m.Advance(now)
 	e := m.endpoints[id]
 	switch {
-	case e == nil || e.removed || e.trouble.Mode == Down || e.trouble.Mode == Overloaded:
+	case e == nil || e.removed || e.fault.Mode == Down || e.fault.Mode == Overloaded:
 		return ConnectionRefused
 	case e.dest.MaxConnections > 0 && e.conns >= e.dest.MaxConnections:
 		return ConnectionOverCapacity
@@ -262,7 +262,7 @@
 // Listens tells whether an endpoint takes connections at all.
 func (m *Model) Listens(id string) bool {
 	e := m.endpoints[id]
-	return e != nil && !e.removed && e.trouble.Mode != Down && e.trouble.Mode != Overloaded
+	return e != nil && !e.removed && e.fault.Mode != Down && e.fault.Mode != Overloaded
 }
 
 // Call takes a call in, on an open connection. Its answer comes by Answers.
@@ -272,7 +272,7 @@
 	if e == nil || e.removed {
 		return ErrUnknown
 	}
-	if m.calls[c.ID] != nil {
+	if m.jobs[c.ID] != nil {
 		return fmt.Errorf("partner: call %d is out already", c.ID)
 	}
 	answer := func(k AnswerKind, wait time.Duration) {
@@ -281,16 +281,16 @@
 		}
 		m.answers = append(m.answers, Answer{c.ID, m.now, k, wait})
 	}
-	t := e.trouble
+	t := e.fault
 	if t.Mode != Overloaded {
-		m.push(e.route, c.Sender)
+		m.checkOverload(e.route, c.Sender)
 	}
 	switch {
 	case t.Mode == Down || t.Mode == Overloaded:
 		answer(Reset, 0)
 		return nil
 	case t.Mode == Shut:
-		answer(Rejected, m.told(e, t.Until))
+		answer(Rejected, m.retryAfter(e, t.Until))
 		return nil
 	case t.Mode == Draining, c.OverCapacity && t.Mode != Unresponsive:
 		answer(Rejected, 0)
@@ -299,39 +299,39 @@
 		answer(Unprocessable, 0)
 		return nil
 	case t.Mode != Unresponsive && !m.admit(e): // a silent one refuses nobody
-		answer(Rejected, m.told(e, 0))
+		answer(Rejected, m.retryAfter(e, 0))
 		return nil
 	case c.HealthCheck && t.Mode != Unresponsive && t.Mode != Paused: // answered beside the queue
 		answer(Delivered, 0)
 		return nil
 	case len(e.running) >= e.dest.Servers && len(e.queue) >= e.dest.QueueLength:
-		answer(Rejected, m.told(e, 0))
+		answer(Rejected, m.retryAfter(e, 0))
 		return nil
 	}
-	j := &job{Call: c, at: e, work: m.draw(e.dest, &c), silent: t.Mode == Unresponsive}
+	j := &job{Call: c, endpoint: e, workLeft: m.draw(e.dest, &c), unanswered: t.Mode == Unresponsive}
 	switch t.Mode {
 	case ReturningErrors:
 		if m.rng.Float64() < t.Share {
-			j.fate, j.work = Errored, j.work/10 // they fail quickly
+			j.answer, j.workLeft = Errored, j.workLeft/10 // they fail quickly
 		}
 	case BreakingConnections:
 		if m.rng.Float64() < t.Share {
-			j.fate, j.early = Reset, m.rng.IntN(2) == 0
+			j.answer, j.failsEarly = Reset, m.rng.IntN(2) == 0
 		}
 	case GarblingAnswers:
 		if m.rng.Float64() < t.Share {
-			j.fate = Garbled
+			j.answer = Garbled
 		}
 	}
-	m.calls[c.ID] = j
+	m.jobs[c.ID] = j
 	e.queue = append(e.queue, j)
-	m.fill(e)
+	m.startQueued(e)
 	return nil
 }
 
 // draw is the work of a call: lognormal around the mean, more for each further
 // message, and for a connection that is new.
-func (m *Model) draw(d *dest, c *Call) time.Duration {
+func (m *Model) draw(d *destination, c *Call) time.Duration {
 	x := 1.0
 	if d.CV > 0 {
 		sigma := math.Sqrt(math.Log(1 + d.CV*d.CV))
@@ -345,17 +345,17 @@
 	return max(work, time.Microsecond)
 }
 
-// told is the wait that goes with a refusal, if one does. It is honest: at its end
+// retryAfter is the wait that goes with a refusal, if one does. It is honest: at its end
 // there is room again, unless others have taken it.
-func (m *Model) told(e *endpoint, until time.Duration) time.Duration {
+func (m *Model) retryAfter(e *endpoint, until time.Duration) time.Duration {
 	d := e.dest
 	if m.rng.Float64() >= d.RetryAfterShare {
 		return 0
 	}
 	switch {
-	case e.trouble.Mode == Shut && until > m.now:
+	case e.fault.Mode == Shut && until > m.now:
 		return until - m.now
-	case e.trouble.Mode == Shut:
+	case e.fault.Mode == Shut:
 		return 0 // it does not know itself
 	case d.Limit.Form == Window:
 		return d.Limit.Window - m.now%d.Limit.Window
@@ -367,8 +367,8 @@
 
 // limit is the calls a second that an endpoint's route takes now.
 func (e *endpoint) limit() float64 {
-	if e.trouble.Mode == LimitReduced {
-		return e.dest.Limit.PerSecond * e.trouble.Factor
+	if e.fault.Mode == LimitReduced {
+		return e.dest.Limit.PerSecond * e.fault.Factor
 	}
 	return e.dest.Limit.PerSecond
 }
@@ -378,19 +378,19 @@
 	r, l, rate := e.route, e.dest.Limit, e.limit()
 	switch l.Form {
 	case Rate:
-		r.tokens = min(r.bucket(), r.tokens+rate*(m.now-r.filledAt).Seconds())
+		r.tokens = min(r.bucketSize(), r.tokens+rate*(m.now-r.filledAt).Seconds())
 		r.filledAt = m.now
 		if r.tokens >= 1 {
 			r.tokens--
 			return true
 		}
 		if l.CountRejected { // what keeps coming keeps it exhausted
-			r.tokens = max(r.tokens-1, -r.bucket())
+			r.tokens = max(r.tokens-1, -r.bucketSize())
 		}
 		return false
 	case Window:
-		if span := int64(m.now / l.Window); span != r.span {
-			r.span, r.count = span, 0
+		if span := int64(m.now / l.Window); span != r.window {
+			r.window, r.count = span, 0
 		}
 		most := int(rate*l.Window.Seconds() + 1e-9)
 		if r.count < max(1, most) {
@@ -405,79 +405,79 @@
 	return true
 }
 
-// push counts what reaches a cold route, refused or not, and pushes it over.
-func (m *Model) push(r *route, sender int) {
+// checkOverload counts what reaches a cold route, refused or not, and pushes it over.
+func (m *Model) checkOverload(r *route, sender int) {
 	d := r.dest
-	if m.warmth(r) >= 1 || d.OverloadWindow <= 0 {
-		r.pushes = r.pushes[:0]
+	if m.capacity(r) >= 1 || d.OverloadWindow <= 0 {
+		r.arrivals = r.arrivals[:0]
 		return
 	}
-	r.pushes = append(r.pushes, push{m.now, sender})
-	for len(r.pushes) > 0 && m.now-r.pushes[0].at >= d.OverloadWindow {
-		r.pushes = r.pushes[1:]
+	r.arrivals = append(r.arrivals, arrival{m.now, sender})
+	for len(r.arrivals) > 0 && m.now-r.arrivals[0].at >= d.OverloadWindow {
+		r.arrivals = r.arrivals[1:]
 	}
 	const slack = 2 // calls; for chance
-	budget := d.OverloadFactor*m.warmth(r)*r.rated()*d.OverloadWindow.Seconds() + slack
-	if float64(len(r.pushes)) <= budget {
+	budget := d.OverloadFactor*m.capacity(r)*r.ratedCapacity()*d.OverloadWindow.Seconds() + slack
+	if float64(len(r.arrivals)) <= budget {
 		return
 	}
-	f := Overload{At: m.now, Dest: d.Dest, RecoveredAt: r.backAt, CallsBySender: map[int]int{}}
-	for _, p := range r.pushes {
+	f := Overload{At: m.now, Dest: d.Dest, RecoveredAt: r.recoveredAt, CallsBySender: map[int]int{}}
+	for _, p := range r.arrivals {
 		f.CallsBySender[p.sender]++
 	}
-	r.pushes = nil
-	for _, e := range d.all {
-		if r.only != nil && e != r.only {
+	r.arrivals = nil
+	for _, e := range d.endpoints {
+		if r.endpoint != nil && e != r.endpoint {
 			continue
 		}
-		m.settle(e)
-		e.trouble = Fault{Mode: Overloaded}
+		m.updateWork(e)
+		e.fault = Fault{Mode: Overloaded}
 		m.resetAll(e)
 	}
-	if r.only != nil {
-		f.Endpoint = r.only.ID
+	if r.endpoint != nil {
+		f.Endpoint = r.endpoint.ID
 	}
-	m.falls = append(m.falls, f)
+	m.overloads = append(m.overloads, f)
 }
 
 // Cancel tells that a sender waits no more for a call. Its connection is gone, also
 // where the call has ended meanwhile. The work may go on, and take effect.
 func (m *Model) Cancel(now time.Duration, id uint64, endpoint string) {
 	m.Advance(now)
-	j := m.calls[id]
+	j := m.jobs[id]
 	if j == nil {
 		m.Disconnect(now, endpoint)
 		return
 	}
-	if j.cancelled {
+	if j.canceled {
 		return
 	}
-	j.cancelled = true
-	j.at.conns = max(0, j.at.conns-1)
-	if m.rng.Float64() < j.at.dest.StopsOnCancel {
-		m.drop(j)
+	j.canceled = true
+	j.endpoint.conns = max(0, j.endpoint.conns-1)
+	if m.rng.Float64() < j.endpoint.dest.StopsOnCancel {
+		m.abort(j)
 	}
 }
 
-// drop ends a job without its effect.
-func (m *Model) drop(j *job) {
-	e := j.at
-	m.settle(e)
-	delete(m.calls, j.ID)
+// abort ends a job without its effect.
+func (m *Model) abort(j *job) {
+	e := j.endpoint
+	m.updateWork(e)
+	delete(m.jobs, j.ID)
 	same := func(o *job) bool { return o == j }
 	e.running, e.queue = slices.DeleteFunc(e.running, same), slices.DeleteFunc(e.queue, same)
 	j.version = 0
 	m.schedule(e)
-	m.fill(e)
+	m.startQueued(e)
 }
 
 // resetAll breaks all connections of an endpoint, with the calls on them. What was
 // being worked on has not taken effect.
 func (m *Model) resetAll(e *endpoint) {
 	for _, j := range slices.Concat(e.running, e.queue) {
-		delete(m.calls, j.ID)
+		delete(m.jobs, j.ID)
 		j.version = 0
-		if !j.cancelled {
+		if !j.canceled {
 			m.answers = append(m.answers, Answer{j.ID, m.now, Reset, 0})
 		}
 	}
@@ -486,21 +486,21 @@
 
 // speed is how fast an endpoint works now.
 func (m *Model) speed(e *endpoint) float64 {
-	x := m.warmth(e.route)
+	x := m.capacity(e.route)
 	switch {
-	case e.trouble.Mode == Paused:
+	case e.fault.Mode == Paused:
 		return 0
-	case e.trouble.Mode == Slow && e.trouble.Factor > 0:
-		x /= e.trouble.Factor
+	case e.fault.Mode == Slow && e.fault.Factor > 0:
+		x /= e.fault.Factor
 	}
 	return x
 }
 
-// settle enters what the running jobs of an endpoint have done so far.
-func (m *Model) settle(e *endpoint) {
+// updateWork enters what the running jobs of an endpoint have done so far.
+func (m *Model) updateWork(e *endpoint) {
 	x := m.speed(e)
 	for _, j := range e.running {
-		j.work = max(0, j.work-time.Duration(float64(m.now-j.since)*x))
+		j.workLeft = max(0, j.workLeft-time.Duration(float64(m.now-j.since)*x))
 		j.since = m.now
 	}
 }
@@ -515,19 +515,19 @@
 			j.version = 0
 			continue
 		}
-		j.ends = m.now + time.Duration(math.Ceil(float64(j.work)/x))
-		at := j.ends
-		if x < 1 && e.route.cold {
+		j.endsAt = m.now + time.Duration(math.Ceil(float64(j.workLeft)/x))
+		at := j.endsAt
+		if x < 1 && e.route.warming {
 			at = min(at, m.now+look)
 		}
 		m.serial++
 		j.version = m.serial
-		m.due.Push(at, j.version, entry{j.version, j})
+		m.agenda.Push(at, j.version, agendaEntry{j.version, j})
 	}
 }
 
-// fill gives free servers the calls that wait.
-func (m *Model) fill(e *endpoint) {
+// startQueued gives free servers the calls that wait.
+func (m *Model) startQueued(e *endpoint) {
 	started := false
 	for len(e.running) < e.dest.Servers && len(e.queue) > 0 {
 		j := e.queue[0]
@@ -537,7 +537,7 @@
 		started = true
 	}
 	if started {
-		m.settle(e)
+		m.updateWork(e)
 		m.schedule(e)
 	}
 }
@@ -545,11 +545,11 @@
 // Next is when something happens by itself; false where nothing will.
 func (m *Model) Next() (time.Duration, bool) {
 	for {
-		at, e, some := m.due.First()
+		at, e, some := m.agenda.First()
 		if !some || e.version == e.job.version {
 			return at, some
 		}
-		m.due.Pop()
+		m.agenda.Pop()
 	}
 }
 
@@ -560,12 +560,12 @@
 		if !some || at > now {
 			break
 		}
-		_, due := m.due.Pop()
+		_, due := m.agenda.Pop()
 		j := due.job
 		m.now = max(m.now, at)
-		e := j.at
-		m.settle(e)
-		if j.work > time.Microsecond {
+		e := j.endpoint
+		m.updateWork(e)
+		if j.workLeft > time.Microsecond {
 			m.schedule(e)
 			continue
 		}
@@ -576,28 +576,28 @@
 
 // finish ends a job: its effect, and its answer if somebody waits for it.
 func (m *Model) finish(j *job) {
-	e := j.at
-	delete(m.calls, j.ID)
+	e := j.endpoint
+	delete(m.jobs, j.ID)
 	j.version = 0
 	e.running = slices.DeleteFunc(e.running, func(o *job) bool { return o == j })
-	errored := j.fate == Errored
-	if !errored && !(j.fate == Reset && j.early) {
-		m.effect(j)
+	errored := j.answer == Errored
+	if !errored && !(j.answer == Reset && j.failsEarly) {
+		m.applyEffects(j)
 	}
-	if !j.cancelled && !j.silent {
-		m.answers = append(m.answers, Answer{j.ID, m.now, j.fate, 0})
+	if !j.canceled && !j.unanswered {
+		m.answers = append(m.answers, Answer{j.ID, m.now, j.answer, 0})
 	}
-	m.fill(e)
+	m.startQueued(e)
 }
 
-// effect lets the messages of a call take effect, but for those whose keys are
+// applyEffects lets the messages of a call take effect, but for those whose keys are
 // remembered.
-func (m *Model) effect(j *job) {
-	e, d := j.at, j.at.dest
+func (m *Model) applyEffects(j *job) {
+	e, d := j.endpoint, j.endpoint.dest
 	for _, msg := range j.Messages {
 		dropped := false
 		if msg.Key != "" && d.KeyRetention > 0 {
-			k, known := d.keys[msg.Key]
+			k, known := d.seenKeys[msg.Key]
 			known = known && m.now-k.at < d.KeyRetention
 			switch d.KeyScope {
 			case SameZone:
@@ -606,18 +606,18 @@
 				known = known && k.endpoint == e.ID
 			}
 			if dropped = known; !known {
-				d.keys[msg.Key] = memory{m.now, e.Zone, e.ID}
+				d.seenKeys[msg.Key] = keyUse{m.now, e.Zone, e.ID}
 			}
 		}
-		m.effects = append(m.effects, Effect{m.now, j.ID, msg, e.ID, j.Sender, dropped, j.cancelled})
+		m.effects = append(m.effects, Effect{m.now, j.ID, msg, e.ID, j.Sender, dropped, j.canceled})
 	}
-	if m.now >= d.sweep {
-		for key, k := range d.keys {
+	if m.now >= d.sweepAt {
+		for key, k := range d.seenKeys {
 			if m.now-k.at >= d.KeyRetention {
-				delete(d.keys, key)
+				delete(d.seenKeys, key)
 			}
 		}
-		d.sweep = m.now + d.KeyRetention
+		d.sweepAt = m.now + d.KeyRetention
 	}
 }
 
@@ -637,7 +637,7 @@
 
 // Overloads returns what was pushed over since it was last asked.
 func (m *Model) Overloads() []Overload {
-	list := m.falls
-	m.falls = nil
+	list := m.overloads
+	m.overloads = nil
 	return list
 }
--- a/internal/partner/model_test.go
+++ b/internal/partner/model_test.go
@@ -400,8 +400,8 @@
 				m.SetFault(now, id, Fault{})
 			}
 			m.Advance(now + time.Hour)
-			if len(m.calls) > 0 {
-				t.Fatalf("%d calls never end", len(m.calls))
+			if len(m.jobs) > 0 {
+				t.Fatalf("%d calls never end", len(m.jobs))
 			}
 			return m.Answers(), m.Effects()
 		}
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -20,11 +20,11 @@
 	if err := json.Unmarshal(text, &r); err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.MarshalIndent(r, "", "  ")
+	written, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(append(again, '\n'), text) {
-		t.Errorf("written as %s, want %s", again, text)
+	if !bytes.Equal(append(written, '\n'), text) {
+		t.Errorf("written as %s, want %s", written, text)
 	}
 }
