--- a/internal/partner/spec.go
+++ b/internal/partner/spec.go
@@ -6,31 +6,10 @@
 package partner
 
 import (
-	"errors"
 	"fmt"
 	"time"
 )
 
-// LimitForm says how a limit counts.
-type LimitForm uint8
-
-// The forms.
-const (
-	NoLimit LimitForm = iota
-	Rate              // a plain rate: a token bucket
-	Window            // a count in each fixed span
-)
-
-// Limit is what a destination, or a route apart, takes from all senders together.
-type Limit struct {
-	Form      LimitForm
-	PerSecond float64       // calls
-	Window    time.Duration // Window: the span; spans follow one another from time 0 on
-	Burst     time.Duration // Rate: depth of the bucket, in time
-	// CountRejected: calls refused use it up, too.
-	CountRejected bool
-}
-
 // Scope says where a repeat with a known key is dropped.
 type Scope uint8
 
@@ -111,117 +90,3 @@
 	}
 	return nil
 }
-
-// Mode is what ails an endpoint.
-type Mode uint8
-
-// The modes.
-const (
-	Healthy             Mode = iota
-	Down                     // connections are refused, and those that stood are reset
-	Shut                     // every call is refused
-	Unresponsive             // calls are taken in and never answered; their work may be done
-	ReturningErrors          // a share of the calls is answered with an error
-	Slow                     // calls take longer
-	Paused                   // a stop of the world: all goes on after it
-	Draining                 // finishes what it has and refuses new work
-	BreakingConnections      // a share of the calls breaks in the middle, after their effect or before
-	GarblingAnswers          // a share of the answers can't be read
-	Overloaded               // pushed over: down until it is set otherwise
-	LimitReduced             // its limit is a part of the usual
-)
-
-// Fault is a mode with its size.
-type Fault struct {
-	Mode   Mode
-	Share  float64       // Failing, Breaking, Spoiling: of the calls
-	Factor float64       // Slow: times the service time. Cut: times the limit
-	Until  time.Duration // when it ends, as far as a told wait may tell it; 0 = not known
-}
-
-// Outage tells whether an endpoint returns cold from it.
-func (t Fault) Outage() bool {
-	switch t.Mode {
-	case Down, Shut, Unresponsive, Overloaded:
-		return true
-	case ReturningErrors:
-		return t.Share > 0.5
-	}
-	return false
-}
-
-// Message is one message of a call.
-type Message struct {
-	ID    string
-	Key   string // empty: each call of it takes effect
-	Class int    // as its effect tells it
-}
-
-// Call is one call that has come in whole.
-type Call struct {
-	ID           uint64
-	Sender       int
-	Endpoint     string
-	Fresh        bool // the first on its connection
-	OverCapacity bool // on a connection that is one too many
-	HealthCheck  bool // without messages
-	Messages     []Message
-}
-
-// ConnectionResult is how a connection is received.
-type ConnectionResult uint8
-
-// The receptions.
-const (
-	ConnectionOpened       ConnectionResult = iota
-	ConnectionRefused                       // nobody listens
-	ConnectionOverCapacity                  // it comes up, and what is sent on it is turned away
-)
-
-// AnswerKind says how a call is answered.
-type AnswerKind uint8
-
-// The kinds of answer.
-const (
-	Delivered AnswerKind = iota
-	Errored
-	Rejected
-	Reset   // the connection breaks
-	Garbled // an answer that can't be read
-	Unprocessable
-)
-
-func (k AnswerKind) String() string {
-	return [...]string{"delivered", "error", "refused", "reset", "spoilt", "rejected"}[k]
-}
-
-// Answer ends a call. A call that gets none was taken in by a silent endpoint.
-type Answer struct {
-	Call       uint64
-	At         time.Duration
-	Kind       AnswerKind
-	RetryAfter time.Duration // told with a refusal; 0 = none
-}
-
-// Effect is a message that took effect, or was dropped as a repeat.
-type Effect struct {
-	At       time.Duration
-	Call     uint64
-	Message  Message
-	Endpoint string
-	Sender   int
-	Dropped  bool // a key that was remembered
-	Late     bool // after the call was cancelled
-}
-
-// Overload is a destination, or route, that was pushed over.
-type Overload struct {
-	At            time.Duration
-	Dest          int
-	Endpoint      string        // of a route apart; else empty
-	RecoveredAt   time.Duration // its return
-	CallsBySender map[int]int   // calls in the window, by sender
-}
-
-// ErrUnknown tells of an endpoint that the model does not have.
-var ErrUnknown = errors.New("partner: no such endpoint")
