--- a/internal/partner/call.go
+++ b/internal/partner/call.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Message is one message of a call.
+// Message is a message of a call.
 type Message struct {
 	ID    string
-	Key   string // empty: each call of it takes effect
-	Class int    // as its effect tells it
+	Key   string // idempotency key; empty: each call of it takes effect
+	Class int    // passed on to its effect
 }
 
-// Call is one call that has come in whole.
+// Call is a call that an endpoint has received completely.
 type Call struct {
 	ID           uint64
 	Sender       int
 	Endpoint     string
 	Fresh        bool // the first on its connection
-	OverCapacity bool // on a connection that is one too many
+	OverCapacity bool // on a connection that was ConnectionOverCapacity
 	HealthCheck  bool // without messages
 	Messages     []Message
 }
 
-// AnswerKind says how a call is answered.
+// AnswerKind is how a call is answered.
 type AnswerKind uint8
 
 // The kinds of answer.
@@ -34,38 +34,38 @@
 	Errored
 	Rejected
 	Reset   // the connection breaks
-	Garbled // an answer that can't be read
+	Garbled // the answer cannot be read
 	Unprocessable
 )
 
+// String returns the cause that a ledger has for the kind.
 func (k AnswerKind) String() string {
 	return [...]string{"delivered", "error", "refused", "reset", "spoilt", "rejected"}[k]
 }
 
-// Answer ends a call. A call that gets none was taken in by a silent endpoint.
+// Answer ends a call. Calls to an unresponsive endpoint get none.
 type Answer struct {
 	Call       uint64
 	At         time.Duration
 	Kind       AnswerKind
-	RetryAfter time.Duration // told with a refusal; 0 = none
+	RetryAfter time.Duration // told with a rejection; 0: none
 }
 
-// A job is a call that was taken in.
+// A job is a call that waits for a server or runs on one.
 type job struct {
 	Call
 	endpoint   *endpoint
-	workLeft   time.Duration // left to do, at full speed
-	since      time.Duration // running since
-	endsAt     time.Duration
-	version    uint64 // of its entry in the agenda
-	running    bool
+	workLeft   time.Duration // at full speed, as of since
+	since      time.Duration // the last update of workLeft
+	version    uint64        // of its entry in the agenda; 0: it has none
 	canceled   bool
 	answer     AnswerKind
-	failsEarly bool // Breaking: before its effect
-	unanswered bool
+	failsEarly bool // Reset: before its effect
+	unanswered bool // it gets no answer
 }
 
-// Call takes a call in, on an open connection. Its answer comes by Answers.
+// Call has an endpoint receive a call on an open connection. Answers returns its answer. It returns ErrUnknown for an
+// endpoint that was removed.
 func (m *Model) Call(now time.Duration, c Call) error {
 	m.Advance(now)
 	e := m.endpoints[c.Endpoint]
@@ -75,62 +75,67 @@
 	if m.jobs[c.ID] != nil {
 		return fmt.Errorf("partner: call %d is out already", c.ID)
 	}
-	answer := func(k AnswerKind, wait time.Duration) {
+	f := e.fault // the call itself may overload the route, and still fares as before
+	if f.Mode != Overloaded {
+		m.checkOverload(e.route, c.Sender)
+	}
+	if kind, retryAfter, done := m.answerAtOnce(e, f, &c); done {
 		if c.HealthCheck {
-			wait = 0 // PROTOCOL: a probe is answered 200 or 503
+			retryAfter = 0 // PROTOCOL: a health check is answered 200 or 503
 		}
-		m.answers = append(m.answers, Answer{c.ID, m.now, k, wait})
-	}
-	t := e.fault
-	if t.Mode != Overloaded {
-		m.checkOverload(e.route, c.Sender)
+		m.answers = append(m.answers, Answer{c.ID, m.now, kind, retryAfter})
+		return nil
 	}
+	j := m.newJob(e, f, c)
+	m.jobs[c.ID] = j
+	e.queue = append(e.queue, j)
+	m.startQueued(e)
+	return nil
+}
+
+// answerAtOnce returns the answer to a call that needs no server, from an endpoint with a fault. It returns false for
+// a call that does.
+func (m *Model) answerAtOnce(e *endpoint, f Fault, c *Call) (kind AnswerKind, retryAfter time.Duration, done bool) {
 	switch {
-	case t.Mode == Down || t.Mode == Overloaded:
-		answer(Reset, 0)
-		return nil
-	case t.Mode == Shut:
-		answer(Rejected, m.retryAfter(e, t.Until))
-		return nil
-	case t.Mode == Draining, c.OverCapacity && t.Mode != Unresponsive:
-		answer(Rejected, 0)
-		return nil
+	case f.Mode == Down || f.Mode == Overloaded:
+		return Reset, 0, true
+	case f.Mode == Shut:
+		return Rejected, m.retryAfter(e, f.Until), true
+	case f.Mode == Draining, c.OverCapacity && f.Mode != Unresponsive:
+		return Rejected, 0, true
 	case len(c.Messages) > e.dest.MaxBatch || !c.HealthCheck && len(c.Messages) == 0:
-		answer(Unprocessable, 0)
-		return nil
-	case t.Mode != Unresponsive && !m.admit(e): // a silent one refuses nobody
-		answer(Rejected, m.retryAfter(e, 0))
-		return nil
-	case c.HealthCheck && t.Mode != Unresponsive && t.Mode != Paused: // answered beside the queue
-		answer(Delivered, 0)
-		return nil
+		return Unprocessable, 0, true
+	case f.Mode != Unresponsive && !m.admit(e): // an unresponsive one rejects nothing
+		return Rejected, m.retryAfter(e, 0), true
+	case c.HealthCheck && f.Mode != Unresponsive && f.Mode != Paused: // these do not wait for a server
+		return Delivered, 0, true
 	case len(e.running) >= e.dest.Servers && len(e.queue) >= e.dest.QueueLength:
-		answer(Rejected, m.retryAfter(e, 0))
-		return nil
+		return Rejected, m.retryAfter(e, 0), true
 	}
-	j := &job{Call: c, endpoint: e, workLeft: m.draw(e.dest, &c), unanswered: t.Mode == Unresponsive}
-	switch t.Mode {
+	return 0, 0, false
+}
+
+// newJob draws the work of a call and, from the endpoint's fault, how it is answered.
+func (m *Model) newJob(e *endpoint, f Fault, c Call) *job {
+	j := &job{Call: c, endpoint: e, workLeft: m.draw(e.dest, &c), unanswered: f.Mode == Unresponsive}
+	switch f.Mode {
 	case ReturningErrors:
-		if m.rng.Float64() < t.Share {
-			j.answer, j.workLeft = Errored, j.workLeft/10 // they fail quickly
+		if m.rng.Float64() < f.Share {
+			j.answer, j.workLeft = Errored, j.workLeft/10 // errors come quickly
 		}
 	case BreakingConnections:
-		if m.rng.Float64() < t.Share {
+		if m.rng.Float64() < f.Share {
 			j.answer, j.failsEarly = Reset, m.rng.IntN(2) == 0
 		}
 	case GarblingAnswers:
-		if m.rng.Float64() < t.Share {
+		if m.rng.Float64() < f.Share {
 			j.answer = Garbled
 		}
 	}
-	m.jobs[c.ID] = j
-	e.queue = append(e.queue, j)
-	m.startQueued(e)
-	return nil
+	return j
 }
 
-// draw is the work of a call: lognormal around the mean, more for each further
-// message, and for a connection that is new.
+// draw draws the work of a call: lognormal around the mean, more for each further message and for a new connection.
 func (m *Model) draw(d *destination, c *Call) time.Duration {
 	x := 1.0
 	if d.CV > 0 {
@@ -145,8 +150,8 @@
 	return max(work, time.Microsecond)
 }
 
-// Cancel tells that a sender waits no more for a call. Its connection is gone, also
-// where the call has ended meanwhile. The work may go on, and take effect.
+// Cancel has an endpoint see that the sender closed a call's connection, also where the call has ended meanwhile.
+// Work may go on and take effect.
 func (m *Model) Cancel(now time.Duration, id uint64, endpoint string) {
 	m.Advance(now)
 	j := m.jobs[id]
@@ -164,7 +169,7 @@
 	}
 }
 
-// abort ends a job without its effect.
+// abort ends a job without an effect.
 func (m *Model) abort(j *job) {
 	e := j.endpoint
 	m.updateWork(e)
@@ -176,8 +181,7 @@
 	m.startQueued(e)
 }
 
-// resetAll breaks all connections of an endpoint, with the calls on them. What was
-// being worked on has not taken effect.
+// resetAll breaks all connections of an endpoint. The calls on them end without an effect.
 func (m *Model) resetAll(e *endpoint) {
 	for _, j := range slices.Concat(e.running, e.queue) {
 		delete(m.jobs, j.ID)
@@ -189,14 +193,13 @@
 	e.running, e.queue, e.conns = nil, nil, 0
 }
 
-// finish ends a job: its effect, and its answer if somebody waits for it.
+// finish ends a job with its effect, and with its answer if the sender waits for one.
 func (m *Model) finish(j *job) {
 	e := j.endpoint
 	delete(m.jobs, j.ID)
 	j.version = 0
 	e.running = slices.DeleteFunc(e.running, func(o *job) bool { return o == j })
-	errored := j.answer == Errored
-	if !errored && !(j.answer == Reset && j.failsEarly) {
+	if j.answer != Errored && !(j.answer == Reset && j.failsEarly) {
 		m.applyEffects(j)
 	}
 	if !j.canceled && !j.unanswered {
--- a/internal/partner/connection.go
+++ b/internal/partner/connection.go
@@ -1,26 +1,24 @@
 package partner
 
-import (
-	"time"
-)
+import "time"
 
-// ConnectionResult is how a connection is received.
+// ConnectionResult is how an endpoint takes a new connection.
 type ConnectionResult uint8
 
-// The receptions.
+// The results.
 const (
 	ConnectionOpened       ConnectionResult = iota
-	ConnectionRefused                       // nobody listens
-	ConnectionOverCapacity                  // it comes up, and what is sent on it is turned away
+	ConnectionRefused                       // the endpoint does not listen
+	ConnectionOverCapacity                  // it is opened, and calls on it are rejected
 )
 
-// Connect opens a connection. One that crowds is not counted: it needs no
-// Disconnect, and a Call on it is Crowded.
+// Connect opens a connection. One over capacity is not counted: it needs no Disconnect, and a Call on it has
+// OverCapacity set.
 func (m *Model) Connect(now time.Duration, id string) ConnectionResult {
 	m.Advance(now)
 	e := m.endpoints[id]
 	switch {
-	case e == nil || e.removed || e.fault.Mode == Down || e.fault.Mode == Overloaded:
+	case !m.Listens(id):
 		return ConnectionRefused
 	case e.dest.MaxConnections > 0 && e.conns >= e.dest.MaxConnections:
 		return ConnectionOverCapacity
@@ -29,7 +27,7 @@
 	return ConnectionOpened
 }
 
-// Disconnect closes a connection on which no call is out.
+// Disconnect closes a connection without a call in flight.
 func (m *Model) Disconnect(now time.Duration, id string) {
 	m.Advance(now)
 	if e := m.endpoints[id]; e != nil && e.conns > 0 {
@@ -37,7 +35,7 @@
 	}
 }
 
-// Listens tells whether an endpoint takes connections at all.
+// Listens reports whether an endpoint takes connections at all.
 func (m *Model) Listens(id string) bool {
 	e := m.endpoints[id]
 	return e != nil && !e.removed && e.fault.Mode != Down && e.fault.Mode != Overloaded
--- a/internal/partner/effect.go
+++ b/internal/partner/effect.go
@@ -1,18 +1,16 @@
 package partner
 
-import (
-	"time"
-)
+import "time"
 
-// Effect is a message that took effect, or was dropped as a repeat.
+// Effect is a message that took effect, or was dropped because its key was seen before.
 type Effect struct {
 	At       time.Duration
 	Call     uint64
 	Message  Message
 	Endpoint string
 	Sender   int
-	Dropped  bool // a key that was remembered
-	Late     bool // after the call was cancelled
+	Dropped  bool // its key was seen before
+	Late     bool // after the call was canceled
 }
 
 // keyUse is where and when a key was seen first.
@@ -22,33 +20,41 @@
 	endpoint string
 }
 
-// applyEffects lets the messages of a call take effect, but for those whose keys are
-// remembered.
+// applyEffects has the messages of a call take effect, and drops those whose keys were seen before.
 func (m *Model) applyEffects(j *job) {
 	e, d := j.endpoint, j.endpoint.dest
 	for _, msg := range j.Messages {
-		dropped := false
-		if msg.Key != "" && d.KeyRetention > 0 {
-			k, known := d.seenKeys[msg.Key]
-			known = known && m.now-k.at < d.KeyRetention
-			switch d.KeyScope {
-			case SameZone:
-				known = known && k.zone == e.Zone
-			case SameEndpoint:
-				known = known && k.endpoint == e.ID
-			}
-			if dropped = known; !known {
-				d.seenKeys[msg.Key] = keyUse{m.now, e.Zone, e.ID}
-			}
-		}
+		dropped := msg.Key != "" && d.KeyRetention > 0 && d.useKey(msg.Key, keyUse{m.now, e.Zone, e.ID})
 		m.effects = append(m.effects, Effect{m.now, j.ID, msg, e.ID, j.Sender, dropped, j.canceled})
 	}
-	if m.now >= d.sweepAt {
-		for key, k := range d.seenKeys {
-			if m.now-k.at >= d.KeyRetention {
-				delete(d.seenKeys, key)
-			}
+	d.forgetKeys(m.now)
+}
+
+// useKey reports whether a key was seen before, within the retention and the scope. If not, it is from now on.
+func (d *destination) useKey(key string, use keyUse) (seen bool) {
+	first, seen := d.seenKeys[key]
+	seen = seen && use.at-first.at < d.KeyRetention
+	switch d.KeyScope {
+	case SameZone:
+		seen = seen && first.zone == use.zone
+	case SameEndpoint:
+		seen = seen && first.endpoint == use.endpoint
+	}
+	if !seen {
+		d.seenKeys[key] = use
+	}
+	return seen
+}
+
+// forgetKeys drops, once in a retention, the keys that are older than it.
+func (d *destination) forgetKeys(now time.Duration) {
+	if now < d.sweepAt {
+		return
+	}
+	for key, use := range d.seenKeys {
+		if now-use.at >= d.KeyRetention {
+			delete(d.seenKeys, key)
 		}
-		d.sweepAt = m.now + d.KeyRetention
 	}
+	d.sweepAt = now + d.KeyRetention
 }
--- a/internal/partner/model.go
+++ b/internal/partner/model.go
@@ -1,3 +1,7 @@
+// Package partner models partner systems: their endpoints, limits, queues, connections, kept keys, faults and slow
+// starts after an outage. It does no I/O, takes the time as a parameter and draws from a random source of its own, so
+// that the same calls at the same times have the same results. internal/simulation drives it in virtual time and
+// internal/harness on sockets; neither may add behavior of its own.
 package partner
 
 import (
@@ -10,27 +14,27 @@
 	"cleathold/internal/timeline"
 )
 
-// Model is a set of destinations. It is not safe for concurrent use. Times are
-// counted from its start and never go back.
+// Model is a set of destinations. It is not safe for concurrent use. Times are counted from its start and never go
+// back.
 type Model struct {
 	rng          *rand.Rand
 	now          time.Duration
 	destinations map[int]*destination
 	endpoints    map[string]*endpoint
-	jobs         map[uint64]*job
+	jobs         map[uint64]*job // by the ids of their calls
 	agenda       timeline.Queue[agendaEntry]
 	answers      []Answer
 	effects      []Effect
 	overloads    []Overload
-	serial       uint64
+	serial       uint64 // of the latest entry in the agenda
 }
 
 type destination struct {
 	Spec
-	route     *route
-	endpoints []*endpoint
+	route     *route      // of its endpoints, unless they have separate ones
+	endpoints []*endpoint // but the removed ones
 	seenKeys  map[string]keyUse
-	sweepAt   time.Duration // keys are looked through then
+	sweepAt   time.Duration // when old keys are dropped next
 }
 
 type endpoint struct {
@@ -39,19 +43,20 @@
 	route   *route
 	fault   Fault
 	running []*job
-	queue   []*job
-	conns   int
+	queue   []*job // calls that wait for a server
+	conns   int    // open connections
 	removed bool
 }
 
-// New makes a model; each seed draws its own times.
+// New returns a model without destinations. The seed is that of its random source.
 func New(seed uint64) *Model {
 	return &Model{
-		rng: rand.New(rand.NewPCG(seed, 11)), destinations: map[int]*destination{}, endpoints: map[string]*endpoint{}, jobs: map[uint64]*job{},
+		rng: rand.New(rand.NewPCG(seed, 11)), destinations: map[int]*destination{}, endpoints: map[string]*endpoint{},
+		jobs: map[uint64]*job{},
 	}
 }
 
-// Add puts a destination in.
+// Add adds a destination with its endpoints. It returns the error of Spec.Check, or one for a number that is taken.
 func (m *Model) Add(s Spec) error {
 	if err := s.Check(); err != nil {
 		return err
@@ -70,7 +75,8 @@
 	return nil
 }
 
-// Join adds an endpoint to a destination.
+// Join adds an endpoint to a destination. It returns an error for an unknown destination and an id that was used
+// before.
 func (m *Model) Join(now time.Duration, to int, s EndpointSpec) error {
 	m.Advance(now)
 	d := m.destinations[to]
@@ -86,8 +92,8 @@
 	return nil
 }
 
-// Leave takes an endpoint away: its connections break. Its id is not used again,
-// though its address may be.
+// Leave removes an endpoint, whose connections break. Its id must not be used again. It returns ErrUnknown for an
+// endpoint that the model does not have.
 func (m *Model) Leave(now time.Duration, id string) error {
 	m.Advance(now)
 	e := m.endpoints[id]
@@ -100,25 +106,26 @@
 	return nil
 }
 
-// SetFault gives an endpoint a trouble, or takes it away. From an outage it returns cold.
-func (m *Model) SetFault(now time.Duration, id string, t Fault) error {
+// SetFault sets an endpoint's fault; the zero Fault ends it. After an outage the endpoint's route warms up. It returns
+// ErrUnknown for an endpoint that was removed or that the model does not have.
+func (m *Model) SetFault(now time.Duration, id string, f Fault) error {
 	m.Advance(now)
 	e := m.endpoints[id]
 	if e == nil || e.removed {
 		return ErrUnknown
 	}
 	old := e.fault
-	if old.Mode == Paused && t.Mode != Paused { // all that stood goes on
+	if old.Mode == Paused && f.Mode != Paused { // work goes on from here
 		for _, j := range e.running {
 			j.since = m.now
 		}
 	}
 	m.updateWork(e)
-	e.fault = t
+	e.fault = f
 	switch {
-	case t.Mode == Down || t.Mode == Overloaded:
+	case f.Mode == Down || f.Mode == Overloaded:
 		m.resetAll(e)
-	case old.Outage() && !t.Outage() && e.othersDown():
+	case old.Outage() && !f.Outage() && e.othersDown():
 		r := e.route
 		r.warming, r.recoveredAt, r.arrivals = true, m.now, nil
 	}
@@ -127,7 +134,7 @@
 	return nil
 }
 
-// Fault tells what ails an endpoint.
+// Fault returns an endpoint's fault; Down for one that the model does not have.
 func (m *Model) Fault(id string) Fault {
 	if e := m.endpoints[id]; e != nil {
 		return e.fault
@@ -135,8 +142,8 @@
 	return Fault{Mode: Down}
 }
 
-// othersDown tells whether all others of an endpoint's route are out: a destination
-// of which some endpoints went on serving is not cold.
+// othersDown reports whether the other endpoints of its route are down, too. A route of which some endpoints went on
+// serving does not warm up.
 func (e *endpoint) othersDown() bool {
 	if e.route.endpoint != nil {
 		return true
@@ -149,26 +156,26 @@
 	return true
 }
 
-// Answers returns the answers since it was last asked, in the order of their times.
+// Answers returns the answers since the last call of it, in the order of their times.
 func (m *Model) Answers() []Answer {
 	list := m.answers
 	m.answers = nil
 	return list
 }
 
-// Effects returns the effects since it was last asked.
+// Effects returns the effects since the last call of it.
 func (m *Model) Effects() []Effect {
 	list := m.effects
 	m.effects = nil
 	return list
 }
 
-// Overloads returns what was pushed over since it was last asked.
+// Overloads returns the overloads since the last call of it.
 func (m *Model) Overloads() []Overload {
 	list := m.overloads
 	m.overloads = nil
 	return list
 }
 
-// ErrUnknown tells of an endpoint that the model does not have.
+// ErrUnknown is returned for an endpoint that the model does not have.
 var ErrUnknown = errors.New("partner: no such endpoint")
--- a/internal/partner/schedule.go
+++ b/internal/partner/schedule.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// An agendaEntry of the agenda; one whose version is not its job's any more is void.
+// An agendaEntry is a time at which a job ends or changes its speed. It is void once the job has another version.
 type agendaEntry struct {
 	version uint64
 	job     *job
 }
 
-// speed is how fast an endpoint works now.
+// speed returns how fast an endpoint works now; 1 is its full speed.
 func (m *Model) speed(e *endpoint) float64 {
 	x := m.capacity(e.route)
 	switch {
@@ -23,7 +23,7 @@
 	return x
 }
 
-// updateWork enters what the running jobs of an endpoint have done so far.
+// updateWork subtracts what the running jobs of an endpoint have done since the last update.
 func (m *Model) updateWork(e *endpoint) {
 	x := m.speed(e)
 	for _, j := range e.running {
@@ -32,20 +32,19 @@
 	}
 }
 
-// schedule plans the ends of an endpoint's running jobs at its present speed. One
-// that warms up is looked at again from time to time.
+// schedule enters the ends of an endpoint's running jobs, at its present speed, into the agenda. While the endpoint
+// warms up its speed changes, and the ends are computed again from time to time.
 func (m *Model) schedule(e *endpoint) {
-	const look = 250 * time.Millisecond
+	const interval = 250 * time.Millisecond // between computations while it warms up
 	x := m.speed(e)
 	for _, j := range e.running {
 		if x <= 0 {
 			j.version = 0
 			continue
 		}
-		j.endsAt = m.now + time.Duration(math.Ceil(float64(j.workLeft)/x))
-		at := j.endsAt
+		at := m.now + time.Duration(math.Ceil(float64(j.workLeft)/x))
 		if x < 1 && e.route.warming {
-			at = min(at, m.now+look)
+			at = min(at, m.now+interval)
 		}
 		m.serial++
 		j.version = m.serial
@@ -53,13 +52,13 @@
 	}
 }
 
-// startQueued gives free servers the calls that wait.
+// startQueued gives the calls that wait to free servers.
 func (m *Model) startQueued(e *endpoint) {
 	started := false
 	for len(e.running) < e.dest.Servers && len(e.queue) > 0 {
 		j := e.queue[0]
 		e.queue = e.queue[1:]
-		j.running, j.since = true, m.now
+		j.since = m.now
 		e.running = append(e.running, j)
 		started = true
 	}
@@ -69,22 +68,22 @@
 	}
 }
 
-// Next is when something happens by itself; false where nothing will.
+// Next returns the next time at which the model changes by itself; false where there is none.
 func (m *Model) Next() (time.Duration, bool) {
 	for {
-		at, e, some := m.agenda.First()
-		if !some || e.version == e.job.version {
-			return at, some
+		at, e, ok := m.agenda.First()
+		if !ok || e.version == e.job.version {
+			return at, ok
 		}
 		m.agenda.Pop()
 	}
 }
 
-// Advance lets the time pass. What happens meanwhile happens at its own instant.
+// Advance moves the time on. What happens meanwhile happens at its own time.
 func (m *Model) Advance(now time.Duration) {
 	for {
-		at, some := m.Next()
-		if !some || at > now {
+		at, ok := m.Next()
+		if !ok || at > now {
 			break
 		}
 		_, due := m.agenda.Pop()
--- a/internal/partner/spec.go
+++ b/internal/partner/spec.go
@@ -1,8 +1,3 @@
-// Package partner models partner systems: their endpoints, limits, queues,
-// connections, memories of keys, troubles and cold returns. It does no I/O, takes
-// the time as a parameter and draws from a random source of its own, so that the
-// same calls at the same times have the same ends. Fronts on sockets and in virtual
-// time drive it, and add no behaviour.
 package partner
 
 import (
@@ -10,83 +5,83 @@
 	"time"
 )
 
-// Scope says where a repeat with a known key is dropped.
+// Scope is where a message is dropped whose key was seen before.
 type Scope uint8
 
 // The scopes.
 const (
-	AllEndpoints Scope = iota
+	AllEndpoints Scope = iota // of the destination
 	SameZone
 	SameEndpoint
 )
 
-// Spec describes one destination.
+// Spec describes a destination.
 type Spec struct {
 	Dest           int
 	Kind           string
 	Endpoints      []EndpointSpec
-	SeparateRoutes bool // endpoints are routes apart: own limit, waits, outages
+	SeparateRoutes bool // each endpoint has its own limit, waits and outages
 	Limit          Limit
-	// RetryAfterShare is the part of the refusals that tell how long to wait: to the end of
-	// the span or of the closure where these are known, else Wait.
+	// RetryAfterShare is the part of the rejections, from 0 to 1, that tell how long to wait: to the end of the window
+	// or of the fault where these are known, else RetryAfter.
 	RetryAfterShare float64
 	RetryAfter      time.Duration
 
 	Mean           time.Duration // of the service time of a call with one message
-	CV             float64       // its coefficient of variation; 0 = always the mean
+	CV             float64       // its coefficient of variation; 0: always the mean
 	ItemCost       float64       // what each further message of a call adds, as a part of the mean
 	Servers        int           // calls that an endpoint serves at once
-	QueueLength    int           // calls that wait behind them
+	QueueLength    int           // calls that may wait for a server
 	MaxBatch       int           // messages in a call at most
-	MaxConnections int           // connections an endpoint holds, idle ones counted; 0 = any number
+	MaxConnections int           // connections of an endpoint, idle ones included; 0: any number
 	ConnCost       time.Duration // added to the first call on a connection
 
-	KeyRetention time.Duration // a repeat with a key is dropped for so long; 0 = never
+	KeyRetention time.Duration // how long keys are kept to drop repeats; 0: not at all
 	KeyScope     Scope
-	// StopsOnCancel is the part of the cancelled calls whose work ends with that.
+	// StopsOnCancel is the part of the canceled calls, from 0 to 1, on which work stops.
 	StopsOnCancel float64
 
-	ColdCapacity   float64       // share of its capacity as it returns
-	WarmUp         time.Duration // time by which it has all of it
-	OverloadFactor float64       // times its present capacity that push it over...
-	OverloadWindow time.Duration // ...when they come for so long; 0 = it never falls
+	ColdCapacity   float64       // part of its capacity as it recovers from an outage, above 0
+	WarmUp         time.Duration // time until it has all of it
+	OverloadFactor float64       // calls, as a multiple of its present capacity, that overload it...
+	OverloadWindow time.Duration // ...when they come for this long; 0: it is never overloaded
 }
 
-// EndpointSpec is one endpoint of a destination.
+// EndpointSpec describes an endpoint of a destination.
 type EndpointSpec struct {
 	ID   string
 	Zone int
 }
 
-// Check tells what in a description makes no sense.
+// Check returns an error for a description that makes no sense.
 func (s *Spec) Check() error {
-	bad := func(format string, args ...any) error {
+	invalid := func(format string, args ...any) error {
 		return fmt.Errorf("destination %d: %s", s.Dest, fmt.Sprintf(format, args...))
 	}
 	seen := map[string]bool{}
 	for _, e := range s.Endpoints {
 		if e.ID == "" || seen[e.ID] {
-			return bad("an endpoint without id, or two of id %q", e.ID)
+			return invalid("an endpoint without id, or two of id %q", e.ID)
 		}
 		seen[e.ID] = true
 	}
 	switch {
 	case len(s.Endpoints) == 0:
-		return bad("no endpoints")
+		return invalid("no endpoints")
 	case s.Limit.Form != NoLimit && s.Limit.PerSecond <= 0:
-		return bad("a limit of %g a second", s.Limit.PerSecond)
+		return invalid("a limit of %g a second", s.Limit.PerSecond)
 	case s.Limit.Form == Window && s.Limit.Window <= 0:
-		return bad("a window without a span")
+		return invalid("a window without a span")
 	case s.RetryAfterShare < 0 || s.RetryAfterShare > 1 || s.StopsOnCancel < 0 || s.StopsOnCancel > 1:
-		return bad("a share outside 0 to 1")
+		return invalid("a share outside 0 to 1")
 	case s.Mean <= 0 || s.CV < 0 || s.ItemCost < 0:
-		return bad("service time")
+		return invalid("service time")
 	case s.Servers < 1 || s.QueueLength < 0 || s.MaxBatch < 1 || s.MaxConnections < 0:
-		return bad("servers, depth, batch or connections out of range")
+		return invalid("servers, depth, batch or connections out of range")
 	case s.ColdCapacity <= 0 || s.ColdCapacity > 1:
-		return bad("cold-from: more than 0, 1 at most")
+		return invalid("cold-from: more than 0, 1 at most")
 	case s.OverloadWindow > 0 && s.OverloadFactor <= 1:
-		return bad("it would fall over at its capacity")
+		return invalid("it would fall over at its capacity")
 	}
 	return nil
 }
--- a/internal/partner/warmup.go
+++ b/internal/partner/warmup.go
@@ -1,24 +1,23 @@
 package partner
 
-import (
-	"time"
-)
+import "time"
 
-// Overload is a destination, or route, that was pushed over.
+// Overload is a route that was overloaded while it was warming up. All its endpoints go down.
 type Overload struct {
 	At            time.Duration
 	Dest          int
-	Endpoint      string        // of a route apart; else empty
-	RecoveredAt   time.Duration // its return
-	CallsBySender map[int]int   // calls in the window, by sender
+	Endpoint      string        // of a separate route; else empty
+	RecoveredAt   time.Duration // when its outage ended
+	CallsBySender map[int]int   // calls within OverloadWindow, by sender
 }
 
+// An arrival is a call that reached a route.
 type arrival struct {
 	at     time.Duration
 	sender int
 }
 
-// Capacity is the part of its capacity that an endpoint's route has now.
+// Capacity returns the part of its full capacity, up to 1, that an endpoint's route has now; 0 for an unknown endpoint.
 func (m *Model) Capacity(id string) float64 {
 	if e := m.endpoints[id]; e != nil {
 		return m.capacity(e.route)
@@ -26,6 +25,7 @@
 	return 0
 }
 
+// capacity returns the part of its full capacity that a route has now: it rises from ColdCapacity to 1 within WarmUp.
 func (m *Model) capacity(r *route) float64 {
 	d := r.dest
 	if !r.warming {
@@ -38,8 +38,8 @@
 	return d.ColdCapacity + (1-d.ColdCapacity)*float64(m.now-r.recoveredAt)/float64(d.WarmUp)
 }
 
-// ratedCapacity is the calls a second at which a warm route is at its capacity: what its
-// servers do. Its limit lies below that.
+// ratedCapacity returns the calls a second that the servers of a route can do at full capacity. Its limit is below
+// that.
 func (r *route) ratedCapacity() float64 {
 	servers := r.dest.Servers * max(1, len(r.dest.endpoints))
 	if r.endpoint != nil {
@@ -48,7 +48,8 @@
 	return float64(servers) / r.dest.Mean.Seconds()
 }
 
-// checkOverload counts what reaches a cold route, refused or not, and pushes it over.
+// checkOverload counts a call, rejected or not, that reaches a route which warms up, and takes the route down if it is
+// overloaded.
 func (m *Model) checkOverload(r *route, sender int) {
 	d := r.dest
 	if m.capacity(r) >= 1 || d.OverloadWindow <= 0 {
@@ -59,14 +60,14 @@
 	for len(r.arrivals) > 0 && m.now-r.arrivals[0].at >= d.OverloadWindow {
 		r.arrivals = r.arrivals[1:]
 	}
-	const slack = 2 // calls; for chance
+	const slack = 2 // calls beyond the budget that may come by chance
 	budget := d.OverloadFactor*m.capacity(r)*r.ratedCapacity()*d.OverloadWindow.Seconds() + slack
 	if float64(len(r.arrivals)) <= budget {
 		return
 	}
-	f := Overload{At: m.now, Dest: d.Dest, RecoveredAt: r.recoveredAt, CallsBySender: map[int]int{}}
-	for _, p := range r.arrivals {
-		f.CallsBySender[p.sender]++
+	o := Overload{At: m.now, Dest: d.Dest, RecoveredAt: r.recoveredAt, CallsBySender: map[int]int{}}
+	for _, a := range r.arrivals {
+		o.CallsBySender[a.sender]++
 	}
 	r.arrivals = nil
 	for _, e := range d.endpoints {
@@ -78,7 +79,7 @@
 		m.resetAll(e)
 	}
 	if r.endpoint != nil {
-		f.Endpoint = r.endpoint.ID
+		o.Endpoint = r.endpoint.ID
 	}
-	m.overloads = append(m.overloads, f)
+	m.overloads = append(m.overloads, o)
 }
