--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -31,14 +31,14 @@
 
 	of, to map[string]bool // to nil: all that are not in of
 	oneWay bool
-	part   map[string]int // of a fleet in parts: which one a sender is in
+	sideOf map[string]int // of a fleet in parts: which one a sender is in
 }
 
-// hits tells whether it ails the way from one party to another.
-func (l *PlannedLink) hits(from, to string) bool {
-	if l.part != nil {
-		a, is := l.part[from]
-		b, are := l.part[to]
+// affects tells whether it ails the way from one party to another.
+func (l *PlannedLink) affects(from, to string) bool {
+	if l.sideOf != nil {
+		a, is := l.sideOf[from]
+		b, are := l.sideOf[to]
 		return is && are && a != b
 	}
 	there := func(a, b string) bool { return l.of[a] && (l.to[b] || l.to == nil && !l.of[b]) }
@@ -52,7 +52,7 @@
 		if l.From > at {
 			break
 		}
-		if at < l.To && l.hits(from, to) {
+		if at < l.To && l.affects(from, to) {
 			w = l.Way
 		}
 	}
@@ -78,8 +78,8 @@
 	oneEndpoint = "endpoint/"
 )
 
-// knows tells whether a script may name a party so. Which endpoints there are is drawn later.
-func (s *Scenario) knows(name string) bool {
+// knowsParty tells whether a script may name a party so. Which endpoints there are is drawn later.
+func (s *Scenario) knowsParty(name string) bool {
 	if num, is := strings.CutPrefix(name, "n"); is {
 		if i, err := strconv.Atoi(num); err == nil {
 			return i >= 0 && i < s.Senders && name == Sender(i)
@@ -149,17 +149,17 @@
 		if x.of = p.parties(of); len(l.To) > 0 {
 			x.to = p.parties(l.To)
 		}
-		x.Text = l.LinkState.text() + " between " + some(of) + " and " + some(l.To)
+		x.Text = l.LinkState.describe() + " between " + summarize(of) + " and " + summarize(l.To)
 		if l.OneWay {
-			x.Text = l.LinkState.text() + " from " + some(of) + " to " + some(l.To)
+			x.Text = l.LinkState.describe() + " from " + summarize(of) + " to " + summarize(l.To)
 		}
 		p.Links = append(p.Links, x)
 	}
 	for _, c := range p.Scenario.Partitions {
-		x := PlannedLink{From: c.At.seconds(rng), Way: c.LinkState, part: map[string]int{}, Text: fmt.Sprintf("%s between %d parts of the senders", c.LinkState.text(), c.Sides)}
+		x := PlannedLink{From: c.At.seconds(rng), Way: c.LinkState, sideOf: map[string]int{}, Text: fmt.Sprintf("%s between %d parts of the senders", c.LinkState.describe(), c.Sides)}
 		x.To = x.From + c.Length.seconds(rng)
 		for i, num := range rng.Perm(n) {
-			x.part[Sender(num)] = i % c.Sides
+			x.sideOf[Sender(num)] = i % c.Sides
 		}
 		p.Links = append(p.Links, x)
 	}
@@ -203,8 +203,8 @@
 	slices.SortStableFunc(p.Orders, func(a, b PlannedOrder) int { return cmp.Compare(a.At, b.At) })
 }
 
-// some names a few of the parties.
-func some(names []string) string {
+// summarize names a few of the parties.
+func summarize(names []string) string {
 	switch {
 	case len(names) == 0:
 		return "all others"
@@ -214,8 +214,8 @@
 	return strings.Join(names, ", ")
 }
 
-// text is what ails a way, in a word or two.
-func (w LinkState) text() string {
+// describe is what ails a way, in a word or two.
+func (w LinkState) describe() string {
 	switch {
 	case w.Cut:
 		return "cut"
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -35,13 +35,13 @@
 		},
 	}
 	names := starlark.StringDict{}
-	for word := range modes {
+	for word := range faultModes {
 		names[word] = starlark.String(word)
 	}
 	for name, f := range map[string]func(*args) error{
 		"scenario": s.setScenario, "kind": s.addKind, "fleet": s.addFleet, "traffic": s.setTraffic, "message_class": s.addClass,
-		"tenant": s.addTenant, "trouble": s.addTrouble, "burst": s.addBurst, "hot": s.addHot, "sender": s.addDeed, "churn": s.addChurn,
-		"ramp": s.addRamp, "discovery_out": s.addBlind, "agents": s.setAgents, "agent": s.addAgentDeed, "order": s.addOrder, "link": s.addLink, "parts": s.addPart,
+		"tenant": s.addTenant, "trouble": s.addFault, "burst": s.addBurst, "hot": s.addHotKeys, "sender": s.addAction, "churn": s.addChurn,
+		"ramp": s.addRatePoint, "discovery_out": s.addDiscoveryOutage, "agents": s.setAgents, "agent": s.addAgentAction, "order": s.addOrder, "link": s.addLink, "parts": s.addPartition,
 	} {
 		names[name] = starlark.NewBuiltin(name, func(_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
 			if len(given) > 0 {
@@ -57,7 +57,7 @@
 			return starlark.None, a.done()
 		})
 	}
-	left := maps.Clone(figures)
+	unused := maps.Clone(figures)
 	names["param"] = starlark.NewBuiltin("param", func(_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
 		var name string
 		var usual starlark.Value
@@ -67,11 +67,11 @@
 		if _, isNumber := starlark.AsFloat(usual); !isNumber {
 			return nil, fmt.Errorf("param: usual: got %s, want a number", usual.Type())
 		}
-		v, told := figures[name]
-		delete(left, name)
-		if _, whole := usual.(starlark.Int); told && whole && v == math.Trunc(v) {
+		v, set := figures[name]
+		delete(unused, name)
+		if _, isInt := usual.(starlark.Int); set && isInt && v == math.Trunc(v) {
 			return starlark.MakeInt64(int64(v)), nil
-		} else if told {
+		} else if set {
 			return starlark.Float(v), nil
 		}
 		return usual, nil
@@ -79,8 +79,8 @@
 	if _, err := settings.Exec(path, text, names); err != nil {
 		return nil, err
 	}
-	if len(left) > 0 {
-		return nil, &settings.Error{File: path, Text: fmt.Sprintf("no param(%q) in it", slices.Min(slices.Collect(maps.Keys(left))))}
+	if len(unused) > 0 {
+		return nil, &settings.Error{File: path, Text: fmt.Sprintf("no param(%q) in it", slices.Min(slices.Collect(maps.Keys(unused))))}
 	}
 	if err := s.check(); err != nil {
 		return nil, &settings.Error{File: path, Text: err.Error()}
@@ -88,8 +88,8 @@
 	return s, nil
 }
 
-// modes are the words for what may ail a partner.
-var modes = map[string]partner.Mode{
+// faultModes are the words for what may ail a partner.
+var faultModes = map[string]partner.Mode{
 	"DOWN": partner.Down, "SHUT": partner.Shut, "SILENT": partner.Unresponsive, "FAILING": partner.ReturningErrors, "SLOW": partner.Slow,
 	"PAUSED": partner.Paused, "BREAKING": partner.BreakingConnections, "SPOILING": partner.GarblingAnswers, "CUT": partner.LimitReduced,
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-func (a *args) count(name string, to *int) {
+func (a *args) integer(name string, to *int) {
 	if v, ok := a.take(name); ok {
 		i, err := starlark.AsInt32(v)
 		if err != nil {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (a *args) span(name string, to *time.Duration) {
+func (a *args) duration(name string, to *time.Duration) {
 	f := to.Seconds()
 	a.number(name, &f)
 	if f < 0 || f > 1e7 || f != f {
@@ -155,8 +155,8 @@
 	*to = time.Duration(f * float64(time.Second))
 }
 
-// between takes a number, or two as a range.
-func (a *args) between(name string, to *Range) {
+// numberRange takes a number, or two as a range.
+func (a *args) numberRange(name string, to *Range) {
 	v, ok := a.take(name)
 	if !ok {
 		return
@@ -188,7 +188,7 @@
 	}
 }
 
-func (a *args) yes(name string, to *bool) {
+func (a *args) boolean(name string, to *bool) {
 	if v, ok := a.take(name); ok {
 		b, isBool := v.(starlark.Bool)
 		if !isBool {
@@ -203,10 +203,10 @@
 		return errors.New("called twice")
 	}
 	a.text("name", &s.Name)
-	a.span("seconds", &s.Length)
-	a.count("senders", &s.Senders)
-	a.between("slots", &s.InFlight)
-	a.between("hold", &s.OpenMessages)
+	a.duration("seconds", &s.Length)
+	a.integer("senders", &s.Senders)
+	a.numberRange("slots", &s.InFlight)
+	a.numberRange("hold", &s.OpenMessages)
 	if a.number("notes_lost", &s.GossipLoss); s.GossipLoss < 0 || s.GossipLoss > 1 {
 		a.fail("notes_lost", "a part from 0 to 1", starlark.Float(s.GossipLoss))
 	}
@@ -232,21 +232,21 @@
 	form := "rate"
 	a.text("name", &k.Name)
 	a.text("limit", &form)
-	a.between("headroom", &k.Headroom)
-	a.between("least", &k.MinLimit)
-	a.span("span", &k.Span)
-	a.yes("refused_count", &k.CountRejected)
-	a.between("tells_wait", &k.RetryAfterShare)
-	a.between("wait", &k.RetryAfter)
-	a.between("spare", &k.SpareCapacity)
-	a.between("depth", &k.QueueLength)
-	a.between("cv", &k.CV)
-	a.count("batch", &k.Batch)
-	a.between("item_cost", &k.ItemCost)
-	a.yes("apart", &k.SeparateRoutes)
-	a.between("conns", &k.Connections)
-	a.between("least_conns", &k.MinConnections)
-	a.between("endpoints", &k.Endpoints)
+	a.numberRange("headroom", &k.Headroom)
+	a.numberRange("least", &k.MinLimit)
+	a.duration("span", &k.Span)
+	a.boolean("refused_count", &k.CountRejected)
+	a.numberRange("tells_wait", &k.RetryAfterShare)
+	a.numberRange("wait", &k.RetryAfter)
+	a.numberRange("spare", &k.SpareCapacity)
+	a.numberRange("depth", &k.QueueLength)
+	a.numberRange("cv", &k.CV)
+	a.integer("batch", &k.Batch)
+	a.numberRange("item_cost", &k.ItemCost)
+	a.boolean("apart", &k.SeparateRoutes)
+	a.numberRange("conns", &k.Connections)
+	a.numberRange("least_conns", &k.MinConnections)
+	a.numberRange("endpoints", &k.Endpoints)
 	switch form {
 	case "rate":
 		k.Form = partner.Rate
@@ -267,9 +267,9 @@
 func (s *Scenario) addFleet(a *args) error {
 	f := Fleet{Weight: 1, Destinations: Range{10, 10}}
 	a.text("kind", &f.Kind)
-	a.between("destinations", &f.Destinations)
+	a.numberRange("destinations", &f.Destinations)
 	a.number("weight", &f.Weight)
-	a.count("endpoints", &f.Endpoints)
+	a.integer("endpoints", &f.Endpoints)
 	if f.Destinations.From < 1 || f.Destinations.To > 100_000 || !(f.Weight > 0) || f.Endpoints < 0 || f.Endpoints > 1000 {
 		return errors.Join(a.err, errors.New("destinations: 1 to 100,000; weight: above 0; endpoints of each: 1,000 at most"))
 	}
@@ -279,15 +279,15 @@
 
 func (s *Scenario) setTraffic(a *args) error {
 	t := &s.Traffic
-	a.between("rate", &t.Rate)
-	a.between("zipf", &t.Zipf)
-	a.between("clumps", &t.Clumps)
-	a.between("clump", &t.Clump)
-	a.count("retries", &t.Retries)
-	a.between("retry_in", &t.RetryDelay)
-	a.between("again_in", &t.ResubmitDelay)
-	a.between("body", &t.Body)
-	a.span("patience", &t.Patience)
+	a.numberRange("rate", &t.Rate)
+	a.numberRange("zipf", &t.Zipf)
+	a.numberRange("clumps", &t.Clumps)
+	a.numberRange("clump", &t.Clump)
+	a.integer("retries", &t.Retries)
+	a.numberRange("retry_in", &t.RetryDelay)
+	a.numberRange("again_in", &t.ResubmitDelay)
+	a.numberRange("body", &t.Body)
+	a.duration("patience", &t.Patience)
 	if t.Clumps.To > 1 || t.Retries < 0 || t.Retries > 100 || t.Body.To > 64<<10 {
 		return errors.Join(a.err, errors.New("clumps: 0 to 1; retries: 0 to 100; body: 65,536 bytes at most"))
 	}
@@ -298,11 +298,11 @@
 	c := Class{PriorityWeight: 1, Effect: "safe"}
 	a.text("name", &c.Name)
 	a.number("share", &c.Share)
-	a.between("service", &c.Service)
-	a.span("aim", &c.LatencyObjective)
-	a.span("deadline", &c.Deadline)
+	a.numberRange("service", &c.Service)
+	a.duration("aim", &c.LatencyObjective)
+	a.duration("deadline", &c.Deadline)
 	a.text("effect", &c.Effect)
-	a.span("memory", &c.KeyRetention)
+	a.duration("memory", &c.KeyRetention)
 	a.number("late", &c.LateWeight)
 	a.number("worth", &c.PriorityWeight)
 	switch {
@@ -328,9 +328,9 @@
 	return a.err
 }
 
-func (s *Scenario) addRamp(a *args) error {
+func (s *Scenario) addRatePoint(a *args) error {
 	var p RatePoint
-	a.span("at", &p.At)
+	a.duration("at", &p.At)
 	a.number("factor", &p.Factor)
 	if n := len(s.Traffic.RateCurve); p.Factor < 0 || n > 0 && p.At <= s.Traffic.RateCurve[n-1].At {
 		return errors.Join(a.err, errors.New("points in the order of their times, factors from 0 up"))
@@ -339,21 +339,21 @@
 	return a.err
 }
 
-func (s *Scenario) addTrouble(a *args) error {
+func (s *Scenario) addFault(a *args) error {
 	t := Fault{Dest: -1, Share: Range{1, 1}, Factor: Range{2, 2}, TrafficShare: Range{1, 1}}
 	var what string
 	a.text("what", &what)
-	a.between("at", &t.At)
-	a.between("seconds", &t.Length)
-	a.between("share", &t.Share)
-	a.between("factor", &t.Factor)
-	a.between("part", &t.TrafficShare)
+	a.numberRange("at", &t.At)
+	a.numberRange("seconds", &t.Length)
+	a.numberRange("share", &t.Share)
+	a.numberRange("factor", &t.Factor)
+	a.numberRange("part", &t.TrafficShare)
 	a.text("zone", &t.Zone)
 	a.number("endpoints", &t.Endpoints)
 	a.text("kind", &t.Kind)
-	a.count("destination", &t.Dest)
-	a.yes("knows_end", &t.EndKnown)
-	mode, known := modes[what]
+	a.integer("destination", &t.Dest)
+	a.boolean("knows_end", &t.EndKnown)
+	mode, known := faultModes[what]
 	switch {
 	case !known:
 		return fmt.Errorf("what: %q is no trouble", what)
@@ -367,10 +367,10 @@
 	return a.err
 }
 
-func (s *Scenario) addBlind(a *args) error {
+func (s *Scenario) addDiscoveryOutage(a *args) error {
 	var b DiscoveryOutage
-	a.between("at", &b.At)
-	a.between("seconds", &b.Length)
+	a.numberRange("at", &b.At)
+	a.numberRange("seconds", &b.Length)
 	if b.Length.From <= 0 {
 		return errors.Join(a.err, errors.New("seconds above 0 are needed"))
 	}
@@ -380,9 +380,9 @@
 
 func (s *Scenario) addBurst(a *args) error {
 	var b Burst
-	a.between("at", &b.At)
-	a.between("seconds", &b.Length)
-	a.between("factor", &b.Factor)
+	a.numberRange("at", &b.At)
+	a.numberRange("seconds", &b.Length)
+	a.numberRange("factor", &b.Factor)
 	if b.Length.From <= 0 || b.Factor.From < 1 {
 		return errors.Join(a.err, errors.New("seconds above 0 and a factor from 1 up are needed"))
 	}
@@ -390,12 +390,12 @@
 	return a.err
 }
 
-func (s *Scenario) addHot(a *args) error {
+func (s *Scenario) addHotKeys(a *args) error {
 	h := HotKeys{Keys: 1}
-	a.between("at", &h.At)
-	a.between("seconds", &h.Length)
-	a.between("share", &h.Share)
-	a.count("destinations", &h.Keys)
+	a.numberRange("at", &h.At)
+	a.numberRange("seconds", &h.Length)
+	a.numberRange("share", &h.Share)
+	a.integer("destinations", &h.Keys)
 	if h.Length.From <= 0 || h.Share.From <= 0 || h.Share.To >= 1 || h.Keys < 1 {
 		return errors.Join(a.err, errors.New("seconds above 0, a share between 0 and 1, and destinations from 1 up are needed"))
 	}
@@ -403,18 +403,18 @@
 	return a.err
 }
 
-func (s *Scenario) addDeed(a *args) error {
+func (s *Scenario) addAction(a *args) error {
 	d := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
-	a.between("at", &d.At)
-	a.between("seconds", &d.Length)
-	a.count("number", &d.Sender)
+	a.numberRange("at", &d.At)
+	a.numberRange("seconds", &d.Length)
+	a.integer("number", &d.Sender)
 	a.number("share", &d.Share)
-	a.between("spread", &d.Spread)
+	a.numberRange("spread", &d.Spread)
 	a.text("what", &d.What)
 	a.number("slots", &d.InFlight)
 	a.number("hold", &d.OpenMessages)
-	if _, known := deeds[d.What]; !known {
-		return errors.Join(a.err, fmt.Errorf("what: %q is none of %s", d.What, strings.Join(slices.Sorted(maps.Keys(deeds)), ", ")))
+	if _, known := senderActions[d.What]; !known {
+		return errors.Join(a.err, fmt.Errorf("what: %q is none of %s", d.What, strings.Join(slices.Sorted(maps.Keys(senderActions)), ", ")))
 	}
 	switch {
 	case (d.Sender < 0) == (d.Share == 0) || d.Share < 0 || d.Share > 1:
@@ -434,11 +434,11 @@
 
 func (s *Scenario) setAgents(a *args) error {
 	x := Agents{Fleet: 1, Lease: 10 * time.Second}
-	a.count("number", &x.Number)
-	a.count("fleet", &x.Fleet)
-	a.count("building", &x.Building)
-	a.count("serving", &x.Serving)
-	a.span("lease", &x.Lease)
+	a.integer("number", &x.Number)
+	a.integer("fleet", &x.Fleet)
+	a.integer("building", &x.Building)
+	a.integer("serving", &x.Serving)
+	a.duration("lease", &x.Lease)
 	switch {
 	case s.Agents.Number > 0:
 		return errors.New("called twice")
@@ -449,11 +449,11 @@
 	return a.err
 }
 
-func (s *Scenario) addAgentDeed(a *args) error {
+func (s *Scenario) addAgentAction(a *args) error {
 	var d AgentAction
-	a.between("at", &d.At)
-	a.between("seconds", &d.Length)
-	a.count("number", &d.Agent)
+	a.numberRange("at", &d.At)
+	a.numberRange("seconds", &d.Length)
+	a.integer("number", &d.Agent)
 	a.text("what", &d.What)
 	switch {
 	case d.What != "kill" && d.What != "wipe" && d.What != "stop":
@@ -467,13 +467,13 @@
 
 func (s *Scenario) addOrder(a *args) error {
 	o := Order{Hold: Range{1, 1}}
-	a.between("at", &o.At)
-	a.count("agent", &o.Agent)
+	a.numberRange("at", &o.At)
+	a.integer("agent", &o.Agent)
 	a.text("what", &o.What)
 	a.names("of", &o.Of)
-	a.between("hold", &o.Hold)
-	a.yes("bad", &o.Bad)
-	a.yes("go_back", &o.GoBack)
+	a.numberRange("hold", &o.Hold)
+	a.boolean("bad", &o.Bad)
+	a.boolean("go_back", &o.GoBack)
 	if !slices.Contains([]string{"drain", "release", "halt", "resume", "back"}, o.What) {
 		return errors.Join(a.err, fmt.Errorf("what: %q is none of drain, release, halt, resume, back", o.What))
 	}
@@ -481,12 +481,12 @@
 	return a.err
 }
 
-// way reads what ails a way.
-func (a *args) way(w *LinkState) error {
+// linkState reads what ails a way.
+func (a *args) linkState(w *LinkState) error {
 	what := ""
 	a.text("what", &what)
-	a.span("delay", &w.Delay)
-	a.span("jitter", &w.Jitter)
+	a.duration("delay", &w.Delay)
+	a.duration("jitter", &w.Jitter)
 	for name, to := range map[string]*float64{"loss": &w.Loss, "double": &w.Duplicate, "reorder": &w.Reorder} {
 		if a.number(name, to); *to < 0 || *to > 1 {
 			return fmt.Errorf("%s: a part from 0 to 1", name)
@@ -504,14 +504,14 @@
 	default:
 		return fmt.Errorf("what: %q is neither CUT nor SILENT", what)
 	}
-	if w.Delay+w.Jitter > wayMost {
-		return fmt.Errorf("delay and jitter: %v together at most", wayMost)
+	if w.Delay+w.Jitter > maxLinkDelay {
+		return fmt.Errorf("delay and jitter: %v together at most", maxLinkDelay)
 	}
 	return nil
 }
 
-// wayMost is how long a way may delay what passes: longer than any call's time it would be a silent one.
-const wayMost = time.Minute
+// maxLinkDelay is how long a way may delay what passes: longer than any call's time it would be a silent one.
+const maxLinkDelay = time.Minute
 
 // names reads one name, or a list of them.
 func (a *args) names(name string, to *[]string) {
@@ -540,13 +540,13 @@
 
 func (s *Scenario) addLink(a *args) error {
 	var l Link
-	a.between("at", &l.At)
-	a.between("seconds", &l.Length)
+	a.numberRange("at", &l.At)
+	a.numberRange("seconds", &l.Length)
 	a.names("of", &l.Of)
 	a.names("to", &l.To)
 	a.number("share", &l.Share)
-	a.yes("one_way", &l.OneWay)
-	if err := a.way(&l.LinkState); err != nil {
+	a.boolean("one_way", &l.OneWay)
+	if err := a.linkState(&l.LinkState); err != nil {
 		return errors.Join(a.err, err)
 	}
 	switch {
@@ -559,12 +559,12 @@
 	return a.err
 }
 
-func (s *Scenario) addPart(a *args) error {
+func (s *Scenario) addPartition(a *args) error {
 	p := Partition{Sides: 2}
-	a.between("at", &p.At)
-	a.between("seconds", &p.Length)
-	a.count("parts", &p.Sides)
-	if err := a.way(&p.LinkState); err != nil {
+	a.numberRange("at", &p.At)
+	a.numberRange("seconds", &p.Length)
+	a.integer("parts", &p.Sides)
+	if err := a.linkState(&p.LinkState); err != nil {
 		return errors.Join(a.err, err)
 	}
 	if p.Length.From <= 0 || p.Sides < 2 {
@@ -576,10 +576,10 @@
 
 func (s *Scenario) addChurn(a *args) error {
 	c := Churn{Drain: 3 * time.Second}
-	a.between("at", &c.At)
-	a.span("every", &c.Every)
-	a.span("drain", &c.Drain)
-	a.yes("reuse_address", &c.Reuse)
+	a.numberRange("at", &c.At)
+	a.duration("every", &c.Every)
+	a.duration("drain", &c.Drain)
+	a.boolean("reuse_address", &c.Reuse)
 	if c.Every > 0 && c.Every < 100*time.Millisecond {
 		return errors.Join(a.err, errors.New("every: 0.1 s at the least"))
 	}
@@ -642,7 +642,7 @@
 			return fmt.Errorf("order: no agent %d", o.Agent)
 		}
 		for _, name := range o.Of {
-			if !s.knows(name) || !strings.HasPrefix(name, "n") && !slices.Contains(s.Zones, name) {
+			if !s.knowsParty(name) || !strings.HasPrefix(name, "n") && !slices.Contains(s.Zones, name) {
 				return fmt.Errorf("order: no sender and no zone %q", name)
 			}
 		}
@@ -654,7 +654,7 @@
 	}
 	for _, l := range s.Links {
 		for _, name := range slices.Concat(l.Of, l.To) {
-			if !s.knows(name) {
+			if !s.knowsParty(name) {
 				return fmt.Errorf("link: no party %q: n0 to n%d, a zone, senders, agents, a0 and so on, discovery, clients, partners, partners/ZONE, destination/NUMBER or endpoint/ID", name, s.Senders-1)
 			}
 		}
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -26,9 +26,9 @@
 	Links            []PlannedLink // in the order in which they begin
 	DiscoveryOutages []Span        // discovery answers nobody
 	bursts           []window
-	hots             []window
-	clumps           float64
-	clump            Range
+	hotKeys          []window
+	clumpShare       float64
+	clumpSize        Range
 }
 
 // Destination is a partner system that was drawn.
@@ -74,18 +74,18 @@
 
 // The random streams: a change of one part of a script leaves the others' draws.
 const (
-	drawFleet = iota + 1
-	drawTrouble
-	drawTraffic
-	drawWindows
-	drawDeeds
-	drawChurn
-	drawBlind
-	drawLinks
-	drawAgents
+	streamFleet = iota + 1
+	streamFaults
+	streamTraffic
+	streamWindows
+	streamActions
+	streamChurn
+	streamDiscoveryOutages
+	streamLinks
+	streamAgents
 )
 
-func stream(seed, part uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, part)) }
+func randomStream(seed, part uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, part)) }
 
 func (r Range) draw(rng *rand.Rand) float64 { return r.From + (r.To-r.From)*rng.Float64() }
 
@@ -99,15 +99,15 @@
 // Plan draws a plan.
 func (s *Scenario) Plan(seed uint64) *Plan {
 	p := &Plan{Scenario: s, Seed: seed}
-	p.drawFleet(stream(seed, drawFleet))
-	p.drawTroubles(stream(seed, drawTrouble))
-	p.overlap()
-	p.drawWindows(stream(seed, drawWindows))
-	p.drawDeeds(stream(seed, drawDeeds))
-	p.drawLinks(stream(seed, drawLinks))
-	p.drawAgents(stream(seed, drawAgents))
-	p.drawChurns(stream(seed, drawChurn))
-	rng := stream(seed, drawBlind)
+	p.drawFleet(randomStream(seed, streamFleet))
+	p.drawFaults(randomStream(seed, streamFaults))
+	p.resolveOverlaps()
+	p.drawWindows(randomStream(seed, streamWindows))
+	p.drawActions(randomStream(seed, streamActions))
+	p.drawLinks(randomStream(seed, streamLinks))
+	p.drawAgents(randomStream(seed, streamAgents))
+	p.drawChurns(randomStream(seed, streamChurn))
+	rng := randomStream(seed, streamDiscoveryOutages)
 	for _, b := range s.DiscoveryOutages {
 		from := b.At.seconds(rng)
 		p.DiscoveryOutages = append(p.DiscoveryOutages, Span{from, from + b.Length.seconds(rng)})
@@ -120,7 +120,7 @@
 func (p *Plan) drawFleet(rng *rand.Rand) {
 	s := p.Scenario
 	p.Rate = s.Traffic.Rate.draw(rng)
-	p.clumps, p.clump = s.Traffic.Clumps.draw(rng), s.Traffic.Clump
+	p.clumpShare, p.clumpSize = s.Traffic.Clumps.draw(rng), s.Traffic.Clump
 	type slot struct {
 		kind      *Kind
 		weight    float64
@@ -170,11 +170,11 @@
 		}
 		d.Limit = partner.Limit{Form: k.Form, PerSecond: limit, Window: k.Span, Burst: 200 * time.Millisecond, CountRejected: k.CountRejected}
 		d.RetryAfterShare, d.RetryAfter = k.RetryAfterShare.draw(rng), k.RetryAfter.seconds(rng)
-		parts := float64(n)
+		sharing := float64(n)
 		if k.SeparateRoutes {
-			parts = 1 // each has the capacity of its own limit
+			sharing = 1 // each has the capacity of its own limit
 		}
-		capacity := limit * k.SpareCapacity.draw(rng) / parts
+		capacity := limit * k.SpareCapacity.draw(rng) / sharing
 		d.Servers = max(1, int(math.Ceil(capacity*d.Mean.Seconds())))
 		d.QueueLength = max(1, int(math.Ceil(capacity*k.QueueLength.draw(rng))))
 		if k.Connections.To > 0 {
@@ -197,21 +197,21 @@
 	}
 }
 
-// drawDeeds draws what is done to senders, and when.
-func (p *Plan) drawDeeds(rng *rand.Rand) {
+// drawActions draws what is done to senders, and when.
+func (p *Plan) drawActions(rng *rand.Rand) {
 	n := p.Scenario.Senders
 	for k, d := range p.Scenario.Actions {
 		at := d.At.seconds(rng)
-		struck := []int{d.Sender}
+		senders := []int{d.Sender}
 		if d.Sender < 0 {
-			struck = rng.Perm(n)[:max(1, int(math.Round(d.Share*float64(n))))]
+			senders = rng.Perm(n)[:max(1, int(math.Round(d.Share*float64(n))))]
 		}
 		spread := time.Duration(0)
 		if d.Spread.To > 0 {
 			spread = d.Spread.seconds(rng)
 		}
-		for i, num := range struck {
-			x := PlannedAction{At: at + spread*time.Duration(i)/time.Duration(len(struck)), Sender: num, What: d.What, InFlight: d.InFlight, OpenMessages: d.OpenMessages, Of: k}
+		for i, num := range senders {
+			x := PlannedAction{At: at + spread*time.Duration(i)/time.Duration(len(senders)), Sender: num, What: d.What, InFlight: d.InFlight, OpenMessages: d.OpenMessages, Of: k}
 			if d.Length.To > 0 {
 				x.Until = x.At + d.Length.seconds(rng)
 			}
@@ -221,56 +221,56 @@
 	slices.SortStableFunc(p.Actions, func(a, b PlannedAction) int { return cmp.Compare(a.At, b.At) })
 }
 
-// drawTroubles chooses whom a trouble strikes: as many destinations as its part of
+// drawFaults chooses whom a trouble strikes: as many destinations as its part of
 // the traffic allows, the one that was drawn first in any case.
-func (p *Plan) drawTroubles(rng *rand.Rand) {
+func (p *Plan) drawFaults(rng *rand.Rand) {
 	for i, t := range p.Scenario.Faults {
 		from := t.At.seconds(rng)
 		to := from + t.Length.seconds(rng)
-		trouble := partner.Fault{Mode: t.Mode, Share: t.Share.draw(rng), Factor: t.Factor.draw(rng)}
+		fault := partner.Fault{Mode: t.Mode, Share: t.Share.draw(rng), Factor: t.Factor.draw(rng)}
 		if t.EndKnown {
-			trouble.Until = to
+			fault.Until = to
 		}
-		part, struck := t.TrafficShare.draw(rng), 0.0
+		maxShare, total := t.TrafficShare.draw(rng), 0.0
 		for _, n := range rng.Perm(len(p.Dests)) {
 			d := &p.Dests[n]
-			var hit []string
+			var ids []string
 			for _, e := range d.Endpoints {
 				if t.Zone == "" || p.Scenario.Zones[e.Zone] == t.Zone {
-					hit = append(hit, e.ID)
+					ids = append(ids, e.ID)
 				}
 			}
-			if t.Endpoints > 0 && len(hit) > 0 {
-				rng.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
-				hit = hit[:min(len(hit), max(1, int(math.Round(t.Endpoints*float64(len(d.Endpoints))))))]
+			if t.Endpoints > 0 && len(ids) > 0 {
+				rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+				ids = ids[:min(len(ids), max(1, int(math.Round(t.Endpoints*float64(len(d.Endpoints))))))]
 			}
-			share := d.Share * float64(len(hit)) / float64(len(d.Endpoints))
-			wrong := t.Kind != "" && d.Kind != t.Kind || t.Dest >= 0 && d.Dest != t.Dest
-			if len(hit) == 0 || wrong || struck > 0 && struck+share > part {
+			share := d.Share * float64(len(ids)) / float64(len(d.Endpoints))
+			excluded := t.Kind != "" && d.Kind != t.Kind || t.Dest >= 0 && d.Dest != t.Dest
+			if len(ids) == 0 || excluded || total > 0 && total+share > maxShare {
 				continue
 			}
-			struck += share
-			for _, id := range hit {
-				p.Changes = append(p.Changes, Change{At: from, Endpoint: id, Fault: trouble, Of: i}, Change{At: to, Endpoint: id, Of: i})
+			total += share
+			for _, id := range ids {
+				p.Changes = append(p.Changes, Change{At: from, Endpoint: id, Fault: fault, Of: i}, Change{At: to, Endpoint: id, Of: i})
 			}
 		}
 	}
 }
 
-// overlap has a trouble that comes into another one, or ends in it, leave the later
+// resolveOverlaps has a trouble that comes into another one, or ends in it, leave the later
 // one in force: an endpoint has one at a time, and is well only after the last.
-func (p *Plan) overlap() {
+func (p *Plan) resolveOverlaps() {
 	slices.SortStableFunc(p.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
-	on := map[string][]Change{} // by endpoint, in the order in which they began
+	current := map[string][]Change{} // by endpoint, in the order in which they began
 	for i := range p.Changes {
 		c := &p.Changes[i]
 		if c.Fault.Mode != partner.Healthy {
-			on[c.Endpoint] = append(on[c.Endpoint], *c)
+			current[c.Endpoint] = append(current[c.Endpoint], *c)
 			continue
 		}
-		left := slices.DeleteFunc(on[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
-		if on[c.Endpoint] = left; len(left) > 0 {
-			c.Fault = left[len(left)-1].Fault
+		remaining := slices.DeleteFunc(current[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
+		if current[c.Endpoint] = remaining; len(remaining) > 0 {
+			c.Fault = remaining[len(remaining)-1].Fault
 		}
 	}
 }
@@ -282,23 +282,23 @@
 	}
 	for _, h := range p.Scenario.HotKeys {
 		from := h.At.seconds(rng)
-		p.hots = append(p.hots, window{from, from + h.Length.seconds(rng), h.Share.draw(rng), h.Keys})
+		p.hotKeys = append(p.hotKeys, window{from, from + h.Length.seconds(rng), h.Share.draw(rng), h.Keys})
 	}
 }
 
 // drawChurns replaces endpoints, one after another, none twice.
 func (p *Plan) drawChurns(rng *rand.Rand) {
 	serial := 0
-	gone := map[string]bool{}
+	replaced := map[string]bool{}
 	for _, c := range p.Scenario.Churns {
 		at := c.At.seconds(rng)
 		for at < p.Scenario.Length {
 			d := &p.Dests[rng.IntN(len(p.Dests))]
 			e := d.Endpoints[rng.IntN(len(d.Endpoints))]
-			if !gone[e.ID] {
-				gone[e.ID] = true
+			if !replaced[e.ID] {
+				replaced[e.ID] = true
 				serial++
-				fresh := &partner.EndpointSpec{ID: fmt.Sprintf("n%05d", serial), Zone: e.Zone}
+				replacement := &partner.EndpointSpec{ID: fmt.Sprintf("n%05d", serial), Zone: e.Zone}
 				address := ""
 				if c.Reuse {
 					address = e.ID
@@ -306,7 +306,7 @@
 				p.Changes = append(p.Changes,
 					Change{At: at, Endpoint: e.ID, Dest: d.Dest, Of: -1, Drains: true},
 					Change{At: at + c.Drain, Endpoint: e.ID, Dest: d.Dest, Of: -1, Leaves: true},
-					Change{At: at + c.Drain, Endpoint: fresh.ID, Dest: d.Dest, Of: -1, Joins: fresh, Address: address})
+					Change{At: at + c.Drain, Endpoint: replacement.ID, Dest: d.Dest, Of: -1, Joins: replacement, Address: address})
 			}
 			if c.Every <= 0 {
 				break
@@ -326,7 +326,7 @@
 func (p *Plan) Marks() []Mark {
 	var list []Mark
 	words := map[partner.Mode]string{}
-	for word, mode := range modes {
+	for word, mode := range faultModes {
 		words[mode] = word
 	}
 	for i, t := range p.Scenario.Faults {
@@ -368,7 +368,7 @@
 	for _, b := range p.bursts {
 		list = append(list, Mark{b.from, b.to, fmt.Sprintf("burst: %.1f times the traffic", b.size)})
 	}
-	for _, h := range p.hots {
+	for _, h := range p.hotKeys {
 		list = append(list, Mark{h.from, h.to, fmt.Sprintf("%d large destinations draw %.0f%% more", h.keys, 100*h.size)})
 	}
 	for _, b := range p.DiscoveryOutages {
@@ -376,17 +376,17 @@
 	}
 	for i, d := range p.Scenario.Actions {
 		m := Mark{From: -1}
-		struck := 0
+		senders := 0
 		for _, x := range p.Actions {
 			if x.Of == i {
-				if struck++; m.From < 0 {
+				if senders++; m.From < 0 {
 					m.From = x.At
 				}
 				m.To = max(m.To, x.At, x.Until)
 			}
 		}
 		if m.Text = fmt.Sprintf("sender %d: %s", d.Sender, d.What); d.Sender < 0 {
-			m.Text = fmt.Sprintf("%d senders: %s", struck, d.What)
+			m.Text = fmt.Sprintf("%d senders: %s", senders, d.What)
 		}
 		list = append(list, m)
 	}
@@ -394,7 +394,7 @@
 		list = append(list, Mark{d.At, d.Until, fmt.Sprintf("agent %d: %s", d.Agent, d.What)})
 	}
 	for _, o := range p.Orders {
-		list = append(list, Mark{o.At, o.At, fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.What, some(o.Of))})
+		list = append(list, Mark{o.At, o.At, fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.What, summarize(o.Of))})
 	}
 	for _, l := range p.Links {
 		list = append(list, Mark{l.From, l.To, l.Text})
@@ -406,15 +406,15 @@
 // Load is the rate of messages at a time, as a multiple of the full load.
 func (p *Plan) Load(at time.Duration) float64 {
 	x := 1.0
-	if ramp := p.Scenario.Traffic.RateCurve; len(ramp) > 0 {
-		i, _ := slices.BinarySearchFunc(ramp, at, func(r RatePoint, at time.Duration) int { return cmp.Compare(r.At, at) })
+	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
+		i, _ := slices.BinarySearchFunc(curve, at, func(r RatePoint, at time.Duration) int { return cmp.Compare(r.At, at) })
 		switch {
 		case i == 0:
-			x = ramp[0].Factor
-		case i == len(ramp):
-			x = ramp[i-1].Factor
+			x = curve[0].Factor
+		case i == len(curve):
+			x = curve[i-1].Factor
 		default:
-			a, b := ramp[i-1], ramp[i]
+			a, b := curve[i-1], curve[i]
 			x = a.Factor + (b.Factor-a.Factor)*float64(at-a.At)/float64(b.At-a.At)
 		}
 	}
@@ -426,12 +426,12 @@
 	return x
 }
 
-// peak is a rate that Load never passes.
-func (p *Plan) peak() float64 {
+// maxLoad is a rate that Load never passes.
+func (p *Plan) maxLoad() float64 {
 	x := 1.0
-	if ramp := p.Scenario.Traffic.RateCurve; len(ramp) > 0 {
+	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
 		x = 0
-		for _, r := range ramp {
+		for _, r := range curve {
 			x = max(x, r.Factor)
 		}
 	}
@@ -454,79 +454,79 @@
 // Arrivals draws the messages of a plan, one after another, in memory that does
 // not grow with them.
 type Arrivals struct {
-	p       *Plan
-	rng     *rand.Rand
-	byShare []float64 // sums of the shares
-	classes []float64
-	tenants []float64
-	large   []int // destinations, those with most traffic first
-	single  time.Duration
-	clump   time.Duration
-	clumps  float64 // a second
-	ahead   timeline.Queue[clump]
-	n       int
+	plan            *Plan
+	rng             *rand.Rand
+	destShares      []float64 // sums of the shares
+	classShares     []float64
+	tenantShares    []float64
+	largest         []int // destinations, those with most traffic first
+	nextSingle      time.Duration
+	nextClump       time.Duration
+	clumpsPerSecond float64 // a second
+	pending         timeline.Queue[clump]
+	count           int
 }
 
 // A clump is what is still to come of one.
 type clump struct {
-	dest  int
-	left  int
-	order uint64
+	dest      int
+	remaining int
+	order     uint64
 }
 
 // Arrivals starts at the first message.
 func (p *Plan) Arrivals() *Arrivals {
-	a := &Arrivals{p: p, rng: stream(p.Seed, drawTraffic)}
+	a := &Arrivals{plan: p, rng: randomStream(p.Seed, streamTraffic)}
 	sum := 0.0
 	for i, d := range p.Dests {
 		sum += d.Share
-		a.byShare = append(a.byShare, sum)
-		a.large = append(a.large, i)
+		a.destShares = append(a.destShares, sum)
+		a.largest = append(a.largest, i)
 	}
-	slices.SortStableFunc(a.large, func(i, j int) int { return cmp.Compare(p.Dests[j].Share, p.Dests[i].Share) })
+	slices.SortStableFunc(a.largest, func(i, j int) int { return cmp.Compare(p.Dests[j].Share, p.Dests[i].Share) })
 	sum = 0
 	for _, c := range p.Scenario.Traffic.Classes {
 		sum += c.Share
-		a.classes = append(a.classes, sum)
+		a.classShares = append(a.classShares, sum)
 	}
 	sum = 0
 	for _, t := range p.Scenario.Traffic.Tenants {
 		sum += t.Share
-		a.tenants = append(a.tenants, sum)
+		a.tenantShares = append(a.tenantShares, sum)
 	}
-	a.single = a.after(0, p.Rate*(1-p.clumps))
-	a.clumps = a.clumpRate()
-	a.clump = a.after(0, a.clumps)
+	a.nextSingle = a.nextEvent(0, p.Rate*(1-p.clumpShare))
+	a.clumpsPerSecond = a.clumpRate()
+	a.nextClump = a.nextEvent(0, a.clumpsPerSecond)
 	return a
 }
 
 // clumpRate is the clumps a second that bring their part of the messages.
 func (a *Arrivals) clumpRate() float64 {
 	size := 0.0 // of a clump, in the mean
-	for _, d := range a.p.Dests {
-		size += d.Share * max(1, a.p.clump.Mean()*a.takes(&d))
+	for _, d := range a.plan.Dests {
+		size += d.Share * max(1, a.plan.clumpSize.Mean()*a.capacity(&d))
 	}
-	return a.p.Rate * a.p.clumps / size
+	return a.plan.Rate * a.plan.clumpShare / size
 }
 
-// takes is the calls a second that a destination takes.
-func (a *Arrivals) takes(d *Destination) float64 {
+// capacity is the calls a second that a destination takes.
+func (a *Arrivals) capacity(d *Destination) float64 {
 	if d.Limit.Form == partner.NoLimit {
 		return float64(d.Servers*len(d.Endpoints)) / d.Mean.Seconds()
 	}
 	return d.Limit.PerSecond
 }
 
-// after draws the time of the next event of a Poisson process whose rate follows
+// nextEvent draws the time of the next event of a Poisson process whose rate follows
 // the load, by thinning.
-func (a *Arrivals) after(at time.Duration, rate float64) time.Duration {
-	peak := a.p.peak()
+func (a *Arrivals) nextEvent(at time.Duration, rate float64) time.Duration {
+	peak := a.plan.maxLoad()
 	if rate*peak <= 0 {
 		return math.MaxInt64
 	}
 	for {
 		at += time.Duration(a.rng.ExpFloat64() / (rate * peak) * float64(time.Second))
-		if at > a.p.Scenario.Length || a.rng.Float64()*peak < a.p.Load(at) {
+		if at > a.plan.Scenario.Length || a.rng.Float64()*peak < a.plan.Load(at) {
 			return at
 		}
 	}
@@ -538,53 +538,53 @@
 	return min(i, len(sums)-1)
 }
 
-// dest draws a destination; a hot time draws some of all to the largest.
-func (a *Arrivals) dest(at time.Duration) int {
-	for _, h := range a.p.hots {
+// drawDest draws a destination; a hot time draws some of all to the largest.
+func (a *Arrivals) drawDest(at time.Duration) int {
+	for _, h := range a.plan.hotKeys {
 		if at >= h.from && at < h.to && a.rng.Float64() < h.size {
-			return a.large[a.rng.IntN(min(h.keys, len(a.large)))]
+			return a.largest[a.rng.IntN(min(h.keys, len(a.largest)))]
 		}
 	}
-	return a.choose(a.byShare)
+	return a.choose(a.destShares)
 }
 
 // Next returns the next message; false after the last.
 func (a *Arrivals) Next() (Arrival, bool) {
 	for {
-		at := a.single
+		at := a.nextSingle
 		from := 0
-		if a.clump < at {
-			at, from = a.clump, 1
+		if a.nextClump < at {
+			at, from = a.nextClump, 1
 		}
-		if next, _, some := a.ahead.First(); some && next <= at {
+		if next, _, some := a.pending.First(); some && next <= at {
 			at, from = next, 2
 		}
-		if at > a.p.Scenario.Length {
+		if at > a.plan.Scenario.Length {
 			return Arrival{}, false
 		}
 		dest := 0
 		switch from {
 		case 0:
-			a.single = a.after(at, a.p.Rate*(1-a.p.clumps))
-			dest = a.dest(at)
+			a.nextSingle = a.nextEvent(at, a.plan.Rate*(1-a.plan.clumpShare))
+			dest = a.drawDest(at)
 		case 1: // a clump begins: its messages come one close after the other
-			a.clump = a.after(at, a.clumps)
-			d := a.choose(a.byShare)
-			size := max(1, int(math.Round(a.p.clump.draw(a.rng)*a.takes(&a.p.Dests[d]))))
-			a.ahead.Push(at, uint64(a.n), clump{d, size, uint64(a.n)})
+			a.nextClump = a.nextEvent(at, a.clumpsPerSecond)
+			d := a.choose(a.destShares)
+			size := max(1, int(math.Round(a.plan.clumpSize.draw(a.rng)*a.capacity(&a.plan.Dests[d]))))
+			a.pending.Push(at, uint64(a.count), clump{d, size, uint64(a.count)})
 			continue
 		case 2:
-			_, c := a.ahead.Pop()
+			_, c := a.pending.Pop()
 			dest = c.dest
-			if c.left--; c.left > 0 {
-				a.ahead.Push(at+time.Duration(a.rng.ExpFloat64()*2*float64(time.Millisecond)), c.order, c)
+			if c.remaining--; c.remaining > 0 {
+				a.pending.Push(at+time.Duration(a.rng.ExpFloat64()*2*float64(time.Millisecond)), c.order, c)
 			}
 		}
 		m := Arrival{
-			At: at, N: a.n, Dest: a.p.Dests[dest].Dest, Class: a.choose(a.classes), Tenant: a.choose(a.tenants),
-			Size: int(a.p.Scenario.Traffic.Body.draw(a.rng)),
+			At: at, N: a.count, Dest: a.plan.Dests[dest].Dest, Class: a.choose(a.classShares), Tenant: a.choose(a.tenantShares),
+			Size: int(a.plan.Scenario.Traffic.Body.draw(a.rng)),
 		}
-		a.n++
+		a.count++
 		return m, true
 	}
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -149,8 +149,8 @@
 	OpenMessages float64 // ...and messages held
 }
 
-// deeds are what can be done to a sender.
-var deeds = map[string]string{
+// senderActions are what can be done to a sender.
+var senderActions = map[string]string{
 	"kill":     "SIGKILL; it is started again",
 	"wipe":     "SIGKILL, and its folder is lost",
 	"term":     "SIGTERM; it is started again",
