--- /dev/null
+++ b/internal/scenario/arrivals.go
@@ -0,0 +1,198 @@
+package scenario
+
+import (
+	"cmp"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"cleathold/internal/partner"
+	"cleathold/internal/timeline"
+)
+
+// Load is the rate of messages at a time, as a multiple of the full load.
+func (p *Plan) Load(at time.Duration) float64 {
+	x := 1.0
+	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
+		i, _ := slices.BinarySearchFunc(curve, at, func(r RatePoint, at time.Duration) int { return cmp.Compare(r.At, at) })
+		switch {
+		case i == 0:
+			x = curve[0].Factor
+		case i == len(curve):
+			x = curve[i-1].Factor
+		default:
+			a, b := curve[i-1], curve[i]
+			x = a.Factor + (b.Factor-a.Factor)*float64(at-a.At)/float64(b.At-a.At)
+		}
+	}
+	for _, b := range p.bursts {
+		if at >= b.from && at < b.to {
+			x *= b.size
+		}
+	}
+	return x
+}
+
+// maxLoad is a rate that Load never passes.
+func (p *Plan) maxLoad() float64 {
+	x := 1.0
+	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
+		x = 0
+		for _, r := range curve {
+			x = max(x, r.Factor)
+		}
+	}
+	for _, b := range p.bursts {
+		x *= max(1, b.size)
+	}
+	return x
+}
+
+// Arrival is one message that a client hands in for the first time.
+type Arrival struct {
+	At     time.Duration
+	N      int // counts from 0
+	Dest   int
+	Class  int
+	Tenant int
+	Size   int
+}
+
+// Arrivals draws the messages of a plan, one after another, in memory that does
+// not grow with them.
+type Arrivals struct {
+	plan            *Plan
+	rng             *rand.Rand
+	destShares      []float64 // sums of the shares
+	classShares     []float64
+	tenantShares    []float64
+	largest         []int // destinations, those with most traffic first
+	nextSingle      time.Duration
+	nextClump       time.Duration
+	clumpsPerSecond float64 // a second
+	pending         timeline.Queue[clump]
+	count           int
+}
+
+// A clump is what is still to come of one.
+type clump struct {
+	dest      int
+	remaining int
+	order     uint64
+}
+
+// Arrivals starts at the first message.
+func (p *Plan) Arrivals() *Arrivals {
+	a := &Arrivals{plan: p, rng: randomStream(p.Seed, streamTraffic)}
+	sum := 0.0
+	for i, d := range p.Dests {
+		sum += d.Share
+		a.destShares = append(a.destShares, sum)
+		a.largest = append(a.largest, i)
+	}
+	slices.SortStableFunc(a.largest, func(i, j int) int { return cmp.Compare(p.Dests[j].Share, p.Dests[i].Share) })
+	sum = 0
+	for _, c := range p.Scenario.Traffic.Classes {
+		sum += c.Share
+		a.classShares = append(a.classShares, sum)
+	}
+	sum = 0
+	for _, t := range p.Scenario.Traffic.Tenants {
+		sum += t.Share
+		a.tenantShares = append(a.tenantShares, sum)
+	}
+	a.nextSingle = a.nextEvent(0, p.Rate*(1-p.clumpShare))
+	a.clumpsPerSecond = a.clumpRate()
+	a.nextClump = a.nextEvent(0, a.clumpsPerSecond)
+	return a
+}
+
+// clumpRate is the clumps a second that bring their part of the messages.
+func (a *Arrivals) clumpRate() float64 {
+	size := 0.0 // of a clump, in the mean
+	for _, d := range a.plan.Dests {
+		size += d.Share * max(1, a.plan.clumpSize.Mean()*a.capacity(&d))
+	}
+	return a.plan.Rate * a.plan.clumpShare / size
+}
+
+// capacity is the calls a second that a destination takes.
+func (a *Arrivals) capacity(d *Destination) float64 {
+	if d.Limit.Form == partner.NoLimit {
+		return float64(d.Servers*len(d.Endpoints)) / d.Mean.Seconds()
+	}
+	return d.Limit.PerSecond
+}
+
+// nextEvent draws the time of the next event of a Poisson process whose rate follows
+// the load, by thinning.
+func (a *Arrivals) nextEvent(at time.Duration, rate float64) time.Duration {
+	peak := a.plan.maxLoad()
+	if rate*peak <= 0 {
+		return math.MaxInt64
+	}
+	for {
+		at += time.Duration(a.rng.ExpFloat64() / (rate * peak) * float64(time.Second))
+		if at > a.plan.Scenario.Length || a.rng.Float64()*peak < a.plan.Load(at) {
+			return at
+		}
+	}
+}
+
+// choose draws by sums of shares.
+func (a *Arrivals) choose(sums []float64) int {
+	i, _ := slices.BinarySearch(sums, a.rng.Float64()*sums[len(sums)-1])
+	return min(i, len(sums)-1)
+}
+
+// drawDest draws a destination; a hot time draws some of all to the largest.
+func (a *Arrivals) drawDest(at time.Duration) int {
+	for _, h := range a.plan.hotKeys {
+		if at >= h.from && at < h.to && a.rng.Float64() < h.size {
+			return a.largest[a.rng.IntN(min(h.keys, len(a.largest)))]
+		}
+	}
+	return a.choose(a.destShares)
+}
+
+// Next returns the next message; false after the last.
+func (a *Arrivals) Next() (Arrival, bool) {
+	for {
+		at := a.nextSingle
+		from := 0
+		if a.nextClump < at {
+			at, from = a.nextClump, 1
+		}
+		if next, _, some := a.pending.First(); some && next <= at {
+			at, from = next, 2
+		}
+		if at > a.plan.Scenario.Length {
+			return Arrival{}, false
+		}
+		dest := 0
+		switch from {
+		case 0:
+			a.nextSingle = a.nextEvent(at, a.plan.Rate*(1-a.plan.clumpShare))
+			dest = a.drawDest(at)
+		case 1: // a clump begins: its messages come one close after the other
+			a.nextClump = a.nextEvent(at, a.clumpsPerSecond)
+			d := a.choose(a.destShares)
+			size := max(1, int(math.Round(a.plan.clumpSize.draw(a.rng)*a.capacity(&a.plan.Dests[d]))))
+			a.pending.Push(at, uint64(a.count), clump{d, size, uint64(a.count)})
+			continue
+		case 2:
+			_, c := a.pending.Pop()
+			dest = c.dest
+			if c.remaining--; c.remaining > 0 {
+				a.pending.Push(at+time.Duration(a.rng.ExpFloat64()*2*float64(time.Millisecond)), c.order, c)
+			}
+		}
+		m := Arrival{
+			At: at, N: a.count, Dest: a.plan.Dests[dest].Dest, Class: a.choose(a.classShares), Tenant: a.choose(a.tenantShares),
+			Size: int(a.plan.Scenario.Traffic.Body.draw(a.rng)),
+		}
+		a.count++
+		return m, true
+	}
+}
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -78,28 +78,6 @@
 	oneEndpoint = "endpoint/"
 )
 
-// knowsParty tells whether a script may name a party so. Which endpoints there are is drawn later.
-func (s *Scenario) knowsParty(name string) bool {
-	if num, is := strings.CutPrefix(name, "n"); is {
-		if i, err := strconv.Atoi(num); err == nil {
-			return i >= 0 && i < s.Senders && name == Sender(i)
-		}
-	}
-	if num, is := strings.CutPrefix(name, "a"); is {
-		if i, err := strconv.Atoi(num); err == nil {
-			return i >= 0 && i < s.Agents.Number && name == Agent(i)
-		}
-	}
-	if zone, is := strings.CutPrefix(name, inZone); is {
-		return slices.Contains(s.Zones, zone)
-	}
-	if num, is := strings.CutPrefix(name, ofDest); is {
-		i, err := strconv.Atoi(num)
-		return err == nil && i > 0
-	}
-	return slices.Contains([]string{Discovery, Clients, allSenders, allAgents, allPartners}, name) || slices.Contains(s.Zones, name) || strings.HasPrefix(name, oneEndpoint)
-}
-
 // parties are those that names stand for.
 func (p *Plan) parties(names []string) map[string]bool {
 	set := map[string]bool{}
@@ -166,54 +144,6 @@
 	slices.SortStableFunc(p.Links, func(a, b PlannedLink) int { return cmp.Compare(a.From, b.From) })
 }
 
-// PlannedAgentAction is something done to an agent, and PlannedOrder what staff want, drawn.
-type (
-	PlannedAgentAction struct {
-		At, Until time.Duration
-		Agent     int
-		What      string
-	}
-	PlannedOrder struct {
-		At, Hold time.Duration
-		Agent    int
-		What     string
-		Of       []string // senders
-		Bad      bool
-		GoBack   bool
-	}
-)
-
-// drawAgents draws what befalls agents, and what staff order.
-func (p *Plan) drawAgents(rng *rand.Rand) {
-	for _, d := range p.Scenario.AgentActions {
-		at := d.At.seconds(rng)
-		p.AgentActions = append(p.AgentActions, PlannedAgentAction{at, at + d.Length.seconds(rng), d.Agent, d.What})
-	}
-	slices.SortStableFunc(p.AgentActions, func(a, b PlannedAgentAction) int { return cmp.Compare(a.At, b.At) })
-	for _, o := range p.Scenario.Orders {
-		x := PlannedOrder{At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.What, Bad: o.Bad, GoBack: o.GoBack}
-		of := p.parties(o.Of)
-		for i := range p.Scenario.Senders {
-			if len(o.Of) == 0 || of[Sender(i)] {
-				x.Of = append(x.Of, Sender(i))
-			}
-		}
-		p.Orders = append(p.Orders, x)
-	}
-	slices.SortStableFunc(p.Orders, func(a, b PlannedOrder) int { return cmp.Compare(a.At, b.At) })
-}
-
-// summarize names a few of the parties.
-func summarize(names []string) string {
-	switch {
-	case len(names) == 0:
-		return "all others"
-	case len(names) > 4:
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:3], ", "), len(names)-3)
-	}
-	return strings.Join(names, ", ")
-}
-
 // describe is what ails a way, in a word or two.
 func (w LinkState) describe() string {
 	switch {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -149,19 +149,6 @@
 	OpenMessages float64 // ...and messages held
 }
 
-// senderActions are what can be done to a sender.
-var senderActions = map[string]string{
-	"kill":     "SIGKILL; it is started again",
-	"wipe":     "SIGKILL, and its folder is lost",
-	"term":     "SIGTERM; it is started again",
-	"signals":  "SIGHUP, SIGTERM and SIGINT one behind the other; it is started again",
-	"hup":      "SIGHUP with nothing new",
-	"stop":     "SIGSTOP, and SIGCONT after a while",
-	"drain":    "clients are sent away by its second address",
-	"activate": "they are taken back",
-	"retune":   "other settings, and SIGHUP",
-}
-
 // Agents are those that agree on who may be out. Each runs the senders whose numbers leave its own as a rest.
 type Agents struct {
 	Number                   int // 0 = none
