--- a/internal/scenario/args.go
+++ b/internal/scenario/args.go
@@ -10,14 +10,15 @@
 	"go.starlark.net/starlark"
 )
 
-// args are the arguments of a call, taken by name.
+// args are the arguments of one call of a script, which are taken by name. The methods that take one leave its default where
+// the call does not give it, and keep the first error in err.
 type args struct {
-	name  string
+	name  string // of the function
 	given map[string]starlark.Value
 	err   error
 }
 
-// take returns an argument, which is then known.
+// take returns an argument, which then counts as known.
 func (a *args) take(name string) (starlark.Value, bool) {
 	v, ok := a.given[name]
 	delete(a.given, name)
@@ -30,7 +31,12 @@
 	}
 }
 
-// done tells what was wrong, or an argument that is not known.
+// invalid adds an error to the first one.
+func (a *args) invalid(format string, values ...any) error {
+	return errors.Join(a.err, fmt.Errorf(format, values...))
+}
+
+// done returns the first error, or one for an argument that is not known.
 func (a *args) done() error {
 	if a.err != nil {
 		return fmt.Errorf("%s: %w", a.name, a.err)
@@ -41,26 +47,38 @@
 	return nil
 }
 
-func (a *args) number(name string, to *float64) {
-	if v, ok := a.take(name); ok {
-		f, isNumber := starlark.AsFloat(v)
-		if !isNumber {
-			a.fail(name, "a number", v)
-		}
-		*to = f
+// takeAs takes an argument that has to be of one type. Want names the type in the error.
+func takeAs[T any](a *args, name, want string, convert func(starlark.Value) (T, bool), to *T) {
+	v, ok := a.take(name)
+	if !ok {
+		return
 	}
+	x, ok := convert(v)
+	if !ok {
+		a.fail(name, want, v)
+	}
+	*to = x
 }
 
+func (a *args) number(name string, to *float64) { takeAs(a, name, "a number", starlark.AsFloat, to) }
+
+func (a *args) text(name string, to *string) { takeAs(a, name, "a string", starlark.AsString, to) }
+
 func (a *args) integer(name string, to *int) {
-	if v, ok := a.take(name); ok {
+	takeAs(a, name, "a whole number", func(v starlark.Value) (int, bool) {
 		i, err := starlark.AsInt32(v)
-		if err != nil {
-			a.fail(name, "a whole number", v)
-		}
-		*to = i
-	}
+		return i, err == nil
+	}, to)
 }
 
+func (a *args) boolean(name string, to *bool) {
+	takeAs(a, name, "True or False", func(v starlark.Value) (bool, bool) {
+		b, ok := v.(starlark.Bool)
+		return bool(b), ok
+	}, to)
+}
+
+// duration takes a number of seconds.
 func (a *args) duration(name string, to *time.Duration) {
 	f := to.Seconds()
 	a.number(name, &f)
@@ -94,44 +112,30 @@
 	}
 }
 
-func (a *args) text(name string, to *string) {
-	if v, ok := a.take(name); ok {
-		s, isText := starlark.AsString(v)
-		if !isText {
-			a.fail(name, "a string", v)
-		}
-		*to = s
-	}
+// period takes when something begins, and for how long it lasts.
+func (a *args) period(at, length *Range) {
+	a.numberRange("at", at)
+	a.numberRange("seconds", length)
 }
 
-func (a *args) boolean(name string, to *bool) {
-	if v, ok := a.take(name); ok {
-		b, isBool := v.(starlark.Bool)
-		if !isBool {
-			a.fail(name, "True or False", v)
-		}
-		*to = bool(b)
-	}
-}
-
-// names reads one name, or a list of them.
+// names takes one name, or a list of them.
 func (a *args) names(name string, to *[]string) {
 	v, ok := a.take(name)
 	if !ok {
 		return
 	}
-	if one, is := starlark.AsString(v); is {
+	if one, ok := starlark.AsString(v); ok {
 		*to = []string{one}
 		return
 	}
-	list, is := v.(*starlark.List)
-	if !is {
+	list, ok := v.(*starlark.List)
+	if !ok {
 		a.fail(name, "a name or a list of them", v)
 		return
 	}
 	for i := range list.Len() {
-		one, is := starlark.AsString(list.Index(i))
-		if !is {
+		one, ok := starlark.AsString(list.Index(i))
+		if !ok {
 			a.fail(name, "a list of names", v)
 			return
 		}
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -8,18 +8,31 @@
 	"strings"
 )
 
-// check looks at what only the whole script shows.
+// check finds what only the whole script shows. The first error counts.
 func (s *Scenario) check() error {
-	kinds, zones := map[string]bool{}, map[string]bool{"": true}
+	for _, check := range []func() error{
+		s.checkKinds, s.checkComplete, s.checkFaults, s.checkActions, s.checkOrders, s.checkDrains, s.checkLinks,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Scenario) checkKinds() error {
+	seen := map[string]bool{}
 	for _, k := range s.Kinds {
-		if kinds[k.Name] {
+		if seen[k.Name] {
 			return fmt.Errorf("two kinds of name %q", k.Name)
 		}
-		kinds[k.Name] = true
-	}
-	for _, z := range s.Zones {
-		zones[z] = true
+		seen[k.Name] = true
 	}
+	return nil
+}
+
+// checkComplete finds what every script needs.
+func (s *Scenario) checkComplete() error {
 	switch {
 	case s.Name == "":
 		return errors.New("call scenario(name = ..., seconds = ...)")
@@ -38,26 +51,45 @@
 	case !(s.Traffic.Rate.From > 0):
 		return errors.New("traffic: a rate above 0 is needed")
 	}
+	return nil
+}
+
+// checkFaults finds fleets and faults of kinds and zones that are not there.
+func (s *Scenario) checkFaults() error {
+	hasKind := func(name string) bool {
+		return slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == name })
+	}
 	for _, f := range s.Fleets {
-		if !kinds[f.Kind] {
+		if !hasKind(f.Kind) {
 			return fmt.Errorf("fleet: no kind %q", f.Kind)
 		}
 	}
-	for _, t := range s.Faults {
-		if !zones[t.Zone] || t.Kind != "" && !kinds[t.Kind] {
-			return fmt.Errorf("trouble: no zone %q or no kind %q", t.Zone, t.Kind)
+	for _, f := range s.Faults {
+		hasZone := f.Zone == "" || slices.Contains(s.Zones, f.Zone)
+		if !hasZone || f.Kind != "" && !hasKind(f.Kind) {
+			return fmt.Errorf("trouble: no zone %q or no kind %q", f.Zone, f.Kind)
 		}
 	}
-	for _, d := range s.Actions {
-		if d.Sender >= s.Senders {
-			return fmt.Errorf("sender: no number %d", d.Sender)
+	return nil
+}
+
+// checkActions finds actions on senders and agents that are not there.
+func (s *Scenario) checkActions() error {
+	for _, x := range s.Actions {
+		if x.Sender >= s.Senders {
+			return fmt.Errorf("sender: no number %d", x.Sender)
 		}
 	}
-	for _, d := range s.AgentActions {
-		if d.Agent < 0 || d.Agent >= s.Agents.Number {
-			return fmt.Errorf("agent: no number %d", d.Agent)
+	for _, x := range s.AgentActions {
+		if x.Agent < 0 || x.Agent >= s.Agents.Number {
+			return fmt.Errorf("agent: no number %d", x.Agent)
 		}
 	}
+	return nil
+}
+
+// checkOrders finds orders at agents, and of senders and zones, that are not there.
+func (s *Scenario) checkOrders() error {
 	for _, o := range s.Orders {
 		if o.Agent < 0 || o.Agent >= s.Agents.Number {
 			return fmt.Errorf("order: no agent %d", o.Agent)
@@ -68,15 +100,27 @@
 			}
 		}
 	}
-	for _, d := range s.Actions {
-		if s.Agents.Number > 0 && (d.What == "drain" || d.What == "activate") {
-			return fmt.Errorf("sender: %s: with agents, order() does that", d.What)
+	return nil
+}
+
+// checkDrains finds drains that are not ordered at an agent, where there are agents.
+func (s *Scenario) checkDrains() error {
+	for _, x := range s.Actions {
+		if s.Agents.Number > 0 && (x.What == "drain" || x.What == "activate") {
+			return fmt.Errorf("sender: %s: with agents, order() does that", x.What)
 		}
 	}
+	return nil
+}
+
+// checkLinks finds links of parties that are not there, and partitions with more sides than senders.
+func (s *Scenario) checkLinks() error {
+	const parties = "a zone, senders, agents, a0 and so on, discovery, clients, partners, partners/ZONE, " +
+		"destination/NUMBER or endpoint/ID"
 	for _, l := range s.Links {
 		for _, name := range slices.Concat(l.Of, l.To) {
 			if !s.knowsParty(name) {
-				return fmt.Errorf("link: no party %q: n0 to n%d, a zone, senders, agents, a0 and so on, discovery, clients, partners, partners/ZONE, destination/NUMBER or endpoint/ID", name, s.Senders-1)
+				return fmt.Errorf("link: no party %q: n0 to n%d, %s", name, s.Senders-1, parties)
 			}
 		}
 	}
@@ -88,24 +132,27 @@
 	return nil
 }
 
-// knowsParty tells whether a script may name a party so. Which endpoints there are is drawn later.
+// knowsParty reports whether a name may stand for a party. Any endpoint may be named, since endpoints are drawn later.
 func (s *Scenario) knowsParty(name string) bool {
-	if num, is := strings.CutPrefix(name, "n"); is {
+	if num, ok := strings.CutPrefix(name, "n"); ok {
 		if i, err := strconv.Atoi(num); err == nil {
 			return i >= 0 && i < s.Senders && name == Sender(i)
 		}
 	}
-	if num, is := strings.CutPrefix(name, "a"); is {
+	if num, ok := strings.CutPrefix(name, "a"); ok {
 		if i, err := strconv.Atoi(num); err == nil {
 			return i >= 0 && i < s.Agents.Number && name == Agent(i)
 		}
 	}
-	if zone, is := strings.CutPrefix(name, inZone); is {
+	if zone, ok := strings.CutPrefix(name, inZone); ok {
 		return slices.Contains(s.Zones, zone)
 	}
-	if num, is := strings.CutPrefix(name, ofDest); is {
+	if num, ok := strings.CutPrefix(name, ofDest); ok {
 		i, err := strconv.Atoi(num)
 		return err == nil && i > 0
 	}
-	return slices.Contains([]string{Discovery, Clients, allSenders, allAgents, allPartners}, name) || slices.Contains(s.Zones, name) || strings.HasPrefix(name, oneEndpoint)
+	if strings.HasPrefix(name, oneEndpoint) || slices.Contains(s.Zones, name) {
+		return true
+	}
+	return slices.Contains([]string{Discovery, Clients, allSenders, allAgents, allPartners}, name)
 }
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -13,7 +13,8 @@
 	"cleathold/internal/settings"
 )
 
-// Load reads a script. Figures go in the place of those that it names by param.
+// Load reads and checks the script at a path. Figures replace the defaults of the params that they name. Errors of the script
+// are those of Parse.
 func Load(path string, figures map[string]float64) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -22,40 +23,86 @@
 	return Parse(path, text, figures)
 }
 
-// Parse reads a script's text and checks it. Errors name file, line and column.
+// Parse reads and checks the text of a script, as Load does. Its errors are of type *settings.Error, with the file and, where
+// there is one, line and column.
 func Parse(path string, text []byte, figures map[string]float64) (*Scenario, error) {
 	s := &Scenario{
 		Path: path, Script: text, Figures: figures, Senders: 1, InFlight: Range{1.8, 2.4}, OpenMessages: Range{7, 11},
 		Traffic: Traffic{
-			Zipf: Range{0.8, 1.15}, Clump: Range{1, 3}, RetryDelay: Range{0.3, 2}, ResubmitDelay: Range{0.8, 2}, Body: Range{100, 400},
-			Patience: 400 * time.Millisecond,
+			Zipf: Range{0.8, 1.15}, Clump: Range{1, 3}, RetryDelay: Range{0.3, 2}, ResubmitDelay: Range{0.8, 2},
+			Body: Range{100, 400}, Patience: 400 * time.Millisecond,
 		},
 	}
 	names := starlark.StringDict{}
 	for word := range faultModes {
 		names[word] = starlark.String(word)
 	}
-	for name, f := range map[string]func(*args) error{
-		"scenario": s.setScenario, "kind": s.addKind, "fleet": s.addFleet, "traffic": s.setTraffic, "message_class": s.addClass,
-		"tenant": s.addTenant, "trouble": s.addFault, "burst": s.addBurst, "hot": s.addHotKeys, "sender": s.addAction, "churn": s.addChurn,
-		"ramp": s.addRatePoint, "discovery_out": s.addDiscoveryOutage, "agents": s.setAgents, "agent": s.addAgentAction, "order": s.addOrder, "link": s.addLink, "parts": s.addPartition,
-	} {
-		names[name] = starlark.NewBuiltin(name, func(_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
-			if len(given) > 0 {
-				return nil, fmt.Errorf("%s: arguments go by name", b.Name())
-			}
-			a := &args{name: b.Name(), given: map[string]starlark.Value{}}
-			for _, pair := range named {
-				a.given[string(pair[0].(starlark.String))] = pair[1]
-			}
-			if err := f(a); err != nil {
-				return nil, fmt.Errorf("%s: %w", b.Name(), err)
-			}
-			return starlark.None, a.done()
-		})
+	for name, f := range s.functions() {
+		names[name] = starlark.NewBuiltin(name, withArgs(f))
 	}
 	unused := maps.Clone(figures)
-	names["param"] = starlark.NewBuiltin("param", func(_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
+	names["param"] = starlark.NewBuiltin("param", param(figures, unused))
+	if _, err := settings.Exec(path, text, names); err != nil {
+		return nil, err
+	}
+	if len(unused) > 0 {
+		first := slices.Min(slices.Collect(maps.Keys(unused)))
+		return nil, &settings.Error{File: path, Text: fmt.Sprintf("no param(%q) in it", first)}
+	}
+	if err := s.check(); err != nil {
+		return nil, &settings.Error{File: path, Text: err.Error()}
+	}
+	return s, nil
+}
+
+// functions are what a script calls to describe a scenario, by their names in it.
+func (s *Scenario) functions() map[string]func(*args) error {
+	return map[string]func(*args) error{
+		"agent":         s.addAgentAction,
+		"agents":        s.setAgents,
+		"burst":         s.addBurst,
+		"churn":         s.addChurn,
+		"discovery_out": s.addDiscoveryOutage,
+		"fleet":         s.addFleet,
+		"hot":           s.addHotKeys,
+		"kind":          s.addKind,
+		"link":          s.addLink,
+		"message_class": s.addClass,
+		"order":         s.addOrder,
+		"parts":         s.addPartition,
+		"ramp":          s.addRatePoint,
+		"scenario":      s.setScenario,
+		"sender":        s.addAction,
+		"tenant":        s.addTenant,
+		"traffic":       s.setTraffic,
+		"trouble":       s.addFault,
+	}
+}
+
+// builtin is the body of a function of a script.
+type builtin = func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error)
+
+// withArgs passes the arguments of a call, which go by name, to f. Those that f does not take are an error.
+func withArgs(f func(*args) error) builtin {
+	return func(_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
+		if len(given) > 0 {
+			return nil, fmt.Errorf("%s: arguments go by name", b.Name())
+		}
+		a := &args{name: b.Name(), given: map[string]starlark.Value{}}
+		for _, pair := range named {
+			a.given[string(pair[0].(starlark.String))] = pair[1]
+		}
+		if err := f(a); err != nil {
+			return nil, fmt.Errorf("%s: %w", b.Name(), err)
+		}
+		return starlark.None, a.done()
+	}
+}
+
+// param returns the function that gives a script a figure, or its default. It deletes the figures that were asked for from
+// unused.
+func param(figures, unused map[string]float64) builtin {
+	return func(_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
 		var name string
 		var usual starlark.Value
 		if err := starlark.UnpackArgs(b.Name(), given, named, "name", &name, "usual", &usual); err != nil {
@@ -64,23 +111,14 @@
 		if _, isNumber := starlark.AsFloat(usual); !isNumber {
 			return nil, fmt.Errorf("param: usual: got %s, want a number", usual.Type())
 		}
-		v, set := figures[name]
 		delete(unused, name)
-		if _, isInt := usual.(starlark.Int); set && isInt && v == math.Trunc(v) {
-			return starlark.MakeInt64(int64(v)), nil
-		} else if set {
-			return starlark.Float(v), nil
+		figure, isSet := figures[name]
+		if !isSet {
+			return usual, nil
 		}
-		return usual, nil
-	})
-	if _, err := settings.Exec(path, text, names); err != nil {
-		return nil, err
-	}
-	if len(unused) > 0 {
-		return nil, &settings.Error{File: path, Text: fmt.Sprintf("no param(%q) in it", slices.Min(slices.Collect(maps.Keys(unused))))}
-	}
-	if err := s.check(); err != nil {
-		return nil, &settings.Error{File: path, Text: err.Error()}
+		if _, isInt := usual.(starlark.Int); isInt && figure == math.Trunc(figure) {
+			return starlark.MakeInt64(int64(figure)), nil
+		}
+		return starlark.Float(figure), nil
 	}
-	return s, nil
 }
--- a/internal/scenario/parseactions.go
+++ b/internal/scenario/parseactions.go
@@ -2,42 +2,54 @@
 
 import (
 	"errors"
-	"fmt"
-	"maps"
 	"slices"
 	"strings"
 	"time"
 )
 
+// senderActions are what can be done to a sender, in the order of their names.
+var senderActions = []string{
+	"activate", // clients are sent to it again
+	"drain",    // it is drained by order, through its second address
+	"hup",      // SIGHUP, with nothing new in its configuration
+	"kill",     // SIGKILL; it is started again
+	"retune",   // other settings, and SIGHUP
+	"signals",  // SIGHUP, SIGTERM and SIGINT one after the other; it is started again
+	"stop",     // SIGSTOP, and SIGCONT after a while
+	"term",     // SIGTERM; it is started again
+	"wipe",     // SIGKILL, and its folder is lost; it is started again
+}
+
+// addAction is sender(...) in a script.
 func (s *Scenario) addAction(a *args) error {
-	d := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
-	a.numberRange("at", &d.At)
-	a.numberRange("seconds", &d.Length)
-	a.integer("number", &d.Sender)
-	a.number("share", &d.Share)
-	a.numberRange("spread", &d.Spread)
-	a.text("what", &d.What)
-	a.number("slots", &d.InFlight)
-	a.number("hold", &d.OpenMessages)
-	if _, known := senderActions[d.What]; !known {
-		return errors.Join(a.err, fmt.Errorf("what: %q is none of %s", d.What, strings.Join(slices.Sorted(maps.Keys(senderActions)), ", ")))
+	x := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
+	a.period(&x.At, &x.Length)
+	a.integer("number", &x.Sender)
+	a.number("share", &x.Share)
+	a.numberRange("spread", &x.Spread)
+	a.text("what", &x.What)
+	a.number("slots", &x.InFlight)
+	a.number("hold", &x.OpenMessages)
+	if !slices.Contains(senderActions, x.What) {
+		return a.invalid("what: %q is none of %s", x.What, strings.Join(senderActions, ", "))
 	}
 	switch {
-	case (d.Sender < 0) == (d.Share == 0) || d.Share < 0 || d.Share > 1:
-		return errors.Join(a.err, errors.New("either a number, or a share above 0 up to 1, is needed"))
-	case d.What == "stop" && d.Length.From <= 0:
-		return errors.Join(a.err, errors.New("a stop needs its seconds"))
-	case d.Length.To > 0 && d.What != "stop" && d.What != "drain":
-		return errors.Join(a.err, fmt.Errorf("seconds: a %s takes none", d.What))
-	case !(d.InFlight > 0 && d.InFlight <= 100 && d.OpenMessages > 0 && d.OpenMessages <= 100):
-		return errors.Join(a.err, errors.New("slots and hold: multiples above 0, 100 at most"))
-	case d.What != "retune" && (d.InFlight != 1 || d.OpenMessages != 1):
-		return errors.Join(a.err, fmt.Errorf("slots and hold: a %s takes none", d.What))
+	case (x.Sender < 0) == (x.Share == 0) || x.Share < 0 || x.Share > 1:
+		return a.invalid("either a number, or a share above 0 up to 1, is needed")
+	case x.What == "stop" && x.Length.From <= 0:
+		return a.invalid("a stop needs its seconds")
+	case x.Length.To > 0 && x.What != "stop" && x.What != "drain":
+		return a.invalid("seconds: a %s takes none", x.What)
+	case !(x.InFlight > 0 && x.InFlight <= 100 && x.OpenMessages > 0 && x.OpenMessages <= 100):
+		return a.invalid("slots and hold: multiples above 0, 100 at most")
+	case x.What != "retune" && (x.InFlight != 1 || x.OpenMessages != 1):
+		return a.invalid("slots and hold: a %s takes none", x.What)
 	}
-	s.Actions = append(s.Actions, d)
+	s.Actions = append(s.Actions, x)
 	return a.err
 }
 
+// setAgents is agents(...) in a script.
 func (s *Scenario) setAgents(a *args) error {
 	x := Agents{Fleet: 1, Lease: 10 * time.Second}
 	a.integer("number", &x.Number)
@@ -49,28 +61,29 @@
 	case s.Agents.Number > 0:
 		return errors.New("called twice")
 	case x.Number < 1 || x.Number > 9 || x.Fleet < 1 || x.Building < 0 || x.Serving < 0 || x.Lease < time.Second:
-		return errors.Join(a.err, errors.New("number: 1 to 9; fleet: 1 at the least; building and serving: 0 or more; lease: a second at least"))
+		return a.invalid("number: 1 to 9; fleet: 1 at the least; building and serving: 0 or more; lease: a second at least")
 	}
 	s.Agents = x
 	return a.err
 }
 
+// addAgentAction is agent(...) in a script.
 func (s *Scenario) addAgentAction(a *args) error {
-	var d AgentAction
-	a.numberRange("at", &d.At)
-	a.numberRange("seconds", &d.Length)
-	a.integer("number", &d.Agent)
-	a.text("what", &d.What)
+	var x AgentAction
+	a.period(&x.At, &x.Length)
+	a.integer("number", &x.Agent)
+	a.text("what", &x.What)
 	switch {
-	case d.What != "kill" && d.What != "wipe" && d.What != "stop":
-		return errors.Join(a.err, fmt.Errorf("what: %q is none of kill, stop, wipe", d.What))
-	case d.Length.From <= 0:
-		return errors.Join(a.err, errors.New("seconds above 0 are needed: it is back after them"))
+	case x.What != "kill" && x.What != "wipe" && x.What != "stop":
+		return a.invalid("what: %q is none of kill, stop, wipe", x.What)
+	case x.Length.From <= 0:
+		return a.invalid("seconds above 0 are needed: it is back after them")
 	}
-	s.AgentActions = append(s.AgentActions, d)
+	s.AgentActions = append(s.AgentActions, x)
 	return a.err
 }
 
+// addOrder is order(...) in a script.
 func (s *Scenario) addOrder(a *args) error {
 	o := Order{Hold: Range{1, 1}}
 	a.numberRange("at", &o.At)
@@ -81,21 +94,8 @@
 	a.boolean("bad", &o.Bad)
 	a.boolean("go_back", &o.GoBack)
 	if !slices.Contains([]string{"drain", "release", "halt", "resume", "back"}, o.What) {
-		return errors.Join(a.err, fmt.Errorf("what: %q is none of drain, release, halt, resume, back", o.What))
+		return a.invalid("what: %q is none of drain, release, halt, resume, back", o.What)
 	}
 	s.Orders = append(s.Orders, o)
 	return a.err
 }
-
-// senderActions are what can be done to a sender.
-var senderActions = map[string]string{
-	"kill":     "SIGKILL; it is started again",
-	"wipe":     "SIGKILL, and its folder is lost",
-	"term":     "SIGTERM; it is started again",
-	"signals":  "SIGHUP, SIGTERM and SIGINT one behind the other; it is started again",
-	"hup":      "SIGHUP with nothing new",
-	"stop":     "SIGSTOP, and SIGCONT after a while",
-	"drain":    "clients are sent away by its second address",
-	"activate": "they are taken back",
-	"retune":   "other settings, and SIGHUP",
-}
--- a/internal/scenario/parsefaults.go
+++ b/internal/scenario/parsefaults.go
@@ -8,51 +8,54 @@
 	"cleathold/internal/partner"
 )
 
-// faultModes are the words for what may ail a partner.
+// faultModes are the words for faults of partners.
 var faultModes = map[string]partner.Mode{
-	"DOWN": partner.Down, "SHUT": partner.Shut, "SILENT": partner.Unresponsive, "FAILING": partner.ReturningErrors, "SLOW": partner.Slow,
-	"PAUSED": partner.Paused, "BREAKING": partner.BreakingConnections, "SPOILING": partner.GarblingAnswers, "CUT": partner.LimitReduced,
+	"DOWN": partner.Down, "SHUT": partner.Shut, "SILENT": partner.Unresponsive,
+	"FAILING": partner.ReturningErrors, "SLOW": partner.Slow, "PAUSED": partner.Paused, "BREAKING": partner.BreakingConnections,
+	"SPOILING": partner.GarblingAnswers, "CUT": partner.LimitReduced,
 }
 
+// addFault is trouble(...) in a script.
 func (s *Scenario) addFault(a *args) error {
-	t := Fault{Dest: -1, Share: Range{1, 1}, Factor: Range{2, 2}, TrafficShare: Range{1, 1}}
+	f := Fault{Dest: -1, Share: Range{1, 1}, Factor: Range{2, 2}, TrafficShare: Range{1, 1}}
 	var what string
 	a.text("what", &what)
-	a.numberRange("at", &t.At)
-	a.numberRange("seconds", &t.Length)
-	a.numberRange("share", &t.Share)
-	a.numberRange("factor", &t.Factor)
-	a.numberRange("part", &t.TrafficShare)
-	a.text("zone", &t.Zone)
-	a.number("endpoints", &t.Endpoints)
-	a.text("kind", &t.Kind)
-	a.integer("destination", &t.Dest)
-	a.boolean("knows_end", &t.EndKnown)
+	a.period(&f.At, &f.Length)
+	a.numberRange("share", &f.Share)
+	a.numberRange("factor", &f.Factor)
+	a.numberRange("part", &f.TrafficShare)
+	a.text("zone", &f.Zone)
+	a.number("endpoints", &f.Endpoints)
+	a.text("kind", &f.Kind)
+	a.integer("destination", &f.Dest)
+	a.boolean("knows_end", &f.EndKnown)
 	mode, known := faultModes[what]
 	switch {
 	case !known:
 		return fmt.Errorf("what: %q is no trouble", what)
-	case t.Share.To > 1 || t.TrafficShare.To > 1 || t.Endpoints < 0 || t.Endpoints > 1 || t.Length.From <= 0 || t.Factor.From <= 0:
-		return errors.Join(a.err, errors.New("share, part and endpoints: 0 to 1; seconds and factor: above 0"))
-	case mode == partner.LimitReduced && t.Factor.To >= 1:
-		return errors.Join(a.err, errors.New("factor: a cut limit is less than 1 times the usual"))
+	case f.Share.To > 1 || f.TrafficShare.To > 1 || f.Endpoints < 0 || f.Endpoints > 1 || f.Length.From <= 0 ||
+		f.Factor.From <= 0:
+		return a.invalid("share, part and endpoints: 0 to 1; seconds and factor: above 0")
+	case mode == partner.LimitReduced && f.Factor.To >= 1:
+		return a.invalid("factor: a cut limit is less than 1 times the usual")
 	}
-	t.Mode = mode
-	s.Faults = append(s.Faults, t)
+	f.Mode = mode
+	s.Faults = append(s.Faults, f)
 	return a.err
 }
 
+// addDiscoveryOutage is discovery_out(...) in a script.
 func (s *Scenario) addDiscoveryOutage(a *args) error {
 	var b DiscoveryOutage
-	a.numberRange("at", &b.At)
-	a.numberRange("seconds", &b.Length)
+	a.period(&b.At, &b.Length)
 	if b.Length.From <= 0 {
-		return errors.Join(a.err, errors.New("seconds above 0 are needed"))
+		return a.invalid("seconds above 0 are needed")
 	}
 	s.DiscoveryOutages = append(s.DiscoveryOutages, b)
 	return a.err
 }
 
+// addChurn is churn(...) in a script.
 func (s *Scenario) addChurn(a *args) error {
 	c := Churn{Drain: 3 * time.Second}
 	a.numberRange("at", &c.At)
@@ -60,48 +63,51 @@
 	a.duration("drain", &c.Drain)
 	a.boolean("reuse_address", &c.Reuse)
 	if c.Every > 0 && c.Every < 100*time.Millisecond {
-		return errors.Join(a.err, errors.New("every: 0.1 s at the least"))
+		return a.invalid("every: 0.1 s at the least")
 	}
 	s.Churns = append(s.Churns, c)
 	return a.err
 }
 
-// linkState reads what ails a way.
-func (a *args) linkState(w *LinkState) error {
+// maxLinkDelay is the longest delay of a link. One longer than any call's timeout would be a silent link.
+const maxLinkDelay = time.Minute
+
+// linkState takes the state of a link.
+func (a *args) linkState(l *LinkState) error {
 	what := ""
 	a.text("what", &what)
-	a.duration("delay", &w.Delay)
-	a.duration("jitter", &w.Jitter)
-	for name, to := range map[string]*float64{"loss": &w.Loss, "double": &w.Duplicate, "reorder": &w.Reorder} {
-		if a.number(name, to); *to < 0 || *to > 1 {
-			return fmt.Errorf("%s: a part from 0 to 1", name)
+	a.duration("delay", &l.Delay)
+	a.duration("jitter", &l.Jitter)
+	for _, part := range []struct {
+		name string
+		of   *float64
+	}{{"loss", &l.Loss}, {"double", &l.Duplicate}, {"reorder", &l.Reorder}} {
+		if a.number(part.name, part.of); *part.of < 0 || *part.of > 1 {
+			return fmt.Errorf("%s: a part from 0 to 1", part.name)
 		}
 	}
 	switch what {
 	case "CUT":
-		w.Cut = true
+		l.Cut = true
 	case "SILENT":
-		w.Silent = true
+		l.Silent = true
 	case "":
-		if *w == (LinkState{}) {
+		if *l == (LinkState{}) {
 			return errors.New("nothing ails it: what (CUT or SILENT), delay, jitter, loss, double or reorder is needed")
 		}
 	default:
 		return fmt.Errorf("what: %q is neither CUT nor SILENT", what)
 	}
-	if w.Delay+w.Jitter > maxLinkDelay {
+	if l.Delay+l.Jitter > maxLinkDelay {
 		return fmt.Errorf("delay and jitter: %v together at most", maxLinkDelay)
 	}
 	return nil
 }
 
-// maxLinkDelay is how long a way may delay what passes: longer than any call's time it would be a silent one.
-const maxLinkDelay = time.Minute
-
+// addLink is link(...) in a script.
 func (s *Scenario) addLink(a *args) error {
 	var l Link
-	a.numberRange("at", &l.At)
-	a.numberRange("seconds", &l.Length)
+	a.period(&l.At, &l.Length)
 	a.names("of", &l.Of)
 	a.names("to", &l.To)
 	a.number("share", &l.Share)
@@ -111,24 +117,24 @@
 	}
 	switch {
 	case l.Length.From <= 0:
-		return errors.Join(a.err, errors.New("seconds above 0 are needed"))
+		return a.invalid("seconds above 0 are needed")
 	case (len(l.Of) == 0) == (l.Share == 0) || l.Share < 0 || l.Share > 1:
-		return errors.Join(a.err, errors.New("either of, or a share of the senders above 0 up to 1, is needed"))
+		return a.invalid("either of, or a share of the senders above 0 up to 1, is needed")
 	}
 	s.Links = append(s.Links, l)
 	return a.err
 }
 
+// addPartition is parts(...) in a script.
 func (s *Scenario) addPartition(a *args) error {
 	p := Partition{Sides: 2}
-	a.numberRange("at", &p.At)
-	a.numberRange("seconds", &p.Length)
+	a.period(&p.At, &p.Length)
 	a.integer("parts", &p.Sides)
 	if err := a.linkState(&p.LinkState); err != nil {
 		return errors.Join(a.err, err)
 	}
 	if p.Length.From <= 0 || p.Sides < 2 {
-		return errors.Join(a.err, errors.New("seconds above 0, and two parts at least, are needed"))
+		return a.invalid("seconds above 0, and two parts at least, are needed")
 	}
 	s.Partitions = append(s.Partitions, p)
 	return a.err
--- a/internal/scenario/parsefleet.go
+++ b/internal/scenario/parsefleet.go
@@ -10,6 +10,7 @@
 	"cleathold/internal/partner"
 )
 
+// setScenario is scenario(...) in a script.
 func (s *Scenario) setScenario(a *args) error {
 	if s.Name != "" {
 		return errors.New("called twice")
@@ -36,10 +37,12 @@
 	return a.err
 }
 
+// addKind is kind(...) in a script.
 func (s *Scenario) addKind(a *args) error {
 	k := Kind{
-		Headroom: Range{1.3, 2}, MinLimit: Range{2, 4}, Span: time.Second, SpareCapacity: Range{1.15, 1.6}, QueueLength: Range{0.3, 1}, CV: Range{0.3, 0.8},
-		Batch: 1, ItemCost: Range{0.05, 0.25}, MinConnections: Range{6, 16}, Endpoints: Range{2, 2.3}, RetryAfter: Range{0.3, 1},
+		Headroom: Range{1.3, 2}, MinLimit: Range{2, 4}, Span: time.Second, SpareCapacity: Range{1.15, 1.6},
+		QueueLength: Range{0.3, 1}, CV: Range{0.3, 0.8}, Batch: 1, ItemCost: Range{0.05, 0.25}, MinConnections: Range{6, 16},
+		Endpoints: Range{2, 2.3}, RetryAfter: Range{0.3, 1},
 	}
 	form := "rate"
 	a.text("name", &k.Name)
@@ -70,12 +73,13 @@
 		return fmt.Errorf("limit: %q is none of rate, window and none", form)
 	}
 	if k.Name == "" || k.Batch < 1 || k.Span <= 0 || k.RetryAfterShare.To > 1 || k.Endpoints.From < 1 || k.SpareCapacity.From < 1 {
-		return errors.Join(a.err, errors.New("name, batch, span, tells_wait (0 to 1), endpoints (1 up) or spare (1 up) out of range"))
+		return a.invalid("name, batch, span, tells_wait (0 to 1), endpoints (1 up) or spare (1 up) out of range")
 	}
 	s.Kinds = append(s.Kinds, k)
 	return a.err
 }
 
+// addFleet is fleet(...) in a script.
 func (s *Scenario) addFleet(a *args) error {
 	f := Fleet{Weight: 1, Destinations: Range{10, 10}}
 	a.text("kind", &f.Kind)
@@ -83,7 +87,7 @@
 	a.number("weight", &f.Weight)
 	a.integer("endpoints", &f.Endpoints)
 	if f.Destinations.From < 1 || f.Destinations.To > 100_000 || !(f.Weight > 0) || f.Endpoints < 0 || f.Endpoints > 1000 {
-		return errors.Join(a.err, errors.New("destinations: 1 to 100,000; weight: above 0; endpoints of each: 1,000 at most"))
+		return a.invalid("destinations: 1 to 100,000; weight: above 0; endpoints of each: 1,000 at most")
 	}
 	s.Fleets = append(s.Fleets, f)
 	return a.err
--- a/internal/scenario/parsetraffic.go
+++ b/internal/scenario/parsetraffic.go
@@ -5,6 +5,7 @@
 	"fmt"
 )
 
+// setTraffic is traffic(...) in a script.
 func (s *Scenario) setTraffic(a *args) error {
 	t := &s.Traffic
 	a.numberRange("rate", &t.Rate)
@@ -17,11 +18,12 @@
 	a.numberRange("body", &t.Body)
 	a.duration("patience", &t.Patience)
 	if t.Clumps.To > 1 || t.Retries < 0 || t.Retries > 100 || t.Body.To > 64<<10 {
-		return errors.Join(a.err, errors.New("clumps: 0 to 1; retries: 0 to 100; body: 65,536 bytes at most"))
+		return a.invalid("clumps: 0 to 1; retries: 0 to 100; body: 65,536 bytes at most")
 	}
 	return a.err
 }
 
+// addClass is message_class(...) in a script.
 func (s *Scenario) addClass(a *args) error {
 	c := Class{PriorityWeight: 1, Effect: "safe"}
 	a.text("name", &c.Name)
@@ -39,54 +41,56 @@
 	case c.Effect == "keyed" && c.KeyRetention <= 0:
 		return errors.New("a keyed class needs its memory")
 	case c.Name == "" || !(c.Share > 0) || c.Service.From <= 0 || c.LatencyObjective <= 0 || c.Deadline <= c.LatencyObjective:
-		return errors.Join(a.err, errors.New("name, share, service, aim and a deadline after it are needed"))
+		return a.invalid("name, share, service, aim and a deadline after it are needed")
 	}
 	s.Traffic.Classes = append(s.Traffic.Classes, c)
 	return a.err
 }
 
+// addTenant is tenant(...) in a script.
 func (s *Scenario) addTenant(a *args) error {
 	var t Tenant
 	a.text("name", &t.Name)
 	a.number("share", &t.Share)
 	if t.Name == "" || !(t.Share > 0) {
-		return errors.Join(a.err, errors.New("name and a share above 0 are needed"))
+		return a.invalid("name and a share above 0 are needed")
 	}
 	s.Traffic.Tenants = append(s.Traffic.Tenants, t)
 	return a.err
 }
 
+// addRatePoint is ramp(...) in a script.
 func (s *Scenario) addRatePoint(a *args) error {
 	var p RatePoint
 	a.duration("at", &p.At)
 	a.number("factor", &p.Factor)
 	if n := len(s.Traffic.RateCurve); p.Factor < 0 || n > 0 && p.At <= s.Traffic.RateCurve[n-1].At {
-		return errors.Join(a.err, errors.New("points in the order of their times, factors from 0 up"))
+		return a.invalid("points in the order of their times, factors from 0 up")
 	}
 	s.Traffic.RateCurve = append(s.Traffic.RateCurve, p)
 	return a.err
 }
 
+// addBurst is burst(...) in a script.
 func (s *Scenario) addBurst(a *args) error {
 	var b Burst
-	a.numberRange("at", &b.At)
-	a.numberRange("seconds", &b.Length)
+	a.period(&b.At, &b.Length)
 	a.numberRange("factor", &b.Factor)
 	if b.Length.From <= 0 || b.Factor.From < 1 {
-		return errors.Join(a.err, errors.New("seconds above 0 and a factor from 1 up are needed"))
+		return a.invalid("seconds above 0 and a factor from 1 up are needed")
 	}
 	s.Bursts = append(s.Bursts, b)
 	return a.err
 }
 
+// addHotKeys is hot(...) in a script.
 func (s *Scenario) addHotKeys(a *args) error {
 	h := HotKeys{Keys: 1}
-	a.numberRange("at", &h.At)
-	a.numberRange("seconds", &h.Length)
+	a.period(&h.At, &h.Length)
 	a.numberRange("share", &h.Share)
 	a.integer("destinations", &h.Keys)
 	if h.Length.From <= 0 || h.Share.From <= 0 || h.Share.To >= 1 || h.Keys < 1 {
-		return errors.Join(a.err, errors.New("seconds above 0, a share between 0 and 1, and destinations from 1 up are needed"))
+		return a.invalid("seconds above 0, a share between 0 and 1, and destinations from 1 up are needed")
 	}
 	s.HotKeys = append(s.HotKeys, h)
 	return a.err
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -144,7 +144,7 @@
 	Sender       int     // its number; below 0 = a share of them
 	Share        float64 // of the senders, drawn
 	Spread       Range   // seconds over which they are struck, one after the other
-	What         string  // see deeds
+	What         string  // see senderActions
 	InFlight     float64 // of a retune: calls out at once, as a multiple of what the scenario told...
 	OpenMessages float64 // ...and messages held
 }
