--- a/internal/scenario/args.go
+++ b/internal/scenario/args.go
@@ -10,8 +10,8 @@
 	"go.starlark.net/starlark"
 )
 
-// args are the arguments of one call of a script, which are taken by name. The methods that take one leave its default where
-// the call does not give it, and keep the first error in err.
+// args are the arguments of one call of a script, which are taken by name. The methods that take one leave its
+// default where the call does not give it, and keep the first error in err.
 type args struct {
 	name  string // of the function
 	given map[string]starlark.Value
--- a/internal/scenario/arrivals.go
+++ b/internal/scenario/arrivals.go
@@ -11,7 +11,7 @@
 	"cleathold/internal/timeline"
 )
 
-// Load is the rate of messages at a time, as a multiple of the full load.
+// Load returns the rate of messages at a time, as a multiple of the full load.
 func (p *Plan) Load(at time.Duration) float64 {
 	x := 1.0
 	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
@@ -34,7 +34,7 @@
 	return x
 }
 
-// maxLoad is a rate that Load never passes.
+// maxLoad returns a load that Load never exceeds.
 func (p *Plan) maxLoad() float64 {
 	x := 1.0
 	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
@@ -49,7 +49,7 @@
 	return x
 }
 
-// Arrival is one message that a client hands in for the first time.
+// Arrival is a message that a client submits for the first time.
 type Arrival struct {
 	At     time.Duration
 	N      int // counts from 0
@@ -59,30 +59,39 @@
 	Size   int
 }
 
-// Arrivals draws the messages of a plan, one after another, in memory that does
-// not grow with them.
+// Arrivals draws the messages of a plan one after another, in memory that does not grow with them. It is not safe for
+// concurrent use.
 type Arrivals struct {
 	plan            *Plan
 	rng             *rand.Rand
-	destShares      []float64 // sums of the shares
+	destShares      []float64 // running sums of the destinations' shares
 	classShares     []float64
 	tenantShares    []float64
-	largest         []int // destinations, those with most traffic first
-	nextSingle      time.Duration
+	largest         []int         // indices of destinations, those with most traffic first
+	nextSingle      time.Duration // time of the next message that is in no clump
 	nextClump       time.Duration
-	clumpsPerSecond float64 // a second
-	pending         timeline.Queue[clump]
+	clumpsPerSecond float64               // a second
+	pending         timeline.Queue[clump] // by the time of their next message
 	count           int
 }
 
-// A clump is what is still to come of one.
+// A clump is a number of messages for one destination, close after one another.
 type clump struct {
 	dest      int
 	remaining int
 	order     uint64
 }
 
-// Arrivals starts at the first message.
+// An arrivalSource is what the next arrival belongs to.
+type arrivalSource uint8
+
+const (
+	singleMessage arrivalSource = iota
+	newClump
+	messageOfClump
+)
+
+// Arrivals returns the messages of a plan from the first one on.
 func (p *Plan) Arrivals() *Arrivals {
 	a := &Arrivals{plan: p, rng: randomStream(p.Seed, streamTraffic)}
 	sum := 0.0
@@ -108,7 +117,7 @@
 	return a
 }
 
-// clumpRate is the clumps a second that bring their part of the messages.
+// clumpRate returns how many clumps a second bring their part of the messages.
 func (a *Arrivals) clumpRate() float64 {
 	size := 0.0 // of a clump, in the mean
 	for _, d := range a.plan.Dests {
@@ -117,7 +126,7 @@
 	return a.plan.Rate * a.plan.clumpShare / size
 }
 
-// capacity is the calls a second that a destination takes.
+// capacity returns the calls a second that a destination takes.
 func (a *Arrivals) capacity(d *Destination) float64 {
 	if d.Limit.Form == partner.NoLimit {
 		return float64(d.Servers*len(d.Endpoints)) / d.Mean.Seconds()
@@ -125,8 +134,8 @@
 	return d.Limit.PerSecond
 }
 
-// nextEvent draws the time of the next event of a Poisson process whose rate follows
-// the load, by thinning.
+// nextEvent draws, by thinning, the time of the next event of a Poisson process whose rate follows the load. Rate is
+// the events a second at full load.
 func (a *Arrivals) nextEvent(at time.Duration, rate float64) time.Duration {
 	peak := a.plan.maxLoad()
 	if rate*peak <= 0 {
@@ -140,13 +149,13 @@
 	}
 }
 
-// choose draws by sums of shares.
+// choose draws an index by running sums of shares.
 func (a *Arrivals) choose(sums []float64) int {
 	i, _ := slices.BinarySearch(sums, a.rng.Float64()*sums[len(sums)-1])
 	return min(i, len(sums)-1)
 }
 
-// drawDest draws a destination; a hot time draws some of all to the largest.
+// drawDest draws the index of a destination. Hot keys draw a part of the messages to the largest ones.
 func (a *Arrivals) drawDest(at time.Duration) int {
 	for _, h := range a.plan.hotKeys {
 		if at >= h.from && at < h.to && a.rng.Float64() < h.size {
@@ -156,32 +165,31 @@
 	return a.choose(a.destShares)
 }
 
-// Next returns the next message; false after the last.
+// Next returns the next message; false after the last one.
 func (a *Arrivals) Next() (Arrival, bool) {
 	for {
-		at := a.nextSingle
-		from := 0
+		at, source := a.nextSingle, singleMessage
 		if a.nextClump < at {
-			at, from = a.nextClump, 1
+			at, source = a.nextClump, newClump
 		}
-		if next, _, some := a.pending.First(); some && next <= at {
-			at, from = next, 2
+		if next, _, ok := a.pending.First(); ok && next <= at {
+			at, source = next, messageOfClump
 		}
 		if at > a.plan.Scenario.Length {
 			return Arrival{}, false
 		}
 		dest := 0
-		switch from {
-		case 0:
+		switch source {
+		case singleMessage:
 			a.nextSingle = a.nextEvent(at, a.plan.Rate*(1-a.plan.clumpShare))
 			dest = a.drawDest(at)
-		case 1: // a clump begins: its messages come one close after the other
+		case newClump:
 			a.nextClump = a.nextEvent(at, a.clumpsPerSecond)
 			d := a.choose(a.destShares)
 			size := max(1, int(math.Round(a.plan.clumpSize.draw(a.rng)*a.capacity(&a.plan.Dests[d]))))
 			a.pending.Push(at, uint64(a.count), clump{d, size, uint64(a.count)})
 			continue
-		case 2:
+		case messageOfClump:
 			_, c := a.pending.Pop()
 			dest = c.dest
 			if c.remaining--; c.remaining > 0 {
@@ -189,8 +197,8 @@
 			}
 		}
 		m := Arrival{
-			At: at, N: a.count, Dest: a.plan.Dests[dest].Dest, Class: a.choose(a.classShares), Tenant: a.choose(a.tenantShares),
-			Size: int(a.plan.Scenario.Traffic.Body.draw(a.rng)),
+			At: at, N: a.count, Dest: a.plan.Dests[dest].Dest, Class: a.choose(a.classShares),
+			Tenant: a.choose(a.tenantShares), Size: int(a.plan.Scenario.Traffic.Body.draw(a.rng)),
 		}
 		a.count++
 		return m, true
--- a/internal/scenario/drawactions.go
+++ b/internal/scenario/drawactions.go
@@ -8,21 +8,28 @@
 	"time"
 )
 
-// drawActions draws what is done to senders, and when.
+// drawSenders draws a share of the senders, one at the least.
+func (s *Scenario) drawSenders(rng *rand.Rand, share float64) []int {
+	return rng.Perm(s.Senders)[:max(1, int(math.Round(share*float64(s.Senders))))]
+}
+
+// drawActions draws the actions on senders.
 func (p *Plan) drawActions(rng *rand.Rand) {
-	n := p.Scenario.Senders
 	for k, d := range p.Scenario.Actions {
 		at := d.At.seconds(rng)
 		senders := []int{d.Sender}
 		if d.Sender < 0 {
-			senders = rng.Perm(n)[:max(1, int(math.Round(d.Share*float64(n))))]
+			senders = p.Scenario.drawSenders(rng, d.Share)
 		}
 		spread := time.Duration(0)
 		if d.Spread.To > 0 {
 			spread = d.Spread.seconds(rng)
 		}
 		for i, num := range senders {
-			x := PlannedAction{At: at + spread*time.Duration(i)/time.Duration(len(senders)), Sender: num, What: d.What, InFlight: d.InFlight, OpenMessages: d.OpenMessages, Of: k}
+			x := PlannedAction{
+				At: at + spread*time.Duration(i)/time.Duration(len(senders)), Sender: num, What: d.What,
+				InFlight: d.InFlight, OpenMessages: d.OpenMessages, Of: k,
+			}
 			if d.Length.To > 0 {
 				x.Until = x.At + d.Length.seconds(rng)
 			}
@@ -32,35 +39,35 @@
 	slices.SortStableFunc(p.Actions, func(a, b PlannedAction) int { return cmp.Compare(a.At, b.At) })
 }
 
-// PlannedAction is something done to a sender.
+// PlannedAction is an action on one sender, drawn. Times are counted from the start of the run.
 type PlannedAction struct {
 	At           time.Duration
-	Until        time.Duration // of a stop and a drain; 0 = none
+	Until        time.Duration // of a stop and a drain; 0: without an end
 	Sender       int
 	What         string
-	InFlight     float64 // of a retune
+	InFlight     float64 // of a retune: multiples of the scenario's
 	OpenMessages float64
-	Of           int // the scenario's deed
+	Of           int // index in Scenario.Actions
 }
 
-// PlannedAgentAction is something done to an agent, and PlannedOrder what staff want, drawn.
-type (
-	PlannedAgentAction struct {
-		At, Until time.Duration
-		Agent     int
-		What      string
-	}
-	PlannedOrder struct {
-		At, Hold time.Duration
-		Agent    int
-		What     string
-		Of       []string // senders
-		Bad      bool
-		GoBack   bool
-	}
-)
+// PlannedAgentAction is an action on an agent, drawn.
+type PlannedAgentAction struct {
+	At, Until time.Duration
+	Agent     int
+	What      string
+}
 
-// drawAgents draws what befalls agents, and what staff order.
+// PlannedOrder is an order to the agents, drawn.
+type PlannedOrder struct {
+	At, Hold time.Duration
+	Agent    int
+	What     string
+	Of       []string // senders
+	Bad      bool
+	GoBack   bool
+}
+
+// drawAgents draws the actions on agents, and the orders to them.
 func (p *Plan) drawAgents(rng *rand.Rand) {
 	for _, d := range p.Scenario.AgentActions {
 		at := d.At.seconds(rng)
@@ -68,7 +75,9 @@
 	}
 	slices.SortStableFunc(p.AgentActions, func(a, b PlannedAgentAction) int { return cmp.Compare(a.At, b.At) })
 	for _, o := range p.Scenario.Orders {
-		x := PlannedOrder{At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.What, Bad: o.Bad, GoBack: o.GoBack}
+		x := PlannedOrder{
+			At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.What, Bad: o.Bad, GoBack: o.GoBack,
+		}
 		of := p.parties(o.Of)
 		for i := range p.Scenario.Senders {
 			if len(o.Of) == 0 || of[Sender(i)] {
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -10,8 +10,8 @@
 	"cleathold/internal/partner"
 )
 
-// drawFaults chooses whom a trouble strikes: as many destinations as its part of
-// the traffic allows, the one that was drawn first in any case.
+// drawFaults draws which endpoints each fault is at: those of as many destinations as its part of the traffic allows,
+// and of the first one drawn in any case.
 func (p *Plan) drawFaults(rng *rand.Rand) {
 	for i, t := range p.Scenario.Faults {
 		from := t.At.seconds(rng)
@@ -40,14 +40,16 @@
 			}
 			total += share
 			for _, id := range ids {
-				p.Changes = append(p.Changes, Change{At: from, Endpoint: id, Fault: fault, Of: i}, Change{At: to, Endpoint: id, Of: i})
+				p.Changes = append(p.Changes,
+					Change{At: from, Endpoint: id, Fault: fault, Of: i},
+					Change{At: to, Endpoint: id, Of: i})
 			}
 		}
 	}
 }
 
-// resolveOverlaps has a trouble that comes into another one, or ends in it, leave the later
-// one in force: an endpoint has one at a time, and is well only after the last.
+// resolveOverlaps lets the fault that began last stand where faults of an endpoint overlap. The endpoint is healthy
+// after the end of the last one.
 func (p *Plan) resolveOverlaps() {
 	slices.SortStableFunc(p.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
 	current := map[string][]Change{} // by endpoint, in the order in which they began
@@ -64,6 +66,7 @@
 	}
 }
 
+// drawWindows draws the bursts and the hot keys.
 func (p *Plan) drawWindows(rng *rand.Rand) {
 	for _, b := range p.Scenario.Bursts {
 		from := b.At.seconds(rng)
@@ -75,7 +78,7 @@
 	}
 }
 
-// drawChurns replaces endpoints, one after another, none twice.
+// drawChurns draws which endpoints are replaced: one after another, none twice.
 func (p *Plan) drawChurns(rng *rand.Rand) {
 	serial := 0
 	replaced := map[string]bool{}
--- a/internal/scenario/drawfleet.go
+++ b/internal/scenario/drawfleet.go
@@ -10,83 +10,129 @@
 	"cleathold/internal/partner"
 )
 
-// drawFleet draws the destinations: much of the traffic goes to a few.
+// What all destinations have in common.
+const (
+	connCost        = 10 * time.Millisecond
+	limitBurst      = 200 * time.Millisecond
+	coldCapacity    = 0.22
+	warmUp          = 13 * time.Second
+	overloadFactor  = 2
+	overloadWindow  = 2 * time.Second
+	maxEndpoints    = 4   // that are drawn for a destination
+	speedDeviation  = 0.4 // of the logarithm of a destination's service time
+	minAnnounced    = 0.85
+	announcedSpread = 0.3 // an announced rate is this much more than minAnnounced times the limit at most
+)
+
+// A fleetDraw draws the destinations of a plan.
+type fleetDraw struct {
+	plan        *Plan
+	rng         *rand.Rand
+	totalWeight float64
+	maxWeight   float64
+	service     float64 // mean service time of all messages, in seconds
+	endpoints   int     // drawn so far
+}
+
+// destinationWeight is a destination before its figures are drawn.
+type destinationWeight struct {
+	kind      *Kind
+	weight    float64 // of its traffic
+	endpoints int     // 0: drawn
+}
+
+// drawFleet draws the destinations. A few of them get much of the traffic.
 func (p *Plan) drawFleet(rng *rand.Rand) {
-	s := p.Scenario
-	p.Rate = s.Traffic.Rate.draw(rng)
-	p.clumpShare, p.clumpSize = s.Traffic.Clumps.draw(rng), s.Traffic.Clump
-	type slot struct {
-		kind      *Kind
-		weight    float64
-		endpoints int
+	p.Rate = p.Scenario.Traffic.Rate.draw(rng)
+	p.clumpShare, p.clumpSize = p.Scenario.Traffic.Clumps.draw(rng), p.Scenario.Traffic.Clump
+	d := &fleetDraw{plan: p, rng: rng}
+	list := d.weights()
+	for _, w := range list {
+		d.totalWeight, d.maxWeight = d.totalWeight+w.weight, max(d.maxWeight, w.weight)
+	}
+	work, shares := 0.0, 0.0
+	for _, c := range p.Scenario.Traffic.Classes {
+		work += c.Share * c.Service.Mean()
+		shares += c.Share
 	}
-	var slots []slot
-	zipf := s.Traffic.Zipf.draw(rng)
+	d.service = work / shares
+	for i, w := range list {
+		p.Dests = append(p.Dests, d.destination(i+1, w))
+	}
+}
+
+// weights draws how many destinations each fleet has, and how its traffic is spread over them.
+func (d *fleetDraw) weights() []destinationWeight {
+	var list []destinationWeight
+	s := d.plan.Scenario
+	zipf := s.Traffic.Zipf.draw(d.rng)
 	for _, f := range s.Fleets {
-		n := int(math.Round(f.Destinations.draw(rng)))
+		n := int(math.Round(f.Destinations.draw(d.rng)))
 		k := &s.Kinds[slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == f.Kind })]
 		sum := 0.0
-		from := len(slots)
+		from := len(list)
 		for i := range n {
-			slots = append(slots, slot{k, math.Pow(float64(i+1), -zipf), f.Endpoints})
-			sum += slots[from+i].weight
+			list = append(list, destinationWeight{k, math.Pow(float64(i+1), -zipf), f.Endpoints})
+			sum += list[from+i].weight
 		}
 		for i := range n {
-			slots[from+i].weight *= f.Weight / sum
+			list[from+i].weight *= f.Weight / sum
 		}
 	}
-	total, largest := 0.0, 0.0
-	for _, x := range slots {
-		total, largest = total+x.weight, max(largest, x.weight)
+	return list
+}
+
+// destination draws a destination. The order of the draws stays, or plans change.
+func (d *fleetDraw) destination(num int, w destinationWeight) Destination {
+	k, share := w.kind, w.weight/d.totalWeight
+	load := share * d.plan.Rate // calls a second at full load
+	x := Destination{Share: share}
+	speed := math.Exp(speedDeviation * d.rng.NormFloat64())
+	x.Dest, x.Kind, x.SeparateRoutes, x.MaxBatch = num, k.Name, k.SeparateRoutes, k.Batch
+	x.Mean = time.Duration(d.service * speed * float64(time.Second))
+	x.CV, x.ItemCost = k.CV.draw(d.rng), k.ItemCost.draw(d.rng)
+	n := int(math.Round(k.Endpoints.draw(d.rng) * (0.8 + 0.8*w.weight/d.maxWeight)))
+	n = min(max(1, n), maxEndpoints)
+	if w.endpoints > 0 {
+		n = w.endpoints
 	}
-	work, shares := 0.0, 0.0
-	for _, c := range s.Traffic.Classes {
-		work += c.Share * c.Service.Mean()
-		shares += c.Share
+	limit := max(k.Headroom.draw(d.rng)*load, k.MinLimit.draw(d.rng)) // of a route
+	sharing := float64(n)                                             // endpoints of a route
+	if k.SeparateRoutes {
+		limit /= float64(n)
+		sharing = 1
 	}
-	endpoints := 0
-	for i, x := range slots {
-		k, share := x.kind, x.weight/total
-		load := share * p.Rate // calls a second at full load
-		d := Destination{Share: share}
-		pace := math.Exp(0.4 * rng.NormFloat64()) // they answer at very different speeds
-		d.Dest, d.Kind, d.SeparateRoutes, d.MaxBatch = i+1, k.Name, k.SeparateRoutes, k.Batch
-		d.Mean = time.Duration(work / shares * pace * float64(time.Second))
-		d.CV, d.ItemCost = k.CV.draw(rng), k.ItemCost.draw(rng)
-		n := int(math.Round(k.Endpoints.draw(rng) * (0.8 + 0.8*x.weight/largest)))
-		n = min(max(1, n), 4)
-		if x.endpoints > 0 {
-			n = x.endpoints
-		}
-		limit := max(k.Headroom.draw(rng)*load, k.MinLimit.draw(rng))
-		if k.SeparateRoutes {
-			limit /= float64(n)
-		}
-		d.Limit = partner.Limit{Form: k.Form, PerSecond: limit, Window: k.Span, Burst: 200 * time.Millisecond, CountRejected: k.CountRejected}
-		d.RetryAfterShare, d.RetryAfter = k.RetryAfterShare.draw(rng), k.RetryAfter.seconds(rng)
-		sharing := float64(n)
-		if k.SeparateRoutes {
-			sharing = 1 // each has the capacity of its own limit
-		}
-		capacity := limit * k.SpareCapacity.draw(rng) / sharing
-		d.Servers = max(1, int(math.Ceil(capacity*d.Mean.Seconds())))
-		d.QueueLength = max(1, int(math.Ceil(capacity*k.QueueLength.draw(rng))))
-		if k.Connections.To > 0 {
-			d.MaxConnections = int(math.Ceil(max(k.Connections.draw(rng)*float64(d.Servers), k.MinConnections.draw(rng))))
-		}
-		d.ConnCost = 10 * time.Millisecond
-		for _, c := range s.Traffic.Classes {
-			d.KeyRetention = max(d.KeyRetention, c.KeyRetention)
-		}
-		d.ColdCapacity, d.WarmUp, d.OverloadFactor, d.OverloadWindow = 0.22, 13*time.Second, 2, 2*time.Second
-		for range n {
-			endpoints++
-			d.Endpoints = append(d.Endpoints, partner.EndpointSpec{ID: fmt.Sprintf("e%05d", endpoints), Zone: rng.IntN(len(s.Zones))})
-		}
-		d.AnnouncedRate = limit * (0.85 + 0.3*rng.Float64()) // of the route, from all senders together
-		if k.Form == partner.NoLimit {
-			d.AnnouncedRate = 0
-		}
-		p.Dests = append(p.Dests, d)
+	x.Limit = partner.Limit{
+		Form: k.Form, PerSecond: limit, Window: k.Span, Burst: limitBurst, CountRejected: k.CountRejected,
+	}
+	x.RetryAfterShare, x.RetryAfter = k.RetryAfterShare.draw(d.rng), k.RetryAfter.seconds(d.rng)
+	capacity := limit * k.SpareCapacity.draw(d.rng) / sharing // of an endpoint
+	x.Servers = max(1, int(math.Ceil(capacity*x.Mean.Seconds())))
+	x.QueueLength = max(1, int(math.Ceil(capacity*k.QueueLength.draw(d.rng))))
+	if k.Connections.To > 0 {
+		conns := max(k.Connections.draw(d.rng)*float64(x.Servers), k.MinConnections.draw(d.rng))
+		x.MaxConnections = int(math.Ceil(conns))
+	}
+	x.ConnCost = connCost
+	for _, c := range d.plan.Scenario.Traffic.Classes {
+		x.KeyRetention = max(x.KeyRetention, c.KeyRetention)
+	}
+	x.ColdCapacity, x.WarmUp, x.OverloadFactor, x.OverloadWindow = coldCapacity, warmUp, overloadFactor, overloadWindow
+	x.Endpoints = d.drawEndpoints(n)
+	x.AnnouncedRate = limit * (minAnnounced + announcedSpread*d.rng.Float64())
+	if k.Form == partner.NoLimit {
+		x.AnnouncedRate = 0
+	}
+	return x
+}
+
+// drawEndpoints draws the zones of a destination's endpoints.
+func (d *fleetDraw) drawEndpoints(n int) []partner.EndpointSpec {
+	var list []partner.EndpointSpec
+	for range n {
+		d.endpoints++
+		id := fmt.Sprintf("e%05d", d.endpoints)
+		list = append(list, partner.EndpointSpec{ID: id, Zone: d.rng.IntN(len(d.plan.Scenario.Zones))})
 	}
+	return list
 }
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"strconv"
@@ -17,49 +16,50 @@
 	Clients   = "clients"
 )
 
-// Sender is the party's name of a sender.
+// Sender returns the name of a sender as a party of links.
 func Sender(num int) string { return "n" + strconv.Itoa(num) }
 
-// Agent is that of an agent.
+// Agent returns the name of an agent as a party of links.
 func Agent(num int) string { return "a" + strconv.Itoa(num) }
 
-// PlannedLink is a fault of ways, drawn.
+// PlannedLink is a fault of links, drawn. Times are counted from the start of the run.
 type PlannedLink struct {
 	From, To time.Duration
-	Way      LinkState
-	Text     string
+	State    LinkState
+	Text     string // what it is, for a time axis
 
-	of, to map[string]bool // to nil: all that are not in of
+	of, to map[string]bool // names of parties; to nil: all that are not in of
 	oneWay bool
-	sideOf map[string]int // of a fleet in parts: which one a sender is in
+	sideOf map[string]int // of a partition: which side a sender is on
 }
 
-// affects tells whether it ails the way from one party to another.
+// affects reports whether it is a fault of the link from one party to another.
 func (l *PlannedLink) affects(from, to string) bool {
 	if l.sideOf != nil {
-		a, is := l.sideOf[from]
-		b, are := l.sideOf[to]
-		return is && are && a != b
+		a, ok1 := l.sideOf[from]
+		b, ok2 := l.sideOf[to]
+		return ok1 && ok2 && a != b
 	}
-	there := func(a, b string) bool { return l.of[a] && (l.to[b] || l.to == nil && !l.of[b]) }
-	return there(from, to) || !l.oneWay && there(to, from)
+	between := func(a, b string) bool { return l.of[a] && (l.to[b] || l.to == nil && !l.of[b]) }
+	return between(from, to) || !l.oneWay && between(to, from)
 }
 
-// LinkState is what ails the way from one party to another at a time: what began last stands.
-func (p *Plan) LinkState(at time.Duration, from, to string) (w LinkState) {
+// LinkState returns the state of the link from one party to another at a time. Of several faults the one that began
+// last counts.
+func (p *Plan) LinkState(at time.Duration, from, to string) (state LinkState) {
 	for i := range p.Links {
 		l := &p.Links[i]
 		if l.From > at {
 			break
 		}
 		if at < l.To && l.affects(from, to) {
-			w = l.Way
+			state = l.State
 		}
 	}
-	return w
+	return state
 }
 
-// LinkChanges are the instants at which ways change, in order.
+// LinkChanges returns the times at which links change, in order.
 func (p *Plan) LinkChanges() (list []time.Duration) {
 	for _, l := range p.Links {
 		list = append(list, l.From, l.To)
@@ -68,7 +68,7 @@
 	return slices.Compact(list)
 }
 
-// words of the parties that a name of a script can stand for.
+// Names in a script that stand for several parties.
 const (
 	allSenders  = "senders"
 	allAgents   = "agents"
@@ -78,7 +78,7 @@
 	oneEndpoint = "endpoint/"
 )
 
-// parties are those that names stand for.
+// parties returns the parties that names of a script stand for.
 func (p *Plan) parties(names []string) map[string]bool {
 	set := map[string]bool{}
 	for _, name := range names {
@@ -100,7 +100,8 @@
 		case name == allPartners || strings.HasPrefix(name, inZone) || strings.HasPrefix(name, ofDest):
 			for _, d := range p.Dests {
 				for _, e := range d.Endpoints {
-					if name == allPartners || name == inZone+p.Scenario.Zones[e.Zone] || name == ofDest+strconv.Itoa(d.Dest) {
+					zone, dest := inZone+p.Scenario.Zones[e.Zone], ofDest+strconv.Itoa(d.Dest)
+					if name == allPartners || name == zone || name == dest {
 						set[e.ID] = true
 					}
 				}
@@ -112,15 +113,14 @@
 	return set
 }
 
-// drawLinks draws whom faults of ways strike, and when.
+// drawLinks draws the faults of links and the partitions.
 func (p *Plan) drawLinks(rng *rand.Rand) {
-	n := p.Scenario.Senders
 	for _, l := range p.Scenario.Links {
-		x := PlannedLink{From: l.At.seconds(rng), Way: l.LinkState, oneWay: l.OneWay}
+		x := PlannedLink{From: l.At.seconds(rng), State: l.LinkState, oneWay: l.OneWay}
 		x.To = x.From + l.Length.seconds(rng)
 		of := l.Of
 		if len(of) == 0 {
-			for _, i := range rng.Perm(n)[:max(1, int(math.Round(l.Share*float64(n))))] {
+			for _, i := range p.Scenario.drawSenders(rng, l.Share) {
 				of = append(of, Sender(i))
 			}
 		}
@@ -134,9 +134,12 @@
 		p.Links = append(p.Links, x)
 	}
 	for _, c := range p.Scenario.Partitions {
-		x := PlannedLink{From: c.At.seconds(rng), Way: c.LinkState, sideOf: map[string]int{}, Text: fmt.Sprintf("%s between %d parts of the senders", c.LinkState.describe(), c.Sides)}
+		x := PlannedLink{
+			From: c.At.seconds(rng), State: c.LinkState, sideOf: map[string]int{},
+			Text: fmt.Sprintf("%s between %d parts of the senders", c.LinkState.describe(), c.Sides),
+		}
 		x.To = x.From + c.Length.seconds(rng)
-		for i, num := range rng.Perm(n) {
+		for i, num := range rng.Perm(p.Scenario.Senders) {
 			x.sideOf[Sender(num)] = i % c.Sides
 		}
 		p.Links = append(p.Links, x)
@@ -144,22 +147,22 @@
 	slices.SortStableFunc(p.Links, func(a, b PlannedLink) int { return cmp.Compare(a.From, b.From) })
 }
 
-// describe is what ails a way, in a word or two.
-func (w LinkState) describe() string {
+// describe returns what is wrong with a link, in a few words.
+func (l LinkState) describe() string {
 	switch {
-	case w.Cut:
+	case l.Cut:
 		return "cut"
-	case w.Silent:
+	case l.Silent:
 		return "silent"
 	}
 	var list []string
-	if w.Delay+w.Jitter > 0 {
-		list = append(list, fmt.Sprintf("%v to %v late", w.Delay, w.Delay+w.Jitter))
+	if l.Delay+l.Jitter > 0 {
+		list = append(list, fmt.Sprintf("%v to %v late", l.Delay, l.Delay+l.Jitter))
 	}
 	for _, part := range []struct {
 		word string
 		of   float64
-	}{{"lost", w.Loss}, {"doubled", w.Duplicate}, {"out of order", w.Reorder}} {
+	}{{"lost", l.Loss}, {"doubled", l.Duplicate}, {"out of order", l.Reorder}} {
 		if part.of > 0 {
 			list = append(list, fmt.Sprintf("%.0f%% %s", 100*part.of, part.word))
 		}
--- a/internal/scenario/links_test.go
+++ b/internal/scenario/links_test.go
@@ -10,8 +10,8 @@
 )
 
 // What ails a way at a time: who is meant, which direction, and what began last.
-func TestWays(t *testing.T) {
-	p := parse(t, `
+func TestLinkState(t *testing.T) {
+	p := parseWith(t, `
 link(at = 10, seconds = 5, of = "n0", what = "CUT")
 link(at = 20, seconds = 5, of = "bldg-a", to = ["clients", "discovery"], what = "SILENT", one_way = True)
 link(at = 22, seconds = 1, of = "n0", to = "clients", delay = 0.25, jitter = 0.5, loss = 0.5)
@@ -36,23 +36,23 @@
 			t.Errorf("%v s, %s to %s: %+v, want %+v", c.at, c.from, c.to, got, c.want)
 		}
 	}
-	struck := 0
+	cutOff := 0
 	for i := range 3 {
 		if !p.LinkState(40*time.Second, Sender(i), other).Passes() {
-			struck++
+			cutOff++
 		}
 	}
-	if struck != 2 {
-		t.Errorf("%d of 3 senders are half of them", struck)
+	if cutOff != 2 {
+		t.Errorf("%d of 3 senders are half of them", cutOff)
 	}
-	if turns := p.LinkChanges(); len(turns) != 12 || turns[0] != 10*time.Second {
-		t.Errorf("ways change at %v", turns)
+	if changes := p.LinkChanges(); len(changes) != 12 || changes[0] != 10*time.Second {
+		t.Errorf("ways change at %v", changes)
 	}
 }
 
 // Deeds of a share of the senders: so many, each once, over so long.
-func TestShares(t *testing.T) {
-	p := parse(t, `
+func TestActionsOnShare(t *testing.T) {
+	p := parseWith(t, `
 sender(share = 0.7, at = 10, what = "stop", seconds = 4, spread = 2)
 sender(number = 1, at = 30, what = "retune", slots = 0.5)
 `).Plan(3)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestLinkFaults(t *testing.T) {
+func TestLinkAndActionErrors(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{`link(at = 1, seconds = 1, of = "n3", what = "CUT")`, `link: no party "n3"`},
 		{`link(at = 1, seconds = 1, of = "n01", what = "CUT")`, `link: no party "n01"`},
@@ -89,7 +89,7 @@
 		{`sender(number = 1, at = 1, what = "retune", slots = 0)`, "multiples above 0"},
 		{`sender(number = 1, at = 1, what = "odd")`, `"odd" is none of activate, drain, hup, kill`},
 	} {
-		_, err := Parse("s.star", []byte(base(t)+c.text+"\n"), nil)
+		_, err := Parse("s.star", []byte(libraryScript(t)+c.text+"\n"), nil)
 		var own *settings.Error
 		if !errors.As(err, &own) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.text, err, c.want)
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -13,8 +13,8 @@
 	"cleathold/internal/settings"
 )
 
-// Load reads and checks the script at a path. Figures replace the defaults of the params that they name. Errors of the script
-// are those of Parse.
+// Load reads and checks the script at a path. Figures replace the defaults of the params that they name. Errors of
+// the script are those of Parse.
 func Load(path string, figures map[string]float64) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -23,8 +23,8 @@
 	return Parse(path, text, figures)
 }
 
-// Parse reads and checks the text of a script, as Load does. Its errors are of type *settings.Error, with the file and, where
-// there is one, line and column.
+// Parse reads and checks the text of a script, as Load does. Its errors are of type *settings.Error, with the file
+// and, where there is one, line and column.
 func Parse(path string, text []byte, figures map[string]float64) (*Scenario, error) {
 	s := &Scenario{
 		Path: path, Script: text, Figures: figures, Senders: 1, InFlight: Range{1.8, 2.4}, OpenMessages: Range{7, 11},
@@ -84,7 +84,9 @@
 
 // withArgs passes the arguments of a call, which go by name, to f. Those that f does not take are an error.
 func withArgs(f func(*args) error) builtin {
-	return func(_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
+	return func(
+		_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple,
+	) (starlark.Value, error) {
 		if len(given) > 0 {
 			return nil, fmt.Errorf("%s: arguments go by name", b.Name())
 		}
@@ -99,10 +101,12 @@
 	}
 }
 
-// param returns the function that gives a script a figure, or its default. It deletes the figures that were asked for from
-// unused.
+// param returns the function that gives a script a figure, or its default. It deletes the figures that were asked for
+// from unused.
 func param(figures, unused map[string]float64) builtin {
-	return func(_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
+	return func(
+		_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple,
+	) (starlark.Value, error) {
 		var name string
 		var usual starlark.Value
 		if err := starlark.UnpackArgs(b.Name(), given, named, "name", &name, "usual", &usual); err != nil {
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -10,65 +10,95 @@
 	"cleathold/internal/partner"
 )
 
-// A Mark is something that happens, on the time axis.
+// A Mark is something that happens in a plan, for a time axis.
 type Mark struct {
-	From, To time.Duration // To = From for what takes no time
+	From, To time.Duration // equal for what takes no time
 	Text     string
 }
 
-// Marks are what happens in a plan, in the order of their times.
+// Marks returns what happens in a plan, in the order of their times.
 func (p *Plan) Marks() []Mark {
+	list := p.faultMarks()
+	for _, c := range p.Changes {
+		if c.Of < 0 && c.Leaves {
+			list = append(list, Mark{c.At, c.At, fmt.Sprintf("%s of destination %d is gone", c.Endpoint, c.Dest)})
+		}
+	}
+	for _, b := range p.bursts {
+		list = append(list, Mark{b.from, b.to, fmt.Sprintf("burst: %.1f times the traffic", b.size)})
+	}
+	for _, h := range p.hotKeys {
+		list = append(list, Mark{h.from, h.to, fmt.Sprintf("%d large destinations draw %.0f%% more", h.keys, 100*h.size)})
+	}
+	for _, o := range p.DiscoveryOutages {
+		list = append(list, Mark{o.From, o.To, "discovery is down"})
+	}
+	list = append(list, p.actionMarks()...)
+	for _, a := range p.AgentActions {
+		list = append(list, Mark{a.At, a.Until, fmt.Sprintf("agent %d: %s", a.Agent, a.What)})
+	}
+	for _, o := range p.Orders {
+		text := fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.What, summarize(o.Of))
+		list = append(list, Mark{o.At, o.At, text})
+	}
+	for _, l := range p.Links {
+		list = append(list, Mark{l.From, l.To, l.Text})
+	}
+	slices.SortStableFunc(list, func(a, b Mark) int { return cmp.Compare(a.From, b.From) })
+	return list
+}
+
+// faultMarks has one mark for each fault of the scenario, unless it found no endpoint.
+func (p *Plan) faultMarks() []Mark {
 	var list []Mark
 	words := map[partner.Mode]string{}
 	for word, mode := range faultModes {
 		words[mode] = word
 	}
-	for i, t := range p.Scenario.Faults {
+	for i, f := range p.Scenario.Faults {
 		m := Mark{From: -1}
 		dests, share := map[int]bool{}, 0.0
 		for _, c := range p.Changes {
 			if c.Of != i || c.Joins != nil || c.Drains || c.Leaves {
 				continue
 			}
-			if m.From >= 0 && c.At > m.From { // the later change of each endpoint is its end
+			if m.From >= 0 && c.At > m.From { // the later change of each endpoint is the fault's end
 				m.To = c.At
 				continue
 			}
 			m.From = c.At
-			for _, d := range p.Dests {
-				for _, e := range d.Endpoints {
-					if e.ID == c.Endpoint {
-						dests[d.Dest] = true
-						share += d.Share / float64(len(d.Endpoints))
-					}
-				}
+			if d := p.destinationOf(c.Endpoint); d != nil {
+				dests[d.Dest] = true
+				share += d.Share / float64(len(d.Endpoints))
 			}
 		}
 		if m.From < 0 {
 			continue
 		}
 		where := ""
-		if t.Zone != "" {
-			where = " in " + t.Zone
+		if f.Zone != "" {
+			where = " in " + f.Zone
 		}
-		m.Text = fmt.Sprintf("%s%s: %d destinations, %.0f%% of the traffic", words[t.Mode], where, len(dests), 100*share)
+		m.Text = fmt.Sprintf("%s%s: %d destinations, %.0f%% of the traffic", words[f.Mode], where, len(dests), 100*share)
 		list = append(list, m)
 	}
-	for _, c := range p.Changes {
-		if c.Of < 0 && c.Leaves {
-			list = append(list, Mark{c.At, c.At, fmt.Sprintf("%s of destination %d is gone", c.Endpoint, c.Dest)})
+	return list
+}
+
+// destinationOf returns the destination that has an endpoint from the start; nil where none has.
+func (p *Plan) destinationOf(endpoint string) *Destination {
+	for i, d := range p.Dests {
+		if slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == endpoint }) {
+			return &p.Dests[i]
 		}
 	}
-	for _, b := range p.bursts {
-		list = append(list, Mark{b.from, b.to, fmt.Sprintf("burst: %.1f times the traffic", b.size)})
-	}
-	for _, h := range p.hotKeys {
-		list = append(list, Mark{h.from, h.to, fmt.Sprintf("%d large destinations draw %.0f%% more", h.keys, 100*h.size)})
-	}
-	for _, b := range p.DiscoveryOutages {
-		list = append(list, Mark{b.From, b.To, "discovery is down"})
-	}
-	for i, d := range p.Scenario.Actions {
+	return nil
+}
+
+// actionMarks has one mark for each action of the scenario on senders.
+func (p *Plan) actionMarks() []Mark {
+	var list []Mark
+	for i, a := range p.Scenario.Actions {
 		m := Mark{From: -1}
 		senders := 0
 		for _, x := range p.Actions {
@@ -79,21 +109,11 @@
 				m.To = max(m.To, x.At, x.Until)
 			}
 		}
-		if m.Text = fmt.Sprintf("sender %d: %s", d.Sender, d.What); d.Sender < 0 {
-			m.Text = fmt.Sprintf("%d senders: %s", senders, d.What)
+		if m.Text = fmt.Sprintf("sender %d: %s", a.Sender, a.What); a.Sender < 0 {
+			m.Text = fmt.Sprintf("%d senders: %s", senders, a.What)
 		}
 		list = append(list, m)
 	}
-	for _, d := range p.AgentActions {
-		list = append(list, Mark{d.At, d.Until, fmt.Sprintf("agent %d: %s", d.Agent, d.What)})
-	}
-	for _, o := range p.Orders {
-		list = append(list, Mark{o.At, o.At, fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.What, summarize(o.Of))})
-	}
-	for _, l := range p.Links {
-		list = append(list, Mark{l.From, l.To, l.Text})
-	}
-	slices.SortStableFunc(list, func(a, b Mark) int { return cmp.Compare(a.From, b.From) })
 	return list
 }
 
--- a/internal/scenario/parsefaults.go
+++ b/internal/scenario/parsefaults.go
@@ -11,8 +11,8 @@
 // faultModes are the words for faults of partners.
 var faultModes = map[string]partner.Mode{
 	"DOWN": partner.Down, "SHUT": partner.Shut, "SILENT": partner.Unresponsive,
-	"FAILING": partner.ReturningErrors, "SLOW": partner.Slow, "PAUSED": partner.Paused, "BREAKING": partner.BreakingConnections,
-	"SPOILING": partner.GarblingAnswers, "CUT": partner.LimitReduced,
+	"FAILING": partner.ReturningErrors, "SLOW": partner.Slow, "PAUSED": partner.Paused,
+	"BREAKING": partner.BreakingConnections, "SPOILING": partner.GarblingAnswers, "CUT": partner.LimitReduced,
 }
 
 // addFault is trouble(...) in a script.
--- a/internal/scenario/parsefleet.go
+++ b/internal/scenario/parsefleet.go
@@ -72,7 +72,8 @@
 	default:
 		return fmt.Errorf("limit: %q is none of rate, window and none", form)
 	}
-	if k.Name == "" || k.Batch < 1 || k.Span <= 0 || k.RetryAfterShare.To > 1 || k.Endpoints.From < 1 || k.SpareCapacity.From < 1 {
+	if k.Name == "" || k.Batch < 1 || k.Span <= 0 || k.RetryAfterShare.To > 1 || k.Endpoints.From < 1 ||
+		k.SpareCapacity.From < 1 {
 		return a.invalid("name, batch, span, tells_wait (0 to 1), endpoints (1 up) or spare (1 up) out of range")
 	}
 	s.Kinds = append(s.Kinds, k)
--- a/internal/scenario/parsetraffic.go
+++ b/internal/scenario/parsetraffic.go
@@ -40,7 +40,8 @@
 		return fmt.Errorf("effect: %q is none of safe, keyed and unsafe", c.Effect)
 	case c.Effect == "keyed" && c.KeyRetention <= 0:
 		return errors.New("a keyed class needs its memory")
-	case c.Name == "" || !(c.Share > 0) || c.Service.From <= 0 || c.LatencyObjective <= 0 || c.Deadline <= c.LatencyObjective:
+	case c.Name == "" || !(c.Share > 0) || c.Service.From <= 0 || c.LatencyObjective <= 0 ||
+		c.Deadline <= c.LatencyObjective:
 		return a.invalid("name, share, service, aim and a deadline after it are needed")
 	}
 	s.Traffic.Classes = append(s.Traffic.Classes, c)
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -9,8 +9,8 @@
 	"cleathold/internal/partner"
 )
 
-// Plan is a scenario with everything drawn but its messages, which Arrivals draws
-// as they are asked for.
+// Plan is a scenario with everything drawn but its messages, which Arrivals draws one by one. Times are counted from
+// the start of the run.
 type Plan struct {
 	Scenario         *Scenario
 	Seed             uint64
@@ -21,44 +21,45 @@
 	AgentActions     []PlannedAgentAction
 	Orders           []PlannedOrder
 	Links            []PlannedLink // in the order in which they begin
-	DiscoveryOutages []Span        // discovery answers nobody
+	DiscoveryOutages []Span        // discovery answers nobody in them
 	bursts           []window
 	hotKeys          []window
-	clumpShare       float64
-	clumpSize        Range
+	clumpShare       float64 // of the messages, that come in clumps
+	clumpSize        Range   // seconds of a destination's limit
 }
 
-// Destination is a partner system that was drawn.
+// Destination is a partner system, drawn.
 type Destination struct {
 	partner.Spec
 	Share         float64 // of the messages
-	AnnouncedRate float64 // the rough rate that the list tells, in calls a second
+	AnnouncedRate float64 // calls a second from all senders together, as the endpoint list tells it
 }
 
-// Change is a trouble that comes to an endpoint or leaves it, or a replacement.
+// Change is the begin or the end of an endpoint's fault, or a part of its replacement.
 type Change struct {
 	At       time.Duration
 	Endpoint string
 	Fault    partner.Fault
-	Of       int                   // the scenario's trouble; below 0 = a replacement
-	Drains   bool                  // the endpoint drains from now on
-	Leaves   bool                  // it is gone
-	Joins    *partner.EndpointSpec // it comes, to Dest...
+	Of       int                   // index in Scenario.Faults; below 0: a replacement
+	Drains   bool                  // the endpoint begins to drain
+	Leaves   bool                  // it is removed
+	Joins    *partner.EndpointSpec // this one is added to Dest...
 	Dest     int
-	Address  string // ...at the address of this one; empty = a new one
+	Address  string // ...with the address of this one; empty: a new one
 }
 
-// Span is a time between two instants.
+// Span is the time between two instants.
 type Span struct{ From, To time.Duration }
 
-// A window is a burst or a hot time.
+// A window is the time of a burst or of hot keys.
 type window struct {
 	from, to time.Duration
-	size     float64
-	keys     int
+	size     float64 // of a burst: factor of the rate; of hot keys: share of the messages
+	keys     int     // hot keys: destinations
 }
 
-// The random streams: a change of one part of a script leaves the others' draws.
+// The random streams. Each part of a plan has its own, so that a change of one part of a script leaves the draws of
+// the others.
 const (
 	streamFleet = iota + 1
 	streamFaults
@@ -71,18 +72,21 @@
 	streamAgents
 )
 
+// randomStream returns one of the random streams of a seed.
 func randomStream(seed, part uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, part)) }
 
+// draw draws a number evenly from a range.
 func (r Range) draw(rng *rand.Rand) float64 { return r.From + (r.To-r.From)*rng.Float64() }
 
+// seconds draws a time from a range of seconds.
 func (r Range) seconds(rng *rand.Rand) time.Duration {
 	return time.Duration(r.draw(rng) * float64(time.Second))
 }
 
-// Mean is the middle of a range.
+// Mean returns the middle of a range.
 func (r Range) Mean() float64 { return (r.From + r.To) / 2 }
 
-// Plan draws a plan.
+// Plan draws a plan. The same scenario and seed give the same plan.
 func (s *Scenario) Plan(seed uint64) *Plan {
 	p := &Plan{Scenario: s, Seed: seed}
 	p.drawFleet(randomStream(seed, streamFleet))
@@ -102,7 +106,7 @@
 	return p
 }
 
-// Model makes the partners of a plan.
+// Model returns a model of the plan's partners.
 func (p *Plan) Model() (*partner.Model, error) {
 	m := partner.New(p.Seed)
 	for i := range p.Dests {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -14,7 +14,7 @@
 	"cleathold/internal/settings"
 )
 
-func base(t testing.TB) string {
+func libraryScript(t testing.TB) string {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/building-refuses.star")
 	if err != nil {
@@ -23,9 +23,9 @@
 	return string(text)
 }
 
-func parse(t testing.TB, more string) *Scenario {
+func parseWith(t testing.TB, more string) *Scenario {
 	t.Helper()
-	s, err := Parse("s.star", []byte(base(t)+more), nil)
+	s, err := Parse("s.star", []byte(libraryScript(t)+more), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,8 +50,8 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
-	lines := strings.Count(base(t), "\n")
+func TestScriptErrors(t *testing.T) {
+	lines := strings.Count(libraryScript(t), "\n")
 	for _, c := range []struct{ name, text, want string }{
 		{"unknown trouble", `trouble(what = "ODD", at = 1, seconds = 1)`, `:1:8: trouble: what: "ODD" is no trouble`},
 		{"bad range", `burst(at = 1, seconds = (3, 2), factor = 2)`, ":1:6: burst: seconds: a range"},
@@ -66,7 +66,7 @@
 		{"no sender", `sender(number = 3, at = 1, what = "kill")`, ": sender: no number 3"},
 		{"syntax", `trouble(`, ":2:1: got end of file"},
 	} {
-		_, err := Parse("s.star", []byte(base(t)+c.text+"\n"), nil)
+		_, err := Parse("s.star", []byte(libraryScript(t)+c.text+"\n"), nil)
 		var own *settings.Error
 		if !errors.As(err, &own) {
 			t.Errorf("%s: %v", c.name, err)
@@ -84,7 +84,7 @@
 // One seed makes one plan; a change of one part leaves the draws of the others.
 func TestSameSeed(t *testing.T) {
 	draw := func(more string, seed uint64) (*Plan, []Arrival) {
-		p := parse(t, more).Plan(seed)
+		p := parseWith(t, more).Plan(seed)
 		var list []Arrival
 		for a, more := p.Arrivals(), true; more; {
 			var m Arrival
@@ -95,15 +95,15 @@
 		return p, list
 	}
 	p, list := draw("", 5)
-	q, again := draw("", 5)
-	if !reflect.DeepEqual(p.Dests, q.Dests) || !reflect.DeepEqual(p.Changes, q.Changes) || !reflect.DeepEqual(list, again) {
+	q, list2 := draw("", 5)
+	if !reflect.DeepEqual(p.Dests, q.Dests) || !reflect.DeepEqual(p.Changes, q.Changes) || !reflect.DeepEqual(list, list2) {
 		t.Error("the same seed, another plan")
 	}
 	if _, other := draw("", 6); reflect.DeepEqual(list, other) {
 		t.Error("another seed, the same messages")
 	}
-	q, again = draw("trouble(what = \"SLOW\", at = 1, seconds = 2)\nsender(number = 0, at = 3, what = \"kill\")\n", 5)
-	if !reflect.DeepEqual(p.Dests, q.Dests) || !reflect.DeepEqual(list, again) || len(q.Changes) <= len(p.Changes) {
+	q, list2 = draw("trouble(what = \"SLOW\", at = 1, seconds = 2)\nsender(number = 0, at = 3, what = \"kill\")\n", 5)
+	if !reflect.DeepEqual(p.Dests, q.Dests) || !reflect.DeepEqual(list, list2) || len(q.Changes) <= len(p.Changes) {
 		t.Error("a trouble more changes the fleet or the messages")
 	}
 }
@@ -111,7 +111,7 @@
 // The messages are as the script says: rate, shares, clumps, bursts, hot times.
 func TestTraffic(t *testing.T) {
 	count := func(more string) (n int, byClass, byDest map[int]int, within map[int]int, p *Plan) {
-		p = parse(t, more).Plan(3)
+		p = parseWith(t, more).Plan(3)
 		p.Scenario.Length = 600 * time.Second
 		byClass, byDest, within = map[int]int{}, map[int]int{}, map[int]int{}
 		var last time.Duration
@@ -152,9 +152,9 @@
 }
 
 // A trouble strikes as it is told to: zone, part of the traffic, kind.
-func TestTroubles(t *testing.T) {
+func TestFaultsStrikeAsDescribed(t *testing.T) {
 	for seed := range uint64(50) {
-		p := parse(t, "trouble(what = \"SHUT\", at = 30, seconds = 5, kind = \"large-partners\", part = 1, knows_end = True)\n").Plan(seed)
+		p := parseWith(t, "trouble(what = \"SHUT\", at = 30, seconds = 5, kind = \"large-partners\", part = 1, knows_end = True)\n").Plan(seed)
 		where := map[string]Destination{}
 		zone := map[string]string{}
 		for _, d := range p.Dests {
@@ -162,14 +162,14 @@
 				where[e.ID], zone[e.ID] = d, p.Scenario.Zones[e.Zone]
 			}
 		}
-		struck, hits := 0.0, map[int]int{}
+		share, endpoints := 0.0, map[int]int{}
 		shut := map[int]bool{}
 		for _, c := range p.Changes {
 			switch {
 			case c.Of == 0 && c.Fault.Mode == partner.Down:
 				d := where[c.Endpoint]
-				struck += d.Share / float64(len(d.Endpoints))
-				hits[d.Dest]++
+				share += d.Share / float64(len(d.Endpoints))
+				endpoints[d.Dest]++
 				if zone[c.Endpoint] != "bldg-b" {
 					t.Errorf("seed %d: %s of %s is struck", seed, c.Endpoint, zone[c.Endpoint])
 				}
@@ -180,8 +180,8 @@
 				}
 			}
 		}
-		if len(hits) == 0 || struck > 0.25 && len(hits) > 1 {
-			t.Errorf("seed %d: %.2f of the traffic, %v", seed, struck, hits)
+		if len(endpoints) == 0 || share > 0.25 && len(endpoints) > 1 {
+			t.Errorf("seed %d: %.2f of the traffic, %v", seed, share, endpoints)
 		}
 		for _, d := range p.Dests {
 			if d.Kind == "large-partners" && !shut[d.Dest] {
@@ -192,7 +192,7 @@
 }
 
 func TestChurn(t *testing.T) {
-	p := parse(t, "churn(at = 5, every = 2, drain = 1, reuse_address = True)\n").Plan(1)
+	p := parseWith(t, "churn(at = 5, every = 2, drain = 1, reuse_address = True)\n").Plan(1)
 	drains, comes := map[string]time.Duration{}, 0
 	for _, c := range p.Changes {
 		switch {
