--- /dev/null
+++ b/internal/scenario/draw_test.go
@@ -0,0 +1,122 @@
+package scenario
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"cleathold/internal/partner"
+)
+
+// The same seed draws the same plan, and a change of one part leaves the draws of the others.
+func TestSameSeed(t *testing.T) {
+	draw := func(more string, seed uint64) (*Plan, []Arrival) {
+		p := parseWith(t, more).Plan(seed)
+		var list []Arrival
+		for a, more := p.Arrivals(), true; more; {
+			var m Arrival
+			if m, more = a.Next(); more {
+				list = append(list, m)
+			}
+		}
+		return p, list
+	}
+	p, list := draw("", 5)
+	q, list2 := draw("", 5)
+	same := reflect.DeepEqual(p.Dests, q.Dests) && reflect.DeepEqual(p.Changes, q.Changes)
+	if !same || !reflect.DeepEqual(list, list2) {
+		t.Error("the same seed draws another plan")
+	}
+	if _, other := draw("", 6); reflect.DeepEqual(list, other) {
+		t.Error("another seed draws the same messages")
+	}
+	q, list2 = draw("trouble(what = \"SLOW\", at = 1, seconds = 2)\nsender(number = 0, at = 3, what = \"kill\")\n", 5)
+	if !reflect.DeepEqual(p.Dests, q.Dests) || !reflect.DeepEqual(list, list2) || len(q.Changes) <= len(p.Changes) {
+		t.Error("one more fault changes the fleet or the messages")
+	}
+}
+
+// Actions on a share of the senders: each sender once, spread over a time.
+func TestActionsOnShare(t *testing.T) {
+	p := parseWith(t, `
+sender(share = 0.7, at = 10, what = "stop", seconds = 4, spread = 2)
+sender(number = 1, at = 30, what = "retune", slots = 0.5)
+`).Plan(3)
+	seen := map[int]bool{}
+	for _, d := range p.Actions[:2] {
+		seen[d.Sender] = true
+		if d.At < 10*time.Second || d.At > 12*time.Second || d.Until-d.At != 4*time.Second {
+			t.Errorf("%+v", d)
+		}
+	}
+	if len(seen) != 2 || len(p.Actions) != 3 || p.Actions[0].At == p.Actions[1].At {
+		t.Errorf("%+v", p.Actions)
+	}
+	if p.Actions[2].InFlight != 0.5 || p.Actions[2].OpenMessages != 1 {
+		t.Errorf("%+v", p.Actions)
+	}
+}
+
+// A fault is where the script says: zone, part of the traffic, kind.
+func TestFaultsStrikeAsDescribed(t *testing.T) {
+	for seed := range uint64(50) {
+		p := parseWith(t, `trouble(what = "SHUT", at = 30, seconds = 5, kind = "large-partners", part = 1, knows_end = True)
+`).Plan(seed)
+		where := map[string]Destination{}
+		zone := map[string]string{}
+		for _, d := range p.Dests {
+			for _, e := range d.Endpoints {
+				where[e.ID], zone[e.ID] = d, p.Scenario.Zones[e.Zone]
+			}
+		}
+		share, endpoints := 0.0, map[int]int{}
+		shut := map[int]bool{}
+		for _, c := range p.Changes {
+			switch {
+			case c.Of == 0 && c.Fault.Mode == partner.Down:
+				d := where[c.Endpoint]
+				share += d.Share / float64(len(d.Endpoints))
+				endpoints[d.Dest]++
+				if zone[c.Endpoint] != "bldg-b" {
+					t.Errorf("seed %d: %s of %s has a fault", seed, c.Endpoint, zone[c.Endpoint])
+				}
+			case c.Of == 1 && c.Fault.Mode == partner.Shut:
+				shut[where[c.Endpoint].Dest] = true
+				if c.Fault.Until != 35*time.Second || where[c.Endpoint].Kind != "large-partners" {
+					t.Errorf("seed %d: %+v", seed, c)
+				}
+			}
+		}
+		if len(endpoints) == 0 || share > 0.25 && len(endpoints) > 1 {
+			t.Errorf("seed %d: %.2f of the traffic, %v", seed, share, endpoints)
+		}
+		for _, d := range p.Dests {
+			if d.Kind == "large-partners" && !shut[d.Dest] {
+				t.Errorf("seed %d: destination %d was to be shut", seed, d.Dest)
+			}
+		}
+	}
+}
+
+func TestChurn(t *testing.T) {
+	p := parseWith(t, "churn(at = 5, every = 2, drain = 1, reuse_address = True)\n").Plan(1)
+	drains, comes := map[string]time.Duration{}, 0
+	for _, c := range p.Changes {
+		switch {
+		case c.Drains:
+			if _, twice := drains[c.Endpoint]; twice {
+				t.Errorf("%s drains twice", c.Endpoint)
+			}
+			drains[c.Endpoint] = c.At
+		case c.Leaves && c.At != drains[c.Endpoint]+time.Second:
+			t.Errorf("%+v", c)
+		case c.Joins != nil:
+			if comes++; c.Address == "" || drains[c.Address] != c.At-time.Second {
+				t.Errorf("%+v", c)
+			}
+		}
+	}
+	if comes < 5 || comes != len(drains) {
+		t.Errorf("%d are added, %d drain", comes, len(drains))
+	}
+}
