--- /dev/null
+++ b/internal/audit/call.go
@@ -0,0 +1,161 @@
+package audit
+
+import (
+	"fmt"
+	"time"
+)
+
+// A call is in flight from its Sent to its Ended event.
+type call struct {
+	id          uint64
+	sender      int
+	endpoint    string
+	zone        int
+	dest        int
+	at          time.Duration // when it arrived completely
+	firstByteAt time.Duration // when its first byte was written; its time by the rules
+	messages    []string
+}
+
+// callSent judges a call: whether it may go to its endpoint now, and each of its messages.
+func (a *Auditor) callSent(e Event) error {
+	if a.calls[e.Call] != nil {
+		return fmt.Errorf("audit: call %d begins twice", e.Call)
+	}
+	a.counts.Calls++
+	c := &call{e.Call, e.Sender, e.Endpoint, e.Zone, e.Dest, e.At, e.At, e.Messages}
+	if e.First > 0 {
+		c.firstByteAt = e.First
+	}
+	a.calls[e.Call] = c
+	a.checkEndpoint(c)
+	for _, id := range e.Messages {
+		m := a.messages[id]
+		if m == nil {
+			a.callViolation(c, RuleDestination, id, e.At, "a message that nobody handed in, or that ended long ago")
+			continue
+		}
+		if m.dest != e.Dest {
+			text := fmt.Sprintf("for destination %d, sent to %s of %d", m.dest, e.Endpoint, e.Dest)
+			a.callViolation(c, RuleDestination, id, e.At, text)
+		}
+		a.checkRepeat(m, c)
+		m.attempts = append(m.attempts, &attempt{call: c})
+	}
+	return nil
+}
+
+// callViolation adds a violation by a call, which follows from something that happened at since.
+func (a *Auditor) callViolation(c *call, rule Rule, message string, since time.Duration, text string) {
+	a.addViolation(Violation{
+		Rule: rule, At: c.at, Sender: c.sender, Message: message, Calls: []uint64{c.id}, Times: []time.Duration{since, c.at},
+		Text: text,
+	})
+}
+
+// checkEndpoint judges whether a call may go to its endpoint: not after a drain, and not before the end of a wait.
+func (a *Auditor) checkEndpoint(c *call) {
+	s, key := a.sender(c.sender), a.keyOf(c.dest, c.endpoint)
+	if since, departed := s.departures[c.endpoint]; departed && c.firstByteAt > since+a.rules.DrainGrace {
+		text := fmt.Sprintf("a call to %s %v after the sender was told that it drains or is gone",
+			c.endpoint, c.firstByteAt-since)
+		a.callViolation(c, RuleDrain, "", since, text)
+	}
+	w, waits := s.waits[key]
+	switch {
+	case !waits:
+	case c.at >= w.until:
+		delete(s.waits, key)
+	case c.at > w.from+a.rules.RetryAfterSlack:
+		text := fmt.Sprintf("a call to destination %d %v before the end of a wait", c.dest, w.until-c.at)
+		a.callViolation(c, RuleRetryAfter, "", w.from, text)
+	}
+}
+
+// checkRepeat judges a further call with a message. A call's time is that of its first byte (PROTOCOL, 'Figures'):
+// where the link to its endpoint is silent for a while, the rest arrives after it, and the message may have ended
+// meanwhile.
+func (a *Auditor) checkRepeat(m *message, c *call) {
+	if m.ended && m.accepted && m.class.Idempotency == NotIdempotent && c.firstByteAt > m.endedAt {
+		a.addViolation(Violation{
+			Rule: RuleRepeat, At: c.at, Sender: c.sender, Message: m.id, Calls: append(m.callIDs(), c.id),
+			Text: "sent after its end",
+		})
+		return
+	}
+	for _, t := range m.attempts {
+		if t.ended && (t.outcome == NeverRan || t.outcome == Over) {
+			continue
+		}
+		if why := m.class.whyNotRepeat(t.call, c); why != "" {
+			a.addViolation(Violation{
+				Rule: RuleRepeat, At: c.at, Sender: c.sender, Message: m.id, Calls: []uint64{t.call.id, c.id},
+				Times: []time.Duration{t.call.at, c.at}, Text: why,
+			})
+			return
+		}
+	}
+}
+
+// whyNotRepeat returns why a message must not be in a call after it was in an earlier one that may have run it; empty
+// where it may.
+func (c Class) whyNotRepeat(earlier, later *call) string {
+	age := later.firstByteAt - earlier.firstByteAt
+	switch {
+	case c.Idempotency == NotIdempotent:
+		return "it may have run, and must never run twice"
+	case c.Idempotency == IdempotentByKey && age >= c.KeyRetention:
+		return fmt.Sprintf("it may have run %v before, and its key is remembered for %v", age, c.KeyRetention)
+	case c.Idempotency == IdempotentByKey && c.KeyZoneScoped && later.zone != earlier.zone:
+		return fmt.Sprintf("it may have run in zone %d, and goes to zone %d", earlier.zone, later.zone)
+	}
+	return ""
+}
+
+// callEnded notes how a call and each of its messages ended, and the wait that its answer told.
+func (a *Auditor) callEnded(e Event) error {
+	c := a.calls[e.Call]
+	if c == nil {
+		return fmt.Errorf("audit: call %d ends and never began", e.Call)
+	}
+	delete(a.calls, e.Call)
+	if s := a.sender(c.sender); e.RetryAfter > 0 && !s.down {
+		key := a.keyOf(c.dest, c.endpoint)
+		if w := s.waits[key]; e.At+e.RetryAfter > w.until {
+			s.waits[key] = wait{e.At, e.At + e.RetryAfter}
+		}
+	}
+	for _, id := range c.messages {
+		m := a.messages[id]
+		if m == nil {
+			continue
+		}
+		outcome, apart := e.Outcomes[id]
+		if !apart {
+			outcome = e.Outcome
+		}
+		a.attemptEnded(m, c, outcome)
+		a.forget(m, a.now)
+	}
+	return nil
+}
+
+// attemptEnded notes how a message of a call ended.
+func (a *Auditor) attemptEnded(m *message, c *call, outcome Outcome) {
+	for _, t := range m.attempts {
+		if t.call == c {
+			t.ended, t.outcome = true, outcome
+		}
+	}
+	switch outcome {
+	case Delivered:
+		if !m.delivered {
+			a.counts.Delivered++
+		}
+		if m.delivered = true; m.accepted {
+			a.end(m)
+		}
+	case Over:
+		a.end(m)
+	}
+}
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -1,48 +1,65 @@
-// Package audit judges the rules of the project from a ledger of what was seen
-// outside the senders: hand-ins, answers, calls, notices, the list as it was told,
-// and the partners' outages. It takes nobody's word for anything, and it keeps
-// only what a later event may still need.
 package audit
 
-import "time"
+import (
+	"time"
+)
 
-// EventKind an event tells.
+// EventKind is what an event tells. The numbers stand in ledgers: they do not change.
 type EventKind uint8
 
-// The events. In brackets the fields that they use besides At and Sender.
+// The events. In brackets are the fields that they use besides At and Sender.
 const (
-	Submitted      EventKind = iota // a message has come in whole (Message, Class, Dest, Left, Key)
-	Accepted                        // its client has heard that it is taken on (Message)
-	Rejected                        // its client has a fixed response: nothing is owed (Message)
-	Sent                            // a call has come whole (Call, Endpoint, Zone, Dest, Messages; First, where its first byte came before)
-	Ended                           // a call has ended (Call, Outcome, Wait, Cause; Ends, where its messages fared apart)
-	Notice                          // the platform has a notice (Message, Deferred)
-	Notified                        // discovery has told a sender, or counts as having told (Endpoint, Dest, Leaves)
-	OutageBegan                     // an outage of a route began (Dest, Endpoint where routes are apart)
-	OutageEnded                     // it ended: the route is cold (Dest, Endpoint)
-	FailureSeen                     // a sender was told of a call or probe there that failed or was refused (Dest, Endpoint)
-	Overloaded                      // a cold route was pushed over (Dest, Endpoint, Pushes)
-	Died                            // a sender's process ended, or was told to, or was stopped (Cause)
-	Ready                           // it is ready again
-	Requested                       // a client wants a message delivered, from now on (N, Class, Tenant, Dest)
-	Executed                        // a message took effect, or was dropped as a repeat (Call, Message, Class, Endpoint; Cause "dropped" or "late")
-	Abandoned                       // a client has no answer to a hand-in, and counts on nothing from it (Message, Cause)
-	Unreachable                     // the platform can't hear a sender: no notice arrives from now on
-	ReachableAgain                  // it can again
+	// Submitted: a message has arrived completely (Message, Class, Dest, TimeLeft, Key).
+	Submitted EventKind = iota
+	// Accepted: its client has the response that it is accepted (Message).
+	Accepted
+	// Rejected: its client has an error response; no outcome is owed (Message).
+	Rejected
+	// Sent: a call has arrived completely (Call, Endpoint, Zone, Dest, Messages; First, where its first byte came before).
+	Sent
+	// Ended: a call has ended (Call, Outcome, RetryAfter, Cause; Outcomes, where its messages ended differently).
+	Ended
+	// Notice: the platform has a delivery report (Message, Deferred, RetryAfter).
+	Notice
+	// Notified: discovery has notified a sender, or counts as having done so (Endpoint, Dest, Leaves).
+	Notified
+	// OutageBegan: an outage of a route began (Dest; Endpoint for a separate route).
+	OutageBegan
+	// OutageEnded: it ended, and the route warms up (Dest, Endpoint).
+	OutageEnded
+	// FailureSeen: a sender has seen a call or health check fail or be rejected there (Dest, Endpoint).
+	FailureSeen
+	// Overloaded: a route that was warming up was overloaded (Dest, Endpoint, CallsBySender).
+	Overloaded
+	// Died: a sender's process ended, was told to end, or was stopped (Cause).
+	Died
+	// Ready: it is ready again.
+	Ready
+	// Requested: from now on a client wants a message delivered (N, Class, Tenant, Dest).
+	Requested
+	// Executed: a message took effect, or was dropped as a repeat (Call, Message, Class, Endpoint; Cause "dropped" or
+	// "late").
+	Executed
+	// Abandoned: a client has no response to a submission, and waits for it no more (Message, Cause).
+	Abandoned
+	// Unreachable: the platform cannot hear a sender, and gets no delivery reports of it.
+	Unreachable
+	// ReachableAgain: it can again.
+	ReachableAgain
 )
 
-// Outcome says how a call or one of its messages ended, as its target did.
+// Outcome is how a call, or one of its messages, ended at the endpoint.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes. The numbers stand in ledgers: they do not change.
 const (
 	Delivered Outcome = iota
 	Failed            // it may have run
-	NeverRan          // proved: refused, not connected, not sent
-	Over              // the target's side says that nothing more is owed
+	NeverRan          // for certain: rejected, not connected, not sent
+	Over              // the endpoint says that nothing more is owed
 )
 
-// Event is one line of a ledger. Lines are in the order of their times.
+// Event is one line of a ledger. Lines are in the order of their times, which are counted from the start of the run.
 type Event struct {
 	At            time.Duration      `json:"at"`
 	Kind          EventKind          `json:"what"`
@@ -60,76 +77,15 @@
 	Outcomes      map[string]Outcome `json:"ends,omitempty"`
 	RetryAfter    time.Duration      `json:"wait,omitempty"`
 	Deferred      bool               `json:"deferred,omitempty"`
-	Leaves        bool               `json:"leaves,omitempty"` // it drains or is gone
+	Leaves        bool               `json:"leaves,omitempty"` // it drains or is removed
 	CallsBySender map[int]int        `json:"pushes,omitempty"`
 
-	// For those that count service, and draw it.
-	N      int           `json:"n,omitempty"` // the client's message, over all its hand-ins
+	// For the service meter and the report.
+	N      int           `json:"n,omitempty"` // number of the client's message, over all its submissions
 	Tenant int           `json:"tenant,omitempty"`
 	First  time.Duration `json:"first,omitempty"`
 	Cause  string        `json:"cause,omitempty"`
 }
 
-// Wiped is the cause of a Died whose folder is lost with the process: nothing is owed any more of what it held.
+// Wiped is the Cause of a Died whose folder is lost with the process. Outcomes of what it had are owed no more.
 const Wiped = "wiped"
-
-// Rule is one of the rules.
-type Rule string
-
-// The rules.
-const (
-	RuleOutcome     Rule = "every message taken on ends once, in time"
-	RuleRepeat      Rule = "a message that may have run is repeated only as its class allows"
-	RuleDrain       Rule = "nothing new to an endpoint that drains or is gone"
-	RuleOverload    Rule = "no returning partner is pushed over by those that saw it fail"
-	RuleRetryAfter  Rule = "nothing to a partner before the end of a wait that it told"
-	RuleDestination Rule = "a message goes to an endpoint of its destination"
-)
-
-// Violation is one break of a rule.
-type Violation struct {
-	Rule    Rule            `json:"rule"`
-	At      time.Duration   `json:"at"`
-	Sender  int             `json:"sender"`
-	Message string          `json:"message,omitempty"`
-	Calls   []uint64        `json:"calls,omitempty"`
-	Times   []time.Duration `json:"times,omitempty"` // what it follows from, in order
-	Text    string          `json:"text"`
-}
-
-// Idempotency is what a class allows.
-type Idempotency uint8
-
-// The effects.
-const (
-	Idempotent Idempotency = iota
-	IdempotentByKey
-	NotIdempotent
-)
-
-// Class is what the rules need of a class.
-type Class struct {
-	Idempotency   Idempotency
-	KeyRetention  time.Duration // keyed
-	KeyZoneScoped bool          // keyed: repeats are dropped within one zone only
-}
-
-// Rules are the figures of the rules. Those of PROTOCOL are defaults of Sockets.
-type Rules struct {
-	Classes         []Class
-	SeparateRoutes  map[int]bool  // destinations whose endpoints are routes apart
-	ResponseGrace   time.Duration // a message may end so long after its time
-	ReadySlack      time.Duration // none is overdue from a sender's end until so long after it is ready again
-	DrainGrace      time.Duration
-	RetryAfterSlack time.Duration // calls so soon after the answer that told a wait get through
-	OverloadShare   float64       // of the pushes, by senders that saw the outage
-}
-
-// SocketRules are the figures for real senders, where only the drain's grace differs
-// by deployment.
-func SocketRules(classes []Class, drainGrace time.Duration) Rules {
-	return Rules{
-		Classes: classes, SeparateRoutes: map[int]bool{}, ResponseGrace: 300 * time.Millisecond, ReadySlack: 1500 * time.Millisecond,
-		DrainGrace: drainGrace + 50*time.Millisecond, RetryAfterSlack: 100 * time.Millisecond, OverloadShare: 2.0 / 3,
-	}
-}
--- /dev/null
+++ b/internal/audit/message_test.go
@@ -0,0 +1,76 @@
+package audit
+
+import (
+	"testing"
+	"time"
+)
+
+func TestOutcomeRule(t *testing.T) {
+	checkRules(t, []ruleCase{
+		{
+			"delivered",
+			[]Event{
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Delivered),
+			},
+			"",
+		},
+		{
+			"delivered before its client heard",
+			[]Event{
+				submitted(0, "m", 0, 7), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Delivered), accepted(4*ms, "m"),
+			},
+			"",
+		},
+		{"never ended", []Event{submitted(0, "m", 0, 7), accepted(ms, "m")}, outcome},
+		{"never accepted", []Event{submitted(0, "m", 0, 7), {At: ms, Kind: Rejected, Message: "m"}}, ""},
+		{
+			"a notice at the last instant",
+			[]Event{
+				submitted(0, "m", 0, 7), accepted(ms, "m"), notice(10300*ms, "m", true),
+			},
+			"",
+		},
+		{"a notice after it", []Event{submitted(0, "m", 0, 7), accepted(ms, "m"), notice(10301*ms, "m", true)}, outcome},
+		{
+			"over",
+			[]Event{
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Over),
+			},
+			"",
+		},
+		{
+			"late after a restart",
+			[]Event{
+				submitted(0, "m", 0, 7), accepted(ms, "m"), {At: 10 * time.Second, Kind: Died},
+				{At: 12 * time.Second, Kind: Ready}, notice(13500*ms, "m", true),
+			},
+			"",
+		},
+		{
+			"too late after a restart",
+			[]Event{
+				submitted(0, "m", 0, 7), accepted(ms, "m"), {At: 10 * time.Second, Kind: Died},
+				{At: 12 * time.Second, Kind: Ready}, notice(13501*ms, "m", true),
+			},
+			outcome,
+		},
+		{
+			"overdue before the restart",
+			[]Event{
+				submitted(0, "m", 0, 7), accepted(ms, "m"), {At: 10301 * ms, Kind: Died},
+				{At: 12 * time.Second, Kind: Ready}, notice(13*time.Second, "m", true),
+			},
+			outcome,
+		},
+		{
+			"one of a call fails",
+			[]Event{
+				submitted(0, "m", 0, 7), accepted(ms, "m"), submitted(ms, "n", 2, 7), accepted(ms, "n"),
+				callSent(2*ms, 1, "a", 7, "m", "n"),
+				{At: 3 * ms, Kind: Ended, Call: 1, Outcome: Delivered, Outcomes: map[string]Outcome{"n": Failed}},
+				notice(4*ms, "n", false),
+			},
+			"",
+		},
+	})
+}
--- /dev/null
+++ b/internal/audit/sender_test.go
@@ -0,0 +1,84 @@
+package audit
+
+import (
+	"testing"
+	"time"
+)
+
+// Of a sender that is stopped, unreachable or has lost its folder only that is due which it can know or tell.
+func TestUnreachableSender(t *testing.T) {
+	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+	was := func(s float64, what EventKind, cause string) Event { return Event{At: at(s), Kind: what, Cause: cause} }
+	notified := Event{At: at(3), Kind: Notified, Endpoint: "e", Dest: 1, Leaves: true}
+	for _, c := range []struct {
+		name string
+		list []Event
+		want string
+	}{
+		{
+			"a notice that is late",
+			[]Event{
+				submitted(0, "a", 0, 1), accepted(0, "a"), was(12, Requested, ""),
+			},
+			string(RuleOutcome),
+		},
+		{
+			"cut off, told as it can be",
+			[]Event{
+				submitted(0, "a", 0, 1), accepted(0, "a"), was(5, Unreachable, ""), was(20, ReachableAgain, ""),
+				{At: at(21), Kind: Notice, Message: "a"},
+			},
+			"",
+		},
+		{
+			"cut off, and never told",
+			[]Event{
+				submitted(0, "a", 0, 1), accepted(0, "a"), was(5, Unreachable, ""), was(20, ReachableAgain, ""),
+				was(22, Requested, ""),
+			},
+			string(RuleOutcome),
+		},
+		{
+			"killed",
+			[]Event{
+				submitted(0, "a", 0, 1), accepted(0, "a"), was(5, Died, ""), was(6, Ready, ""), was(22, Requested, ""),
+			},
+			string(RuleOutcome),
+		},
+		{
+			"killed, and its folder is lost",
+			[]Event{
+				submitted(0, "a", 0, 1), accepted(0, "a"), was(5, Died, Wiped), was(6, Ready, ""), was(22, Requested, ""),
+			},
+			"",
+		},
+		{
+			"a call after a drain",
+			[]Event{
+				submitted(0, "a", 0, 1), accepted(0, "a"), notified, callSent(at(6), 1, "e", 1, "a"),
+				callEnded(at(7), 1, Delivered),
+			},
+			string(RuleDrain),
+		},
+		{
+			"told while it was stopped",
+			[]Event{
+				submitted(0, "a", 0, 1), accepted(0, "a"), was(2, Died, ""), notified, was(6, Ready, ""),
+				callSent(at(7), 1, "e", 1, "a"), callEnded(at(8), 1, Delivered),
+			},
+			"",
+		},
+		{
+			"and two seconds later",
+			[]Event{
+				submitted(0, "a", 0, 1), accepted(0, "a"), was(2, Died, ""), notified, was(6, Ready, ""),
+				callSent(at(8.5), 1, "e", 1, "a"), callEnded(at(9), 1, Delivered),
+			},
+			string(RuleDrain),
+		},
+	} {
+		if got := violatedRule(t, c.name, c.list); got != c.want {
+			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+		}
+	}
+}
