--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -22,26 +22,26 @@
 	if run.Head.Scenario == "" || len(run.Script) == 0 || len(run.Result) == 0 {
 		t.Errorf("head %+v, %d bytes of script, %d of result", run.Head, len(run.Script), len(run.Result))
 	}
-	var again bytes.Buffer
-	lines := json.NewEncoder(&again)
-	whole, err := run.Events(func(e audit.Event) error { return lines.Encode(e) })
-	if err != nil || !whole {
-		t.Fatalf("whole %t, %v", whole, err)
+	var written bytes.Buffer
+	lines := json.NewEncoder(&written)
+	complete, err := run.Events(func(e audit.Event) error { return lines.Encode(e) })
+	if err != nil || !complete {
+		t.Fatalf("complete %t, %v", complete, err)
 	}
-	packed, err := os.ReadFile(golden.Path("run/" + eventsName))
+	compressed, err := os.ReadFile(golden.Path("run/" + eventsFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	unpack, err := zstd.NewReader(nil)
+	decompressor, err := zstd.NewReader(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer unpack.Close()
-	text, err := unpack.DecodeAll(packed, nil)
+	defer decompressor.Close()
+	text, err := decompressor.DecodeAll(compressed, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(again.Bytes(), text) {
-		t.Errorf("%d bytes of events written, want the %d that were read", again.Len(), len(text))
+	if !bytes.Equal(written.Bytes(), text) {
+		t.Errorf("%d bytes of events written, want the %d that were read", written.Len(), len(text))
 	}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -11,12 +11,12 @@
 	"cleathold/internal/audit"
 )
 
-func event(i int) audit.Event {
+func testEvent(i int) audit.Event {
 	return audit.Event{At: time.Duration(i) * time.Millisecond, Kind: audit.Submitted, Message: fmt.Sprint("m", i), N: i}
 }
 
-// write writes a run of so many events and returns its folder.
-func write(t *testing.T, events int, finish bool) string {
+// writeRun writes a run of some events and returns its folder.
+func writeRun(t *testing.T, events int, finish bool) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "run")
 	w, err := Create(dir, Head{Scenario: "s", Seed: 7}, []byte("script"))
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	for i := range events {
-		if err := w.Read(event(i)); err != nil {
+		if err := w.Read(testEvent(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -39,13 +39,13 @@
 	return dir
 }
 
-func read(t *testing.T, dir string) (events int, whole bool) {
+func countEvents(t *testing.T, dir string) (events int, complete bool) {
 	t.Helper()
 	r, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, err = r.Events(func(e audit.Event) error {
+	complete, err = r.Events(func(e audit.Event) error {
 		if e.Message != fmt.Sprint("m", events) || e.N != events {
 			t.Fatalf("event %d reads as %+v", events, e)
 		}
@@ -55,34 +55,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return events, whole
+	return events, complete
 }
 
 func TestRun(t *testing.T) {
-	dir := write(t, 5000, true)
-	if n, whole := read(t, dir); n != 5000 || !whole {
-		t.Errorf("%d events, whole %t", n, whole)
+	dir := writeRun(t, 5000, true)
+	if n, complete := countEvents(t, dir); n != 5000 || !complete {
+		t.Errorf("%d events, complete %t", n, complete)
 	}
 	r, _ := Open(dir)
 	if r.Head.Seed != 7 || string(r.Script) != "script" || r.Result == nil {
 		t.Errorf("%+v", r)
 	}
 	if _, err := Create(dir, Head{}, nil); err == nil {
-		t.Error("written over")
+		t.Error("an existing run is overwritten")
 	}
 }
 
-// What was written before a kill is read, up to where the file ends; a cut at any
-// place hides what comes after it, and nothing before.
-func TestBrokenOff(t *testing.T) {
-	dir := write(t, 5000, false)
-	if n, whole := read(t, dir); n != 5000 || whole {
-		t.Errorf("%d events, whole %t", n, whole)
+// What was written before a kill can be read, up to where the file ends. A file that is truncated at any place lacks
+// what comes after it, and nothing before.
+func TestIncompleteRun(t *testing.T) {
+	dir := writeRun(t, 5000, false)
+	if n, complete := countEvents(t, dir); n != 5000 || complete {
+		t.Errorf("%d events, complete %t", n, complete)
 	}
 	if r, _ := Open(dir); r.Result != nil {
-		t.Error("a result of a run that was broken off")
+		t.Error("an incomplete run has a result")
 	}
-	path := filepath.Join(dir, eventsName)
+	path := filepath.Join(dir, eventsFile)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -92,9 +92,9 @@
 		if err := os.WriteFile(path, text[:cut], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		n, whole := read(t, dir)
-		if n > last || whole {
-			t.Errorf("%d of %d bytes: %d events after %d, whole %t", cut, len(text), n, last, whole)
+		n, complete := countEvents(t, dir)
+		if n > last || complete {
+			t.Errorf("%d of %d bytes: %d events after %d, complete %t", cut, len(text), n, last, complete)
 		}
 		last = n
 	}
@@ -102,39 +102,39 @@
 
 // A full disk is an error that stays, and what was written can be read.
 func TestFullDisk(t *testing.T) {
-	w, err := newWriter("", &small{left: 3000})
+	w, err := newWriter("", &limitedFile{free: 3000})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var first error
 	for i := 0; i < 100_000 && first == nil; i++ {
-		first = w.Read(event(i))
+		first = w.Read(testEvent(i))
 	}
-	if !errors.Is(first, errFull) || !errors.Is(w.Read(event(0)), errFull) || !errors.Is(w.Finish(nil), errFull) {
+	if !errors.Is(first, errFull) || !errors.Is(w.Read(testEvent(0)), errFull) || !errors.Is(w.Finish(nil), errFull) {
 		t.Errorf("a full disk: %v", first)
 	}
 }
 
 var errFull = errors.New("no space left on device")
 
-type small struct{ left int }
+type limitedFile struct{ free int }
 
-func (s *small) Write(p []byte) (int, error) {
-	if len(p) > s.left {
+func (s *limitedFile) Write(p []byte) (int, error) {
+	if len(p) > s.free {
 		return 0, errFull
 	}
-	s.left -= len(p)
+	s.free -= len(p)
 	return len(p), nil
 }
 
-func (s *small) Close() error { return nil }
+func (s *limitedFile) Close() error { return nil }
 
 func TestOpenErrors(t *testing.T) {
 	if _, err := Open(t.TempDir()); err == nil {
 		t.Error("an empty folder is a run")
 	}
-	dir := write(t, 1, true)
-	if err := os.WriteFile(filepath.Join(dir, headName), []byte(`{"format":2}`), 0o644); err != nil {
+	dir := writeRun(t, 1, true)
+	if err := os.WriteFile(filepath.Join(dir, headFile), []byte(`{"format":2}`), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(dir); err == nil {
--- /dev/null
+++ b/internal/ledger/run.go
@@ -0,0 +1,82 @@
+package ledger
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+
+	"github.com/klauspost/compress/zstd"
+
+	"cleathold/internal/audit"
+)
+
+// maxLineBytes is the length of the longest event that can be read.
+const maxLineBytes = 16 << 20
+
+// Run is the folder of a run, for reading.
+type Run struct {
+	Dir    string
+	Head   Head
+	Script []byte
+	Result json.RawMessage // nil: the run is incomplete
+}
+
+// Open reads a folder, but for its events. It returns an error for one without a run and for another format.
+func Open(dir string) (*Run, error) {
+	text, err := os.ReadFile(filepath.Join(dir, headFile))
+	if err != nil {
+		return nil, fmt.Errorf("%s is no run folder: %w", dir, err)
+	}
+	r := &Run{Dir: dir}
+	if err := json.Unmarshal(text, &r.Head); err != nil {
+		return nil, fmt.Errorf("%s: %w", filepath.Join(dir, headFile), err)
+	}
+	if r.Head.Format != formatVersion {
+		return nil, fmt.Errorf("%s: format %d, this program reads format %d", dir, r.Head.Format, formatVersion)
+	}
+	if r.Script, err = os.ReadFile(filepath.Join(dir, scriptFile)); err != nil {
+		return nil, fmt.Errorf("run folder: %w", err)
+	}
+	switch r.Result, err = os.ReadFile(filepath.Join(dir, resultFile)); {
+	case errors.Is(err, fs.ErrNotExist):
+		r.Result = nil
+	case err != nil:
+		return nil, fmt.Errorf("run folder: %w", err)
+	}
+	return r, nil
+}
+
+// ScriptPath returns the path of the script, for errors that name a line of it.
+func (r *Run) ScriptPath() string { return filepath.Join(r.Dir, scriptFile) }
+
+// Events calls do with each event, until that returns an error. A ledger that ends in the middle of a block or of a
+// line is read up to there, and complete is false.
+func (r *Run) Events(do func(audit.Event) error) (complete bool, err error) {
+	file, err := os.Open(filepath.Join(r.Dir, eventsFile))
+	if err != nil {
+		return false, fmt.Errorf("ledger: %w", err)
+	}
+	defer file.Close()
+	decompressor, err := zstd.NewReader(file,
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(64<<20), zstd.WithDecoderLowmem(true))
+	if err != nil {
+		return false, fmt.Errorf("ledger: %w", err)
+	}
+	defer decompressor.Close()
+	lines := bufio.NewScanner(decompressor)
+	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
+	for lines.Scan() {
+		var e audit.Event
+		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
+			return false, nil // the last line of an incomplete run
+		}
+		if err := do(e); err != nil {
+			return false, err
+		}
+	}
+	return lines.Err() == nil, nil
+}
