--- a/internal/audit/effect.go
+++ b/internal/audit/effect.go
@@ -1,8 +1,6 @@
 package audit
 
-import (
-	"time"
-)
+import "time"
 
 // An effect is the first execution of a message. A second one breaks a rule; it is looked for until a time.
 type effect struct {
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -1,8 +1,6 @@
 package audit
 
-import (
-	"time"
-)
+import "time"
 
 // EventKind is what an event tells. The numbers stand in ledgers: they do not change.
 type EventKind uint8
--- a/internal/audit/route_test.go
+++ b/internal/audit/route_test.go
@@ -1,8 +1,6 @@
 package audit
 
-import (
-	"testing"
-)
+import "testing"
 
 func TestOverloadRule(t *testing.T) {
 	checkRules(t, []ruleCase{
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -1,8 +1,6 @@
 package audit
 
-import (
-	"time"
-)
+import "time"
 
 // Rule is a rule that senders have to keep, as reports state it.
 type Rule string
--- a/internal/audit/sender.go
+++ b/internal/audit/sender.go
@@ -1,8 +1,6 @@
 package audit
 
-import (
-	"time"
-)
+import "time"
 
 // A sender is what its processes have to know and to do.
 type sender struct {
