--- a/internal/scenario/arrivals.go
+++ b/internal/scenario/arrivals.go
@@ -27,7 +27,7 @@
 		}
 	}
 	for _, b := range p.bursts {
-		if at >= b.from && at < b.to {
+		if b.contains(at) {
 			x *= b.size
 		}
 	}
@@ -158,7 +158,7 @@
 // drawDest draws the index of a destination. Hot keys draw a part of the messages to the largest ones.
 func (a *Arrivals) drawDest(at time.Duration) int {
 	for _, h := range a.plan.hotKeys {
-		if at >= h.from && at < h.to && a.rng.Float64() < h.size {
+		if h.contains(at) && a.rng.Float64() < h.size {
 			return a.largest[a.rng.IntN(min(h.keys, len(a.largest)))]
 		}
 	}
--- a/internal/scenario/drawactions.go
+++ b/internal/scenario/drawactions.go
@@ -70,8 +70,8 @@
 // drawAgents draws the actions on agents, and the orders to them.
 func (p *Plan) drawAgents(rng *rand.Rand) {
 	for _, d := range p.Scenario.AgentActions {
-		at := d.At.seconds(rng)
-		p.AgentActions = append(p.AgentActions, PlannedAgentAction{at, at + d.Length.seconds(rng), d.Agent, d.What})
+		span := drawSpan(rng, d.At, d.Length)
+		p.AgentActions = append(p.AgentActions, PlannedAgentAction{span.From, span.To, d.Agent, d.What})
 	}
 	slices.SortStableFunc(p.AgentActions, func(a, b PlannedAgentAction) int { return cmp.Compare(a.At, b.At) })
 	for _, o := range p.Scenario.Orders {
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -13,41 +13,47 @@
 // drawFaults draws which endpoints each fault is at: those of as many destinations as its part of the traffic allows,
 // and of the first one drawn in any case.
 func (p *Plan) drawFaults(rng *rand.Rand) {
-	for i, t := range p.Scenario.Faults {
-		from := t.At.seconds(rng)
-		to := from + t.Length.seconds(rng)
-		fault := partner.Fault{Mode: t.Mode, Share: t.Share.draw(rng), Factor: t.Factor.draw(rng)}
-		if t.EndKnown {
-			fault.Until = to
+	for i, f := range p.Scenario.Faults {
+		span := drawSpan(rng, f.At, f.Length)
+		fault := partner.Fault{Mode: f.Mode, Share: f.Share.draw(rng), Factor: f.Factor.draw(rng)}
+		if f.EndKnown {
+			fault.Until = span.To
 		}
-		maxShare, total := t.TrafficShare.draw(rng), 0.0
+		maxShare, total := f.TrafficShare.draw(rng), 0.0
 		for _, n := range rng.Perm(len(p.Dests)) {
 			d := &p.Dests[n]
-			var ids []string
-			for _, e := range d.Endpoints {
-				if t.Zone == "" || p.Scenario.Zones[e.Zone] == t.Zone {
-					ids = append(ids, e.ID)
-				}
-			}
-			if t.Endpoints > 0 && len(ids) > 0 {
-				rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-				ids = ids[:min(len(ids), max(1, int(math.Round(t.Endpoints*float64(len(d.Endpoints))))))]
-			}
+			ids := p.drawFaultyEndpoints(rng, &f, d)
 			share := d.Share * float64(len(ids)) / float64(len(d.Endpoints))
-			excluded := t.Kind != "" && d.Kind != t.Kind || t.Dest >= 0 && d.Dest != t.Dest
+			excluded := f.Kind != "" && d.Kind != f.Kind || f.Dest >= 0 && d.Dest != f.Dest
 			if len(ids) == 0 || excluded || total > 0 && total+share > maxShare {
 				continue
 			}
 			total += share
 			for _, id := range ids {
 				p.Changes = append(p.Changes,
-					Change{At: from, Endpoint: id, Fault: fault, Of: i},
-					Change{At: to, Endpoint: id, Of: i})
+					Change{At: span.From, Endpoint: id, Fault: fault, Of: i},
+					Change{At: span.To, Endpoint: id, Of: i})
 			}
 		}
 	}
 }
 
+// drawFaultyEndpoints draws which endpoints a fault is at if it is at their destination.
+func (p *Plan) drawFaultyEndpoints(rng *rand.Rand, f *Fault, d *Destination) []string {
+	var ids []string
+	for _, e := range d.Endpoints {
+		if f.Zone == "" || p.Scenario.Zones[e.Zone] == f.Zone {
+			ids = append(ids, e.ID)
+		}
+	}
+	if f.Endpoints > 0 && len(ids) > 0 {
+		rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+		n := int(math.Round(f.Endpoints * float64(len(d.Endpoints))))
+		ids = ids[:min(len(ids), max(1, n))]
+	}
+	return ids
+}
+
 // resolveOverlaps lets the fault that began last stand where faults of an endpoint overlap. The endpoint is healthy
 // after the end of the last one.
 func (p *Plan) resolveOverlaps() {
@@ -69,12 +75,11 @@
 // drawWindows draws the bursts and the hot keys.
 func (p *Plan) drawWindows(rng *rand.Rand) {
 	for _, b := range p.Scenario.Bursts {
-		from := b.At.seconds(rng)
-		p.bursts = append(p.bursts, window{from, from + b.Length.seconds(rng), b.Factor.draw(rng), 0})
+		p.bursts = append(p.bursts, window{Span: drawSpan(rng, b.At, b.Length), size: b.Factor.draw(rng)})
 	}
 	for _, h := range p.Scenario.HotKeys {
-		from := h.At.seconds(rng)
-		p.hotKeys = append(p.hotKeys, window{from, from + h.Length.seconds(rng), h.Share.draw(rng), h.Keys})
+		span := drawSpan(rng, h.At, h.Length)
+		p.hotKeys = append(p.hotKeys, window{Span: span, size: h.Share.draw(rng), keys: h.Keys})
 	}
 }
 
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -116,8 +116,8 @@
 // drawLinks draws the faults of links and the partitions.
 func (p *Plan) drawLinks(rng *rand.Rand) {
 	for _, l := range p.Scenario.Links {
-		x := PlannedLink{From: l.At.seconds(rng), State: l.LinkState, oneWay: l.OneWay}
-		x.To = x.From + l.Length.seconds(rng)
+		span := drawSpan(rng, l.At, l.Length)
+		x := PlannedLink{From: span.From, To: span.To, State: l.LinkState, oneWay: l.OneWay}
 		of := l.Of
 		if len(of) == 0 {
 			for _, i := range p.Scenario.drawSenders(rng, l.Share) {
@@ -134,11 +134,11 @@
 		p.Links = append(p.Links, x)
 	}
 	for _, c := range p.Scenario.Partitions {
+		span := drawSpan(rng, c.At, c.Length)
 		x := PlannedLink{
-			From: c.At.seconds(rng), State: c.LinkState, sideOf: map[string]int{},
+			From: span.From, To: span.To, State: c.LinkState, sideOf: map[string]int{},
 			Text: fmt.Sprintf("%s between %d parts of the senders", c.LinkState.describe(), c.Sides),
 		}
-		x.To = x.From + c.Length.seconds(rng)
 		for i, num := range rng.Perm(p.Scenario.Senders) {
 			x.sideOf[Sender(num)] = i % c.Sides
 		}
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -25,10 +25,10 @@
 		}
 	}
 	for _, b := range p.bursts {
-		list = append(list, Mark{b.from, b.to, fmt.Sprintf("burst: %.1f times the traffic", b.size)})
+		list = append(list, Mark{b.From, b.To, fmt.Sprintf("burst: %.1f times the traffic", b.size)})
 	}
 	for _, h := range p.hotKeys {
-		list = append(list, Mark{h.from, h.to, fmt.Sprintf("%d large destinations draw %.0f%% more", h.keys, 100*h.size)})
+		list = append(list, Mark{h.From, h.To, fmt.Sprintf("%d large destinations draw %.0f%% more", h.keys, 100*h.size)})
 	}
 	for _, o := range p.DiscoveryOutages {
 		list = append(list, Mark{o.From, o.To, "discovery is down"})
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -53,9 +53,9 @@
 
 // A window is the time of a burst or of hot keys.
 type window struct {
-	from, to time.Duration
-	size     float64 // of a burst: factor of the rate; of hot keys: share of the messages
-	keys     int     // hot keys: destinations
+	Span
+	size float64 // of a burst: factor of the rate; of hot keys: share of the messages
+	keys int     // hot keys: destinations
 }
 
 // The random streams. Each part of a plan has its own, so that a change of one part of a script leaves the draws of
@@ -83,6 +83,15 @@
 	return time.Duration(r.draw(rng) * float64(time.Second))
 }
 
+// drawSpan draws a time from ranges, in seconds, of its begin and its length.
+func drawSpan(rng *rand.Rand, at, length Range) Span {
+	from := at.seconds(rng)
+	return Span{from, from + length.seconds(rng)}
+}
+
+// contains reports whether a time is in a span. Its end is not.
+func (s Span) contains(at time.Duration) bool { return at >= s.From && at < s.To }
+
 // Mean returns the middle of a range.
 func (r Range) Mean() float64 { return (r.From + r.To) / 2 }
 
@@ -98,9 +107,8 @@
 	p.drawAgents(randomStream(seed, streamAgents))
 	p.drawChurns(randomStream(seed, streamChurn))
 	rng := randomStream(seed, streamDiscoveryOutages)
-	for _, b := range s.DiscoveryOutages {
-		from := b.At.seconds(rng)
-		p.DiscoveryOutages = append(p.DiscoveryOutages, Span{from, from + b.Length.seconds(rng)})
+	for _, o := range s.DiscoveryOutages {
+		p.DiscoveryOutages = append(p.DiscoveryOutages, drawSpan(rng, o.At, o.Length))
 	}
 	slices.SortStableFunc(p.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
 	return p
