--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -58,7 +58,7 @@
 }
 
 // A fault is where the script says: zone, part of the traffic, kind.
-func TestFaultsStrikeAsDescribed(t *testing.T) {
+func TestFaultsAreAsDescribed(t *testing.T) {
 	for seed := range uint64(50) {
 		p := parseWith(t, `trouble(what = "SHUT", at = 30, seconds = 5, kind = "large-partners", part = 1, knows_end = True)
 `).Plan(seed)
--- a/internal/simulation/agents.go
+++ b/internal/simulation/agents.go
@@ -44,13 +44,13 @@
 		Verb: rollout.SetTerms, At: s.clock(), By: "lab", Reason: "the scenario", Terms: &terms,
 	})
 	for i := range p.Agents.Number {
-		x := newAgent(a, i)
-		a.log = append(a.log, x.roster(p))
-		a.members = append(a.members, x)
-		s.at(time.Duration(i)*observeInterval/time.Duration(p.Agents.Number), x.observeSenders)
+		ag := newAgent(a, i)
+		a.log = append(a.log, ag.roster(p))
+		a.members = append(a.members, ag)
+		s.at(time.Duration(i)*observeInterval/time.Duration(p.Agents.Number), ag.observeSenders)
 	}
-	for _, x := range a.members {
-		x.catchUp()
+	for _, ag := range a.members {
+		ag.catchUp()
 	}
 	s.at(0, a.lead)
 	for _, action := range s.plan.AgentActions {
@@ -85,10 +85,10 @@
 	if a.leader != nil && !a.leader.hasMajority() {
 		a.leader, a.leaderLostAt = nil, s.now
 	}
-	for _, x := range a.members {
-		if a.leader == nil && s.now-a.leaderLostAt >= electionDelay && x.hasMajority() {
-			x.catchUp()
-			a.leader, x.watch = x, rollout.Watch{}
+	for _, ag := range a.members {
+		if a.leader == nil && s.now-a.leaderLostAt >= electionDelay && ag.hasMajority() {
+			ag.catchUp()
+			a.leader, ag.watch = ag, rollout.Watch{}
 		}
 	}
 	l := a.leader
@@ -108,32 +108,32 @@
 
 // checkBudget counts, as a sender goes out of service by order, the senders out of service: those with a lease, and
 // those down for longer than an order may rest on an old observation.
-func (a *agents) checkBudget(y *sender) {
+func (a *agents) checkBudget(sd *sender) {
 	s, t := a.sim, a.terms.Timing
 	s.result.Orders++
 	margin := t.Fresh + t.Accept + 4*t.Error + 2*observeInterval
 	out, text := 0, ""
-	for _, z := range s.senders {
-		down := z.dead && s.now-z.endedAt > margin || z.stopped() && s.now-z.stoppedAt > margin
-		if z.lease.Active() || down {
+	for _, other := range s.senders {
+		down := other.dead && s.now-other.endedAt > margin || other.stopped() && s.now-other.stoppedAt > margin
+		if other.lease.Active() || down {
 			out++
-			text += " " + z.name
+			text += " " + other.name
 		}
 	}
 	if out > a.terms.Budget.Fleet {
-		s.result.OverBudget = append(s.result.OverBudget, fmt.Sprintf("%v: %s went out, out are%s", s.now, y.name, text))
+		s.result.OverBudget = append(s.result.OverBudget, fmt.Sprintf("%v: %s went out, out are%s", s.now, sd.name, text))
 	}
 }
 
 // inject carries out an action on an agent.
-func (a *agents) inject(x *agent, action scenario.PlannedAgentAction) {
+func (a *agents) inject(ag *agent, action scenario.PlannedAgentAction) {
 	s := a.sim
 	switch action.What {
 	case "stop":
-		x.stoppedUntil = max(x.stoppedUntil, action.Until)
+		ag.stoppedUntil = max(ag.stoppedUntil, action.Until)
 	case "kill", "wipe":
-		x.dead = true
-		s.at(action.Until, func() { x.restart(action.What == "wipe") })
+		ag.dead = true
+		s.at(action.Until, func() { ag.restart(action.What == "wipe") })
 	}
 }
 
@@ -147,9 +147,9 @@
 	for _, p := range l.state.Plans {
 		a.sim.result.Plans = append(a.sim.result.Plans, fmt.Sprintf("%d %s %s %s", p.ID, p.Kind, p.Phase, p.Why))
 	}
-	for _, y := range a.sim.senders {
-		if y.lease.Active() {
-			a.sim.result.StillOut = append(a.sim.result.StillOut, y.name)
+	for _, sd := range a.sim.senders {
+		if sd.lease.Active() {
+			a.sim.result.StillOut = append(a.sim.result.StillOut, sd.name)
 		}
 	}
 }
--- a/internal/simulation/agents_test.go
+++ b/internal/simulation/agents_test.go
@@ -7,7 +7,7 @@
 	"cleathold/internal/scenario"
 )
 
-// Drains and releases of a fleet whose agents and senders are struck, over seeds and sizes: never one sender too many
+// Drains and releases of a fleet with faults of agents and senders, over seeds and sizes: never one sender too many
 // goes out by order, all are back in the end, and the rules hold.
 func TestAgents(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/simulation/call.go
+++ b/internal/simulation/call.go
@@ -28,26 +28,26 @@
 	startedAt    time.Duration
 }
 
-// Send makes a call, on an idle connection or on a new one. It implements state's connections, as do Cancel,
+// Send makes a call, on an idle connection or on a new one. It implements state.Transport, as do Cancel,
 // CancelUnsent, HealthCheck and Disconnect.
-func (x *sender) Send(c *state.Call) {
-	f := x.startCall(c.Target)
+func (sd *sender) Send(c *state.Call) {
+	f := sd.startCall(c.Target)
 	f.call, f.ended = c, map[*state.Attempt]bool{}
-	x.byCall[c] = f
+	sd.byCall[c] = f
 	for _, a := range c.Attempts {
-		x.sim.at(a.Deadline.Sub(virtualStart), func() { f.timeOut(a) })
+		sd.sim.at(a.Deadline.Sub(virtualStart), func() { f.timeOut(a) })
 	}
 }
 
 // HealthCheck makes a call without a message.
-func (x *sender) HealthCheck(t state.Target, deadline time.Time) {
-	f := x.startCall(t)
-	x.sim.at(deadline.Sub(virtualStart), func() {
-		x.whenRunning(func() {
+func (sd *sender) HealthCheck(t state.Target, deadline time.Time) {
+	f := sd.startCall(t)
+	sd.sim.at(deadline.Sub(virtualStart), func() {
+		sd.whenRunning(func() {
 			if f.done {
 				return
 			}
-			if s := x.sim; f.forget(x.num, "timeout") {
+			if s := sd.sim; f.forget(sd.num, "timeout") {
 				s.environment.Model.Cancel(s.now, f.id, f.target.ID)
 			}
 			f.endAll(state.AttemptResult{Result: control.TimedOut})
@@ -56,16 +56,16 @@
 }
 
 // Cancel abandons a call.
-func (x *sender) Cancel(c *state.Call) {
-	if f := x.byCall[c]; f != nil {
-		x.sim.at(x.sim.now, func() { f.cancel(control.Canceled) })
+func (sd *sender) Cancel(c *state.Call) {
+	if f := sd.byCall[c]; f != nil {
+		sd.sim.at(sd.sim.now, func() { f.cancel(control.Canceled) })
 	}
 }
 
 // CancelUnsent abandons a call whose first byte has not left.
-func (x *sender) CancelUnsent(c *state.Call) {
-	if f := x.byCall[c]; f != nil && !f.sent {
-		x.sim.at(x.sim.now, func() {
+func (sd *sender) CancelUnsent(c *state.Call) {
+	if f := sd.byCall[c]; f != nil && !f.sent {
+		sd.sim.at(sd.sim.now, func() {
 			if !f.sent {
 				f.cancel(control.NotSent)
 			}
@@ -74,42 +74,42 @@
 }
 
 // Disconnect closes the idle connections to an endpoint.
-func (x *sender) Disconnect(endpoint string) {
-	for range x.idleConns[endpoint] {
-		x.sim.environment.Model.Disconnect(x.sim.now, endpoint)
+func (sd *sender) Disconnect(endpoint string) {
+	for range sd.idleConns[endpoint] {
+		sd.sim.environment.Model.Disconnect(sd.sim.now, endpoint)
 	}
-	delete(x.idleConns, endpoint)
+	delete(sd.idleConns, endpoint)
 }
 
 // callsOf returns a sender's calls in the order in which they began, since that of a map differs from run to run.
-func (s *Sim) callsOf(x *sender) []*inFlightCall {
-	return slices.SortedFunc(maps.Keys(x.inFlight), func(a, b *inFlightCall) int { return cmp.Compare(a.id, b.id) })
+func (s *Sim) callsOf(sd *sender) []*inFlightCall {
+	return slices.SortedFunc(maps.Keys(sd.inFlight), func(a, b *inFlightCall) int { return cmp.Compare(a.id, b.id) })
 }
 
 // startCall sends on the connection that was idle for the shortest time, or on a new one.
-func (x *sender) startCall(to state.Target) *inFlightCall {
-	s := x.sim
+func (sd *sender) startCall(to state.Target) *inFlightCall {
+	s := sd.sim
 	s.lastCall++
-	f := &inFlightCall{sender: x, target: to, id: s.lastCall, delay: NetworkDelay(to.Zone, x.zone), startedAt: s.now}
-	x.inFlight[f] = true
-	idle := x.idleConns[to.ID]
+	f := &inFlightCall{sender: sd, target: to, id: s.lastCall, delay: NetworkDelay(to.Zone, sd.zone), startedAt: s.now}
+	sd.inFlight[f] = true
+	idle := sd.idleConns[to.ID]
 	for len(idle) > 0 && s.now-idle[0] >= idleConnTimeout { // the endpoint has closed these
 		s.environment.Model.Disconnect(s.now, to.ID)
 		idle = idle[1:]
 	}
 	if n := len(idle); n > 0 {
-		x.idleConns[to.ID] = idle[:n-1]
+		sd.idleConns[to.ID] = idle[:n-1]
 		s.at(s.now, f.send)
 		return f
 	}
-	x.idleConns[to.ID] = idle
+	sd.idleConns[to.ID] = idle
 	f.connect()
 	return f
 }
 
 // connect opens a connection and sends on it.
 func (f *inFlightCall) connect() {
-	x, s := f.sender, f.sender.sim
+	sd, s := f.sender, f.sender.sim
 	f.newConn = true
 	s.result.Connections++
 	if request, reply := f.links(); !request.Passes() || !reply.Passes() {
@@ -118,7 +118,7 @@
 			after = connectTimeout
 		}
 		s.at(s.now+after, func() {
-			if !x.dead && !f.done {
+			if !sd.dead && !f.done {
 				f.recordFailure()
 			}
 			f.endAll(state.AttemptResult{Result: control.ConnectFailed})
@@ -202,13 +202,13 @@
 
 // releaseConn keeps its connection for the next call.
 func (f *inFlightCall) releaseConn() {
-	x, s := f.sender, f.sender.sim
+	sd, s := f.sender, f.sender.sim
 	switch {
 	case f.overCapacity:
-	case x.dead:
+	case sd.dead:
 		s.environment.Model.Disconnect(s.now, f.target.ID)
 	default:
-		x.idleConns[f.target.ID] = append(x.idleConns[f.target.ID], s.now)
+		sd.idleConns[f.target.ID] = append(sd.idleConns[f.target.ID], s.now)
 	}
 }
 
--- a/internal/simulation/deliveryreport.go
+++ b/internal/simulation/deliveryreport.go
@@ -11,28 +11,30 @@
 // reportRetryDelay is the time until a delivery report that did not arrive is sent again.
 const reportRetryDelay = 500 * time.Millisecond
 
-// Report sends a delivery report to the platform. It implements state's reports.
-func (x *sender) Report(n state.DeliveryReport) {
-	x.sim.at(x.sim.now+reportAckDelay, func() { x.whenRunning(func() { x.deliverReport(n) }) })
+// Report sends a delivery report to the platform. It implements state.Reporter.
+func (sd *sender) Report(report state.DeliveryReport) {
+	sd.sim.at(sd.sim.now+reportAckDelay, func() { sd.whenRunning(func() { sd.deliverReport(report) }) })
 }
 
 // deliverReport has a report arrive, as soon as the platform can be reached. The client of a deferred message may
 // retry it.
-func (x *sender) deliverReport(n state.DeliveryReport) {
-	s := x.sim
-	if x.dead {
+func (sd *sender) deliverReport(report state.DeliveryReport) {
+	s := sd.sim
+	if sd.dead {
 		return // its write-ahead log has the report
 	}
-	if !x.reachesDiscovery() {
-		s.at(s.now+reportRetryDelay, func() { x.whenRunning(func() { x.deliverReport(n) }) })
+	if !sd.reachesDiscovery() {
+		s.at(s.now+reportRetryDelay, func() { sd.whenRunning(func() { sd.deliverReport(report) }) })
 		return
 	}
-	s.record(audit.Event{Kind: audit.Notice, Sender: x.num, Message: n.ID, Deferred: n.Deferred, RetryAfter: n.RetryAfter})
-	m := s.messages[n.ID]
-	if m != nil && n.Deferred {
-		s.rejected(m, n.ID, n.RetryAfter)
+	s.record(audit.Event{
+		Kind: audit.Notice, Sender: sd.num, Message: report.ID, Deferred: report.Deferred, RetryAfter: report.RetryAfter,
+	})
+	m := s.messages[report.ID]
+	if m != nil && report.Deferred {
+		s.rejected(m, report.ID, report.RetryAfter)
 	} else if m != nil {
-		delete(s.messages, n.ID)
+		delete(s.messages, report.ID)
 	}
-	x.step(state.ReportsAcknowledged{Nums: []control.MessageID{n.Num}})
+	sd.step(state.ReportsAcknowledged{Nums: []control.MessageID{report.Num}})
 }
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -8,109 +8,110 @@
 )
 
 // reachesDiscovery reports whether the links to discovery and back pass anything.
-func (x *sender) reachesDiscovery() bool {
-	s := x.sim
-	return s.link(x.name, scenario.Discovery).Passes() && s.link(scenario.Discovery, x.name).Passes()
+func (sd *sender) reachesDiscovery() bool {
+	s := sd.sim
+	return s.link(sd.name, scenario.Discovery).Passes() && s.link(scenario.Discovery, sd.name).Passes()
 }
 
 // pollFailed has the loop see that discovery does not answer: soon where the link is cut, else after a timeout.
-func (x *sender) pollFailed() {
-	s := x.sim
+func (sd *sender) pollFailed() {
+	s := sd.sim
 	after := discoveryDelay
-	if !s.cutBetween(x.name, scenario.Discovery) {
+	if !s.cutBetween(sd.name, scenario.Discovery) {
 		after = pollTimeout
 	}
-	s.at(s.now+after, func() { x.step(state.ListUpdate{Kind: control.ListFailed}) })
+	s.at(s.now+after, func() { sd.step(state.ListUpdate{Kind: control.ListFailed}) })
 }
 
 // Watch begins or ends a watch. Since is the version that the loop knows; for state.NoVersion the first update is the
-// full list. It implements state's discovery, as does Fetch.
-func (x *sender) Watch(on bool, since int64) {
-	s := x.sim
-	if x.watching = false; !on {
-		s.environment.Polled(s.now, x.num, false, false)
+// full list. It implements state.Discovery, as does Fetch.
+func (sd *sender) Watch(on bool, since int64) {
+	s := sd.sim
+	if sd.watching = false; !on {
+		s.environment.Polled(s.now, sd.num, false, false)
 		return
 	}
 	s.at(s.now+discoveryDelay, func() {
-		if !x.reachesDiscovery() {
-			s.environment.Polled(s.now, x.num, false, true)
-			x.pollFailed()
+		if !sd.reachesDiscovery() {
+			s.environment.Polled(s.now, sd.num, false, true)
+			sd.pollFailed()
 			return
 		}
 		_, down := s.environment.DiscoveryOutage(s.now)
-		if !x.dead {
-			s.environment.Polled(s.now, x.num, !down, down)
+		if !sd.dead {
+			s.environment.Polled(s.now, sd.num, !down, down)
 		}
 		if down {
-			x.step(state.ListUpdate{Kind: control.ListFailed})
+			sd.step(state.ListUpdate{Kind: control.ListFailed})
 			return
 		}
-		x.watching = true
+		sd.watching = true
 		if since != state.NoVersion {
-			x.listVersion = since
-			x.receiveChanges()
+			sd.listVersion = since
+			sd.receiveChanges()
 			return
 		}
-		x.receiveFullList()
+		sd.receiveFullList()
 	})
 }
 
 // Fetch gives the loop the full list once.
-func (x *sender) Fetch() {
-	s := x.sim
+func (sd *sender) Fetch() {
+	s := sd.sim
 	s.at(s.now+discoveryDelay, func() {
-		if !x.reachesDiscovery() {
-			x.pollFailed()
+		if !sd.reachesDiscovery() {
+			sd.pollFailed()
 			return
 		}
 		_, down := s.environment.DiscoveryOutage(s.now)
-		if !x.dead && !x.watching {
-			s.environment.Polled(s.now, x.num, false, down)
+		if !sd.dead && !sd.watching {
+			s.environment.Polled(s.now, sd.num, false, down)
 		}
 		if down {
-			x.step(state.ListUpdate{Kind: control.ListFailed})
+			sd.step(state.ListUpdate{Kind: control.ListFailed})
 			return
 		}
-		x.receiveFullList()
+		sd.receiveFullList()
 	})
 }
 
 // receiveFullList gives the loop the list as discovery tells it to this sender now.
-func (x *sender) receiveFullList() {
-	if x.dead {
+func (sd *sender) receiveFullList() {
+	if sd.dead {
 		return
 	}
-	endpoints, version := x.sim.environment.FullList(x.sim.now, x.num)
-	x.listVersion = max(x.listVersion, version)
-	x.receiveUpdate(control.ListFull, version, endpoints)
+	endpoints, version := sd.sim.environment.FullList(sd.sim.now, sd.num)
+	sd.listVersion = max(sd.listVersion, version)
+	sd.receiveUpdate(control.ListFull, version, endpoints)
 }
 
 // receiveChanges gives the loop of a sender that watches what has changed after its version.
-func (x *sender) receiveChanges() {
-	if _, down := x.sim.environment.DiscoveryOutage(x.sim.now); down || !x.watching || x.dead || !x.reachesDiscovery() {
+func (sd *sender) receiveChanges() {
+	s := sd.sim
+	if _, down := s.environment.DiscoveryOutage(s.now); down || !sd.watching || sd.dead || !sd.reachesDiscovery() {
 		return
 	}
-	endpoints, version, full := x.sim.environment.ListChanges(x.sim.now, x.num, x.listVersion)
-	x.listVersion = version
+	endpoints, version, full := s.environment.ListChanges(s.now, sd.num, sd.listVersion)
+	sd.listVersion = version
 	if full {
-		x.receiveUpdate(control.ListFull, version, endpoints)
+		sd.receiveUpdate(control.ListFull, version, endpoints)
 	} else if len(endpoints) > 0 {
-		x.receiveUpdate(control.ListDelta, version, endpoints)
+		sd.receiveUpdate(control.ListDelta, version, endpoints)
 	}
 }
 
 // receiveUpdate gives the loop an update, and records of which endpoints it notifies the sender.
-func (x *sender) receiveUpdate(kind control.ListUpdateKind, version int64, endpoints []ListedEndpoint) {
+func (sd *sender) receiveUpdate(kind control.ListUpdateKind, version int64, endpoints []ListedEndpoint) {
 	update := state.ListUpdate{Kind: kind, Version: version}
 	for _, l := range endpoints {
 		if l.State != control.Ready || kind == control.ListDelta {
-			x.sim.record(audit.Event{
-				Kind: audit.Notified, Sender: x.num, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready,
+			sd.sim.record(audit.Event{
+				Kind: audit.Notified, Sender: sd.num, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready,
 			})
 		}
 		t := state.Target{ID: l.ID, Addr: l.Address}
 		t.Destination, t.Kind, t.Zone, t.State, t.Weight = l.Dest, l.Kind, l.Zone, l.State, l.Weight
 		update.Targets = append(update.Targets, t)
 	}
-	x.step(update)
+	sd.step(update)
 }
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -37,30 +37,30 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Environment{
+	env := &Environment{
 		Plan: p, Model: m, record: record, rng: rand.New(rand.NewPCG(p.Seed, 97)), kinds: map[string]int{},
 		listed: map[string]ListedEndpoint{}, version: 1, updates: make([][]scheduledUpdate, p.Scenario.Senders),
 		baseVersions: make([]int64, p.Scenario.Senders), polls: make([]pollState, p.Scenario.Senders),
 	}
-	for i := range g.baseVersions {
-		g.baseVersions[i] = 1
+	for i := range env.baseVersions {
+		env.baseVersions[i] = 1
 	}
 	for i, k := range p.Scenario.Kinds {
-		g.kinds[k.Name] = i
+		env.kinds[k.Name] = i
 	}
 	for i := range p.Dests {
 		for _, e := range p.Dests[i].Endpoints {
-			g.addEndpoint(&p.Dests[i], e, e.ID)
+			env.addEndpoint(&p.Dests[i], e, e.ID)
 		}
 	}
-	return g, nil
+	return env, nil
 }
 
 // addEndpoint appends an endpoint to the list.
-func (g *Environment) addEndpoint(d *scenario.Destination, e partner.EndpointSpec, address string) {
-	l := ListedEndpoint{e.ID, address, d.Dest, g.kinds[d.Kind], e.Zone, control.Ready, d.AnnouncedRate}
-	g.listed[e.ID] = l
-	g.order = append(g.order, e.ID)
+func (env *Environment) addEndpoint(d *scenario.Destination, e partner.EndpointSpec, address string) {
+	l := ListedEndpoint{e.ID, address, d.Dest, env.kinds[d.Kind], e.Zone, control.Ready, d.AnnouncedRate}
+	env.listed[e.ID] = l
+	env.order = append(env.order, e.ID)
 }
 
 // Rules returns the rules that the senders of a plan have to keep.
@@ -91,77 +91,77 @@
 
 // Apply makes a change of the plan to an endpoint. If the list changes with it, notifiedAt has for each sender the
 // time from which on discovery tells it of that. Errors are those of the model.
-func (g *Environment) Apply(now time.Duration, c scenario.Change) (notifiedAt []time.Duration, err error) {
-	l, listed := g.listed[c.Endpoint]
+func (env *Environment) Apply(now time.Duration, c scenario.Change) (notifiedAt []time.Duration, err error) {
+	l, listed := env.listed[c.Endpoint]
 	switch {
 	case c.Joins != nil:
-		if err := g.Model.Join(now, c.Dest, *c.Joins); err != nil {
+		if err := env.Model.Join(now, c.Dest, *c.Joins); err != nil {
 			return nil, err
 		}
 		address := c.Joins.ID
-		if old, was := g.listed[c.Address]; was {
+		if old, was := env.listed[c.Address]; was {
 			address = old.Address
 		}
-		g.addEndpoint(&g.Plan.Dests[c.Dest-1], *c.Joins, address)
-		return g.announce(now, ListedEndpoint{}, false, c.Joins.ID), nil
+		env.addEndpoint(&env.Plan.Dests[c.Dest-1], *c.Joins, address)
+		return env.announce(now, ListedEndpoint{}, false, c.Joins.ID), nil
 	case !listed || l.State == control.Removed:
 		return nil, nil
 	case c.Drains:
-		notifiedAt = g.depart(now, l, control.Draining)
-		return notifiedAt, g.Model.SetFault(now, l.ID, partner.Fault{Mode: partner.Draining})
+		notifiedAt = env.depart(now, l, control.Draining)
+		return notifiedAt, env.Model.SetFault(now, l.ID, partner.Fault{Mode: partner.Draining})
 	case c.Leaves:
-		notifiedAt = g.depart(now, l, control.Removed)
-		return notifiedAt, g.Model.Leave(now, l.ID)
+		notifiedAt = env.depart(now, l, control.Removed)
+		return notifiedAt, env.Model.Leave(now, l.ID)
 	case l.State == control.Draining:
 		return nil, nil // no fault befalls an endpoint that drains
 	}
-	return nil, g.setFault(now, l, c.Fault)
+	return nil, env.setFault(now, l, c.Fault)
 }
 
 // depart lists an endpoint as draining or removed. It returns when each sender is notified.
-func (g *Environment) depart(now time.Duration, l ListedEndpoint, to control.EndpointState) []time.Duration {
+func (env *Environment) depart(now time.Duration, l ListedEndpoint, to control.EndpointState) []time.Duration {
 	previous := l
 	l.State = to
-	g.listed[l.ID] = l
-	g.departures = append(g.departures, departure{now, l.ID, l.Dest})
-	return g.announce(now, previous, true, l.ID)
+	env.listed[l.ID] = l
+	env.departures = append(env.departures, departure{now, l.ID, l.Dest})
+	return env.announce(now, previous, true, l.ID)
 }
 
 // setFault sets an endpoint's fault, and records where an outage begins or ends with it.
-func (g *Environment) setFault(now time.Duration, l ListedEndpoint, to partner.Fault) error {
-	from := g.Model.Fault(l.ID)
-	err := g.Model.SetFault(now, l.ID, to)
+func (env *Environment) setFault(now time.Duration, l ListedEndpoint, to partner.Fault) error {
+	from := env.Model.Fault(l.ID)
+	err := env.Model.SetFault(now, l.ID, to)
 	if to.Outage() && !from.Outage() {
-		g.record(audit.Event{Kind: audit.OutageBegan, Dest: l.Dest, Endpoint: l.ID})
+		env.record(audit.Event{Kind: audit.OutageBegan, Dest: l.Dest, Endpoint: l.ID})
 	} else if from.Outage() && !to.Outage() {
-		g.record(audit.Event{Kind: audit.OutageEnded, Dest: l.Dest, Endpoint: l.ID})
+		env.record(audit.Event{Kind: audit.OutageEnded, Dest: l.Dest, Endpoint: l.ID})
 	}
 	return err
 }
 
 // Collect records what happened in the model since the last call, and returns the answers that it gave since.
-func (g *Environment) Collect() []partner.Answer {
-	for _, f := range g.Model.Overloads() {
-		g.overloads++
-		g.record(audit.Event{Kind: audit.Overloaded, Dest: f.Dest, Endpoint: f.Endpoint, CallsBySender: f.CallsBySender})
+func (env *Environment) Collect() []partner.Answer {
+	for _, f := range env.Model.Overloads() {
+		env.overloads++
+		env.record(audit.Event{Kind: audit.Overloaded, Dest: f.Dest, Endpoint: f.Endpoint, CallsBySender: f.CallsBySender})
 	}
-	for _, e := range g.Model.Effects() {
+	for _, e := range env.Model.Effects() {
 		cause := ""
 		if e.Dropped {
 			cause = "dropped"
 		} else if e.Late {
 			cause = "late"
 		}
-		g.record(audit.Event{
+		env.record(audit.Event{
 			Kind: audit.Executed, Sender: e.Sender, Call: e.Call, Message: e.Message.ID, Class: e.Message.Class,
 			Endpoint: e.Endpoint, Cause: cause,
 		})
 	}
-	return g.Model.Answers()
+	return env.Model.Answers()
 }
 
 // Overloads returns how many routes were overloaded as they returned.
-func (g *Environment) Overloads() int { return g.overloads }
+func (env *Environment) Overloads() int { return env.overloads }
 
 // OutcomeOf returns how an answer counts for the rules, and the cause that a ledger has for it.
 func OutcomeOf(k partner.AnswerKind) (audit.Outcome, string) {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -27,45 +27,45 @@
 // inject carries out an action on a sender, unless its process has ended or is about to. "hup" changes nothing in
 // virtual time, where there is no file to read again.
 func (s *Sim) inject(a scenario.PlannedAction) {
-	x := s.senders[a.Sender]
-	if x.dead || x.shuttingDown {
+	sd := s.senders[a.Sender]
+	if sd.dead || sd.shuttingDown {
 		return
 	}
 	switch a.What {
 	case "kill":
-		s.record(audit.Event{Kind: audit.Died, Sender: x.num})
-		x.exit()
+		s.record(audit.Event{Kind: audit.Died, Sender: sd.num})
+		sd.exit()
 	case "wipe":
-		s.record(audit.Event{Kind: audit.Died, Sender: x.num, Cause: audit.Wiped})
-		x.exit()
-		dir := s.walDirs[x.num]
+		s.record(audit.Event{Kind: audit.Died, Sender: sd.num, Cause: audit.Wiped})
+		sd.exit()
+		dir := s.walDirs[sd.num]
 		if err := errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700)); err != nil {
 			s.fail(err)
 		}
 	case "term", "signals":
-		x.whenRunning(func() {
-			if !x.dead && !x.shuttingDown {
-				s.record(audit.Event{Kind: audit.Died, Sender: x.num})
-				x.terminate()
+		sd.whenRunning(func() {
+			if !sd.dead && !sd.shuttingDown {
+				s.record(audit.Event{Kind: audit.Died, Sender: sd.num})
+				sd.terminate()
 			}
 		})
 	case "stop":
-		x.stop(a.Until)
+		sd.stop(a.Until)
 	case "drain":
-		x.draining = true
+		sd.draining = true
 		if a.Until > 0 {
 			s.at(a.Until, func() { s.senders[a.Sender].draining = false })
 		}
 	case "activate":
-		x.draining = false
+		sd.draining = false
 	case "retune":
-		s.settingsUpdates[x.num] = a
-		set, err := readProfile(s.profile(x.num), 0)
+		s.settingsUpdates[sd.num] = a
+		set, err := readProfile(s.profile(sd.num), 0)
 		if err != nil {
 			s.fail(err)
 			return
 		}
-		x.updateSettings(set)
+		sd.updateSettings(set)
 	}
 }
 
@@ -98,52 +98,52 @@
 
 // linksChanged has every sender look at its links.
 func (s *Sim) linksChanged() {
-	for _, x := range s.senders {
-		x.linksChanged()
+	for _, sd := range s.senders {
+		sd.linksChanged()
 	}
 }
 
 // linksChanged breaks the connections on links that are cut now, and resumes the watch of discovery where that is
 // reachable again.
-func (x *sender) linksChanged() {
-	s := x.sim
-	for _, f := range s.callsOf(x) {
-		if !f.sent || !s.cutBetween(x.name, f.target.ID) {
+func (sd *sender) linksChanged() {
+	s := sd.sim
+	for _, f := range s.callsOf(sd) {
+		if !f.sent || !s.cutBetween(sd.name, f.target.ID) {
 			continue
 		}
-		if f.forget(x.num, "reset") {
+		if f.forget(sd.num, "reset") {
 			f.notifyCanceled()
 		}
 		f.endAll(state.AttemptResult{Result: control.ConnectionLost})
 	}
-	for _, id := range slices.Sorted(maps.Keys(x.idleConns)) {
-		if s.cutBetween(x.name, id) {
-			x.Disconnect(id)
+	for _, id := range slices.Sorted(maps.Keys(sd.idleConns)) {
+		if s.cutBetween(sd.name, id) {
+			sd.Disconnect(id)
 		}
 	}
-	reachable := x.reachesDiscovery()
-	if reachable == x.unreachable {
-		x.unreachable = !reachable
+	reachable := sd.reachesDiscovery()
+	if reachable == sd.unreachable {
+		sd.unreachable = !reachable
 		kind := audit.Unreachable
 		if reachable {
 			kind = audit.ReachableAgain
 		}
-		s.record(audit.Event{Kind: kind, Sender: x.num})
+		s.record(audit.Event{Kind: kind, Sender: sd.num})
 	}
 	if reachable {
-		x.receiveChanges()
-	} else if x.watching {
-		x.watching = false
-		s.environment.Polled(s.now, x.num, false, true)
-		x.pollFailed()
+		sd.receiveChanges()
+	} else if sd.watching {
+		sd.watching = false
+		s.environment.Polled(s.now, sd.num, false, true)
+		sd.pollFailed()
 	}
 }
 
 // discoveryDown ends the watch as an outage of discovery begins.
-func (x *sender) discoveryDown() {
-	if x.watching && !x.dead {
-		x.watching = false
-		x.sim.environment.Polled(x.sim.now, x.num, false, true)
-		x.step(state.ListUpdate{Kind: control.ListFailed})
+func (sd *sender) discoveryDown() {
+	if sd.watching && !sd.dead {
+		sd.watching = false
+		sd.sim.environment.Polled(sd.sim.now, sd.num, false, true)
+		sd.step(state.ListUpdate{Kind: control.ListFailed})
 	}
 }
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -13,7 +13,7 @@
 // A gossipSender carries one sender's gossip to its peers. Each copy arrives late, twice or not at all.
 type gossipSender struct{ *sender }
 
-// SendGossip implements state's peers.
+// SendGossip implements state.GossipSender.
 func (g gossipSender) SendGossip(observations []gossip.Observation) {
 	packet := gossip.Encode(observations)
 	for _, peer := range g.sim.senders {
--- a/internal/simulation/listupdates.go
+++ b/internal/simulation/listupdates.go
@@ -57,32 +57,32 @@
 }
 
 // announce draws when each sender is notified of a change. No sender is notified of the newer of two changes first.
-func (g *Environment) announce(now time.Duration, previous ListedEndpoint, known bool, id string) []time.Duration {
-	g.version++
-	due := make([]time.Duration, len(g.updates))
-	for i := range g.updates {
-		due[i] = now + time.Duration(g.rng.Float64()*float64(maxListDelay))
-		if n := len(g.updates[i]); n > 0 {
-			due[i] = max(due[i], g.updates[i][n-1].due)
+func (env *Environment) announce(now time.Duration, previous ListedEndpoint, known bool, id string) []time.Duration {
+	env.version++
+	due := make([]time.Duration, len(env.updates))
+	for i := range env.updates {
+		due[i] = now + time.Duration(env.rng.Float64()*float64(maxListDelay))
+		if n := len(env.updates[i]); n > 0 {
+			due[i] = max(due[i], env.updates[i][n-1].due)
 		}
-		g.updates[i] = append(g.updates[i], scheduledUpdate{due[i], g.version, g.listed[id], previous, known})
+		env.updates[i] = append(env.updates[i], scheduledUpdate{due[i], env.version, env.listed[id], previous, known})
 	}
 	return due
 }
 
 // Polled notes that a sender polled discovery or that its watch ended, whether it watches now, and whether discovery
 // failed to answer.
-func (g *Environment) Polled(now time.Duration, sender int, watching, failed bool) {
-	g.polls[sender].lastAt, g.polls[sender].watching, g.polls[sender].failed = now, watching, failed
+func (env *Environment) Polled(now time.Duration, sender int, watching, failed bool) {
+	env.polls[sender].lastAt, env.polls[sender].watching, env.polls[sender].failed = now, watching, failed
 }
 
 // Watching reports whether a sender has a poll open at discovery that waits for changes.
-func (g *Environment) Watching(sender int) bool { return g.polls[sender].watching }
+func (env *Environment) Watching(sender int) bool { return env.polls[sender].watching }
 
 // MarkNotified records as notified the senders that have neither watched nor polled for longer than they may.
-func (g *Environment) MarkNotified(now time.Duration) {
-	for i := range g.polls {
-		p := &g.polls[i]
+func (env *Environment) MarkNotified(now time.Duration) {
+	for i := range env.polls {
+		p := &env.polls[i]
 		interval := maxPollInterval
 		if p.failed {
 			interval = maxPollIntervalAfterFailure
@@ -90,16 +90,16 @@
 		if p.watching || now-p.lastAt < interval {
 			continue
 		}
-		for ; p.notified < len(g.departures) && g.departures[p.notified].at <= now-interval; p.notified++ {
-			d := g.departures[p.notified]
-			g.record(audit.Event{Kind: audit.Notified, Sender: i, Endpoint: d.id, Dest: d.dest, Leaves: true})
+		for ; p.notified < len(env.departures) && env.departures[p.notified].at <= now-interval; p.notified++ {
+			d := env.departures[p.notified]
+			env.record(audit.Event{Kind: audit.Notified, Sender: i, Endpoint: d.id, Dest: d.dest, Leaves: true})
 		}
 	}
 }
 
 // DiscoveryOutage reports whether discovery is down, and until when.
-func (g *Environment) DiscoveryOutage(now time.Duration) (until time.Duration, down bool) {
-	for _, b := range g.Plan.DiscoveryOutages {
+func (env *Environment) DiscoveryOutage(now time.Duration) (until time.Duration, down bool) {
+	for _, b := range env.Plan.DiscoveryOutages {
 		if now >= b.From && now < b.To {
 			return b.To, true
 		}
@@ -110,17 +110,17 @@
 // ListChanges returns the endpoints that changed after the version since, as far as the sender is notified by now,
 // and the version that it then knows. Where changes after since were forgotten, endpoints is the full list, and full
 // is true. The sender's changes up to since are forgotten.
-func (g *Environment) ListChanges(
+func (env *Environment) ListChanges(
 	now time.Duration, sender int, since int64,
 ) (endpoints []ListedEndpoint, version int64, full bool) {
 
-	if since < g.baseVersions[sender] {
-		endpoints, version = g.FullList(now, sender)
+	if since < env.baseVersions[sender] {
+		endpoints, version = env.FullList(now, sender)
 		return endpoints, version, true
 	}
 	version = since
 	seen := 0
-	for _, u := range g.updates[sender] {
+	for _, u := range env.updates[sender] {
 		if u.due > now {
 			break
 		}
@@ -131,15 +131,15 @@
 		endpoints, version = append(endpoints, u.endpoint), u.version
 	}
 	if seen > 0 {
-		g.baseVersions[sender] = g.updates[sender][seen-1].version
-		g.updates[sender] = slices.Delete(g.updates[sender], 0, seen)
+		env.baseVersions[sender] = env.updates[sender][seen-1].version
+		env.updates[sender] = slices.Delete(env.updates[sender], 0, seen)
 	}
 	return endpoints, version, false
 }
 
 // NextListUpdate returns when a sender is notified of a change after the version since; false where there is none.
-func (g *Environment) NextListUpdate(sender int, since int64) (time.Duration, bool) {
-	for _, u := range g.updates[sender] {
+func (env *Environment) NextListUpdate(sender int, since int64) (time.Duration, bool) {
+	for _, u := range env.updates[sender] {
 		if u.version > since {
 			return u.due, true
 		}
@@ -148,10 +148,10 @@
 }
 
 // FullList returns the endpoint list as discovery tells it to a sender now, and its version.
-func (g *Environment) FullList(now time.Duration, sender int) ([]ListedEndpoint, int64) {
-	version := g.baseVersions[sender]
+func (env *Environment) FullList(now time.Duration, sender int) ([]ListedEndpoint, int64) {
+	version := env.baseVersions[sender]
 	pending := map[string]scheduledUpdate{}
-	for _, u := range slices.Backward(g.updates[sender]) {
+	for _, u := range slices.Backward(env.updates[sender]) {
 		if u.due > now {
 			pending[u.endpoint.ID] = u // the earliest one stays
 			continue
@@ -159,8 +159,8 @@
 		version = max(version, u.version)
 	}
 	var endpoints []ListedEndpoint
-	for _, id := range g.order {
-		l, known := g.listed[id], true
+	for _, id := range env.order {
+		l, known := env.listed[id], true
 		if u, ok := pending[id]; ok {
 			l, known = u.previous, u.known
 		}
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -24,8 +24,8 @@
 	s := a.sim
 	c := rollout.Command{By: "staff", Reason: "the scenario", At: s.clock()}
 	for i := range a.members {
-		x := a.members[(o.Agent+i)%len(a.members)]
-		if a.leader == nil || !x.running() || !x.connectedTo(a.leader) {
+		ag := a.members[(o.Agent+i)%len(a.members)]
+		if a.leader == nil || !ag.running() || !ag.connectedTo(a.leader) {
 			continue
 		}
 		l := a.leader
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -54,78 +54,78 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &sender{
+	sd := &sender{
 		sim: s, num: num, name: scenario.Sender(num), zone: set.Zone, idleConns: map[string][]time.Duration{},
 		byCall: map[*state.Call]*inFlightCall{}, inFlight: map[*inFlightCall]bool{}, timerAt: -1, accepting: true,
 		process: fmt.Sprintf("n%d-%d", num, s.senderStarts), version: "v1",
 	}
 	if num < len(s.senders) { // the agent starts the version that ran last; the lease ends with its process
-		x.version = s.senders[num].version
+		sd.version = s.senders[num].version
 	}
 	dir, hasDir := s.walDirs[num]
 	loop, err := state.NewLoop(state.Setup{
 		Settings: set, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6,
-		Log: s.log, Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &x.counters,
+		Log: s.log, Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &sd.counters,
 	})
 	if err != nil {
 		return nil, err
 	}
-	loop.Connect(x, x, x)
-	loop.ConnectPeers(gossipSender{x})
-	x.loop = loop
-	s.at(s.now, func() { x.step() })
-	return x, nil
+	loop.Connect(sd, sd, sd)
+	loop.ConnectPeers(gossipSender{sd})
+	sd.loop = loop
+	s.at(s.now, func() { sd.step() })
+	return sd, nil
 }
 
 // step gives the loop events and carries out what follows from them.
-func (x *sender) step(events ...state.Event) {
-	if x.dead {
+func (sd *sender) step(events ...state.Event) {
+	if sd.dead {
 		return
 	}
-	if x.stopped() {
-		x.whenRunning(func() { x.step(events...) })
+	if sd.stopped() {
+		sd.whenRunning(func() { sd.step(events...) })
 		return
 	}
-	x.loop.Step(events...)
-	if written := x.answerClients(); len(written) > 0 {
-		x.step(written...)
+	sd.loop.Step(events...)
+	if written := sd.answerClients(); len(written) > 0 {
+		sd.step(written...)
 		return
 	}
-	x.setTimer()
+	sd.setTimer()
 }
 
 // setTimer schedules the time at which the loop wants to be woken.
-func (x *sender) setTimer() {
-	wake := x.loop.WakeAt()
+func (sd *sender) setTimer() {
+	wake := sd.loop.WakeAt()
 	if wake.IsZero() {
 		return
 	}
-	s, at := x.sim, wake.Sub(virtualStart)
-	if x.timerAt == at {
+	s, at := sd.sim, wake.Sub(virtualStart)
+	if sd.timerAt == at {
 		return
 	}
-	x.timerAt = at
+	sd.timerAt = at
 	s.at(at, func() {
-		if x.timerAt == at && s.now >= at {
-			x.timerAt = -1
-			x.step(state.TimerElapsed{})
+		if sd.timerAt == at && s.now >= at {
+			sd.timerAt = -1
+			sd.step(state.TimerElapsed{})
 		}
 	})
 }
 
 // updateSettings has the loop take other settings, as a reload does.
-func (x *sender) updateSettings(set control.Settings) {
+func (sd *sender) updateSettings(set control.Settings) {
 	done := make(chan state.SettingsResult, 1)
 	var classes []state.NamedClass
 	for i, c := range set.Classes {
-		classes = append(classes, state.NamedClass{Name: x.sim.plan.Scenario.Traffic.Classes[i].Name, Class: c})
+		classes = append(classes, state.NamedClass{Name: sd.sim.plan.Scenario.Traffic.Classes[i].Name, Class: c})
 	}
-	x.step(state.UpdateSettings{Settings: set, Classes: classes, Done: done})
-	x.whenRunning(func() {
+	sd.step(state.UpdateSettings{Settings: set, Classes: classes, Done: done})
+	sd.whenRunning(func() {
 		select {
 		case r := <-done:
 			if r.Err != nil {
-				x.sim.fail(r.Err)
+				sd.sim.fail(r.Err)
 			}
 		default: // the process has ended
 		}
@@ -133,121 +133,121 @@
 }
 
 // stopped reports whether its process is stopped, as by SIGSTOP.
-func (x *sender) stopped() bool { return x.sim.now < x.stoppedUntil }
+func (sd *sender) stopped() bool { return sd.sim.now < sd.stoppedUntil }
 
 // stop stops its process until a time, or a stopped one for longer.
-func (x *sender) stop(until time.Duration) {
-	s := x.sim
-	if !x.stopped() {
-		x.stoppedAt = s.now
-		s.record(audit.Event{Kind: audit.Died, Sender: x.num}) // nothing is due from it until it goes on
-	}
-	x.stoppedUntil = max(x.stoppedUntil, until)
-	s.at(x.stoppedUntil, x.resume)
+func (sd *sender) stop(until time.Duration) {
+	s := sd.sim
+	if !sd.stopped() {
+		sd.stoppedAt = s.now
+		s.record(audit.Event{Kind: audit.Died, Sender: sd.num}) // nothing is due from it until it goes on
+	}
+	sd.stoppedUntil = max(sd.stoppedUntil, until)
+	s.at(sd.stoppedUntil, sd.resume)
 }
 
 // resume has a stopped process go on, and do what it could not do meanwhile.
-func (x *sender) resume() {
-	if x.stopped() || x.dead {
+func (sd *sender) resume() {
+	if sd.stopped() || sd.dead {
 		return
 	}
-	x.sim.record(audit.Event{Kind: audit.Ready, Sender: x.num})
-	for len(x.deferred) > 0 && !x.dead {
-		do := x.deferred[0]
-		x.deferred = x.deferred[1:]
+	sd.sim.record(audit.Event{Kind: audit.Ready, Sender: sd.num})
+	for len(sd.deferred) > 0 && !sd.dead {
+		do := sd.deferred[0]
+		sd.deferred = sd.deferred[1:]
 		do()
 	}
 }
 
 // whenRunning calls do, once its process runs.
-func (x *sender) whenRunning(do func()) {
-	if x.stopped() {
-		x.deferred = append(x.deferred, do)
+func (sd *sender) whenRunning(do func()) {
+	if sd.stopped() {
+		sd.deferred = append(sd.deferred, do)
 		return
 	}
 	do()
 }
 
 // knownUnavailable reports whether the load balancer sends it no clients.
-func (x *sender) knownUnavailable(now time.Duration) bool {
+func (sd *sender) knownUnavailable(now time.Duration) bool {
 	const shutdownSeenBefore = 200 * time.Millisecond // a shutdown is seen so long before the sender stops to accept
-	switch ended := now - x.endedAt; {
-	case x.stopped() && now-x.stoppedAt >= DeadSenderTimeout, x.draining, x.drainingByOrder():
+	switch ended := now - sd.endedAt; {
+	case sd.stopped() && now-sd.stoppedAt >= DeadSenderTimeout, sd.draining, sd.drainingByOrder():
 		return true
-	case x.shuttingDown:
+	case sd.shuttingDown:
 		return ended >= stopDelay-shutdownSeenBefore
 	default:
-		return x.dead && ended >= DeadSenderTimeout
+		return sd.dead && ended >= DeadSenderTimeout
 	}
 }
 
 // terminate shuts down gracefully, as lifecycle does on SIGTERM.
-func (x *sender) terminate() {
-	s := x.sim
-	x.shuttingDown, x.endedAt = true, s.now
+func (sd *sender) terminate() {
+	s := sd.sim
+	sd.shuttingDown, sd.endedAt = true, s.now
 	s.at(s.now+stopDelay, func() {
-		x.loop.Stop()
-		x.step()
-		x.accepting = false
-		x.awaitDrained()
+		sd.loop.Stop()
+		sd.step()
+		sd.accepting = false
+		sd.awaitDrained()
 	})
 	s.at(s.now+haltDelay, func() {
-		if !x.dead {
-			x.loop.Halt()
-			x.step()
+		if !sd.dead {
+			sd.loop.Halt()
+			sd.step()
 		}
 	})
 }
 
 // awaitDrained ends the process once nothing is in flight, or its time is over.
-func (x *sender) awaitDrained() {
-	s := x.sim
-	if x.loop.Drained() || s.now >= x.endedAt+shutdownTimeout {
-		x.exit()
+func (sd *sender) awaitDrained() {
+	s := sd.sim
+	if sd.loop.Drained() || s.now >= sd.endedAt+shutdownTimeout {
+		sd.exit()
 		return
 	}
-	s.at(s.now+drainedCheckInterval, x.awaitDrained)
+	s.at(s.now+drainedCheckInterval, sd.awaitDrained)
 }
 
 // exit ends the process: its connections break, and another one is started after a while.
-func (x *sender) exit() {
-	s := x.sim
-	if x.dead {
+func (sd *sender) exit() {
+	s := sd.sim
+	if sd.dead {
 		return
 	}
-	x.dead, x.accepting = true, false
-	if !x.shuttingDown {
-		x.endedAt = s.now
+	sd.dead, sd.accepting = true, false
+	if !sd.shuttingDown {
+		sd.endedAt = s.now
 	}
-	for _, p := range x.submissions {
+	for _, p := range sd.submissions {
 		if m := s.messages[p.id]; m != nil {
-			s.senderLost(m, p.id, x)
+			s.senderLost(m, p.id, sd)
 		}
 	}
-	x.submissions = nil
-	for _, f := range s.callsOf(x) {
+	sd.submissions = nil
+	for _, f := range s.callsOf(sd) {
 		f.done = true
 		if f.forget(0, "reset") { // in a ledger these calls' ends name no sender
 			f.notifyCanceled()
 		}
 	}
-	x.inFlight, x.byCall = nil, nil
-	x.loop.Close()
-	for _, id := range slices.Sorted(maps.Keys(x.idleConns)) {
-		x.Disconnect(id)
+	sd.inFlight, sd.byCall = nil, nil
+	sd.loop.Close()
+	for _, id := range slices.Sorted(maps.Keys(sd.idleConns)) {
+		sd.Disconnect(id)
 	}
-	s.at(s.now+restartDelay+startupDelay, x.restart)
+	s.at(s.now+restartDelay+startupDelay, sd.restart)
 }
 
 // restart starts another process in the place of one that has ended.
-func (x *sender) restart() {
-	s := x.sim
-	next, err := s.newSender(x.num)
+func (sd *sender) restart() {
+	s := sd.sim
+	next, err := s.newSender(sd.num)
 	if err != nil {
 		s.fail(err)
 		return
 	}
 	s.result.Restarts++
-	s.senders[x.num] = next
-	s.record(audit.Event{Kind: audit.Ready, Sender: x.num})
+	s.senders[sd.num] = next
+	s.record(audit.Event{Kind: audit.Ready, Sender: sd.num})
 }
--- a/internal/simulation/servicemeter.go
+++ b/internal/simulation/servicemeter.go
@@ -70,97 +70,97 @@
 
 // NewServiceMeter returns a meter for a run of a scenario.
 func NewServiceMeter(s *scenario.Scenario) *ServiceMeter {
-	t := &ServiceMeter{
+	meter := &ServiceMeter{
 		classes: s.Traffic.Classes, requests: map[int]*request{}, submissions: map[string]*submission{},
 		calls:   map[uint64][]string{},
 		byClass: make([]weightSum, len(s.Traffic.Classes)), byTenant: make([]weightSum, len(s.Traffic.Tenants)),
 	}
 	for _, c := range s.Traffic.Classes {
-		t.maxDeadline = max(t.maxDeadline, c.Deadline)
+		meter.maxDeadline = max(meter.maxDeadline, c.Deadline)
 	}
-	return t
+	return meter
 }
 
 // Read takes the next event. It returns no error.
-func (t *ServiceMeter) Read(e audit.Event) error {
+func (meter *ServiceMeter) Read(e audit.Event) error {
 	switch e.Kind {
 	case audit.Requested:
-		t.addRequest(e)
+		meter.addRequest(e)
 	case audit.Submitted:
-		t.submissions[e.Message] = &submission{request: e.N}
-		if m := t.requests[e.N]; m != nil {
+		meter.submissions[e.Message] = &submission{request: e.N}
+		if m := meter.requests[e.N]; m != nil {
 			m.ids = append(m.ids, e.Message)
 		}
 	case audit.Accepted:
-		if x := t.submissions[e.Message]; x != nil {
+		if x := meter.submissions[e.Message]; x != nil {
 			if x.accepted = true; x.delivered {
-				t.addDelivered(x, e.At)
+				meter.addDelivered(x, e.At)
 			}
 		}
 	case audit.Rejected:
-		t.score.Rejected++
-		delete(t.submissions, e.Message)
+		meter.score.Rejected++
+		delete(meter.submissions, e.Message)
 	case audit.Abandoned, audit.Notice:
-		delete(t.submissions, e.Message)
+		delete(meter.submissions, e.Message)
 	case audit.Sent:
-		t.score.Calls++
+		meter.score.Calls++
 		if len(e.Messages) > 0 {
-			t.calls[e.Call] = e.Messages
+			meter.calls[e.Call] = e.Messages
 		}
 	case audit.Ended:
 		if e.Outcome == audit.NeverRan {
-			t.score.RejectedCalls++
+			meter.score.RejectedCalls++
 		}
-		for _, id := range t.calls[e.Call] {
-			if x := t.submissions[id]; x != nil && e.Outcome == audit.Delivered {
+		for _, id := range meter.calls[e.Call] {
+			if x := meter.submissions[id]; x != nil && e.Outcome == audit.Delivered {
 				if x.delivered = true; x.accepted {
-					t.addDelivered(x, e.At)
+					meter.addDelivered(x, e.At)
 				}
 			}
 		}
-		delete(t.calls, e.Call)
+		delete(meter.calls, e.Call)
 	}
 	return nil
 }
 
 // addRequest counts a requested message, and forgets those whose time is over.
-func (t *ServiceMeter) addRequest(e audit.Event) {
-	w := t.classes[e.Class].PriorityWeight
-	for i := int(e.At / scoreWindow); len(t.windows) <= i; {
-		t.windows = append(t.windows, weightSum{})
+func (meter *ServiceMeter) addRequest(e audit.Event) {
+	w := meter.classes[e.Class].PriorityWeight
+	for i := int(e.At / scoreWindow); len(meter.windows) <= i; {
+		meter.windows = append(meter.windows, weightSum{})
 	}
-	t.windows[e.At/scoreWindow].requested += w
-	t.byClass[e.Class].requested += w
-	t.byTenant[e.Tenant].requested += w
-	t.score.Messages++
-	t.requests[e.N] = &request{class: e.Class, tenant: e.Tenant, requestedAt: e.At}
-	for ; t.oldest < e.N; t.oldest++ {
-		m := t.requests[t.oldest]
-		if m != nil && e.At < m.requestedAt+t.maxDeadline+5*time.Second {
+	meter.windows[e.At/scoreWindow].requested += w
+	meter.byClass[e.Class].requested += w
+	meter.byTenant[e.Tenant].requested += w
+	meter.score.Messages++
+	meter.requests[e.N] = &request{class: e.Class, tenant: e.Tenant, requestedAt: e.At}
+	for ; meter.oldest < e.N; meter.oldest++ {
+		m := meter.requests[meter.oldest]
+		if m != nil && e.At < m.requestedAt+meter.maxDeadline+5*time.Second {
 			break
 		}
 		if m != nil {
 			for _, id := range m.ids {
-				delete(t.submissions, id)
+				delete(meter.submissions, id)
 			}
-			delete(t.requests, t.oldest)
+			delete(meter.requests, meter.oldest)
 		}
 	}
 }
 
 // addDelivered counts the weight of a delivered message, once.
-func (t *ServiceMeter) addDelivered(x *submission, at time.Duration) {
-	m := t.requests[x.request]
+func (meter *ServiceMeter) addDelivered(x *submission, at time.Duration) {
+	m := meter.requests[x.request]
 	if m == nil || m.done {
 		return
 	}
 	m.done = true
-	w := PriorityWeightAt(&t.classes[m.class], at-m.requestedAt)
-	t.windows[m.requestedAt/scoreWindow].delivered += w
-	t.byClass[m.class].delivered += w
-	t.byTenant[m.tenant].delivered += w
-	if t.OnDelivered != nil {
-		t.OnDelivered(x.request, w)
+	w := PriorityWeightAt(&meter.classes[m.class], at-m.requestedAt)
+	meter.windows[m.requestedAt/scoreWindow].delivered += w
+	meter.byClass[m.class].delivered += w
+	meter.byTenant[m.tenant].delivered += w
+	if meter.OnDelivered != nil {
+		meter.OnDelivered(x.request, w)
 	}
 }
 
@@ -175,11 +175,11 @@
 }
 
 // Score returns the service so far.
-func (t *ServiceMeter) Score() Score {
-	s := t.score
+func (meter *ServiceMeter) Score() Score {
+	s := meter.score
 	s.Worst = 1
 	total := weightSum{}
-	for i, w := range t.windows {
+	for i, w := range meter.windows {
 		total.requested += w.requested
 		total.delivered += w.delivered
 		if x := w.fraction(); x < s.Worst && w.requested > 0 {
@@ -188,11 +188,11 @@
 	}
 	s.Overall = total.fraction()
 	class, tenant := 1.0, 1.0
-	for _, w := range t.byClass {
+	for _, w := range meter.byClass {
 		s.Classes = append(s.Classes, w.fraction())
 		class = min(class, w.fraction())
 	}
-	for _, w := range t.byTenant {
+	for _, w := range meter.byTenant {
 		s.Tenants = append(s.Tenants, w.fraction())
 		tenant = min(tenant, w.fraction())
 	}
@@ -201,4 +201,6 @@
 }
 
 // Held returns how many messages, submissions and calls are remembered.
-func (t *ServiceMeter) Held() int { return len(t.requests) + len(t.submissions) + len(t.calls) }
+func (meter *ServiceMeter) Held() int {
+	return len(meter.requests) + len(meter.submissions) + len(meter.calls)
+}
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -141,11 +141,11 @@
 		return nil, err
 	}
 	for i := range p.Scenario.Senders {
-		x, err := s.newSender(i)
+		sd, err := s.newSender(i)
 		if err != nil {
 			return nil, err
 		}
-		s.senders = append(s.senders, x)
+		s.senders = append(s.senders, sd)
 	}
 	s.schedulePlan()
 	s.scheduleArrival()
@@ -183,8 +183,8 @@
 	}
 	for _, b := range p.DiscoveryOutages {
 		s.at(b.From, func() {
-			for _, x := range s.senders {
-				x.discoveryDown()
+			for _, sd := range s.senders {
+				sd.discoveryDown()
 			}
 		})
 	}
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -33,9 +33,9 @@
 func (s *Sim) pickSender() *sender {
 	first := s.rng.IntN(len(s.senders))
 	for i := range s.senders {
-		x := s.senders[(first+i)%len(s.senders)]
-		if !x.knownUnavailable(s.now) {
-			return x
+		sd := s.senders[(first+i)%len(s.senders)]
+		if !sd.knownUnavailable(s.now) {
+			return sd
 		}
 	}
 	return s.senders[first]
@@ -82,48 +82,48 @@
 }
 
 // submit gives the loop a message and waits for its response.
-func (x *sender) submit(m *state.Message) {
+func (sd *sender) submit(m *state.Message) {
 	response := make(chan state.Response, 1)
-	x.submissions = append(x.submissions, pendingSubmission{m.ID, response})
-	x.step(state.Submitted{Response: response, Message: m})
+	sd.submissions = append(sd.submissions, pendingSubmission{m.ID, response})
+	sd.step(state.Submitted{Response: response, Message: m})
 }
 
 // answerClients passes the responses that are there to their clients. It returns what the loop has to know of them.
-func (x *sender) answerClients() []state.Event {
+func (sd *sender) answerClients() []state.Event {
 	var written []state.Event
-	remaining := x.submissions[:0]
-	for _, pending := range x.submissions {
+	remaining := sd.submissions[:0]
+	for _, pending := range sd.submissions {
 		select {
 		case r := <-pending.response:
-			if e, ok := x.respond(pending.id, r); ok {
+			if e, ok := sd.respond(pending.id, r); ok {
 				written = append(written, e)
 			}
 		default:
 			remaining = append(remaining, pending)
 		}
 	}
-	x.submissions = remaining
+	sd.submissions = remaining
 	return written
 }
 
 // respond passes a response to its client. It returns false where the loop need not know whether it arrived.
-func (x *sender) respond(id string, r state.Response) (state.ResponseWritten, bool) {
-	s := x.sim
+func (sd *sender) respond(id string, r state.Response) (state.ResponseWritten, bool) {
+	s := sd.sim
 	m := s.messages[id]
 	// Either nobody waits any more, or the response does not arrive.
-	if link := s.link(x.name, scenario.Clients); m == nil || !link.Passes() {
+	if link := s.link(sd.name, scenario.Clients); m == nil || !link.Passes() {
 		if m != nil && link.Cut {
-			s.senderLost(m, id, x)
+			s.senderLost(m, id, sd)
 		} else if m != nil {
-			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, x) })
+			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, sd) })
 		}
 		return state.ResponseWritten{ID: id, OK: m != nil && link.Silent}, r.Accepted
 	}
 	if r.Accepted {
-		s.record(audit.Event{Kind: audit.Accepted, Sender: x.num, Message: id})
+		s.record(audit.Event{Kind: audit.Accepted, Sender: sd.num, Message: id})
 		return state.ResponseWritten{ID: id, OK: true}, true
 	}
-	s.record(audit.Event{Kind: audit.Rejected, Sender: x.num, Message: id, RetryAfter: r.RetryAfter})
+	s.record(audit.Event{Kind: audit.Rejected, Sender: sd.num, Message: id, RetryAfter: r.RetryAfter})
 	if !r.Permanent {
 		s.rejected(m, id, r.RetryAfter)
 	}
@@ -131,16 +131,16 @@
 }
 
 // clientTimeout ends a client's wait, unless it has its response.
-func (x *sender) clientTimeout(m *ClientRequest, id string) {
+func (sd *sender) clientTimeout(m *ClientRequest, id string) {
 	waits := func(p pendingSubmission) bool { return p.id == id }
-	if x.sim.messages[id] == m && slices.ContainsFunc(x.submissions, waits) {
-		x.sim.responseTimedOut(m, id, x)
+	if sd.sim.messages[id] == m && slices.ContainsFunc(sd.submissions, waits) {
+		sd.sim.responseTimedOut(m, id, sd)
 	}
 }
 
 // responseTimedOut has a client that waited long enough resubmit its message.
-func (s *Sim) responseTimedOut(m *ClientRequest, id string, x *sender) {
-	s.record(audit.Event{Kind: audit.Abandoned, Sender: x.num, Message: id, Cause: "timeout"})
+func (s *Sim) responseTimedOut(m *ClientRequest, id string, sd *sender) {
+	s.record(audit.Event{Kind: audit.Abandoned, Sender: sd.num, Message: id, Cause: "timeout"})
 	delete(s.messages, id)
 	if !m.Done {
 		s.submissionLost(m)
@@ -148,8 +148,8 @@
 }
 
 // senderLost has a client whose connection broke resubmit its message.
-func (s *Sim) senderLost(m *ClientRequest, id string, x *sender) {
-	s.record(audit.Event{Kind: audit.Abandoned, Sender: x.num, Message: id, Cause: "died"})
+func (s *Sim) senderLost(m *ClientRequest, id string, sd *sender) {
+	s.record(audit.Event{Kind: audit.Abandoned, Sender: sd.num, Message: id, Cause: "died"})
 	delete(s.messages, id)
 	s.submissionLost(m)
 }
