--- a/internal/simulation/agents_test.go
+++ b/internal/simulation/agents_test.go
@@ -21,14 +21,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			sim, err := NewSim(sc.Plan(seed), discardLog, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			r, err := sim.Run()
-			if err != nil || len(r.OverBudget)+len(r.StillOut)+len(r.Violations) > 0 {
-				t.Errorf("%v senders, seed %d: %v; over %v; left %v; %v; %+v",
-					c.senders, seed, err, r.OverBudget, r.StillOut, r.Plans, r.Violations)
+			r := simulate(t, sc, seed, nil)
+			if len(r.OverBudget)+len(r.StillOut)+len(r.Violations) > 0 {
+				t.Errorf("%v senders, seed %d: over %v; left %v; %v; %+v",
+					c.senders, seed, r.OverBudget, r.StillOut, r.Plans, r.Violations)
 			}
 			orders += r.Orders
 			for _, p := range r.Plans {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -27,14 +27,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			plan := sc.Plan(3)
-			sim, err := NewSim(plan, discardLog, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			r, err := sim.Run()
-			if err != nil || len(r.Violations) > 0 {
-				t.Fatalf("%s, %.1f of the gossip lost: %v, %+v", sc.Name, lost, err, r.Violations)
+			r := simulate(t, sc, 3, nil)
+			if len(r.Violations) > 0 {
+				t.Fatalf("%s, %.1f of the gossip lost: %+v", sc.Name, lost, r.Violations)
 			}
 			t.Logf("%s, %.1f lost: service %.3f, %d rejected of %d calls, %d gossip packets",
 				sc.Name, lost, r.Service, r.RejectedCalls, r.Calls, r.GossipSent)
@@ -72,12 +67,8 @@
 				t.Fatal(err)
 			}
 			for seed := range c.seeds {
-				sim, err := NewSim(sc.Plan(seed+1), discardLog, nil)
-				if err != nil {
-					t.Fatal(err)
-				}
-				if r, err := sim.Run(); err != nil || r.Overloads > 0 || len(r.Violations) > 0 {
-					t.Errorf("seed %d: %d overloads, %v, %+v", seed+1, r.Overloads, err, r.Violations)
+				if r := simulate(t, sc, seed+1, nil); r.Overloads > 0 || len(r.Violations) > 0 {
+					t.Errorf("seed %d: %d overloads, %+v", seed+1, r.Overloads, r.Violations)
 				}
 			}
 		})
--- a/internal/simulation/links_test.go
+++ b/internal/simulation/links_test.go
@@ -18,15 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim, err := NewSim(sc.Plan(seed), discardLog, func(e audit.Event) error { see(e); return nil })
-	if err != nil {
-		t.Fatal(err)
-	}
-	r, err := sim.Run()
-	if err != nil {
-		t.Fatal(err)
-	}
-	return r
+	return simulate(t, sc, seed, func(e audit.Event) error { see(e); return nil })
 }
 
 // faultFreeScript is the library's script without its faults.
@@ -130,13 +122,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sim, err := NewSim(sc.Plan(5), discardLog, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		r, err := sim.Run()
-		if err != nil || len(r.Violations) > 0 || r.GossipSent == 0 {
-			t.Errorf("%s: %v %+v, %d gossip packets", name, err, r.Violations, r.GossipSent)
+		r := simulate(t, sc, 5, nil)
+		if len(r.Violations) > 0 || r.GossipSent == 0 {
+			t.Errorf("%s: %+v, %d gossip packets", name, r.Violations, r.GossipSent)
 		}
 		received[name] = r.GossipReceived
 	}
@@ -156,14 +144,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			sim, err := NewSim(sc.Plan(seed), discardLog, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			r, err := sim.Run()
-			if err != nil || len(r.Violations) > 0 || r.Overall < 0.6 {
-				t.Errorf("%v senders, seed %d: %v, service %.3f, whole %.3f, %+v",
-					c.senders, seed, err, r.Service, r.Overall, r.Violations)
+			r := simulate(t, sc, seed, nil)
+			if len(r.Violations) > 0 || r.Overall < 0.6 {
+				t.Errorf("%v senders, seed %d: service %.3f, whole %.3f, %+v",
+					c.senders, seed, r.Service, r.Overall, r.Violations)
 			}
 			t.Logf("%v senders, seed %d: whole %.3f, %d restarts, %d gossip packets received",
 				c.senders, seed, r.Overall, r.Restarts, r.GossipReceived)
--- a/internal/simulation/sim_test.go
+++ b/internal/simulation/sim_test.go
@@ -23,7 +23,13 @@
 	if change != nil {
 		change(sc)
 	}
-	sim, err := NewSim(sc.Plan(seed), discardLog, nil)
+	return simulate(t, sc, seed, nil)
+}
+
+// simulate plays a scenario, and passes each event to sink unless that is nil.
+func simulate(t testing.TB, sc *scenario.Scenario, seed uint64, sink func(audit.Event) error) Result {
+	t.Helper()
+	sim, err := NewSim(sc.Plan(seed), discardLog, sink)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,19 +93,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim, err := NewSim(sc.Plan(3), discardLog, func(e audit.Event) error {
+	r := simulate(t, sc, 3, func(e audit.Event) error {
 		if e.Kind == audit.Notified && e.Leaves {
 			notified++
 		}
 		return nil
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	r, err := sim.Run()
-	if err != nil {
-		t.Fatal(err)
-	}
 	if len(r.Violations) > 0 || notified == 0 || r.Overall < 0.7 {
 		t.Errorf("%d notified; %+v", notified, r)
 	}
