--- a/internal/timeline/queue.go
+++ b/internal/timeline/queue.go
@@ -1,5 +1,5 @@
-// Package timeline has a queue of what is to happen, in the order of time. It knows no clock: its users say what a time is
-// counted from.
+// Package timeline has a queue of what is to happen, in the order of time. It knows no clock: its users say what a
+// time is counted from.
 package timeline
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Queue gives out the item with the earliest time first; of those of one time, the one with the lowest order. The zero value
-// is empty and ready to use. It is not safe for concurrent use.
+// Queue gives out the item with the earliest time first; of those of one time, the one with the lowest order. The
+// zero value is empty and ready to use. It is not safe for concurrent use.
 type Queue[T any] struct{ items items[T] }
 
 type item[T any] struct {
