--- /dev/null
+++ b/internal/scenario/check.go
@@ -0,0 +1,158 @@
+package scenario
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// check finds what only the whole script shows. The first error counts.
+func (s *Scenario) check() error {
+	for _, check := range []func() error{
+		s.checkKinds, s.checkComplete, s.checkFaults, s.checkActions, s.checkOrders, s.checkDrains, s.checkLinks,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *Scenario) checkKinds() error {
+	seen := map[string]bool{}
+	for _, k := range s.Kinds {
+		if seen[k.Name] {
+			return fmt.Errorf("two kinds of name %q", k.Name)
+		}
+		seen[k.Name] = true
+	}
+	return nil
+}
+
+// checkComplete finds what every script needs.
+func (s *Scenario) checkComplete() error {
+	switch {
+	case s.Name == "":
+		return errors.New("call scenario(name = ..., seconds = ...)")
+	case s.Length <= 0:
+		return errors.New("scenario: seconds above 0 are needed")
+	case s.Senders < 1 || s.Senders > 10_000:
+		return errors.New("scenario: senders: 1 to 10,000")
+	case len(s.Zones) == 0 || len(s.Zones) > 255:
+		return errors.New("scenario: zones = [...] is needed")
+	case len(s.Fleets) == 0:
+		return errors.New("no fleet(kind = ..., destinations = ...)")
+	case len(s.Traffic.Classes) == 0:
+		return errors.New("no message_class(...)")
+	case len(s.Traffic.Tenants) == 0:
+		return errors.New("no tenant(...)")
+	case !(s.Traffic.Rate.From > 0):
+		return errors.New("traffic: a rate above 0 is needed")
+	}
+	return nil
+}
+
+// checkFaults finds fleets and faults of kinds and zones that are not there.
+func (s *Scenario) checkFaults() error {
+	hasKind := func(name string) bool {
+		return slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == name })
+	}
+	for _, f := range s.Fleets {
+		if !hasKind(f.Kind) {
+			return fmt.Errorf("fleet: no kind %q", f.Kind)
+		}
+	}
+	for _, f := range s.Faults {
+		hasZone := f.Zone == "" || slices.Contains(s.Zones, f.Zone)
+		if !hasZone || f.Kind != "" && !hasKind(f.Kind) {
+			return fmt.Errorf("trouble: no zone %q or no kind %q", f.Zone, f.Kind)
+		}
+	}
+	return nil
+}
+
+// checkActions finds actions on senders and agents that are not there.
+func (s *Scenario) checkActions() error {
+	for _, x := range s.Actions {
+		if x.Sender >= s.Senders {
+			return fmt.Errorf("sender: no number %d", x.Sender)
+		}
+	}
+	for _, x := range s.AgentActions {
+		if x.Agent < 0 || x.Agent >= s.Agents.Number {
+			return fmt.Errorf("agent: no number %d", x.Agent)
+		}
+	}
+	return nil
+}
+
+// checkOrders finds orders at agents, and of senders and zones, that are not there.
+func (s *Scenario) checkOrders() error {
+	for _, o := range s.Orders {
+		if o.Agent < 0 || o.Agent >= s.Agents.Number {
+			return fmt.Errorf("order: no agent %d", o.Agent)
+		}
+		for _, name := range o.Of {
+			if !s.knowsParty(name) || !strings.HasPrefix(name, "n") && !slices.Contains(s.Zones, name) {
+				return fmt.Errorf("order: no sender and no zone %q", name)
+			}
+		}
+	}
+	return nil
+}
+
+// checkDrains finds drains that are not ordered at an agent, where there are agents.
+func (s *Scenario) checkDrains() error {
+	for _, x := range s.Actions {
+		if s.Agents.Number > 0 && (x.What == "drain" || x.What == "activate") {
+			return fmt.Errorf("sender: %s: with agents, order() does that", x.What)
+		}
+	}
+	return nil
+}
+
+// checkLinks finds links of parties that are not there, and partitions with more sides than senders.
+func (s *Scenario) checkLinks() error {
+	const parties = "a zone, senders, agents, a0 and so on, discovery, clients, partners, partners/ZONE, " +
+		"destination/NUMBER or endpoint/ID"
+	for _, l := range s.Links {
+		for _, name := range slices.Concat(l.Of, l.To) {
+			if !s.knowsParty(name) {
+				return fmt.Errorf("link: no party %q: n0 to n%d, %s", name, s.Senders-1, parties)
+			}
+		}
+	}
+	for _, p := range s.Partitions {
+		if p.Sides > s.Senders {
+			return fmt.Errorf("parts: %d of %d senders", p.Sides, s.Senders)
+		}
+	}
+	return nil
+}
+
+// knowsParty reports whether a name may stand for a party. Any endpoint may be named, since endpoints are drawn later.
+func (s *Scenario) knowsParty(name string) bool {
+	if num, ok := strings.CutPrefix(name, "n"); ok {
+		if i, err := strconv.Atoi(num); err == nil {
+			return i >= 0 && i < s.Senders && name == Sender(i)
+		}
+	}
+	if num, ok := strings.CutPrefix(name, "a"); ok {
+		if i, err := strconv.Atoi(num); err == nil {
+			return i >= 0 && i < s.Agents.Number && name == Agent(i)
+		}
+	}
+	if zone, ok := strings.CutPrefix(name, inZone); ok {
+		return slices.Contains(s.Zones, zone)
+	}
+	if num, ok := strings.CutPrefix(name, ofDest); ok {
+		i, err := strconv.Atoi(num)
+		return err == nil && i > 0
+	}
+	if strings.HasPrefix(name, oneEndpoint) || slices.Contains(s.Zones, name) {
+		return true
+	}
+	return slices.Contains([]string{Discovery, Clients, allSenders, allAgents, allPartners}, name)
+}
--- /dev/null
+++ b/internal/scenario/drawfaults.go
@@ -0,0 +1,114 @@
+package scenario
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"slices"
+
+	"cleathold/internal/partner"
+)
+
+// drawFaults draws which endpoints each fault is at: those of as many destinations as its part of the traffic allows,
+// and of the first one drawn in any case.
+func (p *Plan) drawFaults(rng *rand.Rand) {
+	for i, f := range p.Scenario.Faults {
+		span := drawSpan(rng, f.At, f.Length)
+		fault := partner.Fault{Mode: f.Mode, Share: f.Share.draw(rng), Factor: f.Factor.draw(rng)}
+		if f.EndKnown {
+			fault.Until = span.To
+		}
+		maxShare, total := f.TrafficShare.draw(rng), 0.0
+		for _, n := range rng.Perm(len(p.Dests)) {
+			d := &p.Dests[n]
+			ids := p.drawFaultyEndpoints(rng, &f, d)
+			share := d.Share * float64(len(ids)) / float64(len(d.Endpoints))
+			excluded := f.Kind != "" && d.Kind != f.Kind || f.Dest >= 0 && d.Dest != f.Dest
+			if len(ids) == 0 || excluded || total > 0 && total+share > maxShare {
+				continue
+			}
+			total += share
+			for _, id := range ids {
+				p.Changes = append(p.Changes,
+					Change{At: span.From, Endpoint: id, Fault: fault, Of: i},
+					Change{At: span.To, Endpoint: id, Of: i})
+			}
+		}
+	}
+}
+
+// drawFaultyEndpoints draws which endpoints a fault is at if it is at their destination.
+func (p *Plan) drawFaultyEndpoints(rng *rand.Rand, f *Fault, d *Destination) []string {
+	var ids []string
+	for _, e := range d.Endpoints {
+		if f.Zone == "" || p.Scenario.Zones[e.Zone] == f.Zone {
+			ids = append(ids, e.ID)
+		}
+	}
+	if f.Endpoints > 0 && len(ids) > 0 {
+		rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+		n := int(math.Round(f.Endpoints * float64(len(d.Endpoints))))
+		ids = ids[:min(len(ids), max(1, n))]
+	}
+	return ids
+}
+
+// resolveOverlaps lets the fault that began last stand where faults of an endpoint overlap. The endpoint is healthy
+// after the end of the last one.
+func (p *Plan) resolveOverlaps() {
+	slices.SortStableFunc(p.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
+	current := map[string][]Change{} // by endpoint, in the order in which they began
+	for i := range p.Changes {
+		c := &p.Changes[i]
+		if c.Fault.Mode != partner.Healthy {
+			current[c.Endpoint] = append(current[c.Endpoint], *c)
+			continue
+		}
+		remaining := slices.DeleteFunc(current[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
+		if current[c.Endpoint] = remaining; len(remaining) > 0 {
+			c.Fault = remaining[len(remaining)-1].Fault
+		}
+	}
+}
+
+// drawWindows draws the bursts and the hot keys.
+func (p *Plan) drawWindows(rng *rand.Rand) {
+	for _, b := range p.Scenario.Bursts {
+		p.bursts = append(p.bursts, window{Span: drawSpan(rng, b.At, b.Length), size: b.Factor.draw(rng)})
+	}
+	for _, h := range p.Scenario.HotKeys {
+		span := drawSpan(rng, h.At, h.Length)
+		p.hotKeys = append(p.hotKeys, window{Span: span, size: h.Share.draw(rng), keys: h.Keys})
+	}
+}
+
+// drawChurns draws which endpoints are replaced: one after another, none twice.
+func (p *Plan) drawChurns(rng *rand.Rand) {
+	serial := 0
+	replaced := map[string]bool{}
+	for _, c := range p.Scenario.Churns {
+		at := c.At.seconds(rng)
+		for at < p.Scenario.Length {
+			d := &p.Dests[rng.IntN(len(p.Dests))]
+			e := d.Endpoints[rng.IntN(len(d.Endpoints))]
+			if !replaced[e.ID] {
+				replaced[e.ID] = true
+				serial++
+				replacement := &partner.EndpointSpec{ID: fmt.Sprintf("n%05d", serial), Zone: e.Zone}
+				address := ""
+				if c.Reuse {
+					address = e.ID
+				}
+				p.Changes = append(p.Changes,
+					Change{At: at, Endpoint: e.ID, Dest: d.Dest, Of: -1, Drains: true},
+					Change{At: at + c.Drain, Endpoint: e.ID, Dest: d.Dest, Of: -1, Leaves: true},
+					Change{At: at + c.Drain, Endpoint: replacement.ID, Dest: d.Dest, Of: -1, Joins: replacement, Address: address})
+			}
+			if c.Every <= 0 {
+				break
+			}
+			at += c.Every
+		}
+	}
+}
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"strconv"
@@ -17,49 +16,50 @@
 	Clients   = "clients"
 )
 
-// Sender is the party's name of a sender.
+// Sender returns the name of a sender as a party of links.
 func Sender(num int) string { return "n" + strconv.Itoa(num) }
 
-// Agent is that of an agent.
+// Agent returns the name of an agent as a party of links.
 func Agent(num int) string { return "a" + strconv.Itoa(num) }
 
-// PlannedLink is a fault of ways, drawn.
+// PlannedLink is a fault of links, drawn. Times are counted from the start of the run.
 type PlannedLink struct {
 	From, To time.Duration
-	Way      LinkState
-	Text     string
+	State    LinkState
+	Text     string // what it is, for a time axis
 
-	of, to map[string]bool // to nil: all that are not in of
+	of, to map[string]bool // names of parties; to nil: all that are not in of
 	oneWay bool
-	part   map[string]int // of a fleet in parts: which one a sender is in
+	sideOf map[string]int // of a partition: which side a sender is on
 }
 
-// hits tells whether it ails the way from one party to another.
-func (l *PlannedLink) hits(from, to string) bool {
-	if l.part != nil {
-		a, is := l.part[from]
-		b, are := l.part[to]
-		return is && are && a != b
+// affects reports whether it is a fault of the link from one party to another.
+func (l *PlannedLink) affects(from, to string) bool {
+	if l.sideOf != nil {
+		a, ok1 := l.sideOf[from]
+		b, ok2 := l.sideOf[to]
+		return ok1 && ok2 && a != b
 	}
-	there := func(a, b string) bool { return l.of[a] && (l.to[b] || l.to == nil && !l.of[b]) }
-	return there(from, to) || !l.oneWay && there(to, from)
+	between := func(a, b string) bool { return l.of[a] && (l.to[b] || l.to == nil && !l.of[b]) }
+	return between(from, to) || !l.oneWay && between(to, from)
 }
 
-// LinkState is what ails the way from one party to another at a time: what began last stands.
-func (p *Plan) LinkState(at time.Duration, from, to string) (w LinkState) {
+// LinkState returns the state of the link from one party to another at a time. Of several faults the one that began
+// last counts.
+func (p *Plan) LinkState(at time.Duration, from, to string) (state LinkState) {
 	for i := range p.Links {
 		l := &p.Links[i]
 		if l.From > at {
 			break
 		}
-		if at < l.To && l.hits(from, to) {
-			w = l.Way
+		if at < l.To && l.affects(from, to) {
+			state = l.State
 		}
 	}
-	return w
+	return state
 }
 
-// LinkChanges are the instants at which ways change, in order.
+// LinkChanges returns the times at which links change, in order.
 func (p *Plan) LinkChanges() (list []time.Duration) {
 	for _, l := range p.Links {
 		list = append(list, l.From, l.To)
@@ -68,7 +68,7 @@
 	return slices.Compact(list)
 }
 
-// words of the parties that a name of a script can stand for.
+// Names in a script that stand for several parties.
 const (
 	allSenders  = "senders"
 	allAgents   = "agents"
@@ -78,29 +78,7 @@
 	oneEndpoint = "endpoint/"
 )
 
-// knows tells whether a script may name a party so. Which endpoints there are is drawn later.
-func (s *Scenario) knows(name string) bool {
-	if num, is := strings.CutPrefix(name, "n"); is {
-		if i, err := strconv.Atoi(num); err == nil {
-			return i >= 0 && i < s.Senders && name == Sender(i)
-		}
-	}
-	if num, is := strings.CutPrefix(name, "a"); is {
-		if i, err := strconv.Atoi(num); err == nil {
-			return i >= 0 && i < s.Agents.Number && name == Agent(i)
-		}
-	}
-	if zone, is := strings.CutPrefix(name, inZone); is {
-		return slices.Contains(s.Zones, zone)
-	}
-	if num, is := strings.CutPrefix(name, ofDest); is {
-		i, err := strconv.Atoi(num)
-		return err == nil && i > 0
-	}
-	return slices.Contains([]string{Discovery, Clients, allSenders, allAgents, allPartners}, name) || slices.Contains(s.Zones, name) || strings.HasPrefix(name, oneEndpoint)
-}
-
-// parties are those that names stand for.
+// parties returns the parties that names of a script stand for.
 func (p *Plan) parties(names []string) map[string]bool {
 	set := map[string]bool{}
 	for _, name := range names {
@@ -122,7 +100,8 @@
 		case name == allPartners || strings.HasPrefix(name, inZone) || strings.HasPrefix(name, ofDest):
 			for _, d := range p.Dests {
 				for _, e := range d.Endpoints {
-					if name == allPartners || name == inZone+p.Scenario.Zones[e.Zone] || name == ofDest+strconv.Itoa(d.Dest) {
+					zone, dest := inZone+p.Scenario.Zones[e.Zone], ofDest+strconv.Itoa(d.Dest)
+					if name == allPartners || name == zone || name == dest {
 						set[e.ID] = true
 					}
 				}
@@ -134,102 +113,56 @@
 	return set
 }
 
-// drawLinks draws whom faults of ways strike, and when.
+// drawLinks draws the faults of links and the partitions.
 func (p *Plan) drawLinks(rng *rand.Rand) {
-	n := p.Scenario.Senders
 	for _, l := range p.Scenario.Links {
-		x := PlannedLink{From: l.At.seconds(rng), Way: l.LinkState, oneWay: l.OneWay}
-		x.To = x.From + l.Length.seconds(rng)
+		span := drawSpan(rng, l.At, l.Length)
+		x := PlannedLink{From: span.From, To: span.To, State: l.LinkState, oneWay: l.OneWay}
 		of := l.Of
 		if len(of) == 0 {
-			for _, i := range rng.Perm(n)[:max(1, int(math.Round(l.Share*float64(n))))] {
+			for _, i := range p.Scenario.drawSenders(rng, l.Share) {
 				of = append(of, Sender(i))
 			}
 		}
 		if x.of = p.parties(of); len(l.To) > 0 {
 			x.to = p.parties(l.To)
 		}
-		x.Text = l.LinkState.text() + " between " + some(of) + " and " + some(l.To)
+		x.Text = l.LinkState.describe() + " between " + summarize(of) + " and " + summarize(l.To)
 		if l.OneWay {
-			x.Text = l.LinkState.text() + " from " + some(of) + " to " + some(l.To)
+			x.Text = l.LinkState.describe() + " from " + summarize(of) + " to " + summarize(l.To)
 		}
 		p.Links = append(p.Links, x)
 	}
 	for _, c := range p.Scenario.Partitions {
-		x := PlannedLink{From: c.At.seconds(rng), Way: c.LinkState, part: map[string]int{}, Text: fmt.Sprintf("%s between %d parts of the senders", c.LinkState.text(), c.Sides)}
-		x.To = x.From + c.Length.seconds(rng)
-		for i, num := range rng.Perm(n) {
-			x.part[Sender(num)] = i % c.Sides
+		span := drawSpan(rng, c.At, c.Length)
+		x := PlannedLink{
+			From: span.From, To: span.To, State: c.LinkState, sideOf: map[string]int{},
+			Text: fmt.Sprintf("%s between %d parts of the senders", c.LinkState.describe(), c.Sides),
+		}
+		for i, num := range rng.Perm(p.Scenario.Senders) {
+			x.sideOf[Sender(num)] = i % c.Sides
 		}
 		p.Links = append(p.Links, x)
 	}
 	slices.SortStableFunc(p.Links, func(a, b PlannedLink) int { return cmp.Compare(a.From, b.From) })
 }
 
-// PlannedAgentAction is something done to an agent, and PlannedOrder what staff want, drawn.
-type (
-	PlannedAgentAction struct {
-		At, Until time.Duration
-		Agent     int
-		What      string
-	}
-	PlannedOrder struct {
-		At, Hold time.Duration
-		Agent    int
-		What     string
-		Of       []string // senders
-		Bad      bool
-		GoBack   bool
-	}
-)
-
-// drawAgents draws what befalls agents, and what staff order.
-func (p *Plan) drawAgents(rng *rand.Rand) {
-	for _, d := range p.Scenario.AgentActions {
-		at := d.At.seconds(rng)
-		p.AgentActions = append(p.AgentActions, PlannedAgentAction{at, at + d.Length.seconds(rng), d.Agent, d.What})
-	}
-	slices.SortStableFunc(p.AgentActions, func(a, b PlannedAgentAction) int { return cmp.Compare(a.At, b.At) })
-	for _, o := range p.Scenario.Orders {
-		x := PlannedOrder{At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.What, Bad: o.Bad, GoBack: o.GoBack}
-		of := p.parties(o.Of)
-		for i := range p.Scenario.Senders {
-			if len(o.Of) == 0 || of[Sender(i)] {
-				x.Of = append(x.Of, Sender(i))
-			}
-		}
-		p.Orders = append(p.Orders, x)
-	}
-	slices.SortStableFunc(p.Orders, func(a, b PlannedOrder) int { return cmp.Compare(a.At, b.At) })
-}
-
-// some names a few of the parties.
-func some(names []string) string {
-	switch {
-	case len(names) == 0:
-		return "all others"
-	case len(names) > 4:
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:3], ", "), len(names)-3)
-	}
-	return strings.Join(names, ", ")
-}
-
-// text is what ails a way, in a word or two.
-func (w LinkState) text() string {
+// describe returns what is wrong with a link, in a few words.
+func (l LinkState) describe() string {
 	switch {
-	case w.Cut:
+	case l.Cut:
 		return "cut"
-	case w.Silent:
+	case l.Silent:
 		return "silent"
 	}
 	var list []string
-	if w.Delay+w.Jitter > 0 {
-		list = append(list, fmt.Sprintf("%v to %v late", w.Delay, w.Delay+w.Jitter))
+	if l.Delay+l.Jitter > 0 {
+		list = append(list, fmt.Sprintf("%v to %v late", l.Delay, l.Delay+l.Jitter))
 	}
 	for _, part := range []struct {
 		word string
 		of   float64
-	}{{"lost", w.Loss}, {"doubled", w.Duplicate}, {"out of order", w.Reorder}} {
+	}{{"lost", l.Loss}, {"doubled", l.Duplicate}, {"out of order", l.Reorder}} {
 		if part.of > 0 {
 			list = append(list, fmt.Sprintf("%.0f%% %s", 100*part.of, part.word))
 		}
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -1,22 +1,20 @@
 package scenario
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 	"math"
 	"os"
 	"slices"
-	"strings"
 	"time"
 
 	"go.starlark.net/starlark"
 
-	"cleathold/internal/partner"
 	"cleathold/internal/settings"
 )
 
-// Load reads a script. Figures go in the place of those that it names by param.
+// Load reads and checks the script at a path. Figures replace the defaults of the params that they name. Errors of
+// the script are those of Parse.
 func Load(path string, figures map[string]float64) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -25,62 +23,31 @@
 	return Parse(path, text, figures)
 }
 
-// Parse reads a script's text and checks it. Errors name file, line and column.
+// Parse reads and checks the text of a script, as Load does. Its errors are of type *settings.Error, with the file
+// and, where there is one, line and column.
 func Parse(path string, text []byte, figures map[string]float64) (*Scenario, error) {
 	s := &Scenario{
 		Path: path, Script: text, Figures: figures, Senders: 1, InFlight: Range{1.8, 2.4}, OpenMessages: Range{7, 11},
 		Traffic: Traffic{
-			Zipf: Range{0.8, 1.15}, Clump: Range{1, 3}, RetryDelay: Range{0.3, 2}, ResubmitDelay: Range{0.8, 2}, Body: Range{100, 400},
-			Patience: 400 * time.Millisecond,
+			Zipf: Range{0.8, 1.15}, Clump: Range{1, 3}, RetryDelay: Range{0.3, 2}, ResubmitDelay: Range{0.8, 2},
+			Body: Range{100, 400}, Patience: 400 * time.Millisecond,
 		},
 	}
 	names := starlark.StringDict{}
-	for word := range modes {
+	for word := range faultModes {
 		names[word] = starlark.String(word)
 	}
-	for name, f := range map[string]func(*args) error{
-		"scenario": s.setScenario, "kind": s.addKind, "fleet": s.addFleet, "traffic": s.setTraffic, "message_class": s.addClass,
-		"tenant": s.addTenant, "trouble": s.addTrouble, "burst": s.addBurst, "hot": s.addHot, "sender": s.addDeed, "churn": s.addChurn,
-		"ramp": s.addRamp, "discovery_out": s.addBlind, "agents": s.setAgents, "agent": s.addAgentDeed, "order": s.addOrder, "link": s.addLink, "parts": s.addPart,
-	} {
-		names[name] = starlark.NewBuiltin(name, func(_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
-			if len(given) > 0 {
-				return nil, fmt.Errorf("%s: arguments go by name", b.Name())
-			}
-			a := &args{name: b.Name(), given: map[string]starlark.Value{}}
-			for _, pair := range named {
-				a.given[string(pair[0].(starlark.String))] = pair[1]
-			}
-			if err := f(a); err != nil {
-				return nil, fmt.Errorf("%s: %w", b.Name(), err)
-			}
-			return starlark.None, a.done()
-		})
+	for name, f := range s.functions() {
+		names[name] = starlark.NewBuiltin(name, withArgs(f))
 	}
-	left := maps.Clone(figures)
-	names["param"] = starlark.NewBuiltin("param", func(_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple) (starlark.Value, error) {
-		var name string
-		var usual starlark.Value
-		if err := starlark.UnpackArgs(b.Name(), given, named, "name", &name, "usual", &usual); err != nil {
-			return nil, err
-		}
-		if _, isNumber := starlark.AsFloat(usual); !isNumber {
-			return nil, fmt.Errorf("param: usual: got %s, want a number", usual.Type())
-		}
-		v, told := figures[name]
-		delete(left, name)
-		if _, whole := usual.(starlark.Int); told && whole && v == math.Trunc(v) {
-			return starlark.MakeInt64(int64(v)), nil
-		} else if told {
-			return starlark.Float(v), nil
-		}
-		return usual, nil
-	})
+	unused := maps.Clone(figures)
+	names["param"] = starlark.NewBuiltin("param", param(figures, unused))
 	if _, err := settings.Exec(path, text, names); err != nil {
 		return nil, err
 	}
-	if len(left) > 0 {
-		return nil, &settings.Error{File: path, Text: fmt.Sprintf("no param(%q) in it", slices.Min(slices.Collect(maps.Keys(left))))}
+	if len(unused) > 0 {
+		first := slices.Min(slices.Collect(maps.Keys(unused)))
+		return nil, &settings.Error{File: path, Text: fmt.Sprintf("no param(%q) in it", first)}
 	}
 	if err := s.check(); err != nil {
 		return nil, &settings.Error{File: path, Text: err.Error()}
@@ -88,581 +55,74 @@
 	return s, nil
 }
 
-// modes are the words for what may ail a partner.
-var modes = map[string]partner.Mode{
-	"DOWN": partner.Down, "SHUT": partner.Shut, "SILENT": partner.Unresponsive, "FAILING": partner.ReturningErrors, "SLOW": partner.Slow,
-	"PAUSED": partner.Paused, "BREAKING": partner.BreakingConnections, "SPOILING": partner.GarblingAnswers, "CUT": partner.LimitReduced,
-}
-
-// args are the arguments of a call, taken by name.
-type args struct {
-	name  string
-	given map[string]starlark.Value
-	err   error
-}
-
-// take returns an argument, which is then known.
-func (a *args) take(name string) (starlark.Value, bool) {
-	v, ok := a.given[name]
-	delete(a.given, name)
-	return v, ok
-}
-
-func (a *args) fail(name, want string, v starlark.Value) {
-	if a.err == nil {
-		a.err = fmt.Errorf("%s: got %s, want %s", name, v.Type(), want)
-	}
-}
-
-// done tells what was wrong, or an argument that is not known.
-func (a *args) done() error {
-	if a.err != nil {
-		return fmt.Errorf("%s: %w", a.name, a.err)
-	}
-	if len(a.given) > 0 {
-		return fmt.Errorf("%s: unexpected argument %q", a.name, slices.Min(slices.Collect(maps.Keys(a.given))))
-	}
-	return nil
-}
-
-func (a *args) number(name string, to *float64) {
-	if v, ok := a.take(name); ok {
-		f, isNumber := starlark.AsFloat(v)
-		if !isNumber {
-			a.fail(name, "a number", v)
-		}
-		*to = f
-	}
-}
-
-func (a *args) count(name string, to *int) {
-	if v, ok := a.take(name); ok {
-		i, err := starlark.AsInt32(v)
-		if err != nil {
-			a.fail(name, "a whole number", v)
-		}
-		*to = i
-	}
-}
-
-func (a *args) span(name string, to *time.Duration) {
-	f := to.Seconds()
-	a.number(name, &f)
-	if f < 0 || f > 1e7 || f != f {
-		a.err = errors.Join(a.err, fmt.Errorf("%s: seconds from 0 to 10,000,000", name))
-		return
-	}
-	*to = time.Duration(f * float64(time.Second))
-}
-
-// between takes a number, or two as a range.
-func (a *args) between(name string, to *Range) {
-	v, ok := a.take(name)
-	if !ok {
-		return
-	}
-	if f, isNumber := starlark.AsFloat(v); isNumber {
-		*to = Range{f, f}
-	} else if pair, isPair := v.(starlark.Tuple); isPair && len(pair) == 2 {
-		from, ok1 := starlark.AsFloat(pair[0])
-		top, ok2 := starlark.AsFloat(pair[1])
-		if !ok1 || !ok2 {
-			a.fail(name, "two numbers", v)
-		}
-		*to = Range{from, top}
-	} else {
-		a.fail(name, "a number or (from, to)", v)
-	}
-	if a.err == nil && !(to.From >= 0 && to.To >= to.From && to.To < 1e12) {
-		a.err = fmt.Errorf("%s: a range from 0 up, its ends in order", name)
-	}
-}
-
-func (a *args) text(name string, to *string) {
-	if v, ok := a.take(name); ok {
-		s, isText := starlark.AsString(v)
-		if !isText {
-			a.fail(name, "a string", v)
-		}
-		*to = s
-	}
-}
-
-func (a *args) yes(name string, to *bool) {
-	if v, ok := a.take(name); ok {
-		b, isBool := v.(starlark.Bool)
-		if !isBool {
-			a.fail(name, "True or False", v)
-		}
-		*to = bool(b)
-	}
-}
-
-func (s *Scenario) setScenario(a *args) error {
-	if s.Name != "" {
-		return errors.New("called twice")
-	}
-	a.text("name", &s.Name)
-	a.span("seconds", &s.Length)
-	a.count("senders", &s.Senders)
-	a.between("slots", &s.InFlight)
-	a.between("hold", &s.OpenMessages)
-	if a.number("notes_lost", &s.GossipLoss); s.GossipLoss < 0 || s.GossipLoss > 1 {
-		a.fail("notes_lost", "a part from 0 to 1", starlark.Float(s.GossipLoss))
-	}
-	if v, ok := a.take("zones"); ok {
-		list, isList := v.(*starlark.List)
-		if !isList {
-			a.fail("zones", "a list", v)
-			return a.err
-		}
-		for i := range list.Len() {
-			z, _ := starlark.AsString(list.Index(i))
-			s.Zones = append(s.Zones, z)
-		}
-	}
-	return a.err
-}
-
-func (s *Scenario) addKind(a *args) error {
-	k := Kind{
-		Headroom: Range{1.3, 2}, MinLimit: Range{2, 4}, Span: time.Second, SpareCapacity: Range{1.15, 1.6}, QueueLength: Range{0.3, 1}, CV: Range{0.3, 0.8},
-		Batch: 1, ItemCost: Range{0.05, 0.25}, MinConnections: Range{6, 16}, Endpoints: Range{2, 2.3}, RetryAfter: Range{0.3, 1},
-	}
-	form := "rate"
-	a.text("name", &k.Name)
-	a.text("limit", &form)
-	a.between("headroom", &k.Headroom)
-	a.between("least", &k.MinLimit)
-	a.span("span", &k.Span)
-	a.yes("refused_count", &k.CountRejected)
-	a.between("tells_wait", &k.RetryAfterShare)
-	a.between("wait", &k.RetryAfter)
-	a.between("spare", &k.SpareCapacity)
-	a.between("depth", &k.QueueLength)
-	a.between("cv", &k.CV)
-	a.count("batch", &k.Batch)
-	a.between("item_cost", &k.ItemCost)
-	a.yes("apart", &k.SeparateRoutes)
-	a.between("conns", &k.Connections)
-	a.between("least_conns", &k.MinConnections)
-	a.between("endpoints", &k.Endpoints)
-	switch form {
-	case "rate":
-		k.Form = partner.Rate
-	case "window":
-		k.Form = partner.Window
-	case "none":
-		k.Form = partner.NoLimit
-	default:
-		return fmt.Errorf("limit: %q is none of rate, window and none", form)
-	}
-	if k.Name == "" || k.Batch < 1 || k.Span <= 0 || k.RetryAfterShare.To > 1 || k.Endpoints.From < 1 || k.SpareCapacity.From < 1 {
-		return errors.Join(a.err, errors.New("name, batch, span, tells_wait (0 to 1), endpoints (1 up) or spare (1 up) out of range"))
-	}
-	s.Kinds = append(s.Kinds, k)
-	return a.err
-}
-
-func (s *Scenario) addFleet(a *args) error {
-	f := Fleet{Weight: 1, Destinations: Range{10, 10}}
-	a.text("kind", &f.Kind)
-	a.between("destinations", &f.Destinations)
-	a.number("weight", &f.Weight)
-	a.count("endpoints", &f.Endpoints)
-	if f.Destinations.From < 1 || f.Destinations.To > 100_000 || !(f.Weight > 0) || f.Endpoints < 0 || f.Endpoints > 1000 {
-		return errors.Join(a.err, errors.New("destinations: 1 to 100,000; weight: above 0; endpoints of each: 1,000 at most"))
-	}
-	s.Fleets = append(s.Fleets, f)
-	return a.err
-}
-
-func (s *Scenario) setTraffic(a *args) error {
-	t := &s.Traffic
-	a.between("rate", &t.Rate)
-	a.between("zipf", &t.Zipf)
-	a.between("clumps", &t.Clumps)
-	a.between("clump", &t.Clump)
-	a.count("retries", &t.Retries)
-	a.between("retry_in", &t.RetryDelay)
-	a.between("again_in", &t.ResubmitDelay)
-	a.between("body", &t.Body)
-	a.span("patience", &t.Patience)
-	if t.Clumps.To > 1 || t.Retries < 0 || t.Retries > 100 || t.Body.To > 64<<10 {
-		return errors.Join(a.err, errors.New("clumps: 0 to 1; retries: 0 to 100; body: 65,536 bytes at most"))
-	}
-	return a.err
-}
-
-func (s *Scenario) addClass(a *args) error {
-	c := Class{PriorityWeight: 1, Effect: "safe"}
-	a.text("name", &c.Name)
-	a.number("share", &c.Share)
-	a.between("service", &c.Service)
-	a.span("aim", &c.LatencyObjective)
-	a.span("deadline", &c.Deadline)
-	a.text("effect", &c.Effect)
-	a.span("memory", &c.KeyRetention)
-	a.number("late", &c.LateWeight)
-	a.number("worth", &c.PriorityWeight)
-	switch {
-	case c.Effect != "safe" && c.Effect != "keyed" && c.Effect != "unsafe":
-		return fmt.Errorf("effect: %q is none of safe, keyed and unsafe", c.Effect)
-	case c.Effect == "keyed" && c.KeyRetention <= 0:
-		return errors.New("a keyed class needs its memory")
-	case c.Name == "" || !(c.Share > 0) || c.Service.From <= 0 || c.LatencyObjective <= 0 || c.Deadline <= c.LatencyObjective:
-		return errors.Join(a.err, errors.New("name, share, service, aim and a deadline after it are needed"))
-	}
-	s.Traffic.Classes = append(s.Traffic.Classes, c)
-	return a.err
-}
-
-func (s *Scenario) addTenant(a *args) error {
-	var t Tenant
-	a.text("name", &t.Name)
-	a.number("share", &t.Share)
-	if t.Name == "" || !(t.Share > 0) {
-		return errors.Join(a.err, errors.New("name and a share above 0 are needed"))
-	}
-	s.Traffic.Tenants = append(s.Traffic.Tenants, t)
-	return a.err
-}
-
-func (s *Scenario) addRamp(a *args) error {
-	var p RatePoint
-	a.span("at", &p.At)
-	a.number("factor", &p.Factor)
-	if n := len(s.Traffic.RateCurve); p.Factor < 0 || n > 0 && p.At <= s.Traffic.RateCurve[n-1].At {
-		return errors.Join(a.err, errors.New("points in the order of their times, factors from 0 up"))
-	}
-	s.Traffic.RateCurve = append(s.Traffic.RateCurve, p)
-	return a.err
-}
-
-func (s *Scenario) addTrouble(a *args) error {
-	t := Fault{Dest: -1, Share: Range{1, 1}, Factor: Range{2, 2}, TrafficShare: Range{1, 1}}
-	var what string
-	a.text("what", &what)
-	a.between("at", &t.At)
-	a.between("seconds", &t.Length)
-	a.between("share", &t.Share)
-	a.between("factor", &t.Factor)
-	a.between("part", &t.TrafficShare)
-	a.text("zone", &t.Zone)
-	a.number("endpoints", &t.Endpoints)
-	a.text("kind", &t.Kind)
-	a.count("destination", &t.Dest)
-	a.yes("knows_end", &t.EndKnown)
-	mode, known := modes[what]
-	switch {
-	case !known:
-		return fmt.Errorf("what: %q is no trouble", what)
-	case t.Share.To > 1 || t.TrafficShare.To > 1 || t.Endpoints < 0 || t.Endpoints > 1 || t.Length.From <= 0 || t.Factor.From <= 0:
-		return errors.Join(a.err, errors.New("share, part and endpoints: 0 to 1; seconds and factor: above 0"))
-	case mode == partner.LimitReduced && t.Factor.To >= 1:
-		return errors.Join(a.err, errors.New("factor: a cut limit is less than 1 times the usual"))
-	}
-	t.Mode = mode
-	s.Faults = append(s.Faults, t)
-	return a.err
-}
-
-func (s *Scenario) addBlind(a *args) error {
-	var b DiscoveryOutage
-	a.between("at", &b.At)
-	a.between("seconds", &b.Length)
-	if b.Length.From <= 0 {
-		return errors.Join(a.err, errors.New("seconds above 0 are needed"))
-	}
-	s.DiscoveryOutages = append(s.DiscoveryOutages, b)
-	return a.err
-}
-
-func (s *Scenario) addBurst(a *args) error {
-	var b Burst
-	a.between("at", &b.At)
-	a.between("seconds", &b.Length)
-	a.between("factor", &b.Factor)
-	if b.Length.From <= 0 || b.Factor.From < 1 {
-		return errors.Join(a.err, errors.New("seconds above 0 and a factor from 1 up are needed"))
-	}
-	s.Bursts = append(s.Bursts, b)
-	return a.err
-}
-
-func (s *Scenario) addHot(a *args) error {
-	h := HotKeys{Keys: 1}
-	a.between("at", &h.At)
-	a.between("seconds", &h.Length)
-	a.between("share", &h.Share)
-	a.count("destinations", &h.Keys)
-	if h.Length.From <= 0 || h.Share.From <= 0 || h.Share.To >= 1 || h.Keys < 1 {
-		return errors.Join(a.err, errors.New("seconds above 0, a share between 0 and 1, and destinations from 1 up are needed"))
-	}
-	s.HotKeys = append(s.HotKeys, h)
-	return a.err
-}
-
-func (s *Scenario) addDeed(a *args) error {
-	d := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
-	a.between("at", &d.At)
-	a.between("seconds", &d.Length)
-	a.count("number", &d.Sender)
-	a.number("share", &d.Share)
-	a.between("spread", &d.Spread)
-	a.text("what", &d.What)
-	a.number("slots", &d.InFlight)
-	a.number("hold", &d.OpenMessages)
-	if _, known := deeds[d.What]; !known {
-		return errors.Join(a.err, fmt.Errorf("what: %q is none of %s", d.What, strings.Join(slices.Sorted(maps.Keys(deeds)), ", ")))
-	}
-	switch {
-	case (d.Sender < 0) == (d.Share == 0) || d.Share < 0 || d.Share > 1:
-		return errors.Join(a.err, errors.New("either a number, or a share above 0 up to 1, is needed"))
-	case d.What == "stop" && d.Length.From <= 0:
-		return errors.Join(a.err, errors.New("a stop needs its seconds"))
-	case d.Length.To > 0 && d.What != "stop" && d.What != "drain":
-		return errors.Join(a.err, fmt.Errorf("seconds: a %s takes none", d.What))
-	case !(d.InFlight > 0 && d.InFlight <= 100 && d.OpenMessages > 0 && d.OpenMessages <= 100):
-		return errors.Join(a.err, errors.New("slots and hold: multiples above 0, 100 at most"))
-	case d.What != "retune" && (d.InFlight != 1 || d.OpenMessages != 1):
-		return errors.Join(a.err, fmt.Errorf("slots and hold: a %s takes none", d.What))
-	}
-	s.Actions = append(s.Actions, d)
-	return a.err
-}
-
-func (s *Scenario) setAgents(a *args) error {
-	x := Agents{Fleet: 1, Lease: 10 * time.Second}
-	a.count("number", &x.Number)
-	a.count("fleet", &x.Fleet)
-	a.count("building", &x.Building)
-	a.count("serving", &x.Serving)
-	a.span("lease", &x.Lease)
-	switch {
-	case s.Agents.Number > 0:
-		return errors.New("called twice")
-	case x.Number < 1 || x.Number > 9 || x.Fleet < 1 || x.Building < 0 || x.Serving < 0 || x.Lease < time.Second:
-		return errors.Join(a.err, errors.New("number: 1 to 9; fleet: 1 at the least; building and serving: 0 or more; lease: a second at least"))
-	}
-	s.Agents = x
-	return a.err
-}
-
-func (s *Scenario) addAgentDeed(a *args) error {
-	var d AgentAction
-	a.between("at", &d.At)
-	a.between("seconds", &d.Length)
-	a.count("number", &d.Agent)
-	a.text("what", &d.What)
-	switch {
-	case d.What != "kill" && d.What != "wipe" && d.What != "stop":
-		return errors.Join(a.err, fmt.Errorf("what: %q is none of kill, stop, wipe", d.What))
-	case d.Length.From <= 0:
-		return errors.Join(a.err, errors.New("seconds above 0 are needed: it is back after them"))
-	}
-	s.AgentActions = append(s.AgentActions, d)
-	return a.err
-}
-
-func (s *Scenario) addOrder(a *args) error {
-	o := Order{Hold: Range{1, 1}}
-	a.between("at", &o.At)
-	a.count("agent", &o.Agent)
-	a.text("what", &o.What)
-	a.names("of", &o.Of)
-	a.between("hold", &o.Hold)
-	a.yes("bad", &o.Bad)
-	a.yes("go_back", &o.GoBack)
-	if !slices.Contains([]string{"drain", "release", "halt", "resume", "back"}, o.What) {
-		return errors.Join(a.err, fmt.Errorf("what: %q is none of drain, release, halt, resume, back", o.What))
-	}
-	s.Orders = append(s.Orders, o)
-	return a.err
-}
-
-// way reads what ails a way.
-func (a *args) way(w *LinkState) error {
-	what := ""
-	a.text("what", &what)
-	a.span("delay", &w.Delay)
-	a.span("jitter", &w.Jitter)
-	for name, to := range map[string]*float64{"loss": &w.Loss, "double": &w.Duplicate, "reorder": &w.Reorder} {
-		if a.number(name, to); *to < 0 || *to > 1 {
-			return fmt.Errorf("%s: a part from 0 to 1", name)
-		}
-	}
-	switch what {
-	case "CUT":
-		w.Cut = true
-	case "SILENT":
-		w.Silent = true
-	case "":
-		if *w == (LinkState{}) {
-			return errors.New("nothing ails it: what (CUT or SILENT), delay, jitter, loss, double or reorder is needed")
-		}
-	default:
-		return fmt.Errorf("what: %q is neither CUT nor SILENT", what)
-	}
-	if w.Delay+w.Jitter > wayMost {
-		return fmt.Errorf("delay and jitter: %v together at most", wayMost)
-	}
-	return nil
-}
-
-// wayMost is how long a way may delay what passes: longer than any call's time it would be a silent one.
-const wayMost = time.Minute
-
-// names reads one name, or a list of them.
-func (a *args) names(name string, to *[]string) {
-	v, ok := a.take(name)
-	if !ok {
-		return
-	}
-	if one, is := starlark.AsString(v); is {
-		*to = []string{one}
-		return
-	}
-	list, is := v.(*starlark.List)
-	if !is {
-		a.fail(name, "a name or a list of them", v)
-		return
-	}
-	for i := range list.Len() {
-		one, is := starlark.AsString(list.Index(i))
-		if !is {
-			a.fail(name, "a list of names", v)
-			return
-		}
-		*to = append(*to, one)
-	}
-}
-
-func (s *Scenario) addLink(a *args) error {
-	var l Link
-	a.between("at", &l.At)
-	a.between("seconds", &l.Length)
-	a.names("of", &l.Of)
-	a.names("to", &l.To)
-	a.number("share", &l.Share)
-	a.yes("one_way", &l.OneWay)
-	if err := a.way(&l.LinkState); err != nil {
-		return errors.Join(a.err, err)
-	}
-	switch {
-	case l.Length.From <= 0:
-		return errors.Join(a.err, errors.New("seconds above 0 are needed"))
-	case (len(l.Of) == 0) == (l.Share == 0) || l.Share < 0 || l.Share > 1:
-		return errors.Join(a.err, errors.New("either of, or a share of the senders above 0 up to 1, is needed"))
-	}
-	s.Links = append(s.Links, l)
-	return a.err
-}
-
-func (s *Scenario) addPart(a *args) error {
-	p := Partition{Sides: 2}
-	a.between("at", &p.At)
-	a.between("seconds", &p.Length)
-	a.count("parts", &p.Sides)
-	if err := a.way(&p.LinkState); err != nil {
-		return errors.Join(a.err, err)
-	}
-	if p.Length.From <= 0 || p.Sides < 2 {
-		return errors.Join(a.err, errors.New("seconds above 0, and two parts at least, are needed"))
-	}
-	s.Partitions = append(s.Partitions, p)
-	return a.err
-}
-
-func (s *Scenario) addChurn(a *args) error {
-	c := Churn{Drain: 3 * time.Second}
-	a.between("at", &c.At)
-	a.span("every", &c.Every)
-	a.span("drain", &c.Drain)
-	a.yes("reuse_address", &c.Reuse)
-	if c.Every > 0 && c.Every < 100*time.Millisecond {
-		return errors.Join(a.err, errors.New("every: 0.1 s at the least"))
-	}
-	s.Churns = append(s.Churns, c)
-	return a.err
-}
-
-// check looks at what only the whole script shows.
-func (s *Scenario) check() error {
-	kinds, zones := map[string]bool{}, map[string]bool{"": true}
-	for _, k := range s.Kinds {
-		if kinds[k.Name] {
-			return fmt.Errorf("two kinds of name %q", k.Name)
-		}
-		kinds[k.Name] = true
-	}
-	for _, z := range s.Zones {
-		zones[z] = true
-	}
-	switch {
-	case s.Name == "":
-		return errors.New("call scenario(name = ..., seconds = ...)")
-	case s.Length <= 0:
-		return errors.New("scenario: seconds above 0 are needed")
-	case s.Senders < 1 || s.Senders > 10_000:
-		return errors.New("scenario: senders: 1 to 10,000")
-	case len(s.Zones) == 0 || len(s.Zones) > 255:
-		return errors.New("scenario: zones = [...] is needed")
-	case len(s.Fleets) == 0:
-		return errors.New("no fleet(kind = ..., destinations = ...)")
-	case len(s.Traffic.Classes) == 0:
-		return errors.New("no message_class(...)")
-	case len(s.Traffic.Tenants) == 0:
-		return errors.New("no tenant(...)")
-	case !(s.Traffic.Rate.From > 0):
-		return errors.New("traffic: a rate above 0 is needed")
-	}
-	for _, f := range s.Fleets {
-		if !kinds[f.Kind] {
-			return fmt.Errorf("fleet: no kind %q", f.Kind)
-		}
-	}
-	for _, t := range s.Faults {
-		if !zones[t.Zone] || t.Kind != "" && !kinds[t.Kind] {
-			return fmt.Errorf("trouble: no zone %q or no kind %q", t.Zone, t.Kind)
-		}
-	}
-	for _, d := range s.Actions {
-		if d.Sender >= s.Senders {
-			return fmt.Errorf("sender: no number %d", d.Sender)
-		}
-	}
-	for _, d := range s.AgentActions {
-		if d.Agent < 0 || d.Agent >= s.Agents.Number {
-			return fmt.Errorf("agent: no number %d", d.Agent)
-		}
-	}
-	for _, o := range s.Orders {
-		if o.Agent < 0 || o.Agent >= s.Agents.Number {
-			return fmt.Errorf("order: no agent %d", o.Agent)
-		}
-		for _, name := range o.Of {
-			if !s.knows(name) || !strings.HasPrefix(name, "n") && !slices.Contains(s.Zones, name) {
-				return fmt.Errorf("order: no sender and no zone %q", name)
-			}
+// functions are what a script calls to describe a scenario, by their names in it.
+func (s *Scenario) functions() map[string]func(*args) error {
+	return map[string]func(*args) error{
+		"agent":         s.addAgentAction,
+		"agents":        s.setAgents,
+		"burst":         s.addBurst,
+		"churn":         s.addChurn,
+		"discovery_out": s.addDiscoveryOutage,
+		"fleet":         s.addFleet,
+		"hot":           s.addHotKeys,
+		"kind":          s.addKind,
+		"link":          s.addLink,
+		"message_class": s.addClass,
+		"order":         s.addOrder,
+		"parts":         s.addPartition,
+		"ramp":          s.addRatePoint,
+		"scenario":      s.setScenario,
+		"sender":        s.addAction,
+		"tenant":        s.addTenant,
+		"traffic":       s.setTraffic,
+		"trouble":       s.addFault,
+	}
+}
+
+// builtin is the body of a function of a script.
+type builtin = func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error)
+
+// withArgs passes the arguments of a call, which go by name, to f. Those that f does not take are an error.
+func withArgs(f func(*args) error) builtin {
+	return func(
+		_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple,
+	) (starlark.Value, error) {
+		if len(given) > 0 {
+			return nil, fmt.Errorf("%s: arguments go by name", b.Name())
+		}
+		a := &args{name: b.Name(), given: map[string]starlark.Value{}}
+		for _, pair := range named {
+			a.given[string(pair[0].(starlark.String))] = pair[1]
+		}
+		if err := f(a); err != nil {
+			return nil, fmt.Errorf("%s: %w", b.Name(), err)
+		}
+		return starlark.None, a.done()
+	}
+}
+
+// param returns the function that gives a script a figure, or its default. It deletes the figures that were asked for
+// from unused.
+func param(figures, unused map[string]float64) builtin {
+	return func(
+		_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple,
+	) (starlark.Value, error) {
+		var name string
+		var usual starlark.Value
+		if err := starlark.UnpackArgs(b.Name(), given, named, "name", &name, "usual", &usual); err != nil {
+			return nil, err
 		}
-	}
-	for _, d := range s.Actions {
-		if s.Agents.Number > 0 && (d.What == "drain" || d.What == "activate") {
-			return fmt.Errorf("sender: %s: with agents, order() does that", d.What)
+		if _, isNumber := starlark.AsFloat(usual); !isNumber {
+			return nil, fmt.Errorf("param: usual: got %s, want a number", usual.Type())
 		}
-	}
-	for _, l := range s.Links {
-		for _, name := range slices.Concat(l.Of, l.To) {
-			if !s.knows(name) {
-				return fmt.Errorf("link: no party %q: n0 to n%d, a zone, senders, agents, a0 and so on, discovery, clients, partners, partners/ZONE, destination/NUMBER or endpoint/ID", name, s.Senders-1)
-			}
+		delete(unused, name)
+		figure, isSet := figures[name]
+		if !isSet {
+			return usual, nil
 		}
-	}
-	for _, p := range s.Partitions {
-		if p.Sides > s.Senders {
-			return fmt.Errorf("parts: %d of %d senders", p.Sides, s.Senders)
+		if _, isInt := usual.(starlark.Int); isInt && figure == math.Trunc(figure) {
+			return starlark.MakeInt64(int64(figure)), nil
 		}
+		return starlark.Float(figure), nil
 	}
-	return nil
 }
--- /dev/null
+++ b/internal/scenario/marks.go
@@ -0,0 +1,129 @@
+package scenario
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"cleathold/internal/partner"
+)
+
+// A Mark is something that happens in a plan, for a time axis.
+type Mark struct {
+	From, To time.Duration // equal for what takes no time
+	Text     string
+}
+
+// Marks returns what happens in a plan, in the order of their times.
+func (p *Plan) Marks() []Mark {
+	list := p.faultMarks()
+	for _, c := range p.Changes {
+		if c.Of < 0 && c.Leaves {
+			list = append(list, Mark{c.At, c.At, fmt.Sprintf("%s of destination %d is gone", c.Endpoint, c.Dest)})
+		}
+	}
+	for _, b := range p.bursts {
+		list = append(list, Mark{b.From, b.To, fmt.Sprintf("burst: %.1f times the traffic", b.size)})
+	}
+	for _, h := range p.hotKeys {
+		list = append(list, Mark{h.From, h.To, fmt.Sprintf("%d large destinations draw %.0f%% more", h.keys, 100*h.size)})
+	}
+	for _, o := range p.DiscoveryOutages {
+		list = append(list, Mark{o.From, o.To, "discovery is down"})
+	}
+	list = append(list, p.actionMarks()...)
+	for _, a := range p.AgentActions {
+		list = append(list, Mark{a.At, a.Until, fmt.Sprintf("agent %d: %s", a.Agent, a.What)})
+	}
+	for _, o := range p.Orders {
+		text := fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.What, summarize(o.Of))
+		list = append(list, Mark{o.At, o.At, text})
+	}
+	for _, l := range p.Links {
+		list = append(list, Mark{l.From, l.To, l.Text})
+	}
+	slices.SortStableFunc(list, func(a, b Mark) int { return cmp.Compare(a.From, b.From) })
+	return list
+}
+
+// faultMarks has one mark for each fault of the scenario, unless it found no endpoint.
+func (p *Plan) faultMarks() []Mark {
+	var list []Mark
+	words := map[partner.Mode]string{}
+	for word, mode := range faultModes {
+		words[mode] = word
+	}
+	for i, f := range p.Scenario.Faults {
+		m := Mark{From: -1}
+		dests, share := map[int]bool{}, 0.0
+		for _, c := range p.Changes {
+			if c.Of != i || c.Joins != nil || c.Drains || c.Leaves {
+				continue
+			}
+			if m.From >= 0 && c.At > m.From { // the later change of each endpoint is the fault's end
+				m.To = c.At
+				continue
+			}
+			m.From = c.At
+			if d := p.destinationOf(c.Endpoint); d != nil {
+				dests[d.Dest] = true
+				share += d.Share / float64(len(d.Endpoints))
+			}
+		}
+		if m.From < 0 {
+			continue
+		}
+		where := ""
+		if f.Zone != "" {
+			where = " in " + f.Zone
+		}
+		m.Text = fmt.Sprintf("%s%s: %d destinations, %.0f%% of the traffic", words[f.Mode], where, len(dests), 100*share)
+		list = append(list, m)
+	}
+	return list
+}
+
+// destinationOf returns the destination that has an endpoint from the start; nil where none has.
+func (p *Plan) destinationOf(endpoint string) *Destination {
+	for i, d := range p.Dests {
+		if slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == endpoint }) {
+			return &p.Dests[i]
+		}
+	}
+	return nil
+}
+
+// actionMarks has one mark for each action of the scenario on senders.
+func (p *Plan) actionMarks() []Mark {
+	var list []Mark
+	for i, a := range p.Scenario.Actions {
+		m := Mark{From: -1}
+		senders := 0
+		for _, x := range p.Actions {
+			if x.Of == i {
+				if senders++; m.From < 0 {
+					m.From = x.At
+				}
+				m.To = max(m.To, x.At, x.Until)
+			}
+		}
+		if m.Text = fmt.Sprintf("sender %d: %s", a.Sender, a.What); a.Sender < 0 {
+			m.Text = fmt.Sprintf("%d senders: %s", senders, a.What)
+		}
+		list = append(list, m)
+	}
+	return list
+}
+
+// summarize names a few of the parties.
+func summarize(names []string) string {
+	switch {
+	case len(names) == 0:
+		return "all others"
+	case len(names) > 4:
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:3], ", "), len(names)-3)
+	}
+	return strings.Join(names, ", ")
+}
--- /dev/null
+++ b/internal/scenario/parseactions.go
@@ -0,0 +1,101 @@
+package scenario
+
+import (
+	"errors"
+	"slices"
+	"strings"
+	"time"
+)
+
+// senderActions are what can be done to a sender, in the order of their names.
+var senderActions = []string{
+	"activate", // clients are sent to it again
+	"drain",    // it is drained by order, through its second address
+	"hup",      // SIGHUP, with nothing new in its configuration
+	"kill",     // SIGKILL; it is started again
+	"retune",   // other settings, and SIGHUP
+	"signals",  // SIGHUP, SIGTERM and SIGINT one after the other; it is started again
+	"stop",     // SIGSTOP, and SIGCONT after a while
+	"term",     // SIGTERM; it is started again
+	"wipe",     // SIGKILL, and its folder is lost; it is started again
+}
+
+// addAction is sender(...) in a script.
+func (s *Scenario) addAction(a *args) error {
+	x := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
+	a.period(&x.At, &x.Length)
+	a.integer("number", &x.Sender)
+	a.number("share", &x.Share)
+	a.numberRange("spread", &x.Spread)
+	a.text("what", &x.What)
+	a.number("slots", &x.InFlight)
+	a.number("hold", &x.OpenMessages)
+	if !slices.Contains(senderActions, x.What) {
+		return a.invalid("what: %q is none of %s", x.What, strings.Join(senderActions, ", "))
+	}
+	switch {
+	case (x.Sender < 0) == (x.Share == 0) || x.Share < 0 || x.Share > 1:
+		return a.invalid("either a number, or a share above 0 up to 1, is needed")
+	case x.What == "stop" && x.Length.From <= 0:
+		return a.invalid("a stop needs its seconds")
+	case x.Length.To > 0 && x.What != "stop" && x.What != "drain":
+		return a.invalid("seconds: a %s takes none", x.What)
+	case !(x.InFlight > 0 && x.InFlight <= 100 && x.OpenMessages > 0 && x.OpenMessages <= 100):
+		return a.invalid("slots and hold: multiples above 0, 100 at most")
+	case x.What != "retune" && (x.InFlight != 1 || x.OpenMessages != 1):
+		return a.invalid("slots and hold: a %s takes none", x.What)
+	}
+	s.Actions = append(s.Actions, x)
+	return a.err
+}
+
+// setAgents is agents(...) in a script.
+func (s *Scenario) setAgents(a *args) error {
+	x := Agents{Fleet: 1, Lease: 10 * time.Second}
+	a.integer("number", &x.Number)
+	a.integer("fleet", &x.Fleet)
+	a.integer("building", &x.Building)
+	a.integer("serving", &x.Serving)
+	a.duration("lease", &x.Lease)
+	switch {
+	case s.Agents.Number > 0:
+		return errors.New("called twice")
+	case x.Number < 1 || x.Number > 9 || x.Fleet < 1 || x.Building < 0 || x.Serving < 0 || x.Lease < time.Second:
+		return a.invalid("number: 1 to 9; fleet: 1 at the least; building and serving: 0 or more; lease: a second at least")
+	}
+	s.Agents = x
+	return a.err
+}
+
+// addAgentAction is agent(...) in a script.
+func (s *Scenario) addAgentAction(a *args) error {
+	var x AgentAction
+	a.period(&x.At, &x.Length)
+	a.integer("number", &x.Agent)
+	a.text("what", &x.What)
+	switch {
+	case x.What != "kill" && x.What != "wipe" && x.What != "stop":
+		return a.invalid("what: %q is none of kill, stop, wipe", x.What)
+	case x.Length.From <= 0:
+		return a.invalid("seconds above 0 are needed: it is back after them")
+	}
+	s.AgentActions = append(s.AgentActions, x)
+	return a.err
+}
+
+// addOrder is order(...) in a script.
+func (s *Scenario) addOrder(a *args) error {
+	o := Order{Hold: Range{1, 1}}
+	a.numberRange("at", &o.At)
+	a.integer("agent", &o.Agent)
+	a.text("what", &o.What)
+	a.names("of", &o.Of)
+	a.numberRange("hold", &o.Hold)
+	a.boolean("bad", &o.Bad)
+	a.boolean("go_back", &o.GoBack)
+	if !slices.Contains([]string{"drain", "release", "halt", "resume", "back"}, o.What) {
+		return a.invalid("what: %q is none of drain, release, halt, resume, back", o.What)
+	}
+	s.Orders = append(s.Orders, o)
+	return a.err
+}
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -2,18 +2,15 @@
 
 import (
 	"cmp"
-	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
 
 	"cleathold/internal/partner"
-	"cleathold/internal/timeline"
 )
 
-// Plan is a scenario with everything drawn but its messages, which Arrivals draws
-// as they are asked for.
+// Plan is a scenario with everything drawn but its messages, which Arrivals draws one by one. Times are counted from
+// the start of the run.
 type Plan struct {
 	Scenario         *Scenario
 	Seed             uint64
@@ -24,572 +21,100 @@
 	AgentActions     []PlannedAgentAction
 	Orders           []PlannedOrder
 	Links            []PlannedLink // in the order in which they begin
-	DiscoveryOutages []Span        // discovery answers nobody
+	DiscoveryOutages []Span        // discovery answers nobody in them
 	bursts           []window
-	hots             []window
-	clumps           float64
-	clump            Range
+	hotKeys          []window
+	clumpShare       float64 // of the messages, that come in clumps
+	clumpSize        Range   // seconds of a destination's limit
 }
 
-// Destination is a partner system that was drawn.
+// Destination is a partner system, drawn.
 type Destination struct {
 	partner.Spec
 	Share         float64 // of the messages
-	AnnouncedRate float64 // the rough rate that the list tells, in calls a second
+	AnnouncedRate float64 // calls a second from all senders together, as the endpoint list tells it
 }
 
-// Change is a trouble that comes to an endpoint or leaves it, or a replacement.
+// Change is the begin or the end of an endpoint's fault, or a part of its replacement.
 type Change struct {
 	At       time.Duration
 	Endpoint string
 	Fault    partner.Fault
-	Of       int                   // the scenario's trouble; below 0 = a replacement
-	Drains   bool                  // the endpoint drains from now on
-	Leaves   bool                  // it is gone
-	Joins    *partner.EndpointSpec // it comes, to Dest...
+	Of       int                   // index in Scenario.Faults; below 0: a replacement
+	Drains   bool                  // the endpoint begins to drain
+	Leaves   bool                  // it is removed
+	Joins    *partner.EndpointSpec // this one is added to Dest...
 	Dest     int
-	Address  string // ...at the address of this one; empty = a new one
+	Address  string // ...with the address of this one; empty: a new one
 }
 
-// PlannedAction is something done to a sender.
-type PlannedAction struct {
-	At           time.Duration
-	Until        time.Duration // of a stop and a drain; 0 = none
-	Sender       int
-	What         string
-	InFlight     float64 // of a retune
-	OpenMessages float64
-	Of           int // the scenario's deed
-}
-
-// Span is a time between two instants.
+// Span is the time between two instants.
 type Span struct{ From, To time.Duration }
 
-// A window is a burst or a hot time.
+// A window is the time of a burst or of hot keys.
 type window struct {
-	from, to time.Duration
-	size     float64
-	keys     int
+	Span
+	size float64 // of a burst: factor of the rate; of hot keys: share of the messages
+	keys int     // hot keys: destinations
 }
 
-// The random streams: a change of one part of a script leaves the others' draws.
+// The random streams. Each part of a plan has its own, so that a change of one part of a script leaves the draws of
+// the others.
 const (
-	drawFleet = iota + 1
-	drawTrouble
-	drawTraffic
-	drawWindows
-	drawDeeds
-	drawChurn
-	drawBlind
-	drawLinks
-	drawAgents
+	streamFleet = iota + 1
+	streamFaults
+	streamTraffic
+	streamWindows
+	streamActions
+	streamChurn
+	streamDiscoveryOutages
+	streamLinks
+	streamAgents
 )
 
-func stream(seed, part uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, part)) }
+// randomStream returns one of the random streams of a seed.
+func randomStream(seed, part uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, part)) }
 
+// draw draws a number evenly from a range.
 func (r Range) draw(rng *rand.Rand) float64 { return r.From + (r.To-r.From)*rng.Float64() }
 
+// seconds draws a time from a range of seconds.
 func (r Range) seconds(rng *rand.Rand) time.Duration {
 	return time.Duration(r.draw(rng) * float64(time.Second))
 }
 
-// Mean is the middle of a range.
+// drawSpan draws a time from ranges, in seconds, of its begin and its length.
+func drawSpan(rng *rand.Rand, at, length Range) Span {
+	from := at.seconds(rng)
+	return Span{from, from + length.seconds(rng)}
+}
+
+// contains reports whether a time is in a span. Its end is not.
+func (s Span) contains(at time.Duration) bool { return at >= s.From && at < s.To }
+
+// Mean returns the middle of a range.
 func (r Range) Mean() float64 { return (r.From + r.To) / 2 }
 
-// Plan draws a plan.
+// Plan draws a plan. The same scenario and seed give the same plan.
 func (s *Scenario) Plan(seed uint64) *Plan {
 	p := &Plan{Scenario: s, Seed: seed}
-	p.drawFleet(stream(seed, drawFleet))
-	p.drawTroubles(stream(seed, drawTrouble))
-	p.overlap()
-	p.drawWindows(stream(seed, drawWindows))
-	p.drawDeeds(stream(seed, drawDeeds))
-	p.drawLinks(stream(seed, drawLinks))
-	p.drawAgents(stream(seed, drawAgents))
-	p.drawChurns(stream(seed, drawChurn))
-	rng := stream(seed, drawBlind)
-	for _, b := range s.DiscoveryOutages {
-		from := b.At.seconds(rng)
-		p.DiscoveryOutages = append(p.DiscoveryOutages, Span{from, from + b.Length.seconds(rng)})
+	p.drawFleet(randomStream(seed, streamFleet))
+	p.drawFaults(randomStream(seed, streamFaults))
+	p.resolveOverlaps()
+	p.drawWindows(randomStream(seed, streamWindows))
+	p.drawActions(randomStream(seed, streamActions))
+	p.drawLinks(randomStream(seed, streamLinks))
+	p.drawAgents(randomStream(seed, streamAgents))
+	p.drawChurns(randomStream(seed, streamChurn))
+	rng := randomStream(seed, streamDiscoveryOutages)
+	for _, o := range s.DiscoveryOutages {
+		p.DiscoveryOutages = append(p.DiscoveryOutages, drawSpan(rng, o.At, o.Length))
 	}
 	slices.SortStableFunc(p.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
 	return p
 }
 
-// drawFleet draws the destinations: much of the traffic goes to a few.
-func (p *Plan) drawFleet(rng *rand.Rand) {
-	s := p.Scenario
-	p.Rate = s.Traffic.Rate.draw(rng)
-	p.clumps, p.clump = s.Traffic.Clumps.draw(rng), s.Traffic.Clump
-	type slot struct {
-		kind      *Kind
-		weight    float64
-		endpoints int
-	}
-	var slots []slot
-	zipf := s.Traffic.Zipf.draw(rng)
-	for _, f := range s.Fleets {
-		n := int(math.Round(f.Destinations.draw(rng)))
-		k := &s.Kinds[slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == f.Kind })]
-		sum := 0.0
-		from := len(slots)
-		for i := range n {
-			slots = append(slots, slot{k, math.Pow(float64(i+1), -zipf), f.Endpoints})
-			sum += slots[from+i].weight
-		}
-		for i := range n {
-			slots[from+i].weight *= f.Weight / sum
-		}
-	}
-	total, largest := 0.0, 0.0
-	for _, x := range slots {
-		total, largest = total+x.weight, max(largest, x.weight)
-	}
-	work, shares := 0.0, 0.0
-	for _, c := range s.Traffic.Classes {
-		work += c.Share * c.Service.Mean()
-		shares += c.Share
-	}
-	endpoints := 0
-	for i, x := range slots {
-		k, share := x.kind, x.weight/total
-		load := share * p.Rate // calls a second at full load
-		d := Destination{Share: share}
-		pace := math.Exp(0.4 * rng.NormFloat64()) // they answer at very different speeds
-		d.Dest, d.Kind, d.SeparateRoutes, d.MaxBatch = i+1, k.Name, k.SeparateRoutes, k.Batch
-		d.Mean = time.Duration(work / shares * pace * float64(time.Second))
-		d.CV, d.ItemCost = k.CV.draw(rng), k.ItemCost.draw(rng)
-		n := int(math.Round(k.Endpoints.draw(rng) * (0.8 + 0.8*x.weight/largest)))
-		n = min(max(1, n), 4)
-		if x.endpoints > 0 {
-			n = x.endpoints
-		}
-		limit := max(k.Headroom.draw(rng)*load, k.MinLimit.draw(rng))
-		if k.SeparateRoutes {
-			limit /= float64(n)
-		}
-		d.Limit = partner.Limit{Form: k.Form, PerSecond: limit, Window: k.Span, Burst: 200 * time.Millisecond, CountRejected: k.CountRejected}
-		d.RetryAfterShare, d.RetryAfter = k.RetryAfterShare.draw(rng), k.RetryAfter.seconds(rng)
-		parts := float64(n)
-		if k.SeparateRoutes {
-			parts = 1 // each has the capacity of its own limit
-		}
-		capacity := limit * k.SpareCapacity.draw(rng) / parts
-		d.Servers = max(1, int(math.Ceil(capacity*d.Mean.Seconds())))
-		d.QueueLength = max(1, int(math.Ceil(capacity*k.QueueLength.draw(rng))))
-		if k.Connections.To > 0 {
-			d.MaxConnections = int(math.Ceil(max(k.Connections.draw(rng)*float64(d.Servers), k.MinConnections.draw(rng))))
-		}
-		d.ConnCost = 10 * time.Millisecond
-		for _, c := range s.Traffic.Classes {
-			d.KeyRetention = max(d.KeyRetention, c.KeyRetention)
-		}
-		d.ColdCapacity, d.WarmUp, d.OverloadFactor, d.OverloadWindow = 0.22, 13*time.Second, 2, 2*time.Second
-		for range n {
-			endpoints++
-			d.Endpoints = append(d.Endpoints, partner.EndpointSpec{ID: fmt.Sprintf("e%05d", endpoints), Zone: rng.IntN(len(s.Zones))})
-		}
-		d.AnnouncedRate = limit * (0.85 + 0.3*rng.Float64()) // of the route, from all senders together
-		if k.Form == partner.NoLimit {
-			d.AnnouncedRate = 0
-		}
-		p.Dests = append(p.Dests, d)
-	}
-}
-
-// drawDeeds draws what is done to senders, and when.
-func (p *Plan) drawDeeds(rng *rand.Rand) {
-	n := p.Scenario.Senders
-	for k, d := range p.Scenario.Actions {
-		at := d.At.seconds(rng)
-		struck := []int{d.Sender}
-		if d.Sender < 0 {
-			struck = rng.Perm(n)[:max(1, int(math.Round(d.Share*float64(n))))]
-		}
-		spread := time.Duration(0)
-		if d.Spread.To > 0 {
-			spread = d.Spread.seconds(rng)
-		}
-		for i, num := range struck {
-			x := PlannedAction{At: at + spread*time.Duration(i)/time.Duration(len(struck)), Sender: num, What: d.What, InFlight: d.InFlight, OpenMessages: d.OpenMessages, Of: k}
-			if d.Length.To > 0 {
-				x.Until = x.At + d.Length.seconds(rng)
-			}
-			p.Actions = append(p.Actions, x)
-		}
-	}
-	slices.SortStableFunc(p.Actions, func(a, b PlannedAction) int { return cmp.Compare(a.At, b.At) })
-}
-
-// drawTroubles chooses whom a trouble strikes: as many destinations as its part of
-// the traffic allows, the one that was drawn first in any case.
-func (p *Plan) drawTroubles(rng *rand.Rand) {
-	for i, t := range p.Scenario.Faults {
-		from := t.At.seconds(rng)
-		to := from + t.Length.seconds(rng)
-		trouble := partner.Fault{Mode: t.Mode, Share: t.Share.draw(rng), Factor: t.Factor.draw(rng)}
-		if t.EndKnown {
-			trouble.Until = to
-		}
-		part, struck := t.TrafficShare.draw(rng), 0.0
-		for _, n := range rng.Perm(len(p.Dests)) {
-			d := &p.Dests[n]
-			var hit []string
-			for _, e := range d.Endpoints {
-				if t.Zone == "" || p.Scenario.Zones[e.Zone] == t.Zone {
-					hit = append(hit, e.ID)
-				}
-			}
-			if t.Endpoints > 0 && len(hit) > 0 {
-				rng.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
-				hit = hit[:min(len(hit), max(1, int(math.Round(t.Endpoints*float64(len(d.Endpoints))))))]
-			}
-			share := d.Share * float64(len(hit)) / float64(len(d.Endpoints))
-			wrong := t.Kind != "" && d.Kind != t.Kind || t.Dest >= 0 && d.Dest != t.Dest
-			if len(hit) == 0 || wrong || struck > 0 && struck+share > part {
-				continue
-			}
-			struck += share
-			for _, id := range hit {
-				p.Changes = append(p.Changes, Change{At: from, Endpoint: id, Fault: trouble, Of: i}, Change{At: to, Endpoint: id, Of: i})
-			}
-		}
-	}
-}
-
-// overlap has a trouble that comes into another one, or ends in it, leave the later
-// one in force: an endpoint has one at a time, and is well only after the last.
-func (p *Plan) overlap() {
-	slices.SortStableFunc(p.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
-	on := map[string][]Change{} // by endpoint, in the order in which they began
-	for i := range p.Changes {
-		c := &p.Changes[i]
-		if c.Fault.Mode != partner.Healthy {
-			on[c.Endpoint] = append(on[c.Endpoint], *c)
-			continue
-		}
-		left := slices.DeleteFunc(on[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
-		if on[c.Endpoint] = left; len(left) > 0 {
-			c.Fault = left[len(left)-1].Fault
-		}
-	}
-}
-
-func (p *Plan) drawWindows(rng *rand.Rand) {
-	for _, b := range p.Scenario.Bursts {
-		from := b.At.seconds(rng)
-		p.bursts = append(p.bursts, window{from, from + b.Length.seconds(rng), b.Factor.draw(rng), 0})
-	}
-	for _, h := range p.Scenario.HotKeys {
-		from := h.At.seconds(rng)
-		p.hots = append(p.hots, window{from, from + h.Length.seconds(rng), h.Share.draw(rng), h.Keys})
-	}
-}
-
-// drawChurns replaces endpoints, one after another, none twice.
-func (p *Plan) drawChurns(rng *rand.Rand) {
-	serial := 0
-	gone := map[string]bool{}
-	for _, c := range p.Scenario.Churns {
-		at := c.At.seconds(rng)
-		for at < p.Scenario.Length {
-			d := &p.Dests[rng.IntN(len(p.Dests))]
-			e := d.Endpoints[rng.IntN(len(d.Endpoints))]
-			if !gone[e.ID] {
-				gone[e.ID] = true
-				serial++
-				fresh := &partner.EndpointSpec{ID: fmt.Sprintf("n%05d", serial), Zone: e.Zone}
-				address := ""
-				if c.Reuse {
-					address = e.ID
-				}
-				p.Changes = append(p.Changes,
-					Change{At: at, Endpoint: e.ID, Dest: d.Dest, Of: -1, Drains: true},
-					Change{At: at + c.Drain, Endpoint: e.ID, Dest: d.Dest, Of: -1, Leaves: true},
-					Change{At: at + c.Drain, Endpoint: fresh.ID, Dest: d.Dest, Of: -1, Joins: fresh, Address: address})
-			}
-			if c.Every <= 0 {
-				break
-			}
-			at += c.Every
-		}
-	}
-}
-
-// A Mark is something that happens, on the time axis.
-type Mark struct {
-	From, To time.Duration // To = From for what takes no time
-	Text     string
-}
-
-// Marks are what happens in a plan, in the order of their times.
-func (p *Plan) Marks() []Mark {
-	var list []Mark
-	words := map[partner.Mode]string{}
-	for word, mode := range modes {
-		words[mode] = word
-	}
-	for i, t := range p.Scenario.Faults {
-		m := Mark{From: -1}
-		dests, share := map[int]bool{}, 0.0
-		for _, c := range p.Changes {
-			if c.Of != i || c.Joins != nil || c.Drains || c.Leaves {
-				continue
-			}
-			if m.From >= 0 && c.At > m.From { // the later change of each endpoint is its end
-				m.To = c.At
-				continue
-			}
-			m.From = c.At
-			for _, d := range p.Dests {
-				for _, e := range d.Endpoints {
-					if e.ID == c.Endpoint {
-						dests[d.Dest] = true
-						share += d.Share / float64(len(d.Endpoints))
-					}
-				}
-			}
-		}
-		if m.From < 0 {
-			continue
-		}
-		where := ""
-		if t.Zone != "" {
-			where = " in " + t.Zone
-		}
-		m.Text = fmt.Sprintf("%s%s: %d destinations, %.0f%% of the traffic", words[t.Mode], where, len(dests), 100*share)
-		list = append(list, m)
-	}
-	for _, c := range p.Changes {
-		if c.Of < 0 && c.Leaves {
-			list = append(list, Mark{c.At, c.At, fmt.Sprintf("%s of destination %d is gone", c.Endpoint, c.Dest)})
-		}
-	}
-	for _, b := range p.bursts {
-		list = append(list, Mark{b.from, b.to, fmt.Sprintf("burst: %.1f times the traffic", b.size)})
-	}
-	for _, h := range p.hots {
-		list = append(list, Mark{h.from, h.to, fmt.Sprintf("%d large destinations draw %.0f%% more", h.keys, 100*h.size)})
-	}
-	for _, b := range p.DiscoveryOutages {
-		list = append(list, Mark{b.From, b.To, "discovery is down"})
-	}
-	for i, d := range p.Scenario.Actions {
-		m := Mark{From: -1}
-		struck := 0
-		for _, x := range p.Actions {
-			if x.Of == i {
-				if struck++; m.From < 0 {
-					m.From = x.At
-				}
-				m.To = max(m.To, x.At, x.Until)
-			}
-		}
-		if m.Text = fmt.Sprintf("sender %d: %s", d.Sender, d.What); d.Sender < 0 {
-			m.Text = fmt.Sprintf("%d senders: %s", struck, d.What)
-		}
-		list = append(list, m)
-	}
-	for _, d := range p.AgentActions {
-		list = append(list, Mark{d.At, d.Until, fmt.Sprintf("agent %d: %s", d.Agent, d.What)})
-	}
-	for _, o := range p.Orders {
-		list = append(list, Mark{o.At, o.At, fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.What, some(o.Of))})
-	}
-	for _, l := range p.Links {
-		list = append(list, Mark{l.From, l.To, l.Text})
-	}
-	slices.SortStableFunc(list, func(a, b Mark) int { return cmp.Compare(a.From, b.From) })
-	return list
-}
-
-// Load is the rate of messages at a time, as a multiple of the full load.
-func (p *Plan) Load(at time.Duration) float64 {
-	x := 1.0
-	if ramp := p.Scenario.Traffic.RateCurve; len(ramp) > 0 {
-		i, _ := slices.BinarySearchFunc(ramp, at, func(r RatePoint, at time.Duration) int { return cmp.Compare(r.At, at) })
-		switch {
-		case i == 0:
-			x = ramp[0].Factor
-		case i == len(ramp):
-			x = ramp[i-1].Factor
-		default:
-			a, b := ramp[i-1], ramp[i]
-			x = a.Factor + (b.Factor-a.Factor)*float64(at-a.At)/float64(b.At-a.At)
-		}
-	}
-	for _, b := range p.bursts {
-		if at >= b.from && at < b.to {
-			x *= b.size
-		}
-	}
-	return x
-}
-
-// peak is a rate that Load never passes.
-func (p *Plan) peak() float64 {
-	x := 1.0
-	if ramp := p.Scenario.Traffic.RateCurve; len(ramp) > 0 {
-		x = 0
-		for _, r := range ramp {
-			x = max(x, r.Factor)
-		}
-	}
-	for _, b := range p.bursts {
-		x *= max(1, b.size)
-	}
-	return x
-}
-
-// Arrival is one message that a client hands in for the first time.
-type Arrival struct {
-	At     time.Duration
-	N      int // counts from 0
-	Dest   int
-	Class  int
-	Tenant int
-	Size   int
-}
-
-// Arrivals draws the messages of a plan, one after another, in memory that does
-// not grow with them.
-type Arrivals struct {
-	p       *Plan
-	rng     *rand.Rand
-	byShare []float64 // sums of the shares
-	classes []float64
-	tenants []float64
-	large   []int // destinations, those with most traffic first
-	single  time.Duration
-	clump   time.Duration
-	clumps  float64 // a second
-	ahead   timeline.Queue[clump]
-	n       int
-}
-
-// A clump is what is still to come of one.
-type clump struct {
-	dest  int
-	left  int
-	order uint64
-}
-
-// Arrivals starts at the first message.
-func (p *Plan) Arrivals() *Arrivals {
-	a := &Arrivals{p: p, rng: stream(p.Seed, drawTraffic)}
-	sum := 0.0
-	for i, d := range p.Dests {
-		sum += d.Share
-		a.byShare = append(a.byShare, sum)
-		a.large = append(a.large, i)
-	}
-	slices.SortStableFunc(a.large, func(i, j int) int { return cmp.Compare(p.Dests[j].Share, p.Dests[i].Share) })
-	sum = 0
-	for _, c := range p.Scenario.Traffic.Classes {
-		sum += c.Share
-		a.classes = append(a.classes, sum)
-	}
-	sum = 0
-	for _, t := range p.Scenario.Traffic.Tenants {
-		sum += t.Share
-		a.tenants = append(a.tenants, sum)
-	}
-	a.single = a.after(0, p.Rate*(1-p.clumps))
-	a.clumps = a.clumpRate()
-	a.clump = a.after(0, a.clumps)
-	return a
-}
-
-// clumpRate is the clumps a second that bring their part of the messages.
-func (a *Arrivals) clumpRate() float64 {
-	size := 0.0 // of a clump, in the mean
-	for _, d := range a.p.Dests {
-		size += d.Share * max(1, a.p.clump.Mean()*a.takes(&d))
-	}
-	return a.p.Rate * a.p.clumps / size
-}
-
-// takes is the calls a second that a destination takes.
-func (a *Arrivals) takes(d *Destination) float64 {
-	if d.Limit.Form == partner.NoLimit {
-		return float64(d.Servers*len(d.Endpoints)) / d.Mean.Seconds()
-	}
-	return d.Limit.PerSecond
-}
-
-// after draws the time of the next event of a Poisson process whose rate follows
-// the load, by thinning.
-func (a *Arrivals) after(at time.Duration, rate float64) time.Duration {
-	peak := a.p.peak()
-	if rate*peak <= 0 {
-		return math.MaxInt64
-	}
-	for {
-		at += time.Duration(a.rng.ExpFloat64() / (rate * peak) * float64(time.Second))
-		if at > a.p.Scenario.Length || a.rng.Float64()*peak < a.p.Load(at) {
-			return at
-		}
-	}
-}
-
-// choose draws by sums of shares.
-func (a *Arrivals) choose(sums []float64) int {
-	i, _ := slices.BinarySearch(sums, a.rng.Float64()*sums[len(sums)-1])
-	return min(i, len(sums)-1)
-}
-
-// dest draws a destination; a hot time draws some of all to the largest.
-func (a *Arrivals) dest(at time.Duration) int {
-	for _, h := range a.p.hots {
-		if at >= h.from && at < h.to && a.rng.Float64() < h.size {
-			return a.large[a.rng.IntN(min(h.keys, len(a.large)))]
-		}
-	}
-	return a.choose(a.byShare)
-}
-
-// Next returns the next message; false after the last.
-func (a *Arrivals) Next() (Arrival, bool) {
-	for {
-		at := a.single
-		from := 0
-		if a.clump < at {
-			at, from = a.clump, 1
-		}
-		if next, _, some := a.ahead.First(); some && next <= at {
-			at, from = next, 2
-		}
-		if at > a.p.Scenario.Length {
-			return Arrival{}, false
-		}
-		dest := 0
-		switch from {
-		case 0:
-			a.single = a.after(at, a.p.Rate*(1-a.p.clumps))
-			dest = a.dest(at)
-		case 1: // a clump begins: its messages come one close after the other
-			a.clump = a.after(at, a.clumps)
-			d := a.choose(a.byShare)
-			size := max(1, int(math.Round(a.p.clump.draw(a.rng)*a.takes(&a.p.Dests[d]))))
-			a.ahead.Push(at, uint64(a.n), clump{d, size, uint64(a.n)})
-			continue
-		case 2:
-			_, c := a.ahead.Pop()
-			dest = c.dest
-			if c.left--; c.left > 0 {
-				a.ahead.Push(at+time.Duration(a.rng.ExpFloat64()*2*float64(time.Millisecond)), c.order, c)
-			}
-		}
-		m := Arrival{
-			At: at, N: a.n, Dest: a.p.Dests[dest].Dest, Class: a.choose(a.classes), Tenant: a.choose(a.tenants),
-			Size: int(a.p.Scenario.Traffic.Body.draw(a.rng)),
-		}
-		a.n++
-		return m, true
-	}
-}
-
-// Model makes the partners of a plan.
+// Model returns a model of the plan's partners.
 func (p *Plan) Model() (*partner.Model, error) {
 	m := partner.New(p.Seed)
 	for i := range p.Dests {
--- /dev/null
+++ b/internal/simulation/call.go
@@ -0,0 +1,356 @@
+package simulation
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/audit"
+	"cleathold/internal/partner"
+	"cleathold/internal/scenario"
+	"cleathold/internal/state"
+)
+
+// An inFlightCall is a call, or a health check, of a sender to an endpoint.
+type inFlightCall struct {
+	sender       *sender
+	call         *state.Call // nil: a health check
+	target       state.Target
+	id           uint64
+	delay        time.Duration // of the network, one way
+	newConn      bool          // it is the first on its connection
+	overCapacity bool          // its connection is one more than the endpoint takes
+	sent         bool          // its first byte has left
+	done         bool          // the sender waits for it no more
+	ended        map[*state.Attempt]bool
+	startedAt    time.Duration
+}
+
+// Send makes a call, on an idle connection or on a new one. It implements state.Transport, as do Cancel,
+// CancelUnsent, HealthCheck and Disconnect.
+func (sd *sender) Send(c *state.Call) {
+	f := sd.startCall(c.Target)
+	f.call, f.ended = c, map[*state.Attempt]bool{}
+	sd.byCall[c] = f
+	for _, a := range c.Attempts {
+		sd.sim.at(a.Deadline.Sub(virtualStart), func() { f.timeOut(a) })
+	}
+}
+
+// HealthCheck makes a call without a message.
+func (sd *sender) HealthCheck(t state.Target, deadline time.Time) {
+	f := sd.startCall(t)
+	sd.sim.at(deadline.Sub(virtualStart), func() {
+		sd.whenRunning(func() {
+			if f.done {
+				return
+			}
+			if s := sd.sim; f.forget(sd.num, "timeout") {
+				s.environment.Model.Cancel(s.now, f.id, f.target.ID)
+			}
+			f.endAll(state.AttemptResult{Result: control.TimedOut})
+		})
+	})
+}
+
+// Cancel abandons a call.
+func (sd *sender) Cancel(c *state.Call) {
+	if f := sd.byCall[c]; f != nil {
+		sd.sim.at(sd.sim.now, func() { f.cancel(control.Canceled) })
+	}
+}
+
+// CancelUnsent abandons a call whose first byte has not left.
+func (sd *sender) CancelUnsent(c *state.Call) {
+	if f := sd.byCall[c]; f != nil && !f.sent {
+		sd.sim.at(sd.sim.now, func() {
+			if !f.sent {
+				f.cancel(control.NotSent)
+			}
+		})
+	}
+}
+
+// Disconnect closes the idle connections to an endpoint.
+func (sd *sender) Disconnect(endpoint string) {
+	for range sd.idleConns[endpoint] {
+		sd.sim.environment.Model.Disconnect(sd.sim.now, endpoint)
+	}
+	delete(sd.idleConns, endpoint)
+}
+
+// callsOf returns a sender's calls in the order in which they began, since that of a map differs from run to run.
+func (s *Sim) callsOf(sd *sender) []*inFlightCall {
+	return slices.SortedFunc(maps.Keys(sd.inFlight), func(a, b *inFlightCall) int { return cmp.Compare(a.id, b.id) })
+}
+
+// startCall sends on the connection that was idle for the shortest time, or on a new one.
+func (sd *sender) startCall(to state.Target) *inFlightCall {
+	s := sd.sim
+	s.lastCall++
+	f := &inFlightCall{sender: sd, target: to, id: s.lastCall, delay: NetworkDelay(to.Zone, sd.zone), startedAt: s.now}
+	sd.inFlight[f] = true
+	idle := sd.idleConns[to.ID]
+	for len(idle) > 0 && s.now-idle[0] >= idleConnTimeout { // the endpoint has closed these
+		s.environment.Model.Disconnect(s.now, to.ID)
+		idle = idle[1:]
+	}
+	if n := len(idle); n > 0 {
+		sd.idleConns[to.ID] = idle[:n-1]
+		s.at(s.now, f.send)
+		return f
+	}
+	sd.idleConns[to.ID] = idle
+	f.connect()
+	return f
+}
+
+// connect opens a connection and sends on it.
+func (f *inFlightCall) connect() {
+	sd, s := f.sender, f.sender.sim
+	f.newConn = true
+	s.result.Connections++
+	if request, reply := f.links(); !request.Passes() || !reply.Passes() {
+		after := f.delay
+		if !request.Cut && !reply.Cut {
+			after = connectTimeout
+		}
+		s.at(s.now+after, func() {
+			if !sd.dead && !f.done {
+				f.recordFailure()
+			}
+			f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+		})
+		return
+	}
+	s.at(s.now+f.delay, func() {
+		result := s.environment.Model.Connect(s.now, f.target.ID)
+		s.at(s.now+f.delay, func() { f.connected(result) })
+	})
+}
+
+// connected takes the result of an attempt to connect.
+func (f *inFlightCall) connected(result partner.ConnectionResult) {
+	s := f.sender.sim
+	switch {
+	case result == partner.ConnectionRefused:
+		if !f.sender.dead {
+			f.recordFailure()
+		}
+		f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+	case f.done && result == partner.ConnectionOpened:
+		s.environment.Model.Disconnect(s.now, f.target.ID)
+	case !f.done:
+		f.overCapacity = result == partner.ConnectionOverCapacity
+		f.send()
+	}
+}
+
+// links returns the states of the links from its sender to its endpoint and back.
+func (f *inFlightCall) links() (request, reply scenario.LinkState) {
+	return f.sender.sim.link(f.sender.name, f.target.ID), f.sender.sim.link(f.target.ID, f.sender.name)
+}
+
+// recordFailure records that its sender has seen the endpoint fail.
+func (f *inFlightCall) recordFailure() {
+	f.sender.sim.record(audit.Event{
+		Kind: audit.FailureSeen, Sender: f.sender.num, Dest: f.target.Destination, Endpoint: f.target.ID,
+	})
+}
+
+// send sends the first byte. The endpoint has the whole call after the network's delay.
+func (f *inFlightCall) send() {
+	s := f.sender.sim
+	if f.done {
+		f.releaseConn()
+		return
+	}
+	request, reply := f.links()
+	if request.Cut || reply.Cut {
+		s.environment.Model.Disconnect(s.now, f.target.ID)
+		f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+		return
+	}
+	f.sent = true
+	c := partner.Call{
+		ID: f.id, Sender: f.sender.num, Endpoint: f.target.ID, Fresh: f.newConn, OverCapacity: f.overCapacity,
+		HealthCheck: f.call == nil,
+	}
+	var ids []string
+	if f.call != nil {
+		for _, a := range f.call.Attempts {
+			c.Messages = append(c.Messages, partner.Message{ID: a.Message.ID, Key: a.Message.Key, Class: a.Message.Class})
+			ids = append(ids, a.Message.ID)
+		}
+	}
+	s.record(audit.Event{
+		Kind: audit.Sent, Sender: f.sender.num, Call: f.id, Endpoint: f.target.ID, Zone: f.target.Zone,
+		Dest: f.target.Destination, Messages: ids,
+	})
+	s.calls[f.id] = f
+	if !request.Passes() {
+		return // it never arrives: it times out, or a cut breaks its connection
+	}
+	s.at(s.now+f.delay+s.extraDelay(request), func() {
+		if err := s.environment.Model.Call(s.now, c); err != nil { // the endpoint was removed meanwhile
+			s.at(s.now+f.delay, func() { f.receiveAnswer(partner.Answer{Call: f.id, Kind: partner.Reset}) })
+		}
+	})
+}
+
+// releaseConn keeps its connection for the next call.
+func (f *inFlightCall) releaseConn() {
+	sd, s := f.sender, f.sender.sim
+	switch {
+	case f.overCapacity:
+	case sd.dead:
+		s.environment.Model.Disconnect(s.now, f.target.ID)
+	default:
+		sd.idleConns[f.target.ID] = append(sd.idleConns[f.target.ID], s.now)
+	}
+}
+
+// receiveAnswer brings the endpoint's answer to the sender, unless that has stopped waiting.
+func (f *inFlightCall) receiveAnswer(a partner.Answer) {
+	s := f.sender.sim
+	if s.calls[f.id] == nil {
+		return
+	}
+	delete(s.calls, f.id)
+	outcome, cause := OutcomeOf(a.Kind)
+	s.record(audit.Event{
+		Kind: audit.Ended, Sender: f.sender.num, Call: f.id, Outcome: outcome, RetryAfter: a.RetryAfter, Cause: cause,
+	})
+	_, reply := f.links()
+	if a.Kind != partner.Delivered && reply.Passes() {
+		f.recordFailure()
+	}
+	if a.Kind == partner.Delivered && f.call != nil {
+		for _, at := range f.call.Attempts {
+			s.delivered(at.Message.ID)
+		}
+	}
+	if !reply.Passes() {
+		return // the answer does not arrive
+	}
+	if a.Kind != partner.Reset && !f.done {
+		f.releaseConn()
+	}
+	end := attemptResult(a)
+	if after := s.extraDelay(reply); after > 0 {
+		s.at(s.now+after, func() { f.endAll(end) })
+		return
+	}
+	f.endAll(end)
+}
+
+// attemptResult is what an answer of an endpoint means to a sender.
+func attemptResult(a partner.Answer) state.AttemptResult {
+	r := state.AttemptResult{RetryAfter: a.RetryAfter}
+	switch a.Kind {
+	case partner.Delivered:
+		r.Result, r.Final = control.Served, true
+	case partner.Errored:
+		r.Result = control.Failed
+	case partner.Rejected:
+		r.Result = control.Rejected
+	case partner.Reset:
+		r.Result = control.ConnectionLost
+	case partner.Unprocessable:
+		r.Result = control.Unprocessable
+	default:
+		r.Result = control.Unknown
+	}
+	return r
+}
+
+// timeOut ends one attempt. The call is abandoned with its last one.
+func (f *inFlightCall) timeOut(a *state.Attempt) {
+	if f.sender.stopped() {
+		f.sender.whenRunning(func() { f.timeOut(a) })
+		return
+	}
+	if f.done || f.ended[a] {
+		return
+	}
+	f.ended[a] = true
+	f.recordFailure()
+	r := state.AttemptResult{Attempt: a, Result: control.TimedOut, Elapsed: f.sender.sim.now - f.startedAt}
+	if len(f.ended) == len(f.call.Attempts) {
+		f.abandon("timeout")
+	}
+	f.sender.step(state.CallEnded{Call: f.call, Results: []state.AttemptResult{r}})
+}
+
+// cancel abandons the call for the sender's own reasons.
+func (f *inFlightCall) cancel(r control.Result) {
+	if f.done {
+		return
+	}
+	f.abandon("cancelled")
+	f.endAttempts(state.AttemptResult{Result: r})
+}
+
+// endAll ends the call, with one result for all attempts that have none yet.
+func (f *inFlightCall) endAll(r state.AttemptResult) {
+	if f.done {
+		return
+	}
+	f.finish()
+	if f.call == nil {
+		elapsed := f.sender.sim.now - f.startedAt
+		f.sender.step(state.HealthChecked{Target: f.target.Endpoint.ID, Result: r.Result, Elapsed: elapsed})
+		return
+	}
+	f.endAttempts(r)
+}
+
+// endAttempts tells the loop one result for all attempts that have none yet.
+func (f *inFlightCall) endAttempts(r state.AttemptResult) {
+	var results []state.AttemptResult
+	for _, a := range f.call.Attempts {
+		if !f.ended[a] {
+			f.ended[a] = true
+			r.Attempt, r.Elapsed = a, f.sender.sim.now-f.startedAt
+			results = append(results, r)
+		}
+	}
+	f.sender.step(state.CallEnded{Call: f.call, Results: results})
+}
+
+// abandon stops waiting: the connection is closed, though the endpoint may go on with its work.
+func (f *inFlightCall) abandon(cause string) {
+	f.finish()
+	if f.forget(f.sender.num, cause) {
+		f.notifyCanceled()
+	}
+}
+
+// finish marks the call as done.
+func (f *inFlightCall) finish() {
+	f.done = true
+	delete(f.sender.inFlight, f)
+	if f.call != nil {
+		delete(f.sender.byCall, f.call)
+	}
+}
+
+// forget records that a call ended without an answer, and ignores one that still comes. It returns false if there was
+// one, or if the call was not sent.
+func (f *inFlightCall) forget(sender int, cause string) bool {
+	s := f.sender.sim
+	if !f.sent || s.calls[f.id] == nil {
+		return false
+	}
+	delete(s.calls, f.id)
+	s.record(audit.Event{Kind: audit.Ended, Sender: sender, Call: f.id, Outcome: audit.Failed, Cause: cause})
+	return true
+}
+
+// notifyCanceled has the endpoint see, after the network's delay, that the connection was closed.
+func (f *inFlightCall) notifyCanceled() {
+	s := f.sender.sim
+	s.at(s.now+f.delay, func() { s.environment.Model.Cancel(s.now, f.id, f.target.ID) })
+}
--- /dev/null
+++ b/internal/simulation/deliveryreport.go
@@ -0,0 +1,40 @@
+package simulation
+
+import (
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/audit"
+	"cleathold/internal/state"
+)
+
+// reportRetryDelay is the time until a delivery report that did not arrive is sent again.
+const reportRetryDelay = 500 * time.Millisecond
+
+// Report sends a delivery report to the platform. It implements state.Reporter.
+func (sd *sender) Report(report state.DeliveryReport) {
+	sd.sim.at(sd.sim.now+reportAckDelay, func() { sd.whenRunning(func() { sd.deliverReport(report) }) })
+}
+
+// deliverReport has a report arrive, as soon as the platform can be reached. The client of a deferred message may
+// retry it.
+func (sd *sender) deliverReport(report state.DeliveryReport) {
+	s := sd.sim
+	if sd.dead {
+		return // its write-ahead log has the report
+	}
+	if !sd.reachesDiscovery() {
+		s.at(s.now+reportRetryDelay, func() { sd.whenRunning(func() { sd.deliverReport(report) }) })
+		return
+	}
+	s.record(audit.Event{
+		Kind: audit.Notice, Sender: sd.num, Message: report.ID, Deferred: report.Deferred, RetryAfter: report.RetryAfter,
+	})
+	m := s.messages[report.ID]
+	if m != nil && report.Deferred {
+		s.rejected(m, report.ID, report.RetryAfter)
+	} else if m != nil {
+		delete(s.messages, report.ID)
+	}
+	sd.step(state.ReportsAcknowledged{Nums: []control.MessageID{report.Num}})
+}
--- /dev/null
+++ b/internal/simulation/faults.go
@@ -0,0 +1,149 @@
+package simulation
+
+import (
+	"errors"
+	"maps"
+	"os"
+	"slices"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/audit"
+	"cleathold/internal/scenario"
+	"cleathold/internal/state"
+)
+
+// applyChange makes a change to a partner's endpoint. Discovery notifies the senders of it later.
+func (s *Sim) applyChange(c scenario.Change) {
+	notifiedAt, err := s.environment.Apply(s.now, c)
+	if err != nil {
+		s.fail(err)
+	}
+	for num, at := range notifiedAt {
+		s.at(at, func() { s.senders[num].receiveChanges() })
+	}
+}
+
+// inject carries out an action on a sender, unless its process has ended or is about to. "hup" changes nothing in
+// virtual time, where there is no file to read again.
+func (s *Sim) inject(a scenario.PlannedAction) {
+	sd := s.senders[a.Sender]
+	if sd.dead || sd.shuttingDown {
+		return
+	}
+	switch a.What {
+	case "kill":
+		s.record(audit.Event{Kind: audit.Died, Sender: sd.num})
+		sd.exit()
+	case "wipe":
+		s.record(audit.Event{Kind: audit.Died, Sender: sd.num, Cause: audit.Wiped})
+		sd.exit()
+		dir := s.walDirs[sd.num]
+		if err := errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700)); err != nil {
+			s.fail(err)
+		}
+	case "term", "signals":
+		sd.whenRunning(func() {
+			if !sd.dead && !sd.shuttingDown {
+				s.record(audit.Event{Kind: audit.Died, Sender: sd.num})
+				sd.terminate()
+			}
+		})
+	case "stop":
+		sd.stop(a.Until)
+	case "drain":
+		sd.draining = true
+		if a.Until > 0 {
+			s.at(a.Until, func() { s.senders[a.Sender].draining = false })
+		}
+	case "activate":
+		sd.draining = false
+	case "retune":
+		s.settingsUpdates[sd.num] = a
+		set, err := readProfile(s.profile(sd.num), 0)
+		if err != nil {
+			s.fail(err)
+			return
+		}
+		sd.updateSettings(set)
+	}
+}
+
+// profile returns a sender's configuration as it stands.
+func (s *Sim) profile(num int) map[string]any {
+	if a, ok := s.settingsUpdates[num]; ok {
+		return UpdatedSettings(s.plan, a)
+	}
+	return Profile(s.plan, num)
+}
+
+// link returns the state of the link from one party to another.
+func (s *Sim) link(from, to string) scenario.LinkState {
+	if len(s.plan.Links) == 0 {
+		return scenario.LinkState{}
+	}
+	return s.plan.LinkState(s.now, from, to)
+}
+
+// cutBetween reports whether the link between two parties is cut in either direction.
+func (s *Sim) cutBetween(a, b string) bool { return s.link(a, b).Cut || s.link(b, a).Cut }
+
+// extraDelay draws how much longer than on a healthy link something is under way.
+func (s *Sim) extraDelay(l scenario.LinkState) time.Duration {
+	if l.Jitter > 0 {
+		return l.Delay + time.Duration(s.rng.Int64N(int64(l.Jitter)))
+	}
+	return l.Delay
+}
+
+// linksChanged has every sender look at its links.
+func (s *Sim) linksChanged() {
+	for _, sd := range s.senders {
+		sd.linksChanged()
+	}
+}
+
+// linksChanged breaks the connections on links that are cut now, and resumes the watch of discovery where that is
+// reachable again.
+func (sd *sender) linksChanged() {
+	s := sd.sim
+	for _, f := range s.callsOf(sd) {
+		if !f.sent || !s.cutBetween(sd.name, f.target.ID) {
+			continue
+		}
+		if f.forget(sd.num, "reset") {
+			f.notifyCanceled()
+		}
+		f.endAll(state.AttemptResult{Result: control.ConnectionLost})
+	}
+	for _, id := range slices.Sorted(maps.Keys(sd.idleConns)) {
+		if s.cutBetween(sd.name, id) {
+			sd.Disconnect(id)
+		}
+	}
+	reachable := sd.reachesDiscovery()
+	if reachable == sd.unreachable {
+		sd.unreachable = !reachable
+		kind := audit.Unreachable
+		if reachable {
+			kind = audit.ReachableAgain
+		}
+		s.record(audit.Event{Kind: kind, Sender: sd.num})
+	}
+	if reachable {
+		sd.receiveChanges()
+	} else if sd.watching {
+		sd.watching = false
+		s.environment.Polled(s.now, sd.num, false, true)
+		sd.pollFailed()
+	}
+}
+
+// discoveryDown ends the watch as an outage of discovery begins.
+func (sd *sender) discoveryDown() {
+	if sd.watching && !sd.dead {
+		sd.watching = false
+		sd.sim.environment.Polled(sd.sim.now, sd.num, false, true)
+		sd.step(state.ListUpdate{Kind: control.ListFailed})
+	}
+}
--- /dev/null
+++ b/internal/simulation/listupdates.go
@@ -0,0 +1,172 @@
+package simulation
+
+import (
+	"slices"
+	"time"
+
+	"cleathold/control"
+	"cleathold/internal/audit"
+)
+
+const (
+	// maxListDelay is the longest time until discovery notifies a sender of a change.
+	maxListDelay = 3 * time.Second
+	// maxPollInterval is the longest time that a sender may leave between polls: after it, the sender counts as notified
+	// of what was listed before it (WIRE, guarantees.must-ask-in-ms).
+	maxPollInterval = 10 * time.Second
+	// maxPollIntervalAfterFailure is the same where discovery did not answer the last poll.
+	maxPollIntervalAfterFailure = 4 * maxPollInterval
+)
+
+// ListedEndpoint is an endpoint as discovery lists it.
+type ListedEndpoint struct {
+	ID      string
+	Address string // the id of the endpoint that had this address first
+	Dest    int
+	Kind    int
+	Zone    int
+	State   control.EndpointState
+	Weight  float64
+}
+
+// A scheduledUpdate is a change of which discovery tells one sender from a time on.
+type scheduledUpdate struct {
+	due      time.Duration
+	version  int64
+	endpoint ListedEndpoint
+	previous ListedEndpoint // before the change...
+	known    bool           // ...if it was listed
+}
+
+// NotifiedCheckInterval is how often MarkNotified is to be called.
+const NotifiedCheckInterval = 250 * time.Millisecond
+
+// A pollState is what is known of a sender's polls.
+type pollState struct {
+	lastAt   time.Duration // of its last poll, or of the end of its watch
+	watching bool
+	failed   bool // discovery did not answer the last poll
+	notified int  // departures of which it counts as notified, though discovery did not tell it
+}
+
+// A departure is an endpoint that began to drain or was removed.
+type departure struct {
+	at   time.Duration
+	id   string
+	dest int
+}
+
+// announce draws when each sender is notified of a change. No sender is notified of the newer of two changes first.
+func (env *Environment) announce(now time.Duration, previous ListedEndpoint, known bool, id string) []time.Duration {
+	env.version++
+	due := make([]time.Duration, len(env.updates))
+	for i := range env.updates {
+		due[i] = now + time.Duration(env.rng.Float64()*float64(maxListDelay))
+		if n := len(env.updates[i]); n > 0 {
+			due[i] = max(due[i], env.updates[i][n-1].due)
+		}
+		env.updates[i] = append(env.updates[i], scheduledUpdate{due[i], env.version, env.listed[id], previous, known})
+	}
+	return due
+}
+
+// Polled notes that a sender polled discovery or that its watch ended, whether it watches now, and whether discovery
+// failed to answer.
+func (env *Environment) Polled(now time.Duration, sender int, watching, failed bool) {
+	env.polls[sender].lastAt, env.polls[sender].watching, env.polls[sender].failed = now, watching, failed
+}
+
+// Watching reports whether a sender has a poll open at discovery that waits for changes.
+func (env *Environment) Watching(sender int) bool { return env.polls[sender].watching }
+
+// MarkNotified records as notified the senders that have neither watched nor polled for longer than they may.
+func (env *Environment) MarkNotified(now time.Duration) {
+	for i := range env.polls {
+		p := &env.polls[i]
+		interval := maxPollInterval
+		if p.failed {
+			interval = maxPollIntervalAfterFailure
+		}
+		if p.watching || now-p.lastAt < interval {
+			continue
+		}
+		for ; p.notified < len(env.departures) && env.departures[p.notified].at <= now-interval; p.notified++ {
+			d := env.departures[p.notified]
+			env.record(audit.Event{Kind: audit.Notified, Sender: i, Endpoint: d.id, Dest: d.dest, Leaves: true})
+		}
+	}
+}
+
+// DiscoveryOutage reports whether discovery is down, and until when.
+func (env *Environment) DiscoveryOutage(now time.Duration) (until time.Duration, down bool) {
+	for _, b := range env.Plan.DiscoveryOutages {
+		if now >= b.From && now < b.To {
+			return b.To, true
+		}
+	}
+	return 0, false
+}
+
+// ListChanges returns the endpoints that changed after the version since, as far as the sender is notified by now,
+// and the version that it then knows. Where changes after since were forgotten, endpoints is the full list, and full
+// is true. The sender's changes up to since are forgotten.
+func (env *Environment) ListChanges(
+	now time.Duration, sender int, since int64,
+) (endpoints []ListedEndpoint, version int64, full bool) {
+
+	if since < env.baseVersions[sender] {
+		endpoints, version = env.FullList(now, sender)
+		return endpoints, version, true
+	}
+	version = since
+	seen := 0
+	for _, u := range env.updates[sender] {
+		if u.due > now {
+			break
+		}
+		if u.version <= since {
+			seen++
+			continue
+		}
+		endpoints, version = append(endpoints, u.endpoint), u.version
+	}
+	if seen > 0 {
+		env.baseVersions[sender] = env.updates[sender][seen-1].version
+		env.updates[sender] = slices.Delete(env.updates[sender], 0, seen)
+	}
+	return endpoints, version, false
+}
+
+// NextListUpdate returns when a sender is notified of a change after the version since; false where there is none.
+func (env *Environment) NextListUpdate(sender int, since int64) (time.Duration, bool) {
+	for _, u := range env.updates[sender] {
+		if u.version > since {
+			return u.due, true
+		}
+	}
+	return 0, false
+}
+
+// FullList returns the endpoint list as discovery tells it to a sender now, and its version.
+func (env *Environment) FullList(now time.Duration, sender int) ([]ListedEndpoint, int64) {
+	version := env.baseVersions[sender]
+	pending := map[string]scheduledUpdate{}
+	for _, u := range slices.Backward(env.updates[sender]) {
+		if u.due > now {
+			pending[u.endpoint.ID] = u // the earliest one stays
+			continue
+		}
+		version = max(version, u.version)
+	}
+	var endpoints []ListedEndpoint
+	for _, id := range env.order {
+		l, known := env.listed[id], true
+		if u, ok := pending[id]; ok {
+			l, known = u.previous, u.known
+		}
+		if known && l.State != control.Removed {
+			endpoints = append(endpoints, l)
+		}
+	}
+	return endpoints, version
+}
--- /dev/null
+++ b/internal/simulation/orders.go
@@ -0,0 +1,94 @@
+package simulation
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"cleathold/internal/rollout"
+	"cleathold/internal/scenario"
+)
+
+// orderTimeout is how long staff repeat an order that no agent takes.
+const orderTimeout = 10 * time.Second
+
+// failingProgram names a program that ends before it is ready.
+const failingProgram = "ends at its start"
+
+// releaseGate is the gate of a scenario's releases: short, since scenarios last a minute or two.
+var releaseGate = rollout.Gate{MinMessages: 5, Soak: time.Second, Wait: 10 * time.Second, Slack: 0.5}
+
+// submitOrder has staff give an order to the first agent that runs and is connected to the leader, beginning with the
+// one that the order names; and again after a while where there is none.
+func (a *agents) submitOrder(o scenario.PlannedOrder, until time.Duration) {
+	s := a.sim
+	c := rollout.Command{By: "staff", Reason: "the scenario", At: s.clock()}
+	for i := range a.members {
+		ag := a.members[(o.Agent+i)%len(a.members)]
+		if a.leader == nil || !ag.running() || !ag.connectedTo(a.leader) {
+			continue
+		}
+		l := a.leader
+		if !a.fillCommand(&c, o) {
+			return
+		}
+		c.Seen = l.state.Seen(l.observations, s.clock())
+		if err := a.propose(c); !errors.Is(err, errNoLeader) {
+			return
+		}
+	}
+	if s.now < until {
+		s.at(s.now+500*time.Millisecond, func() { a.submitOrder(o, until) })
+	}
+}
+
+// fillCommand sets what a command has to do for an order. It returns false where the order is about a plan and there
+// is none.
+func (a *agents) fillCommand(c *rollout.Command, o scenario.PlannedOrder) bool {
+	switch o.What {
+	case "drain":
+		c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{o.Of}, Hold: o.Hold}
+	case "release":
+		to := rollout.Version{Name: fmt.Sprint("r", len(a.log)), Program: fmt.Sprint("p", len(a.log))}
+		if o.Bad {
+			to.Program = failingProgram
+		}
+		c.Verb = rollout.Start
+		c.New = &rollout.Plan{
+			Kind: rollout.Release, To: to, RollBackOnFailure: o.GoBack, Stages: [][]string{o.Of}, Gate: releaseGate,
+		}
+	default:
+		plans := a.leader.state.Plans
+		if len(plans) == 0 {
+			return false
+		}
+		p := plans[len(plans)-1]
+		c.Verb = map[string]rollout.Verb{"halt": rollout.Halt, "resume": rollout.Resume, "back": rollout.RollBack}[o.What]
+		c.Plan, c.Revision = p.ID, p.Revision
+	}
+	return true
+}
+
+// reactivate has staff put back into service what a halted drain left out, until nothing is left.
+func (a *agents) reactivate() {
+	s := a.sim
+	if l := a.leader; l != nil {
+		for _, p := range l.state.Plans {
+			if !p.Phase.Open() {
+				continue
+			}
+			var out []string
+			for name, t := range p.Tasks {
+				if t.Step == rollout.Out {
+					out = append(out, name)
+				}
+			}
+			if len(out) > 0 && p.Phase == rollout.Halted {
+				a.propose(rollout.Command{
+					Verb: rollout.Activate, At: s.clock(), By: "staff", Reason: "the end", Plan: p.ID, Senders: l.state.Order(out),
+				})
+			}
+		}
+	}
+	s.at(s.now+time.Second, a.reactivate)
+}
--- /dev/null
+++ b/internal/simulation/submission.go
@@ -0,0 +1,178 @@
+package simulation
+
+import (
+	"slices"
+	"time"
+
+	"cleathold/internal/audit"
+	"cleathold/internal/scenario"
+	"cleathold/internal/state"
+)
+
+// pendingSubmission is a submission whose client waits for the response.
+type pendingSubmission struct {
+	id       string
+	response <-chan state.Response
+}
+
+// scheduleArrival schedules the next message that a client wants delivered; that one schedules the next.
+func (s *Sim) scheduleArrival() {
+	a, ok := s.arrivals.Next()
+	if !ok {
+		return
+	}
+	s.at(a.At, func() {
+		s.record(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
+		s.submit(&ClientRequest{Arrival: a})
+		s.scheduleArrival()
+	})
+}
+
+// pickSender is the load balancer in front of the senders: it draws one that is not known to be unavailable, or any
+// where all are.
+func (s *Sim) pickSender() *sender {
+	first := s.rng.IntN(len(s.senders))
+	for i := range s.senders {
+		sd := s.senders[(first+i)%len(s.senders)]
+		if !sd.knownUnavailable(s.now) {
+			return sd
+		}
+	}
+	return s.senders[first]
+}
+
+// submit has a client submit or resubmit a message, unless its time is over.
+func (s *Sim) submit(m *ClientRequest) {
+	timeLeft := m.TimeLeft(s.plan.Scenario, s.now)
+	if timeLeft <= 0 {
+		return
+	}
+	to := s.pickSender()
+	link := s.link(scenario.Clients, to.name)
+	if !to.accepting || link.Cut {
+		s.submissionLost(m)
+		return
+	}
+	id, resubmitted := m.NextSubmission()
+	key := m.Key(s.plan.Scenario)
+	s.messages[id] = m
+	submitted := audit.Event{
+		Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key,
+		N: m.N, Tenant: m.Tenant,
+	}
+	if link.Silent {
+		s.record(submitted)
+		s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, to) })
+		return
+	}
+	s.at(s.now+clientDelay+s.extraDelay(link), func() {
+		s.record(submitted)
+		if !to.accepting { // it has ended meanwhile
+			s.senderLost(m, id, to)
+			return
+		}
+		to.submit(&state.Message{
+			ID: id, Class: m.Class, Tenant: m.Tenant, Destination: m.Dest, Deadline: virtualStart.Add(s.now + timeLeft),
+			Resubmitted: resubmitted, Body: make([]byte, m.Size), Key: key,
+		})
+		if s.responsesMayFail {
+			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { to.clientTimeout(m, id) })
+		}
+	})
+}
+
+// submit gives the loop a message and waits for its response.
+func (sd *sender) submit(m *state.Message) {
+	response := make(chan state.Response, 1)
+	sd.submissions = append(sd.submissions, pendingSubmission{m.ID, response})
+	sd.step(state.Submitted{Response: response, Message: m})
+}
+
+// answerClients passes the responses that are there to their clients. It returns what the loop has to know of them.
+func (sd *sender) answerClients() []state.Event {
+	var written []state.Event
+	remaining := sd.submissions[:0]
+	for _, pending := range sd.submissions {
+		select {
+		case r := <-pending.response:
+			if e, ok := sd.respond(pending.id, r); ok {
+				written = append(written, e)
+			}
+		default:
+			remaining = append(remaining, pending)
+		}
+	}
+	sd.submissions = remaining
+	return written
+}
+
+// respond passes a response to its client. It returns false where the loop need not know whether it arrived.
+func (sd *sender) respond(id string, r state.Response) (state.ResponseWritten, bool) {
+	s := sd.sim
+	m := s.messages[id]
+	// Either nobody waits any more, or the response does not arrive.
+	if link := s.link(sd.name, scenario.Clients); m == nil || !link.Passes() {
+		if m != nil && link.Cut {
+			s.senderLost(m, id, sd)
+		} else if m != nil {
+			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, sd) })
+		}
+		return state.ResponseWritten{ID: id, OK: m != nil && link.Silent}, r.Accepted
+	}
+	if r.Accepted {
+		s.record(audit.Event{Kind: audit.Accepted, Sender: sd.num, Message: id})
+		return state.ResponseWritten{ID: id, OK: true}, true
+	}
+	s.record(audit.Event{Kind: audit.Rejected, Sender: sd.num, Message: id, RetryAfter: r.RetryAfter})
+	if !r.Permanent {
+		s.rejected(m, id, r.RetryAfter)
+	}
+	return state.ResponseWritten{}, false
+}
+
+// clientTimeout ends a client's wait, unless it has its response.
+func (sd *sender) clientTimeout(m *ClientRequest, id string) {
+	waits := func(p pendingSubmission) bool { return p.id == id }
+	if sd.sim.messages[id] == m && slices.ContainsFunc(sd.submissions, waits) {
+		sd.sim.responseTimedOut(m, id, sd)
+	}
+}
+
+// responseTimedOut has a client that waited long enough resubmit its message.
+func (s *Sim) responseTimedOut(m *ClientRequest, id string, sd *sender) {
+	s.record(audit.Event{Kind: audit.Abandoned, Sender: sd.num, Message: id, Cause: "timeout"})
+	delete(s.messages, id)
+	if !m.Done {
+		s.submissionLost(m)
+	}
+}
+
+// senderLost has a client whose connection broke resubmit its message.
+func (s *Sim) senderLost(m *ClientRequest, id string, sd *sender) {
+	s.record(audit.Event{Kind: audit.Abandoned, Sender: sd.num, Message: id, Cause: "died"})
+	delete(s.messages, id)
+	s.submissionLost(m)
+}
+
+// submissionLost has a client resubmit, after a while, a message that nobody answered for.
+func (s *Sim) submissionLost(m *ClientRequest) {
+	if after, ok := m.Unanswered(s.plan.Scenario, s.rng); ok {
+		s.at(s.now+after, func() { s.submit(m) })
+	}
+}
+
+// rejected has a client retry a rejected message, as often as the scenario says.
+func (s *Sim) rejected(m *ClientRequest, id string, retryAfter time.Duration) {
+	delete(s.messages, id)
+	if after, ok := m.Rejected(s.plan.Scenario, s.rng, retryAfter); ok {
+		s.at(s.now+after, func() { s.submit(m) })
+	}
+}
+
+// delivered ends a message for its client.
+func (s *Sim) delivered(id string) {
+	if m := s.messages[id]; m != nil {
+		m.Done = true
+		delete(s.messages, id)
+	}
+}
