--- a/internal/state/call.go
+++ b/internal/state/call.go
@@ -1,6 +1,7 @@
 package state
 
 import (
+	"cmp"
 	"slices"
 	"time"
 
@@ -176,18 +177,36 @@
 // withhold keeps back the calls to some endpoints that were decided on before and have not left. One that still waits
 // for its connection, or for its client to be answered, would leave only after what is known since.
 func (l *Loop) withhold(affected func(t Target) bool) {
-	for c := range l.inFlight {
-		if !affected(c.Target) {
-			continue
-		}
+	for _, c := range l.inFlightInOrder(affected) {
 		if c.withheld = !c.launched; c.launched {
 			l.transport.CancelUnsent(c)
 		}
 	}
 }
 
+// inFlightInOrder returns the calls in flight to some endpoints in the order of their first attempts. That of the map
+// differs from run to run, and the order in which calls are canceled is that in which their messages are queued again.
+func (l *Loop) inFlightInOrder(selected func(t Target) bool) []*Call {
+	var calls []*Call
+	for c := range l.inFlight {
+		if selected(c.Target) {
+			calls = append(calls, c)
+		}
+	}
+	slices.SortFunc(calls, func(a, b *Call) int {
+		if len(a.Attempts) == 0 || len(b.Attempts) == 0 {
+			return len(a.Attempts) - len(b.Attempts)
+		}
+		first, second := a.Attempts[0], b.Attempts[0]
+		return cmp.Or(cmp.Compare(first.num, second.num), cmp.Compare(first.attempt, second.attempt))
+	})
+	return calls
+}
+
+func anyTarget(Target) bool { return true }
+
 // withholdAll withholds all calls that have not left.
-func (l *Loop) withholdAll() { l.withhold(func(Target) bool { return true }) }
+func (l *Loop) withholdAll() { l.withhold(anyTarget) }
 
 // withholdUnavailable withholds the calls to endpoints that are not to be sent anything new.
 func (l *Loop) withholdUnavailable() {
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -132,7 +132,7 @@
 		}
 	}
 	call := 0
-	for c := range l.inFlight {
+	for _, c := range l.inFlightInOrder(anyTarget) {
 		if !c.launched { // its client was not answered in time: it never leaves
 			delete(l.inFlight, c)
 			continue
