--- a/internal/endpointgroup/departures.go
+++ b/internal/endpointgroup/departures.go
@@ -90,7 +90,7 @@
 		err = atomicfile.Write(d.path, text)
 	}
 	if err != nil {
-		d.log.Warn("departures not kept for the next start", "err", err)
+		d.log.Warn("departures not written", "err", err)
 		return
 	}
 	d.dirty = false
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -36,7 +36,7 @@
 		now, err = s.updateSettings(old, c)
 	}
 	if err != nil {
-		s.log.Error("configuration not read again, the old one stays in force", "err", err)
+		s.log.Error("configuration reload failed, the old one stays in force", "err", err)
 		return old
 	}
 	if c.Discovery != old.Discovery {
--- a/internal/simulation/sameevents_test.go
+++ b/internal/simulation/sameevents_test.go
@@ -8,8 +8,8 @@
 	"cleathold/internal/scenario"
 )
 
-// The same seed gives the same events, also where a change of the endpoint list cancels several unsent calls at once: seed
-// 1 of this scenario does so, and the order of their cancellation shows in the order of messages within a later call.
+// The same seed gives the same events, also where a change of the endpoint list cancels several unsent calls at once.
+// Seed 1 of this scenario does so: the order of their cancellation shows in the order of messages within a later call.
 func TestSameSeedSameEvents(t *testing.T) {
 	sc, err := scenario.Load("../../examples/scenarios/large.star", nil)
 	if err != nil {
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -13,6 +13,7 @@
 	"cleathold/internal/audit"
 	"cleathold/internal/harness"
 	"cleathold/internal/scenario"
+	"cleathold/internal/state"
 )
 
 // Report is the result of a case.
@@ -22,7 +23,7 @@
 }
 
 // forbiddenLogLines are parts of log lines that mean a fault of the program.
-var forbiddenLogLines = []string{"a call left that should not have", "panic:", "fatal error:", "DATA RACE", "send that must not be"}
+var forbiddenLogLines = []string{state.LogCallAgainstRule, state.LogInvalidSend, "panic:", "fatal error:", "DATA RACE"}
 
 // maxLogLine bounds the length of a line of a log.
 const maxLogLine = 1 << 20
--- a/internal/state/actions.go
+++ b/internal/state/actions.go
@@ -30,9 +30,9 @@
 	l.addToCall(e, t, attempt)
 }
 
-// rejectSend ends a send that the controller must not have asked for. Package soak looks for its log line.
+// rejectSend ends a send that the controller must not have asked for. Package soak looks for LogInvalidSend.
 func (l *Loop) rejectSend(id control.MessageID, to control.EndpointID, e *entry) {
-	l.log.Error("send that must not be", "message", id, "endpoint", to)
+	l.log.Error(LogInvalidSend, "message", id, "endpoint", to)
 	attempt := 0
 	if e != nil {
 		attempt = e.attempts
--- a/internal/state/sendcheck.go
+++ b/internal/state/sendcheck.go
@@ -5,6 +5,12 @@
 	"cleathold/internal/permit"
 )
 
+// Log lines of faults in this program. Package soak fails a run whose log has one of them.
+const (
+	LogCallAgainstRule = "call sent against a rule"               // found after it left
+	LogInvalidSend     = "send of an unknown message or endpoint" // asked for by the controller, and not made
+)
+
 // A send that the controller decided on is checked for the last time as its call is about to leave (package permit).
 // The result of a call tells when its first byte was written, which is checked by the same rules: a violation is
 // counted and logged, and never goes unseen.
@@ -46,14 +52,14 @@
 	return false
 }
 
-// checkSent checks when a call left, once its result is known. Package soak looks for its log line.
+// checkSent checks when a call left, once its result is known. Package soak looks for LogCallAgainstRule.
 func (l *Loop) checkSent(c *Call, r AttemptResult) {
 	if r.SentAt.IsZero() {
 		return
 	}
 	if denial := l.permitRules().CheckSent(r.SentAt, l.permitRoute(c.Target)); denial != permit.Allowed {
 		l.counters.violations[denial].Add(1)
-		l.log.Error("a call left that should not have", "reason", denial, "message", r.Attempt.Message.ID,
+		l.log.Error(LogCallAgainstRule, "reason", denial, "message", r.Attempt.Message.ID,
 			"attempt", r.Attempt.attempt, "endpoint", c.Target.ID, "elapsed", l.now.Sub(r.SentAt))
 	}
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -124,13 +124,13 @@
 	s.Entities(func(e store.Entity) bool {
 		records, err := s.Load(e.ID)
 		if err != nil { // the disk has lost it since it was opened
-			log.Error("message unreadable in the log", "message", e.ID, "err", err)
+			log.Error("message unreadable in the write-ahead log", "message", e.ID, "err", err)
 			failed = err
 			return false
 		}
 		for _, record := range records {
 			if len(record.Data) < 2 || !r.apply(record.Data) {
-				log.Warn("record left out: it makes no sense", "message", e.ID, "lsn", record.LSN)
+				log.Warn("inconsistent record skipped", "message", e.ID, "lsn", record.LSN)
 			}
 		}
 		if entry := r.entries[control.MessageID(e.ID)]; entry != nil && e.Doubtful {
@@ -140,7 +140,7 @@
 		return true
 	})
 	if damaged > 0 {
-		log.Warn("log damaged, what reads is kept", "damages", len(s.Damages()), "messages", damaged)
+		log.Warn("write-ahead log damaged, readable records kept", "damages", len(s.Damages()), "messages", damaged)
 	}
 	return r.live(), failed
 }
--- a/internal/wal/singlefile.go
+++ b/internal/wal/singlefile.go
@@ -38,7 +38,7 @@
 	if err := importEntries(dir, limit, entries, log); err != nil {
 		return fmt.Errorf("journal: take-over: %w", err)
 	}
-	log.Info("log of an older program imported", "messages", len(entries))
+	log.Info("single-file log imported", "messages", len(entries))
 	return os.Remove(filepath.Join(dir, singleFileName))
 }
 
@@ -105,7 +105,7 @@
 	}
 	r := newReplay(nil)
 	if unread := r.applyFramed(data); unread > 0 {
-		log.Warn("log damaged or torn, what reads is kept", "bytes", len(data), "unread", unread)
+		log.Warn("single-file log damaged or torn, readable records kept", "bytes", len(data), "unread", unread)
 	}
 	return r, nil
 }
--- a/internal/wal/timebase.go
+++ b/internal/wal/timebase.go
@@ -50,7 +50,7 @@
 func OpenTimeBase(dir string, log *slog.Logger) *TimeBase {
 	current, err := AnchorNow()
 	if err != nil {
-		log.Warn("no monotonic clock, times go by the wall clock", "err", err)
+		log.Warn("no monotonic clock, spans follow the wall clock", "err", err)
 		return nil
 	}
 	stored, err := readAnchor(dir)
@@ -59,7 +59,7 @@
 	}
 	current.Stamp = max(current.Stamp, stored.Stamp)
 	if err := WriteAnchor(dir, current); err != nil {
-		log.Warn("time base not kept", "err", err)
+		log.Warn("time base not written", "err", err)
 	}
 	return NewTimeBase(current.zero, current.Stamp)
 }
