--- /dev/null
+++ b/control/controller_test.go
@@ -0,0 +1,224 @@
+package control
+
+import (
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// TestModuleSize keeps each file of the module within its limits, and has deploy/balancer.toml name them all.
+func TestModuleSize(t *testing.T) {
+	const maxLines, maxColumns = 500, 120
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	policy := regexp.MustCompile(`(?m)^policy = \[(.*?)\]`).FindSubmatch(deploy)
+	if policy == nil {
+		t.Fatal("deploy/balancer.toml has no policy list")
+	}
+	var named []string
+	for _, path := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(policy[1], -1) {
+		named = append(named, string(path[1]))
+	}
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var present []string
+	for _, file := range files {
+		if strings.HasSuffix(file, "_test.go") {
+			continue
+		}
+		present = append(present, "control/"+file)
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+		if len(lines) > maxLines {
+			t.Errorf("%s has %d lines; %d at most", file, len(lines), maxLines)
+		}
+		for i, line := range lines {
+			if len(line) > maxColumns {
+				t.Errorf("%s:%d: longer than %d: %q", file, i+1, maxColumns, line)
+			}
+		}
+	}
+	if len(present) == 0 {
+		t.Error("no file found")
+	}
+	slices.Sort(named)
+	if !slices.Equal(named, present) {
+		t.Errorf("policy list of deploy/balancer.toml:\n%v, want\n%v", named, present)
+	}
+}
+
+// TestFuzz plays seeded days of legal and odd events and holds every action
+// to the rules; each day is played twice and must give the same actions.
+func TestFuzz(t *testing.T) {
+	for seed := range uint64(60) {
+		first, second := fuzzDay(t, seed), fuzzDay(t, seed)
+		if !slices.Equal(first, second) {
+			t.Fatalf("seed %d: the same events gave other actions", seed)
+		}
+	}
+}
+
+func fuzzDay(t *testing.T, seed uint64) []string {
+	rng := rand.New(rand.NewPCG(seed, 7))
+	set := settings()
+	set.Seed = seed
+	set.Kinds = []Kind{{MaxBatch: 1 + rng.IntN(4), SeparateRoutes: rng.IntN(3) == 0}}
+	set.WeightHalves = rng.IntN(2) == 0
+	set.CanHealthCheck = rng.IntN(2) == 0
+	set.PollsList = rng.IntN(2) == 0
+	set.WeightKind = WeightKind(rng.IntN(3))
+	set.AllowHedging = rng.IntN(2) == 0
+	for i := range set.Classes {
+		set.Classes[i].Ordered = rng.IntN(2) == 0
+		set.Classes[i].KeyZoneScoped = rng.IntN(2) == 0
+	}
+	r := newRecorder(t, set)
+	id := MessageID(0)
+	results := []Result{Served, Served, Served, Served, Failed, Rejected, TimedOut, ConnectFailed, ConnectionRejected, ConnectionLost, Unknown, NotSent}
+	for range 1500 {
+		switch rng.IntN(12) {
+		case 0, 1, 2, 3:
+			id++
+			class := rng.IntN(len(set.Classes))
+			left := time.Duration(rng.Int64N(int64(set.Classes[class].Deadline)))
+			if rng.IntN(20) == 0 {
+				left = -ms
+			}
+			r.hand(Message{ID: id, Class: class, Destination: rng.IntN(4), TimeLeft: left, Key: uint64(rng.IntN(3))})
+		case 4:
+			e := EndpointID(rng.IntN(9))
+			r.lists(ListDelta, Endpoint{ID: e, Destination: int(e) % 3, Zone: int(e) % 2, State: EndpointState(rng.IntN(3)),
+				Weight: 1 + 9*rng.Float64()})
+		case 5:
+			r.c.AttemptDone(r.now, Outcome{ID: MessageID(rng.IntN(100) + 1000000), Result: Served})
+			r.c.Abandon(r.now, MessageID(rng.IntN(100)+1000000))
+			r.c.Decide(r.now)
+			r.c.TimerFired(r.now, rng.Uint32())
+			r.c.Decide(r.now)
+			r.c.UpdateEndpoints(r.now, ListFailed, nil)
+			r.c.Decide(r.now)
+		case 6:
+			if len(r.probes) > 0 {
+				res := results[rng.IntN(len(results))]
+				if res == NotSent {
+					res = TimedOut
+				}
+				r.c.HealthChecked(r.now, r.probes[0], res, 20*ms, nil)
+				r.c.Decide(r.now)
+				r.probes = r.probes[1:]
+			}
+		case 7:
+			if id > 0 {
+				gone := MessageID(1 + rng.IntN(int(id)))
+				if m := r.msgs[gone]; m.final == "" {
+					m.final = "gone"
+					r.c.Abandon(r.now, gone)
+					r.c.Decide(r.now)
+				}
+			}
+		default:
+			r.pass(time.Duration(1+rng.IntN(20)) * set.Tick)
+			for _, a := range r.arrivals {
+				if m := r.msgs[a]; m.out && rng.IntN(3) > 0 {
+					res := results[rng.IntN(len(results))]
+					wait := time.Duration(0)
+					if res == Rejected && rng.IntN(2) == 0 {
+						wait = time.Duration(rng.IntN(1500)) * ms
+					}
+					r.answer(a, res, wait, float32(rng.Float64()), float32(rng.IntN(10)))
+				}
+			}
+		}
+	}
+	r.pass(10 * time.Second)
+	for _, a := range r.arrivals {
+		if m := r.msgs[a]; m.final == "" {
+			t.Fatalf("seed %d: message %d never answered", seed, a)
+		}
+	}
+	if r.c.callsInFlight != 0 || len(r.c.messages) != 0 || len(r.c.openMessages) != 0 {
+		t.Fatalf("seed %d: %d slots, %d messages left over", seed, r.c.callsInFlight, len(r.c.messages))
+	}
+	return r.trace
+}
+
+// Messages withdrawn by their clients get no answer, and their slots come free.
+func TestAbandonFreesAll(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.ready(0, 1)
+	m := r.arrive(1, 0, 0)
+	m.final = "gone"
+	r.c.Abandon(r.now, 1)
+	r.c.Decide(r.now)
+	r.pass(20 * ms)
+	r.answer(1, TimedOut, 0)
+	if r.c.callsInFlight != 0 || len(r.c.messages) != 0 || m.sends != 1 {
+		t.Fatalf("%d slots, %d messages, %d sends", r.c.callsInFlight, len(r.c.messages), m.sends)
+	}
+}
+
+// A streamed answer that has started belongs to the client: no time-out, no last call.
+func TestStreamOutlivesDeadline(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.ready(0, 1)
+	m := r.arrive(1, 0, 0)
+	m.timeout, m.due = time.Hour, time.Hour*100
+	r.c.StreamStarted(r.now, 1)
+	r.c.Decide(r.now)
+	r.pass(20 * time.Second)
+	if m.final != "" || !m.out {
+		t.Fatalf("ended %q", m.final)
+	}
+	r.answer(1, Served, 0)
+	if r.c.callsInFlight != 0 {
+		t.Fatal("slot not freed")
+	}
+}
+
+// Only destinations with work are visited: those listed or done with cost nothing at an event.
+func TestIdleDestinationsAreNotVisited(t *testing.T) {
+	r := newRecorder(t, settings())
+	for dest := range 200 {
+		r.ready(dest, 1)
+		r.arrive(MessageID(dest+1), 0, dest)
+		r.serve(20*ms, 10*ms)
+	}
+	r.serve(50*ms, 10*ms)
+	r.arrive(900, 0, 7)
+	if len(r.c.busy) != 1 || r.c.busy[0].id != 7 {
+		t.Fatalf("%d destinations are visited, want one", len(r.c.busy))
+	}
+}
+
+// Sends of one instant to one endpoint share a call: one slot until all are answered.
+func TestBatchSharesSlot(t *testing.T) {
+	set := settings()
+	set.Kinds[0].MaxBatch = 3
+	set.MaxInFlight = 2
+	r := newRecorder(t, set)
+	r.ready(0, 1)
+	for id := MessageID(1); id <= 4; id++ {
+		r.arrive(id, 0, 0)
+	}
+	if r.c.callsInFlight > 2 || !r.msgs[3].out {
+		t.Fatalf("%d slots for a call of three", r.c.callsInFlight)
+	}
+	r.pass(20 * ms)
+	r.answer(1, Served, 0)
+	r.answer(2, Served, 0)
+	if before := r.c.destination(0).callsInFlight; before == 0 {
+		t.Fatal("the slot was freed before all were answered")
+	}
+}
--- /dev/null
+++ b/control/endpointlist_test.go
@@ -0,0 +1,152 @@
+package control
+
+import (
+	"testing"
+	"time"
+)
+
+func TestDrainStopsSends(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.ready(0, 1)
+	r.lists(ListDelta, Endpoint{ID: 0, Destination: 0, State: Draining})
+	m := r.arrive(1, 0, 0)
+	r.pass(time.Second)
+	if m.sends != 0 {
+		t.Fatal("sent to a draining endpoint")
+	}
+	r.lists(ListFull, Endpoint{ID: 7, Destination: 0, State: Ready})
+	if !m.out || m.to != 7 {
+		t.Fatal("not sent to the new endpoint")
+	}
+}
+
+// Where the list answers only when asked, a failure is followed by asking again.
+func TestPollAfterFailure(t *testing.T) {
+	set := settings()
+	set.PollsList = true
+	r := newRecorder(t, set)
+	r.lists(ListCached, Endpoint{ID: 1, State: Ready})
+	if r.watches != 1 {
+		t.Fatalf("asked %d times at the start", r.watches)
+	}
+	r.lists(ListFailed)
+	r.pass(set.MaxPollInterval / 2)
+	if r.watches < 2 {
+		t.Fatal("not asked again after a failure")
+	}
+	r.lists(ListDelta)
+	n := r.watches
+	r.pass(set.MaxPollInterval)
+	if r.watches != n {
+		t.Fatal("asked again though subscribed")
+	}
+}
+
+// Discovery works through asks in turn, also through those whose askers have given up after two seconds. Of 80
+// senders that start at one instant each is told within ten seconds, and discovery is never asked much more than
+// it can answer.
+func TestLargeFleetSpreadsPolls(t *testing.T) {
+	const senders, step, perStep = 80, 100 * ms, 1.5 // 15 asks a second
+	type ask struct {
+		by int
+		at time.Duration
+	}
+	var queue []ask
+	fleet, seen, told := make([]*recorder, senders), make([]int, senders), make([]bool, senders)
+	for i := range fleet {
+		set := settings()
+		set.PollsList, set.FleetSize, set.Seed = true, senders, uint64(i)
+		fleet[i] = newRecorder(t, set)
+		fleet[i].lists(ListCached, Endpoint{ID: 1, State: Ready})
+	}
+	done, asks, room := 0, 0, 0.0
+	var last time.Duration
+	for now := time.Duration(0); now < 30*time.Second; now += step {
+		for i, r := range fleet {
+			if n := r.watches - seen[i]; n > 0 {
+				queue, asks, seen[i] = append(queue, ask{i, now}), asks+n, r.watches
+			}
+		}
+		for room += perStep; room >= 1 && len(queue) > 0; room-- {
+			q := queue[0]
+			queue = queue[1:]
+			if now-q.at <= 2*time.Second {
+				fleet[q.by].lists(ListDelta)
+				told[q.by], done, last = true, done+1, now
+			} else if now-q.at <= 2*time.Second+step { // worked off as it gives up, and not told below
+				fleet[q.by].lists(ListFailed)
+			}
+		}
+		for i := range queue { // they give up, but discovery still comes to them
+			if q := &queue[i]; now-q.at > 2*time.Second && now-q.at <= 2*time.Second+step {
+				fleet[q.by].lists(ListFailed)
+			}
+		}
+		room = min(room, perStep)
+		for _, r := range fleet {
+			r.pass(step)
+		}
+	}
+	if done < senders || last > 10*time.Second || asks > 2*senders {
+		t.Fatalf("%d of %d told, the last after %v, with %d asks", done, senders, last, asks)
+	}
+}
+
+// Time between asks grows with the fleet as far as the list may be old, and no further; so does that after failures,
+// however many: what discovery has counts as told 6 s after it could be reached, and an ask takes its time, too.
+func TestPollSpreadIsBounded(t *testing.T) {
+	for _, c := range []struct {
+		siblings             int
+		mustAsk, spread, ask time.Duration // ask: the longest wait after failures
+	}{
+		{4, 10 * time.Second, 0, 1500 * ms},
+		{4, 60 * time.Second, 0, 3600 * ms},
+		{20, 10 * time.Second, 1 * time.Second, 1500 * ms},
+		{80, 10 * time.Second, 4000 * ms, 3600 * ms},
+		{300, 10 * time.Second, 4300 * ms, 3600 * ms},
+		{1000, 10 * time.Second, 4300 * ms, 3600 * ms},
+		{1000, 2 * time.Second, 1600 * ms, 2400 * ms},
+		{1000, 0, 4300 * ms, 3600 * ms},
+	} {
+		set := settings()
+		set.FleetSize, set.MaxPollInterval, set.PollsList = c.siblings, c.mustAsk, true
+		if got := set.PollSpread(); got != c.spread {
+			t.Errorf("%+v: %v", c, got)
+		}
+		// What is told at one instant is known in 6 s by all, an answer of 1.2 s included; the rest is a tenth longer at most.
+		if known := c.spread + c.spread/10 + 1200*ms; known >= 6*time.Second {
+			t.Errorf("%+v: known after %v", c, known)
+		}
+		longest := time.Duration(0)
+		for seed := range uint64(40) {
+			set.Seed = seed
+			r := newRecorder(t, set)
+			for range 8 {
+				r.c.listPolling = true
+				r.c.UpdateEndpoints(r.now, ListFailed, nil)
+				longest = max(longest, r.c.nextPoll-r.now)
+			}
+		}
+		if longest > c.ask || longest < c.ask/2 {
+			t.Errorf("%+v: %v after failures", c, longest)
+		}
+	}
+}
+
+// Endpoints that left long ago are forgotten, with the destinations they were
+// all of; one that comes back soon is known with its failures.
+func TestRemovedEndpointsArePruned(t *testing.T) {
+	r := newRecorder(t, settings())
+	for i := range 200 {
+		r.lists(ListDelta, Endpoint{ID: EndpointID(1000 + i), Destination: 50 + i, State: Ready})
+		r.lists(ListDelta, Endpoint{ID: EndpointID(1000 + i), Destination: 50 + i, State: Removed})
+		if r.c.endpoints[EndpointID(1000+i)] == nil {
+			t.Fatal("forgotten at once")
+		}
+		r.pass(time.Second)
+	}
+	keep := int((2*r.c.settings.WarmUp+r.c.settings.OverloadWindow+r.c.settings.DrainGrace)/time.Second) + 1
+	if len(r.c.endpoints) > keep || len(r.c.destinations) > keep {
+		t.Errorf("%d endpoints and %d destinations known, %d at most", len(r.c.endpoints), len(r.c.destinations), keep)
+	}
+}
--- /dev/null
+++ b/control/loadbalancer_test.go
@@ -0,0 +1,91 @@
+package control
+
+import "testing"
+
+// An endpoint that failed is tried again when the one that serves is busy.
+func TestFailedEndpointIsRetried(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.ready(0, 2)
+	r.arrive(1, 0, 0)
+	failed := r.msgs[1].to
+	r.pass(20 * ms)
+	r.answer(1, ConnectFailed, 0)
+	r.serve(100*ms, 50*ms)
+	id, again := MessageID(1), false
+	for range 30 {
+		for range 3 {
+			id++
+			m := r.arrive(id, 0, 0)
+			again = again || m.out && m.to == failed
+		}
+		r.serve(200*ms, 50*ms)
+	}
+	if !again {
+		t.Fatal("the endpoint stayed idle for good")
+	}
+}
+
+// A destination's endpoints take few connections, and 80 siblings keep none: each spreads its calls over all of them,
+// and not all begin with the same one. A fleet of two keeps to the one that it has a connection to.
+func TestLargeFleetSpreadsOverEndpoints(t *testing.T) {
+	for _, c := range []struct{ siblings, first, each int }{{80, 10, 3}, {2, 0, 0}} {
+		first := 0
+		for seed := range uint64(40) {
+			set := settings()
+			set.FleetSize, set.CanGossip, set.WeightKind, set.Seed = c.siblings, true, WeightsApproximate, seed
+			r := newRecorder(t, set)
+			r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 800}, Endpoint{ID: 2, State: Ready, Weight: 800})
+			second := 0
+			for id := MessageID(1); id <= 8; id++ {
+				if r.arrive(id, 0, 0).to == 2 {
+					if second++; id == 1 {
+						first++
+					}
+				}
+				r.answer(id, Served, 0)
+				r.pass(100 * ms)
+			}
+			if second < c.each || second > 8-c.each || c.each == 0 && second > 0 {
+				t.Errorf("%d siblings, seed %d: %d of 8 calls went to the second endpoint", c.siblings, seed, second)
+			}
+		}
+		if first < c.first || first > 40-c.first || c.first == 0 && first > 0 {
+			t.Errorf("%d siblings: %d of 40 began with the second endpoint", c.siblings, first)
+		}
+	}
+}
+
+// Of two routes apart the one with the lower fee takes what it can, and the other the rest; where endpoints share a
+// limit the fee is not asked.
+func TestLowerZoneCostFirst(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		apart bool
+		tolls []float64
+		zone  int // of the endpoint that all calls go to
+	}{
+		{"dear first", true, []float64{0.04, 0.01}, 1},
+		{"cheap first", true, []float64{0.01, 0.04}, 0},
+		{"none told", true, nil, 0},
+		{"shared", false, []float64{0.04, 0.01}, 0},
+	} {
+		set := settings()
+		set.Kinds, set.ZoneCosts = []Kind{{MaxBatch: 1, SeparateRoutes: c.apart}}, c.tolls
+		r := newRecorder(t, set)
+		r.ready(0, 2) // zones 0 and 1
+		for id := MessageID(1); id <= 5; id++ {
+			m := r.arrive(id, 0, 0)
+			if !m.out || r.list[m.to].Zone != c.zone {
+				t.Errorf("%s: message %d went to zone %d", c.name, id, r.list[m.to].Zone)
+			}
+			r.answer(id, Served, 0)
+			r.pass(50 * ms)
+		}
+		full := r.arrive(6, 0, 0)
+		r.answer(6, Rejected, 500*ms) // its route is told to wait
+		r.pass(50 * ms)
+		if c.apart && (!full.out || r.list[full.to].Zone == c.zone) {
+			t.Errorf("%s: the other route is not used", c.name)
+		}
+	}
+}
--- a/control/recorder_test.go
+++ b/control/recorder_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -334,98 +333,3 @@
 	}
 	return n
 }
-
-// TestFuzz plays seeded days of legal and odd events and holds every action
-// to the rules; each day is played twice and must give the same actions.
-func TestFuzz(t *testing.T) {
-	for seed := range uint64(60) {
-		first, second := fuzzDay(t, seed), fuzzDay(t, seed)
-		if !slices.Equal(first, second) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
-		}
-	}
-}
-
-func fuzzDay(t *testing.T, seed uint64) []string {
-	rng := rand.New(rand.NewPCG(seed, 7))
-	set := settings()
-	set.Seed = seed
-	set.Kinds = []Kind{{MaxBatch: 1 + rng.IntN(4), SeparateRoutes: rng.IntN(3) == 0}}
-	set.WeightHalves = rng.IntN(2) == 0
-	set.CanHealthCheck = rng.IntN(2) == 0
-	set.PollsList = rng.IntN(2) == 0
-	set.WeightKind = WeightKind(rng.IntN(3))
-	set.AllowHedging = rng.IntN(2) == 0
-	for i := range set.Classes {
-		set.Classes[i].Ordered = rng.IntN(2) == 0
-		set.Classes[i].KeyZoneScoped = rng.IntN(2) == 0
-	}
-	r := newRecorder(t, set)
-	id := MessageID(0)
-	results := []Result{Served, Served, Served, Served, Failed, Rejected, TimedOut, ConnectFailed, ConnectionRejected, ConnectionLost, Unknown, NotSent}
-	for range 1500 {
-		switch rng.IntN(12) {
-		case 0, 1, 2, 3:
-			id++
-			class := rng.IntN(len(set.Classes))
-			left := time.Duration(rng.Int64N(int64(set.Classes[class].Deadline)))
-			if rng.IntN(20) == 0 {
-				left = -ms
-			}
-			r.hand(Message{ID: id, Class: class, Destination: rng.IntN(4), TimeLeft: left, Key: uint64(rng.IntN(3))})
-		case 4:
-			e := EndpointID(rng.IntN(9))
-			r.lists(ListDelta, Endpoint{ID: e, Destination: int(e) % 3, Zone: int(e) % 2, State: EndpointState(rng.IntN(3)),
-				Weight: 1 + 9*rng.Float64()})
-		case 5:
-			r.c.AttemptDone(r.now, Outcome{ID: MessageID(rng.IntN(100) + 1000000), Result: Served})
-			r.c.Abandon(r.now, MessageID(rng.IntN(100)+1000000))
-			r.c.Decide(r.now)
-			r.c.TimerFired(r.now, rng.Uint32())
-			r.c.Decide(r.now)
-			r.c.UpdateEndpoints(r.now, ListFailed, nil)
-			r.c.Decide(r.now)
-		case 6:
-			if len(r.probes) > 0 {
-				res := results[rng.IntN(len(results))]
-				if res == NotSent {
-					res = TimedOut
-				}
-				r.c.HealthChecked(r.now, r.probes[0], res, 20*ms, nil)
-				r.c.Decide(r.now)
-				r.probes = r.probes[1:]
-			}
-		case 7:
-			if id > 0 {
-				gone := MessageID(1 + rng.IntN(int(id)))
-				if m := r.msgs[gone]; m.final == "" {
-					m.final = "gone"
-					r.c.Abandon(r.now, gone)
-					r.c.Decide(r.now)
-				}
-			}
-		default:
-			r.pass(time.Duration(1+rng.IntN(20)) * set.Tick)
-			for _, a := range r.arrivals {
-				if m := r.msgs[a]; m.out && rng.IntN(3) > 0 {
-					res := results[rng.IntN(len(results))]
-					wait := time.Duration(0)
-					if res == Rejected && rng.IntN(2) == 0 {
-						wait = time.Duration(rng.IntN(1500)) * ms
-					}
-					r.answer(a, res, wait, float32(rng.Float64()), float32(rng.IntN(10)))
-				}
-			}
-		}
-	}
-	r.pass(10 * time.Second)
-	for _, a := range r.arrivals {
-		if m := r.msgs[a]; m.final == "" {
-			t.Fatalf("seed %d: message %d never answered", seed, a)
-		}
-	}
-	if r.c.calls != 0 || len(r.c.messages) != 0 || len(r.c.held) != 0 {
-		t.Fatalf("seed %d: %d slots, %d messages left over", seed, r.c.calls, len(r.c.messages))
-	}
-	return r.trace
-}
--- /dev/null
+++ b/control/settings_test.go
@@ -0,0 +1,66 @@
+package control
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestNewNamesTheSetting(t *testing.T) {
+	for key, spoil := range map[string]func(*Settings){
+		"Classes":      func(s *Settings) { s.Classes = nil },
+		"Classes[1]":   func(s *Settings) { s.Classes[1].Deadline = -1 },
+		"Kinds[0]":     func(s *Settings) { s.Kinds[0].MaxBatch = 0 },
+		"Slots":        func(s *Settings) { s.MaxInFlight = 0 },
+		"ColdFrom":     func(s *Settings) { s.ColdCapacity = -0.1 },
+		"FallWindow":   func(s *Settings) { s.OverloadWindow = -1 },
+		"Tenants[0]":   func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
+		"FallMultiple": func(s *Settings) { s.OverloadFactor = -2 },
+	} {
+		set := settings()
+		spoil(&set)
+		if _, err := New(set, nil); err == nil || !strings.HasPrefix(err.Error(), key) {
+			t.Errorf("%s: error %v does not name it", key, err)
+		}
+	}
+}
+
+// Under other settings a message keeps the class that it came with, one that had more attempts than are allowed now ends
+// at once, a wait stays, and what makes no sense changes nothing.
+func TestUpdateSettings(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		tune  func(*Settings)
+		err   bool
+		final string // of an unsafe message that was turned away once and waits
+	}{
+		{"nothing", func(*Settings) {}, false, ""},
+		{"classes vanish", func(s *Settings) { s.Classes = s.Classes[:1] }, false, ""},
+		{"its class becomes safe", func(s *Settings) { s.Classes[2].Idempotency = Idempotent }, false, ""},
+		{"fewer attempts", func(s *Settings) { s.MaxAttempts = 1 }, false, "refused"},
+		{"no deadline", func(s *Settings) { s.MaxAttempts, s.Classes[1].Deadline = 1, 0 }, true, ""},
+		{"no classes", func(s *Settings) { s.MaxAttempts, s.Classes = 1, nil }, true, ""},
+	} {
+		r := newRecorder(t, settings())
+		r.ready(0, 1)
+		out, waits := r.arrive(1, 2, 0), r.arrive(2, 2, 0)
+		r.answer(2, Rejected, 500*ms)
+		set := settings()
+		set.FleetSize, set.Kinds = 99, nil // what can't change under way
+		c.tune(&set)
+		if err := r.c.UpdateSettings(r.now, set); (err != nil) != c.err {
+			t.Errorf("%s: %v", c.name, err)
+		}
+		if r.c.settings.FleetSize != 2 || len(r.c.settings.Kinds) != 1 {
+			t.Errorf("%s: siblings %d, kinds %d", c.name, r.c.settings.FleetSize, len(r.c.settings.Kinds))
+		}
+		if waits.final != c.final {
+			t.Errorf("%s: the waiting message: %q, want %q", c.name, waits.final, c.final)
+		}
+		r.answer(1, ConnectionLost, 0)
+		r.pass(time.Second)
+		if out.sends > 1 || out.final != "failed" {
+			t.Errorf("%s: one that broke was sent %d times, and ended %q", c.name, out.sends, out.final)
+		}
+	}
+}
--- /dev/null
+++ b/control/slowstart_test.go
@@ -0,0 +1,197 @@
+package control
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// After an outage sends rise slowly: the budget of a cold destination is kept.
+func TestSlowStartAfterOutage(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.set.WeightKind = WeightsUnset
+	outage(r)
+	r.pass(3 * time.Second)
+	for id := MessageID(100); id < 160; id++ {
+		r.arrive(id, 0, 0)
+	}
+	before := len(r.trace)
+	r.c.HealthChecked(r.now, r.probes[len(r.probes)-1], Served, 20*ms, nil)
+	r.c.Decide(r.now)
+	r.serve(r.set.OverloadWindow, 600*ms, 1, 10)
+	sends := 0
+	for _, line := range r.trace[before:] {
+		if strings.Contains(line, "send ") {
+			sends++
+		}
+	}
+	budget := r.set.OverloadFactor * 10 * 0.35 * r.set.OverloadWindow.Seconds()
+	if sends == 0 || float64(sends) > budget {
+		t.Fatalf("%d sends to a cold destination within its fall window, budget %.1f", sends, budget)
+	}
+}
+
+// Hundreds of siblings that know of an outage test and start in sum within what a cold partner takes.
+func TestSlowStartOfLargeFleet(t *testing.T) {
+	set := settings()
+	set.FleetSize = 200
+	r := newRecorder(t, set)
+	r.ready(0, 2)
+	r.arrive(1, 0, 0)
+	r.serve(100*ms, 50*ms, 1, 20)
+	d := r.c.destination(0)
+	for id := MessageID(2); id < 5; id++ {
+		r.arrive(id, 0, 0)
+		r.pass(time.Second)
+		if r.msgs[id].out {
+			r.answer(id, ConnectFailed, 0)
+		}
+	}
+	r.pass(set.WarmUp)
+	d.sharedRoute.circuitOpen, d.sharedRoute.consecutiveFailures, d.sharedRoute.failingSince = true, 3, r.now-set.WarmUp
+	r.c.recordHealth(d.endpoints[0], r.now, Served, 0)
+	sum := r.c.sendRate(d.endpoints[0]) * float64(set.FleetSize)
+	if budget := 20 * set.ColdCapacity * set.OverloadFactor; !d.sharedRoute.slowStartActive || sum <= 0 || sum > budget {
+		t.Fatalf("warming %v: all siblings send %.1f a second, budget %.1f", d.sharedRoute.slowStartActive, sum, budget)
+	}
+}
+
+// One sender's test tells all 80 that a partner is back. They are spared their own, and start as slowly as after
+// one, in sum within what a cold partner bears. What was sent before the latest failure proves no return, a told
+// wait stays, and who saw no outage goes on as before.
+func TestRecoveryGossip(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		bad  int           // failures seen
+		ago  time.Duration // since the served call was sent
+		wait time.Duration // told to this sender
+		back bool
+	}{
+		{"back", 3, 0, 0, true},
+		{"served before the latest failure", 3, 3 * time.Second, 0, false},
+		{"within a told wait", 3, 0, 5 * time.Second, false},
+		{"no outage seen", 0, 0, 0, false},
+	} {
+		sum, set := 0.0, settings()
+		set.FleetSize, set.CanGossip, set.WeightKind = 80, true, WeightsApproximate
+		for i := range set.FleetSize {
+			set.Seed = uint64(i)
+			r := newRecorder(t, set)
+			r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 20})
+			for id := MessageID(1); id <= 20 && r.c.destination(0).sharedRoute.consecutiveFailures < c.bad; id++ {
+				r.arrive(id, 0, 0)
+				r.pass(time.Second)
+				for _, m := range slices.Clone(r.arrivals) {
+					if r.msgs[m].out {
+						r.answer(m, ConnectFailed, c.wait)
+					}
+				}
+			}
+			rt := r.c.destination(0).sharedRoute
+			open := rt.circuitOpen
+			r.pass(200 * ms)
+			r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedRecovery, Age: c.ago})
+			if back := open && !rt.circuitOpen && rt.slowStartActive; back != c.back {
+				t.Fatalf("%s: open %v, then %v, warming %v", c.name, open, rt.circuitOpen, rt.slowStartActive)
+			}
+			sum += r.c.sendRate(r.c.endpoints[1])
+		}
+		if budget := 20 * set.ColdCapacity * set.OverloadFactor; c.back && (sum <= 0 || sum > budget) {
+			t.Errorf("%s: all siblings send %.1f a second, budget %.1f", c.name, sum, budget)
+		}
+	}
+}
+
+// A time-out that a standstill hid until its end opens no route, but what comes back is started slowly.
+func TestSlowStartAfterStall(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.ready(0, 1)
+	r.arrive(1, 0, 0)
+	r.serve(100*ms, 50*ms, 1, 10)
+	r.arrive(2, 0, 0)
+	r.now += 1900 * ms
+	r.answer(2, TimedOut, 0)
+	rt := r.c.destination(0).sharedRoute
+	if rt.circuitOpen {
+		t.Fatal("one failure found after a standstill opened the route")
+	}
+	r.pass(r.set.OverloadWindow)
+	if !r.msgs[2].out {
+		r.arrive(3, 0, 0)
+	}
+	r.c.recordHealth(r.c.destination(0).endpoints[0], r.now, Served, 0)
+	if !rt.slowStartActive {
+		t.Fatal("the partner may be cold, and gets all that waits")
+	}
+}
+
+// A partner that is back and as quick as before is warm for all: each sibling's word takes a tenth off the slow start, once. Nobody's word
+// counts from before the return, and none is told where all are at the full pace.
+func TestWarmObservationsShortenSlowStart(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		from  func(i int) int
+		ago   time.Duration
+		words int
+		part  float64 // of its even part, then, at least
+		most  float64
+	}{
+		{"nobody", nil, 0, 0, 0.2, 0.3},
+		{"five siblings", func(i int) int { return i }, 0, 5, 0.75, 0.85},
+		{"twelve siblings", func(i int) int { return i }, 0, 12, 1, 1},
+		{"one that says it again and again", func(int) int { return 3 }, 0, 100, 0.3, 0.4},
+		{"from before the return", func(i int) int { return i }, 5 * time.Second, 12, 0.2, 0.3},
+	} {
+		set := settings()
+		set.FleetSize, set.CanGossip, set.WeightKind, set.HeadroomIndex, set.LimitIndex = 80, true, WeightsApproximate, -1, -1
+		r := newRecorder(t, set)
+		r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 800})
+		e := r.c.endpoints[1]
+		r.c.startSlowStart(e.route)
+		r.pass(100 * ms)
+		for i := range c.words {
+			r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedWarm, Peer: c.from(i), Age: c.ago})
+		}
+		if got := r.c.sendRate(e) / r.c.fairShare(e); got < c.part || got > c.most*fleetRateSlowStartFactor && got > 1 || c.most < 1 && got > c.most*fleetRateSlowStartFactor {
+			t.Errorf("%s: %.2f of its even part", c.name, got)
+		}
+	}
+	again, far := largeFleetMember(t, 1), 20*time.Second // in each return the word of each counts anew, and no more are kept than count
+	for n := range 2 {
+		rt := again.c.endpoints[0].route
+		rt.slowStartActive = false
+		again.pass(far)
+		again.c.startSlowStart(rt)
+		again.pass(100 * ms)
+		for i := range 30 {
+			again.c.ReceiveGossip(again.now, Observation{Endpoint: 0, Kind: ObservedWarm, Peer: i})
+		}
+		if got := rt.recoveredAt - rt.rampFrom; got != again.set.WarmUp || len(rt.warmReporters) > 10 {
+			t.Errorf("return %d: %v earlier by the word of %d", n, got, len(rt.warmReporters))
+		}
+	}
+	r := largeFleetMember(t, 1)
+	e := r.c.endpoints[0]
+	e.route.callTimeBefore = 100 * ms
+	told := func() (n int) {
+		for _, x := range r.told {
+			if x.Kind == ObservedWarm {
+				n++
+			}
+		}
+		return n
+	}
+	r.c.startSlowStart(e.route)
+	for range 20 {
+		r.now += 400 * ms
+		r.c.advanceClock(r.now)
+		r.c.recordOutcome(&attempt{endpoint: e, sentAt: r.now - 10*ms}, Outcome{Result: Served, Elapsed: 10 * ms})
+	}
+	if n := told(); n < 1 || n > 8 {
+		t.Errorf("told %d times that it is warm", n)
+	}
+	if !e.route.slowStartActive || r.c.now-e.route.rampFrom < r.set.WarmUp {
+		t.Errorf("after 20 brisk calls: warming %v, from %v on", e.route.slowStartActive, e.route.rampFrom-r.now)
+	}
+}
