--- a/control/calltime.go
+++ b/control/calltime.go
@@ -3,61 +3,97 @@
 import "time"
 
 const (
-	callTimeSmoothing   = 0.25 // weight of the latest call in T_m
-	stallFactor         = 6.0  // a gap between answers of so many usual gaps marks a stall
-	expectedDeviations  = 4.0  // mean deviations above T_m that a usual call takes at most
-	callTimeDriftWeight = 0.1  // weight of the latest call in how calls now compare with T_m
+	callTimeSmoothing   = 0.25 // weight of the latest call in T_m and its deviation
+	expectedDeviations  = 4.0  // a call takes at most T_m and so many mean deviations if all is well
+	stallFactor         = 6.0  // a gap between answers of so many usual gaps is a stall
+	callTimeDriftWeight = 0.1  // weight of the latest call in the drift
+	maxTimeoutDoublings = 4    // times that timeouts in a row double the expected call time
 )
 
-// A callTime is what answers have shown of the time of calls.
+// A callTime is the paper's estimate of the time of a call, from calls that were served. The zero value knows nothing.
 type callTime struct {
-	mean      time.Duration // T_m, the moving estimate
-	deviation time.Duration // mean deviation from it
+	mean      time.Duration // T_m, an exponentially weighted moving average; 0 = no call was served yet
+	deviation time.Duration // moving average of the distance from T_m
 }
 
-// learn moves T_m towards the time of the latest call.
-func (p *callTime) learn(took time.Duration) {
-	if p.mean == 0 {
-		p.mean, p.deviation = took, took/2
+// learn moves the estimate towards the time of the latest call.
+func (t *callTime) learn(elapsed time.Duration) {
+	if t.mean == 0 {
+		t.mean, t.deviation = elapsed, elapsed/2
 	}
-	p.deviation = ewma(p.deviation, max(took-p.mean, p.mean-took))
-	p.mean = ewma(p.mean, took)
+	t.deviation = ewma(t.deviation, max(elapsed-t.mean, t.mean-elapsed))
+	t.mean = ewma(t.mean, elapsed)
 }
 
-// detectStall marks a pause of the destination: a gap between answers far above the
-// usual one while calls were out. Calls sent before its end skip T_m.
-func (d *destination) detectStall(now, sent time.Duration) {
-	from := max(sent, d.lastAnswerAt)
-	gap := now - from
-	if d.answerGap > 0 && float64(gap) > stallFactor*float64(d.answerGap) {
-		d.stalledUntil = now
+// upperBound is the time within which a call is answered if all is well; unknown is returned before the first one.
+func (t *callTime) upperBound(unknown time.Duration) time.Duration {
+	if t.mean == 0 {
+		return unknown
 	}
-	d.answerGap = ewma(d.answerGap, gap)
-	d.lastAnswerAt = now
+	return max(t.mean+time.Duration(expectedDeviations*float64(t.deviation)), 2*t.mean)
 }
 
-// inheritCallTime gives a destination that has not answered yet the call time of all: one of many sees little of
-// each.
-func (c *Controller) inheritCallTime(d *destination) {
-	if d.callTimeSamples == 0 {
-		d.callTime = c.overallCallTime
+// ewma is the exponentially weighted moving average of the paper.
+func ewma(old, latest time.Duration) time.Duration {
+	if old == 0 {
+		return latest
 	}
+	return time.Duration(callTimeSmoothing*float64(latest) + (1-callTimeSmoothing)*float64(old))
 }
 
-// expectedCallTime is the time within which a call is answered if all is well. It doubles with each time-out in a
-// row, only a lower bound, and grows if calls everywhere take longer than a T_m of few answers says.
-func (c *Controller) expectedCallTime(d *destination, k *Class) time.Duration {
-	u := max(d.mean+time.Duration(expectedDeviations*float64(d.deviation)), 2*d.mean)
-	if d.mean == 0 {
-		u = k.LatencyObjective / 2
+// A callTimeDrift is how long calls to all destinations take lately, as a multiple of their T_m. It makes up for a T_m
+// that rests on few or old answers.
+type callTimeDrift float64
+
+// learn takes the time of the latest call to a destination with this T_m, of which floor is the least that counts.
+func (f *callTimeDrift) learn(elapsed, mean, floor time.Duration) {
+	*f += callTimeDrift(callTimeDriftWeight * (float64(elapsed)/float64(max(mean, floor, 1)) - float64(*f)))
+}
+
+// stretch lengthens an expected time as calls take longer lately; it never shortens one.
+func (f callTimeDrift) stretch(expected time.Duration) time.Duration {
+	return time.Duration(float64(expected) * max(1, float64(f)))
+}
+
+// A stallDetector finds pauses of a destination: gaps between its answers far above the usual one while calls were in
+// flight. The zero value has seen no answer.
+type stallDetector struct {
+	lastAnswerAt time.Duration
+	usualGap     time.Duration // moving average
+	stalledUntil time.Duration // the time of calls sent before this holds a stall
+}
+
+// answered takes an answer to a call sent at sentAt.
+func (s *stallDetector) answered(now, sentAt time.Duration) {
+	gap := now - max(sentAt, s.lastAnswerAt)
+	if s.usualGap > 0 && float64(gap) > stallFactor*float64(s.usualGap) {
+		s.stalledUntil = now
 	}
-	return time.Duration(float64(u<<min(d.consecutiveTimeouts, 4)) * max(1, c.callTimeDrift))
+	s.usualGap = ewma(s.usualGap, gap)
+	s.lastAnswerAt = now
 }
 
-// ewma is the exponentially weighted moving average of the paper.
-func ewma(old, latest time.Duration) time.Duration {
-	if old == 0 {
-		return latest
+// inheritCallTime gives a destination that has not served a call yet the call time of all destinations: in a large
+// fleet one sender makes few calls to each.
+func (c *Controller) inheritCallTime(dest *destination) {
+	if dest.callTimeSamples == 0 {
+		dest.callTime = c.overallCallTime
 	}
-	return time.Duration(callTimeSmoothing*float64(latest) + (1-callTimeSmoothing)*float64(old))
+}
+
+// learnCallTime takes the time of a served call. Rejections and errors say nothing of the call time, and a timeout only
+// that it is longer: either would let T_m, and both tests of a round with it, follow the fault and not the work.
+func (c *Controller) learnCallTime(dest *destination, elapsed time.Duration) {
+	c.callTimeDrift.learn(elapsed, dest.callTime.mean, c.settings.Tick)
+	dest.callTime.learn(elapsed)
+	c.overallCallTime.learn(elapsed)
+	dest.consecutiveTimeouts = 0
+	dest.callTimeSamples++
+}
+
+// expectedCallTime is the time within which a call is answered if all is well. Each timeout in a row doubles it, as a
+// timeout is only a lower bound.
+func (c *Controller) expectedCallTime(dest *destination, class *Class) time.Duration {
+	bound := dest.callTime.upperBound(class.LatencyObjective / 2)
+	return c.callTimeDrift.stretch(bound << min(dest.consecutiveTimeouts, maxTimeoutDoublings))
 }
--- a/control/calltime_test.go
+++ b/control/calltime_test.go
@@ -12,12 +12,12 @@
 	r.arrive(1, 0, 0)
 	r.pass(200 * ms)
 	r.answer(1, Served, 0)
-	before := r.c.destination(0).mean
+	before := r.c.destination(0).callTime.mean
 	r.arrive(2, 0, 0)
 	r.pass(5 * ms)
 	r.answer(2, Rejected, 0)
 	r.pass(3 * time.Second)
-	if got := r.c.destination(0).mean; got != before {
+	if got := r.c.destination(0).callTime.mean; got != before {
 		t.Fatalf("T_m moved from %v to %v", before, got)
 	}
 }
@@ -38,7 +38,7 @@
 			}
 			r.serve(120*ms, 100*ms)
 		}
-		before := r.c.destination(0).mean
+		before := r.c.destination(0).callTime.mean
 		r.arrive(1000, 0, 0)
 		r.arrive(1001, 0, 1)
 		r.now += 1900 * ms
@@ -57,12 +57,12 @@
 		r.msgs[1002] = &tracked{class: r.set.Classes[0], due: r.now + 8000*ms, Message: Message{Destination: 2}}
 		r.c.Decide(r.now)
 		for dest := range 3 {
-			if d := r.c.destination(dest); d.sharedRoute.circuitOpen || d.concurrencyReduced {
+			if d := r.c.destination(dest); d.sharedRoute.breaker.open || d.concurrencyReduced {
 				t.Errorf("jobs first %v: destination %d taken for failed", jobsFirst, dest)
 			}
 		}
-		if d := r.c.destination(0); d.mean != before || len(r.probes) > 0 {
-			t.Errorf("jobs first %v: T_m %v became %v, %d probes", jobsFirst, before, d.mean, len(r.probes))
+		if d := r.c.destination(0); d.callTime.mean != before || len(r.probes) > 0 {
+			t.Errorf("jobs first %v: T_m %v became %v, %d probes", jobsFirst, before, d.callTime.mean, len(r.probes))
 		}
 	}
 }
@@ -77,7 +77,7 @@
 	}
 	r.ready(50, 1)
 	m := r.arrive(90, 0, 50)
-	if tm := r.c.destination(50).mean; tm < 80*ms || tm > 130*ms || m.timeout > time.Duration(idempotentTimeoutFactor*float64(350*ms)) {
+	if tm := r.c.destination(50).callTime.mean; tm < 80*ms || tm > 130*ms || m.timeout > time.Duration(idempotentTimeoutFactor*float64(350*ms)) {
 		t.Fatalf("T_m %v, time-out %v where calls take 100 ms", tm, m.timeout)
 	}
 }
@@ -96,7 +96,7 @@
 		r.arrive(id, 0, 1+int(id)%11)
 		r.serve(260*ms, 250*ms)
 		for dest := 1; dest < 12; dest++ {
-			r.c.destination(dest).mean = 100 * ms
+			r.c.destination(dest).callTime.mean = 100 * ms
 		}
 	}
 	if after := r.c.expectedCallTime(d, k); after < before*7/4 {
--- a/control/circuitbreaker.go
+++ b/control/circuitbreaker.go
@@ -3,21 +3,96 @@
 import "time"
 
 const (
-	circuitOpenFailures = 3 // bad answers in a row that open a route
-	firstTrialDivisor   = 4 // part of the cold time that the first test of a route waits at most
-	maxTrialDivisor     = 8 // part of the cold time between two tests of a route at most
+	circuitOpenFailures = 3    // failures in a row that open a circuit
+	firstTrialDivisor   = 4    // the first trial comes within WarmUp divided by this...
+	firstTrialFleet     = 8    // ...and within the overload window times the fleet size divided by this
+	maxTrialDivisor     = 8    // the longest time between trials: WarmUp divided by this, or what the fair share asks
+	minTrialRate        = 0.01 // trial calls a second, below which the fair share does not count
 )
 
-// healthCheckOpenRoutes tests open routes at their time, by the endpoint that was not called for longest, where
-// messages wait. Where the last call was turned away before it ran, an ordinary call risks nothing and is the test.
+// A circuitBreaker follows the failures of a route. While its circuit is open the route gets trial calls only. The zero
+// value is closed.
+type circuitBreaker struct {
+	open                bool
+	consecutiveFailures int
+	failingSince        time.Duration // the first of them
+	lastFailureAt       time.Duration
+	lastSuccessAt       time.Duration
+	callTimeBefore      time.Duration // T_m when the circuit opened
+	probeFirst          bool          // open: a call may be lost, so a health check goes before a trial call
+	probeSucceeded      bool          // open: a health check was answered, so one trial call may go
+	nextTrial           time.Duration
+	backoff             time.Duration // open: until the trial after the next
+}
+
+// trip opens the circuit, or lengthens the time to the next trial if it is open: by first at the start, and no more
+// than longest. The draw, from 0 to 1, spreads trials by a quarter either way.
+func (b *circuitBreaker) trip(now, callTime, first, longest time.Duration, draw float64) {
+	if !b.open {
+		b.open, b.backoff, b.callTimeBefore = true, first, callTime
+	}
+	b.nextTrial = now + time.Duration((0.75+draw/2)*float64(b.backoff))
+	b.backoff = min(b.backoff*2, longest)
+}
+
+// close closes the circuit and forgets its failures.
+func (b *circuitBreaker) close() { b.open, b.consecutiveFailures = false, 0 }
+
+// allowsTrial reports whether an open circuit lets a trial call go now.
+func (b *circuitBreaker) allowsTrial(now time.Duration, canHealthCheck bool) bool {
+	return b.probeSucceeded || now >= b.nextTrial && !(b.probeFirst && canHealthCheck)
+}
+
+// wantsProbe reports whether a health check has to go before the next trial call.
+func (b *circuitBreaker) wantsProbe() bool { return b.open && b.probeFirst && !b.probeSucceeded }
+
+// recordFailure takes the failure of a call sent at sentAt and reports whether it counts: calls that were sent together
+// fail together and count as one.
+func (b *circuitBreaker) recordFailure(now, sentAt time.Duration) bool {
+	if b.consecutiveFailures > 0 && sentAt < b.lastFailureAt {
+		return false
+	}
+	if b.consecutiveFailures == 0 {
+		b.failingSince = now
+	}
+	b.consecutiveFailures++
+	b.lastFailureAt = now
+	return true
+}
+
+// succeededWithin reports whether a call was served in the time before now.
+func (b *circuitBreaker) succeededWithin(now, window time.Duration) bool {
+	return b.lastSuccessAt > 0 && now-b.lastSuccessAt < window
+}
+
+// openCircuit opens the circuit of an endpoint's route, or puts off its next trial. The whole fleet may be making trial
+// calls when a destination returns, and each is load: the more senders, the later the first and the rarer the last.
+func (c *Controller) openCircuit(endpoint *endpoint) {
+	interval, window := c.trialInterval(endpoint), c.settings.OverloadWindow
+	first := min(interval, c.settings.WarmUp/firstTrialDivisor,
+		window*time.Duration(c.settings.FleetSize)/firstTrialFleet)
+	longest := max(c.settings.WarmUp/maxTrialDivisor, interval)
+	endpoint.route.breaker.trip(c.now, endpoint.destination.callTime.mean, max(first, window/2), longest, c.rng.Float64())
+}
+
+// trialInterval is the time between trial calls that takes this sender's fair share of half of what overloads a
+// destination that is warming up.
+func (c *Controller) trialInterval(endpoint *endpoint) time.Duration {
+	rate := c.fairShare(endpoint) * c.settings.ColdCapacity * c.settings.OverloadFactor / 2
+	return min(c.settings.WarmUp, time.Duration(float64(time.Second)/max(rate, minTrialRate)))
+}
+
+// healthCheckOpenRoutes sends health checks for open circuits whose trial is due, where messages wait: to the endpoint
+// of a destination that was used the longest ago. Where the last call was rejected before it ran there is no need, as
+// an ordinary call risks nothing as a trial.
 func (c *Controller) healthCheckOpenRoutes() {
-	for _, d := range c.busy {
-		if len(d.fresh)+len(d.deferred) == 0 {
+	for _, dest := range c.busy {
+		if !dest.hasWaiting() {
 			continue
 		}
 		var to *endpoint
-		for _, e := range d.endpoints {
-			due := e.route.circuitOpen && e.route.probeFirst && !e.route.probeSucceeded && c.allowed(actionHealthCheck, nil, e)
+		for _, e := range dest.endpoints {
+			due := e.route.breaker.wantsProbe() && c.mayHealthCheck(e)
 			if due && (to == nil || e.lastUsedAt < to.lastUsedAt) {
 				to = e
 			}
@@ -30,104 +105,78 @@
 	}
 }
 
-// HealthChecked takes the answer to a probe.
-func (c *Controller) HealthChecked(
-	now time.Duration, to EndpointID, r Result, took time.Duration, load []float32,
-) {
-	c.advanceClock(now)
-	e := c.endpoints[to]
-	if e == nil {
-		return
-	}
-	c.recordLoadReport(e, load)
-	// A probe may be answered beside the queue: it lets one ordinary call go, whose answer counts.
-	if e.route.probeSucceeded = r == Served; !e.route.probeSucceeded {
-		c.recordHealth(e, now-took, r, 0)
-	}
+// mayHealthCheck reports whether the rules allow a health check of an endpoint now.
+func (c *Controller) mayHealthCheck(endpoint *endpoint) bool {
+	route := endpoint.route
+	return c.settings.CanHealthCheck && endpoint.State == Ready &&
+		c.now >= max(route.retryAfter, route.breaker.nextTrial)
 }
 
-// openCircuit takes a route for out of order: lone calls only, ever more seldom. All siblings may be testing when
-// it returns, and each test pushes: the more there are, the later the first and the rarer the last.
-func (c *Controller) openCircuit(e *endpoint) {
-	rt := e.route
-	if !rt.circuitOpen {
-		rt.callTimeBefore = e.destination.mean
-		first := min(c.trialInterval(e), c.settings.WarmUp/firstTrialDivisor,
-			c.settings.OverloadWindow*time.Duration(c.settings.FleetSize)/8)
-		rt.circuitOpen, rt.backoff = true, max(first, c.settings.OverloadWindow/2)
+// recordHealth moves the state of an endpoint and its route by the result of a call sent at sentAt, which told to send
+// nothing for retryAfter.
+func (c *Controller) recordHealth(endpoint *endpoint, sentAt time.Duration, result Result, retryAfter time.Duration) {
+	route, window := endpoint.route, c.settings.OverloadWindow
+	breaker := &route.breaker
+	switch {
+	case result == Served && breaker.open && c.now < route.retryAfter && route.retryAfter-breaker.lastFailureAt >= window:
+		// Calls from before a long Retry-After may still be served in it. That says nothing of its end.
+	case result == Served:
+		c.recordSuccess(endpoint, sentAt)
+	case result == Rejected && !breaker.open && retryAfter < window && breaker.succeededWithin(c.now, window):
+		// A rejection among served calls is one above a limit, which the rate limit deals with. Taken for an outage
+		// it would cost a pause and a slow start while there is capacity.
+		route.holdUntil(c.now + retryAfter)
+	default:
+		c.recordFailure(endpoint, sentAt, result, retryAfter)
 	}
-	rt.nextTrial = c.now + time.Duration((0.75+c.rng.Float64()/2)*float64(rt.backoff))
-	rt.backoff = min(rt.backoff*2, max(c.settings.WarmUp/maxTrialDivisor, c.trialInterval(e)))
-}
-
-// trialInterval is the time between tests that takes this instance's part of half the
-// budget of a cold return.
-func (c *Controller) trialInterval(e *endpoint) time.Duration {
-	rate := c.fairShare(e) * c.settings.ColdCapacity * c.settings.OverloadFactor / 2
-	return min(c.settings.WarmUp, time.Duration(float64(time.Second)/max(rate, 0.01)))
 }
 
-// recordHealth moves the state of a route on an answer to a call sent at that time.
-func (c *Controller) recordHealth(e *endpoint, sent time.Duration, r Result, wait time.Duration) {
-	rt := e.route
-	// Calls from before a long told wait may still be served in it. That proves nothing of its end.
-	if r == Served && rt.circuitOpen && c.now < rt.retryAfter &&
-		rt.retryAfter-rt.lastFailureAt >= c.settings.OverloadWindow {
-		return
+// recordSuccess takes that a call sent at sentAt was served.
+func (c *Controller) recordSuccess(endpoint *endpoint, sentAt time.Duration) {
+	breaker := &endpoint.route.breaker
+	if c.settings.usesFleetRate() && endpoint.health.Served(c.now, c.fleetHealthParams()) {
+		c.gossipHealth(endpoint, ObservedUp)
 	}
-	if r == Served {
-		if c.usesFleetRate() && e.health.Served(c.now, c.fleetHealthParams()) {
-			c.gossipHealth(e, ObservedUp)
-		}
-		e.destination.concurrencyReduced = false
-		rt.lastSuccessAt, e.lastSuccessAt = c.now, c.now
-		// Mere silence that ends in an answer was slowness, and a short streak bad luck or a limit met.
-		// Failures over a while mean an outage, and a cold return; one met on the way back goes on.
-		if rt.consecutiveFailures > 0 && c.now-rt.failingSince >= c.settings.OverloadWindow {
-			if c.usesFleetRate() && rt.circuitOpen {
-				c.actions.Gossip(Observation{Endpoint: e.ID, Kind: ObservedRecovery, Age: c.now - sent})
-			}
-			c.startSlowStart(rt)
+	endpoint.destination.concurrencyReduced = false
+	breaker.lastSuccessAt, endpoint.lastSuccessAt = c.now, c.now
+	// No answer for a while and then one was slowness, and a few failures were chance or a limit. Failures over a while
+	// were an outage, after which the destination has to warm up; one that is met during a slow start goes on with it.
+	if breaker.consecutiveFailures > 0 && c.now-breaker.failingSince >= c.settings.OverloadWindow {
+		if c.settings.usesFleetRate() && breaker.open {
+			c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: ObservedRecovery, Age: c.now - sentAt})
 		}
-		rt.circuitOpen = false
-		e.consecutiveFailures, rt.consecutiveFailures = 0, 0
-		return
-	}
-	// A refusal between answers that serve is one above a limit, which share and its pace deal with. Taken
-	// for an outage, it would cost a pause and a slow start while there is room.
-	if r == Rejected && !rt.circuitOpen && wait < c.settings.OverloadWindow &&
-		rt.lastSuccessAt > 0 && c.now-rt.lastSuccessAt < c.settings.OverloadWindow {
-		rt.retryAfter = max(rt.retryAfter, c.now+wait)
-		return
+		c.startSlowStart(endpoint.route)
 	}
-	if r != Rejected && c.usesFleetRate() && e.health.Failed(c.now, c.fleetHealthParams(), c.rng.Float64()) {
-		c.gossipHealth(e, ObservedDown)
+	breaker.close()
+	endpoint.consecutiveFailures = 0
+}
+
+// recordFailure takes that a call sent at sentAt failed.
+func (c *Controller) recordFailure(endpoint *endpoint, sentAt time.Duration, result Result, retryAfter time.Duration) {
+	route, dest, fleetRate := endpoint.route, endpoint.destination, c.settings.usesFleetRate()
+	breaker := &route.breaker
+	if result != Rejected && fleetRate && endpoint.health.Failed(c.now, c.fleetHealthParams(), c.rng.Float64()) {
+		c.gossipHealth(endpoint, ObservedDown)
 	}
-	if r == TimedOut && sent >= rt.lastFailureAt {
-		e.destination.consecutiveTimeouts++
+	if result == TimedOut && sentAt >= breaker.lastFailureAt {
+		dest.consecutiveTimeouts++
 	}
-	// Calls sent together fail together: they count as one.
-	if rt.consecutiveFailures == 0 || sent >= rt.lastFailureAt {
-		if rt.consecutiveFailures == 0 {
-			rt.failingSince = c.now
-		}
-		e.consecutiveFailures++
-		rt.consecutiveFailures++
-		rt.lastFailureAt = c.now
+	if breaker.recordFailure(c.now, sentAt) {
+		endpoint.consecutiveFailures++
 	}
-	e.destination.concurrencyReduced = true
-	if wait > 0 {
-		rt.retryAfter = max(rt.retryAfter, c.now+wait)
+	dest.concurrencyReduced = true
+	if retryAfter > 0 {
+		route.holdUntil(c.now + retryAfter)
 	}
-	// A long wait tells of a shut destination that comes back cold, for all siblings at one instant.
-	if wait >= c.settings.OverloadWindow && !rt.circuitOpen {
-		c.openCircuit(e)
-		rt.nextTrial = rt.retryAfter + time.Duration(c.rng.Float64()*float64(c.trialInterval(e)))
+	// A long Retry-After tells of a destination that is shut and warms up after it, for the whole fleet at one instant.
+	if retryAfter >= c.settings.OverloadWindow && !breaker.open {
+		c.openCircuit(endpoint)
+		breaker.nextTrial = route.retryAfter + time.Duration(c.rng.Float64()*float64(c.trialInterval(endpoint)))
 	}
-	rt.probeFirst = r.MayHaveRun()
-	// One of many sees a few calls: it may meet the same dead endpoints again and again while others serve.
-	if !rt.circuitOpen && rt.consecutiveFailures >= circuitOpenFailures &&
-		(r == Rejected || !c.usesFleetRate() || c.allLastCallsFailed(e.destination)) {
-		c.openCircuit(e)
+	breaker.probeFirst = result.MayHaveRun()
+	// A sender of a large fleet makes few calls: it may meet the same failing endpoints again while others serve.
+	if !breaker.open && breaker.consecutiveFailures >= circuitOpenFailures &&
+		(result == Rejected || !fleetRate || c.allLastCallsFailed(dest)) {
+		c.openCircuit(endpoint)
 	}
 }
--- a/control/circuitbreaker_test.go
+++ b/control/circuitbreaker_test.go
@@ -25,7 +25,7 @@
 	if n := r.out(0); n > r.set.MaxInFlight/2 {
 		t.Fatalf("%d calls out at a hung destination", n)
 	}
-	if !r.c.destination(0).sharedRoute.circuitOpen || len(r.probes) == 0 {
+	if !r.c.destination(0).sharedRoute.breaker.open || len(r.probes) == 0 {
 		t.Fatalf("the route should be open and probed: %v", r.trace)
 	}
 	r.ready(1, 1)
@@ -68,8 +68,8 @@
 		}
 		r.serve(200*ms, 50*ms)
 	}
-	if rt := r.c.destination(0).sharedRoute; rt.circuitOpen || rt.slowStartActive {
-		t.Fatalf("open %v, warming %v", rt.circuitOpen, rt.slowStartActive)
+	if rt := r.c.destination(0).sharedRoute; rt.breaker.open || rt.slowStart.active {
+		t.Fatalf("open %v, warming %v", rt.breaker.open, rt.slowStart.active)
 	}
 }
 
@@ -142,8 +142,8 @@
 		r.answer(2, Rejected, 0)
 	}
 	low := r.c.sendRate(e)
-	if e.route.circuitOpen || low >= whole/2 {
-		t.Fatalf("open %t, pace %.1f of %.1f", e.route.circuitOpen, low, whole)
+	if e.route.breaker.open || low >= whole/2 {
+		t.Fatalf("open %t, pace %.1f of %.1f", e.route.breaker.open, low, whole)
 	}
 	for !m.out {
 		r.pass(50 * ms)
@@ -177,7 +177,7 @@
 			m = r.arrive(MessageID(n+2), 0, 0)
 			continue
 		}
-		if r.c.endpoints[1].route.circuitOpen && last > 0 {
+		if r.c.endpoints[1].route.breaker.open && last > 0 {
 			most = max(most, r.c.now-last)
 		}
 		last = r.c.now
--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -128,7 +128,7 @@
 			r.pass(2 * set.OverloadWindow)
 		}
 		rt := r.c.destination(0).sharedRoute
-		share := rt.limitFraction
+		share := rt.limit.fraction
 		m := r.arrive(2, 0, 0)
 		tries := func(span time.Duration) int {
 			before := m.sends
@@ -141,8 +141,8 @@
 		}
 		soon, later := tries(500*ms), tries(500*ms)
 		refusals := slices.ContainsFunc(r.told, func(n Observation) bool { return n.Kind == ObservedRejection })
-		if rt.circuitOpen || rt.limitFraction < share || refusals {
-			t.Errorf("lately %v: open %v, share %v after %v, told %d", lately, rt.circuitOpen, rt.limitFraction, share, len(r.told))
+		if rt.breaker.open || rt.limit.fraction < share || refusals {
+			t.Errorf("lately %v: open %v, share %v after %v, told %d", lately, rt.breaker.open, rt.limit.fraction, share, len(r.told))
 		}
 		if soon < 3 || later < 1 || later >= soon {
 			t.Errorf("lately %v: tried %d times in 500 ms, then %d", lately, soon, later)
--- a/control/controller.go
+++ b/control/controller.go
@@ -11,67 +11,73 @@
 package control
 
 import (
-	"cleathold/internal/fleethealth"
-	"cleathold/internal/reachability"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"time"
-)
 
-const (
-	timerResolution = 100 * time.Millisecond // step at which the clock is watched while calls are out
+	"cleathold/internal/fleethealth"
+	"cleathold/internal/reachability"
 )
 
-// Controller decides for one instance. It is not safe for concurrent use.
+// timerResolution is the step at which the time is watched while calls are in flight.
+const timerResolution = 100 * time.Millisecond
+
+// Controller decides for one sender. It is not safe for concurrent use. Times are those of its host's clock, which must
+// not go back.
 type Controller struct {
-	settings             Settings
-	actions              Actions
-	rng                  *rand.Rand
-	now                  time.Duration
-	endpoints            map[EndpointID]*endpoint
-	destinations         map[int]*destination
-	busy                 []*destination // those with messages or calls out, in order of id
-	slotWeight           float64        // worth that calls brought lately...
-	slotSeconds          float64        // ...and the seconds of slots they took
-	messages             map[MessageID]*message
-	openMessages         []*message // not over, in order of arrival
-	sequences            map[uint64]*keySequence
-	idleSequences        []*keySequence     // turns that no message holds, to be dropped after their rest
-	lossByIdleBand       [idleBands]float64 // part of the calls lost, by band of idle time
-	connectionRejections map[int]float64    // part of the calls that got no connection, by kind
-	overallCallTime      callTime           // of all destinations
-	callTimeDrift        float64            // call times lately over the T_m of their destinations
-	releasedEndpoints    []*endpoint        // endpoints with outcomes at this instant
-	callsInFlight        int                // slots taken
-	remoteInFlight       int                // and those taken by another process of this instance
-	timerToken           uint32
-	timerAt              time.Duration
-	resumedAt            time.Duration // the end of this instance's latest standstill
-	listSubscribed       bool
-	listPolling          bool
-	listFailed           bool // the latest ask failed
-	nextPoll             time.Duration
-	peers                reachability.Detector
-	gossipLimiter        fleethealth.RateLimiter
+	settings Settings
+	actions  Actions
+	rng      *rand.Rand
+	now      time.Duration
+
+	endpoints    map[EndpointID]*endpoint
+	destinations map[int]*destination
+	busy         []*destination // those with messages or attempts, in order of id
+	messages     map[MessageID]*message
+	openMessages []*message // not finished, in order of submission
+	sequences    keySequences
+
+	callsInFlight  int // slots that this process uses
+	remoteInFlight int // slots that another process of this sender uses
+	slotYield      slotYield
+
+	overallCallTime callTime // of all destinations
+	callTimeDrift   callTimeDrift
+	connections     connectionStats
+	released        []*endpoint // with outcomes at this instant
+
+	timerToken uint32
+	timerAt    time.Duration // 0 = not set
+	resumedAt  time.Duration // the end of this sender's latest stall
+
+	list          listPoller
+	peers         reachability.Detector
+	gossipLimiter fleethealth.RateLimiter
 }
 
-// New returns a controller for one instance, or an error that names the
-// setting that makes no sense.
+// New returns a controller for one sender that asks act for what is to be done. The error names the setting that no
+// decision could be based on.
 func New(set Settings, act Actions) (*Controller, error) {
 	if err := validate(&set); err != nil {
 		return nil, err
 	}
 	return &Controller{
-		peers: reachability.Detector{FleetSize: set.FleetSize}, settings: set, actions: act,
-		rng:       rand.New(rand.NewPCG(set.Seed, 0)),
-		endpoints: map[EndpointID]*endpoint{}, destinations: map[int]*destination{},
-		connectionRejections: map[int]float64{}, messages: map[MessageID]*message{}, sequences: map[uint64]*keySequence{},
+		settings:     set,
+		actions:      act,
+		rng:          rand.New(rand.NewPCG(set.Seed, 0)),
+		endpoints:    map[EndpointID]*endpoint{},
+		destinations: map[int]*destination{},
+		messages:     map[MessageID]*message{},
+		sequences:    keySequences{byKey: map[uint64]*keySequence{}},
+		connections:  connectionStats{rejectionRate: map[int]float64{}},
+		peers:        reachability.Detector{FleetSize: set.FleetSize},
 	}, nil
 }
 
-// UpdateSettings takes other settings while messages are held and out. Each keeps the class that it came with. What
-// this instance is among its siblings, and how destinations are built, no settings can change under way.
+// UpdateSettings takes other settings while messages are open. Each message keeps the class that it came with. Seed,
+// Index, FleetSize, Zone, Kinds, CanGossip and PollsList stay as they were at the start. On an error, which names the
+// setting as that of New does, nothing changes.
 func (c *Controller) UpdateSettings(now time.Duration, set Settings) error {
 	c.advanceClock(now)
 	old := &c.settings
@@ -81,110 +87,113 @@
 		return err
 	}
 	c.settings = set
-	for _, m := range slices.Clone(c.openMessages) { // fewer attempts may be allowed than some had
-		if m.inFlight == nil && !m.streaming && !c.mayRetry(m) {
-			c.finishUndelivered(m)
+	for _, msg := range slices.Clone(c.openMessages) { // fewer attempts may be allowed than some had
+		if msg.waiting() && !c.mayRetry(msg) {
+			c.finishUndelivered(msg)
 		}
 	}
 	return nil
 }
 
-// UpdateEndpoints takes news of the endpoint list.
+// UpdateEndpoints takes an update of the endpoint list.
 func (c *Controller) UpdateEndpoints(now time.Duration, news ListUpdateKind, list []Endpoint) {
 	c.advanceClock(now)
 	c.recordListAnswer(news)
 	if news == ListFull || news == ListCached {
 		c.removeUnlisted(list)
 	}
-	for _, e := range list {
-		c.updateEndpoint(e)
+	for _, line := range list {
+		c.updateEndpoint(line)
 	}
 	c.pruneRemoved()
 }
 
-// Submit takes a message handed in.
-func (c *Controller) Submit(now time.Duration, msg Message) {
+// Submit takes a message. One whose id is open already is ignored.
+func (c *Controller) Submit(now time.Duration, submitted Message) {
 	c.advanceClock(now)
-	if c.messages[msg.ID] != nil {
+	if c.messages[submitted.ID] != nil {
 		return
 	}
-	if msg.Class < 0 || msg.Class >= len(c.settings.Classes) {
-		msg.Class = 0
-	}
-	d := c.destination(msg.Destination)
-	m := &message{Message: msg, class: &c.settings.Classes[msg.Class], destination: d, deadline: now + msg.TimeLeft}
-	m.attemptCount, m.mayHaveRun, m.firstRunAt, m.firstRunZone = msg.Attempts, msg.MayHaveRun, now-msg.FirstRunAgo,
-		msg.FirstRunZone
-	c.messages[m.ID] = m
-	c.openMessages = append(c.openMessages, m)
-	if m.class.Ordered && m.Key != 0 {
-		m.sequence = c.sequenceOf(m.Key)
-		m.sequence.queue = append(m.sequence.queue, m)
-	}
-	d.countArrival(now)
-	c.inheritCallTime(d)
-	if !c.mayRetry(m) { // what it had before allows no further attempt
-		c.finishUndelivered(m)
+	if submitted.Class < 0 || submitted.Class >= len(c.settings.Classes) {
+		submitted.Class = 0
+	}
+	dest := c.destination(submitted.Destination)
+	msg := &message{
+		Message:      submitted,
+		class:        &c.settings.Classes[submitted.Class],
+		destination:  dest,
+		deadline:     now + submitted.TimeLeft,
+		attempts:     submitted.Attempts,
+		mayHaveRun:   submitted.MayHaveRun,
+		firstRunAt:   now - submitted.FirstRunAgo,
+		firstRunZone: submitted.FirstRunZone,
+	}
+	c.messages[msg.ID] = msg
+	c.openMessages = append(c.openMessages, msg)
+	if msg.class.Ordered && msg.Key != 0 {
+		c.sequences.of(msg.Key).add(msg)
+	}
+	dest.traffic.record(now)
+	c.inheritCallTime(dest)
+	if !c.mayRetry(msg) { // its earlier attempts allow no further one
+		c.finishUndelivered(msg)
 		return
 	}
-	d.fresh = append(d.fresh, m)
-	c.markBusy(d)
+	dest.fresh = append(dest.fresh, msg)
+	c.markBusy(dest)
 }
 
-// AttemptDone takes the outcome of an attempt.
+// AttemptDone takes the outcome of an attempt. One that is not the latest of an open message is ignored.
 func (c *Controller) AttemptDone(now time.Duration, o Outcome) {
 	c.advanceClock(now)
-	m := c.messages[o.ID]
-	if m == nil || m.inFlight == nil || o.Attempt != m.attemptCount-1 {
+	msg := c.messages[o.ID]
+	if msg == nil || msg.inFlight == nil || o.Attempt != msg.attempts-1 {
 		return
 	}
-	a := m.inFlight
-	m.inFlight = nil
+	a := msg.inFlight
+	msg.inFlight = nil
 	c.releaseSlot(a)
 	a.endpoint.destination.attempts = without(a.endpoint.destination.attempts, a)
 	c.recordOutcome(a, o)
-	c.recordSlotYield(m, o.Elapsed, o.Result)
-	if o.Result.MayHaveRun() && !m.mayHaveRun {
-		m.mayHaveRun, m.firstRunAt, m.firstRunZone = true, a.sentAt, a.endpoint.Zone
-	}
-	if t := m.sequence; t != nil {
-		t.attemptsInFlight--
-		if o.Result == TimedOut || o.Result == ConnectionLost || o.Result == Canceled || o.Result == Unknown {
-			t.pausedUntil, t.pausedBy = now+c.settings.OrderedPause, m
-		}
+	c.recordSlotYield(msg, o.Elapsed, o.Result)
+	if o.Result.MayHaveRun() && !msg.mayHaveRun {
+		msg.mayHaveRun, msg.firstRunAt, msg.firstRunZone = true, a.sentAt, a.endpoint.Zone
+	}
+	if msg.sequence != nil {
+		msg.sequence.attemptDone(msg, o.Result, now+c.settings.OrderedPause)
 	}
 	switch {
 	case o.Final:
-		c.finish(m)
-	case m.finished:
-	case o.Result == Unprocessable: // it would be rejected again
-		c.actions.Fail(m.ID)
-		c.finish(m)
-	case c.mayRetry(m):
-		m.destination.fresh = append([]*message{m}, m.destination.fresh...)
+		c.finish(msg)
+	case msg.finished:
+	case o.Result == Unprocessable: // the destination would refuse it again
+		c.actions.Fail(msg.ID)
+		c.finish(msg)
+	case c.mayRetry(msg):
+		msg.destination.fresh = append([]*message{msg}, msg.destination.fresh...)
 	default:
-		c.finishUndelivered(m)
+		c.finishUndelivered(msg)
 	}
-	c.forgetFinished(m)
+	c.forgetFinished(msg)
 }
 
-// StreamStarted tells that the streamed answer to an attempt has begun; from then on it belongs to the client.
+// StreamStarted takes that the streamed answer to a message's attempt has begun; from then on it belongs to the client.
 func (c *Controller) StreamStarted(now time.Duration, id MessageID) {
 	c.advanceClock(now)
-	if m := c.messages[id]; m != nil {
-		m.streaming = true
+	if msg := c.messages[id]; msg != nil {
+		msg.streaming = true
 	}
 }
 
-// Abandon tells that nobody wants a message any more.
+// Abandon takes that nobody wants a message any more. It gets no answer; an attempt in flight is awaited.
 func (c *Controller) Abandon(now time.Duration, id MessageID) {
 	c.advanceClock(now)
-	if m := c.messages[id]; m != nil {
-		c.finish(m)
+	if msg := c.messages[id]; msg != nil {
+		c.finish(msg)
 	}
 }
 
-// TimerFired answers an earlier Wake.
+// TimerFired takes that the timer of an earlier SetTimer fired.
 func (c *Controller) TimerFired(now time.Duration, token uint32) {
 	c.advanceClock(now)
 	if token == c.timerToken {
@@ -192,8 +201,25 @@
 	}
 }
 
-// Decide acts on what the events of an instant have changed, once all are in. After a standstill of this
-// instance they come together: judged one by one, calls would seem overdue whose answers are next in line.
+// HealthChecked takes the answer to a health check, which took elapsed.
+func (c *Controller) HealthChecked(
+	now time.Duration, to EndpointID, result Result, elapsed time.Duration, load []float32,
+) {
+	c.advanceClock(now)
+	endpoint := c.endpoints[to]
+	if endpoint == nil {
+		return
+	}
+	c.recordLoadReport(endpoint, load)
+	// Health checks may be answered while calls are not: one lets a trial call go, and the answer to that counts.
+	endpoint.route.breaker.probeSucceeded = result == Served
+	if result != Served {
+		c.recordHealth(endpoint, now-elapsed, result, 0)
+	}
+}
+
+// Decide acts on what the events of an instant have changed, once all are in. After a stall of this sender they come
+// together: taken one by one, calls would seem overdue whose answers are the next event.
 func (c *Controller) Decide(now time.Duration) {
 	c.advanceClock(now)
 	c.trimBusy()
@@ -204,131 +230,103 @@
 	c.runSelection()
 	c.preemptOverdueCall()
 	c.closeScarceConnections()
-	c.armTimer()
+	c.setTimer()
 }
 
-// recordOutcome learns from an outcome: T_m, the stall, the report and the health.
+// recordOutcome learns from the outcome of an attempt.
 func (c *Controller) recordOutcome(a *attempt, o Outcome) {
+	if o.Result == NotSent || o.Result == Unprocessable { // neither says anything of the endpoint
+		return
+	}
 	if o.Result == Canceled {
-		o.Result = TimedOut // only overdue calls are called off
+		o.Result = TimedOut // only overdue calls are canceled
 	}
-	if o.Result == NotSent || o.Result == Unprocessable { // neither tells of the destination
-		return
+	endpoint, route, dest := a.endpoint, a.endpoint.route, a.endpoint.destination
+	if o.RetryAfter > 0 {
+		route.holdUntil(c.now + o.RetryAfter)
 	}
-	if o.RetryAfter > 0 { // told with any answer, it binds alike
-		a.endpoint.route.retryAfter = max(a.endpoint.route.retryAfter, c.now+o.RetryAfter)
-	}
-	d := a.endpoint.destination
-	d.detectStall(c.now, a.sentAt)
-	rt := a.endpoint.route
-	timed := o.Result == Served && c.now != c.resumedAt // a call time that holds no standstill
-	if timed && rt.slowStartActive && o.Elapsed <= time.Duration(warmCallFactor*float64(rt.callTimeBefore)) {
-		// A cold destination is slow. One as quick as before is warm: its pace may rise sooner, to an even
-		// part of what it takes and no further, as siblings that send as much may have seen less.
-		if c.usesFleetRate() && c.now-rt.rampFrom < c.settings.WarmUp { // they have yet to gain by it
-			c.gossipHealth(a.endpoint, ObservedWarm)
+	dest.stalls.answered(c.now, a.sentAt)
+	if o.Result == Served && c.now != c.resumedAt { // the call time holds no stall of this sender
+		c.recordWarmCall(endpoint, o.Elapsed)
+		if a.sentAt >= dest.stalls.stalledUntil {
+			c.learnCallTime(dest, o.Elapsed)
 		}
-		rt.advanceRamp(c.settings.WarmUp)
-	}
-	// Quick refusals and errors say nothing of the call time, and a time-out only that it is longer:
-	// either would let T_m, and with it both tests of a round, follow the trouble and not the work.
-	if timed && a.sentAt >= d.stalledUntil {
-		c.callTimeDrift += callTimeDriftWeight * (float64(o.Elapsed)/float64(max(d.mean, c.settings.Tick,
-			1)) - c.callTimeDrift)
-		d.learn(o.Elapsed)
-		c.overallCallTime.learn(o.Elapsed)
-		d.consecutiveTimeouts = 0
-		d.callTimeSamples++
-	}
-	c.recordReuse(a, o.Result)
-	c.recordConnectionRejection(a.endpoint, o.Result)
+	}
+	c.recordConnection(a, o.Result)
 	if o.Result == ConnectionRejected {
-		// Among many siblings it is full of them: room comes as calls end. It proves neither a limit nor an outage.
-		if o.Result = Rejected; c.usesFleetRate() && !rt.circuitOpen {
-			e := a.endpoint
-			e.capacityRetryAt = c.now + time.Duration((0.5+c.rng.Float64())*float64(max(d.mean,
-				c.settings.Tick)<<e.capacityRejections))
-			e.capacityRejections = min(e.capacityRejections+1, maxCapacityDoublings)
+		// In a large fleet the endpoint is full of peers' connections: that proves neither a limit nor an outage.
+		if c.settings.usesFleetRate() && !route.breaker.open {
+			endpoint.connecting.reject(c.now, max(dest.callTime.mean, c.settings.Tick), c.rng.Float64())
 			return
 		}
+		o.Result = Rejected
 	}
-	a.endpoint.capacityRejections = 0
-	c.recordLoadReport(a.endpoint, o.LoadReport)
-	if !c.rejectedAtLimit(a.endpoint, o) {
-		c.recordHealth(a.endpoint, a.sentAt, o.Result, o.RetryAfter)
+	endpoint.connecting.rejections = 0
+	c.recordLoadReport(endpoint, o.LoadReport)
+	if c.rejectedAtLimit(route, o) {
+		route.holdUntil(c.now + o.RetryAfter)
+	} else {
+		c.recordHealth(endpoint, a.sentAt, o.Result, o.RetryAfter)
 	}
 	c.adjustLimitFraction(a, o.Result, o.LoadReport)
 }
 
-// A guardedAction is an action that a rule may forbid.
-type guardedAction uint8
-
-const (
-	actionSend guardedAction = iota
-	actionReject
-	actionHealthCheck
-)
-
-// allowed is the one guard for the rules: no send, refusal or probe passes without it.
-func (c *Controller) allowed(what guardedAction, m *message, e *endpoint) bool {
-	switch what {
-	case actionReject:
-		return !m.finished && m.inFlight == nil && mayReject(m)
-	case actionHealthCheck:
-		return c.settings.CanHealthCheck && e.State == Ready && c.now >= max(e.route.retryAfter, e.route.nextTrial)
-	}
-	return !m.finished && m.inFlight == nil && c.now < m.deadline && c.mayRetry(m) && c.keyRetainedAt(m, e) &&
-		c.firstOfKey(m) && c.available(e) && (c.callsInFlight+c.remoteInFlight < c.settings.MaxInFlight || c.joinsCall(e))
+// maySend reports whether the rules allow an attempt of a message at an endpoint now. No attempt is made without it.
+func (c *Controller) maySend(msg *message, to *endpoint) bool {
+	return !msg.finished && msg.inFlight == nil && c.now < msg.deadline && c.mayRetry(msg) && msg.keyKnownIn(to.Zone) &&
+		c.firstOfKey(msg) && c.available(to) && (c.freeSlots() > 0 || c.joinsCall(to))
 }
 
 // send makes an attempt, if the rules allow it.
-func (c *Controller) send(m *message, e *endpoint) bool {
-	if !c.allowed(actionSend, m, e) {
-		return false
+func (c *Controller) send(msg *message, to *endpoint) {
+	if !c.maySend(msg, to) {
+		return
 	}
-	if !c.joinsCall(e) {
-		e.lastCall = &call{startedAt: c.now, idleBand: c.closeStaleConnections(e)}
-		e.route.tokens--
+	if !c.joinsCall(to) {
+		to.lastCall = &call{startedAt: c.now, idleBand: c.closeStaleConnections(to)}
+		to.route.bucket.tokens--
 		c.callsInFlight++
-		e.callsInFlight++
-		e.destination.callsInFlight++
-	}
-	e.lastCall.size++
-	e.lastCall.pending++
-	if e.route.circuitOpen {
-		e.route.probeSucceeded = false
-		c.openCircuit(e)
-	}
-	limit := c.attemptTimeout(m)
-	m.inFlight = &attempt{
-		message: m, endpoint: e, call: e.lastCall, sentAt: c.now, idleBand: e.lastCall.idleBand,
-		expectedTime:  c.expectedCallTime(m.destination, m.class),
-		preemptibleAt: c.now + time.Duration(preemptibleFraction*float64(limit)),
-	}
-	m.destination.attempts = append(m.destination.attempts, m.inFlight)
-	m.attemptCount++
-	e.lastUsedAt, e.connected = c.now, true
-	if m.sequence != nil {
-		m.sequence.attemptsInFlight++
-	}
-	c.actions.Send(m.ID, e.ID, limit)
-	return true
+		to.callsInFlight++
+		to.destination.callsInFlight++
+	}
+	to.lastCall.size++
+	to.lastCall.pending++
+	if to.route.breaker.open {
+		to.route.breaker.probeSucceeded = false
+		c.openCircuit(to)
+	}
+	timeout := c.attemptTimeout(msg)
+	msg.inFlight = &attempt{
+		message:       msg,
+		endpoint:      to,
+		call:          to.lastCall,
+		sentAt:        c.now,
+		idleBand:      to.lastCall.idleBand,
+		expectedTime:  c.expectedCallTime(msg.destination, msg.class),
+		preemptibleAt: c.now + time.Duration(preemptibleFraction*float64(timeout)),
+	}
+	msg.destination.attempts = append(msg.destination.attempts, msg.inFlight)
+	msg.attempts++
+	to.lastUsedAt, to.connected = c.now, true
+	if msg.sequence != nil {
+		msg.sequence.attemptsInFlight++
+	}
+	c.actions.Send(msg.ID, to.ID, timeout)
 }
 
-// releaseSlot frees the slot of a call once all its messages have their outcomes.
+// releaseSlot frees the slot of a call once all its attempts have their outcomes.
 func (c *Controller) releaseSlot(a *attempt) {
-	e := a.endpoint
-	e.lastUsedAt = c.now
-	c.releasedEndpoints = append(c.releasedEndpoints, e)
+	a.endpoint.lastUsedAt = c.now
+	c.released = append(c.released, a.endpoint)
 	if a.call.pending--; a.call.pending == 0 {
 		c.callsInFlight--
-		e.callsInFlight--
-		e.destination.callsInFlight--
+		a.endpoint.callsInFlight--
+		a.endpoint.destination.callsInFlight--
 	}
 }
 
-// advanceClock takes the time. A wake that comes late tells of a standstill of this instance: all that came
-// meanwhile is seen at this one instant, and call times hold the standstill too.
+// advanceClock takes the time. A timer that fires late tells of a stall of this sender: all that came meanwhile is seen
+// at this one instant, and call times hold the stall.
 func (c *Controller) advanceClock(now time.Duration) {
 	if now > c.now && c.timerAt > 0 && now > c.timerAt+timerResolution/2 {
 		c.resumedAt = now
@@ -336,49 +334,55 @@
 	c.now = now
 }
 
-// armTimer asks to be woken when time alone changes what can be done.
-func (c *Controller) armTimer() {
+// setTimer asks for a timer at the next instant when time alone changes what can be done.
+func (c *Controller) setTimer() {
+	next := c.nextDecision()
+	if next == math.MaxInt64 || c.timerAt > c.now && c.timerAt <= next {
+		return
+	}
+	c.timerToken++
+	c.timerAt = next
+	c.actions.SetTimer(next-c.now, c.timerToken)
+}
+
+// nextDecision is the next instant when time alone changes what can be done, or the latest there is.
+func (c *Controller) nextDecision() time.Duration {
 	next := time.Duration(math.MaxInt64)
-	at := func(t time.Duration) {
-		if t > c.now && t < next {
-			next = t
+	consider := func(at time.Duration) {
+		if at > c.now && at < next {
+			next = at
 		}
 	}
 	if c.callsInFlight > 0 {
-		at(c.now + timerResolution)
+		consider(c.now + timerResolution)
 	}
-	for _, m := range c.openMessages {
-		if m.inFlight == nil && !m.streaming {
-			at(c.latestSendTime(m))
+	for _, msg := range c.openMessages {
+		if msg.waiting() {
+			consider(c.latestSendTime(msg))
 		}
-		if m.sequence != nil {
-			at(m.sequence.pausedUntil)
+		if msg.sequence != nil {
+			consider(msg.sequence.pausedUntil)
 		}
 	}
-	for _, d := range c.busy {
-		if len(d.attempts) > 0 {
-			at(d.attempts[0].sentAt + d.attempts[0].expectedTime)
-			at(d.attempts[0].preemptibleAt)
+	for _, dest := range c.busy {
+		if len(dest.attempts) > 0 {
+			consider(dest.attempts[0].sentAt + dest.attempts[0].expectedTime)
+			consider(dest.attempts[0].preemptibleAt)
 		}
-		if len(d.fresh)+len(d.deferred) == 0 {
+		if !dest.hasWaiting() {
 			continue
 		}
-		for _, e := range d.endpoints {
-			at(e.route.retryAfter)
-			at(e.capacityRetryAt)
-			at(e.route.nextTrial)
-			if p := c.sendRate(e); p > 0 {
-				at(c.now + time.Duration((1-e.route.tokens)/p*float64(time.Second)))
+		for _, e := range dest.endpoints {
+			consider(e.route.retryAfter)
+			consider(e.connecting.retryAt)
+			consider(e.route.breaker.nextTrial)
+			if rate := c.sendRate(e); rate > 0 {
+				consider(c.now + e.route.bucket.untilToken(rate))
 			}
 		}
 	}
-	if c.settings.PollsList && !c.listSubscribed && !c.listPolling {
-		at(c.nextPoll)
-	}
-	if next == math.MaxInt64 || c.timerAt > c.now && c.timerAt <= next {
-		return
+	if c.settings.PollsList && c.list.idle() {
+		consider(c.list.nextPoll)
 	}
-	c.timerToken++
-	c.timerAt = next
-	c.actions.SetTimer(next-c.now, c.timerToken)
+	return next
 }
--- a/control/endpoint.go
+++ b/control/endpoint.go
@@ -3,34 +3,34 @@
 // EndpointID names an endpoint. It carries no meaning beyond identity.
 type EndpointID uint32
 
-// EndpointState is where an endpoint stands in the list. It tells nothing of health.
+// EndpointState is the state of an endpoint in the list. It says nothing of health.
 type EndpointState uint8
 
 // The states of a listed endpoint.
 const (
 	Removed EndpointState = iota
 	Ready
-	Draining
+	Draining // no new work; what is in flight ends
 )
 
 // Endpoint is one line of the endpoint list.
 type Endpoint struct {
 	ID          EndpointID    `json:"ID"`
-	Destination int           `json:"Destination"`
-	Kind        int           `json:"Kind"`
+	Destination int           `json:"Destination"` // stays as it was when the endpoint was first listed
+	Kind        int           `json:"Kind"`        // index into Settings.Kinds
 	Zone        int           `json:"Zone"`
 	State       EndpointState `json:"State"`
-	Weight      float64       `json:"Weight"`
+	Weight      float64       `json:"Weight"` // see Settings.WeightKind
 }
 
-// ListUpdateKind says how a list event is to be read.
+// ListUpdateKind says how an update of the endpoint list is to be read.
 type ListUpdateKind uint8
 
-// The forms of list news.
+// The kinds of list updates.
 const (
 	ListDelta    ListUpdateKind = iota // changes only
-	ListFull                           // all of the list
-	ListCached                         // all of the list as it was known at the start; may be old
-	ListFailed                         // asking failed, or the subscription broke
-	ListExcluded                       // operators took some out, or put them back: it says nothing of the list itself
+	ListFull                           // the complete list
+	ListCached                         // the complete list as it was known at the start; it may be old
+	ListFailed                         // a poll failed, or the subscription broke
+	ListExcluded                       // operators excluded endpoints, or ended that; it says nothing of the list
 )
--- a/control/endpointlist.go
+++ b/control/endpointlist.go
@@ -9,90 +9,143 @@
 )
 
 const (
-	pollRetryFraction     = 0.1                   // share of the ask period to wait after a failed call
-	pollSpreadFraction    = 0.8                   // share of the ask period over which many spread asks at most...
-	maxPollJitter         = 43 * time.Second / 10 // ...and this: a tenth more and an answer are under 6 s
-	maxPollRetryDelay     = 12 * time.Second / 5  // after a failed call: half more and two answers are, too
-	pollIntervalPerSender = 50 * time.Millisecond // what a large fleet leaves discovery for each ask of one of them
+	pollIntervalPerSender = 50 * time.Millisecond // a large fleet leaves discovery this time for each poll
+	pollSpreadFraction    = 0.8                   // polls are spread over this part of MaxPollInterval at most...
+	maxPollJitter         = 43 * time.Second / 10 // ...and this: a tenth more and an answer are within 6 s
+	pollRetryFraction     = 0.1                   // part of MaxPollInterval to wait after a failed poll
+	maxPollRetryDelay     = 12 * time.Second / 5  // and at most: half more and two answers are within 6 s
 )
 
-// recordListAnswer notes that the list answered, or failed to. Where the list answers
-// only when asked, a failure may have ended the subscription.
-func (c *Controller) recordListAnswer(news ListUpdateKind) {
+// A listPoller follows the subscription to an endpoint list that answers only when polled.
+type listPoller struct {
+	subscribed bool
+	polling    bool // a poll is under way
+	failed     bool // the latest poll failed, in a large fleet
+	nextPoll   time.Duration
+}
+
+// due reports whether the next poll is due.
+func (p *listPoller) due(now time.Duration) bool { return p.idle() && now >= p.nextPoll }
+
+// idle reports whether there is neither a subscription nor a poll.
+func (p *listPoller) idle() bool { return !p.subscribed && !p.polling }
+
+// answered takes that the list answered.
+func (p *listPoller) answered() { p.subscribed, p.polling, p.failed = true, false, false }
+
+// pollFailed takes that a poll failed or the subscription broke.
+func (p *listPoller) pollFailed(largeFleet bool) {
+	p.subscribed, p.polling, p.failed = false, false, largeFleet
+}
+
+// PollSpread is the time over which a large fleet spreads polls that would come at one instant; else 0. At any fleet
+// size it leaves time to poll before MaxPollInterval is over.
+func (s *Settings) PollSpread() time.Duration {
+	if !s.largeFleet() {
+		return 0
+	}
+	spread := min(maxPollJitter, time.Duration(s.FleetSize)*pollIntervalPerSender)
+	if s.MaxPollInterval > 0 {
+		spread = min(spread, time.Duration(pollSpreadFraction*float64(s.MaxPollInterval)))
+	}
+	return spread
+}
+
+// pollRetryDelay is the mean time between a failed poll and the next one. Each poll that is repeated puts discovery
+// further behind, as it also works off those that nobody waits for any more.
+func (s *Settings) pollRetryDelay() time.Duration {
+	return min(maxPollRetryDelay, max(s.PollSpread(), time.Duration(pollRetryFraction*float64(s.MaxPollInterval))))
+}
+
+// recordListAnswer takes whether the list answered, where it answers only when polled.
+func (c *Controller) recordListAnswer(kind ListUpdateKind) {
 	if !c.settings.PollsList {
 		return
 	}
-	switch news {
+	switch kind {
+	case ListExcluded: // says nothing of the list
 	case ListCached:
-		if c.nextPoll = c.now; c.settings.PollSpread() > 0 {
-			c.nextPoll += time.Duration(c.rng.Float64() * float64(c.settings.PollSpread()))
+		if c.list.nextPoll = c.now; c.settings.PollSpread() > 0 {
+			c.list.nextPoll += time.Duration(c.rng.Float64() * float64(c.settings.PollSpread()))
 		}
-	case ListExcluded:
 	case ListFailed:
-		// Each ask made again puts discovery further behind, which works off those that nobody awaits any more.
-		// Connections from before are closed: a drain may be hidden that only new ones would meet.
-		if c.listSubscribed, c.listPolling, c.listFailed = false, false, c.usesFleetRate(); c.listFailed {
+		c.list.pollFailed(c.settings.usesFleetRate())
+		if c.list.failed {
 			c.releaseAll()
 		}
-		wait := min(maxPollRetryDelay, max(c.settings.PollSpread(),
-			time.Duration(pollRetryFraction*float64(c.settings.MaxPollInterval))))
-		c.nextPoll = c.now + time.Duration((0.5+c.rng.Float64())*float64(wait))
+		c.list.nextPoll = c.now + time.Duration((0.5+c.rng.Float64())*float64(c.settings.pollRetryDelay()))
 	default:
-		c.listSubscribed, c.listPolling, c.listFailed = true, false, false
+		c.list.answered()
 	}
 }
 
-// PollSpread is the time over which a large fleet spreads asks that would come at one instant; else 0. At any
-// size it leaves time to ask before the list counts as told.
-func (s *Settings) PollSpread() time.Duration {
-	if !s.largeFleet() {
-		return 0
+// pollList subscribes to the list when a poll is due, where it answers only when polled.
+func (c *Controller) pollList() {
+	if c.settings.PollsList && c.list.due(c.now) {
+		c.list.polling = true
+		c.actions.Watch(true)
 	}
-	spread := min(maxPollJitter, time.Duration(s.FleetSize)*pollIntervalPerSender)
-	if s.MaxPollInterval > 0 {
-		spread = min(spread, time.Duration(pollSpreadFraction*float64(s.MaxPollInterval)))
+}
+
+// updateEndpoint takes one line of the list.
+func (c *Controller) updateEndpoint(line Endpoint) {
+	known := c.endpoints[line.ID]
+	switch {
+	case known == nil && line.State == Removed:
+	case known == nil:
+		c.addEndpoint(line)
+	case line.State == Removed:
+		c.removeEndpoint(known)
+	default:
+		line.Destination = known.Destination // an endpoint never changes its destination
+		known.Endpoint = line
 	}
-	return spread
 }
 
-// pollList subscribes to the list where it answers only when asked.
-func (c *Controller) pollList() {
-	if c.settings.PollsList && !c.listSubscribed && !c.listPolling && c.now >= c.nextPoll {
-		c.listPolling = true
-		c.actions.Watch(true)
+// addEndpoint adds an endpoint to its destination, in order of id.
+func (c *Controller) addEndpoint(line Endpoint) {
+	dest := c.destination(line.Destination)
+	added := &endpoint{Endpoint: line, destination: dest, route: dest.sharedRoute}
+	if c.settings.kind(line.Kind).SeparateRoutes {
+		added.route = c.newRoute()
 	}
+	if c.settings.usesFleetRate() { // the fleet must not begin with the same one
+		order := rand.New(rand.NewPCG(c.settings.Seed, uint64(line.ID)))
+		added.lastUsedAt = -time.Duration(order.Int64N(int64(time.Second)))
+	}
+	c.endpoints[line.ID] = added
+	i := sort.Search(len(dest.endpoints), func(i int) bool { return dest.endpoints[i].ID > line.ID })
+	dest.endpoints = slices.Insert(dest.endpoints, i, added)
 }
 
-// removeUnlisted takes endpoints that a whole list leaves out for removed.
+// removeUnlisted removes the endpoints that a complete list leaves out.
 func (c *Controller) removeUnlisted(list []Endpoint) {
-	named := make(map[EndpointID]bool, len(list))
-	for _, e := range list {
-		named[e.ID] = true
+	listed := make(map[EndpointID]bool, len(list))
+	for _, line := range list {
+		listed[line.ID] = true
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) { // in order, as it acts
-		if !named[id] {
+	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) { // in order, as it decides the order of actions
+		if !listed[id] {
 			c.removeEndpoint(c.endpoints[id])
 		}
 	}
 }
 
-// removeEndpoint takes an endpoint off the list. Its idle connections are of no use: who
-// comes under its address has another id.
-func (c *Controller) removeEndpoint(e *endpoint) {
-	if e.State == Removed {
+// removeEndpoint takes an endpoint off the list. Its idle connections are closed, as the next endpoint at its address
+// has another id.
+func (c *Controller) removeEndpoint(endpoint *endpoint) {
+	if endpoint.State == Removed {
 		return
 	}
-	e.State, e.removedAt = Removed, c.now
-	if e.connected && e.callsInFlight == 0 {
-		e.connected = false
-		c.actions.Disconnect(e.ID)
+	endpoint.State, endpoint.removedAt = Removed, c.now
+	if endpoint.connected && endpoint.callsInFlight == 0 {
+		endpoint.connected = false
+		c.actions.Disconnect(endpoint.ID)
 	}
 }
 
-// pruneRemoved forgets endpoints that left long ago: where new ones replace old ones
-// all day, what is known of those would grow without end, and each choice would
-// look through it. One that comes back within a cold return is known again, so
-// that an outage seen before is not forgotten.
+// pruneRemoved forgets endpoints that were removed long ago, or their number would grow without end where new ones
+// replace old ones all day. One that is listed again within an outage and a slow start is known with its failures.
 func (c *Controller) pruneRemoved() {
 	keep := 2*c.settings.WarmUp + c.settings.OverloadWindow + c.settings.DrainGrace
 	for id, e := range c.endpoints {
@@ -100,40 +153,10 @@
 			continue
 		}
 		delete(c.endpoints, id)
-		d := e.destination
-		d.endpoints = without(d.endpoints, e)
-		if len(d.endpoints) == 0 && !d.busy {
-			delete(c.destinations, d.id)
+		dest := e.destination
+		dest.endpoints = without(dest.endpoints, e)
+		if len(dest.endpoints) == 0 && !dest.busy {
+			delete(c.destinations, dest.id)
 		}
 	}
 }
-
-// updateEndpoint takes one line of the list.
-func (c *Controller) updateEndpoint(line Endpoint) {
-	e := c.endpoints[line.ID]
-	if e == nil {
-		if line.State == Removed {
-			return
-		}
-		d := c.destination(line.Destination)
-		e = &endpoint{destination: d, route: d.sharedRoute}
-		if c.kind(line.Kind).SeparateRoutes {
-			e.route = c.newRoute()
-		}
-		c.endpoints[line.ID] = e
-		i := sort.Search(len(d.endpoints), func(i int) bool { return d.endpoints[i].ID > line.ID })
-		d.endpoints = append(d.endpoints, nil)
-		copy(d.endpoints[i+1:], d.endpoints[i:])
-		d.endpoints[i] = e
-		e.Endpoint = line
-		if c.usesFleetRate() { // many siblings must not all begin with the same one
-			e.lastUsedAt = -time.Duration(rand.New(rand.NewPCG(c.settings.Seed, uint64(line.ID))).Int64N(int64(time.Second)))
-		}
-	}
-	line.Destination = e.Destination
-	if line.State == Removed {
-		c.removeEndpoint(e)
-		return
-	}
-	e.Endpoint = line
-}
--- a/control/endpointlist_test.go
+++ b/control/endpointlist_test.go
@@ -122,9 +122,9 @@
 			set.Seed = seed
 			r := newRecorder(t, set)
 			for range 8 {
-				r.c.listPolling = true
+				r.c.list.polling = true
 				r.c.UpdateEndpoints(r.now, ListFailed, nil)
-				longest = max(longest, r.c.nextPoll-r.now)
+				longest = max(longest, r.c.list.nextPoll-r.now)
 			}
 		}
 		if longest > c.ask || longest < c.ask/2 {
--- a/control/fleetrate_test.go
+++ b/control/fleetrate_test.go
@@ -72,9 +72,9 @@
 				for _, n := range r.told {
 					for j, other := range fleet {
 						if j != i && rng.Float64() >= lost {
-							share := other.c.destination(0).sharedRoute.limitFraction
+							share := other.c.destination(0).sharedRoute.limit.fraction
 							other.c.ReceiveGossip(other.now, n)
-							if after := other.c.destination(0).sharedRoute.limitFraction; after > share {
+							if after := other.c.destination(0).sharedRoute.limit.fraction; after > share {
 								t.Fatalf("%s: a note raised a share from %v to %v", name, share, after)
 							}
 						}
@@ -129,12 +129,12 @@
 		}
 	}
 	d := r.c.destination(0)
-	if d.sharedRoute.circuitOpen || sends > 8 {
-		t.Fatalf("open %v, %d calls in 2 s to a destination that refuses", d.sharedRoute.circuitOpen, sends)
+	if d.sharedRoute.breaker.open || sends > 8 {
+		t.Fatalf("open %v, %d calls in 2 s to a destination that refuses", d.sharedRoute.breaker.open, sends)
 	}
 	r.serve(20*time.Second, 50*ms, 1, 10)
-	if d.sharedRoute.limitFraction < 0.9 {
-		t.Fatalf("share %v though all of the limit is left", d.sharedRoute.limitFraction)
+	if d.sharedRoute.limit.fraction < 0.9 {
+		t.Fatalf("share %v though all of the limit is left", d.sharedRoute.limit.fraction)
 	}
 }
 
@@ -166,7 +166,7 @@
 // many again as soon as it hears somebody. One that is asked answers now and then.
 func TestIsolatedRate(t *testing.T) {
 	r, e := largeFleetAtLimit(t)
-	share := func() float64 { r.c.refillTokens(e); return e.route.limitFraction * 80 } // in even parts
+	share := func() float64 { r.c.refillTokens(e); return e.route.limit.fraction * 80 } // in even parts
 	came := func(at time.Duration, result Result) {
 		r.now = at
 		r.c.advanceClock(at)
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -1,62 +1,107 @@
 package control
 
 import (
-	"cleathold/internal/fleethealth"
 	"time"
+
+	"cleathold/internal/fleethealth"
 )
 
-// ReceiveGossip takes a note from a sibling. It makes this instance more careful, or nothing of it.
+// ObservationKind is what one sender tells its peers that it saw of an endpoint. Its numbers are on the wire.
+type ObservationKind uint8
+
+// The kinds of observations.
+const (
+	ObservedNothing   ObservationKind = iota
+	ObservedRejection                 // a call was rejected above a limit
+	ObservedRecovery                  // a call was served after an outage: the destination is warming up
+	ReachabilityQuery                 // none: a sender that has heard nobody for a while asks whether anybody hears it
+	ReachabilityReply                 // none: the answer to that, by a few peers
+	ObservedDown                      // a call failed
+	ObservedUp                        // a call was served where those of others failed
+	ObservedWarm                      // a call to one that is warming up was served as quickly as before
+	observationKinds
+)
+
+// Known reports whether this version knows the kind.
+func (s ObservationKind) Known() bool { return s > ObservedNothing && s < observationKinds }
+
+// Observation is one thing that a sender saw of an endpoint. It proves nothing of any message.
+type Observation struct {
+	Endpoint EndpointID
+	Kind     ObservationKind
+	Age      time.Duration // since the call that showed it was sent
+	Peer     int           // of a received one: the peer that told it, by a number that the host gives it
+}
+
+// ReceiveGossip takes an observation of a peer in a large fleet. It never makes this sender send what it could not
+// have found out by calls of its own.
 func (c *Controller) ReceiveGossip(now time.Duration, n Observation) {
 	c.advanceClock(now)
-	e := c.endpoints[n.Endpoint]
-	if e == nil || !c.usesFleetRate() {
+	endpoint := c.endpoints[n.Endpoint]
+	if endpoint == nil || !c.settings.usesFleetRate() {
 		return
 	}
 	c.peers.PeerHeard(now, n.Peer)
 	if n.Kind == ReachabilityQuery && c.peers.ShouldReply(c.rng.Float64()) {
 		c.actions.Gossip(Observation{Endpoint: n.Endpoint, Kind: ReachabilityReply})
 	}
-	rt, sent := e.route, now-n.Age
-	switch {
-	case n.Kind == ObservedRejection && !rt.slowStartActive && sent >= rt.limitReducedAt:
-		c.reduceFleetRate(rt)
-	case n.Kind == ObservedDown || n.Kind == ObservedUp:
-		c.mergePeerReport(e, fleethealth.Report{Peer: n.Peer, At: sent, Up: n.Kind == ObservedUp})
-	case n.Kind == ObservedWarm && sent > rt.recoveredAt && rt.addWarmReport(n.Peer):
-		rt.advanceRamp(c.settings.WarmUp)
-	case n.Kind == ObservedRecovery && rt.consecutiveFailures > 0 && sent > rt.lastFailureAt &&
-		now >= max(rt.retryAfter, rt.failingSince+c.settings.OverloadWindow):
-		c.startSlowStart(rt) // spared its own test, it starts as slowly as after one
-		rt.circuitOpen, e.consecutiveFailures, rt.consecutiveFailures = false, 0, 0
+	route, observedAt := endpoint.route, now-n.Age
+	switch n.Kind {
+	case ObservedRejection:
+		if !route.slowStart.active && observedAt >= route.limit.reducedAt {
+			c.reduceFleetRate(route)
+		}
+	case ObservedDown, ObservedUp:
+		c.mergePeerReport(endpoint, fleethealth.Report{Peer: n.Peer, At: observedAt, Up: n.Kind == ObservedUp})
+	case ObservedWarm:
+		if observedAt > route.slowStart.recoveredAt && route.slowStart.addWarmReport(n.Peer) {
+			route.slowStart.advance(c.settings.WarmUp)
+		}
+	case ObservedRecovery:
+		c.recoverByGossip(endpoint, observedAt)
+	}
+}
+
+// recoverByGossip takes that a peer's call to an endpoint was served after an outage: this sender needs no trial
+// call of its own, and starts as slowly as after one.
+func (c *Controller) recoverByGossip(endpoint *endpoint, observedAt time.Duration) {
+	route, breaker := endpoint.route, &endpoint.route.breaker
+	if breaker.consecutiveFailures == 0 || observedAt <= breaker.lastFailureAt ||
+		c.now < max(route.retryAfter, breaker.failingSince+c.settings.OverloadWindow) {
+		return
 	}
+	c.startSlowStart(route)
+	breaker.close()
+	endpoint.consecutiveFailures = 0
 }
 
-// mergePeerReport takes what a sibling found of an endpoint. One that is back has its even part of the senders look
-// at it first.
-func (c *Controller) mergePeerReport(e *endpoint, w fleethealth.Report) {
-	over, back := e.health.Merge(c.now, w, c.fleetHealthParams(), c.rng.Float64())
-	if over {
-		e.consecutiveFailures = 0
+// mergePeerReport takes what a peer found of an endpoint. An endpoint that is up again counts as just used at as many
+// senders as make its fair share of them, so that these look at it first.
+func (c *Controller) mergePeerReport(endpoint *endpoint, report fleethealth.Report) {
+	ownOver, recovered := endpoint.health.Merge(c.now, report, c.fleetHealthParams(), c.rng.Float64())
+	if ownOver {
+		endpoint.consecutiveFailures = 0
 	}
-	if back && c.rng.Float64()*float64(len(e.destination.endpoints)) < 1 {
-		e.lastUsedAt = c.now
+	if recovered && c.rng.Float64()*float64(len(endpoint.destination.endpoints)) < 1 {
+		endpoint.lastUsedAt = c.now
 	}
 }
 
-// gossipHealth tells siblings what a call to an endpoint has just shown, as often as a fleet may.
-func (c *Controller) gossipHealth(e *endpoint, what ObservationKind) {
+// gossipHealth tells peers what a call to an endpoint has just shown, as often as the fleet's rate allows.
+func (c *Controller) gossipHealth(endpoint *endpoint, kind ObservationKind) {
 	if !c.peers.Isolated(c.now) && c.gossipLimiter.Allow(c.now, c.fleetHealthParams()) {
-		c.actions.Gossip(Observation{Endpoint: e.ID, Kind: what})
+		c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: kind})
 	}
 }
 
-// gossipRejection tells siblings of a refusal, and asks whether anybody hears, as what is heard has it.
-func (c *Controller) gossipRejection(e *endpoint, ago time.Duration) {
+// gossipRejection tells peers of a rejection of a call sent age ago, and asks whether any of them can be reached, as
+// the reachability detector decides.
+func (c *Controller) gossipRejection(endpoint *endpoint, age time.Duration) {
 	tell, ask := c.peers.Rejected(c.now)
 	if tell {
-		c.actions.Gossip(Observation{Endpoint: e.ID, Kind: ObservedRejection, Age: ago})
+		c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: ObservedRejection, Age: age})
 	}
 	if ask {
-		c.actions.Gossip(Observation{Endpoint: e.ID, Kind: ReachabilityQuery})
+		c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: ReachabilityQuery})
 	}
 }
--- a/control/handover.go
+++ b/control/handover.go
@@ -6,95 +6,116 @@
 	"time"
 )
 
-// A RouteState is what a controller knows of an endpoint's route, for the one that comes after it in another
-// process of the same instance. Times are counted from the moment that it tells of.
+// A RouteState is what a controller knows of an endpoint's route, for the one that succeeds it in another process of
+// the same sender. Times count from the instant of Controller.RouteStates. The JSON keys are those of the hand-over.
 type RouteState struct {
 	Endpoint            EndpointID    `json:"Endpoint"`
 	RetryAfter          time.Duration `json:"Wait"`    // nothing is to be sent for so long
-	ConsecutiveFailures int           `json:"Bad"`     // answers in a row that served nothing
-	FailingFor          time.Duration `json:"Since"`   // ago: the first of them
-	CircuitOpen         bool          `json:"Open"`    // taken for an outage
-	NextTrial           time.Duration `json:"Retry"`   // open: the next lone call in so long
-	Backoff             time.Duration `json:"Backoff"` // open: the pause after the next failed call
-	SlowStart           bool          `json:"Warming"` // in its slow start...
-	RecoveredFor        time.Duration `json:"Back"`    // ...which began so long ago
-	LimitFraction       float64       `json:"Share"`   // of its limit
-	CallTime            time.Duration `json:"TM"`      // of the calls of its destination
-	CallTimeDeviation   time.Duration `json:"Dev"`     // of the calls of its destination
+	ConsecutiveFailures int           `json:"Bad"`     // calls in a row that were not served
+	FailingFor          time.Duration `json:"Since"`   // time since the first of them
+	CircuitOpen         bool          `json:"Open"`    // trial calls only
+	NextTrial           time.Duration `json:"Retry"`   // circuit open: time until the next trial call
+	Backoff             time.Duration `json:"Backoff"` // circuit open: time until the trial after that
+	SlowStart           bool          `json:"Warming"` // its rate rises after an outage...
+	RecoveredFor        time.Duration `json:"Back"`    // ...that ended so long ago
+	LimitFraction       float64       `json:"Share"`   // fraction of its limit that this sender uses
+	CallTime            time.Duration `json:"TM"`      // T_m of its destination
+	CallTimeDeviation   time.Duration `json:"Dev"`     // mean deviation from T_m
 }
 
-// RouteStates tells what is known of the endpoints listed.
+// RouteStates returns what is known of the endpoints that are listed, by id.
 func (c *Controller) RouteStates(now time.Duration) []RouteState {
 	c.advanceClock(now)
-	var list []RouteState
+	var states []RouteState
 	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) {
-		e := c.endpoints[id]
-		if rt := e.route; e.State != Removed {
-			list = append(list, RouteState{
-				Endpoint: id, RetryAfter: max(0, rt.retryAfter-now), ConsecutiveFailures: rt.consecutiveFailures,
-				FailingFor: now - rt.failingSince, CircuitOpen: rt.circuitOpen,
-				NextTrial: max(0, rt.nextTrial-now), Backoff: rt.backoff, SlowStart: rt.slowStartActive,
-				RecoveredFor:  now - rt.recoveredAt,
-				LimitFraction: rt.limitFraction, CallTime: e.destination.mean, CallTimeDeviation: e.destination.deviation,
-			})
+		if e := c.endpoints[id]; e.State != Removed {
+			states = append(states, e.routeState(now))
 		}
 	}
-	return list
+	return states
 }
 
-// RestoreRoutes takes up what the controller before this one knew of endpoints that this one has in its list. A clock
-// of this controller's begins at its start: times before it are negative.
-func (c *Controller) RestoreRoutes(now time.Duration, list []RouteState) {
+func (e *endpoint) routeState(now time.Duration) RouteState {
+	route, breaker := e.route, &e.route.breaker
+	return RouteState{
+		Endpoint:            e.ID,
+		RetryAfter:          max(0, route.retryAfter-now),
+		ConsecutiveFailures: breaker.consecutiveFailures,
+		FailingFor:          now - breaker.failingSince,
+		CircuitOpen:         breaker.open,
+		NextTrial:           max(0, breaker.nextTrial-now),
+		Backoff:             breaker.backoff,
+		SlowStart:           route.slowStart.active,
+		RecoveredFor:        now - route.slowStart.recoveredAt,
+		LimitFraction:       route.limit.fraction,
+		CallTime:            e.destination.callTime.mean,
+		CallTimeDeviation:   e.destination.callTime.deviation,
+	}
+}
+
+// RestoreRoutes takes what the predecessor knew of endpoints that this controller has in its list; others are left out.
+// The clock of this controller may have begun with it: times before that are negative.
+func (c *Controller) RestoreRoutes(now time.Duration, states []RouteState) {
 	c.advanceClock(now)
-	for _, r := range list {
-		e := c.endpoints[r.Endpoint]
-		if e == nil {
-			continue
-		}
-		rt := e.route
-		rt.retryAfter = max(rt.retryAfter, now+r.RetryAfter)
-		rt.consecutiveFailures, rt.failingSince, rt.lastFailureAt = r.ConsecutiveFailures, now-r.FailingFor, now
-		rt.circuitOpen, rt.nextTrial, rt.backoff, rt.callTimeBefore = r.CircuitOpen, now+r.NextTrial, r.Backoff, r.CallTime
-		rt.probeFirst = r.CircuitOpen // what the lone calls met is not told: a probe goes first, where it may
-		if rt.slowStartActive = r.SlowStart; rt.slowStartActive {
-			rt.recoveredAt, rt.rampFrom, rt.tokens = now-r.RecoveredFor, now-r.RecoveredFor, 0
-		}
-		if r.LimitFraction > 0 && r.LimitFraction <= 1 {
-			rt.limitFraction = r.LimitFraction
-		}
-		if r.CallTime > 0 && e.destination.mean == 0 {
-			e.destination.mean, e.destination.deviation, e.destination.callTimeSamples = r.CallTime, r.CallTimeDeviation, 1
+	for _, state := range states {
+		if e := c.endpoints[state.Endpoint]; e != nil {
+			e.restore(now, state)
 		}
-		rt.filledAt = now
 	}
 }
 
-// ApplyRetryAfter has a wait bind an endpoint that was told before the endpoint was listed, as by another one at its
-// address.
+func (e *endpoint) restore(now time.Duration, state RouteState) {
+	route, dest := e.route, e.destination
+	route.holdUntil(now + state.RetryAfter)
+	breaker := &route.breaker
+	breaker.consecutiveFailures = state.ConsecutiveFailures
+	breaker.failingSince, breaker.lastFailureAt = now-state.FailingFor, now
+	breaker.open, breaker.nextTrial, breaker.backoff = state.CircuitOpen, now+state.NextTrial, state.Backoff
+	breaker.callTimeBefore = state.CallTime
+	breaker.probeFirst = state.CircuitOpen // whether the trial calls may have run is not told
+	if route.slowStart.active = state.SlowStart; state.SlowStart {
+		route.slowStart.recoveredAt, route.slowStart.rampFrom = now-state.RecoveredFor, now-state.RecoveredFor
+		route.bucket.tokens = 0
+	}
+	if state.LimitFraction > 0 && state.LimitFraction <= 1 {
+		route.limit.fraction = state.LimitFraction
+	}
+	if state.CallTime > 0 && dest.callTime.mean == 0 {
+		dest.callTime = callTime{mean: state.CallTime, deviation: state.CallTimeDeviation}
+		dest.callTimeSamples = 1
+	}
+	route.bucket.filledAt = now
+}
+
+// ApplyRetryAfter has a Retry-After bind an endpoint that was told before the endpoint was listed, as by another one at
+// its address.
 func (c *Controller) ApplyRetryAfter(now time.Duration, id EndpointID, wait time.Duration) {
 	c.advanceClock(now)
 	if e := c.endpoints[id]; e != nil {
-		e.route.retryAfter = max(e.route.retryAfter, now+wait)
+		e.route.holdUntil(now + wait)
 	}
 }
 
-// SetRemoteInFlight tells how many slots calls of another process of this instance take.
+// SetRemoteInFlight takes how many slots calls of another process of this sender use.
 func (c *Controller) SetRemoteInFlight(now time.Duration, calls int) {
 	c.advanceClock(now)
 	c.remoteInFlight = calls
 }
 
-// RemoteOutcome takes the outcome of a call that another process of this instance had out, sent so long ago: its
-// waits bind, and it tells of the endpoint's health. What became of its message the host has seen to.
+// RemoteOutcome takes the outcome of a call that another process of this sender had in flight, sent so long ago: its
+// Retry-After binds, and it tells of the endpoint's health. The host sees to its message.
 func (c *Controller) RemoteOutcome(now time.Duration, o Outcome, ago time.Duration) {
 	c.advanceClock(now)
 	e := c.endpoints[o.Endpoint]
-	if e == nil || o.Result == NotSent || o.Result == Unprocessable || o.Result == Canceled ||
-		o.Result == ConnectionRejected {
+	if e == nil {
 		return
 	}
+	switch o.Result {
+	case NotSent, Unprocessable, Canceled, ConnectionRejected:
+		return // they say nothing of the endpoint's health
+	}
 	if o.RetryAfter > 0 {
-		e.route.retryAfter = max(e.route.retryAfter, c.now+o.RetryAfter)
+		e.route.holdUntil(c.now + o.RetryAfter)
 	}
 	c.recordHealth(e, now-ago, o.Result, o.RetryAfter)
 }
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -37,11 +37,11 @@
 	if waits.sends != 1 {
 		t.Errorf("sent %d times after the wait", waits.sends)
 	}
-	if rt := next.c.endpoints[100].route; !rt.circuitOpen {
+	if rt := next.c.endpoints[100].route; !rt.breaker.open {
 		t.Error("an outage is forgotten")
 	}
-	if rt := next.c.endpoints[200].route; !rt.slowStartActive || next.now-rt.recoveredAt < 200*ms {
-		t.Errorf("the slow start: %v, since %v", rt.slowStartActive, next.now-rt.recoveredAt)
+	if rt := next.c.endpoints[200].route; !rt.slowStart.active || next.now-rt.slowStart.recoveredAt < 200*ms {
+		t.Errorf("the slow start: %v, since %v", rt.slowStart.active, next.now-rt.slowStart.recoveredAt)
 	}
 	next.c.SetRemoteInFlight(next.now, next.set.MaxInFlight-1)
 	next.ready(3, 1)
--- a/control/loadbalancer.go
+++ b/control/loadbalancer.go
@@ -1,140 +1,124 @@
 package control
 
 import (
-	"cleathold/internal/fleethealth"
 	"time"
+
+	"cleathold/internal/fleethealth"
 )
 
 const (
-	maxConcurrencyFraction     = 0.75 // share of the slots that one destination may take
+	maxConcurrencyFraction     = 0.75 // part of the slots that one destination may take
 	reducedConcurrencyFraction = 0.5  // the same after a failure, until a call is served
 )
 
-// A route is what waits, limits and outages hold for: a destination, or one
-// endpoint of it where endpoints are routes apart.
+// A route is what limits, waits and outages hold for: a destination, or one endpoint of it with a separate route.
 type route struct {
-	retryAfter          time.Duration // told: nothing is sent before this
-	consecutiveFailures int           // answers in a row that served nothing
-	failingSince        time.Duration // the first of them
-	lastFailureAt       time.Duration // the latest of them
-	lastSuccessAt       time.Duration // the latest answer that served
-	circuitOpen         bool          // taken for an outage: lone calls only
-	callTimeBefore      time.Duration // open or warming: T_m before the trouble
-	probeSucceeded      bool          // open: a probe was answered, so one call may go
-	probeFirst          bool          // open: a call may be lost, so a probe goes first
-	nextTrial           time.Duration // open: the next lone call
-	backoff             time.Duration // open: pause after the next failed call
-	recoveredAt         time.Duration // when it came back; slow start until backAt + Cold
-	rampFrom            time.Duration // from where its pace rises: backAt, or before if answers are quick
-	slowStartActive     bool
-	warmReporters       []int   // siblings that found it warm since
-	tokens              float64 // token bucket of the slow start
-	filledAt            time.Duration
-	limitFraction       float64       // this instance's part of the limit
-	limitReducedAt      time.Duration // when a refusal last lowered it
-	limitRaisedAt       time.Duration // when an answer last raised it
-	limitReported       bool          // a report came, also one that tells of no limit
-	reportedLimit       float64       // reported limit in calls a second; 0 = none known
+	retryAfter time.Duration // nothing is sent before this
+	breaker    circuitBreaker
+	slowStart  slowStart
+	limit      rateLimit
+	bucket     tokenBucket
 }
 
+// holdUntil has nothing sent before at; a later time that holds already stays.
+func (r *route) holdUntil(at time.Duration) { r.retryAfter = max(r.retryAfter, at) }
+
 // An endpoint is a listed endpoint with what its own calls have shown.
 type endpoint struct {
 	Endpoint
 	destination         *destination
 	route               *route
-	callsInFlight       int // calls out
-	consecutiveFailures int // answers in a row that served nothing
+	callsInFlight       int
+	consecutiveFailures int
 	lastUsedAt          time.Duration
-	lastSuccessAt       time.Duration // the latest answer that served
-	connected           bool          // a connection is thought open
-	capacityRetryAt     time.Duration // it may have room for a connection again
-	capacityRejections  int           // answers in a row that it has none
-	removedAt           time.Duration // when it was last seen to be listed
-	lastCall            *call         // the latest call, which sends of one instant may share
-
-	health fleethealth.Health // what siblings and this sender found of it, in a large fleet
+	lastSuccessAt       time.Duration
+	connected           bool // a connection is thought open
+	connecting          capacityBackoff
+	removedAt           time.Duration // when the list left it out
+	lastCall            *call         // which messages sent at the same instant may share; nil = none yet
+	health              fleethealth.Health
 }
 
 // newRoute returns a route on which nothing is known yet.
 func (c *Controller) newRoute() *route {
-	r := &route{limitFraction: 1, tokens: 1, filledAt: c.now}
-	if c.usesFleetRate() {
-		r.limitFraction, r.tokens = fleetRateInitial/float64(c.settings.FleetSize), fleetRateInitial
+	fraction, tokens := 1.0, 1.0
+	if c.settings.usesFleetRate() {
+		fraction, tokens = fleetRateInitial/float64(c.settings.FleetSize), fleetRateInitial
+	}
+	return &route{
+		limit:  rateLimit{fraction: fraction},
+		bucket: tokenBucket{tokens: tokens, filledAt: c.now},
 	}
-	return r
 }
 
-// available: drains, told waits and the return of a cold destination.
-func (c *Controller) available(e *endpoint) bool {
-	rt := e.route
-	if e.State != Ready || c.now < max(rt.retryAfter, e.capacityRetryAt) {
+// available reports whether an endpoint takes a call now: it is listed as ready, no Retry-After binds, and its circuit
+// breaker, slow start and rate limit let one go.
+func (c *Controller) available(endpoint *endpoint) bool {
+	route := endpoint.route
+	if endpoint.State != Ready || c.now < max(route.retryAfter, endpoint.connecting.retryAt) {
 		return false
 	}
-	if rt.circuitOpen {
-		return rt.probeSucceeded || c.now >= rt.nextTrial && !(rt.probeFirst && c.settings.CanHealthCheck)
+	if route.breaker.open {
+		return route.breaker.allowsTrial(c.now, c.settings.CanHealthCheck)
 	}
-	if c.joinsCall(e) {
+	if c.joinsCall(endpoint) {
 		return true
 	}
-	c.refillTokens(e)
-	return rt.tokens >= 1 || c.sendRate(e) <= 0
+	c.refillTokens(endpoint)
+	return route.bucket.tokens >= 1 || c.sendRate(endpoint) <= 0
 }
 
-// concurrencyLimit is the number of calls that a destination may have out.
-func (c *Controller) concurrencyLimit(d *destination) int {
-	share := maxConcurrencyFraction
-	if d.concurrencyReduced {
-		share = reducedConcurrencyFraction
+// concurrencyLimit is the number of calls that a destination may have in flight.
+func (c *Controller) concurrencyLimit(dest *destination) int {
+	fraction := maxConcurrencyFraction
+	if dest.concurrencyReduced {
+		fraction = reducedConcurrencyFraction
 	}
-	return max(1, int(share*float64(c.settings.MaxInFlight)))
+	return max(1, int(fraction*float64(c.settings.MaxInFlight)))
 }
 
-// pickEndpoint chooses the endpoint for a message: least doubt, then fewest calls out, then the latest used.
-func (c *Controller) pickEndpoint(d *destination, m *message) *endpoint {
+// pickEndpoint chooses the endpoint for a message, or nil. One that has a call at this instant with space left is taken
+// at once: a further message in a call costs neither a slot nor a part of the limit.
+func (c *Controller) pickEndpoint(dest *destination, msg *message) *endpoint {
 	var best *endpoint
-	for _, e := range d.endpoints {
-		if !c.joinsCall(e) && d.callsInFlight >= c.concurrencyLimit(d) || !c.allowed(actionSend, m, e) {
+	for _, e := range dest.endpoints {
+		joins := c.joinsCall(e)
+		if !joins && dest.callsInFlight >= c.concurrencyLimit(dest) || !c.maySend(msg, e) {
 			continue
 		}
-		if c.joinsCall(e) {
-			return e // a message more in a call costs neither a slot nor the limit
+		if joins {
+			return e
 		}
-		if best == nil || c.preferred(m, e, best) {
+		if best == nil || c.preferred(msg, e, best) {
 			best = e
 		}
 	}
 	return best
 }
 
-// preferred orders the endpoints of a destination for a message.
-func (c *Controller) preferred(m *message, e, o *endpoint) bool {
-	if x, y := c.failureScore(m, e), c.failureScore(m, o); x != y {
+// preferred reports whether endpoint a is better for a message than b: by fewer failures, lower cost, fewer calls in
+// flight, then the latest use, as that one has a connection.
+func (c *Controller) preferred(msg *message, a, b *endpoint) bool {
+	if x, y := c.failureScore(msg, a), c.failureScore(msg, b); x != y {
 		return x < y
 	}
-	if x, y := c.zoneCost(e), c.zoneCost(o); x != y {
+	if x, y := c.zoneCost(a), c.zoneCost(b); x != y {
 		return x < y
 	}
-	if e.callsInFlight != o.callsInFlight {
-		return e.callsInFlight < o.callsInFlight
+	if a.callsInFlight != b.callsInFlight {
+		return a.callsInFlight < b.callsInFlight
 	}
-	if c.usesFleetRate() && c.connectionRejections[e.Kind] > scarceConnectionThreshold {
-		return e.lastUsedAt < o.lastUsedAt // without a connection to keep, all of many siblings would fill the same one
+	if c.settings.usesFleetRate() && c.connections.scarce(a.Kind) {
+		return a.lastUsedAt < b.lastUsedAt // where none is kept, the whole fleet would use the same endpoint
 	}
-	return e.lastUsedAt > o.lastUsedAt
+	return a.lastUsedAt > b.lastUsedAt
 }
 
-// zoneCost is the price of a message that an endpoint takes on, where its route stands by itself.
-func (c *Controller) zoneCost(e *endpoint) float64 {
-	if !c.kind(e.Kind).SeparateRoutes || e.Zone < 0 || e.Zone >= len(c.settings.ZoneCosts) {
+// zoneCost is the price of a message that an endpoint with a separate route takes.
+func (c *Controller) zoneCost(endpoint *endpoint) float64 {
+	zone := endpoint.Zone
+	if zone < 0 || zone >= len(c.settings.ZoneCosts) || !c.settings.kind(endpoint.Kind).SeparateRoutes {
 		return 0
 	}
-	return c.settings.ZoneCosts[e.Zone]
-}
-
-// kind returns what is known of a kind of destination.
-func (c *Controller) kind(i int) Kind {
-	if i < 0 || i >= len(c.settings.Kinds) {
-		return Kind{MaxBatch: 1}
-	}
-	return c.settings.Kinds[i]
+	return c.settings.ZoneCosts[zone]
 }
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Result says how an attempt or a probe ended.
+// Result says how an attempt or a health check ended.
 type Result uint8
 
-// The results. Only Full, NoConnection, Crowded, Moot and Rejected prove that the attempt never ran.
+// The results.
 const (
-	Unknown            Result = iota // anything else: it may have run
+	Unknown            Result = iota // anything else
 	Served                           // delivered
 	Failed                           // answered with an error
-	Rejected                         // turned away unseen
+	Rejected                         // refused unseen
 	TimedOut                         // no answer in time
-	ConnectFailed                    // no connection could be had
+	ConnectFailed                    // no connection could be opened
 	ConnectionLost                   // the connection broke
-	Canceled                         // called off
-	NotSent                          // not sent
-	Unprocessable                    // the destination can't use this message
-	ConnectionRejected               // turned away unseen, for want of room for the connection
+	Canceled                         // canceled by Actions.Cancel
+	NotSent                          // the host did not send it
+	Unprocessable                    // the destination cannot use this message
+	ConnectionRejected               // refused unseen, as the endpoint had no capacity for the connection
 )
 
 // MayHaveRun reports whether an attempt with this result may have taken effect.
@@ -28,39 +28,12 @@
 // Outcome tells how an attempt ended.
 type Outcome struct {
 	ID         MessageID
-	Attempt    int
+	Attempt    int // attempts of a message count from 0
 	Endpoint   EndpointID
 	Result     Result
 	Elapsed    time.Duration
-	Final      bool          // the message is over: no answer is owed
-	RetryAfter time.Duration // Full: send nothing there for so long; 0 = none told
-	NoSlot     bool          // Moot: all slots were taken
-	LoadReport []float32     // the destination's report, if any
-}
-
-// ObservationKind is what one sender tells others that it saw of an endpoint.
-type ObservationKind uint8
-
-// What can be told.
-const (
-	ObservedNothing   ObservationKind = iota
-	ObservedRejection                 // a call was refused above a limit
-	ObservedRecovery                  // a call was served after an outage: it is back, and cold
-	ReachabilityQuery                 // nothing: one that has heard nobody for a while asks whether anybody hears it
-	ReachabilityReply                 // nothing: the answer to that, by a few
-	ObservedDown                      // a call failed: it may be dead
-	ObservedUp                        // a call was served where others' failed
-	ObservedWarm                      // a call to one that is back was served as quickly as before
-	observationKinds
-)
-
-// Known reports whether this version knows what is told.
-func (s ObservationKind) Known() bool { return s > ObservedNothing && s < observationKinds }
-
-// A Observation is one thing seen of an endpoint. It proves nothing of any message.
-type Observation struct {
-	Endpoint EndpointID
-	Kind     ObservationKind
-	Age      time.Duration // since the call that showed it was sent
-	Peer     int           // of a note that is heard: the sibling that told it, by a number of its own
+	Final      bool          // the message is finished: its client needs no answer
+	RetryAfter time.Duration // send nothing there for so long; 0 = none told
+	NoSlot     bool          // NotSent: all slots were taken
+	LoadReport []float32     // the endpoint's report, see Settings.LimitIndex and HeadroomIndex; nil = none
 }
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -1,53 +1,61 @@
 package control
 
 import (
-	"cleathold/internal/fleethealth"
 	"slices"
+
+	"cleathold/internal/fleethealth"
 )
 
-// allLastCallsFailed tells that each endpoint which may be called has failed when last called, by this sender or its
-// siblings.
-func (c *Controller) allLastCallsFailed(d *destination) bool {
-	return !slices.ContainsFunc(d.endpoints, func(e *endpoint) bool {
-		return e.State == Ready &&
-			e.consecutiveFailures == 0 && !c.ejected(e)
+const (
+	maxIdleDoublings = 3  // times that failures in a row double the idle time after which an endpoint is tried again
+	trialScore       = -1 // failure score of an ejected endpoint whose trial is due
+)
+
+// fleetHealthParams are the parameters of what the fleet finds of endpoints together.
+func (c *Controller) fleetHealthParams() fleethealth.Params {
+	return fleethealth.NewParams(c.settings.FleetSize, c.settings.OverloadWindow)
+}
+
+// allLastCallsFailed reports whether the last call to each endpoint that may be called failed, by this sender's calls
+// or by what its peers found.
+func (c *Controller) allLastCallsFailed(dest *destination) bool {
+	return !slices.ContainsFunc(dest.endpoints, func(e *endpoint) bool {
+		return e.State == Ready && e.consecutiveFailures == 0 && !c.ejected(e)
 	})
 }
 
-// ejected tells that siblings found an endpoint dead, and not too many others of its destination.
-func (c *Controller) ejected(e *endpoint) bool {
-	if !e.health.Ejected(c.now, c.fleetHealthParams()) { // nothing ever does in a small fleet
+// ejected reports whether the fleet ejected an endpoint, and not too many others of its destination. In a small fleet
+// none ever is.
+func (c *Controller) ejected(endpoint *endpoint) bool {
+	if !endpoint.health.Ejected(c.now, c.fleetHealthParams()) {
 		return false
 	}
-	n, all := 0, 0
-	for _, o := range e.destination.endpoints {
-		if o.State == Ready {
-			if all++; o.health.Ejected(c.now, c.fleetHealthParams()) {
-				n++
+	ejected, ready := 0, 0
+	for _, other := range endpoint.destination.endpoints {
+		if other.State == Ready {
+			if ready++; other.health.Ejected(c.now, c.fleetHealthParams()) {
+				ejected++
 			}
 		}
 	}
-	return fleethealth.WithinEjectionLimit(n, all)
-}
-
-func (c *Controller) fleetHealthParams() fleethealth.Params {
-	return fleethealth.NewParams(c.settings.FleetSize, c.settings.OverloadWindow)
+	return fleethealth.WithinEjectionLimit(ejected, ready)
 }
 
-// failureScore is the number of failures in a row that speak against an endpoint. A failed one is tried again, when
-// the others are busy, by a message that may be repeated, or it would stay idle while another one serves.
-// Where siblings found it dead one of them tests it for all: this one in its turn, by its next message.
-func (c *Controller) failureScore(m *message, e *endpoint) int {
-	repeats, dead := m.class.Idempotency != NotIdempotent, c.ejected(e)
+// failureScore ranks an endpoint for a message: the lower, the better; it counts failures in a row. A failed endpoint
+// that was idle for a while scores 0 for a message that may be repeated, or it would stay idle while another one
+// serves. One sender tests an ejected endpoint for the whole fleet: this one when it is due, by its next such message.
+func (c *Controller) failureScore(msg *message, endpoint *endpoint) int {
+	repeatable, ejected := msg.class.Idempotency != NotIdempotent, c.ejected(endpoint)
+	failures := endpoint.consecutiveFailures
 	switch {
-	case dead && repeats && e.callsInFlight == 0 && c.now >= e.health.NextTrialAt():
-		return -1
-	case dead, !repeats && e.health.Suspected(c.now, c.fleetHealthParams()):
-		return max(1, e.consecutiveFailures)
+	case ejected && repeatable && endpoint.callsInFlight == 0 && c.now >= endpoint.health.NextTrialAt():
+		return trialScore
+	case ejected, !repeatable && endpoint.health.Suspected(c.now, c.fleetHealthParams()):
+		return max(1, failures)
 	}
-	if repeats && e.callsInFlight == 0 &&
-		c.now-e.lastUsedAt >= c.settings.OverloadWindow<<min(max(e.consecutiveFailures-1, 0), 3) {
+	retryIdle := c.settings.OverloadWindow << min(max(failures-1, 0), maxIdleDoublings)
+	if repeatable && endpoint.callsInFlight == 0 && c.now-endpoint.lastUsedAt >= retryIdle {
 		return 0
 	}
-	return e.consecutiveFailures
+	return failures
 }
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -75,7 +75,7 @@
 		set.Seed, set.FleetSize, set.CanGossip = uint64(i), senders, true
 		r := newRecorder(t, set)
 		r.ready(0, 2)
-		r.c.connectionRejections[0] = 0 // room is known
+		r.c.connections.rejectionRate[0] = 0 // room is known
 		first := r.arrive(1, 0, 0)
 		r.pass(10 * ms)
 		r.answer(1, Served, 0)
@@ -155,11 +155,11 @@
 	if !first.out || r.now > first.sentAt+200*ms {
 		t.Fatalf("overdue after %v, out %v", r.now-first.sentAt, first.out)
 	}
-	if second := r.arrive(4, 0, 0); !second.out || second.to == first.to || r.c.destination(0).sharedRoute.circuitOpen {
-		t.Errorf("overdue at %d: the next is out %v at %d, the destination open %v", first.to, second.out, second.to, r.c.destination(0).sharedRoute.circuitOpen)
+	if second := r.arrive(4, 0, 0); !second.out || second.to == first.to || r.c.destination(0).sharedRoute.breaker.open {
+		t.Errorf("overdue at %d: the next is out %v at %d, the destination open %v", first.to, second.out, second.to, r.c.destination(0).sharedRoute.breaker.open)
 	}
 	r.pass(500 * ms)
-	if !r.c.destination(0).sharedRoute.circuitOpen {
+	if !r.c.destination(0).sharedRoute.breaker.open {
 		t.Error("both are silent: it should count as an outage")
 	}
 	q := largeFleetMember(t, 1) // an endpoint that answers other calls is not silent
@@ -207,7 +207,7 @@
 			r.pass(10 * ms)
 			r.answer(1, c.result, 0)
 		}
-		if open := r.c.destination(0).sharedRoute.circuitOpen; open != c.open {
+		if open := r.c.destination(0).sharedRoute.breaker.open; open != c.open {
 			t.Errorf("%d siblings, %d of 6 dead, result %d: open %v", c.siblings, c.dead, c.result, open)
 		}
 		if m := r.msgs[1]; !c.open && !m.out {
--- a/control/queue.go
+++ b/control/queue.go
@@ -8,255 +8,283 @@
 )
 
 const (
-	reservedSlotFraction = 0.25 // part of the slots kept for calls that bring at least...
-	lowYieldFraction     = 0.5  // ...so much of what slots usually bring for their time
-	slotYieldWeight      = 0.02 // weight of the latest call in that
+	reservedSlotFraction = 0.25 // part of the slots that only calls of the usual yield may take
+	lowYieldFraction     = 0.5  // a call that brings less than this part of the usual yield is of low yield
+	slotYieldWeight      = 0.02 // weight of the latest call in the yield
 )
 
-// A destination is a destination with its two queues.
+// A destination is one destination with its two queues and what its calls have shown.
 type destination struct {
 	id                  int
-	endpoints           []*endpoint
-	sharedRoute         *route
-	fresh, deferred     []*message
-	callsInFlight       int        // calls out
-	concurrencyReduced  bool       // a call failed and none was served since
-	attempts            []*attempt // attempts out, in order of sending
-	consecutiveTimeouts int        // time-outs in a row
-	busy                bool       // in Controller.busy
-	callTime
-	callTimeSamples   int           // that T_m rests on
-	lastAnswerAt      time.Duration // the latest answer
-	answerGap         time.Duration // usual time between answers while calls are out
-	stalledUntil      time.Duration // calls sent before this skip T_m
-	arrivals          float64       // arrivals, decayed, for the rate of its traffic
-	arrivalsUpdatedAt time.Duration
+	endpoints           []*endpoint // listed and lately removed ones, by id
+	sharedRoute         *route      // of the endpoints without a separate route
+	fresh               []*message  // wait in hope of their latency objective
+	deferred            []*message  // wait for their deadline only
+	attempts            []*attempt  // in flight, in order of sending
+	callsInFlight       int
+	busy                bool // in Controller.busy
+	concurrencyReduced  bool // a call failed and none was served since
+	consecutiveTimeouts int
+	callTime            callTime
+	callTimeSamples     int // served calls of its own that callTime rests on
+	stalls              stallDetector
+	traffic             trafficRate
 }
 
-// A message is one message held or out.
+// A message is one message that is open, or has an attempt in flight.
 type message struct {
 	Message
 	class        *Class
 	destination  *destination
-	deadline     time.Duration // when it is given up
-	attemptCount int
+	deadline     time.Duration
+	attempts     int
 	inFlight     *attempt
 	mayHaveRun   bool          // an attempt may have run
 	firstRunAt   time.Duration // when the first such attempt was sent
-	firstRunZone int           // and the zone it went to
-	finished     bool
-	streaming    bool // its streamed answer has started
-	sequence     *keySequence
+	firstRunZone int           // the zone it went to
+	finished     bool          // its client has its answer, or wants none
+	streaming    bool          // its streamed answer has started
+	sequence     *keySequence  // of its key; nil = not ordered
 }
 
 // An attempt is one send of a message, until its outcome.
 type attempt struct {
 	message       *message
-	preemptibleAt time.Duration // called off from here on if others want its slot
-	canceled      bool
 	endpoint      *endpoint
 	call          *call
 	sentAt        time.Duration
-	idleBand      int           // band of the time its connection lay idle
+	idleBand      int           // of the connection's idle time before the call
 	expectedTime  time.Duration // answered within this if all is well
+	preemptibleAt time.Duration // canceled from here on if others need its slot
+	canceled      bool
+}
+
+// A slotYield follows the priority weight that calls bring for the slot time that they take.
+type slotYield struct {
+	weight  float64 // decayed sum
+	seconds float64 // decayed sum
+}
+
+// record takes a call that held a slot for elapsed and brought this weight.
+func (y *slotYield) record(weight float64, elapsed time.Duration) {
+	y.weight *= 1 - slotYieldWeight
+	y.seconds *= 1 - slotYieldWeight
+	y.seconds += elapsed.Seconds()
+	y.weight += weight
 }
 
-// destination returns the destination with that number.
+// low reports whether a call of this weight for each second of its slot brings much less than calls usually do.
+func (y *slotYield) low(weightPerSecond float64) bool {
+	return y.seconds > 0 && weightPerSecond < lowYieldFraction*y.weight/y.seconds
+}
+
+// weightAt is what a message of the class brings when served at that age. Past the latency objective it falls, to
+// LateWeight of the full weight at the deadline; halving makes it halve with each further objective.
+func (k *Class) weightAt(age time.Duration, halving bool) float64 {
+	if age <= k.LatencyObjective {
+		return k.PriorityWeight
+	}
+	if halving {
+		return k.PriorityWeight * max(k.LateWeight, math.Exp2(1-float64(age)/float64(max(k.LatencyObjective, 1))))
+	}
+	late := float64(age-k.LatencyObjective) / float64(max(k.Deadline-k.LatencyObjective, 1))
+	return k.PriorityWeight * (1 - (1-k.LateWeight)*min(late, 1))
+}
+
+// age is the time since the message was first submitted, wherever that was.
+func (msg *message) age(now time.Duration) time.Duration {
+	return msg.class.Deadline - (msg.deadline - now)
+}
+
+// waiting reports whether the message is neither in flight nor being streamed to its client.
+func (msg *message) waiting() bool { return msg.inFlight == nil && !msg.streaming }
+
+// latestSendTime is when a waiting message must be sent to meet its deadline.
+func (c *Controller) latestSendTime(msg *message) time.Duration {
+	return msg.deadline - msg.destination.callTime.mean - c.settings.Tick
+}
+
+// hasWaiting reports whether messages wait in either queue.
+func (d *destination) hasWaiting() bool { return len(d.fresh)+len(d.deferred) > 0 }
+
+// dequeue takes a message out of the queue that it waits in.
+func (d *destination) dequeue(msg *message) {
+	d.fresh = without(d.fresh, msg)
+	d.deferred = without(d.deferred, msg)
+}
+
+// destination returns the destination with that number; one not known yet is added.
 func (c *Controller) destination(id int) *destination {
-	if d := c.destinations[id]; d != nil {
-		return d
+	if dest := c.destinations[id]; dest != nil {
+		return dest
 	}
-	d := &destination{id: id, sharedRoute: c.newRoute(), arrivalsUpdatedAt: c.now}
-	c.destinations[id] = d
-	return d
+	dest := &destination{id: id, sharedRoute: c.newRoute(), traffic: trafficRate{updatedAt: c.now}}
+	c.destinations[id] = dest
+	return dest
 }
 
-// markBusy puts a destination that has work among the busy ones.
-func (c *Controller) markBusy(d *destination) {
-	if d.busy {
+// markBusy puts a destination that has work among the busy ones, which are the only ones that a decision visits.
+func (c *Controller) markBusy(dest *destination) {
+	if dest.busy {
 		return
 	}
-	d.busy = true
-	i := sort.Search(len(c.busy), func(i int) bool { return c.busy[i].id > d.id })
-	c.busy = slices.Insert(c.busy, i, d)
+	dest.busy = true
+	i := sort.Search(len(c.busy), func(i int) bool { return c.busy[i].id > dest.id })
+	c.busy = slices.Insert(c.busy, i, dest)
 }
 
-// trimBusy leaves out of the busy destinations those without messages and calls.
+// trimBusy takes destinations without messages and attempts out of the busy ones.
 func (c *Controller) trimBusy() {
-	c.busy = slices.DeleteFunc(c.busy, func(d *destination) bool {
-		d.busy = len(d.fresh)+len(d.deferred)+len(d.attempts) > 0
-		return !d.busy
+	c.busy = slices.DeleteFunc(c.busy, func(dest *destination) bool {
+		dest.busy = dest.hasWaiting() || len(dest.attempts) > 0
+		return !dest.busy
 	})
 }
 
-// age is the time since the message was first handed in, wherever that was.
-func (c *Controller) age(m *message) time.Duration {
-	return m.class.Deadline - (m.deadline - c.now)
-}
-
-// latestSendTime is the time by which a held message must be on its way: its deadline less the expected call.
-func (c *Controller) latestSendTime(m *message) time.Duration {
-	return m.deadline - m.destination.mean - c.settings.Tick
-}
-
-// expireMessages gives up held messages that can no longer meet their deadline.
+// expireMessages ends waiting messages that can no longer meet their deadline.
 func (c *Controller) expireMessages() {
 	for i := 0; i < len(c.openMessages); {
-		m := c.openMessages[i]
-		if m.inFlight == nil && !m.streaming && c.now >= c.latestSendTime(m) {
-			c.finishUndelivered(m)
+		msg := c.openMessages[i]
+		if msg.waiting() && c.now >= c.latestSendTime(msg) {
+			c.finishUndelivered(msg) // takes it out of openMessages
 			continue
 		}
 		i++
 	}
 }
 
-// runSelection runs rounds of selection while a slot is free: the head worth most for its slot-time goes first.
+// runSelection runs rounds of selection while a slot is free. Of the messages that the destinations' rounds select, the
+// one with the most weight for its slot time goes first.
 func (c *Controller) runSelection() {
 	for {
 		var best *message
 		var to *endpoint
 		most := 0.0
-		for _, d := range c.busy {
-			m, e := c.selectionRound(d)
-			if m == nil {
+		for _, dest := range c.busy {
+			msg, endpoint := c.selectionRound(dest)
+			if msg == nil {
 				continue
 			}
-			v := c.weightPerSecond(m)
-			if c.joinsCall(e) {
-				v = math.Inf(1)
-			} else if c.slotReserved(v) {
+			value := c.weightPerSecond(msg)
+			if c.joinsCall(endpoint) {
+				value = math.Inf(1) // it takes no slot
+			} else if c.slotReserved(value) {
 				continue
 			}
-			if best == nil || v > most {
-				best, to, most = m, e, v
+			if best == nil || value > most {
+				best, to, most = msg, endpoint, value
 			}
 		}
 		if best == nil {
 			return
 		}
-		best.destination.fresh = without(best.destination.fresh, best)
-		best.destination.deferred = without(best.destination.deferred, best)
+		best.destination.dequeue(best)
 		c.send(best, to)
 	}
 }
 
-// selectionRound is one round of selection for a destination: the message that goes next, and where to, or nil.
-func (c *Controller) selectionRound(d *destination) (*message, *endpoint) {
+// selectionRound is the paper's round of selection for a destination: the message that goes next, and where to, or nil.
+// A fresh head that would miss its latency objective is deferred, a deferred one that would miss its deadline is ended.
+func (c *Controller) selectionRound(dest *destination) (*message, *endpoint) {
 	for {
-		m, e := c.queueHead(d, d.fresh)
-		if m == nil {
+		msg, endpoint := c.queueHead(dest, dest.fresh)
+		if msg == nil {
 			break
 		}
-		if c.age(m)+d.mean < m.class.LatencyObjective {
-			return m, e
+		if msg.age(c.now)+dest.callTime.mean < msg.class.LatencyObjective {
+			return msg, endpoint
 		}
-		d.fresh = without(d.fresh, m)
-		d.deferred = append(d.deferred, m)
+		dest.fresh = without(dest.fresh, msg)
+		dest.deferred = append(dest.deferred, msg)
 	}
 	for {
-		m, e := c.queueHead(d, d.deferred)
-		if m == nil || c.age(m)+d.mean < m.class.Deadline {
-			return m, e
+		msg, endpoint := c.queueHead(dest, dest.deferred)
+		if msg == nil || msg.age(c.now)+dest.callTime.mean < msg.class.Deadline {
+			return msg, endpoint
 		}
-		c.finishUndelivered(m)
+		c.finishUndelivered(msg)
 	}
 }
 
-// queueHead returns the message of a queue that goes first, and where to: of those
-// that may go the one worth most when served now, then the longest waiting.
-func (c *Controller) queueHead(d *destination, queue []*message) (*message, *endpoint) {
+// queueHead returns the message of a queue that goes first, and where to: of those that may go, the one with the most
+// weight when served now, then the one that has waited longest.
+func (c *Controller) queueHead(dest *destination, queue []*message) (*message, *endpoint) {
 	var best *message
 	var to *endpoint
 	most := 0.0
-	for _, m := range queue {
-		v := c.weightAt(m, c.age(m)+d.mean)
-		if d.sharedRoute.circuitOpen && m.class.Idempotency == NotIdempotent {
-			v = -v // the lone call may be lost: it should be one that can be made again
+	for _, msg := range queue {
+		weight := c.weightWhenServed(msg)
+		if dest.sharedRoute.breaker.open && msg.class.Idempotency == NotIdempotent {
+			weight = -weight // a trial call may be lost: it should carry a message that may be repeated
 		}
-		if best != nil && v <= most {
+		if best != nil && weight <= most {
 			continue
 		}
-		if e := c.pickEndpoint(d, m); e != nil {
-			best, to, most = m, e, v
+		if endpoint := c.pickEndpoint(dest, msg); endpoint != nil {
+			best, to, most = msg, endpoint, weight
 		}
 	}
 	return best, to
 }
 
-// weightPerSecond is the worth of a message for each second that its call takes.
-func (c *Controller) weightPerSecond(m *message) float64 {
-	return c.weightAt(m, c.age(m)+m.destination.mean) / max(m.destination.mean, c.settings.Tick,
-		time.Millisecond).Seconds()
+// weightWhenServed is the weight that a message brings if it is sent now and served after the expected call time.
+func (c *Controller) weightWhenServed(msg *message) float64 {
+	return msg.class.weightAt(msg.age(c.now)+msg.destination.callTime.mean, c.settings.WeightHalves)
 }
 
-// weightAt is what a message brings when served at that age.
-func (c *Controller) weightAt(m *message, age time.Duration) float64 {
-	k := m.class
-	if age <= k.LatencyObjective {
-		return k.PriorityWeight
-	}
-	if c.settings.WeightHalves {
-		return k.PriorityWeight * max(k.LateWeight, math.Exp2(1-float64(age)/float64(max(k.LatencyObjective, 1))))
-	}
-	late := float64(age-k.LatencyObjective) / float64(max(k.Deadline-k.LatencyObjective, 1))
-	return k.PriorityWeight * (1 - (1-k.LateWeight)*min(late, 1))
+// weightPerSecond is the weight that a message brings for each second of its slot.
+func (c *Controller) weightPerSecond(msg *message) float64 {
+	return c.weightWhenServed(msg) / max(msg.destination.callTime.mean, c.settings.Tick, time.Millisecond).Seconds()
 }
 
-// recordSlotYield follows what the slots bring in for their time.
-func (c *Controller) recordSlotYield(m *message, took time.Duration, r Result) {
-	c.slotWeight *= 1 - slotYieldWeight
-	c.slotSeconds *= 1 - slotYieldWeight
-	c.slotSeconds += took.Seconds()
-	if r == Served {
-		c.slotWeight += c.weightAt(m, c.age(m))
+// recordSlotYield takes what a call brought for its time.
+func (c *Controller) recordSlotYield(msg *message, elapsed time.Duration, result Result) {
+	weight := 0.0
+	if result == Served {
+		weight = msg.class.weightAt(msg.age(c.now), c.settings.WeightHalves)
 	}
+	c.slotYield.record(weight, elapsed)
 }
 
-// slotReserved holds back a call that brings little for its time when few slots are left: a slow or sick
-// destination may use idle slots, but not the last ones that quick calls to others need.
-func (c *Controller) slotReserved(density float64) bool {
-	free := c.settings.MaxInFlight - c.callsInFlight - c.remoteInFlight
-	return float64(free) <= reservedSlotFraction*float64(c.settings.MaxInFlight) && c.slotSeconds > 0 &&
-		density < lowYieldFraction*c.slotWeight/c.slotSeconds
+// freeSlots is the number of slots that neither this process nor its predecessor or successor uses.
+func (c *Controller) freeSlots() int {
+	return c.settings.MaxInFlight - c.callsInFlight - c.remoteInFlight
 }
 
-// finish ends a message; an attempt still out is awaited.
-func (c *Controller) finish(m *message) {
-	if m.finished {
+// slotReserved holds back a call of low yield when few slots are free: a slow or failing destination may use idle
+// slots, but not the last ones, which quick calls to others need.
+func (c *Controller) slotReserved(weightPerSecond float64) bool {
+	return float64(c.freeSlots()) <= reservedSlotFraction*float64(c.settings.MaxInFlight) &&
+		c.slotYield.low(weightPerSecond)
+}
+
+// finish ends a message. An attempt in flight is awaited.
+func (c *Controller) finish(msg *message) {
+	if msg.finished {
 		return
 	}
-	m.finished = true
-	c.openMessages = without(c.openMessages, m)
-	m.destination.fresh = without(m.destination.fresh, m)
-	m.destination.deferred = without(m.destination.deferred, m)
-	if m.sequence != nil {
-		m.sequence.queue = without(m.sequence.queue, m)
+	msg.finished = true
+	c.openMessages = without(c.openMessages, msg)
+	msg.destination.dequeue(msg)
+	if msg.sequence != nil {
+		msg.sequence.remove(msg)
 	}
-	c.forgetFinished(m)
+	c.forgetFinished(msg)
 }
 
-// forgetFinished drops a message that is over and has no attempt out.
-func (c *Controller) forgetFinished(m *message) {
-	if !m.finished || m.inFlight != nil {
+// forgetFinished drops a message that is finished and has no attempt in flight.
+func (c *Controller) forgetFinished(msg *message) {
+	if !msg.finished || msg.inFlight != nil {
 		return
 	}
-	delete(c.messages, m.ID)
-	if m.sequence != nil {
-		c.idleSequences = append(c.idleSequences, m.sequence)
-	}
-	for len(c.idleSequences) > 0 && (c.now >= c.idleSequences[0].pausedUntil || !c.idleSequences[0].unused()) {
-		if t := c.idleSequences[0]; t.unused() && c.sequences[t.key] == t {
-			delete(c.sequences, t.key)
-		}
-		c.idleSequences = c.idleSequences[1:]
-	}
+	delete(c.messages, msg.ID)
+	c.sequences.release(msg.sequence, c.now)
 }
 
-// without returns the list less one element, in the same order.
-func without[T comparable](list []T, m T) []T {
+// without returns the list less one element, in the same order. It reuses the list's array.
+func without[T comparable](list []T, element T) []T {
 	for i, x := range list {
-		if x == m {
+		if x == element {
 			return append(list[:i], list[i+1:]...)
 		}
 	}
--- a/control/queue_test.go
+++ b/control/queue_test.go
@@ -58,7 +58,7 @@
 		r.arrive(id, 0, 1)
 		r.serve(60*ms, 50*ms)
 	}
-	r.c.destination(0).mean = 900 * ms
+	r.c.destination(0).callTime.mean = 900 * ms
 	for range 20 {
 		id++
 		r.arrive(id, 0, 0)
--- a/control/ratelimit.go
+++ b/control/ratelimit.go
@@ -6,123 +6,167 @@
 )
 
 const (
-	trafficRateWindow    = 10 * time.Second       // memory of the rate of a destination's traffic
-	limitBurst           = 200 * time.Millisecond // depth of a limit's token bucket
-	limitReduction       = 0.65                   // a refusal takes the share of a limit down to this part
-	limitRisePerSecond   = 0.08                   // and each second with served calls adds so much again
-	minFairShareFraction = 0.4                    // but it leaves so much of this instance's part
-	minLimitFraction     = 0.01                   // with reports the share grows from here
-	headroomAtLimit      = 0.5                    // a refusal with less of a limit left is no outage
-	headroomRaise        = 0.1                    // an answer with all the allowance left raises it by this part
+	trafficRateWindow    = 10 * time.Second       // time constant of a destination's traffic rate
+	limitBurst           = 200 * time.Millisecond // a token bucket holds the tokens of this time
+	limitReduction       = 0.65                   // a rejection reduces the limit fraction to this part
+	limitRisePerSecond   = 0.08                   // each second with served calls raises the limit fraction by this
+	minFairShareFraction = 0.4                    // but this part of the fair share is always sent
+	minLimitFraction     = 0.01                   // where headroom is reported, the limit fraction rises from here
+	headroomRaise        = 0.1                    // an answer that reports all of the limit left raises it by this part
+	headroomAtLimit      = 0.5                    // a rejection that reports no more headroom is above the limit
 )
 
-// sendRate is the rate in calls a second that a route is sent; 0 = as they come. A known limit is kept by a
-// token bucket, as each call above it is lost. A warming route gets the part that it can be sure to take.
-func (c *Controller) sendRate(e *endpoint) float64 {
-	rt := e.route
-	whole := rt.reportedLimit
-	if whole <= 0 && c.settings.WeightKind != WeightsUnset && !rt.limitReported {
-		whole = e.Weight
-	}
-	if !rt.slowStartActive {
-		if c.usesFleetRate() {
-			return whole * rt.limitFraction
-		}
-		return max(whole*rt.limitFraction, min(whole, c.fairShare(e)*minFairShareFraction))
-	}
-	f := c.settings.ColdCapacity
-	if c.settings.WarmUp > 0 {
-		f += (1 - f) * float64(c.now-rt.rampFrom) / float64(c.settings.WarmUp)
-	}
-	if c.usesFleetRate() {
-		f *= fleetRateSlowStartFactor
-	}
-	return c.fairShare(e) * min(f, 1) * max(1, c.settings.OverloadFactor/2)
+// A tokenBucket lets calls go at a rate. Tokens may be negative.
+type tokenBucket struct {
+	tokens   float64
+	filledAt time.Duration
 }
 
-// refillTokens fills the token bucket of a route, and ends its slow start.
-func (c *Controller) refillTokens(e *endpoint) {
-	rt := e.route
-	if rt.slowStartActive && c.now >= rt.recoveredAt+c.settings.WarmUp {
-		rt.slowStartActive = false
+// refill adds the tokens of the time since the last refill, at a rate a second, up to depth.
+func (b *tokenBucket) refill(now time.Duration, perSecond, depth float64) {
+	if now > b.filledAt {
+		b.tokens = min(depth, b.tokens+perSecond*(now-b.filledAt).Seconds())
+		b.filledAt = now
 	}
-	if c.peers.Isolated(c.now) {
-		if rt.limitRaisedAt = c.now; rt.limitReducedAt == c.peers.QueriedAt {
-			c.reduceFleetRate(rt)
-		}
-		if c.peers.RepeatQuery(c.now) {
-			c.actions.Gossip(Observation{Endpoint: e.ID, Kind: ReachabilityQuery})
-		}
-	}
-	if from := max(rt.limitRaisedAt, rt.limitReducedAt, rt.retryAfter); c.usesFleetRate() && !rt.slowStartActive &&
-		c.now > from {
-		grown := (c.now - from).Seconds() * fleetRateRisePerSecond * c.peers.ReachableFraction(c.now)
-		rt.limitFraction = min(fleetRateMax/float64(c.settings.FleetSize),
-			rt.limitFraction+grown/float64(c.settings.FleetSize))
-		rt.limitRaisedAt = c.now
+}
+
+// untilToken is the time until the next token at a rate a second.
+func (b *tokenBucket) untilToken(perSecond float64) time.Duration {
+	return time.Duration((1 - b.tokens) / perSecond * float64(time.Second))
+}
+
+// A rateLimit is what is known of the limit of a route, and the fraction of it that this sender uses.
+type rateLimit struct {
+	reported  bool    // a load report came, also one that tells of no limit
+	perSecond float64 // reported limit in calls a second; 0 = none
+	fraction  float64 // of the limit, for this sender
+	reducedAt time.Duration
+	raisedAt  time.Duration
+}
+
+// reduce takes a rejection: half of the fleet is thought to see as much.
+func (l *rateLimit) reduce(now time.Duration, halfFleet float64) {
+	l.fraction *= math.Pow(limitReduction, halfFleet)
+	l.reducedAt = now
+}
+
+// raise takes a served call: the fraction rises with time in which calls are served.
+func (l *rateLimit) raise(now time.Duration) {
+	risen := min(now-l.raisedAt, time.Second).Seconds() * limitRisePerSecond
+	l.fraction, l.raisedAt = min(1, l.fraction+risen), now
+}
+
+// raiseByHeadroom takes a served call that reported how much of the limit is left, from 0 to 1.
+func (l *rateLimit) raiseByHeadroom(headroom, halfFleet float64) {
+	l.fraction = min(1, max(l.fraction, minLimitFraction)*math.Pow(1+headroomRaise*headroom, halfFleet))
+}
+
+// A trafficRate is the rate of messages for a destination: a count that decays with trafficRateWindow.
+type trafficRate struct {
+	arrivals  float64
+	updatedAt time.Duration
+}
+
+// record takes the arrival of a message.
+func (r *trafficRate) record(now time.Duration) {
+	r.arrivals = r.arrivals*math.Exp(-float64(now-r.updatedAt)/float64(trafficRateWindow)) + 1
+	r.updatedAt = now
+}
+
+// perSecond is the rate in messages a second.
+func (r *trafficRate) perSecond(now time.Duration) float64 {
+	decay := math.Exp(-float64(now-r.updatedAt) / float64(trafficRateWindow))
+	return r.arrivals * decay / trafficRateWindow.Seconds()
+}
+
+// reportedLimit returns the limit that a load report tells, in calls a second.
+func (s *Settings) reportedLimit(load []float32) (perSecond float64, ok bool) {
+	if s.LimitIndex < 0 || s.LimitIndex >= len(load) {
+		return 0, false
 	}
-	p, depth := c.sendRate(e), 1.0
-	if !rt.slowStartActive {
-		depth = max(1, p*limitBurst.Seconds())
-		if c.usesFleetRate() {
-			depth = fleetRateBurst // one of many sees its messages in clumps
-		}
+	return float64(load[s.LimitIndex]), true
+}
+
+// reportedHeadroom returns the part of the limit that is left by a load report.
+func (s *Settings) reportedHeadroom(load []float32) (headroom float64, ok bool) {
+	if s.HeadroomIndex < 0 || s.HeadroomIndex >= len(load) {
+		return 0, false
 	}
-	if c.now > rt.filledAt {
-		rt.tokens = min(depth, rt.tokens+p*(c.now-rt.filledAt).Seconds())
-		rt.filledAt = c.now
+	return float64(load[s.HeadroomIndex]), true
+}
+
+// recordLoadReport takes what an endpoint reports of its limit.
+func (c *Controller) recordLoadReport(endpoint *endpoint, load []float32) {
+	if perSecond, ok := c.settings.reportedLimit(load); ok {
+		endpoint.route.limit.perSecond, endpoint.route.limit.reported = perSecond, true
 	}
 }
 
-// recordLoadReport takes what an endpoint told of its limit.
-func (c *Controller) recordLoadReport(e *endpoint, load []float32) {
-	if i := c.settings.LimitIndex; i >= 0 && i < len(load) {
-		e.route.reportedLimit, e.route.limitReported = float64(load[i]), true
+// rejectedAtLimit tells a rejection above a reported limit, with little of it left, from an outage.
+func (c *Controller) rejectedAtLimit(route *route, o Outcome) bool {
+	headroom, ok := c.settings.reportedHeadroom(o.LoadReport)
+	return o.Result == Rejected && o.RetryAfter < c.settings.OverloadWindow && !route.breaker.open &&
+		route.limit.perSecond > 0 && ok && !(headroom > headroomAtLimit)
+}
+
+// sendRate is the rate in calls a second at which a route is sent to; 0 = no limit. A known limit is kept by a token
+// bucket, as each call above it is lost. In a slow start it is what the destination is sure to take.
+func (c *Controller) sendRate(endpoint *endpoint) float64 {
+	route := endpoint.route
+	if route.slowStart.active {
+		return c.fairShare(endpoint) * route.slowStart.capacityFraction(c.now, &c.settings) *
+			max(1, c.settings.OverloadFactor/2)
+	}
+	limit := route.limit.perSecond
+	if !route.limit.reported {
+		limit = c.capacity(endpoint)
 	}
+	if c.settings.usesFleetRate() {
+		return limit * route.limit.fraction
+	}
+	return max(limit*route.limit.fraction, min(limit, c.fairShare(endpoint)*minFairShareFraction))
 }
 
-// rejectedAtLimit tells a refusal above a known limit, with nothing of it left, from an outage.
-func (c *Controller) rejectedAtLimit(e *endpoint, o Outcome) bool {
-	i := c.settings.HeadroomIndex
-	rt := e.route
-	if o.Result != Rejected || o.RetryAfter >= c.settings.OverloadWindow || rt.circuitOpen || rt.reportedLimit <= 0 ||
-		i < 0 || i >= len(o.LoadReport) || o.LoadReport[i] > headroomAtLimit {
-		return false
+// refillTokens refills the token bucket of an endpoint's route, and ends its slow start when it is over.
+func (c *Controller) refillTokens(endpoint *endpoint) {
+	route, fleetRate := endpoint.route, c.settings.usesFleetRate()
+	route.slowStart.expire(c.now, c.settings.WarmUp)
+	c.updateFleetRate(endpoint)
+	rate, depth := c.sendRate(endpoint), 1.0
+	switch {
+	case route.slowStart.active:
+	case fleetRate:
+		depth = fleetRateBurst
+	default:
+		depth = max(1, rate*limitBurst.Seconds())
 	}
-	rt.retryAfter = max(rt.retryAfter, c.now+o.RetryAfter)
-	return true
+	route.bucket.refill(c.now, rate, depth)
 }
 
-// adjustLimitFraction learns this instance's part of a route's limit: refusals lower it, once for calls sent
-// together, and served calls raise it slowly, so that the siblings meet near the limit. Reports that tell of
-// allowance left raise it at once. A refusal and a report stand for what half the siblings see.
-func (c *Controller) adjustLimitFraction(a *attempt, r Result, load []float32) {
-	rt, fleet := a.endpoint.route, float64(c.settings.FleetSize)/2
+// adjustLimitFraction learns this sender's fraction of a route's limit: rejections reduce it, once for calls that were
+// sent together, and served calls raise it slowly, so that the fleet meets near the limit. Reports of headroom raise it
+// at once. A rejection and a report stand for what half of the fleet sees.
+func (c *Controller) adjustLimitFraction(a *attempt, result Result, load []float32) {
+	route, halfFleet := a.endpoint.route, float64(c.settings.FleetSize)/2
+	limit := &route.limit
 	switch {
-	case r == Rejected && !rt.slowStartActive && c.usesFleetRate():
-		if a.sentAt >= rt.limitReducedAt {
-			c.reduceFleetRate(rt)
+	case result == Rejected && !route.slowStart.active && c.settings.usesFleetRate():
+		if a.sentAt >= limit.reducedAt {
+			c.reduceFleetRate(route)
 			c.gossipRejection(a.endpoint, c.now-a.sentAt)
 		}
-	case r == Rejected && !rt.slowStartActive:
-		if a.sentAt >= rt.limitReducedAt {
-			rt.limitFraction *= math.Pow(limitReduction, fleet)
-			rt.limitReducedAt = c.now
+	case result == Rejected && !route.slowStart.active:
+		if a.sentAt >= limit.reducedAt {
+			limit.reduce(c.now, halfFleet)
 		}
-		rt.tokens, rt.filledAt = c.rng.Float64()-0.5, max(c.now, rt.retryAfter) // not all siblings at one instant
-	case r == Served && c.peers.Isolated(c.now):
-		rt.limitFraction = min(fleetRateMax/float64(c.settings.FleetSize), rt.limitFraction*(1+isolatedRateRisePerCall))
-	case r == Served && !c.usesFleetRate():
-		grown := min(c.now-rt.limitRaisedAt, time.Second).Seconds() * limitRisePerSecond
-		rt.limitFraction, rt.limitRaisedAt = min(1, rt.limitFraction+grown), c.now
+		// The draw keeps the fleet from sending at one instant.
+		route.bucket = tokenBucket{tokens: c.rng.Float64() - 0.5, filledAt: max(c.now, route.retryAfter)}
+	case result == Served && c.peers.Isolated(c.now):
+		limit.raiseIsolated(c.settings.FleetSize)
+	case result == Served && !c.settings.usesFleetRate():
+		limit.raise(c.now)
 	}
-	if i := c.settings.HeadroomIndex; r == Served && i >= 0 && i < len(load) {
-		rt.limitFraction = min(1, max(rt.limitFraction, minLimitFraction)*math.Pow(1+headroomRaise*float64(load[i]), fleet))
+	if headroom, ok := c.settings.reportedHeadroom(load); ok && result == Served {
+		limit.raiseByHeadroom(headroom, halfFleet)
 	}
 }
-
-// countArrival follows the rate of the traffic for the destination.
-func (d *destination) countArrival(now time.Duration) {
-	d.arrivals = d.arrivals*math.Exp(-float64(now-d.arrivalsUpdatedAt)/float64(trafficRateWindow)) + 1
-	d.arrivalsUpdatedAt = now
-}
--- a/control/retry.go
+++ b/control/retry.go
@@ -5,58 +5,69 @@
 	"time"
 )
 
-// mayRetry: a further attempt only as the class allows, and within the cap.
-func (c *Controller) mayRetry(m *message) bool {
-	if c.settings.MaxAttempts > 0 && m.attemptCount >= c.settings.MaxAttempts {
+// mayRetry reports whether the message may have a further attempt, by its class and the limit on attempts.
+func (c *Controller) mayRetry(msg *message) bool {
+	if c.settings.MaxAttempts > 0 && msg.attempts >= c.settings.MaxAttempts {
 		return false
 	}
-	if !m.mayHaveRun || m.class.Idempotency == Idempotent {
+	if !msg.mayHaveRun || msg.class.Idempotency == Idempotent {
 		return true
 	}
-	// The repeat must arrive while the first is remembered, so a usual call's time is the margin.
-	margin := min(c.expectedCallTime(m.destination, m.class), m.class.KeyRetention/4)
-	return m.class.Idempotency == IdempotentByKey && c.now+margin < m.firstRunAt+m.class.KeyRetention
+	if msg.class.Idempotency != IdempotentByKey {
+		return false
+	}
+	return msg.keyRetained(c.now, c.expectedCallTime(msg.destination, msg.class))
 }
 
-// mayReject: a refusal tells that trying again is harmless.
-func mayReject(m *message) bool {
-	return !m.mayHaveRun || m.class.Idempotency == Idempotent ||
-		m.class.Idempotency == IdempotentByKey && !m.class.KeyZoneScoped
+// keyRetained reports whether a repeat sent now, which arrives within a call's time, is still dropped by its key.
+func (msg *message) keyRetained(now, callTime time.Duration) bool {
+	margin := min(callTime, msg.class.KeyRetention/4)
+	return now+margin < msg.firstRunAt+msg.class.KeyRetention
 }
 
-// keyRetainedAt: a keyed message that may have run stays where repeats are dropped.
-func (c *Controller) keyRetainedAt(m *message, e *endpoint) bool {
-	return !m.mayHaveRun || !m.class.KeyZoneScoped || e.Zone == m.firstRunZone
+// keyKnownIn reports whether a repeat may go to a zone: where keys are scoped to a zone, one that may have run stays in
+// the zone where its repeats are dropped.
+func (msg *message) keyKnownIn(zone int) bool {
+	return !msg.mayHaveRun || !msg.class.KeyZoneScoped || zone == msg.firstRunZone
 }
 
-// finishUndelivered gives the final answer at once: handed back if trying again is harmless, failed otherwise.
-func (c *Controller) finishUndelivered(m *message) {
-	if c.allowed(actionReject, m, nil) {
-		c.actions.Reject(m.ID, c.retryAdvice(m))
-	} else if !m.finished {
-		c.actions.Fail(m.ID)
-	}
-	c.finish(m)
+// mayReject reports whether the message may be rejected, which tells its client that it may safely submit it again.
+func (msg *message) mayReject() bool {
+	if msg.finished || msg.inFlight != nil {
+		return false
+	}
+	return !msg.mayHaveRun || msg.class.Idempotency == Idempotent ||
+		msg.class.Idempotency == IdempotentByKey && !msg.class.KeyZoneScoped
+}
+
+// finishUndelivered ends a message without delivery: rejected if submitting it again is safe, failed otherwise.
+func (c *Controller) finishUndelivered(msg *message) {
+	if msg.mayReject() {
+		c.actions.Reject(msg.ID, c.retryAdvice(msg))
+	} else if !msg.finished {
+		c.actions.Fail(msg.ID)
+	}
+	c.finish(msg)
 }
 
-// retryAdvice tells a client when its destination may have room again: where its endpoints are routes apart, that
-// is when the first of them has. Nothing known is no reason to come back at once.
-func (c *Controller) retryAdvice(m *message) time.Duration {
+// retryAdvice is the Retry-After for a rejected message: the time until the first endpoint of its destination may be
+// called. Where nothing is known it is the latency objective, as the client should not come back at once.
+func (c *Controller) retryAdvice(msg *message) time.Duration {
 	if !c.settings.CanSendRetryAfter {
 		return 0
 	}
-	soonest := time.Duration(math.MaxInt64)
-	for _, e := range m.destination.endpoints {
+	earliest := time.Duration(math.MaxInt64)
+	for _, e := range msg.destination.endpoints {
 		if e.State == Ready {
-			soonest = min(soonest, max(e.route.retryAfter, e.route.nextTrial))
+			earliest = min(earliest, max(e.route.retryAfter, e.route.breaker.nextTrial))
 		}
 	}
-	if soonest == math.MaxInt64 {
-		soonest = c.now + m.class.LatencyObjective
+	if earliest == math.MaxInt64 {
+		earliest = c.now + msg.class.LatencyObjective
 	}
-	least := m.destination.mean
-	if least == 0 {
-		least = m.class.LatencyObjective / 2
+	shortest := msg.destination.callTime.mean
+	if shortest == 0 {
+		shortest = msg.class.LatencyObjective / 2
 	}
-	return min(c.settings.MaxRetryAfter, max(least, soonest-c.now))
+	return min(c.settings.MaxRetryAfter, max(shortest, earliest-c.now))
 }
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -98,8 +98,8 @@
 		if got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
-		if k := r.c.messages[1]; k != nil && m.out && k.attemptCount != c.sends+1 {
-			t.Errorf("%s: attempt %d", c.name, k.attemptCount)
+		if k := r.c.messages[1]; k != nil && m.out && k.attempts != c.sends+1 {
+			t.Errorf("%s: attempt %d", c.name, k.attempts)
 		}
 	}
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -49,11 +49,11 @@
 		}
 	}
 	r.pass(set.WarmUp)
-	d.sharedRoute.circuitOpen, d.sharedRoute.consecutiveFailures, d.sharedRoute.failingSince = true, 3, r.now-set.WarmUp
+	d.sharedRoute.breaker.open, d.sharedRoute.breaker.consecutiveFailures, d.sharedRoute.breaker.failingSince = true, 3, r.now-set.WarmUp
 	r.c.recordHealth(d.endpoints[0], r.now, Served, 0)
 	sum := r.c.sendRate(d.endpoints[0]) * float64(set.FleetSize)
-	if budget := 20 * set.ColdCapacity * set.OverloadFactor; !d.sharedRoute.slowStartActive || sum <= 0 || sum > budget {
-		t.Fatalf("warming %v: all siblings send %.1f a second, budget %.1f", d.sharedRoute.slowStartActive, sum, budget)
+	if budget := 20 * set.ColdCapacity * set.OverloadFactor; !d.sharedRoute.slowStart.active || sum <= 0 || sum > budget {
+		t.Fatalf("warming %v: all siblings send %.1f a second, budget %.1f", d.sharedRoute.slowStart.active, sum, budget)
 	}
 }
 
@@ -79,7 +79,7 @@
 			set.Seed = uint64(i)
 			r := newRecorder(t, set)
 			r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 20})
-			for id := MessageID(1); id <= 20 && r.c.destination(0).sharedRoute.consecutiveFailures < c.bad; id++ {
+			for id := MessageID(1); id <= 20 && r.c.destination(0).sharedRoute.breaker.consecutiveFailures < c.bad; id++ {
 				r.arrive(id, 0, 0)
 				r.pass(time.Second)
 				for _, m := range slices.Clone(r.arrivals) {
@@ -89,11 +89,11 @@
 				}
 			}
 			rt := r.c.destination(0).sharedRoute
-			open := rt.circuitOpen
+			open := rt.breaker.open
 			r.pass(200 * ms)
 			r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedRecovery, Age: c.ago})
-			if back := open && !rt.circuitOpen && rt.slowStartActive; back != c.back {
-				t.Fatalf("%s: open %v, then %v, warming %v", c.name, open, rt.circuitOpen, rt.slowStartActive)
+			if back := open && !rt.breaker.open && rt.slowStart.active; back != c.back {
+				t.Fatalf("%s: open %v, then %v, warming %v", c.name, open, rt.breaker.open, rt.slowStart.active)
 			}
 			sum += r.c.sendRate(r.c.endpoints[1])
 		}
@@ -113,7 +113,7 @@
 	r.now += 1900 * ms
 	r.answer(2, TimedOut, 0)
 	rt := r.c.destination(0).sharedRoute
-	if rt.circuitOpen {
+	if rt.breaker.open {
 		t.Fatal("one failure found after a standstill opened the route")
 	}
 	r.pass(r.set.OverloadWindow)
@@ -121,7 +121,7 @@
 		r.arrive(3, 0, 0)
 	}
 	r.c.recordHealth(r.c.destination(0).endpoints[0], r.now, Served, 0)
-	if !rt.slowStartActive {
+	if !rt.slowStart.active {
 		t.Fatal("the partner may be cold, and gets all that waits")
 	}
 }
@@ -160,20 +160,20 @@
 	again, far := largeFleetMember(t, 1), 20*time.Second // in each return the word of each counts anew, and no more are kept than count
 	for n := range 2 {
 		rt := again.c.endpoints[0].route
-		rt.slowStartActive = false
+		rt.slowStart.active = false
 		again.pass(far)
 		again.c.startSlowStart(rt)
 		again.pass(100 * ms)
 		for i := range 30 {
 			again.c.ReceiveGossip(again.now, Observation{Endpoint: 0, Kind: ObservedWarm, Peer: i})
 		}
-		if got := rt.recoveredAt - rt.rampFrom; got != again.set.WarmUp || len(rt.warmReporters) > 10 {
-			t.Errorf("return %d: %v earlier by the word of %d", n, got, len(rt.warmReporters))
+		if got := rt.slowStart.recoveredAt - rt.slowStart.rampFrom; got != again.set.WarmUp || len(rt.slowStart.warmReporters) > 10 {
+			t.Errorf("return %d: %v earlier by the word of %d", n, got, len(rt.slowStart.warmReporters))
 		}
 	}
 	r := largeFleetMember(t, 1)
 	e := r.c.endpoints[0]
-	e.route.callTimeBefore = 100 * ms
+	e.route.breaker.callTimeBefore = 100 * ms
 	told := func() (n int) {
 		for _, x := range r.told {
 			if x.Kind == ObservedWarm {
@@ -191,7 +191,7 @@
 	if n := told(); n < 1 || n > 8 {
 		t.Errorf("told %d times that it is warm", n)
 	}
-	if !e.route.slowStartActive || r.c.now-e.route.rampFrom < r.set.WarmUp {
-		t.Errorf("after 20 brisk calls: warming %v, from %v on", e.route.slowStartActive, e.route.rampFrom-r.now)
+	if !e.route.slowStart.active || r.c.now-e.route.slowStart.rampFrom < r.set.WarmUp {
+		t.Errorf("after 20 brisk calls: warming %v, from %v on", e.route.slowStart.active, e.route.slowStart.rampFrom-r.now)
 	}
 }
--- a/control/timeout.go
+++ b/control/timeout.go
@@ -3,72 +3,82 @@
 import "time"
 
 const (
-	idempotentTimeoutFactor    = 3.0 // a repeatable message waits for an answer so many usual calls
-	preemptibleFraction        = 0.5 // part of that, after which others may have its slot
-	notIdempotentTimeoutFactor = 8.0 // one that can't be repeated: cutting it short loses it
+	idempotentTimeoutFactor    = 3.0 // an attempt that may be repeated waits for so many expected call times
+	notIdempotentTimeoutFactor = 8.0 // one that must not be: a timeout loses its message
+	preemptibleFraction        = 0.5 // part of its timeout after which an attempt gives its slot to others
 )
 
-// attemptTimeout is how long an attempt may go unanswered. Hung calls hold slots
-// that other destinations need; a repeatable message can go elsewhere.
-func (c *Controller) attemptTimeout(m *message) time.Duration {
-	u := float64(c.expectedCallTime(m.destination, m.class))
-	if m.class.Idempotency == NotIdempotent {
-		return min(m.deadline-c.now, time.Duration(notIdempotentTimeoutFactor*u))
+// attemptTimeout is how long an attempt may go unanswered. Unresponsive calls hold slots that other destinations need,
+// and a message that may be repeated can go to another endpoint.
+func (c *Controller) attemptTimeout(msg *message) time.Duration {
+	expected := float64(c.expectedCallTime(msg.destination, msg.class))
+	factor := idempotentTimeoutFactor
+	if msg.class.Idempotency == NotIdempotent {
+		factor = notIdempotentTimeoutFactor
 	}
-	return min(m.deadline-c.now, time.Duration(idempotentTimeoutFactor*u))
+	return min(msg.deadline-c.now, time.Duration(factor*expected))
 }
 
-// preemptOverdueCall calls off the most overdue call of a silent destination when all slots
-// are taken and others' messages wait: with slots to spare it may yet be answered.
+// preemptOverdueCall cancels the most overdue call of an unresponsive destination when all slots are taken and messages
+// to others wait. With slots to spare the call may yet be answered.
 func (c *Controller) preemptOverdueCall() {
-	if !c.settings.CanCancel || c.callsInFlight+c.remoteInFlight < c.settings.MaxInFlight {
+	if !c.settings.CanCancel || c.freeSlots() > 0 {
 		return
 	}
-	var worst *attempt
+	var overdue *attempt
 	waiting := false
-	for _, d := range c.busy {
-		waiting = waiting || len(d.fresh)+len(d.deferred) > 0 && !d.sharedRoute.circuitOpen &&
-			d.callsInFlight < c.concurrencyLimit(d)
-		for _, a := range d.attempts {
+	for _, dest := range c.busy {
+		waiting = waiting || dest.hasWaiting() && !dest.sharedRoute.breaker.open &&
+			dest.callsInFlight < c.concurrencyLimit(dest)
+		for _, a := range dest.attempts {
 			if a.canceled {
 				return
 			}
-			silent := a.endpoint.route.circuitOpen && d.lastAnswerAt <= a.sentAt
-			if silent && c.now >= a.preemptibleAt && !a.message.streaming &&
-				(worst == nil || a.preemptibleAt < worst.preemptibleAt) {
-				worst = a
+			if a.preemptible(c.now) && (overdue == nil || a.preemptibleAt < overdue.preemptibleAt) {
+				overdue = a
 			}
 		}
 	}
-	if worst == nil || !waiting {
+	if overdue == nil || !waiting {
 		return
 	}
-	for _, a := range worst.endpoint.destination.attempts {
-		if a.call == worst.call {
+	for _, a := range overdue.endpoint.destination.attempts {
+		if a.call == overdue.call {
 			a.canceled = true
-			c.actions.Cancel(a.message.ID, a.message.attemptCount-1)
+			c.actions.Cancel(a.message.ID, a.message.attempts-1)
 		}
 	}
 }
 
-// detectUnresponsive finds destinations that have answered nothing since their oldest call out was overdue. Slow and
-// hung ones look the same: until they answer they get lone calls, so that they don't fill the slots.
-// One of many sees a few calls: one overdue says that of its endpoint alone.
+// preemptible reports whether the attempt is overdue at a destination that has answered nothing since it was sent.
+func (a *attempt) preemptible(now time.Duration) bool {
+	unresponsive := a.endpoint.route.breaker.open && a.endpoint.destination.stalls.lastAnswerAt <= a.sentAt
+	return unresponsive && now >= a.preemptibleAt && !a.message.streaming
+}
+
+// detectUnresponsive finds destinations that have answered nothing since their oldest call was overdue. Slow and
+// unresponsive ones look the same: until they answer they get trial calls only, so that they do not fill the slots. A
+// sender of a large fleet makes few calls to each: one that is overdue says this of its endpoint alone.
 func (c *Controller) detectUnresponsive() {
-	for _, d := range c.busy {
-		for i, a := range d.attempts {
-			e, rt := a.endpoint, a.endpoint.route
-			if c.now < a.sentAt+a.expectedTime || rt.circuitOpen ||
-				!c.usesFleetRate() && (i > 0 || d.lastAnswerAt > a.sentAt) || c.usesFleetRate() && e.lastSuccessAt > a.sentAt {
+	for _, dest := range c.busy {
+		for i, a := range dest.attempts {
+			endpoint := a.endpoint
+			if c.now < a.sentAt+a.expectedTime || endpoint.route.breaker.open {
 				continue
 			}
-			if c.usesFleetRate() {
-				e.consecutiveFailures = max(1, e.consecutiveFailures)
-			}
-			if !c.usesFleetRate() || c.allLastCallsFailed(d) {
-				rt.probeFirst = true
-				c.openCircuit(e)
+			if c.settings.usesFleetRate() {
+				if endpoint.lastSuccessAt > a.sentAt {
+					continue
+				}
+				endpoint.consecutiveFailures = max(1, endpoint.consecutiveFailures)
+				if !c.allLastCallsFailed(dest) {
+					continue
+				}
+			} else if i > 0 || dest.stalls.lastAnswerAt > a.sentAt {
+				continue
 			}
+			endpoint.route.breaker.probeFirst = true
+			c.openCircuit(endpoint)
 		}
 	}
 }
--- a/control/timeout_test.go
+++ b/control/timeout_test.go
@@ -53,8 +53,8 @@
 			r.pass(r.set.Tick)
 			r.c.Decide(r.now)
 		}
-		if told && last.to != m.to || r.c.destination(0).sharedRoute.circuitOpen != told {
-			t.Errorf("others found dead: %v; the call went to %d after %d, the destination is open: %v", told, last.to, m.to, r.c.destination(0).sharedRoute.circuitOpen)
+		if told && last.to != m.to || r.c.destination(0).sharedRoute.breaker.open != told {
+			t.Errorf("others found dead: %v; the call went to %d after %d, the destination is open: %v", told, last.to, m.to, r.c.destination(0).sharedRoute.breaker.open)
 		}
 	}
 }
