--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -21,7 +21,7 @@
 func (idle) Log(string)                                {}
 func (idle) Gossip(Observation)                        {}
 
-// The cost of an event, a message and the decision after it, where so many destinations have messages waiting.
+// BenchmarkEvent measures an event, a message and the decision after it, with so many destinations that have messages waiting.
 func BenchmarkEvent(b *testing.B) {
 	for _, busy := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(busy), func(b *testing.B) {
@@ -39,7 +39,7 @@
 			now := time.Hour
 			c.UpdateEndpoints(now, ListFull, list)
 			id := MessageID(0)
-			for range 3 * busy { // more than the slots take: the rest waits
+			for range 3 * busy { // more than the slots: the rest waits
 				id++
 				c.Submit(now, Message{ID: id, Class: 0, Destination: int(id) % busy, TimeLeft: 8 * time.Second})
 				c.Decide(now)
--- a/control/calltime_test.go
+++ b/control/calltime_test.go
@@ -1,29 +1,30 @@
 package control
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
 
-// Quick refusals and time-outs must not move T_m.
+// Quick rejections and timeouts do not change T_m.
 func TestCallTimeFromServedOnly(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 1)
 	r.arrive(1, 0, 0)
-	r.pass(200 * ms)
+	r.advance(200 * ms)
 	r.answer(1, Served, 0)
 	before := r.c.destination(0).callTime.mean
 	r.arrive(2, 0, 0)
-	r.pass(5 * ms)
+	r.advance(5 * ms)
 	r.answer(2, Rejected, 0)
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	if got := r.c.destination(0).callTime.mean; got != before {
 		t.Fatalf("T_m moved from %v to %v", before, got)
 	}
 }
 
-// What an instance finds at one instant after it stood still opens no route and teaches no call time, in
-// whatever order it comes.
+// What a sender finds at one instant after a stall of its own opens no circuit and does not change T_m, in whatever
+// order it comes.
 func TestStallIsNotMeasured(t *testing.T) {
 	for _, jobsFirst := range []bool{false, true} {
 		r := newRecorder(t, settings())
@@ -45,29 +46,29 @@
 		if jobsFirst {
 			r.c.Submit(r.now, Message{ID: 1002, Destination: 2, TimeLeft: 8000 * ms})
 		}
-		for i, w := range r.wakes {
+		for i, w := range r.timers {
 			if i%2 == 0 {
 				r.c.TimerFired(r.now, w.token)
 			}
 		}
 		for _, m := range []MessageID{1000, 1001} {
-			r.msgs[m].final, r.msgs[m].out = "served", false
-			r.c.AttemptDone(r.now, Outcome{ID: m, Endpoint: r.msgs[m].to, Result: Served, Elapsed: 1900 * ms, Final: true})
+			r.messages[m].outcome, r.messages[m].out = "served", false
+			r.c.AttemptDone(r.now, Outcome{ID: m, Endpoint: r.messages[m].to, Result: Served, Elapsed: 1900 * ms, Final: true})
 		}
-		r.msgs[1002] = &tracked{class: r.set.Classes[0], due: r.now + 8000*ms, Message: Message{Destination: 2}}
+		r.messages[1002] = &tracked{class: r.set.Classes[0], due: r.now + 8000*ms, Message: Message{Destination: 2}}
 		r.c.Decide(r.now)
 		for dest := range 3 {
 			if d := r.c.destination(dest); d.sharedRoute.breaker.open || d.concurrencyReduced {
 				t.Errorf("jobs first %v: destination %d taken for failed", jobsFirst, dest)
 			}
 		}
-		if d := r.c.destination(0); d.callTime.mean != before || len(r.probes) > 0 {
-			t.Errorf("jobs first %v: T_m %v became %v, %d probes", jobsFirst, before, d.callTime.mean, len(r.probes))
+		if d := r.c.destination(0); d.callTime.mean != before || len(r.healthChecks) > 0 {
+			t.Errorf("jobs first %v: T_m %v became %v, %d probes", jobsFirst, before, d.callTime.mean, len(r.healthChecks))
 		}
 	}
 }
 
-// The first call to a destination is judged by what all the others taught.
+// The first call to a destination expects the call time of all destinations.
 func TestFirstCallUsesOverallCallTime(t *testing.T) {
 	r := newRecorder(t, settings())
 	for dest := range 12 {
@@ -82,7 +83,7 @@
 	}
 }
 
-// When calls take longer everywhere, one to a destination met long ago is not taken for hung.
+// When calls take longer everywhere, one to a destination with an old T_m is not taken for unresponsive.
 func TestSlownessEverywhereIsNotUnresponsive(t *testing.T) {
 	r := newRecorder(t, settings())
 	for dest := range 12 {
@@ -103,3 +104,44 @@
 		t.Fatalf("usual call %v became %v though all calls take 2.5 times as long", before, after)
 	}
 }
+
+func TestCallTimeEstimate(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		calls []time.Duration
+		mean  time.Duration
+		bound time.Duration
+	}{
+		{"no call", nil, 0, 700 * ms},
+		{"one call", []time.Duration{100 * ms}, 100 * ms, 250 * ms},
+		{"the same again and again", slices.Repeat([]time.Duration{100 * ms}, 50), 100 * ms, 200 * ms},
+		{"a longer one counts a quarter", []time.Duration{100 * ms, 200 * ms}, 125 * ms, 337500 * time.Microsecond},
+	} {
+		var estimate callTime
+		for _, elapsed := range c.calls {
+			estimate.learn(elapsed)
+		}
+		if bound := estimate.upperBound(700 * ms); estimate.mean != c.mean || bound.Round(ms/2) != c.bound {
+			t.Errorf("%s: T_m %v, at most %v; want %v and %v", c.name, estimate.mean, bound, c.mean, c.bound)
+		}
+	}
+}
+
+func TestStallDetector(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		sentAt  time.Duration // of the call that is answered at 5 s, after answers each 100 ms up to 2 s
+		stalled bool
+	}{
+		{"nothing answered for 3 s", time.Second, true},
+		{"nothing in flight meanwhile", 4900 * ms, false},
+	} {
+		var stalls stallDetector
+		for at := 100 * ms; at <= 2*time.Second; at += 100 * ms {
+			stalls.answered(at, at-100*ms)
+		}
+		if stalls.answered(5*time.Second, c.sentAt); (stalls.stalledUntil > 0) != c.stalled {
+			t.Errorf("%s: stalled until %v", c.name, stalls.stalledUntil)
+		}
+	}
+}
--- a/control/circuitbreaker_test.go
+++ b/control/circuitbreaker_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// outage opens the route of destination 0 by a hang that lasts.
+// outage opens the circuit of destination 0, which stops answering.
 func outage(r *recorder) {
 	r.ready(0, 2)
 	r.arrive(1, 0, 0)
-	r.pass(100 * ms)
+	r.advance(100 * ms)
 	r.answer(1, Served, 0)
 	for id := MessageID(2); id < 10; id++ {
 		r.arrive(id, 0, 0)
-		r.pass(300 * ms)
+		r.advance(300 * ms)
 	}
 }
 
-// A hung destination must not take the slots, and is tested by lone probes.
+// An unresponsive destination must not fill the slots, and gets health checks.
 func TestUnresponsiveDestinationLeavesSlots(t *testing.T) {
 	r := newRecorder(t, settings())
 	outage(r)
 	if n := r.out(0); n > r.set.MaxInFlight/2 {
 		t.Fatalf("%d calls out at a hung destination", n)
 	}
-	if !r.c.destination(0).sharedRoute.breaker.open || len(r.probes) == 0 {
+	if !r.c.destination(0).sharedRoute.breaker.open || len(r.healthChecks) == 0 {
 		t.Fatalf("the route should be open and probed: %v", r.trace)
 	}
 	r.ready(1, 1)
@@ -34,33 +34,33 @@
 	}
 }
 
-// Without probes a lone call tests an open route.
+// Without health checks a trial call tests an open circuit.
 func TestTrialCallWithoutHealthChecks(t *testing.T) {
 	set := settings()
 	set.CanHealthCheck = false
 	r := newRecorder(t, set)
 	outage(r)
 	sends := 0
-	for _, m := range r.msgs {
-		sends += m.sends
+	for _, m := range r.messages {
+		sends += m.attempts
 	}
-	r.pass(4 * time.Second)
+	r.advance(4 * time.Second)
 	after := 0
-	for _, m := range r.msgs {
-		after += m.sends
+	for _, m := range r.messages {
+		after += m.attempts
 	}
-	if len(r.probes) > 0 || after == sends || after > sends+8 {
-		t.Fatalf("%d probes, %d calls in 4 s of outage", len(r.probes), after-sends)
+	if len(r.healthChecks) > 0 || after == sends || after > sends+8 {
+		t.Fatalf("%d probes, %d calls in 4 s of outage", len(r.healthChecks), after-sends)
 	}
 }
 
-// A single refusal between served calls is no outage: no slow start follows.
+// A single rejection among served calls is no outage: no slow start follows.
 func TestRejectionIsNoOutage(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 1)
 	for id := MessageID(1); id < 20; id++ {
 		r.arrive(id, 0, 0)
-		r.pass(50 * ms)
+		r.advance(50 * ms)
 		if id%4 == 0 {
 			r.answer(id, Rejected, 0)
 		} else {
@@ -73,71 +73,70 @@
 	}
 }
 
-// A long told wait is an outage: one test after it, not all that is queued.
+// A long Retry-After is an outage: one trial call comes after it, not all that is queued.
 func TestLongWaitIsOutage(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 2)
 	r.arrive(1, 0, 0)
-	r.pass(50 * ms)
+	r.advance(50 * ms)
 	r.answer(1, Rejected, 2*r.set.OverloadWindow)
 	for id := MessageID(2); id < 12; id++ {
 		r.arrive(id, 0, 0)
 	}
-	r.pass(2*r.set.OverloadWindow - 50*ms)
+	r.advance(2*r.set.OverloadWindow - 50*ms)
 	before := len(r.trace)
-	r.pass(r.set.OverloadWindow)
+	r.advance(r.set.OverloadWindow)
 	tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send ")
 	if tests > 2 {
 		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
 	}
-	r.pass(r.set.WarmUp)
+	r.advance(r.set.WarmUp)
 	if after := strings.Count(strings.Join(r.trace, "\n"), "send "); after < 2 {
 		t.Fatal("never tested after the wait")
 	}
 }
 
-// A call from before a long told wait that is served in it does not undo the outage:
-// `cleathold lab sim` found returning partners pushed over after such an answer.
+// A call from before a long Retry-After that is served within it does not end the outage: `cleathold lab sim` found
+// returning partners overloaded after such an answer.
 func TestLateAnswerDoesNotEndOutage(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 2)
 	r.arrive(1, 0, 0)
 	r.arrive(2, 0, 0)
-	r.pass(50 * ms)
+	r.advance(50 * ms)
 	if r.out(0) != 2 {
 		t.Fatalf("%d calls out", r.out(0))
 	}
 	r.answer(1, Rejected, 2*r.set.OverloadWindow)
-	r.pass(20 * ms)
+	r.advance(20 * ms)
 	r.answer(2, Served, 0)
 	for id := MessageID(3); id < 13; id++ {
 		r.arrive(id, 0, 0)
 	}
-	r.pass(2*r.set.OverloadWindow - 50*ms)
+	r.advance(2*r.set.OverloadWindow - 50*ms)
 	before := len(r.trace)
-	r.pass(r.set.OverloadWindow)
+	r.advance(r.set.OverloadWindow)
 	if tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send "); tests > 2 {
 		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
 	}
 }
 
-// Refusals above a limit, with served calls between them, are no outage: the
-// route stays open to ordinary calls, at a pace that each refusal lowers and
-// served calls raise again.
+// Rejections above a limit with served calls among them are no outage: the circuit stays closed, at a rate that each
+// rejection lowers and served calls raise again.
 func TestRejectionsBetweenAnswers(t *testing.T) {
 	set := settings()
 	set.WeightKind = WeightsApproximate
 	r := newRecorder(t, set)
-	r.lists(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
+	r.updateList(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
 	e := r.c.endpoints[1]
 	r.arrive(1, 0, 0)
-	r.pass(50 * ms)
+	r.advance(50 * ms)
 	r.answer(1, Served, 0)
 	whole := r.c.sendRate(e)
 	m := r.arrive(2, 0, 0)
 	for range 2 * circuitOpenFailures {
 		for !m.out {
-			r.pass(50 * ms)
+			r.advance(50 * ms)
 		}
 		r.answer(2, Rejected, 0)
 	}
@@ -146,12 +145,12 @@
 		t.Fatalf("open %t, pace %.1f of %.1f", e.route.breaker.open, low, whole)
 	}
 	for !m.out {
-		r.pass(50 * ms)
+		r.advance(50 * ms)
 	}
 	r.answer(2, Served, 0)
 	for id := MessageID(3); id < 20; id++ {
 		for m := r.arrive(id, 0, 0); !m.out; {
-			r.pass(50 * ms)
+			r.advance(50 * ms)
 		}
 		r.answer(id, Served, 0)
 	}
@@ -160,20 +159,19 @@
 	}
 }
 
-// A shut destination is tested often enough that its return is not missed for
-// long: what waits for it meanwhile runs out of time.
+// Trial calls of an open circuit come often enough that a recovery is not missed for long.
 func TestOpenCircuitTrialInterval(t *testing.T) {
 	set := settings()
 	set.WeightKind = WeightsApproximate
 	r := newRecorder(t, set)
-	r.lists(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
+	r.updateList(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
 	m := r.arrive(1, 0, 0)
 	most, last := time.Duration(0), time.Duration(0)
 	for n := range 10 {
-		for m.final == "" && !m.out {
-			r.pass(10 * ms)
+		for m.outcome == "" && !m.out {
+			r.advance(10 * ms)
 		}
-		if m.final != "" {
+		if m.outcome != "" {
 			m = r.arrive(MessageID(n+2), 0, 0)
 			continue
 		}
@@ -181,10 +179,48 @@
 			most = max(most, r.c.now-last)
 		}
 		last = r.c.now
-		r.pass(10 * ms)
+		r.advance(10 * ms)
 		r.answer(m.ID, Rejected, 0)
 	}
 	if limit := set.WarmUp / 4; most == 0 || most > limit {
 		t.Errorf("tests %v apart, %v at most", most, limit)
 	}
 }
+
+func TestCircuitBreaker(t *testing.T) {
+	const s = time.Second
+	for _, c := range []struct {
+		name     string
+		breaker  circuitBreaker
+		now      time.Duration
+		noChecks bool // the host cannot make health checks
+		trial    bool
+	}{
+		{"before the trial", circuitBreaker{open: true, nextTrial: 5 * s}, 4 * s, false, false},
+		{"trial due", circuitBreaker{open: true, nextTrial: 5 * s}, 5 * s, false, true},
+		{"health check first", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true}, 5 * s, false, false},
+		{"no health checks", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true}, 5 * s, true, true},
+		{"health check answered", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true, probeSucceeded: true}, s, false, true},
+	} {
+		if trial := c.breaker.allowsTrial(c.now, !c.noChecks); trial != c.trial {
+			t.Errorf("%s: trial %v", c.name, trial)
+		}
+	}
+	var b circuitBreaker
+	for i, c := range []struct {
+		now, sentAt time.Duration
+		counts      bool
+	}{{s, 0, true}, {2 * s, 1500 * ms, true}, {2100 * ms, 1900 * ms, false}} { // the last was sent before the one before failed
+		if counts := b.recordFailure(c.now, c.sentAt); counts != c.counts {
+			t.Errorf("failure %d counts: %v", i, counts)
+		}
+	}
+	for i, interval := range []time.Duration{s, 2 * s, 3 * s, 3 * s} { // doubled, and 3 s at most
+		if b.trip(10*s, 100*ms, s, 3*s, 0.5); !b.open || b.nextTrial != 10*s+interval {
+			t.Errorf("trial %d after %v, want %v", i, b.nextTrial-10*s, interval)
+		}
+	}
+	if b.close(); b.open || b.consecutiveFailures != 0 {
+		t.Errorf("closed: %+v", b)
+	}
+}
--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -12,10 +12,10 @@
 	r.ready(0, 1)
 	id := MessageID(0)
 	call := func(idle time.Duration, res Result) {
-		r.pass(idle)
+		r.advance(idle)
 		id++
 		r.arrive(id, 0, 0)
-		r.pass(50 * ms)
+		r.advance(50 * ms)
 		r.answer(id, res, 0)
 		r.serve(100*ms, 50*ms)
 	}
@@ -30,12 +30,12 @@
 	r2 := newRecorder(t, settings())
 	outage(r2)
 	if len(r2.closed) > 0 {
-		t.Fatal("a hang is no reason to close connections")
+		t.Fatal("an unresponsive destination is no reason to close connections")
 	}
 }
 
-// Where partners refuse connections though they are well, an idle one is closed after its call, as it keeps
-// siblings out; where none is refused, it is kept for the next call.
+// Where connections are rejected though the endpoints are well, an idle one is closed after its call, as it keeps
+// peers out; where none is rejected, it is kept for the next call.
 func TestScarceConnectionsAreClosed(t *testing.T) {
 	for _, scarce := range []bool{false, true} {
 		r := newRecorder(t, settings())
@@ -43,7 +43,7 @@
 		r.ready(1, 1)
 		if scarce {
 			r.arrive(1, 0, 0)
-			r.pass(10 * ms)
+			r.advance(10 * ms)
 			r.answer(1, ConnectFailed, 0)
 			r.serve(200*ms, 50*ms)
 		}
@@ -56,51 +56,51 @@
 	}
 }
 
-// In a large fleet connections are taken for scarce from the first call on: if each sender kept one, a partner
-// that takes few would have no room for most of them. Calls that all find room show that there is enough.
+// In a large fleet connections are taken for scarce from the first call on: if each sender kept one, an endpoint
+// that takes few would have no capacity for most of them. Calls that all get one show that there are enough.
 func TestLargeFleetKeepsNoIdleConnections(t *testing.T) {
-	for _, siblings := range []int{largeFleetSize - 1, largeFleetSize, 80} {
+	for _, fleetSize := range []int{largeFleetSize - 1, largeFleetSize, 80} {
 		set := settings()
-		set.FleetSize = siblings
+		set.FleetSize = fleetSize
 		r := newRecorder(t, set)
 		r.ready(0, 1)
 		r.arrive(1, 0, 0)
 		r.serve(200*ms, 50*ms)
-		if closed, want := len(r.closed) == 1, siblings >= largeFleetSize; closed != want {
-			t.Errorf("%d siblings: first connection closed %v", siblings, closed)
+		if closed, want := len(r.closed) == 1, fleetSize >= largeFleetSize; closed != want {
+			t.Errorf("fleet of %d: first connection closed %v", fleetSize, closed)
 		}
 		for id := MessageID(2); id < 200; id++ {
 			r.arrive(id, 0, 0)
 			r.serve(200*ms, 50*ms)
 		}
 		if n := len(r.closed); n > 100 {
-			t.Errorf("%d siblings: %d of 199 connections closed though all calls found room", siblings, n)
+			t.Errorf("fleet of %d: %d of 199 connections closed though all calls found room", fleetSize, n)
 		}
 	}
 }
 
-// Connections kept for the next call are closed after an ask for the list that failed: a drain that the list
-// would have told may be met by new connections alone. An answer ends that.
+// Connections kept for the next call are closed after a failed poll of the list: only new connections may meet a
+// drain that the list would have told. An answer ends that.
 func TestConnectionsClosedAfterListFailure(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		what  func(r *recorder)
 		after bool // the connection of the next call is closed, too
 	}{
-		{"list failed", func(r *recorder) { r.lists(ListFailed) }, true},
-		{"list answered after it failed", func(r *recorder) { r.lists(ListFailed); r.lists(ListDelta) }, false},
+		{"list failed", func(r *recorder) { r.updateList(ListFailed) }, true},
+		{"list answered after it failed", func(r *recorder) { r.updateList(ListFailed); r.updateList(ListDelta) }, false},
 	} {
 		set := settings()
 		set.FleetSize, set.CanGossip, set.PollsList = 80, true, true
 		r := newRecorder(t, set)
-		r.lists(ListFull, Endpoint{ID: 1, State: Ready})
+		r.updateList(ListFull, Endpoint{ID: 1, State: Ready})
 		for id := MessageID(1); id < 99; id++ {
 			r.arrive(id, 0, 0)
 			r.serve(200*ms, 50*ms)
 		}
 		n := len(r.closed)
 		c.what(r)
-		r.pass(ms)
+		r.advance(ms)
 		if len(r.closed) != n+1 {
 			t.Errorf("%s: the idle connection was closed %d times", c.name, len(r.closed)-n)
 		}
@@ -113,39 +113,68 @@
 	}
 }
 
-// A partner without room for a connection is full of siblings: its limit is not met, nothing is told, and it is not
-// out of order, whether or not it served this sender lately, which among hundreds means nothing. It is tried again
-// within a call's time or so, and ever later as long as it has none.
+// An endpoint without capacity for a connection is full of peers' connections: its limit is not met, nothing is
+// gossiped, and its circuit stays closed, whether or not it served this sender lately. It is tried again within
+// about a call's time, and ever later as long as it has none.
 func TestConnectionRejectionIsNoLimit(t *testing.T) {
 	for _, lately := range []bool{true, false} {
 		set := settings()
 		set.FleetSize, set.CanGossip, set.WeightKind, set.HeadroomIndex, set.LimitIndex = 80, true, WeightsApproximate, -1, -1
 		r := newRecorder(t, set)
-		r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 200})
+		r.updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: 200})
 		r.arrive(1, 0, 0)
 		r.serve(200*ms, 50*ms)
 		if !lately {
-			r.pass(2 * set.OverloadWindow)
+			r.advance(2 * set.OverloadWindow)
 		}
 		rt := r.c.destination(0).sharedRoute
-		share := rt.limit.fraction
+		fraction := rt.limit.fraction
 		m := r.arrive(2, 0, 0)
 		tries := func(span time.Duration) int {
-			before := m.sends
-			for end := r.now + span; r.now < end; r.pass(5 * ms) {
+			before := m.attempts
+			for end := r.now + span; r.now < end; r.advance(5 * ms) {
 				if m.out {
 					r.answer(2, ConnectionRejected, 0)
 				}
 			}
-			return m.sends - before
+			return m.attempts - before
 		}
 		soon, later := tries(500*ms), tries(500*ms)
-		refusals := slices.ContainsFunc(r.told, func(n Observation) bool { return n.Kind == ObservedRejection })
-		if rt.breaker.open || rt.limit.fraction < share || refusals {
-			t.Errorf("lately %v: open %v, share %v after %v, told %d", lately, rt.breaker.open, rt.limit.fraction, share, len(r.told))
+		rejections := slices.ContainsFunc(r.gossiped, func(n Observation) bool { return n.Kind == ObservedRejection })
+		if rt.breaker.open || rt.limit.fraction < fraction || rejections {
+			t.Errorf("lately %v: open %v, fraction %v after %v, told %d", lately, rt.breaker.open, rt.limit.fraction, fraction, len(r.gossiped))
 		}
 		if soon < 3 || later < 1 || later >= soon {
 			t.Errorf("lately %v: tried %d times in 500 ms, then %d", lately, soon, later)
 		}
 	}
 }
+
+func TestConnectionStats(t *testing.T) {
+	for _, c := range []struct {
+		name                 string
+		lostIdle, lostBusy   int // calls on connections of band 3 and 0
+		staleBand3, staleOne bool
+	}{
+		{"none lost", 0, 0, false, false},
+		{"idle ones lost", 5, 0, true, false},
+		{"all lost", 5, 5, false, false},
+	} {
+		var s connectionStats
+		for range c.lostIdle {
+			s.recordReuse(3, ConnectionLost)
+		}
+		for range c.lostBusy {
+			s.recordReuse(0, TimedOut)
+		}
+		if a, b := s.stale(3), s.stale(1); a != c.staleBand3 || b != c.staleOne {
+			t.Errorf("%s: stale %v and %v", c.name, a, b)
+		}
+	}
+	var b capacityBackoff
+	for i, wait := range []time.Duration{1, 2, 4, 8, 8} {
+		if b.reject(time.Minute, 10*ms, 0.5); b.retryAt != time.Minute+wait*10*ms {
+			t.Errorf("rejection %d: wait %v", i, b.retryAt-time.Minute)
+		}
+	}
+}
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestFuzz plays seeded days of legal and odd events and holds every action
-// to the rules; each day is played twice and must give the same actions.
+// TestFuzz plays seeded random events and checks every action against the rules. Each play is repeated and must give
+// the same actions.
 func TestFuzz(t *testing.T) {
 	for seed := range uint64(60) {
 		first, second := fuzzDay(t, seed), fuzzDay(t, seed)
@@ -96,10 +96,10 @@
 			if rng.IntN(20) == 0 {
 				left = -ms
 			}
-			r.hand(Message{ID: id, Class: class, Destination: rng.IntN(4), TimeLeft: left, Key: uint64(rng.IntN(3))})
+			r.submit(Message{ID: id, Class: class, Destination: rng.IntN(4), TimeLeft: left, Key: uint64(rng.IntN(3))})
 		case 4:
 			e := EndpointID(rng.IntN(9))
-			r.lists(ListDelta, Endpoint{ID: e, Destination: int(e) % 3, Zone: int(e) % 2, State: EndpointState(rng.IntN(3)),
+			r.updateList(ListDelta, Endpoint{ID: e, Destination: int(e) % 3, Zone: int(e) % 2, State: EndpointState(rng.IntN(3)),
 				Weight: 1 + 9*rng.Float64()})
 		case 5:
 			r.c.AttemptDone(r.now, Outcome{ID: MessageID(rng.IntN(100) + 1000000), Result: Served})
@@ -110,28 +110,28 @@
 			r.c.UpdateEndpoints(r.now, ListFailed, nil)
 			r.c.Decide(r.now)
 		case 6:
-			if len(r.probes) > 0 {
+			if len(r.healthChecks) > 0 {
 				res := results[rng.IntN(len(results))]
 				if res == NotSent {
 					res = TimedOut
 				}
-				r.c.HealthChecked(r.now, r.probes[0], res, 20*ms, nil)
+				r.c.HealthChecked(r.now, r.healthChecks[0], res, 20*ms, nil)
 				r.c.Decide(r.now)
-				r.probes = r.probes[1:]
+				r.healthChecks = r.healthChecks[1:]
 			}
 		case 7:
 			if id > 0 {
 				gone := MessageID(1 + rng.IntN(int(id)))
-				if m := r.msgs[gone]; m.final == "" {
-					m.final = "gone"
+				if m := r.messages[gone]; m.outcome == "" {
+					m.outcome = "gone"
 					r.c.Abandon(r.now, gone)
 					r.c.Decide(r.now)
 				}
 			}
 		default:
-			r.pass(time.Duration(1+rng.IntN(20)) * set.Tick)
+			r.advance(time.Duration(1+rng.IntN(20)) * set.Tick)
 			for _, a := range r.arrivals {
-				if m := r.msgs[a]; m.out && rng.IntN(3) > 0 {
+				if m := r.messages[a]; m.out && rng.IntN(3) > 0 {
 					res := results[rng.IntN(len(results))]
 					wait := time.Duration(0)
 					if res == Rejected && rng.IntN(2) == 0 {
@@ -142,9 +142,9 @@
 			}
 		}
 	}
-	r.pass(10 * time.Second)
+	r.advance(10 * time.Second)
 	for _, a := range r.arrivals {
-		if m := r.msgs[a]; m.final == "" {
+		if m := r.messages[a]; m.outcome == "" {
 			t.Fatalf("seed %d: message %d never answered", seed, a)
 		}
 	}
@@ -154,22 +154,22 @@
 	return r.trace
 }
 
-// Messages withdrawn by their clients get no answer, and their slots come free.
+// Abandoned messages get no answer, and their slots come free.
 func TestAbandonFreesAll(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 1)
 	m := r.arrive(1, 0, 0)
-	m.final = "gone"
+	m.outcome = "gone"
 	r.c.Abandon(r.now, 1)
 	r.c.Decide(r.now)
-	r.pass(20 * ms)
+	r.advance(20 * ms)
 	r.answer(1, TimedOut, 0)
-	if r.c.callsInFlight != 0 || len(r.c.messages) != 0 || m.sends != 1 {
-		t.Fatalf("%d slots, %d messages, %d sends", r.c.callsInFlight, len(r.c.messages), m.sends)
+	if r.c.callsInFlight != 0 || len(r.c.messages) != 0 || m.attempts != 1 {
+		t.Fatalf("%d slots, %d messages, %d sends", r.c.callsInFlight, len(r.c.messages), m.attempts)
 	}
 }
 
-// A streamed answer that has started belongs to the client: no time-out, no last call.
+// A streamed answer that has started belongs to the client: it neither times out nor expires.
 func TestStreamOutlivesDeadline(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 1)
@@ -177,9 +177,9 @@
 	m.timeout, m.due = time.Hour, time.Hour*100
 	r.c.StreamStarted(r.now, 1)
 	r.c.Decide(r.now)
-	r.pass(20 * time.Second)
-	if m.final != "" || !m.out {
-		t.Fatalf("ended %q", m.final)
+	r.advance(20 * time.Second)
+	if m.outcome != "" || !m.out {
+		t.Fatalf("ended %q", m.outcome)
 	}
 	r.answer(1, Served, 0)
 	if r.c.callsInFlight != 0 {
@@ -187,7 +187,7 @@
 	}
 }
 
-// Only destinations with work are visited: those listed or done with cost nothing at an event.
+// Only destinations with work are visited: others cost nothing at an event.
 func TestIdleDestinationsAreNotVisited(t *testing.T) {
 	r := newRecorder(t, settings())
 	for dest := range 200 {
@@ -212,10 +212,10 @@
 	for id := MessageID(1); id <= 4; id++ {
 		r.arrive(id, 0, 0)
 	}
-	if r.c.callsInFlight > 2 || !r.msgs[3].out {
+	if r.c.callsInFlight > 2 || !r.messages[3].out {
 		t.Fatalf("%d slots for a call of three", r.c.callsInFlight)
 	}
-	r.pass(20 * ms)
+	r.advance(20 * ms)
 	r.answer(1, Served, 0)
 	r.answer(2, Served, 0)
 	if before := r.c.destination(0).callsInFlight; before == 0 {
--- a/control/endpointlist_test.go
+++ b/control/endpointlist_test.go
@@ -5,99 +5,101 @@
 	"time"
 )
 
+// Nothing is sent to a draining endpoint.
 func TestDrainStopsSends(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 1)
-	r.lists(ListDelta, Endpoint{ID: 0, Destination: 0, State: Draining})
+	r.updateList(ListDelta, Endpoint{ID: 0, Destination: 0, State: Draining})
 	m := r.arrive(1, 0, 0)
-	r.pass(time.Second)
-	if m.sends != 0 {
+	r.advance(time.Second)
+	if m.attempts != 0 {
 		t.Fatal("sent to a draining endpoint")
 	}
-	r.lists(ListFull, Endpoint{ID: 7, Destination: 0, State: Ready})
+	r.updateList(ListFull, Endpoint{ID: 7, Destination: 0, State: Ready})
 	if !m.out || m.to != 7 {
 		t.Fatal("not sent to the new endpoint")
 	}
 }
 
-// Where the list answers only when asked, a failure is followed by asking again.
+// Where the list answers only when polled, a failed poll is followed by another one.
 func TestPollAfterFailure(t *testing.T) {
 	set := settings()
 	set.PollsList = true
 	r := newRecorder(t, set)
-	r.lists(ListCached, Endpoint{ID: 1, State: Ready})
+	r.updateList(ListCached, Endpoint{ID: 1, State: Ready})
 	if r.watches != 1 {
-		t.Fatalf("asked %d times at the start", r.watches)
+		t.Fatalf("polled %d times at the start", r.watches)
 	}
-	r.lists(ListFailed)
-	r.pass(set.MaxPollInterval / 2)
+	r.updateList(ListFailed)
+	r.advance(set.MaxPollInterval / 2)
 	if r.watches < 2 {
-		t.Fatal("not asked again after a failure")
+		t.Fatal("not polled again after a failure")
 	}
-	r.lists(ListDelta)
+	r.updateList(ListDelta)
 	n := r.watches
-	r.pass(set.MaxPollInterval)
+	r.advance(set.MaxPollInterval)
 	if r.watches != n {
-		t.Fatal("asked again though subscribed")
+		t.Fatal("polled again though subscribed")
 	}
 }
 
-// Discovery works through asks in turn, also through those whose askers have given up after two seconds. Of 80
-// senders that start at one instant each is told within ten seconds, and discovery is never asked much more than
+// Discovery works through polls in order, also through those that were given up after two seconds. Each of 80
+// senders that start at one instant has its answer within ten seconds, and discovery never gets much more polls than
 // it can answer.
 func TestLargeFleetSpreadsPolls(t *testing.T) {
-	const senders, step, perStep = 80, 100 * ms, 1.5 // 15 asks a second
-	type ask struct {
+	const senders, step, perStep = 80, 100 * ms, 1.5 // 15 polls a second
+	type poll struct {
 		by int
 		at time.Duration
 	}
-	var queue []ask
-	fleet, seen, told := make([]*recorder, senders), make([]int, senders), make([]bool, senders)
+	var queue []poll
+	fleet, seen, answered := make([]*recorder, senders), make([]int, senders), make([]bool, senders)
 	for i := range fleet {
 		set := settings()
 		set.PollsList, set.FleetSize, set.Seed = true, senders, uint64(i)
 		fleet[i] = newRecorder(t, set)
-		fleet[i].lists(ListCached, Endpoint{ID: 1, State: Ready})
+		fleet[i].updateList(ListCached, Endpoint{ID: 1, State: Ready})
 	}
-	done, asks, room := 0, 0, 0.0
+	done, polls, room := 0, 0, 0.0
 	var last time.Duration
 	for now := time.Duration(0); now < 30*time.Second; now += step {
 		for i, r := range fleet {
 			if n := r.watches - seen[i]; n > 0 {
-				queue, asks, seen[i] = append(queue, ask{i, now}), asks+n, r.watches
+				queue, polls, seen[i] = append(queue, poll{i, now}), polls+n, r.watches
 			}
 		}
 		for room += perStep; room >= 1 && len(queue) > 0; room-- {
 			q := queue[0]
 			queue = queue[1:]
 			if now-q.at <= 2*time.Second {
-				fleet[q.by].lists(ListDelta)
-				told[q.by], done, last = true, done+1, now
-			} else if now-q.at <= 2*time.Second+step { // worked off as it gives up, and not told below
-				fleet[q.by].lists(ListFailed)
+				fleet[q.by].updateList(ListDelta)
+				answered[q.by], done, last = true, done+1, now
+			} else if now-q.at <= 2*time.Second+step { // worked off as it gives up, and not answered below
+				fleet[q.by].updateList(ListFailed)
 			}
 		}
 		for i := range queue { // they give up, but discovery still comes to them
 			if q := &queue[i]; now-q.at > 2*time.Second && now-q.at <= 2*time.Second+step {
-				fleet[q.by].lists(ListFailed)
+				fleet[q.by].updateList(ListFailed)
 			}
 		}
 		room = min(room, perStep)
 		for _, r := range fleet {
-			r.pass(step)
+			r.advance(step)
 		}
 	}
-	if done < senders || last > 10*time.Second || asks > 2*senders {
-		t.Fatalf("%d of %d told, the last after %v, with %d asks", done, senders, last, asks)
+	if done < senders || last > 10*time.Second || polls > 2*senders {
+		t.Fatalf("%d of %d answered, the last after %v, with %d polls", done, senders, last, polls)
 	}
 }
 
-// Time between asks grows with the fleet as far as the list may be old, and no further; so does that after failures,
-// however many: what discovery has counts as told 6 s after it could be reached, and an ask takes its time, too.
+// The time between polls grows with the fleet as far as the list may be old, and no further; so does that after
+// failures, however many: what discovery has counts as notified 6 s after it could be reached, and a poll takes its
+// time, too.
 func TestPollSpreadIsBounded(t *testing.T) {
 	for _, c := range []struct {
-		siblings             int
-		mustAsk, spread, ask time.Duration // ask: the longest wait after failures
+		fleetSize                     int
+		maxPollInterval, spread, poll time.Duration // poll: the longest wait after failures
 	}{
 		{4, 10 * time.Second, 0, 1500 * ms},
 		{4, 60 * time.Second, 0, 3600 * ms},
@@ -109,11 +111,11 @@
 		{1000, 0, 4300 * ms, 3600 * ms},
 	} {
 		set := settings()
-		set.FleetSize, set.MaxPollInterval, set.PollsList = c.siblings, c.mustAsk, true
+		set.FleetSize, set.MaxPollInterval, set.PollsList = c.fleetSize, c.maxPollInterval, true
 		if got := set.PollSpread(); got != c.spread {
 			t.Errorf("%+v: %v", c, got)
 		}
-		// What is told at one instant is known in 6 s by all, an answer of 1.2 s included; the rest is a tenth longer at most.
+		// What is answered at one instant is known in 6 s by all, an answer of 1.2 s included; the rest is a tenth longer at most.
 		if known := c.spread + c.spread/10 + 1200*ms; known >= 6*time.Second {
 			t.Errorf("%+v: known after %v", c, known)
 		}
@@ -127,26 +129,45 @@
 				longest = max(longest, r.c.list.nextPoll-r.now)
 			}
 		}
-		if longest > c.ask || longest < c.ask/2 {
+		if longest > c.poll || longest < c.poll/2 {
 			t.Errorf("%+v: %v after failures", c, longest)
 		}
 	}
 }
 
-// Endpoints that left long ago are forgotten, with the destinations they were
-// all of; one that comes back soon is known with its failures.
+// Endpoints that were removed long ago are forgotten, with destinations that have no other; one that is listed again
+// soon is known with its failures.
 func TestRemovedEndpointsArePruned(t *testing.T) {
 	r := newRecorder(t, settings())
 	for i := range 200 {
-		r.lists(ListDelta, Endpoint{ID: EndpointID(1000 + i), Destination: 50 + i, State: Ready})
-		r.lists(ListDelta, Endpoint{ID: EndpointID(1000 + i), Destination: 50 + i, State: Removed})
+		r.updateList(ListDelta, Endpoint{ID: EndpointID(1000 + i), Destination: 50 + i, State: Ready})
+		r.updateList(ListDelta, Endpoint{ID: EndpointID(1000 + i), Destination: 50 + i, State: Removed})
 		if r.c.endpoints[EndpointID(1000+i)] == nil {
 			t.Fatal("forgotten at once")
 		}
-		r.pass(time.Second)
+		r.advance(time.Second)
 	}
 	keep := int((2*r.c.settings.WarmUp+r.c.settings.OverloadWindow+r.c.settings.DrainGrace)/time.Second) + 1
 	if len(r.c.endpoints) > keep || len(r.c.destinations) > keep {
 		t.Errorf("%d endpoints and %d destinations known, %d at most", len(r.c.endpoints), len(r.c.destinations), keep)
 	}
 }
+
+func TestListPoller(t *testing.T) {
+	p := listPoller{nextPoll: time.Second}
+	for _, c := range []struct {
+		name   string
+		change func()
+		due    bool // at 1 s
+	}{
+		{"at its time", func() {}, true},
+		{"under way", func() { p.polling = true }, false},
+		{"failed", func() { p.pollFailed(true) }, true},
+		{"answered", func() { p.answered() }, false},
+		{"subscription broke", func() { p.pollFailed(false) }, true},
+	} {
+		if c.change(); p.due(time.Second) != c.due || p.due(time.Second-1) {
+			t.Errorf("%s: due %v", c.name, p.due(time.Second))
+		}
+	}
+}
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -14,7 +14,7 @@
 	fmt.Printf("send message %d to endpoint %d\n", id, to)
 }
 func (printer) Cancel(control.MessageID, int)                {}
-func (printer) Reject(id control.MessageID, _ time.Duration) { fmt.Printf("refuse message %d\n", id) }
+func (printer) Reject(id control.MessageID, _ time.Duration) { fmt.Printf("reject message %d\n", id) }
 func (printer) Fail(id control.MessageID)                    { fmt.Printf("fail message %d\n", id) }
 func (printer) HealthCheck(control.EndpointID)               {}
 func (printer) Disconnect(control.EndpointID)                {}
--- a/control/handover.go
+++ b/control/handover.go
@@ -74,7 +74,7 @@
 	breaker.callTimeBefore = state.CallTime
 	breaker.probeFirst = state.CircuitOpen // whether the trial calls may have run is not told
 	if route.slowStart.active = state.SlowStart; state.SlowStart {
-		route.slowStart.recoveredAt, route.slowStart.rampFrom = now-state.RecoveredFor, now-state.RecoveredFor
+		route.slowStart.recoveredAt, route.slowStart.risingFrom = now-state.RecoveredFor, now-state.RecoveredFor
 		route.bucket.tokens = 0
 	}
 	if state.LimitFraction > 0 && state.LimitFraction <= 1 {
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// What one controller knows of an endpoint holds in the one that comes after it: a told wait is kept to its end, an
-// outage is tested before it is believed over, a slow start goes on, and calls out at the other process take slots.
+// What one controller knows of an endpoint holds in its successor: a Retry-After is kept to its end, an open circuit
+// gets a trial before it closes, a slow start goes on, and calls in flight at the other process take slots.
 func TestRestoreRoutes(t *testing.T) {
 	old := newRecorder(t, settings())
 	old.ready(0, 1)
@@ -20,22 +20,22 @@
 	}
 	back := old.c.endpoints[200].route
 	old.c.startSlowStart(back) // a slow start
-	old.pass(200 * ms)
+	old.advance(200 * ms)
 	known := old.c.RouteStates(old.now)
 	next := newRecorder(t, settings())
 	next.ready(0, 1)
 	next.ready(1, 1)
 	next.ready(2, 1)
 	next.c.RestoreRoutes(next.now, append(known, RouteState{Endpoint: 999, RetryAfter: time.Hour}))
-	next.list[0].wait = next.now + 700*ms // the recorder fails on a send before
+	next.list[0].retryAfter = next.now + 700*ms // the recorder fails on a send before
 	waits := next.arrive(1, 0, 0)
-	next.pass(690 * ms)
-	if waits.sends > 0 {
+	next.advance(690 * ms)
+	if waits.attempts > 0 {
 		t.Error("sent within the wait")
 	}
-	next.pass(200 * ms)
-	if waits.sends != 1 {
-		t.Errorf("sent %d times after the wait", waits.sends)
+	next.advance(200 * ms)
+	if waits.attempts != 1 {
+		t.Errorf("sent %d times after the wait", waits.attempts)
 	}
 	if rt := next.c.endpoints[100].route; !rt.breaker.open {
 		t.Error("an outage is forgotten")
@@ -49,15 +49,15 @@
 		t.Error("more out than slots")
 	}
 	next.c.SetRemoteInFlight(next.now, 0)
-	next.pass(100 * ms)
-	if !next.msgs[20].out || !next.msgs[21].out {
+	next.advance(100 * ms)
+	if !next.messages[20].out || !next.messages[21].out {
 		t.Error("nothing sent though slots are free")
 	}
 	// A call that is told of later binds, too.
 	next.c.RemoteOutcome(next.now, Outcome{Endpoint: 300, Result: Rejected, RetryAfter: 400 * ms}, 50*ms)
 	next.answer(20, Served, 0)
 	next.answer(21, Served, 0)
-	if m := next.arrive(22, 0, 3); m.sends > 0 {
+	if m := next.arrive(22, 0, 3); m.attempts > 0 {
 		t.Error("sent within a wait that another process was told")
 	}
 }
--- a/control/loadbalancer_test.go
+++ b/control/loadbalancer_test.go
@@ -7,8 +7,8 @@
 	r := newRecorder(t, settings())
 	r.ready(0, 2)
 	r.arrive(1, 0, 0)
-	failed := r.msgs[1].to
-	r.pass(20 * ms)
+	failed := r.messages[1].to
+	r.advance(20 * ms)
 	r.answer(1, ConnectFailed, 0)
 	r.serve(100*ms, 50*ms)
 	id, again := MessageID(1), false
@@ -25,16 +25,16 @@
 	}
 }
 
-// A destination's endpoints take few connections, and 80 siblings keep none: each spreads its calls over all of them,
-// and not all begin with the same one. A fleet of two keeps to the one that it has a connection to.
+// Endpoints take few connections, and a fleet of 80 keeps none: each sender spreads its calls over all endpoints,
+// and not all begin with the same one. A fleet of two keeps to the endpoint that it has a connection to.
 func TestLargeFleetSpreadsOverEndpoints(t *testing.T) {
-	for _, c := range []struct{ siblings, first, each int }{{80, 10, 3}, {2, 0, 0}} {
+	for _, c := range []struct{ fleetSize, first, each int }{{80, 10, 3}, {2, 0, 0}} {
 		first := 0
 		for seed := range uint64(40) {
 			set := settings()
-			set.FleetSize, set.CanGossip, set.WeightKind, set.Seed = c.siblings, true, WeightsApproximate, seed
+			set.FleetSize, set.CanGossip, set.WeightKind, set.Seed = c.fleetSize, true, WeightsApproximate, seed
 			r := newRecorder(t, set)
-			r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 800}, Endpoint{ID: 2, State: Ready, Weight: 800})
+			r.updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: 800}, Endpoint{ID: 2, State: Ready, Weight: 800})
 			second := 0
 			for id := MessageID(1); id <= 8; id++ {
 				if r.arrive(id, 0, 0).to == 2 {
@@ -43,34 +43,34 @@
 					}
 				}
 				r.answer(id, Served, 0)
-				r.pass(100 * ms)
+				r.advance(100 * ms)
 			}
 			if second < c.each || second > 8-c.each || c.each == 0 && second > 0 {
-				t.Errorf("%d siblings, seed %d: %d of 8 calls went to the second endpoint", c.siblings, seed, second)
+				t.Errorf("fleet of %d, seed %d: %d of 8 calls went to the second endpoint", c.fleetSize, seed, second)
 			}
 		}
 		if first < c.first || first > 40-c.first || c.first == 0 && first > 0 {
-			t.Errorf("%d siblings: %d of 40 began with the second endpoint", c.siblings, first)
+			t.Errorf("fleet of %d: %d of 40 began with the second endpoint", c.fleetSize, first)
 		}
 	}
 }
 
-// Of two routes apart the one with the lower fee takes what it can, and the other the rest; where endpoints share a
-// limit the fee is not asked.
+// Of two separate routes the one with the lower cost takes what it can, and the other the rest; where endpoints
+// share a limit the cost does not count.
 func TestLowerZoneCostFirst(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		apart bool
-		tolls []float64
-		zone  int // of the endpoint that all calls go to
+		name     string
+		separate bool
+		costs    []float64
+		zone     int // of the endpoint that all calls go to
 	}{
-		{"dear first", true, []float64{0.04, 0.01}, 1},
+		{"expensive first", true, []float64{0.04, 0.01}, 1},
 		{"cheap first", true, []float64{0.01, 0.04}, 0},
 		{"none told", true, nil, 0},
 		{"shared", false, []float64{0.04, 0.01}, 0},
 	} {
 		set := settings()
-		set.Kinds, set.ZoneCosts = []Kind{{MaxBatch: 1, SeparateRoutes: c.apart}}, c.tolls
+		set.Kinds, set.ZoneCosts = []Kind{{MaxBatch: 1, SeparateRoutes: c.separate}}, c.costs
 		r := newRecorder(t, set)
 		r.ready(0, 2) // zones 0 and 1
 		for id := MessageID(1); id <= 5; id++ {
@@ -79,12 +79,12 @@
 				t.Errorf("%s: message %d went to zone %d", c.name, id, r.list[m.to].Zone)
 			}
 			r.answer(id, Served, 0)
-			r.pass(50 * ms)
+			r.advance(50 * ms)
 		}
 		full := r.arrive(6, 0, 0)
 		r.answer(6, Rejected, 500*ms) // its route is told to wait
-		r.pass(50 * ms)
-		if c.apart && (!full.out || r.list[full.to].Zone == c.zone) {
+		r.advance(50 * ms)
+		if c.separate && (!full.out || r.list[full.to].Zone == c.zone) {
 			t.Errorf("%s: the other route is not used", c.name)
 		}
 	}
--- a/control/ordering_test.go
+++ b/control/ordering_test.go
@@ -5,27 +5,59 @@
 	"time"
 )
 
-// Messages of one key take turns, and the key rests after a time-out.
+// Messages of one key go one at a time, and the key pauses after a timeout.
 func TestOrderedByKey(t *testing.T) {
 	set := settings()
 	set.Classes[2].Ordered = true
 	r := newRecorder(t, set)
 	r.ready(0, 2)
 	hand := func(id MessageID) *tracked {
-		return r.hand(Message{ID: id, Class: 2, Destination: 0, TimeLeft: 8000 * ms, Key: 5})
+		return r.submit(Message{ID: id, Class: 2, Destination: 0, TimeLeft: 8000 * ms, Key: 5})
 	}
 	first, second := hand(1), hand(2)
 	if !first.out || second.out {
 		t.Fatal("the second message of a key must wait for the first")
 	}
-	r.pass(20 * ms)
+	r.advance(20 * ms)
 	r.answer(1, ConnectionLost, 0)
-	r.pass(set.OrderedPause - 100*ms)
+	r.advance(set.OrderedPause - 100*ms)
 	if second.out {
 		t.Fatal("the key must rest after an attempt that may still run")
 	}
-	r.pass(time.Second)
-	if second.sends == 0 {
+	r.advance(time.Second)
+	if second.attempts == 0 {
 		t.Fatal("the second message never got its turn")
 	}
 }
+
+func TestKeySequence(t *testing.T) {
+	sequences := keySequences{byKey: map[uint64]*keySequence{}}
+	first, second := &message{}, &message{}
+	s := sequences.of(5)
+	s.add(first)
+	s.add(second)
+	for _, c := range []struct {
+		name          string
+		now           time.Duration
+		change        func()
+		first, second bool // may go
+	}{
+		{"nothing sent", 0, func() {}, true, false},
+		{"first in flight", 0, func() { s.attemptsInFlight++ }, false, false},
+		{"may still run", 0, func() { s.attemptDone(first, TimedOut, time.Second) }, true, false},
+		{"first finished", time.Second - 1, func() { s.remove(first) }, false, false},
+		{"pause over", time.Second, func() {}, false, true},
+	} {
+		c.change()
+		if a, b := s.mayGo(first, c.now), s.mayGo(second, c.now); a != c.first || b != c.second {
+			t.Errorf("%s: the first may go %v, the second %v", c.name, a, b)
+		}
+	}
+	s.remove(second)
+	if sequences.release(s, 999*ms); sequences.of(5) != s {
+		t.Error("dropped within its pause")
+	}
+	if sequences.release(nil, time.Second); len(sequences.byKey) > 0 {
+		t.Error("kept after its pause")
+	}
+}
--- a/control/queue_test.go
+++ b/control/queue_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// A fresh head goes before deferred ones; those go once none is left.
+// A fresh head goes before deferred ones; these go once no fresh one is left.
 func TestFreshBeforeDeferred(t *testing.T) {
 	set := settings()
 	set.MaxInFlight = 1
 	r := newRecorder(t, set)
 	r.ready(0, 1)
 	blocker := r.arrive(1, 0, 0)
-	old := r.hand(Message{ID: 2, Destination: 0, TimeLeft: set.Classes[0].Deadline - 1500*ms})
+	old := r.submit(Message{ID: 2, Destination: 0, TimeLeft: set.Classes[0].Deadline - 1500*ms})
 	young := r.arrive(3, 0, 0)
-	r.pass(50 * ms)
+	r.advance(50 * ms)
 	if !blocker.out || old.out || young.out {
 		t.Fatal("one slot should carry the first message only")
 	}
@@ -28,26 +28,26 @@
 	}
 }
 
-// A message that can't meet its deadline any more is handed back at once, with advice.
+// A message that cannot meet its deadline any more is rejected at once, with a Retry-After.
 func TestRejectedWhenDeadlineCannotBeMet(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 1)
 	r.arrive(1, 0, 0)
-	r.pass(400 * ms)
+	r.advance(400 * ms)
 	r.answer(1, Served, 0)
-	late := r.hand(Message{ID: 2, Destination: 0, TimeLeft: 100 * ms})
-	if late.final != "refused" || late.advice <= 0 {
-		t.Fatalf("got %q with advice %v", late.final, late.advice)
+	late := r.submit(Message{ID: 2, Destination: 0, TimeLeft: 100 * ms})
+	if late.outcome != "rejected" || late.retryAfter <= 0 {
+		t.Fatalf("got %q with advice %v", late.outcome, late.retryAfter)
 	}
-	homeless := r.hand(Message{ID: 3, Destination: 9, TimeLeft: 500 * ms})
-	spent := r.hand(Message{ID: 4, Destination: 0, TimeLeft: 0})
-	r.pass(time.Second)
-	if homeless.final != "refused" || spent.final != "refused" {
-		t.Fatalf("no endpoint: %q, no time: %q", homeless.final, spent.final)
+	homeless := r.submit(Message{ID: 3, Destination: 9, TimeLeft: 500 * ms})
+	spent := r.submit(Message{ID: 4, Destination: 0, TimeLeft: 0})
+	r.advance(time.Second)
+	if homeless.outcome != "rejected" || spent.outcome != "rejected" {
+		t.Fatalf("no endpoint: %q, no time: %q", homeless.outcome, spent.outcome)
 	}
 }
 
-// A slow destination may not take the last slots from quick ones.
+// A slow destination must not take the last slots from quick ones.
 func TestSlowDestinationLeavesLastSlots(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 2)
@@ -71,3 +71,29 @@
 		t.Fatal("the quick destination got no slot")
 	}
 }
+
+func TestClassWeight(t *testing.T) {
+	class := Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 4, LateWeight: 0.25}
+	for _, c := range []struct {
+		age    time.Duration
+		even   float64
+		halved float64
+	}{{0, 4, 4}, {time.Second, 4, 4}, {2 * time.Second, 3.25, 2}, {3 * time.Second, 2.5, 1}, {9 * time.Second, 1, 1}} {
+		if even, halved := class.weightAt(c.age, false), class.weightAt(c.age, true); even != c.even || halved != c.halved {
+			t.Errorf("at %v: %v and %v, want %v and %v", c.age, even, halved, c.even, c.halved)
+		}
+	}
+}
+
+func TestSlotYield(t *testing.T) {
+	var y slotYield
+	if y.low(0) {
+		t.Error("low before any call")
+	}
+	for range 500 {
+		y.record(1, 100*ms) // 10 a second
+	}
+	if !y.low(4.9) || y.low(5.1) {
+		t.Errorf("low at 4.9 %v, at 5.1 %v", y.low(4.9), y.low(5.1))
+	}
+}
--- a/control/ratelimit_test.go
+++ b/control/ratelimit_test.go
@@ -1,12 +1,13 @@
 package control
 
 import (
+	"math"
 	"strings"
 	"testing"
 	"time"
 )
 
-// Calls keep to a told limit.
+// Calls keep to a reported limit.
 func TestRateKeepsReportedLimit(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 2)
@@ -23,42 +24,89 @@
 	}
 }
 
-// A told wait halts its destination; where routes are apart, its endpoint only.
+// A Retry-After binds its destination; with separate routes, its endpoint only.
 func TestRetryAfter(t *testing.T) {
-	for _, apart := range []bool{false, true} {
+	for _, separate := range []bool{false, true} {
 		set := settings()
-		set.Kinds[0].SeparateRoutes = apart
+		set.Kinds[0].SeparateRoutes = separate
 		r := newRecorder(t, set)
 		r.ready(0, 2)
 		m := r.arrive(1, 0, 0)
 		first := m.to
-		r.pass(10 * ms)
+		r.advance(10 * ms)
 		r.answer(1, Rejected, 800*ms)
-		r.pass(600 * ms)
-		if apart != (m.sends == 2) || apart && m.to == first {
-			t.Fatalf("apart %v: %d sends, to %d after %d", apart, m.sends, m.to, first)
+		r.advance(600 * ms)
+		if separate != (m.attempts == 2) || separate && m.to == first {
+			t.Fatalf("separate %v: %d sends, to %d after %d", separate, m.attempts, m.to, first)
 		}
-		r.pass(600 * ms)
-		if m.sends != 2 {
-			t.Fatalf("apart %v: not sent after the wait", apart)
+		r.advance(600 * ms)
+		if m.attempts != 2 {
+			t.Fatalf("separate %v: not sent after the wait", separate)
 		}
 	}
 }
 
-// A wait told with an answer that served binds like any other: the recorder
-// breaks off if anything is sent before it is over.
+// A Retry-After that comes with a served call binds like any other: the recorder fails the test if anything is sent
+// before it is over.
 func TestRetryAfterWithServedAnswer(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 2)
 	r.arrive(1, 0, 0)
-	r.pass(10 * ms)
+	r.advance(10 * ms)
 	r.answer(1, Served, 400*ms)
 	m := r.arrive(2, 0, 0)
 	if m.out {
 		t.Fatal("sent during the wait")
 	}
-	r.pass(500 * ms)
-	if m.sends == 0 {
+	r.advance(500 * ms)
+	if m.attempts == 0 {
 		t.Fatal("not sent after the wait")
 	}
 }
+
+func TestTokenBucket(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		from  float64
+		after time.Duration
+		want  float64
+	}{
+		{"no time", 0.5, 0, 0.5},
+		{"a second at 2 a second", 0.5, time.Second, 2.5},
+		{"no more than its depth", 0.5, time.Hour, 3},
+		{"time does not go back", 0.5, -time.Second, 0.5},
+	} {
+		b := tokenBucket{tokens: c.from, filledAt: time.Minute}
+		if b.refill(time.Minute+c.after, 2, 3); b.tokens != c.want {
+			t.Errorf("%s: %v tokens, want %v", c.name, b.tokens, c.want)
+		}
+	}
+	if got := (&tokenBucket{tokens: -0.5}).untilToken(3); got != 500*ms {
+		t.Errorf("a token in %v", got)
+	}
+}
+
+func TestRateLimitFraction(t *testing.T) {
+	const now = time.Minute
+	for _, c := range []struct {
+		name   string
+		from   float64
+		change func(*rateLimit)
+		want   float64
+	}{
+		{"rejection in a fleet of two", 1, func(l *rateLimit) { l.reduce(now, 1) }, limitReduction},
+		{"served for a second", 0.5, func(l *rateLimit) { l.raise(now) }, 0.5 + limitRisePerSecond},
+		{"served with all", 1, func(l *rateLimit) { l.raise(now) }, 1},
+		{"headroom from nothing", 0, func(l *rateLimit) { l.raiseByHeadroom(1, 1) }, minLimitFraction * (1 + headroomRaise)},
+		{"large fleet, rejection", 0.04, func(l *rateLimit) { l.reduceInFleet(now, 80, false) }, fleetRateReduction * fleetRateReductionBase / 80},
+		{"large fleet, isolated", 0.04, func(l *rateLimit) { l.reduceInFleet(now, 80, true) }, isolatedRateReduction / 80.0},
+		{"large fleet, a second", 0.0125, func(l *rateLimit) { l.raiseInFleet(now, now-time.Second, 80, 1) }, (1 + fleetRateRisePerSecond) / 80},
+		{"large fleet, an hour", 0.0125, func(l *rateLimit) { l.raiseInFleet(now, now-time.Hour, 80, 1) }, fleetRateMax / 80},
+		{"isolated, served", 0.01, func(l *rateLimit) { l.raiseIsolated(80) }, 0.01 * (1 + isolatedRateRisePerCall)},
+	} {
+		l := rateLimit{fraction: c.from}
+		if c.change(&l); math.Abs(l.fraction-c.want) > 1e-12 {
+			t.Errorf("%s: %v, want %v", c.name, l.fraction, c.want)
+		}
+	}
+}
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Unsafe messages that may have run fail; those that can't have run go again.
+// Messages that are not idempotent fail if they may have run; others are retried.
 func TestUnsafeOnlyOnce(t *testing.T) {
 	for res, again := range map[Result]bool{
 		Failed: false, TimedOut: false, ConnectionLost: false, Canceled: false, Unknown: false, Rejected: true, ConnectFailed: true,
@@ -13,38 +13,38 @@
 		r := newRecorder(t, settings())
 		r.ready(0, 2)
 		m := r.arrive(1, 2, 0)
-		r.pass(10 * ms)
+		r.advance(10 * ms)
 		r.answer(1, res, 0)
-		if !again && m.final != "failed" {
-			t.Errorf("result %d: got %q, want failed at once", res, m.final)
+		if !again && m.outcome != "failed" {
+			t.Errorf("result %d: got %q, want failed at once", res, m.outcome)
 		}
-		r.pass(2 * time.Second)
-		if again && m.sends < 2 {
+		r.advance(2 * time.Second)
+		if again && m.attempts < 2 {
 			t.Errorf("result %d: not sent again", res)
 		}
 	}
 }
 
-// Keyed messages are repeated only inside their memory.
+// A message with an idempotency key is retried only within the key retention.
 func TestRetryWithinKeyRetention(t *testing.T) {
 	set := settings()
 	set.Classes[1].KeyRetention = 300 * ms
 	r := newRecorder(t, set)
 	r.ready(0, 2)
 	m := r.arrive(1, 1, 0)
-	r.pass(100 * ms)
+	r.advance(100 * ms)
 	r.answer(1, ConnectionLost, 0)
-	if m.sends != 2 {
-		t.Fatalf("%d sends inside the memory, want 2", m.sends)
+	if m.attempts != 2 {
+		t.Fatalf("%d sends inside the memory, want 2", m.attempts)
 	}
-	r.pass(250 * ms)
+	r.advance(250 * ms)
 	r.answer(1, ConnectionLost, 0)
-	if m.final == "" || m.sends != 2 {
-		t.Fatalf("past the memory: %q after %d sends", m.final, m.sends)
+	if m.outcome == "" || m.attempts != 2 {
+		t.Fatalf("past the memory: %q after %d sends", m.outcome, m.attempts)
 	}
 }
 
-// With a memory in one zone the repeat stays in it, and no refusal is told.
+// Where keys are scoped to a zone, retries stay in the zone and the message is never rejected.
 func TestKeyedZoneScope(t *testing.T) {
 	set := settings()
 	set.Classes[1].KeyZoneScoped = true
@@ -52,19 +52,18 @@
 	r.ready(0, 4)
 	m := r.arrive(1, 1, 0)
 	first := m.to
-	r.pass(20 * ms)
+	r.advance(20 * ms)
 	r.answer(1, ConnectionLost, 0)
-	if m.sends != 2 || m.to%2 != first%2 {
+	if m.attempts != 2 || m.to%2 != first%2 {
 		t.Fatalf("repeat went from %d to %d", first, m.to)
 	}
-	r.pass(9 * time.Second)
-	if m.final != "failed" {
-		t.Fatalf("ended %q, want failed", m.final)
+	r.advance(9 * time.Second)
+	if m.outcome != "failed" {
+		t.Fatalf("ended %q, want failed", m.outcome)
 	}
 }
 
-// A message that had attempts before this controller gets what its class still
-// allows, and its attempts count on.
+// A message that had attempts before this controller gets what its class still allows, and its attempts count on.
 func TestEarlierAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -73,13 +72,13 @@
 		ago   time.Duration
 		zone  int
 		sends int
-		want  string // "sent", "refused" or "failed"
+		want  string // "sent", "rejected" or "failed"
 	}{
 		{"safe", 0, true, time.Hour, 0, 1, "sent"},
-		{"safe, all attempts made", 0, true, 0, 0, 12, "refused"},
+		{"safe, all attempts made", 0, true, 0, 0, 12, "rejected"},
 		{"keyed, remembered", 1, true, time.Second, 0, 1, "sent"},
 		{"keyed, forgotten", 1, true, 5 * time.Second, 0, 1, "failed"},
-		{"keyed, remembered elsewhere", 1, true, time.Second, 1, 1, "held"},
+		{"keyed, remembered elsewhere", 1, true, time.Second, 1, 1, "waiting"},
 		{"unsafe, may have run", 2, true, time.Second, 0, 1, "failed"},
 		{"unsafe, never ran", 2, false, 0, 0, 3, "sent"},
 	} {
@@ -87,13 +86,13 @@
 		set.Classes[1].KeyZoneScoped = true
 		r := newRecorder(t, set)
 		r.ready(0, 1)
-		m := r.hand(Message{ID: 1, Class: c.class, TimeLeft: 4 * time.Second, Attempts: c.sends, MayHaveRun: c.ran, FirstRunAgo: c.ago, FirstRunZone: c.zone})
-		got := m.final
+		m := r.submit(Message{ID: 1, Class: c.class, TimeLeft: 4 * time.Second, Attempts: c.sends, MayHaveRun: c.ran, FirstRunAgo: c.ago, FirstRunZone: c.zone})
+		got := m.outcome
 		switch {
 		case m.out:
 			got = "sent"
 		case got == "":
-			got = "held"
+			got = "waiting"
 		}
 		if got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
@@ -104,8 +103,8 @@
 	}
 }
 
-// Where endpoints are routes apart the advice is the soonest of their waits,
-// and where nothing is known it is not to come back at once.
+// With separate routes the Retry-After is the soonest of their waits; where nothing is known it is the latency
+// objective.
 func TestRetryAdviceBySoonestRoute(t *testing.T) {
 	set := settings()
 	set.Kinds = []Kind{{MaxBatch: 1, SeparateRoutes: true}}
@@ -117,12 +116,32 @@
 	if m.out {
 		t.Fatal("sent during the waits")
 	}
-	late := r.hand(Message{ID: 3, Destination: 0, TimeLeft: 5 * ms})
-	if late.final != "refused" || late.advice != 1400*ms {
-		t.Errorf("%q, advice %v", late.final, late.advice)
+	late := r.submit(Message{ID: 3, Destination: 0, TimeLeft: 5 * ms})
+	if late.outcome != "rejected" || late.retryAfter != 1400*ms {
+		t.Errorf("%q, advice %v", late.outcome, late.retryAfter)
 	}
-	homeless := r.hand(Message{ID: 4, Destination: 9, TimeLeft: 5 * ms})
-	if homeless.final != "refused" || homeless.advice != set.Classes[0].LatencyObjective {
-		t.Errorf("without a target: %q, advice %v", homeless.final, homeless.advice)
+	homeless := r.submit(Message{ID: 4, Destination: 9, TimeLeft: 5 * ms})
+	if homeless.outcome != "rejected" || homeless.retryAfter != set.Classes[0].LatencyObjective {
+		t.Errorf("without a target: %q, advice %v", homeless.outcome, homeless.retryAfter)
+	}
+}
+
+func TestMessageMayReject(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		msg  message
+		want bool
+	}{
+		{"never ran", message{class: &Class{Idempotency: NotIdempotent}}, true},
+		{"may have run", message{class: &Class{Idempotency: NotIdempotent}, mayHaveRun: true}, false},
+		{"may have run, idempotent", message{class: &Class{}, mayHaveRun: true}, true},
+		{"by key", message{class: &Class{Idempotency: IdempotentByKey}, mayHaveRun: true}, true},
+		{"by key in one zone", message{class: &Class{Idempotency: IdempotentByKey, KeyZoneScoped: true}, mayHaveRun: true}, false},
+		{"in flight", message{class: &Class{}, inFlight: &attempt{}}, false},
+		{"finished", message{class: &Class{}, finished: true}, false},
+	} {
+		if got := c.msg.mayReject(); got != c.want {
+			t.Errorf("%s: %v", c.name, got)
+		}
 	}
 }
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// The error names the key of the setting.
 func TestNewNamesTheSetting(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
 		"Classes":      func(s *Settings) { s.Classes = nil },
@@ -25,8 +26,8 @@
 	}
 }
 
-// Under other settings a message keeps the class that it came with, one that had more attempts than are allowed now ends
-// at once, a wait stays, and what makes no sense changes nothing.
+// Under other settings a message keeps the class that it came with, one that had more attempts than are allowed now
+// ends at once, a Retry-After stays, and settings that are rejected change nothing.
 func TestUpdateSettings(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -37,7 +38,7 @@
 		{"nothing", func(*Settings) {}, false, ""},
 		{"classes vanish", func(s *Settings) { s.Classes = s.Classes[:1] }, false, ""},
 		{"its class becomes safe", func(s *Settings) { s.Classes[2].Idempotency = Idempotent }, false, ""},
-		{"fewer attempts", func(s *Settings) { s.MaxAttempts = 1 }, false, "refused"},
+		{"fewer attempts", func(s *Settings) { s.MaxAttempts = 1 }, false, "rejected"},
 		{"no deadline", func(s *Settings) { s.MaxAttempts, s.Classes[1].Deadline = 1, 0 }, true, ""},
 		{"no classes", func(s *Settings) { s.MaxAttempts, s.Classes = 1, nil }, true, ""},
 	} {
@@ -52,15 +53,15 @@
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if r.c.settings.FleetSize != 2 || len(r.c.settings.Kinds) != 1 {
-			t.Errorf("%s: siblings %d, kinds %d", c.name, r.c.settings.FleetSize, len(r.c.settings.Kinds))
+			t.Errorf("%s: fleetSize %d, kinds %d", c.name, r.c.settings.FleetSize, len(r.c.settings.Kinds))
 		}
-		if waits.final != c.final {
-			t.Errorf("%s: the waiting message: %q, want %q", c.name, waits.final, c.final)
+		if waits.outcome != c.final {
+			t.Errorf("%s: the waiting message: %q, want %q", c.name, waits.outcome, c.final)
 		}
 		r.answer(1, ConnectionLost, 0)
-		r.pass(time.Second)
-		if out.sends > 1 || out.final != "failed" {
-			t.Errorf("%s: one that broke was sent %d times, and ended %q", c.name, out.sends, out.final)
+		r.advance(time.Second)
+		if out.attempts > 1 || out.outcome != "failed" {
+			t.Errorf("%s: one that broke was sent %d times, and ended %q", c.name, out.attempts, out.outcome)
 		}
 	}
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -1,23 +1,24 @@
 package control
 
 import (
+	"math"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 )
 
-// After an outage sends rise slowly: the budget of a cold destination is kept.
+// After an outage the rate rises slowly: a destination that is warming up is not overloaded.
 func TestSlowStartAfterOutage(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.set.WeightKind = WeightsUnset
 	outage(r)
-	r.pass(3 * time.Second)
+	r.advance(3 * time.Second)
 	for id := MessageID(100); id < 160; id++ {
 		r.arrive(id, 0, 0)
 	}
 	before := len(r.trace)
-	r.c.HealthChecked(r.now, r.probes[len(r.probes)-1], Served, 20*ms, nil)
+	r.c.HealthChecked(r.now, r.healthChecks[len(r.healthChecks)-1], Served, 20*ms, nil)
 	r.c.Decide(r.now)
 	r.serve(r.set.OverloadWindow, 600*ms, 1, 10)
 	sends := 0
@@ -32,7 +33,7 @@
 	}
 }
 
-// Hundreds of siblings that know of an outage test and start in sum within what a cold partner takes.
+// A large fleet that knows of an outage makes trial calls and starts in sum within what a warming destination takes.
 func TestSlowStartOfLargeFleet(t *testing.T) {
 	set := settings()
 	set.FleetSize = 200
@@ -43,23 +44,23 @@
 	d := r.c.destination(0)
 	for id := MessageID(2); id < 5; id++ {
 		r.arrive(id, 0, 0)
-		r.pass(time.Second)
-		if r.msgs[id].out {
+		r.advance(time.Second)
+		if r.messages[id].out {
 			r.answer(id, ConnectFailed, 0)
 		}
 	}
-	r.pass(set.WarmUp)
+	r.advance(set.WarmUp)
 	d.sharedRoute.breaker.open, d.sharedRoute.breaker.consecutiveFailures, d.sharedRoute.breaker.failingSince = true, 3, r.now-set.WarmUp
 	r.c.recordHealth(d.endpoints[0], r.now, Served, 0)
 	sum := r.c.sendRate(d.endpoints[0]) * float64(set.FleetSize)
 	if budget := 20 * set.ColdCapacity * set.OverloadFactor; !d.sharedRoute.slowStart.active || sum <= 0 || sum > budget {
-		t.Fatalf("warming %v: all siblings send %.1f a second, budget %.1f", d.sharedRoute.slowStart.active, sum, budget)
+		t.Fatalf("warming %v: all fleetSize send %.1f a second, budget %.1f", d.sharedRoute.slowStart.active, sum, budget)
 	}
 }
 
-// One sender's test tells all 80 that a partner is back. They are spared their own, and start as slowly as after
-// one, in sum within what a cold partner bears. What was sent before the latest failure proves no return, a told
-// wait stays, and who saw no outage goes on as before.
+// One trial call tells a fleet of 80 that a destination recovered. The others make none, and start as slowly as
+// after one, in sum within what a warming destination takes. A call sent before the latest failure proves nothing, a
+// Retry-After stays, and a sender that saw no outage goes on as before.
 func TestRecoveryGossip(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -78,19 +79,19 @@
 		for i := range set.FleetSize {
 			set.Seed = uint64(i)
 			r := newRecorder(t, set)
-			r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 20})
+			r.updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: 20})
 			for id := MessageID(1); id <= 20 && r.c.destination(0).sharedRoute.breaker.consecutiveFailures < c.bad; id++ {
 				r.arrive(id, 0, 0)
-				r.pass(time.Second)
+				r.advance(time.Second)
 				for _, m := range slices.Clone(r.arrivals) {
-					if r.msgs[m].out {
+					if r.messages[m].out {
 						r.answer(m, ConnectFailed, c.wait)
 					}
 				}
 			}
 			rt := r.c.destination(0).sharedRoute
 			open := rt.breaker.open
-			r.pass(200 * ms)
+			r.advance(200 * ms)
 			r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedRecovery, Age: c.ago})
 			if back := open && !rt.breaker.open && rt.slowStart.active; back != c.back {
 				t.Fatalf("%s: open %v, then %v, warming %v", c.name, open, rt.breaker.open, rt.slowStart.active)
@@ -98,12 +99,12 @@
 			sum += r.c.sendRate(r.c.endpoints[1])
 		}
 		if budget := 20 * set.ColdCapacity * set.OverloadFactor; c.back && (sum <= 0 || sum > budget) {
-			t.Errorf("%s: all siblings send %.1f a second, budget %.1f", c.name, sum, budget)
+			t.Errorf("%s: all fleetSize send %.1f a second, budget %.1f", c.name, sum, budget)
 		}
 	}
 }
 
-// A time-out that a standstill hid until its end opens no route, but what comes back is started slowly.
+// A timeout that a stall of the sender hid until its end opens no circuit, but the destination gets a slow start.
 func TestSlowStartAfterStall(t *testing.T) {
 	r := newRecorder(t, settings())
 	r.ready(0, 1)
@@ -116,8 +117,8 @@
 	if rt.breaker.open {
 		t.Fatal("one failure found after a standstill opened the route")
 	}
-	r.pass(r.set.OverloadWindow)
-	if !r.msgs[2].out {
+	r.advance(r.set.OverloadWindow)
+	if !r.messages[2].out {
 		r.arrive(3, 0, 0)
 	}
 	r.c.recordHealth(r.c.destination(0).endpoints[0], r.now, Served, 0)
@@ -126,8 +127,8 @@
 	}
 }
 
-// A partner that is back and as quick as before is warm for all: each sibling's word takes a tenth off the slow start, once. Nobody's word
-// counts from before the return, and none is told where all are at the full pace.
+// A recovered destination that is as quick as before is warm for the fleet: each peer's report takes a tenth off the
+// slow start, once. Reports from before the recovery do not count, and none is sent at the full rate.
 func TestWarmObservationsShortenSlowStart(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -138,18 +139,18 @@
 		most  float64
 	}{
 		{"nobody", nil, 0, 0, 0.2, 0.3},
-		{"five siblings", func(i int) int { return i }, 0, 5, 0.75, 0.85},
-		{"twelve siblings", func(i int) int { return i }, 0, 12, 1, 1},
+		{"five fleetSize", func(i int) int { return i }, 0, 5, 0.75, 0.85},
+		{"twelve fleetSize", func(i int) int { return i }, 0, 12, 1, 1},
 		{"one that says it again and again", func(int) int { return 3 }, 0, 100, 0.3, 0.4},
 		{"from before the return", func(i int) int { return i }, 5 * time.Second, 12, 0.2, 0.3},
 	} {
 		set := settings()
 		set.FleetSize, set.CanGossip, set.WeightKind, set.HeadroomIndex, set.LimitIndex = 80, true, WeightsApproximate, -1, -1
 		r := newRecorder(t, set)
-		r.lists(ListFull, Endpoint{ID: 1, State: Ready, Weight: 800})
+		r.updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: 800})
 		e := r.c.endpoints[1]
 		r.c.startSlowStart(e.route)
-		r.pass(100 * ms)
+		r.advance(100 * ms)
 		for i := range c.words {
 			r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedWarm, Peer: c.from(i), Age: c.ago})
 		}
@@ -161,13 +162,13 @@
 	for n := range 2 {
 		rt := again.c.endpoints[0].route
 		rt.slowStart.active = false
-		again.pass(far)
+		again.advance(far)
 		again.c.startSlowStart(rt)
-		again.pass(100 * ms)
+		again.advance(100 * ms)
 		for i := range 30 {
 			again.c.ReceiveGossip(again.now, Observation{Endpoint: 0, Kind: ObservedWarm, Peer: i})
 		}
-		if got := rt.slowStart.recoveredAt - rt.slowStart.rampFrom; got != again.set.WarmUp || len(rt.slowStart.warmReporters) > 10 {
+		if got := rt.slowStart.recoveredAt - rt.slowStart.risingFrom; got != again.set.WarmUp || len(rt.slowStart.warmReporters) > 10 {
 			t.Errorf("return %d: %v earlier by the word of %d", n, got, len(rt.slowStart.warmReporters))
 		}
 	}
@@ -175,7 +176,7 @@
 	e := r.c.endpoints[0]
 	e.route.breaker.callTimeBefore = 100 * ms
 	told := func() (n int) {
-		for _, x := range r.told {
+		for _, x := range r.gossiped {
 			if x.Kind == ObservedWarm {
 				n++
 			}
@@ -191,7 +192,38 @@
 	if n := told(); n < 1 || n > 8 {
 		t.Errorf("told %d times that it is warm", n)
 	}
-	if !e.route.slowStart.active || r.c.now-e.route.slowStart.rampFrom < r.set.WarmUp {
-		t.Errorf("after 20 brisk calls: warming %v, from %v on", e.route.slowStart.active, e.route.slowStart.rampFrom-r.now)
+	if !e.route.slowStart.active || r.c.now-e.route.slowStart.risingFrom < r.set.WarmUp {
+		t.Errorf("after 20 brisk calls: warming %v, from %v on", e.route.slowStart.active, e.route.slowStart.risingFrom-r.now)
+	}
+}
+
+func TestSlowStartCapacity(t *testing.T) {
+	set := settings()
+	set.ColdCapacity, set.WarmUp = 0.2, 10*time.Second
+	for _, c := range []struct {
+		name     string
+		after    time.Duration
+		reports  int
+		fraction float64
+	}{
+		{"at the start", 0, 0, 0.2},
+		{"half of it over", 5 * time.Second, 0, 0.6},
+		{"over", 20 * time.Second, 0, 1},
+		{"five peers found it warm", 0, 5, 0.6},
+		{"more peers than count", 0, 50, 1},
+	} {
+		var s slowStart
+		s.begin(time.Minute)
+		for peer := range c.reports {
+			if s.addWarmReport(peer) {
+				s.advance(set.WarmUp)
+			}
+		}
+		if got := s.capacityFraction(time.Minute+c.after, &set); math.Abs(got-c.fraction) > 1e-9 {
+			t.Errorf("%s: %v, want %v", c.name, got, c.fraction)
+		}
+		if s.expire(time.Minute+c.after, set.WarmUp); s.active != (c.after < set.WarmUp) {
+			t.Errorf("%s: active %v", c.name, s.active)
+		}
 	}
 }
--- a/control/timeout_test.go
+++ b/control/timeout_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Calls of a silent destination are called off when another's message wants the slot.
+// Calls of an unresponsive destination are canceled when messages to others need the slots.
 func TestOverdueCallsArePreempted(t *testing.T) {
 	for _, wanted := range []bool{false, true} {
 		set := settings()
@@ -22,9 +22,9 @@
 				r.arrive(id, 0, 1+int(id)%2)
 			}
 			for range 10 {
-				r.pass(5 * ms)
+				r.advance(5 * ms)
 				for _, other := range r.arrivals {
-					if m := r.msgs[other]; other > 10 && m.out && r.now >= m.sentAt+100*ms {
+					if m := r.messages[other]; other > 10 && m.out && r.now >= m.sentAt+100*ms {
 						r.answer(other, Served, 0)
 					}
 				}
@@ -36,12 +36,12 @@
 	}
 }
 
-// Where siblings found the others dead, one overdue call is enough for an outage of the destination.
+// Where peers found the other endpoints down, one overdue call is enough for an outage of the destination.
 func TestUnresponsiveBesideEjectedEndpoints(t *testing.T) {
 	for _, told := range []bool{true, false} {
 		r := largeFleetMember(t, 3)
 		m := r.arrive(1, 0, 0)
-		r.pass(10 * ms)
+		r.advance(10 * ms)
 		r.answer(1, Served, 0)
 		for e := EndpointID(0); e < 3 && told; e++ {
 			for by := 1; by <= 2 && e != m.to; by++ {
@@ -50,11 +50,11 @@
 		}
 		last := r.arrive(2, 0, 0)
 		for r.c.endpoints[last.to].consecutiveFailures == 0 {
-			r.pass(r.set.Tick)
+			r.advance(r.set.Tick)
 			r.c.Decide(r.now)
 		}
 		if told && last.to != m.to || r.c.destination(0).sharedRoute.breaker.open != told {
-			t.Errorf("others found dead: %v; the call went to %d after %d, the destination is open: %v", told, last.to, m.to, r.c.destination(0).sharedRoute.breaker.open)
+			t.Errorf("others found down: %v; the call went to %d after %d, the destination is open: %v", told, last.to, m.to, r.c.destination(0).sharedRoute.breaker.open)
 		}
 	}
 }
