--- a/control/endpointlist.go
+++ b/control/endpointlist.go
@@ -147,9 +147,9 @@
 // pruneRemoved forgets endpoints that were removed long ago, or their number would grow without end where new ones
 // replace old ones all day. One that is listed again within an outage and a slow start is known with its failures.
 func (c *Controller) pruneRemoved() {
-	keep := 2*c.settings.WarmUp + c.settings.OverloadWindow + c.settings.DrainGrace
+	retention := 2*c.settings.WarmUp + c.settings.OverloadWindow + c.settings.DrainGrace
 	for id, e := range c.endpoints {
-		if e.State != Removed || e.callsInFlight > 0 || c.now-e.removedAt < keep {
+		if e.State != Removed || e.callsInFlight > 0 || c.now-e.removedAt < retention {
 			continue
 		}
 		delete(c.endpoints, id)
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -1,6 +1,6 @@
-// Package reachability is a failure detector for one sender of a large fleet: it tells whether the sender hears its
-// siblings, and about how many of them, as what a refusal of its own stands for depends on who else has heard of it. It
-// decides nothing of messages, does no I/O, takes the time as a parameter and draws nothing. Its design is
+// Package reachability is a failure detector for one sender of a large fleet: it estimates whether the sender's peers
+// can be reached, and about how many of them, as what a rejection stands for depends on who else has heard of it. It
+// decides nothing of messages, does no I/O, takes the time as a parameter and makes no random draws. Its design is
 // docs/design/fleet-limits.md.
 package reachability
 
@@ -10,126 +10,138 @@
 )
 
 const (
-	quiet   = 2 * time.Second        // one that has heard nobody for so long asks with its refusal...
-	answer  = 500 * time.Millisecond // ...and is alone if nobody has answered in this time,
-	answers = 8.0                    // as so many siblings do in the mean, whoever they are
-	memory  = 20 * time.Second       // of who was heard
-	ring    = 64                     // notes that are remembered
-	fewest  = 8                      // with fewer nothing is known
-	latest  = 16                     // of so many latest notes...
-	plain   = 9                      // ...no more than so many tellers are a small part, whoever was heard before
-	again   = 50 * time.Millisecond  // one that is alone asks again, each in so much a sibling, so that all
-	// together ask as often at any size: the first that is heard once ways are healed ends it for all
-	spare = 1.3 // those with more traffic tell more: the others count, too
+	querySilence       = 2 * time.Second        // a sender that has heard nobody for this long sends a query
+	replyTimeout       = 500 * time.Millisecond // it is isolated if nobody has replied in this time
+	meanReplies        = 8.0                    // peers that reply to a query in the mean, at any fleet size
+	observationTTL     = 20 * time.Second       // what was heard before is forgotten
+	historySize        = 64                     // observations that are remembered
+	minObservations    = 8                      // with fewer the fraction is not known
+	recentObservations = 16                     // of so many latest observations...
+	maxRecentPeers     = 9                      // ...from no more than so many peers the fraction is small
+	// An isolated sender repeats its query after this time for each sender of the fleet, so that a whole fleet sends as
+	// many at any size. The first one that is heard when connections work again ends it for all.
+	queryIntervalPerSender = 50 * time.Millisecond
+	// Senders with more traffic tell more, and hide some of the others, which count as well.
+	unevenTrafficFactor = 1.3
 )
 
-// Detector is what one sender knows. The zero value has heard nobody, and asked nobody; Siblings must be set.
+// Detector is what one sender knows of its peers. The zero value has heard nobody, and sent no query; FleetSize must be
+// set. It is not safe for concurrent use.
 type Detector struct {
-	FleetSize int           // this one included
-	QueriedAt time.Duration // the first time that it asked since somebody was heard
+	FleetSize int           // senders, this one included
+	QueriedAt time.Duration // the first query since a peer was heard
 
-	heardAt time.Duration
-	next    time.Duration // when it asks again
-	unheard int           // refusals of its own since
-	list    [ring]heard
-	n       int // entries that were ever made
-	part    float64
+	lastHeardAt       time.Duration
+	nextQuery         time.Duration // no query is sent before this
+	rejectionsUnheard int           // rejections of its own since a peer was heard
+	history           [historySize]observation
+	observations      int // ever made; the latest is at (observations-1) modulo historySize
+	fraction          float64
 }
 
-type heard struct {
-	from int
+// An observation is one time that a peer was heard.
+type observation struct {
+	peer int
 	at   time.Duration
 }
 
-// PeerHeard takes that a sibling was heard.
-func (h *Detector) PeerHeard(now time.Duration, from int) {
-	h.unheard, h.heardAt, h.next = 0, now, now
-	h.list[h.n%ring] = heard{from, now}
-	h.n++
-	h.part = h.estimate(now)
+// PeerHeard takes that a peer was heard.
+func (d *Detector) PeerHeard(now time.Duration, peer int) {
+	d.rejectionsUnheard, d.lastHeardAt, d.nextQuery = 0, now, now
+	d.history[d.observations%historySize] = observation{peer, now}
+	d.observations++
+	d.fraction = d.estimate(now)
 }
 
-// Rejected takes a refusal of its own: whether to tell of it (nobody is heard: ever fewer, as nobody may hear, and none while it
-// is alone but with a question), and whether to ask with it if anybody hears.
-func (h *Detector) Rejected(now time.Duration) (tell, ask bool) {
-	h.unheard++
-	tell = h.unheard&(h.unheard-1) == 0
-	ask = tell && now-h.heardAt >= quiet && now >= h.next
-	tell = tell && (ask || !h.Isolated(now))
-	if ask && h.heardAt >= h.QueriedAt {
-		h.QueriedAt = now
+// Rejected takes a rejection of a call of this sender's. It reports whether to tell peers of it, and whether to send a
+// query with that. While no peer is heard it tells ever fewer, as none may hear, and an isolated one only tells with a
+// query.
+func (d *Detector) Rejected(now time.Duration) (tell, query bool) {
+	d.rejectionsUnheard++
+	tell = d.rejectionsUnheard&(d.rejectionsUnheard-1) == 0
+	query = tell && now-d.lastHeardAt >= querySilence && now >= d.nextQuery
+	tell = tell && (query || !d.Isolated(now))
+	if query && d.lastHeardAt >= d.QueriedAt {
+		d.QueriedAt = now
 	}
-	if ask {
-		h.next = now + h.span()
+	if query {
+		d.nextQuery = now + d.queryInterval()
 	}
-	return tell, ask
+	return tell, query
 }
 
-func (h *Detector) span() time.Duration { return max(quiet, time.Duration(h.FleetSize)*again) }
+func (d *Detector) queryInterval() time.Duration {
+	return max(querySilence, time.Duration(d.FleetSize)*queryIntervalPerSender)
+}
 
-// RepeatQuery tells whether one that is alone asks now, though nothing was refused.
-func (h *Detector) RepeatQuery(now time.Duration) bool {
-	if !h.Isolated(now) || now < h.next {
+// RepeatQuery reports whether an isolated sender sends a query now, though nothing was rejected, and counts it.
+func (d *Detector) RepeatQuery(now time.Duration) bool {
+	if !d.Isolated(now) || now < d.nextQuery {
 		return false
 	}
-	h.next = now + h.span()
+	d.nextQuery = now + d.queryInterval()
 	return true
 }
 
-// ShouldReply tells whether to answer one that asks, by a draw from 0 to 1: of any number of siblings about as many do.
-func (h *Detector) ShouldReply(draw float64) bool { return draw*float64(h.FleetSize) < answers }
+// ShouldReply reports whether to reply to a peer's query, by a draw from 0 to 1.
+func (d *Detector) ShouldReply(draw float64) bool { return draw*float64(d.FleetSize) < meanReplies }
 
-// Isolated tells that nobody has answered what it asked: its siblings do not hear of its refusals, nor it of theirs.
-func (h *Detector) Isolated(now time.Duration) bool {
-	return h.heardAt < h.QueriedAt && now >= h.QueriedAt+answer
+// Isolated reports whether no peer has replied to a query: peers do not hear of this sender's rejections, nor it of
+// theirs.
+func (d *Detector) Isolated(now time.Duration) bool {
+	return d.lastHeardAt < d.QueriedAt && now >= d.QueriedAt+replyTimeout
 }
 
-// ReachableFraction is about which part of the siblings it hears; all of them where nothing speaks against it.
-func (h *Detector) ReachableFraction(now time.Duration) float64 {
-	if h.n == 0 || now-h.heardAt > memory {
+// ReachableFraction is about the fraction of the fleet that this sender hears, from 0 to 1; it is 1 where nothing
+// speaks against it.
+func (d *Detector) ReachableFraction(now time.Duration) float64 {
+	if d.observations == 0 || now-d.lastHeardAt > observationTTL {
 		return 1
 	}
-	return h.part
+	return d.fraction
 }
 
-// estimate is from how few have told how many notes: of m that tell alike, k notes come from m(1-exp(-k/m)) in the mean. The latest
-// few are enough to tell a part that has become small, and too few for all else.
-func (h *Detector) estimate(now time.Duration) float64 {
-	if k, d := h.tellers(now, latest); k == latest && d <= plain {
-		return h.of(k, d)
+// estimate estimates the fraction from the number of peers in the history. The latest few observations are enough to
+// show that it has become small, and too few for anything else.
+func (d *Detector) estimate(now time.Duration) float64 {
+	count, peers := d.distinctPeers(now, recentObservations)
+	if count == recentObservations && peers <= maxRecentPeers {
+		return d.fractionOf(count, peers)
 	}
-	k, d := h.tellers(now, ring)
-	if k < fewest {
+	count, peers = d.distinctPeers(now, historySize)
+	if count < minObservations {
 		return 1
 	}
-	return h.of(k, d)
+	return d.fractionOf(count, peers)
 }
 
-// tellers counts the latest notes that are not too old, and who told them.
-func (h *Detector) tellers(now time.Duration, most int) (k, d int) {
-	seen := [ring]int{}
-	for i := h.n - 1; i >= 0 && i >= h.n-most; i-- {
-		x := h.list[i%ring]
-		if now-x.at > memory {
+// distinctPeers counts the latest observations that are not too old, limit at most, and the peers that made them.
+func (d *Detector) distinctPeers(now time.Duration, limit int) (count, peers int) {
+	seen := [historySize]int{}
+	for i := d.observations - 1; i >= 0 && i >= d.observations-limit; i-- {
+		o := d.history[i%historySize]
+		if now-o.at > observationTTL {
 			break
 		}
-		k++
+		count++
 		known := false
-		for _, from := range seen[:d] {
-			known = known || from == x.from
+		for _, peer := range seen[:peers] {
+			known = known || peer == o.peer
 		}
 		if !known {
-			seen[d] = x.from
-			d++
+			seen[peers] = o.peer
+			peers++
 		}
 	}
-	return k, d
+	return count, peers
 }
 
-// of is the part of the siblings that k notes from d tellers speak for.
-func (h *Detector) of(k, d int) float64 {
-	m := float64(d)
-	for all := float64(h.FleetSize); m < all && m*(1-math.Exp(-float64(k)/m)) < float64(d)-0.5; m++ {
+// fractionOf is the fraction of the fleet that count observations from so many peers speak for: of m peers that tell
+// alike, k observations come from m(1-exp(-k/m)) in the mean.
+func (d *Detector) fractionOf(count, peers int) float64 {
+	fleet, heard, m := float64(d.FleetSize), float64(peers), float64(peers)
+	for m < fleet && m*(1-math.Exp(-float64(count)/m)) < heard-0.5 {
+		m++
 	}
-	return min(1, spare*(m+1)/float64(h.FleetSize))
+	return min(1, unevenTrafficFactor*(m+1)/fleet)
 }
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -8,93 +8,93 @@
 
 const s = time.Second
 
-// Alone is one whose question nobody answers, from half a second on and until somebody is heard.
-func TestAlone(t *testing.T) {
+// A sender is isolated when nobody replies to its query, from half a second on and until a peer is heard.
+func TestIsolated(t *testing.T) {
 	h := Detector{FleetSize: 100}
 	steps := []struct {
-		at        time.Duration
-		heard     bool // before
-		refused   bool
-		tell, ask bool
-		alone     bool // then
+		at          time.Duration
+		heard       bool // before
+		rejected    bool
+		tell, query bool
+		isolated    bool // then
 	}{
 		{at: 10 * s},
-		{at: 10 * s, refused: true, tell: true, ask: true},
+		{at: 10 * s, rejected: true, tell: true, query: true},
 		{at: 10*s + 499*time.Millisecond},
-		{at: 10*s + 500*time.Millisecond, alone: true},
-		{at: 12 * s, refused: true, alone: true}, // it has asked, and tells nobody
-		{at: 13 * s, refused: true, alone: true},
-		{at: 14 * s, refused: true, alone: true},
-		{at: 14*s + 900*time.Millisecond, refused: true, alone: true},
+		{at: 10*s + 500*time.Millisecond, isolated: true},
+		{at: 12 * s, rejected: true, isolated: true}, // it has sent its query, and tells nobody
+		{at: 13 * s, rejected: true, isolated: true},
+		{at: 14 * s, rejected: true, isolated: true},
+		{at: 14*s + 900*time.Millisecond, rejected: true, isolated: true},
 		{at: 15 * s, heard: true},
-		{at: 16 * s, refused: true, tell: true}, // somebody was heard a second ago
+		{at: 16 * s, rejected: true, tell: true}, // somebody was heard a second ago
 		{at: 17 * s},
-		{at: 18 * s, refused: true, tell: true, ask: true},
+		{at: 18 * s, rejected: true, tell: true, query: true},
 		{at: 18*s + 400*time.Millisecond, heard: true},
-		{at: 21 * s, refused: true, tell: true, ask: true}, // who was heard may be asked anew, though no span has passed
+		{at: 21 * s, rejected: true, tell: true, query: true}, // a query after a peer was heard need not wait for the interval
 		{at: 21*s + 400*time.Millisecond, heard: true},
 		{at: 30 * s},
-		{at: 31 * s, refused: true, tell: true, ask: true},
-		{at: 32 * s, alone: true},
-		{at: 35 * s, refused: true, alone: true},
-		{at: 37 * s, refused: true, alone: true},
-		{at: 40 * s, refused: true, tell: true, ask: true, alone: true}, // the fourth unheard, and a span of 5 s is over
+		{at: 31 * s, rejected: true, tell: true, query: true},
+		{at: 32 * s, isolated: true},
+		{at: 35 * s, rejected: true, isolated: true},
+		{at: 37 * s, rejected: true, isolated: true},
+		{at: 40 * s, rejected: true, tell: true, query: true, isolated: true}, // the fourth that nobody heard, and the interval of 5 s is over
 	}
 	for i, x := range steps {
 		if x.heard {
 			h.PeerHeard(x.at, 7)
 		}
-		if x.refused {
-			if tell, ask := h.Rejected(x.at); tell != x.tell || ask != x.ask {
-				t.Errorf("step %d: tells %t, asks %t", i, tell, ask)
+		if x.rejected {
+			if tell, query := h.Rejected(x.at); tell != x.tell || query != x.query {
+				t.Errorf("step %d: tells %t, queries %t", i, tell, query)
 			}
 		}
-		if h.Isolated(x.at) != x.alone {
-			t.Errorf("step %d: alone %t", i, !x.alone)
+		if h.Isolated(x.at) != x.isolated {
+			t.Errorf("step %d: isolated %t", i, !x.isolated)
 		}
 	}
 }
 
-// One that is alone asks again until somebody is heard; all of a fleet together as often at any size.
-func TestAgain(t *testing.T) {
+// An isolated sender repeats its query until a peer is heard; a whole fleet as often at any size.
+func TestRepeatQuery(t *testing.T) {
 	for _, n := range []int{8, 40, 300, 1000} {
-		h, asked := Detector{FleetSize: n}, 0
+		h, queries := Detector{FleetSize: n}, 0
 		if h.RepeatQuery(5 * s) {
-			t.Error("asks though nothing was refused")
+			t.Error("a query though nothing was rejected")
 		}
 		h.Rejected(10 * s)
 		for at := 10 * s; at < 610*s; at += 20 * time.Millisecond {
 			if h.RepeatQuery(at) {
-				asked++
+				queries++
 			}
 		}
-		if all := float64(asked*n) / 600; all > 21 || asked == 0 {
-			t.Errorf("%d siblings ask %.1f times a second", n, all)
+		if all := float64(queries*n) / 600; all > 21 || queries == 0 {
+			t.Errorf("a fleet of %d sends %.1f queries a second", n, all)
 		}
 		h.PeerHeard(620*s, 1)
 		if h.RepeatQuery(700 * s) {
-			t.Errorf("%d siblings: asks on", n)
+			t.Errorf("fleet of %d: it goes on", n)
 		}
 	}
 }
 
-// The part that is heard, of fleets of any size in parts of any size, whether all tell alike or some much more.
-func TestPart(t *testing.T) {
+// The fraction of a fleet that is heard, at any fleet size, whether all tell alike or some much more.
+func TestReachableFraction(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, c := range []struct {
-		siblings, heard int
-		uneven          bool
-		from, to        float64
+		fleetSize, heard int
+		uneven           bool
+		from, to         float64
 	}{
 		{300, 299, false, 0.6, 1}, {300, 299, true, 0.4, 1}, {300, 150, false, 0.33, 1}, {300, 60, false, 0.16, 0.4}, {300, 60, true, 0.07, 0.4},
 		{300, 3, false, 0.01, 0.04}, {40, 39, false, 0.9, 1}, {40, 39, true, 0.7, 1}, {40, 7, false, 0.18, 0.35}, {1000, 100, false, 0.06, 0.33}, {1000, 999, true, 0.15, 1},
 	} {
 		least, most := 2.0, 0.0
 		for range 50 {
-			h := Detector{FleetSize: c.siblings}
+			h := Detector{FleetSize: c.fleetSize}
 			for i := range 200 {
 				who := rng.IntN(c.heard)
-				for c.uneven && who%3 > 0 && rng.IntN(3) > 0 { // a third of them tell most
+				for c.uneven && who%3 > 0 && rng.IntN(3) > 0 { // a third of them tells most
 					who = rng.IntN(c.heard)
 				}
 				h.PeerHeard(time.Duration(i)*100*time.Millisecond, who)
@@ -106,23 +106,23 @@
 			t.Errorf("%+v: from %.2f to %.2f", c, least, most)
 		}
 	}
-	cut := Detector{FleetSize: 40} // all are heard, then a part of eight
-	for i := range ring + latest {
+	shrunk := Detector{FleetSize: 40} // all are heard, then an eighth
+	for i := range historySize + recentObservations {
 		who := i % 39
-		if i >= ring {
+		if i >= historySize {
 			who = i % 7
 		}
-		cut.PeerHeard(time.Duration(i)*100*time.Millisecond, who)
+		shrunk.PeerHeard(time.Duration(i)*100*time.Millisecond, who)
 	}
-	if p := cut.ReachableFraction(time.Duration(ring+latest) * 100 * time.Millisecond); p > 0.35 {
-		t.Errorf("%.2f after %d notes of a part of eight", p, latest)
+	if p := shrunk.ReachableFraction(time.Duration(historySize+recentObservations) * 100 * time.Millisecond); p > 0.35 {
+		t.Errorf("%.2f after %d observations of an eighth", p, recentObservations)
 	}
 	h := Detector{FleetSize: 300}
-	for i := range fewest - 1 {
+	for i := range minObservations - 1 {
 		h.PeerHeard(s, i%2)
 	}
 	if h.ReachableFraction(2*s) != 1 {
-		t.Error("few notes prove something")
+		t.Error("few observations prove something")
 	}
 	h.PeerHeard(s, 1)
 	if h.ReachableFraction(2*s) > 0.1 || h.ReachableFraction(30*s) != 1 {
@@ -130,8 +130,8 @@
 	}
 }
 
-// How many answer does not grow with the fleet.
-func TestAnswers(t *testing.T) {
+// How many peers reply does not grow with the fleet.
+func TestShouldReply(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for _, n := range []int{8, 40, 300, 1000} {
 		h, sum := Detector{FleetSize: n}, 0
@@ -141,7 +141,7 @@
 			}
 		}
 		if mean := float64(sum) / 1000; mean < 7.5 || mean > 8.5 {
-			t.Errorf("%d siblings: %.2f answer", n, mean)
+			t.Errorf("fleet of %d: %.2f reply", n, mean)
 		}
 	}
 }
