--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -11,7 +11,7 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenDatagrams writes and reads a datagram of each kind of note as 096da04 did.
+// TestGoldenDatagrams writes and reads a datagram of each kind of observation as 096da04 did.
 func TestGoldenDatagrams(t *testing.T) {
 	var b strings.Builder
 	var all []Observation
@@ -32,11 +32,11 @@
 	if _, err := fmt.Sscanf(lines[len(lines)-1], "all %x", &datagram); err != nil {
 		t.Fatal(err)
 	}
-	facts, err := Decode(datagram)
-	if err != nil || len(facts) != len(all) {
-		t.Fatalf("%d facts, %v", len(facts), err)
+	observations, err := Decode(datagram)
+	if err != nil || len(observations) != len(all) {
+		t.Fatalf("%d observations, %v", len(observations), err)
 	}
-	for i, f := range facts {
+	for i, f := range observations {
 		if f != all[i] {
 			t.Errorf("read %+v, want %+v", f, all[i])
 		}
--- a/internal/gossip/note_test.go
+++ b/internal/gossip/gossip_test.go
@@ -9,30 +9,30 @@
 	"cleathold/control"
 )
 
-// What is told is read as told; what can't be read gives an error, and what a later version says is left out.
+// What is encoded is decoded alike; what cannot be decoded is an error, and kinds of a later version are left out.
 func TestDecode(t *testing.T) {
 	good := Encode([]Observation{{7, control.ObservedRejection, 50 * time.Millisecond}, {8, control.ObservedRejection, time.Hour}})
 	for _, c := range []struct {
-		name  string
-		in    []byte
-		facts int
-		fails bool
+		name         string
+		in           []byte
+		observations int
+		fails        bool
 	}{
 		{"as it is", good, 2, false},
 		{"nothing in it", good[:1], 0, false},
 		{"empty", nil, 0, true},
-		{"cut short", good[:9], 0, true},
+		{"truncated", good[:9], 0, true},
 		{"another version", append([]byte{9}, good[1:]...), 0, true},
 		{"too long", make([]byte, MaxSize+1), 0, true},
 		{"a kind not known", append(bytes.Clone(good), 1, 2, 3, 4, 200, 0), 2, false},
 	} {
-		facts, err := Decode(c.in)
-		if len(facts) != c.facts || (err != nil) != c.fails {
-			t.Errorf("%s: %v, %v", c.name, facts, err)
+		observations, err := Decode(c.in)
+		if len(observations) != c.observations || (err != nil) != c.fails {
+			t.Errorf("%s: %v, %v", c.name, observations, err)
 		}
 	}
-	if facts, _ := Decode(good); facts[1].Age != oldest || facts[0] != (Observation{7, control.ObservedRejection, 50 * time.Millisecond}) {
-		t.Errorf("read as %v", facts)
+	if observations, _ := Decode(good); observations[1].Age != maxAge || observations[0] != (Observation{7, control.ObservedRejection, 50 * time.Millisecond}) {
+		t.Errorf("read as %v", observations)
 	}
 	if n := len(Encode(make([]Observation, 1000))); n > MaxSize {
 		t.Errorf("%d bytes", n)
@@ -42,12 +42,12 @@
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode([]Observation{{1, control.ObservedRejection, time.Second}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		facts, err := Decode(b)
+		observations, err := Decode(b)
 		if err != nil {
 			return
 		}
-		if again, err := Decode(Encode(facts)); err != nil || len(again) != len(facts) || len(facts) > 0 && !reflect.DeepEqual(again, facts) {
-			t.Fatalf("%v read again as %v, %v", facts, again, err)
+		if again, err := Decode(Encode(observations)); err != nil || len(again) != len(observations) || len(observations) > 0 && !reflect.DeepEqual(again, observations) {
+			t.Fatalf("%v decoded again as %v, %v", observations, again, err)
 		}
 	})
 }
