--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -74,7 +74,7 @@
 			r.serve(200*ms, 50*ms)
 		}
 		if n := len(r.closed); n > 100 {
-			t.Errorf("fleet of %d: %d of 199 connections closed though all calls found room", fleetSize, n)
+			t.Errorf("fleet of %d: %d of 199 connections closed though all calls found capacity", fleetSize, n)
 		}
 	}
 }
--- a/control/endpointlist_test.go
+++ b/control/endpointlist_test.go
@@ -60,7 +60,7 @@
 		fleet[i] = newRecorder(t, set)
 		fleet[i].updateList(ListCached, Endpoint{ID: 1, State: Ready})
 	}
-	done, polls, room := 0, 0, 0.0
+	done, polls, capacity := 0, 0, 0.0
 	var last time.Duration
 	for now := time.Duration(0); now < 30*time.Second; now += step {
 		for i, r := range fleet {
@@ -68,7 +68,7 @@
 				queue, polls, seen[i] = append(queue, poll{i, now}), polls+n, r.watches
 			}
 		}
-		for room += perStep; room >= 1 && len(queue) > 0; room-- {
+		for capacity += perStep; capacity >= 1 && len(queue) > 0; capacity-- {
 			q := queue[0]
 			queue = queue[1:]
 			if now-q.at <= 2*time.Second {
@@ -83,7 +83,7 @@
 				fleet[q.by].updateList(ListFailed)
 			}
 		}
-		room = min(room, perStep)
+		capacity = min(capacity, perStep)
 		for _, r := range fleet {
 			r.advance(step)
 		}
--- a/control/fleetrate_test.go
+++ b/control/fleetrate_test.go
@@ -41,13 +41,13 @@
 			fleet[i] = newRecorder(t, set)
 			fleet[i].updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: whole})
 		}
-		room, id := 0.0, MessageID(0)
+		capacity, id := 0.0, MessageID(0)
 		for now := time.Duration(0); now < 15*time.Second; now += step {
 			limit := whole
 			if now >= 3*time.Second && now < 12*time.Second {
 				limit = low
 			}
-			room = min(room+limit*step.Seconds(), limit/5)
+			capacity = min(capacity+limit*step.Seconds(), limit/5)
 			for i, r := range fleet {
 				if rng.Float64() < 0.8*whole/senders*step.Seconds() {
 					id++
@@ -57,13 +57,13 @@
 					if !r.messages[m].out {
 						continue
 					}
-					if room--; room < 0 { // a rejected call uses the limit up, too
-						room = max(room, -limit/5)
+					if capacity--; capacity < 0 { // a rejected call uses the limit up, too
+						capacity = max(capacity, -limit/5)
 						r.answer(m, Rejected, 0)
 					} else {
 						r.answer(m, Served, 0)
 					}
-					if limit == low && room < 0 {
+					if limit == low && capacity < 0 {
 						rejected++
 					} else if limit == low {
 						served++
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -97,11 +97,11 @@
 // gossipRejection tells peers of a rejection of a call sent age ago, and asks whether any of them can be reached, as
 // the reachability detector decides.
 func (c *Controller) gossipRejection(endpoint *endpoint, age time.Duration) {
-	tell, ask := c.peers.Rejected(c.now)
+	tell, query := c.peers.Rejected(c.now)
 	if tell {
 		c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: ObservedRejection, Age: age})
 	}
-	if ask {
+	if query {
 		c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: ReachabilityQuery})
 	}
 }
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -75,7 +75,7 @@
 		set.Seed, set.FleetSize, set.CanGossip = uint64(i), senders, true
 		r := newRecorder(t, set)
 		r.ready(0, 2)
-		r.c.connections.rejectionRate[0] = 0 // room is known
+		r.c.connections.rejectionRate[0] = 0 // capacity is known
 		first := r.arrive(1, 0, 0)
 		r.advance(10 * ms)
 		r.answer(1, Served, 0)
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -31,12 +31,12 @@
 	FleetSize int           // senders, this one included
 	QueriedAt time.Duration // the first query since a peer was heard
 
-	lastHeardAt       time.Duration
-	nextQuery         time.Duration // no query is sent before this
-	rejectionsUnheard int           // rejections of its own since a peer was heard
-	history           [historySize]observation
-	observations      int // ever made; the latest is at (observations-1) modulo historySize
-	fraction          float64
+	lastContactAt          time.Duration
+	nextQuery              time.Duration // no query is sent before this
+	rejectionsSinceContact int           // rejections of its own since a peer was heard
+	history                [historySize]observation
+	observations           int // ever made; the latest is at (observations-1) modulo historySize
+	fraction               float64
 }
 
 // An observation is one time that a peer was heard.
@@ -47,7 +47,7 @@
 
 // PeerHeard takes that a peer was heard.
 func (d *Detector) PeerHeard(now time.Duration, peer int) {
-	d.rejectionsUnheard, d.lastHeardAt, d.nextQuery = 0, now, now
+	d.rejectionsSinceContact, d.lastContactAt, d.nextQuery = 0, now, now
 	d.history[d.observations%historySize] = observation{peer, now}
 	d.observations++
 	d.fraction = d.estimate(now)
@@ -56,18 +56,18 @@
 // Rejected takes a rejection of a call of this sender's. It reports whether to tell peers of it, and whether to send a
 // query with that. While no peer is heard it tells ever fewer, as none may hear, and an isolated one only tells with a
 // query.
-func (d *Detector) Rejected(now time.Duration) (tell, query bool) {
-	d.rejectionsUnheard++
-	tell = d.rejectionsUnheard&(d.rejectionsUnheard-1) == 0
-	query = tell && now-d.lastHeardAt >= querySilence && now >= d.nextQuery
-	tell = tell && (query || !d.Isolated(now))
-	if query && d.lastHeardAt >= d.QueriedAt {
+func (d *Detector) Rejected(now time.Duration) (gossip, query bool) {
+	d.rejectionsSinceContact++
+	gossip = d.rejectionsSinceContact&(d.rejectionsSinceContact-1) == 0
+	query = gossip && now-d.lastContactAt >= querySilence && now >= d.nextQuery
+	gossip = gossip && (query || !d.Isolated(now))
+	if query && d.lastContactAt >= d.QueriedAt {
 		d.QueriedAt = now
 	}
 	if query {
 		d.nextQuery = now + d.queryInterval()
 	}
-	return tell, query
+	return gossip, query
 }
 
 func (d *Detector) queryInterval() time.Duration {
@@ -89,13 +89,13 @@
 // Isolated reports whether no peer has replied to a query: peers do not hear of this sender's rejections, nor it of
 // theirs.
 func (d *Detector) Isolated(now time.Duration) bool {
-	return d.lastHeardAt < d.QueriedAt && now >= d.QueriedAt+replyTimeout
+	return d.lastContactAt < d.QueriedAt && now >= d.QueriedAt+replyTimeout
 }
 
 // ReachableFraction is about the fraction of the fleet that this sender hears, from 0 to 1; it is 1 where nothing
 // speaks against it.
 func (d *Detector) ReachableFraction(now time.Duration) float64 {
-	if d.observations == 0 || now-d.lastHeardAt > observationTTL {
+	if d.observations == 0 || now-d.lastContactAt > observationTTL {
 		return 1
 	}
 	return d.fraction
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -12,14 +12,14 @@
 func TestIsolated(t *testing.T) {
 	h := Detector{FleetSize: 100}
 	steps := []struct {
-		at          time.Duration
-		heard       bool // before
-		rejected    bool
-		tell, query bool
-		isolated    bool // then
+		at            time.Duration
+		heard         bool // before
+		rejected      bool
+		gossip, query bool
+		isolated      bool // then
 	}{
 		{at: 10 * s},
-		{at: 10 * s, rejected: true, tell: true, query: true},
+		{at: 10 * s, rejected: true, gossip: true, query: true},
 		{at: 10*s + 499*time.Millisecond},
 		{at: 10*s + 500*time.Millisecond, isolated: true},
 		{at: 12 * s, rejected: true, isolated: true}, // it has sent its query, and tells nobody
@@ -27,26 +27,26 @@
 		{at: 14 * s, rejected: true, isolated: true},
 		{at: 14*s + 900*time.Millisecond, rejected: true, isolated: true},
 		{at: 15 * s, heard: true},
-		{at: 16 * s, rejected: true, tell: true}, // somebody was heard a second ago
+		{at: 16 * s, rejected: true, gossip: true}, // somebody was heard a second ago
 		{at: 17 * s},
-		{at: 18 * s, rejected: true, tell: true, query: true},
+		{at: 18 * s, rejected: true, gossip: true, query: true},
 		{at: 18*s + 400*time.Millisecond, heard: true},
-		{at: 21 * s, rejected: true, tell: true, query: true}, // a query after a peer was heard need not wait for the interval
+		{at: 21 * s, rejected: true, gossip: true, query: true}, // a query after a peer was heard need not wait for the interval
 		{at: 21*s + 400*time.Millisecond, heard: true},
 		{at: 30 * s},
-		{at: 31 * s, rejected: true, tell: true, query: true},
+		{at: 31 * s, rejected: true, gossip: true, query: true},
 		{at: 32 * s, isolated: true},
 		{at: 35 * s, rejected: true, isolated: true},
 		{at: 37 * s, rejected: true, isolated: true},
-		{at: 40 * s, rejected: true, tell: true, query: true, isolated: true}, // the fourth that nobody heard, and the interval of 5 s is over
+		{at: 40 * s, rejected: true, gossip: true, query: true, isolated: true}, // the fourth that nobody heard, and the interval of 5 s is over
 	}
 	for i, x := range steps {
 		if x.heard {
 			h.PeerHeard(x.at, 7)
 		}
 		if x.rejected {
-			if tell, query := h.Rejected(x.at); tell != x.tell || query != x.query {
-				t.Errorf("step %d: tells %t, queries %t", i, tell, query)
+			if gossip, query := h.Rejected(x.at); gossip != x.gossip || query != x.query {
+				t.Errorf("step %d: gossips %t, queries %t", i, gossip, query)
 			}
 		}
 		if h.Isolated(x.at) != x.isolated {
