--- a/control/loadbalancer.go
+++ b/control/loadbalancer.go
@@ -81,9 +81,10 @@
 // at once: a further message in a call costs neither a slot nor a part of the limit.
 func (c *Controller) pickEndpoint(dest *destination, msg *message) *endpoint {
 	var best *endpoint
+	full := dest.callsInFlight >= c.concurrencyLimit(dest)
 	for _, e := range dest.endpoints {
 		joins := c.joinsCall(e)
-		if !joins && dest.callsInFlight >= c.concurrencyLimit(dest) || !c.maySend(msg, e) {
+		if full && !joins || !c.maySend(msg, e) {
 			continue
 		}
 		if joins {
--- a/control/queue.go
+++ b/control/queue.go
@@ -213,7 +213,7 @@
 	var to *endpoint
 	most := 0.0
 	for _, msg := range queue {
-		weight := c.weightWhenServed(msg)
+		weight := msg.weightWhenServed(c.now, c.settings.WeightHalves)
 		if dest.sharedRoute.breaker.open && msg.class.Idempotency == NotIdempotent {
 			weight = -weight // a trial call may be lost: it should carry a message that may be repeated
 		}
@@ -228,13 +228,14 @@
 }
 
 // weightWhenServed is the weight that a message brings if it is sent now and served after the expected call time.
-func (c *Controller) weightWhenServed(msg *message) float64 {
-	return msg.class.weightAt(msg.age(c.now)+msg.destination.callTime.mean, c.settings.WeightHalves)
+func (msg *message) weightWhenServed(now time.Duration, halving bool) float64 {
+	return msg.class.weightAt(msg.age(now)+msg.destination.callTime.mean, halving)
 }
 
 // weightPerSecond is the weight that a message brings for each second of its slot.
 func (c *Controller) weightPerSecond(msg *message) float64 {
-	return c.weightWhenServed(msg) / max(msg.destination.callTime.mean, c.settings.Tick, time.Millisecond).Seconds()
+	slotTime := max(msg.destination.callTime.mean, c.settings.Tick, time.Millisecond)
+	return msg.weightWhenServed(c.now, c.settings.WeightHalves) / slotTime.Seconds()
 }
 
 // recordSlotYield takes what a call brought for its time.
