--- /dev/null
+++ b/control/circuitbreaker_test.go
@@ -0,0 +1,226 @@
+package control
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// outage opens the circuit of destination 0, which stops answering.
+func outage(r *recorder) {
+	r.ready(0, 2)
+	r.arrive(1, 0, 0)
+	r.advance(100 * ms)
+	r.answer(1, Served, 0)
+	for id := MessageID(2); id < 10; id++ {
+		r.arrive(id, 0, 0)
+		r.advance(300 * ms)
+	}
+}
+
+// An unresponsive destination must not fill the slots, and gets health checks.
+func TestUnresponsiveDestinationLeavesSlots(t *testing.T) {
+	r := newRecorder(t, settings())
+	outage(r)
+	if n := r.out(0); n > r.set.MaxInFlight/2 {
+		t.Fatalf("%d calls out at a hung destination", n)
+	}
+	if !r.c.destination(0).sharedRoute.breaker.open || len(r.healthChecks) == 0 {
+		t.Fatalf("the route should be open and probed: %v", r.trace)
+	}
+	r.ready(1, 1)
+	if m := r.arrive(50, 0, 1); !m.out {
+		t.Fatal("another destination got no slot")
+	}
+}
+
+// Without health checks a trial call tests an open circuit.
+func TestTrialCallWithoutHealthChecks(t *testing.T) {
+	set := settings()
+	set.CanHealthCheck = false
+	r := newRecorder(t, set)
+	outage(r)
+	sends := 0
+	for _, m := range r.messages {
+		sends += m.attempts
+	}
+	r.advance(4 * time.Second)
+	after := 0
+	for _, m := range r.messages {
+		after += m.attempts
+	}
+	if len(r.healthChecks) > 0 || after == sends || after > sends+8 {
+		t.Fatalf("%d probes, %d calls in 4 s of outage", len(r.healthChecks), after-sends)
+	}
+}
+
+// A single rejection among served calls is no outage: no slow start follows.
+func TestRejectionIsNoOutage(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.ready(0, 1)
+	for id := MessageID(1); id < 20; id++ {
+		r.arrive(id, 0, 0)
+		r.advance(50 * ms)
+		if id%4 == 0 {
+			r.answer(id, Rejected, 0)
+		} else {
+			r.answer(id, Served, 0)
+		}
+		r.serve(200*ms, 50*ms)
+	}
+	if rt := r.c.destination(0).sharedRoute; rt.breaker.open || rt.slowStart.active {
+		t.Fatalf("open %v, warming %v", rt.breaker.open, rt.slowStart.active)
+	}
+}
+
+// A long Retry-After is an outage: one trial call comes after it, not all that is queued.
+func TestLongWaitIsOutage(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.ready(0, 2)
+	r.arrive(1, 0, 0)
+	r.advance(50 * ms)
+	r.answer(1, Rejected, 2*r.set.OverloadWindow)
+	for id := MessageID(2); id < 12; id++ {
+		r.arrive(id, 0, 0)
+	}
+	r.advance(2*r.set.OverloadWindow - 50*ms)
+	before := len(r.trace)
+	r.advance(r.set.OverloadWindow)
+	tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send ")
+	if tests > 2 {
+		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
+	}
+	r.advance(r.set.WarmUp)
+	if after := strings.Count(strings.Join(r.trace, "\n"), "send "); after < 2 {
+		t.Fatal("never tested after the wait")
+	}
+}
+
+// A call from before a long Retry-After that is served within it does not end the outage: `cleathold lab sim` found
+// returning partners overloaded after such an answer.
+func TestLateAnswerDoesNotEndOutage(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.ready(0, 2)
+	r.arrive(1, 0, 0)
+	r.arrive(2, 0, 0)
+	r.advance(50 * ms)
+	if r.out(0) != 2 {
+		t.Fatalf("%d calls out", r.out(0))
+	}
+	r.answer(1, Rejected, 2*r.set.OverloadWindow)
+	r.advance(20 * ms)
+	r.answer(2, Served, 0)
+	for id := MessageID(3); id < 13; id++ {
+		r.arrive(id, 0, 0)
+	}
+	r.advance(2*r.set.OverloadWindow - 50*ms)
+	before := len(r.trace)
+	r.advance(r.set.OverloadWindow)
+	if tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send "); tests > 2 {
+		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
+	}
+}
+
+// Rejections above a limit with served calls among them are no outage: the circuit stays closed, at a rate that each
+// rejection lowers and served calls raise again.
+func TestRejectionsBetweenAnswers(t *testing.T) {
+	set := settings()
+	set.WeightKind = WeightsApproximate
+	r := newRecorder(t, set)
+	r.updateList(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
+	e := r.c.endpoints[1]
+	r.arrive(1, 0, 0)
+	r.advance(50 * ms)
+	r.answer(1, Served, 0)
+	whole := r.c.sendRate(e)
+	m := r.arrive(2, 0, 0)
+	for range 2 * circuitOpenFailures {
+		for !m.out {
+			r.advance(50 * ms)
+		}
+		r.answer(2, Rejected, 0)
+	}
+	low := r.c.sendRate(e)
+	if e.route.breaker.open || low >= whole/2 {
+		t.Fatalf("open %t, pace %.1f of %.1f", e.route.breaker.open, low, whole)
+	}
+	for !m.out {
+		r.advance(50 * ms)
+	}
+	r.answer(2, Served, 0)
+	for id := MessageID(3); id < 20; id++ {
+		for m := r.arrive(id, 0, 0); !m.out; {
+			r.advance(50 * ms)
+		}
+		r.answer(id, Served, 0)
+	}
+	if up := r.c.sendRate(e); up <= low || up > whole {
+		t.Errorf("pace %.1f after %.1f and %.1f", up, whole, low)
+	}
+}
+
+// Trial calls of an open circuit come often enough that a recovery is not missed for long.
+func TestOpenCircuitTrialInterval(t *testing.T) {
+	set := settings()
+	set.WeightKind = WeightsApproximate
+	r := newRecorder(t, set)
+	r.updateList(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
+	m := r.arrive(1, 0, 0)
+	most, last := time.Duration(0), time.Duration(0)
+	for n := range 10 {
+		for m.outcome == "" && !m.out {
+			r.advance(10 * ms)
+		}
+		if m.outcome != "" {
+			m = r.arrive(MessageID(n+2), 0, 0)
+			continue
+		}
+		if r.c.endpoints[1].route.breaker.open && last > 0 {
+			most = max(most, r.c.now-last)
+		}
+		last = r.c.now
+		r.advance(10 * ms)
+		r.answer(m.ID, Rejected, 0)
+	}
+	if limit := set.WarmUp / 4; most == 0 || most > limit {
+		t.Errorf("tests %v apart, %v at most", most, limit)
+	}
+}
+
+func TestCircuitBreaker(t *testing.T) {
+	const s = time.Second
+	for _, c := range []struct {
+		name     string
+		breaker  circuitBreaker
+		now      time.Duration
+		noChecks bool // the host cannot make health checks
+		trial    bool
+	}{
+		{"before the trial", circuitBreaker{open: true, nextTrial: 5 * s}, 4 * s, false, false},
+		{"trial due", circuitBreaker{open: true, nextTrial: 5 * s}, 5 * s, false, true},
+		{"health check first", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true}, 5 * s, false, false},
+		{"no health checks", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true}, 5 * s, true, true},
+		{"health check answered", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true, probeSucceeded: true}, s, false, true},
+	} {
+		if trial := c.breaker.allowsTrial(c.now, !c.noChecks); trial != c.trial {
+			t.Errorf("%s: trial %v", c.name, trial)
+		}
+	}
+	var b circuitBreaker
+	for i, c := range []struct {
+		now, sentAt time.Duration
+		counts      bool
+	}{{s, 0, true}, {2 * s, 1500 * ms, true}, {2100 * ms, 1900 * ms, false}} { // the last was sent before the one before failed
+		if counts := b.recordFailure(c.now, c.sentAt); counts != c.counts {
+			t.Errorf("failure %d counts: %v", i, counts)
+		}
+	}
+	for i, interval := range []time.Duration{s, 2 * s, 3 * s, 3 * s} { // doubled, and 3 s at most
+		if b.trip(10*s, 100*ms, s, 3*s, 0.5); !b.open || b.nextTrial != 10*s+interval {
+			t.Errorf("trial %d after %v, want %v", i, b.nextTrial-10*s, interval)
+		}
+	}
+	if b.close(); b.open || b.consecutiveFailures != 0 {
+		t.Errorf("closed: %+v", b)
+	}
+}
--- /dev/null
+++ b/control/fleetrate_test.go
@@ -0,0 +1,220 @@
+package control
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+// largeFleetAtLimit returns one of eighty senders that share the limit of an endpoint.
+func largeFleetAtLimit(t *testing.T) (*recorder, *endpoint) {
+	set := settings()
+	set.FleetSize, set.CanGossip, set.WeightKind, set.HeadroomIndex, set.LimitIndex = 80, true, WeightsApproximate, -1, -1
+	r := newRecorder(t, set)
+	r.updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: 4000})
+	return r, r.c.endpoints[1]
+}
+
+// largeFleetMember returns one of eighty senders, with n endpoints of a destination.
+func largeFleetMember(t *testing.T, n int) *recorder {
+	set := settings()
+	set.FleetSize, set.CanGossip, set.MaxAttempts = 80, true, 99
+	r := newRecorder(t, set)
+	r.ready(0, n)
+	return r
+}
+
+// What 80 senders send in sum stays below a limit that is lowered to a sixth, where rejected calls use it up: one
+// rejection that is gossiped slows all at once. With half of the gossip lost it takes longer, and without any each
+// slows by what it learns itself. Gossip never makes a sender send more.
+func TestLargeFleetKeepsLimit(t *testing.T) {
+	const senders, step, whole, low, seeds = 80, 20 * ms, 80.0, 13.0, 5 // in the mean of so many
+	play := func(name string, lost float64, seed uint64) (served, rejected int) {
+		rng := rand.New(rand.NewPCG(7, seed))
+		fleet := make([]*recorder, senders)
+		for i := range fleet {
+			set := settings()
+			set.FleetSize, set.CanGossip, set.WeightKind, set.Seed = senders, true, WeightsApproximate, uint64(i)
+			set.HeadroomIndex, set.LimitIndex = -1, -1
+			fleet[i] = newRecorder(t, set)
+			fleet[i].updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: whole})
+		}
+		capacity, id := 0.0, MessageID(0)
+		for now := time.Duration(0); now < 15*time.Second; now += step {
+			limit := whole
+			if now >= 3*time.Second && now < 12*time.Second {
+				limit = low
+			}
+			capacity = min(capacity+limit*step.Seconds(), limit/5)
+			for i, r := range fleet {
+				if rng.Float64() < 0.8*whole/senders*step.Seconds() {
+					id++
+					r.arrive(id, 0, 0)
+				}
+				for _, m := range slices.Clone(r.arrivals) {
+					if !r.messages[m].out {
+						continue
+					}
+					if capacity--; capacity < 0 { // a rejected call uses the limit up, too
+						capacity = max(capacity, -limit/5)
+						r.answer(m, Rejected, 0)
+					} else {
+						r.answer(m, Served, 0)
+					}
+					if limit == low && capacity < 0 {
+						rejected++
+					} else if limit == low {
+						served++
+					}
+				}
+				for _, n := range r.gossiped {
+					for j, other := range fleet {
+						if j != i && rng.Float64() >= lost {
+							fraction := other.c.destination(0).sharedRoute.limit.fraction
+							other.c.ReceiveGossip(other.now, n)
+							if after := other.c.destination(0).sharedRoute.limit.fraction; after > fraction {
+								t.Fatalf("%s: gossip raised the fraction from %v to %v", name, fraction, after)
+							}
+						}
+					}
+				}
+				r.gossiped = nil
+			}
+			for _, r := range fleet {
+				r.advance(step)
+			}
+		}
+		return served, rejected
+	}
+	for _, c := range []struct {
+		name     string
+		lost     float64
+		served   int // in 9 s of the lowered limit, at least
+		rejected int // in the same time, at most
+	}{{"all arrive", 0, 60, 100}, {"half lost", 0.5, 25, 150}, {"none arrives", 1, 5, 400}} {
+		served, rejected := 0, 0
+		for seed := range uint64(seeds) {
+			s, n := play(c.name, c.lost, seed)
+			served, rejected = served+s, rejected+n
+		}
+		if served < seeds*c.served || rejected > seeds*c.rejected {
+			t.Errorf("%s: %d served and %d rejected while the limit was low, want %d and %d", c.name, served/seeds, rejected/seeds, c.served, c.rejected)
+		}
+		t.Logf("%s: %d served, %d rejected", c.name, served/seeds, rejected/seeds)
+	}
+}
+
+// Rejections above a limit are no outage, and in a fleet of hundreds one slows a sender at once: when the limit is
+// overrun all calls are rejected, and only fewer of them help. Reported headroom raises the rate again.
+func TestRejectionSlowsLargeFleet(t *testing.T) {
+	set := settings()
+	set.FleetSize = 200
+	r := newRecorder(t, set)
+	r.ready(0, 1)
+	r.arrive(1, 0, 0)
+	r.serve(100*ms, 50*ms, 1, 10)
+	id := MessageID(1)
+	sends := 0
+	for range 40 {
+		id++
+		r.arrive(id, 0, 0)
+		r.advance(50 * ms)
+		for _, a := range r.arrivals {
+			if r.messages[a].out {
+				sends++
+				r.answer(a, Rejected, 0, 0, 10)
+			}
+		}
+	}
+	d := r.c.destination(0)
+	if d.sharedRoute.breaker.open || sends > 8 {
+		t.Fatalf("open %v, %d calls in 2 s to a destination that rejects", d.sharedRoute.breaker.open, sends)
+	}
+	r.serve(20*time.Second, 50*ms, 1, 10)
+	if d.sharedRoute.limit.fraction < 0.9 {
+		t.Fatalf("fraction %v though all of the limit is left", d.sharedRoute.limit.fraction)
+	}
+}
+
+// A sender that hears nobody gossips ever less; after one observation of a peer it gossips each rejection again.
+func TestFewObservationsWhileIsolated(t *testing.T) {
+	r, e := largeFleetAtLimit(t)
+	reject := func(n int) int {
+		before := len(r.gossiped)
+		for range n {
+			r.now += 50 * ms
+			r.c.advanceClock(r.now)
+			r.c.adjustLimitFraction(&attempt{endpoint: e, sentAt: r.now}, Rejected, nil)
+		}
+		return len(r.gossiped) - before
+	}
+	if n := reject(32); n < 2 || n > 6 { // the first sends a query, too, and once it is isolated nothing is gossiped
+		t.Errorf("%d observations of 32 rejections", n)
+	}
+	if !r.c.peers.Isolated(r.now) {
+		t.Error("it does not know that it is isolated")
+	}
+	r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedRejection})
+	if n := reject(2); n != 2 {
+		t.Errorf("%d of 2 rejections gossiped after a peer was heard", n)
+	}
+}
+
+// An isolated sender takes a part of its fair share after a rejection, which grows by served calls alone, and shares
+// the fleet rate again as soon as it hears a peer. One that is asked for a sign answers now and then.
+func TestIsolatedRate(t *testing.T) {
+	r, e := largeFleetAtLimit(t)
+	fraction := func() float64 { r.c.refillTokens(e); return e.route.limit.fraction * 80 } // in fair shares
+	came := func(at time.Duration, result Result) {
+		r.now = at
+		r.c.advanceClock(at)
+		r.c.adjustLimitFraction(&attempt{endpoint: e, sentAt: at}, result, nil)
+	}
+	pass := func(at time.Duration) { r.now = at; r.c.advanceClock(at) }
+	pass(10 * time.Second)
+	if got := fraction(); got != fleetRateMax {
+		t.Fatalf("%.2f fair shares at first", got)
+	}
+	came(10*time.Second, Rejected)
+	if got := fraction(); math.Abs(got-fleetRateReduction*fleetRateReductionBase) > 1e-9 {
+		t.Errorf("%.3f after a rejection", got)
+	}
+	pass(10*time.Second + 600*ms)
+	isolated := fraction()
+	if math.Abs(isolated-isolatedRateReduction) > 1e-9 {
+		t.Errorf("%.3f once nobody has answered", isolated)
+	}
+	pass(20 * time.Second)
+	if got := fraction(); got != isolated {
+		t.Errorf("%.3f grown by time alone", got)
+	}
+	for i := range 10 {
+		came(20*time.Second+time.Duration(i)*ms, Served)
+	}
+	if got := fraction(); math.Abs(got-isolated*math.Pow(1+isolatedRateRisePerCall, 10)) > 1e-9 {
+		t.Errorf("%.3f after ten served calls", got)
+	}
+	came(21*time.Second, Rejected)
+	if got := fraction(); got > isolated*0.5 {
+		t.Errorf("%.3f after another rejection", got)
+	}
+	queries := len(r.gossiped)
+	pass(26 * time.Second)
+	if fraction(); len(r.gossiped) != queries+1 || r.gossiped[queries].Kind != ReachabilityQuery {
+		t.Errorf("it does not ask again though nothing is rejected: %v", r.gossiped[queries:])
+	}
+	r.c.ReceiveGossip(26*time.Second, Observation{Endpoint: 1, Kind: ReachabilityReply, Peer: 5})
+	pass(28 * time.Second)
+	if got := fraction(); got < 0.9 {
+		t.Errorf("%.3f two seconds after somebody was heard", got)
+	}
+	before := len(r.gossiped)
+	for i := range 400 {
+		r.c.ReceiveGossip(28*time.Second, Observation{Endpoint: 1, Kind: ReachabilityQuery, Peer: i % 79})
+	}
+	if n := len(r.gossiped) - before; n < 20 || n > 70 { // 8 of 80 in the mean
+		t.Errorf("%d of 400 questions answered", n)
+	}
+}
--- /dev/null
+++ b/control/queue_test.go
@@ -0,0 +1,99 @@
+package control
+
+import (
+	"testing"
+	"time"
+)
+
+// A fresh head goes before deferred ones; these go once no fresh one is left.
+func TestFreshBeforeDeferred(t *testing.T) {
+	set := settings()
+	set.MaxInFlight = 1
+	r := newRecorder(t, set)
+	r.ready(0, 1)
+	blocker := r.arrive(1, 0, 0)
+	old := r.submit(Message{ID: 2, Destination: 0, TimeLeft: set.Classes[0].Deadline - 1500*ms})
+	young := r.arrive(3, 0, 0)
+	r.advance(50 * ms)
+	if !blocker.out || old.out || young.out {
+		t.Fatal("one slot should carry the first message only")
+	}
+	r.answer(1, Served, 0)
+	if old.out || !young.out {
+		t.Fatal("the fresh message should go before the deferred one")
+	}
+	r.answer(3, Served, 0)
+	if !old.out {
+		t.Fatal("the deferred message should go once no fresh one is left")
+	}
+}
+
+// A message that cannot meet its deadline any more is rejected at once, with a Retry-After.
+func TestRejectedWhenDeadlineCannotBeMet(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.ready(0, 1)
+	r.arrive(1, 0, 0)
+	r.advance(400 * ms)
+	r.answer(1, Served, 0)
+	late := r.submit(Message{ID: 2, Destination: 0, TimeLeft: 100 * ms})
+	if late.outcome != "rejected" || late.retryAfter <= 0 {
+		t.Fatalf("got %q with advice %v", late.outcome, late.retryAfter)
+	}
+	homeless := r.submit(Message{ID: 3, Destination: 9, TimeLeft: 500 * ms})
+	spent := r.submit(Message{ID: 4, Destination: 0, TimeLeft: 0})
+	r.advance(time.Second)
+	if homeless.outcome != "rejected" || spent.outcome != "rejected" {
+		t.Fatalf("no endpoint: %q, no time: %q", homeless.outcome, spent.outcome)
+	}
+}
+
+// A slow destination must not take the last slots from quick ones.
+func TestSlowDestinationLeavesLastSlots(t *testing.T) {
+	r := newRecorder(t, settings())
+	r.ready(0, 2)
+	r.ready(1, 2)
+	id := MessageID(0)
+	for range 60 {
+		id++
+		r.arrive(id, 0, 1)
+		r.serve(60*ms, 50*ms)
+	}
+	r.c.destination(0).callTime.mean = 900 * ms
+	for range 20 {
+		id++
+		r.arrive(id, 0, 0)
+	}
+	if n := r.out(0); n == 0 || n > 6 {
+		t.Fatalf("%d calls of 8 slots out at a slow destination", n)
+	}
+	id++
+	if m := r.arrive(id, 0, 1); !m.out {
+		t.Fatal("the quick destination got no slot")
+	}
+}
+
+func TestClassWeight(t *testing.T) {
+	class := Class{LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 4, LateWeight: 0.25}
+	for _, c := range []struct {
+		age    time.Duration
+		even   float64
+		halved float64
+	}{{0, 4, 4}, {time.Second, 4, 4}, {2 * time.Second, 3.25, 2}, {3 * time.Second, 2.5, 1}, {9 * time.Second, 1, 1}} {
+		if even, halved := class.weightAt(c.age, false), class.weightAt(c.age, true); even != c.even || halved != c.halved {
+			t.Errorf("at %v: %v and %v, want %v and %v", c.age, even, halved, c.even, c.halved)
+		}
+	}
+}
+
+func TestSlotYield(t *testing.T) {
+	var y slotYield
+	if y.low(0) {
+		t.Error("low before any call")
+	}
+	for range 500 {
+		y.record(1, 100*ms) // 10 a second
+	}
+	if !y.low(4.9) || y.low(5.1) {
+		t.Errorf("low at 4.9 %v, at 5.1 %v", y.low(4.9), y.low(5.1))
+	}
+}
