--- a/internal/quorum/storage.go
+++ b/internal/quorum/storage.go
@@ -17,8 +17,8 @@
 	"cleathold/internal/store"
 )
 
-// The entities of the store in an agent's folder: the member, raft's hard state (its vote), the latest snapshot, and one for each entry of
-// the log. An append is synced before a message that depends on it is sent.
+// The entities of the store in an agent's folder: the member, raft's hard state (its vote), the latest snapshot, and
+// one for each entry of the log. An append is synced before a message that depends on it is sent.
 const (
 	memberEntity    = 1
 	hardStateEntity = 2
@@ -37,7 +37,8 @@
 // Errors of a folder.
 var (
 	ErrAlreadyBootstrapped = errors.New("quorum: the folder holds a member already")
-	ErrDamaged             = errors.New("quorum: the folder is damaged and may lack a vote; give the agent an empty one, and it is added anew")
+	ErrDamaged             = errors.New("quorum: the folder is damaged and may lack a vote; " +
+		"give the agent an empty one, and it is added anew")
 )
 
 // founderNumber returns the number of a member that was there from the start, by its name.
@@ -58,7 +59,8 @@
 
 // openStore opens the store of a folder. A damaged one is not opened: it may lack a vote.
 func openStore(fs store.FS, log *slog.Logger) (*store.Store, error) {
-	s, err := store.Open(store.Options{FS: fs, Budget: maxFolderSize, Segment: segmentSize, Durability: store.Each, Log: log})
+	s, err := store.Open(store.Options{FS: fs, Budget: maxFolderSize, Segment: segmentSize, Durability: store.Each,
+		Log: log})
 	if err != nil {
 		return nil, err
 	}
@@ -157,6 +159,18 @@
 			return err
 		}
 	}
+	entries, err := st.readRecords()
+	if err != nil {
+		return err
+	}
+	if st.member.Name != name {
+		return fmt.Errorf("quorum: the folder is the one of agent %s, this is %s", st.member.Name, name)
+	}
+	return st.appendToMemory(entries)
+}
+
+// readRecords reads the member, the hard state and the snapshot, and returns the entries of the log in their order.
+func (st *storage) readRecords() ([]*pb.Entry, error) {
 	var ids []uint64
 	st.store.ByTime(math.MinInt64, func(e store.Entity) bool { ids = append(ids, e.ID); return true })
 	slices.Sort(ids)
@@ -164,56 +178,66 @@
 	for _, id := range ids {
 		records, err := st.store.Load(id)
 		if err != nil {
-			return fmt.Errorf("%w: %w", ErrDamaged, err)
+			return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 		}
 		if len(records) == 0 {
 			continue
 		}
-		data := records[len(records)-1].Data
-		switch {
-		case id == memberEntity:
-			err = json.Unmarshal(data, &st.member)
-		case id == hardStateEntity:
-			hard := &pb.HardState{}
-			if err = proto.Unmarshal(data, hard); err == nil {
-				err = st.memory.SetHardState(hard)
-			}
-		case id == snapshotEntity:
-			snap := &pb.Snapshot{}
-			if err = proto.Unmarshal(data, snap); err == nil {
-				err = st.memory.ApplySnapshot(snap)
-			}
-		case len(data) > 0: // else it was overwritten by a shorter log
-			e := &pb.Entry{}
-			if err = proto.Unmarshal(data, e); err == nil {
-				entries = append(entries, e)
-			}
-		}
+		entry, err := st.decode(id, records[len(records)-1].Data)
 		if err != nil {
-			return fmt.Errorf("%w: %w", ErrDamaged, err)
+			return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+		}
+		if entry != nil {
+			entries = append(entries, entry)
 		}
 	}
-	if st.member.Name != name {
-		return fmt.Errorf("quorum: the folder is the one of agent %s, this is %s", st.member.Name, name)
+	return entries, nil
+}
+
+// decode takes the latest record of an entity. It returns the entry of the log if it is one.
+func (st *storage) decode(id uint64, data []byte) (*pb.Entry, error) {
+	switch {
+	case id == memberEntity:
+		return nil, json.Unmarshal(data, &st.member)
+	case id == hardStateEntity:
+		hard := &pb.HardState{}
+		if err := proto.Unmarshal(data, hard); err != nil {
+			return nil, err
+		}
+		return nil, st.memory.SetHardState(hard)
+	case id == snapshotEntity:
+		snap := &pb.Snapshot{}
+		if err := proto.Unmarshal(data, snap); err != nil {
+			return nil, err
+		}
+		return nil, st.memory.ApplySnapshot(snap)
+	case len(data) > 0: // else it was overwritten by a shorter log
+		entry := &pb.Entry{}
+		return entry, proto.Unmarshal(data, entry)
 	}
-	at, _ := st.memory.FirstIndex()
+	return nil, nil
+}
+
+// appendToMemory gives raft the entries behind the snapshot. One that is missing is a damage.
+func (st *storage) appendToMemory(entries []*pb.Entry) error {
+	next, _ := st.memory.FirstIndex()
 	for _, e := range entries {
-		if e.GetIndex() < at {
+		if e.GetIndex() < next {
 			continue // in the snapshot
 		}
-		if e.GetIndex() != at {
-			return fmt.Errorf("%w: entry %d is missing", ErrDamaged, at)
+		if e.GetIndex() != next {
+			return fmt.Errorf("%w: entry %d is missing", ErrDamaged, next)
 		}
-		at++
+		next++
 		if err := st.memory.Append([]*pb.Entry{e}); err != nil {
 			return err
 		}
 	}
-	st.lastEntry = at - 1
+	st.lastEntry = next - 1
 	if len(entries) > 0 {
 		st.firstEntry = entries[0].GetIndex()
 	} else {
-		st.firstEntry = at
+		st.firstEntry = next
 	}
 	return nil
 }
