--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -22,8 +22,8 @@
 	due       []uint16 // instances with events in this batch, in order of the first
 }
 
-// instance is the controller of one sender. A message keeps the class with which it was submitted. After a change of settings the
-// numbers of classes on the wire therefore differ from those of the controller.
+// instance is the controller of one sender. A message keeps the class with which it was submitted. After a change of
+// settings the numbers of classes on the wire therefore differ from those of the controller.
 type instance struct {
 	*control.Controller
 	seed    uint64
@@ -182,7 +182,8 @@
 	case wire.Memo:
 		observations, _ := gossip.Decode(e.Blob) // gossip may be lost; what can't be read counts as lost
 		for _, o := range observations {
-			c.ReceiveGossip(h.now, control.Observation{Endpoint: control.EndpointID(o.EndpointHash), Kind: o.Kind, Age: o.Age, Peer: int(e.From)})
+			c.ReceiveGossip(h.now, control.Observation{Endpoint: control.EndpointID(o.EndpointHash), Kind: o.Kind, Age: o.Age,
+				Peer: int(e.From)})
 		}
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter connects the decision module (package control) to the operators' simulator: it speaks the simulator's protocol
-// on standard input and output and runs one controller for each simulated sender. It decides nothing.
+// Command simadapter connects the decision module (package control) to the operators' simulator: it speaks the
+// simulator's protocol on standard input and output and runs one controller for each simulated sender. It decides
+// nothing.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -160,7 +160,8 @@
 // none of theirs, for those held and for those that come; settings that can't be change nothing.
 func TestRetune(t *testing.T) {
 	few := strings.Replace(testSettings, `"max-calls": 4`, `"max-calls": 1`, 1)
-	brief := strings.Replace(few, `"profiles": [`, `"profiles": [{"aim-ms": 5, "deadline-ms": 10, "effect": "unsafe", "worth": 1}, `, 1)
+	brief := strings.Replace(few, `"profiles": [`,
+		`"profiles": [{"aim-ms": 5, "deadline-ms": 10, "effect": "unsafe", "worth": 1}, `, 1)
 	for _, c := range []struct {
 		name, settings string
 		class          uint16
@@ -179,14 +180,16 @@
 		if c.settings != "" {
 			s.retune(1, c.settings).retune(9, c.settings) // nobody is 9
 		}
-		s.put(uint8(9), uint16(1), uint32(7), c.class, float64(0), float32(3), float64(8000), uint64(0), uint8(0), uint32(0)).end(1200)
+		s.put(uint8(9), uint16(1), uint32(7), c.class, float64(0), float32(3), float64(8000), uint64(0), uint8(0),
+			uint32(0)).end(1200)
 		s.put(uint8(8), uint16(1), uint32(0)).end(1300)
 		var out bytes.Buffer
 		if err := run(s, &out); err != nil {
 			t.Fatal(err)
 		}
 		sent, bugs := forwards(t, out.Bytes())
-		if len(sent) != c.want || len(bugs) > 1 || (len(bugs) == 1) != (c.bug != "") || len(bugs) == 1 && !strings.HasPrefix(bugs[0], c.bug) {
+		if len(sent) != c.want || len(bugs) > 1 || (len(bugs) == 1) != (c.bug != "") ||
+			len(bugs) == 1 && !strings.HasPrefix(bugs[0], c.bug) {
 			t.Errorf("%s: sent %v, faults %q", c.name, sent, bugs)
 		}
 	}
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -21,7 +21,8 @@
 func (idle) Log(string)                                {}
 func (idle) Gossip(Observation)                        {}
 
-// BenchmarkEvent measures an event, a message and the decision after it, with so many destinations that have messages waiting.
+// BenchmarkEvent measures an event, a message and the decision after it, with so many destinations that have messages
+// waiting.
 func BenchmarkEvent(b *testing.B) {
 	for _, busy := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(busy), func(b *testing.B) {
--- a/control/calltime_test.go
+++ b/control/calltime_test.go
@@ -78,7 +78,8 @@
 	}
 	r.ready(50, 1)
 	m := r.arrive(90, 0, 50)
-	if tm := r.c.destination(50).callTime.mean; tm < 80*ms || tm > 130*ms || m.timeout > time.Duration(idempotentTimeoutFactor*float64(350*ms)) {
+	if tm := r.c.destination(50).callTime.mean; tm < 80*ms || tm > 130*ms ||
+		m.timeout > time.Duration(idempotentTimeoutFactor*float64(350*ms)) {
 		t.Fatalf("T_m %v, time-out %v where calls take 100 ms", tm, m.timeout)
 	}
 }
--- a/control/circuitbreaker_test.go
+++ b/control/circuitbreaker_test.go
@@ -200,7 +200,8 @@
 		{"trial due", circuitBreaker{open: true, nextTrial: 5 * s}, 5 * s, false, true},
 		{"health check first", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true}, 5 * s, false, false},
 		{"no health checks", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true}, 5 * s, true, true},
-		{"health check answered", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true, probeSucceeded: true}, s, false, true},
+		{"health check answered", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true, probeSucceeded: true}, s,
+			false, true},
 	} {
 		if trial := c.breaker.allowsTrial(c.now, !c.noChecks); trial != c.trial {
 			t.Errorf("%s: trial %v", c.name, trial)
@@ -210,7 +211,8 @@
 	for i, c := range []struct {
 		now, sentAt time.Duration
 		counts      bool
-	}{{s, 0, true}, {2 * s, 1500 * ms, true}, {2100 * ms, 1900 * ms, false}} { // the last was sent before the one before failed
+		// the last was sent before the one before failed
+	}{{s, 0, true}, {2 * s, 1500 * ms, true}, {2100 * ms, 1900 * ms, false}} {
 		if counts := b.recordFailure(c.now, c.sentAt); counts != c.counts {
 			t.Errorf("failure %d counts: %v", i, counts)
 		}
--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -142,7 +142,8 @@
 		soon, later := tries(500*ms), tries(500*ms)
 		rejections := slices.ContainsFunc(r.gossiped, func(n Observation) bool { return n.Kind == ObservedRejection })
 		if rt.breaker.open || rt.limit.fraction < fraction || rejections {
-			t.Errorf("lately %v: open %v, fraction %v after %v, told %d", lately, rt.breaker.open, rt.limit.fraction, fraction, len(r.gossiped))
+			t.Errorf("lately %v: open %v, fraction %v after %v, told %d", lately, rt.breaker.open, rt.limit.fraction, fraction,
+				len(r.gossiped))
 		}
 		if soon < 3 || later < 1 || later >= soon {
 			t.Errorf("lately %v: tried %d times in 500 ms, then %d", lately, soon, later)
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -86,7 +86,8 @@
 	}
 	r := newRecorder(t, set)
 	id := MessageID(0)
-	results := []Result{Served, Served, Served, Served, Failed, Rejected, TimedOut, ConnectFailed, ConnectionRejected, ConnectionLost, Unknown, NotSent}
+	results := []Result{Served, Served, Served, Served, Failed, Rejected, TimedOut, ConnectFailed, ConnectionRejected,
+		ConnectionLost, Unknown, NotSent}
 	for range 1500 {
 		switch rng.IntN(12) {
 		case 0, 1, 2, 3:
--- a/control/endpointlist_test.go
+++ b/control/endpointlist_test.go
@@ -115,7 +115,8 @@
 		if got := set.PollSpread(); got != c.spread {
 			t.Errorf("%+v: %v", c, got)
 		}
-		// What is answered at one instant is known in 6 s by all, an answer of 1.2 s included; the rest is a tenth longer at most.
+		// What is answered at one instant is known in 6 s by all, an answer of 1.2 s included; the rest is a tenth longer
+		// at most.
 		if known := c.spread + c.spread/10 + 1200*ms; known >= 6*time.Second {
 			t.Errorf("%+v: known after %v", c, known)
 		}
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -41,7 +41,8 @@
 	c.Submit(now, control.Message{ID: 2, Destination: 3, TimeLeft: 10 * time.Second})
 	c.Decide(now)
 	now += 80 * time.Millisecond
-	c.AttemptDone(now, control.Outcome{ID: 1, Endpoint: 40, Result: control.Served, Elapsed: 80 * time.Millisecond, Final: true})
+	c.AttemptDone(now, control.Outcome{ID: 1, Endpoint: 40, Result: control.Served, Elapsed: 80 * time.Millisecond,
+		Final: true})
 	c.Decide(now)
 	// Output:
 	// send message 1 to endpoint 40
--- a/control/fleetrate_test.go
+++ b/control/fleetrate_test.go
@@ -100,7 +100,8 @@
 			served, rejected = served+s, rejected+n
 		}
 		if served < seeds*c.served || rejected > seeds*c.rejected {
-			t.Errorf("%s: %d served and %d rejected while the limit was low, want %d and %d", c.name, served/seeds, rejected/seeds, c.served, c.rejected)
+			t.Errorf("%s: %d served and %d rejected while the limit was low, want %d and %d", c.name, served/seeds,
+				rejected/seeds, c.served, c.rejected)
 		}
 		t.Logf("%s: %d served, %d rejected", c.name, served/seeds, rejected/seeds)
 	}
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -23,11 +23,14 @@
 		goes    EndpointID   // one does
 		n       int          // endpoints; 0 = three
 	}{
-		{"two found two of three down", []report{{0, 1, false}, {0, 2, false}, {1, 1, false}, {1, 2, false}}, 0, 0, []EndpointID{0, 1}, 2, 0},
+		{"two found two of three down", []report{{0, 1, false}, {0, 2, false}, {1, 1, false}, {1, 2, false}}, 0, 0,
+			[]EndpointID{0, 1}, 2, 0},
 		{"one report", []report{{1, 1, false}, {1, 1, false}, {2, 1, false}}, 0, 0, nil, 1, 0},
 		{"one report, not idempotent", []report{{0, 1, false}, {1, 1, false}}, 2, 0, []EndpointID{0, 1}, 2, 0},
-		{"three of four: too many to believe", []report{{0, 1, false}, {0, 2, false}, {1, 1, false}, {1, 2, false}, {3, 1, false}, {3, 2, false}}, 0, 0, nil, 3, 4},
-		{"all of them: no report counts", []report{{0, 1, false}, {0, 2, false}, {1, 1, false}, {1, 2, false}, {2, 1, false}, {2, 2, false}}, 0, 0, nil, 0, 0},
+		{"three of four: too many to believe", []report{{0, 1, false}, {0, 2, false}, {1, 1, false}, {1, 2, false},
+			{3, 1, false}, {3, 2, false}}, 0, 0, nil, 3, 4},
+		{"all of them: no report counts", []report{{0, 1, false}, {0, 2, false}, {1, 1, false}, {1, 2, false},
+			{2, 1, false}, {2, 2, false}}, 0, 0, nil, 0, 0},
 		{"served since", []report{{0, 1, false}, {0, 2, false}, {0, 3, true}}, 0, 2 * time.Second, nil, 0, 0},
 		{"trial due, it goes there first", []report{{1, 1, false}, {1, 2, false}}, 0, 4400 * ms, nil, 1, 0},
 		{"not idempotent makes no trial", []report{{1, 1, false}, {1, 2, false}}, 2, 4400 * ms, []EndpointID{1}, 0, 0},
@@ -157,7 +160,8 @@
 		t.Fatalf("overdue after %v, out %v", r.now-first.sentAt, first.out)
 	}
 	if second := r.arrive(4, 0, 0); !second.out || second.to == first.to || r.c.destination(0).sharedRoute.breaker.open {
-		t.Errorf("overdue at %d: the next is out %v at %d, the destination open %v", first.to, second.out, second.to, r.c.destination(0).sharedRoute.breaker.open)
+		t.Errorf("overdue at %d: the next is out %v at %d, the destination open %v", first.to, second.out, second.to,
+			r.c.destination(0).sharedRoute.breaker.open)
 	}
 	r.advance(500 * ms)
 	if !r.c.destination(0).sharedRoute.breaker.open {
@@ -195,7 +199,8 @@
 		result            Result
 		open              bool
 	}{
-		{80, 3, ConnectFailed, false}, {80, 3, TimedOut, false}, {80, 6, ConnectFailed, true}, {80, 3, Rejected, true}, {4, 3, ConnectFailed, true},
+		{80, 3, ConnectFailed, false}, {80, 3, TimedOut, false}, {80, 6, ConnectFailed, true}, {80, 3, Rejected, true},
+		{4, 3, ConnectFailed, true},
 	} {
 		set := settings()
 		set.FleetSize, set.CanGossip, set.MaxAttempts = c.fleetSize, true, 99
--- a/control/ratelimit_test.go
+++ b/control/ratelimit_test.go
@@ -98,9 +98,11 @@
 		{"served for a second", 0.5, func(l *rateLimit) { l.raise(now) }, 0.5 + limitRisePerSecond},
 		{"served with all", 1, func(l *rateLimit) { l.raise(now) }, 1},
 		{"headroom from nothing", 0, func(l *rateLimit) { l.raiseByHeadroom(1, 1) }, minLimitFraction * (1 + headroomRaise)},
-		{"large fleet, rejection", 0.04, func(l *rateLimit) { l.reduceInFleet(now, 80, false) }, fleetRateReduction * fleetRateReductionBase / 80},
+		{"large fleet, rejection", 0.04, func(l *rateLimit) { l.reduceInFleet(now, 80, false) },
+			fleetRateReduction * fleetRateReductionBase / 80},
 		{"large fleet, isolated", 0.04, func(l *rateLimit) { l.reduceInFleet(now, 80, true) }, isolatedRateReduction / 80.0},
-		{"large fleet, a second", 0.0125, func(l *rateLimit) { l.raiseInFleet(now, now-time.Second, 80, 1) }, (1 + fleetRateRisePerSecond) / 80},
+		{"large fleet, a second", 0.0125, func(l *rateLimit) { l.raiseInFleet(now, now-time.Second, 80, 1) },
+			(1 + fleetRateRisePerSecond) / 80},
 		{"large fleet, an hour", 0.0125, func(l *rateLimit) { l.raiseInFleet(now, now-time.Hour, 80, 1) }, fleetRateMax / 80},
 		{"isolated, served", 0.01, func(l *rateLimit) { l.raiseIsolated(80) }, 0.01 * (1 + isolatedRateRisePerCall)},
 	} {
--- a/control/recorder_test.go
+++ b/control/recorder_test.go
@@ -11,13 +11,15 @@
 
 // settings returns plain settings with a class of each idempotency.
 func settings() Settings {
-	class := Class{LatencyObjective: 1000 * ms, Deadline: 8000 * ms, PriorityWeight: 1, LateWeight: 0.5, KeyRetention: 5000 * ms}
+	class := Class{LatencyObjective: 1000 * ms, Deadline: 8000 * ms, PriorityWeight: 1, LateWeight: 0.5,
+		KeyRetention: 5000 * ms}
 	safe, keyed, unsafe := class, class, class
 	keyed.Idempotency, keyed.PriorityWeight = IdempotentByKey, 2
 	unsafe.Idempotency, unsafe.PriorityWeight = NotIdempotent, 4
 	return Settings{
 		Seed: 1, FleetSize: 2, Classes: []Class{safe, keyed, unsafe}, Kinds: []Kind{{MaxBatch: 1}}, MaxInFlight: 8,
-		MaxOpenMessages: 200, MaxAttempts: 12, CanCancel: true, CanHealthCheck: true, CanSendRetryAfter: true, MaxRetryAfter: 2000 * ms,
+		MaxOpenMessages: 200, MaxAttempts: 12, CanCancel: true, CanHealthCheck: true, CanSendRetryAfter: true,
+		MaxRetryAfter:  2000 * ms,
 		StreamsPerConn: 1, ConnIdleTimeout: 10000 * ms, ConnectTimeout: 1000 * ms, HeadroomIndex: 0, LimitIndex: 1,
 		Tick: 5 * ms, ResponseGrace: 20 * ms, MaxPollInterval: 10000 * ms, DrainGrace: 500 * ms, ColdCapacity: 0.2,
 		WarmUp: 9000 * ms, OverloadFactor: 2, OverloadWindow: 1500 * ms, OrderedPause: 700 * ms,
@@ -159,7 +161,8 @@
 func (r *recorder) Reject(id MessageID, after time.Duration) {
 	r.log("reject %d, retry after %v", id, after)
 	m := r.messages[id]
-	if m.mayHaveRun && (m.class.Idempotency == NotIdempotent || m.class.Idempotency == IdempotentByKey && m.class.KeyZoneScoped) || m.out {
+	if m.mayHaveRun && (m.class.Idempotency == NotIdempotent || m.class.Idempotency == IdempotentByKey &&
+		m.class.KeyZoneScoped) || m.out {
 		r.ruleBroken("message %d rejected though it may have run", id)
 	}
 	m.retryAfter = after
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -8,7 +8,8 @@
 // Messages that are not idempotent fail if they may have run; others are retried.
 func TestUnsafeOnlyOnce(t *testing.T) {
 	for res, again := range map[Result]bool{
-		Failed: false, TimedOut: false, ConnectionLost: false, Canceled: false, Unknown: false, Rejected: true, ConnectFailed: true,
+		Failed: false, TimedOut: false, ConnectionLost: false, Canceled: false, Unknown: false, Rejected: true,
+		ConnectFailed: true,
 	} {
 		r := newRecorder(t, settings())
 		r.ready(0, 2)
@@ -86,7 +87,8 @@
 		set.Classes[1].KeyZoneScoped = true
 		r := newRecorder(t, set)
 		r.ready(0, 1)
-		m := r.submit(Message{ID: 1, Class: c.class, TimeLeft: 4 * time.Second, Attempts: c.sends, MayHaveRun: c.ran, FirstRunAgo: c.ago, FirstRunZone: c.zone})
+		m := r.submit(Message{ID: 1, Class: c.class, TimeLeft: 4 * time.Second, Attempts: c.sends, MayHaveRun: c.ran,
+			FirstRunAgo: c.ago, FirstRunZone: c.zone})
 		got := m.outcome
 		switch {
 		case m.out:
@@ -136,7 +138,8 @@
 		{"may have run", message{class: &Class{Idempotency: NotIdempotent}, mayHaveRun: true}, false},
 		{"may have run, idempotent", message{class: &Class{}, mayHaveRun: true}, true},
 		{"by key", message{class: &Class{Idempotency: IdempotentByKey}, mayHaveRun: true}, true},
-		{"by key in one zone", message{class: &Class{Idempotency: IdempotentByKey, KeyZoneScoped: true}, mayHaveRun: true}, false},
+		{"by key in one zone", message{class: &Class{Idempotency: IdempotentByKey, KeyZoneScoped: true}, mayHaveRun: true},
+			false},
 		{"in flight", message{class: &Class{}, inFlight: &attempt{}}, false},
 		{"finished", message{class: &Class{}, finished: true}, false},
 	} {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -50,7 +50,8 @@
 		}
 	}
 	r.advance(set.WarmUp)
-	d.sharedRoute.breaker.open, d.sharedRoute.breaker.consecutiveFailures, d.sharedRoute.breaker.failingSince = true, 3, r.now-set.WarmUp
+	d.sharedRoute.breaker.open, d.sharedRoute.breaker.consecutiveFailures, d.sharedRoute.breaker.failingSince = true, 3,
+		r.now-set.WarmUp
 	r.c.recordHealth(d.endpoints[0], r.now, Served, 0)
 	sum := r.c.sendRate(d.endpoints[0]) * float64(set.FleetSize)
 	if budget := 20 * set.ColdCapacity * set.OverloadFactor; !d.sharedRoute.slowStart.active || sum <= 0 || sum > budget {
@@ -154,11 +155,13 @@
 		for i := range c.words {
 			r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedWarm, Peer: c.from(i), Age: c.ago})
 		}
-		if got := r.c.sendRate(e) / r.c.fairShare(e); got < c.part || got > c.most*fleetRateSlowStartFactor && got > 1 || c.most < 1 && got > c.most*fleetRateSlowStartFactor {
+		if got := r.c.sendRate(e) / r.c.fairShare(e); got < c.part || got > c.most*fleetRateSlowStartFactor && got > 1 ||
+			c.most < 1 && got > c.most*fleetRateSlowStartFactor {
 			t.Errorf("%s: %.2f of its even part", c.name, got)
 		}
 	}
-	again, far := largeFleetMember(t, 1), 20*time.Second // in each return the word of each counts anew, and no more are kept than count
+	// in each return the word of each counts anew, and no more are kept than count
+	again, far := largeFleetMember(t, 1), 20*time.Second
 	for n := range 2 {
 		rt := again.c.endpoints[0].route
 		rt.slowStart.active = false
@@ -168,7 +171,8 @@
 		for i := range 30 {
 			again.c.ReceiveGossip(again.now, Observation{Endpoint: 0, Kind: ObservedWarm, Peer: i})
 		}
-		if got := rt.slowStart.recoveredAt - rt.slowStart.risingFrom; got != again.set.WarmUp || len(rt.slowStart.warmReporters) > 10 {
+		if got := rt.slowStart.recoveredAt - rt.slowStart.risingFrom; got != again.set.WarmUp ||
+			len(rt.slowStart.warmReporters) > 10 {
 			t.Errorf("return %d: %v earlier by the word of %d", n, got, len(rt.slowStart.warmReporters))
 		}
 	}
--- a/control/timeout_test.go
+++ b/control/timeout_test.go
@@ -54,7 +54,8 @@
 			r.c.Decide(r.now)
 		}
 		if told && last.to != m.to || r.c.destination(0).sharedRoute.breaker.open != told {
-			t.Errorf("others found down: %v; the call went to %d after %d, the destination is open: %v", told, last.to, m.to, r.c.destination(0).sharedRoute.breaker.open)
+			t.Errorf("others found down: %v; the call went to %d after %d, the destination is open: %v", told, last.to, m.to,
+				r.c.destination(0).sharedRoute.breaker.open)
 		}
 	}
 }
--- a/internal/admin/deadletters.go
+++ b/internal/admin/deadletters.go
@@ -102,7 +102,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.deadLetters.Redeliver(r.Context(), caller(r), o.Selection, time.Duration(o.WithinS*float64(time.Second)), o.DryRun)
+	return s.deadLetters.Redeliver(r.Context(), caller(r), o.Selection, time.Duration(o.WithinS*float64(time.Second)),
+		o.DryRun)
 }
 
 func (s *Server) drop(r *http.Request) (any, error) {
--- a/internal/admin/httpserver.go
+++ b/internal/admin/httpserver.go
@@ -37,8 +37,8 @@
 	return f, err
 }
 
-// ListenCalls binds an address for calls by their patterns (see http.ServeMux), on maxConns connections at most. A request must have
-// arrived within the timeout, and be answered within it.
+// ListenCalls binds an address for calls by their patterns (see http.ServeMux), on maxConns connections at most. A
+// request must have arrived within the timeout, and be answered within it.
 func ListenCalls(
 	addr string, calls map[string]http.HandlerFunc, maxConns int, timeout time.Duration, log *slog.Logger,
 ) (*HTTPServer, error) {
@@ -51,7 +51,8 @@
 		mux.HandleFunc(pattern, h)
 	}
 	return &HTTPServer{listener: &limitedListener{Listener: listener, max: maxConns}, log: log, http: &http.Server{
-		Handler: mux, ReadHeaderTimeout: callTimeout, ReadTimeout: timeout, WriteTimeout: timeout + writeTimeout, IdleTimeout: idleTimeout,
+		Handler: mux, ReadHeaderTimeout: callTimeout, ReadTimeout: timeout,
+		WriteTimeout: timeout + writeTimeout, IdleTimeout: idleTimeout,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}}, nil
 }
@@ -69,8 +70,8 @@
 // Close ends the server at once.
 func (f *HTTPServer) Close() { f.http.Close() }
 
-// limitedListener bounds the connections of a listener. At the bound the oldest connection is closed, so that clients which send no
-// request can't keep out others.
+// limitedListener bounds the connections of a listener. At the bound the oldest connection is closed, so that clients
+// which send no request can't keep out others.
 type limitedListener struct {
 	net.Listener
 	max int
--- a/internal/admin/httpserver_test.go
+++ b/internal/admin/httpserver_test.go
@@ -94,7 +94,8 @@
 		{"PUT /v1/sender/hold", nil, nil, http.StatusBadRequest, ""},
 		{"PUT /v1/sender/drain?process=p&epoch=7&by=1000", nil, nil, http.StatusBadRequest, ""},
 		{"PUT /v1/sender/drain?process=p&epoch=-7&by=1000&until=1", nil, nil, http.StatusBadRequest, ""},
-		{"PUT /v1/sender/drain?process=p&epoch=7&by=1000&until=2000", nil, lease.ErrExpired, http.StatusConflict, "take p 7 1000 2000 true"},
+		{"PUT /v1/sender/drain?process=p&epoch=7&by=1000&until=2000", nil, lease.ErrExpired, http.StatusConflict,
+			"take p 7 1000 2000 true"},
 		{"PUT /v1/sender/renew?epoch=7&until=3000", nil, nil, http.StatusOK, "renew 7 3000"},
 		{"PUT /v1/sender/activate?epoch=7", nil, nil, http.StatusOK, "end 7"},
 		{"PUT /v1/sender/activate?epoch=7", nil, lease.ErrStaleEpoch, http.StatusConflict, "end 7"},
@@ -143,7 +144,8 @@
 	if n > MaxHTTPConnections {
 		t.Errorf("%d connections held", n)
 	}
-	if status, _ := request(t, f, "GET /v1/readyz HTTP/1.1\r\nX: "+strings.Repeat("x", 8*maxHeaderSize)+"\r\n\r\n"); status != 0 && status != http.StatusRequestHeaderFieldsTooLarge {
+	long := strings.Repeat("x", 8*maxHeaderSize)
+	if status, _ := request(t, f, "GET /v1/readyz HTTP/1.1\r\nX: "+long+"\r\n\r\n"); status != 0 && status != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("endless head: status %d", status)
 	}
 }
--- a/internal/admin/lifecycle.go
+++ b/internal/admin/lifecycle.go
@@ -33,7 +33,8 @@
 	Targets() []state.ListedTarget
 }
 
-// The paths of the calls of the lifecycle, on both servers. Drain and activate are an operator's without a query, and an agent's with one.
+// The paths of the calls of the lifecycle, on both servers. Drain and activate are an operator's without a query, and
+// an agent's with one.
 const (
 	ReadyPath      = "/v1/readyz"
 	DrainPath      = "/v1/sender/drain"
@@ -66,7 +67,8 @@
 // Digest returns a short digest of a text.
 func Digest(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text)))[:16] }
 
-// orderQuery reads the parameters of an order from a query; err is the first error. Times are Unix times in milliseconds.
+// orderQuery reads the parameters of an order from a query; err is the first error. Times are Unix times in
+// milliseconds.
 type orderQuery struct {
 	values url.Values
 	err    error
@@ -123,8 +125,8 @@
 	return func(w http.ResponseWriter, _ *http.Request) { answer(w, do(), done) }
 }
 
-// byAgent returns the handler of a call whose query is an agent's order. The function read takes the order from the query and returns
-// what carries it out.
+// byAgent returns the handler of a call whose query is an agent's order. The function read takes the order from the
+// query and returns what carries it out.
 func byAgent(done string, read func(q *orderQuery) func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := &orderQuery{values: r.URL.Query()}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,7 @@
-// Package admin is the admin API of a sender: an HTTP server on a Unix socket with the calls of the lifecycle and of the dead-letter
-// queue, its client, and an HTTP server at the TCP admin address with the calls of the lifecycle alone. It owns their limits and forms, no
-// state of the sender: that stays behind the interfaces Lifecycle and DeadLetterQueue.
+// Package admin is the admin API of a sender: an HTTP server on a Unix socket with the calls of the lifecycle and of
+// the dead-letter queue, its client, and an HTTP server at the TCP admin address with the calls of the lifecycle
+// alone. It owns their limits and forms, no state of the sender: that stays behind the interfaces Lifecycle and
+// DeadLetterQueue.
 package admin
 
 import (
@@ -29,10 +30,13 @@
 // MaxImportLines is the highest number of lines in a page of an export or import.
 const MaxImportLines = 64
 
-// DeadLetterQueue is the queue behind the API. The string by names the caller for the audit trail; with dry set nothing changes.
+// DeadLetterQueue is the queue behind the API. The string by names the caller for the audit trail; with dry set
+// nothing changes.
 type DeadLetterQueue interface {
 	View(func(*deadletter.Tx) error) error
-	Redeliver(ctx context.Context, by string, sel deadletter.Selection, within time.Duration, dry bool) (deadletter.Outcome, error)
+	Redeliver(
+		ctx context.Context, by string, sel deadletter.Selection, within time.Duration, dry bool,
+	) (deadletter.Outcome, error)
 	Drop(ctx context.Context, by string, sel deadletter.Selection, dry bool) (deadletter.Outcome, error)
 	Import(ctx context.Context, by string, lines []deadletter.ExportLine, dry bool) (deadletter.Outcome, error)
 }
@@ -65,8 +69,8 @@
 // peerUIDKey is the key of the caller's user id in a request's context.
 type peerUIDKey struct{}
 
-// Listen binds the socket, for its owner alone; the socket of a dead process is replaced. Without a queue only the calls of the lifecycle
-// are served.
+// Listen binds the socket, for its owner alone; the socket of a dead process is replaced. Without a queue only the
+// calls of the lifecycle are served.
 func Listen(path string, queue DeadLetterQueue, lifecycle Lifecycle, log *slog.Logger) (*Server, error) {
 	if c, err := net.Dial("unix", path); err == nil {
 		c.Close()
@@ -83,14 +87,16 @@
 	}
 	for pattern, h := range map[string]func(r *http.Request) (any, error){
 		"GET /held/list": s.list, "GET /held/export": s.export, "GET /held/show/{seq}": s.show, "GET /held/stats": s.stats,
-		"GET /held/audit": s.audit, "POST /held/resend": s.redeliver, "POST /held/drop": s.drop, "POST /held/import": s.importLines,
+		"GET /held/audit": s.audit, "POST /held/resend": s.redeliver, "POST /held/drop": s.drop,
+		"POST /held/import": s.importLines,
 	} {
 		if queue != nil {
 			mux.HandleFunc(pattern, s.handleJSON(h))
 		}
 	}
 	s.http = &http.Server{
-		Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout, WriteTimeout: 2 * requestTimeout, IdleTimeout: idleTimeout,
+		Handler: mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout, WriteTimeout: 2 * requestTimeout,
+		IdleTimeout:    idleTimeout,
 		MaxHeaderBytes: maxSocketHeader, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, peerUIDKey{}, ownsock.Peer(c))
--- a/internal/deadletter/bench_test.go
+++ b/internal/deadletter/bench_test.go
@@ -26,7 +26,8 @@
 			for n := 0; n < b.N; n += batch {
 				update(b, s, func(tx *Tx) error {
 					for i := n; i < min(b.N, n+batch); i++ {
-						r := Record{State: Held, ID: fmt.Sprint("id-", i), Class: "unsafe", Tenant: "t", Destination: i % 20, HeldAt: time.Now(), Reason: "expired"}
+						r := Record{State: Held, ID: fmt.Sprint("id-", i), Class: "unsafe", Tenant: "t", Destination: i % 20,
+							HeldAt: time.Now(), Reason: "expired"}
 						if _, err := tx.Add(&r, body); err != nil {
 							return err
 						}
@@ -49,7 +50,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	k := NewQueue(Config{Settings: set, Log: quiet, Platform: control.Settings{Classes: make([]control.Class, 1)}, Names: Names{Classes: []string{"fee-payment"}}})
+	k := NewQueue(Config{Settings: set, Log: quiet, Platform: control.Settings{Classes: make([]control.Class, 1)},
+		Names: Names{Classes: []string{"fee-payment"}}})
 	p := &state.DeadLetter{Message: &state.Message{ID: "id", Deadline: time.Now()}, At: time.Now()}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/deadletter/claims.go
+++ b/internal/deadletter/claims.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// ClaimKey ends the held records of a key that a client submits anew: from now on the message is its client's. It is called by the client's
-// goroutine before the message is accepted, and waits for the store only if a record may be held. It returns false if such a record is being
-// redelivered or the store does not answer by the deadline: the client should come again.
+// ClaimKey ends the held records of a key that a client submits anew: from now on the message is its client's. It is
+// called by the client's goroutine before the message is accepted, and waits for the store only if a record may be
+// held. It returns false if such a record is being redelivered or the store does not answer by the deadline: the
+// client should come again.
 func (q *Queue) ClaimKey(number int, key string, by time.Time) bool {
 	class := nameAt(q.platform.Load().Classes, number)
 	q.mu.Lock()
--- a/internal/deadletter/clock.go
+++ b/internal/deadletter/clock.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// clock is a clock that never goes back while the process runs: it is set by the wall clock once and goes on with the monotonic clock.
+// clock is a clock that never goes back while the process runs: it is set by the wall clock once and goes on with the
+// monotonic clock.
 type clock struct {
 	base     time.Time // wall time of the start
 	start    time.Time // the same instant with its monotonic reading
@@ -18,8 +19,8 @@
 // now returns the current time without a monotonic reading.
 func (c *clock) now() time.Time { return c.base.Add(time.Since(c.start)) }
 
-// adopt takes the latest time in a store, in whole microseconds. If the wall clock went back, the times of this process begin behind it, so
-// that they stay distinct from those of before.
+// adopt takes the latest time in a store, in whole microseconds. If the wall clock went back, the times of this
+// process begin behind it, so that they stay distinct from those of before.
 func (c *clock) adopt(latest time.Time) {
 	if latest.After(c.now().Add(clockTolerance)) {
 		c.base, c.wentBack = latest.Add(time.Microsecond), true
--- a/internal/deadletter/commands.go
+++ b/internal/deadletter/commands.go
@@ -48,8 +48,8 @@
 	return s.View(f)
 }
 
-// changeSelected runs a command over a selection, in one transaction with its entry in the audit trail. The function f changes a record, or
-// returns why not, as a *NotEligible. A dry run changes nothing.
+// changeSelected runs a command over a selection, in one transaction with its entry in the audit trail. The function
+// f changes a record, or returns why not, as a *NotEligible. A dry run changes nothing.
 func (q *Queue) changeSelected(
 	ctx context.Context, by, verb string, selection Selection, dry bool, f func(r *Record, now time.Time) error,
 ) (Outcome, error) {
@@ -128,8 +128,11 @@
 	return done, nil
 }
 
-// Redeliver orders records to be redelivered within a time; 0 stands for that of the settings. By names the caller for the audit trail.
-func (q *Queue) Redeliver(ctx context.Context, by string, selection Selection, within time.Duration, dry bool) (Outcome, error) {
+// Redeliver orders records to be redelivered within a time; 0 stands for that of the settings. By names the caller
+// for the audit trail.
+func (q *Queue) Redeliver(
+	ctx context.Context, by string, selection Selection, within time.Duration, dry bool,
+) (Outcome, error) {
 	if within <= 0 {
 		q.mu.Lock()
 		within = q.settings.Resend.Within
--- a/internal/deadletter/eligibility.go
+++ b/internal/deadletter/eligibility.go
@@ -27,8 +27,8 @@
 	return &NotEligible{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Eligible returns why a record may not be redelivered now, or nil. The time must be of a clock that never goes back; where that can't be
-// known, sure is false, and keys count as forgotten.
+// Eligible returns why a record may not be redelivered now, or nil. The time must be of a clock that never goes back;
+// where that can't be known, sure is false, and keys count as forgotten.
 func (t *ClassRules) Eligible(r *Record, now time.Time, sure bool) *NotEligible {
 	class, known := t.Classes[r.Class]
 	at, _, ran := r.FirstRun()
@@ -47,7 +47,8 @@
 		return nil
 	case class.Idempotency == control.NotIdempotent:
 		if r.HistoryIncomplete {
-			return neverEligible("its history is not whole, so it may have taken effect, and a %s must never take effect twice", r.Class)
+			return neverEligible("its history is not whole, so it may have taken effect, "+
+				"and a %s must never take effect twice", r.Class)
 		}
 		return neverEligible("it may have taken effect, and a %s must never take effect twice", r.Class)
 	case at.IsZero():
@@ -56,7 +57,8 @@
 		return neverEligible("the clock went back, so whether the partner remembers its key can't be told")
 	case !now.Before(at.Add(class.KeyRetention - class.KeyRetention/4)):
 		// The repeat must arrive while the key is retained; a quarter is left for its way, as in package control.
-		return neverEligible("it may have run %v ago, and the partner remembers its key for %v", now.Sub(at).Round(time.Millisecond), class.KeyRetention)
+		return neverEligible("it may have run %v ago, and the partner remembers its key for %v",
+			now.Sub(at).Round(time.Millisecond), class.KeyRetention)
 	}
 	return nil
 }
--- a/internal/deadletter/evict.go
+++ b/internal/deadletter/evict.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Bounds are the bounds of a store. Bytes are of records and bodies; Age is that of a record, EndedRetention the time since its end.
+// Bounds are the bounds of a store. Bytes are of records and bodies; Age is that of a record, EndedRetention the time
+// since its end.
 type Bounds struct {
 	Bytes          int64
 	Records        int
@@ -17,9 +18,9 @@
 // Evicted counts evicted records: ended ones, open ones over the bounds, and those that were too old.
 type Evicted struct{ Ended, Open, Aged int }
 
-// evict keeps the bounds. Records that are too old go first, then ended ones after their retention. As long as the store is over its bounds
-// the ended ones go in the order of their ends, then the held ones, the longest held first. Records in redelivery, and those whose report is
-// pending, stay. It removes a limited number at a time.
+// evict keeps the bounds. Records that are too old go first, then ended ones after their retention. As long as the
+// store is over its bounds the ended ones go in the order of their ends, then the held ones, the longest held first.
+// Records in redelivery, and those whose report is pending, stay. It removes a limited number at a time.
 func (t *Tx) evict(b Bounds, now time.Time) (Evicted, error) {
 	var evicted Evicted
 	withinBounds := func(time.Time) bool {
--- a/internal/deadletter/export.go
+++ b/internal/deadletter/export.go
@@ -22,8 +22,8 @@
 // maxNameSize bounds the strings of an imported record, in bytes.
 const maxNameSize = 256
 
-// toRecord checks an imported line and returns a new record of it. What happened to the message since the export is unknown, so that it may
-// have run at any time.
+// toRecord checks an imported line and returns a new record of it. What happened to the message since the export is
+// unknown, so that it may have run at any time.
 func (l *ExportLine) toRecord(now time.Time) (Record, []byte, error) {
 	body, err := base64.StdEncoding.DecodeString(l.Body)
 	switch {
--- a/internal/deadletter/frame.go
+++ b/internal/deadletter/frame.go
@@ -9,9 +9,9 @@
 	"cleathold/internal/state"
 )
 
-// Each value of the store is framed: a mark, a kind, the sequence number and revision of its record, the length and checksum of the payload,
-// and the payload. A frame shows whether it is intact, and can be found in the raw file where the tree above it is damaged. Sizes are in
-// bytes.
+// Each value of the store is framed: a mark, a kind, the sequence number and revision of its record, the length and
+// checksum of the payload, and the payload. A frame shows whether it is intact, and can be found in the raw file
+// where the tree above it is damaged. Sizes are in bytes.
 
 const (
 	frameHeaderSize = 4 + 1 + 8 + 8 + 4 + 4
@@ -58,7 +58,8 @@
 	if n > maxPayload || n > len(data)-frameHeaderSize {
 		return framed{}, false
 	}
-	p := framed{data[4], binary.BigEndian.Uint64(data[5:]), binary.BigEndian.Uint64(data[13:]), data[frameHeaderSize : frameHeaderSize+n], frameHeaderSize + n}
+	p := framed{data[4], binary.BigEndian.Uint64(data[5:]), binary.BigEndian.Uint64(data[13:]),
+		data[frameHeaderSize : frameHeaderSize+n], frameHeaderSize + n}
 	return p, frameSum(data, p.payload) == binary.BigEndian.Uint32(data[25:])
 }
 
--- a/internal/deadletter/items.go
+++ b/internal/deadletter/items.go
@@ -26,7 +26,8 @@
 	admitted bool // by the event loop
 }
 
-// journalState is the state of the write-ahead log at the start: ids of dead letters that it still has, and records in redelivery.
+// journalState is the state of the write-ahead log at the start: ids of dead letters that it still has, and records
+// in redelivery.
 type journalState struct {
 	owed     []string
 	inFlight []uint64
@@ -64,7 +65,8 @@
 	return q.endRedelivery(t, &letter, b.now)
 }
 
-// toQueueTime converts a time of the event loop to the queue's clock. Unix time 0 and the zero time mean an unknown time.
+// toQueueTime converts a time of the event loop to the queue's clock. Unix time 0 and the zero time mean an unknown
+// time.
 func (q *Queue) toQueueTime(when, now time.Time) time.Time {
 	if when.IsZero() || when.Unix() == 0 {
 		return time.Time{}
@@ -161,7 +163,8 @@
 // errUnchanged ends a change that leaves a record as it is.
 var errUnchanged = errors.New("held: nothing to change")
 
-// reconcile brings the store in line with the write-ahead log at the start. Dead letters that the log still has may be reported again.
+// reconcile brings the store in line with the write-ahead log at the start. Dead letters that the log still has may
+// be reported again.
 func (q *Queue) reconcile(t *Tx, journal journalState, now time.Time) error {
 	owed := map[string]bool{}
 	for _, id := range journal.owed {
@@ -189,7 +192,8 @@
 	return nil
 }
 
-// reconcileReports sets which delivery reports are pending: of the ids that the write-ahead log has, those with a record.
+// reconcileReports sets which delivery reports are pending: of the ids that the write-ahead log has, those with a
+// record.
 func (t *Tx) reconcileReports(owed map[string]bool) error {
 	var acknowledged []string
 	c := t.Bucket(bucketOwed).Cursor()
@@ -213,8 +217,8 @@
 	return nil
 }
 
-// lostRedelivery takes back a record that was being redelivered when the sender ended. It was written down before it left, so that an
-// attempt counts.
+// lostRedelivery takes back a record that was being redelivered when the sender ended. It was written down before it
+// left, so that an attempt counts.
 func (q *Queue) lostRedelivery(r *Record, now time.Time) {
 	at := r.HeldAt
 	if n := len(r.Events); n > 0 {
--- a/internal/deadletter/query.go
+++ b/internal/deadletter/query.go
@@ -33,8 +33,8 @@
 		(f.Since.IsZero() || !r.HeldAt.Before(f.Since)) && (f.Before.IsZero() || r.HeldAt.Before(f.Before))
 }
 
-// index returns the index to use: its bucket and the prefix of its keys. Sequence numbers grow with the time held, so that each index is in
-// the order of both.
+// index returns the index to use: its bucket and the prefix of its keys. Sequence numbers grow with the time held, so
+// that each index is in the order of both.
 func (f *Filter) index() (bucket, prefix []byte) {
 	switch {
 	case f.Destination != nil:
@@ -54,8 +54,8 @@
 // maxScanned bounds the records that are read for one page.
 const maxScanned = 20_000
 
-// List returns up to limit matching records behind a position, and the position to go on after; 0: there are no more. A page that is short,
-// or empty, may still not be the last, since the records read for it are bounded.
+// List returns up to limit matching records behind a position, and the position to go on after; 0: there are no more.
+// A page that is short, or empty, may still not be the last, since the records read for it are bounded.
 func (t *Tx) List(f Filter, after uint64, limit int) (list []Record, next uint64, err error) {
 	if after == 0 && !f.Since.IsZero() {
 		after = t.firstSince(f.Since)
@@ -63,7 +63,8 @@
 	bucket, prefix := f.index()
 	c := t.Bucket(bucket).Cursor()
 	scanned := 0
-	for k, _ := c.Seek(join(prefix, encodeUint(after+1))); bytes.HasPrefix(k, prefix) && len(k) == len(prefix)+8; k, _ = c.Next() {
+	isEntry := func(k []byte) bool { return bytes.HasPrefix(k, prefix) && len(k) == len(prefix)+8 }
+	for k, _ := c.Seek(join(prefix, encodeUint(after+1))); isEntry(k); k, _ = c.Next() {
 		seq := binary.BigEndian.Uint64(k[len(prefix):])
 		if len(list) >= limit || scanned >= maxScanned {
 			return list, after, nil
@@ -125,7 +126,8 @@
 	s := Stats{
 		Records: int(t.counter(metaCount)), Bytes: int64(t.counter(metaBytes)), File: t.Size(),
 		Evicted: t.counter(metaEvicted), Aged: t.counter(metaAged),
-		States: t.groups(bucketStates, nameOf), Reasons: t.groups(bucketReasons, nameOf), Classes: t.groups(bucketClasses, nameOf),
+		States: t.groups(bucketStates, nameOf), Reasons: t.groups(bucketReasons, nameOf),
+		Classes: t.groups(bucketClasses, nameOf),
 		Tenants: t.groups(bucketTenants, nameOf), Dests: t.groups(bucketDests, numberOf),
 	}
 	c := t.Bucket(bucketOwed).Cursor()
--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -37,8 +37,8 @@
 	Log      *slog.Logger
 }
 
-// Queue is the dead-letter queue of a sender. The goroutine of Run alone writes the store. What other goroutines report waits in a bounded
-// list, and in the write-ahead log until the store has it.
+// Queue is the dead-letter queue of a sender. The goroutine of Run alone writes the store. What other goroutines
+// report waits in a bounded list, and in the write-ahead log until the store has it.
 type Queue struct {
 	log      *slog.Logger
 	platform atomic.Pointer[platformSettings] // the latest settings
@@ -94,7 +94,8 @@
 	q.planner.SetLimits(q.limits())
 	q.mu.Unlock()
 	select {
-	case q.changes <- change{apply: func(*Tx) error { q.sweepPosition, q.sweeping = 0, s.Rules(); return nil }, done: make(chan error, 1)}:
+	case q.changes <- change{apply: func(*Tx) error { q.sweepPosition, q.sweeping = 0, s.Rules(); return nil },
+		done: make(chan error, 1)}:
 	default: // records are reviewed as they become due
 		q.log.Warn("too many changes pending, held records are reviewed by the new rules later")
 	}
@@ -127,7 +128,8 @@
 
 // The methods below implement state.DeadLetterQueue. None of them waits for the store.
 
-// Begin takes the state of the write-ahead log at the start: the ids of messages owed to the queue, and the records in redelivery.
+// Begin takes the state of the write-ahead log at the start: the ids of messages owed to the queue, and the records
+// in redelivery.
 func (q *Queue) Begin(owed []string, out []uint64) { q.push(journalState{owed, out}) }
 
 // Add takes a dead letter, or the end of a redelivery.
@@ -175,7 +177,8 @@
 // since returns the time of the planner.
 func (q *Queue) since() time.Duration { return time.Since(q.clock.start) }
 
-// Accepts asks the rule hold whether a message becomes a dead letter. While the store fails or too many dead letters wait, none does.
+// Accepts asks the rule hold whether a message becomes a dead letter. While the store fails or too many dead letters
+// wait, none does.
 func (q *Queue) Accepts(letter *state.DeadLetter) bool {
 	q.mu.Lock()
 	full := q.failing || q.newLetters >= q.settings.Held.Queue
@@ -191,8 +194,10 @@
 		mayHaveRun = mayHaveRun || t.Open || t.Result.MayHaveRun()
 	}
 	hold, err := set.Hold(settings.Record{
-		ID: letter.Message.ID, Key: letter.Message.Key, Class: nameAt(words.Classes, letter.Message.Class), Tenant: nameAt(words.Tenants, letter.Message.Tenant),
-		Destination: letter.Message.Destination, Size: len(letter.Message.Body), Reason: letter.Reason, MayHaveRun: mayHaveRun, Deferred: letter.Deferred,
+		ID: letter.Message.ID, Key: letter.Message.Key, Class: nameAt(words.Classes, letter.Message.Class),
+		Tenant:      nameAt(words.Tenants, letter.Message.Tenant),
+		Destination: letter.Message.Destination, Size: len(letter.Message.Body), Reason: letter.Reason,
+		MayHaveRun: mayHaveRun, Deferred: letter.Deferred,
 		Attempts: letter.AttemptCount, TimeLeft: max(0, letter.Message.Deadline.Sub(letter.At)),
 	}, partner)
 	if err != nil {
@@ -206,7 +211,8 @@
 	v := q.planner.View(q.since(), dest)
 	p := settings.Partner{InFlight: v.InFlight, Failing: v.Failing, Served: v.Served, RetryAfter: v.RetryAfter}
 	if v.Known {
-		p.Last = map[redelivery.Result]string{redelivery.Served: "served", redelivery.Rejected: "refused", redelivery.Failed: "failed"}[v.Last]
+		p.Last = map[redelivery.Result]string{redelivery.Served: "served", redelivery.Rejected: "refused",
+			redelivery.Failed: "failed"}[v.Last]
 	}
 	if q.store != nil {
 		p.Held = q.store.Count(dest)
--- a/internal/deadletter/queue_test.go
+++ b/internal/deadletter/queue_test.go
@@ -49,7 +49,8 @@
 
 func parse(t testing.TB, dir, rules string) *settings.Settings {
 	t.Helper()
-	s, err := settings.Parse(filepath.Join(dir, "s.star"), []byte("held(folder = \"held\", queue = 8)\nresend(share = 1.0)\n"+rules))
+	s, err := settings.Parse(filepath.Join(dir, "s.star"),
+		[]byte("held(folder = \"held\", queue = 8)\nresend(share = 1.0)\n"+rules))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +60,8 @@
 // start runs a keeper over a folder until the test ends, or stop is called.
 func start(t *testing.T, dir, rules string, change func(*Queue)) (k *Queue, p *recordedEvents, stop func()) {
 	t.Helper()
-	platform := control.Settings{FleetSize: 1, ColdCapacity: 0.5, WarmUp: 100 * time.Millisecond, OverloadWindow: 50 * time.Millisecond, OverloadFactor: 2}
+	platform := control.Settings{FleetSize: 1, ColdCapacity: 0.5, WarmUp: 100 * time.Millisecond,
+		OverloadWindow: 50 * time.Millisecond, OverloadFactor: 2}
 	names := Names{Classes: []string{"safe", "keyed", "unsafe"}, Tenants: []string{"t0", "t1"}}
 	for _, name := range names.Classes {
 		c := terms.Classes[name]
@@ -85,7 +87,9 @@
 // hold gives a keeper a message and waits until it has it.
 func hold(t *testing.T, k *Queue, p *recordedEvents, id string, class, dest, tenant int, tries ...state.AttemptRecord) {
 	t.Helper()
-	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: id, Key: "key-" + id, Class: class, Tenant: tenant, Destination: dest, Deadline: time.Now(), Body: []byte("body")}, Attempts: tries, At: time.Now(), Reason: state.ReasonExpired})
+	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: id, Key: "key-" + id, Class: class, Tenant: tenant,
+		Destination: dest, Deadline: time.Now(), Body: []byte("body")}, Attempts: tries, At: time.Now(),
+		Reason: state.ReasonExpired})
 	get(t, p.stored)
 	k.Forget([]string{id})
 }
@@ -114,8 +118,10 @@
 
 // back gives the keeper what came of a resend.
 func back(k *Queue, e state.Redelivery, delivered bool, tries ...state.AttemptRecord) {
-	k.CallEnded(e.Message.Destination, map[bool]control.Result{true: control.Served, false: control.Rejected}[delivered], 0, true)
-	k.Add(state.DeadLetter{Num: 1, Seq: e.Seq, Message: e.Message, Delivered: delivered, AttemptCount: e.Attempts + 1, Attempts: tries, At: time.Now(), Reason: state.ReasonExpired})
+	k.CallEnded(e.Message.Destination, map[bool]control.Result{true: control.Served, false: control.Rejected}[delivered],
+		0, true)
+	k.Add(state.DeadLetter{Num: 1, Seq: e.Seq, Message: e.Message, Delivered: delivered, AttemptCount: e.Attempts + 1,
+		Attempts: tries, At: time.Now(), Reason: state.ReasonExpired})
 }
 
 var ctx = context.Background()
@@ -130,7 +136,8 @@
 		t.Fatal(o, err)
 	}
 	e := get(t, p.resends)
-	if e.Message.ID != "a" || string(e.Message.Body) != "body" || e.Message.Key != "key-a" || e.MayHaveRun || k.record(t, 1).State != Out {
+	if e.Message.ID != "a" || string(e.Message.Body) != "body" || e.Message.Key != "key-a" || e.MayHaveRun ||
+		k.record(t, 1).State != Out {
 		t.Errorf("%+v, %+v", e, k.record(t, 1))
 	}
 	if left := time.Until(e.Message.Deadline); left > 9*time.Second { // deadline less aim: among the deferred
@@ -145,7 +152,8 @@
 	if _, _, ran := r.FirstRun(); !ran || r.Redeliveries != 1 || len(r.Attempts) != 2 || r.Attempts[1].Redelivery != 1 {
 		t.Errorf("%+v", r)
 	}
-	if o, _ := k.Redeliver(ctx, "uid 1", one(1), time.Minute, false); o.Done != 0 || !strings.Contains(o.Rejected[0].Reason, "must never take effect twice") {
+	if o, _ := k.Redeliver(ctx, "uid 1", one(1), time.Minute, false); o.Done != 0 ||
+		!strings.Contains(o.Rejected[0].Reason, "must never take effect twice") {
 		t.Errorf("%+v", o)
 	}
 	hold(t, k, p, "b", 0, 1, 0)
@@ -344,7 +352,8 @@
 	m := &state.Message{ID: "a", Destination: 1, Body: []byte("body")}
 	k.Begin(nil, nil)
 	k.Add(state.DeadLetter{Num: 1, Message: m, At: time.Now()})
-	for limit := time.Now().Add(20 * time.Second); k.Accepts(&state.DeadLetter{Message: m, At: time.Now()}); time.Sleep(time.Millisecond) {
+	accepted := func() bool { return k.Accepts(&state.DeadLetter{Message: m, At: time.Now()}) }
+	for limit := time.Now().Add(20 * time.Second); accepted(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
 			t.Fatal("it goes on holding")
 		}
@@ -410,8 +419,9 @@
 // A partner without room for a connection is there: it has turned a call away, and is not out of order.
 func TestCrowdedIsNoFailure(t *testing.T) {
 	for r, want := range map[control.Result]redelivery.Result{
-		control.Served: redelivery.Served, control.Rejected: redelivery.Rejected, control.ConnectionRejected: redelivery.Rejected,
-		control.ConnectFailed: redelivery.Failed, control.NotSent: redelivery.NotSent,
+		control.Served: redelivery.Served, control.Rejected: redelivery.Rejected,
+		control.ConnectionRejected: redelivery.Rejected,
+		control.ConnectFailed:      redelivery.Failed, control.NotSent: redelivery.NotSent,
 	} {
 		if got := partnerResult(r); got != want {
 			t.Errorf("result %v: told %v, want %v", r, got, want)
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -1,6 +1,7 @@
-// Package deadletter is the queue of messages that could not be delivered. It owns a store on bbolt, which the goroutine of Queue.Run alone
-// writes, and the rules by which a dead letter may be sent again: ClassRules.Eligible, the rules of the settings and the rates of package
-// redelivery. It does not send by itself: redeliveries are events for the event loop, whose controller decides about each message again.
+// Package deadletter is the queue of messages that could not be delivered. It owns a store on bbolt, which the
+// goroutine of Queue.Run alone writes, and the rules by which a dead letter may be sent again: ClassRules.Eligible,
+// the rules of the settings and the rates of package redelivery. It does not send by itself: redeliveries are events
+// for the event loop, whose controller decides about each message again.
 package deadletter
 
 import (
@@ -98,7 +99,8 @@
 	}
 }
 
-// FirstRun reports whether the message may have run, and when and to which zone the first such attempt was sent. A zero time is unknown.
+// FirstRun reports whether the message may have run, and when and to which zone the first such attempt was sent. A
+// zero time is unknown.
 func (r *Record) FirstRun() (at time.Time, zone int, ran bool) {
 	for _, a := range r.Attempts {
 		if !a.MayHaveRun {
@@ -146,7 +148,8 @@
 func attemptsOf(tries []state.AttemptRecord, resend int) []Attempt {
 	list := make([]Attempt, 0, len(tries))
 	for _, t := range tries {
-		a := Attempt{Target: t.Target, Zone: t.Zone, At: t.At, Result: resultNames[t.Result], MayHaveRun: t.Result.MayHaveRun(), Redelivery: resend}
+		a := Attempt{Target: t.Target, Zone: t.Zone, At: t.At, Result: resultNames[t.Result],
+			MayHaveRun: t.Result.MayHaveRun(), Redelivery: resend}
 		if t.Open {
 			a.Result, a.MayHaveRun = resultNames[control.Unknown], true
 		}
--- a/internal/deadletter/recover.go
+++ b/internal/deadletter/recover.go
@@ -17,8 +17,9 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Recovery of a damaged store. Records that the tree still leads to are recovered as they are. A record that is found only in the raw
-// file may be an older state of it, or one that was removed: it is recovered with an incomplete history, so that it may have run.
+// Recovery of a damaged store. Records that the tree still leads to are recovered as they are. A record that is found
+// only in the raw file may be an older state of it, or one that was removed: it is recovered with an incomplete
+// history, so that it may have run.
 
 const (
 	newSuffix       = ".new"
@@ -28,8 +29,8 @@
 	recoveryBatch   = 500     // records in one transaction
 )
 
-// checkMetaPages returns ErrDamaged if one of bbolt's two meta pages is damaged. bbolt itself would go on with the other, an older state,
-// in which a record that was sent may still be held. A missing or empty file is no error.
+// checkMetaPages returns ErrDamaged if one of bbolt's two meta pages is damaged. bbolt itself would go on with the
+// other, an older state, in which a record that was sent may still be held. A missing or empty file is no error.
 func checkMetaPages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -79,8 +80,8 @@
 	auditEntries  [][]byte
 }
 
-// recoverStore creates a new store from what can be read of a damaged one, and renames the damaged file. A crash at any point leaves one of
-// the two complete.
+// recoverStore creates a new store from what can be read of a damaged one, and renames the damaged file. A crash at
+// any point leaves one of the two complete.
 func recoverStore(path string, cause error, log *slog.Logger) (*Store, error) {
 	fresh := path + newSuffix
 	log.Error("dead-letter store damaged, recovering what can be read", "file", path, "err", cause)
@@ -111,14 +112,14 @@
 	if err := os.Rename(fresh, path); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
-	log.Error("damaged dead-letter store replaced", "file", damagedPath, "records", result.intact, "history_incomplete", result.uncertain,
-		"bodies_lost", result.bodiesLost, "audit_entries", len(found.auditEntries))
+	log.Error("damaged dead-letter store replaced", "file", damagedPath, "records", result.intact,
+		"history_incomplete", result.uncertain, "bodies_lost", result.bodiesLost, "audit_entries", len(found.auditEntries))
 	removeOldDamagedFiles(path, log)
 	return open(path, false)
 }
 
-// finishRecovery completes a recovery that was interrupted. If the damaged file was renamed already, the new one is complete; else it is
-// removed.
+// finishRecovery completes a recovery that was interrupted. If the damaged file was renamed already, the new one is
+// complete; else it is removed.
 func finishRecovery(path string) error {
 	fresh := path + newSuffix
 	if _, err := os.Stat(fresh); errors.Is(err, os.ErrNotExist) {
--- a/internal/deadletter/redeliver.go
+++ b/internal/deadletter/redeliver.go
@@ -7,8 +7,8 @@
 	"cleathold/internal/state"
 )
 
-// redeliverReady writes down that the records which the planner grants are sent, and then gives them to the event loop. It reports whether
-// there was any grant.
+// redeliverReady writes down that the records which the planner grants are sent, and then gives them to the event
+// loop. It reports whether there was any grant.
 func (q *Queue) redeliverReady(s *Store, destinations []int, now time.Time) (bool, error) {
 	q.mu.Lock()
 	grants := q.planner.Grant(q.since(), destinations, q.load)
@@ -96,8 +96,8 @@
 	return taken, err
 }
 
-// message returns a record as a message. Its time is short of its class's by the latency objective, so that it is deferred from the start:
-// in the controller's selection, fresh messages for the destination go first.
+// message returns a record as a message. Its time is short of its class's by the latency objective, so that it is
+// deferred from the start: in the controller's selection, fresh messages for the destination go first.
 func (q *Queue) message(r *Record, body []byte, now time.Time) *state.Message {
 	words := q.platform.Load()
 	class := words.rules.Classes[r.Class]
--- a/internal/deadletter/review.go
+++ b/internal/deadletter/review.go
@@ -15,7 +15,8 @@
 	overBounds   bool
 }
 
-// maintain does what is due with time: it keeps the bounds, reviews records and redelivers. It returns the time until more is due.
+// maintain does what is due with time: it keeps the bounds, reviews records and redelivers. It returns the time until
+// more is due.
 func (q *Queue) maintain(s *Store) (time.Duration, error) {
 	now := q.clock.now()
 	q.mu.Lock()
@@ -60,7 +61,8 @@
 	return due, err
 }
 
-// keepBounds evicts records where the store is over its bounds, and once every maintenanceInterval. It reports whether there may be more.
+// keepBounds evicts records where the store is over its bounds, and once every maintenanceInterval. It reports
+// whether there may be more.
 func (q *Queue) keepBounds(s *Store, bounds Bounds, over bool, now time.Time) (more bool, err error) {
 	if !over && now.Sub(q.maintainedAt) < maintenanceInterval {
 		return false, nil
--- a/internal/deadletter/schema.go
+++ b/internal/deadletter/schema.go
@@ -27,7 +27,8 @@
 	bucketStates  = []byte("states")
 	bucketAudit   = []byte("audit")
 	allBuckets    = [][]byte{
-		bucketMeta, bucketRecords, bucketBodies, bucketIDs, bucketKeys, bucketOwed, bucketReady, bucketDue, bucketEnded, bucketTimes,
+		bucketMeta, bucketRecords, bucketBodies, bucketIDs, bucketKeys, bucketOwed, bucketReady, bucketDue, bucketEnded,
+		bucketTimes,
 		bucketDests, bucketTenants, bucketClasses, bucketReasons, bucketStates, bucketAudit,
 	}
 	indexedBuckets = [][]byte{
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -68,11 +68,13 @@
 	}
 }
 
-// Open opens the store of a folder for writing, or creates one. A damaged file is renamed, and what can be read of it goes into a new one;
-// both are logged. It returns ErrInUse where another process has the store, and ErrNewer for a newer format.
+// Open opens the store of a folder for writing, or creates one. A damaged file is renamed, and what can be read of it
+// goes into a new one; both are logged. It returns ErrInUse where another process has the store, and ErrNewer for a
+// newer format.
 func Open(folder string, log *slog.Logger) (*Store, error) { return openOrRecover(folder, nil, log) }
 
-// openOrRecover is Open. With a cause, the damage that was found while the store was in use, it recovers the store even if it looks intact.
+// openOrRecover is Open. With a cause, the damage that was found while the store was in use, it recovers the store
+// even if it looks intact.
 func openOrRecover(folder string, cause error, log *slog.Logger) (*Store, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
@@ -120,7 +122,8 @@
 	return s, nil
 }
 
-// lockFolder locks a folder: a writer against all other processes, a reader against writers. The lock ends with the process.
+// lockFolder locks a folder: a writer against all other processes, a reader against writers. The lock ends with the
+// process.
 func lockFolder(folder string, reading bool) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(folder, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -156,8 +159,8 @@
 	s := &Store{path: path, openCounts: map[int]int{}, keyCounts: map[uint64]int32{}}
 	var file *os.File // a panic in bolt.Open leaves it open and locked
 	err := recoverPanics(func() error {
-		// The free list is stored in the file. Without it bbolt would read all pages on a goroutine of its own, where a damaged one would
-		// end the process.
+		// The free list is stored in the file. Without it bbolt would read all pages on a goroutine of its own, where a
+		// damaged one would end the process.
 		db, err := bolt.Open(path, 0o600, &bolt.Options{
 			Timeout: lockTimeout, ReadOnly: reading, FreelistType: bolt.FreelistMapType, NoStatistics: true,
 			OpenFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
@@ -199,7 +202,8 @@
 	return errors.As(err, &p)
 }
 
-// recoverPanics runs f and returns a panic in it as ErrDamaged: bbolt panics, or reads beyond the end, where the file is damaged.
+// recoverPanics runs f and returns a panic in it as ErrDamaged: bbolt panics, or reads beyond the end, where the file
+// is damaged.
 func recoverPanics(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -233,8 +237,8 @@
 	return recoverPanics(func() error { return s.db.View(func(tx *bolt.Tx) error { return f(&Tx{Tx: tx}) }) })
 }
 
-// abandon gives up a damaged store. bbolt's Close could wait forever for a mutex that was locked at a panic, and its mapping would keep the
-// file locked; so the lock is released here, and the mapping stays until the process ends.
+// abandon gives up a damaged store. bbolt's Close could wait forever for a mutex that was locked at a panic, and its
+// mapping would keep the file locked; so the lock is released here, and the mapping stays until the process ends.
 func (s *Store) abandon() {
 	if s.file != nil {
 		syscall.Flock(int(s.file.Fd()), syscall.LOCK_UN)
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -20,7 +20,8 @@
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 var terms = ClassRules{MaxAttempts: 12, Classes: map[string]control.Class{
-	"safe": {Idempotency: control.Idempotent}, "keyed": {Idempotency: control.IdempotentByKey, KeyRetention: 12 * time.Second}, "unsafe": {Idempotency: control.NotIdempotent},
+	"safe": {Idempotency: control.Idempotent}, "keyed": {Idempotency: control.IdempotentByKey,
+		KeyRetention: 12 * time.Second}, "unsafe": {Idempotency: control.NotIdempotent},
 }}
 
 func openStore(t testing.TB, dir string) *Store {
@@ -50,7 +51,8 @@
 			for i := from; i < min(n, from+1000); i++ {
 				r := Record{
 					State: Held, ID: fmt.Sprint("id-", i), Key: fmt.Sprint("key-", i), Class: []string{"safe", "keyed", "unsafe"}[i%3],
-					Tenant: fmt.Sprint("t", i%3), Destination: i%4 - 1, Reason: "expired", HeldAt: start.Add(time.Duration(i) * time.Millisecond),
+					Tenant: fmt.Sprint("t", i%3), Destination: i%4 - 1, Reason: "expired",
+					HeldAt:   start.Add(time.Duration(i) * time.Millisecond),
 					Attempts: []Attempt{{Target: "s", At: start, Result: "refused"}}, AttemptCount: 1, Size: 100,
 				}
 				if _, err := tx.Add(&r, []byte(strings.Repeat("x", 100))); err != nil {
@@ -88,12 +90,15 @@
 		f    Filter
 		want int
 	}{
-		{Filter{}, 120}, {Filter{Destination: &dest}, 30}, {Filter{Class: "keyed"}, 40}, {Filter{Tenant: "t2"}, 40}, {Filter{Tenant: "t"}, 0},
-		{Filter{Reason: "expired", State: Held}, 120}, {Filter{State: Out}, 0}, {Filter{Destination: &dest, Class: "unsafe"}, 10},
+		{Filter{}, 120}, {Filter{Destination: &dest}, 30}, {Filter{Class: "keyed"}, 40}, {Filter{Tenant: "t2"}, 40},
+		{Filter{Tenant: "t"}, 0},
+		{Filter{Reason: "expired", State: Held}, 120}, {Filter{State: Out}, 0},
+		{Filter{Destination: &dest, Class: "unsafe"}, 10},
 		{Filter{Since: start.Add(100 * time.Millisecond)}, 20}, {Filter{Before: start.Add(20 * time.Millisecond)}, 20},
 		{Filter{Since: start.Add(time.Hour)}, 0},
 	} {
-		if got := all(t, s, c.f); len(got) != c.want || !slices.IsSortedFunc(got, func(a, b Record) int { return int(a.Sequence) - int(b.Sequence) }) {
+		if got := all(t, s, c.f); len(got) != c.want ||
+			!slices.IsSortedFunc(got, func(a, b Record) int { return int(a.Sequence) - int(b.Sequence) }) {
 			t.Errorf("%+v: %d, want %d", c.f, len(got), c.want)
 		}
 	}
@@ -113,12 +118,14 @@
 	}{
 		{"safe that ran", Record{Class: "safe", Attempts: ran(time.Hour)}, false, ""},
 		{"unsafe that never ran", Record{Class: "unsafe", Attempts: []Attempt{{Result: "refused"}}}, false, ""},
-		{"unsafe that may have run", Record{Class: "unsafe", Attempts: ran(time.Second)}, false, "must never take effect twice"},
+		{"unsafe that may have run", Record{Class: "unsafe", Attempts: ran(time.Second)}, false,
+			"must never take effect twice"},
 		{"unsafe in doubt", Record{Class: "unsafe", HistoryIncomplete: true}, false, "not whole"},
 		{"keyed within the span", Record{Class: "keyed", Attempts: ran(5 * time.Second)}, false, ""},
 		{"keyed near its end", Record{Class: "keyed", Attempts: ran(9 * time.Second)}, false, "remembers its key for"},
 		{"keyed beyond", Record{Class: "keyed", Attempts: ran(time.Minute)}, false, "remembers its key for"},
-		{"keyed, the first counts", Record{Class: "keyed", Attempts: append(ran(time.Minute), ran(0)...)}, false, "remembers"},
+		{"keyed, the first counts", Record{Class: "keyed", Attempts: append(ran(time.Minute), ran(0)...)}, false,
+			"remembers"},
 		{"keyed at an unknown time", Record{Class: "keyed", Attempts: []Attempt{{MayHaveRun: true}}}, false, "not known"},
 		{"keyed in doubt", Record{Class: "keyed", Attempts: ran(time.Second), HistoryIncomplete: true}, false, "not known"},
 		{"keyed, the clock went back", Record{Class: "keyed", Attempts: ran(time.Second)}, true, "clock"},
@@ -344,7 +351,8 @@
 				now := time.UnixMicro(int64(i))
 				switch {
 				case what == 0:
-					r := Record{State: Held, ID: fmt.Sprint("i", i), Key: fmt.Sprint("k", i%3), Class: "safe", Destination: i % 2, HeldAt: now}
+					r := Record{State: Held, ID: fmt.Sprint("i", i), Key: fmt.Sprint("k", i%3), Class: "safe", Destination: i % 2,
+						HeldAt: now}
 					_, err := tx.Add(&r, []byte("x"))
 					model[r.Sequence] = Held
 					return err
--- a/internal/deadletter/tx.go
+++ b/internal/deadletter/tx.go
@@ -58,7 +58,8 @@
 	return int64(len(t.Bucket(bucketRecords).Get(encodeUint(seq))) + len(t.Bucket(bucketBodies).Get(encodeUint(seq))))
 }
 
-// put writes a record and its index entries in place of its former state; nil: it is new. The body of an ended record is removed.
+// put writes a record and its index entries in place of its former state; nil: it is new. The body of an ended record
+// is removed.
 func (t *Tx) put(r, former *Record) error {
 	before := t.storedSize(r.Sequence)
 	if former != nil {
@@ -76,7 +77,8 @@
 	if err != nil {
 		return fmt.Errorf("held: %w", err)
 	}
-	if err := t.Bucket(bucketRecords).Put(encodeUint(r.Sequence), frame(kindRecord, r.Sequence, r.Revision, payload)); err != nil {
+	if err := t.Bucket(bucketRecords).Put(encodeUint(r.Sequence),
+		frame(kindRecord, r.Sequence, r.Revision, payload)); err != nil {
 		return err
 	}
 	for _, s := range indexEntries(r) {
@@ -116,8 +118,8 @@
 	return binary.BigEndian.Uint64(v), true
 }
 
-// Add adds a record with its body. If the id is known it changes nothing and returns false: after a restart a dead letter may be reported
-// twice.
+// Add adds a record with its body. If the id is known it changes nothing and returns false: after a restart a dead
+// letter may be reported twice.
 func (t *Tx) Add(r *Record, body []byte) (added bool, err error) {
 	if _, known := t.byID(r.ID); known || t.Bucket(bucketOwed).Get(encodeName(r.ID)) != nil {
 		return false, nil
@@ -167,6 +169,6 @@
 // clearReportPending notes that the write-ahead log has forgotten a message.
 func (t *Tx) clearReportPending(id string) error { return t.Bucket(bucketOwed).Delete(encodeName(id)) }
 
-// ReportPending reports whether the write-ahead log still has a message. Its client may then not know yet that it is undeliverable, so that
-// it must not be redelivered.
+// ReportPending reports whether the write-ahead log still has a message. Its client may then not know yet that it is
+// undeliverable, so that it must not be redelivered.
 func (t *Tx) ReportPending(id string) bool { return t.Bucket(bucketOwed).Get(encodeName(id)) != nil }
--- a/internal/deadletter/writer.go
+++ b/internal/deadletter/writer.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// Run opens the store and writes it until the context ends. What is not written by then is still in the write-ahead log.
+// Run opens the store and writes it until the context ends. What is not written by then is still in the write-ahead
+// log.
 func (q *Queue) Run(ctx context.Context) {
 	delay := minRetryDelay
 	var damage error
@@ -57,8 +58,8 @@
 	q.close()
 }
 
-// runOnce opens the store if it is not open, and does an iteration; it reports whether the store could be written. A damaged store is
-// abandoned; damage then holds the error for the recovery at the next opening.
+// runOnce opens the store if it is not open, and does an iteration; it reports whether the store could be written. A
+// damaged store is abandoned; damage then holds the error for the recovery at the next opening.
 func (q *Queue) runOnce(ctx context.Context, damage *error) (written bool, err error) {
 	q.mu.Lock()
 	s, folder := q.store, q.settings.Held.Folder
@@ -103,8 +104,8 @@
 	}
 }
 
-// wait waits until there is something to do, at most for a timeout, and runs a change if one comes. It returns an error only for a damaged
-// store.
+// wait waits until there is something to do, at most for a timeout, and runs a change if one comes. It returns an
+// error only for a damaged store.
 func (q *Queue) wait(ctx context.Context, s *Store, timeout time.Duration) error {
 	q.setFailing(false)
 	timer := time.NewTimer(timeout)
--- a/internal/fleethealth/health_test.go
+++ b/internal/fleethealth/health_test.go
@@ -9,13 +9,15 @@
 
 const ms = time.Millisecond
 
-var params = Params{FleetSize: 300, TrialInterval: time.Second, ReportTTL: 6 * time.Second, RecoverySpread: 2 * time.Second}
+var params = Params{FleetSize: 300, TrialInterval: time.Second, ReportTTL: 6 * time.Second,
+	RecoverySpread: 2 * time.Second}
 
 // Reports merge to the same evidence in any order, however often each comes.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		report := rapid.Custom(func(t *rapid.T) Report {
-			return Report{rapid.IntRange(Self, 9).Draw(t, "by"), time.Duration(rapid.IntRange(0, 30).Draw(t, "at")) * 100 * ms, rapid.IntRange(0, 4).Draw(t, "up") == 0}
+			return Report{rapid.IntRange(Self, 9).Draw(t, "by"), time.Duration(rapid.IntRange(0, 30).Draw(t, "at")) * 100 * ms,
+				rapid.IntRange(0, 4).Draw(t, "up") == 0}
 		})
 		reports := rapid.SliceOfN(report, 0, 25).Draw(t, "words")
 		repeated := rapid.Permutation(reports).Draw(t, "order")
@@ -73,17 +75,27 @@
 		{"two senders' do", []step{{at: s, by: 3}, {at: 2 * s, by: 4, ejected: true}}, 3 * s, true},
 		{"its own counts", []step{{at: s, by: 3}, {at: 2 * s, by: Self, gossip: true, ejected: true}}, 3 * s, true},
 		{"it ends by itself", []step{{at: s, by: 3}, {at: 2 * s, by: 4, ejected: true}}, 7*s + ms, false},
-		{"a trial renews it", []step{{at: s, by: 3}, {at: 2 * s, by: 4, ejected: true}, {at: 6 * s, by: 5, ejected: true}}, 7*s + ms, true},
-		{"a served call ends it", []step{{at: s, by: 3}, {at: 2 * s, by: 4, ejected: true}, {at: 3 * s, by: Self, up: true, gossip: true}}, 3*s + ms, false},
-		{"an older one does not", []step{{at: 3 * s, by: 3}, {at: 4 * s, by: 4, ejected: true}, {at: 2 * s, by: 5, up: true, ejected: true}}, 5 * s, true},
-		{"what is known is not gossiped", []step{{at: s, by: 3}, {at: s, by: 4, ejected: true}, {at: s + 100*ms, by: Self, ejected: true}}, 2 * s, true},
-		{"a trial of its own is gossiped", []step{{at: s, by: 3}, {at: s, by: 4, ejected: true}, {at: 3 * s, by: Self, gossip: true, ejected: true}}, 4 * s, true},
+		{"a trial renews it", []step{{at: s, by: 3}, {at: 2 * s, by: 4, ejected: true}, {at: 6 * s, by: 5, ejected: true}},
+			7*s + ms, true},
+		{"a served call ends it", []step{{at: s, by: 3}, {at: 2 * s, by: 4, ejected: true},
+			{at: 3 * s, by: Self, up: true, gossip: true}}, 3*s + ms, false},
+		{"an older one does not", []step{{at: 3 * s, by: 3}, {at: 4 * s, by: 4, ejected: true},
+			{at: 2 * s, by: 5, up: true, ejected: true}}, 5 * s, true},
+		{"what is known is not gossiped", []step{{at: s, by: 3}, {at: s, by: 4, ejected: true},
+			{at: s + 100*ms, by: Self, ejected: true}}, 2 * s, true},
+		{"a trial of its own is gossiped", []step{{at: s, by: 3}, {at: s, by: 4, ejected: true},
+			{at: 3 * s, by: Self, gossip: true, ejected: true}}, 4 * s, true},
 		{"nobody found it down", []step{{at: s, by: Self, up: true}}, 2 * s, false},
-		{"a single report is contradicted", []step{{at: s, by: 3}, {at: s + ms, by: Self, up: true, gossip: true}, {at: s + 2*ms, by: Self, up: true}}, 2 * s, false},
-		{"one that was contradicted counts for itself", []step{{at: s, by: 3}, {at: s + ms, by: 5, up: true}, {at: s + 2*ms, by: 3}, {at: 2 * s, by: 4}}, 3 * s, false},
-		{"while it goes on", []step{{at: s, by: 3}, {at: s + ms, by: 5, up: true}, {at: 6 * s, by: 3}, {at: 8 * s, by: 3}, {at: 8 * s, by: 4}}, 9 * s, false},
-		{"until its own call is served", []step{{at: s, by: Self, gossip: true}, {at: s + ms, by: 5, up: true}, {at: 2 * s, by: Self, up: true}, {at: 3 * s, by: Self, gossip: true}}, 4 * s, false},
-		{"but others count", []step{{at: s, by: 3}, {at: s + ms, by: 5, up: true}, {at: 2 * s, by: 6}, {at: 2 * s, by: 4, ejected: true}}, 3 * s, true},
+		{"a single report is contradicted", []step{{at: s, by: 3}, {at: s + ms, by: Self, up: true, gossip: true},
+			{at: s + 2*ms, by: Self, up: true}}, 2 * s, false},
+		{"one that was contradicted counts for itself",
+			[]step{{at: s, by: 3}, {at: s + ms, by: 5, up: true}, {at: s + 2*ms, by: 3}, {at: 2 * s, by: 4}}, 3 * s, false},
+		{"while it goes on", []step{{at: s, by: 3}, {at: s + ms, by: 5, up: true}, {at: 6 * s, by: 3}, {at: 8 * s, by: 3},
+			{at: 8 * s, by: 4}}, 9 * s, false},
+		{"until its own call is served", []step{{at: s, by: Self, gossip: true}, {at: s + ms, by: 5, up: true},
+			{at: 2 * s, by: Self, up: true}, {at: 3 * s, by: Self, gossip: true}}, 4 * s, false},
+		{"but others count", []step{{at: s, by: 3}, {at: s + ms, by: 5, up: true}, {at: 2 * s, by: 6},
+			{at: 2 * s, by: 4, ejected: true}}, 3 * s, true},
 	} {
 		var v Health
 		for i, x := range c.steps {
@@ -106,7 +118,8 @@
 	}
 }
 
-// A sender whose own connections fail sees that others are served. Many such, or an endpoint that comes and goes, and no report counts.
+// A sender whose own connections fail sees that others are served. Many such, or an endpoint that comes and goes, and
+// no report counts.
 func TestContradicted(t *testing.T) {
 	var v Health
 	if v.Failed(time.Second, params, 0); v.Contradicted(time.Second, params) {
@@ -147,13 +160,15 @@
 	}
 }
 
-// The fleet hears of a recovery at once and acts on it over some time; what a sender found itself just before is not undone by a report.
+// The fleet hears of a recovery at once and acts on it over some time; what a sender found itself just before is not
+// undone by a report.
 func TestRecovery(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		own  time.Duration // this sender's own call failed; 0 = none
 		over bool
-	}{{"heard of only", 0, false}, {"found too, a while ago", 2 * time.Second, true}, {"found a moment ago", 3900 * ms, false}} {
+	}{{"heard of only", 0, false}, {"found too, a while ago", 2 * time.Second, true},
+		{"found a moment ago", 3900 * ms, false}} {
 		var v Health
 		v.Merge(time.Second, Report{3, time.Second, false}, params, 0)
 		v.Merge(time.Second, Report{4, time.Second, false}, params, 0)
@@ -163,7 +178,8 @@
 		now := 4 * time.Second
 		over, recovered := v.Merge(now, Report{5, now, true}, params, 0.5)
 		if over != c.over || !recovered || !v.Ejected(now+999*ms, params) || v.Ejected(now+time.Second, params) {
-			t.Errorf("%s: over %v, recovered %v, ejected just before its delay is over %v, and after %v", c.name, over, recovered, v.Ejected(now+999*ms, params), v.Ejected(now+time.Second, params))
+			t.Errorf("%s: over %v, recovered %v, ejected just before its delay is over %v, and after %v", c.name, over,
+				recovered, v.Ejected(now+999*ms, params), v.Ejected(now+time.Second, params))
 		}
 		if v.Served(now+ms, params); v.Ejected(now+2*ms, params) {
 			t.Errorf("%s: its own call was served, and it still waits", c.name)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,6 @@
-// Package golden compares what this program reads and writes with files that an earlier version of it made. It is for tests:
-// a form that goes to disk, to another process or to operators must stay as it is while the code around it changes.
+// Package golden compares what this program reads and writes with files that an earlier version of it made. It is for
+// tests: a form that goes to disk, to another process or to operators must stay as it is while the code around it
+// changes.
 //
 // The files under testdata/golden were made by commit 096da04. They are not made anew to have a test pass.
 package golden
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -11,7 +11,8 @@
 
 // What is encoded is decoded alike; what cannot be decoded is an error, and kinds of a later version are left out.
 func TestDecode(t *testing.T) {
-	good := Encode([]Observation{{7, control.ObservedRejection, 50 * time.Millisecond}, {8, control.ObservedRejection, time.Hour}})
+	good := Encode([]Observation{{7, control.ObservedRejection, 50 * time.Millisecond},
+		{8, control.ObservedRejection, time.Hour}})
 	for _, c := range []struct {
 		name         string
 		in           []byte
@@ -31,7 +32,8 @@
 			t.Errorf("%s: %v, %v", c.name, observations, err)
 		}
 	}
-	if observations, _ := Decode(good); observations[1].Age != maxAge || observations[0] != (Observation{7, control.ObservedRejection, 50 * time.Millisecond}) {
+	if observations, _ := Decode(good); observations[1].Age != maxAge ||
+		observations[0] != (Observation{7, control.ObservedRejection, 50 * time.Millisecond}) {
 		t.Errorf("read as %v", observations)
 	}
 	if n := len(Encode(make([]Observation, 1000))); n > MaxSize {
@@ -46,7 +48,8 @@
 		if err != nil {
 			return
 		}
-		if again, err := Decode(Encode(observations)); err != nil || len(again) != len(observations) || len(observations) > 0 && !reflect.DeepEqual(again, observations) {
+		if again, err := Decode(Encode(observations)); err != nil || len(again) != len(observations) ||
+			len(observations) > 0 && !reflect.DeepEqual(again, observations) {
 			t.Fatalf("%v decoded again as %v, %v", observations, again, err)
 		}
 	})
--- a/internal/protocol/listener_test.go
+++ b/internal/protocol/listener_test.go
@@ -169,8 +169,8 @@
 	floodIdle(t, l)
 }
 
-// floodIdle has a connection served, opens more that send nothing or half a request, and checks that the first one and a
-// new one are served. It returns the silent ones.
+// floodIdle has a connection served, opens more that send nothing or half a request, and checks that the first one
+// and a new one are served. It returns the silent ones.
 func floodIdle(t *testing.T, l *Listener) (silent []net.Conn) {
 	t.Helper()
 	dial := func() net.Conn {
--- a/internal/quorum/apply.go
+++ b/internal/quorum/apply.go
@@ -51,7 +51,8 @@
 	return n.applyMembers(e)
 }
 
-// applyMembers applies a change of members. Its context names the new one; the change that leaves a joint configuration has none.
+// applyMembers applies a change of members. Its context names the new one; the change that leaves a joint
+// configuration has none.
 func (n *Node) applyMembers(e *pb.Entry) error {
 	c := &pb.ConfChangeV2{}
 	if err := proto.Unmarshal(e.GetData(), c); err != nil {
@@ -68,8 +69,8 @@
 	return nil
 }
 
-// takeSnapshot replaces the log by a snapshot once it is long, or the members have changed: raft gives a new member no snapshot in which
-// it is missing.
+// takeSnapshot replaces the log by a snapshot once it is long, or the members have changed: raft gives a new member
+// no snapshot in which it is missing.
 func (n *Node) takeSnapshot() error {
 	if n.applied-n.snapshotIndex < snapshotInterval && !n.membersChanged {
 		return nil
--- a/internal/quorum/golden_test.go
+++ b/internal/quorum/golden_test.go
@@ -41,5 +41,6 @@
 }
 
 func goldenConfig(fs store.FS, m Machine) Config {
-	return Config{Name: "a", FS: fs, Peers: map[string]string{"a": "127.0.0.1:1"}, Machine: m, Log: slog.New(slog.DiscardHandler)}
+	return Config{Name: "a", FS: fs, Peers: map[string]string{"a": "127.0.0.1:1"}, Machine: m,
+		Log: slog.New(slog.DiscardHandler)}
 }
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -1,5 +1,6 @@
-// Package quorum replicates a log among a few agents. It runs raft (go.etcd.io/raft), keeps raft's log and votes in a store of package
-// store, and carries its messages over HTTP. It owns the members and the snapshots; what the entries mean is the Machine's matter.
+// Package quorum replicates a log among a few agents. It runs raft (go.etcd.io/raft), keeps raft's log and votes in a
+// store of package store, and carries its messages over HTTP. It owns the members and the snapshots; what the entries
+// mean is the Machine's matter.
 package quorum
 
 import (
@@ -79,13 +80,14 @@
 
 // Node is one member of the quorum. Run owns its state; the other methods may be called from any goroutine.
 type Node struct {
-	cfg          Config
-	storage      *storage
-	raft         *raft.RawNode
-	confState    *pb.ConfState
-	members      map[uint64]string
-	incoming     chan incomingMessage
-	learnedNames map[uint64]string // names of members that have sent messages, for a node that does not know the members yet
+	cfg       Config
+	storage   *storage
+	raft      *raft.RawNode
+	confState *pb.ConfState
+	members   map[uint64]string
+	incoming  chan incomingMessage
+	// names of members that have sent messages, for a node that does not know the members yet
+	learnedNames map[uint64]string
 	proposals    chan proposal
 	deliveries   chan delivery
 	transports   map[string]*transport
@@ -103,11 +105,13 @@
 	from string
 }
 
-// Errors of a node. After ErrNoMajority nothing was changed; after ErrStopped and ErrReplaced the node takes no further part.
+// Errors of a node. After ErrNoMajority nothing was changed; after ErrStopped and ErrReplaced the node takes no
+// further part.
 var (
 	ErrNoMajority = errors.New("no majority of agents can be reached: nothing new can be agreed on")
 	ErrStopped    = errors.New("quorum: stopped")
-	ErrReplaced   = errors.New("quorum: another agent has taken this one's place; give it an empty folder to be added anew")
+	ErrReplaced   = errors.New("quorum: another agent has taken this one's place; " +
+		"give it an empty folder to be added anew")
 )
 
 // Open opens the folder of a member and restores the machine from its latest snapshot. Run must be called next.
@@ -172,8 +176,9 @@
 	return nil
 }
 
-// Run takes part in the quorum until the context ends; then it returns nil. It returns an error when the folder fails, since a vote that
-// is not stored must not be given, and ErrReplaced when another agent has taken this one's place. The node has to be opened anew then.
+// Run takes part in the quorum until the context ends; then it returns nil. It returns an error when the folder
+// fails, since a vote that is not stored must not be given, and ErrReplaced when another agent has taken this one's
+// place. The node has to be opened anew then.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -276,8 +281,8 @@
 	n.status.Store(s)
 }
 
-// votes reports whether this node is a voter and no replaced member is one any more. As long as raft is in a joint configuration, it
-// needs a majority of the former members, too, and the failure of another one could leave none.
+// votes reports whether this node is a voter and no replaced member is one any more. As long as raft is in a joint
+// configuration, it needs a majority of the former members, too, and the failure of another one could leave none.
 func (n *Node) votes() bool {
 	return slices.Contains(n.confState.GetVoters(), n.storage.member.Number) && len(n.confState.GetVotersOutgoing()) == 0
 }
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -117,7 +117,8 @@
 			t.Fatal(err)
 		}
 		x.names = append(x.names, fmt.Sprint("a", i))
-		x.agents = append(x.agents, &testAgent{name: x.names[i], dir: t.TempDir(), listener: sock, peers: map[string]string{}})
+		x.agents = append(x.agents, &testAgent{name: x.names[i], dir: t.TempDir(), listener: sock,
+			peers: map[string]string{}})
 	}
 	for _, a := range x.agents {
 		for _, b := range x.agents {
@@ -143,7 +144,8 @@
 func (x *testCluster) start(h *testAgent) {
 	x.t.Helper()
 	h.log = newRecordedLog()
-	node, err := Open(Config{Name: h.name, FS: store.Dir(h.dir), Peers: h.peers, Machine: h.log, Log: slog.New(slog.DiscardHandler)})
+	node, err := Open(Config{Name: h.name, FS: store.Dir(h.dir), Peers: h.peers, Machine: h.log,
+		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -200,8 +202,8 @@
 	return nil
 }
 
-// The smaller side of a split agrees on nothing, the larger goes on, and all have the same log once it is over. Three to
-// two, two to one, and ways that are silent in one direction only.
+// The smaller side of a split agrees on nothing, the larger goes on, and all have the same log once it is over. Three
+// to two, two to one, and ways that are silent in one direction only.
 func TestSplits(t *testing.T) {
 	for _, c := range []struct {
 		agents int
@@ -275,14 +277,16 @@
 	if member.Number == old.Number || lost.node.Status().Voter {
 		t.Fatalf("%+v, %+v", member, old)
 	}
-	for until := time.Now().Add(20 * time.Second); !lost.node.Status().Voter && time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+	until := time.Now().Add(20 * time.Second)
+	for ; !lost.node.Status().Voter && time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		cluster.leader(0, 1).node.AddMember(t.Context(), member)
 	}
 	if s := lost.node.Status(); !s.Voter || len(s.Members) != 3 || s.Members[old.Number] != "" {
 		t.Fatalf("%+v", s)
 	}
 	cluster.agents[0].stop()
-	if !cluster.propose(cluster.agents[1], "two of three", 20*time.Second) || !lost.log.waitFor("two of three", 20*time.Second) {
+	if !cluster.propose(cluster.agents[1], "two of three", 20*time.Second) ||
+		!lost.log.waitFor("two of three", 20*time.Second) {
 		t.Error("nothing can be agreed on with the new seat")
 	}
 	if got := lost.log.all(); !slices.Contains(got, "e0") || len(got) < snapshotInterval {
@@ -294,8 +298,8 @@
 	}
 }
 
-// A node that replaces another counts as a voter only once raft needs no majority of the members before the change: until then
-// a further failure would leave nobody who can agree on anything.
+// A node that replaces another counts as a voter only once raft needs no majority of the members before the change:
+// until then a further failure would leave nobody who can agree on anything.
 func TestVoterOnceReplacementIsComplete(t *testing.T) {
 	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), newRecordedLog()))
 	if err != nil {
@@ -359,7 +363,8 @@
 	full := false
 	open := func() (*Node, *recordedLog, func() error) {
 		m := newRecordedLog()
-		n, err := Open(Config{Name: "a", FS: failingFS{store.Dir(dir), &full}, Peers: map[string]string{"a": ""}, Machine: m, Log: slog.New(slog.DiscardHandler)})
+		n, err := Open(Config{Name: "a", FS: failingFS{store.Dir(dir), &full}, Peers: map[string]string{"a": ""},
+			Machine: m, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -402,7 +407,8 @@
 	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); !errors.Is(err, ErrAlreadyBootstrapped) {
 		t.Errorf("founded twice: %v", err)
 	}
-	if _, err := Open(Config{Name: "b", FS: store.Dir(dir), Machine: newRecordedLog(), Log: slog.New(slog.DiscardHandler)}); err == nil {
+	if _, err := Open(Config{Name: "b", FS: store.Dir(dir), Machine: newRecordedLog(),
+		Log: slog.New(slog.DiscardHandler)}); err == nil {
 		t.Error("another agent's folder was opened")
 	}
 	names, _ := store.Dir(dir).List()
@@ -412,7 +418,8 @@
 			f.Close()
 		}
 	}
-	if _, err := Open(Config{Name: "a", FS: store.Dir(dir), Machine: newRecordedLog(), Log: slog.New(slog.DiscardHandler)}); !errors.Is(err, ErrDamaged) {
+	if _, err := Open(Config{Name: "a", FS: store.Dir(dir), Machine: newRecordedLog(),
+		Log: slog.New(slog.DiscardHandler)}); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a damaged folder: %v", err)
 	}
 }
@@ -484,7 +491,8 @@
 		rng := rand.New(rand.NewPCG(2, 2))
 		for ctx.Err() == nil {
 			a, b := rng.IntN(3), rng.IntN(3)
-			x.net.Set(x.names[a], x.names[b], []netfault.State{{Cut: true}, {Silent: true}, {Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Loss: 0.2}}[rng.IntN(3)])
+			x.net.Set(x.names[a], x.names[b], []netfault.State{{Cut: true}, {Silent: true},
+				{Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond, Loss: 0.2}}[rng.IntN(3)])
 			time.Sleep(time.Duration(100+rng.IntN(600)) * time.Millisecond)
 			x.net.Heal()
 			time.Sleep(time.Duration(rng.IntN(600)) * time.Millisecond)
--- a/internal/quorum/propose.go
+++ b/internal/quorum/propose.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// Propose proposes an entry. It returns ErrNoMajority where there is no leader and ErrStopped after Run has ended. It does not wait
-// until the entry is committed: also without an error the entry may be lost.
+// Propose proposes an entry. It returns ErrNoMajority where there is no leader and ErrStopped after Run has ended. It
+// does not wait until the entry is committed: also without an error the entry may be lost.
 func (n *Node) Propose(ctx context.Context, data []byte) error {
 	return n.submit(ctx, proposal{data: data, done: make(chan error, 1)})
 }
--- a/internal/quorum/raftlogger.go
+++ b/internal/quorum/raftlogger.go
@@ -6,7 +6,8 @@
 	"log/slog"
 )
 
-// raftLogger passes raft's warnings and errors to the program's log. Raft's ordinary progress is of no use to operators and is dropped.
+// raftLogger passes raft's warnings and errors to the program's log. Raft's ordinary progress is of no use to
+// operators and is dropped.
 type raftLogger struct{ log *slog.Logger }
 
 func (raftLogger) Debug(...any)                  {}
--- a/internal/quorum/transport.go
+++ b/internal/quorum/transport.go
@@ -125,7 +125,8 @@
 	return batch
 }
 
-// outcomes lists what raft must know of a call: each snapshot, and once for each member that its messages did not arrive.
+// outcomes lists what raft must know of a call: each snapshot, and once for each member that its messages did not
+// arrive.
 func outcomes(batch []*pb.Message, err error) []delivery {
 	var list []delivery
 	reported := map[uint64]bool{}
@@ -206,8 +207,8 @@
 	return list, nil
 }
 
-// Receive is the HTTP handler for messages of other agents, at Path. It answers 400 to a body that can't be read and 410 to one that is
-// meant for a member that this agent is not.
+// Receive is the HTTP handler for messages of other agents, at Path. It answers 400 to a body that can't be read and
+// 410 to one that is meant for a member that this agent is not.
 func (n *Node) Receive(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodySize))
 	if err != nil {
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -31,14 +31,16 @@
 		{at: 17 * s},
 		{at: 18 * s, rejected: true, gossip: true, query: true},
 		{at: 18*s + 400*time.Millisecond, heard: true},
-		{at: 21 * s, rejected: true, gossip: true, query: true}, // a query after a peer was heard need not wait for the interval
+		// a query after a peer was heard need not wait for the interval
+		{at: 21 * s, rejected: true, gossip: true, query: true},
 		{at: 21*s + 400*time.Millisecond, heard: true},
 		{at: 30 * s},
 		{at: 31 * s, rejected: true, gossip: true, query: true},
 		{at: 32 * s, isolated: true},
 		{at: 35 * s, rejected: true, isolated: true},
 		{at: 37 * s, rejected: true, isolated: true},
-		{at: 40 * s, rejected: true, gossip: true, query: true, isolated: true}, // the fourth that nobody heard, and the interval of 5 s is over
+		// the fourth that nobody heard, and the interval of 5 s is over
+		{at: 40 * s, rejected: true, gossip: true, query: true, isolated: true},
 	}
 	for i, x := range steps {
 		if x.heard {
@@ -86,8 +88,10 @@
 		uneven           bool
 		from, to         float64
 	}{
-		{300, 299, false, 0.6, 1}, {300, 299, true, 0.4, 1}, {300, 150, false, 0.33, 1}, {300, 60, false, 0.16, 0.4}, {300, 60, true, 0.07, 0.4},
-		{300, 3, false, 0.01, 0.04}, {40, 39, false, 0.9, 1}, {40, 39, true, 0.7, 1}, {40, 7, false, 0.18, 0.35}, {1000, 100, false, 0.06, 0.33}, {1000, 999, true, 0.15, 1},
+		{300, 299, false, 0.6, 1}, {300, 299, true, 0.4, 1}, {300, 150, false, 0.33, 1}, {300, 60, false, 0.16, 0.4},
+		{300, 60, true, 0.07, 0.4},
+		{300, 3, false, 0.01, 0.04}, {40, 39, false, 0.9, 1}, {40, 39, true, 0.7, 1}, {40, 7, false, 0.18, 0.35},
+		{1000, 100, false, 0.06, 0.33}, {1000, 999, true, 0.15, 1},
 	} {
 		least, most := 2.0, 0.0
 		for range 50 {
--- a/internal/redelivery/planner.go
+++ b/internal/redelivery/planner.go
@@ -1,10 +1,11 @@
-// Package redelivery decides when dead letters may be sent again, and to which partner. It does no I/O, takes the time as a parameter and
-// makes the same decisions from the same events.
+// Package redelivery decides when dead letters may be sent again, and to which partner. It does no I/O, takes the
+// time as a parameter and makes the same decisions from the same events.
 //
-// The controller still decides about each message; this package only limits how many reach it. All senders of a fleet may redeliver to a
-// partner that is warming up at the same time. The rate for a partner is therefore this sender's fair share of its capacity, less the live
-// traffic, times a level that rises slowly from the cold capacity of the settings while calls are served. A rejection, a Retry-After or a
-// failure stops redelivery to the partner; a single trial follows the pause.
+// The controller still decides about each message; this package only limits how many reach it. All senders of a fleet
+// may redeliver to a partner that is warming up at the same time. The rate for a partner is therefore this sender's
+// fair share of its capacity, less the live traffic, times a level that rises slowly from the cold capacity of the
+// settings while calls are served. A rejection, a Retry-After or a failure stops redelivery to the partner; a single
+// trial follows the pause.
 package redelivery
 
 import (
@@ -36,7 +37,8 @@
 	NotSent         // says nothing of the partner
 )
 
-// Load is how busy this sender is: calls in flight and open messages, with their bounds. A bound of 0 messages means none.
+// Load is how busy this sender is: calls in flight and open messages, with their bounds. A bound of 0 messages means
+// none.
 type Load struct{ MaxInFlight, InFlight, MaxOpenMessages, Open int }
 
 const (
@@ -64,14 +66,16 @@
 	pausedUntil time.Duration
 }
 
-// New returns a planner. Each partner counts as warming up at first: it has dead letters because it failed. The seed is for random draws.
+// New returns a planner. Each partner counts as warming up at first: it has dead letters because it failed. The seed
+// is for random draws.
 func New(l Limits, seed uint64) *Planner {
 	p := &Planner{rng: rand.New(rand.NewPCG(seed, 7)), partners: map[int]*partner{}, lastGranted: math.MinInt}
 	p.SetLimits(l)
 	return p
 }
 
-// SetLimits changes the limits; what is known of partners stays. Values out of range are replaced by the nearest that make sense.
+// SetLimits changes the limits; what is known of partners stays. Values out of range are replaced by the nearest that
+// make sense.
 func (p *Planner) SetLimits(l Limits) {
 	l.FleetSize, l.MaxInFlight = max(1, l.FleetSize), max(1, l.MaxInFlight)
 	if l.ColdCapacity <= 0 || l.ColdCapacity > 1 {
@@ -97,8 +101,8 @@
 	return x
 }
 
-// CapacityChanged sets the capacity of a destination in calls a second from all senders (0: unknown), and whether one of its endpoints
-// accepts new work.
+// CapacityChanged sets the capacity of a destination in calls a second from all senders (0: unknown), and whether one
+// of its endpoints accepts new work.
 func (p *Planner) CapacityChanged(now time.Duration, dest int, weight float64, ready bool) {
 	x := p.partner(now, dest)
 	x.capacity, x.ready = max(0, weight), ready
@@ -148,14 +152,15 @@
 	}
 }
 
-// callFailed pauses redelivery to a partner. A rejection between served calls means that a limit was exceeded, which halves the level.
-// Anything else counts as an outage, after which the partner is warming up.
+// callFailed pauses redelivery to a partner. A rejection between served calls means that a limit was exceeded, which
+// halves the level. Anything else counts as an outage, after which the partner is warming up.
 func (p *Planner) callFailed(now time.Duration, x *partner, r Result, retryAfter time.Duration) {
 	if x.failingSince < 0 {
 		x.failingSince = now
 	}
 	x.retryAfter = max(x.retryAfter, now+retryAfter)
-	limited := r == Rejected && retryAfter < p.limits.OverloadWindow && x.servedAt >= 0 && now-x.servedAt < p.limits.OverloadWindow
+	limited := r == Rejected && retryAfter < p.limits.OverloadWindow && x.servedAt >= 0 &&
+		now-x.servedAt < p.limits.OverloadWindow
 	if now < x.pausedUntil { // the call was sent before the pause: it may extend a Retry-After, not the pause
 		x.pausedUntil = max(x.pausedUntil, x.retryAfter)
 		return
@@ -173,8 +178,8 @@
 	x.tokens, x.levelSetAt, x.tokensSetAt = 0, x.pausedUntil, x.pausedUntil
 }
 
-// RedeliveryEnded ends a grant, whatever came of the redelivery. One that the loop did not admit says that this sender is busy; it says
-// nothing of the partner.
+// RedeliveryEnded ends a grant, whatever came of the redelivery. One that the loop did not admit says that this
+// sender is busy; it says nothing of the partner.
 func (p *Planner) RedeliveryEnded(now time.Duration, dest int, admitted bool) {
 	x := p.partner(now, dest)
 	x.inFlight, p.inFlight = max(0, x.inFlight-1), max(0, p.inFlight-1)
@@ -217,9 +222,9 @@
 	return x.tokens >= 1 && x.inFlight < max(1, int(math.Ceil(rate*maxInFlightWindow.Seconds())))
 }
 
-// Grant returns the destinations, of those with messages ready, to which one message each may be sent. They take turns, so that many
-// messages for one do not delay those for others. A grant counts as in flight until RedeliveryEnded. The list is in any order, without
-// duplicates.
+// Grant returns the destinations, of those with messages ready, to which one message each may be sent. They take
+// turns, so that many messages for one do not delay those for others. A grant counts as in flight until
+// RedeliveryEnded. The list is in any order, without duplicates.
 func (p *Planner) Grant(now time.Duration, ready []int, load Load) []int {
 	if now < p.pausedUntil || load.MaxOpenMessages > 0 && maxOpenFraction*load.Open >= load.MaxOpenMessages {
 		return nil
--- a/internal/redelivery/planner_test.go
+++ b/internal/redelivery/planner_test.go
@@ -10,7 +10,8 @@
 )
 
 var limits = Limits{
-	FleetSize: 1, ColdCapacity: 0.22, WarmUp: 13 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second, CapacityShare: 0.5, MaxInFlight: 8,
+	FleetSize: 1, ColdCapacity: 0.22, WarmUp: 13 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second,
+	CapacityShare: 0.5, MaxInFlight: 8,
 }
 
 var idle = Load{MaxInFlight: 16, MaxOpenMessages: 200}
@@ -167,7 +168,8 @@
 		t.Errorf("%d alone, %d beside full live traffic", alone, n)
 	}
 	for name, load := range map[string]Load{
-		"slots": {MaxInFlight: 16, InFlight: 12, MaxOpenMessages: 200}, "hold": {MaxInFlight: 16, MaxOpenMessages: 200, Open: 100},
+		"slots": {MaxInFlight: 16, InFlight: 12, MaxOpenMessages: 200},
+		"hold":  {MaxInFlight: 16, MaxOpenMessages: 200, Open: 100},
 	} {
 		p, now := warm(t, 20, 7)
 		if n := grants(p, now, 5*time.Second, load, 7); n[7] > 0 {
@@ -212,7 +214,8 @@
 				p.CapacityChanged(now, dest, rapid.Float64Range(0, 100).Draw(t, "weight"), rapid.Bool().Draw(t, "ready"))
 			case 1:
 				wait := time.Duration(rapid.IntRange(0, 4000).Draw(t, "wait")) * time.Millisecond
-				p.CallEnded(now, dest, rapid.SampledFrom([]Result{Served, Rejected, Failed, NotSent}).Draw(t, "result"), wait, rapid.Bool().Draw(t, "own"))
+				p.CallEnded(now, dest, rapid.SampledFrom([]Result{Served, Rejected, Failed, NotSent}).Draw(t, "result"), wait,
+					rapid.Bool().Draw(t, "own"))
 				waits[dest] = max(waits[dest], now+wait)
 			case 2:
 				if out[dest] > 0 {
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -1,6 +1,7 @@
-// Package report turns the ledger of a run into a page: service over time, what failed and why, calls in flight, the age of the oldest open
-// message, and latencies by class, with the faults on the time axis. It also sums up limits and outages, and compares paired runs. It reads a
-// ledger event by event in bounded memory, and judges nothing: that is package audit's.
+// Package report turns the ledger of a run into a page: service over time, what failed and why, calls in flight, the
+// age of the oldest open message, and latencies by class, with the faults on the time axis. It also sums up limits
+// and outages, and compares paired runs. It reads a ledger event by event in bounded memory, and judges nothing: that
+// is package audit's.
 package report
 
 import (
@@ -57,8 +58,9 @@
 // NewCollector returns a collector for a run of a plan.
 func NewCollector(p *scenario.Plan) *Collector {
 	c := &Collector{
-		plan: p, binWidth: time.Second, meter: simulation.NewServiceMeter(p.Scenario), requests: map[int]request{}, requestByID: map[string]int{},
-		calls: map[uint64][]string{}, openSince: map[string]time.Duration{}, causes: map[string]int{},
+		plan: p, binWidth: time.Second, meter: simulation.NewServiceMeter(p.Scenario), requests: map[int]request{},
+		requestByID: map[string]int{},
+		calls:       map[uint64][]string{}, openSince: map[string]time.Duration{}, causes: map[string]int{},
 	}
 	for p.Scenario.Length/c.binWidth > maxBins {
 		c.binWidth *= 2
@@ -77,7 +79,8 @@
 		if n := len(c.bins); n > 0 {
 			c.bins[n-1].oldestAge = c.oldest(time.Duration(n) * c.binWidth)
 		}
-		c.bins = append(c.bins, timeBin{causes: map[string]int{}, callsInFlight: len(c.calls), openMessages: len(c.openSince)})
+		c.bins = append(c.bins, timeBin{causes: map[string]int{}, callsInFlight: len(c.calls),
+			openMessages: len(c.openSince)})
 	}
 	return &c.bins[i]
 }
@@ -160,7 +163,8 @@
 		}
 		age := e.At - w.requestedAt
 		c.byClass[w.class].RecordValue(min(max(age.Milliseconds(), 1), 599_999)) // fails only out of range
-		c.bins[w.requestedAt/c.binWidth].delivered += simulation.PriorityWeightAt(&c.plan.Scenario.Traffic.Classes[w.class], age)
+		c.bins[w.requestedAt/c.binWidth].delivered += simulation.PriorityWeightAt(&c.plan.Scenario.Traffic.Classes[w.class],
+			age)
 		for _, other := range w.ids {
 			delete(c.requestByID, other)
 		}
--- a/internal/report/limits.go
+++ b/internal/report/limits.go
@@ -39,7 +39,8 @@
 
 // NewSums returns the counts for a run of a plan.
 func NewSums(p *scenario.Plan) *Sums {
-	return &Sums{plan: p, byDestination: map[int][]*secondCount{}, calls: map[uint64]*secondCount{}, limitFactors: map[string]float64{}}
+	return &Sums{plan: p, byDestination: map[int][]*secondCount{}, calls: map[uint64]*secondCount{},
+		limitFactors: map[string]float64{}}
 }
 
 // Read takes the next event.
@@ -70,7 +71,8 @@
 func (s *Sums) secondAt(dest int, at time.Duration) *secondCount {
 	n := int(at / time.Second)
 	for len(s.byDestination[dest]) <= n {
-		s.byDestination[dest] = append(s.byDestination[dest], &secondCount{Sum: Sum{At: len(s.byDestination[dest])}, callsBySender: map[int]int{}})
+		s.byDestination[dest] = append(s.byDestination[dest],
+			&secondCount{Sum: Sum{At: len(s.byDestination[dest])}, callsBySender: map[int]int{}})
 	}
 	return s.byDestination[dest][n]
 }
@@ -204,9 +206,11 @@
 
 // Table writes a destination's run, a line a second.
 func (s *Sums) Table(out io.Writer, dest int) error {
-	fmt.Fprintf(out, "destination %d\n%8s %8s %8s %8s %8s %8s %8s %8s\n", dest, "SECOND", "LIMIT", "WANTED", "CALLS", "REFUSED", "SERVED", "SENDERS", "MOST")
+	fmt.Fprintf(out, "destination %d\n%8s %8s %8s %8s %8s %8s %8s %8s\n", dest, "SECOND", "LIMIT", "WANTED", "CALLS",
+		"REFUSED", "SERVED", "SENDERS", "MOST")
 	for _, x := range s.Of(dest) {
-		if _, err := fmt.Fprintf(out, "%8d %8.1f %8d %8d %8d %8d %8d %8d\n", x.At, x.Limit, x.Requested, x.Calls, x.Rejected, x.Served, x.Senders, x.MaxOfOneSender); err != nil {
+		if _, err := fmt.Fprintf(out, "%8d %8.1f %8d %8d %8d %8d %8d %8d\n", x.At, x.Limit, x.Requested, x.Calls,
+			x.Rejected, x.Served, x.Senders, x.MaxOfOneSender); err != nil {
 			return err
 		}
 	}
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -13,7 +13,8 @@
 	"cleathold/internal/simulation"
 )
 
-// What all senders did together against a limit that is halved and rises again: each call is counted once, in its second.
+// What all senders did together against a limit that is halved and rises again: each call is counted once, in its
+// second.
 func TestSums(t *testing.T) {
 	s, err := scenario.Load("../../examples/scenarios/fleet-cut.star", map[string]float64{"parts": 40})
 	if err != nil {
@@ -39,14 +40,16 @@
 		}
 	}
 	if calls != r.Calls || refused != r.RejectedCalls || senders < 30 || senders > 40 {
-		t.Errorf("%d calls and %d refused, the run had %d and %d; %d senders in a second", calls, refused, r.Calls, r.RejectedCalls, senders)
+		t.Errorf("%d calls and %d refused, the run had %d and %d; %d senders in a second", calls, refused, r.Calls,
+			r.RejectedCalls, senders)
 	}
 	only := sums.Limited()
 	if len(only) != 1 {
 		t.Fatalf("limits of %v change", only)
 	}
 	spans := sums.Spans(only[0])
-	if len(spans) != 3 || spans[0].To != 12 || spans[1].To != 32 || math.Abs(spans[1].Limit-56) > 1e-6 || math.Abs(spans[0].Limit-112)+math.Abs(spans[2].Limit-112) > 1e-6 {
+	if len(spans) != 3 || spans[0].To != 12 || spans[1].To != 32 || math.Abs(spans[1].Limit-56) > 1e-6 ||
+		math.Abs(spans[0].Limit-112)+math.Abs(spans[2].Limit-112) > 1e-6 {
 		t.Errorf("%+v", spans)
 	}
 	if x := spans[1]; x.Calls <= x.Served || x.MaxExcess < 1 || x.Used < 0.9 {
@@ -58,24 +61,28 @@
 	}
 }
 
-// boundSeeds is how many seeds a size TestBoundOfLimits plays. By hand: go test ./internal/report -run BoundOfLimits -bound 50
+// boundSeeds is how many seeds a size TestBoundOfLimits plays. By hand: go test ./internal/report -run BoundOfLimits
+// -bound 50
 var boundSeeds = flag.Uint64("bound", 2, "seeds a size of TestBoundOfLimits")
 
-// The bound of docs/design/fleet-limits.md: 3 s after a limit was halved in the middle of a cut no more than a tenth of it (an eighth in
-// five parts) is refused, and most of it is used, however the fleet is parted; without a cut the same. By virtual time, in the means of seeds.
+// The bound of docs/design/fleet-limits.md: 3 s after a limit was halved in the middle of a cut no more than a tenth
+// of it (an eighth in five parts) is refused, and most of it is used, however the fleet is parted; without a cut the
+// same. By virtual time, in the means of seeds.
 func TestBoundOfLimits(t *testing.T) {
 	for _, c := range []struct {
 		senders, rate, parts float64
 		refused, worst       float64 // of the limit, at most: in the mean of the seeds, and of each
 		used                 float64 // of each, at least
 	}{
-		{40, 240, 1, 0.1, 0.15, 0.9}, {40, 240, 40, 0.1, 0.15, 0.8}, {40, 240, 5, 0.13, 0.2, 0.9}, {150, 450, 150, 0.1, 0.15, 0.85},
+		{40, 240, 1, 0.1, 0.15, 0.9}, {40, 240, 40, 0.1, 0.15, 0.8}, {40, 240, 5, 0.13, 0.2, 0.9},
+		{150, 450, 150, 0.1, 0.15, 0.85},
 		{250, 500, 250, 0.1, 0.16, 0.85}, {250, 500, 2, 0.1, 0.15, 0.85},
 	} {
 		seeds := *boundSeeds
 		var sum Span
 		for seed := range seeds {
-			s, err := scenario.Load("../../examples/scenarios/fleet-cut.star", map[string]float64{"senders": c.senders, "rate": c.rate, "parts": c.parts})
+			s, err := scenario.Load("../../examples/scenarios/fleet-cut.star",
+				map[string]float64{"senders": c.senders, "rate": c.rate, "parts": c.parts})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -93,13 +100,16 @@
 			x := sums.Between(sums.Limited()[0], 15, 22)
 			n := float64(seeds)
 			if x.Rejected > c.worst*x.Limit || x.Used < c.used {
-				t.Errorf("%v senders in %v parts, seed %d: limit %.0f, refused %.1f a second, used %.2f", c.senders, c.parts, seed+1, x.Limit, x.Rejected, x.Used)
+				t.Errorf("%v senders in %v parts, seed %d: limit %.0f, refused %.1f a second, used %.2f", c.senders, c.parts,
+					seed+1, x.Limit, x.Rejected, x.Used)
 			}
 			sum.Limit, sum.Rejected, sum.Served = sum.Limit+x.Limit/n, sum.Rejected+x.Rejected/n, sum.Served+x.Served/n
 		}
-		t.Logf("%v senders in %v parts: limit %.0f, refused %.1f, served %.1f a second", c.senders, c.parts, sum.Limit, sum.Rejected, sum.Served)
+		t.Logf("%v senders in %v parts: limit %.0f, refused %.1f, served %.1f a second", c.senders, c.parts, sum.Limit,
+			sum.Rejected, sum.Served)
 		if sum.Rejected > c.refused*sum.Limit || sum.Served < 0.85*sum.Limit {
-			t.Errorf("%v senders in %v parts: limit %.0f, refused %.1f, served %.1f a second", c.senders, c.parts, sum.Limit, sum.Rejected, sum.Served)
+			t.Errorf("%v senders in %v parts: limit %.0f, refused %.1f, served %.1f a second", c.senders, c.parts, sum.Limit,
+				sum.Rejected, sum.Served)
 		}
 	}
 }
--- a/internal/report/outages.go
+++ b/internal/report/outages.go
@@ -25,7 +25,8 @@
 	DiscoveriesInFirstSecond int     `json:"first"`   // of them, in the first second
 	DiscoveringSenders       int     `json:"finders"` // senders that met it
 	MaxOfOneSender           int     `json:"most"`    // discoveries by one sender
-	BalancedAfter            float64 `json:"even"`    // seconds from its end until the endpoints get two thirds of their fair share of calls; below 0: never
+	// seconds from its end until the endpoints get two thirds of their fair share of calls; below 0: never
+	BalancedAfter float64 `json:"even"`
 }
 
 // Outages follows the outages of endpoints in a run. Reduced limits are not among them; see Sums.
@@ -43,7 +44,8 @@
 	affected                         map[string]bool
 	discoveriesBySender              map[int]int // by sender
 	requestedWeight, deliveredWeight float64
-	callsAfter                       [][2]int // calls to the affected endpoints, and to all, in steps of outageStep from its end
+	// calls to the affected endpoints, and to all, in steps of outageStep from its end
+	callsAfter [][2]int
 }
 
 // NewOutages returns the outages of a run of a plan.
@@ -140,7 +142,8 @@
 	return list
 }
 
-// balancedAfter returns the end of the first second, after the outage, in which the affected endpoints got two thirds of their fair share.
+// balancedAfter returns the end of the first second, after the outage, in which the affected endpoints got two thirds
+// of their fair share.
 func (x *outage) balancedAfter() float64 {
 	const second = int(time.Second / outageStep)
 	want := 2.0 / 3 * float64(x.Affected) / float64(x.Of)
@@ -158,9 +161,12 @@
 
 // WriteOutages writes a table with a line for each outage.
 func WriteOutages(out io.Writer, list []Outage) error {
-	fmt.Fprintf(out, "%11s %7s %7s %7s %7s %7s %7s %7s %7s %5s %6s\n", "DESTINATION", "STRUCK", "FROM", "TO", "WANTED", "SERVED", "FINDS", "FIRST", "FINDERS", "MOST", "EVEN")
+	fmt.Fprintf(out, "%11s %7s %7s %7s %7s %7s %7s %7s %7s %5s %6s\n", "DESTINATION", "STRUCK", "FROM", "TO", "WANTED",
+		"SERVED", "FINDS", "FIRST", "FINDERS", "MOST", "EVEN")
 	for _, x := range list {
-		_, err := fmt.Fprintf(out, "%11d %7s %7.1f %7.1f %7d %7.3f %7d %7d %7d %5d %6.1f\n", x.Dest, fmt.Sprintf("%d/%d", x.Affected, x.Of), x.From, x.To, x.Requested, x.Served, x.Discoveries, x.DiscoveriesInFirstSecond, x.DiscoveringSenders, x.MaxOfOneSender, x.BalancedAfter)
+		_, err := fmt.Fprintf(out, "%11d %7s %7.1f %7.1f %7d %7.3f %7d %7d %7d %5d %6.1f\n", x.Dest,
+			fmt.Sprintf("%d/%d", x.Affected, x.Of), x.From, x.To, x.Requested, x.Served, x.Discoveries,
+			x.DiscoveriesInFirstSecond, x.DiscoveringSenders, x.MaxOfOneSender, x.BalancedAfter)
 		if err != nil {
 			return err
 		}
--- a/internal/report/outages_test.go
+++ b/internal/report/outages_test.go
@@ -15,7 +15,9 @@
 )
 
 // dead plays fleet-dead.star and what is added to it, and tells what its senders ran into.
-func dead(t *testing.T, set map[string]float64, seed uint64, see func(audit.Event), more ...string) ([]Outage, simulation.Result) {
+func dead(
+	t *testing.T, set map[string]float64, seed uint64, see func(audit.Event), more ...string,
+) ([]Outage, simulation.Result) {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/fleet-dead.star")
 	if err != nil {
@@ -57,16 +59,20 @@
 		t.Fatalf("%+v", list)
 	}
 	a, b := list[0], list[1]
-	if a.Discoveries+b.Discoveries != finds || a.Requested+b.Requested != wanted || finds == 0 || max(a.DiscoveringSenders, b.DiscoveringSenders) > len(senders) || a.DiscoveringSenders+b.DiscoveringSenders < len(senders) {
+	if a.Discoveries+b.Discoveries != finds || a.Requested+b.Requested != wanted || finds == 0 ||
+		max(a.DiscoveringSenders, b.DiscoveringSenders) > len(senders) ||
+		a.DiscoveringSenders+b.DiscoveringSenders < len(senders) {
 		t.Errorf("%d finds by %d senders, %d messages wanted: %+v", finds, len(senders), wanted, list)
 	}
 	for _, x := range list {
-		if x.Affected != 3 || x.Of != 6 || x.From != 14 || x.To != 20 || x.DiscoveriesInFirstSecond > x.Discoveries || x.MaxOfOneSender > x.Discoveries || x.Served <= 0.5 || x.Served > 1 || x.BalancedAfter < 1 || x.BalancedAfter > 10 {
+		if x.Affected != 3 || x.Of != 6 || x.From != 14 || x.To != 20 || x.DiscoveriesInFirstSecond > x.Discoveries ||
+			x.MaxOfOneSender > x.Discoveries || x.Served <= 0.5 || x.Served > 1 || x.BalancedAfter < 1 || x.BalancedAfter > 10 {
 			t.Errorf("%+v", x)
 		}
 	}
 	var out bytes.Buffer
-	if err := WriteOutages(&out, list); err != nil || strings.Count(out.String(), "\n") != 3 || !strings.Contains(out.String(), "3/6") {
+	if err := WriteOutages(&out, list); err != nil || strings.Count(out.String(), "\n") != 3 ||
+		!strings.Contains(out.String(), "3/6") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	if list, _ := dead(t, map[string]float64{"dead": 0}, 1, func(audit.Event) {}); len(list) != 0 {
@@ -74,11 +80,13 @@
 	}
 }
 
-// The promise of docs/design/fleet-limits.md: with half of the endpoints dead, or hanging, at least 0.97 is served at any size, and the calls
-// that run into a dead one grow no faster than the logarithm of the senders. The same holds of a fleet in five parts, for each part.
+// The promise of docs/design/fleet-limits.md: with half of the endpoints dead, or hanging, at least 0.97 is served at
+// any size, and the calls that run into a dead one grow no faster than the logarithm of the senders. The same holds
+// of a fleet in five parts, for each part.
 func TestVerdictsOfFleet(t *testing.T) {
 	finds := func(senders, rate, mode, parts float64) int {
-		list, r := dead(t, map[string]float64{"senders": senders, "rate": rate, "mode": mode, "parts": parts}, 2, func(audit.Event) {})
+		list, r := dead(t, map[string]float64{"senders": senders, "rate": rate, "mode": mode, "parts": parts}, 2,
+			func(audit.Event) {})
 		n := 0
 		for _, x := range list {
 			if n += x.Discoveries; x.Served < 0.97 {
@@ -98,8 +106,9 @@
 	finds(250, 500, 1, 1)
 }
 
-// Ways that are broken between some senders and one endpoint of six take it from nobody else for long, and one that comes and goes is
-// found by few each time. So many calls a second go there of what an even part of those that reach it would be.
+// Ways that are broken between some senders and one endpoint of six take it from nobody else for long, and one that
+// comes and goes is found by few each time. So many calls a second go there of what an even part of those that reach
+// it would be.
 func TestBrokenWaysOfFleet(t *testing.T) {
 	const one = `link(at = 10, seconds = 18, to = "endpoint/e00001", `
 	for _, c := range []struct {
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -75,8 +75,10 @@
 	p := &Page{Title: c.plan.Scenario.Name, Violations: f.Violations, notes: f.Notes}
 	p.Lines = append(p.Lines, f.Head...)
 	p.Lines = append(p.Lines,
-		Line{"service", fmt.Sprintf("%.3f (whole %.3f, worst 10 s %.3f at %v)", score.Service, score.Overall, score.Worst, score.WorstAt)},
-		Line{"messages", fmt.Sprintf("%d; %d calls, %d of them turned away by partners; %d hand-ins turned away", score.Messages, score.Calls, score.RejectedCalls, score.Rejected)},
+		Line{"service", fmt.Sprintf("%.3f (whole %.3f, worst 10 s %.3f at %v)", score.Service, score.Overall, score.Worst,
+			score.WorstAt)},
+		Line{"messages", fmt.Sprintf("%d; %d calls, %d of them turned away by partners; %d hand-ins turned away",
+			score.Messages, score.Calls, score.RejectedCalls, score.Rejected)},
 		Line{"senders that ended", fmt.Sprint(c.deaths)},
 		Line{"rules", rulesText(f.Violations)},
 	)
@@ -99,13 +101,17 @@
 		lines    []series
 		marks    bool
 	}{
-		{"Service", "share of the worth asked for", []series{{"brought, by the time it was wanted", c.seriesOf(func(b *timeBin) (float64, bool) { return b.delivered / max(b.requested, 1e-9), b.requested > 0 })}}, true},
+		{"Service", "share of the worth asked for",
+			[]series{{"brought, by the time it was wanted", c.seriesOf(func(b *timeBin) (float64, bool) {
+				return b.delivered / max(b.requested, 1e-9), b.requested > 0
+			})}}, true},
 		{"What came to nothing", "in each " + c.binWidth.String(), c.causeSeries(), true},
 		{"Calls in flight, messages that wait", "at most", []series{
 			{"calls out", c.seriesOf(func(b *timeBin) (float64, bool) { return float64(b.callsInFlight), true })},
 			{"messages without an end", c.seriesOf(func(b *timeBin) (float64, bool) { return float64(b.openMessages), true })},
 		}, true},
-		{"Age of the oldest message without an end", "seconds", []series{{"oldest", c.seriesOf(func(b *timeBin) (float64, bool) { return b.oldestAge.Seconds(), true })}}, true},
+		{"Age of the oldest message without an end", "seconds",
+			[]series{{"oldest", c.seriesOf(func(b *timeBin) (float64, bool) { return b.oldestAge.Seconds(), true })}}, true},
 		{"How long messages took, by class", "share delivered by then", c.latencies(), false},
 	} {
 		svg, err := c.draw(d.title, d.y, d.lines, marks, d.marks)
@@ -160,7 +166,9 @@
 		if len(list) == maxCausesDrawn {
 			break
 		}
-		list = append(list, series{word, c.seriesOf(func(b *timeBin) (float64, bool) { return float64(b.causes[word]), true })})
+		list = append(list, series{word, c.seriesOf(func(b *timeBin) (float64, bool) {
+			return float64(b.causes[word]), true
+		})})
 	}
 	return list
 }
@@ -180,7 +188,8 @@
 
 // palette has the colours of the lines.
 var palette = []color.Color{
-	color.RGBA{31, 119, 180, 255}, color.RGBA{214, 39, 40, 255}, color.RGBA{44, 160, 44, 255}, color.RGBA{148, 103, 189, 255},
+	color.RGBA{31, 119, 180, 255}, color.RGBA{214, 39, 40, 255}, color.RGBA{44, 160, 44, 255},
+	color.RGBA{148, 103, 189, 255},
 	color.RGBA{255, 127, 14, 255}, color.RGBA{23, 190, 207, 255},
 }
 
@@ -294,14 +303,16 @@
 		fmt.Fprintf(t, "%s\t%s\n", l.Name, l.Value)
 	}
 	for _, b := range p.Violations {
-		fmt.Fprintf(t, "BROKEN\t%v by sender %d: %s: %s (message %s, calls %v, times %v)\n", b.At, b.Sender, b.Rule, b.Text, b.Message, b.Calls, b.Times)
+		fmt.Fprintf(t, "BROKEN\t%v by sender %d: %s: %s (message %s, calls %v, times %v)\n", b.At, b.Sender, b.Rule, b.Text,
+			b.Message, b.Calls, b.Times)
 	}
 	for _, m := range p.Marks {
 		fmt.Fprintf(t, "%d\t%s\t%s\n", m.Number, m.Span, m.Text)
 	}
 	fmt.Fprintln(t, "class\tdelivered\tshare\t50%\t90%\t99%\t99.9%\tlongest ms")
 	for _, c := range p.Classes {
-		fmt.Fprintf(t, "%s\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\n", c.Class, c.Delivered, c.Share, c.P50, c.P90, c.P99, c.P999, c.Longest)
+		fmt.Fprintf(t, "%s\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\n", c.Class, c.Delivered, c.Share, c.P50, c.P90, c.P99, c.P999,
+			c.Longest)
 	}
 	for _, c := range p.Causes {
 		fmt.Fprintf(t, "%s\t%d\n", c.Cause, c.Count)
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -61,7 +61,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page, err := c.Page(Facts{Violations: []audit.Violation{{Rule: audit.RuleOutcome, Message: "<m1>"}}, Notes: []string{"late"}})
+	page, err := c.Page(Facts{Violations: []audit.Violation{{Rule: audit.RuleOutcome, Message: "<m1>"}},
+		Notes: []string{"late"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +79,8 @@
 	if page.Text(&text) != nil || page.HTML(&html) != nil {
 		t.Fatal("not written")
 	}
-	if !strings.Contains(text.String(), "NOTE: late") || !strings.Contains(text.String(), "sender 0: kill") || r.Messages != asked {
+	if !strings.Contains(text.String(), "NOTE: late") || !strings.Contains(text.String(), "sender 0: kill") ||
+		r.Messages != asked {
 		t.Error(text.String())
 	}
 	if strings.Contains(html.String(), "<m1>") || !strings.Contains(html.String(), "&lt;m1&gt;") {
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -31,28 +31,29 @@
 
 // Command is an entry of the replicated log.
 type Command struct {
-	Verb        Verb           `json:"verb"`
-	ID          string         `json:"id,omitempty"` // by which the proposer recognizes its own command
-	At          time.Time      `json:"at"`
-	By          string         `json:"by"`
-	Reason      string         `json:"reason,omitempty"`
-	Terms       *Terms         `json:"terms,omitempty"`
-	Roster      []Member       `json:"roster,omitempty"`
-	New         *Plan          `json:"new,omitempty"`
-	Plan        uint64         `json:"plan,omitempty"`
-	Revision    uint64         `json:"revision,omitempty"`
-	Senders     []string       `json:"senders,omitempty"`
-	Requests    []GrantRequest `json:"asks,omitempty"`
-	Seen        []string       `json:"seen,omitempty"` // senders that the proposer saw serving, none longer than Timing.Fresh before At
-	Sender      string         `json:"sender,omitempty"`
-	Epoch       uint64         `json:"epoch,omitempty"`
-	Observation *Observation   `json:"sight,omitempty"`
-	Stage       int            `json:"stage,omitempty"`
-	Good        bool           `json:"good,omitempty"`
-	Text        string         `json:"text,omitempty"`
-	Others      *Sums          `json:"others,omitempty"` // baseline of the stage that is left
-	Endpoint    string         `json:"endpoint,omitempty"`
-	Listed      []Endpoint     `json:"listed,omitempty"` // all that the proposer knows
+	Verb     Verb           `json:"verb"`
+	ID       string         `json:"id,omitempty"` // by which the proposer recognizes its own command
+	At       time.Time      `json:"at"`
+	By       string         `json:"by"`
+	Reason   string         `json:"reason,omitempty"`
+	Terms    *Terms         `json:"terms,omitempty"`
+	Roster   []Member       `json:"roster,omitempty"`
+	New      *Plan          `json:"new,omitempty"`
+	Plan     uint64         `json:"plan,omitempty"`
+	Revision uint64         `json:"revision,omitempty"`
+	Senders  []string       `json:"senders,omitempty"`
+	Requests []GrantRequest `json:"asks,omitempty"`
+	// senders that the proposer saw serving, none longer than Timing.Fresh before At
+	Seen        []string     `json:"seen,omitempty"`
+	Sender      string       `json:"sender,omitempty"`
+	Epoch       uint64       `json:"epoch,omitempty"`
+	Observation *Observation `json:"sight,omitempty"`
+	Stage       int          `json:"stage,omitempty"`
+	Good        bool         `json:"good,omitempty"`
+	Text        string       `json:"text,omitempty"`
+	Others      *Sums        `json:"others,omitempty"` // baseline of the stage that is left
+	Endpoint    string       `json:"endpoint,omitempty"`
+	Listed      []Endpoint   `json:"listed,omitempty"` // all that the proposer knows
 }
 
 // Event is a line of the history that operators read.
--- a/internal/rollout/endpoint.go
+++ b/internal/rollout/endpoint.go
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("endpoint %s of destination %d is out", e.ID, e.Dest), nil
 }
 
-// checkEndpointBudget returns why an endpoint can't be excluded, or nil. Endpoints that discovery drains, and those that are being included
-// again, count as out; the last one of a destination is never excluded.
+// checkEndpointBudget returns why an endpoint can't be excluded, or nil. Endpoints that discovery drains, and those
+// that are being included again, count as out; the last one of a destination is never excluded.
 func (s *State) checkEndpointBudget(e Endpoint, listed []Endpoint) error {
 	b := s.Terms.Budget
 	dest, kind, serving := map[string]bool{}, map[string]bool{}, 0
@@ -67,7 +67,8 @@
 	}
 	switch {
 	case len(dest) >= b.Endpoints:
-		return reject("%d endpoints of destination %d are out, %d may be: %s", len(dest), e.Dest, b.Endpoints, firstNames(dest))
+		return reject("%d endpoints of destination %d are out, %d may be: %s", len(dest), e.Dest, b.Endpoints,
+			firstNames(dest))
 	case b.Kind > 0 && len(kind) >= b.Kind:
 		return reject("%d endpoints of its kind are out, %d may be: %s", len(kind), b.Kind, firstNames(kind))
 	case serving == 0:
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Watch gathers what the gates of stages are decided by. It belongs to the leading agent: a new leader gathers anew, which takes longer, but
-// lets nothing pass that the old one would not have. The sums of the unchanged senders are replicated with each stage that is left, since in
-// the last stage none remain to compare with. The zero value is ready for use.
+// Watch gathers what the gates of stages are decided by. It belongs to the leading agent: a new leader gathers anew,
+// which takes longer, but lets nothing pass that the old one would not have. The sums of the unchanged senders are
+// replicated with each stage that is left, since in the last stage none remain to compare with. The zero value is
+// ready for use.
 type Watch struct{ plans map[uint64]*stageWatch }
 
 // stageWatch is what was gathered of the current stage of a plan.
@@ -106,7 +107,9 @@
 }
 
 // compare sums up what the senders have done. It returns a verdict if a changed sender has failed.
-func (w *stageWatch) compare(s *State, p *Plan, observations map[string]Observation, now time.Time) (comparison, *Verdict) {
+func (w *stageWatch) compare(
+	s *State, p *Plan, observations map[string]Observation, now time.Time,
+) (comparison, *Verdict) {
 	var x comparison
 	for name := range s.Members {
 		before, observed := w.updateBaseline(name, observations[name])
@@ -140,8 +143,8 @@
 	return x, nil
 }
 
-// updateBaseline returns the baseline of a sender and its latest observation. A new leader completes its baseline with the first observation
-// of a process, and with the count of restarts that only the sender's own agent knows.
+// updateBaseline returns the baseline of a sender and its latest observation. A new leader completes its baseline
+// with the first observation of a process, and with the count of restarts that only the sender's own agent knows.
 func (w *stageWatch) updateBaseline(name string, observed Observation) (before, after Observation) {
 	before = w.baseline[name]
 	if before.Process == "" && observed.Process != "" {
@@ -155,13 +158,17 @@
 	return before, observed
 }
 
-// decide returns the verdict where nothing is worse: once the gate's soak is over and enough messages were compared, or its wait is over.
-func (w *stageWatch) decide(p *Plan, x comparison, pending bool, observations map[string]Observation, now time.Time) Verdict {
+// decide returns the verdict where nothing is worse: once the gate's soak is over and enough messages were compared,
+// or its wait is over.
+func (w *stageWatch) decide(
+	p *Plan, x comparison, pending bool, observations map[string]Observation, now time.Time,
+) Verdict {
 	waited := now.Sub(w.since)
 	enough := int64(p.Gate.MinMessages)
 	switch {
 	case x.unseen != "" && waited >= p.Gate.Wait:
-		return failed("not known to be good: nobody has seen %s for %v", x.unseen, now.Sub(observations[x.unseen].At).Round(time.Second))
+		return failed("not known to be good: nobody has seen %s for %v", x.unseen,
+			now.Sub(observations[x.unseen].At).Round(time.Second))
 	case waited < p.Gate.Soak || x.unseen != "" || pending && waited < p.Gate.Wait:
 		return Verdict{}
 	case pending:
@@ -171,15 +178,17 @@
 		return Verdict{true, true, fmt.Sprintf("%d messages ended at %d changed senders, %d at others; none worse",
 			x.changed.Ends, x.changed.Senders, x.others.Ends), x.others}
 	case waited >= p.Gate.Wait:
-		return failed("not known to be good: after %v %d messages have ended at the changed senders and %d beside them, %d wanted",
+		return failed("not known to be good: after %v %d messages have ended at the changed senders "+
+			"and %d beside them, %d wanted",
 			waited.Round(time.Second), x.changed.Ends, x.others.Ends, p.Gate.MinMessages)
 	}
 	return Verdict{}
 }
 
-// lostSender returns a sender of the stage that went out and has not served for the soak of the gate since, as observed by its own agent, or
-// nothing. An agent that is still changing the version observes nothing, so that its observation is stale. Without this rule a version that
-// becomes unresponsive right after the change would leave its grant open, and the plan waiting, forever.
+// lostSender returns a sender of the stage that went out and has not served for the soak of the gate since, as
+// observed by its own agent, or nothing. An agent that is still changing the version observes nothing, so that its
+// observation is stale. Without this rule a version that becomes unresponsive right after the change would leave its
+// grant open, and the plan waiting, forever.
 func (w *stageWatch) lostSender(s *State, p *Plan, observations map[string]Observation, now time.Time) string {
 	if w.notServingSince == nil {
 		w.notServingSince = map[string]time.Time{}
@@ -203,9 +212,9 @@
 	return lost
 }
 
-// confirmLate returns why the changed senders' first attempts are late, once that was found twice, a soak apart, or that this is still to be
-// seen. Messages that wait for one faulty destination are late together, so that a single finding may be chance; and a sender that has just
-// started learns of a fault later than the others.
+// confirmLate returns why the changed senders' first attempts are late, once that was found twice, a soak apart, or
+// that this is still to be seen. Messages that wait for one faulty destination are late together, so that a single
+// finding may be chance; and a sender that has just started learns of a fault later than the others.
 func (w *stageWatch) confirmLate(changed, others Sums, g Gate, now time.Time) (reason string, pending bool) {
 	since := changed
 	since.Called, since.Late = changed.Called-w.lateBaseline.Called, changed.Late-w.lateBaseline.Late
@@ -237,5 +246,6 @@
 // withDefaults replaces what a gate leaves out by the defaults.
 func (g Gate) withDefaults() Gate {
 	u := DefaultGate
-	return Gate{cmp.Or(g.MinMessages, u.MinMessages), cmp.Or(g.Soak, u.Soak), cmp.Or(g.Wait, u.Wait), cmp.Or(g.Slack, u.Slack)}
+	return Gate{cmp.Or(g.MinMessages, u.MinMessages), cmp.Or(g.Soak, u.Soak), cmp.Or(g.Wait, u.Wait),
+		cmp.Or(g.Slack, u.Slack)}
 }
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -154,7 +154,8 @@
 	return s.retryOrFail(index, p, t, c, c.Observation.Fault)
 }
 
-// retryOrFail has a sender wait for another grant after one that it did not take up. After several, or with a fault, its task fails.
+// retryOrFail has a sender wait for another grant after one that it did not take up. After several, or with a fault,
+// its task fails.
 func (s *State) retryOrFail(index uint64, p *Plan, t *Task, c Command, fault string) (string, error) {
 	if fault == "" {
 		if t.Tries++; t.Tries < maxGrantAttempts {
@@ -183,7 +184,8 @@
 	return fmt.Sprintf("%s is drained", c.Sender), nil
 }
 
-// Grant permits one sender to go out. It stays open until an observation proves that no copy of it can have effect any more.
+// Grant permits one sender to go out. It stays open until an observation proves that no copy of it can have effect
+// any more.
 type Grant struct {
 	Epoch      uint64    `json:"epoch"`
 	Plan       uint64    `json:"plan"`
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -13,9 +13,9 @@
 	"cleathold/internal/lease"
 )
 
-// The model has three agents, each beside one sender, one log, and everything in between late, twice or never: sights on
-// their way, entries proposed by agents that may lead no more, orders, ends. Clocks differ. It knows what is
-// true, and wants the budget kept by it.
+// The model has three agents, each beside one sender, one log, and everything in between late, twice or never: sights
+// on their way, entries proposed by agents that may lead no more, orders, ends. Clocks differ. It knows what is true,
+// and wants the budget kept by it.
 const (
 	modelFresh  = 6 * time.Millisecond
 	modelAccept = 8 * time.Millisecond
@@ -180,7 +180,8 @@
 		}
 	}
 	if budget := m.states[0].Terms.Budget.Fleet; budget > 0 && len(out) > budget {
-		m.broken = fmt.Sprintf("at %v %s went out by order %d, and then %v were out, %d may be", m.now, modelNames[o.to], o.o.Epoch, out, budget)
+		m.broken = fmt.Sprintf("at %v %s went out by order %d, and then %v were out, %d may be", m.now, modelNames[o.to],
+			o.o.Epoch, out, budget)
 	}
 }
 
@@ -226,7 +227,8 @@
 func (m *model) acts() []func() {
 	list := []func(){func() { m.pass(modelStep) }, func() { m.pass(5 * modelStep) }}
 	for i := range agents {
-		list = append(list, func() { m.far(i, (i+1)%agents) }, func() { m.look(i) }, func() { m.lead(i) }, func() { m.mind(i) })
+		list = append(list, func() { m.far(i, (i+1)%agents) }, func() { m.look(i) }, func() { m.lead(i) },
+			func() { m.mind(i) })
 		if m.applied[i] < len(m.log) {
 			list = append(list, func() { m.apply(i) })
 		}
@@ -315,7 +317,8 @@
 	now := modelTime(m.now + m.offs[i])
 	for _, p := range s.Plans {
 		if t := p.Tasks[v.Sender]; p.Phase == Running && t != nil && t.Step == Waiting {
-			m.log = append(m.log, Command{Verb: GrantThese, At: now, Plan: p.ID, Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.Seen(m.sights[i], now)})
+			m.log = append(m.log, Command{Verb: GrantThese, At: now, Plan: p.ID,
+				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.Seen(m.sights[i], now)})
 		}
 	}
 }
@@ -395,7 +398,8 @@
 // Every order of what may come next, up to a depth, from the states that a drain goes through.
 func TestEveryOrder(t *testing.T) {
 	fast, slow, orders := modelError, -modelError, 0
-	for _, offs := range [][2 * agents]time.Duration{{}, {fast, slow, slow, slow, fast, slow}, {slow, fast, fast, fast, slow, fast}} {
+	for _, offs := range [][2 * agents]time.Duration{{}, {fast, slow, slow, slow, fast, slow},
+		{slow, fast, fast, fast, slow, fast}} {
 		for way := range 10 {
 			start := func() *model {
 				m := newModel(1, offs)
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -18,7 +18,8 @@
 	return list
 }
 
-// Next returns what the leading agent should propose now. Observed changes come first, since everything else depends on them.
+// Next returns what the leading agent should propose now. Observed changes come first, since everything else depends
+// on them.
 func (s *State) Next(observations map[string]Observation, w *Watch, now time.Time) []Command {
 	if list := s.observedChanges(observations, now); len(list) > 0 {
 		return list
@@ -81,7 +82,9 @@
 }
 
 // gateVerdict returns the command for the verdict on the current stage of a release, if it is known.
-func (s *State) gateVerdict(p *Plan, w *Watch, observations map[string]Observation, now time.Time) (c Command, known bool) {
+func (s *State) gateVerdict(
+	p *Plan, w *Watch, observations map[string]Observation, now time.Time,
+) (c Command, known bool) {
 	if p.Kind != Release || p.Phase != Running {
 		return Command{}, false
 	}
@@ -97,7 +100,9 @@
 }
 
 // requestGrants returns the command for as many grants as the budget allows now, if any.
-func (s *State) requestGrants(p *Plan, fleet census, observations map[string]Observation, now time.Time) (Command, bool) {
+func (s *State) requestGrants(
+	p *Plan, fleet census, observations map[string]Observation, now time.Time,
+) (Command, bool) {
 	c := Command{Verb: GrantThese, At: now, Plan: p.ID}
 	order := p.Stages[p.Stage]
 	if p.RolledBack { // in the reverse order
@@ -114,7 +119,8 @@
 			break
 		}
 		v := observations[name]
-		if t.Step != Waiting || m == nil || v.Far || s.checkBudget(fleet, m) != nil { // nobody would carry out the grant of a sender whose agent is silent
+		// nobody would carry out the grant of a sender whose agent is silent
+		if t.Step != Waiting || m == nil || v.Far || s.checkBudget(fleet, m) != nil {
 			continue
 		}
 		c.Requests = append(c.Requests, GrantRequest{Sender: name, Process: v.Process, ObservedAt: v.At})
@@ -138,7 +144,8 @@
 	Fail        // end a change that an earlier process of the agent began
 )
 
-// Duty returns the duty for a grant, by an observation of the sender. lastTaken is the epoch that the sender was last ordered to take up.
+// Duty returns the duty for a grant, by an observation of the sender. lastTaken is the epoch that the sender was last
+// ordered to take up.
 func (s *State) Duty(g *Grant, observed Observation, lastTaken uint64, now time.Time) Duty {
 	p := s.Plan(g.Plan)
 	endWanted := p == nil || p.Tasks[g.Sender] == nil || p.Tasks[g.Sender].Step == Returning || !p.Phase.Open()
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -39,7 +39,8 @@
 	s.finish(index, p)
 }
 
-// finish ends a plan if all its tasks are done. A release that is not rolled back ends by the verdict on its last stage.
+// finish ends a plan if all its tasks are done. A release that is not rolled back ends by the verdict on its last
+// stage.
 func (s *State) finish(index uint64, p *Plan) {
 	for _, t := range p.Tasks {
 		if t.Step != Finished && t.Step != Kept {
@@ -97,7 +98,8 @@
 		if p.Phase != Halted {
 			p.Phase = Halted
 		}
-		p.Why, p.Revision = fmt.Sprintf("%s: %s", c.By, c.Reason), index // also if it is halted, so that a resume ordered before is rejected
+		// also if it is halted, so that a resume ordered before is rejected
+		p.Why, p.Revision = fmt.Sprintf("%s: %s", c.By, c.Reason), index
 		return fmt.Sprintf("plan %d is halted", p.ID), nil
 	case Resume:
 		if p.Phase != Halted {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -79,8 +79,9 @@
 			len(fleet.out), s.Terms.Budget.Fleet, firstNames(fleet.out))
 	}
 	p := &Plan{
-		ID: index, Kind: request.Kind, By: c.By, Reason: c.Reason, At: c.At, To: request.To, AtOnce: request.AtOnce, Hold: request.Hold,
-		Gate: request.Gate, RollBackOnFailure: request.RollBackOnFailure, Phase: Running, Revision: index, Tasks: map[string]*Task{},
+		ID: index, Kind: request.Kind, By: c.By, Reason: c.Reason, At: c.At, To: request.To, AtOnce: request.AtOnce,
+		Hold: request.Hold, Gate: request.Gate, RollBackOnFailure: request.RollBackOnFailure, Phase: Running, Revision: index,
+		Tasks: map[string]*Task{},
 	}
 	changing := names[:0:0]
 	for _, name := range names {
@@ -118,7 +119,8 @@
 		return reject("a release needs a name, and a program or a folder of configurations")
 	case request.AtOnce < 0 || request.AtOnce > s.Terms.Budget.Fleet:
 		return reject("%d senders at once: the budget has 1 to %d", request.AtOnce, s.Terms.Budget.Fleet)
-	case request.Hold < 0 || request.Gate.MinMessages < 0 || request.Gate.Soak < 0 || request.Gate.Wait < 0 || request.Gate.Slack < 0:
+	case request.Hold < 0 || request.Gate.MinMessages < 0 || request.Gate.Soak < 0 || request.Gate.Wait < 0 ||
+		request.Gate.Slack < 0:
 		return reject("a span or a figure below 0")
 	}
 	if err := s.Terms.Check(len(s.Members)); err != nil {
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// setRoster replaces the senders of one agent. A sender with an open grant, or in an open plan, stays until that is over.
+// setRoster replaces the senders of one agent. A sender with an open grant, or in an open plan, stays until that is
+// over.
 func (s *State) setRoster(c Command) (string, error) {
 	if len(c.Roster) > MaxSenders {
 		return "", reject("%d senders, %d at most", len(c.Roster), MaxSenders)
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -42,8 +42,8 @@
 	return fmt.Errorf("%w: %s", ErrRejected, fmt.Sprintf(format, args...))
 }
 
-// Apply applies an entry of the log. Its effect depends on the state and the entry alone. After an error, which wraps ErrRejected, the entry
-// changed nothing but Index. An entry that was applied before changes nothing.
+// Apply applies an entry of the log. Its effect depends on the state and the entry alone. After an error, which wraps
+// ErrRejected, the entry changed nothing but Index. An entry that was applied before changes nothing.
 func (s *State) Apply(index uint64, c Command) error {
 	if index <= s.Index {
 		return nil
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -27,7 +27,8 @@
 	x.must(Command{Verb: SetTerms, Terms: &terms})
 	var roster []Member
 	for i := range senders {
-		roster = append(roster, Member{Name: fmt.Sprint("n", i), Building: []string{"a", "b"}[i%2], Agent: "x", Version: Version{Name: "v1", Program: "/v1"}})
+		roster = append(roster, Member{Name: fmt.Sprint("n", i), Building: []string{"a", "b"}[i%2], Agent: "x",
+			Version: Version{Name: "v1", Program: "/v1"}})
 	}
 	x.must(Command{Verb: SetRoster, By: "x", Roster: roster})
 	for _, m := range roster {
@@ -67,7 +68,8 @@
 	}
 }
 
-// drive proposes and applies until nothing more comes; senders take up their grants as they should, unless told otherwise.
+// drive proposes and applies until nothing more comes; senders take up their grants as they should, unless told
+// otherwise.
 func (x *stand) drive(takes func(g *Grant)) {
 	for range 100 {
 		list := x.s.Next(x.sights, &x.watch, x.now)
@@ -101,7 +103,8 @@
 
 func (x *stand) drain(names ...string) uint64 {
 	x.t.Helper()
-	return x.must(Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{names}}, Seen: x.s.Seen(x.sights, x.now)})
+	return x.must(Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{names}},
+		Seen: x.s.Seen(x.sights, x.now)})
 }
 
 func (x *stand) release(p Plan) uint64 {
@@ -127,7 +130,8 @@
 
 func none(string) int64 { return 0 }
 
-// The budget in each of its parts: who is granted leave at once, of four senders in two buildings, of which some are not seen.
+// The budget in each of its parts: who is granted leave at once, of four senders in two buildings, of which some are
+// not seen.
 func TestBudget(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -160,7 +164,8 @@
 	}
 }
 
-// Each sight of a sender and whether it closes its grant: epoch 5, by 2 s after the grant, clocks wrong by 250 ms at most.
+// Each sight of a sender and whether it closes its grant: epoch 5, by 2 s after the grant, clocks wrong by 250 ms at
+// most.
 func TestClosable(t *testing.T) {
 	x := newStand(t, 2, Budget{Fleet: 1})
 	at := func(s float64) time.Time { return x.now.Add(time.Duration(s * float64(time.Second))) }
@@ -169,18 +174,26 @@
 		v    Observation
 		want bool
 	}{
-		"it has ended it":                         {Observation{Process: "p", At: at(1), Serving: true, Epoch: 5, Ended: true}, true},
-		"it has ended a later one":                {Observation{Process: "p", At: at(1), Serving: true, Epoch: 6, Ended: true}, true},
-		"ended, but it does not serve":            {Observation{Process: "p", At: at(1), Epoch: 5, Ended: true}, false},
-		"ended, seen long ago":                    {Observation{Process: "p", At: at(-9), Serving: true, Epoch: 5, Ended: true}, true},
-		"not taken up, it may yet":                {Observation{Process: "p", At: at(1.9), Serving: true, Epoch: 4, Ended: true}, false},
-		"not taken up, too late by its clock":     {Observation{Process: "p", At: at(2.51), Serving: true, Epoch: 4, Ended: true}, true},
-		"not taken up, too late by another clock": {Observation{Process: "p", At: at(2.4), Serving: true, Epoch: 4, Ended: true}, false},
-		"another process":                         {Observation{Process: "q", At: at(0.1), Serving: true}, true},
-		"another process, from before":            {Observation{Process: "o", At: at(-0.4), Serving: true}, false},
-		"it took it up":                           {Observation{Process: "p", At: at(3), Epoch: 5}, false},
-		"seen by the leader, not its agent":       {Observation{Process: "p", At: at(3), Serving: true, Epoch: 5, Ended: true, Far: true}, false},
-		"another sender":                          {Observation{Sender: "n1", Process: "p", At: at(3), Serving: true, Epoch: 5, Ended: true}, false},
+		"it has ended it": {Observation{Process: "p", At: at(1), Serving: true, Epoch: 5,
+			Ended: true}, true},
+		"it has ended a later one": {Observation{Process: "p", At: at(1), Serving: true, Epoch: 6,
+			Ended: true}, true},
+		"ended, but it does not serve": {Observation{Process: "p", At: at(1), Epoch: 5, Ended: true}, false},
+		"ended, seen long ago": {Observation{Process: "p", At: at(-9), Serving: true, Epoch: 5,
+			Ended: true}, true},
+		"not taken up, it may yet": {Observation{Process: "p", At: at(1.9), Serving: true, Epoch: 4,
+			Ended: true}, false},
+		"not taken up, too late by its clock": {Observation{Process: "p", At: at(2.51), Serving: true, Epoch: 4,
+			Ended: true}, true},
+		"not taken up, too late by another clock": {Observation{Process: "p", At: at(2.4), Serving: true, Epoch: 4,
+			Ended: true}, false},
+		"another process":              {Observation{Process: "q", At: at(0.1), Serving: true}, true},
+		"another process, from before": {Observation{Process: "o", At: at(-0.4), Serving: true}, false},
+		"it took it up":                {Observation{Process: "p", At: at(3), Epoch: 5}, false},
+		"seen by the leader, not its agent": {Observation{Process: "p", At: at(3), Serving: true, Epoch: 5,
+			Ended: true, Far: true}, false},
+		"another sender": {Observation{Sender: "n1", Process: "p", At: at(3), Serving: true,
+			Epoch: 5, Ended: true}, false},
 	} {
 		if c.v.Sender == "" {
 			c.v.Sender = "n0"
@@ -202,15 +215,18 @@
 		c    Command
 		want string
 	}{
-		"no such sender":        {start(Plan{Kind: Drain, Stages: [][]string{{"n9"}}}), `no sender "n9"`},
-		"nobody":                {start(Plan{Kind: Drain}), "name the senders"},
-		"in another plan":       {start(Plan{Kind: Drain, Stages: [][]string{{"n0", "n1"}}}), "n0 is in plan"},
-		"all, one in a plan":    {start(Plan{Kind: Release, To: Version{Name: "v2", Program: "/v2"}}), "n0 is in plan"},
-		"no name":               {start(Plan{Kind: Release, To: Version{Program: "/v2"}}), "needs a name"},
-		"nothing new":           {start(Plan{Kind: Release, Stages: [][]string{{"n1"}}, To: Version{Name: "v1", Program: "/v1"}}), "all of them run v1 already"},
-		"more than the budget":  {start(Plan{Kind: Drain, Stages: [][]string{{"n1"}}, AtOnce: 3}), "3 senders at once"},
-		"no reason":             {Command{Verb: Start, New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}}, Seen: seen}, "a reason"},
-		"the fleet breaks it":   {Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}}, Seen: []string{"n1"}}, "3 senders are out or not seen now"},
+		"no such sender":     {start(Plan{Kind: Drain, Stages: [][]string{{"n9"}}}), `no sender "n9"`},
+		"nobody":             {start(Plan{Kind: Drain}), "name the senders"},
+		"in another plan":    {start(Plan{Kind: Drain, Stages: [][]string{{"n0", "n1"}}}), "n0 is in plan"},
+		"all, one in a plan": {start(Plan{Kind: Release, To: Version{Name: "v2", Program: "/v2"}}), "n0 is in plan"},
+		"no name":            {start(Plan{Kind: Release, To: Version{Program: "/v2"}}), "needs a name"},
+		"nothing new": {start(Plan{Kind: Release, Stages: [][]string{{"n1"}},
+			To: Version{Name: "v1", Program: "/v1"}}), "all of them run v1 already"},
+		"more than the budget": {start(Plan{Kind: Drain, Stages: [][]string{{"n1"}}, AtOnce: 3}), "3 senders at once"},
+		"no reason": {Command{Verb: Start, New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}}, Seen: seen},
+			"a reason"},
+		"the fleet breaks it": {Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}},
+			Seen: []string{"n1"}}, "3 senders are out or not seen now"},
 		"a budget of none":      {terms(Budget{}), "1 at the least"},
 		"a budget of too many":  {terms(Budget{Fleet: 5}), "of 4 there are"},
 		"all must serve":        {terms(Budget{Fleet: 1, Serving: 4}), "nothing could ever go out"},
@@ -218,8 +234,9 @@
 		"resume of one running": {Command{Verb: Resume, Reason: "r", Plan: first}, "is running"},
 		"another's activate":    {Command{Verb: Activate, Plan: first, Senders: []string{"n3"}}, "n3 is not in plan"},
 		"unknown verb":          {Command{Verb: "dance"}, "newer agent"},
-		"grant in no plan":      {Command{Verb: GrantThese, Plan: 99, Requests: []GrantRequest{{Sender: "n0"}}}, "does not run"},
-		"close of no grant":     {Command{Verb: Close, Sender: "n0", Observation: &Observation{}}, "no grant"},
+		"grant in no plan": {Command{Verb: GrantThese, Plan: 99, Requests: []GrantRequest{{Sender: "n0"}}},
+			"does not run"},
+		"close of no grant": {Command{Verb: Close, Sender: "n0", Observation: &Observation{}}, "no grant"},
 	} {
 		before, _ := json.Marshal(x.s)
 		index := x.s.Index
@@ -259,7 +276,8 @@
 	x := newStand(t, 40, Budget{Fleet: 4, Building: 4})
 	id := x.release(Plan{})
 	p := x.s.Plan(id)
-	if sizes := fmt.Sprint(len(p.Stages), len(p.Stages[0]), len(p.Stages[1]), len(p.Stages[2])); sizes != "11 1 3 4" || p.Stages[0][0] != "n0" || p.Stages[1][0] != "n2" {
+	if sizes := fmt.Sprint(len(p.Stages), len(p.Stages[0]), len(p.Stages[1]), len(p.Stages[2])); sizes != "11 1 3 4" ||
+		p.Stages[0][0] != "n0" || p.Stages[1][0] != "n2" {
 		t.Fatalf("stages %v", p.Stages)
 	}
 	most, stages := 0, 0
@@ -342,8 +360,12 @@
 				}
 			})
 		}, "time to the first call"},
-		"leaks":   {func(x *stand, n string) { x.work(20, none); x.see(n, func(v *Observation) { v.Facts.MemoryMB += 30 }) }, "memory"},
-		"crashes": {func(x *stand, n string) { x.see(n, func(v *Observation) { v.Facts.Restarts++ }) }, "crashed after its change"},
+		"leaks": {func(x *stand, n string) {
+			x.work(20, none)
+			x.see(n, func(v *Observation) { v.Facts.MemoryMB += 30 })
+		}, "memory"},
+		"crashes": {func(x *stand, n string) { x.see(n, func(v *Observation) { v.Facts.Restarts++ }) },
+			"crashed after its change"},
 		"answers nothing": {func(x *stand, n string) {
 			x.see(n, func(v *Observation) { *v = Observation{Sender: n, At: x.now, Phase: "no answer"} })
 		}, "not seen any more: no answer"},
@@ -354,8 +376,15 @@
 			x.sights[n] = v
 		}, "nobody has seen n0"},
 		"too little traffic": {func(x *stand, _ string) {}, "not known to be good"},
-		"traffic elsewhere":  {func(x *stand, n string) { v := x.sights[n]; x.work(20, none); v.At = x.now; x.sights[n] = v }, "not known to be good"},
-		"serves no more":     {func(x *stand, n string) { x.see(n, func(v *Observation) { v.Serving, v.Phase = false, "starting" }) }, "does not serve"},
+		"traffic elsewhere": {func(x *stand, n string) {
+			v := x.sights[n]
+			x.work(20, none)
+			v.At = x.now
+			x.sights[n] = v
+		}, "not known to be good"},
+		"serves no more": {func(x *stand, n string) {
+			x.see(n, func(v *Observation) { v.Serving, v.Phase = false, "starting" })
+		}, "does not serve"},
 		"others have no traffic": {func(x *stand, n string) {
 			v := x.sights[n]
 			v.Facts.Accepted, v.Facts.Delivered = v.Facts.Accepted+50, v.Facts.Delivered+50
@@ -388,7 +417,8 @@
 				ran++
 			}
 		}
-		if !strings.Contains(last, c.want) || ran != 1 || (x.s.Plan(id).Phase == Running) != strings.HasPrefix(c.want, "stage") {
+		if !strings.Contains(last, c.want) || ran != 1 ||
+			(x.s.Plan(id).Phase == Running) != strings.HasPrefix(c.want, "stage") {
 			t.Errorf("%s: %s, %d ran it: %s; want %s", name, x.s.Plan(id).Phase, ran, last, c.want)
 		}
 	}
@@ -401,7 +431,8 @@
 	log := []Command{
 		{Verb: SetTerms, Terms: &terms, At: at, By: "x"},
 		{Verb: SetRoster, At: at, By: "x", Roster: []Member{{Name: "n0", Agent: "x"}, {Name: "n1", Agent: "x"}}},
-		{Verb: Start, At: at, By: "x", Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n0"}}}, Seen: []string{"n0", "n1"}},
+		{Verb: Start, At: at, By: "x", Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n0"}}},
+			Seen: []string{"n0", "n1"}},
 	}
 	for range 3 {
 		for i, c := range log {
@@ -434,13 +465,15 @@
 				break
 			}
 		}
-		if want := map[int64]Phase{0: Done, 6: Halted}[failed]; p.Phase != want || failed > 0 && !strings.Contains(p.Why, "failures") {
+		if want := map[int64]Phase{0: Done, 6: Halted}[failed]; p.Phase != want || failed > 0 &&
+			!strings.Contains(p.Why, "failures") {
 			t.Errorf("%s: %s: %s", name, p.Phase, p.Why)
 		}
 	}
 }
 
-// A leader that looks at a sender itself does not know how often it crashed: what its agent tells later is no crash since.
+// A leader that looks at a sender itself does not know how often it crashed: what its agent tells later is no crash
+// since.
 func TestGateOfFarSight(t *testing.T) {
 	x := newStand(t, 10, Budget{Fleet: 3})
 	id := x.release(Plan{Gate: Gate{Wait: time.Minute}})
@@ -473,7 +506,8 @@
 			})
 		})
 		p := x.s.Plan(id)
-		if want := map[bool]Phase{false: Halted, true: Ended}[goBack]; p.Phase != want || !strings.Contains(p.Why, "exit status 1") {
+		if want := map[bool]Phase{false: Halted, true: Ended}[goBack]; p.Phase != want ||
+			!strings.Contains(p.Why, "exit status 1") {
 			t.Errorf("go back %t: %s, %s", goBack, p.Phase, p.Why)
 		}
 		if len(x.s.Grants) != 0 {
@@ -515,7 +549,8 @@
 				t.Errorf("%s: halted after %d s", name, i)
 			}
 		}
-		if p.Phase != c.want || c.want == Halted && !strings.Contains(p.Why, "not seen any more") || x.s.Grants[changed] == nil {
+		if p.Phase != c.want || c.want == Halted && !strings.Contains(p.Why, "not seen any more") ||
+			x.s.Grants[changed] == nil {
 			t.Errorf("%s: %s: %s; grants %v", name, p.Phase, p.Why, x.s.Grants)
 		}
 	}
@@ -577,7 +612,8 @@
 func TestDrains(t *testing.T) {
 	for _, hold := range []time.Duration{0, time.Minute} {
 		x := newStand(t, 4, Budget{Fleet: 2})
-		id := x.must(Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold}, Seen: x.s.Seen(x.sights, x.now)})
+		id := x.must(Command{Verb: Start, Reason: "r",
+			New: &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold}, Seen: x.s.Seen(x.sights, x.now)})
 		comeBack := func() {
 			for name, t := range x.s.Plan(id).Tasks {
 				if t.Step == Returning {
@@ -669,7 +705,8 @@
 	} {
 		c.budget.Fleet = 1
 		x := newStand(t, 2, c.budget)
-		listed := []Endpoint{{"e0", 1, 0, true}, {"e1", 1, 0, true}, {"e2", 1, 0, true}, {"e3", 1, 0, true}, {"f0", 2, 0, true}, {"f1", 2, 1, true}}
+		listed := []Endpoint{{"e0", 1, 0, true}, {"e1", 1, 0, true}, {"e2", 1, 0, true}, {"e3", 1, 0, true},
+			{"f0", 2, 0, true}, {"f1", 2, 1, true}}
 		var err error
 		for _, do := range strings.Fields(c.does) {
 			verb, id, _ := strings.Cut(do, ":")
--- a/internal/rollout/sums.go
+++ b/internal/rollout/sums.go
@@ -35,13 +35,16 @@
 
 // worse returns in what the changed senders are worse than the others, or nothing.
 func worse(changed, others Sums, g Gate) string {
-	if why := worseShare("messages refused", changed.Refused, changed.Taken+changed.Refused, others.Refused, others.Taken+others.Refused, g); why != "" {
+	if why := worseShare("messages refused", changed.Refused, changed.Taken+changed.Refused, others.Refused,
+		others.Taken+others.Refused, g); why != "" {
 		return why
 	}
-	if why := worseShare("ends that are failures", changed.Failed, changed.Ends, others.Failed, others.Ends, g); why != "" {
+	if why := worseShare("ends that are failures", changed.Failed, changed.Ends, others.Failed, others.Ends,
+		g); why != "" {
 		return why
 	}
-	if others.MemoryMB > 0 && changed.MemoryMB > memoryFactor*others.MemoryMB && changed.MemoryMB > others.MemoryMB+memoryMarginMB {
+	if others.MemoryMB > 0 && changed.MemoryMB > memoryFactor*others.MemoryMB &&
+		changed.MemoryMB > others.MemoryMB+memoryMarginMB {
 		return fmt.Sprintf("memory: %.0f MB, %.0f beside them", changed.MemoryMB, others.MemoryMB)
 	}
 	return ""
@@ -52,7 +55,8 @@
 	return worseShare("time to the first call too long", changed.Late, changed.Called, others.Late, others.Called, g)
 }
 
-// worseShare returns that n of total is a greater share than n0 of total0, by more than the slack of the gate and chance, or nothing.
+// worseShare returns that n of total is a greater share than n0 of total0, by more than the slack of the gate and
+// chance, or nothing.
 func worseShare(what string, n, total, n0, total0 int64, g Gate) string {
 	if least := int64(g.MinMessages); total < least || total0 < least || total == 0 || total0 == 0 {
 		return ""
@@ -66,9 +70,9 @@
 	return fmt.Sprintf("%s: %.1f%% of %d, %.1f%% of %d beside them", what, 100*a, total, 100*b, total0)
 }
 
-// Parameters of the comparison. A share is worse if it is higher than the other by the slack of the plan's gate and by more standard errors
-// than chance explains; memory, if it is higher by the factor and by the margin. Times are compared by the share that is late, as one message
-// that waits for seconds would move the mean of a few.
+// Parameters of the comparison. A share is worse if it is higher than the other by the slack of the plan's gate and
+// by more standard errors than chance explains; memory, if it is higher by the factor and by the margin. Times are
+// compared by the share that is late, as one message that waits for seconds would move the mean of a few.
 const (
 	maxStandardErrors = 3.0 // which chance exceeds in less than one of some hundred comparisons
 	memoryFactor      = 1.5
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -58,7 +58,8 @@
 ) (starlark.Value, error) {
 	a := s.draftAgent()
 	var agents *starlark.Dict
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "name", &a.Name, "listen", &a.Listen, "folder", &a.Folder, "agents", &agents,
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "name", &a.Name, "listen", &a.Listen, "folder", &a.Folder,
+		"agents", &agents,
 		"version", &a.Version, "program", &a.Program); err != nil {
 		return nil, err
 	}
@@ -166,7 +167,8 @@
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
 	x := &s.draftAgent().Budget
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fleet", &x.Fleet, "building?", &x.Building, "serving?", &x.Serving,
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fleet", &x.Fleet, "building?", &x.Building, "serving?",
+		&x.Serving,
 		"endpoints?", &x.Endpoints, "kind?", &x.Kind); err != nil {
 		return nil, err
 	}
--- a/internal/settings/builtins.go
+++ b/internal/settings/builtins.go
@@ -103,7 +103,8 @@
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
 	share, within, out := number(s.Resend.Share), number(s.Resend.Within.Seconds()), s.Resend.MaxOut
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "share?", &share, "within?", &within, "max_out?", &out); err != nil {
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "share?", &share, "within?", &within, "max_out?",
+		&out); err != nil {
 		return nil, err
 	}
 	stand, err := duration("within", within)
--- a/internal/settings/confine.go
+++ b/internal/settings/confine.go
@@ -7,8 +7,9 @@
 	"go.starlark.net/syntax"
 )
 
-// The interpreter bounds the steps of a script, but not the size of what one step builds: "x" * 10**9 is one step, and s + s doubles
-// with each. Operands of such operators are therefore checked at run time, and other ways to build large values are not available.
+// The interpreter bounds the steps of a script, but not the size of what one step builds: "x" * 10**9 is one step,
+// and s + s doubles with each. Operands of such operators are therefore checked at run time, and other ways to build
+// large values are not available.
 
 const (
 	maxOperandSize = 4096   // elements or bytes of an operand of +
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -187,8 +187,9 @@
 	return v, err
 }
 
-// Hold asks the rule hold whether an undeliverable message becomes a dead letter (true) or goes back to its client. Without the rule,
-// and where the rule fails with an error, a message becomes a dead letter unless it would be deferred.
+// Hold asks the rule hold whether an undeliverable message becomes a dead letter (true) or goes back to its client.
+// Without the rule, and where the rule fails with an error, a message becomes a dead letter unless it would be
+// deferred.
 func (s *Settings) Hold(r Record, p Partner) (bool, error) {
 	if s.holdRule == nil {
 		return !r.Deferred, nil
@@ -206,7 +207,8 @@
 	return !r.Deferred, &Error{File: s.Path, Text: fmt.Sprintf("hold answered %s, wanted HOLD or GIVE_BACK", v.Type())}
 }
 
-// Decide asks the rule after what becomes of a dead letter. Where the rule is missing, or fails with an error, the record is kept.
+// Decide asks the rule after what becomes of a dead letter. Where the rule is missing, or fails with an error, the
+// record is kept.
 func (s *Settings) Decide(r Record, p Partner) (Decision, error) {
 	if s.afterRule == nil {
 		return Decision{}, nil
@@ -217,7 +219,8 @@
 	}
 	a, ok := v.(answer)
 	if !ok || a.forHold() {
-		return Decision{}, &Error{File: s.Path, Text: fmt.Sprintf("after answered %s, wanted keep(), again() or drop()", v.Type())}
+		return Decision{}, &Error{File: s.Path, Text: fmt.Sprintf("after answered %s, wanted keep(), again() or drop()",
+			v.Type())}
 	}
 	if a.decision.Action == Redeliver && a.decision.Within == 0 {
 		a.decision.Within = s.Resend.Within
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -25,8 +25,8 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Text)
 }
 
-// Exec runs the top level of a script within the limits that hold for all scripts, with the given names besides those of the
-// language, and returns its globals. An error is an *Error.
+// Exec runs the top level of a script within the limits that hold for all scripts, with the given names besides those
+// of the language, and returns its globals. An error is an *Error.
 func Exec(path string, text []byte, names starlark.StringDict) (starlark.StringDict, error) {
 	file, err := (&syntax.FileOptions{}).Parse(path, text, 0)
 	if err != nil {
@@ -56,7 +56,8 @@
 	"KB": starlark.MakeInt(1000), "MB": starlark.MakeInt(1_000_000), "GB": starlark.MakeInt(1_000_000_000),
 }
 
-// findRule returns a rule among the globals, or nil. Its parameters are checked when the script is loaded, not at its first call.
+// findRule returns a rule among the globals, or nil. Its parameters are checked when the script is loaded, not at its
+// first call.
 func findRule(path string, globals starlark.StringDict, name string) (starlark.Callable, error) {
 	v, given := globals[name]
 	if !given {
@@ -64,7 +65,8 @@
 	}
 	f, ok := v.(*starlark.Function)
 	if !ok {
-		return nil, &Error{File: path, Text: fmt.Sprintf("%s is a %s, a function (record, partner) is wanted", name, v.Type())}
+		return nil, &Error{File: path, Text: fmt.Sprintf("%s is a %s, a function (record, partner) is wanted", name,
+			v.Type())}
 	}
 	if f.NumParams() != 2 || f.NumKwonlyParams() > 0 || f.HasVarargs() || f.HasKwargs() {
 		p := f.Position()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads the project's own settings, a Starlark script: bounds are given in calls at the top level, and rules are
-// functions that the program calls later. It owns the interpreter and its limits; no other package loads a script by itself. The
-// platform's configuration is another file, the JSON that package lifecycle reads.
+// Package settings reads the project's own settings, a Starlark script: bounds are given in calls at the top level,
+// and rules are functions that the program calls later. It owns the interpreter and its limits; no other package
+// loads a script by itself. The platform's configuration is another file, the JSON that package lifecycle reads.
 //
-// A script has no I/O, no clock and no randomness. Its steps and the size of the values that it builds are bounded, and an error
-// names file, line and column.
+// A script has no I/O, no clock and no randomness. Its steps and the size of the values that it builds are bounded,
+// and an error names file, line and column.
 package settings
 
 import (
@@ -14,7 +14,8 @@
 	"go.starlark.net/starlark"
 )
 
-// Settings are the content of a script. They are immutable once read. Rules may be called by several goroutines at a time.
+// Settings are the content of a script. They are immutable once read. Rules may be called by several goroutines at a
+// time.
 type Settings struct {
 	Path       string
 	Held       *Held  // nil: there is no dead-letter queue
@@ -108,13 +109,16 @@
 // Summary describes the settings in a line, for operators.
 func (s *Settings) Summary() string {
 	if a := s.Agent; a != nil {
-		return fmt.Sprintf("%s: agent %s of %d at %s, beside %d senders that run %s; %d of the fleet out at once, %d of a building, %d must serve",
-			s.Path, a.Name, len(a.Agents), a.Listen, len(a.Senders), a.Version, a.Budget.Fleet, a.Budget.Building, a.Budget.Serving)
+		return fmt.Sprintf("%s: agent %s of %d at %s, beside %d senders that run %s; "+
+			"%d of the fleet out at once, %d of a building, %d must serve",
+			s.Path, a.Name, len(a.Agents), a.Listen, len(a.Senders), a.Version, a.Budget.Fleet, a.Budget.Building,
+			a.Budget.Serving)
 	}
 	if s.Held == nil {
 		return s.Path + ": nothing is held; journal durable over " + s.Journal.outlives()
 	}
-	text := fmt.Sprintf("%s: holds up to %d records and %d bytes for %v in %s; resends use %g of a partner's limit", s.Path,
+	text := fmt.Sprintf("%s: holds up to %d records and %d bytes for %v in %s; resends use %g of a partner's limit",
+		s.Path,
 		s.Held.MaxRecords, s.Held.MaxBytes, s.Held.MaxAge, s.Held.Folder, s.Resend.Share)
 	for i, rule := range []starlark.Callable{s.holdRule, s.afterRule} {
 		if rule == nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,17 +24,21 @@
 		{"nan", "resend(within = float(\"nan\"))", "s.star:1:7: within"},
 		{"method", "x = \"a\".join([])", "s.star:1:9: no field or method .join"},
 		{"union", "x = {} | {}", "s.star:1:5: the operator |"},
-		{"steps", "def f():\n  for i in range(10000):\n    for j in range(10000):\n      pass\nf()", "s.star:3:5: Starlark computation cancelled: too many steps"},
+		{"steps", "def f():\n  for i in range(10000):\n    for j in range(10000):\n      pass\nf()",
+			"s.star:3:5: Starlark computation cancelled: too many steps"},
 		{"durability", "\njournal(durability = \"some\")", "s.star:2:8: journal: durability: \"some\" is none of"},
 		{"long wait", "journal(durability = \"group\", wait = 2)", "s.star:1:8: journal: wait: a second at most"},
 		{"socket", "admin(socket = \"/" + strings.Repeat("x", 120) + "\")", "s.star:1:6: admin: the path"},
 		{"agent without itself", `agent(name = "a", listen = "127.0.0.1:1", folder = "f", agents = {"b": "127.0.0.1:2"}, version = "v", program = "p")`, "s.star:1:6: agent: agents: a itself"},
 		{"no agent", "budget(fleet = 2)", "s.star: sender, budget and timing are an agent's"},
 		{"no budget", "budget(fleet = 0)", "s.star:1:7: budget: fleet: 1 at the least"},
-		{"one address twice", `sender(name = "n", config = "c", admin = ["127.0.0.1:1", "127.0.0.1:1"])`, "s.star:1:7: sender: admin: 127.0.0.1:1 is another one's"},
-		{"no address", `sender(name = "n", config = "c", admin = ["127.0.0.1:1", 5])`, "s.star:1:7: sender: admin: 5 is no address"},
+		{"one address twice", `sender(name = "n", config = "c", admin = ["127.0.0.1:1", "127.0.0.1:1"])`,
+			"s.star:1:7: sender: admin: 127.0.0.1:1 is another one's"},
+		{"no address", `sender(name = "n", config = "c", admin = ["127.0.0.1:1", 5])`,
+			"s.star:1:7: sender: admin: 5 is no address"},
 		{"two of a name", "def f(p):\n  return sender(name = \"n\", config = \"c\", admin = [p + \":1\", p + \":2\"])\nx = [f(p) for p in [\"a\", \"b\"]]", "s.star:2:16: sender: two of name n"},
-		{"change", `sender(name = "n", config = "c", admin = ["127.0.0.1:1", "127.0.0.1:2"], change = "magic")`, "s.star:1:7: sender: change: \"magic\""},
+		{"change", `sender(name = "n", config = "c", admin = ["127.0.0.1:1", "127.0.0.1:2"], change = "magic")`,
+			"s.star:1:7: sender: change: \"magic\""},
 		{"timing", "timing(lease = 0)", "s.star:1:7: timing: lease"},
 	} {
 		_, err := Parse("s.star", []byte(c.text))
@@ -119,7 +123,8 @@
 		err  bool
 	}{
 		{"again", Record{}, Partner{}, Decision{Action: Redeliver, Delay: 2 * time.Second, Within: 5 * time.Minute}, false},
-		{"told to wait", Record{}, Partner{RetryAfter: time.Minute}, Decision{Action: KeepRecord, ReviewIn: time.Minute}, false},
+		{"told to wait", Record{}, Partner{RetryAfter: time.Minute}, Decision{Action: KeepRecord, ReviewIn: time.Minute},
+			false},
 		{"often enough", Record{Resends: 3}, Partner{}, Decision{Action: DropRecord}, false},
 		{"a rule that fails keeps", Record{Tenant: "bad"}, Partner{}, Decision{}, true},
 	} {
@@ -131,7 +136,8 @@
 
 func TestJournal(t *testing.T) {
 	for text, want := range map[string]string{
-		"": "over kills", "journal(durability = \"group\", wait = 0.002)": "but for the last 2ms", "journal(durability = \"each\")": "kills and power cuts",
+		"": "over kills", "journal(durability = \"group\", wait = 0.002)": "but for the last 2ms",
+		"journal(durability = \"each\")": "kills and power cuts",
 	} {
 		s, err := Parse("s.star", []byte(text))
 		if err != nil || !strings.Contains(s.Summary(), want) {
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -1,6 +1,6 @@
-// Package soak tests senders under overlapping faults. It draws cases at random by their seeds, plays each with real processes on loopback
-// (package harness), and judges it by the rules (package audit), by the ends of the processes and by their logs. A case is reproduced by its
-// seed.
+// Package soak tests senders under overlapping faults. It draws cases at random by their seeds, plays each with real
+// processes on loopback (package harness), and judges it by the rules (package audit), by the ends of the processes
+// and by their logs. A case is reproduced by its seed.
 package soak
 
 import (
@@ -64,7 +64,8 @@
 	return c
 }
 
-// baseScript is in each case: partners with limits, traffic of three kinds of idempotency, and endpoints that are replaced.
+// baseScript is in each case: partners with limits, traffic of three kinds of idempotency, and endpoints that are
+// replaced.
 const baseScript = `
 kind(name = "large", limit = "rate", headroom = (1.3, 2.3), least = (4, 8), tells_wait = (0.6, 1), wait = (0.3, 1), batch = 5, apart = True, endpoints = 3)
 kind(name = "small", limit = "window", headroom = (1.2, 1.7), least = (4, 8), span = 1, refused_count = True, tells_wait = (0.1, 0.6), conns = (2, 4), endpoints = 3)
@@ -85,7 +86,8 @@
 	b.WriteString(baseScript)
 	line(`traffic(rate = %.1f, clumps = (0.1, 0.2), clump = (1, 2), retries = 2)`, o.Rate*float64(senders))
 	for range 2 + d.IntN(3) {
-		line(`churn(at = %.2f, every = %.2f, drain = %.2f, reuse_address = %s)`, d.between(1, 4), d.between(0.9, 4), d.between(1, 4), starlarkBool(d.IntN(3) == 0))
+		line(`churn(at = %.2f, every = %.2f, drain = %.2f, reuse_address = %s)`, d.between(1, 4), d.between(0.9, 4),
+			d.between(1, 4), starlarkBool(d.IntN(3) == 0))
 	}
 	for range 5 + d.IntN(6) {
 		b.WriteString(fault(d) + "\n")
@@ -105,7 +107,8 @@
 var faults = []func(d partDraw, at, seconds string) string{
 	func(d partDraw, at, seconds string) string { return call("discovery_out", at, seconds) },
 	func(d partDraw, at, seconds string) string {
-		return call("trouble", at, seconds, `what = "`+pick(d, "DOWN", "SHUT", "SILENT", "FAILING", "SLOW", "PAUSED", "BREAKING", "SPOILING")+`"`, "part = 0.4", "share = (0.2, 0.8)")
+		return call("trouble", at, seconds, `what = "`+pick(d, "DOWN", "SHUT", "SILENT", "FAILING", "SLOW", "PAUSED",
+			"BREAKING", "SPOILING")+`"`, "part = 0.4", "share = (0.2, 0.8)")
 	},
 	func(d partDraw, at, seconds string) string {
 		return call("trouble", at, seconds, `what = "CUT"`, "factor = 0.5", "part = 0.4")
@@ -114,7 +117,8 @@
 		return call("link", at, seconds, "share = 0.4", `to = "discovery"`, brokenLink(d))
 	},
 	func(d partDraw, at, seconds string) string {
-		return call("link", at, seconds, `of = "senders"`, `to = "senders"`, "delay = 0.05", "jitter = 0.2", "loss = 0.5", "double = 0.2")
+		return call("link", at, seconds, `of = "senders"`, `to = "senders"`, "delay = 0.05", "jitter = 0.2", "loss = 0.5",
+			"double = 0.2")
 	},
 	func(d partDraw, at, seconds string) string {
 		return call("link", at, seconds, "share = 0.3", `to = "partners"`, brokenLink(d))
@@ -182,7 +186,8 @@
 		at := d.begin()
 		crowd := harness.IdleClients{From: second(at), To: second(at + d.between(2, 6)), Connections: 200}
 		c.Faults.IdleClients, c.Faults.Sockets = []harness.IdleClients{crowd}, 192
-		c.addNote("a crowd of %d for each sender, %.1f to %.1f s", crowd.Connections, crowd.From.Seconds(), crowd.To.Seconds())
+		c.addNote("a crowd of %d for each sender, %.1f to %.1f s", crowd.Connections, crowd.From.Seconds(),
+			crowd.To.Seconds())
 	}
 }
 
@@ -194,13 +199,14 @@
 // maxInjected bounds, with two more, the consecutive system calls that fail: delivery reports are due within 300 ms.
 const maxInjected = 7
 
-// systemCallFaults are faults of system calls as Linux documents them, in the form of strace. The figures are the first call that fails,
-// counted from the start of the process, and the last.
+// systemCallFaults are faults of system calls as Linux documents them, in the form of strace. The figures are the
+// first call that fails, counted from the start of the process, and the last.
 var systemCallFaults = []string{
 	"accept4:error=ECONNABORTED:when=%d+5", "accept4:error=ENFILE:when=%d..%d", "accept4:error=ENOBUFS:when=%d..%d",
 	"connect:error=EADDRNOTAVAIL:when=%d..%d", "connect:error=ENETUNREACH:when=%d..%d", "connect:error=ENOBUFS:when=%d+9",
 	"connect:error=ETIMEDOUT:when=%d+11", "connect:error=EHOSTUNREACH:when=%d..%d", "socket:error=ENFILE:when=%d..%d",
-	"pwrite64:error=ENOSPC:when=1..4", "pwrite64:error=EIO:when=2..5", "socket:error=ENFILE:when=1..4", "listen:error=ENOBUFS:when=1..2",
+	"pwrite64:error=ENOSPC:when=1..4", "pwrite64:error=EIO:when=2..5", "socket:error=ENFILE:when=1..4",
+	"listen:error=ENOBUFS:when=1..2",
 	"pwrite64:error=ENOSPC:when=%d..%d", "pwrite64:error=EIO:when=%d..%d", "renameat:error=ENOSPC:when=1..3",
 	"epoll_pwait:error=EINTR:when=%d+7", "read:error=EINTR:when=%d+13", "write:error=EINTR:when=%d+13",
 }
@@ -229,6 +235,7 @@
 		}
 		name, _, _ := strings.Cut(form, ":")
 		// With -D the started child is the program itself, which gets the signals.
-		return []string{strace, "-D", "-f", "--seccomp-bpf", "-qqq", "-o", "/dev/null", "-e", "trace=" + name, "-e", "inject=" + form, "--", program}
+		return []string{strace, "-D", "-f", "--seccomp-bpf", "-qqq", "-o", "/dev/null", "-e", "trace=" + name, "-e",
+			"inject=" + form, "--", program}
 	}
 }
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -46,13 +46,15 @@
 	defer lines.Flush()
 	encoder := json.NewEncoder(lines)
 	sink := func(e audit.Event) error { return encoder.Encode(e) }
-	result, err := harness.Run(ctx, harness.Setup{Plan: s.Plan(c.Seed), Program: program, Folder: folder, Log: log, Faults: c.Faults, Sink: sink})
+	result, err := harness.Run(ctx, harness.Setup{Plan: s.Plan(c.Seed), Program: program, Folder: folder, Log: log,
+		Faults: c.Faults, Sink: sink})
 	if err != nil {
 		return nil, err
 	}
 	r := &Report{Result: result}
 	for _, b := range result.Violations {
-		r.addFinding("%v sender %d: %s: %s (message %s, calls %v, times %v)", b.At, b.Sender, b.Rule, b.Text, b.Message, b.Calls, b.Times)
+		r.addFinding("%v sender %d: %s: %s (message %s, calls %v, times %v)", b.At, b.Sender, b.Rule, b.Text, b.Message,
+			b.Calls, b.Times)
 	}
 	if result.Crashes > 0 {
 		r.addFinding("%d processes ended without being told to", result.Crashes)
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -5,8 +5,9 @@
 // minDeadFraction is the dead fraction of the log from which on compaction runs ahead of need.
 const minDeadFraction = 0.25
 
-// freeSpace does the steps of compaction that are due beside an append of size bytes, and as many as it takes for the append to fit
-// with spare bytes left over. It returns the bytes that it read, and ErrFull if the append does not fit.
+// freeSpace does the steps of compaction that are due beside an append of size bytes, and as many as it takes for the
+// append to fit with spare bytes left over. It returns the bytes that it read, and ErrFull if the append does not
+// fit.
 func (s *Store) freeSpace(size, spare int64) (int64, error) {
 	if s.options.Budget <= 0 {
 		return 0, nil
@@ -38,8 +39,9 @@
 	return len(s.segments) > 1 && float64(s.diskBytes-s.liveBytes) > minDeadFraction*float64(s.diskBytes)
 }
 
-// step copies live records of the oldest segment to the end of the log, reading at most limit bytes besides a last frame. Once nothing in
-// the segment is live it is removed. It returns the bytes that it read; a segment that is removed unread counts as one frame.
+// step copies live records of the oldest segment to the end of the log, reading at most limit bytes besides a last
+// frame. Once nothing in the segment is live it is removed. It returns the bytes that it read; a segment that is
+// removed unread counts as one frame.
 func (s *Store) step(limit int64) (int64, error) {
 	g := s.segments[0]
 	read := int64(0)
@@ -69,8 +71,8 @@
 	return max(read, frameHeaderSize), s.remove(g)
 }
 
-// nextLive returns the first offset behind another at which a live record lies, or -1. It searches all entities, which only damage makes
-// necessary.
+// nextLive returns the first offset behind another at which a live record lies, or -1. It searches all entities,
+// which only damage makes necessary.
 func (s *Store) nextLive(g *segment, after int64) int64 {
 	next := int64(-1)
 	for _, e := range s.entities {
@@ -125,7 +127,8 @@
 	return -1
 }
 
-// remove deletes the oldest segment, in which nothing is live. The copies of its records are synced first, as the originals were.
+// remove deletes the oldest segment, in which nothing is live. The copies of its records are synced first, as the
+// originals were.
 func (s *Store) remove(g *segment) error {
 	if s.options.Durability != Process {
 		if err := s.sync(); err != nil {
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -7,9 +7,9 @@
 	"hash/crc32"
 )
 
-// A segment begins with a header: magic, version of the format and number of the segment. Frames follow: a mark, the length of the
-// payload, its CRC-32C (Castagnoli, RFC 3720 appendix B.4) and the payload. A frame holds one batch and is read whole or not at all, so
-// that a batch is atomic. Numbers are little endian or varints. Sizes are in bytes.
+// A segment begins with a header: magic, version of the format and number of the segment. Frames follow: a mark, the
+// length of the payload, its CRC-32C (Castagnoli, RFC 3720 appendix B.4) and the payload. A frame holds one batch and
+// is read whole or not at all, so that a batch is atomic. Numbers are little endian or varints. Sizes are in bytes.
 const (
 	formatVersion     = 1
 	segmentHeaderSize = 24
@@ -36,7 +36,8 @@
 	End              // ends the entity: its records are dead
 	Base             // replaces the records of the entity before it, which are dead
 
-	// seal marks a segment, whose number is in Entity, as ended at the offset in Time: a torn append follows, which was not acknowledged.
+	// seal marks a segment, whose number is in Entity, as ended at the offset in Time: a torn append follows, which was
+	// not acknowledged.
 	seal
 )
 
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -101,8 +101,8 @@
 	return f.Sync()
 }
 
-// Lock implements FS. It locks the folder for this process until the Closer is closed or the process ends. Where another process has it,
-// the error is ErrLocked.
+// Lock implements FS. It locks the folder for this process until the Closer is closed or the process ends. Where
+// another process has it, the error is ErrLocked.
 func (d Dir) Lock() (io.Closer, error) {
 	f, err := os.OpenFile(d.path(lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -122,7 +122,8 @@
 	return e.public(), true
 }
 
-// ByKey calls do for each live entity with a key, until do returns false. As in ByDest and ByTime, do must not call the store.
+// ByKey calls do for each live entity with a key, until do returns false. As in ByDest and ByTime, do must not call
+// the store.
 func (s *Store) ByKey(key string, do func(Entity) bool) {
 	s.walk(s.byKey, indexKey{key: key}, do, func(x indexKey) bool { return x.key == key })
 }
@@ -148,7 +149,8 @@
 	})
 }
 
-// Entities calls do for each live entity in the order of ids, until do returns false. It works on a copy: do may call the store.
+// Entities calls do for each live entity in the order of ids, until do returns false. It works on a copy: do may call
+// the store.
 func (s *Store) Entities(do func(Entity) bool) {
 	s.mu.Lock()
 	list := make([]Entity, 0, len(s.entities))
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -40,8 +40,9 @@
 	at location
 }
 
-// Open opens the store in a folder, or creates one. Damaged parts are logged and returned by Damages; everything else is read. It
-// returns ErrLocked where another process has the folder, and ErrNewer for a newer format, which leaves the folder as it is.
+// Open opens the store in a folder, or creates one. Damaged parts are logged and returned by Damages; everything else
+// is read. It returns ErrLocked where another process has the folder, and ErrNewer for a newer format, which leaves
+// the folder as it is.
 func Open(o Options) (*Store, error) {
 	if o.Segment <= 0 {
 		o.Segment = maxSegment
@@ -74,10 +75,11 @@
 // newStore returns a store without segments.
 func newStore(o Options) *Store {
 	return &Store{
-		options: o, entities: map[uint64]*entity{}, nextLSN: 1, nextSegment: 1, compactedTo: segmentHeaderSize, diskBytes: blockSize, // the lock file
-		byKey:  newIndex(func(a, b indexKey) int { return cmp.Compare(a.key, b.key) }),
-		byTime: newIndex(func(a, b indexKey) int { return cmp.Compare(a.time, b.time) }),
-		byDest: newIndex(func(a, b indexKey) int { return cmp.Compare(a.dest, b.dest) }),
+		options: o, entities: map[uint64]*entity{}, nextLSN: 1, nextSegment: 1, compactedTo: segmentHeaderSize,
+		diskBytes: blockSize, // the lock file
+		byKey:     newIndex(func(a, b indexKey) int { return cmp.Compare(a.key, b.key) }),
+		byTime:    newIndex(func(a, b indexKey) int { return cmp.Compare(a.time, b.time) }),
+		byDest:    newIndex(func(a, b indexKey) int { return cmp.Compare(a.dest, b.dest) }),
 	}
 }
 
@@ -142,7 +144,8 @@
 	return err
 }
 
-// sealTails marks the damages that are torn tails and drops those for which a seal exists. It returns seals for the others.
+// sealTails marks the damages that are torn tails and drops those for which a seal exists. It returns seals for the
+// others.
 func (s *Store) sealTails(list []segmentContent) (seals []Record) {
 	sealed := map[uint64]int64{}
 	last := 0 // the last segment that holds something
@@ -170,7 +173,8 @@
 	return seals
 }
 
-// readSegment reads one file. Only errors of the file system and a newer format are errors; damage is part of the content.
+// readSegment reads one file. Only errors of the file system and a newer format are errors; damage is part of the
+// content.
 func (s *Store) readSegment(name string) segmentContent {
 	f := segmentContent{segment: &segment{name: name}}
 	f.err = s.openSegment(&f)
@@ -234,8 +238,8 @@
 	return nil
 }
 
-// readHeader takes the number of the segment from its header and returns the offset of the first frame. A damaged header is read as a
-// damaged frame.
+// readHeader takes the number of the segment from its header and returns the offset of the first frame. A damaged
+// header is read as a damaged frame.
 func (f *segmentContent) readHeader(w *fileWindow) (int64, error) {
 	g := f.segment
 	head, err := w.from(0, segmentHeaderSize)
@@ -332,9 +336,11 @@
 			}
 		}
 	}
-	// A record that compaction has copied is there twice if the process died before the old segment was removed: the copy counts.
+	// A record that compaction has copied is there twice if the process died before the old segment was removed: the
+	// copy counts.
 	slices.SortStableFunc(all, func(a, b located) int {
-		return cmp.Or(cmp.Compare(a.LSN, b.LSN), cmp.Compare(b.at.segment, a.at.segment), cmp.Compare(b.at.offset, a.at.offset))
+		return cmp.Or(cmp.Compare(a.LSN, b.LSN), cmp.Compare(b.at.segment, a.at.segment),
+			cmp.Compare(b.at.offset, a.at.offset))
 	})
 	doubt := s.doubtLimit(list)
 	for i, r := range all {
@@ -355,8 +361,8 @@
 	}
 }
 
-// doubtLimit logs the damages and returns the LSN before which began all entities of which a damage may hide a record: the highest of
-// the damaged segment, or of all where its end is damaged.
+// doubtLimit logs the damages and returns the LSN before which began all entities of which a damage may hide a
+// record: the highest of the damaged segment, or of all where its end is damaged.
 func (s *Store) doubtLimit(list []segmentContent) uint64 {
 	limit := uint64(0)
 	for i := range list {
@@ -368,7 +374,8 @@
 		for _, d := range list[i].damages {
 			s.damages = append(s.damages, d)
 			if d.Tail {
-				s.warn("torn append at the end of the log, it was not acknowledged", "file", d.File, "offset", d.Offset, "bytes", d.Length)
+				s.warn("torn append at the end of the log, it was not acknowledged",
+					"file", d.File, "offset", d.Offset, "bytes", d.Length)
 				continue
 			}
 			s.warn("damaged part, live entities may lack records", "file", d.File, "offset", d.Offset, "bytes", d.Length)
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -75,7 +75,8 @@
 	return s.segments[i]
 }
 
-// Load reads the records of a live entity in the order in which they were appended. For any other entity it returns none, and no error.
+// Load reads the records of a live entity in the order in which they were appended. For any other entity it returns
+// none, and no error.
 func (s *Store) Load(id uint64) ([]Record, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,10 +1,10 @@
-// Package store is an append-only log of records in segment files, with an index in memory that is rebuilt from the log at start.
-// Records belong to entities. Once an entity has ended its records are dead; compaction reclaims their space by copying the live records
-// of the oldest segment to the end of the log, in bounded steps beside the appends. All files together stay within a budget at any time.
-// The package knows nothing of what the records mean.
+// Package store is an append-only log of records in segment files, with an index in memory that is rebuilt from the
+// log at start. Records belong to entities. Once an entity has ended its records are dead; compaction reclaims their
+// space by copying the live records of the oldest segment to the end of the log, in bounded steps beside the appends.
+// All files together stay within a budget at any time. The package knows nothing of what the records mean.
 //
-// It is safe to forget the end of an entity: its End lies in a segment at least as young as those of its other records, and only the
-// oldest segment is ever removed.
+// It is safe to forget the end of an entity: its End lies in a segment at least as young as those of its other
+// records, and only the oldest segment is ever removed.
 //
 // docs/design/durable-store.md has the format.
 package store
@@ -19,8 +19,8 @@
 	"github.com/tidwall/btree"
 )
 
-// The errors of a store, besides those of its files. After ErrFull nothing was written and later appends may succeed; after ErrBroken
-// and ErrClosed none do.
+// The errors of a store, besides those of its files. After ErrFull nothing was written and later appends may succeed;
+// after ErrBroken and ErrClosed none do.
 var (
 	ErrFull   = errors.New("store: no room left within the budget")
 	ErrBroken = errors.New("store: a sync failed, nothing more can be promised")
@@ -33,8 +33,8 @@
 	maxSegment       = 64 << 20 // bytes
 	reservedSegments = 2        // segments of the budget that only compaction and ends may use
 
-	// Once more than compactionThreshold of the budget is used, compaction reads up to compactionFactor times the bytes of an append
-	// beside it. It keeps up as long as half of the log is dead.
+	// Once more than compactionThreshold of the budget is used, compaction reads up to compactionFactor times the bytes
+	// of an append beside it. It keeps up as long as half of the log is dead.
 	compactionFactor    = 4
 	compactionThreshold = 0.6
 )
@@ -102,16 +102,16 @@
 	return grown+spare <= s.options.Budget
 }
 
-// CanAdmit reports whether entities of more bytes in all can be admitted with room for everything that follows of them. Live records may
-// take three fifths of the space in which compaction works.
+// CanAdmit reports whether entities of more bytes in all can be admitted with room for everything that follows of
+// them. Live records may take three fifths of the space in which compaction works.
 func (s *Store) CanAdmit(more int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.options.Budget <= 0 || s.liveBytes+more <= (s.options.Budget-reservedSegments*s.options.Segment)*3/5
 }
 
-// Append writes a batch atomically and sets the LSNs of its records. A record of an entity that is not live begins it; an End of such an
-// entity has no effect. After an error nothing of the batch is in the store.
+// Append writes a batch atomically and sets the LSNs of its records. A record of an entity that is not live begins
+// it; an End of such an entity has no effect. After an error nothing of the batch is in the store.
 func (s *Store) Append(batch ...Record) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,8 +241,8 @@
 	return offset, nil
 }
 
-// Highest returns the highest id of an entity in the log, live or ended. The id of an ended entity must not be used again while the log
-// holds it.
+// Highest returns the highest id of an entity in the log, live or ended. The id of an ended entity must not be used
+// again while the log holds it.
 func (s *Store) Highest() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,7 +254,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.stats
-	t.Segments, t.Entities, t.LiveBytes, t.DiskBytes, t.Budget = len(s.segments), len(s.entities), s.liveBytes, s.diskBytes, s.options.Budget
+	t.Segments, t.Entities, t.LiveBytes, t.DiskBytes, t.Budget = len(s.segments), len(s.entities), s.liveBytes,
+		s.diskBytes, s.options.Budget
 	return t
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -288,7 +288,8 @@
 	l.next++
 	l.last = id
 	text := strings.Repeat(strconv.Itoa(int(id)%10), 50+l.rng.IntN(600))
-	if err := s.Append(Record{Entity: id, Time: int64(id), Dest: int64(id % 7), Key: fmt.Sprint("k", id%50), Data: []byte(text)}); err != nil {
+	if err := s.Append(Record{Entity: id, Time: int64(id), Dest: int64(id % 7), Key: fmt.Sprint("k", id%50),
+		Data: []byte(text)}); err != nil {
 		return err
 	}
 	l.live[id] = []string{text}
@@ -593,7 +594,8 @@
 			}
 			want, live := l.live[e.ID]
 			if !e.Doubtful && (!live || len(list) != len(want)) {
-				t.Errorf("%s, %d to %d: entity %d is told as sound, live %t, %d records of %d", name, from, to, e.ID, live, len(list), len(want))
+				t.Errorf("%s, %d to %d: entity %d is told as sound, live %t, %d records of %d", name, from, to, e.ID, live,
+					len(list), len(want))
 			}
 			if !e.Doubtful {
 				sound++
@@ -604,7 +606,8 @@
 			return
 		}
 		for range 100 { // and it goes on
-			if err := s.Append(Record{Entity: 1 << 30, Data: make([]byte, 300)}, Record{Entity: 1 << 30, Kind: End}); err != nil {
+			if err := s.Append(Record{Entity: 1 << 30, Data: make([]byte, 300)},
+				Record{Entity: 1 << 30, Kind: End}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -847,7 +850,8 @@
 		list, err := s.Load(e.ID)
 		want, live := l.live[e.ID]
 		if err != nil || !e.Doubtful && (!live || len(list) != len(want)) {
-			t.Errorf("missing: entity %d, doubtful %t, live %t, %d records of %d, %v", e.ID, e.Doubtful, live, len(list), len(want), err)
+			t.Errorf("missing: entity %d, doubtful %t, live %t, %d records of %d, %v", e.ID, e.Doubtful, live, len(list),
+				len(want), err)
 		}
 		return !t.Failed()
 	})
@@ -856,7 +860,8 @@
 	}
 	m = clone()
 	m.files["ffffffffffffff00.log"] = &memFile{fs: m, data: slices.Clone(m.files[names[1]].data)}
-	if _, err := Open(Options{FS: m, Budget: budget, Segment: 16 << 10}); err == nil || !strings.Contains(err.Error(), names[1]) {
+	if _, err := Open(Options{FS: m, Budget: budget, Segment: 16 << 10}); err == nil ||
+		!strings.Contains(err.Error(), names[1]) {
 		t.Errorf("twice: %v", err)
 	}
 }
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -12,10 +12,11 @@
 	"unicode/utf8"
 )
 
-// OpenReadOnly reads a folder without locking or changing it, also while another process has it open. The store that it returns can be
-// read, not appended to.
+// OpenReadOnly reads a folder without locking or changing it, also while another process has it open. The store that
+// it returns can be read, not appended to.
 func OpenReadOnly(fsys FS) (*Store, error) {
-	// Compaction may remove a segment after it was listed. Its live records then lie in a younger one, which the next attempt reads.
+	// Compaction may remove a segment after it was listed. Its live records then lie in a younger one, which the next
+	// attempt reads.
 	var err error
 	for range maxReadAttempts {
 		s := newStore(Options{FS: fsys})
@@ -121,8 +122,9 @@
 	return failed
 }
 
-// Backup copies the segments of a folder into one that has none, in bounded memory, and returns the bytes copied. The source may be in
-// use: the oldest segments go first, so that records which compaction moves meanwhile land in segments that are copied later.
+// Backup copies the segments of a folder into one that has none, in bounded memory, and returns the bytes copied. The
+// source may be in use: the oldest segments go first, so that records which compaction moves meanwhile land in
+// segments that are copied later.
 func Backup(from, to FS) (int64, error) {
 	if names, err := listSegments(to); err != nil || len(names) > 0 {
 		return 0, errors.Join(err, errors.New("store: the folder for the copy must hold no segments"))
@@ -193,8 +195,9 @@
 	return size, dst.Sync()
 }
 
-// Repair writes the entities that can be read in one folder into a new store in another, in the order in which they began. With sound
-// set it skips entities that may lack a record. It returns the numbers of entities written and skipped.
+// Repair writes the entities that can be read in one folder into a new store in another, in the order in which they
+// began. With sound set it skips entities that may lack a record. It returns the numbers of entities written and
+// skipped.
 func Repair(from FS, to Options, sound bool) (written, skipped int, err error) {
 	s, err := OpenReadOnly(from)
 	if err != nil {
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -1,5 +1,6 @@
-// Package wire speaks the simulator's binary protocol: batches of events come in, replies of actions go out. The names of events
-// and actions are those of the protocol's page (WIRE); all times travel as milliseconds. The package decides nothing.
+// Package wire speaks the simulator's binary protocol: batches of events come in, replies of actions go out. The
+// names of events and actions are those of the protocol's page (WIRE); all times travel as milliseconds. The package
+// decides nothing.
 package wire
 
 // Bits of JobIn.Marks.
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -42,8 +42,8 @@
 // NewReader returns a Reader of the stream in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
-// Next reads one batch. It returns io.EOF when the stream ends between frames; any other error names the frame and, where a
-// record can't be read, the byte within it.
+// Next reads one batch. It returns io.EOF when the stream ends between frames; any other error names the frame and,
+// where a record can't be read, the byte within it.
 func (r *Reader) Next() (Batch, error) {
 	var header [12]byte
 	switch _, err := io.ReadFull(r.in, header[:]); {
@@ -69,7 +69,8 @@
 	return Batch{ClockMs: clock, Events: events}, nil
 }
 
-// cursor reads the fields of a frame's body in turn. After the first one that is cut short err is set and all reads return zero.
+// cursor reads the fields of a frame's body in turn. After the first one that is cut short err is set and all reads
+// return zero.
 type cursor struct {
 	data []byte
 	pos  int
