--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -78,8 +78,8 @@
 	} `json:"prices"`
 }
 
-// ParseSettings reads the settings of a Start; seed is for the controller's random draws. Unknown keys are ignored. An error names
-// the key that can't be read.
+// ParseSettings reads the settings of a Start; seed is for the controller's random draws. Unknown keys are ignored.
+// An error names the key that can't be read.
 func ParseSettings(text []byte, seed uint64) (control.Settings, error) {
 	var p settingsJSON
 	if err := json.Unmarshal(text, &p); err != nil {
@@ -90,7 +90,8 @@
 		OverQuotaFactor: valueOr(p.OverQuotaFactor, 1), WeightHalves: p.Specifics.WeightDecay == "by_half",
 		WeightByWork: p.WeightBy == "work", MaxInFlight: p.Specifics.MaxInFlight, MaxOpenMessages: p.Limits.MaxOpenMessages,
 		MaxAttempts: p.Limits.MaxAttempts, AllowHedging: p.Limits.Hedging, CanCancel: p.Limits.Cancel,
-		CanHealthCheck: p.Limits.HealthChecks, CanGossip: p.Limits.Gossip, CanSendRetryAfter: p.Limits.RetryAfter, MaxRetryAfter: Duration(p.Limits.MaxRetryAfterMs),
+		CanHealthCheck: p.Limits.HealthChecks, CanGossip: p.Limits.Gossip, CanSendRetryAfter: p.Limits.RetryAfter,
+		MaxRetryAfter:  Duration(p.Limits.MaxRetryAfterMs),
 		StreamsPerConn: valueOr(p.Limits.Streams, 1), ConnIdleTimeout: Duration(p.Limits.IdleMs),
 		ConnectTimeout: Duration(p.Limits.ConnectMs), PollsList: p.Discovery == "ask", Tick: Duration(p.TickMs),
 		ResponseGrace: Duration(p.Guarantees.ResponseGraceMs), MaxPollInterval: Duration(p.Guarantees.MaxPollIntervalMs),
@@ -135,9 +136,11 @@
 	var out []control.Class
 	for i, c := range p.Profiles {
 		k := control.Class{
-			LatencyObjective: Duration(c.LatencyObjectiveMs), ObjectiveStretch: c.ObjectiveStretch, Deadline: Duration(c.DeadlineMs),
-			PriorityWeight: valueOr(c.PriorityWeight, 1), LateWeight: c.LateWeight, KeyZoneScoped: c.KeyScope == "zone" || c.KeyScope == "cell",
-			KeyRetention: Duration(c.KeyRetentionMs), Ordered: c.Ordered, Streaming: c.Streamed,
+			LatencyObjective: Duration(c.LatencyObjectiveMs), ObjectiveStretch: c.ObjectiveStretch,
+			Deadline:       Duration(c.DeadlineMs),
+			PriorityWeight: valueOr(c.PriorityWeight, 1), LateWeight: c.LateWeight,
+			KeyZoneScoped: c.KeyScope == "zone" || c.KeyScope == "cell",
+			KeyRetention:  Duration(c.KeyRetentionMs), Ordered: c.Ordered, Streaming: c.Streamed,
 		}
 		var known bool
 		if k.Idempotency, known = idempotencies[c.Idempotency]; !known {
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -28,15 +28,21 @@
 	checks := map[string]bool{
 		"seed, index, siblings": s.Seed == 9 && s.Index == 1 && s.FleetSize == 3 && s.Zone == 1,
 		"safe class":            s.Classes[0].PriorityWeight == 2 && s.Classes[0].Ordered && s.Classes[0].LateWeight == 0.25,
-		"keyed class":           s.Classes[1].Idempotency == control.IdempotentByKey && s.Classes[1].KeyZoneScoped && s.Classes[1].PriorityWeight == 1,
-		"unsafe class":          s.Classes[2].Idempotency == control.NotIdempotent && s.Classes[2].Streaming && s.Classes[2].ObjectiveStretch == 1.5,
-		"kinds":                 len(s.Kinds) == 2 && s.Kinds[0].MaxBatch == 4 && !s.Kinds[0].SeparateRoutes && s.Kinds[1].SeparateRoutes,
-		"reports":               s.HeadroomIndex == 2 && s.LimitIndex == 1,
-		"list":                  s.PollsList && s.WeightKind == control.WeightsApproximate && s.MaxPollInterval == 8*time.Second,
-		"worth":                 s.WeightHalves && s.WeightByWork && s.OverQuotaFactor == 0.2,
-		"limits":                s.MaxAttempts == 5 && s.MaxOpenMessages == 40 && s.MaxInFlight == 6 && s.AllowHedging && s.StreamsPerConn == 1,
-		"figures":               s.OrderedPause == 300*time.Millisecond && s.ColdCapacity == 0.25 && s.Tick == 2500*time.Microsecond,
-		"prices":                s.RejectionCost == 0.25 && len(s.ZoneCosts) == 1 && s.Tenants[0].Quota == 9,
+		"keyed class": s.Classes[1].Idempotency == control.IdempotentByKey && s.Classes[1].KeyZoneScoped &&
+			s.Classes[1].PriorityWeight == 1,
+		"unsafe class": s.Classes[2].Idempotency == control.NotIdempotent && s.Classes[2].Streaming &&
+			s.Classes[2].ObjectiveStretch == 1.5,
+		"kinds": len(s.Kinds) == 2 && s.Kinds[0].MaxBatch == 4 && !s.Kinds[0].SeparateRoutes &&
+			s.Kinds[1].SeparateRoutes,
+		"reports": s.HeadroomIndex == 2 && s.LimitIndex == 1,
+		"list": s.PollsList && s.WeightKind == control.WeightsApproximate &&
+			s.MaxPollInterval == 8*time.Second,
+		"worth": s.WeightHalves && s.WeightByWork && s.OverQuotaFactor == 0.2,
+		"limits": s.MaxAttempts == 5 && s.MaxOpenMessages == 40 && s.MaxInFlight == 6 && s.AllowHedging &&
+			s.StreamsPerConn == 1,
+		"figures": s.OrderedPause == 300*time.Millisecond && s.ColdCapacity == 0.25 &&
+			s.Tick == 2500*time.Microsecond,
+		"prices": s.RejectionCost == 0.25 && len(s.ZoneCosts) == 1 && s.Tenants[0].Quota == 9,
 	}
 	for name, ok := range checks {
 		if !ok {
