--- a/internal/deadletter/bench_test.go
+++ b/internal/deadletter/bench_test.go
@@ -41,7 +41,7 @@
 }
 
 // What a message costs the loop, where it ends undelivered and the rule is asked.
-func BenchmarkWants(b *testing.B) {
+func BenchmarkAccepts(b *testing.B) {
 	set, err := settings.Parse("s.star", []byte(`
 held(folder = "/h")
 def hold(record, partner):
@@ -60,7 +60,7 @@
 }
 
 // What each call's end costs the loop beside that.
-func BenchmarkSaw(b *testing.B) {
+func BenchmarkCallEnded(b *testing.B) {
 	set, _ := settings.Parse("s.star", []byte(`held(folder = "/h")`))
 	k := NewQueue(Config{Settings: set, Log: quiet})
 	b.ReportAllocs()
--- a/internal/deadletter/queue_test.go
+++ b/internal/deadletter/queue_test.go
@@ -84,8 +84,9 @@
 	return k, p, stop
 }
 
-// hold gives a keeper a message and waits until it has it.
-func hold(t *testing.T, k *Queue, p *recordedEvents, id string, class, dest, tenant int, tries ...state.AttemptRecord) {
+// addDeadLetter gives a keeper a message and waits until it has it.
+func addDeadLetter(t *testing.T, k *Queue, p *recordedEvents, id string, class, dest, tenant int,
+	tries ...state.AttemptRecord) {
 	t.Helper()
 	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: id, Key: "key-" + id, Class: class, Tenant: tenant,
 		Destination: dest, Deadline: time.Now(), Body: []byte("body")}, Attempts: tries, At: time.Now(),
@@ -102,8 +103,8 @@
 	return r
 }
 
-// until waits for a record to come to a state.
-func (q *Queue) until(t *testing.T, seq uint64, s State) Record {
+// awaitState waits for a record to come to a state.
+func (q *Queue) awaitState(t *testing.T, seq uint64, s State) Record {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		var r Record
@@ -116,8 +117,8 @@
 	return Record{}
 }
 
-// back gives the keeper what came of a resend.
-func back(k *Queue, e state.Redelivery, delivered bool, tries ...state.AttemptRecord) {
+// finishRedelivery gives the keeper what came of a resend.
+func finishRedelivery(k *Queue, e state.Redelivery, delivered bool, tries ...state.AttemptRecord) {
 	k.CallEnded(e.Message.Destination, map[bool]control.Result{true: control.Served, false: control.Rejected}[delivered],
 		0, true)
 	k.Add(state.DeadLetter{Num: 1, Seq: e.Seq, Message: e.Message, Delivered: delivered, AttemptCount: e.Attempts + 1,
@@ -126,13 +127,13 @@
 
 var ctx = context.Background()
 
-func one(seq uint64) Selection { return Selection{Sequences: []uint64{seq}} }
+func selectOne(seq uint64) Selection { return Selection{Sequences: []uint64{seq}} }
 
-func TestResendRoundTrip(t *testing.T) {
+func TestRedeliveryRoundTrip(t *testing.T) {
 	k, p, _ := start(t, t.TempDir(), "", nil)
 	k.Begin(nil, nil)
-	hold(t, k, p, "a", 2, 1, 0, state.AttemptRecord{Target: "s", At: time.Now(), Result: control.Rejected})
-	if o, err := k.Redeliver(ctx, "uid 1", one(1), time.Minute, false); err != nil || o.Done != 1 {
+	addDeadLetter(t, k, p, "a", 2, 1, 0, state.AttemptRecord{Target: "s", At: time.Now(), Result: control.Rejected})
+	if o, err := k.Redeliver(ctx, "uid 1", selectOne(1), time.Minute, false); err != nil || o.Done != 1 {
 		t.Fatal(o, err)
 	}
 	e := get(t, p.resends)
@@ -143,27 +144,27 @@
 	if left := time.Until(e.Message.Deadline); left > 9*time.Second { // deadline less aim: among the deferred
 		t.Errorf("%v left: live messages would not go first", left)
 	}
-	if o, _ := k.Drop(ctx, "uid 1", one(1), false); o.Done != 0 || o.Rejected[0].Reason != "it is being sent" {
+	if o, _ := k.Drop(ctx, "uid 1", selectOne(1), false); o.Done != 0 || o.Rejected[0].Reason != "it is being sent" {
 		t.Errorf("drop of one that is out: %+v", o)
 	}
-	back(k, e, false, state.AttemptRecord{Target: "s", At: time.Now(), Result: control.ConnectionLost})
+	finishRedelivery(k, e, false, state.AttemptRecord{Target: "s", At: time.Now(), Result: control.ConnectionLost})
 	get(t, p.stored)
-	r := k.until(t, 1, Held) // unsafe, and it may have run: never again
+	r := k.awaitState(t, 1, Held) // unsafe, and it may have run: never again
 	if _, _, ran := r.FirstRun(); !ran || r.Redeliveries != 1 || len(r.Attempts) != 2 || r.Attempts[1].Redelivery != 1 {
 		t.Errorf("%+v", r)
 	}
-	if o, _ := k.Redeliver(ctx, "uid 1", one(1), time.Minute, false); o.Done != 0 ||
+	if o, _ := k.Redeliver(ctx, "uid 1", selectOne(1), time.Minute, false); o.Done != 0 ||
 		!strings.Contains(o.Rejected[0].Reason, "must never take effect twice") {
 		t.Errorf("%+v", o)
 	}
-	hold(t, k, p, "b", 0, 1, 0)
-	k.Redeliver(ctx, "uid 1", one(2), time.Minute, false)
+	addDeadLetter(t, k, p, "b", 0, 1, 0)
+	k.Redeliver(ctx, "uid 1", selectOne(2), time.Minute, false)
 	e = get(t, p.resends)
-	back(k, e, false)
+	finishRedelivery(k, e, false)
 	e = get(t, p.resends) // its order still stands
-	back(k, e, true)
-	back(k, e, true) // the journal brings it twice
-	if r := k.until(t, 2, Delivered); r.Redeliveries != 2 {
+	finishRedelivery(k, e, true)
+	finishRedelivery(k, e, true) // the journal brings it twice
+	if r := k.awaitState(t, 2, Delivered); r.Redeliveries != 2 {
 		t.Errorf("%+v", r)
 	}
 	var acts []AuditEntry
@@ -177,13 +178,13 @@
 func TestRaces(t *testing.T) {
 	k, p, _ := start(t, t.TempDir(), "", func(k *Queue) { k.planner.CallEnded(0, 1, 1, time.Hour, false) }) // told to wait
 	k.Begin(nil, nil)
-	hold(t, k, p, "a", 0, 1, 0)
+	addDeadLetter(t, k, p, "a", 0, 1, 0)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	done, dropped := 0, 0
 	for range 8 {
 		wg.Go(func() {
-			o, err := k.Redeliver(ctx, "uid 1", one(1), time.Minute, false)
+			o, err := k.Redeliver(ctx, "uid 1", selectOne(1), time.Minute, false)
 			mu.Lock()
 			defer mu.Unlock()
 			if done += o.Done; err != nil || o.Done == 0 && o.Rejected[0].Reason != "it is ordered already" {
@@ -194,7 +195,7 @@
 	wg.Wait()
 	for range 8 {
 		wg.Go(func() {
-			o, _ := k.Drop(ctx, "uid 2", one(1), false)
+			o, _ := k.Drop(ctx, "uid 2", selectOne(1), false)
 			mu.Lock()
 			defer mu.Unlock()
 			dropped += o.Done
@@ -206,34 +207,34 @@
 	}
 }
 
-// Nothing is resent before its client was told that it is undeliverable.
-func TestNotBeforeTold(t *testing.T) {
+// Nothing is redelivered before its delivery report was acknowledged.
+func TestNotRedeliveredBeforeReported(t *testing.T) {
 	k, p, _ := start(t, t.TempDir(), "", nil)
 	k.Begin(nil, nil)
 	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: "a", Destination: 1, Body: []byte("x")}, At: time.Now()})
 	get(t, p.stored)
-	hold(t, k, p, "b", 0, 1, 0)
+	addDeadLetter(t, k, p, "b", 0, 1, 0)
 	for seq := range uint64(2) {
-		k.Redeliver(ctx, "uid 1", one(seq+1), time.Minute, false)
+		k.Redeliver(ctx, "uid 1", selectOne(seq+1), time.Minute, false)
 	}
 	if e := get(t, p.resends); e.Message.ID != "b" || k.record(t, 1).State != Ordered {
 		t.Errorf("%+v", e)
 	}
-	back(k, state.Redelivery{Seq: 2, Message: &state.Message{ID: "b", Destination: 1}}, true)
+	finishRedelivery(k, state.Redelivery{Seq: 2, Message: &state.Message{ID: "b", Destination: 1}}, true)
 	k.Forget([]string{"a"})
 	if e := get(t, p.resends); e.Message.ID != "a" {
 		t.Errorf("%+v", e)
 	}
 }
 
-// What the journal does not know to be out, after a start, counts as sent.
-func TestKilledOnTheWay(t *testing.T) {
+// After a start a redelivery that the write-ahead log does not have in flight counts as sent.
+func TestKilledDuringRedelivery(t *testing.T) {
 	dir := t.TempDir()
 	k, p, stop := start(t, dir, "", nil)
 	k.Begin(nil, nil)
 	for i, class := range []int{0, 1, 2, 2} {
-		hold(t, k, p, fmt.Sprint("a", i), class, i+1, 0)
-		k.Redeliver(ctx, "uid 1", one(uint64(i+1)), time.Minute, false)
+		addDeadLetter(t, k, p, fmt.Sprint("a", i), class, i+1, 0)
+		k.Redeliver(ctx, "uid 1", selectOne(uint64(i+1)), time.Minute, false)
 		get(t, p.resends)
 	}
 	stop()
@@ -245,10 +246,10 @@
 	if e := get(t, p.resends); e.Seq != 2 || !e.MayHaveRun { // keyed, within its memory
 		t.Errorf("%+v", e)
 	}
-	if r := k.until(t, 3, Held); terms.Eligible(&r, time.Now(), true) == nil {
+	if r := k.awaitState(t, 3, Held); terms.Eligible(&r, time.Now(), true) == nil {
 		t.Errorf("%+v", r)
 	}
-	if r := k.record(t, 4); r.State != Out { // the journal has it
+	if r := k.record(t, 4); r.State != Out { // the write-ahead log has it
 		t.Errorf("%+v", r)
 	}
 }
@@ -259,16 +260,16 @@
 	k, p, stop := start(t, dir, "", func(k *Queue) { k.clock.base = k.clock.base.Add(time.Hour) })
 	k.Begin(nil, nil)
 	ran := state.AttemptRecord{At: time.Now(), Open: true}
-	hold(t, k, p, "a", 1, 1, 0, ran)
-	hold(t, k, p, "b", 0, 1, 0, ran)
+	addDeadLetter(t, k, p, "a", 1, 1, 0, ran)
+	addDeadLetter(t, k, p, "b", 0, 1, 0, ran)
 	stop()
 	k, p, _ = start(t, dir, "", func(k *Queue) { // a second goes by until its store is open
 		k.clock.base, k.clock.start = k.clock.base.Add(-time.Second), k.clock.start.Add(-time.Second)
 	})
 	k.Begin(nil, nil)
-	hold(t, k, p, "c", 1, 1, 0, state.AttemptRecord{At: time.Now(), Open: true})
+	addDeadLetter(t, k, p, "c", 1, 1, 0, state.AttemptRecord{At: time.Now(), Open: true})
 	for seq, want := range map[uint64]string{1: "the clock went back", 2: "", 3: ""} {
-		o, err := k.Redeliver(ctx, "uid 1", one(seq), time.Minute, true)
+		o, err := k.Redeliver(ctx, "uid 1", selectOne(seq), time.Minute, true)
 		if err != nil || (want == "") != (o.Done == 1) || want != "" && !strings.Contains(o.Rejected[0].Reason, want) {
 			t.Errorf("number %d: %+v %v", seq, o, err)
 		}
@@ -276,29 +277,29 @@
 }
 
 // Rules: kept where they fail, asked again after a reload, in the middle of a resend too.
-func TestRulesAtWork(t *testing.T) {
+func TestRulesApplied(t *testing.T) {
 	dir := t.TempDir()
 	const endless = "def after(record, partner):\n  for i in range(10000):\n    for j in range(10000):\n      pass\n"
 	k, p, _ := start(t, dir, endless, nil)
 	k.Begin(nil, nil)
-	hold(t, k, p, "a", 0, 1, 0)
-	hold(t, k, p, "b", 0, 1, 1)
-	k.Redeliver(ctx, "uid 1", one(2), time.Minute, false)
+	addDeadLetter(t, k, p, "a", 0, 1, 0)
+	addDeadLetter(t, k, p, "b", 0, 1, 1)
+	k.Redeliver(ctx, "uid 1", selectOne(2), time.Minute, false)
 	e := get(t, p.resends)
 	if r := k.record(t, 1); r.State != Held {
 		t.Errorf("%+v", r)
 	}
 	k.UpdateSettings(parse(t, dir, "def after(record, partner):\n  return drop() if record.tenant == \"t0\" else again()\n"))
-	k.until(t, 1, Dropped)
+	k.awaitState(t, 1, Dropped)
 	if r := k.record(t, 2); r.State != Out {
 		t.Errorf("the one that is out: %+v", r)
 	}
-	back(k, e, false)
-	back(k, get(t, p.resends), true)
-	k.until(t, 2, Delivered)
+	finishRedelivery(k, e, false)
+	finishRedelivery(k, get(t, p.resends), true)
+	k.awaitState(t, 2, Delivered)
 	k.UpdateSettings(parse(t, dir, "def after(record, partner):\n  return keep(0.05) if record.age < 0.2 else drop()\n"))
-	hold(t, k, p, "c", 0, 1, 0)
-	k.until(t, 3, Dropped)
+	addDeadLetter(t, k, p, "c", 0, 1, 0)
+	k.awaitState(t, 3, Dropped)
 }
 
 // A client that hands a key in anew has its message back; one whose record is on
@@ -308,22 +309,22 @@
 	k, p, stop := start(t, dir, "", nil)
 	k.Begin(nil, nil)
 	by := func() time.Time { return time.Now().Add(10 * time.Second) }
-	hold(t, k, p, "a", 1, 1, 0)
-	hold(t, k, p, "b", 1, 1, 0)
-	hold(t, k, p, "c", 1, 1, 0)
+	addDeadLetter(t, k, p, "a", 1, 1, 0)
+	addDeadLetter(t, k, p, "b", 1, 1, 0)
+	addDeadLetter(t, k, p, "c", 1, 1, 0)
 	if !k.ClaimKey(1, "key-z", by()) || !k.ClaimKey(1, "key-a", by()) {
 		t.Error("not free")
 	}
 	if r := k.record(t, 1); r.State != Superseded {
 		t.Errorf("%+v", r)
 	}
-	k.Redeliver(ctx, "uid 1", one(2), time.Minute, false)
+	k.Redeliver(ctx, "uid 1", selectOne(2), time.Minute, false)
 	e := get(t, p.resends)
 	if k.ClaimKey(1, "key-b", by()) {
 		t.Error("free while it is out")
 	}
-	back(k, e, true)
-	k.until(t, 2, Delivered)
+	finishRedelivery(k, e, true)
+	k.awaitState(t, 2, Delivered)
 	if !k.ClaimKey(1, "key-b", by()) {
 		t.Error("not free after its end")
 	}
@@ -337,7 +338,7 @@
 	for k.View(func(*Tx) error { return nil }) != nil {
 		time.Sleep(time.Millisecond)
 	}
-	k.until(t, 3, Superseded)
+	k.awaitState(t, 3, Superseded)
 }
 
 // A store that can't be had, or is broken at work, holds nothing up: the keeper
@@ -358,14 +359,14 @@
 			t.Fatal("it goes on holding")
 		}
 	}
-	if _, err := k.Redeliver(ctx, "uid 1", one(1), 0, false); err != ErrNoStore {
+	if _, err := k.Redeliver(ctx, "uid 1", selectOne(1), 0, false); err != ErrNoStore {
 		t.Errorf("an order without a store: %v", err)
 	}
 	os.Remove(folder)
 	get(t, p.stored)
 	k.Forget([]string{"a"})
 	for i := range 20 {
-		hold(t, k, p, fmt.Sprint("b", i), 0, 1, 0)
+		addDeadLetter(t, k, p, fmt.Sprint("b", i), 0, 1, 0)
 	}
 	// All behind the metas is overwritten while the store is open.
 	path := filepath.Join(folder, fileName)
@@ -391,17 +392,17 @@
 }
 
 // Hundreds held for one destination, or of one tenant, keep nobody else's back.
-func TestTurnsInStore(t *testing.T) {
+func TestDestinationsInTurn(t *testing.T) {
 	k, p, _ := start(t, t.TempDir(), "", func(k *Queue) {
 		k.planner.CallEnded(0, 1, 1, time.Second, false)
 		k.planner.CallEnded(0, 2, 1, time.Second, false)
 	})
 	k.Begin(nil, nil)
 	for i := range 60 {
-		hold(t, k, p, fmt.Sprint("a", i), 0, 1, 0)
+		addDeadLetter(t, k, p, fmt.Sprint("a", i), 0, 1, 0)
 	}
-	hold(t, k, p, "other-tenant", 0, 1, 1)
-	hold(t, k, p, "other-destination", 0, 2, 0)
+	addDeadLetter(t, k, p, "other-tenant", 0, 1, 1)
+	addDeadLetter(t, k, p, "other-destination", 0, 2, 0)
 	if o, err := k.Redeliver(ctx, "uid 1", Selection{Limit: MaxPageSize}, time.Minute, false); err != nil || o.Done != 62 {
 		t.Fatal(o, err)
 	}
@@ -409,7 +410,7 @@
 	for i := range 62 {
 		e := get(t, p.resends)
 		at[e.Message.ID] = i
-		back(k, e, true)
+		finishRedelivery(k, e, true)
 	}
 	if at["other-tenant"] > 12 || at["other-destination"] > 12 {
 		t.Errorf("came as numbers %d and %d", at["other-tenant"], at["other-destination"])
@@ -417,7 +418,7 @@
 }
 
 // A partner without room for a connection is there: it has turned a call away, and is not out of order.
-func TestCrowdedIsNoFailure(t *testing.T) {
+func TestConnectionRejectedIsNoFailure(t *testing.T) {
 	for r, want := range map[control.Result]redelivery.Result{
 		control.Served: redelivery.Served, control.Rejected: redelivery.Rejected,
 		control.ConnectionRejected: redelivery.Rejected,
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// A message that comes twice is in the store once, also after it was dropped.
-func TestSecondArrival(t *testing.T) {
+// A message that arrives twice is stored once, also after its record was removed.
+func TestSameMessageTwice(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	arrive := func() (added bool) {
 		update(t, s, func(tx *Tx) (err error) {
@@ -221,7 +221,7 @@
 		return tx.remove(&r)
 	})
 	if arrive() {
-		t.Error("it came back after it was removed, while the journal had it")
+		t.Error("it came back after it was removed, while the write-ahead log had it")
 	}
 	update(t, s, func(tx *Tx) error { return tx.clearReportPending("a") })
 	if !arrive() {
--- a/internal/redelivery/partner.go
+++ b/internal/redelivery/partner.go
@@ -11,7 +11,7 @@
 	levelSetAt         time.Duration
 	tokens             float64
 	tokensSetAt        time.Duration
-	pausedUntil        time.Duration // no redelivery before this
+	backoffUntil       time.Duration // no redelivery before this
 	consecutiveOutages int           // outages in a row
 	trial              bool          // the next redelivery goes alone
 	inFlight           int
--- a/internal/redelivery/planner.go
+++ b/internal/redelivery/planner.go
@@ -42,28 +42,28 @@
 type Load struct{ MaxInFlight, InFlight, MaxOpenMessages, Open int }
 
 const (
-	initialPauseWindows = 2                      // overload windows of pause after the first outage...
-	maxPauseDoublings   = 5                      // ...doubled this often at most
-	reservedFraction    = 4                      // one part in this many of the calls in flight stays free of redeliveries
-	maxOpenFraction     = 2                      // no redelivery once open messages times this reach their bound
-	minGuess            = 0.5                    // calls a second to a partner of unknown capacity, at full level
-	maxGuess            = 50.0                   // calls a second, up to which the guess grows as calls are served
-	bucketDepth         = 250 * time.Millisecond // of the token bucket
-	maxInFlightWindow   = time.Second            // redeliveries in flight are bounded by the rate times this
-	liveRateWindow      = 2 * time.Second        // time constant of the rate of live calls
-	backoffFactor       = 0.5                    // a rejection between served calls multiplies the level by this
-	notAdmittedPause    = 200 * time.Millisecond // after a redelivery that the loop did not admit
-	partnerTTL          = 10 * time.Minute       // a partner without calls is forgotten after this
+	initialBackoffWindows = 2                      // overload windows of pause after the first outage...
+	maxBackoffDoublings   = 5                      // ...doubled this often at most
+	reservedFraction      = 4                      // one part in this many of the calls in flight stays free of redeliveries
+	maxOpenFraction       = 2                      // no redelivery once open messages times this reach their bound
+	minGuess              = 0.5                    // calls a second to a partner of unknown capacity, at full level
+	maxGuess              = 50.0                   // calls a second, up to which the guess grows as calls are served
+	bucketDepth           = 250 * time.Millisecond // of the token bucket
+	maxInFlightWindow     = time.Second            // redeliveries in flight are bounded by the rate times this
+	liveRateWindow        = 2 * time.Second        // time constant of the rate of live calls
+	backoffFactor         = 0.5                    // a rejection between served calls multiplies the level by this
+	notAdmittedBackoff    = 200 * time.Millisecond // after a redelivery that the loop did not admit
+	partnerTTL            = 10 * time.Minute       // a partner without calls is forgotten after this
 )
 
 // Planner plans the redeliveries of one sender. It is not safe for concurrent use.
 type Planner struct {
-	limits      Limits
-	rng         *rand.Rand
-	partners    map[int]*partner
-	inFlight    int
-	lastGranted int // the destination of the latest grant
-	pausedUntil time.Duration
+	limits       Limits
+	rng          *rand.Rand
+	partners     map[int]*partner
+	inFlight     int
+	lastGranted  int // the destination of the latest grant
+	backoffUntil time.Duration
 }
 
 // New returns a planner. Each partner counts as warming up at first: it has dead letters because it failed. The seed
@@ -129,7 +129,7 @@
 // callServed raises the level with time, but only while calls are served.
 func (p *Planner) callServed(now time.Duration, x *partner, redelivery bool) {
 	x.servedAt, x.failingSince = now, -1
-	if now < x.pausedUntil {
+	if now < x.backoffUntil {
 		return // the call was sent before the failure and says nothing of it
 	}
 	if x.trial && (redelivery || x.consecutiveOutages == 0) {
@@ -161,11 +161,11 @@
 	x.retryAfter = max(x.retryAfter, now+retryAfter)
 	limited := r == Rejected && retryAfter < p.limits.OverloadWindow && x.servedAt >= 0 &&
 		now-x.servedAt < p.limits.OverloadWindow
-	if now < x.pausedUntil { // the call was sent before the pause: it may extend a Retry-After, not the pause
-		x.pausedUntil = max(x.pausedUntil, x.retryAfter)
+	if now < x.backoffUntil { // the call was sent before the pause: it may extend a Retry-After, not the pause
+		x.backoffUntil = max(x.backoffUntil, x.retryAfter)
 		return
 	}
-	pause := p.limits.OverloadWindow * initialPauseWindows << min(x.consecutiveOutages, maxPauseDoublings)
+	pause := p.limits.OverloadWindow * initialBackoffWindows << min(x.consecutiveOutages, maxBackoffDoublings)
 	if limited {
 		pause = p.limits.OverloadWindow / 2
 		x.level = max(p.limits.ColdCapacity*backoffFactor, x.level*backoffFactor)
@@ -174,8 +174,8 @@
 		x.level, x.trial = p.limits.ColdCapacity, true
 		x.guessedCapacity = max(minGuess, x.guessedCapacity*backoffFactor)
 	}
-	x.pausedUntil = max(x.retryAfter, now+time.Duration((0.75+p.rng.Float64()/2)*float64(pause)))
-	x.tokens, x.levelSetAt, x.tokensSetAt = 0, x.pausedUntil, x.pausedUntil
+	x.backoffUntil = max(x.retryAfter, now+time.Duration((0.75+p.rng.Float64()/2)*float64(pause)))
+	x.tokens, x.levelSetAt, x.tokensSetAt = 0, x.backoffUntil, x.backoffUntil
 }
 
 // RedeliveryEnded ends a grant, whatever came of the redelivery. One that the loop did not admit says that this
@@ -185,7 +185,7 @@
 	x.inFlight, p.inFlight = max(0, x.inFlight-1), max(0, p.inFlight-1)
 	if !admitted {
 		x.tokens = min(x.tokens+1, 1)
-		p.pausedUntil = max(p.pausedUntil, now+notAdmittedPause)
+		p.backoffUntil = max(p.backoffUntil, now+notAdmittedBackoff)
 	}
 }
 
@@ -212,7 +212,7 @@
 
 // canSend reports whether a partner may be sent one more message now.
 func (p *Planner) canSend(now time.Duration, x *partner) bool {
-	if !x.ready || now < x.pausedUntil {
+	if !x.ready || now < x.backoffUntil {
 		return false
 	}
 	rate := p.refill(now, x)
@@ -226,7 +226,7 @@
 // turns, so that many messages for one do not delay those for others. A grant counts as in flight until
 // RedeliveryEnded. The list is in any order, without duplicates.
 func (p *Planner) Grant(now time.Duration, ready []int, load Load) []int {
-	if now < p.pausedUntil || load.MaxOpenMessages > 0 && maxOpenFraction*load.Open >= load.MaxOpenMessages {
+	if now < p.backoffUntil || load.MaxOpenMessages > 0 && maxOpenFraction*load.Open >= load.MaxOpenMessages {
 		return nil
 	}
 	free := min(p.limits.MaxInFlight-p.inFlight, load.MaxInFlight-load.MaxInFlight/reservedFraction-load.InFlight)
@@ -303,8 +303,8 @@
 		switch {
 		case x == nil:
 			return now + soonest
-		case now < x.pausedUntil:
-			next = min(next, x.pausedUntil)
+		case now < x.backoffUntil:
+			next = min(next, x.backoffUntil)
 		case x.tokens < 1:
 			if rate := p.rate(now, x); rate > 0 {
 				next = min(next, now+time.Duration((1-x.tokens)/rate*float64(time.Second)))
@@ -313,13 +313,13 @@
 			next = min(next, now+5*soonest)
 		}
 	}
-	return max(next, now+soonest, min(p.pausedUntil, now+latest))
+	return max(next, now+soonest, min(p.backoffUntil, now+latest))
 }
 
 // Prune forgets partners without calls for long.
 func (p *Planner) Prune(now time.Duration) {
 	for dest, x := range p.partners {
-		if x.inFlight == 0 && now-x.lastUsed > partnerTTL && now > x.pausedUntil {
+		if x.inFlight == 0 && now-x.lastUsed > partnerTTL && now > x.backoffUntil {
 			delete(p.partners, dest)
 		}
 	}
--- a/internal/redelivery/planner_test.go
+++ b/internal/redelivery/planner_test.go
@@ -18,7 +18,7 @@
 
 // A cold partner takes ColdFrom of its capacity as it returns and all of it
 // after Cold. All siblings resend at the same time, none knowing of the others.
-func TestColdReturn(t *testing.T) {
+func TestSlowStartAfterRecovery(t *testing.T) {
 	for _, siblings := range []int{1, 2, 3, 8} {
 		lim := limits
 		lim.FleetSize = siblings
@@ -71,8 +71,8 @@
 	}
 }
 
-// warm returns a planner whose partners are at full level.
-func warm(t *testing.T, weight float64, dests ...int) (*Planner, time.Duration) {
+// warmPlanner returns a planner whose partners are at full level.
+func warmPlanner(t *testing.T, weight float64, dests ...int) (*Planner, time.Duration) {
 	t.Helper()
 	p, now := New(limits, 1), time.Duration(0)
 	for _, d := range dests {
@@ -100,7 +100,7 @@
 	return n
 }
 
-func TestStops(t *testing.T) {
+func TestStopsOnFailure(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		r       Result
@@ -113,7 +113,7 @@
 		{"failure", Failed, 0, 3 * time.Second, false},
 		{"a wait told with an answer that served", Served, time.Second, time.Second, false},
 	} {
-		p, now := warm(t, 20, 7)
+		p, now := warmPlanner(t, 20, 7)
 		p.CallEnded(now, 7, c.r, c.wait, false) // live traffic stops resends too
 		if n := grants(p, now, c.silence, idle, 7); n[7] > 0 {
 			t.Errorf("%s: %d within %v", c.name, n[7], c.silence)
@@ -130,7 +130,7 @@
 }
 
 // A partner that stays shut costs a few tests, ever more seldom.
-func TestStaysShut(t *testing.T) {
+func TestStaysPausedWhileFailing(t *testing.T) {
 	p := New(limits, 3)
 	p.CapacityChanged(0, 7, 20, true)
 	var at []time.Duration
@@ -146,8 +146,8 @@
 	}
 }
 
-func TestLiveGoesFirst(t *testing.T) {
-	p, now := warm(t, 20, 7)
+func TestLiveTrafficFirst(t *testing.T) {
+	p, now := warmPlanner(t, 20, 7)
 	alone := grants(p, now, 5*time.Second, idle, 7)[7]
 	now += 5 * time.Second
 	n := 0
@@ -171,7 +171,7 @@
 		"slots": {MaxInFlight: 16, InFlight: 12, MaxOpenMessages: 200},
 		"hold":  {MaxInFlight: 16, MaxOpenMessages: 200, Open: 100},
 	} {
-		p, now := warm(t, 20, 7)
+		p, now := warmPlanner(t, 20, 7)
 		if n := grants(p, now, 5*time.Second, load, 7); n[7] > 0 {
 			t.Errorf("%s short: %d granted", name, n[7])
 		}
@@ -179,8 +179,8 @@
 }
 
 // Many for one destination don't starve others; tenants go in turn.
-func TestTurns(t *testing.T) {
-	p, now := warm(t, 20, 1, 2, 3)
+func TestDestinationsInTurn(t *testing.T) {
+	p, now := warmPlanner(t, 20, 1, 2, 3)
 	n := grants(p, now, 10*time.Second, idle, 1, 2, 3)
 	for _, d := range []int{2, 3} {
 		if math.Abs(float64(n[d]-n[1])) > 0.1*float64(n[1]) {
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -28,27 +28,27 @@
 var modelNames = []string{"n0", "n1", "n2"}
 
 type modelSender struct {
-	alive, stopped bool
-	process        int
-	book           lease.Holder
-	off            time.Duration
-	gone           time.Duration // since when it does not serve without an order; -1 = it serves
+	alive, stopped  bool
+	process         int
+	leases          lease.Holder
+	clockOffset     time.Duration
+	notServingSince time.Duration // since when it does not serve without an order; -1 = it serves
 }
 
 type model struct {
-	now     time.Duration
-	log     []Command
-	states  [agents]*State
-	applied [agents]int
-	sights  [agents]map[string]Observation
-	watches [agents]Watch
-	offs    [agents]time.Duration
-	senders [agents]*modelSender
-	drawn   int
+	now          time.Duration
+	log          []Command
+	states       [agents]*State
+	applied      [agents]int
+	observations [agents]map[string]Observation
+	watches      [agents]Watch
+	clockOffsets [agents]time.Duration
+	senders      [agents]*modelSender
+	drawn        int
 
 	// In flight; what is delivered may stay, and come again.
-	proposals []Command
-	told      []struct {
+	proposals            []Command
+	observationsInFlight []struct {
 		to int
 		v  Observation
 	}
@@ -60,8 +60,8 @@
 		to    int
 		epoch uint64
 	}
-	broken string
-	taken  int
+	violation   string
+	ordersTaken int
 }
 
 func modelTime(d time.Duration) time.Time { return time.Unix(1000, 0).UTC().Add(d) }
@@ -73,8 +73,8 @@
 	for i, name := range modelNames {
 		agent := fmt.Sprint("a", i)
 		m.log = append(m.log, Command{Verb: SetRoster, By: agent, Roster: []Member{{Name: name, Agent: agent}}})
-		m.states[i], m.sights[i], m.offs[i] = New(), map[string]Observation{}, offs[i]
-		m.senders[i] = &modelSender{alive: true, process: m.draw(), off: offs[agents+i], gone: -1}
+		m.states[i], m.observations[i], m.clockOffsets[i] = New(), map[string]Observation{}, offs[i]
+		m.senders[i] = &modelSender{alive: true, process: m.draw(), clockOffset: offs[agents+i], notServingSince: -1}
 	}
 	plan := &Plan{Kind: Drain, Stages: [][]string{modelNames}, Hold: modelStep}
 	m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, Seen: modelNames})
@@ -93,21 +93,22 @@
 	return true
 }
 
-// look has an agent look at its sender; what it sees goes to all agents.
-func (m *model) look(i int) {
+// observe has an agent poll its sender and send the observation to all agents.
+func (m *model) observe(i int) {
 	s := m.senders[i]
 	if !s.alive || s.stopped {
 		return
 	}
 	v := Observation{
-		Sender: modelNames[i], At: modelTime(m.now + m.offs[i]), Serving: !s.book.Active(), Process: fmt.Sprint(s.process),
-		Epoch: s.book.Epoch, Ended: s.book.Ended, Drained: s.book.Active() && s.book.Drain,
+		Sender: modelNames[i], At: modelTime(m.now + m.clockOffsets[i]), Serving: !s.leases.Active(),
+		Process: fmt.Sprint(s.process),
+		Epoch:   s.leases.Epoch, Ended: s.leases.Ended, Drained: s.leases.Active() && s.leases.Drain,
 	}
 	for to := range agents {
 		if to == i {
-			m.saw(to, v)
+			m.receive(to, v)
 		} else {
-			m.told = append(m.told, struct {
+			m.observationsInFlight = append(m.observationsInFlight, struct {
 				to int
 				v  Observation
 			}{to, v})
@@ -115,34 +116,35 @@
 	}
 }
 
-// far has an agent look at another one's sender, for itself.
-func (m *model) far(i, k int) {
+// observeRemotely has an agent poll the sender of another agent, for itself.
+func (m *model) observeRemotely(i, k int) {
 	s := m.senders[k]
 	if i == k || !s.alive || s.stopped {
 		return
 	}
-	m.saw(i, Observation{
-		Sender: modelNames[k], At: modelTime(m.now + m.offs[i]), Serving: !s.book.Active(), Process: fmt.Sprint(s.process),
-		Epoch: s.book.Epoch, Ended: s.book.Ended, Drained: s.book.Active() && s.book.Drain, Far: true,
+	m.receive(i, Observation{
+		Sender: modelNames[k], At: modelTime(m.now + m.clockOffsets[i]), Serving: !s.leases.Active(),
+		Process: fmt.Sprint(s.process),
+		Epoch:   s.leases.Epoch, Ended: s.leases.Ended, Drained: s.leases.Active() && s.leases.Drain, Far: true,
 	})
 }
 
-func (m *model) saw(to int, v Observation) {
-	if old, some := m.sights[to][v.Sender]; !some || v.At.After(old.At) {
-		m.sights[to][v.Sender] = v
+func (m *model) receive(to int, v Observation) {
+	if old, some := m.observations[to][v.Sender]; !some || v.At.After(old.At) {
+		m.observations[to][v.Sender] = v
 	}
 }
 
-// lead has an agent propose what it takes to come next, whether or not it leads.
-func (m *model) lead(i int) {
-	for _, c := range m.states[i].Next(m.sights[i], &m.watches[i], modelTime(m.now+m.offs[i])) {
+// propose has an agent propose what it computes to come next, whether or not it leads.
+func (m *model) propose(i int) {
+	for _, c := range m.states[i].Next(m.observations[i], &m.watches[i], modelTime(m.now+m.clockOffsets[i])) {
 		c.By = fmt.Sprint("a", i)
 		m.proposals = append(m.proposals, c)
 	}
 }
 
-// mind has an agent send what its sender is ordered.
-func (m *model) mind(i int) {
+// sendOrder has an agent send its sender what is granted.
+func (m *model) sendOrder(i int) {
 	g := m.states[i].Grants[modelNames[i]]
 	if g == nil {
 		return
@@ -160,27 +162,27 @@
 	}{i, lease.Order{Process: g.Process, Epoch: g.Epoch, By: g.By, Until: g.Until, Drain: true}})
 }
 
-// order arrives at a sender. Here the budget is judged.
-func (m *model) order(k int) {
+// takeOrder delivers an order to a sender. The budget is checked here.
+func (m *model) takeOrder(k int) {
 	o := m.orders[k]
 	s := m.senders[o.to]
 	if !s.alive || s.stopped {
 		return
 	}
-	stood := s.book.Active() && s.book.Epoch == o.o.Epoch
-	if s.book.Take(o.o, fmt.Sprint(s.process), modelTime(m.now+s.off)) != nil || stood {
+	alreadyTaken := s.leases.Active() && s.leases.Epoch == o.o.Epoch
+	if s.leases.Take(o.o, fmt.Sprint(s.process), modelTime(m.now+s.clockOffset)) != nil || alreadyTaken {
 		return
 	}
-	m.taken++
+	m.ordersTaken++
 	margin := modelFresh + modelAccept + 4*modelError
 	var out []string
 	for i, x := range m.senders {
-		if x.alive && x.book.Active() || x.gone >= 0 && m.now-x.gone > margin {
+		if x.alive && x.leases.Active() || x.notServingSince >= 0 && m.now-x.notServingSince > margin {
 			out = append(out, modelNames[i])
 		}
 	}
 	if budget := m.states[0].Terms.Budget.Fleet; budget > 0 && len(out) > budget {
-		m.broken = fmt.Sprintf("at %v %s went out by order %d, and then %v were out, %d may be", m.now, modelNames[o.to],
+		m.violation = fmt.Sprintf("at %v %s went out by order %d, and then %v were out, %d may be", m.now, modelNames[o.to],
 			o.o.Epoch, out, budget)
 	}
 }
@@ -188,81 +190,81 @@
 func (m *model) crash(i int) {
 	if s := m.senders[i]; s.alive {
 		s.alive, s.stopped = false, false
-		if s.gone < 0 {
-			s.gone = m.now
+		if s.notServingSince < 0 {
+			s.notServingSince = m.now
 		}
 	}
 }
 
-func (m *model) begin(i int) {
+func (m *model) restart(i int) {
 	if s := m.senders[i]; !s.alive {
-		*s = modelSender{alive: true, process: m.draw(), off: s.off, gone: -1}
+		*s = modelSender{alive: true, process: m.draw(), clockOffset: s.clockOffset, notServingSince: -1}
 	}
 }
 
-// stop is SIGSTOP, or SIGCONT for one that is stopped: it goes on with the view that it had.
-func (m *model) stop(i int) {
+// stopOrContinue is SIGSTOP, or SIGCONT for one that is stopped: it goes on with the view that it had.
+func (m *model) stopOrContinue(i int) {
 	s := m.senders[i]
 	if !s.alive {
 		return
 	}
 	if s.stopped = !s.stopped; s.stopped {
-		s.gone = m.now
+		s.notServingSince = m.now
 	} else {
-		s.gone = -1
-		s.book.Expire(modelTime(m.now + s.off))
+		s.notServingSince = -1
+		s.leases.Expire(modelTime(m.now + s.clockOffset))
 	}
 }
 
-func (m *model) pass(d time.Duration) {
+func (m *model) advance(d time.Duration) {
 	m.now += d
 	for _, s := range m.senders {
 		if s.alive && !s.stopped {
-			s.book.Expire(modelTime(m.now + s.off))
+			s.leases.Expire(modelTime(m.now + s.clockOffset))
 		}
 	}
 }
 
-// acts are what may happen next, by name. Those that deliver take the number of what they deliver.
-func (m *model) acts() []func() {
-	list := []func(){func() { m.pass(modelStep) }, func() { m.pass(5 * modelStep) }}
+// actions are the steps that may come next.
+func (m *model) actions() []func() {
+	list := []func(){func() { m.advance(modelStep) }, func() { m.advance(5 * modelStep) }}
 	for i := range agents {
-		list = append(list, func() { m.far(i, (i+1)%agents) }, func() { m.look(i) }, func() { m.lead(i) },
-			func() { m.mind(i) })
+		list = append(list, func() { m.observeRemotely(i, (i+1)%agents) }, func() { m.observe(i) }, func() { m.propose(i) },
+			func() { m.sendOrder(i) })
 		if m.applied[i] < len(m.log) {
 			list = append(list, func() { m.apply(i) })
 		}
 	}
 	// The latest in flight come first, but old ones come, too.
-	for _, k := range latest(len(m.told), 6) {
-		list = append(list, func() { m.saw(m.told[k].to, m.told[k].v) })
+	for _, k := range latest(len(m.observationsInFlight), 6) {
+		list = append(list, func() { m.receive(m.observationsInFlight[k].to, m.observationsInFlight[k].v) })
 	}
 	for _, k := range latest(len(m.proposals), 3) {
 		list = append(list, func() { m.log = append(m.log, m.proposals[k]) })
 	}
 	for _, k := range latest(len(m.orders), 4) {
-		list = append(list, func() { m.order(k) })
+		list = append(list, func() { m.takeOrder(k) })
 	}
 	for _, k := range latest(len(m.ends), 3) {
 		list = append(list, func() {
 			if s := m.senders[m.ends[k].to]; s.alive && !s.stopped {
-				s.book.End(m.ends[k].epoch)
+				s.leases.End(m.ends[k].epoch)
 			}
 		})
 	}
 	return list
 }
 
-// mishaps are what goes wrong with senders.
-func (m *model) mishaps() []func() {
+// faults are the faults of senders that may come next.
+func (m *model) faults() []func() {
 	var list []func()
 	for i := range agents {
-		list = append(list, func() { m.crash(i) }, func() { m.begin(i) }, func() { m.stop(i) })
+		list = append(list, func() { m.crash(i) }, func() { m.restart(i) }, func() { m.stopOrContinue(i) })
 	}
 	return list
 }
 
-// latest are the numbers of the last of n things, the very last first.
+// latest returns the indices of the last of n things, the very last first.
 func latest(n, most int) (list []int) {
 	for i := n - 1; i >= 0 && len(list) < most; i-- {
 		list = append(list, i)
@@ -270,13 +272,13 @@
 	return list
 }
 
-// settle lets all be told and applied that is in flight, so that histories get somewhere.
-func (m *model) settle() {
+// deliverAll delivers all observations and applies all entries, so that histories make progress.
+func (m *model) deliverAll() {
 	for i := range agents {
-		m.look(i)
+		m.observe(i)
 	}
-	for _, t := range m.told {
-		m.saw(t.to, t.v)
+	for _, t := range m.observationsInFlight {
+		m.receive(t.to, t.v)
 	}
 	for i := range agents {
 		for m.apply(i) {
@@ -284,47 +286,48 @@
 	}
 }
 
-// round goes on as all of it is meant to: looks, entries, orders and ends, with orders delivered or left on their way.
-func (m *model) round(leader, whom int, deliver bool) {
-	m.settle()
+// runRound plays a round without faults: observations, entries, orders and ends. Orders are delivered or stay in
+// flight.
+func (m *model) runRound(leader, whom int, deliver bool) {
+	m.deliverAll()
 	before := len(m.proposals)
-	m.lead(leader)
+	m.propose(leader)
 	for _, c := range m.proposals[before:] {
 		if c.Verb != GrantThese {
 			m.log = append(m.log, c)
 		}
 	}
-	m.settle()
-	m.ask(leader, whom)
-	m.settle()
+	m.deliverAll()
+	m.requestGrant(leader, whom)
+	m.deliverAll()
 	orders, ends := len(m.orders), len(m.ends)
 	for i := range agents {
-		m.mind(i)
+		m.sendOrder(i)
 	}
 	for k := orders; deliver && k < len(m.orders); k++ {
-		m.order(k)
+		m.takeOrder(k)
 	}
 	for _, e := range m.ends[ends:] {
 		if s := m.senders[e.to]; s.alive && !s.stopped {
-			s.book.End(e.epoch)
+			s.leases.End(e.epoch)
 		}
 	}
 }
 
-// ask has an agent propose leave for any sender, in whatever order: what is safe does not rest on which is next.
-func (m *model) ask(i, k int) {
-	s, v := m.states[i], m.sights[i][modelNames[k]]
-	now := modelTime(m.now + m.offs[i])
+// requestGrant has an agent propose a grant for any sender, in any order: safety must not rest on which is next.
+func (m *model) requestGrant(i, k int) {
+	s, v := m.states[i], m.observations[i][modelNames[k]]
+	now := modelTime(m.now + m.clockOffsets[i])
 	for _, p := range s.Plans {
 		if t := p.Tasks[v.Sender]; p.Phase == Running && t != nil && t.Step == Waiting {
 			m.log = append(m.log, Command{Verb: GrantThese, At: now, Plan: p.ID,
-				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.Seen(m.sights[i], now)})
+				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.Seen(m.observations[i], now)})
 		}
 	}
 }
 
-// staff has plans that halted go on, and starts one again once all are over.
-func (m *model) staff(i int) {
+// resumeOrStart resumes halted plans, and starts a new one once all are over.
+func (m *model) resumeOrStart(i int) {
 	s := m.states[i]
 	open := false
 	for _, p := range s.Plans {
@@ -347,44 +350,44 @@
 			offs[i] = modelError * time.Duration(rapid.IntRange(-1, 1).Draw(t, "clock"))
 		}
 		m := newModel(rapid.IntRange(1, 2).Draw(t, "budget"), offs)
-		m.settle()
+		m.deliverAll()
 		for range 100 {
 			n := rapid.IntRange(0, 99).Draw(t, "what")
 			who, whom := rapid.IntRange(0, agents-1).Draw(t, "who"), rapid.IntRange(0, agents-1).Draw(t, "whom")
 			switch {
 			case n < 20:
-				m.round(who, whom, true)
+				m.runRound(who, whom, true)
 			case n < 35:
-				m.round(who, whom, false)
+				m.runRound(who, whom, false)
 			case n < 47:
 				if len(m.orders) > 0 {
-					m.order(len(m.orders) - 1 - (3*who+whom)%min(9, len(m.orders)))
+					m.takeOrder(len(m.orders) - 1 - (3*who+whom)%min(9, len(m.orders)))
 				}
 			case n < 57:
-				m.ask(who, whom)
+				m.requestGrant(who, whom)
 			case n < 62:
 				m.crash(who)
-				m.begin(who)
+				m.restart(who)
 			case n < 66:
-				list := m.mishaps()
+				list := m.faults()
 				list[3*who+whom]()
 			case n < 76:
-				m.pass(modelStep)
+				m.advance(modelStep)
 			case n < 80:
-				m.pass(5 * modelStep)
+				m.advance(5 * modelStep)
 			case n < 83:
-				m.staff(who)
+				m.resumeOrStart(who)
 			case n < 86:
-				m.far(who, whom)
+				m.observeRemotely(who, whom)
 			default:
-				list := m.acts()
+				list := m.actions()
 				list[rapid.IntRange(0, len(list)-1).Draw(t, "act")]()
 			}
-			if m.broken != "" {
-				t.Fatal(m.broken)
+			if m.violation != "" {
+				t.Fatal(m.violation)
 			}
 		}
-		taken += m.taken
+		taken += m.ordersTaken
 	})
 	if taken == 0 {
 		t.Error("nobody ever went out")
@@ -396,35 +399,35 @@
 var deep = flag.Int("deep", 2, "steps of TestEveryOrder")
 
 // Every order of what may come next, up to a depth, from the states that a drain goes through.
-func TestEveryOrder(t *testing.T) {
+func TestAllInterleavings(t *testing.T) {
 	fast, slow, orders := modelError, -modelError, 0
 	for _, offs := range [][2 * agents]time.Duration{{}, {fast, slow, slow, slow, fast, slow},
 		{slow, fast, fast, fast, slow, fast}} {
 		for way := range 10 {
 			start := func() *model {
 				m := newModel(1, offs)
-				m.settle()
+				m.deliverAll()
 				for k := range way {
 					switch k % 3 {
 					case 0:
-						m.lead(0)
+						m.propose(0)
 						if len(m.proposals) > 0 {
 							m.log = append(m.log, m.proposals[len(m.proposals)-1])
 						}
 					case 1:
-						m.settle()
+						m.deliverAll()
 						for i := range agents {
-							m.mind(i)
+							m.sendOrder(i)
 						}
 						for k := range m.orders {
-							m.order(k)
+							m.takeOrder(k)
 						}
 						for _, e := range m.ends {
-							m.senders[e.to].book.End(e.epoch)
+							m.senders[e.to].leases.End(e.epoch)
 						}
 					case 2:
-						m.pass(3 * modelStep)
-						m.settle()
+						m.advance(3 * modelStep)
+						m.deliverAll()
 					}
 				}
 				return m
@@ -434,16 +437,16 @@
 			walk = func(path []int) {
 				m := start()
 				for _, k := range path {
-					m.acts()[k]()
+					m.actions()[k]()
 				}
 				n++
-				if m.broken != "" {
-					t.Fatalf("clocks %v, way %d, path %v: %s", offs, way, path, m.broken)
+				if m.violation != "" {
+					t.Fatalf("clocks %v, way %d, path %v: %s", offs, way, path, m.violation)
 				}
 				if len(path) == *deep || t.Failed() {
 					return
 				}
-				for k := range m.acts() {
+				for k := range m.actions() {
 					walk(append(slices.Clone(path), k))
 				}
 			}
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// A stand is a fleet under test: a state, what is seen, and a clock.
-type stand struct {
-	t      *testing.T
-	s      *State
-	sights map[string]Observation
-	now    time.Time
-	watch  Watch
+// A testFleet is a fleet under test: a state, what is seen, and a clock.
+type testFleet struct {
+	t            *testing.T
+	state        *State
+	observations map[string]Observation
+	now          time.Time
+	watch        Watch
 }
 
-func newStand(t *testing.T, senders int, b Budget) *stand {
+func newTestFleet(t *testing.T, senders int, b Budget) *testFleet {
 	t.Helper()
-	x := &stand{t: t, s: New(), sights: map[string]Observation{}, now: time.Unix(1000, 0).UTC()}
+	x := &testFleet{t: t, state: New(), observations: map[string]Observation{}, now: time.Unix(1000, 0).UTC()}
 	terms := DefaultTerms
 	terms.Budget = b
 	x.must(Command{Verb: SetTerms, Terms: &terms})
@@ -32,47 +32,46 @@
 	}
 	x.must(Command{Verb: SetRoster, By: "x", Roster: roster})
 	for _, m := range roster {
-		x.see(m.Name, func(v *Observation) { v.Serving, v.Process, v.Version = true, "p", "v1" })
+		x.observe(m.Name, func(v *Observation) { v.Serving, v.Process, v.Version = true, "p", "v1" })
 	}
 	return x
 }
 
-func (x *stand) apply(c Command) error {
+func (x *testFleet) apply(c Command) error {
 	c.At = x.now
 	if c.By == "" {
 		c.By = "x"
 	}
-	return x.s.Apply(x.s.Index+1, c)
+	return x.state.Apply(x.state.Index+1, c)
 }
 
-func (x *stand) must(c Command) uint64 {
+func (x *testFleet) must(c Command) uint64 {
 	x.t.Helper()
 	if err := x.apply(c); err != nil {
 		x.t.Fatal(err)
 	}
-	return x.s.Index
+	return x.state.Index
 }
 
-func (x *stand) see(name string, change func(v *Observation)) {
-	v := x.sights[name]
+func (x *testFleet) observe(name string, change func(v *Observation)) {
+	v := x.observations[name]
 	v.Sender, v.At = name, x.now
 	change(&v)
-	x.sights[name] = v
+	x.observations[name] = v
 }
 
-// pass lets time go by in which all are seen as they were.
-func (x *stand) pass(d time.Duration) {
+// advance lets time pass in which all are observed unchanged.
+func (x *testFleet) advance(d time.Duration) {
 	x.now = x.now.Add(d)
-	for name := range x.sights {
-		x.see(name, func(*Observation) {})
+	for name := range x.observations {
+		x.observe(name, func(*Observation) {})
 	}
 }
 
-// drive proposes and applies until nothing more comes; senders take up their grants as they should, unless told
-// otherwise.
-func (x *stand) drive(takes func(g *Grant)) {
+// run proposes and applies until nothing more comes; takes, unless nil, has a sender take its grant.
+func (x *testFleet) run(takes func(g *Grant)) {
 	for range 100 {
-		list := x.s.Next(x.sights, &x.watch, x.now)
+		list := x.state.Next(x.observations, &x.watch, x.now)
 		for _, c := range list {
 			if err := x.apply(c); err != nil {
 				x.t.Fatalf("%s: %v", c.Verb, err)
@@ -81,8 +80,8 @@
 		if len(list) == 0 {
 			return
 		}
-		for name, g := range x.s.Grants {
-			if x.sights[name].Epoch < g.Epoch && takes != nil {
+		for name, g := range x.state.Grants {
+			if x.observations[name].Epoch < g.Epoch && takes != nil {
 				takes(g)
 			}
 		}
@@ -90,10 +89,10 @@
 	x.t.Fatal("no end of proposals")
 }
 
-// changes is a sender that takes its grant up and runs what it is to run.
-func (x *stand) changes(g *Grant) {
-	x.pass(time.Millisecond)
-	x.see(g.Sender, func(v *Observation) {
+// carryOut has a sender take its grant and run the version of it.
+func (x *testFleet) carryOut(g *Grant) {
+	x.advance(time.Millisecond)
+	x.observe(g.Sender, func(v *Observation) {
 		if v.Epoch, v.Ended, v.Drained, v.Serving = g.Epoch, !g.Drain, g.Drain, !g.Drain; !g.Drain {
 			v.Version, v.Process = g.To.Name, v.Process+"'"
 			v.Facts = Counters{MemoryMB: v.Facts.MemoryMB}
@@ -101,25 +100,25 @@
 	})
 }
 
-func (x *stand) drain(names ...string) uint64 {
+func (x *testFleet) drain(names ...string) uint64 {
 	x.t.Helper()
 	return x.must(Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{names}},
-		Seen: x.s.Seen(x.sights, x.now)})
+		Seen: x.state.Seen(x.observations, x.now)})
 }
 
-func (x *stand) release(p Plan) uint64 {
+func (x *testFleet) release(p Plan) uint64 {
 	x.t.Helper()
 	p.Kind = Release
 	if p.To.Name == "" {
 		p.To = Version{Name: "v2", Program: "/v2"}
 	}
-	return x.must(Command{Verb: Start, Reason: "r", New: &p, Seen: x.s.Seen(x.sights, x.now)})
+	return x.must(Command{Verb: Start, Reason: "r", New: &p, Seen: x.state.Seen(x.observations, x.now)})
 }
 
-// work has senders end so many messages each, a part of which fail.
-func (x *stand) work(n int64, failed func(name string) int64) {
-	for name := range x.sights {
-		x.see(name, func(v *Observation) {
+// addTraffic has senders end so many messages each, a part of which fail.
+func (x *testFleet) addTraffic(n int64, failed func(name string) int64) {
+	for name := range x.observations {
+		x.observe(name, func(v *Observation) {
 			f := failed(name)
 			v.Facts.Accepted, v.Facts.Called = v.Facts.Accepted+n, v.Facts.Called+n
 			v.Facts.Failed, v.Facts.Delivered = v.Facts.Failed+f, v.Facts.Delivered+n-f
@@ -128,7 +127,7 @@
 	}
 }
 
-func none(string) int64 { return 0 }
+func noFailures(string) int64 { return 0 }
 
 // The budget in each of its parts: who is granted leave at once, of four senders in two buildings, of which some are
 // not seen.
@@ -149,16 +148,16 @@
 		{"two are not seen in one building", Budget{Fleet: 4, Building: 2}, "n1 n3", 2},
 		{"four must serve", Budget{Fleet: 4, Serving: 3}, "n2", 0},
 	} {
-		x := newStand(t, 4, c.budget)
+		x := newTestFleet(t, 4, c.budget)
 		x.drain("n0", "n1", "n2", "n3")
 		x.now = x.now.Add(2 * time.Second)
-		for name := range x.sights {
+		for name := range x.observations {
 			if !strings.Contains(c.unseen, name) {
-				x.see(name, func(*Observation) {})
+				x.observe(name, func(*Observation) {})
 			}
 		}
-		x.drive(nil)
-		if got := len(x.s.Grants); got != c.want {
+		x.run(nil)
+		if got := len(x.state.Grants); got != c.want {
 			t.Errorf("%s: %d may go out, want %d", c.name, got, c.want)
 		}
 	}
@@ -167,7 +166,7 @@
 // Each sight of a sender and whether it closes its grant: epoch 5, by 2 s after the grant, clocks wrong by 250 ms at
 // most.
 func TestClosable(t *testing.T) {
-	x := newStand(t, 2, Budget{Fleet: 1})
+	x := newTestFleet(t, 2, Budget{Fleet: 1})
 	at := func(s float64) time.Time { return x.now.Add(time.Duration(s * float64(time.Second))) }
 	g := &Grant{Epoch: 5, Sender: "n0", Process: "p", ObservedAt: at(-0.5), At: at(0), By: at(2), Until: at(10)}
 	for name, c := range map[string]struct {
@@ -198,17 +197,17 @@
 		if c.v.Sender == "" {
 			c.v.Sender = "n0"
 		}
-		if got := x.s.Closable(g, &c.v); got != c.want {
+		if got := x.state.Closable(g, &c.v); got != c.want {
 			t.Errorf("%s: %t", name, got)
 		}
 	}
 }
 
 // What staff may not ask for, and that nothing changes then.
-func TestRefusals(t *testing.T) {
-	x := newStand(t, 4, Budget{Fleet: 2})
+func TestRejectedCommands(t *testing.T) {
+	x := newTestFleet(t, 4, Budget{Fleet: 2})
 	first := x.drain("n0")
-	seen := x.s.Seen(x.sights, x.now)
+	seen := x.state.Seen(x.observations, x.now)
 	start := func(p Plan) Command { return Command{Verb: Start, Reason: "r", New: &p, Seen: seen} }
 	terms := func(b Budget) Command { t := DefaultTerms; t.Budget = b; return Command{Verb: SetTerms, Terms: &t} }
 	for name, c := range map[string]struct {
@@ -238,11 +237,11 @@
 			"does not run"},
 		"close of no grant": {Command{Verb: Close, Sender: "n0", Observation: &Observation{}}, "no grant"},
 	} {
-		before, _ := json.Marshal(x.s)
-		index := x.s.Index
+		before, _ := json.Marshal(x.state)
+		index := x.state.Index
 		err := x.apply(c.c)
-		x.s.Index = index
-		after, _ := json.Marshal(x.s)
+		x.state.Index = index
+		after, _ := json.Marshal(x.state)
 		if !errors.Is(err, ErrRejected) || !strings.Contains(fmt.Sprint(err), c.want) {
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
@@ -253,50 +252,50 @@
 }
 
 // Two operators: whoever halts last wins over a resume that has not seen it.
-func TestHaltWins(t *testing.T) {
-	x := newStand(t, 4, Budget{Fleet: 1})
+func TestStaleResumeRejected(t *testing.T) {
+	x := newTestFleet(t, 4, Budget{Fleet: 1})
 	id := x.drain("n0", "n1")
 	x.must(Command{Verb: Halt, Reason: "r", Plan: id})
-	saw := x.s.Plan(id).Revision
+	saw := x.state.Plan(id).Revision
 	x.must(Command{Verb: Halt, Reason: "again, by another", Plan: id})
 	if err := x.apply(Command{Verb: Resume, Reason: "r", Plan: id, Revision: saw}); !errors.Is(err, ErrRejected) {
 		t.Errorf("resume of what was seen before the second halt: %v", err)
 	}
-	if x.drive(nil); len(x.s.Grants) != 0 {
+	if x.run(nil); len(x.state.Grants) != 0 {
 		t.Error("a halted plan goes on")
 	}
-	x.must(Command{Verb: Resume, Reason: "r", Plan: id, Revision: x.s.Plan(id).Revision})
-	if x.drive(nil); len(x.s.Grants) != 1 {
+	x.must(Command{Verb: Resume, Reason: "r", Plan: id, Revision: x.state.Plan(id).Revision})
+	if x.run(nil); len(x.state.Grants) != 1 {
 		t.Error("a resumed plan does not go on")
 	}
 }
 
 // A release goes by building, one, a few, then a tenth at a time, and each stage waits for its gate.
 func TestReleaseStages(t *testing.T) {
-	x := newStand(t, 40, Budget{Fleet: 4, Building: 4})
+	x := newTestFleet(t, 40, Budget{Fleet: 4, Building: 4})
 	id := x.release(Plan{})
-	p := x.s.Plan(id)
+	p := x.state.Plan(id)
 	if sizes := fmt.Sprint(len(p.Stages), len(p.Stages[0]), len(p.Stages[1]), len(p.Stages[2])); sizes != "11 1 3 4" ||
 		p.Stages[0][0] != "n0" || p.Stages[1][0] != "n2" {
 		t.Fatalf("stages %v", p.Stages)
 	}
 	most, stages := 0, 0
-	for x.s.Plan(id).Phase == Running && stages < 1000 {
-		before := x.s.Plan(id).Stage
-		x.drive(func(g *Grant) { most = max(most, len(x.s.Grants)); x.changes(g) })
-		if x.s.Plan(id).Stage > before+1 {
+	for x.state.Plan(id).Phase == Running && stages < 1000 {
+		before := x.state.Plan(id).Stage
+		x.run(func(g *Grant) { most = max(most, len(x.state.Grants)); x.carryOut(g) })
+		if x.state.Plan(id).Stage > before+1 {
 			t.Fatal("a stage was passed without its gate")
 		}
-		x.pass(time.Second)
-		x.work(20, none)
+		x.advance(time.Second)
+		x.addTraffic(20, noFailures)
 		stages++
 	}
-	if x.s.Plan(id).Phase != Done || most > 4 {
-		t.Fatalf("%s: %s; %d out at once", x.s.Plan(id).Phase, x.s.Plan(id).Why, most)
+	if x.state.Plan(id).Phase != Done || most > 4 {
+		t.Fatalf("%s: %s; %d out at once", x.state.Plan(id).Phase, x.state.Plan(id).Why, most)
 	}
-	for _, name := range x.s.names() {
-		if x.s.Members[name].Version.Name != "v2" {
-			t.Errorf("%s runs %s", name, x.s.Members[name].Version.Name)
+	for _, name := range x.state.names() {
+		if x.state.Members[name].Version.Name != "v2" {
+			t.Errorf("%s runs %s", name, x.state.Members[name].Version.Name)
 		}
 	}
 }
@@ -304,30 +303,30 @@
 // What the first stage's gate makes of a version, and how many senders ever ran it.
 func TestGates(t *testing.T) {
 	for name, c := range map[string]struct {
-		acts func(x *stand, changed string)
+		acts func(x *testFleet, changed string)
 		want string
 	}{
-		"like the others": {func(x *stand, _ string) { x.work(20, none) }, "stage 2 of"},
-		"fails more": {func(x *stand, changed string) {
-			x.work(20, func(n string) int64 {
+		"like the others": {func(x *testFleet, _ string) { x.addTraffic(20, noFailures) }, "stage 2 of"},
+		"fails more": {func(x *testFleet, changed string) {
+			x.addTraffic(20, func(n string) int64 {
 				if n == changed {
 					return 5
 				}
 				return 0
 			})
 		}, "ends that are failures"},
-		"refuses one in five": {func(x *stand, changed string) {
-			x.work(20, none)
-			x.see(changed, func(v *Observation) { v.Facts.Rejected += 5 })
+		"refuses one in five": {func(x *testFleet, changed string) {
+			x.addTraffic(20, noFailures)
+			x.observe(changed, func(v *Observation) { v.Facts.Rejected += 5 })
 		}, "messages refused"},
-		"fails as all do": {func(x *stand, _ string) { x.work(20, func(string) int64 { return 4 }) }, "stage 2 of"},
-		"slow to call": {func(x *stand, n string) {
-			x.work(20, none)
-			x.see(n, func(v *Observation) { v.Facts.Late += 10 })
+		"fails as all do": {func(x *testFleet, _ string) { x.addTraffic(20, func(string) int64 { return 4 }) }, "stage 2 of"},
+		"slow to call": {func(x *testFleet, n string) {
+			x.addTraffic(20, noFailures)
+			x.observe(n, func(v *Observation) { v.Facts.Late += 10 })
 		}, "time to the first call"},
-		"two stragglers": {func(x *stand, n string) {
-			if x.work(20, none); !x.sights[n].Drained {
-				x.see(n, func(v *Observation) {
+		"two stragglers": {func(x *testFleet, n string) {
+			if x.addTraffic(20, noFailures); !x.observations[n].Drained {
+				x.observe(n, func(v *Observation) {
 					if v.Facts.Called == 60 {
 						v.Facts.Late += 2
 					}
@@ -335,97 +334,97 @@
 			}
 		}, "stage 2 of"},
 		// Of a destination in trouble when the version began: late together, and never again.
-		"nine that waited together": {func(x *stand, n string) {
-			x.work(20, none)
-			x.see(n, func(v *Observation) {
+		"nine that waited together": {func(x *testFleet, n string) {
+			x.addTraffic(20, noFailures)
+			x.observe(n, func(v *Observation) {
 				if v.Facts.Called == 40 {
 					v.Facts.Late += 9
 				}
 			})
 		}, "stage 2 of"},
-		"some late at first, and no more traffic": {func(x *stand, n string) {
-			x.see(n, func(v *Observation) {
+		"some late at first, and no more traffic": {func(x *testFleet, n string) {
+			x.observe(n, func(v *Observation) {
 				if v.Facts.Called < 40 {
-					x.work(40, none)
-					v.Facts = x.sights[n].Facts
+					x.addTraffic(40, noFailures)
+					v.Facts = x.observations[n].Facts
 					v.Facts.Late += 12
 				}
 			})
 		}, "first calls came late, and 0 have been made since"},
-		"late again and again": {func(x *stand, n string) {
-			x.work(20, none)
-			x.see(n, func(v *Observation) {
+		"late again and again": {func(x *testFleet, n string) {
+			x.addTraffic(20, noFailures)
+			x.observe(n, func(v *Observation) {
 				if v.Facts.Called%60 <= 20 {
 					v.Facts.Late += 12
 				}
 			})
 		}, "time to the first call"},
-		"leaks": {func(x *stand, n string) {
-			x.work(20, none)
-			x.see(n, func(v *Observation) { v.Facts.MemoryMB += 30 })
+		"leaks": {func(x *testFleet, n string) {
+			x.addTraffic(20, noFailures)
+			x.observe(n, func(v *Observation) { v.Facts.MemoryMB += 30 })
 		}, "memory"},
-		"crashes": {func(x *stand, n string) { x.see(n, func(v *Observation) { v.Facts.Restarts++ }) },
+		"crashes": {func(x *testFleet, n string) { x.observe(n, func(v *Observation) { v.Facts.Restarts++ }) },
 			"crashed after its change"},
-		"answers nothing": {func(x *stand, n string) {
-			x.see(n, func(v *Observation) { *v = Observation{Sender: n, At: x.now, Phase: "no answer"} })
+		"answers nothing": {func(x *testFleet, n string) {
+			x.observe(n, func(v *Observation) { *v = Observation{Sender: n, At: x.now, Phase: "no answer"} })
 		}, "not seen any more: no answer"},
-		"its agent is away": {func(x *stand, n string) {
-			x.work(20, none)
-			v := x.sights[n]
+		"its agent is away": {func(x *testFleet, n string) {
+			x.addTraffic(20, noFailures)
+			v := x.observations[n]
 			v.At = x.now.Add(-time.Minute)
-			x.sights[n] = v
+			x.observations[n] = v
 		}, "nobody has seen n0"},
-		"too little traffic": {func(x *stand, _ string) {}, "not known to be good"},
-		"traffic elsewhere": {func(x *stand, n string) {
-			v := x.sights[n]
-			x.work(20, none)
+		"too little traffic": {func(x *testFleet, _ string) {}, "not known to be good"},
+		"traffic elsewhere": {func(x *testFleet, n string) {
+			v := x.observations[n]
+			x.addTraffic(20, noFailures)
 			v.At = x.now
-			x.sights[n] = v
+			x.observations[n] = v
 		}, "not known to be good"},
-		"serves no more": {func(x *stand, n string) {
-			x.see(n, func(v *Observation) { v.Serving, v.Phase = false, "starting" })
+		"serves no more": {func(x *testFleet, n string) {
+			x.observe(n, func(v *Observation) { v.Serving, v.Phase = false, "starting" })
 		}, "does not serve"},
-		"others have no traffic": {func(x *stand, n string) {
-			v := x.sights[n]
+		"others have no traffic": {func(x *testFleet, n string) {
+			v := x.observations[n]
 			v.Facts.Accepted, v.Facts.Delivered = v.Facts.Accepted+50, v.Facts.Delivered+50
-			x.sights[n] = v
+			x.observations[n] = v
 		}, "not known to be good"},
 	} {
-		x := newStand(t, 10, Budget{Fleet: 3})
-		for n := range x.sights {
-			x.see(n, func(v *Observation) { v.Facts.MemoryMB = 20 })
+		x := newTestFleet(t, 10, Budget{Fleet: 3})
+		for n := range x.observations {
+			x.observe(n, func(v *Observation) { v.Facts.MemoryMB = 20 })
 		}
 		id := x.release(Plan{Gate: Gate{Wait: time.Minute}})
-		x.drive(x.changes)
-		changed := x.s.Plan(id).Stages[0][0]
+		x.run(x.carryOut)
+		changed := x.state.Plan(id).Stages[0][0]
 		for range 70 {
-			x.pass(time.Second)
+			x.advance(time.Second)
 			c.acts(x, changed)
-			if x.drive(nil); x.s.Plan(id).Phase != Running || x.s.Plan(id).Stage > 0 {
+			if x.run(nil); x.state.Plan(id).Phase != Running || x.state.Plan(id).Stage > 0 {
 				break
 			}
 		}
-		last := x.s.Events[len(x.s.Events)-1].Text
-		for i := len(x.s.Events) - 1; i >= 0; i-- {
-			if e := x.s.Events[i].Text; strings.Contains(e, c.want) {
+		last := x.state.Events[len(x.state.Events)-1].Text
+		for i := len(x.state.Events) - 1; i >= 0; i-- {
+			if e := x.state.Events[i].Text; strings.Contains(e, c.want) {
 				last = e
 			}
 		}
 		ran := 0
-		for _, m := range x.s.Members {
+		for _, m := range x.state.Members {
 			if m.Version.Name == "v2" {
 				ran++
 			}
 		}
 		if !strings.Contains(last, c.want) || ran != 1 ||
-			(x.s.Plan(id).Phase == Running) != strings.HasPrefix(c.want, "stage") {
-			t.Errorf("%s: %s, %d ran it: %s; want %s", name, x.s.Plan(id).Phase, ran, last, c.want)
+			(x.state.Plan(id).Phase == Running) != strings.HasPrefix(c.want, "stage") {
+			t.Errorf("%s: %s, %d ran it: %s; want %s", name, x.state.Plan(id).Phase, ran, last, c.want)
 		}
 	}
 }
 
 // An agent opens its folder anew, and all of its log comes once more: nothing changes by it.
-func TestAppliedTwice(t *testing.T) {
+func TestCommandAppliedTwice(t *testing.T) {
 	terms, at, replay := DefaultTerms, time.Unix(1000, 0).UTC(), New()
 	terms.Budget = Budget{Fleet: 2}
 	log := []Command{
@@ -448,20 +447,20 @@
 // stages before is agreed on. It is compared with as before: a version that has grown worse does not pass.
 func TestGateOfNewLeader(t *testing.T) {
 	for name, failed := range map[string]int64{"as before": 0, "worse": 6} {
-		x := newStand(t, 10, Budget{Fleet: 9})
+		x := newTestFleet(t, 10, Budget{Fleet: 9})
 		id := x.release(Plan{Gate: Gate{MinMessages: 20, Wait: time.Minute}})
-		p := x.s.Plan(id)
+		p := x.state.Plan(id)
 		for p.Stage < len(p.Stages)-1 {
-			x.drive(x.changes)
-			x.pass(time.Second)
-			x.work(20, none)
+			x.run(x.carryOut)
+			x.advance(time.Second)
+			x.addTraffic(20, noFailures)
 		}
-		x.drive(x.changes) // the last ones change...
-		x.watch = Watch{}  // ...and the next leader has seen none of it
+		x.run(x.carryOut) // the last ones change...
+		x.watch = Watch{} // ...and the next leader has seen none of it
 		for range 90 {
-			x.pass(time.Second)
-			x.work(20, func(string) int64 { return failed })
-			if x.drive(x.changes); p.Phase != Running {
+			x.advance(time.Second)
+			x.addTraffic(20, func(string) int64 { return failed })
+			if x.run(x.carryOut); p.Phase != Running {
 				break
 			}
 		}
@@ -474,22 +473,22 @@
 
 // A leader that looks at a sender itself does not know how often it crashed: what its agent tells later is no crash
 // since.
-func TestGateOfFarSight(t *testing.T) {
-	x := newStand(t, 10, Budget{Fleet: 3})
+func TestGateOfRemoteObservation(t *testing.T) {
+	x := newTestFleet(t, 10, Budget{Fleet: 3})
 	id := x.release(Plan{Gate: Gate{Wait: time.Minute}})
-	x.drive(x.changes)
-	changed := x.s.Plan(id).Stages[0][0]
+	x.run(x.carryOut)
+	changed := x.state.Plan(id).Stages[0][0]
 	x.watch = Watch{}
-	x.see(changed, func(v *Observation) { v.Far = true })
-	x.drive(nil)
-	x.see(changed, func(v *Observation) { v.Far, v.Facts.Restarts = false, 2 })
-	x.drive(nil)
-	if p := x.s.Plan(id); p.Phase != Running {
+	x.observe(changed, func(v *Observation) { v.Far = true })
+	x.run(nil)
+	x.observe(changed, func(v *Observation) { v.Far, v.Facts.Restarts = false, 2 })
+	x.run(nil)
+	if p := x.state.Plan(id); p.Phase != Running {
 		t.Errorf("%s: %s", p.Phase, p.Why)
 	}
-	x.pass(time.Second)
-	x.see(changed, func(v *Observation) { v.Facts.Restarts = 3 })
-	if x.drive(nil); x.s.Plan(id).Phase != Halted {
+	x.advance(time.Second)
+	x.observe(changed, func(v *Observation) { v.Facts.Restarts = 3 })
+	if x.run(nil); x.state.Plan(id).Phase != Halted {
 		t.Error("a crash since is not seen")
 	}
 }
@@ -497,28 +496,28 @@
 // A version that does not come to serve halts the release at its first sender, or has it go back, as asked.
 func TestFailedChange(t *testing.T) {
 	for _, goBack := range []bool{false, true} {
-		x := newStand(t, 10, Budget{Fleet: 3})
+		x := newTestFleet(t, 10, Budget{Fleet: 3})
 		id := x.release(Plan{RollBackOnFailure: goBack})
-		x.drive(func(g *Grant) {
-			x.pass(time.Millisecond)
-			x.see(g.Sender, func(v *Observation) {
+		x.run(func(g *Grant) {
+			x.advance(time.Millisecond)
+			x.observe(g.Sender, func(v *Observation) {
 				v.Epoch, v.Ended, v.FaultEpoch, v.Fault = g.Epoch, true, g.Epoch, "exit status 1"
 			})
 		})
-		p := x.s.Plan(id)
+		p := x.state.Plan(id)
 		if want := map[bool]Phase{false: Halted, true: Ended}[goBack]; p.Phase != want ||
 			!strings.Contains(p.Why, "exit status 1") {
 			t.Errorf("go back %t: %s, %s", goBack, p.Phase, p.Why)
 		}
-		if len(x.s.Grants) != 0 {
-			t.Errorf("grants left: %v", x.s.Grants)
+		if len(x.state.Grants) != 0 {
+			t.Errorf("grants left: %v", x.state.Grants)
 		}
 	}
 }
 
 // A version that served its agent's question and fell silent before the next sight leaves its grant open: that halts
 // the release, once its agent has not seen it serve for the gate's soak, and no sooner.
-func TestSilentBeforeItsFirstSight(t *testing.T) {
+func TestSilentBeforeFirstObservation(t *testing.T) {
 	for name, c := range map[string]struct {
 		seen Observation
 		want Phase
@@ -529,79 +528,79 @@
 		"its agent is at it": {Observation{Phase: "no answer", At: time.Unix(1, 0)}, Running},
 		"seen from afar":     {Observation{Phase: "no answer", Far: true}, Running},
 	} {
-		x := newStand(t, 4, Budget{Fleet: 1})
+		x := newTestFleet(t, 4, Budget{Fleet: 1})
 		id := x.release(Plan{Gate: Gate{Soak: 5 * time.Second, Wait: time.Minute}})
-		x.drive(nil)
-		p := x.s.Plan(id)
+		x.run(nil)
+		p := x.state.Plan(id)
 		changed := p.Stages[0][0]
 		if p.Tasks[changed].Step != Granted {
 			t.Fatalf("%s: %s is %s", name, changed, p.Tasks[changed].Step)
 		}
 		for i := range 90 {
-			x.pass(time.Second)
+			x.advance(time.Second)
 			c.seen.Sender = changed
-			x.sights[changed] = c.seen
+			x.observations[changed] = c.seen
 			if c.seen.At.IsZero() || c.seen.At.Unix() == 2 && i%2 == 0 {
-				x.see(changed, func(v *Observation) { v.At = x.now })
+				x.observe(changed, func(v *Observation) { v.At = x.now })
 			}
-			x.drive(nil)
+			x.run(nil)
 			if p.Phase == Halted && i < 5 {
 				t.Errorf("%s: halted after %d s", name, i)
 			}
 		}
 		if p.Phase != c.want || c.want == Halted && !strings.Contains(p.Why, "not seen any more") ||
-			x.s.Grants[changed] == nil {
-			t.Errorf("%s: %s: %s; grants %v", name, p.Phase, p.Why, x.s.Grants)
+			x.state.Grants[changed] == nil {
+			t.Errorf("%s: %s: %s; grants %v", name, p.Phase, p.Why, x.state.Grants)
 		}
 	}
 }
 
 // A grant that is never taken up is given again, and the third time halts the plan.
-func TestUntaken(t *testing.T) {
-	x := newStand(t, 4, Budget{Fleet: 1})
+func TestGrantNotTaken(t *testing.T) {
+	x := newTestFleet(t, 4, Budget{Fleet: 1})
 	id := x.drain("n0")
 	for range 3 {
-		x.drive(nil)
-		if len(x.s.Grants) != 1 {
-			t.Fatalf("%d grants: %s", len(x.s.Grants), x.s.Plan(id).Why)
+		x.run(nil)
+		if len(x.state.Grants) != 1 {
+			t.Fatalf("%d grants: %s", len(x.state.Grants), x.state.Plan(id).Why)
 		}
-		x.pass(3 * time.Second)
-		x.must(x.s.Next(x.sights, &x.watch, x.now)[0])
+		x.advance(3 * time.Second)
+		x.must(x.state.Next(x.observations, &x.watch, x.now)[0])
 	}
-	if p := x.s.Plan(id); p.Phase != Halted || !strings.Contains(p.Why, "not taken up") {
+	if p := x.state.Plan(id); p.Phase != Halted || !strings.Contains(p.Why, "not taken up") {
 		t.Errorf("%s: %s", p.Phase, p.Why)
 	}
 }
 
 // Going back from the middle of a release: those that changed run the old version again, within the same budget, and
 // one that is on its way when the plan turns does so, too.
-func TestGoBack(t *testing.T) {
-	x := newStand(t, 10, Budget{Fleet: 2})
+func TestRollBack(t *testing.T) {
+	x := newTestFleet(t, 10, Budget{Fleet: 2})
 	id := x.release(Plan{Gate: Gate{MinMessages: 1, Soak: time.Second}})
-	x.drive(x.changes)
-	x.pass(2 * time.Second)
-	x.work(20, none)
-	x.drive(nil) // the gate, and the grants of the second stage
-	x.pass(2 * time.Second)
-	x.drive(nil)
-	if x.s.Plan(id).Stage != 1 || len(x.s.Grants) != 2 {
-		t.Fatalf("stage %d, %d grants", x.s.Plan(id).Stage, len(x.s.Grants))
+	x.run(x.carryOut)
+	x.advance(2 * time.Second)
+	x.addTraffic(20, noFailures)
+	x.run(nil) // the gate, and the grants of the second stage
+	x.advance(2 * time.Second)
+	x.run(nil)
+	if x.state.Plan(id).Stage != 1 || len(x.state.Grants) != 2 {
+		t.Fatalf("stage %d, %d grants", x.state.Plan(id).Stage, len(x.state.Grants))
 	}
 	x.must(Command{Verb: RollBack, Reason: "r", Plan: id})
 	most := 0
-	for _, g := range x.s.Grants { // on their way as the plan turns
-		x.changes(g)
+	for _, g := range x.state.Grants { // on their way as the plan turns
+		x.carryOut(g)
 	}
-	x.drive(func(g *Grant) {
-		if most = max(most, len(x.s.Grants)); g.To.Name != "v1" {
+	x.run(func(g *Grant) {
+		if most = max(most, len(x.state.Grants)); g.To.Name != "v1" {
 			t.Errorf("%s is to run %s", g.Sender, g.To.Name)
 		}
-		x.changes(g)
+		x.carryOut(g)
 	})
-	if p := x.s.Plan(id); p.Phase != Ended || most > 2 {
+	if p := x.state.Plan(id); p.Phase != Ended || most > 2 {
 		t.Errorf("%s, %d at once", p.Phase, most)
 	}
-	for _, m := range x.s.Members {
+	for _, m := range x.state.Members {
 		if m.Version.Name != "v1" {
 			t.Errorf("%s runs %s", m.Name, m.Version.Name)
 		}
@@ -611,53 +610,54 @@
 // A drain holds its senders out until they are activated, or for as long as asked, and then takes the next ones.
 func TestDrains(t *testing.T) {
 	for _, hold := range []time.Duration{0, time.Minute} {
-		x := newStand(t, 4, Budget{Fleet: 2})
+		x := newTestFleet(t, 4, Budget{Fleet: 2})
 		id := x.must(Command{Verb: Start, Reason: "r",
-			New: &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold}, Seen: x.s.Seen(x.sights, x.now)})
+			New:  &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold},
+			Seen: x.state.Seen(x.observations, x.now)})
 		comeBack := func() {
-			for name, t := range x.s.Plan(id).Tasks {
+			for name, t := range x.state.Plan(id).Tasks {
 				if t.Step == Returning {
-					x.see(name, func(v *Observation) { v.Ended, v.Drained, v.Serving = true, false, true })
+					x.observe(name, func(v *Observation) { v.Ended, v.Drained, v.Serving = true, false, true })
 				}
 			}
 		}
-		x.drive(x.changes)
-		if n := len(x.s.Grants); n != 2 {
+		x.run(x.carryOut)
+		if n := len(x.state.Grants); n != 2 {
 			t.Fatalf("%d out", n)
 		}
-		x.pass(2 * time.Minute)
+		x.advance(2 * time.Minute)
 		if hold == 0 {
-			x.drive(nil)
-			if x.s.Plan(id).Tasks["n1"].Step != Waiting {
+			x.run(nil)
+			if x.state.Plan(id).Tasks["n1"].Step != Waiting {
 				t.Fatal("the third goes out before the first are back")
 			}
 			x.must(Command{Verb: Activate, Reason: "r", Plan: id, Senders: []string{"n0", "n2"}})
 		}
-		x.drive(nil)
+		x.run(nil)
 		comeBack()
-		x.drive(x.changes)
-		if x.s.Plan(id).Tasks["n1"].Step != Out || len(x.s.Grants) != 1 {
-			t.Fatalf("hold %v: the third is %s", hold, x.s.Plan(id).Tasks["n1"].Step)
+		x.run(x.carryOut)
+		if x.state.Plan(id).Tasks["n1"].Step != Out || len(x.state.Grants) != 1 {
+			t.Fatalf("hold %v: the third is %s", hold, x.state.Plan(id).Tasks["n1"].Step)
 		}
-		x.pass(2 * time.Minute)
+		x.advance(2 * time.Minute)
 		if hold == 0 {
 			x.must(Command{Verb: Activate, Reason: "r", Plan: id})
 		}
-		x.drive(nil)
+		x.run(nil)
 		comeBack()
-		x.drive(nil)
-		if x.s.Plan(id).Phase != Done || len(x.s.Grants) != 0 {
-			t.Errorf("hold %v: %s", hold, x.s.Plan(id).Phase)
+		x.run(nil)
+		if x.state.Plan(id).Phase != Done || len(x.state.Grants) != 0 {
+			t.Errorf("hold %v: %s", hold, x.state.Plan(id).Phase)
 		}
 	}
 }
 
 // A state that goes through its text is the same, and goes on the same way.
 func TestStateAsText(t *testing.T) {
-	x := newStand(t, 10, Budget{Fleet: 2})
+	x := newTestFleet(t, 10, Budget{Fleet: 2})
 	x.release(Plan{})
-	x.drive(nil)
-	text, err := json.Marshal(x.s)
+	x.run(nil)
+	text, err := json.Marshal(x.state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -668,12 +668,13 @@
 	if again, _ := json.Marshal(copied); string(again) != string(text) {
 		t.Error("not the same")
 	}
-	for name := range x.s.Grants {
-		v := x.sights[name]
-		v.Epoch, v.Ended, v.Version, v.At = x.s.Grants[name].Epoch, true, "v2", x.now.Add(time.Second)
-		x.sights[name] = v
+	for name := range x.state.Grants {
+		v := x.observations[name]
+		v.Epoch, v.Ended, v.Version, v.At = x.state.Grants[name].Epoch, true, "v2", x.now.Add(time.Second)
+		x.observations[name] = v
 	}
-	if a, b := x.s.Next(x.sights, &Watch{}, x.now), copied.Next(x.sights, &Watch{}, x.now); !reflect.DeepEqual(a, b) {
+	if a, b := x.state.Next(x.observations, &Watch{}, x.now),
+		copied.Next(x.observations, &Watch{}, x.now); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v, %+v", a, b)
 	}
 }
@@ -704,7 +705,7 @@
 		{"unknown", Budget{Endpoints: 1}, "out:x", "no sender knows"},
 	} {
 		c.budget.Fleet = 1
-		x := newStand(t, 2, c.budget)
+		x := newTestFleet(t, 2, c.budget)
 		listed := []Endpoint{{"e0", 1, 0, true}, {"e1", 1, 0, true}, {"e2", 1, 0, true}, {"e3", 1, 0, true},
 			{"f0", 2, 0, true}, {"f1", 2, 1, true}}
 		var err error
@@ -720,7 +721,7 @@
 					listed[i].Up = listed[i].Up && listed[i].ID != id
 				}
 			case "later":
-				x.pass(12 * time.Second)
+				x.advance(12 * time.Second)
 			}
 		}
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
@@ -731,15 +732,15 @@
 
 // Two releases at once, of different senders: each has its gates, and both come to their ends.
 func TestTwoReleases(t *testing.T) {
-	x := newStand(t, 10, Budget{Fleet: 4})
+	x := newTestFleet(t, 10, Budget{Fleet: 4})
 	a := x.release(Plan{Stages: [][]string{{"n0", "n2", "n4"}}})
 	b := x.release(Plan{Stages: [][]string{{"n1", "n3", "n5"}}, To: Version{Name: "v3", Program: "/v3"}})
 	for range 100 {
-		x.drive(x.changes)
-		x.pass(time.Second)
-		x.work(20, none)
+		x.run(x.carryOut)
+		x.advance(time.Second)
+		x.addTraffic(20, noFailures)
 	}
-	if x.s.Plan(a).Phase != Done || x.s.Plan(b).Phase != Done {
-		t.Errorf("%s, %s", x.s.Plan(a).Phase, x.s.Plan(b).Phase)
+	if x.state.Plan(a).Phase != Done || x.state.Plan(b).Phase != Done {
+		t.Errorf("%s, %s", x.state.Plan(a).Phase, x.state.Plan(b).Phase)
 	}
 }
