--- a/internal/deadletter/items.go
+++ b/internal/deadletter/items.go
@@ -56,7 +56,7 @@
 func (x newLetter) write(q *Queue, t *Tx, b *writtenBatch) error {
 	letter := state.DeadLetter(x)
 	if !letter.NotAdmitted {
-		b.stored = append(b.stored, letter.Num)
+		b.stored = append(b.stored, letter.Number)
 	}
 	if letter.Seq == 0 {
 		return q.addRecord(t, &letter, b.now)
--- a/internal/deadletter/queue_test.go
+++ b/internal/deadletter/queue_test.go
@@ -88,7 +88,7 @@
 func addDeadLetter(t *testing.T, k *Queue, p *recordedEvents, id string, class, dest, tenant int,
 	tries ...state.AttemptRecord) {
 	t.Helper()
-	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: id, Key: "key-" + id, Class: class, Tenant: tenant,
+	k.Add(state.DeadLetter{Number: 1, Message: &state.Message{ID: id, Key: "key-" + id, Class: class, Tenant: tenant,
 		Destination: dest, Deadline: time.Now(), Body: []byte("body")}, Attempts: tries, At: time.Now(),
 		Reason: state.ReasonExpired})
 	get(t, p.stored)
@@ -121,7 +121,7 @@
 func finishRedelivery(k *Queue, e state.Redelivery, delivered bool, tries ...state.AttemptRecord) {
 	k.CallEnded(e.Message.Destination, map[bool]control.Result{true: control.Served, false: control.Rejected}[delivered],
 		0, true)
-	k.Add(state.DeadLetter{Num: 1, Seq: e.Seq, Message: e.Message, Delivered: delivered, AttemptCount: e.Attempts + 1,
+	k.Add(state.DeadLetter{Number: 1, Seq: e.Seq, Message: e.Message, Delivered: delivered, AttemptCount: e.Attempts + 1,
 		Attempts: tries, At: time.Now(), Reason: state.ReasonExpired})
 }
 
@@ -211,7 +211,7 @@
 func TestNotRedeliveredBeforeReported(t *testing.T) {
 	k, p, _ := start(t, t.TempDir(), "", nil)
 	k.Begin(nil, nil)
-	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: "a", Destination: 1, Body: []byte("x")}, At: time.Now()})
+	k.Add(state.DeadLetter{Number: 1, Message: &state.Message{ID: "a", Destination: 1, Body: []byte("x")}, At: time.Now()})
 	get(t, p.stored)
 	addDeadLetter(t, k, p, "b", 0, 1, 0)
 	for seq := range uint64(2) {
@@ -352,7 +352,7 @@
 	k, p, _ := start(t, dir, "", nil)
 	m := &state.Message{ID: "a", Destination: 1, Body: []byte("body")}
 	k.Begin(nil, nil)
-	k.Add(state.DeadLetter{Num: 1, Message: m, At: time.Now()})
+	k.Add(state.DeadLetter{Number: 1, Message: m, At: time.Now()})
 	accepted := func() bool { return k.Accepts(&state.DeadLetter{Message: m, At: time.Now()}) }
 	for limit := time.Now().Add(20 * time.Second); accepted(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
@@ -381,7 +381,8 @@
 		f.WriteAt(bytes.Repeat([]byte{0xff}, 16), int64(at))
 	}
 	f.Close()
-	k.Add(state.DeadLetter{Num: 1, Message: &state.Message{ID: "c", Destination: 1, Body: []byte("body")}, At: time.Now()})
+	k.Add(state.DeadLetter{Number: 1, Message: &state.Message{ID: "c", Destination: 1, Body: []byte("body")},
+		At: time.Now()})
 	get(t, p.stored)
 	var n Stats
 	k.View(func(tx *Tx) (err error) { n, err = tx.Stats(); return })
--- a/internal/deadletter/writer.go
+++ b/internal/deadletter/writer.go
@@ -202,7 +202,7 @@
 	}
 	remaining := q.itemsWritten(items, claims, written.ended)
 	if len(written.stored) > 0 {
-		q.loop.Post(state.DeadLettersStored{Nums: written.stored})
+		q.loop.Post(state.DeadLettersStored{Numbers: written.stored})
 	}
 	return remaining > 0, nil
 }
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -61,8 +61,8 @@
 		Settings: c.Settings, Classes: namesByNumber(c.Names.Classes), Known: c.Known, Dir: c.State,
 		DiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
 	}
-	if c.Ours != nil {
-		setup.Durability, setup.GroupWait = durabilities[c.Ours.Journal.Durability], c.Ours.Journal.Wait
+	if c.OwnSettings != nil {
+		setup.Durability, setup.GroupWait = durabilities[c.OwnSettings.Journal.Durability], c.OwnSettings.Journal.Wait
 	}
 	if s.predecessor != nil {
 		setup.Handover = &s.predecessor.state
@@ -117,23 +117,23 @@
 
 // newDeadLetterQueue makes the queue of undeliverable messages, if the settings ask for one; nil if not.
 func newDeadLetterQueue(c Config, log *slog.Logger) *deadletter.Queue {
-	if c.Ours == nil || c.Ours.Held == nil {
+	if c.OwnSettings == nil || c.OwnSettings.Held == nil {
 		return nil
 	}
 	return deadletter.NewQueue(deadletter.Config{
-		Settings: c.Ours, Platform: c.Settings, Log: log,
+		Settings: c.OwnSettings, Platform: c.Settings, Log: log,
 		Names: deadletter.Names{Classes: namesByNumber(c.Names.Classes), Tenants: namesByNumber(c.Names.Tenants)},
 	})
 }
 
 // listenAdmin opens the admin API on a Unix socket, if the settings ask for it; nil if not.
 func listenAdmin(c Config, queue *deadletter.Queue, board *statusBoard, log *slog.Logger) (*admin.Server, error) {
-	if c.Ours == nil || c.Ours.Admin == nil {
+	if c.OwnSettings == nil || c.OwnSettings.Admin == nil {
 		return nil, nil
 	}
 	var q admin.DeadLetterQueue // an interface that holds a nil queue is not nil
 	if queue != nil {
 		q = queue
 	}
-	return admin.Listen(c.Ours.Admin.Socket, q, board, log)
+	return admin.Listen(c.OwnSettings.Admin.Socket, q, board, log)
 }
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -27,7 +27,7 @@
 	Settings                       control.Settings
 	Names                          protocol.Names
 	Known                          state.ListUpdate
-	Ours                           *settings.Settings // of the script; nil: no script was named
+	OwnSettings                    *settings.Settings // of the script; nil: no script was named
 
 	raw     string             // the file's text
 	classes []state.NamedClass // the classes of the settings in force, as they stood in the file
@@ -62,7 +62,7 @@
 	}
 	c, err := Parse(text, env)
 	if err == nil && script != "" {
-		c.Ours, err = settings.Load(script)
+		c.OwnSettings, err = settings.Load(script)
 	}
 	return c, err
 }
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -20,8 +20,8 @@
 func (s *server) reloadConfig() {
 	*s.config = s.reread(*s.config)
 	s.publishConfig(*s.config)
-	if s.deadLetters != nil && s.config.Ours != nil {
-		s.deadLetters.UpdateSettings(s.config.Ours)
+	if s.deadLetters != nil && s.config.OwnSettings != nil {
+		s.deadLetters.UpdateSettings(s.config.OwnSettings)
 	}
 }
 
@@ -46,7 +46,7 @@
 	limitRuntime(c.Limits)
 	now.Discovery, now.raw = c.Discovery, c.raw
 	now.Limits.Cores, now.Limits.MemoryMB = c.Limits.Cores, c.Limits.MemoryMB
-	now.Ours = reloadOwnSettings(old.Ours, c.Ours, s.log)
+	now.OwnSettings = reloadOwnSettings(old.OwnSettings, c.OwnSettings, s.log)
 	if pending := c.pendingRestart(now); len(pending) > 0 {
 		s.log.Warn("configuration changes wait for the next start", "keys", pending)
 	}
--- a/internal/lifecycle/server.go
+++ b/internal/lifecycle/server.go
@@ -144,7 +144,7 @@
 // answerTakeover lets another process take over. The server has ended then, unless the request was rejected.
 func (s *server) answerTakeover(request *handover.Request) (returned *predecessor, ended bool) {
 	socket, err := s.listener.File()
-	if err == nil && !s.loop.JournalIntact() {
+	if err == nil && !s.loop.LogIntact() {
 		err = errJournalBroken
 	}
 	if err != nil {
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -216,7 +216,7 @@
 	case errors.As(err, &broken):
 		d.Log.Warn("discovery answer broken off, polling again",
 			"err", err, "bytes", len(broken.body), "attempt", now.retries)
-		d.events.Post(state.ListUnreadable{At: broken.startedAt, Leaving: parseDraining(broken.body, d.Names)})
+		d.events.Post(state.ListUnreadable{At: broken.startedAt, Departing: parseDraining(broken.body, d.Names)})
 		now.uncertainSince = broken.startedAt
 		d.retryAfterBackoff(ctx, now, err)
 	case !now.uncertainSince.IsZero() && time.Since(now.uncertainSince) < state.UncertaintyTimeout(d.MaxPollInterval):
--- a/internal/protocol/reporter.go
+++ b/internal/protocol/reporter.go
@@ -69,11 +69,11 @@
 	r.mu.Lock()
 	nums := make([]control.MessageID, count)
 	for i := range nums {
-		nums[i] = r.queue[i].Num
+		nums[i] = r.queue[i].Number
 	}
 	r.queue = r.queue[count:]
 	r.mu.Unlock()
-	r.events.Post(state.ReportsAcknowledged{Nums: nums})
+	r.events.Post(state.ReportsAcknowledged{Numbers: nums})
 }
 
 // Run delivers reports until the context ends.
--- a/internal/protocol/reporter_test.go
+++ b/internal/protocol/reporter_test.go
@@ -26,10 +26,10 @@
 	p := newEventRecorder()
 	n := NewReporter(p, addr, discardLog)
 	runUntilEnd(t, n.Run)
-	n.Report(state.DeliveryReport{Num: 1, ID: "a"})
+	n.Report(state.DeliveryReport{Number: 1, ID: "a"})
 	next[state.ReportsAcknowledged](t, p)
 	began := time.Now()
-	n.Report(state.DeliveryReport{Num: 2, ID: "b"})
+	n.Report(state.DeliveryReport{Number: 2, ID: "b"})
 	next[state.ReportsAcknowledged](t, p)
 	if took := time.Since(began); took > 300*time.Millisecond {
 		t.Errorf("acknowledged after %v", took)
@@ -56,7 +56,7 @@
 	runUntilEnd(t, n.Run)
 	at := time.Now().Add(1500 * time.Millisecond)
 	back.Store(&at)
-	n.Report(state.DeliveryReport{Num: 1, ID: "a"})
+	n.Report(state.DeliveryReport{Number: 1, ID: "a"})
 	next[state.ReportsAcknowledged](t, p)
 	if late := (<-received).Sub(at); late > 200*time.Millisecond {
 		t.Errorf("told %v after the platform could be reached", late)
@@ -80,12 +80,12 @@
 	p := newEventRecorder()
 	n := NewReporter(p, addr, discardLog)
 	for i, id := range []string{"a", "b", "c"} {
-		n.Report(state.DeliveryReport{Num: control.MessageID(i), ID: id})
+		n.Report(state.DeliveryReport{Number: control.MessageID(i), ID: id})
 	}
 	runUntilEnd(t, n.Run)
 	var nums []control.MessageID
 	for len(nums) < 3 {
-		nums = append(nums, next[state.ReportsAcknowledged](t, p).Nums...)
+		nums = append(nums, next[state.ReportsAcknowledged](t, p).Numbers...)
 	}
 	if nums[0] != 0 || nums[1] != 1 || nums[2] != 2 || !strings.Contains(strings.Join(got, ""), `"a"`) ||
 		!strings.Contains(strings.Join(got, ""), `"c"`) {
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -158,11 +158,11 @@
 // its task fails.
 func (s *State) retryOrFail(index uint64, p *Plan, t *Task, c Command, fault string) (string, error) {
 	if fault == "" {
-		if t.Tries++; t.Tries < maxGrantAttempts {
+		if t.Attempts++; t.Attempts < maxGrantAttempts {
 			t.Step = Waiting
 			return fmt.Sprintf("%s did not take its grant up in time", c.Sender), nil
 		}
-		fault = fmt.Sprintf("%d grants were not taken up in time", t.Tries)
+		fault = fmt.Sprintf("%d grants were not taken up in time", t.Attempts)
 	}
 	t.Step, t.Why = Failed, fault
 	s.fail(index, p, fmt.Sprintf("%s: %s", c.Sender, fault))
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -26,7 +26,7 @@
 		case Waiting:
 			t.Step = Kept
 		case Finished, Failed:
-			t.Step, t.Tries = Waiting, 0
+			t.Step, t.Attempts = Waiting, 0
 			if m := s.Members[name]; p.Kind == Drain || m == nil || m.Version.Name == t.From.Name {
 				t.Step = Kept
 			}
@@ -111,7 +111,7 @@
 		p.Phase, p.Why, p.Revision = Running, "", index
 		for _, t := range p.Tasks {
 			if t.Step == Failed {
-				t.Step, t.Tries, t.Why = Waiting, 0, ""
+				t.Step, t.Attempts, t.Why = Waiting, 0, ""
 			}
 		}
 		if p.RolledBack {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -190,12 +190,12 @@
 
 // Task is one sender's part in a plan.
 type Task struct {
-	Step  Step      `json:"step"`
-	Epoch uint64    `json:"epoch,omitempty"` // of the latest grant
-	Tries int       `json:"tries,omitempty"` // grants that the sender did not take up
-	Since time.Time `json:"since,omitzero"`  // of the step
-	From  Version   `json:"from,omitzero"`   // its version before the plan
-	Why   string    `json:"why,omitempty"`
+	Step     Step      `json:"step"`
+	Epoch    uint64    `json:"epoch,omitempty"` // of the latest grant
+	Attempts int       `json:"tries,omitempty"` // grants that the sender did not take up
+	Since    time.Time `json:"since,omitzero"`  // of the step
+	From     Version   `json:"from,omitzero"`   // its version before the plan
+	Why      string    `json:"why,omitempty"`
 }
 
 // Plan is a drain or a release that operators have ordered.
--- a/internal/simulation/deliveryreport.go
+++ b/internal/simulation/deliveryreport.go
@@ -36,5 +36,5 @@
 	} else if m != nil {
 		delete(s.messages, report.ID)
 	}
-	sd.step(state.ReportsAcknowledged{Nums: []control.MessageID{report.Num}})
+	sd.step(state.ReportsAcknowledged{Numbers: []control.MessageID{report.Number}})
 }
--- a/internal/state/deadletter.go
+++ b/internal/state/deadletter.go
@@ -30,7 +30,7 @@
 
 // DeadLetter is a message that goes to the dead-letter queue, or back to it after a redelivery.
 type DeadLetter struct {
-	Num          control.MessageID
+	Number       control.MessageID
 	Seq          uint64 // the record that was sent again; 0 = a message that is new to the queue
 	Message      *Message
 	Attempts     []AttemptRecord // of a redelivery: those since
@@ -53,11 +53,11 @@
 )
 
 // DeadLettersStored tells that the queue has dead letters for good.
-type DeadLettersStored struct{ Nums []control.MessageID }
+type DeadLettersStored struct{ Numbers []control.MessageID }
 
 // Nothing of them is owed to the queue any more.
 func (s DeadLettersStored) apply(l *Loop) {
-	for _, num := range s.Nums {
+	for _, num := range s.Numbers {
 		e := l.table.entries[num]
 		if e == nil || e.deadLetter == nil {
 			continue
@@ -90,7 +90,7 @@
 // newDeadLetter makes one of a message that ends.
 func (l *Loop) newDeadLetter(e *entry) *DeadLetter {
 	return &DeadLetter{
-		Num: e.num, Seq: e.deadLetterSeq, Message: e.Message, Attempts: e.history(), AttemptCount: e.attempts,
+		Number: e.num, Seq: e.deadLetterSeq, Message: e.Message, Attempts: e.history(), AttemptCount: e.attempts,
 		Reason: l.reasonOf(e), At: l.now,
 	}
 }
@@ -98,7 +98,7 @@
 // restoreDeadLetter completes a dead letter that came from the log.
 func (l *Loop) restoreDeadLetter(e *entry) *DeadLetter {
 	d := *e.deadLetter
-	d.Num, d.Seq, d.Message, d.Attempts, d.AttemptCount = e.num, e.deadLetterSeq, e.Message, e.history(), e.attempts
+	d.Number, d.Seq, d.Message, d.Attempts, d.AttemptCount = e.num, e.deadLetterSeq, e.Message, e.history(), e.attempts
 	e.report.DeadLetter = &d
 	return &d
 }
@@ -127,7 +127,7 @@
 // endWithDeadLetter ends a message that the queue is owed: the log says so, and at the end of the iteration the queue
 // gets it.
 func (l *Loop) endWithDeadLetter(e *entry, n DeliveryReport, d *DeadLetter) {
-	n.Num, n.ID, n.DeadLetter = e.num, e.ID, d
+	n.Number, n.ID, n.DeadLetter = e.num, e.ID, d
 	e.deadLetter = d
 	l.markEnded(e, n)
 	l.deadLetters = append(l.deadLetters, d)
--- a/internal/state/deadletter_test.go
+++ b/internal/state/deadletter_test.go
@@ -90,10 +90,10 @@
 			t.Fatalf("%s: the log has %+v", c.name, list)
 		}
 		if c.acked {
-			l.Post(ReportsAcknowledged{[]control.MessageID{n.Num}})
+			l.Post(ReportsAcknowledged{[]control.MessageID{n.Number}})
 		}
 		if c.store {
-			l.Post(DeadLettersStored{[]control.MessageID{p.Num}})
+			l.Post(DeadLettersStored{[]control.MessageID{p.Number}})
 		}
 		l.Idle()
 		l.Idle()
@@ -113,8 +113,8 @@
 			!p.Attempts[0].Open {
 			t.Errorf("%s: after the kill: owed %d, %+v, %+v", c.name, owed, n, p)
 		}
-		l2.Post(ReportsAcknowledged{[]control.MessageID{n.Num}})
-		l2.Post(DeadLettersStored{[]control.MessageID{p.Num}})
+		l2.Post(ReportsAcknowledged{[]control.MessageID{n.Number}})
+		l2.Post(DeadLettersStored{[]control.MessageID{p.Number}})
 		receive(t, restarted.forgotten)
 		if list, _ := ReadPending(dir, discardLog); len(list) != 0 {
 			t.Errorf("%s: still owed: %+v", c.name, list)
@@ -178,7 +178,7 @@
 	if p := receive(t, k.added); p.Seq != 5 || !p.Delivered {
 		t.Errorf("delivered: %+v", p)
 	} else {
-		l.Post(DeadLettersStored{[]control.MessageID{p.Num}})
+		l.Post(DeadLettersStored{[]control.MessageID{p.Number}})
 	}
 	// What must not go again does not, whatever the queue asks for.
 	resend(l, 6, "b", 2, true, time.Second)
@@ -225,7 +225,7 @@
 		if n.DeadLetter != nil {
 			accepted++
 		} else {
-			l.Post(ReportsAcknowledged{[]control.MessageID{n.Num}})
+			l.Post(ReportsAcknowledged{[]control.MessageID{n.Number}})
 		}
 	}
 	if accepted < 3 || accepted > 4 {
--- a/internal/state/endpoints.go
+++ b/internal/state/endpoints.go
@@ -39,14 +39,14 @@
 // ListUnreadable tells that an answer of discovery began at a time and could not be read, or not to its end. Leaving
 // are the targets that the part which came names as draining or gone.
 type ListUnreadable struct {
-	At      time.Time
-	Leaving []Target
+	At        time.Time
+	Departing []Target
 }
 
 func (e ListUnreadable) apply(l *Loop) {
 	l.certainty.markUncertain(e.At)
 	l.counters.unreadableLists.Add(1)
-	if endpoints := l.group.UpdateDeparting(e.Leaving, l.now); len(endpoints) > 0 {
+	if endpoints := l.group.UpdateDeparting(e.Departing, l.now); len(endpoints) > 0 {
 		l.log.Info("endpoints draining, from part of a list", "count", len(endpoints))
 		l.endpointsExcluded(endpoints)
 		l.departures.Update(l.group)
--- a/internal/state/entry.go
+++ b/internal/state/entry.go
@@ -110,10 +110,10 @@
 
 // reportOf is the report that an outcome in the log stands for.
 func reportOf(x *wal.Entry) DeliveryReport {
-	r := DeliveryReport{Num: x.Number, ID: x.ID, Deferred: x.Outcome.Deferred, RetryAfter: x.Outcome.RetryAfter}
+	r := DeliveryReport{Number: x.Number, ID: x.ID, Deferred: x.Outcome.Deferred, RetryAfter: x.Outcome.RetryAfter}
 	if d := x.Outcome.DeadLetter; d != nil {
 		r.DeadLetter = &DeadLetter{
-			Num: x.Number, Reason: d.Reason, At: d.At, Delivered: d.Delivered, Final: d.Final, Deferred: d.Deferred,
+			Number: x.Number, Reason: d.Reason, At: d.At, Delivered: d.Delivered, Final: d.Final, Deferred: d.Deferred,
 		}
 	}
 	return r
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -40,10 +40,10 @@
 		At: at.Add(time.Second), Zone: -1}}
 	list[1].attempts = 3
 	list[2].attempts = 2
-	list[3].report = &DeliveryReport{Num: 4, ID: "deferred", Deferred: true, RetryAfter: 1500 * time.Millisecond}
-	list[4].report = &DeliveryReport{Num: 5, ID: "undeliverable"}
-	list[5].report = &DeliveryReport{Num: 6, ID: "kept", Deferred: true, DeadLetter: &DeadLetter{
-		Num: 6, Reason: "expired", At: at, Delivered: true, Final: true, Deferred: true,
+	list[3].report = &DeliveryReport{Number: 4, ID: "deferred", Deferred: true, RetryAfter: 1500 * time.Millisecond}
+	list[4].report = &DeliveryReport{Number: 5, ID: "undeliverable"}
+	list[5].report = &DeliveryReport{Number: 6, ID: "kept", Deferred: true, DeadLetter: &DeadLetter{
+		Number: 6, Reason: "expired", At: at, Delivered: true, Final: true, Deferred: true,
 	}}
 	list[5].deadLetter = list[5].report.DeadLetter
 	list[6].deadLetterSeq = 77
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -86,8 +86,8 @@
 	Err   error
 }
 
-// JournalIntact tells whether the log holds all that the loop knows; only then may it hand over.
-func (l *Loop) JournalIntact() bool {
+// LogIntact tells whether the log holds all that the loop knows; only then may it hand over.
+func (l *Loop) LogIntact() bool {
 	answer := make(chan bool, 1)
 	l.Post(inspect(func() { answer <- l.successor == nil && !l.wal.Incomplete() }))
 	select {
--- a/internal/state/message.go
+++ b/internal/state/message.go
@@ -55,7 +55,7 @@
 
 // DeliveryReport tells the platform of a message that was accepted and ended undelivered.
 type DeliveryReport struct {
-	Num        control.MessageID
+	Number     control.MessageID
 	ID         string
 	Deferred   bool // the client gets it back; else it is undeliverable
 	RetryAfter time.Duration
--- a/internal/state/outcome.go
+++ b/internal/state/outcome.go
@@ -15,7 +15,7 @@
 func (e CallEnded) apply(l *Loop) { l.callEnded(e) }
 
 // ReportsAcknowledged tells that the platform has taken reports.
-type ReportsAcknowledged struct{ Nums []control.MessageID }
+type ReportsAcknowledged struct{ Numbers []control.MessageID }
 
 func (e ReportsAcknowledged) apply(l *Loop) { l.reportsAcknowledged(e) }
 
@@ -127,7 +127,7 @@
 		l.reports = append(l.reports, *e.report)
 		return
 	}
-	n.Num, n.ID = id, e.ID
+	n.Number, n.ID = id, e.ID
 	l.markEnded(e, n)
 	l.reports = append(l.reports, n)
 }
@@ -145,7 +145,7 @@
 
 // reportsAcknowledged forgets the messages whose reports the platform has.
 func (l *Loop) reportsAcknowledged(a ReportsAcknowledged) {
-	for _, num := range a.Nums {
+	for _, num := range a.Numbers {
 		if e := l.table.entries[num]; e != nil && e.report != nil {
 			if e.reported = true; e.deadLetter == nil {
 				l.forget(e)
@@ -159,7 +159,7 @@
 func (l *Loop) reportOverdue() {
 	waiting := l.reports[:0]
 	for _, n := range l.reports {
-		if e := l.table.entries[n.Num]; e != nil && !l.now.Before(e.Deadline) {
+		if e := l.table.entries[n.Number]; e != nil && !l.now.Before(e.Deadline) {
 			l.reporter.Report(n)
 		} else {
 			waiting = append(waiting, n)
