--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -26,11 +26,11 @@
 	fleetBackoffFraction = 0.3
 	maxFleetBackoff      = 2400 * time.Millisecond
 
-	// refusedBackoffDivisor divides the time over which a fleet spreads its polls into the first backoff after a poll that
+	// rejectedBackoffDivisor divides the time over which a fleet spreads its polls into the first backoff after a poll that
 	// was refused.
 	rejectedBackoffDivisor = 4
 
-	// maxPauseFraction of the grace of drains is the longest delay of a large fleet's sender after a change. A watch
+	// maxUpdateDelayFraction of the grace of drains is the longest delay of a large fleet's sender after a change. A watch
 	// goes on for 200 ms after an answer, in which the sender counts as notified of changes: they must be known before
 	// the grace is over.
 	maxUpdateDelayFraction = 0.4
