--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -1,7 +1,6 @@
-// Command demo shows the main job once, from the root of the repository: it builds
-// the sender and the toy world, starts both, hands one message in and follows it
-// to its end. It exits with 0 only if the message was seen at its target and the
-// sender owes nothing any more.
+// Command demo shows the main job once, from the root of the repository: it builds the sender and the toy environment,
+// starts both, submits one message and follows it to its outcome. It exits with 0 only if the message was seen at its
+// endpoint and the sender owes nothing any more.
 package main
 
 import (
@@ -19,9 +18,9 @@
 )
 
 const (
-	sender   = "http://127.0.0.1:8080"
-	id       = "demo-1"
-	patience = 20 * time.Second
+	senderURL   = "http://127.0.0.1:8080"
+	messageID       = "demo-1"
+	timeout = 20 * time.Second
 )
 
 func main() {
@@ -32,7 +31,7 @@
 }
 
 func run() error {
-	limit := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	dir, err := os.MkdirTemp("", "cleathold-demo-")
 	if err != nil {
 		return err
@@ -45,48 +44,48 @@
 	}
 	state := filepath.Join(dir, "state")
 	toy := exec.Command(filepath.Join(dir, "toy"))
-	seen, err := toy.StderrPipe()
+	toyLog, err := toy.StderrPipe()
 	if err != nil {
 		return err
 	}
 	if err := toy.Start(); err != nil {
 		return err
 	}
-	defer end(toy)
+	defer stop(toy)
 	serve := exec.Command(filepath.Join(dir, "cleathold"), "serve", "--config", "examples/config.json")
 	serve.Env = append(os.Environ(), "LB_STATE="+state, "LB_LISTEN=127.0.0.1:8080")
 	if err := serve.Start(); err != nil {
 		return err
 	}
-	defer end(serve)
-	if err := ready(limit); err != nil {
+	defer stop(serve)
+	if err := awaitReady(deadline); err != nil {
 		return err
 	}
-	fmt.Println("1. the sender answers", sender+"/_health")
-	if err := handIn(); err != nil {
+	fmt.Println("1. the sender answers", senderURL+"/_health")
+	if err := submit(); err != nil {
 		return err
 	}
-	fmt.Println("2. message", id, "for destination 1 handed in, answered 202: taken on")
-	line, err := await(seen, limit)
+	fmt.Println("2. message", messageID, "for destination 1 submitted, answered 202: accepted")
+	line, err := awaitCall(toyLog, deadline)
 	if err != nil {
 		return err
 	}
-	fmt.Println("3. its target had it:", line)
-	if err := end(serve); err != nil {
-		return fmt.Errorf("the sender's end: %w", err)
+	fmt.Println("3. its endpoint received it:", line)
+	if err := stop(serve); err != nil {
+		return fmt.Errorf("the sender did not stop in order: %w", err)
 	}
-	left, err := exec.Command(filepath.Join(dir, "cleathold"), "pending", state).Output()
-	if err != nil || strings.TrimSpace(string(left)) != "0 pending" {
-		return fmt.Errorf("the sender still owes: %s %v", left, err)
+	pending, err := exec.Command(filepath.Join(dir, "cleathold"), "pending", state).Output()
+	if err != nil || strings.TrimSpace(string(pending)) != "0 pending" {
+		return fmt.Errorf("the sender still owes: %s %v", pending, err)
 	}
-	fmt.Println("4. the sender has ended in order and owes nothing: 0 pending")
+	fmt.Println("4. the sender has stopped in order and owes nothing: 0 pending")
 	return nil
 }
 
-// ready waits until the sender may be used.
-func ready(limit time.Time) error {
+// awaitReady waits until the sender may be used.
+func awaitReady(limit time.Time) error {
 	for time.Now().Before(limit) {
-		if r, err := http.Get(sender + "/_health"); err == nil {
+		if r, err := http.Get(senderURL + "/_health"); err == nil {
 			r.Body.Close()
 			if r.StatusCode == http.StatusOK {
 				return nil
@@ -97,13 +96,13 @@
 	return errors.New("no sender at 127.0.0.1:8080: are the ports 8080, 8500 and 9001 to 9003 free?")
 }
 
-func handIn() error {
-	r, err := http.NewRequest(http.MethodPost, sender+"/status", strings.NewReader("hello"))
+func submit() error {
+	r, err := http.NewRequest(http.MethodPost, senderURL+"/status", strings.NewReader("hello"))
 	if err != nil {
 		return err
 	}
 	for name, value := range map[string]string{
-		"X-Request-Id": id, "X-Tenant": "school-bands", "X-Deadline": "8.0", "X-Addressing": "dest=1",
+		"X-Request-Id": messageID, "X-Tenant": "school-bands", "X-Deadline": "8.0", "X-Addressing": "dest=1",
 	} {
 		r.Header.Set(name, value)
 	}
@@ -114,18 +113,18 @@
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusAccepted {
 		text, _ := io.ReadAll(answer.Body)
-		return fmt.Errorf("handed in: %s %s", answer.Status, text)
+		return fmt.Errorf("submitted: %s %s", answer.Status, text)
 	}
 	return nil
 }
 
-// await reads what the toy prints until it tells of the message.
-func await(toy io.Reader, limit time.Time) (string, error) {
+// awaitCall reads what the toy prints until it tells of the message.
+func awaitCall(toy io.Reader, limit time.Time) (string, error) {
 	found := make(chan string, 1)
 	go func() {
 		defer close(found)
 		for lines := bufio.NewScanner(toy); lines.Scan(); {
-			if strings.Contains(lines.Text(), id) {
+			if strings.Contains(lines.Text(), messageID) {
 				found <- lines.Text()
 				return
 			}
@@ -138,11 +137,11 @@
 		}
 	case <-time.After(time.Until(limit)):
 	}
-	return "", errors.New("the message never reached its target")
+	return "", errors.New("the message never reached its endpoint")
 }
 
-// end ends a process in order; a second time does nothing.
-func end(c *exec.Cmd) error {
+// stop ends a process in order; a second time does nothing.
+func stop(c *exec.Cmd) error {
 	if c.ProcessState != nil {
 		return nil
 	}
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,6 +1,5 @@
-// Command toy plays the world around one sender, to try it by hand: discovery
-// and the platform on one address, three targets, and one that is down. It serves on loopback
-// and prints what reaches it.
+// Command toy plays the environment of one sender, to try it by hand: discovery and the platform on one address, three
+// endpoints, and one that is down. It serves on loopback and prints what reaches it.
 package main
 
 import (
@@ -18,8 +17,8 @@
 
 const platform = "127.0.0.1:8500"
 
-// list is all that discovery ever tells. Nobody listens at the last address.
-const list = `{"version":1,"full":true,"servers":[
+// endpointList is the only list that discovery has. Nobody listens at the last address.
+const endpointList = `{"version":1,"full":true,"servers":[
 {"id":"s-one","addr":"127.0.0.1:9001","zone":"here","kind":"batching","cell":1,"state":"up","weight":20,"started_ms":0},
 {"id":"s-two","addr":"127.0.0.1:9002","zone":"there","kind":"batching","cell":1,"state":"up","weight":20,"started_ms":0},
 {"id":"s-three","addr":"127.0.0.1:9003","zone":"here","kind":"plain","cell":2,"state":"up","weight":20,"started_ms":0},
@@ -29,23 +28,23 @@
 type handler func(r *http.Request, body string) (int, string)
 
 func main() {
-	go serve("127.0.0.1:9001", target("s-one", 0))
-	go serve("127.0.0.1:9002", target("s-two", 0))
-	go serve("127.0.0.1:9003", target("s-three", 2))
+	go serve("127.0.0.1:9001", newEndpoint("s-one", 0))
+	go serve("127.0.0.1:9002", newEndpoint("s-two", 0))
+	go serve("127.0.0.1:9003", newEndpoint("s-three", 2))
 	log.Println("platform at", platform)
-	serve(platform, world)
+	serve(platform, answerPlatform)
 }
 
-// world is discovery and the platform.
-func world(r *http.Request, body string) (int, string) {
+// answerPlatform answers as discovery and the platform do.
+func answerPlatform(r *http.Request, body string) (int, string) {
 	switch {
 	case r.URL.Path == "/status" && r.Method == http.MethodPost:
-		log.Print("notice: ", strings.TrimSpace(body))
+		log.Print("delivery report: ", strings.TrimSpace(body))
 		return http.StatusNoContent, ""
 	case r.URL.Path != "/catalog/members":
 		return http.StatusNotFound, ""
 	case r.URL.Query().Get("since") != "1":
-		return http.StatusOK, list
+		return http.StatusOK, endpointList
 	}
 	// Nothing newer will ever exist: wait as long as the watch asks.
 	ms, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
@@ -53,15 +52,15 @@
 	return http.StatusOK, `{"version":1,"full":false,"servers":[]}`
 }
 
-// target takes calls, and fails each whose number the figure divides, if it is not 0.
-func target(name string, fails int64) handler {
+// newEndpoint returns the handler of an endpoint. Every call whose number failEvery divides fails; 0: none.
+func newEndpoint(name string, failEvery int64) handler {
 	var calls atomic.Int64
 	return func(r *http.Request, body string) (int, string) {
 		if r.URL.Path == "/ping" {
 			return http.StatusOK, ""
 		}
 		n := calls.Add(1)
-		failed := fails > 0 && n%fails == 0
+		failed := failEvery > 0 && n%failEvery == 0
 		log.Printf("%s: call %d, %s %s %q, failed: %t", name, n, r.URL.Path, r.Header.Get("X-Request-Id"), body, failed)
 		switch {
 		case failed:
@@ -105,11 +104,11 @@
 		if err != nil {
 			log.Fatal(err)
 		}
-		go attend(c, h)
+		go serveConn(c, h)
 	}
 }
 
-func attend(c net.Conn, h handler) {
+func serveConn(c net.Conn, h handler) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
--- a/internal/lifecycle/docs_test.go
+++ b/internal/lifecycle/docs_test.go
@@ -10,27 +10,13 @@
 
 // Each log line that the page for on-call staff explains stands in the code.
 func TestLogPageNamesLines(t *testing.T) {
-	page, err := os.ReadFile("../../docs/operate/logs.md")
-	if err != nil {
-		t.Fatal(err)
-	}
 	var code strings.Builder
-	for _, pattern := range []string{"../*/*.go", "../../cmd/*/*.go"} {
-		files, err := filepath.Glob(pattern)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, file := range files {
-			if strings.HasSuffix(file, "_test.go") {
-				continue
-			}
-			text, err := os.ReadFile(file)
-			if err != nil {
-				t.Fatal(err)
-			}
-			code.Write(text)
+	for _, file := range filesOf(t, "../*/*.go", "../../cmd/*/*.go") {
+		if !strings.HasSuffix(file, "_test.go") {
+			code.Write(readFile(t, file))
 		}
 	}
+	page := readFile(t, "../../docs/operate/logs.md")
 	rows := regexp.MustCompile("(?m)^\\| (`[^|]*`) \\|").FindAllStringSubmatch(string(page), -1)
 	if len(rows) < 30 {
 		t.Fatalf("%d rows read", len(rows))
@@ -43,3 +29,41 @@
 		}
 	}
 }
+
+// Each test that a page of docs/ names exists, so that a renamed test is renamed there, too.
+func TestPagesNameTests(t *testing.T) {
+	tests := map[string]bool{}
+	for _, file := range filesOf(t, "../../*/*_test.go", "../../*/*/*_test.go") {
+		for _, found := range regexp.MustCompile(`(?m)^func (Test\w+)`).FindAllSubmatch(readFile(t, file), -1) {
+			tests[string(found[1])] = true
+		}
+	}
+	for _, page := range filesOf(t, "../../docs/design/*.md", "../../docs/operate/*.md") {
+		for _, name := range regexp.MustCompile(`\bTest[A-Z]\w*`).FindAll(readFile(t, page), -1) {
+			if !tests[string(name)] {
+				t.Errorf("%s: there is no %s", page, name)
+			}
+		}
+	}
+}
+
+func filesOf(t *testing.T, patterns ...string) (files []string) {
+	t.Helper()
+	for _, pattern := range patterns {
+		list, err := filepath.Glob(pattern)
+		if err != nil || len(list) == 0 {
+			t.Fatalf("%s: %d files, %v", pattern, len(list), err)
+		}
+		files = append(files, list...)
+	}
+	return files
+}
+
+func readFile(t *testing.T, path string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
