--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	senderURL   = "http://127.0.0.1:8080"
-	messageID       = "demo-1"
-	timeout = 20 * time.Second
+	senderURL = "http://127.0.0.1:8080"
+	messageID = "demo-1"
+	timeout   = 20 * time.Second
 )
 
 func main() {
