--- a/internal/lifecycle/handover.go
+++ b/internal/lifecycle/handover.go
@@ -22,7 +22,7 @@
 )
 
 var (
-	errDeadLettersOpen   = errors.New("the held store does not close")
+	errDeadLettersOpen   = errors.New("the dead-letter store does not close")
 	errStoppedInHandover = errors.New("stopped")
 )
 
