--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -13,7 +13,7 @@
 // map of what was promised. rapid shortens a history that breaks it.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMemory()
+		m := newMemoryFS()
 		open := func() *Store {
 			s, err := Open(Options{FS: m, Budget: 48 << 10, Segment: 3 << 10, Durability: Each})
 			if err != nil {
@@ -80,7 +80,7 @@
 			"restart": func(*rapid.T) { s.Close(); again() },
 			"kill":    func(*rapid.T) { again() },
 			"power cut": func(*rapid.T) {
-				m.cut(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "what is kept"), 1)))
+				m.cutPower(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "what is kept"), 1)))
 				again()
 			},
 			"": func(*rapid.T) {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -28,11 +28,11 @@
 	goleak.VerifyTestMain(m)
 }
 
-// memory is a file system that can die at any byte, run full, and forget what was not
-// synced. It counts what all files take, at every step.
-type memory struct {
+// memoryFS is a file system in memory that can fail at any byte, run full, and lose what was not synced. It counts the
+// bytes of all files at every step.
+type memoryFS struct {
 	mu     sync.Mutex
-	files  map[string]*memFile
+	files  map[string]*memoryFile
 	left   int   // bytes and steps until it dies; below 0 = it lives
 	full   int64 // bytes that all files may have; 0 = any
 	most   int64 // that they had
@@ -43,8 +43,8 @@
 	dieAt  int
 }
 
-type memFile struct {
-	fs     *memory
+type memoryFile struct {
+	fs     *memoryFS
 	data   []byte
 	synced []byte
 	named  bool // its name would outlast a power cut
@@ -56,10 +56,10 @@
 	errIO     = errors.New("input/output error")
 )
 
-func newMemory() *memory { return &memory{files: map[string]*memFile{}, left: -1} }
+func newMemoryFS() *memoryFS { return &memoryFS{files: map[string]*memoryFile{}, left: -1} }
 
-// take counts down to death and returns how many of so many bytes still get through.
-func (m *memory) take(n int) (int, error) {
+// allow counts down to the failure and returns how many of n bytes are still written.
+func (m *memoryFS) allow(n int) (int, error) {
 	if m.calls++; m.dieAt > 0 && m.calls >= m.dieAt {
 		return 0, errDead
 	}
@@ -74,7 +74,7 @@
 	return n, nil
 }
 
-func (m *memory) used() int64 {
+func (m *memoryFS) usedBytes() int64 {
 	sum := int64(blockSize)
 	for _, f := range m.files {
 		sum += roundToBlocks(int64(len(f.data)))
@@ -82,20 +82,20 @@
 	return sum
 }
 
-func (m *memory) Create(name string) (File, error) {
+func (m *memoryFS) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.take(1); err != nil {
+	if _, err := m.allow(1); err != nil {
 		return nil, err
 	}
 	if m.files[name] != nil {
 		return nil, os.ErrExist
 	}
-	m.files[name] = &memFile{fs: m}
+	m.files[name] = &memoryFile{fs: m}
 	return m.files[name], nil
 }
 
-func (m *memory) Open(name string) (File, error) {
+func (m *memoryFS) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if f := m.files[name]; f != nil {
@@ -104,17 +104,17 @@
 	return nil, os.ErrNotExist // as the machine's
 }
 
-func (m *memory) Remove(name string) error {
+func (m *memoryFS) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.take(1); err != nil {
+	if _, err := m.allow(1); err != nil {
 		return err
 	}
 	delete(m.files, name)
 	return nil
 }
 
-func (m *memory) Rename(from, to string) error {
+func (m *memoryFS) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.files[to] = m.files[from]
@@ -122,7 +122,7 @@
 	return nil
 }
 
-func (m *memory) List() (names []string, err error) {
+func (m *memoryFS) List() (names []string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name := range m.files {
@@ -131,7 +131,7 @@
 	return names, nil
 }
 
-func (m *memory) Size(name string) (int64, error) {
+func (m *memoryFS) Size(name string) (int64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.files[name] == nil {
@@ -140,7 +140,7 @@
 	return int64(len(m.files[name].data)), nil
 }
 
-func (m *memory) SyncDir() error {
+func (m *memoryFS) SyncDir() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range m.files {
@@ -149,13 +149,13 @@
 	return nil
 }
 
-type nothing struct{}
+type noLock struct{}
 
-func (nothing) Close() error { return nil }
+func (noLock) Close() error { return nil }
 
-func (m *memory) Lock() (io.Closer, error) { return nothing{}, nil }
+func (m *memoryFS) Lock() (io.Closer, error) { return noLock{}, nil }
 
-func (f *memFile) ReadAt(p []byte, at int64) (int, error) {
+func (f *memoryFile) ReadAt(p []byte, at int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
 	if at >= int64(len(f.data)) {
@@ -168,40 +168,40 @@
 	return n, nil
 }
 
-func (f *memFile) WriteAt(p []byte, at int64) (int, error) {
+func (f *memoryFile) WriteAt(p []byte, at int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	n, err := f.fs.take(len(p))
+	n, err := f.fs.allow(len(p))
 	if f.fs.short && err == nil {
 		f.fs.short = false
 		n, err = n/2, errIO
 	}
 	grown := at + int64(n) - int64(len(f.data))
-	if f.fs.full > 0 && grown > 0 && f.fs.used()+grown > f.fs.full {
+	if f.fs.full > 0 && grown > 0 && f.fs.usedBytes()+grown > f.fs.full {
 		return 0, errNoRoom
 	}
 	if grown > 0 {
 		f.data = append(f.data, make([]byte, grown)...)
 	}
 	copy(f.data[at:], p[:n])
-	f.fs.most = max(f.fs.most, f.fs.used())
+	f.fs.most = max(f.fs.most, f.fs.usedBytes())
 	return n, err
 }
 
-func (f *memFile) Truncate(size int64) error {
+func (f *memoryFile) Truncate(size int64) error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if _, err := f.fs.take(1); err != nil {
+	if _, err := f.fs.allow(1); err != nil {
 		return err
 	}
 	f.data = f.data[:size]
 	return nil
 }
 
-func (f *memFile) Sync() error {
+func (f *memoryFile) Sync() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if _, err := f.fs.take(1); err != nil {
+	if _, err := f.fs.allow(1); err != nil {
 		return err
 	}
 	if f.fs.faulty != nil {
@@ -212,10 +212,10 @@
 	return nil
 }
 
-func (f *memFile) Close() error { return nil }
+func (f *memoryFile) Close() error { return nil }
 
-// cut is a power cut: of what was not synced some is there, and of names too.
-func (m *memory) cut(rng *rand.Rand) {
+// cutPower is a power cut: of what was not synced some is there, and of names too.
+func (m *memoryFS) cutPower(rng *rand.Rand) {
 	for name, f := range m.files {
 		if !f.named {
 			delete(m.files, name)
@@ -241,8 +241,8 @@
 	return s
 }
 
-// load is a traffic of entities that begin, grow and end, and what was promised of them.
-type load struct {
+// workload appends to entities that begin, grow and end, and keeps what must be in the store.
+type workload struct {
 	rng  *rand.Rand
 	next uint64
 	live map[uint64][]string // promised
@@ -250,12 +250,12 @@
 	last uint64 // the entity of the latest append, of which nobody knows if that failed
 }
 
-func newLoad(seed uint64) *load {
-	return &load{rng: rand.New(rand.NewPCG(seed, 1)), next: 1, live: map[uint64][]string{}}
+func newWorkload(seed uint64) *workload {
+	return &workload{rng: rand.New(rand.NewPCG(seed, 1)), next: 1, live: map[uint64][]string{}}
 }
 
 // step appends once; its error ends the traffic.
-func (l *load) step(s *Store) error {
+func (l *workload) step(s *Store) error {
 	if len(l.ids) > 0 && (len(l.ids) > 150 || l.rng.IntN(5) < 2) {
 		i := l.rng.IntN(len(l.ids))
 		id := l.ids[i]
@@ -297,9 +297,9 @@
 	return nil
 }
 
-// holds wants a store to have what was promised, no more and no less; of the entity
-// of an append that failed it may have that append or not.
-func (l *load) holds(t *testing.T, s *Store, what string, unsure uint64) {
+// check checks that a store has what was appended, no more and no less. The entity of an append that failed may have
+// that append or not.
+func (l *workload) check(t *testing.T, s *Store, what string, unsure uint64) {
 	t.Helper()
 	seen := 0
 	s.Entities(func(e Entity) bool {
@@ -337,21 +337,21 @@
 	}
 }
 
-// Long traffic through a small budget: it is never passed, no step is long, nothing is
-// lost, and the store reads as before when it is opened again.
+// A long workload within a small budget: the budget is never exceeded, no step is long, nothing is lost, and the store
+// reads as before when it is opened again.
 func TestCompaction(t *testing.T) {
-	m := newMemory()
+	m := newMemoryFS()
 	s := open(t, m, Process)
-	l := newLoad(1)
+	l := newWorkload(1)
 	for i := range 20_000 {
 		if err := l.step(s); err != nil {
 			t.Fatalf("append %d: %v; %+v", i, err, s.Stats())
 		}
 	}
-	l.holds(t, s, "at the end", 0)
+	l.check(t, s, "at the end", 0)
 	stats := s.Stats()
-	if m.most > budget || stats.DiskBytes != m.used() {
-		t.Errorf("%d bytes at most of %d; %d counted, %d there", m.most, budget, stats.DiskBytes, m.used())
+	if m.most > budget || stats.DiskBytes != m.usedBytes() {
+		t.Errorf("%d bytes at most of %d; %d counted, %d there", m.most, budget, stats.DiskBytes, m.usedBytes())
 	}
 	if stats.Removed < 50 || stats.LargestStep > 64<<10 {
 		t.Errorf("%+v", stats)
@@ -359,7 +359,7 @@
 	t.Logf("%+v, write amplification %.2f", stats, 1+float64(stats.Copied)/float64(stats.Appended))
 	s.Close()
 	again := open(t, m, Process)
-	l.holds(t, again, "opened again", 0)
+	l.check(t, again, "opened again", 0)
 	if len(again.Damages()) > 0 {
 		t.Errorf("damage: %+v", again.Damages())
 	}
@@ -391,11 +391,11 @@
 
 // Killed at any byte, also in the middle of compaction: what was promised is there, and
 // the traffic goes on.
-func TestKilledAnywhere(t *testing.T) {
+func TestKilledAtEachWrite(t *testing.T) {
 	for seed := range uint64(400) {
-		m := newMemory()
+		m := newMemoryFS()
 		s := open(t, m, Process)
-		l := newLoad(seed)
+		l := newWorkload(seed)
 		for range 300 { // into compaction
 			if err := l.step(s); err != nil {
 				t.Fatal(err)
@@ -413,7 +413,7 @@
 			m.left = -1
 			unsure := l.last
 			s = open(t, m, Process)
-			l.holds(t, s, fmt.Sprintf("seed %d, round %d", seed, round), unsure)
+			l.check(t, s, fmt.Sprintf("seed %d, round %d", seed, round), unsure)
 			for _, d := range s.Damages() {
 				if !d.Tail {
 					t.Errorf("seed %d: a kill left damage: %+v", seed, d)
@@ -422,7 +422,7 @@
 			if t.Failed() {
 				return
 			}
-			l.settle(t, s, unsure)
+			l.resolveUnsure(t, s, unsure)
 		}
 		if m.most > budget {
 			t.Fatalf("seed %d: %d bytes of %d", seed, m.most, budget)
@@ -430,8 +430,8 @@
 	}
 }
 
-// settle ends the entity of which nobody knows.
-func (l *load) settle(t *testing.T, s *Store, unsure uint64) {
+// resolveUnsure ends the entity whose last append had an unknown outcome.
+func (l *workload) resolveUnsure(t *testing.T, s *Store, unsure uint64) {
 	t.Helper()
 	if err := s.Append(Record{Entity: unsure, Kind: End}); err != nil {
 		t.Fatal(err)
@@ -445,9 +445,9 @@
 func TestPowerCut(t *testing.T) {
 	for seed := range uint64(100) {
 		for _, d := range []Durability{Each, Group, Process} {
-			m := newMemory()
+			m := newMemoryFS()
 			s := open(t, m, d)
-			l := newLoad(seed)
+			l := newWorkload(seed)
 			for range 400 {
 				if err := l.step(s); err != nil {
 					t.Fatal(err)
@@ -465,10 +465,10 @@
 				err = l.step(s)
 			}
 			unsure := l.last
-			m.cut(rand.New(rand.NewPCG(seed, 2)))
+			m.cutPower(rand.New(rand.NewPCG(seed, 2)))
 			s = open(t, m, d)
 			if d != Process {
-				l.holds(t, s, fmt.Sprintf("seed %d, durability %d", seed, d), unsure)
+				l.check(t, s, fmt.Sprintf("seed %d, durability %d", seed, d), unsure)
 			}
 			if t.Failed() {
 				return
@@ -481,15 +481,15 @@
 // A disk that runs full, a short write, a sync that fails: nothing is promised that is
 // not there, nothing before is lost, and a sync that failed is not tried again.
 func TestFaults(t *testing.T) {
-	m := newMemory()
+	m := newMemoryFS()
 	s := open(t, m, Process)
-	l := newLoad(3)
+	l := newWorkload(3)
 	for range 200 {
 		if err := l.step(s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m.full = m.used()
+	m.full = m.usedBytes()
 	var err error
 	for err == nil {
 		err = l.step(s)
@@ -498,21 +498,21 @@
 	if !errors.Is(err, errNoRoom) {
 		t.Fatalf("a full disk: %v", err)
 	}
-	l.holds(t, s, "with the disk full", unsure)
+	l.check(t, s, "with the disk full", unsure)
 	m.full = 0
 	for range 50 {
 		m.short = true
 		if err := l.step(s); !errors.Is(err, errIO) {
 			t.Fatalf("a short write: %v", err)
 		}
-		l.holds(t, s, "after a short write", 0)
+		l.check(t, s, "after a short write", 0)
 		if err := l.step(s); err != nil {
 			t.Fatal(err)
 		}
 	}
 	s.Close()
 	s = open(t, m, Each)
-	l.holds(t, s, "opened again", 0)
+	l.check(t, s, "opened again", 0)
 	if len(s.Damages()) > 0 {
 		t.Errorf("%+v", s.Damages())
 	}
@@ -527,8 +527,8 @@
 }
 
 // More live than fits: the store says so, and ends still get through and make room.
-func TestCannotWin(t *testing.T) {
-	m := newMemory()
+func TestBudgetExhausted(t *testing.T) {
+	m := newMemoryFS()
 	s := open(t, m, Process)
 	id := uint64(0)
 	for s.CanAdmit(1000) {
@@ -558,9 +558,9 @@
 // Damage of any byte of any file: what can be read is, and what may lack a record is in
 // doubt. Nothing that has ended is told as sound.
 func TestDamage(t *testing.T) {
-	base := newMemory()
+	base := newMemoryFS()
 	s := open(t, base, Process)
-	l := newLoad(5)
+	l := newWorkload(5)
 	for range 600 {
 		if err := l.step(s); err != nil {
 			t.Fatal(err)
@@ -571,9 +571,9 @@
 	slices.Sort(names)
 	rng := rand.New(rand.NewPCG(9, 9))
 	for range 300 {
-		m := newMemory()
+		m := newMemoryFS()
 		for name, f := range base.files {
-			m.files[name] = &memFile{fs: m, data: slices.Clone(f.data)}
+			m.files[name] = &memoryFile{fs: m, data: slices.Clone(f.data)}
 		}
 		name := names[rng.IntN(len(names)-1)] // not the last, whose tail a kill may cut
 		f := m.files[name]
@@ -616,7 +616,7 @@
 
 // A newer format is refused, and the file is as it was.
 func TestNewerFormat(t *testing.T) {
-	m := newMemory()
+	m := newMemoryFS()
 	s := open(t, m, Process)
 	s.Append(Record{Entity: 1, Data: []byte("x")})
 	s.Close()
@@ -660,8 +660,8 @@
 }
 
 // Group sync: one sync stands for many appends.
-func TestGroup(t *testing.T) {
-	m := newMemory()
+func TestGroupDurability(t *testing.T) {
+	m := newMemoryFS()
 	s, err := Open(Options{FS: m, Budget: budget, Segment: 16 << 10, Durability: Group, GroupWait: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -685,9 +685,9 @@
 // A copy of a store in use is whole: it has what was promised before the copy began and
 // is not ended before it ended. Its restored form takes appends.
 func TestBackup(t *testing.T) {
-	m := newMemory()
+	m := newMemoryFS()
 	s := open(t, m, Process)
-	l := newLoad(8)
+	l := newWorkload(8)
 	for range 500 {
 		if err := l.step(s); err != nil {
 			t.Fatal(err)
@@ -707,7 +707,7 @@
 		}
 		done <- nil
 	}()
-	to := newMemory()
+	to := newMemoryFS()
 	if _, err := Backup(m, to); err != nil {
 		t.Fatal(err)
 	}
@@ -733,10 +733,10 @@
 }
 
 // A store in use can be looked into, and a damaged one repaired beside.
-func TestLookAndRepair(t *testing.T) {
-	m := newMemory()
+func TestOpenReadOnlyAndRepair(t *testing.T) {
+	m := newMemoryFS()
 	s := open(t, m, Process)
-	l := newLoad(8)
+	l := newWorkload(8)
 	for range 800 {
 		if err := l.step(s); err != nil {
 			t.Fatal(err)
@@ -760,7 +760,7 @@
 	f := m.files[names[1]]
 	f.data[len(f.data)/2] ^= 1
 	before := slices.Clone(f.data)
-	to := newMemory()
+	to := newMemoryFS()
 	written, left, err := Repair(m, Options{FS: to, Budget: budget, Segment: 16 << 10}, false)
 	if err != nil || written+left < len(l.live)-5 || !slices.Equal(before, f.data) {
 		t.Errorf("%d written, %d left of %d, %v", written, left, len(l.live), err)
@@ -774,7 +774,7 @@
 // A crash at every call of the file system in turn, over rolls and compaction, by a kill
 // and by a power cut that loses what was not synced.
 func TestCrashAtEveryCall(t *testing.T) {
-	run := func(m *memory, d Durability, l *load) error {
+	run := func(m *memoryFS, d Durability, l *workload) error {
 		s, err := Open(Options{FS: m, Budget: 80 << 10, Segment: 5 << 10, Durability: d, GroupWait: time.Hour})
 		for i := 0; err == nil && i < 260; i++ {
 			err = l.step(s)
@@ -782,25 +782,25 @@
 		return err
 	}
 	for _, d := range []Durability{Process, Each} {
-		whole := newMemory()
-		if err := run(whole, d, newLoad(4)); err != nil {
+		whole := newMemoryFS()
+		if err := run(whole, d, newWorkload(4)); err != nil {
 			t.Fatal(err)
 		}
 		for n := 1; n <= whole.calls; n++ {
-			m, l := newMemory(), newLoad(4)
+			m, l := newMemoryFS(), newWorkload(4)
 			m.dieAt = n
 			if err := run(m, d, l); !errors.Is(err, errDead) {
 				t.Fatalf("call %d of %d: %v", n, whole.calls, err)
 			}
 			m.dieAt = 0
 			if d == Each {
-				m.cut(rand.New(rand.NewPCG(uint64(n), 3)))
+				m.cutPower(rand.New(rand.NewPCG(uint64(n), 3)))
 			}
 			s, err := Open(Options{FS: m, Budget: 80 << 10, Segment: 5 << 10, Durability: d})
 			if err != nil {
 				t.Fatalf("call %d: %v", n, err)
 			}
-			l.holds(t, s, fmt.Sprintf("durability %d, call %d of %d", d, n, whole.calls), l.last)
+			l.check(t, s, fmt.Sprintf("durability %d, call %d of %d", d, n, whole.calls), l.last)
 			for _, x := range s.Damages() {
 				if !x.Tail {
 					t.Errorf("durability %d, call %d: %+v", d, n, x)
@@ -816,9 +816,9 @@
 // A segment that is missing puts in doubt what began before; two whose names were
 // swapped read as they were; one that is there twice is refused, with both names.
 func TestSegmentsMoved(t *testing.T) {
-	base := newMemory()
+	base := newMemoryFS()
 	s := open(t, base, Process)
-	l := newLoad(6)
+	l := newWorkload(6)
 	for range 900 {
 		if err := l.step(s); err != nil {
 			t.Fatal(err)
@@ -826,23 +826,23 @@
 	}
 	s.Close()
 	names, _ := listSegments(base)
-	clone := func() *memory {
-		m := newMemory()
+	clone := func() *memoryFS {
+		m := newMemoryFS()
 		for name, f := range base.files {
-			m.files[name] = &memFile{fs: m, data: slices.Clone(f.data)}
+			m.files[name] = &memoryFile{fs: m, data: slices.Clone(f.data)}
 		}
 		return m
 	}
 	m := clone()
 	m.files[names[1]], m.files[names[2]] = m.files[names[2]], m.files[names[1]]
 	s = open(t, m, Process)
-	l.holds(t, s, "swapped", 0)
+	l.check(t, s, "swapped", 0)
 	for range 2000 { // on through compaction of both
 		if err := s.Append(Record{Entity: 1 << 30, Data: make([]byte, 300)}, Record{Entity: 1 << 30, Kind: End}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.holds(t, s, "swapped, then compacted", 0)
+	l.check(t, s, "swapped, then compacted", 0)
 	m = clone()
 	delete(m.files, names[1])
 	s = open(t, m, Process)
@@ -859,7 +859,7 @@
 		t.Errorf("missing: %+v", s.Damages())
 	}
 	m = clone()
-	m.files["ffffffffffffff00.log"] = &memFile{fs: m, data: slices.Clone(m.files[names[1]].data)}
+	m.files["ffffffffffffff00.log"] = &memoryFile{fs: m, data: slices.Clone(m.files[names[1]].data)}
 	if _, err := Open(Options{FS: m, Budget: budget, Segment: 16 << 10}); err == nil ||
 		!strings.Contains(err.Error(), names[1]) {
 		t.Errorf("twice: %v", err)
