--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -1,12 +1,9 @@
 package harness
 
 import (
-	"bufio"
 	"errors"
-	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
@@ -16,169 +13,103 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"cleathold/internal/audit"
-	"cleathold/internal/scenario"
 	"cleathold/internal/simulation"
 )
 
-const (
-	openMost = 20_000 // hand-ins under way; more are left out, and the run is marked
-	idleMost = 256    // idle connections to a sender
-)
-
 // Clients hand in what a plan's arrivals are, each at its time whatever became of
 // those before it, and come again as BRIEF 6 says. Latency counts from the time at
 // which a message was wanted.
 type Clients struct {
-	w       *Environment
-	senders []*front
-
-	enough atomic.Bool // Run ends before the plan's last arrival
-	keep   bool        // connections to a sender that is ending are used on
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	open    int
-	left    int // left out
-	asked   int
-	pending map[string]*simulation.ClientRequest // ids that may still be heard of
-	lag     *hdrhistogram.Histogram
-	door    *hdrhistogram.Histogram // from the time wanted to the sender's answer
-	answers map[int]int             // by status; 0 = none
+	env     *Environment
+	senders []*senderPool
+
+	stopped         atomic.Bool // Run ends before the plan's last arrival
+	keepConnections bool        // connections to a sender that is ending are used on
+
+	mu           sync.Mutex
+	rng          *rand.Rand
+	inProgress   int
+	skipped      int // left out
+	requested    int
+	pending      map[string]*simulation.ClientRequest // ids that may still be heard of
+	lag          *hdrhistogram.Histogram
+	responseTime *hdrhistogram.Histogram // from the time wanted to the sender's answer
+	statusCounts map[int]int             // by status; 0 = none
 
 	unanswered int // see Seen
 }
 
-// A front is a sender as clients see it.
-type front struct {
-	addr string
-	mu   sync.Mutex
-	idle []*client
-	shut bool      // nothing is kept any more
-	away bool      // it said that it wants no clients
-	down time.Time // since when nobody is there; zero = somebody is
-	up   time.Time // since when somebody is there again
-}
-
-type client struct {
-	net.Conn
-	in *bufio.Reader
-}
-
 // NewClients makes clients of senders at these addresses.
-func (w *Environment) NewClients(addresses []string) *Clients {
+func (env *Environment) NewClients(addresses []string) *Clients {
 	c := &Clients{
-		w: w, rng: rand.New(rand.NewPCG(w.plan.Seed, 99)), pending: map[string]*simulation.ClientRequest{}, lag: newLag(), door: newLag(), answers: map[int]int{},
+		env: env, rng: rand.New(rand.NewPCG(env.plan.Seed, 99)), pending: map[string]*simulation.ClientRequest{}, lag: newLagHistogram(), responseTime: newLagHistogram(), statusCounts: map[int]int{},
 	}
 	for _, a := range addresses {
-		c.senders = append(c.senders, &front{addr: a})
+		c.senders = append(c.senders, &senderPool{addr: a})
 	}
-	w.mu.Lock()
-	w.heard, w.served = c.heard, c.served
-	w.mu.Unlock()
+	env.mu.Lock()
+	env.onReport, env.onDelivered = c.handleReport, c.handleDelivered
+	env.mu.Unlock()
 	return c
 }
 
-// SetDown tells the front layer that a sender's process has ended, or is there
-// again. The front itself notices after a while.
-func (c *Clients) SetDown(sender int, down bool) {
-	f := c.senders[sender]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if down {
-		if f.down.IsZero() {
-			f.down = time.Now()
-		}
-		return
-	}
-	f.down, f.up = time.Time{}, time.Now()
-}
-
-// SetDraining tells the front layer what a sender said of its health. It heeds that at once.
-func (c *Clients) SetDraining(sender int, away bool) {
-	f := c.senders[sender]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.away = away
-}
-
 // Run hands in until the plan's last arrival.
 func (c *Clients) Run() {
-	arrivals := c.w.plan.Arrivals()
+	arrivals := c.env.plan.Arrivals()
 	for a, some := arrivals.Next(); some; a, some = arrivals.Next() {
-		if c.enough.Load() || c.w.now() < a.At && !c.w.at(a.At) || c.w.ctx.Err() != nil {
+		if c.stopped.Load() || c.env.now() < a.At && !c.env.sleepUntil(a.At) || c.env.ctx.Err() != nil {
 			return
 		}
 		c.mu.Lock()
-		record(c.lag, c.w.now()-a.At)
-		c.asked++
-		full := c.open >= openMost
+		recordLag(c.lag, c.env.now()-a.At)
+		c.requested++
+		full := c.inProgress >= maxOpenSubmissions
 		if full {
-			c.left++
+			c.skipped++
 		} else {
-			c.open++
+			c.inProgress++
 		}
 		c.mu.Unlock()
-		c.w.Record(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
+		c.env.Record(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
 		if full {
 			continue
 		}
 		m := &simulation.ClientRequest{Arrival: a}
-		c.w.wg.Go(func() {
-			c.handIn(m)
+		c.env.wg.Go(func() {
+			c.submit(m)
 			c.mu.Lock()
-			c.open--
+			c.inProgress--
 			c.mu.Unlock()
 		})
 	}
 }
 
 // Stop ends Run at its next arrival.
-func (c *Clients) Stop() { c.enough.Store(true) }
+func (c *Clients) Stop() { c.stopped.Store(true) }
 
-// after does something later, unless the world ends before.
-func (c *Clients) after(d time.Duration, do func()) {
+// schedule does something later, unless the world ends before.
+func (c *Clients) schedule(d time.Duration, do func()) {
 	c.mu.Lock()
-	if c.open >= openMost {
-		c.left++
+	if c.inProgress >= maxOpenSubmissions {
+		c.skipped++
 		c.mu.Unlock()
 		return
 	}
-	c.open++
+	c.inProgress++
 	c.mu.Unlock()
-	c.w.wg.Go(func() {
-		if c.w.sleep(d) {
+	c.env.wg.Go(func() {
+		if c.env.sleep(d) {
 			do()
 		}
 		c.mu.Lock()
-		c.open--
+		c.inProgress--
 		c.mu.Unlock()
 	})
 }
 
-// choose deals a hand-in out: to any sender but those that the front knows are gone.
-func (c *Clients) choose() (int, *front) {
-	c.mu.Lock()
-	first := c.rng.IntN(len(c.senders))
-	c.mu.Unlock()
-	for i := range c.senders {
-		n := (first + i) % len(c.senders)
-		f := c.senders[n]
-		f.mu.Lock()
-		known := f.away || !f.down.IsZero() && time.Since(f.down) > simulation.DeadSenderTimeout && !(c.keep && len(f.idle) > 0)
-		f.mu.Unlock()
-		if !known {
-			return n, f
-		}
-	}
-	return first, c.senders[first]
-}
-
-// errNobody tells that a hand-in did not reach a sender whole.
-var errNobody = errors.New("nobody there")
-
-// handIn hands a message in, for the first time or again.
-func (c *Clients) handIn(m *simulation.ClientRequest) {
-	w := c.w
+// submit hands a message in, for the first time or again.
+func (c *Clients) submit(m *simulation.ClientRequest) {
+	w := c.env
 	s := w.plan.Scenario
 	c.mu.Lock()
 	left := m.TimeLeft(s, w.now())
@@ -186,10 +117,10 @@
 	if left <= 0 {
 		return
 	}
-	num, f := c.choose()
+	num, f := c.chooseSender()
 	conn, reused, err := f.get(time.Now().Add(s.Traffic.Patience))
 	if err != nil {
-		c.nowhere(m)
+		c.retryUnanswered(m)
 		return
 	}
 	c.mu.Lock()
@@ -197,27 +128,27 @@
 	c.pending[id] = m
 	c.mu.Unlock()
 	key := m.Key(s)
-	w.hand(audit.Event{Kind: audit.Submitted, Sender: num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: left, Key: key, N: m.N, Tenant: m.Tenant})
+	w.recordSubmission(audit.Event{Kind: audit.Submitted, Sender: num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: left, Key: key, N: m.N, Tenant: m.Tenant})
 	limit := time.Now().Add(s.Traffic.Patience)
-	text := request(s, m, id, key, left, again)
-	r, err := conn.ask(text, limit)
+	text := formatRequest(s, m, id, key, left, again)
+	r, err := conn.roundTrip(text, limit)
 	if err != nil && reused && errors.Is(err, io.EOF) { // its close crossed the request
 		reused = false
 		if conn, err = f.dial(limit); err == nil {
-			r, err = conn.ask(text, limit)
+			r, err = conn.roundTrip(text, limit)
 		}
 	}
-	if !reused && errors.Is(err, io.EOF) && !c.crowded() {
-		c.w.wg.Go(func() { c.judgeUnanswered(f) })
+	if !reused && errors.Is(err, io.EOF) && !c.idleClientsActive() {
+		c.env.wg.Go(func() { c.countUnanswered(f) })
 	}
 	status := 0
 	if err == nil {
 		status = r.StatusCode
 	}
 	c.mu.Lock()
-	c.answers[status]++
+	c.statusCounts[status]++
 	if !again {
-		record(c.door, w.now()-m.At)
+		recordLag(c.responseTime, w.now()-m.At)
 	}
 	c.mu.Unlock()
 	switch {
@@ -226,12 +157,12 @@
 			conn.Close()
 		}
 		cause := "died"
-		if errors.Is(err, errLate) {
+		if errors.Is(err, errResponseTimeout) {
 			cause = "timeout"
 		}
 		w.Record(audit.Event{Kind: audit.Abandoned, Sender: num, Message: id, Cause: cause})
 		c.forget(id)
-		c.nowhere(m)
+		c.retryUnanswered(m)
 		return
 	case status == http.StatusAccepted || status == http.StatusOK:
 		w.Record(audit.Event{Kind: audit.Accepted, Sender: num, Message: id})
@@ -240,7 +171,7 @@
 		told := time.Duration(wait * float64(time.Second))
 		w.Record(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, RetryAfter: told})
 		c.forget(id)
-		c.refused(m, told)
+		c.retryRejected(m, told)
 	default:
 		w.Record(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, Cause: "failed"})
 		c.forget(id)
@@ -252,10 +183,10 @@
 	f.put(conn)
 }
 
-// crowded tells whether a crowd is about, or was a moment ago: new connections may be shut unread then.
-func (c *Clients) crowded() bool {
-	now := c.w.nowOf()
-	for _, crowd := range c.w.faults.IdleClients {
+// idleClientsActive tells whether a crowd is about, or was a moment ago: new connections may be shut unread then.
+func (c *Clients) idleClientsActive() bool {
+	now := c.env.currentTime()
+	for _, crowd := range c.env.faults.IdleClients {
 		if now >= crowd.From && now < crowd.To+time.Second {
 			return true
 		}
@@ -263,16 +194,16 @@
 	return false
 }
 
-// downSpan is how much later than its clients the rig may hear that a process has ended.
-const downSpan = 100 * time.Millisecond
+// exitNoticeDelay is how much later than its clients the rig may hear that a process has ended.
+const exitNoticeDelay = 100 * time.Millisecond
 
-// judgeUnanswered counts a request without an answer, unless its sender's process was down or ending.
-func (c *Clients) judgeUnanswered(f *front) {
-	if !c.w.sleep(downSpan) {
+// countUnanswered counts a request without an answer, unless its sender's process was down or ending.
+func (c *Clients) countUnanswered(f *senderPool) {
+	if !c.env.sleep(exitNoticeDelay) {
 		return
 	}
 	f.mu.Lock()
-	down := !f.down.IsZero() || time.Since(f.up) < 2*downSpan
+	down := !f.downSince.IsZero() || time.Since(f.upSince) < 2*exitNoticeDelay
 	f.mu.Unlock()
 	if !down {
 		c.mu.Lock()
@@ -281,59 +212,45 @@
 	}
 }
 
-// request is a hand-in as PROTOCOL has it.
-func request(s *scenario.Scenario, m *simulation.ClientRequest, id, key string, left time.Duration, again bool) []byte {
-	text := fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Tenant: %s\r\nX-Deadline: %.6f\r\nX-Addressing: dest=%d\r\nContent-Length: %d\r\n",
-		s.Traffic.Classes[m.Class].Name, id, s.Traffic.Tenants[m.Tenant].Name, left.Seconds(), m.Dest, m.Size)
-	if key != "" {
-		text = fmt.Appendf(text, "Idempotency-Key: %s\r\n", key)
-	}
-	if again {
-		text = append(text, "X-Retry: 1\r\n"...)
-	}
-	text = append(text, "\r\n"...)
-	return append(text, make([]byte, m.Size)...)
-}
-
 func (c *Clients) forget(id string) {
 	c.mu.Lock()
 	delete(c.pending, id)
 	c.mu.Unlock()
 }
 
-// nowhere has a client hand in again what reached nobody.
-func (c *Clients) nowhere(m *simulation.ClientRequest) {
+// retryUnanswered has a client hand in again what reached nobody.
+func (c *Clients) retryUnanswered(m *simulation.ClientRequest) {
 	c.mu.Lock()
-	after, again := m.Unanswered(c.w.plan.Scenario, c.rng)
+	after, again := m.Unanswered(c.env.plan.Scenario, c.rng)
 	c.mu.Unlock()
 	if again {
-		c.after(after, func() { c.handIn(m) })
+		c.schedule(after, func() { c.submit(m) })
 	}
 }
 
-// refused has a client come again, as often as the scenario says.
-func (c *Clients) refused(m *simulation.ClientRequest, told time.Duration) {
+// retryRejected has a client come again, as often as the scenario says.
+func (c *Clients) retryRejected(m *simulation.ClientRequest, told time.Duration) {
 	c.mu.Lock()
-	after, again := m.Rejected(c.w.plan.Scenario, c.rng, told)
+	after, again := m.Rejected(c.env.plan.Scenario, c.rng, told)
 	c.mu.Unlock()
 	if again {
-		c.after(after, func() { c.handIn(m) })
+		c.schedule(after, func() { c.submit(m) })
 	}
 }
 
-// heard is told of a notice.
-func (c *Clients) heard(id string, deferred bool, again time.Duration) {
+// handleReport is told of a notice.
+func (c *Clients) handleReport(id string, deferred bool, again time.Duration) {
 	c.mu.Lock()
 	m := c.pending[id]
 	delete(c.pending, id)
 	c.mu.Unlock()
 	if m != nil && deferred {
-		c.refused(m, again)
+		c.retryRejected(m, again)
 	}
 }
 
-// served is told of deliveries.
-func (c *Clients) served(ids []string) {
+// handleDelivered is told of deliveries.
+func (c *Clients) handleDelivered(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
@@ -360,8 +277,8 @@
 func (c *Clients) Stats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := ClientStats{Lag: lagOf(c.lag), ResponseTime: lagOf(c.door), Answers: map[int]int{}, Skipped: c.left, Unanswered: c.unanswered}
-	for status, n := range c.answers {
+	s := ClientStats{Lag: summarizeLag(c.lag), ResponseTime: summarizeLag(c.responseTime), Answers: map[int]int{}, Skipped: c.skipped, Unanswered: c.unanswered}
+	for status, n := range c.statusCounts {
 		s.Answers[status] = n
 	}
 	return s
@@ -374,64 +291,20 @@
 		for _, x := range f.idle {
 			x.Close()
 		}
-		f.idle, f.shut = nil, true
+		f.idle, f.closed = nil, true
 		f.mu.Unlock()
 	}
 }
 
-// get takes an idle connection, or opens one.
-func (f *front) get(limit time.Time) (c *client, reused bool, err error) {
-	f.mu.Lock()
-	if n := len(f.idle); n > 0 {
-		c = f.idle[n-1]
-		f.idle = f.idle[:n-1]
-		f.mu.Unlock()
-		return c, true, nil
-	}
-	f.mu.Unlock()
-	c, err = f.dial(limit)
-	return c, false, err
-}
-
-func (f *front) dial(limit time.Time) (*client, error) {
-	conn, err := (&net.Dialer{Deadline: limit}).Dial("tcp4", f.addr)
-	if err != nil {
-		return nil, errors.Join(errNobody, err)
-	}
-	return &client{conn, bufio.NewReader(conn)}, nil
-}
-
-func (f *front) put(c *client) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.shut || len(f.idle) >= idleMost {
-		c.Close()
-		return
-	}
-	f.idle = append(f.idle, c)
+// Idle tells whether no hand-in is under way or to come.
+func (c *Clients) Idle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.inProgress == 0
 }
 
-// errLate tells that no answer came while a client waited.
-var errLate = errors.New("no answer in time")
-
-// ask sends a request and reads the answer. io.EOF tells that the connection was
-// closed before any of it came.
-func (c *client) ask(text []byte, limit time.Time) (*http.Response, error) {
-	c.SetDeadline(limit)
-	_, err := c.Write(text)
-	if err == nil {
-		if _, err = c.in.Peek(1); err == nil {
-			var r *http.Response
-			if r, err = http.ReadResponse(c.in, nil); err == nil {
-				_, err = io.Copy(io.Discard, r.Body)
-				return r, err
-			}
-			return nil, err
-		}
-	}
-	var n net.Error
-	if errors.As(err, &n) && n.Timeout() {
-		return nil, errLate
-	}
-	return nil, io.EOF // closed or reset
+func (c *Clients) requestCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requested
 }
--- /dev/null
+++ b/internal/harness/delivery_reports.go
@@ -0,0 +1,42 @@
+package harness
+
+import (
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/tidwall/gjson"
+
+	"cleathold/internal/audit"
+)
+
+// serveReports takes notices, also while discovery is down.
+func (env *Environment) serveReports(sender int, out http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxReportBytes))
+	if err != nil || !gjson.ValidBytes(body) && !validReportLines(body) {
+		http.Error(out, "notices unreadable", http.StatusBadRequest)
+		return
+	}
+	gjson.ForEachLine(string(body), func(line gjson.Result) bool {
+		id, deferred := line.Get("id").String(), line.Get("status").String() == "deferred"
+		again := time.Duration(line.Get("again_ms").Float() * float64(time.Millisecond))
+		env.Record(audit.Event{Kind: audit.Notice, Sender: sender, Message: id, Deferred: deferred, RetryAfter: again})
+		env.onReport(id, deferred, again)
+		return true
+	})
+	out.WriteHeader(http.StatusNoContent)
+}
+
+func validReportLines(body []byte) bool {
+	valid := true
+	gjson.ForEachLine(string(body), func(line gjson.Result) bool {
+		valid = valid && line.IsObject() && line.Get("id").Exists()
+		return valid
+	})
+	return valid
+}
+
+const (
+	maxReportBytes  = 1 << 20 // bytes in one call
+	maxWatchTimeout = time.Minute
+)
--- a/internal/harness/rig_test.go
+++ b/internal/harness/harness_test.go
@@ -88,22 +88,22 @@
 }
 
 // with does something under the world's lock.
-func (w *Environment) with(do func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (env *Environment) with(do func()) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	do()
 }
 
 // handIn enters a message that a client handed in to sender 0.
 func handIn(w *Environment, id string, dest int) {
-	w.hand(audit.Event{Kind: audit.Submitted, Message: id, Dest: dest, TimeLeft: 8 * time.Second})
+	w.recordSubmission(audit.Event{Kind: audit.Submitted, Message: id, Dest: dest, TimeLeft: 8 * time.Second})
 	w.Record(audit.Event{Kind: audit.Accepted, Message: id})
 }
 
 func TestDoor(t *testing.T) {
 	w, p := aWorld(t, "")
 	d := p.Dests[0]
-	door := w.doors[0][d.Endpoints[0].ID]
+	door := w.listeners[0][d.Endpoints[0].ID]
 	handIn(w, "a", d.Dest)
 	handIn(w, "b", d.Dest)
 	served(t, door.addr, receive("a"))
@@ -125,9 +125,9 @@
 	}
 	set := func(tr partner.Fault) {
 		w.with(func() {
-			w.ground.Model.SetFault(w.now(), door.endpoint, tr)
-			w.refit()
-			w.settle()
+			w.simulated.Model.SetFault(w.now(), door.endpoint, tr)
+			w.updateListeners()
+			w.dispatchAndWake()
 		})
 	}
 	set(partner.Fault{Mode: partner.Shut, Until: time.Hour})
@@ -163,8 +163,8 @@
 func TestCalledOff(t *testing.T) {
 	w, p := aWorld(t, "")
 	d := p.Dests[0]
-	door := w.doors[0][d.Endpoints[0].ID]
-	w.with(func() { w.ground.Model.SetFault(w.now(), door.endpoint, partner.Fault{Mode: partner.Unresponsive}) })
+	door := w.listeners[0][d.Endpoints[0].ID]
+	w.with(func() { w.simulated.Model.SetFault(w.now(), door.endpoint, partner.Fault{Mode: partner.Unresponsive}) })
 	handIn(w, "a", d.Dest)
 	c, err := net.Dial("tcp", door.addr)
 	if err != nil {
@@ -172,7 +172,7 @@
 	}
 	io.WriteString(c, receive("a"))
 	running := func() (n int) {
-		w.with(func() { n = len(w.answers) })
+		w.with(func() { n = len(w.pendingAnswers) })
 		return n
 	}
 	wait(t, "the call", func() bool { return running() == 1 })
@@ -210,16 +210,16 @@
 		return r.StatusCode, body
 	}
 	e := p.Dests[0].Endpoints[0]
-	if status, body := get(""); status != 200 || !strings.Contains(body, `"full":true`) || !strings.Contains(body, `"id":"`+e.ID+`","addr":"`+w.doors[0][e.ID].addr) {
+	if status, body := get(""); status != 200 || !strings.Contains(body, `"full":true`) || !strings.Contains(body, `"id":"`+e.ID+`","addr":"`+w.listeners[0][e.ID].addr) {
 		t.Errorf("%d %s", status, body)
 	}
 	if status, body := get("?since=1&timeout_ms=20"); status != 200 || !strings.Contains(body, `"version":1,"full":false,"servers":[]`) {
 		t.Errorf("a watch without news: %d %s", status, body)
 	}
 	w.with(func() {
-		w.change(scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
-		w.change(scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
-		w.change(scenario.Change{Endpoint: "new", Dest: 1, Joins: &partner.EndpointSpec{ID: "new"}, Address: e.ID})
+		w.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
+		w.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
+		w.applyChange(scenario.Change{Endpoint: "new", Dest: 1, Joins: &partner.EndpointSpec{ID: "new"}, Address: e.ID})
 	})
 	at, seen := 1, ""
 	for range 3 { // one answer or more, as they are told
@@ -233,13 +233,13 @@
 			break
 		}
 	}
-	for _, want := range []string{`"state":"removed"`, `"id":"new","addr":"` + w.doors[0][e.ID].addr} {
+	for _, want := range []string{`"state":"removed"`, `"id":"new","addr":"` + w.listeners[0][e.ID].addr} {
 		if !strings.Contains(seen, want) {
 			t.Errorf("no %s in %s", want, seen)
 		}
 	}
-	served(t, w.doors[0][e.ID].addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n") // the new one at the old address
-	w.with(func() { w.plan.DiscoveryOutages = []scenario.Span{{From: 0, To: time.Hour}}; w.ring() })
+	served(t, w.listeners[0][e.ID].addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n") // the new one at the old address
+	w.with(func() { w.plan.DiscoveryOutages = []scenario.Span{{From: 0, To: time.Hour}}; w.notifyListChanged() })
 	if status, _ := get("?since=4&timeout_ms=10000"); status != 503 {
 		t.Errorf("down: %d", status)
 	}
@@ -256,7 +256,7 @@
 // A partner of the rig's that dies ends the run, and is named.
 func TestDeadPartner(t *testing.T) {
 	w, p := aWorld(t, "")
-	door := w.doors[1][p.Dests[0].Endpoints[0].ID]
+	door := w.listeners[1][p.Dests[0].Endpoints[0].ID]
 	door.listener.Close()
 	<-w.ctx.Done()
 	if err := context.Cause(w.ctx); err == nil || !strings.Contains(err.Error(), door.addr) {
@@ -364,7 +364,7 @@
 			t.Fatal(err)
 		}
 		<-x.Ended()
-		if x.outcome() == nil {
+		if x.exitError() == nil {
 			t.Fatal("it ended with exit status 1, and nothing is known of it")
 		}
 	}
@@ -381,10 +381,10 @@
 	} {
 		w, p := aWorld(t, "link(at = 0, seconds = 1, "+c.link+")\n")
 		d := p.Dests[0]
-		door := w.doors[0][d.Endpoints[0].ID]
+		door := w.listeners[0][d.Endpoints[0].ID]
 		wait(t, "the fault", func() (ails bool) {
 			w.with(func() {
-				there, back := door.ways()
+				there, back := door.linkStates()
 				ails = !there.Passes() || !back.Passes() || c.want == "served"
 				ails = ails && (door.listener == nil) == (c.want == "refused")
 			})
@@ -401,7 +401,7 @@
 		}
 		_, _, err := say(t, door.addr, receive("a"))
 		got := "served"
-		switch healed := w.nowOf() >= time.Second; {
+		switch healed := w.currentTime() >= time.Second; {
 		case err != nil:
 			got = "refused"
 		case healed: // whether served, or turned away by a limit
@@ -425,15 +425,15 @@
 // A sender that discovery does not reach waits for the list, and is told it as the way is healed.
 func TestWayToDiscovery(t *testing.T) {
 	w, _ := aWorld(t, `link(at = 0, seconds = 1, of = "n0", to = "discovery", what = "SILENT")`+"\n")
-	wait(t, "the fault", func() (off bool) { w.with(func() { off = w.cutOff[0] }); return off })
+	wait(t, "the fault", func() (off bool) { w.with(func() { off = w.discoveryCut[0] }); return off })
 	list, err := w.OpenPlatform()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, late := range []bool{true, false} {
 		r, _, err := say(t, list[1-i], "GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n")
-		if err != nil || r.StatusCode != 200 || w.nowOf() >= time.Second == late {
-			t.Errorf("sender %d: %v at %v", 1-i, err, w.nowOf())
+		if err != nil || r.StatusCode != 200 || w.currentTime() >= time.Second == late {
+			t.Errorf("sender %d: %v at %v", 1-i, err, w.currentTime())
 		}
 	}
 }
--- /dev/null
+++ b/internal/harness/idle_clients.go
@@ -0,0 +1,39 @@
+package harness
+
+import (
+	"math/rand/v2"
+	"net"
+	"time"
+)
+
+// startIdleClients plays the idle clients against addresses of senders.
+func (env *Environment) startIdleClients(addresses []string) {
+	for _, c := range env.faults.IdleClients {
+		for _, addr := range addresses {
+			env.wg.Go(func() { env.holdIdleClients(c, addr) })
+		}
+	}
+}
+
+// holdIdleClients connects idle clients to one sender. Those that are closed on are gone.
+func (env *Environment) holdIdleClients(c IdleClients, addr string) {
+	if !env.sleepUntil(c.From) {
+		return
+	}
+	var open []net.Conn
+	defer func() {
+		for _, conn := range open {
+			conn.Close()
+		}
+	}()
+	for range c.Connections {
+		conn, err := net.DialTimeout("tcp4", addr, time.Second)
+		if err == nil {
+			open = append(open, conn)
+		}
+		if !env.sleep(rand.N(4 * time.Millisecond)) {
+			return
+		}
+	}
+	env.sleepUntil(c.To)
+}
