--- a/internal/harness/addresses.go
+++ b/internal/harness/addresses.go
@@ -5,8 +5,8 @@
 	"cleathold/internal/scenario"
 )
 
-// processSpecs chooses where senders have their other addresses, and how they reach one another and discovery. What the plan
-// lets fail passes through links; what it does not goes straight.
+// processSpecs chooses where senders have their other addresses, and how they reach one another and discovery. What
+// the plan lets fail passes through links; what it does not goes straight.
 func (r *run) processSpecs(platform []string) ([]ProcessSpec, error) {
 	n := r.Plan.Scenario.Senders
 	r.links = netfault.New(r.Plan.Seed)
--- a/internal/harness/answer_failure.go
+++ b/internal/harness/answer_failure.go
@@ -22,8 +22,8 @@
 	return ""
 }
 
-// writeFailedAnswer writes an answer that fails, and ends its connection or waits until the sender does. The part of the answer that
-// is written is drawn.
+// writeFailedAnswer writes an answer that fails, and ends its connection or waits until the sender does. The part of
+// the answer that is written is drawn.
 func (env *Environment) writeFailedAnswer(out http.ResponseWriter, how AnswerFailure, body []byte, cut float64) {
 	hijacker, ok := out.(http.Hijacker)
 	if !ok {
--- a/internal/harness/call_request.go
+++ b/internal/harness/call_request.go
@@ -12,31 +12,37 @@
 	"cleathold/internal/partner"
 )
 
-// receivedCall is a call as it was read.
+// maxBodyBytes bounds the body of a call.
+const maxBodyBytes = 1 << 20
+
+// A receivedCall is a call as an endpoint read it.
 type receivedCall struct {
 	messages    []partner.Message
-	batch       bool
+	batch       bool // several messages in one call
 	healthCheck bool
-	timeout     time.Duration // how long the sender waits; 0 = not told
+	timeout     time.Duration // how long the sender waits; 0 if it does not say
 }
 
-// requestError is a call that gets an answer of its own.
+// A requestError is a call that is answered with a status of its own.
 type requestError struct {
 	status int
 	text   string
 }
 
-func (b *requestError) Error() string { return b.text }
+// Error returns what is malformed with the request.
+func (e *requestError) Error() string { return e.text }
 
+// errorStatus is the status for a call that could not be read.
 func errorStatus(err error) int {
-	var b *requestError
-	if errors.As(err, &b) {
-		return b.status
+	var e *requestError
+	if errors.As(err, &e) {
+		return e.status
 	}
 	return http.StatusBadRequest
 }
 
-// readCall reads a request of PROTOCOL's 'Senders to endpoints'.
+// readCall reads a request as the section 'Senders to endpoints' of PROTOCOL defines it. An error that is no
+// *requestError means that no request could be read.
 func readCall(in *bufio.Reader) (*receivedCall, error) {
 	r, err := http.ReadRequest(in)
 	if err != nil {
@@ -70,20 +76,20 @@
 	return c, nil
 }
 
-// readBatch reads the body of a call with several messages.
+// readBatch reads the body of a call with several messages, none of them twice.
 func readBatch(body string) ([]partner.Message, error) {
-	wrong := &requestError{http.StatusBadRequest, "body of several messages unreadable"}
+	malformed := &requestError{http.StatusBadRequest, "body of several messages unreadable"}
 	var list []partner.Message
 	seen := map[string]bool{}
 	for body != "" {
 		line, rest, found := strings.Cut(body, "\r\n")
 		fields := strings.Split(line, " ")
 		if !found || len(fields) != 3 || fields[0] == "" || seen[fields[0]] {
-			return nil, wrong
+			return nil, malformed
 		}
 		n, err := strconv.Atoi(fields[2])
 		if err != nil || n < 0 || len(rest) < n+2 || rest[n:n+2] != "\r\n" {
-			return nil, wrong
+			return nil, malformed
 		}
 		m := partner.Message{ID: fields[0], Key: fields[1]}
 		if m.Key == "-" {
@@ -93,7 +99,7 @@
 		list, body = append(list, m), rest[n+2:]
 	}
 	if len(list) == 0 {
-		return nil, wrong
+		return nil, malformed
 	}
 	return list, nil
 }
--- a/internal/harness/clock.go
+++ b/internal/harness/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// now is the time on the plan's clock.
+// now is the time on the plan's clock. The caller holds the lock.
 func (env *Environment) now() time.Duration {
 	if env.started.IsZero() {
 		return 0
@@ -10,7 +10,7 @@
 	return time.Since(env.started)
 }
 
-// sleepUntil waits until a time on the plan's clock; false at the end of the world.
+// sleepUntil waits until a time on the plan's clock. It returns false if the run ends before.
 func (env *Environment) sleepUntil(when time.Duration) bool {
 	timer := time.NewTimer(time.Until(env.started.Add(when)))
 	defer timer.Stop()
@@ -22,7 +22,7 @@
 	}
 }
 
-// sleep passes a span of time; false at the end of the world.
+// sleep waits for a duration. It returns false if the run ends before.
 func (env *Environment) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -34,6 +34,7 @@
 	}
 }
 
+// currentTime is now for callers that do not hold the lock.
 func (env *Environment) currentTime() time.Duration {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/internal/harness/endpoint_listener.go
+++ b/internal/harness/endpoint_listener.go
@@ -1,6 +1,7 @@
 package harness
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"net"
@@ -13,39 +14,39 @@
 	"cleathold/internal/simulation"
 )
 
-// A endpointListener is the address of one endpoint for one sender: who calls is known by it.
-// The port is held for as long as the world stands; while its endpoint is down
-// nobody listens there, so that connections are refused.
+// An endpointListener is the address of one endpoint for one sender, so that the caller is known by the address. Its
+// port stays reserved until the environment is closed; while the endpoint is down nobody listens there, and
+// connections are refused. The environment's lock covers it.
 type endpointListener struct {
 	env         *Environment
 	sender      int
 	addr        string
-	endpoint    string // whose address it is now
+	endpoint    string // the id that has this address now; a later one may take it over
 	zone        int
 	dest        int
 	listener    net.Listener // nil while nobody listens
-	reservedFD  int          // a socket that is bound and does not listen; below 0 = none
+	reservedFD  int          // a socket that is bound and does not listen; negative: none
 	connections map[net.Conn]bool
 }
 
-// reusePort lets two sockets be bound to one port, of which one listens.
+// reusePort lets two sockets be bound to one port: one that listens, and one that reserves the port.
 var reusePort = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-	var err error
-	if out := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); out != nil {
-		return out
-	}
-	return err
+	var optErr error
+	err := c.Control(func(fd uintptr) {
+		optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	return cmp.Or(err, optErr)
 }}
 
-// OpenEndpoints opens an address for each endpoint and sender.
+// OpenEndpoints opens an address for each endpoint and sender. Close closes them.
 func (env *Environment) OpenEndpoints() error {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	for i := range env.plan.Scenario.Senders {
 		env.listeners = append(env.listeners, map[string]*endpointListener{})
-		for j := range env.plan.Dests {
-			for _, e := range env.plan.Dests[j].Endpoints {
-				if _, err := env.addListener(i, env.plan.Dests[j].Dest, e); err != nil {
+		for _, d := range env.plan.Dests {
+			for _, e := range d.Endpoints {
+				if err := env.addListener(i, d.Dest, e); err != nil {
 					return err
 				}
 			}
@@ -54,21 +55,25 @@
 	return nil
 }
 
-func (env *Environment) addListener(sender, dest int, e partner.EndpointSpec) (*endpointListener, error) {
-	d := &endpointListener{env: env, sender: sender, addr: "127.0.0.1:0", endpoint: e.ID, zone: e.Zone, dest: dest, reservedFD: -1, connections: map[net.Conn]bool{}}
-	if err := d.listen(); err != nil {
-		return nil, err
+func (env *Environment) addListener(sender, dest int, e partner.EndpointSpec) error {
+	l := &endpointListener{
+		env: env, sender: sender, addr: "127.0.0.1:0", endpoint: e.ID, zone: e.Zone, dest: dest,
+		reservedFD: -1, connections: map[net.Conn]bool{},
+	}
+	if err := l.listen(); err != nil {
+		return err
 	}
-	env.listeners[sender][e.ID] = d
-	return d, nil
+	env.listeners[sender][e.ID] = l
+	return nil
 }
 
-// addEndpoint gives a new endpoint its doors: new ones, or those at another's address.
+// addEndpoint gives a new endpoint its listeners: new ones, or those of the endpoint whose address it takes over. The
+// caller holds the lock.
 func (env *Environment) addEndpoint(c scenario.Change) {
-	for i, doors := range env.listeners {
-		old := doors[c.Address]
+	for i, byAddress := range env.listeners {
+		old := byAddress[c.Address]
 		if c.Address == "" || old == nil {
-			if _, err := env.addListener(i, c.Dest, *c.Joins); err != nil {
+			if err := env.addListener(i, c.Dest, *c.Joins); err != nil {
 				env.cancel(err)
 			}
 			continue
@@ -77,37 +82,48 @@
 	}
 }
 
-// addressOf finds where a sender reaches an endpoint; under the lock.
-func (env *Environment) addressOf(sender int, l simulation.ListedEndpoint) string {
-	if d := env.listeners[sender][l.Address]; d != nil {
-		return d.addr
+// noAddress is told for an endpoint that has no listener: the port of the discard service, where nobody listens.
+const noAddress = "127.0.0.1:9"
+
+// addressOf is the address at which a sender reaches a listed endpoint. The caller holds the lock.
+func (env *Environment) addressOf(sender int, listed simulation.ListedEndpoint) string {
+	if l := env.listeners[sender][listed.Address]; l != nil {
+		return l.addr
 	}
-	return "127.0.0.1:9"
+	return noAddress
 }
 
-// updateListeners opens and shuts doors as the model has it; under the lock.
+// updateListeners has the listeners listen, or not, as the model and the links say. The caller holds the lock.
 func (env *Environment) updateListeners() {
-	for _, doors := range env.listeners {
-		for _, d := range doors {
-			there, back := d.linkStates()
-			listens := env.simulated.Model.Listens(d.endpoint) && !there.Cut && !back.Cut
-			if listens && d.listener == nil {
-				if err := d.listen(); err != nil {
+	for _, byAddress := range env.listeners {
+		for _, l := range byAddress {
+			forward, back := l.linkStates()
+			listens := env.simulated.Model.Listens(l.endpoint) && !forward.Cut && !back.Cut
+			if listens && l.listener == nil {
+				if err := l.listen(); err != nil {
 					env.cancel(err)
 				}
-			} else if !listens && d.listener != nil {
-				d.stopListening()
+			} else if !listens && l.listener != nil {
+				l.stopListening()
 			}
 		}
 	}
 }
 
-// linkStates are those between its sender and its endpoint; under the lock.
-func (e *endpointListener) linkStates() (there, back scenario.LinkState) {
-	return e.env.linkState(scenario.Sender(e.sender), e.endpoint), e.env.linkState(e.endpoint, scenario.Sender(e.sender))
+// endpointListens reports whether the model has an endpoint accept connections.
+func (env *Environment) endpointListens(id string) bool {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.simulated.Model.Listens(id)
+}
+
+// linkStates are those of the links from the sender to the endpoint and back. The caller holds the lock.
+func (e *endpointListener) linkStates() (forward, back scenario.LinkState) {
+	sender := scenario.Sender(e.sender)
+	return e.env.linkState(sender, e.endpoint), e.env.linkState(e.endpoint, sender)
 }
 
-// listen begins to listen; under the lock.
+// listen begins to listen, at the same address each time. The caller holds the lock.
 func (e *endpointListener) listen() error {
 	l, err := reusePort.Listen(context.Background(), "tcp4", e.addr)
 	if err != nil {
@@ -119,6 +135,7 @@
 	return nil
 }
 
+// releasePort closes the socket that reserves the port while nobody listens.
 func (e *endpointListener) releasePort() {
 	if e.reservedFD >= 0 {
 		unix.Close(e.reservedFD)
@@ -126,8 +143,8 @@
 	}
 }
 
-// stopListening goes down: what is connected breaks, and nobody listens, though the port
-// stays this door's.
+// stopListening breaks the connections and closes the listener. The port stays reserved, or another process could
+// take it. The caller holds the lock.
 func (e *endpointListener) stopListening() {
 	port := e.listener.Addr().(*net.TCPAddr).Port
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -149,7 +166,7 @@
 	}
 }
 
-// close ends a door for good; under the lock.
+// close ends the listener and its connections for good. The caller holds the lock.
 func (e *endpointListener) close() {
 	if l := e.listener; l != nil {
 		e.listener = nil
@@ -161,6 +178,7 @@
 	}
 }
 
+// resetConn closes a connection by a reset in place of an orderly end.
 func resetConn(c net.Conn) {
 	if t, is := c.(*net.TCPConn); is {
 		t.SetLinger(0)
@@ -168,14 +186,15 @@
 	c.Close()
 }
 
+// accept serves connections until its listener is closed. A listener that fails otherwise ends the run.
 func (e *endpointListener) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			e.env.mu.Lock()
-			stands := e.listener == l
+			current := e.listener == l
 			e.env.mu.Unlock()
-			if stands { // it was not the plan that ended it
+			if current { // not closed by the plan or by close
 				e.env.cancel(fmt.Errorf("rig: the partner at %s (%s) died: %w", e.addr, e.endpoint, err))
 			}
 			return
--- a/internal/harness/environment.go
+++ b/internal/harness/environment.go
@@ -1,8 +1,3 @@
-// Package harness plays scenarios on sockets: partners behind loopback addresses,
-// discovery and the platform's notices, clients that hand in by the plan's clock, and
-// senders as processes. How partners behave, what discovery tells and when, what
-// counts as service and what breaks a rule are those of packages partner, lab and
-// audit: the rig has no behaviour of its own but that of sockets and processes.
 package harness
 
 import (
@@ -21,14 +16,11 @@
 	"cleathold/internal/simulation"
 )
 
-// idleTimeout is how long an endpoint keeps an idle connection.
-const idleTimeout = 15 * time.Second
-
-// submissionRetention is how long an id is known after it was handed in.
+// submissionRetention is how long the class of a message is known after its submission.
 const submissionRetention = 3 * time.Minute
 
-// A Environment is all that is outside the senders. Everything in it is touched under its
-// lock; its clock stands at 0 until it begins.
+// An Environment is all that is outside the senders: endpoints, discovery, links and what judges the run. What stands
+// below its lock is touched under it. Its clock stands at 0 until Begin.
 type Environment struct {
 	plan   *scenario.Plan
 	log    *slog.Logger
@@ -37,57 +29,68 @@
 	wg     sync.WaitGroup
 
 	mu             sync.Mutex
-	started        time.Time // zero: not yet
-	lastEvent      time.Duration
+	started        time.Time     // zero before Begin
+	lastEvent      time.Duration // of the latest event; times of events never decrease
 	simulated      *simulation.Environment
 	auditor        *audit.Auditor
 	meter          *simulation.ServiceMeter
 	sink           func(audit.Event) error
-	pendingAnswers map[uint64]chan partner.Answer
+	pendingAnswers map[uint64]chan partner.Answer // by call id; each gets one answer at most
 	lastCallID     uint64
 	connections    int
-	submissions    map[string]submission
+	submissions    map[string]submission // by message id
 	nextSweep      time.Duration
 	listeners      []map[string]*endpointListener // by sender and address
-	listChanged    chan struct{}                  // closed as the list changes or discovery goes down
-	wake           chan struct{}                  // the pump looks anew
-	linksChanged   chan struct{}                  // closed as ways change
-	discoveryCut   []bool                         // senders that discovery does not reach, nor they it
-	links          *netfault.Net                  // what passes through links of it; nil: nothing does
+	listChanged    chan struct{}                  // closed and replaced when the list or the state of discovery changes
+	wake           chan struct{}                  // makes advanceModel look at the model again
+	linksChanged   chan struct{}                  // closed and replaced when links change
+	discoveryCut   []bool                         // by sender: whether its link to or from discovery passes nothing
+	links          *netfault.Net                  // nil if nothing passes through links
 	lag            *hdrhistogram.Histogram
 	faults         Faults
-	faultRNG       *rand.Rand                                          // draws which answers fail
-	onReport       func(id string, deferred bool, again time.Duration) // of notices
-	onDelivered    func(ids []string)
+	faultRNG       *rand.Rand                                          // draws which answers of discovery fail, and how
+	onReport       func(id string, deferred bool, again time.Duration) // called for each delivery report
+	onDelivered    func(ids []string)                                  // called for each call that was delivered
 }
 
-// submission is what the partners' side must know of a hand-in.
+// A submission is what the endpoints must know of a message that they receive.
 type submission struct {
 	class int
 	at    time.Duration
 }
 
-// NewEnvironment makes the world of a plan. Events go to the sink too, if there is one.
-// What goes wrong in it ends its context, with the cause.
-func NewEnvironment(ctx context.Context, p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*Environment, error) {
-	w := &Environment{
-		plan: p, log: log, meter: simulation.NewServiceMeter(p.Scenario), sink: sink, pendingAnswers: map[uint64]chan partner.Answer{}, submissions: map[string]submission{},
-		listChanged: make(chan struct{}), linksChanged: make(chan struct{}), discoveryCut: make([]bool, p.Scenario.Senders), wake: make(chan struct{}, 1), lag: newLagHistogram(),
-		faultRNG: rand.New(rand.NewPCG(p.Seed, 96)), onReport: func(string, bool, time.Duration) {}, onDelivered: func([]string) {},
+// NewEnvironment makes the environment of a plan. Events go to the sink too, if it is not nil. A failure in it
+// cancels its context, with the failure as the cause. The caller closes it.
+func NewEnvironment(
+	ctx context.Context, p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error,
+) (*Environment, error) {
+	env := &Environment{
+		plan: p, log: log, sink: sink,
+		meter:          simulation.NewServiceMeter(p.Scenario),
+		pendingAnswers: map[uint64]chan partner.Answer{},
+		submissions:    map[string]submission{},
+		listChanged:    make(chan struct{}),
+		wake:           make(chan struct{}, 1),
+		linksChanged:   make(chan struct{}),
+		discoveryCut:   make([]bool, p.Scenario.Senders),
+		lag:            newLagHistogram(),
+		faultRNG:       rand.New(rand.NewPCG(p.Seed, 96)),
+		onReport:       func(string, bool, time.Duration) {},
+		onDelivered:    func([]string) {},
 	}
-	w.ctx, w.cancel = context.WithCancelCause(ctx)
+	env.ctx, env.cancel = context.WithCancelCause(ctx)
 	set, err := simulation.Settings(p, 0, 0)
 	if err != nil {
 		return nil, err
 	}
-	w.auditor = audit.New(simulation.Rules(p, set))
-	if w.simulated, err = simulation.NewEnvironment(p, w.record); err != nil {
+	env.auditor = audit.New(simulation.Rules(p, set))
+	if env.simulated, err = simulation.NewEnvironment(p, env.record); err != nil {
 		return nil, err
 	}
-	return w, nil
+	return env, nil
 }
 
-// record gives an event to all that read them; under the lock.
+// record gives an event to the auditor, the service meter and the sink. The caller holds the lock.
 func (env *Environment) record(e audit.Event) {
 	env.lastEvent = max(env.lastEvent, env.now())
 	e.At = env.lastEvent
@@ -103,14 +106,14 @@
 	}
 }
 
-// Record is note for those that do not hold the lock.
+// Record gives an event to all that read events. A reader that fails ends the run.
 func (env *Environment) Record(e audit.Event) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.record(e)
 }
 
-// Begin starts the clock, and what goes by it.
+// Begin starts the plan's clock, and the goroutines that act by it. They end with the context; Close waits for them.
 func (env *Environment) Begin() {
 	env.mu.Lock()
 	env.started = time.Now()
@@ -129,14 +132,15 @@
 	})
 }
 
-// recordSubmission enters a hand-in before its first byte leaves.
+// recordSubmission records that a client submits a message. It is called before the first byte is sent, since the
+// message may reach an endpoint before the write returns.
 func (env *Environment) recordSubmission(e audit.Event) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.submissions[e.Message] = submission{e.Class, env.now()}
 	if now := env.now(); now >= env.nextSweep {
-		for id, h := range env.submissions {
-			if now-h.at > submissionRetention {
+		for id, s := range env.submissions {
+			if now-s.at > submissionRetention {
 				delete(env.submissions, id)
 			}
 		}
@@ -145,34 +149,37 @@
 	env.record(e)
 }
 
-// Open is how many messages and calls are still without an end.
+// Open is the number of messages and calls that still have no outcome.
 func (env *Environment) Open() int {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.auditor.Owed()
 }
 
-// Score is the service so far.
+// Score returns the service so far.
 func (env *Environment) Score() simulation.Score {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.meter.Score()
 }
 
-// Close ends the world, waits for all in it, and judges what was seen.
+// Close ends all that the environment serves, waits for its goroutines, and judges what was recorded.
 func (env *Environment) Close() simulation.Result {
 	env.cancel(context.Canceled)
 	env.mu.Lock()
-	for _, doors := range env.listeners {
-		for _, d := range doors {
-			d.close()
+	for _, byAddress := range env.listeners {
+		for _, l := range byAddress {
+			l.close()
 		}
 	}
 	env.mu.Unlock()
 	env.wg.Wait()
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	r := simulation.Result{Scenario: env.plan.Scenario.Name, Seed: env.plan.Seed, Connections: env.connections, Overloads: env.simulated.Overloads()}
+	r := simulation.Result{
+		Scenario: env.plan.Scenario.Name, Seed: env.plan.Seed,
+		Connections: env.connections, Overloads: env.simulated.Overloads(),
+	}
 	r.Violations = env.auditor.Close(env.lastEvent)
 	r.Counts, _ = env.auditor.Totals()
 	r.Score = env.meter.Score()
--- a/internal/harness/links.go
+++ b/internal/harness/links.go
@@ -9,23 +9,27 @@
 	"cleathold/internal/simulation"
 )
 
-// linkState is what ails the way between two parties now; under the lock.
+// linkState is the state of the link from one party to another now. The caller holds the lock.
 func (env *Environment) linkState(from, to string) scenario.LinkState {
 	return env.plan.LinkState(env.now(), from, to)
 }
 
-// updateLinks: ways have changed; under the lock.
+// updateLinks brings all that depends on links to their states now: who reaches discovery, which endpoints listen, and
+// the connections that pass through links. The caller holds the lock.
 func (env *Environment) updateLinks() {
 	for i := range env.discoveryCut {
-		cut := !env.linkState(scenario.Sender(i), scenario.Discovery).Passes() || !env.linkState(scenario.Discovery, scenario.Sender(i)).Passes()
+		sender := scenario.Sender(i)
+		cut := !env.linkState(sender, scenario.Discovery).Passes() || !env.linkState(scenario.Discovery, sender).Passes()
 		if cut == env.discoveryCut[i] {
 			continue
 		}
 		env.discoveryCut[i] = cut
-		env.record(audit.Event{Kind: map[bool]audit.EventKind{true: audit.Unreachable, false: audit.ReachableAgain}[cut], Sender: i})
-		if cut {
-			env.simulated.Polled(env.now(), i, false, true)
+		if !cut {
+			env.record(audit.Event{Kind: audit.ReachableAgain, Sender: i})
+			continue
 		}
+		env.record(audit.Event{Kind: audit.Unreachable, Sender: i})
+		env.simulated.Polled(env.now(), i, false, true)
 	}
 	env.updateListeners()
 	close(env.linksChanged)
@@ -35,25 +39,27 @@
 	}
 }
 
-// UseLinks has what passes through links of a net fail as the plan says, from Begin on. Between senders datagrams take as
-// long, and are lost as often, as in virtual time.
-func (env *Environment) UseLinks(n *netfault.Net) {
+// UseLinks has the links of a network follow the plan from Begin on. Datagrams between senders get the delays and
+// losses that they have in virtual time, too.
+func (env *Environment) UseLinks(links *netfault.Net) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	env.links = n
+	env.links = links
 }
 
-// linkRule is what ails a way of the net. It takes no lock: the net has its own.
-func (env *Environment) linkRule(begun time.Time) func(from, to string) netfault.State {
+// linkRule returns the states of links by the plan, for a run that started at a time. The rule takes no lock of the
+// environment: the network calls it under its own.
+func (env *Environment) linkRule(started time.Time) func(from, to string) netfault.State {
 	senders := map[string]bool{}
 	for i := range env.plan.Scenario.Senders {
 		senders[scenario.Sender(i)] = true
 	}
 	return func(from, to string) netfault.State {
-		s := netfault.State(env.plan.LinkState(time.Since(begun), from, to))
+		s := netfault.State(env.plan.LinkState(time.Since(started), from, to))
 		if senders[from] && senders[to] {
 			s.Loss = 1 - (1-s.Loss)*(1-env.plan.Scenario.GossipLoss)
-			s.Delay, s.Jitter = s.Delay+simulation.MinGossipDelay, s.Jitter+simulation.MaxGossipDelay-simulation.MinGossipDelay
+			s.Delay += simulation.MinGossipDelay
+			s.Jitter += simulation.MaxGossipDelay - simulation.MinGossipDelay
 		}
 		return s
 	}
--- a/internal/harness/model.go
+++ b/internal/harness/model.go
@@ -7,7 +7,8 @@
 	"cleathold/internal/timeline"
 )
 
-// advanceModel lets the model come up to the time, whenever something happens in it.
+// advanceModel keeps the model at the time of the clock, until the run ends: it wakes for the model's next event and
+// when a call may have brought an earlier one.
 func (env *Environment) advanceModel() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -31,8 +32,8 @@
 	}
 }
 
-// dispatchAndWake hands on what came of a step, and has the pump look at what comes next;
-// under the lock.
+// dispatchAndWake passes on the answers after a step of the model, and has advanceModel look for its next event. The
+// caller holds the lock.
 func (env *Environment) dispatchAndWake() {
 	env.dispatchAnswers()
 	select {
@@ -41,51 +42,51 @@
 	}
 }
 
-// dispatchAnswers hands the model's answers on, and measures how late they are; under the
-// lock.
+// dispatchAnswers passes the model's answers to the calls that wait for them, and records how late they are. The caller
+// holds the lock.
 func (env *Environment) dispatchAnswers() {
-	falls := env.simulated.Overloads()
+	overloads := env.simulated.Overloads()
 	for _, a := range env.simulated.Collect() {
 		recordLag(env.lag, env.now()-a.At)
 		if c := env.pendingAnswers[a.Call]; c != nil {
-			c <- a // has room for one, and gets one
+			c <- a // never blocks: it has room for the one answer that a call gets
 			delete(env.pendingAnswers, a.Call)
 		}
 	}
-	if env.simulated.Overloads() > falls {
+	if env.simulated.Overloads() > overloads {
 		env.updateListeners()
 	}
 }
 
-// runChanges does what the plan says to the endpoints, and to discovery.
+// runChanges applies the plan's changes of endpoints, discovery and links, each at its time.
 func (env *Environment) runChanges() {
-	var acts timeline.Queue[func()]
+	var changes timeline.Queue[func()]
 	env.mu.Lock()
 	for i, c := range env.plan.Changes {
-		acts.Push(c.At, uint64(i), func() { env.applyChange(c) })
+		changes.Push(c.At, uint64(i), func() { env.applyChange(c) })
 	}
-	for _, b := range env.plan.DiscoveryOutages {
-		acts.Push(b.From, 0, env.notifyListChanged)
-		acts.Push(b.To, 0, env.notifyListChanged)
+	for _, outage := range env.plan.DiscoveryOutages {
+		changes.Push(outage.From, 0, env.notifyListChanged)
+		changes.Push(outage.To, 0, env.notifyListChanged)
 	}
 	for _, at := range env.plan.LinkChanges() {
-		acts.Push(at, 0, env.updateLinks)
+		changes.Push(at, 0, env.updateLinks)
 	}
 	env.mu.Unlock()
-	for _, _, some := acts.First(); some; _, _, some = acts.First() {
-		at, do := acts.Pop()
+	for _, _, some := changes.First(); some; _, _, some = changes.First() {
+		at, apply := changes.Pop()
 		if !env.sleepUntil(at) {
 			return
 		}
 		env.mu.Lock()
-		do()
+		apply()
 		env.mu.Unlock()
 	}
 }
 
-// applyChange is a step of the plan; under the lock.
+// applyChange applies one change of the plan to the model and to the listeners. The caller holds the lock.
 func (env *Environment) applyChange(c scenario.Change) {
-	told, err := env.simulated.Apply(env.now(), c)
+	update, err := env.simulated.Apply(env.now(), c)
 	if err != nil {
 		env.cancel(err)
 		return
@@ -95,12 +96,12 @@
 	}
 	env.updateListeners()
 	env.dispatchAndWake()
-	if told != nil {
+	if update != nil {
 		env.notifyListChanged()
 	}
 }
 
-// notifyListChanged tells all who wait for news to look again; under the lock.
+// notifyListChanged wakes the watches of discovery. The caller holds the lock.
 func (env *Environment) notifyListChanged() {
 	close(env.listChanged)
 	env.listChanged = make(chan struct{})
--- a/internal/harness/process_config.go
+++ b/internal/harness/process_config.go
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// Reconfigure puts other settings into the configuration of a plan's sender. Where it listens and what it may have stays.
+// Reconfigure puts other settings into the configuration of a plan's sender. Where it listens and what it may have
+// stays.
 func Reconfigure(path string, d scenario.PlannedAction, p *scenario.Plan) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/harness/server_conn.go
+++ b/internal/harness/server_conn.go
@@ -2,45 +2,95 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"os"
 	"strconv"
 	"strings"
 	"time"
 
 	"golang.org/x/sys/unix"
 
-	"cleathold/internal/audit"
 	"cleathold/internal/partner"
 	"cleathold/internal/simulation"
 )
 
-// A serverConn is one connection.
+const (
+	idleTimeout    = 15 * time.Second // an idle connection is closed by the endpoint after it
+	requestTimeout = 10 * time.Second // by when a request that has begun must have arrived
+	// timeoutSlack tells a timeout from a cancellation: a sender that stops waiting this close to the end of its
+	// announced time has timed out; one that stops sooner has canceled the call.
+	timeoutSlack = 30 * time.Millisecond
+)
+
+// A serverConn is one connection of a sender to an endpoint. Its fields other than those of the listener's
+// environment are touched by the connection's goroutine alone.
 type serverConn struct {
 	listener          *endpointListener
 	conn              net.Conn
 	reader            *bufio.Reader
-	endpoint          string
+	endpoint          string // the listener's endpoint when the connection came
 	dest              int
 	zone              int
-	networkDelay      time.Duration
-	overCapacity      bool
-	firstCall         bool
-	modelDisconnected bool // by the model, which counts it no more
+	networkDelay      time.Duration // one direction, between the zones of sender and endpoint
+	overCapacity      bool          // accepted beyond the endpoint's connections: it answers once and closes
+	firstCall         bool          // nothing was served on it yet
+	modelDisconnected bool          // the model no longer counts it
+}
+
+// serve registers a new connection with the model, and serves its calls until one of them ends it.
+func (e *endpointListener) serve(conn net.Conn) {
+	s, ok := e.register(conn)
+	if !ok {
+		resetConn(conn)
+		return
+	}
+	for s.serveNext() {
+		s.firstCall = false
+	}
+	e.unregister(s)
+	conn.Close()
+}
+
+// register tells the model of a connection; false if the endpoint refuses it or is no longer listening.
+func (e *endpointListener) register(conn net.Conn) (*serverConn, bool) {
+	env := e.env
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	s := &serverConn{
+		listener: e, conn: conn, reader: bufio.NewReader(conn), firstCall: true,
+		endpoint: e.endpoint, dest: e.dest, zone: e.zone,
+		networkDelay: simulation.NetworkDelay(e.zone, e.sender%len(env.plan.Scenario.Zones)),
+	}
+	kind := env.simulated.Model.Connect(env.now(), s.endpoint)
+	s.overCapacity = kind == partner.ConnectionOverCapacity
+	env.connections++
+	if e.listener == nil || kind == partner.ConnectionRefused {
+		return nil, false
+	}
+	e.connections[conn] = true
+	return s, true
+}
+
+func (e *endpointListener) unregister(s *serverConn) {
+	env := e.env
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	delete(e.connections, s.conn)
+	if !s.overCapacity && !s.modelDisconnected {
+		env.simulated.Model.Disconnect(env.now(), s.endpoint)
+	}
 }
 
-// serveNext serves one call; false ends the connection.
+// serveNext reads and serves one call. It returns false if the connection ends with it.
 func (s *serverConn) serveNext() bool {
 	s.conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	if _, err := s.reader.Peek(1); err != nil {
 		return false
 	}
-	first := s.listener.env.currentTime()
+	firstByte := s.listener.env.currentTime()
 	if !s.awaitLink(false, nil) {
 		return false
 	}
@@ -50,153 +100,42 @@
 		fmt.Fprintf(s.conn, "HTTP/1.1 %d no\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", errorStatus(err))
 		return false
 	}
-	return s.serveCall(c, first)
+	return s.serveCall(c, firstByte)
 }
 
-// awaitLink waits until the way from the sender, or back to it, lets something pass; false: the sender has gone meanwhile,
-// or the world ends.
-func (s *serverConn) awaitLink(back bool, left <-chan bool) bool {
-	w, waited := s.listener.env, false
+// awaitLink waits until the link from the sender, or the one back to it, passes data, and then for the link's delay. It
+// returns false if the sender closed the connection meanwhile or the run ends.
+func (s *serverConn) awaitLink(back bool, peerGone <-chan bool) bool {
+	env, waited := s.listener.env, false
 	for {
-		w.mu.Lock()
-		there, home := s.listener.linkStates()
-		turn := w.linksChanged
-		w.mu.Unlock()
+		env.mu.Lock()
+		link, backLink := s.listener.linkStates()
+		changed := env.linksChanged
+		env.mu.Unlock()
 		if back {
-			there = home
+			link = backLink
 		}
-		if there.Passes() {
-			late := there.Delay
-			if there.Jitter > 0 {
-				late += rand.N(there.Jitter)
+		if link.Passes() {
+			delay := link.Delay
+			if link.Jitter > 0 {
+				delay += rand.N(link.Jitter)
 			}
-			return !(waited && left == nil && peerClosed(s.conn)) && (late == 0 || w.sleep(late))
+			return !(waited && peerGone == nil && peerClosed(s.conn)) && (delay == 0 || env.sleep(delay))
 		}
 		waited = true
 		select {
-		case <-turn:
-		case <-left:
+		case <-changed:
+		case <-peerGone:
 			return false
-		case <-w.ctx.Done():
+		case <-env.ctx.Done():
 			return false
 		}
 	}
 }
 
-// serveCall brings a call to the model, and its answer back.
-func (s *serverConn) serveCall(c *receivedCall, first time.Duration) bool {
-	w := s.listener.env
-	answer := make(chan partner.Answer, 1)
-	call := partner.Call{Sender: s.listener.sender, Endpoint: s.endpoint, Fresh: s.firstCall, OverCapacity: s.overCapacity, HealthCheck: c.healthCheck}
-	var ids []string
-	w.mu.Lock()
-	w.lastCallID++
-	call.ID = w.lastCallID
-	for _, m := range c.messages {
-		m.Class = w.submissions[m.ID].class
-		call.Messages = append(call.Messages, m)
-		ids = append(ids, m.ID)
-	}
-	w.pendingAnswers[call.ID] = answer
-	w.record(audit.Event{Kind: audit.Sent, Sender: s.listener.sender, Call: call.ID, Endpoint: s.endpoint, Zone: s.zone, Dest: s.dest, Messages: ids, First: first})
-	w.mu.Unlock()
-
-	s.conn.SetReadDeadline(time.Time{})
-	left := make(chan bool, 1) // whether the sender has gone, or the reader was called back
-	go func() {
-		_, err := s.reader.Peek(1)
-		left <- err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
-	}()
-	reach := s.networkDelay
-	if s.firstCall {
-		reach += 2 * s.networkDelay // the connection was up at once
-	}
-	if !w.sleep(reach) {
-		return s.stopReader(left)
-	}
-	w.mu.Lock()
-	if err := w.simulated.Model.Call(w.now(), call); err != nil {
-		answer <- partner.Answer{Call: call.ID, Kind: partner.Reset}
-		delete(w.pendingAnswers, call.ID)
-	}
-	w.dispatchAndWake()
-	w.mu.Unlock()
-
-	select {
-	case <-left:
-		s.modelDisconnected = true
-		s.recordAbandoned(call.ID, first, c.timeout)
-		if w.sleep(s.networkDelay) {
-			w.mu.Lock()
-			w.simulated.Model.Cancel(w.now(), call.ID, s.endpoint)
-			w.dispatchAndWake()
-			w.mu.Unlock()
-		}
-		return false
-	case <-w.ctx.Done():
-		return s.stopReader(left)
-	case a := <-answer:
-		if !w.sleep(s.networkDelay) {
-			return s.stopReader(left)
-		}
-		select {
-		case <-left: // it left as the answer was on its way
-			s.recordAbandoned(call.ID, first, c.timeout)
-			return false
-		default:
-		}
-		if peerClosed(s.conn) { // it gave up in this instant: what would be written is told to nobody
-			s.recordAbandoned(call.ID, first, c.timeout)
-			return false
-		}
-		s.recordAnswer(call.ID, a, ids)
-		if !s.awaitLink(true, left) {
-			return false
-		}
-		ok := s.writeAnswer(a, c)
-		return !s.stopReader(left) && ok
-	}
-}
-
-// stopReader has the reader of a connection stop, and tells whether the sender has gone.
-func (s *serverConn) stopReader(left <-chan bool) bool {
-	s.conn.SetReadDeadline(time.Unix(1, 0))
-	return <-left
-}
-
-// recordAbandoned notes that a sender waits no more for a call.
-func (s *serverConn) recordAbandoned(id uint64, first, limit time.Duration) {
-	w := s.listener.env
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.pendingAnswers, id)
-	cause := "cancelled"
-	if limit > 0 && w.now()-first >= limit-timeoutSlack {
-		cause = "timeout"
-		w.record(audit.Event{Kind: audit.FailureSeen, Sender: s.listener.sender, Dest: s.dest, Endpoint: s.endpoint})
-	}
-	w.record(audit.Event{Kind: audit.Ended, Sender: s.listener.sender, Call: id, Outcome: audit.Failed, Cause: cause})
-}
-
-// recordAnswer notes an answer just before it is written.
-func (s *serverConn) recordAnswer(id uint64, a partner.Answer, ids []string) {
-	w := s.listener.env
-	outcome, cause := simulation.OutcomeOf(a.Kind)
-	w.mu.Lock()
-	w.record(audit.Event{Kind: audit.Ended, Sender: s.listener.sender, Call: id, Outcome: outcome, RetryAfter: a.RetryAfter, Cause: cause})
-	if _, back := s.listener.linkStates(); a.Kind != partner.Delivered && back.Passes() {
-		w.record(audit.Event{Kind: audit.FailureSeen, Sender: s.listener.sender, Dest: s.dest, Endpoint: s.endpoint})
-	}
-	w.mu.Unlock()
-	if a.Kind == partner.Delivered && len(ids) > 0 {
-		w.onDelivered(ids)
-	}
-}
-
-// writeAnswer writes an answer in PROTOCOL's form; false where the connection ends with it.
+// writeAnswer writes an answer in the form of PROTOCOL. It returns false if the connection ends with it.
 func (s *serverConn) writeAnswer(a partner.Answer, c *receivedCall) bool {
-	status, body := http.StatusOK, ""
-	head := ""
+	status, head, body := http.StatusOK, "", ""
 	switch a.Kind {
 	case partner.Delivered:
 		if c.batch {
@@ -224,61 +163,21 @@
 		resetConn(s.conn)
 		return false
 	}
-	_, err := fmt.Fprintf(s.conn, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), head, len(body), body)
+	_, err := fmt.Fprintf(s.conn, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
+		status, http.StatusText(status), head, len(body), body)
 	return err == nil && !s.overCapacity
 }
 
-// peerClosed tells whether the other end of a connection has closed it, though there may still be something to read.
+// peerClosed reports whether the other end of a connection has closed it, though there may still be data to read.
 func peerClosed(c net.Conn) (gone bool) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
 	}
 	err = raw.Control(func(fd uintptr) {
-		ask := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		_, err := unix.Poll(ask, 0)
-		gone = err != nil || ask[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		_, err := unix.Poll(poll, 0)
+		gone = err != nil || poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
 	return gone || err != nil
 }
-
-func (e *endpointListener) serve(c net.Conn) {
-	w := e.env
-	w.mu.Lock()
-	v := &serverConn{listener: e, conn: c, reader: bufio.NewReader(c), endpoint: e.endpoint, dest: e.dest, zone: e.zone, firstCall: true}
-	v.networkDelay = simulation.NetworkDelay(e.zone, e.sender%len(w.plan.Scenario.Zones))
-	kind := w.simulated.Model.Connect(w.now(), v.endpoint)
-	v.overCapacity = kind == partner.ConnectionOverCapacity
-	w.connections++
-	if e.listener == nil || kind == partner.ConnectionRefused {
-		w.mu.Unlock()
-		resetConn(c)
-		return
-	}
-	e.connections[c] = true
-	w.mu.Unlock()
-	for v.serveNext() {
-		v.firstCall = false
-	}
-	w.mu.Lock()
-	delete(e.connections, c)
-	if !v.overCapacity && !v.modelDisconnected {
-		w.simulated.Model.Disconnect(w.now(), v.endpoint)
-	}
-	w.mu.Unlock()
-	c.Close()
-}
-
-func (env *Environment) endpointListens(id string) bool {
-	env.mu.Lock()
-	defer env.mu.Unlock()
-	return env.simulated.Model.Listens(id)
-}
-
-const (
-	maxBodyBytes   = 1 << 20
-	requestTimeout = 10 * time.Second // by when a request that has begun must be whole
-	// A sender that stops waiting this close to the end of the time that it told has
-	// timed out; sooner, it has called off.
-	timeoutSlack = 30 * time.Millisecond
-)
