--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -2,7 +2,9 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
+	"maps"
 	"math/rand/v2"
 	"net/http"
 	"strconv"
@@ -13,36 +15,49 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"cleathold/internal/audit"
+	"cleathold/internal/scenario"
 	"cleathold/internal/simulation"
 )
 
-// Clients hand in what a plan's arrivals are, each at its time whatever became of
-// those before it, and come again as BRIEF 6 says. Latency counts from the time at
-// which a message was wanted.
+const (
+	// maxOpenSubmissions bounds the submissions in progress or to be repeated. Those beyond it are skipped, and the
+	// result says so.
+	maxOpenSubmissions = 20_000
+	// exitNoticeDelay is how much later than its clients the harness may notice that a process has ended.
+	exitNoticeDelay = 100 * time.Millisecond
+)
+
+// Clients submit the arrivals of a plan, each at its time whatever became of those before it (an open loop), and repeat
+// submissions as section 6 of BRIEF says. Latency counts from the time at which the plan has a message arrive, so that a
+// sender that stalls does not hide the wait of the messages behind it.
 type Clients struct {
 	env     *Environment
 	senders []*senderPool
 
-	stopped         atomic.Bool // Run ends before the plan's last arrival
-	keepConnections bool        // connections to a sender that is ending are used on
+	stopped         atomic.Bool // Run returns before the plan's last arrival
+	keepConnections bool        // see Faults.KeepConnections
 
 	mu           sync.Mutex
 	rng          *rand.Rand
-	inProgress   int
-	skipped      int // left out
-	requested    int
-	pending      map[string]*simulation.ClientRequest // ids that may still be heard of
+	inProgress   int                                  // submissions, and waits before further ones
+	skipped      int                                  // beyond maxOpenSubmissions
+	requested    int                                  // arrivals of the plan so far
+	pending      map[string]*simulation.ClientRequest // by message id, until its outcome is known
 	lag          *hdrhistogram.Histogram
-	responseTime *hdrhistogram.Histogram // from the time wanted to the sender's answer
-	statusCounts map[int]int             // by status; 0 = none
-
-	unanswered int // see Seen
+	responseTime *hdrhistogram.Histogram // of first submissions, from the planned arrival
+	statusCounts map[int]int             // by status; 0 = no response
+	unanswered   int                     // see ClientStats
 }
 
-// NewClients makes clients of senders at these addresses.
+// NewClients makes clients of the senders at these addresses. The caller closes them.
 func (env *Environment) NewClients(addresses []string) *Clients {
 	c := &Clients{
-		env: env, rng: rand.New(rand.NewPCG(env.plan.Seed, 99)), pending: map[string]*simulation.ClientRequest{}, lag: newLagHistogram(), responseTime: newLagHistogram(), statusCounts: map[int]int{},
+		env:          env,
+		rng:          rand.New(rand.NewPCG(env.plan.Seed, 99)),
+		pending:      map[string]*simulation.ClientRequest{},
+		lag:          newLagHistogram(),
+		responseTime: newLagHistogram(),
+		statusCounts: map[int]int{},
 	}
 	for _, a := range addresses {
 		c.senders = append(c.senders, &senderPool{addr: a})
@@ -53,7 +68,7 @@
 	return c
 }
 
-// Run hands in until the plan's last arrival.
+// Run submits until the plan's last arrival, Stop or the end of the run. The submissions go on after it; see Idle.
 func (c *Clients) Run() {
 	arrivals := c.env.plan.Arrivals()
 	for a, some := arrivals.Next(); some; a, some = arrivals.Next() {
@@ -70,16 +85,16 @@
 			c.inProgress++
 		}
 		c.mu.Unlock()
-		c.env.Record(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
+		c.env.Record(audit.Event{
+			Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest,
+		})
 		if full {
 			continue
 		}
 		m := &simulation.ClientRequest{Arrival: a}
 		c.env.wg.Go(func() {
 			c.submit(m)
-			c.mu.Lock()
-			c.inProgress--
-			c.mu.Unlock()
+			c.finish()
 		})
 	}
 }
@@ -87,8 +102,8 @@
 // Stop ends Run at its next arrival.
 func (c *Clients) Stop() { c.stopped.Store(true) }
 
-// schedule does something later, unless the world ends before.
-func (c *Clients) schedule(d time.Duration, do func()) {
+// schedule calls a function after a delay, unless the run ends before.
+func (c *Clients) schedule(delay time.Duration, submit func()) {
 	c.mu.Lock()
 	if c.inProgress >= maxOpenSubmissions {
 		c.skipped++
@@ -98,27 +113,30 @@
 	c.inProgress++
 	c.mu.Unlock()
 	c.env.wg.Go(func() {
-		if c.env.sleep(d) {
-			do()
+		if c.env.sleep(delay) {
+			submit()
 		}
-		c.mu.Lock()
-		c.inProgress--
-		c.mu.Unlock()
+		c.finish()
 	})
 }
 
-// submit hands a message in, for the first time or again.
+func (c *Clients) finish() {
+	c.mu.Lock()
+	c.inProgress--
+	c.mu.Unlock()
+}
+
+// submit submits a message once, for the first time or again, and schedules what follows from the response.
 func (c *Clients) submit(m *simulation.ClientRequest) {
-	w := c.env
-	s := w.plan.Scenario
+	s := c.env.plan.Scenario
 	c.mu.Lock()
-	left := m.TimeLeft(s, w.now())
+	timeLeft := m.TimeLeft(s, c.env.now())
 	c.mu.Unlock()
-	if left <= 0 {
+	if timeLeft <= 0 {
 		return
 	}
-	num, f := c.chooseSender()
-	conn, reused, err := f.get(time.Now().Add(s.Traffic.Patience))
+	sender, pool := c.chooseSender()
+	conn, reused, err := pool.get(time.Now().Add(s.Traffic.Patience))
 	if err != nil {
 		c.retryUnanswered(m)
 		return
@@ -128,83 +146,109 @@
 	c.pending[id] = m
 	c.mu.Unlock()
 	key := m.Key(s)
-	w.recordSubmission(audit.Event{Kind: audit.Submitted, Sender: num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: left, Key: key, N: m.N, Tenant: m.Tenant})
-	limit := time.Now().Add(s.Traffic.Patience)
-	text := formatRequest(s, m, id, key, left, again)
-	r, err := conn.roundTrip(text, limit)
-	if err != nil && reused && errors.Is(err, io.EOF) { // its close crossed the request
+	c.env.recordSubmission(audit.Event{
+		Kind: audit.Submitted, Sender: sender, Message: id, Class: m.Class, Dest: m.Dest,
+		TimeLeft: timeLeft, Key: key, N: m.N, Tenant: m.Tenant,
+	})
+	deadline := time.Now().Add(s.Traffic.Patience)
+	conn, response, err := c.send(pool, conn, reused, formatRequest(s, m, id, key, timeLeft, again), deadline)
+	c.countResponse(m, response, err, again)
+	if err != nil {
+		if conn != nil {
+			conn.Close()
+		}
+		c.handleNoResponse(m, sender, id, err)
+		return
+	}
+	c.handleResponse(m, sender, id, response)
+	if response.Close {
+		conn.Close()
+		return
+	}
+	pool.put(conn)
+}
+
+// send sends a request and reads its response. A connection that was idle may have been closed by the sender as the request
+// was on its way: the request then goes out once more on a new one. It returns the connection that was used last; nil if
+// that could not be opened.
+func (c *Clients) send(
+	pool *senderPool, conn *clientConn, reused bool, request []byte, deadline time.Time,
+) (*clientConn, *http.Response, error) {
+	response, err := conn.roundTrip(request, deadline)
+	if err != nil && reused && errors.Is(err, io.EOF) {
+		conn.Close()
 		reused = false
-		if conn, err = f.dial(limit); err == nil {
-			r, err = conn.roundTrip(text, limit)
+		if conn, err = pool.dial(deadline); err == nil {
+			response, err = conn.roundTrip(request, deadline)
 		}
 	}
 	if !reused && errors.Is(err, io.EOF) && !c.idleClientsActive() {
-		c.env.wg.Go(func() { c.countUnanswered(f) })
+		c.env.wg.Go(func() { c.countUnanswered(pool) })
 	}
+	return conn, response, err
+}
+
+func (c *Clients) countResponse(m *simulation.ClientRequest, response *http.Response, err error, again bool) {
 	status := 0
 	if err == nil {
-		status = r.StatusCode
+		status = response.StatusCode
 	}
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.statusCounts[status]++
 	if !again {
-		recordLag(c.responseTime, w.now()-m.At)
+		recordLag(c.responseTime, c.env.now()-m.At)
 	}
-	c.mu.Unlock()
-	switch {
-	case err != nil:
-		if conn != nil {
-			conn.Close()
-		}
-		cause := "died"
-		if errors.Is(err, errResponseTimeout) {
-			cause = "timeout"
-		}
-		w.Record(audit.Event{Kind: audit.Abandoned, Sender: num, Message: id, Cause: cause})
-		c.forget(id)
-		c.retryUnanswered(m)
-		return
-	case status == http.StatusAccepted || status == http.StatusOK:
-		w.Record(audit.Event{Kind: audit.Accepted, Sender: num, Message: id})
-	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		wait, _ := strconv.ParseFloat(r.Header.Get("Retry-After"), 64)
-		told := time.Duration(wait * float64(time.Second))
-		w.Record(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, RetryAfter: told})
+}
+
+// handleNoResponse records a submission that got no response, and has its client submit again.
+func (c *Clients) handleNoResponse(m *simulation.ClientRequest, sender int, id string, err error) {
+	cause := "died"
+	if errors.Is(err, errResponseTimeout) {
+		cause = "timeout"
+	}
+	c.env.Record(audit.Event{Kind: audit.Abandoned, Sender: sender, Message: id, Cause: cause})
+	c.forget(id)
+	c.retryUnanswered(m)
+}
+
+// handleResponse records what the sender said to a submission, and has the client of a rejected one come again.
+func (c *Clients) handleResponse(m *simulation.ClientRequest, sender int, id string, response *http.Response) {
+	switch response.StatusCode {
+	case http.StatusAccepted, http.StatusOK:
+		c.env.Record(audit.Event{Kind: audit.Accepted, Sender: sender, Message: id})
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 if there is none
+		retryAfter := time.Duration(seconds * float64(time.Second))
+		c.env.Record(audit.Event{Kind: audit.Rejected, Sender: sender, Message: id, RetryAfter: retryAfter})
 		c.forget(id)
-		c.retryRejected(m, told)
+		c.retryRejected(m, retryAfter)
 	default:
-		w.Record(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, Cause: "failed"})
+		c.env.Record(audit.Event{Kind: audit.Rejected, Sender: sender, Message: id, Cause: "failed"})
 		c.forget(id)
 	}
-	if r.Close {
-		conn.Close()
-		return
-	}
-	f.put(conn)
 }
 
-// idleClientsActive tells whether a crowd is about, or was a moment ago: new connections may be shut unread then.
+// idleClientsActive reports whether idle clients hold connections now or did a moment ago. The senders may close new
+// connections unread then.
 func (c *Clients) idleClientsActive() bool {
 	now := c.env.currentTime()
-	for _, crowd := range c.env.faults.IdleClients {
-		if now >= crowd.From && now < crowd.To+time.Second {
+	for _, idle := range c.env.faults.IdleClients {
+		if now >= idle.From && now < idle.To+time.Second {
 			return true
 		}
 	}
 	return false
 }
 
-// exitNoticeDelay is how much later than its clients the rig may hear that a process has ended.
-const exitNoticeDelay = 100 * time.Millisecond
-
-// countUnanswered counts a request without an answer, unless its sender's process was down or ending.
-func (c *Clients) countUnanswered(f *senderPool) {
+// countUnanswered counts a request without a response, unless the process of its sender was down or ending.
+func (c *Clients) countUnanswered(pool *senderPool) {
 	if !c.env.sleep(exitNoticeDelay) {
 		return
 	}
-	f.mu.Lock()
-	down := !f.downSince.IsZero() || time.Since(f.upSince) < 2*exitNoticeDelay
-	f.mu.Unlock()
+	pool.mu.Lock()
+	down := !pool.downSince.IsZero() || time.Since(pool.upSince) < 2*exitNoticeDelay
+	pool.mu.Unlock()
 	if !down {
 		c.mu.Lock()
 		c.unanswered++
@@ -218,38 +262,38 @@
 	c.mu.Unlock()
 }
 
-// retryUnanswered has a client hand in again what reached nobody.
+// retryUnanswered has a client submit again what no sender responded to.
 func (c *Clients) retryUnanswered(m *simulation.ClientRequest) {
 	c.mu.Lock()
-	after, again := m.Unanswered(c.env.plan.Scenario, c.rng)
+	delay, again := m.Unanswered(c.env.plan.Scenario, c.rng)
 	c.mu.Unlock()
 	if again {
-		c.schedule(after, func() { c.submit(m) })
+		c.schedule(delay, func() { c.submit(m) })
 	}
 }
 
-// retryRejected has a client come again, as often as the scenario says.
-func (c *Clients) retryRejected(m *simulation.ClientRequest, told time.Duration) {
+// retryRejected has a client submit again what was rejected or deferred, as often as the scenario says.
+func (c *Clients) retryRejected(m *simulation.ClientRequest, retryAfter time.Duration) {
 	c.mu.Lock()
-	after, again := m.Rejected(c.env.plan.Scenario, c.rng, told)
+	delay, again := m.Rejected(c.env.plan.Scenario, c.rng, retryAfter)
 	c.mu.Unlock()
 	if again {
-		c.schedule(after, func() { c.submit(m) })
+		c.schedule(delay, func() { c.submit(m) })
 	}
 }
 
-// handleReport is told of a notice.
-func (c *Clients) handleReport(id string, deferred bool, again time.Duration) {
+// handleReport takes a delivery report of a message that ended undelivered.
+func (c *Clients) handleReport(id string, deferred bool, retryAfter time.Duration) {
 	c.mu.Lock()
 	m := c.pending[id]
 	delete(c.pending, id)
 	c.mu.Unlock()
 	if m != nil && deferred {
-		c.retryRejected(m, again)
+		c.retryRejected(m, retryAfter)
 	}
 }
 
-// handleDelivered is told of deliveries.
+// handleDelivered takes the messages of a call that was delivered.
 func (c *Clients) handleDelivered(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,50 +305,61 @@
 	}
 }
 
+// Idle reports whether no submission is in progress or waits to be repeated.
+func (c *Clients) Idle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.inProgress == 0
+}
+
+func (c *Clients) requestCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requested
+}
+
 // ClientStats is what the clients saw.
 type ClientStats struct {
-	Lag          Lag         `json:"lag"`  // of the hand-ins, against the plan
-	ResponseTime Lag         `json:"door"` // from the time wanted to the sender's answer
-	Answers      map[int]int `json:"answers"`
+	Lag          Lag         `json:"lag"`     // of the submissions, against the plan
+	ResponseTime Lag         `json:"door"`    // from the planned arrival to the sender's response
+	Answers      map[int]int `json:"answers"` // responses by status; 0 = none came
 	Skipped      int         `json:"left_out"`
 
-	// Unanswered are requests that were written whole on a new connection to a sender that was there, and whose
-	// connection then ended with no answer, while no crowd was about.
+	// Unanswered are requests that were written whole on a new connection to a sender that was up, and whose connection
+	// then ended without a response, while no idle clients held connections.
 	Unanswered int `json:"unanswered"`
 }
 
-// Stats tells what the clients saw so far.
+// Stats returns what the clients saw so far.
 func (c *Clients) Stats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := ClientStats{Lag: summarizeLag(c.lag), ResponseTime: summarizeLag(c.responseTime), Answers: map[int]int{}, Skipped: c.skipped, Unanswered: c.unanswered}
-	for status, n := range c.statusCounts {
-		s.Answers[status] = n
+	return ClientStats{
+		Lag: summarizeLag(c.lag), ResponseTime: summarizeLag(c.responseTime),
+		Answers: maps.Clone(c.statusCounts), Skipped: c.skipped, Unanswered: c.unanswered,
 	}
-	return s
 }
 
-// Close closes the idle connections.
+// Close closes the idle connections. Connections of submissions that are still in progress are closed as these end.
 func (c *Clients) Close() {
-	for _, f := range c.senders {
-		f.mu.Lock()
-		for _, x := range f.idle {
-			x.Close()
-		}
-		f.idle, f.closed = nil, true
-		f.mu.Unlock()
+	for _, p := range c.senders {
+		p.close()
 	}
 }
 
-// Idle tells whether no hand-in is under way or to come.
-func (c *Clients) Idle() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.inProgress == 0
-}
-
-func (c *Clients) requestCount() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.requested
+// formatRequest writes a submission as PROTOCOL defines it.
+func formatRequest(
+	s *scenario.Scenario, m *simulation.ClientRequest, id, key string, timeLeft time.Duration, again bool,
+) []byte {
+	text := fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Tenant: %s\r\n"+
+		"X-Deadline: %.6f\r\nX-Addressing: dest=%d\r\nContent-Length: %d\r\n",
+		s.Traffic.Classes[m.Class].Name, id, s.Traffic.Tenants[m.Tenant].Name, timeLeft.Seconds(), m.Dest, m.Size)
+	if key != "" {
+		text = fmt.Appendf(text, "Idempotency-Key: %s\r\n", key)
+	}
+	if again {
+		text = append(text, "X-Retry: 1\r\n"...)
+	}
+	text = append(text, "\r\n"...)
+	return append(text, make([]byte, m.Size)...)
 }
