--- a/internal/harness/addresses.go
+++ b/internal/harness/addresses.go
@@ -5,8 +5,11 @@
 	"cleathold/internal/scenario"
 )
 
-// processSpecs chooses where senders have their other addresses, and how they reach one another and discovery. What
-// the plan lets fail passes through links; what it does not goes straight.
+// maxHostsPerBlock senders have their addresses in one block.
+const maxHostsPerBlock = 250
+
+// processSpecs chooses the senders' second and gossip addresses, and how they reach one another and discovery. A pair
+// of parties whose link the plan lets fail is connected by a link; all others reach one another directly.
 func (r *run) processSpecs(platform []string) ([]ProcessSpec, error) {
 	n := r.Plan.Scenario.Senders
 	r.links = netfault.New(r.Plan.Seed)
@@ -18,31 +21,30 @@
 		}
 		r.blocks = append(r.blocks, b)
 	}
-	places := make([]ProcessSpec, n)
+	specs := make([]ProcessSpec, n)
 	var names, listens []string
-	for i := range places {
+	for i := range specs {
 		host := r.blocks[i/maxHostsPerBlock].Host(2 + i%maxHostsPerBlock)
-		places[i] = ProcessSpec{Discovery: platform[i], Admin: host + ":9001"}
+		specs[i] = ProcessSpec{Discovery: platform[i], Admin: host + ":9001"}
+		name := scenario.Sender(i)
 		if len(r.Plan.Links) > 0 {
-			var err error
-			if places[i].Discovery, err = r.links.TCP(scenario.Sender(i), scenario.Discovery, "127.0.0.1", platform[i]); err != nil {
+			addr, err := r.links.TCP(name, scenario.Discovery, "127.0.0.1", platform[i])
+			if err != nil {
 				return nil, err
 			}
+			specs[i].Discovery = addr
 		}
-		names, listens = append(names, scenario.Sender(i)), append(listens, host+":7946")
+		names, listens = append(names, name), append(listens, host+":7946")
 	}
-	if n == 1 {
-		return places, nil
+	if n == 1 { // no peers
+		return specs, nil
 	}
-	ways, err := r.links.UDP("127.0.0.1", names, listens)
+	gossip, err := r.links.UDP("127.0.0.1", names, listens)
 	if err != nil {
 		return nil, err
 	}
-	for i := range places {
-		places[i].PeerListen, places[i].PeersAll, places[i].Peers = listens[i], ways.All(i), ways.Peers()
+	for i := range specs {
+		specs[i].PeerListen, specs[i].PeersAll, specs[i].Peers = listens[i], gossip.All(i), gossip.Peers()
 	}
-	return places, nil
+	return specs, nil
 }
-
-// maxHostsPerBlock senders have their addresses in one block.
-const maxHostsPerBlock = 250
--- a/internal/harness/answer_failure.go
+++ b/internal/harness/answer_failure.go
@@ -11,7 +11,8 @@
 	"cleathold/internal/audit"
 )
 
-// drawAnswerFailure draws whether an answer that is due now fails; under the lock.
+// drawAnswerFailure draws whether an answer that is due now fails, and how; empty: it does not. The caller holds the
+// lock.
 func (env *Environment) drawAnswerFailure() AnswerFailure {
 	now := env.now()
 	for _, f := range env.faults.Answers {
@@ -22,9 +23,8 @@
 	return ""
 }
 
-// writeFailedAnswer writes an answer that fails, and ends its connection or waits until the sender does. The part of
-// the answer that is written is drawn.
-func (env *Environment) writeFailedAnswer(out http.ResponseWriter, how AnswerFailure, body []byte, cut float64) {
+// writeFailedAnswer writes an answer as it fails, and closes its connection or waits until the sender does.
+func (env *Environment) writeFailedAnswer(out http.ResponseWriter, a listAnswer) {
 	hijacker, ok := out.(http.Hijacker)
 	if !ok {
 		return
@@ -35,12 +35,14 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(env.ctx, func() { conn.Close() })()
-	if how == Garbles {
+	body := a.body
+	if a.failure == Garbles {
 		body = append([]byte(`{"version":`), make([]byte, len(body))...)
 	}
-	text := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	part := text[:1+int(cut*float64(len(text)-2))]
-	switch how {
+	text := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
+		len(body), body)
+	part := text[:1+int(a.fraction*float64(len(text)-2))]
+	switch a.failure {
 	case Garbles:
 		conn.Write(text)
 	case Dribbles:
@@ -55,10 +57,10 @@
 		resetConn(conn)
 		return
 	}
-	io.Copy(io.Discard, conn) // until the sender ends it
+	io.Copy(io.Discard, conn) // until the sender closes it
 }
 
-// writeSlowly writes a text piece by piece.
+// writeSlowly writes a text in small pieces, spread over slowAnswerDuration.
 func (env *Environment) writeSlowly(to net.Conn, text []byte) {
 	size := max(1, len(text)/slowAnswerParts)
 	for len(text) > 0 {
@@ -70,7 +72,8 @@
 	}
 }
 
-// recordWatchTail notes what counts as told after an answer to a watch, as the watch goes on for a while.
+// recordWatchTail records the changes that count as notified after an answer to a watch, as the watch goes on for a
+// while.
 func (env *Environment) recordWatchTail(sender int, version int64) {
 	if !env.faults.WatchTail {
 		return
@@ -82,12 +85,14 @@
 		env.mu.Lock()
 		defer env.mu.Unlock()
 		if env.discoveryCut[sender] || env.simulated.Watching(sender) {
-			return // it can't be told, or what it is told comes by the call that it has open
+			return // nothing reaches the sender, or its open watch notifies it
 		}
-		lines, _, whole := env.simulated.ListChanges(env.now(), sender, version)
+		lines, _, full := env.simulated.ListChanges(env.now(), sender, version)
 		for _, l := range lines {
-			if !whole && l.State != control.Ready {
-				env.record(audit.Event{Kind: audit.Notified, Sender: sender, Endpoint: l.ID, Dest: l.Dest, Leaves: true})
+			if !full && l.State != control.Ready {
+				env.record(audit.Event{
+					Kind: audit.Notified, Sender: sender, Endpoint: l.ID, Dest: l.Dest, Leaves: true,
+				})
 			}
 		}
 	})
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -27,9 +27,9 @@
 	exitNoticeDelay = 100 * time.Millisecond
 )
 
-// Clients submit the arrivals of a plan, each at its time whatever became of those before it (an open loop), and repeat
-// submissions as section 6 of BRIEF says. Latency counts from the time at which the plan has a message arrive, so that a
-// sender that stalls does not hide the wait of the messages behind it.
+// Clients submit the arrivals of a plan, each at its time whatever became of those before it (an open loop), and
+// repeat submissions as section 6 of BRIEF says. Latency counts from the time at which the plan has a message arrive,
+// so that a sender that stalls does not hide the wait of the messages behind it.
 type Clients struct {
 	env     *Environment
 	senders []*senderPool
@@ -168,9 +168,9 @@
 	pool.put(conn)
 }
 
-// send sends a request and reads its response. A connection that was idle may have been closed by the sender as the request
-// was on its way: the request then goes out once more on a new one. It returns the connection that was used last; nil if
-// that could not be opened.
+// send sends a request and reads its response. A connection that was idle may have been closed by the sender as the
+// request was on its way: the request then goes out once more on a new one. It returns the connection that was used
+// last; nil if that could not be opened.
 func (c *Clients) send(
 	pool *senderPool, conn *clientConn, reused bool, request []byte, deadline time.Time,
 ) (*clientConn, *http.Response, error) {
--- a/internal/harness/delivery_reports.go
+++ b/internal/harness/delivery_reports.go
@@ -10,7 +10,10 @@
 	"cleathold/internal/audit"
 )
 
-// serveReports takes notices, also while discovery is down.
+// maxReportBytes bounds the delivery reports in one request.
+const maxReportBytes = 1 << 20
+
+// serveReports takes delivery reports, also while discovery is down.
 func (env *Environment) serveReports(sender int, out http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxReportBytes))
 	if err != nil || !gjson.ValidBytes(body) && !validReportLines(body) {
@@ -19,14 +22,17 @@
 	}
 	gjson.ForEachLine(string(body), func(line gjson.Result) bool {
 		id, deferred := line.Get("id").String(), line.Get("status").String() == "deferred"
-		again := time.Duration(line.Get("again_ms").Float() * float64(time.Millisecond))
-		env.Record(audit.Event{Kind: audit.Notice, Sender: sender, Message: id, Deferred: deferred, RetryAfter: again})
-		env.onReport(id, deferred, again)
+		retryAfter := time.Duration(line.Get("again_ms").Float() * float64(time.Millisecond))
+		env.Record(audit.Event{
+			Kind: audit.Notice, Sender: sender, Message: id, Deferred: deferred, RetryAfter: retryAfter,
+		})
+		env.onReport(id, deferred, retryAfter)
 		return true
 	})
 	out.WriteHeader(http.StatusNoContent)
 }
 
+// validReportLines reports whether each line is a report of its own.
 func validReportLines(body []byte) bool {
 	valid := true
 	gjson.ForEachLine(string(body), func(line gjson.Result) bool {
@@ -35,8 +41,3 @@
 	})
 	return valid
 }
-
-const (
-	maxReportBytes  = 1 << 20 // bytes in one call
-	maxWatchTimeout = time.Minute
-)
--- a/internal/harness/discovery.go
+++ b/internal/harness/discovery.go
@@ -1,11 +1,13 @@
 package harness
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
 	"net/http"
+	"net/url"
 	"strconv"
 	"time"
 
@@ -14,8 +16,11 @@
 	"cleathold/internal/simulation"
 )
 
-// OpenPlatform opens an address of discovery for each sender, by which it is known who
-// asks, and returns them. Notices go there, too.
+// maxWatchTimeout bounds how long a watch waits for a change.
+const maxWatchTimeout = time.Minute
+
+// OpenPlatform opens an address of discovery for each sender, by which the caller is known, and returns the addresses
+// by sender. It takes delivery reports there, too. The servers end with the environment.
 func (env *Environment) OpenPlatform() ([]string, error) {
 	var list []string
 	for i := range env.plan.Scenario.Senders {
@@ -24,7 +29,9 @@
 			return nil, fmt.Errorf("rig: discovery: %w", err)
 		}
 		mux := http.NewServeMux()
-		mux.HandleFunc("GET /catalog/members", func(out http.ResponseWriter, r *http.Request) { env.serveMembers(i, out, r) })
+		mux.HandleFunc("GET /catalog/members", func(out http.ResponseWriter, r *http.Request) {
+			env.serveMembers(i, out, r)
+		})
 		mux.HandleFunc("POST /status", func(out http.ResponseWriter, r *http.Request) { env.serveReports(i, out, r) })
 		server := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 		env.wg.Go(func() {
@@ -41,126 +48,205 @@
 	return list, nil
 }
 
+// A listQuery says what a poll asks for: the full list, or with watch the changes since a version, for which it waits.
+type listQuery struct {
+	watch bool
+	since int64
+	wait  time.Duration
+}
+
+func parseListQuery(values url.Values) (q listQuery, err error) {
+	if !values.Has("since") {
+		return listQuery{}, nil
+	}
+	since, err1 := strconv.ParseInt(values.Get("since"), 10, 64)
+	ms, err2 := strconv.ParseInt(values.Get("timeout_ms"), 10, 64)
+	if err1 != nil || err2 != nil || ms < 0 {
+		return listQuery{}, errors.New("since and timeout_ms: whole numbers")
+	}
+	return listQuery{watch: true, since: since, wait: min(time.Duration(ms)*time.Millisecond, maxWatchTimeout)}, nil
+}
+
+// A listPoll is one request of a sender to discovery, until it is answered.
+type listPoll struct {
+	env      *Environment
+	sender   int
+	query    listQuery
+	out      http.ResponseWriter
+	ctx      context.Context // of the request
+	deadline time.Time       // of a watch
+	delayed  bool            // its answer was late already
+}
+
+// A listAnswer is an answer to a poll, and how it fails.
+type listAnswer struct {
+	failure  AnswerFailure // empty: it does not
+	fraction float64       // drawn: of the answer that is written, or of the longest delay
+	body     []byte
+	version  int64
+}
+
 // serveMembers answers with the list, or with what changes in it.
 func (env *Environment) serveMembers(sender int, out http.ResponseWriter, r *http.Request) {
-	query := r.URL.Query()
-	since, wait, watch := int64(0), time.Duration(0), query.Has("since")
-	if watch {
-		v, err := strconv.ParseInt(query.Get("since"), 10, 64)
-		ms, err2 := strconv.ParseInt(query.Get("timeout_ms"), 10, 64)
-		if err != nil || err2 != nil || ms < 0 {
-			http.Error(out, "since and timeout_ms: whole numbers", http.StatusBadRequest)
-			return
-		}
-		since, wait = v, min(time.Duration(ms)*time.Millisecond, maxWatchTimeout)
-	}
-	until := time.Now().Add(wait)
-	delayed := false
-	for {
-		env.mu.Lock()
-		now := env.now()
-		if turn := env.linksChanged; env.discoveryCut[sender] { // what it would be told does not arrive
-			env.mu.Unlock()
-			select {
-			case <-turn:
-				continue
-			case <-r.Context().Done():
-			case <-env.ctx.Done():
-			}
-			return
-		}
-		if _, blind := env.simulated.DiscoveryOutage(now); blind {
-			env.simulated.Polled(now, sender, false, true)
-			env.mu.Unlock()
-			http.Error(out, "discovery is down", http.StatusServiceUnavailable)
-			return
-		}
-		var lines []simulation.ListedEndpoint
-		version, whole := int64(0), !watch
-		if watch {
-			lines, version, whole = env.simulated.ListChanges(now, sender, since)
-		} else {
-			lines, version = env.simulated.FullList(now, sender)
-		}
-		if whole || len(lines) > 0 || !time.Now().Before(until) {
-			fault, cut := env.drawAnswerFailure(), env.faultRNG.Float64()
-			if fault == Delays && !delayed {
-				delayed = true
-				late := time.Duration(cut * float64(maxAnswerDelay))
-				env.mu.Unlock()
-				if !env.sleep(late) {
-					return
-				}
-				continue
-			}
-			if fault == Silent {
-				env.mu.Unlock()
-				<-r.Context().Done() // the sender gives it up, or the world ends
-				return
-			}
-			text := env.encodeList(sender, lines, version, whole)
-			env.simulated.Polled(now, sender, false, false)
-			env.mu.Unlock()
-			if fault != "" && fault != Delays {
-				env.writeFailedAnswer(out, fault, text, cut)
-				return
-			}
-			if watch {
-				env.recordWatchTail(sender, version)
-			}
-			out.Header().Set("Content-Type", "application/json")
-			out.Write(text)
-			return
-		}
-		env.simulated.Polled(now, sender, true, false)
-		next, some := env.simulated.NextListUpdate(sender, since)
-		bell := env.listChanged
+	query, err := parseListQuery(r.URL.Query())
+	if err != nil {
+		http.Error(out, err.Error(), http.StatusBadRequest)
+		return
+	}
+	p := &listPoll{
+		env: env, sender: sender, query: query, out: out, ctx: r.Context(), deadline: time.Now().Add(query.wait),
+	}
+	for !p.step() {
+	}
+}
+
+// step looks at the list once: it answers, or waits until it is to be looked at again. It returns true when the
+// request is done.
+func (p *listPoll) step() (done bool) {
+	env := p.env
+	env.mu.Lock()
+	now := env.now()
+	if env.discoveryCut[p.sender] {
+		changed := env.linksChanged
 		env.mu.Unlock()
-		rest := time.Until(until)
-		if some {
-			rest = min(rest, next-now)
-		}
-		timer := time.NewTimer(max(rest, time.Millisecond))
-		select {
-		case <-timer.C:
-		case <-bell:
-		case <-r.Context().Done():
-		case <-env.ctx.Done():
-		}
-		timer.Stop()
-		if r.Context().Err() != nil || env.ctx.Err() != nil {
-			return
-		}
+		return !p.awaitLink(changed)
+	}
+	if _, outage := env.simulated.DiscoveryOutage(now); outage {
+		env.simulated.Polled(now, p.sender, false, true)
+		env.mu.Unlock()
+		http.Error(p.out, "discovery is down", http.StatusServiceUnavailable)
+		return true
+	}
+	lines, version, full := p.list(now)
+	if full || len(lines) > 0 || !time.Now().Before(p.deadline) {
+		a := p.prepareAnswer(now, lines, version, full)
+		env.mu.Unlock()
+		return p.send(a)
+	}
+	env.simulated.Polled(now, p.sender, true, false)
+	next, some := env.simulated.NextListUpdate(p.sender, p.query.since)
+	changed := env.listChanged
+	env.mu.Unlock()
+	wait := time.Until(p.deadline)
+	if some {
+		wait = min(wait, next-now)
+	}
+	return !p.awaitList(changed, max(wait, time.Millisecond))
+}
+
+// list returns what the poll asks for. The caller holds the environment's lock.
+func (p *listPoll) list(now time.Duration) (lines []simulation.ListedEndpoint, version int64, full bool) {
+	if p.query.watch {
+		return p.env.simulated.ListChanges(now, p.sender, p.query.since)
+	}
+	lines, version = p.env.simulated.FullList(now, p.sender)
+	return lines, version, true
+}
+
+// awaitLink waits until links change; false if the request or the run ends before.
+func (p *listPoll) awaitLink(changed <-chan struct{}) bool {
+	select {
+	case <-changed:
+		return true
+	case <-p.ctx.Done():
+	case <-p.env.ctx.Done():
+	}
+	return false
+}
+
+// awaitList waits until the list changes or a time has passed; false if the request or the run has ended.
+func (p *listPoll) awaitList(changed <-chan struct{}, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-changed:
+	case <-p.ctx.Done():
+	case <-p.env.ctx.Done():
 	}
+	return p.ctx.Err() == nil && p.env.ctx.Err() == nil
+}
+
+// prepareAnswer draws whether the answer fails, and writes it unless nothing of it is sent now. The caller holds the
+// environment's lock.
+func (p *listPoll) prepareAnswer(
+	now time.Duration, lines []simulation.ListedEndpoint, version int64, full bool,
+) listAnswer {
+	env := p.env
+	a := listAnswer{failure: env.drawAnswerFailure(), fraction: env.faultRNG.Float64(), version: version}
+	if a.failure == Delays && p.delayed {
+		a.failure = ""
+	}
+	if a.failure == Delays || a.failure == Silent {
+		return a
+	}
+	a.body = env.encodeList(p.sender, lines, version, full)
+	env.simulated.Polled(now, p.sender, false, false)
+	return a
+}
+
+// send sends an answer as it fails. It returns false for one that is late: the list is to be looked at again then.
+func (p *listPoll) send(a listAnswer) (done bool) {
+	env := p.env
+	switch a.failure {
+	case Delays:
+		p.delayed = true
+		return !env.sleep(time.Duration(a.fraction * float64(maxAnswerDelay)))
+	case Silent:
+		<-p.ctx.Done() // the sender gives up, or the server is closed
+		return true
+	case "":
+	default:
+		env.writeFailedAnswer(p.out, a)
+		return true
+	}
+	if p.query.watch {
+		env.recordWatchTail(p.sender, a.version)
+	}
+	p.out.Header().Set("Content-Type", "application/json")
+	p.out.Write(a.body)
+	return true
+}
+
+// listedServer is an endpoint in a list, as PROTOCOL defines it.
+type listedServer struct {
+	ID      string  `json:"id"`
+	Addr    string  `json:"addr"`
+	Zone    string  `json:"zone"`
+	Kind    string  `json:"kind"`
+	Cell    int     `json:"cell"`
+	State   string  `json:"state"`
+	Weight  float64 `json:"weight"`
+	Started int64   `json:"started_ms"`
+}
+
+// listBody is an answer of discovery, as PROTOCOL defines it.
+type listBody struct {
+	Version int64          `json:"version"`
+	Full    bool           `json:"full"`
+	Servers []listedServer `json:"servers"`
+}
+
+// stateNames are the states of endpoints as PROTOCOL has them.
+var stateNames = map[control.EndpointState]string{
+	control.Ready: "up", control.Draining: "draining", control.Removed: "removed",
 }
 
-// encodeList writes lines as PROTOCOL has it, and notes what is told; under the lock.
-func (env *Environment) encodeList(sender int, lines []simulation.ListedEndpoint, version int64, whole bool) []byte {
-	type server struct {
-		ID      string  `json:"id"`
-		Addr    string  `json:"addr"`
-		Zone    string  `json:"zone"`
-		Kind    string  `json:"kind"`
-		Cell    int     `json:"cell"`
-		State   string  `json:"state"`
-		Weight  float64 `json:"weight"`
-		Started int64   `json:"started_ms"`
-	}
-	answer := struct {
-		Version int64    `json:"version"`
-		Full    bool     `json:"full"`
-		Servers []server `json:"servers"`
-	}{version, whole, []server{}}
-	states := map[control.EndpointState]string{control.Ready: "up", control.Draining: "draining", control.Removed: "removed"}
+// encodeList writes a list, and records which changes the sender is notified of by it. The caller holds the lock.
+func (env *Environment) encodeList(sender int, lines []simulation.ListedEndpoint, version int64, full bool) []byte {
+	answer := listBody{Version: version, Full: full, Servers: []listedServer{}}
 	s := env.plan.Scenario
 	for _, l := range lines {
-		if !whole || l.State != control.Ready {
-			env.record(audit.Event{Kind: audit.Notified, Sender: sender, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready})
+		if !full || l.State != control.Ready {
+			env.record(audit.Event{
+				Kind: audit.Notified, Sender: sender, Endpoint: l.ID, Dest: l.Dest, Leaves: l.State != control.Ready,
+			})
 		}
-		answer.Servers = append(answer.Servers, server{
-			l.ID, env.addressOf(sender, l), s.Zones[l.Zone], s.Kinds[l.Kind].Name, l.Dest, states[l.State], l.Weight, 0,
+		answer.Servers = append(answer.Servers, listedServer{
+			ID: l.ID, Addr: env.addressOf(sender, l), Zone: s.Zones[l.Zone], Kind: s.Kinds[l.Kind].Name, Cell: l.Dest,
+			State: stateNames[l.State], Weight: l.Weight,
 		})
 	}
-	text, _ := json.Marshal(answer) // nothing in it can fail
+	text, _ := json.Marshal(answer) // strings and finite numbers: it cannot fail
 	return text
 }
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -4,45 +4,45 @@
 	"time"
 )
 
-// Faults are what a run on sockets does besides its plan.
+// Faults are what a run on sockets does besides its plan. The zero value does nothing.
 type Faults struct {
-	Answers     []AnswerFault // of discovery
+	Answers     []AnswerFault // failing answers of discovery
 	IdleClients []IdleClients
-	// KeepConnections has clients go on using the connections that they have to a sender which is ending, until these end.
+	// KeepConnections has clients go on using their connections to a sender that shuts down, until these end.
 	KeepConnections bool
-	// WatchTail has changes in the 200 ms after an answer to a watch count as told, as PROTOCOL says of a watch.
+	// WatchTail has changes in the 200 ms after an answer to a watch count as notified, as PROTOCOL says of a watch.
 	WatchTail bool
-	// Wrap returns the command in which a sender's program is started; nil starts the program itself.
+	// Wrap returns the command that starts a sender's program; nil starts the program itself.
 	Wrap func(sender int, program string) []string
-	// Sockets bounds the descriptors of a sender; 0 = 1,024.
+	// Sockets bounds the file descriptors of a sender; 0 = 1,024.
 	Sockets int
 }
 
 // An AnswerFailure is a way in which an answer of discovery fails.
 type AnswerFailure string
 
-// The failures. Cut ones end somewhere in the middle.
+// The failures. Those that cut an answer end it at a point that is drawn.
 const (
 	Stalls   AnswerFailure = "stalls"   // cut, and the connection stays open
 	Closes   AnswerFailure = "closes"   // cut, and the connection is closed
 	Resets   AnswerFailure = "resets"   // cut, and the connection is reset
-	Garbles  AnswerFailure = "garbles"  // whole, and its body is no list
+	Garbles  AnswerFailure = "garbles"  // complete, and its body is no list
 	Dribbles AnswerFailure = "dribbles" // in small pieces, over a second
 	Delays   AnswerFailure = "delays"   // up to 900 ms late
-	Silent   AnswerFailure = "silent"   // nothing of it comes
+	Silent   AnswerFailure = "silent"   // nothing of it is sent
 )
 
-// AnswerFailures are all of them.
+// AnswerFailures are all ways in which an answer fails.
 var AnswerFailures = []AnswerFailure{Stalls, Closes, Resets, Garbles, Dribbles, Delays, Silent}
 
-// An AnswerFault has a share of discovery's answers fail for a time.
+// An AnswerFault has a share of discovery's answers fail, between two times of the plan's clock.
 type AnswerFault struct {
 	From, To time.Duration
 	How      AnswerFailure
-	Share    float64
+	Share    float64 // 0 to 1
 }
 
-// A IdleClients is idle clients that connect to each sender, hold on for a time and say nothing.
+// IdleClients are clients that connect to each sender, stay for a time and send nothing.
 type IdleClients struct {
 	From, To    time.Duration
 	Connections int // to each sender
@@ -50,7 +50,7 @@
 
 const (
 	watchTailWindow    = 200 * time.Millisecond // a watch goes on for so long after an answer
-	slowAnswerParts    = 20
+	slowAnswerParts    = 20                     // of one that Dribbles
 	slowAnswerDuration = time.Second
 	maxAnswerDelay     = 900 * time.Millisecond
 )
--- a/internal/harness/idle_clients.go
+++ b/internal/harness/idle_clients.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// startIdleClients plays the idle clients against addresses of senders.
+// startIdleClients has the idle clients connect to each sender.
 func (env *Environment) startIdleClients(addresses []string) {
 	for _, c := range env.faults.IdleClients {
 		for _, addr := range addresses {
@@ -15,7 +15,8 @@
 	}
 }
 
-// holdIdleClients connects idle clients to one sender. Those that are closed on are gone.
+// holdIdleClients connects idle clients to one sender and keeps their connections open until their time is over. A
+// connection that the sender closes is not replaced.
 func (env *Environment) holdIdleClients(c IdleClients, addr string) {
 	if !env.sleepUntil(c.From) {
 		return
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -19,35 +19,53 @@
 
 const (
 	drainTimeout     = 30 * time.Second // a run goes on for so long after the last arrival, at most
+	idleInterval     = 200 * time.Millisecond
 	progressInterval = 5 * time.Second
-	maxLagMillis     = 5.0 // ms at the 99th percentile; a run that was later is marked
+	maxLagMillis     = 5.0 // at the 99th percentile; the result of a run with a greater lag says so
 )
 
 // Setup is what a run on sockets needs.
 type Setup struct {
 	Plan     *scenario.Plan
-	Program  string // the senders'
-	Folder   string // their configurations, states and logs
-	Settings string // script of our own for them; may be empty
+	Program  string // of the senders
+	Folder   string // for their configurations, states and logs
+	Settings string // a settings script for them; may be empty
 	Log      *slog.Logger
-	Progress io.Writer
-	Sink     func(audit.Event) error
-	MemoryMB float64       // each sender's limit; 0 = 192
-	ReadyIn  time.Duration // a sender must be ready so long after its start; 0 = 30 s
+	Progress io.Writer               // nil: progress is not shown
+	Sink     func(audit.Event) error // gets each event, in order; may be nil
+	MemoryMB float64                 // limit of each sender; 0 = 192
+	ReadyIn  time.Duration           // a sender must be ready so long after its start; 0 = 30 s
 	Faults   Faults
 }
 
 // Result is what a run on sockets showed.
 type Result struct {
 	simulation.Result
-	Rig      Lag         `json:"rig_lag"` // of the partners' answers, against the model
+	Rig      Lag         `json:"rig_lag"` // of the endpoints' answers, against the model
 	Clients  ClientStats `json:"clients"`
-	Crashes  int         `json:"crashes"`
-	PeakMB   float64     `json:"peak_mb"`         // the most memory that a sender had which ran to the end
-	Warnings []string    `json:"marks,omitempty"` // why the run is to be read with care
+	Crashes  int         `json:"crashes"`         // processes that ended without being told to
+	PeakMB   float64     `json:"peak_mb"`         // the largest resident set of a sender that ran to the end
+	Warnings []string    `json:"marks,omitempty"` // why the result is to be read with care
 }
 
-// A run is a run under way.
+// addWarnings says why a result is to be read with care.
+func (r *Result) addWarnings() {
+	add := func(applies bool, format string, args ...any) {
+		if applies {
+			r.Warnings = append(r.Warnings, fmt.Sprintf(format, args...))
+		}
+	}
+	add(r.Rig.P99 > maxLagMillis,
+		"the rig's partners were late themselves: %.1f ms at the 99th percentile, %.1f at most", r.Rig.P99, r.Rig.Max)
+	add(r.Clients.Lag.P99 > maxLagMillis,
+		"the rig's clients were late themselves: %.1f ms at the 99th percentile, %.1f at most",
+		r.Clients.Lag.P99, r.Clients.Lag.Max)
+	add(r.Clients.Skipped > 0, "%d hand-ins were left out: too many were under way", r.Clients.Skipped)
+	add(r.Crashes > 0, "senders ended %d times without being told to", r.Crashes)
+}
+
+// A run is a plan that is being played. It owns the senders' processes, the links and the addresses; shutDown ends
+// them.
 type run struct {
 	Setup
 	env         *Environment
@@ -56,66 +74,55 @@
 	processes   []*Process
 	links       *netfault.Net
 	blocks      []*netfault.Block
-	mu          sync.Mutex
-	crashes     int
-	restarts    int
-	supervisors sync.WaitGroup
+	supervisors sync.WaitGroup // one for each process, while the plan plays
+
+	mu       sync.Mutex
+	crashes  int
+	restarts int
 }
 
-// errFinished is the cause of an end that was meant.
+// errFinished is the cause of the context's end when the plan was played to its end.
 var errFinished = errors.New("over")
 
-// Run plays a plan on sockets, to its end or until the context ends. No process is
-// left behind in any case.
+// errInterrupted is returned for a run whose context was canceled from outside.
+var errInterrupted = errors.New("broken off")
+
+// Run plays a plan on sockets, to its end or until the context ends. It leaves no process behind in either case.
 func Run(ctx context.Context, s Setup) (Result, error) {
-	w, err := NewEnvironment(ctx, s.Plan, s.Log, s.Sink)
+	env, err := NewEnvironment(ctx, s.Plan, s.Log, s.Sink)
 	if err != nil {
 		return Result{}, err
 	}
-	w.faults = s.Faults
-	g := &run{Setup: s, env: w}
-	err = g.start()
+	env.faults = s.Faults
+	r := &run{Setup: s, env: env}
+	err = r.start()
 	if err == nil {
-		err = g.playPlan()
+		err = r.playPlan()
 	}
-	orderly := err == nil && context.Cause(w.ctx) == nil
-	peak := 0.0
-	for _, x := range g.processes {
-		peak = max(peak, x.PeakMB())
-	}
-	g.shutDown(orderly)
-	cause := context.Cause(w.ctx)
-	seen := ClientStats{}
-	if g.clients != nil {
-		seen = g.clients.Stats()
-		defer g.clients.Close()
-	}
-	r := Result{Result: w.Close(), Rig: summarizeLag(w.lag), Clients: seen, Crashes: g.crashes, PeakMB: peak}
-	r.Restarts = g.restarts
+	orderly := err == nil && context.Cause(env.ctx) == nil
+	peak := r.peakMB() // while the processes still run
+	r.shutDown(orderly)
+	cause := context.Cause(env.ctx)
+	stats := ClientStats{}
+	if r.clients != nil {
+		stats = r.clients.Stats()
+		defer r.clients.Close()
+	}
+	result := Result{
+		Result: env.Close(), Rig: summarizeLag(env.lag), Clients: stats, Crashes: r.crashes, PeakMB: peak,
+	}
+	result.Restarts = r.restarts
+	result.addWarnings()
 	if err == nil && !errors.Is(cause, errFinished) {
 		err = cause
 	}
 	if errors.Is(err, context.Canceled) {
-		err = errors.New("broken off")
+		err = errInterrupted
 	}
-	r.addWarnings()
-	return r, err
+	return result, err
 }
 
-// addWarnings says why a result is to be read with care.
-func (r *Result) addWarnings() {
-	add := func(on bool, format string, args ...any) {
-		if on {
-			r.Warnings = append(r.Warnings, fmt.Sprintf(format, args...))
-		}
-	}
-	add(r.Rig.P99 > maxLagMillis, "the rig's partners were late themselves: %.1f ms at the 99th percentile, %.1f at most", r.Rig.P99, r.Rig.Max)
-	add(r.Clients.Lag.P99 > maxLagMillis, "the rig's clients were late themselves: %.1f ms at the 99th percentile, %.1f at most", r.Clients.Lag.P99, r.Clients.Lag.Max)
-	add(r.Clients.Skipped > 0, "%d hand-ins were left out: too many were under way", r.Clients.Skipped)
-	add(r.Crashes > 0, "senders ended %d times without being told to", r.Crashes)
-}
-
-// start opens the world and starts the senders.
+// start opens the addresses and starts the senders. It returns when all of them are ready.
 func (r *run) start() error {
 	if err := r.env.OpenEndpoints(); err != nil {
 		return err
@@ -124,69 +131,83 @@
 	if err != nil {
 		return err
 	}
-	places, err := r.processSpecs(platform)
+	specs, err := r.processSpecs(platform)
 	if err != nil {
 		return err
 	}
-	var addresses []string
-	for i, at := range places {
-		x, err := NewProcess(r.Setup, i, filepath.Join(r.Folder, fmt.Sprint("n", i)), at)
-		if err != nil {
+	for i, spec := range specs {
+		if err := r.addProcess(i, spec); err != nil {
 			return err
 		}
-		r.processes = append(r.processes, x)
-		addr := x.addr
-		if len(r.Plan.Links) > 0 {
-			if addr, err = r.links.TCP(scenario.Clients, scenario.Sender(i), "127.0.0.1", addr); err != nil {
-				return err
-			}
-		}
-		addresses = append(addresses, addr)
 	}
-	for _, x := range r.processes {
-		if err := x.Start(); err != nil {
+	for _, p := range r.processes {
+		if err := p.Start(); err != nil {
 			return err
 		}
 	}
-	for _, x := range r.processes {
-		if err := x.Ready(r.env.ctx, r.readyDeadline()); err != nil {
+	for _, p := range r.processes {
+		if err := p.Ready(r.env.ctx, r.readyDeadline()); err != nil {
 			return err
 		}
 	}
-	r.clients = r.env.NewClients(addresses)
+	r.clients = r.env.NewClients(r.addresses)
 	r.clients.keepConnections = r.Faults.KeepConnections
-	r.addresses = addresses
 	return nil
 }
 
-// playPlan plays the plan.
+// addProcess prepares a sender and the address by which clients reach it.
+func (r *run) addProcess(number int, spec ProcessSpec) error {
+	p, err := NewProcess(r.Setup, number, filepath.Join(r.Folder, fmt.Sprint("n", number)), spec)
+	if err != nil {
+		return err
+	}
+	r.processes = append(r.processes, p)
+	addr := p.addr
+	if len(r.Plan.Links) > 0 {
+		if addr, err = r.links.TCP(scenario.Clients, scenario.Sender(number), "127.0.0.1", addr); err != nil {
+			return err
+		}
+	}
+	r.addresses = append(r.addresses, addr)
+	return nil
+}
+
+// readyDeadline is when a sender that starts now must be ready.
+func (r *run) readyDeadline() time.Time {
+	if r.ReadyIn > 0 {
+		return time.Now().Add(r.ReadyIn)
+	}
+	return time.Now().Add(readyTimeout)
+}
+
+// playPlan plays the plan, until all messages have an outcome or drainTimeout after its length.
 func (r *run) playPlan() error {
-	w := r.env
-	w.Begin()
-	w.startIdleClients(r.addresses)
+	env := r.env
+	env.Begin()
+	env.startIdleClients(r.addresses)
 	for i := range r.processes {
 		r.supervisors.Go(func() { r.supervise(i) })
 	}
-	handed := make(chan struct{})
-	w.wg.Go(func() { defer close(handed); r.clients.Run() })
-	tick := time.NewTicker(progressInterval)
-	defer tick.Stop()
+	submitted := make(chan struct{})
+	env.wg.Go(func() { defer close(submitted); r.clients.Run() })
+	progress := time.NewTicker(progressInterval)
+	defer progress.Stop()
 	end := time.NewTimer(r.Plan.Scenario.Length + drainTimeout)
 	defer end.Stop()
-	look := time.NewTicker(200 * time.Millisecond)
-	defer look.Stop()
+	idle := time.NewTicker(idleInterval)
+	defer idle.Stop()
 	for {
 		select {
-		case <-w.ctx.Done():
-			return context.Cause(w.ctx)
-		case <-tick.C:
-			r.progress()
+		case <-env.ctx.Done():
+			return context.Cause(env.ctx)
+		case <-progress.C:
+			r.showProgress()
 		case <-end.C:
 			return nil
-		case <-look.C:
+		case <-idle.C:
 			select {
-			case <-handed:
-				if w.now() > r.Plan.Scenario.Length+time.Second && w.Open() == 0 && r.clients.Idle() {
+			case <-submitted:
+				if env.now() > r.Plan.Scenario.Length+time.Second && env.Open() == 0 && r.clients.Idle() {
 					return nil
 				}
 			default:
@@ -195,7 +216,7 @@
 	}
 }
 
-func (r *run) progress() {
+func (r *run) showProgress() {
 	if r.Progress == nil {
 		return
 	}
@@ -204,19 +225,28 @@
 		r.env.currentTime().Truncate(100*time.Millisecond), r.Plan.Scenario.Length, s.Messages, s.Service, r.env.Open())
 }
 
-// shutDown ends the run and all senders.
+// peakMB is the largest resident set of the senders that run.
+func (r *run) peakMB() float64 {
+	peak := 0.0
+	for _, p := range r.processes {
+		peak = max(peak, p.PeakMB())
+	}
+	return peak
+}
+
+// shutDown ends the environment's context and the senders, by SIGTERM if it is to be orderly, and frees the addresses.
 func (r *run) shutDown(orderly bool) {
 	if orderly {
 		r.env.cancel(errFinished)
 	}
-	r.env.cancel(context.Canceled) // the first cause stands
-	r.supervisors.Wait()           // nobody starts one any more
+	r.env.cancel(context.Canceled) // no effect after another cause
+	r.supervisors.Wait()           // nobody starts a process any more
 	var wg sync.WaitGroup
-	for _, x := range r.processes {
+	for _, p := range r.processes {
 		wg.Go(func() {
-			x.Signal(syscall.SIGCONT)
-			x.Stop(orderly)
-			x.Release()
+			p.Signal(syscall.SIGCONT)
+			p.Stop(orderly)
+			p.Release()
 		})
 	}
 	wg.Wait()
--- a/internal/harness/sender_pool.go
+++ b/internal/harness/sender_pool.go
@@ -37,8 +37,8 @@
 	reader *bufio.Reader
 }
 
-// SetDown tells the clients' load balancer that the process of a sender has ended, or serves again. It still sends clients
-// to a sender that is down until simulation.DeadSenderTimeout has passed.
+// SetDown tells the clients' load balancer that the process of a sender has ended, or serves again. It still sends
+// clients to a sender that is down until simulation.DeadSenderTimeout has passed.
 func (c *Clients) SetDown(sender int, down bool) {
 	p := c.senders[sender]
 	p.mu.Lock()
@@ -74,8 +74,8 @@
 	return first, c.senders[first]
 }
 
-// knownGone reports whether the clients' load balancer sends nobody to the sender. With keepConnections a sender that is
-// down still gets clients for as long as there are connections to it.
+// knownGone reports whether the clients' load balancer sends nobody to the sender. With keepConnections a sender that
+// is down still gets clients for as long as there are connections to it.
 func (p *senderPool) knownGone(keepConnections bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,8 +125,8 @@
 	p.idle, p.closed = nil, true
 }
 
-// roundTrip sends a request and reads the response. Its error is errResponseTimeout if nothing of a response came in time,
-// and io.EOF if the connection was closed or reset before any of it came.
+// roundTrip sends a request and reads the response. Its error is errResponseTimeout if nothing of a response came in
+// time, and io.EOF if the connection was closed or reset before any of it came.
 func (c *clientConn) roundTrip(request []byte, deadline time.Time) (*http.Response, error) {
 	c.SetDeadline(deadline)
 	_, err := c.Write(request)
--- a/internal/harness/standalone.go
+++ b/internal/harness/standalone.go
@@ -12,73 +12,92 @@
 	"cleathold/internal/scenario"
 )
 
-// Serve puts a plan's partners, discovery and notices behind loopback addresses,
-// writes a configuration for each sender, and stays until the context ends. The
-// plan's clock starts at once.
+// Serve opens a plan's endpoints, discovery and receiver of delivery reports on loopback addresses, writes a
+// configuration for each sender, and stays until the context ends. The senders are started by others. The plan's
+// clock starts at once.
 func Serve(ctx context.Context, s Setup, out io.Writer) (Result, error) {
-	w, err := NewEnvironment(ctx, s.Plan, s.Log, s.Sink)
+	env, err := NewEnvironment(ctx, s.Plan, s.Log, s.Sink)
 	if err != nil {
 		return Result{}, err
 	}
-	err = w.OpenEndpoints()
-	var platform []string
-	if err == nil {
-		platform, err = w.OpenPlatform()
-	}
-	for i := 0; err == nil && i < s.Plan.Scenario.Senders; i++ {
-		var x *Process
-		dir := filepath.Join(s.Folder, fmt.Sprint("n", i))
-		if x, err = NewProcess(s, i, dir, ProcessSpec{Discovery: platform[i]}); err == nil {
-			defer x.Release()
-			fmt.Fprintf(out, "sender %d: listens on %s, discovery %s, start it by: LB_CONFIG=%s cleathold serve\n", i, x.addr, platform[i], x.configPath())
-		}
+	processes, err := prepareSenders(env, s, out)
+	for _, p := range processes {
+		defer p.Release()
 	}
 	if err == nil {
-		w.Begin()
-		<-w.ctx.Done()
-		if err = context.Cause(w.ctx); errors.Is(err, context.Canceled) {
+		env.Begin()
+		<-env.ctx.Done()
+		if err = context.Cause(env.ctx); errors.Is(err, context.Canceled) {
 			err = nil
 		}
 	}
-	r := Result{Result: w.Close(), Rig: summarizeLag(w.lag)}
+	r := Result{Result: env.Close(), Rig: summarizeLag(env.lag)}
 	r.addWarnings()
-	// Who handed in what is not seen here, and most of the rules rest on it.
+	// The submissions are not seen here, and most of the rules rest on them.
 	r.Violations = nil
-	r.Warnings = append(r.Warnings, "service and rules are not judged: what clients elsewhere hand in is not seen here")
+	r.Warnings = append(r.Warnings,
+		"service and rules are not judged: what clients elsewhere hand in is not seen here")
 	return r, err
 }
 
-// Load hands a plan's arrivals in to senders that run elsewhere, and judges nothing
-// but the clients' side.
-func Load(ctx context.Context, p *scenario.Plan, addresses []string, log *slog.Logger, progress io.Writer) (ClientStats, error) {
+// prepareSenders opens what the senders need and writes their configurations. It returns those that hold a port, also
+// with an error.
+func prepareSenders(env *Environment, s Setup, out io.Writer) ([]*Process, error) {
+	if err := env.OpenEndpoints(); err != nil {
+		return nil, err
+	}
+	platform, err := env.OpenPlatform()
+	if err != nil {
+		return nil, err
+	}
+	var processes []*Process
+	for i := range s.Plan.Scenario.Senders {
+		dir := filepath.Join(s.Folder, fmt.Sprint("n", i))
+		p, err := NewProcess(s, i, dir, ProcessSpec{Discovery: platform[i]})
+		if err != nil {
+			return processes, err
+		}
+		processes = append(processes, p)
+		fmt.Fprintf(out, "sender %d: listens on %s, discovery %s, start it by: LB_CONFIG=%s cleathold serve\n",
+			i, p.addr, platform[i], p.configPath())
+	}
+	return processes, nil
+}
+
+// Load submits a plan's arrivals to senders that run elsewhere, and judges nothing but the clients' side. Its error
+// says why it ended before the plan.
+func Load(
+	ctx context.Context, p *scenario.Plan, addresses []string, log *slog.Logger, progress io.Writer,
+) (ClientStats, error) {
 	if len(addresses) == 0 {
 		return ClientStats{}, errors.New("load: no address to hand in to")
 	}
-	w, err := NewEnvironment(ctx, p, log, nil)
+	env, err := NewEnvironment(ctx, p, log, nil)
 	if err != nil {
 		return ClientStats{}, err
 	}
-	c := w.NewClients(addresses)
+	c := env.NewClients(addresses)
 	defer c.Close()
-	w.Begin()
-	done := make(chan struct{})
-	go func() { defer close(done); c.Run() }()
+	env.Begin()
+	submitted := make(chan struct{})
+	go func() { defer close(submitted); c.Run() }()
 	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	for running := true; running; {
 		select {
-		case <-done:
-			running = !c.Idle() && w.sleep(50*time.Millisecond)
+		case <-submitted:
+			running = !c.Idle() && env.sleep(50*time.Millisecond)
 		case <-tick.C:
 			if progress != nil {
-				fmt.Fprintf(progress, "%v of %v: %d asked\n", w.currentTime().Truncate(100*time.Millisecond), p.Scenario.Length, c.requestCount())
+				fmt.Fprintf(progress, "%v of %v: %d asked\n",
+					env.currentTime().Truncate(100*time.Millisecond), p.Scenario.Length, c.requestCount())
 			}
 		}
 	}
-	cause := context.Cause(w.ctx)
-	w.Close()
+	cause := context.Cause(env.ctx)
+	env.Close()
 	if errors.Is(cause, context.Canceled) {
-		cause = errors.New("broken off")
+		cause = errInterrupted
 	}
 	return c.Stats(), cause
 }
--- a/internal/harness/supervise.go
+++ b/internal/harness/supervise.go
@@ -2,153 +2,180 @@
 
 import (
 	"syscall"
-	"time"
 
 	"cleathold/internal/audit"
 	"cleathold/internal/scenario"
 )
 
-// supervise does what the plan does to one sender, and starts it again after each end.
-func (r *run) supervise(num int) {
-	w, x := r.env, r.processes[num]
-	deeds := make(chan scenario.PlannedAction)
-	w.wg.Go(func() {
-		defer close(deeds)
-		for _, d := range r.Plan.Actions {
-			if d.Sender != num {
-				continue
-			}
-			if !w.sleepUntil(d.At) {
-				return
-			}
-			select {
-			case deeds <- d:
-			case <-w.ctx.Done():
-				return
-			}
-		}
-	})
-	for w.ctx.Err() == nil {
-		told := false
+// A supervisor injects the plan's actions into one sender, and starts its process again after each end.
+type supervisor struct {
+	run     *run
+	process *Process
+	number  int // of the sender
+}
+
+// supervise runs the supervisor of one sender, until the run ends.
+func (r *run) supervise(number int) {
+	s := &supervisor{run: r, process: r.processes[number], number: number}
+	env := r.env
+	actions := s.dueActions()
+	for env.ctx.Err() == nil {
 		select {
-		case <-w.ctx.Done():
+		case <-env.ctx.Done():
 			return
-		case d, some := <-deeds:
-			if !some {
-				deeds = nil
+		case a, ok := <-actions:
+			if !ok {
+				actions = nil
 				continue
 			}
-			if !r.inject(x, d) {
+			if !s.inject(a) {
 				continue
 			}
-			told = true
-		case <-x.Ended():
-			w.Record(audit.Event{Kind: audit.Died, Sender: num})
-			r.clients.SetDown(num, true)
-		}
-		r.mu.Lock()
-		r.restarts++
-		if !told {
-			r.crashes++
+			r.countRestart(false)
+		case <-s.process.Ended():
+			s.recordDown("")
+			r.countRestart(true)
 		}
-		r.mu.Unlock()
-		if !w.sleep(restartDelay) {
+		if !s.restart() {
 			return
 		}
-		r.clients.SetDraining(num, false) // what is ordered by hand ends with the process
-		if err := x.Start(); err != nil {
-			w.cancel(err)
-			return
-		}
-		if err := x.Ready(w.ctx, r.readyDeadline()); err != nil {
-			if w.ctx.Err() == nil {
-				w.cancel(err)
-			}
-			return
-		}
-		w.Record(audit.Event{Kind: audit.Ready, Sender: num})
-		r.clients.SetDown(num, false)
 	}
 }
 
-// inject does a deed to a sender, and tells whether its process has ended by it.
-func (r *run) inject(x *Process, d scenario.PlannedAction) (ended bool) {
-	w := r.env
-	died := func(cause string) {
-		w.Record(audit.Event{Kind: audit.Died, Sender: x.num, Cause: cause})
-		r.clients.SetDown(x.num, true)
+func (r *run) countRestart(crashed bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.restarts++
+	if crashed {
+		r.crashes++
 	}
-	// later does something at the deed's end, unless the process has ended by then.
-	later := func(do func()) {
-		if d.Until == 0 {
-			return
-		}
-		over := x.Ended()
-		w.wg.Go(func() {
-			if !w.sleepUntil(d.Until) {
+}
+
+// dueActions delivers the plan's actions for the sender, each when it is due, and is closed after the last one.
+func (s *supervisor) dueActions() <-chan scenario.PlannedAction {
+	env := s.run.env
+	due := make(chan scenario.PlannedAction)
+	env.wg.Go(func() {
+		defer close(due)
+		for _, a := range s.run.Plan.Actions {
+			if a.Sender != s.number {
+				continue
+			}
+			if !env.sleepUntil(a.At) {
 				return
 			}
 			select {
-			case <-over:
-			default:
-				do()
+			case due <- a:
+			case <-env.ctx.Done():
+				return
 			}
-		})
+		}
+	})
+	return due
+}
+
+// restart starts the process again after restartDelay, and waits until it is ready. It returns false if the run ends
+// before, or is ended by it because the process does not become ready.
+func (s *supervisor) restart() bool {
+	env := s.run.env
+	if !env.sleep(restartDelay) {
+		return false
 	}
-	order := func(verb string, away bool) {
-		if err := x.sendOrder(verb); err != nil {
-			w.log.Warn("an order of the plan is not taken", "sender", x.num, "order", verb, "err", err)
-			return
+	s.run.clients.SetDraining(s.number, false) // an operator's drain ends with the process
+	if err := s.process.Start(); err != nil {
+		env.cancel(err)
+		return false
+	}
+	if err := s.process.Ready(env.ctx, s.run.readyDeadline()); err != nil {
+		if env.ctx.Err() == nil {
+			env.cancel(err)
 		}
-		r.clients.SetDraining(x.num, away)
+		return false
 	}
-	switch d.What {
+	s.recordUp()
+	return true
+}
+
+// recordDown tells the auditor and the clients that the process serves no more.
+func (s *supervisor) recordDown(cause string) {
+	s.run.env.Record(audit.Event{Kind: audit.Died, Sender: s.number, Cause: cause})
+	s.run.clients.SetDown(s.number, true)
+}
+
+// recordUp tells them that it serves again.
+func (s *supervisor) recordUp() {
+	s.run.env.Record(audit.Event{Kind: audit.Ready, Sender: s.number})
+	s.run.clients.SetDown(s.number, false)
+}
+
+// inject carries out an action, and reports whether the process has ended by it.
+func (s *supervisor) inject(a scenario.PlannedAction) (ended bool) {
+	p, env := s.process, s.run.env
+	switch a.What {
 	case "hup":
-		x.Signal(syscall.SIGHUP)
+		p.Signal(syscall.SIGHUP)
 	case "kill":
-		died("")
-		x.Stop(false)
+		s.recordDown("")
+		p.Stop(false)
 		return true
 	case "wipe":
-		died(audit.Wiped)
-		x.Stop(false)
-		if err := x.wipeState(); err != nil {
-			w.cancel(err)
+		s.recordDown(audit.Wiped)
+		p.Stop(false)
+		if err := p.wipeState(); err != nil {
+			env.cancel(err)
 		}
 		return true
 	case "term":
-		died("")
-		x.Stop(true)
+		s.recordDown("")
+		p.Stop(true)
 		return true
 	case "signals":
-		died("")
-		x.StopBySeries()
+		s.recordDown("")
+		p.StopBySeries()
 		return true
 	case "stop":
-		died("")
-		x.Signal(syscall.SIGSTOP)
-		later(func() {
-			x.Signal(syscall.SIGCONT)
-			w.Record(audit.Event{Kind: audit.Ready, Sender: x.num})
-			r.clients.SetDown(x.num, false)
+		s.recordDown("")
+		p.Signal(syscall.SIGSTOP)
+		s.atEnd(a, func() {
+			p.Signal(syscall.SIGCONT)
+			s.recordUp()
 		})
 	case "drain":
-		order("drain", true)
-		later(func() { order("activate", false) })
+		s.order("drain", true)
+		s.atEnd(a, func() { s.order("activate", false) })
 	case "activate":
-		order("activate", false)
+		s.order("activate", false)
 	case "retune":
-		if err := x.reconfigure(d); err != nil {
-			w.cancel(err)
+		if err := p.reconfigure(a); err != nil {
+			env.cancel(err)
 		}
 	}
 	return false
 }
 
-// readyDeadline is when a sender that starts now must be ready.
-func (r *run) readyDeadline() time.Time {
-	if r.ReadyIn > 0 {
-		return time.Now().Add(r.ReadyIn)
+// atEnd calls a function when an action is over, unless the process that it was injected into has ended by then.
+func (s *supervisor) atEnd(a scenario.PlannedAction, undo func()) {
+	if a.Until == 0 {
+		return
+	}
+	env, ended := s.run.env, s.process.Ended()
+	env.wg.Go(func() {
+		if !env.sleepUntil(a.Until) {
+			return
+		}
+		select {
+		case <-ended:
+		default:
+			undo()
+		}
+	})
+}
+
+// order gives the process an order of the operators, and tells the clients what its health check says from then on.
+func (s *supervisor) order(verb string, draining bool) {
+	if err := s.process.sendOrder(verb); err != nil {
+		s.run.env.log.Warn("operator order failed", "sender", s.number, "order", verb, "err", err)
+		return
 	}
-	return time.Now().Add(readyTimeout)
+	s.run.clients.SetDraining(s.number, draining)
 }
