--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -24,126 +24,92 @@
 	readyTimeout    = 30 * time.Second
 	restartDelay    = 600 * time.Millisecond
 	killTimeout     = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-	defaultMemoryMB = 192                     // memory of a sender
-	defaultSockets  = 1024
-	signalInterval  = 40 * time.Millisecond // between the signals of a series
+	signalInterval  = 40 * time.Millisecond   // between the signals of a series
 	orderTimeout    = 3 * time.Second
+	defaultMemoryMB = 192 // limit of a sender
+	defaultSockets  = 1024
 	maxLogTail      = 600 // bytes of its log that go with an error
 )
 
-// A Process is one sender: its place, and whoever runs there now.
+// A Process is one sender: its folder and port, which it owns until Release, and the process that runs there now.
 type Process struct {
 	num        int
 	program    string
-	dir        string // configuration, state and log
+	dir        string // of configuration, state and log
 	addr       string
-	reservedFD int    // the socket that keeps the port
-	settings   string // a script of our own; may be empty
+	reservedFD int    // the socket that reserves the port
+	settings   string // path of a settings script; may be empty
 	plan       *scenario.Plan
 	spec       ProcessSpec
-	wrap       func(sender int, program string) []string // nil: none
+	wrap       func(sender int, program string) []string // see Faults.Wrap
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	ended   chan struct{} // closed when it has ended
-	exitErr error         // how
+	ended   chan struct{} // closed when the process has ended
+	exitErr error         // of the process that ended last, or nil
 }
 
-// NewProcess prepares a sender's folder. Where it listens and what it may have is chosen here. Nothing runs yet.
-func NewProcess(s Setup, num int, dir string, at ProcessSpec) (*Process, error) {
-	if at.MemoryMB = s.MemoryMB; at.MemoryMB <= 0 {
-		at.MemoryMB = defaultMemoryMB
+// NewProcess prepares a sender's folder, and chooses its address and limits in place of those of the spec. No process
+// runs yet.
+func NewProcess(s Setup, num int, dir string, spec ProcessSpec) (*Process, error) {
+	if spec.MemoryMB = s.MemoryMB; spec.MemoryMB <= 0 {
+		spec.MemoryMB = defaultMemoryMB
 	}
-	if at.Sockets = s.Faults.Sockets; at.Sockets <= 0 {
-		at.Sockets = defaultSockets
+	if spec.Sockets = s.Faults.Sockets; spec.Sockets <= 0 {
+		spec.Sockets = defaultSockets
 	}
-	at.State = filepath.Join(dir, "state")
-	if err := os.MkdirAll(at.State, 0o700); err != nil {
+	spec.State = filepath.Join(dir, "state")
+	if err := os.MkdirAll(spec.State, 0o700); err != nil {
 		return nil, fmt.Errorf("rig: %w", err)
 	}
-	hold, addr, err := reservePort()
+	fd, addr, err := reservePort()
 	if err != nil {
 		return nil, err
 	}
-	at.Listen = addr
-	x := &Process{num: num, program: s.Program, dir: dir, addr: addr, reservedFD: hold, settings: s.Settings, plan: s.Plan, spec: at, wrap: s.Faults.Wrap}
-	if err := Configure(x.configPath(), s.Plan, num, at); err != nil {
-		x.Release()
-		return nil, err
-	}
-	return x, nil
-}
-
-// reconfigure writes other settings, and has the one that runs read them.
-func (p *Process) reconfigure(d scenario.PlannedAction) error {
-	if err := Reconfigure(p.configPath(), d, p.plan); err != nil {
-		return err
-	}
-	p.Signal(syscall.SIGHUP)
-	return nil
-}
-
-// sendOrder gives the one that runs an order by its second address.
-func (p *Process) sendOrder(verb string) error {
-	r, err := http.NewRequest(http.MethodPut, "http://"+p.spec.Admin+"/v1/sender/"+verb, nil)
-	if err != nil {
-		return err
-	}
-	c := http.Client{Timeout: orderTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	a, err := c.Do(r)
-	if err != nil {
-		return err
+	spec.Listen = addr
+	p := &Process{
+		num: num, program: s.Program, dir: dir, addr: addr, reservedFD: fd,
+		settings: s.Settings, plan: s.Plan, spec: spec, wrap: s.Faults.Wrap,
 	}
-	defer a.Body.Close()
-	if a.StatusCode/100 != 2 {
-		return fmt.Errorf("rig: sender n%d: %s: %s", p.num, verb, a.Status)
+	if err := Configure(p.configPath(), s.Plan, num, spec); err != nil {
+		p.Release()
+		return nil, err
 	}
-	return nil
+	return p, nil
 }
 
-// wipeState loses its folder. Nobody runs there.
-func (p *Process) wipeState() error {
-	return errors.Join(os.RemoveAll(p.spec.State), os.MkdirAll(p.spec.State, 0o700))
-}
+// Release gives the sender's port back.
+func (p *Process) Release() { unix.Close(p.reservedFD) }
 
 func (p *Process) configPath() string { return filepath.Join(p.dir, "config.json") }
 
-// Release lets go of the sender's port.
-func (p *Process) Release() { unix.Close(p.reservedFD) }
+func (p *Process) logPath() string { return filepath.Join(p.dir, "log") }
 
-// Start starts the program. It dies with this process, however that ends.
+// Start starts the program. The process dies with this one, however that ends.
 func (p *Process) Start() error {
-	log, err := os.OpenFile(filepath.Join(p.dir, "log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
+	log, err := os.OpenFile(p.logPath(), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
-	command := []string{p.program}
-	if p.wrap != nil {
-		command = p.wrap(p.num, p.program)
-	}
-	c := exec.Command(command[0], append(command[1:], "serve")...)
-	c.Env = append(os.Environ(), "LB_CONFIG="+p.configPath(), "CLEATHOLD_SETTINGS="+p.settings, "LB_LISTEN=", "LB_STATE=", "LB_DISCOVERY=", "LB_NAME=")
-	c.Stdout, c.Stderr = log, log
-	// Ctrl-C at the terminal is for the rig, which ends its senders itself.
-	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	cmd := p.command(log)
 	started := make(chan error, 1)
 	ended := make(chan struct{})
 	p.mu.Lock()
-	p.exitErr = nil // before it can end, or how it ended would be forgotten
+	p.exitErr = nil // before the process can end
 	p.mu.Unlock()
 	go func() {
-		// The kernel sends the death signal when the thread ends that started the
-		// child: this one stays until the child has ended.
+		// The kernel sends the parent-death signal when the thread ends that started the child: this thread stays
+		// until the child has ended.
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 		defer close(ended)
 		defer log.Close()
-		err := c.Start()
+		err := cmd.Start()
 		started <- err
 		if err != nil {
 			return
 		}
-		err = c.Wait()
+		err = cmd.Wait()
 		p.mu.Lock()
 		p.exitErr = err
 		p.mu.Unlock()
@@ -153,65 +119,111 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cmd, p.ended = c, ended
+	p.cmd, p.ended = cmd, ended
 	return nil
 }
 
-// Ended is closed when the one that runs now has ended.
+// command is the program's command, with its output in the log.
+func (p *Process) command(log *os.File) *exec.Cmd {
+	command := []string{p.program}
+	if p.wrap != nil {
+		command = p.wrap(p.num, p.program)
+	}
+	cmd := exec.Command(command[0], append(command[1:], "serve")...)
+	cmd.Env = append(os.Environ(), "LB_CONFIG="+p.configPath(), "CLEATHOLD_SETTINGS="+p.settings,
+		"LB_LISTEN=", "LB_STATE=", "LB_DISCOVERY=", "LB_NAME=")
+	cmd.Stdout, cmd.Stderr = log, log
+	// A process group of its own: Ctrl-C at the terminal is for this process, which ends its senders itself.
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	return cmd
+}
+
+// Ended returns a channel that is closed when the process that runs now has ended; nil before the first start.
 func (p *Process) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// Signal sends a signal to the one that runs.
+// exitError is how the last process ended; nil while one runs, and after exit status 0.
+func (p *Process) exitError() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.exitErr
+}
+
+// Signal sends a signal to the process, if one runs.
 func (p *Process) Signal(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil && p.cmd.Process != nil {
-		p.cmd.Process.Signal(s) // one that has ended needs none
+		p.cmd.Process.Signal(s) // an error means that the process has ended
+	}
+}
+
+// Stop ends the process: at once, or if it is to be orderly by SIGTERM, with SIGKILL after killTimeout. It returns
+// when the process has ended.
+func (p *Process) Stop(orderly bool) {
+	ended := p.Ended()
+	if ended == nil {
+		return
+	}
+	if orderly {
+		p.Signal(syscall.SIGTERM)
+		select {
+		case <-ended:
+			return
+		case <-time.After(killTimeout):
+		}
+	}
+	p.Signal(syscall.SIGKILL)
+	<-ended
+}
+
+// StopBySeries ends the process by several signals in quick succession, as when several operators act at once.
+func (p *Process) StopBySeries() {
+	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
+		p.Signal(s)
+		time.Sleep(signalInterval)
 	}
+	p.Stop(true)
 }
 
-// Ready waits until the sender answers that it is.
-func (p *Process) Ready(ctx context.Context, until time.Time) error {
+// Ready waits until the sender's health check says that it is ready. It fails if the process ends before or the
+// deadline passes, and returns the context's cause if that ends.
+func (p *Process) Ready(ctx context.Context, deadline time.Time) error {
 	for ctx.Err() == nil {
 		if p.healthy() {
 			return nil
 		}
 		select {
 		case <-p.Ended():
-			return fmt.Errorf("rig: sender n%d ended before it was ready: %v; its log ends: %s", p.num, p.exitError(), p.logTail())
+			return fmt.Errorf("rig: sender n%d ended before it was ready: %v; its log ends: %s",
+				p.num, p.exitError(), p.logTail())
 		case <-ctx.Done():
 		case <-time.After(10 * time.Millisecond):
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("rig: sender n%d is not ready in time; its log ends: %s", p.num, p.logTail())
 		}
 	}
 	return context.Cause(ctx)
 }
 
-func (p *Process) exitError() error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.exitErr
-}
-
 func (p *Process) healthy() bool {
-	limit := time.Now().Add(time.Second)
-	c, err := (&senderPool{addr: p.addr}).dial(limit)
+	deadline := time.Now().Add(time.Second)
+	c, err := (&senderPool{addr: p.addr}).dial(deadline)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
-	r, err := c.roundTrip([]byte("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n"), limit)
+	r, err := c.roundTrip([]byte("GET /_health HTTP/1.1\r\nHost: app.svc\r\n\r\n"), deadline)
 	return err == nil && r.StatusCode == http.StatusOK
 }
 
-// logTail is the end of its log.
+// logTail is the end of the sender's log.
 func (p *Process) logTail() string {
-	f, err := os.Open(filepath.Join(p.dir, "log"))
+	f, err := os.Open(p.logPath())
 	if err != nil {
 		return err.Error()
 	}
@@ -223,15 +235,15 @@
 	return string(bytes.TrimSpace(text))
 }
 
-// PeakMB is the most memory that the one that runs has had; 0 where nobody runs.
+// PeakMB is the largest resident set that the process has had, in MiB; 0 if none runs.
 func (p *Process) PeakMB() float64 {
 	p.mu.Lock()
-	c := p.cmd
+	cmd := p.cmd
 	p.mu.Unlock()
-	if c == nil || c.Process == nil {
+	if cmd == nil || cmd.Process == nil {
 		return 0
 	}
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.Process.Pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
@@ -244,29 +256,34 @@
 	return 0
 }
 
-// StopBySeries ends the one that runs by signals that come one behind the other, as from several hands.
-func (p *Process) StopBySeries() {
-	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
-		p.Signal(s)
-		time.Sleep(signalInterval)
+// reconfigure writes the settings of a planned action, and has the process read them.
+func (p *Process) reconfigure(a scenario.PlannedAction) error {
+	if err := Reconfigure(p.configPath(), a, p.plan); err != nil {
+		return err
 	}
-	p.Stop(true)
+	p.Signal(syscall.SIGHUP)
+	return nil
 }
 
-// Stop ends the one that runs: in order, or at once.
-func (p *Process) Stop(orderly bool) {
-	ended := p.Ended()
-	if ended == nil {
-		return
+// sendOrder gives the process an operator's order through its admin API.
+func (p *Process) sendOrder(verb string) error {
+	request, err := http.NewRequest(http.MethodPut, "http://"+p.spec.Admin+"/v1/sender/"+verb, nil)
+	if err != nil {
+		return err
 	}
-	if orderly {
-		p.Signal(syscall.SIGTERM)
-		select {
-		case <-ended:
-			return
-		case <-time.After(killTimeout):
-		}
+	client := http.Client{Timeout: orderTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	response, err := client.Do(request)
+	if err != nil {
+		return err
 	}
-	p.Signal(syscall.SIGKILL)
-	<-ended
+	defer response.Body.Close()
+	if response.StatusCode/100 != 2 {
+		return fmt.Errorf("rig: sender n%d: %s: %s", p.num, verb, response.Status)
+	}
+	return nil
+}
+
+// wipeState empties the state folder of a sender whose process has ended.
+func (p *Process) wipeState() error {
+	return errors.Join(os.RemoveAll(p.spec.State), os.MkdirAll(p.spec.State, 0o700))
 }
--- a/internal/harness/process_config.go
+++ b/internal/harness/process_config.go
@@ -9,39 +9,90 @@
 	"cleathold/internal/simulation"
 )
 
-// A ProcessSpec is where a sender runs, and what it has there. Without a PeerListen it exchanges no notes.
+// A ProcessSpec is where a sender runs, and what it has there. Without a PeerListen it exchanges no gossip.
 type ProcessSpec struct {
-	Listen, Discovery, State string
-	MemoryMB                 float64
-	Sockets                  int // descriptors; 0 = 1,024
-	PeerListen, PeersAll     string
-	Peers                    []string
-	Admin                    string // its second address; empty: it has none
+	Listen, Discovery string // addresses
+	State             string // folder
+	MemoryMB          float64
+	Sockets           int      // file descriptors; 0 = 1,024
+	PeerListen        string   // address for gossip
+	PeersAll          string   // address that reaches all peers
+	Peers             []string // addresses of all senders, by their numbers
+	Admin             string   // second address, of the admin API; empty: it has none
 }
 
-// Configure writes the configuration of a plan's sender.
-func Configure(path string, p *scenario.Plan, num int, at ProcessSpec) error {
-	if at.Sockets <= 0 {
-		at.Sockets = defaultSockets
+// A senderConfig is a sender's configuration file. Its keys are written in the order of the alphabet.
+type senderConfig struct {
+	Admin       string         `json:"admin,omitempty"`
+	Discovery   string         `json:"discovery"`
+	Known       knownList      `json:"known"`
+	Limits      processLimits  `json:"limits"`
+	Listen      string         `json:"listen"`
+	Name        string         `json:"name"`
+	*peerConfig                // nil: no peers
+	Settings    map[string]any `json:"settings"`
+	State       string         `json:"state"`
+}
+
+// peerConfig is the part of a configuration that lets a sender exchange gossip.
+type peerConfig struct {
+	Listen string   `json:"peer_listen"`
+	Peers  []string `json:"peers"`
+	All    string   `json:"peers_all"`
+}
+
+// A knownList is the endpoint list that a sender has before its first poll.
+type knownList struct {
+	Full    bool  `json:"full"`
+	Servers []any `json:"servers"`
+	Version int64 `json:"version"`
+}
+
+// processLimits are the limits of a sender's process.
+type processLimits struct {
+	Cores    int     `json:"cores"`
+	DiskMB   int     `json:"disk_mb"`
+	MemoryMB float64 `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+// Configure writes the configuration file of a plan's sender.
+func Configure(path string, p *scenario.Plan, sender int, spec ProcessSpec) error {
+	if spec.Sockets <= 0 {
+		spec.Sockets = defaultSockets
 	}
-	config := map[string]any{
-		"name": fmt.Sprint("n", num), "listen": at.Listen, "discovery": at.Discovery, "state": at.State,
-		"limits":   map[string]any{"cores": 1, "memory_mb": at.MemoryMB, "sockets": at.Sockets, "disk_mb": 3},
-		"known":    map[string]any{"version": 0, "full": true, "servers": []any{}},
-		"settings": simulation.Profile(p, num),
+	config := senderConfig{
+		Admin: spec.Admin, Discovery: spec.Discovery, Listen: spec.Listen, State: spec.State,
+		Name:     fmt.Sprint("n", sender),
+		Known:    knownList{Full: true, Servers: []any{}},
+		Limits:   processLimits{Cores: 1, DiskMB: 3, MemoryMB: spec.MemoryMB, Sockets: spec.Sockets},
+		Settings: simulation.Profile(p, sender),
 	}
-	if at.Admin != "" {
-		config["admin"] = at.Admin
+	if spec.PeerListen != "" {
+		config.peerConfig = &peerConfig{Listen: spec.PeerListen, Peers: spec.Peers, All: spec.PeersAll}
+	}
+	return writeConfig(path, config)
+}
+
+// Reconfigure puts the settings of a planned action into an existing configuration file, and leaves its other keys as
+// they are, whoever wrote them.
+func Reconfigure(path string, a scenario.PlannedAction, p *scenario.Plan) error {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return fmt.Errorf("rig: %w", err)
 	}
-	if at.PeerListen != "" {
-		config["peer_listen"], config["peers_all"], config["peers"] = at.PeerListen, at.PeersAll, at.Peers
+	config := map[string]any{}
+	if err := json.Unmarshal(text, &config); err != nil {
+		return fmt.Errorf("rig: %s: %w", path, err)
 	}
+	config["settings"] = simulation.UpdatedSettings(p, a)
 	return writeConfig(path, config)
 }
 
-func writeConfig(path string, config map[string]any) error {
+// writeConfig replaces a file in one step, since a sender may read it at any time.
+func writeConfig(path string, config any) error {
 	text, err := json.MarshalIndent(config, "", " ")
-	if err == nil { // whole or not at all: a sender may read it now
+	if err == nil {
 		err = os.WriteFile(path+".new", text, 0o600)
 	}
 	if err == nil {
@@ -52,18 +103,3 @@
 	}
 	return nil
 }
-
-// Reconfigure puts other settings into the configuration of a plan's sender. Where it listens and what it may have
-// stays.
-func Reconfigure(path string, d scenario.PlannedAction, p *scenario.Plan) error {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return fmt.Errorf("rig: %w", err)
-	}
-	config := map[string]any{}
-	if err := json.Unmarshal(text, &config); err != nil {
-		return fmt.Errorf("rig: %s: %w", path, err)
-	}
-	config["settings"] = simulation.UpdatedSettings(p, d)
-	return writeConfig(path, config)
-}
--- a/internal/harness/reserved_port.go
+++ b/internal/harness/reserved_port.go
@@ -6,11 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// reservePort takes a free port for as long as the socket is open that it returns.
-// Nobody but the process that is meant listens there: the port is bound for us alone
-// first, so that another rig gets another, and only then opened to those that bind
-// with SO_REUSEADDR, as every listener of net does. A bound socket that does not
-// listen refuses connections, as the port of a dead process does.
+// reservePort reserves a free port on loopback for as long as the returned socket is open. Only the sender that is
+// meant listens there: the port is bound exclusively first, so that another harness gets another one, and only then
+// opened to those that bind with SO_REUSEADDR, as every listener of package net does. A bound socket that does not
+// listen refuses connections, as the port of a process that has ended does.
 func reservePort() (fd int, addr string, err error) {
 	fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
