--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -142,7 +142,7 @@
 		return
 	}
 	c.mu.Lock()
-	id, again := m.NextSubmission()
+	id, resubmission := m.NextSubmission()
 	c.pending[id] = m
 	c.mu.Unlock()
 	key := m.Key(s)
@@ -151,8 +151,8 @@
 		TimeLeft: timeLeft, Key: key, N: m.N, Tenant: m.Tenant,
 	})
 	deadline := time.Now().Add(s.Traffic.Patience)
-	conn, response, err := c.send(pool, conn, reused, formatRequest(s, m, id, key, timeLeft, again), deadline)
-	c.countResponse(m, response, err, again)
+	conn, response, err := c.send(pool, conn, reused, formatRequest(s, m, id, key, timeLeft, resubmission), deadline)
+	c.countResponse(m, response, err, resubmission)
 	if err != nil {
 		if conn != nil {
 			conn.Close()
@@ -188,7 +188,7 @@
 	return conn, response, err
 }
 
-func (c *Clients) countResponse(m *simulation.ClientRequest, response *http.Response, err error, again bool) {
+func (c *Clients) countResponse(m *simulation.ClientRequest, response *http.Response, err error, resubmission bool) {
 	status := 0
 	if err == nil {
 		status = response.StatusCode
@@ -196,7 +196,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.statusCounts[status]++
-	if !again {
+	if !resubmission {
 		recordLag(c.responseTime, c.env.now()-m.At)
 	}
 }
@@ -265,9 +265,9 @@
 // retryUnanswered has a client submit again what no sender responded to.
 func (c *Clients) retryUnanswered(m *simulation.ClientRequest) {
 	c.mu.Lock()
-	delay, again := m.Unanswered(c.env.plan.Scenario, c.rng)
+	delay, retry := m.Unanswered(c.env.plan.Scenario, c.rng)
 	c.mu.Unlock()
-	if again {
+	if retry {
 		c.schedule(delay, func() { c.submit(m) })
 	}
 }
@@ -275,9 +275,9 @@
 // retryRejected has a client submit again what was rejected or deferred, as often as the scenario says.
 func (c *Clients) retryRejected(m *simulation.ClientRequest, retryAfter time.Duration) {
 	c.mu.Lock()
-	delay, again := m.Rejected(c.env.plan.Scenario, c.rng, retryAfter)
+	delay, retry := m.Rejected(c.env.plan.Scenario, c.rng, retryAfter)
 	c.mu.Unlock()
-	if again {
+	if retry {
 		c.schedule(delay, func() { c.submit(m) })
 	}
 }
@@ -349,7 +349,7 @@
 
 // formatRequest writes a submission as PROTOCOL defines it.
 func formatRequest(
-	s *scenario.Scenario, m *simulation.ClientRequest, id, key string, timeLeft time.Duration, again bool,
+	s *scenario.Scenario, m *simulation.ClientRequest, id, key string, timeLeft time.Duration, resubmission bool,
 ) []byte {
 	text := fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Tenant: %s\r\n"+
 		"X-Deadline: %.6f\r\nX-Addressing: dest=%d\r\nContent-Length: %d\r\n",
@@ -357,7 +357,7 @@
 	if key != "" {
 		text = fmt.Appendf(text, "Idempotency-Key: %s\r\n", key)
 	}
-	if again {
+	if resubmission {
 		text = append(text, "X-Retry: 1\r\n"...)
 	}
 	text = append(text, "\r\n"...)
--- a/internal/harness/environment.go
+++ b/internal/harness/environment.go
@@ -48,9 +48,9 @@
 	links          *netfault.Net                  // nil if nothing passes through links
 	lag            *hdrhistogram.Histogram
 	faults         Faults
-	faultRNG       *rand.Rand                                          // draws which answers of discovery fail, and how
-	onReport       func(id string, deferred bool, again time.Duration) // called for each delivery report
-	onDelivered    func(ids []string)                                  // called for each call that was delivered
+	faultRNG       *rand.Rand                                               // draws which answers fail, and how
+	onReport       func(id string, deferred bool, retryAfter time.Duration) // called for each delivery report
+	onDelivered    func(ids []string)                                       // called for each call that was delivered
 }
 
 // A submission is what the endpoints must know of a message that they receive.
--- a/internal/harness/process_config_test.go
+++ b/internal/harness/process_config_test.go
@@ -61,7 +61,8 @@
 			t.Fatal(err)
 		}
 		after, _ := os.ReadFile(path)
-		if !strings.Contains(string(after), c.want) || !strings.HasSuffix(string(after), "\"state\": \""+c.spec.State+"\"\n}") {
+		tail := "\"state\": \"" + c.spec.State + "\"\n}"
+		if !strings.Contains(string(after), c.want) || !strings.HasSuffix(string(after), tail) {
 			t.Errorf("%s, reconfigured: %s", name, after)
 		}
 	}
