--- a/internal/harness/clock.go
+++ b/internal/harness/clock.go
@@ -12,14 +12,7 @@
 
 // sleepUntil waits until a time on the plan's clock. It returns false if the run ends before.
 func (env *Environment) sleepUntil(when time.Duration) bool {
-	timer := time.NewTimer(time.Until(env.started.Add(when)))
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-env.ctx.Done():
-		return false
-	}
+	return env.sleep(time.Until(env.started.Add(when)))
 }
 
 // sleep waits for a duration. It returns false if the run ends before.
