--- a/internal/cluster/campaign.go
+++ b/internal/cluster/campaign.go
@@ -138,13 +138,13 @@
 	if err := y.Begin(); err != nil {
 		return err
 	}
-	good, bad, err := programs(s)
+	good, bad, err := writePrograms(s)
 	if err != nil {
 		return err
 	}
-	x := &player{y: y, h: h, good: good, bad: bad, free: make([]time.Time, h.Agents), asleep: make([]time.Time, h.Senders)}
+	x := &player{cluster: y, history: h, good: good, bad: bad, agentBusyUntil: make([]time.Time, h.Agents), senderBusyUntil: make([]time.Time, h.Senders)}
 	begun := time.Now()
-	undo := []undoing{}
+	undo := []scheduledUndo{}
 	for _, d := range h.Actions {
 		for len(undo) > 0 && undo[0].at.Before(begun.Add(d.At)) {
 			time.Sleep(time.Until(undo[0].at))
@@ -152,9 +152,9 @@
 			undo = undo[1:]
 		}
 		time.Sleep(time.Until(begun.Add(d.At)))
-		if u := x.do(d); u != nil {
-			undo = append(undo, undoing{time.Now().Add(d.For), u})
-			slices.SortStableFunc(undo, func(a, b undoing) int { return a.at.Compare(b.at) })
+		if u := x.inject(d); u != nil {
+			undo = append(undo, scheduledUndo{time.Now().Add(d.For), u})
+			slices.SortStableFunc(undo, func(a, b scheduledUndo) int { return a.at.Compare(b.at) })
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -203,14 +203,14 @@
 	return nil
 }
 
-// undoing ends a fault.
-type undoing struct {
+// scheduledUndo ends a fault.
+type scheduledUndo struct {
 	at time.Time
 	do func()
 }
 
-// programs writes a version that is like the one before, and one that ends at its start.
-func programs(s Setup) (good, bad string, err error) {
+// writePrograms writes a version that is like the one before, and one that ends at its start.
+func writePrograms(s Setup) (good, bad string, err error) {
 	good, bad = filepath.Join(s.Folder, "good"), filepath.Join(s.Folder, "bad")
 	err = os.WriteFile(good, fmt.Appendf(nil, "#!/bin/sh\nexec %s \"$@\"\n", s.Program), 0o700)
 	if err == nil {
@@ -221,30 +221,30 @@
 
 // player does a history's deeds.
 type player struct {
-	y         *Cluster
-	h         *History
-	good, bad string
-	released  int
-	free      []time.Time // an agent that is struck is left alone until then
-	asleep    []time.Time // so is a sender
+	cluster         *Cluster
+	history         *History
+	good, bad       string
+	released        int
+	agentBusyUntil  []time.Time // an agent that is struck is left alone until then
+	senderBusyUntil []time.Time // so is a sender
 }
 
-// do does one, and returns what ends it.
-func (x *player) do(d Action) func() {
-	y, names, now := x.y, x.y.AgentNames(), time.Now()
+// inject does one, and returns what ends it.
+func (p *player) inject(d Action) func() {
+	y, names, now := p.cluster, p.cluster.AgentNames(), time.Now()
 	switch d.Kind {
 	case "drain":
-		x.order(d.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{d.Of}, Hold: d.For}})
+		p.order(d.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{d.Of}, Hold: d.For}})
 	case "release":
-		x.released++
-		to := rollout.Version{Name: fmt.Sprint("r", x.released), Program: x.good}
-		if x.released%2 == 0 { // another path is another program
+		p.released++
+		to := rollout.Version{Name: fmt.Sprint("r", p.released), Program: p.good}
+		if p.released%2 == 0 { // another path is another program
 			to.Program = y.Program
 		}
 		if !d.Good {
-			to.Program = x.bad
+			to.Program = p.bad
 		}
-		x.order(d.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
+		p.order(d.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
 			Kind: rollout.Release, To: to, RollBackOnFailure: d.Back, Stages: [][]string{d.Of},
 			Gate: rollout.Gate{MinMessages: 3, Soak: 200 * time.Millisecond, Wait: 3 * time.Second, Slack: 0.5},
 		}})
@@ -253,14 +253,14 @@
 		if err != nil || len(v.State.Plans) == 0 {
 			return nil
 		}
-		p := v.State.Plans[len(v.State.Plans)-1]
+		plan := v.State.Plans[len(v.State.Plans)-1]
 		verb := map[string]rollout.Verb{"halt": rollout.Halt, "back": rollout.RollBack, "resume": rollout.Resume}[d.Kind]
-		x.order(d.Agent, rollout.Command{Verb: verb, Plan: p.ID, Revision: p.Revision})
+		p.order(d.Agent, rollout.Command{Verb: verb, Plan: plan.ID, Revision: plan.Revision})
 	case "kill agent", "wipe agent", "stop agent":
-		if now.Before(x.free[d.Agent]) {
+		if now.Before(p.agentBusyUntil[d.Agent]) {
 			return nil
 		}
-		x.free[d.Agent] = now.Add(d.For + time.Second)
+		p.agentBusyUntil[d.Agent] = now.Add(d.For + time.Second)
 		if d.Kind == "stop agent" {
 			y.SignalAgent(d.Agent, syscall.SIGSTOP)
 			return func() { y.SignalAgent(d.Agent, syscall.SIGCONT) }
@@ -271,15 +271,15 @@
 		}
 		return func() { y.StartAgent(d.Agent) }
 	case "kill sender", "term sender", "hup sender", "wipe sender", "retune sender":
-		if !now.Before(x.asleep[d.Sender]) {
-			x.strike(d)
+		if !now.Before(p.senderBusyUntil[d.Sender]) {
+			p.injectSender(d)
 		}
 	case "stop sender":
 		pid := y.Pid(d.Sender)
-		if pid == 0 || now.Before(x.asleep[d.Sender]) {
+		if pid == 0 || now.Before(p.senderBusyUntil[d.Sender]) {
 			return nil
 		}
-		x.asleep[d.Sender] = now.Add(d.For + time.Second)
+		p.senderBusyUntil[d.Sender] = now.Add(d.For + time.Second)
 		syscall.Kill(pid, syscall.SIGSTOP)
 		return func() { syscall.Kill(pid, syscall.SIGCONT) }
 	case "part agent":
@@ -307,9 +307,9 @@
 	return nil
 }
 
-// strike does to a sender what takes no time.
-func (x *player) strike(d Action) {
-	y := x.y
+// injectSender does to a sender what takes no time.
+func (p *player) injectSender(d Action) {
+	y := p.cluster
 	switch d.Kind {
 	case "kill sender":
 		y.SignalSender(d.Sender, syscall.SIGKILL)
@@ -332,10 +332,10 @@
 
 // order asks one agent, and the next where that one is struck: whether it is done, refused or never known is part of
 // the play.
-func (x *player) order(first int, c rollout.Command) {
+func (p *player) order(first int, command rollout.Command) {
 	go func() {
-		for i := range x.h.Agents {
-			if _, err := x.y.Order((first+i)%x.h.Agents, c); err == nil || strings.HasPrefix(err.Error(), agent.KindRejected) {
+		for i := range p.history.Agents {
+			if _, err := p.cluster.Order((first+i)%p.history.Agents, command); err == nil || strings.HasPrefix(err.Error(), agent.KindRejected) {
 				return
 			}
 		}
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -63,8 +63,8 @@
 	n     int
 }
 
-// spentBy is what a process has spent so far: processor seconds, and MB that it holds.
-func spentBy(pid int) (cpu, mem float64) {
+// processUsage is what a process has spent so far: processor seconds, and MB that it holds.
+func processUsage(pid int) (cpu, mem float64) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
@@ -78,10 +78,10 @@
 }
 
 // senders is what senders spend for so long, in the mean.
-func (y *Cluster) spending(span time.Duration) (s SenderSpent) {
+func (c *Cluster) senderUsage(span time.Duration) (s SenderSpent) {
 	sum := func() (cpu, mem float64) {
-		for pid := range y.processes() {
-			c, m := spentBy(pid)
+		for pid := range c.processes() {
+			c, m := processUsage(pid)
 			cpu, mem = cpu+c, mem+m
 		}
 		return cpu, mem
@@ -89,19 +89,19 @@
 	before, _ := sum()
 	time.Sleep(span)
 	after, mem := sum()
-	n := float64(y.Senders)
+	n := float64(c.Senders)
 	return SenderSpent{(after - before) / span.Seconds() / n, mem / n}
 }
 
-func (y *Cluster) usage() (u usage) {
+func (c *Cluster) usage() (u usage) {
 	u.at = time.Now()
-	for i, a := range y.agents {
+	for i, a := range c.agents {
 		if a.cmd == nil {
 			continue
 		}
-		cpu, mem := spentBy(a.cmd.Process.Pid)
+		cpu, mem := processUsage(a.cmd.Process.Pid)
 		u.cpu, u.mem = u.cpu+cpu, u.mem+mem
-		if v, err := y.View(i, true); err == nil && v.Quorum != nil {
+		if v, err := c.View(i, true); err == nil && v.Quorum != nil {
 			u.bytes, u.calls = u.bytes+v.Quorum.Sent, u.calls+v.Quorum.Calls
 			u.spent.ReportedBytes, u.spent.Reports = u.spent.ReportedBytes+v.Traffic.ReportedBytes, u.spent.Reports+v.Traffic.Reports
 			u.spent.PolledBytes, u.spent.Polls = u.spent.PolledBytes+v.Traffic.PolledBytes, u.spent.Polls+v.Traffic.Polls
@@ -111,8 +111,8 @@
 	return u
 }
 
-// cost is what agents spent between two looks, each in the mean.
-func cost(a, b usage) Cost {
+// costBetween is what agents spent between two looks, each in the mean.
+func costBetween(a, b usage) Cost {
 	n, s := float64(max(1, b.n)), b.at.Sub(a.at).Seconds()
 	each := func(a, b int64) float64 { return float64(b-a) / s / n }
 	return Cost{
@@ -134,7 +134,7 @@
 		return m, err
 	}
 	m.Begin = time.Since(began)
-	good, _, err := programs(s)
+	good, _, err := writePrograms(s)
 	if err != nil {
 		return m, err
 	}
@@ -142,7 +142,7 @@
 	for i := range y.agents {
 		y.SignalAgent(i, syscall.SIGSTOP)
 	}
-	m.WithoutAgent = y.spending(calm)
+	m.WithoutAgent = y.senderUsage(calm)
 	for i := range y.agents {
 		y.SignalAgent(i, syscall.SIGCONT)
 	}
@@ -150,11 +150,11 @@
 		return m, err
 	}
 	before := y.usage()
-	wanted, came := y.served()
-	m.WithAgent = y.spending(calm)
+	wanted, came := y.deliveryCounts()
+	m.WithAgent = y.senderUsage(calm)
 	after := y.usage()
-	m.AtRest = cost(before, after)
-	wanted2, came2 := y.served()
+	m.AtRest = costBetween(before, after)
+	wanted2, came2 := y.deliveryCounts()
 	m.Before = float64(came2-came) / float64(max(1, wanted2-wanted))
 	door := func() (ended, all int) {
 		for status, n := range y.Clients.Stats().Answers {
@@ -175,7 +175,7 @@
 	go func() {
 		defer close(struck)
 		if strike {
-			y.torment(done)
+			y.injectAgentFaults(done)
 		}
 	}()
 	for {
@@ -205,16 +205,16 @@
 	close(done)
 	<-struck
 	if !strike {
-		m.DuringRelease = cost(after, y.usage())
+		m.DuringRelease = costBetween(after, y.usage())
 	}
 	d1, n1 := door()
-	wanted3, came3 := y.served()
+	wanted3, came3 := y.deliveryCounts()
 	m.During = float64(came3-came2) / float64(max(1, wanted3-wanted2))
 	m.FailedSubmissions, m.Submissions = d1-d0, n1-n0
-	if m.HaltAll, err = y.halted(false); err != nil {
+	if m.HaltAll, err = y.measureHalt(false); err != nil {
 		return m, err
 	}
-	if m.HaltCut, err = y.halted(true); err != nil {
+	if m.HaltCut, err = y.measureHalt(true); err != nil {
 		return m, err
 	}
 	// Back: a release of the old program, turned round once its first stages are through.
@@ -241,8 +241,8 @@
 	return m, nil
 }
 
-// torment strikes one agent after the other, never a majority of them at once, until it is enough.
-func (y *Cluster) torment(done <-chan struct{}) {
+// injectAgentFaults strikes one agent after the other, never a majority of them at once, until it is enough.
+func (c *Cluster) injectAgentFaults(done <-chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-done:
@@ -251,34 +251,34 @@
 			return true
 		}
 	}
-	names := y.AgentNames()
+	names := c.AgentNames()
 	for i := 0; wait(time.Second); i++ {
 		k := i % len(names)
 		switch i % 3 {
 		case 0:
-			y.SignalAgent(k, syscall.SIGKILL)
+			c.SignalAgent(k, syscall.SIGKILL)
 			wait(2 * time.Second)
-			y.StartAgent(k)
+			c.StartAgent(k)
 		case 1:
-			y.Net.Partition(names[k:k+1], names, netfault.State{Silent: true})
+			c.Net.Partition(names[k:k+1], names, netfault.State{Silent: true})
 			wait(2 * time.Second)
-			y.Net.Heal()
+			c.Net.Heal()
 		case 2:
-			y.Net.Set(names[k], names[(k+1)%len(names)], netfault.State{Cut: true})
+			c.Net.Set(names[k], names[(k+1)%len(names)], netfault.State{Cut: true})
 			wait(2 * time.Second)
-			y.Net.Heal()
+			c.Net.Heal()
 		}
 	}
 }
 
-// halted drains the whole fleet, a few at a time, and halts it in the middle: how long after the halt was ordered the last
+// measureHalt drains the whole fleet, a few at a time, and halts it in the middle: how long after the halt was ordered the last
 // sender went out. With the leader cut off the halt goes to another agent, as soon as one leads.
-func (y *Cluster) halted(cut bool) (time.Duration, error) {
-	id, err := y.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{y.Names}, Hold: 300 * time.Millisecond}})
+func (c *Cluster) measureHalt(cut bool) (time.Duration, error) {
+	id, err := c.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{c.Names}, Hold: 300 * time.Millisecond}})
 	if err != nil {
 		return 0, err
 	}
-	if err := y.Await(time.Minute, "some are through", func(v agent.View) bool {
+	if err := c.Await(time.Minute, "some are through", func(v agent.View) bool {
 		n := 0
 		if p := v.State.Plan(id); p != nil {
 			for _, t := range p.Tasks {
@@ -287,23 +287,23 @@
 				}
 			}
 		}
-		return n >= min(4, y.Senders/2)
+		return n >= min(4, c.Senders/2)
 	}); err != nil {
 		return 0, err
 	}
-	first := y.Leader()
+	first := c.Leader()
 	if cut && first >= 0 {
-		y.Net.Partition(y.AgentNames()[first:first+1], y.AgentNames(), netfault.State{Silent: true})
-		defer y.Net.Heal()
+		c.Net.Partition(c.AgentNames()[first:first+1], c.AgentNames(), netfault.State{Silent: true})
+		defer c.Net.Heal()
 	}
 	ordered := time.Now()
 	for until := ordered.Add(30 * time.Second); ; {
 		done := false
-		for i := range y.agents {
+		for i := range c.agents {
 			if cut && i == first {
 				continue
 			}
-			if _, err = y.Order(i, rollout.Command{Verb: rollout.Halt, Plan: id}); err == nil {
+			if _, err = c.Order(i, rollout.Command{Verb: rollout.Halt, Plan: id}); err == nil {
 				done = true
 				break
 			}
@@ -316,15 +316,15 @@
 	if err != nil {
 		return 0, err
 	}
-	time.Sleep(y.Terms.Timing.Accept + 2*time.Second)
-	_, last := y.Poll.Since(ordered)
-	y.Net.Heal()
+	time.Sleep(c.Terms.Timing.Accept + 2*time.Second)
+	_, last := c.Poll.Since(ordered)
+	c.Net.Heal()
 	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-		if _, err = y.OrderAny(rollout.Command{Verb: rollout.Activate, Plan: id}); err == nil {
+		if _, err = c.OrderAny(rollout.Command{Verb: rollout.Activate, Plan: id}); err == nil {
 			break
 		}
 	}
-	if _, err := y.AwaitPlan(time.Minute, id, rollout.Done); err != nil {
+	if _, err := c.AwaitPlan(time.Minute, id, rollout.Done); err != nil {
 		return 0, err
 	}
 	if last.IsZero() {
--- a/internal/cluster/yard.go
+++ b/internal/cluster/yard.go
@@ -51,32 +51,32 @@
 // Cluster is a fleet that runs.
 type Cluster struct {
 	Setup
-	Net     *netfault.Net
-	blocks  []*netfault.Block
-	World   *harness.Environment
-	plan    *scenario.Plan
-	Clients *harness.Clients
-	Poll    *Poll
-	Names   []string // of the senders
-	agents  []*agentProcess
-	senders []place
-	handing sync.WaitGroup
-	mu      sync.Mutex
-	calls   map[string]time.Time // the latest call that each endpoint saw
-	wanted  int                  // messages that clients wanted delivered
-	came    int                  // that took effect
-	ctx     context.Context
-	end     context.CancelFunc
-}
-
-// toolSpan is how long a command of staff may take: one that watches a plan which never ends must not hang a test.
-const toolSpan = 60 * time.Second
-
-// hostsMost senders have addresses of one block.
-const hostsMost = 200
-
-// place is where a sender is reached.
-type place struct {
+	Net            *netfault.Net
+	blocks         []*netfault.Block
+	World          *harness.Environment
+	plan           *scenario.Plan
+	Clients        *harness.Clients
+	Poll           *Poll
+	Names          []string // of the senders
+	agents         []*agentProcess
+	senders        []senderAddresses
+	clientsRunning sync.WaitGroup
+	mu             sync.Mutex
+	lastCalls      map[string]time.Time // the latest call that each endpoint saw
+	requested      int                  // messages that clients wanted delivered
+	executed       int                  // that took effect
+	ctx            context.Context
+	cancel         context.CancelFunc
+}
+
+// commandTimeout is how long a command of staff may take: one that watches a plan which never ends must not hang a test.
+const commandTimeout = 60 * time.Second
+
+// maxHostsPerBlock senders have addresses of one block.
+const maxHostsPerBlock = 200
+
+// senderAddresses is where a sender is reached.
+type senderAddresses struct {
 	config, listen string
 	admin          [2]string
 }
@@ -87,8 +87,8 @@
 	ended                      chan struct{}
 }
 
-// calm is the scenario that a yard plays: partners with room, so that what is seen is the fleet's doing.
-const calm = `
+// calmScenario is the scenario that a yard plays: partners with room, so that what is seen is the fleet's doing.
+const calmScenario = `
 scenario(name = "fleet", seconds = %g, senders = %d, zones = ["bldg-a", "bldg-b"], hold = (20, 20), slots = (4, 4))
 kind(name = "partners", limit = "none", headroom = (4, 4), conns = (200, 200), least_conns = (400, 400), endpoints = (2, 2), cv = (0.1, 0.1))
 fleet(kind = "partners", destinations = (4, 4))
@@ -100,8 +100,8 @@
 `
 
 // Building is where a sender stands.
-func (y *Cluster) Building(i int) string {
-	zones := y.plan.Scenario.Zones
+func (c *Cluster) Building(i int) string {
+	zones := c.plan.Scenario.Zones
 	return zones[i%len(zones)]
 }
 
@@ -113,8 +113,8 @@
 	if s.Log == nil {
 		s.Log = slog.New(slog.DiscardHandler)
 	}
-	y := &Cluster{Setup: s, Net: netfault.New(s.Seed), calls: map[string]time.Time{}}
-	y.ctx, y.end = context.WithCancel(ctx)
+	y := &Cluster{Setup: s, Net: netfault.New(s.Seed), lastCalls: map[string]time.Time{}}
+	y.ctx, y.cancel = context.WithCancel(ctx)
 	err := y.prepare()
 	if err != nil {
 		y.Close()
@@ -123,59 +123,59 @@
 	return y, nil
 }
 
-func (y *Cluster) prepare() (err error) {
-	for range 1 + y.Senders/hostsMost {
+func (c *Cluster) prepare() (err error) {
+	for range 1 + c.Senders/maxHostsPerBlock {
 		b, err := netfault.NewBlock()
 		if err != nil {
 			return err
 		}
-		y.blocks = append(y.blocks, b)
+		c.blocks = append(c.blocks, b)
 	}
-	plan := y.Plan
+	plan := c.Plan
 	if plan == nil {
-		sc, err := scenario.Parse("fleet.star", fmt.Appendf(nil, calm+"%s", y.Length.Seconds(), y.Senders, max(y.Rate, 1), y.Script), nil)
+		sc, err := scenario.Parse("fleet.star", fmt.Appendf(nil, calmScenario+"%s", c.Length.Seconds(), c.Senders, max(c.Rate, 1), c.Script), nil)
 		if err != nil {
 			return err
 		}
-		plan = sc.Plan(y.Seed)
+		plan = sc.Plan(c.Seed)
 	}
-	y.plan = plan
-	if y.World, err = harness.NewEnvironment(y.ctx, plan, y.Log, y.see); err != nil {
+	c.plan = plan
+	if c.World, err = harness.NewEnvironment(c.ctx, plan, c.Log, c.recordEvent); err != nil {
 		return err
 	}
-	y.World.UseLinks(y.Net)
-	if err = y.World.OpenEndpoints(); err != nil {
+	c.World.UseLinks(c.Net)
+	if err = c.World.OpenEndpoints(); err != nil {
 		return err
 	}
-	platform, err := y.World.OpenPlatform()
+	platform, err := c.World.OpenPlatform()
 	if err != nil {
 		return err
 	}
 	var listens []string
-	for i := range y.Senders {
-		host := y.blocks[i/hostsMost].Host(20 + i%hostsMost)
-		y.Names = append(y.Names, fmt.Sprint("n", i))
-		y.senders = append(y.senders, place{
-			config: filepath.Join(y.Folder, fmt.Sprint("n", i), "config.json"), listen: host + ":8080", admin: [2]string{host + ":9001", host + ":9002"},
+	for i := range c.Senders {
+		host := c.blocks[i/maxHostsPerBlock].Host(20 + i%maxHostsPerBlock)
+		c.Names = append(c.Names, fmt.Sprint("n", i))
+		c.senders = append(c.senders, senderAddresses{
+			config: filepath.Join(c.Folder, fmt.Sprint("n", i), "config.json"), listen: host + ":8080", admin: [2]string{host + ":9001", host + ":9002"},
 		})
 		listens = append(listens, host+":7946")
 	}
-	ways, err := y.Net.UDP("127.0.0.1", y.Names, listens)
+	ways, err := c.Net.UDP("127.0.0.1", c.Names, listens)
 	if err != nil {
 		return err
 	}
 	var addresses []string
-	for i, x := range y.senders {
+	for i, x := range c.senders {
 		state := filepath.Join(filepath.Dir(x.config), "state")
 		if err := os.MkdirAll(state, 0o700); err != nil {
 			return err
 		}
 		addr, discovery := x.listen, platform[i]
-		if y.Links {
-			if addr, err = y.Net.TCP(scenario.Clients, y.Names[i], "127.0.0.1", x.listen); err != nil {
+		if c.Links {
+			if addr, err = c.Net.TCP(scenario.Clients, c.Names[i], "127.0.0.1", x.listen); err != nil {
 				return err
 			}
-			if discovery, err = y.Net.TCP(y.Names[i], scenario.Discovery, "127.0.0.1", discovery); err != nil {
+			if discovery, err = c.Net.TCP(c.Names[i], scenario.Discovery, "127.0.0.1", discovery); err != nil {
 				return err
 			}
 		}
@@ -185,91 +185,91 @@
 		}
 		addresses = append(addresses, addr)
 	}
-	y.Clients = y.World.NewClients(addresses)
-	y.Poll = newPoll(y)
-	return y.prepareAgents()
+	c.Clients = c.World.NewClients(addresses)
+	c.Poll = newPoll(c)
+	return c.prepareAgents()
 }
 
-// see notes what partners see.
-func (y *Cluster) see(e audit.Event) error {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+// recordEvent notes what partners see.
+func (c *Cluster) recordEvent(e audit.Event) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch {
 	case e.Kind == audit.Sent:
-		y.calls[e.Endpoint] = time.Now()
+		c.lastCalls[e.Endpoint] = time.Now()
 	case e.Kind == audit.Requested:
-		y.wanted++
+		c.requested++
 	case e.Kind == audit.Executed && e.Cause == "":
-		y.came++
+		c.executed++
 	}
 	return nil
 }
 
-// served counts messages that clients wanted, and those that took effect.
-func (y *Cluster) served() (wanted, came int) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.wanted, y.came
+// deliveryCounts counts messages that clients wanted, and those that took effect.
+func (c *Cluster) deliveryCounts() (wanted, came int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requested, c.executed
 }
 
 // LastCall is when an endpoint saw a call last.
-func (y *Cluster) LastCall(endpoint string) time.Time {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.calls[endpoint]
+func (c *Cluster) LastCall(endpoint string) time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lastCalls[endpoint]
 }
 
 // prepareAgents writes their scripts and founds their folders. Each reaches each other one by a link of its own.
-func (y *Cluster) prepareAgents() error {
-	for i := range y.Agents {
+func (c *Cluster) prepareAgents() error {
+	for i := range c.Agents {
 		name := fmt.Sprint("a", i)
-		folder := filepath.Join(y.Folder, name)
+		folder := filepath.Join(c.Folder, name)
 		if err := os.MkdirAll(folder, 0o700); err != nil {
 			return err
 		}
-		y.agents = append(y.agents, &agentProcess{name: name, script: filepath.Join(folder, "agent.star"), addr: y.blocks[0].Host(2+i) + ":7000", folder: filepath.Join(folder, "state")})
+		c.agents = append(c.agents, &agentProcess{name: name, script: filepath.Join(folder, "agent.star"), addr: c.blocks[0].Host(2+i) + ":7000", folder: filepath.Join(folder, "state")})
 	}
-	for i, a := range y.agents {
+	for i, a := range c.agents {
 		var others []string
-		for _, b := range y.agents {
+		for _, b := range c.agents {
 			addr := b.addr
 			if a != b {
 				var err error
-				if addr, err = y.Net.TCP(a.name, b.name, y.blocks[0].Host(2+i), b.addr); err != nil {
+				if addr, err = c.Net.TCP(a.name, b.name, c.blocks[0].Host(2+i), b.addr); err != nil {
 					return err
 				}
 			}
 			others = append(others, fmt.Sprintf("%q: %q", b.name, addr))
 		}
-		t := y.Terms.Timing
-		text := fmt.Sprintf("agent(name = %q, listen = %q, folder = %q, agents = {%s}, version = \"v1\", program = %q)\n", a.name, a.addr, a.folder, strings.Join(others, ", "), y.Program)
-		text += fmt.Sprintf("budget(fleet = %d, building = %d, serving = %d, endpoints = %d, kind = %d)\n", y.Terms.Budget.Fleet, y.Terms.Budget.Building, y.Terms.Budget.Serving,
-			y.Terms.Budget.Endpoints, y.Terms.Budget.Kind)
+		t := c.Terms.Timing
+		text := fmt.Sprintf("agent(name = %q, listen = %q, folder = %q, agents = {%s}, version = \"v1\", program = %q)\n", a.name, a.addr, a.folder, strings.Join(others, ", "), c.Program)
+		text += fmt.Sprintf("budget(fleet = %d, building = %d, serving = %d, endpoints = %d, kind = %d)\n", c.Terms.Budget.Fleet, c.Terms.Budget.Building, c.Terms.Budget.Serving,
+			c.Terms.Budget.Endpoints, c.Terms.Budget.Kind)
 		text += fmt.Sprintf("timing(fresh = %g, accept = %g, lease = %g, clock_error = %g)\n", t.Fresh.Seconds(), t.Accept.Seconds(), t.Lease.Seconds(), t.Error.Seconds())
 		change := "handover"
-		if y.Restart {
+		if c.Restart {
 			change = "restart"
 		}
-		for k, x := range y.senders {
-			if k%y.Agents == i {
+		for k, x := range c.senders {
+			if k%c.Agents == i {
 				reach := x.admin
 				for j := range reach {
-					if !y.Links {
+					if !c.Links {
 						break
 					}
 					var err error
-					if reach[j], err = y.Net.TCP(a.name, y.Names[k], "127.0.0.1", x.admin[j]); err != nil {
+					if reach[j], err = c.Net.TCP(a.name, c.Names[k], "127.0.0.1", x.admin[j]); err != nil {
 						return err
 					}
 				}
-				text += fmt.Sprintf("sender(name = %q, building = %q, config = %q, admin = [%q, %q], reach = [%q, %q], change = %q)\n", y.Names[k], y.Building(k), x.config,
+				text += fmt.Sprintf("sender(name = %q, building = %q, config = %q, admin = [%q, %q], reach = [%q, %q], change = %q)\n", c.Names[k], c.Building(k), x.config,
 					x.admin[0], x.admin[1], reach[0], reach[1], change)
 			}
 		}
 		if err := os.WriteFile(a.script, []byte(text), 0o600); err != nil {
 			return err
 		}
-		if out, err := y.command("agent", "found", "--settings", a.script).CombinedOutput(); err != nil {
+		if out, err := c.command("agent", "found", "--settings", a.script).CombinedOutput(); err != nil {
 			return fmt.Errorf("found: %w: %s", err, out)
 		}
 	}
@@ -277,32 +277,32 @@
 }
 
 // command is one of the program. Its folder for temporary files is the yard's own: desks stand there.
-func (y *Cluster) command(args ...string) *exec.Cmd {
-	c := exec.Command(y.Program, args...)
-	c.Env = append(append(os.Environ(), y.Env...), "TMPDIR="+y.temp())
-	return c
+func (c *Cluster) command(args ...string) *exec.Cmd {
+	cmd := exec.Command(c.Program, args...)
+	cmd.Env = append(append(os.Environ(), c.Env...), "TMPDIR="+c.tempDir())
+	return cmd
 }
 
-func (y *Cluster) temp() string {
-	dir := filepath.Join(os.TempDir(), fmt.Sprintf("cy-%d-%s", os.Getpid(), y.blocks[0].Host(0)))
+func (c *Cluster) tempDir() string {
+	dir := filepath.Join(os.TempDir(), fmt.Sprintf("cy-%d-%s", os.Getpid(), c.blocks[0].Host(0)))
 	os.MkdirAll(dir, 0o700)
 	return dir
 }
 
 // RunCommand runs the program as staff do, with the addresses of agents; none named: all of them.
-func (y *Cluster) RunCommand(agents []int, args ...string) (string, int) {
+func (c *Cluster) RunCommand(agents []int, args ...string) (string, int) {
 	if agents == nil {
-		for i := range y.agents {
+		for i := range c.agents {
 			agents = append(agents, i)
 		}
 	}
 	var list []string
 	for _, i := range agents {
-		list = append(list, y.agents[i].addr)
+		list = append(list, c.agents[i].addr)
 	}
-	c := y.command(append([]string{"fleet", "--agent", strings.Join(list, ",")}, args...)...)
-	late := time.AfterFunc(toolSpan, func() { c.Process.Kill() })
-	out, err := c.CombinedOutput()
+	cmd := c.command(append([]string{"fleet", "--agent", strings.Join(list, ",")}, args...)...)
+	late := time.AfterFunc(commandTimeout, func() { cmd.Process.Kill() })
+	out, err := cmd.CombinedOutput()
 	late.Stop()
 	code := 0
 	var e *exec.ExitError
@@ -315,27 +315,27 @@
 }
 
 // StartAgent starts one that does not run.
-func (y *Cluster) StartAgent(i int) error {
-	a := y.agents[i]
+func (c *Cluster) StartAgent(i int) error {
+	a := c.agents[i]
 	log, err := os.OpenFile(filepath.Join(filepath.Dir(a.script), "log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	c := y.command("agent", "run", "--settings", a.script)
-	c.Stdout, c.Stderr = log, log
-	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if err := c.Start(); err != nil {
+	cmd := c.command("agent", "run", "--settings", a.script)
+	cmd.Stdout, cmd.Stderr = log, log
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	if err := cmd.Start(); err != nil {
 		return err
 	}
-	a.cmd, a.ended = c, make(chan struct{})
-	go func(ended chan struct{}) { c.Wait(); close(ended) }(a.ended)
+	a.cmd, a.ended = cmd, make(chan struct{})
+	go func(ended chan struct{}) { cmd.Wait(); close(ended) }(a.ended)
 	return nil
 }
 
 // SignalAgent sends a signal to an agent. One that is killed is waited for.
-func (y *Cluster) SignalAgent(i int, s syscall.Signal) {
-	a := y.agents[i]
+func (c *Cluster) SignalAgent(i int, s syscall.Signal) {
+	a := c.agents[i]
 	if a.cmd == nil {
 		return
 	}
@@ -347,8 +347,8 @@
 }
 
 // AgentPid is the process of an agent; 0: none runs.
-func (y *Cluster) AgentPid(i int) int {
-	a := y.agents[i]
+func (c *Cluster) AgentPid(i int) int {
+	a := c.agents[i]
 	if a.cmd == nil {
 		return 0
 	}
@@ -361,34 +361,34 @@
 }
 
 // WipeAgent loses the folder of an agent that does not run.
-func (y *Cluster) WipeAgent(i int) error { return os.RemoveAll(y.agents[i].folder) }
+func (c *Cluster) WipeAgent(i int) error { return os.RemoveAll(c.agents[i].folder) }
 
 // AgentNames are the agents, for links.
-func (y *Cluster) AgentNames() (list []string) {
-	for _, a := range y.agents {
+func (c *Cluster) AgentNames() (list []string) {
+	for _, a := range c.agents {
 		list = append(list, a.name)
 	}
 	return list
 }
 
 // View is how one agent sees the fleet: by its own means alone, or by way of the leader.
-func (y *Cluster) View(i int, own bool) (agent.View, error) {
-	ctx, cancel := context.WithDeadline(y.ctx, time.Now().Add(3*time.Second))
+func (c *Cluster) View(i int, own bool) (agent.View, error) {
+	ctx, cancel := context.WithDeadline(c.ctx, time.Now().Add(3*time.Second))
 	defer cancel()
 	if own {
-		return agent.FetchOwnView(ctx, y.agents[i].addr)
+		return agent.FetchOwnView(ctx, c.agents[i].addr)
 	}
-	return agent.FetchView(ctx, y.agents[i].addr)
+	return agent.FetchView(ctx, c.agents[i].addr)
 }
 
 // Leader is the number of the agent that leads, by the word of most; -1 while there is none.
-func (y *Cluster) Leader() int {
+func (c *Cluster) Leader() int {
 	terms := map[int]uint64{}
-	for i, a := range y.agents {
+	for i, a := range c.agents {
 		if a.cmd == nil {
 			continue
 		}
-		if v, err := y.View(i, true); err == nil && v.Quorum != nil && v.Quorum.Leads {
+		if v, err := c.View(i, true); err == nil && v.Quorum != nil && v.Quorum.Leads {
 			terms[i] = v.Quorum.Term
 		}
 	}
@@ -402,41 +402,41 @@
 }
 
 // Begin starts all agents, waits until all senders are known to serve, and lets the clients come.
-func (y *Cluster) Begin() error {
-	for i := range y.agents {
-		if err := y.StartAgent(i); err != nil {
+func (c *Cluster) Begin() error {
+	for i := range c.agents {
+		if err := c.StartAgent(i); err != nil {
 			return err
 		}
 	}
-	err := y.Await(60*time.Second, "all senders serve", func(v agent.View) bool {
+	err := c.Await(60*time.Second, "all senders serve", func(v agent.View) bool {
 		seen := 0
-		for _, name := range y.Names {
+		for _, name := range c.Names {
 			if s := v.Observations[name]; s.Serving && v.State.Members[name] != nil {
 				seen++
 			}
 		}
-		return seen == y.Senders && v.State.Terms.Budget.Fleet > 0
+		return seen == c.Senders && v.State.Terms.Budget.Fleet > 0
 	})
 	if err != nil {
 		return err
 	}
-	y.Poll.begin()
-	y.World.Begin()
-	if y.Rate > 0 {
-		y.handing.Go(y.Clients.Run)
+	c.Poll.begin()
+	c.World.Begin()
+	if c.Rate > 0 {
+		c.clientsRunning.Go(c.Clients.Run)
 	}
 	return nil
 }
 
 // Await looks at the fleet by way of any agent until it is as wanted.
-func (y *Cluster) Await(span time.Duration, what string, so func(v agent.View) bool) error {
+func (c *Cluster) Await(span time.Duration, what string, so func(v agent.View) bool) error {
 	var last agent.View
 	for until := time.Now().Add(span); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		for i := range y.agents {
-			if y.agents[i].cmd == nil {
+		for i := range c.agents {
+			if c.agents[i].cmd == nil {
 				continue
 			}
-			v, err := y.View(i, false)
+			v, err := c.View(i, false)
 			if err != nil || v.Quorum == nil || !v.Quorum.Leads {
 				continue
 			}
@@ -444,8 +444,8 @@
 				return nil
 			}
 		}
-		if y.ctx.Err() != nil {
-			return y.ctx.Err()
+		if c.ctx.Err() != nil {
+			return c.ctx.Err()
 		}
 	}
 	text, _ := json.Marshal(last)
@@ -453,8 +453,8 @@
 }
 
 // AwaitPlan waits until a plan is in one of some phases, and returns it.
-func (y *Cluster) AwaitPlan(span time.Duration, id uint64, phases ...rollout.Phase) (p *rollout.Plan, err error) {
-	err = y.Await(span, fmt.Sprintf("plan %d is %v", id, phases), func(v agent.View) bool {
+func (c *Cluster) AwaitPlan(span time.Duration, id uint64, phases ...rollout.Phase) (p *rollout.Plan, err error) {
+	err = c.Await(span, fmt.Sprintf("plan %d is %v", id, phases), func(v agent.View) bool {
 		p = v.State.Plan(id)
 		return p != nil && slices.Contains(phases, p.Phase)
 	})
@@ -462,34 +462,34 @@
 }
 
 // Order has something done by way of an agent; a refusal is an error.
-func (y *Cluster) Order(i int, c rollout.Command) (uint64, error) {
-	r, err := y.order(i, c)
+func (c *Cluster) Order(i int, command rollout.Command) (uint64, error) {
+	r, err := c.sendOrder(i, command)
 	if err == nil && r.Text != "" {
 		err = fmt.Errorf("%s: %s", r.Kind, r.Text)
 	}
 	return r.Index, err
 }
 
-func (y *Cluster) order(i int, c rollout.Command) (agent.Result, error) {
-	ctx, cancel := context.WithDeadline(y.ctx, time.Now().Add(20*time.Second))
+func (c *Cluster) sendOrder(i int, command rollout.Command) (agent.Result, error) {
+	ctx, cancel := context.WithDeadline(c.ctx, time.Now().Add(20*time.Second))
 	defer cancel()
-	if c.By == "" {
-		c.By = "yard"
+	if command.By == "" {
+		command.By = "yard"
 	}
-	if c.Reason == "" {
-		c.Reason = "a test"
+	if command.Reason == "" {
+		command.Reason = "a test"
 	}
-	return agent.SendCommand(ctx, y.agents[i].addr, agent.Call{Command: c})
+	return agent.SendCommand(ctx, c.agents[i].addr, agent.Call{Command: command})
 }
 
 // OrderAny asks one agent after the other, as staff's tool does, for as long as nobody takes the order: one that was killed may not
 // listen again yet, and no agent may lead. An order that may have been taken is not given twice.
-func (y *Cluster) OrderAny(c rollout.Command) (uint64, error) {
+func (c *Cluster) OrderAny(command rollout.Command) (uint64, error) {
 	var r agent.Result
 	var err error
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		for i := range y.agents {
-			r, err = y.order(i, c)
+		for i := range c.agents {
+			r, err = c.sendOrder(i, command)
 			var dial *net.OpError
 			switch {
 			case errors.As(err, &dial) && dial.Op == "dial", err == nil && r.Kind == agent.KindNoMajority:
@@ -504,10 +504,10 @@
 }
 
 // Pid is that of the process which serves for a sender; 0: nobody answers.
-func (y *Cluster) Pid(i int) int {
-	for _, addr := range y.senders[i].admin {
-		c := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-		r, err := c.Get("http://" + addr + "/v1/sender/status")
+func (c *Cluster) Pid(i int) int {
+	for _, addr := range c.senders[i].admin {
+		client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+		r, err := client.Get("http://" + addr + "/v1/sender/status")
 		if err != nil {
 			continue
 		}
@@ -525,15 +525,15 @@
 }
 
 // Admin are the second addresses of a sender.
-func (y *Cluster) Admin(i int) []string { return y.senders[i].admin[:] }
+func (c *Cluster) Admin(i int) []string { return c.senders[i].admin[:] }
 
 // Config is its configuration file.
-func (y *Cluster) Config(i int) string { return y.senders[i].config }
+func (c *Cluster) Config(i int) string { return c.senders[i].config }
 
 // LastPid is that of a process of a sender which may not answer; 0: none is there.
-func (y *Cluster) LastPid(i int) int {
-	for pid, config := range y.processes() {
-		if config == y.senders[i].config {
+func (c *Cluster) LastPid(i int) int {
+	for pid, config := range c.processes() {
+		if config == c.senders[i].config {
 			return pid
 		}
 	}
@@ -541,29 +541,29 @@
 }
 
 // Replace ends a sender's process and starts another in its place, as somebody would who does not know of its agent.
-func (y *Cluster) Replace(i int) error {
-	pid := y.LastPid(i)
+func (c *Cluster) Replace(i int) error {
+	pid := c.LastPid(i)
 	env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
 		return err
 	}
-	y.Poll.did(i, syscall.SIGKILL)
+	c.Poll.recordSignal(i, syscall.SIGKILL)
 	syscall.Kill(pid, syscall.SIGKILL)
-	c := y.command("serve")
-	c.Env = strings.Split(strings.TrimRight(string(env), "\x00"), "\x00")
-	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	if err := c.Start(); err != nil {
+	cmd := c.command("serve")
+	cmd.Env = strings.Split(strings.TrimRight(string(env), "\x00"), "\x00")
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	if err := cmd.Start(); err != nil {
 		return err
 	}
-	go c.Wait()
+	go cmd.Wait()
 	return nil
 }
 
 // SignalSender sends a signal to the process that serves for a sender.
-func (y *Cluster) SignalSender(i int, s syscall.Signal) bool {
-	pid := y.Pid(i)
+func (c *Cluster) SignalSender(i int, s syscall.Signal) bool {
+	pid := c.Pid(i)
 	if pid > 0 {
-		y.Poll.did(i, s)
+		c.Poll.recordSignal(i, s)
 		syscall.Kill(pid, s)
 	}
 	return pid > 0
@@ -579,49 +579,49 @@
 }
 
 // Finish ends the traffic, waits for what is owed, and judges.
-func (y *Cluster) Finish() Report {
-	y.Clients.Stop()
-	y.handing.Wait()
-	for until := time.Now().Add(40 * time.Second); time.Now().Before(until) && (y.World.Open() > 0 || !y.Clients.Idle()); {
+func (c *Cluster) Finish() Report {
+	c.Clients.Stop()
+	c.clientsRunning.Wait()
+	for until := time.Now().Add(40 * time.Second); time.Now().Before(until) && (c.World.Open() > 0 || !c.Clients.Idle()); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	y.Poll.stop()
-	r := Report{Clients: y.Clients.Stats()}
-	r.OverBudget, r.Orders, r.MaxOut = y.Poll.judge()
-	r.Result = y.World.Close()
+	c.Poll.stop()
+	r := Report{Clients: c.Clients.Stats()}
+	r.OverBudget, r.Orders, r.MaxOut = c.Poll.evaluate()
+	r.Result = c.World.Close()
 	return r
 }
 
 // Close ends all processes of the yard.
-func (y *Cluster) Close() {
-	y.Poll.stop()
-	for i := range y.agents {
-		y.SignalAgent(i, syscall.SIGCONT)
-		y.SignalAgent(i, syscall.SIGKILL)
-	}
-	if len(y.blocks) > 0 {
-		for pid := range y.processes() {
+func (c *Cluster) Close() {
+	c.Poll.stop()
+	for i := range c.agents {
+		c.SignalAgent(i, syscall.SIGCONT)
+		c.SignalAgent(i, syscall.SIGKILL)
+	}
+	if len(c.blocks) > 0 {
+		for pid := range c.processes() {
 			syscall.Kill(pid, syscall.SIGKILL)
 		}
 	}
-	y.end()
-	if y.Clients != nil {
-		y.Clients.Close()
+	c.cancel()
+	if c.Clients != nil {
+		c.Clients.Close()
 	}
-	if y.World != nil {
-		y.World.Close()
+	if c.World != nil {
+		c.World.Close()
 	}
-	y.Net.Close()
-	if len(y.blocks) > 0 {
-		os.RemoveAll(y.temp())
+	c.Net.Close()
+	if len(c.blocks) > 0 {
+		os.RemoveAll(c.tempDir())
 	}
-	for _, b := range y.blocks {
+	for _, b := range c.blocks {
 		b.Close()
 	}
 }
 
 // processes are the configurations of the yard's senders by their pids, as their environment says.
-func (y *Cluster) processes() map[int]string {
+func (c *Cluster) processes() map[int]string {
 	pids := map[int]string{}
 	dirs, _ := filepath.Glob("/proc/[0-9]*")
 	for _, d := range dirs {
@@ -630,7 +630,7 @@
 			continue
 		}
 		for word := range strings.SplitSeq(string(env), "\x00") {
-			if config, is := strings.CutPrefix(word, "LB_CONFIG="); is && strings.HasPrefix(config, y.Folder+"/") {
+			if config, is := strings.CutPrefix(word, "LB_CONFIG="); is && strings.HasPrefix(config, c.Folder+"/") {
 				var pid int
 				fmt.Sscanf(filepath.Base(d), "%d", &pid)
 				pids[pid] = config
@@ -641,9 +641,9 @@
 }
 
 // Logs copies the end of each log, for a failure's report.
-func (y *Cluster) Logs(out io.Writer) {
+func (c *Cluster) Logs(out io.Writer) {
 	for _, pattern := range []string{"a*/log", "a*/state/*.log"} {
-		files, _ := filepath.Glob(filepath.Join(y.Folder, pattern))
+		files, _ := filepath.Glob(filepath.Join(c.Folder, pattern))
 		for _, f := range files {
 			text, _ := os.ReadFile(f)
 			fmt.Fprintf(out, "== %s\n%s\n", f, text[max(0, len(text)-2500):])
