--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -117,17 +117,17 @@
 	switch {
 	case l.state == stateUnresponsive:
 		p.cluster.Clients.SetDown(l.sender, true)
-		p.cluster.World.Record(audit.Event{Kind: audit.Died, Sender: l.sender})
+		p.cluster.Environment.Record(audit.Event{Kind: audit.Died, Sender: l.sender})
 	case was == stateUnresponsive:
 		p.cluster.Clients.SetDown(l.sender, false)
-		p.cluster.World.Record(audit.Event{Kind: audit.Ready, Sender: l.sender})
+		p.cluster.Environment.Record(audit.Event{Kind: audit.Ready, Sender: l.sender})
 	}
 }
 
 // recordSignal tells of a signal that the yard itself sent to a sender, for which nobody's order is to blame.
 func (p *Poll) recordSignal(sender int, s syscall.Signal) {
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		p.cluster.World.Record(audit.Event{Kind: audit.Died, Sender: sender})
+		p.cluster.Environment.Record(audit.Event{Kind: audit.Died, Sender: sender})
 	}
 }
 
