--- a/internal/cluster/agents.go
+++ b/internal/cluster/agents.go
@@ -11,29 +11,37 @@
 	"time"
 )
 
+// An agentProcess is an agent and the process that runs it.
 type agentProcess struct {
-	name, script, addr, folder string
-	cmd                        *exec.Cmd
-	ended                      chan struct{}
+	name   string
+	script string // path of its settings
+	addr   string
+	folder string        // of its state
+	cmd    *exec.Cmd     // nil: none runs
+	ended  chan struct{} // closed when cmd has ended
 }
 
-// commandTimeout is how long a command of staff may take: one that watches a plan which never ends must not hang a test.
+// commandTimeout is how long a command of staff may take: one that watches a plan which never ends must not hang a
+// test.
 const commandTimeout = 60 * time.Second
 
-// command is one of the program. Its folder for temporary files is the yard's own: desks stand there.
+// command is a command of the program. Its folder for temporary files is the cluster's own, since hand-over sockets are
+// made there.
 func (c *Cluster) command(args ...string) *exec.Cmd {
 	cmd := exec.Command(c.Program, args...)
 	cmd.Env = append(append(os.Environ(), c.Env...), "TMPDIR="+c.tempDir())
 	return cmd
 }
 
+// tempDir is the cluster's folder for temporary files; its path is short, as socket paths must be.
 func (c *Cluster) tempDir() string {
 	dir := filepath.Join(os.TempDir(), fmt.Sprintf("cy-%d-%s", os.Getpid(), c.blocks[0].Host(0)))
 	os.MkdirAll(dir, 0o700)
 	return dir
 }
 
-// RunCommand runs the program as staff do, with the addresses of agents; none named: all of them.
+// RunCommand runs the fleet command as staff do, with the addresses of some agents; nil: of all. It returns the
+// output and the exit code; -1 if the command could not run.
 func (c *Cluster) RunCommand(agents []int, args ...string) (string, int) {
 	if agents == nil {
 		for i := range c.agents {
@@ -45,20 +53,20 @@
 		list = append(list, c.agents[i].addr)
 	}
 	cmd := c.command(append([]string{"fleet", "--agent", strings.Join(list, ",")}, args...)...)
-	late := time.AfterFunc(commandTimeout, func() { cmd.Process.Kill() })
+	timeout := time.AfterFunc(commandTimeout, func() { cmd.Process.Kill() })
 	out, err := cmd.CombinedOutput()
-	late.Stop()
-	code := 0
-	var e *exec.ExitError
-	if errors.As(err, &e) {
-		code = e.ExitCode()
-	} else if err != nil {
+	timeout.Stop()
+	var exit *exec.ExitError
+	switch {
+	case errors.As(err, &exit):
+		return string(out), exit.ExitCode()
+	case err != nil:
 		return err.Error(), -1
 	}
-	return string(out), code
+	return string(out), 0
 }
 
-// StartAgent starts one that does not run.
+// StartAgent starts the process of an agent that does not run.
 func (c *Cluster) StartAgent(i int) error {
 	a := c.agents[i]
 	log, err := os.OpenFile(filepath.Join(filepath.Dir(a.script), "log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
@@ -77,7 +85,7 @@
 	return nil
 }
 
-// SignalAgent sends a signal to an agent. One that is killed is waited for.
+// SignalAgent sends a signal to an agent, if it runs. After SIGKILL and SIGTERM it waits until the process has ended.
 func (c *Cluster) SignalAgent(i int, s syscall.Signal) {
 	a := c.agents[i]
 	if a.cmd == nil {
@@ -90,7 +98,7 @@
 	}
 }
 
-// AgentPid is the process of an agent; 0: none runs.
+// AgentPid returns the process id of an agent; 0 if none runs.
 func (c *Cluster) AgentPid(i int) int {
 	a := c.agents[i]
 	if a.cmd == nil {
@@ -104,10 +112,10 @@
 	}
 }
 
-// WipeAgent loses the folder of an agent that does not run.
+// WipeAgent removes the state of an agent that does not run.
 func (c *Cluster) WipeAgent(i int) error { return os.RemoveAll(c.agents[i].folder) }
 
-// AgentNames are the agents, for links.
+// AgentNames returns the names of the agents, as links know them.
 func (c *Cluster) AgentNames() (list []string) {
 	for _, a := range c.agents {
 		list = append(list, a.name)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,6 +1,3 @@
-// Package cluster plays a fleet on one machine: senders and agents as processes of the program, each with loopback
-// addresses of its own, links between them that can fail, partners and clients of the rig, and an auditor that
-// judges by what it sees from outside.
 package cluster
 
 import (
@@ -20,70 +17,78 @@
 	"cleathold/internal/simulation"
 )
 
-// Setup is what a yard is made from.
+const (
+	defaultLength  = 10 * time.Minute // longer than a test; Finish ends the traffic
+	serveTimeout   = 60 * time.Second // from the start of the agents until all senders serve
+	outcomeTimeout = 40 * time.Second // from the last submission until all messages have an outcome
+	finishInterval = 20 * time.Millisecond
+)
+
+// Setup is what a cluster is made from.
 type Setup struct {
 	Program string   // of senders and agents
-	Env     []string // more of the environment of both
+	Env     []string // added to the environment of both
 	Folder  string
 	Senders int
 	Agents  int
-	Rate    float64 // messages a second over all senders; 0 = none come
-	Length  time.Duration
+	Rate    float64       // messages a second over all senders; 0 = none come
+	Length  time.Duration // of the traffic; 0 = until Finish
 	Seed    uint64
 	Terms   rollout.Terms
-	Restart bool           // versions change by a restart
-	Script  string         // more of the scenario: what ails the partners
-	Plan    *scenario.Plan // played in the place of a calm day; Rate and Script are its own then
-	Links   bool           // clients, discovery and each agent reach senders by links, too
-	Log     *slog.Logger
+	Restart bool           // versions change by a restart, not by a hand-over
+	Script  string         // added to the scenario, such as faults of endpoints
+	Plan    *scenario.Plan // played in place of the calm scenario; Rate and Script do not count then
+	Links   bool           // clients, discovery and each agent reach senders by links, too; agents always reach one another by links
+	Log     *slog.Logger   // nil: nothing is logged
 }
 
-// Cluster is a fleet that runs.
+// Cluster is a fleet that runs: its senders are known by their numbers, its agents by theirs.
 type Cluster struct {
 	Setup
-	Net            *netfault.Net
+	Net         *netfault.Net
+	Environment *harness.Environment
+	Clients     *harness.Clients
+	Poll        *Poll
+	Names       []string // of the senders
+
 	blocks         []*netfault.Block
-	Environment    *harness.Environment
 	plan           *scenario.Plan
-	Clients        *harness.Clients
-	Poll           *Poll
-	Names          []string // of the senders
 	agents         []*agentProcess
 	senders        []senderAddresses
 	clientsRunning sync.WaitGroup
-	mu             sync.Mutex
-	lastCalls      map[string]time.Time // the latest call that each endpoint saw
-	requested      int                  // messages that clients wanted delivered
-	executed       int                  // that took effect
 	ctx            context.Context
 	cancel         context.CancelFunc
+
+	mu        sync.Mutex
+	lastCalls map[string]time.Time // by endpoint
+	requested int                  // messages that clients requested
+	executed  int                  // of them, messages that took effect
 }
 
-// Building is where a sender stands.
+// Building returns the building, or zone, of a sender.
 func (c *Cluster) Building(i int) string {
 	zones := c.plan.Scenario.Zones
 	return zones[i%len(zones)]
 }
 
-// New prepares a yard: folders, links, partners. Nothing of the program runs yet.
+// New prepares a cluster: folders, links and endpoints. No process runs yet. The caller closes it.
 func New(ctx context.Context, s Setup) (*Cluster, error) {
 	if s.Length == 0 {
-		s.Length = 10 * time.Minute // Finish ends the traffic
+		s.Length = defaultLength
 	}
 	if s.Log == nil {
 		s.Log = slog.New(slog.DiscardHandler)
 	}
-	y := &Cluster{Setup: s, Net: netfault.New(s.Seed), lastCalls: map[string]time.Time{}}
-	y.ctx, y.cancel = context.WithCancel(ctx)
-	err := y.prepare()
-	if err != nil {
-		y.Close()
+	c := &Cluster{Setup: s, Net: netfault.New(s.Seed), lastCalls: map[string]time.Time{}}
+	c.ctx, c.cancel = context.WithCancel(ctx)
+	if err := c.prepare(); err != nil {
+		c.Close()
 		return nil, err
 	}
-	return y, nil
+	return c, nil
 }
 
-// recordEvent notes what partners see.
+// recordEvent counts messages and calls. It is the sink of the environment's events.
 func (c *Cluster) recordEvent(e audit.Event) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,35 +103,35 @@
 	return nil
 }
 
-// deliveryCounts counts messages that clients wanted, and those that took effect.
-func (c *Cluster) deliveryCounts() (wanted, came int) {
+// deliveryCounts returns how many messages clients requested, and how many of them took effect.
+func (c *Cluster) deliveryCounts() (requested, executed int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requested, c.executed
 }
 
-// LastCall is when an endpoint saw a call last.
+// LastCall returns when the latest call came to an endpoint; zero if none came.
 func (c *Cluster) LastCall(endpoint string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastCalls[endpoint]
 }
 
-// Begin starts all agents, waits until all senders are known to serve, and lets the clients come.
+// Begin starts all agents, waits until they know that all senders serve, and starts the clients.
 func (c *Cluster) Begin() error {
 	for i := range c.agents {
 		if err := c.StartAgent(i); err != nil {
 			return err
 		}
 	}
-	err := c.Await(60*time.Second, "all senders serve", func(v agent.View) bool {
-		seen := 0
+	err := c.Await(serveTimeout, "all senders serve", func(v agent.View) bool {
+		serving := 0
 		for _, name := range c.Names {
 			if s := v.Observations[name]; s.Serving && v.State.Members[name] != nil {
-				seen++
+				serving++
 			}
 		}
-		return seen == c.Senders && v.State.Terms.Budget.Fleet > 0
+		return serving == c.Senders && v.State.Terms.Budget.Fleet > 0
 	})
 	if err != nil {
 		return err
@@ -139,7 +144,7 @@
 	return nil
 }
 
-// Report is what a yard showed in the end.
+// Report is what a cluster showed in the end.
 type Report struct {
 	simulation.Result
 	OverBudget []BudgetExceeded // instants at which an order took one out too many
@@ -148,12 +153,13 @@
 	MaxOut     int // senders out by order at once
 }
 
-// Finish ends the traffic, waits for what is owed, and judges.
+// Finish ends the traffic, waits until all messages have an outcome, and judges what was seen.
 func (c *Cluster) Finish() Report {
 	c.Clients.Stop()
 	c.clientsRunning.Wait()
-	for until := time.Now().Add(40 * time.Second); time.Now().Before(until) && (c.Environment.Open() > 0 || !c.Clients.Idle()); {
-		time.Sleep(20 * time.Millisecond)
+	deadline := time.Now().Add(outcomeTimeout)
+	for time.Now().Before(deadline) && (c.Environment.Open() > 0 || !c.Clients.Idle()) {
+		time.Sleep(finishInterval)
 	}
 	c.Poll.stop()
 	r := Report{Clients: c.Clients.Stats()}
@@ -162,7 +168,7 @@
 	return r
 }
 
-// Close ends all processes of the yard.
+// Close ends all processes of the cluster, its links and its environment, and removes its temporary files.
 func (c *Cluster) Close() {
 	c.Poll.stop()
 	for i := range c.agents {
--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -14,23 +14,53 @@
 	"cleathold/internal/scenario"
 )
 
-// Action is one thing that befalls a fleet, or that staff order, in a campaign.
+// An ActionKind is what an Action does.
+type ActionKind string
+
+// The kinds of actions. Their words stand in history files. In a scenario's plan the actions on agents and senders
+// have the words of the scenario, to which FromPlan adds whom they hit.
+const (
+	DrainOrder    ActionKind = "drain"
+	ReleaseOrder  ActionKind = "release"
+	HaltOrder     ActionKind = "halt"
+	RollBackOrder ActionKind = "back"
+	ResumeOrder   ActionKind = "resume"
+
+	KillAgent ActionKind = "kill agent"
+	WipeAgent ActionKind = "wipe agent"
+	StopAgent ActionKind = "stop agent"
+
+	KillSender        ActionKind = "kill sender"
+	TermSender        ActionKind = "term sender"
+	HupSender         ActionKind = "hup sender"
+	WipeSender        ActionKind = "wipe sender"
+	ReconfigureSender ActionKind = "retune sender"
+	StopSender        ActionKind = "stop sender"
+
+	PartitionAgent ActionKind = "part agent"      // from all other agents
+	AgentLink      ActionKind = "one way"         // from one agent to another
+	SenderToAgent  ActionKind = "agent's way"     // a sender's links to and from its agent
+	ClientsLink    ActionKind = "clients' way"    // a sender's links to and from clients
+	DiscoveryLink  ActionKind = "discovery's way" // a sender's links to and from discovery
+)
+
+// Action is one fault of a campaign, or one order of staff.
 type Action struct {
-	At     time.Duration  `json:"at"`
-	Kind   string         `json:"what"` // see do
+	At     time.Duration  `json:"at"` // from the start
+	Kind   ActionKind     `json:"what"`
 	Agent  int            `json:"agent,omitempty"`
-	Other  int            `json:"other,omitempty"`
+	Other  int            `json:"other,omitempty"` // agent, of an AgentLink
 	Sender int            `json:"sender,omitempty"`
-	Of     []string       `json:"of,omitempty"`
-	For    time.Duration  `json:"for,omitempty"`
+	Of     []string       `json:"of,omitempty"`  // senders that are drained or released
+	For    time.Duration  `json:"for,omitempty"` // how long a fault lasts, or a drain holds
 	State  netfault.State `json:"state,omitzero"`
-	Good   bool           `json:"good,omitempty"`
-	Back   bool           `json:"back,omitempty"`
+	Good   bool           `json:"good,omitempty"` // a release of a program that works
+	Back   bool           `json:"back,omitempty"` // a release that rolls back when it fails
 
-	planned scenario.PlannedAction // of a scenario
+	planned scenario.PlannedAction // that FromPlan made the action from
 }
 
-// History is a campaign's script for one seed, and what came of it. As a file it plays again.
+// History is the script of a campaign for one seed, and what came of it. As a file it can be played again.
 type History struct {
 	Seed    uint64         `json:"seed"`
 	Senders int            `json:"senders"`
@@ -39,86 +69,136 @@
 	Budget  rollout.Budget `json:"Budget"`
 	Lease   time.Duration  `json:"lease,omitempty"` // 0 = 3 s
 	Actions []Action       `json:"deeds"`
-	Faults  []string       `json:"faults,omitempty"` // what was broken
+	Faults  []string       `json:"faults,omitempty"` // rules and budgets that were broken
 	Orders  int            `json:"orders"`           // times that a sender went out by order, as seen from outside
-	MaxOut  int            `json:"most"`             // out by order at once
+	MaxOut  int            `json:"most"`             // senders out by order at once
 	Plans   []string       `json:"plans,omitempty"`
 	Served  float64        `json:"served"`
 }
 
-// Draw draws a history: drains and releases, and faults beside them until its length is over.
+// Draw draws a history: orders of staff, and faults beside them, until its length is over. The same arguments give
+// the same history, in every version, so the order of the draws must not change.
 func Draw(seed uint64, senders, agents int, length time.Duration) *History {
-	rng := rand.New(rand.NewPCG(seed, 77))
-	h := &History{Seed: seed, Senders: senders, Agents: agents, Length: length, Budget: rollout.Budget{Fleet: 1 + rng.IntN(3)}}
-	if rng.IntN(2) == 0 {
-		h.Budget.Building = max(1, h.Budget.Fleet-1)
+	d := &drawer{
+		rng: rand.New(rand.NewPCG(seed, 77)),
+		h:   &History{Seed: seed, Senders: senders, Agents: agents, Length: length},
 	}
-	span := func(from, to time.Duration) time.Duration { return from + time.Duration(rng.Int64N(int64(to-from))) }
-	add := func(d Action) {
-		d.At = min(d.At, length)
-		h.Actions = append(h.Actions, d)
+	d.h.Budget.Fleet = 1 + d.rng.IntN(3)
+	if d.rng.IntN(2) == 0 {
+		d.h.Budget.Building = max(1, d.h.Budget.Fleet-1)
 	}
-	for at := span(0, time.Second); at < length; at += span(length/15, length/6) {
-		d := Action{At: at, Kind: "drain", Agent: rng.IntN(agents), For: span(100*time.Millisecond, 900*time.Millisecond)}
-		for _, i := range rng.Perm(senders)[:1+rng.IntN(max(1, senders/3))] {
-			d.Of = append(d.Of, fmt.Sprint("n", i))
+	d.drawOrders()
+	d.drawFaults()
+	sortActions(d.h.Actions)
+	return d.h
+}
+
+func sortActions(actions []Action) {
+	slices.SortStableFunc(actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
+}
+
+// A drawer draws the actions of a history.
+type drawer struct {
+	rng *rand.Rand
+	h   *History
+}
+
+func (d *drawer) between(from, to time.Duration) time.Duration {
+	return from + time.Duration(d.rng.Int64N(int64(to-from)))
+}
+
+func (d *drawer) add(a Action) {
+	a.At = min(a.At, d.h.Length)
+	d.h.Actions = append(d.h.Actions, a)
+}
+
+// drawOrders draws drains and releases, and orders that steer them.
+func (d *drawer) drawOrders() {
+	h, rng := d.h, d.rng
+	for at := d.between(0, time.Second); at < h.Length; at += d.between(h.Length/15, h.Length/6) {
+		a := Action{
+			At: at, Kind: DrainOrder, Agent: rng.IntN(h.Agents),
+			For: d.between(100*time.Millisecond, 900*time.Millisecond),
+		}
+		for _, i := range rng.Perm(h.Senders)[:1+rng.IntN(max(1, h.Senders/3))] {
+			a.Of = append(a.Of, fmt.Sprint("n", i))
 		}
 		if rng.IntN(3) == 0 {
-			d.Kind, d.Good, d.Back = "release", rng.IntN(3) > 0, rng.IntN(2) == 0
+			a.Kind, a.Good, a.Back = ReleaseOrder, rng.IntN(3) > 0, rng.IntN(2) == 0
 		}
-		add(d)
+		d.add(a)
 		if rng.IntN(4) == 0 {
-			add(Action{At: at + span(0, 2*time.Second), Kind: []string{"halt", "back", "resume"}[rng.IntN(3)], Agent: rng.IntN(agents)})
+			d.add(Action{
+				At:    at + d.between(0, 2*time.Second),
+				Kind:  []ActionKind{HaltOrder, RollBackOrder, ResumeOrder}[rng.IntN(3)],
+				Agent: rng.IntN(h.Agents),
+			})
 		}
 	}
-	for at := span(500*time.Millisecond, 2*time.Second); at < length; at += span(300*time.Millisecond, 1500*time.Millisecond) {
-		d := Action{At: at, Agent: rng.IntN(agents), Other: rng.IntN(agents), Sender: rng.IntN(senders), For: span(300*time.Millisecond, 5*time.Second)}
+}
+
+// drawFaults draws faults of processes and links.
+func (d *drawer) drawFaults() {
+	const minGap, maxGap = 300 * time.Millisecond, 1500 * time.Millisecond
+	h, rng := d.h, d.rng
+	cut, silent := netfault.State{Cut: true}, netfault.State{Silent: true}
+	slow := netfault.State{Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond}
+	lossy := slow
+	lossy.Loss = 0.3
+	for at := d.between(500*time.Millisecond, 2*time.Second); at < h.Length; at += d.between(minGap, maxGap) {
+		a := Action{
+			At: at, Agent: rng.IntN(h.Agents), Other: rng.IntN(h.Agents), Sender: rng.IntN(h.Senders),
+			For: d.between(300*time.Millisecond, 5*time.Second),
+		}
 		switch n := rng.IntN(13); {
 		case n < 2:
-			d.Kind = "kill agent"
+			a.Kind = KillAgent
 		case n < 4:
-			d.Kind = "stop agent"
+			a.Kind = StopAgent
 		case n < 5:
-			d.Kind = "kill sender"
+			a.Kind = KillSender
 		case n < 6:
-			d.Kind = "stop sender"
+			a.Kind = StopSender
 		case n < 8:
-			d.Kind = "part agent"
-			d.State = []netfault.State{{Cut: true}, {Silent: true}}[rng.IntN(2)]
+			a.Kind, a.State = PartitionAgent, []netfault.State{cut, silent}[rng.IntN(2)]
 		case n < 10:
-			d.Kind = "one way"
-			d.State = []netfault.State{{Silent: true}, {Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond, Loss: 0.3}}[rng.IntN(2)]
-		default: // a sender's ways to its agent, to clients or to discovery
-			d.Kind = []string{"agent's way", "clients' way", "discovery's way"}[n-10]
-			d.State = []netfault.State{{Cut: true}, {Silent: true}, {Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond}}[rng.IntN(3)]
+			a.Kind, a.State = AgentLink, []netfault.State{silent, lossy}[rng.IntN(2)]
+		default:
+			a.Kind = []ActionKind{SenderToAgent, ClientsLink, DiscoveryLink}[n-10]
+			a.State = []netfault.State{cut, silent, slow}[rng.IntN(3)]
 		}
-		add(d)
+		d.add(a)
 	}
-	slices.SortStableFunc(h.Actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
-	return h
 }
 
-// FromPlan is the history of a scenario's plan: its agents, and what befalls processes. What fails of ways is the plan's own.
+// FromPlan returns the history of a scenario's plan: its agents, its orders and the faults of processes. The links
+// follow the plan itself.
 func FromPlan(p *scenario.Plan) *History {
-	a := p.Scenario.Agents
+	agents := p.Scenario.Agents
 	h := &History{
-		Seed: p.Seed, Senders: p.Scenario.Senders, Agents: a.Number, Length: p.Scenario.Length,
-		Budget: rollout.Budget{Fleet: a.Fleet, Building: a.Building, Serving: a.Serving}, Lease: a.Lease,
+		Seed: p.Seed, Senders: p.Scenario.Senders, Agents: agents.Number, Length: p.Scenario.Length, Lease: agents.Lease,
+		Budget: rollout.Budget{Fleet: agents.Fleet, Building: agents.Building, Serving: agents.Serving},
 	}
-	for _, d := range p.AgentActions {
-		h.Actions = append(h.Actions, Action{At: d.At, Kind: d.What + " agent", Agent: d.Agent, For: d.Until - d.At})
+	for _, a := range p.AgentActions {
+		h.Actions = append(h.Actions, Action{
+			At: a.At, Kind: ActionKind(a.What + " agent"), Agent: a.Agent, For: a.Until - a.At,
+		})
 	}
 	for _, o := range p.Orders {
-		h.Actions = append(h.Actions, Action{At: o.At, Kind: o.What, Agent: o.Agent, Of: o.Of, For: o.Hold, Good: !o.Bad, Back: o.GoBack})
+		h.Actions = append(h.Actions, Action{
+			At: o.At, Kind: ActionKind(o.What), Agent: o.Agent, Of: o.Of, For: o.Hold, Good: !o.Bad, Back: o.GoBack,
+		})
 	}
-	for _, d := range p.Actions {
-		h.Actions = append(h.Actions, Action{At: d.At, Kind: d.What + " sender", Sender: d.Sender, For: max(0, d.Until-d.At), planned: d})
+	for _, a := range p.Actions {
+		h.Actions = append(h.Actions, Action{
+			At: a.At, Kind: ActionKind(a.What + " sender"), Sender: a.Sender, For: max(0, a.Until-a.At), planned: a,
+		})
 	}
-	slices.SortStableFunc(h.Actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
+	sortActions(h.Actions)
 	return h
 }
 
-// Save writes a history as a file that plays again.
+// Save writes a history as a file that can be played again.
 func (h *History) Save(path string) error {
 	text, err := json.MarshalIndent(h, "", " ")
 	if err == nil {
@@ -127,7 +207,7 @@
 	return err
 }
 
-// LoadHistory reads one.
+// LoadHistory reads a file that Save wrote.
 func LoadHistory(path string) (*History, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -3,11 +3,11 @@
 import (
 	"cmp"
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"syscall"
 	"time"
 
@@ -19,217 +19,289 @@
 	"cleathold/internal/scenario"
 )
 
+// settleTimeout is how long a fleet may take to serve again after the last action.
+const settleTimeout = 60 * time.Second
+
 // Play plays a history with processes, and enters what it showed.
 func (h *History) Play(ctx context.Context, s Setup) error {
 	s.Senders, s.Agents, s.Seed, s.Links = h.Senders, h.Agents, h.Seed, true
 	s.Terms = rollout.DefaultTerms
 	s.Terms.Budget, s.Terms.Timing.Lease = h.Budget, cmp.Or(h.Lease, 3*time.Second)
-	y, err := New(ctx, s)
+	c, err := New(ctx, s)
 	if err != nil {
 		return err
 	}
-	defer y.Close()
-	if err := y.Begin(); err != nil {
+	defer c.Close()
+	if err := c.Begin(); err != nil {
 		return err
 	}
 	good, bad, err := writePrograms(s)
 	if err != nil {
 		return err
 	}
-	x := &player{cluster: y, history: h, good: good, bad: bad, agentBusyUntil: make([]time.Time, h.Agents), senderBusyUntil: make([]time.Time, h.Senders)}
-	begun := time.Now()
-	undo := []scheduledUndo{}
-	for _, d := range h.Actions {
-		for len(undo) > 0 && undo[0].at.Before(begun.Add(d.At)) {
-			time.Sleep(time.Until(undo[0].at))
-			undo[0].do()
-			undo = undo[1:]
+	p := &player{
+		cluster: c, history: h, good: good, bad: bad,
+		agentBusyUntil: make([]time.Time, h.Agents), senderBusyUntil: make([]time.Time, h.Senders),
+	}
+	if err := p.playActions(ctx); err != nil {
+		return err
+	}
+	c.Net.Heal()
+	h.Faults, h.Plans = nil, nil
+	if err := p.awaitSettled(); err != nil {
+		h.Faults = append(h.Faults, err.Error())
+	}
+	p.recordResult()
+	return nil
+}
+
+// writePrograms writes a version that is like the one before, and one that ends at its start.
+func writePrograms(s Setup) (good, bad string, err error) {
+	good, bad = filepath.Join(s.Folder, "good"), filepath.Join(s.Folder, "bad")
+	err = os.WriteFile(good, fmt.Appendf(nil, "#!/bin/sh\nexec %s \"$@\"\n", s.Program), 0o700)
+	if err == nil {
+		text := fmt.Appendf(nil, "#!/bin/sh\n[ \"$1\" = serve ] && exit 3\nexec %s \"$@\"\n", s.Program)
+		err = os.WriteFile(bad, text, 0o700)
+	}
+	return good, bad, err
+}
+
+// A player carries out the actions of a history.
+type player struct {
+	cluster         *Cluster
+	history         *History
+	good, bad       string      // programs
+	releases        int         // so far
+	agentBusyUntil  []time.Time // an agent that has a fault gets no other one until then
+	senderBusyUntil []time.Time // the same for senders
+}
+
+// A scheduledUndo ends a fault.
+type scheduledUndo struct {
+	at   time.Time
+	undo func()
+}
+
+// playActions carries out each action at its time, and ends each fault when its time is over.
+func (p *player) playActions(ctx context.Context) error {
+	started := time.Now()
+	var undos []scheduledUndo
+	for _, a := range p.history.Actions {
+		for len(undos) > 0 && undos[0].at.Before(started.Add(a.At)) {
+			time.Sleep(time.Until(undos[0].at))
+			undos[0].undo()
+			undos = undos[1:]
 		}
-		time.Sleep(time.Until(begun.Add(d.At)))
-		if u := x.inject(d); u != nil {
-			undo = append(undo, scheduledUndo{time.Now().Add(d.For), u})
-			slices.SortStableFunc(undo, func(a, b scheduledUndo) int { return a.at.Compare(b.at) })
+		time.Sleep(time.Until(started.Add(a.At)))
+		if undo := p.inject(a); undo != nil {
+			undos = append(undos, scheduledUndo{time.Now().Add(a.For), undo})
+			slices.SortStableFunc(undos, func(a, b scheduledUndo) int { return a.at.Compare(b.at) })
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 	}
-	for _, u := range undo {
+	for _, u := range undos {
 		time.Sleep(time.Until(u.at))
-		u.do()
+		u.undo()
 	}
-	y.Net.Heal()
-	h.Faults, h.Plans = nil, nil
-	err = y.Await(60*time.Second, "all serve again, and no plan runs", func(v agent.View) bool {
-		for _, p := range v.State.Plans {
-			if p.Phase == rollout.Running || p.Phase == rollout.RollingBack {
+	return nil
+}
+
+// awaitSettled waits until all senders serve and no plan runs. Senders that a halted drain left out are activated, as
+// staff would do.
+func (p *player) awaitSettled() error {
+	c := p.cluster
+	return c.Await(settleTimeout, "all serve again, and no plan runs", func(v agent.View) bool {
+		for _, plan := range v.State.Plans {
+			if plan.Phase == rollout.Running || plan.Phase == rollout.RollingBack {
 				return false
 			}
-			for name, t := range p.Tasks {
-				if t.Step == rollout.Out { // of a drain that was halted: staff have it back
-					y.Order(0, rollout.Command{Verb: rollout.Activate, Plan: p.ID, Senders: []string{name}})
+			for name, t := range plan.Tasks {
+				if t.Step == rollout.Out {
+					c.Order(0, rollout.Command{Verb: rollout.Activate, Plan: plan.ID, Senders: []string{name}})
 				}
 			}
 		}
-		for _, name := range y.Names {
+		for _, name := range c.Names {
 			if !v.Observations[name].Serving {
 				return false
 			}
 		}
 		return len(v.State.Grants) == 0
 	})
-	if err != nil {
-		h.Faults = append(h.Faults, err.Error())
-	}
-	if v, err := y.View(max(0, y.Leader()), true); err == nil {
-		for _, p := range v.State.Plans {
-			h.Plans = append(h.Plans, fmt.Sprintf("%d %s %s %s", p.ID, p.Kind, p.Phase, p.Why))
+}
+
+// recordResult ends the cluster's traffic, and enters what the play showed.
+func (p *player) recordResult() {
+	c, h := p.cluster, p.history
+	if v, err := c.View(max(0, c.Leader()), true); err == nil {
+		for _, plan := range v.State.Plans {
+			h.Plans = append(h.Plans, fmt.Sprintf("%d %s %s %s", plan.ID, plan.Kind, plan.Phase, plan.Why))
 		}
 	}
-	r := y.Finish()
+	r := c.Finish()
 	h.Orders, h.MaxOut, h.Served = r.Orders, r.MaxOut, r.Service
 	for _, b := range r.OverBudget {
 		h.Faults = append(h.Faults, fmt.Sprintf("over the budget at %v: %s", b.At, b.Text))
 	}
 	for _, b := range r.Violations {
-		h.Faults = append(h.Faults, fmt.Sprintf("rule broken at %v by %d: %s: %s (%s)", b.At, b.Sender, b.Rule, b.Text, b.Message))
+		h.Faults = append(h.Faults,
+			fmt.Sprintf("rule broken at %v by %d: %s: %s (%s)", b.At, b.Sender, b.Rule, b.Text, b.Message))
+	}
+}
+
+// inject carries out an action, and returns what ends it; nil if nothing does.
+func (p *player) inject(a Action) (undo func()) {
+	switch a.Kind {
+	case DrainOrder:
+		p.order(a.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
+			Kind: rollout.Drain, Stages: [][]string{a.Of}, Hold: a.For,
+		}})
+	case ReleaseOrder:
+		p.release(a)
+	case HaltOrder, RollBackOrder, ResumeOrder:
+		p.steerLastPlan(a)
+	case KillAgent, WipeAgent, StopAgent:
+		return p.injectAgentFault(a)
+	case KillSender, TermSender, HupSender, WipeSender, ReconfigureSender:
+		if !time.Now().Before(p.senderBusyUntil[a.Sender]) {
+			p.injectSender(a)
+		}
+	case StopSender:
+		return p.stopSender(a)
+	case PartitionAgent, AgentLink, SenderToAgent, ClientsLink, DiscoveryLink:
+		return p.injectLinkFault(a)
 	}
 	return nil
 }
 
-// scheduledUndo ends a fault.
-type scheduledUndo struct {
-	at time.Time
-	do func()
+// release orders a release of the good program or, unless the action is good, of the one that ends at its start.
+func (p *player) release(a Action) {
+	p.releases++
+	to := rollout.Version{Name: fmt.Sprint("r", p.releases), Program: p.good}
+	if p.releases%2 == 0 { // another path is another program
+		to.Program = p.cluster.Program
+	}
+	if !a.Good {
+		to.Program = p.bad
+	}
+	p.order(a.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
+		Kind: rollout.Release, To: to, RollBackOnFailure: a.Back, Stages: [][]string{a.Of},
+		Gate: rollout.Gate{MinMessages: 3, Soak: 200 * time.Millisecond, Wait: 3 * time.Second, Slack: 0.5},
+	}})
 }
 
-// writePrograms writes a version that is like the one before, and one that ends at its start.
-func writePrograms(s Setup) (good, bad string, err error) {
-	good, bad = filepath.Join(s.Folder, "good"), filepath.Join(s.Folder, "bad")
-	err = os.WriteFile(good, fmt.Appendf(nil, "#!/bin/sh\nexec %s \"$@\"\n", s.Program), 0o700)
-	if err == nil {
-		err = os.WriteFile(bad, fmt.Appendf(nil, "#!/bin/sh\n[ \"$1\" = serve ] && exit 3\nexec %s \"$@\"\n", s.Program), 0o700)
+// steerLastPlan halts, rolls back or resumes the latest plan that an agent knows.
+func (p *player) steerLastPlan(a Action) {
+	v, err := p.cluster.View(a.Agent, false)
+	if err != nil || len(v.State.Plans) == 0 {
+		return
 	}
-	return good, bad, err
+	verbs := map[ActionKind]rollout.Verb{
+		HaltOrder: rollout.Halt, RollBackOrder: rollout.RollBack, ResumeOrder: rollout.Resume,
+	}
+	plan := v.State.Plans[len(v.State.Plans)-1]
+	p.order(a.Agent, rollout.Command{Verb: verbs[a.Kind], Plan: plan.ID, Revision: plan.Revision})
 }
 
-// player does a history's deeds.
-type player struct {
-	cluster         *Cluster
-	history         *History
-	good, bad       string
-	released        int
-	agentBusyUntil  []time.Time // an agent that is struck is left alone until then
-	senderBusyUntil []time.Time // so is a sender
-}
-
-// inject does one, and returns what ends it.
-func (p *player) inject(d Action) func() {
-	y, names, now := p.cluster, p.cluster.AgentNames(), time.Now()
-	switch d.Kind {
-	case "drain":
-		p.order(d.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{d.Of}, Hold: d.For}})
-	case "release":
-		p.released++
-		to := rollout.Version{Name: fmt.Sprint("r", p.released), Program: p.good}
-		if p.released%2 == 0 { // another path is another program
-			to.Program = y.Program
-		}
-		if !d.Good {
-			to.Program = p.bad
-		}
-		p.order(d.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
-			Kind: rollout.Release, To: to, RollBackOnFailure: d.Back, Stages: [][]string{d.Of},
-			Gate: rollout.Gate{MinMessages: 3, Soak: 200 * time.Millisecond, Wait: 3 * time.Second, Slack: 0.5},
-		}})
-	case "halt", "back", "resume":
-		v, err := y.View(d.Agent, false)
-		if err != nil || len(v.State.Plans) == 0 {
-			return nil
-		}
-		plan := v.State.Plans[len(v.State.Plans)-1]
-		verb := map[string]rollout.Verb{"halt": rollout.Halt, "back": rollout.RollBack, "resume": rollout.Resume}[d.Kind]
-		p.order(d.Agent, rollout.Command{Verb: verb, Plan: plan.ID, Revision: plan.Revision})
-	case "kill agent", "wipe agent", "stop agent":
-		if now.Before(p.agentBusyUntil[d.Agent]) {
-			return nil
-		}
-		p.agentBusyUntil[d.Agent] = now.Add(d.For + time.Second)
-		if d.Kind == "stop agent" {
-			y.SignalAgent(d.Agent, syscall.SIGSTOP)
-			return func() { y.SignalAgent(d.Agent, syscall.SIGCONT) }
-		}
-		y.SignalAgent(d.Agent, syscall.SIGKILL)
-		if d.Kind == "wipe agent" {
-			y.WipeAgent(d.Agent)
-		}
-		return func() { y.StartAgent(d.Agent) }
-	case "kill sender", "term sender", "hup sender", "wipe sender", "retune sender":
-		if !now.Before(p.senderBusyUntil[d.Sender]) {
-			p.injectSender(d)
-		}
-	case "stop sender":
-		pid := y.Pid(d.Sender)
-		if pid == 0 || now.Before(p.senderBusyUntil[d.Sender]) {
+// injectAgentFault kills or stops an agent that has no fault yet.
+func (p *player) injectAgentFault(a Action) (undo func()) {
+	c, now := p.cluster, time.Now()
+	if now.Before(p.agentBusyUntil[a.Agent]) {
+		return nil
+	}
+	p.agentBusyUntil[a.Agent] = now.Add(a.For + time.Second)
+	if a.Kind == StopAgent {
+		c.SignalAgent(a.Agent, syscall.SIGSTOP)
+		return func() { c.SignalAgent(a.Agent, syscall.SIGCONT) }
+	}
+	c.SignalAgent(a.Agent, syscall.SIGKILL)
+	if a.Kind == WipeAgent {
+		c.WipeAgent(a.Agent)
+	}
+	return func() { c.StartAgent(a.Agent) }
+}
+
+// stopSender stops the process that serves for a sender, if the sender is not stopped yet.
+func (p *player) stopSender(a Action) (undo func()) {
+	now := time.Now()
+	pid := p.cluster.Pid(a.Sender)
+	if pid == 0 || now.Before(p.senderBusyUntil[a.Sender]) {
+		return nil
+	}
+	p.senderBusyUntil[a.Sender] = now.Add(a.For + time.Second)
+	syscall.Kill(pid, syscall.SIGSTOP)
+	return func() { syscall.Kill(pid, syscall.SIGCONT) }
+}
+
+// injectLinkFault sets the state of the links of an agent or a sender.
+func (p *player) injectLinkFault(a Action) (undo func()) {
+	links, agents := p.cluster.Net, p.cluster.AgentNames()
+	switch a.Kind {
+	case PartitionAgent:
+		links.Partition(agents[a.Agent:a.Agent+1], agents, a.State)
+		return func() { links.Partition(agents[a.Agent:a.Agent+1], agents, netfault.State{}) }
+	case AgentLink:
+		if a.Agent == a.Other {
 			return nil
 		}
-		p.senderBusyUntil[d.Sender] = now.Add(d.For + time.Second)
-		syscall.Kill(pid, syscall.SIGSTOP)
-		return func() { syscall.Kill(pid, syscall.SIGCONT) }
-	case "part agent":
-		y.Net.Partition(names[d.Agent:d.Agent+1], names, d.State)
-		return func() { y.Net.Partition(names[d.Agent:d.Agent+1], names, netfault.State{}) }
-	case "agent's way", "clients' way", "discovery's way":
-		other := map[string]string{"agent's way": names[d.Sender%len(names)], "clients' way": scenario.Clients, "discovery's way": scenario.Discovery}[d.Kind]
-		notices := other == scenario.Discovery // what can't be told there is not due
-		y.Net.SetBoth(y.Names[d.Sender], other, d.State)
-		if notices {
-			y.Environment.Record(audit.Event{Kind: audit.Unreachable, Sender: d.Sender})
-		}
-		return func() {
-			y.Net.SetBoth(y.Names[d.Sender], other, netfault.State{})
-			if notices {
-				y.Environment.Record(audit.Event{Kind: audit.ReachableAgain, Sender: d.Sender})
-			}
-		}
-	case "one way":
-		if d.Agent != d.Other {
-			y.Net.Set(names[d.Agent], names[d.Other], d.State)
-			return func() { y.Net.Set(names[d.Agent], names[d.Other], netfault.State{}) }
-		}
+		links.Set(agents[a.Agent], agents[a.Other], a.State)
+		return func() { links.Set(agents[a.Agent], agents[a.Other], netfault.State{}) }
 	}
-	return nil
+	sender := p.cluster.Names[a.Sender]
+	switch a.Kind {
+	case SenderToAgent:
+		return p.setSenderLink(a, sender, agents[a.Sender%len(agents)])
+	case ClientsLink:
+		return p.setSenderLink(a, sender, scenario.Clients)
+	}
+	// Delivery reports cannot arrive meanwhile, and are not due.
+	undo = p.setSenderLink(a, sender, scenario.Discovery)
+	environment := p.cluster.Environment
+	environment.Record(audit.Event{Kind: audit.Unreachable, Sender: a.Sender})
+	return func() {
+		undo()
+		environment.Record(audit.Event{Kind: audit.ReachableAgain, Sender: a.Sender})
+	}
+}
+
+func (p *player) setSenderLink(a Action, sender, other string) (undo func()) {
+	p.cluster.Net.SetBoth(sender, other, a.State)
+	return func() { p.cluster.Net.SetBoth(sender, other, netfault.State{}) }
 }
 
-// injectSender does to a sender what takes no time.
-func (p *player) injectSender(d Action) {
-	y := p.cluster
-	switch d.Kind {
-	case "kill sender":
-		y.SignalSender(d.Sender, syscall.SIGKILL)
-	case "term sender":
-		y.SignalSender(d.Sender, syscall.SIGTERM)
-	case "hup sender":
-		y.SignalSender(d.Sender, syscall.SIGHUP)
-	case "wipe sender":
-		if y.SignalSender(d.Sender, syscall.SIGKILL) {
-			y.Environment.Record(audit.Event{Kind: audit.Died, Sender: d.Sender, Cause: audit.Wiped})
-			os.RemoveAll(filepath.Join(filepath.Dir(y.senders[d.Sender].config), "state"))
+// injectSender carries out an action on a sender that takes no time.
+func (p *player) injectSender(a Action) {
+	c := p.cluster
+	switch a.Kind {
+	case KillSender:
+		c.SignalSender(a.Sender, syscall.SIGKILL)
+	case TermSender:
+		c.SignalSender(a.Sender, syscall.SIGTERM)
+	case HupSender:
+		c.SignalSender(a.Sender, syscall.SIGHUP)
+	case WipeSender:
+		if c.SignalSender(a.Sender, syscall.SIGKILL) {
+			c.Environment.Record(audit.Event{Kind: audit.Died, Sender: a.Sender, Cause: audit.Wiped})
+			os.RemoveAll(filepath.Join(filepath.Dir(c.senders[a.Sender].config), "state"))
 		}
-	case "retune sender":
-		if err := harness.Reconfigure(y.senders[d.Sender].config, d.planned, y.plan); err != nil {
-			y.Log.Warn("a sender was not given other settings", "err", err)
+	case ReconfigureSender:
+		if err := harness.Reconfigure(c.senders[a.Sender].config, a.planned, c.plan); err != nil {
+			c.Log.Warn("reconfiguration failed", "sender", a.Sender, "err", err)
 		}
-		y.SignalSender(d.Sender, syscall.SIGHUP)
+		c.SignalSender(a.Sender, syscall.SIGHUP)
 	}
 }
 
-// order asks one agent, and the next where that one is struck: whether it is done, refused or never known is part of
-// the play.
+// order gives an order to one agent, and to the next ones where that has a fault. Whether the order is carried out, is
+// rejected or gets no answer is part of the play. It does not wait for the answer.
 func (p *player) order(first int, command rollout.Command) {
 	go func() {
 		for i := range p.history.Agents {
-			if _, err := p.cluster.Order((first+i)%p.history.Agents, command); err == nil || strings.HasPrefix(err.Error(), agent.KindRejected) {
+			_, err := p.cluster.Order((first+i)%p.history.Agents, command)
+			var failed *OrderError
+			if err == nil || errors.As(err, &failed) && failed.Kind == agent.KindRejected {
 				return
 			}
 		}
--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -162,8 +162,8 @@
 	return n, last
 }
 
-// evaluate goes through all that was seen. When a sender goes away by order, those that are away already count, and those
-// that have been quiet for longer than an order may rest on an old sight.
+// evaluate goes through all that was seen. When a sender goes away by order, those that are away already count, and
+// those that have been quiet for longer than an order may rest on an old sight.
 func (p *Poll) evaluate() (over []BudgetExceeded, orders, most int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// measureHalt drains the whole fleet, a few at a time, and halts it in the middle: how long after the halt was ordered the last
-// sender went out. With the leader cut off the halt goes to another agent, as soon as one leads.
+// measureHalt drains the whole fleet, a few at a time, and halts it in the middle: how long after the halt was
+// ordered the last sender went out. With the leader cut off the halt goes to another agent, as soon as one leads.
 func (c *Cluster) measureHalt(cut bool) (time.Duration, error) {
 	id, err := c.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{c.Names}, Hold: 300 * time.Millisecond}})
 	if err != nil {
--- a/internal/cluster/senders.go
+++ b/internal/cluster/senders.go
@@ -12,16 +12,22 @@
 	"time"
 )
 
+const (
+	statusTimeout = time.Second
+	maxLogTail    = 2500 // bytes of a log that Logs copies
+)
+
 // senderAddresses is where a sender is reached.
 type senderAddresses struct {
-	config, listen string
-	admin          [2]string
+	config string // path of its configuration file
+	listen string
+	admin  [2]string // second addresses: two processes serve side by side during a hand-over
 }
 
-// Pid is that of the process which serves for a sender; 0: nobody answers.
+// Pid returns the id of the process that serves for a sender; 0 if none answers.
 func (c *Cluster) Pid(i int) int {
+	client := &http.Client{Timeout: statusTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, addr := range c.senders[i].admin {
-		client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 		r, err := client.Get("http://" + addr + "/v1/sender/status")
 		if err != nil {
 			continue
@@ -39,13 +45,13 @@
 	return 0
 }
 
-// Admin are the second addresses of a sender.
+// Admin returns the addresses of a sender's admin API.
 func (c *Cluster) Admin(i int) []string { return c.senders[i].admin[:] }
 
-// Config is its configuration file.
+// Config returns the path of a sender's configuration file.
 func (c *Cluster) Config(i int) string { return c.senders[i].config }
 
-// LastPid is that of a process of a sender which may not answer; 0: none is there.
+// LastPid returns the id of a process of a sender, whether it answers or not; 0 if there is none.
 func (c *Cluster) LastPid(i int) int {
 	for pid, config := range c.processes() {
 		if config == c.senders[i].config {
@@ -55,7 +61,8 @@
 	return 0
 }
 
-// Replace ends a sender's process and starts another in its place, as somebody would who does not know of its agent.
+// Replace kills a sender's process and starts another in its place, as an operator would who does not know of its
+// agent.
 func (c *Cluster) Replace(i int) error {
 	pid := c.LastPid(i)
 	env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
@@ -70,11 +77,11 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	go cmd.Wait()
+	go cmd.Wait() // Close kills it
 	return nil
 }
 
-// SignalSender sends a signal to the process that serves for a sender.
+// SignalSender sends a signal to the process that serves for a sender, and reports whether there is one.
 func (c *Cluster) SignalSender(i int, s syscall.Signal) bool {
 	pid := c.Pid(i)
 	if pid > 0 {
@@ -84,7 +91,8 @@
 	return pid > 0
 }
 
-// processes are the configurations of the yard's senders by their pids, as their environment says.
+// processes returns the configuration paths of all processes of the cluster's senders, by process id. Agents start
+// them, so they are found by their environment.
 func (c *Cluster) processes() map[int]string {
 	pids := map[int]string{}
 	dirs, _ := filepath.Glob("/proc/[0-9]*")
@@ -94,7 +102,7 @@
 			continue
 		}
 		for word := range strings.SplitSeq(string(env), "\x00") {
-			if config, is := strings.CutPrefix(word, "LB_CONFIG="); is && strings.HasPrefix(config, c.Folder+"/") {
+			if config, ok := strings.CutPrefix(word, "LB_CONFIG="); ok && strings.HasPrefix(config, c.Folder+"/") {
 				var pid int
 				fmt.Sscanf(filepath.Base(d), "%d", &pid)
 				pids[pid] = config
@@ -104,13 +112,13 @@
 	return pids
 }
 
-// Logs copies the end of each log, for a failure's report.
+// Logs writes the end of each log, for the report of a failed test.
 func (c *Cluster) Logs(out io.Writer) {
 	for _, pattern := range []string{"a*/log", "a*/state/*.log"} {
 		files, _ := filepath.Glob(filepath.Join(c.Folder, pattern))
 		for _, f := range files {
 			text, _ := os.ReadFile(f)
-			fmt.Fprintf(out, "== %s\n%s\n", f, text[max(0, len(text)-2500):])
+			fmt.Fprintf(out, "== %s\n%s\n", f, text[max(0, len(text)-maxLogTail):])
 		}
 	}
 }
