--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -9,11 +9,17 @@
 	"time"
 
 	"cleathold/internal/audit"
+	"cleathold/internal/rollout"
 )
 
-// Poll looks at each sender at the clients' address, as the clients' front does, and takes nobody's word for
-// anything else. A sender that answers and says no is out by order: staff send nobody away by hand in a yard.
-// One that does not answer has crashed, hangs or was stopped.
+const (
+	pollInterval = 20 * time.Millisecond
+	pollTimeout  = 500 * time.Millisecond // a sender that does not answer for so long is unresponsive
+)
+
+// Poll checks the health of each sender at the clients' address, as the clients' load balancer does, and relies on nothing
+// that the fleet tells of itself. A sender that answers and is not healthy was taken out by an order, since nobody drains
+// senders of a cluster by hand. One that does not answer has crashed, hangs or was stopped.
 type Poll struct {
 	cluster  *Cluster
 	done     chan struct{}
@@ -21,23 +27,24 @@
 	wg       sync.WaitGroup
 
 	mu      sync.Mutex
-	running bool
-	changes []pollResult // changes, in the order of time
-	current []senderState
+	changes []pollResult  // in the order of time
+	current []senderState // by sender
 }
 
-// senderState is what a look shows.
+// A senderState is what a health check showed of a sender.
 type senderState uint8
 
 const (
-	stateUnknown senderState = iota // before the first look
+	stateUnknown senderState = iota // before the first check
 	stateServing
-	stateDraining     // it answers no
+	stateDraining     // it answers that it is not healthy
 	stateUnresponsive // no answer
 )
 
+// String returns the state as reports name it.
 func (s senderState) String() string { return [...]string{"unseen", "serves", "away", "quiet"}[s] }
 
+// A pollResult is a change of a sender's state.
 type pollResult struct {
 	at     time.Time
 	sender int
@@ -46,28 +53,22 @@
 
 // BudgetExceeded is an instant at which one sender too many was out, and an order had taken the last one out.
 type BudgetExceeded struct {
-	At   time.Duration
+	At   time.Duration // since the first health check
 	Text string
 }
 
-const (
-	pollInterval = 20 * time.Millisecond
-	pollTimeout  = 500 * time.Millisecond // a look without an answer
-)
-
-func newPoll(y *Cluster) *Poll {
-	return &Poll{cluster: y, done: make(chan struct{}), current: make([]senderState, y.Senders)}
+func newPoll(c *Cluster) *Poll {
+	return &Poll{cluster: c, done: make(chan struct{}), current: make([]senderState, c.Senders)}
 }
 
+// begin starts to poll all senders, until stop.
 func (p *Poll) begin() {
-	p.mu.Lock()
-	p.running = true
-	p.mu.Unlock()
 	for i := range p.cluster.Senders {
 		p.wg.Go(func() { p.watch(i) })
 	}
 }
 
+// stop ends the polling. It may be called several times, and for a nil Poll.
 func (p *Poll) stop() {
 	if p == nil {
 		return
@@ -76,132 +77,170 @@
 	p.wg.Wait()
 }
 
-func (p *Poll) watch(i int) {
-	client := &http.Client{Timeout: pollTimeout, Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: pollTimeout}).DialContext, MaxIdleConnsPerHost: 1}}
+// watch polls one sender.
+func (p *Poll) watch(sender int) {
+	transport := &http.Transport{
+		DialContext: (&net.Dialer{Timeout: pollTimeout}).DialContext, MaxIdleConnsPerHost: 1,
+	}
+	client := &http.Client{Timeout: pollTimeout, Transport: transport}
 	defer client.CloseIdleConnections()
-	tick := time.NewTicker(pollInterval)
-	defer tick.Stop()
+	url := "http://" + p.cluster.senders[sender].listen + "/_health"
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		at := time.Now()
-		is := stateUnresponsive
-		if r, err := client.Get("http://" + p.cluster.senders[i].listen + "/_health"); err == nil {
-			r.Body.Close()
-			if is = stateDraining; r.StatusCode == http.StatusOK {
-				is = stateServing
-			}
-		}
-		p.recordState(pollResult{at, i, is})
+		p.recordState(pollResult{at, sender, checkHealth(client, url)})
 		select {
 		case <-p.done:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// recordState notes a change, and tells the front and the auditor of messages what they would know.
-func (p *Poll) recordState(l pollResult) {
+func checkHealth(client *http.Client, url string) senderState {
+	r, err := client.Get(url)
+	if err != nil {
+		return stateUnresponsive
+	}
+	r.Body.Close()
+	if r.StatusCode != http.StatusOK {
+		return stateDraining
+	}
+	return stateServing
+}
+
+// recordState keeps a change, and tells the clients and the auditor of messages what they would notice themselves.
+func (p *Poll) recordState(result pollResult) {
 	p.mu.Lock()
-	was := p.current[l.sender]
-	p.current[l.sender] = l.state
-	if was != l.state {
-		p.changes = append(p.changes, l)
+	previous := p.current[result.sender]
+	p.current[result.sender] = result.state
+	if previous != result.state {
+		p.changes = append(p.changes, result)
 	}
 	p.mu.Unlock()
-	if was == l.state {
+	if previous == result.state {
 		return
 	}
-	if l.state != stateUnresponsive { // what it said last stands
-		p.cluster.Clients.SetDraining(l.sender, l.state == stateDraining)
+	c := p.cluster
+	if result.state != stateUnresponsive { // what it answered last holds while it does not answer
+		c.Clients.SetDraining(result.sender, result.state == stateDraining)
 	}
 	switch {
-	case l.state == stateUnresponsive:
-		p.cluster.Clients.SetDown(l.sender, true)
-		p.cluster.Environment.Record(audit.Event{Kind: audit.Died, Sender: l.sender})
-	case was == stateUnresponsive:
-		p.cluster.Clients.SetDown(l.sender, false)
-		p.cluster.Environment.Record(audit.Event{Kind: audit.Ready, Sender: l.sender})
+	case result.state == stateUnresponsive:
+		c.Clients.SetDown(result.sender, true)
+		c.Environment.Record(audit.Event{Kind: audit.Died, Sender: result.sender})
+	case previous == stateUnresponsive:
+		c.Clients.SetDown(result.sender, false)
+		c.Environment.Record(audit.Event{Kind: audit.Ready, Sender: result.sender})
 	}
 }
 
-// recordSignal tells of a signal that the yard itself sent to a sender, for which nobody's order is to blame.
+// recordSignal records a signal that the cluster itself sends to a sender, so that no order is blamed for the end.
 func (p *Poll) recordSignal(sender int, s syscall.Signal) {
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
 		p.cluster.Environment.Record(audit.Event{Kind: audit.Died, Sender: sender})
 	}
 }
 
-// Now is what the latest look at a sender showed, as text.
+// Now returns what the latest check of a sender showed: "unseen", "serves", "away" or "quiet".
 func (p *Poll) Now(sender int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.current[sender].String()
 }
 
-// OutByOrder counts the senders that say no now.
+// OutByOrder counts the senders that are draining now.
 func (p *Poll) OutByOrder() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, is := range p.current {
-		if is == stateDraining {
+	for _, state := range p.current {
+		if state == stateDraining {
 			n++
 		}
 	}
 	return n
 }
 
-// Since lists who was seen to go away after an instant, and when the last did.
+// Since counts the senders that began to drain after an instant, and returns when the last one did.
 func (p *Poll) Since(at time.Time) (n int, last time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.changes {
-		if l.state == stateDraining && l.at.After(at) {
-			n, last = n+1, l.at
+	for _, r := range p.changes {
+		if r.state == stateDraining && r.at.After(at) {
+			n, last = n+1, r.at
 		}
 	}
 	return n, last
 }
 
-// evaluate goes through all that was seen. When a sender goes away by order, those that are away already count, and
-// those that have been quiet for longer than an order may rest on an old sight.
-func (p *Poll) evaluate() (over []BudgetExceeded, orders, most int) {
+// evaluate checks all changes against the budget. It returns the instants at which it was exceeded, how often a sender went
+// out by order, and the most senders that were out by order at once.
+func (p *Poll) evaluate() (over []BudgetExceeded, orders, maxOut int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := p.cluster.Terms.Timing
-	margin := t.Fresh + t.Accept + 4*t.Error + pollTimeout + 10*pollInterval
-	is, since := make([]senderState, p.cluster.Senders), make([]time.Time, p.cluster.Senders)
-	if len(p.changes) == 0 {
-		return nil, 0, 0
-	}
-	begun := p.changes[0].at
-	for _, l := range p.changes {
-		was := is[l.sender]
-		is[l.sender], since[l.sender] = l.state, l.at
-		if l.state != stateDraining || was == stateUnknown {
-			continue
-		}
-		if was == stateUnresponsive { // whether it went out by order, or came back from a crash still drained, is not seen
-			continue
-		}
-		orders++
-		out, ordered := 0, 0
-		text := ""
-		buildings := map[string]int{}
-		for i := range is {
-			if is[i] == stateDraining || is[i] == stateUnresponsive && l.at.Sub(since[i]) > margin {
-				out++
-				buildings[p.cluster.Building(i)]++
-				text += fmt.Sprintf(" %s %v for %v;", p.cluster.Names[i], is[i], l.at.Sub(since[i]).Round(time.Millisecond))
-			}
-			if is[i] == stateDraining {
-				ordered++
-			}
+	c := p.cluster
+	buildings := make([]string, c.Senders)
+	for i := range buildings {
+		buildings[i] = c.Building(i)
+	}
+	t := c.Terms.Timing
+	e := budgetEvaluation{
+		budget: c.Terms.Budget, names: c.Names, buildings: buildings,
+		// An order may rest on an observation that is so old.
+		unresponsiveAfter: t.Fresh + t.Accept + 4*t.Error + pollTimeout + 10*pollInterval,
+		states:            make([]senderState, c.Senders), since: make([]time.Time, c.Senders),
+	}
+	for _, r := range p.changes {
+		e.add(r)
+	}
+	return e.over, e.orders, e.maxOut
+}
+
+// A budgetEvaluation goes through the changes of a fleet and checks each order against the budget. When a sender begins to
+// drain, those that drain already count, and those that have been unresponsive for long.
+type budgetEvaluation struct {
+	budget            rollout.Budget
+	names, buildings  []string // by sender
+	unresponsiveAfter time.Duration
+
+	started time.Time // of the first change
+	states  []senderState
+	since   []time.Time // of the states
+
+	over           []BudgetExceeded
+	orders, maxOut int
+}
+
+// add takes the next change. A sender that drains as it comes back from a crash, or at the first check, counts for no
+// order: when it was given is not seen.
+func (e *budgetEvaluation) add(r pollResult) {
+	if e.started.IsZero() {
+		e.started = r.at
+	}
+	previous := e.states[r.sender]
+	e.states[r.sender], e.since[r.sender] = r.state, r.at
+	if r.state != stateDraining || previous == stateUnknown || previous == stateUnresponsive {
+		return
+	}
+	e.orders++
+	out, ordered, text := 0, 0, ""
+	outOf := map[string]int{} // by building
+	for i, state := range e.states {
+		lasting := r.at.Sub(e.since[i])
+		if state == stateDraining || state == stateUnresponsive && lasting > e.unresponsiveAfter {
+			out++
+			outOf[e.buildings[i]]++
+			text += fmt.Sprintf(" %s %v for %v;", e.names[i], state, lasting.Round(time.Millisecond))
 		}
-		most = max(most, ordered)
-		b := p.cluster.Terms.Budget
-		if out > b.Fleet || b.Building > 0 && buildings[p.cluster.Building(l.sender)] > b.Building {
-			over = append(over, BudgetExceeded{l.at.Sub(begun), fmt.Sprintf("%s went away:%s", p.cluster.Names[l.sender], text)})
+		if state == stateDraining {
+			ordered++
 		}
 	}
-	return over, orders, most
+	e.maxOut = max(e.maxOut, ordered)
+	b := e.budget
+	if out > b.Fleet || b.Building > 0 && outOf[e.buildings[r.sender]] > b.Building {
+		e.over = append(e.over,
+			BudgetExceeded{r.at.Sub(e.started), fmt.Sprintf("%s went away:%s", e.names[r.sender], text)})
+	}
 }
