--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -38,7 +38,7 @@
 	Restart bool           // versions change by a restart, not by a hand-over
 	Script  string         // added to the scenario, such as faults of endpoints
 	Plan    *scenario.Plan // played in place of the calm scenario; Rate and Script do not count then
-	Links   bool           // clients, discovery and each agent reach senders by links, too; agents always reach one another by links
+	Links   bool           // clients, discovery and agents reach senders by links; agents one another always do
 	Log     *slog.Logger   // nil: nothing is logged
 }
 
--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -17,9 +17,9 @@
 	pollTimeout  = 500 * time.Millisecond // a sender that does not answer for so long is unresponsive
 )
 
-// Poll checks the health of each sender at the clients' address, as the clients' load balancer does, and relies on nothing
-// that the fleet tells of itself. A sender that answers and is not healthy was taken out by an order, since nobody drains
-// senders of a cluster by hand. One that does not answer has crashed, hangs or was stopped.
+// Poll checks the health of each sender at the clients' address, as the clients' load balancer does, and relies on
+// nothing that the fleet tells of itself. A sender that answers and is not healthy was taken out by an order, since
+// nobody drains senders of a cluster by hand. One that does not answer has crashed, hangs or was stopped.
 type Poll struct {
 	cluster  *Cluster
 	done     chan struct{}
@@ -174,8 +174,8 @@
 	return n, last
 }
 
-// evaluate checks all changes against the budget. It returns the instants at which it was exceeded, how often a sender went
-// out by order, and the most senders that were out by order at once.
+// evaluate checks all changes against the budget. It returns the instants at which it was exceeded, how often a
+// sender went out by order, and the most senders that were out by order at once.
 func (p *Poll) evaluate() (over []BudgetExceeded, orders, maxOut int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,8 +197,8 @@
 	return e.over, e.orders, e.maxOut
 }
 
-// A budgetEvaluation goes through the changes of a fleet and checks each order against the budget. When a sender begins to
-// drain, those that drain already count, and those that have been unresponsive for long.
+// A budgetEvaluation goes through the changes of a fleet and checks each order against the budget. When a sender
+// begins to drain, those that drain already count, and those that have been unresponsive for long.
 type budgetEvaluation struct {
 	budget            rollout.Budget
 	names, buildings  []string // by sender
--- a/internal/cluster/prepare.go
+++ b/internal/cluster/prepare.go
@@ -21,12 +21,15 @@
 // doing.
 const calmScenario = `
 scenario(name = "fleet", seconds = %g, senders = %d, zones = ["bldg-a", "bldg-b"], hold = (20, 20), slots = (4, 4))
-kind(name = "partners", limit = "none", headroom = (4, 4), conns = (200, 200), least_conns = (400, 400), endpoints = (2, 2), cv = (0.1, 0.1))
+kind(name = "partners", limit = "none", headroom = (4, 4), conns = (200, 200),
+  least_conns = (400, 400), endpoints = (2, 2), cv = (0.1, 0.1))
 fleet(kind = "partners", destinations = (4, 4))
 traffic(rate = %g, zipf = (0.3, 0.3), retries = 3, retry_in = (0.1, 0.3))
 message_class(name = "status", share = 0.5, service = (0.02, 0.02), aim = 2, deadline = 20, late = 0.1)
-message_class(name = "print-order", share = 0.25, service = (0.02, 0.02), aim = 2, deadline = 30, effect = "keyed", memory = 12, late = 0.5)
-message_class(name = "fee-payment", share = 0.25, service = (0.02, 0.02), aim = 2, deadline = 30, effect = "unsafe", late = 0.5, worth = 3)
+message_class(name = "print-order", share = 0.25, service = (0.02, 0.02), aim = 2, deadline = 30,
+  effect = "keyed", memory = 12, late = 0.5)
+message_class(name = "fee-payment", share = 0.25, service = (0.02, 0.02), aim = 2, deadline = 30,
+  effect = "unsafe", late = 0.5, worth = 3)
 tenant(name = "school-bands", share = 1)
 `
 
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"syscall"
 	"time"
 
@@ -11,147 +12,236 @@
 	"cleathold/internal/rollout"
 )
 
+const (
+	restDuration     = 5 * time.Second // of each measurement at rest
+	releaseTimeout   = 10 * time.Minute
+	rollBackTimeout  = 5 * time.Minute
+	haltTimeout      = 30 * time.Second
+	maxResumes       = 20
+	faultInterval    = time.Second     // between two faults of agents
+	faultDuration    = 2 * time.Second // of each
+	afterHaltMargin  = 2 * time.Second // beyond the time in which an agent may still act on an old order
+	activateInterval = 100 * time.Millisecond
+)
+
+// releaseGate is the gate of the releases that are measured.
+var releaseGate = rollout.Gate{MinMessages: 30, Soak: time.Second, Wait: time.Minute}
+
 // Measurement is what a release over a fleet, and halts of drains, took.
 type Measurement struct {
-	Senders, Agents         int
-	WithFaults              bool          // agents are killed and links cut meanwhile
-	Begin                   time.Duration // until all serve
-	Release                 time.Duration // from the order to the end
-	Resumes                 int           // times that staff had to have it go on
-	RollBack                time.Duration // until all run the old version again
-	HaltAll                 time.Duration // from a halt to the last sender that goes out after it; 0: none did
-	HaltCut                 time.Duration // the same with the leader cut off as it is ordered
-	FailedSubmissions       int           // hand-ins without an answer, or turned away, during the release
-	Submissions             int           // in that time
-	Served                  float64
-	Violations              int
-	OverBudget              int
-	Before, During          float64     // part of the messages wanted that took effect: in 5 s before the release, and in it
-	AtRest, DuringRelease   Cost        // of an agent, in the mean: at rest, and during the release
-	WithAgent, WithoutAgent SenderSpent // of a sender, in the mean, at rest: with its agent, and while all agents are stopped
+	Senders, Agents   int
+	WithFaults        bool          // agents are killed and links cut during the release
+	Begin             time.Duration // until all senders serve
+	Release           time.Duration // from the order to the end
+	Resumes           int           // times that staff had to resume it
+	RollBack          time.Duration // until all run the old version again
+	HaltAll           time.Duration // from a halt to the last sender that goes out after it; 0: none did
+	HaltCut           time.Duration // the same with the leader cut off as it is ordered
+	FailedSubmissions int           // without a response, or rejected, during the release
+	Submissions       int           // in that time
+	Served            float64
+	Violations        int
+	OverBudget        int
+
+	// The fraction of the requested messages that took effect, in 5 s before the release and during it.
+	Before, During float64
+	// What an agent spends on average, at rest and during the release.
+	AtRest, DuringRelease Cost
+	// What a sender spends on average at rest, with its agent and while all agents are stopped.
+	WithAgent, WithoutAgent SenderSpent
+}
+
+// A measurer fills a Measurement step by step.
+type measurer struct {
+	Measurement
+	cluster *Cluster
+
+	// At the end of the measurement at rest, where that of the release begins.
+	usage               usage
+	requested, executed int
 }
 
-// Measure plays a release over a whole fleet to its end and back, then two drains that are halted.
-func Measure(ctx context.Context, s Setup, strike bool) (Measurement, error) {
-	m := Measurement{Senders: s.Senders, Agents: s.Agents, WithFaults: strike}
-	y, err := New(ctx, s)
+// Measure plays a release over a whole fleet to its end, two drains that are halted, and a release that is rolled
+// back. With faults, agents are killed and cut off during the release.
+func Measure(ctx context.Context, s Setup, faults bool) (Measurement, error) {
+	m := measurer{Measurement: Measurement{Senders: s.Senders, Agents: s.Agents, WithFaults: faults}}
+	c, err := New(ctx, s)
 	if err != nil {
-		return m, err
+		return m.Measurement, err
 	}
-	defer y.Close()
-	began := time.Now()
-	if err := y.Begin(); err != nil {
-		return m, err
+	defer c.Close()
+	m.cluster = c
+	err = m.run()
+	return m.Measurement, err
+}
+
+func (m *measurer) run() error {
+	c := m.cluster
+	started := time.Now()
+	if err := c.Begin(); err != nil {
+		return err
 	}
-	m.Begin = time.Since(began)
-	good, _, err := writePrograms(s)
+	m.Begin = time.Since(started)
+	good, _, err := writePrograms(c.Setup)
 	if err != nil {
-		return m, err
-	}
-	const calm = 5 * time.Second
-	for i := range y.agents {
-		y.SignalAgent(i, syscall.SIGSTOP)
-	}
-	m.WithoutAgent = y.senderUsage(calm)
-	for i := range y.agents {
-		y.SignalAgent(i, syscall.SIGCONT)
-	}
-	if err := y.Await(time.Minute, "all are seen again", func(v agent.View) bool { return len(v.State.Seen(v.Observations, time.Now())) == y.Senders }); err != nil {
-		return m, err
-	}
-	before := y.usage()
-	wanted, came := y.deliveryCounts()
-	m.WithAgent = y.senderUsage(calm)
-	after := y.usage()
-	m.AtRest = costBetween(before, after)
-	wanted2, came2 := y.deliveryCounts()
-	m.Before = float64(came2-came) / float64(max(1, wanted2-wanted))
-	door := func() (ended, all int) {
-		for status, n := range y.Clients.Stats().Answers {
-			if all += n; status != 202 && status != 200 {
-				ended += n
-			}
-		}
-		return ended, all
+		return err
+	}
+	if err := m.measureRest(); err != nil {
+		return err
 	}
-	d0, n0 := door()
-	gate := rollout.Gate{MinMessages: 30, Soak: time.Second, Wait: time.Minute}
-	id, err := y.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Release, To: rollout.Version{Name: "v2", Program: good}, Gate: gate}})
+	if err := m.measureRelease(good); err != nil {
+		return err
+	}
+	if m.HaltAll, err = c.measureHalt(false); err != nil {
+		return err
+	}
+	if m.HaltCut, err = c.measureHalt(true); err != nil {
+		return err
+	}
+	if err := m.measureRollBack(); err != nil {
+		return err
+	}
+	r := c.Finish()
+	m.Served, m.Violations, m.OverBudget = r.Service, len(r.Violations), len(r.OverBudget)
+	return nil
+}
+
+// measureRest measures senders and agents while nothing is ordered: senders alone first, then both.
+func (m *measurer) measureRest() error {
+	c := m.cluster
+	for i := range c.agents {
+		c.SignalAgent(i, syscall.SIGSTOP)
+	}
+	m.WithoutAgent = c.senderUsage(restDuration)
+	for i := range c.agents {
+		c.SignalAgent(i, syscall.SIGCONT)
+	}
+	err := c.Await(time.Minute, "all are seen again", func(v agent.View) bool {
+		return len(v.State.Seen(v.Observations, time.Now())) == c.Senders
+	})
 	if err != nil {
-		return m, err
+		return err
 	}
-	began = time.Now()
-	struck, done := make(chan struct{}), make(chan struct{})
-	go func() {
-		defer close(struck)
-		if strike {
-			y.injectAgentFaults(done)
+	before := c.agentUsage()
+	requested, executed := c.deliveryCounts()
+	m.WithAgent = c.senderUsage(restDuration)
+	m.usage = c.agentUsage()
+	m.AtRest = costBetween(before, m.usage)
+	m.requested, m.executed = c.deliveryCounts()
+	m.Before = float64(m.executed-executed) / float64(max(1, m.requested-requested))
+	return nil
+}
+
+// measureRelease plays a release to its end.
+func (m *measurer) measureRelease(program string) error {
+	c := m.cluster
+	failedBefore, allBefore := c.submissionCounts()
+	id, err := c.orderRelease("v2", program)
+	if err != nil {
+		return err
+	}
+	started := time.Now()
+	stopFaults := func() {}
+	if m.WithFaults {
+		stopFaults = c.startAgentFaults()
+	}
+	if err := m.awaitRelease(id); err != nil {
+		stopFaults()
+		return err
+	}
+	m.Release = time.Since(started)
+	stopFaults()
+	if !m.WithFaults {
+		m.DuringRelease = costBetween(m.usage, c.agentUsage())
+	}
+	failed, all := c.submissionCounts()
+	requested, executed := c.deliveryCounts()
+	m.During = float64(executed-m.executed) / float64(max(1, requested-m.requested))
+	m.FailedSubmissions, m.Submissions = failed-failedBefore, all-allBefore
+	return nil
+}
+
+// submissionCounts returns how many submissions got no response or were rejected, of how many.
+func (c *Cluster) submissionCounts() (failed, all int) {
+	for status, n := range c.Clients.Stats().Answers {
+		if all += n; status != http.StatusAccepted && status != http.StatusOK {
+			failed += n
 		}
-	}()
+	}
+	return failed, all
+}
+
+// orderRelease orders a release to all senders, and returns the id of its plan.
+func (c *Cluster) orderRelease(version, program string) (id uint64, err error) {
+	return c.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
+		Kind: rollout.Release, To: rollout.Version{Name: version, Program: program}, Gate: releaseGate,
+	}})
+}
+
+// awaitRelease waits until a release is done, and resumes it whenever it is halted, as staff would.
+func (m *measurer) awaitRelease(id uint64) error {
+	c := m.cluster
 	for {
-		p, err := y.AwaitPlan(10*time.Minute, id, rollout.Done, rollout.Halted)
+		p, err := c.AwaitPlan(releaseTimeout, id, rollout.Done, rollout.Halted)
 		if err != nil {
-			close(done)
-			<-struck
-			return m, err
+			return err
 		}
 		if p.Phase == rollout.Done {
-			break
+			return nil
 		}
 		m.Resumes++
-		if m.Resumes > 20 {
-			close(done)
-			<-struck
-			return m, fmt.Errorf("the release does not end: %s", p.Why)
+		if m.Resumes > maxResumes {
+			return fmt.Errorf("the release does not end: %s", p.Why)
 		}
-		time.Sleep(time.Second) // staff look
-		for i := range y.agents {
-			if _, err := y.Order(i, rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}); err == nil {
+		time.Sleep(time.Second) // until staff act
+		for i := range c.agents {
+			resume := rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}
+			if _, err := c.Order(i, resume); err == nil {
 				break
 			}
 		}
 	}
-	m.Release = time.Since(began)
-	close(done)
-	<-struck
-	if !strike {
-		m.DuringRelease = costBetween(after, y.usage())
-	}
-	d1, n1 := door()
-	wanted3, came3 := y.deliveryCounts()
-	m.During = float64(came3-came2) / float64(max(1, wanted3-wanted2))
-	m.FailedSubmissions, m.Submissions = d1-d0, n1-n0
-	if m.HaltAll, err = y.measureHalt(false); err != nil {
-		return m, err
-	}
-	if m.HaltCut, err = y.measureHalt(true); err != nil {
-		return m, err
-	}
-	// Back: a release of the old program, turned round once its first stages are through.
-	id, err = y.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Release, To: rollout.Version{Name: "v3", Program: s.Program}, Gate: gate}})
+}
+
+// measureRollBack releases the old program again, and rolls back when a third of the stages are through.
+func (m *measurer) measureRollBack() error {
+	c := m.cluster
+	id, err := c.orderRelease("v3", c.Program)
 	if err != nil {
-		return m, err
+		return err
 	}
-	if err := y.Await(5*time.Minute, "a third of the stages are through", func(v agent.View) bool {
+	err = c.Await(rollBackTimeout, "a third of the stages are through", func(v agent.View) bool {
 		p := v.State.Plan(id)
 		return p != nil && (p.Stage >= len(p.Stages)/3 || p.Phase == rollout.Halted)
-	}); err != nil {
-		return m, err
+	})
+	if err != nil {
+		return err
 	}
-	began = time.Now()
-	if _, err := y.OrderAny(rollout.Command{Verb: rollout.RollBack, Plan: id}); err != nil {
-		return m, err
+	started := time.Now()
+	if _, err := c.OrderAny(rollout.Command{Verb: rollout.RollBack, Plan: id}); err != nil {
+		return err
 	}
-	if _, err := y.AwaitPlan(5*time.Minute, id, rollout.Ended); err != nil {
-		return m, err
+	if _, err := c.AwaitPlan(rollBackTimeout, id, rollout.Ended); err != nil {
+		return err
+	}
+	m.RollBack = time.Since(started)
+	return nil
+}
+
+// startAgentFaults injects faults into one agent after the other, so that never a majority of them is out. The returned
+// function ends that, and returns when the last fault is over.
+func (c *Cluster) startAgentFaults() (stop func()) {
+	done, ended := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(ended)
+		c.injectAgentFaults(done)
+	}()
+	return func() {
+		close(done)
+		<-ended
 	}
-	m.RollBack = time.Since(began)
-	r := y.Finish()
-	m.Served, m.Violations, m.OverBudget = r.Service, len(r.Violations), len(r.OverBudget)
-	return m, nil
 }
 
-// injectAgentFaults strikes one agent after the other, never a majority of them at once, until it is enough.
 func (c *Cluster) injectAgentFaults(done <-chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
@@ -162,75 +252,50 @@
 		}
 	}
 	names := c.AgentNames()
-	for i := 0; wait(time.Second); i++ {
+	for i := 0; wait(faultInterval); i++ {
 		k := i % len(names)
 		switch i % 3 {
 		case 0:
 			c.SignalAgent(k, syscall.SIGKILL)
-			wait(2 * time.Second)
+			wait(faultDuration)
 			c.StartAgent(k)
 		case 1:
 			c.Net.Partition(names[k:k+1], names, netfault.State{Silent: true})
-			wait(2 * time.Second)
+			wait(faultDuration)
 			c.Net.Heal()
 		case 2:
 			c.Net.Set(names[k], names[(k+1)%len(names)], netfault.State{Cut: true})
-			wait(2 * time.Second)
+			wait(faultDuration)
 			c.Net.Heal()
 		}
 	}
 }
 
-// measureHalt drains the whole fleet, a few at a time, and halts it in the middle: how long after the halt was
-// ordered the last sender went out. With the leader cut off the halt goes to another agent, as soon as one leads.
+// measureHalt drains the whole fleet, a few senders at a time, and halts that in the middle. It returns how long
+// after the halt was ordered the last sender went out; 0 if none did. With cut the leader is cut off, and the halt
+// goes to the other agents, as soon as one of them leads.
 func (c *Cluster) measureHalt(cut bool) (time.Duration, error) {
-	id, err := c.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{c.Names}, Hold: 300 * time.Millisecond}})
+	id, err := c.drainHalfway()
 	if err != nil {
 		return 0, err
 	}
-	if err := c.Await(time.Minute, "some are through", func(v agent.View) bool {
-		n := 0
-		if p := v.State.Plan(id); p != nil {
-			for _, t := range p.Tasks {
-				if t.Step == rollout.Finished {
-					n++
-				}
-			}
+	leader, skip := c.Leader(), -1
+	if cut {
+		skip = leader
+		if leader >= 0 {
+			c.Net.Partition(c.AgentNames()[leader:leader+1], c.AgentNames(), netfault.State{Silent: true})
+			defer c.Net.Heal()
 		}
-		return n >= min(4, c.Senders/2)
-	}); err != nil {
-		return 0, err
-	}
-	first := c.Leader()
-	if cut && first >= 0 {
-		c.Net.Partition(c.AgentNames()[first:first+1], c.AgentNames(), netfault.State{Silent: true})
-		defer c.Net.Heal()
 	}
 	ordered := time.Now()
-	for until := ordered.Add(30 * time.Second); ; {
-		done := false
-		for i := range c.agents {
-			if cut && i == first {
-				continue
-			}
-			if _, err = c.Order(i, rollout.Command{Verb: rollout.Halt, Plan: id}); err == nil {
-				done = true
-				break
-			}
-		}
-		if done || time.Now().After(until) {
-			break
-		}
-		time.Sleep(50 * time.Millisecond)
-	}
-	if err != nil {
+	if err := c.orderHalt(id, skip); err != nil {
 		return 0, err
 	}
-	time.Sleep(c.Terms.Timing.Accept + 2*time.Second)
+	time.Sleep(c.Terms.Timing.Accept + afterHaltMargin)
 	_, last := c.Poll.Since(ordered)
 	c.Net.Heal()
-	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-		if _, err = c.OrderAny(rollout.Command{Verb: rollout.Activate, Plan: id}); err == nil {
+	for until := time.Now().Add(haltTimeout); time.Now().Before(until); time.Sleep(activateInterval) {
+		if _, err := c.OrderAny(rollout.Command{Verb: rollout.Activate, Plan: id}); err == nil {
 			break
 		}
 	}
@@ -242,3 +307,42 @@
 	}
 	return last.Sub(ordered), nil
 }
+
+// drainHalfway orders a drain of all senders, and returns its plan's id when some of them are through.
+func (c *Cluster) drainHalfway() (id uint64, err error) {
+	id, err = c.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
+		Kind: rollout.Drain, Stages: [][]string{c.Names}, Hold: 300 * time.Millisecond,
+	}})
+	if err != nil {
+		return 0, err
+	}
+	err = c.Await(time.Minute, "some are through", func(v agent.View) bool {
+		n := 0
+		if p := v.State.Plan(id); p != nil {
+			for _, t := range p.Tasks {
+				if t.Step == rollout.Finished {
+					n++
+				}
+			}
+		}
+		return n >= min(4, c.Senders/2)
+	})
+	return id, err
+}
+
+// orderHalt orders a halt from one agent after the other, but the one to be skipped, until one takes it.
+func (c *Cluster) orderHalt(id uint64, skip int) (err error) {
+	for until := time.Now().Add(haltTimeout); ; time.Sleep(orderInterval) {
+		for i := range c.agents {
+			if i == skip {
+				continue
+			}
+			if _, err = c.Order(i, rollout.Command{Verb: rollout.Halt, Plan: id}); err == nil {
+				return nil
+			}
+		}
+		if time.Now().After(until) {
+			return err
+		}
+	}
+}
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -12,87 +12,101 @@
 
 // SenderSpent is what a sender spends in a second, and holds.
 type SenderSpent struct {
-	Processor float64 `json:"processor_s"`
-	MemoryMB  float64 `json:"memory_mb"`
+	Processor float64 `json:"processor_s"` // processor seconds a second
+	MemoryMB  float64 `json:"memory_mb"`   // resident
 }
 
 // Cost is what an agent spends in a second, and holds.
 type Cost struct {
-	Processor float64 `json:"processor_s"`
-	MemoryMB  float64 `json:"memory_mb"`
+	Processor float64 `json:"processor_s"` // processor seconds a second
+	MemoryMB  float64 `json:"memory_mb"`   // resident
 	RaftBytes float64 `json:"raft_bytes"`
 	RaftCalls float64 `json:"raft_calls"`
-	ToldBytes float64 `json:"told_bytes"` // of sights, to the leader
+	ToldBytes float64 `json:"told_bytes"` // of observations, to the leader
 	ToldCalls float64 `json:"told_calls"`
-	LookBytes float64 `json:"look_bytes"` // that its senders answered
+	LookBytes float64 `json:"look_bytes"` // of its senders' answers to polls
 	Looks     float64 `json:"looks"`
 }
 
-// usage is what agents have spent so far.
+// usage is what all agents have spent up to a time.
 type usage struct {
-	at    time.Time
-	cpu   float64
-	mem   float64
-	bytes int64
-	calls int64
-	spent agent.Traffic
-	n     int
+	at          time.Time
+	processor   float64 // seconds
+	memoryMB    float64 // held now
+	quorumBytes int64
+	quorumCalls int64
+	traffic     agent.Traffic
+	agents      int // that run
 }
 
-// processUsage is what a process has spent so far: processor seconds, and MB that it holds.
-func processUsage(pid int) (cpu, mem float64) {
+// clockTicks is the number of ticks a second in which Linux counts processor time for user space (USER_HZ).
+const clockTicks = 100
+
+// processUsage returns the processor seconds that a process has spent so far, and the MiB that it holds; 0 if it has
+// ended.
+func processUsage(pid int) (processor, memoryMB float64) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
 	}
-	_, rest, _ := strings.Cut(string(stat), ") ")
-	f := strings.Fields(rest)
-	user, _ := strconv.ParseFloat(f[11], 64)
-	system, _ := strconv.ParseFloat(f[12], 64)
-	pages, _ := strconv.ParseFloat(f[21], 64)
-	return (user + system) / 100, pages * float64(os.Getpagesize()) / (1 << 20)
+	_, rest, _ := strings.Cut(string(stat), ") ") // after the name of the program, which may have blanks
+	fields := strings.Fields(rest)
+	user, _ := strconv.ParseFloat(fields[11], 64)
+	system, _ := strconv.ParseFloat(fields[12], 64)
+	pages, _ := strconv.ParseFloat(fields[21], 64)
+	return (user + system) / clockTicks, pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// senders is what senders spend for so long, in the mean.
-func (c *Cluster) senderUsage(span time.Duration) (s SenderSpent) {
-	sum := func() (cpu, mem float64) {
+// senderUsage measures for a duration what a sender spends, on average.
+func (c *Cluster) senderUsage(duration time.Duration) SenderSpent {
+	sum := func() (processor, memoryMB float64) {
 		for pid := range c.processes() {
-			c, m := processUsage(pid)
-			cpu, mem = cpu+c, mem+m
+			p, m := processUsage(pid)
+			processor, memoryMB = processor+p, memoryMB+m
 		}
-		return cpu, mem
+		return processor, memoryMB
 	}
 	before, _ := sum()
-	time.Sleep(span)
-	after, mem := sum()
+	time.Sleep(duration)
+	after, memoryMB := sum()
 	n := float64(c.Senders)
-	return SenderSpent{(after - before) / span.Seconds() / n, mem / n}
+	return SenderSpent{Processor: (after - before) / duration.Seconds() / n, MemoryMB: memoryMB / n}
 }
 
-func (c *Cluster) usage() (u usage) {
+// agentUsage returns what the agents have spent so far.
+func (c *Cluster) agentUsage() (u usage) {
 	u.at = time.Now()
 	for i, a := range c.agents {
 		if a.cmd == nil {
 			continue
 		}
-		cpu, mem := processUsage(a.cmd.Process.Pid)
-		u.cpu, u.mem = u.cpu+cpu, u.mem+mem
+		processor, memoryMB := processUsage(a.cmd.Process.Pid)
+		u.processor, u.memoryMB = u.processor+processor, u.memoryMB+memoryMB
 		if v, err := c.View(i, true); err == nil && v.Quorum != nil {
-			u.bytes, u.calls = u.bytes+v.Quorum.Sent, u.calls+v.Quorum.Calls
-			u.spent.ReportedBytes, u.spent.Reports = u.spent.ReportedBytes+v.Traffic.ReportedBytes, u.spent.Reports+v.Traffic.Reports
-			u.spent.PolledBytes, u.spent.Polls = u.spent.PolledBytes+v.Traffic.PolledBytes, u.spent.Polls+v.Traffic.Polls
+			u.quorumBytes += v.Quorum.Sent
+			u.quorumCalls += v.Quorum.Calls
+			u.traffic.ReportedBytes += v.Traffic.ReportedBytes
+			u.traffic.Reports += v.Traffic.Reports
+			u.traffic.PolledBytes += v.Traffic.PolledBytes
+			u.traffic.Polls += v.Traffic.Polls
 		}
-		u.n++
+		u.agents++
 	}
 	return u
 }
 
-// costBetween is what agents spent between two looks, each in the mean.
+// costBetween returns what an agent spent between two times, on average.
 func costBetween(a, b usage) Cost {
-	n, s := float64(max(1, b.n)), b.at.Sub(a.at).Seconds()
-	each := func(a, b int64) float64 { return float64(b-a) / s / n }
+	n, seconds := float64(max(1, b.agents)), b.at.Sub(a.at).Seconds()
+	rate := func(a, b int64) float64 { return float64(b-a) / seconds / n }
 	return Cost{
-		(b.cpu - a.cpu) / s / n, b.mem / n, each(a.bytes, b.bytes), each(a.calls, b.calls), each(a.spent.ReportedBytes, b.spent.ReportedBytes),
-		each(a.spent.Reports, b.spent.Reports), each(a.spent.PolledBytes, b.spent.PolledBytes), each(a.spent.Polls, b.spent.Polls),
+		Processor: (b.processor - a.processor) / seconds / n,
+		MemoryMB:  b.memoryMB / n,
+		RaftBytes: rate(a.quorumBytes, b.quorumBytes),
+		RaftCalls: rate(a.quorumCalls, b.quorumCalls),
+		ToldBytes: rate(a.traffic.ReportedBytes, b.traffic.ReportedBytes),
+		ToldCalls: rate(a.traffic.Reports, b.traffic.Reports),
+		LookBytes: rate(a.traffic.PolledBytes, b.traffic.PolledBytes),
+		Looks:     rate(a.traffic.Polls, b.traffic.Polls),
 	}
 }
