--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -257,11 +257,11 @@
 		return p.setSenderLink(a, sender, scenario.Clients)
 	}
 	// Delivery reports cannot arrive meanwhile, and are not due.
-	undo = p.setSenderLink(a, sender, scenario.Discovery)
+	heal := p.setSenderLink(a, sender, scenario.Discovery)
 	environment := p.cluster.Environment
 	environment.Record(audit.Event{Kind: audit.Unreachable, Sender: a.Sender})
 	return func() {
-		undo()
+		heal()
 		environment.Record(audit.Event{Kind: audit.ReachableAgain, Sender: a.Sender})
 	}
 }
--- /dev/null
+++ b/internal/cluster/player_test.go
@@ -0,0 +1,104 @@
+package cluster
+
+import (
+	"bufio"
+	"fmt"
+	"log/slog"
+	"net"
+	"slices"
+	"testing"
+	"time"
+
+	"cleathold/internal/agent"
+	"cleathold/internal/audit"
+	"cleathold/internal/harness"
+	"cleathold/internal/netfault"
+	"cleathold/internal/scenario"
+)
+
+// A fault of links cuts the link that it names, and its undo heals it. The auditor hears of the time in which a
+// sender does not reach discovery.
+func TestInjectLinkFault(t *testing.T) {
+	s, err := scenario.Load("../../examples/scenarios/building-refuses.star", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	target, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer target.Close()
+	go func() { // greets whoever connects
+		for {
+			c, err := target.Accept()
+			if err != nil {
+				return
+			}
+			fmt.Fprintln(c, "hello")
+			c.Close()
+		}
+	}()
+	for kind, c := range map[ActionKind]struct {
+		from, to string
+		events   []audit.EventKind
+	}{
+		PartitionAgent: {"a1", "a0", nil},
+		AgentLink:      {"a1", "a2", nil},
+		SenderToAgent:  {"a1", "n1", nil},
+		ClientsLink:    {scenario.Clients, "n1", nil},
+		DiscoveryLink:  {"n1", scenario.Discovery, []audit.EventKind{audit.Unreachable, audit.ReachableAgain}},
+	} {
+		var events []audit.EventKind
+		sink := func(e audit.Event) error { events = append(events, e.Kind); return nil }
+		environment, err := harness.NewEnvironment(t.Context(), s.Plan(1), slog.New(slog.DiscardHandler), sink)
+		if err != nil {
+			t.Fatal(err)
+		}
+		links := netfault.New(1)
+		addr, err := links.TCP(c.from, c.to, "127.0.0.1", target.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		p := &player{cluster: &Cluster{
+			Net: links, Environment: environment, Names: []string{"n0", "n1"},
+			agents: []*agentProcess{{name: "a0"}, {name: "a1"}, {name: "a2"}},
+		}}
+		undo := p.inject(Action{Kind: kind, Agent: 1, Other: 2, Sender: 1, State: netfault.State{Cut: true}})
+		if passes(addr) {
+			t.Errorf("%s: the link passes data", kind)
+		}
+		undo()
+		if !passes(addr) {
+			t.Errorf("%s: the link is not healed", kind)
+		}
+		if !slices.Equal(events, c.events) {
+			t.Errorf("%s: events %v, want %v", kind, events, c.events)
+		}
+		links.Close()
+		environment.Close()
+	}
+}
+
+// passes reports whether a greeting comes through a link.
+func passes(addr string) bool {
+	c, err := net.DialTimeout("tcp4", addr, 10*time.Second)
+	if err != nil {
+		return false
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(10 * time.Second))
+	text, _ := bufio.NewReader(c).ReadString('\n')
+	return text == "hello\n"
+}
+
+// An order that an agent answered and did not carry out is an OrderError with the agent's kind and text.
+func TestOrderError(t *testing.T) {
+	if err := orderError(agent.Result{Index: 3}); err != nil {
+		t.Errorf("carried out: %v", err)
+	}
+	err := orderError(agent.Result{Kind: agent.KindRejected, Text: "no such plan"})
+	failed, ok := err.(*OrderError)
+	if !ok || failed.Kind != agent.KindRejected || err.Error() != "refused: no such plan" {
+		t.Errorf("rejected: %#v", err)
+	}
+}
