--- a/internal/netfault/fault_test.go
+++ b/internal/netfault/netfault_test.go
@@ -15,8 +15,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo answers each line with itself, at an address of its own.
-func echo(t *testing.T) string {
+// startEchoServer answers each line with itself, at an address of its own.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -35,80 +35,80 @@
 	return l.Addr().String()
 }
 
-type line struct {
+type lineConn struct {
 	t *testing.T
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
-func dial(t *testing.T, addr string) *line {
+func dial(t *testing.T, addr string) *lineConn {
 	t.Helper()
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &line{t, c, bufio.NewReader(c)}
+	return &lineConn{t, c, bufio.NewReader(c)}
 }
 
-// say sends a line and reads one, until a time.
-func (l *line) say(text string, span time.Duration) error {
+// exchange sends a line and reads one, until a time.
+func (l *lineConn) exchange(text string, span time.Duration) error {
 	l.SetDeadline(time.Now().Add(span))
 	if _, err := fmt.Fprintln(l, text); err != nil {
 		return err
 	}
-	got, err := l.in.ReadString('\n')
+	got, err := l.reader.ReadString('\n')
 	if err == nil && got != text+"\n" {
 		l.t.Errorf("said %q, heard %q", text, got)
 	}
 	return err
 }
 
-func late(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
 // A connection through each state of its ways: what is said while a way is silent arrives once it is healed, and a cut
 // breaks it and those that come after.
 func TestTCP(t *testing.T) {
 	n := New(1)
 	defer n.Close()
-	addr, err := n.TCP("a", "b", "127.0.0.1", echo(t))
+	addr, err := n.TCP("a", "b", "127.0.0.1", startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	const soon, long = 50 * time.Millisecond, 20 * time.Second
 	for _, silent := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		c := dial(t, addr)
-		if err := c.say("one", long); err != nil {
+		if err := c.exchange("one", long); err != nil {
 			t.Fatal(err)
 		}
 		n.Set(silent[0], silent[1], State{Silent: true})
-		if err := c.say("two", soon); !late(err) {
+		if err := c.exchange("two", soon); !isTimeout(err) {
 			t.Errorf("silent from %s: %v", silent[0], err)
 		}
 		n.Heal()
 		c.SetDeadline(time.Now().Add(long))
-		if got, err := c.in.ReadString('\n'); got != "two\n" || err != nil {
+		if got, err := c.reader.ReadString('\n'); got != "two\n" || err != nil {
 			t.Errorf("healed: %q, %v", got, err)
 		}
 	}
 	c := dial(t, addr)
-	c.say("one", long)
+	c.exchange("one", long)
 	n.Set("b", "a", State{Cut: true})
-	if err := c.say("two", long); err == nil || late(err) {
+	if err := c.exchange("two", long); err == nil || isTimeout(err) {
 		t.Errorf("cut: %v", err)
 	}
 	n.Set("a", "b", State{Cut: true})
 	// The break may come while the kernel still connects.
 	if c, err := net.Dial("tcp4", addr); err == nil {
-		l := &line{t, c, bufio.NewReader(c)}
-		if err := l.say("one", long); err == nil || late(err) {
+		l := &lineConn{t, c, bufio.NewReader(c)}
+		if err := l.exchange("one", long); err == nil || isTimeout(err) {
 			t.Errorf("a new one while it is cut: %v", err)
 		}
 		c.Close()
 	}
 	n.SetBoth("a", "b", State{Delay: 30 * time.Millisecond})
 	began := time.Now()
-	if err := dial(t, addr).say("one", long); err != nil || time.Since(began) < 60*time.Millisecond {
+	if err := dial(t, addr).exchange("one", long); err != nil || time.Since(began) < 60*time.Millisecond {
 		t.Errorf("slow: %v after %v", err, time.Since(began))
 	}
 }
--- a/internal/netfault/tcp.go
+++ b/internal/netfault/tcp.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// pipe is one connection through a link.
-type pipe struct {
+// proxiedConn is one connection through a link.
+type proxiedConn struct {
 	from, to string
 	mu       sync.Mutex
-	ends     []net.Conn
-	dead     bool
+	conns    []net.Conn
+	closed   bool
 }
 
-func (p *pipe) add(c net.Conn) bool {
+func (p *proxiedConn) add(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.dead {
+	if p.closed {
 		c.Close()
 		return false
 	}
-	p.ends = append(p.ends, c)
+	p.conns = append(p.conns, c)
 	return true
 }
 
 // reset breaks both ends.
-func (p *pipe) reset() {
+func (p *proxiedConn) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dead = true
-	for _, c := range p.ends {
+	p.closed = true
+	for _, c := range p.conns {
 		if t, is := c.(*net.TCPConn); is {
 			t.SetLinger(0)
 		}
@@ -38,16 +38,16 @@
 	}
 }
 
-func (p *pipe) over() bool {
+func (p *proxiedConn) isClosed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dead
+	return p.closed
 }
 
 const (
-	pieceMost = 32 << 10
-	queueMost = 256 // pieces that wait for their time
-	dialSpan  = 2 * time.Second
+	maxPieceBytes   = 32 << 10
+	maxQueuedPieces = 256 // pieces that wait for their time
+	dialTimeout     = 2 * time.Second
 )
 
 // TCP opens an address on a host by which one party reaches another's address. The other need not listen yet.
@@ -56,7 +56,7 @@
 	if err != nil {
 		return "", err
 	}
-	if !n.keep(l) {
+	if !n.track(l) {
 		return "", net.ErrClosed
 	}
 	n.wg.Go(func() {
@@ -65,7 +65,7 @@
 			if err != nil {
 				return
 			}
-			p := &pipe{from: from, to: to}
+			p := &proxiedConn{from: from, to: to}
 			n.mu.Lock()
 			if n.closed {
 				n.mu.Unlock()
@@ -73,41 +73,41 @@
 				return
 			}
 			n.conns[p] = true
-			n.wg.Go(func() { n.carry(p, c, target) })
+			n.wg.Go(func() { n.proxy(p, c, target) })
 			n.mu.Unlock()
 		}
 	})
 	return l.Addr().String(), nil
 }
 
-// carry serves one connection.
-func (n *Net) carry(p *pipe, c net.Conn, target string) {
+// proxy serves one connection.
+func (n *Net) proxy(p *proxiedConn, c net.Conn, target string) {
 	defer func() {
 		p.reset()
 		n.mu.Lock()
 		delete(n.conns, p)
 		n.mu.Unlock()
 	}()
-	there, back := way{p.from, p.to}, way{p.to, p.from}
-	if !p.add(c) || !n.passable(p, there) {
+	there, back := direction{p.from, p.to}, direction{p.to, p.from}
+	if !p.add(c) || !n.awaitPassing(p, there) {
 		return
 	}
-	d, err := net.DialTimeout("tcp4", target, dialSpan)
+	d, err := net.DialTimeout("tcp4", target, dialTimeout)
 	if err != nil || !p.add(d) {
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { n.pump(p, there, c, d) })
-	wg.Go(func() { n.pump(p, back, d, c) })
+	wg.Go(func() { n.forward(p, there, c, d) })
+	wg.Go(func() { n.forward(p, back, d, c) })
 	wg.Wait()
 }
 
-// passable waits until a way lets something pass; false: it is cut, or the connection is no more.
-func (n *Net) passable(p *pipe, w way) bool {
+// awaitPassing waits until a way lets something pass; false: it is cut, or the connection is no more.
+func (n *Net) awaitPassing(p *proxiedConn, w direction) bool {
 	for {
-		s, change := n.state(w)
+		s, change := n.currentState(w)
 		switch {
-		case s.Cut || p.over():
+		case s.Cut || p.isClosed():
 			return false
 		case !s.Silent:
 			return true
@@ -119,24 +119,24 @@
 	}
 }
 
-// pump passes one direction on, in order, each piece after its delay. An end passes on as well, unless the way is silent.
-func (n *Net) pump(p *pipe, w way, in, out net.Conn) {
+// forward passes one direction on, in order, each piece after its delay. An end passes on as well, unless the way is silent.
+func (n *Net) forward(p *proxiedConn, w direction, in, out net.Conn) {
 	type piece struct {
 		data []byte
 		at   time.Time
 	}
-	queue := make(chan piece, queueMost)
+	queue := make(chan piece, maxQueuedPieces)
 	go func() {
 		defer close(queue)
 		last := time.Time{}
 		for {
-			b := make([]byte, pieceMost)
+			b := make([]byte, maxPieceBytes)
 			k, err := in.Read(b)
 			if k > 0 {
-				s, _ := n.state(w)
-				at := time.Now().Add(s.Delay + n.between(s.Jitter))
-				if n.draw(s.Loss) {
-					at = at.Add(retransmission)
+				s, _ := n.currentState(w)
+				at := time.Now().Add(s.Delay + n.randomDelay(s.Jitter))
+				if n.chance(s.Loss) {
+					at = at.Add(retransmissionDelay)
 				}
 				if at.Before(last) {
 					at = last
@@ -157,7 +157,7 @@
 		if d := time.Until(x.at); d > 0 {
 			time.Sleep(d)
 		}
-		if !n.passable(p, w) {
+		if !n.awaitPassing(p, w) {
 			fault = true
 			p.reset()
 			continue
@@ -167,9 +167,9 @@
 			p.reset()
 			continue
 		}
-		n.count(w, len(x.data), false)
+		n.recordPassed(w, len(x.data), false)
 	}
-	if !fault && n.passable(p, w) {
+	if !fault && n.awaitPassing(p, w) {
 		if t, is := out.(*net.TCPConn); is {
 			t.CloseWrite()
 		}
