--- a/internal/netfault/network.go
+++ b/internal/netfault/network.go
@@ -1,35 +1,39 @@
-// Package netfault puts links between processes on loopback addresses: TCP and datagrams pass through them, and each way
-// of each pair can be cut, silent, slow, lossy, doubling or out of order, and healed. What passes is not read.
 package netfault
 
 import (
+	"io"
 	"math/rand/v2"
 	"sync"
 	"time"
 )
 
-// Net is a number of links. What is not set is sound.
+// Net is a network of links between named parties. A direction that is not set is sound. It is safe for concurrent use.
 type Net struct {
+	wg sync.WaitGroup // of all goroutines that serve links
+
 	mu        sync.Mutex
 	rng       *rand.Rand
 	states    map[direction]State
-	rule      func(from, to string) State // of ways that are not set; nil: they are sound
+	rule      func(from, to string) State // of directions that are not set; nil: they are sound
 	conns     map[*proxiedConn]bool
-	changed   chan struct{} // closed and made anew with each change
-	resources []interface{ Close() error }
+	changed   chan struct{} // closed and replaced at each change of states
+	resources []io.Closer   // closed with the network
 	closed    bool
-	wg        sync.WaitGroup
 	counts    map[direction]Count
 }
 
-// New returns links that draw their losses from a seed.
+// New returns a network that draws delays and losses from a seed. The caller closes it.
 func New(seed uint64) *Net {
 	return &Net{
-		rng: rand.New(rand.NewPCG(seed, 0)), states: map[direction]State{}, conns: map[*proxiedConn]bool{}, changed: make(chan struct{}), counts: map[direction]Count{},
+		rng:     rand.New(rand.NewPCG(seed, 0)),
+		states:  map[direction]State{},
+		conns:   map[*proxiedConn]bool{},
+		changed: make(chan struct{}),
+		counts:  map[direction]Count{},
 	}
 }
 
-// Set ails one way, or heals it by a zero state. Connections that a cut hits break at once.
+// Set sets the state of one direction; a zero state heals it. Connections that a cut hits break at once.
 func (n *Net) Set(from, to string, s State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -43,11 +47,11 @@
 	n.Set(b, a, s)
 }
 
-// Partition cuts off a group from all others among the names, both ways, by the given state.
+// Partition sets the state between a group and all others among the names, in both directions.
 func (n *Net) Partition(group, all []string, s State) {
 	in := map[string]bool{}
-	for _, g := range group {
-		in[g] = true
+	for _, name := range group {
+		in[name] = true
 	}
 	for _, a := range all {
 		for _, b := range all {
@@ -58,7 +62,7 @@
 	}
 }
 
-// Heal makes all ways sound.
+// Heal undoes all Set calls. A rule goes on.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,7 +70,8 @@
 	n.notifyChanged()
 }
 
-// Follow has a rule say what ails the ways that are not set. Whoever makes it calls Turn when it says something else.
+// Follow has a rule give the states of the directions that are not set. The rule is called under the network's lock.
+// Who gives it calls Refresh whenever its states change.
 func (n *Net) Follow(rule func(from, to string) State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,79 +79,105 @@
 	n.notifyChanged()
 }
 
-// Refresh looks at all ways anew. Connections that a cut hits break at once.
+// Refresh applies the states of the rule anew. Connections that a cut hits break at once.
 func (n *Net) Refresh() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.notifyChanged()
 }
 
-// stateOf is the state of a way; under the lock.
-func (n *Net) stateOf(w direction) State {
-	s, set := n.states[w]
+// Passed returns what has passed in one direction.
+func (n *Net) Passed(from, to string) Count {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.counts[direction{from, to}]
+}
+
+// Close ends all links and waits for the goroutines that serve them. A datagram that is delayed beyond it is lost.
+func (n *Net) Close() {
+	n.mu.Lock()
+	n.closed = true
+	for _, c := range n.resources {
+		c.Close()
+	}
+	for c := range n.conns {
+		c.reset()
+	}
+	n.states, n.rule = map[direction]State{}, nil
+	n.wakeWaiters()
+	n.mu.Unlock()
+	n.wg.Wait()
+}
+
+// stateOf is the state of a direction. The caller holds the lock.
+func (n *Net) stateOf(d direction) State {
+	s, set := n.states[d]
 	if !set && n.rule != nil {
-		return n.rule(w.from, w.to)
+		return n.rule(d.from, d.to)
 	}
 	return s
 }
 
+// currentState is the state of a direction, with a channel that is closed at the next change of any.
+func (n *Net) currentState(d direction) (State, <-chan struct{}) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.stateOf(d), n.changed
+}
+
+// notifyChanged breaks connections that are cut now, and wakes all that wait for a change. The caller holds the lock.
 func (n *Net) notifyChanged() {
-	close(n.changed)
-	n.changed = make(chan struct{})
-	for p := range n.conns {
-		if n.stateOf(direction{p.from, p.to}).Cut || n.stateOf(direction{p.to, p.from}).Cut {
-			p.reset()
+	n.wakeWaiters()
+	for c := range n.conns {
+		if n.stateOf(c.forward()).Cut || n.stateOf(c.back()).Cut {
+			c.reset()
 		}
 	}
 }
 
-// currentState is that of a way, with what tells of the next change.
-func (n *Net) currentState(w direction) (State, <-chan struct{}) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.stateOf(w), n.changed
+func (n *Net) wakeWaiters() {
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// chance is true for a part of the calls.
-func (n *Net) chance(part float64) bool {
-	if part <= 0 {
+// chance is true with a probability.
+func (n *Net) chance(probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rng.Float64() < part
+	return n.rng.Float64() < probability
 }
 
-func (n *Net) randomDelay(d time.Duration) time.Duration {
-	if d <= 0 {
+// randomDelay draws a delay that is shorter than a bound.
+func (n *Net) randomDelay(bound time.Duration) time.Duration {
+	if bound <= 0 {
 		return 0
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Duration(n.rng.Int64N(int64(d)))
+	return time.Duration(n.rng.Int64N(int64(bound)))
 }
 
-func (n *Net) recordPassed(w direction, bytes int, lost bool) {
+func (n *Net) recordPassed(d direction, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := n.counts[w]
-	if lost {
-		c.Lost++
-	} else {
-		c.Bytes, c.Pieces = c.Bytes+int64(bytes), c.Pieces+1
-	}
-	n.counts[w] = c
+	c := n.counts[d]
+	c.Bytes, c.Pieces = c.Bytes+int64(bytes), c.Pieces+1
+	n.counts[d] = c
 }
 
-// Passed tells what has passed one way.
-func (n *Net) Passed(from, to string) Count {
+func (n *Net) recordLost(d direction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.counts[direction{from, to}]
+	c := n.counts[d]
+	c.Lost++
+	n.counts[d] = c
 }
 
-// track has something closed with the links. False: they are closed already.
-func (n *Net) track(c interface{ Close() error }) bool {
+// track has something closed with the network. If that is closed already, it closes it at once and returns false.
+func (n *Net) track(c io.Closer) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -156,20 +187,3 @@
 	n.resources = append(n.resources, c)
 	return true
 }
-
-// Close ends all links and waits for what passes through them.
-func (n *Net) Close() {
-	n.mu.Lock()
-	n.closed = true
-	for _, c := range n.resources {
-		c.Close()
-	}
-	for p := range n.conns {
-		p.reset()
-	}
-	n.states, n.rule = map[direction]State{}, nil
-	close(n.changed)
-	n.changed = make(chan struct{})
-	n.mu.Unlock()
-	n.wg.Wait()
-}
--- a/internal/netfault/state.go
+++ b/internal/netfault/state.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// State is what ails one way between two parties. The zero value is a sound one.
+// State is the fault of one direction between two parties. The zero value is a sound one.
 type State struct {
 	Cut       bool          `json:"Cut"`     // connections break and none comes up; datagrams are lost
 	Silent    bool          `json:"Silent"`  // connections stay open and nothing passes; datagrams are lost
-	Delay     time.Duration `json:"Delay"`   // each piece, each datagram
-	Jitter    time.Duration `json:"Jitter"`  // up to so much more; datagrams overtake one another by it
-	Loss      float64       `json:"Loss"`    // part of the datagrams; a piece of a connection comes later by a retransmission
-	Duplicate float64       `json:"Double"`  // part of the datagrams that come twice
-	Reorder   float64       `json:"Reorder"` // part of the datagrams that come later by ten times the jitter
+	Delay     time.Duration `json:"Delay"`   // of each piece of a connection and each datagram
+	Jitter    time.Duration `json:"Jitter"`  // at most so much more delay; it lets datagrams overtake one another
+	Loss      float64       `json:"Loss"`    // fraction of datagrams lost, or of pieces that come a retransmission later
+	Duplicate float64       `json:"Double"`  // fraction of datagrams that come twice
+	Reorder   float64       `json:"Reorder"` // fraction of datagrams that come later by ten times the jitter
 }
 
-// Count is what has passed one way.
+// Count is what has passed in one direction. A piece is a datagram, or what one read of a connection returned.
 type Count struct{ Bytes, Pieces, Lost int64 }
 
+// A direction is one of the two between a pair of parties.
 type direction struct{ from, to string }
 
 // retransmissionDelay is about how long TCP takes to make up for a loss.
--- a/internal/netfault/tcp.go
+++ b/internal/netfault/tcp.go
@@ -6,51 +6,59 @@
 	"time"
 )
 
-// proxiedConn is one connection through a link.
+const (
+	maxPieceBytes   = 32 << 10
+	maxQueuedPieces = 256 // pieces of one direction that wait for their time
+	dialTimeout     = 2 * time.Second
+	closedInterval  = 100 * time.Millisecond // a connection that waits for its link looks so often whether it was reset
+)
+
+// A proxiedConn is one connection through a link: the conns to both parties.
 type proxiedConn struct {
-	from, to string
-	mu       sync.Mutex
-	conns    []net.Conn
-	closed   bool
+	from, to string // from opened it
+
+	mu     sync.Mutex
+	conns  []net.Conn
+	closed bool
 }
 
-func (p *proxiedConn) add(c net.Conn) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
-		c.Close()
+func (c *proxiedConn) forward() direction { return direction{c.from, c.to} }
+
+func (c *proxiedConn) back() direction { return direction{c.to, c.from} }
+
+// add makes the connection own a conn. If it was reset already, it closes the conn and returns false.
+func (c *proxiedConn) add(conn net.Conn) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		conn.Close()
 		return false
 	}
-	p.conns = append(p.conns, c)
+	c.conns = append(c.conns, conn)
 	return true
 }
 
-// reset breaks both ends.
-func (p *proxiedConn) reset() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	for _, c := range p.conns {
-		if t, is := c.(*net.TCPConn); is {
+// reset breaks the connection at both ends.
+func (c *proxiedConn) reset() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
+	for _, conn := range c.conns {
+		if t, ok := conn.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
-		c.Close()
+		conn.Close()
 	}
 }
 
-func (p *proxiedConn) isClosed() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.closed
+func (c *proxiedConn) isClosed() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closed
 }
 
-const (
-	maxPieceBytes   = 32 << 10
-	maxQueuedPieces = 256 // pieces that wait for their time
-	dialTimeout     = 2 * time.Second
-)
-
-// TCP opens an address on a host by which one party reaches another's address. The other need not listen yet.
+// TCP opens an address on a host by which one party reaches another's address, the target. Nobody need listen there
+// yet. The link ends with the network.
 func (n *Net) TCP(from, to, host, target string) (string, error) {
 	l, err := net.Listen("tcp4", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -61,117 +69,127 @@
 	}
 	n.wg.Go(func() {
 		for {
-			c, err := l.Accept()
-			if err != nil {
+			conn, err := l.Accept()
+			if err != nil || !n.serve(&proxiedConn{from: from, to: to}, conn, target) {
 				return
 			}
-			p := &proxiedConn{from: from, to: to}
-			n.mu.Lock()
-			if n.closed {
-				n.mu.Unlock()
-				c.Close()
-				return
-			}
-			n.conns[p] = true
-			n.wg.Go(func() { n.proxy(p, c, target) })
-			n.mu.Unlock()
 		}
 	})
 	return l.Addr().String(), nil
 }
 
-// proxy serves one connection.
-func (n *Net) proxy(p *proxiedConn, c net.Conn, target string) {
+// serve starts to serve a connection; false if the network is closed.
+func (n *Net) serve(c *proxiedConn, conn net.Conn, target string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.closed {
+		conn.Close()
+		return false
+	}
+	n.conns[c] = true
+	n.wg.Go(func() { n.proxy(c, conn, target) })
+	return true
+}
+
+// proxy serves one connection until both directions have ended.
+func (n *Net) proxy(c *proxiedConn, conn net.Conn, target string) {
 	defer func() {
-		p.reset()
+		c.reset()
 		n.mu.Lock()
-		delete(n.conns, p)
+		delete(n.conns, c)
 		n.mu.Unlock()
 	}()
-	there, back := direction{p.from, p.to}, direction{p.to, p.from}
-	if !p.add(c) || !n.awaitPassing(p, there) {
+	if !c.add(conn) || !n.awaitPassing(c, c.forward()) {
 		return
 	}
-	d, err := net.DialTimeout("tcp4", target, dialTimeout)
-	if err != nil || !p.add(d) {
+	peer, err := net.DialTimeout("tcp4", target, dialTimeout)
+	if err != nil || !c.add(peer) {
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { n.forward(p, there, c, d) })
-	wg.Go(func() { n.forward(p, back, d, c) })
+	wg.Go(func() { n.forward(c, c.forward(), conn, peer) })
+	wg.Go(func() { n.forward(c, c.back(), peer, conn) })
 	wg.Wait()
 }
 
-// awaitPassing waits until a way lets something pass; false: it is cut, or the connection is no more.
-func (n *Net) awaitPassing(p *proxiedConn, w direction) bool {
+// awaitPassing waits until a direction passes data; false if it is cut or the connection was reset.
+func (n *Net) awaitPassing(c *proxiedConn, d direction) bool {
 	for {
-		s, change := n.currentState(w)
+		s, changed := n.currentState(d)
 		switch {
-		case s.Cut || p.isClosed():
+		case s.Cut || c.isClosed():
 			return false
 		case !s.Silent:
 			return true
 		}
 		select {
-		case <-change:
-		case <-time.After(100 * time.Millisecond): // somebody may have ended the connection
+		case <-changed:
+		case <-time.After(closedInterval):
 		}
 	}
 }
 
-// forward passes one direction on, in order, each piece after its delay. An end passes on as well, unless the way is silent.
-func (n *Net) forward(p *proxiedConn, w direction, in, out net.Conn) {
-	type piece struct {
-		data []byte
-		at   time.Time
-	}
+// A piece is what one read returned, and when it is to be passed on.
+type piece struct {
+	data []byte
+	at   time.Time
+}
+
+// forward passes on one direction of a connection, in order, each piece after its delay. The end of the stream is
+// passed on, too, unless the direction is silent.
+func (n *Net) forward(c *proxiedConn, d direction, in, out net.Conn) {
 	queue := make(chan piece, maxQueuedPieces)
 	go func() {
 		defer close(queue)
-		last := time.Time{}
-		for {
-			b := make([]byte, maxPieceBytes)
-			k, err := in.Read(b)
-			if k > 0 {
-				s, _ := n.currentState(w)
-				at := time.Now().Add(s.Delay + n.randomDelay(s.Jitter))
-				if n.chance(s.Loss) {
-					at = at.Add(retransmissionDelay)
-				}
-				if at.Before(last) {
-					at = last
-				}
-				last = at
-				queue <- piece{b[:k], at}
-			}
-			if err != nil {
-				return
-			}
-		}
+		n.readPieces(d, in, queue)
 	}()
-	fault := false
-	for x := range queue { // to its end, or its reader would hang
-		if fault {
+	failed := false
+	for p := range queue { // to its end even after a failure, or the reader would block for ever
+		if failed {
 			continue
 		}
-		if d := time.Until(x.at); d > 0 {
-			time.Sleep(d)
+		if delay := time.Until(p.at); delay > 0 {
+			time.Sleep(delay)
 		}
-		if !n.awaitPassing(p, w) {
-			fault = true
-			p.reset()
+		if !n.awaitPassing(c, d) {
+			failed = true
+			c.reset()
 			continue
 		}
-		if _, err := out.Write(x.data); err != nil {
-			fault = true
-			p.reset()
+		if _, err := out.Write(p.data); err != nil {
+			failed = true
+			c.reset()
 			continue
 		}
-		n.recordPassed(w, len(x.data), false)
+		n.recordPassed(d, len(p.data))
 	}
-	if !fault && n.awaitPassing(p, w) {
-		if t, is := out.(*net.TCPConn); is {
+	if !failed && n.awaitPassing(c, d) {
+		if t, ok := out.(*net.TCPConn); ok {
 			t.CloseWrite()
 		}
 	}
 }
+
+// readPieces reads a conn to its end, and gives each piece its time. A loss delays a piece and all behind it.
+func (n *Net) readPieces(d direction, in net.Conn, queue chan<- piece) {
+	last := time.Time{}
+	for {
+		data := make([]byte, maxPieceBytes)
+		size, err := in.Read(data)
+		if size > 0 {
+			s, _ := n.currentState(d)
+			at := time.Now().Add(s.Delay + n.randomDelay(s.Jitter))
+			if n.chance(s.Loss) {
+				at = at.Add(retransmissionDelay)
+			}
+			if at.Before(last) {
+				at = last
+			}
+			last = at
+			queue <- piece{data[:size], at}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
--- a/internal/netfault/udp.go
+++ b/internal/netfault/udp.go
@@ -4,23 +4,27 @@
 	"fmt"
 	"net"
 	"net/netip"
+	"slices"
 	"time"
 )
 
-const maxDatagramBytes = 2048
+const (
+	maxDatagramBytes = 2048
+	reorderFactor    = 10 // times the jitter, by which a reordered datagram is late
+)
 
-// Datagrams are the ways of the senders' notes: each party has an address of its own in the network, which the others
-// know it by, and one that reaches all.
+// Datagrams are the links for gossip between parties: each party has an address in the network by which the others
+// know it, and one by which it reaches all of them.
 type Datagrams struct {
 	network   *Net
 	names     []string
-	listens   []netip.AddrPort // where a party listens
+	listens   []netip.AddrPort // where the parties listen
 	parties   map[netip.AddrPort]int
-	public    []*net.UDPConn // its address in the network, for the others
-	broadcast []*net.UDPConn // by which it reaches all
+	public    []*net.UDPConn // by which the others know a party
+	broadcast []*net.UDPConn // by which a party reaches all others
 }
 
-// UDP opens the ways between parties that listen at these addresses.
+// UDP opens links between parties that listen at these addresses. They end with the network.
 func (n *Net) UDP(host string, names, listens []string) (*Datagrams, error) {
 	d := &Datagrams{network: n, names: names, parties: map[netip.AddrPort]int{}}
 	for i, l := range listens {
@@ -31,92 +35,98 @@
 		d.listens = append(d.listens, a)
 		d.parties[a] = i
 	}
-	open := func() (*net.UDPConn, error) {
-		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(host)})
-		if err == nil && !n.track(c) {
-			err = net.ErrClosed
-		}
-		return c, err
-	}
 	for range names {
-		k, err := open()
+		public, err := n.listenUDP(host)
 		if err != nil {
 			return nil, err
 		}
-		a, err := open()
+		broadcast, err := n.listenUDP(host)
 		if err != nil {
 			return nil, err
 		}
-		d.public, d.broadcast = append(d.public, k), append(d.broadcast, a)
+		d.public, d.broadcast = append(d.public, public), append(d.broadcast, broadcast)
 	}
 	for i := range names {
 		n.wg.Go(func() { d.receive(d.public[i], []int{i}) })
-		rest := make([]int, 0, len(names))
+		others := make([]int, 0, len(names))
 		for k := range names {
 			if k != i {
-				rest = append(rest, k)
+				others = append(others, k)
 			}
 		}
-		n.wg.Go(func() { d.receive(d.broadcast[i], rest) })
+		n.wg.Go(func() { d.receive(d.broadcast[i], others) })
 	}
 	return d, nil
 }
 
-// Peers are the addresses in the network of all parties, by their numbers.
+func (n *Net) listenUDP(host string) (*net.UDPConn, error) {
+	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(host)})
+	if err != nil {
+		return nil, err
+	}
+	if !n.track(conn) {
+		return nil, net.ErrClosed
+	}
+	return conn, nil
+}
+
+// Peers returns the addresses in the network of all parties, by their numbers.
 func (d *Datagrams) Peers() (list []string) {
-	for _, c := range d.public {
-		list = append(list, c.LocalAddr().String())
+	for _, conn := range d.public {
+		list = append(list, conn.LocalAddr().String())
 	}
 	return list
 }
 
-// All is the address by which a party reaches all others.
+// All returns the address by which a party reaches all others.
 func (d *Datagrams) All(party int) string { return d.broadcast[party].LocalAddr().String() }
 
-// receive passes what comes to an address on to parties, from the address that they know its sender by.
-func (d *Datagrams) receive(c *net.UDPConn, to []int) {
-	b := make([]byte, maxDatagramBytes)
+// receive passes on what comes to an address to some parties, until the address is closed. What comes from nobody of
+// the network is dropped.
+func (d *Datagrams) receive(conn *net.UDPConn, to []int) {
+	buffer := make([]byte, maxDatagramBytes)
 	for {
-		k, from, err := c.ReadFromUDPAddrPort(b)
+		size, addr, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
-		sender, known := d.parties[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		from, known := d.parties[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 		if !known {
-			continue // of nobody here
+			continue
 		}
-		data := append([]byte(nil), b[:k]...)
-		for _, t := range to {
-			d.forward(sender, t, data)
+		data := slices.Clone(buffer[:size])
+		for _, party := range to {
+			d.forward(from, party, data)
 		}
 	}
 }
 
-// forward has a datagram arrive, or not, once or twice, now or later.
+// forward has a datagram arrive by the state of its direction: not at all, once or twice, now or later, from the
+// address by which the receiver knows the sender.
 func (d *Datagrams) forward(from, to int, data []byte) {
-	w := direction{d.names[from], d.names[to]}
-	s, _ := d.network.currentState(w)
-	if s.Cut || s.Silent || d.network.chance(s.Loss) {
-		d.network.recordPassed(w, 0, true)
+	n, dir := d.network, direction{d.names[from], d.names[to]}
+	s, _ := n.currentState(dir)
+	if s.Cut || s.Silent || n.chance(s.Loss) {
+		n.recordLost(dir)
 		return
 	}
-	times := 1
-	if d.network.chance(s.Duplicate) {
-		times = 2
+	count := 1
+	if n.chance(s.Duplicate) {
+		count = 2
 	}
-	for range times {
-		after := s.Delay + d.network.randomDelay(s.Jitter)
-		if d.network.chance(s.Reorder) {
-			after += 10 * s.Jitter
+	for range count {
+		delay := s.Delay + n.randomDelay(s.Jitter)
+		if n.chance(s.Reorder) {
+			delay += reorderFactor * s.Jitter
 		}
 		send := func() {
-			d.network.recordPassed(w, len(data), false)
-			d.public[from].WriteToUDPAddrPort(data, d.listens[to]) // one that can't be sent is lost
+			n.recordPassed(dir, len(data))
+			d.public[from].WriteToUDPAddrPort(data, d.listens[to]) // an error is a loss
 		}
-		if after == 0 {
+		if delay == 0 {
 			send()
 		} else {
-			time.AfterFunc(after, send)
+			time.AfterFunc(delay, send)
 		}
 	}
 }
