--- a/internal/netfault/netfault_test.go
+++ b/internal/netfault/netfault_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEchoServer answers each line with itself, at an address of its own.
+// startEchoServer sends back what it reads, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -35,6 +35,7 @@
 	return l.Addr().String()
 }
 
+// A lineConn is a connection that exchanges lines.
 type lineConn struct {
 	t *testing.T
 	net.Conn
@@ -51,7 +52,7 @@
 	return &lineConn{t, c, bufio.NewReader(c)}
 }
 
-// exchange sends a line and reads one, until a time.
+// exchange sends a line and reads it back, within a timeout.
 func (l *lineConn) exchange(text string, span time.Duration) error {
 	l.SetDeadline(time.Now().Add(span))
 	if _, err := fmt.Fprintln(l, text); err != nil {
@@ -59,15 +60,15 @@
 	}
 	got, err := l.reader.ReadString('\n')
 	if err == nil && got != text+"\n" {
-		l.t.Errorf("said %q, heard %q", text, got)
+		l.t.Errorf("sent %q, received %q", text, got)
 	}
 	return err
 }
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// A connection through each state of its ways: what is said while a way is silent arrives once it is healed, and a cut
-// breaks it and those that come after.
+// A connection in each state of its directions: what is sent while one is silent arrives when it is healed, and a cut
+// breaks the connection and those that come after.
 func TestTCP(t *testing.T) {
 	n := New(1)
 	defer n.Close()
@@ -113,72 +114,98 @@
 	}
 }
 
-// Datagrams come from the address that the others know, and are lost, doubled and late as the way has it.
-func TestUDP(t *testing.T) {
-	n := New(1)
-	defer n.Close()
-	var socks []*net.UDPConn
+// udpParties are three parties n0 to n2 that exchange datagrams through a network.
+type udpParties struct {
+	t         *testing.T
+	network   *Net
+	datagrams *Datagrams
+	conns     []*net.UDPConn
+}
+
+func newUDPParties(t *testing.T) *udpParties {
+	t.Helper()
+	p := &udpParties{t: t, network: New(1)}
+	t.Cleanup(p.network.Close)
 	var names, listens []string
 	for i := range 3 {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		socks, names, listens = append(socks, c), append(names, fmt.Sprint("n", i)), append(listens, c.LocalAddr().String())
+		t.Cleanup(func() { c.Close() })
+		p.conns, names = append(p.conns, c), append(names, fmt.Sprint("n", i))
+		listens = append(listens, c.LocalAddr().String())
 	}
-	d, err := n.UDP("127.0.0.1", names, listens)
-	if err != nil {
+	var err error
+	if p.datagrams, err = p.network.UDP("127.0.0.1", names, listens); err != nil {
 		t.Fatal(err)
 	}
-	send := func(from int, to, text string) {
-		a, _ := net.ResolveUDPAddr("udp4", to)
-		socks[from].WriteTo([]byte(text), a)
+	return p
+}
+
+// send sends a text from a party to an address.
+func (p *udpParties) send(from int, to, text string) {
+	a, _ := net.ResolveUDPAddr("udp4", to)
+	p.conns[from].WriteTo([]byte(text), a)
+}
+
+// receive returns the next text that comes to a party, after the number of its sender; empty if none comes in time.
+func (p *udpParties) receive(at int, timeout time.Duration) string {
+	b := make([]byte, 100)
+	p.conns[at].SetReadDeadline(time.Now().Add(timeout))
+	k, from, err := p.conns[at].ReadFrom(b)
+	if err != nil {
+		return ""
 	}
-	hear := func(at int, span time.Duration) string {
-		b := make([]byte, 100)
-		socks[at].SetReadDeadline(time.Now().Add(span))
-		k, from, err := socks[at].ReadFrom(b)
-		if err != nil {
-			return ""
-		}
-		for i, p := range d.Peers() {
-			if p == from.String() {
-				return fmt.Sprintf("%d:%s", i, b[:k])
-			}
+	for i, peer := range p.datagrams.Peers() {
+		if peer == from.String() {
+			return fmt.Sprintf("%d:%s", i, b[:k])
 		}
-		return "a stranger"
 	}
+	return "a stranger"
+}
+
+// Datagrams come from the address that the others know, and are lost and doubled by the state of their direction.
+func TestUDP(t *testing.T) {
+	p := newUDPParties(t)
+	n, d := p.network, p.datagrams
 	const soon, long = 50 * time.Millisecond, 20 * time.Second
-	send(0, d.All(0), "x")
-	if a, b, c := hear(1, long), hear(2, long), hear(0, soon); a != "0:x" || b != "0:x" || c != "" {
+	p.send(0, d.All(0), "x")
+	if a, b, c := p.receive(1, long), p.receive(2, long), p.receive(0, soon); a != "0:x" || b != "0:x" || c != "" {
 		t.Errorf("to all: %q, %q, and at its sender %q", a, b, c)
 	}
-	send(2, d.Peers()[1], "y")
-	if a, c := hear(1, long), hear(0, soon); a != "2:y" || c != "" {
+	p.send(2, d.Peers()[1], "y")
+	if a, c := p.receive(1, long), p.receive(0, soon); a != "2:y" || c != "" {
 		t.Errorf("to one: %q, at another %q", a, c)
 	}
 	n.Set("n0", "n1", State{Cut: true})
-	send(0, d.All(0), "x")
-	if a, b := hear(2, long), hear(1, soon); a != "0:x" || b != "" {
+	p.send(0, d.All(0), "x")
+	if a, b := p.receive(2, long), p.receive(1, soon); a != "0:x" || b != "" {
 		t.Errorf("cut one way: %q, %q", a, b)
 	}
-	send(1, d.Peers()[0], "back")
-	if a := hear(0, long); a != "1:back" {
+	p.send(1, d.Peers()[0], "back")
+	if a := p.receive(0, long); a != "1:back" {
 		t.Errorf("the other way: %q", a)
 	}
 	n.Heal()
 	n.Set("n0", "n1", State{Duplicate: 1})
-	send(0, d.Peers()[1], "x")
-	if a, b := hear(1, long), hear(1, long); a != "0:x" || b != "0:x" {
+	p.send(0, d.Peers()[1], "x")
+	if a, b := p.receive(1, long), p.receive(1, long); a != "0:x" || b != "0:x" {
 		t.Errorf("doubled: %q, %q", a, b)
 	}
+}
+
+// Datagrams are lost with the probability that is set, and those that are not lost arrive.
+func TestUDPLoss(t *testing.T) {
+	p := newUDPParties(t)
+	n, d := p.network, p.datagrams
+	const long = 20 * time.Second
 	n.Set("n0", "n1", State{Loss: 0.5})
-	// One at a time: a socket's buffer holds less than 400 datagrams, and the kernel drops the rest without a word.
+	// One at a time: a socket's buffer holds fewer than 400 datagrams, and the kernel drops the others unseen.
 	c := n.Passed("n0", "n1")
 	gone, came := c.Pieces+c.Lost, c.Pieces
 	for i := range int64(400) {
-		send(0, d.Peers()[1], "x")
+		p.send(0, d.Peers()[1], "x")
 		for until := time.Now().Add(long); c.Pieces+c.Lost <= gone+i; c = n.Passed("n0", "n1") {
 			if time.Now().After(until) {
 				t.Fatalf("datagram %d neither passed nor is lost", i)
@@ -187,7 +214,7 @@
 		}
 		if c.Pieces > came {
 			came = c.Pieces
-			if hear(1, long) == "" {
+			if p.receive(1, long) == "" {
 				t.Fatalf("datagram %d passed and did not come", i)
 			}
 		}
