--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -127,9 +127,15 @@
 			t.Errorf("%s: %v %v", name, r, err)
 		}
 	}
-	set := func(tr partner.Fault) {
+}
+
+// An endpoint at its limit rejects calls. One that is down breaks its connections and refuses new ones, and keeps its port.
+func TestEndpointListenerFollowsModel(t *testing.T) {
+	env, p := newTestEnvironment(t, "")
+	listener := env.listeners[0][p.Dests[0].Endpoints[0].ID]
+	set := func(fault partner.Fault) {
 		env.locked(func() {
-			env.simulated.Model.SetFault(env.now(), listener.endpoint, tr)
+			env.simulated.Model.SetFault(env.now(), listener.endpoint, fault)
 			env.updateListeners()
 			env.dispatchAndWake()
 		})
@@ -253,9 +259,22 @@
 	if status, _ := get("?since=4&timeout_ms=10000"); status != 503 {
 		t.Errorf("down: %d", status)
 	}
+}
+
+// Delivery reports are taken also while discovery is down, and malformed ones are rejected.
+func TestDeliveryReports(t *testing.T) {
+	env, _ := newTestEnvironment(t, "discovery_out(at = 0, seconds = 10000)\n")
+	addresses, err := env.OpenPlatform()
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, _, err := sendRequest(t, addresses[0], "GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n")
+	if err != nil || r.StatusCode != 503 {
+		t.Errorf("the list: %v %v", r, err)
+	}
 	body := `{"id":"x","status":"deferred","again_ms":500}` + "\n" + `{"id":"y","status":"undeliverable"}` + "\n"
 	const report = "POST /status HTTP/1.1\r\nHost: h\r\nContent-Length: "
-	r, _, err := sendRequest(t, addresses[0], report+strconv.Itoa(len(body))+"\r\n\r\n"+body)
+	r, _, err = sendRequest(t, addresses[0], report+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 	if err != nil || r.StatusCode != 204 {
 		t.Errorf("notices while it is down: %v %v", r, err)
 	}
@@ -264,7 +283,7 @@
 	}
 }
 
-// A listener that fapplies ends the run, and the error names its address.
+// A listener that fails ends the run, and the error names its address.
 func TestFailedListenerEndsRun(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	listener := env.listeners[1][p.Dests[0].Endpoints[0].ID]
