--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -35,12 +35,12 @@
 	if err := c.Begin(); err != nil {
 		return err
 	}
-	good, bad, err := writePrograms(s)
+	working, failing, err := writePrograms(s)
 	if err != nil {
 		return err
 	}
 	p := &player{
-		cluster: c, history: h, good: good, bad: bad,
+		cluster: c, history: h, workingProgram: working, failingProgram: failing,
 		agentBusyUntil: make([]time.Time, h.Agents), senderBusyUntil: make([]time.Time, h.Senders),
 	}
 	if err := p.playActions(ctx); err != nil {
@@ -56,24 +56,24 @@
 }
 
 // writePrograms writes a version that is like the one before, and one that ends at its start.
-func writePrograms(s Setup) (good, bad string, err error) {
-	good, bad = filepath.Join(s.Folder, "good"), filepath.Join(s.Folder, "bad")
-	err = os.WriteFile(good, fmt.Appendf(nil, "#!/bin/sh\nexec %s \"$@\"\n", s.Program), 0o700)
+func writePrograms(s Setup) (working, failing string, err error) {
+	working, failing = filepath.Join(s.Folder, "good"), filepath.Join(s.Folder, "bad")
+	err = os.WriteFile(working, fmt.Appendf(nil, "#!/bin/sh\nexec %s \"$@\"\n", s.Program), 0o700)
 	if err == nil {
 		text := fmt.Appendf(nil, "#!/bin/sh\n[ \"$1\" = serve ] && exit 3\nexec %s \"$@\"\n", s.Program)
-		err = os.WriteFile(bad, text, 0o700)
+		err = os.WriteFile(failing, text, 0o700)
 	}
-	return good, bad, err
+	return working, failing, err
 }
 
 // A player carries out the actions of a history.
 type player struct {
-	cluster         *Cluster
-	history         *History
-	good, bad       string      // programs
-	releases        int         // so far
-	agentBusyUntil  []time.Time // an agent that has a fault gets no other one until then
-	senderBusyUntil []time.Time // the same for senders
+	cluster                        *Cluster
+	history                        *History
+	workingProgram, failingProgram string      // programs
+	releases                       int         // so far
+	agentBusyUntil                 []time.Time // an agent that has a fault gets no other one until then
+	senderBusyUntil                []time.Time // the same for senders
 }
 
 // A scheduledUndo ends a fault.
@@ -179,12 +179,12 @@
 // release orders a release of the good program or, unless the action is good, of the one that ends at its start.
 func (p *player) release(a Action) {
 	p.releases++
-	to := rollout.Version{Name: fmt.Sprint("r", p.releases), Program: p.good}
+	to := rollout.Version{Name: fmt.Sprint("r", p.releases), Program: p.workingProgram}
 	if p.releases%2 == 0 { // another path is another program
 		to.Program = p.cluster.Program
 	}
 	if !a.Good {
-		to.Program = p.bad
+		to.Program = p.failingProgram
 	}
 	p.order(a.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
 		Kind: rollout.Release, To: to, RollBackOnFailure: a.Back, Stages: [][]string{a.Of},
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// An endpoint at its limit rejects calls. One that is down breaks its connections and refuses new ones, and keeps its port.
+// An endpoint at its limit rejects calls. One that is down breaks its connections and refuses new ones, and keeps its
+// port.
 func TestEndpointListenerFollowsModel(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	listener := env.listeners[0][p.Dests[0].Endpoints[0].ID]
