--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -10,3 +10,8 @@
 func TestGoldenHistory(t *testing.T) {
 	golden.JSON[History](t, "history.json")
 }
+
+// TestGoldenMeasurement writes what 'lab fleet measure --json' prints as 096da04 did.
+func TestGoldenMeasurement(t *testing.T) {
+	golden.JSON[Measurement](t, "measurement.json")
+}
--- /dev/null
+++ b/internal/cluster/history.go
@@ -0,0 +1,224 @@
+package cluster
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"time"
+
+	"cleathold/internal/netfault"
+	"cleathold/internal/rollout"
+	"cleathold/internal/scenario"
+)
+
+// An ActionKind is what an Action does.
+type ActionKind string
+
+// The kinds of actions. Their words stand in history files. In a scenario's plan the actions on agents and senders
+// have the words of the scenario, to which FromPlan adds whom they hit.
+const (
+	DrainOrder    ActionKind = "drain"
+	ReleaseOrder  ActionKind = "release"
+	HaltOrder     ActionKind = "halt"
+	RollBackOrder ActionKind = "back"
+	ResumeOrder   ActionKind = "resume"
+
+	KillAgent ActionKind = "kill agent"
+	WipeAgent ActionKind = "wipe agent"
+	StopAgent ActionKind = "stop agent"
+
+	KillSender        ActionKind = "kill sender"
+	TermSender        ActionKind = "term sender"
+	HupSender         ActionKind = "hup sender"
+	WipeSender        ActionKind = "wipe sender"
+	ReconfigureSender ActionKind = "retune sender"
+	StopSender        ActionKind = "stop sender"
+
+	PartitionAgent ActionKind = "part agent"      // from all other agents
+	AgentLink      ActionKind = "one way"         // from one agent to another
+	SenderToAgent  ActionKind = "agent's way"     // a sender's links to and from its agent
+	ClientsLink    ActionKind = "clients' way"    // a sender's links to and from clients
+	DiscoveryLink  ActionKind = "discovery's way" // a sender's links to and from discovery
+)
+
+// Action is one fault of a campaign, or one order of staff.
+type Action struct {
+	At     time.Duration  `json:"at"` // from the start
+	Kind   ActionKind     `json:"what"`
+	Agent  int            `json:"agent,omitempty"`
+	Other  int            `json:"other,omitempty"` // agent, of an AgentLink
+	Sender int            `json:"sender,omitempty"`
+	Of     []string       `json:"of,omitempty"`  // senders that are drained or released
+	For    time.Duration  `json:"for,omitempty"` // how long a fault lasts, or a drain holds
+	State  netfault.State `json:"state,omitzero"`
+	Good   bool           `json:"good,omitempty"` // a release of a program that works
+	Back   bool           `json:"back,omitempty"` // a release that rolls back when it fails
+
+	planned scenario.PlannedAction // that FromPlan made the action from
+}
+
+// History is the script of a campaign for one seed, and what came of it. As a file it can be played again.
+type History struct {
+	Seed    uint64         `json:"seed"`
+	Senders int            `json:"senders"`
+	Agents  int            `json:"agents"`
+	Length  time.Duration  `json:"length"`
+	Budget  rollout.Budget `json:"Budget"`
+	Lease   time.Duration  `json:"lease,omitempty"` // 0 = 3 s
+	Actions []Action       `json:"deeds"`
+	Faults  []string       `json:"faults,omitempty"` // rules and budgets that were broken
+	Orders  int            `json:"orders"`           // times that a sender went out by order, as seen from outside
+	MaxOut  int            `json:"most"`             // senders out by order at once
+	Plans   []string       `json:"plans,omitempty"`
+	Served  float64        `json:"served"`
+}
+
+// Draw draws a history: orders of staff, and faults beside them, until its length is over. The same arguments give
+// the same history, in every version, so the order of the draws must not change.
+func Draw(seed uint64, senders, agents int, length time.Duration) *History {
+	d := &drawer{
+		rng: rand.New(rand.NewPCG(seed, 77)),
+		h:   &History{Seed: seed, Senders: senders, Agents: agents, Length: length},
+	}
+	d.h.Budget.Fleet = 1 + d.rng.IntN(3)
+	if d.rng.IntN(2) == 0 {
+		d.h.Budget.Building = max(1, d.h.Budget.Fleet-1)
+	}
+	d.drawOrders()
+	d.drawFaults()
+	sortActions(d.h.Actions)
+	return d.h
+}
+
+func sortActions(actions []Action) {
+	slices.SortStableFunc(actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
+}
+
+// A drawer draws the actions of a history.
+type drawer struct {
+	rng *rand.Rand
+	h   *History
+}
+
+func (d *drawer) between(from, to time.Duration) time.Duration {
+	return from + time.Duration(d.rng.Int64N(int64(to-from)))
+}
+
+func (d *drawer) add(a Action) {
+	a.At = min(a.At, d.h.Length)
+	d.h.Actions = append(d.h.Actions, a)
+}
+
+// drawOrders draws drains and releases, and orders that steer them.
+func (d *drawer) drawOrders() {
+	h, rng := d.h, d.rng
+	for at := d.between(0, time.Second); at < h.Length; at += d.between(h.Length/15, h.Length/6) {
+		a := Action{
+			At: at, Kind: DrainOrder, Agent: rng.IntN(h.Agents),
+			For: d.between(100*time.Millisecond, 900*time.Millisecond),
+		}
+		for _, i := range rng.Perm(h.Senders)[:1+rng.IntN(max(1, h.Senders/3))] {
+			a.Of = append(a.Of, fmt.Sprint("n", i))
+		}
+		if rng.IntN(3) == 0 {
+			a.Kind, a.Good, a.Back = ReleaseOrder, rng.IntN(3) > 0, rng.IntN(2) == 0
+		}
+		d.add(a)
+		if rng.IntN(4) == 0 {
+			d.add(Action{
+				At:    at + d.between(0, 2*time.Second),
+				Kind:  []ActionKind{HaltOrder, RollBackOrder, ResumeOrder}[rng.IntN(3)],
+				Agent: rng.IntN(h.Agents),
+			})
+		}
+	}
+}
+
+// drawFaults draws faults of processes and links.
+func (d *drawer) drawFaults() {
+	const minGap, maxGap = 300 * time.Millisecond, 1500 * time.Millisecond
+	h, rng := d.h, d.rng
+	cut, silent := netfault.State{Cut: true}, netfault.State{Silent: true}
+	slow := netfault.State{Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond}
+	lossy := slow
+	lossy.Loss = 0.3
+	for at := d.between(500*time.Millisecond, 2*time.Second); at < h.Length; at += d.between(minGap, maxGap) {
+		a := Action{
+			At: at, Agent: rng.IntN(h.Agents), Other: rng.IntN(h.Agents), Sender: rng.IntN(h.Senders),
+			For: d.between(300*time.Millisecond, 5*time.Second),
+		}
+		switch n := rng.IntN(13); {
+		case n < 2:
+			a.Kind = KillAgent
+		case n < 4:
+			a.Kind = StopAgent
+		case n < 5:
+			a.Kind = KillSender
+		case n < 6:
+			a.Kind = StopSender
+		case n < 8:
+			a.Kind, a.State = PartitionAgent, []netfault.State{cut, silent}[rng.IntN(2)]
+		case n < 10:
+			a.Kind, a.State = AgentLink, []netfault.State{silent, lossy}[rng.IntN(2)]
+		default:
+			a.Kind = []ActionKind{SenderToAgent, ClientsLink, DiscoveryLink}[n-10]
+			a.State = []netfault.State{cut, silent, slow}[rng.IntN(3)]
+		}
+		d.add(a)
+	}
+}
+
+// FromPlan returns the history of a scenario's plan: its agents, its orders and the faults of processes. The links
+// follow the plan itself.
+func FromPlan(p *scenario.Plan) *History {
+	agents := p.Scenario.Agents
+	h := &History{
+		Seed: p.Seed, Senders: p.Scenario.Senders, Agents: agents.Number, Length: p.Scenario.Length, Lease: agents.Lease,
+		Budget: rollout.Budget{Fleet: agents.Fleet, Building: agents.Building, Serving: agents.Serving},
+	}
+	for _, a := range p.AgentActions {
+		h.Actions = append(h.Actions, Action{
+			At: a.At, Kind: ActionKind(a.What + " agent"), Agent: a.Agent, For: a.Until - a.At,
+		})
+	}
+	for _, o := range p.Orders {
+		h.Actions = append(h.Actions, Action{
+			At: o.At, Kind: ActionKind(o.What), Agent: o.Agent, Of: o.Of, For: o.Hold, Good: !o.Bad, Back: o.GoBack,
+		})
+	}
+	for _, a := range p.Actions {
+		h.Actions = append(h.Actions, Action{
+			At: a.At, Kind: ActionKind(a.What + " sender"), Sender: a.Sender, For: max(0, a.Until-a.At), planned: a,
+		})
+	}
+	sortActions(h.Actions)
+	return h
+}
+
+// Save writes a history as a file that can be played again.
+func (h *History) Save(path string) error {
+	text, err := json.MarshalIndent(h, "", " ")
+	if err == nil {
+		err = os.WriteFile(path, text, 0o600)
+	}
+	return err
+}
+
+// LoadHistory reads a file that Save wrote.
+func LoadHistory(path string) (*History, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	h := &History{}
+	if err := json.Unmarshal(text, h); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	if h.Senders < 1 || h.Agents < 1 || h.Length <= 0 {
+		return nil, fmt.Errorf("%s: no history", path)
+	}
+	return h, nil
+}
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -3,9 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"os"
-	"strconv"
-	"strings"
+	"net/http"
 	"syscall"
 	"time"
 
@@ -14,235 +12,241 @@
 	"cleathold/internal/rollout"
 )
 
+const (
+	restDuration     = 5 * time.Second // of each measurement at rest
+	releaseTimeout   = 10 * time.Minute
+	rollBackTimeout  = 5 * time.Minute
+	haltTimeout      = 30 * time.Second
+	maxResumes       = 20
+	faultInterval    = time.Second     // between two faults of agents
+	faultDuration    = 2 * time.Second // of each
+	afterHaltMargin  = 2 * time.Second // beyond the time in which an agent may still act on an old order
+	activateInterval = 100 * time.Millisecond
+)
+
+// releaseGate is the gate of the releases that are measured.
+var releaseGate = rollout.Gate{MinMessages: 30, Soak: time.Second, Wait: time.Minute}
+
 // Measurement is what a release over a fleet, and halts of drains, took.
 type Measurement struct {
-	Senders, Agents         int
-	WithFaults              bool          // agents are killed and links cut meanwhile
-	Begin                   time.Duration // until all serve
-	Release                 time.Duration // from the order to the end
-	Resumes                 int           // times that staff had to have it go on
-	RollBack                time.Duration // until all run the old version again
-	HaltAll                 time.Duration // from a halt to the last sender that goes out after it; 0: none did
-	HaltCut                 time.Duration // the same with the leader cut off as it is ordered
-	FailedSubmissions       int           // hand-ins without an answer, or turned away, during the release
-	Submissions             int           // in that time
-	Served                  float64
-	Violations              int
-	OverBudget              int
-	Before, During          float64     // part of the messages wanted that took effect: in 5 s before the release, and in it
-	AtRest, DuringRelease   Cost        // of an agent, in the mean: at rest, and during the release
-	WithAgent, WithoutAgent SenderSpent // of a sender, in the mean, at rest: with its agent, and while all agents are stopped
-}
+	Senders           int           `json:"Senders"`
+	Agents            int           `json:"Agents"`
+	WithFaults        bool          `json:"Struck"`  // agents are killed and links cut during the release
+	Begin             time.Duration `json:"Begin"`   // until all senders serve
+	Release           time.Duration `json:"Release"` // from the order to the end
+	Resumes           int           `json:"Resumes"` // times that staff had to resume it
+	RollBack          time.Duration `json:"Back"`    // until all run the old version again
+	HaltAll           time.Duration `json:"HaltAll"` // from a halt to the last sender that goes out after it; 0: none did
+	HaltCut           time.Duration `json:"HaltCut"` // the same with the leader cut off as it is ordered
+	FailedSubmissions int           `json:"Door"`    // without a response, or rejected, during the release
+	Submissions       int           `json:"HandIns"` // in that time
+	Served            float64       `json:"Served"`
+	Violations        int           `json:"Breaks"`
+	OverBudget        int           `json:"Over"`
 
-// SenderSpent is what a sender spends in a second, and holds.
-type SenderSpent struct {
-	Processor float64 `json:"processor_s"`
-	MemoryMB  float64 `json:"memory_mb"`
+	// The fraction of the requested messages that took effect, in 5 s before the release and during it.
+	Before float64 `json:"Before"`
+	During float64 `json:"During"`
+	// What an agent spends on average, at rest and during the release.
+	AtRest        Cost `json:"Rest"`
+	DuringRelease Cost `json:"Busy"`
+	// What a sender spends on average at rest, with its agent and while all agents are stopped.
+	WithAgent    SenderSpent `json:"Watched"`
+	WithoutAgent SenderSpent `json:"Alone"`
 }
 
-// Cost is what an agent spends in a second, and holds.
-type Cost struct {
-	Processor float64 `json:"processor_s"`
-	MemoryMB  float64 `json:"memory_mb"`
-	RaftBytes float64 `json:"raft_bytes"`
-	RaftCalls float64 `json:"raft_calls"`
-	ToldBytes float64 `json:"told_bytes"` // of sights, to the leader
-	ToldCalls float64 `json:"told_calls"`
-	LookBytes float64 `json:"look_bytes"` // that its senders answered
-	Looks     float64 `json:"looks"`
-}
+// A measurer fills a Measurement step by step.
+type measurer struct {
+	Measurement
+	cluster *Cluster
 
-// usage is what agents have spent so far.
-type usage struct {
-	at    time.Time
-	cpu   float64
-	mem   float64
-	bytes int64
-	calls int64
-	spent agent.Traffic
-	n     int
+	// At the end of the measurement at rest, where that of the release begins.
+	usage               usage
+	requested, executed int
 }
 
-// spentBy is what a process has spent so far: processor seconds, and MB that it holds.
-func spentBy(pid int) (cpu, mem float64) {
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+// Measure plays a release over a whole fleet to its end, two drains that are halted, and a release that is rolled
+// back. With faults, agents are killed and cut off during the release.
+func Measure(ctx context.Context, s Setup, faults bool) (Measurement, error) {
+	m := measurer{Measurement: Measurement{Senders: s.Senders, Agents: s.Agents, WithFaults: faults}}
+	c, err := New(ctx, s)
 	if err != nil {
-		return 0, 0
-	}
-	_, rest, _ := strings.Cut(string(stat), ") ")
-	f := strings.Fields(rest)
-	user, _ := strconv.ParseFloat(f[11], 64)
-	system, _ := strconv.ParseFloat(f[12], 64)
-	pages, _ := strconv.ParseFloat(f[21], 64)
-	return (user + system) / 100, pages * float64(os.Getpagesize()) / (1 << 20)
-}
-
-// senders is what senders spend for so long, in the mean.
-func (y *Cluster) spending(span time.Duration) (s SenderSpent) {
-	sum := func() (cpu, mem float64) {
-		for pid := range y.processes() {
-			c, m := spentBy(pid)
-			cpu, mem = cpu+c, mem+m
-		}
-		return cpu, mem
+		return m.Measurement, err
 	}
-	before, _ := sum()
-	time.Sleep(span)
-	after, mem := sum()
-	n := float64(y.Senders)
-	return SenderSpent{(after - before) / span.Seconds() / n, mem / n}
+	defer c.Close()
+	m.cluster = c
+	err = m.run()
+	return m.Measurement, err
 }
 
-func (y *Cluster) usage() (u usage) {
-	u.at = time.Now()
-	for i, a := range y.agents {
-		if a.cmd == nil {
-			continue
-		}
-		cpu, mem := spentBy(a.cmd.Process.Pid)
-		u.cpu, u.mem = u.cpu+cpu, u.mem+mem
-		if v, err := y.View(i, true); err == nil && v.Quorum != nil {
-			u.bytes, u.calls = u.bytes+v.Quorum.Sent, u.calls+v.Quorum.Calls
-			u.spent.ReportedBytes, u.spent.Reports = u.spent.ReportedBytes+v.Traffic.ReportedBytes, u.spent.Reports+v.Traffic.Reports
-			u.spent.PolledBytes, u.spent.Polls = u.spent.PolledBytes+v.Traffic.PolledBytes, u.spent.Polls+v.Traffic.Polls
-		}
-		u.n++
+func (m *measurer) run() error {
+	c := m.cluster
+	started := time.Now()
+	if err := c.Begin(); err != nil {
+		return err
+	}
+	m.Begin = time.Since(started)
+	good, _, err := writePrograms(c.Setup)
+	if err != nil {
+		return err
+	}
+	if err := m.measureRest(); err != nil {
+		return err
+	}
+	if err := m.measureRelease(good); err != nil {
+		return err
+	}
+	if m.HaltAll, err = c.measureHalt(false); err != nil {
+		return err
+	}
+	if m.HaltCut, err = c.measureHalt(true); err != nil {
+		return err
+	}
+	if err := m.measureRollBack(); err != nil {
+		return err
 	}
-	return u
+	r := c.Finish()
+	m.Served, m.Violations, m.OverBudget = r.Service, len(r.Violations), len(r.OverBudget)
+	return nil
 }
 
-// cost is what agents spent between two looks, each in the mean.
-func cost(a, b usage) Cost {
-	n, s := float64(max(1, b.n)), b.at.Sub(a.at).Seconds()
-	each := func(a, b int64) float64 { return float64(b-a) / s / n }
-	return Cost{
-		(b.cpu - a.cpu) / s / n, b.mem / n, each(a.bytes, b.bytes), each(a.calls, b.calls), each(a.spent.ReportedBytes, b.spent.ReportedBytes),
-		each(a.spent.Reports, b.spent.Reports), each(a.spent.PolledBytes, b.spent.PolledBytes), each(a.spent.Polls, b.spent.Polls),
+// measureRest measures senders and agents while nothing is ordered: senders alone first, then both.
+func (m *measurer) measureRest() error {
+	c := m.cluster
+	for i := range c.agents {
+		c.SignalAgent(i, syscall.SIGSTOP)
+	}
+	m.WithoutAgent = c.senderUsage(restDuration)
+	for i := range c.agents {
+		c.SignalAgent(i, syscall.SIGCONT)
 	}
+	err := c.Await(time.Minute, "all are seen again", func(v agent.View) bool {
+		return len(v.State.Seen(v.Observations, time.Now())) == c.Senders
+	})
+	if err != nil {
+		return err
+	}
+	before := c.agentUsage()
+	requested, executed := c.deliveryCounts()
+	m.WithAgent = c.senderUsage(restDuration)
+	m.usage = c.agentUsage()
+	m.AtRest = costBetween(before, m.usage)
+	m.requested, m.executed = c.deliveryCounts()
+	m.Before = float64(m.executed-executed) / float64(max(1, m.requested-requested))
+	return nil
 }
 
-// Measure plays a release over a whole fleet to its end and back, then two drains that are halted.
-func Measure(ctx context.Context, s Setup, strike bool) (Measurement, error) {
-	m := Measurement{Senders: s.Senders, Agents: s.Agents, WithFaults: strike}
-	y, err := New(ctx, s)
+// measureRelease plays a release to its end.
+func (m *measurer) measureRelease(program string) error {
+	c := m.cluster
+	failedBefore, allBefore := c.submissionCounts()
+	id, err := c.orderRelease("v2", program)
 	if err != nil {
-		return m, err
+		return err
 	}
-	defer y.Close()
-	began := time.Now()
-	if err := y.Begin(); err != nil {
-		return m, err
+	started := time.Now()
+	stopFaults := func() {}
+	if m.WithFaults {
+		stopFaults = c.startAgentFaults()
 	}
-	m.Begin = time.Since(began)
-	good, _, err := programs(s)
-	if err != nil {
-		return m, err
-	}
-	const calm = 5 * time.Second
-	for i := range y.agents {
-		y.SignalAgent(i, syscall.SIGSTOP)
-	}
-	m.WithoutAgent = y.spending(calm)
-	for i := range y.agents {
-		y.SignalAgent(i, syscall.SIGCONT)
-	}
-	if err := y.Await(time.Minute, "all are seen again", func(v agent.View) bool { return len(v.State.Seen(v.Observations, time.Now())) == y.Senders }); err != nil {
-		return m, err
-	}
-	before := y.usage()
-	wanted, came := y.served()
-	m.WithAgent = y.spending(calm)
-	after := y.usage()
-	m.AtRest = cost(before, after)
-	wanted2, came2 := y.served()
-	m.Before = float64(came2-came) / float64(max(1, wanted2-wanted))
-	door := func() (ended, all int) {
-		for status, n := range y.Clients.Stats().Answers {
-			if all += n; status != 202 && status != 200 {
-				ended += n
-			}
-		}
-		return ended, all
+	if err := m.awaitRelease(id); err != nil {
+		stopFaults()
+		return err
 	}
-	d0, n0 := door()
-	gate := rollout.Gate{MinMessages: 30, Soak: time.Second, Wait: time.Minute}
-	id, err := y.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Release, To: rollout.Version{Name: "v2", Program: good}, Gate: gate}})
-	if err != nil {
-		return m, err
+	m.Release = time.Since(started)
+	stopFaults()
+	if !m.WithFaults {
+		m.DuringRelease = costBetween(m.usage, c.agentUsage())
 	}
-	began = time.Now()
-	struck, done := make(chan struct{}), make(chan struct{})
-	go func() {
-		defer close(struck)
-		if strike {
-			y.torment(done)
+	failed, all := c.submissionCounts()
+	requested, executed := c.deliveryCounts()
+	m.During = float64(executed-m.executed) / float64(max(1, requested-m.requested))
+	m.FailedSubmissions, m.Submissions = failed-failedBefore, all-allBefore
+	return nil
+}
+
+// submissionCounts returns how many submissions got no response or were rejected, of how many.
+func (c *Cluster) submissionCounts() (failed, all int) {
+	for status, n := range c.Clients.Stats().Answers {
+		if all += n; status != http.StatusAccepted && status != http.StatusOK {
+			failed += n
 		}
-	}()
+	}
+	return failed, all
+}
+
+// orderRelease orders a release to all senders, and returns the id of its plan.
+func (c *Cluster) orderRelease(version, program string) (id uint64, err error) {
+	return c.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
+		Kind: rollout.Release, To: rollout.Version{Name: version, Program: program}, Gate: releaseGate,
+	}})
+}
+
+// awaitRelease waits until a release is done, and resumes it whenever it is halted, as staff would.
+func (m *measurer) awaitRelease(id uint64) error {
+	c := m.cluster
 	for {
-		p, err := y.AwaitPlan(10*time.Minute, id, rollout.Done, rollout.Halted)
+		p, err := c.AwaitPlan(releaseTimeout, id, rollout.Done, rollout.Halted)
 		if err != nil {
-			close(done)
-			<-struck
-			return m, err
+			return err
 		}
 		if p.Phase == rollout.Done {
-			break
+			return nil
 		}
 		m.Resumes++
-		if m.Resumes > 20 {
-			close(done)
-			<-struck
-			return m, fmt.Errorf("the release does not end: %s", p.Why)
+		if m.Resumes > maxResumes {
+			return fmt.Errorf("the release does not end: %s", p.Why)
 		}
-		time.Sleep(time.Second) // staff look
-		for i := range y.agents {
-			if _, err := y.Order(i, rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}); err == nil {
+		time.Sleep(time.Second) // until staff act
+		for i := range c.agents {
+			resume := rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}
+			if _, err := c.Order(i, resume); err == nil {
 				break
 			}
 		}
 	}
-	m.Release = time.Since(began)
-	close(done)
-	<-struck
-	if !strike {
-		m.DuringRelease = cost(after, y.usage())
-	}
-	d1, n1 := door()
-	wanted3, came3 := y.served()
-	m.During = float64(came3-came2) / float64(max(1, wanted3-wanted2))
-	m.FailedSubmissions, m.Submissions = d1-d0, n1-n0
-	if m.HaltAll, err = y.halted(false); err != nil {
-		return m, err
-	}
-	if m.HaltCut, err = y.halted(true); err != nil {
-		return m, err
-	}
-	// Back: a release of the old program, turned round once its first stages are through.
-	id, err = y.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Release, To: rollout.Version{Name: "v3", Program: s.Program}, Gate: gate}})
+}
+
+// measureRollBack releases the old program again, and rolls back when a third of the stages are through.
+func (m *measurer) measureRollBack() error {
+	c := m.cluster
+	id, err := c.orderRelease("v3", c.Program)
 	if err != nil {
-		return m, err
+		return err
 	}
-	if err := y.Await(5*time.Minute, "a third of the stages are through", func(v agent.View) bool {
+	err = c.Await(rollBackTimeout, "a third of the stages are through", func(v agent.View) bool {
 		p := v.State.Plan(id)
 		return p != nil && (p.Stage >= len(p.Stages)/3 || p.Phase == rollout.Halted)
-	}); err != nil {
-		return m, err
+	})
+	if err != nil {
+		return err
 	}
-	began = time.Now()
-	if _, err := y.OrderAny(rollout.Command{Verb: rollout.RollBack, Plan: id}); err != nil {
-		return m, err
+	started := time.Now()
+	if _, err := c.OrderAny(rollout.Command{Verb: rollout.RollBack, Plan: id}); err != nil {
+		return err
 	}
-	if _, err := y.AwaitPlan(5*time.Minute, id, rollout.Ended); err != nil {
-		return m, err
+	if _, err := c.AwaitPlan(rollBackTimeout, id, rollout.Ended); err != nil {
+		return err
+	}
+	m.RollBack = time.Since(started)
+	return nil
+}
+
+// startAgentFaults injects faults into one agent after the other, so that never a majority of them is out. The returned
+// function ends that, and returns when the last fault is over.
+func (c *Cluster) startAgentFaults() (stop func()) {
+	done, ended := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(ended)
+		c.injectAgentFaults(done)
+	}()
+	return func() {
+		close(done)
+		<-ended
 	}
-	m.RollBack = time.Since(began)
-	r := y.Finish()
-	m.Served, m.Violations, m.OverBudget = r.Service, len(r.Violations), len(r.OverBudget)
-	return m, nil
 }
 
-// torment strikes one agent after the other, never a majority of them at once, until it is enough.
-func (y *Cluster) torment(done <-chan struct{}) {
+func (c *Cluster) injectAgentFaults(done <-chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-done:
@@ -251,80 +255,55 @@
 			return true
 		}
 	}
-	names := y.AgentNames()
-	for i := 0; wait(time.Second); i++ {
+	names := c.AgentNames()
+	for i := 0; wait(faultInterval); i++ {
 		k := i % len(names)
 		switch i % 3 {
 		case 0:
-			y.SignalAgent(k, syscall.SIGKILL)
-			wait(2 * time.Second)
-			y.StartAgent(k)
+			c.SignalAgent(k, syscall.SIGKILL)
+			wait(faultDuration)
+			c.StartAgent(k)
 		case 1:
-			y.Net.Partition(names[k:k+1], names, netfault.State{Silent: true})
-			wait(2 * time.Second)
-			y.Net.Heal()
+			c.Net.Partition(names[k:k+1], names, netfault.State{Silent: true})
+			wait(faultDuration)
+			c.Net.Heal()
 		case 2:
-			y.Net.Set(names[k], names[(k+1)%len(names)], netfault.State{Cut: true})
-			wait(2 * time.Second)
-			y.Net.Heal()
+			c.Net.Set(names[k], names[(k+1)%len(names)], netfault.State{Cut: true})
+			wait(faultDuration)
+			c.Net.Heal()
 		}
 	}
 }
 
-// halted drains the whole fleet, a few at a time, and halts it in the middle: how long after the halt was ordered the last
-// sender went out. With the leader cut off the halt goes to another agent, as soon as one leads.
-func (y *Cluster) halted(cut bool) (time.Duration, error) {
-	id, err := y.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{y.Names}, Hold: 300 * time.Millisecond}})
+// measureHalt drains the whole fleet, a few senders at a time, and halts that in the middle. It returns how long
+// after the halt was ordered the last sender went out; 0 if none did. With cut the leader is cut off, and the halt
+// goes to the other agents, as soon as one of them leads.
+func (c *Cluster) measureHalt(cut bool) (time.Duration, error) {
+	id, err := c.drainHalfway()
 	if err != nil {
 		return 0, err
 	}
-	if err := y.Await(time.Minute, "some are through", func(v agent.View) bool {
-		n := 0
-		if p := v.State.Plan(id); p != nil {
-			for _, t := range p.Tasks {
-				if t.Step == rollout.Finished {
-					n++
-				}
-			}
+	leader, skip := c.Leader(), -1
+	if cut {
+		skip = leader
+		if leader >= 0 {
+			c.Net.Partition(c.AgentNames()[leader:leader+1], c.AgentNames(), netfault.State{Silent: true})
+			defer c.Net.Heal()
 		}
-		return n >= min(4, y.Senders/2)
-	}); err != nil {
-		return 0, err
-	}
-	first := y.Leader()
-	if cut && first >= 0 {
-		y.Net.Partition(y.AgentNames()[first:first+1], y.AgentNames(), netfault.State{Silent: true})
-		defer y.Net.Heal()
 	}
 	ordered := time.Now()
-	for until := ordered.Add(30 * time.Second); ; {
-		done := false
-		for i := range y.agents {
-			if cut && i == first {
-				continue
-			}
-			if _, err = y.Order(i, rollout.Command{Verb: rollout.Halt, Plan: id}); err == nil {
-				done = true
-				break
-			}
-		}
-		if done || time.Now().After(until) {
-			break
-		}
-		time.Sleep(50 * time.Millisecond)
-	}
-	if err != nil {
+	if err := c.orderHalt(id, skip); err != nil {
 		return 0, err
 	}
-	time.Sleep(y.Terms.Timing.Accept + 2*time.Second)
-	_, last := y.Poll.Since(ordered)
-	y.Net.Heal()
-	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-		if _, err = y.OrderAny(rollout.Command{Verb: rollout.Activate, Plan: id}); err == nil {
+	time.Sleep(c.Terms.Timing.Accept + afterHaltMargin)
+	_, last := c.Poll.Since(ordered)
+	c.Net.Heal()
+	for until := time.Now().Add(haltTimeout); time.Now().Before(until); time.Sleep(activateInterval) {
+		if _, err := c.OrderAny(rollout.Command{Verb: rollout.Activate, Plan: id}); err == nil {
 			break
 		}
 	}
-	if _, err := y.AwaitPlan(time.Minute, id, rollout.Done); err != nil {
+	if _, err := c.AwaitPlan(time.Minute, id, rollout.Done); err != nil {
 		return 0, err
 	}
 	if last.IsZero() {
@@ -332,3 +311,42 @@
 	}
 	return last.Sub(ordered), nil
 }
+
+// drainHalfway orders a drain of all senders, and returns its plan's id when some of them are through.
+func (c *Cluster) drainHalfway() (id uint64, err error) {
+	id, err = c.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
+		Kind: rollout.Drain, Stages: [][]string{c.Names}, Hold: 300 * time.Millisecond,
+	}})
+	if err != nil {
+		return 0, err
+	}
+	err = c.Await(time.Minute, "some are through", func(v agent.View) bool {
+		n := 0
+		if p := v.State.Plan(id); p != nil {
+			for _, t := range p.Tasks {
+				if t.Step == rollout.Finished {
+					n++
+				}
+			}
+		}
+		return n >= min(4, c.Senders/2)
+	})
+	return id, err
+}
+
+// orderHalt orders a halt from one agent after the other, but the one to be skipped, until one takes it.
+func (c *Cluster) orderHalt(id uint64, skip int) (err error) {
+	for until := time.Now().Add(haltTimeout); ; time.Sleep(orderInterval) {
+		for i := range c.agents {
+			if i == skip {
+				continue
+			}
+			if _, err = c.Order(i, rollout.Command{Verb: rollout.Halt, Plan: id}); err == nil {
+				return nil
+			}
+		}
+		if time.Now().After(until) {
+			return err
+		}
+	}
+}
--- /dev/null
+++ b/internal/cluster/senders.go
@@ -0,0 +1,124 @@
+package cluster
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+)
+
+const (
+	statusTimeout = time.Second
+	maxLogTail    = 2500 // bytes of a log that Logs copies
+)
+
+// senderAddresses is where a sender is reached.
+type senderAddresses struct {
+	config string // path of its configuration file
+	listen string
+	admin  [2]string // second addresses: two processes serve side by side during a hand-over
+}
+
+// Pid returns the id of the process that serves for a sender; 0 if none answers.
+func (c *Cluster) Pid(i int) int {
+	client := &http.Client{Timeout: statusTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for _, addr := range c.senders[i].admin {
+		r, err := client.Get("http://" + addr + "/v1/sender/status")
+		if err != nil {
+			continue
+		}
+		var s struct {
+			Pid   int
+			Phase string
+		}
+		err = json.NewDecoder(r.Body).Decode(&s)
+		r.Body.Close()
+		if err == nil && (s.Phase == "serving" || s.Phase == "drained") {
+			return s.Pid
+		}
+	}
+	return 0
+}
+
+// Admin returns the addresses of a sender's admin API.
+func (c *Cluster) Admin(i int) []string { return c.senders[i].admin[:] }
+
+// Config returns the path of a sender's configuration file.
+func (c *Cluster) Config(i int) string { return c.senders[i].config }
+
+// LastPid returns the id of a process of a sender, whether it answers or not; 0 if there is none.
+func (c *Cluster) LastPid(i int) int {
+	for pid, config := range c.processes() {
+		if config == c.senders[i].config {
+			return pid
+		}
+	}
+	return 0
+}
+
+// Replace kills a sender's process and starts another in its place, as an operator would who does not know of its
+// agent.
+func (c *Cluster) Replace(i int) error {
+	pid := c.LastPid(i)
+	env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
+	if err != nil {
+		return err
+	}
+	c.Poll.recordSignal(i, syscall.SIGKILL)
+	syscall.Kill(pid, syscall.SIGKILL)
+	cmd := c.command("serve")
+	cmd.Env = strings.Split(strings.TrimRight(string(env), "\x00"), "\x00")
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	go cmd.Wait() // Close kills it
+	return nil
+}
+
+// SignalSender sends a signal to the process that serves for a sender, and reports whether there is one.
+func (c *Cluster) SignalSender(i int, s syscall.Signal) bool {
+	pid := c.Pid(i)
+	if pid > 0 {
+		c.Poll.recordSignal(i, s)
+		syscall.Kill(pid, s)
+	}
+	return pid > 0
+}
+
+// processes returns the configuration paths of all processes of the cluster's senders, by process id. Agents start
+// them, so they are found by their environment.
+func (c *Cluster) processes() map[int]string {
+	pids := map[int]string{}
+	dirs, _ := filepath.Glob("/proc/[0-9]*")
+	for _, d := range dirs {
+		env, err := os.ReadFile(d + "/environ")
+		if err != nil {
+			continue
+		}
+		for word := range strings.SplitSeq(string(env), "\x00") {
+			if config, ok := strings.CutPrefix(word, "LB_CONFIG="); ok && strings.HasPrefix(config, c.Folder+"/") {
+				var pid int
+				fmt.Sscanf(filepath.Base(d), "%d", &pid)
+				pids[pid] = config
+			}
+		}
+	}
+	return pids
+}
+
+// Logs writes the end of each log, for the report of a failed test.
+func (c *Cluster) Logs(out io.Writer) {
+	for _, pattern := range []string{"a*/log", "a*/state/*.log"} {
+		files, _ := filepath.Glob(filepath.Join(c.Folder, pattern))
+		for _, f := range files {
+			text, _ := os.ReadFile(f)
+			fmt.Fprintf(out, "== %s\n%s\n", f, text[max(0, len(text)-maxLogTail):])
+		}
+	}
+}
--- /dev/null
+++ b/internal/harness/addresses.go
@@ -0,0 +1,50 @@
+package harness
+
+import (
+	"cleathold/internal/netfault"
+	"cleathold/internal/scenario"
+)
+
+// maxHostsPerBlock senders have their addresses in one block.
+const maxHostsPerBlock = 250
+
+// processSpecs chooses the senders' second and gossip addresses, and how they reach one another and discovery. A pair
+// of parties whose link the plan lets fail is connected by a link; all others reach one another directly.
+func (r *run) processSpecs(platform []string) ([]ProcessSpec, error) {
+	n := r.Plan.Scenario.Senders
+	r.links = netfault.New(r.Plan.Seed)
+	r.env.UseLinks(r.links)
+	for range 1 + (n-1)/maxHostsPerBlock {
+		b, err := netfault.NewBlock()
+		if err != nil {
+			return nil, err
+		}
+		r.blocks = append(r.blocks, b)
+	}
+	specs := make([]ProcessSpec, n)
+	var names, listens []string
+	for i := range specs {
+		host := r.blocks[i/maxHostsPerBlock].Host(2 + i%maxHostsPerBlock)
+		specs[i] = ProcessSpec{Discovery: platform[i], Admin: host + ":9001"}
+		name := scenario.Sender(i)
+		if len(r.Plan.Links) > 0 {
+			addr, err := r.links.TCP(name, scenario.Discovery, "127.0.0.1", platform[i])
+			if err != nil {
+				return nil, err
+			}
+			specs[i].Discovery = addr
+		}
+		names, listens = append(names, name), append(listens, host+":7946")
+	}
+	if n == 1 { // no peers
+		return specs, nil
+	}
+	gossip, err := r.links.UDP("127.0.0.1", names, listens)
+	if err != nil {
+		return nil, err
+	}
+	for i := range specs {
+		specs[i].PeerListen, specs[i].PeersAll, specs[i].Peers = listens[i], gossip.All(i), gossip.Peers()
+	}
+	return specs, nil
+}
--- /dev/null
+++ b/internal/harness/call_request.go
@@ -0,0 +1,105 @@
+package harness
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"cleathold/internal/partner"
+)
+
+// maxBodyBytes bounds the body of a call.
+const maxBodyBytes = 1 << 20
+
+// A receivedCall is a call as an endpoint read it.
+type receivedCall struct {
+	messages    []partner.Message
+	batch       bool // several messages in one call
+	healthCheck bool
+	timeout     time.Duration // how long the sender waits; 0 if it does not say
+}
+
+// A requestError is a call that is answered with a status of its own.
+type requestError struct {
+	status int
+	text   string
+}
+
+// Error returns what is malformed with the request.
+func (e *requestError) Error() string { return e.text }
+
+// errorStatus is the status for a call that could not be read.
+func errorStatus(err error) int {
+	var e *requestError
+	if errors.As(err, &e) {
+		return e.status
+	}
+	return http.StatusBadRequest
+}
+
+// readCall reads a request as the section 'Senders to endpoints' of PROTOCOL defines it. An error that is no
+// *requestError means that no request could be read.
+func readCall(in *bufio.Reader) (*receivedCall, error) {
+	r, err := http.ReadRequest(in)
+	if err != nil {
+		return nil, err
+	}
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
+	if err != nil {
+		return nil, err
+	}
+	c := &receivedCall{}
+	if s, err := strconv.ParseFloat(r.Header.Get("X-Deadline"), 64); err == nil && s > 0 && s < 1e6 {
+		c.timeout = time.Duration(s * float64(time.Second))
+	}
+	switch {
+	case r.Method == http.MethodGet && (r.URL.Path == "/ping" || r.URL.Path == "/_load"):
+		c.healthCheck = true
+	case r.Method == http.MethodPost && r.URL.Path == "/receive":
+		id := r.Header.Get("X-Request-Id")
+		if id == "" {
+			return nil, &requestError{http.StatusBadRequest, "no X-Request-Id"}
+		}
+		c.messages = []partner.Message{{ID: id, Key: r.Header.Get("Idempotency-Key")}}
+	case r.Method == http.MethodPost && r.URL.Path == "/receive-many":
+		c.batch = true
+		if c.messages, err = readBatch(string(body)); err != nil {
+			return nil, err
+		}
+	default:
+		return nil, &requestError{http.StatusNotFound, "no such path"}
+	}
+	return c, nil
+}
+
+// readBatch reads the body of a call with several messages, none of them twice.
+func readBatch(body string) ([]partner.Message, error) {
+	malformed := &requestError{http.StatusBadRequest, "body of several messages unreadable"}
+	var list []partner.Message
+	seen := map[string]bool{}
+	for body != "" {
+		line, rest, found := strings.Cut(body, "\r\n")
+		fields := strings.Split(line, " ")
+		if !found || len(fields) != 3 || fields[0] == "" || seen[fields[0]] {
+			return nil, malformed
+		}
+		n, err := strconv.Atoi(fields[2])
+		if err != nil || n < 0 || len(rest) < n+2 || rest[n:n+2] != "\r\n" {
+			return nil, malformed
+		}
+		m := partner.Message{ID: fields[0], Key: fields[1]}
+		if m.Key == "-" {
+			m.Key = ""
+		}
+		seen[m.ID] = true
+		list, body = append(list, m), rest[n+2:]
+	}
+	if len(list) == 0 {
+		return nil, malformed
+	}
+	return list, nil
+}
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -1,12 +1,11 @@
 package harness
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strconv"
 	"sync"
@@ -21,259 +20,235 @@
 )
 
 const (
-	openMost = 20_000 // hand-ins under way; more are left out, and the run is marked
-	idleMost = 256    // idle connections to a sender
+	// maxOpenSubmissions bounds the submissions in progress or to be repeated. Those beyond it are skipped, and the
+	// result says so.
+	maxOpenSubmissions = 20_000
+	// exitNoticeDelay is how much later than its clients the harness may notice that a process has ended.
+	exitNoticeDelay = 100 * time.Millisecond
 )
 
-// Clients hand in what a plan's arrivals are, each at its time whatever became of
-// those before it, and come again as BRIEF 6 says. Latency counts from the time at
-// which a message was wanted.
+// Clients submit the arrivals of a plan, each at its time whatever became of those before it (an open loop), and
+// repeat submissions as section 6 of BRIEF says. Latency counts from the time at which the plan has a message arrive,
+// so that a sender that stalls does not hide the wait of the messages behind it.
 type Clients struct {
-	w       *Environment
-	senders []*front
-
-	enough atomic.Bool // Run ends before the plan's last arrival
-	keep   bool        // connections to a sender that is ending are used on
-
-	mu      sync.Mutex
-	rng     *rand.Rand
-	open    int
-	left    int // left out
-	asked   int
-	pending map[string]*simulation.ClientRequest // ids that may still be heard of
-	lag     *hdrhistogram.Histogram
-	door    *hdrhistogram.Histogram // from the time wanted to the sender's answer
-	answers map[int]int             // by status; 0 = none
-
-	unanswered int // see Seen
-}
-
-// A front is a sender as clients see it.
-type front struct {
-	addr string
-	mu   sync.Mutex
-	idle []*client
-	shut bool      // nothing is kept any more
-	away bool      // it said that it wants no clients
-	down time.Time // since when nobody is there; zero = somebody is
-	up   time.Time // since when somebody is there again
-}
-
-type client struct {
-	net.Conn
-	in *bufio.Reader
+	env     *Environment
+	senders []*senderPool
+
+	stopped         atomic.Bool // Run returns before the plan's last arrival
+	keepConnections bool        // see Faults.KeepConnections
+
+	mu           sync.Mutex
+	rng          *rand.Rand
+	inProgress   int                                  // submissions, and waits before further ones
+	skipped      int                                  // beyond maxOpenSubmissions
+	requested    int                                  // arrivals of the plan so far
+	pending      map[string]*simulation.ClientRequest // by message id, until its outcome is known
+	lag          *hdrhistogram.Histogram
+	responseTime *hdrhistogram.Histogram // of first submissions, from the planned arrival
+	statusCounts map[int]int             // by status; 0 = no response
+	unanswered   int                     // see ClientStats
 }
 
-// NewClients makes clients of senders at these addresses.
-func (w *Environment) NewClients(addresses []string) *Clients {
+// NewClients makes clients of the senders at these addresses. The caller closes them.
+func (env *Environment) NewClients(addresses []string) *Clients {
 	c := &Clients{
-		w: w, rng: rand.New(rand.NewPCG(w.plan.Seed, 99)), pending: map[string]*simulation.ClientRequest{}, lag: newLag(), door: newLag(), answers: map[int]int{},
+		env:          env,
+		rng:          rand.New(rand.NewPCG(env.plan.Seed, 99)),
+		pending:      map[string]*simulation.ClientRequest{},
+		lag:          newLagHistogram(),
+		responseTime: newLagHistogram(),
+		statusCounts: map[int]int{},
 	}
 	for _, a := range addresses {
-		c.senders = append(c.senders, &front{addr: a})
+		c.senders = append(c.senders, &senderPool{addr: a})
 	}
-	w.mu.Lock()
-	w.heard, w.served = c.heard, c.served
-	w.mu.Unlock()
+	env.mu.Lock()
+	env.onReport, env.onDelivered = c.handleReport, c.handleDelivered
+	env.mu.Unlock()
 	return c
 }
 
-// SetDown tells the front layer that a sender's process has ended, or is there
-// again. The front itself notices after a while.
-func (c *Clients) SetDown(sender int, down bool) {
-	f := c.senders[sender]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if down {
-		if f.down.IsZero() {
-			f.down = time.Now()
-		}
-		return
-	}
-	f.down, f.up = time.Time{}, time.Now()
-}
-
-// SetDraining tells the front layer what a sender said of its health. It heeds that at once.
-func (c *Clients) SetDraining(sender int, away bool) {
-	f := c.senders[sender]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.away = away
-}
-
-// Run hands in until the plan's last arrival.
+// Run submits until the plan's last arrival, Stop or the end of the run. The submissions go on after it; see Idle.
 func (c *Clients) Run() {
-	arrivals := c.w.plan.Arrivals()
+	arrivals := c.env.plan.Arrivals()
 	for a, some := arrivals.Next(); some; a, some = arrivals.Next() {
-		if c.enough.Load() || c.w.now() < a.At && !c.w.at(a.At) || c.w.ctx.Err() != nil {
+		if c.stopped.Load() || c.env.now() < a.At && !c.env.sleepUntil(a.At) || c.env.ctx.Err() != nil {
 			return
 		}
 		c.mu.Lock()
-		record(c.lag, c.w.now()-a.At)
-		c.asked++
-		full := c.open >= openMost
+		recordLag(c.lag, c.env.now()-a.At)
+		c.requested++
+		full := c.inProgress >= maxOpenSubmissions
 		if full {
-			c.left++
+			c.skipped++
 		} else {
-			c.open++
+			c.inProgress++
 		}
 		c.mu.Unlock()
-		c.w.Record(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
+		c.env.Record(audit.Event{
+			Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest,
+		})
 		if full {
 			continue
 		}
 		m := &simulation.ClientRequest{Arrival: a}
-		c.w.wg.Go(func() {
-			c.handIn(m)
-			c.mu.Lock()
-			c.open--
-			c.mu.Unlock()
+		c.env.wg.Go(func() {
+			c.submit(m)
+			c.finish()
 		})
 	}
 }
 
 // Stop ends Run at its next arrival.
-func (c *Clients) Stop() { c.enough.Store(true) }
+func (c *Clients) Stop() { c.stopped.Store(true) }
 
-// after does something later, unless the world ends before.
-func (c *Clients) after(d time.Duration, do func()) {
+// schedule calls a function after a delay, unless the run ends before.
+func (c *Clients) schedule(delay time.Duration, submit func()) {
 	c.mu.Lock()
-	if c.open >= openMost {
-		c.left++
+	if c.inProgress >= maxOpenSubmissions {
+		c.skipped++
 		c.mu.Unlock()
 		return
 	}
-	c.open++
+	c.inProgress++
 	c.mu.Unlock()
-	c.w.wg.Go(func() {
-		if c.w.sleep(d) {
-			do()
+	c.env.wg.Go(func() {
+		if c.env.sleep(delay) {
+			submit()
 		}
-		c.mu.Lock()
-		c.open--
-		c.mu.Unlock()
+		c.finish()
 	})
 }
 
-// choose deals a hand-in out: to any sender but those that the front knows are gone.
-func (c *Clients) choose() (int, *front) {
+func (c *Clients) finish() {
 	c.mu.Lock()
-	first := c.rng.IntN(len(c.senders))
+	c.inProgress--
 	c.mu.Unlock()
-	for i := range c.senders {
-		n := (first + i) % len(c.senders)
-		f := c.senders[n]
-		f.mu.Lock()
-		known := f.away || !f.down.IsZero() && time.Since(f.down) > simulation.DeadSenderTimeout && !(c.keep && len(f.idle) > 0)
-		f.mu.Unlock()
-		if !known {
-			return n, f
-		}
-	}
-	return first, c.senders[first]
 }
 
-// errNobody tells that a hand-in did not reach a sender whole.
-var errNobody = errors.New("nobody there")
-
-// handIn hands a message in, for the first time or again.
-func (c *Clients) handIn(m *simulation.ClientRequest) {
-	w := c.w
-	s := w.plan.Scenario
+// submit submits a message once, for the first time or again, and schedules what follows from the response.
+func (c *Clients) submit(m *simulation.ClientRequest) {
+	s := c.env.plan.Scenario
 	c.mu.Lock()
-	left := m.TimeLeft(s, w.now())
+	timeLeft := m.TimeLeft(s, c.env.now())
 	c.mu.Unlock()
-	if left <= 0 {
+	if timeLeft <= 0 {
 		return
 	}
-	num, f := c.choose()
-	conn, reused, err := f.get(time.Now().Add(s.Traffic.Patience))
+	sender, pool := c.chooseSender()
+	conn, reused, err := pool.get(time.Now().Add(s.Traffic.Patience))
 	if err != nil {
-		c.nowhere(m)
+		c.retryUnanswered(m)
 		return
 	}
 	c.mu.Lock()
-	id, again := m.NextSubmission()
+	id, resubmission := m.NextSubmission()
 	c.pending[id] = m
 	c.mu.Unlock()
 	key := m.Key(s)
-	w.hand(audit.Event{Kind: audit.Submitted, Sender: num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: left, Key: key, N: m.N, Tenant: m.Tenant})
-	limit := time.Now().Add(s.Traffic.Patience)
-	text := request(s, m, id, key, left, again)
-	r, err := conn.ask(text, limit)
-	if err != nil && reused && errors.Is(err, io.EOF) { // its close crossed the request
+	c.env.recordSubmission(audit.Event{
+		Kind: audit.Submitted, Sender: sender, Message: id, Class: m.Class, Dest: m.Dest,
+		TimeLeft: timeLeft, Key: key, N: m.N, Tenant: m.Tenant,
+	})
+	deadline := time.Now().Add(s.Traffic.Patience)
+	conn, response, err := c.send(pool, conn, reused, formatRequest(s, m, id, key, timeLeft, resubmission), deadline)
+	c.countResponse(m, response, err, resubmission)
+	if err != nil {
+		if conn != nil {
+			conn.Close()
+		}
+		c.handleNoResponse(m, sender, id, err)
+		return
+	}
+	c.handleResponse(m, sender, id, response)
+	if response.Close {
+		conn.Close()
+		return
+	}
+	pool.put(conn)
+}
+
+// send sends a request and reads its response. A connection that was idle may have been closed by the sender as the
+// request was on its way: the request then goes out once more on a new one. It returns the connection that was used
+// last; nil if that could not be opened.
+func (c *Clients) send(
+	pool *senderPool, conn *clientConn, reused bool, request []byte, deadline time.Time,
+) (*clientConn, *http.Response, error) {
+	response, err := conn.roundTrip(request, deadline)
+	if err != nil && reused && errors.Is(err, io.EOF) {
+		conn.Close()
 		reused = false
-		if conn, err = f.dial(limit); err == nil {
-			r, err = conn.ask(text, limit)
+		if conn, err = pool.dial(deadline); err == nil {
+			response, err = conn.roundTrip(request, deadline)
 		}
 	}
-	if !reused && errors.Is(err, io.EOF) && !c.crowded() {
-		c.w.wg.Go(func() { c.judgeUnanswered(f) })
+	if !reused && errors.Is(err, io.EOF) && !c.idleClientsActive() {
+		c.env.wg.Go(func() { c.countUnanswered(pool) })
 	}
+	return conn, response, err
+}
+
+func (c *Clients) countResponse(m *simulation.ClientRequest, response *http.Response, err error, resubmission bool) {
 	status := 0
 	if err == nil {
-		status = r.StatusCode
+		status = response.StatusCode
 	}
 	c.mu.Lock()
-	c.answers[status]++
-	if !again {
-		record(c.door, w.now()-m.At)
+	defer c.mu.Unlock()
+	c.statusCounts[status]++
+	if !resubmission {
+		recordLag(c.responseTime, c.env.now()-m.At)
 	}
-	c.mu.Unlock()
-	switch {
-	case err != nil:
-		if conn != nil {
-			conn.Close()
-		}
-		cause := "died"
-		if errors.Is(err, errLate) {
-			cause = "timeout"
-		}
-		w.Record(audit.Event{Kind: audit.Abandoned, Sender: num, Message: id, Cause: cause})
-		c.forget(id)
-		c.nowhere(m)
-		return
-	case status == http.StatusAccepted || status == http.StatusOK:
-		w.Record(audit.Event{Kind: audit.Accepted, Sender: num, Message: id})
-	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		wait, _ := strconv.ParseFloat(r.Header.Get("Retry-After"), 64)
-		told := time.Duration(wait * float64(time.Second))
-		w.Record(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, RetryAfter: told})
+}
+
+// handleNoResponse records a submission that got no response, and has its client submit again.
+func (c *Clients) handleNoResponse(m *simulation.ClientRequest, sender int, id string, err error) {
+	cause := "died"
+	if errors.Is(err, errResponseTimeout) {
+		cause = "timeout"
+	}
+	c.env.Record(audit.Event{Kind: audit.Abandoned, Sender: sender, Message: id, Cause: cause})
+	c.forget(id)
+	c.retryUnanswered(m)
+}
+
+// handleResponse records what the sender said to a submission, and has the client of a rejected one come again.
+func (c *Clients) handleResponse(m *simulation.ClientRequest, sender int, id string, response *http.Response) {
+	switch response.StatusCode {
+	case http.StatusAccepted, http.StatusOK:
+		c.env.Record(audit.Event{Kind: audit.Accepted, Sender: sender, Message: id})
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 if there is none
+		retryAfter := time.Duration(seconds * float64(time.Second))
+		c.env.Record(audit.Event{Kind: audit.Rejected, Sender: sender, Message: id, RetryAfter: retryAfter})
 		c.forget(id)
-		c.refused(m, told)
+		c.retryRejected(m, retryAfter)
 	default:
-		w.Record(audit.Event{Kind: audit.Rejected, Sender: num, Message: id, Cause: "failed"})
+		c.env.Record(audit.Event{Kind: audit.Rejected, Sender: sender, Message: id, Cause: "failed"})
 		c.forget(id)
 	}
-	if r.Close {
-		conn.Close()
-		return
-	}
-	f.put(conn)
 }
 
-// crowded tells whether a crowd is about, or was a moment ago: new connections may be shut unread then.
-func (c *Clients) crowded() bool {
-	now := c.w.nowOf()
-	for _, crowd := range c.w.faults.IdleClients {
-		if now >= crowd.From && now < crowd.To+time.Second {
+// idleClientsActive reports whether idle clients hold connections now or did a moment ago. The senders may close new
+// connections unread then.
+func (c *Clients) idleClientsActive() bool {
+	now := c.env.currentTime()
+	for _, idle := range c.env.faults.IdleClients {
+		if now >= idle.From && now < idle.To+time.Second {
 			return true
 		}
 	}
 	return false
 }
 
-// downSpan is how much later than its clients the rig may hear that a process has ended.
-const downSpan = 100 * time.Millisecond
-
-// judgeUnanswered counts a request without an answer, unless its sender's process was down or ending.
-func (c *Clients) judgeUnanswered(f *front) {
-	if !c.w.sleep(downSpan) {
+// countUnanswered counts a request without a response, unless the process of its sender was down or ending.
+func (c *Clients) countUnanswered(pool *senderPool) {
+	if !c.env.sleep(exitNoticeDelay) {
 		return
 	}
-	f.mu.Lock()
-	down := !f.down.IsZero() || time.Since(f.up) < 2*downSpan
-	f.mu.Unlock()
+	pool.mu.Lock()
+	down := !pool.downSince.IsZero() || time.Since(pool.upSince) < 2*exitNoticeDelay
+	pool.mu.Unlock()
 	if !down {
 		c.mu.Lock()
 		c.unanswered++
@@ -281,59 +256,45 @@
 	}
 }
 
-// request is a hand-in as PROTOCOL has it.
-func request(s *scenario.Scenario, m *simulation.ClientRequest, id, key string, left time.Duration, again bool) []byte {
-	text := fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Tenant: %s\r\nX-Deadline: %.6f\r\nX-Addressing: dest=%d\r\nContent-Length: %d\r\n",
-		s.Traffic.Classes[m.Class].Name, id, s.Traffic.Tenants[m.Tenant].Name, left.Seconds(), m.Dest, m.Size)
-	if key != "" {
-		text = fmt.Appendf(text, "Idempotency-Key: %s\r\n", key)
-	}
-	if again {
-		text = append(text, "X-Retry: 1\r\n"...)
-	}
-	text = append(text, "\r\n"...)
-	return append(text, make([]byte, m.Size)...)
-}
-
 func (c *Clients) forget(id string) {
 	c.mu.Lock()
 	delete(c.pending, id)
 	c.mu.Unlock()
 }
 
-// nowhere has a client hand in again what reached nobody.
-func (c *Clients) nowhere(m *simulation.ClientRequest) {
+// retryUnanswered has a client submit again what no sender responded to.
+func (c *Clients) retryUnanswered(m *simulation.ClientRequest) {
 	c.mu.Lock()
-	after, again := m.Unanswered(c.w.plan.Scenario, c.rng)
+	delay, retry := m.Unanswered(c.env.plan.Scenario, c.rng)
 	c.mu.Unlock()
-	if again {
-		c.after(after, func() { c.handIn(m) })
+	if retry {
+		c.schedule(delay, func() { c.submit(m) })
 	}
 }
 
-// refused has a client come again, as often as the scenario says.
-func (c *Clients) refused(m *simulation.ClientRequest, told time.Duration) {
+// retryRejected has a client submit again what was rejected or deferred, as often as the scenario says.
+func (c *Clients) retryRejected(m *simulation.ClientRequest, retryAfter time.Duration) {
 	c.mu.Lock()
-	after, again := m.Rejected(c.w.plan.Scenario, c.rng, told)
+	delay, retry := m.Rejected(c.env.plan.Scenario, c.rng, retryAfter)
 	c.mu.Unlock()
-	if again {
-		c.after(after, func() { c.handIn(m) })
+	if retry {
+		c.schedule(delay, func() { c.submit(m) })
 	}
 }
 
-// heard is told of a notice.
-func (c *Clients) heard(id string, deferred bool, again time.Duration) {
+// handleReport takes a delivery report of a message that ended undelivered.
+func (c *Clients) handleReport(id string, deferred bool, retryAfter time.Duration) {
 	c.mu.Lock()
 	m := c.pending[id]
 	delete(c.pending, id)
 	c.mu.Unlock()
 	if m != nil && deferred {
-		c.refused(m, again)
+		c.retryRejected(m, retryAfter)
 	}
 }
 
-// served is told of deliveries.
-func (c *Clients) served(ids []string) {
+// handleDelivered takes the messages of a call that was delivered.
+func (c *Clients) handleDelivered(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range ids {
@@ -344,94 +305,61 @@
 	}
 }
 
+// Idle reports whether no submission is in progress or waits to be repeated.
+func (c *Clients) Idle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.inProgress == 0
+}
+
+func (c *Clients) requestCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requested
+}
+
 // ClientStats is what the clients saw.
 type ClientStats struct {
-	Lag          Lag         `json:"lag"`  // of the hand-ins, against the plan
-	ResponseTime Lag         `json:"door"` // from the time wanted to the sender's answer
-	Answers      map[int]int `json:"answers"`
+	Lag          Lag         `json:"lag"`     // of the submissions, against the plan
+	ResponseTime Lag         `json:"door"`    // from the planned arrival to the sender's response
+	Answers      map[int]int `json:"answers"` // responses by status; 0 = none came
 	Skipped      int         `json:"left_out"`
 
-	// Unanswered are requests that were written whole on a new connection to a sender that was there, and whose
-	// connection then ended with no answer, while no crowd was about.
+	// Unanswered are requests that were written whole on a new connection to a sender that was up, and whose connection
+	// then ended without a response, while no idle clients held connections.
 	Unanswered int `json:"unanswered"`
 }
 
-// Stats tells what the clients saw so far.
+// Stats returns what the clients saw so far.
 func (c *Clients) Stats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := ClientStats{Lag: lagOf(c.lag), ResponseTime: lagOf(c.door), Answers: map[int]int{}, Skipped: c.left, Unanswered: c.unanswered}
-	for status, n := range c.answers {
-		s.Answers[status] = n
+	return ClientStats{
+		Lag: summarizeLag(c.lag), ResponseTime: summarizeLag(c.responseTime),
+		Answers: maps.Clone(c.statusCounts), Skipped: c.skipped, Unanswered: c.unanswered,
 	}
-	return s
 }
 
-// Close closes the idle connections.
+// Close closes the idle connections. Connections of submissions that are still in progress are closed as these end.
 func (c *Clients) Close() {
-	for _, f := range c.senders {
-		f.mu.Lock()
-		for _, x := range f.idle {
-			x.Close()
-		}
-		f.idle, f.shut = nil, true
-		f.mu.Unlock()
-	}
-}
-
-// get takes an idle connection, or opens one.
-func (f *front) get(limit time.Time) (c *client, reused bool, err error) {
-	f.mu.Lock()
-	if n := len(f.idle); n > 0 {
-		c = f.idle[n-1]
-		f.idle = f.idle[:n-1]
-		f.mu.Unlock()
-		return c, true, nil
-	}
-	f.mu.Unlock()
-	c, err = f.dial(limit)
-	return c, false, err
-}
-
-func (f *front) dial(limit time.Time) (*client, error) {
-	conn, err := (&net.Dialer{Deadline: limit}).Dial("tcp4", f.addr)
-	if err != nil {
-		return nil, errors.Join(errNobody, err)
-	}
-	return &client{conn, bufio.NewReader(conn)}, nil
-}
-
-func (f *front) put(c *client) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.shut || len(f.idle) >= idleMost {
-		c.Close()
-		return
+	for _, p := range c.senders {
+		p.close()
 	}
-	f.idle = append(f.idle, c)
 }
 
-// errLate tells that no answer came while a client waited.
-var errLate = errors.New("no answer in time")
-
-// ask sends a request and reads the answer. io.EOF tells that the connection was
-// closed before any of it came.
-func (c *client) ask(text []byte, limit time.Time) (*http.Response, error) {
-	c.SetDeadline(limit)
-	_, err := c.Write(text)
-	if err == nil {
-		if _, err = c.in.Peek(1); err == nil {
-			var r *http.Response
-			if r, err = http.ReadResponse(c.in, nil); err == nil {
-				_, err = io.Copy(io.Discard, r.Body)
-				return r, err
-			}
-			return nil, err
-		}
+// formatRequest writes a submission as PROTOCOL defines it.
+func formatRequest(
+	s *scenario.Scenario, m *simulation.ClientRequest, id, key string, timeLeft time.Duration, resubmission bool,
+) []byte {
+	text := fmt.Appendf(nil, "POST /%s HTTP/1.1\r\nHost: app.svc\r\nX-Request-Id: %s\r\nX-Tenant: %s\r\n"+
+		"X-Deadline: %.6f\r\nX-Addressing: dest=%d\r\nContent-Length: %d\r\n",
+		s.Traffic.Classes[m.Class].Name, id, s.Traffic.Tenants[m.Tenant].Name, timeLeft.Seconds(), m.Dest, m.Size)
+	if key != "" {
+		text = fmt.Appendf(text, "Idempotency-Key: %s\r\n", key)
 	}
-	var n net.Error
-	if errors.As(err, &n) && n.Timeout() {
-		return nil, errLate
+	if resubmission {
+		text = append(text, "X-Retry: 1\r\n"...)
 	}
-	return nil, io.EOF // closed or reset
+	text = append(text, "\r\n"...)
+	return append(text, make([]byte, m.Size)...)
 }
--- /dev/null
+++ b/internal/harness/environment.go
@@ -0,0 +1,187 @@
+package harness
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"cleathold/internal/audit"
+	"cleathold/internal/netfault"
+	"cleathold/internal/partner"
+	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
+)
+
+// submissionRetention is how long the class of a message is known after its submission.
+const submissionRetention = 3 * time.Minute
+
+// An Environment is all that is outside the senders: endpoints, discovery, links and what judges the run. What stands
+// below its lock is touched under it. Its clock stands at 0 until Begin.
+type Environment struct {
+	plan   *scenario.Plan
+	log    *slog.Logger
+	ctx    context.Context
+	cancel context.CancelCauseFunc
+	wg     sync.WaitGroup
+
+	mu             sync.Mutex
+	started        time.Time     // zero before Begin
+	lastEvent      time.Duration // of the latest event; times of events never decrease
+	simulated      *simulation.Environment
+	auditor        *audit.Auditor
+	meter          *simulation.ServiceMeter
+	sink           func(audit.Event) error
+	pendingAnswers map[uint64]chan partner.Answer // by call id; each gets one answer at most
+	lastCallID     uint64
+	connections    int
+	submissions    map[string]submission // by message id
+	nextSweep      time.Duration
+	listeners      []map[string]*endpointListener // by sender and address
+	listChanged    chan struct{}                  // closed and replaced when the list or the state of discovery changes
+	wake           chan struct{}                  // makes advanceModel look at the model again
+	linksChanged   chan struct{}                  // closed and replaced when links change
+	discoveryCut   []bool                         // by sender: whether its link to or from discovery passes nothing
+	links          *netfault.Net                  // nil if nothing passes through links
+	lag            *hdrhistogram.Histogram
+	faults         Faults
+	faultRNG       *rand.Rand                                               // draws which answers fail, and how
+	onReport       func(id string, deferred bool, retryAfter time.Duration) // called for each delivery report
+	onDelivered    func(ids []string)                                       // called for each call that was delivered
+}
+
+// A submission is what the endpoints must know of a message that they receive.
+type submission struct {
+	class int
+	at    time.Duration
+}
+
+// NewEnvironment makes the environment of a plan. Events go to the sink too, if it is not nil. A failure in it
+// cancels its context, with the failure as the cause. The caller closes it.
+func NewEnvironment(
+	ctx context.Context, p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error,
+) (*Environment, error) {
+	env := &Environment{
+		plan: p, log: log, sink: sink,
+		meter:          simulation.NewServiceMeter(p.Scenario),
+		pendingAnswers: map[uint64]chan partner.Answer{},
+		submissions:    map[string]submission{},
+		listChanged:    make(chan struct{}),
+		wake:           make(chan struct{}, 1),
+		linksChanged:   make(chan struct{}),
+		discoveryCut:   make([]bool, p.Scenario.Senders),
+		lag:            newLagHistogram(),
+		faultRNG:       rand.New(rand.NewPCG(p.Seed, 96)),
+		onReport:       func(string, bool, time.Duration) {},
+		onDelivered:    func([]string) {},
+	}
+	env.ctx, env.cancel = context.WithCancelCause(ctx)
+	set, err := simulation.Settings(p, 0, 0)
+	if err != nil {
+		return nil, err
+	}
+	env.auditor = audit.New(simulation.Rules(p, set))
+	if env.simulated, err = simulation.NewEnvironment(p, env.record); err != nil {
+		return nil, err
+	}
+	return env, nil
+}
+
+// record gives an event to the auditor, the service meter and the sink. The caller holds the lock.
+func (env *Environment) record(e audit.Event) {
+	env.lastEvent = max(env.lastEvent, env.now())
+	e.At = env.lastEvent
+	err := env.auditor.Read(e)
+	if err == nil {
+		err = env.meter.Read(e)
+	}
+	if err == nil && env.sink != nil {
+		err = env.sink(e)
+	}
+	if err != nil {
+		env.cancel(err)
+	}
+}
+
+// Record gives an event to all that read events. A reader that fails ends the run.
+func (env *Environment) Record(e audit.Event) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.record(e)
+}
+
+// Begin starts the plan's clock, and the goroutines that act by it. They end with the context; Close waits for them.
+func (env *Environment) Begin() {
+	env.mu.Lock()
+	env.started = time.Now()
+	if env.links != nil {
+		env.links.Follow(env.linkRule(env.started))
+	}
+	env.mu.Unlock()
+	env.wg.Go(env.advanceModel)
+	env.wg.Go(env.runChanges)
+	env.wg.Go(func() {
+		for env.sleep(simulation.NotifiedCheckInterval) {
+			env.mu.Lock()
+			env.simulated.MarkNotified(env.now())
+			env.mu.Unlock()
+		}
+	})
+}
+
+// recordSubmission records that a client submits a message. It is called before the first byte is sent, since the
+// message may reach an endpoint before the write returns.
+func (env *Environment) recordSubmission(e audit.Event) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.submissions[e.Message] = submission{e.Class, env.now()}
+	if now := env.now(); now >= env.nextSweep {
+		for id, s := range env.submissions {
+			if now-s.at > submissionRetention {
+				delete(env.submissions, id)
+			}
+		}
+		env.nextSweep = now + submissionRetention/4
+	}
+	env.record(e)
+}
+
+// Open is the number of messages and calls that still have no outcome.
+func (env *Environment) Open() int {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.auditor.Owed()
+}
+
+// Score returns the service so far.
+func (env *Environment) Score() simulation.Score {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.meter.Score()
+}
+
+// Close ends all that the environment serves, waits for its goroutines, and judges what was recorded.
+func (env *Environment) Close() simulation.Result {
+	env.cancel(context.Canceled)
+	env.mu.Lock()
+	for _, byAddress := range env.listeners {
+		for _, l := range byAddress {
+			l.close()
+		}
+	}
+	env.mu.Unlock()
+	env.wg.Wait()
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	r := simulation.Result{
+		Scenario: env.plan.Scenario.Name, Seed: env.plan.Seed,
+		Connections: env.connections, Overloads: env.simulated.Overloads(),
+	}
+	r.Violations = env.auditor.Close(env.lastEvent)
+	r.Counts, _ = env.auditor.Totals()
+	r.Score = env.meter.Score()
+	return r
+}
--- /dev/null
+++ b/internal/harness/harness_test.go
@@ -0,0 +1,473 @@
+package harness
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"runtime"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"cleathold/internal/audit"
+	"cleathold/internal/partner"
+	"cleathold/internal/scenario"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// newTestEnvironment returns an environment with listeners and a clock that runs, of a scenario that a script
+// completes.
+func newTestEnvironment(t *testing.T, more string) (*Environment, *scenario.Plan) {
+	t.Helper()
+	text, err := os.ReadFile("../../examples/scenarios/building-refuses.star")
+	if err != nil {
+		t.Fatal(err)
+	}
+	script, _, _ := strings.Cut(string(text), "trouble(")
+	s, err := scenario.Parse("s.star", []byte(script+more), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := s.Plan(1)
+	env, err := NewEnvironment(t.Context(), p, slog.New(slog.DiscardHandler), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := env.OpenEndpoints(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { env.Close() })
+	env.Begin()
+	return env, p
+}
+
+// sendRequest sends one request on a connection of its own, and returns the response and its body.
+func sendRequest(t *testing.T, addr, text string) (*http.Response, string, error) {
+	t.Helper()
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		return nil, "", err
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(20 * time.Second))
+	io.WriteString(c, text)
+	r, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		return nil, "", err
+	}
+	body, err := io.ReadAll(r.Body)
+	return r, string(body), err
+}
+
+// sendUntilServed repeats a request until it is served: a limit may reject it for a while.
+func sendUntilServed(t *testing.T, addr, text string) (body string) {
+	t.Helper()
+	waitFor(t, "an answer", func() bool {
+		r, got, err := sendRequest(t, addr, text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body = got
+		return r.StatusCode == 200
+	})
+	return body
+}
+
+func receiveRequest(id string) string {
+	return "POST /receive HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Deadline: 5\r\nContent-Length: 2\r\n\r\nhi"
+}
+
+// locked calls a function under the environment's lock.
+func (env *Environment) locked(do func()) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	do()
+}
+
+// recordAcceptedMessage records a message that a client submitted to sender 0, and that it accepted.
+func recordAcceptedMessage(env *Environment, id string, dest int) {
+	env.recordSubmission(audit.Event{Kind: audit.Submitted, Message: id, Dest: dest, TimeLeft: 8 * time.Second})
+	env.Record(audit.Event{Kind: audit.Accepted, Message: id})
+}
+
+func TestEndpointListener(t *testing.T) {
+	env, p := newTestEnvironment(t, "")
+	d := p.Dests[0]
+	listener := env.listeners[0][d.Endpoints[0].ID]
+	recordAcceptedMessage(env, "a", d.Dest)
+	recordAcceptedMessage(env, "b", d.Dest)
+	sendUntilServed(t, listener.addr, receiveRequest("a"))
+	body := sendUntilServed(t, listener.addr,
+		"POST /receive-many HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\nb - 2\r\nhi\r\n")
+	if body != "b delivered\r\n" {
+		t.Errorf("%q", body)
+	}
+	for name, c := range map[string]struct {
+		text string
+		want int
+	}{
+		"no id": {"POST /receive HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", 400},
+		"twice in it": {"POST /receive-many HTTP/1.1\r\nHost: h\r\nContent-Length: 22\r\n\r\n" +
+			"b - 2\r\nhi\r\nb - 2\r\nhi\r\n", 400},
+		"odd path":   {"GET /x HTTP/1.1\r\nHost: h\r\n\r\n", 404},
+		"no request": {"what\r\n\r\n", 400},
+	} {
+		if r, _, err := sendRequest(t, listener.addr, c.text); err != nil || r.StatusCode != c.want {
+			t.Errorf("%s: %v %v", name, r, err)
+		}
+	}
+}
+
+// An endpoint at its limit rejects calls. One that is down breaks its connections and refuses new ones, and keeps its
+// port.
+func TestEndpointListenerFollowsModel(t *testing.T) {
+	env, p := newTestEnvironment(t, "")
+	listener := env.listeners[0][p.Dests[0].Endpoints[0].ID]
+	set := func(fault partner.Fault) {
+		env.locked(func() {
+			env.simulated.Model.SetFault(env.now(), listener.endpoint, fault)
+			env.updateListeners()
+			env.dispatchAndWake()
+		})
+	}
+	set(partner.Fault{Mode: partner.Shut, Until: time.Hour})
+	r, _, err := sendRequest(t, listener.addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
+	if err != nil || r.StatusCode != 503 && r.StatusCode != 429 {
+		t.Errorf("shut: %v %v", r, err)
+	}
+	idle, err := net.Dial("tcp", listener.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer idle.Close()
+	// Down: open connections break, new ones are refused, the port stays reserved.
+	addr := listener.addr
+	set(partner.Fault{Mode: partner.Down})
+	if _, err := idle.Read(make([]byte, 1)); err == nil {
+		t.Error("a connection outlives its endpoint")
+	}
+	for range 3 {
+		if _, _, err := sendRequest(t, addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n"); !errors.Is(err, syscall.ECONNREFUSED) {
+			t.Errorf("down: %v", err)
+		}
+	}
+	if l, err := net.Listen("tcp4", addr); err == nil {
+		l.Close()
+		t.Error("another socket got its port")
+	}
+	set(partner.Fault{})
+	sendUntilServed(t, addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
+}
+
+// A call that is canceled and takes effect all the same counts as one late effect of one call.
+func TestCanceledCallTakesEffect(t *testing.T) {
+	env, p := newTestEnvironment(t, "")
+	d := p.Dests[0]
+	listener := env.listeners[0][d.Endpoints[0].ID]
+	env.locked(func() {
+		env.simulated.Model.SetFault(env.now(), listener.endpoint, partner.Fault{Mode: partner.Unresponsive})
+	})
+	recordAcceptedMessage(env, "a", d.Dest)
+	c, err := net.Dial("tcp", listener.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	io.WriteString(c, receiveRequest("a"))
+	running := func() (n int) {
+		env.locked(func() { n = len(env.pendingAnswers) })
+		return n
+	}
+	waitFor(t, "the call", func() bool { return running() == 1 })
+	c.Close()
+	waitFor(t, "its end", func() bool { return running() == 0 })
+	waitFor(t, "its effect", func() bool {
+		n := 0
+		env.locked(func() { s, _ := env.auditor.Totals(); n = s.Effects })
+		return n == 1
+	})
+}
+
+func waitFor(t *testing.T, what string, until func() bool) {
+	t.Helper()
+	for limit := time.Now().Add(20 * time.Second); !until(); time.Sleep(time.Millisecond) {
+		if time.Now().After(limit) {
+			t.Fatalf("%s: never", what)
+		}
+	}
+}
+
+// Discovery on sockets: the full list, a watch that waits, a change that is notified late, an address that a new
+// endpoint takes over, and an outage.
+func TestPlatform(t *testing.T) {
+	env, p := newTestEnvironment(t, "discovery_out(at = 10000, seconds = 1)\n")
+	addresses, err := env.OpenPlatform()
+	if err != nil {
+		t.Fatal(err)
+	}
+	get := func(path string) (int, string) {
+		r, body, err := sendRequest(t, addresses[0], "GET /catalog/members"+path+" HTTP/1.1\r\nHost: h\r\n\r\n")
+		if err != nil {
+			t.Fatal(err)
+		}
+		return r.StatusCode, body
+	}
+	e := p.Dests[0].Endpoints[0]
+	endpoint := `"id":"` + e.ID + `","addr":"` + env.listeners[0][e.ID].addr
+	if status, body := get(""); status != 200 || !strings.Contains(body, `"full":true`) ||
+		!strings.Contains(body, endpoint) {
+		t.Errorf("%d %s", status, body)
+	}
+	const noChange = `"version":1,"full":false,"servers":[]`
+	if status, body := get("?since=1&timeout_ms=20"); status != 200 || !strings.Contains(body, noChange) {
+		t.Errorf("a watch without news: %d %s", status, body)
+	}
+	env.locked(func() {
+		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
+		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
+		env.applyChange(scenario.Change{Endpoint: "new", Dest: 1, Joins: &partner.EndpointSpec{ID: "new"}, Address: e.ID})
+	})
+	at, seen := 1, ""
+	for range 3 { // the changes come in one answer or more
+		_, body := get("?since=" + strconv.Itoa(at) + "&timeout_ms=10000")
+		for v := 4; v > at; v-- {
+			if strings.Contains(body, `"version":`+strconv.Itoa(v)) {
+				at = v
+			}
+		}
+		if seen += body; at == 4 {
+			break
+		}
+	}
+	for _, want := range []string{`"state":"removed"`, `"id":"new","addr":"` + env.listeners[0][e.ID].addr} {
+		if !strings.Contains(seen, want) {
+			t.Errorf("no %s in %s", want, seen)
+		}
+	}
+	// The new endpoint at the old address.
+	sendUntilServed(t, env.listeners[0][e.ID].addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
+	env.locked(func() { env.plan.DiscoveryOutages = []scenario.Span{{From: 0, To: time.Hour}}; env.notifyListChanged() })
+	if status, _ := get("?since=4&timeout_ms=10000"); status != 503 {
+		t.Errorf("down: %d", status)
+	}
+}
+
+// Delivery reports are taken also while discovery is down, and malformed ones are rejected.
+func TestDeliveryReports(t *testing.T) {
+	env, _ := newTestEnvironment(t, "discovery_out(at = 0, seconds = 10000)\n")
+	addresses, err := env.OpenPlatform()
+	if err != nil {
+		t.Fatal(err)
+	}
+	r, _, err := sendRequest(t, addresses[0], "GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n")
+	if err != nil || r.StatusCode != 503 {
+		t.Errorf("the list: %v %v", r, err)
+	}
+	body := `{"id":"x","status":"deferred","again_ms":500}` + "\n" + `{"id":"y","status":"undeliverable"}` + "\n"
+	const report = "POST /status HTTP/1.1\r\nHost: h\r\nContent-Length: "
+	r, _, err = sendRequest(t, addresses[0], report+strconv.Itoa(len(body))+"\r\n\r\n"+body)
+	if err != nil || r.StatusCode != 204 {
+		t.Errorf("notices while it is down: %v %v", r, err)
+	}
+	if r, _, err := sendRequest(t, addresses[0], report+"1\r\n\r\n{"); err != nil || r.StatusCode != 400 {
+		t.Errorf("no notice: %v %v", r, err)
+	}
+}
+
+// A listener that fails ends the run, and the error names its address.
+func TestFailedListenerEndsRun(t *testing.T) {
+	env, p := newTestEnvironment(t, "")
+	listener := env.listeners[1][p.Dests[0].Endpoints[0].ID]
+	listener.listener.Close()
+	<-env.ctx.Done()
+	if err := context.Cause(env.ctx); err == nil || !strings.Contains(err.Error(), listener.addr) {
+		t.Errorf("%v", err)
+	}
+}
+
+// The clients' latency counts from the planned arrival of a message: a sender that stalls does not hide the wait of the
+// messages behind it.
+func TestOpenLoop(t *testing.T) {
+	env, _ := newTestEnvironment(t, "")
+	stall := make(chan struct{})
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	requests := make(chan struct{}, 1000)
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer c.Close()
+				in := bufio.NewReader(c)
+				for {
+					r, err := http.ReadRequest(in)
+					if err != nil {
+						return
+					}
+					io.Copy(io.Discard, r.Body)
+					requests <- struct{}{}
+					<-stall
+					io.WriteString(c, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
+				}
+			}()
+		}
+	}()
+	c := env.NewClients([]string{l.Addr().String()})
+	defer c.Close()
+	env.wg.Go(c.Run)
+	for range 5 { // the others come though the first has no response
+		<-requests
+	}
+	close(stall)
+	waitFor(t, "answers", func() bool { return c.Stats().Answers[202]+c.Stats().Answers[0] >= 5 })
+	if s := c.Stats(); s.ResponseTime.Max < 5 {
+		t.Errorf("the wait does not show: %+v", s)
+	}
+}
+
+// Serve writes what a sender needs, ends with its context, and judges nothing that it cannot see.
+func TestServe(t *testing.T) {
+	s, err := scenario.Load("../../examples/scenarios/building-refuses.star", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	read, write := io.Pipe()
+	done := make(chan Result, 1)
+	go func() {
+		r, err := Serve(ctx, Setup{Plan: s.Plan(1), Folder: t.TempDir(), Log: slog.New(slog.DiscardHandler)}, write)
+		if err != nil {
+			t.Error(err)
+		}
+		done <- r
+	}()
+	lines := bufio.NewScanner(read)
+	for range s.Senders {
+		if !lines.Scan() || !strings.Contains(lines.Text(), "LB_CONFIG=") {
+			t.Fatalf("%q", lines.Text())
+		}
+	}
+	cancel()
+	if r := <-done; len(r.Violations) > 0 || len(r.Warnings) == 0 {
+		t.Errorf("%+v", r)
+	}
+}
+
+// The exit status of a process is known, however soon it ends.
+func TestExitErrorOfShortProcess(t *testing.T) {
+	x := &Process{program: "/bin/false", dir: t.TempDir()}
+	// Other goroutines keep the processors busy, so that the one that starts the process may be the last to go on.
+	stop := make(chan struct{})
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	defer close(stop)
+	for range 4 * runtime.GOMAXPROCS(0) {
+		wg.Go(func() {
+			for busy := true; busy; {
+				select {
+				case <-stop:
+					busy = false
+				default: // spin
+					runtime.Gosched()
+				}
+			}
+		})
+	}
+	for range 40 {
+		if err := x.Start(); err != nil {
+			t.Fatal(err)
+		}
+		<-x.Ended()
+		if x.exitError() == nil {
+			t.Fatal("a process that ended with exit status 1 has no exit error")
+		}
+	}
+}
+
+// A link between a sender and an endpoint: while it is cut, connections break and are refused; while it is silent in
+// either direction, nothing is answered until it is healed, and a call whose sender closed the connection meanwhile
+// takes no effect. Other senders notice nothing.
+func TestLinkToEndpoint(t *testing.T) {
+	for _, c := range []struct{ link, want string }{
+		{`of = "n0", to = "partners", what = "CUT"`, "refused"},
+		{`of = "n0", to = "partners", what = "SILENT", one_way = True`, "late"},
+		{`of = "partners", to = "n0", what = "SILENT", one_way = True`, "late"},
+		{`of = "n1", to = "partners", what = "CUT"`, "served"},
+	} {
+		env, p := newTestEnvironment(t, "link(at = 0, seconds = 1, "+c.link+")\n")
+		d := p.Dests[0]
+		listener := env.listeners[0][d.Endpoints[0].ID]
+		waitFor(t, "the fault", func() (applies bool) {
+			env.locked(func() {
+				forward, back := listener.linkStates()
+				applies = !forward.Passes() || !back.Passes() || c.want == "served"
+				applies = applies && (listener.listener == nil) == (c.want == "refused")
+			})
+			return applies
+		})
+		recordAcceptedMessage(env, "a", d.Dest)
+		if c.want == "late" { // its sender no longer waits
+			gone, err := net.Dial("tcp", listener.addr)
+			if err != nil {
+				t.Fatal(err)
+			}
+			io.WriteString(gone, receiveRequest("a"))
+			gone.Close()
+		}
+		_, _, err := sendRequest(t, listener.addr, receiveRequest("a"))
+		got := "served"
+		switch healed := env.currentTime() >= time.Second; {
+		case err != nil:
+			got = "refused"
+		case healed: // whether served, or rejected by a limit
+			got = "late"
+		}
+		if got != c.want {
+			t.Errorf("%s: %s, want %s (%v)", c.link, got, c.want, err)
+		}
+		if c.want == "refused" {
+			waitFor(t, "the listener to listen again", func() (listens bool) {
+				env.locked(func() { listens = listener.listener != nil })
+				return listens
+			})
+			sendUntilServed(t, listener.addr, receiveRequest("a"))
+		}
+		calls := 0
+		env.locked(func() { s, _ := env.auditor.Totals(); calls = s.Effects + s.Dropped })
+		if strings.HasPrefix(c.link, `of = "n0", to = "partners", what = "SILENT"`) && calls != 1 {
+			t.Errorf("%s: %d calls took effect", c.link, calls)
+		}
+	}
+}
+
+// A sender whose link from discovery is silent waits for the list, and gets it when the link is healed.
+func TestLinkToDiscovery(t *testing.T) {
+	env, _ := newTestEnvironment(t, `link(at = 0, seconds = 1, of = "n0", to = "discovery", what = "SILENT")`+"\n")
+	waitFor(t, "the fault", func() (off bool) { env.locked(func() { off = env.discoveryCut[0] }); return off })
+	list, err := env.OpenPlatform()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, late := range []bool{true, false} {
+		r, _, err := sendRequest(t, list[1-i], "GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n")
+		if err != nil || r.StatusCode != 200 || env.currentTime() >= time.Second == late {
+			t.Errorf("sender %d: %v at %v", 1-i, err, env.currentTime())
+		}
+	}
+}
--- /dev/null
+++ b/internal/harness/links.go
@@ -0,0 +1,66 @@
+package harness
+
+import (
+	"time"
+
+	"cleathold/internal/audit"
+	"cleathold/internal/netfault"
+	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
+)
+
+// linkState is the state of the link from one party to another now. The caller holds the lock.
+func (env *Environment) linkState(from, to string) scenario.LinkState {
+	return env.plan.LinkState(env.now(), from, to)
+}
+
+// updateLinks brings all that depends on links to their states now: who reaches discovery, which endpoints listen, and
+// the connections that pass through links. The caller holds the lock.
+func (env *Environment) updateLinks() {
+	for i := range env.discoveryCut {
+		sender := scenario.Sender(i)
+		cut := !env.linkState(sender, scenario.Discovery).Passes() || !env.linkState(scenario.Discovery, sender).Passes()
+		if cut == env.discoveryCut[i] {
+			continue
+		}
+		env.discoveryCut[i] = cut
+		if !cut {
+			env.record(audit.Event{Kind: audit.ReachableAgain, Sender: i})
+			continue
+		}
+		env.record(audit.Event{Kind: audit.Unreachable, Sender: i})
+		env.simulated.Polled(env.now(), i, false, true)
+	}
+	env.updateListeners()
+	close(env.linksChanged)
+	env.linksChanged = make(chan struct{})
+	if env.links != nil {
+		env.links.Refresh()
+	}
+}
+
+// UseLinks has the links of a network follow the plan from Begin on. Datagrams between senders get the delays and
+// losses that they have in virtual time, too.
+func (env *Environment) UseLinks(links *netfault.Net) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.links = links
+}
+
+// linkRule returns the states of links by the plan, for a run that started at a time. The rule takes no lock of the
+// environment: the network calls it under its own.
+func (env *Environment) linkRule(started time.Time) func(from, to string) netfault.State {
+	senders := map[string]bool{}
+	for i := range env.plan.Scenario.Senders {
+		senders[scenario.Sender(i)] = true
+	}
+	return func(from, to string) netfault.State {
+		s := netfault.State(env.plan.LinkState(time.Since(started), from, to))
+		if senders[from] && senders[to] {
+			s.Loss = 1 - (1-s.Loss)*(1-env.plan.Scenario.GossipLoss)
+			s.Delay += simulation.MinGossipDelay
+			s.Jitter += simulation.MaxGossipDelay - simulation.MinGossipDelay
+		}
+		return s
+	}
+}
--- /dev/null
+++ b/internal/harness/process_config.go
@@ -0,0 +1,105 @@
+package harness
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+
+	"cleathold/internal/scenario"
+	"cleathold/internal/simulation"
+)
+
+// A ProcessSpec is where a sender runs, and what it has there. Without a PeerListen it exchanges no gossip.
+type ProcessSpec struct {
+	Listen, Discovery string // addresses
+	State             string // folder
+	MemoryMB          float64
+	Sockets           int      // file descriptors; 0 = 1,024
+	PeerListen        string   // address for gossip
+	PeersAll          string   // address that reaches all peers
+	Peers             []string // addresses of all senders, by their numbers
+	Admin             string   // second address, of the admin API; empty: it has none
+}
+
+// A senderConfig is a sender's configuration file. Its keys are written in the order of the alphabet.
+type senderConfig struct {
+	Admin       string         `json:"admin,omitempty"`
+	Discovery   string         `json:"discovery"`
+	Known       knownList      `json:"known"`
+	Limits      processLimits  `json:"limits"`
+	Listen      string         `json:"listen"`
+	Name        string         `json:"name"`
+	*peerConfig                // nil: no peers
+	Settings    map[string]any `json:"settings"`
+	State       string         `json:"state"`
+}
+
+// peerConfig is the part of a configuration that lets a sender exchange gossip.
+type peerConfig struct {
+	Listen string   `json:"peer_listen"`
+	Peers  []string `json:"peers"`
+	All    string   `json:"peers_all"`
+}
+
+// A knownList is the endpoint list that a sender has before its first poll.
+type knownList struct {
+	Full    bool  `json:"full"`
+	Servers []any `json:"servers"`
+	Version int64 `json:"version"`
+}
+
+// processLimits are the limits of a sender's process.
+type processLimits struct {
+	Cores    int     `json:"cores"`
+	DiskMB   int     `json:"disk_mb"`
+	MemoryMB float64 `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+// Configure writes the configuration file of a plan's sender.
+func Configure(path string, p *scenario.Plan, sender int, spec ProcessSpec) error {
+	if spec.Sockets <= 0 {
+		spec.Sockets = defaultSockets
+	}
+	config := senderConfig{
+		Admin: spec.Admin, Discovery: spec.Discovery, Listen: spec.Listen, State: spec.State,
+		Name:     fmt.Sprint("n", sender),
+		Known:    knownList{Full: true, Servers: []any{}},
+		Limits:   processLimits{Cores: 1, DiskMB: 3, MemoryMB: spec.MemoryMB, Sockets: spec.Sockets},
+		Settings: simulation.Profile(p, sender),
+	}
+	if spec.PeerListen != "" {
+		config.peerConfig = &peerConfig{Listen: spec.PeerListen, Peers: spec.Peers, All: spec.PeersAll}
+	}
+	return writeConfig(path, config)
+}
+
+// Reconfigure puts the settings of a planned action into an existing configuration file, and leaves its other keys as
+// they are, whoever wrote them.
+func Reconfigure(path string, a scenario.PlannedAction, p *scenario.Plan) error {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return fmt.Errorf("rig: %w", err)
+	}
+	config := map[string]any{}
+	if err := json.Unmarshal(text, &config); err != nil {
+		return fmt.Errorf("rig: %s: %w", path, err)
+	}
+	config["settings"] = simulation.UpdatedSettings(p, a)
+	return writeConfig(path, config)
+}
+
+// writeConfig replaces a file in one step, since a sender may read it at any time.
+func writeConfig(path string, config any) error {
+	text, err := json.MarshalIndent(config, "", " ")
+	if err == nil {
+		err = os.WriteFile(path+".new", text, 0o600)
+	}
+	if err == nil {
+		err = os.Rename(path+".new", path)
+	}
+	if err != nil {
+		return fmt.Errorf("rig: %w", err)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/harness/sender_pool.go
@@ -0,0 +1,149 @@
+package harness
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"cleathold/internal/simulation"
+)
+
+// maxIdleConns bounds the idle connections to one sender.
+const maxIdleConns = 256
+
+// errResponseTimeout means that no response came while a client waited.
+var errResponseTimeout = errors.New("no answer in time")
+
+// A senderPool is a sender as its clients see it: whether it takes clients, and the idle connections to it.
+type senderPool struct {
+	addr string
+
+	mu        sync.Mutex
+	idle      []*clientConn
+	closed    bool      // no connection is kept any more
+	draining  bool      // the sender says that it wants no clients
+	downSince time.Time // since when no process serves; zero: one does
+	upSince   time.Time // since when one serves again
+}
+
+// A clientConn is one connection of a client to a sender.
+type clientConn struct {
+	net.Conn
+	reader *bufio.Reader
+}
+
+// SetDown tells the clients' load balancer that the process of a sender has ended, or serves again. It still sends
+// clients to a sender that is down until simulation.DeadSenderTimeout has passed.
+func (c *Clients) SetDown(sender int, down bool) {
+	p := c.senders[sender]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if down {
+		if p.downSince.IsZero() {
+			p.downSince = time.Now()
+		}
+		return
+	}
+	p.downSince, p.upSince = time.Time{}, time.Now()
+}
+
+// SetDraining tells the clients' load balancer what a sender's health check says. It takes effect at once.
+func (c *Clients) SetDraining(sender int, draining bool) {
+	p := c.senders[sender]
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.draining = draining
+}
+
+// chooseSender picks a sender for a submission at random, among those that are not known to be gone.
+func (c *Clients) chooseSender() (int, *senderPool) {
+	c.mu.Lock()
+	first := c.rng.IntN(len(c.senders))
+	c.mu.Unlock()
+	for i := range c.senders {
+		n := (first + i) % len(c.senders)
+		if p := c.senders[n]; !p.knownGone(c.keepConnections) {
+			return n, p
+		}
+	}
+	return first, c.senders[first]
+}
+
+// knownGone reports whether the clients' load balancer sends nobody to the sender. With keepConnections a sender that
+// is down still gets clients for as long as there are connections to it.
+func (p *senderPool) knownGone(keepConnections bool) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	down := !p.downSince.IsZero() && time.Since(p.downSince) > simulation.DeadSenderTimeout
+	return p.draining || down && !(keepConnections && len(p.idle) > 0)
+}
+
+// get takes an idle connection, or opens one.
+func (p *senderPool) get(deadline time.Time) (c *clientConn, reused bool, err error) {
+	p.mu.Lock()
+	if n := len(p.idle); n > 0 {
+		c = p.idle[n-1]
+		p.idle = p.idle[:n-1]
+		p.mu.Unlock()
+		return c, true, nil
+	}
+	p.mu.Unlock()
+	c, err = p.dial(deadline)
+	return c, false, err
+}
+
+func (p *senderPool) dial(deadline time.Time) (*clientConn, error) {
+	conn, err := (&net.Dialer{Deadline: deadline}).Dial("tcp4", p.addr)
+	if err != nil {
+		return nil, fmt.Errorf("no connection to a sender: %w", err)
+	}
+	return &clientConn{conn, bufio.NewReader(conn)}, nil
+}
+
+// put keeps a connection for another submission, or closes it.
+func (p *senderPool) put(c *clientConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed || len(p.idle) >= maxIdleConns {
+		c.Close()
+		return
+	}
+	p.idle = append(p.idle, c)
+}
+
+func (p *senderPool) close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.idle {
+		c.Close()
+	}
+	p.idle, p.closed = nil, true
+}
+
+// roundTrip sends a request and reads the response. Its error is errResponseTimeout if nothing of a response came in
+// time, and io.EOF if the connection was closed or reset before any of it came.
+func (c *clientConn) roundTrip(request []byte, deadline time.Time) (*http.Response, error) {
+	c.SetDeadline(deadline)
+	_, err := c.Write(request)
+	if err == nil {
+		_, err = c.reader.Peek(1)
+	}
+	var timeout net.Error
+	switch {
+	case errors.As(err, &timeout) && timeout.Timeout():
+		return nil, errResponseTimeout
+	case err != nil:
+		return nil, io.EOF
+	}
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return nil, err
+	}
+	_, err = io.Copy(io.Discard, response.Body)
+	return response, err
+}
--- /dev/null
+++ b/internal/netfault/netfault_test.go
@@ -0,0 +1,246 @@
+package netfault
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// startEchoServer sends back what it reads, and returns its address.
+func startEchoServer(t *testing.T) string {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() { defer c.Close(); io.Copy(c, c) }()
+		}
+	}()
+	return l.Addr().String()
+}
+
+// A lineConn is a connection that exchanges lines.
+type lineConn struct {
+	t *testing.T
+	net.Conn
+	reader *bufio.Reader
+}
+
+func dial(t *testing.T, addr string) *lineConn {
+	t.Helper()
+	c, err := net.Dial("tcp4", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return &lineConn{t, c, bufio.NewReader(c)}
+}
+
+// exchange sends a line and reads it back, within a timeout.
+func (l *lineConn) exchange(text string, span time.Duration) error {
+	l.SetDeadline(time.Now().Add(span))
+	if _, err := fmt.Fprintln(l, text); err != nil {
+		return err
+	}
+	got, err := l.reader.ReadString('\n')
+	if err == nil && got != text+"\n" {
+		l.t.Errorf("sent %q, received %q", text, got)
+	}
+	return err
+}
+
+func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+
+// A connection in each state of its directions: what is sent while one is silent arrives when it is healed, and a cut
+// breaks the connection and those that come after.
+func TestTCP(t *testing.T) {
+	n := New(1)
+	defer n.Close()
+	addr, err := n.TCP("a", "b", "127.0.0.1", startEchoServer(t))
+	if err != nil {
+		t.Fatal(err)
+	}
+	const soon, long = 50 * time.Millisecond, 20 * time.Second
+	for _, silent := range [][2]string{{"a", "b"}, {"b", "a"}} {
+		c := dial(t, addr)
+		if err := c.exchange("one", long); err != nil {
+			t.Fatal(err)
+		}
+		n.Set(silent[0], silent[1], State{Silent: true})
+		if err := c.exchange("two", soon); !isTimeout(err) {
+			t.Errorf("silent from %s: %v", silent[0], err)
+		}
+		n.Heal()
+		c.SetDeadline(time.Now().Add(long))
+		if got, err := c.reader.ReadString('\n'); got != "two\n" || err != nil {
+			t.Errorf("healed: %q, %v", got, err)
+		}
+	}
+	c := dial(t, addr)
+	c.exchange("one", long)
+	n.Set("b", "a", State{Cut: true})
+	if err := c.exchange("two", long); err == nil || isTimeout(err) {
+		t.Errorf("cut: %v", err)
+	}
+	n.Set("a", "b", State{Cut: true})
+	// The break may come while the kernel still connects.
+	if c, err := net.Dial("tcp4", addr); err == nil {
+		l := &lineConn{t, c, bufio.NewReader(c)}
+		if err := l.exchange("one", long); err == nil || isTimeout(err) {
+			t.Errorf("a new one while it is cut: %v", err)
+		}
+		c.Close()
+	}
+	n.SetBoth("a", "b", State{Delay: 30 * time.Millisecond})
+	began := time.Now()
+	if err := dial(t, addr).exchange("one", long); err != nil || time.Since(began) < 60*time.Millisecond {
+		t.Errorf("slow: %v after %v", err, time.Since(began))
+	}
+}
+
+// udpParties are three parties n0 to n2 that exchange datagrams through a network.
+type udpParties struct {
+	t         *testing.T
+	network   *Net
+	datagrams *Datagrams
+	conns     []*net.UDPConn
+}
+
+func newUDPParties(t *testing.T) *udpParties {
+	t.Helper()
+	p := &udpParties{t: t, network: New(1)}
+	t.Cleanup(p.network.Close)
+	var names, listens []string
+	for i := range 3 {
+		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		p.conns, names = append(p.conns, c), append(names, fmt.Sprint("n", i))
+		listens = append(listens, c.LocalAddr().String())
+	}
+	var err error
+	if p.datagrams, err = p.network.UDP("127.0.0.1", names, listens); err != nil {
+		t.Fatal(err)
+	}
+	return p
+}
+
+// send sends a text from a party to an address.
+func (p *udpParties) send(from int, to, text string) {
+	a, _ := net.ResolveUDPAddr("udp4", to)
+	p.conns[from].WriteTo([]byte(text), a)
+}
+
+// receive returns the next text that comes to a party, after the number of its sender; empty if none comes in time.
+func (p *udpParties) receive(at int, timeout time.Duration) string {
+	b := make([]byte, 100)
+	p.conns[at].SetReadDeadline(time.Now().Add(timeout))
+	k, from, err := p.conns[at].ReadFrom(b)
+	if err != nil {
+		return ""
+	}
+	for i, peer := range p.datagrams.Peers() {
+		if peer == from.String() {
+			return fmt.Sprintf("%d:%s", i, b[:k])
+		}
+	}
+	return "a stranger"
+}
+
+// Datagrams come from the address that the others know, and are lost and doubled by the state of their direction.
+func TestUDP(t *testing.T) {
+	p := newUDPParties(t)
+	n, d := p.network, p.datagrams
+	const soon, long = 50 * time.Millisecond, 20 * time.Second
+	p.send(0, d.All(0), "x")
+	if a, b, c := p.receive(1, long), p.receive(2, long), p.receive(0, soon); a != "0:x" || b != "0:x" || c != "" {
+		t.Errorf("to all: %q, %q, and at its sender %q", a, b, c)
+	}
+	p.send(2, d.Peers()[1], "y")
+	if a, c := p.receive(1, long), p.receive(0, soon); a != "2:y" || c != "" {
+		t.Errorf("to one: %q, at another %q", a, c)
+	}
+	n.Set("n0", "n1", State{Cut: true})
+	p.send(0, d.All(0), "x")
+	if a, b := p.receive(2, long), p.receive(1, soon); a != "0:x" || b != "" {
+		t.Errorf("cut one way: %q, %q", a, b)
+	}
+	p.send(1, d.Peers()[0], "back")
+	if a := p.receive(0, long); a != "1:back" {
+		t.Errorf("the other way: %q", a)
+	}
+	n.Heal()
+	n.Set("n0", "n1", State{Duplicate: 1})
+	p.send(0, d.Peers()[1], "x")
+	if a, b := p.receive(1, long), p.receive(1, long); a != "0:x" || b != "0:x" {
+		t.Errorf("doubled: %q, %q", a, b)
+	}
+}
+
+// Datagrams are lost with the probability that is set, and those that are not lost arrive.
+func TestUDPLoss(t *testing.T) {
+	p := newUDPParties(t)
+	n, d := p.network, p.datagrams
+	const long = 20 * time.Second
+	n.Set("n0", "n1", State{Loss: 0.5})
+	// One at a time: a socket's buffer holds fewer than 400 datagrams, and the kernel drops the others unseen.
+	c := n.Passed("n0", "n1")
+	gone, came := c.Pieces+c.Lost, c.Pieces
+	for i := range int64(400) {
+		p.send(0, d.Peers()[1], "x")
+		for until := time.Now().Add(long); c.Pieces+c.Lost <= gone+i; c = n.Passed("n0", "n1") {
+			if time.Now().After(until) {
+				t.Fatalf("datagram %d neither passed nor is lost", i)
+			}
+			time.Sleep(50 * time.Microsecond)
+		}
+		if c.Pieces > came {
+			came = c.Pieces
+			if p.receive(1, long) == "" {
+				t.Fatalf("datagram %d passed and did not come", i)
+			}
+		}
+	}
+	if c.Lost < 140 || c.Lost > 260 {
+		t.Errorf("half lost: %+v", c)
+	}
+}
+
+// Two blocks share no address, and their hosts can be bound at once.
+func TestBlock(t *testing.T) {
+	a, err := NewBlock()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer a.Close()
+	b, err := NewBlock()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer b.Close()
+	for _, host := range []string{a.Host(2), a.Host(3), b.Host(2)} {
+		l, err := net.Listen("tcp4", host+":8080")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer l.Close()
+	}
+}
