--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -26,8 +26,8 @@
 	fleetBackoffFraction = 0.3
 	maxFleetBackoff      = 2400 * time.Millisecond
 
-	// rejectedBackoffDivisor divides the time over which a fleet spreads its polls into the first backoff after a poll that
-	// was refused.
+	// rejectedBackoffDivisor divides the time over which a fleet spreads its polls into the first backoff after a poll
+	// that was refused.
 	rejectedBackoffDivisor = 4
 
 	// maxUpdateDelayFraction of the grace of drains is the longest delay of a large fleet's sender after a change. A watch
--- a/internal/redelivery/planner.go
+++ b/internal/redelivery/planner.go
@@ -42,18 +42,19 @@
 type Load struct{ MaxInFlight, InFlight, MaxOpenMessages, Open int }
 
 const (
-	initialBackoffWindows = 2                      // overload windows of pause after the first outage...
-	maxBackoffDoublings   = 5                      // ...doubled this often at most
-	reservedFraction      = 4                      // one part in this many of the calls in flight stays free of redeliveries
-	maxOpenFraction       = 2                      // no redelivery once open messages times this reach their bound
-	minGuess              = 0.5                    // calls a second to a partner of unknown capacity, at full level
-	maxGuess              = 50.0                   // calls a second, up to which the guess grows as calls are served
-	bucketDepth           = 250 * time.Millisecond // of the token bucket
-	maxInFlightWindow     = time.Second            // redeliveries in flight are bounded by the rate times this
-	liveRateWindow        = 2 * time.Second        // time constant of the rate of live calls
-	backoffFactor         = 0.5                    // a rejection between served calls multiplies the level by this
-	notAdmittedBackoff    = 200 * time.Millisecond // after a redelivery that the loop did not admit
-	partnerTTL            = 10 * time.Minute       // a partner without calls is forgotten after this
+	initialBackoffWindows = 2 // overload windows of pause after the first outage...
+	maxBackoffDoublings   = 5 // ...doubled this often at most
+	// one part in this many of the calls in flight stays free of redeliveries
+	reservedFraction   = 4
+	maxOpenFraction    = 2                      // no redelivery once open messages times this reach their bound
+	minGuess           = 0.5                    // calls a second to a partner of unknown capacity, at full level
+	maxGuess           = 50.0                   // calls a second, up to which the guess grows as calls are served
+	bucketDepth        = 250 * time.Millisecond // of the token bucket
+	maxInFlightWindow  = time.Second            // redeliveries in flight are bounded by the rate times this
+	liveRateWindow     = 2 * time.Second        // time constant of the rate of live calls
+	backoffFactor      = 0.5                    // a rejection between served calls multiplies the level by this
+	notAdmittedBackoff = 200 * time.Millisecond // after a redelivery that the loop did not admit
+	partnerTTL         = 10 * time.Minute       // a partner without calls is forgotten after this
 )
 
 // Planner plans the redeliveries of one sender. It is not safe for concurrent use.
