--- a/cmd/cleathold/lab.go
+++ b/cmd/cleathold/lab.go
@@ -516,9 +516,10 @@
 
 // comparison is what a comparison shows.
 type comparison struct {
-	A, B   []float64
-	Seeds  []uint64
-	Broken [2]int
+	A      []float64 `json:"A"`
+	B      []float64 `json:"B"`
+	Seeds  []uint64  `json:"Seeds"`
+	Broken [2]int    `json:"Broken"`
 	report.Difference
 }
 
