--- a/cmd/cleathold/agent.go
+++ b/cmd/cleathold/agent.go
@@ -34,7 +34,7 @@
 	}
 	x := set.Agent
 	c := agent.Config{
-		Name: x.Name, Listen: x.Listen, Folder: x.Folder, Peers: x.Agents, First: rollout.Version{Name: x.Version, Program: x.Program}, Terms: termsOf(x), Log: log,
+		Name: x.Name, Listen: x.Listen, Folder: x.Folder, Peers: x.Agents, First: rollout.Version{Name: x.Version, Program: x.Program}, Terms: rolloutTerms(x), Log: log,
 	}
 	for _, n := range x.Senders {
 		c.Senders = append(c.Senders, agent.Sender(n))
@@ -42,7 +42,7 @@
 	return c, c.Terms.Check(0)
 }
 
-func termsOf(x *settings.Agent) rollout.Terms {
+func rolloutTerms(x *settings.Agent) rollout.Terms {
 	return rollout.Terms{
 		Budget: rollout.Budget(x.Budget),
 		Timing: rollout.Timing{Fresh: x.Timing.Fresh, Accept: x.Timing.Accept, Lease: x.Timing.Lease, Error: x.Timing.ClockError},
--- a/cmd/cleathold/fleet.go
+++ b/cmd/cleathold/fleet.go
@@ -22,9 +22,9 @@
 
 // The exit codes of the fleet's commands, besides 0 and 1. exitRefused is that of the held commands, too: nothing was changed.
 const (
-	exitNobody  = 4 // no agent answers, or no majority of them agrees: nothing was changed
-	exitUnsure  = 5 // it is not known whether anything was changed
-	exitStopped = 9 // the plan that was watched is halted, or went back
+	exitNoMajority  = 4 // no agent answers, or no majority of them agrees: nothing was changed
+	exitUnknown     = 5 // it is not known whether anything was changed
+	exitPlanStopped = 9 // the plan that was watched is halted, or went back
 )
 
 type fleetCmd struct {
@@ -44,18 +44,18 @@
 	Terms    fleetTermsCmd    `cmd:"" help:"Show the budget and the times, or set those of a settings script."`
 }
 
-// asks is how commands reach an agent.
-type asks struct {
+// jsonFlag is how commands reach an agent.
+type jsonFlag struct {
 	JSON bool `help:"JSON instead of text." name:"json"`
 }
 
-// told is who orders something and why.
-type told struct {
+// attribution is who orders something and why.
+type attribution struct {
 	By     string `help:"Who orders it; without it your user's name."`
 	Reason string `help:"Why. It is shown by 'fleet events'." required:""`
 }
 
-func (t told) author() string {
+func (t attribution) author() string {
 	if t.By == "" {
 		if u, err := user.Current(); err == nil {
 			return u.Username
@@ -64,32 +64,32 @@
 	return t.By
 }
 
-// first asks one agent after the other, until one answers.
-func first[T any](f *fleetCmd, ask func(ctx context.Context, addr string) (T, error)) (T, error) {
-	var none T
-	var faults []error
+// firstAnswer asks one agent after the other, until one answers.
+func firstAnswer[T any](f *fleetCmd, request func(ctx context.Context, addr string) (T, error)) (T, error) {
+	var zero T
+	var failures []error
 	for _, addr := range f.Agents {
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(20*time.Second))
-		v, err := ask(ctx, addr)
+		v, err := request(ctx, addr)
 		cancel()
 		if err == nil {
 			return v, nil
 		}
-		faults = append(faults, fmt.Errorf("agent at %s: %w", addr, err))
+		failures = append(failures, fmt.Errorf("agent at %s: %w", addr, err))
 	}
-	return none, exit{errors.Join(faults...), exitNobody}
+	return zero, exitError{errors.Join(failures...), exitNoMajority}
 }
 
-func (f *fleetCmd) look() (agent.View, error) { return first(f, agent.FetchView) }
+func (f *fleetCmd) view() (agent.View, error) { return firstAnswer(f, agent.FetchView) }
 
-// order has something done. An agent that does not answer may have done it: only one that can't be reached at all is
+// sendCommand has something done. An agent that does not answer may have done it: only one that can't be reached at all is
 // passed over.
-func (f *fleetCmd) order(c rollout.Command, t told, dry bool) (agent.Result, error) {
+func (f *fleetCmd) sendCommand(c rollout.Command, t attribution, dry bool) (agent.Result, error) {
 	c.By, c.Reason = t.author(), t.Reason
-	if _, err := f.look(); err != nil {
+	if _, err := f.view(); err != nil {
 		return agent.Result{}, err
 	}
-	r, err := first(f, func(ctx context.Context, addr string) (agent.Result, error) {
+	r, err := firstAnswer(f, func(ctx context.Context, addr string) (agent.Result, error) {
 		if _, err := agent.FetchView(ctx, addr); err != nil {
 			return agent.Result{}, err
 		}
@@ -102,12 +102,12 @@
 	if err != nil || r.Text == "" {
 		return r, err
 	}
-	code := map[string]int{agent.KindRejected: exitRefused, agent.KindNoMajority: exitNobody, agent.KindUnknown: exitUnsure}[r.Kind]
-	return r, exit{errors.New(r.Text), cmp.Or(code, 1)}
+	code := map[string]int{agent.KindRejected: exitRejected, agent.KindNoMajority: exitNoMajority, agent.KindUnknown: exitUnknown}[r.Kind]
+	return r, exitError{errors.New(r.Text), cmp.Or(code, 1)}
 }
 
 type fleetListCmd struct {
-	asks
+	jsonFlag
 	Watch bool `help:"Again and again, until Ctrl-C."`
 }
 
@@ -115,7 +115,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	for {
-		v, err := f.look()
+		v, err := f.view()
 		if err != nil {
 			return err
 		}
@@ -135,41 +135,41 @@
 	}
 }
 
-// standing says how a sender stands, in a word or two, and whether it counts as out.
-func standing(v agent.View, name string) (text string, out bool) {
-	s, some := v.Observations[name]
+// senderStatus says how a sender stands, in a word or two, and whether it counts as out.
+func senderStatus(v agent.View, name string) (text string, out bool) {
+	s, observed := v.Observations[name]
 	g := v.State.Grants[name]
-	old := v.At.Sub(s.At) > v.State.Terms.Timing.Fresh
+	stale := v.At.Sub(s.At) > v.State.Terms.Timing.Fresh
 	switch {
 	case g != nil && g.Drain:
 		text = "out, to drain"
 	case g != nil:
 		text = "out, to run " + g.To.Name
-	case !some:
+	case !observed:
 		return "never seen", true
-	case old:
+	case stale:
 		return fmt.Sprintf("not seen for %v", v.At.Sub(s.At).Round(time.Second)), true
 	case s.Serving:
 		return "serves", false
 	default:
 		return "out: " + s.Phase, true
 	}
-	if some && !old {
+	if observed && !stale {
 		text += ": " + s.Phase
 	}
 	return text, true
 }
 
 func writeFleet(out io.Writer, v agent.View) error {
-	outs := 0
+	outCount := 0
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "SENDER\tBUILDING\tAGENT\tVERSION\tOWES\tSTANDS")
 	names := v.State.Order(slices.Collect(maps.Keys(v.State.Members)))
 	for _, name := range names {
 		m := v.State.Members[name]
-		text, isOut := standing(v, name)
+		text, isOut := senderStatus(v, name)
 		if isOut {
-			outs++
+			outCount++
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", name, m.Building, m.Agent, m.Version.Name, v.Observations[name].Open, text)
 	}
@@ -177,10 +177,10 @@
 		return err
 	}
 	b := v.State.Terms.Budget
-	fmt.Fprintf(out, "%d senders, %d out; %d of the fleet may be, %d of a building, %d must serve\n", len(names), outs, b.Fleet, b.Building, b.Serving)
+	fmt.Fprintf(out, "%d senders, %d out; %d of the fleet may be, %d of a building, %d must serve\n", len(names), outCount, b.Fleet, b.Building, b.Serving)
 	for _, p := range v.State.Plans {
 		if p.Phase.Open() {
-			fmt.Fprintln(out, planLine(p))
+			fmt.Fprintln(out, planSummary(p))
 		}
 	}
 	switch {
@@ -196,7 +196,7 @@
 	return nil
 }
 
-func planLine(p *rollout.Plan) string {
+func planSummary(p *rollout.Plan) string {
 	steps := map[rollout.Step]int{}
 	for _, t := range p.Tasks {
 		steps[t.Step]++
@@ -216,10 +216,10 @@
 	return text
 }
 
-type fleetPlansCmd struct{ asks }
+type fleetPlansCmd struct{ jsonFlag }
 
 func (c *fleetPlansCmd) Run(out io.Writer, f *fleetCmd) error {
-	v, err := f.look()
+	v, err := f.view()
 	if err != nil {
 		return err
 	}
@@ -227,24 +227,24 @@
 		return writeJSON(out, v.State.Plans)
 	}
 	for _, p := range v.State.Plans {
-		fmt.Fprintln(out, planLine(p))
+		fmt.Fprintln(out, planSummary(p))
 	}
 	return nil
 }
 
 type fleetShowCmd struct {
-	asks
+	jsonFlag
 	Plan uint64 `arg:"" help:"Number of the plan."`
 }
 
 func (c *fleetShowCmd) Run(out io.Writer, f *fleetCmd) error {
-	v, err := f.look()
+	v, err := f.view()
 	if err != nil {
 		return err
 	}
 	p := v.State.Plan(c.Plan)
 	if p == nil {
-		return exit{fmt.Errorf("no plan %d", c.Plan), exitNotFound}
+		return exitError{fmt.Errorf("no plan %d", c.Plan), exitNotFound}
 	}
 	if c.JSON {
 		return writeJSON(out, p)
@@ -253,30 +253,30 @@
 }
 
 func writePlan(out io.Writer, v agent.View, p *rollout.Plan) error {
-	fmt.Fprintln(out, planLine(p))
+	fmt.Fprintln(out, planSummary(p))
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "STAGE\tSENDER\tSTEP\tSTANDS\tWHY")
 	for i, stage := range p.Stages {
 		for _, name := range stage {
-			text, _ := standing(v, name)
+			text, _ := senderStatus(v, name)
 			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", i+1, name, p.Tasks[name].Step, text, strings.Join(strings.Fields(p.Tasks[name].Why), " "))
 		}
 	}
 	return w.Flush()
 }
 
-// begins are the flags of commands that start a plan.
-type begins struct {
-	asks
-	told
+// startFlags are the flags of commands that start a plan.
+type startFlags struct {
+	jsonFlag
+	attribution
 	AtOnce int  `help:"So many of them out at once, within the budget; 0 = what the budget allows." default:"0"`
 	Plan   bool `help:"Only print the stages; nothing is changed."`
 	Watch  bool `help:"Tell the progress until the plan is over, halted, or has gone back."`
 }
 
-func (b *begins) run(out io.Writer, f *fleetCmd, p *rollout.Plan) error {
+func (b *startFlags) run(out io.Writer, f *fleetCmd, p *rollout.Plan) error {
 	p.AtOnce = b.AtOnce
-	r, err := f.order(rollout.Command{Verb: rollout.Start, New: p}, b.told, b.Plan)
+	r, err := f.sendCommand(rollout.Command{Verb: rollout.Start, New: p}, b.attribution, b.Plan)
 	if err != nil {
 		return err
 	}
@@ -308,15 +308,15 @@
 	defer stop()
 	line := ""
 	for {
-		v, err := f.look()
+		v, err := f.view()
 		if err != nil {
 			return err
 		}
 		p := v.State.Plan(id)
 		if p == nil {
-			return exit{fmt.Errorf("plan %d is not known any more", id), exitNotFound}
+			return exitError{fmt.Errorf("plan %d is not known any more", id), exitNotFound}
 		}
-		if now := planLine(p); now != line {
+		if now := planSummary(p); now != line {
 			line = now
 			fmt.Fprintln(out, line)
 		}
@@ -324,7 +324,7 @@
 		case p.Phase == rollout.Done:
 			return nil
 		case p.Phase == rollout.Halted, p.Phase == rollout.Ended:
-			return exit{fmt.Errorf("plan %d is %s: %s", id, p.Phase, p.Why), exitStopped}
+			return exitError{fmt.Errorf("plan %d is %s: %s", id, p.Phase, p.Why), exitPlanStopped}
 		}
 		select {
 		case <-ctx.Done():
@@ -335,7 +335,7 @@
 }
 
 type fleetDrainCmd struct {
-	begins
+	startFlags
 	Senders []string      `arg:"" help:"Names of senders."`
 	For     time.Duration `help:"Each stays out for so long and comes back by itself; without it, until 'fleet activate'."`
 }
@@ -345,7 +345,7 @@
 }
 
 type fleetReleaseCmd struct {
-	begins
+	startFlags
 	Senders []string      `arg:"" optional:"" help:"Names of senders; without any, all."`
 	Name    string        `help:"The release's name, which no other has." required:""`
 	Program string        `help:"The program's file, the same path on each agent's machine." type:"path"`
@@ -368,16 +368,16 @@
 	return c.run(out, f, p)
 }
 
-// turns are the commands that act on a plan.
-type turns struct {
-	asks
-	told
+// planFlags are the commands that act on a plan.
+type planFlags struct {
+	jsonFlag
+	attribution
 	Plan uint64 `arg:"" help:"Number of the plan."`
 }
 
-func (t *turns) run(out io.Writer, f *fleetCmd, c rollout.Command) error {
+func (t *planFlags) run(out io.Writer, f *fleetCmd, c rollout.Command) error {
 	c.Plan = t.Plan
-	r, err := f.order(c, t.told, false)
+	r, err := f.sendCommand(c, t.attribution, false)
 	if err != nil {
 		return err
 	}
@@ -388,20 +388,20 @@
 	return err
 }
 
-type fleetHaltCmd struct{ turns }
+type fleetHaltCmd struct{ planFlags }
 
 func (c *fleetHaltCmd) Run(out io.Writer, f *fleetCmd) error {
 	return c.run(out, f, rollout.Command{Verb: rollout.Halt})
 }
 
-type fleetBackCmd struct{ turns }
+type fleetBackCmd struct{ planFlags }
 
 func (c *fleetBackCmd) Run(out io.Writer, f *fleetCmd) error {
 	return c.run(out, f, rollout.Command{Verb: rollout.RollBack})
 }
 
 type fleetResumeCmd struct {
-	turns
+	planFlags
 	Revision uint64 `help:"The revision that 'fleet show' told; if the plan has changed since, nothing is done." required:""`
 }
 
@@ -410,7 +410,7 @@
 }
 
 type fleetActivateCmd struct {
-	turns
+	planFlags
 	Senders []string `arg:"" optional:"" help:"Names of senders; without any, all of the plan."`
 }
 
@@ -424,10 +424,10 @@
 	In   fleetEndpointInCmd   `cmd:"" help:"Have senders use it again."`
 }
 
-type fleetEndpointListCmd struct{ asks }
+type fleetEndpointListCmd struct{ jsonFlag }
 
 func (c *fleetEndpointListCmd) Run(out io.Writer, f *fleetCmd) error {
-	v, err := f.look()
+	v, err := f.view()
 	if err != nil {
 		return err
 	}
@@ -451,12 +451,12 @@
 }
 
 type fleetEndpointOutCmd struct {
-	told
+	attribution
 	ID string `arg:"" help:"The endpoint's id, as 'fleet endpoint list' has it."`
 }
 
 func (c *fleetEndpointOutCmd) Run(out io.Writer, f *fleetCmd) error {
-	_, err := f.order(rollout.Command{Verb: rollout.ExcludeEndpoint, Endpoint: c.ID}, c.told, false)
+	_, err := f.sendCommand(rollout.Command{Verb: rollout.ExcludeEndpoint, Endpoint: c.ID}, c.attribution, false)
 	if err == nil {
 		_, err = fmt.Fprintf(out, "%s is out until 'fleet endpoint in %s'\n", c.ID, c.ID)
 	}
@@ -464,12 +464,12 @@
 }
 
 type fleetEndpointInCmd struct {
-	told
+	attribution
 	ID string `arg:"" help:"The endpoint's id."`
 }
 
 func (c *fleetEndpointInCmd) Run(out io.Writer, f *fleetCmd) error {
-	_, err := f.order(rollout.Command{Verb: rollout.IncludeEndpoint, Endpoint: c.ID}, c.told, false)
+	_, err := f.sendCommand(rollout.Command{Verb: rollout.IncludeEndpoint, Endpoint: c.ID}, c.attribution, false)
 	if err == nil {
 		_, err = fmt.Fprintf(out, "%s is in again\n", c.ID)
 	}
@@ -477,12 +477,12 @@
 }
 
 type fleetEventsCmd struct {
-	asks
+	jsonFlag
 	Most int `help:"So many, the latest." default:"50"`
 }
 
 func (c *fleetEventsCmd) Run(out io.Writer, f *fleetCmd) error {
-	v, err := f.look()
+	v, err := f.view()
 	if err != nil {
 		return err
 	}
@@ -498,7 +498,7 @@
 }
 
 type fleetTermsCmd struct {
-	asks
+	jsonFlag
 	By       string `help:"Who orders it; without it your user's name."`
 	Reason   string `help:"Why."`
 	Settings string `arg:"" optional:"" help:"An agent's settings script, whose budget and timing are to hold from now on." type:"existingfile"`
@@ -513,12 +513,12 @@
 		if set.Agent == nil {
 			return fmt.Errorf("%s: no agent(name = ...) in it", c.Settings)
 		}
-		terms := termsOf(set.Agent)
-		if _, err := f.order(rollout.Command{Verb: rollout.SetTerms, Terms: &terms}, told{c.By, c.Reason}, false); err != nil {
+		terms := rolloutTerms(set.Agent)
+		if _, err := f.sendCommand(rollout.Command{Verb: rollout.SetTerms, Terms: &terms}, attribution{c.By, c.Reason}, false); err != nil {
 			return err
 		}
 	}
-	v, err := f.look()
+	v, err := f.view()
 	if err != nil {
 		return err
 	}
--- a/cmd/cleathold/fleet_test.go
+++ b/cmd/cleathold/fleet_test.go
@@ -15,38 +15,38 @@
 	"cleathold/internal/rollout"
 )
 
-// quick are terms under which tests need not wait long.
-func quick(budget rollout.Budget) rollout.Terms {
+// quickTerms are terms under which tests need not wait long.
+func quickTerms(budget rollout.Budget) rollout.Terms {
 	t := rollout.DefaultTerms
 	t.Budget, t.Timing.Lease = budget, 4*time.Second
 	return t
 }
 
-// aYard is a fleet of processes of this test's own program.
-func aYard(t *testing.T, s cluster.Setup) *cluster.Cluster {
+// newCluster is a fleet of processes of this test's own program.
+func newCluster(t *testing.T, s cluster.Setup) *cluster.Cluster {
 	t.Helper()
 	s.Program, s.Folder = os.Args[0], t.TempDir()
 	s.Env = append(s.Env, "CLEATHOLD_CHILD=1")
-	y, err := cluster.New(t.Context(), s)
+	fleet, err := cluster.New(t.Context(), s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			y.Logs(os.Stderr)
+			fleet.Logs(os.Stderr)
 		}
-		y.Close()
+		fleet.Close()
 	})
-	if err := y.Begin(); err != nil {
+	if err := fleet.Begin(); err != nil {
 		t.Fatal(err)
 	}
-	return y
+	return fleet
 }
 
-// tool runs a command of the fleet's as staff do, and wants it to end with a code.
-func tool(t *testing.T, y *cluster.Cluster, code int, args ...string) string {
+// fleetCommand runs a command of the fleet's as staff do, and wants it to end with a code.
+func fleetCommand(t *testing.T, fleet *cluster.Cluster, code int, args ...string) string {
 	t.Helper()
-	out, got := y.RunCommand(nil, args...)
+	out, got := fleet.RunCommand(nil, args...)
 	if got != code {
 		t.Fatalf("fleet %s: exit code %d, want %d: %s", strings.Join(args, " "), got, code, out)
 	}
@@ -64,7 +64,7 @@
 // says who did what.
 func TestFleetDrain(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 20, Terms: quick(rollout.Budget{Fleet: 1})})
+	fleet := newCluster(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 20, Terms: quickTerms(rollout.Budget{Fleet: 1})})
 	for args, want := range map[string]string{
 		"drain n9 --reason r":                                `no sender "n9"`,
 		"drain n0 --at-once 2 --reason r":                    "the budget has 1 to 1",
@@ -73,40 +73,40 @@
 		"halt 99 --reason r":                                 "no plan 99",
 		"release --name v2 --config /none --reason r --plan": "no configuration for n",
 	} {
-		if out := tool(t, y, exitRefused, strings.Fields(args)...); !strings.Contains(out, want) {
+		if out := fleetCommand(t, fleet, exitRejected, strings.Fields(args)...); !strings.Contains(out, want) {
 			t.Errorf("%s: %s", args, out)
 		}
 	}
-	if out := tool(t, y, 0, "drain", "n0", "n1", "--reason", "r", "--plan"); !strings.Contains(out, "nothing is changed") {
+	if out := fleetCommand(t, fleet, 0, "drain", "n0", "n1", "--reason", "r", "--plan"); !strings.Contains(out, "nothing is changed") {
 		t.Error(out)
 	}
-	tool(t, y, 0, "drain", "n0", "n2", "--reason", "new disks", "--by", "ann", "--for", "1s", "--watch")
-	out := tool(t, y, 0, "events")
+	fleetCommand(t, fleet, 0, "drain", "n0", "n2", "--reason", "new disks", "--by", "ann", "--for", "1s", "--watch")
+	out := fleetCommand(t, fleet, 0, "events")
 	for _, want := range []string{"ann", "new disks", "n0 is drained", "n2 is drained", "n2 serves again"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("%q is missing from the events:\n%s", want, out)
 		}
 	}
-	r := y.Finish()
+	r := fleet.Finish()
 	if len(r.OverBudget) > 0 || len(r.Violations) > 0 || r.Orders != 2 || r.MaxOut != 1 {
 		t.Errorf("over %v, breaks %v, %d orders, %d at once", r.OverBudget, r.Violations, r.Orders, r.MaxOut)
 	}
 }
 
-// leaked is what a version that leaks holds on to.
-var leaked []byte
+// leakedMemory is what a version that leaks holds on to.
+var leakedMemory []byte
 
-// ail is what some versions of tests do besides their work.
-func ail(fault string) {
+// injectFault is what some versions of tests do besides their work.
+func injectFault(fault string) {
 	switch fault {
 	case "leaks":
-		leaked = make([]byte, 80<<20)
-		for i := range leaked {
-			leaked[i] = 1
+		leakedMemory = make([]byte, 80<<20)
+		for i := range leakedMemory {
+			leakedMemory[i] = 1
 		}
 	case "mute":
 		go func() {
-			for !minded(os.Getenv("LB_CONFIG"), os.Getpid()) { // its agent has found it ready
+			for !supervised(os.Getenv("LB_CONFIG"), os.Getpid()) { // its agent has found it ready
 				time.Sleep(time.Millisecond)
 			}
 			syscall.Kill(os.Getpid(), syscall.SIGSTOP)
@@ -114,8 +114,8 @@
 	}
 }
 
-// minded tells whether an agent's record has a process as its sender's, rather than as one that is to take over.
-func minded(config string, pid int) bool {
+// supervised tells whether an agent's record has a process as its sender's, rather than as one that is to take over.
+func supervised(config string, pid int) bool {
 	name := filepath.Dir(config)
 	list, _ := filepath.Glob(filepath.Join(filepath.Dir(name), "a*", "state", filepath.Base(name)+".json"))
 	for _, path := range list {
@@ -127,8 +127,8 @@
 	return false
 }
 
-// version writes a program: this one, with something else before it serves. Each start leaves a line in a file.
-func version(t *testing.T, name, serve string) (path string, ran func() int) {
+// writeVersion writes a program: this one, with something else before it serves. Each start leaves a line in a file.
+func writeVersion(t *testing.T, name, serve string) (path string, ran func() int) {
 	t.Helper()
 	dir := t.TempDir()
 	path = filepath.Join(dir, name)
@@ -146,10 +146,10 @@
 	}
 }
 
-// sound wants that no order took one out too many, and that no rule for messages was broken.
-func sound(t *testing.T, y *cluster.Cluster) cluster.Report {
+// checkRules wants that no order took one out too many, and that no rule for messages was broken.
+func checkRules(t *testing.T, fleet *cluster.Cluster) cluster.Report {
 	t.Helper()
-	r := y.Finish()
+	r := fleet.Finish()
 	for _, b := range r.OverBudget {
 		t.Errorf("over the budget at %v: %s", b.At, b.Text)
 	}
@@ -159,13 +159,13 @@
 	return r
 }
 
-// gated are the flags of a release whose gates tests need not wait long for.
-func gated(name, program string, more ...string) []string {
-	return append([]string{"release", "--name", name, "--program", program, "--reason", "r", "--least", "25", "--soak", "1s", "--wait", "15s"}, more...)
+// gatedRelease are the flags of a release whose gates tests need not wait long for.
+func gatedRelease(name, program string, extra ...string) []string {
+	return append([]string{"release", "--name", name, "--program", program, "--reason", "r", "--least", "25", "--soak", "1s", "--wait", "15s"}, extra...)
 }
 
-// planOf reads the number of the plan that a command has started.
-func planOf(t *testing.T, out string) (id uint64) {
+// planNumber reads the number of the plan that a command has started.
+func planNumber(t *testing.T, out string) (id uint64) {
 	t.Helper()
 	if _, text, ok := strings.Cut(out, "\nplan "); ok {
 		fmt.Sscan(text, &id)
@@ -197,27 +197,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			y := aYard(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 160, Terms: quick(rollout.Budget{Fleet: 2})})
-			program, ran := version(t, "v2", c.serve)
-			code := exitStopped
+			fleet := newCluster(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 160, Terms: quickTerms(rollout.Budget{Fleet: 2})})
+			program, ran := writeVersion(t, "v2", c.serve)
+			code := exitPlanStopped
 			if c.want == "" {
 				code = 0
 			}
-			out := tool(t, y, code, gated("v2", program, "--watch")...)
+			out := fleetCommand(t, fleet, code, gatedRelease("v2", program, "--watch")...)
 			if !strings.Contains(out, c.want) || ran() != c.ran {
 				t.Errorf("%d senders ran it, want %d; %s", ran(), c.ran, out)
 			}
 			if c.want == "" {
-				sound(t, y)
+				checkRules(t, fleet)
 			}
 		})
 	}
 }
 
 // A version whose journal can't be read by the one before it, or that can't read that one's, is refused before the first stage.
-func TestNoWayBack(t *testing.T) {
+func TestReleaseWithoutRollbackRefused(t *testing.T) {
 	t.Parallel()
-	y := aYard(t, cluster.Setup{Senders: 2, Agents: 3, Terms: quick(rollout.Budget{Fleet: 1})})
+	fleet := newCluster(t, cluster.Setup{Senders: 2, Agents: 3, Terms: quickTerms(rollout.Budget{Fleet: 1})})
 	for about, want := range map[string]string{
 		`{"version":"v2","journal_reads":[1,2,3],"journal_writes":3}`: "no way back: v1 can't read the journal that v2 writes (form 3)",
 		`{"version":"v2","journal_reads":[3],"journal_writes":2}`:     "v2 can't read the journal that v1 writes (form 2)",
@@ -225,7 +225,7 @@
 	} {
 		path := filepath.Join(t.TempDir(), "v2")
 		must(t, os.WriteFile(path, []byte("#!/bin/sh\necho '"+about+"'\n"), 0o700))
-		if out := tool(t, y, exitRefused, gated("v2", path)...); !strings.Contains(out, want) {
+		if out := fleetCommand(t, fleet, exitRejected, gatedRelease("v2", path)...); !strings.Contains(out, want) {
 			t.Errorf("%s: %s", about, out)
 		}
 	}
--- a/cmd/cleathold/held.go
+++ b/cmd/cleathold/held.go
@@ -21,55 +21,55 @@
 
 // The exit codes of the held commands, besides 0 and 1.
 const (
-	exitRefused     = 3 // some records were refused what was asked
+	exitRejected    = 3 // some records were refused what was asked
 	exitUnreachable = 4 // no sender, or no store, to ask
 	exitNotFound    = 5
 )
 
-// An exit is an error with the code that the program ends with.
-type exit struct {
+// An exitError is an error with the code that the program ends with.
+type exitError struct {
 	error
 	code int
 }
 
-func (e exit) ExitCode() int { return e.code }
-func (e exit) Unwrap() error { return e.error }
+func (e exitError) ExitCode() int { return e.code }
+func (e exitError) Unwrap() error { return e.error }
 
-// coded gives an error its exit code.
-func coded(err error) error {
+// withExitCode gives an error its exit code.
+func withExitCode(err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, deadletter.ErrNotFound):
-		return exit{err, exitNotFound}
+		return exitError{err, exitNotFound}
 	case errors.Is(err, admin.ErrUnreachable), errors.Is(err, admin.ErrReadOnly), errors.Is(err, deadletter.ErrInUse), errors.Is(err, os.ErrNotExist):
-		return exit{err, exitUnreachable}
+		return exitError{err, exitUnreachable}
 	}
 	return err
 }
 
 type heldCmd struct {
-	Where  where         `embed:""`
-	List   heldListCmd   `cmd:"" help:"List held messages, a page at a time."`
-	Show   heldShowCmd   `cmd:"" help:"Show one record whole: its history, its body, and what was done with it."`
-	Resend heldResendCmd `cmd:"" help:"Order records to be sent again, by their numbers or by filter."`
-	Drop   heldDropCmd   `cmd:"" help:"End records for good."`
-	Export heldExportCmd `cmd:"" help:"Write records as JSON lines, bodies in base64."`
-	Import heldImportCmd `cmd:"" help:"Read JSON lines that export wrote. Each counts as one that may have run."`
-	Stats  heldStatsCmd  `cmd:"" help:"Count what is held."`
-	Audit  heldAuditCmd  `cmd:"" help:"Show who did what, the latest first."`
+	Source deadLetterSource `embed:""`
+	List   heldListCmd      `cmd:"" help:"List held messages, a page at a time."`
+	Show   heldShowCmd      `cmd:"" help:"Show one record whole: its history, its body, and what was done with it."`
+	Resend heldResendCmd    `cmd:"" help:"Order records to be sent again, by their numbers or by filter."`
+	Drop   heldDropCmd      `cmd:"" help:"End records for good."`
+	Export heldExportCmd    `cmd:"" help:"Write records as JSON lines, bodies in base64."`
+	Import heldImportCmd    `cmd:"" help:"Read JSON lines that export wrote. Each counts as one that may have run."`
+	Stats  heldStatsCmd     `cmd:"" help:"Count what is held."`
+	Audit  heldAuditCmd     `cmd:"" help:"Show who did what, the latest first."`
 }
 
-// where says whom to ask.
-type where struct {
+// deadLetterSource says whom to ask.
+type deadLetterSource struct {
 	Socket   string `help:"Admin socket of a running sender." type:"path"`
 	Folder   string `help:"Held folder of a stopped sender; to read only." type:"path"`
 	Settings string `help:"Settings script that names both: the socket is asked if a sender answers there, else the folder." env:"CLEATHOLD_SETTINGS"`
 	JSON     bool   `help:"JSON instead of text." name:"json"`
 }
 
-// plane finds whom to ask.
-func (w *where) plane() (admin.API, error) {
+// connect finds whom to ask.
+func (w *deadLetterSource) connect() (admin.API, error) {
 	socket, folder := w.Socket, w.Folder
 	if socket == "" && folder == "" {
 		if w.Settings == "" {
@@ -90,30 +90,30 @@
 		p := admin.Dial(socket)
 		_, err := p.Audit(context.Background(), 1)
 		if err == nil || folder == "" || !errors.Is(err, admin.ErrUnreachable) {
-			return p, coded(err)
+			return p, withExitCode(err)
 		}
 	}
 	if folder == "" {
 		return nil, fmt.Errorf("%s names neither an admin socket nor a held folder", w.Settings)
 	}
 	p, err := admin.OpenFolder(folder)
-	return p, coded(err)
+	return p, withExitCode(err)
 }
 
-// ask runs something on the plane. Ctrl-C ends it between two pages.
-func (w *where) ask(f func(context.Context, admin.API) error) error {
-	p, err := w.plane()
+// run runs something on the plane. Ctrl-C ends it between two pages.
+func (w *deadLetterSource) run(f func(context.Context, admin.API) error) error {
+	p, err := w.connect()
 	if err != nil {
 		return err
 	}
 	defer p.Close()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return coded(f(ctx, p))
+	return withExitCode(f(ctx, p))
 }
 
-// filter is a filter as options.
-type filter struct {
+// filterFlags is a filter as options.
+type filterFlags struct {
 	Destination *int   `help:"Only this destination."`
 	Class       string `help:"Only this class."`
 	Tenant      string `help:"Only this tenant."`
@@ -123,7 +123,7 @@
 	Before      string `help:"Held before this time."`
 }
 
-func (f *filter) filter() (deadletter.Filter, error) {
+func (f *filterFlags) parse() (deadletter.Filter, error) {
 	out := deadletter.Filter{Destination: f.Destination, Class: f.Class, Tenant: f.Tenant, Reason: f.Reason, State: deadletter.State(f.State)}
 	var err error
 	for _, t := range []struct {
@@ -149,29 +149,29 @@
 }
 
 type heldListCmd struct {
-	filter
+	filterFlags
 	Limit int    `help:"Records at most." default:"100"`
 	After uint64 `help:"Go on after this number."`
 }
 
 func (c *heldListCmd) Run(out io.Writer, h *heldCmd) error {
-	f, err := c.filter.filter()
+	f, err := c.filterFlags.parse()
 	if err != nil {
 		return err
 	}
-	return h.Where.ask(func(ctx context.Context, p admin.API) error {
+	return h.Source.run(func(ctx context.Context, p admin.API) error {
 		tab := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-		if !h.Where.JSON {
+		if !h.Source.JSON {
 			fmt.Fprintln(tab, "SEQ\tSTATE\tDEST\tCLASS\tTENANT\tREASON\tMAY HAVE RUN\tATTEMPTS\tBYTES\tHELD AT\tID")
 		}
 		next := c.After
-		for left := max(c.Limit, 1); left > 0; {
-			page, err := p.List(ctx, f, next, min(left, deadletter.MaxPageSize))
+		for remaining := max(c.Limit, 1); remaining > 0; {
+			page, err := p.List(ctx, f, next, min(remaining, deadletter.MaxPageSize))
 			if err != nil {
 				return err
 			}
 			for _, r := range page.Records {
-				if h.Where.JSON {
+				if h.Source.JSON {
 					json.NewEncoder(out).Encode(r)
 					continue
 				}
@@ -179,13 +179,13 @@
 				fmt.Fprintf(tab, "%d\t%s\t%d\t%s\t%s\t%s\t%t\t%d\t%d\t%s\t%s\n", r.Sequence, r.State, r.Destination, r.Class, r.Tenant,
 					r.Reason, ran, r.AttemptCount, r.Size, r.HeldAt.Format(time.RFC3339), r.ID)
 			}
-			left -= len(page.Records)
+			remaining -= len(page.Records)
 			if next = page.Next; next == 0 {
 				break
 			}
 		}
 		tab.Flush()
-		if next > 0 && !h.Where.JSON {
+		if next > 0 && !h.Source.JSON {
 			fmt.Fprintf(out, "more: --after %d\n", next)
 		}
 		return nil
@@ -197,12 +197,12 @@
 }
 
 func (c *heldShowCmd) Run(out io.Writer, h *heldCmd) error {
-	return h.Where.ask(func(ctx context.Context, p admin.API) error {
+	return h.Source.run(func(ctx context.Context, p admin.API) error {
 		l, err := p.Show(ctx, c.Seq)
 		if err != nil {
 			return err
 		}
-		if h.Where.JSON {
+		if h.Source.JSON {
 			return writeJSON(out, l)
 		}
 		_, _, ran := l.FirstRun()
@@ -230,17 +230,17 @@
 	return s
 }
 
-// acting is what resend and drop share.
-type acting struct {
-	filter
+// orderFlags is what resend and drop share.
+type orderFlags struct {
+	filterFlags
 	Seqs   []uint64 `arg:"" optional:"" help:"Numbers of records."`
 	All    bool     `help:"Mean all records, where no filter is given."`
 	DryRun bool     `help:"Only tell what would be done."`
 }
 
 // run runs an act, page by page.
-func (a *acting) run(out io.Writer, h *heldCmd, verb string, o admin.Order) error {
-	f, err := a.filter.filter()
+func (a *orderFlags) run(out io.Writer, h *heldCmd, verb string, o admin.Order) error {
+	f, err := a.filterFlags.parse()
 	switch {
 	case err != nil:
 		return err
@@ -250,16 +250,16 @@
 		return errors.New("name numbers, a filter, or --all")
 	}
 	o.DryRun = a.DryRun
-	return h.Where.ask(func(ctx context.Context, p admin.API) error {
+	return h.Source.run(func(ctx context.Context, p admin.API) error {
 		total := deadletter.Outcome{}
-		whys := map[string]int{}
-		note := func(got deadletter.Outcome) {
+		rejections := map[string]int{}
+		add := func(got deadletter.Outcome) {
 			total.Done += got.Done
 			for _, r := range got.Rejected {
 				if len(total.Rejected) < deadletter.MaxPageSize {
 					total.Rejected = append(total.Rejected, r)
 				}
-				whys[r.Reason]++
+				rejections[r.Reason]++
 			}
 		}
 		for seqs := a.Seqs; len(seqs) > 0; {
@@ -269,7 +269,7 @@
 			if err != nil {
 				return err
 			}
-			note(got)
+			add(got)
 		}
 		for next, pages := uint64(0), 0; len(a.Seqs) == 0; pages++ {
 			o.Selection = deadletter.Selection{Filter: f, After: next, Limit: deadletter.MaxPageSize}
@@ -277,7 +277,7 @@
 			if err != nil {
 				return fmt.Errorf("after %d done: %w", total.Done, err)
 			}
-			note(got)
+			add(got)
 			if next = got.Next; next == 0 {
 				break
 			}
@@ -285,18 +285,18 @@
 				fmt.Fprintf(os.Stderr, "%s: %d so far, at number %d\n", verb, total.Done, next)
 			}
 		}
-		refused := 0
-		for _, n := range whys {
-			refused += n
+		rejected := 0
+		for _, n := range rejections {
+			rejected += n
 		}
-		if h.Where.JSON {
+		if h.Source.JSON {
 			if err := writeJSON(out, struct {
 				Done    int                         `json:"done"`
 				Refused int                         `json:"refused"`
 				Whys    map[string]int              `json:"whys,omitempty"`
 				Records []deadletter.RejectedRecord `json:"refused_records,omitempty"`
 				DryRun  bool                        `json:"dry_run,omitempty"`
-			}{total.Done, refused, whys, total.Rejected, a.DryRun}); err != nil {
+			}{total.Done, rejected, rejections, total.Rejected, a.DryRun}); err != nil {
 				return err
 			}
 		} else {
@@ -304,25 +304,25 @@
 			if a.DryRun {
 				would = " (dry run: nothing was changed)"
 			}
-			fmt.Fprintf(out, "%s: %d done, %d refused%s\n", verb, total.Done, refused, would)
+			fmt.Fprintf(out, "%s: %d done, %d refused%s\n", verb, total.Done, rejected, would)
 			for _, r := range total.Rejected[:min(len(total.Rejected), 20)] {
 				fmt.Fprintf(out, "  %d: %s\n", r.Seq, r.Reason)
 			}
 			if len(total.Rejected) > 20 {
-				for why, n := range whys {
+				for why, n := range rejections {
 					fmt.Fprintf(out, "  %d times: %s\n", n, why)
 				}
 			}
 		}
-		if refused > 0 {
-			return exit{fmt.Errorf("%d records were refused", refused), exitRefused}
+		if rejected > 0 {
+			return exitError{fmt.Errorf("%d records were refused", rejected), exitRejected}
 		}
 		return nil
 	})
 }
 
 type heldResendCmd struct {
-	acting
+	orderFlags
 	Within time.Duration `help:"Give up for now after this; the settings' time if not given."`
 }
 
@@ -330,19 +330,19 @@
 	return c.run(out, h, "resend", admin.Order{WithinS: c.Within.Seconds()})
 }
 
-type heldDropCmd struct{ acting }
+type heldDropCmd struct{ orderFlags }
 
 func (c *heldDropCmd) Run(out io.Writer, h *heldCmd) error {
 	return c.run(out, h, "drop", admin.Order{})
 }
 
 type heldExportCmd struct {
-	filter
+	filterFlags
 	Out string `help:"File to write; - is standard output." default:"-"`
 }
 
 func (c *heldExportCmd) Run(out io.Writer, h *heldCmd) (err error) {
-	f, err := c.filter.filter()
+	f, err := c.filterFlags.parse()
 	if err != nil {
 		return err
 	}
@@ -354,7 +354,7 @@
 		defer func() { err = errors.Join(err, file.Close()) }()
 		out = file
 	}
-	return h.Where.ask(func(ctx context.Context, p admin.API) error {
+	return h.Source.run(func(ctx context.Context, p admin.API) error {
 		n := 0
 		for next := uint64(0); ; {
 			page, err := p.Export(ctx, f, next)
@@ -383,7 +383,7 @@
 	DryRun bool   `help:"Only tell what would be done."`
 }
 
-const lineMost = 1 << 20 // bytes of a line
+const maxLineLength = 1 << 20 // bytes of a line
 
 func (c *heldImportCmd) Run(out io.Writer, h *heldCmd) error {
 	in := io.Reader(os.Stdin)
@@ -395,10 +395,10 @@
 		defer f.Close()
 		in = f
 	}
-	return h.Where.ask(func(ctx context.Context, p admin.API) error {
-		done, refused, line := 0, 0, 0
-		refuse := func(at int, why string) {
-			if refused++; refused <= 20 && !h.Where.JSON {
+	return h.Source.run(func(ctx context.Context, p admin.API) error {
+		done, rejected, line := 0, 0, 0
+		reject := func(at int, why string) {
+			if rejected++; rejected <= 20 && !h.Source.JSON {
 				fmt.Fprintf(out, "  line %d: %s\n", at, why)
 			}
 		}
@@ -414,13 +414,13 @@
 			}
 			done += got.Done
 			for _, r := range got.Rejected {
-				refuse(line, fmt.Sprintf("record %d: %s", r.Seq, r.Reason))
+				reject(line, fmt.Sprintf("record %d: %s", r.Seq, r.Reason))
 			}
 			batch, bytes = batch[:0], 0
 			return nil
 		}
 		lines := bufio.NewScanner(in)
-		lines.Buffer(nil, lineMost)
+		lines.Buffer(nil, maxLineLength)
 		for lines.Scan() {
 			line++
 			if strings.TrimSpace(lines.Text()) == "" {
@@ -428,7 +428,7 @@
 			}
 			var l deadletter.ExportLine
 			if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
-				refuse(line, err.Error())
+				reject(line, err.Error())
 				continue
 			}
 			batch = append(batch, l)
@@ -444,13 +444,13 @@
 		if err := flush(); err != nil {
 			return err
 		}
-		if h.Where.JSON {
-			writeJSON(out, map[string]int{"done": done, "refused": refused})
+		if h.Source.JSON {
+			writeJSON(out, map[string]int{"done": done, "refused": rejected})
 		} else {
-			fmt.Fprintf(out, "import: %d done, %d refused\n", done, refused)
+			fmt.Fprintf(out, "import: %d done, %d refused\n", done, rejected)
 		}
-		if refused > 0 {
-			return exit{fmt.Errorf("%d lines were refused", refused), exitRefused}
+		if rejected > 0 {
+			return exitError{fmt.Errorf("%d lines were refused", rejected), exitRejected}
 		}
 		return nil
 	})
@@ -459,12 +459,12 @@
 type heldStatsCmd struct{}
 
 func (c *heldStatsCmd) Run(out io.Writer, h *heldCmd) error {
-	return h.Where.ask(func(ctx context.Context, p admin.API) error {
+	return h.Source.run(func(ctx context.Context, p admin.API) error {
 		s, err := p.Stats(ctx)
 		if err != nil {
 			return err
 		}
-		if h.Where.JSON {
+		if h.Source.JSON {
 			return writeJSON(out, s)
 		}
 		fmt.Fprintf(out, "%d records, %d bytes in a file of %d; %d not yet told; evicted %d over bounds, %d too old\n",
@@ -489,12 +489,12 @@
 }
 
 func (c *heldAuditCmd) Run(out io.Writer, h *heldCmd) error {
-	return h.Where.ask(func(ctx context.Context, p admin.API) error {
+	return h.Source.run(func(ctx context.Context, p admin.API) error {
 		list, err := p.Audit(ctx, c.Limit)
 		if err != nil {
 			return err
 		}
-		if h.Where.JSON {
+		if h.Source.JSON {
 			return writeJSON(out, list)
 		}
 		for _, a := range list {
--- a/cmd/cleathold/held_test.go
+++ b/cmd/cleathold/held_test.go
@@ -27,33 +27,33 @@
 // limit rises from a part of its rate to all of it. It counts effects, by key where
 // a message has one, and all that reaches it.
 type partner struct {
-	mu      sync.Mutex
-	rate    float64       // calls a second once warm
-	from    float64       // part of that as it returns
-	cold    time.Duration // the time by which it is warm
-	opened  time.Time     // zero: shut
-	breaks  bool          // resets connections that bring a call
-	calls   []time.Time
-	taken   []time.Time // within the limit
-	effects map[string]int
-	first   map[string]time.Time // of the effects
-	flaky   func() string        // an answer in the place of the ordinary one, or ""
-	memory  map[string]time.Time // keys
-	doubles []string
+	mu           sync.Mutex
+	rate         float64       // calls a second once warm
+	coldFraction float64       // part of that as it returns
+	warmUpTime   time.Duration // the time by which it is warm
+	openedAt     time.Time     // zero: shut
+	resetCalls   bool          // resets connections that bring a call
+	calls        []time.Time
+	accepted     []time.Time // within the limit
+	effects      map[string]int
+	firstEffect  map[string]time.Time // of the effects
+	flakyAnswer  func() string        // an answer in the place of the ordinary one, or ""
+	seenKeys     map[string]time.Time // keys
+	doubles      []string
 }
 
 func newPartner(rate float64) *partner {
 	return &partner{
-		rate: rate, from: 0.22, cold: coldSpan, effects: map[string]int{}, first: map[string]time.Time{}, memory: map[string]time.Time{},
+		rate: rate, coldFraction: 0.22, warmUpTime: warmUpDuration, effects: map[string]int{}, firstEffect: map[string]time.Time{}, seenKeys: map[string]time.Time{},
 	}
 }
 
 // capacity is what it can do, in calls a second.
 func (p *partner) capacity(at time.Time) float64 {
-	if p.opened.IsZero() {
+	if p.openedAt.IsZero() {
 		return 0
 	}
-	return p.rate * min(1, p.from+(1-p.from)*at.Sub(p.opened).Seconds()/p.cold.Seconds())
+	return p.rate * min(1, p.coldFraction+(1-p.coldFraction)*at.Sub(p.openedAt).Seconds()/p.warmUpTime.Seconds())
 }
 
 func (p *partner) answer(r *http.Request) string {
@@ -61,19 +61,19 @@
 	defer p.mu.Unlock()
 	now := time.Now()
 	if r.URL.Path == "/ping" {
-		if p.opened.IsZero() {
+		if p.openedAt.IsZero() {
 			return socktest.Status(503)
 		}
 		return socktest.Status(200)
 	}
 	id, key := r.Header.Get("X-Request-Id"), r.Header.Get("Idempotency-Key")
 	p.calls = append(p.calls, now)
-	if p.breaks {
+	if p.resetCalls {
 		p.effect(id, key, now)
 		return ""
 	}
-	if p.flaky != nil {
-		switch a := p.flaky(); a {
+	if p.flakyAnswer != nil {
+		switch a := p.flakyAnswer(); a {
 		case "ordinary":
 		case "break":
 			p.effect(id, key, now)
@@ -83,13 +83,13 @@
 		}
 	}
 	const span = 250 * time.Millisecond
-	for len(p.taken) > 0 && now.Sub(p.taken[0]) > span {
-		p.taken = p.taken[1:]
+	for len(p.accepted) > 0 && now.Sub(p.accepted[0]) > span {
+		p.accepted = p.accepted[1:]
 	}
-	if p.opened.IsZero() || float64(len(p.taken)) >= p.capacity(now)*span.Seconds()*1.5+1 {
+	if p.openedAt.IsZero() || float64(len(p.accepted)) >= p.capacity(now)*span.Seconds()*1.5+1 {
 		return socktest.Status(503)
 	}
-	p.taken = append(p.taken, now)
+	p.accepted = append(p.accepted, now)
 	p.effect(id, key, now)
 	return socktest.Status(200)
 }
@@ -98,25 +98,25 @@
 // have none, and must have one effect at most.
 func (p *partner) effect(id, key string, now time.Time) {
 	if key != "" {
-		if at, known := p.memory[key]; known && now.Sub(at) < keyMemory {
+		if at, known := p.seenKeys[key]; known && now.Sub(at) < keyRetention {
 			return
 		}
-		p.memory[key] = now
+		p.seenKeys[key] = now
 	}
 	if p.effects[id] == 0 {
-		p.first[id] = now
+		p.firstEffect[id] = now
 	}
 	if p.effects[id]++; p.effects[id] > 1 && id[0] != 's' {
 		p.doubles = append(p.doubles, id)
 	}
 }
 
-// pushed returns the window in which most arrived over what it could take.
-func (p *partner) pushed(window time.Duration) (worst float64) {
+// maxOverload returns the window in which most arrived over what it could take.
+func (p *partner) maxOverload(window time.Duration) (worst float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, from := range p.calls {
-		if p.opened.IsZero() || from.Before(p.opened) {
+		if p.openedAt.IsZero() || from.Before(p.openedAt) {
 			continue
 		}
 		n := 0
@@ -132,12 +132,12 @@
 }
 
 const (
-	keyMemory = 3 * time.Second
-	fallSpan  = 500 * time.Millisecond
-	coldSpan  = 3 * time.Second
+	keyRetention   = 3 * time.Second
+	overloadWindow = 500 * time.Millisecond
+	warmUpDuration = 3 * time.Second
 )
 
-const holdAll = `
+const holdAllSettings = `
 held(folder = "held", queue = 1024)
 admin(socket = "a.sock")
 resend(share = 0.5, within = 60, max_out = 24)
@@ -145,35 +145,35 @@
     return HOLD
 `
 
-// newHeldWorld is a world whose sender keeps what it can't deliver.
-func newHeldWorld(t *testing.T, p *partner, script string) *world {
-	w := newWorld(t, func(string) string { return "" })
-	w.script = filepath.Join(t.TempDir(), "s.star")
-	if err := os.WriteFile(w.script, []byte(script), 0o600); err != nil {
+// newDeadLetterEnvironment is a world whose sender keeps what it can't deliver.
+func newDeadLetterEnvironment(t *testing.T, p *partner, script string) *environment {
+	env := newEnvironment(t, func(string) string { return "" })
+	env.settingsScript = filepath.Join(t.TempDir(), "s.star")
+	if err := os.WriteFile(env.settingsScript, []byte(script), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w.raw = p.answer
-	w.tune = func(c map[string]any) {
+	env.respond = p.answer
+	env.tune = func(c map[string]any) {
 		c["limits"].(map[string]any)["disk_mb"] = 8
 		c["limits"].(map[string]any)["sockets"] = 1024
 		set := c["settings"].(map[string]any)
 		set["profiles"] = []map[string]any{
 			{"name": "safe", "aim-ms": 400, "deadline-ms": 4000, "effect": "safe", "late-worth": 0.5, "worth": 1},
-			{"name": "keyed", "aim-ms": 400, "deadline-ms": 4000, "effect": "keyed", "memory-span-ms": keyMemory.Milliseconds(), "late-worth": 0.5, "worth": 1},
+			{"name": "keyed", "aim-ms": 400, "deadline-ms": 4000, "effect": "keyed", "memory-span-ms": keyRetention.Milliseconds(), "late-worth": 0.5, "worth": 1},
 			{"name": "unsafe", "aim-ms": 400, "deadline-ms": 4000, "effect": "unsafe", "late-worth": 0.5, "worth": 1},
 		}
 		set["weights"] = "rough"
 		set["specifics"] = map[string]any{"max-calls": 48}
 		set["limits"] = map[string]any{"open-cap": 1500, "send-cap": 0, "conn-idle-ms": 15000, "connect-timeout-ms": 1500, "cancel": true, "probes": true, "second-copies": true}
-		set["guarantees"] = map[string]any{"must-ask-in-ms": 10000, "fall-ms": fallSpan.Milliseconds(), "fall-multiple": 2, "cold-ms": coldSpan.Milliseconds(), "cold-from": 0.22}
+		set["guarantees"] = map[string]any{"must-ask-in-ms": 10000, "fall-ms": overloadWindow.Milliseconds(), "fall-multiple": 2, "cold-ms": warmUpDuration.Milliseconds(), "cold-from": 0.22}
 	}
-	w.configure(w.second)
-	return w
+	env.configure(env.secondAddr)
+	return env
 }
 
-func (w *world) plane() admin.API {
-	p := admin.Dial(filepath.Join(filepath.Dir(w.script), "a.sock"))
-	w.t.Cleanup(func() { p.Close() })
+func (env *environment) adminAPI() admin.API {
+	p := admin.Dial(filepath.Join(filepath.Dir(env.settingsScript), "a.sock"))
+	env.t.Cleanup(func() { p.Close() })
 	return p
 }
 
@@ -183,16 +183,16 @@
 	in   *bufio.Reader
 }
 
-func (w *world) client() *client {
-	conn, err := net.Dial("tcp", w.listen)
+func (env *environment) client() *client {
+	conn, err := net.Dial("tcp", env.listen)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { conn.Close() })
+	env.t.Cleanup(func() { conn.Close() })
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-func (c *client) handIn(class, id, key string, seconds float64) (int, error) {
+func (c *client) submit(class, id, key string, seconds float64) (int, error) {
 	text := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: %g\r\nX-Addressing: dest=7\r\nContent-Length: 2\r\n", class, id, seconds)
 	if key != "" {
 		text += "Idempotency-Key: " + key + "\r\n"
@@ -208,8 +208,8 @@
 	return r.StatusCode, nil
 }
 
-// class returns the class of the n-th message and the key that goes with it.
-func class(n int) (name, id, key string) {
+// testMessage returns the class of the n-th message and the key that goes with it.
+func testMessage(n int) (name, id, key string) {
 	switch n % 3 {
 	case 0:
 		return "safe", fmt.Sprint("s", n), ""
@@ -219,9 +219,9 @@
 	return "unsafe", fmt.Sprint("u", n), ""
 }
 
-// stats asks until a condition holds.
-func (w *world) stats(p admin.API, what string, done func(states map[string]int, s deadletter.Stats) bool) map[string]int {
-	w.t.Helper()
+// awaitStats asks until a condition holds.
+func (env *environment) awaitStats(p admin.API, what string, done func(states map[string]int, s deadletter.Stats) bool) map[string]int {
+	env.t.Helper()
 	states := map[string]int{}
 	for until := time.Now().Add(60 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		s, err := p.Stats(context.Background())
@@ -236,20 +236,20 @@
 			return states
 		}
 	}
-	w.t.Fatalf("%s: %v", what, states)
+	env.t.Fatalf("%s: %v", what, states)
 	return nil
 }
 
-// drain keeps the channels of a world empty and returns the notices by id.
-func (w *world) drain() (told func(id string) bool) {
+// collectNotices keeps the channels of a world empty and returns the notices by id.
+func (env *environment) collectNotices() (undeliverable func(id string) bool) {
 	var mu sync.Mutex
 	ids := map[string]bool{}
 	go func() {
 		for {
 			select {
-			case <-w.calls:
-			case <-w.asked:
-			case text := <-w.told:
+			case <-env.calls:
+			case <-env.polls:
+			case text := <-env.notices:
 				mu.Lock()
 				for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 					var n struct{ ID, Status string }
@@ -267,41 +267,41 @@
 // Hundreds of held messages go to a partner that returns cold: no double, the
 // partner is never overwhelmed, live traffic keeps its service, and all that
 // may be sent is delivered.
-func TestResendToRecoveringPartner(t *testing.T) {
-	const records, ran = 600, 30
+func TestRedeliveryToRecoveringPartner(t *testing.T) {
+	const records, mayHaveRun = 600, 30
 	served := map[bool]float64{}
 	for _, resends := range []bool{false, true} {
 		p := newPartner(150)
-		w := newHeldWorld(t, p, holdAll)
-		told := w.drain()
-		w.start()
-		plane := w.plane()
+		env := newDeadLetterEnvironment(t, p, holdAllSettings)
+		noticed := env.collectNotices()
+		env.start()
+		plane := env.adminAPI()
 		// First some whose call breaks after it took effect; then the partner is shut.
-		p.breaks = true
-		c := w.client()
-		for n := range ran {
-			if status, err := c.handIn("unsafe", fmt.Sprint("u-ran", n), "", 1); status != 202 {
+		p.resetCalls = true
+		c := env.client()
+		for n := range mayHaveRun {
+			if status, err := c.submit("unsafe", fmt.Sprint("u-ran", n), "", 1); status != 202 {
 				t.Fatalf("%d %v", status, err)
 			}
 		}
-		w.stats(plane, "those that may have run", func(s map[string]int, _ deadletter.Stats) bool { return s["held"] == ran })
+		env.awaitStats(plane, "those that may have run", func(s map[string]int, _ deadletter.Stats) bool { return s["held"] == mayHaveRun })
 		p.mu.Lock()
-		p.breaks = false
+		p.resetCalls = false
 		broken := len(p.effects) // the others found the route taken for an outage, and never ran
 		p.mu.Unlock()
 		if broken == 0 {
 			t.Fatal("no call broke")
 		}
 		for n := range records {
-			name, id, key := class(n)
-			if status, err := c.handIn(name, id, key, 1); status != 202 {
+			name, id, key := testMessage(n)
+			if status, err := c.submit(name, id, key, 1); status != 202 {
 				t.Fatalf("%s: %d %v", id, status, err)
 			}
 		}
-		w.stats(plane, "all held", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == records+ran && x.Owed == 0 })
+		env.awaitStats(plane, "all held", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == records+mayHaveRun && x.Owed == 0 })
 		for n := range records {
-			if _, id, _ := class(n); !told(id) || p.effects[id] > 0 {
-				t.Fatalf("%s: told %t, effects %d", id, told(id), p.effects[id])
+			if _, id, _ := testMessage(n); !noticed(id) || p.effects[id] > 0 {
+				t.Fatalf("%s: told %t, effects %d", id, noticed(id), p.effects[id])
 			}
 		}
 		if resends {
@@ -311,12 +311,12 @@
 				more, err = plane.Act(context.Background(), "resend", admin.Order{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize, After: next}, WithinS: 60})
 				got.Done, got.Rejected, next = got.Done+more.Done, append(got.Rejected, more.Rejected...), more.Next
 			}
-			if err != nil || got.Done != records+ran-broken || len(got.Rejected) != broken || !strings.Contains(got.Rejected[0].Reason, "must never take effect twice") {
+			if err != nil || got.Done != records+mayHaveRun-broken || len(got.Rejected) != broken || !strings.Contains(got.Rejected[0].Reason, "must never take effect twice") {
 				t.Fatalf("ordered %d, refused %d, %v", got.Done, len(got.Rejected), err)
 			}
 		}
 		p.mu.Lock()
-		p.opened = time.Now()
+		p.openedAt = time.Now()
 		p.calls = nil
 		p.mu.Unlock()
 		// Live traffic beside it: 25 a second, arrivals fixed ahead.
@@ -324,31 +324,31 @@
 		const live = 300
 		for n := range live {
 			time.Sleep(time.Until(start.Add(time.Duration(n) * 40 * time.Millisecond)))
-			if status, err := c.handIn("safe", fmt.Sprint("slive", n), "", 4); status != 202 {
+			if status, err := c.submit("safe", fmt.Sprint("slive", n), "", 4); status != 202 {
 				t.Errorf("live %d: %d %v", n, status, err)
 			}
 		}
 		if resends {
-			w.stats(plane, "all delivered", func(s map[string]int, _ deadletter.Stats) bool { return s["delivered"] == records+ran-broken })
+			env.awaitStats(plane, "all delivered", func(s map[string]int, _ deadletter.Stats) bool { return s["delivered"] == records+mayHaveRun-broken })
 		}
-		w.stats(plane, "nothing out", func(s map[string]int, _ deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 })
+		env.awaitStats(plane, "nothing out", func(s map[string]int, _ deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 })
 		time.Sleep(time.Until(start.Add(live*40*time.Millisecond + 4*time.Second)))
-		push := p.pushed(fallSpan)
+		overload := p.maxOverload(overloadWindow)
 		p.mu.Lock()
 		for n := range live {
 			// Full worth within the aim of 400 ms, falling to a half at the deadline of 4 s.
-			if at, came := p.first[fmt.Sprint("slive", n)]; came {
-				late := at.Sub(start.Add(time.Duration(n)*40*time.Millisecond)) - 400*time.Millisecond
-				served[resends] += 1 - max(0, late.Seconds()/3.6)/2
+			if at, came := p.firstEffect[fmt.Sprint("slive", n)]; came {
+				lateness := at.Sub(start.Add(time.Duration(n)*40*time.Millisecond)) - 400*time.Millisecond
+				served[resends] += 1 - max(0, lateness.Seconds()/3.6)/2
 			}
 		}
 		for n := range records {
 			// A safe one may be repeated, and is where a call is slow: a busy machine does that.
-			if name, id, _ := class(n); resends && (p.effects[id] < 1 || p.effects[id] > 1 && name != "safe") {
+			if name, id, _ := testMessage(n); resends && (p.effects[id] < 1 || p.effects[id] > 1 && name != "safe") {
 				t.Errorf("%s took effect %d times", id, p.effects[id])
 			}
 		}
-		for n := range ran {
+		for n := range mayHaveRun {
 			if id := fmt.Sprint("u-ran", n); p.effects[id] > 1 {
 				t.Errorf("%s took effect %d times", id, p.effects[id])
 			}
@@ -358,9 +358,9 @@
 		}
 		p.mu.Unlock()
 		t.Logf("resends %t: worth of live traffic %.1f of %d, at most %.2f times the capacity in %v, partner opened %v ago",
-			resends, served[resends], live, push, fallSpan, time.Since(start).Round(time.Second))
-		if push > 2 {
-			t.Errorf("pushed: %.2f times its capacity", push)
+			resends, served[resends], live, overload, overloadWindow, time.Since(start).Round(time.Second))
+		if overload > 2 {
+			t.Errorf("pushed: %.2f times its capacity", overload)
 		}
 	}
 	if served[true] < 0.95*served[false] {
@@ -369,26 +369,26 @@
 }
 
 // held runs a command of the program as a process.
-func (w *world) command(args ...string) (string, int) {
+func (env *environment) runCommand(args ...string) (string, int) {
 	c := exec.Command(os.Args[0], args...)
-	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "CLEATHOLD_SETTINGS="+w.script)
+	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "CLEATHOLD_SETTINGS="+env.settingsScript)
 	var out bytes.Buffer
 	c.Stdout, c.Stderr = &out, &out
 	c.Run()
 	return out.String(), c.ProcessState.ExitCode()
 }
 
-func TestHeldCommands(t *testing.T) {
+func TestDeadLetterCommands(t *testing.T) {
 	p := newPartner(150)
-	w := newHeldWorld(t, p, holdAll)
-	w.drain()
-	c := w.start()
-	hand := w.client()
+	env := newDeadLetterEnvironment(t, p, holdAllSettings)
+	env.collectNotices()
+	c := env.start()
+	clientConn := env.client()
 	for n := range 6 {
-		name, id, key := class(n)
-		hand.handIn(name, id, key, 0.3)
+		name, id, key := testMessage(n)
+		clientConn.submit(name, id, key, 0.3)
 	}
-	w.stats(w.plane(), "held", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == 6 && x.Owed == 0 })
+	env.awaitStats(env.adminAPI(), "held", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == 6 && x.Owed == 0 })
 	file := filepath.Join(t.TempDir(), "out.jsonl")
 	for _, x := range []struct {
 		args string
@@ -402,16 +402,16 @@
 		{"held show 99", exitNotFound, "no such record"},
 		{"held drop 1 --dry-run", 0, "1 done, 0 refused (dry run"},
 		{"held drop 1", 0, "1 done"},
-		{"held drop 1", exitRefused, "it has ended: dropped"},
+		{"held drop 1", exitRejected, "it has ended: dropped"},
 		{"held drop", 1, "name numbers, a filter, or --all"},
 		{"held resend --destination 7 --dry-run --json", 0, `"done": 5`},
 		{"held export --state held --out " + file, 0, ""},
-		{"held import " + file, exitRefused, "a record with its id is here"},
+		{"held import " + file, exitRejected, "a record with its id is here"},
 		{"held stats", 0, "dropped"},
 		{"held audit", 0, "drop  done 1, refused 0"},
-		{"check --settings " + w.script, 0, "holds up to"},
+		{"check --settings " + env.settingsScript, 0, "holds up to"},
 	} {
-		if out, code := w.command(strings.Fields(x.args)...); code != x.code || !strings.Contains(out, x.want) {
+		if out, code := env.runCommand(strings.Fields(x.args)...); code != x.code || !strings.Contains(out, x.want) {
 			t.Errorf("%s: exit %d\n%s", x.args, code, out)
 		}
 	}
@@ -428,19 +428,19 @@
 		{"held resend 2", exitUnreachable, "can be read only"},
 		{"held list --folder /nowhere", exitUnreachable, "no such file"},
 	} {
-		if out, code := w.command(strings.Fields(x.args)...); code != x.code || !strings.Contains(out, x.want) {
+		if out, code := env.runCommand(strings.Fields(x.args)...); code != x.code || !strings.Contains(out, x.want) {
 			t.Errorf("stopped, %s: exit %d\n%s", x.args, code, out)
 		}
 	}
 	// In another sender's store the exported ones are in doubt.
-	o := newHeldWorld(t, p, holdAll)
-	o.drain()
+	o := newDeadLetterEnvironment(t, p, holdAllSettings)
+	o.collectNotices()
 	o.start()
-	o.stats(o.plane(), "open", func(map[string]int, deadletter.Stats) bool { return true })
-	if out, code := o.command("held", "import", file); code != 0 || !strings.Contains(out, "5 done") {
+	o.awaitStats(o.adminAPI(), "open", func(map[string]int, deadletter.Stats) bool { return true })
+	if out, code := o.runCommand("held", "import", file); code != 0 || !strings.Contains(out, "5 done") {
 		t.Errorf("import: %d %s", code, out)
 	}
-	if out, code := o.command("held", "resend", "--class", "unsafe"); code != exitRefused || !strings.Contains(out, "not whole") {
+	if out, code := o.runCommand("held", "resend", "--class", "unsafe"); code != exitRejected || !strings.Contains(out, "not whole") {
 		t.Errorf("resend of imported: %d %s", code, out)
 	}
 }
@@ -448,28 +448,28 @@
 // SIGHUP reads the script again: one with a fault changes nothing and ends nothing,
 // a good one rules from then on.
 func TestSettingsReload(t *testing.T) {
-	w := newHeldWorld(t, newPartner(150), holdAll)
-	w.drain()
-	c := w.start()
-	hand := w.client()
+	env := newDeadLetterEnvironment(t, newPartner(150), holdAllSettings)
+	env.collectNotices()
+	c := env.start()
+	clientConn := env.client()
 	write := func(text string) {
-		if err := os.WriteFile(w.script, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(env.settingsScript, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		c.Process.Signal(syscall.SIGHUP)
 	}
-	hand.handIn("safe", "s1", "", 0.2)
-	plane := w.plane()
-	w.stats(plane, "held", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == 1 && x.Owed == 0 })
-	if out, code := w.command("check", "--settings", w.script); code != 0 {
+	clientConn.submit("safe", "s1", "", 0.2)
+	plane := env.adminAPI()
+	env.awaitStats(plane, "held", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == 1 && x.Owed == 0 })
+	if out, code := env.runCommand("check", "--settings", env.settingsScript); code != 0 {
 		t.Errorf("%d %s", code, out)
 	}
-	write(holdAll + "\nheld(\n")
-	if out, code := w.command("check", "--settings", w.script); code != 1 || !strings.Contains(out, "s.star:9:1") {
+	write(holdAllSettings + "\nheld(\n")
+	if out, code := env.runCommand("check", "--settings", env.settingsScript); code != 1 || !strings.Contains(out, "s.star:9:1") {
 		t.Errorf("%d %s", code, out)
 	}
-	hand.handIn("safe", "s2", "", 0.2)
-	w.stats(plane, "held by the old rules", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == 2 && x.Owed == 0 })
-	write(holdAll + "\ndef after(record, partner):\n    return drop()\n")
-	w.stats(plane, "dropped by the new ones", func(s map[string]int, _ deadletter.Stats) bool { return s["dropped"] == 2 })
+	clientConn.submit("safe", "s2", "", 0.2)
+	env.awaitStats(plane, "held by the old rules", func(s map[string]int, x deadletter.Stats) bool { return s["held"] == 2 && x.Owed == 0 })
+	write(holdAllSettings + "\ndef after(record, partner):\n    return drop()\n")
+	env.awaitStats(plane, "dropped by the new ones", func(s map[string]int, _ deadletter.Stats) bool { return s["dropped"] == 2 })
 }
--- a/cmd/cleathold/kills_test.go
+++ b/cmd/cleathold/kills_test.go
@@ -21,34 +21,34 @@
 // Killed at random moments while messages are held and sent again, the sender
 // keeps each in exactly one state, and the partner sees no more effects of a
 // message than its class allows. CLEATHOLD_KILLS=200 makes the long run of it.
-func TestKilledResends(t *testing.T) {
-	resentThrough(t, func(w *world, _ *exec.Cmd) *exec.Cmd { return w.start() }, func(*world) {}, func(w *world, c *exec.Cmd) { w.kill(c) })
+func TestRedeliveryThroughKills(t *testing.T) {
+	redeliverThrough(t, func(env *environment, _ *exec.Cmd) *exec.Cmd { return env.start() }, func(*environment) {}, func(env *environment, c *exec.Cmd) { env.kill(c) })
 }
 
 // The same where one process hands over to the next instead, while messages are held and sent again, and where the
 // platform's settings change under way: a class comes in front of the others, the rest have other figures, and each record keeps the name of its own.
-func TestHandedOverResends(t *testing.T) {
+func TestRedeliveryThroughHandovers(t *testing.T) {
 	temp, err := os.MkdirTemp("", "ch") // a Unix address is short
 	must(t, err)
 	t.Cleanup(func() { os.RemoveAll(temp) })
 	t.Setenv("TMPDIR", temp)
 	at := ""
-	resentThrough(t, func(w *world, last *exec.Cmd) *exec.Cmd {
+	redeliverThrough(t, func(env *environment, last *exec.Cmd) *exec.Cmd {
 		at = freeAddr(t)
 		c := exec.Command(os.Args[0], "serve")
-		c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+w.config, "LB_ADMIN="+at, "CLEATHOLD_SETTINGS="+w.script)
+		c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+env.config, "LB_ADMIN="+at, "CLEATHOLD_SETTINGS="+env.settingsScript)
 		must(t, c.Start())
 		t.Cleanup(func() { c.Process.Kill(); c.Wait() })
-		ready(t, at)
+		awaitReady(t, at)
 		if last != nil {
-			if err := ended(t, last); err != nil {
+			if err := awaitExit(t, last); err != nil {
 				t.Errorf("the process before: %v", err)
 			}
 		}
 		return c
-	}, func(w *world) {
-		old := w.tune
-		w.tune = func(config map[string]any) { // another class in front, and other figures for the rest
+	}, func(env *environment) {
+		old := env.tune
+		env.tune = func(config map[string]any) { // another class in front, and other figures for the rest
 			old(config)
 			set := config["settings"].(map[string]any)
 			list := set["profiles"].([]map[string]any)
@@ -57,22 +57,22 @@
 			}
 			set["profiles"] = append([]map[string]any{{"name": fmt.Sprint("new-", rand.Int()), "aim-ms": 50, "deadline-ms": 100, "effect": "safe", "late-worth": 0.5, "worth": 1}}, list...)
 		}
-		w.configure(w.second)
-		w.tune = old
-		text, err := os.ReadFile(w.config)
+		env.configure(env.secondAddr)
+		env.tune = old
+		text, err := os.ReadFile(env.config)
 		must(t, err)
 		want := admin.Digest(string(text))
-		for until := time.Now().Add(20 * time.Second); status(t, at).Config != want; time.Sleep(5 * time.Millisecond) {
+		for until := time.Now().Add(20 * time.Second); senderStatusAt(t, at).Config != want; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(until) {
 				t.Fatal("the new settings are not in force")
 			}
-			syscall.Kill(status(t, at).Pid, syscall.SIGHUP)
+			syscall.Kill(senderStatusAt(t, at).Pid, syscall.SIGHUP)
 		}
-	}, func(*world, *exec.Cmd) {})
+	}, func(*environment, *exec.Cmd) {})
 }
 
-// status is what a sender says at its second address.
-func status(t *testing.T, at string) (s admin.Status) {
+// senderStatusAt is what a sender says at its second address.
+func senderStatusAt(t *testing.T, at string) (s admin.Status) {
 	t.Helper()
 	r, err := http.Get("http://" + at + admin.StatusPath)
 	must(t, err)
@@ -81,9 +81,9 @@
 	return s
 }
 
-// resentThrough plays it. Start starts the process of a round beside the last one's or in its place, mid changes something
+// redeliverThrough plays it. Start starts the process of a round beside the last one's or in its place, mid changes something
 // in the middle of a round, over ends one.
-func resentThrough(t *testing.T, start func(w *world, last *exec.Cmd) *exec.Cmd, mid func(w *world), over func(w *world, c *exec.Cmd)) {
+func redeliverThrough(t *testing.T, start func(env *environment, last *exec.Cmd) *exec.Cmd, midRound func(env *environment), endRound func(env *environment, c *exec.Cmd)) {
 	kills, seed := 8, uint64(1)
 	if n, err := strconv.Atoi(os.Getenv("CLEATHOLD_KILLS")); err == nil && n > 0 {
 		kills, seed = n, uint64(time.Now().UnixNano())
@@ -94,9 +94,9 @@
 	t.Logf("CLEATHOLD_SEED=%d", seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := newPartner(150)
-	p.opened = time.Now().Add(-time.Hour)
+	p.openedAt = time.Now().Add(-time.Hour)
 	flaky := rand.New(rand.NewPCG(seed, 2))
-	p.flaky = func() string { // under the partner's mutex
+	p.flakyAnswer = func() string { // under the partner's mutex
 		switch n := flaky.IntN(20); {
 		case n < 6:
 			return socktest.Status(503)
@@ -107,52 +107,52 @@
 		}
 		return "ordinary"
 	}
-	w := newHeldWorld(t, p, holdAll)
-	told := w.drain()
-	taken := map[string]bool{}
+	env := newDeadLetterEnvironment(t, p, holdAllSettings)
+	noticed := env.collectNotices()
+	accepted := map[string]bool{}
 	next := 0
 	var c *exec.Cmd
 	for range kills {
-		c = start(w, c)
-		hand := w.client()
+		c = start(env, c)
+		clientConn := env.client()
 		for i := range 12 {
 			if i == 6 {
-				mid(w)
+				midRound(env)
 			}
-			name, id, key := class(next)
+			name, id, key := testMessage(next)
 			next++
-			if status, err := hand.handIn(name, id, key, 0.05+rng.Float64()/2); err == nil && status == 202 {
-				taken[id] = true
+			if status, err := clientConn.submit(name, id, key, 0.05+rng.Float64()/2); err == nil && status == 202 {
+				accepted[id] = true
 			}
 		}
-		go w.plane().Act(context.Background(), "resend", admin.Order{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinS: 1})
+		go env.adminAPI().Act(context.Background(), "resend", admin.Order{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinS: 1})
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
-		over(w, c)
+		endRound(env, c)
 	}
 	p.mu.Lock()
-	p.flaky = nil
+	p.flakyAnswer = nil
 	p.mu.Unlock()
-	start(w, c)
-	plane := w.plane()
+	start(env, c)
+	plane := env.adminAPI()
 	quiet := func(s map[string]int, x deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 && x.Owed == 0 }
-	w.stats(plane, "nothing on its way", quiet)
+	env.awaitStats(plane, "nothing on its way", quiet)
 	time.Sleep(time.Second) // live ones have 0.55 s at most
 	order := admin.Order{WithinS: 60}
 	order.Selection.Limit = deadletter.MaxPageSize
-	refused := map[uint64]bool{}
+	rejected := map[uint64]bool{}
 	for {
 		got, err := plane.Act(context.Background(), "resend", order)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range got.Rejected {
-			refused[r.Seq] = true
+			rejected[r.Seq] = true
 		}
 		if order.Selection.After = got.Next; got.Next == 0 {
 			break
 		}
 	}
-	states := w.stats(plane, "all sent that may be", quiet)
+	states := env.awaitStats(plane, "all sent that may be", quiet)
 	records := map[string]deadletter.Record{}
 	for next := uint64(0); ; {
 		page, err := plane.List(context.Background(), deadletter.Filter{}, next, deadletter.MaxPageSize)
@@ -174,16 +174,16 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for id := range taken {
-		r, kept := records[id]
+	for id := range accepted {
+		r, held := records[id]
 		switch {
-		case !kept && p.effects[id] == 0:
+		case !held && p.effects[id] == 0:
 			t.Errorf("%s is lost", id)
-		case kept && !told(id):
+		case held && !noticed(id):
 			t.Errorf("%s is held, and the platform does not know: %+v", id, r)
-		case kept && r.State == deadletter.Held && !refused[r.Sequence]:
+		case held && r.State == deadletter.Held && !rejected[r.Sequence]:
 			t.Errorf("%s may be sent and was not: %+v", id, r)
-		case kept && r.State == deadletter.Delivered && p.effects[id] == 0:
+		case held && r.State == deadletter.Delivered && p.effects[id] == 0:
 			t.Errorf("%s is delivered by the store's word alone", id)
 		}
 	}
@@ -192,5 +192,5 @@
 			t.Errorf("double effect: %s: %+v", id, records[id])
 		}
 	}
-	t.Logf("%d kills, %d messages taken, %d of them held: %v", kills, len(taken), len(records), states)
+	t.Logf("%d kills, %d messages taken, %d of them held: %v", kills, len(accepted), len(records), states)
 }
--- a/cmd/cleathold/lab.go
+++ b/cmd/cleathold/lab.go
@@ -25,11 +25,11 @@
 	"cleathold/internal/simulation"
 )
 
-// exitBroken is the exit code of a rehearsal in which a rule was broken.
-const exitBroken = 6
+// exitViolations is the exit code of a rehearsal in which a rule was broken.
+const exitViolations = 6
 
-// exitOff is the exit code of one that did not come to its end.
-const exitOff = 7
+// exitIncomplete is the exit code of one that did not come to its end.
+const exitIncomplete = 7
 
 type labCmd struct {
 	Check   labCheckCmd   `cmd:"" help:"Read a scenario and say what it holds, or what is wrong with it."`
@@ -45,16 +45,16 @@
 	Compare labCompareCmd `cmd:"" help:"Play paired seeds with two builds or two scenarios, and tell whether they differ."`
 }
 
-// script is a scenario with figures for what it names by param.
-type script struct {
+// scenarioArgs is a scenario with figures for what it names by param.
+type scenarioArgs struct {
 	Scenario string             `arg:"" help:"Scenario script." type:"existingfile"`
 	Set      map[string]float64 `help:"A figure for what the script names by param(NAME, usual)." placeholder:"NAME=FIGURE"`
 }
 
-func (s *script) load() (*scenario.Scenario, error) { return scenario.Load(s.Scenario, s.Set) }
+func (s *scenarioArgs) load() (*scenario.Scenario, error) { return scenario.Load(s.Scenario, s.Set) }
 
 type labCheckCmd struct {
-	script
+	scenarioArgs
 	Seed uint64 `help:"Seed of the draw." default:"1"`
 }
 
@@ -76,8 +76,8 @@
 	return err
 }
 
-// head says what is played, with which program.
-func head(s *scenario.Scenario, seed uint64, mode, program string) ledger.Head {
+// ledgerHead says what is played, with which program.
+func ledgerHead(s *scenario.Scenario, seed uint64, mode, program string) ledger.Head {
 	h := ledger.Head{Scenario: s.Name, Seed: seed, Mode: mode, Program: program, Go: runtime.Version(), Started: time.Now().UTC(), Figures: s.Figures}
 	h.Machine = fmt.Sprintf("%s/%s, %d cores", runtime.GOOS, runtime.GOARCH, runtime.NumCPU())
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -92,7 +92,7 @@
 }
 
 type labSimCmd struct {
-	script
+	scenarioArgs
 	Seed     uint64 `help:"Seed of the first run." default:"1"`
 	Runs     int    `help:"Runs, each with the next seed." default:"1"`
 	Jobs     int    `help:"Runs at once; 0 = as many as there are cores." default:"0"`
@@ -102,8 +102,8 @@
 	Verbose  bool   `help:"The senders' log on standard error."`
 }
 
-// played is a run of many.
-type played struct {
+// simResult is a run of many.
+type simResult struct {
 	result simulation.Result
 	took   time.Duration
 	err    error
@@ -126,10 +126,10 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	runs := make([]chan played, c.Runs) // one for each, so that they are told in order
+	runs := make([]chan simResult, c.Runs) // one for each, so that they are told in order
 	slots := make(chan struct{}, jobs)
 	for i := range runs {
-		runs[i] = make(chan played, 1)
+		runs[i] = make(chan simResult, 1)
 	}
 	go func() {
 		for i := range runs {
@@ -144,7 +144,7 @@
 	for i := range runs {
 		r := <-runs[i]
 		if r.err != nil {
-			return exit{fmt.Errorf("seed %d: %w", c.Seed+uint64(i), r.err), exitOff}
+			return exitError{fmt.Errorf("seed %d: %w", c.Seed+uint64(i), r.err), exitIncomplete}
 		}
 		broken += len(r.result.Violations)
 		if c.JSON {
@@ -156,28 +156,28 @@
 		fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, %d connections; %.1f virtual seconds a second\n",
 			r.result.Seed, r.result.Service, r.result.Overall, r.result.Worst, r.result.WorstAt, r.result.Messages, r.result.Calls, r.result.RejectedCalls,
 			r.result.Connections, s.Length.Seconds()/r.took.Seconds())
-		writeBreaks(out, r.result.Violations)
+		writeViolations(out, r.result.Violations)
 	}
-	return brokenExit(broken)
+	return violationsError(broken)
 }
 
-func writeBreaks(out io.Writer, breaks []audit.Violation) {
+func writeViolations(out io.Writer, breaks []audit.Violation) {
 	for _, b := range breaks {
 		fmt.Fprintf(out, "  BROKEN at %v by sender %d: %s: %s (message %s, calls %v, times %v)\n", b.At, b.Sender, b.Rule, b.Text, b.Message, b.Calls, b.Times)
 	}
 }
 
-func brokenExit(broken int) error {
+func violationsError(broken int) error {
 	if broken > 0 {
-		return exit{fmt.Errorf("%d breaks of rules", broken), exitBroken}
+		return exitError{fmt.Errorf("%d breaks of rules", broken), exitViolations}
 	}
 	return nil
 }
 
 // play is one run in virtual time.
-func (c *labSimCmd) play(ctx context.Context, s *scenario.Scenario, seed uint64, log *slog.Logger) played {
+func (c *labSimCmd) play(ctx context.Context, s *scenario.Scenario, seed uint64, log *slog.Logger) simResult {
 	p := s.Plan(seed)
-	var book *ledger.Writer
+	var writer *ledger.Writer
 	sink := func(audit.Event) error { return ctx.Err() }
 	if c.Out != "" {
 		folder := c.Out
@@ -185,10 +185,10 @@
 			folder = filepath.Join(folder, fmt.Sprint("seed-", seed))
 		}
 		var err error
-		if book, err = ledger.Create(folder, head(s, seed, "virtual", ""), s.Script); err != nil {
-			return played{err: err}
+		if writer, err = ledger.Create(folder, ledgerHead(s, seed, "virtual", ""), s.Script); err != nil {
+			return simResult{err: err}
 		}
-		sink = func(e audit.Event) error { return errors.Join(ctx.Err(), book.Read(e)) }
+		sink = func(e audit.Event) error { return errors.Join(ctx.Err(), writer.Read(e)) }
 	}
 	if c.Progress {
 		next, inner := time.Now().Add(5*time.Second), sink
@@ -201,25 +201,25 @@
 			return inner(e)
 		}
 	}
-	began := time.Now()
+	started := time.Now()
 	sim, err := simulation.NewSim(p, log, sink)
 	if err != nil {
-		return played{err: err}
+		return simResult{err: err}
 	}
 	r, err := sim.Run()
 	if errors.Is(err, context.Canceled) {
 		err = errors.New("broken off")
 	}
-	if book != nil && err == nil {
-		err = book.Finish(r)
-	} else if book != nil {
-		err = errors.Join(err, book.Close())
+	if writer != nil && err == nil {
+		err = writer.Finish(r)
+	} else if writer != nil {
+		err = errors.Join(err, writer.Close())
 	}
-	return played{r, time.Since(began), err}
+	return simResult{r, time.Since(started), err}
 }
 
 type labRunCmd struct {
-	script
+	scenarioArgs
 	Seed     uint64  `help:"Seed." default:"1"`
 	Out      string  `help:"Folder for the run."`
 	Program  string  `help:"The senders' program; without it this one." type:"existingfile"`
@@ -234,19 +234,19 @@
 		return err
 	}
 	if s.Agents.Number > 0 {
-		return c.runAgents(out, s)
+		return c.runWithAgents(out, s)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	r, err := playSockets(ctx, s, harness.Setup{Plan: s.Plan(c.Seed), Program: c.Program, Settings: c.Settings, MemoryMB: c.MemoryMB, Folder: c.Out, Log: log, Progress: os.Stderr})
 	if err != nil {
-		return exit{err, exitOff}
+		return exitError{err, exitIncomplete}
 	}
 	if c.JSON {
 		if err := writeJSON(out, r); err != nil {
 			return err
 		}
-		return brokenExit(len(r.Violations))
+		return violationsError(len(r.Violations))
 	}
 	fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, %d connections, %d restarts\n",
 		r.Seed, r.Service, r.Overall, r.Worst, r.WorstAt, r.Messages, r.Calls, r.RejectedCalls, r.Connections, r.Restarts)
@@ -256,8 +256,8 @@
 	for _, m := range r.Warnings {
 		fmt.Fprintln(out, "NOTE:", m)
 	}
-	writeBreaks(out, r.Violations)
-	return brokenExit(len(r.Violations))
+	writeViolations(out, r.Violations)
+	return violationsError(len(r.Violations))
 }
 
 // playSockets is one run on sockets. Its folder is a temporary one if none is named.
@@ -283,20 +283,20 @@
 		defer os.RemoveAll(set.Folder)
 		return harness.Run(ctx, set)
 	}
-	book, err := ledger.Create(set.Folder, head(s, set.Plan.Seed, "sockets", set.Program), s.Script)
+	writer, err := ledger.Create(set.Folder, ledgerHead(s, set.Plan.Seed, "sockets", set.Program), s.Script)
 	if err != nil {
 		return harness.Result{}, err
 	}
-	set.Sink = book.Read
+	set.Sink = writer.Read
 	r, err := harness.Run(ctx, set)
 	if err != nil {
-		return r, errors.Join(err, book.Close())
+		return r, errors.Join(err, writer.Close())
 	}
-	return r, book.Finish(r)
+	return r, writer.Finish(r)
 }
 
 type labServeCmd struct {
-	script
+	scenarioArgs
 	Seed     uint64 `help:"Seed." default:"1"`
 	Out      string `help:"Folder for the senders' configurations and the run." required:""`
 	Settings string `help:"Settings script for the senders." type:"existingfile"`
@@ -313,19 +313,19 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	book, err := ledger.Create(folder, head(s, c.Seed, "sockets", ""), s.Script)
+	writer, err := ledger.Create(folder, ledgerHead(s, c.Seed, "sockets", ""), s.Script)
 	if err != nil {
 		return err
 	}
-	r, err := harness.Serve(ctx, harness.Setup{Plan: s.Plan(c.Seed), Folder: folder, Settings: c.Settings, Log: log, Sink: book.Read}, out)
+	r, err := harness.Serve(ctx, harness.Setup{Plan: s.Plan(c.Seed), Folder: folder, Settings: c.Settings, Log: log, Sink: writer.Read}, out)
 	if err != nil {
-		return exit{errors.Join(err, book.Close()), exitOff}
+		return exitError{errors.Join(err, writer.Close()), exitIncomplete}
 	}
-	return book.Finish(r)
+	return writer.Finish(r)
 }
 
 type labLoadCmd struct {
-	script
+	scenarioArgs
 	Seed uint64   `help:"Seed." default:"1"`
 	To   []string `help:"Addresses of the senders." placeholder:"ADDR"`
 	Sink bool     `help:"Hand in to a sink of its own instead, to measure this tool."`
@@ -349,16 +349,16 @@
 		}
 		c.To = []string{addr}
 	}
-	seen, err := harness.Load(ctx, s.Plan(c.Seed), c.To, log, os.Stderr)
+	result, err := harness.Load(ctx, s.Plan(c.Seed), c.To, log, os.Stderr)
 	if err != nil {
-		return exit{err, exitOff}
+		return exitError{err, exitIncomplete}
 	}
 	if c.JSON {
-		return writeJSON(out, seen)
+		return writeJSON(out, result)
 	}
-	fmt.Fprintf(out, "answers by status (0 = none): %v; left out: %d\n", seen.Answers, seen.Skipped)
-	fmt.Fprintf(out, "from the time wanted to the answer: %.2f ms at the median, %.2f at the 99th percentile, %.2f at most\n", seen.ResponseTime.P50, seen.ResponseTime.P99, seen.ResponseTime.Max)
-	_, err = fmt.Fprintf(out, "lag of the clients themselves: %.2f ms at the 99th percentile, %.2f at most\n", seen.Lag.P99, seen.Lag.Max)
+	fmt.Fprintf(out, "answers by status (0 = none): %v; left out: %d\n", result.Answers, result.Skipped)
+	fmt.Fprintf(out, "from the time wanted to the answer: %.2f ms at the median, %.2f at the 99th percentile, %.2f at most\n", result.ResponseTime.P50, result.ResponseTime.P99, result.ResponseTime.Max)
+	_, err = fmt.Fprintf(out, "lag of the clients themselves: %.2f ms at the 99th percentile, %.2f at most\n", result.Lag.P99, result.Lag.Max)
 	return err
 }
 
@@ -377,7 +377,7 @@
 		defer file.Close()
 	}
 	for _, folder := range c.Runs {
-		p, err := pageOf(folder)
+		p, err := readPage(folder)
 		if err != nil {
 			return err
 		}
@@ -397,7 +397,7 @@
 }
 
 type labLimitsCmd struct {
-	Run_        string `arg:"" name:"run" help:"Run folder." type:"existingdir"`
+	RunFolder   string `arg:"" name:"run" help:"Run folder." type:"existingdir"`
 	Destination int    `help:"Only this one, second by second; without it, each whose limit changes, by spans."`
 	JSON        bool   `help:"JSON instead of text." name:"json"`
 }
@@ -416,12 +416,12 @@
 }
 
 type labOutagesCmd struct {
-	Run_ string `arg:"" name:"run" help:"Run folder." type:"existingdir"`
-	JSON bool   `help:"JSON instead of text." name:"json"`
+	RunFolder string `arg:"" name:"run" help:"Run folder." type:"existingdir"`
+	JSON      bool   `help:"JSON instead of text." name:"json"`
 }
 
 func (c *labOutagesCmd) Run(out io.Writer) error {
-	run, plan, err := openRun(c.Run_)
+	run, plan, err := openRun(c.RunFolder)
 	if err != nil {
 		return err
 	}
@@ -436,7 +436,7 @@
 }
 
 func (c *labLimitsCmd) Run(out io.Writer) error {
-	run, plan, err := openRun(c.Run_)
+	run, plan, err := openRun(c.RunFolder)
 	if err != nil {
 		return err
 	}
@@ -467,14 +467,14 @@
 	return nil
 }
 
-// pageOf reads a run folder.
-func pageOf(folder string) (*report.Page, error) {
+// readPage reads a run folder.
+func readPage(folder string) (*report.Page, error) {
 	run, plan, err := openRun(folder)
 	if err != nil {
 		return nil, err
 	}
 	c := report.NewCollector(plan)
-	whole, err := run.Events(c.Read)
+	complete, err := run.Events(c.Read)
 	if err != nil {
 		return nil, err
 	}
@@ -482,7 +482,7 @@
 		{Name: "seed", Value: fmt.Sprint(run.Head.Seed)}, {Name: "played", Value: run.Head.Mode + ", " + run.Head.Started.Format(time.RFC3339)},
 		{Name: "program", Value: strings.TrimSpace(run.Head.Program + " " + run.Head.Version + " " + run.Head.Go)}, {Name: "machine", Value: run.Head.Machine},
 	}}
-	if !whole {
+	if !complete {
 		f.Notes = append(f.Notes, "the ledger ends in the middle: the run was broken off")
 	}
 	if run.Result == nil {
@@ -544,7 +544,7 @@
 		for side, what := range []string{c.A, c.B} {
 			service, broken, err := c.play(ctx, side, what, scripts, seed, log)
 			if err != nil {
-				return exit{fmt.Errorf("%s, seed %d: %w", what, seed, err), exitOff}
+				return exitError{fmt.Errorf("%s, seed %d: %w", what, seed, err), exitIncomplete}
 			}
 			pair[side] = service
 			cmp.Broken[side] += broken
@@ -559,12 +559,12 @@
 	if c.JSON {
 		return writeJSON(out, cmp)
 	}
-	word := "a difference"
+	verdict := "a difference"
 	if cmp.Noise {
-		word = fmt.Sprintf("noise: %d pairs would not show a difference under %.4f", cmp.Pairs, cmp.Detectable)
+		verdict = fmt.Sprintf("noise: %d pairs would not show a difference under %.4f", cmp.Pairs, cmp.Detectable)
 	}
 	fmt.Fprintf(out, "A %.4f, B %.4f; B less A: %+.4f, 95%% interval %+.4f to %+.4f over %d pairs: %s\n",
-		cmp.Difference.A, cmp.Difference.B, cmp.Mean, cmp.Low, cmp.High, cmp.Pairs, word)
+		cmp.Difference.A, cmp.Difference.B, cmp.Mean, cmp.Low, cmp.High, cmp.Pairs, verdict)
 	if cmp.Broken != [2]int{} {
 		fmt.Fprintf(out, "breaks of rules: A %d, B %d\n", cmp.Broken[0], cmp.Broken[1])
 	}
@@ -603,7 +603,7 @@
 	}
 	text, err := exec.CommandContext(ctx, program, args...).Output()
 	var failed *exec.ExitError
-	if errors.As(err, &failed) && failed.ExitCode() == exitBroken {
+	if errors.As(err, &failed) && failed.ExitCode() == exitViolations {
 		err = nil
 	} else if errors.As(err, &failed) {
 		return 0, 0, fmt.Errorf("%w: %s", err, failed.Stderr)
--- a/cmd/cleathold/lab_test.go
+++ b/cmd/cleathold/lab_test.go
@@ -23,8 +23,8 @@
 	"cleathold/internal/scenario"
 )
 
-// shorter is a rehearsal cut to a few seconds.
-func shorter(t *testing.T, more string) string {
+// shortScenario is a rehearsal cut to a few seconds.
+func shortScenario(t *testing.T, extra string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/building-refuses.star")
 	if err != nil {
@@ -33,25 +33,25 @@
 	s := strings.Replace(string(text), "seconds = 60, senders = 3", "seconds = 5, senders = 2", 1)
 	s = strings.Replace(s, "at = (12, 18), seconds = (10, 20)", "at = 1, seconds = 2", 1)
 	path := filepath.Join(t.TempDir(), "short.star")
-	if err := os.WriteFile(path, []byte(s+more), 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(s+extra), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-var nobody = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func setup(t *testing.T, path string) harness.Setup {
+func harnessSetup(t *testing.T, path string) harness.Setup {
 	t.Helper()
 	s, err := scenario.Load(path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return harness.Setup{Plan: s.Plan(1), Program: os.Args[0], Folder: t.TempDir(), Log: nobody}
+	return harness.Setup{Plan: s.Plan(1), Program: os.Args[0], Folder: t.TempDir(), Log: discardLog}
 }
 
-// addresses are where a run's senders listen.
-func addresses(t *testing.T, folder string) []string {
+// senderAddresses are where a run's senders listen.
+func senderAddresses(t *testing.T, folder string) []string {
 	t.Helper()
 	var list []string
 	files, _ := filepath.Glob(filepath.Join(folder, "n*", "config.json"))
@@ -72,8 +72,8 @@
 	return list
 }
 
-// allGone wants nobody to listen at any of them any more.
-func allGone(t *testing.T, list []string) {
+// requireNoListeners wants nobody to listen at any of them any more.
+func requireNoListeners(t *testing.T, list []string) {
 	t.Helper()
 	for _, a := range list {
 		for until := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -94,13 +94,13 @@
 // run folder gives a page, and nobody is left behind.
 func TestLabRun(t *testing.T) {
 	t.Parallel()
-	path := shorter(t, `
+	path := shortScenario(t, `
 sender(number = 0, at = 2, what = "kill")
 sender(number = 1, at = 1, what = "hup")
 `)
 	folder := filepath.Join(t.TempDir(), "run")
 	out := &bytes.Buffer{}
-	if err := (&labRunCmd{script: script{Scenario: path}, Seed: 1, Out: folder, Program: os.Args[0], JSON: true}).Run(out, nobody); err != nil {
+	if err := (&labRunCmd{scenarioArgs: scenarioArgs{Scenario: path}, Seed: 1, Out: folder, Program: os.Args[0], JSON: true}).Run(out, discardLog); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	var r harness.Result
@@ -110,9 +110,9 @@
 	if r.Messages < 50 || r.Overall < 0.5 || r.Restarts != 1 || r.Crashes != 0 || r.Counts.Accepted == 0 {
 		t.Errorf("%+v", r)
 	}
-	allGone(t, addresses(t, folder))
-	page, html := &bytes.Buffer{}, filepath.Join(t.TempDir(), "page.html")
-	if err := (&labReportCmd{Runs: []string{folder}, HTML: html}).Run(page); err != nil {
+	requireNoListeners(t, senderAddresses(t, folder))
+	reportText, html := &bytes.Buffer{}, filepath.Join(t.TempDir(), "page.html")
+	if err := (&labReportCmd{Runs: []string{folder}, HTML: html}).Run(reportText); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(html)
@@ -120,8 +120,8 @@
 		t.Fatal(err)
 	}
 	for _, want := range []string{"DOWN in bldg-b", "sender 0: kill", "fee-payment"} {
-		if !strings.Contains(page.String(), want) || !strings.Contains(string(text), want) {
-			t.Errorf("the report lacks %q:\n%s", want, page)
+		if !strings.Contains(reportText.String(), want) || !strings.Contains(string(text), want) {
+			t.Errorf("the report lacks %q:\n%s", want, reportText)
 		}
 	}
 	if strings.Count(string(text), "<svg") != 5 {
@@ -136,7 +136,7 @@
 		{"#!/bin/sh\necho no such luck >&2\nexit 3\n", "ended before it was ready: exit status 3; its log ends: no such luck"},
 		{"#!/bin/sh\nexec sleep 60\n", "is not ready in time"},
 	} {
-		s := setup(t, shorter(t, ""))
+		s := harnessSetup(t, shortScenario(t, ""))
 		s.Program, s.ReadyIn = filepath.Join(t.TempDir(), "program"), 300*time.Millisecond
 		if err := os.WriteFile(s.Program, []byte(c.script), 0o755); err != nil {
 			t.Fatal(err)
@@ -144,28 +144,28 @@
 		if _, err := harness.Run(t.Context(), s); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %q", err, c.want)
 		}
-		allGone(t, addresses(t, s.Folder))
+		requireNoListeners(t, senderAddresses(t, s.Folder))
 	}
 }
 
 // The ledger's disk is full, or the run is called off: a clear end, nobody left.
-func TestLabBrokenOff(t *testing.T) {
+func TestLabAborted(t *testing.T) {
 	t.Parallel()
-	full := errors.New("no space left on device")
-	s := setup(t, shorter(t, ""))
+	errDiskFull := errors.New("no space left on device")
+	s := harnessSetup(t, shortScenario(t, ""))
 	n := 0
 	s.Sink = func(audit.Event) error {
 		if n++; n > 100 {
-			return full
+			return errDiskFull
 		}
 		return nil
 	}
-	if _, err := harness.Run(t.Context(), s); !errors.Is(err, full) {
+	if _, err := harness.Run(t.Context(), s); !errors.Is(err, errDiskFull) {
 		t.Errorf("a full disk: %v", err)
 	}
-	allGone(t, addresses(t, s.Folder))
+	requireNoListeners(t, senderAddresses(t, s.Folder))
 
-	s = setup(t, shorter(t, ""))
+	s = harnessSetup(t, shortScenario(t, ""))
 	ctx, cancel := context.WithCancel(t.Context())
 	s.Sink = func(e audit.Event) error {
 		if e.Kind == audit.Accepted {
@@ -176,7 +176,7 @@
 	if _, err := harness.Run(ctx, s); err == nil || err.Error() != "broken off" {
 		t.Errorf("called off: %v", err)
 	}
-	allGone(t, addresses(t, s.Folder))
+	requireNoListeners(t, senderAddresses(t, s.Folder))
 }
 
 // Ctrl-C, and a kill of the rig itself: no sender outlives it, and what was written
@@ -185,7 +185,7 @@
 	t.Parallel()
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
 		folder := filepath.Join(t.TempDir(), "run")
-		path := shorter(t, "")
+		path := shortScenario(t, "")
 		c := exec.Command(os.Args[0], "lab", "run", path, "--out", folder)
 		c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1")
 		var stderr bytes.Buffer
@@ -204,18 +204,18 @@
 		}
 		c.Process.Signal(sig)
 		err := c.Wait()
-		if sig == syscall.SIGINT && (c.ProcessState.ExitCode() != exitOff || !strings.Contains(stderr.String(), "broken off")) {
+		if sig == syscall.SIGINT && (c.ProcessState.ExitCode() != exitIncomplete || !strings.Contains(stderr.String(), "broken off")) {
 			t.Errorf("Ctrl-C: %v, %s", err, &stderr)
 		}
-		allGone(t, addresses(t, folder))
+		requireNoListeners(t, senderAddresses(t, folder))
 		run, err := ledger.Open(folder)
 		if err != nil {
 			t.Fatal(err)
 		}
 		events := 0
-		whole, err := run.Events(func(audit.Event) error { events++; return nil })
-		if err != nil || events == 0 || whole != (sig == syscall.SIGINT) || run.Result != nil {
-			t.Errorf("%v: %v, %d events, whole %t", sig, err, events, whole)
+		complete, err := run.Events(func(audit.Event) error { events++; return nil })
+		if err != nil || events == 0 || complete != (sig == syscall.SIGINT) || run.Result != nil {
+			t.Errorf("%v: %v, %d events, whole %t", sig, err, events, complete)
 		}
 		page := &bytes.Buffer{}
 		if err := (&labReportCmd{Runs: []string{folder}}).Run(page); err != nil || !strings.Contains(page.String(), "broken off") {
@@ -228,14 +228,14 @@
 // the partners is not.
 func TestLabCompare(t *testing.T) {
 	t.Parallel()
-	path := shorter(t, "")
-	hurt := shorter(t, "trouble(what = \"SILENT\", at = 0, seconds = 5, part = 0.9)\n")
+	path := shortScenario(t, "")
+	faulty := shortScenario(t, "trouble(what = \"SILENT\", at = 0, seconds = 5, part = 0.9)\n")
 	for _, c := range []struct {
 		b     string
 		noise bool
-	}{{path, true}, {hurt, false}} {
+	}{{path, true}, {faulty, false}} {
 		out := &bytes.Buffer{}
-		if err := (&labCompareCmd{A: path, B: c.b, Runs: 3, Seed: 1, JSON: true}).Run(out, nobody); err != nil {
+		if err := (&labCompareCmd{A: path, B: c.b, Runs: 3, Seed: 1, JSON: true}).Run(out, discardLog); err != nil {
 			t.Fatal(err)
 		}
 		var got comparison
@@ -247,10 +247,10 @@
 		}
 	}
 	out := &bytes.Buffer{}
-	if err := (&labCompareCmd{A: os.Args[0], B: os.Args[0], Scenario: path, Runs: 2, Seed: 1}).Run(out, nobody); err != nil || !strings.Contains(out.String(), "noise") {
+	if err := (&labCompareCmd{A: os.Args[0], B: os.Args[0], Scenario: path, Runs: 2, Seed: 1}).Run(out, discardLog); err != nil || !strings.Contains(out.String(), "noise") {
 		t.Errorf("programs: %v, %s", err, out)
 	}
-	if err := (&labCompareCmd{A: os.Args[0], B: os.Args[0], Runs: 2}).Run(io.Discard, nobody); err == nil {
+	if err := (&labCompareCmd{A: os.Args[0], B: os.Args[0], Runs: 2}).Run(io.Discard, discardLog); err == nil {
 		t.Error("two programs without a scenario")
 	}
 }
@@ -258,22 +258,22 @@
 // Faults of a script strike processes as they strike senders in virtual time: seen from outside, and nowhere else.
 func TestLabFaults(t *testing.T) {
 	t.Parallel()
-	path := shorter(t, `
+	path := shortScenario(t, `
 link(at = 1, seconds = 2, of = "n0", to = "clients", what = "CUT")
 sender(number = 1, at = 3.4, what = "drain", seconds = 1.2)
 sender(number = 0, at = 3.2, what = "retune", slots = 2)
 sender(number = 1, at = 1, what = "wipe")
 sender(number = 0, at = 3.6, what = "stop", seconds = 0.8)
 `)
-	set := setup(t, path)
+	set := harnessSetup(t, path)
 	var mu sync.Mutex
-	taken := map[[2]int]int{} // by sender and tenths of a second
+	accepted := map[[2]int]int{} // by sender and tenths of a second
 	first := map[int]time.Duration{}
 	set.Sink = func(e audit.Event) error {
 		mu.Lock()
 		defer mu.Unlock()
 		if e.Kind == audit.Accepted {
-			taken[[2]int{e.Sender, int(e.At / (100 * time.Millisecond))}]++
+			accepted[[2]int{e.Sender, int(e.At / (100 * time.Millisecond))}]++
 		}
 		if e.Kind == audit.Died && first[e.Sender] == 0 {
 			first[e.Sender] = e.At
@@ -286,7 +286,7 @@
 	}
 	between := func(sender int, from, to float64) (n int) {
 		for at := int(from * 10); at < int(to*10); at++ {
-			n += taken[[2]int{sender, at}]
+			n += accepted[[2]int{sender, at}]
 		}
 		return n
 	}
@@ -313,7 +313,7 @@
 
 // Twenty processes and a target that comes back cold: what they send in sum stays within its budget, though some of them were
 // killed in the outage and know nothing of it.
-func TestColdReturnOfTwentyProcesses(t *testing.T) {
+func TestSlowStartAcrossTwentyProcesses(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile("../../examples/scenarios/fleet-return.star")
 	if err != nil {
@@ -328,8 +328,8 @@
 		t.Fatal(err)
 	}
 	out := &bytes.Buffer{}
-	c := labRunCmd{script: script{Scenario: path, Set: map[string]float64{"senders": 20}}, Seed: 1, Out: filepath.Join(t.TempDir(), "run"), Program: os.Args[0], JSON: true}
-	if err := c.Run(out, nobody); err != nil {
+	c := labRunCmd{scenarioArgs: scenarioArgs{Scenario: path, Set: map[string]float64{"senders": 20}}, Seed: 1, Out: filepath.Join(t.TempDir(), "run"), Program: os.Args[0], JSON: true}
+	if err := c.Run(out, discardLog); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	var r harness.Result
--- a/cmd/cleathold/labfleet.go
+++ b/cmd/cleathold/labfleet.go
@@ -24,8 +24,8 @@
 	Measure  labMeasureCmd  `cmd:"" help:"A release over a whole fleet and back, and drains that are halted: how long they take."`
 }
 
-// yardSetup is a yard of this program's own processes.
-func yardSetup(folder string, rate float64) (cluster.Setup, error) {
+// clusterSetup is a yard of this program's own processes.
+func clusterSetup(folder string, rate float64) (cluster.Setup, error) {
 	program, err := os.Executable()
 	return cluster.Setup{Program: program, Folder: folder, Rate: rate, Log: slog.New(slog.DiscardHandler)}, err
 }
@@ -83,7 +83,7 @@
 	}
 	wg.Wait()
 	fmt.Fprintf(out, "%d histories played, %d broke something; senders went out by order %d times\n", played, broken, orders)
-	return brokenExit(broken)
+	return violationsError(broken)
 }
 
 func playHistory(ctx context.Context, h *cluster.History, rate float64) error {
@@ -92,7 +92,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	s, err := yardSetup(folder, rate)
+	s, err := clusterSetup(folder, rate)
 	if err != nil {
 		return err
 	}
@@ -119,10 +119,10 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if err := playHistory(ctx, h, c.Rate); err != nil {
-		return exit{err, exitOff}
+		return exitError{err, exitIncomplete}
 	}
 	writeHistory(out, h)
-	return brokenExit(len(h.Faults))
+	return violationsError(len(h.Faults))
 }
 
 type labMeasureCmd struct {
@@ -140,7 +140,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	s, err := yardSetup(folder, c.Rate)
+	s, err := clusterSetup(folder, c.Rate)
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 	defer stop()
 	m, err := cluster.Measure(ctx, s, c.Faults)
 	if err != nil {
-		return exit{err, exitOff}
+		return exitError{err, exitIncomplete}
 	}
 	if c.JSON {
 		return writeJSON(out, m)
@@ -169,11 +169,11 @@
 	}
 	fmt.Fprintf(out, "a sender at rest: watched %.4f of a processor, %.1f MB; with all agents stopped %.4f, %.1f MB\n", m.WithAgent.Processor, m.WithAgent.MemoryMB, m.WithoutAgent.Processor, m.WithoutAgent.MemoryMB)
 	fmt.Fprintf(out, "messages that took effect: %.4f of those wanted before the release, %.4f in it\n", m.Before, m.During)
-	return brokenExit(m.Violations + m.OverBudget)
+	return violationsError(m.Violations + m.OverBudget)
 }
 
-// runAgents plays a scenario that has agents: they run the senders.
-func (c *labRunCmd) runAgents(out io.Writer, s *scenario.Scenario) error {
+// runWithAgents plays a scenario that has agents: they run the senders.
+func (c *labRunCmd) runWithAgents(out io.Writer, s *scenario.Scenario) error {
 	folder := c.Out
 	var err error
 	if folder == "" {
@@ -187,7 +187,7 @@
 	if folder, err = filepath.Abs(folder); err != nil {
 		return err
 	}
-	set, err := yardSetup(folder, 0)
+	set, err := clusterSetup(folder, 0)
 	if err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if err := h.Play(ctx, set); err != nil {
-		return exit{err, exitOff}
+		return exitError{err, exitIncomplete}
 	}
 	if c.JSON {
 		if err := writeJSON(out, h); err != nil {
@@ -214,5 +214,5 @@
 			fmt.Fprintln(out, "  plan", p)
 		}
 	}
-	return brokenExit(len(h.Faults))
+	return violationsError(len(h.Faults))
 }
--- a/cmd/cleathold/labsoak.go
+++ b/cmd/cleathold/labsoak.go
@@ -93,9 +93,9 @@
 	wg.Wait()
 	fmt.Fprintf(out, "%d cases played, %d unsound\n", played, unsound)
 	if ctx.Err() != nil {
-		return exit{errors.New("broken off"), exitOff}
+		return exitError{errors.New("broken off"), exitIncomplete}
 	}
-	return brokenExit(unsound)
+	return violationsError(unsound)
 }
 
 // play plays one case in a folder that is kept only where the case is unsound.
--- a/cmd/cleathold/main_test.go
+++ b/cmd/cleathold/main_test.go
@@ -22,7 +22,7 @@
 // TestMain lets the test's own binary be the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("CLEATHOLD_CHILD") != "" {
-		ail(os.Getenv("CLEATHOLD_FAULT"))
+		injectFault(os.Getenv("CLEATHOLD_FAULT"))
 		main()
 		return
 	}
@@ -30,34 +30,34 @@
 	os.Exit(m.Run())
 }
 
-// A world is the platform and one target around a real process.
-type world struct {
-	t      *testing.T
-	dir    string
-	listen string
-	config string
-	calls  chan string // ids, as they reach the target
-	told   chan string // notices
-	answer func(id string) string
-	deaf   atomic.Bool // the platform fails notices
-	moved  atomic.Bool // the first platform takes no notices any more
-	down   atomic.Bool // discovery closes each connection without an answer
-	mute   atomic.Bool // the platform says nothing at all
-	asked  chan string // questions to discovery, by the platform's name
-	first  string      // the platform's address
-	second string      // the address of its other name
-	script string      // settings of our own
-	tune   func(config map[string]any)
-	raw    func(r *http.Request) string // answers in the place of answer
-	target string
-	drains atomic.Bool // the list that follows the first has the target draining
+// A environment is the platform and one target around a real process.
+type environment struct {
+	t              *testing.T
+	stateFolder    string
+	listen         string
+	config         string
+	calls          chan string // ids, as they reach the target
+	notices        chan string // notices
+	answer         func(id string) string
+	failNotices    atomic.Bool // the platform fails notices
+	noticesMoved   atomic.Bool // the first platform takes no notices any more
+	discoveryDown  atomic.Bool // discovery closes each connection without an answer
+	platformSilent atomic.Bool // the platform says nothing at all
+	polls          chan string // questions to discovery, by the platform's name
+	firstAddr      string      // the platform's address
+	secondAddr     string      // the address of its other name
+	settingsScript string      // settings of our own
+	tune           func(config map[string]any)
+	respond        func(r *http.Request) string // answers in the place of answer
+	targetAddr     string
+	targetDraining atomic.Bool // the list that follows the first has the target draining
 }
 
-func newWorld(t *testing.T, answer func(id string) string) *world {
-	w := &world{t: t, dir: t.TempDir(), calls: make(chan string, 256), told: make(chan string, 256), asked: make(chan string, 256), answer: answer}
-	w.target = socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
-		if w.raw != nil {
-			return w.raw(r)
+func newEnvironment(t *testing.T, answer func(id string) string) *environment {
+	w := &environment{t: t, stateFolder: t.TempDir(), calls: make(chan string, 256), notices: make(chan string, 256), polls: make(chan string, 256), answer: answer}
+	w.targetAddr = socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		if w.respond != nil {
+			return w.respond(r)
 		}
 		id := r.Header.Get("X-Request-Id")
 		w.calls <- id
@@ -66,52 +66,52 @@
 	platform := func(name string) string {
 		return socktest.Serve(t, func(_ int, r *http.Request, body string) string { return w.platform(name, r, body) })
 	}
-	w.first = platform("first")
-	w.second = platform("second")
+	w.firstAddr = platform("first")
+	w.secondAddr = platform("second")
 	w.listen = freeAddr(t)
 	w.config = filepath.Join(t.TempDir(), "config.json")
-	w.configure(w.first)
+	w.configure(w.firstAddr)
 	return w
 }
 
-// beside is another sender of the same platform.
-func (w *world) beside() *world {
-	x := &world{t: w.t, dir: w.t.TempDir(), listen: freeAddr(w.t), config: filepath.Join(w.t.TempDir(), "config.json"), first: w.first, tune: w.tune}
-	x.configure(x.first)
-	return x
+// addSender is another sender of the same platform.
+func (env *environment) addSender() *environment {
+	sender := &environment{t: env.t, stateFolder: env.t.TempDir(), listen: freeAddr(env.t), config: filepath.Join(env.t.TempDir(), "config.json"), firstAddr: env.firstAddr, tune: env.tune}
+	sender.configure(sender.firstAddr)
+	return sender
 }
 
 // platform answers for discovery and takes notices.
-func (w *world) platform(name string, r *http.Request, body string) string {
+func (env *environment) platform(name string, r *http.Request, body string) string {
 	switch {
-	case w.mute.Load():
+	case env.platformSilent.Load():
 		return socktest.Hang
-	case r.Method == http.MethodGet && w.down.Load():
+	case r.Method == http.MethodGet && env.discoveryDown.Load():
 		return ""
-	case r.Method == http.MethodPost && name == "first" && w.moved.Load():
+	case r.Method == http.MethodPost && name == "first" && env.noticesMoved.Load():
 		return socktest.Status(503)
-	case r.Method == http.MethodPost && w.deaf.Load():
-		w.told <- "unheard"
+	case r.Method == http.MethodPost && env.failNotices.Load():
+		env.notices <- "unheard"
 		return socktest.Status(503)
 	case r.Method == http.MethodPost:
-		w.told <- body
+		env.notices <- body
 		return socktest.Status(204)
 	}
-	w.asked <- name
+	env.polls <- name
 	version, state := 1, "up"
-	if w.drains.Load() {
+	if env.targetDraining.Load() {
 		version, state = 2, "draining"
 	}
 	if since := r.URL.Query().Get("since"); since == fmt.Sprint(version) {
 		return socktest.Hang
 	}
-	return socktest.JSON(fmt.Sprintf(`{"version":%d,"full":true,"servers":[{"id":"s","addr":%q,"zone":"z","kind":"k","cell":7,"state":%q,"weight":150}]}`, version, w.target, state))
+	return socktest.JSON(fmt.Sprintf(`{"version":%d,"full":true,"servers":[{"id":"s","addr":%q,"zone":"z","kind":"k","cell":7,"state":%q,"weight":150}]}`, version, env.targetAddr, state))
 }
 
 // configure writes the configuration, with that address of discovery.
-func (w *world) configure(platform string) {
+func (env *environment) configure(platform string) {
 	config := map[string]any{
-		"name": "n0", "listen": w.listen, "discovery": platform, "state": w.dir,
+		"name": "n0", "listen": env.listen, "discovery": platform, "state": env.stateFolder,
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 256, "disk_mb": 1},
 		"settings": map[string]any{
 			"siblings": 1, "zones": []string{"z"}, "kinds": []string{"k"}, "discovery": "ask",
@@ -124,36 +124,36 @@
 			"guarantees": map[string]any{"must-ask-in-ms": 10000, "fall-ms": 2000, "fall-multiple": 2, "cold-ms": 10000, "cold-from": 0.2},
 		},
 	}
-	if w.tune != nil {
-		w.tune(config)
+	if env.tune != nil {
+		env.tune(config)
 	}
 	text, _ := json.Marshal(config)
-	if err := os.WriteFile(w.config, text, 0o600); err != nil {
-		w.t.Fatal(err)
+	if err := os.WriteFile(env.config, text, 0o600); err != nil {
+		env.t.Fatal(err)
 	}
 }
 
 // start starts the program and waits until it is ready.
-func (w *world) start() *exec.Cmd {
-	w.t.Helper()
+func (env *environment) start() *exec.Cmd {
+	env.t.Helper()
 	c := exec.Command(os.Args[0], "serve")
-	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+w.config, "CLEATHOLD_SETTINGS="+w.script)
+	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+env.config, "CLEATHOLD_SETTINGS="+env.settingsScript)
 	if err := c.Start(); err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { c.Process.Kill(); c.Wait() })
+	env.t.Cleanup(func() { c.Process.Kill(); c.Wait() })
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if r := w.ask("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"); r == 200 {
+		if r := env.roundTrip("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"); r == 200 {
 			return c
 		}
 	}
-	w.t.Fatal("never ready")
+	env.t.Fatal("never ready")
 	return nil
 }
 
-// ask sends one request and returns the status of the answer, or 0.
-func (w *world) ask(text string) int {
-	conn, err := net.Dial("tcp", w.listen)
+// roundTrip sends one request and returns the status of the answer, or 0.
+func (env *environment) roundTrip(text string) int {
+	conn, err := net.Dial("tcp", env.listen)
 	if err != nil {
 		return 0
 	}
@@ -173,24 +173,24 @@
 	return r.StatusCode
 }
 
-// request is one with a message.
-func request(class, id, body string) string {
+// messageRequest is one with a message.
+func messageRequest(class, id, body string) string {
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: 60\r\nX-Addressing: dest=7\r\nContent-Length: %d\r\n\r\n%s", class, id, len(body), body)
 }
 
-func (w *world) handIn(class, id string) {
-	w.t.Helper()
-	if got := w.ask(request(class, id, "hi")); got != 202 {
-		w.t.Fatalf("%s: %d", id, got)
+func (env *environment) submit(class, id string) {
+	env.t.Helper()
+	if got := env.roundTrip(messageRequest(class, id, "hi")); got != 202 {
+		env.t.Fatalf("%s: %d", id, got)
 	}
 }
 
-func (w *world) kill(c *exec.Cmd) {
+func (env *environment) kill(c *exec.Cmd) {
 	c.Process.Signal(syscall.SIGKILL)
 	c.Wait()
 }
 
-func wait(t *testing.T, from chan string) string {
+func receive(t *testing.T, from chan string) string {
 	t.Helper()
 	select {
 	case s := <-from:
@@ -205,57 +205,57 @@
 // repeated is sent again, what may not is undeliverable, and no more is sent.
 func TestKilled(t *testing.T) {
 	var answers atomic.Bool
-	w := newWorld(t, func(string) string {
+	env := newEnvironment(t, func(string) string {
 		if !answers.Load() {
 			return socktest.Hang
 		}
 		return socktest.Status(200)
 	})
-	c := w.start()
-	w.handIn("safe", "s1")
-	w.handIn("unsafe", "u1")
-	wait(t, w.calls)
-	wait(t, w.calls)
-	w.kill(c)
+	c := env.start()
+	env.submit("safe", "s1")
+	env.submit("unsafe", "u1")
+	receive(t, env.calls)
+	receive(t, env.calls)
+	env.kill(c)
 	answers.Store(true)
-	w.start()
-	if id := wait(t, w.calls); id != "s1" {
+	env.start()
+	if id := receive(t, env.calls); id != "s1" {
 		t.Errorf("sent again: %s", id)
 	}
-	if n := wait(t, w.told); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
+	if n := receive(t, env.notices); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
 		t.Errorf("notice %q", n)
 	}
-	w.handIn("safe", "s2") // serves on, with nothing of u1 before it
-	if id := wait(t, w.calls); id != "s2" {
+	env.submit("safe", "s2") // serves on, with nothing of u1 before it
+	if id := receive(t, env.calls); id != "s2" {
 		t.Errorf("sent: %s", id)
 	}
 }
 
 // Killed again and again while messages come in, the program loses none of
 // those that it has taken on, and sends none twice that must not be repeated.
-func TestKilledAgainAndAgain(t *testing.T) {
-	w := newWorld(t, func(string) string { return socktest.Status(200) })
+func TestKilledRepeatedly(t *testing.T) {
+	env := newEnvironment(t, func(string) string { return socktest.Status(200) })
 	owed := map[string]bool{}
 	sends := map[string]int{}
-	see := func(id string) {
+	seen := func(id string) {
 		sends[id]++
 		delete(owed, id)
 	}
 	for round := range 4 {
-		c := w.start()
+		c := env.start()
 		for i := range 10 + 3*round { // the kill falls elsewhere each time
 			id := fmt.Sprintf("%c%d-%d", "su"[i%2], round, i)
 			owed[id] = true
-			w.handIn([]string{"safe", "unsafe"}[i%2], id)
+			env.submit([]string{"safe", "unsafe"}[i%2], id)
 		}
-		w.kill(c)
+		env.kill(c)
 	}
-	w.start()
+	env.start()
 	for len(owed) > 0 {
 		select {
-		case id := <-w.calls:
-			see(id)
-		case lines := <-w.told:
+		case id := <-env.calls:
+			seen(id)
+		case lines := <-env.notices:
 			for id := range owed {
 				if strings.Contains(lines, `"`+id+`"`) {
 					delete(owed, id)
@@ -273,19 +273,19 @@
 }
 
 // A notice outlasts the process until the platform has it.
-func TestNoticeOutlastsKill(t *testing.T) {
-	w := newWorld(t, func(string) string { return socktest.Status(500) })
-	w.deaf.Store(true)
-	c := w.start()
-	w.handIn("unsafe", "u1")
-	wait(t, w.told)
-	w.kill(c)
-	w.deaf.Store(false)
-	for len(w.told) > 0 {
-		<-w.told
-	}
-	w.start()
-	if n := wait(t, w.told); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
+func TestNoticeSurvivesKill(t *testing.T) {
+	env := newEnvironment(t, func(string) string { return socktest.Status(500) })
+	env.failNotices.Store(true)
+	c := env.start()
+	env.submit("unsafe", "u1")
+	receive(t, env.notices)
+	env.kill(c)
+	env.failNotices.Store(false)
+	for len(env.notices) > 0 {
+		<-env.notices
+	}
+	env.start()
+	if n := receive(t, env.notices); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
 		t.Errorf("notice %q", n)
 	}
 }
@@ -293,36 +293,36 @@
 // SIGHUP: discovery is asked and notices are sent at the address that the file
 // names now, and a file that can't be read changes nothing and ends nothing.
 func TestReload(t *testing.T) {
-	w := newWorld(t, func(string) string { return socktest.Status(500) })
-	c := w.start()
-	for wait(t, w.asked) != "first" {
+	env := newEnvironment(t, func(string) string { return socktest.Status(500) })
+	c := env.start()
+	for receive(t, env.polls) != "first" {
 	}
-	before, err := os.ReadFile(w.config)
+	before, err := os.ReadFile(env.config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.moved.Store(true)
-	w.configure(w.second)
+	env.noticesMoved.Store(true)
+	env.configure(env.secondAddr)
 	c.Process.Signal(syscall.SIGHUP)
-	for wait(t, w.asked) != "second" {
+	for receive(t, env.polls) != "second" {
 	}
 	// What can't be read, and what lacks a key that was there: not even its address of discovery is taken over.
-	for _, bad := range []string{"what", strings.Replace(string(before), `"send-cap":12`, `"x":12`, 1)} {
-		if err := os.WriteFile(w.config, []byte(bad), 0o600); err != nil {
+	for _, invalid := range []string{"what", strings.Replace(string(before), `"send-cap":12`, `"x":12`, 1)} {
+		if err := os.WriteFile(env.config, []byte(invalid), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		c.Process.Signal(syscall.SIGHUP)
 	}
-	w.handIn("unsafe", "u1")
-	if n := wait(t, w.told); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
+	env.submit("unsafe", "u1")
+	if n := receive(t, env.notices); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
 		t.Errorf("notice %q", n)
 	}
 	c.Process.Signal(syscall.SIGTERM)
 	if err := c.Wait(); err != nil { // an end by SIGHUP would show here
 		t.Error(err)
 	}
-	for len(w.asked) > 0 {
-		if name := <-w.asked; name != "second" {
+	for len(env.polls) > 0 {
+		if name := <-env.polls; name != "second" {
 			t.Errorf("discovery asked at %s again", name)
 		}
 	}
@@ -330,18 +330,18 @@
 
 // SIGTERM: the calls out are finished, and the program ends with 0.
 func TestTerminated(t *testing.T) {
-	goOn := make(chan struct{})
-	w := newWorld(t, func(string) string { <-goOn; return socktest.Status(200) })
-	c := w.start()
-	w.handIn("unsafe", "u1")
-	wait(t, w.calls)
+	answer := make(chan struct{})
+	env := newEnvironment(t, func(string) string { <-answer; return socktest.Status(200) })
+	c := env.start()
+	env.submit("unsafe", "u1")
+	receive(t, env.calls)
 	c.Process.Signal(syscall.SIGTERM)
-	close(goOn)
+	close(answer)
 	if err := c.Wait(); err != nil {
 		t.Error(err)
 	}
 	out := &strings.Builder{}
-	if err := (&pendingCmd{State: w.dir}).Run(out, nil); err != nil || out.String() != "0 pending\n" {
+	if err := (&pendingCmd{State: env.stateFolder}).Run(out, nil); err != nil || out.String() != "0 pending\n" {
 		t.Errorf("%v, left: %s", err, out)
 	}
 }
--- a/cmd/cleathold/scarce_test.go
+++ b/cmd/cleathold/scarce_test.go
@@ -18,22 +18,22 @@
 	"cleathold/internal/socktest"
 )
 
-const health = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"
+const healthRequest = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// descriptors bounds those of a process.
-func descriptors(t *testing.T, pid int, most uint64) {
+// limitDescriptors bounds those of a process.
+func limitDescriptors(t *testing.T, pid int, most uint64) {
 	t.Helper()
 	must(t, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: 1024}, nil))
 }
 
-// connect opens a client's connection that stays open until the test ends, on its side.
-func (w *world) connect() net.Conn {
-	w.t.Helper()
-	conn, err := net.Dial("tcp", w.listen)
+// connectClient opens a client's connection that stays open until the test ends, on its side.
+func (env *environment) connectClient() net.Conn {
+	env.t.Helper()
+	conn, err := net.Dial("tcp", env.listen)
 	if err != nil {
-		w.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { conn.Close() })
+	env.t.Cleanup(func() { conn.Close() })
 	return conn
 }
 
@@ -43,31 +43,31 @@
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	const most = 96
-	w := newWorld(t, func(id string) string {
+	env := newEnvironment(t, func(id string) string {
 		if strings.HasPrefix(id, "u") {
 			return socktest.Status(500)
 		}
 		return socktest.Status(200)
 	})
-	w.tune = func(config map[string]any) {
+	env.tune = func(config map[string]any) {
 		config["limits"].(map[string]any)["sockets"] = most
 		config["settings"].(map[string]any)["guarantees"].(map[string]any)["must-ask-in-ms"] = 500
 	}
-	w.configure(w.first)
-	c := w.start()
-	descriptors(t, c.Process.Pid, most)
-	wait(t, w.asked)
-	wait(t, w.asked) // the watch: the list has come
-	w.down.Store(true)
+	env.configure(env.firstAddr)
+	c := env.start()
+	limitDescriptors(t, c.Process.Pid, most)
+	receive(t, env.polls)
+	receive(t, env.polls) // the watch: the list has come
+	env.discoveryDown.Store(true)
 	body := strings.Repeat("x", 60<<10)
 	segments := map[string]bool{}
 	var waited time.Duration // by new clients, in all
 	for round := range 6 {
 		for i := range 40 {
-			conn := w.connect()
+			conn := env.connectClient()
 			if i%2 == 1 {
 				came := time.Now()
-				if got := exchange(conn, bufio.NewReader(conn), health); got != 200 {
+				if got := exchange(conn, bufio.NewReader(conn), healthRequest); got != 200 {
 					t.Fatalf("round %d, connection %d: health %d", round, i, got)
 				}
 				waited += time.Since(came)
@@ -75,18 +75,18 @@
 		}
 		for _, class := range []string{"safe", "unsafe"} {
 			id, came := fmt.Sprint(class[:1], round), time.Now()
-			if got := w.ask(request(class, id, body)); got != 202 {
+			if got := env.roundTrip(messageRequest(class, id, body)); got != 202 {
 				t.Fatalf("%s: %d", id, got)
 			}
 			waited += time.Since(came)
-			if got := wait(t, w.calls); got != id {
+			if got := receive(t, env.calls); got != id {
 				t.Fatalf("%s reached the target, want %s", got, id)
 			}
 		}
-		if n, want := wait(t, w.told), fmt.Sprintf("{\"id\":\"u%d\",\"status\":\"undeliverable\"}\n", round); n != want {
+		if n, want := receive(t, env.notices), fmt.Sprintf("{\"id\":\"u%d\",\"status\":\"undeliverable\"}\n", round); n != want {
 			t.Errorf("notice %q, want %q", n, want)
 		}
-		list, _ := filepath.Glob(filepath.Join(w.dir, "*.log"))
+		list, _ := filepath.Glob(filepath.Join(env.stateFolder, "*.log"))
 		for _, name := range list {
 			segments[name] = true
 		}
@@ -98,68 +98,68 @@
 	if len(segments) < 2 {
 		t.Errorf("the journal was never in another segment: %v", segments)
 	}
-	for len(w.asked) > 0 {
-		<-w.asked
+	for len(env.polls) > 0 {
+		<-env.polls
 	}
-	w.down.Store(false)
-	wait(t, w.asked)
-	if got := w.ask(health); got != 200 {
+	env.discoveryDown.Store(false)
+	receive(t, env.polls)
+	if got := env.roundTrip(healthRequest); got != 200 {
 		t.Errorf("health: %d", got)
 	}
-	w.handIn("safe", "last")
-	if id := wait(t, w.calls); id != "last" {
+	env.submit("safe", "last")
+	if id := receive(t, env.calls); id != "last" {
 		t.Errorf("%s reached the target", id)
 	}
 }
 
 // No descriptor is to be had for a while, neither for a client, a target nor the journal: what was taken on in it is
 // delivered afterwards, what was not was refused, and the process neither ends nor spins.
-func TestNoDescriptorToBeHad(t *testing.T) {
+func TestNoFreeDescriptors(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t, func(string) string { return socktest.Status(200) })
-	c := w.start()
-	kept := w.connect()
-	in := bufio.NewReader(kept)
-	if got := exchange(kept, in, health); got != 200 {
+	env := newEnvironment(t, func(string) string { return socktest.Status(200) })
+	c := env.start()
+	client := env.connectClient()
+	in := bufio.NewReader(client)
+	if got := exchange(client, in, healthRequest); got != 200 {
 		t.Fatalf("health: %d", got)
 	}
-	descriptors(t, c.Process.Pid, 0)
+	limitDescriptors(t, c.Process.Pid, 0)
 	before, began := processorTime(t, c.Process.Pid), time.Now()
-	taken := map[string]bool{}
-	refused := 0
+	accepted := map[string]bool{}
+	rejected := 0
 	body := strings.Repeat("x", 60<<10)
 	for i := range 24 { // more than a segment holds, and than the folder may hold of messages
 		id := fmt.Sprint("s", i)
-		switch got := exchange(kept, in, request("safe", id, body)); got {
+		switch got := exchange(client, in, messageRequest("safe", id, body)); got {
 		case 202:
-			taken[id] = true
+			accepted[id] = true
 		case 500, 503:
-			refused++
+			rejected++
 		default:
 			t.Fatalf("%s: %d", id, got)
 		}
 	}
-	late := w.connect() // waits in the queue
+	late := env.connectClient() // waits in the queue
 	time.Sleep(500 * time.Millisecond)
 	spent, passed := processorTime(t, c.Process.Pid)-before, time.Since(began)
-	descriptors(t, c.Process.Pid, 256)
-	if len(taken) == 0 || len(w.calls) > 0 {
-		t.Errorf("%d taken on, %d refused, %d calls", len(taken), refused, len(w.calls))
+	limitDescriptors(t, c.Process.Pid, 256)
+	if len(accepted) == 0 || len(env.calls) > 0 {
+		t.Errorf("%d taken on, %d refused, %d calls", len(accepted), rejected, len(env.calls))
 	}
-	for len(taken) > 0 {
-		delete(taken, wait(t, w.calls))
+	for len(accepted) > 0 {
+		delete(accepted, receive(t, env.calls))
 	}
-	if got := exchange(late, bufio.NewReader(late), health); got != 200 {
+	if got := exchange(late, bufio.NewReader(late), healthRequest); got != 200 {
 		t.Errorf("health: %d", got)
 	}
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-		if got := w.ask(request("safe", "last", "hi")); got == 202 {
+		if got := env.roundTrip(messageRequest("safe", "last", "hi")); got == 202 {
 			break
 		} else if got != 503 || time.Now().After(until) {
 			t.Fatalf("afterwards: %d", got)
 		}
 	}
-	if id := wait(t, w.calls); id != "last" {
+	if id := receive(t, env.calls); id != "last" {
 		t.Errorf("%s reached the target", id)
 	}
 	if spent > passed*3/4 {
@@ -181,51 +181,51 @@
 
 // Ready waits for nothing that can be silent: killed with messages owed and started while the platform says nothing at
 // all, the sender is ready, and delivers what it owes and what came since once discovery speaks again.
-func TestReadyWhileAllElseIsSilent(t *testing.T) {
+func TestReadyWhilePlatformSilent(t *testing.T) {
 	t.Parallel()
 	var answers bool
-	w := newWorld(t, func(string) string {
+	env := newEnvironment(t, func(string) string {
 		if !answers {
 			return socktest.Hang
 		}
 		return socktest.Status(200)
 	})
-	c := w.start()
-	w.handIn("safe", "owed")
-	wait(t, w.calls)
-	w.kill(c)
+	c := env.start()
+	env.submit("safe", "owed")
+	receive(t, env.calls)
+	env.kill(c)
 	answers = true
-	w.mute.Store(true)
+	env.platformSilent.Store(true)
 	began := time.Now()
-	c = w.start()
+	c = env.start()
 	if took := time.Since(began); took > 10*time.Second {
 		t.Errorf("ready after %v", took)
 	}
 	c.Process.Signal(syscall.SIGHUP) // the same file once more: nothing of it waits, either
-	if got := w.ask(health); got != 200 {
+	if got := env.roundTrip(healthRequest); got != 200 {
 		t.Errorf("health: %d", got)
 	}
-	w.mute.Store(false)
-	if id := wait(t, w.calls); id != "owed" {
+	env.platformSilent.Store(false)
+	if id := receive(t, env.calls); id != "owed" {
 		t.Errorf("%s was called", id)
 	}
-	w.handIn("safe", "new")
-	if id := wait(t, w.calls); id != "new" {
+	env.submit("safe", "new")
+	if id := receive(t, env.calls); id != "new" {
 		t.Errorf("%s was called", id)
 	}
 }
 
 // A hundred senders of one platform start together while discovery takes their questions and answers none: nine in ten are
 // ready within 10 s, all before it speaks, and each delivers once it does.
-func TestHundredStartWhileDiscoveryIsSilent(t *testing.T) {
+func TestHundredStartWhileDiscoverySilent(t *testing.T) {
 	const senders = 100
-	w := newWorld(t, func(string) string { return socktest.Status(200) })
-	w.tune = func(config map[string]any) { config["settings"].(map[string]any)["siblings"] = senders }
-	w.mute.Store(true)
+	env := newEnvironment(t, func(string) string { return socktest.Status(200) })
+	env.tune = func(config map[string]any) { config["settings"].(map[string]any)["siblings"] = senders }
+	env.platformSilent.Store(true)
 	go func() { // nobody counts the questions
 		for {
 			select {
-			case <-w.asked:
+			case <-env.polls:
 			case <-t.Context().Done():
 				return
 			}
@@ -233,16 +233,16 @@
 	}()
 	began := time.Now()
 	took := make([]time.Duration, senders)
-	all := make([]*world, senders)
+	all := make([]*environment, senders)
 	for i := range all {
-		all[i] = w.beside()
-		all[i].run()
+		all[i] = env.addSender()
+		all[i].startProcess()
 	}
 	var wg sync.WaitGroup
 	for i, x := range all {
 		wg.Go(func() {
 			for until := began.Add(60 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-				if x.ask(health) == 200 {
+				if x.roundTrip(healthRequest) == 200 {
 					took[i] = time.Since(began)
 					return
 				}
@@ -258,11 +258,11 @@
 	owed := map[string]bool{}
 	for i, x := range all {
 		id := fmt.Sprint("s", i)
-		x.handIn("safe", id)
+		x.submit("safe", id)
 		owed[id] = true
 	}
-	w.mute.Store(false)
+	env.platformSilent.Store(false)
 	for len(owed) > 0 {
-		delete(owed, wait(t, w.calls))
+		delete(owed, receive(t, env.calls))
 	}
 }
--- a/cmd/cleathold/store.go
+++ b/cmd/cleathold/store.go
@@ -26,8 +26,8 @@
 	JSON   bool   `help:"JSON instead of text." name:"json"`
 }
 
-// look opens a folder to be read.
-func look(folder string) (*store.Store, error) {
+// openReadOnly opens a folder to be read.
+func openReadOnly(folder string) (*store.Store, error) {
 	s, err := store.OpenReadOnly(store.Dir(folder))
 	if errors.Is(err, store.ErrNewer) {
 		return nil, fmt.Errorf("%w: use that one to read it", err)
@@ -36,7 +36,7 @@
 }
 
 func (c *storeStatCmd) Run(out io.Writer) error {
-	s, err := look(c.Folder)
+	s, err := openReadOnly(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -48,12 +48,12 @@
 	for _, g := range sum.Segments {
 		fmt.Fprintf(out, "%s\t%d bytes\t%d live\n", g.File, g.Size, g.Live)
 	}
-	tellDamages(out, sum)
+	writeDamages(out, sum)
 	_, err = fmt.Fprintf(out, "%d entities, %d bytes live of %d on disk in %d segments\n", sum.Entities, sum.Live, sum.Disk, len(sum.Segments))
 	return err
 }
 
-func tellDamages(out io.Writer, sum store.Summary) {
+func writeDamages(out io.Writer, sum store.Summary) {
 	for _, d := range sum.Damages {
 		if d.Tail {
 			fmt.Fprintf(out, "%s ends in the middle of an append at %d, which was not promised (%d bytes)\n", d.File, d.Offset, d.Length)
@@ -76,7 +76,7 @@
 }
 
 func (c *storeVerifyCmd) Run(out io.Writer) error {
-	s, err := look(c.Folder)
+	s, err := openReadOnly(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -87,18 +87,18 @@
 			return err
 		}
 	} else {
-		tellDamages(out, sum)
+		writeDamages(out, sum)
 	}
-	bad := s.Verify()
+	damage := s.Verify()
 	for _, d := range sum.Damages {
 		if d.Missing {
-			bad = errors.Join(bad, fmt.Errorf("segments before %s are missing", d.File))
+			damage = errors.Join(damage, fmt.Errorf("segments before %s are missing", d.File))
 		} else if !d.Tail {
-			bad = errors.Join(bad, fmt.Errorf("%s at %d: %d bytes can't be read", d.File, d.Offset, d.Length))
+			damage = errors.Join(damage, fmt.Errorf("%s at %d: %d bytes can't be read", d.File, d.Offset, d.Length))
 		}
 	}
-	if bad != nil {
-		return exit{fmt.Errorf("%w\n`cleathold store repair` writes what can be read into another folder", bad), exitDamaged}
+	if damage != nil {
+		return exitError{fmt.Errorf("%w\n`cleathold store repair` writes what can be read into another folder", damage), exitDamaged}
 	}
 	if !c.JSON {
 		fmt.Fprintf(out, "%d entities, all of them can be read\n", sum.Entities)
@@ -111,7 +111,7 @@
 }
 
 func (c *storeDumpCmd) Run(out io.Writer) error {
-	s, err := look(c.Folder)
+	s, err := openReadOnly(c.Folder)
 	if err != nil {
 		return err
 	}
@@ -157,13 +157,13 @@
 	if err := os.MkdirAll(c.To, 0o700); err != nil {
 		return err
 	}
-	written, left, err := store.Repair(store.Dir(c.Folder), store.Options{FS: store.Dir(c.To)}, c.Sound)
+	written, omitted, err := store.Repair(store.Dir(c.Folder), store.Options{FS: store.Dir(c.To)}, c.Sound)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return writeJSON(out, map[string]int{"written": written, "left_out": left})
+		return writeJSON(out, map[string]int{"written": written, "left_out": omitted})
 	}
-	_, err = fmt.Fprintf(out, "%d entities written, %d left out; the folder %s is as it was\n", written, left, c.Folder)
+	_, err = fmt.Fprintf(out, "%d entities written, %d left out; the folder %s is as it was\n", written, omitted, c.Folder)
 	return err
 }
--- a/cmd/cleathold/upgrade_cut_test.go
+++ b/cmd/cleathold/upgrade_cut_test.go
@@ -32,25 +32,25 @@
 // relay passes what two processes of a sender tell each other on, descriptors included, until so many bytes have passed
 // one way: then both of them see the end.
 type relay struct {
-	sock *net.UnixListener
-	way  int // 0 = from the heir, 1 = from the giver
-	left int // bytes that may pass this way; below 0 = any number
-	mu   sync.Mutex
-	sum  [2]int
-	head []byte // the first bytes from the giver: how long its estate is
-	done chan struct{}
+	listener     *net.UnixListener
+	direction    int // 0 = from the heir, 1 = from the giver
+	remaining    int // bytes that may pass this way; below 0 = any number
+	mu           sync.Mutex
+	passed       [2]int
+	lengthPrefix []byte // the first bytes from the giver: how long its estate is
+	done         chan struct{}
 }
 
-// whole tells whether the estate has passed.
-func (r *relay) whole() bool {
-	return len(r.head) == 4 && r.sum[1] >= 4+int(binary.BigEndian.Uint32(r.head))
+// stateComplete tells whether the estate has passed.
+func (r *relay) stateComplete() bool {
+	return len(r.lengthPrefix) == 4 && r.passed[1] >= 4+int(binary.BigEndian.Uint32(r.lengthPrefix))
 }
 
 func newRelay(t *testing.T, at, to string, way, left int) *relay {
 	t.Helper()
 	sock, err := ownsock.Listen(at)
 	must(t, err)
-	r := &relay{sock: sock, way: way, left: left, done: make(chan struct{})}
+	r := &relay{listener: sock, direction: way, remaining: left, done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		c, err := sock.AcceptUnix()
@@ -75,19 +75,19 @@
 func (r *relay) pump(way int, in, out *net.UnixConn) {
 	b, oob := make([]byte, 64<<10), make([]byte, unix.CmsgSpace(4))
 	for {
-		if r.way == way && r.left == 0 {
+		if r.direction == way && r.remaining == 0 {
 			return
 		}
 		n, rights, _, _, err := in.ReadMsgUnix(b, oob)
-		if n > 0 && r.way == way && r.left > 0 {
-			n = min(n, r.left)
-			r.left -= n
+		if n > 0 && r.direction == way && r.remaining > 0 {
+			n = min(n, r.remaining)
+			r.remaining -= n
 		}
 		if n > 0 {
 			r.mu.Lock()
-			r.sum[way] += n
-			if way == 1 && len(r.head) < 4 {
-				r.head = append(r.head, b[:min(n, 4-len(r.head))]...)
+			r.passed[way] += n
+			if way == 1 && len(r.lengthPrefix) < 4 {
+				r.lengthPrefix = append(r.lengthPrefix, b[:min(n, 4-len(r.lengthPrefix))]...)
 			}
 			r.mu.Unlock()
 			out.WriteMsgUnix(b[:n], oob[:rights], nil)
@@ -108,45 +108,45 @@
 }
 
 // A line of processes: the one that serves, and its folder for temporary files.
-type succession struct {
-	t     *testing.T
-	w     *world
-	block *netfault.Block
-	temp  string // each process has a folder of its own in it, where its desk stands
-	now   *exec.Cmd
-	at    string // its second address
-	desk  string
-	n     int
+type handoverChain struct {
+	t         *testing.T
+	w         *environment
+	block     *netfault.Block
+	temp      string // each process has a folder of its own in it, where its desk stands
+	current   *exec.Cmd
+	adminAddr string // its second address
+	socket    string
+	started   int
 
-	mu    sync.Mutex
-	calls map[string]int
-	hold  map[string]chan struct{} // an unsafe message's call is answered when it is closed
-	notes map[string]string
+	mu          sync.Mutex
+	calls       map[string]int
+	heldAnswers map[string]chan struct{} // an unsafe message's call is answered when it is closed
+	notices     map[string]string
 }
 
-// callSpan is what calls take that are not held back.
-const callSpan = 100 * time.Millisecond
+// callTime is what calls take that are not held back.
+const callTime = 100 * time.Millisecond
 
-func newSuccession(t *testing.T) *succession {
+func newHandoverChain(t *testing.T) *handoverChain {
 	temp, err := os.MkdirTemp("", "cs") // a Unix address is short
 	must(t, err)
 	t.Cleanup(func() { os.RemoveAll(temp) })
 	block, err := netfault.NewBlock()
 	must(t, err)
 	t.Cleanup(block.Close)
-	s := &succession{t: t, w: newWorld(t, nil), temp: temp, block: block, calls: map[string]int{}, hold: map[string]chan struct{}{}, notes: map[string]string{}}
-	s.w.listen = block.Host(2) + ":8080" // nobody else of this machine has it
-	s.w.configure(s.w.first)
-	s.w.raw = func(r *http.Request) string {
+	chain := &handoverChain{t: t, w: newEnvironment(t, nil), temp: temp, block: block, calls: map[string]int{}, heldAnswers: map[string]chan struct{}{}, notices: map[string]string{}}
+	chain.w.listen = block.Host(2) + ":8080" // nobody else of this machine has it
+	chain.w.configure(chain.w.firstAddr)
+	chain.w.respond = func(r *http.Request) string {
 		id := r.Header.Get("X-Request-Id")
-		s.mu.Lock()
-		s.calls[id]++
-		hold := s.hold[id]
-		s.mu.Unlock()
-		if hold != nil {
-			<-hold
+		chain.mu.Lock()
+		chain.calls[id]++
+		answered := chain.heldAnswers[id]
+		chain.mu.Unlock()
+		if answered != nil {
+			<-answered
 		} else {
-			time.Sleep(callSpan) // or the sender would soon think that no call takes so long as a hand-over does
+			time.Sleep(callTime) // or the sender would soon think that no call takes so long as a hand-over does
 		}
 		return socktest.Status(200)
 	}
@@ -155,50 +155,50 @@
 			select {
 			case <-t.Context().Done():
 				return
-			case <-s.w.asked:
-			case text := <-s.w.told:
-				s.mu.Lock()
+			case <-chain.w.polls:
+			case text := <-chain.w.notices:
+				chain.mu.Lock()
 				for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 					var id string
 					fmt.Sscanf(line, `{"id":%q`, &id)
-					s.notes[id] += line
+					chain.notices[id] += line
 				}
-				s.mu.Unlock()
+				chain.mu.Unlock()
 			}
 		}
 	}()
-	return s
+	return chain
 }
 
-// next starts a process whose desk stands in a folder of its own.
-func (s *succession) next() (c *exec.Cmd, at, desk string) {
-	s.n++
-	dir := filepath.Join(s.temp, fmt.Sprint(s.n))
-	must(s.t, os.MkdirAll(dir, 0o700))
-	at = fmt.Sprintf("%s:%d", s.block.Host(3), 9000+s.n)
+// newProcess starts a process whose desk stands in a folder of its own.
+func (chain *handoverChain) newProcess() (c *exec.Cmd, at, socket string) {
+	chain.started++
+	dir := filepath.Join(chain.temp, fmt.Sprint(chain.started))
+	must(chain.t, os.MkdirAll(dir, 0o700))
+	at = fmt.Sprintf("%s:%d", chain.block.Host(3), 9000+chain.started)
 	c = exec.Command(os.Args[0], "serve")
-	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+s.w.config, "LB_ADMIN="+at, "TMPDIR="+dir)
-	return c, at, filepath.Join(dir, filepath.Base(handover.Path(s.w.dir)))
+	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+chain.w.config, "LB_ADMIN="+at, "TMPDIR="+dir)
+	return c, at, filepath.Join(dir, filepath.Base(handover.Path(chain.w.stateFolder)))
 }
 
-func (s *succession) count(id string) (calls int, note string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.calls[id], s.notes[id]
+func (chain *handoverChain) count(id string) (calls int, note string) {
+	chain.mu.Lock()
+	defer chain.mu.Unlock()
+	return chain.calls[id], chain.notices[id]
 }
 
-func (s *succession) until(what string, is func() bool) {
-	s.t.Helper()
+func (chain *handoverChain) await(what string, is func() bool) {
+	chain.t.Helper()
 	for until := time.Now().Add(20 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(until) {
-			s.t.Fatalf("not within 20 s: %s", what)
+			chain.t.Fatalf("not within 20 s: %s", what)
 		}
 	}
 }
 
-// open is how many messages the one that serves still owes an end; below 0: it does not say.
-func (s *succession) open() int {
-	r, err := http.Get("http://" + s.at + admin.StatusPath)
+// openMessages is how many messages the one that serves still owes an end; below 0: it does not say.
+func (chain *handoverChain) openMessages() int {
+	r, err := http.Get("http://" + chain.adminAddr + admin.StatusPath)
 	if err != nil {
 		return -1
 	}
@@ -212,63 +212,63 @@
 
 // handOver has another process take over, and what the two tell each other end after so many bytes one way. An unsafe
 // message is out meanwhile; its call is answered once it is clear who serves.
-func (s *succession) handOver(way, left int) (sum [2]int, heir bool) {
-	t := s.t
+func (chain *handoverChain) handOver(way, left int) (sum [2]int, succeeded bool) {
+	t := chain.t
 	t.Helper()
 	name := fmt.Sprintf("%d.%d", way, left)
 	out, more := "out-"+name, "more-"+name
-	s.mu.Lock()
-	s.hold[out] = make(chan struct{})
-	s.mu.Unlock()
-	s.w.handIn("unsafe", out)
-	s.until("the call is out", func() bool { n, _ := s.count(out); return n == 1 })
-	c, at, desk := s.next()
-	r := newRelay(t, desk, s.desk, way, left)
+	chain.mu.Lock()
+	chain.heldAnswers[out] = make(chan struct{})
+	chain.mu.Unlock()
+	chain.w.submit("unsafe", out)
+	chain.await("the call is out", func() bool { n, _ := chain.count(out); return n == 1 })
+	c, at, socket := chain.newProcess()
+	r := newRelay(t, socket, chain.socket, way, left)
 	must(t, c.Start())
 	t.Cleanup(func() { c.Process.Kill() })
 	go c.Wait()
-	s.until("what they say is cut, or the heir is ready", func() bool {
+	chain.await("what they say is cut, or the heir is ready", func() bool {
 		select {
 		case <-r.done:
 			return true
 		default:
-			return order(http.MethodGet, at, "/v1/readyz") == http.StatusOK
+			return callAdmin(http.MethodGet, at, "/v1/readyz") == http.StatusOK
 		}
 	})
-	s.mu.Lock()
-	close(s.hold[out])
-	s.mu.Unlock()
+	chain.mu.Lock()
+	close(chain.heldAnswers[out])
+	chain.mu.Unlock()
 	<-r.done
-	lives := func(c *exec.Cmd) bool { return c.Process.Signal(unix.Signal(0)) == nil }
-	s.until("one of them has ended", func() bool { return lives(s.now) != lives(c) })
-	if heir = lives(c); heir {
-		s.now, s.at, s.desk = c, at, desk
+	alive := func(c *exec.Cmd) bool { return c.Process.Signal(unix.Signal(0)) == nil }
+	chain.await("one of them has ended", func() bool { return alive(chain.current) != alive(c) })
+	if succeeded = alive(c); succeeded {
+		chain.current, chain.adminAddr, chain.socket = c, at, socket
 	}
-	if heir && !r.whole() {
+	if succeeded && !r.stateComplete() {
 		t.Errorf("%s: an heir without the whole estate serves", name)
 	}
-	ready(t, s.at)
-	s.w.handIn("unsafe", more)
-	s.until("nothing is open", func() bool { return s.open() == 0 })
-	return r.sum, heir
+	awaitReady(t, chain.adminAddr)
+	chain.w.submit("unsafe", more)
+	chain.await("nothing is open", func() bool { return chain.openMessages() == 0 })
+	return r.passed, succeeded
 }
 
 // Two processes of a sender tell each other what a hand-over needs, and are cut off from each other at each byte of it,
 // while both live. As long as the estate is not whole the giver serves on. From then on both may believe that they have it,
 // and whoever comes first to the journal does; the other finds it locked and ends. One of them serves in any case, nothing
 // unsafe is sent twice, and what was out ends once: by its call's answer, or undeliverable where that could not be passed on.
-func TestHandOverCutAtEachByte(t *testing.T) {
+func TestHandoverCutAtEachByte(t *testing.T) {
 	t.Parallel()
 	const shards = 6
 	var sum [2]int
 	t.Run("whole", func(t *testing.T) {
-		s := newSuccession(t)
-		s.begin()
-		var heir bool
-		if sum, heir = s.handOver(0, -1); !heir {
+		chain := newHandoverChain(t)
+		chain.start()
+		var succeeded bool
+		if sum, succeeded = chain.handOver(0, -1); !succeeded {
 			t.Error("the heir did not take over")
 		}
-		s.judge(map[string]bool{"out-0.-1": false})
+		chain.checkOutcomes(map[string]bool{"out-0.-1": false})
 	})
 	var cuts [][2]int
 	for way, n := range sum {
@@ -278,57 +278,57 @@
 			}
 		}
 	}
-	var heirs, givers atomic.Int64
+	var successors, predecessors atomic.Int64
 	t.Run("cut", func(t *testing.T) {
 		for i := range shards {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
-				s := newSuccession(t)
-				s.begin()
+				chain := newHandoverChain(t)
+				chain.start()
 				cut := map[string]bool{}
 				for k := i; k < len(cuts); k += shards {
-					_, heir := s.handOver(cuts[k][0], cuts[k][1])
-					if cut[fmt.Sprintf("out-%d.%d", cuts[k][0], cuts[k][1])] = heir; heir {
-						heirs.Add(1)
+					_, succeeded := chain.handOver(cuts[k][0], cuts[k][1])
+					if cut[fmt.Sprintf("out-%d.%d", cuts[k][0], cuts[k][1])] = succeeded; succeeded {
+						successors.Add(1)
 					} else {
-						givers.Add(1)
+						predecessors.Add(1)
 					}
 				}
-				s.judge(cut)
+				chain.checkOutcomes(cut)
 			})
 		}
 	})
-	t.Logf("the heir says %d bytes, the giver %d; %d cuts: %d heirs and %d givers served", sum[0], sum[1], len(cuts), heirs.Load(), givers.Load())
-	if heirs.Load() < 30 || givers.Load() < 30 {
-		t.Errorf("%d heirs and %d givers served", heirs.Load(), givers.Load())
+	t.Logf("the heir says %d bytes, the giver %d; %d cuts: %d heirs and %d givers served", sum[0], sum[1], len(cuts), successors.Load(), predecessors.Load())
+	if successors.Load() < 30 || predecessors.Load() < 30 {
+		t.Errorf("%d heirs and %d givers served", successors.Load(), predecessors.Load())
 	}
 }
 
-func (s *succession) begin() {
-	c, at, desk := s.next()
-	must(s.t, c.Start())
-	s.t.Cleanup(func() { c.Process.Kill() })
+func (chain *handoverChain) start() {
+	c, at, socket := chain.newProcess()
+	must(chain.t, c.Start())
+	chain.t.Cleanup(func() { c.Process.Kill() })
 	go c.Wait()
-	ready(s.t, at)
-	s.now, s.at, s.desk = c, at, desk
+	awaitReady(chain.t, at)
+	chain.current, chain.adminAddr, chain.socket = c, at, socket
 }
 
-// judge goes through all messages in the end. What was out when an heir took over may have ended undeliverable where the
+// checkOutcomes goes through all messages in the end. What was out when an heir took over may have ended undeliverable where the
 // answer could not be passed on; nothing else may.
-func (s *succession) judge(heirs map[string]bool) {
-	s.t.Helper()
+func (chain *handoverChain) checkOutcomes(succeeded map[string]bool) {
+	chain.t.Helper()
 	time.Sleep(300 * time.Millisecond) // a notice that should not come would be under way now
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for id, n := range s.calls {
+	chain.mu.Lock()
+	defer chain.mu.Unlock()
+	for id, n := range chain.calls {
 		if n != 1 {
-			s.t.Errorf("%s was sent %d times", id, n)
+			chain.t.Errorf("%s was sent %d times", id, n)
 		}
-		if note := s.notes[id]; note != "" && !(heirs[id] && strings.Count(note, id) == 1 && strings.Contains(note, "undeliverable")) {
-			s.t.Errorf("%s: %s", id, note)
+		if notice := chain.notices[id]; notice != "" && !(succeeded[id] && strings.Count(notice, id) == 1 && strings.Contains(notice, "undeliverable")) {
+			chain.t.Errorf("%s: %s", id, notice)
 		}
 	}
-	if len(s.calls) != 2*len(heirs) {
-		s.t.Errorf("%d messages were sent, %d hand-overs", len(s.calls), len(heirs))
+	if len(chain.calls) != 2*len(succeeded) {
+		chain.t.Errorf("%d messages were sent, %d hand-overs", len(chain.calls), len(succeeded))
 	}
 }
