--- /dev/null
+++ b/cmd/cleathold/discovery_test.go
@@ -0,0 +1,108 @@
+package main
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"cleathold/internal/socktest"
+)
+
+// What discovery has begun to tell counts as told, whatever becomes of its answer: no call reaches a draining target later
+// than the grace of drains, and service goes on once the target is up again.
+func TestTruncatedDiscoveryAnswers(t *testing.T) {
+	t.Parallel()
+	closes := func(end func(*net.TCPConn)) func(*net.TCPConn, string) {
+		return func(c *net.TCPConn, text string) { io.WriteString(c, text[:len(text)-9]); end(c) }
+	}
+	for _, x := range []struct {
+		name   string
+		fail   func(c *net.TCPConn, text string)
+		faulty int
+		span   time.Duration
+	}{
+		{"stops in its first line", writePrefix(9), 1, 0},
+		{"stops in its head", writePrefix(25), 1, 0},
+		{"stops in its list", writePrefix(-9), 1, 0},
+		{"stops in its list twice", writePrefix(-9), 2, 0},
+		{"each stops before its list for 3 s", writePrefix(60), 0, 3 * time.Second},
+		{"closes in its list twice", closes(func(c *net.TCPConn) { c.Close() }), 2, 0},
+		{"resets in its list twice", closes(func(c *net.TCPConn) { c.SetLinger(0); c.Close() }), 2, 0},
+		{"can't be read", func(c *net.TCPConn, text string) { io.WriteString(c, socktest.JSON(`{"version":2,"servers":}`)) }, 1, 0},
+		{"comes byte by byte", func(c *net.TCPConn, text string) {
+			for i := range text {
+				io.WriteString(c, text[i:i+1])
+				time.Sleep(100 * time.Millisecond)
+			}
+		}, 1, 0},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			t.Parallel()
+			testBrokenAnswer(t, x.fail, x.faulty, x.span)
+		})
+	}
+}
+
+// A watch goes on for 200 ms after an answer: a change in that time counts as told, also where a large fleet's sender
+// rests before it asks again.
+func TestChangeRightAfterAnswer(t *testing.T) {
+	t.Parallel()
+	const grace = 2 * time.Second
+	env := newDrainEnvironment(t, nil, grace, 50)
+	env.setState("up", 0, 0)
+	for until := time.Now().Add(10 * time.Second); env.notifiedAt().IsZero(); time.Sleep(time.Millisecond) {
+		if time.Now().After(until) {
+			t.Fatal("no question to discovery")
+		}
+	}
+	time.Sleep(100 * time.Millisecond)
+	env.setState("draining", 0, 0)
+	notified := time.Now()
+	env.submitUntil("a", notified.Add(4*time.Second))
+	if last, _ := env.calls(); last.Sub(notified) > grace+50*time.Millisecond {
+		t.Errorf("a call reached the target %v after the drain was told", last.Sub(notified))
+	}
+}
+
+// A process that is started with the list of its configuration, while discovery says nothing, sends nothing to a target
+// of which the process before it was told that it drains.
+func TestRestartKnowsDrainedTarget(t *testing.T) {
+	t.Parallel()
+	env := newDrainEnvironment(t, nil, time.Second, 1)
+	env.setState("draining", 0, 0)
+	for until := time.Now().Add(10 * time.Second); env.notifiedAt().IsZero(); time.Sleep(time.Millisecond) {
+		if time.Now().After(until) {
+			t.Fatal("the drain was never told")
+		}
+	}
+	env.submitUntil("a", time.Now().Add(1200*time.Millisecond))
+	env.silent.Store(true)
+	env.kill(env.process)
+	env.process = env.start()
+	_, before := env.calls()
+	env.submitUntil("b", time.Now().Add(2*time.Second))
+	if _, count := env.calls(); count != before {
+		t.Errorf("%d calls reached the target after the restart", count-before)
+	}
+	env.silent.Store(false)
+	env.setState("up", 0, 0)
+	env.awaitCalls(t, before)
+}
+
+func testBrokenAnswer(t *testing.T, fail func(*net.TCPConn, string), faulty int, span time.Duration) {
+	const grace = time.Second
+	env := newDrainEnvironment(t, fail, grace, 1)
+	env.setState("draining", faulty, span)
+	env.submitUntil("a", time.Now().Add(3500*time.Millisecond))
+	notified := env.notifiedAt()
+	if notified.IsZero() {
+		t.Fatal("the drain was never told")
+	}
+	last, before := env.calls()
+	if lateness := last.Sub(notified); lateness > grace+50*time.Millisecond {
+		t.Errorf("a call reached the target %v after the drain was told", lateness)
+	}
+	env.setState("up", 0, 0)
+	env.awaitCalls(t, before)
+}
--- a/cmd/cleathold/upgrade_test.go
+++ b/cmd/cleathold/handover_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -21,104 +20,6 @@
 	"cleathold/internal/state"
 )
 
-var hosts atomic.Int32
-
-// freeAddr is an address that nobody listens on, at a host of its own: a port of 127.0.0.1 that was given back may become
-// that of anybody's connection.
-func freeAddr(t *testing.T) string {
-	t.Helper()
-	n := hosts.Add(1)
-	free, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", 1+n/250, 1+n%250))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer free.Close()
-	return free.Addr().String()
-}
-
-// newHandoverEnvironment is a world whose sender has a second address, and whose folder for temporary files is its own.
-func newHandoverEnvironment(t *testing.T, answer func(id string) string) *environment {
-	t.Helper()
-	temp, err := os.MkdirTemp("", "ct") // a Unix address is short
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { os.RemoveAll(temp) })
-	t.Setenv("TMPDIR", temp)
-	return newEnvironment(t, answer)
-}
-
-// startProcess starts the program with a second address and returns without waiting.
-func (env *environment) startProcess() (*exec.Cmd, string) {
-	env.t.Helper()
-	at := freeAddr(env.t)
-	c := exec.Command(os.Args[0], "serve")
-	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+env.config, "LB_ADMIN="+at)
-	if err := c.Start(); err != nil {
-		env.t.Fatal(err)
-	}
-	env.t.Cleanup(func() { c.Process.Kill(); c.Wait() })
-	return c, at
-}
-
-// awaitReady waits until a second address says yes.
-func awaitReady(t *testing.T, at string) {
-	t.Helper()
-	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if callAdmin(http.MethodGet, at, "/v1/readyz") == http.StatusOK {
-			return
-		}
-	}
-	t.Fatal("never ready")
-}
-
-// callAdmin makes one call at a second address; 0: it was not to be had.
-func callAdmin(method, at, path string) int {
-	r, err := http.NewRequest(method, "http://"+at+path, nil)
-	if err != nil {
-		return 0
-	}
-	a, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 10 * time.Second}).Do(r)
-	if err != nil {
-		return 0
-	}
-	a.Body.Close()
-	return a.StatusCode
-}
-
-// awaitExit waits for a process that ends by itself.
-func awaitExit(t *testing.T, c *exec.Cmd) error {
-	t.Helper()
-	done := make(chan error, 1)
-	go func() { done <- c.Wait() }()
-	select {
-	case err := <-done:
-		return err
-	case <-time.After(20 * time.Second):
-		t.Fatal("it runs on")
-		return nil
-	}
-}
-
-// submitAndAwait hands a message in and wants it to be the next that reaches the target.
-func (env *environment) submitAndAwait(class, id string) {
-	env.t.Helper()
-	env.submit(class, id)
-	if got := receive(env.t, env.calls); got != id {
-		env.t.Errorf("sent: %s, want %s", got, id)
-	}
-}
-
-// requireNoNotice wants the platform to have been told nothing more.
-func (env *environment) requireNoNotice() {
-	env.t.Helper()
-	select {
-	case n := <-env.notices:
-		env.t.Errorf("notice %q", n)
-	default:
-	}
-}
-
 // The next process takes over while calls are out at the one before. What comes of those the old one passes on:
 // served, nothing is sent twice; refused, they never ran, and the new one sends them again. Killed before that, the old
 // one leaves them as ones that may have run.
--- a/cmd/cleathold/labfleet.go
+++ b/cmd/cleathold/labfleet.go
@@ -15,7 +15,6 @@
 
 	"cleathold/internal/cluster"
 	"cleathold/internal/rollout"
-	"cleathold/internal/scenario"
 )
 
 type labFleetCmd struct {
@@ -171,48 +170,3 @@
 	fmt.Fprintf(out, "messages that took effect: %.4f of those wanted before the release, %.4f in it\n", m.Before, m.During)
 	return violationsError(m.Violations + m.OverBudget)
 }
-
-// runWithAgents plays a scenario that has agents: they run the senders.
-func (c *labRunCmd) runWithAgents(out io.Writer, s *scenario.Scenario) error {
-	folder := c.Out
-	var err error
-	if folder == "" {
-		if folder, err = os.MkdirTemp("", "fleet"); err != nil {
-			return err
-		}
-		defer os.RemoveAll(folder)
-	} else if err = os.Mkdir(folder, 0o700); err != nil {
-		return err
-	}
-	if folder, err = filepath.Abs(folder); err != nil {
-		return err
-	}
-	set, err := clusterSetup(folder, 0)
-	if err != nil {
-		return err
-	}
-	if c.Program != "" {
-		if set.Program, err = filepath.Abs(c.Program); err != nil {
-			return err
-		}
-	}
-	set.Plan = s.Plan(c.Seed)
-	set.Rate = set.Plan.Rate
-	h := cluster.FromPlan(set.Plan)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
-	if err := h.Play(ctx, set); err != nil {
-		return exitError{err, exitIncomplete}
-	}
-	if c.JSON {
-		if err := writeJSON(out, h); err != nil {
-			return err
-		}
-	} else {
-		writeHistory(out, h)
-		for _, p := range h.Plans {
-			fmt.Fprintln(out, "  plan", p)
-		}
-	}
-	return violationsError(len(h.Faults))
-}
--- a/cmd/cleathold/kills_test.go
+++ b/cmd/cleathold/redelivery_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"net/http"
 	"os"
 	"os/exec"
 	"strconv"
@@ -71,16 +69,6 @@
 	}, func(*environment, *exec.Cmd) {})
 }
 
-// senderStatusAt is what a sender says at its second address.
-func senderStatusAt(t *testing.T, at string) (s admin.Status) {
-	t.Helper()
-	r, err := http.Get("http://" + at + admin.StatusPath)
-	must(t, err)
-	defer r.Body.Close()
-	must(t, json.NewDecoder(r.Body).Decode(&s))
-	return s
-}
-
 // redeliverThrough plays it. Start starts the process of a round beside the last one's or in its place, mid changes something
 // in the middle of a round, over ends one.
 func redeliverThrough(t *testing.T, start func(env *environment, last *exec.Cmd) *exec.Cmd, midRound func(env *environment), endRound func(env *environment, c *exec.Cmd)) {
--- a/cmd/cleathold/scarce_test.go
+++ b/cmd/cleathold/resources_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"slices"
@@ -18,25 +17,12 @@
 	"cleathold/internal/socktest"
 )
 
-const healthRequest = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"
-
 // limitDescriptors bounds those of a process.
 func limitDescriptors(t *testing.T, pid int, most uint64) {
 	t.Helper()
 	must(t, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: 1024}, nil))
 }
 
-// connectClient opens a client's connection that stays open until the test ends, on its side.
-func (env *environment) connectClient() net.Conn {
-	env.t.Helper()
-	conn, err := net.Dial("tcp", env.listen)
-	if err != nil {
-		env.t.Fatal(err)
-	}
-	env.t.Cleanup(func() { conn.Close() })
-	return conn
-}
-
 // Clients that connect and say nothing, or ask once and stay, more of them than there are descriptors, while discovery
 // is down: messages still get in, to targets, into new segments of the journal and to the platform, and when discovery
 // is back it is asked.
--- /dev/null
+++ b/cmd/cleathold/serve.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"time"
+
+	"cleathold/internal/lifecycle"
+	"cleathold/internal/settings"
+	"cleathold/internal/state"
+)
+
+type serveCmd struct {
+	Config   string `help:"Configuration file." env:"LB_CONFIG" required:"" type:"path"`
+	Settings string `help:"Starlark script with settings of our own: held messages, the admin plane. Without it both are off." env:"CLEATHOLD_SETTINGS"`
+}
+
+func (s *serveCmd) Run(log *slog.Logger) error {
+	return lifecycle.Serve(func() (lifecycle.Config, error) { return lifecycle.Load(s.Config, s.Settings, os.Getenv) }, log)
+}
+
+type checkCmd struct {
+	Config   string `arg:"" optional:"" help:"Configuration file." type:"existingfile"`
+	Settings string `help:"Starlark script with settings of our own." type:"existingfile"`
+}
+
+func (k *checkCmd) Run(out io.Writer) error {
+	if k.Config == "" && k.Settings == "" {
+		return errors.New("name a configuration file, or a script by --settings")
+	}
+	if k.Settings != "" {
+		s, err := settings.Load(k.Settings)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintln(out, s.Summary())
+	}
+	if k.Config == "" {
+		return nil
+	}
+	c, err := lifecycle.Load(k.Config, "", os.Getenv)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(out, "%s: listens on %s, %d classes, %d targets known, %d slots, holds %d messages\n",
+		c.Name, c.Listen, len(c.Settings.Classes), len(c.Known.Targets), c.Settings.MaxInFlight, c.Settings.MaxOpenMessages)
+	return err
+}
+
+type pendingCmd struct {
+	State string `arg:"" help:"State folder." env:"LB_STATE" type:"existingdir"`
+}
+
+func (p *pendingCmd) Run(out io.Writer, log *slog.Logger) error {
+	list, err := state.ReadPending(p.State, log)
+	if err != nil {
+		return err
+	}
+	for _, m := range list {
+		fmt.Fprintf(out, "%s\tdest=%d\tdue %s\tforwards=%d\tmay have run=%t\towed: %s\n",
+			m.ID, m.Destination, m.Deadline.Format(time.RFC3339Nano), m.Attempts, m.MayHaveRun, m.Owed)
+	}
+	_, err = fmt.Fprintf(out, "%d pending\n", len(list))
+	return err
+}
--- a/cmd/cleathold/store.go
+++ b/cmd/cleathold/store.go
@@ -9,9 +9,6 @@
 	"cleathold/internal/store"
 )
 
-// exitDamaged is the exit code of a check that found damage.
-const exitDamaged = 8
-
 type storeCmd struct {
 	Stat    storeStatCmd    `cmd:"" help:"Tell what a folder holds; also while it is in use."`
 	Verify  storeVerifyCmd  `cmd:"" help:"Read all that is live, and tell of damage; also while it is in use."`
