--- a/cmd/cleathold/agent.go
+++ b/cmd/cleathold/agent.go
@@ -14,66 +14,84 @@
 	"cleathold/internal/settings"
 )
 
+// agentCmd groups the commands that run on an agent's own machine.
 type agentCmd struct {
 	Found agentFoundCmd `cmd:"" help:"Make the folder of one of the first agents, once. Say it on each of their machines."`
-	Run   agentRunCmd   `cmd:"" help:"Run the agent. One whose folder is empty is taken in by the others, in its old one's place."`
+	Run   agentRunCmd   `cmd:"" help:"${help_agent_run}"`
 }
 
-// agentSettings are where an agent is told what it is.
+// agentSettings is the flag that names an agent's settings script.
 type agentSettings struct {
-	Settings string `help:"Starlark script with agent(...), sender(...), budget(...) and timing(...)." env:"CLEATHOLD_SETTINGS" required:"" type:"existingfile"`
+	Settings string `help:"${help_agent_settings}" env:"CLEATHOLD_SETTINGS" required:"" type:"existingfile"`
 }
 
+// load reads the script and checks the terms in it.
 func (s agentSettings) load(log *slog.Logger) (agent.Config, error) {
-	set, err := settings.Load(s.Settings)
+	script, err := loadAgentSettings(s.Settings)
 	if err != nil {
 		return agent.Config{}, err
 	}
-	if set.Agent == nil {
-		return agent.Config{}, fmt.Errorf("%s: no agent(name = ...) in it", s.Settings)
-	}
-	x := set.Agent
 	c := agent.Config{
-		Name: x.Name, Listen: x.Listen, Folder: x.Folder, Peers: x.Agents, First: rollout.Version{Name: x.Version, Program: x.Program}, Terms: rolloutTerms(x), Log: log,
+		Name: script.Name, Listen: script.Listen, Folder: script.Folder, Peers: script.Agents,
+		First: rollout.Version{Name: script.Version, Program: script.Program}, Terms: rolloutTerms(script), Log: log,
 	}
-	for _, n := range x.Senders {
-		c.Senders = append(c.Senders, agent.Sender(n))
+	for _, sender := range script.Senders {
+		c.Senders = append(c.Senders, agent.Sender(sender))
 	}
 	return c, c.Terms.Check(0)
 }
 
-func rolloutTerms(x *settings.Agent) rollout.Terms {
+// loadAgentSettings reads a settings script, which must describe an agent.
+func loadAgentSettings(path string) (*settings.Agent, error) {
+	script, err := settings.Load(path)
+	if err != nil {
+		return nil, err
+	}
+	if script.Agent == nil {
+		return nil, fmt.Errorf("%s: no agent(name = ...) in it", path)
+	}
+	return script.Agent, nil
+}
+
+// rolloutTerms returns the budget and the timing that a settings script asks for.
+func rolloutTerms(s *settings.Agent) rollout.Terms {
 	return rollout.Terms{
-		Budget: rollout.Budget(x.Budget),
-		Timing: rollout.Timing{Fresh: x.Timing.Fresh, Accept: x.Timing.Accept, Lease: x.Timing.Lease, Error: x.Timing.ClockError},
+		Budget: rollout.Budget(s.Budget),
+		Timing: rollout.Timing{
+			Fresh: s.Timing.Fresh, Accept: s.Timing.Accept, Lease: s.Timing.Lease, Error: s.Timing.ClockError,
+		},
 	}
 }
 
+// agentFoundCmd makes the folder of one of the first agents of a fleet.
 type agentFoundCmd struct{ agentSettings }
 
+// Run executes the command.
 func (c *agentFoundCmd) Run(out io.Writer, log *slog.Logger) error {
-	set, err := c.load(log)
-	if err == nil {
-		err = agent.Bootstrap(set)
-	}
+	config, err := c.load(log)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%s: the folder of agent %s, one of %d\n", set.Folder, set.Name, len(set.Peers))
+	if err := agent.Bootstrap(config); err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(out, "%s: the folder of agent %s, one of %d\n", config.Folder, config.Name, len(config.Peers))
 	return err
 }
 
+// agentRunCmd runs an agent until SIGINT or SIGTERM. SIGHUP is ignored: it is for the senders.
 type agentRunCmd struct{ agentSettings }
 
+// Run executes the command.
 func (c *agentRunCmd) Run(log *slog.Logger) error {
-	set, err := c.load(log)
+	config, err := c.load(log)
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
 	signal.Ignore(syscall.SIGHUP)
-	a, err := agent.New(set)
+	a, err := agent.New(config)
 	if err != nil {
 		return err
 	}
--- a/cmd/cleathold/deadletter.go
+++ b/cmd/cleathold/deadletter.go
@@ -4,9 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"os"
-	"os/signal"
-	"syscall"
 	"time"
 
 	"cleathold/internal/admin"
@@ -14,6 +11,7 @@
 	"cleathold/internal/settings"
 )
 
+// heldCmd groups the commands for the dead-letter queue of a sender.
 type heldCmd struct {
 	Source deadLetterSource `embed:""`
 	List   heldListCmd      `cmd:"" help:"List held messages, a page at a time."`
@@ -26,84 +24,103 @@
 	Audit  heldAuditCmd     `cmd:"" help:"Show who did what, the latest first."`
 }
 
-// deadLetterSource says whom to ask.
+// deadLetterSource holds the flags that say where the queue is: at a running sender, or in a stopped one's folder.
 type deadLetterSource struct {
 	Socket   string `help:"Admin socket of a running sender." type:"path"`
 	Folder   string `help:"Held folder of a stopped sender; to read only." type:"path"`
-	Settings string `help:"Settings script that names both: the socket is asked if a sender answers there, else the folder." env:"CLEATHOLD_SETTINGS"`
-	JSON     bool   `help:"JSON instead of text." name:"json"`
+	Settings string `help:"${help_held_settings}" env:"CLEATHOLD_SETTINGS"`
+	jsonFlag
 }
 
-// connect finds whom to ask.
-func (w *deadLetterSource) connect() (admin.API, error) {
-	socket, folder := w.Socket, w.Folder
-	if socket == "" && folder == "" {
-		if w.Settings == "" {
-			return nil, errors.New("name --socket, --folder or --settings: whom to ask")
-		}
-		s, err := settings.Load(w.Settings)
-		if err != nil {
-			return nil, err
-		}
-		if s.Admin != nil {
-			socket = s.Admin.Socket
-		}
-		if s.Held != nil {
-			folder = s.Held.Folder
-		}
+// locate returns the admin socket and the folder that the flags, or else the settings script, name. Either may be
+// empty.
+func (s *deadLetterSource) locate() (socket, folder string, err error) {
+	if s.Socket != "" || s.Folder != "" {
+		return s.Socket, s.Folder, nil
+	}
+	if s.Settings == "" {
+		return "", "", errors.New("name --socket, --folder or --settings: whom to ask")
+	}
+	script, err := settings.Load(s.Settings)
+	if err != nil {
+		return "", "", err
+	}
+	if script.Admin != nil {
+		socket = script.Admin.Socket
+	}
+	if script.Held != nil {
+		folder = script.Held.Folder
+	}
+	return socket, folder, nil
+}
+
+// connect returns the admin API of the running sender, or a read-only one of the folder where no sender answers.
+func (s *deadLetterSource) connect() (admin.API, error) {
+	socket, folder, err := s.locate()
+	if err != nil {
+		return nil, err
 	}
 	if socket != "" {
-		p := admin.Dial(socket)
-		_, err := p.Audit(context.Background(), 1)
+		api := admin.Dial(socket)
+		_, err := api.Audit(context.Background(), 1)
 		if err == nil || folder == "" || !errors.Is(err, admin.ErrUnreachable) {
-			return p, withExitCode(err)
+			return api, withExitCode(err)
 		}
 	}
 	if folder == "" {
-		return nil, fmt.Errorf("%s names neither an admin socket nor a held folder", w.Settings)
+		return nil, fmt.Errorf("%s names neither an admin socket nor a held folder", s.Settings)
 	}
-	p, err := admin.OpenFolder(folder)
-	return p, withExitCode(err)
+	api, err := admin.OpenFolder(folder)
+	return api, withExitCode(err)
 }
 
-// run runs something on the plane. Ctrl-C ends it between two pages.
-func (w *deadLetterSource) run(f func(context.Context, admin.API) error) error {
-	p, err := w.connect()
+// run calls f with the admin API. SIGINT and SIGTERM end the context, so that f stops between two pages.
+func (s *deadLetterSource) run(f func(context.Context, admin.API) error) error {
+	api, err := s.connect()
 	if err != nil {
 		return err
 	}
-	defer p.Close()
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer api.Close()
+	ctx, stop := interruptible()
 	defer stop()
-	return withExitCode(f(ctx, p))
+	return withExitCode(f(ctx, api))
 }
 
-// filterFlags is a filter as options.
+// filterFlags are the flags that select records by their properties.
 type filterFlags struct {
 	Destination *int   `help:"Only this destination."`
 	Class       string `help:"Only this class."`
 	Tenant      string `help:"Only this tenant."`
-	Reason      string `help:"Only those that ended for this reason: expired, may-have-run, memory-passed, attempts-spent, rejected."`
+	Reason      string `help:"${help_held_reason}"`
 	State       string `help:"Only this state: held, ordered, out, delivered, dropped, superseded, over."`
 	Since       string `help:"Held at this time or later: RFC 3339, or a duration back from now (2h)."`
 	Before      string `help:"Held before this time."`
 }
 
+// parse returns the filter that the flags describe.
 func (f *filterFlags) parse() (deadletter.Filter, error) {
-	out := deadletter.Filter{Destination: f.Destination, Class: f.Class, Tenant: f.Tenant, Reason: f.Reason, State: deadletter.State(f.State)}
+	filter := deadletter.Filter{
+		Destination: f.Destination, Class: f.Class, Tenant: f.Tenant, Reason: f.Reason, State: deadletter.State(f.State),
+	}
 	var err error
-	for _, t := range []struct {
-		name, text string
-		to         *time.Time
-	}{{"--since", f.Since, &out.Since}, {"--before", f.Before, &out.Before}} {
-		if t.text == "" {
-			continue
-		}
-		if back, e := time.ParseDuration(t.text); e == nil {
-			*t.to = time.Now().Add(-back)
-		} else if *t.to, err = time.Parse(time.RFC3339, t.text); err != nil {
-			return out, fmt.Errorf("%s: %q is neither RFC 3339 nor a duration", t.name, t.text)
-		}
+	if filter.Since, err = parseTime("--since", f.Since); err != nil {
+		return filter, err
+	}
+	filter.Before, err = parseTime("--before", f.Before)
+	return filter, err
+}
+
+// parseTime reads a flag's value, an RFC 3339 time or a duration back from now. An empty one is the zero time.
+func parseTime(flag, value string) (time.Time, error) {
+	if value == "" {
+		return time.Time{}, nil
+	}
+	if ago, err := time.ParseDuration(value); err == nil {
+		return time.Now().Add(-ago), nil
+	}
+	t, err := time.Parse(time.RFC3339, value)
+	if err != nil {
+		return time.Time{}, fmt.Errorf("%s: %q is neither RFC 3339 nor a duration", flag, value)
 	}
-	return out, nil
+	return t, nil
 }
--- a/cmd/cleathold/deadletterexport.go
+++ b/cmd/cleathold/deadletterexport.go
@@ -14,13 +14,21 @@
 	"cleathold/internal/deadletter"
 )
 
+const (
+	maxLineLength    = 1 << 20 // bytes of a line that is imported
+	maxBatchBytes    = 4 << 20 // bytes of lines after which they are sent to the sender
+	exportReportStep = 1000    // lines between two reports of progress
+)
+
+// heldExportCmd writes records, with their bodies, as JSON lines.
 type heldExportCmd struct {
 	filterFlags
 	Out string `help:"File to write; - is standard output." default:"-"`
 }
 
+// Run executes the command.
 func (c *heldExportCmd) Run(out io.Writer, h *heldCmd) (err error) {
-	f, err := c.filterFlags.parse()
+	filter, err := c.parse()
 	if err != nil {
 		return err
 	}
@@ -32,22 +40,23 @@
 		defer func() { err = errors.Join(err, file.Close()) }()
 		out = file
 	}
-	return h.Source.run(func(ctx context.Context, p admin.API) error {
-		n := 0
+	return h.Source.run(func(ctx context.Context, api admin.API) error {
+		written := 0
 		for next := uint64(0); ; {
-			page, err := p.Export(ctx, f, next)
+			page, err := api.Export(ctx, filter, next)
 			if err != nil {
-				return fmt.Errorf("after %d lines: %w", n, err)
+				return fmt.Errorf("after %d lines: %w", written, err)
 			}
-			w := bufio.NewWriter(out)
-			for _, l := range page.Lines {
-				json.NewEncoder(w).Encode(l)
+			buffered := bufio.NewWriter(out)
+			for _, line := range page.Lines {
+				json.NewEncoder(buffered).Encode(line)
 			}
-			if err := w.Flush(); err != nil {
+			if err := buffered.Flush(); err != nil {
 				return err
 			}
-			if n += len(page.Lines); n/1000 > (n-len(page.Lines))/1000 {
-				fmt.Fprintf(os.Stderr, "export: %d so far\n", n)
+			before := written
+			if written += len(page.Lines); written/exportReportStep > before/exportReportStep {
+				fmt.Fprintf(os.Stderr, "export: %d so far\n", written)
 			}
 			if next = page.Next; next == 0 {
 				return nil
@@ -56,80 +65,103 @@
 	})
 }
 
+// heldImportCmd adds records that were exported to a sender's dead-letter queue.
 type heldImportCmd struct {
 	File   string `arg:"" help:"JSON lines that export wrote; - is standard input."`
 	DryRun bool   `help:"Only tell what would be done."`
 }
 
-const maxLineLength = 1 << 20 // bytes of a line
-
+// Run executes the command.
 func (c *heldImportCmd) Run(out io.Writer, h *heldCmd) error {
 	in := io.Reader(os.Stdin)
 	if c.File != "-" {
-		f, err := os.Open(c.File)
+		file, err := os.Open(c.File)
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		in = f
+		defer file.Close()
+		in = file
 	}
-	return h.Source.run(func(ctx context.Context, p admin.API) error {
-		done, rejected, line := 0, 0, 0
-		reject := func(at int, why string) {
-			if rejected++; rejected <= 20 && !h.Source.JSON {
-				fmt.Fprintf(out, "  line %d: %s\n", at, why)
-			}
-		}
-		var batch []deadletter.ExportLine
-		bytes := 0
-		flush := func() error {
-			if len(batch) == 0 {
-				return nil
-			}
-			got, err := p.Act(ctx, "import", admin.Order{Lines: batch, DryRun: c.DryRun})
-			if err != nil {
-				return fmt.Errorf("after %d records: %w", done, err)
-			}
-			done += got.Done
-			for _, r := range got.Rejected {
-				reject(line, fmt.Sprintf("record %d: %s", r.Seq, r.Reason))
-			}
-			batch, bytes = batch[:0], 0
-			return nil
-		}
-		lines := bufio.NewScanner(in)
-		lines.Buffer(nil, maxLineLength)
-		for lines.Scan() {
-			line++
-			if strings.TrimSpace(lines.Text()) == "" {
-				continue
-			}
-			var l deadletter.ExportLine
-			if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
-				reject(line, err.Error())
-				continue
-			}
-			batch = append(batch, l)
-			if bytes += len(lines.Bytes()); len(batch) == admin.MaxImportLines || bytes > 4<<20 {
-				if err := flush(); err != nil {
-					return err
-				}
-			}
-		}
-		if err := lines.Err(); err != nil {
-			return fmt.Errorf("line %d: %w", line+1, err)
+	return h.Source.run(func(ctx context.Context, api admin.API) error {
+		i := importer{api: api, dryRun: c.DryRun, rejections: out}
+		if h.Source.JSON {
+			i.rejections = io.Discard
 		}
-		if err := flush(); err != nil {
+		if err := i.run(ctx, in); err != nil {
 			return err
 		}
 		if h.Source.JSON {
-			writeJSON(out, map[string]int{"done": done, "refused": rejected})
+			writeJSON(out, map[string]int{"done": i.done, "refused": i.rejected})
 		} else {
-			fmt.Fprintf(out, "import: %d done, %d refused\n", done, rejected)
+			fmt.Fprintf(out, "import: %d done, %d refused\n", i.done, i.rejected)
 		}
-		if rejected > 0 {
-			return exitError{fmt.Errorf("%d lines were refused", rejected), exitRejected}
+		if i.rejected > 0 {
+			return exitError{fmt.Errorf("%d lines were refused", i.rejected), exitRejected}
 		}
 		return nil
 	})
 }
+
+// importer sends lines to a sender in batches.
+type importer struct {
+	api        admin.API
+	dryRun     bool
+	rejections io.Writer // for the first rejected lines, maxShownRejections of them
+
+	done, rejected int // records, lines
+	line           int // number of the latest line that was read
+	batch          []deadletter.ExportLine
+	batchBytes     int
+}
+
+// run reads all lines. An error ends it; lines that are rejected do not.
+func (i *importer) run(ctx context.Context, in io.Reader) error {
+	lines := bufio.NewScanner(in)
+	lines.Buffer(nil, maxLineLength)
+	for lines.Scan() {
+		i.line++
+		if strings.TrimSpace(lines.Text()) == "" {
+			continue
+		}
+		var record deadletter.ExportLine
+		if err := json.Unmarshal(lines.Bytes(), &record); err != nil {
+			i.reject(err.Error())
+			continue
+		}
+		i.batch = append(i.batch, record)
+		i.batchBytes += len(lines.Bytes())
+		if len(i.batch) == admin.MaxImportLines || i.batchBytes > maxBatchBytes {
+			if err := i.flush(ctx); err != nil {
+				return err
+			}
+		}
+	}
+	if err := lines.Err(); err != nil {
+		return fmt.Errorf("line %d: %w", i.line+1, err)
+	}
+	return i.flush(ctx)
+}
+
+// reject counts a line that was not imported. Records of a batch are reported at the line that completed it.
+func (i *importer) reject(reason string) {
+	if i.rejected++; i.rejected <= maxShownRejections {
+		fmt.Fprintf(i.rejections, "  line %d: %s\n", i.line, reason)
+	}
+}
+
+// flush sends the batch.
+func (i *importer) flush(ctx context.Context) error {
+	if len(i.batch) == 0 {
+		return nil
+	}
+	got, err := i.api.Act(ctx, "import", admin.Order{Lines: i.batch, DryRun: i.dryRun})
+	if err != nil {
+		return fmt.Errorf("after %d records: %w", i.done, err)
+	}
+	i.done += got.Done
+	for _, r := range got.Rejected {
+		i.reject(fmt.Sprintf("record %d: %s", r.Seq, r.Reason))
+	}
+	i.batch, i.batchBytes = i.batch[:0], 0
+	return nil
+}
--- a/cmd/cleathold/deadletterorder.go
+++ b/cmd/cleathold/deadletterorder.go
@@ -12,7 +12,13 @@
 	"cleathold/internal/deadletter"
 )
 
-// orderFlags is what resend and drop share.
+// maxShownRejections is how many rejected records or lines are written one by one.
+const maxShownRejections = 20
+
+// progressPages is how many pages pass between two lines of progress.
+const progressPages = 4
+
+// orderFlags are the flags of resend and drop, which act on records.
 type orderFlags struct {
 	filterFlags
 	Seqs   []uint64 `arg:"" optional:"" help:"Numbers of records."`
@@ -20,100 +26,145 @@
 	DryRun bool     `help:"Only tell what would be done."`
 }
 
-// run runs an act, page by page.
-func (a *orderFlags) run(out io.Writer, h *heldCmd, verb string, o admin.Order) error {
-	f, err := a.filterFlags.parse()
+// orderResult adds up what came of an order over its pages.
+type orderResult struct {
+	done        int
+	rejected    int                         // records
+	byReason    map[string]int              // rejected records
+	rejections  []deadletter.RejectedRecord // the first, a page at most
+	wasDryRun   bool
+	commandVerb string
+}
+
+// add counts the outcome of one page.
+func (r *orderResult) add(page deadletter.Outcome) {
+	r.done += page.Done
+	r.rejected += len(page.Rejected)
+	for _, rejection := range page.Rejected {
+		if len(r.rejections) < deadletter.MaxPageSize {
+			r.rejections = append(r.rejections, rejection)
+		}
+		r.byReason[rejection.Reason]++
+	}
+}
+
+// run carries an order out page by page, writes the result, and returns an error with exitRejected if any record was
+// rejected.
+func (f *orderFlags) run(out io.Writer, h *heldCmd, verb string, order admin.Order) error {
+	filter, err := f.parse()
 	switch {
 	case err != nil:
 		return err
-	case len(a.Seqs) > 0 && !f.Empty():
+	case len(f.Seqs) > 0 && !filter.Empty():
 		return errors.New("name numbers or a filter, not both")
-	case len(a.Seqs) == 0 && f.Empty() && !a.All:
+	case len(f.Seqs) == 0 && filter.Empty() && !f.All:
 		return errors.New("name numbers, a filter, or --all")
 	}
-	o.DryRun = a.DryRun
-	return h.Source.run(func(ctx context.Context, p admin.API) error {
-		total := deadletter.Outcome{}
-		rejections := map[string]int{}
-		add := func(got deadletter.Outcome) {
-			total.Done += got.Done
-			for _, r := range got.Rejected {
-				if len(total.Rejected) < deadletter.MaxPageSize {
-					total.Rejected = append(total.Rejected, r)
-				}
-				rejections[r.Reason]++
-			}
-		}
-		for seqs := a.Seqs; len(seqs) > 0; {
-			o.Selection = deadletter.Selection{Sequences: seqs[:min(len(seqs), deadletter.MaxPageSize)]}
-			seqs = seqs[len(o.Selection.Sequences):]
-			got, err := p.Act(ctx, verb, o)
-			if err != nil {
-				return err
-			}
-			add(got)
-		}
-		for next, pages := uint64(0), 0; len(a.Seqs) == 0; pages++ {
-			o.Selection = deadletter.Selection{Filter: f, After: next, Limit: deadletter.MaxPageSize}
-			got, err := p.Act(ctx, verb, o)
-			if err != nil {
-				return fmt.Errorf("after %d done: %w", total.Done, err)
-			}
-			add(got)
-			if next = got.Next; next == 0 {
-				break
-			}
-			if pages%4 == 3 {
-				fmt.Fprintf(os.Stderr, "%s: %d so far, at number %d\n", verb, total.Done, next)
-			}
+	order.DryRun = f.DryRun
+	return h.Source.run(func(ctx context.Context, api admin.API) error {
+		result := &orderResult{byReason: map[string]int{}, wasDryRun: f.DryRun, commandVerb: verb}
+		if len(f.Seqs) > 0 {
+			err = result.runSequences(ctx, api, order, f.Seqs)
+		} else {
+			err = result.runFilter(ctx, api, order, filter)
 		}
-		rejected := 0
-		for _, n := range rejections {
-			rejected += n
+		if err != nil {
+			return err
 		}
 		if h.Source.JSON {
-			if err := writeJSON(out, struct {
-				Done    int                         `json:"done"`
-				Refused int                         `json:"refused"`
-				Whys    map[string]int              `json:"whys,omitempty"`
-				Records []deadletter.RejectedRecord `json:"refused_records,omitempty"`
-				DryRun  bool                        `json:"dry_run,omitempty"`
-			}{total.Done, rejected, rejections, total.Rejected, a.DryRun}); err != nil {
+			if err := result.writeJSON(out); err != nil {
 				return err
 			}
 		} else {
-			would := ""
-			if a.DryRun {
-				would = " (dry run: nothing was changed)"
-			}
-			fmt.Fprintf(out, "%s: %d done, %d refused%s\n", verb, total.Done, rejected, would)
-			for _, r := range total.Rejected[:min(len(total.Rejected), 20)] {
-				fmt.Fprintf(out, "  %d: %s\n", r.Seq, r.Reason)
-			}
-			if len(total.Rejected) > 20 {
-				for why, n := range rejections {
-					fmt.Fprintf(out, "  %d times: %s\n", n, why)
-				}
-			}
+			result.writeText(out)
 		}
-		if rejected > 0 {
-			return exitError{fmt.Errorf("%d records were refused", rejected), exitRejected}
+		if result.rejected > 0 {
+			return exitError{fmt.Errorf("%d records were refused", result.rejected), exitRejected}
 		}
 		return nil
 	})
 }
 
+// runSequences carries the order out for records by number.
+func (r *orderResult) runSequences(ctx context.Context, api admin.API, order admin.Order, sequences []uint64) error {
+	for len(sequences) > 0 {
+		count := min(len(sequences), deadletter.MaxPageSize)
+		order.Selection = deadletter.Selection{Sequences: sequences[:count]}
+		sequences = sequences[count:]
+		page, err := api.Act(ctx, r.commandVerb, order)
+		if err != nil {
+			return err
+		}
+		r.add(page)
+	}
+	return nil
+}
+
+// runFilter carries the order out for all records that pass a filter, and tells the progress on standard error.
+func (r *orderResult) runFilter(
+	ctx context.Context, api admin.API, order admin.Order, filter deadletter.Filter,
+) error {
+	next := uint64(0)
+	for pages := 1; ; pages++ {
+		order.Selection = deadletter.Selection{Filter: filter, After: next, Limit: deadletter.MaxPageSize}
+		page, err := api.Act(ctx, r.commandVerb, order)
+		if err != nil {
+			return fmt.Errorf("after %d done: %w", r.done, err)
+		}
+		r.add(page)
+		if next = page.Next; next == 0 {
+			return nil
+		}
+		if pages%progressPages == 0 {
+			fmt.Fprintf(os.Stderr, "%s: %d so far, at number %d\n", r.commandVerb, r.done, next)
+		}
+	}
+}
+
+// orderJSON is the JSON of an order's result.
+type orderJSON struct {
+	Done       int                         `json:"done"`
+	Rejected   int                         `json:"refused"`
+	ByReason   map[string]int              `json:"whys,omitempty"`
+	Rejections []deadletter.RejectedRecord `json:"refused_records,omitempty"`
+	DryRun     bool                        `json:"dry_run,omitempty"`
+}
+
+func (r *orderResult) writeJSON(out io.Writer) error {
+	return writeJSON(out, orderJSON{r.done, r.rejected, r.byReason, r.rejections, r.wasDryRun})
+}
+
+func (r *orderResult) writeText(out io.Writer) {
+	note := ""
+	if r.wasDryRun {
+		note = " (dry run: nothing was changed)"
+	}
+	fmt.Fprintf(out, "%s: %d done, %d refused%s\n", r.commandVerb, r.done, r.rejected, note)
+	for _, rejection := range r.rejections[:min(len(r.rejections), maxShownRejections)] {
+		fmt.Fprintf(out, "  %d: %s\n", rejection.Seq, rejection.Reason)
+	}
+	if len(r.rejections) > maxShownRejections {
+		for reason, count := range r.byReason {
+			fmt.Fprintf(out, "  %d times: %s\n", count, reason)
+		}
+	}
+}
+
+// heldResendCmd orders redelivery.
 type heldResendCmd struct {
 	orderFlags
 	Within time.Duration `help:"Give up for now after this; the settings' time if not given."`
 }
 
+// Run executes the command.
 func (c *heldResendCmd) Run(out io.Writer, h *heldCmd) error {
 	return c.run(out, h, "resend", admin.Order{WithinS: c.Within.Seconds()})
 }
 
+// heldDropCmd ends records without a redelivery.
 type heldDropCmd struct{ orderFlags }
 
+// Run executes the command.
 func (c *heldDropCmd) Run(out io.Writer, h *heldCmd) error {
 	return c.run(out, h, "drop", admin.Order{})
 }
--- a/cmd/cleathold/exitcode.go
+++ b/cmd/cleathold/exitcode.go
@@ -9,55 +9,50 @@
 	"cleathold/internal/deadletter"
 )
 
-// The exit codes of the held commands, besides 0 and 1.
+// The program's exit codes besides 0, 1 and those of the command line's parser. Codes 4 and 5 mean one thing for the
+// commands that ask a sender or its store, and another for those that ask the agents.
 const (
-	exitRejected    = 3 // some records were refused what was asked
-	exitUnreachable = 4 // no sender, or no store, to ask
-	exitNotFound    = 5
+	exitRejected    = 3 // some records, or the order to the fleet, were refused
+	exitUnreachable = 4 // held: neither a sender nor a store to ask
+	exitNoMajority  = 4 // fleet: no agent answers, or no majority of them agrees: nothing was changed
+	exitNotFound    = 5 // no such record or plan
+	exitUnknown     = 5 // fleet: it is not known whether anything was changed
+	exitViolations  = 6 // lab: a run broke a rule
+	exitIncomplete  = 7 // lab: a run did not reach its end
+	exitDamaged     = 8 // store: the check found damage
+	exitPlanStopped = 9 // fleet: the plan that was watched is halted, or was rolled back
 )
 
-// An exitError is an error with the code that the program ends with.
+// exitError is an error with the exit code that the program ends with. Kong finds the code by the method ExitCode.
 type exitError struct {
 	error
 	code int
 }
 
+// ExitCode returns the program's exit code.
 func (e exitError) ExitCode() int { return e.code }
 
+// Unwrap returns the error itself, for errors.Is and errors.As.
 func (e exitError) Unwrap() error { return e.error }
 
-// withExitCode gives an error its exit code.
+// withExitCode gives errors of the dead-letter queue and the admin API their exit codes. Others stay as they are.
 func withExitCode(err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, deadletter.ErrNotFound):
 		return exitError{err, exitNotFound}
-	case errors.Is(err, admin.ErrUnreachable), errors.Is(err, admin.ErrReadOnly), errors.Is(err, deadletter.ErrInUse), errors.Is(err, os.ErrNotExist):
+	case errors.Is(err, admin.ErrUnreachable), errors.Is(err, admin.ErrReadOnly),
+		errors.Is(err, deadletter.ErrInUse), errors.Is(err, os.ErrNotExist):
 		return exitError{err, exitUnreachable}
 	}
 	return err
 }
 
-// The exit codes of the fleet's commands, besides 0 and 1. exitRefused is that of the held commands, too: nothing was changed.
-const (
-	exitNoMajority  = 4 // no agent answers, or no majority of them agrees: nothing was changed
-	exitUnknown     = 5 // it is not known whether anything was changed
-	exitPlanStopped = 9 // the plan that was watched is halted, or went back
-)
-
-// exitViolations is the exit code of a rehearsal in which a rule was broken.
-const exitViolations = 6
-
-// exitIncomplete is the exit code of one that did not come to its end.
-const exitIncomplete = 7
-
-func violationsError(broken int) error {
-	if broken > 0 {
-		return exitError{fmt.Errorf("%d breaks of rules", broken), exitViolations}
+// violationsError returns the error of a run that broke so many rules, or nil for 0.
+func violationsError(count int) error {
+	if count > 0 {
+		return exitError{fmt.Errorf("%d breaks of rules", count), exitViolations}
 	}
 	return nil
 }
-
-// exitDamaged is the exit code of a check that found damage.
-const exitDamaged = 8
--- a/cmd/cleathold/fleet.go
+++ b/cmd/cleathold/fleet.go
@@ -1,7 +1,8 @@
 package main
 
+// fleetCmd groups the commands that ask the agents of a fleet.
 type fleetCmd struct {
-	Agents []string `help:"Addresses of agents; the first that answers is asked." env:"CLEATHOLD_AGENTS" name:"agent" placeholder:"ADDRESS" required:""`
+	Agents []string `help:"${help_fleet_agent}" env:"CLEATHOLD_AGENTS" name:"agent" placeholder:"ADDRESS" required:""`
 
 	List     fleetListCmd     `cmd:"" help:"All senders: what they run, who is out, who is not seen."`
 	Show     fleetShowCmd     `cmd:"" help:"One plan, sender by sender."`
@@ -16,8 +17,3 @@
 	Events   fleetEventsCmd   `cmd:"" help:"Who did what, and what came of it."`
 	Terms    fleetTermsCmd    `cmd:"" help:"Show the budget and the times, or set those of a settings script."`
 }
-
-// jsonFlag is how commands reach an agent.
-type jsonFlag struct {
-	JSON bool `help:"JSON instead of text." name:"json"`
-}
--- a/cmd/cleathold/fleetendpoint.go
+++ b/cmd/cleathold/fleetendpoint.go
@@ -3,65 +3,80 @@
 import (
 	"fmt"
 	"io"
-	"text/tabwriter"
 
+	"cleathold/internal/agent"
 	"cleathold/internal/rollout"
 )
 
+// fleetEndpointCmd groups the commands for endpoints.
 type fleetEndpointCmd struct {
 	List fleetEndpointListCmd `cmd:"" help:"The endpoints that senders know, and which are out."`
 	Out  fleetEndpointOutCmd  `cmd:"" help:"Have all senders leave an endpoint alone: nothing new goes there."`
 	In   fleetEndpointInCmd   `cmd:"" help:"Have senders use it again."`
 }
 
+// fleetEndpointListCmd lists the endpoints.
 type fleetEndpointListCmd struct{ jsonFlag }
 
+// Run executes the command.
 func (c *fleetEndpointListCmd) Run(out io.Writer, f *fleetCmd) error {
-	v, err := f.view()
+	view, err := f.view()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return writeJSON(out, map[string]any{"listed": v.Listed, "out": v.State.Endpoints})
+		return writeJSON(out, map[string]any{"listed": view.Listed, "out": view.State.Endpoints})
 	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "ENDPOINT\tDESTINATION\tKIND\tSTANDS")
-	for _, e := range v.Listed {
-		text := "in"
-		if x := v.State.Endpoints[e.ID]; x != nil && x.Back.IsZero() {
-			text = fmt.Sprintf("out, by %s (%s)", x.By, x.Reason)
-		} else if x != nil {
-			text = "on its way back"
-		} else if !e.Up {
-			text = "drained by discovery"
-		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", e.ID, e.Dest, e.Kind, text)
+	table := newTable(out)
+	fmt.Fprintln(table, "ENDPOINT\tDESTINATION\tKIND\tSTANDS")
+	for _, e := range view.Listed {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%s\n", e.ID, e.Dest, e.Kind, endpointStatus(view, e))
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
+// endpointStatus describes in a few words whether senders use an endpoint.
+func endpointStatus(v agent.View, e rollout.Endpoint) string {
+	excluded := v.State.Endpoints[e.ID]
+	switch {
+	case excluded != nil && excluded.Back.IsZero():
+		return fmt.Sprintf("out, by %s (%s)", excluded.By, excluded.Reason)
+	case excluded != nil:
+		return "on its way back"
+	case !e.Up:
+		return "drained by discovery"
+	}
+	return "in"
+}
+
+// fleetEndpointOutCmd excludes an endpoint.
 type fleetEndpointOutCmd struct {
 	attribution
 	ID string `arg:"" help:"The endpoint's id, as 'fleet endpoint list' has it."`
 }
 
+// Run executes the command.
 func (c *fleetEndpointOutCmd) Run(out io.Writer, f *fleetCmd) error {
-	_, err := f.sendCommand(rollout.Command{Verb: rollout.ExcludeEndpoint, Endpoint: c.ID}, c.attribution, false)
-	if err == nil {
-		_, err = fmt.Fprintf(out, "%s is out until 'fleet endpoint in %s'\n", c.ID, c.ID)
+	command := rollout.Command{Verb: rollout.ExcludeEndpoint, Endpoint: c.ID}
+	if _, err := f.sendCommand(command, c.attribution, false); err != nil {
+		return err
 	}
+	_, err := fmt.Fprintf(out, "%s is out until 'fleet endpoint in %s'\n", c.ID, c.ID)
 	return err
 }
 
+// fleetEndpointInCmd ends the exclusion of an endpoint.
 type fleetEndpointInCmd struct {
 	attribution
 	ID string `arg:"" help:"The endpoint's id."`
 }
 
+// Run executes the command.
 func (c *fleetEndpointInCmd) Run(out io.Writer, f *fleetCmd) error {
-	_, err := f.sendCommand(rollout.Command{Verb: rollout.IncludeEndpoint, Endpoint: c.ID}, c.attribution, false)
-	if err == nil {
-		_, err = fmt.Fprintf(out, "%s is in again\n", c.ID)
+	command := rollout.Command{Verb: rollout.IncludeEndpoint, Endpoint: c.ID}
+	if _, err := f.sendCommand(command, c.attribution, false); err != nil {
+		return err
 	}
+	_, err := fmt.Fprintf(out, "%s is in again\n", c.ID)
 	return err
 }
--- a/cmd/cleathold/fleetplan.go
+++ b/cmd/cleathold/fleetplan.go
@@ -6,127 +6,142 @@
 	"maps"
 	"slices"
 	"strings"
-	"text/tabwriter"
 
 	"cleathold/internal/agent"
 	"cleathold/internal/rollout"
 )
 
+// planSummary describes a plan and its progress in a line.
+func planSummary(p *rollout.Plan) string {
+	steps := map[rollout.Step]int{}
+	for _, task := range p.Tasks {
+		steps[task.Step]++
+	}
+	var progress []string
+	for _, step := range slices.Sorted(maps.Keys(steps)) {
+		progress = append(progress, fmt.Sprintf("%d %s", steps[step], step))
+	}
+	text := fmt.Sprintf("plan %d: %s", p.ID, p.Kind)
+	if p.Kind == rollout.Release {
+		text += fmt.Sprintf(" of %s, stage %d of %d", p.To.Name, p.Stage+1, len(p.Stages))
+	}
+	text += fmt.Sprintf(", by %s (%s): %s, %s", p.By, p.Reason, p.Phase, strings.Join(progress, ", "))
+	if p.Why != "" {
+		text += fmt.Sprintf("; %s (revision %d)", p.Why, p.Revision)
+	}
+	return text
+}
+
+// fleetPlansCmd lists the plans.
 type fleetPlansCmd struct{ jsonFlag }
 
+// Run executes the command.
 func (c *fleetPlansCmd) Run(out io.Writer, f *fleetCmd) error {
-	v, err := f.view()
+	view, err := f.view()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return writeJSON(out, v.State.Plans)
+		return writeJSON(out, view.State.Plans)
 	}
-	for _, p := range v.State.Plans {
+	for _, p := range view.State.Plans {
 		fmt.Fprintln(out, planSummary(p))
 	}
 	return nil
 }
 
+// fleetShowCmd shows one plan.
 type fleetShowCmd struct {
 	jsonFlag
 	Plan uint64 `arg:"" help:"Number of the plan."`
 }
 
+// Run executes the command.
 func (c *fleetShowCmd) Run(out io.Writer, f *fleetCmd) error {
-	v, err := f.view()
+	view, err := f.view()
 	if err != nil {
 		return err
 	}
-	p := v.State.Plan(c.Plan)
-	if p == nil {
+	plan := view.State.Plan(c.Plan)
+	if plan == nil {
 		return exitError{fmt.Errorf("no plan %d", c.Plan), exitNotFound}
 	}
 	if c.JSON {
-		return writeJSON(out, p)
+		return writeJSON(out, plan)
 	}
-	return writePlan(out, v, p)
-}
-
-func planSummary(p *rollout.Plan) string {
-	steps := map[rollout.Step]int{}
-	for _, t := range p.Tasks {
-		steps[t.Step]++
-	}
-	var parts []string
-	for _, s := range slices.Sorted(maps.Keys(steps)) {
-		parts = append(parts, fmt.Sprintf("%d %s", steps[s], s))
-	}
-	text := fmt.Sprintf("plan %d: %s", p.ID, p.Kind)
-	if p.Kind == rollout.Release {
-		text += fmt.Sprintf(" of %s, stage %d of %d", p.To.Name, p.Stage+1, len(p.Stages))
-	}
-	text += fmt.Sprintf(", by %s (%s): %s, %s", p.By, p.Reason, p.Phase, strings.Join(parts, ", "))
-	if p.Why != "" {
-		text += fmt.Sprintf("; %s (revision %d)", p.Why, p.Revision)
-	}
-	return text
+	return writePlan(out, view, plan)
 }
 
+// writePlan writes a plan and its senders stage by stage.
 func writePlan(out io.Writer, v agent.View, p *rollout.Plan) error {
 	fmt.Fprintln(out, planSummary(p))
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "STAGE\tSENDER\tSTEP\tSTANDS\tWHY")
+	table := newTable(out)
+	fmt.Fprintln(table, "STAGE\tSENDER\tSTEP\tSTANDS\tWHY")
 	for i, stage := range p.Stages {
 		for _, name := range stage {
-			text, _ := senderStatus(v, name)
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", i+1, name, p.Tasks[name].Step, text, strings.Join(strings.Fields(p.Tasks[name].Why), " "))
+			status, _ := senderStatus(v, name)
+			why := strings.Join(strings.Fields(p.Tasks[name].Why), " ")
+			fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\n", i+1, name, p.Tasks[name].Step, status, why)
 		}
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-// planFlags are the commands that act on a plan.
+// planFlags are the flags of the commands that act on a plan.
 type planFlags struct {
 	jsonFlag
 	attribution
 	Plan uint64 `arg:"" help:"Number of the plan."`
 }
 
-func (t *planFlags) run(out io.Writer, f *fleetCmd, c rollout.Command) error {
-	c.Plan = t.Plan
-	r, err := f.sendCommand(c, t.attribution, false)
+// run sends a command for the plan and writes what was done.
+func (p *planFlags) run(out io.Writer, f *fleetCmd, c rollout.Command) error {
+	c.Plan = p.Plan
+	result, err := f.sendCommand(c, p.attribution, false)
 	if err != nil {
 		return err
 	}
-	if t.JSON {
-		return writeJSON(out, r)
+	if p.JSON {
+		return writeJSON(out, result)
 	}
-	_, err = fmt.Fprintf(out, "plan %d: %s\n", t.Plan, c.Verb)
+	_, err = fmt.Fprintf(out, "plan %d: %s\n", p.Plan, c.Verb)
 	return err
 }
 
+// fleetHaltCmd halts a plan.
 type fleetHaltCmd struct{ planFlags }
 
+// Run executes the command.
 func (c *fleetHaltCmd) Run(out io.Writer, f *fleetCmd) error {
 	return c.run(out, f, rollout.Command{Verb: rollout.Halt})
 }
 
+// fleetBackCmd rolls a plan back.
 type fleetBackCmd struct{ planFlags }
 
+// Run executes the command.
 func (c *fleetBackCmd) Run(out io.Writer, f *fleetCmd) error {
 	return c.run(out, f, rollout.Command{Verb: rollout.RollBack})
 }
 
+// fleetResumeCmd resumes a halted plan, unless it has changed since the operator saw it.
 type fleetResumeCmd struct {
 	planFlags
-	Revision uint64 `help:"The revision that 'fleet show' told; if the plan has changed since, nothing is done." required:""`
+	Revision uint64 `help:"${help_fleet_revision}" required:""`
 }
 
+// Run executes the command.
 func (c *fleetResumeCmd) Run(out io.Writer, f *fleetCmd) error {
 	return c.run(out, f, rollout.Command{Verb: rollout.Resume, Revision: c.Revision})
 }
 
+// fleetActivateCmd puts drained senders back into service.
 type fleetActivateCmd struct {
 	planFlags
 	Senders []string `arg:"" optional:"" help:"Names of senders; without any, all of the plan."`
 }
 
+// Run executes the command.
 func (c *fleetActivateCmd) Run(out io.Writer, f *fleetCmd) error {
 	return c.run(out, f, rollout.Command{Verb: rollout.Activate, Senders: c.Senders})
 }
--- a/cmd/cleathold/fleetstart.go
+++ b/cmd/cleathold/fleetstart.go
@@ -6,10 +6,11 @@
 	"strings"
 	"time"
 
+	"cleathold/internal/agent"
 	"cleathold/internal/rollout"
 )
 
-// startFlags are the flags of commands that start a plan.
+// startFlags are the flags of the commands that start a plan.
 type startFlags struct {
 	jsonFlag
 	attribution
@@ -18,64 +19,76 @@
 	Watch  bool `help:"Tell the progress until the plan is over, halted, or has gone back."`
 }
 
-func (b *startFlags) run(out io.Writer, f *fleetCmd, p *rollout.Plan) error {
-	p.AtOnce = b.AtOnce
-	r, err := f.sendCommand(rollout.Command{Verb: rollout.Start, New: p}, b.attribution, b.Plan)
+// run starts the plan and writes its stages, or writes them alone and changes nothing.
+func (s *startFlags) run(out io.Writer, f *fleetCmd, plan *rollout.Plan) error {
+	plan.AtOnce = s.AtOnce
+	result, err := f.sendCommand(rollout.Command{Verb: rollout.Start, New: plan}, s.attribution, s.Plan)
 	if err != nil {
 		return err
 	}
-	if b.JSON {
-		if err := writeJSON(out, r); err != nil || b.Plan || !b.Watch {
-			return err
-		}
-	} else if r.Plan != nil {
-		for i, stage := range r.Plan.Stages {
+	if s.JSON {
+		err = writeJSON(out, result)
+	} else {
+		err = s.writeResult(out, result)
+	}
+	if err != nil || s.Plan || !s.Watch {
+		return err
+	}
+	return f.watch(out, result.Index)
+}
+
+// writeResult writes the stages of the plan, and its number if it was started.
+func (s *startFlags) writeResult(out io.Writer, result agent.Result) error {
+	if result.Plan != nil {
+		for i, stage := range result.Plan.Stages {
 			fmt.Fprintf(out, "stage %d: %s\n", i+1, strings.Join(stage, ", "))
 		}
 	}
-	if b.Plan {
+	if s.Plan {
 		_, err := fmt.Fprintln(out, "nothing is changed")
 		return err
 	}
-	if !b.JSON {
-		fmt.Fprintf(out, "plan %d runs; 'fleet show %d' tells how far it is, 'fleet halt %d' stops it\n", r.Index, r.Index, r.Index)
-	}
-	if !b.Watch {
-		return nil
-	}
-	return f.watch(out, r.Index)
+	id := result.Index
+	fmt.Fprintf(out, "plan %d runs; 'fleet show %d' tells how far it is, 'fleet halt %d' stops it\n", id, id, id)
+	return nil
 }
 
+// fleetDrainCmd starts a drain.
 type fleetDrainCmd struct {
 	startFlags
 	Senders []string      `arg:"" help:"Names of senders."`
 	For     time.Duration `help:"Each stays out for so long and comes back by itself; without it, until 'fleet activate'."`
 }
 
+// Run executes the command.
 func (c *fleetDrainCmd) Run(out io.Writer, f *fleetCmd) error {
 	return c.run(out, f, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{c.Senders}, Hold: c.For})
 }
 
+// fleetReleaseCmd starts a release.
 type fleetReleaseCmd struct {
 	startFlags
 	Senders []string      `arg:"" optional:"" help:"Names of senders; without any, all."`
 	Name    string        `help:"The release's name, which no other has." required:""`
 	Program string        `help:"The program's file, the same path on each agent's machine." type:"path"`
-	Config  string        `help:"Folder with a configuration NAME.json for each sender, the same path on each machine." type:"path"`
+	Config  string        `help:"${help_fleet_config}" type:"path"`
 	GoBack  bool          `help:"A stage that fails goes back by itself, not only halts."`
-	Least   int           `help:"Messages that the changed senders must have ended before a stage is judged, and others beside them." default:"30"`
+	Least   int           `help:"${help_fleet_least}" default:"30"`
 	Soak    time.Duration `help:"A stage is looked at for so long at the least." default:"5s"`
 	Wait    time.Duration `help:"A stage that is not known to be good after this halts." default:"10m"`
 	Slack   float64       `help:"So much worse may a share be, besides chance." default:"0.02"`
 }
 
+// Run executes the command.
 func (c *fleetReleaseCmd) Run(out io.Writer, f *fleetCmd) error {
-	p := &rollout.Plan{
-		Kind: rollout.Release, To: rollout.Version{Name: c.Name, Program: c.Program, Config: c.Config}, RollBackOnFailure: c.GoBack,
-		Gate: rollout.Gate{MinMessages: c.Least, Soak: c.Soak, Wait: c.Wait, Slack: c.Slack},
+	plan := &rollout.Plan{
+		Kind:              rollout.Release,
+		To:                rollout.Version{Name: c.Name, Program: c.Program, Config: c.Config},
+		RollBackOnFailure: c.GoBack,
+		Gate:              rollout.Gate{MinMessages: c.Least, Soak: c.Soak, Wait: c.Wait, Slack: c.Slack},
 	}
 	if len(c.Senders) > 0 {
-		p.Stages = [][]string{c.Senders}
+		plan.Stages = [][]string{c.Senders}
 	}
-	return c.run(out, f, p)
+	return c.run(out, f, plan)
 }
--- a/cmd/cleathold/fleetterms.go
+++ b/cmd/cleathold/fleetterms.go
@@ -3,64 +3,68 @@
 import (
 	"fmt"
 	"io"
-	"text/tabwriter"
 	"time"
 
 	"cleathold/internal/rollout"
-	"cleathold/internal/settings"
 )
 
+// fleetEventsCmd lists the latest events of the fleet's log.
 type fleetEventsCmd struct {
 	jsonFlag
 	Most int `help:"So many, the latest." default:"50"`
 }
 
+// Run executes the command.
 func (c *fleetEventsCmd) Run(out io.Writer, f *fleetCmd) error {
-	v, err := f.view()
+	view, err := f.view()
 	if err != nil {
 		return err
 	}
-	list := v.State.Events[max(0, len(v.State.Events)-max(0, c.Most)):]
+	events := view.State.Events
+	events = events[max(0, len(events)-max(0, c.Most)):]
 	if c.JSON {
-		return writeJSON(out, list)
+		return writeJSON(out, events)
 	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	for _, e := range list {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", e.Index, e.At.Format(time.RFC3339), e.By, e.Text, e.Reason)
+	table := newTable(out)
+	for _, e := range events {
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\n", e.Index, e.At.Format(time.RFC3339), e.By, e.Text, e.Reason)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
+// fleetTermsCmd shows the budget and the timing of the fleet, after it has set them if a script is named. Its reason is
+// required only then, so it does not embed attribution.
 type fleetTermsCmd struct {
 	jsonFlag
 	By       string `help:"Who orders it; without it your user's name."`
 	Reason   string `help:"Why."`
-	Settings string `arg:"" optional:"" help:"An agent's settings script, whose budget and timing are to hold from now on." type:"existingfile"`
+	Settings string `arg:"" optional:"" help:"${help_fleet_terms}" type:"existingfile"`
 }
 
+// Run executes the command.
 func (c *fleetTermsCmd) Run(out io.Writer, f *fleetCmd) error {
 	if c.Settings != "" {
-		set, err := settings.Load(c.Settings)
+		script, err := loadAgentSettings(c.Settings)
 		if err != nil {
 			return err
 		}
-		if set.Agent == nil {
-			return fmt.Errorf("%s: no agent(name = ...) in it", c.Settings)
-		}
-		terms := rolloutTerms(set.Agent)
-		if _, err := f.sendCommand(rollout.Command{Verb: rollout.SetTerms, Terms: &terms}, attribution{c.By, c.Reason}, false); err != nil {
+		terms := rolloutTerms(script)
+		command := rollout.Command{Verb: rollout.SetTerms, Terms: &terms}
+		if _, err := f.sendCommand(command, attribution{c.By, c.Reason}, false); err != nil {
 			return err
 		}
 	}
-	v, err := f.view()
+	view, err := f.view()
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		return writeJSON(out, v.State.Terms)
+		return writeJSON(out, view.State.Terms)
 	}
-	b, t := v.State.Terms.Budget, v.State.Terms.Timing
-	_, err = fmt.Fprintf(out, "out at once: %d of the fleet, %d of a building (0 = as many as of the fleet); %d must serve\nfresh %v, accept %v, lease %v, clock error %v\n",
-		b.Fleet, b.Building, b.Serving, t.Fresh, t.Accept, t.Lease, t.Error)
+	budget, timing := view.State.Terms.Budget, view.State.Terms.Timing
+	fmt.Fprintf(out, "out at once: %d of the fleet, %d of a building (0 = as many as of the fleet); %d must serve\n",
+		budget.Fleet, budget.Building, budget.Serving)
+	_, err = fmt.Fprintf(out, "fresh %v, accept %v, lease %v, clock error %v\n",
+		timing.Fresh, timing.Accept, timing.Lease, timing.Error)
 	return err
 }
--- a/cmd/cleathold/lab_test.go
+++ b/cmd/cleathold/lab_test.go
@@ -100,7 +100,10 @@
 `)
 	folder := filepath.Join(t.TempDir(), "run")
 	out := &bytes.Buffer{}
-	if err := (&labRunCmd{scenarioArgs: scenarioArgs{Scenario: path}, Seed: 1, Out: folder, Program: os.Args[0], JSON: true}).Run(out, discardLog); err != nil {
+	if err := (&labRunCmd{
+		seededScenarioArgs: seededScenarioArgs{scenarioArgs: scenarioArgs{Scenario: path}, Seed: 1},
+		Out:                folder, Program: os.Args[0], jsonFlag: jsonFlag{JSON: true},
+	}).Run(out, discardLog); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	var r harness.Result
@@ -235,7 +238,7 @@
 		noise bool
 	}{{path, true}, {faulty, false}} {
 		out := &bytes.Buffer{}
-		if err := (&labCompareCmd{A: path, B: c.b, Runs: 3, Seed: 1, JSON: true}).Run(out, discardLog); err != nil {
+		if err := (&labCompareCmd{A: path, B: c.b, Runs: 3, Seed: 1, jsonFlag: jsonFlag{JSON: true}}).Run(out, discardLog); err != nil {
 			t.Fatal(err)
 		}
 		var got comparison
@@ -328,7 +331,10 @@
 		t.Fatal(err)
 	}
 	out := &bytes.Buffer{}
-	c := labRunCmd{scenarioArgs: scenarioArgs{Scenario: path, Set: map[string]float64{"senders": 20}}, Seed: 1, Out: filepath.Join(t.TempDir(), "run"), Program: os.Args[0], JSON: true}
+	c := labRunCmd{
+		seededScenarioArgs: seededScenarioArgs{scenarioArgs: scenarioArgs{Scenario: path, Set: map[string]float64{"senders": 20}}, Seed: 1},
+		Out:                filepath.Join(t.TempDir(), "run"), Program: os.Args[0], jsonFlag: jsonFlag{JSON: true},
+	}
 	if err := c.Run(out, discardLog); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
--- a/cmd/cleathold/labcompare.go
+++ b/cmd/cleathold/labcompare.go
@@ -9,10 +9,8 @@
 	"log/slog"
 	"os"
 	"os/exec"
-	"os/signal"
 	"path/filepath"
 	"strings"
-	"syscall"
 
 	"cleathold/internal/harness"
 	"cleathold/internal/report"
@@ -20,120 +18,150 @@
 	"cleathold/internal/simulation"
 )
 
+// labCompareCmd plays the same seeds on two sides and compares their service.
 type labCompareCmd struct {
 	A        string             `arg:"" help:"One side: a program, or a scenario script." type:"existingfile"`
 	B        string             `arg:"" help:"The other side, of the same sort." type:"existingfile"`
 	Scenario string             `help:"Scenario, where the sides are programs." type:"existingfile"`
-	Set      map[string]float64 `help:"A figure for what the scripts name by param(NAME, usual)." placeholder:"NAME=FIGURE"`
+	Set      map[string]float64 `help:"${help_lab_compare_set}" placeholder:"NAME=FIGURE"`
 	Runs     int                `help:"Pairs of runs, each with the next seed." default:"10"`
 	Seed     uint64             `help:"Seed of the first pair." default:"1"`
 	Sockets  bool               `help:"Play on sockets instead of in virtual time."`
-	JSON     bool               `help:"JSON instead of text." name:"json"`
+	jsonFlag
 
 	SettingsA string `help:"Settings script for A's senders, on sockets." type:"existingfile"`
 	SettingsB string `help:"Settings script for B's senders, on sockets." type:"existingfile"`
 }
 
-// comparison is what a comparison shows.
+// comparison is the result of 'lab compare': the service of each side by pair, the seeds of the pairs, how many rules
+// each side broke, and the difference.
 type comparison struct {
-	A      []float64 `json:"A"`
-	B      []float64 `json:"B"`
-	Seeds  []uint64  `json:"Seeds"`
-	Broken [2]int    `json:"Broken"`
+	ServiceA   []float64 `json:"A"`
+	ServiceB   []float64 `json:"B"`
+	Seeds      []uint64  `json:"Seeds"`
+	Violations [2]int    `json:"Broken"`
 	report.Difference
 }
 
-func (c *labCompareCmd) Run(out io.Writer, log *slog.Logger) error {
+// side is one of the two that are compared.
+type side struct {
+	scenario string // path of the script
+	program  string // of the senders; empty for this one
+	settings string // path of the senders' settings script, on sockets
+}
+
+// sideResult is what one side reached in one run.
+type sideResult struct {
+	service    float64
+	violations int
+}
+
+// sides returns both sides, or an error if the flags do not go together.
+func (c *labCompareCmd) sides() ([2]side, error) {
 	scripts := strings.HasSuffix(c.A, ".star") && strings.HasSuffix(c.B, ".star")
 	switch {
 	case !scripts && c.Scenario == "":
-		return errors.New("name the scenario that both programs play, by --scenario")
+		return [2]side{}, errors.New("name the scenario that both programs play, by --scenario")
 	case scripts && c.Scenario != "":
-		return errors.New("--scenario goes with two programs; here the sides are scenarios themselves")
+		return [2]side{}, errors.New("--scenario goes with two programs; here the sides are scenarios themselves")
 	case c.Runs < 2:
-		return errors.New("--runs: 2 at the least")
+		return [2]side{}, errors.New("--runs: 2 at the least")
 	case !c.Sockets && (c.SettingsA != "" || c.SettingsB != ""):
-		return errors.New("settings for the senders go with --sockets")
+		return [2]side{}, errors.New("settings for the senders go with --sockets")
+	case scripts:
+		return [2]side{{scenario: c.A, settings: c.SettingsA}, {scenario: c.B, settings: c.SettingsB}}, nil
+	}
+	return [2]side{
+		{scenario: c.Scenario, program: c.A, settings: c.SettingsA},
+		{scenario: c.Scenario, program: c.B, settings: c.SettingsB},
+	}, nil
+}
+
+// Run executes the command.
+func (c *labCompareCmd) Run(out io.Writer, log *slog.Logger) error {
+	sides, err := c.sides()
+	if err != nil {
+		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
-	cmp := comparison{}
+	result := comparison{}
 	for i := range c.Runs {
 		seed := c.Seed + uint64(i)
-		var pair [2]float64
-		for side, what := range []string{c.A, c.B} {
-			service, broken, err := c.play(ctx, side, what, scripts, seed, log)
-			if err != nil {
-				return exitError{fmt.Errorf("%s, seed %d: %w", what, seed, err), exitIncomplete}
+		var pair [2]sideResult
+		for k, s := range sides {
+			if pair[k], err = c.play(ctx, s, seed, log); err != nil {
+				return exitError{fmt.Errorf("%s, seed %d: %w", []string{c.A, c.B}[k], seed, err), exitIncomplete}
 			}
-			pair[side] = service
-			cmp.Broken[side] += broken
+			result.Violations[k] += pair[k].violations
 		}
-		cmp.A, cmp.B, cmp.Seeds = append(cmp.A, pair[0]), append(cmp.B, pair[1]), append(cmp.Seeds, seed)
-		fmt.Fprintf(os.Stderr, "seed %d: A %.4f, B %.4f\n", seed, pair[0], pair[1])
+		result.ServiceA = append(result.ServiceA, pair[0].service)
+		result.ServiceB = append(result.ServiceB, pair[1].service)
+		result.Seeds = append(result.Seeds, seed)
+		fmt.Fprintf(os.Stderr, "seed %d: A %.4f, B %.4f\n", seed, pair[0].service, pair[1].service)
 	}
-	var err error
-	if cmp.Difference, err = report.Pair(cmp.A, cmp.B); err != nil {
+	if result.Difference, err = report.Pair(result.ServiceA, result.ServiceB); err != nil {
 		return err
 	}
 	if c.JSON {
-		return writeJSON(out, cmp)
+		return writeJSON(out, result)
 	}
-	verdict := "a difference"
-	if cmp.Noise {
-		verdict = fmt.Sprintf("noise: %d pairs would not show a difference under %.4f", cmp.Pairs, cmp.Detectable)
+	writeComparison(out, result)
+	return nil
+}
+
+// writeComparison writes the difference and the rules that were broken.
+func writeComparison(out io.Writer, c comparison) {
+	conclusion := "a difference"
+	if c.Noise {
+		conclusion = fmt.Sprintf("noise: %d pairs would not show a difference under %.4f", c.Pairs, c.Detectable)
 	}
 	fmt.Fprintf(out, "A %.4f, B %.4f; B less A: %+.4f, 95%% interval %+.4f to %+.4f over %d pairs: %s\n",
-		cmp.Difference.A, cmp.Difference.B, cmp.Mean, cmp.Low, cmp.High, cmp.Pairs, verdict)
-	if cmp.Broken != [2]int{} {
-		fmt.Fprintf(out, "breaks of rules: A %d, B %d\n", cmp.Broken[0], cmp.Broken[1])
+		c.Difference.A, c.Difference.B, c.Mean, c.Low, c.High, c.Pairs, conclusion)
+	if c.Violations != [2]int{} {
+		fmt.Fprintf(out, "breaks of rules: A %d, B %d\n", c.Violations[0], c.Violations[1])
 	}
-	return nil
 }
 
-// play is one run of one side.
-func (c *labCompareCmd) play(ctx context.Context, side int, what string, scripts bool, seed uint64, log *slog.Logger) (float64, int, error) {
-	path, program := c.Scenario, what
-	if scripts {
-		path, program = what, ""
+// play plays one run of one side: on sockets, or in virtual time by this program or by the side's own.
+func (c *labCompareCmd) play(ctx context.Context, s side, seed uint64, log *slog.Logger) (sideResult, error) {
+	if !c.Sockets && s.program != "" {
+		return c.playProgram(ctx, s, seed)
 	}
-	if c.Sockets {
-		s, err := scenario.Load(path, c.Set)
-		if err != nil {
-			return 0, 0, err
-		}
-		r, err := playSockets(ctx, s, harness.Setup{Plan: s.Plan(seed), Program: program, Settings: []string{c.SettingsA, c.SettingsB}[side], Log: log})
-		return r.Service, len(r.Violations), err
+	script, err := scenario.Load(s.scenario, c.Set)
+	if err != nil {
+		return sideResult{}, err
 	}
-	if scripts {
-		s, err := scenario.Load(path, c.Set)
-		if err != nil {
-			return 0, 0, err
-		}
-		r := (&labSimCmd{}).play(ctx, s, seed, slog.New(slog.DiscardHandler))
-		return r.result.Service, len(r.result.Violations), r.err
+	if c.Sockets {
+		setup := harness.Setup{Plan: script.Plan(seed), Program: s.program, Settings: s.settings, Log: log}
+		r, err := playSockets(ctx, script, setup)
+		return sideResult{r.Service, len(r.Violations)}, err
 	}
-	program, err := filepath.Abs(program)
+	run := (&labSimCmd{}).play(ctx, script, seed, slog.New(slog.DiscardHandler))
+	return sideResult{run.result.Service, len(run.result.Violations)}, run.err
+}
+
+// playProgram runs 'lab sim' of the side's program. That rules were broken is a result, not an error.
+func (c *labCompareCmd) playProgram(ctx context.Context, s side, seed uint64) (sideResult, error) {
+	program, err := filepath.Abs(s.program)
 	if err != nil {
-		return 0, 0, err
+		return sideResult{}, err
 	}
-	args := []string{"lab", "sim", path, "--json", "--seed", fmt.Sprint(seed)}
-	for name, v := range c.Set {
-		args = append(args, fmt.Sprintf("--set=%s=%g", name, v))
+	args := []string{"lab", "sim", s.scenario, "--json", "--seed", fmt.Sprint(seed)}
+	for name, value := range c.Set {
+		args = append(args, fmt.Sprintf("--set=%s=%g", name, value))
 	}
 	text, err := exec.CommandContext(ctx, program, args...).Output()
 	var failed *exec.ExitError
-	if errors.As(err, &failed) && failed.ExitCode() == exitViolations {
-		err = nil
-	} else if errors.As(err, &failed) {
-		return 0, 0, fmt.Errorf("%w: %s", err, failed.Stderr)
+	if errors.As(err, &failed) && failed.ExitCode() != exitViolations {
+		return sideResult{}, fmt.Errorf("%w: %s", err, failed.Stderr)
 	}
-	if err != nil {
-		return 0, 0, err
+	if err != nil && failed == nil {
+		return sideResult{}, err
 	}
 	var r simulation.Result
 	if err := json.Unmarshal(text, &r); err != nil {
-		return 0, 0, fmt.Errorf("its result can't be read: %w", err)
+		return sideResult{}, fmt.Errorf("its result can't be read: %w", err)
 	}
-	return r.Service, len(r.Violations), nil
+	return sideResult{r.Service, len(r.Violations)}, nil
 }
--- a/cmd/cleathold/labfleet.go
+++ b/cmd/cleathold/labfleet.go
@@ -7,28 +7,28 @@
 	"io"
 	"log/slog"
 	"os"
-	"os/signal"
 	"path/filepath"
 	"sync"
-	"syscall"
 	"time"
 
 	"cleathold/internal/cluster"
 	"cleathold/internal/rollout"
 )
 
+// labFleetCmd groups the commands that play a cluster: senders, agents and partners as processes on one machine.
 type labFleetCmd struct {
 	Campaign labCampaignCmd `cmd:"" help:"Histories drawn by seeds; those that break something are kept as files."`
 	Replay   labReplayCmd   `cmd:"" help:"Play a history from its file."`
-	Measure  labMeasureCmd  `cmd:"" help:"A release over a whole fleet and back, and drains that are halted: how long they take."`
+	Measure  labMeasureCmd  `cmd:"" help:"${help_lab_fleet_measure}"`
 }
 
-// clusterSetup is a yard of this program's own processes.
+// clusterSetup returns the setup of a cluster of this program's own processes, with so many messages a second.
 func clusterSetup(folder string, rate float64) (cluster.Setup, error) {
 	program, err := os.Executable()
 	return cluster.Setup{Program: program, Folder: folder, Rate: rate, Log: slog.New(slog.DiscardHandler)}, err
 }
 
+// labCampaignCmd plays histories of faults and operators' orders that are drawn by seeds.
 type labCampaignCmd struct {
 	Seeds   int           `help:"Histories, each with the next seed." default:"200"`
 	From    uint64        `help:"First seed." default:"1"`
@@ -40,133 +40,183 @@
 	Out     string        `help:"Folder for the histories that broke something." default:"."`
 }
 
+// Run executes the command.
 func (c *labCampaignCmd) Run(out io.Writer) error {
 	if c.Seeds < 1 || c.Jobs < 1 || c.Senders < 2 || c.Agents < 1 || c.Length < time.Second {
 		return errors.New("seeds, jobs and agents from 1 up, senders from 2, a length of a second at least")
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
-	var mu sync.Mutex
+	result := campaignResult{out: out, folder: c.Out}
 	var wg sync.WaitGroup
-	next, broken, played, orders := c.From, 0, 0, 0
+	seeds := seedChannel(ctx, c.From, c.Seeds)
 	for range c.Jobs {
 		wg.Go(func() {
-			for {
-				mu.Lock()
-				seed := next
-				next++
-				mu.Unlock()
-				if seed >= c.From+uint64(c.Seeds) || ctx.Err() != nil {
-					return
-				}
-				h := cluster.Draw(seed, c.Senders, c.Agents, c.Length)
-				err := playHistory(ctx, h, c.Rate)
-				mu.Lock()
-				if err != nil {
-					h.Faults = append(h.Faults, "not played: "+err.Error())
-				}
-				played++
-				orders += h.Orders
-				writeHistory(out, h)
-				if len(h.Faults) > 0 && ctx.Err() == nil {
-					broken++
-					path := filepath.Join(c.Out, fmt.Sprintf("history-%d.json", seed))
-					if err := h.Save(path); err != nil {
-						fmt.Fprintln(out, err)
-					}
-					fmt.Fprintf(out, "  kept as %s\n", path)
-				}
-				mu.Unlock()
+			for seed := range seeds {
+				history := cluster.Draw(seed, c.Senders, c.Agents, c.Length)
+				err := playHistory(ctx, history, c.Rate)
+				result.add(history, err, ctx.Err() != nil)
 			}
 		})
 	}
 	wg.Wait()
-	fmt.Fprintf(out, "%d histories played, %d broke something; senders went out by order %d times\n", played, broken, orders)
-	return violationsError(broken)
+	fmt.Fprintf(out, "%d histories played, %d broke something; senders went out by order %d times\n",
+		result.played, result.broken, result.orders)
+	return violationsError(result.broken)
 }
 
-func playHistory(ctx context.Context, h *cluster.History, rate float64) error {
+// seedChannel returns a channel of count seeds from first up. It closes early if the context ends.
+func seedChannel(ctx context.Context, first uint64, count int) <-chan uint64 {
+	seeds := make(chan uint64)
+	go func() {
+		defer close(seeds)
+		for i := range count {
+			if ctx.Err() != nil {
+				return
+			}
+			select {
+			case seeds <- first + uint64(i):
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+	return seeds
+}
+
+// campaignResult counts the histories of a campaign and writes what came of each. Its method may be called from several
+// goroutines.
+type campaignResult struct {
+	out    io.Writer
+	folder string // for the histories that broke something
+
+	mu                     sync.Mutex
+	played, broken, orders int
+}
+
+// add counts a history that was played, or that failed with err. One that broke something is saved, unless the campaign
+// was aborted: then it is no finding.
+func (r *campaignResult) add(history *cluster.History, err error, aborted bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err != nil {
+		history.Faults = append(history.Faults, "not played: "+err.Error())
+	}
+	r.played++
+	r.orders += history.Orders
+	writeHistory(r.out, history)
+	if len(history.Faults) == 0 || aborted {
+		return
+	}
+	r.broken++
+	path := filepath.Join(r.folder, fmt.Sprintf("history-%d.json", history.Seed))
+	if err := history.Save(path); err != nil {
+		fmt.Fprintln(r.out, err)
+	}
+	fmt.Fprintf(r.out, "  kept as %s\n", path)
+}
+
+// playHistory plays a history in a temporary folder.
+func playHistory(ctx context.Context, history *cluster.History, rate float64) error {
 	folder, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(folder)
-	s, err := clusterSetup(folder, rate)
+	setup, err := clusterSetup(folder, rate)
 	if err != nil {
 		return err
 	}
-	return h.Play(ctx, s)
+	return history.Play(ctx, setup)
 }
 
+// writeHistory writes a history's figures and what it broke.
 func writeHistory(out io.Writer, h *cluster.History) {
-	fmt.Fprintf(out, "seed %d: %d out at once at most (%d may be), %d times by order, service %.3f, %d plans\n", h.Seed, h.MaxOut, h.Budget.Fleet, h.Orders, h.Served, len(h.Plans))
-	for _, f := range h.Faults {
-		fmt.Fprintf(out, "  BROKEN: %.600s\n", f)
+	fmt.Fprintf(out, "seed %d: %d out at once at most (%d may be), %d times by order, service %.3f, %d plans\n",
+		h.Seed, h.MaxOut, h.Budget.Fleet, h.Orders, h.Served, len(h.Plans))
+	for _, fault := range h.Faults {
+		fmt.Fprintf(out, "  BROKEN: %.600s\n", fault)
 	}
 }
 
+// labReplayCmd plays a history that a campaign saved.
 type labReplayCmd struct {
 	History string  `arg:"" help:"File of a history." type:"existingfile"`
 	Rate    float64 `help:"Messages a second over all senders." default:"60"`
 }
 
+// Run executes the command.
 func (c *labReplayCmd) Run(out io.Writer) error {
-	h, err := cluster.LoadHistory(c.History)
+	history, err := cluster.LoadHistory(c.History)
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
-	if err := playHistory(ctx, h, c.Rate); err != nil {
+	if err := playHistory(ctx, history, c.Rate); err != nil {
 		return exitError{err, exitIncomplete}
 	}
-	writeHistory(out, h)
-	return violationsError(len(h.Faults))
+	writeHistory(out, history)
+	return violationsError(len(history.Faults))
 }
 
+// labMeasureCmd measures a release and drains of a whole fleet.
 type labMeasureCmd struct {
 	Senders int     `help:"Senders." default:"100"`
 	Agents  int     `help:"Agents." default:"5"`
 	Budget  int     `help:"Senders out at once." default:"10"`
 	Rate    float64 `help:"Messages a second over all senders." default:"300"`
 	Faults  bool    `help:"Kill agents and cut links meanwhile."`
-	JSON    bool    `help:"JSON instead of text." name:"json"`
+	jsonFlag
 }
 
+// Run executes the command.
 func (c *labMeasureCmd) Run(out io.Writer) error {
 	folder, err := os.MkdirTemp("", "fleet")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(folder)
-	s, err := clusterSetup(folder, c.Rate)
+	setup, err := clusterSetup(folder, c.Rate)
 	if err != nil {
 		return err
 	}
-	s.Senders, s.Agents, s.Seed, s.Terms = c.Senders, c.Agents, 1, rollout.DefaultTerms
-	s.Terms.Budget.Fleet = c.Budget
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	setup.Senders, setup.Agents, setup.Seed, setup.Terms = c.Senders, c.Agents, 1, rollout.DefaultTerms
+	setup.Terms.Budget.Fleet = c.Budget
+	ctx, stop := interruptible()
 	defer stop()
-	m, err := cluster.Measure(ctx, s, c.Faults)
+	m, err := cluster.Measure(ctx, setup, c.Faults)
 	if err != nil {
 		return exitError{err, exitIncomplete}
 	}
 	if c.JSON {
 		return writeJSON(out, m)
 	}
+	writeMeasurement(out, m)
+	return violationsError(m.Violations + m.OverBudget)
+}
+
+// writeMeasurement writes what 'lab fleet measure' has measured.
+func writeMeasurement(out io.Writer, m cluster.Measurement) {
 	round := func(d time.Duration) time.Duration { return d.Round(10 * time.Millisecond) }
-	fmt.Fprintf(out, "%d senders, %d agents, faults %t: all serve after %v\n", m.Senders, m.Agents, m.WithFaults, round(m.Begin))
-	fmt.Fprintf(out, "release %v, resumed %d times; %d of %d hand-ins ended at the door; back %v\n", round(m.Release), m.Resumes, m.FailedSubmissions, m.Submissions, round(m.RollBack))
-	fmt.Fprintf(out, "after a halt the last sender went out at %v; with the leader cut off %v\n", round(m.HaltAll), round(m.HaltCut))
+	fmt.Fprintf(out, "%d senders, %d agents, faults %t: all serve after %v\n",
+		m.Senders, m.Agents, m.WithFaults, round(m.Begin))
+	fmt.Fprintf(out, "release %v, resumed %d times; %d of %d hand-ins ended at the door; back %v\n",
+		round(m.Release), m.Resumes, m.FailedSubmissions, m.Submissions, round(m.RollBack))
+	fmt.Fprintf(out, "after a halt the last sender went out at %v; with the leader cut off %v\n",
+		round(m.HaltAll), round(m.HaltCut))
 	fmt.Fprintf(out, "service %.3f, %d rules broken, %d times over the budget\n", m.Served, m.Violations, m.OverBudget)
-	for _, k := range []struct {
-		name string
-		c    cluster.Cost
-	}{{"at rest", m.AtRest}, {"in the release", m.DuringRelease}} {
-		fmt.Fprintf(out, "an agent %s: %.3f of a processor, %.0f MB; a second: raft %.0f bytes and %.1f calls, sights %.0f bytes and %.1f calls, looks %.0f bytes and %.1f calls\n",
-			k.name, k.c.Processor, k.c.MemoryMB, k.c.RaftBytes, k.c.RaftCalls, k.c.ToldBytes, k.c.ToldCalls, k.c.LookBytes, k.c.Looks)
-	}
-	fmt.Fprintf(out, "a sender at rest: watched %.4f of a processor, %.1f MB; with all agents stopped %.4f, %.1f MB\n", m.WithAgent.Processor, m.WithAgent.MemoryMB, m.WithoutAgent.Processor, m.WithoutAgent.MemoryMB)
-	fmt.Fprintf(out, "messages that took effect: %.4f of those wanted before the release, %.4f in it\n", m.Before, m.During)
-	return violationsError(m.Violations + m.OverBudget)
+	writeAgentCost(out, "at rest", m.AtRest)
+	writeAgentCost(out, "in the release", m.DuringRelease)
+	fmt.Fprintf(out, "a sender at rest: watched %.4f of a processor, %.1f MB; with all agents stopped %.4f, %.1f MB\n",
+		m.WithAgent.Processor, m.WithAgent.MemoryMB, m.WithoutAgent.Processor, m.WithoutAgent.MemoryMB)
+	fmt.Fprintf(out, "messages that took effect: %.4f of those wanted before the release, %.4f in it\n",
+		m.Before, m.During)
+}
+
+// writeAgentCost writes what an agent uses of the machine and the network.
+func writeAgentCost(out io.Writer, when string, c cluster.Cost) {
+	fmt.Fprintf(out, "an agent %s: %.3f of a processor, %.0f MB; a second: raft %.0f bytes and %.1f calls, "+
+		"sights %.0f bytes and %.1f calls, looks %.0f bytes and %.1f calls\n",
+		when, c.Processor, c.MemoryMB, c.RaftBytes, c.RaftCalls, c.ToldBytes, c.ToldCalls, c.LookBytes, c.Looks)
 }
--- a/cmd/cleathold/labrun.go
+++ b/cmd/cleathold/labrun.go
@@ -7,9 +7,7 @@
 	"io"
 	"log/slog"
 	"os"
-	"os/signal"
 	"path/filepath"
-	"syscall"
 
 	"cleathold/internal/cluster"
 	"cleathold/internal/harness"
@@ -17,16 +15,17 @@
 	"cleathold/internal/scenario"
 )
 
+// labRunCmd plays a scenario on sockets, with senders, and agents if it has any, as processes.
 type labRunCmd struct {
-	scenarioArgs
-	Seed     uint64  `help:"Seed." default:"1"`
+	seededScenarioArgs
 	Out      string  `help:"Folder for the run."`
 	Program  string  `help:"The senders' program; without it this one." type:"existingfile"`
 	Settings string  `help:"Settings script for the senders." type:"existingfile"`
 	MemoryMB float64 `help:"Memory that each sender may have, in MB." name:"memory-mb" default:"192"`
-	JSON     bool    `help:"JSON instead of text." name:"json"`
+	jsonFlag
 }
 
+// Run executes the command.
 func (c *labRunCmd) Run(out io.Writer, log *slog.Logger) error {
 	s, err := c.load()
 	if err != nil {
@@ -35,9 +34,12 @@
 	if s.Agents.Number > 0 {
 		return c.runWithAgents(out, s)
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
-	r, err := playSockets(ctx, s, harness.Setup{Plan: s.Plan(c.Seed), Program: c.Program, Settings: c.Settings, MemoryMB: c.MemoryMB, Folder: c.Out, Log: log, Progress: os.Stderr})
+	r, err := playSockets(ctx, s, harness.Setup{
+		Plan: s.Plan(c.Seed), Program: c.Program, Settings: c.Settings, MemoryMB: c.MemoryMB, Folder: c.Out, Log: log,
+		Progress: os.Stderr,
+	})
 	if err != nil {
 		return exitError{err, exitIncomplete}
 	}
@@ -45,29 +47,35 @@
 		if err := writeJSON(out, r); err != nil {
 			return err
 		}
-		return violationsError(len(r.Violations))
+	} else {
+		writeRunResult(out, r)
 	}
-	fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, %d connections, %d restarts\n",
+	return violationsError(len(r.Violations))
+}
+
+// writeRunResult writes a run's figures, the delays of the harness itself, and the rules that were broken.
+func writeRunResult(out io.Writer, r harness.Result) {
+	fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, "+
+		"%d connections, %d restarts\n",
 		r.Seed, r.Service, r.Overall, r.Worst, r.WorstAt, r.Messages, r.Calls, r.RejectedCalls, r.Connections, r.Restarts)
-	fmt.Fprintf(out, "lag of the rig: partners %.2f ms at the 99th percentile, %.2f at most; clients %.2f and %.2f; hand-ins answered after %.2f ms at the 99th percentile\n",
+	fmt.Fprintf(out, "lag of the rig: partners %.2f ms at the 99th percentile, %.2f at most; clients %.2f and %.2f; "+
+		"hand-ins answered after %.2f ms at the 99th percentile\n",
 		r.Rig.P99, r.Rig.Max, r.Clients.Lag.P99, r.Clients.Lag.Max, r.Clients.ResponseTime.P99)
 	fmt.Fprintf(out, "a sender had %.0f MB at most\n", r.PeakMB)
-	for _, m := range r.Warnings {
-		fmt.Fprintln(out, "NOTE:", m)
+	for _, warning := range r.Warnings {
+		fmt.Fprintln(out, "NOTE:", warning)
 	}
 	writeViolations(out, r.Violations)
-	return violationsError(len(r.Violations))
 }
 
-// playSockets is one run on sockets. Its folder is a temporary one if none is named.
-func playSockets(ctx context.Context, s *scenario.Scenario, set harness.Setup) (harness.Result, error) {
+// playSockets plays one run on sockets. It has a ledger if the setup names a folder; else its folder is a temporary
+// one.
+func playSockets(ctx context.Context, s *scenario.Scenario, setup harness.Setup) (harness.Result, error) {
 	var err error
-	if set.Program == "" {
-		if set.Program, err = os.Executable(); err != nil {
-			return harness.Result{}, err
-		}
+	if setup.Program, err = senderProgram(setup.Program); err != nil {
+		return harness.Result{}, err
 	}
-	for _, path := range []*string{&set.Program, &set.Settings, &set.Folder} { // the senders run elsewhere
+	for _, path := range []*string{&setup.Settings, &setup.Folder} { // the senders run in folders of their own
 		if *path == "" {
 			continue
 		}
@@ -75,66 +83,76 @@
 			return harness.Result{}, err
 		}
 	}
-	if set.Folder == "" {
-		if set.Folder, err = os.MkdirTemp("", "cleathold-lab-"); err != nil {
+	if setup.Folder == "" {
+		if setup.Folder, err = os.MkdirTemp("", "cleathold-lab-"); err != nil {
 			return harness.Result{}, err
 		}
-		defer os.RemoveAll(set.Folder)
-		return harness.Run(ctx, set)
+		defer os.RemoveAll(setup.Folder)
+		return harness.Run(ctx, setup)
 	}
-	writer, err := ledger.Create(set.Folder, ledgerHead(s, set.Plan.Seed, "sockets", set.Program), s.Script)
+	writer, err := ledger.Create(setup.Folder, ledgerHead(s, setup.Plan.Seed, modeSockets, setup.Program), s.Script)
 	if err != nil {
 		return harness.Result{}, err
 	}
-	set.Sink = writer.Read
-	r, err := harness.Run(ctx, set)
+	setup.Sink = writer.Read
+	r, err := harness.Run(ctx, setup)
 	if err != nil {
 		return r, errors.Join(err, writer.Close())
 	}
 	return r, writer.Finish(r)
 }
 
-// runWithAgents plays a scenario that has agents: they run the senders.
+// runWithAgents plays a scenario that has agents: they start and watch the senders.
 func (c *labRunCmd) runWithAgents(out io.Writer, s *scenario.Scenario) error {
-	folder := c.Out
-	var err error
-	if folder == "" {
-		if folder, err = os.MkdirTemp("", "fleet"); err != nil {
-			return err
-		}
-		defer os.RemoveAll(folder)
-	} else if err = os.Mkdir(folder, 0o700); err != nil {
-		return err
-	}
-	if folder, err = filepath.Abs(folder); err != nil {
+	folder, remove, err := c.clusterFolder()
+	if err != nil {
 		return err
 	}
-	set, err := clusterSetup(folder, 0)
+	defer remove()
+	setup, err := clusterSetup(folder, 0)
 	if err != nil {
 		return err
 	}
-	if c.Program != "" {
-		if set.Program, err = filepath.Abs(c.Program); err != nil {
-			return err
-		}
+	if setup.Program, err = senderProgram(c.Program); err != nil {
+		return err
 	}
-	set.Plan = s.Plan(c.Seed)
-	set.Rate = set.Plan.Rate
-	h := cluster.FromPlan(set.Plan)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	setup.Plan = s.Plan(c.Seed)
+	setup.Rate = setup.Plan.Rate
+	history := cluster.FromPlan(setup.Plan)
+	ctx, stop := interruptible()
 	defer stop()
-	if err := h.Play(ctx, set); err != nil {
+	if err := history.Play(ctx, setup); err != nil {
 		return exitError{err, exitIncomplete}
 	}
 	if c.JSON {
-		if err := writeJSON(out, h); err != nil {
+		if err := writeJSON(out, history); err != nil {
 			return err
 		}
 	} else {
-		writeHistory(out, h)
-		for _, p := range h.Plans {
-			fmt.Fprintln(out, "  plan", p)
+		writeHistory(out, history)
+		for _, plan := range history.Plans {
+			fmt.Fprintln(out, "  plan", plan)
 		}
 	}
-	return violationsError(len(h.Faults))
+	return violationsError(len(history.Faults))
+}
+
+// clusterFolder makes the folder of a run: the one named, which must not exist yet, or a temporary one, which remove
+// deletes.
+func (c *labRunCmd) clusterFolder() (folder string, remove func(), err error) {
+	remove = func() {}
+	if c.Out != "" {
+		folder, err = c.Out, os.Mkdir(c.Out, 0o700)
+	} else if folder, err = os.MkdirTemp("", "fleet"); err == nil {
+		temp := folder
+		remove = func() { os.RemoveAll(temp) }
+	}
+	if err != nil {
+		return "", nil, err
+	}
+	if folder, err = filepath.Abs(folder); err != nil {
+		remove()
+		return "", nil, err
+	}
+	return folder, remove, nil
 }
--- a/cmd/cleathold/labserve.go
+++ b/cmd/cleathold/labserve.go
@@ -1,27 +1,25 @@
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"os"
-	"os/signal"
 	"path/filepath"
-	"syscall"
 
 	"cleathold/internal/harness"
 	"cleathold/internal/ledger"
 )
 
+// labServeCmd serves a scenario's partners and platform to senders that somebody else starts.
 type labServeCmd struct {
-	scenarioArgs
-	Seed     uint64 `help:"Seed." default:"1"`
+	seededScenarioArgs
 	Out      string `help:"Folder for the senders' configurations and the run." required:""`
 	Settings string `help:"Settings script for the senders." type:"existingfile"`
 }
 
+// Run executes the command.
 func (c *labServeCmd) Run(out io.Writer, log *slog.Logger) error {
 	s, err := c.load()
 	if err != nil {
@@ -31,33 +29,35 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
-	writer, err := ledger.Create(folder, ledgerHead(s, c.Seed, "sockets", ""), s.Script)
+	writer, err := ledger.Create(folder, ledgerHead(s, c.Seed, modeSockets, ""), s.Script)
 	if err != nil {
 		return err
 	}
-	r, err := harness.Serve(ctx, harness.Setup{Plan: s.Plan(c.Seed), Folder: folder, Settings: c.Settings, Log: log, Sink: writer.Read}, out)
+	setup := harness.Setup{Plan: s.Plan(c.Seed), Folder: folder, Settings: c.Settings, Log: log, Sink: writer.Read}
+	r, err := harness.Serve(ctx, setup, out)
 	if err != nil {
 		return exitError{errors.Join(err, writer.Close()), exitIncomplete}
 	}
 	return writer.Finish(r)
 }
 
+// labLoadCmd submits a scenario's messages to senders that somebody else runs.
 type labLoadCmd struct {
-	scenarioArgs
-	Seed uint64   `help:"Seed." default:"1"`
+	seededScenarioArgs
 	To   []string `help:"Addresses of the senders." placeholder:"ADDR"`
 	Sink bool     `help:"Hand in to a sink of its own instead, to measure this tool."`
-	JSON bool     `help:"JSON instead of text." name:"json"`
+	jsonFlag
 }
 
+// Run executes the command.
 func (c *labLoadCmd) Run(out io.Writer, log *slog.Logger) error {
 	s, err := c.load()
 	if err != nil {
 		return err
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
 	switch {
 	case c.Sink == (len(c.To) > 0):
@@ -69,15 +69,18 @@
 		}
 		c.To = []string{addr}
 	}
-	result, err := harness.Load(ctx, s.Plan(c.Seed), c.To, log, os.Stderr)
+	r, err := harness.Load(ctx, s.Plan(c.Seed), c.To, log, os.Stderr)
 	if err != nil {
 		return exitError{err, exitIncomplete}
 	}
 	if c.JSON {
-		return writeJSON(out, result)
+		return writeJSON(out, r)
 	}
-	fmt.Fprintf(out, "answers by status (0 = none): %v; left out: %d\n", result.Answers, result.Skipped)
-	fmt.Fprintf(out, "from the time wanted to the answer: %.2f ms at the median, %.2f at the 99th percentile, %.2f at most\n", result.ResponseTime.P50, result.ResponseTime.P99, result.ResponseTime.Max)
-	_, err = fmt.Fprintf(out, "lag of the clients themselves: %.2f ms at the 99th percentile, %.2f at most\n", result.Lag.P99, result.Lag.Max)
+	fmt.Fprintf(out, "answers by status (0 = none): %v; left out: %d\n", r.Answers, r.Skipped)
+	fmt.Fprintf(out, "from the time wanted to the answer: "+
+		"%.2f ms at the median, %.2f at the 99th percentile, %.2f at most\n",
+		r.ResponseTime.P50, r.ResponseTime.P99, r.ResponseTime.Max)
+	_, err = fmt.Fprintf(out, "lag of the clients themselves: %.2f ms at the 99th percentile, %.2f at most\n",
+		r.Lag.P99, r.Lag.Max)
 	return err
 }
--- a/cmd/cleathold/labsim.go
+++ b/cmd/cleathold/labsim.go
@@ -7,10 +7,8 @@
 	"io"
 	"log/slog"
 	"os"
-	"os/signal"
 	"path/filepath"
 	"runtime"
-	"syscall"
 	"time"
 
 	"cleathold/internal/audit"
@@ -19,24 +17,35 @@
 	"cleathold/internal/simulation"
 )
 
+const (
+	maxDefaultJobs   = 32              // runs at once where --jobs is not given
+	progressInterval = 5 * time.Second // between two reports of progress
+	progressEvents   = 1024            // events between two looks at the clock
+)
+
+// errAborted is the error of a run that a signal ended.
+var errAborted = errors.New("broken off")
+
+// labSimCmd plays a scenario in virtual time.
 type labSimCmd struct {
 	scenarioArgs
-	Seed     uint64 `help:"Seed of the first run." default:"1"`
-	Runs     int    `help:"Runs, each with the next seed." default:"1"`
-	Jobs     int    `help:"Runs at once; 0 = as many as there are cores." default:"0"`
-	Out      string `help:"Folder for the run; with several runs, a folder with one for each seed."`
-	JSON     bool   `help:"JSON instead of text." name:"json"`
-	Progress bool   `help:"Tell on standard error how far it is."`
-	Verbose  bool   `help:"The senders' log on standard error."`
+	Seed uint64 `help:"Seed of the first run." default:"1"`
+	Runs int    `help:"Runs, each with the next seed." default:"1"`
+	Jobs int    `help:"Runs at once; 0 = as many as there are cores." default:"0"`
+	Out  string `help:"Folder for the run; with several runs, a folder with one for each seed."`
+	jsonFlag
+	Progress bool `help:"Tell on standard error how far it is."`
+	Verbose  bool `help:"The senders' log on standard error."`
 }
 
-// simResult is a run of many.
+// simResult is what came of one run in virtual time.
 type simResult struct {
-	result simulation.Result
-	took   time.Duration
-	err    error
+	result  simulation.Result
+	elapsed time.Duration
+	err     error
 }
 
+// Run executes the command.
 func (c *labSimCmd) Run(out io.Writer, log *slog.Logger) error {
 	s, err := c.load()
 	if err != nil {
@@ -48,17 +57,38 @@
 	if !c.Verbose {
 		log = slog.New(slog.DiscardHandler)
 	}
+	ctx, stop := interruptible()
+	defer stop()
+	violations := 0
+	for i, run := range c.startAll(ctx, s, log) {
+		r := <-run
+		if r.err != nil {
+			return exitError{fmt.Errorf("seed %d: %w", c.Seed+uint64(i), r.err), exitIncomplete}
+		}
+		violations += len(r.result.Violations)
+		if c.JSON {
+			if err := writeJSON(out, r.result); err != nil {
+				return err
+			}
+			continue
+		}
+		writeSimResult(out, s, r)
+	}
+	return violationsError(violations)
+}
+
+// startAll starts the runs, as many at once as there are jobs. Each result comes on a channel of its own, so that the
+// caller can write them in the order of their seeds.
+func (c *labSimCmd) startAll(ctx context.Context, s *scenario.Scenario, log *slog.Logger) []chan simResult {
 	jobs := c.Jobs
 	if jobs == 0 {
-		jobs = min(runtime.NumCPU(), 32)
+		jobs = min(runtime.NumCPU(), maxDefaultJobs)
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
-	runs := make([]chan simResult, c.Runs) // one for each, so that they are told in order
-	slots := make(chan struct{}, jobs)
+	runs := make([]chan simResult, c.Runs)
 	for i := range runs {
 		runs[i] = make(chan simResult, 1)
 	}
+	slots := make(chan struct{}, jobs)
 	go func() {
 		for i := range runs {
 			slots <- struct{}{}
@@ -68,30 +98,22 @@
 			}()
 		}
 	}()
-	broken := 0
-	for i := range runs {
-		r := <-runs[i]
-		if r.err != nil {
-			return exitError{fmt.Errorf("seed %d: %w", c.Seed+uint64(i), r.err), exitIncomplete}
-		}
-		broken += len(r.result.Violations)
-		if c.JSON {
-			if err := writeJSON(out, r.result); err != nil {
-				return err
-			}
-			continue
-		}
-		fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, %d connections; %.1f virtual seconds a second\n",
-			r.result.Seed, r.result.Service, r.result.Overall, r.result.Worst, r.result.WorstAt, r.result.Messages, r.result.Calls, r.result.RejectedCalls,
-			r.result.Connections, s.Length.Seconds()/r.took.Seconds())
-		writeViolations(out, r.result.Violations)
-	}
-	return violationsError(broken)
+	return runs
+}
+
+// writeSimResult writes a run's figures and the rules that it broke.
+func writeSimResult(out io.Writer, s *scenario.Scenario, run simResult) {
+	r := run.result
+	fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, "+
+		"%d connections; %.1f virtual seconds a second\n",
+		r.Seed, r.Service, r.Overall, r.Worst, r.WorstAt, r.Messages, r.Calls, r.RejectedCalls,
+		r.Connections, s.Length.Seconds()/run.elapsed.Seconds())
+	writeViolations(out, r.Violations)
 }
 
-// play is one run in virtual time.
+// play plays one run, with a ledger where a folder is named. An end of the context ends it with errAborted.
 func (c *labSimCmd) play(ctx context.Context, s *scenario.Scenario, seed uint64, log *slog.Logger) simResult {
-	p := s.Plan(seed)
+	plan := s.Plan(seed)
 	var writer *ledger.Writer
 	sink := func(audit.Event) error { return ctx.Err() }
 	if c.Out != "" {
@@ -100,30 +122,22 @@
 			folder = filepath.Join(folder, fmt.Sprint("seed-", seed))
 		}
 		var err error
-		if writer, err = ledger.Create(folder, ledgerHead(s, seed, "virtual", ""), s.Script); err != nil {
+		if writer, err = ledger.Create(folder, ledgerHead(s, seed, modeVirtual, ""), s.Script); err != nil {
 			return simResult{err: err}
 		}
 		sink = func(e audit.Event) error { return errors.Join(ctx.Err(), writer.Read(e)) }
 	}
 	if c.Progress {
-		next, inner := time.Now().Add(5*time.Second), sink
-		count := 0
-		sink = func(e audit.Event) error {
-			if count++; count%1024 == 0 && time.Now().After(next) {
-				next = time.Now().Add(5 * time.Second)
-				fmt.Fprintf(os.Stderr, "seed %d: %v of %v\n", seed, e.At.Truncate(time.Second), s.Length)
-			}
-			return inner(e)
-		}
+		sink = withProgress(sink, seed, s.Length)
 	}
 	started := time.Now()
-	sim, err := simulation.NewSim(p, log, sink)
+	sim, err := simulation.NewSim(plan, log, sink)
 	if err != nil {
 		return simResult{err: err}
 	}
 	r, err := sim.Run()
 	if errors.Is(err, context.Canceled) {
-		err = errors.New("broken off")
+		err = errAborted
 	}
 	if writer != nil && err == nil {
 		err = writer.Finish(r)
@@ -132,3 +146,16 @@
 	}
 	return simResult{r, time.Since(started), err}
 }
+
+// withProgress returns a sink that passes events on, and reports on standard error how far the run is.
+func withProgress(sink func(audit.Event) error, seed uint64, length time.Duration) func(audit.Event) error {
+	next := time.Now().Add(progressInterval)
+	count := 0
+	return func(e audit.Event) error {
+		if count++; count%progressEvents == 0 && time.Now().After(next) {
+			next = time.Now().Add(progressInterval)
+			fmt.Fprintf(os.Stderr, "seed %d: %v of %v\n", seed, e.At.Truncate(time.Second), length)
+		}
+		return sink(e)
+	}
+}
--- a/cmd/cleathold/labsoak.go
+++ b/cmd/cleathold/labsoak.go
@@ -8,15 +8,17 @@
 	"log/slog"
 	"os"
 	"os/exec"
-	"os/signal"
 	"path/filepath"
 	"sync"
-	"syscall"
 	"time"
 
 	"cleathold/internal/soak"
 )
 
+// maxShownFindings is how many findings of a case are written.
+const maxShownFindings = 20
+
+// labSoakCmd plays cases of overlapping faults that are drawn by seeds.
 type labSoakCmd struct {
 	Seeds   int           `help:"Cases, each with the next seed." default:"50"`
 	From    uint64        `help:"First seed." default:"1"`
@@ -30,6 +32,7 @@
 	Show    bool          `help:"Write what is drawn and play nothing."`
 }
 
+// Run executes the command.
 func (c *labSoakCmd) Run(out io.Writer) error {
 	if c.Seeds < 1 || c.Jobs < 1 || c.Senders < 2 || c.Length < 5*time.Second || !(c.Rate > 0) {
 		return errors.New("seeds and jobs from 1 up, senders from 2, a length of 5 s at least, a rate above 0")
@@ -41,12 +44,7 @@
 			return err
 		}
 	}
-	if c.Program == "" {
-		if c.Program, err = os.Executable(); err != nil {
-			return err
-		}
-	}
-	if c.Program, err = filepath.Abs(c.Program); err != nil {
+	if c.Program, err = senderProgram(c.Program); err != nil {
 		return err
 	}
 	if c.Show {
@@ -58,21 +56,11 @@
 	return c.playAll(out, options)
 }
 
-// playAll plays the cases, some at once.
+// playAll plays the cases, as many at once as there are jobs.
 func (c *labSoakCmd) playAll(out io.Writer, options soak.Options) error {
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	ctx, stop := interruptible()
 	defer stop()
-	seeds := make(chan uint64)
-	go func() {
-		defer close(seeds)
-		for i := range c.Seeds {
-			select {
-			case seeds <- c.From + uint64(i):
-			case <-ctx.Done():
-				return
-			}
-		}
-	}()
+	seeds := seedChannel(ctx, c.From, c.Seeds)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	unsound, played := 0, 0
@@ -93,12 +81,12 @@
 	wg.Wait()
 	fmt.Fprintf(out, "%d cases played, %d unsound\n", played, unsound)
 	if ctx.Err() != nil {
-		return exitError{errors.New("broken off"), exitIncomplete}
+		return exitError{errAborted, exitIncomplete}
 	}
 	return violationsError(unsound)
 }
 
-// play plays one case in a folder that is kept only where the case is unsound.
+// play plays one case in a folder of its own, and removes the folder if the case is sound.
 func (c *labSoakCmd) play(ctx context.Context, drawn *soak.Case) (*soak.Report, string, error) {
 	folder, err := filepath.Abs(filepath.Join(c.Out, fmt.Sprintf("soak-%d", drawn.Seed)))
 	if err != nil {
@@ -114,18 +102,19 @@
 	return report, folder, err
 }
 
-// writeReport tells how a case went, and whether it was sound.
+// writeReport writes the result of a case, and returns whether the case was sound.
 func writeReport(out io.Writer, drawn *soak.Case, r *soak.Report, folder string, err error) bool {
 	if err != nil {
 		fmt.Fprintf(out, "seed %d: not played: %v (%s)\n", drawn.Seed, err, folder)
 		return false
 	}
 	fmt.Fprintf(out, "seed %d: %d senders, %d messages, service %.2f, %d calls, %d restarts, lag %.1f ms, %d findings\n",
-		drawn.Seed, drawn.Senders, r.Result.Messages, r.Result.Service, r.Result.Calls, r.Result.Restarts, r.Result.Rig.P99, len(r.Findings))
+		drawn.Seed, drawn.Senders, r.Result.Messages, r.Result.Service, r.Result.Calls, r.Result.Restarts,
+		r.Result.Rig.P99, len(r.Findings))
 	if len(r.Findings) == 0 {
 		return true
 	}
-	for _, finding := range r.Findings[:min(len(r.Findings), 20)] {
+	for _, finding := range r.Findings[:min(len(r.Findings), maxShownFindings)] {
 		fmt.Fprintln(out, " ", finding)
 	}
 	writeCase(out, drawn)
@@ -133,6 +122,7 @@
 	return false
 }
 
+// writeCase writes the scenario of a case and the notes on how it was drawn.
 func writeCase(out io.Writer, drawn *soak.Case) {
 	fmt.Fprintf(out, "seed %d\n%s", drawn.Seed, drawn.Script)
 	for _, note := range drawn.Notes {
--- a/cmd/cleathold/main.go
+++ b/cmd/cleathold/main.go
@@ -1,5 +1,9 @@
-// Command cleathold takes messages from clients and delivers them to partner
-// systems. Here stands its command line alone.
+// Command cleathold accepts messages from clients and delivers them to partner systems. Besides the sender itself it
+// has the commands of its operators: for dead letters, for the write-ahead log's folder, for the agents that run beside
+// the senders and for the fleet that they manage, and a laboratory that plays scenarios in virtual time or on sockets.
+//
+// This package owns the command line: flags, help, output and exit codes. What the commands do is in the packages that
+// they call; it must not decide anything about messages, endpoints or senders.
 package main
 
 import (
@@ -15,22 +19,25 @@
 	"cleathold/internal/state"
 )
 
+// cli is the grammar of the command line, as Kong reads it.
 type cli struct {
 	Serve   serveCmd   `cmd:"" help:"Take in messages and deliver them until SIGTERM."`
 	Check   checkCmd   `cmd:"" help:"Read a configuration and say what it holds, or what is wrong with it."`
 	Pending pendingCmd `cmd:"" help:"List the messages that a state folder still owes something for."`
 	Held    heldCmd    `cmd:"" help:"Look into held messages, send them again or drop them."`
 	Store   storeCmd   `cmd:"" help:"Look into a store's folder, check, copy or repair it."`
-	Agent   agentCmd   `cmd:"" help:"Run beside the senders of a machine: start, watch, drain and change them as the agents agree."`
+	Agent   agentCmd   `cmd:"" help:"${help_agent}"`
 	Fleet   fleetCmd   `cmd:"" help:"See and move the senders of all agents: drains, releases, halts."`
 	Lab     labCmd     `cmd:"" help:"Rehearse: partners, traffic and failures that a script describes."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
+// versionCmd prints the program's version.
 type versionCmd struct {
 	JSON bool `help:"JSON, with the forms of the journal that this program reads and writes." name:"json"`
 }
 
+// Run executes the command.
 func (c versionCmd) Run(out io.Writer) error {
 	version := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -45,7 +52,8 @@
 
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	ctx := kong.Parse(&cli{}, kong.Name("cleathold"), kong.Description("A sender of messages to outside partner systems."),
-		kong.UsageOnError(), kong.Bind(log), kong.BindTo(os.Stdout, (*io.Writer)(nil)))
+	ctx := kong.Parse(&cli{}, kong.Name("cleathold"),
+		kong.Description("A sender of messages to outside partner systems."), kong.UsageOnError(), longHelp,
+		kong.Bind(log), kong.BindTo(os.Stdout, (*io.Writer)(nil)))
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- a/cmd/cleathold/serve.go
+++ b/cmd/cleathold/serve.go
@@ -13,20 +13,25 @@
 	"cleathold/internal/state"
 )
 
+// serveCmd runs a sender.
 type serveCmd struct {
 	Config   string `help:"Configuration file." env:"LB_CONFIG" required:"" type:"path"`
-	Settings string `help:"Starlark script with settings of our own: held messages, the admin plane. Without it both are off." env:"CLEATHOLD_SETTINGS"`
+	Settings string `help:"${help_serve_settings}" env:"CLEATHOLD_SETTINGS"`
 }
 
+// Run executes the command.
 func (s *serveCmd) Run(log *slog.Logger) error {
-	return lifecycle.Serve(func() (lifecycle.Config, error) { return lifecycle.Load(s.Config, s.Settings, os.Getenv) }, log)
+	load := func() (lifecycle.Config, error) { return lifecycle.Load(s.Config, s.Settings, os.Getenv) }
+	return lifecycle.Serve(load, log)
 }
 
+// checkCmd reads a sender's configuration, a settings script, or both, and starts nothing.
 type checkCmd struct {
 	Config   string `arg:"" optional:"" help:"Configuration file." type:"existingfile"`
 	Settings string `help:"Starlark script with settings of our own." type:"existingfile"`
 }
 
+// Run executes the command.
 func (k *checkCmd) Run(out io.Writer) error {
 	if k.Config == "" && k.Settings == "" {
 		return errors.New("name a configuration file, or a script by --settings")
@@ -50,10 +55,12 @@
 	return err
 }
 
+// pendingCmd lists the messages in a state folder's write-ahead log whose outcome, or whose delivery report, is owed.
 type pendingCmd struct {
 	State string `arg:"" help:"State folder." env:"LB_STATE" type:"existingdir"`
 }
 
+// Run executes the command.
 func (p *pendingCmd) Run(out io.Writer, log *slog.Logger) error {
 	list, err := state.ReadPending(p.State, log)
 	if err != nil {
--- a/cmd/cleathold/store.go
+++ b/cmd/cleathold/store.go
@@ -9,6 +9,7 @@
 	"cleathold/internal/store"
 )
 
+// storeCmd groups the commands for the folder of a store: a write-ahead log, or a dead-letter queue.
 type storeCmd struct {
 	Stat    storeStatCmd    `cmd:"" help:"Tell what a folder holds; also while it is in use."`
 	Verify  storeVerifyCmd  `cmd:"" help:"Read all that is live, and tell of damage; also while it is in use."`
@@ -18,97 +19,112 @@
 	Repair  storeRepairCmd  `cmd:"" help:"Write what can be read of a folder into an empty one."`
 }
 
-type storeStatCmd struct {
+// storeFolder is the argument of the commands that read a store.
+type storeFolder struct {
 	Folder string `arg:"" help:"Folder of the store." type:"existingdir"`
-	JSON   bool   `help:"JSON instead of text." name:"json"`
 }
 
-// openReadOnly opens a folder to be read.
-func openReadOnly(folder string) (*store.Store, error) {
-	s, err := store.OpenReadOnly(store.Dir(folder))
+// open opens the folder read-only, which works while a sender has it open.
+func (f storeFolder) open() (*store.Store, error) {
+	s, err := store.OpenReadOnly(store.Dir(f.Folder))
 	if errors.Is(err, store.ErrNewer) {
 		return nil, fmt.Errorf("%w: use that one to read it", err)
 	}
 	return s, err
 }
 
+// storeStatCmd tells the size and the damage of a store by segment.
+type storeStatCmd struct {
+	storeFolder
+	jsonFlag
+}
+
+// Run executes the command.
 func (c *storeStatCmd) Run(out io.Writer) error {
-	s, err := openReadOnly(c.Folder)
+	s, err := c.open()
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	sum := s.Summary()
+	summary := s.Summary()
 	if c.JSON {
-		return writeJSON(out, sum)
+		return writeJSON(out, summary)
 	}
-	for _, g := range sum.Segments {
-		fmt.Fprintf(out, "%s\t%d bytes\t%d live\n", g.File, g.Size, g.Live)
+	for _, segment := range summary.Segments {
+		fmt.Fprintf(out, "%s\t%d bytes\t%d live\n", segment.File, segment.Size, segment.Live)
 	}
-	writeDamages(out, sum)
-	_, err = fmt.Fprintf(out, "%d entities, %d bytes live of %d on disk in %d segments\n", sum.Entities, sum.Live, sum.Disk, len(sum.Segments))
+	writeDamages(out, summary)
+	_, err = fmt.Fprintf(out, "%d entities, %d bytes live of %d on disk in %d segments\n",
+		summary.Entities, summary.Live, summary.Disk, len(summary.Segments))
 	return err
 }
 
-func writeDamages(out io.Writer, sum store.Summary) {
-	for _, d := range sum.Damages {
+// writeDamages writes a line for each damaged place. An append that was cut off is none: nobody was promised it.
+func writeDamages(out io.Writer, summary store.Summary) {
+	for _, d := range summary.Damages {
 		if d.Tail {
-			fmt.Fprintf(out, "%s ends in the middle of an append at %d, which was not promised (%d bytes)\n", d.File, d.Offset, d.Length)
+			fmt.Fprintf(out, "%s ends in the middle of an append at %d, which was not promised (%d bytes)\n",
+				d.File, d.Offset, d.Length)
 			continue
 		}
-		if d.Missing {
-			fmt.Fprintf(out, "DAMAGE segments before %s are missing\n", d.File)
-			continue
-		}
-		fmt.Fprintf(out, "DAMAGE %s at %d: %d bytes can't be read\n", d.File, d.Offset, d.Length)
+		fmt.Fprintf(out, "DAMAGE %s\n", damageText(d))
+	}
+	if summary.Doubtful > 0 {
+		fmt.Fprintf(out, "%d entities may lack a record\n", summary.Doubtful)
 	}
-	if sum.Doubtful > 0 {
-		fmt.Fprintf(out, "%d entities may lack a record\n", sum.Doubtful)
+}
+
+// damageText describes one damaged place.
+func damageText(d store.Damage) string {
+	if d.Missing {
+		return fmt.Sprintf("segments before %s are missing", d.File)
 	}
+	return fmt.Sprintf("%s at %d: %d bytes can't be read", d.File, d.Offset, d.Length)
 }
 
+// storeVerifyCmd reads all live records of a store; damage ends it with the exit code exitDamaged.
 type storeVerifyCmd struct {
-	Folder string `arg:"" help:"Folder of the store." type:"existingdir"`
-	JSON   bool   `help:"JSON instead of text." name:"json"`
+	storeFolder
+	jsonFlag
 }
 
+// Run executes the command.
 func (c *storeVerifyCmd) Run(out io.Writer) error {
-	s, err := openReadOnly(c.Folder)
+	s, err := c.open()
 	if err != nil {
 		return err
 	}
 	defer s.Close()
-	sum := s.Summary()
+	summary := s.Summary()
 	if c.JSON {
-		if err := writeJSON(out, sum); err != nil {
+		if err := writeJSON(out, summary); err != nil {
 			return err
 		}
 	} else {
-		writeDamages(out, sum)
+		writeDamages(out, summary)
 	}
 	damage := s.Verify()
-	for _, d := range sum.Damages {
-		if d.Missing {
-			damage = errors.Join(damage, fmt.Errorf("segments before %s are missing", d.File))
-		} else if !d.Tail {
-			damage = errors.Join(damage, fmt.Errorf("%s at %d: %d bytes can't be read", d.File, d.Offset, d.Length))
+	for _, d := range summary.Damages {
+		if d.Missing || !d.Tail {
+			damage = errors.Join(damage, errors.New(damageText(d)))
 		}
 	}
 	if damage != nil {
-		return exitError{fmt.Errorf("%w\n`cleathold store repair` writes what can be read into another folder", damage), exitDamaged}
+		err := fmt.Errorf("%w\n`cleathold store repair` writes what can be read into another folder", damage)
+		return exitError{err, exitDamaged}
 	}
 	if !c.JSON {
-		fmt.Fprintf(out, "%d entities, all of them can be read\n", sum.Entities)
+		fmt.Fprintf(out, "%d entities, all of them can be read\n", summary.Entities)
 	}
 	return nil
 }
 
-type storeDumpCmd struct {
-	Folder string `arg:"" help:"Folder of the store." type:"existingdir"`
-}
+// storeDumpCmd writes a store's live records.
+type storeDumpCmd struct{ storeFolder }
 
+// Run executes the command.
 func (c *storeDumpCmd) Run(out io.Writer) error {
-	s, err := openReadOnly(c.Folder)
+	s, err := c.open()
 	if err != nil {
 		return err
 	}
@@ -116,40 +132,46 @@
 	return s.Dump(out)
 }
 
+// storeBackupCmd copies a store's folder.
 type storeBackupCmd struct {
-	Folder string `arg:"" help:"Folder of the store." type:"existingdir"`
-	To     string `arg:"" help:"Folder for the copy; it is made, or must be empty."`
+	storeFolder
+	To string `arg:"" help:"Folder for the copy; it is made, or must be empty."`
 }
 
+// Run executes the command.
 func (c *storeBackupCmd) Run(out io.Writer) error { return copyStore(out, c.Folder, c.To) }
 
+// storeRestoreCmd copies a backup into the place of a store.
 type storeRestoreCmd struct {
 	Backup string `arg:"" help:"Folder of the backup." type:"existingdir"`
 	To     string `arg:"" help:"Folder of the store; it is made, or must be empty."`
 }
 
+// Run executes the command.
 func (c *storeRestoreCmd) Run(out io.Writer) error { return copyStore(out, c.Backup, c.To) }
 
-// copyStore copies a folder and checks the copy.
+// copyStore copies a store's folder and verifies the copy.
 func copyStore(out io.Writer, from, to string) error {
 	if err := os.MkdirAll(to, 0o700); err != nil {
 		return err
 	}
-	n, err := store.Backup(store.Dir(from), store.Dir(to))
+	size, err := store.Backup(store.Dir(from), store.Dir(to))
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d bytes copied\n", n)
-	return (&storeVerifyCmd{Folder: to}).Run(out)
+	fmt.Fprintf(out, "%d bytes copied\n", size)
+	return (&storeVerifyCmd{storeFolder: storeFolder{to}}).Run(out)
 }
 
+// storeRepairCmd writes what can be read of a damaged store into another folder.
 type storeRepairCmd struct {
-	Folder string `arg:"" help:"Folder of the store." type:"existingdir"`
-	To     string `arg:"" help:"Folder for the repaired one; it is made, or must be empty."`
-	Sound  bool   `help:"Leave out what may lack a record."`
-	JSON   bool   `help:"JSON instead of text." name:"json"`
+	storeFolder
+	To    string `arg:"" help:"Folder for the repaired one; it is made, or must be empty."`
+	Sound bool   `help:"Leave out what may lack a record."`
+	jsonFlag
 }
 
+// Run executes the command.
 func (c *storeRepairCmd) Run(out io.Writer) error {
 	if err := os.MkdirAll(c.To, 0o700); err != nil {
 		return err
