--- a/cmd/cleathold/cluster_test.go
+++ b/cmd/cleathold/cluster_test.go
@@ -6,6 +6,7 @@
 	"net/url"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -18,35 +19,42 @@
 	"cleathold/internal/rollout"
 )
 
-// quickTerms are terms under which tests need not wait long.
+// quickTerms returns terms under which tests need not wait long.
 func quickTerms(budget rollout.Budget) rollout.Terms {
 	t := rollout.DefaultTerms
 	t.Budget, t.Timing.Lease = budget, 4*time.Second
 	return t
 }
 
-// newCluster is a fleet of processes of this test's own program.
+// threeSenders is the setup of three senders, one of which may be out, and three agents.
+func threeSenders() cluster.Setup {
+	return cluster.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quickTerms(rollout.Budget{Fleet: 1})}
+}
+
+// fourSenders is the setup of four senders, so many of which may be out, and three agents, with traffic enough for
+// gates.
+func fourSenders(maxOut int) cluster.Setup {
+	return cluster.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quickTerms(rollout.Budget{Fleet: maxOut})}
+}
+
+// newCluster starts a cluster whose processes run this test's own program.
 func newCluster(t *testing.T, s cluster.Setup) *cluster.Cluster {
 	t.Helper()
 	s.Program, s.Folder = os.Args[0], t.TempDir()
 	s.Env = append(s.Env, "CLEATHOLD_CHILD=1")
 	fleet, err := cluster.New(t.Context(), s)
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	t.Cleanup(func() {
 		if t.Failed() {
 			fleet.Logs(os.Stderr)
 		}
 		fleet.Close()
 	})
-	if err := fleet.Begin(); err != nil {
-		t.Fatal(err)
-	}
+	must(t, fleet.Begin())
 	return fleet
 }
 
-// fleetCommand runs a command of the fleet's as staff do, and wants it to end with a code.
+// fleetCommand runs a fleet command as operators do. It must end with the exit code.
 func fleetCommand(t *testing.T, fleet *cluster.Cluster, code int, args ...string) string {
 	t.Helper()
 	out, got := fleet.RunCommand(nil, args...)
@@ -56,32 +64,51 @@
 	return out
 }
 
-func must(t *testing.T, err error) {
+// requireRejected runs a fleet command that must be rejected with such a text, and change nothing.
+func requireRejected(t *testing.T, fleet *cluster.Cluster, want string, args ...string) {
 	t.Helper()
-	if err != nil {
-		t.Fatal(err)
+	if out := fleetCommand(t, fleet, exitRejected, args...); !strings.Contains(out, want) {
+		t.Errorf("fleet %s: %s, want %q", strings.Join(args, " "), out, want)
 	}
 }
 
-// checkRules wants that no order took one out too many, and that no rule for messages was broken.
+// awaitView waits until the view of the agent that leads meets a condition.
+func awaitView(t *testing.T, fleet *cluster.Cluster, within time.Duration, what string, is func(v agent.View) bool) {
+	t.Helper()
+	must(t, fleet.Await(within, what, is))
+}
+
+// awaitOtherLeader waits until an agent other than one leads.
+func awaitOtherLeader(t *testing.T, fleet *cluster.Cluster, within time.Duration, not int) {
+	t.Helper()
+	awaitView(t, fleet, within, "another agent leads", func(v agent.View) bool {
+		return v.Agent != fleet.AgentNames()[not]
+	})
+}
+
+// checkRules ends the traffic, and checks that no order took one sender out too many and no rule for messages was
+// broken.
 func checkRules(t *testing.T, fleet *cluster.Cluster) cluster.Report {
 	t.Helper()
 	r := fleet.Finish()
-	for _, b := range r.OverBudget {
-		t.Errorf("over the budget at %v: %s", b.At, b.Text)
+	for _, v := range r.OverBudget {
+		t.Errorf("over the budget at %v: %s", v.At, v.Text)
 	}
-	for _, b := range r.Violations {
-		t.Errorf("rule broken at %v by %d: %s: %s", b.At, b.Sender, b.Rule, b.Text)
+	for _, v := range r.Violations {
+		t.Errorf("rule broken at %v by %d: %s: %s", v.At, v.Sender, v.Rule, v.Text)
 	}
 	return r
 }
 
-// gatedRelease are the flags of a release whose gates tests need not wait long for.
+// quickGate are the flags of gates that tests need not wait long for.
+var quickGate = []string{"--reason", "r", "--least", "25", "--soak", "1s", "--wait", "15s"}
+
+// gatedRelease returns the arguments of a release of a program through such gates.
 func gatedRelease(name, program string, extra ...string) []string {
-	return append([]string{"release", "--name", name, "--program", program, "--reason", "r", "--least", "25", "--soak", "1s", "--wait", "15s"}, extra...)
+	return slices.Concat([]string{"release", "--name", name, "--program", program}, quickGate, extra)
 }
 
-// planNumber reads the number of the plan that a command has started.
+// planNumber returns the number of the plan that a command has started, from its output.
 func planNumber(t *testing.T, out string) (id uint64) {
 	t.Helper()
 	if _, text, ok := strings.Cut(out, "\nplan "); ok {
@@ -93,10 +120,10 @@
 	return id
 }
 
-// leakedMemory is what a version that leaks holds on to.
+// leakedMemory is the memory of a version that leaks.
 var leakedMemory []byte
 
-// injectFault is what some versions of tests do besides their work.
+// injectFault has this process, a version that a test releases, fail in some way.
 func injectFault(fault string) {
 	switch fault {
 	case "leaks":
@@ -106,7 +133,7 @@
 		}
 	case "mute":
 		go func() {
-			for !supervised(os.Getenv("LB_CONFIG"), os.Getpid()) { // its agent has found it ready
+			for !supervised(os.Getenv("LB_CONFIG"), os.Getpid()) { // until its agent has found it ready
 				time.Sleep(time.Millisecond)
 			}
 			syscall.Kill(os.Getpid(), syscall.SIGSTOP)
@@ -115,6 +142,7 @@
 }
 
 // supervised tells whether an agent's record has a process as its sender's, rather than as one that is to take over.
+// The sender's configuration tells where the agents' folders are.
 func supervised(config string, pid int) bool {
 	name := filepath.Dir(config)
 	list, _ := filepath.Glob(filepath.Join(filepath.Dir(name), "a*", "state", filepath.Base(name)+".json"))
@@ -127,13 +155,15 @@
 	return false
 }
 
-// writeVersion writes a program: this one, with something else before it serves. Each start leaves a line in a file.
+// writeVersion writes a program that is this one, with shell commands before it serves. Ran counts the senders that
+// ever started it.
 func writeVersion(t *testing.T, name, serve string) (path string, ran func() int) {
 	t.Helper()
 	dir := t.TempDir()
 	path = filepath.Join(dir, name)
 	marks := filepath.Join(dir, "ran")
-	text := fmt.Sprintf("#!/bin/sh\nif [ \"$1\" = serve ]; then\necho $LB_ADMIN >> %s\n%s\nfi\nexec %s \"$@\"\n", marks, serve, os.Args[0])
+	text := fmt.Sprintf("#!/bin/sh\nif [ \"$1\" = serve ]; then\necho $LB_ADMIN >> %s\n%s\nfi\nexec %s \"$@\"\n",
+		marks, serve, os.Args[0])
 	must(t, os.WriteFile(path, []byte(text), 0o700))
 	return path, func() int {
 		text, _ := os.ReadFile(marks)
@@ -146,7 +176,7 @@
 	}
 }
 
-// otherAgents are the agents but for one, by number.
+// otherAgents returns the numbers of all agents but one.
 func otherAgents(fleet *cluster.Cluster, not int) (list []int) {
 	for i := range fleet.AgentNames() {
 		if i != not {
@@ -156,7 +186,7 @@
 	return list
 }
 
-// awaitLeader waits for the number of the agent that leads.
+// awaitLeader waits until an agent leads, and returns its number.
 func awaitLeader(t *testing.T, fleet *cluster.Cluster) int {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -168,7 +198,7 @@
 	return -1
 }
 
-// resumePlan has a halted plan go on, as staff would after looking.
+// resumePlan resumes a plan if it is halted, as operators would after a look at it.
 func resumePlan(t *testing.T, fleet *cluster.Cluster, id uint64) {
 	t.Helper()
 	must(t, fleet.Await(20*time.Second, "the plan", func(v agent.View) bool { return v.State.Plan(id) != nil }))
@@ -176,11 +206,12 @@
 	must(t, err)
 	if p := v.State.Plan(id); p != nil && p.Phase == rollout.Halted {
 		t.Logf("resumed: %s", p.Why)
-		fleet.Order(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}) // somebody else may have
+		// An error is no failure: the plan may have changed meanwhile.
+		fleet.Order(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision})
 	}
 }
 
-// putAdmin makes one call at the second address of a sender, and returns the status.
+// putAdmin makes one call at the admin address of a sender, and returns the status of the answer, or 0.
 func putAdmin(fleet *cluster.Cluster, sender int, path string, q url.Values) int {
 	for _, addr := range fleet.Admin(sender) {
 		r, err := http.NewRequest(http.MethodPut, "http://"+addr+path+"?"+q.Encode(), nil)
--- a/cmd/cleathold/discovery_test.go
+++ b/cmd/cleathold/discovery_test.go
@@ -9,8 +9,9 @@
 	"cleathold/internal/socktest"
 )
 
-// What discovery has begun to tell counts as told, whatever becomes of its answer: no call reaches a draining target later
-// than the grace of drains, and service goes on once the target is up again.
+// TestTruncatedDiscoveryAnswers checks that what discovery has begun to tell counts as known, whatever becomes of its
+// answer: no call reaches a draining target later than the grace of drains, and service goes on once the target is up
+// again.
 func TestTruncatedDiscoveryAnswers(t *testing.T) {
 	t.Parallel()
 	closes := func(end func(*net.TCPConn)) func(*net.TCPConn, string) {
@@ -29,7 +30,9 @@
 		{"each stops before its list for 3 s", writePrefix(60), 0, 3 * time.Second},
 		{"closes in its list twice", closes(func(c *net.TCPConn) { c.Close() }), 2, 0},
 		{"resets in its list twice", closes(func(c *net.TCPConn) { c.SetLinger(0); c.Close() }), 2, 0},
-		{"can't be read", func(c *net.TCPConn, text string) { io.WriteString(c, socktest.JSON(`{"version":2,"servers":}`)) }, 1, 0},
+		{"can't be read", func(c *net.TCPConn, text string) {
+			io.WriteString(c, socktest.JSON(`{"version":2,"servers":}`))
+		}, 1, 0},
 		{"comes byte by byte", func(c *net.TCPConn, text string) {
 			for i := range text {
 				io.WriteString(c, text[i:i+1])
@@ -44,8 +47,8 @@
 	}
 }
 
-// A watch goes on for 200 ms after an answer: a change in that time counts as told, also where a large fleet's sender
-// rests before it asks again.
+// TestChangeRightAfterAnswer changes the list within the 200 ms that a watch goes on after an answer: the change counts
+// as known, also where a large fleet's sender waits before it polls again.
 func TestChangeRightAfterAnswer(t *testing.T) {
 	t.Parallel()
 	const grace = 2 * time.Second
@@ -53,36 +56,36 @@
 	env.setState("up", 0, 0)
 	for until := time.Now().Add(10 * time.Second); env.notifiedAt().IsZero(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("no question to discovery")
+			t.Fatal("discovery was not polled")
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
 	env.setState("draining", 0, 0)
 	notified := time.Now()
 	env.submitUntil("a", notified.Add(4*time.Second))
-	if last, _ := env.calls(); last.Sub(notified) > grace+50*time.Millisecond {
-		t.Errorf("a call reached the target %v after the drain was told", last.Sub(notified))
+	if last, _ := env.callStats(); last.Sub(notified) > grace+50*time.Millisecond {
+		t.Errorf("a call reached the target %v after discovery told of the drain", last.Sub(notified))
 	}
 }
 
-// A process that is started with the list of its configuration, while discovery says nothing, sends nothing to a target
-// of which the process before it was told that it drains.
+// TestRestartKnowsDrainedTarget restarts a process with the list of its configuration while discovery says nothing: it
+// sends nothing to a target of which the process before was told that it drains.
 func TestRestartKnowsDrainedTarget(t *testing.T) {
 	t.Parallel()
 	env := newDrainEnvironment(t, nil, time.Second, 1)
 	env.setState("draining", 0, 0)
 	for until := time.Now().Add(10 * time.Second); env.notifiedAt().IsZero(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("the drain was never told")
+			t.Fatal("discovery never told of the drain")
 		}
 	}
 	env.submitUntil("a", time.Now().Add(1200*time.Millisecond))
 	env.silent.Store(true)
 	env.kill(env.process)
 	env.process = env.start()
-	_, before := env.calls()
+	_, before := env.callStats()
 	env.submitUntil("b", time.Now().Add(2*time.Second))
-	if _, count := env.calls(); count != before {
+	if _, count := env.callStats(); count != before {
 		t.Errorf("%d calls reached the target after the restart", count-before)
 	}
 	env.silent.Store(false)
@@ -90,18 +93,20 @@
 	env.awaitCalls(t, before)
 }
 
-func testBrokenAnswer(t *testing.T, fail func(*net.TCPConn, string), faulty int, span time.Duration) {
+// testBrokenAnswer has answers of discovery about a drain fail, and checks that no call reaches the target after the
+// grace.
+func testBrokenAnswer(t *testing.T, fail func(*net.TCPConn, string), faulty int, duration time.Duration) {
 	const grace = time.Second
 	env := newDrainEnvironment(t, fail, grace, 1)
-	env.setState("draining", faulty, span)
+	env.setState("draining", faulty, duration)
 	env.submitUntil("a", time.Now().Add(3500*time.Millisecond))
 	notified := env.notifiedAt()
 	if notified.IsZero() {
-		t.Fatal("the drain was never told")
+		t.Fatal("discovery never told of the drain")
 	}
-	last, before := env.calls()
+	last, before := env.callStats()
 	if lateness := last.Sub(notified); lateness > grace+50*time.Millisecond {
-		t.Errorf("a call reached the target %v after the drain was told", lateness)
+		t.Errorf("a call reached the target %v after discovery told of the drain", lateness)
 	}
 	env.setState("up", 0, 0)
 	env.awaitCalls(t, before)
--- a/cmd/cleathold/discoverystub_test.go
+++ b/cmd/cleathold/discoverystub_test.go
@@ -16,7 +16,7 @@
 	"cleathold/internal/socktest"
 )
 
-// A discoveryStub is a stand-in of discovery for one target, whose answers about a change can fail in the middle.
+// discoveryStub is a stand-in of discovery for one target, whose answers about a change can fail in the middle.
 type discoveryStub struct {
 	mu            sync.Mutex
 	version       int
@@ -27,30 +27,32 @@
 	faultyAnswers int                               // so many answers about it fail...
 	faultyUntil   time.Time                         // ...and all until then
 	fail          func(c *net.TCPConn, text string) // writes one that fails
-	silent        atomic.Bool                       // questions get no answer
+	silent        atomic.Bool                       // polls get no answer
 }
 
+// newDiscoveryStub returns a stub whose target is up.
 func newDiscoveryStub(target string, fail func(c *net.TCPConn, text string)) *discoveryStub {
 	return &discoveryStub{version: 1, state: "up", target: target, changed: make(chan struct{}), fail: fail}
 }
 
-// setState tells a new state of the target; so many answers about it fail, and all for a time.
-func (stub *discoveryStub) setState(state string, faulty int, span time.Duration) {
+// setState changes the state of the target. So many answers about the change fail, and all for a time.
+func (stub *discoveryStub) setState(state string, faulty int, duration time.Duration) {
 	stub.mu.Lock()
 	defer stub.mu.Unlock()
 	stub.version++
-	stub.state, stub.notified, stub.faultyAnswers, stub.faultyUntil = state, time.Time{}, faulty, time.Now().Add(span)
+	stub.state, stub.notified, stub.faultyAnswers, stub.faultyUntil = state, time.Time{}, faulty, time.Now().Add(duration)
 	close(stub.changed)
 	stub.changed = make(chan struct{})
 }
 
-// notifiedAt is when the latest change was told; zero where it was not.
+// notifiedAt returns when an answer about the latest change began; zero if none has.
 func (stub *discoveryStub) notifiedAt() time.Time {
 	stub.mu.Lock()
 	defer stub.mu.Unlock()
 	return stub.notified
 }
 
+// serve answers on one connection, as discovery and as the platform that accepts delivery reports.
 func (stub *discoveryStub) serve(_ int, c *net.TCPConn) {
 	in := bufio.NewReader(c)
 	for {
@@ -69,7 +71,7 @@
 	}
 }
 
-// answer answers one question, and tells whether another may follow.
+// answer answers one poll, and returns whether another may follow.
 func (stub *discoveryStub) answer(c *net.TCPConn, r *http.Request) bool {
 	since := r.URL.Query().Get("since")
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
@@ -91,7 +93,7 @@
 	defer stub.mu.Unlock()
 	list := "[]"
 	if since != strconv.Itoa(stub.version) {
-		list = fmt.Sprintf(`[{"id":"s","addr":%q,"zone":"z","kind":"k","cell":7,"state":%q,"weight":150}]`, stub.target, stub.state)
+		list = fmt.Sprintf(targetList, stub.target, stub.state)
 	}
 	text := socktest.JSON(fmt.Sprintf(`{"version":%d,"full":%t,"servers":%s}`, stub.version, since == "", list))
 	if list != "[]" && stub.version > 1 {
@@ -113,7 +115,7 @@
 	return func(c *net.TCPConn, text string) { io.WriteString(c, text[:(n+len(text))%len(text)]) }
 }
 
-// A drainEnvironment is a sender with a catalog and one target, whose calls are counted.
+// drainEnvironment is a sender with a discovery stub and one target, whose calls are counted.
 type drainEnvironment struct {
 	*environment
 	*discoveryStub
@@ -123,7 +125,11 @@
 	callCount int
 }
 
-func newDrainEnvironment(t *testing.T, fail func(*net.TCPConn, string), grace time.Duration, siblings int) *drainEnvironment {
+// newDrainEnvironment starts a sender in a fleet of some size, with a grace for drains, whose configuration lists the
+// target.
+func newDrainEnvironment(
+	t *testing.T, fail func(*net.TCPConn, string), grace time.Duration, siblings int,
+) *drainEnvironment {
 	env := &drainEnvironment{environment: newEnvironment(t, nil)}
 	env.respond = func(*http.Request) string {
 		env.mu.Lock()
@@ -147,14 +153,14 @@
 	return env
 }
 
-// calls tells when the latest call came, and how many did.
-func (env *drainEnvironment) calls() (last time.Time, count int) {
+// callStats returns when the latest call came, and how many did.
+func (env *drainEnvironment) callStats() (last time.Time, count int) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.lastCall, env.callCount
 }
 
-// submitUntil hands messages in until a time.
+// submitUntil submits messages until a time.
 func (env *drainEnvironment) submitUntil(round string, until time.Time) {
 	for i := 0; time.Now().Before(until); i++ {
 		env.roundTrip(messageRequest("safe", round+strconv.Itoa(i), "hi"))
@@ -167,7 +173,7 @@
 	t.Helper()
 	for round, until := 0, time.Now().Add(5*time.Second); time.Now().Before(until); round++ {
 		env.submitUntil(fmt.Sprint("again", round, "-"), time.Now().Add(100*time.Millisecond))
-		if _, count := env.calls(); count > before {
+		if _, count := env.callStats(); count > before {
 			return
 		}
 	}
--- a/cmd/cleathold/environment_test.go
+++ b/cmd/cleathold/environment_test.go
@@ -18,58 +18,67 @@
 	"cleathold/internal/socktest"
 )
 
-// A environment is the platform and one target around a real process.
+// environment is one sender, which runs as a process, with the platform and one target around it.
 type environment struct {
 	t              *testing.T
 	stateFolder    string
-	listen         string
-	config         string
-	calls          chan string // ids, as they reach the target
-	notices        chan string // notices
-	answer         func(id string) string
-	failNotices    atomic.Bool // the platform fails notices
-	noticesMoved   atomic.Bool // the first platform takes no notices any more
-	discoveryDown  atomic.Bool // discovery closes each connection without an answer
-	platformSilent atomic.Bool // the platform says nothing at all
-	polls          chan string // questions to discovery, by the platform's name
+	listen         string // address of the clients' listener
+	config         string // path of the configuration
+	settingsScript string // path of the settings script; may be empty
+	tune           func(config map[string]any)
+
+	targetAddr string
+	calls      chan string                  // ids of messages, as they reach the target
+	answer     func(id string) string       // the target's answer to a message
+	respond    func(r *http.Request) string // in the place of answer and calls, if set
+
 	firstAddr      string      // the platform's address
 	secondAddr     string      // the address of its other name
-	settingsScript string      // settings of our own
-	tune           func(config map[string]any)
-	respond        func(r *http.Request) string // answers in the place of answer
-	targetAddr     string
+	polls          chan string // polls of discovery, by the platform's name
+	notices        chan string // delivery reports that the platform got
+	failNotices    atomic.Bool // the platform fails delivery reports
+	noticesMoved   atomic.Bool // the first platform accepts no delivery reports any more
+	discoveryDown  atomic.Bool // discovery closes each connection without an answer
+	platformSilent atomic.Bool // the platform answers nothing at all
 	targetDraining atomic.Bool // the list that follows the first has the target draining
 }
 
+// newEnvironment starts the platform and a target with such answers, and writes the sender's configuration.
 func newEnvironment(t *testing.T, answer func(id string) string) *environment {
-	w := &environment{t: t, stateFolder: t.TempDir(), calls: make(chan string, 256), notices: make(chan string, 256), polls: make(chan string, 256), answer: answer}
-	w.targetAddr = socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
-		if w.respond != nil {
-			return w.respond(r)
+	env := &environment{
+		t: t, stateFolder: t.TempDir(), answer: answer,
+		calls: make(chan string, 256), notices: make(chan string, 256), polls: make(chan string, 256),
+	}
+	env.targetAddr = socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
+		if env.respond != nil {
+			return env.respond(r)
 		}
 		id := r.Header.Get("X-Request-Id")
-		w.calls <- id
-		return w.answer(id)
+		env.calls <- id
+		return env.answer(id)
 	})
 	platform := func(name string) string {
-		return socktest.Serve(t, func(_ int, r *http.Request, body string) string { return w.platform(name, r, body) })
+		return socktest.Serve(t, func(_ int, r *http.Request, body string) string { return env.platform(name, r, body) })
 	}
-	w.firstAddr = platform("first")
-	w.secondAddr = platform("second")
-	w.listen = freeAddr(t)
-	w.config = filepath.Join(t.TempDir(), "config.json")
-	w.configure(w.firstAddr)
-	return w
+	env.firstAddr = platform("first")
+	env.secondAddr = platform("second")
+	env.listen = freeAddr(t)
+	env.config = filepath.Join(t.TempDir(), "config.json")
+	env.configure(env.firstAddr)
+	return env
 }
 
-// addSender is another sender of the same platform.
+// addSender returns another sender of the same platform.
 func (env *environment) addSender() *environment {
-	sender := &environment{t: env.t, stateFolder: env.t.TempDir(), listen: freeAddr(env.t), config: filepath.Join(env.t.TempDir(), "config.json"), firstAddr: env.firstAddr, tune: env.tune}
+	sender := &environment{
+		t: env.t, stateFolder: env.t.TempDir(), listen: freeAddr(env.t), firstAddr: env.firstAddr, tune: env.tune,
+		config: filepath.Join(env.t.TempDir(), "config.json"),
+	}
 	sender.configure(sender.firstAddr)
 	return sender
 }
 
-// platform answers for discovery and takes notices.
+// platform answers for discovery and accepts delivery reports.
 func (env *environment) platform(name string, r *http.Request, body string) string {
 	switch {
 	case env.platformSilent.Load():
@@ -93,10 +102,14 @@
 	if since := r.URL.Query().Get("since"); since == fmt.Sprint(version) {
 		return socktest.Hang
 	}
-	return socktest.JSON(fmt.Sprintf(`{"version":%d,"full":true,"servers":[{"id":"s","addr":%q,"zone":"z","kind":"k","cell":7,"state":%q,"weight":150}]}`, version, env.targetAddr, state))
+	list := fmt.Sprintf(targetList, env.targetAddr, state)
+	return socktest.JSON(fmt.Sprintf(`{"version":%d,"full":true,"servers":%s}`, version, list))
 }
 
-// configure writes the configuration, with that address of discovery.
+// targetList is discovery's list of one target, whose address and state are to be filled in.
+const targetList = `[{"id":"s","addr":%q,"zone":"z","kind":"k","cell":7,"state":%q,"weight":150}]`
+
+// configure writes the configuration with that address of the platform.
 func (env *environment) configure(platform string) {
 	config := map[string]any{
 		"name": "n0", "listen": env.listen, "discovery": platform, "state": env.stateFolder,
@@ -107,31 +120,41 @@
 				{"name": "safe", "aim-ms": 2000, "deadline-ms": 60000, "effect": "safe"},
 				{"name": "unsafe", "aim-ms": 2000, "deadline-ms": 60000, "effect": "unsafe"},
 			},
-			"specifics":  map[string]any{"max-calls": 8},
-			"limits":     map[string]any{"open-cap": 50, "send-cap": 12, "conn-idle-ms": 15000, "connect-timeout-ms": 1500, "cancel": true, "second-copies": true},
-			"guarantees": map[string]any{"must-ask-in-ms": 10000, "fall-ms": 2000, "fall-multiple": 2, "cold-ms": 10000, "cold-from": 0.2},
+			"specifics": map[string]any{"max-calls": 8},
+			"limits": map[string]any{
+				"open-cap": 50, "send-cap": 12, "conn-idle-ms": 15000, "connect-timeout-ms": 1500, "cancel": true,
+				"second-copies": true,
+			},
+			"guarantees": map[string]any{
+				"must-ask-in-ms": 10000, "fall-ms": 2000, "fall-multiple": 2, "cold-ms": 10000, "cold-from": 0.2,
+			},
 		},
 	}
 	if env.tune != nil {
 		env.tune(config)
 	}
-	text, _ := json.Marshal(config)
-	if err := os.WriteFile(env.config, text, 0o600); err != nil {
-		env.t.Fatal(err)
-	}
+	text, err := json.Marshal(config)
+	must(env.t, err)
+	must(env.t, os.WriteFile(env.config, text, 0o600))
 }
 
-// start starts the program and waits until it is ready.
-func (env *environment) start() *exec.Cmd {
+// launch starts the program with more variables in its environment, and kills it when the test ends.
+func (env *environment) launch(variables ...string) *exec.Cmd {
 	env.t.Helper()
 	c := exec.Command(os.Args[0], "serve")
 	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+env.config, "CLEATHOLD_SETTINGS="+env.settingsScript)
-	if err := c.Start(); err != nil {
-		env.t.Fatal(err)
-	}
+	c.Env = append(c.Env, variables...)
+	must(env.t, c.Start())
 	env.t.Cleanup(func() { c.Process.Kill(); c.Wait() })
+	return c
+}
+
+// start starts the program and waits until its clients' listener says that it is ready.
+func (env *environment) start() *exec.Cmd {
+	env.t.Helper()
+	c := env.launch()
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if r := env.roundTrip("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"); r == 200 {
+		if env.roundTrip(healthRequest) == 200 {
 			return c
 		}
 	}
@@ -139,6 +162,13 @@
 	return nil
 }
 
+// startProcess starts the program with an admin address and returns without waiting.
+func (env *environment) startProcess() (c *exec.Cmd, adminAddr string) {
+	env.t.Helper()
+	adminAddr = freeAddr(env.t)
+	return env.launch("LB_ADMIN=" + adminAddr), adminAddr
+}
+
 // roundTrip sends one request and returns the status of the answer, or 0.
 func (env *environment) roundTrip(text string) int {
 	conn, err := net.Dial("tcp", env.listen)
@@ -149,6 +179,7 @@
 	return exchange(conn, bufio.NewReader(conn), text)
 }
 
+// submit submits a message, which must be accepted.
 func (env *environment) submit(class, id string) {
 	env.t.Helper()
 	if got := env.roundTrip(messageRequest(class, id, "hi")); got != 202 {
@@ -156,6 +187,7 @@
 	}
 }
 
+// kill kills a process and waits for its end.
 func (env *environment) kill(c *exec.Cmd) {
 	c.Process.Signal(syscall.SIGKILL)
 	c.Wait()
@@ -173,11 +205,13 @@
 	return r.StatusCode
 }
 
-// messageRequest is one with a message.
+// messageRequest returns a client's request with a message.
 func messageRequest(class, id, body string) string {
-	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: 60\r\nX-Addressing: dest=7\r\nContent-Length: %d\r\n\r\n%s", class, id, len(body), body)
+	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: 60\r\n"+
+		"X-Addressing: dest=7\r\nContent-Length: %d\r\n\r\n%s", class, id, len(body), body)
 }
 
+// receive waits for the next value of a channel.
 func receive(t *testing.T, from chan string) string {
 	t.Helper()
 	select {
@@ -189,47 +223,32 @@
 	}
 }
 
+// hosts counts the addresses that freeAddr has returned.
 var hosts atomic.Int32
 
-// freeAddr is an address that nobody listens on, at a host of its own: a port of 127.0.0.1 that was given back may become
-// that of anybody's connection.
+// freeAddr returns an address that nobody listens on, at a host of its own: a port of 127.0.0.1 that was given back may
+// become that of anybody's connection.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	n := hosts.Add(1)
 	free, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", 1+n/250, 1+n%250))
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	defer free.Close()
 	return free.Addr().String()
 }
 
-// newHandoverEnvironment is a world whose sender has a second address, and whose folder for temporary files is its own.
+// newHandoverEnvironment is newEnvironment with a folder for temporary files, and so for the socket of the hand-over,
+// of its own.
 func newHandoverEnvironment(t *testing.T, answer func(id string) string) *environment {
 	t.Helper()
 	temp, err := os.MkdirTemp("", "ct") // a Unix address is short
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	t.Cleanup(func() { os.RemoveAll(temp) })
 	t.Setenv("TMPDIR", temp)
 	return newEnvironment(t, answer)
 }
 
-// startProcess starts the program with a second address and returns without waiting.
-func (env *environment) startProcess() (*exec.Cmd, string) {
-	env.t.Helper()
-	at := freeAddr(env.t)
-	c := exec.Command(os.Args[0], "serve")
-	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+env.config, "LB_ADMIN="+at)
-	if err := c.Start(); err != nil {
-		env.t.Fatal(err)
-	}
-	env.t.Cleanup(func() { c.Process.Kill(); c.Wait() })
-	return c, at
-}
-
-// submitAndAwait hands a message in and wants it to be the next that reaches the target.
+// submitAndAwait submits a message, which must be the next that reaches the target.
 func (env *environment) submitAndAwait(class, id string) {
 	env.t.Helper()
 	env.submit(class, id)
@@ -238,7 +257,7 @@
 	}
 }
 
-// requireNoNotice wants the platform to have been told nothing more.
+// requireNoNotice checks that the platform got no other delivery report.
 func (env *environment) requireNoNotice() {
 	env.t.Helper()
 	select {
@@ -248,29 +267,30 @@
 	}
 }
 
-// awaitReady waits until a second address says yes.
-func awaitReady(t *testing.T, at string) {
+// awaitReady waits until a process says at its admin address that it is ready.
+func awaitReady(t *testing.T, adminAddr string) {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if callAdmin(http.MethodGet, at, "/v1/readyz") == http.StatusOK {
+		if callAdmin(http.MethodGet, adminAddr, "/v1/readyz") == http.StatusOK {
 			return
 		}
 	}
 	t.Fatal("never ready")
 }
 
-// callAdmin makes one call at a second address; 0: it was not to be had.
-func callAdmin(method, at, path string) int {
-	r, err := http.NewRequest(method, "http://"+at+path, nil)
+// callAdmin makes one call at an admin address and returns the status of the answer, or 0.
+func callAdmin(method, adminAddr, path string) int {
+	r, err := http.NewRequest(method, "http://"+adminAddr+path, nil)
 	if err != nil {
 		return 0
 	}
-	a, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 10 * time.Second}).Do(r)
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 10 * time.Second}
+	answer, err := client.Do(r)
 	if err != nil {
 		return 0
 	}
-	a.Body.Close()
-	return a.StatusCode
+	answer.Body.Close()
+	return answer.StatusCode
 }
 
 // awaitExit waits for a process that ends by itself.
@@ -287,15 +307,22 @@
 	}
 }
 
+// healthRequest is a client's question whether the sender is ready.
 const healthRequest = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// connectClient opens a client's connection that stays open until the test ends, on its side.
+// connectClient opens a connection to the clients' listener, which the client keeps open until the test ends.
 func (env *environment) connectClient() net.Conn {
 	env.t.Helper()
 	conn, err := net.Dial("tcp", env.listen)
-	if err != nil {
-		env.t.Fatal(err)
-	}
+	must(env.t, err)
 	env.t.Cleanup(func() { conn.Close() })
 	return conn
 }
+
+// must ends the test if there is an error.
+func must(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
--- a/cmd/cleathold/fleet_test.go
+++ b/cmd/cleathold/fleet_test.go
@@ -8,8 +8,8 @@
 	"cleathold/internal/rollout"
 )
 
-// A drain by staff: one sender after the other goes out and comes back, what is asked in error is refused, and the log
-// says who did what.
+// TestFleetDrain drains senders by the commands: one after the other goes out and comes back, what is asked in error is
+// rejected, and the log says who did what.
 func TestFleetDrain(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 20, Terms: quickTerms(rollout.Budget{Fleet: 1})})
@@ -21,12 +21,11 @@
 		"halt 99 --reason r":                                 "no plan 99",
 		"release --name v2 --config /none --reason r --plan": "no configuration for n",
 	} {
-		if out := fleetCommand(t, fleet, exitRejected, strings.Fields(args)...); !strings.Contains(out, want) {
-			t.Errorf("%s: %s", args, out)
-		}
+		requireRejected(t, fleet, want, strings.Fields(args)...)
 	}
-	if out := fleetCommand(t, fleet, 0, "drain", "n0", "n1", "--reason", "r", "--plan"); !strings.Contains(out, "nothing is changed") {
-		t.Error(out)
+	planned := fleetCommand(t, fleet, 0, "drain", "n0", "n1", "--reason", "r", "--plan")
+	if !strings.Contains(planned, "nothing is changed") {
+		t.Error(planned)
 	}
 	fleetCommand(t, fleet, 0, "drain", "n0", "n2", "--reason", "new disks", "--by", "ann", "--for", "1s", "--watch")
 	out := fleetCommand(t, fleet, 0, "events")
--- a/cmd/cleathold/fleetrelease_test.go
+++ b/cmd/cleathold/fleetrelease_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -14,52 +15,49 @@
 	"cleathold/internal/rollout"
 )
 
-// A release of configurations: taken over by SIGHUP without another process; one that a sender turns down halts it and
-// leaves the old one in force; going back puts all back.
+// writeConfigs writes a configuration for each sender, its present one changed, and returns the folder.
+func writeConfigs(t *testing.T, fleet *cluster.Cluster, old, changed string) string {
+	t.Helper()
+	dir := t.TempDir()
+	for i, name := range fleet.Names {
+		text, err := os.ReadFile(fleet.Config(i))
+		must(t, err)
+		config := strings.Replace(string(text), old, changed, 1)
+		must(t, os.WriteFile(filepath.Join(dir, name+".json"), []byte(config), 0o600))
+	}
+	return dir
+}
+
+// TestConfigurationRelease releases configurations: they are taken over by SIGHUP without another process; one that a
+// sender rejects halts the release and leaves the old one in force; a release of the old ones puts them back.
 func TestConfigurationRelease(t *testing.T) {
 	t.Parallel()
-	fleet := newCluster(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quickTerms(rollout.Budget{Fleet: 2})})
-	folder := func(change func(text string) string) string {
-		dir := t.TempDir()
-		for i, name := range fleet.Names {
-			text, err := os.ReadFile(fleet.Config(i))
-			must(t, err)
-			must(t, os.WriteFile(filepath.Join(dir, name+".json"), []byte(change(string(text))), 0o600))
-		}
-		return dir
-	}
-	old, err := os.ReadFile(fleet.Config(1))
-	must(t, err)
+	fleet := newCluster(t, fourSenders(2))
 	pid := fleet.Pid(1)
-	args := func(name, config string, more ...string) []string {
-		return append([]string{"release", "--name", name, "--config", config, "--reason", "r", "--least", "25", "--soak", "1s", "--wait", "15s", "--watch"}, more...)
+	release := func(name, config string, extra ...string) []string {
+		return slices.Concat([]string{"release", "--name", name, "--config", config, "--watch"}, quickGate, extra)
 	}
-	invalid := folder(func(text string) string { return strings.Replace(text, `"send-cap": 12`, `"send-cap": 0`, 1) })
-	if out := fleetCommand(t, fleet, exitPlanStopped, args("c0", invalid, "--go-back")...); !strings.Contains(out, "not in force") {
-		t.Error(out)
+	invalid := writeConfigs(t, fleet, `"send-cap": 12`, `"send-cap": 0`)
+	rejected := fleetCommand(t, fleet, exitPlanStopped, release("c0", invalid, "--go-back")...)
+	if !strings.Contains(rejected, "not in force") {
+		t.Error(rejected)
 	}
-	valid := folder(func(text string) string { return strings.Replace(text, `"send-cap": 12`, `"send-cap": 11`, 1) })
-	out := fleetCommand(t, fleet, 0, args("c1", valid)...)
-	id := planNumber(t, out)
+	valid := writeConfigs(t, fleet, `"send-cap": 12`, `"send-cap": 11`)
+	id := planNumber(t, fleetCommand(t, fleet, 0, release("c1", valid)...))
 	if text, _ := os.ReadFile(fleet.Config(1)); !strings.Contains(string(text), `"send-cap": 11`) || fleet.Pid(1) != pid {
 		t.Error("the new configuration is not in place, or another process is")
 	}
-	if out := fleetCommand(t, fleet, exitRejected, "back", fmt.Sprint(id), "--reason", "r"); !strings.Contains(out, "is done") {
-		t.Error(out)
-	}
-	back := folder(func(string) string { return string(old) })
-	for i, name := range fleet.Names { // each has its own
-		text, err := os.ReadFile(fleet.Config(i))
-		must(t, err)
-		must(t, os.WriteFile(filepath.Join(back, name+".json"), []byte(strings.Replace(string(text), `"send-cap": 11`, `"send-cap": 12`, 1)), 0o600))
-	}
-	fleetCommand(t, fleet, 0, args("c2", back)...)
+	requireRejected(t, fleet, "is done", "back", fmt.Sprint(id), "--reason", "r")
+	restored := writeConfigs(t, fleet, `"send-cap": 11`, `"send-cap": 12`)
+	fleetCommand(t, fleet, 0, release("c2", restored)...)
 	checkRules(t, fleet)
 }
 
-// A release while all partners of a building are down for some seconds, while somebody sends SIGHUP to every sender again and
-// again, and while calls of a drained sender hang: none of it is the new version's fault, and nothing is lost.
+// TestReleaseDuringFaults releases a version while all partners of a building are down for some seconds, while somebody
+// else sends SIGHUP to every sender again and again, and while calls of a drained sender hang: none of it is the new
+// version's fault, and nothing is lost.
 func TestReleaseDuringFaults(t *testing.T) {
+	const hangingCalls = `trouble(what = "SILENT", zone = "bldg-a", at = 1, seconds = 4)`
 	for name, c := range map[string]struct {
 		script  string
 		hup     bool
@@ -67,33 +65,22 @@
 	}{
 		"a building's partners are down": {script: `trouble(what = "DOWN", zone = "bldg-b", at = 1, seconds = 5)`},
 		"SIGHUP by somebody else":        {hup: true},
-		"calls hang":                     {script: `trouble(what = "SILENT", zone = "bldg-a", at = 1, seconds = 4)`},
-		"calls hang, by restart":         {script: `trouble(what = "SILENT", zone = "bldg-a", at = 1, seconds = 4)`, restart: true},
+		"calls hang":                     {script: hangingCalls},
+		"calls hang, by restart":         {script: hangingCalls, restart: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			fleet := newCluster(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quickTerms(rollout.Budget{Fleet: 1}), Script: c.script + "\n", Restart: c.restart})
+			setup := fourSenders(1)
+			setup.Script, setup.Restart = c.script+"\n", c.restart
+			fleet := newCluster(t, setup)
 			program, ran := writeVersion(t, "v2", "")
 			id := planNumber(t, fleetCommand(t, fleet, 0, gatedRelease("v2", program)...))
-			over := make(chan struct{})
-			var wg sync.WaitGroup
+			stopSignals := func() {}
 			if c.hup {
-				wg.Go(func() {
-					for i := 0; ; i++ {
-						select {
-						case <-over:
-							return
-						case <-time.After(100 * time.Millisecond):
-							if pid := fleet.Pid(i % 4); pid > 0 { // one that starts has not caught the signal yet
-								syscall.Kill(pid, syscall.SIGHUP)
-							}
-						}
-					}
-				})
+				stopSignals = repeatHUP(fleet)
 			}
 			p, err := fleet.AwaitPlan(60*time.Second, id, rollout.Done, rollout.Halted)
-			close(over)
-			wg.Wait()
+			stopSignals()
 			must(t, err)
 			if p.Phase != rollout.Done || ran() != 4 {
 				t.Errorf("%s: %s; %d senders ran it", p.Phase, p.Why, ran())
@@ -103,11 +90,34 @@
 	}
 }
 
-// Versions that are no good, each halted at its first sender, with what the gate saw. How many senders ever ran one is
-// counted by the versions themselves.
-func TestBadVersions(t *testing.T) {
+// repeatHUP sends SIGHUP to one sender after the other, ten times a second, until stop is called.
+func repeatHUP(fleet *cluster.Cluster) (stop func()) {
+	over := make(chan struct{})
+	var wg sync.WaitGroup
+	wg.Go(func() {
+		for i := 0; ; i++ {
+			select {
+			case <-over:
+				return
+			case <-time.After(100 * time.Millisecond):
+				if pid := fleet.Pid(i % 4); pid > 0 { // one that starts does not catch the signal yet
+					syscall.Kill(pid, syscall.SIGHUP)
+				}
+			}
+		}
+	})
+	return func() {
+		close(over)
+		wg.Wait()
+	}
+}
+
+// TestFaultyVersions releases versions with faults: each is halted at its first sender, with what the gate saw. How many
+// senders ever ran one is counted by the versions themselves.
+func TestFaultyVersions(t *testing.T) {
 	tune := func(key, value string) string {
-		return fmt.Sprintf("sed 's/\"%s\": *[0-9]*/\"%s\": %s/' $LB_CONFIG > $LB_CONFIG.bad; export LB_CONFIG=$LB_CONFIG.bad", key, key, value)
+		return fmt.Sprintf("sed 's/\"%s\": *[0-9]*/\"%s\": %s/' $LB_CONFIG > $LB_CONFIG.bad; "+
+			"export LB_CONFIG=$LB_CONFIG.bad", key, key, value)
 	}
 	for name, c := range map[string]struct {
 		serve string
@@ -124,7 +134,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			fleet := newCluster(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 160, Terms: quickTerms(rollout.Budget{Fleet: 2})})
+			setup := fourSenders(2)
+			setup.Rate = 160
+			fleet := newCluster(t, setup)
 			program, ran := writeVersion(t, "v2", c.serve)
 			code := exitPlanStopped
 			if c.want == "" {
@@ -141,19 +153,19 @@
 	}
 }
 
-// A version whose journal can't be read by the one before it, or that can't read that one's, is refused before the first stage.
-func TestReleaseWithoutRollbackRefused(t *testing.T) {
+// TestReleaseWithoutRollbackRejected releases versions whose write-ahead log can't be read by the one before, or that
+// can't read that one's: they are rejected before the first stage.
+func TestReleaseWithoutRollbackRejected(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, cluster.Setup{Senders: 2, Agents: 3, Terms: quickTerms(rollout.Budget{Fleet: 1})})
 	for about, want := range map[string]string{
-		`{"version":"v2","journal_reads":[1,2,3],"journal_writes":3}`: "no way back: v1 can't read the journal that v2 writes (form 3)",
-		`{"version":"v2","journal_reads":[3],"journal_writes":2}`:     "v2 can't read the journal that v1 writes (form 2)",
+		`{"version":"v2","journal_reads":[1,2,3],"journal_writes":3}`: "no way back: " +
+			"v1 can't read the journal that v2 writes (form 3)",
+		`{"version":"v2","journal_reads":[3],"journal_writes":2}`: "v2 can't read the journal that v1 writes (form 2)",
 		`hello`: "no version that agents can manage",
 	} {
 		path := filepath.Join(t.TempDir(), "v2")
 		must(t, os.WriteFile(path, []byte("#!/bin/sh\necho '"+about+"'\n"), 0o700))
-		if out := fleetCommand(t, fleet, exitRejected, gatedRelease("v2", path)...); !strings.Contains(out, want) {
-			t.Errorf("%s: %s", about, out)
-		}
+		requireRejected(t, fleet, want, gatedRelease("v2", path)...)
 	}
 }
--- a/cmd/cleathold/handover_test.go
+++ b/cmd/cleathold/handover_test.go
@@ -20,31 +20,31 @@
 	"cleathold/internal/state"
 )
 
-// The next process takes over while calls are out at the one before. What comes of those the old one passes on:
-// served, nothing is sent twice; refused, they never ran, and the new one sends them again. Killed before that, the old
-// one leaves them as ones that may have run.
+// TestHandoverWithCallsInFlight has the next process take over while calls of the predecessor are in flight, which
+// passes their results on: served, nothing is sent twice; rejected, they never ran, and the successor sends them again.
+// Killed before that, the predecessor leaves them as ones that may have run.
 func TestHandoverWithCallsInFlight(t *testing.T) {
-	for _, callResult := range []string{"served", "refused", "killed"} {
+	for _, callResult := range []string{"served", "rejected", "killed"} {
 		t.Run(callResult, func(t *testing.T) {
 			answer := make(chan struct{})
 			var once sync.Once
 			release := func() { once.Do(func() { close(answer) }) }
 			defer release()
-			var upgraded atomic.Bool
+			var afterHandover atomic.Bool
 			env := newHandoverEnvironment(t, func(string) string {
-				if upgraded.Load() {
+				if afterHandover.Load() {
 					return socktest.Status(200)
 				}
 				<-answer
-				return socktest.Status(map[string]int{"served": 200, "refused": 503, "killed": 500}[callResult])
+				return socktest.Status(map[string]int{"served": 200, "rejected": 503, "killed": 500}[callResult])
 			})
-			first, at := env.startProcess()
-			awaitReady(t, at)
+			first, adminAddr := env.startProcess()
+			awaitReady(t, adminAddr)
 			env.submitAndAwait("safe", "s1")
 			env.submitAndAwait("unsafe", "u1")
-			_, at = env.startProcess()
-			awaitReady(t, at)
-			upgraded.Store(true)
+			_, adminAddr = env.startProcess()
+			awaitReady(t, adminAddr)
+			afterHandover.Store(true)
 			if callResult == "killed" {
 				env.kill(first)
 				if id := receive(t, env.calls); id != "s1" {
@@ -57,10 +57,10 @@
 				env.submitAndAwait("safe", "s2")
 				release()
 				if err := awaitExit(t, first); err != nil {
-					t.Errorf("the one before: %v", err)
+					t.Errorf("the predecessor: %v", err)
 				}
 			}
-			if callResult == "refused" {
+			if callResult == "rejected" {
 				if a, b := receive(t, env.calls), receive(t, env.calls); a+b != "s1u1" && a+b != "u1s1" {
 					t.Errorf("sent again: %s, %s", a, b)
 				}
@@ -71,20 +71,21 @@
 	}
 }
 
-// A call waits for its connection as the next process takes over, and discovery tells that one of a drain. Up at last, the
-// connection carries nothing: the old process knows no drain, and the message is the next one's, as one that never ran.
+// TestHandoverWhileCallConnects has a call wait for its connection as the next process takes over, and discovery tell
+// that one of a drain. Once established, the connection carries nothing: the predecessor knows of no drain, and the
+// message is the successor's, as one that never ran.
 func TestHandoverWhileCallConnects(t *testing.T) {
 	env := newHandoverEnvironment(t, func(string) string { return "" })
 	addr, open := socktest.Full(t)
 	env.targetAddr = addr
-	first, at := env.startProcess()
-	awaitReady(t, at)
+	first, adminAddr := env.startProcess()
+	awaitReady(t, adminAddr)
 	receive(t, env.polls)
 	receive(t, env.polls) // the watch: the list has come
 	env.submit("safe", "s")
 	env.targetDraining.Store(true)
-	_, at = env.startProcess()
-	awaitReady(t, at)
+	_, adminAddr = env.startProcess()
+	awaitReady(t, adminAddr)
 	receive(t, env.polls)
 	receive(t, env.polls) // the next one's watch: it knows of the drain
 	called := make(chan string, 8)
@@ -94,7 +95,7 @@
 		}
 	})
 	if err := awaitExit(t, first); err != nil {
-		t.Errorf("the one before: %v", err)
+		t.Errorf("the predecessor: %v", err)
 	}
 	if len(called) > 0 {
 		t.Errorf("a draining target was called: %s", <-called)
@@ -111,104 +112,130 @@
 	env.requireNoNotice()
 }
 
-// Two upgrades in a row while messages come in on new connections without a pause: each is taken on and delivered,
-// once if it must not be repeated. A drain that was ordered before holds in the process after.
+// TestHandoversUnderLoad makes two hand-overs in a row while messages come in on new connections without a pause: each
+// is accepted and delivered, once if it must not be repeated. A drain that was ordered before holds in the process
+// after.
 func TestHandoversUnderLoad(t *testing.T) {
-	var mu sync.Mutex
-	sends := map[string]int{}
-	seen := map[string]chan struct{}{}
 	env := newHandoverEnvironment(t, func(string) string { return "" })
-	env.respond = func(r *http.Request) string {
-		mu.Lock()
-		defer mu.Unlock()
-		id := r.Header.Get("X-Request-Id")
-		if sends[id]++; sends[id] == 1 {
-			close(seen[id])
-		}
-		return socktest.Status(200)
-	}
-	last, at := env.startProcess()
-	awaitReady(t, at)
-	stop := make(chan struct{})
-	var wg sync.WaitGroup
-	var accepted, rejected atomic.Int64
-	submitAndWait := func(class, id string) bool {
-		text := "POST /%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: 60\r\nX-Addressing: dest=7\r\nContent-Length: 2\r\n\r\nhi"
-		came := make(chan struct{})
-		mu.Lock()
-		seen[id] = came
-		mu.Unlock()
-		status := env.roundTrip(fmt.Sprintf(text, class, id))
-		if status != http.StatusAccepted {
-			return false
+	load := &loadGenerator{t: t, env: env, sends: map[string]int{}, delivered: map[string]chan struct{}{}}
+	env.respond = load.respond
+	last, adminAddr := env.startProcess()
+	awaitReady(t, adminAddr)
+	stop := load.start()
+	for range 2 {
+		for before := load.accepted.Load(); load.accepted.Load() < before+20 && !t.Failed(); {
+			time.Sleep(time.Millisecond)
 		}
-		select { // the next one only when this one is delivered: the target sets the pace
-		case <-came:
-		case <-time.After(20 * time.Second):
-			t.Errorf("%s is lost", id)
+		predecessor := last
+		last, adminAddr = env.startProcess()
+		awaitReady(t, adminAddr)
+		if err := awaitExit(t, predecessor); err != nil {
+			t.Errorf("the predecessor: %v", err)
 		}
-		return true
 	}
+	stop()
+	load.requireDelivered()
+	if got := callAdmin(http.MethodPut, adminAddr, "/v1/sender/drain"); got != http.StatusOK {
+		t.Errorf("drain: %d", got)
+	}
+	_, adminAddr = env.startProcess()
+	awaitReady(t, adminAddr)
+	if got := env.roundTrip(healthRequest); got != http.StatusServiceUnavailable {
+		t.Errorf("health after a drain and a hand-over: %d", got)
+	}
+	if got := callAdmin(http.MethodPut, adminAddr, "/v1/sender/activate"); got != http.StatusOK {
+		t.Errorf("activate: %d", got)
+	}
+	if got := env.roundTrip(healthRequest); got != http.StatusOK {
+		t.Errorf("health after activate: %d", got)
+	}
+}
+
+// loadGenerator submits messages and is the target that they reach.
+type loadGenerator struct {
+	t                  *testing.T
+	env                *environment
+	accepted, rejected atomic.Int64
+
+	mu        sync.Mutex
+	sends     map[string]int
+	delivered map[string]chan struct{} // closed with the first send of a message
+}
+
+// respond counts a call and serves it.
+func (l *loadGenerator) respond(r *http.Request) string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	id := r.Header.Get("X-Request-Id")
+	if l.sends[id]++; l.sends[id] == 1 {
+		close(l.delivered[id])
+	}
+	return socktest.Status(200)
+}
+
+// start starts four clients, which submit one message after the other until stop is called.
+func (l *loadGenerator) start() (stop func()) {
+	over := make(chan struct{})
+	var wg sync.WaitGroup
 	for n := range 4 {
 		wg.Go(func() {
 			for i := 0; ; i++ {
 				select {
-				case <-stop:
+				case <-over:
 					return
 				default:
 				}
 				class := []string{"safe", "unsafe"}[i%2]
 				id := fmt.Sprintf("%s-%d-%d", class, n, i)
 				// A close that crosses a request is no answer: the client sends it once more.
-				if submitAndWait(class, id) || submitAndWait(class, id+"-again") {
-					accepted.Add(1)
+				if l.submit(class, id) || l.submit(class, id+"-again") {
+					l.accepted.Add(1)
 				} else {
-					rejected.Add(1)
+					l.rejected.Add(1)
 				}
 			}
 		})
 	}
-	for range 2 {
-		for was := accepted.Load(); accepted.Load() < was+20 && !t.Failed(); {
-			time.Sleep(time.Millisecond)
-		}
-		before := last
-		last, at = env.startProcess()
-		awaitReady(t, at)
-		if err := awaitExit(t, before); err != nil {
-			t.Errorf("the one before: %v", err)
-		}
-	}
-	close(stop)
-	wg.Wait()
-	mu.Lock()
-	for id, n := range sends {
-		if n > 1 && strings.HasPrefix(id, "unsafe") {
-			t.Errorf("%s was sent %d times", id, n)
-		}
-	}
-	mu.Unlock()
-	if rejected.Load() > 0 {
-		t.Errorf("%d of %d ended at the door", rejected.Load(), accepted.Load()+rejected.Load())
+	return func() {
+		close(over)
+		wg.Wait()
 	}
-	if got := callAdmin(http.MethodPut, at, "/v1/sender/drain"); got != http.StatusOK {
-		t.Errorf("drain: %d", got)
+}
+
+// submit submits a message and returns whether it was accepted. It waits for its delivery: the target sets the pace.
+func (l *loadGenerator) submit(class, id string) bool {
+	delivered := make(chan struct{})
+	l.mu.Lock()
+	l.delivered[id] = delivered
+	l.mu.Unlock()
+	if l.env.roundTrip(messageRequest(class, id, "hi")) != http.StatusAccepted {
+		return false
 	}
-	_, at = env.startProcess()
-	awaitReady(t, at)
-	if got := env.roundTrip("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"); got != http.StatusServiceUnavailable {
-		t.Errorf("health after a drain and an upgrade: %d", got)
+	select {
+	case <-delivered:
+	case <-time.After(20 * time.Second):
+		l.t.Errorf("%s is lost", id)
 	}
-	if got := callAdmin(http.MethodPut, at, "/v1/sender/activate"); got != http.StatusOK {
-		t.Errorf("activate: %d", got)
+	return true
+}
+
+// requireDelivered checks that no message was rejected, and none sent twice that must not be repeated.
+func (l *loadGenerator) requireDelivered() {
+	l.t.Helper()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for id, n := range l.sends {
+		if n > 1 && strings.HasPrefix(id, "unsafe") {
+			l.t.Errorf("%s was sent %d times", id, n)
+		}
 	}
-	if got := env.roundTrip("GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"); got != http.StatusOK {
-		t.Errorf("health after activate: %d", got)
+	if l.rejected.Load() > 0 {
+		l.t.Errorf("%d of %d were rejected", l.rejected.Load(), l.accepted.Load()+l.rejected.Load())
 	}
 }
 
-// A process that asks, takes the estate and dies before it serves changes nothing: the one before takes everything
-// back, calls that were out end there, and the next one that asks takes over.
+// TestSuccessorDiesDuringTakeover has a process ask, take the state and die before it serves, which changes nothing:
+// the predecessor takes everything back, calls that were in flight end there, and the next one that asks takes over.
 func TestSuccessorDiesDuringTakeover(t *testing.T) {
 	answer := make(chan struct{})
 	var served atomic.Bool
@@ -218,8 +245,8 @@
 		}
 		return socktest.Status(200)
 	})
-	first, at := env.startProcess()
-	awaitReady(t, at)
+	first, adminAddr := env.startProcess()
+	awaitReady(t, adminAddr)
 	for round := range 2 {
 		id := fmt.Sprint("u", round)
 		served.Store(round > 0)
@@ -233,38 +260,39 @@
 		}
 		i.Listener.Close()
 		i.Abort()
-		awaitReady(t, at)
+		awaitReady(t, adminAddr)
 		if round == 0 {
 			close(answer)
 		}
 	}
 	env.submitAndAwait("safe", "s1")
-	_, at = env.startProcess()
-	awaitReady(t, at)
+	_, adminAddr = env.startProcess()
+	awaitReady(t, adminAddr)
 	if err := awaitExit(t, first); err != nil {
-		t.Errorf("the one before: %v", err)
+		t.Errorf("the predecessor: %v", err)
 	}
 	env.submitAndAwait("safe", "s2")
 	env.requireNoNotice()
 }
 
-// A desk that a killed process left, and a folder for temporary files that can't be written, keep nobody from starting.
+// TestStaleHandoverSocket checks that a socket that a killed process left, and a folder for temporary files that can't
+// be written, keep no process from starting.
 func TestStaleHandoverSocket(t *testing.T) {
 	env := newHandoverEnvironment(t, func(string) string { return socktest.Status(200) })
-	first, at := env.startProcess()
-	awaitReady(t, at)
+	first, adminAddr := env.startProcess()
+	awaitReady(t, adminAddr)
 	env.kill(first)
 	if _, err := os.Stat(handover.Path(env.stateFolder)); err != nil {
-		t.Fatalf("no stale desk: %v", err)
+		t.Fatalf("no stale socket: %v", err)
 	}
-	second, at := env.startProcess()
-	awaitReady(t, at)
+	second, adminAddr := env.startProcess()
+	awaitReady(t, adminAddr)
 	second.Process.Signal(syscall.SIGTERM)
 	if err := awaitExit(t, second); err != nil {
 		t.Error(err)
 	}
 	t.Setenv("TMPDIR", filepath.Join(env.stateFolder, "none"))
-	_, at = env.startProcess()
-	awaitReady(t, at)
+	_, adminAddr = env.startProcess()
+	awaitReady(t, adminAddr)
 	env.submitAndAwait("safe", "s1")
 }
--- a/cmd/cleathold/handoverchain_test.go
+++ b/cmd/cleathold/handoverchain_test.go
@@ -24,71 +24,79 @@
 	"cleathold/internal/state"
 )
 
-// relay passes what two processes of a sender tell each other on, descriptors included, until so many bytes have passed
-// one way: then both of them see the end.
+// The directions of a relay.
+const (
+	fromSuccessor   = 0
+	fromPredecessor = 1
+)
+
+// relay passes on what two processes of a sender tell each other, descriptors included, until so many bytes have passed
+// in one direction: then it closes both connections.
 type relay struct {
 	listener     *net.UnixListener
-	direction    int // 0 = from the heir, 1 = from the giver
-	remaining    int // bytes that may pass this way; below 0 = any number
+	direction    int
+	remaining    int // bytes that may pass in the direction; below 0 = any number
 	mu           sync.Mutex
-	passed       [2]int
-	lengthPrefix []byte // the first bytes from the giver: how long its estate is
+	passed       [2]int // bytes, by direction
+	lengthPrefix []byte // the first bytes from the predecessor: the length of its state
 	done         chan struct{}
 }
 
-func newRelay(t *testing.T, at, to string, way, left int) *relay {
+// newRelay listens at the socket's path where the successor asks, and cuts after so many bytes in a direction.
+func newRelay(t *testing.T, path, predecessorPath string, direction, remaining int) *relay {
 	t.Helper()
-	sock, err := ownsock.Listen(at)
+	listener, err := ownsock.Listen(path)
 	must(t, err)
-	r := &relay{listener: sock, direction: way, remaining: left, done: make(chan struct{})}
+	r := &relay{listener: listener, direction: direction, remaining: remaining, done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
-		c, err := sock.AcceptUnix()
+		successor, err := listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		sock.Close()
-		d, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: to, Net: "unix"})
+		listener.Close()
+		predecessor, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: predecessorPath, Net: "unix"})
 		if err != nil {
-			c.Close()
+			successor.Close()
 			return
 		}
-		shut := sync.OnceFunc(func() { c.Close(); d.Close() })
+		closeBoth := sync.OnceFunc(func() { successor.Close(); predecessor.Close() })
 		var wg sync.WaitGroup
-		wg.Go(func() { r.pump(0, c, d); shut() })
-		wg.Go(func() { r.pump(1, d, c); shut() })
+		wg.Go(func() { r.pump(fromSuccessor, successor, predecessor); closeBoth() })
+		wg.Go(func() { r.pump(fromPredecessor, predecessor, successor); closeBoth() })
 		wg.Wait()
 	}()
 	return r
 }
 
-// stateComplete tells whether the estate has passed.
+// stateComplete tells whether the whole state of the hand-over has passed.
 func (r *relay) stateComplete() bool {
-	return len(r.lengthPrefix) == 4 && r.passed[1] >= 4+int(binary.BigEndian.Uint32(r.lengthPrefix))
+	return len(r.lengthPrefix) == 4 && r.passed[fromPredecessor] >= 4+int(binary.BigEndian.Uint32(r.lengthPrefix))
 }
 
-func (r *relay) pump(way int, in, out *net.UnixConn) {
-	b, oob := make([]byte, 64<<10), make([]byte, unix.CmsgSpace(4))
+// pump passes bytes and descriptors on in one direction.
+func (r *relay) pump(direction int, in, out *net.UnixConn) {
+	data, control := make([]byte, 64<<10), make([]byte, unix.CmsgSpace(4))
 	for {
-		if r.direction == way && r.remaining == 0 {
+		if r.direction == direction && r.remaining == 0 {
 			return
 		}
-		n, rights, _, _, err := in.ReadMsgUnix(b, oob)
-		if n > 0 && r.direction == way && r.remaining > 0 {
+		n, rights, _, _, err := in.ReadMsgUnix(data, control)
+		if n > 0 && r.direction == direction && r.remaining > 0 {
 			n = min(n, r.remaining)
 			r.remaining -= n
 		}
 		if n > 0 {
 			r.mu.Lock()
-			r.passed[way] += n
-			if way == 1 && len(r.lengthPrefix) < 4 {
-				r.lengthPrefix = append(r.lengthPrefix, b[:min(n, 4-len(r.lengthPrefix))]...)
+			r.passed[direction] += n
+			if direction == fromPredecessor && len(r.lengthPrefix) < 4 {
+				r.lengthPrefix = append(r.lengthPrefix, data[:min(n, 4-len(r.lengthPrefix))]...)
 			}
 			r.mu.Unlock()
-			out.WriteMsgUnix(b[:n], oob[:rights], nil)
+			out.WriteMsgUnix(data[:n], control[:rights], nil)
 		}
-		if rights > 0 { // they are the heir's now
-			list, _ := unix.ParseSocketControlMessage(oob[:rights])
+		if rights > 0 { // the successor has copies of them
+			list, _ := unix.ParseSocketControlMessage(control[:rights])
 			for _, m := range list {
 				fds, _ := unix.ParseUnixRights(&m)
 				for _, fd := range fds {
@@ -102,26 +110,27 @@
 	}
 }
 
-// A line of processes: the one that serves, and its folder for temporary files.
+// handoverChain is a sender whose processes take over from one another, and the one that serves.
 type handoverChain struct {
 	t         *testing.T
-	w         *environment
+	env       *environment
 	block     *netfault.Block
-	temp      string // each process has a folder of its own in it, where its desk stands
+	temp      string // a folder with one for each process, for its socket
 	current   *exec.Cmd
-	adminAddr string // its second address
-	socket    string
+	adminAddr string
+	socket    string // path of its hand-over socket
 	started   int
 
 	mu          sync.Mutex
-	calls       map[string]int
+	calls       map[string]int           // by message
 	heldAnswers map[string]chan struct{} // an unsafe message's call is answered when it is closed
-	notices     map[string]string
+	notices     map[string]string        // delivery reports by message
 }
 
-// callTime is what calls take that are not held back.
+// callTime is the time of calls that are not held back.
 const callTime = 100 * time.Millisecond
 
+// newHandoverChain returns a chain without a process.
 func newHandoverChain(t *testing.T) *handoverChain {
 	temp, err := os.MkdirTemp("", "cs") // a Unix address is short
 	must(t, err)
@@ -129,10 +138,13 @@
 	block, err := netfault.NewBlock()
 	must(t, err)
 	t.Cleanup(block.Close)
-	chain := &handoverChain{t: t, w: newEnvironment(t, nil), temp: temp, block: block, calls: map[string]int{}, heldAnswers: map[string]chan struct{}{}, notices: map[string]string{}}
-	chain.w.listen = block.Host(2) + ":8080" // nobody else of this machine has it
-	chain.w.configure(chain.w.firstAddr)
-	chain.w.respond = func(r *http.Request) string {
+	chain := &handoverChain{
+		t: t, env: newEnvironment(t, nil), temp: temp, block: block,
+		calls: map[string]int{}, heldAnswers: map[string]chan struct{}{}, notices: map[string]string{},
+	}
+	chain.env.listen = block.Host(2) + ":8080" // nobody else of this machine has it
+	chain.env.configure(chain.env.firstAddr)
+	chain.env.respond = func(r *http.Request) string {
 		id := r.Header.Get("X-Request-Id")
 		chain.mu.Lock()
 		chain.calls[id]++
@@ -150,8 +162,8 @@
 			select {
 			case <-t.Context().Done():
 				return
-			case <-chain.w.polls:
-			case text := <-chain.w.notices:
+			case <-chain.env.polls:
+			case text := <-chain.env.notices:
 				chain.mu.Lock()
 				for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 					var id string
@@ -165,23 +177,25 @@
 	return chain
 }
 
-// newProcess starts a process whose desk stands in a folder of its own.
-func (chain *handoverChain) newProcess() (c *exec.Cmd, at, socket string) {
+// newProcess prepares a process whose hand-over socket is in a folder of its own.
+func (chain *handoverChain) newProcess() (c *exec.Cmd, adminAddr, socket string) {
 	chain.started++
 	dir := filepath.Join(chain.temp, fmt.Sprint(chain.started))
 	must(chain.t, os.MkdirAll(dir, 0o700))
-	at = fmt.Sprintf("%s:%d", chain.block.Host(3), 9000+chain.started)
+	adminAddr = fmt.Sprintf("%s:%d", chain.block.Host(3), 9000+chain.started)
 	c = exec.Command(os.Args[0], "serve")
-	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+chain.w.config, "LB_ADMIN="+at, "TMPDIR="+dir)
-	return c, at, filepath.Join(dir, filepath.Base(handover.Path(chain.w.stateFolder)))
+	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+chain.env.config, "LB_ADMIN="+adminAddr, "TMPDIR="+dir)
+	return c, adminAddr, filepath.Join(dir, filepath.Base(handover.Path(chain.env.stateFolder)))
 }
 
-func (chain *handoverChain) count(id string) (calls int, note string) {
+// count returns how often a message was called, and the delivery reports on it.
+func (chain *handoverChain) count(id string) (calls int, notice string) {
 	chain.mu.Lock()
 	defer chain.mu.Unlock()
 	return chain.calls[id], chain.notices[id]
 }
 
+// await waits until a condition holds.
 func (chain *handoverChain) await(what string, is func() bool) {
 	chain.t.Helper()
 	for until := time.Now().Add(20 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
@@ -191,7 +205,7 @@
 	}
 }
 
-// openMessages is how many messages the one that serves still owes an end; below 0: it does not say.
+// openMessages returns how many messages the process that serves still owes an outcome; below 0: it does not say.
 func (chain *handoverChain) openMessages() int {
 	r, err := http.Get("http://" + chain.adminAddr + admin.StatusPath)
 	if err != nil {
@@ -205,29 +219,29 @@
 	return x.Counts.Open
 }
 
-// handOver has another process take over, and what the two tell each other end after so many bytes one way. An unsafe
-// message is out meanwhile; its call is answered once it is clear who serves.
-func (chain *handoverChain) handOver(way, left int) (sum [2]int, succeeded bool) {
+// handOver has another process take over, and cuts the connection of the two after so many bytes in a direction. An
+// unsafe message is in flight meanwhile; its call is answered once it is clear which process serves.
+func (chain *handoverChain) handOver(direction, remaining int) (passed [2]int, succeeded bool) {
 	t := chain.t
 	t.Helper()
-	name := fmt.Sprintf("%d.%d", way, left)
+	name := fmt.Sprintf("%d.%d", direction, remaining)
 	out, more := "out-"+name, "more-"+name
 	chain.mu.Lock()
 	chain.heldAnswers[out] = make(chan struct{})
 	chain.mu.Unlock()
-	chain.w.submit("unsafe", out)
+	chain.env.submit("unsafe", out)
 	chain.await("the call is out", func() bool { n, _ := chain.count(out); return n == 1 })
-	c, at, socket := chain.newProcess()
-	r := newRelay(t, socket, chain.socket, way, left)
+	c, adminAddr, socket := chain.newProcess()
+	r := newRelay(t, socket, chain.socket, direction, remaining)
 	must(t, c.Start())
 	t.Cleanup(func() { c.Process.Kill() })
 	go c.Wait()
-	chain.await("what they say is cut, or the heir is ready", func() bool {
+	chain.await("the connection is cut, or the successor is ready", func() bool {
 		select {
 		case <-r.done:
 			return true
 		default:
-			return callAdmin(http.MethodGet, at, "/v1/readyz") == http.StatusOK
+			return callAdmin(http.MethodGet, adminAddr, "/v1/readyz") == http.StatusOK
 		}
 	})
 	chain.mu.Lock()
@@ -237,28 +251,29 @@
 	alive := func(c *exec.Cmd) bool { return c.Process.Signal(unix.Signal(0)) == nil }
 	chain.await("one of them has ended", func() bool { return alive(chain.current) != alive(c) })
 	if succeeded = alive(c); succeeded {
-		chain.current, chain.adminAddr, chain.socket = c, at, socket
+		chain.current, chain.adminAddr, chain.socket = c, adminAddr, socket
 	}
 	if succeeded && !r.stateComplete() {
-		t.Errorf("%s: an heir without the whole estate serves", name)
+		t.Errorf("%s: a successor serves without the complete state", name)
 	}
 	awaitReady(t, chain.adminAddr)
-	chain.w.submit("unsafe", more)
+	chain.env.submit("unsafe", more)
 	chain.await("nothing is open", func() bool { return chain.openMessages() == 0 })
 	return r.passed, succeeded
 }
 
+// start starts the first process of the chain.
 func (chain *handoverChain) start() {
-	c, at, socket := chain.newProcess()
+	c, adminAddr, socket := chain.newProcess()
 	must(chain.t, c.Start())
 	chain.t.Cleanup(func() { c.Process.Kill() })
 	go c.Wait()
-	awaitReady(chain.t, at)
-	chain.current, chain.adminAddr, chain.socket = c, at, socket
+	awaitReady(chain.t, adminAddr)
+	chain.current, chain.adminAddr, chain.socket = c, adminAddr, socket
 }
 
-// checkOutcomes goes through all messages in the end. What was out when an heir took over may have ended undeliverable where the
-// answer could not be passed on; nothing else may.
+// checkOutcomes checks all messages in the end, by whether the successor took over. What was in flight when it did may
+// have ended undeliverable where the answer could not be passed on; nothing else may.
 func (chain *handoverChain) checkOutcomes(succeeded map[string]bool) {
 	chain.t.Helper()
 	time.Sleep(300 * time.Millisecond) // a notice that should not come would be under way now
@@ -268,7 +283,9 @@
 		if n != 1 {
 			chain.t.Errorf("%s was sent %d times", id, n)
 		}
-		if notice := chain.notices[id]; notice != "" && !(succeeded[id] && strings.Count(notice, id) == 1 && strings.Contains(notice, "undeliverable")) {
+		notice := chain.notices[id]
+		undeliverable := strings.Count(notice, id) == 1 && strings.Contains(notice, "undeliverable")
+		if notice != "" && !(succeeded[id] && undeliverable) {
 			chain.t.Errorf("%s: %s", id, notice)
 		}
 	}
--- a/cmd/cleathold/lab_test.go
+++ b/cmd/cleathold/lab_test.go
@@ -23,34 +23,30 @@
 	"cleathold/internal/scenario"
 )
 
-// shortScenario is a rehearsal cut to a few seconds.
+// shortScenario writes a scenario of a few seconds, with more lines at its end, and returns its path.
 func shortScenario(t *testing.T, extra string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/building-refuses.star")
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	s := strings.Replace(string(text), "seconds = 60, senders = 3", "seconds = 5, senders = 2", 1)
 	s = strings.Replace(s, "at = (12, 18), seconds = (10, 20)", "at = 1, seconds = 2", 1)
 	path := filepath.Join(t.TempDir(), "short.star")
-	if err := os.WriteFile(path, []byte(s+extra), 0o644); err != nil {
-		t.Fatal(err)
-	}
+	must(t, os.WriteFile(path, []byte(s+extra), 0o644))
 	return path
 }
 
+// discardLog discards what the commands log.
 var discardLog = slog.New(slog.DiscardHandler)
 
+// harnessSetup returns the setup of a run of a scenario with this program.
 func harnessSetup(t *testing.T, path string) harness.Setup {
 	t.Helper()
 	s, err := scenario.Load(path, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	return harness.Setup{Plan: s.Plan(1), Program: os.Args[0], Folder: t.TempDir(), Log: discardLog}
 }
 
-// senderAddresses are where a run's senders listen.
+// senderAddresses returns the addresses of the clients' listeners of a run's senders.
 func senderAddresses(t *testing.T, folder string) []string {
 	t.Helper()
 	var list []string
@@ -61,9 +57,7 @@
 		if err == nil {
 			err = json.Unmarshal(text, &c)
 		}
-		if err != nil {
-			t.Fatal(err)
-		}
+		must(t, err)
 		list = append(list, c.Listen)
 	}
 	if len(list) == 0 {
@@ -72,7 +66,7 @@
 	return list
 }
 
-// requireNoListeners wants nobody to listen at any of them any more.
+// requireNoListeners checks that soon no process listens at any of the addresses.
 func requireNoListeners(t *testing.T, list []string) {
 	t.Helper()
 	for _, a := range list {
@@ -90,8 +84,23 @@
 	}
 }
 
-// A rehearsal on sockets, with a trouble, a kill and a reload: the rules hold, the
-// run folder gives a page, and nobody is left behind.
+// runLab runs 'lab run' of a scenario with this program, and returns its result.
+func runLab(t *testing.T, args scenarioArgs, folder string) (r harness.Result) {
+	t.Helper()
+	out := &bytes.Buffer{}
+	c := labRunCmd{
+		seededScenarioArgs: seededScenarioArgs{scenarioArgs: args, Seed: 1},
+		Out:                folder, Program: os.Args[0], jsonFlag: jsonFlag{JSON: true},
+	}
+	if err := c.Run(out, discardLog); err != nil {
+		t.Fatalf("%v\n%s", err, out)
+	}
+	must(t, json.Unmarshal(out.Bytes(), &r))
+	return r
+}
+
+// TestLabRun plays a scenario on sockets with a fault, a kill and a reload: the rules hold, the run folder gives a
+// page, and no sender stays behind.
 func TestLabRun(t *testing.T) {
 	t.Parallel()
 	path := shortScenario(t, `
@@ -99,29 +108,15 @@
 sender(number = 1, at = 1, what = "hup")
 `)
 	folder := filepath.Join(t.TempDir(), "run")
-	out := &bytes.Buffer{}
-	if err := (&labRunCmd{
-		seededScenarioArgs: seededScenarioArgs{scenarioArgs: scenarioArgs{Scenario: path}, Seed: 1},
-		Out:                folder, Program: os.Args[0], jsonFlag: jsonFlag{JSON: true},
-	}).Run(out, discardLog); err != nil {
-		t.Fatalf("%v\n%s", err, out)
-	}
-	var r harness.Result
-	if err := json.Unmarshal(out.Bytes(), &r); err != nil {
-		t.Fatal(err)
-	}
+	r := runLab(t, scenarioArgs{Scenario: path}, folder)
 	if r.Messages < 50 || r.Overall < 0.5 || r.Restarts != 1 || r.Crashes != 0 || r.Counts.Accepted == 0 {
 		t.Errorf("%+v", r)
 	}
 	requireNoListeners(t, senderAddresses(t, folder))
 	reportText, html := &bytes.Buffer{}, filepath.Join(t.TempDir(), "page.html")
-	if err := (&labReportCmd{Runs: []string{folder}, HTML: html}).Run(reportText); err != nil {
-		t.Fatal(err)
-	}
+	must(t, (&labReportCmd{Runs: []string{folder}, HTML: html}).Run(reportText))
 	text, err := os.ReadFile(html)
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	for _, want := range []string{"DOWN in bldg-b", "sender 0: kill", "fee-payment"} {
 		if !strings.Contains(reportText.String(), want) || !strings.Contains(string(text), want) {
 			t.Errorf("the report lacks %q:\n%s", want, reportText)
@@ -132,18 +127,19 @@
 	}
 }
 
-// A sender that never gets ready, or ends first, is a clear end, and nobody is left.
+// TestLabNeverReady has a sender that never gets ready, or ends first: the error is clear, and no sender stays behind.
 func TestLabNeverReady(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ script, want string }{
-		{"#!/bin/sh\necho no such luck >&2\nexit 3\n", "ended before it was ready: exit status 3; its log ends: no such luck"},
+		{
+			"#!/bin/sh\necho no such luck >&2\nexit 3\n",
+			"ended before it was ready: exit status 3; its log ends: no such luck",
+		},
 		{"#!/bin/sh\nexec sleep 60\n", "is not ready in time"},
 	} {
 		s := harnessSetup(t, shortScenario(t, ""))
 		s.Program, s.ReadyIn = filepath.Join(t.TempDir(), "program"), 300*time.Millisecond
-		if err := os.WriteFile(s.Program, []byte(c.script), 0o755); err != nil {
-			t.Fatal(err)
-		}
+		must(t, os.WriteFile(s.Program, []byte(c.script), 0o755))
 		if _, err := harness.Run(t.Context(), s); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %q", err, c.want)
 		}
@@ -151,7 +147,7 @@
 	}
 }
 
-// The ledger's disk is full, or the run is called off: a clear end, nobody left.
+// TestLabAborted has the ledger's disk full, or the run canceled: the error is clear, and no sender stays behind.
 func TestLabAborted(t *testing.T) {
 	t.Parallel()
 	errDiskFull := errors.New("no space left on device")
@@ -182,8 +178,8 @@
 	requireNoListeners(t, senderAddresses(t, s.Folder))
 }
 
-// Ctrl-C, and a kill of the rig itself: no sender outlives it, and what was written
-// of the ledger can be read.
+// TestLabKilled interrupts 'lab run', and kills it: no sender outlives it, and what was written of the ledger can be
+// read.
 func TestLabKilled(t *testing.T) {
 	t.Parallel()
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
@@ -193,9 +189,7 @@
 		c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1")
 		var stderr bytes.Buffer
 		c.Stderr = &stderr
-		if err := c.Start(); err != nil {
-			t.Fatal(err)
-		}
+		must(t, c.Start())
 		// Once a block of the ledger is there, the run is in its middle.
 		for until := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 			if info, err := os.Stat(filepath.Join(folder, "ledger.zst")); err == nil && info.Size() > 500 {
@@ -207,28 +201,28 @@
 		}
 		c.Process.Signal(sig)
 		err := c.Wait()
-		if sig == syscall.SIGINT && (c.ProcessState.ExitCode() != exitIncomplete || !strings.Contains(stderr.String(), "broken off")) {
+		code := c.ProcessState.ExitCode()
+		if sig == syscall.SIGINT && (code != exitIncomplete || !strings.Contains(stderr.String(), "broken off")) {
 			t.Errorf("Ctrl-C: %v, %s", err, &stderr)
 		}
 		requireNoListeners(t, senderAddresses(t, folder))
 		run, err := ledger.Open(folder)
-		if err != nil {
-			t.Fatal(err)
-		}
+		must(t, err)
 		events := 0
 		complete, err := run.Events(func(audit.Event) error { events++; return nil })
 		if err != nil || events == 0 || complete != (sig == syscall.SIGINT) || run.Result != nil {
 			t.Errorf("%v: %v, %d events, whole %t", sig, err, events, complete)
 		}
 		page := &bytes.Buffer{}
-		if err := (&labReportCmd{Runs: []string{folder}}).Run(page); err != nil || !strings.Contains(page.String(), "broken off") {
+		err = (&labReportCmd{Runs: []string{folder}}).Run(page)
+		if err != nil || !strings.Contains(page.String(), "broken off") {
 			t.Errorf("%v: %s", err, page)
 		}
 	}
 }
 
-// Two builds on paired seeds: the same against itself is noise, and less patience of
-// the partners is not.
+// TestLabCompare compares sides on paired seeds: a scenario against itself is noise, and against one with silent
+// partners it is not. Programs need a scenario.
 func TestLabCompare(t *testing.T) {
 	t.Parallel()
 	path := shortScenario(t, "")
@@ -238,19 +232,17 @@
 		noise bool
 	}{{path, true}, {faulty, false}} {
 		out := &bytes.Buffer{}
-		if err := (&labCompareCmd{A: path, B: c.b, Runs: 3, Seed: 1, jsonFlag: jsonFlag{JSON: true}}).Run(out, discardLog); err != nil {
-			t.Fatal(err)
-		}
+		command := labCompareCmd{A: path, B: c.b, Runs: 3, Seed: 1, jsonFlag: jsonFlag{JSON: true}}
+		must(t, command.Run(out, discardLog))
 		var got comparison
-		if err := json.Unmarshal(out.Bytes(), &got); err != nil {
-			t.Fatal(err)
-		}
+		must(t, json.Unmarshal(out.Bytes(), &got))
 		if got.Noise != c.noise || got.Pairs != 3 || !c.noise && got.High >= 0 {
 			t.Errorf("%+v", got.Difference)
 		}
 	}
 	out := &bytes.Buffer{}
-	if err := (&labCompareCmd{A: os.Args[0], B: os.Args[0], Scenario: path, Runs: 2, Seed: 1}).Run(out, discardLog); err != nil || !strings.Contains(out.String(), "noise") {
+	programs := labCompareCmd{A: os.Args[0], B: os.Args[0], Scenario: path, Runs: 2, Seed: 1}
+	if err := programs.Run(out, discardLog); err != nil || !strings.Contains(out.String(), "noise") {
 		t.Errorf("programs: %v, %s", err, out)
 	}
 	if err := (&labCompareCmd{A: os.Args[0], B: os.Args[0], Runs: 2}).Run(io.Discard, discardLog); err == nil {
@@ -258,7 +250,8 @@
 	}
 }
 
-// Faults of a script strike processes as they strike senders in virtual time: seen from outside, and nowhere else.
+// TestLabFaults checks that the faults of a script affect processes as they affect senders in virtual time, and only
+// them.
 func TestLabFaults(t *testing.T) {
 	t.Parallel()
 	path := shortScenario(t, `
@@ -284,9 +277,7 @@
 		return nil
 	}
 	r, err := harness.Run(t.Context(), set)
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	between := func(sender int, from, to float64) (n int) {
 		for at := int(from * 10); at < int(to*10); at++ {
 			n += accepted[[2]int{sender, at}]
@@ -300,7 +291,10 @@
 		sender   int
 		from, to float64
 		some     bool
-	}{{0, 0, 1, true}, {0, 1.2, 2.9, false}, {1, 2.2, 3.2, true}, {1, 3.8, 4.5, false}, {0, 3.7, 4.3, false}, {0, 4.5, 6, true}} {
+	}{
+		{0, 0, 1, true}, {0, 1.2, 2.9, false}, {1, 2.2, 3.2, true}, {1, 3.8, 4.5, false}, {0, 3.7, 4.3, false},
+		{0, 4.5, 6, true},
+	} {
 		if n := between(c.sender, c.from, c.to); (n > 0) != c.some {
 			t.Errorf("n%d took on %d messages from %v to %v s", c.sender, n, c.from, c.to)
 		}
@@ -314,34 +308,20 @@
 	}
 }
 
-// Twenty processes and a target that comes back cold: what they send in sum stays within its budget, though some of them were
-// killed in the outage and know nothing of it.
+// TestSlowStartAcrossTwentyProcesses has an endpoint recover and warm up: what twenty processes send in sum stays
+// within its limit, though some of them were killed in the outage and know nothing of it.
 func TestSlowStartAcrossTwentyProcesses(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile("../../examples/scenarios/fleet-return.star")
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	s := strings.Replace(string(text), "seconds = 30", "seconds = 13", 1)
 	s = strings.Replace(s, "traffic(rate = 500", "traffic(rate = 150", 1)
 	s = strings.Replace(s, `at = 6, seconds = 5, part = 0.5`, `at = 2, seconds = 4, part = 0.5`, 1)
 	s += "\n[sender(number = n, at = 4, what = \"kill\") for n in (0, 7, 13)]\n"
 	path := filepath.Join(t.TempDir(), "return.star")
-	if err := os.WriteFile(path, []byte(s), 0o644); err != nil {
-		t.Fatal(err)
-	}
-	out := &bytes.Buffer{}
-	c := labRunCmd{
-		seededScenarioArgs: seededScenarioArgs{scenarioArgs: scenarioArgs{Scenario: path, Set: map[string]float64{"senders": 20}}, Seed: 1},
-		Out:                filepath.Join(t.TempDir(), "run"), Program: os.Args[0], jsonFlag: jsonFlag{JSON: true},
-	}
-	if err := c.Run(out, discardLog); err != nil {
-		t.Fatalf("%v\n%s", err, out)
-	}
-	var r harness.Result
-	if err := json.Unmarshal(out.Bytes(), &r); err != nil {
-		t.Fatal(err)
-	}
+	must(t, os.WriteFile(path, []byte(s), 0o644))
+	args := scenarioArgs{Scenario: path, Set: map[string]float64{"senders": 20}}
+	r := runLab(t, args, filepath.Join(t.TempDir(), "run"))
 	if r.Overloads != 0 || r.Restarts != 3 || r.Crashes != 0 || r.Overall < 0.5 {
 		t.Errorf("%+v", r)
 	}
--- a/cmd/cleathold/main_test.go
+++ b/cmd/cleathold/main_test.go
@@ -12,7 +12,7 @@
 	"cleathold/internal/socktest"
 )
 
-// TestMain lets the test's own binary be the program.
+// TestMain lets the test's own binary be the program, for all processes that tests start.
 func TestMain(m *testing.M) {
 	if os.Getenv("CLEATHOLD_CHILD") != "" {
 		injectFault(os.Getenv("CLEATHOLD_FAULT"))
@@ -23,8 +23,8 @@
 	os.Exit(m.Run())
 }
 
-// A process killed with forwards out owes their messages an end: what may be
-// repeated is sent again, what may not is undeliverable, and no more is sent.
+// TestKilled kills a process with attempts in flight: of their messages, those that may be repeated are sent again, the
+// others are undeliverable, and no more is sent.
 func TestKilled(t *testing.T) {
 	var answers atomic.Bool
 	env := newEnvironment(t, func(string) string {
@@ -53,8 +53,8 @@
 	}
 }
 
-// Killed again and again while messages come in, the program loses none of
-// those that it has taken on, and sends none twice that must not be repeated.
+// TestKilledRepeatedly kills the program again and again while messages come in: it loses none that it has accepted,
+// and sends none twice that must not be repeated.
 func TestKilledRepeatedly(t *testing.T) {
 	env := newEnvironment(t, func(string) string { return socktest.Status(200) })
 	owed := map[string]bool{}
@@ -94,7 +94,7 @@
 	}
 }
 
-// A notice outlasts the process until the platform has it.
+// TestNoticeSurvivesKill checks that a delivery report outlasts the process until the platform has it.
 func TestNoticeSurvivesKill(t *testing.T) {
 	env := newEnvironment(t, func(string) string { return socktest.Status(500) })
 	env.failNotices.Store(true)
@@ -112,17 +112,15 @@
 	}
 }
 
-// SIGHUP: discovery is asked and notices are sent at the address that the file
-// names now, and a file that can't be read changes nothing and ends nothing.
+// TestReload checks SIGHUP: discovery is polled and delivery reports are sent at the address that the file names now,
+// and a file that can't be read changes nothing and ends nothing.
 func TestReload(t *testing.T) {
 	env := newEnvironment(t, func(string) string { return socktest.Status(500) })
 	c := env.start()
 	for receive(t, env.polls) != "first" {
 	}
 	before, err := os.ReadFile(env.config)
-	if err != nil {
-		t.Fatal(err)
-	}
+	must(t, err)
 	env.noticesMoved.Store(true)
 	env.configure(env.secondAddr)
 	c.Process.Signal(syscall.SIGHUP)
@@ -130,9 +128,7 @@
 	}
 	// What can't be read, and what lacks a key that was there: not even its address of discovery is taken over.
 	for _, invalid := range []string{"what", strings.Replace(string(before), `"send-cap":12`, `"x":12`, 1)} {
-		if err := os.WriteFile(env.config, []byte(invalid), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		must(t, os.WriteFile(env.config, []byte(invalid), 0o600))
 		c.Process.Signal(syscall.SIGHUP)
 	}
 	env.submit("unsafe", "u1")
@@ -150,7 +146,7 @@
 	}
 }
 
-// SIGTERM: the calls out are finished, and the program ends with 0.
+// TestTerminated checks SIGTERM: calls in flight are finished, and the program ends with 0.
 func TestTerminated(t *testing.T) {
 	answer := make(chan struct{})
 	env := newEnvironment(t, func(string) string { <-answer; return socktest.Status(200) })
--- a/cmd/cleathold/partner_test.go
+++ b/cmd/cleathold/partner_test.go
@@ -22,39 +22,54 @@
 	"cleathold/internal/socktest"
 )
 
-// A partner is a stand-in for one partner system. It is shut, or returns cold: its
-// limit rises from a part of its rate to all of it. It counts effects, by key where
-// a message has one, and all that reaches it.
+const (
+	keyRetention   = 3 * time.Second        // how long the partner drops repeats of a key
+	overloadWindow = 500 * time.Millisecond // in which an overload is measured
+	warmUpDuration = 3 * time.Second
+	warmUpFraction = 0.22                   // of the rate, as the partner returns
+	limitWindow    = 250 * time.Millisecond // in which the partner counts calls against its limit
+)
+
+// partner is a stand-in for one partner system. It is shut, or returns cold: its limit rises from warmUpFraction of its
+// rate to all of it. It counts effects, by key where a message has one, and all calls that reach it.
 type partner struct {
-	mu           sync.Mutex
-	rate         float64       // calls a second once warm
-	coldFraction float64       // part of that as it returns
-	warmUpTime   time.Duration // the time by which it is warm
-	openedAt     time.Time     // zero: shut
-	resetCalls   bool          // resets connections that bring a call
-	calls        []time.Time
-	accepted     []time.Time // within the limit
-	effects      map[string]int
-	firstEffect  map[string]time.Time // of the effects
-	flakyAnswer  func() string        // an answer in the place of the ordinary one, or ""
-	seenKeys     map[string]time.Time // keys
-	doubles      []string
+	mu          sync.Mutex
+	rate        float64     // calls a second once warm
+	openedAt    time.Time   // zero: shut
+	resetCalls  bool        // a call takes effect and its connection is reset
+	calls       []time.Time // all that came
+	accepted    []time.Time // the latest within the limit
+	effects     map[string]int
+	firstEffect map[string]time.Time
+	flakyAnswer func() string        // "ordinary", "break" or an answer in the place of the ordinary one; under mu
+	seenKeys    map[string]time.Time // by key: when it was first seen
+	doubles     []string             // ids with more effects than their class allows
 }
 
+// newPartner returns a partner that is shut.
 func newPartner(rate float64) *partner {
 	return &partner{
-		rate: rate, coldFraction: 0.22, warmUpTime: warmUpDuration, effects: map[string]int{}, firstEffect: map[string]time.Time{}, seenKeys: map[string]time.Time{},
+		rate: rate, effects: map[string]int{}, firstEffect: map[string]time.Time{}, seenKeys: map[string]time.Time{},
 	}
 }
 
-// capacity is what it can do, in calls a second.
+// open has the partner return cold, and forget the calls that came before.
+func (p *partner) open() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.openedAt = time.Now()
+	p.calls = nil
+}
+
+// capacity returns what the partner can do at a time, in calls a second.
 func (p *partner) capacity(at time.Time) float64 {
 	if p.openedAt.IsZero() {
 		return 0
 	}
-	return p.rate * min(1, p.coldFraction+(1-p.coldFraction)*at.Sub(p.openedAt).Seconds()/p.warmUpTime.Seconds())
+	return p.rate * min(1, warmUpFraction+(1-warmUpFraction)*at.Sub(p.openedAt).Seconds()/warmUpDuration.Seconds())
 }
 
+// answer answers a call or a health check.
 func (p *partner) answer(r *http.Request) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,11 +96,10 @@
 			return a
 		}
 	}
-	const span = 250 * time.Millisecond
-	for len(p.accepted) > 0 && now.Sub(p.accepted[0]) > span {
+	for len(p.accepted) > 0 && now.Sub(p.accepted[0]) > limitWindow {
 		p.accepted = p.accepted[1:]
 	}
-	if p.openedAt.IsZero() || float64(len(p.accepted)) >= p.capacity(now)*span.Seconds()*1.5+1 {
+	if p.openedAt.IsZero() || float64(len(p.accepted)) >= p.capacity(now)*limitWindow.Seconds()*1.5+1 {
 		return socktest.Status(503)
 	}
 	p.accepted = append(p.accepted, now)
@@ -93,8 +107,7 @@
 	return socktest.Status(200)
 }
 
-// effect lets a message take effect, if its key is not remembered. Unsafe ones
-// have none, and must have one effect at most.
+// effect lets a message take effect unless its key was seen. All but safe ones must have one effect at most.
 func (p *partner) effect(id, key string, now time.Time) {
 	if key != "" {
 		if at, known := p.seenKeys[key]; known && now.Sub(at) < keyRetention {
@@ -110,7 +123,8 @@
 	}
 }
 
-// maxOverload returns the window in which most arrived over what it could take.
+// maxOverload returns the most calls in a window since the partner opened, as a multiple of its capacity at the start
+// of the window.
 func (p *partner) maxOverload(window time.Duration) (worst float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,12 +144,7 @@
 	return worst
 }
 
-const (
-	keyRetention   = 3 * time.Second
-	overloadWindow = 500 * time.Millisecond
-	warmUpDuration = 3 * time.Second
-)
-
+// holdAllSettings is a settings script that holds all undeliverable messages.
 const holdAllSettings = `
 held(folder = "held", queue = 1024)
 admin(socket = "a.sock")
@@ -144,13 +153,12 @@
     return HOLD
 `
 
-// newDeadLetterEnvironment is a world whose sender keeps what it can't deliver.
+// newDeadLetterEnvironment returns an environment whose sender has a dead-letter queue, and whose target is the
+// partner.
 func newDeadLetterEnvironment(t *testing.T, p *partner, script string) *environment {
 	env := newEnvironment(t, func(string) string { return "" })
 	env.settingsScript = filepath.Join(t.TempDir(), "s.star")
-	if err := os.WriteFile(env.settingsScript, []byte(script), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	must(t, os.WriteFile(env.settingsScript, []byte(script), 0o600))
 	env.respond = p.answer
 	env.tune = func(c map[string]any) {
 		c["limits"].(map[string]any)["disk_mb"] = 8
@@ -158,41 +166,50 @@
 		set := c["settings"].(map[string]any)
 		set["profiles"] = []map[string]any{
 			{"name": "safe", "aim-ms": 400, "deadline-ms": 4000, "effect": "safe", "late-worth": 0.5, "worth": 1},
-			{"name": "keyed", "aim-ms": 400, "deadline-ms": 4000, "effect": "keyed", "memory-span-ms": keyRetention.Milliseconds(), "late-worth": 0.5, "worth": 1},
+			{
+				"name": "keyed", "aim-ms": 400, "deadline-ms": 4000, "effect": "keyed",
+				"memory-span-ms": keyRetention.Milliseconds(), "late-worth": 0.5, "worth": 1,
+			},
 			{"name": "unsafe", "aim-ms": 400, "deadline-ms": 4000, "effect": "unsafe", "late-worth": 0.5, "worth": 1},
 		}
 		set["weights"] = "rough"
 		set["specifics"] = map[string]any{"max-calls": 48}
-		set["limits"] = map[string]any{"open-cap": 1500, "send-cap": 0, "conn-idle-ms": 15000, "connect-timeout-ms": 1500, "cancel": true, "probes": true, "second-copies": true}
-		set["guarantees"] = map[string]any{"must-ask-in-ms": 10000, "fall-ms": overloadWindow.Milliseconds(), "fall-multiple": 2, "cold-ms": warmUpDuration.Milliseconds(), "cold-from": 0.22}
+		set["limits"] = map[string]any{
+			"open-cap": 1500, "send-cap": 0, "conn-idle-ms": 15000, "connect-timeout-ms": 1500, "cancel": true,
+			"probes": true, "second-copies": true,
+		}
+		set["guarantees"] = map[string]any{
+			"must-ask-in-ms": 10000, "fall-ms": overloadWindow.Milliseconds(), "fall-multiple": 2,
+			"cold-ms": warmUpDuration.Milliseconds(), "cold-from": warmUpFraction,
+		}
 	}
 	env.configure(env.secondAddr)
 	return env
 }
 
+// adminAPI returns the sender's admin API at its socket.
 func (env *environment) adminAPI() admin.API {
-	p := admin.Dial(filepath.Join(filepath.Dir(env.settingsScript), "a.sock"))
-	env.t.Cleanup(func() { p.Close() })
-	return p
+	api := admin.Dial(filepath.Join(filepath.Dir(env.settingsScript), "a.sock"))
+	env.t.Cleanup(func() { api.Close() })
+	return api
 }
 
-// client hands messages in on one connection.
+// client submits messages on one connection.
 type client struct {
 	conn net.Conn
 	in   *bufio.Reader
 }
 
+// client opens a connection.
 func (env *environment) client() *client {
-	conn, err := net.Dial("tcp", env.listen)
-	if err != nil {
-		env.t.Fatal(err)
-	}
-	env.t.Cleanup(func() { conn.Close() })
+	conn := env.connectClient()
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-func (c *client) submit(class, id, key string, seconds float64) (int, error) {
-	text := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: %g\r\nX-Addressing: dest=7\r\nContent-Length: 2\r\n", class, id, seconds)
+// submit submits a message with a deadline, and returns the status of the response.
+func (c *client) submit(class, id, key string, deadlineSeconds float64) (int, error) {
+	text := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: %g\r\n"+
+		"X-Addressing: dest=7\r\nContent-Length: 2\r\n", class, id, deadlineSeconds)
 	if key != "" {
 		text += "Idempotency-Key: " + key + "\r\n"
 	}
@@ -207,7 +224,7 @@
 	return r.StatusCode, nil
 }
 
-// testMessage returns the class of the n-th message and the key that goes with it.
+// testMessage returns the class, the id and the key of the n-th message.
 func testMessage(n int) (name, id, key string) {
 	switch n % 3 {
 	case 0:
@@ -218,12 +235,14 @@
 	return "unsafe", fmt.Sprint("u", n), ""
 }
 
-// awaitStats asks until a condition holds.
-func (env *environment) awaitStats(p admin.API, what string, done func(states map[string]int, s deadletter.Stats) bool) map[string]int {
+// awaitStats polls the dead-letter queue until a condition holds, and returns the number of records by state.
+func (env *environment) awaitStats(
+	api admin.API, what string, done func(states map[string]int, s deadletter.Stats) bool,
+) map[string]int {
 	env.t.Helper()
 	states := map[string]int{}
 	for until := time.Now().Add(60 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		s, err := p.Stats(context.Background())
+		s, err := api.Stats(context.Background())
 		if err != nil {
 			continue
 		}
@@ -239,7 +258,8 @@
 	return nil
 }
 
-// collectNotices keeps the channels of a world empty and returns the notices by id.
+// collectNotices keeps the channels of the environment empty. The function that it returns tells whether the platform
+// was notified that a message is undeliverable.
 func (env *environment) collectNotices() (undeliverable func(id string) bool) {
 	var mu sync.Mutex
 	ids := map[string]bool{}
@@ -260,10 +280,14 @@
 			}
 		}
 	}()
-	return func(id string) bool { mu.Lock(); defer mu.Unlock(); return ids[id] }
+	return func(id string) bool {
+		mu.Lock()
+		defer mu.Unlock()
+		return ids[id]
+	}
 }
 
-// held runs a command of the program as a process.
+// runCommand runs a command of the program as a process, and returns its output and its exit code.
 func (env *environment) runCommand(args ...string) (string, int) {
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "CLEATHOLD_SETTINGS="+env.settingsScript)
@@ -273,10 +297,10 @@
 	return out.String(), c.ProcessState.ExitCode()
 }
 
-// senderStatusAt is what a sender says at its second address.
-func senderStatusAt(t *testing.T, at string) (s admin.Status) {
+// statusOf returns what a sender says at its admin address.
+func statusOf(t *testing.T, adminAddr string) (s admin.Status) {
 	t.Helper()
-	r, err := http.Get("http://" + at + admin.StatusPath)
+	r, err := http.Get("http://" + adminAddr + admin.StatusPath)
 	must(t, err)
 	defer r.Body.Close()
 	must(t, json.NewDecoder(r.Body).Decode(&s))
--- a/cmd/cleathold/redelivery_test.go
+++ b/cmd/cleathold/redelivery_test.go
@@ -16,76 +16,103 @@
 	"cleathold/internal/socktest"
 )
 
-// Killed at random moments while messages are held and sent again, the sender
-// keeps each in exactly one state, and the partner sees no more effects of a
-// message than its class allows. CLEATHOLD_KILLS=200 makes the long run of it.
+// redeliveryRounds says how processes follow one another while messages are held and sent again.
+type redeliveryRounds struct {
+	// start starts the process of a round, beside the last one's or in its place.
+	start func(env *environment, last *exec.Cmd) *exec.Cmd
+	// change changes something in the middle of a round.
+	change func(env *environment)
+	// end ends a round.
+	end func(env *environment, process *exec.Cmd)
+}
+
+// TestRedeliveryThroughKills kills the sender at random moments while messages are held and sent again: it keeps each
+// in exactly one state, and the partner sees no more effects of a message than its class allows. CLEATHOLD_KILLS=200
+// makes the long run of it.
 func TestRedeliveryThroughKills(t *testing.T) {
-	redeliverThrough(t, func(env *environment, _ *exec.Cmd) *exec.Cmd { return env.start() }, func(*environment) {}, func(env *environment, c *exec.Cmd) { env.kill(c) })
+	redeliverThrough(t, redeliveryRounds{
+		start:  func(env *environment, _ *exec.Cmd) *exec.Cmd { return env.start() },
+		change: func(*environment) {},
+		end:    func(env *environment, process *exec.Cmd) { env.kill(process) },
+	})
 }
 
-// The same where one process hands over to the next instead, while messages are held and sent again, and where the
-// platform's settings change under way: a class comes in front of the others, the rest have other figures, and each record keeps the name of its own.
+// TestRedeliveryThroughHandovers is the same where one process hands over to the next instead, and where the platform's
+// settings change under way: a class comes in front of the others, the rest have other figures, and each record keeps
+// the name of its own.
 func TestRedeliveryThroughHandovers(t *testing.T) {
 	temp, err := os.MkdirTemp("", "ch") // a Unix address is short
 	must(t, err)
 	t.Cleanup(func() { os.RemoveAll(temp) })
 	t.Setenv("TMPDIR", temp)
-	at := ""
-	redeliverThrough(t, func(env *environment, last *exec.Cmd) *exec.Cmd {
-		at = freeAddr(t)
-		c := exec.Command(os.Args[0], "serve")
-		c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+env.config, "LB_ADMIN="+at, "CLEATHOLD_SETTINGS="+env.settingsScript)
-		must(t, c.Start())
-		t.Cleanup(func() { c.Process.Kill(); c.Wait() })
-		awaitReady(t, at)
-		if last != nil {
-			if err := awaitExit(t, last); err != nil {
-				t.Errorf("the process before: %v", err)
+	adminAddr := ""
+	redeliverThrough(t, redeliveryRounds{
+		start: func(env *environment, last *exec.Cmd) *exec.Cmd {
+			var c *exec.Cmd
+			c, adminAddr = env.startProcess()
+			awaitReady(t, adminAddr)
+			if last != nil {
+				if err := awaitExit(t, last); err != nil {
+					t.Errorf("the predecessor: %v", err)
+				}
 			}
+			return c
+		},
+		change: func(env *environment) { changeClasses(t, env, adminAddr) },
+		end:    func(*environment, *exec.Cmd) {},
+	})
+}
+
+// changeClasses puts another class in front, gives the rest other figures, and waits until they are in force.
+func changeClasses(t *testing.T, env *environment, adminAddr string) {
+	t.Helper()
+	old := env.tune
+	env.tune = func(config map[string]any) {
+		old(config)
+		settings := config["settings"].(map[string]any)
+		classes := settings["profiles"].([]map[string]any)
+		for _, c := range classes {
+			c["aim-ms"] = 400 + rand.IntN(100)
 		}
-		return c
-	}, func(env *environment) {
-		old := env.tune
-		env.tune = func(config map[string]any) { // another class in front, and other figures for the rest
-			old(config)
-			set := config["settings"].(map[string]any)
-			list := set["profiles"].([]map[string]any)
-			for _, c := range list {
-				c["aim-ms"] = 400 + rand.IntN(100)
-			}
-			set["profiles"] = append([]map[string]any{{"name": fmt.Sprint("new-", rand.Int()), "aim-ms": 50, "deadline-ms": 100, "effect": "safe", "late-worth": 0.5, "worth": 1}}, list...)
+		added := map[string]any{
+			"name": fmt.Sprint("new-", rand.Int()), "aim-ms": 50, "deadline-ms": 100, "effect": "safe", "late-worth": 0.5,
+			"worth": 1,
 		}
-		env.configure(env.secondAddr)
-		env.tune = old
-		text, err := os.ReadFile(env.config)
-		must(t, err)
-		want := admin.Digest(string(text))
-		for until := time.Now().Add(20 * time.Second); senderStatusAt(t, at).Config != want; time.Sleep(5 * time.Millisecond) {
-			if time.Now().After(until) {
-				t.Fatal("the new settings are not in force")
-			}
-			syscall.Kill(senderStatusAt(t, at).Pid, syscall.SIGHUP)
+		settings["profiles"] = append([]map[string]any{added}, classes...)
+	}
+	env.configure(env.secondAddr)
+	env.tune = old
+	text, err := os.ReadFile(env.config)
+	must(t, err)
+	want := admin.Digest(string(text))
+	until := time.Now().Add(20 * time.Second)
+	for statusOf(t, adminAddr).Config != want {
+		if time.Now().After(until) {
+			t.Fatal("the new settings are not in force")
 		}
-	}, func(*environment, *exec.Cmd) {})
+		syscall.Kill(statusOf(t, adminAddr).Pid, syscall.SIGHUP)
+		time.Sleep(5 * time.Millisecond)
+	}
 }
 
-// redeliverThrough plays it. Start starts the process of a round beside the last one's or in its place, mid changes something
-// in the middle of a round, over ends one.
-func redeliverThrough(t *testing.T, start func(env *environment, last *exec.Cmd) *exec.Cmd, midRound func(env *environment), endRound func(env *environment, c *exec.Cmd)) {
-	kills, seed := 8, uint64(1)
+// redeliveryPlan returns how many rounds to play and the seed that draws them.
+func redeliveryPlan(t *testing.T) (rounds int, seed uint64) {
+	rounds, seed = 8, 1
 	if n, err := strconv.Atoi(os.Getenv("CLEATHOLD_KILLS")); err == nil && n > 0 {
-		kills, seed = n, uint64(time.Now().UnixNano())
+		rounds, seed = n, uint64(time.Now().UnixNano())
 	}
 	if n, err := strconv.ParseUint(os.Getenv("CLEATHOLD_SEED"), 10, 64); err == nil {
 		seed = n
 	}
 	t.Logf("CLEATHOLD_SEED=%d", seed)
-	rng := rand.New(rand.NewPCG(seed, 1))
-	p := newPartner(150)
-	p.openedAt = time.Now().Add(-time.Hour)
-	flaky := rand.New(rand.NewPCG(seed, 2))
-	p.flakyAnswer = func() string { // under the partner's mutex
-		switch n := flaky.IntN(20); {
+	return rounds, seed
+}
+
+// drawFaults returns answers of a partner that often fails, in one of three ways.
+func drawFaults(seed uint64) func() string {
+	rng := rand.New(rand.NewPCG(seed, 2))
+	return func() string {
+		switch n := rng.IntN(20); {
 		case n < 6:
 			return socktest.Status(503)
 		case n < 8:
@@ -95,61 +122,69 @@
 		}
 		return "ordinary"
 	}
+}
+
+// redeliverThrough plays the rounds against a partner that often fails, then lets it recover, orders redelivery of all
+// records and checks what became of each message.
+func redeliverThrough(t *testing.T, rounds redeliveryRounds) {
+	count, seed := redeliveryPlan(t)
+	rng := rand.New(rand.NewPCG(seed, 1))
+	p := newPartner(150)
+	p.openedAt = time.Now().Add(-time.Hour)
+	p.flakyAnswer = drawFaults(seed)
 	env := newDeadLetterEnvironment(t, p, holdAllSettings)
 	noticed := env.collectNotices()
 	accepted := map[string]bool{}
-	next := 0
-	var c *exec.Cmd
-	for range kills {
-		c = start(env, c)
+	var process *exec.Cmd
+	for round := range count {
+		process = rounds.start(env, process)
 		clientConn := env.client()
 		for i := range 12 {
 			if i == 6 {
-				midRound(env)
+				rounds.change(env)
 			}
-			name, id, key := testMessage(next)
-			next++
-			if status, err := clientConn.submit(name, id, key, 0.05+rng.Float64()/2); err == nil && status == 202 {
+			name, id, key := testMessage(12*round + i)
+			status, err := clientConn.submit(name, id, key, 0.05+rng.Float64()/2)
+			if err == nil && status == 202 {
 				accepted[id] = true
 			}
 		}
-		go env.adminAPI().Act(context.Background(), "resend", admin.Order{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinS: 1})
+		order := admin.Order{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinS: 1}
+		go env.adminAPI().Act(context.Background(), "resend", order)
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
-		endRound(env, c)
+		rounds.end(env, process)
 	}
 	p.mu.Lock()
 	p.flakyAnswer = nil
 	p.mu.Unlock()
-	start(env, c)
-	plane := env.adminAPI()
+	rounds.start(env, process)
+	api := env.adminAPI()
 	quiet := func(s map[string]int, x deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 && x.Owed == 0 }
-	env.awaitStats(plane, "nothing on its way", quiet)
+	env.awaitStats(api, "nothing on its way", quiet)
 	time.Sleep(time.Second) // live ones have 0.55 s at most
-	order := admin.Order{WithinS: 60}
-	order.Selection.Limit = deadletter.MaxPageSize
+	_, rejections, err := resendAll(api, 60)
+	must(t, err)
 	rejected := map[uint64]bool{}
-	for {
-		got, err := plane.Act(context.Background(), "resend", order)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, r := range got.Rejected {
-			rejected[r.Seq] = true
-		}
-		if order.Selection.After = got.Next; got.Next == 0 {
-			break
-		}
+	for _, r := range rejections {
+		rejected[r.Seq] = true
 	}
-	states := env.awaitStats(plane, "all sent that may be", quiet)
+	states := env.awaitStats(api, "all sent that may be", quiet)
+	records := readRecords(t, api)
+	requireOneState(t, p, accepted, records, rejected, noticed)
+	t.Logf("%d rounds, %d messages accepted, %d of them held: %v", count, len(accepted), len(records), states)
+}
+
+// readRecords returns all records by the ids of their messages, and checks that none is there twice or of another
+// class.
+func readRecords(t *testing.T, api admin.API) map[string]deadletter.Record {
+	t.Helper()
 	records := map[string]deadletter.Record{}
 	for next := uint64(0); ; {
-		page, err := plane.List(context.Background(), deadletter.Filter{}, next, deadletter.MaxPageSize)
-		if err != nil {
-			t.Fatal(err)
-		}
+		page, err := api.List(context.Background(), deadletter.Filter{}, next, deadletter.MaxPageSize)
+		must(t, err)
 		for _, r := range page.Records {
-			if is := map[byte]string{'s': "safe", 'k': "keyed", 'u': "unsafe"}[r.ID[0]]; r.Class != is {
-				t.Errorf("%s is of class %s, and is held as one of %q", r.ID, is, r.Class)
+			if class := map[byte]string{'s': "safe", 'k': "keyed", 'u': "unsafe"}[r.ID[0]]; r.Class != class {
+				t.Errorf("%s is of class %s, and is held as one of %q", r.ID, class, r.Class)
 			}
 			if _, twice := records[r.ID]; twice {
 				t.Errorf("%s is in the store twice", r.ID)
@@ -157,9 +192,18 @@
 			records[r.ID] = r
 		}
 		if next = page.Next; next == 0 {
-			break
+			return records
 		}
 	}
+}
+
+// requireOneState checks that each accepted message was delivered or is held, that the platform knows of those held,
+// that all that may be sent were, and that no message had more effects than its class allows.
+func requireOneState(
+	t *testing.T, p *partner, accepted map[string]bool, records map[string]deadletter.Record, rejected map[uint64]bool,
+	noticed func(id string) bool,
+) {
+	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id := range accepted {
@@ -175,10 +219,7 @@
 			t.Errorf("%s is delivered by the store's word alone", id)
 		}
 	}
-	if len(p.doubles) > 0 {
-		for _, id := range p.doubles {
-			t.Errorf("double effect: %s: %+v", id, records[id])
-		}
+	for _, id := range p.doubles {
+		t.Errorf("double effect: %s: %+v", id, records[id])
 	}
-	t.Logf("%d kills, %d messages taken, %d of them held: %v", kills, len(accepted), len(records), states)
 }
--- a/cmd/cleathold/resources_test.go
+++ b/cmd/cleathold/resources_test.go
@@ -17,15 +17,15 @@
 	"cleathold/internal/socktest"
 )
 
-// limitDescriptors bounds those of a process.
+// limitDescriptors bounds the descriptors of a process.
 func limitDescriptors(t *testing.T, pid int, most uint64) {
 	t.Helper()
 	must(t, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: 1024}, nil))
 }
 
-// Clients that connect and say nothing, or ask once and stay, more of them than there are descriptors, while discovery
-// is down: messages still get in, to targets, into new segments of the journal and to the platform, and when discovery
-// is back it is asked.
+// TestIdleClientsWhileDiscoveryIsDown has clients connect and say nothing, or ask once and stay, more of them than
+// there are descriptors, while discovery is down: messages still get in, to targets, into new segments of the
+// write-ahead log and to the platform, and when discovery recovers it is polled.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	const most = 96
@@ -49,29 +49,8 @@
 	segments := map[string]bool{}
 	var waited time.Duration // by new clients, in all
 	for round := range 6 {
-		for i := range 40 {
-			conn := env.connectClient()
-			if i%2 == 1 {
-				came := time.Now()
-				if got := exchange(conn, bufio.NewReader(conn), healthRequest); got != 200 {
-					t.Fatalf("round %d, connection %d: health %d", round, i, got)
-				}
-				waited += time.Since(came)
-			}
-		}
-		for _, class := range []string{"safe", "unsafe"} {
-			id, came := fmt.Sprint(class[:1], round), time.Now()
-			if got := env.roundTrip(messageRequest(class, id, body)); got != 202 {
-				t.Fatalf("%s: %d", id, got)
-			}
-			waited += time.Since(came)
-			if got := receive(t, env.calls); got != id {
-				t.Fatalf("%s reached the target, want %s", got, id)
-			}
-		}
-		if n, want := receive(t, env.notices), fmt.Sprintf("{\"id\":\"u%d\",\"status\":\"undeliverable\"}\n", round); n != want {
-			t.Errorf("notice %q, want %q", n, want)
-		}
+		waited += connectIdleClients(t, env, round)
+		waited += submitLarge(t, env, round, body)
 		list, _ := filepath.Glob(filepath.Join(env.stateFolder, "*.log"))
 		for _, name := range list {
 			segments[name] = true
@@ -82,7 +61,7 @@
 		t.Errorf("new clients waited %v", waited)
 	}
 	if len(segments) < 2 {
-		t.Errorf("the journal was never in another segment: %v", segments)
+		t.Errorf("the write-ahead log was never in another segment: %v", segments)
 	}
 	for len(env.polls) > 0 {
 		<-env.polls
@@ -98,8 +77,46 @@
 	}
 }
 
-// No descriptor is to be had for a while, neither for a client, a target nor the journal: what was taken on in it is
-// delivered afterwards, what was not was refused, and the process neither ends nor spins.
+// connectIdleClients connects forty clients that stay, of which every other one asks once. It returns how long those
+// waited.
+func connectIdleClients(t *testing.T, env *environment, round int) (waited time.Duration) {
+	t.Helper()
+	for i := range 40 {
+		conn := env.connectClient()
+		if i%2 == 1 {
+			came := time.Now()
+			if got := exchange(conn, bufio.NewReader(conn), healthRequest); got != 200 {
+				t.Fatalf("round %d, connection %d: health %d", round, i, got)
+			}
+			waited += time.Since(came)
+		}
+	}
+	return waited
+}
+
+// submitLarge submits a safe and an unsafe message with a body. Both must be accepted and reach the target, and the
+// unsafe one be reported undeliverable. It returns how long the clients waited.
+func submitLarge(t *testing.T, env *environment, round int, body string) (waited time.Duration) {
+	t.Helper()
+	for _, class := range []string{"safe", "unsafe"} {
+		id, came := fmt.Sprint(class[:1], round), time.Now()
+		if got := env.roundTrip(messageRequest(class, id, body)); got != 202 {
+			t.Fatalf("%s: %d", id, got)
+		}
+		waited += time.Since(came)
+		if got := receive(t, env.calls); got != id {
+			t.Fatalf("%s reached the target, want %s", got, id)
+		}
+	}
+	want := fmt.Sprintf("{\"id\":\"u%d\",\"status\":\"undeliverable\"}\n", round)
+	if got := receive(t, env.notices); got != want {
+		t.Errorf("notice %q, want %q", got, want)
+	}
+	return waited
+}
+
+// TestNoFreeDescriptors leaves no descriptor for a while, neither for a client, a target nor the write-ahead log: what
+// was accepted meanwhile is delivered afterwards, the rest was rejected, and the process neither ends nor spins.
 func TestNoFreeDescriptors(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t, func(string) string { return socktest.Status(200) })
@@ -130,7 +147,7 @@
 	spent, passed := processorTime(t, c.Process.Pid)-before, time.Since(began)
 	limitDescriptors(t, c.Process.Pid, 256)
 	if len(accepted) == 0 || len(env.calls) > 0 {
-		t.Errorf("%d taken on, %d refused, %d calls", len(accepted), rejected, len(env.calls))
+		t.Errorf("%d accepted, %d rejected, %d calls", len(accepted), rejected, len(env.calls))
 	}
 	for len(accepted) > 0 {
 		delete(accepted, receive(t, env.calls))
@@ -153,7 +170,7 @@
 	}
 }
 
-// processorTime is what a process has used.
+// processorTime returns the processor time that a process has used.
 func processorTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -165,8 +182,9 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// Ready waits for nothing that can be silent: killed with messages owed and started while the platform says nothing at
-// all, the sender is ready, and delivers what it owes and what came since once discovery speaks again.
+// TestReadyWhilePlatformSilent kills a sender with messages owed and starts it while the platform answers nothing at
+// all: readiness waits for nothing of it, and the sender delivers what it owes and what came since once discovery
+// answers again.
 func TestReadyWhilePlatformSilent(t *testing.T) {
 	t.Parallel()
 	var answers bool
@@ -201,8 +219,8 @@
 	}
 }
 
-// A hundred senders of one platform start together while discovery takes their questions and answers none: nine in ten are
-// ready within 10 s, all before it speaks, and each delivers once it does.
+// TestHundredStartWhileDiscoverySilent starts a hundred senders of one platform together while discovery takes their
+// polls and answers none: nine in ten are ready within 10 s, all before it answers, and each delivers once it does.
 func TestHundredStartWhileDiscoverySilent(t *testing.T) {
 	const senders = 100
 	env := newEnvironment(t, func(string) string { return socktest.Status(200) })
