--- a/cmd/cleathold/store.go
+++ b/cmd/cleathold/store.go
@@ -33,6 +33,16 @@
 	return s, err
 }
 
+// read opens the folder for the time of a call of use.
+func (f storeFolder) read(use func(s *store.Store) error) error {
+	s, err := f.open()
+	if err != nil {
+		return err
+	}
+	defer s.Close()
+	return use(s)
+}
+
 // storeStatCmd tells the size and the damage of a store by segment.
 type storeStatCmd struct {
 	storeFolder
@@ -41,22 +51,19 @@
 
 // Run executes the command.
 func (c *storeStatCmd) Run(out io.Writer) error {
-	s, err := c.open()
-	if err != nil {
+	return c.read(func(s *store.Store) error {
+		summary := s.Summary()
+		if c.JSON {
+			return writeJSON(out, summary)
+		}
+		for _, segment := range summary.Segments {
+			fmt.Fprintf(out, "%s\t%d bytes\t%d live\n", segment.File, segment.Size, segment.Live)
+		}
+		writeDamages(out, summary)
+		_, err := fmt.Fprintf(out, "%d entities, %d bytes live of %d on disk in %d segments\n",
+			summary.Entities, summary.Live, summary.Disk, len(summary.Segments))
 		return err
-	}
-	defer s.Close()
-	summary := s.Summary()
-	if c.JSON {
-		return writeJSON(out, summary)
-	}
-	for _, segment := range summary.Segments {
-		fmt.Fprintf(out, "%s\t%d bytes\t%d live\n", segment.File, segment.Size, segment.Live)
-	}
-	writeDamages(out, summary)
-	_, err = fmt.Fprintf(out, "%d entities, %d bytes live of %d on disk in %d segments\n",
-		summary.Entities, summary.Live, summary.Disk, len(summary.Segments))
-	return err
+	})
 }
 
 // writeDamages writes a line for each damaged place. An append that was cut off is none: nobody was promised it.
@@ -90,33 +97,30 @@
 
 // Run executes the command.
 func (c *storeVerifyCmd) Run(out io.Writer) error {
-	s, err := c.open()
-	if err != nil {
-		return err
-	}
-	defer s.Close()
-	summary := s.Summary()
-	if c.JSON {
-		if err := writeJSON(out, summary); err != nil {
-			return err
+	return c.read(func(s *store.Store) error {
+		summary := s.Summary()
+		if c.JSON {
+			if err := writeJSON(out, summary); err != nil {
+				return err
+			}
+		} else {
+			writeDamages(out, summary)
 		}
-	} else {
-		writeDamages(out, summary)
-	}
-	damage := s.Verify()
-	for _, d := range summary.Damages {
-		if d.Missing || !d.Tail {
-			damage = errors.Join(damage, errors.New(damageText(d)))
+		damage := s.Verify()
+		for _, d := range summary.Damages {
+			if d.Missing || !d.Tail {
+				damage = errors.Join(damage, errors.New(damageText(d)))
+			}
 		}
-	}
-	if damage != nil {
-		err := fmt.Errorf("%w\n`cleathold store repair` writes what can be read into another folder", damage)
-		return exitError{err, exitDamaged}
-	}
-	if !c.JSON {
-		fmt.Fprintf(out, "%d entities, all of them can be read\n", summary.Entities)
-	}
-	return nil
+		if damage != nil {
+			err := fmt.Errorf("%w\n`cleathold store repair` writes what can be read into another folder", damage)
+			return exitError{err, exitDamaged}
+		}
+		if !c.JSON {
+			fmt.Fprintf(out, "%d entities, all of them can be read\n", summary.Entities)
+		}
+		return nil
+	})
 }
 
 // storeDumpCmd writes a store's live records.
@@ -124,12 +128,7 @@
 
 // Run executes the command.
 func (c *storeDumpCmd) Run(out io.Writer) error {
-	s, err := c.open()
-	if err != nil {
-		return err
-	}
-	defer s.Close()
-	return s.Dump(out)
+	return c.read(func(s *store.Store) error { return s.Dump(out) })
 }
 
 // storeBackupCmd copies a store's folder.
