--- a/cmd/cleathold/deadletterlist.go
+++ b/cmd/cleathold/deadletterlist.go
@@ -66,13 +66,13 @@
 
 // heldShowCmd shows one record.
 type heldShowCmd struct {
-	Seq uint64 `arg:"" help:"Number of the record."`
+	Sequence uint64 `arg:"" help:"Number of the record." name:"seq"`
 }
 
 // Run executes the command.
 func (c *heldShowCmd) Run(out io.Writer, h *heldCmd) error {
 	return h.Source.run(func(ctx context.Context, api admin.API) error {
-		line, err := api.Show(ctx, c.Seq)
+		line, err := api.Show(ctx, c.Sequence)
 		if err != nil {
 			return err
 		}
--- a/cmd/cleathold/deadletterorder.go
+++ b/cmd/cleathold/deadletterorder.go
@@ -21,9 +21,9 @@
 // orderFlags are the flags of resend and drop, which act on records.
 type orderFlags struct {
 	filterFlags
-	Seqs   []uint64 `arg:"" optional:"" help:"Numbers of records."`
-	All    bool     `help:"Mean all records, where no filter is given."`
-	DryRun bool     `help:"Only tell what would be done."`
+	Sequences []uint64 `arg:"" optional:"" help:"Numbers of records." name:"seqs"`
+	All       bool     `help:"Mean all records, where no filter is given."`
+	DryRun    bool     `help:"Only tell what would be done."`
 }
 
 // orderResult adds up what came of an order over its pages.
@@ -55,16 +55,16 @@
 	switch {
 	case err != nil:
 		return err
-	case len(f.Seqs) > 0 && !filter.Empty():
+	case len(f.Sequences) > 0 && !filter.Empty():
 		return errors.New("name numbers or a filter, not both")
-	case len(f.Seqs) == 0 && filter.Empty() && !f.All:
+	case len(f.Sequences) == 0 && filter.Empty() && !f.All:
 		return errors.New("name numbers, a filter, or --all")
 	}
 	order.DryRun = f.DryRun
 	return h.Source.run(func(ctx context.Context, api admin.API) error {
 		result := &orderResult{byReason: map[string]int{}, wasDryRun: f.DryRun, commandVerb: verb}
-		if len(f.Seqs) > 0 {
-			err = result.runSequences(ctx, api, order, f.Seqs)
+		if len(f.Sequences) > 0 {
+			err = result.runSequences(ctx, api, order, f.Sequences)
 		} else {
 			err = result.runFilter(ctx, api, order, filter)
 		}
--- a/cmd/cleathold/fleetrelease_test.go
+++ b/cmd/cleathold/fleetrelease_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestFaultyVersions releases versions with faults: each is halted at its first sender, with what the gate saw. How many
-// senders ever ran one is counted by the versions themselves.
+// TestFaultyVersions releases versions with faults: each is halted at its first sender, with what the gate saw. How
+// many senders ever ran one is counted by the versions themselves.
 func TestFaultyVersions(t *testing.T) {
 	tune := func(key, value string) string {
 		return fmt.Sprintf("sed 's/\"%s\": *[0-9]*/\"%s\": %s/' $LB_CONFIG > $LB_CONFIG.bad; "+
--- a/cmd/cleathold/fleetstart.go
+++ b/cmd/cleathold/fleetstart.go
@@ -68,15 +68,15 @@
 // fleetReleaseCmd starts a release.
 type fleetReleaseCmd struct {
 	startFlags
-	Senders []string      `arg:"" optional:"" help:"Names of senders; without any, all."`
-	Name    string        `help:"The release's name, which no other has." required:""`
-	Program string        `help:"The program's file, the same path on each agent's machine." type:"path"`
-	Config  string        `help:"${help_fleet_config}" type:"path"`
-	GoBack  bool          `help:"A stage that fails goes back by itself, not only halts."`
-	Least   int           `help:"${help_fleet_least}" default:"30"`
-	Soak    time.Duration `help:"A stage is looked at for so long at the least." default:"5s"`
-	Wait    time.Duration `help:"A stage that is not known to be good after this halts." default:"10m"`
-	Slack   float64       `help:"So much worse may a share be, besides chance." default:"0.02"`
+	Senders           []string      `arg:"" optional:"" help:"Names of senders; without any, all."`
+	Name              string        `help:"The release's name, which no other has." required:""`
+	Program           string        `help:"The program's file, the same path on each agent's machine." type:"path"`
+	Config            string        `help:"${help_fleet_config}" type:"path"`
+	RollBackOnFailure bool          `help:"A stage that fails goes back by itself, not only halts." name:"go-back"`
+	MinMessages       int           `help:"${help_fleet_least}" default:"30" name:"least"`
+	Soak              time.Duration `help:"A stage is looked at for so long at the least." default:"5s"`
+	Wait              time.Duration `help:"A stage that is not known to be good after this halts." default:"10m"`
+	Slack             float64       `help:"So much worse may a share be, besides chance." default:"0.02"`
 }
 
 // Run executes the command.
@@ -84,8 +84,8 @@
 	plan := &rollout.Plan{
 		Kind:              rollout.Release,
 		To:                rollout.Version{Name: c.Name, Program: c.Program, Config: c.Config},
-		RollBackOnFailure: c.GoBack,
-		Gate:              rollout.Gate{MinMessages: c.Least, Soak: c.Soak, Wait: c.Wait, Slack: c.Slack},
+		RollBackOnFailure: c.RollBackOnFailure,
+		Gate:              rollout.Gate{MinMessages: c.MinMessages, Soak: c.Soak, Wait: c.Wait, Slack: c.Slack},
 	}
 	if len(c.Senders) > 0 {
 		plan.Stages = [][]string{c.Senders}
--- a/cmd/cleathold/fleetterms.go
+++ b/cmd/cleathold/fleetterms.go
@@ -11,7 +11,7 @@
 // fleetEventsCmd lists the latest events of the fleet's log.
 type fleetEventsCmd struct {
 	jsonFlag
-	Most int `help:"So many, the latest." default:"50"`
+	Limit int `help:"So many, the latest." default:"50" name:"most"`
 }
 
 // Run executes the command.
@@ -21,7 +21,7 @@
 		return err
 	}
 	events := view.State.Events
-	events = events[max(0, len(events)-max(0, c.Most)):]
+	events = events[max(0, len(events)-max(0, c.Limit)):]
 	if c.JSON {
 		return writeJSON(out, events)
 	}
