--- /dev/null
+++ b/cmd/cleathold/cluster_test.go
@@ -0,0 +1,227 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+	"net/url"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/tidwall/gjson"
+
+	"cleathold/internal/agent"
+	"cleathold/internal/cluster"
+	"cleathold/internal/rollout"
+)
+
+// quickTerms returns terms under which tests need not wait long.
+func quickTerms(budget rollout.Budget) rollout.Terms {
+	t := rollout.DefaultTerms
+	t.Budget, t.Timing.Lease = budget, 4*time.Second
+	return t
+}
+
+// threeSenders is the setup of three senders, one of which may be out, and three agents.
+func threeSenders() cluster.Setup {
+	return cluster.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quickTerms(rollout.Budget{Fleet: 1})}
+}
+
+// fourSenders is the setup of four senders, so many of which may be out, and three agents, with traffic enough for
+// gates.
+func fourSenders(maxOut int) cluster.Setup {
+	return cluster.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quickTerms(rollout.Budget{Fleet: maxOut})}
+}
+
+// newCluster starts a cluster whose processes run this test's own program.
+func newCluster(t *testing.T, s cluster.Setup) *cluster.Cluster {
+	t.Helper()
+	s.Program, s.Folder = os.Args[0], t.TempDir()
+	s.Env = append(s.Env, "CLEATHOLD_CHILD=1")
+	fleet, err := cluster.New(t.Context(), s)
+	must(t, err)
+	t.Cleanup(func() {
+		if t.Failed() {
+			fleet.Logs(os.Stderr)
+		}
+		fleet.Close()
+	})
+	must(t, fleet.Begin())
+	return fleet
+}
+
+// fleetCommand runs a fleet command as operators do. It must end with the exit code.
+func fleetCommand(t *testing.T, fleet *cluster.Cluster, code int, args ...string) string {
+	t.Helper()
+	out, got := fleet.RunCommand(nil, args...)
+	if got != code {
+		t.Fatalf("fleet %s: exit code %d, want %d: %s", strings.Join(args, " "), got, code, out)
+	}
+	return out
+}
+
+// requireRejected runs a fleet command that must be rejected with such a text, and change nothing.
+func requireRejected(t *testing.T, fleet *cluster.Cluster, want string, args ...string) {
+	t.Helper()
+	if out := fleetCommand(t, fleet, exitRejected, args...); !strings.Contains(out, want) {
+		t.Errorf("fleet %s: %s, want %q", strings.Join(args, " "), out, want)
+	}
+}
+
+// awaitView waits until the view of the agent that leads meets a condition.
+func awaitView(t *testing.T, fleet *cluster.Cluster, within time.Duration, what string, is func(v agent.View) bool) {
+	t.Helper()
+	must(t, fleet.Await(within, what, is))
+}
+
+// awaitOtherLeader waits until an agent other than one leads.
+func awaitOtherLeader(t *testing.T, fleet *cluster.Cluster, within time.Duration, not int) {
+	t.Helper()
+	awaitView(t, fleet, within, "another agent leads", func(v agent.View) bool {
+		return v.Agent != fleet.AgentNames()[not]
+	})
+}
+
+// checkRules ends the traffic, and checks that no order took one sender out too many and no rule for messages was
+// broken.
+func checkRules(t *testing.T, fleet *cluster.Cluster) cluster.Report {
+	t.Helper()
+	r := fleet.Finish()
+	for _, v := range r.OverBudget {
+		t.Errorf("over the budget at %v: %s", v.At, v.Text)
+	}
+	for _, v := range r.Violations {
+		t.Errorf("rule broken at %v by %d: %s: %s", v.At, v.Sender, v.Rule, v.Text)
+	}
+	return r
+}
+
+// quickGate are the flags of gates that tests need not wait long for.
+var quickGate = []string{"--reason", "r", "--least", "25", "--soak", "1s", "--wait", "15s"}
+
+// gatedRelease returns the arguments of a release of a program through such gates.
+func gatedRelease(name, program string, extra ...string) []string {
+	return slices.Concat([]string{"release", "--name", name, "--program", program}, quickGate, extra)
+}
+
+// planNumber returns the number of the plan that a command has started, from its output.
+func planNumber(t *testing.T, out string) (id uint64) {
+	t.Helper()
+	if _, text, ok := strings.Cut(out, "\nplan "); ok {
+		fmt.Sscan(text, &id)
+	}
+	if id == 0 {
+		t.Fatalf("no plan in %q", out)
+	}
+	return id
+}
+
+// leakedMemory is the memory of a version that leaks.
+var leakedMemory []byte
+
+// injectFault has this process, a version that a test releases, fail in some way.
+func injectFault(fault string) {
+	switch fault {
+	case "leaks":
+		leakedMemory = make([]byte, 80<<20)
+		for i := range leakedMemory {
+			leakedMemory[i] = 1
+		}
+	case "mute":
+		go func() {
+			for !supervised(os.Getenv("LB_CONFIG"), os.Getpid()) { // until its agent has found it ready
+				time.Sleep(time.Millisecond)
+			}
+			syscall.Kill(os.Getpid(), syscall.SIGSTOP)
+		}()
+	}
+}
+
+// supervised tells whether an agent's record has a process as its sender's, rather than as one that is to take over.
+// The sender's configuration tells where the agents' folders are.
+func supervised(config string, pid int) bool {
+	name := filepath.Dir(config)
+	list, _ := filepath.Glob(filepath.Join(filepath.Dir(name), "a*", "state", filepath.Base(name)+".json"))
+	for _, path := range list {
+		text, _ := os.ReadFile(path)
+		if gjson.GetBytes(text, "pid").Int() == int64(pid) {
+			return true
+		}
+	}
+	return false
+}
+
+// writeVersion writes a program that is this one, with shell commands before it serves. Ran counts the senders that
+// ever started it.
+func writeVersion(t *testing.T, name, serve string) (path string, ran func() int) {
+	t.Helper()
+	dir := t.TempDir()
+	path = filepath.Join(dir, name)
+	marks := filepath.Join(dir, "ran")
+	text := fmt.Sprintf("#!/bin/sh\nif [ \"$1\" = serve ]; then\necho $LB_ADMIN >> %s\n%s\nfi\nexec %s \"$@\"\n",
+		marks, serve, os.Args[0])
+	must(t, os.WriteFile(path, []byte(text), 0o700))
+	return path, func() int {
+		text, _ := os.ReadFile(marks)
+		seen := map[string]bool{}
+		for line := range strings.Lines(string(text)) {
+			host, _, _ := strings.Cut(line, ":")
+			seen[host] = true
+		}
+		return len(seen)
+	}
+}
+
+// otherAgents returns the numbers of all agents but one.
+func otherAgents(fleet *cluster.Cluster, not int) (list []int) {
+	for i := range fleet.AgentNames() {
+		if i != not {
+			list = append(list, i)
+		}
+	}
+	return list
+}
+
+// awaitLeader waits until an agent leads, and returns its number.
+func awaitLeader(t *testing.T, fleet *cluster.Cluster) int {
+	t.Helper()
+	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+		if i := fleet.Leader(); i >= 0 {
+			return i
+		}
+	}
+	t.Fatal("no agent leads")
+	return -1
+}
+
+// resumePlan resumes a plan if it is halted, as operators would after a look at it.
+func resumePlan(t *testing.T, fleet *cluster.Cluster, id uint64) {
+	t.Helper()
+	must(t, fleet.Await(20*time.Second, "the plan", func(v agent.View) bool { return v.State.Plan(id) != nil }))
+	v, err := fleet.View(awaitLeader(t, fleet), true)
+	must(t, err)
+	if p := v.State.Plan(id); p != nil && p.Phase == rollout.Halted {
+		t.Logf("resumed: %s", p.Why)
+		// An error is no failure: the plan may have changed meanwhile.
+		fleet.Order(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision})
+	}
+}
+
+// putAdmin makes one call at the admin address of a sender, and returns the status of the answer, or 0.
+func putAdmin(fleet *cluster.Cluster, sender int, path string, q url.Values) int {
+	for _, addr := range fleet.Admin(sender) {
+		r, err := http.NewRequest(http.MethodPut, "http://"+addr+path+"?"+q.Encode(), nil)
+		if err != nil {
+			return 0
+		}
+		if a, err := http.DefaultClient.Do(r); err == nil {
+			a.Body.Close()
+			return a.StatusCode
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/cmd/cleathold/deadletterorder.go
@@ -0,0 +1,170 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"time"
+
+	"cleathold/internal/admin"
+	"cleathold/internal/deadletter"
+)
+
+// maxShownRejections is how many rejected records or lines are written one by one.
+const maxShownRejections = 20
+
+// progressPages is how many pages pass between two lines of progress.
+const progressPages = 4
+
+// orderFlags are the flags of resend and drop, which act on records.
+type orderFlags struct {
+	filterFlags
+	Sequences []uint64 `arg:"" optional:"" help:"Numbers of records." name:"seqs"`
+	All       bool     `help:"Mean all records, where no filter is given."`
+	DryRun    bool     `help:"Only tell what would be done."`
+}
+
+// orderResult adds up what came of an order over its pages.
+type orderResult struct {
+	done        int
+	rejected    int                         // records
+	byReason    map[string]int              // rejected records
+	rejections  []deadletter.RejectedRecord // the first, a page at most
+	wasDryRun   bool
+	commandVerb string
+}
+
+// add counts the outcome of one page.
+func (r *orderResult) add(page deadletter.Outcome) {
+	r.done += page.Done
+	r.rejected += len(page.Rejected)
+	for _, rejection := range page.Rejected {
+		if len(r.rejections) < deadletter.MaxPageSize {
+			r.rejections = append(r.rejections, rejection)
+		}
+		r.byReason[rejection.Reason]++
+	}
+}
+
+// run carries an order out page by page, writes the result, and returns an error with exitRejected if any record was
+// rejected.
+func (f *orderFlags) run(out io.Writer, h *heldCmd, verb string, order admin.Order) error {
+	filter, err := f.parse()
+	switch {
+	case err != nil:
+		return err
+	case len(f.Sequences) > 0 && !filter.Empty():
+		return errors.New("name numbers or a filter, not both")
+	case len(f.Sequences) == 0 && filter.Empty() && !f.All:
+		return errors.New("name numbers, a filter, or --all")
+	}
+	order.DryRun = f.DryRun
+	return h.Source.run(func(ctx context.Context, api admin.API) error {
+		result := &orderResult{byReason: map[string]int{}, wasDryRun: f.DryRun, commandVerb: verb}
+		if len(f.Sequences) > 0 {
+			err = result.runSequences(ctx, api, order, f.Sequences)
+		} else {
+			err = result.runFilter(ctx, api, order, filter)
+		}
+		if err != nil {
+			return err
+		}
+		if h.Source.JSON {
+			if err := result.writeJSON(out); err != nil {
+				return err
+			}
+		} else {
+			result.writeText(out)
+		}
+		if result.rejected > 0 {
+			return exitError{fmt.Errorf("%d records were refused", result.rejected), exitRejected}
+		}
+		return nil
+	})
+}
+
+// runSequences carries the order out for records by number.
+func (r *orderResult) runSequences(ctx context.Context, api admin.API, order admin.Order, sequences []uint64) error {
+	for len(sequences) > 0 {
+		count := min(len(sequences), deadletter.MaxPageSize)
+		order.Selection = deadletter.Selection{Sequences: sequences[:count]}
+		sequences = sequences[count:]
+		page, err := api.Act(ctx, r.commandVerb, order)
+		if err != nil {
+			return err
+		}
+		r.add(page)
+	}
+	return nil
+}
+
+// runFilter carries the order out for all records that pass a filter, and tells the progress on standard error.
+func (r *orderResult) runFilter(
+	ctx context.Context, api admin.API, order admin.Order, filter deadletter.Filter,
+) error {
+	next := uint64(0)
+	for pages := 1; ; pages++ {
+		order.Selection = deadletter.Selection{Filter: filter, After: next, Limit: deadletter.MaxPageSize}
+		page, err := api.Act(ctx, r.commandVerb, order)
+		if err != nil {
+			return fmt.Errorf("after %d done: %w", r.done, err)
+		}
+		r.add(page)
+		if next = page.Next; next == 0 {
+			return nil
+		}
+		if pages%progressPages == 0 {
+			fmt.Fprintf(os.Stderr, "%s: %d so far, at number %d\n", r.commandVerb, r.done, next)
+		}
+	}
+}
+
+// orderJSON is the JSON of an order's result.
+type orderJSON struct {
+	Done       int                         `json:"done"`
+	Rejected   int                         `json:"refused"`
+	ByReason   map[string]int              `json:"whys,omitempty"`
+	Rejections []deadletter.RejectedRecord `json:"refused_records,omitempty"`
+	DryRun     bool                        `json:"dry_run,omitempty"`
+}
+
+func (r *orderResult) writeJSON(out io.Writer) error {
+	return writeJSON(out, orderJSON{r.done, r.rejected, r.byReason, r.rejections, r.wasDryRun})
+}
+
+func (r *orderResult) writeText(out io.Writer) {
+	note := ""
+	if r.wasDryRun {
+		note = " (dry run: nothing was changed)"
+	}
+	fmt.Fprintf(out, "%s: %d done, %d refused%s\n", r.commandVerb, r.done, r.rejected, note)
+	for _, rejection := range r.rejections[:min(len(r.rejections), maxShownRejections)] {
+		fmt.Fprintf(out, "  %d: %s\n", rejection.Seq, rejection.Reason)
+	}
+	if len(r.rejections) > maxShownRejections {
+		for reason, count := range r.byReason {
+			fmt.Fprintf(out, "  %d times: %s\n", count, reason)
+		}
+	}
+}
+
+// heldResendCmd orders redelivery.
+type heldResendCmd struct {
+	orderFlags
+	Within time.Duration `help:"Give up for now after this; the settings' time if not given."`
+}
+
+// Run executes the command.
+func (c *heldResendCmd) Run(out io.Writer, h *heldCmd) error {
+	return c.run(out, h, "resend", admin.Order{WithinS: c.Within.Seconds()})
+}
+
+// heldDropCmd ends records without a redelivery.
+type heldDropCmd struct{ orderFlags }
+
+// Run executes the command.
+func (c *heldDropCmd) Run(out io.Writer, h *heldCmd) error {
+	return c.run(out, h, "drop", admin.Order{})
+}
--- /dev/null
+++ b/cmd/cleathold/redelivery_test.go
@@ -0,0 +1,225 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+
+	"cleathold/internal/admin"
+	"cleathold/internal/deadletter"
+	"cleathold/internal/socktest"
+)
+
+// redeliveryRounds says how processes follow one another while messages are held and sent again.
+type redeliveryRounds struct {
+	// start starts the process of a round, beside the last one's or in its place.
+	start func(env *environment, last *exec.Cmd) *exec.Cmd
+	// change changes something in the middle of a round.
+	change func(env *environment)
+	// end ends a round.
+	end func(env *environment, process *exec.Cmd)
+}
+
+// TestRedeliveryThroughKills kills the sender at random moments while messages are held and sent again: it keeps each
+// in exactly one state, and the partner sees no more effects of a message than its class allows. CLEATHOLD_KILLS=200
+// makes the long run of it.
+func TestRedeliveryThroughKills(t *testing.T) {
+	redeliverThrough(t, redeliveryRounds{
+		start:  func(env *environment, _ *exec.Cmd) *exec.Cmd { return env.start() },
+		change: func(*environment) {},
+		end:    func(env *environment, process *exec.Cmd) { env.kill(process) },
+	})
+}
+
+// TestRedeliveryThroughHandovers is the same where one process hands over to the next instead, and where the platform's
+// settings change under way: a class comes in front of the others, the rest have other figures, and each record keeps
+// the name of its own.
+func TestRedeliveryThroughHandovers(t *testing.T) {
+	temp, err := os.MkdirTemp("", "ch") // a Unix address is short
+	must(t, err)
+	t.Cleanup(func() { os.RemoveAll(temp) })
+	t.Setenv("TMPDIR", temp)
+	adminAddr := ""
+	redeliverThrough(t, redeliveryRounds{
+		start: func(env *environment, last *exec.Cmd) *exec.Cmd {
+			var c *exec.Cmd
+			c, adminAddr = env.startProcess()
+			awaitReady(t, adminAddr)
+			if last != nil {
+				if err := awaitExit(t, last); err != nil {
+					t.Errorf("the predecessor: %v", err)
+				}
+			}
+			return c
+		},
+		change: func(env *environment) { changeClasses(t, env, adminAddr) },
+		end:    func(*environment, *exec.Cmd) {},
+	})
+}
+
+// changeClasses puts another class in front, gives the rest other figures, and waits until they are in force.
+func changeClasses(t *testing.T, env *environment, adminAddr string) {
+	t.Helper()
+	old := env.tune
+	env.tune = func(config map[string]any) {
+		old(config)
+		settings := config["settings"].(map[string]any)
+		classes := settings["profiles"].([]map[string]any)
+		for _, c := range classes {
+			c["aim-ms"] = 400 + rand.IntN(100)
+		}
+		added := map[string]any{
+			"name": fmt.Sprint("new-", rand.Int()), "aim-ms": 50, "deadline-ms": 100, "effect": "safe", "late-worth": 0.5,
+			"worth": 1,
+		}
+		settings["profiles"] = append([]map[string]any{added}, classes...)
+	}
+	env.configure(env.secondAddr)
+	env.tune = old
+	text, err := os.ReadFile(env.config)
+	must(t, err)
+	want := admin.Digest(string(text))
+	until := time.Now().Add(20 * time.Second)
+	for statusOf(t, adminAddr).Config != want {
+		if time.Now().After(until) {
+			t.Fatal("the new settings are not in force")
+		}
+		syscall.Kill(statusOf(t, adminAddr).Pid, syscall.SIGHUP)
+		time.Sleep(5 * time.Millisecond)
+	}
+}
+
+// redeliveryPlan returns how many rounds to play and the seed that draws them.
+func redeliveryPlan(t *testing.T) (rounds int, seed uint64) {
+	rounds, seed = 8, 1
+	if n, err := strconv.Atoi(os.Getenv("CLEATHOLD_KILLS")); err == nil && n > 0 {
+		rounds, seed = n, uint64(time.Now().UnixNano())
+	}
+	if n, err := strconv.ParseUint(os.Getenv("CLEATHOLD_SEED"), 10, 64); err == nil {
+		seed = n
+	}
+	t.Logf("CLEATHOLD_SEED=%d", seed)
+	return rounds, seed
+}
+
+// drawFaults returns answers of a partner that often fails, in one of three ways.
+func drawFaults(seed uint64) func() string {
+	rng := rand.New(rand.NewPCG(seed, 2))
+	return func() string {
+		switch n := rng.IntN(20); {
+		case n < 6:
+			return socktest.Status(503)
+		case n < 8:
+			return "break"
+		case n < 9:
+			return socktest.Hang
+		}
+		return "ordinary"
+	}
+}
+
+// redeliverThrough plays the rounds against a partner that often fails, then lets it recover, orders redelivery of all
+// records and checks what became of each message.
+func redeliverThrough(t *testing.T, rounds redeliveryRounds) {
+	count, seed := redeliveryPlan(t)
+	rng := rand.New(rand.NewPCG(seed, 1))
+	p := newPartner(150)
+	p.openedAt = time.Now().Add(-time.Hour)
+	p.flakyAnswer = drawFaults(seed)
+	env := newDeadLetterEnvironment(t, p, holdAllSettings)
+	noticed := env.collectNotices()
+	accepted := map[string]bool{}
+	var process *exec.Cmd
+	for round := range count {
+		process = rounds.start(env, process)
+		clientConn := env.client()
+		for i := range 12 {
+			if i == 6 {
+				rounds.change(env)
+			}
+			name, id, key := testMessage(12*round + i)
+			status, err := clientConn.submit(name, id, key, 0.05+rng.Float64()/2)
+			if err == nil && status == 202 {
+				accepted[id] = true
+			}
+		}
+		order := admin.Order{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinS: 1}
+		go env.adminAPI().Act(context.Background(), "resend", order)
+		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
+		rounds.end(env, process)
+	}
+	p.mu.Lock()
+	p.flakyAnswer = nil
+	p.mu.Unlock()
+	rounds.start(env, process)
+	api := env.adminAPI()
+	quiet := func(s map[string]int, x deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 && x.Owed == 0 }
+	env.awaitStats(api, "nothing on its way", quiet)
+	time.Sleep(time.Second) // live ones have 0.55 s at most
+	_, rejections, err := resendAll(api, 60)
+	must(t, err)
+	rejected := map[uint64]bool{}
+	for _, r := range rejections {
+		rejected[r.Seq] = true
+	}
+	states := env.awaitStats(api, "all sent that may be", quiet)
+	records := readRecords(t, api)
+	requireOneState(t, p, accepted, records, rejected, noticed)
+	t.Logf("%d rounds, %d messages accepted, %d of them held: %v", count, len(accepted), len(records), states)
+}
+
+// readRecords returns all records by the ids of their messages, and checks that none is there twice or of another
+// class.
+func readRecords(t *testing.T, api admin.API) map[string]deadletter.Record {
+	t.Helper()
+	records := map[string]deadletter.Record{}
+	for next := uint64(0); ; {
+		page, err := api.List(context.Background(), deadletter.Filter{}, next, deadletter.MaxPageSize)
+		must(t, err)
+		for _, r := range page.Records {
+			if class := map[byte]string{'s': "safe", 'k': "keyed", 'u': "unsafe"}[r.ID[0]]; r.Class != class {
+				t.Errorf("%s is of class %s, and is held as one of %q", r.ID, class, r.Class)
+			}
+			if _, twice := records[r.ID]; twice {
+				t.Errorf("%s is in the store twice", r.ID)
+			}
+			records[r.ID] = r
+		}
+		if next = page.Next; next == 0 {
+			return records
+		}
+	}
+}
+
+// requireOneState checks that each accepted message was delivered or is held, that the platform knows of those held,
+// that all that may be sent were, and that no message had more effects than its class allows.
+func requireOneState(
+	t *testing.T, p *partner, accepted map[string]bool, records map[string]deadletter.Record, rejected map[uint64]bool,
+	noticed func(id string) bool,
+) {
+	t.Helper()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for id := range accepted {
+		r, held := records[id]
+		switch {
+		case !held && p.effects[id] == 0:
+			t.Errorf("%s is lost", id)
+		case held && !noticed(id):
+			t.Errorf("%s is held, and the platform does not know: %+v", id, r)
+		case held && r.State == deadletter.Held && !rejected[r.Sequence]:
+			t.Errorf("%s may be sent and was not: %+v", id, r)
+		case held && r.State == deadletter.Delivered && p.effects[id] == 0:
+			t.Errorf("%s is delivered by the store's word alone", id)
+		}
+	}
+	for _, id := range p.doubles {
+		t.Errorf("double effect: %s: %+v", id, records[id])
+	}
+}
