--- a/cmd/cleathold/agent.go
+++ b/cmd/cleathold/agent.go
@@ -33,7 +33,7 @@
 	}
 	c := agent.Config{
 		Name: script.Name, Listen: script.Listen, Folder: script.Folder, Peers: script.Agents,
-		First: rollout.Version{Name: script.Version, Program: script.Program}, Terms: rolloutTerms(script), Log: log,
+		FirstVersion: rollout.Version{Name: script.Version, Program: script.Program}, Terms: rolloutTerms(script), Log: log,
 	}
 	for _, sender := range script.Senders {
 		c.Senders = append(c.Senders, agent.Sender(sender))
--- a/cmd/cleathold/handoverchain_test.go
+++ b/cmd/cleathold/handoverchain_test.go
@@ -19,9 +19,9 @@
 	"cleathold/internal/admin"
 	"cleathold/internal/handover"
 	"cleathold/internal/netfault"
-	"cleathold/internal/ownsock"
 	"cleathold/internal/socktest"
 	"cleathold/internal/state"
+	"cleathold/internal/usersocket"
 )
 
 // The directions of a relay.
@@ -45,7 +45,7 @@
 // newRelay listens at the socket's path where the successor asks, and cuts after so many bytes in a direction.
 func newRelay(t *testing.T, path, predecessorPath string, direction, remaining int) *relay {
 	t.Helper()
-	listener, err := ownsock.Listen(path)
+	listener, err := usersocket.Listen(path)
 	must(t, err)
 	r := &relay{listener: listener, direction: direction, remaining: remaining, done: make(chan struct{})}
 	go func() {
--- a/cmd/cleathold/labfleet.go
+++ b/cmd/cleathold/labfleet.go
@@ -218,5 +218,5 @@
 func writeAgentCost(out io.Writer, when string, c cluster.Cost) {
 	fmt.Fprintf(out, "an agent %s: %.3f of a processor, %.0f MB; a second: raft %.0f bytes and %.1f calls, "+
 		"sights %.0f bytes and %.1f calls, looks %.0f bytes and %.1f calls\n",
-		when, c.Processor, c.MemoryMB, c.RaftBytes, c.RaftCalls, c.ToldBytes, c.ToldCalls, c.LookBytes, c.Looks)
+		when, c.Processor, c.MemoryMB, c.RaftBytes, c.RaftCalls, c.ReportBytes, c.ReportCalls, c.PollBytes, c.PollCalls)
 }
--- a/cmd/cleathold/labreport.go
+++ b/cmd/cleathold/labreport.go
@@ -95,7 +95,7 @@
 	}
 	facts.Violations, facts.Notes = r.Violations, append(facts.Notes, r.Warnings...)
 	if head.Mode == modeSockets {
-		lag := fmt.Sprintf("partners %.2f ms at the 99th percentile, clients %.2f ms", r.Rig.P99, r.Clients.Lag.P99)
+		lag := fmt.Sprintf("partners %.2f ms at the 99th percentile, clients %.2f ms", r.EndpointLag.P99, r.Clients.Lag.P99)
 		facts.Head = append(facts.Head, report.Line{Name: "lag of the rig", Value: lag})
 	}
 	return collector.Page(facts)
--- a/cmd/cleathold/labrun.go
+++ b/cmd/cleathold/labrun.go
@@ -60,7 +60,7 @@
 		r.Seed, r.Service, r.Overall, r.Worst, r.WorstAt, r.Messages, r.Calls, r.RejectedCalls, r.Connections, r.Restarts)
 	fmt.Fprintf(out, "lag of the rig: partners %.2f ms at the 99th percentile, %.2f at most; clients %.2f and %.2f; "+
 		"hand-ins answered after %.2f ms at the 99th percentile\n",
-		r.Rig.P99, r.Rig.Max, r.Clients.Lag.P99, r.Clients.Lag.Max, r.Clients.ResponseTime.P99)
+		r.EndpointLag.P99, r.EndpointLag.Max, r.Clients.Lag.P99, r.Clients.Lag.Max, r.Clients.ResponseTime.P99)
 	fmt.Fprintf(out, "a sender had %.0f MB at most\n", r.PeakMB)
 	for _, warning := range r.Warnings {
 		fmt.Fprintln(out, "NOTE:", warning)
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -41,7 +41,7 @@
 	if endpoint == nil || !c.settings.usesFleetRate() {
 		return
 	}
-	c.peers.PeerHeard(now, n.Peer)
+	c.peers.RecordPeer(now, n.Peer)
 	if n.Kind == ReachabilityQuery && c.peers.ShouldReply(c.rng.Float64()) {
 		c.actions.Gossip(Observation{Endpoint: n.Endpoint, Kind: ReachabilityReply})
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"cleathold/internal/deadletter"
-	"cleathold/internal/ownsock"
+	"cleathold/internal/usersocket"
 )
 
 const (
@@ -76,7 +76,7 @@
 		c.Close()
 		return nil, fmt.Errorf("admin: %s is in use by another process", path)
 	}
-	sock, err := ownsock.Listen(path)
+	sock, err := usersocket.Listen(path)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
@@ -99,7 +99,7 @@
 		IdleTimeout:    idleTimeout,
 		MaxHeaderBytes: maxSocketHeader, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, peerUIDKey{}, ownsock.Peer(c))
+			return context.WithValue(ctx, peerUIDKey{}, usersocket.PeerUID(c))
 		},
 	}
 	return s, nil
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -18,12 +18,12 @@
 
 // Config is the configuration of an agent.
 type Config struct {
-	Name    string
-	Listen  string            // address (host:port) for the other agents and the command line
-	Folder  string            // holds the quorum's log, and the record and the log file of each sender
-	Peers   map[string]string // addresses of all agents by name, this one included
-	Senders []Sender
-	First   rollout.Version // the version that senders run before the first release
-	Terms   rollout.Terms   // proposed by the leader while the fleet has agreed on none
-	Log     *slog.Logger
+	Name         string
+	Listen       string            // address (host:port) for the other agents and the command line
+	Folder       string            // holds the quorum's log, and the record and the log file of each sender
+	Peers        map[string]string // addresses of all agents by name, this one included
+	Senders      []Sender
+	FirstVersion rollout.Version // the version that senders run before the first release
+	Terms        rollout.Terms   // proposed by the leader while the fleet has agreed on none
+	Log          *slog.Logger
 }
--- a/internal/agent/observation.go
+++ b/internal/agent/observation.go
@@ -29,7 +29,7 @@
 		Open:    counts.Open,
 		Phase:   status.Phase,
 		Facts: rollout.Counters{
-			Accepted: counts.Taken, Rejected: counts.Refused,
+			Accepted: counts.Accepted, Rejected: counts.Rejected,
 			Delivered: counts.Delivered, Deferred: counts.Deferred, Failed: counts.Undeliverable,
 			Called: counts.Called, Late: counts.Late, FirstCall: counts.FirstCall,
 			MemoryMB: status.MemoryMB,
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -47,7 +47,7 @@
 }
 
 func newSupervisor(a *Agent, sender Sender) (*supervisor, error) {
-	rec, err := openRecord(sender.Name, filepath.Join(a.cfg.Folder, sender.Name+".json"), a.cfg.First)
+	rec, err := openRecord(sender.Name, filepath.Join(a.cfg.Folder, sender.Name+".json"), a.cfg.FirstVersion)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/audit/auditor.go
+++ b/internal/audit/auditor.go
@@ -138,5 +138,5 @@
 	return n
 }
 
-// Held returns how many messages and calls are kept, for tests of its bounds.
-func (a *Auditor) Held() int { return len(a.messages) + len(a.calls) }
+// Size returns how many messages and calls are kept, for tests of its bounds.
+func (a *Auditor) Size() int { return len(a.messages) + len(a.calls) }
--- a/internal/audit/auditor_test.go
+++ b/internal/audit/auditor_test.go
@@ -54,7 +54,7 @@
 	return Event{At: at, Kind: Executed, Call: call, Message: id, Class: class}
 }
 
-func withFirstByte(e Event, at time.Duration) Event { e.First = at; return e }
+func withFirstByte(e Event, at time.Duration) Event { e.FirstByteAt = at; return e }
 
 // What the cases of a rule expect; an empty string for no violation.
 const (
@@ -173,7 +173,7 @@
 				t.Fatal(err)
 			}
 		}
-		largest = max(largest, a.Held())
+		largest = max(largest, a.Size())
 		if i == 10_000 {
 			half = largest
 		}
--- a/internal/audit/call.go
+++ b/internal/audit/call.go
@@ -24,8 +24,8 @@
 	}
 	a.counts.Calls++
 	c := &call{e.Call, e.Sender, e.Endpoint, e.Zone, e.Dest, e.At, e.At, e.Messages}
-	if e.First > 0 {
-		c.firstByteAt = e.First
+	if e.FirstByteAt > 0 {
+		c.firstByteAt = e.FirstByteAt
 	}
 	a.calls[e.Call] = c
 	a.checkEndpoint(c)
@@ -84,7 +84,7 @@
 		return
 	}
 	for _, t := range m.attempts {
-		if t.ended && (t.outcome == NeverRan || t.outcome == Over) {
+		if t.ended && (t.outcome == NeverRan || t.outcome == NothingOwed) {
 			continue
 		}
 		if why := m.class.whyNotRepeat(t.call, c); why != "" {
@@ -155,7 +155,7 @@
 		if m.delivered = true; m.accepted {
 			a.end(m)
 		}
-	case Over:
+	case NothingOwed:
 		a.end(m)
 	}
 }
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -51,10 +51,10 @@
 
 // The outcomes. The numbers stand in ledgers: they do not change.
 const (
-	Delivered Outcome = iota
-	Failed            // it may have run
-	NeverRan          // for certain: rejected, not connected, not sent
-	Over              // the endpoint says that nothing more is owed
+	Delivered   Outcome = iota
+	Failed              // it may have run
+	NeverRan            // for certain: rejected, not connected, not sent
+	NothingOwed         // the endpoint says that nothing more is owed
 )
 
 // Event is one line of a ledger. Lines are in the order of their times, which are counted from the start of the run.
@@ -79,10 +79,10 @@
 	CallsBySender map[int]int        `json:"pushes,omitempty"`
 
 	// For the service meter and the report.
-	N      int           `json:"n,omitempty"` // number of the client's message, over all its submissions
-	Tenant int           `json:"tenant,omitempty"`
-	First  time.Duration `json:"first,omitempty"`
-	Cause  string        `json:"cause,omitempty"`
+	Request     int           `json:"n,omitempty"` // number of the client's message, over all its submissions
+	Tenant      int           `json:"tenant,omitempty"`
+	FirstByteAt time.Duration `json:"first,omitempty"`
+	Cause       string        `json:"cause,omitempty"`
 }
 
 // Wiped is the Cause of a Died whose folder is lost with the process. Outcomes of what it had are owed no more.
--- a/internal/audit/message_test.go
+++ b/internal/audit/message_test.go
@@ -34,7 +34,7 @@
 		{
 			"over",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Over),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, NothingOwed),
 			},
 			"",
 		},
--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -186,7 +186,8 @@
 	}
 	for _, o := range p.Orders {
 		h.Actions = append(h.Actions, Action{
-			At: o.At, Kind: ActionKind(o.What), Agent: o.Agent, Of: o.Of, For: o.Hold, Good: !o.Bad, Back: o.GoBack,
+			At: o.At, Kind: ActionKind(o.What), Agent: o.Agent, Of: o.Of, For: o.Hold, Good: !o.FailsAtStart,
+			Back: o.RollBackOnFailure,
 		})
 	}
 	for _, a := range p.Actions {
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -18,14 +18,14 @@
 
 // Cost is what an agent spends in a second, and holds.
 type Cost struct {
-	Processor float64 `json:"processor_s"` // processor seconds a second
-	MemoryMB  float64 `json:"memory_mb"`   // resident
-	RaftBytes float64 `json:"raft_bytes"`
-	RaftCalls float64 `json:"raft_calls"`
-	ToldBytes float64 `json:"told_bytes"` // of observations, to the leader
-	ToldCalls float64 `json:"told_calls"`
-	LookBytes float64 `json:"look_bytes"` // of its senders' answers to polls
-	Looks     float64 `json:"looks"`
+	Processor   float64 `json:"processor_s"` // processor seconds a second
+	MemoryMB    float64 `json:"memory_mb"`   // resident
+	RaftBytes   float64 `json:"raft_bytes"`
+	RaftCalls   float64 `json:"raft_calls"`
+	ReportBytes float64 `json:"told_bytes"` // of observations, to the leader
+	ReportCalls float64 `json:"told_calls"`
+	PollBytes   float64 `json:"look_bytes"` // of its senders' answers to polls
+	PollCalls   float64 `json:"looks"`
 }
 
 // usage is what all agents have spent up to a time.
@@ -100,13 +100,13 @@
 	n, seconds := float64(max(1, b.agents)), b.at.Sub(a.at).Seconds()
 	rate := func(a, b int64) float64 { return float64(b-a) / seconds / n }
 	return Cost{
-		Processor: (b.processor - a.processor) / seconds / n,
-		MemoryMB:  b.memoryMB / n,
-		RaftBytes: rate(a.quorumBytes, b.quorumBytes),
-		RaftCalls: rate(a.quorumCalls, b.quorumCalls),
-		ToldBytes: rate(a.traffic.ReportedBytes, b.traffic.ReportedBytes),
-		ToldCalls: rate(a.traffic.Reports, b.traffic.Reports),
-		LookBytes: rate(a.traffic.PolledBytes, b.traffic.PolledBytes),
-		Looks:     rate(a.traffic.Polls, b.traffic.Polls),
+		Processor:   (b.processor - a.processor) / seconds / n,
+		MemoryMB:    b.memoryMB / n,
+		RaftBytes:   rate(a.quorumBytes, b.quorumBytes),
+		RaftCalls:   rate(a.quorumCalls, b.quorumCalls),
+		ReportBytes: rate(a.traffic.ReportedBytes, b.traffic.ReportedBytes),
+		ReportCalls: rate(a.traffic.Reports, b.traffic.Reports),
+		PollBytes:   rate(a.traffic.PolledBytes, b.traffic.PolledBytes),
+		PollCalls:   rate(a.traffic.Polls, b.traffic.Polls),
 	}
 }
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"cleathold/internal/ownsock"
+	"cleathold/internal/usersocket"
 )
 
 // Listener is where the next process requests the hand-over. A nil one has no requests.
@@ -27,7 +27,7 @@
 	if len(path) > maxPathLength {
 		return nil, fmt.Errorf("handover: %s: too long for a socket; set TMPDIR to a shorter one", path)
 	}
-	socket, err := ownsock.Listen(path)
+	socket, err := usersocket.Listen(path)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
@@ -81,7 +81,7 @@
 
 // validRequest reads what a connection wants. One that is not a request of this user in the known version is closed.
 func (l *Listener) validRequest(c *net.UnixConn) bool {
-	if ownsock.Peer(c) != os.Geteuid() {
+	if usersocket.PeerUID(c) != os.Geteuid() {
 		l.log.Warn("hand-over request of another user rejected")
 		c.Close()
 		return false
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -86,7 +86,7 @@
 		}
 		c.mu.Unlock()
 		c.env.Record(audit.Event{
-			Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest,
+			Kind: audit.Requested, Request: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest,
 		})
 		if full {
 			continue
@@ -148,7 +148,7 @@
 	key := m.Key(s)
 	c.env.recordSubmission(audit.Event{
 		Kind: audit.Submitted, Sender: sender, Message: id, Class: m.Class, Dest: m.Dest,
-		TimeLeft: timeLeft, Key: key, N: m.N, Tenant: m.Tenant,
+		TimeLeft: timeLeft, Key: key, Request: m.N, Tenant: m.Tenant,
 	})
 	deadline := time.Now().Add(s.Traffic.Patience)
 	conn, response, err := c.send(pool, conn, reused, formatRequest(s, m, id, key, timeLeft, resubmission), deadline)
--- a/internal/harness/exchange.go
+++ b/internal/harness/exchange.go
@@ -53,7 +53,7 @@
 	x := &exchange{conn: s, received: received, firstByte: firstByte, answer: make(chan partner.Answer, 1)}
 	x.call = partner.Call{
 		Sender: s.listener.sender, Endpoint: s.endpoint,
-		Fresh: s.firstCall, OverCapacity: s.overCapacity, HealthCheck: received.healthCheck,
+		NewConnection: s.firstCall, OverCapacity: s.overCapacity, HealthCheck: received.healthCheck,
 	}
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -67,7 +67,7 @@
 	env.pendingAnswers[x.call.ID] = x.answer
 	env.record(audit.Event{
 		Kind: audit.Sent, Sender: s.listener.sender, Call: x.call.ID, Endpoint: s.endpoint, Zone: s.zone, Dest: s.dest,
-		Messages: x.messageIDs, First: firstByte,
+		Messages: x.messageIDs, FirstByteAt: firstByte,
 	})
 	return x
 }
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -41,11 +41,11 @@
 // Result is what a run on sockets showed.
 type Result struct {
 	simulation.Result
-	Rig      Lag         `json:"rig_lag"` // of the endpoints' answers, against the model
-	Clients  ClientStats `json:"clients"`
-	Crashes  int         `json:"crashes"`         // processes that ended without being told to
-	PeakMB   float64     `json:"peak_mb"`         // the largest resident set of a sender that ran to the end
-	Warnings []string    `json:"marks,omitempty"` // why the result is to be read with care
+	EndpointLag Lag         `json:"rig_lag"` // of the endpoints' answers, against the model
+	Clients     ClientStats `json:"clients"`
+	Crashes     int         `json:"crashes"`         // processes that ended without being told to
+	PeakMB      float64     `json:"peak_mb"`         // the largest resident set of a sender that ran to the end
+	Warnings    []string    `json:"marks,omitempty"` // why the result is to be read with care
 }
 
 // addWarnings says why a result is to be read with care.
@@ -55,8 +55,9 @@
 			r.Warnings = append(r.Warnings, fmt.Sprintf(format, args...))
 		}
 	}
-	add(r.Rig.P99 > maxLagMillis,
-		"the rig's partners were late themselves: %.1f ms at the 99th percentile, %.1f at most", r.Rig.P99, r.Rig.Max)
+	add(r.EndpointLag.P99 > maxLagMillis,
+		"the rig's partners were late themselves: %.1f ms at the 99th percentile, %.1f at most", r.EndpointLag.P99,
+		r.EndpointLag.Max)
 	add(r.Clients.Lag.P99 > maxLagMillis,
 		"the rig's clients were late themselves: %.1f ms at the 99th percentile, %.1f at most",
 		r.Clients.Lag.P99, r.Clients.Lag.Max)
@@ -109,7 +110,7 @@
 		defer r.clients.Close()
 	}
 	result := Result{
-		Result: env.Close(), Rig: summarizeLag(env.lag), Clients: stats, Crashes: r.crashes, PeakMB: peak,
+		Result: env.Close(), EndpointLag: summarizeLag(env.lag), Clients: stats, Crashes: r.crashes, PeakMB: peak,
 	}
 	result.Restarts = r.restarts
 	result.addWarnings()
--- a/internal/harness/standalone.go
+++ b/internal/harness/standalone.go
@@ -31,7 +31,7 @@
 			err = nil
 		}
 	}
-	r := Result{Result: env.Close(), Rig: summarizeLag(env.lag)}
+	r := Result{Result: env.Close(), EndpointLag: summarizeLag(env.lag)}
 	r.addWarnings()
 	// The submissions are not seen here, and most of the rules rest on them.
 	r.Violations = nil
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -12,7 +12,8 @@
 )
 
 func testEvent(i int) audit.Event {
-	return audit.Event{At: time.Duration(i) * time.Millisecond, Kind: audit.Submitted, Message: fmt.Sprint("m", i), N: i}
+	return audit.Event{At: time.Duration(i) * time.Millisecond, Kind: audit.Submitted, Message: fmt.Sprint("m", i),
+		Request: i}
 }
 
 // writeRun writes a run of some events and returns its folder.
@@ -46,7 +47,7 @@
 		t.Fatal(err)
 	}
 	complete, err = r.Events(func(e audit.Event) error {
-		if e.Message != fmt.Sprint("m", events) || e.N != events {
+		if e.Message != fmt.Sprint("m", events) || e.Request != events {
 			t.Fatalf("event %d reads as %+v", events, e)
 		}
 		events++
--- a/internal/partner/call.go
+++ b/internal/partner/call.go
@@ -16,13 +16,13 @@
 
 // Call is a call that an endpoint has received completely.
 type Call struct {
-	ID           uint64
-	Sender       int
-	Endpoint     string
-	Fresh        bool // the first on its connection
-	OverCapacity bool // on a connection that was ConnectionOverCapacity
-	HealthCheck  bool // without messages
-	Messages     []Message
+	ID            uint64
+	Sender        int
+	Endpoint      string
+	NewConnection bool // the first on its connection
+	OverCapacity  bool // on a connection that was ConnectionOverCapacity
+	HealthCheck   bool // without messages
+	Messages      []Message
 }
 
 // AnswerKind is how a call is answered.
@@ -144,7 +144,7 @@
 	}
 	x *= 1 + d.ItemCost*float64(max(0, len(c.Messages)-1))
 	work := time.Duration(x * float64(d.Mean))
-	if c.Fresh {
+	if c.NewConnection {
 		work += d.ConnCost
 	}
 	return max(work, time.Microsecond)
--- a/internal/partner/connection_test.go
+++ b/internal/partner/connection_test.go
@@ -16,7 +16,7 @@
 	if m.Connect(0, "a") != ConnectionOpened {
 		t.Error("a closed one still counts")
 	}
-	m.Call(0, Call{ID: 1 << 40, Endpoint: "a", Fresh: true, Messages: []Message{{ID: "x"}}})
+	m.Call(0, Call{ID: 1 << 40, Endpoint: "a", NewConnection: true, Messages: []Message{{ID: "x"}}})
 	m.Advance(time.Second)
 	if a := onlyAnswer(t, m); a.At != 130*ms {
 		t.Errorf("a new one costs nothing: %+v", a)
--- a/internal/partner/model_test.go
+++ b/internal/partner/model_test.go
@@ -15,7 +15,7 @@
 func baseSpec() Spec {
 	return Spec{
 		Dest: 7, Endpoints: []EndpointSpec{{ID: "a"}}, Mean: 100 * ms, Servers: 2, QueueLength: 2, MaxBatch: 3,
-		ColdCapacity: 0.25, WarmUp: 10 * time.Second,
+		InitialCapacity: 0.25, WarmUp: 10 * time.Second,
 	}
 }
 
--- a/internal/partner/spec.go
+++ b/internal/partner/spec.go
@@ -41,10 +41,10 @@
 	// StopsOnCancel is the part of the canceled calls, from 0 to 1, on which work stops.
 	StopsOnCancel float64
 
-	ColdCapacity   float64       // part of its capacity as it recovers from an outage, above 0
-	WarmUp         time.Duration // time until it has all of it
-	OverloadFactor float64       // calls, as a multiple of its present capacity, that overload it...
-	OverloadWindow time.Duration // ...when they come for this long; 0: it is never overloaded
+	InitialCapacity float64       // part of its capacity as it recovers from an outage, above 0
+	WarmUp          time.Duration // time until it has all of it
+	OverloadFactor  float64       // calls, as a multiple of its present capacity, that overload it...
+	OverloadWindow  time.Duration // ...when they come for this long; 0: it is never overloaded
 }
 
 // EndpointSpec describes an endpoint of a destination.
@@ -78,7 +78,7 @@
 		return invalid("service time")
 	case s.Servers < 1 || s.QueueLength < 0 || s.MaxBatch < 1 || s.MaxConnections < 0:
 		return invalid("servers, depth, batch or connections out of range")
-	case s.ColdCapacity <= 0 || s.ColdCapacity > 1:
+	case s.InitialCapacity <= 0 || s.InitialCapacity > 1:
 		return invalid("cold-from: more than 0, 1 at most")
 	case s.OverloadWindow > 0 && s.OverloadFactor <= 1:
 		return invalid("it would fall over at its capacity")
--- a/internal/partner/warmup.go
+++ b/internal/partner/warmup.go
@@ -35,7 +35,7 @@
 		r.warming = false
 		return 1
 	}
-	return d.ColdCapacity + (1-d.ColdCapacity)*float64(m.now-r.recoveredAt)/float64(d.WarmUp)
+	return d.InitialCapacity + (1-d.InitialCapacity)*float64(m.now-r.recoveredAt)/float64(d.WarmUp)
 }
 
 // ratedCapacity returns the calls a second that the servers of a route can do at full capacity. Its limit is below
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -45,8 +45,8 @@
 	at   time.Duration
 }
 
-// PeerHeard takes that a peer was heard.
-func (d *Detector) PeerHeard(now time.Duration, peer int) {
+// RecordPeer takes that a peer was heard.
+func (d *Detector) RecordPeer(now time.Duration, peer int) {
 	d.rejectionsSinceContact, d.lastContactAt, d.nextQuery = 0, now, now
 	d.history[d.observations%historySize] = observation{peer, now}
 	d.observations++
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -44,7 +44,7 @@
 	}
 	for i, x := range steps {
 		if x.heard {
-			h.PeerHeard(x.at, 7)
+			h.RecordPeer(x.at, 7)
 		}
 		if x.rejected {
 			if gossip, query := h.Rejected(x.at); gossip != x.gossip || query != x.query {
@@ -73,7 +73,7 @@
 		if all := float64(queries*n) / 600; all > 21 || queries == 0 {
 			t.Errorf("a fleet of %d sends %.1f queries a second", n, all)
 		}
-		h.PeerHeard(620*s, 1)
+		h.RecordPeer(620*s, 1)
 		if h.RepeatQuery(700 * s) {
 			t.Errorf("fleet of %d: it goes on", n)
 		}
@@ -101,7 +101,7 @@
 				for c.uneven && who%3 > 0 && rng.IntN(3) > 0 { // a third of them tells most
 					who = rng.IntN(c.heard)
 				}
-				h.PeerHeard(time.Duration(i)*100*time.Millisecond, who)
+				h.RecordPeer(time.Duration(i)*100*time.Millisecond, who)
 			}
 			p := h.ReachableFraction(20 * s)
 			least, most = min(least, p), max(most, p)
@@ -116,19 +116,19 @@
 		if i >= historySize {
 			who = i % 7
 		}
-		shrunk.PeerHeard(time.Duration(i)*100*time.Millisecond, who)
+		shrunk.RecordPeer(time.Duration(i)*100*time.Millisecond, who)
 	}
 	if p := shrunk.ReachableFraction(time.Duration(historySize+recentObservations) * 100 * time.Millisecond); p > 0.35 {
 		t.Errorf("%.2f after %d observations of an eighth", p, recentObservations)
 	}
 	h := Detector{FleetSize: 300}
 	for i := range minObservations - 1 {
-		h.PeerHeard(s, i%2)
+		h.RecordPeer(s, i%2)
 	}
 	if h.ReachableFraction(2*s) != 1 {
 		t.Error("few observations prove something")
 	}
-	h.PeerHeard(s, 1)
+	h.RecordPeer(s, 1)
 	if h.ReachableFraction(2*s) > 0.1 || h.ReachableFraction(30*s) != 1 {
 		t.Errorf("two of 300: %.2f, long ago %.2f", h.ReachableFraction(2*s), h.ReachableFraction(30*s))
 	}
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -109,13 +109,13 @@
 	switch e.Kind {
 	case audit.Requested:
 		b.requested += c.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
-		c.requests[e.N] = request{class: e.Class, requestedAt: e.At}
+		c.requests[e.Request] = request{class: e.Class, requestedAt: e.At}
 		c.forget(e)
 	case audit.Submitted:
-		c.requestByID[e.Message] = e.N
-		if w, known := c.requests[e.N]; known {
+		c.requestByID[e.Message] = e.Request
+		if w, known := c.requests[e.Request]; known {
 			w.ids = append(w.ids, e.Message)
-			c.requests[e.N] = w
+			c.requests[e.Request] = w
 		}
 	case audit.Accepted:
 		if _, known := c.requestByID[e.Message]; known {
@@ -174,7 +174,7 @@
 
 // forget drops requests whose deadline is long past.
 func (c *Collector) forget(e audit.Event) {
-	for ; c.oldestRequest < e.N; c.oldestRequest++ {
+	for ; c.oldestRequest < e.Request; c.oldestRequest++ {
 		w, known := c.requests[c.oldestRequest]
 		if known && e.At < w.requestedAt+c.longestDeadline+5*time.Second {
 			return
--- a/internal/report/outages.go
+++ b/internal/report/outages.go
@@ -97,7 +97,7 @@
 		if x := o.at(e.Dest, e.At); x != nil {
 			x.Requested++
 			x.requestedWeight += o.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
-			o.byMessage[e.N] = x
+			o.byMessage[e.Request] = x
 		}
 	case audit.Sent:
 		for _, x := range o.list {
--- a/internal/scenario/drawactions.go
+++ b/internal/scenario/drawactions.go
@@ -59,12 +59,12 @@
 
 // PlannedOrder is an order to the agents, drawn.
 type PlannedOrder struct {
-	At, Hold time.Duration
-	Agent    int
-	What     string
-	Of       []string // senders
-	Bad      bool
-	GoBack   bool
+	At, Hold          time.Duration
+	Agent             int
+	What              string
+	Of                []string // senders
+	FailsAtStart      bool
+	RollBackOnFailure bool
 }
 
 // drawAgents draws the actions on agents, and the orders to them.
@@ -76,7 +76,8 @@
 	slices.SortStableFunc(p.AgentActions, func(a, b PlannedAgentAction) int { return cmp.Compare(a.At, b.At) })
 	for _, o := range p.Scenario.Orders {
 		x := PlannedOrder{
-			At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.What, Bad: o.Bad, GoBack: o.GoBack,
+			At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.What, FailsAtStart: o.FailsAtStart,
+			RollBackOnFailure: o.RollBackOnFailure,
 		}
 		of := p.parties(o.Of)
 		for i := range p.Scenario.Senders {
--- a/internal/scenario/drawfleet.go
+++ b/internal/scenario/drawfleet.go
@@ -117,7 +117,7 @@
 	for _, c := range d.plan.Scenario.Traffic.Classes {
 		x.KeyRetention = max(x.KeyRetention, c.KeyRetention)
 	}
-	x.ColdCapacity, x.WarmUp, x.OverloadFactor, x.OverloadWindow = coldCapacity, warmUp, overloadFactor, overloadWindow
+	x.InitialCapacity, x.WarmUp, x.OverloadFactor, x.OverloadWindow = coldCapacity, warmUp, overloadFactor, overloadWindow
 	x.Endpoints = d.drawEndpoints(n)
 	x.AnnouncedRate = limit * (minAnnounced + announcedSpread*d.rng.Float64())
 	if k.Form == partner.NoLimit {
--- a/internal/scenario/parseactions.go
+++ b/internal/scenario/parseactions.go
@@ -91,8 +91,8 @@
 	a.text("what", &o.What)
 	a.names("of", &o.Of)
 	a.numberRange("hold", &o.Hold)
-	a.boolean("bad", &o.Bad)
-	a.boolean("go_back", &o.GoBack)
+	a.boolean("bad", &o.FailsAtStart)
+	a.boolean("go_back", &o.RollBackOnFailure)
 	if !slices.Contains([]string{"drain", "release", "halt", "resume", "back"}, o.What) {
 		return a.invalid("what: %q is none of drain, release, halt, resume, back", o.What)
 	}
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -166,13 +166,13 @@
 
 // Order is an order of the staff to the agents.
 type Order struct {
-	At     Range
-	Agent  int      // that gets it; the next one where it does not run
-	What   string   // drain or release; for the latest plan: halt, resume or back
-	Of     []string // senders and zones; empty: all
-	Hold   Range    // seconds for which each is drained
-	Bad    bool     // the program of the release ends at its start
-	GoBack bool     // a release that fails is rolled back
+	At                Range
+	Agent             int      // that gets it; the next one where it does not run
+	What              string   // drain or release; for the latest plan: halt, resume or back
+	Of                []string // senders and zones; empty: all
+	Hold              Range    // seconds for which each is drained
+	FailsAtStart      bool     // the program of the release ends at its start
+	RollBackOnFailure bool     // a release that fails is rolled back
 }
 
 // Link is a fault of the links between parties: senders (n0 and so on, a zone, senders), agents (a0 and so on, agents),
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -233,7 +233,7 @@
 		Sender: sd.name, At: sd.sim.clock(), Process: sd.process, Version: sd.version, Epoch: sd.lease.Epoch,
 		Ended: sd.lease.Ended, Phase: "serving", Open: c.Open,
 		Facts: rollout.Counters{
-			Accepted: c.Taken, Rejected: c.Refused, Delivered: c.Delivered, Deferred: c.Deferred, Failed: c.Undeliverable,
+			Accepted: c.Accepted, Rejected: c.Rejected, Delivered: c.Delivered, Deferred: c.Deferred, Failed: c.Undeliverable,
 			Called: c.Called, Late: c.Late, FirstCall: c.FirstCall,
 		},
 	}
--- a/internal/simulation/call.go
+++ b/internal/simulation/call.go
@@ -175,7 +175,7 @@
 	}
 	f.sent = true
 	c := partner.Call{
-		ID: f.id, Sender: f.sender.num, Endpoint: f.target.ID, Fresh: f.newConn, OverCapacity: f.overCapacity,
+		ID: f.id, Sender: f.sender.num, Endpoint: f.target.ID, NewConnection: f.newConn, OverCapacity: f.overCapacity,
 		HealthCheck: f.call == nil,
 	}
 	var ids []string
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -50,12 +50,12 @@
 		c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{o.Of}, Hold: o.Hold}
 	case "release":
 		to := rollout.Version{Name: fmt.Sprint("r", len(a.log)), Program: fmt.Sprint("p", len(a.log))}
-		if o.Bad {
+		if o.FailsAtStart {
 			to.Program = failingProgram
 		}
 		c.Verb = rollout.Start
 		c.New = &rollout.Plan{
-			Kind: rollout.Release, To: to, RollBackOnFailure: o.GoBack, Stages: [][]string{o.Of}, Gate: releaseGate,
+			Kind: rollout.Release, To: to, RollBackOnFailure: o.RollBackOnFailure, Stages: [][]string{o.Of}, Gate: releaseGate,
 		}
 	default:
 		plans := a.leader.state.Plans
--- a/internal/simulation/servicemeter.go
+++ b/internal/simulation/servicemeter.go
@@ -87,8 +87,8 @@
 	case audit.Requested:
 		meter.addRequest(e)
 	case audit.Submitted:
-		meter.submissions[e.Message] = &submission{request: e.N}
-		if m := meter.requests[e.N]; m != nil {
+		meter.submissions[e.Message] = &submission{request: e.Request}
+		if m := meter.requests[e.Request]; m != nil {
 			m.ids = append(m.ids, e.Message)
 		}
 	case audit.Accepted:
@@ -133,8 +133,8 @@
 	meter.byClass[e.Class].requested += w
 	meter.byTenant[e.Tenant].requested += w
 	meter.score.Messages++
-	meter.requests[e.N] = &request{class: e.Class, tenant: e.Tenant, requestedAt: e.At}
-	for ; meter.oldest < e.N; meter.oldest++ {
+	meter.requests[e.Request] = &request{class: e.Class, tenant: e.Tenant, requestedAt: e.At}
+	for ; meter.oldest < e.Request; meter.oldest++ {
 		m := meter.requests[meter.oldest]
 		if m != nil && e.At < m.requestedAt+meter.maxDeadline+5*time.Second {
 			break
@@ -200,7 +200,7 @@
 	return s
 }
 
-// Held returns how many messages, submissions and calls are remembered.
-func (meter *ServiceMeter) Held() int {
+// Size returns how many messages, submissions and calls are remembered.
+func (meter *ServiceMeter) Size() int {
 	return len(meter.requests) + len(meter.submissions) + len(meter.calls)
 }
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -22,7 +22,7 @@
 		return
 	}
 	s.at(a.At, func() {
-		s.record(audit.Event{Kind: audit.Requested, N: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
+		s.record(audit.Event{Kind: audit.Requested, Request: a.N, Class: a.Class, Tenant: a.Tenant, Dest: a.Dest})
 		s.submit(&ClientRequest{Arrival: a})
 		s.scheduleArrival()
 	})
@@ -58,7 +58,7 @@
 	s.messages[id] = m
 	submitted := audit.Event{
 		Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key,
-		N: m.N, Tenant: m.Tenant,
+		Request: m.N, Tenant: m.Tenant,
 	}
 	if link.Silent {
 		s.record(submitted)
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -22,8 +22,8 @@
 
 // Counts are what counters show, since the start of the process but for Open.
 type Counts struct {
-	Taken         int64         `json:"taken"`         // messages of clients that were accepted
-	Refused       int64         `json:"refused"`       // that were rejected, for want of capacity or hope
+	Accepted      int64         `json:"taken"`         // messages of clients that were accepted
+	Rejected      int64         `json:"refused"`       // that were rejected, for want of capacity or hope
 	Delivered     int64         `json:"delivered"`     // outcomes by kind
 	Deferred      int64         `json:"deferred"`      // given back to the client
 	Undeliverable int64         `json:"undeliverable"` // abandoned
@@ -41,7 +41,7 @@
 // Counts reads them. They are not of one instant.
 func (c *Counters) Counts() Counts {
 	return Counts{
-		Taken: c.accepted.Load(), Refused: c.rejected.Load(), Delivered: c.delivered.Load(), Deferred: c.deferred.Load(),
+		Accepted: c.accepted.Load(), Rejected: c.rejected.Load(), Delivered: c.delivered.Load(), Deferred: c.deferred.Load(),
 		Undeliverable: c.undeliverable.Load(), Called: c.attempted.Load(), Late: c.late.Load(),
 		FirstCall: time.Duration(c.firstAttemptWait.Load()), Open: int(c.open.Load()),
 		Unread: c.unreadableLists.Load(), Holds: c.suspensions.Load(),
--- a/internal/ownsock/ownsock.go
+++ b/internal/usersocket/usersocket.go
@@ -1,8 +1,8 @@
-// Package ownsock opens Unix sockets that only the program's own user can connect to, and tells which user a peer is.
+// Package usersocket opens Unix sockets that only the program's own user can connect to, and tells which user a peer is.
 //
 // It owns nothing: a socket and its path belong to whoever called Listen. It must not decide who may do what: callers
 // compare Peer's result with their own rules.
-package ownsock
+package usersocket
 
 import (
 	"net"
@@ -36,8 +36,8 @@
 	return sock, nil
 }
 
-// Peer returns the user id at the other end of a connection; -1 if it is no Unix socket or the kernel does not tell.
-func Peer(c net.Conn) int {
+// PeerUID returns the user id at the other end of a connection; -1 if it is no Unix socket or the kernel does not tell.
+func PeerUID(c net.Conn) int {
 	u, ok := c.(*net.UnixConn)
 	if !ok {
 		return -1
--- a/internal/ownsock/ownsock_test.go
+++ b/internal/usersocket/usersocket_test.go
@@ -1,4 +1,4 @@
-package ownsock
+package usersocket
 
 import (
 	"net"
@@ -27,7 +27,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if uid := Peer(ours); uid != os.Getuid() {
+		if uid := PeerUID(ours); uid != os.Getuid() {
 			t.Errorf("the peer is user %d, want %d", uid, os.Getuid())
 		}
 		ours.Close()
@@ -40,7 +40,7 @@
 	if _, err := Listen(filepath.Join(t.TempDir(), "missing", "s")); err == nil {
 		t.Error("a socket in a folder that does not exist")
 	}
-	if uid := Peer(&net.TCPConn{}); uid != -1 {
+	if uid := PeerUID(&net.TCPConn{}); uid != -1 {
 		t.Errorf("the peer on TCP is user %d", uid)
 	}
 }
