--- a/internal/state/actions.go
+++ b/internal/state/actions.go
@@ -105,7 +105,7 @@
 
 // SetTimer sets the one timer: the controller heeds its latest token alone.
 func (a *actions) SetTimer(after time.Duration, token uint32) {
-	a.token, a.wakeAt = token, a.now.Add(max(after, 0))
+	a.timerToken, a.wakeAt = token, a.now.Add(max(after, 0))
 	if a.timer != nil {
 		a.timer.Reset(max(after, 0))
 	}
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -11,8 +11,8 @@
 // A message through the loop, from its hand-in to its delivery, with a keeper
 // connected and without: what keeping costs those that are delivered.
 func BenchmarkMessage(b *testing.B) {
-	for _, on := range []bool{false, true} {
-		b.Run(fmt.Sprintf("keeper=%t", on), func(b *testing.B) {
+	for _, withQueue := range []bool{false, true} {
+		b.Run(fmt.Sprintf("keeper=%t", withQueue), func(b *testing.B) {
 			dir := b.TempDir()
 			classes := []control.Class{testClass(control.Idempotent)}
 			target := Target{ID: "s", Addr: "nowhere", Endpoint: control.Endpoint{Destination: 7, State: control.Ready}}
@@ -22,7 +22,7 @@
 				Dir: dir, DiskBytes: 8e6, Log: discardLog, Known: ListUpdate{Kind: control.ListCached, Version: 1,
 					Targets: []Target{target}},
 			}
-			if on {
+			if withQueue {
 				setup.DeadLetters = newQueueStub(true)
 			}
 			l, err := NewLoop(setup)
--- a/internal/state/call.go
+++ b/internal/state/call.go
@@ -114,7 +114,7 @@
 		}
 		e.mayHaveRun = append(e.mayHaveRun, record)
 		l.countFirstAttempt(e)
-		l.logAttempt(e, record)
+		l.recordAttempt(e, record)
 		l.wal.AddAttempt(e.num, record)
 	}
 }
--- a/internal/state/deadletter.go
+++ b/internal/state/deadletter.go
@@ -103,8 +103,8 @@
 	return &d
 }
 
-// logAttempt enters an attempt that is about to leave into the message's history.
-func (l *Loop) logAttempt(e *entry, a wal.Attempt) {
+// recordAttempt enters an attempt that is about to leave into the message's history.
+func (l *Loop) recordAttempt(e *entry, a wal.Attempt) {
 	if l.deadLetterQueue == nil || len(e.attemptLog) >= maxAttemptLog {
 		return
 	}
@@ -133,8 +133,8 @@
 	l.deadLetters = append(l.deadLetters, d)
 }
 
-// passDeadLetters gives the queue the iteration's dead letters, and what the log has forgotten.
-func (l *Loop) passDeadLetters() {
+// deliverDeadLetters gives the queue the iteration's dead letters, and what the log has forgotten.
+func (l *Loop) deliverDeadLetters() {
 	for _, d := range l.deadLetters {
 		l.deadLetterQueue.Add(*d)
 	}
--- a/internal/state/deadletter_test.go
+++ b/internal/state/deadletter_test.go
@@ -11,7 +11,7 @@
 
 // queueStub wants what it is told to, and notes what it gets.
 type queueStub struct {
-	wants     bool
+	accepts   bool
 	began     chan [2]int
 	added     chan DeadLetter
 	forgotten chan string
@@ -25,7 +25,7 @@
 	k.began <- [2]int{len(owed), len(out)}
 }
 
-func (k *queueStub) Accepts(*DeadLetter) bool                                  { return k.wants }
+func (k *queueStub) Accepts(*DeadLetter) bool                                  { return k.accepts }
 func (k *queueStub) Add(p DeadLetter)                                          { k.added <- p }
 func (k *queueStub) CallEnded(int, control.Result, time.Duration, bool)        {}
 func (k *queueStub) CapacityChanged(map[int]DestinationCapacity)               {}
@@ -44,8 +44,8 @@
 	return l, o
 }
 
-// killed is a folder as a kill leaves it now: a copy, as its owner goes on here.
-func killed(t *testing.T, dir string) string {
+// copyFolder is a folder as a kill leaves it now: a copy, as its owner goes on here.
+func copyFolder(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
 	if err := os.CopyFS(to, os.DirFS(dir)); err != nil {
@@ -54,9 +54,9 @@
 	return to
 }
 
-// fails submits a message and has its only forward end with a result that its
+// failMessage submits a message and has its only forward end with a result that its
 // class does not outlive.
-func fails(t *testing.T, l *Loop, o *environment, id string, r control.Result) {
+func failMessage(t *testing.T, l *Loop, o *environment, id string, r control.Result) {
 	t.Helper()
 	v := make(chan Response, 1)
 	l.Post(Submitted{Message: newMessage(id, 2, time.Minute), Response: v})
@@ -79,8 +79,8 @@
 		l, o := loopWithQueue(t, dir, k)
 		start(t, l)
 		receive(t, k.began)
-		fails(t, l, o, "a", control.ConnectionLost)
-		n, p := receive(t, o.notices), receive(t, k.added)
+		failMessage(t, l, o, "a", control.ConnectionLost)
+		n, p := receive(t, o.reports), receive(t, k.added)
 		if n.Deferred || n.ID != "a" || p.Message.ID != "a" || string(p.Message.Body) != "body" ||
 			p.Reason != ReasonMayHaveRun ||
 			len(p.Attempts) != 1 || p.Attempts[0].Target != "s" || p.Attempts[0].Result != control.ConnectionLost {
@@ -98,7 +98,7 @@
 		l.Idle()
 		l.Idle()
 		restarted := newQueueStub(true)
-		dir = killed(t, dir)
+		dir = copyFolder(t, dir)
 		l2, o2 := loopWithQueue(t, dir, restarted)
 		start(t, l2)
 		owed := receive(t, restarted.began)[0]
@@ -108,7 +108,7 @@
 			}
 			continue
 		}
-		n, p = receive(t, o2.notices), receive(t, restarted.added)
+		n, p = receive(t, o2.reports), receive(t, restarted.added)
 		if owed != 1 || n.Deferred || n.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonMayHaveRun ||
 			!p.Attempts[0].Open {
 			t.Errorf("%s: after the kill: owed %d, %+v, %+v", c.name, owed, n, p)
@@ -135,7 +135,7 @@
 	}
 	l, o := loopWithQueue(t, dir, k)
 	start(t, l)
-	if n := receive(t, o.notices); !n.Deferred || n.ID != "a" {
+	if n := receive(t, o.reports); !n.Deferred || n.ID != "a" {
 		t.Errorf("report %+v", n)
 	}
 	if l.Idle(); len(k.added) > 0 {
@@ -161,7 +161,7 @@
 		t.Fatalf("log as it leaves: %+v", list)
 	}
 	restarted := newQueueStub(true)
-	l2, o2 := loopWithQueue(t, killed(t, dir), restarted)
+	l2, o2 := loopWithQueue(t, copyFolder(t, dir), restarted)
 	start(t, l2)
 	if got := receive(t, restarted.began); got != [2]int{0, 1} {
 		t.Errorf("after the kill the log tells %v", got)
@@ -171,7 +171,7 @@
 		p.AttemptCount != 3 {
 		t.Errorf("after the kill: %+v", p)
 	}
-	if l2.Idle(); len(o2.notices)+len(o2.calls) > 0 {
+	if l2.Idle(); len(o2.reports)+len(o2.calls) > 0 {
 		t.Error("a report, or a second call")
 	}
 	l.Post(endedWith(c, AttemptResult{Result: control.Served, Final: true}))
@@ -196,8 +196,8 @@
 	if p := receive(t, k.added); p.Seq != 9 || !p.NotAdmitted {
 		t.Errorf("a second one under its id: %+v", p)
 	}
-	if l.Idle(); len(o.notices) > 0 {
-		t.Errorf("report %+v", <-o.notices)
+	if l.Idle(); len(o.reports) > 0 {
+		t.Errorf("report %+v", <-o.reports)
 	}
 }
 
@@ -221,7 +221,7 @@
 		c := receive(t, o.calls)
 		<-o.pending
 		l.Post(endedWith(c, AttemptResult{Result: control.Unprocessable}))
-		n := receive(t, o.notices)
+		n := receive(t, o.reports)
 		if n.DeadLetter != nil {
 			accepted++
 		} else {
@@ -303,7 +303,7 @@
 		if p := receive(t, next.added); p.Seq != 5 || len(p.Attempts) != 1 || !c.valid(p) {
 			t.Errorf("%s: %+v", c.name, p)
 		}
-		if l2.Idle(); len(o2.calls)+len(o2.notices)+len(k.added) > 0 {
+		if l2.Idle(); len(o2.calls)+len(o2.reports)+len(k.added) > 0 {
 			t.Errorf("%s: a second call, a report, or the queue of before hears of it", c.name)
 		}
 	}
--- a/internal/state/entry.go
+++ b/internal/state/entry.go
@@ -54,8 +54,8 @@
 	e.mayHaveRun = slices.DeleteFunc(e.mayHaveRun, func(a wal.Attempt) bool { return a.Index == attempt })
 }
 
-// logResult enters how an attempt ended into the history.
-func (e *entry) logResult(attempt int, r control.Result) {
+// recordResult enters how an attempt ended into the history.
+func (e *entry) recordResult(attempt int, r control.Result) {
 	for i := range e.attemptLog {
 		if e.attemptLog[i].attempt == attempt {
 			e.attemptLog[i].Result, e.attemptLog[i].Open = r, false
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -153,11 +153,11 @@
 // nothingInFlight tells whether neither this process nor the one before it waits for a call.
 func (l *Loop) nothingInFlight() bool { return len(l.inFlight)+len(l.remote) == 0 }
 
-// handleHandedOver is all that a loop still does with an event once it has handed over.
-func (l *Loop) handleHandedOver(event Event) {
+// handleAfterHandOver is all that a loop still does with an event once it has handed over.
+func (l *Loop) handleAfterHandOver(event Event) {
 	switch e := event.(type) {
 	case CallEnded:
-		l.passOn(e)
+		l.forwardResults(e)
 	case RemoteResult:
 		if l.remote.remove(remoteAttemptKey{e.Message, e.Attempt}) {
 			l.successor.RemoteResult(e, l.nothingInFlight())
@@ -178,8 +178,8 @@
 	}
 }
 
-// passOn tells the successor how attempts of this process ended.
-func (l *Loop) passOn(ended CallEnded) {
+// forwardResults tells the successor how attempts of this process ended.
+func (l *Loop) forwardResults(ended CallEnded) {
 	for _, r := range ended.Results {
 		a := r.Attempt
 		if a.ended {
@@ -256,7 +256,7 @@
 	if e == nil {
 		return
 	}
-	l.logRemoteResult(e, r)
+	l.recordRemoteResult(e, r)
 	if !r.Result.MayHaveRun() {
 		e.markNotRun(r.Attempt)
 		l.wal.AddNotRun(e.num, r.Attempt)
@@ -270,17 +270,17 @@
 	}
 }
 
-// logRemoteResult enters how a remote attempt ended into the message's history.
-func (l *Loop) logRemoteResult(e *entry, r RemoteResult) {
+// recordRemoteResult enters how a remote attempt ended into the message's history.
+func (l *Loop) recordRemoteResult(e *entry, r RemoteResult) {
 	if l.deadLetterQueue == nil {
 		return
 	}
 	for _, a := range e.mayHaveRun {
 		if a.Index == r.Attempt {
-			l.logAttempt(e, a)
+			l.recordAttempt(e, a)
 		}
 	}
-	e.logResult(r.Attempt, r.Result)
+	e.recordResult(r.Attempt, r.Result)
 	e.unprocessable = e.unprocessable || r.Result == control.Unprocessable
 	l.deadLetterQueue.CallEnded(e.Destination, r.Result, r.RetryAfter, e.deadLetterSeq > 0)
 }
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -16,12 +16,12 @@
 
 // environment is everything around a loop.
 type environment struct {
-	t       *testing.T
-	dir     string
-	calls   chan *Call
-	notices chan DeliveryReport
-	pending chan []Pending // of the log, as each call leaves
-	held    chan *Call
+	t        *testing.T
+	dir      string
+	calls    chan *Call
+	reports  chan DeliveryReport
+	pending  chan []Pending // of the log, as each call leaves
+	withheld chan *Call
 }
 
 func (o *environment) Send(c *Call) {
@@ -35,7 +35,7 @@
 
 func (o *environment) Cancel(*Call) {}
 
-func (o *environment) CancelUnsent(c *Call) { o.held <- c }
+func (o *environment) CancelUnsent(c *Call) { o.withheld <- c }
 
 func (o *environment) HealthCheck(Target, time.Time) {}
 
@@ -45,7 +45,7 @@
 
 func (o *environment) Fetch() {}
 
-func (o *environment) Report(n DeliveryReport) { o.notices <- n }
+func (o *environment) Report(n DeliveryReport) { o.reports <- n }
 
 // receive waits for something; only a hang makes it fail.
 func receive[T any](t *testing.T, from <-chan T) T {
@@ -96,9 +96,9 @@
 		t.Fatal(err)
 	}
 	o := &environment{
-		t: t, dir: dir, calls: make(chan *Call, 64), notices: make(chan DeliveryReport, 64), pending: make(chan []Pending,
+		t: t, dir: dir, calls: make(chan *Call, 64), reports: make(chan DeliveryReport, 64), pending: make(chan []Pending,
 			64),
-		held: make(chan *Call, 64),
+		withheld: make(chan *Call, 64),
 	}
 	l.Connect(o, o, o)
 	return l, o
@@ -131,8 +131,8 @@
 	return v
 }
 
-// callOf submits a message, has its client answered, and takes the call that leaves with it.
-func (o *environment) callOf(t *testing.T, l *Loop, id string) *Call {
+// submitAndReceiveCall submits a message, has its client answered, and takes the call that leaves with it.
+func (o *environment) submitAndReceiveCall(t *testing.T, l *Loop, id string) *Call {
 	t.Helper()
 	receive(t, submit(l, id, 10))
 	l.Post(ResponseWritten{id, true})
--- a/internal/state/iteration.go
+++ b/internal/state/iteration.go
@@ -10,10 +10,10 @@
 const walRetryInterval = 20 * time.Millisecond
 
 // sinceStart is the controller's clock.
-func (l *Loop) sinceStart() time.Duration { return l.now.Sub(l.start) }
+func (l *Loop) sinceStart() time.Duration { return l.now.Sub(l.startedAt) }
 
-// begin takes up what is owed by the log.
-func (l *Loop) begin() {
+// restoreMessages takes up what is owed by the log.
+func (l *Loop) restoreMessages() {
 	l.started = true
 	l.now = l.clock()
 	l.beginDeadLetterQueue()
@@ -38,7 +38,7 @@
 	l.backlog = nil
 	if l.successor != nil {
 		for _, e := range events {
-			l.handleHandedOver(e)
+			l.handleAfterHandOver(e)
 		}
 		return
 	}
@@ -96,7 +96,7 @@
 	}
 	l.reports = nil
 	if l.deadLetterQueue != nil {
-		l.passDeadLetters()
+		l.deliverDeadLetters()
 		l.deadLetterQueue.LoadChanged(LoopLoad{
 			MaxInFlight: l.settings.MaxInFlight, InFlight: l.callsInFlight,
 			MaxOpenMessages: l.settings.MaxOpenMessages, Open: l.table.open,
--- a/internal/state/killed_test.go
+++ b/internal/state/killed_test.go
@@ -11,8 +11,8 @@
 	"cleathold/control"
 )
 
-// cutShort is a folder with the log as a kill left it after so many bytes.
-func cutShort(t *testing.T, name string, content []byte, n int) string {
+// writeTruncatedLog is a folder with the log as a kill left it after so many bytes.
+func writeTruncatedLog(t *testing.T, name string, content []byte, n int) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, filepath.Base(name)), content[:n], 0o600); err != nil {
@@ -68,11 +68,11 @@
 	return w
 }
 
-// startCut starts a loop, while discovery is down, on what a kill left of the log after n bytes, and checks what it
+// restartTruncated starts a loop, while discovery is down, on what a kill left of the log after n bytes, and checks what it
 // does once it has a list.
-func (w *messageLog) startCut(t *testing.T, n int) {
+func (w *messageLog) restartTruncated(t *testing.T, n int) {
 	t.Helper()
-	l, o := newTestLoopWithoutList(t, cutShort(t, w.name, w.content, n))
+	l, o := newTestLoopWithoutList(t, writeTruncatedLog(t, w.name, w.content, n))
 	ctx, cancel := context.WithCancel(t.Context())
 	go l.Run(ctx)
 	l.Idle()
@@ -89,14 +89,14 @@
 			t.Errorf("%s: %+v", at, call)
 		}
 	case n >= w.sent && n < w.ended:
-		if report := receive(t, o.notices); report.outcome() != "undeliverable" {
+		if report := receive(t, o.reports); report.outcome() != "undeliverable" {
 			t.Errorf("%s: %+v", at, report)
 		}
 	case n < w.accepted && len(o.calls) > 0: // the client was told nothing yet: it may stand or not
 		<-o.calls
 	}
-	if len(o.calls)+len(o.notices) > 0 {
-		t.Errorf("%s: %d calls and %d reports besides", at, len(o.calls), len(o.notices))
+	if len(o.calls)+len(o.reports) > 0 {
+		t.Errorf("%s: %d calls and %d reports besides", at, len(o.calls), len(o.reports))
 	}
 	cancel()
 	<-l.finished
@@ -109,7 +109,7 @@
 	for _, class := range []int{0, 2} { // idempotent, not idempotent
 		w := writeMessageLog(t, class)
 		for n := range len(w.content) + 1 {
-			w.startCut(t, n)
+			w.restartTruncated(t, n)
 		}
 	}
 }
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -56,13 +56,13 @@
 	deadLetterQueue DeadLetterQueue
 	gossipSender    GossipSender
 
-	events chan Event
-	clock  func() time.Time
-	start  time.Time // from which the controller counts
-	now    time.Time // of the iteration
-	timer  *time.Timer
-	token  uint32
-	wakeAt time.Time // what the timer is set to
+	events     chan Event
+	clock      func() time.Time
+	startedAt  time.Time // from which the controller counts
+	now        time.Time // of the iteration
+	timer      *time.Timer
+	timerToken uint32
+	wakeAt     time.Time // what the timer is set to
 
 	table       *table
 	group       *endpointgroup.Group
@@ -121,7 +121,7 @@
 	s.Settings.Classes = registry.classes() // with those of messages from before other settings
 	l := &Loop{
 		settings: s.Settings, log: s.Log, deadLetterQueue: s.DeadLetters, events: make(chan Event, 2*maxEventsPerIteration),
-		clock: s.Clock, start: s.Clock(), table: messages, group: endpointgroup.New(), wal: log, counters: s.Counters,
+		clock: s.Clock, startedAt: s.Clock(), table: messages, group: endpointgroup.New(), wal: log, counters: s.Counters,
 		retryAfters: retryAfterTable{}, callsByEndpoint: map[control.EndpointID]*Call{}, inFlight: map[*Call]int{},
 		departures: &endpointgroup.Departures{}, finished: make(chan struct{}),
 	}
@@ -253,7 +253,7 @@
 	defer close(l.finished)
 	l.timer = time.NewTimer(time.Hour)
 	defer l.timer.Stop()
-	l.begin()
+	l.restoreMessages()
 	for {
 		if len(l.backlog) == 0 {
 			select {
@@ -262,7 +262,7 @@
 			case e := <-l.events:
 				l.backlog = append(l.backlog, e)
 			case <-l.timer.C:
-				l.backlog = append(l.backlog, timerFired{l.token})
+				l.backlog = append(l.backlog, timerFired{l.timerToken})
 			}
 		}
 		l.iterate()
@@ -273,12 +273,12 @@
 // one who has the time in hand; TimerElapsed stands for the timer.
 func (l *Loop) Step(events ...Event) {
 	if !l.started {
-		l.begin()
+		l.restoreMessages()
 	}
 	for _, e := range events {
 		if _, timer := e.(TimerElapsed); timer {
 			l.wakeAt = time.Time{}
-			e = timerFired{l.token}
+			e = timerFired{l.timerToken}
 		}
 		l.backlog = append(l.backlog, e)
 	}
--- a/internal/state/loop_test.go
+++ b/internal/state/loop_test.go
@@ -89,7 +89,7 @@
 		l.settings.AllowHedging = c.hedging
 		now := time.Now()
 		l.clock = func() time.Time { return now }
-		l.start = now
+		l.startedAt = now
 		for i, m := range []Message{{ID: "brief", Deadline: now.Add(700 * time.Millisecond)}, {ID: "safe"}, {ID: "unsafe",
 			Class: 2}} {
 			if m.Destination = 7; i > 0 {
@@ -124,7 +124,7 @@
 	} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
-		call := o.callOf(t, l, "a")
+		call := o.submitAndReceiveCall(t, l, "a")
 		drained, inFlight := make(chan struct{}), make(chan int, 1)
 		l.Post(inspect(func() { <-drained })) // the next events come in this iteration
 		for _, r := range c.results {
@@ -151,10 +151,10 @@
 func TestRetryAfterWithholds(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
-	first, second := o.callOf(t, l, "a"), o.callOf(t, l, "b")
+	first, second := o.submitAndReceiveCall(t, l, "a"), o.submitAndReceiveCall(t, l, "b")
 	receive(t, submit(l, "c", 10)) // its client is not answered yet
 	l.Post(endedWith(first, AttemptResult{Result: control.Rejected, RetryAfter: time.Hour}))
-	if c := receive(t, o.held); c != second && receive(t, o.held) != second {
+	if c := receive(t, o.withheld); c != second && receive(t, o.withheld) != second {
 		t.Error("the call on its way was not withheld")
 	}
 	l.Post(ResponseWritten{"c", true})
@@ -176,10 +176,10 @@
 	} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
-		connecting := o.callOf(t, l, "a")
+		connecting := o.submitAndReceiveCall(t, l, "a")
 		receive(t, submit(l, "b", 10)) // its client is not answered yet
 		l.Post(event)
-		if c := receive(t, o.held); c != connecting {
+		if c := receive(t, o.withheld); c != connecting {
 			t.Errorf("%s: another call was withheld", name)
 		}
 		l.Post(endedWith(connecting, AttemptResult{Result: control.NotSent}))
@@ -206,9 +206,9 @@
 func TestWithheldAtHandOver(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
-	connecting := o.callOf(t, l, "a")
+	connecting := o.submitAndReceiveCall(t, l, "a")
 	handedOver, successor := handOver(t, l)
-	if c := receive(t, o.held); c != connecting {
+	if c := receive(t, o.withheld); c != connecting {
 		t.Error("another call was withheld")
 	}
 	next, o2 := newTestLoop(t, o.dir, 1e6)
@@ -219,7 +219,7 @@
 	if retry := receive(t, o2.calls); retry.Attempts[0].Message.ID != "a" {
 		t.Errorf("%+v", retry)
 	}
-	if next.Idle(); len(o2.calls)+len(o2.notices) > 0 {
+	if next.Idle(); len(o2.calls)+len(o2.reports) > 0 {
 		t.Error("a second call, or a report")
 	}
 }
@@ -295,7 +295,7 @@
 		}
 		l.Post(CallEnded{c, []AttemptResult{end}})
 	}
-	if n := receive(t, o.notices); n.ID != "a" || n.Deferred {
+	if n := receive(t, o.reports); n.ID != "a" || n.Deferred {
 		t.Errorf("report %+v", n)
 	}
 	if l.Idle(); len(o.calls) > 0 {
--- a/internal/state/outcome.go
+++ b/internal/state/outcome.go
@@ -24,7 +24,7 @@
 	for _, r := range ended.Results {
 		l.checkSent(ended.Call, r)
 		if r.RetryAfter > 0 {
-			l.noteRetryAfter(ended.Call.Target, r.RetryAfter)
+			l.recordRetryAfter(ended.Call.Target, r.RetryAfter)
 			l.withholdForRetryAfter(ended.Call.Target)
 		}
 		if !r.Attempt.ended {
@@ -59,7 +59,7 @@
 		l.wal.AddNotRun(e.num, a.attempt)
 	}
 	if e != nil && l.deadLetterQueue != nil {
-		e.logResult(a.attempt, r.Result)
+		e.recordResult(a.attempt, r.Result)
 		e.unprocessable = e.unprocessable || r.Result == control.Unprocessable
 		l.deadLetterQueue.CallEnded(a.Message.Destination, r.Result, r.RetryAfter, e.deadLetterSeq > 0)
 	}
--- a/internal/state/restart_test.go
+++ b/internal/state/restart_test.go
@@ -43,14 +43,14 @@
 	})
 	l.Post(inspect(func() { disk.full.Store(true) }))
 	l.Post(endedWith(call, AttemptResult{Result: control.ConnectionLost})) // given up at once
-	if n := receive(t, o.notices); n.ID != "short" {
+	if n := receive(t, o.reports); n.ID != "short" {
 		t.Errorf("%s is reported while it could be forgotten", n.ID)
 	}
 	if took := time.Since(began); took > within+200*time.Millisecond {
 		t.Errorf("told %v after it was accepted, due after %v", took, within)
 	}
 	l.Post(inspect(func() { disk.full.Store(false) }))
-	if n := receive(t, o.notices); n.ID != "unsafe" { // with no event but the loop's own
+	if n := receive(t, o.reports); n.ID != "unsafe" { // with no event but the loop's own
 		t.Errorf("then told of %s", n.ID)
 	}
 }
@@ -100,7 +100,7 @@
 		l, o := newTestLoop(t, dir, 1e6)
 		start(t, l)
 		if c.owed != "" {
-			if n := receive(t, o.notices); n.outcome() != c.owed || n.ID != "a" {
+			if n := receive(t, o.reports); n.outcome() != c.owed || n.ID != "a" {
 				t.Errorf("%s: %+v", c.name, n)
 			}
 			if l.Idle(); len(o.calls) > 0 {
@@ -116,7 +116,7 @@
 		if off := f.NotAfter.Sub(want).Abs(); off > time.Millisecond { // the log has whole microseconds, by two readings
 			t.Errorf("%s: may leave until %v, want %v", c.name, f.NotAfter, want)
 		}
-		if f.attempt != c.sends || !bytes.Equal(f.Message.Body, []byte("body")) || len(o.notices) > 0 {
+		if f.attempt != c.sends || !bytes.Equal(f.Message.Body, []byte("body")) || len(o.reports) > 0 {
 			t.Errorf("%s: attempt %d of %+v", c.name, f.attempt, f.Message)
 		}
 	}
@@ -199,7 +199,7 @@
 			}
 			continue
 		}
-		for n := receive(t, o.notices); n.ID != "a"; n = receive(t, o.notices) {
+		for n := receive(t, o.reports); n.ID != "a"; n = receive(t, o.reports) {
 		}
 		list, _ := ReadPending(dir, discardLog)
 		for _, p := range list {
--- a/internal/state/retryafter.go
+++ b/internal/state/retryafter.go
@@ -24,8 +24,8 @@
 // retryAfterTable remembers the latest wait of each route.
 type retryAfterTable map[routeKey]retryAfter
 
-// note enters a wait for a route, unless a longer one holds there.
-func (t retryAfterTable) note(key routeKey, w retryAfter) {
+// record enters a wait for a route, unless a longer one holds there.
+func (t retryAfterTable) record(key routeKey, w retryAfter) {
 	if w.until.After(t[key].until) && len(t) < 2*maxRetryAfters {
 		t[key] = w
 	}
@@ -56,13 +56,13 @@
 	return routeKey{destination: t.Destination}
 }
 
-// noteRetryAfter remembers a Retry-After that came from an endpoint now.
-func (l *Loop) noteRetryAfter(t Target, after time.Duration) {
+// recordRetryAfter remembers a Retry-After that came from an endpoint now.
+func (l *Loop) recordRetryAfter(t Target, after time.Duration) {
 	l.retryAfters.prune(l.now)
 	w := retryAfter{l.now, l.now.Add(after)}
-	l.retryAfters.note(l.routeKeyOf(t), w)
+	l.retryAfters.record(l.routeKeyOf(t), w)
 	if l.separateRoutes(t.Kind) {
-		l.retryAfters.note(addressKeyOf(t), w)
+		l.retryAfters.record(addressKeyOf(t), w)
 	}
 }
 
--- a/internal/state/retryafter_test.go
+++ b/internal/state/retryafter_test.go
@@ -12,7 +12,7 @@
 	key := routeKey{destination: 7}
 	table := retryAfterTable{}
 	for i, c := range []struct{ until, want time.Duration }{{5, 5}, {3, 5}, {8, 8}} {
-		table.note(key, retryAfter{now, now.Add(c.until)})
+		table.record(key, retryAfter{now, now.Add(c.until)})
 		if got := table[key].until.Sub(now); got != c.want {
 			t.Errorf("step %d: until %v, want %v", i, got, c.want)
 		}
@@ -22,7 +22,7 @@
 		t.Errorf("%d remembered, want 1: there is room", len(table))
 	}
 	for i := range 3 * maxRetryAfters {
-		table.note(routeKey{destination: i}, retryAfter{now, now.Add(time.Duration(i))})
+		table.record(routeKey{destination: i}, retryAfter{now, now.Add(time.Duration(i))})
 	}
 	if len(table) != 2*maxRetryAfters {
 		t.Errorf("%d remembered, want %d", len(table), 2*maxRetryAfters)
--- a/internal/state/sendcheck_test.go
+++ b/internal/state/sendcheck_test.go
@@ -35,7 +35,7 @@
 			l.certainty.markUncertain(l.now.Add(-2 * time.Second))
 		}, permit.ListUncertain},
 		{"a Retry-After", 0, func(l *Loop, to control.EndpointID) {
-			l.noteRetryAfter(*l.group.ByNumber(to), time.Second)
+			l.recordRetryAfter(*l.group.ByNumber(to), time.Second)
 			l.now = l.now.Add(time.Millisecond) // sends decided on as it is told are excused
 		}, permit.RetryAfterPending},
 		{"a process that ends", 0, func(l *Loop, _ control.EndpointID) { l.halted = true }, permit.Stopping},
@@ -68,7 +68,7 @@
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	l.settings.DrainGrace = time.Second
 	start(t, l)
-	call := o.callOf(t, l, "a")
+	call := o.submitAndReceiveCall(t, l, "a")
 	now := time.Now()
 	l.Post(inspect(func() { drainEndpoint(l, call.Target.Endpoint.ID, now) }))
 	for i, sentAfter := range []time.Duration{900 * time.Millisecond, 1100 * time.Millisecond} {
@@ -91,7 +91,7 @@
 	}{{"in the middle of a round", 150 * time.Millisecond, false}, {"another id at the address", 0, true}} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
-		call := o.callOf(t, l, "a")
+		call := o.submitAndReceiveCall(t, l, "a")
 		var answeredAt time.Time
 		l.Post(inspect(func() {
 			time.Sleep(c.busy)
