--- a/internal/state/actions.go
+++ b/internal/state/actions.go
@@ -7,18 +7,18 @@
 	"cleathold/internal/gossip"
 )
 
-// actions carries out what the controller asks for (control.Actions). It is the loop under another name, so that none
-// of this can be called from elsewhere.
+// actions implements control.Actions for the controller. It is a type of its own, with the Loop as its underlying type,
+// so that these methods are not part of the Loop's method set.
 type actions Loop
 
 func (a *actions) loop() *Loop { return (*Loop)(a) }
 
-// Send puts an attempt into a call of this iteration.
+// Send adds an attempt to a call of this iteration.
 func (a *actions) Send(id control.MessageID, to control.EndpointID, timeout time.Duration) {
 	l := a.loop()
 	e, t := l.table.entries[id], l.group.ByNumber(to)
 	if e == nil || t == nil || e.report != nil || t.Destination != e.Destination {
-		// No such message, or an endpoint that is not its destination's: never to leave.
+		// There is no such message, or the endpoint is not one of its destination: the attempt must never leave.
 		l.rejectSend(id, to, e)
 		return
 	}
@@ -30,7 +30,8 @@
 	l.addToCall(e, t, attempt)
 }
 
-// rejectSend ends a send that the controller must not have asked for. Package soak looks for LogInvalidSend.
+// rejectSend ends a send that the controller should not have requested. Package soak searches the log for
+// LogInvalidSend.
 func (l *Loop) rejectSend(id control.MessageID, to control.EndpointID, e *entry) {
 	l.log.Error(LogInvalidSend, "message", id, "endpoint", to)
 	attempt := 0
@@ -45,8 +46,9 @@
 	}))
 }
 
-// keyRetainedUntil is when a message with an idempotency key that may have run may no longer be sent again; zero for
-// others. What is decided before that may leave late: its connection takes its time.
+// keyRetainedUntil returns the time after which a message with an idempotency key that may have run must not be sent
+// again, or the zero time for other messages. A send that was decided on earlier may leave only after that time,
+// because setting up its connection takes time.
 func (l *Loop) keyRetainedUntil(e *entry) time.Time {
 	first, ran := e.firstRun()
 	if !ran || e.Class < 0 || e.Class >= len(l.settings.Classes) {
@@ -58,7 +60,7 @@
 	return first.At.Add(l.settings.Classes[e.Class].KeyRetention)
 }
 
-// Cancel cancels one attempt. Its call is canceled once nobody waits for any other in it.
+// Cancel cancels one attempt. Its call is canceled once no other attempt in it is still awaited.
 func (a *actions) Cancel(id control.MessageID, attempt int) {
 	l := a.loop()
 	for c := range l.inFlight {
@@ -75,15 +77,15 @@
 	}
 }
 
-// Reject ends a message that is deferred.
+// Reject ends a message as deferred.
 func (a *actions) Reject(id control.MessageID, retryAfter time.Duration) {
 	a.loop().endMessage(id, DeliveryReport{Deferred: true, RetryAfter: retryAfter})
 }
 
-// Fail ends a message that is undeliverable.
+// Fail ends a message as undeliverable.
 func (a *actions) Fail(id control.MessageID) { a.loop().endMessage(id, DeliveryReport{}) }
 
-// HealthCheck checks an endpoint without a message.
+// HealthCheck starts a health check of an endpoint, without a message.
 func (a *actions) HealthCheck(to control.EndpointID) {
 	if t := a.group.ByNumber(to); t != nil {
 		a.transport.HealthCheck(*t, a.loop().connectBy())
@@ -97,13 +99,13 @@
 	}
 }
 
-// Watch has discovery watch for changes of the list, or stop that.
+// Watch starts or stops watching discovery for changes of the endpoint list.
 func (a *actions) Watch(on bool) { a.discovery.Watch(on, a.group.Version()) }
 
-// Fetch has discovery fetch the whole list.
+// Fetch requests the whole endpoint list from discovery.
 func (a *actions) Fetch() { a.discovery.Fetch() }
 
-// SetTimer sets the one timer: the controller heeds its latest token alone.
+// SetTimer sets the loop's only timer. The controller ignores every token but the latest.
 func (a *actions) SetTimer(after time.Duration, token uint32) {
 	a.timerToken, a.wakeAt = token, a.now.Add(max(after, 0))
 	if a.timer != nil {
@@ -111,12 +113,12 @@
 	}
 }
 
-// Gossip puts an observation among those of this iteration.
+// Gossip adds an observation to those that are sent at the end of this iteration.
 func (a *actions) Gossip(n control.Observation) {
 	if t := a.group.ByNumber(n.Endpoint); t != nil && a.gossipSender != nil && len(a.gossip) < gossip.MaxObservations {
 		a.gossip = append(a.gossip, gossip.Observation{EndpointHash: gossip.HashID(t.ID), Kind: n.Kind, Age: n.Age})
 	}
 }
 
-// Log logs what the controller has to say.
+// Log logs a message of the controller.
 func (a *actions) Log(text string) { a.log.Info(text) }
--- a/internal/state/admission.go
+++ b/internal/state/admission.go
@@ -6,30 +6,31 @@
 	"cleathold/control"
 )
 
-// Admission: a message read by a listener is accepted if the sender may hold one more. The controller sees it in the
-// same iteration, and its client is answered at the end of that.
+// Admission: the loop accepts a message that a listener has read if the sender has capacity for one more. The message
+// is submitted to the controller in the same iteration, and its client is answered at the end of that iteration.
 
 const (
-	// fullRetryAfter is when to come back to a sender that has no capacity, if clients heed a Retry-After that long.
+	// fullRetryAfter is the Retry-After of a sender without capacity, unless the settings limit it to a shorter time.
 	fullRetryAfter = time.Second
-	// stoppingRetryAfter is when to come back to a sender that stops.
+	// stoppingRetryAfter is the Retry-After of a sender that is stopping.
 	stoppingRetryAfter = 200 * time.Millisecond
-	// maxReportsFactor times the messages that may be open may wait for the platform to take their reports.
+	// maxReportsFactor times the limit on open messages is the limit on all messages in the table, including those
+	// whose reports the platform has not acknowledged yet.
 	maxReportsFactor = 4
-	// unknownAge stands for the age of an attempt that nobody knows; it is more than any key retention.
+	// unknownAge is used as the age of an attempt whose age is not known. It exceeds any key retention.
 	unknownAge = 100 * 365 * 24 * time.Hour
 )
 
-// Submitted is a message that a listener has read; the response goes to its client.
+// Submitted is the event that a listener has read a message. The response is for its client.
 type Submitted struct {
 	Message  *Message
-	Response chan<- Response    // takes one without blocking
-	Decision *AdmissionDecision // nil: its client waits for the response however long that takes
+	Response chan<- Response    // has room for one response, so that sending does not block
+	Decision *AdmissionDecision // nil: the client waits for the response without a time limit
 }
 
 func (e Submitted) apply(l *Loop) { l.admit(e) }
 
-// ResponseWritten tells that the response "accepted" was written to the client, or could not be.
+// ResponseWritten is the event that the response "accepted" was written to the client, or could not be written.
 type ResponseWritten struct {
 	ID string
 	OK bool
@@ -37,7 +38,8 @@
 
 func (e ResponseWritten) apply(l *Loop) { l.responseWritten(e) }
 
-// clientRetryAfter is the Retry-After of a rejection: none, where clients receive no advice.
+// clientRetryAfter returns the Retry-After of a rejection: the wanted time up to the maximum, or 0 if clients accept no
+// Retry-After.
 func (l *Loop) clientRetryAfter(want time.Duration) time.Duration {
 	if !l.settings.CanSendRetryAfter {
 		return 0
@@ -49,12 +51,13 @@
 func (l *Loop) admit(s Submitted) {
 	switch {
 	case l.table.idInUse(s.Message.ID, l.now):
-		// Every submission has an id of its own. A second one under an id that is in use must neither disturb the first nor
+		// Each submission has its own ID. A second message with an ID that is in use must not affect the first one, nor
 		// be sent in its place.
 		s.Response <- Response{Invalid: DuplicateID}
 		return
 	case !l.group.Serves(s.Message.Destination):
-		// Messages for nowhere would fill the table until their time is up, and leave the controller a destination each.
+		// Messages for an unknown destination would fill the table until their deadlines, and the controller would keep
+		// state for each such destination.
 		s.Response <- Response{Invalid: UnknownDestination}
 		return
 	case l.stopped:
@@ -75,7 +78,7 @@
 	l.submitToController(e, false)
 }
 
-// hasCapacity tells whether the table and the log can take one more message.
+// hasCapacity reports whether the table and the log have capacity for one more message.
 func (l *Loop) hasCapacity(m *Message) bool {
 	limit := l.settings.MaxOpenMessages
 	if limit > 0 && (l.table.open >= limit || len(l.table.entries) >= maxReportsFactor*limit) {
@@ -84,7 +87,7 @@
 	return l.wal.HasCapacity(l.table.liveBytes + storageCost(m))
 }
 
-// submitToController gives a message to the controller, with all that was done for it before.
+// submitToController submits a message to the controller, together with the record of its earlier attempts.
 func (l *Loop) submitToController(e *entry, restarted bool) {
 	m := control.Message{
 		ID: e.num, Class: e.Class, Destination: e.Destination, Tenant: e.Tenant,
@@ -93,14 +96,14 @@
 	}
 	if a, ran := e.firstRun(); ran {
 		m.MayHaveRun, m.FirstRunZone = true, a.Zone
-		if m.FirstRunAgo = l.now.Sub(a.At); m.FirstRunAgo < 0 { // the clock was set back
+		if m.FirstRunAgo = l.now.Sub(a.At); m.FirstRunAgo < 0 { // the clock was set back after that attempt
 			m.FirstRunAgo = unknownAge
 		}
 	}
 	l.controller.Submit(l.sinceStart(), m)
 }
 
-// reject answers a client that still waits; nothing is owed.
+// reject rejects a message whose client still waits for a response, and drops it: nothing more is owed for it.
 func (l *Loop) reject(e *entry, r Response) {
 	e.response <- r
 	e.response = nil
@@ -108,7 +111,7 @@
 	l.table.drop(e)
 }
 
-// respond tells the clients of the iteration's messages that these are accepted.
+// respond answers the clients of the messages that were accepted in this iteration.
 func (l *Loop) respond() {
 	for _, e := range l.admitted {
 		if l.table.entries[e.num] != e || e.response == nil {
@@ -124,20 +127,20 @@
 	}
 }
 
-// abandonRejected gives up a message whose client was rejected while it was written down: the disk stalled, or the
-// loop.
+// abandonRejected drops a message whose client the listener rejected while the message was being written to the log,
+// because the disk or the loop was too slow.
 func (l *Loop) abandonRejected(e *entry) {
 	e.response = nil
 	l.counters.rejected.Add(1)
-	l.backlog = append(l.backlog, inspect(func() { // what it releases leaves with the records of the next iteration
+	l.backlog = append(l.backlog, inspect(func() { // the next iteration logs the released call
 		l.controller.Abandon(l.sinceStart(), e.num)
 		l.forget(e)
 		l.releaseCall(e)
 	}))
 }
 
-// responseWritten goes on once a client has heard that its message is accepted. One that could not hear it may submit
-// the message again: this one has ended.
+// responseWritten marks a message as answered and releases its call. If the response could not be written, the client
+// may submit the message again, so this one is dropped.
 func (l *Loop) responseWritten(w ResponseWritten) {
 	e := l.table.byID[w.ID]
 	if e == nil || e.responded {
--- a/internal/state/call.go
+++ b/internal/state/call.go
@@ -9,48 +9,49 @@
 	"cleathold/internal/wal"
 )
 
-// defaultConnectTimeout is used where the settings don't tell how long a connection may take.
+// defaultConnectTimeout is the connect timeout if the settings have none.
 const defaultConnectTimeout = 2 * time.Second
 
-// Attempt is one attempt for one message.
+// Attempt is one attempt to deliver one message.
 type Attempt struct {
 	Message  *Message
-	Deadline time.Time // waited for until then
-	NotAfter time.Time // not sent after that; the zero time stands for the deadline
+	Deadline time.Time // the attempt times out at this time
+	NotAfter time.Time // latest time of sending; zero: Deadline
 
 	num      control.MessageID
-	attempt  int // of the message's, from 0
+	attempt  int // index among the message's attempts, from 0
 	ended    bool
 	canceled bool
-	withheld bool // may not leave
+	withheld bool // must not leave
 }
 
-// Call is what travels on one connection: one attempt, or several that go to one endpoint in one iteration.
+// Call is one call on a connection. It carries one attempt, or several that go to the same endpoint in the same
+// iteration.
 type Call struct {
 	Target    Target
 	Attempts  []*Attempt
-	ConnectBy time.Time // by when a connection must be up
-
-	bytes      int  // that the attempts take in one body
-	size       int  // attempts that left with it
-	unanswered int  // attempts whose client has not been answered yet
-	launched   bool // the loop is done with it: it was sent, or never will be
-	sent       bool // it is with the transport
-	withheld   bool // sends to its endpoint were forbidden before it left
+	ConnectBy time.Time // the deadline of establishing the connection
+
+	bytes      int  // size of the attempts in the body
+	size       int  // number of attempts that the call was sent with
+	unanswered int  // attempts whose clients have not been answered yet
+	launched   bool // the loop has passed it to the transport, or it will never be sent
+	sent       bool // it was passed to the transport
+	withheld   bool // sends to its endpoint became forbidden before it left
 }
 
-// AttemptResult is how one attempt of a call ended.
+// AttemptResult is the result of one attempt of a call.
 type AttemptResult struct {
 	Attempt    *Attempt
 	Result     control.Result
 	Elapsed    time.Duration
-	SentAt     time.Time     // when the first byte of its call was written; zero: none was, or it is not known
-	RetryAfter time.Duration // nothing is to be sent there for so long; 0 = no such wait
-	Final      bool          // nothing more is owed
-	NoSlot     bool          // not sent: there was no capacity for one more call
+	SentAt     time.Time     // when the first byte of the call was written; zero: none was, or the time is not known
+	RetryAfter time.Duration // the endpoint's Retry-After; 0 = none
+	Final      bool          // nothing more is owed for the message
+	NoSlot     bool          // not sent because there was no capacity for one more call
 }
 
-// connectBy is the time by which a connection asked for now must be up.
+// connectBy returns the deadline of a connection that is requested now.
 func (l *Loop) connectBy() time.Time {
 	if l.settings.ConnectTimeout <= 0 {
 		return l.now.Add(defaultConnectTimeout)
@@ -58,7 +59,7 @@
 	return l.now.Add(l.settings.ConnectTimeout)
 }
 
-// maxBatch is how many messages a call to a kind of endpoint may hold.
+// maxBatch returns the maximum number of messages in a call to an endpoint of a kind.
 func (l *Loop) maxBatch(kind int) int {
 	if kind < 0 || kind >= len(l.settings.Kinds) {
 		return 1
@@ -66,7 +67,8 @@
 	return max(1, l.settings.Kinds[kind].MaxBatch)
 }
 
-// addToCall puts an attempt into a call of this iteration. What doesn't fit one body takes another call.
+// addToCall adds an attempt to a call of this iteration. If the attempt does not fit into the call's body, a new call
+// is started.
 func (l *Loop) addToCall(e *entry, t *Target, a *Attempt) {
 	to := t.Endpoint.ID
 	size := len(e.ID) + len(e.Key) + len(e.Body) + FrameOverhead
@@ -87,7 +89,8 @@
 	}
 }
 
-// releaseCall lets the call go that waited for a message's client to be answered.
+// releaseCall records that a message's client no longer has to be answered before the message's call may leave. The
+// call becomes ready once this holds for all messages in it.
 func (l *Loop) releaseCall(e *entry) {
 	c := e.call
 	if e.call = nil; c == nil {
@@ -98,7 +101,7 @@
 	}
 }
 
-// logCall records the attempts of a call that is about to leave.
+// logCall adds the attempts of a call that is about to leave to the log.
 func (l *Loop) logCall(c *Call) {
 	for _, a := range c.Attempts {
 		e := l.table.entries[a.num]
@@ -119,7 +122,7 @@
 	}
 }
 
-// launch hands a call to the transport, less the messages that have ended by now.
+// launch passes a call to the transport, without the attempts that must not leave or whose messages have ended.
 func (l *Loop) launch(c *Call) {
 	c.launched = true
 	live := make([]*Attempt, 0, len(c.Attempts))
@@ -134,7 +137,8 @@
 	if !l.settings.AllowHedging {
 		alignDeadlines(live)
 	}
-	// The platform counts a call's answer for the others only while the call's first message is waited for.
+	// The platform counts the answer to a call for the other messages only while the first message of the call is still
+	// awaited.
 	slices.SortStableFunc(live, func(a, b *Attempt) int { return b.Deadline.Compare(a.Deadline) })
 	if c.Attempts, c.size = live, len(live); len(live) > 0 {
 		c.sent = true
@@ -143,9 +147,10 @@
 	}
 }
 
-// alignDeadlines has the attempts of a call time out at one instant, where hedged requests are not allowed. One that
-// timed out before the others would be sent again while its first copy is still out on the open connection. None
-// waits beyond the deadline of its message: after that it is not sent again.
+// alignDeadlines sets one common timeout for the attempts of a call, for senders that must not send hedged requests. An
+// attempt that timed out before the others would be sent again while its first copy is still outstanding on the open
+// connection. No attempt is awaited beyond the deadline of its message, because the message is not sent again after
+// that.
 func alignDeadlines(attempts []*Attempt) {
 	var last time.Time
 	for _, a := range attempts {
@@ -164,7 +169,7 @@
 	}
 }
 
-// endUnsent ends the attempts of a call that never left.
+// endUnsent ends the attempts of a call that was never sent.
 func (l *Loop) endUnsent(c *Call, r control.Result) {
 	c.launched = true
 	results := make([]AttemptResult, len(c.Attempts))
@@ -174,8 +179,9 @@
 	l.backlog = append(l.backlog, CallEnded{c, results})
 }
 
-// withhold keeps back the calls to some endpoints that were decided on before and have not left. One that still waits
-// for its connection, or for its client to be answered, would leave only after what is known since.
+// withhold withholds the calls to the selected endpoints that have not left yet. They were decided on before the latest
+// information about the endpoint arrived, and a call that still waits for its connection, or for a client to be
+// answered, would leave only after it.
 func (l *Loop) withhold(affected func(t Target) bool) {
 	for _, c := range l.inFlightInOrder(affected) {
 		if c.withheld = !c.launched; c.launched {
@@ -184,8 +190,9 @@
 	}
 }
 
-// inFlightInOrder returns the calls in flight to some endpoints in the order of their first attempts. That of the map
-// differs from run to run, and the order in which calls are canceled is that in which their messages are queued again.
+// inFlightInOrder returns the calls in flight to the selected endpoints, ordered by their first attempts. The order in
+// which calls are canceled is the order in which their messages are queued again, so the random iteration order of the
+// map must not determine it.
 func (l *Loop) inFlightInOrder(selected func(t Target) bool) []*Call {
 	var calls []*Call
 	for c := range l.inFlight {
@@ -205,10 +212,10 @@
 
 func anyTarget(Target) bool { return true }
 
-// withholdAll withholds all calls that have not left.
+// withholdAll withholds all calls that have not left yet.
 func (l *Loop) withholdAll() { l.withhold(anyTarget) }
 
-// withholdUnavailable withholds the calls to endpoints that are not to be sent anything new.
+// withholdUnavailable withholds the calls to endpoints that must not be sent new work.
 func (l *Loop) withholdUnavailable() {
 	l.withhold(func(t Target) bool { return !l.group.Available(t) })
 }
--- a/internal/state/classregistry.go
+++ b/internal/state/classregistry.go
@@ -5,21 +5,22 @@
 	"cleathold/internal/wal"
 )
 
-// maxClasses bounds the classes that one process comes to know: settings may change all day.
+// maxClasses is the maximum number of classes that one process holds. Without it, frequent changes of the settings
+// would add classes without bound.
 const maxClasses = 1024
 
-// NamedClass is a class as the settings name it.
+// NamedClass is a class with its name in the settings.
 type NamedClass = wal.NamedClass
 
-// classRegistry numbers classes. A message keeps the class that it came with: when the settings change under it, and
-// over a restart with other settings. So classes are numbered by name and figures, a number is never given to another
-// one, and the log's record of a message holds its class whole.
+// classRegistry assigns numbers to classes. A message keeps the class with which it was accepted, even when the
+// settings change or the sender restarts with other settings. Therefore a class is identified by its name and all its
+// values, a number is never reused for another class, and the log's record of a message holds the whole class.
 type classRegistry struct {
 	list    []NamedClass
-	records []string // as they stand in the log
+	records []string // the classes as encoded in the log
 }
 
-// numberOf returns the number of a class, a new one if it is not known.
+// numberOf returns the number of a class, and adds the class if it is not known.
 func (r *classRegistry) numberOf(c NamedClass) int {
 	for i, known := range r.list {
 		if known == c {
@@ -30,13 +31,13 @@
 	return len(r.list) - 1
 }
 
-// add gives a class the next number, even if it is known by another.
+// add assigns the next number to a class, even if the class is already known under another number.
 func (r *classRegistry) add(c NamedClass) {
 	r.list = append(r.list, c)
 	r.records = append(r.records, string(wal.EncodeClass(c)))
 }
 
-// record is a class as it stands in the log; nothing for a number that is not known.
+// record returns a class as encoded in the log, or "" if the number is not known.
 func (r *classRegistry) record(number int) string {
 	if number < 0 || number >= len(r.records) {
 		return ""
@@ -44,7 +45,7 @@
 	return r.records[number]
 }
 
-// classes lists them as the controller wants them.
+// classes returns the classes by number, without their names.
 func (r *classRegistry) classes() []control.Class {
 	list := make([]control.Class, len(r.list))
 	for i, c := range r.list {
@@ -53,7 +54,7 @@
 	return list
 }
 
-// names lists their names.
+// names returns the names of the classes by number.
 func (r *classRegistry) names() []string {
 	list := make([]string, len(r.list))
 	for i, c := range r.list {
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -7,38 +7,39 @@
 	"cleathold/internal/permit"
 )
 
-// lateAfter is how long a message waits for its first attempt at most where nothing is short.
+// lateAfter is the wait for a first attempt above which a message counts as late. Messages wait no longer than this
+// while the sender and its endpoints have spare capacity.
 const lateAfter = 50 * time.Millisecond
 
-// Counters count what loops of one process do, one after another. The loop adds, anyone may read. The zero value is
-// ready.
+// Counters counts what the successive loops of one process do. The loop updates them, and any goroutine may read them.
+// The zero value is ready to use.
 type Counters struct {
 	accepted, rejected, delivered, deferred, undeliverable, attempted, late, firstAttemptWait, open atomic.Int64
 
 	unreadableLists, suspensions atomic.Int64
 
-	withheld, violations [permit.DenialCount]atomic.Int64 // sends, by what was against them
+	withheld, violations [permit.DenialCount]atomic.Int64 // sends, by reason of denial
 }
 
-// Counts are what counters show, since the start of the process but for Open.
+// Counts holds the values of Counters since the start of the process, except for Open.
 type Counts struct {
-	Accepted      int64         `json:"taken"`         // messages of clients that were accepted
-	Rejected      int64         `json:"refused"`       // that were rejected, for want of capacity or hope
-	Delivered     int64         `json:"delivered"`     // outcomes by kind
-	Deferred      int64         `json:"deferred"`      // given back to the client
-	Undeliverable int64         `json:"undeliverable"` // abandoned
-	Called        int64         `json:"called"`        // messages that had a first attempt here
-	Late          int64         `json:"late"`          // of them, those that waited for it longer than 50 ms
-	FirstCall     time.Duration `json:"first_call_ns"` // sum of the times from the acceptance to that
-	Open          int           `json:"open"`          // messages that are owed their outcome now
-	Unread        int64         `json:"unread"`        // answers of discovery that began and could not be read
-	Holds         int64         `json:"holds"`         // times that sends were suspended because of it
+	Accepted      int64         `json:"taken"`         // messages accepted from clients
+	Rejected      int64         `json:"refused"`       // messages rejected: no capacity, or no prospect of delivery
+	Delivered     int64         `json:"delivered"`     // messages delivered
+	Deferred      int64         `json:"deferred"`      // messages returned to the client
+	Undeliverable int64         `json:"undeliverable"` // messages given up
+	Called        int64         `json:"called"`        // messages that had their first attempt in this process
+	Late          int64         `json:"late"`          // of those, messages that waited longer than 50 ms for it
+	FirstCall     time.Duration `json:"first_call_ns"` // sum of the times from acceptance to first attempt
+	Open          int           `json:"open"`          // messages without an outcome now
+	Unread        int64         `json:"unread"`        // answers of discovery that could not be read completely
+	Holds         int64         `json:"holds"`         // how often sends were suspended because of that
 
-	Withheld map[string]int64 `json:"withheld,omitempty"` // sends that were decided on and did not leave, by reason
-	Broken   map[string]int64 `json:"broken,omitempty"`   // calls that left against a rule, by rule: 0 in a sound program
+	Withheld map[string]int64 `json:"withheld,omitempty"` // sends that were decided on and withheld, by reason
+	Broken   map[string]int64 `json:"broken,omitempty"`   // calls sent against a rule, by rule; 0 in a correct program
 }
 
-// Counts reads them. They are not of one instant.
+// Counts returns the current values. They are read one after another, so they may not be consistent with each other.
 func (c *Counters) Counts() Counts {
 	return Counts{
 		Accepted: c.accepted.Load(), Rejected: c.rejected.Load(), Delivered: c.delivered.Load(), Deferred: c.deferred.Load(),
@@ -49,7 +50,7 @@
 	}
 }
 
-// nonZeroCounts are the counts of denials that are not zero, by name.
+// nonZeroCounts returns the counts of denials that are not zero, by name.
 func nonZeroCounts(counts *[permit.DenialCount]atomic.Int64) map[string]int64 {
 	list := map[string]int64{}
 	for _, d := range permit.All() {
@@ -60,7 +61,7 @@
 	return list
 }
 
-// countFirstAttempt counts a message's first attempt, unless the message is from before this process.
+// countFirstAttempt counts a message's first attempt, unless the message was accepted by an earlier process.
 func (l *Loop) countFirstAttempt(e *entry) {
 	if !e.attempted && !e.acceptedAt.IsZero() {
 		l.counters.attempted.Add(1)
--- a/internal/state/deadletter.go
+++ b/internal/state/deadletter.go
@@ -7,55 +7,57 @@
 	"cleathold/internal/wal"
 )
 
-// Dead letters: what becomes of a message that ends undelivered, where a dead-letter queue is connected. A message is
-// then either its client's again or the queue's, never both, and the log says which before anyone is told. Until the
-// queue has it, the log keeps it. A message that the queue sends again comes back as one more message to the
-// controller, without a client (redelivery.go).
+// Dead letters: messages that end undelivered while a dead-letter queue is connected. Such a message belongs either to
+// its client or to the queue, never to both, and the log records which before the client or the queue is notified. The
+// log keeps the message until the queue has stored it. A redelivery by the queue is submitted to the controller as
+// another message without a client (redelivery.go).
 
 const (
-	// deadLetterFraction: messages that the queue does not have yet take one part in so many of the log at most.
+	// deadLetterFraction limits the messages that the queue has not stored yet to 1/deadLetterFraction of the log's
+	// size limit.
 	deadLetterFraction = 10
-	// maxAttemptLog bounds the history of a message where the settings don't.
+	// maxAttemptLog is the maximum length of the attempt history of a message. It applies even if the settings do not
+	// limit the number of attempts.
 	maxAttemptLog = 64
 )
 
 // AttemptRecord is one attempt in the history of a message.
 type AttemptRecord struct {
-	Target string // its id; "" = not known, from before a restart
+	Target string // the target's ID; "" = not known, for an attempt before a restart
 	Zone   int
-	At     time.Time // Unix time 0: not known
+	At     time.Time // Unix time 0 = not known
 	Result control.Result
-	Open   bool // no result is known
+	Open   bool // the result is not known
 }
 
-// DeadLetter is a message that goes to the dead-letter queue, or back to it after a redelivery.
+// DeadLetter is a message that goes to the dead-letter queue, or that returns to it after a redelivery.
 type DeadLetter struct {
 	Number       control.MessageID
-	Seq          uint64 // the record that was sent again; 0 = a message that is new to the queue
+	Seq          uint64 // the redelivered dead letter; 0 = a message that is new to the queue
 	Message      *Message
-	Attempts     []AttemptRecord // of a redelivery: those since
-	AttemptCount int             // attempts in all
+	Attempts     []AttemptRecord // for a redelivery: only the attempts since
+	AttemptCount int             // total number of attempts
 	Reason       string
-	Deferred     bool // without the queue the client would get it back
+	Deferred     bool // without the queue, the message would be returned to its client
 	Delivered    bool
-	Final        bool // the endpoint says that nothing more is owed
-	NotAdmitted  bool // a redelivery that was not admitted: it was never logged and never sent
+	Final        bool // the endpoint's answer says that nothing more is owed
+	NotAdmitted  bool // the redelivery was not admitted: it was neither logged nor sent
 	At           time.Time
 }
 
-// The reasons for which a message ends undelivered.
+// The reasons why a message ends undelivered.
 const (
-	ReasonExpired           = "expired"        // its time was up
-	ReasonMayHaveRun        = "may-have-run"   // an attempt may have run, and its class allows no other
-	ReasonKeyExpired        = "memory-passed"  // the same, and the destination does not retain its key any more
-	ReasonAttemptsExhausted = "attempts-spent" // it had all its attempts
-	ReasonUnprocessable     = "rejected"       // an endpoint can't use it
+	ReasonExpired           = "expired"        // its deadline passed
+	ReasonMayHaveRun        = "may-have-run"   // an attempt may have run, and its class does not allow another one
+	ReasonKeyExpired        = "memory-passed"  // the same, and the destination no longer retains its key
+	ReasonAttemptsExhausted = "attempts-spent" // it reached the maximum number of attempts
+	ReasonUnprocessable     = "rejected"       // an endpoint can't process it
 )
 
-// DeadLettersStored tells that the queue has dead letters for good.
+// DeadLettersStored is the event that the queue has durably stored dead letters.
 type DeadLettersStored struct{ Numbers []control.MessageID }
 
-// Nothing of them is owed to the queue any more.
+// The messages are no longer owed to the queue.
 func (s DeadLettersStored) apply(l *Loop) {
 	for _, num := range s.Numbers {
 		e := l.table.entries[num]
@@ -69,7 +71,7 @@
 	}
 }
 
-// reasonOf says why a message ends undelivered.
+// reasonOf returns the reason why a message ends undelivered.
 func (l *Loop) reasonOf(e *entry) string {
 	class := l.settings.Classes[min(max(e.Class, 0), len(l.settings.Classes)-1)]
 	first, ran := e.firstRun()
@@ -87,7 +89,7 @@
 	return ReasonExpired
 }
 
-// newDeadLetter makes one of a message that ends.
+// newDeadLetter returns the dead letter of a message that ends.
 func (l *Loop) newDeadLetter(e *entry) *DeadLetter {
 	return &DeadLetter{
 		Number: e.num, Seq: e.deadLetterSeq, Message: e.Message, Attempts: e.history(), AttemptCount: e.attempts,
@@ -95,7 +97,7 @@
 	}
 }
 
-// restoreDeadLetter completes a dead letter that came from the log.
+// restoreDeadLetter returns the complete dead letter of an entry that was recovered from the log.
 func (l *Loop) restoreDeadLetter(e *entry) *DeadLetter {
 	d := *e.deadLetter
 	d.Number, d.Seq, d.Message, d.Attempts, d.AttemptCount = e.num, e.deadLetterSeq, e.Message, e.history(), e.attempts
@@ -103,7 +105,7 @@
 	return &d
 }
 
-// recordAttempt enters an attempt that is about to leave into the message's history.
+// recordAttempt adds an attempt that is about to leave to the message's history.
 func (l *Loop) recordAttempt(e *entry, a wal.Attempt) {
 	if l.deadLetterQueue == nil || len(e.attemptLog) >= maxAttemptLog {
 		return
@@ -112,9 +114,10 @@
 	e.attemptLog = append(e.attemptLog, numberedAttempt{record, a.Index})
 }
 
-// offerDeadLetter tells whether the queue gets a message that ends with a report. A message whose client has not been
-// answered yet may come again: the queue does not get it. Nor does it where what waits for the queue takes a tenth of
-// the log: a store that is slow must not keep new messages out.
+// offerDeadLetter offers a message that ends to the queue, and reports whether the queue takes it. A message whose
+// client has not been answered yet is not offered, because the client may submit it again. Nor is any message offered
+// while the messages that wait for the queue take a tenth of the log: a slow store must not prevent the sender from
+// accepting new messages.
 func (l *Loop) offerDeadLetter(e *entry, n *DeliveryReport) (*DeadLetter, bool) {
 	if l.deadLetterQueue == nil || !e.responded || l.table.deadLetterBytes+e.cost > l.wal.Limit()/deadLetterFraction {
 		return nil, false
@@ -124,8 +127,8 @@
 	return d, l.deadLetterQueue.Accepts(d)
 }
 
-// endWithDeadLetter ends a message that the queue is owed: the log says so, and at the end of the iteration the queue
-// gets it.
+// endWithDeadLetter ends a message that is owed to the queue. The log records that, and the queue gets the message at
+// the end of the iteration.
 func (l *Loop) endWithDeadLetter(e *entry, n DeliveryReport, d *DeadLetter) {
 	n.Number, n.ID, n.DeadLetter = e.num, e.ID, d
 	e.deadLetter = d
@@ -133,7 +136,7 @@
 	l.deadLetters = append(l.deadLetters, d)
 }
 
-// deliverDeadLetters gives the queue the iteration's dead letters, and what the log has forgotten.
+// deliverDeadLetters passes the iteration's dead letters to the queue, and the IDs that the log no longer holds.
 func (l *Loop) deliverDeadLetters() {
 	for _, d := range l.deadLetters {
 		l.deadLetterQueue.Add(*d)
@@ -144,7 +147,8 @@
 	l.deadLetters, l.forgottenIDs = nil, nil
 }
 
-// beginDeadLetterQueue tells the queue what the log knows, before anything else.
+// beginDeadLetterQueue passes what the log holds for the queue to the queue's Begin, before any other call of the
+// queue's methods except ClassesChanged.
 func (l *Loop) beginDeadLetterQueue() {
 	if l.deadLetterQueue == nil {
 		return
--- a/internal/state/endpoints.go
+++ b/internal/state/endpoints.go
@@ -8,21 +8,21 @@
 	"cleathold/internal/gossip"
 )
 
-// Target is one endpoint as the endpoint group knows it.
+// Target is an endpoint as the endpoint group knows it.
 type Target = endpointgroup.Target
 
 // ListedTarget is a target as discovery lists it.
 type ListedTarget = endpointgroup.ListedTarget
 
-// NoVersion stands where no version of the endpoint list is known.
+// NoVersion is the version of the endpoint list when none is known.
 const NoVersion = endpointgroup.NoVersion
 
-// ListUpdate is one answer of discovery. Its targets are not numbered yet.
+// ListUpdate is one answer of discovery. Its targets do not have endpoint numbers yet.
 type ListUpdate struct {
 	Kind       control.ListUpdateKind
 	Version    int64
 	Targets    []Target
-	PollPaused bool // the next poll does not follow at once
+	PollPaused bool // the next poll does not start immediately
 }
 
 func (e ListUpdate) apply(l *Loop) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// ListUnreadable tells that an answer of discovery began at a time and could not be read, or not to its end. Leaving
-// are the targets that the part which came names as draining or gone.
+// ListUnreadable is the event that an answer of discovery could not be read, or not completely. At is when the answer
+// began. Departing holds the targets that the part that could be read lists as draining or removed.
 type ListUnreadable struct {
 	At        time.Time
 	Departing []Target
@@ -54,12 +54,12 @@
 	l.reviewList()
 }
 
-// PollOpen tells that a poll is open at discovery, which would have answered had there been anything to tell.
+// PollOpen is the event that a poll is open at discovery, which would have answered it if the list had changed.
 type PollOpen struct{}
 
 func (PollOpen) apply(l *Loop) { l.listKnown(false) }
 
-// PollFailed tells that the poll after a pause failed: what was told since a time is not known.
+// PollFailed is the event that the poll after a pause failed, so that list updates since a time may have been missed.
 type PollFailed struct{ Since time.Time }
 
 func (e PollFailed) apply(l *Loop) {
@@ -67,7 +67,7 @@
 	l.reviewList()
 }
 
-// ExclusionsChanged tells which targets operators have excluded: all of them, by their ids.
+// ExclusionsChanged holds the IDs of all targets that operators have excluded.
 type ExclusionsChanged struct{ IDs []string }
 
 func (e ExclusionsChanged) apply(l *Loop) {
@@ -77,7 +77,8 @@
 	}
 }
 
-// endpointsExcluded has the controller know which endpoints take new work, where that is not by a list of discovery.
+// endpointsExcluded notifies the controller which endpoints take new work, when that changed for another reason than a
+// list update.
 func (l *Loop) endpointsExcluded(endpoints []control.Endpoint) {
 	l.controller.UpdateEndpoints(l.sinceStart(), control.ListExcluded, endpoints)
 	l.withholdUnavailable()
@@ -94,13 +95,13 @@
 	l.controller.HealthChecked(l.sinceStart(), e.Target, e.Result, e.Elapsed, nil)
 }
 
-// GossipReceived is what another sender tells, by that sender's number.
+// GossipReceived holds the observations that another sender sent. Peer is that sender's number.
 type GossipReceived struct {
 	Peer         int
 	Observations []gossip.Observation
 }
 
-// Of endpoints that this sender does not know nothing is passed on.
+// apply ignores observations of endpoints that this sender does not know.
 func (e GossipReceived) apply(l *Loop) {
 	for _, o := range e.Observations {
 		if number, known := l.group.NumberByHash(o.EndpointHash); known {
@@ -110,7 +111,7 @@
 	}
 }
 
-// notifyCapacity tells the dead-letter queue what the endpoint group knows of destinations.
+// notifyCapacity passes the capacity of each destination, as the endpoint group knows it, to the dead-letter queue.
 func (l *Loop) notifyCapacity() {
 	if l.deadLetterQueue == nil {
 		return
--- a/internal/state/entry.go
+++ b/internal/state/entry.go
@@ -8,34 +8,34 @@
 	"cleathold/internal/wal"
 )
 
-// entry is one message of the table, until its outcome is known to whoever is owed it.
+// entry is one message in the table. It stays there until all parties that are owed its outcome have received it.
 type entry struct {
 	*Message
 	num            control.MessageID
-	attempts       int           // made so far
-	mayHaveRun     []wal.Attempt // attempts that may have run, or may yet
+	attempts       int           // number of attempts made so far
+	mayHaveRun     []wal.Attempt // attempts that may have run, or may still run
 	response       chan<- Response
-	decision       *AdmissionDecision // with the response
-	responded      bool               // its client has heard that it is accepted
-	call           *Call              // held back until then
-	unbatched      bool               // goes in a call by itself: an endpoint could not use one that it shared
-	report         *DeliveryReport    // ended, and the platform is owed this
-	cost           int64              // bytes that it may take in the log
-	classRecord    string             // its class as it stands there
-	inFlight       int                // attempts without an end
-	remoteInFlight int                // attempts of another process; until they are known it waits
+	decision       *AdmissionDecision // set together with response
+	responded      bool               // its client has received the acceptance
+	call           *Call              // the call that must not leave before that
+	unbatched      bool               // sent in a call of its own, since an endpoint could not process a batch with it
+	report         *DeliveryReport    // set once the message has ended: the report that the platform is owed
+	cost           int64              // maximum size in the log, in bytes
+	classRecord    string             // its class as encoded in the log
+	inFlight       int                // attempts without a result
+	remoteInFlight int                // attempts of another process; the message waits for their results
 	acceptedAt     time.Time
-	attempted      bool // an attempt of it has left, or was about to
+	attempted      bool // an attempt has left, or was about to leave
 
-	// Where a dead-letter queue is connected.
-	deadLetterSeq uint64            // the dead letter that this redelivers; 0 = a client's message
-	attemptLog    []numberedAttempt // its history
-	unprocessable bool              // an endpoint can't use it
-	deadLetter    *DeadLetter       // ended, and the queue is owed this
-	reported      bool              // the platform has its report
+	// Used only with a dead-letter queue.
+	deadLetterSeq uint64            // the dead letter that is redelivered; 0 = a client's message
+	attemptLog    []numberedAttempt // history of its attempts
+	unprocessable bool              // an endpoint can't process it
+	deadLetter    *DeadLetter       // set once the message has ended: the dead letter that the queue is owed
+	reported      bool              // the platform has acknowledged the report
 }
 
-// numberedAttempt is a record of the history that knows its attempt.
+// numberedAttempt is a record of the attempt history with the index of its attempt.
 type numberedAttempt struct {
 	AttemptRecord
 	attempt int
@@ -49,12 +49,12 @@
 	return slices.MinFunc(e.mayHaveRun, func(a, b wal.Attempt) int { return a.At.Compare(b.At) }), true
 }
 
-// markNotRun takes an attempt that never ran off the record.
+// markNotRun removes an attempt that never ran from those that may have run.
 func (e *entry) markNotRun(attempt int) {
 	e.mayHaveRun = slices.DeleteFunc(e.mayHaveRun, func(a wal.Attempt) bool { return a.Index == attempt })
 }
 
-// recordResult enters how an attempt ended into the history.
+// recordResult records the result of an attempt in the history.
 func (e *entry) recordResult(attempt int, r control.Result) {
 	for i := range e.attemptLog {
 		if e.attemptLog[i].attempt == attempt {
@@ -63,8 +63,8 @@
 	}
 }
 
-// history returns what is known of a message's attempts. Of those from before a restart only the ones that may have
-// run stand in the log.
+// history returns the known attempts of a message. Of the attempts made before a restart, the log holds only those that
+// may have run.
 func (e *entry) history() []AttemptRecord {
 	list := make([]AttemptRecord, 0, len(e.attemptLog)+len(e.mayHaveRun))
 	for _, a := range e.mayHaveRun {
@@ -79,7 +79,7 @@
 	return list
 }
 
-// accepted is the entry's first record in the log.
+// accepted returns the entry's first record in the log.
 func (e *entry) accepted() wal.Accepted {
 	return wal.Accepted{
 		Number: e.num, ID: e.ID, Key: e.Key, Class: e.Class, Tenant: e.Tenant, Destination: e.Destination,
@@ -88,7 +88,7 @@
 	}
 }
 
-// logEntry is all that the log is to hold of the entry.
+// logEntry returns everything that the log has to hold about the entry.
 func (e *entry) logEntry() *wal.Entry {
 	x := &wal.Entry{Accepted: e.accepted(), Attempts: e.attempts, MayHaveRun: e.mayHaveRun}
 	if e.report != nil {
@@ -97,7 +97,7 @@
 	return x
 }
 
-// logOutcome is the report's record in the log.
+// logOutcome returns the report's record in the log.
 func (r *DeliveryReport) logOutcome() *wal.Outcome {
 	o := &wal.Outcome{Deferred: r.Deferred, RetryAfter: r.RetryAfter}
 	if d := r.DeadLetter; d != nil {
@@ -108,7 +108,7 @@
 	return o
 }
 
-// reportOf is the report that an outcome in the log stands for.
+// reportOf returns the report for an outcome in the log.
 func reportOf(x *wal.Entry) DeliveryReport {
 	r := DeliveryReport{Number: x.Number, ID: x.ID, Deferred: x.Outcome.Deferred, RetryAfter: x.Outcome.RetryAfter}
 	if d := x.Outcome.DeadLetter; d != nil {
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -1,7 +1,7 @@
 package state
 
-// Event is something that the loop handles in its next iteration. The set is sealed: only types of this package are
-// events, so that posting anything else does not compile. Each event's type stands beside what it does:
+// Event is input that the loop handles in its next iteration. Only types of this package implement it, so posting any
+// other value does not compile. Each event type is declared in the file that handles it:
 //
 //	Submitted, ResponseWritten                    admission.go
 //	CallEnded, ReportsAcknowledged                outcome.go
@@ -13,35 +13,37 @@
 //	HandOver, RemoteResult, PredecessorLost       handover.go
 //	TimerElapsed, stopping, halting, inspect      event.go
 type Event interface {
-	// apply has the loop do what the event asks for. The loop's own goroutine calls it.
+	// apply handles the event. Only the loop's own goroutine calls it.
 	apply(l *Loop)
 }
 
-// TimerElapsed is the event of the loop's timer, for a caller of Step: WakeAt has come. Step alone understands it.
+// TimerElapsed is the event that a caller of Step passes when the time returned by WakeAt has come. Only Step handles
+// it.
 type TimerElapsed struct{}
 
 func (TimerElapsed) apply(*Loop) {}
 
-// timerFired carries the token of the timer that went off. The controller ignores all but its latest.
+// timerFired is the event of the loop's timer. The controller ignores every token but the latest.
 type timerFired struct{ token uint32 }
 
 func (e timerFired) apply(l *Loop) { l.controller.TimerFired(l.sinceStart(), e.token) }
 
-// stopping asks for no new messages.
+// stopping ends the acceptance of new messages.
 type stopping struct{}
 
 func (stopping) apply(l *Loop) { l.stopped = true }
 
-// halting asks for no new attempts.
+// halting ends the making of new attempts.
 type halting struct{}
 
-// What has not left now is for the next process to send: it would be cut off in the middle.
+// apply also withholds the calls that have not left yet: the end of the process would interrupt them. The next process
+// sends their messages.
 func (halting) apply(l *Loop) {
 	l.halted = true
 	l.withholdAll()
 }
 
-// inspect is run by the loop, between two events.
+// inspect is a function that the loop's goroutine runs between two events.
 type inspect func()
 
 func (e inspect) apply(*Loop) { e() }
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -8,31 +8,32 @@
 	"cleathold/internal/lease"
 )
 
-// Hand-over: one process of a sender passes all to the next while both run. The predecessor lets go of the log and
-// tells what it has in flight; from then on it only passes on the results of those attempts. The successor takes the
-// log up. To it a message with an attempt in flight at the predecessor is remote: it is not given to the controller
-// before the attempt's result is known, or the predecessor is lost, which leaves it as one that may have run.
+// Hand-over: one process of a sender transfers its state to the next while both run. The predecessor closes the log and
+// lists its attempts in flight; from then on it only forwards the results of those attempts. The successor opens the
+// log. For the successor, a message with an attempt in flight at the predecessor is remote: it is submitted to the
+// controller only when the result of the attempt is known, or when the predecessor is lost. In the latter case the
+// attempt counts as one that may have run.
 
 // The errors of a hand-over.
 var (
-	// ErrHandedOver tells that another process has taken over.
+	// ErrHandedOver is the error of a request to a loop that has handed over to another process.
 	ErrHandedOver = errors.New("another process has taken over")
-	// ErrLogIncomplete tells that the log lacks something that the loop knows.
+	// ErrLogIncomplete is the error of a hand-over by a loop whose log lacks some of its state.
 	ErrLogIncomplete = errors.New("the journal can't be written")
 )
 
-// HandoverState is what a process that hands over tells the next.
+// HandoverState is the state that a predecessor passes to its successor.
 type HandoverState struct {
 	At       time.Time                     `json:"At"`
-	Stamp    int64                         `json:"Stamp"` // At by the log's time base; 0 = of a program without
+	Stamp    int64                         `json:"Stamp"` // At on the log's time base; 0 = written without one
 	Version  int64                         `json:"Version"`
 	Targets  []Target                      `json:"Targets"`
-	Routes   map[string]control.RouteState `json:"Known"` // by the ids of targets
+	Routes   map[string]control.RouteState `json:"Known"` // by target ID
 	InFlight []RemoteAttempt               `json:"Out"`
-	Drained  bool                          `json:"Drained"` // clients are sent away, by the operator
+	Drained  bool                          `json:"Drained"` // the operator has the sender reject clients
 	Lease    lease.Holder                  `json:"Lease"`
 
-	// UncertainFor is for how long the list has been uncertain; 0 = it is not. See listCertainty.
+	// UncertainFor is how long the endpoint list has been uncertain; 0 = it is certain. See listCertainty.
 	UncertainFor time.Duration `json:"Uncertain"`
 }
 
@@ -40,10 +41,10 @@
 type RemoteAttempt struct {
 	Message control.MessageID `json:"Num"`
 	Attempt int               `json:"Attempt"`
-	Call    int               `json:"Call"` // attempts of one call count as one call in flight
+	Call    int               `json:"Call"` // number of its call; the attempts of a call count as one call in flight
 }
 
-// RemoteResult is how such an attempt ended.
+// RemoteResult is the result of a remote attempt.
 type RemoteResult struct {
 	Message    control.MessageID `json:"Num"`
 	Attempt    int               `json:"Attempt"`
@@ -56,37 +57,38 @@
 
 func (r RemoteResult) apply(l *Loop) { l.remoteResult(r) }
 
-// PredecessorLost tells that the other process has ended: what it had in flight may have run.
+// PredecessorLost is the event that the predecessor has ended: its attempts in flight may have run.
 type PredecessorLost struct{}
 
 func (PredecessorLost) apply(l *Loop) { l.predecessorLost() }
 
-// HandOver has the loop let go of everything for a successor. The state is handed over once the log is closed. From
-// then on the loop serves nobody but the successor.
+// HandOver requests that the loop transfers its state to a successor. The state is sent on Done after the log is
+// closed. From then on the loop only forwards results to the successor.
 type HandOver struct {
 	Successor Successor
-	Done      chan<- HandOverResult // takes one without blocking
+	Done      chan<- HandOverResult // has room for one result, so that sending does not block
 }
 
-// The hand-over itself follows at the end of the iteration.
+// apply stops and halts the loop. The hand-over itself is done at the end of the iteration.
 func (h HandOver) apply(l *Loop) {
 	l.handOver = &h
 	l.stopped, l.halted = true, true
-	for _, c := range l.readyCalls { // waited for a call to end: they never left
+	for _, c := range l.readyCalls { // calls that waited for another call to end and never left
 		l.endUnsent(c, control.ConnectFailed)
 	}
 	l.readyCalls = nil
-	// What still waits for its connection goes by the next process, which hears of drains and Retry-After.
+	// Calls that still wait for their connections are left to the successor, which is notified of drains and of the
+	// Retry-After of endpoints.
 	l.withholdAll()
 }
 
-// HandOverResult answers HandOver. Err is ErrHandedOver, ErrLogIncomplete or one of closing the log.
+// HandOverResult is the result of HandOver. Err is ErrHandedOver, ErrLogIncomplete or an error of closing the log.
 type HandOverResult struct {
 	State HandoverState
 	Err   error
 }
 
-// LogIntact tells whether the log holds all that the loop knows; only then may it hand over.
+// LogIntact reports whether the log holds everything that the loop knows. Only then may the loop hand over.
 func (l *Loop) LogIntact() bool {
 	answer := make(chan bool, 1)
 	l.Post(inspect(func() { answer <- l.successor == nil && !l.wal.Incomplete() }))
@@ -101,7 +103,7 @@
 // completeHandOver ends the loop's ownership of the log at the end of an iteration.
 func (l *Loop) completeHandOver() {
 	if len(l.backlog) > 0 {
-		return // results of calls that never left are still to be entered
+		return // results of calls that never left have yet to be recorded
 	}
 	h := l.handOver
 	l.handOver = nil
@@ -117,7 +119,7 @@
 	}
 }
 
-// handoverState is the state for the successor.
+// handoverState returns the state for the successor.
 func (l *Loop) handoverState() HandoverState {
 	s := HandoverState{
 		At: l.now, Stamp: l.wal.Times().Stamp(l.now), Version: l.group.Version(), Routes: map[string]control.RouteState{},
@@ -133,7 +135,7 @@
 	}
 	call := 0
 	for _, c := range l.inFlightInOrder(anyTarget) {
-		if !c.launched { // its client was not answered in time: it never leaves
+		if !c.launched { // its client was not answered in time, so it never leaves
 			delete(l.inFlight, c)
 			continue
 		}
@@ -144,16 +146,16 @@
 			}
 		}
 	}
-	for key, remoteCall := range l.remote { // of a process before this one: passed on when they are known
+	for key, remoteCall := range l.remote { // attempts of an earlier process; their results are forwarded, too
 		s.InFlight = append(s.InFlight, RemoteAttempt{key.num, key.attempt, call + 1 + remoteCall})
 	}
 	return s
 }
 
-// nothingInFlight tells whether neither this process nor the one before it waits for a call.
+// nothingInFlight reports whether neither this process nor its predecessor has calls in flight.
 func (l *Loop) nothingInFlight() bool { return len(l.inFlight)+len(l.remote) == 0 }
 
-// handleAfterHandOver is all that a loop still does with an event once it has handed over.
+// handleAfterHandOver handles an event after the loop has handed over. Events that it does not name are dropped.
 func (l *Loop) handleAfterHandOver(event Event) {
 	switch e := event.(type) {
 	case CallEnded:
@@ -178,7 +180,7 @@
 	}
 }
 
-// forwardResults tells the successor how attempts of this process ended.
+// forwardResults forwards the results of this process's attempts to the successor.
 func (l *Loop) forwardResults(ended CallEnded) {
 	for _, r := range ended.Results {
 		a := r.Attempt
@@ -196,7 +198,8 @@
 	}
 }
 
-// handoverTime is when a state was made. Its wall time does not outlast a step of the clock.
+// handoverTime returns the time at which a handover state was made. It prefers the stamp, because a step of the clock
+// invalidates the wall time.
 func (l *Loop) handoverTime(s *HandoverState) time.Time {
 	if s.Stamp == 0 {
 		return s.At
@@ -204,7 +207,7 @@
 	return l.wal.Times().Time(s.Stamp)
 }
 
-// restoreHandover takes up the state of the process before this one, before the loop's first iteration.
+// restoreHandover restores the state of the predecessor, before the loop's first iteration.
 func (l *Loop) restoreHandover(s *HandoverState) {
 	l.remote = remoteAttempts{}
 	for _, a := range s.InFlight {
@@ -217,7 +220,7 @@
 	l.backlog = append(l.backlog, list, inspect(func() { l.restoreRoutes(s) }))
 }
 
-// restoreRoutes gives the controller what the process before this one knew of routes, once the endpoints are listed.
+// restoreRoutes passes the predecessor's state of the routes to the controller, once the endpoints are listed.
 func (l *Loop) restoreRoutes(s *HandoverState) {
 	elapsed := max(0, l.now.Sub(l.handoverTime(s)))
 	if s.UncertainFor > 0 {
@@ -239,7 +242,7 @@
 	l.controller.SetRemoteInFlight(l.sinceStart(), l.remote.calls())
 }
 
-// remoteResult enters how a remote attempt ended, as attemptEnded does for those of this process.
+// remoteResult records the result of a remote attempt, as attemptEnded does for the attempts of this process.
 func (l *Loop) remoteResult(r RemoteResult) {
 	if !l.remote.remove(remoteAttemptKey{r.Message, r.Attempt}) {
 		return
@@ -270,7 +273,7 @@
 	}
 }
 
-// recordRemoteResult enters how a remote attempt ended into the message's history.
+// recordRemoteResult records the result of a remote attempt in the message's history.
 func (l *Loop) recordRemoteResult(e *entry, r RemoteResult) {
 	if l.deadLetterQueue == nil {
 		return
@@ -285,7 +288,7 @@
 	l.deadLetterQueue.CallEnded(e.Destination, r.Result, r.RetryAfter, e.deadLetterSeq > 0)
 }
 
-// predecessorLost takes the attempts that are still remote for such as may have run.
+// predecessorLost treats the attempts that are still remote as attempts that may have run.
 func (l *Loop) predecessorLost() {
 	clear(l.remote)
 	l.controller.SetRemoteInFlight(l.sinceStart(), 0)
--- a/internal/state/interfaces.go
+++ b/internal/state/interfaces.go
@@ -7,67 +7,70 @@
 	"cleathold/internal/gossip"
 )
 
-// Transport carries calls to endpoints. None of its methods may block; how a call ended is posted to the loop, once
-// for each attempt (CallEnded), and so is the result of a health check (HealthChecked).
+// Transport carries calls to endpoints. None of its methods may block. It posts the result of each attempt to the loop
+// exactly once (CallEnded), and the result of each health check (HealthChecked).
 type Transport interface {
 	Send(c *Call)
 	Cancel(c *Call)
-	// CancelUnsent ends a call as not sent if its first byte has not left yet.
+	// CancelUnsent ends a call as not sent if its first byte has not been written yet.
 	CancelUnsent(c *Call)
 	HealthCheck(t Target, deadline time.Time)
 	Disconnect(target string)
 }
 
-// Discovery polls discovery. It posts ListUpdate, ListUnreadable, PollOpen and PollFailed.
+// Discovery polls the discovery service. It posts ListUpdate, ListUnreadable, PollOpen and PollFailed.
 type Discovery interface {
 	Watch(on bool, since int64)
 	Fetch()
 }
 
-// Reporter delivers reports in order until they are acknowledged, and posts ReportsAcknowledged. It never blocks.
+// Reporter delivers reports to the platform in order until they are acknowledged, and posts ReportsAcknowledged. It
+// never blocks.
 type Reporter interface {
-	Report(n DeliveryReport)
+	Report(r DeliveryReport)
 }
 
-// GossipSender tells the other senders of the fleet. It never blocks.
+// GossipSender sends observations to the other senders of the fleet. It never blocks.
 type GossipSender interface {
-	SendGossip(facts []gossip.Observation)
+	SendGossip(observations []gossip.Observation)
 }
 
-// Successor is the process that comes after this one, to one that has handed over.
+// Successor is the process that takes over from one that has handed over.
 type Successor interface {
-	// RemoteResult tells how an attempt ended; none more is in flight after the last.
+	// RemoteResult passes the result of an attempt to the successor. If last is set, no further attempt is in flight.
 	RemoteResult(r RemoteResult, last bool)
 }
 
-// LoopLoad is how busy the loop is: calls in flight and open messages, with what either may reach.
+// LoopLoad is the load of the loop: the calls in flight and the open messages, each with its limit.
 type LoopLoad struct{ MaxInFlight, InFlight, MaxOpenMessages, Open int }
 
-// DestinationCapacity is what the endpoint group knows of a destination.
+// DestinationCapacity is the capacity of a destination as the endpoint group knows it.
 type DestinationCapacity struct {
-	Weight float64 // calls a second that it takes from all senders together; 0 = not known
-	Ready  int     // endpoints that take new work
+	Weight float64 // calls per second that it takes from all senders together; 0 = not known
+	Ready  int     // number of endpoints that take new work
 }
 
-// DeadLetterQueue keeps what can't be delivered. None of its methods may block: the loop calls them within its
-// iterations. It posts Redelivery, and DeadLettersStored once it has a dead letter.
+// DeadLetterQueue keeps messages that can't be delivered. None of its methods may block: the loop calls them within its
+// iterations. It posts Redelivery to have a message sent again, and DeadLettersStored once it has stored dead letters.
 type DeadLetterQueue interface {
-	// ClassesChanged tells, before Begin and again with new settings, the names of all classes by number, those of
-	// messages from before other settings included, which numbers the names of the settings have now, and the settings.
-	ClassesChanged(names []string, now map[string]int, set control.Settings)
-	// Begin tells once, at the start, which dead letters the log still owes (by message id), and which records are being
-	// sent again.
-	Begin(owed []string, out []uint64)
-	// Accepts tells who gets a message that ends: the queue (true) or its client.
-	Accepts(p *DeadLetter) bool
-	// Add gives it a dead letter; DeadLettersStored is owed for it, except where it was not admitted.
-	Add(p DeadLetter)
-	// Forget tells that the log has forgotten messages, so that they never come again.
+	// ClassesChanged is called before Begin and whenever the settings change. It passes the names of all classes by
+	// number, including those of messages accepted under earlier settings, the numbers of the classes that the current
+	// settings name, and the settings.
+	ClassesChanged(names []string, current map[string]int, settings control.Settings)
+	// Begin is called once, at the start. It passes the IDs of the messages that the log still owes to the queue, and
+	// the records that are being redelivered.
+	Begin(owed []string, redelivered []uint64)
+	// Accepts reports whether the queue takes a message that ends. Otherwise its client gets it back.
+	Accepts(d *DeadLetter) bool
+	// Add passes a dead letter to the queue. The queue must post DeadLettersStored for it, unless the dead letter is a
+	// redelivery that was not admitted.
+	Add(d DeadLetter)
+	// Forget passes the IDs of messages that the log no longer holds, so that their dead letters are never added again.
 	Forget(ids []string)
-	// CallEnded tells how a call ended.
-	CallEnded(destination int, r control.Result, wait time.Duration, resend bool)
-	// CapacityChanged tells what is known of the destinations.
+	// CallEnded passes the result of an attempt.
+	CallEnded(destination int, r control.Result, retryAfter time.Duration, redelivery bool)
+	// CapacityChanged passes the known capacities by destination.
 	CapacityChanged(map[int]DestinationCapacity)
-	// LoadChanged tells how busy the loop is, once an iteration.
+	// LoadChanged passes the load of the loop, once per iteration.
 	LoadChanged(LoopLoad)
 }
--- a/internal/state/iteration.go
+++ b/internal/state/iteration.go
@@ -6,13 +6,14 @@
 	"cleathold/control"
 )
 
-// walRetryInterval is left between two attempts to write what the log lacks.
+// walRetryInterval is the delay between two attempts to write the records that the log still lacks.
 const walRetryInterval = 20 * time.Millisecond
 
-// sinceStart is the controller's clock.
+// sinceStart returns the current time on the controller's clock.
 func (l *Loop) sinceStart() time.Duration { return l.now.Sub(l.startedAt) }
 
-// restoreMessages takes up what is owed by the log.
+// restoreMessages resumes the messages recovered from the log: it reports those that have ended, and submits the others
+// to the controller unless an attempt is still in flight at the predecessor.
 func (l *Loop) restoreMessages() {
 	l.started = true
 	l.now = l.clock()
@@ -31,7 +32,7 @@
 	}
 }
 
-// iterate is one iteration.
+// iterate runs one iteration.
 func (l *Loop) iterate() {
 	l.now = l.clock()
 	events := l.backlog
@@ -55,12 +56,12 @@
 	}
 }
 
-// drainEvents handles what is in the queue, up to a number of events.
+// drainEvents handles queued events, up to a maximum number.
 func (l *Loop) drainEvents(limit int) {
 	for range limit {
 		select {
 		case e := <-l.events:
-			l.now = l.clock() // what came in the middle of the iteration is not older than that
+			l.now = l.clock() // an event that arrived during the iteration gets a current time
 			e.apply(l)
 		default:
 			return
@@ -68,8 +69,8 @@
 	}
 }
 
-// commit makes known what an iteration did. The log comes first: no client hears that a message is accepted, no
-// attempt leaves and no report goes out before the record of it is written.
+// commit makes the results of an iteration take effect. The log is written first: no client is answered, no attempt
+// leaves and no report is sent before the record of it is written.
 func (l *Loop) commit() {
 	waiting := l.logIteration()
 	if err := l.wal.Flush(); err != nil {
@@ -87,7 +88,7 @@
 	}
 	l.admitted, l.readyCalls = nil, waiting
 	if l.wal.Incomplete() {
-		l.reportOverdue() // the rest is not known for good yet: in a later iteration
+		l.reportOverdue() // the other reports wait until their records are durable
 		l.scheduleWALRetry()
 		return
 	}
@@ -104,7 +105,7 @@
 	}
 }
 
-// logIteration adds the iteration's messages and calls to the log, and returns the calls that wait.
+// logIteration adds the iteration's messages and calls to the log, and returns the calls that have to wait.
 func (l *Loop) logIteration() (waiting []*Call) {
 	for _, e := range l.admitted {
 		if l.table.entries[e.num] == e && e.deadLetterSeq == 0 {
@@ -119,8 +120,8 @@
 	}
 	l.newCalls = nil
 	clear(l.callsByEndpoint)
-	// A call that was split by its size is one more in flight than the controller knows of: it waits until one has
-	// ended.
+	// When messages are split over several calls because of their size, there are more calls in flight than the
+	// controller knows of. The surplus calls wait until another call has ended.
 	free := max(0, l.settings.MaxInFlight-l.callsInFlight-l.remote.calls())
 	waiting = l.readyCalls[min(len(l.readyCalls), free):]
 	l.readyCalls = l.readyCalls[:len(l.readyCalls)-len(waiting)]
@@ -130,7 +131,7 @@
 	return waiting
 }
 
-// rollBack takes back what an iteration did and the log could not hold.
+// rollBack undoes the results of an iteration that could not be written to the log.
 func (l *Loop) rollBack() {
 	for _, e := range l.admitted {
 		if l.table.entries[e.num] != e {
@@ -155,7 +156,7 @@
 	l.readyCalls = nil
 }
 
-// scheduleWALRetry sees to it that an iteration comes soon, in which the log is written again.
+// scheduleWALRetry schedules an iteration that retries writing the log.
 func (l *Loop) scheduleWALRetry() {
 	if l.walRetryPending {
 		return
--- a/internal/state/listcertainty.go
+++ b/internal/state/listcertainty.go
@@ -6,16 +6,17 @@
 	"cleathold/internal/permit"
 )
 
-// What discovery has begun to write counts as notified, whether or not it could be read (PROTOCOL, 'The rules on
-// sockets'). From the first byte of an answer that broke off until the next whole one the endpoint list is uncertain:
-// an endpoint on it may drain. So it is from an answer after which no poll follows at once, as a watch goes on for
-// 200 ms after it. Before the drain grace is over, counted from then, sends are suspended.
+// An update counts as notified once discovery has begun to write it, whether or not it could be read (PROTOCOL, 'The
+// rules on sockets'). Therefore the endpoint list is uncertain from the first byte of an answer that broke off until
+// the next complete answer: a listed endpoint may be draining. The list is also uncertain after an answer that is not
+// followed by a poll immediately, since a watch goes on for 200 ms after the answer. Sends are suspended before the
+// drain grace, counted from the start of the uncertainty, is over.
 
-// defaultUncertaintyTimeout is UncertaintyTimeout where the settings tell no poll interval.
+// defaultUncertaintyTimeout is the result of UncertaintyTimeout if the settings have no poll interval.
 const defaultUncertaintyTimeout = 10 * time.Second
 
-// UncertaintyTimeout is how long sends are suspended after discovery last began an answer that could not be read. If
-// nothing was heard of it for so long, as in an outage, the list that is known counts again.
+// UncertaintyTimeout returns how long sends are suspended after discovery last began an answer that could not be read.
+// If discovery sends nothing for that time, as in an outage, the known list counts as certain again.
 func UncertaintyTimeout(maxPollInterval time.Duration) time.Duration {
 	if maxPollInterval <= 0 {
 		return defaultUncertaintyTimeout
@@ -23,14 +24,13 @@
 	return maxPollInterval
 }
 
-// listCertainty tells from when until when sends are suspended because the list may not be the one that was told
-// last.
+// listCertainty records since when the known endpoint list may be outdated, which determines when sends are suspended.
 type listCertainty struct {
-	since  time.Time // when the first answer that could not be read began; zero: the list is known
-	latest time.Time // when the latest did
+	since  time.Time // when the first unreadable answer began; zero: the list is certain
+	latest time.Time // when the latest unreadable answer began
 }
 
-// markUncertain notes an answer that could not be read.
+// markUncertain records an answer that could not be read.
 func (c *listCertainty) markUncertain(at time.Time) {
 	if c.since.IsZero() {
 		c.since = at
@@ -38,9 +38,9 @@
 	c.latest = at
 }
 
-// suspended tells whether nothing new may be sent at a time, and when to look again; the zero time stands for never.
+// suspended reports whether new sends are suspended at a time, and when to check again; the zero time stands for never.
 func (c *listCertainty) suspended(now time.Time, grace, timeout time.Duration) (suspend bool, next time.Time) {
-	if c.since.IsZero() || grace <= 0 { // or the settings know no such rule
+	if c.since.IsZero() || grace <= 0 { // certain, or the settings have no drain grace
 		return false, time.Time{}
 	}
 	from, to := c.since.Add(permit.LastSendAfter(grace)), c.latest.Add(timeout)
@@ -54,8 +54,8 @@
 	return false, time.Time{}
 }
 
-// listKnown takes a whole answer: all that was told before is known with it. Where polls pause after it, what is told
-// in the meantime is not.
+// listKnown records a complete answer, which includes all earlier updates. If polls pause after it, updates during the
+// pause are not known, so the list becomes uncertain again.
 func (l *Loop) listKnown(pollPaused bool) {
 	l.certainty = listCertainty{}
 	if pollPaused {
@@ -64,10 +64,10 @@
 	l.reviewList()
 }
 
-// reviewList suspends sends, or resumes them, by what is known of the list. It sees to it that it is called again.
+// reviewList suspends or resumes sends according to the certainty of the list. It schedules its next call.
 func (l *Loop) reviewList() {
 	if l.successor != nil {
-		return // another process sends
+		return // another process has taken over the sends
 	}
 	suspend, next := l.certainty.suspended(l.now, l.settings.DrainGrace, UncertaintyTimeout(l.settings.MaxPollInterval))
 	if !next.IsZero() {
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -1,10 +1,10 @@
-// Package state is the sender's event loop, which alone owns the controller, the table of the messages that were
-// accepted, the endpoint group (internal/endpointgroup) and the write-ahead log (internal/wal). Others only post
-// events to it.
+// Package state is the sender's event loop. The loop alone owns the controller, the table of accepted messages, the
+// endpoint group (internal/endpointgroup) and the write-ahead log (internal/wal); other goroutines only post events to
+// it.
 //
-// It speaks no protocol: its Transport carries calls, its Discovery polls, its Reporter delivers reports, and each
-// posts what came of that. It decides neither what is sent when (package control) nor whether a send is allowed
-// (package permit).
+// The package implements no protocol: Transport carries calls, Discovery polls for endpoints and Reporter delivers
+// reports, and each of them posts its results to the loop. Package control decides what is sent and when, and package
+// permit decides whether a send is allowed.
 package state
 
 import (
@@ -20,32 +20,32 @@
 	"cleathold/internal/wal"
 )
 
-// maxEventsPerIteration is the most events that are drained before the controller decides.
+// maxEventsPerIteration is the maximum number of events that one iteration handles before the controller decides.
 const maxEventsPerIteration = 512
 
-// Setup is what a loop is built from.
+// Setup is the configuration of a new loop.
 type Setup struct {
 	Settings    control.Settings
-	Classes     []string   // names of the classes in the settings, by their numbers
-	Known       ListUpdate // the endpoint list to start with; not used where Handover has one
+	Classes     []string   // names of the classes in Settings, by class number
+	Known       ListUpdate // the endpoint list to start with; ignored if Handover is set
 	Dir         string     // the state folder
-	DiskBytes   int64      // that all files in it may take
+	DiskBytes   int64      // the maximum size of all files in Dir
 	Log         *slog.Logger
-	DeadLetters DeadLetterQueue // nil: what can't be delivered is not kept
+	DeadLetters DeadLetterQueue // nil: undeliverable messages are not kept
 
-	Handover *HandoverState // of a process before this one that runs on; nil: there is none
+	Handover *HandoverState // state of a predecessor that still runs; nil: there is none
 
-	Counters *Counters // of the process; nil: of this loop alone
+	Counters *Counters // shared by all loops of the process; nil: the loop has its own
 
 	Durability store.Durability // of the log
-	GroupWait  time.Duration    // where that is Group
+	GroupWait  time.Duration    // used if Durability is Group
 
-	// For a simulation that drives the loop by Step, in a time of its own.
-	Clock    func() time.Time // nil: the machine's
-	InMemory bool             // the log is kept nowhere; its limit holds all the same
+	// For simulations that drive the loop with Step in virtual time.
+	Clock    func() time.Time // nil: time.Now
+	InMemory bool             // the log is not written to disk; its size limit applies nevertheless
 }
 
-// Loop is the event loop. All it owns is touched by its own goroutine alone.
+// Loop is the event loop. Only its own goroutine accesses its state.
 type Loop struct {
 	settings        control.Settings
 	log             *slog.Logger
@@ -58,11 +58,11 @@
 
 	events     chan Event
 	clock      func() time.Time
-	startedAt  time.Time // from which the controller counts
-	now        time.Time // of the iteration
+	startedAt  time.Time // the origin of the controller's clock
+	now        time.Time // the time of the current iteration
 	timer      *time.Timer
 	timerToken uint32
-	wakeAt     time.Time // what the timer is set to
+	wakeAt     time.Time // when the timer goes off
 
 	table       *table
 	group       *endpointgroup.Group
@@ -70,26 +70,26 @@
 	wal         *wal.Log
 	counters    *Counters
 	retryAfters retryAfterTable
-	certainty   listCertainty // whether the endpoint list is the one that was told last
+	certainty   listCertainty // whether the known endpoint list is discovery's latest
 
-	// What an iteration collects for its end.
-	admitted        []*entry // their clients are not answered yet
+	// Collected during an iteration and processed at its end.
+	admitted        []*entry // messages whose clients have not been answered yet
 	callsByEndpoint map[control.EndpointID]*Call
 	newCalls        []*Call
-	readyCalls      []*Call // to be launched
+	readyCalls      []*Call // calls that are ready to be launched
 	reports         []DeliveryReport
 	deadLetters     []*DeadLetter
-	forgottenIDs    []string // that the log has forgotten, of messages that the dead-letter queue has
+	forgottenIDs    []string // IDs of dead letters that the log no longer holds
 	gossip          []gossip.Observation
-	backlog         []Event // of the loop's own making, for the next iteration
+	backlog         []Event // events for the next iteration
 
-	inFlight        map[*Call]int // attempts without an end
-	callsInFlight   int           // calls with the transport
-	walRetryPending bool          // an iteration that writes the log again is on its way
+	inFlight        map[*Call]int // attempts without a result, by call
+	callsInFlight   int           // calls that the transport has
+	walRetryPending bool          // an iteration that retries writing the log is scheduled
 
-	handOver  *HandOver      // asked for in this iteration
-	successor Successor      // to whom everything was handed over
-	remote    remoteAttempts // in flight at the predecessor
+	handOver  *HandOver      // the hand-over that was requested, until it is complete
+	successor Successor      // set once the state has been handed over
+	remote    remoteAttempts // attempts in flight at the predecessor
 
 	started  bool
 	stopped  bool // no new messages
@@ -97,8 +97,8 @@
 	finished chan struct{}
 }
 
-// NewLoop reads the log and makes a loop; Run starts it. Errors are those of the state folder and of settings that
-// make no sense.
+// NewLoop reads the log and returns a loop that Run starts. It returns an error if the state folder can't be used or
+// the settings are invalid.
 func NewLoop(s Setup) (*Loop, error) {
 	registry := &classRegistry{}
 	for i, c := range s.Settings.Classes {
@@ -118,7 +118,7 @@
 	if s.Counters == nil {
 		s.Counters = &Counters{}
 	}
-	s.Settings.Classes = registry.classes() // with those of messages from before other settings
+	s.Settings.Classes = registry.classes() // including the classes of logged messages from earlier settings
 	l := &Loop{
 		settings: s.Settings, log: s.Log, deadLetterQueue: s.DeadLetters, events: make(chan Event, 2*maxEventsPerIteration),
 		clock: s.Clock, startedAt: s.Clock(), table: messages, group: endpointgroup.New(), wal: log, counters: s.Counters,
@@ -146,7 +146,7 @@
 	return l, nil
 }
 
-// openLog opens the log, and makes a table of what it tells.
+// openLog opens the log and returns it with a table of the messages recovered from it.
 func openLog(s Setup, registry *classRegistry) (*wal.Log, *table, error) {
 	t := newTable(registry)
 	if s.InMemory {
@@ -163,16 +163,17 @@
 	return log, t, nil
 }
 
-// Connect names those that carry calls, poll discovery and deliver reports; before Run.
+// Connect sets the transport, discovery and reporter. It must be called before Run.
 func (l *Loop) Connect(c Transport, d Discovery, n Reporter) {
 	l.transport, l.discovery, l.reporter = c, d, n
 }
 
-// ConnectPeers names the one who tells the other senders; before Run. Without one nothing is told.
+// ConnectPeers sets the sender of gossip to the other senders of the fleet. It must be called before Run. Without it no
+// gossip is sent.
 func (l *Loop) ConnectPeers(t GossipSender) { l.gossipSender = t }
 
-// Post hands an event to the loop. It blocks while the queue is full, as its callers are goroutines of their own.
-// After the end of Run the event is dropped.
+// Post posts an event to the loop. It blocks while the queue is full, which delays only the caller's goroutine. After
+// the end of Run the event is dropped.
 func (l *Loop) Post(event Event) {
 	select {
 	case l.events <- event:
@@ -180,7 +181,7 @@
 	}
 }
 
-// PostBefore is Post for one who can't wait longer than to a time; false where the event was not posted.
+// PostBefore posts an event like Post, but waits no longer than until limit. It reports whether the event was posted.
 func (l *Loop) PostBefore(event Event, limit time.Time) bool {
 	timer := time.NewTimer(time.Until(limit))
 	defer timer.Stop()
@@ -196,10 +197,10 @@
 // Stop ends the acceptance of new messages.
 func (l *Loop) Stop() { l.Post(stopping{}) }
 
-// Halt ends the making of new attempts; those in flight are awaited.
+// Halt ends the making of new attempts. The loop still waits for the attempts in flight.
 func (l *Loop) Halt() { l.Post(halting{}) }
 
-// Idle tells whether nothing is owed any more, or nothing is in flight of a halted loop.
+// Idle reports whether nothing more is owed, or whether the loop is halted and nothing is in flight.
 func (l *Loop) Idle() bool {
 	answer := make(chan bool, 1)
 	l.Post(inspect(func() { answer <- l.Drained() }))
@@ -211,7 +212,7 @@
 	}
 }
 
-// Drained is Idle for one who calls Step.
+// Drained reports the same as Idle, for a caller of Step.
 func (l *Loop) Drained() bool {
 	if l.successor != nil {
 		return l.nothingInFlight()
@@ -219,7 +220,7 @@
 	return l.table.idle() || l.halted && l.nothingInFlight()
 }
 
-// ListedTargets are the targets that discovery lists; none where the loop does not answer by a time.
+// ListedTargets returns the targets that discovery lists, or nil if the loop does not answer before the time limit.
 func (l *Loop) ListedTargets(by time.Time) []ListedTarget {
 	answer := make(chan []ListedTarget, 1)
 	if !l.PostBefore(inspect(func() { answer <- l.group.Listed() }), by) {
@@ -236,7 +237,7 @@
 	return nil
 }
 
-// Close lets go of the log, as the end of the process would. Run does it by itself.
+// Close closes the log, as the end of the process would. Run calls it when it returns.
 func (l *Loop) Close() {
 	if l.successor != nil {
 		return // it was closed when it was handed over
@@ -246,8 +247,8 @@
 	}
 }
 
-// Run runs iterations until the context ends. In an iteration all events that are in are handled, the controller
-// decides once, and what it did is committed.
+// Run runs iterations until the context ends. Each iteration handles all queued events, lets the controller decide once
+// and commits the results.
 func (l *Loop) Run(ctx context.Context) {
 	defer l.Close()
 	defer close(l.finished)
@@ -269,8 +270,8 @@
 	}
 }
 
-// Step runs iterations until these events and what they bring about are dealt with. It takes the place of Run, for
-// one who has the time in hand; TimerElapsed stands for the timer.
+// Step runs iterations until the given events and all events that result from them are handled. A caller that controls
+// the time uses it instead of Run, and passes TimerElapsed when the timer goes off.
 func (l *Loop) Step(events ...Event) {
 	if !l.started {
 		l.restoreMessages()
@@ -287,5 +288,5 @@
 	}
 }
 
-// WakeAt is when the timer goes off; zero where it is not set. For one who calls Step.
+// WakeAt returns when the timer goes off, or the zero time if it is not set. It is for callers of Step.
 func (l *Loop) WakeAt() time.Time { return l.wakeAt }
--- a/internal/state/message.go
+++ b/internal/state/message.go
@@ -7,62 +7,64 @@
 	"cleathold/control"
 )
 
-// MaxBody is how many bytes the body of one message, or of one call with several, may hold.
+// MaxBody is the maximum size in bytes of the body of a message, and of the body of a call that carries several
+// messages.
 const MaxBody = 64 << 10
 
-// FrameOverhead is how many bytes a message takes in a call with several, besides its id, key and body.
+// FrameOverhead is the number of bytes that framing adds to a message in a call with several messages, besides its ID,
+// key and body.
 const FrameOverhead = 16
 
-// Message is a message as it was submitted, in no protocol's terms.
+// Message is a message as a client submitted it, independent of the protocol.
 type Message struct {
 	ID, Key     string
 	Class       int
 	Tenant      int
 	Destination int
 	Deadline    time.Time
-	Resubmitted bool // submitted before, here or to a sender that died
-	Inherited   bool // an earlier sender had it and did not answer
+	Resubmitted bool // was submitted before, to this sender or to one that has failed
+	Inherited   bool // an earlier sender received it and did not answer
 	Body        []byte
 }
 
-// Response answers a client that submits a message.
+// Response is the answer to a client that submitted a message.
 type Response struct {
 	Accepted   bool
-	RetryAfter time.Duration // of a rejection: when to come back; 0 = no advice
-	Permanent  bool          // a rejection after which coming back is of no use
-	Invalid    InvalidReason // of a rejection: why the message can't be accepted at all
+	RetryAfter time.Duration // for a rejection: how long to wait before submitting again; 0 = no advice
+	Permanent  bool          // the message is rejected for good: submitting it again is of no use
+	Invalid    InvalidReason // for a rejection: why the message can't be accepted at all
 }
 
-// InvalidReason says why a message that is well formed can't be accepted.
+// InvalidReason is the reason why a well-formed message can't be accepted.
 type InvalidReason uint8
 
-// The reasons.
+// The reasons why a message is invalid.
 const (
 	Valid              InvalidReason = iota
-	UnknownDestination               // no endpoint of its destination was ever listed
-	DuplicateID                      // another message has or had this id
+	UnknownDestination               // no endpoint of the destination was ever listed
+	DuplicateID                      // another message has this ID, or had it recently
 )
 
-// AdmissionDecision is made once: either the loop accepts a message, or the listener, whose client can't wait any
-// longer, rejects it.
+// AdmissionDecision is the decision on one message, which is made exactly once: either the loop accepts the message, or
+// the listener rejects it because its client can't wait any longer.
 type AdmissionDecision struct{ made atomic.Bool }
 
-// Reject decides against the message. False: it has been accepted.
+// Reject decides to reject the message. It returns false if the message has already been accepted.
 func (d *AdmissionDecision) Reject() bool { return d.made.CompareAndSwap(false, true) }
 
-// accept decides for it. False: its client has been rejected.
+// accept decides to accept the message. It returns false if the listener has already rejected it.
 func (d *AdmissionDecision) accept() bool { return d == nil || d.made.CompareAndSwap(false, true) }
 
-// DeliveryReport tells the platform of a message that was accepted and ended undelivered.
+// DeliveryReport reports to the platform that an accepted message ended undelivered.
 type DeliveryReport struct {
 	Number     control.MessageID
 	ID         string
-	Deferred   bool // the client gets it back; else it is undeliverable
+	Deferred   bool // the message is returned to the client; otherwise it is undeliverable
 	RetryAfter time.Duration
-	DeadLetter *DeadLetter // the dead-letter queue gets the message
+	DeadLetter *DeadLetter // set if the message goes to the dead-letter queue
 }
 
-// outcome is the report's word in what is pending.
+// outcome returns the name of the report's outcome as ReadPending lists it.
 func (r *DeliveryReport) outcome() string {
 	if r.Deferred {
 		return "deferred"
--- a/internal/state/outcome.go
+++ b/internal/state/outcome.go
@@ -4,9 +4,10 @@
 	"cleathold/control"
 )
 
-// Outcomes: how an attempt ended is entered, and the outcome of a message is told to whoever is owed it.
+// Outcomes: the results of attempts are recorded, and the outcomes of messages are reported to the platform, the client
+// or the dead-letter queue.
 
-// CallEnded tells how some attempts of a call ended.
+// CallEnded is the event that some attempts of a call have ended.
 type CallEnded struct {
 	Call    *Call
 	Results []AttemptResult
@@ -14,12 +15,12 @@
 
 func (e CallEnded) apply(l *Loop) { l.callEnded(e) }
 
-// ReportsAcknowledged tells that the platform has taken reports.
+// ReportsAcknowledged is the event that the platform has acknowledged reports.
 type ReportsAcknowledged struct{ Numbers []control.MessageID }
 
 func (e ReportsAcknowledged) apply(l *Loop) { l.reportsAcknowledged(e) }
 
-// callEnded enters how some attempts of a call ended.
+// callEnded records the results of attempts of a call.
 func (l *Loop) callEnded(ended CallEnded) {
 	for _, r := range ended.Results {
 		l.checkSent(ended.Call, r)
@@ -33,7 +34,7 @@
 	}
 }
 
-// attemptEnded enters the first result of an attempt.
+// attemptEnded records the first result of an attempt.
 func (l *Loop) attemptEnded(c *Call, r AttemptResult) {
 	a := r.Attempt
 	a.ended = true
@@ -48,7 +49,8 @@
 		e.inFlight--
 	}
 	if r.Result == control.Unprocessable && c.size > 1 {
-		// One of them is to blame. Each goes by itself from now on, so that the others arrive and the one is found.
+		// One of the messages in the call can't be processed. Each is sent in a call of its own from now on, so that
+		// the others are delivered and the unprocessable one is identified.
 		r.Result = control.NotSent
 		if e != nil {
 			e.unbatched = true
@@ -72,21 +74,21 @@
 	}
 }
 
-// finalResult enters a result after which an endpoint owes nothing more.
+// finalResult records a result after which nothing more is owed for the message.
 func (l *Loop) finalResult(e *entry, r control.Result) {
 	if r == control.Served && e.report == nil {
 		l.counters.delivered.Add(1)
 	}
 	switch {
-	case l.table.entries[e.num] != e: // the controller has ended it
-	case e.deadLetterSeq > 0 && e.report == nil: // the dead-letter queue hears of it first
+	case l.table.entries[e.num] != e: // the controller has already ended the message
+	case e.deadLetterSeq > 0 && e.report == nil: // the dead-letter queue has to store the result first
 		l.endRedelivery(e, r)
 	case e.report == nil || e.deadLetter == nil:
 		l.forget(e)
 	}
 }
 
-// forget drops a message for which nothing more is owed.
+// forget drops a message for which nothing more is owed, and records its end in the log.
 func (l *Loop) forget(e *entry) {
 	if l.table.entries[e.num] != e {
 		return
@@ -102,7 +104,7 @@
 	}
 }
 
-// endMessage gives a message its outcome: a rejection if its client still waits for a response, else a report.
+// endMessage ends a message with an outcome: a rejection if its client still waits for a response, otherwise a report.
 func (l *Loop) endMessage(id control.MessageID, n DeliveryReport) {
 	e := l.table.entries[id]
 	if e == nil || e.report != nil {
@@ -132,8 +134,8 @@
 	l.reports = append(l.reports, n)
 }
 
-// markEnded ends a message in the table and in the log. Where its body is needed no more, what is left takes the
-// place of all records before it, so that the body takes no room.
+// markEnded marks a message as ended in the table and in the log. If its body is no longer needed, a short record
+// replaces all its earlier records in the log, so that the body takes no space.
 func (l *Loop) markEnded(e *entry, n DeliveryReport) {
 	l.table.markEnded(e, n)
 	if len(e.Body) > 0 {
@@ -143,7 +145,8 @@
 	l.wal.Replace(e.logEntry())
 }
 
-// reportsAcknowledged forgets the messages whose reports the platform has.
+// reportsAcknowledged drops the messages whose reports the platform has acknowledged, unless the dead-letter queue has
+// yet to store them.
 func (l *Loop) reportsAcknowledged(a ReportsAcknowledged) {
 	for _, num := range a.Numbers {
 		if e := l.table.entries[num]; e != nil && e.report != nil {
@@ -154,8 +157,9 @@
 	}
 }
 
-// reportOverdue reports messages whose time is up, though the log lacks them: the next process, if it comes to that,
-// gives these messages up as well, and a second report does no harm.
+// reportOverdue sends the reports of messages whose deadlines have passed, although the log lacks the records of these
+// outcomes. If the process ends before they are written, the next process gives up the same messages, and a second
+// report does no harm.
 func (l *Loop) reportOverdue() {
 	waiting := l.reports[:0]
 	for _, n := range l.reports {
--- a/internal/state/pending.go
+++ b/internal/state/pending.go
@@ -7,13 +7,13 @@
 	"cleathold/internal/wal"
 )
 
-// FormWritten is the form of the journal in the state folder that this program writes (wal.FormWritten).
+// FormWritten is the format of the journal that this program writes to the state folder (wal.FormWritten).
 const FormWritten = wal.FormWritten
 
-// FormsRead are the forms that this program takes up (wal.FormsRead).
+// FormsRead are the journal formats that this program can read (wal.FormsRead).
 var FormsRead = wal.FormsRead
 
-// Pending is one message that a state folder still owes something for.
+// Pending is one message for which a state folder still owes something.
 type Pending struct {
 	ID          string
 	Destination int
@@ -23,8 +23,8 @@
 	Owed        string // "delivery", "deferred" or "undeliverable"
 }
 
-// ReadPending lists what the journal of a folder owes, without touching it. Errors are those of the folder and its
-// files.
+// ReadPending lists the messages that the journal of a folder owes, without changing the folder. It returns an error if
+// the folder or its files can't be read.
 func ReadPending(dir string, log *slog.Logger) ([]Pending, error) {
 	entries, err := wal.Read(dir, log)
 	if err != nil {
--- a/internal/state/redelivery.go
+++ b/internal/state/redelivery.go
@@ -7,23 +7,23 @@
 	"cleathold/internal/wal"
 )
 
-// Redelivery asks for a dead letter to be sent again.
+// Redelivery is the event that the queue requests that a dead letter is sent again.
 type Redelivery struct {
 	Seq          uint64
 	Message      *Message
-	Attempts     int           // attempts before
+	Attempts     int           // number of earlier attempts
 	MayHaveRun   bool          // one of them may have run
-	FirstRunAgo  time.Duration // the first such
+	FirstRunAgo  time.Duration // age of the first attempt that may have run
 	FirstRunZone int
 }
 
 func (r Redelivery) apply(l *Loop) { l.admitRedelivery(r) }
 
-// RedeliveryDenial says why a redelivery is not admitted. It is the Reason of the dead letter that goes back to the
-// queue, in words for operators; empty: it is admitted.
+// RedeliveryDenial is the reason why a redelivery is not admitted, or empty if it is admitted. It becomes the Reason of
+// the dead letter that goes back to the queue, as a text for operators.
 type RedeliveryDenial string
 
-// The denials, in the order in which they are looked for.
+// The denials, in the order in which they are checked.
 const (
 	RedeliveryAdmitted     RedeliveryDenial = ""
 	DeniedStopping         RedeliveryDenial = "the sender stops"
@@ -37,8 +37,8 @@
 	DeniedLogFailed        RedeliveryDenial = "the journal can't be written"
 )
 
-// admitRedelivery admits a message that the queue sends again, unless capacity runs short or live messages for its
-// destination wait: live traffic goes first.
+// admitRedelivery admits a message that the queue sends again, unless capacity is short or live messages for its
+// destination are waiting: live traffic has priority.
 func (l *Loop) admitRedelivery(r Redelivery) {
 	e := &entry{Message: r.Message, num: l.table.next, responded: true, deadLetterSeq: r.Seq, attempts: r.Attempts}
 	if denial := l.redeliveryDenial(e); denial != RedeliveryAdmitted {
@@ -51,20 +51,20 @@
 		})
 	}
 	l.table.add(e)
-	// Before the controller sees it: it may end within this iteration.
+	// The entry is logged before the controller gets it, because the controller may end it within this iteration.
 	l.wal.AddEntry(e.logEntry())
 	l.admitted = append(l.admitted, e)
 	l.submitToController(e, false)
 }
 
-// denyRedelivery gives a message back to the queue that was never sent.
+// denyRedelivery returns to the queue a message that was never sent.
 func (l *Loop) denyRedelivery(e *entry, denial RedeliveryDenial) {
 	l.deadLetterQueue.Add(DeadLetter{
 		Seq: e.deadLetterSeq, Message: e.Message, NotAdmitted: true, Reason: string(denial), At: l.now,
 	})
 }
 
-// redeliveryDenial says why a redelivery is not admitted now.
+// redeliveryDenial returns the reason why a redelivery can't be admitted now.
 func (l *Loop) redeliveryDenial(e *entry) RedeliveryDenial {
 	switch {
 	case l.stopped || l.halted:
@@ -94,7 +94,8 @@
 	return RedeliveryAdmitted
 }
 
-// endRedelivery ends a message that the queue had sent again: it hears of that first.
+// endRedelivery ends a message that the queue had redelivered. The queue has to store the result before the message is
+// forgotten.
 func (l *Loop) endRedelivery(e *entry, r control.Result) {
 	d := l.newDeadLetter(e)
 	d.Delivered, d.Final = r == control.Served, r != control.Served
--- a/internal/state/remote.go
+++ b/internal/state/remote.go
@@ -2,24 +2,24 @@
 
 import "cleathold/control"
 
-// remoteAttemptKey names an attempt that another process has in flight.
+// remoteAttemptKey identifies an attempt that another process has in flight.
 type remoteAttemptKey struct {
 	num     control.MessageID
 	attempt int
 }
 
-// remoteAttempts are the attempts that another process of this sender has in flight, each with the call that it is
-// in.
+// remoteAttempts holds the attempts that another process of this sender has in flight, each with the number of its
+// call.
 type remoteAttempts map[remoteAttemptKey]int
 
-// remove takes an attempt off, and tells whether it was there.
+// remove removes an attempt and reports whether it was present.
 func (r remoteAttempts) remove(key remoteAttemptKey) bool {
 	_, found := r[key]
 	delete(r, key)
 	return found
 }
 
-// calls is how many calls they are in: each takes one of the sender's calls in flight.
+// calls returns the number of calls that carry the attempts. Each counts as one of the sender's calls in flight.
 func (r remoteAttempts) calls() int {
 	calls := map[int]bool{}
 	for _, call := range r {
--- a/internal/state/retryafter.go
+++ b/internal/state/retryafter.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// maxRetryAfters are remembered; beyond that those that have passed are forgotten first, and beyond twice that no
-// more are taken.
+// maxRetryAfters is the number of waits above which expired ones are removed. No more waits are recorded once there are
+// twice as many.
 const maxRetryAfters = 1024
 
-// routeKey names what a Retry-After binds: a destination, or one endpoint where its kind has separate routes. That is
-// bound by its address, too: discovery may list another endpoint there before the wait has passed, or have done so
-// unread.
+// routeKey identifies the scope of a Retry-After: a destination, or a single endpoint if the endpoints of its kind have
+// separate routes. For a single endpoint, the wait applies to its address, too: discovery may list another endpoint at
+// that address before the wait has expired, or may have done so in an update that was not read yet.
 type routeKey struct {
 	destination int
 	target      string
 	address     string
 }
 
-// addressKeyOf is what a Retry-After of an endpoint binds besides the endpoint itself.
+// addressKeyOf returns the key of an endpoint's address, to which a Retry-After applies besides the endpoint itself.
 func addressKeyOf(t Target) routeKey { return routeKey{destination: t.Destination, address: t.Addr} }
 
-// retryAfter is a wait that an endpoint asked for, from when to when.
+// retryAfter is the period of a wait that an endpoint requested.
 type retryAfter struct{ from, until time.Time }
 
-// retryAfterTable remembers the latest wait of each route.
+// retryAfterTable holds the wait of each route that ends last.
 type retryAfterTable map[routeKey]retryAfter
 
-// record enters a wait for a route, unless a longer one holds there.
+// record records a wait for a route, unless a wait that ends later is already recorded for it.
 func (t retryAfterTable) record(key routeKey, w retryAfter) {
 	if w.until.After(t[key].until) && len(t) < 2*maxRetryAfters {
 		t[key] = w
 	}
 }
 
-// prune forgets the waits that have passed, where many are remembered.
+// prune removes the expired waits if many waits are recorded.
 func (t retryAfterTable) prune(now time.Time) {
 	if len(t) < maxRetryAfters {
 		return
@@ -43,12 +43,12 @@
 	}
 }
 
-// separateRoutes tells whether a wait binds the one endpoint, not all of its destination.
+// separateRoutes reports whether a wait applies to one endpoint only, not to all endpoints of its destination.
 func (l *Loop) separateRoutes(kind int) bool {
 	return kind >= 0 && kind < len(l.settings.Kinds) && l.settings.Kinds[kind].SeparateRoutes
 }
 
-// routeKeyOf is what a Retry-After of an endpoint binds.
+// routeKeyOf returns the key of the route to which a Retry-After of an endpoint applies.
 func (l *Loop) routeKeyOf(t Target) routeKey {
 	if l.separateRoutes(t.Kind) {
 		return routeKey{destination: t.Destination, target: t.ID}
@@ -56,7 +56,7 @@
 	return routeKey{destination: t.Destination}
 }
 
-// recordRetryAfter remembers a Retry-After that came from an endpoint now.
+// recordRetryAfter records a Retry-After that an endpoint has just sent.
 func (l *Loop) recordRetryAfter(t Target, after time.Duration) {
 	l.retryAfters.prune(l.now)
 	w := retryAfter{l.now, l.now.Add(after)}
@@ -66,7 +66,7 @@
 	}
 }
 
-// applyRetryAfters has the waits of an address bind the endpoints that are listed there now.
+// applyRetryAfters applies the waits recorded for an address to the endpoints that are listed there now.
 func (l *Loop) applyRetryAfters(listed []Target) {
 	for _, x := range listed {
 		t := l.group.ByID(x.ID)
@@ -80,7 +80,8 @@
 	}
 }
 
-// withholdForRetryAfter withholds the calls that a Retry-After of an endpoint binds: they would arrive within it.
+// withholdForRetryAfter withholds the calls to which an endpoint's Retry-After applies, because they would arrive
+// before it has expired.
 func (l *Loop) withholdForRetryAfter(from Target) {
 	l.withhold(func(t Target) bool {
 		return t.Destination == from.Destination && (t.ID == from.ID || !l.separateRoutes(from.Kind))
--- a/internal/state/sendcheck.go
+++ b/internal/state/sendcheck.go
@@ -5,22 +5,22 @@
 	"cleathold/internal/permit"
 )
 
-// Log lines of faults in this program. Package soak fails a run whose log has one of them.
+// Log messages about faults of this program. Package soak fails a run whose log contains one of them.
 const (
-	LogCallAgainstRule = "call sent against a rule"               // found after it left
-	LogInvalidSend     = "send of an unknown message or endpoint" // asked for by the controller, and not made
+	LogCallAgainstRule = "call sent against a rule"               // detected after the call was sent
+	LogInvalidSend     = "send of an unknown message or endpoint" // requested by the controller, and not made
 )
 
-// A send that the controller decided on is checked for the last time as its call is about to leave (package permit).
-// The result of a call tells when its first byte was written, which is checked by the same rules: a violation is
-// counted and logged, and never goes unseen.
+// Each send that the controller decided on is checked a last time when its call is about to leave (package permit). The
+// result of a call holds the time at which its first byte was written, which is checked by the same rules, so that
+// every violation is counted and logged.
 
-// permitRules are the rules in force for all sends.
+// permitRules returns the rules in force for all sends.
 func (l *Loop) permitRules() permit.Rules {
 	return permit.Rules{DrainGrace: l.settings.DrainGrace, NoHedging: !l.settings.AllowHedging, Stopping: l.halted}
 }
 
-// permitRoute is what is known of an endpoint for a send to it.
+// permitRoute returns what is known of an endpoint for the check of a send to it.
 func (l *Loop) permitRoute(t Target) permit.Route {
 	w := l.retryAfters[l.routeKeyOf(t)]
 	return permit.Route{
@@ -29,8 +29,8 @@
 	}
 }
 
-// permitted tells whether an attempt of a call may leave now. What may not is counted and ends as one that was
-// canceled.
+// permitted reports whether an attempt of a call may leave now. An attempt that may not is counted, and ends like one
+// that was canceled.
 func (l *Loop) permitted(c *Call, a *Attempt, e *entry) bool {
 	m := permit.Message{
 		Deadline: a.Message.Deadline, MayHaveRun: len(e.mayHaveRun) > 0, KeyRetainedUntil: a.NotAfter,
@@ -52,7 +52,8 @@
 	return false
 }
 
-// checkSent checks when a call left, once its result is known. Package soak looks for LogCallAgainstRule.
+// checkSent checks the time at which a call was sent, once its result is known. Package soak searches the log for
+// LogCallAgainstRule.
 func (l *Loop) checkSent(c *Call, r AttemptResult) {
 	if r.SentAt.IsZero() {
 		return
--- a/internal/state/settings.go
+++ b/internal/state/settings.go
@@ -6,27 +6,29 @@
 	"cleathold/control"
 )
 
-// ErrTooManyClasses is the error of new settings whose classes would pass the bound on those that one process knows.
+// ErrTooManyClasses is the error of new settings that would exceed the maximum number of classes that one process can
+// hold.
 var ErrTooManyClasses = errors.New("too many classes since the start; restart the sender to begin anew")
 
-// UpdateSettings is new settings under way. Classes holds their classes with names.
+// UpdateSettings is the event that replaces the settings of a running loop. Classes holds the classes of the new
+// settings with their names.
 type UpdateSettings struct {
 	Settings control.Settings
 	Classes  []NamedClass
-	Done     chan<- SettingsResult // takes one without blocking
+	Done     chan<- SettingsResult // has room for one result, so that sending does not block
 }
 
 func (e UpdateSettings) apply(l *Loop) { e.Done <- l.updateSettings(e) }
 
-// SettingsResult tells the numbers of the classes that hold now, by name, or why the old settings stay:
-// ErrTooManyClasses, ErrHandedOver or an error of the controller.
+// SettingsResult holds the numbers of the classes now in force by name. If the old settings stay in force, Err is the
+// reason: ErrTooManyClasses, ErrHandedOver or an error of the controller.
 type SettingsResult struct {
 	Numbers map[string]int
-	Classes []control.Class // by number, those of before included
+	Classes []control.Class // by number, including those of earlier settings
 	Err     error
 }
 
-// updateSettings takes new settings, or none of them.
+// updateSettings applies the new settings completely or not at all.
 func (l *Loop) updateSettings(u UpdateSettings) SettingsResult {
 	if len(l.table.classes.list)+len(u.Classes) > maxClasses {
 		return SettingsResult{Err: ErrTooManyClasses}
@@ -48,8 +50,8 @@
 	return SettingsResult{Numbers: numbers, Classes: settings.Classes}
 }
 
-// notifyClasses tells the dead-letter queue how classes are numbered, and which numbers the names of the settings
-// have.
+// notifyClasses passes the names of all classes by number to the dead-letter queue, and the numbers of the classes that
+// the current settings name.
 func (l *Loop) notifyClasses(current map[string]int) {
 	if l.deadLetterQueue != nil {
 		l.deadLetterQueue.ClassesChanged(l.table.classes.names(), current, l.settings)
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// recentIDRetention is how long the id of a message that has ended stays in use.
+	// recentIDRetention is how long the ID of a message that has ended can't be used again.
 	recentIDRetention = 20 * time.Second
-	// maxRecentIDs is how many such ids are kept at most.
+	// maxRecentIDs is the maximum number of such IDs.
 	maxRecentIDs = 4096
 )
 
-// table holds the messages that something is still owed for.
+// table holds the messages for which something is still owed.
 type table struct {
 	entries         map[control.MessageID]*entry
 	byID            map[string]*entry
 	next            control.MessageID
 	open            int             // messages that have not ended
-	liveBytes       int64           // that all may take in the log
-	deadLetterBytes int64           // of those, that messages take which the dead-letter queue does not have yet
-	recentIDs       map[string]bool // ids of messages that have ended...
-	recentExpiry    []recentID      // ...until a time, in the order of it
+	liveBytes       int64           // maximum size of all messages in the log
+	deadLetterBytes int64           // part of liveBytes: messages that the dead-letter queue has not stored yet
+	recentIDs       map[string]bool // IDs of messages that have ended recently
+	recentExpiry    []recentID      // the same IDs in the order of their expiry
 	classes         *classRegistry
 }
 
-// recentID is an id that is not accepted again before a time.
+// recentID is an ID that is not accepted again before a time.
 type recentID struct {
 	id    string
 	until time.Time
@@ -43,7 +43,7 @@
 	}
 }
 
-// restore enters what the log tells.
+// restore adds the messages recovered from the log.
 func (t *table) restore(recovered wal.Recovered) {
 	for _, x := range recovered.Entries {
 		if x.RecordedClass != nil {
@@ -67,7 +67,7 @@
 	t.next = max(t.next, recovered.NextNumber)
 }
 
-// idInUse tells whether an id is in use, or was a moment ago.
+// idInUse reports whether an ID is in use, or was in use recently.
 func (t *table) idInUse(id string, now time.Time) bool {
 	for len(t.recentExpiry) > 0 && (len(t.recentExpiry) > maxRecentIDs || !now.Before(t.recentExpiry[0].until)) {
 		delete(t.recentIDs, t.recentExpiry[0].id)
@@ -76,7 +76,7 @@
 	return t.byID[id] != nil || t.recentIDs[id]
 }
 
-// retainID keeps the id of a message that was accepted and has ended.
+// retainID keeps the ID of an accepted message that has ended in use for a while.
 func (t *table) retainID(id string, now time.Time) {
 	if !t.recentIDs[id] {
 		t.recentIDs[id] = true
@@ -84,7 +84,7 @@
 	}
 }
 
-// add enters a message that is open.
+// add adds an open message.
 func (t *table) add(e *entry) {
 	t.entries[e.num], t.byID[e.ID] = e, e
 	t.next = max(t.next, e.num+1)
@@ -93,7 +93,7 @@
 	t.liveBytes += e.cost
 }
 
-// markEnded ends a message for which a report is owed; its body is needed no more, if no dead-letter queue gets it.
+// markEnded marks a message as ended with a report. Its body is dropped, unless the dead-letter queue still needs it.
 func (t *table) markEnded(e *entry, r DeliveryReport) {
 	e.report = &r
 	if r.DeadLetter == nil || e.deadLetterSeq > 0 {
@@ -107,7 +107,7 @@
 	t.open--
 }
 
-// drop forgets a message: nothing more is owed.
+// drop removes a message for which nothing more is owed.
 func (t *table) drop(e *entry) {
 	if t.entries[e.num] != e {
 		return
@@ -125,8 +125,8 @@
 	}
 }
 
-// idle tells whether nothing is owed to endpoints and the platform. What the dead-letter queue is owed the log keeps
-// for the next start.
+// idle reports whether nothing more is owed to endpoints and the platform. Messages owed to the dead-letter queue do
+// not count: the log keeps them for the next start.
 func (t *table) idle() bool {
 	for _, e := range t.entries {
 		if e.report == nil || e.deadLetterSeq == 0 && !e.reported {
@@ -136,10 +136,10 @@
 	return true
 }
 
-// ordered returns the entries in the order of their numbers.
+// ordered returns the entries in ascending order of their numbers.
 func (t *table) ordered() []*entry {
 	return slices.SortedFunc(maps.Values(t.entries), func(a, b *entry) int { return cmp.Compare(a.num, b.num) })
 }
 
-// storageCost is how many bytes of the log a message may take.
+// storageCost returns the maximum size of a message in the log, in bytes.
 func storageCost(m *Message) int64 { return wal.Cost(m.ID, m.Key, m.Body) }
