--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -8,11 +8,11 @@
 	"cleathold/control"
 )
 
-// A message through the loop, from its hand-in to its delivery, with a keeper
-// connected and without: what keeping costs those that are delivered.
+// BenchmarkMessage measures a message from its submission to its delivery, with and without a dead-letter queue: the
+// cost of the queue for messages that are delivered.
 func BenchmarkMessage(b *testing.B) {
 	for _, withQueue := range []bool{false, true} {
-		b.Run(fmt.Sprintf("keeper=%t", withQueue), func(b *testing.B) {
+		b.Run(fmt.Sprintf("queue=%t", withQueue), func(b *testing.B) {
 			dir := b.TempDir()
 			classes := []control.Class{testClass(control.Idempotent)}
 			target := Target{ID: "s", Addr: "nowhere", Endpoint: control.Endpoint{Destination: 7, State: control.Ready}}
--- a/internal/state/deadletter_test.go
+++ b/internal/state/deadletter_test.go
@@ -9,7 +9,7 @@
 	"cleathold/control"
 )
 
-// queueStub wants what it is told to, and notes what it gets.
+// queueStub is a dead-letter queue that accepts every message or none, and records the calls of its methods.
 type queueStub struct {
 	accepts   bool
 	began     chan [2]int
@@ -37,14 +37,14 @@
 	}
 }
 
-// loopWithQueue is a loop with a keeper.
+// loopWithQueue returns a loop with a dead-letter queue.
 func loopWithQueue(t *testing.T, dir string, k *queueStub) (*Loop, *environment) {
 	l, o := newTestLoop(t, dir, 1e6)
 	l.deadLetterQueue = k
 	return l, o
 }
 
-// copyFolder is a folder as a kill leaves it now: a copy, as its owner goes on here.
+// copyFolder returns a copy of a folder, as a kill of the process would leave the folder at this moment.
 func copyFolder(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
@@ -54,8 +54,8 @@
 	return to
 }
 
-// failMessage submits a message and has its only forward end with a result that its
-// class does not outlive.
+// failMessage submits a message and ends its only attempt with a result after which the class of the message allows no
+// other.
 func failMessage(t *testing.T, l *Loop, o *environment, id string, r control.Result) {
 	t.Helper()
 	v := make(chan Response, 1)
@@ -67,12 +67,13 @@
 	l.Post(endedWith(c, AttemptResult{Result: r}))
 }
 
-// A message has one owner. The queue's is undeliverable to the platform, and
-// the log has it until both know, over a restart at any point between.
+// TestDeadLetterOwnership checks that a message that goes to the dead-letter queue is undeliverable for the platform.
+// The log keeps it until both the platform and the queue have acknowledged it, including over a restart at any point
+// before that.
 func TestDeadLetterOwnership(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		acked, store bool // what came before the kill
+		acked, store bool // acknowledged by the platform and by the queue before the kill
 	}{{"neither", false, false}, {"platform only", true, false}, {"store only", false, true}, {"both", true, true}} {
 		dir := t.TempDir()
 		k := newQueueStub(true)
@@ -104,7 +105,7 @@
 		owed := receive(t, restarted.began)[0]
 		if c.acked && c.store {
 			if id := receive(t, k.forgotten); id != "a" || owed != 0 {
-				t.Errorf("%s: settled %s, owed %d", c.name, id, owed)
+				t.Errorf("%s: %s forgotten, %d owed", c.name, id, owed)
 			}
 			continue
 		}
@@ -122,7 +123,8 @@
 	}
 }
 
-// What is given back is not in the store, and the same is found after a restart.
+// TestDeferredToClient checks that a message that is returned to its client does not go to the queue, also when its
+// outcome is determined at a restart.
 func TestDeferredToClient(t *testing.T) {
 	k := newQueueStub(false)
 	dir := t.TempDir()
@@ -139,12 +141,12 @@
 		t.Errorf("report %+v", n)
 	}
 	if l.Idle(); len(k.added) > 0 {
-		t.Errorf("the queue has it, too: %+v", <-k.added)
+		t.Errorf("the queue got the message, too: %+v", <-k.added)
 	}
 }
 
-// A redelivery is loged before it leaves, goes out under its id, and what comes
-// of it goes to the queue alone; so does one that was out at a kill.
+// TestRedeliveries checks that a redelivery is logged before it is sent and is sent under its own ID. Its result goes
+// to the queue alone, as does a redelivery that was in flight when the process was killed.
 func TestRedeliveries(t *testing.T) {
 	dir := t.TempDir()
 	k := newQueueStub(true)
@@ -164,7 +166,7 @@
 	l2, o2 := loopWithQueue(t, copyFolder(t, dir), restarted)
 	start(t, l2)
 	if got := receive(t, restarted.began); got != [2]int{0, 1} {
-		t.Errorf("after the kill the log tells %v", got)
+		t.Errorf("after the kill: Begin got %v", got)
 	}
 	p := receive(t, restarted.added)
 	if p.Seq != 5 || p.Delivered || p.Reason != ReasonMayHaveRun || len(p.Attempts) != 1 || !p.Attempts[0].Open ||
@@ -172,7 +174,7 @@
 		t.Errorf("after the kill: %+v", p)
 	}
 	if l2.Idle(); len(o2.reports)+len(o2.calls) > 0 {
-		t.Error("a report, or a second call")
+		t.Error("got a report or a second call")
 	}
 	l.Post(endedWith(c, AttemptResult{Result: control.Served, Final: true}))
 	if p := receive(t, k.added); p.Seq != 5 || !p.Delivered {
@@ -180,29 +182,29 @@
 	} else {
 		l.Post(DeadLettersStored{[]control.MessageID{p.Number}})
 	}
-	// What must not go again does not, whatever the queue asks for.
+	// A message that must not be sent again is not sent, even if the queue requests it.
 	resend(l, 6, "b", 2, true, time.Second)
 	if p := receive(t, k.added); p.Seq != 6 || p.Delivered || p.NotAdmitted || p.AttemptCount != 2 {
 		t.Errorf("not idempotent, may have run: %+v", p)
 	}
 	resend(l, 7, "c", 1, true, time.Hour)
 	if p := receive(t, k.added); p.Seq != 7 || p.Delivered {
-		t.Errorf("by key, beyond its retention: %+v", p)
+		t.Errorf("idempotent by key, retention expired: %+v", p)
 	}
-	// One at a time under an id, and none while live messages wait.
+	// Only one redelivery per ID is admitted at a time, and none while live messages are waiting.
 	resend(l, 8, "d", 0, false, 0)
 	receive(t, o.calls)
 	resend(l, 9, "d", 0, false, 0)
 	if p := receive(t, k.added); p.Seq != 9 || !p.NotAdmitted {
-		t.Errorf("a second one under its id: %+v", p)
+		t.Errorf("second redelivery with the same ID: %+v", p)
 	}
 	if l.Idle(); len(o.reports) > 0 {
 		t.Errorf("report %+v", <-o.reports)
 	}
 }
 
-// Where the queue takes nothing, what waits for it has a tenth of the log at
-// most: messages that end then are not kept, and new ones are accepted.
+// TestDeadLetterQueueSlow checks that if the queue stores nothing, the messages that wait for it take at most a tenth
+// of the log: messages that end after that are not kept, and new messages are still accepted.
 func TestDeadLetterQueueSlow(t *testing.T) {
 	k := newQueueStub(true)
 	l, o := loopWithQueue(t, t.TempDir(), k) // 1 MB
@@ -229,11 +231,11 @@
 		}
 	}
 	if accepted < 3 || accepted > 4 {
-		t.Errorf("%d of 20 kept", accepted)
+		t.Errorf("the queue accepted %d of 20 messages, want 3 or 4", accepted)
 	}
 }
 
-// A log that can't be written lets no redelivery go.
+// TestRedeliveryNeedsLog checks that no redelivery is sent while the log can't be written.
 func TestRedeliveryNeedsLog(t *testing.T) {
 	k := newQueueStub(true)
 	l, o := loopWithQueue(t, t.TempDir(), k)
@@ -244,17 +246,17 @@
 		t.Errorf("%+v", p)
 	}
 	if l.Idle(); len(o.calls) > 0 {
-		t.Error("it left")
+		t.Error("the message was sent")
 	}
 }
 
-// A redelivery is out as the process hands over: what the other one passes on goes to the queue of the next, and to
-// it alone.
+// TestRedeliveryHandedOver checks that the result of a redelivery that is in flight at a hand-over, which the
+// predecessor forwards, goes to the successor's queue only.
 func TestRedeliveryHandedOver(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		result control.Result
-		more   bool // it may go again
+		more   bool // the message may be sent again
 		valid  func(p DeadLetter) bool
 	}{
 		{"served", control.Served, false, func(p DeadLetter) bool {
@@ -263,11 +265,11 @@
 		{"rejected", control.Unprocessable, false, func(p DeadLetter) bool {
 			return !p.Delivered && p.Reason == ReasonUnprocessable && !p.Attempts[0].Open
 		}},
-		{"broken", control.ConnectionLost, false, func(p DeadLetter) bool {
+		{"connection lost", control.ConnectionLost, false, func(p DeadLetter) bool {
 			return !p.Delivered && p.Reason == ReasonMayHaveRun && p.Attempts[0].Result == control.ConnectionLost
 		}},
-		{"refused", control.ConnectFailed, true, nil},
-		{"the other process is lost", control.Unknown, false, func(p DeadLetter) bool {
+		{"connection refused", control.ConnectFailed, true, nil},
+		{"predecessor lost", control.Unknown, false, func(p DeadLetter) bool {
 			return !p.Delivered && p.Reason == ReasonMayHaveRun && p.Attempts[0].Open
 		}},
 	} {
@@ -286,7 +288,7 @@
 		l2.restoreHandover(&handedOver)
 		start(t, l2)
 		if got := receive(t, next.began); got != [2]int{0, 1} {
-			t.Errorf("%s: the next queue hears of %v", c.name, got)
+			t.Errorf("%s: Begin of the successor's queue got %v", c.name, got)
 		}
 		if c.result == control.Unknown {
 			l2.Post(PredecessorLost{})
@@ -304,7 +306,7 @@
 			t.Errorf("%s: %+v", c.name, p)
 		}
 		if l2.Idle(); len(o2.calls)+len(o2.reports)+len(k.added) > 0 {
-			t.Errorf("%s: a second call, a report, or the queue of before hears of it", c.name)
+			t.Errorf("%s: got a second call, a report or a dead letter in the predecessor's queue", c.name)
 		}
 	}
 }
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -22,8 +22,8 @@
 	KeyZoneScoped: true, KeyRetention: 12 * time.Second, Ordered: true, Streaming: true,
 }}
 
-// goldenEntries are messages of each fate: taken, forwarded, spared, with a notice owed, of the dead-letter queue,
-// and repeated by it.
+// goldenEntries returns messages in each state: accepted, attempted, not run, with a report owed, owed to the
+// dead-letter queue, and redelivered by it.
 func goldenEntries(classes *classRegistry) []*entry {
 	number := classes.numberOf(goldenClass)
 	at := time.UnixMicro(1_700_000_000_000_000)
@@ -50,7 +50,7 @@
 	return list
 }
 
-// goldenTable says all that a table holds of its messages.
+// goldenTable returns a text with all that a table holds of its messages.
 func goldenTable(t *table, times *wal.TimeBase) string {
 	var b strings.Builder
 	for _, e := range t.ordered() {
@@ -74,7 +74,7 @@
 	return b.String()
 }
 
-// TestGoldenJournal reads a folder that 096da04 wrote.
+// TestGoldenJournal reads a folder that commit 096da04 wrote.
 func TestGoldenJournal(t *testing.T) {
 	dir := golden.Folder(t, "journal")
 	golden.Bytes(t, "journal-pending.txt", goldenPending(t, dir), false)
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestGoldenOldJournal reads a folder with the single file that was the journal before the store.
+// TestGoldenOldJournal reads a folder with the single journal file that was used before package store.
 func TestGoldenOldJournal(t *testing.T) {
 	dir := golden.Folder(t, "old-journal")
 	golden.Bytes(t, "old-journal-pending.txt", goldenPending(t, dir), false)
@@ -100,7 +100,7 @@
 	defer j.Close()
 	golden.Bytes(t, "old-journal-table.txt", []byte(goldenTable(table, j.Times())), false)
 	if _, err := os.Stat(filepath.Join(dir, "journal")); err == nil {
-		t.Error("the single file is still there")
+		t.Error("the single journal file still exists")
 	}
 }
 
@@ -117,7 +117,7 @@
 	return b.Bytes()
 }
 
-// TestGoldenRecords writes the records of each kind as 096da04 did.
+// TestGoldenRecords checks that the records of each kind are encoded as commit 096da04 encoded them.
 func TestGoldenRecords(t *testing.T) {
 	var b strings.Builder
 	for _, e := range goldenEntries(&classRegistry{}) {
@@ -129,7 +129,8 @@
 	golden.Bytes(t, "records.txt", []byte(b.String()), false)
 }
 
-// TestGoldenState writes and reads the structs that go to files, to another process and to operators as JSON.
+// TestGoldenState checks the JSON encoding of the structs that are written to files or sent to other processes and
+// operators.
 func TestGoldenState(t *testing.T) {
 	golden.JSON[wal.Anchor](t, "timebase.json")
 	golden.JSON[HandoverState](t, "estate.json")
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -14,13 +14,13 @@
 	"cleathold/internal/wal"
 )
 
-// environment is everything around a loop.
+// environment is the transport, discovery and reporter of a loop under test.
 type environment struct {
 	t        *testing.T
 	dir      string
 	calls    chan *Call
 	reports  chan DeliveryReport
-	pending  chan []Pending // of the log, as each call leaves
+	pending  chan []Pending // the messages that the log owes as each call is sent
 	withheld chan *Call
 }
 
@@ -47,20 +47,19 @@
 
 func (o *environment) Report(n DeliveryReport) { o.reports <- n }
 
-// receive waits for something; only a hang makes it fail.
+// receive returns the next value of a channel, and fails the test after 10 seconds without one.
 func receive[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for a value")
 		panic("unreachable")
 	}
 }
 
-// newTestLoop makes a loop over a folder with one endpoint of a destination, which takes
-// calls of three messages.
+// newTestLoop returns a loop whose list holds one endpoint of a destination, which accepts batches of three messages.
 func newTestLoop(t *testing.T, dir string, disk int64) (*Loop, *environment) {
 	t.Helper()
 	target := Target{ID: "s", Addr: "nowhere"}
@@ -68,13 +67,13 @@
 	return newTestLoopWith(t, dir, disk, ListUpdate{Kind: control.ListCached, Version: 1, Targets: []Target{target}})
 }
 
-// newTestLoopWithoutList makes a loop that was started while discovery is down, without a list.
+// newTestLoopWithoutList returns a loop without an endpoint list, as after a start while discovery is down.
 func newTestLoopWithoutList(t *testing.T, dir string) (*Loop, *environment) {
 	t.Helper()
 	return newTestLoopWith(t, dir, 1e6, ListUpdate{Kind: control.ListCached, Version: NoVersion})
 }
 
-// testClass is a class by what repeating its messages may do.
+// testClass returns a class with an idempotency.
 func testClass(i control.Idempotency) control.Class {
 	return control.Class{LatencyObjective: time.Second, Deadline: time.Minute, PriorityWeight: 1, Idempotency: i}
 }
@@ -104,25 +103,25 @@
 	return l, o
 }
 
-// start runs a loop until the test ends.
+// start runs a loop until the end of the test.
 func start(t *testing.T, l *Loop) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go l.Run(ctx)
 	t.Cleanup(func() { cancel(); <-l.finished })
 }
 
-// newMessage is a message to the endpoint's destination that is due within a time.
+// newMessage returns a message to the endpoint's destination with a deadline after the given time.
 func newMessage(id string, class int, within time.Duration) *Message {
 	return &Message{ID: id, Class: class, Destination: 7, Deadline: time.Now().Add(within), Body: []byte("body")}
 }
 
-// endedWith is the event that the first attempt of a call ended.
+// endedWith returns the event that the first attempt of a call ended with a result.
 func endedWith(c *Call, r AttemptResult) CallEnded {
 	r.Attempt = c.Attempts[0]
 	return CallEnded{c, []AttemptResult{r}}
 }
 
-// submit posts a message and returns where its response will come.
+// submit posts a message and returns the channel of its response.
 func submit(l *Loop, id string, size int) chan Response {
 	v := make(chan Response, 1)
 	m := newMessage(id, 0, time.Minute)
@@ -131,7 +130,7 @@
 	return v
 }
 
-// submitAndReceiveCall submits a message, has its client answered, and takes the call that leaves with it.
+// submitAndReceiveCall submits a message, marks its response as written and returns the call that is sent for it.
 func (o *environment) submitAndReceiveCall(t *testing.T, l *Loop, id string) *Call {
 	t.Helper()
 	receive(t, submit(l, id, 10))
@@ -139,7 +138,7 @@
 	return receive(t, o.calls)
 }
 
-// successorStub takes the results of attempts that a loop had in flight as it handed over.
+// successorStub receives the results of the attempts that a loop had in flight when it handed over.
 type successorStub chan RemoteResult
 
 func (h successorStub) RemoteResult(r RemoteResult, _ bool) {
@@ -148,7 +147,7 @@
 	}
 }
 
-// handOver has a loop hand over, with one attempt in flight.
+// handOver hands over a loop that has one attempt in flight.
 func handOver(t *testing.T, l *Loop) (HandoverState, successorStub) {
 	t.Helper()
 	done, successor := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 4))
@@ -160,10 +159,10 @@
 	return result.State, successor
 }
 
-// discardLog is the log of loops under test.
+// discardLog is the logger of loops under test.
 var discardLog = slog.New(slog.DiscardHandler)
 
-// openTestLog opens the log of a folder.
+// openTestLog opens the log in a folder.
 func openTestLog(t *testing.T, dir string) (*wal.Log, *table) {
 	t.Helper()
 	l, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, &classRegistry{})
@@ -173,13 +172,13 @@
 	return l, table
 }
 
-// logAccepted adds the first record of a message.
+// logAccepted adds the first record of a message to the log.
 func logAccepted(l *wal.Log, e *entry) {
 	accepted := e.accepted()
 	l.AddAccepted(&accepted)
 }
 
-// logFile is the one segment of a small log.
+// logFile returns the path of the only segment of a small log.
 func logFile(t *testing.T, dir string) string {
 	t.Helper()
 	list, _ := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -189,19 +188,19 @@
 	return list[0]
 }
 
-// fullableDisk is a folder whose files can't be written while the disk is full.
+// fullableDisk is a folder whose files can't be written while full is set.
 type fullableDisk struct {
 	store.FS
 	full atomic.Bool
 }
 
-// Create makes a file on the disk.
+// Create creates a file on the disk.
 func (d *fullableDisk) Create(name string) (store.File, error) {
 	f, err := d.FS.Create(name)
 	return fullableFile{f, d}, err
 }
 
-// Open opens one.
+// Open opens a file on the disk.
 func (d *fullableDisk) Open(name string) (store.File, error) {
 	f, err := d.FS.Open(name)
 	return fullableFile{f, d}, err
@@ -212,7 +211,7 @@
 	disk *fullableDisk
 }
 
-// WriteAt fails while the disk is full.
+// WriteAt fails with ENOSPC while the disk is full.
 func (f fullableFile) WriteAt(b []byte, at int64) (int, error) {
 	if f.disk.full.Load() {
 		return 0, syscall.ENOSPC
--- a/internal/state/killed_test.go
+++ b/internal/state/killed_test.go
@@ -11,7 +11,7 @@
 	"cleathold/control"
 )
 
-// writeTruncatedLog is a folder with the log as a kill left it after so many bytes.
+// writeTruncatedLog returns a folder with the first n bytes of a log, as a kill of the process may leave it.
 func writeTruncatedLog(t *testing.T, name string, content []byte, n int) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -21,7 +21,7 @@
 	return dir
 }
 
-// messageLog is the log of one message that was served, and how long it was after each write.
+// messageLog is the log of one message that was served, with its size after each write.
 type messageLog struct {
 	class                 int
 	name                  string
@@ -29,7 +29,7 @@
 	accepted, sent, ended int
 }
 
-// writeMessageLog has a loop serve a message, and returns what it wrote.
+// writeMessageLog runs a loop that serves one message, and returns the loop's log.
 func writeMessageLog(t *testing.T, class int) *messageLog {
 	t.Helper()
 	dir := t.TempDir()
@@ -63,13 +63,13 @@
 	<-l.finished
 	w.name, w.content = logFile(t, dir), read()
 	if !(w.accepted < w.sent && w.sent < w.ended && w.ended <= len(w.content)) {
-		t.Fatalf("the log had %d, %d, %d of %d bytes", w.accepted, w.sent, w.ended, len(w.content))
+		t.Fatalf("sizes of the log: %d, %d, %d; %d at the end", w.accepted, w.sent, w.ended, len(w.content))
 	}
 	return w
 }
 
-// restartTruncated starts a loop, while discovery is down, on what a kill left of the log after n bytes, and checks what it
-// does once it has a list.
+// restartTruncated starts a loop on the first n bytes of the log while discovery is down, and checks which calls and
+// reports follow once it has an endpoint list.
 func (w *messageLog) restartTruncated(t *testing.T, n int) {
 	t.Helper()
 	l, o := newTestLoopWithoutList(t, writeTruncatedLog(t, w.name, w.content, n))
@@ -77,12 +77,12 @@
 	go l.Run(ctx)
 	l.Idle()
 	if len(o.calls) > 0 {
-		t.Fatalf("cut at %d of %d: called without a list", n, len(w.content))
+		t.Fatalf("truncated at %d of %d: call sent without an endpoint list", n, len(w.content))
 	}
 	other := Target{ID: "other", Addr: "elsewhere", Endpoint: control.Endpoint{Destination: 7, State: control.Ready}}
 	l.Post(ListUpdate{Kind: control.ListFull, Version: 2, Targets: []Target{other}})
 	l.Idle()
-	at := fmt.Sprintf("class %d, cut at %d of %d, %d, %d", w.class, n, w.accepted, w.sent, w.ended)
+	at := fmt.Sprintf("class %d, truncated at %d, sizes %d, %d, %d", w.class, n, w.accepted, w.sent, w.ended)
 	switch {
 	case n >= w.accepted && n < w.sent, n >= w.sent && n < w.ended && w.class == 0:
 		if call := receive(t, o.calls); call.Target.ID != "other" || call.Attempts[0].Message.ID != "a" {
@@ -92,19 +92,19 @@
 		if report := receive(t, o.reports); report.outcome() != "undeliverable" {
 			t.Errorf("%s: %+v", at, report)
 		}
-	case n < w.accepted && len(o.calls) > 0: // the client was told nothing yet: it may stand or not
+	case n < w.accepted && len(o.calls) > 0: // the client has no response yet: the message may be kept or lost
 		<-o.calls
 	}
 	if len(o.calls)+len(o.reports) > 0 {
-		t.Errorf("%s: %d calls and %d reports besides", at, len(o.calls), len(o.reports))
+		t.Errorf("%s: %d further calls and %d further reports", at, len(o.calls), len(o.reports))
 	}
 	cancel()
 	<-l.finished
 }
 
-// Killed at any byte of its log, with discovery down at the next start and another list when it is back: a message
-// that a client was told of and that was not tried is called, at an endpoint of that list. One that was tried is
-// called again if it may be, or given up with a report; what has ended is not called.
+// TestKilledAtEachWrite kills a process at any byte of its log, restarts it while discovery is down and then lists
+// another endpoint. A message that was accepted and not attempted is sent to that endpoint. One that was attempted is
+// sent again if its class allows it, and otherwise ends with a report. A message that has ended is not sent.
 func TestKilledAtEachWrite(t *testing.T) {
 	for _, class := range []int{0, 2} { // idempotent, not idempotent
 		w := writeMessageLog(t, class)
--- a/internal/state/listcertainty.go
+++ b/internal/state/listcertainty.go
@@ -9,8 +9,8 @@
 // An update counts as notified once discovery has begun to write it, whether or not it could be read (PROTOCOL, 'The
 // rules on sockets'). Therefore the endpoint list is uncertain from the first byte of an answer that broke off until
 // the next complete answer: a listed endpoint may be draining. The list is also uncertain after an answer that is not
-// followed by a poll immediately, since a watch goes on for 200 ms after the answer. Sends are suspended before the
-// drain grace, counted from the start of the uncertainty, is over.
+// followed by a poll immediately, because discovery's watch lasts 200 ms longer than the answer. Sends are suspended
+// before the drain grace, counted from the start of the uncertainty, is over.
 
 // defaultUncertaintyTimeout is the result of UncertaintyTimeout if the settings have no poll interval.
 const defaultUncertaintyTimeout = 10 * time.Second
--- a/internal/state/listcertainty_test.go
+++ b/internal/state/listcertainty_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// From the first answer that could not be read on, less the margin before the end of the grace, nothing is sent,
-// until a while after the latest.
+// TestListCertainty checks that sends are suspended from a margin before the end of the drain grace, counted from the
+// first unreadable answer, until the timeout after the latest one.
 func TestListCertainty(t *testing.T) {
 	const grace, span = 2 * time.Second, 10 * time.Second
 	zero := time.Now()
@@ -31,6 +31,6 @@
 	}
 	c.markUncertain(at(20))
 	if held, _ := c.suspended(at(21), 300*time.Millisecond, span); !held {
-		t.Error("a short grace leaves no margin")
+		t.Error("drain grace of 300 ms: sends are not suspended after 1 s")
 	}
 }
--- a/internal/state/loop_test.go
+++ b/internal/state/loop_test.go
@@ -7,8 +7,8 @@
 	"cleathold/control"
 )
 
-// The log knows a message before its client does, and an attempt before it
-// leaves; that is after the client was answered. Nothing is owed after its end.
+// TestLogResponseSendOrder checks that a message is logged before its client is answered, and an attempt is logged
+// before it is sent, which is after the client was answered. After the end of the message nothing is owed.
 func TestLogResponseSendOrder(t *testing.T) {
 	dir := t.TempDir()
 	l, o := newTestLoop(t, dir, 1e6)
@@ -21,7 +21,7 @@
 	}
 	l.Idle() // an iteration passes
 	if len(o.calls) > 0 {
-		t.Fatal("attempt left before the client was answered")
+		t.Fatal("attempt was sent before the client was answered")
 	}
 	l.Post(ResponseWritten{"a", true})
 	c := receive(t, o.calls)
@@ -32,32 +32,33 @@
 	if !l.Idle() {
 		t.Fatal("something is owed after the end")
 	}
-	l.Idle() // the iteration that booked it has passed
+	l.Idle() // the iteration that recorded the end has passed
 	if list, _ := ReadPending(dir, discardLog); len(list) != 0 {
 		t.Errorf("log after the end: %+v", list)
 	}
 }
 
-// A client that could not be told has no message here: it may submit it again.
+// TestResponseNotWritten checks that a message whose response could not be written is dropped, because its client may
+// submit it again.
 func TestResponseNotWritten(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	receive(t, submit(l, "a", 10))
 	l.Post(ResponseWritten{"a", false})
 	if l.Idle(); !l.Idle() || len(o.calls) > 0 {
-		t.Error("message kept, or sent")
+		t.Error("message was kept or sent")
 	}
 }
 
-// What goes to one endpoint in one iteration shares a call, up to the kind's batch
-// and to what a body may hold.
+// TestIterationSharesCalls checks that messages sent to one endpoint in one iteration share a call, up to the batch
+// limit of its kind and the maximum size of a body.
 func TestIterationSharesCalls(t *testing.T) {
 	for _, c := range []struct {
 		size, slots int
 		want        []int
 	}{{10, 8, []int{3, 1}}, {30 << 10, 8, []int{2, 2}}, {30 << 10, 1, []int{2}}} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
-		l.settings.MaxInFlight = c.slots // the controller still has eight
+		l.settings.MaxInFlight = c.slots // the controller's limit stays at eight
 		var responses []chan Response
 		for _, id := range []string{"a", "b", "c", "d"} {
 			responses = append(responses, submit(l, id, c.size))
@@ -69,21 +70,21 @@
 		}
 		for _, want := range c.want {
 			if got := receive(t, o.calls); len(got.Attempts) != want {
-				t.Errorf("bodies of %d: a call of %d, want %d", c.size, len(got.Attempts), want)
+				t.Errorf("bodies of %d bytes: call with %d messages, want %d", c.size, len(got.Attempts), want)
 			}
 		}
 		if l.Idle(); len(o.calls) > 0 {
-			t.Errorf("%d calls at once: a call more than that", c.slots)
+			t.Errorf("MaxInFlight of %d: more calls were sent than expected", c.slots)
 		}
 	}
 }
 
-// The first message of a call is the one that is waited for longest, and where no hedged requests are allowed all
-// are waited for as long, each within its own time.
+// TestLatestDeadlineFirst checks that the attempt with the latest deadline is the first in a call. If hedged requests
+// are not allowed, all attempts of a call wait equally long, but none beyond the deadline of its message.
 func TestLatestDeadlineFirst(t *testing.T) {
 	for _, c := range []struct {
 		hedging bool
-		want    string // the messages in the order in which they stand in the call, and how long it waits for each
+		want    string // the messages in the order of the call, with their timeouts
 	}{{true, "unsafe 4s, safe 1.5s, brief 700ms, "}, {false, "safe 4s, unsafe 4s, brief 700ms, "}} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		l.settings.AllowHedging = c.hedging
@@ -110,8 +111,8 @@
 	}
 }
 
-// A time-out and the answer of one attempt in one iteration of the loop: the first counts, and its slot is freed
-// once.
+// TestTimeoutAndAnswerInOneIteration checks an attempt with both a timeout and an answer in the same iteration of the
+// loop: the first of them counts, and the slot of the attempt is freed once.
 func TestTimeoutAndAnswerInOneIteration(t *testing.T) {
 	served, timedOut := AttemptResult{Result: control.Served, Final: true}, AttemptResult{Result: control.TimedOut}
 	for _, c := range []struct {
@@ -120,20 +121,20 @@
 		pending int
 	}{
 		{"answer first", []AttemptResult{served, timedOut}, 0},
-		{"time-out first", []AttemptResult{timedOut, served}, 1},
+		{"timeout first", []AttemptResult{timedOut, served}, 1},
 	} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
 		call := o.submitAndReceiveCall(t, l, "a")
 		drained, inFlight := make(chan struct{}), make(chan int, 1)
-		l.Post(inspect(func() { <-drained })) // the next events come in this iteration
+		l.Post(inspect(func() { <-drained })) // the next events are handled in this iteration
 		for _, r := range c.results {
 			l.Post(endedWith(call, r))
 		}
 		l.Post(inspect(func() { inFlight <- l.callsInFlight }))
 		close(drained)
 		if n := <-inFlight; n != 0 {
-			t.Errorf("%s: %d calls count as in flight", c.name, n)
+			t.Errorf("%s: %d calls counted as in flight", c.name, n)
 		}
 		if l.Idle(); c.pending == 1 {
 			if retry := receive(t, o.calls); retry.Attempts[0].Message.ID != "a" {
@@ -147,7 +148,8 @@
 	}
 }
 
-// A Retry-After keeps back what was decided on before and has not left.
+// TestRetryAfterWithholds checks that a Retry-After withholds the calls that were decided on before it and have not
+// left yet.
 func TestRetryAfterWithholds(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
@@ -155,24 +157,24 @@
 	receive(t, submit(l, "c", 10)) // its client is not answered yet
 	l.Post(endedWith(first, AttemptResult{Result: control.Rejected, RetryAfter: time.Hour}))
 	if c := receive(t, o.withheld); c != second && receive(t, o.withheld) != second {
-		t.Error("the call on its way was not withheld")
+		t.Error("the call that was connecting was not withheld")
 	}
 	l.Post(ResponseWritten{"c", true})
 	if l.Idle(); l.Idle() || len(o.calls) > 0 {
-		t.Error("left during the Retry-After")
+		t.Error("a call was sent during the Retry-After")
 	}
 }
 
-// A call that has not left when its endpoint drains, leaves the list or is excluded by the operators never leaves,
-// and no call does that has not left when the loop is halted.
+// TestWithheldCalls checks that a call that has not left yet is never sent once its endpoint drains, is removed from
+// the list or is excluded by the operators, or once the loop is halted.
 func TestWithheldCalls(t *testing.T) {
 	drains := Target{ID: "s", Addr: "nowhere"}
 	drains.Endpoint = control.Endpoint{Destination: 7, State: control.Draining}
 	for name, event := range map[string]Event{
-		"drains":    ListUpdate{Kind: control.ListDelta, Version: 2, Targets: []Target{drains}},
-		"is gone":   ListUpdate{Kind: control.ListFull, Version: 2},
-		"set aside": ExclusionsChanged{IDs: []string{"s"}},
-		"halted":    halting{},
+		"drains":   ListUpdate{Kind: control.ListDelta, Version: 2, Targets: []Target{drains}},
+		"removed":  ListUpdate{Kind: control.ListFull, Version: 2},
+		"excluded": ExclusionsChanged{IDs: []string{"s"}},
+		"halted":   halting{},
 	} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
@@ -187,7 +189,7 @@
 		l.Idle()
 		l.Idle() // two iterations
 		if len(o.calls) > 0 {
-			t.Errorf("%s: a call left", name)
+			t.Errorf("%s: a call was sent", name)
 		}
 		list, err := ReadPending(o.dir, discardLog)
 		if err != nil || len(list) != 2 {
@@ -201,8 +203,8 @@
 	}
 }
 
-// A process hands over while a call waits for its connection: the call does not leave any more, and the next process
-// makes it, as one that never ran.
+// TestWithheldAtHandOver checks that a call that waits for its connection at a hand-over is no longer sent by the
+// predecessor, and that the successor sends its message as one that never ran.
 func TestWithheldAtHandOver(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
@@ -220,11 +222,12 @@
 		t.Errorf("%+v", retry)
 	}
 	if next.Idle(); len(o2.calls)+len(o2.reports) > 0 {
-		t.Error("a second call, or a report")
+		t.Error("got a second call or a report")
 	}
 }
 
-// Beyond what may be held, or loged, a message gets a rejection.
+// TestRejections checks that messages beyond the limit on open messages or the size of the log are rejected with a
+// Retry-After.
 func TestRejections(t *testing.T) {
 	l, _ := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
@@ -237,37 +240,37 @@
 	l, _ = newTestLoop(t, t.TempDir(), 100_000)
 	start(t, l)
 	if v := receive(t, submit(l, "a", 50_000)); v.Accepted || v.RetryAfter <= 0 {
-		t.Errorf("more than the disk holds: %+v", v)
+		t.Errorf("message larger than the log's limit: %+v", v)
 	}
 	if v := receive(t, submit(l, "b", 10)); !v.Accepted {
-		t.Errorf("what fits: %+v", v)
+		t.Errorf("message that fits: %+v", v)
 	}
 }
 
-// What names no destination that there is, or an id that another message has
-// or had, is not accepted, and the other message goes its way.
+// TestInvalidMessages checks that a message is not accepted if its destination is unknown or if another message has or
+// had its ID. The other message is not affected.
 func TestInvalidMessages(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	v := make(chan Response, 1)
 	l.Post(Submitted{Message: &Message{ID: "x", Destination: 8, Deadline: time.Now().Add(time.Minute)}, Response: v})
 	if got := receive(t, v); got.Accepted || got.Invalid != UnknownDestination {
-		t.Errorf("nowhere to go: %+v", got)
+		t.Errorf("unknown destination: %+v", got)
 	}
 	receive(t, submit(l, "a", 10))
 	if got := receive(t, submit(l, "a", 10)); got.Accepted || got.Invalid != DuplicateID {
-		t.Errorf("id of an open one: %+v", got)
+		t.Errorf("ID of an open message: %+v", got)
 	}
 	l.Post(ResponseWritten{"a", true})
 	c := receive(t, o.calls)
 	l.Post(endedWith(c, AttemptResult{Result: control.Served, Final: true}))
 	if got := receive(t, submit(l, "a", 10)); got.Accepted || got.Invalid != DuplicateID {
-		t.Errorf("id of a finished one: %+v", got)
+		t.Errorf("ID of a message that has ended: %+v", got)
 	}
 }
 
-// Where an endpoint rejects a call of several, each of them goes by itself; one
-// that is rejected alone is at its end, and costs the others nothing.
+// TestUnprocessable checks that if an endpoint can't process a call with several messages, each message is sent again
+// in a call of its own. One that can't be processed alone ends undeliverable, and the others are delivered.
 func TestUnprocessable(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	for _, id := range []string{"a", "b"} {
@@ -278,7 +281,7 @@
 	l.Post(ResponseWritten{"b", true})
 	both := receive(t, o.calls)
 	if len(both.Attempts) != 2 {
-		t.Fatalf("a call of %d", len(both.Attempts))
+		t.Fatalf("call with %d messages, want 2", len(both.Attempts))
 	}
 	l.Post(CallEnded{both, []AttemptResult{
 		{Attempt: both.Attempts[0], Result: control.Unprocessable}, {Attempt: both.Attempts[1],
@@ -291,7 +294,7 @@
 			end = AttemptResult{Attempt: c.Attempts[0], Result: control.Unprocessable}
 		}
 		if len(c.Attempts) != 1 {
-			t.Fatalf("then a call of %d", len(c.Attempts))
+			t.Fatalf("retry with %d messages, want 1", len(c.Attempts))
 		}
 		l.Post(CallEnded{c, []AttemptResult{end}})
 	}
@@ -299,6 +302,6 @@
 		t.Errorf("report %+v", n)
 	}
 	if l.Idle(); len(o.calls) > 0 {
-		t.Error("sent once more")
+		t.Error("a message was sent once more")
 	}
 }
--- a/internal/state/redelivery_test.go
+++ b/internal/state/redelivery_test.go
@@ -7,7 +7,8 @@
 	"cleathold/control"
 )
 
-// Why a redelivery is not admitted: the type is what the loop decides on, the text what operators read.
+// TestRedeliveryDenial checks that each condition that prevents a redelivery leads to its own denial. The text of each
+// denial is checked, too, because operators read it.
 func TestRedeliveryDenial(t *testing.T) {
 	open := func(l *Loop, id, key string, class int) *entry {
 		m := newMessage(id, class, time.Minute)
@@ -44,7 +45,7 @@
 		e := &entry{Message: newMessage("a", 1, time.Minute), deadLetterSeq: 5}
 		e.Key = "key"
 		if got := l.redeliveryDenial(e); got != c.denial || string(got) != c.text {
-			t.Errorf("%q, want %q with the text %q", got, c.denial, c.text)
+			t.Errorf("denial %q, want %q with the text %q", got, c.denial, c.text)
 		}
 		l.Close()
 	}
--- a/internal/state/remote_test.go
+++ b/internal/state/remote_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A call is in flight until the last of its attempts has ended, and each attempt ends once.
+// TestRemoteAttempts checks that a call is in flight until the last of its attempts has ended, and each attempt ends
+// only once.
 func TestRemoteAttempts(t *testing.T) {
 	a, b, c := remoteAttemptKey{1, 0}, remoteAttemptKey{2, 0}, remoteAttemptKey{2, 1}
 	r := remoteAttempts{a: 1, b: 1, c: 2}
@@ -16,6 +17,6 @@
 		}
 	}
 	if none := remoteAttempts(nil); none.remove(a) || none.calls() != 0 {
-		t.Error("attempts where there are none")
+		t.Error("nil remoteAttempts holds attempts")
 	}
 }
--- a/internal/state/restart_test.go
+++ b/internal/state/restart_test.go
@@ -12,8 +12,9 @@
 	"cleathold/internal/wal"
 )
 
-// A log that fails for a while holds no report back beyond the time of its message, when a next process would not
-// send it any more; one of a message with time left waits until it is written.
+// TestReportsWhileLogFails checks that while the log can't be written, a report is delayed at most until the deadline
+// of its message, after which a next process would not send the message any more. The report of a message with time
+// left must wait until its record is written.
 func TestReportsWhileLogFails(t *testing.T) {
 	dir := t.TempDir()
 	l, o := newTestLoop(t, dir, 1e6)
@@ -42,20 +43,20 @@
 		l.Post(endedWith(short, AttemptResult{Result: control.TimedOut}))
 	})
 	l.Post(inspect(func() { disk.full.Store(true) }))
-	l.Post(endedWith(call, AttemptResult{Result: control.ConnectionLost})) // given up at once
+	l.Post(endedWith(call, AttemptResult{Result: control.ConnectionLost})) // ends undeliverable immediately
 	if n := receive(t, o.reports); n.ID != "short" {
-		t.Errorf("%s is reported while it could be forgotten", n.ID)
+		t.Errorf("%s is reported although the log lacks its outcome", n.ID)
 	}
 	if took := time.Since(began); took > within+200*time.Millisecond {
-		t.Errorf("told %v after it was accepted, due after %v", took, within)
+		t.Errorf("reported %v after the submission, deadline after %v", took, within)
 	}
 	l.Post(inspect(func() { disk.full.Store(false) }))
-	if n := receive(t, o.reports); n.ID != "unsafe" { // with no event but the loop's own
-		t.Errorf("then told of %s", n.ID)
+	if n := receive(t, o.reports); n.ID != "unsafe" { // without any event from outside the loop
+		t.Errorf("%s is reported after the log was written, want unsafe", n.ID)
 	}
 }
 
-// writeAttempted writes a log with one message, and an attempt of it so long ago; 0 = none.
+// writeAttempted writes a log with one message and an attempt of the given age; 0 = no attempt.
 func writeAttempted(t *testing.T, dir string, m *Message, now time.Time, ago time.Duration, mayHaveRun bool) {
 	t.Helper()
 	l, _ := openTestLog(t, dir)
@@ -71,16 +72,16 @@
 	}
 }
 
-// After a restart each message is owed its outcome, within what its class allows.
+// TestRestart checks that after a restart each message gets its outcome, within the limits of its class.
 func TestRestart(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		name  string
 		class int
 		left  time.Duration
-		ago   time.Duration // since the attempt; 0 = none
-		ran   bool          // it may have run
-		sends int           // expected attempt; -1 = none
+		ago   time.Duration // age of the attempt; 0 = none
+		ran   bool          // the attempt may have run
+		sends int           // index of the expected attempt; -1 = none
 		owed  string
 	}{
 		{"idempotent, fresh", 0, time.Minute, 0, false, 0, ""},
@@ -104,16 +105,16 @@
 				t.Errorf("%s: %+v", c.name, n)
 			}
 			if l.Idle(); len(o.calls) > 0 {
-				t.Errorf("%s: sent all the same", c.name)
+				t.Errorf("%s: the message was sent", c.name)
 			}
 			continue
 		}
 		f := receive(t, o.calls).Attempts[0]
 		want := time.Time{}
-		if c.class == 1 && c.ran { // a repeat that leaves late must not leave the window
+		if c.class == 1 && c.ran { // a repeat must not be sent after the key retention
 			want = now.Add(-c.ago).Add(12 * time.Second)
 		}
-		if off := f.NotAfter.Sub(want).Abs(); off > time.Millisecond { // the log has whole microseconds, by two readings
+		if off := f.NotAfter.Sub(want).Abs(); off > time.Millisecond { // the log rounds times to microseconds
 			t.Errorf("%s: may leave until %v, want %v", c.name, f.NotAfter, want)
 		}
 		if f.attempt != c.sends || !bytes.Equal(f.Message.Body, []byte("body")) || len(o.reports) > 0 {
@@ -122,8 +123,9 @@
 	}
 }
 
-// A step of the wall clock between two processes changes no span: what was sent 5 s ago and is due in 20 s is so to
-// the next process, whether the clock was put forward or back by an hour meanwhile.
+// TestRestartAcrossClockStep checks that a step of the wall clock between two processes changes no time span: a message
+// that was sent 5 s ago and has 20 s left has the same spans in the next process, whether the clock was set forward or
+// back by an hour meanwhile.
 func TestRestartAcrossClockStep(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
 		dir := t.TempDir()
@@ -131,7 +133,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		before.Stamp -= step.Microseconds() // the wall clock was there as the first process began
+		before.Stamp -= step.Microseconds() // what the wall clock showed when the first process started
 		if err := wal.WriteAnchor(dir, before); err != nil {
 			t.Fatal(err)
 		}
@@ -140,7 +142,7 @@
 		j, tb := openTestLog(t, dir)
 		e := &entry{num: 9, Message: &Message{ID: "a", Class: 1, Destination: 7, Deadline: now.Add(20 * time.Second)}}
 		tb.add(e)
-		// written is the time that the log writes with the stamp which wall has for it.
+		// written returns the time that the log records with the stamp of the stepped wall clock.
 		written := func(at time.Time) time.Time { return j.Times().Time(wall.Stamp(at)) }
 		e.Deadline = written(e.Deadline)
 		logAccepted(j, e)
@@ -152,10 +154,10 @@
 		start(t, l)
 		f := receive(t, o.calls).Attempts[0]
 		if off := f.NotAfter.Sub(now.Add(7 * time.Second)).Abs(); off > 50*time.Millisecond {
-			t.Errorf("step %v: may leave in %v, not 7s", step, f.NotAfter.Sub(now))
+			t.Errorf("step %v: NotAfter in %v, want 7s", step, f.NotAfter.Sub(now))
 		}
 		if off := f.Message.Deadline.Sub(now.Add(20 * time.Second)).Abs(); off > 50*time.Millisecond {
-			t.Errorf("step %v: due in %v, not 20s", step, f.Message.Deadline.Sub(now))
+			t.Errorf("step %v: deadline in %v, want 20s", step, f.Message.Deadline.Sub(now))
 		}
 		pending, err := ReadPending(dir, discardLog)
 		if err != nil || len(pending) != 1 || pending[0].Deadline.Sub(now.Add(20*time.Second)).Abs() > 50*time.Millisecond {
@@ -164,8 +166,8 @@
 	}
 }
 
-// The record of an attempt lies in a damaged part: a message that is not idempotent then ends as one
-// that may have run, and one with a key near the end of its retention does not go again.
+// TestAttemptInDamage checks messages whose record of an attempt is in a damaged part of the log: a message that is not
+// idempotent ends as one that may have run, and one with a key near the end of its retention is not sent again.
 func TestAttemptInDamage(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -181,7 +183,8 @@
 		err := j.Flush()
 		j.AddAttempt(9, wal.Attempt{At: time.Now().Add(-11 * time.Second), Endpoint: "target-in-the-damage"})
 		err = errors.Join(err, j.Flush())
-		logAccepted(j, &entry{num: 10, Message: newMessage("later", 1, time.Hour)}) // so that it is no torn tail
+		// Another record follows, so that the damage is not a torn write at the end of the log.
+		logAccepted(j, &entry{num: 10, Message: newMessage("later", 1, time.Hour)})
 		if err = errors.Join(err, j.Flush(), j.Close()); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/state/retryafter_test.go
+++ b/internal/state/retryafter_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Of several waits for a route the one that ends last holds; what has passed is forgotten once many are remembered,
-// and beyond twice as many no more are taken.
+// TestRetryAfterTable checks that of several waits for a route, the one that ends last applies. Expired waits are
+// removed once many are recorded, and no more are recorded once there are twice as many.
 func TestRetryAfterTable(t *testing.T) {
 	now := time.Unix(1000, 0)
 	key := routeKey{destination: 7}
@@ -19,18 +19,18 @@
 	}
 	table.prune(now.Add(time.Hour))
 	if len(table) != 1 {
-		t.Errorf("%d remembered, want 1: there is room", len(table))
+		t.Errorf("%d waits recorded, want 1: the table is not full", len(table))
 	}
 	for i := range 3 * maxRetryAfters {
 		table.record(routeKey{destination: i}, retryAfter{now, now.Add(time.Duration(i))})
 	}
 	if len(table) != 2*maxRetryAfters {
-		t.Errorf("%d remembered, want %d", len(table), 2*maxRetryAfters)
+		t.Errorf("%d waits recorded, want %d", len(table), 2*maxRetryAfters)
 	}
 	table.prune(now.Add(maxRetryAfters))
 	for key, w := range table {
 		if w.until.Sub(now) <= maxRetryAfters {
-			t.Errorf("%+v has passed and is remembered", key)
+			t.Errorf("the expired wait of %+v is still recorded", key)
 		}
 	}
 }
--- a/internal/state/sendcheck_test.go
+++ b/internal/state/sendcheck_test.go
@@ -8,37 +8,37 @@
 	"cleathold/internal/permit"
 )
 
-// drainEndpoint has the endpoint group, and it alone, know that an endpoint drains since a time.
+// drainEndpoint marks an endpoint as draining since a time in the endpoint group, but not in the controller.
 func drainEndpoint(l *Loop, to control.EndpointID, at time.Time) {
 	t := *l.group.ByNumber(to)
 	t.State = control.Draining
 	l.group.Update(control.ListDelta, l.group.Version(), []Target{t}, at)
 }
 
-// What the controller must not have decided on does not leave, whatever the reason: it is counted, and the message
-// goes on.
+// TestSendCheck checks that a send that the controller decided on against a rule is withheld and counted, whatever the
+// rule, and its message continues.
 func TestSendCheck(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
-		known func(l *Loop, to control.EndpointID) // what is known as the second send is decided on
+		known func(l *Loop, to control.EndpointID) // prepares the loop before the second send
 		want  permit.Denial
 	}{
-		{"a second call of a message that is not idempotent", 2, func(*Loop, control.EndpointID) {}, permit.NotRepeatable},
-		{"a hedged request where none is allowed", 0, func(l *Loop, _ control.EndpointID) {
+		{"second call of a message that is not idempotent", 2, func(*Loop, control.EndpointID) {}, permit.NotRepeatable},
+		{"hedged request that is not allowed", 0, func(l *Loop, _ control.EndpointID) {
 			l.settings.AllowHedging = false
 		}, permit.InFlight},
-		{"an endpoint that left", 0, func(l *Loop, to control.EndpointID) {
+		{"endpoint that drained", 0, func(l *Loop, to control.EndpointID) {
 			drainEndpoint(l, to, l.now.Add(-2*time.Second))
 		}, permit.EndpointGone},
-		{"an uncertain list", 0, func(l *Loop, _ control.EndpointID) {
+		{"uncertain list", 0, func(l *Loop, _ control.EndpointID) {
 			l.certainty.markUncertain(l.now.Add(-2 * time.Second))
 		}, permit.ListUncertain},
-		{"a Retry-After", 0, func(l *Loop, to control.EndpointID) {
+		{"Retry-After", 0, func(l *Loop, to control.EndpointID) {
 			l.recordRetryAfter(*l.group.ByNumber(to), time.Second)
-			l.now = l.now.Add(time.Millisecond) // sends decided on as it is told are excused
+			l.now = l.now.Add(time.Millisecond) // sends at the very time of the Retry-After are allowed
 		}, permit.RetryAfterPending},
-		{"a process that ends", 0, func(l *Loop, _ control.EndpointID) { l.halted = true }, permit.Stopping},
+		{"halted loop", 0, func(l *Loop, _ control.EndpointID) { l.halted = true }, permit.Stopping},
 	} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		l.settings.DrainGrace = 2 * time.Second
@@ -56,14 +56,15 @@
 			done <- true
 		}))
 		<-done
-		l.Idle() // the iteration has ended
+		l.Idle() // waits for the end of the iteration
 		if n := l.counters.withheld[c.want].Load(); n != 1 || len(o.calls) > 0 {
 			t.Errorf("%s: %d withheld for %v, %d calls; counts %+v", c.name, n, c.want, len(o.calls), l.counters.Counts())
 		}
 	}
 }
 
-// A call whose first byte was written against a rule is counted, once it is known; one in time is not.
+// TestCheckSent checks that a call whose first byte was written against a rule is counted once its result is known. One
+// that was written in time is not.
 func TestCheckSent(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	l.settings.DrainGrace = time.Second
@@ -75,20 +76,20 @@
 		l.Post(endedWith(call, AttemptResult{Result: control.Served, Final: true, SentAt: now.Add(sentAfter)}))
 		l.Idle()
 		if n := l.counters.Counts().Broken[permit.EndpointGone.String()]; n != int64(i) {
-			t.Errorf("left after %v: %d counted", sentAfter, n)
+			t.Errorf("sent after %v: %d counted", sentAfter, n)
 		}
 	}
 }
 
-// A Retry-After counts from when its answer came, also where that was in the middle of an iteration; and it binds the
-// next target at the same address, under whatever id that is listed.
+// TestRetryAfterKept checks that a Retry-After counts from the arrival of its answer, even if that arrives in the
+// middle of an iteration. It also applies to the next target at the same address, whatever its ID.
 func TestRetryAfterKept(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	for _, c := range []struct {
 		name  string
-		busy  time.Duration // so long the iteration has gone on
+		busy  time.Duration // how long the iteration has run when the answer arrives
 		moved bool
-	}{{"in the middle of a round", 150 * time.Millisecond, false}, {"another id at the address", 0, true}} {
+	}{{"in the middle of an iteration", 150 * time.Millisecond, false}, {"another ID at the address", 0, true}} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
 		call := o.submitAndReceiveCall(t, l, "a")
@@ -104,7 +105,7 @@
 			}
 		}))
 		if retry := receive(t, o.calls); time.Since(answeredAt) < wait {
-			t.Errorf("%s: a call to %s %v after a wait of %v was told", c.name, retry.Target.ID, time.Since(answeredAt), wait)
+			t.Errorf("%s: call to %s after %v, Retry-After %v", c.name, retry.Target.ID, time.Since(answeredAt), wait)
 		}
 	}
 }
--- a/internal/state/settings_test.go
+++ b/internal/state/settings_test.go
@@ -8,8 +8,9 @@
 	"cleathold/control"
 )
 
-// A message keeps its class over a restart with other settings: of the same name and stricter, in another order, or
-// gone. Numbers of classes that hold are those of the settings.
+// TestClassOutlastsSettings checks that a message keeps its class over a restart with other settings, in which the
+// class is stricter, in another position or missing. Classes of the settings that still hold keep the numbers that the
+// settings give them.
 func TestClassOutlastsSettings(t *testing.T) {
 	named := func(name string, e control.Idempotency) NamedClass {
 		c := testClass(e)
@@ -60,8 +61,8 @@
 	}
 }
 
-// New settings under way: the loop numbers their classes, a message under way keeps its own, the bound on classes
-// turns down what would pass it, and what the controller won't have changes nothing.
+// TestUpdateSettings checks that with new settings, the loop assigns numbers to their classes and an accepted message
+// keeps its own class. Settings that exceed the limit on classes or that the controller rejects change nothing.
 func TestUpdateSettings(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
@@ -84,7 +85,7 @@
 	if strictClass.Idempotency != control.NotIdempotent || r.Classes[0].Idempotency != control.Idempotent {
 		t.Fatalf("%+v", r)
 	}
-	// It was safe when it came: broken off, it goes again.
+	// The message was idempotent when it was accepted, so it is sent again after its connection was lost.
 	l.Post(endedWith(c, AttemptResult{Result: control.ConnectionLost}))
 	if retry := receive(t, o.calls); retry.Attempts[0].Message.ID != "a" {
 		t.Errorf("%+v", retry.Attempts[0].Message)
@@ -95,9 +96,9 @@
 		many[i].LatencyObjective = time.Duration(i)
 	}
 	if r := update(many, func(*control.Settings) {}); !errors.Is(r.Err, ErrTooManyClasses) {
-		t.Error("classes without bound")
+		t.Error("more classes than maxClasses were accepted")
 	}
 	if r := update([]NamedClass{strict}, func(s *control.Settings) { s.MaxInFlight = 0 }); r.Err == nil {
-		t.Error("settings that make no sense are taken")
+		t.Error("invalid settings were accepted")
 	}
 }
