--- a/internal/state/actions.go
+++ b/internal/state/actions.go
@@ -114,9 +114,9 @@
 }
 
 // Gossip adds an observation to those that are sent at the end of this iteration.
-func (a *actions) Gossip(n control.Observation) {
-	if t := a.group.ByNumber(n.Endpoint); t != nil && a.gossipSender != nil && len(a.gossip) < gossip.MaxObservations {
-		a.gossip = append(a.gossip, gossip.Observation{EndpointHash: gossip.HashID(t.ID), Kind: n.Kind, Age: n.Age})
+func (a *actions) Gossip(o control.Observation) {
+	if t := a.group.ByNumber(o.Endpoint); t != nil && a.gossipSender != nil && len(a.gossip) < gossip.MaxObservations {
+		a.gossip = append(a.gossip, gossip.Observation{EndpointHash: gossip.HashID(t.ID), Kind: o.Kind, Age: o.Age})
 	}
 }
 
--- a/internal/state/admission.go
+++ b/internal/state/admission.go
@@ -70,7 +70,7 @@
 		return
 	}
 	e := &entry{
-		Message: s.Message, num: l.table.next, response: s.Response, decision: s.Decision,
+		Message: s.Message, num: l.table.next, response: s.Response, admissionDecision: s.Decision,
 		classRecord: l.table.classes.record(s.Message.Class), acceptedAt: l.now,
 	}
 	l.table.add(e)
@@ -117,7 +117,7 @@
 		if l.table.entries[e.num] != e || e.response == nil {
 			continue
 		}
-		if !e.decision.accept() {
+		if !e.admissionDecision.accept() {
 			l.abandonRejected(e)
 			continue
 		}
--- a/internal/state/call.go
+++ b/internal/state/call.go
@@ -84,7 +84,7 @@
 	c.bytes += size
 	l.inFlight[c]++
 	if !e.responded {
-		e.call = c
+		e.heldCall = c
 		c.unanswered++
 	}
 }
@@ -92,8 +92,8 @@
 // releaseCall records that a message's client no longer has to be answered before the message's call may leave. The
 // call becomes ready once this holds for all messages in it.
 func (l *Loop) releaseCall(e *entry) {
-	c := e.call
-	if e.call = nil; c == nil {
+	c := e.heldCall
+	if e.heldCall = nil; c == nil {
 		return
 	}
 	if c.unanswered--; c.unanswered == 0 && !c.launched {
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -7,9 +7,9 @@
 	"cleathold/internal/permit"
 )
 
-// lateAfter is the wait for a first attempt above which a message counts as late. Messages wait no longer than this
-// while the sender and its endpoints have spare capacity.
-const lateAfter = 50 * time.Millisecond
+// lateFirstAttemptAfter is the wait for a first attempt above which a message counts as late. Messages wait no longer
+// than this while the sender and its endpoints have spare capacity.
+const lateFirstAttemptAfter = 50 * time.Millisecond
 
 // Counters counts what the successive loops of one process do. The loop updates them, and any goroutine may read them.
 // The zero value is ready to use.
@@ -66,7 +66,7 @@
 	if !e.attempted && !e.acceptedAt.IsZero() {
 		l.counters.attempted.Add(1)
 		l.counters.firstAttemptWait.Add(int64(l.now.Sub(e.acceptedAt)))
-		if l.now.Sub(e.acceptedAt) > lateAfter {
+		if l.now.Sub(e.acceptedAt) > lateFirstAttemptAfter {
 			l.counters.late.Add(1)
 		}
 	}
--- a/internal/state/deadletter.go
+++ b/internal/state/deadletter.go
@@ -118,21 +118,21 @@
 // client has not been answered yet is not offered, because the client may submit it again. Nor is any message offered
 // while the messages that wait for the queue take a tenth of the log: a slow store must not prevent the sender from
 // accepting new messages.
-func (l *Loop) offerDeadLetter(e *entry, n *DeliveryReport) (*DeadLetter, bool) {
+func (l *Loop) offerDeadLetter(e *entry, report *DeliveryReport) (*DeadLetter, bool) {
 	if l.deadLetterQueue == nil || !e.responded || l.table.deadLetterBytes+e.cost > l.wal.Limit()/deadLetterFraction {
 		return nil, false
 	}
 	d := l.newDeadLetter(e)
-	d.Deferred = n.Deferred
+	d.Deferred = report.Deferred
 	return d, l.deadLetterQueue.Accepts(d)
 }
 
 // endWithDeadLetter ends a message that is owed to the queue. The log records that, and the queue gets the message at
 // the end of the iteration.
-func (l *Loop) endWithDeadLetter(e *entry, n DeliveryReport, d *DeadLetter) {
-	n.Number, n.ID, n.DeadLetter = e.num, e.ID, d
+func (l *Loop) endWithDeadLetter(e *entry, report DeliveryReport, d *DeadLetter) {
+	report.Number, report.ID, report.DeadLetter = e.num, e.ID, d
 	e.deadLetter = d
-	l.markEnded(e, n)
+	l.markEnded(e, report)
 	l.deadLetters = append(l.deadLetters, d)
 }
 
--- a/internal/state/deadletter_test.go
+++ b/internal/state/deadletter_test.go
@@ -256,7 +256,7 @@
 	for _, c := range []struct {
 		name   string
 		result control.Result
-		more   bool // the message may be sent again
+		resent bool // the message is sent again
 		valid  func(p DeadLetter) bool
 	}{
 		{"served", control.Served, false, func(p DeadLetter) bool {
@@ -281,7 +281,7 @@
 		l.Post(Redelivery{Seq: 5, Message: newMessage("a", 2, time.Minute)})
 		call := receive(t, o.calls)
 		<-o.pending
-		handedOver, successor := handOver(t, l)
+		handedOver, successor := performHandover(t, l)
 		next := newQueueStub(true)
 		l2, o2 := newTestLoop(t, dir, 1e6)
 		l2.deadLetterQueue = next
@@ -293,10 +293,10 @@
 		if c.result == control.Unknown {
 			l2.Post(PredecessorLost{})
 		} else {
-			l.Post(endedWith(call, AttemptResult{Result: c.result, Final: !c.more && c.result != control.ConnectionLost}))
+			l.Post(endedWith(call, AttemptResult{Result: c.result, Final: !c.resent && c.result != control.ConnectionLost}))
 			l2.Post(receive(t, successor))
 		}
-		if c.more {
+		if c.resent {
 			if retry := receive(t, o2.calls); retry.Attempts[0].Message.ID != "a" {
 				t.Errorf("%s: %+v", c.name, retry)
 			}
--- a/internal/state/entry.go
+++ b/internal/state/entry.go
@@ -11,21 +11,21 @@
 // entry is one message in the table. It stays there until all parties that are owed its outcome have received it.
 type entry struct {
 	*Message
-	num            control.MessageID
-	attempts       int           // number of attempts made so far
-	mayHaveRun     []wal.Attempt // attempts that may have run, or may still run
-	response       chan<- Response
-	decision       *AdmissionDecision // set together with response
-	responded      bool               // its client has received the acceptance
-	call           *Call              // the call that must not leave before that
-	unbatched      bool               // sent in a call of its own, since an endpoint could not process a batch with it
-	report         *DeliveryReport    // set once the message has ended: the report that the platform is owed
-	cost           int64              // maximum size in the log, in bytes
-	classRecord    string             // its class as encoded in the log
-	inFlight       int                // attempts without a result
-	remoteInFlight int                // attempts of another process; the message waits for their results
-	acceptedAt     time.Time
-	attempted      bool // an attempt has left, or was about to leave
+	num               control.MessageID
+	attempts          int           // number of attempts made so far
+	mayHaveRun        []wal.Attempt // attempts that may have run, or may still run
+	response          chan<- Response
+	admissionDecision *AdmissionDecision // set together with response
+	responded         bool               // its client has received the acceptance
+	heldCall          *Call              // the call that must not leave before that
+	unbatched         bool               // sent in a call of its own: an endpoint could not process its batch
+	report            *DeliveryReport    // set once the message has ended: the report that the platform is owed
+	cost              int64              // maximum size in the log, in bytes
+	classRecord       string             // its class as encoded in the log
+	inFlight          int                // attempts without a result
+	remoteInFlight    int                // attempts of another process; the message waits for their results
+	acceptedAt        time.Time
+	attempted         bool // an attempt has left, or was about to leave
 
 	// Used only with a dead-letter queue.
 	deadLetterSeq uint64            // the dead letter that is redelivered; 0 = a client's message
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -71,7 +71,7 @@
 
 // apply stops and halts the loop. The hand-over itself is done at the end of the iteration.
 func (h HandOver) apply(l *Loop) {
-	l.handOver = &h
+	l.requestedHandover = &h
 	l.stopped, l.halted = true, true
 	for _, c := range l.readyCalls { // calls that waited for another call to end and never left
 		l.endUnsent(c, control.ConnectFailed)
@@ -100,13 +100,13 @@
 	}
 }
 
-// completeHandOver ends the loop's ownership of the log at the end of an iteration.
-func (l *Loop) completeHandOver() {
+// completeHandover ends the loop's ownership of the log at the end of an iteration.
+func (l *Loop) completeHandover() {
 	if len(l.backlog) > 0 {
 		return // results of calls that never left have yet to be recorded
 	}
-	h := l.handOver
-	l.handOver = nil
+	h := l.requestedHandover
+	l.requestedHandover = nil
 	state := l.handoverState()
 	err := l.wal.Close()
 	if l.wal.Incomplete() {
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -84,13 +84,13 @@
 		testClass(control.Idempotent), testClass(control.IdempotentByKey), testClass(control.NotIdempotent),
 	}
 	classes[1].KeyRetention = 12 * time.Second
-	set := control.Settings{
+	settings := control.Settings{
 		FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 3, SeparateRoutes: true}}, MaxInFlight: 8,
 		MaxOpenMessages: 6, MaxAttempts: 12, CanSendRetryAfter: true, MaxRetryAfter: time.Minute, ConnectTimeout: time.Second,
 		HeadroomIndex: -1, LimitIndex: -1, AllowHedging: true, CanCancel: true,
 		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2,
 	}
-	l, err := NewLoop(Setup{Settings: set, Dir: dir, DiskBytes: disk, Log: discardLog, Known: known})
+	l, err := NewLoop(Setup{Settings: settings, Dir: dir, DiskBytes: disk, Log: discardLog, Known: known})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,8 +147,8 @@
 	}
 }
 
-// handOver hands over a loop that has one attempt in flight.
-func handOver(t *testing.T, l *Loop) (HandoverState, successorStub) {
+// performHandover hands over a loop that has one attempt in flight.
+func performHandover(t *testing.T, l *Loop) (HandoverState, successorStub) {
 	t.Helper()
 	done, successor := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 4))
 	l.Post(HandOver{Successor: successor, Done: done})
--- a/internal/state/iteration.go
+++ b/internal/state/iteration.go
@@ -51,8 +51,8 @@
 		l.controller.Decide(l.sinceStart())
 	}
 	l.commit()
-	if l.handOver != nil {
-		l.completeHandOver()
+	if l.requestedHandover != nil {
+		l.completeHandover()
 	}
 }
 
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -87,9 +87,9 @@
 	callsInFlight   int           // calls that the transport has
 	walRetryPending bool          // an iteration that retries writing the log is scheduled
 
-	handOver  *HandOver      // the hand-over that was requested, until it is complete
-	successor Successor      // set once the state has been handed over
-	remote    remoteAttempts // attempts in flight at the predecessor
+	requestedHandover *HandOver      // the hand-over that was requested, until it is complete
+	successor         Successor      // set once the state has been handed over
+	remote            remoteAttempts // attempts in flight at the predecessor
 
 	started  bool
 	stopped  bool // no new messages
@@ -164,13 +164,13 @@
 }
 
 // Connect sets the transport, discovery and reporter. It must be called before Run.
-func (l *Loop) Connect(c Transport, d Discovery, n Reporter) {
-	l.transport, l.discovery, l.reporter = c, d, n
+func (l *Loop) Connect(t Transport, d Discovery, r Reporter) {
+	l.transport, l.discovery, l.reporter = t, d, r
 }
 
 // ConnectPeers sets the sender of gossip to the other senders of the fleet. It must be called before Run. Without it no
 // gossip is sent.
-func (l *Loop) ConnectPeers(t GossipSender) { l.gossipSender = t }
+func (l *Loop) ConnectPeers(g GossipSender) { l.gossipSender = g }
 
 // Post posts an event to the loop. It blocks while the queue is full, which delays only the caller's goroutine. After
 // the end of Run the event is dropped.
--- a/internal/state/loop_test.go
+++ b/internal/state/loop_test.go
@@ -203,13 +203,13 @@
 	}
 }
 
-// TestWithheldAtHandOver checks that a call that waits for its connection at a hand-over is no longer sent by the
+// TestWithheldAtHandover checks that a call that waits for its connection at a hand-over is no longer sent by the
 // predecessor, and that the successor sends its message as one that never ran.
-func TestWithheldAtHandOver(t *testing.T) {
+func TestWithheldAtHandover(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	connecting := o.submitAndReceiveCall(t, l, "a")
-	handedOver, successor := handOver(t, l)
+	handedOver, successor := performHandover(t, l)
 	if c := receive(t, o.withheld); c != connecting {
 		t.Error("another call was withheld")
 	}
--- a/internal/state/outcome.go
+++ b/internal/state/outcome.go
@@ -105,39 +105,39 @@
 }
 
 // endMessage ends a message with an outcome: a rejection if its client still waits for a response, otherwise a report.
-func (l *Loop) endMessage(id control.MessageID, n DeliveryReport) {
+func (l *Loop) endMessage(id control.MessageID, report DeliveryReport) {
 	e := l.table.entries[id]
 	if e == nil || e.report != nil {
 		return
 	}
 	if e.response != nil {
-		l.reject(e, Response{RetryAfter: n.RetryAfter, Permanent: !n.Deferred})
+		l.reject(e, Response{RetryAfter: report.RetryAfter, Permanent: !report.Deferred})
 		return
 	}
-	if n.Deferred {
+	if report.Deferred {
 		l.counters.deferred.Add(1)
 	} else {
 		l.counters.undeliverable.Add(1)
 	}
 	if e.deadLetterSeq > 0 {
-		l.endWithDeadLetter(e, n, l.newDeadLetter(e))
+		l.endWithDeadLetter(e, report, l.newDeadLetter(e))
 		return
 	}
-	if d, accepted := l.offerDeadLetter(e, &n); accepted {
-		n.Deferred, n.RetryAfter = false, 0
-		l.endWithDeadLetter(e, n, d)
+	if d, accepted := l.offerDeadLetter(e, &report); accepted {
+		report.Deferred, report.RetryAfter = false, 0
+		l.endWithDeadLetter(e, report, d)
 		l.reports = append(l.reports, *e.report)
 		return
 	}
-	n.Number, n.ID = id, e.ID
-	l.markEnded(e, n)
-	l.reports = append(l.reports, n)
+	report.Number, report.ID = id, e.ID
+	l.markEnded(e, report)
+	l.reports = append(l.reports, report)
 }
 
 // markEnded marks a message as ended in the table and in the log. If its body is no longer needed, a short record
 // replaces all its earlier records in the log, so that the body takes no space.
-func (l *Loop) markEnded(e *entry, n DeliveryReport) {
-	l.table.markEnded(e, n)
+func (l *Loop) markEnded(e *entry, report DeliveryReport) {
+	l.table.markEnded(e, report)
 	if len(e.Body) > 0 {
 		l.wal.AddOutcome(e.num, e.report.logOutcome())
 		return
--- a/internal/state/redelivery_test.go
+++ b/internal/state/redelivery_test.go
@@ -10,7 +10,7 @@
 // TestRedeliveryDenial checks that each condition that prevents a redelivery leads to its own denial. The text of each
 // denial is checked, too, because operators read it.
 func TestRedeliveryDenial(t *testing.T) {
-	open := func(l *Loop, id, key string, class int) *entry {
+	addOpen := func(l *Loop, id, key string, class int) *entry {
 		m := newMessage(id, class, time.Minute)
 		m.Key = key
 		e := &entry{Message: m, num: l.table.next}
@@ -25,7 +25,7 @@
 		{RedeliveryAdmitted, "", func(*Loop) {}},
 		{DeniedStopping, "the sender stops", func(l *Loop) { l.stopped = true }},
 		{DeniedStopping, "the sender stops", func(l *Loop) { l.halted = true }},
-		{DeniedDuplicateID, "its id is in use", func(l *Loop) { open(l, "a", "", 0) }},
+		{DeniedDuplicateID, "its id is in use", func(l *Loop) { addOpen(l, "a", "", 0) }},
 		{DeniedNoEndpoint, "no target of its destination is listed", func(l *Loop) {
 			other := Target{ID: "other", Endpoint: control.Endpoint{Destination: 8, State: control.Ready}}
 			l.group.Update(control.ListFull, 2, []Target{other}, l.now)
@@ -35,10 +35,10 @@
 		}},
 		{DeniedManyCalls, "few slots are free", func(l *Loop) { l.callsInFlight = l.settings.MaxInFlight }},
 		{DeniedLogFull, "the journal has little room", func(l *Loop) { l.table.liveBytes = l.wal.Limit() }},
-		{DeniedKeyOpen, "a message with its key is open", func(l *Loop) { open(l, "b", "key", 1).inFlight = 1 }},
-		{DeniedMessagesWaiting, "live messages for its destination wait", func(l *Loop) { open(l, "b", "", 0) }},
-		{RedeliveryAdmitted, "", func(l *Loop) { open(l, "b", "", 0).inFlight = 1 }},
-		{RedeliveryAdmitted, "", func(l *Loop) { open(l, "b", "", 0).deadLetterSeq = 4 }},
+		{DeniedKeyOpen, "a message with its key is open", func(l *Loop) { addOpen(l, "b", "key", 1).inFlight = 1 }},
+		{DeniedMessagesWaiting, "live messages for its destination wait", func(l *Loop) { addOpen(l, "b", "", 0) }},
+		{RedeliveryAdmitted, "", func(l *Loop) { addOpen(l, "b", "", 0).inFlight = 1 }},
+		{RedeliveryAdmitted, "", func(l *Loop) { addOpen(l, "b", "", 0).deadLetterSeq = 4 }},
 	} {
 		l, _ := newTestLoop(t, t.TempDir(), 1e6)
 		c.prepare(l)
--- a/internal/state/restart_test.go
+++ b/internal/state/restart_test.go
@@ -36,7 +36,7 @@
 	submit("unsafe", 2, time.Minute)
 	call := receive(t, o.calls)
 	const within = 400 * time.Millisecond
-	began := time.Now()
+	submittedAt := time.Now()
 	submit("short", 2, within)
 	short := receive(t, o.calls)
 	time.AfterFunc(within, func() {
@@ -47,7 +47,7 @@
 	if n := receive(t, o.reports); n.ID != "short" {
 		t.Errorf("%s is reported although the log lacks its outcome", n.ID)
 	}
-	if took := time.Since(began); took > within+200*time.Millisecond {
+	if took := time.Since(submittedAt); took > within+200*time.Millisecond {
 		t.Errorf("reported %v after the submission, deadline after %v", took, within)
 	}
 	l.Post(inspect(func() { disk.full.Store(false) }))
@@ -76,13 +76,13 @@
 func TestRestart(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		name  string
-		class int
-		left  time.Duration
-		ago   time.Duration // age of the attempt; 0 = none
-		ran   bool          // the attempt may have run
-		sends int           // index of the expected attempt; -1 = none
-		owed  string
+		name        string
+		class       int
+		timeLeft    time.Duration
+		attemptAge  time.Duration // age of the attempt; 0 = none
+		mayHaveRun  bool          // the attempt may have run
+		wantAttempt int           // index of the expected attempt; -1 = none
+		wantOwed    string
 	}{
 		{"idempotent, fresh", 0, time.Minute, 0, false, 0, ""},
 		{"idempotent, may have run", 0, time.Minute, time.Hour, true, 1, ""},
@@ -97,11 +97,11 @@
 		{"not idempotent, overdue", 2, -time.Second, time.Second, true, -1, "undeliverable"},
 	} {
 		dir := t.TempDir()
-		writeAttempted(t, dir, newMessage("a", c.class, c.left), now, c.ago, c.ran)
+		writeAttempted(t, dir, newMessage("a", c.class, c.timeLeft), now, c.attemptAge, c.mayHaveRun)
 		l, o := newTestLoop(t, dir, 1e6)
 		start(t, l)
-		if c.owed != "" {
-			if n := receive(t, o.reports); n.outcome() != c.owed || n.ID != "a" {
+		if c.wantOwed != "" {
+			if n := receive(t, o.reports); n.outcome() != c.wantOwed || n.ID != "a" {
 				t.Errorf("%s: %+v", c.name, n)
 			}
 			if l.Idle(); len(o.calls) > 0 {
@@ -111,13 +111,13 @@
 		}
 		f := receive(t, o.calls).Attempts[0]
 		want := time.Time{}
-		if c.class == 1 && c.ran { // a repeat must not be sent after the key retention
-			want = now.Add(-c.ago).Add(12 * time.Second)
+		if c.class == 1 && c.mayHaveRun { // a repeat must not be sent after the key retention
+			want = now.Add(-c.attemptAge).Add(12 * time.Second)
 		}
 		if off := f.NotAfter.Sub(want).Abs(); off > time.Millisecond { // the log rounds times to microseconds
 			t.Errorf("%s: may leave until %v, want %v", c.name, f.NotAfter, want)
 		}
-		if f.attempt != c.sends || !bytes.Equal(f.Message.Body, []byte("body")) || len(o.reports) > 0 {
+		if f.attempt != c.wantAttempt || !bytes.Equal(f.Message.Body, []byte("body")) || len(o.reports) > 0 {
 			t.Errorf("%s: attempt %d of %+v", c.name, f.attempt, f.Message)
 		}
 	}
@@ -138,12 +138,12 @@
 			t.Fatal(err)
 		}
 		now := time.Now()
-		wall := wal.NewTimeBase(now, now.Add(-step).UnixMicro())
+		steppedClock := wal.NewTimeBase(now, now.Add(-step).UnixMicro())
 		j, tb := openTestLog(t, dir)
 		e := &entry{num: 9, Message: &Message{ID: "a", Class: 1, Destination: 7, Deadline: now.Add(20 * time.Second)}}
 		tb.add(e)
 		// written returns the time that the log records with the stamp of the stepped wall clock.
-		written := func(at time.Time) time.Time { return j.Times().Time(wall.Stamp(at)) }
+		written := func(at time.Time) time.Time { return j.Times().Time(steppedClock.Stamp(at)) }
 		e.Deadline = written(e.Deadline)
 		logAccepted(j, e)
 		j.AddAttempt(9, wal.Attempt{At: written(now.Add(-5 * time.Second))})
--- a/internal/state/sendcheck_test.go
+++ b/internal/state/sendcheck_test.go
@@ -19,10 +19,10 @@
 // rule, and its message continues.
 func TestSendCheck(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		known func(l *Loop, to control.EndpointID) // prepares the loop before the second send
-		want  permit.Denial
+		name    string
+		class   int
+		prepare func(l *Loop, to control.EndpointID) // prepares the loop before the second send
+		want    permit.Denial
 	}{
 		{"second call of a message that is not idempotent", 2, func(*Loop, control.EndpointID) {}, permit.NotRepeatable},
 		{"hedged request that is not allowed", 0, func(l *Loop, _ control.EndpointID) {
@@ -51,7 +51,7 @@
 		done := make(chan bool)
 		l.Post(inspect(func() {
 			to := l.group.ByID("s").Endpoint.ID
-			c.known(l, to)
+			c.prepare(l, to)
 			(*actions)(l).Send(l.table.byID["a"].num, to, time.Second)
 			done <- true
 		}))
--- a/internal/state/settings_test.go
+++ b/internal/state/settings_test.go
@@ -67,10 +67,10 @@
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	update := func(classes []NamedClass, change func(*control.Settings)) SettingsResult {
-		set := l.settings
-		change(&set)
+		settings := l.settings
+		change(&settings)
 		done := make(chan SettingsResult, 1)
-		l.Post(UpdateSettings{Settings: set, Classes: classes, Done: done})
+		l.Post(UpdateSettings{Settings: settings, Classes: classes, Done: done})
 		return receive(t, done)
 	}
 	receive(t, submit(l, "a", 10))
