--- a/internal/state/actions.go
+++ b/internal/state/actions.go
@@ -47,8 +47,8 @@
 }
 
 // keyRetainedUntil returns the time after which a message with an idempotency key that may have run must not be sent
-// again, or the zero time for other messages. A send that was decided on earlier may leave only after that time,
-// because setting up its connection takes time.
+// again, or the zero time for other messages. The attempt carries this time, because establishing its connection may
+// delay a send that was decided on before it.
 func (l *Loop) keyRetainedUntil(e *entry) time.Time {
 	first, ran := e.firstRun()
 	if !ran || e.Class < 0 || e.Class >= len(l.settings.Classes) {
@@ -120,5 +120,5 @@
 	}
 }
 
-// Log logs a message of the controller.
+// Log logs a text of the controller.
 func (a *actions) Log(text string) { a.log.Info(text) }
--- a/internal/state/call.go
+++ b/internal/state/call.go
@@ -179,9 +179,9 @@
 	l.backlog = append(l.backlog, CallEnded{c, results})
 }
 
-// withhold withholds the calls to the selected endpoints that have not left yet. They were decided on before the latest
-// information about the endpoint arrived, and a call that still waits for its connection, or for a client to be
-// answered, would leave only after it.
+// withhold withholds the calls to the selected endpoints that have not left yet, because they still wait for their
+// connections or for clients to be answered. They were decided on before the latest information about these endpoints
+// arrived, and would leave after it.
 func (l *Loop) withhold(affected func(t Target) bool) {
 	for _, c := range l.inFlightInOrder(affected) {
 		if c.withheld = !c.launched; c.launched {
--- a/internal/state/deadletter_test.go
+++ b/internal/state/deadletter_test.go
@@ -67,9 +67,9 @@
 	l.Post(endedWith(c, AttemptResult{Result: r}))
 }
 
-// TestDeadLetterOwnership checks that a message that goes to the dead-letter queue is undeliverable for the platform.
-// The log keeps it until both the platform and the queue have acknowledged it, including over a restart at any point
-// before that.
+// TestDeadLetterOwnership checks that a message never belongs to both its client and the queue: one that goes to the
+// queue is reported to the platform as undeliverable. The log keeps it until both the platform and the queue have
+// acknowledged it, including over a restart at any point before that.
 func TestDeadLetterOwnership(t *testing.T) {
 	for _, c := range []struct {
 		name         string
--- a/internal/state/endpoints.go
+++ b/internal/state/endpoints.go
@@ -47,7 +47,7 @@
 	l.certainty.markUncertain(e.At)
 	l.counters.unreadableLists.Add(1)
 	if endpoints := l.group.UpdateDeparting(e.Departing, l.now); len(endpoints) > 0 {
-		l.log.Info("endpoints draining, from part of a list", "count", len(endpoints))
+		l.log.Info("endpoints draining according to an incomplete endpoint list", "count", len(endpoints))
 		l.endpointsExcluded(endpoints)
 		l.departures.Update(l.group)
 	}
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -30,7 +30,7 @@
 	Targets  []Target                      `json:"Targets"`
 	Routes   map[string]control.RouteState `json:"Known"` // by target ID
 	InFlight []RemoteAttempt               `json:"Out"`
-	Drained  bool                          `json:"Drained"` // the operator has the sender reject clients
+	Drained  bool                          `json:"Drained"` // an operator has drained the sender of its clients
 	Lease    lease.Holder                  `json:"Lease"`
 
 	// UncertainFor is how long the endpoint list has been uncertain; 0 = it is certain. See listCertainty.
@@ -62,7 +62,7 @@
 
 func (PredecessorLost) apply(l *Loop) { l.predecessorLost() }
 
-// HandOver requests that the loop transfers its state to a successor. The state is sent on Done after the log is
+// HandOver is the request to transfer the loop's state to a successor. The state is sent on Done after the log is
 // closed. From then on the loop only forwards results to the successor.
 type HandOver struct {
 	Successor Successor
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -95,9 +95,8 @@
 		t.Fatal(err)
 	}
 	o := &environment{
-		t: t, dir: dir, calls: make(chan *Call, 64), reports: make(chan DeliveryReport, 64), pending: make(chan []Pending,
-			64),
-		withheld: make(chan *Call, 64),
+		t: t, dir: dir, calls: make(chan *Call, 64), reports: make(chan DeliveryReport, 64),
+		pending: make(chan []Pending, 64), withheld: make(chan *Call, 64),
 	}
 	l.Connect(o, o, o)
 	return l, o
--- a/internal/state/redelivery.go
+++ b/internal/state/redelivery.go
@@ -7,7 +7,7 @@
 	"cleathold/internal/wal"
 )
 
-// Redelivery is the event that the queue requests that a dead letter is sent again.
+// Redelivery is the queue's request to send a dead letter again.
 type Redelivery struct {
 	Seq          uint64
 	Message      *Message
--- a/internal/state/settings_test.go
+++ b/internal/state/settings_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestClassOutlastsSettings checks that a message keeps its class over a restart with other settings, in which the
-// class is stricter, in another position or missing. Classes of the settings that still hold keep the numbers that the
-// settings give them.
+// class is stricter, in another position or missing. The classes of the new settings are numbered in the order of these
+// settings.
 func TestClassOutlastsSettings(t *testing.T) {
 	named := func(name string, e control.Idempotency) NamedClass {
 		c := testClass(e)
