--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -29,8 +29,8 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			c := &transportStub{}
-			l.Connect(c, c, c)
+			transport := &transportStub{}
+			l.Connect(transport, transport, transport)
 			l.timer = time.NewTimer(time.Hour)
 			l.iterate()
 			body := make([]byte, 200)
@@ -48,7 +48,7 @@
 				}
 				l.backlog = append(l.backlog, ResponseWritten{id, true})
 				l.iterate()
-				l.backlog = append(l.backlog, endedWith(c.last, AttemptResult{Result: control.Served, Final: true}))
+				l.backlog = append(l.backlog, endedWith(transport.last, AttemptResult{Result: control.Served, Final: true}))
 				l.iterate()
 			}
 		})
@@ -57,11 +57,11 @@
 
 type transportStub struct{ last *Call }
 
-func (c *transportStub) Send(call *Call)               { c.last = call }
-func (c *transportStub) Cancel(*Call)                  {}
-func (c *transportStub) CancelUnsent(*Call)            {}
-func (c *transportStub) HealthCheck(Target, time.Time) {}
-func (c *transportStub) Disconnect(string)             {}
-func (c *transportStub) Watch(bool, int64)             {}
-func (c *transportStub) Fetch()                        {}
-func (c *transportStub) Report(DeliveryReport)         {}
+func (t *transportStub) Send(call *Call)               { t.last = call }
+func (t *transportStub) Cancel(*Call)                  {}
+func (t *transportStub) CancelUnsent(*Call)            {}
+func (t *transportStub) HealthCheck(Target, time.Time) {}
+func (t *transportStub) Disconnect(string)             {}
+func (t *transportStub) Watch(bool, int64)             {}
+func (t *transportStub) Fetch()                        {}
+func (t *transportStub) Report(DeliveryReport)         {}
--- a/internal/state/deadletter_test.go
+++ b/internal/state/deadletter_test.go
@@ -21,26 +21,26 @@
 	return &queueStub{wants, make(chan [2]int, 4), make(chan DeadLetter, 64), make(chan string, 64)}
 }
 
-func (k *queueStub) Begin(owed []string, out []uint64) {
-	k.began <- [2]int{len(owed), len(out)}
+func (q *queueStub) Begin(owed []string, redelivered []uint64) {
+	q.began <- [2]int{len(owed), len(redelivered)}
 }
 
-func (k *queueStub) Accepts(*DeadLetter) bool                                  { return k.accepts }
-func (k *queueStub) Add(p DeadLetter)                                          { k.added <- p }
-func (k *queueStub) CallEnded(int, control.Result, time.Duration, bool)        {}
-func (k *queueStub) CapacityChanged(map[int]DestinationCapacity)               {}
-func (k *queueStub) ClassesChanged([]string, map[string]int, control.Settings) {}
-func (k *queueStub) LoadChanged(LoopLoad)                                      {}
-func (k *queueStub) Forget(ids []string) {
+func (q *queueStub) Accepts(*DeadLetter) bool                                  { return q.accepts }
+func (q *queueStub) Add(d DeadLetter)                                          { q.added <- d }
+func (q *queueStub) CallEnded(int, control.Result, time.Duration, bool)        {}
+func (q *queueStub) CapacityChanged(map[int]DestinationCapacity)               {}
+func (q *queueStub) ClassesChanged([]string, map[string]int, control.Settings) {}
+func (q *queueStub) LoadChanged(LoopLoad)                                      {}
+func (q *queueStub) Forget(ids []string) {
 	for _, id := range ids {
-		k.forgotten <- id
+		q.forgotten <- id
 	}
 }
 
 // loopWithQueue returns a loop with a dead-letter queue.
-func loopWithQueue(t *testing.T, dir string, k *queueStub) (*Loop, *environment) {
+func loopWithQueue(t *testing.T, dir string, queue *queueStub) (*Loop, *environment) {
 	l, o := newTestLoop(t, dir, 1e6)
-	l.deadLetterQueue = k
+	l.deadLetterQueue = queue
 	return l, o
 }
 
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -155,8 +155,8 @@
 // nothingInFlight reports whether neither this process nor its predecessor has calls in flight.
 func (l *Loop) nothingInFlight() bool { return len(l.inFlight)+len(l.remote) == 0 }
 
-// handleAfterHandOver handles an event after the loop has handed over. Events that it does not name are dropped.
-func (l *Loop) handleAfterHandOver(event Event) {
+// handleAfterHandover handles an event after the loop has handed over. Events that it does not name are dropped.
+func (l *Loop) handleAfterHandover(event Event) {
 	switch e := event.(type) {
 	case CallEnded:
 		l.forwardResults(e)
--- a/internal/state/iteration.go
+++ b/internal/state/iteration.go
@@ -39,7 +39,7 @@
 	l.backlog = nil
 	if l.successor != nil {
 		for _, e := range events {
-			l.handleAfterHandOver(e)
+			l.handleAfterHandover(e)
 		}
 		return
 	}
--- a/internal/state/killed_test.go
+++ b/internal/state/killed_test.go
@@ -47,25 +47,25 @@
 		l.Idle()
 		return len(read())
 	}
-	w := &messageLog{class: class}
+	written := &messageLog{class: class}
 	v := make(chan Response, 1)
 	l.Post(Submitted{Message: newMessage("a", class, time.Minute), Response: v})
 	if !receive(t, v).Accepted {
 		t.Fatal("not accepted")
 	}
-	w.accepted = size()
+	written.accepted = size()
 	l.Post(ResponseWritten{"a", true})
 	call := receive(t, o.calls)
-	w.sent = size()
+	written.sent = size()
 	l.Post(endedWith(call, AttemptResult{Result: control.Served, Final: true}))
-	w.ended = size()
+	written.ended = size()
 	cancel()
 	<-l.finished
-	w.name, w.content = logFile(t, dir), read()
-	if !(w.accepted < w.sent && w.sent < w.ended && w.ended <= len(w.content)) {
-		t.Fatalf("sizes of the log: %d, %d, %d; %d at the end", w.accepted, w.sent, w.ended, len(w.content))
+	written.name, written.content = logFile(t, dir), read()
+	if !(written.accepted < written.sent && written.sent < written.ended && written.ended <= len(written.content)) {
+		t.Fatalf("sizes of the log: %d, %d, %d; %d at the end", written.accepted, written.sent, written.ended, len(written.content))
 	}
-	return w
+	return written
 }
 
 // restartTruncated starts a loop on the first n bytes of the log while discovery is down, and checks which calls and
--- a/internal/state/retryafter.go
+++ b/internal/state/retryafter.go
@@ -25,9 +25,9 @@
 type retryAfterTable map[routeKey]retryAfter
 
 // record records a wait for a route, unless a wait that ends later is already recorded for it.
-func (t retryAfterTable) record(key routeKey, w retryAfter) {
-	if w.until.After(t[key].until) && len(t) < 2*maxRetryAfters {
-		t[key] = w
+func (t retryAfterTable) record(key routeKey, wait retryAfter) {
+	if wait.until.After(t[key].until) && len(t) < 2*maxRetryAfters {
+		t[key] = wait
 	}
 }
 
@@ -59,10 +59,10 @@
 // recordRetryAfter records a Retry-After that an endpoint has just sent.
 func (l *Loop) recordRetryAfter(t Target, after time.Duration) {
 	l.retryAfters.prune(l.now)
-	w := retryAfter{l.now, l.now.Add(after)}
-	l.retryAfters.record(l.routeKeyOf(t), w)
+	wait := retryAfter{l.now, l.now.Add(after)}
+	l.retryAfters.record(l.routeKeyOf(t), wait)
 	if l.separateRoutes(t.Kind) {
-		l.retryAfters.record(addressKeyOf(t), w)
+		l.retryAfters.record(addressKeyOf(t), wait)
 	}
 }
 
--- a/internal/state/sendcheck_test.go
+++ b/internal/state/sendcheck_test.go
@@ -86,16 +86,16 @@
 func TestRetryAfterKept(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	for _, c := range []struct {
-		name  string
-		busy  time.Duration // how long the iteration has run when the answer arrives
-		moved bool
+		name          string
+		iterationTime time.Duration // how long the iteration has run when the answer arrives
+		moved         bool
 	}{{"in the middle of an iteration", 150 * time.Millisecond, false}, {"another ID at the address", 0, true}} {
 		l, o := newTestLoop(t, t.TempDir(), 1e6)
 		start(t, l)
 		call := o.submitAndReceiveCall(t, l, "a")
 		var answeredAt time.Time
 		l.Post(inspect(func() {
-			time.Sleep(c.busy)
+			time.Sleep(c.iterationTime)
 			answeredAt = time.Now()
 			l.events <- endedWith(call, AttemptResult{Result: control.Rejected, RetryAfter: wait})
 			if c.moved {
--- a/internal/state/settings_test.go
+++ b/internal/state/settings_test.go
@@ -17,7 +17,7 @@
 		c.LateWeight, c.KeyRetention, c.KeyZoneScoped = 0.25, 12*time.Second, e == control.IdempotentByKey
 		return NamedClass{Name: name, Class: c}
 	}
-	registry := func(list ...NamedClass) *classRegistry {
+	newRegistryOf := func(list ...NamedClass) *classRegistry {
 		b := &classRegistry{}
 		for _, c := range list {
 			b.numberOf(c)
@@ -26,18 +26,18 @@
 	}
 	safe, keyed := named("status", control.Idempotent), named("print-order", control.IdempotentByKey)
 	for _, c := range []struct {
-		name  string
-		after *classRegistry
-		want  int
+		name        string
+		newRegistry *classRegistry
+		want        int
 	}{
-		{"the same", registry(safe, keyed), 1},
-		{"another order", registry(keyed, safe), 0},
-		{"stricter", registry(safe, named("print-order", control.NotIdempotent)), 2},
-		{"gone", registry(safe), 1},
-		{"another name", registry(safe, named("order", control.IdempotentByKey)), 2},
+		{"the same", newRegistryOf(safe, keyed), 1},
+		{"another order", newRegistryOf(keyed, safe), 0},
+		{"stricter", newRegistryOf(safe, named("print-order", control.NotIdempotent)), 2},
+		{"gone", newRegistryOf(safe), 1},
+		{"another name", newRegistryOf(safe, named("order", control.IdempotentByKey)), 2},
 	} {
 		dir := t.TempDir()
-		j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, registry(safe, keyed))
+		j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, newRegistryOf(safe, keyed))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		j.Close()
-		j, table, err = openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, c.after)
+		j, table, err = openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, c.newRegistry)
 		if err != nil {
 			t.Fatal(err)
 		}
