--- a/internal/state/killed_test.go
+++ b/internal/state/killed_test.go
@@ -63,7 +63,8 @@
 	<-l.finished
 	written.name, written.content = logFile(t, dir), read()
 	if !(written.accepted < written.sent && written.sent < written.ended && written.ended <= len(written.content)) {
-		t.Fatalf("sizes of the log: %d, %d, %d; %d at the end", written.accepted, written.sent, written.ended, len(written.content))
+		t.Fatalf("sizes of the log: %d, %d, %d; %d at the end",
+			written.accepted, written.sent, written.ended, len(written.content))
 	}
 	return written
 }
