--- a/internal/state/deadletter_test.go
+++ b/internal/state/deadletter_test.go
@@ -9,9 +9,9 @@
 	"cleathold/control"
 )
 
-// queueStub wants what it is told to, and notes what it gets.
+// queueStub is a dead-letter queue that accepts every message or none, and records the calls of its methods.
 type queueStub struct {
-	wants     bool
+	accepts   bool
 	began     chan [2]int
 	added     chan DeadLetter
 	forgotten chan string
@@ -21,31 +21,31 @@
 	return &queueStub{wants, make(chan [2]int, 4), make(chan DeadLetter, 64), make(chan string, 64)}
 }
 
-func (k *queueStub) Begin(owed []string, out []uint64) {
-	k.began <- [2]int{len(owed), len(out)}
+func (q *queueStub) Begin(owed []string, redelivered []uint64) {
+	q.began <- [2]int{len(owed), len(redelivered)}
 }
 
-func (k *queueStub) Accepts(*DeadLetter) bool                                  { return k.wants }
-func (k *queueStub) Add(p DeadLetter)                                          { k.added <- p }
-func (k *queueStub) CallEnded(int, control.Result, time.Duration, bool)        {}
-func (k *queueStub) CapacityChanged(map[int]DestinationCapacity)               {}
-func (k *queueStub) ClassesChanged([]string, map[string]int, control.Settings) {}
-func (k *queueStub) LoadChanged(LoopLoad)                                      {}
-func (k *queueStub) Forget(ids []string) {
+func (q *queueStub) Accepts(*DeadLetter) bool                                  { return q.accepts }
+func (q *queueStub) Add(d DeadLetter)                                          { q.added <- d }
+func (q *queueStub) CallEnded(int, control.Result, time.Duration, bool)        {}
+func (q *queueStub) CapacityChanged(map[int]DestinationCapacity)               {}
+func (q *queueStub) ClassesChanged([]string, map[string]int, control.Settings) {}
+func (q *queueStub) LoadChanged(LoopLoad)                                      {}
+func (q *queueStub) Forget(ids []string) {
 	for _, id := range ids {
-		k.forgotten <- id
+		q.forgotten <- id
 	}
 }
 
-// loopWithQueue is a loop with a keeper.
-func loopWithQueue(t *testing.T, dir string, k *queueStub) (*Loop, *environment) {
+// loopWithQueue returns a loop with a dead-letter queue.
+func loopWithQueue(t *testing.T, dir string, queue *queueStub) (*Loop, *environment) {
 	l, o := newTestLoop(t, dir, 1e6)
-	l.deadLetterQueue = k
+	l.deadLetterQueue = queue
 	return l, o
 }
 
-// killed is a folder as a kill leaves it now: a copy, as its owner goes on here.
-func killed(t *testing.T, dir string) string {
+// copyFolder returns a copy of a folder, as a kill of the process would leave the folder at this moment.
+func copyFolder(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
 	if err := os.CopyFS(to, os.DirFS(dir)); err != nil {
@@ -54,9 +54,9 @@
 	return to
 }
 
-// fails submits a message and has its only forward end with a result that its
-// class does not outlive.
-func fails(t *testing.T, l *Loop, o *environment, id string, r control.Result) {
+// failMessage submits a message and ends its only attempt with a result after which the class of the message allows no
+// other.
+func failMessage(t *testing.T, l *Loop, o *environment, id string, r control.Result) {
 	t.Helper()
 	v := make(chan Response, 1)
 	l.Post(Submitted{Message: newMessage(id, 2, time.Minute), Response: v})
@@ -67,20 +67,21 @@
 	l.Post(endedWith(c, AttemptResult{Result: r}))
 }
 
-// A message has one owner. The queue's is undeliverable to the platform, and
-// the log has it until both know, over a restart at any point between.
+// TestDeadLetterOwnership checks that a message never belongs to both its client and the queue: one that goes to the
+// queue is reported to the platform as undeliverable. The log keeps it until both the platform and the queue have
+// acknowledged it, including over a restart at any point before that.
 func TestDeadLetterOwnership(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		acked, store bool // what came before the kill
+		acked, store bool // acknowledged by the platform and by the queue before the kill
 	}{{"neither", false, false}, {"platform only", true, false}, {"store only", false, true}, {"both", true, true}} {
 		dir := t.TempDir()
 		k := newQueueStub(true)
 		l, o := loopWithQueue(t, dir, k)
 		start(t, l)
 		receive(t, k.began)
-		fails(t, l, o, "a", control.ConnectionLost)
-		n, p := receive(t, o.notices), receive(t, k.added)
+		failMessage(t, l, o, "a", control.ConnectionLost)
+		n, p := receive(t, o.reports), receive(t, k.added)
 		if n.Deferred || n.ID != "a" || p.Message.ID != "a" || string(p.Message.Body) != "body" ||
 			p.Reason != ReasonMayHaveRun ||
 			len(p.Attempts) != 1 || p.Attempts[0].Target != "s" || p.Attempts[0].Result != control.ConnectionLost {
@@ -98,17 +99,17 @@
 		l.Idle()
 		l.Idle()
 		restarted := newQueueStub(true)
-		dir = killed(t, dir)
+		dir = copyFolder(t, dir)
 		l2, o2 := loopWithQueue(t, dir, restarted)
 		start(t, l2)
 		owed := receive(t, restarted.began)[0]
 		if c.acked && c.store {
 			if id := receive(t, k.forgotten); id != "a" || owed != 0 {
-				t.Errorf("%s: settled %s, owed %d", c.name, id, owed)
+				t.Errorf("%s: %s forgotten, %d owed", c.name, id, owed)
 			}
 			continue
 		}
-		n, p = receive(t, o2.notices), receive(t, restarted.added)
+		n, p = receive(t, o2.reports), receive(t, restarted.added)
 		if owed != 1 || n.Deferred || n.ID != "a" || string(p.Message.Body) != "body" || p.Reason != ReasonMayHaveRun ||
 			!p.Attempts[0].Open {
 			t.Errorf("%s: after the kill: owed %d, %+v, %+v", c.name, owed, n, p)
@@ -122,7 +123,8 @@
 	}
 }
 
-// What is given back is not in the store, and the same is found after a restart.
+// TestDeferredToClient checks that a message that is returned to its client does not go to the queue, also when its
+// outcome is determined at a restart.
 func TestDeferredToClient(t *testing.T) {
 	k := newQueueStub(false)
 	dir := t.TempDir()
@@ -135,16 +137,16 @@
 	}
 	l, o := loopWithQueue(t, dir, k)
 	start(t, l)
-	if n := receive(t, o.notices); !n.Deferred || n.ID != "a" {
+	if n := receive(t, o.reports); !n.Deferred || n.ID != "a" {
 		t.Errorf("report %+v", n)
 	}
 	if l.Idle(); len(k.added) > 0 {
-		t.Errorf("the queue has it, too: %+v", <-k.added)
+		t.Errorf("the queue got the message, too: %+v", <-k.added)
 	}
 }
 
-// A redelivery is loged before it leaves, goes out under its id, and what comes
-// of it goes to the queue alone; so does one that was out at a kill.
+// TestRedeliveries checks that a redelivery is logged before it is sent and is sent under its own ID. Its result goes
+// to the queue alone, as does a redelivery that was in flight when the process was killed.
 func TestRedeliveries(t *testing.T) {
 	dir := t.TempDir()
 	k := newQueueStub(true)
@@ -161,18 +163,18 @@
 		t.Fatalf("log as it leaves: %+v", list)
 	}
 	restarted := newQueueStub(true)
-	l2, o2 := loopWithQueue(t, killed(t, dir), restarted)
+	l2, o2 := loopWithQueue(t, copyFolder(t, dir), restarted)
 	start(t, l2)
 	if got := receive(t, restarted.began); got != [2]int{0, 1} {
-		t.Errorf("after the kill the log tells %v", got)
+		t.Errorf("after the kill: Begin got %v", got)
 	}
 	p := receive(t, restarted.added)
 	if p.Seq != 5 || p.Delivered || p.Reason != ReasonMayHaveRun || len(p.Attempts) != 1 || !p.Attempts[0].Open ||
 		p.AttemptCount != 3 {
 		t.Errorf("after the kill: %+v", p)
 	}
-	if l2.Idle(); len(o2.notices)+len(o2.calls) > 0 {
-		t.Error("a report, or a second call")
+	if l2.Idle(); len(o2.reports)+len(o2.calls) > 0 {
+		t.Error("got a report or a second call")
 	}
 	l.Post(endedWith(c, AttemptResult{Result: control.Served, Final: true}))
 	if p := receive(t, k.added); p.Seq != 5 || !p.Delivered {
@@ -180,29 +182,29 @@
 	} else {
 		l.Post(DeadLettersStored{[]control.MessageID{p.Number}})
 	}
-	// What must not go again does not, whatever the queue asks for.
+	// A message that must not be sent again is not sent, even if the queue requests it.
 	resend(l, 6, "b", 2, true, time.Second)
 	if p := receive(t, k.added); p.Seq != 6 || p.Delivered || p.NotAdmitted || p.AttemptCount != 2 {
 		t.Errorf("not idempotent, may have run: %+v", p)
 	}
 	resend(l, 7, "c", 1, true, time.Hour)
 	if p := receive(t, k.added); p.Seq != 7 || p.Delivered {
-		t.Errorf("by key, beyond its retention: %+v", p)
+		t.Errorf("idempotent by key, retention expired: %+v", p)
 	}
-	// One at a time under an id, and none while live messages wait.
+	// Only one redelivery per ID is admitted at a time, and none while live messages are waiting.
 	resend(l, 8, "d", 0, false, 0)
 	receive(t, o.calls)
 	resend(l, 9, "d", 0, false, 0)
 	if p := receive(t, k.added); p.Seq != 9 || !p.NotAdmitted {
-		t.Errorf("a second one under its id: %+v", p)
+		t.Errorf("second redelivery with the same ID: %+v", p)
 	}
-	if l.Idle(); len(o.notices) > 0 {
-		t.Errorf("report %+v", <-o.notices)
+	if l.Idle(); len(o.reports) > 0 {
+		t.Errorf("report %+v", <-o.reports)
 	}
 }
 
-// Where the queue takes nothing, what waits for it has a tenth of the log at
-// most: messages that end then are not kept, and new ones are accepted.
+// TestDeadLetterQueueSlow checks that if the queue stores nothing, the messages that wait for it take at most a tenth
+// of the log: messages that end after that are not kept, and new messages are still accepted.
 func TestDeadLetterQueueSlow(t *testing.T) {
 	k := newQueueStub(true)
 	l, o := loopWithQueue(t, t.TempDir(), k) // 1 MB
@@ -221,7 +223,7 @@
 		c := receive(t, o.calls)
 		<-o.pending
 		l.Post(endedWith(c, AttemptResult{Result: control.Unprocessable}))
-		n := receive(t, o.notices)
+		n := receive(t, o.reports)
 		if n.DeadLetter != nil {
 			accepted++
 		} else {
@@ -229,11 +231,11 @@
 		}
 	}
 	if accepted < 3 || accepted > 4 {
-		t.Errorf("%d of 20 kept", accepted)
+		t.Errorf("the queue accepted %d of 20 messages, want 3 or 4", accepted)
 	}
 }
 
-// A log that can't be written lets no redelivery go.
+// TestRedeliveryNeedsLog checks that no redelivery is sent while the log can't be written.
 func TestRedeliveryNeedsLog(t *testing.T) {
 	k := newQueueStub(true)
 	l, o := loopWithQueue(t, t.TempDir(), k)
@@ -244,17 +246,17 @@
 		t.Errorf("%+v", p)
 	}
 	if l.Idle(); len(o.calls) > 0 {
-		t.Error("it left")
+		t.Error("the message was sent")
 	}
 }
 
-// A redelivery is out as the process hands over: what the other one passes on goes to the queue of the next, and to
-// it alone.
+// TestRedeliveryHandedOver checks that the result of a redelivery that is in flight at a hand-over, which the
+// predecessor forwards, goes to the successor's queue only.
 func TestRedeliveryHandedOver(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		result control.Result
-		more   bool // it may go again
+		resent bool // the message is sent again
 		valid  func(p DeadLetter) bool
 	}{
 		{"served", control.Served, false, func(p DeadLetter) bool {
@@ -263,11 +265,11 @@
 		{"rejected", control.Unprocessable, false, func(p DeadLetter) bool {
 			return !p.Delivered && p.Reason == ReasonUnprocessable && !p.Attempts[0].Open
 		}},
-		{"broken", control.ConnectionLost, false, func(p DeadLetter) bool {
+		{"connection lost", control.ConnectionLost, false, func(p DeadLetter) bool {
 			return !p.Delivered && p.Reason == ReasonMayHaveRun && p.Attempts[0].Result == control.ConnectionLost
 		}},
-		{"refused", control.ConnectFailed, true, nil},
-		{"the other process is lost", control.Unknown, false, func(p DeadLetter) bool {
+		{"connection refused", control.ConnectFailed, true, nil},
+		{"predecessor lost", control.Unknown, false, func(p DeadLetter) bool {
 			return !p.Delivered && p.Reason == ReasonMayHaveRun && p.Attempts[0].Open
 		}},
 	} {
@@ -279,22 +281,22 @@
 		l.Post(Redelivery{Seq: 5, Message: newMessage("a", 2, time.Minute)})
 		call := receive(t, o.calls)
 		<-o.pending
-		handedOver, successor := handOver(t, l)
+		handedOver, successor := performHandover(t, l)
 		next := newQueueStub(true)
 		l2, o2 := newTestLoop(t, dir, 1e6)
 		l2.deadLetterQueue = next
 		l2.restoreHandover(&handedOver)
 		start(t, l2)
 		if got := receive(t, next.began); got != [2]int{0, 1} {
-			t.Errorf("%s: the next queue hears of %v", c.name, got)
+			t.Errorf("%s: Begin of the successor's queue got %v", c.name, got)
 		}
 		if c.result == control.Unknown {
 			l2.Post(PredecessorLost{})
 		} else {
-			l.Post(endedWith(call, AttemptResult{Result: c.result, Final: !c.more && c.result != control.ConnectionLost}))
+			l.Post(endedWith(call, AttemptResult{Result: c.result, Final: !c.resent && c.result != control.ConnectionLost}))
 			l2.Post(receive(t, successor))
 		}
-		if c.more {
+		if c.resent {
 			if retry := receive(t, o2.calls); retry.Attempts[0].Message.ID != "a" {
 				t.Errorf("%s: %+v", c.name, retry)
 			}
@@ -303,8 +305,8 @@
 		if p := receive(t, next.added); p.Seq != 5 || len(p.Attempts) != 1 || !c.valid(p) {
 			t.Errorf("%s: %+v", c.name, p)
 		}
-		if l2.Idle(); len(o2.calls)+len(o2.notices)+len(k.added) > 0 {
-			t.Errorf("%s: a second call, a report, or the queue of before hears of it", c.name)
+		if l2.Idle(); len(o2.calls)+len(o2.reports)+len(k.added) > 0 {
+			t.Errorf("%s: got a second call, a report or a dead letter in the predecessor's queue", c.name)
 		}
 	}
 }
--- a/internal/state/settings_test.go
+++ b/internal/state/settings_test.go
@@ -8,15 +8,16 @@
 	"cleathold/control"
 )
 
-// A message keeps its class over a restart with other settings: of the same name and stricter, in another order, or
-// gone. Numbers of classes that hold are those of the settings.
+// TestClassOutlastsSettings checks that a message keeps its class over a restart with other settings, in which the
+// class is stricter, in another position or missing. The classes of the new settings are numbered in the order of these
+// settings.
 func TestClassOutlastsSettings(t *testing.T) {
 	named := func(name string, e control.Idempotency) NamedClass {
 		c := testClass(e)
 		c.LateWeight, c.KeyRetention, c.KeyZoneScoped = 0.25, 12*time.Second, e == control.IdempotentByKey
 		return NamedClass{Name: name, Class: c}
 	}
-	registry := func(list ...NamedClass) *classRegistry {
+	newRegistryOf := func(list ...NamedClass) *classRegistry {
 		b := &classRegistry{}
 		for _, c := range list {
 			b.numberOf(c)
@@ -25,18 +26,18 @@
 	}
 	safe, keyed := named("status", control.Idempotent), named("print-order", control.IdempotentByKey)
 	for _, c := range []struct {
-		name  string
-		after *classRegistry
-		want  int
+		name        string
+		newRegistry *classRegistry
+		want        int
 	}{
-		{"the same", registry(safe, keyed), 1},
-		{"another order", registry(keyed, safe), 0},
-		{"stricter", registry(safe, named("print-order", control.NotIdempotent)), 2},
-		{"gone", registry(safe), 1},
-		{"another name", registry(safe, named("order", control.IdempotentByKey)), 2},
+		{"the same", newRegistryOf(safe, keyed), 1},
+		{"another order", newRegistryOf(keyed, safe), 0},
+		{"stricter", newRegistryOf(safe, named("print-order", control.NotIdempotent)), 2},
+		{"gone", newRegistryOf(safe), 1},
+		{"another name", newRegistryOf(safe, named("order", control.IdempotentByKey)), 2},
 	} {
 		dir := t.TempDir()
-		j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, registry(safe, keyed))
+		j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, newRegistryOf(safe, keyed))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,7 +49,7 @@
 			t.Fatal(err)
 		}
 		j.Close()
-		j, table, err = openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, c.after)
+		j, table, err = openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, c.newRegistry)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,16 +61,16 @@
 	}
 }
 
-// New settings under way: the loop numbers their classes, a message under way keeps its own, the bound on classes
-// turns down what would pass it, and what the controller won't have changes nothing.
+// TestUpdateSettings checks that with new settings, the loop assigns numbers to their classes and an accepted message
+// keeps its own class. Settings that exceed the limit on classes or that the controller rejects change nothing.
 func TestUpdateSettings(t *testing.T) {
 	l, o := newTestLoop(t, t.TempDir(), 1e6)
 	start(t, l)
 	update := func(classes []NamedClass, change func(*control.Settings)) SettingsResult {
-		set := l.settings
-		change(&set)
+		settings := l.settings
+		change(&settings)
 		done := make(chan SettingsResult, 1)
-		l.Post(UpdateSettings{Settings: set, Classes: classes, Done: done})
+		l.Post(UpdateSettings{Settings: settings, Classes: classes, Done: done})
 		return receive(t, done)
 	}
 	receive(t, submit(l, "a", 10))
@@ -84,7 +85,7 @@
 	if strictClass.Idempotency != control.NotIdempotent || r.Classes[0].Idempotency != control.Idempotent {
 		t.Fatalf("%+v", r)
 	}
-	// It was safe when it came: broken off, it goes again.
+	// The message was idempotent when it was accepted, so it is sent again after its connection was lost.
 	l.Post(endedWith(c, AttemptResult{Result: control.ConnectionLost}))
 	if retry := receive(t, o.calls); retry.Attempts[0].Message.ID != "a" {
 		t.Errorf("%+v", retry.Attempts[0].Message)
@@ -95,9 +96,9 @@
 		many[i].LatencyObjective = time.Duration(i)
 	}
 	if r := update(many, func(*control.Settings) {}); !errors.Is(r.Err, ErrTooManyClasses) {
-		t.Error("classes without bound")
+		t.Error("more classes than maxClasses were accepted")
 	}
 	if r := update([]NamedClass{strict}, func(s *control.Settings) { s.MaxInFlight = 0 }); r.Err == nil {
-		t.Error("settings that make no sense are taken")
+		t.Error("invalid settings were accepted")
 	}
 }
