--- a/internal/endpointgroup/departures.go
+++ b/internal/endpointgroup/departures.go
@@ -26,10 +26,10 @@
 // told. While discovery can't be asked, it must not send to targets that have left since. The zero value is kept
 // nowhere.
 type Departures struct {
-	path  string // empty: they are kept nowhere
-	log   *slog.Logger
-	ids   []string
-	dirty bool // the file does not hold them
+	path    string // empty: they are kept nowhere
+	log     *slog.Logger
+	ids     []string
+	unsaved bool // the file does not hold them
 }
 
 // OpenDepartures reads what a process before this one has kept in a folder.
@@ -62,7 +62,7 @@
 func (d *Departures) Update(g *Group) {
 	before := len(d.ids)
 	d.ids = slices.DeleteFunc(d.ids, g.Ready)
-	d.dirty = d.dirty || len(d.ids) != before
+	d.unsaved = d.unsaved || len(d.ids) != before
 	var departed []string
 	for id := range g.byID {
 		if !g.Ready(id) && !slices.Contains(d.ids, id) {
@@ -70,14 +70,14 @@
 		}
 	}
 	slices.Sort(departed)
-	d.dirty = d.dirty || len(departed) > 0
+	d.unsaved = d.unsaved || len(departed) > 0
 	d.ids = append(d.ids, departed...)
 	d.save()
 }
 
 // save writes the file anew, if it is not what it should be. What fails is tried again with the next list.
 func (d *Departures) save() {
-	if !d.dirty || d.path == "" {
+	if !d.unsaved || d.path == "" {
 		return
 	}
 	d.ids = d.ids[max(0, len(d.ids)-maxDepartures):]
@@ -93,5 +93,5 @@
 		d.log.Warn("departures not written", "err", err)
 		return
 	}
-	d.dirty = false
+	d.unsaved = false
 }
--- a/internal/endpointgroup/group.go
+++ b/internal/endpointgroup/group.go
@@ -78,7 +78,7 @@
 func (g *Group) Available(t Target) bool {
 	known := g.byNumber[t.Endpoint.ID]
 	_, removed := g.removedAt[t.ID]
-	return known != nil && !removed && g.effective(known).State == control.Ready
+	return known != nil && !removed && g.controllerState(known).State == control.Ready
 }
 
 // Listed returns the targets that are on the list, by id.
@@ -93,9 +93,9 @@
 	return list
 }
 
-// effective is a target as the controller is to see it: one that is excluded drains, and all do while sends are
+// controllerState is a target as the controller is to see it: one that is excluded drains, and all do while sends are
 // suspended.
-func (g *Group) effective(t *Target) control.Endpoint {
+func (g *Group) controllerState(t *Target) control.Endpoint {
 	e := t.Endpoint
 	if (g.suspended || g.excluded[t.ID]) && e.State == control.Ready {
 		e.State = control.Draining
@@ -114,7 +114,7 @@
 	var changed []control.Endpoint
 	for id, t := range g.byID {
 		if _, removed := g.removedAt[id]; !removed && g.excluded[id] != before[id] {
-			changed = append(changed, g.effective(t))
+			changed = append(changed, g.controllerState(t))
 		}
 	}
 	slices.SortFunc(changed, byNumber)
@@ -130,7 +130,7 @@
 	g.suspended = suspended
 	for id, t := range g.byID {
 		if g.Ready(id) && !g.excluded[id] {
-			endpoints = append(endpoints, g.effective(t))
+			endpoints = append(endpoints, g.controllerState(t))
 		}
 	}
 	slices.SortFunc(endpoints, byNumber)
@@ -170,7 +170,7 @@
 		t.Endpoint.ID, t.Destination = known.Endpoint.ID, known.Destination
 		known.Endpoint = t.Endpoint
 		g.trackReadiness(known, now)
-		endpoints = append(endpoints, g.effective(known))
+		endpoints = append(endpoints, g.controllerState(known))
 	}
 	return endpoints
 }
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -28,7 +28,7 @@
 	DenialCount              // how many there are
 )
 
-var names = [DenialCount]string{
+var denialNames = [DenialCount]string{
 	"none", "stopping", "overdue", "repeat", "forgotten", "second-copy", "target-left", "waiting", "list-uncertain",
 }
 
@@ -37,7 +37,7 @@
 	if d < 0 || d >= DenialCount {
 		return "unknown"
 	}
-	return names[d]
+	return denialNames[d]
 }
 
 // All returns the denials besides Allowed.
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -17,7 +17,7 @@
 )
 
 // One message's life as a sender journals it: four appends.
-func BenchmarkLife(b *testing.B) {
+func BenchmarkMessageLifecycle(b *testing.B) {
 	for _, c := range []struct {
 		live   int
 		budget int64 // 0: nothing is ever compacted
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -15,7 +15,7 @@
 	read := int64(0)
 	if float64(s.diskBytes) > compactionThreshold*float64(s.options.Budget) {
 		for read < compactionFactor*size && s.worthCompacting() {
-			n, err := s.step(compactionFactor*size - read)
+			n, err := s.compactStep(compactionFactor*size - read)
 			if read += n; err != nil {
 				return read, err
 			}
@@ -23,7 +23,7 @@
 	}
 	// One pass over the whole log frees everything that can be freed.
 	for limit := 2 * s.diskBytes; !s.fits(size, spare) && read < limit && len(s.segments) > 1; {
-		n, err := s.step(s.options.Segment)
+		n, err := s.compactStep(s.options.Segment)
 		if read += n; err != nil {
 			return read, err
 		}
@@ -39,41 +39,41 @@
 	return len(s.segments) > 1 && float64(s.diskBytes-s.liveBytes) > minDeadFraction*float64(s.diskBytes)
 }
 
-// step copies live records of the oldest segment to the end of the log, reading at most limit bytes besides a last
+// compactStep copies live records of the oldest segment to the end of the log, reading at most limit bytes besides a last
 // frame. Once nothing in the segment is live it is removed. It returns the bytes that it read; a segment that is
 // removed unread counts as one frame.
-func (s *Store) step(limit int64) (int64, error) {
+func (s *Store) compactStep(limit int64) (int64, error) {
 	g := s.segments[0]
 	read := int64(0)
-	for g.live > 0 && s.compactedTo < g.size && read < max(limit, 1) {
-		batch, n, err := frameAt(g.file, s.compactedTo, g.size)
+	for g.live > 0 && s.compactionOffset < g.size && read < max(limit, 1) {
+		batch, n, err := readFrameAt(g.file, s.compactionOffset, g.size)
 		if err != nil {
 			// A damaged part, which recovery has reported: go on behind it.
-			next := s.nextLive(g, s.compactedTo)
+			next := s.nextLiveOffset(g, s.compactionOffset)
 			if next < 0 {
-				return read, fmt.Errorf("store: %s at %d: %w", g.name, s.compactedTo, err)
+				return read, fmt.Errorf("store: %s at %d: %w", g.name, s.compactionOffset, err)
 			}
-			s.compactedTo = next
+			s.compactionOffset = next
 			continue
 		}
 		if err := s.copyLive(g, batch); err != nil {
 			return read, err
 		}
-		s.compactedTo += int64(n)
+		s.compactionOffset += int64(n)
 		read += int64(n)
 	}
 	if g.live > 0 {
-		if s.compactedTo >= g.size {
+		if s.compactionOffset >= g.size {
 			return read, fmt.Errorf("store: %s: %d live bytes were not found in it", g.name, g.live)
 		}
 		return read, nil
 	}
-	return max(read, frameHeaderSize), s.remove(g)
+	return max(read, frameHeaderSize), s.removeOldestSegment(g)
 }
 
-// nextLive returns the first offset behind another at which a live record lies, or -1. It searches all entities,
+// nextLiveOffset returns the first offset behind another at which a live record lies, or -1. It searches all entities,
 // which only damage makes necessary.
-func (s *Store) nextLive(g *segment, after int64) int64 {
+func (s *Store) nextLiveOffset(g *segment, after int64) int64 {
 	next := int64(-1)
 	for _, e := range s.entities {
 		for _, r := range e.locations {
@@ -89,27 +89,27 @@
 func (s *Store) copyLive(g *segment, batch []Record) error {
 	var live []Record
 	for _, r := range batch {
-		if e := s.entities[r.Entity]; e != nil && e.find(g.number, r.LSN) >= 0 {
+		if e := s.entities[r.Entity]; e != nil && e.findRecord(g.number, r.LSN) >= 0 {
 			live = append(live, r)
 		}
 	}
 	if len(live) == 0 {
 		return nil
 	}
-	s.buffer = frame(s.buffer[:0], live)
+	s.buffer = appendFrame(s.buffer[:0], live)
 	if !s.fits(int64(len(s.buffer)), 0) {
 		return ErrFull
 	}
-	offset, err := s.write(s.buffer)
+	offset, err := s.writeFrame(s.buffer)
 	if err != nil {
 		return err
 	}
 	s.dirty = true
 	s.stats.Copied += int64(len(s.buffer))
-	to := s.head()
+	to := s.activeSegment()
 	for i := range live {
 		e := s.entities[live[i].Entity]
-		at := &e.locations[e.find(g.number, live[i].LSN)]
+		at := &e.locations[e.findRecord(g.number, live[i].LSN)]
 		g.live -= int64(at.size)
 		to.live += int64(at.size)
 		at.segment, at.offset = to.number, offset
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// find returns the index of a record of the entity that lies in a segment, or -1.
-func (e *entity) find(segment, lsn uint64) int {
+// findRecord returns the index of a record of the entity that lies in a segment, or -1.
+func (e *entity) findRecord(segment, lsn uint64) int {
 	for i := range e.locations {
 		if e.locations[i].lsn == lsn && e.locations[i].segment == segment {
 			return i
@@ -127,9 +127,9 @@
 	return -1
 }
 
-// remove deletes the oldest segment, in which nothing is live. The copies of its records are synced first, as the
+// removeOldestSegment deletes the oldest segment, in which nothing is live. The copies of its records are synced first, as the
 // originals were.
-func (s *Store) remove(g *segment) error {
+func (s *Store) removeOldestSegment(g *segment) error {
 	if s.options.Durability != Process {
 		if err := s.sync(); err != nil {
 			return err
@@ -141,7 +141,7 @@
 	g.file.Close() // nothing more is read from it
 	s.segments = s.segments[1:]
 	s.diskBytes -= roundToBlocks(g.size)
-	s.compactedTo = segmentHeaderSize
+	s.compactionOffset = segmentHeaderSize
 	s.stats.Removed++
 	return nil
 }
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -18,8 +18,8 @@
 )
 
 var (
-	magic        = []byte("cleatlog")
-	mark         = []byte{0xd7, 0x1c, 0xea, 0x70}
+	segmentMagic = []byte("cleatlog")
+	frameMagic   = []byte{0xd7, 0x1c, 0xea, 0x70}
 	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
 	errTruncated = errors.New("it ends in the middle")
 )
@@ -58,21 +58,21 @@
 // recordOverhead is an upper bound of the bytes of a record besides key and data.
 const recordOverhead = 32
 
-// segmentHead returns the header of a segment.
-func segmentHead(number uint64) []byte {
+// encodeSegmentHeader returns the header of a segment.
+func encodeSegmentHeader(number uint64) []byte {
 	b := make([]byte, 0, segmentHeaderSize)
-	b = append(b, magic...)
+	b = append(b, segmentMagic...)
 	b = binary.LittleEndian.AppendUint32(b, formatVersion)
 	b = binary.LittleEndian.AppendUint64(b, number)
-	return append(b, crcOf(b)...)
+	return append(b, encodeChecksum(b)...)
 }
 
-// readHead checks the header of a segment and returns its number.
-func readHead(b []byte) (number uint64, err error) {
+// decodeSegmentHeader checks the header of a segment and returns its number.
+func decodeSegmentHeader(b []byte) (number uint64, err error) {
 	switch {
 	case len(b) < segmentHeaderSize:
 		return 0, errTruncated
-	case string(b[:8]) != string(magic):
+	case string(b[:8]) != string(segmentMagic):
 		return 0, errors.New("not a segment")
 	case binary.LittleEndian.Uint32(b[20:]) != crc32.Checksum(b[:20], castagnoli):
 		return 0, errors.New("its head is damaged")
@@ -83,10 +83,10 @@
 	return binary.LittleEndian.Uint64(b[12:]), nil
 }
 
-// frame appends a batch to a buffer as one frame.
-func frame(to []byte, batch []Record) []byte {
+// appendFrame appends a batch to a buffer as one appendFrame.
+func appendFrame(to []byte, batch []Record) []byte {
 	at := len(to)
-	to = append(to, mark...)
+	to = append(to, frameMagic...)
 	to = append(to, make([]byte, 8)...)
 	for i := range batch {
 		r := &batch[i]
@@ -106,70 +106,70 @@
 	return to
 }
 
-// errFrame means that the bytes are no intact frame.
-var errFrame = errors.New("no frame")
+// errInvalidFrame means that the bytes are no intact frame.
+var errInvalidFrame = errors.New("no frame")
 
-// readFrame reads the frame at the start of b. Its records refer to b.
-func readFrame(b []byte) (batch []Record, length int, err error) {
+// decodeFrame reads the frame at the start of b. Its records refer to b.
+func decodeFrame(b []byte) (batch []Record, length int, err error) {
 	if len(b) < frameHeaderSize {
 		return nil, 0, errTruncated
 	}
-	if string(b[:4]) != string(mark) {
-		return nil, 0, errFrame
+	if string(b[:4]) != string(frameMagic) {
+		return nil, 0, errInvalidFrame
 	}
 	n := int(binary.LittleEndian.Uint32(b[4:]))
 	if n > maxFrame || n == 0 {
-		return nil, 0, errFrame
+		return nil, 0, errInvalidFrame
 	}
 	if len(b) < frameHeaderSize+n {
 		return nil, 0, errTruncated
 	}
 	payload := b[frameHeaderSize : frameHeaderSize+n]
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
-		return nil, 0, errFrame
+		return nil, 0, errInvalidFrame
 	}
-	c := cursor{b: payload}
-	for len(c.b) > 0 && !c.bad {
+	c := payloadDecoder{b: payload}
+	for len(c.b) > 0 && !c.malformed {
 		r := Record{LSN: c.uvarint(), Entity: c.uvarint(), Kind: Kind(c.byte()), Time: c.varint(), Dest: c.varint()}
 		r.Key = string(c.bytes())
 		r.Data = c.bytes()
 		batch = append(batch, r)
 	}
-	if c.bad {
-		return nil, 0, errFrame
+	if c.malformed {
+		return nil, 0, errInvalidFrame
 	}
 	return batch, frameHeaderSize + n, nil
 }
 
-// cursor reads values one after another. After one that is cut short bad is set and all reads return zero.
-type cursor struct {
-	b   []byte
-	bad bool
+// payloadDecoder reads values one after another. After one that is cut short bad is set and all reads return zero.
+type payloadDecoder struct {
+	b         []byte
+	malformed bool
 }
 
-func (c *cursor) skip(n int) {
+func (c *payloadDecoder) advance(n int) {
 	if n <= 0 || n > len(c.b) {
-		c.bad, c.b = true, nil
+		c.malformed, c.b = true, nil
 		return
 	}
 	c.b = c.b[n:]
 }
 
-func (c *cursor) uvarint() uint64 {
+func (c *payloadDecoder) uvarint() uint64 {
 	v, n := binary.Uvarint(c.b)
-	c.skip(n)
+	c.advance(n)
 	return v
 }
 
-func (c *cursor) varint() int64 {
+func (c *payloadDecoder) varint() int64 {
 	v, n := binary.Varint(c.b)
-	c.skip(n)
+	c.advance(n)
 	return v
 }
 
-func (c *cursor) byte() byte {
+func (c *payloadDecoder) byte() byte {
 	if len(c.b) == 0 {
-		c.bad = true
+		c.malformed = true
 		return 0
 	}
 	v := c.b[0]
@@ -177,10 +177,10 @@
 	return v
 }
 
-func (c *cursor) bytes() []byte {
+func (c *payloadDecoder) bytes() []byte {
 	n := c.uvarint()
 	if n > uint64(len(c.b)) {
-		c.bad, c.b = true, nil
+		c.malformed, c.b = true, nil
 		return nil
 	}
 	v := c.b[:n:n]
@@ -188,7 +188,7 @@
 	return v
 }
 
-// crcOf returns the checksum of b as it is stored.
-func crcOf(b []byte) []byte {
+// encodeChecksum returns the checksum of b as it is stored.
+func encodeChecksum(b []byte) []byte {
 	return binary.LittleEndian.AppendUint32(nil, crc32.Checksum(b, castagnoli))
 }
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -42,8 +42,8 @@
 	id         uint64
 }
 
-// newIndex returns an index in the order of compare, then of ids.
-func newIndex(compare func(a, b indexKey) int) *btree.BTreeG[indexKey] {
+// newOrderedIndex returns an index in the order of compare, then of ids.
+func newOrderedIndex(compare func(a, b indexKey) int) *btree.BTreeG[indexKey] {
 	return btree.NewBTreeGOptions(func(a, b indexKey) bool {
 		if c := compare(a, b); c != 0 {
 			return c < 0
@@ -65,7 +65,7 @@
 	if e == nil {
 		e = &entity{id: r.Entity, time: r.Time, dest: r.Dest, key: r.Key}
 		s.entities[e.id] = e
-		s.setIndexes(e, true)
+		s.updateIndexes(e, true)
 	}
 	if r.Kind == Base {
 		s.dropRecords(e)
@@ -76,8 +76,8 @@
 	s.liveBytes += size
 }
 
-// setIndexes adds an entity to the ordered indexes, or removes it.
-func (s *Store) setIndexes(e *entity, in bool) {
+// updateIndexes adds an entity to the ordered indexes, or removes it.
+func (s *Store) updateIndexes(e *entity, in bool) {
 	x := indexKey{e.time, e.dest, e.key, e.id}
 	for _, t := range []*btree.BTreeG[indexKey]{s.byKey, s.byTime, s.byDest} {
 		if in {
@@ -102,12 +102,12 @@
 // dropEntity removes an entity from the index.
 func (s *Store) dropEntity(e *entity) {
 	s.dropRecords(e)
-	s.setIndexes(e, false)
+	s.updateIndexes(e, false)
 	delete(s.entities, e.id)
 }
 
-// public returns the entity as callers see it.
-func (e *entity) public() Entity {
+// snapshot returns the entity as callers see it.
+func (e *entity) snapshot() Entity {
 	return Entity{e.id, e.time, e.dest, e.key, len(e.locations), e.doubtful}
 }
 
@@ -119,33 +119,33 @@
 	if e == nil {
 		return Entity{}, false
 	}
-	return e.public(), true
+	return e.snapshot(), true
 }
 
 // ByKey calls do for each live entity with a key, until do returns false. As in ByDest and ByTime, do must not call
 // the store.
 func (s *Store) ByKey(key string, do func(Entity) bool) {
-	s.walk(s.byKey, indexKey{key: key}, do, func(x indexKey) bool { return x.key == key })
+	s.ascend(s.byKey, indexKey{key: key}, do, func(x indexKey) bool { return x.key == key })
 }
 
 // ByDest calls do for each live entity of a destination in the order of ids, until do returns false.
 func (s *Store) ByDest(dest int64, do func(Entity) bool) {
-	s.walk(s.byDest, indexKey{dest: dest}, do, func(x indexKey) bool { return x.dest == dest })
+	s.ascend(s.byDest, indexKey{dest: dest}, do, func(x indexKey) bool { return x.dest == dest })
 }
 
 // ByTime calls do for each live entity from a time on, the earliest first, until do returns false.
 func (s *Store) ByTime(from int64, do func(Entity) bool) {
-	s.walk(s.byTime, indexKey{time: from}, do, func(indexKey) bool { return true })
+	s.ascend(s.byTime, indexKey{time: from}, do, func(indexKey) bool { return true })
 }
 
-// walk calls do for the entities of an index from a key on while in holds, with the store locked.
-func (s *Store) walk(
+// ascend calls do for the entities of an index from a key on while in holds, with the store locked.
+func (s *Store) ascend(
 	t *btree.BTreeG[indexKey], from indexKey, do func(Entity) bool, in func(indexKey) bool,
 ) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.Ascend(from, func(x indexKey) bool {
-		return in(x) && do(s.entities[x.id].public())
+		return in(x) && do(s.entities[x.id].snapshot())
 	})
 }
 
@@ -155,7 +155,7 @@
 	s.mu.Lock()
 	list := make([]Entity, 0, len(s.entities))
 	for _, e := range s.entities {
-		list = append(list, e.public())
+		list = append(list, e.snapshot())
 	}
 	s.mu.Unlock()
 	slices.SortFunc(list, func(a, b Entity) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/store/memoryfs_test.go
+++ b/internal/store/memoryfs_test.go
@@ -12,40 +12,40 @@
 // memoryFS is a file system in memory that can fail at any byte, run full, and lose what was not synced. It counts the
 // bytes of all files at every step.
 type memoryFS struct {
-	mu     sync.Mutex
-	files  map[string]*memoryFile
-	left   int   // bytes and steps until it dies; below 0 = it lives
-	full   int64 // bytes that all files may have; 0 = any
-	most   int64 // that they had
-	faulty error // what a sync returns
-	short  bool  // the next write is cut short, with an error
-	syncs  int
-	calls  int // that change something; at the one of number dieAt it dies
-	dieAt  int
+	mu          sync.Mutex
+	files       map[string]*memoryFile
+	crashAfter  int   // bytes and steps until it dies; below 0 = it lives
+	capacity    int64 // bytes that all files may have; 0 = any
+	peakBytes   int64 // that they had
+	syncErr     error // what a sync returns
+	shortWrite  bool  // the next write is cut short, with an error
+	syncs       int
+	calls       int // that change something; at the one of number dieAt it dies
+	crashAtCall int
 }
 
 type memoryFile struct {
-	fs     *memoryFS
-	data   []byte
-	synced []byte
-	named  bool // its name would outlast a power cut
+	fs         *memoryFS
+	data       []byte
+	synced     []byte
+	nameSynced bool // its name would outlast a power cut
 }
 
-func newMemoryFS() *memoryFS { return &memoryFS{files: map[string]*memoryFile{}, left: -1} }
+func newMemoryFS() *memoryFS { return &memoryFS{files: map[string]*memoryFile{}, crashAfter: -1} }
 
-// allow counts down to the failure and returns how many of n bytes are still written.
-func (m *memoryFS) allow(n int) (int, error) {
-	if m.calls++; m.dieAt > 0 && m.calls >= m.dieAt {
-		return 0, errDead
+// consume counts down to the failure and returns how many of n bytes are still written.
+func (m *memoryFS) consume(n int) (int, error) {
+	if m.calls++; m.crashAtCall > 0 && m.calls >= m.crashAtCall {
+		return 0, errCrashed
 	}
-	if m.left < 0 {
+	if m.crashAfter < 0 {
 		return n, nil
 	}
-	if m.left < n {
-		n, m.left = m.left, 0
-		return n, errDead
+	if m.crashAfter < n {
+		n, m.crashAfter = m.crashAfter, 0
+		return n, errCrashed
 	}
-	m.left -= n
+	m.crashAfter -= n
 	return n, nil
 }
 
@@ -60,7 +60,7 @@
 func (m *memoryFS) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.allow(1); err != nil {
+	if _, err := m.consume(1); err != nil {
 		return nil, err
 	}
 	if m.files[name] != nil {
@@ -82,7 +82,7 @@
 func (m *memoryFS) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.allow(1); err != nil {
+	if _, err := m.consume(1); err != nil {
 		return err
 	}
 	delete(m.files, name)
@@ -119,7 +119,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range m.files {
-		f.named = true
+		f.nameSynced = true
 	}
 	return nil
 }
@@ -129,7 +129,7 @@
 // cutPower is a power cut: of what was not synced some is there, and of names too.
 func (m *memoryFS) cutPower(rng *rand.Rand) {
 	for name, f := range m.files {
-		if !f.named {
+		if !f.nameSynced {
 			delete(m.files, name)
 			continue
 		}
@@ -139,7 +139,7 @@
 		}
 		f.data = f.data[:keep]
 	}
-	m.left, m.dieAt = -1, 0
+	m.crashAfter, m.crashAtCall = -1, 0
 }
 
 func (f *memoryFile) ReadAt(p []byte, at int64) (int, error) {
@@ -158,27 +158,27 @@
 func (f *memoryFile) WriteAt(p []byte, at int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	n, err := f.fs.allow(len(p))
-	if f.fs.short && err == nil {
-		f.fs.short = false
+	n, err := f.fs.consume(len(p))
+	if f.fs.shortWrite && err == nil {
+		f.fs.shortWrite = false
 		n, err = n/2, errIO
 	}
 	grown := at + int64(n) - int64(len(f.data))
-	if f.fs.full > 0 && grown > 0 && f.fs.usedBytes()+grown > f.fs.full {
-		return 0, errNoRoom
+	if f.fs.capacity > 0 && grown > 0 && f.fs.usedBytes()+grown > f.fs.capacity {
+		return 0, errNoSpace
 	}
 	if grown > 0 {
 		f.data = append(f.data, make([]byte, grown)...)
 	}
 	copy(f.data[at:], p[:n])
-	f.fs.most = max(f.fs.most, f.fs.usedBytes())
+	f.fs.peakBytes = max(f.fs.peakBytes, f.fs.usedBytes())
 	return n, err
 }
 
 func (f *memoryFile) Truncate(size int64) error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if _, err := f.fs.allow(1); err != nil {
+	if _, err := f.fs.consume(1); err != nil {
 		return err
 	}
 	f.data = f.data[:size]
@@ -188,11 +188,11 @@
 func (f *memoryFile) Sync() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if _, err := f.fs.allow(1); err != nil {
+	if _, err := f.fs.consume(1); err != nil {
 		return err
 	}
-	if f.fs.faulty != nil {
-		return f.fs.faulty
+	if f.fs.syncErr != nil {
+		return f.fs.syncErr
 	}
 	f.fs.syncs++
 	f.synced = slices.Clone(f.data)
@@ -206,7 +206,7 @@
 func (noLock) Close() error { return nil }
 
 var (
-	errDead   = errors.New("the process is dead")
-	errNoRoom = errors.New("no space left on device")
-	errIO     = errors.New("input/output error")
+	errCrashed = errors.New("the process is dead")
+	errNoSpace = errors.New("no space left on device")
+	errIO      = errors.New("input/output error")
 )
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -84,8 +84,8 @@
 				again()
 			},
 			"": func(*rapid.T) {
-				if m.most > 48<<10 {
-					t.Fatalf("%d bytes", m.most)
+				if m.peakBytes > 48<<10 {
+					t.Fatalf("%d bytes", m.peakBytes)
 				}
 				var have []uint64
 				s.Entities(func(e Entity) bool { have = append(have, e.ID); return true })
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -26,7 +26,7 @@
 // segmentContent is what was read of one segment.
 type segmentContent struct {
 	segment    *segment
-	records    []located
+	records    []locatedRecord
 	damages    []Damage
 	highestLSN uint64 // LSN
 	nameNumber uint64 // the number in its file name
@@ -34,10 +34,10 @@
 	err        error
 }
 
-// located is a record without its data.
-type located struct {
+// locatedRecord is a record without its data.
+type locatedRecord struct {
 	Record
-	at location
+	location location
 }
 
 // Open opens the store in a folder, or creates one. Damaged parts are logged and returned by Damages; everything else
@@ -75,11 +75,11 @@
 // newStore returns a store without segments.
 func newStore(o Options) *Store {
 	return &Store{
-		options: o, entities: map[uint64]*entity{}, nextLSN: 1, nextSegment: 1, compactedTo: segmentHeaderSize,
+		options: o, entities: map[uint64]*entity{}, nextLSN: 1, nextSegment: 1, compactionOffset: segmentHeaderSize,
 		diskBytes: blockSize, // the lock file
-		byKey:     newIndex(func(a, b indexKey) int { return cmp.Compare(a.key, b.key) }),
-		byTime:    newIndex(func(a, b indexKey) int { return cmp.Compare(a.time, b.time) }),
-		byDest:    newIndex(func(a, b indexKey) int { return cmp.Compare(a.dest, b.dest) }),
+		byKey:     newOrderedIndex(func(a, b indexKey) int { return cmp.Compare(a.key, b.key) }),
+		byTime:    newOrderedIndex(func(a, b indexKey) int { return cmp.Compare(a.time, b.time) }),
+		byDest:    newOrderedIndex(func(a, b indexKey) int { return cmp.Compare(a.dest, b.dest) }),
 	}
 }
 
@@ -128,7 +128,7 @@
 		return err
 	}
 	seals := s.sealTails(list)
-	s.rebuild(list)
+	s.rebuildIndex(list)
 	if n := len(list); n > 0 && len(list[n-1].damages) == 0 && len(seals) == 0 {
 		return nil
 	}
@@ -140,7 +140,7 @@
 		seals[i].LSN = s.nextLSN
 		s.nextLSN++
 	}
-	_, err = s.write(frame(nil, seals))
+	_, err = s.writeFrame(appendFrame(nil, seals))
 	return err
 }
 
@@ -210,11 +210,11 @@
 		return err
 	}
 	for at < g.size {
-		b, err := w.from(at, frameHeaderSize+maxFrame)
+		b, err := w.bytesFrom(at, frameHeaderSize+maxFrame)
 		if err != nil {
 			return fmt.Errorf("store: %s: %w", g.name, err)
 		}
-		batch, n, err := readFrame(b)
+		batch, n, err := decodeFrame(b)
 		if err != nil {
 			next, err := w.nextFrame(at + 1)
 			if err != nil {
@@ -226,7 +226,7 @@
 		}
 		for _, r := range batch {
 			f.highestLSN = max(f.highestLSN, r.LSN)
-			x := located{r, location{g.number, at, r.LSN, int32(r.size())}}
+			x := locatedRecord{r, location{g.number, at, r.LSN, int32(r.size())}}
 			x.Data = nil // it is read again when it is asked for
 			f.records = append(f.records, x)
 		}
@@ -242,11 +242,11 @@
 // header is read as a damaged frame.
 func (f *segmentContent) readHeader(w *fileWindow) (int64, error) {
 	g := f.segment
-	head, err := w.from(0, segmentHeaderSize)
+	head, err := w.bytesFrom(0, segmentHeaderSize)
 	if err != nil {
 		return 0, fmt.Errorf("store: %s: %w", g.name, err)
 	}
-	number, err := readHead(head)
+	number, err := decodeSegmentHeader(head)
 	switch {
 	case errors.Is(err, ErrNewer):
 		return 0, fmt.Errorf("%s: %w", g.name, err)
@@ -265,8 +265,8 @@
 	data  []byte
 }
 
-// from returns the bytes from an offset on: least of them, or all up to the end of the file.
-func (w *fileWindow) from(at, least int64) ([]byte, error) {
+// bytesFrom returns the bytes bytesFrom an offset on: least of them, or all up to the end of the file.
+func (w *fileWindow) bytesFrom(at, least int64) ([]byte, error) {
 	least = min(least, w.size-at)
 	if at < w.start || at+least > w.start+int64(len(w.data)) {
 		if w.data == nil {
@@ -284,20 +284,20 @@
 // nextFrame returns the offset of the next intact frame from an offset on, or the end of the file.
 func (w *fileWindow) nextFrame(from int64) (int64, error) {
 	for from < w.size {
-		b, err := w.from(from, frameHeaderSize+maxFrame)
+		b, err := w.bytesFrom(from, frameHeaderSize+maxFrame)
 		if err != nil {
 			return 0, err
 		}
-		i := bytes.Index(b, mark)
+		i := bytes.Index(b, frameMagic)
 		if i < 0 { // a mark may extend beyond the window
-			from += max(1, int64(len(b)-len(mark)+1))
+			from += max(1, int64(len(b)-len(frameMagic)+1))
 			continue
 		}
-		b, err = w.from(from+int64(i), frameHeaderSize+maxFrame)
+		b, err = w.bytesFrom(from+int64(i), frameHeaderSize+maxFrame)
 		if err != nil {
 			return 0, err
 		}
-		if _, _, err := readFrame(b); err == nil {
+		if _, _, err := decodeFrame(b); err == nil {
 			return from + int64(i), nil
 		}
 		from += int64(i) + 1
@@ -305,8 +305,8 @@
 	return w.size, nil
 }
 
-// rebuild builds the index from what was read.
-func (s *Store) rebuild(list []segmentContent) {
+// rebuildIndex builds the index from what was read.
+func (s *Store) rebuildIndex(list []segmentContent) {
 	ended, bases := map[uint64]bool{}, map[uint64]uint64{}
 	total := 0
 	for i := range list {
@@ -328,7 +328,7 @@
 			}
 		}
 	}
-	all := make([]located, 0, total)
+	all := make([]locatedRecord, 0, total)
 	for i := range list {
 		for _, r := range list[i].records {
 			if (r.Kind == Put || r.Kind == Base) && !ended[r.Entity] && r.LSN >= bases[r.Entity] {
@@ -338,22 +338,22 @@
 	}
 	// A record that compaction has copied is there twice if the process died before the old segment was removed: the
 	// copy counts.
-	slices.SortStableFunc(all, func(a, b located) int {
-		return cmp.Or(cmp.Compare(a.LSN, b.LSN), cmp.Compare(b.at.segment, a.at.segment),
-			cmp.Compare(b.at.offset, a.at.offset))
+	slices.SortStableFunc(all, func(a, b locatedRecord) int {
+		return cmp.Or(cmp.Compare(a.LSN, b.LSN), cmp.Compare(b.location.segment, a.location.segment),
+			cmp.Compare(b.location.offset, a.location.offset))
 	})
-	doubt := s.doubtLimit(list)
+	doubt := s.doubtfulLSNLimit(list)
 	for i, r := range all {
 		if i > 0 && all[i-1].LSN == r.LSN {
 			continue
 		}
-		g := s.segment(r.at.segment)
-		s.addToIndex(&r.Record, g, r.at.offset)
+		g := s.segment(r.location.segment)
+		s.addToIndex(&r.Record, g, r.location.offset)
 		e := s.entities[r.Entity]
-		e.locations[len(e.locations)-1].size = r.at.size
-		if size := r.Record.size(); size != int64(r.at.size) { // the data was not read, so that its size was left out
-			g.live += int64(r.at.size) - size
-			s.liveBytes += int64(r.at.size) - size
+		e.locations[len(e.locations)-1].size = r.location.size
+		if size := r.Record.size(); size != int64(r.location.size) { // the data was not read, so that its size was left out
+			g.live += int64(r.location.size) - size
+			s.liveBytes += int64(r.location.size) - size
 		}
 		if len(e.locations) == 1 {
 			e.doubtful = r.LSN < doubt
@@ -361,9 +361,9 @@
 	}
 }
 
-// doubtLimit logs the damages and returns the LSN before which began all entities of which a damage may hide a
+// doubtfulLSNLimit logs the damages and returns the LSN before which began all entities of which a damage may hide a
 // record: the highest of the damaged segment, or of all where its end is damaged.
-func (s *Store) doubtLimit(list []segmentContent) uint64 {
+func (s *Store) doubtfulLSNLimit(list []segmentContent) uint64 {
 	limit := uint64(0)
 	for i := range list {
 		if list[i].missing { // they may have held an End, or records of any older entity
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -12,7 +12,7 @@
 // doubt. Nothing that has ended is told as sound.
 func TestDamage(t *testing.T) {
 	base := newMemoryFS()
-	s := open(t, base, Process)
+	s := openStore(t, base, Process)
 	l := newWorkload(5)
 	for range 600 {
 		if err := l.step(s); err != nil {
@@ -35,7 +35,7 @@
 		for i := from; i < to; i++ {
 			f.data[i] ^= byte(1 + rng.IntN(255))
 		}
-		s := open(t, m, Process)
+		s := openStore(t, m, Process)
 		if len(s.Damages()) == 0 {
 			t.Fatalf("%s, %d to %d: not seen", name, from, to)
 		}
@@ -70,15 +70,15 @@
 // A newer format is refused, and the file is as it was.
 func TestNewerFormat(t *testing.T) {
 	m := newMemoryFS()
-	s := open(t, m, Process)
+	s := openStore(t, m, Process)
 	s.Append(Record{Entity: 1, Data: []byte("x")})
 	s.Close()
 	name := segmentName(1)
 	f := m.files[name]
 	f.data[8] = formatVersion + 1
-	copy(f.data[20:24], func() []byte { b := segmentHead(1); b[8] = formatVersion + 1; return crcOf(b[:20]) }())
+	copy(f.data[20:24], func() []byte { b := encodeSegmentHeader(1); b[8] = formatVersion + 1; return encodeChecksum(b[:20]) }())
 	before := slices.Clone(f.data)
-	if _, err := Open(Options{FS: m, Budget: budget, Segment: 16 << 10}); !errors.Is(err, ErrNewer) {
+	if _, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10}); !errors.Is(err, ErrNewer) {
 		t.Errorf("%v", err)
 	}
 	if !slices.Equal(before, f.data) || len(m.files) != 1 {
@@ -90,7 +90,7 @@
 // is not ended before it ended. Its restored form takes appends.
 func TestBackup(t *testing.T) {
 	m := newMemoryFS()
-	s := open(t, m, Process)
+	s := openStore(t, m, Process)
 	l := newWorkload(8)
 	for range 500 {
 		if err := l.step(s); err != nil {
@@ -118,7 +118,7 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	copied := open(t, to, Process)
+	copied := openStore(t, to, Process)
 	for id, n := range steady {
 		if _, still := l.live[id]; !still {
 			continue
@@ -139,7 +139,7 @@
 // A store in use can be looked into, and a damaged one repaired beside.
 func TestOpenReadOnlyAndRepair(t *testing.T) {
 	m := newMemoryFS()
-	s := open(t, m, Process)
+	s := openStore(t, m, Process)
 	l := newWorkload(8)
 	for range 800 {
 		if err := l.step(s); err != nil {
@@ -165,11 +165,11 @@
 	f.data[len(f.data)/2] ^= 1
 	before := slices.Clone(f.data)
 	to := newMemoryFS()
-	written, left, err := Repair(m, Options{FS: to, Budget: budget, Segment: 16 << 10}, false)
+	written, left, err := Repair(m, Options{FS: to, Budget: testBudget, Segment: 16 << 10}, false)
 	if err != nil || written+left < len(l.live)-5 || !slices.Equal(before, f.data) {
 		t.Errorf("%d written, %d left of %d, %v", written, left, len(l.live), err)
 	}
-	fixed := open(t, to, Process)
+	fixed := openStore(t, to, Process)
 	if len(fixed.Damages()) > 0 || fixed.Verify() != nil || fixed.Summary().Entities != written {
 		t.Errorf("%+v", fixed.Summary())
 	}
@@ -177,9 +177,9 @@
 
 // A segment that is missing puts in doubt what began before; two whose names were
 // swapped read as they were; one that is there twice is refused, with both names.
-func TestSegmentsMoved(t *testing.T) {
+func TestSegmentsRenamedOrMissing(t *testing.T) {
 	base := newMemoryFS()
-	s := open(t, base, Process)
+	s := openStore(t, base, Process)
 	l := newWorkload(6)
 	for range 900 {
 		if err := l.step(s); err != nil {
@@ -197,17 +197,17 @@
 	}
 	m := clone()
 	m.files[names[1]], m.files[names[2]] = m.files[names[2]], m.files[names[1]]
-	s = open(t, m, Process)
-	l.check(t, s, "swapped", 0)
+	s = openStore(t, m, Process)
+	l.checkContent(t, s, "swapped", 0)
 	for range 2000 { // on through compaction of both
 		if err := s.Append(Record{Entity: 1 << 30, Data: make([]byte, 300)}, Record{Entity: 1 << 30, Kind: End}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.check(t, s, "swapped, then compacted", 0)
+	l.checkContent(t, s, "swapped, then compacted", 0)
 	m = clone()
 	delete(m.files, names[1])
-	s = open(t, m, Process)
+	s = openStore(t, m, Process)
 	s.Entities(func(e Entity) bool {
 		list, err := s.Load(e.ID)
 		want, live := l.live[e.ID]
@@ -222,7 +222,7 @@
 	}
 	m = clone()
 	m.files["ffffffffffffff00.log"] = &memoryFile{fs: m, data: slices.Clone(m.files[names[1]].data)}
-	if _, err := Open(Options{FS: m, Budget: budget, Segment: 16 << 10}); err == nil ||
+	if _, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10}); err == nil ||
 		!strings.Contains(err.Error(), names[1]) {
 		t.Errorf("twice: %v", err)
 	}
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -16,8 +16,8 @@
 	live   int64 // bytes of its live records
 }
 
-// head returns the segment that is appended to.
-func (s *Store) head() *segment { return s.segments[len(s.segments)-1] }
+// activeSegment returns the segment that is appended to.
+func (s *Store) activeSegment() *segment { return s.segments[len(s.segments)-1] }
 
 // startSegment creates the next segment, to which appends go from now on.
 func (s *Store) startSegment() error {
@@ -27,7 +27,7 @@
 		return fmt.Errorf("store: %w", err)
 	}
 	g.file = file
-	err = writeAll(file, segmentHead(g.number), 0)
+	err = writeAll(file, encodeSegmentHeader(g.number), 0)
 	if err == nil && s.options.Durability != Process {
 		if err = file.Sync(); err == nil {
 			err = s.options.FS.SyncDir()
@@ -89,7 +89,7 @@
 	}
 	list := make([]Record, 0, len(e.locations))
 	for _, at := range e.locations {
-		r, err := s.read(id, at)
+		r, err := s.readRecord(id, at)
 		if err != nil {
 			return nil, err
 		}
@@ -98,13 +98,13 @@
 	return list, nil
 }
 
-// read reads one record.
-func (s *Store) read(id uint64, at location) (Record, error) {
+// readRecord reads one record.
+func (s *Store) readRecord(id uint64, at location) (Record, error) {
 	g := s.segment(at.segment)
 	if g == nil {
 		return Record{}, fmt.Errorf("store: no segment %d", at.segment)
 	}
-	batch, _, err := frameAt(g.file, at.offset, g.size)
+	batch, _, err := readFrameAt(g.file, at.offset, g.size)
 	if err != nil {
 		return Record{}, fmt.Errorf("store: %s at %d: %w", g.name, at.offset, err)
 	}
@@ -116,8 +116,8 @@
 	return Record{}, fmt.Errorf("store: %s at %d: record %d is not there", g.name, at.offset, at.lsn)
 }
 
-// frameAt reads the frame at an offset.
-func frameAt(f io.ReaderAt, offset, size int64) ([]Record, int, error) {
+// readFrameAt reads the frame at an offset.
+func readFrameAt(f io.ReaderAt, offset, size int64) ([]Record, int, error) {
 	head := make([]byte, frameHeaderSize)
 	if _, err := f.ReadAt(head, offset); err != nil {
 		return nil, 0, err
@@ -130,7 +130,7 @@
 	if _, err := f.ReadAt(b, offset); err != nil {
 		return nil, 0, err
 	}
-	return readFrame(b)
+	return decodeFrame(b)
 }
 
 // frameLength returns the length of a frame by its header.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -44,25 +44,25 @@
 	options Options
 	lock    io.Closer
 
-	mu          sync.Mutex
-	segments    []*segment // the oldest first; the last one is appended to
-	entities    map[uint64]*entity
-	byKey       *btree.BTreeG[indexKey]
-	byTime      *btree.BTreeG[indexKey]
-	byDest      *btree.BTreeG[indexKey]
-	nextLSN     uint64 // of the next record
-	highest     uint64 // the highest id of an entity in the log, live or ended
-	nextSegment uint64 // its number
-	diskBytes   int64  // of all files, in whole blocks
-	liveBytes   int64
-	compactedTo int64 // offset in the oldest segment up to which compaction has come
-	buffer      []byte
-	dirty       bool // something was written since the last sync
-	timer       *time.Timer
-	broken      error
-	closed      bool
-	damages     []Damage
-	stats       Stats
+	mu               sync.Mutex
+	segments         []*segment // the oldest first; the last one is appended to
+	entities         map[uint64]*entity
+	byKey            *btree.BTreeG[indexKey]
+	byTime           *btree.BTreeG[indexKey]
+	byDest           *btree.BTreeG[indexKey]
+	nextLSN          uint64 // of the next record
+	highest          uint64 // the highest id of an entity in the log, live or ended
+	nextSegment      uint64 // its number
+	diskBytes        int64  // of all files, in whole blocks
+	liveBytes        int64
+	compactionOffset int64 // offset in the oldest segment up to which compaction has come
+	buffer           []byte
+	dirty            bool // something was written since the last sync
+	timer            *time.Timer
+	broken           error
+	closed           bool
+	damages          []Damage
+	stats            Stats
 }
 
 // Stats are counts since the store was opened.
@@ -94,7 +94,7 @@
 	if s.options.Budget <= 0 {
 		return true
 	}
-	g := s.head()
+	g := s.activeSegment()
 	grown := s.diskBytes - roundToBlocks(g.size) + roundToBlocks(g.size+more)
 	if g.size+more > s.options.Segment && g.size > segmentHeaderSize {
 		grown = s.diskBytes + roundToBlocks(segmentHeaderSize+more)
@@ -115,7 +115,7 @@
 func (s *Store) Append(batch ...Record) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.usable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return err
 	}
 	if len(batch) == 0 {
@@ -126,7 +126,7 @@
 		batch[i].LSN = s.nextLSN + uint64(i)
 		ends = ends && batch[i].Kind == End
 	}
-	s.buffer = frame(s.buffer[:0], batch)
+	s.buffer = appendFrame(s.buffer[:0], batch)
 	size := int64(len(s.buffer))
 	if size > maxFrame {
 		return fmt.Errorf("store: a batch of %d bytes, %d at most", size, maxFrame)
@@ -139,23 +139,23 @@
 	if err != nil {
 		return err
 	}
-	s.buffer = frame(s.buffer[:0], batch) // compaction used the buffer
-	offset, err := s.write(s.buffer)
+	s.buffer = appendFrame(s.buffer[:0], batch) // compaction used the buffer
+	offset, err := s.writeFrame(s.buffer)
 	if err != nil {
 		return err
 	}
 	s.nextLSN += uint64(len(batch))
 	s.stats.Appended += size
-	g := s.head()
+	g := s.activeSegment()
 	for i := range batch {
 		s.addToIndex(&batch[i], g, offset)
 	}
 	s.stats.LargestStep = max(s.stats.LargestStep, step)
-	return s.promise()
+	return s.syncIfRequired()
 }
 
-// usable returns why nothing can be appended, if that is so.
-func (s *Store) usable() error {
+// checkWritable returns why nothing can be appended, if that is so.
+func (s *Store) checkWritable() error {
 	switch {
 	case s.closed:
 		return ErrClosed
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// promise syncs an append as the durability asks for it.
-func (s *Store) promise() error {
+// syncIfRequired syncs an append as the durability asks for it.
+func (s *Store) syncIfRequired() error {
 	s.dirty = true
 	switch s.options.Durability {
 	case Each:
@@ -190,7 +190,7 @@
 func (s *Store) Sync() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.usable(); err != nil {
+	if err := s.checkWritable(); err != nil {
 		return err
 	}
 	return s.sync()
@@ -202,7 +202,7 @@
 		return nil
 	}
 	// After a failed sync it is unknown which pages the disk has: a second one may succeed and prove nothing.
-	if err := s.head().file.Sync(); err != nil {
+	if err := s.activeSegment().file.Sync(); err != nil {
 		s.broken = fmt.Errorf("%w: %w", ErrBroken, err)
 		return s.broken
 	}
@@ -211,9 +211,9 @@
 	return nil
 }
 
-// write appends a frame to the log and returns its offset in the newest segment.
-func (s *Store) write(b []byte) (int64, error) {
-	g := s.head()
+// writeFrame appends a frame to the log and returns its offset in the newest segment.
+func (s *Store) writeFrame(b []byte) (int64, error) {
+	g := s.activeSegment()
 	if g.size+int64(len(b)) > s.options.Segment && g.size > segmentHeaderSize {
 		if s.options.Durability != Process {
 			if err := s.sync(); err != nil {
@@ -223,7 +223,7 @@
 		if err := s.startSegment(); err != nil {
 			return 0, err
 		}
-		g = s.head()
+		g = s.activeSegment()
 	}
 	offset := g.size
 	if err := writeAll(g.file, b, offset); err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -25,11 +25,11 @@
 	goleak.VerifyTestMain(m)
 }
 
-const budget = 256 << 10
+const testBudget = 256 << 10
 
-func open(t testing.TB, fs FS, d Durability) *Store {
+func openStore(t testing.TB, fs FS, d Durability) *Store {
 	t.Helper()
-	s, err := Open(Options{FS: fs, Budget: budget, Segment: 16 << 10, Durability: d, GroupWait: time.Hour})
+	s, err := Open(Options{FS: fs, Budget: testBudget, Segment: 16 << 10, Durability: d, GroupWait: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,25 +40,25 @@
 // reads as before when it is opened again.
 func TestCompaction(t *testing.T) {
 	m := newMemoryFS()
-	s := open(t, m, Process)
+	s := openStore(t, m, Process)
 	l := newWorkload(1)
 	for i := range 20_000 {
 		if err := l.step(s); err != nil {
 			t.Fatalf("append %d: %v; %+v", i, err, s.Stats())
 		}
 	}
-	l.check(t, s, "at the end", 0)
+	l.checkContent(t, s, "at the end", 0)
 	stats := s.Stats()
-	if m.most > budget || stats.DiskBytes != m.usedBytes() {
-		t.Errorf("%d bytes at most of %d; %d counted, %d there", m.most, budget, stats.DiskBytes, m.usedBytes())
+	if m.peakBytes > testBudget || stats.DiskBytes != m.usedBytes() {
+		t.Errorf("%d bytes at most of %d; %d counted, %d there", m.peakBytes, testBudget, stats.DiskBytes, m.usedBytes())
 	}
 	if stats.Removed < 50 || stats.LargestStep > 64<<10 {
 		t.Errorf("%+v", stats)
 	}
 	t.Logf("%+v, write amplification %.2f", stats, 1+float64(stats.Copied)/float64(stats.Appended))
 	s.Close()
-	again := open(t, m, Process)
-	l.check(t, again, "opened again", 0)
+	again := openStore(t, m, Process)
+	l.checkContent(t, again, "opened again", 0)
 	if len(again.Damages()) > 0 {
 		t.Errorf("damage: %+v", again.Damages())
 	}
@@ -90,10 +90,10 @@
 
 // Killed at any byte, also in the middle of compaction: what was promised is there, and
 // the traffic goes on.
-func TestKilledAtEachWrite(t *testing.T) {
+func TestCrashAtRandomWrite(t *testing.T) {
 	for seed := range uint64(400) {
 		m := newMemoryFS()
-		s := open(t, m, Process)
+		s := openStore(t, m, Process)
 		l := newWorkload(seed)
 		for range 300 { // into compaction
 			if err := l.step(s); err != nil {
@@ -101,18 +101,18 @@
 			}
 		}
 		for round := range 4 {
-			m.left = l.rng.IntN(60_000)
+			m.crashAfter = l.rng.IntN(60_000)
 			var err error
 			for err == nil {
 				err = l.step(s)
 			}
-			if !errors.Is(err, errDead) {
+			if !errors.Is(err, errCrashed) {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			m.left = -1
-			unsure := l.last
-			s = open(t, m, Process)
-			l.check(t, s, fmt.Sprintf("seed %d, round %d", seed, round), unsure)
+			m.crashAfter = -1
+			unsure := l.lastEntity
+			s = openStore(t, m, Process)
+			l.checkContent(t, s, fmt.Sprintf("seed %d, round %d", seed, round), unsure)
 			for _, d := range s.Damages() {
 				if !d.Tail {
 					t.Errorf("seed %d: a kill left damage: %+v", seed, d)
@@ -121,10 +121,10 @@
 			if t.Failed() {
 				return
 			}
-			l.resolveUnsure(t, s, unsure)
+			l.endUncertain(t, s, unsure)
 		}
-		if m.most > budget {
-			t.Fatalf("seed %d: %d bytes of %d", seed, m.most, budget)
+		if m.peakBytes > testBudget {
+			t.Fatalf("seed %d: %d bytes of %d", seed, m.peakBytes, testBudget)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	for seed := range uint64(100) {
 		for _, d := range []Durability{Each, Group, Process} {
 			m := newMemoryFS()
-			s := open(t, m, d)
+			s := openStore(t, m, d)
 			l := newWorkload(seed)
 			for range 400 {
 				if err := l.step(s); err != nil {
@@ -148,16 +148,16 @@
 				}
 				s.timer.Stop()
 			}
-			m.left = 3000 // some more that nobody was promised, but with Each
+			m.crashAfter = 3000 // some more that nobody was promised, but with Each
 			var err error
 			for err == nil && d == Each {
 				err = l.step(s)
 			}
-			unsure := l.last
+			unsure := l.lastEntity
 			m.cutPower(rand.New(rand.NewPCG(seed, 2)))
-			s = open(t, m, d)
+			s = openStore(t, m, d)
 			if d != Process {
-				l.check(t, s, fmt.Sprintf("seed %d, durability %d", seed, d), unsure)
+				l.checkContent(t, s, fmt.Sprintf("seed %d, durability %d", seed, d), unsure)
 			}
 			if t.Failed() {
 				return
@@ -171,45 +171,45 @@
 // not there, nothing before is lost, and a sync that failed is not tried again.
 func TestFaults(t *testing.T) {
 	m := newMemoryFS()
-	s := open(t, m, Process)
+	s := openStore(t, m, Process)
 	l := newWorkload(3)
 	for range 200 {
 		if err := l.step(s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m.full = m.usedBytes()
+	m.capacity = m.usedBytes()
 	var err error
 	for err == nil {
 		err = l.step(s)
 	}
-	unsure := l.last
-	if !errors.Is(err, errNoRoom) {
+	unsure := l.lastEntity
+	if !errors.Is(err, errNoSpace) {
 		t.Fatalf("a full disk: %v", err)
 	}
-	l.check(t, s, "with the disk full", unsure)
-	m.full = 0
+	l.checkContent(t, s, "with the disk full", unsure)
+	m.capacity = 0
 	for range 50 {
-		m.short = true
+		m.shortWrite = true
 		if err := l.step(s); !errors.Is(err, errIO) {
 			t.Fatalf("a short write: %v", err)
 		}
-		l.check(t, s, "after a short write", 0)
+		l.checkContent(t, s, "after a short write", 0)
 		if err := l.step(s); err != nil {
 			t.Fatal(err)
 		}
 	}
 	s.Close()
-	s = open(t, m, Each)
-	l.check(t, s, "opened again", 0)
+	s = openStore(t, m, Each)
+	l.checkContent(t, s, "opened again", 0)
 	if len(s.Damages()) > 0 {
 		t.Errorf("%+v", s.Damages())
 	}
-	m.faulty = errIO
+	m.syncErr = errIO
 	if err := l.step(s); !errors.Is(err, ErrBroken) {
 		t.Fatalf("a failed sync: %v", err)
 	}
-	m.faulty = nil
+	m.syncErr = nil
 	if err := s.Append(Record{Entity: 1 << 40}); !errors.Is(err, ErrBroken) {
 		t.Errorf("after a failed sync: %v", err)
 	}
@@ -218,7 +218,7 @@
 // More live than fits: the store says so, and ends still get through and make room.
 func TestBudgetExhausted(t *testing.T) {
 	m := newMemoryFS()
-	s := open(t, m, Process)
+	s := openStore(t, m, Process)
 	id := uint64(0)
 	for s.CanAdmit(1000) {
 		id++
@@ -231,8 +231,8 @@
 		id++
 		err = s.Append(Record{Entity: id, Data: make([]byte, 900)})
 	}
-	if !errors.Is(err, ErrFull) || m.most > budget {
-		t.Fatalf("%v, %d bytes", err, m.most)
+	if !errors.Is(err, ErrFull) || m.peakBytes > testBudget {
+		t.Fatalf("%v, %d bytes", err, m.peakBytes)
 	}
 	for i := uint64(1); i < id; i++ {
 		if err := s.Append(Record{Entity: i, Kind: End}); err != nil {
@@ -257,13 +257,13 @@
 	if _, err := out.Read(make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
-	_, err := Open(Options{FS: Dir(dir), Budget: budget, Segment: 16 << 10})
+	_, err := Open(Options{FS: Dir(dir), Budget: testBudget, Segment: 16 << 10})
 	if !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), fmt.Sprint("process ", c.Process.Pid)) {
 		t.Errorf("%v", err)
 	}
 	in.Close()
 	c.Wait()
-	s, err := Open(Options{FS: Dir(dir), Budget: budget, Segment: 16 << 10})
+	s, err := Open(Options{FS: Dir(dir), Budget: testBudget, Segment: 16 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -273,7 +273,7 @@
 // Group sync: one sync stands for many appends.
 func TestGroupDurability(t *testing.T) {
 	m := newMemoryFS()
-	s, err := Open(Options{FS: m, Budget: budget, Segment: 16 << 10, Durability: Group, GroupWait: time.Millisecond})
+	s, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10, Durability: Group, GroupWait: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -310,11 +310,11 @@
 		}
 		for n := 1; n <= whole.calls; n++ {
 			m, l := newMemoryFS(), newWorkload(4)
-			m.dieAt = n
-			if err := run(m, d, l); !errors.Is(err, errDead) {
+			m.crashAtCall = n
+			if err := run(m, d, l); !errors.Is(err, errCrashed) {
 				t.Fatalf("call %d of %d: %v", n, whole.calls, err)
 			}
-			m.dieAt = 0
+			m.crashAtCall = 0
 			if d == Each {
 				m.cutPower(rand.New(rand.NewPCG(uint64(n), 3)))
 			}
@@ -322,7 +322,7 @@
 			if err != nil {
 				t.Fatalf("call %d: %v", n, err)
 			}
-			l.check(t, s, fmt.Sprintf("durability %d, call %d of %d", d, n, whole.calls), l.last)
+			l.checkContent(t, s, fmt.Sprintf("durability %d, call %d of %d", d, n, whole.calls), l.lastEntity)
 			for _, x := range s.Damages() {
 				if !x.Tail {
 					t.Errorf("durability %d, call %d: %+v", d, n, x)
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -23,7 +23,7 @@
 		var list []segmentContent
 		if list, err = s.readAll(); err == nil {
 			s.sealTails(list)
-			s.rebuild(list)
+			s.rebuildIndex(list)
 			s.broken = errReadOnly
 			return s, nil
 		}
--- a/internal/store/workload_test.go
+++ b/internal/store/workload_test.go
@@ -11,11 +11,11 @@
 
 // workload appends to entities that begin, grow and end, and keeps what must be in the store.
 type workload struct {
-	rng  *rand.Rand
-	next uint64
-	live map[uint64][]string // promised
-	ids  []uint64
-	last uint64 // the entity of the latest append, of which nobody knows if that failed
+	rng        *rand.Rand
+	next       uint64
+	live       map[uint64][]string // promised
+	ids        []uint64
+	lastEntity uint64 // the entity of the latest append, of which nobody knows if that failed
 }
 
 func newWorkload(seed uint64) *workload {
@@ -27,7 +27,7 @@
 	if len(l.ids) > 0 && (len(l.ids) > 150 || l.rng.IntN(5) < 2) {
 		i := l.rng.IntN(len(l.ids))
 		id := l.ids[i]
-		l.last = id
+		l.lastEntity = id
 		if err := s.Append(Record{Entity: id, Kind: End}); err != nil {
 			return err
 		}
@@ -38,7 +38,7 @@
 	if len(l.ids) > 0 && l.rng.IntN(2) == 0 {
 		id := l.ids[l.rng.IntN(len(l.ids))]
 		text := fmt.Sprint("more ", l.rng.IntN(1000))
-		l.last = id
+		l.lastEntity = id
 		r := Record{Entity: id, Time: int64(id), Dest: int64(id % 7), Key: fmt.Sprint("k", id%50), Data: []byte(text)}
 		if l.rng.IntN(4) == 0 {
 			r.Kind = Base
@@ -54,7 +54,7 @@
 	}
 	id := l.next
 	l.next++
-	l.last = id
+	l.lastEntity = id
 	text := strings.Repeat(strconv.Itoa(int(id)%10), 50+l.rng.IntN(600))
 	if err := s.Append(Record{Entity: id, Time: int64(id), Dest: int64(id % 7), Key: fmt.Sprint("k", id%50),
 		Data: []byte(text)}); err != nil {
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// check checks that a store has what was appended, no more and no less. The entity of an append that failed may have
+// checkContent checks that a store has what was appended, no more and no less. The entity of an append that failed may have
 // that append or not.
-func (l *workload) check(t *testing.T, s *Store, what string, unsure uint64) {
+func (l *workload) checkContent(t *testing.T, s *Store, what string, unsure uint64) {
 	t.Helper()
 	seen := 0
 	s.Entities(func(e Entity) bool {
@@ -105,8 +105,8 @@
 	}
 }
 
-// resolveUnsure ends the entity whose last append had an unknown outcome.
-func (l *workload) resolveUnsure(t *testing.T, s *Store, unsure uint64) {
+// endUncertain ends the entity whose last append had an unknown outcome.
+func (l *workload) endUncertain(t *testing.T, s *Store, unsure uint64) {
 	t.Helper()
 	if err := s.Append(Record{Entity: unsure, Kind: End}); err != nil {
 		t.Fatal(err)
--- a/internal/wal/class.go
+++ b/internal/wal/class.go
@@ -23,7 +23,7 @@
 
 // EncodeClass returns a class as it stands in the record of a message.
 func EncodeClass(c NamedClass) []byte {
-	p := appendText(nil, c.Name)
+	p := appendString(nil, c.Name)
 	bits := byte(0)
 	for _, f := range []struct {
 		on  bool
@@ -45,7 +45,7 @@
 
 // class reads such a record; one that makes no sense is malformed.
 func (d *decoder) class() NamedClass {
-	c := NamedClass{Name: d.text()}
+	c := NamedClass{Name: d.string()}
 	c.Idempotency = control.Idempotency(d.octet())
 	bits := d.octet()
 	c.KeyZoneScoped, c.Ordered, c.Streaming = bits&classKeyZoneScoped != 0, bits&classOrdered != 0,
--- a/internal/wal/decoder.go
+++ b/internal/wal/decoder.go
@@ -7,21 +7,21 @@
 
 // decoder takes a record apart. After the first part that does not fit everything is zero and malformed is set.
 type decoder struct {
-	rest      []byte
+	remaining []byte
 	malformed bool
 }
 
 func (d *decoder) fail() {
-	d.malformed, d.rest = true, nil
+	d.malformed, d.remaining = true, nil
 }
 
 func (d *decoder) varint() int64 {
-	v, n := binary.Varint(d.rest)
+	v, n := binary.Varint(d.remaining)
 	return int64(d.advance(uint64(v), n))
 }
 
 func (d *decoder) uvarint() uint64 {
-	v, n := binary.Uvarint(d.rest)
+	v, n := binary.Uvarint(d.remaining)
 	return d.advance(v, n)
 }
 
@@ -31,38 +31,38 @@
 		d.fail()
 		return 0
 	}
-	d.rest = d.rest[n:]
+	d.remaining = d.remaining[n:]
 	return v
 }
 
-func (d *decoder) text() string {
+func (d *decoder) string() string {
 	n := d.uvarint()
-	if n > uint64(len(d.rest)) {
+	if n > uint64(len(d.remaining)) {
 		d.fail()
 		return ""
 	}
-	v := string(d.rest[:n])
-	d.rest = d.rest[n:]
+	v := string(d.remaining[:n])
+	d.remaining = d.remaining[n:]
 	return v
 }
 
 func (d *decoder) octet() byte {
-	if len(d.rest) < 1 {
+	if len(d.remaining) < 1 {
 		d.fail()
 		return 0
 	}
-	v := d.rest[0]
-	d.rest = d.rest[1:]
+	v := d.remaining[0]
+	d.remaining = d.remaining[1:]
 	return v
 }
 
 func (d *decoder) float() float64 {
-	if len(d.rest) < 8 {
+	if len(d.remaining) < 8 {
 		d.fail()
 		return 0
 	}
-	v := math.Float64frombits(binary.LittleEndian.Uint64(d.rest))
-	d.rest = d.rest[8:]
+	v := math.Float64frombits(binary.LittleEndian.Uint64(d.remaining))
+	d.remaining = d.remaining[8:]
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		d.malformed = true
 	}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -39,10 +39,10 @@
 type Log struct {
 	store      *store.Store
 	limit      int64
-	batch      []store.Record // added, and not written yet
+	pending    []store.Record // added, and not written yet
 	incomplete bool           // a write failed: the store lacks something that was added
 	inMemory   bool           // nothing is written at all
-	times      *TimeBase
+	timeBase   *TimeBase
 }
 
 // Options are what a log is opened with.
@@ -84,9 +84,9 @@
 	}
 	l.store = s
 	if !o.Virtual {
-		l.times = OpenTimeBase(o.Dir, o.Log)
+		l.timeBase = OpenTimeBase(o.Dir, o.Log)
 	}
-	entries, err := entriesOf(s, l.times, o.Log)
+	entries, err := replayStore(s, l.timeBase, o.Log)
 	if err != nil {
 		s.Close()
 		return nil, Recovered{}, err
@@ -113,11 +113,11 @@
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	defer s.Close()
-	return entriesOf(s, readTimeBase(dir), log)
+	return replayStore(s, readTimeBase(dir), log)
 }
 
-// entriesOf replays a store. A message of which a damage may hide a record counts as one that may have run.
-func entriesOf(s *store.Store, times *TimeBase, log *slog.Logger) ([]*Entry, error) {
+// replayStore replays a store. A message of which a damage may hide a record counts as one that may have run.
+func replayStore(s *store.Store, times *TimeBase, log *slog.Logger) ([]*Entry, error) {
 	r := newReplay(times)
 	damaged := 0
 	var failed error
@@ -134,7 +134,7 @@
 			}
 		}
 		if entry := r.entries[control.MessageID(e.ID)]; entry != nil && e.Doubtful {
-			entry.assumeRun()
+			entry.assumeUnknownAttempt()
 			damaged++
 		}
 		return true
@@ -161,80 +161,80 @@
 func (l *Log) Incomplete() bool { return l.incomplete }
 
 // Times returns the time base of the log; nil where times go by the wall clock.
-func (l *Log) Times() *TimeBase { return l.times }
+func (l *Log) Times() *TimeBase { return l.timeBase }
 
 // AddAccepted adds a message that is accepted.
 func (l *Log) AddAccepted(a *Accepted) {
-	l.batch = append(l.batch, store.Record{
-		Entity: uint64(a.Number), Data: EncodeAccepted(l.times, a), Time: l.times.Stamp(a.Deadline),
+	l.pending = append(l.pending, store.Record{
+		Entity: uint64(a.Number), Data: EncodeAccepted(l.timeBase, a), Time: l.timeBase.Stamp(a.Deadline),
 		Dest: int64(a.Destination), Key: a.ID,
 	})
 }
 
 // AddAttempt adds an attempt that is about to leave.
 func (l *Log) AddAttempt(number control.MessageID, a Attempt) {
-	l.add(number, EncodeAttempt(l.times, number, a))
+	l.addRecord(number, EncodeAttempt(l.timeBase, number, a))
 }
 
 // AddNotRun adds that an attempt proved never to have run.
 func (l *Log) AddNotRun(number control.MessageID, attempt int) {
-	l.add(number, EncodeNotRun(number, attempt))
+	l.addRecord(number, EncodeNotRun(number, attempt))
 }
 
 // AddOutcome adds how a message ended undelivered.
 func (l *Log) AddOutcome(number control.MessageID, o *Outcome) {
-	l.add(number, EncodeOutcome(l.times, number, o))
+	l.addRecord(number, EncodeOutcome(l.timeBase, number, o))
 }
 
 // AddEnded adds that nothing more is owed for a message.
 func (l *Log) AddEnded(number control.MessageID) {
-	l.batch = append(l.batch, store.Record{Entity: uint64(number), Kind: store.End})
+	l.pending = append(l.pending, store.Record{Entity: uint64(number), Kind: store.End})
 }
 
-func (l *Log) add(number control.MessageID, record []byte) {
-	l.batch = append(l.batch, store.Record{Entity: uint64(number), Data: record})
+func (l *Log) addRecord(number control.MessageID, record []byte) {
+	l.pending = append(l.pending, store.Record{Entity: uint64(number), Data: record})
 }
 
 // AddEntry adds a message with all that was done for it.
 func (l *Log) AddEntry(e *Entry) {
 	l.AddAccepted(&e.Accepted)
-	for _, record := range EncodeEntry(l.times, e)[1:] {
-		l.add(e.Number, record)
+	for _, record := range EncodeEntry(l.timeBase, e)[1:] {
+		l.addRecord(e.Number, record)
 	}
 }
 
 // Replace adds a message with all that was done for it, in the place of all that the log has of it.
 func (l *Log) Replace(e *Entry) {
-	first := len(l.batch)
+	first := len(l.pending)
 	l.AddEntry(e)
-	l.batch[first].Kind = store.Base
+	l.pending[first].Kind = store.Base
 }
 
 // Forget takes back what was added of a message and is not written yet; what may be written of it ends.
 func (l *Log) Forget(number control.MessageID) {
-	l.batch = slices.DeleteFunc(l.batch, func(r store.Record) bool { return r.Entity == uint64(number) })
+	l.pending = slices.DeleteFunc(l.pending, func(r store.Record) bool { return r.Entity == uint64(number) })
 	l.AddEnded(number)
 }
 
 // Flush writes what was added. What can't be written now is tried again with what comes next.
 func (l *Log) Flush() error {
 	if l.inMemory {
-		l.batch = l.batch[:0]
+		l.pending = l.pending[:0]
 	}
-	for len(l.batch) > 0 {
+	for len(l.pending) > 0 {
 		n, size := 0, 0
-		for n < len(l.batch) && (n == 0 || size < maxBatchBytes) {
-			size += len(l.batch[n].Data)
+		for n < len(l.pending) && (n == 0 || size < maxBatchBytes) {
+			size += len(l.pending[n].Data)
 			n++
 		}
-		if err := l.store.Append(l.batch[:n]...); err != nil {
+		if err := l.store.Append(l.pending[:n]...); err != nil {
 			l.incomplete = true
 			return fmt.Errorf("journal: %w", err)
 		}
-		clear(l.batch[:n]) // bodies must not live on in it
-		l.batch = l.batch[n:]
+		clear(l.pending[:n]) // bodies must not live on in it
+		l.pending = l.pending[n:]
 	}
-	l.batch, l.incomplete = l.batch[:0:0], false
+	l.pending, l.incomplete = l.pending[:0:0], false
 	return nil
 }
 
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -79,7 +79,7 @@
 	for _, id := range []string{"new", "out", "spared", "over", "deferred"} {
 		e := l.accept(id, 10)
 		if id != "new" {
-			l.add(e.Number, EncodeAttempt(nil, e.Number, Attempt{At: time.UnixMicro(7), Zone: 1}))
+			l.addRecord(e.Number, EncodeAttempt(nil, e.Number, Attempt{At: time.UnixMicro(7), Zone: 1}))
 		}
 		if id == "spared" || id == "deferred" {
 			l.AddNotRun(e.Number, 0)
@@ -96,7 +96,7 @@
 	}
 }
 
-const historyOwes = "new:/0 out:r0/1 spared:/1 deferred:/1deferred "
+const historyEntries = "new:/0 out:r0/1 spared:/1 deferred:/1deferred "
 
 // What was written is read again, at each start.
 func TestLogReopened(t *testing.T) {
@@ -104,8 +104,8 @@
 	writeHistory(t, dir)
 	for range 2 {
 		l := openLog(t, dir, 1e6)
-		if got := describe(l.entries); got != historyOwes {
-			t.Fatalf("owes %q, want %q", got, historyOwes)
+		if got := describe(l.entries); got != historyEntries {
+			t.Fatalf("owes %q, want %q", got, historyEntries)
 		}
 		e := l.byID("out")
 		if e.Key != "k-out" || e.Destination != 3 || e.Tenant != 2 || e.Class != 1 || !e.Resubmitted || len(e.Body) != 10 ||
@@ -135,7 +135,7 @@
 
 // A process killed at any byte leaves a folder from which all that was promised is read, and the next process goes on
 // with it.
-func TestLogTornAnywhere(t *testing.T) {
+func TestLogTruncatedAtEveryByte(t *testing.T) {
 	base := t.TempDir()
 	writeHistory(t, base)
 	name := logFile(t, base)
@@ -293,7 +293,7 @@
 
 // What the log could not take is known as missing, and is in it once it can write again; what was taken back
 // meanwhile is not.
-func TestLogRecovers(t *testing.T) {
+func TestLogFlushAfterWriteError(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir, 1e6)
 	a, b := l.accept("a", 10), l.accept("b", 10)
@@ -312,7 +312,7 @@
 }
 
 // After a start of the machine the time base begins anew, and never behind what it told before.
-func TestTimeBaseAfterABoot(t *testing.T) {
+func TestTimeBaseAfterReboot(t *testing.T) {
 	dir := t.TempDir()
 	ahead := time.Now().Add(time.Minute).UnixMicro()
 	if err := WriteAnchor(dir, Anchor{Boot: "another", Monotonic: 1, Stamp: ahead}); err != nil {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -77,7 +77,7 @@
 	outcomeReturnable = 16 // without the dead-letter queue it would be its client's again
 )
 
-func appendText(to []byte, s string) []byte {
+func appendString(to []byte, s string) []byte {
 	return append(binary.AppendUvarint(to, uint64(len(s))), s...)
 }
 
@@ -96,7 +96,7 @@
 // EncodeAccepted returns the record of an accepted message.
 func EncodeAccepted(b *TimeBase, a *Accepted) []byte {
 	p := newRecord(recordAccepted, a.Number, len(a.ID)+len(a.Key)+len(a.Body)+len(a.ClassRecord))
-	p = appendText(appendText(p, a.ID), a.Key)
+	p = appendString(appendString(p, a.ID), a.Key)
 	for _, n := range [...]int{a.Class, a.Tenant, a.Destination} {
 		p = binary.AppendVarint(p, int64(n))
 	}
@@ -111,7 +111,7 @@
 	p := binary.AppendUvarint(newRecord(recordAttempt, number, len(a.Endpoint)), uint64(a.Index))
 	p = binary.AppendVarint(binary.AppendVarint(p, b.Stamp(a.At)), int64(a.Zone))
 	if a.Endpoint != "" || a.InDeadLetter {
-		p = appendFlag(appendText(p, a.Endpoint), a.InDeadLetter)
+		p = appendFlag(appendString(p, a.Endpoint), a.InDeadLetter)
 	}
 	return p
 }
@@ -145,7 +145,7 @@
 	p := binary.AppendUvarint(newRecord(recordOutcome, number, size), flags)
 	p = binary.AppendVarint(p, o.RetryAfter.Milliseconds())
 	if d := o.DeadLetter; d != nil {
-		p = binary.AppendVarint(appendText(p, d.Reason), b.Stamp(d.At))
+		p = binary.AppendVarint(appendString(p, d.Reason), b.Stamp(d.At))
 	}
 	return p
 }
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -11,12 +11,12 @@
 
 // replay makes entries of records.
 type replay struct {
-	times   *TimeBase
-	entries map[control.MessageID]*Entry
+	timeBase *TimeBase
+	entries  map[control.MessageID]*Entry
 }
 
 func newReplay(times *TimeBase) *replay {
-	return &replay{times: times, entries: map[control.MessageID]*Entry{}}
+	return &replay{timeBase: times, entries: map[control.MessageID]*Entry{}}
 }
 
 // live returns the entries of messages that something is still owed for, in the order of their numbers.
@@ -27,16 +27,16 @@
 // apply takes one record, and returns false where it makes no sense. Records of messages that are not known belong to
 // a damaged or finished one and say nothing.
 func (r *replay) apply(record []byte) bool {
-	d := &decoder{rest: record[1:]}
+	d := &decoder{remaining: record[1:]}
 	number := control.MessageID(d.uvarint())
 	e := r.entries[number]
 	switch record[0] {
 	case recordAccepted:
 		r.applyAccepted(d, number)
 	case recordAttempt:
-		a := Attempt{Index: int(d.uvarint()), At: r.times.Time(d.varint()), Zone: int(d.varint())}
-		if len(d.rest) > 0 {
-			a.Endpoint, a.InDeadLetter = d.text(), d.uvarint() == 1
+		a := Attempt{Index: int(d.uvarint()), At: r.timeBase.Time(d.varint()), Zone: int(d.varint())}
+		if len(d.remaining) > 0 {
+			a.Endpoint, a.InDeadLetter = d.string(), d.uvarint() == 1
 		}
 		if !d.malformed && e != nil {
 			e.MayHaveRun = append(e.MayHaveRun, a)
@@ -63,15 +63,15 @@
 }
 
 func (r *replay) applyAccepted(d *decoder, number control.MessageID) {
-	e := &Entry{Accepted: Accepted{Number: number, ID: d.text(), Key: d.text()}}
+	e := &Entry{Accepted: Accepted{Number: number, ID: d.string(), Key: d.string()}}
 	e.Class, e.Tenant, e.Destination = int(d.varint()), int(d.varint()), int(d.varint())
-	e.Deadline = r.times.Time(d.varint())
+	e.Deadline = r.timeBase.Time(d.varint())
 	e.Resubmitted = d.uvarint() == 1
-	e.Body = []byte(d.text())
-	if len(d.rest) > 0 {
+	e.Body = []byte(d.string())
+	if len(d.remaining) > 0 {
 		e.DeadLetterSeq = d.uvarint()
 	}
-	if len(d.rest) > 0 { // its class, as it was when the message came
+	if len(d.remaining) > 0 { // its class, as it was when the message came
 		if c := d.class(); !d.malformed {
 			e.RecordedClass, e.ClassRecord = &c, string(EncodeClass(c))
 		}
@@ -102,15 +102,15 @@
 	o := &Outcome{Deferred: flags&outcomeDeferred != 0, RetryAfter: time.Duration(d.varint()) * time.Millisecond}
 	if flags&outcomeDeadLetter != 0 {
 		o.DeadLetter = &DeadLetterOutcome{
-			Reason: d.text(), At: r.times.Time(d.varint()),
+			Reason: d.string(), At: r.timeBase.Time(d.varint()),
 			Delivered: flags&outcomeDelivered != 0, Final: flags&outcomeFinal != 0, Deferred: flags&outcomeReturnable != 0,
 		}
 	}
 	return o
 }
 
-// assumeRun notes for an open message an attempt at an unknown time: damage may hide the record of one.
-func (e *Entry) assumeRun() {
+// assumeUnknownAttempt notes for an open message an attempt at an unknown time: damage may hide the record of one.
+func (e *Entry) assumeUnknownAttempt() {
 	if e.Outcome == nil {
 		e.MayHaveRun = append(e.MayHaveRun, Attempt{Index: e.Attempts, At: time.Unix(0, 0)})
 		e.Attempts++
--- a/internal/wal/singlefile.go
+++ b/internal/wal/singlefile.go
@@ -25,7 +25,7 @@
 	minImportSegment      = 16 << 10      // bytes of a segment of the store that is made of it
 )
 
-var singleFileMark = []byte{0xc1, 0xea, 0x7d, 0x01}
+var singleFileMagic = []byte{0xc1, 0xea, 0x7d, 0x01}
 
 // importSingleFile makes a store of a single file. The file counts until all of it is in the store, and is removed
 // then: a store that is found beside it is an import that was broken off, and begins anew.
@@ -112,7 +112,7 @@
 
 // appendFramed appends a record with the single file's frame.
 func appendFramed(to, record []byte) []byte {
-	to = append(to, singleFileMark...)
+	to = append(to, singleFileMagic...)
 	to = binary.LittleEndian.AppendUint32(to, uint32(len(record)))
 	to = binary.LittleEndian.AppendUint32(to, crc32.ChecksumIEEE(record))
 	return append(to, record...)
@@ -127,7 +127,7 @@
 		if n := framedSize(data); n > 0 && r.apply(data[singleFileHeaderSize:n]) {
 			if damaged {
 				for _, e := range r.entries {
-					e.assumeRun()
+					e.assumeUnknownAttempt()
 				}
 			}
 			damaged = false
@@ -136,7 +136,7 @@
 		}
 		damaged = true
 		skip := len(data)
-		if i := bytes.Index(data[1:], singleFileMark); i >= 0 {
+		if i := bytes.Index(data[1:], singleFileMagic); i >= 0 {
 			skip = 1 + i
 		}
 		unread += skip
@@ -147,7 +147,7 @@
 
 // framedSize returns the length of the framed record that the data starts with, or 0.
 func framedSize(data []byte) int {
-	if len(data) < singleFileHeaderSize || !bytes.Equal(data[:len(singleFileMark)], singleFileMark) {
+	if len(data) < singleFileHeaderSize || !bytes.Equal(data[:len(singleFileMagic)], singleFileMagic) {
 		return 0
 	}
 	n := int(binary.LittleEndian.Uint32(data[4:]))
--- a/internal/wal/timebase.go
+++ b/internal/wal/timebase.go
@@ -27,13 +27,13 @@
 
 // TimeBase turns times of this process into stamps, in microseconds, and back. A nil one goes by the wall clock.
 type TimeBase struct {
-	zero  time.Time // an instant, with its monotonic reading...
-	stamp int64     // ...and what stands for it
+	origin      time.Time // an instant, with its monotonic reading...
+	originStamp int64     // ...and what stands for it
 }
 
 // NewTimeBase returns a time base in which a stamp in microseconds stands for an instant.
 func NewTimeBase(instant time.Time, stamp int64) *TimeBase {
-	return &TimeBase{zero: instant, stamp: stamp}
+	return &TimeBase{origin: instant, originStamp: stamp}
 }
 
 // Anchor is what a folder keeps of its time base.
@@ -42,7 +42,7 @@
 	Monotonic int64  `json:"monotonic_us"` // the monotonic clock at an instant, in microseconds...
 	Stamp     int64  `json:"stamp_us"`     // ...and what stands for it
 
-	zero time.Time // the instant, in this process
+	instant time.Time // the instant, in this process
 }
 
 // OpenTimeBase goes on with the time base of a folder, or begins one. Where the folder can't keep it, the time base
@@ -54,14 +54,14 @@
 		return nil
 	}
 	stored, err := readAnchor(dir)
-	if err == nil && current.follows(stored) {
-		return current.continued(stored)
+	if err == nil && current.continues(stored) {
+		return current.timeBaseSince(stored)
 	}
 	current.Stamp = max(current.Stamp, stored.Stamp)
 	if err := WriteAnchor(dir, current); err != nil {
 		log.Warn("time base not written", "err", err)
 	}
-	return NewTimeBase(current.zero, current.Stamp)
+	return NewTimeBase(current.instant, current.Stamp)
 }
 
 // readTimeBase is OpenTimeBase for a reader that changes nothing.
@@ -71,10 +71,10 @@
 		return nil
 	}
 	stored, err := readAnchor(dir)
-	if err != nil || !current.follows(stored) {
+	if err != nil || !current.continues(stored) {
 		return nil
 	}
-	return current.continued(stored)
+	return current.timeBaseSince(stored)
 }
 
 // AnchorNow returns an anchor of this instant, stamped by the wall clock.
@@ -92,14 +92,14 @@
 	return Anchor{strings.TrimSpace(string(boot)), now.Nano() / int64(time.Microsecond), zero.UnixMicro(), zero}, nil
 }
 
-// follows tells whether a later anchor counts from the same start of the machine.
-func (a Anchor) follows(before Anchor) bool {
+// continues tells whether a later anchor counts from the same start of the machine.
+func (a Anchor) continues(before Anchor) bool {
 	return a.Boot == before.Boot && a.Monotonic >= before.Monotonic
 }
 
-// continued is the time base that an earlier anchor began, as of this one.
-func (a Anchor) continued(before Anchor) *TimeBase {
-	return NewTimeBase(a.zero, before.Stamp+a.Monotonic-before.Monotonic)
+// timeBaseSince is the time base that an earlier anchor began, as of this one.
+func (a Anchor) timeBaseSince(before Anchor) *TimeBase {
+	return NewTimeBase(a.instant, before.Stamp+a.Monotonic-before.Monotonic)
 }
 
 func readAnchor(dir string) (a Anchor, err error) {
@@ -127,7 +127,7 @@
 	if b == nil {
 		return t.UnixMicro()
 	}
-	return b.stamp + t.Sub(b.zero).Microseconds()
+	return b.originStamp + t.Sub(b.origin).Microseconds()
 }
 
 // Time returns the time that a stamp stands for. It has a monotonic reading, so that steps of the wall clock leave it
@@ -136,5 +136,5 @@
 	if b == nil {
 		return time.UnixMicro(stamp)
 	}
-	return b.zero.Add(time.Duration(stamp-b.stamp) * time.Microsecond)
+	return b.origin.Add(time.Duration(stamp-b.originStamp) * time.Microsecond)
 }
