--- a/internal/wal/class.go
+++ b/internal/wal/class.go
@@ -8,20 +8,20 @@
 	"cleathold/control"
 )
 
-// NamedClass is a class as the settings name it.
+// NamedClass is a message class together with its name in the settings.
 type NamedClass struct {
 	Name string
 	control.Class
 }
 
-// The bits of a class's record.
+// Bits of the flags byte in an encoded class.
 const (
 	classKeyZoneScoped = 1 << iota
 	classOrdered
 	classStreaming
 )
 
-// EncodeClass returns a class as it stands in the record of a message.
+// EncodeClass returns the encoding of a class that is stored in the record of an accepted message.
 func EncodeClass(c NamedClass) []byte {
 	p := appendString(nil, c.Name)
 	bits := byte(0)
@@ -43,7 +43,7 @@
 	return p
 }
 
-// class reads such a record; one that makes no sense is malformed.
+// class decodes what EncodeClass returns. It sets malformed if a value is out of range.
 func (d *decoder) class() NamedClass {
 	c := NamedClass{Name: d.string()}
 	c.Idempotency = control.Idempotency(d.octet())
--- a/internal/wal/decoder.go
+++ b/internal/wal/decoder.go
@@ -5,7 +5,8 @@
 	"math"
 )
 
-// decoder takes a record apart. After the first part that does not fit everything is zero and malformed is set.
+// decoder reads the fields of a record one after another. After the first field that can't be decoded, malformed is set
+// and all further reads return zero values.
 type decoder struct {
 	remaining []byte
 	malformed bool
@@ -25,7 +26,7 @@
 	return d.advance(v, n)
 }
 
-// advance passes over a number of n bytes and returns it.
+// advance skips the n bytes of a varint and returns its value. If n is not positive, the varint was invalid.
 func (d *decoder) advance(v uint64, n int) uint64 {
 	if n <= 0 {
 		d.fail()
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -18,14 +18,14 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// fixture is a log with the messages that it tells are owed.
+// fixture is an open log together with the messages that it restored or accepted and that still need processing.
 type fixture struct {
 	*Log
 	entries []*Entry
 	next    control.MessageID
 }
 
-// openLog opens the log of a folder.
+// openLog opens the log in a folder.
 func openLog(t *testing.T, dir string, limit int64) *fixture {
 	t.Helper()
 	l, recovered, err := Open(Options{
@@ -37,7 +37,7 @@
 	return &fixture{l, recovered.Entries, recovered.NextNumber}
 }
 
-// accept adds a message.
+// accept adds the record of a new message with a body of the given size.
 func (f *fixture) accept(id string, size int) *Entry {
 	e := &Entry{Accepted: Accepted{
 		Number: f.next, ID: id, Key: "k-" + id, Class: 1, Tenant: 2, Destination: 3, Resubmitted: true,
@@ -49,12 +49,13 @@
 	return e
 }
 
-// byID returns one of the messages.
+// byID returns the message with an ID.
 func (f *fixture) byID(id string) *Entry {
 	return f.entries[slices.IndexFunc(f.entries, func(e *Entry) bool { return e.ID == id })]
 }
 
-// describe says what is owed.
+// describe returns a summary of entries: per message its ID, the attempts that may have run, the number of attempts and
+// the outcome.
 func describe(entries []*Entry) string {
 	var b strings.Builder
 	for _, e := range entries {
@@ -73,18 +74,18 @@
 	return b.String()
 }
 
-// writeHistory writes one message of each fate.
+// writeHistory writes a log with one message in each state.
 func writeHistory(t *testing.T, dir string) {
 	l := openLog(t, dir, 1e6)
-	for _, id := range []string{"new", "out", "spared", "over", "deferred"} {
+	for _, id := range []string{"new", "in-flight", "not-run", "ended", "deferred"} {
 		e := l.accept(id, 10)
 		if id != "new" {
 			l.addRecord(e.Number, EncodeAttempt(nil, e.Number, Attempt{At: time.UnixMicro(7), Zone: 1}))
 		}
-		if id == "spared" || id == "deferred" {
+		if id == "not-run" || id == "deferred" {
 			l.AddNotRun(e.Number, 0)
 		}
-		if id == "over" {
+		if id == "ended" {
 			l.AddEnded(e.Number)
 		}
 		if id == "deferred" {
@@ -96,34 +97,34 @@
 	}
 }
 
-const historyEntries = "new:/0 out:r0/1 spared:/1 deferred:/1deferred "
+const historyEntries = "new:/0 in-flight:r0/1 not-run:/1 deferred:/1deferred "
 
-// What was written is read again, at each start.
+// Messages are restored unchanged each time the log is opened.
 func TestLogReopened(t *testing.T) {
 	dir := t.TempDir()
 	writeHistory(t, dir)
 	for range 2 {
 		l := openLog(t, dir, 1e6)
 		if got := describe(l.entries); got != historyEntries {
-			t.Fatalf("owes %q, want %q", got, historyEntries)
+			t.Fatalf("restored %q, want %q", got, historyEntries)
 		}
-		e := l.byID("out")
-		if e.Key != "k-out" || e.Destination != 3 || e.Tenant != 2 || e.Class != 1 || !e.Resubmitted || len(e.Body) != 10 ||
+		e := l.byID("in-flight")
+		if e.Key != "k-in-flight" || e.Destination != 3 || e.Tenant != 2 || e.Class != 1 || !e.Resubmitted || len(e.Body) != 10 ||
 			e.Deadline.Sub(time.UnixMicro(1e15)).Abs() > time.Millisecond || e.MayHaveRun[0].Zone != 1 ||
 			l.Times().Stamp(e.MayHaveRun[0].At) != 7 {
-			t.Fatalf("read as %+v", e)
+			t.Fatalf("restored %+v", e)
 		}
 		if o := l.byID("deferred").Outcome; o.RetryAfter != 500*time.Millisecond {
 			t.Fatalf("outcome %+v", o)
 		}
-		if l.next != 6 { // of "over", which has ended, no number may come again
-			t.Fatalf("the next number is %d", l.next)
+		if l.next != 6 { // the number of "ended" must not be reused, though the message has ended
+			t.Fatalf("next number is %d, want 6", l.next)
 		}
 		l.Close()
 	}
 }
 
-// logFile is the one segment of a small log.
+// logFile returns the path of the only segment of a small log.
 func logFile(t *testing.T, dir string) string {
 	t.Helper()
 	list, _ := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -133,8 +134,8 @@
 	return list[0]
 }
 
-// A process killed at any byte leaves a folder from which all that was promised is read, and the next process goes on
-// with it.
+// A process may be killed at any byte of a write. The next process must restore the acknowledged messages, ignore the
+// truncated batch, and append to the log.
 func TestLogTruncatedAtEveryByte(t *testing.T) {
 	base := t.TempDir()
 	writeHistory(t, base)
@@ -148,22 +149,22 @@
 		if err := os.WriteFile(filepath.Join(dir, filepath.Base(name)), content[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		l := openLog(t, dir, 1e6) // one batch: all of it or nothing
+		l := openLog(t, dir, 1e6) // the history is one batch, so none of it may be restored
 		if len(l.entries) > 0 {
-			t.Fatalf("cut at %d: owes %q", n, describe(l.entries))
+			t.Fatalf("truncated at %d: restored %q", n, describe(l.entries))
 		}
 		l.accept("next", 10)
 		if err := errors.Join(l.Flush(), l.Close()); err != nil {
 			t.Fatal(err)
 		}
 		if list, err := Read(dir, discardLog); len(list) != 1 || err != nil {
-			t.Fatalf("cut at %d: then %+v, %v", n, list, err)
+			t.Fatalf("truncated at %d: after an append: %+v, %v", n, list, err)
 		}
 	}
 }
 
-// Damage costs what it touches alone. As that may have told of an attempt, each message that was open before it
-// counts as one that may have run.
+// Only the damaged record is lost. As it may have been the record of an attempt, each message that was open before it
+// must count as one that may have run.
 func TestLogDamaged(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir, 1e6)
@@ -181,11 +182,11 @@
 	os.WriteFile(name, content, 0o600)
 	l = openLog(t, dir, 1e6)
 	if got, want := describe(l.entries), "first:r0/1 third:/0 "; got != want {
-		t.Errorf("owes %q, want %q", got, want)
+		t.Errorf("restored %q, want %q", got, want)
 	}
 }
 
-// folderSize is what the files of a folder take, in whole units of the disk.
+// folderSize returns the size of the files in a folder, each rounded up to whole disk blocks.
 func folderSize(dir string) (sum int64) {
 	files, _ := os.ReadDir(dir)
 	for _, f := range files {
@@ -195,8 +196,8 @@
 	return sum
 }
 
-// The folder never holds more than its limit, and messages are refused before that. A body whose message has ended
-// takes no room, though its report is still owed.
+// The folder never exceeds its limit, as messages are rejected before it is reached. A message with an outcome takes no
+// space for its body, even while its report is still due.
 func TestLogLimit(t *testing.T) {
 	const limit = 400_000
 	dir := t.TempDir()
@@ -228,23 +229,23 @@
 			t.Fatalf("message %d: %v, %+v", i, err, l.store.Stats())
 		}
 		if i%50 == 0 && folderSize(dir) > limit {
-			t.Fatalf("message %d: %d bytes held", i, folderSize(dir))
+			t.Fatalf("message %d: folder has %d bytes", i, folderSize(dir))
 		}
 	}
 	if rejected == 0 {
-		t.Error("nothing was refused")
+		t.Error("no message was rejected")
 	}
 	l.Close()
 	if reopened := openLog(t, dir, limit); describe(reopened.entries) != describe(l.entries) {
-		t.Errorf("owes %q, want %q", describe(reopened.entries), describe(l.entries))
+		t.Errorf("restored %q, want %q", describe(reopened.entries), describe(l.entries))
 	}
 }
 
-// writeSingleFile writes the file of an older program, with a torn tail.
+// writeSingleFile writes the single-file log of an older program with a truncated record at its end.
 func writeSingleFile(t *testing.T, dir string) {
 	t.Helper()
 	var data []byte
-	for i, id := range []string{"new", "out", "deferred"} {
+	for i, id := range []string{"new", "in-flight", "deferred"} {
 		e := &Entry{Accepted: Accepted{
 			Number: control.MessageID(i + 1), ID: id, Destination: 3, Deadline: time.UnixMicro(1e15), Body: []byte("body"),
 		}}
@@ -261,45 +262,45 @@
 	}
 }
 
-// The file of an older program is imported once; an import that was broken off at any point begins anew.
+// A single-file log is imported once. If the process is killed at any point of the import, the next one starts it over.
 func TestImportSingleFile(t *testing.T) {
-	const want = "new:/0 out:r0/1 deferred:r0/1deferred "
+	const want = "new:/0 in-flight:r0/1 deferred:r0/1deferred "
 	dir := t.TempDir()
 	writeSingleFile(t, dir)
 	if list, err := Read(dir, discardLog); len(list) != 3 || err != nil {
-		t.Errorf("before: %+v, %v", list, err)
+		t.Errorf("before the import: %+v, %v", list, err)
 	}
 	l := openLog(t, dir, 1e6)
 	if got := describe(l.entries); got != want {
-		t.Errorf("owes %q, want %q", got, want)
+		t.Errorf("imported %q, want %q", got, want)
 	}
 	l.Close()
 	if _, err := os.Stat(filepath.Join(dir, singleFileName)); !os.IsNotExist(err) {
-		t.Error("the old file is still there")
+		t.Error("the single file was not removed")
 	}
 	content, _ := os.ReadFile(logFile(t, dir))
-	for n := 0; n <= len(content); n += 7 { // killed in its middle
+	for n := 0; n <= len(content); n += 7 { // an earlier import was killed after n bytes
 		dir := t.TempDir()
 		writeSingleFile(t, dir)
 		os.WriteFile(filepath.Join(dir, "0000000000000001.log"), content[:n], 0o600)
-		os.WriteFile(filepath.Join(dir, singleFileReplacement), []byte("half a rewrite"), 0o600)
+		os.WriteFile(filepath.Join(dir, singleFileReplacement), []byte("incomplete rewrite"), 0o600)
 		l := openLog(t, dir, 1e6)
 		if got := describe(l.entries); got != want {
-			t.Errorf("broken off at %d: owes %q, want %q", n, got, want)
+			t.Errorf("interrupted at %d: imported %q, want %q", n, got, want)
 		}
 		l.Close()
 	}
 }
 
-// What the log could not take is known as missing, and is in it once it can write again; what was taken back
-// meanwhile is not.
+// After a failed write the log reports that it is incomplete. Once writes succeed again it must contain the pending
+// records, without those of messages that were dropped by Forget meanwhile.
 func TestLogFlushAfterWriteError(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir, 1e6)
 	a, b := l.accept("a", 10), l.accept("b", 10)
 	l.store.Close()
 	if err := l.Flush(); err == nil || !l.Incomplete() {
-		t.Fatal("a failed write went unseen")
+		t.Fatal("a failed write was not reported")
 	}
 	l.Forget(b.Number)
 	l.store = openLog(t, dir, 1e6).store
@@ -307,11 +308,11 @@
 		t.Fatal(err)
 	}
 	if list, _ := Read(dir, discardLog); len(list) != 1 || list[0].ID != a.ID {
-		t.Errorf("kept %+v", list)
+		t.Errorf("log contains %+v, want only %q", list, a.ID)
 	}
 }
 
-// After a start of the machine the time base begins anew, and never behind what it told before.
+// After a reboot the time base is created anew, and its timestamps must not go back behind those from before.
 func TestTimeBaseAfterReboot(t *testing.T) {
 	dir := t.TempDir()
 	ahead := time.Now().Add(time.Minute).UnixMicro()
@@ -319,13 +320,13 @@
 		t.Fatal(err)
 	}
 	if got := OpenTimeBase(dir, discardLog).Stamp(time.Now()); got < ahead {
-		t.Errorf("%d after %d", got, ahead)
+		t.Errorf("timestamp %d, want at least %d", got, ahead)
 	}
 	if err := os.WriteFile(filepath.Join(dir, TimeBaseFile), []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now()
 	if got := OpenTimeBase(dir, discardLog).Time(now.UnixMicro()).Sub(now).Abs(); got > 50*time.Millisecond {
-		t.Errorf("a damaged anchor: %v off", got)
+		t.Errorf("after a damaged anchor: time base is off by %v", got)
 	}
 }
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -7,74 +7,74 @@
 	"cleathold/control"
 )
 
-// Accepted is the record of a message that was accepted.
+// Accepted is the record of an accepted message.
 type Accepted struct {
 	Number      control.MessageID
 	ID, Key     string
-	Class       int // its number as the message came; ClassRecord says what that was
+	Class       int // number of the class at acceptance; ClassRecord has its definition
 	Tenant      int
 	Destination int
 	Deadline    time.Time
 	Resubmitted bool
 	Body        []byte
-	// DeadLetterSeq is the dead letter that is sent again with this message; 0 for a client's message.
+	// DeadLetterSeq is the sequence number of the dead letter that this message redelivers; 0 for a client's message.
 	DeadLetterSeq uint64
-	ClassRecord   string // by EncodeClass; empty where it is not known
+	ClassRecord   string // result of EncodeClass; empty if the class is unknown
 }
 
-// Attempt is the record of an attempt that is about to leave.
+// Attempt is the record of an attempt that is about to be sent.
 type Attempt struct {
-	Index        int // of the message's attempts, from 0
+	Index        int // index among the message's attempts, counted from 0
 	At           time.Time
-	Zone         int    // of the endpoint
-	Endpoint     string // its ID, where a dead-letter queue is connected
-	InDeadLetter bool   // the dead letter's own record has it
+	Zone         int    // zone of the endpoint
+	Endpoint     string // ID of the endpoint; set only if a dead-letter queue is connected
+	InDeadLetter bool   // the attempt is already in the record of the dead letter
 }
 
-// Outcome is the record of how a message ended undelivered, and of what is owed for that.
+// Outcome is the record of how processing of an undelivered message ended, and of what remains to be reported.
 type Outcome struct {
-	Deferred   bool // the client gets the message back; else it is undeliverable
+	Deferred   bool // the message is returned to the client as deferred; otherwise it is undeliverable
 	RetryAfter time.Duration
-	DeadLetter *DeadLetterOutcome // the dead-letter queue gets the message, or what came of it
+	DeadLetter *DeadLetterOutcome // report to the dead-letter queue; nil if there is none
 }
 
-// DeadLetterOutcome is what the dead-letter queue is owed.
+// DeadLetterOutcome is what remains to be reported to the dead-letter queue.
 type DeadLetterOutcome struct {
 	Reason    string
 	At        time.Time
-	Delivered bool // a redelivery was served
-	Final     bool // the endpoint says that nothing more is owed
-	Deferred  bool // without the queue the client would get the message back
+	Delivered bool // a redelivery succeeded
+	Final     bool // by the answer of the endpoint, no further delivery is needed
+	Deferred  bool // without the queue, the message would be returned to the client as deferred
 }
 
-// Entry is all that the log holds of one message.
+// Entry is the state of one message, combined from all its records in the log.
 type Entry struct {
 	Accepted
-	RecordedClass *NamedClass // its class, where ClassRecord tells it
-	Attempts      int         // made so far
-	MayHaveRun    []Attempt   // those that may have run, or may yet
-	Outcome       *Outcome    // nil while the message is open
+	RecordedClass *NamedClass // decoded ClassRecord; nil if the class is unknown
+	Attempts      int         // number of attempts so far
+	MayHaveRun    []Attempt   // attempts that may have run, or may still run, at the partner
+	Outcome       *Outcome    // nil while delivery is in progress
 }
 
-// The kinds of record: the first byte of each.
+// Record kinds, stored as the first byte of a record.
 const (
 	recordAccepted = 1
 	recordAttempt  = 2
-	recordNotRun   = 3 // an attempt proved never to have run
-	recordEnded    = 4 // nothing more is owed
+	recordNotRun   = 3 // an attempt is known never to have run
+	recordEnded    = 4 // the message needs no more processing
 	recordOutcome  = 5
 )
 
-// attemptCountOffset marks a not-run record that only counts attempts.
+// attemptCountOffset is added to the attempt index in a not-run record that only records the number of attempts made.
 const attemptCountOffset = 1 << 20
 
-// The bits of an outcome's flags.
+// Bits of the flags in an outcome record.
 const (
 	outcomeDeferred   = 1
 	outcomeDeadLetter = 2
 	outcomeDelivered  = 4
 	outcomeFinal      = 8
-	outcomeReturnable = 16 // without the dead-letter queue it would be its client's again
+	outcomeReturnable = 16 // without the dead-letter queue, the message would be returned to its client
 )
 
 func appendString(to []byte, s string) []byte {
@@ -88,7 +88,7 @@
 	return append(to, 0)
 }
 
-// newRecord begins the record of a message, with space for so many bytes besides its numbers.
+// newRecord returns the start of a message's record, with capacity for size bytes besides its numbers.
 func newRecord(kind byte, number control.MessageID, size int) []byte {
 	return binary.AppendUvarint(append(make([]byte, 0, size+64), kind), uint64(number))
 }
@@ -106,7 +106,7 @@
 	return append(binary.AppendUvarint(p, a.DeadLetterSeq), a.ClassRecord...)
 }
 
-// EncodeAttempt returns the record of an attempt that is about to leave.
+// EncodeAttempt returns the record of an attempt that is about to be sent.
 func EncodeAttempt(b *TimeBase, number control.MessageID, a Attempt) []byte {
 	p := binary.AppendUvarint(newRecord(recordAttempt, number, len(a.Endpoint)), uint64(a.Index))
 	p = binary.AppendVarint(binary.AppendVarint(p, b.Stamp(a.At)), int64(a.Zone))
@@ -116,16 +116,16 @@
 	return p
 }
 
-// EncodeNotRun returns the record of an attempt that proved never to have run.
+// EncodeNotRun returns the record that an attempt is known never to have run.
 func EncodeNotRun(number control.MessageID, attempt int) []byte {
 	return binary.AppendUvarint(newRecord(recordNotRun, number, 0), uint64(attempt))
 }
 
-// EncodeEnded returns the record of a message for which nothing more is owed, as the single-file format has it. The
-// store marks the end of an entity by itself.
+// EncodeEnded returns the record that a message needs no more processing. Only the single-file format has it; a store
+// has its own kind of record for the end of an entity.
 func EncodeEnded(number control.MessageID) []byte { return newRecord(recordEnded, number, 0) }
 
-// EncodeOutcome returns the record of how a message ended undelivered.
+// EncodeOutcome returns the record of the outcome of a message that was not delivered.
 func EncodeOutcome(b *TimeBase, number control.MessageID, o *Outcome) []byte {
 	flags := uint64(0)
 	set := func(bit uint64, on bool) {
@@ -150,8 +150,8 @@
 	return p
 }
 
-// EncodeEntry returns the records of all that is known of one message. A not-run record tells the count of attempts
-// where the last one never ran.
+// EncodeEntry returns records that restore the whole state of one message. A not-run record stores the number of
+// attempts, as the last attempts may never have run and then have no record of their own.
 func EncodeEntry(b *TimeBase, e *Entry) [][]byte {
 	list := [][]byte{EncodeAccepted(b, &e.Accepted)}
 	for _, a := range e.MayHaveRun {
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -9,7 +9,7 @@
 	"cleathold/control"
 )
 
-// replay makes entries of records.
+// replay combines the records of a log into entries.
 type replay struct {
 	timeBase *TimeBase
 	entries  map[control.MessageID]*Entry
@@ -19,13 +19,13 @@
 	return &replay{timeBase: times, entries: map[control.MessageID]*Entry{}}
 }
 
-// live returns the entries of messages that something is still owed for, in the order of their numbers.
+// live returns the entries of messages that still need processing, in ascending order of number.
 func (r *replay) live() []*Entry {
 	return slices.SortedFunc(maps.Values(r.entries), func(a, b *Entry) int { return cmp.Compare(a.Number, b.Number) })
 }
 
-// apply takes one record, and returns false where it makes no sense. Records of messages that are not known belong to
-// a damaged or finished one and say nothing.
+// apply applies one record and reports whether it was well-formed. Records of unknown messages belong to damaged or
+// ended messages and are ignored.
 func (r *replay) apply(record []byte) bool {
 	d := &decoder{remaining: record[1:]}
 	number := control.MessageID(d.uvarint())
@@ -71,7 +71,7 @@
 	if len(d.remaining) > 0 {
 		e.DeadLetterSeq = d.uvarint()
 	}
-	if len(d.remaining) > 0 { // its class, as it was when the message came
+	if len(d.remaining) > 0 { // definition of the class when the message was accepted
 		if c := d.class(); !d.malformed {
 			e.RecordedClass, e.ClassRecord = &c, string(EncodeClass(c))
 		}
@@ -89,7 +89,8 @@
 	e.MayHaveRun = slices.DeleteFunc(e.MayHaveRun, func(a Attempt) bool { return a.Index == attempt })
 }
 
-// applyOutcome ends an open message. Its body is needed only by a dead-letter queue that does not have it yet.
+// applyOutcome records the outcome of an open message and drops its body, unless the body must still be sent to a
+// dead-letter queue that does not have it yet.
 func (e *Entry) applyOutcome(o *Outcome) {
 	e.Outcome = o
 	if o.DeadLetter == nil || e.DeadLetterSeq > 0 {
@@ -109,7 +110,8 @@
 	return o
 }
 
-// assumeUnknownAttempt notes for an open message an attempt at an unknown time: damage may hide the record of one.
+// assumeUnknownAttempt adds an attempt at an unknown time to a message that has no outcome yet. It is called where the
+// record of such an attempt may be lost to damage.
 func (e *Entry) assumeUnknownAttempt() {
 	if e.Outcome == nil {
 		e.MayHaveRun = append(e.MayHaveRun, Attempt{Index: e.Attempts, At: time.Unix(0, 0)})
--- a/internal/wal/singlefile.go
+++ b/internal/wal/singlefile.go
@@ -15,20 +15,22 @@
 	"cleathold/internal/store"
 )
 
-// The log of programs from before the store: one file of records, each a mark, the length and checksum of its
-// payload, and the payload, that was rewritten whole under another name and renamed. It is read and imported once.
+// The log of older programs, from before the store, is a single file of framed records. A frame consists of a magic
+// number, the length and the checksum of the payload, and the payload. Those programs compacted the file by writing a
+// replacement and renaming it. This program reads such a file only to import it once.
 const (
 	singleFileName        = "journal"
 	singleFileReplacement = "journal.new"
 	singleFileHeaderSize  = 12
-	maxSingleFileRecord   = 64<<10 + 4096 // bytes of a payload: a body, and the rest
-	minImportSegment      = 16 << 10      // bytes of a segment of the store that is made of it
+	maxSingleFileRecord   = 64<<10 + 4096 // maximum payload in bytes: a body and the other fields
+	minImportSegment      = 16 << 10      // minimum segment size in bytes of the store that an import creates
 )
 
 var singleFileMagic = []byte{0xc1, 0xea, 0x7d, 0x01}
 
-// importSingleFile makes a store of a single file. The file counts until all of it is in the store, and is removed
-// then: a store that is found beside it is an import that was broken off, and begins anew.
+// importSingleFile converts a single-file log into a store. It removes the file only after all of its records are in
+// the store. If the folder has both a single file and a store, an earlier import was interrupted; the store is then
+// deleted and the import starts over.
 func importSingleFile(dir string, limit int64, log *slog.Logger) error {
 	r, err := readSingleFile(dir, log)
 	if r == nil || err != nil {
@@ -36,18 +38,18 @@
 	}
 	entries := r.live()
 	if err := importEntries(dir, limit, entries, log); err != nil {
-		return fmt.Errorf("journal: take-over: %w", err)
+		return fmt.Errorf("write-ahead log: import single-file log: %w", err)
 	}
 	log.Info("single-file log imported", "messages", len(entries))
 	return os.Remove(filepath.Join(dir, singleFileName))
 }
 
 func importEntries(dir string, limit int64, entries []*Entry, log *slog.Logger) error {
-	os.Remove(filepath.Join(dir, singleFileReplacement)) // half a rewrite: the file itself still holds
+	os.Remove(filepath.Join(dir, singleFileReplacement)) // an interrupted rewrite; the file itself is still valid
 	if err := removeSegments(dir); err != nil {
 		return err
 	}
-	// Only what is owed: old and new must fit side by side.
+	// Keep only live messages: the file and the store must fit into the limit together.
 	if err := compactSingleFile(dir, entries); err != nil {
 		return err
 	}
@@ -72,7 +74,7 @@
 	return errors.Join(err, s.Close())
 }
 
-// removeSegments removes the files of a store that an import left.
+// removeSegments removes the segment files that an interrupted import left behind.
 func removeSegments(dir string) error {
 	files, err := os.ReadDir(dir)
 	for _, f := range files {
@@ -83,7 +85,7 @@
 	return err
 }
 
-// compactSingleFile writes a single file anew with only what is owed.
+// compactSingleFile rewrites a single-file log with the records of the given entries only.
 func compactSingleFile(dir string, entries []*Entry) error {
 	var live []byte
 	for _, e := range entries {
@@ -94,23 +96,23 @@
 	return atomicfile.Write(filepath.Join(dir, singleFileName), live)
 }
 
-// readSingleFile replays a single file; nil where there is none.
+// readSingleFile replays a single-file log. It returns nil if the folder has none.
 func readSingleFile(dir string, log *slog.Logger) (*replay, error) {
 	data, err := os.ReadFile(filepath.Join(dir, singleFileName))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("journal: %w", err)
+		return nil, fmt.Errorf("write-ahead log: %w", err)
 	}
 	r := newReplay(nil)
 	if unread := r.applyFramed(data); unread > 0 {
-		log.Warn("single-file log damaged or torn, readable records kept", "bytes", len(data), "unread", unread)
+		log.Warn("single-file log is damaged or truncated; keeping the readable records", "bytes", len(data), "unread", unread)
 	}
 	return r, nil
 }
 
-// appendFramed appends a record with the single file's frame.
+// appendFramed appends a record in the frame of the single-file format.
 func appendFramed(to, record []byte) []byte {
 	to = append(to, singleFileMagic...)
 	to = binary.LittleEndian.AppendUint32(to, uint32(len(record)))
@@ -118,9 +120,10 @@
 	return append(to, record...)
 }
 
-// applyFramed applies the records that read and returns the number of bytes that don't. A damaged record hides none
-// of those after it: reading goes on at the next mark. What it told is not known, so each message open then may have
-// had an attempt. A torn tail is no such case: what it tells had not been acted on.
+// applyFramed applies all readable records and returns the number of bytes that it could not read. After a damaged
+// record it continues at the next magic number. As the damaged record may have been that of an attempt, each message
+// that was open at that point is assumed to have had one. A truncated record at the end of the file needs no such
+// assumption, as the program acted on a record only after writing it.
 func (r *replay) applyFramed(data []byte) (unread int) {
 	damaged := false
 	for len(data) > 0 {
@@ -145,7 +148,7 @@
 	return unread
 }
 
-// framedSize returns the length of the framed record that the data starts with, or 0.
+// framedSize returns the size in bytes of the frame at the start of data, or 0 if there is no valid one.
 func framedSize(data []byte) int {
 	if len(data) < singleFileHeaderSize || !bytes.Equal(data[:len(singleFileMagic)], singleFileMagic) {
 		return 0
--- a/internal/wal/timebase.go
+++ b/internal/wal/timebase.go
@@ -14,43 +14,43 @@
 	"cleathold/internal/atomicfile"
 )
 
-// Times in the log outlast the process, and what is counted from them are spans of real time: deadlines, key
-// retention, Retry-After. The wall clock may be stepped between two processes, and while one runs. So times are
-// written by a time base that goes on with the system's monotonic clock from one process to the next; it is set by
-// the wall clock only once, and again after the machine has been started anew.
+// Times in the log outlive the process, and durations of real time are measured from them: deadlines, key retention and
+// Retry-After. The wall clock may be stepped between two processes and while one is running. Timestamps therefore come
+// from a time base that advances with the system's monotonic clock across processes. It is set from the wall clock only
+// when it is created and after each reboot of the machine.
 
 const (
-	// TimeBaseFile is the name of the file in the state folder that keeps the time base.
+	// TimeBaseFile is the name of the file in the state folder that stores the anchor of the time base.
 	TimeBaseFile = "clock"
 	bootIDPath   = "/proc/sys/kernel/random/boot_id"
 )
 
-// TimeBase turns times of this process into stamps, in microseconds, and back. A nil one goes by the wall clock.
+// TimeBase converts between times of this process and timestamps in microseconds. A nil TimeBase uses the wall clock.
 type TimeBase struct {
-	origin      time.Time // an instant, with its monotonic reading...
-	originStamp int64     // ...and what stands for it
+	origin      time.Time // an instant with a monotonic clock reading
+	originStamp int64     // timestamp of origin, in microseconds
 }
 
-// NewTimeBase returns a time base in which a stamp in microseconds stands for an instant.
+// NewTimeBase returns a time base that assigns a timestamp in microseconds to an instant.
 func NewTimeBase(instant time.Time, stamp int64) *TimeBase {
 	return &TimeBase{origin: instant, originStamp: stamp}
 }
 
-// Anchor is what a folder keeps of its time base.
+// Anchor is the stored form of a time base: a reading of the monotonic clock and the timestamp that belongs to it.
 type Anchor struct {
-	Boot      string `json:"boot"`         // the boot ID of the machine's start that the monotonic clock counts from
-	Monotonic int64  `json:"monotonic_us"` // the monotonic clock at an instant, in microseconds...
-	Stamp     int64  `json:"stamp_us"`     // ...and what stands for it
+	Boot      string `json:"boot"`         // boot ID of the machine, as the monotonic clock starts at boot
+	Monotonic int64  `json:"monotonic_us"` // reading of the monotonic clock, in microseconds
+	Stamp     int64  `json:"stamp_us"`     // timestamp at that reading, in microseconds
 
-	instant time.Time // the instant, in this process
+	instant time.Time // time of the reading in this process
 }
 
-// OpenTimeBase goes on with the time base of a folder, or begins one. Where the folder can't keep it, the time base
-// holds for this process alone; without a monotonic clock it is nil.
+// OpenTimeBase continues the time base that is stored in a folder, or creates one. If the anchor can't be written, the
+// time base is valid for this process only. If the machine has no monotonic clock, OpenTimeBase returns nil.
 func OpenTimeBase(dir string, log *slog.Logger) *TimeBase {
 	current, err := AnchorNow()
 	if err != nil {
-		log.Warn("no monotonic clock, spans follow the wall clock", "err", err)
+		log.Warn("monotonic clock is unavailable; measuring durations by the wall clock", "err", err)
 		return nil
 	}
 	stored, err := readAnchor(dir)
@@ -59,12 +59,13 @@
 	}
 	current.Stamp = max(current.Stamp, stored.Stamp)
 	if err := WriteAnchor(dir, current); err != nil {
-		log.Warn("time base not written", "err", err)
+		log.Warn("failed to write time base", "err", err)
 	}
 	return NewTimeBase(current.instant, current.Stamp)
 }
 
-// readTimeBase is OpenTimeBase for a reader that changes nothing.
+// readTimeBase returns the time base that is stored in a folder, without writing to the folder. It returns nil if none
+// is stored or the stored one does not belong to the current boot.
 func readTimeBase(dir string) *TimeBase {
 	current, err := AnchorNow()
 	if err != nil {
@@ -77,7 +78,7 @@
 	return current.timeBaseSince(stored)
 }
 
-// AnchorNow returns an anchor of this instant, stamped by the wall clock.
+// AnchorNow returns an anchor for the current time, with a timestamp from the wall clock.
 func AnchorNow() (Anchor, error) {
 	boot, err := os.ReadFile(bootIDPath)
 	if err != nil {
@@ -88,16 +89,21 @@
 		return Anchor{}, fmt.Errorf("monotonic clock: %w", err)
 	}
 	zero := time.Now()
-	zero = zero.Add(-time.Duration(zero.Nanosecond()) % time.Microsecond) // a whole microsecond, as stamps are
-	return Anchor{strings.TrimSpace(string(boot)), now.Nano() / int64(time.Microsecond), zero.UnixMicro(), zero}, nil
+	// Truncate to whole microseconds, the resolution of timestamps. time.Time.Truncate would strip the monotonic
+	// clock reading.
+	zero = zero.Add(-time.Duration(zero.Nanosecond()) % time.Microsecond)
+	return Anchor{
+		strings.TrimSpace(string(boot)), now.Nano() / int64(time.Microsecond), zero.UnixMicro(), zero,
+	}, nil
 }
 
-// continues tells whether a later anchor counts from the same start of the machine.
+// continues reports whether the monotonic clock has been running since an earlier anchor, which is so if both anchors
+// belong to the same boot of the machine.
 func (a Anchor) continues(before Anchor) bool {
 	return a.Boot == before.Boot && a.Monotonic >= before.Monotonic
 }
 
-// timeBaseSince is the time base that an earlier anchor began, as of this one.
+// timeBaseSince returns the time base of an earlier anchor of the same boot, advanced to this anchor.
 func (a Anchor) timeBaseSince(before Anchor) *TimeBase {
 	return NewTimeBase(a.instant, before.Stamp+a.Monotonic-before.Monotonic)
 }
@@ -113,7 +119,7 @@
 	return a, nil
 }
 
-// WriteAnchor replaces the anchor of a folder, whole or not at all.
+// WriteAnchor atomically replaces the anchor in a folder.
 func WriteAnchor(dir string, a Anchor) error {
 	text, err := json.Marshal(a)
 	if err != nil {
@@ -122,7 +128,7 @@
 	return atomicfile.Write(filepath.Join(dir, TimeBaseFile), text)
 }
 
-// Stamp returns what stands for a time, in microseconds.
+// Stamp returns the timestamp of a time, in microseconds.
 func (b *TimeBase) Stamp(t time.Time) int64 {
 	if b == nil {
 		return t.UnixMicro()
@@ -130,8 +136,8 @@
 	return b.originStamp + t.Sub(b.origin).Microseconds()
 }
 
-// Time returns the time that a stamp stands for. It has a monotonic reading, so that steps of the wall clock leave it
-// alone.
+// Time returns the time of a timestamp. The result has a monotonic clock reading, so that steps of the wall clock don't
+// affect durations measured from it.
 func (b *TimeBase) Time(stamp int64) time.Time {
 	if b == nil {
 		return time.UnixMicro(stamp)
