--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -6,9 +6,9 @@
 
 // Write puts a text in the place of the file at path, whole or not at all. While it writes, a file of that name with
 // ".new" after it stands beside it. The error is of the os package.
-func Write(path string, text []byte) error {
+func Write(path string, data []byte) error {
 	replacement := path + ".new"
-	err := os.WriteFile(replacement, text, 0o600)
+	err := os.WriteFile(replacement, data, 0o600)
 	if err == nil {
 		err = os.Rename(replacement, path)
 	}
--- a/internal/endpointgroup/departures.go
+++ b/internal/endpointgroup/departures.go
@@ -35,9 +35,9 @@
 // OpenDepartures reads what a process before this one has kept in a folder.
 func OpenDepartures(dir string, log *slog.Logger) *Departures {
 	d := &Departures{path: filepath.Join(dir, departuresFile), log: log}
-	text, err := os.ReadFile(d.path)
+	data, err := os.ReadFile(d.path)
 	if err == nil {
-		err = json.Unmarshal(text, &d.ids)
+		err = json.Unmarshal(data, &d.ids)
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		log.Warn("departures unreadable, none assumed", "err", err)
@@ -81,13 +81,13 @@
 		return
 	}
 	d.ids = d.ids[max(0, len(d.ids)-maxDepartures):]
-	text, err := json.Marshal(d.ids)
-	for err == nil && len(text) > MaxDeparturesBytes {
+	data, err := json.Marshal(d.ids)
+	for err == nil && len(data) > MaxDeparturesBytes {
 		d.ids = d.ids[len(d.ids)/2:]
-		text, err = json.Marshal(d.ids)
+		data, err = json.Marshal(d.ids)
 	}
 	if err == nil {
-		err = atomicfile.Write(d.path, text)
+		err = atomicfile.Write(d.path, data)
 	}
 	if err != nil {
 		d.log.Warn("departures not written", "err", err)
--- a/internal/endpointgroup/group_test.go
+++ b/internal/endpointgroup/group_test.go
@@ -15,8 +15,8 @@
 	target := func(id string, s control.EndpointState) Target {
 		return Target{ID: id, Endpoint: control.Endpoint{Destination: 7, State: s}}
 	}
-	states := func(lines []control.Endpoint) (text string) {
-		for _, e := range lines {
+	states := func(endpoints []control.Endpoint) (text string) {
+		for _, e := range endpoints {
 			text += map[control.EndpointState]string{control.Ready: "r", control.Draining: "d", control.Removed: "x"}[e.State]
 		}
 		return text
@@ -45,17 +45,17 @@
 	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
 	g.Update(control.ListFull, 3, []Target{up("a"), up("b"), up("c")}, now)
 	g.SetExcluded([]string{"c"})
-	leaves := up("a")
-	leaves.State = control.Draining
-	if lines := g.UpdateDeparting([]Target{leaves, {ID: "stranger"}}, now); len(lines) != 1 || g.version != 3 ||
+	departing := up("a")
+	departing.State = control.Draining
+	if endpoints := g.UpdateDeparting([]Target{departing, {ID: "stranger"}}, now); len(endpoints) != 1 || g.version != 3 ||
 		len(g.byID) != 3 {
-		t.Errorf("%+v, version %d, %d targets", lines, g.version, len(g.byID))
+		t.Errorf("%+v, version %d, %d targets", endpoints, g.version, len(g.byID))
 	}
 	for _, suspended := range []bool{true, false} {
-		lines, changed := g.SetSuspended(suspended)
-		if _, repeated := g.SetSuspended(suspended); !changed || repeated || len(lines) != 1 ||
-			(lines[0].State == control.Ready) == suspended {
-			t.Errorf("suspended %t: %+v, changed %t, again %t", suspended, lines, changed, repeated)
+		endpoints, changed := g.SetSuspended(suspended)
+		if _, repeated := g.SetSuspended(suspended); !changed || repeated || len(endpoints) != 1 ||
+			(endpoints[0].State == control.Ready) == suspended {
+			t.Errorf("suspended %t: %+v, changed %t, again %t", suspended, endpoints, changed, repeated)
 		}
 	}
 }
@@ -65,10 +65,10 @@
 func TestForgetRemoved(t *testing.T) {
 	g, now := New(), time.Now()
 	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
-	back := up("back")
-	first := g.Update(control.ListDelta, 0, []Target{back, up("gone")}, now)
+	returning := up("back")
+	first := g.Update(control.ListDelta, 0, []Target{returning, up("gone")}, now)
 	g.Update(control.ListFull, 0, nil, now)
-	again := g.Update(control.ListDelta, 0, []Target{back}, now.Add(removedRetention/2))
+	again := g.Update(control.ListDelta, 0, []Target{returning}, now.Add(removedRetention/2))
 	g.Update(control.ListDelta, 0, nil, now.Add(2*removedRetention))
 	if again[0].ID != first[0].ID || g.byID["back"] == nil || g.byID["gone"] != nil || len(g.byNumber) != 1 ||
 		len(g.removedAt) != 0 {
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -86,7 +86,7 @@
 }
 
 // Check decides whether a message may be sent to an endpoint now.
-func (r Rules) Check(now time.Time, m Message, to Route) Denial {
+func (r Rules) Check(now time.Time, m Message, route Route) Denial {
 	switch {
 	case r.Stopping:
 		return Stopping
@@ -99,25 +99,25 @@
 	case m.InFlight && r.NoHedging:
 		return InFlight
 	}
-	return r.checkRoute(now, to, LastSendAfter(r.DrainGrace), 0)
+	return r.checkRoute(now, route, LastSendAfter(r.DrainGrace), 0)
 }
 
 // CheckSent checks a send by the time at which its first byte was written. It takes the rules to their limits:
 // nothing of the margins that Check leaves counts against the send.
-func (r Rules) CheckSent(at time.Time, to Route) Denial {
-	return r.checkRoute(at, to, r.DrainGrace, RetryAfterSlack)
+func (r Rules) CheckSent(sentAt time.Time, route Route) Denial {
+	return r.checkRoute(sentAt, route, r.DrainGrace, RetryAfterSlack)
 }
 
-func (r Rules) checkRoute(now time.Time, to Route, grace, slack time.Duration) Denial {
+func (r Rules) checkRoute(now time.Time, route Route, grace, slack time.Duration) Denial {
 	graceOver := func(since time.Time) bool {
 		return r.DrainGrace > 0 && !since.IsZero() && now.Sub(since) > grace
 	}
 	switch {
-	case graceOver(to.LeftAt):
+	case graceOver(route.LeftAt):
 		return EndpointGone
-	case now.Before(to.RetryAfterUntil) && now.Sub(to.RetryAfterFrom) > slack:
+	case now.Before(route.RetryAfterUntil) && now.Sub(route.RetryAfterFrom) > slack:
 		return RetryAfterPending
-	case graceOver(to.UncertainSince):
+	case graceOver(route.UncertainSince):
 		return ListUncertain
 	}
 	return Allowed
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -46,7 +46,7 @@
 	g := s.segments[0]
 	read := int64(0)
 	for g.live > 0 && s.compactionOffset < g.size && read < max(limit, 1) {
-		batch, n, err := readFrameAt(g.file, s.compactionOffset, g.size)
+		batch, length, err := readFrameAt(g.file, s.compactionOffset, g.size)
 		if err != nil {
 			// A damaged part, which recovery has reported: go on behind it.
 			next := s.nextLiveOffset(g, s.compactionOffset)
@@ -59,8 +59,8 @@
 		if err := s.copyLive(g, batch); err != nil {
 			return read, err
 		}
-		s.compactionOffset += int64(n)
-		read += int64(n)
+		s.compactionOffset += int64(length)
+		read += int64(length)
 	}
 	if g.live > 0 {
 		if s.compactionOffset >= g.size {
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -84,26 +84,26 @@
 }
 
 // appendFrame appends a batch to a buffer as one appendFrame.
-func appendFrame(to []byte, batch []Record) []byte {
-	at := len(to)
-	to = append(to, frameMagic...)
-	to = append(to, make([]byte, 8)...)
+func appendFrame(buf []byte, batch []Record) []byte {
+	start := len(buf)
+	buf = append(buf, frameMagic...)
+	buf = append(buf, make([]byte, 8)...)
 	for i := range batch {
 		r := &batch[i]
-		to = binary.AppendUvarint(to, r.LSN)
-		to = binary.AppendUvarint(to, r.Entity)
-		to = append(to, byte(r.Kind))
-		to = binary.AppendVarint(to, r.Time)
-		to = binary.AppendVarint(to, r.Dest)
-		to = binary.AppendUvarint(to, uint64(len(r.Key)))
-		to = append(to, r.Key...)
-		to = binary.AppendUvarint(to, uint64(len(r.Data)))
-		to = append(to, r.Data...)
+		buf = binary.AppendUvarint(buf, r.LSN)
+		buf = binary.AppendUvarint(buf, r.Entity)
+		buf = append(buf, byte(r.Kind))
+		buf = binary.AppendVarint(buf, r.Time)
+		buf = binary.AppendVarint(buf, r.Dest)
+		buf = binary.AppendUvarint(buf, uint64(len(r.Key)))
+		buf = append(buf, r.Key...)
+		buf = binary.AppendUvarint(buf, uint64(len(r.Data)))
+		buf = append(buf, r.Data...)
 	}
-	payload := to[at+frameHeaderSize:]
-	binary.LittleEndian.PutUint32(to[at+4:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(to[at+8:], crc32.Checksum(payload, castagnoli))
-	return to
+	payload := buf[start+frameHeaderSize:]
+	binary.LittleEndian.PutUint32(buf[start+4:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(buf[start+8:], crc32.Checksum(payload, castagnoli))
+	return buf
 }
 
 // errInvalidFrame means that the bytes are no intact frame.
@@ -128,14 +128,14 @@
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
 		return nil, 0, errInvalidFrame
 	}
-	c := payloadDecoder{b: payload}
-	for len(c.b) > 0 && !c.malformed {
-		r := Record{LSN: c.uvarint(), Entity: c.uvarint(), Kind: Kind(c.byte()), Time: c.varint(), Dest: c.varint()}
-		r.Key = string(c.bytes())
-		r.Data = c.bytes()
+	d := payloadDecoder{b: payload}
+	for len(d.b) > 0 && !d.malformed {
+		r := Record{LSN: d.uvarint(), Entity: d.uvarint(), Kind: Kind(d.byte()), Time: d.varint(), Dest: d.varint()}
+		r.Key = string(d.bytes())
+		r.Data = d.bytes()
 		batch = append(batch, r)
 	}
-	if c.malformed {
+	if d.malformed {
 		return nil, 0, errInvalidFrame
 	}
 	return batch, frameHeaderSize + n, nil
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -77,10 +77,10 @@
 }
 
 // updateIndexes adds an entity to the ordered indexes, or removes it.
-func (s *Store) updateIndexes(e *entity, in bool) {
+func (s *Store) updateIndexes(e *entity, add bool) {
 	x := indexKey{e.time, e.dest, e.key, e.id}
 	for _, t := range []*btree.BTreeG[indexKey]{s.byKey, s.byTime, s.byDest} {
-		if in {
+		if add {
 			t.Set(x)
 		} else {
 			t.Delete(x)
@@ -140,12 +140,12 @@
 
 // ascend calls do for the entities of an index from a key on while in holds, with the store locked.
 func (s *Store) ascend(
-	t *btree.BTreeG[indexKey], from indexKey, do func(Entity) bool, in func(indexKey) bool,
+	t *btree.BTreeG[indexKey], from indexKey, do func(Entity) bool, match func(indexKey) bool,
 ) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.Ascend(from, func(x indexKey) bool {
-		return in(x) && do(s.entities[x.id].snapshot())
+		return match(x) && do(s.entities[x.id].snapshot())
 	})
 }
 
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -45,8 +45,8 @@
 			}
 		}
 		data := func() []byte { return make([]byte, rapid.IntRange(0, 900).Draw(t, "size")) }
-		some := func() uint64 { return rapid.SampledFrom(ids()).Draw(t, "entity") }
-		again := func() {
+		anyLive := func() uint64 { return rapid.SampledFrom(ids()).Draw(t, "entity") }
+		reopen := func() {
 			s = open()
 			if next <= s.Highest() && s.Highest() > 0 {
 				next = s.Highest() + 1
@@ -64,7 +64,7 @@
 				if len(live) == 0 {
 					t.Skip("none")
 				}
-				id := some()
+				id := anyLive()
 				kind := Put
 				if len(live[id]) > 3 || rapid.Bool().Draw(t, "base") {
 					kind = Base
@@ -75,22 +75,22 @@
 				if len(live) == 0 {
 					t.Skip("none")
 				}
-				appended(Record{Entity: some(), Kind: End})
+				appended(Record{Entity: anyLive(), Kind: End})
 			},
-			"restart": func(*rapid.T) { s.Close(); again() },
-			"kill":    func(*rapid.T) { again() },
+			"restart": func(*rapid.T) { s.Close(); reopen() },
+			"kill":    func(*rapid.T) { reopen() },
 			"power cut": func(*rapid.T) {
 				m.cutPower(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "what is kept"), 1)))
-				again()
+				reopen()
 			},
 			"": func(*rapid.T) {
 				if m.peakBytes > 48<<10 {
 					t.Fatalf("%d bytes", m.peakBytes)
 				}
-				var have []uint64
-				s.Entities(func(e Entity) bool { have = append(have, e.ID); return true })
-				if !slices.Equal(have, ids()) {
-					t.Fatalf("live %v, want %v", have, ids())
+				var stored []uint64
+				s.Entities(func(e Entity) bool { stored = append(stored, e.ID); return true })
+				if !slices.Equal(stored, ids()) {
+					t.Fatalf("live %v, want %v", stored, ids())
 				}
 				for id, want := range live {
 					list, err := s.Load(id)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -160,13 +160,13 @@
 		}
 	}
 	for i := range list {
-		f := &list[i]
-		from, known := sealed[f.segment.number]
-		f.damages = slices.DeleteFunc(f.damages, func(d Damage) bool { return known && d.Offset >= from })
-		for j := range f.damages {
-			d := &f.damages[j]
-			if d.Tail = i >= last && d.Offset+d.Length >= f.segment.size; d.Tail {
-				seals = append(seals, Record{Entity: f.segment.number, Kind: seal, Time: d.Offset})
+		content := &list[i]
+		from, known := sealed[content.segment.number]
+		content.damages = slices.DeleteFunc(content.damages, func(d Damage) bool { return known && d.Offset >= from })
+		for j := range content.damages {
+			d := &content.damages[j]
+			if d.Tail = i >= last && d.Offset+d.Length >= content.segment.size; d.Tail {
+				seals = append(seals, Record{Entity: content.segment.number, Kind: seal, Time: d.Offset})
 			}
 		}
 	}
@@ -242,11 +242,11 @@
 // header is read as a damaged frame.
 func (f *segmentContent) readHeader(w *fileWindow) (int64, error) {
 	g := f.segment
-	head, err := w.bytesFrom(0, segmentHeaderSize)
+	header, err := w.bytesFrom(0, segmentHeaderSize)
 	if err != nil {
 		return 0, fmt.Errorf("store: %s: %w", g.name, err)
 	}
-	number, err := decodeSegmentHeader(head)
+	number, err := decodeSegmentHeader(header)
 	switch {
 	case errors.Is(err, ErrNewer):
 		return 0, fmt.Errorf("%s: %w", g.name, err)
@@ -266,19 +266,19 @@
 }
 
 // bytesFrom returns the bytes bytesFrom an offset on: least of them, or all up to the end of the file.
-func (w *fileWindow) bytesFrom(at, least int64) ([]byte, error) {
-	least = min(least, w.size-at)
-	if at < w.start || at+least > w.start+int64(len(w.data)) {
+func (w *fileWindow) bytesFrom(offset, minBytes int64) ([]byte, error) {
+	minBytes = min(minBytes, w.size-offset)
+	if offset < w.start || offset+minBytes > w.start+int64(len(w.data)) {
 		if w.data == nil {
 			w.data = make([]byte, 0, min(w.size, 2*maxFrame))
 		}
-		n := min(int64(cap(w.data)), w.size-at)
-		w.start, w.data = at, w.data[:n]
-		if read, err := w.file.ReadAt(w.data, at); err != nil && !(errors.Is(err, io.EOF) && int64(read) == n) {
+		n := min(int64(cap(w.data)), w.size-offset)
+		w.start, w.data = offset, w.data[:n]
+		if read, err := w.file.ReadAt(w.data, offset); err != nil && !(errors.Is(err, io.EOF) && int64(read) == n) {
 			return nil, err
 		}
 	}
-	return w.data[at-w.start:], nil
+	return w.data[offset-w.start:], nil
 }
 
 // nextFrame returns the offset of the next intact frame from an offset on, or the end of the file.
@@ -342,7 +342,7 @@
 		return cmp.Or(cmp.Compare(a.LSN, b.LSN), cmp.Compare(b.location.segment, a.location.segment),
 			cmp.Compare(b.location.offset, a.location.offset))
 	})
-	doubt := s.doubtfulLSNLimit(list)
+	doubtfulLimit := s.doubtfulLSNLimit(list)
 	for i, r := range all {
 		if i > 0 && all[i-1].LSN == r.LSN {
 			continue
@@ -356,7 +356,7 @@
 			s.liveBytes += int64(r.location.size) - size
 		}
 		if len(e.locations) == 1 {
-			e.doubtful = r.LSN < doubt
+			e.doubtful = r.LSN < doubtfulLimit
 		}
 	}
 }
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -97,9 +97,9 @@
 			t.Fatal(err)
 		}
 	}
-	steady := map[uint64]int{} // live before the copy; the traffic below may end them
+	liveBefore := map[uint64]int{} // live before the copy; the traffic below may end them
 	for id, list := range l.live {
-		steady[id] = len(list)
+		liveBefore[id] = len(list)
 	}
 	done := make(chan error, 1)
 	go func() {
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	copied := openStore(t, to, Process)
-	for id, n := range steady {
+	for id, n := range liveBefore {
 		if _, still := l.live[id]; !still {
 			continue
 		}
@@ -146,18 +146,18 @@
 			t.Fatal(err)
 		}
 	}
-	seen, err := OpenReadOnly(m)
+	readOnly, err := OpenReadOnly(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if sum := seen.Summary(); sum.Entities != len(l.live) || sum.Disk != s.Stats().DiskBytes || seen.Verify() != nil {
+	if sum := readOnly.Summary(); sum.Entities != len(l.live) || sum.Disk != s.Stats().DiskBytes || readOnly.Verify() != nil {
 		t.Errorf("%+v", sum)
 	}
-	if err := seen.Append(Record{Entity: 1}); err == nil {
+	if err := readOnly.Append(Record{Entity: 1}); err == nil {
 		t.Error("appended to a store that is only read")
 	}
 	var dump strings.Builder
-	if err := seen.Dump(&dump); err != nil || strings.Count(dump.String(), "\n") < len(l.live) {
+	if err := readOnly.Dump(&dump); err != nil || strings.Count(dump.String(), "\n") < len(l.live) {
 		t.Errorf("%v, %d lines", err, strings.Count(dump.String(), "\n"))
 	}
 	names, _ := listSegments(m)
@@ -165,13 +165,13 @@
 	f.data[len(f.data)/2] ^= 1
 	before := slices.Clone(f.data)
 	to := newMemoryFS()
-	written, left, err := Repair(m, Options{FS: to, Budget: testBudget, Segment: 16 << 10}, false)
-	if err != nil || written+left < len(l.live)-5 || !slices.Equal(before, f.data) {
-		t.Errorf("%d written, %d left of %d, %v", written, left, len(l.live), err)
+	written, skipped, err := Repair(m, Options{FS: to, Budget: testBudget, Segment: 16 << 10}, false)
+	if err != nil || written+skipped < len(l.live)-5 || !slices.Equal(before, f.data) {
+		t.Errorf("%d written, %d left of %d, %v", written, skipped, len(l.live), err)
 	}
-	fixed := openStore(t, to, Process)
-	if len(fixed.Damages()) > 0 || fixed.Verify() != nil || fixed.Summary().Entities != written {
-		t.Errorf("%+v", fixed.Summary())
+	repaired := openStore(t, to, Process)
+	if len(repaired.Damages()) > 0 || repaired.Verify() != nil || repaired.Summary().Entities != written {
+		t.Errorf("%+v", repaired.Summary())
 	}
 }
 
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -118,11 +118,11 @@
 
 // readFrameAt reads the frame at an offset.
 func readFrameAt(f io.ReaderAt, offset, size int64) ([]Record, int, error) {
-	head := make([]byte, frameHeaderSize)
-	if _, err := f.ReadAt(head, offset); err != nil {
+	header := make([]byte, frameHeaderSize)
+	if _, err := f.ReadAt(header, offset); err != nil {
 		return nil, 0, err
 	}
-	n := int64(frameLength(head))
+	n := int64(frameLength(header))
 	if n > size-offset {
 		return nil, 0, errTruncated
 	}
@@ -134,6 +134,6 @@
 }
 
 // frameLength returns the length of a frame by its header.
-func frameLength(head []byte) int {
-	return frameHeaderSize + min(int(binary.LittleEndian.Uint32(head[4:])), maxFrame)
+func frameLength(header []byte) int {
+	return frameHeaderSize + min(int(binary.LittleEndian.Uint32(header[4:])), maxFrame)
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -121,10 +121,10 @@
 	if len(batch) == 0 {
 		return nil
 	}
-	ends := true
+	onlyEnds := true
 	for i := range batch {
 		batch[i].LSN = s.nextLSN + uint64(i)
-		ends = ends && batch[i].Kind == End
+		onlyEnds = onlyEnds && batch[i].Kind == End
 	}
 	s.buffer = appendFrame(s.buffer[:0], batch)
 	size := int64(len(s.buffer))
@@ -132,7 +132,7 @@
 		return fmt.Errorf("store: a batch of %d bytes, %d at most", size, maxFrame)
 	}
 	spare := reservedSegments * s.options.Segment
-	if ends { // they free space
+	if onlyEnds { // they free space
 		spare = s.options.Segment
 	}
 	step, err := s.freeSpace(size, spare)
@@ -228,10 +228,10 @@
 	offset := g.size
 	if err := writeAll(g.file, b, offset); err != nil {
 		// The part that was written must neither be read as a frame nor hide the next one.
-		if cut := g.file.Truncate(offset); cut != nil {
-			s.warn("failed append not truncated, starting a new segment", "file", g.name, "offset", offset, "err", cut)
-			if roll := s.startSegment(); roll != nil {
-				s.broken = fmt.Errorf("%w: %w", ErrBroken, errors.Join(err, roll))
+		if truncateErr := g.file.Truncate(offset); truncateErr != nil {
+			s.warn("failed append not truncated, starting a new segment", "file", g.name, "offset", offset, "err", truncateErr)
+			if startErr := s.startSegment(); startErr != nil {
+				s.broken = fmt.Errorf("%w: %w", ErrBroken, errors.Join(err, startErr))
 			}
 		}
 		return 0, fmt.Errorf("store: %s: %w", g.name, err)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -57,17 +57,17 @@
 	}
 	t.Logf("%+v, write amplification %.2f", stats, 1+float64(stats.Copied)/float64(stats.Appended))
 	s.Close()
-	again := openStore(t, m, Process)
-	l.checkContent(t, again, "opened again", 0)
-	if len(again.Damages()) > 0 {
-		t.Errorf("damage: %+v", again.Damages())
+	reopened := openStore(t, m, Process)
+	l.checkContent(t, reopened, "opened again", 0)
+	if len(reopened.Damages()) > 0 {
+		t.Errorf("damage: %+v", reopened.Damages())
 	}
 	keys := 0
-	again.ByKey("k7", func(e Entity) bool { keys++; return e.Key == "k7" })
+	reopened.ByKey("k7", func(e Entity) bool { keys++; return e.Key == "k7" })
 	dests := 0
-	again.ByDest(3, func(e Entity) bool { dests++; return e.Dest == 3 })
+	reopened.ByDest(3, func(e Entity) bool { dests++; return e.Dest == 3 })
 	times := int64(0)
-	again.ByTime(0, func(e Entity) bool {
+	reopened.ByTime(0, func(e Entity) bool {
 		if e.Time < times {
 			t.Error("not in the order of time")
 		}
@@ -304,15 +304,15 @@
 		return err
 	}
 	for _, d := range []Durability{Process, Each} {
-		whole := newMemoryFS()
-		if err := run(whole, d, newWorkload(4)); err != nil {
+		reference := newMemoryFS()
+		if err := run(reference, d, newWorkload(4)); err != nil {
 			t.Fatal(err)
 		}
-		for n := 1; n <= whole.calls; n++ {
+		for n := 1; n <= reference.calls; n++ {
 			m, l := newMemoryFS(), newWorkload(4)
 			m.crashAtCall = n
 			if err := run(m, d, l); !errors.Is(err, errCrashed) {
-				t.Fatalf("call %d of %d: %v", n, whole.calls, err)
+				t.Fatalf("call %d of %d: %v", n, reference.calls, err)
 			}
 			m.crashAtCall = 0
 			if d == Each {
@@ -322,7 +322,7 @@
 			if err != nil {
 				t.Fatalf("call %d: %v", n, err)
 			}
-			l.checkContent(t, s, fmt.Sprintf("durability %d, call %d of %d", d, n, whole.calls), l.lastEntity)
+			l.checkContent(t, s, fmt.Sprintf("durability %d, call %d of %d", d, n, reference.calls), l.lastEntity)
 			for _, x := range s.Damages() {
 				if !x.Tail {
 					t.Errorf("durability %d, call %d: %+v", d, n, x)
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -198,40 +198,40 @@
 // Repair writes the entities that can be read in one folder into a new store in another, in the order in which they
 // began. With sound set it skips entities that may lack a record. It returns the numbers of entities written and
 // skipped.
-func Repair(from FS, to Options, sound bool) (written, skipped int, err error) {
+func Repair(from FS, to Options, intactOnly bool) (written, skipped int, err error) {
 	s, err := OpenReadOnly(from)
 	if err != nil {
 		return 0, 0, err
 	}
 	defer s.Close()
-	fresh, err := Open(to)
+	repaired, err := Open(to)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer func() { err = errors.Join(err, fresh.Sync(), fresh.Close()) }()
-	if fresh.Stats().Entities > 0 {
+	defer func() { err = errors.Join(err, repaired.Sync(), repaired.Close()) }()
+	if repaired.Stats().Entities > 0 {
 		return 0, 0, errors.New("store: the folder for the repaired store must hold none")
 	}
 	// By LSN, so that the order over entities stays.
-	type item struct {
-		first uint64
-		id    uint64
+	type orderedID struct {
+		firstLSN uint64
+		id       uint64
 	}
-	var items []item
+	var items []orderedID
 	s.mu.Lock()
 	for id, e := range s.entities {
-		items = append(items, item{e.locations[0].lsn, id})
+		items = append(items, orderedID{e.locations[0].lsn, id})
 	}
 	s.mu.Unlock()
-	slices.SortFunc(items, func(a, b item) int { return cmp.Compare(a.first, b.first) })
+	slices.SortFunc(items, func(a, b orderedID) int { return cmp.Compare(a.firstLSN, b.firstLSN) })
 	for _, x := range items {
 		e, _ := s.Get(x.id)
 		list, err := s.Load(x.id)
-		if err != nil || sound && e.Doubtful {
+		if err != nil || intactOnly && e.Doubtful {
 			skipped++
 			continue
 		}
-		if err := fresh.Append(list...); err != nil {
+		if err := repaired.Append(list...); err != nil {
 			return written, skipped, err
 		}
 		written++
--- a/internal/store/workload_test.go
+++ b/internal/store/workload_test.go
@@ -67,13 +67,13 @@
 
 // checkContent checks that a store has what was appended, no more and no less. The entity of an append that failed may have
 // that append or not.
-func (l *workload) checkContent(t *testing.T, s *Store, what string, unsure uint64) {
+func (l *workload) checkContent(t *testing.T, s *Store, stage string, uncertain uint64) {
 	t.Helper()
 	seen := 0
 	s.Entities(func(e Entity) bool {
 		want, live := l.live[e.ID]
-		if !live && e.ID != unsure {
-			t.Errorf("%s: entity %d came back", what, e.ID)
+		if !live && e.ID != uncertain {
+			t.Errorf("%s: entity %d came back", stage, e.ID)
 			return false
 		}
 		if live {
@@ -81,36 +81,36 @@
 		}
 		list, err := s.Load(e.ID)
 		if err != nil {
-			t.Errorf("%s: entity %d: %v", what, e.ID, err)
+			t.Errorf("%s: entity %d: %v", stage, e.ID, err)
 			return false
 		}
 		var got []string
 		for _, r := range list {
 			got = append(got, string(r.Data))
 		}
-		if e.ID != unsure && !slices.Equal(got, want) {
-			t.Errorf("%s: entity %d has %d records, want %d", what, e.ID, len(got), len(want))
+		if e.ID != uncertain && !slices.Equal(got, want) {
+			t.Errorf("%s: entity %d has %d records, want %d", stage, e.ID, len(got), len(want))
 		}
-		if e.ID != unsure && live && (e.Time != int64(e.ID) || e.Dest != int64(e.ID%7) || e.Key != fmt.Sprint("k", e.ID%50)) {
-			t.Errorf("%s: entity %d reads as %+v", what, e.ID, e)
+		if e.ID != uncertain && live && (e.Time != int64(e.ID) || e.Dest != int64(e.ID%7) || e.Key != fmt.Sprint("k", e.ID%50)) {
+			t.Errorf("%s: entity %d reads as %+v", stage, e.ID, e)
 		}
 		return !t.Failed()
 	})
 	missing := len(l.live) - seen
-	if _, was := l.live[unsure]; was && missing == 1 {
+	if _, was := l.live[uncertain]; was && missing == 1 {
 		missing = 0 // its end got through
 	}
 	if missing != 0 {
-		t.Errorf("%s: %d entities are lost", what, missing)
+		t.Errorf("%s: %d entities are lost", stage, missing)
 	}
 }
 
 // endUncertain ends the entity whose last append had an unknown outcome.
-func (l *workload) endUncertain(t *testing.T, s *Store, unsure uint64) {
+func (l *workload) endUncertain(t *testing.T, s *Store, uncertain uint64) {
 	t.Helper()
-	if err := s.Append(Record{Entity: unsure, Kind: End}); err != nil {
+	if err := s.Append(Record{Entity: uncertain, Kind: End}); err != nil {
 		t.Fatal(err)
 	}
-	delete(l.live, unsure)
-	l.ids = slices.DeleteFunc(l.ids, func(id uint64) bool { return id == unsure })
+	delete(l.live, uncertain)
+	l.ids = slices.DeleteFunc(l.ids, func(id uint64) bool { return id == uncertain })
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -120,8 +120,8 @@
 
 // replayStore replays the records of a store. If a record of a message may be lost to damage, it assumes that the
 // message had an attempt which may have run.
-func replayStore(s *store.Store, times *TimeBase, log *slog.Logger) ([]*Entry, error) {
-	r := newReplay(times)
+func replayStore(s *store.Store, timeBase *TimeBase, log *slog.Logger) ([]*Entry, error) {
+	r := newReplay(timeBase)
 	damaged := 0
 	var failed error
 	s.Entities(func(e store.Entity) bool {
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -15,8 +15,8 @@
 	entries  map[control.MessageID]*Entry
 }
 
-func newReplay(times *TimeBase) *replay {
-	return &replay{timeBase: times, entries: map[control.MessageID]*Entry{}}
+func newReplay(timeBase *TimeBase) *replay {
+	return &replay{timeBase: timeBase, entries: map[control.MessageID]*Entry{}}
 }
 
 // live returns the entries of messages that still need processing, in ascending order of number.
--- a/internal/wal/timebase.go
+++ b/internal/wal/timebase.go
@@ -84,16 +84,16 @@
 	if err != nil {
 		return Anchor{}, err
 	}
-	var now unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &now); err != nil {
+	var monotonic unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return Anchor{}, fmt.Errorf("monotonic clock: %w", err)
 	}
-	zero := time.Now()
+	instant := time.Now()
 	// Truncate to whole microseconds, the resolution of timestamps. time.Time.Truncate would strip the monotonic
 	// clock reading.
-	zero = zero.Add(-time.Duration(zero.Nanosecond()) % time.Microsecond)
+	instant = instant.Add(-time.Duration(instant.Nanosecond()) % time.Microsecond)
 	return Anchor{
-		strings.TrimSpace(string(boot)), now.Nano() / int64(time.Microsecond), zero.UnixMicro(), zero,
+		strings.TrimSpace(string(boot)), monotonic.Nano() / int64(time.Microsecond), instant.UnixMicro(), instant,
 	}, nil
 }
 
@@ -109,9 +109,9 @@
 }
 
 func readAnchor(dir string) (a Anchor, err error) {
-	text, err := os.ReadFile(filepath.Join(dir, TimeBaseFile))
+	data, err := os.ReadFile(filepath.Join(dir, TimeBaseFile))
 	if err == nil {
-		err = json.Unmarshal(text, &a)
+		err = json.Unmarshal(data, &a)
 	}
 	if err != nil {
 		return Anchor{}, err
@@ -121,11 +121,11 @@
 
 // WriteAnchor atomically replaces the anchor in a folder.
 func WriteAnchor(dir string, a Anchor) error {
-	text, err := json.Marshal(a)
+	data, err := json.Marshal(a)
 	if err != nil {
 		return err
 	}
-	return atomicfile.Write(filepath.Join(dir, TimeBaseFile), text)
+	return atomicfile.Write(filepath.Join(dir, TimeBaseFile), data)
 }
 
 // Stamp returns the timestamp of a time, in microseconds.
