--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -16,11 +16,11 @@
 	"go.etcd.io/bbolt"
 )
 
-// One message's life as a sender journals it: four appends.
+// BenchmarkMessageLifecycle measures the appends that a sender makes per message, with compaction.
 func BenchmarkMessageLifecycle(b *testing.B) {
 	for _, c := range []struct {
 		live   int
-		budget int64 // 0: nothing is ever compacted
+		budget int64 // 0: no compaction
 	}{{100, 0}, {100, 3 << 20}, {1000, 3 << 20}, {2500, 3 << 20}} {
 		b.Run(fmt.Sprint(c.live, "-live-", c.budget>>20, "MB"), func(b *testing.B) {
 			live := c.live
@@ -57,7 +57,7 @@
 	}
 }
 
-// The same in bbolt, without syncs, as the journal promises no more.
+// BenchmarkBolt runs the workload of BenchmarkMessageLifecycle on bbolt for comparison, without syncs as with Process.
 func BenchmarkBolt(b *testing.B) {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: true, NoFreelistSync: true})
 	if err != nil {
@@ -99,7 +99,8 @@
 	b.ReportMetric(float64(pauses[len(pauses)*999/1000].Microseconds()), "p99.9-µs")
 }
 
-// Live records in numbers: memory, and the time to open them. The largest is 1 GB.
+// BenchmarkOpen measures the memory and the time that opening takes, by the number and size of live records, up to 1
+// GB.
 func BenchmarkOpen(b *testing.B) {
 	for _, c := range []struct{ n, size int }{{10_000, 1000}, {100_000, 1000}, {1_000_000, 100}, {1_000_000, 1000}} {
 		b.Run(fmt.Sprint(c.n, "x", c.size), func(b *testing.B) { benchmarkOpen(b, c.n, c.size) })
@@ -129,7 +130,7 @@
 	for b.Loop() {
 		began := time.Now()
 		debug.FreeOSMemory()
-		os.WriteFile("/proc/self/clear_refs", []byte("5"), 0) // the peak counts from here
+		os.WriteFile("/proc/self/clear_refs", []byte("5"), 0) // reset the peak memory usage
 		s, err := Open(Options{FS: dir})
 		b.ReportMetric(peakMB(), "peak-MB")
 		if err != nil || s.Stats().Entities != n {
@@ -144,7 +145,7 @@
 	}
 }
 
-// peakMB is the most memory that this process had.
+// peakMB returns the peak resident memory of this process in MB.
 func peakMB() float64 {
 	text, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(text)) {
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// minDeadFraction is the dead fraction of the log from which on compaction runs ahead of need.
+// minDeadFraction is the minimum dead fraction of the log at which compaction runs before space is actually needed.
 const minDeadFraction = 0.25
 
-// freeSpace does the steps of compaction that are due beside an append of size bytes, and as many as it takes for the
-// append to fit with spare bytes left over. It returns the bytes that it read, and ErrFull if the append does not
-// fit.
+// freeSpace runs the compaction steps that are due during an append of size bytes, and any further steps needed for the
+// append to leave spare bytes of the budget free. It returns the number of bytes read, and ErrFull if the append does
+// not fit.
 func (s *Store) freeSpace(size, spare int64) (int64, error) {
 	if s.options.Budget <= 0 {
 		return 0, nil
@@ -21,7 +21,7 @@
 			}
 		}
 	}
-	// One pass over the whole log frees everything that can be freed.
+	// One pass over the whole log reclaims all space that can be reclaimed, so twice its size is enough.
 	for limit := 2 * s.diskBytes; !s.fits(size, spare) && read < limit && len(s.segments) > 1; {
 		n, err := s.compactStep(s.options.Segment)
 		if read += n; err != nil {
@@ -34,21 +34,21 @@
 	return read, nil
 }
 
-// worthCompacting reports whether enough of the log is dead.
+// worthCompacting reports whether the dead fraction of the log is large enough for compaction ahead of need.
 func (s *Store) worthCompacting() bool {
 	return len(s.segments) > 1 && float64(s.diskBytes-s.liveBytes) > minDeadFraction*float64(s.diskBytes)
 }
 
-// compactStep copies live records of the oldest segment to the end of the log, reading at most limit bytes besides a last
-// frame. Once nothing in the segment is live it is removed. It returns the bytes that it read; a segment that is
-// removed unread counts as one frame.
+// compactStep copies live records of the oldest segment to the end of the log. It stops after reading limit bytes,
+// which the last frame may exceed. When the segment has no live records left, it is removed. It returns the number of
+// bytes read, and the size of a frame header for a segment that is removed without reading.
 func (s *Store) compactStep(limit int64) (int64, error) {
 	g := s.segments[0]
 	read := int64(0)
 	for g.live > 0 && s.compactionOffset < g.size && read < max(limit, 1) {
 		batch, length, err := readFrameAt(g.file, s.compactionOffset, g.size)
 		if err != nil {
-			// A damaged part, which recovery has reported: go on behind it.
+			// This part is damaged, which recovery has reported: continue after it.
 			next := s.nextLiveOffset(g, s.compactionOffset)
 			if next < 0 {
 				return read, fmt.Errorf("store: %s at %d: %w", g.name, s.compactionOffset, err)
@@ -64,15 +64,15 @@
 	}
 	if g.live > 0 {
 		if s.compactionOffset >= g.size {
-			return read, fmt.Errorf("store: %s: %d live bytes were not found in it", g.name, g.live)
+			return read, fmt.Errorf("store: %s: %d live bytes not found", g.name, g.live)
 		}
 		return read, nil
 	}
 	return max(read, frameHeaderSize), s.removeOldestSegment(g)
 }
 
-// nextLiveOffset returns the first offset behind another at which a live record lies, or -1. It searches all entities,
-// which only damage makes necessary.
+// nextLiveOffset returns the lowest offset greater than after of a frame with a live record, or -1 if there is none. It
+// searches all entities, which is slow but needed only in damaged segments.
 func (s *Store) nextLiveOffset(g *segment, after int64) int64 {
 	next := int64(-1)
 	for _, e := range s.entities {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// findRecord returns the index of a record of the entity that lies in a segment, or -1.
+// findRecord returns the index of the entity's record with an LSN in a segment, or -1 if there is none.
 func (e *entity) findRecord(segment, lsn uint64) int {
 	for i := range e.locations {
 		if e.locations[i].lsn == lsn && e.locations[i].segment == segment {
@@ -127,8 +127,8 @@
 	return -1
 }
 
-// removeOldestSegment deletes the oldest segment, in which nothing is live. The copies of its records are synced first, as the
-// originals were.
+// removeOldestSegment deletes the oldest segment, which has no live records. The copies of its records are synced
+// first, as the originals were.
 func (s *Store) removeOldestSegment(g *segment) error {
 	if s.options.Durability != Process {
 		if err := s.sync(); err != nil {
@@ -138,7 +138,7 @@
 	if err := s.options.FS.Remove(g.name); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	g.file.Close() // nothing more is read from it
+	g.file.Close() // the file is not read any more
 	s.segments = s.segments[1:]
 	s.diskBytes -= roundToBlocks(g.size)
 	s.compactionOffset = segmentHeaderSize
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -7,9 +7,10 @@
 	"hash/crc32"
 )
 
-// A segment begins with a header: magic, version of the format and number of the segment. Frames follow: a mark, the
-// length of the payload, its CRC-32C (Castagnoli, RFC 3720 appendix B.4) and the payload. A frame holds one batch and
-// is read whole or not at all, so that a batch is atomic. Numbers are little endian or varints. Sizes are in bytes.
+// A segment starts with a header: magic number, format version, segment number and checksum. The header is followed by
+// frames. A frame consists of a magic number, the length of the payload, its CRC-32C (Castagnoli, RFC 3720 appendix
+// B.4) and the payload. A frame contains one batch and is read as a whole or not at all, which makes batches atomic.
+// Numbers are little-endian or varints. Sizes are in bytes.
 const (
 	formatVersion     = 1
 	segmentHeaderSize = 24
@@ -21,44 +22,45 @@
 	segmentMagic = []byte("cleatlog")
 	frameMagic   = []byte{0xd7, 0x1c, 0xea, 0x70}
 	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
-	errTruncated = errors.New("it ends in the middle")
+	errTruncated = errors.New("data is truncated")
 )
 
-// ErrNewer means that a file has a newer format than this program knows.
+// ErrNewer means that a file has a newer format than this program supports.
 var ErrNewer = errors.New("store: written by a newer program")
 
-// Kind is what a record does to its entity.
+// Kind is the effect of a record on its entity.
 type Kind uint8
 
-// The kinds.
+// Kinds of records.
 const (
-	Put  Kind = iota // adds to the entity
-	End              // ends the entity: its records are dead
-	Base             // replaces the records of the entity before it, which are dead
+	Put  Kind = iota // adds the record to the entity
+	End              // ends the entity, which makes its records dead
+	Base             // replaces the earlier records of the entity, which become dead
 
-	// seal marks a segment, whose number is in Entity, as ended at the offset in Time: a torn append follows, which was
-	// not acknowledged.
+	// seal marks the end of valid data in a segment with a truncated append, which was not acknowledged. Entity has the
+	// number of the segment and Time the offset of the truncated append.
 	seal
 )
 
-// Record is one entry of the log. Its entity is whatever the caller gives a number of its own, such as a message.
+// Record is an entry of the log. It belongs to an entity, an object to which the caller assigns a unique number, such
+// as a message.
 type Record struct {
 	Entity uint64
 	Kind   Kind
-	LSN    uint64 // log sequence number: its place in the order of all records; set by the store
+	LSN    uint64 // log sequence number, in the order of all records; set by the store
 	Time   int64  // Unix time in microseconds, for the index
 	Dest   int64  // destination, for the index
 	Key    string // for the index; may be empty
 	Data   []byte
 }
 
-// size estimates the bytes that a record takes on disk.
+// size returns an upper estimate of the bytes that a record takes on disk.
 func (r *Record) size() int64 { return int64(len(r.Data)+len(r.Key)) + recordOverhead }
 
-// recordOverhead is an upper bound of the bytes of a record besides key and data.
+// recordOverhead is an upper bound on the bytes of an encoded record without its key and data.
 const recordOverhead = 32
 
-// encodeSegmentHeader returns the header of a segment.
+// encodeSegmentHeader returns the encoded header of a segment.
 func encodeSegmentHeader(number uint64) []byte {
 	b := make([]byte, 0, segmentHeaderSize)
 	b = append(b, segmentMagic...)
@@ -67,18 +69,18 @@
 	return append(b, encodeChecksum(b)...)
 }
 
-// decodeSegmentHeader checks the header of a segment and returns its number.
+// decodeSegmentHeader validates the header of a segment and returns the segment's number.
 func decodeSegmentHeader(b []byte) (number uint64, err error) {
 	switch {
 	case len(b) < segmentHeaderSize:
 		return 0, errTruncated
 	case string(b[:8]) != string(segmentMagic):
-		return 0, errors.New("not a segment")
+		return 0, errors.New("not a segment file")
 	case binary.LittleEndian.Uint32(b[20:]) != crc32.Checksum(b[:20], castagnoli):
-		return 0, errors.New("its head is damaged")
+		return 0, errors.New("segment header is damaged")
 	}
 	if v := binary.LittleEndian.Uint32(b[8:]); v != formatVersion {
-		return 0, fmt.Errorf("%w: format %d, known is %d", ErrNewer, v, formatVersion)
+		return 0, fmt.Errorf("%w: format %d, supported is %d", ErrNewer, v, formatVersion)
 	}
 	return binary.LittleEndian.Uint64(b[12:]), nil
 }
@@ -106,10 +108,10 @@
 	return buf
 }
 
-// errInvalidFrame means that the bytes are no intact frame.
-var errInvalidFrame = errors.New("no frame")
+// errInvalidFrame means that the data does not start with an intact frame.
+var errInvalidFrame = errors.New("invalid frame")
 
-// decodeFrame reads the frame at the start of b. Its records refer to b.
+// decodeFrame decodes the frame at the start of b. The returned records share memory with b.
 func decodeFrame(b []byte) (batch []Record, length int, err error) {
 	if len(b) < frameHeaderSize {
 		return nil, 0, errTruncated
@@ -141,7 +143,8 @@
 	return batch, frameHeaderSize + n, nil
 }
 
-// payloadDecoder reads values one after another. After one that is cut short bad is set and all reads return zero.
+// payloadDecoder reads values one after another. After a truncated value, malformed is set and all further reads return
+// zero values.
 type payloadDecoder struct {
 	b         []byte
 	malformed bool
@@ -188,7 +191,7 @@
 	return v
 }
 
-// encodeChecksum returns the checksum of b as it is stored.
+// encodeChecksum returns the encoded checksum of b.
 func encodeChecksum(b []byte) []byte {
 	return binary.LittleEndian.AppendUint32(nil, crc32.Checksum(b, castagnoli))
 }
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -12,16 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is one folder of a file system, as far as the store needs it. Names are those of files in the folder.
+// FS provides the file operations on one folder that the store needs. Names are names of files in the folder.
 type FS interface {
-	Create(name string) (File, error) // an error if it exists
+	Create(name string) (File, error) // fails if the file exists
 	Open(name string) (File, error)
 	Remove(name string) error
 	Rename(from, to string) error
 	List() ([]string, error)
 	Size(name string) (int64, error)
 	SyncDir() error
-	Lock() (io.Closer, error) // the error of a locked folder names the owner
+	Lock() (io.Closer, error) // fails with ErrLocked if another process has the lock
 }
 
 // File is an open file.
@@ -33,7 +33,7 @@
 	Close() error
 }
 
-// Dir is a folder of the operating system's file system, by its path.
+// Dir implements FS for the folder with this path.
 type Dir string
 
 const lockName = "lock"
@@ -44,12 +44,12 @@
 func (d Dir) Create(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
-		return nil, err // an interface that holds a nil *os.File is not nil
+		return nil, err // f must not be returned: an interface with a nil *os.File is not nil
 	}
 	return f, nil
 }
 
-// Open implements FS. A file that may only be read is opened so.
+// Open implements FS. It opens a file read-only if permissions don't allow writing.
 func (d Dir) Open(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR, 0o600)
 	if errors.Is(err, os.ErrPermission) {
@@ -64,7 +64,7 @@
 // Remove implements FS.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// Rename implements FS. It replaces a file of the new name.
+// Rename implements FS. It replaces an existing file with the new name.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // Size implements FS.
@@ -91,7 +91,7 @@
 	return names, nil
 }
 
-// SyncDir implements FS: creations, removals and renames outlast a power cut after it.
+// SyncDir implements FS. Earlier creations, removals and renames survive a power failure after it returns.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -101,8 +101,8 @@
 	return f.Sync()
 }
 
-// Lock implements FS. It locks the folder for this process until the Closer is closed or the process ends. Where
-// another process has it, the error is ErrLocked.
+// Lock implements FS. It locks the folder for this process until the Closer is closed or the process ends. If another
+// process has the lock, it returns ErrLocked with the PID of that process.
 func (d Dir) Lock() (io.Closer, error) {
 	f, err := os.OpenFile(d.path(lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -113,11 +113,12 @@
 		n, _ := f.ReadAt(owner, 0)
 		f.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return nil, fmt.Errorf("%w: process %s has %s", ErrLocked, strings.TrimSpace(string(owner[:n])), string(d))
+			return nil, fmt.Errorf("%w: process %s has locked %s", ErrLocked, strings.TrimSpace(string(owner[:n])), string(d))
 		}
 		return nil, err
 	}
-	// The pid is only for the error that others get, so that a full disk must not keep this process from starting.
+	// Errors are ignored: the PID is only for the error message of other processes, and a full disk must not prevent
+	// this process from starting.
 	f.Truncate(0)
 	f.WriteAt([]byte(strconv.Itoa(os.Getpid())+"\n"), 0)
 	return f, nil
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -6,7 +6,7 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenStore writes and reads what the tools of the store print as 096da04 did.
+// TestGoldenStore checks that the JSON output of the store tools has the same format as at commit 096da04.
 func TestGoldenStore(t *testing.T) {
 	golden.JSON[Summary](t, "summary.json")
 	golden.JSON[dumpLine](t, "line.json")
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -7,10 +7,10 @@
 	"github.com/tidwall/btree"
 )
 
-// location is the place of a record in the log.
+// location is the position of a record in the log.
 type location struct {
 	segment uint64
-	offset  int64 // of its frame
+	offset  int64 // offset of its frame
 	lsn     uint64
 	size    int32
 }
@@ -18,21 +18,21 @@
 // entity is a live entity in the index.
 type entity struct {
 	id        uint64
-	locations []location // in the order of their LSNs
+	locations []location // in ascending order of LSN
 	time      int64
 	dest      int64
 	key       string
-	doubtful  bool // a damaged part of the log may hide a record of it
+	doubtful  bool // a record of it may be lost in a damaged part of the log
 }
 
-// Entity is what the index holds of a live entity.
+// Entity is the index entry of a live entity.
 type Entity struct {
 	ID       uint64
 	Time     int64
 	Dest     int64
 	Key      string
 	Records  int
-	Doubtful bool // a damaged part of the log may hide a record of it
+	Doubtful bool // a record of it may be lost in a damaged part of the log
 }
 
 // indexKey is the key of an entity in the ordered indexes.
@@ -42,7 +42,7 @@
 	id         uint64
 }
 
-// newOrderedIndex returns an index in the order of compare, then of ids.
+// newOrderedIndex returns an index ordered by compare and then by ID.
 func newOrderedIndex(compare func(a, b indexKey) int) *btree.BTreeG[indexKey] {
 	return btree.NewBTreeGOptions(func(a, b indexKey) bool {
 		if c := compare(a, b); c != 0 {
@@ -52,7 +52,7 @@
 	}, btree.Options{NoLocks: true})
 }
 
-// addToIndex adds a record that lies in a segment at an offset.
+// addToIndex updates the index for a record at an offset in a segment.
 func (s *Store) addToIndex(r *Record, g *segment, offset int64) {
 	s.highest = max(s.highest, r.Entity)
 	e := s.entities[r.Entity]
@@ -76,7 +76,7 @@
 	s.liveBytes += size
 }
 
-// updateIndexes adds an entity to the ordered indexes, or removes it.
+// updateIndexes adds an entity to the ordered indexes, or removes it from them.
 func (s *Store) updateIndexes(e *entity, add bool) {
 	x := indexKey{e.time, e.dest, e.key, e.id}
 	for _, t := range []*btree.BTreeG[indexKey]{s.byKey, s.byTime, s.byDest} {
@@ -106,12 +106,12 @@
 	delete(s.entities, e.id)
 }
 
-// snapshot returns the entity as callers see it.
+// snapshot returns a copy of the entity's data for callers.
 func (e *entity) snapshot() Entity {
 	return Entity{e.id, e.time, e.dest, e.key, len(e.locations), e.doubtful}
 }
 
-// Get returns a live entity.
+// Get returns the live entity with an ID.
 func (s *Store) Get(id uint64) (Entity, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,23 +122,25 @@
 	return e.snapshot(), true
 }
 
-// ByKey calls do for each live entity with a key, until do returns false. As in ByDest and ByTime, do must not call
-// the store.
+// ByKey calls do for each live entity with a key, until do returns false. As for ByDest and ByTime, do must not call
+// the store, whose lock is held.
 func (s *Store) ByKey(key string, do func(Entity) bool) {
 	s.ascend(s.byKey, indexKey{key: key}, do, func(x indexKey) bool { return x.key == key })
 }
 
-// ByDest calls do for each live entity of a destination in the order of ids, until do returns false.
+// ByDest calls do for each live entity of a destination in ascending order of ID, until do returns false.
 func (s *Store) ByDest(dest int64, do func(Entity) bool) {
 	s.ascend(s.byDest, indexKey{dest: dest}, do, func(x indexKey) bool { return x.dest == dest })
 }
 
-// ByTime calls do for each live entity from a time on, the earliest first, until do returns false.
+// ByTime calls do for each live entity with the given time or a later one in ascending order of time, until do returns
+// false.
 func (s *Store) ByTime(from int64, do func(Entity) bool) {
 	s.ascend(s.byTime, indexKey{time: from}, do, func(indexKey) bool { return true })
 }
 
-// ascend calls do for the entities of an index from a key on while in holds, with the store locked.
+// ascend calls do for the entities of an index in ascending order, starting at a key, as long as match and do return
+// true. It holds the store's lock.
 func (s *Store) ascend(
 	t *btree.BTreeG[indexKey], from indexKey, do func(Entity) bool, match func(indexKey) bool,
 ) {
@@ -149,8 +151,8 @@
 	})
 }
 
-// Entities calls do for each live entity in the order of ids, until do returns false. It works on a copy: do may call
-// the store.
+// Entities calls do for each live entity in ascending order of ID, until do returns false. It iterates over a copy, so
+// do may call the store.
 func (s *Store) Entities(do func(Entity) bool) {
 	s.mu.Lock()
 	list := make([]Entity, 0, len(s.entities))
--- a/internal/store/memoryfs_test.go
+++ b/internal/store/memoryfs_test.go
@@ -9,18 +9,18 @@
 	"sync"
 )
 
-// memoryFS is a file system in memory that can fail at any byte, run full, and lose what was not synced. It counts the
-// bytes of all files at every step.
+// memoryFS is an in-memory file system that can fail at any byte, run out of space, and lose unsynced data. It tracks
+// the total size of all files.
 type memoryFS struct {
 	mu          sync.Mutex
 	files       map[string]*memoryFile
-	crashAfter  int   // bytes and steps until it dies; below 0 = it lives
-	capacity    int64 // bytes that all files may have; 0 = any
-	peakBytes   int64 // that they had
-	syncErr     error // what a sync returns
-	shortWrite  bool  // the next write is cut short, with an error
+	crashAfter  int   // bytes written and other changes until it fails; negative: never
+	capacity    int64 // maximum size of all files in bytes; 0: unlimited
+	peakBytes   int64 // maximum size that all files have had
+	syncErr     error // error returned by syncs
+	shortWrite  bool  // the next write writes only half of its data and fails
 	syncs       int
-	calls       int // that change something; at the one of number dieAt it dies
+	calls       int // modifying calls so far; they fail from number crashAtCall on
 	crashAtCall int
 }
 
@@ -28,12 +28,13 @@
 	fs         *memoryFS
 	data       []byte
 	synced     []byte
-	nameSynced bool // its name would outlast a power cut
+	nameSynced bool // the folder entry was synced, so it survives a power failure
 }
 
 func newMemoryFS() *memoryFS { return &memoryFS{files: map[string]*memoryFile{}, crashAfter: -1} }
 
-// consume counts down to the failure and returns how many of n bytes are still written.
+// consume counts a call that writes n bytes or makes one other change, and returns how many of the n bytes are still
+// written before the simulated failure.
 func (m *memoryFS) consume(n int) (int, error) {
 	if m.calls++; m.crashAtCall > 0 && m.calls >= m.crashAtCall {
 		return 0, errCrashed
@@ -76,7 +77,7 @@
 	if f := m.files[name]; f != nil {
 		return f, nil
 	}
-	return nil, os.ErrNotExist // as the machine's
+	return nil, os.ErrNotExist // as the operating system returns
 }
 
 func (m *memoryFS) Remove(name string) error {
@@ -126,7 +127,8 @@
 
 func (m *memoryFS) Lock() (io.Closer, error) { return noLock{}, nil }
 
-// cutPower is a power cut: of what was not synced some is there, and of names too.
+// cutPower simulates a power failure. A random part of the unsynced data of each file remains. Files whose names were
+// not synced are lost.
 func (m *memoryFS) cutPower(rng *rand.Rand) {
 	for name, f := range m.files {
 		if !f.nameSynced {
@@ -206,7 +208,7 @@
 func (noLock) Close() error { return nil }
 
 var (
-	errCrashed = errors.New("the process is dead")
+	errCrashed = errors.New("simulated crash")
 	errNoSpace = errors.New("no space left on device")
 	errIO      = errors.New("input/output error")
 )
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A model of the store runs beside it in random histories with kills and power cuts: a
-// map of what was promised. rapid shortens a history that breaks it.
+// Random histories with kills and power failures are run on the store and on a model, a map of the acknowledged
+// records. The content of both must always be equal. rapid shrinks a history that fails.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMemoryFS()
@@ -55,7 +55,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(*rapid.T) {
 				if len(live) >= 12 {
-					t.Skip("enough")
+					t.Skip("too many live entities")
 				}
 				appended(Record{Entity: next, Key: fmt.Sprint(next), Data: data()})
 				next++
@@ -79,13 +79,13 @@
 			},
 			"restart": func(*rapid.T) { s.Close(); reopen() },
 			"kill":    func(*rapid.T) { reopen() },
-			"power cut": func(*rapid.T) {
-				m.cutPower(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "what is kept"), 1)))
+			"power failure": func(*rapid.T) {
+				m.cutPower(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "power failure seed"), 1)))
 				reopen()
 			},
 			"": func(*rapid.T) {
 				if m.peakBytes > 48<<10 {
-					t.Fatalf("%d bytes", m.peakBytes)
+					t.Fatalf("files took %d bytes", m.peakBytes)
 				}
 				var stored []uint64
 				s.Entities(func(e Entity) bool { stored = append(stored, e.ID); return true })
--- a/internal/store/options.go
+++ b/internal/store/options.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Durability says what an append outlasts once it has returned.
+// Durability defines which failures an append survives once it has returned.
 type Durability uint8
 
-// The durabilities.
+// Values of Durability.
 const (
-	Process Durability = iota // the end of the process, SIGKILL included
-	Group                     // a power cut, once Sync has returned or GroupWait has passed
-	Each                      // a power cut, at once
+	Process Durability = iota // end of the process, also by SIGKILL
+	Group                     // power failure, after Sync has returned or GroupWait has passed
+	Each                      // power failure, as soon as the append has returned
 )
 
 // Options are the parameters of a store.
 type Options struct {
 	FS         FS
-	Budget     int64 // bytes of all files in the folder, each in whole blocks of 512; 0: no bound
-	Segment    int64 // bytes of a segment; 0: a sixteenth of the budget
+	Budget     int64 // maximum bytes of all files, each rounded up to blocks of 512; 0: unlimited
+	Segment    int64 // maximum bytes of a segment; 0: a sixteenth of the budget
 	Durability Durability
-	GroupWait  time.Duration // Group: the longest time from an append to its sync
-	Log        *slog.Logger  // nil: none
+	GroupWait  time.Duration // with Group, the maximum delay from an append to its sync
+	Log        *slog.Logger  // nil: no logging
 }
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -12,23 +12,24 @@
 	"sync"
 )
 
-// Damage is a part of a segment that could not be read. Its records are lost; everything else was read.
+// Damage is a part of a segment that could not be read. The records in it are lost; all others were read.
 type Damage struct {
 	File   string `json:"file"`
 	Offset int64  `json:"offset"`
 	Length int64  `json:"length"`
-	// Tail: the log ends with it, as after a process died during an append, which was then not acknowledged.
+	// Tail: the part is at the end of the log, as after a process was killed during an append, which was then not
+	// acknowledged.
 	Tail bool `json:"tail,omitempty"`
 	// Missing: the segments before this file are missing.
 	Missing bool `json:"missing,omitempty"`
 }
 
-// segmentContent is what was read of one segment.
+// segmentContent is the result of reading one segment.
 type segmentContent struct {
 	segment    *segment
 	records    []locatedRecord
 	damages    []Damage
-	highestLSN uint64 // LSN
+	highestLSN uint64
 	nameNumber uint64 // the number in its file name
 	missing    bool   // the segments before it are missing
 	err        error
@@ -40,9 +41,9 @@
 	location location
 }
 
-// Open opens the store in a folder, or creates one. Damaged parts are logged and returned by Damages; everything else
-// is read. It returns ErrLocked where another process has the folder, and ErrNewer for a newer format, which leaves
-// the folder as it is.
+// Open opens the store in a folder, or creates one. Damaged parts of the log are logged and returned by Damages; all
+// other parts are read. It returns ErrLocked if another process has the folder open. For a newer format it returns
+// ErrNewer and does not modify the folder.
 func Open(o Options) (*Store, error) {
 	if o.Segment <= 0 {
 		o.Segment = maxSegment
@@ -51,10 +52,10 @@
 		}
 	}
 	if o.Budget > 0 && o.Budget < (reservedSegments+2)*o.Segment {
-		return nil, fmt.Errorf("store: a budget of %d bytes is too little for segments of %d", o.Budget, o.Segment)
+		return nil, fmt.Errorf("store: budget of %d bytes is too small for segments of %d bytes", o.Budget, o.Segment)
 	}
 	if o.Durability == Group && o.GroupWait <= 0 {
-		return nil, errors.New("store: group durability needs a wait")
+		return nil, errors.New("store: group durability requires a positive GroupWait")
 	}
 	lock, err := o.FS.Lock()
 	if err != nil {
@@ -72,7 +73,7 @@
 	return s, nil
 }
 
-// newStore returns a store without segments.
+// newStore returns an empty store without segments.
 func newStore(o Options) *Store {
 	return &Store{
 		options: o, entities: map[uint64]*entity{}, nextLSN: 1, nextSegment: 1, compactionOffset: segmentHeaderSize,
@@ -83,7 +84,7 @@
 	}
 }
 
-// readAll reads all segments, some of them at once, and returns them in the order of their numbers.
+// readAll reads all segments, several of them concurrently, and returns them in ascending order of number.
 func (s *Store) readAll() ([]segmentContent, error) {
 	names, err := listSegments(s.options.FS)
 	if err != nil {
@@ -132,7 +133,8 @@
 	if n := len(list); n > 0 && len(list[n-1].damages) == 0 && len(seals) == 0 {
 		return nil
 	}
-	// Nothing is appended behind a damaged part. A torn tail is left as it is, and sealed for those who read it later.
+	// Appends never follow a damaged part in the same segment. A truncated tail is not modified; a seal record tells later
+	// readers that it was not acknowledged.
 	if err := s.startSegment(); err != nil || len(seals) == 0 {
 		return err
 	}
@@ -144,11 +146,11 @@
 	return err
 }
 
-// sealTails marks the damages that are torn tails and drops those for which a seal exists. It returns seals for the
-// others.
+// sealTails sets Tail for the damages that are truncated appends at the end of the log, and drops damages for which a
+// seal record exists. It returns new seal records for the truncated appends.
 func (s *Store) sealTails(list []segmentContent) (seals []Record) {
 	sealed := map[uint64]int64{}
-	last := 0 // the last segment that holds something
+	last := 0 // index of the last segment with records
 	for i := range list {
 		for _, r := range list[i].records {
 			if r.Kind == seal {
@@ -173,8 +175,8 @@
 	return seals
 }
 
-// readSegment reads one file. Only errors of the file system and a newer format are errors; damage is part of the
-// content.
+// readSegment reads one segment file. Only file system errors and a newer format are reported as errors; damage is part
+// of the returned content.
 func (s *Store) readSegment(name string) segmentContent {
 	f := segmentContent{segment: &segment{name: name}}
 	f.err = s.openSegment(&f)
@@ -184,7 +186,7 @@
 	return f
 }
 
-// openSegment opens the file of a segment and takes its number from its name.
+// openSegment opens the file of a segment and parses the segment's number from the file name.
 func (s *Store) openSegment(f *segmentContent) error {
 	g := f.segment
 	var err error
@@ -195,13 +197,13 @@
 		return fmt.Errorf("store: %w", err)
 	}
 	if _, err := fmt.Sscanf(g.name, "%016x.log", &g.number); err != nil {
-		return fmt.Errorf("store: %s is no name of a segment: move it elsewhere", g.name)
+		return fmt.Errorf("store: %s is not a valid segment file name: move the file elsewhere", g.name)
 	}
 	f.nameNumber = g.number
 	return nil
 }
 
-// readFrames reads the header, the frames and the damages of an open segment.
+// readFrames reads the header and the frames of an open segment, and records damaged parts.
 func (f *segmentContent) readFrames() error {
 	g := f.segment
 	w := &fileWindow{file: g.file, size: g.size}
@@ -227,7 +229,7 @@
 		for _, r := range batch {
 			f.highestLSN = max(f.highestLSN, r.LSN)
 			x := locatedRecord{r, location{g.number, at, r.LSN, int32(r.size())}}
-			x.Data = nil // it is read again when it is asked for
+			x.Data = nil // Load reads the data again from the file
 			f.records = append(f.records, x)
 		}
 		at += int64(n)
@@ -238,8 +240,8 @@
 	return nil
 }
 
-// readHeader takes the number of the segment from its header and returns the offset of the first frame. A damaged
-// header is read as a damaged frame.
+// readHeader sets the number of the segment from its header and returns the offset of the first frame. For a damaged
+// header it returns 0, so that the header is read as a damaged frame.
 func (f *segmentContent) readHeader(w *fileWindow) (int64, error) {
 	g := f.segment
 	header, err := w.bytesFrom(0, segmentHeaderSize)
@@ -253,19 +255,20 @@
 	case err != nil:
 		return 0, nil
 	}
-	g.number = number // also where the file was renamed
+	g.number = number // takes precedence over the file name, as the file may have been renamed
 	return segmentHeaderSize, nil
 }
 
-// fileWindow reads a file from the front in bounded memory.
+// fileWindow reads a file from start to end in bounded memory.
 type fileWindow struct {
 	file  File
 	size  int64
-	start int64 // of what is in b
+	start int64 // file offset of data
 	data  []byte
 }
 
-// bytesFrom returns the bytes bytesFrom an offset on: least of them, or all up to the end of the file.
+// bytesFrom returns at least minBytes bytes from an offset on, or all bytes up to the end of the file if there are
+// fewer.
 func (w *fileWindow) bytesFrom(offset, minBytes int64) ([]byte, error) {
 	minBytes = min(minBytes, w.size-offset)
 	if offset < w.start || offset+minBytes > w.start+int64(len(w.data)) {
@@ -281,7 +284,8 @@
 	return w.data[offset-w.start:], nil
 }
 
-// nextFrame returns the offset of the next intact frame from an offset on, or the end of the file.
+// nextFrame returns the offset of the first intact frame at or after an offset, or the size of the file if there is
+// none.
 func (w *fileWindow) nextFrame(from int64) (int64, error) {
 	for from < w.size {
 		b, err := w.bytesFrom(from, frameHeaderSize+maxFrame)
@@ -289,7 +293,7 @@
 			return 0, err
 		}
 		i := bytes.Index(b, frameMagic)
-		if i < 0 { // a mark may extend beyond the window
+		if i < 0 { // a magic number may extend beyond the window
 			from += max(1, int64(len(b)-len(frameMagic)+1))
 			continue
 		}
@@ -305,7 +309,7 @@
 	return w.size, nil
 }
 
-// rebuildIndex builds the index from what was read.
+// rebuildIndex builds the index from the content of the segments.
 func (s *Store) rebuildIndex(list []segmentContent) {
 	ended, bases := map[uint64]bool{}, map[uint64]uint64{}
 	total := 0
@@ -336,8 +340,8 @@
 			}
 		}
 	}
-	// A record that compaction has copied is there twice if the process died before the old segment was removed: the
-	// copy counts.
+	// If the process was killed after compaction copied a record and before it removed the old segment, the record
+	// exists twice. Only the copy is used.
 	slices.SortStableFunc(all, func(a, b locatedRecord) int {
 		return cmp.Or(cmp.Compare(a.LSN, b.LSN), cmp.Compare(b.location.segment, a.location.segment),
 			cmp.Compare(b.location.offset, a.location.offset))
@@ -351,7 +355,7 @@
 		s.addToIndex(&r.Record, g, r.location.offset)
 		e := s.entities[r.Entity]
 		e.locations[len(e.locations)-1].size = r.location.size
-		if size := r.Record.size(); size != int64(r.location.size) { // the data was not read, so that its size was left out
+		if size := r.Record.size(); size != int64(r.location.size) { // correct the size, which was computed without the data
 			g.live += int64(r.location.size) - size
 			s.liveBytes += int64(r.location.size) - size
 		}
@@ -361,24 +365,26 @@
 	}
 }
 
-// doubtfulLSNLimit logs the damages and returns the LSN before which began all entities of which a damage may hide a
-// record: the highest of the damaged segment, or of all where its end is damaged.
+// doubtfulLSNLimit logs the damages and returns an LSN limit: an entity whose first record has a lower LSN may have
+// lost a record to damage. The limit is the highest LSN in the damaged segment, or no limit if the end of that segment
+// is damaged.
 func (s *Store) doubtfulLSNLimit(list []segmentContent) uint64 {
 	limit := uint64(0)
 	for i := range list {
-		if list[i].missing { // they may have held an End, or records of any older entity
+		if list[i].missing { // they may have contained an End or other records of any older entity
 			s.damages = append(s.damages, Damage{File: list[i].segment.name, Missing: true})
-			s.warn("segments missing, live entities may lack records or have ended", "before_file", list[i].segment.name)
+			s.warn("segments are missing; live entities may lack records or may have ended", "before_file", list[i].segment.name)
 			limit = max(limit, list[i].highestLSN+1)
 		}
 		for _, d := range list[i].damages {
 			s.damages = append(s.damages, d)
 			if d.Tail {
-				s.warn("torn append at the end of the log, it was not acknowledged",
+				s.warn("truncated append at the end of the log; it was not acknowledged",
 					"file", d.File, "offset", d.Offset, "bytes", d.Length)
 				continue
 			}
-			s.warn("damaged part, live entities may lack records", "file", d.File, "offset", d.Offset, "bytes", d.Length)
+			s.warn("part of the log is damaged; live entities may lack records",
+				"file", d.File, "offset", d.Offset, "bytes", d.Length)
 			if d.Offset+d.Length >= list[i].segment.size {
 				limit = math.MaxUint64
 			}
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Damage of any byte of any file: what can be read is, and what may lack a record is in
-// doubt. Nothing that has ended is told as sound.
+// After damage to any part of any segment, all intact records must be readable, and each entity that may lack a record
+// must be marked as doubtful. An ended entity must not reappear without that mark.
 func TestDamage(t *testing.T) {
 	base := newMemoryFS()
 	s := openStore(t, base, Process)
@@ -28,7 +28,7 @@
 		for name, f := range base.files {
 			m.files[name] = &memoryFile{fs: m, data: slices.Clone(f.data)}
 		}
-		name := names[rng.IntN(len(names)-1)] // not the last, whose tail a kill may cut
+		name := names[rng.IntN(len(names)-1)] // not the last segment, where damage may look like a truncated append
 		f := m.files[name]
 		from := rng.IntN(len(f.data))
 		to := min(len(f.data), from+1+rng.IntN(2000))
@@ -37,7 +37,7 @@
 		}
 		s := openStore(t, m, Process)
 		if len(s.Damages()) == 0 {
-			t.Fatalf("%s, %d to %d: not seen", name, from, to)
+			t.Fatalf("%s, %d to %d: damage not detected", name, from, to)
 		}
 		sound := 0
 		s.Entities(func(e Entity) bool {
@@ -47,7 +47,7 @@
 			}
 			want, live := l.live[e.ID]
 			if !e.Doubtful && (!live || len(list) != len(want)) {
-				t.Errorf("%s, %d to %d: entity %d is told as sound, live %t, %d records of %d", name, from, to, e.ID, live,
+				t.Errorf("%s, %d to %d: entity %d is not doubtful, live %t, %d records of %d", name, from, to, e.ID, live,
 					len(list), len(want))
 			}
 			if !e.Doubtful {
@@ -58,7 +58,7 @@
 		if t.Failed() {
 			return
 		}
-		for range 100 { // and it goes on
+		for range 100 { // appends and compaction must still work
 			if err := s.Append(Record{Entity: 1 << 30, Data: make([]byte, 300)},
 				Record{Entity: 1 << 30, Kind: End}); err != nil {
 				t.Fatal(err)
@@ -67,7 +67,7 @@
 	}
 }
 
-// A newer format is refused, and the file is as it was.
+// Opening a store with a newer format must fail and leave the files unchanged.
 func TestNewerFormat(t *testing.T) {
 	m := newMemoryFS()
 	s := openStore(t, m, Process)
@@ -76,7 +76,11 @@
 	name := segmentName(1)
 	f := m.files[name]
 	f.data[8] = formatVersion + 1
-	copy(f.data[20:24], func() []byte { b := encodeSegmentHeader(1); b[8] = formatVersion + 1; return encodeChecksum(b[:20]) }())
+	copy(f.data[20:24], func() []byte {
+		b := encodeSegmentHeader(1)
+		b[8] = formatVersion + 1
+		return encodeChecksum(b[:20])
+	}())
 	before := slices.Clone(f.data)
 	if _, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10}); !errors.Is(err, ErrNewer) {
 		t.Errorf("%v", err)
@@ -86,8 +90,8 @@
 	}
 }
 
-// A copy of a store in use is whole: it has what was promised before the copy began and
-// is not ended before it ended. Its restored form takes appends.
+// A backup of a store in use must be complete: it contains all records that were acknowledged before the backup
+// started, of entities that have not ended by its end. The copy can be opened as a store.
 func TestBackup(t *testing.T) {
 	m := newMemoryFS()
 	s := openStore(t, m, Process)
@@ -97,7 +101,7 @@
 			t.Fatal(err)
 		}
 	}
-	liveBefore := map[uint64]int{} // live before the copy; the traffic below may end them
+	liveBefore := map[uint64]int{} // record counts of entities live before the backup; the appends below may end them
 	for id, list := range l.live {
 		liveBefore[id] = len(list)
 	}
@@ -132,7 +136,7 @@
 		t.Errorf("%v, %+v", err, copied.Damages())
 	}
 	if _, err := Backup(m, to); err == nil {
-		t.Error("copied over another")
+		t.Error("Backup wrote into a folder that has segments")
 	}
 }
 
@@ -150,11 +154,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if sum := readOnly.Summary(); sum.Entities != len(l.live) || sum.Disk != s.Stats().DiskBytes || readOnly.Verify() != nil {
+	if sum := readOnly.Summary(); sum.Entities != len(l.live) || sum.Disk != s.Stats().DiskBytes ||
+		readOnly.Verify() != nil {
 		t.Errorf("%+v", sum)
 	}
 	if err := readOnly.Append(Record{Entity: 1}); err == nil {
-		t.Error("appended to a store that is only read")
+		t.Error("Append succeeded on a read-only store")
 	}
 	var dump strings.Builder
 	if err := readOnly.Dump(&dump); err != nil || strings.Count(dump.String(), "\n") < len(l.live) {
@@ -167,7 +172,7 @@
 	to := newMemoryFS()
 	written, skipped, err := Repair(m, Options{FS: to, Budget: testBudget, Segment: 16 << 10}, false)
 	if err != nil || written+skipped < len(l.live)-5 || !slices.Equal(before, f.data) {
-		t.Errorf("%d written, %d left of %d, %v", written, skipped, len(l.live), err)
+		t.Errorf("%d written, %d skipped of %d, %v", written, skipped, len(l.live), err)
 	}
 	repaired := openStore(t, to, Process)
 	if len(repaired.Damages()) > 0 || repaired.Verify() != nil || repaired.Summary().Entities != written {
@@ -175,8 +180,8 @@
 	}
 }
 
-// A segment that is missing puts in doubt what began before; two whose names were
-// swapped read as they were; one that is there twice is refused, with both names.
+// If a segment is missing, older entities must be marked as doubtful. Segments with swapped names must be read as
+// before. A segment that exists twice must be rejected with an error that names both files.
 func TestSegmentsRenamedOrMissing(t *testing.T) {
 	base := newMemoryFS()
 	s := openStore(t, base, Process)
@@ -198,13 +203,13 @@
 	m := clone()
 	m.files[names[1]], m.files[names[2]] = m.files[names[2]], m.files[names[1]]
 	s = openStore(t, m, Process)
-	l.checkContent(t, s, "swapped", 0)
-	for range 2000 { // on through compaction of both
+	l.checkContent(t, s, "names swapped", 0)
+	for range 2000 { // until both segments have been compacted
 		if err := s.Append(Record{Entity: 1 << 30, Data: make([]byte, 300)}, Record{Entity: 1 << 30, Kind: End}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.checkContent(t, s, "swapped, then compacted", 0)
+	l.checkContent(t, s, "names swapped, then compacted", 0)
 	m = clone()
 	delete(m.files, names[1])
 	s = openStore(t, m, Process)
@@ -212,18 +217,18 @@
 		list, err := s.Load(e.ID)
 		want, live := l.live[e.ID]
 		if err != nil || !e.Doubtful && (!live || len(list) != len(want)) {
-			t.Errorf("missing: entity %d, doubtful %t, live %t, %d records of %d, %v", e.ID, e.Doubtful, live, len(list),
+			t.Errorf("segment missing: entity %d, doubtful %t, live %t, %d records of %d, %v", e.ID, e.Doubtful, live, len(list),
 				len(want), err)
 		}
 		return !t.Failed()
 	})
 	if len(s.Damages()) != 1 || !s.Damages()[0].Missing {
-		t.Errorf("missing: %+v", s.Damages())
+		t.Errorf("segment missing: %+v", s.Damages())
 	}
 	m = clone()
 	m.files["ffffffffffffff00.log"] = &memoryFile{fs: m, data: slices.Clone(m.files[names[1]].data)}
 	if _, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10}); err == nil ||
 		!strings.Contains(err.Error(), names[1]) {
-		t.Errorf("twice: %v", err)
+		t.Errorf("segment exists twice: %v", err)
 	}
 }
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -13,13 +13,13 @@
 	name   string
 	file   File
 	size   int64
-	live   int64 // bytes of its live records
+	live   int64 // estimated bytes of its live records
 }
 
-// activeSegment returns the segment that is appended to.
+// activeSegment returns the segment to which frames are appended.
 func (s *Store) activeSegment() *segment { return s.segments[len(s.segments)-1] }
 
-// startSegment creates the next segment, to which appends go from now on.
+// startSegment creates the next segment and makes it the active one.
 func (s *Store) startSegment() error {
 	g := &segment{number: s.nextSegment, name: segmentName(s.nextSegment), size: segmentHeaderSize}
 	file, err := s.options.FS.Create(g.name)
@@ -36,7 +36,7 @@
 	if err != nil {
 		file.Close()
 		if s.options.FS.Remove(g.name) != nil {
-			s.nextSegment++ // it stays, as an empty segment
+			s.nextSegment++ // the file remains as an empty segment, so its number is used
 		}
 		return fmt.Errorf("store: %s: %w", g.name, err)
 	}
@@ -49,7 +49,7 @@
 // segmentName returns the file name of a segment.
 func segmentName(number uint64) string { return fmt.Sprintf("%016x.log", number) }
 
-// writeAll writes b at an offset; a short write is an error.
+// writeAll writes b at an offset. It returns an error for a short write.
 func writeAll(f File, b []byte, at int64) error {
 	n, err := f.WriteAt(b, at)
 	if err == nil && n < len(b) {
@@ -58,7 +58,7 @@
 	return err
 }
 
-// segment returns a segment by its number, or nil.
+// segment returns the segment with a number, or nil if there is none.
 func (s *Store) segment(number uint64) *segment {
 	i, found := slices.BinarySearchFunc(s.segments, number, func(g *segment, n uint64) int {
 		switch {
@@ -75,8 +75,8 @@
 	return s.segments[i]
 }
 
-// Load reads the records of a live entity in the order in which they were appended. For any other entity it returns
-// none, and no error.
+// Load reads the records of a live entity in the order in which they were appended. For an unknown or ended entity it
+// returns no records and no error.
 func (s *Store) Load(id uint64) ([]Record, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,11 +98,11 @@
 	return list, nil
 }
 
-// readRecord reads one record.
+// readRecord reads the record of an entity at a location.
 func (s *Store) readRecord(id uint64, at location) (Record, error) {
 	g := s.segment(at.segment)
 	if g == nil {
-		return Record{}, fmt.Errorf("store: no segment %d", at.segment)
+		return Record{}, fmt.Errorf("store: segment %d does not exist", at.segment)
 	}
 	batch, _, err := readFrameAt(g.file, at.offset, g.size)
 	if err != nil {
@@ -113,10 +113,10 @@
 			return r, nil
 		}
 	}
-	return Record{}, fmt.Errorf("store: %s at %d: record %d is not there", g.name, at.offset, at.lsn)
+	return Record{}, fmt.Errorf("store: %s at %d: record %d not found", g.name, at.offset, at.lsn)
 }
 
-// readFrameAt reads the frame at an offset.
+// readFrameAt reads the frame at an offset of a file with the given size. It returns its records and its length.
 func readFrameAt(f io.ReaderAt, offset, size int64) ([]Record, int, error) {
 	header := make([]byte, frameHeaderSize)
 	if _, err := f.ReadAt(header, offset); err != nil {
@@ -133,7 +133,7 @@
 	return decodeFrame(b)
 }
 
-// frameLength returns the length of a frame by its header.
+// frameLength returns the length of a frame, taken from its header and limited to the maximum.
 func frameLength(header []byte) int {
 	return frameHeaderSize + min(int(binary.LittleEndian.Uint32(header[4:])), maxFrame)
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,12 +1,12 @@
-// Package store is an append-only log of records in segment files, with an index in memory that is rebuilt from the
-// log at start. Records belong to entities. Once an entity has ended its records are dead; compaction reclaims their
-// space by copying the live records of the oldest segment to the end of the log, in bounded steps beside the appends.
-// All files together stay within a budget at any time. The package knows nothing of what the records mean.
+// Package store implements an append-only log of records in segment files, with an in-memory index that is rebuilt from
+// the log when it is opened. Records belong to entities. When an entity ends, its records become dead. Compaction
+// reclaims their space by copying the live records of the oldest segment to the end of the log, in bounded steps during
+// appends. The total size of all files never exceeds a budget. The package does not interpret the data of records.
 //
-// It is safe to forget the end of an entity: its End lies in a segment at least as young as those of its other
-// records, and only the oldest segment is ever removed.
+// Compaction may drop End records: the End of an entity is in the same segment as its other records or a newer one, and
+// only the oldest segment is ever removed.
 //
-// docs/design/durable-store.md has the format.
+// The format is described in docs/design/durable-store.md.
 package store
 
 import (
@@ -19,22 +19,22 @@
 	"github.com/tidwall/btree"
 )
 
-// The errors of a store, besides those of its files. After ErrFull nothing was written and later appends may succeed;
-// after ErrBroken and ErrClosed none do.
+// Errors of a store, besides those of the file system. After ErrFull nothing was written and later appends may succeed.
+// After ErrBroken and ErrClosed all later appends fail.
 var (
-	ErrFull   = errors.New("store: no room left within the budget")
-	ErrBroken = errors.New("store: a sync failed, nothing more can be promised")
+	ErrFull   = errors.New("store: size budget exhausted")
+	ErrBroken = errors.New("store: sync failed, no further writes are accepted")
 	ErrClosed = errors.New("store: closed")
 )
 
 const (
-	blockSize        = 512      // the budget counts files in whole blocks of this many bytes
+	blockSize        = 512      // file sizes are rounded up to multiples of this many bytes for the budget
 	minSegment       = 16 << 10 // bytes
 	maxSegment       = 64 << 20 // bytes
-	reservedSegments = 2        // segments of the budget that only compaction and ends may use
+	reservedSegments = 2        // number of segments of the budget reserved for compaction and End records
 
-	// Once more than compactionThreshold of the budget is used, compaction reads up to compactionFactor times the bytes
-	// of an append beside it. It keeps up as long as half of the log is dead.
+	// Once more than compactionThreshold of the budget is used, each append runs compaction, which reads up to
+	// compactionFactor times the bytes of the append. It keeps up with appends as long as half of the log is dead.
 	compactionFactor    = 4
 	compactionThreshold = 0.6
 )
@@ -45,19 +45,19 @@
 	lock    io.Closer
 
 	mu               sync.Mutex
-	segments         []*segment // the oldest first; the last one is appended to
+	segments         []*segment // from oldest to newest; appends go to the last one
 	entities         map[uint64]*entity
 	byKey            *btree.BTreeG[indexKey]
 	byTime           *btree.BTreeG[indexKey]
 	byDest           *btree.BTreeG[indexKey]
-	nextLSN          uint64 // of the next record
-	highest          uint64 // the highest id of an entity in the log, live or ended
-	nextSegment      uint64 // its number
-	diskBytes        int64  // of all files, in whole blocks
+	nextLSN          uint64 // LSN of the next record
+	highest          uint64 // highest entity ID in the log, live or ended
+	nextSegment      uint64 // number of the next segment
+	diskBytes        int64  // size of all files, each rounded up to whole blocks
 	liveBytes        int64
-	compactionOffset int64 // offset in the oldest segment up to which compaction has come
+	compactionOffset int64 // offset in the oldest segment up to which it has been compacted
 	buffer           []byte
-	dirty            bool // something was written since the last sync
+	dirty            bool // there are writes since the last sync
 	timer            *time.Timer
 	broken           error
 	closed           bool
@@ -65,7 +65,7 @@
 	stats            Stats
 }
 
-// Stats are counts since the store was opened.
+// Stats are the current size of a store and counters since it was opened.
 type Stats struct {
 	Segments    int   `json:"segments"`
 	Entities    int   `json:"entities"`
@@ -76,20 +76,20 @@
 	Copied      int64 `json:"copied_bytes"`
 	Removed     int   `json:"segments_removed"`
 	Syncs       int   `json:"syncs"`
-	LargestStep int64 `json:"largest_step_bytes"` // read by compaction beside one append
+	LargestStep int64 `json:"largest_step_bytes"` // most bytes that compaction read during one append
 }
 
-// roundToBlocks returns the bytes that a file of a size takes of the budget.
+// roundToBlocks returns the bytes of the budget that a file of the given size takes.
 func roundToBlocks(size int64) int64 { return (size + blockSize - 1) / blockSize * blockSize }
 
-// warn logs a warning, if there is a logger.
+// warn logs a warning if a logger is set.
 func (s *Store) warn(text string, args ...any) {
 	if s.options.Log != nil {
 		s.options.Log.Warn("store: "+text, args...)
 	}
 }
 
-// fits reports whether more bytes fit into the budget with spare bytes left over.
+// fits reports whether an append of more bytes leaves at least spare bytes of the budget free.
 func (s *Store) fits(more, spare int64) bool {
 	if s.options.Budget <= 0 {
 		return true
@@ -102,16 +102,16 @@
 	return grown+spare <= s.options.Budget
 }
 
-// CanAdmit reports whether entities of more bytes in all can be admitted with room for everything that follows of
-// them. Live records may take three fifths of the space in which compaction works.
+// CanAdmit reports whether new entities with more bytes in total can be admitted while space remains for their later
+// records. Live records may take three fifths of the space that is available to compaction.
 func (s *Store) CanAdmit(more int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.options.Budget <= 0 || s.liveBytes+more <= (s.options.Budget-reservedSegments*s.options.Segment)*3/5
 }
 
-// Append writes a batch atomically and sets the LSNs of its records. A record of an entity that is not live begins
-// it; an End of such an entity has no effect. After an error nothing of the batch is in the store.
+// Append writes a batch atomically and sets the LSNs of its records. A record of an entity that is not live creates the
+// entity; an End of such an entity has no effect. After an error none of the batch is in the store.
 func (s *Store) Append(batch ...Record) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,17 +129,17 @@
 	s.buffer = appendFrame(s.buffer[:0], batch)
 	size := int64(len(s.buffer))
 	if size > maxFrame {
-		return fmt.Errorf("store: a batch of %d bytes, %d at most", size, maxFrame)
+		return fmt.Errorf("store: batch of %d bytes exceeds the maximum of %d", size, maxFrame)
 	}
 	spare := reservedSegments * s.options.Segment
-	if onlyEnds { // they free space
+	if onlyEnds { // End records make space reclaimable
 		spare = s.options.Segment
 	}
 	step, err := s.freeSpace(size, spare)
 	if err != nil {
 		return err
 	}
-	s.buffer = appendFrame(s.buffer[:0], batch) // compaction used the buffer
+	s.buffer = appendFrame(s.buffer[:0], batch) // compaction has overwritten the buffer
 	offset, err := s.writeFrame(s.buffer)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 	return s.syncIfRequired()
 }
 
-// checkWritable returns why nothing can be appended, if that is so.
+// checkWritable returns an error if the store does not accept appends.
 func (s *Store) checkWritable() error {
 	switch {
 	case s.closed:
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// syncIfRequired syncs an append as the durability asks for it.
+// syncIfRequired syncs an append, or schedules a sync, according to the durability.
 func (s *Store) syncIfRequired() error {
 	s.dirty = true
 	switch s.options.Durability {
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// Sync syncs the log, whatever the durability: all that was appended outlasts a power cut.
+// Sync syncs the log regardless of the durability. Afterwards all appended records survive a power failure.
 func (s *Store) Sync() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,12 +196,12 @@
 	return s.sync()
 }
 
-// sync syncs the newest segment; older ones were synced when they were left.
+// sync syncs the newest segment. Older ones were synced before the next segment was started.
 func (s *Store) sync() error {
 	if !s.dirty {
 		return nil
 	}
-	// After a failed sync it is unknown which pages the disk has: a second one may succeed and prove nothing.
+	// After a failed sync it is unknown which pages are on disk. A retry may succeed without having written them.
 	if err := s.activeSegment().file.Sync(); err != nil {
 		s.broken = fmt.Errorf("%w: %w", ErrBroken, err)
 		return s.broken
@@ -211,7 +211,8 @@
 	return nil
 }
 
-// writeFrame appends a frame to the log and returns its offset in the newest segment.
+// writeFrame appends an encoded frame to the log, starting a new segment if necessary, and returns the frame's offset
+// in the newest segment.
 func (s *Store) writeFrame(b []byte) (int64, error) {
 	g := s.activeSegment()
 	if g.size+int64(len(b)) > s.options.Segment && g.size > segmentHeaderSize {
@@ -227,9 +228,10 @@
 	}
 	offset := g.size
 	if err := writeAll(g.file, b, offset); err != nil {
-		// The part that was written must neither be read as a frame nor hide the next one.
+		// The partial write must neither be read as a frame nor make the next frame unreadable.
 		if truncateErr := g.file.Truncate(offset); truncateErr != nil {
-			s.warn("failed append not truncated, starting a new segment", "file", g.name, "offset", offset, "err", truncateErr)
+			s.warn("failed to truncate after a failed append; starting a new segment",
+				"file", g.name, "offset", offset, "err", truncateErr)
 			if startErr := s.startSegment(); startErr != nil {
 				s.broken = fmt.Errorf("%w: %w", ErrBroken, errors.Join(err, startErr))
 			}
@@ -241,15 +243,15 @@
 	return offset, nil
 }
 
-// Highest returns the highest id of an entity in the log, live or ended. The id of an ended entity must not be used
-// again while the log holds it.
+// Highest returns the highest entity ID in the log, live or ended. The ID of an ended entity must not be reused while
+// the log contains its records.
 func (s *Store) Highest() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.highest
 }
 
-// Stats returns the current counts.
+// Stats returns the current statistics.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,7 +261,7 @@
 	return t
 }
 
-// Damages returns what could not be read when the store was opened.
+// Damages returns the parts of the log that could not be read when the store was opened.
 func (s *Store) Damages() []Damage { return s.damages }
 
 // Close syncs the log, unless the durability is Process, and unlocks the folder. A second call does nothing.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestMain(m *testing.M) {
-	if dir := os.Getenv("STORE_HOLD"); dir != "" { // the other process of TestLocked
+	if dir := os.Getenv("STORE_HOLD"); dir != "" { // this is the child process of TestLocked
 		if _, err := (Dir(dir)).Lock(); err == nil {
 			fmt.Println("held")
 		}
@@ -36,8 +36,8 @@
 	return s
 }
 
-// A long workload within a small budget: the budget is never exceeded, no step is long, nothing is lost, and the store
-// reads as before when it is opened again.
+// Under a long workload with a small budget, the store must never exceed the budget, compaction steps must stay short,
+// and no record may be lost, also after the store is opened again.
 func TestCompaction(t *testing.T) {
 	m := newMemoryFS()
 	s := openStore(t, m, Process)
@@ -50,7 +50,8 @@
 	l.checkContent(t, s, "at the end", 0)
 	stats := s.Stats()
 	if m.peakBytes > testBudget || stats.DiskBytes != m.usedBytes() {
-		t.Errorf("%d bytes at most of %d; %d counted, %d there", m.peakBytes, testBudget, stats.DiskBytes, m.usedBytes())
+		t.Errorf("peak of %d bytes, budget %d; %d counted, %d in files", m.peakBytes, testBudget, stats.DiskBytes,
+			m.usedBytes())
 	}
 	if stats.Removed < 50 || stats.LargestStep > 64<<10 {
 		t.Errorf("%+v", stats)
@@ -69,7 +70,7 @@
 	times := int64(0)
 	reopened.ByTime(0, func(e Entity) bool {
 		if e.Time < times {
-			t.Error("not in the order of time")
+			t.Error("ByTime is not in ascending order of time")
 		}
 		times = e.Time
 		return true
@@ -84,18 +85,18 @@
 		}
 	}
 	if keys != wantKeys || dests != wantDests {
-		t.Errorf("by key %d of %d, by destination %d of %d", keys, wantKeys, dests, wantDests)
+		t.Errorf("by key %d, want %d; by destination %d, want %d", keys, wantKeys, dests, wantDests)
 	}
 }
 
-// Killed at any byte, also in the middle of compaction: what was promised is there, and
-// the traffic goes on.
+// After a kill at any byte of a write, also during compaction, all acknowledged records must be present and the store
+// must accept appends.
 func TestCrashAtRandomWrite(t *testing.T) {
 	for seed := range uint64(400) {
 		m := newMemoryFS()
 		s := openStore(t, m, Process)
 		l := newWorkload(seed)
-		for range 300 { // into compaction
+		for range 300 { // until compaction runs
 			if err := l.step(s); err != nil {
 				t.Fatal(err)
 			}
@@ -115,7 +116,7 @@
 			l.checkContent(t, s, fmt.Sprintf("seed %d, round %d", seed, round), unsure)
 			for _, d := range s.Damages() {
 				if !d.Tail {
-					t.Errorf("seed %d: a kill left damage: %+v", seed, d)
+					t.Errorf("seed %d: damage after a kill: %+v", seed, d)
 				}
 			}
 			if t.Failed() {
@@ -124,13 +125,13 @@
 			l.endUncertain(t, s, unsure)
 		}
 		if m.peakBytes > testBudget {
-			t.Fatalf("seed %d: %d bytes of %d", seed, m.peakBytes, testBudget)
+			t.Fatalf("seed %d: peak of %d bytes, budget %d", seed, m.peakBytes, testBudget)
 		}
 	}
 }
 
-// A power cut: with each append synced all that was promised is there; with group sync
-// all up to the latest sync; with neither nothing is promised, and the log can be read.
+// After a power failure all acknowledged records must be present with durability Each, and all records up to the latest
+// sync with Group. With Process no record is guaranteed, but the log must be readable.
 func TestPowerCut(t *testing.T) {
 	for seed := range uint64(100) {
 		for _, d := range []Durability{Each, Group, Process} {
@@ -148,7 +149,7 @@
 				}
 				s.timer.Stop()
 			}
-			m.crashAfter = 3000 // some more that nobody was promised, but with Each
+			m.crashAfter = 3000 // with Each, append until a simulated crash
 			var err error
 			for err == nil && d == Each {
 				err = l.step(s)
@@ -167,8 +168,8 @@
 	}
 }
 
-// A disk that runs full, a short write, a sync that fails: nothing is promised that is
-// not there, nothing before is lost, and a sync that failed is not tried again.
+// If the disk is full, a write is short or a sync fails, the append must return an error and no earlier record may be
+// lost. After a failed sync the store must reject all appends.
 func TestFaults(t *testing.T) {
 	m := newMemoryFS()
 	s := openStore(t, m, Process)
@@ -185,14 +186,14 @@
 	}
 	unsure := l.lastEntity
 	if !errors.Is(err, errNoSpace) {
-		t.Fatalf("a full disk: %v", err)
+		t.Fatalf("disk full: %v", err)
 	}
 	l.checkContent(t, s, "with the disk full", unsure)
 	m.capacity = 0
 	for range 50 {
 		m.shortWrite = true
 		if err := l.step(s); !errors.Is(err, errIO) {
-			t.Fatalf("a short write: %v", err)
+			t.Fatalf("short write: %v", err)
 		}
 		l.checkContent(t, s, "after a short write", 0)
 		if err := l.step(s); err != nil {
@@ -207,15 +208,16 @@
 	}
 	m.syncErr = errIO
 	if err := l.step(s); !errors.Is(err, ErrBroken) {
-		t.Fatalf("a failed sync: %v", err)
+		t.Fatalf("failed sync: %v", err)
 	}
 	m.syncErr = nil
 	if err := s.Append(Record{Entity: 1 << 40}); !errors.Is(err, ErrBroken) {
-		t.Errorf("after a failed sync: %v", err)
+		t.Errorf("append after a failed sync: %v", err)
 	}
 }
 
-// More live than fits: the store says so, and ends still get through and make room.
+// If live records exhaust the budget, appends must return ErrFull, and End records must still be accepted and free
+// space.
 func TestBudgetExhausted(t *testing.T) {
 	m := newMemoryFS()
 	s := openStore(t, m, Process)
@@ -223,7 +225,7 @@
 	for s.CanAdmit(1000) {
 		id++
 		if err := s.Append(Record{Entity: id, Data: make([]byte, 900)}); err != nil {
-			t.Fatalf("%v though there is room: %+v", err, s.Stats())
+			t.Fatalf("append failed after CanAdmit: %v, %+v", err, s.Stats())
 		}
 	}
 	var err error
@@ -232,7 +234,7 @@
 		err = s.Append(Record{Entity: id, Data: make([]byte, 900)})
 	}
 	if !errors.Is(err, ErrFull) || m.peakBytes > testBudget {
-		t.Fatalf("%v, %d bytes", err, m.peakBytes)
+		t.Fatalf("%v, peak of %d bytes", err, m.peakBytes)
 	}
 	for i := uint64(1); i < id; i++ {
 		if err := s.Append(Record{Entity: i, Kind: End}); err != nil {
@@ -244,7 +246,7 @@
 	}
 }
 
-// A second process is refused, with the pid of the first.
+// A second process must get ErrLocked with the PID of the first.
 func TestLocked(t *testing.T) {
 	dir := t.TempDir()
 	c := exec.Command(os.Args[0])
@@ -270,7 +272,7 @@
 	s.Close()
 }
 
-// Group sync: one sync stands for many appends.
+// With durability Group one sync covers many appends.
 func TestGroupDurability(t *testing.T) {
 	m := newMemoryFS()
 	s, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10, Durability: Group, GroupWait: time.Millisecond})
@@ -285,7 +287,7 @@
 	}
 	for until := time.Now().Add(20 * time.Second); s.Stats().Syncs == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("never synced")
+			t.Fatal("no sync within 20 s")
 		}
 	}
 	if n := s.Stats().Syncs; n > 20 {
@@ -293,8 +295,8 @@
 	}
 }
 
-// A crash at every call of the file system in turn, over rolls and compaction, by a kill
-// and by a power cut that loses what was not synced.
+// A crash at any modifying file system call, also while starting a segment or compacting, must not lose acknowledged
+// records. It is a kill with durability Process and a power failure, which loses unsynced data, with Each.
 func TestCrashAtEveryCall(t *testing.T) {
 	run := func(m *memoryFS, d Durability, l *workload) error {
 		s, err := Open(Options{FS: m, Budget: 80 << 10, Segment: 5 << 10, Durability: d, GroupWait: time.Hour})
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -12,11 +12,11 @@
 	"unicode/utf8"
 )
 
-// OpenReadOnly reads a folder without locking or changing it, also while another process has it open. The store that
-// it returns can be read, not appended to.
+// OpenReadOnly opens the store in a folder without locking or changing the folder, also while another process has it
+// open. The returned store rejects appends.
 func OpenReadOnly(fsys FS) (*Store, error) {
-	// Compaction may remove a segment after it was listed. Its live records then lie in a younger one, which the next
-	// attempt reads.
+	// Compaction by another process may remove a segment after it was listed. Its live records are then in a newer
+	// segment, which the next attempt reads.
 	var err error
 	for range maxReadAttempts {
 		s := newStore(Options{FS: fsys})
@@ -34,32 +34,32 @@
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("store: the folder changes faster than it can be read: %w", err)
+	return nil, fmt.Errorf("store: folder changed during each of several attempts to read it: %w", err)
 }
 
-// maxReadAttempts bounds the attempts to read a folder that changes meanwhile.
+// maxReadAttempts is the maximum number of attempts to read a folder that is being changed.
 const maxReadAttempts = 5
 
-var errReadOnly = errors.New("store: opened to be read only")
+var errReadOnly = errors.New("store: opened read-only")
 
-// Summary describes the content of a folder, for operators.
+// Summary describes the content of a store for operators.
 type Summary struct {
 	Segments []SegmentSummary `json:"segments"`
 	Entities int              `json:"entities"`
-	Doubtful int              `json:"doubtful"` // entities of which a damaged part may hide a record
+	Doubtful int              `json:"doubtful"` // entities that may have lost a record to damage
 	Live     int64            `json:"live_bytes"`
 	Disk     int64            `json:"disk_bytes"`
 	Damages  []Damage         `json:"damages,omitempty"`
 }
 
-// SegmentSummary describes one file.
+// SegmentSummary describes one segment file.
 type SegmentSummary struct {
 	File string `json:"file"`
 	Size int64  `json:"size"`
 	Live int64  `json:"live_bytes"`
 }
 
-// Summary describes the store.
+// Summary returns a description of the store's content.
 func (s *Store) Summary() Summary {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +75,7 @@
 	return sum
 }
 
-// maxVerifyErrors bounds the errors that Verify returns.
+// maxVerifyErrors is the maximum number of errors that Verify returns.
 const maxVerifyErrors = 100
 
 // Verify reads every live record and returns the errors of up to 100 entities that can't be read.
@@ -90,7 +90,7 @@
 	return errors.Join(errs...)
 }
 
-// dumpLine is a record in the output of Dump.
+// dumpLine is a line in the output of Dump, which describes one record.
 type dumpLine struct {
 	Entity uint64 `json:"entity"`
 	LSN    uint64 `json:"lsn"`
@@ -98,10 +98,10 @@
 	Dest   int64  `json:"dest,omitempty"`
 	Key    string `json:"key,omitempty"`
 	Text   string `json:"text,omitempty"`
-	Data   []byte `json:"data,omitempty"` // base64, where it is not UTF-8
+	Data   []byte `json:"data,omitempty"` // base64; used instead of Text if the data is not valid UTF-8
 }
 
-// Dump writes the live records as JSON lines, in the order of entities.
+// Dump writes the live records as JSON lines, ordered by entity.
 func (s *Store) Dump(out io.Writer) error {
 	enc := json.NewEncoder(out)
 	var failed error
@@ -122,12 +122,12 @@
 	return failed
 }
 
-// Backup copies the segments of a folder into one that has none, in bounded memory, and returns the bytes copied. The
-// source may be in use: the oldest segments go first, so that records which compaction moves meanwhile land in
-// segments that are copied later.
+// Backup copies the segments of a folder into a folder without segments, in bounded memory, and returns the number of
+// bytes copied. The source may be in use. The oldest segments are copied first, so that records which compaction moves
+// during the backup are moved to segments that are copied later.
 func Backup(from, to FS) (int64, error) {
 	if names, err := listSegments(to); err != nil || len(names) > 0 {
-		return 0, errors.Join(err, errors.New("store: the folder for the copy must hold no segments"))
+		return 0, errors.Join(err, errors.New("store: target folder must not contain segments"))
 	}
 	total := int64(0)
 	done := map[string]bool{}
@@ -154,18 +154,18 @@
 	}
 }
 
-// listSegments returns the names of the segments in a folder, the oldest first.
+// listSegments returns the names of the segment files in a folder, from oldest to newest.
 func listSegments(fsys FS) ([]string, error) {
 	names, err := fsys.List()
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	names = slices.DeleteFunc(names, func(n string) bool { return !strings.HasSuffix(n, ".log") })
-	slices.Sort(names) // their numbers have the same length
+	slices.Sort(names) // the numbers in the names have a fixed length
 	return names, nil
 }
 
-// copySegment copies the current content of a file.
+// copySegment copies the current content of a segment file and returns the number of bytes copied.
 func copySegment(from, to FS, name string) (int64, error) {
 	src, err := from.Open(name)
 	if err != nil {
@@ -195,9 +195,8 @@
 	return size, dst.Sync()
 }
 
-// Repair writes the entities that can be read in one folder into a new store in another, in the order in which they
-// began. With sound set it skips entities that may lack a record. It returns the numbers of entities written and
-// skipped.
+// Repair copies the readable entities of a store to a new store in another folder, ordered by their first records. If
+// intactOnly is set, it skips entities that may lack a record. It returns the numbers of entities written and skipped.
 func Repair(from FS, to Options, intactOnly bool) (written, skipped int, err error) {
 	s, err := OpenReadOnly(from)
 	if err != nil {
@@ -210,9 +209,9 @@
 	}
 	defer func() { err = errors.Join(err, repaired.Sync(), repaired.Close()) }()
 	if repaired.Stats().Entities > 0 {
-		return 0, 0, errors.New("store: the folder for the repaired store must hold none")
+		return 0, 0, errors.New("store: target folder of a repair must not contain a store")
 	}
-	// By LSN, so that the order over entities stays.
+	// Order entities by the LSN of their first record to preserve their order in the new store.
 	type orderedID struct {
 		firstLSN uint64
 		id       uint64
--- a/internal/store/workload_test.go
+++ b/internal/store/workload_test.go
@@ -9,20 +9,21 @@
 	"testing"
 )
 
-// workload appends to entities that begin, grow and end, and keeps what must be in the store.
+// workload appends records that create, extend and end entities at random, and tracks the expected content of the
+// store.
 type workload struct {
 	rng        *rand.Rand
 	next       uint64
-	live       map[uint64][]string // promised
+	live       map[uint64][]string // data of the acknowledged records by entity
 	ids        []uint64
-	lastEntity uint64 // the entity of the latest append, of which nobody knows if that failed
+	lastEntity uint64 // entity of the latest append, which may have failed
 }
 
 func newWorkload(seed uint64) *workload {
 	return &workload{rng: rand.New(rand.NewPCG(seed, 1)), next: 1, live: map[uint64][]string{}}
 }
 
-// step appends once; its error ends the traffic.
+// step makes one append and returns its error.
 func (l *workload) step(s *Store) error {
 	if len(l.ids) > 0 && (len(l.ids) > 150 || l.rng.IntN(5) < 2) {
 		i := l.rng.IntN(len(l.ids))
@@ -65,15 +66,15 @@
 	return nil
 }
 
-// checkContent checks that a store has what was appended, no more and no less. The entity of an append that failed may have
-// that append or not.
+// checkContent checks that a store contains exactly the acknowledged records. The uncertain entity may also have the
+// record of a failed append; 0 means that there is none.
 func (l *workload) checkContent(t *testing.T, s *Store, stage string, uncertain uint64) {
 	t.Helper()
 	seen := 0
 	s.Entities(func(e Entity) bool {
 		want, live := l.live[e.ID]
 		if !live && e.ID != uncertain {
-			t.Errorf("%s: entity %d came back", stage, e.ID)
+			t.Errorf("%s: ended or unknown entity %d is live", stage, e.ID)
 			return false
 		}
 		if live {
@@ -91,21 +92,22 @@
 		if e.ID != uncertain && !slices.Equal(got, want) {
 			t.Errorf("%s: entity %d has %d records, want %d", stage, e.ID, len(got), len(want))
 		}
-		if e.ID != uncertain && live && (e.Time != int64(e.ID) || e.Dest != int64(e.ID%7) || e.Key != fmt.Sprint("k", e.ID%50)) {
+		if e.ID != uncertain && live && (e.Time != int64(e.ID) || e.Dest != int64(e.ID%7) ||
+			e.Key != fmt.Sprint("k", e.ID%50)) {
 			t.Errorf("%s: entity %d reads as %+v", stage, e.ID, e)
 		}
 		return !t.Failed()
 	})
 	missing := len(l.live) - seen
 	if _, was := l.live[uncertain]; was && missing == 1 {
-		missing = 0 // its end got through
+		missing = 0 // its End record was written
 	}
 	if missing != 0 {
-		t.Errorf("%s: %d entities are lost", stage, missing)
+		t.Errorf("%s: %d entities are missing", stage, missing)
 	}
 }
 
-// endUncertain ends the entity whose last append had an unknown outcome.
+// endUncertain ends the entity whose latest append may have failed.
 func (l *workload) endUncertain(t *testing.T, s *Store, uncertain uint64) {
 	t.Helper()
 	if err := s.Append(Record{Entity: uncertain, Kind: End}); err != nil {
