--- a/internal/endpointgroup/group.go
+++ b/internal/endpointgroup/group.go
@@ -154,7 +154,7 @@
 			g.remove(id, now)
 		}
 	}
-	g.forgetRemoved(now)
+	g.pruneRemoved(now)
 	endpoints := make([]control.Endpoint, 0, len(targets))
 	for _, t := range targets {
 		known := g.byID[t.ID]
@@ -220,8 +220,8 @@
 	}
 }
 
-// forgetRemoved deletes the targets that were removed at least removedRetention ago.
-func (g *Group) forgetRemoved(now time.Time) {
+// pruneRemoved deletes the targets that were removed at least removedRetention ago.
+func (g *Group) pruneRemoved(now time.Time) {
 	for id, since := range g.removedAt {
 		if now.Sub(since) < removedRetention {
 			continue
--- a/internal/endpointgroup/group_test.go
+++ b/internal/endpointgroup/group_test.go
@@ -63,7 +63,7 @@
 
 // Targets removed long ago must be deleted, also if they were removed only by being absent from a full list. A target
 // that is listed again in time must keep its number.
-func TestForgetRemoved(t *testing.T) {
+func TestPruneRemoved(t *testing.T) {
 	g, now := New(), time.Now()
 	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
 	returning := up("back")
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -150,44 +150,44 @@
 	malformed bool
 }
 
-func (c *payloadDecoder) advance(n int) {
-	if n <= 0 || n > len(c.b) {
-		c.malformed, c.b = true, nil
+func (d *payloadDecoder) advance(n int) {
+	if n <= 0 || n > len(d.b) {
+		d.malformed, d.b = true, nil
 		return
 	}
-	c.b = c.b[n:]
+	d.b = d.b[n:]
 }
 
-func (c *payloadDecoder) uvarint() uint64 {
-	v, n := binary.Uvarint(c.b)
-	c.advance(n)
+func (d *payloadDecoder) uvarint() uint64 {
+	v, n := binary.Uvarint(d.b)
+	d.advance(n)
 	return v
 }
 
-func (c *payloadDecoder) varint() int64 {
-	v, n := binary.Varint(c.b)
-	c.advance(n)
+func (d *payloadDecoder) varint() int64 {
+	v, n := binary.Varint(d.b)
+	d.advance(n)
 	return v
 }
 
-func (c *payloadDecoder) byte() byte {
-	if len(c.b) == 0 {
-		c.malformed = true
+func (d *payloadDecoder) byte() byte {
+	if len(d.b) == 0 {
+		d.malformed = true
 		return 0
 	}
-	v := c.b[0]
-	c.b = c.b[1:]
+	v := d.b[0]
+	d.b = d.b[1:]
 	return v
 }
 
-func (c *payloadDecoder) bytes() []byte {
-	n := c.uvarint()
-	if n > uint64(len(c.b)) {
-		c.malformed, c.b = true, nil
+func (d *payloadDecoder) bytes() []byte {
+	n := d.uvarint()
+	if n > uint64(len(d.b)) {
+		d.malformed, d.b = true, nil
 		return nil
 	}
-	v := c.b[:n:n]
-	c.b = c.b[n:]
+	v := d.b[:n:n]
+	d.b = d.b[n:]
 	return v
 }
 
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -52,9 +52,9 @@
 	}, btree.Options{NoLocks: true})
 }
 
-// addToIndex updates the index for a record at an offset in a segment.
-func (s *Store) addToIndex(r *Record, g *segment, offset int64) {
-	s.highest = max(s.highest, r.Entity)
+// indexRecord updates the index for a record at an offset in a segment.
+func (s *Store) indexRecord(r *Record, g *segment, offset int64) {
+	s.highestEntity = max(s.highestEntity, r.Entity)
 	e := s.entities[r.Entity]
 	if r.Kind == End {
 		if e != nil {
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -31,7 +31,7 @@
 			slices.Sort(list)
 			return list
 		}
-		appended := func(r Record) {
+		appendRecord := func(r Record) {
 			if err := s.Append(r); err != nil {
 				t.Fatalf("%+v: %v, %+v", r, err, s.Stats())
 			}
@@ -57,7 +57,7 @@
 				if len(live) >= 12 {
 					t.Skip("too many live entities")
 				}
-				appended(Record{Entity: next, Key: fmt.Sprint(next), Data: data()})
+				appendRecord(Record{Entity: next, Key: fmt.Sprint(next), Data: data()})
 				next++
 			},
 			"more": func(*rapid.T) {
@@ -69,13 +69,13 @@
 				if len(live[id]) > 3 || rapid.Bool().Draw(t, "base") {
 					kind = Base
 				}
-				appended(Record{Entity: id, Kind: kind, Data: data()})
+				appendRecord(Record{Entity: id, Kind: kind, Data: data()})
 			},
 			"end": func(*rapid.T) {
 				if len(live) == 0 {
 					t.Skip("none")
 				}
-				appended(Record{Entity: anyLive(), Kind: End})
+				appendRecord(Record{Entity: anyLive(), Kind: End})
 			},
 			"restart": func(*rapid.T) { s.Close(); reopen() },
 			"kill":    func(*rapid.T) { reopen() },
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -322,7 +322,7 @@
 		}
 		for _, r := range list[i].records {
 			if r.Kind != seal {
-				s.highest = max(s.highest, r.Entity)
+				s.highestEntity = max(s.highestEntity, r.Entity)
 			}
 			switch r.Kind {
 			case End:
@@ -352,7 +352,7 @@
 			continue
 		}
 		g := s.segment(r.location.segment)
-		s.addToIndex(&r.Record, g, r.location.offset)
+		s.indexRecord(&r.Record, g, r.location.offset)
 		e := s.entities[r.Entity]
 		e.locations[len(e.locations)-1].size = r.location.size
 		if size := r.Record.size(); size != int64(r.location.size) { // correct the size, which was computed without the data
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -39,7 +39,7 @@
 		if len(s.Damages()) == 0 {
 			t.Fatalf("%s, %d to %d: damage not detected", name, from, to)
 		}
-		sound := 0
+		intact := 0
 		s.Entities(func(e Entity) bool {
 			list, err := s.Load(e.ID)
 			if err != nil {
@@ -51,7 +51,7 @@
 					len(list), len(want))
 			}
 			if !e.Doubtful {
-				sound++
+				intact++
 			}
 			return true
 		})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -51,7 +51,7 @@
 	byTime           *btree.BTreeG[indexKey]
 	byDest           *btree.BTreeG[indexKey]
 	nextLSN          uint64 // LSN of the next record
-	highest          uint64 // highest entity ID in the log, live or ended
+	highestEntity    uint64 // highest entity ID in the log, live or ended
 	nextSegment      uint64 // number of the next segment
 	diskBytes        int64  // size of all files, each rounded up to whole blocks
 	liveBytes        int64
@@ -148,7 +148,7 @@
 	s.stats.Appended += size
 	g := s.activeSegment()
 	for i := range batch {
-		s.addToIndex(&batch[i], g, offset)
+		s.indexRecord(&batch[i], g, offset)
 	}
 	s.stats.LargestStep = max(s.stats.LargestStep, step)
 	return s.syncIfRequired()
@@ -248,7 +248,7 @@
 func (s *Store) Highest() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.highest
+	return s.highestEntity
 }
 
 // Stats returns the current statistics.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -111,9 +111,9 @@
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 			m.crashAfter = -1
-			unsure := l.lastEntity
+			uncertain := l.lastEntity
 			s = openStore(t, m, Process)
-			l.checkContent(t, s, fmt.Sprintf("seed %d, round %d", seed, round), unsure)
+			l.checkContent(t, s, fmt.Sprintf("seed %d, round %d", seed, round), uncertain)
 			for _, d := range s.Damages() {
 				if !d.Tail {
 					t.Errorf("seed %d: damage after a kill: %+v", seed, d)
@@ -122,7 +122,7 @@
 			if t.Failed() {
 				return
 			}
-			l.endUncertain(t, s, unsure)
+			l.endUncertain(t, s, uncertain)
 		}
 		if m.peakBytes > testBudget {
 			t.Fatalf("seed %d: peak of %d bytes, budget %d", seed, m.peakBytes, testBudget)
@@ -154,11 +154,11 @@
 			for err == nil && d == Each {
 				err = l.step(s)
 			}
-			unsure := l.lastEntity
+			uncertain := l.lastEntity
 			m.cutPower(rand.New(rand.NewPCG(seed, 2)))
 			s = openStore(t, m, d)
 			if d != Process {
-				l.checkContent(t, s, fmt.Sprintf("seed %d, durability %d", seed, d), unsure)
+				l.checkContent(t, s, fmt.Sprintf("seed %d, durability %d", seed, d), uncertain)
 			}
 			if t.Failed() {
 				return
@@ -184,11 +184,11 @@
 	for err == nil {
 		err = l.step(s)
 	}
-	unsure := l.lastEntity
+	uncertain := l.lastEntity
 	if !errors.Is(err, errNoSpace) {
 		t.Fatalf("disk full: %v", err)
 	}
-	l.checkContent(t, s, "with the disk full", unsure)
+	l.checkContent(t, s, "with the disk full", uncertain)
 	m.capacity = 0
 	for range 50 {
 		m.shortWrite = true
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -216,14 +216,14 @@
 		firstLSN uint64
 		id       uint64
 	}
-	var items []orderedID
+	var order []orderedID
 	s.mu.Lock()
 	for id, e := range s.entities {
-		items = append(items, orderedID{e.locations[0].lsn, id})
+		order = append(order, orderedID{e.locations[0].lsn, id})
 	}
 	s.mu.Unlock()
-	slices.SortFunc(items, func(a, b orderedID) int { return cmp.Compare(a.firstLSN, b.firstLSN) })
-	for _, x := range items {
+	slices.SortFunc(order, func(a, b orderedID) int { return cmp.Compare(a.firstLSN, b.firstLSN) })
+	for _, x := range order {
 		e, _ := s.Get(x.id)
 		list, err := s.Load(x.id)
 		if err != nil || intactOnly && e.Doubtful {
--- a/internal/wal/class.go
+++ b/internal/wal/class.go
@@ -50,8 +50,8 @@
 	bits := d.octet()
 	c.KeyZoneScoped, c.Ordered, c.Streaming = bits&classKeyZoneScoped != 0, bits&classOrdered != 0,
 		bits&classStreaming != 0
-	for _, span := range []*time.Duration{&c.LatencyObjective, &c.Deadline, &c.KeyRetention} {
-		*span = time.Duration(d.varint())
+	for _, duration := range []*time.Duration{&c.LatencyObjective, &c.Deadline, &c.KeyRetention} {
+		*duration = time.Duration(d.varint())
 	}
 	for _, v := range []*float64{&c.ObjectiveStretch, &c.PriorityWeight, &c.LateWeight} {
 		*v = d.float()
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -21,8 +21,8 @@
 // fixture is an open log together with the messages that it restored or accepted and that still need processing.
 type fixture struct {
 	*Log
-	entries []*Entry
-	next    control.MessageID
+	entries    []*Entry
+	nextNumber control.MessageID
 }
 
 // openLog opens the log in a folder.
@@ -40,10 +40,10 @@
 // accept adds the record of a new message with a body of the given size.
 func (f *fixture) accept(id string, size int) *Entry {
 	e := &Entry{Accepted: Accepted{
-		Number: f.next, ID: id, Key: "k-" + id, Class: 1, Tenant: 2, Destination: 3, Resubmitted: true,
+		Number: f.nextNumber, ID: id, Key: "k-" + id, Class: 1, Tenant: 2, Destination: 3, Resubmitted: true,
 		Deadline: time.UnixMicro(1e15), Body: bytes.Repeat([]byte("x"), size),
 	}}
-	f.next++
+	f.nextNumber++
 	f.entries = append(f.entries, e)
 	f.AddAccepted(&e.Accepted)
 	return e
@@ -117,8 +117,8 @@
 		if o := l.byID("deferred").Outcome; o.RetryAfter != 500*time.Millisecond {
 			t.Fatalf("outcome %+v", o)
 		}
-		if l.next != 6 { // the number of "ended" must not be reused, though the message has ended
-			t.Fatalf("next number is %d, want 6", l.next)
+		if l.nextNumber != 6 { // the number of "ended" must not be reused, though the message has ended
+			t.Fatalf("next number is %d, want 6", l.nextNumber)
 		}
 		l.Close()
 	}
@@ -177,8 +177,8 @@
 	l.Close()
 	name := logFile(t, dir)
 	content, _ := os.ReadFile(name)
-	at := bytes.Index(content, []byte("second"))
-	content[at] ^= 0xff
+	offset := bytes.Index(content, []byte("second"))
+	content[offset] ^= 0xff
 	os.WriteFile(name, content, 0o600)
 	l = openLog(t, dir, 1e6)
 	if got, want := describe(l.entries), "first:r0/1 third:/0 "; got != want {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -77,15 +77,15 @@
 	outcomeReturnable = 16 // without the dead-letter queue, the message would be returned to its client
 )
 
-func appendString(to []byte, s string) []byte {
-	return append(binary.AppendUvarint(to, uint64(len(s))), s...)
+func appendString(buf []byte, s string) []byte {
+	return append(binary.AppendUvarint(buf, uint64(len(s))), s...)
 }
 
-func appendFlag(to []byte, b bool) []byte {
+func appendFlag(buf []byte, b bool) []byte {
 	if b {
-		return append(to, 1)
+		return append(buf, 1)
 	}
-	return append(to, 0)
+	return append(buf, 0)
 }
 
 // newRecord returns the start of a message's record, with capacity for size bytes besides its numbers.
--- a/internal/wal/singlefile.go
+++ b/internal/wal/singlefile.go
@@ -114,11 +114,11 @@
 }
 
 // appendFramed appends a record in the frame of the single-file format.
-func appendFramed(to, record []byte) []byte {
-	to = append(to, singleFileMagic...)
-	to = binary.LittleEndian.AppendUint32(to, uint32(len(record)))
-	to = binary.LittleEndian.AppendUint32(to, crc32.ChecksumIEEE(record))
-	return append(to, record...)
+func appendFramed(buf, record []byte) []byte {
+	buf = append(buf, singleFileMagic...)
+	buf = binary.LittleEndian.AppendUint32(buf, uint32(len(record)))
+	buf = binary.LittleEndian.AppendUint32(buf, crc32.ChecksumIEEE(record))
+	return append(buf, record...)
 }
 
 // applyFramed applies all readable records and returns the number of bytes that it could not read. After a damaged
--- a/internal/wal/timebase.go
+++ b/internal/wal/timebase.go
@@ -99,13 +99,13 @@
 
 // continues reports whether the monotonic clock has been running since an earlier anchor, which is so if both anchors
 // belong to the same boot of the machine.
-func (a Anchor) continues(before Anchor) bool {
-	return a.Boot == before.Boot && a.Monotonic >= before.Monotonic
+func (a Anchor) continues(earlier Anchor) bool {
+	return a.Boot == earlier.Boot && a.Monotonic >= earlier.Monotonic
 }
 
 // timeBaseSince returns the time base of an earlier anchor of the same boot, advanced to this anchor.
-func (a Anchor) timeBaseSince(before Anchor) *TimeBase {
-	return NewTimeBase(a.instant, before.Stamp+a.Monotonic-before.Monotonic)
+func (a Anchor) timeBaseSince(earlier Anchor) *TimeBase {
+	return NewTimeBase(a.instant, earlier.Stamp+a.Monotonic-earlier.Monotonic)
 }
 
 func readAnchor(dir string) (a Anchor, err error) {
