--- a/internal/endpointgroup/group.go
+++ b/internal/endpointgroup/group.go
@@ -96,8 +96,8 @@
 	return list
 }
 
-// controllerState returns the state of a target that the controller is given. A target is draining there if it is
-// excluded, and all targets are while sends are suspended.
+// controllerState returns a target's endpoint as passed to the controller. A ready target is passed as draining if it
+// is excluded or sends are suspended.
 func (g *Group) controllerState(t *Target) control.Endpoint {
 	e := t.Endpoint
 	if (g.suspended || g.excluded[t.ID]) && e.State == control.Ready {
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -1,5 +1,5 @@
 // Package permit decides whether a message may be sent now. The controller plans sends, and each one is checked here
-// again immediately before it is written, with the latest state. After it was written it is audited by the same rules.
+// again immediately before it is written, with the latest state. After the write it is audited by the same rules.
 // The package does no I/O and reads no clock: times are parameters.
 //
 // The rules are those of PROTOCOL ('The rules on sockets') and STANDING; their parameters come from the settings.
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -16,7 +16,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// BenchmarkMessageLifecycle measures the appends that a sender makes per message, with compaction.
+// BenchmarkMessageLifecycle measures the appends of a message's lifecycle at a sender: its acceptance, an attempt and
+// its end.
 func BenchmarkMessageLifecycle(b *testing.B) {
 	for _, c := range []struct {
 		live   int
@@ -99,8 +100,8 @@
 	b.ReportMetric(float64(pauses[len(pauses)*999/1000].Microseconds()), "p99.9-µs")
 }
 
-// BenchmarkOpen measures the memory and the time that opening takes, by the number and size of live records, up to 1
-// GB.
+// BenchmarkOpen measures memory usage and the time to open a store by number and size of live records. The largest case
+// has 1 GB.
 func BenchmarkOpen(b *testing.B) {
 	for _, c := range []struct{ n, size int }{{10_000, 1000}, {100_000, 1000}, {1_000_000, 100}, {1_000_000, 1000}} {
 		b.Run(fmt.Sprint(c.n, "x", c.size), func(b *testing.B) { benchmarkOpen(b, c.n, c.size) })
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -21,7 +21,7 @@
 			}
 		}
 	}
-	// One pass over the whole log reclaims all space that can be reclaimed, so twice its size is enough.
+	// One pass over the whole log reclaims all space that can be reclaimed, so reading twice the log's size suffices.
 	for limit := 2 * s.diskBytes; !s.fits(size, spare) && read < limit && len(s.segments) > 1; {
 		n, err := s.compactStep(s.options.Segment)
 		if read += n; err != nil {
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -85,7 +85,7 @@
 	return binary.LittleEndian.Uint64(b[12:]), nil
 }
 
-// appendFrame appends a batch to a buffer as one appendFrame.
+// appendFrame appends a batch to a buffer as one frame.
 func appendFrame(buf []byte, batch []Record) []byte {
 	start := len(buf)
 	buf = append(buf, frameMagic...)
--- a/internal/store/memoryfs_test.go
+++ b/internal/store/memoryfs_test.go
@@ -77,7 +77,7 @@
 	if f := m.files[name]; f != nil {
 		return f, nil
 	}
-	return nil, os.ErrNotExist // as the operating system returns
+	return nil, os.ErrNotExist // the same error as from the operating system
 }
 
 func (m *memoryFS) Remove(name string) error {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -17,10 +17,10 @@
 	File   string `json:"file"`
 	Offset int64  `json:"offset"`
 	Length int64  `json:"length"`
-	// Tail: the part is at the end of the log, as after a process was killed during an append, which was then not
-	// acknowledged.
+	// Tail means that the part is at the end of the log, as after a process was killed during an append, which was then
+	// not acknowledged.
 	Tail bool `json:"tail,omitempty"`
-	// Missing: the segments before this file are missing.
+	// Missing means that one or more segments before this file are missing.
 	Missing bool `json:"missing,omitempty"`
 }
 
@@ -30,12 +30,12 @@
 	records    []locatedRecord
 	damages    []Damage
 	highestLSN uint64
-	nameNumber uint64 // the number in its file name
-	missing    bool   // the segments before it are missing
+	nameNumber uint64 // segment number in the file name
+	missing    bool   // one or more segments before it are missing
 	err        error
 }
 
-// locatedRecord is a record without its data.
+// locatedRecord is a record without its data, and its location.
 type locatedRecord struct {
 	Record
 	location location
@@ -366,8 +366,8 @@
 }
 
 // doubtfulLSNLimit logs the damages and returns an LSN limit: an entity whose first record has a lower LSN may have
-// lost a record to damage. The limit is the highest LSN in the damaged segment, or no limit if the end of that segment
-// is damaged.
+// lost a record to damage. For damage within a segment the limit is the highest LSN in that segment. If the damage
+// reaches the end of the segment, any entity may be affected, and the limit is the maximum value.
 func (s *Store) doubtfulLSNLimit(list []segmentContent) uint64 {
 	limit := uint64(0)
 	for i := range list {
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -140,7 +140,8 @@
 	}
 }
 
-// A store in use can be looked into, and a damaged one repaired beside.
+// A store in use can be opened read-only. A damaged store can be repaired into another folder without changing its
+// files.
 func TestOpenReadOnlyAndRepair(t *testing.T) {
 	m := newMemoryFS()
 	s := openStore(t, m, Process)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -59,7 +59,7 @@
 	t.Logf("%+v, write amplification %.2f", stats, 1+float64(stats.Copied)/float64(stats.Appended))
 	s.Close()
 	reopened := openStore(t, m, Process)
-	l.checkContent(t, reopened, "opened again", 0)
+	l.checkContent(t, reopened, "after reopening", 0)
 	if len(reopened.Damages()) > 0 {
 		t.Errorf("damage: %+v", reopened.Damages())
 	}
@@ -202,7 +202,7 @@
 	}
 	s.Close()
 	s = openStore(t, m, Each)
-	l.checkContent(t, s, "opened again", 0)
+	l.checkContent(t, s, "after reopening", 0)
 	if len(s.Damages()) > 0 {
 		t.Errorf("%+v", s.Damages())
 	}
@@ -242,7 +242,7 @@
 		}
 	}
 	if err := s.Append(Record{Entity: id, Data: make([]byte, 900)}); err != nil || !s.CanAdmit(1000) {
-		t.Errorf("after all have ended: %v", err)
+		t.Errorf("append after all entities have ended: %v", err)
 	}
 }
 
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -2,8 +2,8 @@
 // the state folder, maintains the time base of their timestamps, replays the records at startup, and imports the log
 // of older programs, which was a single file.
 //
-// Each message is an entity of the store from its acceptance until the sender owes nothing more for it, neither a
-// delivery nor a report. All records that one iteration of the event loop adds are appended as one batch, and the log
+// Each message is an entity of the store from its acceptance until neither a delivery nor a report is pending for it.
+// All records that one iteration of the event loop adds are appended as one batch, and the log
 // is never rewritten as a whole. This package defines the encoding of records and how replay combines them into the
 // state of a message. Package internal/state decides when to write which record and how to process a message further.
 package wal
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -312,7 +312,7 @@
 	}
 }
 
-// After a reboot the time base is created anew, and its timestamps must not go back behind those from before.
+// After a reboot a new time base is created, whose timestamps must not be lower than those before the reboot.
 func TestTimeBaseAfterReboot(t *testing.T) {
 	dir := t.TempDir()
 	ahead := time.Now().Add(time.Minute).UnixMicro()
