--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -3,9 +3,9 @@
 // of older programs, which was a single file.
 //
 // Each message is an entity of the store from its acceptance until neither a delivery nor a report is pending for it.
-// All records that one iteration of the event loop adds are appended as one batch, and the log
-// is never rewritten as a whole. This package defines the encoding of records and how replay combines them into the
-// state of a message. Package internal/state decides when to write which record and how to process a message further.
+// All records that one iteration of the event loop adds are appended as one batch, and the log is never rewritten as a
+// whole. This package defines the encoding of records and how replay combines them into the state of a message. Package
+// internal/state decides when to write which record and how to process a message further.
 package wal
 
 import (
