--- a/internal/endpointgroup/group_test.go
+++ b/internal/endpointgroup/group_test.go
@@ -7,16 +7,16 @@
 	"cleathold/control"
 )
 
-// What operators exclude drains for the controller, whatever discovery says of it, until they include it again; what
-// discovery drains or removes stays so.
+// A target that operators exclude must be draining for the controller until it is included again, even if discovery
+// lists it as ready. Including a target must not affect one that discovery drains or removes.
 func TestSetExcluded(t *testing.T) {
 	g := New()
 	now := time.Unix(1000, 0)
 	target := func(id string, s control.EndpointState) Target {
 		return Target{ID: id, Endpoint: control.Endpoint{Destination: 7, State: s}}
 	}
-	states := func(lines []control.Endpoint) (text string) {
-		for _, e := range lines {
+	states := func(endpoints []control.Endpoint) (text string) {
+		for _, e := range endpoints {
 			text += map[control.EndpointState]string{control.Ready: "r", control.Draining: "d", control.Removed: "x"}[e.State]
 		}
 		return text
@@ -38,37 +38,38 @@
 	}
 }
 
-// While sends are suspended no target is shown as ready; those that leave by a part of a list stay out afterwards.
+// While sends are suspended the controller must see no target as ready. A target that UpdateDeparting drained meanwhile
+// must not become ready when sends resume.
 func TestSetSuspended(t *testing.T) {
 	g := New()
 	now := time.Now()
 	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
 	g.Update(control.ListFull, 3, []Target{up("a"), up("b"), up("c")}, now)
 	g.SetExcluded([]string{"c"})
-	leaves := up("a")
-	leaves.State = control.Draining
-	if lines := g.UpdateDeparting([]Target{leaves, {ID: "stranger"}}, now); len(lines) != 1 || g.version != 3 ||
+	departing := up("a")
+	departing.State = control.Draining
+	if endpoints := g.UpdateDeparting([]Target{departing, {ID: "unknown"}}, now); len(endpoints) != 1 || g.version != 3 ||
 		len(g.byID) != 3 {
-		t.Errorf("%+v, version %d, %d targets", lines, g.version, len(g.byID))
+		t.Errorf("%+v, version %d, %d targets", endpoints, g.version, len(g.byID))
 	}
 	for _, suspended := range []bool{true, false} {
-		lines, changed := g.SetSuspended(suspended)
-		if _, repeated := g.SetSuspended(suspended); !changed || repeated || len(lines) != 1 ||
-			(lines[0].State == control.Ready) == suspended {
-			t.Errorf("suspended %t: %+v, changed %t, again %t", suspended, lines, changed, repeated)
+		endpoints, changed := g.SetSuspended(suspended)
+		if _, repeated := g.SetSuspended(suspended); !changed || repeated || len(endpoints) != 1 ||
+			(endpoints[0].State == control.Ready) == suspended {
+			t.Errorf("suspended %t: %+v, changed %t, changed by repetition %t", suspended, endpoints, changed, repeated)
 		}
 	}
 }
 
-// The group forgets those that left long ago, also where only a whole list tells of it, and keeps the numbers of
-// those that come back.
-func TestForgetRemoved(t *testing.T) {
+// Targets removed long ago must be deleted, also if they were removed only by being absent from a full list. A target
+// that is listed again in time must keep its number.
+func TestPruneRemoved(t *testing.T) {
 	g, now := New(), time.Now()
 	up := func(id string) Target { return Target{ID: id, Endpoint: control.Endpoint{State: control.Ready}} }
-	back := up("back")
-	first := g.Update(control.ListDelta, 0, []Target{back, up("gone")}, now)
+	returning := up("back")
+	first := g.Update(control.ListDelta, 0, []Target{returning, up("gone")}, now)
 	g.Update(control.ListFull, 0, nil, now)
-	again := g.Update(control.ListDelta, 0, []Target{back}, now.Add(removedRetention/2))
+	again := g.Update(control.ListDelta, 0, []Target{returning}, now.Add(removedRetention/2))
 	g.Update(control.ListDelta, 0, nil, now.Add(2*removedRetention))
 	if again[0].ID != first[0].ID || g.byID["back"] == nil || g.byID["gone"] != nil || len(g.byNumber) != 1 ||
 		len(g.removedAt) != 0 {
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -7,9 +7,10 @@
 	"hash/crc32"
 )
 
-// A segment begins with a header: magic, version of the format and number of the segment. Frames follow: a mark, the
-// length of the payload, its CRC-32C (Castagnoli, RFC 3720 appendix B.4) and the payload. A frame holds one batch and
-// is read whole or not at all, so that a batch is atomic. Numbers are little endian or varints. Sizes are in bytes.
+// A segment starts with a header: magic number, format version, segment number and checksum. The header is followed by
+// frames. A frame consists of a magic number, the length of the payload, its CRC-32C (Castagnoli, RFC 3720 appendix
+// B.4) and the payload. A frame contains one batch and is read as a whole or not at all, which makes batches atomic.
+// Numbers are little-endian or varints. Sizes are in bytes.
 const (
 	formatVersion     = 1
 	segmentHeaderSize = 24
@@ -18,177 +19,179 @@
 )
 
 var (
-	magic        = []byte("cleatlog")
-	mark         = []byte{0xd7, 0x1c, 0xea, 0x70}
+	segmentMagic = []byte("cleatlog")
+	frameMagic   = []byte{0xd7, 0x1c, 0xea, 0x70}
 	castagnoli   = crc32.MakeTable(crc32.Castagnoli)
-	errTruncated = errors.New("it ends in the middle")
+	errTruncated = errors.New("data is truncated")
 )
 
-// ErrNewer means that a file has a newer format than this program knows.
+// ErrNewer means that a file has a newer format than this program supports.
 var ErrNewer = errors.New("store: written by a newer program")
 
-// Kind is what a record does to its entity.
+// Kind is the effect of a record on its entity.
 type Kind uint8
 
-// The kinds.
+// Kinds of records.
 const (
-	Put  Kind = iota // adds to the entity
-	End              // ends the entity: its records are dead
-	Base             // replaces the records of the entity before it, which are dead
+	Put  Kind = iota // adds the record to the entity
+	End              // ends the entity, which makes its records dead
+	Base             // replaces the earlier records of the entity, which become dead
 
-	// seal marks a segment, whose number is in Entity, as ended at the offset in Time: a torn append follows, which was
-	// not acknowledged.
+	// seal marks the end of valid data in a segment with a truncated append, which was not acknowledged. Entity has the
+	// number of the segment and Time the offset of the truncated append.
 	seal
 )
 
-// Record is one entry of the log. Its entity is whatever the caller gives a number of its own, such as a message.
+// Record is an entry of the log. It belongs to an entity, an object to which the caller assigns a unique number, such
+// as a message.
 type Record struct {
 	Entity uint64
 	Kind   Kind
-	LSN    uint64 // log sequence number: its place in the order of all records; set by the store
+	LSN    uint64 // log sequence number, in the order of all records; set by the store
 	Time   int64  // Unix time in microseconds, for the index
 	Dest   int64  // destination, for the index
 	Key    string // for the index; may be empty
 	Data   []byte
 }
 
-// size estimates the bytes that a record takes on disk.
+// size returns an upper estimate of the bytes that a record takes on disk.
 func (r *Record) size() int64 { return int64(len(r.Data)+len(r.Key)) + recordOverhead }
 
-// recordOverhead is an upper bound of the bytes of a record besides key and data.
+// recordOverhead is an upper bound on the bytes of an encoded record without its key and data.
 const recordOverhead = 32
 
-// segmentHead returns the header of a segment.
-func segmentHead(number uint64) []byte {
+// encodeSegmentHeader returns the encoded header of a segment.
+func encodeSegmentHeader(number uint64) []byte {
 	b := make([]byte, 0, segmentHeaderSize)
-	b = append(b, magic...)
+	b = append(b, segmentMagic...)
 	b = binary.LittleEndian.AppendUint32(b, formatVersion)
 	b = binary.LittleEndian.AppendUint64(b, number)
-	return append(b, crcOf(b)...)
+	return append(b, encodeChecksum(b)...)
 }
 
-// readHead checks the header of a segment and returns its number.
-func readHead(b []byte) (number uint64, err error) {
+// decodeSegmentHeader validates the header of a segment and returns the segment's number.
+func decodeSegmentHeader(b []byte) (number uint64, err error) {
 	switch {
 	case len(b) < segmentHeaderSize:
 		return 0, errTruncated
-	case string(b[:8]) != string(magic):
-		return 0, errors.New("not a segment")
+	case string(b[:8]) != string(segmentMagic):
+		return 0, errors.New("not a segment file")
 	case binary.LittleEndian.Uint32(b[20:]) != crc32.Checksum(b[:20], castagnoli):
-		return 0, errors.New("its head is damaged")
+		return 0, errors.New("segment header is damaged")
 	}
 	if v := binary.LittleEndian.Uint32(b[8:]); v != formatVersion {
-		return 0, fmt.Errorf("%w: format %d, known is %d", ErrNewer, v, formatVersion)
+		return 0, fmt.Errorf("%w: format %d, supported is %d", ErrNewer, v, formatVersion)
 	}
 	return binary.LittleEndian.Uint64(b[12:]), nil
 }
 
-// frame appends a batch to a buffer as one frame.
-func frame(to []byte, batch []Record) []byte {
-	at := len(to)
-	to = append(to, mark...)
-	to = append(to, make([]byte, 8)...)
+// appendFrame appends a batch to a buffer as one frame.
+func appendFrame(buf []byte, batch []Record) []byte {
+	start := len(buf)
+	buf = append(buf, frameMagic...)
+	buf = append(buf, make([]byte, 8)...)
 	for i := range batch {
 		r := &batch[i]
-		to = binary.AppendUvarint(to, r.LSN)
-		to = binary.AppendUvarint(to, r.Entity)
-		to = append(to, byte(r.Kind))
-		to = binary.AppendVarint(to, r.Time)
-		to = binary.AppendVarint(to, r.Dest)
-		to = binary.AppendUvarint(to, uint64(len(r.Key)))
-		to = append(to, r.Key...)
-		to = binary.AppendUvarint(to, uint64(len(r.Data)))
-		to = append(to, r.Data...)
+		buf = binary.AppendUvarint(buf, r.LSN)
+		buf = binary.AppendUvarint(buf, r.Entity)
+		buf = append(buf, byte(r.Kind))
+		buf = binary.AppendVarint(buf, r.Time)
+		buf = binary.AppendVarint(buf, r.Dest)
+		buf = binary.AppendUvarint(buf, uint64(len(r.Key)))
+		buf = append(buf, r.Key...)
+		buf = binary.AppendUvarint(buf, uint64(len(r.Data)))
+		buf = append(buf, r.Data...)
 	}
-	payload := to[at+frameHeaderSize:]
-	binary.LittleEndian.PutUint32(to[at+4:], uint32(len(payload)))
-	binary.LittleEndian.PutUint32(to[at+8:], crc32.Checksum(payload, castagnoli))
-	return to
+	payload := buf[start+frameHeaderSize:]
+	binary.LittleEndian.PutUint32(buf[start+4:], uint32(len(payload)))
+	binary.LittleEndian.PutUint32(buf[start+8:], crc32.Checksum(payload, castagnoli))
+	return buf
 }
 
-// errFrame means that the bytes are no intact frame.
-var errFrame = errors.New("no frame")
+// errInvalidFrame means that the data does not start with an intact frame.
+var errInvalidFrame = errors.New("invalid frame")
 
-// readFrame reads the frame at the start of b. Its records refer to b.
-func readFrame(b []byte) (batch []Record, length int, err error) {
+// decodeFrame decodes the frame at the start of b. The returned records share memory with b.
+func decodeFrame(b []byte) (batch []Record, length int, err error) {
 	if len(b) < frameHeaderSize {
 		return nil, 0, errTruncated
 	}
-	if string(b[:4]) != string(mark) {
-		return nil, 0, errFrame
+	if string(b[:4]) != string(frameMagic) {
+		return nil, 0, errInvalidFrame
 	}
 	n := int(binary.LittleEndian.Uint32(b[4:]))
 	if n > maxFrame || n == 0 {
-		return nil, 0, errFrame
+		return nil, 0, errInvalidFrame
 	}
 	if len(b) < frameHeaderSize+n {
 		return nil, 0, errTruncated
 	}
 	payload := b[frameHeaderSize : frameHeaderSize+n]
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(b[8:]) {
-		return nil, 0, errFrame
+		return nil, 0, errInvalidFrame
 	}
-	c := cursor{b: payload}
-	for len(c.b) > 0 && !c.bad {
-		r := Record{LSN: c.uvarint(), Entity: c.uvarint(), Kind: Kind(c.byte()), Time: c.varint(), Dest: c.varint()}
-		r.Key = string(c.bytes())
-		r.Data = c.bytes()
+	d := payloadDecoder{b: payload}
+	for len(d.b) > 0 && !d.malformed {
+		r := Record{LSN: d.uvarint(), Entity: d.uvarint(), Kind: Kind(d.byte()), Time: d.varint(), Dest: d.varint()}
+		r.Key = string(d.bytes())
+		r.Data = d.bytes()
 		batch = append(batch, r)
 	}
-	if c.bad {
-		return nil, 0, errFrame
+	if d.malformed {
+		return nil, 0, errInvalidFrame
 	}
 	return batch, frameHeaderSize + n, nil
 }
 
-// cursor reads values one after another. After one that is cut short bad is set and all reads return zero.
-type cursor struct {
-	b   []byte
-	bad bool
+// payloadDecoder reads values one after another. After a truncated value, malformed is set and all further reads return
+// zero values.
+type payloadDecoder struct {
+	b         []byte
+	malformed bool
 }
 
-func (c *cursor) skip(n int) {
-	if n <= 0 || n > len(c.b) {
-		c.bad, c.b = true, nil
+func (d *payloadDecoder) advance(n int) {
+	if n <= 0 || n > len(d.b) {
+		d.malformed, d.b = true, nil
 		return
 	}
-	c.b = c.b[n:]
+	d.b = d.b[n:]
 }
 
-func (c *cursor) uvarint() uint64 {
-	v, n := binary.Uvarint(c.b)
-	c.skip(n)
+func (d *payloadDecoder) uvarint() uint64 {
+	v, n := binary.Uvarint(d.b)
+	d.advance(n)
 	return v
 }
 
-func (c *cursor) varint() int64 {
-	v, n := binary.Varint(c.b)
-	c.skip(n)
+func (d *payloadDecoder) varint() int64 {
+	v, n := binary.Varint(d.b)
+	d.advance(n)
 	return v
 }
 
-func (c *cursor) byte() byte {
-	if len(c.b) == 0 {
-		c.bad = true
+func (d *payloadDecoder) byte() byte {
+	if len(d.b) == 0 {
+		d.malformed = true
 		return 0
 	}
-	v := c.b[0]
-	c.b = c.b[1:]
+	v := d.b[0]
+	d.b = d.b[1:]
 	return v
 }
 
-func (c *cursor) bytes() []byte {
-	n := c.uvarint()
-	if n > uint64(len(c.b)) {
-		c.bad, c.b = true, nil
+func (d *payloadDecoder) bytes() []byte {
+	n := d.uvarint()
+	if n > uint64(len(d.b)) {
+		d.malformed, d.b = true, nil
 		return nil
 	}
-	v := c.b[:n:n]
-	c.b = c.b[n:]
+	v := d.b[:n:n]
+	d.b = d.b[n:]
 	return v
 }
 
-// crcOf returns the checksum of b as it is stored.
-func crcOf(b []byte) []byte {
+// encodeChecksum returns the encoded checksum of b.
+func encodeChecksum(b []byte) []byte {
 	return binary.LittleEndian.AppendUint32(nil, crc32.Checksum(b, castagnoli))
 }
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -7,10 +7,10 @@
 	"github.com/tidwall/btree"
 )
 
-// location is the place of a record in the log.
+// location is the position of a record in the log.
 type location struct {
 	segment uint64
-	offset  int64 // of its frame
+	offset  int64 // offset of its frame
 	lsn     uint64
 	size    int32
 }
@@ -18,21 +18,21 @@
 // entity is a live entity in the index.
 type entity struct {
 	id        uint64
-	locations []location // in the order of their LSNs
+	locations []location // in ascending order of LSN
 	time      int64
 	dest      int64
 	key       string
-	doubtful  bool // a damaged part of the log may hide a record of it
+	doubtful  bool // a record of it may be lost in a damaged part of the log
 }
 
-// Entity is what the index holds of a live entity.
+// Entity is the index entry of a live entity.
 type Entity struct {
 	ID       uint64
 	Time     int64
 	Dest     int64
 	Key      string
 	Records  int
-	Doubtful bool // a damaged part of the log may hide a record of it
+	Doubtful bool // a record of it may be lost in a damaged part of the log
 }
 
 // indexKey is the key of an entity in the ordered indexes.
@@ -42,8 +42,8 @@
 	id         uint64
 }
 
-// newIndex returns an index in the order of compare, then of ids.
-func newIndex(compare func(a, b indexKey) int) *btree.BTreeG[indexKey] {
+// newOrderedIndex returns an index ordered by compare and then by ID.
+func newOrderedIndex(compare func(a, b indexKey) int) *btree.BTreeG[indexKey] {
 	return btree.NewBTreeGOptions(func(a, b indexKey) bool {
 		if c := compare(a, b); c != 0 {
 			return c < 0
@@ -52,9 +52,9 @@
 	}, btree.Options{NoLocks: true})
 }
 
-// addToIndex adds a record that lies in a segment at an offset.
-func (s *Store) addToIndex(r *Record, g *segment, offset int64) {
-	s.highest = max(s.highest, r.Entity)
+// indexRecord updates the index for a record at an offset in a segment.
+func (s *Store) indexRecord(r *Record, g *segment, offset int64) {
+	s.highestEntity = max(s.highestEntity, r.Entity)
 	e := s.entities[r.Entity]
 	if r.Kind == End {
 		if e != nil {
@@ -65,7 +65,7 @@
 	if e == nil {
 		e = &entity{id: r.Entity, time: r.Time, dest: r.Dest, key: r.Key}
 		s.entities[e.id] = e
-		s.setIndexes(e, true)
+		s.updateIndexes(e, true)
 	}
 	if r.Kind == Base {
 		s.dropRecords(e)
@@ -76,11 +76,11 @@
 	s.liveBytes += size
 }
 
-// setIndexes adds an entity to the ordered indexes, or removes it.
-func (s *Store) setIndexes(e *entity, in bool) {
+// updateIndexes adds an entity to the ordered indexes, or removes it from them.
+func (s *Store) updateIndexes(e *entity, add bool) {
 	x := indexKey{e.time, e.dest, e.key, e.id}
 	for _, t := range []*btree.BTreeG[indexKey]{s.byKey, s.byTime, s.byDest} {
-		if in {
+		if add {
 			t.Set(x)
 		} else {
 			t.Delete(x)
@@ -102,16 +102,16 @@
 // dropEntity removes an entity from the index.
 func (s *Store) dropEntity(e *entity) {
 	s.dropRecords(e)
-	s.setIndexes(e, false)
+	s.updateIndexes(e, false)
 	delete(s.entities, e.id)
 }
 
-// public returns the entity as callers see it.
-func (e *entity) public() Entity {
+// snapshot returns a copy of the entity's data for callers.
+func (e *entity) snapshot() Entity {
 	return Entity{e.id, e.time, e.dest, e.key, len(e.locations), e.doubtful}
 }
 
-// Get returns a live entity.
+// Get returns the live entity with an ID.
 func (s *Store) Get(id uint64) (Entity, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,43 +119,45 @@
 	if e == nil {
 		return Entity{}, false
 	}
-	return e.public(), true
+	return e.snapshot(), true
 }
 
-// ByKey calls do for each live entity with a key, until do returns false. As in ByDest and ByTime, do must not call
-// the store.
+// ByKey calls do for each live entity with a key, until do returns false. As for ByDest and ByTime, do must not call
+// the store, whose lock is held.
 func (s *Store) ByKey(key string, do func(Entity) bool) {
-	s.walk(s.byKey, indexKey{key: key}, do, func(x indexKey) bool { return x.key == key })
+	s.ascend(s.byKey, indexKey{key: key}, do, func(x indexKey) bool { return x.key == key })
 }
 
-// ByDest calls do for each live entity of a destination in the order of ids, until do returns false.
+// ByDest calls do for each live entity of a destination in ascending order of ID, until do returns false.
 func (s *Store) ByDest(dest int64, do func(Entity) bool) {
-	s.walk(s.byDest, indexKey{dest: dest}, do, func(x indexKey) bool { return x.dest == dest })
+	s.ascend(s.byDest, indexKey{dest: dest}, do, func(x indexKey) bool { return x.dest == dest })
 }
 
-// ByTime calls do for each live entity from a time on, the earliest first, until do returns false.
+// ByTime calls do for each live entity with the given time or a later one in ascending order of time, until do returns
+// false.
 func (s *Store) ByTime(from int64, do func(Entity) bool) {
-	s.walk(s.byTime, indexKey{time: from}, do, func(indexKey) bool { return true })
+	s.ascend(s.byTime, indexKey{time: from}, do, func(indexKey) bool { return true })
 }
 
-// walk calls do for the entities of an index from a key on while in holds, with the store locked.
-func (s *Store) walk(
-	t *btree.BTreeG[indexKey], from indexKey, do func(Entity) bool, in func(indexKey) bool,
+// ascend calls do for the entities of an index in ascending order, starting at a key, as long as match and do return
+// true. It holds the store's lock.
+func (s *Store) ascend(
+	t *btree.BTreeG[indexKey], from indexKey, do func(Entity) bool, match func(indexKey) bool,
 ) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t.Ascend(from, func(x indexKey) bool {
-		return in(x) && do(s.entities[x.id].public())
+		return match(x) && do(s.entities[x.id].snapshot())
 	})
 }
 
-// Entities calls do for each live entity in the order of ids, until do returns false. It works on a copy: do may call
-// the store.
+// Entities calls do for each live entity in ascending order of ID, until do returns false. It iterates over a copy, so
+// do may call the store.
 func (s *Store) Entities(do func(Entity) bool) {
 	s.mu.Lock()
 	list := make([]Entity, 0, len(s.entities))
 	for _, e := range s.entities {
-		list = append(list, e.public())
+		list = append(list, e.snapshot())
 	}
 	s.mu.Unlock()
 	slices.SortFunc(list, func(a, b Entity) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/store/memoryfs_test.go
+++ b/internal/store/memoryfs_test.go
@@ -9,43 +9,44 @@
 	"sync"
 )
 
-// memoryFS is a file system in memory that can fail at any byte, run full, and lose what was not synced. It counts the
-// bytes of all files at every step.
+// memoryFS is an in-memory file system that can fail at any byte, run out of space, and lose unsynced data. It tracks
+// the total size of all files.
 type memoryFS struct {
-	mu     sync.Mutex
-	files  map[string]*memoryFile
-	left   int   // bytes and steps until it dies; below 0 = it lives
-	full   int64 // bytes that all files may have; 0 = any
-	most   int64 // that they had
-	faulty error // what a sync returns
-	short  bool  // the next write is cut short, with an error
-	syncs  int
-	calls  int // that change something; at the one of number dieAt it dies
-	dieAt  int
+	mu          sync.Mutex
+	files       map[string]*memoryFile
+	crashAfter  int   // bytes written and other changes until it fails; negative: never
+	capacity    int64 // maximum size of all files in bytes; 0: unlimited
+	peakBytes   int64 // maximum size that all files have had
+	syncErr     error // error returned by syncs
+	shortWrite  bool  // the next write writes only half of its data and fails
+	syncs       int
+	calls       int // modifying calls so far; they fail from number crashAtCall on
+	crashAtCall int
 }
 
 type memoryFile struct {
-	fs     *memoryFS
-	data   []byte
-	synced []byte
-	named  bool // its name would outlast a power cut
+	fs         *memoryFS
+	data       []byte
+	synced     []byte
+	nameSynced bool // the folder entry was synced, so it survives a power failure
 }
 
-func newMemoryFS() *memoryFS { return &memoryFS{files: map[string]*memoryFile{}, left: -1} }
+func newMemoryFS() *memoryFS { return &memoryFS{files: map[string]*memoryFile{}, crashAfter: -1} }
 
-// allow counts down to the failure and returns how many of n bytes are still written.
-func (m *memoryFS) allow(n int) (int, error) {
-	if m.calls++; m.dieAt > 0 && m.calls >= m.dieAt {
-		return 0, errDead
+// consume counts a call that writes n bytes or makes one other change, and returns how many of the n bytes are still
+// written before the simulated failure.
+func (m *memoryFS) consume(n int) (int, error) {
+	if m.calls++; m.crashAtCall > 0 && m.calls >= m.crashAtCall {
+		return 0, errCrashed
 	}
-	if m.left < 0 {
+	if m.crashAfter < 0 {
 		return n, nil
 	}
-	if m.left < n {
-		n, m.left = m.left, 0
-		return n, errDead
+	if m.crashAfter < n {
+		n, m.crashAfter = m.crashAfter, 0
+		return n, errCrashed
 	}
-	m.left -= n
+	m.crashAfter -= n
 	return n, nil
 }
 
@@ -60,7 +61,7 @@
 func (m *memoryFS) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.allow(1); err != nil {
+	if _, err := m.consume(1); err != nil {
 		return nil, err
 	}
 	if m.files[name] != nil {
@@ -76,13 +77,13 @@
 	if f := m.files[name]; f != nil {
 		return f, nil
 	}
-	return nil, os.ErrNotExist // as the machine's
+	return nil, os.ErrNotExist // the same error as from the operating system
 }
 
 func (m *memoryFS) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, err := m.allow(1); err != nil {
+	if _, err := m.consume(1); err != nil {
 		return err
 	}
 	delete(m.files, name)
@@ -119,17 +120,18 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range m.files {
-		f.named = true
+		f.nameSynced = true
 	}
 	return nil
 }
 
 func (m *memoryFS) Lock() (io.Closer, error) { return noLock{}, nil }
 
-// cutPower is a power cut: of what was not synced some is there, and of names too.
+// cutPower simulates a power failure. A random part of the unsynced data of each file remains. Files whose names were
+// not synced are lost.
 func (m *memoryFS) cutPower(rng *rand.Rand) {
 	for name, f := range m.files {
-		if !f.named {
+		if !f.nameSynced {
 			delete(m.files, name)
 			continue
 		}
@@ -139,7 +141,7 @@
 		}
 		f.data = f.data[:keep]
 	}
-	m.left, m.dieAt = -1, 0
+	m.crashAfter, m.crashAtCall = -1, 0
 }
 
 func (f *memoryFile) ReadAt(p []byte, at int64) (int, error) {
@@ -158,27 +160,27 @@
 func (f *memoryFile) WriteAt(p []byte, at int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	n, err := f.fs.allow(len(p))
-	if f.fs.short && err == nil {
-		f.fs.short = false
+	n, err := f.fs.consume(len(p))
+	if f.fs.shortWrite && err == nil {
+		f.fs.shortWrite = false
 		n, err = n/2, errIO
 	}
 	grown := at + int64(n) - int64(len(f.data))
-	if f.fs.full > 0 && grown > 0 && f.fs.usedBytes()+grown > f.fs.full {
-		return 0, errNoRoom
+	if f.fs.capacity > 0 && grown > 0 && f.fs.usedBytes()+grown > f.fs.capacity {
+		return 0, errNoSpace
 	}
 	if grown > 0 {
 		f.data = append(f.data, make([]byte, grown)...)
 	}
 	copy(f.data[at:], p[:n])
-	f.fs.most = max(f.fs.most, f.fs.usedBytes())
+	f.fs.peakBytes = max(f.fs.peakBytes, f.fs.usedBytes())
 	return n, err
 }
 
 func (f *memoryFile) Truncate(size int64) error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if _, err := f.fs.allow(1); err != nil {
+	if _, err := f.fs.consume(1); err != nil {
 		return err
 	}
 	f.data = f.data[:size]
@@ -188,11 +190,11 @@
 func (f *memoryFile) Sync() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if _, err := f.fs.allow(1); err != nil {
+	if _, err := f.fs.consume(1); err != nil {
 		return err
 	}
-	if f.fs.faulty != nil {
-		return f.fs.faulty
+	if f.fs.syncErr != nil {
+		return f.fs.syncErr
 	}
 	f.fs.syncs++
 	f.synced = slices.Clone(f.data)
@@ -206,7 +208,7 @@
 func (noLock) Close() error { return nil }
 
 var (
-	errDead   = errors.New("the process is dead")
-	errNoRoom = errors.New("no space left on device")
-	errIO     = errors.New("input/output error")
+	errCrashed = errors.New("simulated crash")
+	errNoSpace = errors.New("no space left on device")
+	errIO      = errors.New("input/output error")
 )
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A model of the store runs beside it in random histories with kills and power cuts: a
-// map of what was promised. rapid shortens a history that breaks it.
+// Random histories with kills and power failures are run on the store and on a model, a map of the acknowledged
+// records. The content of both must always be equal. rapid shrinks a history that fails.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMemoryFS()
@@ -31,7 +31,7 @@
 			slices.Sort(list)
 			return list
 		}
-		appended := func(r Record) {
+		appendRecord := func(r Record) {
 			if err := s.Append(r); err != nil {
 				t.Fatalf("%+v: %v, %+v", r, err, s.Stats())
 			}
@@ -45,8 +45,8 @@
 			}
 		}
 		data := func() []byte { return make([]byte, rapid.IntRange(0, 900).Draw(t, "size")) }
-		some := func() uint64 { return rapid.SampledFrom(ids()).Draw(t, "entity") }
-		again := func() {
+		anyLive := func() uint64 { return rapid.SampledFrom(ids()).Draw(t, "entity") }
+		reopen := func() {
 			s = open()
 			if next <= s.Highest() && s.Highest() > 0 {
 				next = s.Highest() + 1
@@ -55,42 +55,42 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(*rapid.T) {
 				if len(live) >= 12 {
-					t.Skip("enough")
+					t.Skip("too many live entities")
 				}
-				appended(Record{Entity: next, Key: fmt.Sprint(next), Data: data()})
+				appendRecord(Record{Entity: next, Key: fmt.Sprint(next), Data: data()})
 				next++
 			},
 			"more": func(*rapid.T) {
 				if len(live) == 0 {
 					t.Skip("none")
 				}
-				id := some()
+				id := anyLive()
 				kind := Put
 				if len(live[id]) > 3 || rapid.Bool().Draw(t, "base") {
 					kind = Base
 				}
-				appended(Record{Entity: id, Kind: kind, Data: data()})
+				appendRecord(Record{Entity: id, Kind: kind, Data: data()})
 			},
 			"end": func(*rapid.T) {
 				if len(live) == 0 {
 					t.Skip("none")
 				}
-				appended(Record{Entity: some(), Kind: End})
+				appendRecord(Record{Entity: anyLive(), Kind: End})
 			},
-			"restart": func(*rapid.T) { s.Close(); again() },
-			"kill":    func(*rapid.T) { again() },
-			"power cut": func(*rapid.T) {
-				m.cutPower(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "what is kept"), 1)))
-				again()
+			"restart": func(*rapid.T) { s.Close(); reopen() },
+			"kill":    func(*rapid.T) { reopen() },
+			"power failure": func(*rapid.T) {
+				m.cutPower(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "power failure seed"), 1)))
+				reopen()
 			},
 			"": func(*rapid.T) {
-				if m.most > 48<<10 {
-					t.Fatalf("%d bytes", m.most)
+				if m.peakBytes > 48<<10 {
+					t.Fatalf("files took %d bytes", m.peakBytes)
 				}
-				var have []uint64
-				s.Entities(func(e Entity) bool { have = append(have, e.ID); return true })
-				if !slices.Equal(have, ids()) {
-					t.Fatalf("live %v, want %v", have, ids())
+				var stored []uint64
+				s.Entities(func(e Entity) bool { stored = append(stored, e.ID); return true })
+				if !slices.Equal(stored, ids()) {
+					t.Fatalf("live %v, want %v", stored, ids())
 				}
 				for id, want := range live {
 					list, err := s.Load(id)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -12,37 +12,38 @@
 	"sync"
 )
 
-// Damage is a part of a segment that could not be read. Its records are lost; everything else was read.
+// Damage is a part of a segment that could not be read. The records in it are lost; all others were read.
 type Damage struct {
 	File   string `json:"file"`
 	Offset int64  `json:"offset"`
 	Length int64  `json:"length"`
-	// Tail: the log ends with it, as after a process died during an append, which was then not acknowledged.
+	// Tail means that the part is at the end of the log, as after a process was killed during an append, which was then
+	// not acknowledged.
 	Tail bool `json:"tail,omitempty"`
-	// Missing: the segments before this file are missing.
+	// Missing means that one or more segments before this file are missing.
 	Missing bool `json:"missing,omitempty"`
 }
 
-// segmentContent is what was read of one segment.
+// segmentContent is the result of reading one segment.
 type segmentContent struct {
 	segment    *segment
-	records    []located
+	records    []locatedRecord
 	damages    []Damage
-	highestLSN uint64 // LSN
-	nameNumber uint64 // the number in its file name
-	missing    bool   // the segments before it are missing
+	highestLSN uint64
+	nameNumber uint64 // segment number in the file name
+	missing    bool   // one or more segments before it are missing
 	err        error
 }
 
-// located is a record without its data.
-type located struct {
+// locatedRecord is a record without its data, and its location.
+type locatedRecord struct {
 	Record
-	at location
+	location location
 }
 
-// Open opens the store in a folder, or creates one. Damaged parts are logged and returned by Damages; everything else
-// is read. It returns ErrLocked where another process has the folder, and ErrNewer for a newer format, which leaves
-// the folder as it is.
+// Open opens the store in a folder, or creates one. Damaged parts of the log are logged and returned by Damages; all
+// other parts are read. It returns ErrLocked if another process has the folder open. For a newer format it returns
+// ErrNewer and does not modify the folder.
 func Open(o Options) (*Store, error) {
 	if o.Segment <= 0 {
 		o.Segment = maxSegment
@@ -51,10 +52,10 @@
 		}
 	}
 	if o.Budget > 0 && o.Budget < (reservedSegments+2)*o.Segment {
-		return nil, fmt.Errorf("store: a budget of %d bytes is too little for segments of %d", o.Budget, o.Segment)
+		return nil, fmt.Errorf("store: budget of %d bytes is too small for segments of %d bytes", o.Budget, o.Segment)
 	}
 	if o.Durability == Group && o.GroupWait <= 0 {
-		return nil, errors.New("store: group durability needs a wait")
+		return nil, errors.New("store: group durability requires a positive GroupWait")
 	}
 	lock, err := o.FS.Lock()
 	if err != nil {
@@ -72,18 +73,18 @@
 	return s, nil
 }
 
-// newStore returns a store without segments.
+// newStore returns an empty store without segments.
 func newStore(o Options) *Store {
 	return &Store{
-		options: o, entities: map[uint64]*entity{}, nextLSN: 1, nextSegment: 1, compactedTo: segmentHeaderSize,
+		options: o, entities: map[uint64]*entity{}, nextLSN: 1, nextSegment: 1, compactionOffset: segmentHeaderSize,
 		diskBytes: blockSize, // the lock file
-		byKey:     newIndex(func(a, b indexKey) int { return cmp.Compare(a.key, b.key) }),
-		byTime:    newIndex(func(a, b indexKey) int { return cmp.Compare(a.time, b.time) }),
-		byDest:    newIndex(func(a, b indexKey) int { return cmp.Compare(a.dest, b.dest) }),
+		byKey:     newOrderedIndex(func(a, b indexKey) int { return cmp.Compare(a.key, b.key) }),
+		byTime:    newOrderedIndex(func(a, b indexKey) int { return cmp.Compare(a.time, b.time) }),
+		byDest:    newOrderedIndex(func(a, b indexKey) int { return cmp.Compare(a.dest, b.dest) }),
 	}
 }
 
-// readAll reads all segments, some of them at once, and returns them in the order of their numbers.
+// readAll reads all segments, several of them concurrently, and returns them in ascending order of number.
 func (s *Store) readAll() ([]segmentContent, error) {
 	names, err := listSegments(s.options.FS)
 	if err != nil {
@@ -128,11 +129,12 @@
 		return err
 	}
 	seals := s.sealTails(list)
-	s.rebuild(list)
+	s.rebuildIndex(list)
 	if n := len(list); n > 0 && len(list[n-1].damages) == 0 && len(seals) == 0 {
 		return nil
 	}
-	// Nothing is appended behind a damaged part. A torn tail is left as it is, and sealed for those who read it later.
+	// Appends never follow a damaged part in the same segment. A truncated tail is not modified; a seal record tells later
+	// readers that it was not acknowledged.
 	if err := s.startSegment(); err != nil || len(seals) == 0 {
 		return err
 	}
@@ -140,15 +142,15 @@
 		seals[i].LSN = s.nextLSN
 		s.nextLSN++
 	}
-	_, err = s.write(frame(nil, seals))
+	_, err = s.writeFrame(appendFrame(nil, seals))
 	return err
 }
 
-// sealTails marks the damages that are torn tails and drops those for which a seal exists. It returns seals for the
-// others.
+// sealTails sets Tail for the damages that are truncated appends at the end of the log, and drops damages for which a
+// seal record exists. It returns new seal records for the truncated appends.
 func (s *Store) sealTails(list []segmentContent) (seals []Record) {
 	sealed := map[uint64]int64{}
-	last := 0 // the last segment that holds something
+	last := 0 // index of the last segment with records
 	for i := range list {
 		for _, r := range list[i].records {
 			if r.Kind == seal {
@@ -160,21 +162,21 @@
 		}
 	}
 	for i := range list {
-		f := &list[i]
-		from, known := sealed[f.segment.number]
-		f.damages = slices.DeleteFunc(f.damages, func(d Damage) bool { return known && d.Offset >= from })
-		for j := range f.damages {
-			d := &f.damages[j]
-			if d.Tail = i >= last && d.Offset+d.Length >= f.segment.size; d.Tail {
-				seals = append(seals, Record{Entity: f.segment.number, Kind: seal, Time: d.Offset})
+		content := &list[i]
+		from, known := sealed[content.segment.number]
+		content.damages = slices.DeleteFunc(content.damages, func(d Damage) bool { return known && d.Offset >= from })
+		for j := range content.damages {
+			d := &content.damages[j]
+			if d.Tail = i >= last && d.Offset+d.Length >= content.segment.size; d.Tail {
+				seals = append(seals, Record{Entity: content.segment.number, Kind: seal, Time: d.Offset})
 			}
 		}
 	}
 	return seals
 }
 
-// readSegment reads one file. Only errors of the file system and a newer format are errors; damage is part of the
-// content.
+// readSegment reads one segment file. Only file system errors and a newer format are reported as errors; damage is part
+// of the returned content.
 func (s *Store) readSegment(name string) segmentContent {
 	f := segmentContent{segment: &segment{name: name}}
 	f.err = s.openSegment(&f)
@@ -184,7 +186,7 @@
 	return f
 }
 
-// openSegment opens the file of a segment and takes its number from its name.
+// openSegment opens the file of a segment and parses the segment's number from the file name.
 func (s *Store) openSegment(f *segmentContent) error {
 	g := f.segment
 	var err error
@@ -195,13 +197,13 @@
 		return fmt.Errorf("store: %w", err)
 	}
 	if _, err := fmt.Sscanf(g.name, "%016x.log", &g.number); err != nil {
-		return fmt.Errorf("store: %s is no name of a segment: move it elsewhere", g.name)
+		return fmt.Errorf("store: %s is not a valid segment file name: move the file elsewhere", g.name)
 	}
 	f.nameNumber = g.number
 	return nil
 }
 
-// readFrames reads the header, the frames and the damages of an open segment.
+// readFrames reads the header and the frames of an open segment, and records damaged parts.
 func (f *segmentContent) readFrames() error {
 	g := f.segment
 	w := &fileWindow{file: g.file, size: g.size}
@@ -210,11 +212,11 @@
 		return err
 	}
 	for at < g.size {
-		b, err := w.from(at, frameHeaderSize+maxFrame)
+		b, err := w.bytesFrom(at, frameHeaderSize+maxFrame)
 		if err != nil {
 			return fmt.Errorf("store: %s: %w", g.name, err)
 		}
-		batch, n, err := readFrame(b)
+		batch, n, err := decodeFrame(b)
 		if err != nil {
 			next, err := w.nextFrame(at + 1)
 			if err != nil {
@@ -226,8 +228,8 @@
 		}
 		for _, r := range batch {
 			f.highestLSN = max(f.highestLSN, r.LSN)
-			x := located{r, location{g.number, at, r.LSN, int32(r.size())}}
-			x.Data = nil // it is read again when it is asked for
+			x := locatedRecord{r, location{g.number, at, r.LSN, int32(r.size())}}
+			x.Data = nil // Load reads the data again from the file
 			f.records = append(f.records, x)
 		}
 		at += int64(n)
@@ -238,66 +240,68 @@
 	return nil
 }
 
-// readHeader takes the number of the segment from its header and returns the offset of the first frame. A damaged
-// header is read as a damaged frame.
+// readHeader sets the number of the segment from its header and returns the offset of the first frame. For a damaged
+// header it returns 0, so that the header is read as a damaged frame.
 func (f *segmentContent) readHeader(w *fileWindow) (int64, error) {
 	g := f.segment
-	head, err := w.from(0, segmentHeaderSize)
+	header, err := w.bytesFrom(0, segmentHeaderSize)
 	if err != nil {
 		return 0, fmt.Errorf("store: %s: %w", g.name, err)
 	}
-	number, err := readHead(head)
+	number, err := decodeSegmentHeader(header)
 	switch {
 	case errors.Is(err, ErrNewer):
 		return 0, fmt.Errorf("%s: %w", g.name, err)
 	case err != nil:
 		return 0, nil
 	}
-	g.number = number // also where the file was renamed
+	g.number = number // takes precedence over the file name, as the file may have been renamed
 	return segmentHeaderSize, nil
 }
 
-// fileWindow reads a file from the front in bounded memory.
+// fileWindow reads a file from start to end in bounded memory.
 type fileWindow struct {
 	file  File
 	size  int64
-	start int64 // of what is in b
+	start int64 // file offset of data
 	data  []byte
 }
 
-// from returns the bytes from an offset on: least of them, or all up to the end of the file.
-func (w *fileWindow) from(at, least int64) ([]byte, error) {
-	least = min(least, w.size-at)
-	if at < w.start || at+least > w.start+int64(len(w.data)) {
+// bytesFrom returns at least minBytes bytes from an offset on, or all bytes up to the end of the file if there are
+// fewer.
+func (w *fileWindow) bytesFrom(offset, minBytes int64) ([]byte, error) {
+	minBytes = min(minBytes, w.size-offset)
+	if offset < w.start || offset+minBytes > w.start+int64(len(w.data)) {
 		if w.data == nil {
 			w.data = make([]byte, 0, min(w.size, 2*maxFrame))
 		}
-		n := min(int64(cap(w.data)), w.size-at)
-		w.start, w.data = at, w.data[:n]
-		if read, err := w.file.ReadAt(w.data, at); err != nil && !(errors.Is(err, io.EOF) && int64(read) == n) {
+		n := min(int64(cap(w.data)), w.size-offset)
+		w.start, w.data = offset, w.data[:n]
+		if read, err := w.file.ReadAt(w.data, offset); err != nil && !(errors.Is(err, io.EOF) && int64(read) == n) {
 			return nil, err
 		}
 	}
-	return w.data[at-w.start:], nil
+	return w.data[offset-w.start:], nil
 }
 
-// nextFrame returns the offset of the next intact frame from an offset on, or the end of the file.
+// nextFrame returns the offset of the first intact frame at or after an offset, or the size of the file if there is
+// none.
 func (w *fileWindow) nextFrame(from int64) (int64, error) {
 	for from < w.size {
-		b, err := w.from(from, frameHeaderSize+maxFrame)
+		b, err := w.bytesFrom(from, frameHeaderSize+maxFrame)
 		if err != nil {
 			return 0, err
 		}
-		i := bytes.Index(b, mark)
-		if i < 0 { // a mark may extend beyond the window
-			from += max(1, int64(len(b)-len(mark)+1))
+		i := bytes.Index(b, frameMagic)
+		if i < 0 { // a magic number may extend beyond the window
+			from += max(1, int64(len(b)-len(frameMagic)+1))
 			continue
 		}
-		b, err = w.from(from+int64(i), frameHeaderSize+maxFrame)
+		b, err = w.bytesFrom(from+int64(i), frameHeaderSize+maxFrame)
 		if err != nil {
 			return 0, err
 		}
-		if _, _, err := readFrame(b); err == nil {
+		if _, _, err := decodeFrame(b); err == nil {
 			return from + int64(i), nil
 		}
 		from += int64(i) + 1
@@ -305,8 +309,8 @@
 	return w.size, nil
 }
 
-// rebuild builds the index from what was read.
-func (s *Store) rebuild(list []segmentContent) {
+// rebuildIndex builds the index from the content of the segments.
+func (s *Store) rebuildIndex(list []segmentContent) {
 	ended, bases := map[uint64]bool{}, map[uint64]uint64{}
 	total := 0
 	for i := range list {
@@ -318,7 +322,7 @@
 		}
 		for _, r := range list[i].records {
 			if r.Kind != seal {
-				s.highest = max(s.highest, r.Entity)
+				s.highestEntity = max(s.highestEntity, r.Entity)
 			}
 			switch r.Kind {
 			case End:
@@ -328,7 +332,7 @@
 			}
 		}
 	}
-	all := make([]located, 0, total)
+	all := make([]locatedRecord, 0, total)
 	for i := range list {
 		for _, r := range list[i].records {
 			if (r.Kind == Put || r.Kind == Base) && !ended[r.Entity] && r.LSN >= bases[r.Entity] {
@@ -336,49 +340,51 @@
 			}
 		}
 	}
-	// A record that compaction has copied is there twice if the process died before the old segment was removed: the
-	// copy counts.
-	slices.SortStableFunc(all, func(a, b located) int {
-		return cmp.Or(cmp.Compare(a.LSN, b.LSN), cmp.Compare(b.at.segment, a.at.segment),
-			cmp.Compare(b.at.offset, a.at.offset))
+	// If the process was killed after compaction copied a record and before it removed the old segment, the record
+	// exists twice. Only the copy is used.
+	slices.SortStableFunc(all, func(a, b locatedRecord) int {
+		return cmp.Or(cmp.Compare(a.LSN, b.LSN), cmp.Compare(b.location.segment, a.location.segment),
+			cmp.Compare(b.location.offset, a.location.offset))
 	})
-	doubt := s.doubtLimit(list)
+	doubtfulLimit := s.doubtfulLSNLimit(list)
 	for i, r := range all {
 		if i > 0 && all[i-1].LSN == r.LSN {
 			continue
 		}
-		g := s.segment(r.at.segment)
-		s.addToIndex(&r.Record, g, r.at.offset)
+		g := s.segment(r.location.segment)
+		s.indexRecord(&r.Record, g, r.location.offset)
 		e := s.entities[r.Entity]
-		e.locations[len(e.locations)-1].size = r.at.size
-		if size := r.Record.size(); size != int64(r.at.size) { // the data was not read, so that its size was left out
-			g.live += int64(r.at.size) - size
-			s.liveBytes += int64(r.at.size) - size
+		e.locations[len(e.locations)-1].size = r.location.size
+		if size := r.Record.size(); size != int64(r.location.size) { // correct the size, which was computed without the data
+			g.live += int64(r.location.size) - size
+			s.liveBytes += int64(r.location.size) - size
 		}
 		if len(e.locations) == 1 {
-			e.doubtful = r.LSN < doubt
+			e.doubtful = r.LSN < doubtfulLimit
 		}
 	}
 }
 
-// doubtLimit logs the damages and returns the LSN before which began all entities of which a damage may hide a
-// record: the highest of the damaged segment, or of all where its end is damaged.
-func (s *Store) doubtLimit(list []segmentContent) uint64 {
+// doubtfulLSNLimit logs the damages and returns an LSN limit: an entity whose first record has a lower LSN may have
+// lost a record to damage. For damage within a segment the limit is the highest LSN in that segment. If the damage
+// reaches the end of the segment, any entity may be affected, and the limit is the maximum value.
+func (s *Store) doubtfulLSNLimit(list []segmentContent) uint64 {
 	limit := uint64(0)
 	for i := range list {
-		if list[i].missing { // they may have held an End, or records of any older entity
+		if list[i].missing { // they may have contained an End or other records of any older entity
 			s.damages = append(s.damages, Damage{File: list[i].segment.name, Missing: true})
-			s.warn("segments missing, live entities may lack records or have ended", "before_file", list[i].segment.name)
+			s.warn("segments are missing; live entities may lack records or may have ended", "before_file", list[i].segment.name)
 			limit = max(limit, list[i].highestLSN+1)
 		}
 		for _, d := range list[i].damages {
 			s.damages = append(s.damages, d)
 			if d.Tail {
-				s.warn("torn append at the end of the log, it was not acknowledged",
+				s.warn("truncated append at the end of the log; it was not acknowledged",
 					"file", d.File, "offset", d.Offset, "bytes", d.Length)
 				continue
 			}
-			s.warn("damaged part, live entities may lack records", "file", d.File, "offset", d.Offset, "bytes", d.Length)
+			s.warn("part of the log is damaged; live entities may lack records",
+				"file", d.File, "offset", d.Offset, "bytes", d.Length)
 			if d.Offset+d.Length >= list[i].segment.size {
 				limit = math.MaxUint64
 			}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestMain(m *testing.M) {
-	if dir := os.Getenv("STORE_HOLD"); dir != "" { // the other process of TestLocked
+	if dir := os.Getenv("STORE_HOLD"); dir != "" { // this is the child process of TestLocked
 		if _, err := (Dir(dir)).Lock(); err == nil {
 			fmt.Println("held")
 		}
@@ -25,51 +25,52 @@
 	goleak.VerifyTestMain(m)
 }
 
-const budget = 256 << 10
+const testBudget = 256 << 10
 
-func open(t testing.TB, fs FS, d Durability) *Store {
+func openStore(t testing.TB, fs FS, d Durability) *Store {
 	t.Helper()
-	s, err := Open(Options{FS: fs, Budget: budget, Segment: 16 << 10, Durability: d, GroupWait: time.Hour})
+	s, err := Open(Options{FS: fs, Budget: testBudget, Segment: 16 << 10, Durability: d, GroupWait: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// A long workload within a small budget: the budget is never exceeded, no step is long, nothing is lost, and the store
-// reads as before when it is opened again.
+// Under a long workload with a small budget, the store must never exceed the budget, compaction steps must stay short,
+// and no record may be lost, also after the store is opened again.
 func TestCompaction(t *testing.T) {
 	m := newMemoryFS()
-	s := open(t, m, Process)
+	s := openStore(t, m, Process)
 	l := newWorkload(1)
 	for i := range 20_000 {
 		if err := l.step(s); err != nil {
 			t.Fatalf("append %d: %v; %+v", i, err, s.Stats())
 		}
 	}
-	l.check(t, s, "at the end", 0)
+	l.checkContent(t, s, "at the end", 0)
 	stats := s.Stats()
-	if m.most > budget || stats.DiskBytes != m.usedBytes() {
-		t.Errorf("%d bytes at most of %d; %d counted, %d there", m.most, budget, stats.DiskBytes, m.usedBytes())
+	if m.peakBytes > testBudget || stats.DiskBytes != m.usedBytes() {
+		t.Errorf("peak of %d bytes, budget %d; %d counted, %d in files", m.peakBytes, testBudget, stats.DiskBytes,
+			m.usedBytes())
 	}
 	if stats.Removed < 50 || stats.LargestStep > 64<<10 {
 		t.Errorf("%+v", stats)
 	}
 	t.Logf("%+v, write amplification %.2f", stats, 1+float64(stats.Copied)/float64(stats.Appended))
 	s.Close()
-	again := open(t, m, Process)
-	l.check(t, again, "opened again", 0)
-	if len(again.Damages()) > 0 {
-		t.Errorf("damage: %+v", again.Damages())
+	reopened := openStore(t, m, Process)
+	l.checkContent(t, reopened, "after reopening", 0)
+	if len(reopened.Damages()) > 0 {
+		t.Errorf("damage: %+v", reopened.Damages())
 	}
 	keys := 0
-	again.ByKey("k7", func(e Entity) bool { keys++; return e.Key == "k7" })
+	reopened.ByKey("k7", func(e Entity) bool { keys++; return e.Key == "k7" })
 	dests := 0
-	again.ByDest(3, func(e Entity) bool { dests++; return e.Dest == 3 })
+	reopened.ByDest(3, func(e Entity) bool { dests++; return e.Dest == 3 })
 	times := int64(0)
-	again.ByTime(0, func(e Entity) bool {
+	reopened.ByTime(0, func(e Entity) bool {
 		if e.Time < times {
-			t.Error("not in the order of time")
+			t.Error("ByTime is not in ascending order of time")
 		}
 		times = e.Time
 		return true
@@ -84,58 +85,58 @@
 		}
 	}
 	if keys != wantKeys || dests != wantDests {
-		t.Errorf("by key %d of %d, by destination %d of %d", keys, wantKeys, dests, wantDests)
+		t.Errorf("by key %d, want %d; by destination %d, want %d", keys, wantKeys, dests, wantDests)
 	}
 }
 
-// Killed at any byte, also in the middle of compaction: what was promised is there, and
-// the traffic goes on.
-func TestKilledAtEachWrite(t *testing.T) {
+// After a kill at any byte of a write, also during compaction, all acknowledged records must be present and the store
+// must accept appends.
+func TestCrashAtRandomWrite(t *testing.T) {
 	for seed := range uint64(400) {
 		m := newMemoryFS()
-		s := open(t, m, Process)
+		s := openStore(t, m, Process)
 		l := newWorkload(seed)
-		for range 300 { // into compaction
+		for range 300 { // until compaction runs
 			if err := l.step(s); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for round := range 4 {
-			m.left = l.rng.IntN(60_000)
+			m.crashAfter = l.rng.IntN(60_000)
 			var err error
 			for err == nil {
 				err = l.step(s)
 			}
-			if !errors.Is(err, errDead) {
+			if !errors.Is(err, errCrashed) {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			m.left = -1
-			unsure := l.last
-			s = open(t, m, Process)
-			l.check(t, s, fmt.Sprintf("seed %d, round %d", seed, round), unsure)
+			m.crashAfter = -1
+			uncertain := l.lastEntity
+			s = openStore(t, m, Process)
+			l.checkContent(t, s, fmt.Sprintf("seed %d, round %d", seed, round), uncertain)
 			for _, d := range s.Damages() {
 				if !d.Tail {
-					t.Errorf("seed %d: a kill left damage: %+v", seed, d)
+					t.Errorf("seed %d: damage after a kill: %+v", seed, d)
 				}
 			}
 			if t.Failed() {
 				return
 			}
-			l.resolveUnsure(t, s, unsure)
+			l.endUncertain(t, s, uncertain)
 		}
-		if m.most > budget {
-			t.Fatalf("seed %d: %d bytes of %d", seed, m.most, budget)
+		if m.peakBytes > testBudget {
+			t.Fatalf("seed %d: peak of %d bytes, budget %d", seed, m.peakBytes, testBudget)
 		}
 	}
 }
 
-// A power cut: with each append synced all that was promised is there; with group sync
-// all up to the latest sync; with neither nothing is promised, and the log can be read.
+// After a power failure all acknowledged records must be present with durability Each, and all records up to the latest
+// sync with Group. With Process no record is guaranteed, but the log must be readable.
 func TestPowerCut(t *testing.T) {
 	for seed := range uint64(100) {
 		for _, d := range []Durability{Each, Group, Process} {
 			m := newMemoryFS()
-			s := open(t, m, d)
+			s := openStore(t, m, d)
 			l := newWorkload(seed)
 			for range 400 {
 				if err := l.step(s); err != nil {
@@ -148,16 +149,16 @@
 				}
 				s.timer.Stop()
 			}
-			m.left = 3000 // some more that nobody was promised, but with Each
+			m.crashAfter = 3000 // with Each, append until a simulated crash
 			var err error
 			for err == nil && d == Each {
 				err = l.step(s)
 			}
-			unsure := l.last
+			uncertain := l.lastEntity
 			m.cutPower(rand.New(rand.NewPCG(seed, 2)))
-			s = open(t, m, d)
+			s = openStore(t, m, d)
 			if d != Process {
-				l.check(t, s, fmt.Sprintf("seed %d, durability %d", seed, d), unsure)
+				l.checkContent(t, s, fmt.Sprintf("seed %d, durability %d", seed, d), uncertain)
 			}
 			if t.Failed() {
 				return
@@ -167,63 +168,64 @@
 	}
 }
 
-// A disk that runs full, a short write, a sync that fails: nothing is promised that is
-// not there, nothing before is lost, and a sync that failed is not tried again.
+// If the disk is full, a write is short or a sync fails, the append must return an error and no earlier record may be
+// lost. After a failed sync the store must reject all appends.
 func TestFaults(t *testing.T) {
 	m := newMemoryFS()
-	s := open(t, m, Process)
+	s := openStore(t, m, Process)
 	l := newWorkload(3)
 	for range 200 {
 		if err := l.step(s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	m.full = m.usedBytes()
+	m.capacity = m.usedBytes()
 	var err error
 	for err == nil {
 		err = l.step(s)
 	}
-	unsure := l.last
-	if !errors.Is(err, errNoRoom) {
-		t.Fatalf("a full disk: %v", err)
+	uncertain := l.lastEntity
+	if !errors.Is(err, errNoSpace) {
+		t.Fatalf("disk full: %v", err)
 	}
-	l.check(t, s, "with the disk full", unsure)
-	m.full = 0
+	l.checkContent(t, s, "with the disk full", uncertain)
+	m.capacity = 0
 	for range 50 {
-		m.short = true
+		m.shortWrite = true
 		if err := l.step(s); !errors.Is(err, errIO) {
-			t.Fatalf("a short write: %v", err)
+			t.Fatalf("short write: %v", err)
 		}
-		l.check(t, s, "after a short write", 0)
+		l.checkContent(t, s, "after a short write", 0)
 		if err := l.step(s); err != nil {
 			t.Fatal(err)
 		}
 	}
 	s.Close()
-	s = open(t, m, Each)
-	l.check(t, s, "opened again", 0)
+	s = openStore(t, m, Each)
+	l.checkContent(t, s, "after reopening", 0)
 	if len(s.Damages()) > 0 {
 		t.Errorf("%+v", s.Damages())
 	}
-	m.faulty = errIO
+	m.syncErr = errIO
 	if err := l.step(s); !errors.Is(err, ErrBroken) {
-		t.Fatalf("a failed sync: %v", err)
+		t.Fatalf("failed sync: %v", err)
 	}
-	m.faulty = nil
+	m.syncErr = nil
 	if err := s.Append(Record{Entity: 1 << 40}); !errors.Is(err, ErrBroken) {
-		t.Errorf("after a failed sync: %v", err)
+		t.Errorf("append after a failed sync: %v", err)
 	}
 }
 
-// More live than fits: the store says so, and ends still get through and make room.
+// If live records exhaust the budget, appends must return ErrFull, and End records must still be accepted and free
+// space.
 func TestBudgetExhausted(t *testing.T) {
 	m := newMemoryFS()
-	s := open(t, m, Process)
+	s := openStore(t, m, Process)
 	id := uint64(0)
 	for s.CanAdmit(1000) {
 		id++
 		if err := s.Append(Record{Entity: id, Data: make([]byte, 900)}); err != nil {
-			t.Fatalf("%v though there is room: %+v", err, s.Stats())
+			t.Fatalf("append failed after CanAdmit: %v, %+v", err, s.Stats())
 		}
 	}
 	var err error
@@ -231,8 +233,8 @@
 		id++
 		err = s.Append(Record{Entity: id, Data: make([]byte, 900)})
 	}
-	if !errors.Is(err, ErrFull) || m.most > budget {
-		t.Fatalf("%v, %d bytes", err, m.most)
+	if !errors.Is(err, ErrFull) || m.peakBytes > testBudget {
+		t.Fatalf("%v, peak of %d bytes", err, m.peakBytes)
 	}
 	for i := uint64(1); i < id; i++ {
 		if err := s.Append(Record{Entity: i, Kind: End}); err != nil {
@@ -240,11 +242,11 @@
 		}
 	}
 	if err := s.Append(Record{Entity: id, Data: make([]byte, 900)}); err != nil || !s.CanAdmit(1000) {
-		t.Errorf("after all have ended: %v", err)
+		t.Errorf("append after all entities have ended: %v", err)
 	}
 }
 
-// A second process is refused, with the pid of the first.
+// A second process must get ErrLocked with the PID of the first.
 func TestLocked(t *testing.T) {
 	dir := t.TempDir()
 	c := exec.Command(os.Args[0])
@@ -257,23 +259,23 @@
 	if _, err := out.Read(make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
-	_, err := Open(Options{FS: Dir(dir), Budget: budget, Segment: 16 << 10})
+	_, err := Open(Options{FS: Dir(dir), Budget: testBudget, Segment: 16 << 10})
 	if !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), fmt.Sprint("process ", c.Process.Pid)) {
 		t.Errorf("%v", err)
 	}
 	in.Close()
 	c.Wait()
-	s, err := Open(Options{FS: Dir(dir), Budget: budget, Segment: 16 << 10})
+	s, err := Open(Options{FS: Dir(dir), Budget: testBudget, Segment: 16 << 10})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
 }
 
-// Group sync: one sync stands for many appends.
+// With durability Group one sync covers many appends.
 func TestGroupDurability(t *testing.T) {
 	m := newMemoryFS()
-	s, err := Open(Options{FS: m, Budget: budget, Segment: 16 << 10, Durability: Group, GroupWait: time.Millisecond})
+	s, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10, Durability: Group, GroupWait: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -285,7 +287,7 @@
 	}
 	for until := time.Now().Add(20 * time.Second); s.Stats().Syncs == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("never synced")
+			t.Fatal("no sync within 20 s")
 		}
 	}
 	if n := s.Stats().Syncs; n > 20 {
@@ -293,8 +295,8 @@
 	}
 }
 
-// A crash at every call of the file system in turn, over rolls and compaction, by a kill
-// and by a power cut that loses what was not synced.
+// A crash at any modifying file system call, also while starting a segment or compacting, must not lose acknowledged
+// records. It is a kill with durability Process and a power failure, which loses unsynced data, with Each.
 func TestCrashAtEveryCall(t *testing.T) {
 	run := func(m *memoryFS, d Durability, l *workload) error {
 		s, err := Open(Options{FS: m, Budget: 80 << 10, Segment: 5 << 10, Durability: d, GroupWait: time.Hour})
@@ -304,17 +306,17 @@
 		return err
 	}
 	for _, d := range []Durability{Process, Each} {
-		whole := newMemoryFS()
-		if err := run(whole, d, newWorkload(4)); err != nil {
+		reference := newMemoryFS()
+		if err := run(reference, d, newWorkload(4)); err != nil {
 			t.Fatal(err)
 		}
-		for n := 1; n <= whole.calls; n++ {
+		for n := 1; n <= reference.calls; n++ {
 			m, l := newMemoryFS(), newWorkload(4)
-			m.dieAt = n
-			if err := run(m, d, l); !errors.Is(err, errDead) {
-				t.Fatalf("call %d of %d: %v", n, whole.calls, err)
+			m.crashAtCall = n
+			if err := run(m, d, l); !errors.Is(err, errCrashed) {
+				t.Fatalf("call %d of %d: %v", n, reference.calls, err)
 			}
-			m.dieAt = 0
+			m.crashAtCall = 0
 			if d == Each {
 				m.cutPower(rand.New(rand.NewPCG(uint64(n), 3)))
 			}
@@ -322,7 +324,7 @@
 			if err != nil {
 				t.Fatalf("call %d: %v", n, err)
 			}
-			l.check(t, s, fmt.Sprintf("durability %d, call %d of %d", d, n, whole.calls), l.last)
+			l.checkContent(t, s, fmt.Sprintf("durability %d, call %d of %d", d, n, reference.calls), l.lastEntity)
 			for _, x := range s.Damages() {
 				if !x.Tail {
 					t.Errorf("durability %d, call %d: %+v", d, n, x)
--- a/internal/store/workload_test.go
+++ b/internal/store/workload_test.go
@@ -9,25 +9,26 @@
 	"testing"
 )
 
-// workload appends to entities that begin, grow and end, and keeps what must be in the store.
+// workload appends records that create, extend and end entities at random, and tracks the expected content of the
+// store.
 type workload struct {
-	rng  *rand.Rand
-	next uint64
-	live map[uint64][]string // promised
-	ids  []uint64
-	last uint64 // the entity of the latest append, of which nobody knows if that failed
+	rng        *rand.Rand
+	next       uint64
+	live       map[uint64][]string // data of the acknowledged records by entity
+	ids        []uint64
+	lastEntity uint64 // entity of the latest append, which may have failed
 }
 
 func newWorkload(seed uint64) *workload {
 	return &workload{rng: rand.New(rand.NewPCG(seed, 1)), next: 1, live: map[uint64][]string{}}
 }
 
-// step appends once; its error ends the traffic.
+// step makes one append and returns its error.
 func (l *workload) step(s *Store) error {
 	if len(l.ids) > 0 && (len(l.ids) > 150 || l.rng.IntN(5) < 2) {
 		i := l.rng.IntN(len(l.ids))
 		id := l.ids[i]
-		l.last = id
+		l.lastEntity = id
 		if err := s.Append(Record{Entity: id, Kind: End}); err != nil {
 			return err
 		}
@@ -38,7 +39,7 @@
 	if len(l.ids) > 0 && l.rng.IntN(2) == 0 {
 		id := l.ids[l.rng.IntN(len(l.ids))]
 		text := fmt.Sprint("more ", l.rng.IntN(1000))
-		l.last = id
+		l.lastEntity = id
 		r := Record{Entity: id, Time: int64(id), Dest: int64(id % 7), Key: fmt.Sprint("k", id%50), Data: []byte(text)}
 		if l.rng.IntN(4) == 0 {
 			r.Kind = Base
@@ -54,7 +55,7 @@
 	}
 	id := l.next
 	l.next++
-	l.last = id
+	l.lastEntity = id
 	text := strings.Repeat(strconv.Itoa(int(id)%10), 50+l.rng.IntN(600))
 	if err := s.Append(Record{Entity: id, Time: int64(id), Dest: int64(id % 7), Key: fmt.Sprint("k", id%50),
 		Data: []byte(text)}); err != nil {
@@ -65,15 +66,15 @@
 	return nil
 }
 
-// check checks that a store has what was appended, no more and no less. The entity of an append that failed may have
-// that append or not.
-func (l *workload) check(t *testing.T, s *Store, what string, unsure uint64) {
+// checkContent checks that a store contains exactly the acknowledged records. The uncertain entity may also have the
+// record of a failed append; 0 means that there is none.
+func (l *workload) checkContent(t *testing.T, s *Store, stage string, uncertain uint64) {
 	t.Helper()
 	seen := 0
 	s.Entities(func(e Entity) bool {
 		want, live := l.live[e.ID]
-		if !live && e.ID != unsure {
-			t.Errorf("%s: entity %d came back", what, e.ID)
+		if !live && e.ID != uncertain {
+			t.Errorf("%s: ended or unknown entity %d is live", stage, e.ID)
 			return false
 		}
 		if live {
@@ -81,36 +82,37 @@
 		}
 		list, err := s.Load(e.ID)
 		if err != nil {
-			t.Errorf("%s: entity %d: %v", what, e.ID, err)
+			t.Errorf("%s: entity %d: %v", stage, e.ID, err)
 			return false
 		}
 		var got []string
 		for _, r := range list {
 			got = append(got, string(r.Data))
 		}
-		if e.ID != unsure && !slices.Equal(got, want) {
-			t.Errorf("%s: entity %d has %d records, want %d", what, e.ID, len(got), len(want))
+		if e.ID != uncertain && !slices.Equal(got, want) {
+			t.Errorf("%s: entity %d has %d records, want %d", stage, e.ID, len(got), len(want))
 		}
-		if e.ID != unsure && live && (e.Time != int64(e.ID) || e.Dest != int64(e.ID%7) || e.Key != fmt.Sprint("k", e.ID%50)) {
-			t.Errorf("%s: entity %d reads as %+v", what, e.ID, e)
+		if e.ID != uncertain && live && (e.Time != int64(e.ID) || e.Dest != int64(e.ID%7) ||
+			e.Key != fmt.Sprint("k", e.ID%50)) {
+			t.Errorf("%s: entity %d reads as %+v", stage, e.ID, e)
 		}
 		return !t.Failed()
 	})
 	missing := len(l.live) - seen
-	if _, was := l.live[unsure]; was && missing == 1 {
-		missing = 0 // its end got through
+	if _, was := l.live[uncertain]; was && missing == 1 {
+		missing = 0 // its End record was written
 	}
 	if missing != 0 {
-		t.Errorf("%s: %d entities are lost", what, missing)
+		t.Errorf("%s: %d entities are missing", stage, missing)
 	}
 }
 
-// resolveUnsure ends the entity whose last append had an unknown outcome.
-func (l *workload) resolveUnsure(t *testing.T, s *Store, unsure uint64) {
+// endUncertain ends the entity whose latest append may have failed.
+func (l *workload) endUncertain(t *testing.T, s *Store, uncertain uint64) {
 	t.Helper()
-	if err := s.Append(Record{Entity: unsure, Kind: End}); err != nil {
+	if err := s.Append(Record{Entity: uncertain, Kind: End}); err != nil {
 		t.Fatal(err)
 	}
-	delete(l.live, unsure)
-	l.ids = slices.DeleteFunc(l.ids, func(id uint64) bool { return id == unsure })
+	delete(l.live, uncertain)
+	l.ids = slices.DeleteFunc(l.ids, func(id uint64) bool { return id == uncertain })
 }
--- a/internal/wal/class.go
+++ b/internal/wal/class.go
@@ -8,22 +8,22 @@
 	"cleathold/control"
 )
 
-// NamedClass is a class as the settings name it.
+// NamedClass is a message class together with its name in the settings.
 type NamedClass struct {
 	Name string
 	control.Class
 }
 
-// The bits of a class's record.
+// Bits of the flags byte in an encoded class.
 const (
 	classKeyZoneScoped = 1 << iota
 	classOrdered
 	classStreaming
 )
 
-// EncodeClass returns a class as it stands in the record of a message.
+// EncodeClass returns the encoding of a class that is stored in the record of an accepted message.
 func EncodeClass(c NamedClass) []byte {
-	p := appendText(nil, c.Name)
+	p := appendString(nil, c.Name)
 	bits := byte(0)
 	for _, f := range []struct {
 		on  bool
@@ -43,15 +43,15 @@
 	return p
 }
 
-// class reads such a record; one that makes no sense is malformed.
+// class decodes what EncodeClass returns. It sets malformed if a value is out of range.
 func (d *decoder) class() NamedClass {
-	c := NamedClass{Name: d.text()}
+	c := NamedClass{Name: d.string()}
 	c.Idempotency = control.Idempotency(d.octet())
 	bits := d.octet()
 	c.KeyZoneScoped, c.Ordered, c.Streaming = bits&classKeyZoneScoped != 0, bits&classOrdered != 0,
 		bits&classStreaming != 0
-	for _, span := range []*time.Duration{&c.LatencyObjective, &c.Deadline, &c.KeyRetention} {
-		*span = time.Duration(d.varint())
+	for _, duration := range []*time.Duration{&c.LatencyObjective, &c.Deadline, &c.KeyRetention} {
+		*duration = time.Duration(d.varint())
 	}
 	for _, v := range []*float64{&c.ObjectiveStretch, &c.PriorityWeight, &c.LateWeight} {
 		*v = d.float()
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -9,34 +9,34 @@
 	"cleathold/control"
 )
 
-// replay makes entries of records.
+// replay combines the records of a log into entries.
 type replay struct {
-	times   *TimeBase
-	entries map[control.MessageID]*Entry
+	timeBase *TimeBase
+	entries  map[control.MessageID]*Entry
 }
 
-func newReplay(times *TimeBase) *replay {
-	return &replay{times: times, entries: map[control.MessageID]*Entry{}}
+func newReplay(timeBase *TimeBase) *replay {
+	return &replay{timeBase: timeBase, entries: map[control.MessageID]*Entry{}}
 }
 
-// live returns the entries of messages that something is still owed for, in the order of their numbers.
+// live returns the entries of messages that still need processing, in ascending order of number.
 func (r *replay) live() []*Entry {
 	return slices.SortedFunc(maps.Values(r.entries), func(a, b *Entry) int { return cmp.Compare(a.Number, b.Number) })
 }
 
-// apply takes one record, and returns false where it makes no sense. Records of messages that are not known belong to
-// a damaged or finished one and say nothing.
+// apply applies one record and reports whether it was well-formed. Records of unknown messages belong to damaged or
+// ended messages and are ignored.
 func (r *replay) apply(record []byte) bool {
-	d := &decoder{rest: record[1:]}
+	d := &decoder{remaining: record[1:]}
 	number := control.MessageID(d.uvarint())
 	e := r.entries[number]
 	switch record[0] {
 	case recordAccepted:
 		r.applyAccepted(d, number)
 	case recordAttempt:
-		a := Attempt{Index: int(d.uvarint()), At: r.times.Time(d.varint()), Zone: int(d.varint())}
-		if len(d.rest) > 0 {
-			a.Endpoint, a.InDeadLetter = d.text(), d.uvarint() == 1
+		a := Attempt{Index: int(d.uvarint()), At: r.timeBase.Time(d.varint()), Zone: int(d.varint())}
+		if len(d.remaining) > 0 {
+			a.Endpoint, a.InDeadLetter = d.string(), d.uvarint() == 1
 		}
 		if !d.malformed && e != nil {
 			e.MayHaveRun = append(e.MayHaveRun, a)
@@ -63,15 +63,15 @@
 }
 
 func (r *replay) applyAccepted(d *decoder, number control.MessageID) {
-	e := &Entry{Accepted: Accepted{Number: number, ID: d.text(), Key: d.text()}}
+	e := &Entry{Accepted: Accepted{Number: number, ID: d.string(), Key: d.string()}}
 	e.Class, e.Tenant, e.Destination = int(d.varint()), int(d.varint()), int(d.varint())
-	e.Deadline = r.times.Time(d.varint())
+	e.Deadline = r.timeBase.Time(d.varint())
 	e.Resubmitted = d.uvarint() == 1
-	e.Body = []byte(d.text())
-	if len(d.rest) > 0 {
+	e.Body = []byte(d.string())
+	if len(d.remaining) > 0 {
 		e.DeadLetterSeq = d.uvarint()
 	}
-	if len(d.rest) > 0 { // its class, as it was when the message came
+	if len(d.remaining) > 0 { // definition of the class when the message was accepted
 		if c := d.class(); !d.malformed {
 			e.RecordedClass, e.ClassRecord = &c, string(EncodeClass(c))
 		}
@@ -89,7 +89,8 @@
 	e.MayHaveRun = slices.DeleteFunc(e.MayHaveRun, func(a Attempt) bool { return a.Index == attempt })
 }
 
-// applyOutcome ends an open message. Its body is needed only by a dead-letter queue that does not have it yet.
+// applyOutcome records the outcome of an open message and drops its body, unless the body must still be sent to a
+// dead-letter queue that does not have it yet.
 func (e *Entry) applyOutcome(o *Outcome) {
 	e.Outcome = o
 	if o.DeadLetter == nil || e.DeadLetterSeq > 0 {
@@ -102,15 +103,16 @@
 	o := &Outcome{Deferred: flags&outcomeDeferred != 0, RetryAfter: time.Duration(d.varint()) * time.Millisecond}
 	if flags&outcomeDeadLetter != 0 {
 		o.DeadLetter = &DeadLetterOutcome{
-			Reason: d.text(), At: r.times.Time(d.varint()),
+			Reason: d.string(), At: r.timeBase.Time(d.varint()),
 			Delivered: flags&outcomeDelivered != 0, Final: flags&outcomeFinal != 0, Deferred: flags&outcomeReturnable != 0,
 		}
 	}
 	return o
 }
 
-// assumeRun notes for an open message an attempt at an unknown time: damage may hide the record of one.
-func (e *Entry) assumeRun() {
+// assumeUnknownAttempt adds an attempt at an unknown time to a message that has no outcome yet. It is called where the
+// record of such an attempt may be lost to damage.
+func (e *Entry) assumeUnknownAttempt() {
 	if e.Outcome == nil {
 		e.MayHaveRun = append(e.MayHaveRun, Attempt{Index: e.Attempts, At: time.Unix(0, 0)})
 		e.Attempts++
