--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -13,20 +13,20 @@
 	"cleathold/internal/store"
 )
 
-// journalLockTimeout is how long a write-ahead log that is taken back may still be locked by the process that failed to
+// logLockTimeout is how long a write-ahead log that is taken back may still be locked by the process that failed to
 // take over.
-const journalLockTimeout = 3 * time.Second
+const logLockTimeout = 3 * time.Second
 
-// durabilities by their names in the settings.
-var durabilities = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
+// durabilityByName by their names in the settings.
+var durabilityByName = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
 
 // build opens what a server needs, and connects its parts. Nothing runs yet.
-func (p *process) build(c *Config, before *predecessor) (*server, error) {
-	s := &server{process: p, config: c, predecessor: before}
+func (p *process) build(c *Config, pred *predecessor) (*server, error) {
+	s := &server{process: p, config: c, predecessor: pred}
 	s.deadLetters = newDeadLetterQueue(*c, p.log)
 	s.gossip = openGossip(*c, p.log)
 	var err error
-	if s.loop, err = newLoop(s.loopSetup(), before != nil); err != nil {
+	if s.loop, err = newLoop(s.loopSetup(), pred != nil); err != nil {
 		return nil, err
 	}
 	clients, idle := socketBudget(*c)
@@ -48,8 +48,8 @@
 		s.listener.Close(time.Now())
 		return nil, err
 	}
-	s.calls = newTaskGroup(s.ctx)
-	s.facing = newTaskGroup(s.calls.ctx)
+	s.deliveryTasks = newTaskGroup(s.ctx)
+	s.controlTasks = newTaskGroup(s.deliveryTasks.ctx)
 	s.deadLettersClosed = make(chan struct{})
 	return s, nil
 }
@@ -62,7 +62,7 @@
 		DiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
 	}
 	if c.OwnSettings != nil {
-		setup.Durability, setup.GroupWait = durabilities[c.OwnSettings.Journal.Durability], c.OwnSettings.Journal.Wait
+		setup.Durability, setup.GroupWait = durabilityByName[c.OwnSettings.Journal.Durability], c.OwnSettings.Journal.Wait
 	}
 	if s.predecessor != nil {
 		setup.Handover = &s.predecessor.state
@@ -75,10 +75,10 @@
 }
 
 // newLoop makes a loop. One that takes over may find the write-ahead log locked for a moment.
-func newLoop(setup state.Setup, takesOver bool) (*state.Loop, error) {
-	for until := time.Now().Add(journalLockTimeout); ; time.Sleep(idlePollInterval) {
+func newLoop(setup state.Setup, takingOver bool) (*state.Loop, error) {
+	for deadline := time.Now().Add(logLockTimeout); ; time.Sleep(idlePollInterval) {
 		loop, err := retry(setup.Log, "journal", startTimeout, func() (*state.Loop, error) { return state.NewLoop(setup) })
-		if !takesOver || !errors.Is(err, store.ErrLocked) || time.Now().After(until) {
+		if !takingOver || !errors.Is(err, store.ErrLocked) || time.Now().After(deadline) {
 			return loop, err
 		}
 	}
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -69,10 +69,10 @@
 
 // namedClasses lists the classes of settings that have just been read, by their numbers.
 func (c Config) namedClasses() []state.NamedClass {
-	words := namesByNumber(c.Names.Classes)
+	names := namesByNumber(c.Names.Classes)
 	list := make([]state.NamedClass, len(c.Settings.Classes))
 	for i, k := range c.Settings.Classes {
-		list[i] = state.NamedClass{Name: words[i], Class: k}
+		list[i] = state.NamedClass{Name: names[i], Class: k}
 	}
 	return list
 }
@@ -122,50 +122,50 @@
 // parseAddresses reads where the sender listens, polls and keeps its state.
 func (c *Config) parseAddresses(doc gjson.Result, env func(string) string) error {
 	for _, f := range []struct {
-		to       *string
-		name, in string
+		field         *string
+		variable, key string
 	}{
 		{&c.Name, "LB_NAME", "name"}, {&c.Listen, "LB_LISTEN", "listen"},
 		{&c.Discovery, "LB_DISCOVERY", "discovery"}, {&c.State, "LB_STATE", "state"}, {&c.Admin, "LB_ADMIN", "admin"},
 	} {
-		first, second := env(f.name), doc.Get(f.in).String()
-		if f.to == &c.Discovery {
-			first, second = second, first
+		value, fallback := env(f.variable), doc.Get(f.key).String()
+		if f.field == &c.Discovery {
+			value, fallback = fallback, value
 		}
-		if *f.to = first; first == "" {
-			*f.to = second
+		if *f.field = value; value == "" {
+			*f.field = fallback
 		}
-		if *f.to == "" && f.in != "name" && f.in != "admin" {
-			return fmt.Errorf("configuration: neither %q nor %s given", f.in, f.name)
+		if *f.field == "" && f.key != "name" && f.key != "admin" {
+			return fmt.Errorf("configuration: neither %q nor %s given", f.key, f.variable)
 		}
 	}
 	return nil
 }
 
 // parseSettings reads the controller's settings, and the names that they number.
-func (c *Config) parseSettings(set gjson.Result, seedText string) error {
+func (c *Config) parseSettings(doc gjson.Result, seedText string) error {
 	seed, err := parseSeed(seedText)
 	if err != nil {
 		return err
 	}
-	if !set.IsObject() {
+	if !doc.IsObject() {
 		return errors.New("configuration: no settings")
 	}
-	if err := checkPositive(set); err != nil {
+	if err := checkPositive(doc); err != nil {
 		return err
 	}
-	if c.Settings, err = wire.ParseSettings([]byte(set.Raw), seed); err == nil {
+	if c.Settings, err = wire.ParseSettings([]byte(doc.Raw), seed); err == nil {
 		_, err = control.New(c.Settings, nil)
 	}
 	if err != nil {
 		return fmt.Errorf("configuration: settings: %w", err)
 	}
 	c.Names = protocol.Names{
-		Classes: numberNames(set.Get("profiles.#.name")), Tenants: numberNames(set.Get("tenants.#.name")),
-		Zones: numberNames(set.Get("zones")), Kinds: numberNames(set.Get("kinds")),
+		Classes: numberNames(doc.Get("profiles.#.name")), Tenants: numberNames(doc.Get("tenants.#.name")),
+		Zones: numberNames(doc.Get("zones")), Kinds: numberNames(doc.Get("kinds")),
 	}
 	for _, list := range []string{"profiles", "tenants"} {
-		if err := checkNames(list, set.Get(list)); err != nil {
+		if err := checkNames(list, doc.Get(list)); err != nil {
 			return err
 		}
 	}
@@ -173,14 +173,14 @@
 }
 
 // checkNames wants a name of its own for each entry of a list.
-func checkNames(list string, of gjson.Result) error {
+func checkNames(key string, entries gjson.Result) error {
 	seen := map[string]bool{}
-	for i, e := range of.Array() {
+	for i, e := range entries.Array() {
 		switch name := e.Get("name").String(); {
 		case name == "":
-			return fmt.Errorf("configuration: settings: %s[%d].name: missing", list, i)
+			return fmt.Errorf("configuration: settings: %s[%d].name: missing", key, i)
 		case seen[name]:
-			return fmt.Errorf("configuration: settings: %s[%d].name: %q: two of one name", list, i, name)
+			return fmt.Errorf("configuration: settings: %s[%d].name: %q: two of one name", key, i, name)
 		default:
 			seen[name] = true
 		}
@@ -190,23 +190,23 @@
 
 // checkSockets wants descriptors enough for the calls that the settings allow, besides what the sender needs itself.
 func checkSockets(l Limits, s control.Settings) error {
-	if least := s.MaxInFlight + minSockets; l.Sockets < least {
+	if minimum := s.MaxInFlight + minSockets; l.Sockets < minimum {
 		return fmt.Errorf("configuration: limits.sockets: %d: %d wanted at least, for specifics.max-calls %d",
-			l.Sockets, least, s.MaxInFlight)
+			l.Sockets, minimum, s.MaxInFlight)
 	}
 	return nil
 }
 
 // checkPositive wants the settings that must be numbers above 0 to be so, where they are given.
-func checkPositive(set gjson.Result) error {
+func checkPositive(doc gjson.Result) error {
 	var err error
-	positive := func(name string, v gjson.Result, must bool) {
-		if err == nil && (v.Exists() || must) && (v.Type != gjson.Number || v.Float() <= 0) {
+	positive := func(name string, v gjson.Result, required bool) {
+		if err == nil && (v.Exists() || required) && (v.Type != gjson.Number || v.Float() <= 0) {
 			err = fmt.Errorf("configuration: settings: %s: %q: a number above 0 wanted", name, v.Raw)
 		}
 	}
-	positive("specifics.max-calls", set.Get("specifics.max-calls"), true)
-	for i, p := range set.Get("profiles").Array() {
+	positive("specifics.max-calls", doc.Get("specifics.max-calls"), true)
+	for i, p := range doc.Get("profiles").Array() {
 		positive(fmt.Sprintf("profiles[%d].deadline-ms", i), p.Get("deadline-ms"), true)
 		if p.Get("effect").String() == "keyed" {
 			positive(fmt.Sprintf("profiles[%d].memory-span-ms", i), p.Get("memory-span-ms"), true)
--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -11,7 +11,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := string(text)
+	valid := string(text)
 	for _, c := range []struct{ name, old, new, want string }{
 		{"as it is", "", "", ""},
 		{"seed", `"name": "n0"`, `"name": "n0", "seed": "8c1f30d27a5be964"`, ""},
@@ -34,7 +34,7 @@
 			`"portion": 0.5}, {"name": "school-bands", "allowance-per-s": 9, "portion": 0.5}]`, "tenants[1].name"},
 		{"bad list", `"servers": []`, `"servers": 1`, "known"},
 	} {
-		got, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)), func(string) string { return "" })
+		got, err := Parse([]byte(strings.Replace(valid, c.old, c.new, 1)), func(string) string { return "" })
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
@@ -49,7 +49,7 @@
 	if got, err := Parse(text, env); err != nil || got.Listen != "127.0.0.9:1" || got.Discovery != "127.0.0.1:8500" {
 		t.Errorf("environment: %v, %q, %q", err, got.Listen, got.Discovery)
 	}
-	if got, err := Parse([]byte(strings.Replace(good, `"discovery": "127.0.0.1:8500"`, `"x": 1`, 1)), env); err != nil ||
+	if got, err := Parse([]byte(strings.Replace(valid, `"discovery": "127.0.0.1:8500"`, `"x": 1`, 1)), env); err != nil ||
 		got.Discovery != "127.0.0.9:2" {
 		t.Errorf("discovery from the environment: %v, %q", err, got.Discovery)
 	}
@@ -61,9 +61,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := strings.Replace(string(text), `"name": "n0",`, `"name": "n0", "seed": "7", "admin": "127.0.0.1:1", `, 1)
+	valid := strings.Replace(string(text), `"name": "n0",`, `"name": "n0", "seed": "7", "admin": "127.0.0.1:1", `, 1)
 	none := func(string) string { return "" }
-	old, err := Parse([]byte(good), none)
+	old, err := Parse([]byte(valid), none)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,8 +77,8 @@
 		{"stricter", `"effect": "safe"`, `"effect": "unsafe"`, ""},
 		{"fewer attempts", `"send-cap": 12`, `"send-cap": 3`, ""},
 		{"without what only a start asks for", `"seed": "7", "admin": "127.0.0.1:1", `, ``, ""},
-		{"empty", good, "", "not JSON"},
-		{"cut short", good, good[:len(good)/2], "not JSON"},
+		{"empty", valid, "", "not JSON"},
+		{"cut short", valid, valid[:len(valid)/2], "not JSON"},
 		{"no settings", `"settings"`, `"x"`, "settings"},
 		{"no deadline", `"deadline-ms": 20000, `, ``, "profiles[1].deadline-ms"},
 		{"no attempts", `"send-cap": 12, `, ``, "limits.send-cap"},
@@ -95,7 +95,7 @@
 		{"a list that is none", `"tenants": [`, `"tenants": 1, "x": [`, "tenants"},
 		{"no discovery", `"discovery": "127.0.0.1:8500"`, `"y": 1`, "discovery"},
 	} {
-		c2, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)), none)
+		c2, err := Parse([]byte(strings.Replace(valid, c.old, c.new, 1)), none)
 		if err == nil {
 			err = checkReload(old, c2)
 		}
--- a/internal/lifecycle/configreload.go
+++ b/internal/lifecycle/configreload.go
@@ -28,20 +28,20 @@
 // of it: a key that is gone is a mistake, not a wish for its default.
 func checkKeys(old, next gjson.Result, path string) error {
 	var err error
-	old.ForEach(func(key, was gjson.Result) bool {
+	old.ForEach(func(key, oldValue gjson.Result) bool {
 		name := key.String()
-		at := strings.TrimPrefix(path+"."+name, ".")
-		is := next.Get(gjson.Escape(name))
+		keyPath := strings.TrimPrefix(path+"."+name, ".")
+		newValue := next.Get(gjson.Escape(name))
 		switch {
 		case path == "" && startOnlyKeys[name]:
-		case !is.Exists():
-			err = fmt.Errorf("configuration: %s: missing", at)
-		case kindOf(was) != kindOf(is):
-			err = fmt.Errorf("configuration: %s: %.40s: not of the kind that it was", at, is.Raw)
-		case was.IsObject():
-			err = checkKeys(was, is, at)
-		case was.IsArray():
-			err = checkListKeys(was.Array(), is.Array(), at)
+		case !newValue.Exists():
+			err = fmt.Errorf("configuration: %s: missing", keyPath)
+		case jsonKind(oldValue) != jsonKind(newValue):
+			err = fmt.Errorf("configuration: %s: %.40s: not of the kind that it was", keyPath, newValue.Raw)
+		case oldValue.IsObject():
+			err = checkKeys(oldValue, newValue, keyPath)
+		case oldValue.IsArray():
+			err = checkListKeys(oldValue.Array(), newValue.Array(), keyPath)
 		}
 		return err == nil
 	})
@@ -64,9 +64,9 @@
 			continue
 		}
 		key := gjson.Escape(name)
-		kind := kindOf(old[0].Get(key))
+		kind := jsonKind(old[0].Get(key))
 		for i, o := range next {
-			if is := o.Get(key); !is.Exists() || kindOf(is) != kind {
+			if value := o.Get(key); !value.Exists() || jsonKind(value) != kind {
 				return fmt.Errorf("configuration: %s[%d].%s: missing, or not of the kind that it was", path, i, name)
 			}
 		}
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// kindOf is the JSON kind of a value; true and false are one.
-func kindOf(v gjson.Result) string {
+// jsonKind is the JSON kind of a value; true and false are one.
+func jsonKind(v gjson.Result) string {
 	switch {
 	case v.IsObject():
 		return "object"
--- a/internal/lifecycle/docs_test.go
+++ b/internal/lifecycle/docs_test.go
@@ -11,7 +11,7 @@
 // Each log line that the page for on-call staff explains stands in the code.
 func TestLogPageNamesLines(t *testing.T) {
 	var code strings.Builder
-	for _, file := range filesOf(t, "../*/*.go", "../../cmd/*/*.go") {
+	for _, file := range globFiles(t, "../*/*.go", "../../cmd/*/*.go") {
 		if !strings.HasSuffix(file, "_test.go") {
 			code.Write(readFile(t, file))
 		}
@@ -33,12 +33,12 @@
 // Each test that a page of docs/ names exists, so that a renamed test is renamed there, too.
 func TestPagesNameTests(t *testing.T) {
 	tests := map[string]bool{}
-	for _, file := range filesOf(t, "../../*/*_test.go", "../../*/*/*_test.go") {
+	for _, file := range globFiles(t, "../../*/*_test.go", "../../*/*/*_test.go") {
 		for _, found := range regexp.MustCompile(`(?m)^func (Test\w+)`).FindAllSubmatch(readFile(t, file), -1) {
 			tests[string(found[1])] = true
 		}
 	}
-	for _, page := range filesOf(t, "../../docs/design/*.md", "../../docs/operate/*.md") {
+	for _, page := range globFiles(t, "../../docs/design/*.md", "../../docs/operate/*.md") {
 		for _, name := range regexp.MustCompile(`\bTest[A-Z]\w*`).FindAll(readFile(t, page), -1) {
 			if !tests[string(name)] {
 				t.Errorf("%s: there is no %s", page, name)
@@ -47,7 +47,7 @@
 	}
 }
 
-func filesOf(t *testing.T, patterns ...string) (files []string) {
+func globFiles(t *testing.T, patterns ...string) (files []string) {
 	t.Helper()
 	for _, pattern := range patterns {
 		list, err := filepath.Glob(pattern)
--- a/internal/lifecycle/handover.go
+++ b/internal/lifecycle/handover.go
@@ -22,8 +22,8 @@
 )
 
 var (
-	errDeadLettersOpen   = errors.New("the dead-letter store does not close")
-	errStoppedInHandover = errors.New("stopped")
+	errDeadLetterCloseTimeout = errors.New("the dead-letter store does not close")
+	errStoppedInHandover      = errors.New("stopped")
 )
 
 // A predecessor is the process before this one, or this one's own last server, whose calls are still out.
@@ -67,23 +67,23 @@
 	startedAt := time.Now()
 	s.machine.advance(handingOver)
 	s.listener.Close(startedAt.Add(closeTimeout))
-	s.stopFacing()
+	s.stopControlTasks()
 	// The dead-letter queue goes first: it redelivers nothing any more, and what it has not written yet stays with the
 	// write-ahead log.
 	closeErr := s.closeDeadLetters()
 	results := handover.NewResultQueue()
-	given := s.detachState(results)
-	signaledAt, err := s.offer(request, socket, given.State, errors.Join(given.Err, closeErr))
+	detached := s.detachState(results)
+	signaledAt, err := s.transferState(request, socket, detached.State, errors.Join(detached.Err, closeErr))
 	switch {
 	case err != nil && signaledAt.IsZero():
 		s.log.Error("hand-over failed, serving on", "err", err)
-		return s.takeBack(socket, given.State, results)
+		return s.reclaimState(socket, detached.State, results)
 	case err != nil:
 		s.log.Error("stopped during hand-over; the write-ahead log has everything", "err", err)
 		return nil
 	}
 	s.log.Info("handed over to successor",
-		"elapsed", time.Since(startedAt).Round(time.Millisecond), "in_flight", len(given.State.InFlight))
+		"elapsed", time.Since(startedAt).Round(time.Millisecond), "in_flight", len(detached.State.InFlight))
 	s.successors.Close(true)
 	s.forwardResults(request, results, signaledAt)
 	return nil
@@ -93,39 +93,39 @@
 func (s *server) detachState(results *handover.ResultQueue) state.HandOverResult {
 	done := make(chan state.HandOverResult, 1)
 	s.loop.Post(state.HandOver{Successor: results, Done: done})
-	given := <-done
-	given.State.Drained, given.State.Lease = s.machine.orders()
-	return given
+	detached := <-done
+	detached.State.Drained, detached.State.Lease = s.machine.orders()
+	return detached
 }
 
-// offer gives the state to the other process, unless there is an error already, and waits until that one serves.
+// transferState gives the state to the other process, unless there is an error already, and waits until that one serves.
 // signaledAt is when this process was told to stop meanwhile; zero: it was not.
-func (s *server) offer(
+func (s *server) transferState(
 	request *handover.Request, socket *os.File, given state.HandoverState, err error,
 ) (signaledAt time.Time, _ error) {
-	taken := make(chan error, 1)
+	transferred := make(chan error, 1)
 	if err != nil {
 		request.Reject(err.Error())
-		taken <- err
+		transferred <- err
 	} else {
-		go func() { taken <- request.HandOver(socket, given) }()
+		go func() { transferred <- request.HandOver(socket, given) }()
 	}
 	select {
-	case err = <-taken:
+	case err = <-transferred:
 		return time.Time{}, err
 	case signaledAt = <-s.stop:
 	}
 	s.machine.advance(stopping)
 	select {
-	case err = <-taken:
+	case err = <-transferred:
 	case <-time.After(time.Until(signaledAt.Add(finishTimeout))):
 		err = errStoppedInHandover
 	}
 	return signaledAt, err
 }
 
-// takeBack makes a predecessor for the next server of this process of what another one did not take.
-func (s *server) takeBack(socket *os.File, given state.HandoverState, results *handover.ResultQueue) *predecessor {
+// reclaimState makes a predecessor for the next server of this process of what another one did not take.
+func (s *server) reclaimState(socket *os.File, given state.HandoverState, results *handover.ResultQueue) *predecessor {
 	listener, err := net.FileListener(socket)
 	if err != nil {
 		s.log.Error("listening socket lost", "err", err)
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -48,17 +48,17 @@
 		defer server.Close()
 		go server.Serve()
 	}
-	before, err := requestTakeover(c)
+	pred, err := requestTakeover(c)
 	if err != nil {
 		return err
 	}
-	if before != nil {
-		log.Info("taking over from predecessor", "in_flight", len(before.state.InFlight))
-		p.machine.inherit(before.state.Drained, before.state.Lease)
+	if pred != nil {
+		log.Info("taking over from predecessor", "in_flight", len(pred.state.InFlight))
+		p.machine.inherit(pred.state.Drained, pred.state.Lease)
 	}
 	for {
 		// More than once only where a process that was to take over did not come to serve.
-		if before, err = p.serve(&c, before); before == nil || err != nil {
+		if pred, err = p.serve(&c, pred); pred == nil || err != nil {
 			return err
 		}
 	}
@@ -100,8 +100,8 @@
 
 // serve builds a server and runs it until a stop, or until another process has taken over. Where that one fails, what
 // it was given is returned, for the next server of this process.
-func (p *process) serve(c *Config, before *predecessor) (*predecessor, error) {
-	s, err := p.build(c, before)
+func (p *process) serve(c *Config, pred *predecessor) (*predecessor, error) {
+	s, err := p.build(c, pred)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -18,22 +18,22 @@
 // settings of the controller and the runtime's limits, all of them or none. What else has changed waits for the next
 // start: the write-ahead log and the listener are built on it.
 func (s *server) reloadConfig() {
-	*s.config = s.reread(*s.config)
+	*s.config = s.applyReload(*s.config)
 	s.publishConfig(*s.config)
 	if s.deadLetters != nil && s.config.OwnSettings != nil {
 		s.deadLetters.UpdateSettings(s.config.OwnSettings)
 	}
 }
 
-// reread reads the configuration again and returns the one in force.
-func (s *server) reread(old Config) Config {
+// applyReload reads the configuration again and returns the one in force.
+func (s *server) applyReload(old Config) Config {
 	c, err := retry(s.log, "configuration", reloadTimeout, s.load)
 	if err == nil {
 		err = checkReload(old, c)
 	}
-	now := old
+	inForce := old
 	if err == nil {
-		now, err = s.updateSettings(old, c)
+		inForce, err = s.updateSettings(old, c)
 	}
 	if err != nil {
 		s.log.Error("configuration reload failed, the old one stays in force", "err", err)
@@ -44,24 +44,25 @@
 		s.reporter.SetAddress(c.Discovery)
 	}
 	limitRuntime(c.Limits)
-	now.Discovery, now.raw = c.Discovery, c.raw
-	now.Limits.Cores, now.Limits.MemoryMB = c.Limits.Cores, c.Limits.MemoryMB
-	now.OwnSettings = reloadOwnSettings(old.OwnSettings, c.OwnSettings, s.log)
-	if pending := c.pendingRestart(now); len(pending) > 0 {
+	inForce.Discovery, inForce.raw = c.Discovery, c.raw
+	inForce.Limits.Cores, inForce.Limits.MemoryMB = c.Limits.Cores, c.Limits.MemoryMB
+	inForce.OwnSettings = reloadOwnSettings(old.OwnSettings, c.OwnSettings, s.log)
+	if pending := c.pendingRestart(inForce); len(pending) > 0 {
 		s.log.Warn("configuration changes wait for the next start", "keys", pending)
 	}
-	s.log.Info("configuration read again", "discovery", now.Discovery,
-		"classes", len(now.Names.Classes), "max_attempts", now.Settings.MaxAttempts)
-	return now
+	s.log.Info("configuration read again", "discovery", inForce.Discovery,
+		"classes", len(inForce.Names.Classes), "max_attempts", inForce.Settings.MaxAttempts)
+	return inForce
 }
 
 // updateSettings has the loop take new settings, and the listener the names in them. It returns the configuration
 // with the settings in force.
 func (s *server) updateSettings(old, c Config) (Config, error) {
-	same := c.Settings
-	same.Seed, same.Classes, same.CanGossip = old.Settings.Seed, old.Settings.Classes, old.Settings.CanGossip
+	candidate := c.Settings
+	candidate.Seed, candidate.Classes = old.Settings.Seed, old.Settings.Classes
+	candidate.CanGossip = old.Settings.CanGossip
 	classes := c.namedClasses()
-	if reflect.DeepEqual(same, old.Settings) && slices.Equal(classes, old.classes) {
+	if reflect.DeepEqual(candidate, old.Settings) && slices.Equal(classes, old.classes) {
 		return old, nil
 	}
 	if s.deadLetters != nil {
@@ -82,35 +83,37 @@
 	if r.Err != nil {
 		return old, fmt.Errorf("settings: %w", r.Err)
 	}
-	now := old
-	now.classes = classes
-	now.Names, now.Settings = c.Names, c.Settings
-	now.Names.Classes, now.Names.Kinds = r.Numbers, old.Names.Kinds
-	now.Settings.Classes, now.Settings.Seed, now.Settings.CanGossip = r.Classes, old.Settings.Seed, old.Settings.CanGossip
-	now.Settings.FleetSize, now.Settings.Index, now.Settings.Kinds =
+	inForce := old
+	inForce.classes = classes
+	inForce.Names, inForce.Settings = c.Names, c.Settings
+	inForce.Names.Classes, inForce.Names.Kinds = r.Numbers, old.Names.Kinds
+	inForce.Settings.Classes, inForce.Settings.Seed, inForce.Settings.CanGossip =
+		r.Classes, old.Settings.Seed, old.Settings.CanGossip
+	inForce.Settings.FleetSize, inForce.Settings.Index, inForce.Settings.Kinds =
 		old.Settings.FleetSize, old.Settings.Index, old.Settings.Kinds
 	if s.deadLetters != nil {
-		s.deadLetters.TenantsChanged(namesByNumber(now.Names.Tenants))
+		s.deadLetters.TenantsChanged(namesByNumber(inForce.Names.Tenants))
 	}
-	s.listener.SetNames(now.Names, now.Settings.Classes)
-	return now, nil
+	s.listener.SetNames(inForce.Names, inForce.Settings.Classes)
+	return inForce, nil
 }
 
 // pendingRestart names the keys of a configuration that are not in force before the next start.
-func (c Config) pendingRestart(now Config) (keys []string) {
+func (c Config) pendingRestart(inForce Config) (keys []string) {
 	for _, k := range []struct {
 		name string
 		same bool
 	}{
-		{"listen", c.Listen == now.Listen},
-		{"state", c.State == now.State},
-		{"admin", c.Admin == now.Admin},
-		{"peers", c.PeerListen == now.PeerListen && c.PeersAll == now.PeersAll && slices.Equal(c.Peers, now.Peers)},
-		{"limits.sockets", c.Limits.Sockets == now.Limits.Sockets},
-		{"limits.disk_mb", c.Limits.DiskBytes == now.Limits.DiskBytes},
-		{"settings.siblings", c.Settings.FleetSize == now.Settings.FleetSize},
-		{"settings.me", c.Settings.Index == now.Settings.Index},
-		{"settings.kinds", slices.Equal(c.Settings.Kinds, now.Settings.Kinds)},
+		{"listen", c.Listen == inForce.Listen},
+		{"state", c.State == inForce.State},
+		{"admin", c.Admin == inForce.Admin},
+		{"peers", c.PeerListen == inForce.PeerListen && c.PeersAll == inForce.PeersAll &&
+			slices.Equal(c.Peers, inForce.Peers)},
+		{"limits.sockets", c.Limits.Sockets == inForce.Limits.Sockets},
+		{"limits.disk_mb", c.Limits.DiskBytes == inForce.Limits.DiskBytes},
+		{"settings.siblings", c.Settings.FleetSize == inForce.Settings.FleetSize},
+		{"settings.me", c.Settings.Index == inForce.Settings.Index},
+		{"settings.kinds", slices.Equal(c.Settings.Kinds, inForce.Settings.Kinds)},
 	} {
 		if !k.same {
 			keys = append(keys, k.name)
--- a/internal/lifecycle/retry_test.go
+++ b/internal/lifecycle/retry_test.go
@@ -13,7 +13,7 @@
 
 // A transient error is retried until it is over, or the time is up; any other error ends at once.
 func TestRetry(t *testing.T) {
-	odd := errors.New("odd")
+	permanent := errors.New("odd")
 	for _, c := range []struct {
 		name     string
 		err      error
@@ -24,7 +24,7 @@
 		{"nothing wrong", nil, 0, 1, nil},
 		{"a disk that is full for a moment", fmt.Errorf("journal: %w", syscall.ENOSPC), 2, 3, nil},
 		{"no descriptor for a moment", &net.OpError{Op: "listen", Err: syscall.ENFILE}, 1, 2, nil},
-		{"what does not pass", odd, 1, 1, odd},
+		{"what does not pass", permanent, 1, 1, permanent},
 		{"what does not pass in time", syscall.EIO, 1000, 0, syscall.EIO},
 	} {
 		attempts := 0
@@ -48,12 +48,12 @@
 func TestStopTimeIsSignalTime(t *testing.T) {
 	signals := make(chan os.Signal, 4)
 	signaledAt := stopTimes(t.Context(), signals)
-	began := time.Now()
+	sentAt := time.Now()
 	signals <- syscall.SIGTERM
 	time.Sleep(300 * time.Millisecond) // busy
 	signals <- syscall.SIGINT
 	time.Sleep(50 * time.Millisecond)
-	if late := (<-signaledAt).Sub(began); late > 200*time.Millisecond {
-		t.Errorf("counted from %v after the signal", late)
+	if delay := (<-signaledAt).Sub(sentAt); delay > 200*time.Millisecond {
+		t.Errorf("counted from %v after the signal", delay)
 	}
 }
--- a/internal/lifecycle/server.go
+++ b/internal/lifecycle/server.go
@@ -29,7 +29,7 @@
 // settingsTimeout is how long the loop may take to answer new settings, or take exclusions.
 const settingsTimeout = time.Second
 
-var errJournalBroken = errors.New("the journal can't be written")
+var errLogNotWritable = errors.New("the journal can't be written")
 
 // A taskGroup owns goroutines that end together: cancel asks them to, and Wait waits until they have.
 type taskGroup struct {
@@ -64,9 +64,9 @@
 	successors  *handover.Listener        // nil: nobody can take over
 
 	// The owners of goroutines. What faces the platform and the operators ends first when another process takes over;
-	// calls that are out end last.
-	calls             *taskGroup    // loop, transport, listener, and the results of the predecessor's calls
-	facing            *taskGroup    // discovery, reporter, gossip, admin API; within calls
+	// deliveryTasks that are out end last.
+	deliveryTasks     *taskGroup    // loop, transport, listener, and the results of the predecessor's calls
+	controlTasks      *taskGroup    // discovery, reporter, gossip, admin API; within calls
 	deadLettersClosed chan struct{} // closed once the dead-letter queue has ended, or if there is none
 	stopDeadLetters   context.CancelFunc
 }
@@ -75,25 +75,25 @@
 func (s *server) start() error {
 	s.startDeadLetters()
 	if s.admin != nil {
-		s.facing.Go(s.admin.Serve)
+		s.controlTasks.Go(s.admin.Serve)
 	}
-	s.calls.run(s.loop.Run)
-	s.calls.run(s.transport.Run)
-	s.facing.run(s.discovery.Run)
-	s.facing.run(s.reporter.Run)
+	s.deliveryTasks.run(s.loop.Run)
+	s.deliveryTasks.run(s.transport.Run)
+	s.controlTasks.run(s.discovery.Run)
+	s.controlTasks.run(s.reporter.Run)
 	if s.gossip != nil {
-		s.facing.run(func(ctx context.Context) { s.gossip.Run(ctx, s.loop) })
+		s.controlTasks.run(func(ctx context.Context) { s.gossip.Run(ctx, s.loop) })
 	}
-	s.calls.Go(s.listener.Serve)
+	s.deliveryTasks.Go(s.listener.Serve)
 	if s.predecessor != nil {
 		if err := s.predecessor.confirmReady(); err != nil {
-			s.calls.cancel()
+			s.deliveryTasks.cancel()
 			s.listener.Close(time.Now())
-			s.stopFacing()
-			s.calls.Wait()
+			s.stopControlTasks()
+			s.deliveryTasks.Wait()
 			return err
 		}
-		s.calls.run(func(ctx context.Context) { s.predecessor.receiveResults(ctx, s.loop) })
+		s.deliveryTasks.run(func(ctx context.Context) { s.predecessor.receiveResults(ctx, s.loop) })
 	}
 	s.successors = listenForSuccessor(*s.config, s.log)
 	s.board.loop.Store(s.loop)
@@ -110,7 +110,7 @@
 // startDeadLetters starts the dead-letter queue, if there is one.
 func (s *server) startDeadLetters() {
 	var ctx context.Context
-	ctx, s.stopDeadLetters = context.WithCancel(s.calls.ctx)
+	ctx, s.stopDeadLetters = context.WithCancel(s.deliveryTasks.ctx)
 	if s.deadLetters == nil {
 		close(s.deadLettersClosed)
 		return
@@ -131,7 +131,7 @@
 		case <-s.reload:
 			s.reloadConfig()
 		case request := <-s.successors.Requests():
-			if returned, ended := s.answerTakeover(request); ended {
+			if returned, ended := s.handleTakeover(request); ended {
 				return returned
 			}
 		case signaledAt := <-s.stop:
@@ -141,11 +141,11 @@
 	}
 }
 
-// answerTakeover lets another process take over. The server has ended then, unless the request was rejected.
-func (s *server) answerTakeover(request *handover.Request) (returned *predecessor, ended bool) {
+// handleTakeover lets another process take over. The server has ended then, unless the request was rejected.
+func (s *server) handleTakeover(request *handover.Request) (returned *predecessor, ended bool) {
 	socket, err := s.listener.File()
 	if err == nil && !s.loop.LogIntact() {
-		err = errJournalBroken
+		err = errLogNotWritable
 	}
 	if err != nil {
 		s.log.Error("hand-over rejected", "err", err)
@@ -155,11 +155,11 @@
 	returned = s.handOver(request, socket)
 	socket.Close()
 	if returned != nil {
-		go func() { <-returned.drained; s.calls.cancel() }() // results of calls that are out are passed on until then
+		go func() { <-returned.drained; s.deliveryTasks.cancel() }() // results of calls that are out are passed on until then
 		return returned, true
 	}
-	s.calls.cancel()
-	s.calls.Wait()
+	s.deliveryTasks.cancel()
+	s.deliveryTasks.Wait()
 	s.listener.Wait(time.Now().Add(lingerTimeout))
 	s.log.Info("stopped after hand-over", "sender", s.config.Name)
 	return nil, true
@@ -169,9 +169,9 @@
 func (s *server) shutDown(signaledAt time.Time) {
 	s.machine.advance(stopping)
 	s.finishCalls(signaledAt)
-	s.stopFacing()
-	s.calls.cancel()
-	s.calls.Wait()
+	s.stopControlTasks()
+	s.deliveryTasks.cancel()
+	s.deliveryTasks.Wait()
 	select {
 	case <-s.deadLettersClosed:
 	case <-time.After(time.Until(signaledAt.Add(exitTimeout))): // a disk may hang
@@ -197,13 +197,13 @@
 	s.listener.Wait(signaledAt.Add(finishTimeout))
 }
 
-// stopFacing ends what faces the platform and the operators.
-func (s *server) stopFacing() {
-	s.facing.cancel()
+// stopControlTasks ends what faces the platform and the operators.
+func (s *server) stopControlTasks() {
+	s.controlTasks.cancel()
 	if s.admin != nil {
 		s.admin.Close()
 	}
-	s.facing.Wait()
+	s.controlTasks.Wait()
 }
 
 // closeDeadLetters ends the dead-letter queue. Its error is errDeadLettersOpen if that takes too long.
@@ -213,6 +213,6 @@
 	case <-s.deadLettersClosed:
 		return nil
 	case <-time.After(deadLetterCloseTimeout):
-		return errDeadLettersOpen
+		return errDeadLetterCloseTimeout
 	}
 }
--- a/internal/lifecycle/sites_test.go
+++ b/internal/lifecycle/sites_test.go
@@ -19,7 +19,7 @@
 // No name of a site stands in the code of the sender or of its decisions, and no figure of a class but those that
 // everybody uses: all of them come from the settings.
 func TestNoSiteSpecificNames(t *testing.T) {
-	names, figures := siteWords(t)
+	names, figures := siteTerms(t)
 	for _, path := range senderFiles(t) {
 		tree, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 		if err != nil {
@@ -43,14 +43,14 @@
 	}
 }
 
-// siteWords returns the names and the figures of sites, each with the file where it stands.
-func siteWords(t *testing.T) (names, figures map[string]string) {
+// siteTerms returns the names and the figures of sites, each with the file where it stands.
+func siteTerms(t *testing.T) (names, figures map[string]string) {
 	names, figures = map[string]string{}, map[string]string{}
-	given, err := os.ReadFile("testdata/sites.txt") // of sites that are served and not kept here
+	listed, err := os.ReadFile("testdata/sites.txt") // of sites that are served and not kept here
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, w := range strings.Fields(string(given)) {
+	for _, w := range strings.Fields(string(listed)) {
 		names[w] = "testdata/sites.txt"
 	}
 	sites, _ := filepath.Glob(root + "/deploy/sites/*.toml")
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -63,13 +63,13 @@
 func (m *stateMachine) Ready() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.rejection(true)
+	return m.checkPhase(true)
 }
 
-// rejection is why an order is rejected now; nil if it is not. Some orders need the end of the start.
-func (m *stateMachine) rejection(needsStart bool) error {
+// checkPhase is why an order is rejected now; nil if it is not. Some orders need the end of the start.
+func (m *stateMachine) checkPhase(needsStarted bool) error {
 	switch {
-	case m.phase == starting && needsStart:
+	case m.phase == starting && needsStarted:
 		return errStarting
 	case m.phase == handingOver:
 		return errHandingOver
@@ -80,10 +80,10 @@
 }
 
 // apply carries out an order, unless this process takes none now.
-func (m *stateMachine) apply(needsStart bool, order func(now time.Time) error) error {
+func (m *stateMachine) apply(needsStarted bool, order func(now time.Time) error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.rejection(needsStart); err != nil {
+	if err := m.checkPhase(needsStarted); err != nil {
 		return err
 	}
 	if err := order(m.clock()); err != nil {
@@ -175,8 +175,8 @@
 	}
 }
 
-// wantsDrain reports whether clients are to be sent away.
-func (m *stateMachine) wantsDrain() bool {
+// shouldDrain reports whether clients are to be sent away.
+func (m *stateMachine) shouldDrain() bool {
 	return m.drainedByOperator || m.lease.Active() && m.lease.Drain
 }
 
@@ -205,7 +205,7 @@
 
 // updatePhase brings the phase in line with the orders.
 func (m *stateMachine) updatePhase() {
-	drain := m.wantsDrain()
+	drain := m.shouldDrain()
 	switch {
 	case m.phase == serving && drain:
 		m.phase = drained
--- a/internal/lifecycle/statemachine_test.go
+++ b/internal/lifecycle/statemachine_test.go
@@ -12,8 +12,8 @@
 
 type gateRecorder []string
 
-func (n *gateRecorder) Drain()    { *n = append(*n, "drain") }
-func (n *gateRecorder) Activate() { *n = append(*n, "activate") }
+func (r *gateRecorder) Drain()    { *r = append(*r, "drain") }
+func (r *gateRecorder) Activate() { *r = append(*r, "activate") }
 
 // Orders and leases in each phase: those from before the end of the start hold after it, repeats are harmless, and a
 // process that stops or hands over takes none. Times are seconds; "take:5" is an order of epoch 5 to be taken up by 2
@@ -38,10 +38,10 @@
 		{"inherit:5 begin take:5 end:5", "drain activate", "serving", ""},
 		{"inherit:5 begin take:4", "drain", "drained", "take:4"},
 	} {
-		r := newOrderRun()
+		r := newOrderSequence()
 		var rejected []string
 		for _, order := range strings.Fields(c.orders) {
-			if r.give(order) != nil {
+			if r.apply(order) != nil {
 				rejected = append(rejected, order)
 			}
 		}
@@ -55,25 +55,25 @@
 	}
 }
 
-// orderRun is a state machine under orders, by a clock of its own.
-type orderRun struct {
+// orderSequence is a state machine under orders, by a clock of its own.
+type orderSequence struct {
 	m    *stateMachine
 	gate gateRecorder
 	now  time.Time
 }
 
-// orderRunStart is when each run starts.
-var orderRunStart = time.Unix(1000, 0)
+// sequenceStart is when each run starts.
+var sequenceStart = time.Unix(1000, 0)
 
-func newOrderRun() *orderRun {
-	r := &orderRun{m: newStateMachine(slog.New(slog.DiscardHandler)), now: orderRunStart}
+func newOrderSequence() *orderSequence {
+	r := &orderSequence{m: newStateMachine(slog.New(slog.DiscardHandler)), now: sequenceStart}
 	r.m.now = func() time.Time { return r.now }
 	return r
 }
 
-// give gives an order, such as "take:5", and returns why it is rejected.
-func (r *orderRun) give(order string) error {
-	at := func(n int) time.Time { return orderRunStart.Add(time.Duration(n) * time.Second) }
+// apply gives an order, such as "take:5", and returns why it is rejected.
+func (r *orderSequence) apply(order string) error {
+	at := func(n int) time.Time { return sequenceStart.Add(time.Duration(n) * time.Second) }
 	verb, arg, _ := strings.Cut(order, ":")
 	n, _ := strconv.Atoi(arg)
 	switch verb {
