--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -13,14 +13,14 @@
 	"cleathold/internal/store"
 )
 
-// logLockTimeout is how long a write-ahead log that is taken back may still be locked by the process that failed to
-// take over.
+// logLockTimeout bounds the wait for the write-ahead log's lock during a takeover. After a failed hand-over, the
+// process that failed to take over may still hold the lock when its predecessor reopens the log.
 const logLockTimeout = 3 * time.Second
 
-// durabilityByName by their names in the settings.
+// durabilityByName maps the durability names in the settings to the levels of package store.
 var durabilityByName = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
 
-// build opens what a server needs, and connects its parts. Nothing runs yet.
+// build opens the resources of a server and connects its components. It starts no goroutines.
 func (p *process) build(c *Config, pred *predecessor) (*server, error) {
 	s := &server{process: p, config: c, predecessor: pred}
 	s.deadLetters = newDeadLetterQueue(*c, p.log)
@@ -54,7 +54,7 @@
 	return s, nil
 }
 
-// loopSetup is what the loop is built from.
+// loopSetup returns the parameters of the event loop.
 func (s *server) loopSetup() state.Setup {
 	c := s.config
 	setup := state.Setup{
@@ -67,14 +67,15 @@
 	if s.predecessor != nil {
 		setup.Handover = &s.predecessor.state
 	}
-	if s.deadLetters != nil { // an interface that holds a nil queue is not nil
+	if s.deadLetters != nil { // a nil *Queue stored in the interface would compare unequal to nil
 		setup.DeadLetters = s.deadLetters
 	}
 	setup.Settings.CanGossip = s.gossip != nil
 	return setup
 }
 
-// newLoop makes a loop. One that takes over may find the write-ahead log locked for a moment.
+// newLoop creates the event loop. During a takeover it retries while the other process still holds the lock of the
+// write-ahead log, for at most logLockTimeout.
 func newLoop(setup state.Setup, takingOver bool) (*state.Loop, error) {
 	for deadline := time.Now().Add(logLockTimeout); ; time.Sleep(idlePollInterval) {
 		loop, err := retry(setup.Log, "journal", startTimeout, func() (*state.Loop, error) { return state.NewLoop(setup) })
@@ -84,7 +85,8 @@
 	}
 }
 
-// listen opens the clients' socket, or takes over the predecessor's, for so many connections.
+// listen opens the socket for clients, or reuses the predecessor's. It accepts at most the given number of client
+// connections.
 func (s *server) listen(clients int) (*protocol.Listener, error) {
 	c, keepAlive := s.config, s.config.Limits.Sockets/keepAliveDivisor
 	if s.predecessor != nil {
@@ -100,7 +102,8 @@
 	return listener, nil
 }
 
-// openGossip opens the way to the peers where there is one; nil if not. Without it the sender serves all the same.
+// openGossip opens the gossip transport, or returns nil if gossip is not configured or can't be opened. The sender also
+// serves without gossip.
 func openGossip(c Config, log *slog.Logger) *protocol.GossipTransport {
 	if !c.Settings.CanGossip || c.PeerListen == "" || c.PeersAll == "" {
 		return nil
@@ -115,7 +118,7 @@
 	return transport
 }
 
-// newDeadLetterQueue makes the queue of undeliverable messages, if the settings ask for one; nil if not.
+// newDeadLetterQueue creates the queue of undeliverable messages, or returns nil if the settings configure none.
 func newDeadLetterQueue(c Config, log *slog.Logger) *deadletter.Queue {
 	if c.OwnSettings == nil || c.OwnSettings.Held == nil {
 		return nil
@@ -126,12 +129,12 @@
 	})
 }
 
-// listenAdmin opens the admin API on a Unix socket, if the settings ask for it; nil if not.
+// listenAdmin opens the admin API on a Unix socket, or returns nil if the settings configure none.
 func listenAdmin(c Config, queue *deadletter.Queue, board *statusBoard, log *slog.Logger) (*admin.Server, error) {
 	if c.OwnSettings == nil || c.OwnSettings.Admin == nil {
 		return nil, nil
 	}
-	var q admin.DeadLetterQueue // an interface that holds a nil queue is not nil
+	var q admin.DeadLetterQueue // a nil *Queue stored in the interface would compare unequal to nil
 	if queue != nil {
 		q = queue
 	}
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -16,24 +16,24 @@
 	"cleathold/internal/wire"
 )
 
-// Config is the configuration of a sender, from its file, its environment and its script.
+// Config is the configuration of a sender, read from its file, its environment variables and its settings script.
 type Config struct {
 	Name, Listen, Discovery, State string
-	Admin                          string   // the second address, for the operators; empty = none
-	PeerListen, PeersAll           string   // where gossip of the peers comes in, and the address that reaches all
-	Peers                          []string // where the peers' gossip comes from, by their numbers
-	Release                        string   // as whoever starts the process calls its version; may be empty
+	Admin                          string   // TCP admin address for operators; empty: none
+	PeerListen, PeersAll           string   // receive address for gossip, and the address that reaches all peers
+	Peers                          []string // source addresses of the peers' gossip, by peer index
+	Release                        string   // release name given by the environment at start; may be empty
 	Limits                         Limits
 	Settings                       control.Settings
 	Names                          protocol.Names
 	Known                          state.ListUpdate
-	OwnSettings                    *settings.Settings // of the script; nil: no script was named
+	OwnSettings                    *settings.Settings // from the settings script; nil: no script is configured
 
-	raw     string             // the file's text
-	classes []state.NamedClass // the classes of the settings in force, as they stood in the file
+	raw     string             // contents of the file
+	classes []state.NamedClass // classes of the settings in force, in the order of the file
 }
 
-// Limits are what the machine gives; 0 cores or MB of memory = unlimited.
+// Limits are the resource limits of the process. Zero cores or zero MB of memory means unlimited.
 type Limits struct {
 	Cores     float64
 	MemoryMB  float64
@@ -42,19 +42,19 @@
 }
 
 const (
-	// Where the configuration leaves a limit out.
+	// Defaults for limits that the configuration leaves out.
 	defaultSockets = 1024
 	defaultDiskMB  = 3
 
-	// minSockets are the descriptors without which a sender does not work: those of discovery, the platform, the listener,
-	// gossip, the write-ahead log's files and a few clients.
+	// minSockets is the number of file descriptors that a sender needs besides those of its calls: for discovery, the
+	// platform, the listener, gossip, the files of the write-ahead log and a few clients.
 	minSockets = 32
 )
 
-// Load reads a configuration file, and the script with settings of our own if one is named. The environment's
-// LB_NAME, LB_LISTEN and LB_STATE go before what stands in the file. LB_DISCOVERY only fills its place where the file
-// names none: the file can be replaced under a process that runs, its environment can't. Errors of the file begin
-// with "configuration:".
+// Load reads a configuration file and, if its path is not empty, the settings script. The environment variables
+// LB_NAME, LB_LISTEN, LB_STATE and LB_ADMIN override the file. LB_DISCOVERY is used only if the file sets no discovery
+// address: the file of a running process can be replaced, its environment can't. Errors of the file begin with
+// "configuration:".
 func Load(path, script string, env func(string) string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return c, err
 }
 
-// namedClasses lists the classes of settings that have just been read, by their numbers.
+// namedClasses returns the classes of a newly read configuration with their names, ordered by class number.
 func (c Config) namedClasses() []state.NamedClass {
 	names := namesByNumber(c.Names.Classes)
 	list := make([]state.NamedClass, len(c.Settings.Classes))
@@ -77,7 +77,7 @@
 	return list
 }
 
-// namesByNumber lists names that were numbered.
+// namesByNumber inverts a map from names to numbers into a list of names indexed by number.
 func namesByNumber(numbers map[string]int) []string {
 	list := make([]string, len(numbers))
 	for name, i := range numbers {
@@ -88,7 +88,7 @@
 	return list
 }
 
-// Parse reads a configuration file's text. env looks up a variable of the environment.
+// Parse parses the contents of a configuration file. The env function looks up an environment variable.
 func Parse(text []byte, env func(string) string) (Config, error) {
 	if !gjson.ValidBytes(text) {
 		return Config{}, errors.New("configuration: not JSON")
@@ -119,7 +119,7 @@
 	return c, nil
 }
 
-// parseAddresses reads where the sender listens, polls and keeps its state.
+// parseAddresses reads the sender's name, its listen, discovery and admin addresses, and its state folder.
 func (c *Config) parseAddresses(doc gjson.Result, env func(string) string) error {
 	for _, f := range []struct {
 		field         *string
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// parseSettings reads the controller's settings, and the names that they number.
+// parseSettings reads the controller's settings and numbers the names of classes, tenants, zones and kinds.
 func (c *Config) parseSettings(doc gjson.Result, seedText string) error {
 	seed, err := parseSeed(seedText)
 	if err != nil {
@@ -172,7 +172,7 @@
 	return checkSockets(c.Limits, c.Settings)
 }
 
-// checkNames wants a name of its own for each entry of a list.
+// checkNames checks that each entry of a list has a unique, non-empty name.
 func checkNames(key string, entries gjson.Result) error {
 	seen := map[string]bool{}
 	for i, e := range entries.Array() {
@@ -180,7 +180,7 @@
 		case name == "":
 			return fmt.Errorf("configuration: settings: %s[%d].name: missing", key, i)
 		case seen[name]:
-			return fmt.Errorf("configuration: settings: %s[%d].name: %q: two of one name", key, i, name)
+			return fmt.Errorf("configuration: settings: %s[%d].name: %q: duplicate name", key, i, name)
 		default:
 			seen[name] = true
 		}
@@ -188,21 +188,21 @@
 	return nil
 }
 
-// checkSockets wants descriptors enough for the calls that the settings allow, besides what the sender needs itself.
+// checkSockets checks that the descriptor limit covers the calls that the settings allow, plus minSockets.
 func checkSockets(l Limits, s control.Settings) error {
 	if minimum := s.MaxInFlight + minSockets; l.Sockets < minimum {
-		return fmt.Errorf("configuration: limits.sockets: %d: %d wanted at least, for specifics.max-calls %d",
+		return fmt.Errorf("configuration: limits.sockets: %d: must be at least %d for specifics.max-calls %d",
 			l.Sockets, minimum, s.MaxInFlight)
 	}
 	return nil
 }
 
-// checkPositive wants the settings that must be numbers above 0 to be so, where they are given.
+// checkPositive checks that the settings which must be numbers above 0 are present where required, and positive.
 func checkPositive(doc gjson.Result) error {
 	var err error
 	positive := func(name string, v gjson.Result, required bool) {
 		if err == nil && (v.Exists() || required) && (v.Type != gjson.Number || v.Float() <= 0) {
-			err = fmt.Errorf("configuration: settings: %s: %q: a number above 0 wanted", name, v.Raw)
+			err = fmt.Errorf("configuration: settings: %s: %q: must be a number above 0", name, v.Raw)
 		}
 	}
 	positive("specifics.max-calls", doc.Get("specifics.max-calls"), true)
@@ -215,19 +215,19 @@
 	return err
 }
 
-// parseSeed reads a seed of hexadecimal digits; without one it is the time.
+// parseSeed parses a seed of hexadecimal digits. An empty seed is replaced by the current time.
 func parseSeed(s string) (uint64, error) {
 	if s == "" {
 		return uint64(time.Now().UnixNano()), nil
 	}
 	seed, err := strconv.ParseUint(s, 16, 64)
 	if err != nil {
-		return 0, fmt.Errorf("configuration: seed %q: up to 16 hexadecimal digits wanted", s)
+		return 0, fmt.Errorf("configuration: seed %q: must have at most 16 hexadecimal digits", s)
 	}
 	return seed, nil
 }
 
-// parseLimits reads the limits and fills in their defaults.
+// parseLimits reads the limits and applies the defaults.
 func parseLimits(doc gjson.Result) (Limits, error) {
 	l := Limits{
 		Cores: doc.Get("cores").Float(), MemoryMB: doc.Get("memory_mb").Float(),
@@ -243,11 +243,11 @@
 	if disk == 0 {
 		disk = defaultDiskMB
 	}
-	l.DiskBytes = int64(disk * 1e6) // the smaller of the two megabytes
+	l.DiskBytes = int64(disk * 1e6) // a megabyte of 10^6 bytes is the smaller of its two definitions
 	return l, nil
 }
 
-// numberNames numbers a list of names.
+// numberNames maps each name of a list to its index.
 func numberNames(list gjson.Result) map[string]int {
 	m := map[string]int{}
 	for i, n := range list.Array() {
--- a/internal/lifecycle/config_test.go
+++ b/internal/lifecycle/config_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// Parse accepts valid configurations, names the wrong key of invalid ones, and applies environment variables. An
+// address of discovery in the file takes precedence over LB_DISCOVERY.
 func TestParse(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -13,7 +15,7 @@
 	}
 	valid := string(text)
 	for _, c := range []struct{ name, old, new, want string }{
-		{"as it is", "", "", ""},
+		{"unchanged", "", "", ""},
 		{"seed", `"name": "n0"`, `"name": "n0", "seed": "8c1f30d27a5be964"`, ""},
 		{"bad seed", `"name": "n0"`, `"name": "n0", "seed": "what"`, "seed"},
 		{"not JSON", `"name"`, `name`, "not JSON"},
@@ -22,17 +24,17 @@
 		{"negative limit", `"disk_mb": 3`, `"disk_mb": -3`, "negative"},
 		{"no settings", `"settings"`, `"x"`, "no settings"},
 		{"bad effect", `"effect": "safe"`, `"effect": "odd"`, "effect"},
-		{"settings of no use", `"max-calls": 16`, `"max-calls": 0`, "max-calls"},
-		{"classes of one name", `"name": "print-order"`, `"name": "status"`, "profiles[1].name"},
+		{"invalid settings", `"max-calls": 16`, `"max-calls": 0`, "max-calls"},
+		{"duplicate class name", `"name": "print-order"`, `"name": "status"`, "profiles[1].name"},
 		{"a class without a name", `"name": "print-order", `, ``, "profiles[1].name"},
 		{"a class without a deadline", `"deadline-ms": 20000, `, ``, "profiles[1].deadline-ms"},
 		{"a deadline of 0", `"deadline-ms": 20000`, `"deadline-ms": 0`, "profiles[1].deadline-ms"},
 		{"a window of 0", `"memory-span-ms": 12000`, `"memory-span-ms": 0`, "profiles[1].memory-span-ms"},
 		{"no window", `"memory-span-ms": 12000`, `"x": 0`, "profiles[1].memory-span-ms"},
-		{"limits that don't fit", `"sockets": 1024`, `"sockets": 40`, "limits.sockets"},
-		{"tenants of one name", `"portion": 1}]`,
+		{"too few sockets for the calls", `"sockets": 1024`, `"sockets": 40`, "limits.sockets"},
+		{"duplicate tenant name", `"portion": 1}]`,
 			`"portion": 0.5}, {"name": "school-bands", "allowance-per-s": 9, "portion": 0.5}]`, "tenants[1].name"},
-		{"bad list", `"servers": []`, `"servers": 1`, "known"},
+		{"invalid endpoint list", `"servers": []`, `"servers": 1`, "known"},
 	} {
 		got, err := Parse([]byte(strings.Replace(valid, c.old, c.new, 1)), func(string) string { return "" })
 		if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
@@ -40,7 +42,7 @@
 		}
 		if c.want == "" && (got.Listen != "127.0.0.1:8080" || got.Limits.DiskBytes != 3e6 || got.Settings.MaxInFlight != 16 ||
 			got.Names.Classes["fee-payment"] != 2 || got.Names.Kinds["plain"] != 1) {
-			t.Errorf("%s: read as %+v", c.name, got)
+			t.Errorf("%s: parsed as %+v", c.name, got)
 		}
 	}
 	env := func(name string) string {
@@ -55,7 +57,7 @@
 	}
 }
 
-// A reloaded configuration is taken as a whole or not at all.
+// checkReload accepts a complete configuration with changed values, and rejects one that is truncated or lacks keys.
 func TestReload(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -68,31 +70,31 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
-		{"as it is", "", "", ""},
-		{"a class more", `{"name": "fee-payment"`,
+		{"unchanged", "", "", ""},
+		{"a class added", `{"name": "fee-payment"`,
 			`{"name": "proof", "aim-ms": 1, "deadline-ms": 9, "effect": "safe", "late-worth": 0.5, "worth": 2}, ` +
 				`{"name": "fee-payment"`, ""},
-		{"a class less", `"effect": "unsafe", "late-worth": 0.5, "worth": 3}`,
+		{"classes unchanged", `"effect": "unsafe", "late-worth": 0.5, "worth": 3}`,
 			`"effect": "unsafe", "late-worth": 0.5, "worth": 3}`, ""},
 		{"stricter", `"effect": "safe"`, `"effect": "unsafe"`, ""},
 		{"fewer attempts", `"send-cap": 12`, `"send-cap": 3`, ""},
-		{"without what only a start asks for", `"seed": "7", "admin": "127.0.0.1:1", `, ``, ""},
+		{"without keys that are used only at start", `"seed": "7", "admin": "127.0.0.1:1", `, ``, ""},
 		{"empty", valid, "", "not JSON"},
-		{"cut short", valid, valid[:len(valid)/2], "not JSON"},
+		{"truncated", valid, valid[:len(valid)/2], "not JSON"},
 		{"no settings", `"settings"`, `"x"`, "settings"},
 		{"no deadline", `"deadline-ms": 20000, `, ``, "profiles[1].deadline-ms"},
 		{"no attempts", `"send-cap": 12, `, ``, "limits.send-cap"},
-		{"attempts: none", `"send-cap": 12`, `"send-cap": 0`, "limits.send-cap"},
-		{"attempts: below none", `"send-cap": 12`, `"send-cap": -1`, "SendCap"},
-		{"attempts: a word", `"send-cap": 12`, `"send-cap": "12"`, "send-cap"},
+		{"attempts: zero", `"send-cap": 12`, `"send-cap": 0`, "limits.send-cap"},
+		{"attempts: negative", `"send-cap": 12`, `"send-cap": -1`, "SendCap"},
+		{"attempts: a string", `"send-cap": 12`, `"send-cap": "12"`, "send-cap"},
 		{"attempts: null", `"send-cap": 12`, `"send-cap": null`, "limits.send-cap"},
-		{"attempts: half", `"send-cap": 12`, `"send-cap": 1.5`, "settings"},
-		{"deadline: none", `"deadline-ms": 8000`, `"deadline-ms": 0`, "profiles[0].deadline-ms"},
-		{"deadline: below none", `"deadline-ms": 8000`, `"deadline-ms": -8`, "profiles[0].deadline-ms"},
-		{"deadline: a word", `"deadline-ms": 8000`, `"deadline-ms": "soon"`, "profiles[0].deadline-ms"},
+		{"attempts: a fraction", `"send-cap": 12`, `"send-cap": 1.5`, "settings"},
+		{"deadline: zero", `"deadline-ms": 8000`, `"deadline-ms": 0`, "profiles[0].deadline-ms"},
+		{"deadline: negative", `"deadline-ms": 8000`, `"deadline-ms": -8`, "profiles[0].deadline-ms"},
+		{"deadline: a string", `"deadline-ms": 8000`, `"deadline-ms": "soon"`, "profiles[0].deadline-ms"},
 		{"deadline: null", `"deadline-ms": 8000`, `"deadline-ms": null`, "profiles[0].deadline-ms"},
-		{"no slots", `"max-calls": 16, `, ``, "max-calls"},
-		{"a list that is none", `"tenants": [`, `"tenants": 1, "x": [`, "tenants"},
+		{"no limit of calls", `"max-calls": 16, `, ``, "max-calls"},
+		{"a number instead of a list", `"tenants": [`, `"tenants": 1, "x": [`, "tenants"},
 		{"no discovery", `"discovery": "127.0.0.1:8500"`, `"y": 1`, "discovery"},
 	} {
 		c2, err := Parse([]byte(strings.Replace(valid, c.old, c.new, 1)), none)
--- a/internal/lifecycle/configreload.go
+++ b/internal/lifecycle/configreload.go
@@ -9,23 +9,24 @@
 	"github.com/tidwall/gjson"
 )
 
-// checkReload tells why a configuration can't take the place of the one in force; nil if it can.
+// checkReload returns an error if the next configuration can't replace the one in force.
 func checkReload(old, next Config) error {
 	if err := checkKeys(gjson.Parse(old.raw), gjson.Parse(next.raw), ""); err != nil {
 		return err
 	}
-	// At a start none means no limit. At a reload it is taken for a mistake in the file.
+	// At start, a missing or zero limit means no limit. At a reload it is treated as a mistake in the file.
 	if limit := gjson.Get(next.raw, "settings.limits.send-cap"); old.Settings.MaxAttempts > 0 && limit.Float() <= 0 {
-		return fmt.Errorf("configuration: settings: limits.send-cap: %q: a number above 0 wanted", limit.Raw)
+		return fmt.Errorf("configuration: settings: limits.send-cap: %q: must be a number above 0", limit.Raw)
 	}
 	return nil
 }
 
-// startOnlyKeys are keys that a configuration which is read again need not have: they are for the start alone.
+// startOnlyKeys are the keys that a reloaded configuration may omit, because they are used only at start.
 var startOnlyKeys = map[string]bool{"seed": true, "known": true, "admin": true, "name": true}
 
-// checkKeys wants each key that the old configuration has, of the same kind. Whoever replaces the file writes all
-// of it: a key that is gone is a mistake, not a wish for its default.
+// checkKeys checks that the next configuration has each key of the old one, with a value of the same JSON kind. A
+// replacement file is expected to be complete, so a missing key is treated as a mistake and not as a request for its
+// default.
 func checkKeys(old, next gjson.Result, path string) error {
 	var err error
 	old.ForEach(func(key, oldValue gjson.Result) bool {
@@ -37,7 +38,8 @@
 		case !newValue.Exists():
 			err = fmt.Errorf("configuration: %s: missing", keyPath)
 		case jsonKind(oldValue) != jsonKind(newValue):
-			err = fmt.Errorf("configuration: %s: %.40s: not of the kind that it was", keyPath, newValue.Raw)
+			err = fmt.Errorf("configuration: %s: %.40s: JSON kind differs from the configuration in force",
+				keyPath, newValue.Raw)
 		case oldValue.IsObject():
 			err = checkKeys(oldValue, newValue, keyPath)
 		case oldValue.IsArray():
@@ -48,7 +50,8 @@
 	return err
 }
 
-// checkListKeys wants of each object of a list the keys that all objects of the old list have.
+// checkListKeys checks that each object of the next list has the keys that all objects of the old list have, with
+// values of the same JSON kind.
 func checkListKeys(old, next []gjson.Result, path string) error {
 	common := map[string]bool{}
 	for i, o := range old {
@@ -67,14 +70,15 @@
 		kind := jsonKind(old[0].Get(key))
 		for i, o := range next {
 			if value := o.Get(key); !value.Exists() || jsonKind(value) != kind {
-				return fmt.Errorf("configuration: %s[%d].%s: missing, or not of the kind that it was", path, i, name)
+				return fmt.Errorf("configuration: %s[%d].%s: missing, or JSON kind differs from the configuration in force",
+					path, i, name)
 			}
 		}
 	}
 	return nil
 }
 
-// jsonKind is the JSON kind of a value; true and false are one.
+// jsonKind returns the JSON kind of a value. The values true and false have the same kind.
 func jsonKind(v gjson.Result) string {
 	switch {
 	case v.IsObject():
--- a/internal/lifecycle/deploy_test.go
+++ b/internal/lifecycle/deploy_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// The deploy file names each package of the sender, and no path that does not exist.
+// The deploy file lists each package of the sender and no path that does not exist.
 func TestDeployFileNamesPackages(t *testing.T) {
 	text, err := os.ReadFile(root + "/deploy/balancer.toml")
 	if err != nil {
@@ -31,8 +31,8 @@
 	}
 	for _, pkg := range strings.Fields(string(deps)) {
 		path, ours := strings.CutPrefix(pkg, "cleathold/")
-		if ours && path != "control" && !slices.Contains(named, path) { // control is named file by file
-			t.Errorf("deploy/balancer.toml does not name %s", path)
+		if ours && path != "control" && !slices.Contains(named, path) { // the files of control are listed one by one
+			t.Errorf("deploy/balancer.toml does not list %s", path)
 		}
 	}
 }
--- a/internal/lifecycle/docs_test.go
+++ b/internal/lifecycle/docs_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Each log line that the page for on-call staff explains stands in the code.
+// Each log message that the page for on-call staff explains exists in the code.
 func TestLogPageNamesLines(t *testing.T) {
 	var code strings.Builder
 	for _, file := range globFiles(t, "../*/*.go", "../../cmd/*/*.go") {
@@ -19,7 +19,7 @@
 	page := readFile(t, "../../docs/operate/logs.md")
 	rows := regexp.MustCompile("(?m)^\\| (`[^|]*`) \\|").FindAllStringSubmatch(string(page), -1)
 	if len(rows) < 30 {
-		t.Fatalf("%d rows read", len(rows))
+		t.Fatalf("found only %d rows", len(rows))
 	}
 	for _, row := range rows {
 		for line := range strings.SplitSeq(strings.Trim(row[1], "`"), "`, `") {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Each test that a page of docs/ names exists, so that a renamed test is renamed there, too.
+// Each test that a page of docs/ names exists, so that renaming a test without its mention in a page fails.
 func TestPagesNameTests(t *testing.T) {
 	tests := map[string]bool{}
 	for _, file := range globFiles(t, "../../*/*_test.go", "../../*/*/*_test.go") {
@@ -41,7 +41,7 @@
 	for _, page := range globFiles(t, "../../docs/design/*.md", "../../docs/operate/*.md") {
 		for _, name := range regexp.MustCompile(`\bTest[A-Z]\w*`).FindAll(readFile(t, page), -1) {
 			if !tests[string(name)] {
-				t.Errorf("%s: there is no %s", page, name)
+				t.Errorf("%s: test %s does not exist", page, name)
 			}
 		}
 	}
--- a/internal/lifecycle/handover.go
+++ b/internal/lifecycle/handover.go
@@ -13,29 +13,31 @@
 )
 
 const (
-	// closeTimeout is how long clients' connections may take to end with the responses under way before the write-ahead
-	// log passes on.
+	// closeTimeout bounds the time for client connections to finish their pending responses before the write-ahead log is
+	// handed over.
 	closeTimeout = 350 * time.Millisecond
 
-	// deadLetterCloseTimeout is how long the dead-letter queue may take to close when another process takes over.
+	// deadLetterCloseTimeout bounds the time for the dead-letter queue to close during a hand-over.
 	deadLetterCloseTimeout = 2 * time.Second
 )
 
 var (
-	errDeadLetterCloseTimeout = errors.New("the dead-letter store does not close")
-	errStoppedInHandover      = errors.New("stopped")
+	errDeadLetterCloseTimeout = errors.New("the dead-letter store did not close in time")
+	errStoppedInHandover      = errors.New("no answer from the successor in time")
 )
 
-// A predecessor is the process before this one, or this one's own last server, whose calls are still out.
+// A predecessor holds the state taken over from the previous process, or from the previous server of this process after
+// a failed hand-over. Calls of the predecessor may still be in flight.
 type predecessor struct {
 	state          state.HandoverState
-	socket         net.Listener                                // the clients'
-	confirmReady   func() error                                // tells it that this process serves
-	receiveResults func(context.Context, handover.EventPoster) // posts the results of its calls
-	drained        <-chan struct{}                             // closed once no call is out; of an own last server only
+	socket         net.Listener                                // listening socket for clients
+	confirmReady   func() error                                // notifies the predecessor that this process serves
+	receiveResults func(context.Context, handover.EventPoster) // posts the results of its calls in flight
+	drained        <-chan struct{}                             // closed once no call is in flight; nil for another process
 }
 
-// requestTakeover asks the process that serves the same state folder to hand over; nil where there is none.
+// requestTakeover requests a hand-over from the process that serves the same state folder. It returns nil if there is
+// no such process.
 func requestTakeover(c Config) (*predecessor, error) {
 	if c.Admin == "" {
 		return nil, nil
@@ -47,8 +49,8 @@
 	return &predecessor{state: t.State, socket: t.Listener, confirmReady: t.ConfirmReady, receiveResults: t.Run}, nil
 }
 
-// listenForSuccessor opens the socket where the next process asks to take over. Without one the sender serves, but
-// has to be stopped for another version. A nil listener can be used: nobody asks there.
+// listenForSuccessor opens the socket on which a successor requests the hand-over. Without it the sender serves, but
+// must be stopped before another version starts. A nil listener is valid and receives no requests.
 func listenForSuccessor(c Config, log *slog.Logger) *handover.Listener {
 	if c.Admin == "" {
 		return nil
@@ -61,25 +63,25 @@
 	return l
 }
 
-// handOver lets another process take over, and returns once no call of this one is out any more. Where the other one
-// does not come to serve, what it was given is returned.
+// handOver hands over to another process and returns once no call of this process is in flight. If the successor fails
+// to start serving, handOver returns the state so that this process can resume with it.
 func (s *server) handOver(request *handover.Request, socket *os.File) *predecessor {
 	startedAt := time.Now()
 	s.machine.advance(handingOver)
 	s.listener.Close(startedAt.Add(closeTimeout))
 	s.stopControlTasks()
-	// The dead-letter queue goes first: it redelivers nothing any more, and what it has not written yet stays with the
-	// write-ahead log.
+	// The dead-letter queue is closed first: it then starts no more redeliveries, and records that it has not stored yet
+	// remain in the write-ahead log.
 	closeErr := s.closeDeadLetters()
 	results := handover.NewResultQueue()
 	detached := s.detachState(results)
 	signaledAt, err := s.transferState(request, socket, detached.State, errors.Join(detached.Err, closeErr))
 	switch {
 	case err != nil && signaledAt.IsZero():
-		s.log.Error("hand-over failed, serving on", "err", err)
+		s.log.Error("hand-over failed, continuing to serve", "err", err)
 		return s.reclaimState(socket, detached.State, results)
 	case err != nil:
-		s.log.Error("stopped during hand-over; the write-ahead log has everything", "err", err)
+		s.log.Error("stopped during hand-over; the write-ahead log is complete", "err", err)
 		return nil
 	}
 	s.log.Info("handed over to successor",
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// detachState has the loop give its state away. Results of its calls go to the queue from then on.
+// detachState makes the loop release its state. From then on, the results of its calls in flight go to the queue.
 func (s *server) detachState(results *handover.ResultQueue) state.HandOverResult {
 	done := make(chan state.HandOverResult, 1)
 	s.loop.Post(state.HandOver{Successor: results, Done: done})
@@ -98,8 +100,8 @@
 	return detached
 }
 
-// transferState gives the state to the other process, unless there is an error already, and waits until that one serves.
-// signaledAt is when this process was told to stop meanwhile; zero: it was not.
+// transferState sends the state to the successor and waits until it serves. If err is already set, it rejects the
+// request instead. signaledAt is the time of a stop signal received meanwhile, or zero if there was none.
 func (s *server) transferState(
 	request *handover.Request, socket *os.File, given state.HandoverState, err error,
 ) (signaledAt time.Time, _ error) {
@@ -124,11 +126,11 @@
 	return signaledAt, err
 }
 
-// reclaimState makes a predecessor for the next server of this process of what another one did not take.
+// reclaimState returns the state that a failed successor did not take over, for the next server of this process.
 func (s *server) reclaimState(socket *os.File, given state.HandoverState, results *handover.ResultQueue) *predecessor {
 	listener, err := net.FileListener(socket)
 	if err != nil {
-		s.log.Error("listening socket lost", "err", err)
+		s.log.Error("can't reopen the listening socket after a failed hand-over", "err", err)
 		return nil
 	}
 	return &predecessor{
@@ -137,8 +139,8 @@
 	}
 }
 
-// forwardResults passes the results of calls that are out on to the successor until there are no more, or until the
-// time of a stop.
+// forwardResults forwards the results of calls in flight to the successor until none remain. After a stop signal it
+// ends at finishTimeout at the latest.
 func (s *server) forwardResults(request *handover.Request, results *handover.ResultQueue, signaledAt time.Time) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
--- a/internal/lifecycle/limits.go
+++ b/internal/lifecycle/limits.go
@@ -10,21 +10,23 @@
 )
 
 const (
-	// memoryLimitFraction is the part of the memory limit that the Go heap may take: files and stacks count, too.
+	// memoryLimitFraction is the fraction of the memory limit that the Go heap may use. Files and stacks count towards the
+	// limit, too.
 	memoryLimitFraction = 0.7
 
-	// keepAliveDivisor is the part of the descriptors that clients' connections take between requests, less than the third
-	// that they may hold.
+	// keepAliveDivisor sets the share of the descriptors that idle keep-alive connections of clients may use: a quarter,
+	// which is less than the third that all client connections may use.
 	keepAliveDivisor = 4
 
-	// reservedSockets are for the write-ahead log, discovery, the platform, health checks and dials.
+	// reservedSockets is the number of descriptors reserved for the write-ahead log, discovery, the platform, health
+	// checks and dials.
 	reservedSockets = 64
 
-	// minSocketBudget is left to connections at the least.
+	// minSocketBudget is the minimum number of descriptors for client connections and idle endpoint connections.
 	minSocketBudget = 12
 )
 
-// limitRuntime keeps the runtime within the machine's limits.
+// limitRuntime applies the CPU and memory limits to the Go runtime.
 func limitRuntime(l Limits) {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
@@ -34,9 +36,9 @@
 	}
 }
 
-// socketBudget parts the descriptors between clients' connections and idle ones to endpoints, besides those of calls
-// that are out. Clients may hold a third of all for requests, and some connect that have none. Those that linger have
-// their part of it.
+// socketBudget divides the descriptors that remain after the reserve and the calls in flight between client connections
+// and idle connections to endpoints. Clients get two thirds: one third for connections with a request and one for
+// connections without. Lingering connections are counted within the clients' share.
 func socketBudget(c Config) (clients, idle int) {
 	available := c.Limits.Sockets - reservedSockets - c.Settings.MaxInFlight
 	if c.Admin != "" {
--- a/internal/lifecycle/limits_test.go
+++ b/internal/lifecycle/limits_test.go
@@ -7,7 +7,8 @@
 	"cleathold/internal/admin"
 )
 
-// Clients' connections, lingering ones and idle ones to endpoints share what calls and the sender itself leave over.
+// Client connections, lingering connections and idle connections to endpoints share the descriptors that remain after
+// the calls and the sender's own reserve.
 func TestSocketBudget(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -17,8 +18,8 @@
 	}{
 		{"usual", 1024, 16, "", 551, 314},
 		{"with the admin address", 1024 + admin.MaxHTTPConnections, 16, "127.0.0.1:1", 551, 314},
-		{"few: lingering ones take half", 96, 16, "", 5, 5},
-		{"too few: the least", 48, 16, "", 4, 4},
+		{"few sockets: lingering connections take half", 96, 16, "", 5, 5},
+		{"too few sockets: minimum budget", 48, 16, "", 4, 4},
 	} {
 		config := Config{Admin: c.admin, Limits: Limits{Sockets: c.sockets}, Settings: control.Settings{MaxInFlight: c.calls}}
 		if clients, idle := socketBudget(config); clients != c.clients || idle != c.idle {
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -13,11 +13,12 @@
 	"cleathold/internal/state"
 )
 
-// A Source reads the configuration, as it is now.
+// A Source loads the current configuration.
 type Source func() (Config, error)
 
-// Serve runs the sender until SIGTERM or SIGINT and its orderly end. On SIGHUP it reads its configuration again. That
-// signal is caught before anything else is done and for good: whenever it comes, it must not end the process.
+// Serve runs the sender until SIGTERM or SIGINT and the orderly shutdown that follows. On SIGHUP it reloads its
+// configuration. SIGHUP is caught before anything else is done and until the process exits, because it must never
+// terminate the process.
 func Serve(load Source, log *slog.Logger) error {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -57,24 +58,24 @@
 		p.machine.inherit(pred.state.Drained, pred.state.Lease)
 	}
 	for {
-		// More than once only where a process that was to take over did not come to serve.
+		// The loop repeats only after a failed hand-over, when the successor did not start to serve.
 		if pred, err = p.serve(&c, pred); pred == nil || err != nil {
 			return err
 		}
 	}
 }
 
-// A process is what outlasts a server: a hand-over that fails is followed by another server of the same process.
+// A process holds the state that outlives a server. After a failed hand-over, the same process builds another server.
 type process struct {
 	load     Source
 	log      *slog.Logger
 	reload   <-chan os.Signal
-	stop     <-chan time.Time // when the process was told to stop
+	stop     <-chan time.Time // receives the time of the first stop signal
 	machine  *stateMachine
 	board    *statusBoard
 	counters *state.Counters
 	clients  *protocol.Counters
-	ctx      context.Context // ends with the process
+	ctx      context.Context // canceled when the process ends
 }
 
 func newProcess(
@@ -92,14 +93,14 @@
 	return p
 }
 
-// publishConfig has the status name the configuration in force.
+// publishConfig sets the digest of the configuration in force, which the status reports.
 func (p *process) publishConfig(c Config) {
 	digest := admin.Digest(c.raw)
 	p.board.config.Store(&digest)
 }
 
-// serve builds a server and runs it until a stop, or until another process has taken over. Where that one fails, what
-// it was given is returned, for the next server of this process.
+// serve builds a server and runs it until a stop signal or until another process has taken over. If the hand-over
+// fails, serve returns the state for the next server of this process.
 func (p *process) serve(c *Config, pred *predecessor) (*predecessor, error) {
 	s, err := p.build(c, pred)
 	if err != nil {
@@ -113,8 +114,9 @@
 	return s.run(), nil
 }
 
-// stopTimes sends when the first signal to stop came, whatever the process was doing then: all that is due after it
-// counts from the signal, and the platform kills the process 3.7 s after that.
+// stopTimes returns a channel that receives the time of the first stop signal. The time is recorded even while the
+// process is busy, because all deadlines of the shutdown count from the signal: the platform kills the process 3.7 s
+// after it.
 func stopTimes(ctx context.Context, signals <-chan os.Signal) <-chan time.Time {
 	first := make(chan time.Time, 1)
 	go func() {
@@ -126,7 +128,7 @@
 			}
 			select {
 			case first <- time.Now():
-			default: // the first signal counts
+			default: // only the first signal is recorded
 			}
 		}
 	}()
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -12,11 +12,11 @@
 	"cleathold/internal/state"
 )
 
-var errLoopBusy = errors.New("settings: the loop does not take them")
+var errLoopBusy = errors.New("settings: the event loop did not accept them in time")
 
-// reloadConfig reads the configuration again and puts it in force: the addresses of discovery and the platform, the
-// settings of the controller and the runtime's limits, all of them or none. What else has changed waits for the next
-// start: the write-ahead log and the listener are built on it.
+// reloadConfig reloads the configuration and applies the addresses of discovery and the platform, the controller's
+// settings and the runtime limits, either all of them or none. Other changes take effect at the next start, because the
+// write-ahead log and the listener are built from them.
 func (s *server) reloadConfig() {
 	*s.config = s.applyReload(*s.config)
 	s.publishConfig(*s.config)
@@ -25,7 +25,8 @@
 	}
 }
 
-// applyReload reads the configuration again and returns the one in force.
+// applyReload reloads the configuration, applies it and returns the configuration that is then in force. On an error it
+// returns the old one.
 func (s *server) applyReload(old Config) Config {
 	c, err := retry(s.log, "configuration", reloadTimeout, s.load)
 	if err == nil {
@@ -36,7 +37,7 @@
 		inForce, err = s.updateSettings(old, c)
 	}
 	if err != nil {
-		s.log.Error("configuration reload failed, the old one stays in force", "err", err)
+		s.log.Error("configuration reload failed; the previous configuration stays in force", "err", err)
 		return old
 	}
 	if c.Discovery != old.Discovery {
@@ -48,15 +49,15 @@
 	inForce.Limits.Cores, inForce.Limits.MemoryMB = c.Limits.Cores, c.Limits.MemoryMB
 	inForce.OwnSettings = reloadOwnSettings(old.OwnSettings, c.OwnSettings, s.log)
 	if pending := c.pendingRestart(inForce); len(pending) > 0 {
-		s.log.Warn("configuration changes wait for the next start", "keys", pending)
+		s.log.Warn("configuration changes take effect at the next start", "keys", pending)
 	}
 	s.log.Info("configuration read again", "discovery", inForce.Discovery,
 		"classes", len(inForce.Names.Classes), "max_attempts", inForce.Settings.MaxAttempts)
 	return inForce
 }
 
-// updateSettings has the loop take new settings, and the listener the names in them. It returns the configuration
-// with the settings in force.
+// updateSettings applies new settings to the event loop and their names to the listener. It returns the configuration
+// with the settings that are then in force.
 func (s *server) updateSettings(old, c Config) (Config, error) {
 	candidate := c.Settings
 	candidate.Seed, candidate.Classes = old.Settings.Seed, old.Settings.Classes
@@ -68,7 +69,7 @@
 	if s.deadLetters != nil {
 		for name, n := range old.Names.Tenants {
 			if c.Names.Tenants[name] != n {
-				s.log.Warn("settings change waits for the next start: tenants renumbered while dead letters are kept",
+				s.log.Warn("settings change takes effect at the next start: tenants renumbered while dead letters are kept",
 					"tenant", name)
 				return old, nil
 			}
@@ -98,7 +99,8 @@
 	return inForce, nil
 }
 
-// pendingRestart names the keys of a configuration that are not in force before the next start.
+// pendingRestart returns the keys whose values differ from the configuration in force and take effect only at the next
+// start.
 func (c Config) pendingRestart(inForce Config) (keys []string) {
 	for _, k := range []struct {
 		name string
@@ -122,25 +124,26 @@
 	return keys
 }
 
-// reloadOwnSettings takes over what a script may change as the sender runs: bounds, rates and rules. The folder of the
-// dead-letter queue, the write-ahead log's durability and the admin socket wait for the next start.
+// reloadOwnSettings returns the settings that are in force after a reload of the settings script. Bounds, rates and
+// rules change at once. The dead-letter queue's folder, the write-ahead log's durability and the admin socket keep
+// their values until the next start.
 func reloadOwnSettings(old, c *settings.Settings, log *slog.Logger) *settings.Settings {
 	if old == nil || c == nil || (old.Held == nil) != (c.Held == nil) {
 		if old != nil || c != nil {
-			log.Warn("settings change waits for the next start: dead-letter queue on or off")
+			log.Warn("settings change takes effect at the next start: dead-letter queue enabled or disabled")
 		}
 		return old
 	}
 	if c.Held != nil && c.Held.Folder != old.Held.Folder {
-		log.Warn("settings change waits for the next start: folder of the dead-letter queue", "folder", c.Held.Folder)
+		log.Warn("settings change takes effect at the next start: folder of the dead-letter queue", "folder", c.Held.Folder)
 		c.Held.Folder = old.Held.Folder
 	}
 	if c.Journal != old.Journal {
-		log.Warn("settings change waits for the next start: durability of the write-ahead log")
+		log.Warn("settings change takes effect at the next start: durability of the write-ahead log")
 		c.Journal = old.Journal
 	}
 	if (old.Admin == nil) != (c.Admin == nil) || c.Admin != nil && *c.Admin != *old.Admin {
-		log.Warn("settings change waits for the next start: admin socket")
+		log.Warn("settings change takes effect at the next start: admin socket")
 		c.Admin = old.Admin
 	}
 	return c
--- a/internal/lifecycle/reload_test.go
+++ b/internal/lifecycle/reload_test.go
@@ -10,7 +10,7 @@
 	"cleathold/internal/settings"
 )
 
-// What of a configuration waits for the next start is named by its keys.
+// pendingRestart lists the changed keys that take effect only at the next start, and no others.
 func TestPendingRestart(t *testing.T) {
 	text, err := os.ReadFile("../../examples/config.json")
 	if err != nil {
@@ -36,16 +36,16 @@
 		{`"name": "n0"`, `"name": "n0", "peer_listen": "127.0.0.1:1", "admin": "127.0.0.1:2"`, []string{"admin", "peers"}},
 	} {
 		if !strings.Contains(string(text), c.old) {
-			t.Fatalf("the example has no %s", c.old)
+			t.Fatalf("the example configuration does not contain %s", c.old)
 		}
 		read := parse(strings.Replace(string(text), c.old, c.new, 1))
 		if keys := read.pendingRestart(inForce); !slices.Equal(keys, c.keys) {
-			t.Errorf("%s: %v wait, want %v", c.new, keys, c.keys)
+			t.Errorf("%s: keys %v wait for the next start, want %v", c.new, keys, c.keys)
 		}
 	}
 }
 
-// Of the script's settings, what the start alone can change stays as it was.
+// A reload keeps the script's settings that only a start can change.
 func TestReloadOwnSettings(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	with := func(folder, durability, socket string) *settings.Settings {
@@ -60,12 +60,12 @@
 		t.Errorf("in force: %+v, %+v, %+v", got.Held, got.Journal, got.Admin)
 	}
 	if got := reloadOwnSettings(old, &settings.Settings{}, log); got != old {
-		t.Error("the dead-letter queue was switched off")
+		t.Error("the reload disabled the dead-letter queue")
 	}
 	if got := reloadOwnSettings(nil, old, log); got != nil {
-		t.Error("the dead-letter queue was switched on")
+		t.Error("the reload enabled the dead-letter queue")
 	}
 	if got := reloadOwnSettings(old, nil, log); got != old {
-		t.Error("a script that is gone took effect")
+		t.Error("a missing script changed the settings")
 	}
 }
--- a/internal/lifecycle/retry.go
+++ b/internal/lifecycle/retry.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// What a start needs from the system may fail for a moment: a full disk, no descriptors, no memory for a socket. A
-// sender that ended then would have crashed; it retries for a while, within the time in which it has to be ready.
+// Opening a resource at start can fail transiently, for example on a full disk, or without free descriptors or memory
+// for a socket. Exiting then would count as a crash, so the sender retries, within the time in which it must be ready.
 const (
-	startTimeout  = 8 * time.Second        // for what it can't do without; a sender is to be ready within 10 s
-	reloadTimeout = time.Second            // for a configuration after SIGHUP, while signals wait
+	startTimeout  = 8 * time.Second        // for required resources; a sender must be ready within 10 s
+	reloadTimeout = time.Second            // for the configuration after SIGHUP; other signals are not handled meanwhile
 	gossipTimeout = 500 * time.Millisecond // for the gossip socket
 	retryInterval = 50 * time.Millisecond
 )
 
-// transientErrors are errors of the system that may be over in a moment.
+// transientErrors are the system errors that may go away without intervention.
 var transientErrors = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.EIO, syscall.ENOSPC, syscall.EDQUOT,
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 }
 
-// isTransient reports whether an error may be over in a moment.
+// isTransient reports whether an error is, or wraps, one of transientErrors.
 func isTransient(err error) bool {
 	for _, e := range transientErrors {
 		if errors.Is(err, e) {
@@ -32,7 +32,8 @@
 	return false
 }
 
-// retry opens a resource, again and again for a while as long as its error is transient. It returns the last error.
+// retry calls open until it succeeds, fails with an error that is not transient, or the timeout has passed. It returns
+// the last error.
 func retry[T any](log *slog.Logger, resource string, timeout time.Duration, open func() (T, error)) (T, error) {
 	deadline := time.Now().Add(timeout)
 	for {
--- a/internal/lifecycle/retry_test.go
+++ b/internal/lifecycle/retry_test.go
@@ -11,9 +11,10 @@
 	"time"
 )
 
-// A transient error is retried until it is over, or the time is up; any other error ends at once.
+// Transient errors are retried until the operation succeeds or the timeout has passed; other errors are returned at
+// once.
 func TestRetry(t *testing.T) {
-	permanent := errors.New("odd")
+	permanent := errors.New("permanent")
 	for _, c := range []struct {
 		name     string
 		err      error
@@ -21,11 +22,11 @@
 		attempts int
 		want     error
 	}{
-		{"nothing wrong", nil, 0, 1, nil},
-		{"a disk that is full for a moment", fmt.Errorf("journal: %w", syscall.ENOSPC), 2, 3, nil},
+		{"no error", nil, 0, 1, nil},
+		{"disk full for a moment", fmt.Errorf("journal: %w", syscall.ENOSPC), 2, 3, nil},
 		{"no descriptor for a moment", &net.OpError{Op: "listen", Err: syscall.ENFILE}, 1, 2, nil},
-		{"what does not pass", permanent, 1, 1, permanent},
-		{"what does not pass in time", syscall.EIO, 1000, 0, syscall.EIO},
+		{"permanent error", permanent, 1, 1, permanent},
+		{"transient error that outlasts the timeout", syscall.EIO, 1000, 0, syscall.EIO},
 	} {
 		attempts := 0
 		got, err := retry(slog.New(slog.DiscardHandler), c.name, 4*retryInterval, func() (int, error) {
@@ -39,21 +40,21 @@
 		}
 	}
 	if startTimeout+2*time.Second > 10*time.Second {
-		t.Error("a sender is to be ready within 10 s")
+		t.Error("startTimeout leaves less than 2 s of the 10 s within which a sender must be ready")
 	}
 }
 
-// A stop counts from its signal, also where the process is busy then, as with a reload; of several signals the first
-// counts.
+// The time of a stop is that of the first signal, even if the process is busy when the signal arrives, for example with
+// a reload.
 func TestStopTimeIsSignalTime(t *testing.T) {
 	signals := make(chan os.Signal, 4)
 	signaledAt := stopTimes(t.Context(), signals)
 	sentAt := time.Now()
 	signals <- syscall.SIGTERM
-	time.Sleep(300 * time.Millisecond) // busy
+	time.Sleep(300 * time.Millisecond) // the process is busy meanwhile
 	signals <- syscall.SIGINT
 	time.Sleep(50 * time.Millisecond)
 	if delay := (<-signaledAt).Sub(sentAt); delay > 200*time.Millisecond {
-		t.Errorf("counted from %v after the signal", delay)
+		t.Errorf("stop time is %v after the signal", delay)
 	}
 }
--- a/internal/lifecycle/server.go
+++ b/internal/lifecycle/server.go
@@ -13,25 +13,26 @@
 	"cleathold/internal/state"
 )
 
-// The stop, counted from SIGTERM. The clients' balancer notices only after a while that no more is wanted; SIGKILL
-// follows at 3.7 s at the soonest.
+// Deadlines of the shutdown, counted from the stop signal. The clients' load balancer notices only after a delay that
+// the sender is stopping, so messages are accepted for a while longer. SIGKILL follows 3.7 s after SIGTERM at the
+// earliest.
 const (
-	acceptWindow     = 500 * time.Millisecond  // new messages are still accepted
-	sendWindow       = 2 * time.Second         // new attempts are still made
-	finishTimeout    = 3300 * time.Millisecond // attempts and connections end
-	exitTimeout      = 3400 * time.Millisecond // the dead-letter queue closes
+	acceptWindow     = 500 * time.Millisecond  // end of accepting new messages
+	sendWindow       = 2 * time.Second         // end of starting new attempts
+	finishTimeout    = 3300 * time.Millisecond // attempts and connections must have ended
+	exitTimeout      = 3400 * time.Millisecond // the dead-letter queue must have closed
 	idlePollInterval = 20 * time.Millisecond
 )
 
-// lingerTimeout is how long a process that has handed over waits for the connections that still linger.
+// lingerTimeout bounds the wait for lingering connections after a hand-over.
 const lingerTimeout = 500 * time.Millisecond
 
-// settingsTimeout is how long the loop may take to answer new settings, or take exclusions.
+// settingsTimeout bounds the time for the event loop to accept new settings or exclusions.
 const settingsTimeout = time.Second
 
 var errLogNotWritable = errors.New("the journal can't be written")
 
-// A taskGroup owns goroutines that end together: cancel asks them to, and Wait waits until they have.
+// A taskGroup owns goroutines with a common lifetime: cancel requests their end, and Wait waits for it.
 type taskGroup struct {
 	sync.WaitGroup
 	ctx    context.Context
@@ -44,14 +45,15 @@
 	return g
 }
 
-// run runs a task on a goroutine of its own.
+// run runs a task in a new goroutine.
 func (g *taskGroup) run(task func(context.Context)) { g.Go(func() { task(g.ctx) }) }
 
-// A server is the parts of a sender, connected, from their start to a stop or a hand-over. It is used by one goroutine.
+// A server connects the components of a sender and runs them until a stop signal or a hand-over. It is used by one
+// goroutine.
 type server struct {
 	*process
-	config      *Config      // in force; of Run, and of the next server
-	predecessor *predecessor // nil: there was none
+	config      *Config      // configuration in force; owned by Run and passed on to the next server
+	predecessor *predecessor // nil: no state was taken over
 
 	loop        *state.Loop
 	transport   *protocol.Transport
@@ -61,17 +63,17 @@
 	gossip      *protocol.GossipTransport // nil: none
 	admin       *admin.Server             // nil: none
 	deadLetters *deadletter.Queue         // nil: none
-	successors  *handover.Listener        // nil: nobody can take over
+	successors  *handover.Listener        // nil: hand-over is unavailable
 
-	// The owners of goroutines. What faces the platform and the operators ends first when another process takes over;
-	// deliveryTasks that are out end last.
+	// Groups of goroutines. At a hand-over the control tasks, which communicate with the platform and the operators, end
+	// first; the delivery tasks run on until the last call in flight has ended.
 	deliveryTasks     *taskGroup    // loop, transport, listener, and the results of the predecessor's calls
-	controlTasks      *taskGroup    // discovery, reporter, gossip, admin API; within calls
-	deadLettersClosed chan struct{} // closed once the dead-letter queue has ended, or if there is none
+	controlTasks      *taskGroup    // discovery, reporter, gossip, admin API; child context of deliveryTasks
+	deadLettersClosed chan struct{} // closed once the dead-letter queue has ended; closed at start if there is no queue
 	stopDeadLetters   context.CancelFunc
 }
 
-// start starts all parts, and tells the predecessor. Clients are served from then on.
+// start starts all components and notifies the predecessor. From then on the server serves clients.
 func (s *server) start() error {
 	s.startDeadLetters()
 	if s.admin != nil {
@@ -123,8 +125,8 @@
 	}()
 }
 
-// run obeys signals and requests to take over until a stop, or until another process has taken over. Where that one
-// fails, what it was given is returned.
+// run handles signals and takeover requests until a stop signal or until another process has taken over. After a failed
+// hand-over it returns the state for the next server of this process.
 func (s *server) run() *predecessor {
 	for {
 		select {
@@ -141,7 +143,8 @@
 	}
 }
 
-// handleTakeover lets another process take over. The server has ended then, unless the request was rejected.
+// handleTakeover hands over to another process. It reports whether the server has ended, which is the case unless it
+// rejected the request. After a failed hand-over it also returns the state for the next server.
 func (s *server) handleTakeover(request *handover.Request) (returned *predecessor, ended bool) {
 	socket, err := s.listener.File()
 	if err == nil && !s.loop.LogIntact() {
@@ -155,7 +158,8 @@
 	returned = s.handOver(request, socket)
 	socket.Close()
 	if returned != nil {
-		go func() { <-returned.drained; s.deliveryTasks.cancel() }() // results of calls that are out are passed on until then
+		// The delivery tasks keep forwarding the results of calls in flight until none remain.
+		go func() { <-returned.drained; s.deliveryTasks.cancel() }()
 		return returned, true
 	}
 	s.deliveryTasks.cancel()
@@ -165,7 +169,7 @@
 	return nil, true
 }
 
-// shutDown brings the server to its end, counted from the signal.
+// shutDown stops the server. Its deadlines count from the time of the stop signal.
 func (s *server) shutDown(signaledAt time.Time) {
 	s.machine.advance(stopping)
 	s.finishCalls(signaledAt)
@@ -174,13 +178,14 @@
 	s.deliveryTasks.Wait()
 	select {
 	case <-s.deadLettersClosed:
-	case <-time.After(time.Until(signaledAt.Add(exitTimeout))): // a disk may hang
-		s.log.Warn("dead-letter queue not closed in time; the write-ahead log has what it lacks")
+	case <-time.After(time.Until(signaledAt.Add(exitTimeout))): // a disk operation may hang
+		s.log.Warn("dead-letter queue not closed in time; the write-ahead log holds the records that it lacks")
 	}
 	s.log.Info("stopped", "sender", s.config.Name)
 }
 
-// finishCalls accepts messages for a while and lets the calls end, counted from the signal.
+// finishCalls accepts messages until acceptWindow after the signal, starts attempts until sendWindow, and waits for
+// calls and connections until finishTimeout.
 func (s *server) finishCalls(signaledAt time.Time) {
 	s.listener.DisableKeepAlive()
 	time.Sleep(time.Until(signaledAt.Add(acceptWindow)))
@@ -197,7 +202,7 @@
 	s.listener.Wait(signaledAt.Add(finishTimeout))
 }
 
-// stopControlTasks ends what faces the platform and the operators.
+// stopControlTasks ends the tasks that communicate with the platform and the operators.
 func (s *server) stopControlTasks() {
 	s.controlTasks.cancel()
 	if s.admin != nil {
@@ -206,7 +211,8 @@
 	s.controlTasks.Wait()
 }
 
-// closeDeadLetters ends the dead-letter queue. Its error is errDeadLettersOpen if that takes too long.
+// closeDeadLetters closes the dead-letter queue. It returns errDeadLetterCloseTimeout if the queue has not closed
+// within deadLetterCloseTimeout.
 func (s *server) closeDeadLetters() error {
 	s.stopDeadLetters()
 	select {
--- a/internal/lifecycle/sites_test.go
+++ b/internal/lifecycle/sites_test.go
@@ -13,11 +13,11 @@
 	"testing"
 )
 
-// root is the repository's.
+// root is the path of the repository's root folder.
 const root = "../.."
 
-// No name of a site stands in the code of the sender or of its decisions, and no figure of a class but those that
-// everybody uses: all of them come from the settings.
+// The code of the sender and of its decisions contains no name from a site's configuration and no site-specific number
+// of a class: all of these come from the settings. Round numbers, multiples of 500, are allowed.
 func TestNoSiteSpecificNames(t *testing.T) {
 	names, figures := siteTerms(t)
 	for _, path := range senderFiles(t) {
@@ -31,11 +31,11 @@
 				return true
 			}
 			if site := figures[strings.ReplaceAll(lit.Value, "_", "")]; site != "" {
-				t.Errorf("%s: %s is a figure of %s", path, lit.Value, site)
+				t.Errorf("%s: %s is a number from %s", path, lit.Value, site)
 			}
 			for name, site := range names {
 				if lit.Kind == token.STRING && strings.Contains(lit.Value, name) {
-					t.Errorf("%s: %s holds a name of %s", path, lit.Value, site)
+					t.Errorf("%s: %s contains a name from %s", path, lit.Value, site)
 				}
 			}
 			return true
@@ -43,10 +43,10 @@
 	}
 }
 
-// siteTerms returns the names and the figures of sites, each with the file where it stands.
+// siteTerms returns the site-specific names and numbers, each with the file that contains it.
 func siteTerms(t *testing.T) (names, figures map[string]string) {
 	names, figures = map[string]string{}, map[string]string{}
-	listed, err := os.ReadFile("testdata/sites.txt") // of sites that are served and not kept here
+	listed, err := os.ReadFile("testdata/sites.txt") // names of sites without a file in deploy/sites
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 		}
 		for _, m := range nameLine.FindAllStringSubmatch(string(text), -1) {
 			for _, q := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(m[1], -1) {
-				if strings.Contains(q[1], "-") { // others are everyday words
+				if strings.Contains(q[1], "-") { // names without a hyphen are common words
 					names[q[1]] = site
 				}
 			}
@@ -83,7 +83,7 @@
 	return names, figures
 }
 
-// senderFiles lists the files of code of the sender and of its decisions, by the deploy file.
+// senderFiles returns the non-test source files of the sender and of its decisions, as listed in the deploy file.
 func senderFiles(t *testing.T) (files []string) {
 	deploy, err := os.ReadFile(root + "/deploy/balancer.toml")
 	if err != nil {
@@ -100,7 +100,7 @@
 		}
 	}
 	if len(files) < 50 {
-		t.Fatalf("%d files of code", len(files))
+		t.Fatalf("found only %d source files", len(files))
 	}
 	return files
 }
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -10,14 +10,14 @@
 	"cleathold/internal/lease"
 )
 
-// A phase is what a sender is doing as a whole. Its names stand in the status.
+// A phase is the state of a sender's lifecycle. The status reports it by name.
 type phase int
 
 const (
 	starting    phase = iota
-	serving           // clients are served
-	drained           // clients are sent away; accepted messages go on
-	handingOver       // another process takes over, or has
+	serving           // accepts messages from clients
+	drained           // rejects clients; still delivers accepted messages
+	handingOver       // another process takes over, or has taken over
 	stopping
 )
 
@@ -25,48 +25,49 @@
 	return [...]string{"starting", "serving", "drained", "leaving", "stopping"}[p]
 }
 
-// A clientGate lets clients in, or sends them away.
+// A clientGate controls whether clients are accepted: Drain rejects them, Activate accepts them.
 type clientGate interface {
 	Drain()
 	Activate()
 }
 
-// A stateMachine is the one owner of the process's phase, its lease and its exclusions. Orders that come during the
-// start hold once it is over. Clients are sent away while the operator has said so, or while a lease is active that
-// wants it. Its methods may be called from any goroutine.
+// A stateMachine owns the process's phase, its lease and its exclusions. Orders accepted in phase starting take effect
+// when it ends. Clients are drained while the operator's drain order is in force, or while a lease with Drain set is
+// active. Its methods are safe for concurrent use.
 type stateMachine struct {
 	log *slog.Logger
-	id  string           // of the process
-	now func() time.Time // nil: the machine's clock
+	id  string           // random id of the process
+	now func() time.Time // nil: time.Now
 
 	mu                sync.Mutex
 	phase             phase
 	drainedByOperator bool
 	lease             lease.Holder
-	leaseTimer        *time.Timer // fires when the lease is up
+	leaseTimer        *time.Timer // fires when the lease expires
 	exclusions        lease.Exclusions
-	exclusionsTimer   *time.Timer    // fires when the exclusions are up
-	setExcluded       func([]string) // tells the loop which endpoints are excluded; nil during the start
+	exclusionsTimer   *time.Timer    // fires when the exclusions expire
+	setExcluded       func([]string) // passes the excluded endpoints to the event loop; nil during the start
 	clients           clientGate     // nil during the start
 }
 
 func newStateMachine(log *slog.Logger) *stateMachine { return &stateMachine{log: log, id: rand.Text()} }
 
-// Why an order is rejected, or the process is not ready.
+// Reasons why an order is rejected or the process is not ready.
 var (
 	errStarting    = errors.New("starting")
 	errHandingOver = errors.New("another process takes over")
 	errStopping    = errors.New("stopping")
 )
 
-// Ready tells why this process can't serve; nil if it can, drained or not.
+// Ready returns nil if this process can serve, drained or not, and otherwise the reason why it can't.
 func (m *stateMachine) Ready() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.checkPhase(true)
 }
 
-// checkPhase is why an order is rejected now; nil if it is not. Some orders need the end of the start.
+// checkPhase returns an error if the current phase does not allow an order. With needsStarted set, it also rejects the
+// order in phase starting.
 func (m *stateMachine) checkPhase(needsStarted bool) error {
 	switch {
 	case m.phase == starting && needsStarted:
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// apply carries out an order, unless this process takes none now.
+// apply executes an order if the current phase allows it, and then updates the lease timer and the phase.
 func (m *stateMachine) apply(needsStarted bool, order func(now time.Time) error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,12 +102,12 @@
 	return time.Now()
 }
 
-// Drain sends clients away by the operator's order: whatever leases say, until Activate.
+// Drain makes the sender reject clients by order of the operator, regardless of leases, until Activate is called.
 func (m *stateMachine) Drain() error {
 	return m.apply(false, func(time.Time) error { m.drainedByOperator = true; return nil })
 }
 
-// Activate takes clients back by the operator's order, which goes before an active lease and ends it.
+// Activate makes the sender accept clients again by order of the operator, which overrides an active lease and ends it.
 func (m *stateMachine) Activate() error {
 	return m.apply(false, func(time.Time) error {
 		m.drainedByOperator = false
@@ -117,22 +118,22 @@
 	})
 }
 
-// Take takes up a lease. During the start none is taken up: nobody knows this process yet.
+// Take accepts a lease. It rejects leases in phase starting, when no agent can know this process yet.
 func (m *stateMachine) Take(o lease.Order) error {
 	return m.apply(true, func(now time.Time) error { return m.lease.Take(o, m.id, now) })
 }
 
-// Renew sets another end to the active lease.
+// Renew sets a new end for the active lease.
 func (m *stateMachine) Renew(epoch uint64, until time.Time) error {
 	return m.apply(false, func(now time.Time) error { return m.lease.Renew(epoch, until, now) })
 }
 
-// End ends an epoch, and the active lease of it.
+// End ends an epoch, including its lease if that is active.
 func (m *stateMachine) End(epoch uint64) error {
 	return m.apply(false, func(time.Time) error { return m.lease.End(epoch) })
 }
 
-// SetExclusions takes which endpoints are excluded, as of an epoch, until a time.
+// SetExclusions replaces the set of excluded endpoints. The set belongs to an epoch and expires at the given time.
 func (m *stateMachine) SetExclusions(epoch uint64, ids []string, until time.Time) error {
 	return m.apply(true, func(now time.Time) error {
 		if err := m.exclusions.Take(epoch, ids, until, now); err != nil {
@@ -143,7 +144,7 @@
 	})
 }
 
-// applyExclusions tells the loop, and arms the timer.
+// applyExclusions passes the exclusions to the event loop and arms their timer.
 func (m *stateMachine) applyExclusions() {
 	if m.setExcluded != nil {
 		m.setExcluded(m.exclusions.EndpointIDs)
@@ -154,19 +155,19 @@
 	m.exclusionsTimer = time.AfterFunc(max(0, m.exclusions.Until.Sub(m.clock())), m.expireExclusions)
 }
 
-// expireExclusions ends exclusions that are up.
+// expireExclusions clears the exclusions if they have expired.
 func (m *stateMachine) expireExclusions() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.exclusions.Expire(m.clock()) {
-		m.log.Warn("exclusions expired: no endpoint is excluded any more")
+		m.log.Warn("exclusions expired; no endpoint is excluded")
 		if m.setExcluded != nil && m.phase < handingOver {
 			m.setExcluded(nil)
 		}
 	}
 }
 
-// connectExclusions names who is told which endpoints are excluded.
+// connectExclusions sets the function that receives the excluded endpoints, and calls it if any are set.
 func (m *stateMachine) connectExclusions(setExcluded func([]string)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -175,12 +176,12 @@
 	}
 }
 
-// shouldDrain reports whether clients are to be sent away.
+// shouldDrain reports whether clients must be drained by order of the operator or under a lease.
 func (m *stateMachine) shouldDrain() bool {
 	return m.drainedByOperator || m.lease.Active() && m.lease.Drain
 }
 
-// armLeaseTimer has the active lease looked at when it is up.
+// armLeaseTimer sets the timer that expires the active lease, and stops the previous one.
 func (m *stateMachine) armLeaseTimer() {
 	if m.leaseTimer != nil {
 		m.leaseTimer.Stop()
@@ -191,7 +192,8 @@
 	}
 }
 
-// expireLease ends a lease that is up. A process that was stopped in between does so as soon as it goes on.
+// expireLease ends the lease if it has expired. A process that was suspended past the end of the lease does so as
+// soon as it continues.
 func (m *stateMachine) expireLease() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -203,7 +205,7 @@
 	}
 }
 
-// updatePhase brings the phase in line with the orders.
+// updatePhase switches between serving and drained according to the orders and the lease.
 func (m *stateMachine) updatePhase() {
 	drain := m.shouldDrain()
 	switch {
@@ -219,7 +221,8 @@
 	m.log.Info("phase changed by order", "phase", m.phase.String(), "epoch", m.lease.Epoch)
 }
 
-// startServing ends the start, or a hand-over that failed.
+// startServing sets phase serving after the start or a failed hand-over, and applies the orders in force. It does
+// nothing once the process is stopping.
 func (m *stateMachine) startServing(clients clientGate) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -230,21 +233,21 @@
 	m.updatePhase()
 }
 
-// advance goes on to a later phase. It does nothing if the process is in that phase or a later one already.
+// advance moves on to a later phase. It does nothing if the process is already in that phase or a later one.
 func (m *stateMachine) advance(p phase) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.phase = max(m.phase, p)
 }
 
-// orders are what the successor must know: whether the operator sends clients away, and the lease.
+// orders returns the orders to pass to a successor: whether the operator has drained the sender, and the lease.
 func (m *stateMachine) orders() (drainedByOperator bool, l lease.Holder) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.drainedByOperator, m.lease
 }
 
-// inherit takes over the orders of the predecessor.
+// inherit adopts the predecessor's orders. The predecessor's lease is used unless this process knows a later epoch.
 func (m *stateMachine) inherit(drainedByOperator bool, l lease.Holder) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -255,7 +258,7 @@
 	m.armLeaseTimer()
 }
 
-// snapshot is what the status tells of the state machine.
+// snapshot returns the parts of the state machine that the status reports.
 func (m *stateMachine) snapshot() (id string, p phase, l lease.Holder) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lifecycle/statemachine_test.go
+++ b/internal/lifecycle/statemachine_test.go
@@ -15,9 +15,9 @@
 func (r *gateRecorder) Drain()    { *r = append(*r, "drain") }
 func (r *gateRecorder) Activate() { *r = append(*r, "activate") }
 
-// Orders and leases in each phase: those from before the end of the start hold after it, repeats are harmless, and a
-// process that stops or hands over takes none. Times are seconds; "take:5" is an order of epoch 5 to be taken up by 2
-// whose lease ends at 10.
+// Orders and leases in each phase: orders given during the start take effect after it, repeating an order changes
+// nothing, and a process that stops or hands over rejects orders. Times are in seconds; "take:5" is an order of epoch 5
+// that must be accepted by time 2 and whose lease ends at time 10.
 func TestStateMachine(t *testing.T) {
 	for _, c := range []struct{ orders, gate, phase, rejected string }{
 		{"begin take:5", "drain", "drained", ""},
@@ -28,11 +28,11 @@
 		{"begin hold:5", "", "serving", ""},
 		{"begin at:3 take:5", "", "serving", "take:5"},
 		{"take:5 begin", "", "serving", "take:5"},
-		{"begin take:5 activate", "drain activate", "serving", ""},  // the operator's order goes before
-		{"begin drain take:5 end:5", "drain", "drained", ""},        // the operator's order stays
-		{"begin drain take:5 at:10 expire", "drain", "drained", ""}, // so it does
+		{"begin take:5 activate", "drain activate", "serving", ""},  // the operator's order overrides the lease
+		{"begin drain take:5 end:5", "drain", "drained", ""},        // the operator's order outlasts the lease's end
+		{"begin drain take:5 at:10 expire", "drain", "drained", ""}, // and its expiry
 		{"begin take:5 leave take:6 renew:5", "drain", "leaving", "take:6 renew:5"},
-		{"begin take:5 leave at:10 expire begin", "drain", "serving", ""}, // up while another process was to take over
+		{"begin take:5 leave at:10 expire begin", "drain", "serving", ""}, // expired during a failed hand-over
 		{"begin take:5 stop end:5", "drain", "stopping", "end:5"},
 		{"inherit:5 begin", "drain", "drained", ""},
 		{"inherit:5 begin take:5 end:5", "drain activate", "serving", ""},
@@ -55,14 +55,14 @@
 	}
 }
 
-// orderSequence is a state machine under orders, by a clock of its own.
+// orderSequence applies a sequence of orders to a state machine with a simulated clock.
 type orderSequence struct {
 	m    *stateMachine
 	gate gateRecorder
 	now  time.Time
 }
 
-// sequenceStart is when each run starts.
+// sequenceStart is the time at which each sequence starts.
 var sequenceStart = time.Unix(1000, 0)
 
 func newOrderSequence() *orderSequence {
@@ -71,7 +71,7 @@
 	return r
 }
 
-// apply gives an order, such as "take:5", and returns why it is rejected.
+// apply executes an order, such as "take:5", and returns the error if it is rejected.
 func (r *orderSequence) apply(order string) error {
 	at := func(n int) time.Time { return sequenceStart.Add(time.Duration(n) * time.Second) }
 	verb, arg, _ := strings.Cut(order, ":")
--- a/internal/lifecycle/statusboard.go
+++ b/internal/lifecycle/statusboard.go
@@ -12,14 +12,14 @@
 	"cleathold/internal/state"
 )
 
-// targetsTimeout is how long a loop may take to list its targets.
+// targetsTimeout bounds the time for the event loop to list its targets.
 const targetsTimeout = 500 * time.Millisecond
 
-// A statusBoard is what the operators see of a process, and the state machine that takes their orders.
+// A statusBoard implements admin.Lifecycle: it reports the status of a process and passes orders to its state machine.
 type statusBoard struct {
 	*stateMachine
 	name     string
-	release  string // as whoever started the process calls its version
+	release  string // release name given by the environment at start
 	started  time.Time
 	config   atomic.Pointer[string] // digest of the configuration in force
 	counters *state.Counters
@@ -27,7 +27,8 @@
 	loop     atomic.Pointer[state.Loop] // nil during the start
 }
 
-// Targets are those that discovery lists; nil during the start, or if the loop does not answer in time.
+// Targets returns the targets on discovery's list. It returns nil during the start, or if the event loop does not
+// answer in time.
 func (b *statusBoard) Targets() []state.ListedTarget {
 	if l := b.loop.Load(); l != nil {
 		return l.ListedTargets(time.Now().Add(targetsTimeout))
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// Status tells how the process is. It waits for nothing.
+// Status returns the status of the process. It does not wait for the event loop.
 func (b *statusBoard) Status() admin.Status {
 	id, phase, lease := b.snapshot()
 	s := admin.Status{
@@ -50,7 +51,7 @@
 	return s
 }
 
-// residentMB is the memory of this process, in MB; 0 where the system does not tell.
+// residentMB returns the resident memory of this process in MB, or 0 if it can't be determined.
 func residentMB() float64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
