--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -7,8 +7,8 @@
 	"cleathold/internal/state"
 )
 
-// TestGoldenAnswers writes and reads the answers of the admin API as 096da04 did.
-func TestGoldenAnswers(t *testing.T) {
+// TestGoldenResponses writes and reads the answers of the admin API as 096da04 did.
+func TestGoldenResponses(t *testing.T) {
 	golden.JSON[Status](t, "status.json")
 	golden.JSON[[]state.ListedTarget](t, "targets.json")
 	golden.JSON[Order](t, "order.json")
--- a/internal/admin/httpserver.go
+++ b/internal/admin/httpserver.go
@@ -28,13 +28,13 @@
 }
 
 // ListenTCP binds the TCP admin address, for the calls of the lifecycle alone, one call on a connection.
-func ListenTCP(addr string, s Lifecycle, log *slog.Logger) (*HTTPServer, error) {
-	f, err := ListenCalls(addr, lifecycleCalls(s), MaxHTTPConnections, callTimeout, log)
+func ListenTCP(addr string, lifecycle Lifecycle, log *slog.Logger) (*HTTPServer, error) {
+	server, err := ListenCalls(addr, lifecycleCalls(lifecycle), MaxHTTPConnections, callTimeout, log)
 	if err == nil {
-		f.http.SetKeepAlivesEnabled(false)
-		f.http.MaxHeaderBytes = maxHeaderSize
+		server.http.SetKeepAlivesEnabled(false)
+		server.http.MaxHeaderBytes = maxHeaderSize
 	}
-	return f, err
+	return server, err
 }
 
 // ListenCalls binds an address for calls by their patterns (see http.ServeMux), on maxConns connections at most. A
@@ -58,17 +58,17 @@
 }
 
 // Addr returns the address at which the server listens.
-func (f *HTTPServer) Addr() net.Addr { return f.listener.Addr() }
+func (s *HTTPServer) Addr() net.Addr { return s.listener.Addr() }
 
 // Serve serves until Close.
-func (f *HTTPServer) Serve() {
-	if err := f.http.Serve(f.listener); !errors.Is(err, http.ErrServerClosed) {
-		f.log.Error("admin address failed", "err", err)
+func (s *HTTPServer) Serve() {
+	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
+		s.log.Error("admin address failed", "err", err)
 	}
 }
 
 // Close ends the server at once.
-func (f *HTTPServer) Close() { f.http.Close() }
+func (s *HTTPServer) Close() { s.http.Close() }
 
 // limitedListener bounds the connections of a listener. At the bound the oldest connection is closed, so that clients
 // which send no request can't keep out others.
--- a/internal/admin/httpserver_test.go
+++ b/internal/admin/httpserver_test.go
@@ -22,28 +22,28 @@
 	calls     chan string
 }
 
-func (p *recordingLifecycle) Ready() error    { return p.ready }
-func (p *recordingLifecycle) Drain() error    { p.calls <- "drain"; return nil }
-func (p *recordingLifecycle) Activate() error { p.calls <- "activate"; return nil }
+func (l *recordingLifecycle) Ready() error    { return l.ready }
+func (l *recordingLifecycle) Drain() error    { l.calls <- "drain"; return nil }
+func (l *recordingLifecycle) Activate() error { l.calls <- "activate"; return nil }
 
-func (p *recordingLifecycle) Take(o lease.Order) error {
-	p.calls <- fmt.Sprint("take ", o.Process, " ", o.Epoch, " ", o.By.UnixMilli(), " ", o.Until.UnixMilli(), " ", o.Drain)
-	return p.rejection
+func (l *recordingLifecycle) Take(o lease.Order) error {
+	l.calls <- fmt.Sprint("take ", o.Process, " ", o.Epoch, " ", o.By.UnixMilli(), " ", o.Until.UnixMilli(), " ", o.Drain)
+	return l.rejection
 }
-func (p *recordingLifecycle) Renew(epoch uint64, until time.Time) error {
-	p.calls <- fmt.Sprint("renew ", epoch, " ", until.UnixMilli())
-	return p.rejection
+func (l *recordingLifecycle) Renew(epoch uint64, until time.Time) error {
+	l.calls <- fmt.Sprint("renew ", epoch, " ", until.UnixMilli())
+	return l.rejection
 }
-func (p *recordingLifecycle) End(epoch uint64) error {
-	p.calls <- fmt.Sprint("end ", epoch)
-	return p.rejection
+func (l *recordingLifecycle) End(epoch uint64) error {
+	l.calls <- fmt.Sprint("end ", epoch)
+	return l.rejection
 }
-func (p *recordingLifecycle) SetExclusions(epoch uint64, ids []string, until time.Time) error {
-	p.calls <- fmt.Sprint("aside ", epoch, " ", ids, " ", until.UnixMilli())
-	return p.rejection
+func (l *recordingLifecycle) SetExclusions(epoch uint64, ids []string, until time.Time) error {
+	l.calls <- fmt.Sprint("aside ", epoch, " ", ids, " ", until.UnixMilli())
+	return l.rejection
 }
-func (p *recordingLifecycle) Targets() []state.ListedTarget { return nil }
-func (p *recordingLifecycle) Status() Status                { return Status{Name: "n1"} }
+func (l *recordingLifecycle) Targets() []state.ListedTarget { return nil }
+func (l *recordingLifecycle) Status() Status                { return Status{Name: "n1"} }
 
 func startServer(t *testing.T, p *recordingLifecycle) *HTTPServer {
 	t.Helper()
@@ -74,11 +74,11 @@
 
 func TestHTTPServerCalls(t *testing.T) {
 	for _, c := range []struct {
-		request string
-		ready   error
-		refuse  error
-		status  int
-		told    string
+		request   string
+		ready     error
+		rejection error
+		status    int
+		call      string
 	}{
 		{"GET /v1/readyz", nil, nil, http.StatusOK, ""},
 		{"GET /v1/readyz", errors.New("starting"), nil, http.StatusServiceUnavailable, ""},
@@ -105,25 +105,25 @@
 		{"GET /v1/sender/targets", nil, nil, http.StatusOK, ""},
 		{"PUT /v1/sender/activate?epoch=x", nil, nil, http.StatusBadRequest, ""},
 	} {
-		p := &recordingLifecycle{c.ready, c.refuse, make(chan string, 1)}
+		p := &recordingLifecycle{c.ready, c.rejection, make(chan string, 1)}
 		f := startServer(t, p)
 		if status, err := request(t, f, c.request+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"); status != c.status || err != nil {
 			t.Errorf("%s: status %d, %v, want %d", c.request, status, err, c.status)
 		}
-		told := ""
+		call := ""
 		select {
-		case told = <-p.calls:
+		case call = <-p.calls:
 		default:
 		}
-		if told != c.told {
-			t.Errorf("%s: told %q, want %q", c.request, told, c.told)
+		if call != c.call {
+			t.Errorf("%s: told %q, want %q", c.request, call, c.call)
 		}
 	}
 }
 
 // Callers that send half a call, or nothing, hold all places and more: the next whole call is answered all the same,
 // and a head without end costs its own connection.
-func TestHTTPServerBesideHalfRequests(t *testing.T) {
+func TestHTTPServerWithIncompleteRequests(t *testing.T) {
 	f := startServer(t, &recordingLifecycle{calls: make(chan string, 1)})
 	for i := range 2 * MaxHTTPConnections {
 		c, err := net.Dial("tcp", f.Addr().String())
--- a/internal/admin/lifecycle.go
+++ b/internal/admin/lifecycle.go
@@ -85,49 +85,53 @@
 func (o *orderQuery) time(name string) time.Time { return time.UnixMilli(int64(o.number(name))) }
 
 // lifecycleCalls returns the handlers of the lifecycle's calls by their patterns.
-func lifecycleCalls(s Lifecycle) map[string]http.HandlerFunc {
+func lifecycleCalls(lifecycle Lifecycle) map[string]http.HandlerFunc {
 	return map[string]http.HandlerFunc{
-		"GET " + ReadyPath: byOperator(s.Ready, "ready"),
-		"PUT " + DrainPath: byOperatorOrAgent(s.Drain, "draining", takeLease(s, true)),
-		"PUT " + HoldPath:  byAgent("held", takeLease(s, false)),
-		"PUT " + RenewPath: byAgent("renewed", func(q *orderQuery) func() error {
+		"GET " + ReadyPath: operatorHandler(lifecycle.Ready, "ready"),
+		"PUT " + DrainPath: operatorOrAgentHandler(lifecycle.Drain, "draining", takeLease(lifecycle, true)),
+		"PUT " + HoldPath:  agentHandler("held", takeLease(lifecycle, false)),
+		"PUT " + RenewPath: agentHandler("renewed", func(q *orderQuery) func() error {
 			epoch, until := q.number("epoch"), q.time("until")
-			return func() error { return s.Renew(epoch, until) }
+			return func() error { return lifecycle.Renew(epoch, until) }
 		}),
-		"PUT " + ActivatePath: byOperatorOrAgent(s.Activate, "active", func(q *orderQuery) func() error {
+		"PUT " + ActivatePath: operatorOrAgentHandler(lifecycle.Activate, "active", func(q *orderQuery) func() error {
 			epoch := q.number("epoch")
-			return func() error { return s.End(epoch) }
+			return func() error { return lifecycle.End(epoch) }
 		}),
-		"PUT " + ExclusionsPath: byAgent("set aside", func(q *orderQuery) func() error {
+		"PUT " + ExclusionsPath: agentHandler("set aside", func(q *orderQuery) func() error {
 			epoch, until, ids := q.number("epoch"), q.time("until"), q.values["id"]
 			if len(ids) > lease.MaxExcluded && q.err == nil {
 				q.err = fmt.Errorf("id: %d at most", lease.MaxExcluded)
 			}
-			return func() error { return s.SetExclusions(epoch, ids, until) }
+			return func() error { return lifecycle.SetExclusions(epoch, ids, until) }
 		}),
-		"GET " + TargetsPath: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Targets()) },
-		"GET " + StatusPath:  func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Status()) },
+		"GET " + TargetsPath: func(w http.ResponseWriter, _ *http.Request) {
+			writeJSON(w, http.StatusOK, lifecycle.Targets())
+		},
+		"GET " + StatusPath: func(w http.ResponseWriter, _ *http.Request) {
+			writeJSON(w, http.StatusOK, lifecycle.Status())
+		},
 	}
 }
 
 // takeLease reads an order for a lease from its query.
-func takeLease(s Lifecycle, drain bool) func(q *orderQuery) func() error {
+func takeLease(lifecycle Lifecycle, drain bool) func(q *orderQuery) func() error {
 	return func(q *orderQuery) func() error {
 		order := lease.Order{
 			Process: q.values.Get("process"), Epoch: q.number("epoch"), By: q.time("by"), Until: q.time("until"), Drain: drain,
 		}
-		return func() error { return s.Take(order) }
+		return func() error { return lifecycle.Take(order) }
 	}
 }
 
-// byOperator returns the handler of a call without parameters.
-func byOperator(do func() error, done string) http.HandlerFunc {
-	return func(w http.ResponseWriter, _ *http.Request) { answer(w, do(), done) }
+// operatorHandler returns the handler of a call without parameters.
+func operatorHandler(do func() error, success string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) { writeOutcome(w, do(), success) }
 }
 
-// byAgent returns the handler of a call whose query is an agent's order. The function read takes the order from the
+// agentHandler returns the handler of a call whose query is an agent's order. The function read takes the order from the
 // query and returns what carries it out.
-func byAgent(done string, read func(q *orderQuery) func() error) http.HandlerFunc {
+func agentHandler(success string, read func(q *orderQuery) func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := &orderQuery{values: r.URL.Query()}
 		do := read(query)
@@ -135,13 +139,13 @@
 			http.Error(w, query.err.Error(), http.StatusBadRequest)
 			return
 		}
-		answer(w, do(), done)
+		writeOutcome(w, do(), success)
 	}
 }
 
-// byOperatorOrAgent returns the handler of a call that is an operator's without a query and an agent's with one.
-func byOperatorOrAgent(do func() error, done string, read func(q *orderQuery) func() error) http.HandlerFunc {
-	operator, agent := byOperator(do, done), byAgent(done, read)
+// operatorOrAgentHandler returns the handler of a call that is an operator's without a query and an agent's with one.
+func operatorOrAgentHandler(do func() error, success string, read func(q *orderQuery) func() error) http.HandlerFunc {
+	operator, agent := operatorHandler(do, success), agentHandler(success, read)
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
 			operator(w, r)
@@ -151,11 +155,11 @@
 	}
 }
 
-// answer writes the outcome of a call: 409 for an order that the lease does not allow, 503 for any other error.
-func answer(w http.ResponseWriter, err error, done string) {
+// writeOutcome writes the outcome of a call: 409 for an order that the lease does not allow, 503 for any other error.
+func writeOutcome(w http.ResponseWriter, err error, success string) {
 	switch {
 	case err == nil:
-		fmt.Fprintln(w, done)
+		fmt.Fprintln(w, success)
 	case lease.IsRejection(err):
 		http.Error(w, err.Error(), http.StatusConflict)
 	default:
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -12,26 +12,26 @@
 // encodeQuery returns the query for a filter and a page of at most limit records after a position.
 func encodeQuery(f deadletter.Filter, after uint64, limit int) url.Values {
 	v := url.Values{}
-	set := func(name, value string) {
+	setNonEmpty := func(name, value string) {
 		if value != "" {
 			v.Set(name, value)
 		}
 	}
 	if f.Destination != nil {
-		set("destination", strconv.Itoa(*f.Destination))
+		setNonEmpty("destination", strconv.Itoa(*f.Destination))
 	}
-	set("class", f.Class)
-	set("tenant", f.Tenant)
-	set("reason", f.Reason)
-	set("state", string(f.State))
+	setNonEmpty("class", f.Class)
+	setNonEmpty("tenant", f.Tenant)
+	setNonEmpty("reason", f.Reason)
+	setNonEmpty("state", string(f.State))
 	if !f.Since.IsZero() {
-		set("since", f.Since.Format(time.RFC3339Nano))
+		setNonEmpty("since", f.Since.Format(time.RFC3339Nano))
 	}
 	if !f.Before.IsZero() {
-		set("before", f.Before.Format(time.RFC3339Nano))
+		setNonEmpty("before", f.Before.Format(time.RFC3339Nano))
 	}
-	set("after", strconv.FormatUint(after, 10))
-	set("most", strconv.Itoa(limit))
+	setNonEmpty("after", strconv.FormatUint(after, 10))
+	setNonEmpty("most", strconv.Itoa(limit))
 	return v
 }
 
@@ -40,21 +40,21 @@
 	f = deadletter.Filter{
 		Class: v.Get("class"), Tenant: v.Get("tenant"), Reason: v.Get("reason"), State: deadletter.State(v.Get("state")),
 	}
-	read := func(name string, parse func(string) error) {
+	parseParam := func(name string, parse func(string) error) {
 		if text := v.Get(name); text != "" && err == nil {
 			if e := parse(text); e != nil {
 				err = &statusError{http.StatusBadRequest, name + ": " + e.Error()}
 			}
 		}
 	}
-	read("destination", func(s string) error {
+	parseParam("destination", func(s string) error {
 		n, err := strconv.Atoi(s)
 		f.Destination = &n
 		return err
 	})
-	read("since", func(s string) (err error) { f.Since, err = time.Parse(time.RFC3339Nano, s); return })
-	read("before", func(s string) (err error) { f.Before, err = time.Parse(time.RFC3339Nano, s); return })
-	read("after", func(s string) (err error) { after, err = strconv.ParseUint(s, 10, 64); return })
-	read("most", func(s string) (err error) { limit, err = strconv.Atoi(s); return })
+	parseParam("since", func(s string) (err error) { f.Since, err = time.Parse(time.RFC3339Nano, s); return })
+	parseParam("before", func(s string) (err error) { f.Before, err = time.Parse(time.RFC3339Nano, s); return })
+	parseParam("after", func(s string) (err error) { after, err = strconv.ParseUint(s, 10, 64); return })
+	parseParam("most", func(s string) (err error) { limit, err = strconv.Atoi(s); return })
 	return f, after, min(max(limit, 1), deadletter.MaxPageSize), err
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -125,10 +125,10 @@
 }
 
 // Error implements error.
-func (f *statusError) Error() string { return f.text }
+func (e *statusError) Error() string { return e.text }
 
-// notOwner is the text of the error for callers that are neither the sender's user nor root.
-const notOwner = "only the sender's own user may ask"
+// notOwnerText is the text of the error for callers that are neither the sender's user nor root.
+const notOwnerText = "only the sender's own user may ask"
 
 // fromOwner reports whether a request comes from the sender's own user or root.
 func fromOwner(r *http.Request) bool {
@@ -140,7 +140,7 @@
 func ownerOnly(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !fromOwner(r) {
-			http.Error(w, notOwner, http.StatusForbidden)
+			http.Error(w, notOwnerText, http.StatusForbidden)
 			return
 		}
 		next(w, r)
@@ -151,7 +151,7 @@
 func (s *Server) handleJSON(h func(*http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxBodySize)
-		v, err := s.limited(r, h)
+		v, err := s.runLimited(r, h)
 		if err != nil {
 			v = map[string]string{"error": err.Error()}
 		}
@@ -159,10 +159,10 @@
 	}
 }
 
-// limited runs a request of the owner within the bounds on concurrent requests and on time.
-func (s *Server) limited(r *http.Request, h func(*http.Request) (any, error)) (any, error) {
+// runLimited runs a request of the owner within the bounds on concurrent requests and on time.
+func (s *Server) runLimited(r *http.Request, h func(*http.Request) (any, error)) (any, error) {
 	if !fromOwner(r) {
-		return nil, &statusError{http.StatusForbidden, notOwner}
+		return nil, &statusError{http.StatusForbidden, notOwnerText}
 	}
 	select {
 	case s.slots <- struct{}{}:
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -74,13 +74,13 @@
 }
 
 // writeMessage sends a message, and rights with its first byte where there are any.
-func writeMessage(c *net.UnixConn, m message, rights []byte, by time.Time) error {
+func writeMessage(c *net.UnixConn, m message, rights []byte, deadline time.Time) error {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
 	b := append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...)
-	c.SetWriteDeadline(by)
+	c.SetWriteDeadline(deadline)
 	n := 0
 	if rights != nil {
 		if n, _, err = c.WriteMsgUnix(b[:1], rights, nil); err != nil {
@@ -91,14 +91,14 @@
 	return err
 }
 
-// writeNow is writeMessage without rights, to a process that must take it within writeTimeout.
-func writeNow(c *net.UnixConn, m message) error {
+// writeWithTimeout is writeMessage without rights, to a process that must take it within writeTimeout.
+func writeWithTimeout(c *net.UnixConn, m message) error {
 	return writeMessage(c, m, nil, time.Now().Add(writeTimeout))
 }
 
 // reject tells the other process why not, as far as it still listens, and closes the connection.
-func reject(c *net.UnixConn, why string) {
-	writeNow(c, message{Rejection: why})
+func reject(c *net.UnixConn, reason string) {
+	writeWithTimeout(c, message{Rejection: reason})
 	c.Close()
 }
 
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,8 +19,8 @@
 	"cleathold/internal/state"
 )
 
-// line is a message as it travels.
-func line(t *testing.T, m message) []byte {
+// encodeMessage is a message as it travels.
+func encodeMessage(t *testing.T, m message) []byte {
 	t.Helper()
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -48,25 +48,25 @@
 
 // The successor says what it says up to each byte in turn, and is gone. Before the last byte of 'ready' the predecessor
 // keeps all, and hands it over to the next one that requests; after it the successor has it.
-func TestSuccessorCutAtEachByte(t *testing.T) {
+func TestSuccessorDisconnectsAtEachByte(t *testing.T) {
 	path := socketPath(t)
 	listener, err := Listen(path, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close(false)
-	sock, err := net.Listen("tcp4", "127.0.0.1:0")
+	socket, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer sock.Close()
+	defer socket.Close()
 	handedOver := make(chan error, 1)
 	go func() {
 		for request := range listener.Requests() {
-			handedOver <- request.HandOver(sock.(*net.TCPListener), testState())
+			handedOver <- request.HandOver(socket.(*net.TCPListener), testState())
 		}
 	}()
-	request, ready := line(t, message{Version: version, Request: true}), line(t, message{Ready: true})
+	request, ready := encodeMessage(t, message{Version: version, Request: true}), encodeMessage(t, message{Ready: true})
 	all := append(append([]byte{}, request...), ready...)
 	for k := range len(all) + 1 {
 		c, err := net.Dial("unix", path)
@@ -105,14 +105,14 @@
 	}
 }
 
-// posted are what a successor hears of the attempts that were in flight.
-type posted struct{ list []state.Event }
+// recordedEvents are what a successor hears of the attempts that were in flight.
+type recordedEvents struct{ events []state.Event }
 
-func (p *posted) Post(e state.Event) { p.list = append(p.list, e) }
+func (p *recordedEvents) Post(e state.Event) { p.events = append(p.events, e) }
 
 // count says how many results there are, and how often the rest is lost.
-func (p *posted) count() (results, lost int) {
-	for _, e := range p.list {
+func (p *recordedEvents) count() (results, lost int) {
+	for _, e := range p.events {
 		switch e.(type) {
 		case state.RemoteResult:
 			results++
@@ -123,14 +123,14 @@
 	return results, lost
 }
 
-// cutPredecessor is a predecessor that is gone after so many bytes of what it says.
-type cutPredecessor struct {
+// truncatedPredecessor is a predecessor that is gone after so many bytes of what it says.
+type truncatedPredecessor struct {
 	file                   *os.File // the listening socket
 	state, confirmed, rest []byte
 }
 
 // serve answers one successor with the first k bytes.
-func (p *cutPredecessor) serve(t *testing.T, l *net.UnixListener, k int) {
+func (p *truncatedPredecessor) serve(t *testing.T, l *net.UnixListener, k int) {
 	c, err := l.AcceptUnix()
 	if err != nil {
 		return
@@ -156,7 +156,7 @@
 
 // The predecessor says what it says up to each byte in turn, and is gone. A successor without the whole state takes
 // nothing over. One that serves hears of each attempt at most once, and that the rest is lost.
-func TestPredecessorCutAtEachByte(t *testing.T) {
+func TestPredecessorDisconnectsAtEachByte(t *testing.T) {
 	path := socketPath(t)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -173,11 +173,11 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	e := testState()
-	r := state.RemoteResult{Message: 3, Attempt: 1, Target: "s", Result: control.Served, Final: true}
-	p := &cutPredecessor{
-		file: file, state: line(t, message{Version: version, State: &e}), confirmed: line(t, message{Confirmed: true}),
-		rest: line(t, message{Result: &r, Last: true}),
+	handedOver := testState()
+	result := state.RemoteResult{Message: 3, Attempt: 1, Target: "s", Result: control.Served, Final: true}
+	p := &truncatedPredecessor{
+		file: file, state: encodeMessage(t, message{Version: version, State: &handedOver}),
+		confirmed: encodeMessage(t, message{Confirmed: true}), rest: encodeMessage(t, message{Result: &result, Last: true}),
 	}
 	total := len(p.state) + len(p.confirmed) + len(p.rest)
 	for k := range total + 1 {
@@ -186,9 +186,9 @@
 			defer close(served)
 			p.serve(t, l, k)
 		}()
-		i, err := RequestTakeover(path)
+		takeover, err := RequestTakeover(path)
 		if k < len(p.state) {
-			if err == nil || i != nil {
+			if err == nil || takeover != nil {
 				t.Fatalf("%d of %d bytes of the state were enough", k, len(p.state))
 			}
 			<-served
@@ -197,16 +197,17 @@
 		if err != nil {
 			t.Fatalf("%d bytes: %v", k, err)
 		}
-		if i.State.Version != e.Version || i.State.Lease.Epoch != 9 || !i.State.Lease.Active() || !i.State.Drained {
-			t.Errorf("%+v", i.State)
+		if takeover.State.Version != handedOver.Version || takeover.State.Lease.Epoch != 9 ||
+			!takeover.State.Lease.Active() || !takeover.State.Drained {
+			t.Errorf("%+v", takeover.State)
 		}
 		// A predecessor that is gone can't take anything back: this process goes on.
-		if err := i.ConfirmReady(); err != nil {
+		if err := takeover.ConfirmReady(); err != nil {
 			t.Errorf("%d bytes: %v", k, err)
 		}
-		var events posted
-		i.Run(context.Background(), &events)
-		i.Listener.Close()
+		var events recordedEvents
+		takeover.Run(context.Background(), &events)
+		takeover.Listener.Close()
 		results, lost := events.count()
 		if want := k == total; lost != 1 || (results == 1) != want || results > 1 {
 			t.Errorf("%d of %d bytes: heard of %d attempts, %d times that the rest is lost", k, total, results, lost)
--- a/internal/handover/request.go
+++ b/internal/handover/request.go
@@ -16,7 +16,7 @@
 type Request struct{ conn *net.UnixConn }
 
 // Reject tells it why not.
-func (r *Request) Reject(why string) { reject(r.conn, why) }
+func (r *Request) Reject(reason string) { reject(r.conn, reason) }
 
 // HandOver hands it the listening socket and the state, and waits until it serves, for ReadyTimeout at most. After an
 // error everything belongs to the predecessor again; ErrNotReady is such.
@@ -26,9 +26,9 @@
 		r.conn.Close()
 		return err
 	}
-	err = r.passState(raw, s)
+	err = r.sendState(raw, s)
 	if err == nil {
-		err = writeNow(r.conn, message{Confirmed: true})
+		err = writeWithTimeout(r.conn, message{Confirmed: true})
 	}
 	if err != nil {
 		reject(r.conn, "too late")
@@ -36,17 +36,17 @@
 	return err
 }
 
-// passState sends the listening socket with the state, and waits for the answer.
-func (r *Request) passState(socket syscall.RawConn, s state.HandoverState) error {
-	by := time.Now().Add(ReadyTimeout)
+// sendState sends the listening socket with the state, and waits for the answer.
+func (r *Request) sendState(socket syscall.RawConn, s state.HandoverState) error {
+	deadline := time.Now().Add(ReadyTimeout)
 	var err error
-	failed := socket.Control(func(fd uintptr) {
-		err = writeMessage(r.conn, message{Version: version, State: &s}, unix.UnixRights(int(fd)), by)
+	controlErr := socket.Control(func(fd uintptr) {
+		err = writeMessage(r.conn, message{Version: version, State: &s}, unix.UnixRights(int(fd)), deadline)
 	})
-	if err = errors.Join(failed, err); err != nil {
+	if err = errors.Join(controlErr, err); err != nil {
 		return err
 	}
-	r.conn.SetReadDeadline(by)
+	r.conn.SetReadDeadline(deadline)
 	m, err := readMessage(r.conn)
 	if err == nil && !m.Ready {
 		err = ErrNotReady
@@ -58,7 +58,7 @@
 // error is one of the connection or of the context.
 func (r *Request) ForwardResults(ctx context.Context, q *ResultQueue) error {
 	defer r.conn.Close()
-	return q.each(ctx, func(result *state.RemoteResult, last bool) error {
-		return writeNow(r.conn, message{Result: result, Last: last})
+	return q.forEach(ctx, func(result *state.RemoteResult, last bool) error {
+		return writeWithTimeout(r.conn, message{Result: result, Last: last})
 	})
 }
--- a/internal/handover/resultqueue.go
+++ b/internal/handover/resultqueue.go
@@ -38,7 +38,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		q.each(ctx, func(*state.RemoteResult, bool) error { return nil })
+		q.forEach(ctx, func(*state.RemoteResult, bool) error { return nil })
 	}()
 	return done
 }
@@ -47,26 +47,26 @@
 type EventPoster interface{ Post(event state.Event) }
 
 // PostTo posts all of it to the loop of a process that took back what it handed over.
-func (q *ResultQueue) PostTo(ctx context.Context, to EventPoster) {
-	q.each(ctx, func(r *state.RemoteResult, last bool) error {
+func (q *ResultQueue) PostTo(ctx context.Context, poster EventPoster) {
+	q.forEach(ctx, func(r *state.RemoteResult, last bool) error {
 		if r != nil {
-			to.Post(*r)
+			poster.Post(*r)
 		}
 		if last {
-			to.Post(state.PredecessorLost{})
+			poster.Post(state.PredecessorLost{})
 		}
 		return nil
 	})
 }
 
-// each goes through all of it as it comes, until the last, the end of the context or an error.
-func (q *ResultQueue) each(ctx context.Context, do func(r *state.RemoteResult, last bool) error) error {
+// forEach goes through all of it as it comes, until the last, the end of the context or an error.
+func (q *ResultQueue) forEach(ctx context.Context, handle func(r *state.RemoteResult, last bool) error) error {
 	for i := 0; ; i++ {
 		r, last, ok := q.next(ctx, i)
 		if !ok {
 			return ctx.Err()
 		}
-		if err := do(r, last); err != nil || last {
+		if err := handle(r, last); err != nil || last {
 			return err
 		}
 	}
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -31,7 +31,7 @@
 		return nil, nil // whoever was there is dead, or there never was one
 	}
 	c := conn.(*net.UnixConn)
-	if err := writeNow(c, message{Version: version, Request: true}); err != nil {
+	if err := writeWithTimeout(c, message{Version: version, Request: true}); err != nil {
 		c.Close()
 		return nil, nil
 	}
@@ -61,7 +61,7 @@
 	case m.State == nil:
 		return nil, ErrNoState
 	}
-	listener, err := listenerOf(oob[:n])
+	listener, err := listenerFromRights(oob[:n])
 	if err != nil {
 		return nil, err
 	}
@@ -69,8 +69,8 @@
 	return &Takeover{State: *m.State, Listener: listener, conn: c, in: in}, nil
 }
 
-// listenerOf makes a listener of the descriptor that came along.
-func listenerOf(oob []byte) (net.Listener, error) {
+// listenerFromRights makes a listener of the descriptor that came along.
+func listenerFromRights(oob []byte) (net.Listener, error) {
 	list, err := unix.ParseSocketControlMessage(oob)
 	if err != nil || len(list) != 1 {
 		return nil, ErrNoSocket
@@ -92,7 +92,7 @@
 // ConfirmReady tells the predecessor that this process serves. The error is ErrRejected: the predecessor has taken
 // everything back, and this process must end. One that is gone can't.
 func (t *Takeover) ConfirmReady() error {
-	if err := writeNow(t.conn, message{Ready: true}); err != nil {
+	if err := writeWithTimeout(t.conn, message{Ready: true}); err != nil {
 		return nil
 	}
 	t.conn.SetReadDeadline(time.Now().Add(writeTimeout))
@@ -105,17 +105,17 @@
 }
 
 // Run posts the results of the attempts that are in flight at the other process, until the last one or until it ends.
-func (t *Takeover) Run(ctx context.Context, to EventPoster) {
+func (t *Takeover) Run(ctx context.Context, poster EventPoster) {
 	stop := context.AfterFunc(ctx, func() { t.conn.Close() })
 	defer stop()
 	defer t.conn.Close()
 	for {
 		m, err := readMessage(t.in)
 		if m.Result != nil {
-			to.Post(*m.Result)
+			poster.Post(*m.Result)
 		}
 		if err != nil || m.Last {
-			to.Post(state.PredecessorLost{})
+			poster.Post(state.PredecessorLost{})
 			return
 		}
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
+func at(seconds float64) time.Time { return startTime.Add(time.Duration(seconds * float64(time.Second))) }
 
 func order(epoch uint64, by, until float64) Order {
 	return Order{Process: "p", Epoch: epoch, By: at(by), Until: at(until), Drain: true}
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -110,11 +110,11 @@
 func (s *Settings) senderBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	var x AgentSender
+	var sender AgentSender
 	var addresses, reach *starlark.List
 	change := "handover"
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "name", &x.Name, "config", &x.Config, "admin", &addresses,
-		"building?", &x.Building, "change?", &change, "reach?", &reach); err != nil {
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "name", &sender.Name, "config", &sender.Config,
+		"admin", &addresses, "building?", &sender.Building, "change?", &change, "reach?", &reach); err != nil {
 		return nil, err
 	}
 	if checkTopLevel(t, "sender") != nil {
@@ -123,7 +123,7 @@
 	if reach == nil {
 		reach = addresses
 	}
-	if len(args) > 0 || x.Name == "" || x.Config == "" || addresses.Len() != 2 || reach.Len() != 2 {
+	if len(args) > 0 || sender.Name == "" || sender.Config == "" || addresses.Len() != 2 || reach.Len() != 2 {
 		return nil, errors.New("sender: name, config and two admin addresses are needed, by name; reach has two, too")
 	}
 	if change != "handover" && change != "restart" {
@@ -132,12 +132,12 @@
 	a := s.draftAgent()
 	taken := map[string]bool{}
 	for _, other := range a.Senders {
-		if other.Name == x.Name {
-			return nil, fmt.Errorf("sender: two of name %s", x.Name)
+		if other.Name == sender.Name {
+			return nil, fmt.Errorf("sender: two of name %s", sender.Name)
 		}
 		taken[other.Admin[0]], taken[other.Admin[1]] = true, true
 	}
-	for i := range x.Admin {
+	for i := range sender.Admin {
 		addr, ok := starlark.AsString(addresses.Index(i))
 		if _, _, err := net.SplitHostPort(addr); !ok || err != nil {
 			return nil, fmt.Errorf("sender: admin: %s is no address", addresses.Index(i))
@@ -145,9 +145,9 @@
 		if taken[addr] {
 			return nil, fmt.Errorf("sender: admin: %s is another one's", addr)
 		}
-		x.Admin[i], taken[addr] = addr, true
-		if x.Reach[i], ok = starlark.AsString(reach.Index(i)); ok {
-			_, _, err := net.SplitHostPort(x.Reach[i])
+		sender.Admin[i], taken[addr] = addr, true
+		if sender.Reach[i], ok = starlark.AsString(reach.Index(i)); ok {
+			_, _, err := net.SplitHostPort(sender.Reach[i])
 			ok = err == nil
 		}
 		if !ok {
@@ -157,8 +157,8 @@
 	if len(a.Senders) >= maxSenders {
 		return nil, fmt.Errorf("sender: %d beside one agent at most", maxSenders)
 	}
-	x.Config, x.Restart = s.resolvePath(x.Config), change == "restart"
-	a.Senders = append(a.Senders, x)
+	sender.Config, sender.Restart = s.resolvePath(sender.Config), change == "restart"
+	a.Senders = append(a.Senders, sender)
 	return starlark.None, nil
 }
 
@@ -166,10 +166,9 @@
 func (s *Settings) budgetBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	x := &s.draftAgent().Budget
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fleet", &x.Fleet, "building?", &x.Building, "serving?",
-		&x.Serving,
-		"endpoints?", &x.Endpoints, "kind?", &x.Kind); err != nil {
+	budget := &s.draftAgent().Budget
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fleet", &budget.Fleet,
+		"building?", &budget.Building, "serving?", &budget.Serving, "endpoints?", &budget.Endpoints, "kind?", &budget.Kind); err != nil {
 		return nil, err
 	}
 	switch {
@@ -177,7 +176,7 @@
 		return nil, checkTopLevel(t, "budget")
 	case len(args) > 0:
 		return nil, errors.New("budget: arguments go by name")
-	case x.Fleet < 1 || x.Building < 0 || x.Serving < 0 || x.Endpoints < 0 || x.Kind < 0:
+	case budget.Fleet < 1 || budget.Building < 0 || budget.Serving < 0 || budget.Endpoints < 0 || budget.Kind < 0:
 		return nil, errors.New("budget: fleet: 1 at the least; building, serving, endpoints and kind: 0 or more")
 	}
 	return starlark.None, nil
@@ -187,9 +186,9 @@
 func (s *Settings) timingBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	x := &s.draftAgent().Timing
-	fresh, accept := number(x.Fresh.Seconds()), number(x.Accept.Seconds())
-	lease, clockError := number(x.Lease.Seconds()), number(x.ClockError.Seconds())
+	timing := &s.draftAgent().Timing
+	fresh, accept := number(timing.Fresh.Seconds()), number(timing.Accept.Seconds())
+	lease, clockError := number(timing.Lease.Seconds()), number(timing.ClockError.Seconds())
 	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fresh?", &fresh, "accept?", &accept, "lease?", &lease,
 		"clock_error?", &clockError); err != nil {
 		return nil, err
@@ -203,8 +202,9 @@
 		setting *time.Duration
 		max     time.Duration
 	}{
-		{"fresh", fresh, &x.Fresh, time.Minute}, {"accept", accept, &x.Accept, time.Minute},
-		{"lease", lease, &x.Lease, 10 * time.Minute}, {"clock_error", clockError, &x.ClockError, 10 * time.Second},
+		{"fresh", fresh, &timing.Fresh, time.Minute}, {"accept", accept, &timing.Accept, time.Minute},
+		{"lease", lease, &timing.Lease, 10 * time.Minute},
+		{"clock_error", clockError, &timing.ClockError, 10 * time.Second},
 	} {
 		d, err := duration(f.name, f.given)
 		if err != nil {
--- a/internal/settings/builtins.go
+++ b/internal/settings/builtins.go
@@ -12,7 +12,7 @@
 // predeclared returns the names that a script may use besides those of the language.
 func (s *Settings) predeclared() starlark.StringDict {
 	return starlark.StringDict{
-		holdAnswer: answer{name: holdAnswer}, giveBackAnswer: answer{name: giveBackAnswer},
+		holdResult: ruleResult{name: holdResult}, giveBackResult: ruleResult{name: giveBackResult},
 		"held":    starlark.NewBuiltin("held", s.heldBuiltin),
 		"admin":   starlark.NewBuiltin("admin", s.adminBuiltin),
 		"resend":  starlark.NewBuiltin("resend", s.resendBuiltin),
@@ -41,10 +41,10 @@
 ) (starlark.Value, error) {
 	h := &Held{}
 	age, ended := number(7*86400), number(86400)
-	size, most, queue := int64(256_000_000), 100_000, 256
+	maxBytes, maxRecords, queue := int64(256_000_000), 100_000, 256
 	var folder string
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "folder", &folder, "max_bytes?", &size, "max_records?", &most,
-		"max_age?", &age, "keep_ended?", &ended, "queue?", &queue); err != nil {
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "folder", &folder, "max_bytes?", &maxBytes,
+		"max_records?", &maxRecords, "max_age?", &age, "keep_ended?", &ended, "queue?", &queue); err != nil {
 		return nil, err
 	}
 	var err error
@@ -63,14 +63,14 @@
 		return nil, errors.New("held: called twice")
 	case folder == "":
 		return nil, errors.New("held: folder is empty")
-	case size < 1_000_000:
+	case maxBytes < 1_000_000:
 		return nil, errors.New("held: max_bytes under 1 MB")
-	case most < 1 || most > 10_000_000:
+	case maxRecords < 1 || maxRecords > 10_000_000:
 		return nil, errors.New("held: max_records: 1 to 10,000,000")
 	case queue < 1 || queue > 65_536:
 		return nil, errors.New("held: queue: 1 to 65,536")
 	}
-	h.Folder, h.MaxBytes, h.MaxRecords, h.Queue = s.resolvePath(folder), size, most, queue
+	h.Folder, h.MaxBytes, h.MaxRecords, h.Queue = s.resolvePath(folder), maxBytes, maxRecords, queue
 	s.Held = h
 	return starlark.None, nil
 }
@@ -83,7 +83,7 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "socket", &socket); err != nil {
 		return nil, err
 	}
-	const pathMost = 100 // of a socket's address the kernel takes 107 bytes
+	const maxPathLength = 100 // of a socket's address the kernel takes 107 bytes
 	switch {
 	case checkTopLevel(t, "admin") != nil:
 		return nil, checkTopLevel(t, "admin")
@@ -91,8 +91,8 @@
 		return nil, errors.New("admin: called twice")
 	case socket == "":
 		return nil, errors.New("admin: socket is empty")
-	case len(s.resolvePath(socket)) > pathMost:
-		return nil, fmt.Errorf("admin: the path of a socket has %d bytes at most", pathMost)
+	case len(s.resolvePath(socket)) > maxPathLength:
+		return nil, fmt.Errorf("admin: the path of a socket has %d bytes at most", maxPathLength)
 	}
 	s.Admin = &Admin{Socket: s.resolvePath(socket)}
 	return starlark.None, nil
@@ -107,7 +107,7 @@
 		&out); err != nil {
 		return nil, err
 	}
-	stand, err := duration("within", within)
+	withinDuration, err := duration("within", within)
 	switch {
 	case err != nil:
 		return nil, err
@@ -120,7 +120,7 @@
 	case out < 1 || out > 1024:
 		return nil, errors.New("resend: max_out: 1 to 1,024")
 	}
-	s.Resend = Resend{Share: float64(share), Within: stand, MaxOut: out}
+	s.Resend = Resend{Share: float64(share), Within: withinDuration, MaxOut: out}
 	return starlark.None, nil
 }
 
@@ -128,11 +128,11 @@
 func (s *Settings) journalBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	word, wait := "process", number(s.Journal.Wait.Seconds())
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "durability", &word, "wait?", &wait); err != nil {
+	durability, wait := "process", number(s.Journal.Wait.Seconds())
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "durability", &durability, "wait?", &wait); err != nil {
 		return nil, err
 	}
-	span, err := duration("wait", wait)
+	waitDuration, err := duration("wait", wait)
 	switch {
 	case err != nil:
 		return nil, err
@@ -140,12 +140,12 @@
 		return nil, errors.New("journal: arguments go by name")
 	case checkTopLevel(t, "journal") != nil:
 		return nil, checkTopLevel(t, "journal")
-	case word != "process" && word != "group" && word != "each":
-		return nil, fmt.Errorf("journal: durability: %q is none of process, group and each", word)
-	case span > time.Second:
+	case durability != "process" && durability != "group" && durability != "each":
+		return nil, fmt.Errorf("journal: durability: %q is none of process, group and each", durability)
+	case waitDuration > time.Second:
 		return nil, errors.New("journal: wait: a second at most")
 	}
-	s.Journal = Journal{Durability: word, Wait: span}
+	s.Journal = Journal{Durability: durability, Wait: waitDuration}
 	return starlark.None, nil
 }
 
--- a/internal/settings/confine.go
+++ b/internal/settings/confine.go
@@ -49,12 +49,12 @@
 			if n.Op == syntax.EQ {
 				break
 			}
-			name, plain := n.LHS.(*syntax.Ident)
-			op, known := map[syntax.Token]syntax.Token{
+			name, isIdent := n.LHS.(*syntax.Ident)
+			op, supported := map[syntax.Token]syntax.Token{
 				syntax.PLUS_EQ: syntax.PLUS, syntax.MINUS_EQ: syntax.MINUS, syntax.STAR_EQ: syntax.STAR,
 				syntax.SLASH_EQ: syntax.SLASH, syntax.SLASHSLASH_EQ: syntax.SLASHSLASH, syntax.PERCENT_EQ: syntax.PERCENT,
 			}[n.Op]
-			if !plain || !known {
+			if !isIdent || !supported {
 				reject(n, "write this as a plain assignment")
 				break
 			}
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -120,26 +120,26 @@
 	Within   time.Duration // Redeliver: abandoned for good after this
 }
 
-// answer is the answer of a rule as a Starlark value.
-type answer struct {
+// ruleResult is the result of a rule as a Starlark value.
+type ruleResult struct {
 	name     string
 	decision Decision // of keep, drop and again
 }
 
 // The names of the answers of the rule hold.
 const (
-	holdAnswer     = "HOLD"
-	giveBackAnswer = "GIVE_BACK"
+	holdResult     = "HOLD"
+	giveBackResult = "GIVE_BACK"
 )
 
-// forHold reports whether the answer is one of the rule hold.
-func (a answer) forHold() bool { return a.name == holdAnswer || a.name == giveBackAnswer }
+// isHoldResult reports whether the answer is one of the rule hold.
+func (a ruleResult) isHoldResult() bool { return a.name == holdResult || a.name == giveBackResult }
 
-func (a answer) String() string        { return a.name }
-func (a answer) Type() string          { return "verdict" }
-func (a answer) Freeze()               {}
-func (a answer) Truth() starlark.Bool  { return true }
-func (a answer) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable: %s", a.Type()) }
+func (a ruleResult) String() string        { return a.name }
+func (a ruleResult) Type() string          { return "verdict" }
+func (a ruleResult) Freeze()               {}
+func (a ruleResult) Truth() starlark.Bool  { return true }
+func (a ruleResult) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable: %s", a.Type()) }
 
 // keepBuiltin is keep(seconds): the record stays.
 func keepBuiltin(
@@ -149,7 +149,7 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "seconds?", &seconds); err != nil {
 		return nil, err
 	}
-	v := answer{name: "keep", decision: Decision{Action: KeepRecord}}
+	v := ruleResult{name: "keep", decision: Decision{Action: KeepRecord}}
 	if seconds == 0 {
 		return v, nil
 	}
@@ -163,7 +163,7 @@
 	_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
 	err := starlark.UnpackArgs(b.Name(), args, kwargs)
-	return answer{name: "drop", decision: Decision{Action: DropRecord}}, err
+	return ruleResult{name: "drop", decision: Decision{Action: DropRecord}}, err
 }
 
 // againBuiltin is again(within, delay): the record is redelivered.
@@ -174,7 +174,7 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "within?", &within, "delay?", &delay); err != nil {
 		return nil, err
 	}
-	v := answer{name: "again", decision: Decision{Action: Redeliver}}
+	v := ruleResult{name: "again", decision: Decision{Action: Redeliver}}
 	var err error
 	if within != 0 {
 		if v.decision.Within, err = duration("again: within", within); err != nil {
@@ -201,8 +201,8 @@
 	if b, ok := v.(starlark.Bool); ok {
 		return bool(b), nil
 	}
-	if a, ok := v.(answer); ok && a.forHold() {
-		return a.name == holdAnswer, nil
+	if a, ok := v.(ruleResult); ok && a.isHoldResult() {
+		return a.name == holdResult, nil
 	}
 	return !r.Deferred, &Error{File: s.Path, Text: fmt.Sprintf("hold answered %s, wanted HOLD or GIVE_BACK", v.Type())}
 }
@@ -217,8 +217,8 @@
 	if err != nil {
 		return Decision{}, err
 	}
-	a, ok := v.(answer)
-	if !ok || a.forHold() {
+	a, ok := v.(ruleResult)
+	if !ok || a.isHoldResult() {
 		return Decision{}, &Error{File: s.Path, Text: fmt.Sprintf("after answered %s, wanted keep(), again() or drop()",
 			v.Type())}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -115,7 +115,7 @@
 			a.Budget.Serving)
 	}
 	if s.Held == nil {
-		return s.Path + ": nothing is held; journal durable over " + s.Journal.outlives()
+		return s.Path + ": nothing is held; journal durable over " + s.Journal.survivedFailures()
 	}
 	text := fmt.Sprintf("%s: holds up to %d records and %d bytes for %v in %s; resends use %g of a partner's limit",
 		s.Path,
@@ -128,11 +128,11 @@
 	if s.Admin != nil {
 		text += "; admin socket " + s.Admin.Socket
 	}
-	return text + "; journal durable over " + s.Journal.outlives()
+	return text + "; journal durable over " + s.Journal.survivedFailures()
 }
 
-// outlives says which failures an accepted message outlives.
-func (j Journal) outlives() string {
+// survivedFailures says which failures an accepted message outlives.
+func (j Journal) survivedFailures() string {
 	switch j.Durability {
 	case "group":
 		return fmt.Sprintf("kills, and power cuts but for the last %v", j.Wait)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-const store = "held(folder = \"/h\")\n"
+const heldCall = "held(folder = \"/h\")\n"
 
-func TestFaultsNameTheirPlace(t *testing.T) {
+func TestErrorPositions(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"syntax", "held(folder = \n\n", "s.star:3:1: got end of file"},
 		{"unknown name", "x = 1\n  \ny = what", "s.star:3:5: undefined: what"},
 		{"unknown bound", "held(folder = \"/h\", colour = 1)", "s.star:1:5: held: unexpected keyword argument \"colour\""},
 		{"bad bound", "\nheld(folder = \"/h\", max_records = 0)", "s.star:2:5: held: max_records"},
-		{"twice", store + store, "s.star:2:5: held: called twice"},
+		{"twice", heldCall + heldCall, "s.star:2:5: held: called twice"},
 		{"no store", "def hold(record, partner):\n  return HOLD", "s.star: rules hold and after need a store"},
-		{"shape", store + "def hold(record):\n  return HOLD", "s.star:2:1: hold takes (record, partner)"},
-		{"no function", store + "hold = 1", "s.star: hold is a int"},
+		{"shape", heldCall + "def hold(record):\n  return HOLD", "s.star:2:1: hold takes (record, partner)"},
+		{"no function", heldCall + "hold = 1", "s.star: hold is a int"},
 		{"load", "load(\"x\", \"y\")", "s.star:1:1: load"},
 		{"span", "resend(within = -1)", "s.star:1:7: within"},
 		{"nan", "resend(within = float(\"nan\"))", "s.star:1:7: within"},
@@ -50,7 +50,7 @@
 }
 
 // No step may build what the memory does not hold.
-func TestStepsAreSmall(t *testing.T) {
+func TestRejectsOversizedValues(t *testing.T) {
 	for _, text := range []string{
 		`x = "x" * 1000000000`, `x = [0] * 1000000000`, `x = range(1000000000)`, `x = 1 << 60 << 60 << 1`,
 		"def f():\n  s = \"xx\"\n  for i in range(40):\n    s += s\nf()",
@@ -66,7 +66,7 @@
 }
 
 func TestRules(t *testing.T) {
-	const text = store + `
+	const text = heldCall + `
 resend(within = 5 * MINUTE)
 
 def hold(record, partner):
--- a/internal/usersocket/usersocket.go
+++ b/internal/usersocket/usersocket.go
@@ -18,19 +18,19 @@
 // errors are those of net.ListenUnix, os.Chmod and os.Rename.
 func Listen(path string) (*net.UnixListener, error) {
 	// The socket has another name until its mode is set: nobody else may connect before.
-	fresh := path + ".new"
-	os.Remove(fresh)
-	sock, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+	tempPath := path + ".new"
+	os.Remove(tempPath)
+	sock, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	sock.SetUnlinkOnClose(false)
-	if err = os.Chmod(fresh, ownerOnly); err == nil {
-		err = os.Rename(fresh, path)
+	if err = os.Chmod(tempPath, ownerOnly); err == nil {
+		err = os.Rename(tempPath, path)
 	}
 	if err != nil {
 		sock.Close()
-		os.Remove(fresh)
+		os.Remove(tempPath)
 		return nil, err
 	}
 	return sock, nil
--- a/internal/usersocket/usersocket_test.go
+++ b/internal/usersocket/usersocket_test.go
@@ -19,19 +19,19 @@
 		if err != nil || info.Mode().Perm() != 0o600 || info.Mode().Type() != os.ModeSocket {
 			t.Fatalf("%v, %v", info, err)
 		}
-		theirs, err := net.Dial("unix", path)
+		client, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ours, err := l.Accept()
+		server, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if uid := PeerUID(ours); uid != os.Getuid() {
+		if uid := PeerUID(server); uid != os.Getuid() {
 			t.Errorf("the peer is user %d, want %d", uid, os.Getuid())
 		}
-		ours.Close()
-		theirs.Close()
+		server.Close()
+		client.Close()
 		l.Close()
 	}
 	if _, err := os.Stat(path); err != nil {
