--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -14,7 +14,7 @@
 	"cleathold/internal/deadletter"
 )
 
-// API is what can be done with dead letters: by the running sender, or, read only, in the folder of a stopped one.
+// API gives access to dead letters, either through a running sender or, read-only, in the folder of a stopped one.
 type API interface {
 	List(ctx context.Context, f deadletter.Filter, after uint64, limit int) (Page, error)
 	Export(ctx context.Context, f deadletter.Filter, after uint64) (Page, error)
@@ -25,13 +25,15 @@
 	Close() error
 }
 
-// Errors of an API: no sender listens at the socket; the folder of a stopped sender can't be changed.
+// Errors of an API.
 var (
+	// ErrUnreachable means that no sender listens at the socket.
 	ErrUnreachable = errors.New("no sender answers")
-	ErrReadOnly    = errors.New("the folder of a stopped sender can be read only: start the sender and ask it by --socket")
+	// ErrReadOnly means that the folder of a stopped sender can't be changed.
+	ErrReadOnly = errors.New("the folder of a stopped sender can be read only: start the sender and ask it by --socket")
 )
 
-// Dial returns the API of a running sender at its socket. It connects with the first call.
+// Dial returns the API of a running sender at its socket. It connects on the first call.
 func Dial(socket string) API {
 	return &client{socket, &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -41,7 +43,7 @@
 	}}}
 }
 
-// client is the API of a running sender.
+// client implements API for a running sender.
 type client struct {
 	socket string
 	http   *http.Client
--- a/internal/admin/deadletters.go
+++ b/internal/admin/deadletters.go
@@ -10,7 +10,7 @@
 	"cleathold/internal/deadletter"
 )
 
-// caller names the caller for the audit trail.
+// caller returns the name of the caller for the audit trail.
 func caller(r *http.Request) string { return fmt.Sprintf("uid %d", r.Context().Value(peerUIDKey{})) }
 
 func (s *Server) list(r *http.Request) (any, error) {
@@ -27,7 +27,7 @@
 	})
 }
 
-// page answers a request for a page by what get reads.
+// page parses the query of a request and returns the page that get reads.
 func (s *Server) page(
 	r *http.Request, get func(t *deadletter.Tx, f deadletter.Filter, after uint64, limit int) (Page, error),
 ) (any, error) {
@@ -50,7 +50,7 @@
 	return line, err
 }
 
-// exportLine returns a record with its body.
+// exportLine returns a record with its body, if the body is present.
 func exportLine(t *deadletter.Tx, sequence uint64) (deadletter.ExportLine, error) {
 	record, err := t.Get(sequence)
 	if err != nil {
@@ -81,10 +81,10 @@
 	return list, err
 }
 
-// maxWithinS is the longest time, in seconds, for which an order to redeliver may hold.
+// maxWithinS is the longest time, in seconds, for which an order to redeliver may stay in force.
 const maxWithinS = 365 * 86400
 
-// decodeOrder reads the body of a request that changes dead letters.
+// decodeOrder decodes the body of a request that changes dead letters and checks its range.
 func decodeOrder(r *http.Request) (o Order, err error) {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
--- a/internal/admin/folder.go
+++ b/internal/admin/folder.go
@@ -6,7 +6,7 @@
 	"cleathold/internal/deadletter"
 )
 
-// OpenFolder returns the read-only API of a stopped sender's folder.
+// OpenFolder opens the dead letters in the folder of a stopped sender and returns their read-only API.
 func OpenFolder(path string) (API, error) {
 	s, err := deadletter.OpenReading(path)
 	if err != nil {
@@ -15,7 +15,7 @@
 	return folder{s}, nil
 }
 
-// folder is the API of a stopped sender.
+// folder implements API for the folder of a stopped sender.
 type folder struct{ store *deadletter.Store }
 
 func (f folder) Close() error { return f.store.Close() }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -7,7 +7,7 @@
 	"cleathold/internal/state"
 )
 
-// TestGoldenResponses writes and reads the answers of the admin API as 096da04 did.
+// TestGoldenResponses encodes and decodes the JSON of the admin API in the format of revision 096da04.
 func TestGoldenResponses(t *testing.T) {
 	golden.JSON[Status](t, "status.json")
 	golden.JSON[[]state.ListedTarget](t, "targets.json")
--- a/internal/admin/httpserver.go
+++ b/internal/admin/httpserver.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	callTimeout   = 2 * time.Second        // for the whole request
+	callTimeout   = 2 * time.Second        // for reading the whole request
 	maxHeaderSize = 8 << 10                // bytes
 	writeTimeout  = 500 * time.Millisecond // for the response
 )
 
-// MaxHTTPConnections bounds the connections at the TCP admin address. Beyond it the oldest is closed.
+// MaxHTTPConnections bounds the connections at the TCP admin address. A further connection closes the oldest one.
 const MaxHTTPConnections = 32
 
-// HTTPServer serves calls at a TCP address, where callers can't be told apart.
+// HTTPServer serves calls at a TCP address, where callers can't be identified.
 type HTTPServer struct {
 	listener *limitedListener
 	http     *http.Server
 	log      *slog.Logger
 }
 
-// ListenTCP binds the TCP admin address, for the calls of the lifecycle alone, one call on a connection.
+// ListenTCP binds the TCP admin address. It serves only the calls of the lifecycle, one call per connection.
 func ListenTCP(addr string, lifecycle Lifecycle, log *slog.Logger) (*HTTPServer, error) {
 	server, err := ListenCalls(addr, lifecycleCalls(lifecycle), MaxHTTPConnections, callTimeout, log)
 	if err == nil {
@@ -37,8 +37,9 @@
 	return server, err
 }
 
-// ListenCalls binds an address for calls by their patterns (see http.ServeMux), on maxConns connections at most. A
-// request must have arrived within the timeout, and be answered within it.
+// ListenCalls binds a TCP address and serves calls by their patterns (see http.ServeMux), on at most maxConns
+// connections. A request must arrive within the timeout, and its response must be written within the timeout plus
+// writeTimeout.
 func ListenCalls(
 	addr string, calls map[string]http.HandlerFunc, maxConns int, timeout time.Duration, log *slog.Logger,
 ) (*HTTPServer, error) {
@@ -60,27 +61,27 @@
 // Addr returns the address at which the server listens.
 func (s *HTTPServer) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve serves until Close.
+// Serve serves requests until Close is called.
 func (s *HTTPServer) Serve() {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		s.log.Error("admin address failed", "err", err)
 	}
 }
 
-// Close ends the server at once.
+// Close stops the server and closes its connections at once.
 func (s *HTTPServer) Close() { s.http.Close() }
 
-// limitedListener bounds the connections of a listener. At the bound the oldest connection is closed, so that clients
-// which send no request can't keep out others.
+// limitedListener limits the open connections of a listener. At the limit it closes the oldest connection, so that
+// clients that send no request can't block others.
 type limitedListener struct {
 	net.Listener
 	max int
 
 	mu   sync.Mutex
-	open []*limitedConn // the oldest first
+	open []*limitedConn // oldest first
 }
 
-// limitedConn is a connection that its listener forgets when it is closed.
+// limitedConn is a connection that removes itself from its listener's open connections on Close.
 type limitedConn struct {
 	net.Conn
 	listener *limitedListener
--- a/internal/admin/httpserver_test.go
+++ b/internal/admin/httpserver_test.go
@@ -15,7 +15,7 @@
 	"cleathold/internal/state"
 )
 
-// recordingLifecycle is a lifecycle that notes what it is told.
+// recordingLifecycle is a Lifecycle that records its calls.
 type recordingLifecycle struct {
 	ready     error
 	rejection error // of orders
@@ -56,7 +56,7 @@
 	return f
 }
 
-// request makes one call, and wants its connection closed after it.
+// request sends one request and reads until the server closes the connection. It returns the response's status.
 func request(t *testing.T, f *HTTPServer, text string) (int, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", f.Addr().String())
@@ -72,6 +72,8 @@
 	return status, err
 }
 
+// Each call of the TCP admin address reaches the lifecycle with its parameters and gets the right status. Calls of the
+// dead-letter queue are not available there.
 func TestHTTPServerCalls(t *testing.T) {
 	for _, c := range []struct {
 		request   string
@@ -86,7 +88,7 @@
 		{"PUT /v1/sender/activate", nil, nil, http.StatusOK, "activate"},
 		{"POST /v1/sender/drain", nil, nil, http.StatusMethodNotAllowed, ""},
 		{"GET /v1/sender/drain", nil, nil, http.StatusMethodNotAllowed, ""},
-		{"GET /held/list", nil, nil, http.StatusNotFound, ""}, // nobody can be told apart here
+		{"GET /held/list", nil, nil, http.StatusNotFound, ""}, // callers can't be identified here
 		{"GET /", nil, nil, http.StatusNotFound, ""},
 		{"GET /v1/sender/status", nil, nil, http.StatusOK, ""},
 		{"PUT /v1/sender/drain?process=p&epoch=7&by=1000&until=2000", nil, nil, http.StatusOK, "take p 7 1000 2000 true"},
@@ -107,7 +109,8 @@
 	} {
 		p := &recordingLifecycle{c.ready, c.rejection, make(chan string, 1)}
 		f := startServer(t, p)
-		if status, err := request(t, f, c.request+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"); status != c.status || err != nil {
+		status, err := request(t, f, c.request+" HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+		if status != c.status || err != nil {
 			t.Errorf("%s: status %d, %v, want %d", c.request, status, err, c.status)
 		}
 		call := ""
@@ -116,13 +119,13 @@
 		default:
 		}
 		if call != c.call {
-			t.Errorf("%s: told %q, want %q", c.request, call, c.call)
+			t.Errorf("%s: lifecycle call %q, want %q", c.request, call, c.call)
 		}
 	}
 }
 
-// Callers that send half a call, or nothing, hold all places and more: the next whole call is answered all the same,
-// and a head without end costs its own connection.
+// Clients with an incomplete request, or none, open twice as many connections as the limit: the next complete request
+// is still answered. A request whose header exceeds the limit fails without effect on others.
 func TestHTTPServerWithIncompleteRequests(t *testing.T) {
 	f := startServer(t, &recordingLifecycle{calls: make(chan string, 1)})
 	for i := range 2 * MaxHTTPConnections {
@@ -142,10 +145,11 @@
 	n := len(f.listener.open)
 	f.listener.mu.Unlock()
 	if n > MaxHTTPConnections {
-		t.Errorf("%d connections held", n)
+		t.Errorf("%d connections open", n)
 	}
 	long := strings.Repeat("x", 8*maxHeaderSize)
-	if status, _ := request(t, f, "GET /v1/readyz HTTP/1.1\r\nX: "+long+"\r\n\r\n"); status != 0 && status != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("endless head: status %d", status)
+	status, _ := request(t, f, "GET /v1/readyz HTTP/1.1\r\nX: "+long+"\r\n\r\n")
+	if status != 0 && status != http.StatusRequestHeaderFieldsTooLarge {
+		t.Errorf("oversized header: status %d", status)
 	}
 }
--- a/internal/admin/lifecycle.go
+++ b/internal/admin/lifecycle.go
@@ -14,27 +14,28 @@
 	"cleathold/internal/state"
 )
 
-// Lifecycle is the lifecycle of a sender, as operators and agents control it.
+// Lifecycle controls the lifecycle of a sender on behalf of operators and agents.
 type Lifecycle interface {
-	// Ready returns nil if this process can serve, else why not.
+	// Ready returns nil if this process can serve, and otherwise the reason why it can't.
 	Ready() error
-	// Drain has clients sent away, Activate has them accepted again. Repeating either changes nothing.
+	// Drain makes the sender reject clients, and Activate makes it accept them again. Both are idempotent.
 	Drain() error
 	Activate() error
-	// Take, Renew and End carry out an agent's order for a lease.
+	// Take, Renew and End execute an agent's order for a lease.
 	Take(o lease.Order) error
 	Renew(epoch uint64, until time.Time) error
 	End(epoch uint64) error
-	// SetExclusions replaces the set of endpoints that operators have excluded, as of an epoch, until a time.
+	// SetExclusions replaces the set of endpoints that operators have excluded. The set belongs to an epoch and expires at
+	// the given time.
 	SetExclusions(epoch uint64, ids []string, until time.Time) error
 	// Status returns the current status.
 	Status() Status
-	// Targets returns the endpoints on the list.
+	// Targets returns the targets on discovery's list.
 	Targets() []state.ListedTarget
 }
 
-// The paths of the calls of the lifecycle, on both servers. Drain and activate are an operator's without a query, and
-// an agent's with one.
+// Paths of the lifecycle's calls, on both servers. Drain and activate are calls of an operator without a query, and
+// of an agent with one.
 const (
 	ReadyPath      = "/v1/readyz"
 	DrainPath      = "/v1/sender/drain"
@@ -52,8 +53,8 @@
 	Process     string          `json:"process"` // a random id of the process
 	Pid         int             `json:"pid"`
 	Phase       string          `json:"phase"`
-	Epoch       uint64          `json:"epoch"` // the highest of the orders seen...
-	Ended       bool            `json:"ended"` // ...whose lease has ended
+	Epoch       uint64          `json:"epoch"` // the highest epoch of the orders seen
+	Ended       bool            `json:"ended"` // the lease of that epoch has ended
 	LeaseActive bool            `json:"stands"`
 	Until       time.Time       `json:"until,omitzero"`
 	Release     string          `json:"release,omitempty"`
@@ -67,7 +68,7 @@
 // Digest returns a short digest of a text.
 func Digest(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text)))[:16] }
 
-// orderQuery reads the parameters of an order from a query; err is the first error. Times are Unix times in
+// orderQuery parses the parameters of an order from a query and keeps the first error. Times are Unix times in
 // milliseconds.
 type orderQuery struct {
 	values url.Values
@@ -84,7 +85,7 @@
 
 func (o *orderQuery) time(name string) time.Time { return time.UnixMilli(int64(o.number(name))) }
 
-// lifecycleCalls returns the handlers of the lifecycle's calls by their patterns.
+// lifecycleCalls returns the handlers of the lifecycle's calls by URL pattern.
 func lifecycleCalls(lifecycle Lifecycle) map[string]http.HandlerFunc {
 	return map[string]http.HandlerFunc{
 		"GET " + ReadyPath: operatorHandler(lifecycle.Ready, "ready"),
@@ -114,7 +115,7 @@
 	}
 }
 
-// takeLease reads an order for a lease from its query.
+// takeLease returns a function that parses an order for a lease from a query and returns the function that executes it.
 func takeLease(lifecycle Lifecycle, drain bool) func(q *orderQuery) func() error {
 	return func(q *orderQuery) func() error {
 		order := lease.Order{
@@ -129,8 +130,8 @@
 	return func(w http.ResponseWriter, _ *http.Request) { writeOutcome(w, do(), success) }
 }
 
-// agentHandler returns the handler of a call whose query is an agent's order. The function read takes the order from the
-// query and returns what carries it out.
+// agentHandler returns the handler of a call whose query is an agent's order. The function read parses the order from
+// the query and returns the function that executes it.
 func agentHandler(success string, read func(q *orderQuery) func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := &orderQuery{values: r.URL.Query()}
@@ -143,7 +144,8 @@
 	}
 }
 
-// operatorOrAgentHandler returns the handler of a call that is an operator's without a query and an agent's with one.
+// operatorOrAgentHandler returns the handler of a call that is made by an operator without a query, and by an agent
+// with one.
 func operatorOrAgentHandler(do func() error, success string, read func(q *orderQuery) func() error) http.HandlerFunc {
 	operator, agent := operatorHandler(do, success), agentHandler(success, read)
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -155,7 +157,8 @@
 	}
 }
 
-// writeOutcome writes the outcome of a call: 409 for an order that the lease does not allow, 503 for any other error.
+// writeOutcome writes the response of a call: the success text, status 409 for an order that the lease or the
+// exclusions reject, or status 503 for any other error.
 func writeOutcome(w http.ResponseWriter, err error, success string) {
 	switch {
 	case err == nil:
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -9,7 +9,7 @@
 	"cleathold/internal/deadletter"
 )
 
-// encodeQuery returns the query for a filter and a page of at most limit records after a position.
+// encodeQuery encodes a filter and a page of at most limit records after a position as URL parameters.
 func encodeQuery(f deadletter.Filter, after uint64, limit int) url.Values {
 	v := url.Values{}
 	setNonEmpty := func(name, value string) {
@@ -35,7 +35,7 @@
 	return v
 }
 
-// parseQuery reads a query of encodeQuery. The limit is kept within a page.
+// parseQuery parses the URL parameters of encodeQuery. It limits the number of records to 1 to deadletter.MaxPageSize.
 func parseQuery(v url.Values) (f deadletter.Filter, after uint64, limit int, err error) {
 	f = deadletter.Filter{
 		Class: v.Get("class"), Tenant: v.Get("tenant"), Reason: v.Get("reason"), State: deadletter.State(v.Get("state")),
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,7 +1,7 @@
-// Package admin is the admin API of a sender: an HTTP server on a Unix socket with the calls of the lifecycle and of
-// the dead-letter queue, its client, and an HTTP server at the TCP admin address with the calls of the lifecycle
-// alone. It owns their limits and forms, no state of the sender: that stays behind the interfaces Lifecycle and
-// DeadLetterQueue.
+// Package admin implements the admin API of a sender: an HTTP server on a Unix socket with the calls of the lifecycle
+// and of the dead-letter queue, its client, and an HTTP server at the TCP admin address with the calls of the lifecycle
+// alone. It owns the limits and formats of these calls. The state of the sender stays behind the interfaces Lifecycle
+// and DeadLetterQueue.
 package admin
 
 import (
@@ -19,19 +19,19 @@
 )
 
 const (
-	maxBodySize        = 8 << 20          // bytes of a request, which holds a page of an import at most
-	requestTimeout     = 30 * time.Second // includes the wait for the store
+	maxBodySize        = 8 << 20          // bytes of a request body; the largest contains a page of an import
+	requestTimeout     = 30 * time.Second // includes the wait for the dead-letter store
 	headerTimeout      = 2 * time.Second
 	idleTimeout        = 30 * time.Second
-	maxConcurrentCalls = 4        // each may hold a page in memory
+	maxConcurrentCalls = 4        // each may keep a page in memory
 	maxSocketHeader    = 16 << 10 // bytes of a request's header
 )
 
-// MaxImportLines is the highest number of lines in a page of an export or import.
+// MaxImportLines is the maximum number of lines in a page of an export or import.
 const MaxImportLines = 64
 
-// DeadLetterQueue is the queue behind the API. The string by names the caller for the audit trail; with dry set
-// nothing changes.
+// DeadLetterQueue is the dead-letter queue that the API gives access to. The parameter by is the name of the caller in
+// the audit trail. With dry set, a call changes nothing and returns what it would do.
 type DeadLetterQueue interface {
 	View(func(*deadletter.Tx) error) error
 	Redeliver(
@@ -49,7 +49,7 @@
 	DryRun    bool                    `json:"dry_run,omitempty"`
 }
 
-// Page is a page of records, or of exported lines. Next is the position after it; 0: it is the last.
+// Page is a page of records or of exported lines. Next is the position after the page, or 0 for the last page.
 type Page struct {
 	Records []deadletter.Record     `json:"records,omitempty"`
 	Lines   []deadletter.ExportLine `json:"lines,omitempty"`
@@ -69,8 +69,8 @@
 // peerUIDKey is the key of the caller's user id in a request's context.
 type peerUIDKey struct{}
 
-// Listen binds the socket, for its owner alone; the socket of a dead process is replaced. Without a queue only the
-// calls of the lifecycle are served.
+// Listen binds the Unix socket for its owner alone and replaces the socket of a process that has ended. Without a queue
+// it serves only the calls of the lifecycle.
 func Listen(path string, queue DeadLetterQueue, lifecycle Lifecycle, log *slog.Logger) (*Server, error) {
 	if c, err := net.Dial("unix", path); err == nil {
 		c.Close()
@@ -105,20 +105,20 @@
 	return s, nil
 }
 
-// Serve serves until Close.
+// Serve serves requests until Close is called.
 func (s *Server) Serve() {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		s.log.Error("admin socket failed", "err", err)
 	}
 }
 
-// Close ends the server at once and removes the socket.
+// Close stops the server at once and removes the socket.
 func (s *Server) Close() {
 	s.http.Close()
 	os.Remove(s.path)
 }
 
-// statusError is an error with the HTTP status that tells of it.
+// statusError is an error with the HTTP status of its response.
 type statusError struct {
 	status int
 	text   string
@@ -127,16 +127,16 @@
 // Error implements error.
 func (e *statusError) Error() string { return e.text }
 
-// notOwnerText is the text of the error for callers that are neither the sender's user nor root.
+// notOwnerText is the error text for callers that are neither the sender's user nor root.
 const notOwnerText = "only the sender's own user may ask"
 
-// fromOwner reports whether a request comes from the sender's own user or root.
+// fromOwner reports whether a request was made by the sender's own user or root.
 func fromOwner(r *http.Request) bool {
 	uid := r.Context().Value(peerUIDKey{})
 	return uid == os.Geteuid() || uid == 0
 }
 
-// ownerOnly passes requests of the sender's own user; others get 403 with a plain text.
+// ownerOnly restricts a handler to the sender's own user and root. Other callers get status 403 with a plain text.
 func ownerOnly(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !fromOwner(r) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// handleJSON returns the handler that writes the result of h, or its error, as JSON.
+// handleJSON returns a handler that writes the result or the error of h as JSON.
 func (s *Server) handleJSON(h func(*http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxBodySize)
@@ -159,7 +159,7 @@
 	}
 }
 
-// runLimited runs a request of the owner within the bounds on concurrent requests and on time.
+// runLimited calls h for a request of the owner, within maxConcurrentCalls and requestTimeout.
 func (s *Server) runLimited(r *http.Request, h func(*http.Request) (any, error)) (any, error) {
 	if !fromOwner(r) {
 		return nil, &statusError{http.StatusForbidden, notOwnerText}
@@ -175,7 +175,7 @@
 	return h(r.WithContext(ctx))
 }
 
-// statusOf returns the status of a response with an error, or without one.
+// statusOf returns the HTTP status for an error, which may be nil.
 func statusOf(err error) int {
 	var withStatus *statusError
 	switch {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -12,7 +12,8 @@
 	"cleathold/internal/state"
 )
 
-// TestGoldenMessages writes and reads each line of a hand-over as 096da04 did, with the length before it.
+// TestGoldenMessages encodes and decodes each message of a hand-over, including its length prefix, in the format of
+// revision 096da04.
 func TestGoldenMessages(t *testing.T) {
 	handedOver, result := golden.Fill[state.HandoverState](), golden.Fill[state.RemoteResult]()
 	for name, m := range map[string]message{
@@ -25,21 +26,21 @@
 		"last":     {Last: true},
 	} {
 		golden.Bytes(t, name+".txt", socketBytes(t, m), false)
-		line, err := os.ReadFile(golden.Path(name + ".txt"))
+		encoded, err := os.ReadFile(golden.Path(name + ".txt"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, err := readMessage(bytes.NewReader(line))
+		decoded, err := readMessage(bytes.NewReader(encoded))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if again := socketBytes(t, read); !bytes.Equal(again, line) {
-			t.Errorf("%s: read as %q, want %q", name, again, line)
+		if again := socketBytes(t, decoded); !bytes.Equal(again, encoded) {
+			t.Errorf("%s: encoded again as %q, want %q", name, again, encoded)
 		}
 	}
 }
 
-// socketBytes is what goes over the socket for a message.
+// socketBytes returns the bytes that writeMessage sends over a socket for a message.
 func socketBytes(t *testing.T, m message) []byte {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,13 +1,13 @@
-// Package handover is how one process of a sender hands over to the next while both run: a Unix socket by which the
-// listening socket, and all that is not in the write-ahead log, pass from one to the other. It moves state and
-// decides nothing about it; what the state means is internal/state's and internal/lifecycle's.
+// Package handover transfers a running sender from one process to the next over a Unix socket. It passes the listening
+// socket and all state that is not in the write-ahead log. It transfers state and makes no decisions about it; packages
+// state and lifecycle define its meaning.
 //
-// The successor connects and requests. The process that serves, the predecessor, lets go and sends the listening
-// socket with its state. The successor begins to serve and says so; only a confirmed successor goes on. Then the
-// results of the attempts that are still in flight follow, one message each. A successor that is gone before it has
-// said so leaves everything with the predecessor; a predecessor that is gone leaves it with a successor that has the
-// whole state. Should both live and only the connection between them be cut, both may believe that they have it: the
-// log is locked for one process, and the other one ends.
+// The successor connects and sends a request. The predecessor, which is the process that serves, stops using its state
+// and sends it together with the listening socket. The successor starts to serve, sends Ready, and continues only once
+// the predecessor has confirmed it. Then the predecessor sends the results of the attempts still in flight, one message
+// each. If the successor ends before it has sent Ready, the predecessor keeps everything. If the predecessor ends, a
+// successor that has received the whole state takes over. If both live and only their connection fails, both may
+// consider themselves the owner: the write-ahead log is locked for one process, and the other one ends.
 package handover
 
 import (
@@ -27,31 +27,31 @@
 
 const (
 	version         = 1
-	maxMessageBytes = 4 << 20         // the longest message: a state
-	requestTimeout  = 2 * time.Second // a connection must have requested within this
-	stateTimeout    = 5 * time.Second // a state must have come within this
-	writeTimeout    = time.Second     // a message must be taken within this
-	maxPathLength   = 100             // a Unix address is no longer than 107 bytes
+	maxMessageBytes = 4 << 20         // the longest message is one with a state
+	requestTimeout  = 2 * time.Second // for the request on a new connection, and for it to be picked up
+	stateTimeout    = 5 * time.Second // for the state to arrive
+	writeTimeout    = time.Second     // for writing a message
+	maxPathLength   = 100             // the address of a Unix socket has at most 107 bytes
 	socketName      = "cleathold-%016x.sock"
 )
 
-// ReadyTimeout is within what time a successor must serve, or everything is taken back.
+// ReadyTimeout bounds the time until a successor serves. After it the predecessor takes back its state.
 const ReadyTimeout = 6 * time.Second
 
-// The errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	// ErrRejected tells that the process that serves does not hand over. The text after it says why.
+	// ErrRejected means that the serving process did not hand over. The wrapping error adds the reason.
 	ErrRejected = errors.New("handover: refused")
-	// ErrNotReady tells that a successor answered the state without saying that it serves.
-	ErrNotReady = errors.New("handover: the successor did not say that it serves")
-	// ErrNoSocket tells that a state came without a listening socket.
-	ErrNoSocket = errors.New("handover: no listening socket came along")
-	// ErrNoState tells that a request was answered by something else than a state.
-	ErrNoState = errors.New("handover: the answer holds no state")
+	// ErrNotReady means that a successor answered the state with a message other than Ready.
+	ErrNotReady = errors.New("handover: the successor did not report that it is ready")
+	// ErrNoSocket means that a state arrived without a listening socket.
+	ErrNoSocket = errors.New("handover: no listening socket received")
+	// ErrNoState means that the answer to a request contained no state.
+	ErrNoState = errors.New("handover: the answer contains no state")
 )
 
-// Path returns the path of the socket of the sender with a state folder: the same for each process of it, and for no
-// other's.
+// Path returns the path of the hand-over socket of the sender with the given state folder. All processes of that sender
+// use the same path, and other senders use different ones.
 func Path(state string) string {
 	if abs, err := filepath.Abs(state); err == nil {
 		state = abs
@@ -61,19 +61,19 @@
 	return filepath.Join(os.TempDir(), fmt.Sprintf(socketName, h.Sum64()))
 }
 
-// message is one message, in either direction: JSON with its length before it.
+// message is a message in either direction. It is sent as JSON with a length prefix.
 type message struct {
 	Version   int                  `json:"v,omitempty"`
-	Request   bool                 `json:"ask,omitempty"`      // successor: hand over
-	Rejection string               `json:"refused,omitempty"`  // why not
-	State     *state.HandoverState `json:"estate,omitempty"`   // with the listening socket
-	Ready     bool                 `json:"ready,omitempty"`    // successor: it serves
-	Confirmed bool                 `json:"yours,omitempty"`    // all is the successor's
-	Result    *state.RemoteResult  `json:"returned,omitempty"` // of an attempt that was in flight
-	Last      bool                 `json:"last,omitempty"`     // nothing is in flight any more
+	Request   bool                 `json:"ask,omitempty"`      // from the successor: requests the hand-over
+	Rejection string               `json:"refused,omitempty"`  // reason of a rejection
+	State     *state.HandoverState `json:"estate,omitempty"`   // sent with the listening socket
+	Ready     bool                 `json:"ready,omitempty"`    // from the successor: it serves
+	Confirmed bool                 `json:"yours,omitempty"`    // the successor owns the state
+	Result    *state.RemoteResult  `json:"returned,omitempty"` // of an attempt that was in flight at the hand-over
+	Last      bool                 `json:"last,omitempty"`     // no attempt is in flight any more
 }
 
-// writeMessage sends a message, and rights with its first byte where there are any.
+// writeMessage writes a message. The rights, if not nil, are sent as ancillary data with the first byte.
 func writeMessage(c *net.UnixConn, m message, rights []byte, deadline time.Time) error {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -91,17 +91,18 @@
 	return err
 }
 
-// writeWithTimeout is writeMessage without rights, to a process that must take it within writeTimeout.
+// writeWithTimeout writes a message without rights, within writeTimeout.
 func writeWithTimeout(c *net.UnixConn, m message) error {
 	return writeMessage(c, m, nil, time.Now().Add(writeTimeout))
 }
 
-// reject tells the other process why not, as far as it still listens, and closes the connection.
+// reject sends a rejection with its reason and closes the connection. A failed write is ignored.
 func reject(c *net.UnixConn, reason string) {
 	writeWithTimeout(c, message{Rejection: reason})
 	c.Close()
 }
 
+// readMessage reads a message with its length prefix.
 func readMessage(in io.Reader) (m message, err error) {
 	var size [4]byte
 	if _, err = io.ReadFull(in, size[:]); err != nil {
@@ -109,7 +110,7 @@
 	}
 	n := binary.BigEndian.Uint32(size[:])
 	if n > maxMessageBytes {
-		return m, fmt.Errorf("handover: a message of %d bytes, %d at most", n, maxMessageBytes)
+		return m, fmt.Errorf("handover: message of %d bytes exceeds the limit of %d", n, maxMessageBytes)
 	}
 	b := make([]byte, n)
 	if _, err = io.ReadFull(in, b); err != nil {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,7 +19,7 @@
 	"cleathold/internal/state"
 )
 
-// encodeMessage is a message as it travels.
+// encodeMessage returns the encoding of a message with its length prefix.
 func encodeMessage(t *testing.T, m message) []byte {
 	t.Helper()
 	text, err := json.Marshal(m)
@@ -31,7 +31,7 @@
 
 func socketPath(t *testing.T) string {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "ho") // a Unix address is short
+	dir, err := os.MkdirTemp("", "ho") // the address of a Unix socket is limited to about 100 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,8 +46,8 @@
 	}
 }
 
-// The successor says what it says up to each byte in turn, and is gone. Before the last byte of 'ready' the predecessor
-// keeps all, and hands it over to the next one that requests; after it the successor has it.
+// The successor disconnects after each possible number of bytes. Before the last byte of its ready message the
+// predecessor keeps its state and hands it over to the next successor; after it the successor owns the state.
 func TestSuccessorDisconnectsAtEachByte(t *testing.T) {
 	path := socketPath(t)
 	listener, err := Listen(path, slog.New(slog.DiscardHandler))
@@ -74,7 +74,7 @@
 			t.Fatal(err)
 		}
 		c.Write(all[:min(k, len(request))])
-		if k >= len(request) { // it is requested; the rest is said once the state is there
+		if k >= len(request) { // the request is complete; the ready message follows the state
 			c.SetReadDeadline(time.Now().Add(20 * time.Second))
 			var size [4]byte
 			if _, err := io.ReadFull(c, size[:]); err != nil {
@@ -97,20 +97,20 @@
 		select {
 		case err := <-handedOver:
 			if (err == nil) != (k == len(all)) {
-				t.Errorf("%d of %d bytes: the predecessor has %v", k, len(all), err)
+				t.Errorf("%d of %d bytes: the predecessor's hand-over returned %v", k, len(all), err)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%d bytes: the predecessor waits on", k)
+			t.Fatalf("%d bytes: the predecessor still waits", k)
 		}
 	}
 }
 
-// recordedEvents are what a successor hears of the attempts that were in flight.
+// recordedEvents records the events posted to a successor about the attempts in flight.
 type recordedEvents struct{ events []state.Event }
 
 func (p *recordedEvents) Post(e state.Event) { p.events = append(p.events, e) }
 
-// count says how many results there are, and how often the rest is lost.
+// count returns the number of results, and the number of events that report the predecessor as lost.
 func (p *recordedEvents) count() (results, lost int) {
 	for _, e := range p.events {
 		switch e.(type) {
@@ -123,13 +123,13 @@
 	return results, lost
 }
 
-// truncatedPredecessor is a predecessor that is gone after so many bytes of what it says.
+// truncatedPredecessor is a predecessor that disconnects after a given number of bytes.
 type truncatedPredecessor struct {
 	file                   *os.File // the listening socket
 	state, confirmed, rest []byte
 }
 
-// serve answers one successor with the first k bytes.
+// serve answers one successor with the first k bytes of its messages and disconnects.
 func (p *truncatedPredecessor) serve(t *testing.T, l *net.UnixListener, k int) {
 	c, err := l.AcceptUnix()
 	if err != nil {
@@ -154,8 +154,8 @@
 	c.Write(p.rest[:max(0, min(k-len(p.state)-len(p.confirmed), len(p.rest)))])
 }
 
-// The predecessor says what it says up to each byte in turn, and is gone. A successor without the whole state takes
-// nothing over. One that serves hears of each attempt at most once, and that the rest is lost.
+// The predecessor disconnects after each possible number of bytes. A successor without the whole state takes over
+// nothing. A successor that serves receives each result at most once, and one event that the predecessor is lost.
 func TestPredecessorDisconnectsAtEachByte(t *testing.T) {
 	path := socketPath(t)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -189,7 +189,7 @@
 		takeover, err := RequestTakeover(path)
 		if k < len(p.state) {
 			if err == nil || takeover != nil {
-				t.Fatalf("%d of %d bytes of the state were enough", k, len(p.state))
+				t.Fatalf("takeover succeeded with %d of %d bytes of the state", k, len(p.state))
 			}
 			<-served
 			continue
@@ -201,7 +201,7 @@
 			!takeover.State.Lease.Active() || !takeover.State.Drained {
 			t.Errorf("%+v", takeover.State)
 		}
-		// A predecessor that is gone can't take anything back: this process goes on.
+		// A predecessor that has disconnected can't take back its state, so this process continues.
 		if err := takeover.ConfirmReady(); err != nil {
 			t.Errorf("%d bytes: %v", k, err)
 		}
@@ -210,7 +210,7 @@
 		takeover.Listener.Close()
 		results, lost := events.count()
 		if want := k == total; lost != 1 || (results == 1) != want || results > 1 {
-			t.Errorf("%d of %d bytes: heard of %d attempts, %d times that the rest is lost", k, total, results, lost)
+			t.Errorf("%d of %d bytes: received %d results and %d events that the predecessor is lost", k, total, results, lost)
 		}
 		<-served
 	}
--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -11,7 +11,7 @@
 	"cleathold/internal/usersocket"
 )
 
-// Listener is where the next process requests the hand-over. A nil one has no requests.
+// Listener accepts hand-over requests from successor processes. A nil Listener receives no requests.
 type Listener struct {
 	path     string
 	socket   *net.UnixListener
@@ -21,11 +21,11 @@
 	closed   chan struct{}
 }
 
-// Listen takes the place of a listener that was there: of a process that died, or that handed over to this one. The
-// error is one of the path or the socket.
+// Listen binds the hand-over socket. It replaces the socket of a process that has died or has handed over to this one.
+// It returns an error if the path is too long or the socket can't be bound.
 func Listen(path string, log *slog.Logger) (*Listener, error) {
 	if len(path) > maxPathLength {
-		return nil, fmt.Errorf("handover: %s: too long for a socket; set TMPDIR to a shorter one", path)
+		return nil, fmt.Errorf("handover: %s: path too long for a Unix socket; set TMPDIR to a shorter folder", path)
 	}
 	socket, err := usersocket.Listen(path)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return l, nil
 }
 
-// Requests returns the processes that want to take over, one after another.
+// Requests returns a channel of hand-over requests, which are delivered one at a time.
 func (l *Listener) Requests() <-chan *Request {
 	if l == nil {
 		return nil
@@ -44,7 +44,7 @@
 	return l.requests
 }
 
-// Close ends the listener. Its path stays with the successor, if there is one.
+// Close closes the listener. It removes the socket's path unless a successor has taken over and bound it.
 func (l *Listener) Close(successor bool) {
 	if l == nil {
 		return
@@ -71,7 +71,7 @@
 		select {
 		case l.requests <- &Request{conn: c}:
 		case <-time.After(requestTimeout):
-			reject(c, "a hand-over is under way")
+			reject(c, "another hand-over is in progress")
 		case <-l.closed:
 			c.Close()
 			return
@@ -79,10 +79,11 @@
 	}
 }
 
-// validRequest reads what a connection wants. One that is not a request of this user in the known version is closed.
+// validRequest reads the request of a connection and reports whether it is valid. It closes a connection of another
+// user, without a request, or with another protocol version.
 func (l *Listener) validRequest(c *net.UnixConn) bool {
 	if usersocket.PeerUID(c) != os.Geteuid() {
-		l.log.Warn("hand-over request of another user rejected")
+		l.log.Warn("rejected hand-over request from another user")
 		c.Close()
 		return false
 	}
@@ -94,7 +95,7 @@
 		c.Close()
 		return false
 	case m.Version != version:
-		reject(c, fmt.Sprintf("hand-over of version %d is not known here", m.Version))
+		reject(c, fmt.Sprintf("unsupported hand-over version %d", m.Version))
 		return false
 	}
 	return true
--- a/internal/handover/request.go
+++ b/internal/handover/request.go
@@ -12,14 +12,15 @@
 	"cleathold/internal/state"
 )
 
-// Request is a process that wants to take over. It ends with Reject, a HandOver that fails, or ForwardResults.
+// Request is a successor's request to take over. It ends with Reject, with a HandOver that fails, or with
+// ForwardResults.
 type Request struct{ conn *net.UnixConn }
 
-// Reject tells it why not.
+// Reject sends the reason to the successor and closes the connection.
 func (r *Request) Reject(reason string) { reject(r.conn, reason) }
 
-// HandOver hands it the listening socket and the state, and waits until it serves, for ReadyTimeout at most. After an
-// error everything belongs to the predecessor again; ErrNotReady is such.
+// HandOver sends the listening socket and the state to the successor, and waits until it serves, for at most
+// ReadyTimeout. After an error, such as ErrNotReady, the predecessor owns the socket and the state again.
 func (r *Request) HandOver(socket syscall.Conn, s state.HandoverState) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -31,12 +32,12 @@
 		err = writeWithTimeout(r.conn, message{Confirmed: true})
 	}
 	if err != nil {
-		reject(r.conn, "too late")
+		reject(r.conn, "hand-over failed or timed out")
 	}
 	return err
 }
 
-// sendState sends the listening socket with the state, and waits for the answer.
+// sendState sends the state together with the listening socket, and waits for the successor to be ready.
 func (r *Request) sendState(socket syscall.RawConn, s state.HandoverState) error {
 	deadline := time.Now().Add(ReadyTimeout)
 	var err error
@@ -54,8 +55,8 @@
 	return err
 }
 
-// ForwardResults tells it the results of the attempts that are in flight, until the last one or until it is gone. The
-// error is one of the connection or of the context.
+// ForwardResults sends the results of the attempts in flight to the successor, until the last one or an error of the
+// connection or the context, which it returns.
 func (r *Request) ForwardResults(ctx context.Context, q *ResultQueue) error {
 	defer r.conn.Close()
 	return q.forEach(ctx, func(result *state.RemoteResult, last bool) error {
--- a/internal/handover/resultqueue.go
+++ b/internal/handover/resultqueue.go
@@ -7,21 +7,21 @@
 	"cleathold/internal/state"
 )
 
-// ResultQueue collects the results of attempts that are in flight when a loop hands over: at most as many as the
-// sender may have in flight. It is safe for concurrent use.
+// ResultQueue collects the results of attempts that were in flight when an event loop handed over. Its size is bounded
+// by the sender's limit of calls in flight. It is safe for concurrent use.
 type ResultQueue struct {
 	mu      sync.Mutex
 	results []state.RemoteResult
 	last    bool
-	changed chan struct{} // closed and made anew with each result
+	changed chan struct{} // closed and replaced when a result is added
 }
 
-// NewResultQueue returns one in which nothing is known yet.
+// NewResultQueue returns an empty queue.
 func NewResultQueue() *ResultQueue { return &ResultQueue{changed: make(chan struct{})} }
 
 var _ state.Successor = (*ResultQueue)(nil)
 
-// RemoteResult adds the result of an attempt; one without a target only tells that there are no more.
+// RemoteResult adds the result of an attempt. A result without a target is not added; it only carries last.
 func (q *ResultQueue) RemoteResult(r state.RemoteResult, last bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -33,7 +33,7 @@
 	q.changed = make(chan struct{})
 }
 
-// Drained returns a channel that is closed once nothing is in flight any more, or the context has ended.
+// Drained returns a channel that is closed once no attempt is in flight any more or the context is done.
 func (q *ResultQueue) Drained(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -43,10 +43,10 @@
 	return done
 }
 
-// EventPoster takes events; the loop is one.
+// EventPoster receives events. The event loop implements it.
 type EventPoster interface{ Post(event state.Event) }
 
-// PostTo posts all of it to the loop of a process that took back what it handed over.
+// PostTo posts the results to the event loop of the same process after a failed hand-over, as they arrive.
 func (q *ResultQueue) PostTo(ctx context.Context, poster EventPoster) {
 	q.forEach(ctx, func(r *state.RemoteResult, last bool) error {
 		if r != nil {
@@ -59,7 +59,7 @@
 	})
 }
 
-// forEach goes through all of it as it comes, until the last, the end of the context or an error.
+// forEach calls handle with each result as it arrives, until the last one, the end of the context or an error.
 func (q *ResultQueue) forEach(ctx context.Context, handle func(r *state.RemoteResult, last bool) error) error {
 	for i := 0; ; i++ {
 		r, last, ok := q.next(ctx, i)
@@ -72,8 +72,8 @@
 	}
 }
 
-// next returns the result with that index, waiting for it, and whether it is the last. Nil: there is none, nor will
-// be.
+// next waits for the result with the given index, and returns it and whether it is the last. A nil result with last set
+// means that no results remain; ok is false once the context is done.
 func (q *ResultQueue) next(ctx context.Context, i int) (r *state.RemoteResult, last, ok bool) {
 	for {
 		r, last, changed := q.peek(i)
@@ -88,7 +88,8 @@
 	}
 }
 
-// peek returns the result with that index, if it is there, and whether it is the last; else when to look again.
+// peek returns the result with the given index, if it has arrived, and whether it is the last. Otherwise it returns a
+// channel that is closed with the next change.
 func (q *ResultQueue) peek(i int) (r *state.RemoteResult, last bool, changed <-chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/handover/takeover.go
+++ b/internal/handover/takeover.go
@@ -15,7 +15,7 @@
 	"cleathold/internal/state"
 )
 
-// Takeover is what a successor got. It ends with Abort or Run.
+// Takeover is the successor's side of a hand-over after it has received the state. It ends with Abort or Run.
 type Takeover struct {
 	State    state.HandoverState
 	Listener net.Listener
@@ -23,12 +23,12 @@
 	in       *bufio.Reader
 }
 
-// RequestTakeover requests the hand-over of the process at a path. Nil without an error: there is none. Errors are
-// ErrRejected, ErrNoState, ErrNoSocket and those of the connection.
+// RequestTakeover requests the hand-over from the process that listens at the path. It returns nil without an error if
+// there is no such process. Errors are ErrRejected, ErrNoState, ErrNoSocket and those of the connection.
 func RequestTakeover(path string) (*Takeover, error) {
 	conn, err := net.Dial("unix", path)
 	if err != nil {
-		return nil, nil // whoever was there is dead, or there never was one
+		return nil, nil // the process has ended, or there never was one
 	}
 	c := conn.(*net.UnixConn)
 	if err := writeWithTimeout(c, message{Version: version, Request: true}); err != nil {
@@ -43,13 +43,13 @@
 	return t, nil
 }
 
-// readTakeover reads the answer to a request: a state, with the listening socket beside its first byte.
+// readTakeover reads the answer to a request: a state, with the listening socket as ancillary data of its first byte.
 func readTakeover(c *net.UnixConn) (*Takeover, error) {
 	c.SetReadDeadline(time.Now().Add(stateTimeout))
 	first, oob := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
 	_, n, _, _, err := c.ReadMsgUnix(first, oob)
 	if err != nil {
-		return nil, fmt.Errorf("handover: the process that serves sent nothing: %w", err)
+		return nil, fmt.Errorf("handover: no answer from the serving process: %w", err)
 	}
 	in := bufio.NewReader(c)
 	m, err := readMessage(io.MultiReader(bytes.NewReader(first), in))
@@ -57,7 +57,7 @@
 	case m.Rejection != "" && (err != nil || m.State == nil):
 		return nil, fmt.Errorf("%w: %s", ErrRejected, m.Rejection)
 	case err != nil:
-		return nil, fmt.Errorf("handover: the state can't be read: %w", err)
+		return nil, fmt.Errorf("handover: can't read the state: %w", err)
 	case m.State == nil:
 		return nil, ErrNoState
 	}
@@ -69,7 +69,7 @@
 	return &Takeover{State: *m.State, Listener: listener, conn: c, in: in}, nil
 }
 
-// listenerFromRights makes a listener of the descriptor that came along.
+// listenerFromRights returns a listener for the file descriptor in the ancillary data.
 func listenerFromRights(oob []byte) (net.Listener, error) {
 	list, err := unix.ParseSocketControlMessage(oob)
 	if err != nil || len(list) != 1 {
@@ -89,8 +89,9 @@
 	return listener, nil
 }
 
-// ConfirmReady tells the predecessor that this process serves. The error is ErrRejected: the predecessor has taken
-// everything back, and this process must end. One that is gone can't.
+// ConfirmReady notifies the predecessor that this process serves. It returns ErrRejected if the predecessor has taken
+// back its state; this process must then end. If the predecessor has ended, ConfirmReady returns nil, because only a
+// running predecessor can take back its state.
 func (t *Takeover) ConfirmReady() error {
 	if err := writeWithTimeout(t.conn, message{Ready: true}); err != nil {
 		return nil
@@ -104,7 +105,8 @@
 	return nil
 }
 
-// Run posts the results of the attempts that are in flight at the other process, until the last one or until it ends.
+// Run posts the results of the predecessor's attempts in flight, until the last one or until the predecessor ends. Then
+// it posts state.PredecessorLost.
 func (t *Takeover) Run(ctx context.Context, poster EventPoster) {
 	stop := context.AfterFunc(ctx, func() { t.conn.Close() })
 	defer stop()
@@ -121,5 +123,5 @@
 	}
 }
 
-// Abort gives up what was taken before this process served: the other one goes on.
+// Abort cancels the takeover before this process serves. The predecessor continues.
 func (t *Takeover) Abort() { t.conn.Close() }
--- a/internal/lease/exclusions.go
+++ b/internal/lease/exclusions.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// MaxExcluded is how many endpoints may be excluded for one sender.
+// MaxExcluded is the maximum number of excluded endpoints of a sender.
 const MaxExcluded = 1000
 
-// Exclusions is which endpoints operators have excluded, for one sender: nothing new goes to them. The whole set is
-// told each time, and it is empty again once nobody has told it for long enough. The zero value excludes none. It is
-// not safe for concurrent use.
+// Exclusions is the set of endpoints that operators have excluded for one sender: the sender starts no new work on
+// them. Each update replaces the whole set, and the set expires unless it is updated in time. The zero value excludes
+// no endpoint. It is not safe for concurrent use.
 type Exclusions struct {
 	Epoch       uint64 // of the latest set
 	Until       time.Time
 	EndpointIDs []string
 }
 
-// Take takes the set as of an epoch. The error is ErrStaleEpoch for a set from before the latest, or ErrInvalidEnd.
+// Take replaces the set. It returns ErrStaleEpoch if the epoch is lower than that of the current set, and ErrInvalidEnd
+// if the end is not valid.
 func (x *Exclusions) Take(epoch uint64, ids []string, until, now time.Time) error {
 	if epoch < x.Epoch {
 		return fmt.Errorf("%w: %d, seen %d", ErrStaleEpoch, epoch, x.Epoch)
@@ -29,7 +30,7 @@
 	return nil
 }
 
-// Expire empties the set once its time is up, and tells whether it did.
+// Expire clears the set if it has expired, and reports whether it did.
 func (x *Exclusions) Expire(now time.Time) bool {
 	if len(x.EndpointIDs) == 0 || now.Before(x.Until) {
 		return false
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,7 +1,7 @@
-// Package lease is a sender's own record of its lease to be out of service, and of the endpoints that operators have
-// excluded: which order it takes, until when, and which orders it rejects although they look like those it would
-// take. It does no I/O, grants nothing, and takes the time as a parameter. Its design is
-// docs/design/agreed-drains.md.
+// Package lease implements a sender's record of its lease to be out of service, and of the endpoints that operators
+// have excluded. It decides which orders a sender accepts, until when they hold, and which late, stale or misdirected
+// orders it rejects. It does no I/O, grants no leases, and receives the time as a parameter. The design is described
+// in docs/design/agreed-drains.md.
 package lease
 
 import (
@@ -11,19 +11,19 @@
 	"time"
 )
 
-// MaxDuration is how far ahead of now a lease may end: one that nobody renews must not last.
+// MaxDuration bounds how far in the future a lease may end, so that a lease that is not renewed does not persist.
 const MaxDuration = time.Hour
 
-// Order is the lease for one process of a sender to go out of service.
+// Order is an order that grants one process of a sender a lease to be out of service.
 type Order struct {
-	Process string    // the process that it is for
-	Epoch   uint64    // of the grant; above that of any grant before it
-	By      time.Time // not to be taken later
-	Until   time.Time // the lease ends by itself then
-	Drain   bool      // clients are sent away; else the sender may only change
+	Process string    // id of the process that the order is for
+	Epoch   uint64    // epoch of the grant, higher than that of any earlier grant
+	By      time.Time // deadline for accepting the order
+	Until   time.Time // expiry of the lease
+	Drain   bool      // true: the sender rejects clients; false: it keeps serving and may change its version
 }
 
-// The errors of orders that are rejected. Each says what has become of the order.
+// Errors of rejected orders.
 var (
 	ErrWrongProcess = errors.New("lease: the order is for another process of this sender")
 	ErrExpired      = errors.New("lease: the order came too late")
@@ -34,25 +34,25 @@
 
 var rejections = []error{ErrWrongProcess, ErrExpired, ErrStaleEpoch, ErrEnded, ErrInvalidEnd}
 
-// IsRejection tells whether an error is a rejection by a Holder or by Exclusions.
+// IsRejection reports whether an error is a rejection by a Holder or by Exclusions.
 func IsRejection(err error) bool {
 	return slices.ContainsFunc(rejections, func(rejection error) bool { return errors.Is(err, rejection) })
 }
 
-// Holder is what a sender remembers of orders. The highest epoch that it has seen decides; all before it is rejected.
-// The zero value serves a process that has seen none. It is not safe for concurrent use.
+// Holder is a sender's record of the orders that it has seen. It keeps the highest epoch and rejects orders of earlier
+// ones. The zero value is valid for a process that has seen no order. It is not safe for concurrent use.
 type Holder struct {
-	Epoch uint64    `json:"epoch,omitempty"` // the highest that was taken, or ended
-	Ended bool      `json:"ended,omitempty"` // nothing of that epoch is active any more
+	Epoch uint64    `json:"epoch,omitempty"` // the highest epoch that was accepted or ended
+	Ended bool      `json:"ended,omitempty"` // the lease of that epoch has ended
 	Until time.Time `json:"until,omitzero"`
 	Drain bool      `json:"drain,omitempty"`
 }
 
-// Active tells whether a lease is active.
+// Active reports whether a lease is active.
 func (h *Holder) Active() bool { return h.Epoch > 0 && !h.Ended }
 
-// Take takes an order, for the process of that id. Again for the active one changes nothing. The error is one of
-// those of this package.
+// Take accepts an order on behalf of the process with the given id. Repeating the order of the active lease changes
+// nothing. Errors are those of this package.
 func (h *Holder) Take(o Order, process string, now time.Time) error {
 	switch {
 	case o.Process != process:
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// Renew sets another end to the active lease. The error is ErrStaleEpoch, ErrEnded or ErrInvalidEnd.
+// Renew sets a new end for the active lease. Errors are ErrStaleEpoch, ErrEnded and ErrInvalidEnd.
 func (h *Holder) Renew(epoch uint64, until, now time.Time) error {
 	switch {
 	case epoch != h.Epoch:
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// End ends an epoch and all before it, whether it was taken or not: an order of it that is still on its way is
-// rejected from now on. For an earlier one than the highest it ends nothing; the error is ErrStaleEpoch.
+// End ends an epoch and all earlier ones, whether their orders were accepted or not: an order of these epochs that
+// arrives later is rejected. It returns ErrStaleEpoch, and ends nothing, if the epoch is lower than the highest seen.
 func (h *Holder) End(epoch uint64) error {
 	if epoch < h.Epoch {
 		return fmt.Errorf("%w: %d, seen %d", ErrStaleEpoch, epoch, h.Epoch)
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// Expire ends the active lease once its time is up, and tells whether it did.
+// Expire ends the active lease if it has expired, and reports whether it did.
 func (h *Holder) Expire(now time.Time) bool {
 	if !h.Active() || now.Before(h.Until) {
 		return false
@@ -107,7 +107,7 @@
 	return true
 }
 
-// checkEnd checks when a lease, or a set of exclusions, would end.
+// checkEnd checks that the end of a lease or a set of exclusions is in the future and at most MaxDuration away.
 func checkEnd(until, now time.Time) error {
 	if d := until.Sub(now); d <= 0 || d > MaxDuration {
 		return fmt.Errorf("%w: in %v", ErrInvalidEnd, d)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -8,13 +8,15 @@
 
 var startTime = time.Unix(1000, 0)
 
-func at(seconds float64) time.Time { return startTime.Add(time.Duration(seconds * float64(time.Second))) }
+func at(seconds float64) time.Time {
+	return startTime.Add(time.Duration(seconds * float64(time.Second)))
+}
 
 func order(epoch uint64, by, until float64) Order {
 	return Order{Process: "p", Epoch: epoch, By: at(by), Until: at(until), Drain: true}
 }
 
-// Each case is a history of a sender, and what the last step of it must come to.
+// Each case is a sequence of steps on a Holder, with the error of the last step and whether a lease is active after it.
 func TestHolder(t *testing.T) {
 	type step func(h *Holder) error
 	take := func(epoch uint64, by, until, now float64) step {
@@ -34,22 +36,22 @@
 		"at the last instant":                {[]step{take(5, 2, 10, 2)}, nil, true},
 		"too late":                           {[]step{take(5, 2, 10, 2.001)}, ErrExpired, false},
 		"twice":                              {[]step{take(5, 2, 10, 1), take(5, 2, 10, 3)}, nil, true},
-		"again after its end":                {[]step{take(5, 2, 10, 1), end(5), take(5, 2, 10, 1)}, ErrEnded, false},
-		"ended before it came":               {[]step{end(5), take(5, 2, 10, 1)}, ErrEnded, false},
+		"repeated after its end":             {[]step{take(5, 2, 10, 1), end(5), take(5, 2, 10, 1)}, ErrEnded, false},
+		"ended before it arrived":            {[]step{end(5), take(5, 2, 10, 1)}, ErrEnded, false},
 		"after a newer one":                  {[]step{take(6, 2, 10, 1), take(5, 2, 10, 1)}, ErrStaleEpoch, true},
 		"after a newer one's end":            {[]step{end(6), take(5, 2, 10, 1)}, ErrStaleEpoch, false},
 		"a newer one":                        {[]step{take(5, 2, 10, 1), take(6, 3, 12, 2)}, nil, true},
 		"an older end":                       {[]step{take(6, 2, 10, 1), end(5)}, ErrStaleEpoch, true},
 		"a later end":                        {[]step{take(5, 2, 10, 1), end(6)}, nil, false},
-		"its time is up":                     {[]step{take(5, 2, 10, 1), expire(10)}, nil, false},
-		"its time is not up":                 {[]step{take(5, 2, 10, 1), expire(9.999)}, nil, true},
+		"expired":                            {[]step{take(5, 2, 10, 1), expire(10)}, nil, false},
+		"not yet expired":                    {[]step{take(5, 2, 10, 1), expire(9.999)}, nil, true},
 		"renewed":                            {[]step{take(5, 2, 10, 1), renew(5, 20, 9), expire(15)}, nil, true},
-		"renewed when it was over":           {[]step{take(5, 2, 10, 1), expire(10), renew(5, 20, 11)}, ErrEnded, false},
-		"an older one renewed":               {[]step{take(6, 2, 10, 1), renew(5, 20, 2)}, ErrStaleEpoch, true},
-		"one never seen renewed":             {[]step{renew(5, 20, 2)}, ErrStaleEpoch, false},
-		"it would last too long":             {[]step{take(5, 2, 3602, 1)}, ErrInvalidEnd, false},
-		"it would end in the past":           {[]step{take(5, 2, 0.5, 1)}, ErrInvalidEnd, false},
-		"renewed into the past":              {[]step{take(5, 2, 10, 1), renew(5, 3, 4)}, ErrInvalidEnd, true},
+		"renewed after its expiry":           {[]step{take(5, 2, 10, 1), expire(10), renew(5, 20, 11)}, ErrEnded, false},
+		"an earlier epoch renewed":           {[]step{take(6, 2, 10, 1), renew(5, 20, 2)}, ErrStaleEpoch, true},
+		"an unknown epoch renewed":           {[]step{renew(5, 20, 2)}, ErrStaleEpoch, false},
+		"end too far in the future":          {[]step{take(5, 2, 3602, 1)}, ErrInvalidEnd, false},
+		"end in the past":                    {[]step{take(5, 2, 0.5, 1)}, ErrInvalidEnd, false},
+		"renewed with an end in the past":    {[]step{take(5, 2, 10, 1), renew(5, 3, 4)}, ErrInvalidEnd, true},
 		"no epoch":                           {[]step{take(0, 2, 10, 1)}, ErrEnded, false},
 		"ended by the operator, a new order": {[]step{take(5, 2, 10, 1), end(5), take(7, 9, 20, 8)}, nil, true},
 	} {
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -11,29 +11,29 @@
 	"go.starlark.net/starlark"
 )
 
-// Agent is the configuration of an agent, which runs the senders of a machine.
+// Agent is the configuration of an agent. An agent runs the senders of one machine.
 type Agent struct {
 	Name    string
-	Listen  string            // its address for other agents and the command line
-	Folder  string            // its quorum data and its records of senders
+	Listen  string            // address for other agents and the command line
+	Folder  string            // folder of the quorum data and the records of senders
 	Agents  map[string]string // addresses of all agents by name
-	Version string            // the name of the version that senders run before the first release
-	Program string            // and its program file
+	Version string            // name of the version that senders run before the first release
+	Program string            // program file of that version
 	Senders []AgentSender
 	Budget  AgentBudget
 	Timing  AgentTiming
 }
 
-// AgentSender is a sender that an agent runs.
+// AgentSender is the configuration of a sender that an agent runs.
 type AgentSender struct {
 	Name, Building string
-	Config         string    // its configuration file
-	Admin          [2]string // admin addresses: of the serving process and of its successor
-	Reach          [2]string // the addresses at which the agent reaches them
-	Restart        bool      // versions change by a restart, not by a hand-over
+	Config         string    // path of its configuration file
+	Admin          [2]string // admin addresses of the serving process and its successor
+	Reach          [2]string // addresses by which the agent connects to them
+	Restart        bool      // true: versions change by a restart; false: by a hand-over
 }
 
-// AgentBudget bounds how many senders and endpoints may be out at once; see rollout.Budget.
+// AgentBudget limits how many senders and endpoints may be out of service at once; see rollout.Budget.
 type AgentBudget struct{ Fleet, Building, Serving, Endpoints, Kind int }
 
 // AgentTiming is the timing of grants; see rollout.Timing.
@@ -44,7 +44,7 @@
 	maxSenders = 1000
 )
 
-// defaultAgent returns the values of arguments that are left out.
+// defaultAgent returns an agent with the default values of optional arguments.
 func defaultAgent() *Agent {
 	return &Agent{
 		Agents: map[string]string{}, Budget: AgentBudget{Fleet: 1},
@@ -52,7 +52,7 @@
 	}
 }
 
-// agentBuiltin is agent(name, ...): makes the settings an agent's.
+// agentBuiltin implements agent(name, ...), which makes the settings those of an agent.
 func (s *Settings) agentBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -95,7 +95,7 @@
 	return starlark.None, nil
 }
 
-// draftAgent returns the agent that the calls so far describe. It takes effect only with a call of agent().
+// draftAgent returns the agent as configured by the calls so far. It takes effect only if the script calls agent().
 func (s *Settings) draftAgent() *Agent {
 	if s.Agent != nil {
 		return s.Agent
@@ -106,7 +106,7 @@
 	return s.agentDraft
 }
 
-// senderBuiltin is sender(name, config, admin, ...): a sender that the agent runs.
+// senderBuiltin implements sender(name, config, admin, ...), which adds a sender that the agent runs.
 func (s *Settings) senderBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -162,13 +162,14 @@
 	return starlark.None, nil
 }
 
-// budgetBuiltin is budget(fleet, ...): how many may be out at once.
+// budgetBuiltin implements budget(fleet, ...), which limits how many senders may be out of service at once.
 func (s *Settings) budgetBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
 	budget := &s.draftAgent().Budget
 	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fleet", &budget.Fleet,
-		"building?", &budget.Building, "serving?", &budget.Serving, "endpoints?", &budget.Endpoints, "kind?", &budget.Kind); err != nil {
+		"building?", &budget.Building, "serving?", &budget.Serving, "endpoints?", &budget.Endpoints,
+		"kind?", &budget.Kind); err != nil {
 		return nil, err
 	}
 	switch {
@@ -182,7 +183,7 @@
 	return starlark.None, nil
 }
 
-// timingBuiltin is timing(fresh, accept, lease, clock_error).
+// timingBuiltin implements timing(fresh, accept, lease, clock_error), which sets the timing of grants.
 func (s *Settings) timingBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
--- a/internal/settings/builtins.go
+++ b/internal/settings/builtins.go
@@ -9,7 +9,7 @@
 	"go.starlark.net/starlark"
 )
 
-// predeclared returns the names that a script may use besides those of the language.
+// predeclared returns the names that are available to a script in addition to those of the language.
 func (s *Settings) predeclared() starlark.StringDict {
 	return starlark.StringDict{
 		holdResult: ruleResult{name: holdResult}, giveBackResult: ruleResult{name: giveBackResult},
@@ -27,7 +27,7 @@
 	}
 }
 
-// checkTopLevel returns an error unless the script is being loaded: a rule must not change settings in force.
+// checkTopLevel returns an error unless the script is being loaded, because a rule must not change settings in force.
 func checkTopLevel(t *starlark.Thread, name string) error {
 	if t.Name != "load" {
 		return fmt.Errorf("%s: not within a rule", name)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// heldBuiltin is held(folder, ...): the dead-letter queue and its bounds.
+// heldBuiltin implements held(folder, ...), which enables the dead-letter queue and sets its limits.
 func (s *Settings) heldBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -75,7 +75,7 @@
 	return starlark.None, nil
 }
 
-// adminBuiltin is admin(socket): the Unix socket of the admin API.
+// adminBuiltin implements admin(socket), which sets the Unix socket of the admin API.
 func (s *Settings) adminBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -83,7 +83,7 @@
 	if err := starlark.UnpackArgs(b.Name(), args, kwargs, "socket", &socket); err != nil {
 		return nil, err
 	}
-	const maxPathLength = 100 // of a socket's address the kernel takes 107 bytes
+	const maxPathLength = 100 // the kernel limits the address of a Unix socket to 107 bytes
 	switch {
 	case checkTopLevel(t, "admin") != nil:
 		return nil, checkTopLevel(t, "admin")
@@ -98,7 +98,7 @@
 	return starlark.None, nil
 }
 
-// resendBuiltin is resend(share, within, max_out): the bounds of redelivery.
+// resendBuiltin implements resend(share, within, max_out), which sets the limits of redelivery.
 func (s *Settings) resendBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -124,7 +124,7 @@
 	return starlark.None, nil
 }
 
-// journalBuiltin is journal(durability, wait): when the write-ahead log is synced.
+// journalBuiltin implements journal(durability, wait), which sets when the write-ahead log is synced.
 func (s *Settings) journalBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -149,7 +149,7 @@
 	return starlark.None, nil
 }
 
-// resolvePath returns the path of a file that a script names relative to its own folder.
+// resolvePath resolves a path in a script relative to the script's folder.
 func (s *Settings) resolvePath(path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -157,7 +157,7 @@
 	return filepath.Join(filepath.Dir(s.Path), path)
 }
 
-// number is an argument that may be an int or a float.
+// number is an argument of type int or float.
 type number float64
 
 // Unpack implements starlark.Unpacker.
@@ -173,7 +173,7 @@
 // maxDuration is the longest duration that a script may give.
 const maxDuration = 10 * 365 * 24 * time.Hour
 
-// duration converts seconds, which must be above zero. An error names the argument.
+// duration converts a number of seconds above 0 to a time.Duration. Its error contains the name of the argument.
 func duration(name string, seconds number) (time.Duration, error) {
 	if !(seconds > 0 && float64(seconds) <= maxDuration.Seconds()) {
 		return 0, fmt.Errorf("%s: seconds above 0 wanted, got %v", name, seconds)
--- a/internal/settings/confine.go
+++ b/internal/settings/confine.go
@@ -7,32 +7,34 @@
 	"go.starlark.net/syntax"
 )
 
-// The interpreter bounds the steps of a script, but not the size of what one step builds: "x" * 10**9 is one step,
-// and s + s doubles with each. Operands of such operators are therefore checked at run time, and other ways to build
-// large values are not available.
+// The interpreter limits the number of steps of a script, but not the size of the values that a step creates: "x" *
+// 10**9 is one step, and each s + s doubles the size of s. Therefore the operands of these operators are checked at
+// run time, and other ways to create large values are not available.
 
 const (
 	maxOperandSize = 4096   // elements or bytes of an operand of +
 	maxRange       = 10_000 // elements
 )
 
-// The names of the checks, which are no identifiers that a script could use.
+// Names of the check functions. They are not valid identifiers, so a script can't refer to them.
 const (
 	checkSize   = "+operand"
 	checkNumber = "*operand"
 )
 
-// methods are those that a script may call on strings, lists and dicts. None returns a larger value than it was given.
+// methods are the methods of strings, lists and dicts that a script may call. None returns a value that is larger than
+// its operands.
 var methods = map[string]bool{
 	"append": true, "endswith": true, "get": true, "index": true, "items": true, "keys": true, "lower": true,
 	"lstrip": true, "removeprefix": true, "removesuffix": true, "rstrip": true, "split": true, "startswith": true,
 	"strip": true, "upper": true, "values": true,
 }
 
-// unavailable are names of the language with which a script could evade the checks.
+// unavailable are the builtins of the language that a script could use to bypass the checks.
 var unavailable = []string{"bytes", "chr", "dir", "getattr", "hasattr", "hash", "ord", "repr", "set"}
 
-// confine wraps the operands whose size must be checked. It returns an *Error for what a script must not use.
+// confine wraps the operands whose size must be checked in calls of the check functions. It returns an *Error for a
+// construct that a script must not use.
 func confine(f *syntax.File) error {
 	var firstErr error
 	reject := func(n syntax.Node, format string, args ...any) {
@@ -44,7 +46,7 @@
 	syntax.Walk(f, func(n syntax.Node) bool {
 		switch n := n.(type) {
 		case *syntax.LoadStmt:
-			reject(n, "load is not to be had: a script is one file")
+			reject(n, "load is not available: a script is a single file")
 		case *syntax.AssignStmt:
 			if n.Op == syntax.EQ {
 				break
@@ -60,7 +62,7 @@
 			}
 			left := &syntax.Ident{NamePos: name.NamePos, Name: name.Name}
 			n.RHS = &syntax.BinaryExpr{X: left, OpPos: n.OpPos, Op: op, Y: n.RHS}
-			n.Op = syntax.EQ // the walk goes on into the right side
+			n.Op = syntax.EQ // the walk continues into the new right-hand side
 		case *syntax.BinaryExpr:
 			switch n.Op {
 			case syntax.PLUS:
@@ -68,11 +70,11 @@
 			case syntax.STAR, syntax.PERCENT, syntax.LTLT:
 				n.X, n.Y = checkedOperand(checkNumber, n.X, n.OpPos), checkedOperand(checkNumber, n.Y, n.OpPos)
 			case syntax.PIPE:
-				reject(n, "the operator | is not to be had")
+				reject(n, "the operator | is not available")
 			}
 		case *syntax.DotExpr:
 			if !methods[n.Name.Name] && !attributes[n.Name.Name] {
-				reject(n.Name, "no field or method .%s is to be had here", n.Name.Name)
+				reject(n.Name, "no field or method .%s is available", n.Name.Name)
 			}
 		}
 		return true
@@ -80,12 +82,12 @@
 	return firstErr
 }
 
-// checkedOperand wraps an operand in a call of a check.
+// checkedOperand wraps an operand in a call of a check function.
 func checkedOperand(name string, x syntax.Expr, at syntax.Position) syntax.Expr {
 	return &syntax.CallExpr{Fn: &syntax.Ident{NamePos: at, Name: name}, Lparen: at, Args: []syntax.Expr{x}, Rparen: at}
 }
 
-// limitBuiltins adds the checks, and replaces the names that are limited or unavailable.
+// limitBuiltins adds the check functions, and replaces the builtins that are limited or unavailable.
 func limitBuiltins(names starlark.StringDict) {
 	names[checkSize] = starlark.NewBuiltin("+", checkOperandSize)
 	names[checkNumber] = starlark.NewBuiltin("*", checkOperandNumber)
@@ -96,17 +98,17 @@
 	}
 }
 
-// checkOperandSize passes an operand of + that is small enough.
+// checkOperandSize returns an operand of + unless it has more than maxOperandSize elements.
 func checkOperandSize(
 	_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple,
 ) (starlark.Value, error) {
 	if n := starlark.Len(args[0]); n > maxOperandSize {
-		return nil, fmt.Errorf("an operand of %d elements, %d at most", n, maxOperandSize)
+		return nil, fmt.Errorf("operand has %d elements, at most %d are allowed", n, maxOperandSize)
 	}
 	return args[0], nil
 }
 
-// checkOperandNumber passes an operand of *, % or << that is a number of 64 bits.
+// checkOperandNumber returns an operand of *, % or << if it is a float or an int of at most 64 bits.
 func checkOperandNumber(
 	_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -117,28 +119,29 @@
 		if _, fits := v.Int64(); fits {
 			return v, nil
 		}
-		return nil, fmt.Errorf("a number beyond 64 bits")
+		return nil, fmt.Errorf("number exceeds 64 bits")
 	}
-	return nil, fmt.Errorf("a %s where a number is wanted", args[0].Type())
+	return nil, fmt.Errorf("got %s, want a number", args[0].Type())
 }
 
-// limitedRange is range with a bound on its length.
+// limitedRange implements range with a limit on its length.
 func limitedRange(
 	t *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
 	v, err := starlark.Universe["range"].(*starlark.Builtin).CallInternal(t, args, kwargs)
 	if err == nil && starlark.Len(v) > maxRange {
-		return nil, fmt.Errorf("range: more than %d", maxRange)
+		return nil, fmt.Errorf("range: more than %d elements", maxRange)
 	}
 	return v, err
 }
 
-// limitedStr is str of scalars only: the text of a list that holds itself many times over is far larger than the list.
+// limitedStr implements str for scalars only: a list may contain the same list many times, so that its text is far
+// larger than the list itself.
 func limitedStr(
 	_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
 	if len(args) != 1 || len(kwargs) > 0 {
-		return nil, fmt.Errorf("str: one argument wanted")
+		return nil, fmt.Errorf("str: want exactly one argument")
 	}
 	switch v := args[0].(type) {
 	case starlark.String:
@@ -146,12 +149,12 @@
 	case starlark.Int, starlark.Float, starlark.Bool, starlark.NoneType:
 		return starlark.String(v.String()), nil
 	}
-	return nil, fmt.Errorf("str: a %s has no text here", args[0].Type())
+	return nil, fmt.Errorf("str: not available for a %s", args[0].Type())
 }
 
-// rejectCall stands for a name that is not available.
+// rejectCall implements the builtins that are not available.
 func rejectCall(
 	_ *starlark.Thread, b *starlark.Builtin, _ starlark.Tuple, _ []starlark.Tuple,
 ) (starlark.Value, error) {
-	return nil, fmt.Errorf("%s is not to be had here", b.Name())
+	return nil, fmt.Errorf("%s is not available", b.Name())
 }
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -7,31 +7,31 @@
 	"go.starlark.net/starlark"
 )
 
-// Record is what a rule sees of an undeliverable message.
+// Record is the data about an undeliverable message that is passed to a rule.
 type Record struct {
 	ID, Key, Class, Tenant string
 	Destination            int
 	Size                   int    // bytes of the body
-	Reason                 string // why it was not delivered
+	Reason                 string // the reason why it was not delivered
 	MayHaveRun             bool
-	Deferred               bool // without the dead-letter queue its client would be told to come again
+	Deferred               bool // without the dead-letter queue, its client would be asked to retry later
 	Attempts               int
-	Resends                int           // redeliveries before
-	TimeLeft               time.Duration // to its deadline, when it ended
+	Resends                int           // earlier redeliveries
+	TimeLeft               time.Duration // until its deadline, at the time when it became undeliverable
 	Age                    time.Duration // since it became a dead letter
 }
 
-// Partner is what a rule sees of a message's destination, as this sender knows it.
+// Partner is the data about a message's destination that is passed to a rule, as known to this sender.
 type Partner struct {
-	Held       int           // dead letters for it
+	Held       int           // dead letters for this destination
 	InFlight   int           // redeliveries in flight
-	Last       string        // the latest result of any call: "" before the first
+	Last       string        // the latest result of a call; "": there was none yet
 	Failing    time.Duration // since the first of the consecutive failed calls; 0: the last call was served
-	Served     time.Duration // since the last served call; below 0: there was none
-	RetryAfter time.Duration // time left of a Retry-After that it sent
+	Served     time.Duration // since the last served call; negative: there was none
+	RetryAfter time.Duration // remaining time of the Retry-After that it sent
 }
 
-// attributes are the fields of records and partners, which are all that a script may name.
+// attributes are the names of all fields of records and partners. A script may use no other attributes.
 var attributes = func() map[string]bool {
 	names := map[string]bool{}
 	for name := range recordFields {
@@ -43,7 +43,7 @@
 	return names
 }()
 
-// recordFields are the fields of a record by the names that scripts use.
+// recordFields maps the names of a record's fields in scripts to functions that return their values.
 var recordFields = map[string]func(*Record) starlark.Value{
 	"id":            func(r *Record) starlark.Value { return starlark.String(r.ID) },
 	"key":           func(r *Record) starlark.Value { return starlark.String(r.Key) },
@@ -60,7 +60,7 @@
 	"age":           func(r *Record) starlark.Value { return seconds(r.Age) },
 }
 
-// partnerFields are the fields of a partner by the names that scripts use.
+// partnerFields maps the names of a partner's fields in scripts to functions that return their values.
 var partnerFields = map[string]func(*Partner) starlark.Value{
 	"held":      func(p *Partner) starlark.Value { return starlark.MakeInt(p.Held) },
 	"out":       func(p *Partner) starlark.Value { return starlark.MakeInt(p.InFlight) },
@@ -70,7 +70,7 @@
 	"wait_left": func(p *Partner) starlark.Value { return seconds(p.RetryAfter) },
 }
 
-// object is a Starlark value with fields that no script can change.
+// object is a Starlark value with read-only fields.
 type object[T any] struct {
 	kind   string
 	value  *T
@@ -84,7 +84,7 @@
 func (o *object[T]) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable: %s", o.kind) }
 func (o *object[T]) AttrNames() []string   { return nil }
 
-// Attr returns a field, or nil for an unknown one, which the interpreter reports with its place.
+// Attr returns a field, or nil for an unknown one, which the interpreter reports as an error with its position.
 func (o *object[T]) Attr(name string) (starlark.Value, error) {
 	if get, known := o.fields[name]; known {
 		return get(o.value), nil
@@ -102,7 +102,7 @@
 	return &object[Partner]{kind: "partner", value: p, fields: partnerFields}
 }
 
-// Action says what becomes of a dead letter.
+// Action is what the sender does with a dead letter.
 type Action uint8
 
 // The actions that the rule after can choose.
@@ -112,27 +112,27 @@
 	DropRecord
 )
 
-// Decision is the answer of the rule after.
+// Decision is the result of the rule after.
 type Decision struct {
 	Action   Action
-	ReviewIn time.Duration // KeepRecord: the rule is asked again after this; 0: once something changes
-	Delay    time.Duration // Redeliver: not before this
-	Within   time.Duration // Redeliver: abandoned for good after this
+	ReviewIn time.Duration // KeepRecord: the rule is called again after this time; 0: on the next change
+	Delay    time.Duration // Redeliver: earliest start of the redelivery
+	Within   time.Duration // Redeliver: the redelivery is abandoned after this time
 }
 
 // ruleResult is the result of a rule as a Starlark value.
 type ruleResult struct {
 	name     string
-	decision Decision // of keep, drop and again
+	decision Decision // for keep, drop and again
 }
 
-// The names of the answers of the rule hold.
+// Names of the results of the rule hold.
 const (
 	holdResult     = "HOLD"
 	giveBackResult = "GIVE_BACK"
 )
 
-// isHoldResult reports whether the answer is one of the rule hold.
+// isHoldResult reports whether the result is one that the rule hold can return.
 func (a ruleResult) isHoldResult() bool { return a.name == holdResult || a.name == giveBackResult }
 
 func (a ruleResult) String() string        { return a.name }
@@ -141,7 +141,7 @@
 func (a ruleResult) Truth() starlark.Bool  { return true }
 func (a ruleResult) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable: %s", a.Type()) }
 
-// keepBuiltin is keep(seconds): the record stays.
+// keepBuiltin implements keep(seconds), which keeps the record.
 func keepBuiltin(
 	_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -158,7 +158,7 @@
 	return v, err
 }
 
-// dropBuiltin is drop(): the record is dropped.
+// dropBuiltin implements drop(), which drops the record.
 func dropBuiltin(
 	_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -166,7 +166,7 @@
 	return ruleResult{name: "drop", decision: Decision{Action: DropRecord}}, err
 }
 
-// againBuiltin is again(within, delay): the record is redelivered.
+// againBuiltin implements again(within, delay), which redelivers the message of the record.
 func againBuiltin(
 	_ *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -187,8 +187,8 @@
 	return v, err
 }
 
-// Hold asks the rule hold whether an undeliverable message becomes a dead letter (true) or goes back to its client.
-// Without the rule, and where the rule fails with an error, a message becomes a dead letter unless it would be
+// Hold calls the rule hold. It reports whether an undeliverable message becomes a dead letter (true) or is returned
+// to its client (false). If there is no rule or the rule fails, a message becomes a dead letter unless it would be
 // deferred.
 func (s *Settings) Hold(r Record, p Partner) (bool, error) {
 	if s.holdRule == nil {
@@ -207,8 +207,8 @@
 	return !r.Deferred, &Error{File: s.Path, Text: fmt.Sprintf("hold answered %s, wanted HOLD or GIVE_BACK", v.Type())}
 }
 
-// Decide asks the rule after what becomes of a dead letter. Where the rule is missing, or fails with an error, the
-// record is kept.
+// Decide calls the rule after to decide what the sender does with a dead letter. If there is no rule or the rule fails,
+// the record is kept.
 func (s *Settings) Decide(r Record, p Partner) (Decision, error) {
 	if s.afterRule == nil {
 		return Decision{}, nil
@@ -228,10 +228,10 @@
 	return a.decision, nil
 }
 
-// Rules reports whether the script has the rule after.
+// Rules reports whether the script defines the rule after.
 func (s *Settings) Rules() bool { return s.afterRule != nil }
 
-// call calls a rule within its limit of steps.
+// call calls a rule with a limit of maxRuleSteps interpreter steps.
 func (s *Settings) call(rule starlark.Callable, r *Record, p *Partner) (starlark.Value, error) {
 	v, err := starlark.Call(newThread("rule", maxRuleSteps), rule, starlark.Tuple{r.value(), p.value()}, nil)
 	if err != nil {
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -10,7 +10,7 @@
 	"go.starlark.net/syntax"
 )
 
-// Error is an error of a script with its place. Line 0 stands for no place.
+// Error is an error of a script with its position. Line 0 means that the position is unknown.
 type Error struct {
 	File         string
 	Line, Column int
@@ -25,8 +25,8 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Text)
 }
 
-// Exec runs the top level of a script within the limits that hold for all scripts, with the given names besides those
-// of the language, and returns its globals. An error is an *Error.
+// Exec runs the top level of a script within the limits of all scripts and returns its globals. The given names are
+// available to the script in addition to those of the language. Errors are of type *Error.
 func Exec(path string, text []byte, names starlark.StringDict) (starlark.StringDict, error) {
 	file, err := (&syntax.FileOptions{}).Parse(path, text, 0)
 	if err != nil {
@@ -50,14 +50,14 @@
 	return globals, nil
 }
 
-// units are the constants of each script: durations in seconds, sizes in bytes.
+// units are the constants available to each script: durations in seconds and sizes in bytes.
 var units = starlark.StringDict{
 	"SECOND": starlark.Float(1), "MINUTE": starlark.Float(60), "HOUR": starlark.Float(3600), "DAY": starlark.Float(86400),
 	"KB": starlark.MakeInt(1000), "MB": starlark.MakeInt(1_000_000), "GB": starlark.MakeInt(1_000_000_000),
 }
 
-// findRule returns a rule among the globals, or nil. Its parameters are checked when the script is loaded, not at its
-// first call.
+// findRule returns the rule with the given name, or nil if the script does not define it. Its parameters are checked
+// here, when the script is loaded, and not at the first call.
 func findRule(path string, globals starlark.StringDict, name string) (starlark.Callable, error) {
 	v, given := globals[name]
 	if !given {
@@ -75,14 +75,14 @@
 	return f, nil
 }
 
-// newThread returns an interpreter thread with a limit of steps, which drops what a script prints.
+// newThread returns an interpreter thread with a limit of steps. It discards the output of print.
 func newThread(name string, steps uint64) *starlark.Thread {
 	t := &starlark.Thread{Name: name, Print: func(*starlark.Thread, string) {}}
 	t.SetMaxExecutionSteps(steps)
 	return t
 }
 
-// locate converts an error of the interpreter to an *Error with its place.
+// locate converts an error of the interpreter to an *Error with its position.
 func locate(path string, err error) error {
 	at := func(p syntax.Position, text string) error { return &Error{path, int(p.Line), int(p.Col), text} }
 	var syn syntax.Error
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads the project's own settings, a Starlark script: bounds are given in calls at the top level,
-// and rules are functions that the program calls later. It owns the interpreter and its limits; no other package
-// loads a script by itself. The platform's configuration is another file, the JSON that package lifecycle reads.
+// Package settings loads the project's own settings from a Starlark script. Calls at the top level set limits, and
+// functions define rules that the program calls later. The package owns the interpreter and its limits; no other
+// package loads scripts by itself. The platform's configuration is a separate JSON file that package lifecycle reads.
 //
-// A script has no I/O, no clock and no randomness. Its steps and the size of the values that it builds are bounded,
-// and an error names file, line and column.
+// A script has no I/O, no clock and no randomness. Its steps and the size of the values that it creates are limited,
+// and errors contain file, line and column.
 package settings
 
 import (
@@ -14,44 +14,43 @@
 	"go.starlark.net/starlark"
 )
 
-// Settings are the content of a script. They are immutable once read. Rules may be called by several goroutines at a
-// time.
+// Settings are the settings of a script. They are immutable once loaded. Rules may be called concurrently.
 type Settings struct {
 	Path       string
-	Held       *Held  // nil: there is no dead-letter queue
-	Admin      *Admin // nil: there is no admin API
-	Agent      *Agent // nil: these are a sender's settings
+	Held       *Held  // nil: no dead-letter queue
+	Admin      *Admin // nil: no admin API
+	Agent      *Agent // nil: settings of a sender
 	Resend     Resend
 	Journal    Journal
-	agentDraft *Agent // what is known of it before agent() is called
+	agentDraft *Agent // agent as configured before agent() is called
 	holdRule   starlark.Callable
 	afterRule  starlark.Callable
 }
 
-// Held bounds the dead-letter queue.
+// Held holds the limits of the dead-letter queue.
 type Held struct {
 	Folder     string
 	MaxBytes   int64         // of bodies and records, without the overhead of the file's pages
 	MaxRecords int           // records, ended ones included
 	MaxAge     time.Duration // a record is dropped at this age, open or ended
 	KeepEnded  time.Duration // an ended record is dropped after this
-	Queue      int           // messages that wait for the store at most
+	Queue      int           // maximum number of messages that wait for the store
 }
 
 // Admin is the address of the admin API.
 type Admin struct{ Socket string }
 
-// Journal is the durability of the write-ahead log.
+// Journal configures the durability of the write-ahead log.
 type Journal struct {
 	Durability string        // "process", "group" or "each"; see docs/operate/store.md
 	Wait       time.Duration // group: the longest time until a sync
 }
 
-// Resend bounds redelivery.
+// Resend holds the limits of redelivery.
 type Resend struct {
 	Share  float64       // fraction of a partner's capacity that redeliveries may use
-	Within time.Duration // how long an order to redeliver holds by default
-	MaxOut int           // redeliveries in flight, over all destinations
+	Within time.Duration // default time for which an order to redeliver stays in force
+	MaxOut int           // maximum number of redeliveries in flight, over all destinations
 }
 
 const (
@@ -60,7 +59,7 @@
 	maxScriptSize = 1 << 20   // bytes
 )
 
-// defaults returns the values of what a script leaves out.
+// defaults returns settings with the default values.
 func defaults(path string) *Settings {
 	return &Settings{
 		Path: path, Resend: Resend{Share: 0.5, Within: 10 * time.Minute, MaxOut: 8},
@@ -68,7 +67,7 @@
 	}
 }
 
-// Load reads a script file. An error of the script itself is an *Error.
+// Load loads a script file. Errors of the script itself are of type *Error.
 func Load(path string) (*Settings, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -84,7 +83,8 @@
 	return Parse(path, text)
 }
 
-// Parse reads a script. The path is used in errors and to resolve relative paths.
+// Parse runs the top level of a script and returns its settings. The path is used in errors and to resolve relative
+// paths.
 func Parse(path string, text []byte) (*Settings, error) {
 	s := defaults(path)
 	globals, err := Exec(path, text, s.predeclared())
@@ -106,7 +106,7 @@
 	return s, nil
 }
 
-// Summary describes the settings in a line, for operators.
+// Summary describes the settings in one line for operators.
 func (s *Settings) Summary() string {
 	if a := s.Agent; a != nil {
 		return fmt.Sprintf("%s: agent %s of %d at %s, beside %d senders that run %s; "+
@@ -131,7 +131,7 @@
 	return text + "; journal durable over " + s.Journal.survivedFailures()
 }
 
-// survivedFailures says which failures an accepted message outlives.
+// survivedFailures describes the failures that an accepted message survives.
 func (j Journal) survivedFailures() string {
 	switch j.Durability {
 	case "group":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,6 +9,7 @@
 
 const heldCall = "held(folder = \"/h\")\n"
 
+// Errors of a script start with file, line and column, followed by the cause.
 func TestErrorPositions(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"syntax", "held(folder = \n\n", "s.star:3:1: got end of file"},
@@ -49,7 +50,7 @@
 	}
 }
 
-// No step may build what the memory does not hold.
+// Scripts can't create values that exhaust memory within their limit of steps.
 func TestRejectsOversizedValues(t *testing.T) {
 	for _, text := range []string{
 		`x = "x" * 1000000000`, `x = [0] * 1000000000`, `x = range(1000000000)`, `x = 1 << 60 << 60 << 1`,
@@ -60,11 +61,13 @@
 		`x = getattr("x", "join")`, `x = str([1])`, `x = "%s" % "y"`, `x = "{}".format(1)`,
 	} {
 		if _, err := Parse("s.star", []byte(text)); err == nil {
-			t.Errorf("taken: %s", text)
+			t.Errorf("script was accepted: %s", text)
 		}
 	}
 }
 
+// Hold and Decide return the results of the rules, and their defaults with an error if a rule fails or returns a wrong
+// type.
 func TestRules(t *testing.T) {
 	const text = heldCall + `
 resend(within = 5 * MINUTE)
@@ -106,9 +109,9 @@
 		{"little time", Record{Class: "print", TimeLeft: time.Second}, Partner{}, true, ""},
 		{"partner down", Record{Class: "print", TimeLeft: time.Minute}, Partner{Failing: time.Minute}, true, ""},
 		{"else", Record{Class: "print", TimeLeft: time.Minute}, Partner{}, false, ""},
-		{"endless, its client's", Record{Class: "loop", Deferred: true}, Partner{}, false, "s.star:10:"},
-		{"endless, nobody's", Record{Class: "loop"}, Partner{}, true, "too many steps"},
-		{"no answer", Record{Class: "odd"}, Partner{}, true, "hold answered int"},
+		{"endless, would be deferred", Record{Class: "loop", Deferred: true}, Partner{}, false, "s.star:10:"},
+		{"endless, would not be deferred", Record{Class: "loop"}, Partner{}, true, "too many steps"},
+		{"wrong result type", Record{Class: "odd"}, Partner{}, true, "hold answered int"},
 	} {
 		got, err := s.Hold(c.r, c.p)
 		if got != c.want || (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
@@ -123,10 +126,10 @@
 		err  bool
 	}{
 		{"again", Record{}, Partner{}, Decision{Action: Redeliver, Delay: 2 * time.Second, Within: 5 * time.Minute}, false},
-		{"told to wait", Record{}, Partner{RetryAfter: time.Minute}, Decision{Action: KeepRecord, ReviewIn: time.Minute},
+		{"Retry-After", Record{}, Partner{RetryAfter: time.Minute}, Decision{Action: KeepRecord, ReviewIn: time.Minute},
 			false},
-		{"often enough", Record{Resends: 3}, Partner{}, Decision{Action: DropRecord}, false},
-		{"a rule that fails keeps", Record{Tenant: "bad"}, Partner{}, Decision{}, true},
+		{"redelivered often enough", Record{Resends: 3}, Partner{}, Decision{Action: DropRecord}, false},
+		{"a failed rule keeps the record", Record{Tenant: "bad"}, Partner{}, Decision{}, true},
 	} {
 		if got, err := s.Decide(c.r, c.p); got != c.want || (err != nil) != c.err {
 			t.Errorf("after, %s: %+v %v", c.name, got, err)
@@ -134,6 +137,7 @@
 	}
 }
 
+// Summary describes the failures that each durability level survives.
 func TestJournal(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "over kills", "journal(durability = \"group\", wait = 0.002)": "but for the last 2ms",
--- a/internal/usersocket/usersocket.go
+++ b/internal/usersocket/usersocket.go
@@ -1,7 +1,8 @@
-// Package usersocket opens Unix sockets that only the program's own user can connect to, and tells which user a peer is.
+// Package usersocket opens Unix sockets that only the program's own user can connect to, and returns the user ID of a
+// peer.
 //
-// It owns nothing: a socket and its path belong to whoever called Listen. It must not decide who may do what: callers
-// compare Peer's result with their own rules.
+// It keeps no state: the caller of Listen owns the socket and its path. It must not decide on permissions; callers
+// apply their own rules to the result of PeerUID.
 package usersocket
 
 import (
@@ -11,13 +12,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// ownerOnly is the mode of a socket's path: read and write, which connecting needs, for its owner alone.
+// ownerOnly is the file mode of a socket: read and write for its owner alone. Connecting requires write permission.
 const ownerOnly = 0o600
 
-// Listen binds a socket at a path for its owner alone, in the place of one that was there. The path outlasts Close. Its
-// errors are those of net.ListenUnix, os.Chmod and os.Rename.
+// Listen binds a Unix socket that only its owner can connect to, and replaces an existing socket at the path. The path
+// remains after Close. Errors are those of net.ListenUnix, os.Chmod and os.Rename.
 func Listen(path string) (*net.UnixListener, error) {
-	// The socket has another name until its mode is set: nobody else may connect before.
+	// The socket has a temporary name until its mode is set, so that other users can't connect before.
 	tempPath := path + ".new"
 	os.Remove(tempPath)
 	sock, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
@@ -36,7 +37,8 @@
 	return sock, nil
 }
 
-// PeerUID returns the user id at the other end of a connection; -1 if it is no Unix socket or the kernel does not tell.
+// PeerUID returns the user ID of a connection's peer. It returns -1 if the connection is not a Unix socket or the
+// kernel does not provide the ID.
 func PeerUID(c net.Conn) int {
 	u, ok := c.(*net.UnixConn)
 	if !ok {
--- a/internal/usersocket/usersocket_test.go
+++ b/internal/usersocket/usersocket_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A socket takes the place of one that was there, is its owner's alone, and outlasts Close.
+// Listen replaces an existing socket, gives access to the owner alone, and leaves the path in place after Close.
 func TestListen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	for range 2 {
@@ -38,9 +38,9 @@
 		t.Error(err)
 	}
 	if _, err := Listen(filepath.Join(t.TempDir(), "missing", "s")); err == nil {
-		t.Error("a socket in a folder that does not exist")
+		t.Error("Listen succeeded in a folder that does not exist")
 	}
 	if uid := PeerUID(&net.TCPConn{}); uid != -1 {
-		t.Errorf("the peer on TCP is user %d", uid)
+		t.Errorf("the peer of a TCP connection is user %d, want -1", uid)
 	}
 }
