--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -67,7 +67,7 @@
 		name, ok1 := starlark.AsString(pair[0])
 		addr, ok2 := starlark.AsString(pair[1])
 		if !ok1 || !ok2 {
-			return nil, errors.New("agent: agents: names and addresses as strings")
+			return nil, errors.New("agent: agents: names and addresses must be strings")
 		}
 		a.Agents[name] = addr
 	}
@@ -75,15 +75,15 @@
 	case checkTopLevel(t, "agent") != nil:
 		return nil, checkTopLevel(t, "agent")
 	case len(args) > 0:
-		return nil, errors.New("agent: arguments go by name")
+		return nil, errors.New("agent: arguments must be passed by name")
 	case s.Agent != nil:
 		return nil, errors.New("agent: called twice")
 	case a.Name == "" || a.Listen == "" || a.Folder == "" || a.Version == "" || a.Program == "":
 		return nil, errors.New("agent: name, listen, folder, version and program must not be empty")
 	case a.Agents[a.Name] == "":
-		return nil, fmt.Errorf("agent: agents: %s itself is missing", a.Name)
+		return nil, fmt.Errorf("agent: agents: the agent itself, %s, is missing", a.Name)
 	case len(a.Agents) > maxAgents:
-		return nil, fmt.Errorf("agent: agents: %d at most", maxAgents)
+		return nil, fmt.Errorf("agent: agents: at most %d are allowed", maxAgents)
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.Agents)) {
 		if _, _, err := net.SplitHostPort(a.Agents[name]); err != nil {
@@ -124,26 +124,26 @@
 		reach = addresses
 	}
 	if len(args) > 0 || sender.Name == "" || sender.Config == "" || addresses.Len() != 2 || reach.Len() != 2 {
-		return nil, errors.New("sender: name, config and two admin addresses are needed, by name; reach has two, too")
+		return nil, errors.New("sender: name, config and two admin addresses are required by name; reach must have two, too")
 	}
 	if change != "handover" && change != "restart" {
-		return nil, fmt.Errorf("sender: change: %q is neither handover nor restart", change)
+		return nil, fmt.Errorf("sender: change: %q is not handover or restart", change)
 	}
 	a := s.draftAgent()
 	taken := map[string]bool{}
 	for _, other := range a.Senders {
 		if other.Name == sender.Name {
-			return nil, fmt.Errorf("sender: two of name %s", sender.Name)
+			return nil, fmt.Errorf("sender: duplicate name %s", sender.Name)
 		}
 		taken[other.Admin[0]], taken[other.Admin[1]] = true, true
 	}
 	for i := range sender.Admin {
 		addr, ok := starlark.AsString(addresses.Index(i))
 		if _, _, err := net.SplitHostPort(addr); !ok || err != nil {
-			return nil, fmt.Errorf("sender: admin: %s is no address", addresses.Index(i))
+			return nil, fmt.Errorf("sender: admin: %s is not a host:port address", addresses.Index(i))
 		}
 		if taken[addr] {
-			return nil, fmt.Errorf("sender: admin: %s is another one's", addr)
+			return nil, fmt.Errorf("sender: admin: %s is already in use", addr)
 		}
 		sender.Admin[i], taken[addr] = addr, true
 		if sender.Reach[i], ok = starlark.AsString(reach.Index(i)); ok {
@@ -151,11 +151,11 @@
 			ok = err == nil
 		}
 		if !ok {
-			return nil, fmt.Errorf("sender: reach: %s is no address", reach.Index(i))
+			return nil, fmt.Errorf("sender: reach: %s is not a host:port address", reach.Index(i))
 		}
 	}
 	if len(a.Senders) >= maxSenders {
-		return nil, fmt.Errorf("sender: %d beside one agent at most", maxSenders)
+		return nil, fmt.Errorf("sender: at most %d are allowed per agent", maxSenders)
 	}
 	sender.Config, sender.Restart = s.resolvePath(sender.Config), change == "restart"
 	a.Senders = append(a.Senders, sender)
@@ -176,9 +176,9 @@
 	case checkTopLevel(t, "budget") != nil:
 		return nil, checkTopLevel(t, "budget")
 	case len(args) > 0:
-		return nil, errors.New("budget: arguments go by name")
+		return nil, errors.New("budget: arguments must be passed by name")
 	case budget.Fleet < 1 || budget.Building < 0 || budget.Serving < 0 || budget.Endpoints < 0 || budget.Kind < 0:
-		return nil, errors.New("budget: fleet: 1 at the least; building, serving, endpoints and kind: 0 or more")
+		return nil, errors.New("budget: fleet must be at least 1; building, serving, endpoints and kind must not be negative")
 	}
 	return starlark.None, nil
 }
@@ -212,12 +212,12 @@
 			return nil, fmt.Errorf("timing: %w", err)
 		}
 		if d > f.max {
-			return nil, fmt.Errorf("timing: %s: %v at most", f.name, f.max)
+			return nil, fmt.Errorf("timing: %s: must be at most %v", f.name, f.max)
 		}
 		*f.setting = d
 	}
 	if len(args) > 0 {
-		return nil, errors.New("timing: arguments go by name")
+		return nil, errors.New("timing: arguments must be passed by name")
 	}
 	return starlark.None, nil
 }
--- a/internal/settings/builtins.go
+++ b/internal/settings/builtins.go
@@ -30,7 +30,7 @@
 // checkTopLevel returns an error unless the script is being loaded, because a rule must not change settings in force.
 func checkTopLevel(t *starlark.Thread, name string) error {
 	if t.Name != "load" {
-		return fmt.Errorf("%s: not within a rule", name)
+		return fmt.Errorf("%s: must not be called within a rule", name)
 	}
 	return nil
 }
@@ -56,19 +56,19 @@
 	}
 	switch {
 	case len(args) > 0:
-		return nil, errors.New("held: arguments go by name")
+		return nil, errors.New("held: arguments must be passed by name")
 	case checkTopLevel(t, "held") != nil:
 		return nil, checkTopLevel(t, "held")
 	case s.Held != nil:
 		return nil, errors.New("held: called twice")
 	case folder == "":
-		return nil, errors.New("held: folder is empty")
+		return nil, errors.New("held: folder must not be empty")
 	case maxBytes < 1_000_000:
-		return nil, errors.New("held: max_bytes under 1 MB")
+		return nil, errors.New("held: max_bytes must be at least 1 MB")
 	case maxRecords < 1 || maxRecords > 10_000_000:
-		return nil, errors.New("held: max_records: 1 to 10,000,000")
+		return nil, errors.New("held: max_records must be 1 to 10,000,000")
 	case queue < 1 || queue > 65_536:
-		return nil, errors.New("held: queue: 1 to 65,536")
+		return nil, errors.New("held: queue must be 1 to 65,536")
 	}
 	h.Folder, h.MaxBytes, h.MaxRecords, h.Queue = s.resolvePath(folder), maxBytes, maxRecords, queue
 	s.Held = h
@@ -90,9 +90,9 @@
 	case s.Admin != nil:
 		return nil, errors.New("admin: called twice")
 	case socket == "":
-		return nil, errors.New("admin: socket is empty")
+		return nil, errors.New("admin: socket must not be empty")
 	case len(s.resolvePath(socket)) > maxPathLength:
-		return nil, fmt.Errorf("admin: the path of a socket has %d bytes at most", maxPathLength)
+		return nil, fmt.Errorf("admin: the path of the socket must have at most %d bytes", maxPathLength)
 	}
 	s.Admin = &Admin{Socket: s.resolvePath(socket)}
 	return starlark.None, nil
@@ -112,13 +112,13 @@
 	case err != nil:
 		return nil, err
 	case len(args) > 0:
-		return nil, errors.New("resend: arguments go by name")
+		return nil, errors.New("resend: arguments must be passed by name")
 	case checkTopLevel(t, "resend") != nil:
 		return nil, checkTopLevel(t, "resend")
 	case !(share > 0 && share <= 1):
-		return nil, errors.New("resend: share: more than 0, 1 at most")
+		return nil, errors.New("resend: share must be above 0 and at most 1")
 	case out < 1 || out > 1024:
-		return nil, errors.New("resend: max_out: 1 to 1,024")
+		return nil, errors.New("resend: max_out must be 1 to 1,024")
 	}
 	s.Resend = Resend{Share: float64(share), Within: withinDuration, MaxOut: out}
 	return starlark.None, nil
@@ -137,13 +137,13 @@
 	case err != nil:
 		return nil, err
 	case len(args) > 0:
-		return nil, errors.New("journal: arguments go by name")
+		return nil, errors.New("journal: arguments must be passed by name")
 	case checkTopLevel(t, "journal") != nil:
 		return nil, checkTopLevel(t, "journal")
 	case durability != "process" && durability != "group" && durability != "each":
-		return nil, fmt.Errorf("journal: durability: %q is none of process, group and each", durability)
+		return nil, fmt.Errorf("journal: durability: %q is not process, group or each", durability)
 	case waitDuration > time.Second:
-		return nil, errors.New("journal: wait: a second at most")
+		return nil, errors.New("journal: wait must be at most one second")
 	}
 	s.Journal = Journal{Durability: durability, Wait: waitDuration}
 	return starlark.None, nil
@@ -176,7 +176,7 @@
 // duration converts a number of seconds above 0 to a time.Duration. Its error contains the name of the argument.
 func duration(name string, seconds number) (time.Duration, error) {
 	if !(seconds > 0 && float64(seconds) <= maxDuration.Seconds()) {
-		return 0, fmt.Errorf("%s: seconds above 0 wanted, got %v", name, seconds)
+		return 0, fmt.Errorf("%s: got %v, want a number of seconds above 0", name, seconds)
 	}
 	return time.Duration(float64(seconds) * float64(time.Second)), nil
 }
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -204,7 +204,7 @@
 	if a, ok := v.(ruleResult); ok && a.isHoldResult() {
 		return a.name == holdResult, nil
 	}
-	return !r.Deferred, &Error{File: s.Path, Text: fmt.Sprintf("hold answered %s, wanted HOLD or GIVE_BACK", v.Type())}
+	return !r.Deferred, &Error{File: s.Path, Text: fmt.Sprintf("hold returned %s, want HOLD or GIVE_BACK", v.Type())}
 }
 
 // Decide calls the rule after to decide what the sender does with a dead letter. If there is no rule or the rule fails,
@@ -219,7 +219,7 @@
 	}
 	a, ok := v.(ruleResult)
 	if !ok || a.isHoldResult() {
-		return Decision{}, &Error{File: s.Path, Text: fmt.Sprintf("after answered %s, wanted keep(), again() or drop()",
+		return Decision{}, &Error{File: s.Path, Text: fmt.Sprintf("after returned %s, want keep(), again() or drop()",
 			v.Type())}
 	}
 	if a.decision.Action == Redeliver && a.decision.Within == 0 {
--- a/internal/settings/script.go
+++ b/internal/settings/script.go
@@ -65,12 +65,12 @@
 	}
 	f, ok := v.(*starlark.Function)
 	if !ok {
-		return nil, &Error{File: path, Text: fmt.Sprintf("%s is a %s, a function (record, partner) is wanted", name,
+		return nil, &Error{File: path, Text: fmt.Sprintf("%s is a %s, want a function (record, partner)", name,
 			v.Type())}
 	}
 	if f.NumParams() != 2 || f.NumKwonlyParams() > 0 || f.HasVarargs() || f.HasKwargs() {
 		p := f.Position()
-		return nil, &Error{path, int(p.Line), int(p.Col), fmt.Sprintf("%s takes (record, partner)", name)}
+		return nil, &Error{path, int(p.Line), int(p.Col), fmt.Sprintf("%s must have the parameters (record, partner)", name)}
 	}
 	return f, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -74,7 +74,9 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if info.Size() > maxScriptSize {
-		return nil, &Error{File: path, Text: fmt.Sprintf("%d bytes, %d at most", info.Size(), maxScriptSize)}
+		return nil, &Error{
+			File: path, Text: fmt.Sprintf("script of %d bytes exceeds the limit of %d", info.Size(), maxScriptSize),
+		}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -98,10 +100,10 @@
 		return nil, err
 	}
 	if s.Agent == nil && s.agentDraft != nil {
-		return nil, &Error{File: path, Text: "sender, budget and timing are an agent's: call agent(name = ...)"}
+		return nil, &Error{File: path, Text: "sender, budget and timing require an agent: call agent(name = ...)"}
 	}
 	if s.Held == nil && (s.holdRule != nil || s.afterRule != nil) {
-		return nil, &Error{File: path, Text: "rules hold and after need a store: call held(folder = ...)"}
+		return nil, &Error{File: path, Text: "rules hold and after require a dead-letter queue: call held(folder = ...)"}
 	}
 	return s, nil
 }
