--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -23,7 +23,7 @@
 	Drain   bool      // true: the sender rejects clients; false: it keeps serving and may change its version
 }
 
-// Errors of rejected orders.
+// Errors of rejected orders. Each states why the order was rejected.
 var (
 	ErrWrongProcess = errors.New("lease: the order is for another process of this sender")
 	ErrExpired      = errors.New("lease: the order came too late")
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -25,7 +25,8 @@
 	return [...]string{"starting", "serving", "drained", "leaving", "stopping"}[p]
 }
 
-// A clientGate controls whether clients are accepted: Drain rejects them, Activate accepts them.
+// A clientGate controls whether clients are accepted. Drain ends their connections and, after a short delay, rejects
+// new messages. Activate accepts clients again.
 type clientGate interface {
 	Drain()
 	Activate()
--- a/internal/settings/confine.go
+++ b/internal/settings/confine.go
@@ -7,9 +7,9 @@
 	"go.starlark.net/syntax"
 )
 
-// The interpreter limits the number of steps of a script, but not the size of the values that a step creates: "x" *
-// 10**9 is one step, and each s + s doubles the size of s. Therefore the operands of these operators are checked at
-// run time, and other ways to create large values are not available.
+// The interpreter limits the number of steps of a script, but not the size of the values that a step creates:
+// "x" * 10**9 is one step, and each s + s doubles the size of s. Therefore the operands of these operators are checked
+// at run time, and other ways to create large values are not available.
 
 const (
 	maxOperandSize = 4096   // elements or bytes of an operand of +
