--- a/internal/handover/listener.go
+++ b/internal/handover/listener.go
@@ -71,7 +71,7 @@
 		select {
 		case l.requests <- &Request{conn: c}:
 		case <-time.After(requestTimeout):
-			reject(c, "another hand-over is in progress")
+			reject(c, "a hand-over is under way")
 		case <-l.closed:
 			c.Close()
 			return
@@ -95,7 +95,7 @@
 		c.Close()
 		return false
 	case m.Version != version:
-		reject(c, fmt.Sprintf("unsupported hand-over version %d", m.Version))
+		reject(c, fmt.Sprintf("hand-over of version %d is not known here", m.Version))
 		return false
 	}
 	return true
--- a/internal/handover/request.go
+++ b/internal/handover/request.go
@@ -32,7 +32,7 @@
 		err = writeWithTimeout(r.conn, message{Confirmed: true})
 	}
 	if err != nil {
-		reject(r.conn, "hand-over failed or timed out")
+		reject(r.conn, "too late")
 	}
 	return err
 }
--- a/internal/lifecycle/handover.go
+++ b/internal/lifecycle/handover.go
@@ -22,7 +22,7 @@
 )
 
 var (
-	errDeadLetterCloseTimeout = errors.New("the dead-letter store did not close in time")
+	errDeadLetterCloseTimeout = errors.New("the dead-letter store does not close")
 	errStoppedInHandover      = errors.New("no answer from the successor in time")
 )
 
