--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -7,8 +7,8 @@
 	"cleathold/internal/state"
 )
 
-// TestGoldenAnswers writes and reads the answers of the admin API as 096da04 did.
-func TestGoldenAnswers(t *testing.T) {
+// TestGoldenResponses encodes and decodes the JSON of the admin API in the format of revision 096da04.
+func TestGoldenResponses(t *testing.T) {
 	golden.JSON[Status](t, "status.json")
 	golden.JSON[[]state.ListedTarget](t, "targets.json")
 	golden.JSON[Order](t, "order.json")
--- a/internal/admin/lifecycle.go
+++ b/internal/admin/lifecycle.go
@@ -14,27 +14,28 @@
 	"cleathold/internal/state"
 )
 
-// Lifecycle is the lifecycle of a sender, as operators and agents control it.
+// Lifecycle controls the lifecycle of a sender on behalf of operators and agents.
 type Lifecycle interface {
-	// Ready returns nil if this process can serve, else why not.
+	// Ready returns nil if this process can serve, and otherwise the reason why it can't.
 	Ready() error
-	// Drain has clients sent away, Activate has them accepted again. Repeating either changes nothing.
+	// Drain makes the sender reject clients, and Activate makes it accept them again. Both are idempotent.
 	Drain() error
 	Activate() error
-	// Take, Renew and End carry out an agent's order for a lease.
+	// Take, Renew and End execute an agent's order for a lease.
 	Take(o lease.Order) error
 	Renew(epoch uint64, until time.Time) error
 	End(epoch uint64) error
-	// SetExclusions replaces the set of endpoints that operators have excluded, as of an epoch, until a time.
+	// SetExclusions replaces the set of endpoints that operators have excluded. The set belongs to an epoch and expires at
+	// the given time.
 	SetExclusions(epoch uint64, ids []string, until time.Time) error
 	// Status returns the current status.
 	Status() Status
-	// Targets returns the endpoints on the list.
+	// Targets returns the targets on discovery's list.
 	Targets() []state.ListedTarget
 }
 
-// The paths of the calls of the lifecycle, on both servers. Drain and activate are an operator's without a query, and
-// an agent's with one.
+// Paths of the lifecycle's calls, on both servers. Drain and activate are calls of an operator without a query, and
+// of an agent with one.
 const (
 	ReadyPath      = "/v1/readyz"
 	DrainPath      = "/v1/sender/drain"
@@ -52,8 +53,8 @@
 	Process     string          `json:"process"` // a random id of the process
 	Pid         int             `json:"pid"`
 	Phase       string          `json:"phase"`
-	Epoch       uint64          `json:"epoch"` // the highest of the orders seen...
-	Ended       bool            `json:"ended"` // ...whose lease has ended
+	Epoch       uint64          `json:"epoch"` // the highest epoch of the orders seen
+	Ended       bool            `json:"ended"` // the lease of that epoch has ended
 	LeaseActive bool            `json:"stands"`
 	Until       time.Time       `json:"until,omitzero"`
 	Release     string          `json:"release,omitempty"`
@@ -67,7 +68,7 @@
 // Digest returns a short digest of a text.
 func Digest(text string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(text)))[:16] }
 
-// orderQuery reads the parameters of an order from a query; err is the first error. Times are Unix times in
+// orderQuery parses the parameters of an order from a query and keeps the first error. Times are Unix times in
 // milliseconds.
 type orderQuery struct {
 	values url.Values
@@ -84,50 +85,54 @@
 
 func (o *orderQuery) time(name string) time.Time { return time.UnixMilli(int64(o.number(name))) }
 
-// lifecycleCalls returns the handlers of the lifecycle's calls by their patterns.
-func lifecycleCalls(s Lifecycle) map[string]http.HandlerFunc {
+// lifecycleCalls returns the handlers of the lifecycle's calls by URL pattern.
+func lifecycleCalls(lifecycle Lifecycle) map[string]http.HandlerFunc {
 	return map[string]http.HandlerFunc{
-		"GET " + ReadyPath: byOperator(s.Ready, "ready"),
-		"PUT " + DrainPath: byOperatorOrAgent(s.Drain, "draining", takeLease(s, true)),
-		"PUT " + HoldPath:  byAgent("held", takeLease(s, false)),
-		"PUT " + RenewPath: byAgent("renewed", func(q *orderQuery) func() error {
+		"GET " + ReadyPath: operatorHandler(lifecycle.Ready, "ready"),
+		"PUT " + DrainPath: operatorOrAgentHandler(lifecycle.Drain, "draining", takeLease(lifecycle, true)),
+		"PUT " + HoldPath:  agentHandler("held", takeLease(lifecycle, false)),
+		"PUT " + RenewPath: agentHandler("renewed", func(q *orderQuery) func() error {
 			epoch, until := q.number("epoch"), q.time("until")
-			return func() error { return s.Renew(epoch, until) }
+			return func() error { return lifecycle.Renew(epoch, until) }
 		}),
-		"PUT " + ActivatePath: byOperatorOrAgent(s.Activate, "active", func(q *orderQuery) func() error {
+		"PUT " + ActivatePath: operatorOrAgentHandler(lifecycle.Activate, "active", func(q *orderQuery) func() error {
 			epoch := q.number("epoch")
-			return func() error { return s.End(epoch) }
+			return func() error { return lifecycle.End(epoch) }
 		}),
-		"PUT " + ExclusionsPath: byAgent("set aside", func(q *orderQuery) func() error {
+		"PUT " + ExclusionsPath: agentHandler("set aside", func(q *orderQuery) func() error {
 			epoch, until, ids := q.number("epoch"), q.time("until"), q.values["id"]
 			if len(ids) > lease.MaxExcluded && q.err == nil {
 				q.err = fmt.Errorf("id: %d at most", lease.MaxExcluded)
 			}
-			return func() error { return s.SetExclusions(epoch, ids, until) }
+			return func() error { return lifecycle.SetExclusions(epoch, ids, until) }
 		}),
-		"GET " + TargetsPath: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Targets()) },
-		"GET " + StatusPath:  func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, s.Status()) },
+		"GET " + TargetsPath: func(w http.ResponseWriter, _ *http.Request) {
+			writeJSON(w, http.StatusOK, lifecycle.Targets())
+		},
+		"GET " + StatusPath: func(w http.ResponseWriter, _ *http.Request) {
+			writeJSON(w, http.StatusOK, lifecycle.Status())
+		},
 	}
 }
 
-// takeLease reads an order for a lease from its query.
-func takeLease(s Lifecycle, drain bool) func(q *orderQuery) func() error {
+// takeLease returns a function that parses an order for a lease from a query and returns the function that executes it.
+func takeLease(lifecycle Lifecycle, drain bool) func(q *orderQuery) func() error {
 	return func(q *orderQuery) func() error {
 		order := lease.Order{
 			Process: q.values.Get("process"), Epoch: q.number("epoch"), By: q.time("by"), Until: q.time("until"), Drain: drain,
 		}
-		return func() error { return s.Take(order) }
+		return func() error { return lifecycle.Take(order) }
 	}
 }
 
-// byOperator returns the handler of a call without parameters.
-func byOperator(do func() error, done string) http.HandlerFunc {
-	return func(w http.ResponseWriter, _ *http.Request) { answer(w, do(), done) }
+// operatorHandler returns the handler of a call without parameters.
+func operatorHandler(do func() error, success string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) { writeOutcome(w, do(), success) }
 }
 
-// byAgent returns the handler of a call whose query is an agent's order. The function read takes the order from the
-// query and returns what carries it out.
-func byAgent(done string, read func(q *orderQuery) func() error) http.HandlerFunc {
+// agentHandler returns the handler of a call whose query is an agent's order. The function read parses the order from
+// the query and returns the function that executes it.
+func agentHandler(success string, read func(q *orderQuery) func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		query := &orderQuery{values: r.URL.Query()}
 		do := read(query)
@@ -135,13 +140,14 @@
 			http.Error(w, query.err.Error(), http.StatusBadRequest)
 			return
 		}
-		answer(w, do(), done)
+		writeOutcome(w, do(), success)
 	}
 }
 
-// byOperatorOrAgent returns the handler of a call that is an operator's without a query and an agent's with one.
-func byOperatorOrAgent(do func() error, done string, read func(q *orderQuery) func() error) http.HandlerFunc {
-	operator, agent := byOperator(do, done), byAgent(done, read)
+// operatorOrAgentHandler returns the handler of a call that is made by an operator without a query, and by an agent
+// with one.
+func operatorOrAgentHandler(do func() error, success string, read func(q *orderQuery) func() error) http.HandlerFunc {
+	operator, agent := operatorHandler(do, success), agentHandler(success, read)
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
 			operator(w, r)
@@ -151,11 +157,12 @@
 	}
 }
 
-// answer writes the outcome of a call: 409 for an order that the lease does not allow, 503 for any other error.
-func answer(w http.ResponseWriter, err error, done string) {
+// writeOutcome writes the response of a call: the success text, status 409 for an order that the lease or the
+// exclusions reject, or status 503 for any other error.
+func writeOutcome(w http.ResponseWriter, err error, success string) {
 	switch {
 	case err == nil:
-		fmt.Fprintln(w, done)
+		fmt.Fprintln(w, success)
 	case lease.IsRejection(err):
 		http.Error(w, err.Error(), http.StatusConflict)
 	default:
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -19,8 +19,8 @@
 	"cleathold/internal/state"
 )
 
-// line is a message as it travels.
-func line(t *testing.T, m message) []byte {
+// encodeMessage returns the encoding of a message with its length prefix.
+func encodeMessage(t *testing.T, m message) []byte {
 	t.Helper()
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -31,7 +31,7 @@
 
 func socketPath(t *testing.T) string {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "ho") // a Unix address is short
+	dir, err := os.MkdirTemp("", "ho") // the address of a Unix socket is limited to about 100 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,27 +46,27 @@
 	}
 }
 
-// The successor says what it says up to each byte in turn, and is gone. Before the last byte of 'ready' the predecessor
-// keeps all, and hands it over to the next one that requests; after it the successor has it.
-func TestSuccessorCutAtEachByte(t *testing.T) {
+// The successor disconnects after each possible number of bytes. Before the last byte of its ready message the
+// predecessor keeps its state and hands it over to the next successor; after it the successor owns the state.
+func TestSuccessorDisconnectsAtEachByte(t *testing.T) {
 	path := socketPath(t)
 	listener, err := Listen(path, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close(false)
-	sock, err := net.Listen("tcp4", "127.0.0.1:0")
+	socket, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer sock.Close()
+	defer socket.Close()
 	handedOver := make(chan error, 1)
 	go func() {
 		for request := range listener.Requests() {
-			handedOver <- request.HandOver(sock.(*net.TCPListener), testState())
+			handedOver <- request.HandOver(socket.(*net.TCPListener), testState())
 		}
 	}()
-	request, ready := line(t, message{Version: version, Request: true}), line(t, message{Ready: true})
+	request, ready := encodeMessage(t, message{Version: version, Request: true}), encodeMessage(t, message{Ready: true})
 	all := append(append([]byte{}, request...), ready...)
 	for k := range len(all) + 1 {
 		c, err := net.Dial("unix", path)
@@ -74,7 +74,7 @@
 			t.Fatal(err)
 		}
 		c.Write(all[:min(k, len(request))])
-		if k >= len(request) { // it is requested; the rest is said once the state is there
+		if k >= len(request) { // the request is complete; the ready message follows the state
 			c.SetReadDeadline(time.Now().Add(20 * time.Second))
 			var size [4]byte
 			if _, err := io.ReadFull(c, size[:]); err != nil {
@@ -97,22 +97,22 @@
 		select {
 		case err := <-handedOver:
 			if (err == nil) != (k == len(all)) {
-				t.Errorf("%d of %d bytes: the predecessor has %v", k, len(all), err)
+				t.Errorf("%d of %d bytes: the predecessor's hand-over returned %v", k, len(all), err)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%d bytes: the predecessor waits on", k)
+			t.Fatalf("%d bytes: the predecessor still waits", k)
 		}
 	}
 }
 
-// posted are what a successor hears of the attempts that were in flight.
-type posted struct{ list []state.Event }
+// recordedEvents records the events posted to a successor about the attempts in flight.
+type recordedEvents struct{ events []state.Event }
 
-func (p *posted) Post(e state.Event) { p.list = append(p.list, e) }
+func (p *recordedEvents) Post(e state.Event) { p.events = append(p.events, e) }
 
-// count says how many results there are, and how often the rest is lost.
-func (p *posted) count() (results, lost int) {
-	for _, e := range p.list {
+// count returns the number of results, and the number of events that report the predecessor as lost.
+func (p *recordedEvents) count() (results, lost int) {
+	for _, e := range p.events {
 		switch e.(type) {
 		case state.RemoteResult:
 			results++
@@ -123,14 +123,14 @@
 	return results, lost
 }
 
-// cutPredecessor is a predecessor that is gone after so many bytes of what it says.
-type cutPredecessor struct {
+// truncatedPredecessor is a predecessor that disconnects after a given number of bytes.
+type truncatedPredecessor struct {
 	file                   *os.File // the listening socket
 	state, confirmed, rest []byte
 }
 
-// serve answers one successor with the first k bytes.
-func (p *cutPredecessor) serve(t *testing.T, l *net.UnixListener, k int) {
+// serve answers one successor with the first k bytes of its messages and disconnects.
+func (p *truncatedPredecessor) serve(t *testing.T, l *net.UnixListener, k int) {
 	c, err := l.AcceptUnix()
 	if err != nil {
 		return
@@ -154,9 +154,9 @@
 	c.Write(p.rest[:max(0, min(k-len(p.state)-len(p.confirmed), len(p.rest)))])
 }
 
-// The predecessor says what it says up to each byte in turn, and is gone. A successor without the whole state takes
-// nothing over. One that serves hears of each attempt at most once, and that the rest is lost.
-func TestPredecessorCutAtEachByte(t *testing.T) {
+// The predecessor disconnects after each possible number of bytes. A successor without the whole state takes over
+// nothing. A successor that serves receives each result at most once, and one event that the predecessor is lost.
+func TestPredecessorDisconnectsAtEachByte(t *testing.T) {
 	path := socketPath(t)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -173,11 +173,11 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	e := testState()
-	r := state.RemoteResult{Message: 3, Attempt: 1, Target: "s", Result: control.Served, Final: true}
-	p := &cutPredecessor{
-		file: file, state: line(t, message{Version: version, State: &e}), confirmed: line(t, message{Confirmed: true}),
-		rest: line(t, message{Result: &r, Last: true}),
+	handedOver := testState()
+	result := state.RemoteResult{Message: 3, Attempt: 1, Target: "s", Result: control.Served, Final: true}
+	p := &truncatedPredecessor{
+		file: file, state: encodeMessage(t, message{Version: version, State: &handedOver}),
+		confirmed: encodeMessage(t, message{Confirmed: true}), rest: encodeMessage(t, message{Result: &result, Last: true}),
 	}
 	total := len(p.state) + len(p.confirmed) + len(p.rest)
 	for k := range total + 1 {
@@ -186,10 +186,10 @@
 			defer close(served)
 			p.serve(t, l, k)
 		}()
-		i, err := RequestTakeover(path)
+		takeover, err := RequestTakeover(path)
 		if k < len(p.state) {
-			if err == nil || i != nil {
-				t.Fatalf("%d of %d bytes of the state were enough", k, len(p.state))
+			if err == nil || takeover != nil {
+				t.Fatalf("takeover succeeded with %d of %d bytes of the state", k, len(p.state))
 			}
 			<-served
 			continue
@@ -197,19 +197,20 @@
 		if err != nil {
 			t.Fatalf("%d bytes: %v", k, err)
 		}
-		if i.State.Version != e.Version || i.State.Lease.Epoch != 9 || !i.State.Lease.Active() || !i.State.Drained {
-			t.Errorf("%+v", i.State)
+		if takeover.State.Version != handedOver.Version || takeover.State.Lease.Epoch != 9 ||
+			!takeover.State.Lease.Active() || !takeover.State.Drained {
+			t.Errorf("%+v", takeover.State)
 		}
-		// A predecessor that is gone can't take anything back: this process goes on.
-		if err := i.ConfirmReady(); err != nil {
+		// A predecessor that has disconnected can't take back its state, so this process continues.
+		if err := takeover.ConfirmReady(); err != nil {
 			t.Errorf("%d bytes: %v", k, err)
 		}
-		var events posted
-		i.Run(context.Background(), &events)
-		i.Listener.Close()
+		var events recordedEvents
+		takeover.Run(context.Background(), &events)
+		takeover.Listener.Close()
 		results, lost := events.count()
 		if want := k == total; lost != 1 || (results == 1) != want || results > 1 {
-			t.Errorf("%d of %d bytes: heard of %d attempts, %d times that the rest is lost", k, total, results, lost)
+			t.Errorf("%d of %d bytes: received %d results and %d events that the predecessor is lost", k, total, results, lost)
 		}
 		<-served
 	}
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -13,20 +13,20 @@
 	"cleathold/internal/store"
 )
 
-// journalLockTimeout is how long a write-ahead log that is taken back may still be locked by the process that failed to
-// take over.
-const journalLockTimeout = 3 * time.Second
+// logLockTimeout bounds the wait for the write-ahead log's lock during a takeover. After a failed hand-over, the
+// process that failed to take over may still hold the lock when its predecessor reopens the log.
+const logLockTimeout = 3 * time.Second
 
-// durabilities by their names in the settings.
-var durabilities = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
+// durabilityByName maps the durability names in the settings to the levels of package store.
+var durabilityByName = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
 
-// build opens what a server needs, and connects its parts. Nothing runs yet.
-func (p *process) build(c *Config, before *predecessor) (*server, error) {
-	s := &server{process: p, config: c, predecessor: before}
+// build opens the resources of a server and connects its components. It starts no goroutines.
+func (p *process) build(c *Config, pred *predecessor) (*server, error) {
+	s := &server{process: p, config: c, predecessor: pred}
 	s.deadLetters = newDeadLetterQueue(*c, p.log)
 	s.gossip = openGossip(*c, p.log)
 	var err error
-	if s.loop, err = newLoop(s.loopSetup(), before != nil); err != nil {
+	if s.loop, err = newLoop(s.loopSetup(), pred != nil); err != nil {
 		return nil, err
 	}
 	clients, idle := socketBudget(*c)
@@ -48,13 +48,13 @@
 		s.listener.Close(time.Now())
 		return nil, err
 	}
-	s.calls = newTaskGroup(s.ctx)
-	s.facing = newTaskGroup(s.calls.ctx)
+	s.deliveryTasks = newTaskGroup(s.ctx)
+	s.controlTasks = newTaskGroup(s.deliveryTasks.ctx)
 	s.deadLettersClosed = make(chan struct{})
 	return s, nil
 }
 
-// loopSetup is what the loop is built from.
+// loopSetup returns the parameters of the event loop.
 func (s *server) loopSetup() state.Setup {
 	c := s.config
 	setup := state.Setup{
@@ -62,29 +62,31 @@
 		DiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
 	}
 	if c.OwnSettings != nil {
-		setup.Durability, setup.GroupWait = durabilities[c.OwnSettings.Journal.Durability], c.OwnSettings.Journal.Wait
+		setup.Durability, setup.GroupWait = durabilityByName[c.OwnSettings.Journal.Durability], c.OwnSettings.Journal.Wait
 	}
 	if s.predecessor != nil {
 		setup.Handover = &s.predecessor.state
 	}
-	if s.deadLetters != nil { // an interface that holds a nil queue is not nil
+	if s.deadLetters != nil { // a nil *Queue stored in the interface would compare unequal to nil
 		setup.DeadLetters = s.deadLetters
 	}
 	setup.Settings.CanGossip = s.gossip != nil
 	return setup
 }
 
-// newLoop makes a loop. One that takes over may find the write-ahead log locked for a moment.
-func newLoop(setup state.Setup, takesOver bool) (*state.Loop, error) {
-	for until := time.Now().Add(journalLockTimeout); ; time.Sleep(idlePollInterval) {
+// newLoop creates the event loop. During a takeover it retries while the other process still holds the lock of the
+// write-ahead log, for at most logLockTimeout.
+func newLoop(setup state.Setup, takingOver bool) (*state.Loop, error) {
+	for deadline := time.Now().Add(logLockTimeout); ; time.Sleep(idlePollInterval) {
 		loop, err := retry(setup.Log, "journal", startTimeout, func() (*state.Loop, error) { return state.NewLoop(setup) })
-		if !takesOver || !errors.Is(err, store.ErrLocked) || time.Now().After(until) {
+		if !takingOver || !errors.Is(err, store.ErrLocked) || time.Now().After(deadline) {
 			return loop, err
 		}
 	}
 }
 
-// listen opens the clients' socket, or takes over the predecessor's, for so many connections.
+// listen opens the socket for clients, or reuses the predecessor's. It accepts at most the given number of client
+// connections.
 func (s *server) listen(clients int) (*protocol.Listener, error) {
 	c, keepAlive := s.config, s.config.Limits.Sockets/keepAliveDivisor
 	if s.predecessor != nil {
@@ -100,7 +102,8 @@
 	return listener, nil
 }
 
-// openGossip opens the way to the peers where there is one; nil if not. Without it the sender serves all the same.
+// openGossip opens the gossip transport, or returns nil if gossip is not configured or can't be opened. The sender also
+// serves without gossip.
 func openGossip(c Config, log *slog.Logger) *protocol.GossipTransport {
 	if !c.Settings.CanGossip || c.PeerListen == "" || c.PeersAll == "" {
 		return nil
@@ -115,7 +118,7 @@
 	return transport
 }
 
-// newDeadLetterQueue makes the queue of undeliverable messages, if the settings ask for one; nil if not.
+// newDeadLetterQueue creates the queue of undeliverable messages, or returns nil if the settings configure none.
 func newDeadLetterQueue(c Config, log *slog.Logger) *deadletter.Queue {
 	if c.OwnSettings == nil || c.OwnSettings.Held == nil {
 		return nil
@@ -126,12 +129,12 @@
 	})
 }
 
-// listenAdmin opens the admin API on a Unix socket, if the settings ask for it; nil if not.
+// listenAdmin opens the admin API on a Unix socket, or returns nil if the settings configure none.
 func listenAdmin(c Config, queue *deadletter.Queue, board *statusBoard, log *slog.Logger) (*admin.Server, error) {
 	if c.OwnSettings == nil || c.OwnSettings.Admin == nil {
 		return nil, nil
 	}
-	var q admin.DeadLetterQueue // an interface that holds a nil queue is not nil
+	var q admin.DeadLetterQueue // a nil *Queue stored in the interface would compare unequal to nil
 	if queue != nil {
 		q = queue
 	}
--- a/internal/lifecycle/configreload.go
+++ b/internal/lifecycle/configreload.go
@@ -9,46 +9,49 @@
 	"github.com/tidwall/gjson"
 )
 
-// checkReload tells why a configuration can't take the place of the one in force; nil if it can.
+// checkReload returns an error if the next configuration can't replace the one in force.
 func checkReload(old, next Config) error {
 	if err := checkKeys(gjson.Parse(old.raw), gjson.Parse(next.raw), ""); err != nil {
 		return err
 	}
-	// At a start none means no limit. At a reload it is taken for a mistake in the file.
+	// At start, a missing or zero limit means no limit. At a reload it is treated as a mistake in the file.
 	if limit := gjson.Get(next.raw, "settings.limits.send-cap"); old.Settings.MaxAttempts > 0 && limit.Float() <= 0 {
-		return fmt.Errorf("configuration: settings: limits.send-cap: %q: a number above 0 wanted", limit.Raw)
+		return fmt.Errorf("configuration: settings: limits.send-cap: %q: must be a number above 0", limit.Raw)
 	}
 	return nil
 }
 
-// startOnlyKeys are keys that a configuration which is read again need not have: they are for the start alone.
+// startOnlyKeys are the keys that a reloaded configuration may omit, because they are used only at start.
 var startOnlyKeys = map[string]bool{"seed": true, "known": true, "admin": true, "name": true}
 
-// checkKeys wants each key that the old configuration has, of the same kind. Whoever replaces the file writes all
-// of it: a key that is gone is a mistake, not a wish for its default.
+// checkKeys checks that the next configuration has each key of the old one, with a value of the same JSON kind. A
+// replacement file is expected to be complete, so a missing key is treated as a mistake and not as a request for its
+// default.
 func checkKeys(old, next gjson.Result, path string) error {
 	var err error
-	old.ForEach(func(key, was gjson.Result) bool {
+	old.ForEach(func(key, oldValue gjson.Result) bool {
 		name := key.String()
-		at := strings.TrimPrefix(path+"."+name, ".")
-		is := next.Get(gjson.Escape(name))
+		keyPath := strings.TrimPrefix(path+"."+name, ".")
+		newValue := next.Get(gjson.Escape(name))
 		switch {
 		case path == "" && startOnlyKeys[name]:
-		case !is.Exists():
-			err = fmt.Errorf("configuration: %s: missing", at)
-		case kindOf(was) != kindOf(is):
-			err = fmt.Errorf("configuration: %s: %.40s: not of the kind that it was", at, is.Raw)
-		case was.IsObject():
-			err = checkKeys(was, is, at)
-		case was.IsArray():
-			err = checkListKeys(was.Array(), is.Array(), at)
+		case !newValue.Exists():
+			err = fmt.Errorf("configuration: %s: missing", keyPath)
+		case jsonKind(oldValue) != jsonKind(newValue):
+			err = fmt.Errorf("configuration: %s: %.40s: JSON kind differs from the configuration in force",
+				keyPath, newValue.Raw)
+		case oldValue.IsObject():
+			err = checkKeys(oldValue, newValue, keyPath)
+		case oldValue.IsArray():
+			err = checkListKeys(oldValue.Array(), newValue.Array(), keyPath)
 		}
 		return err == nil
 	})
 	return err
 }
 
-// checkListKeys wants of each object of a list the keys that all objects of the old list have.
+// checkListKeys checks that each object of the next list has the keys that all objects of the old list have, with
+// values of the same JSON kind.
 func checkListKeys(old, next []gjson.Result, path string) error {
 	common := map[string]bool{}
 	for i, o := range old {
@@ -64,18 +67,19 @@
 			continue
 		}
 		key := gjson.Escape(name)
-		kind := kindOf(old[0].Get(key))
+		kind := jsonKind(old[0].Get(key))
 		for i, o := range next {
-			if is := o.Get(key); !is.Exists() || kindOf(is) != kind {
-				return fmt.Errorf("configuration: %s[%d].%s: missing, or not of the kind that it was", path, i, name)
+			if value := o.Get(key); !value.Exists() || jsonKind(value) != kind {
+				return fmt.Errorf("configuration: %s[%d].%s: missing, or JSON kind differs from the configuration in force",
+					path, i, name)
 			}
 		}
 	}
 	return nil
 }
 
-// kindOf is the JSON kind of a value; true and false are one.
-func kindOf(v gjson.Result) string {
+// jsonKind returns the JSON kind of a value. The values true and false have the same kind.
+func jsonKind(v gjson.Result) string {
 	switch {
 	case v.IsObject():
 		return "object"
--- a/internal/lifecycle/docs_test.go
+++ b/internal/lifecycle/docs_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// Each log line that the page for on-call staff explains stands in the code.
+// Each log message that the page for on-call staff explains exists in the code.
 func TestLogPageNamesLines(t *testing.T) {
 	var code strings.Builder
-	for _, file := range filesOf(t, "../*/*.go", "../../cmd/*/*.go") {
+	for _, file := range globFiles(t, "../*/*.go", "../../cmd/*/*.go") {
 		if !strings.HasSuffix(file, "_test.go") {
 			code.Write(readFile(t, file))
 		}
@@ -19,7 +19,7 @@
 	page := readFile(t, "../../docs/operate/logs.md")
 	rows := regexp.MustCompile("(?m)^\\| (`[^|]*`) \\|").FindAllStringSubmatch(string(page), -1)
 	if len(rows) < 30 {
-		t.Fatalf("%d rows read", len(rows))
+		t.Fatalf("found only %d rows", len(rows))
 	}
 	for _, row := range rows {
 		for line := range strings.SplitSeq(strings.Trim(row[1], "`"), "`, `") {
@@ -30,24 +30,24 @@
 	}
 }
 
-// Each test that a page of docs/ names exists, so that a renamed test is renamed there, too.
+// Each test that a page of docs/ names exists, so that renaming a test without its mention in a page fails.
 func TestPagesNameTests(t *testing.T) {
 	tests := map[string]bool{}
-	for _, file := range filesOf(t, "../../*/*_test.go", "../../*/*/*_test.go") {
+	for _, file := range globFiles(t, "../../*/*_test.go", "../../*/*/*_test.go") {
 		for _, found := range regexp.MustCompile(`(?m)^func (Test\w+)`).FindAllSubmatch(readFile(t, file), -1) {
 			tests[string(found[1])] = true
 		}
 	}
-	for _, page := range filesOf(t, "../../docs/design/*.md", "../../docs/operate/*.md") {
+	for _, page := range globFiles(t, "../../docs/design/*.md", "../../docs/operate/*.md") {
 		for _, name := range regexp.MustCompile(`\bTest[A-Z]\w*`).FindAll(readFile(t, page), -1) {
 			if !tests[string(name)] {
-				t.Errorf("%s: there is no %s", page, name)
+				t.Errorf("%s: test %s does not exist", page, name)
 			}
 		}
 	}
 }
 
-func filesOf(t *testing.T, patterns ...string) (files []string) {
+func globFiles(t *testing.T, patterns ...string) (files []string) {
 	t.Helper()
 	for _, pattern := range patterns {
 		list, err := filepath.Glob(pattern)
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -12,31 +12,32 @@
 	"cleathold/internal/state"
 )
 
-var errLoopBusy = errors.New("settings: the loop does not take them")
+var errLoopBusy = errors.New("settings: the event loop did not accept them in time")
 
-// reloadConfig reads the configuration again and puts it in force: the addresses of discovery and the platform, the
-// settings of the controller and the runtime's limits, all of them or none. What else has changed waits for the next
-// start: the write-ahead log and the listener are built on it.
+// reloadConfig reloads the configuration and applies the addresses of discovery and the platform, the controller's
+// settings and the runtime limits, either all of them or none. Other changes take effect at the next start, because the
+// write-ahead log and the listener are built from them.
 func (s *server) reloadConfig() {
-	*s.config = s.reread(*s.config)
+	*s.config = s.applyReload(*s.config)
 	s.publishConfig(*s.config)
 	if s.deadLetters != nil && s.config.OwnSettings != nil {
 		s.deadLetters.UpdateSettings(s.config.OwnSettings)
 	}
 }
 
-// reread reads the configuration again and returns the one in force.
-func (s *server) reread(old Config) Config {
+// applyReload reloads the configuration, applies it and returns the configuration that is then in force. On an error it
+// returns the old one.
+func (s *server) applyReload(old Config) Config {
 	c, err := retry(s.log, "configuration", reloadTimeout, s.load)
 	if err == nil {
 		err = checkReload(old, c)
 	}
-	now := old
+	inForce := old
 	if err == nil {
-		now, err = s.updateSettings(old, c)
+		inForce, err = s.updateSettings(old, c)
 	}
 	if err != nil {
-		s.log.Error("configuration reload failed, the old one stays in force", "err", err)
+		s.log.Error("configuration reload failed; the previous configuration stays in force", "err", err)
 		return old
 	}
 	if c.Discovery != old.Discovery {
@@ -44,30 +45,31 @@
 		s.reporter.SetAddress(c.Discovery)
 	}
 	limitRuntime(c.Limits)
-	now.Discovery, now.raw = c.Discovery, c.raw
-	now.Limits.Cores, now.Limits.MemoryMB = c.Limits.Cores, c.Limits.MemoryMB
-	now.OwnSettings = reloadOwnSettings(old.OwnSettings, c.OwnSettings, s.log)
-	if pending := c.pendingRestart(now); len(pending) > 0 {
-		s.log.Warn("configuration changes wait for the next start", "keys", pending)
-	}
-	s.log.Info("configuration read again", "discovery", now.Discovery,
-		"classes", len(now.Names.Classes), "max_attempts", now.Settings.MaxAttempts)
-	return now
+	inForce.Discovery, inForce.raw = c.Discovery, c.raw
+	inForce.Limits.Cores, inForce.Limits.MemoryMB = c.Limits.Cores, c.Limits.MemoryMB
+	inForce.OwnSettings = reloadOwnSettings(old.OwnSettings, c.OwnSettings, s.log)
+	if pending := c.pendingRestart(inForce); len(pending) > 0 {
+		s.log.Warn("configuration changes take effect at the next start", "keys", pending)
+	}
+	s.log.Info("configuration read again", "discovery", inForce.Discovery,
+		"classes", len(inForce.Names.Classes), "max_attempts", inForce.Settings.MaxAttempts)
+	return inForce
 }
 
-// updateSettings has the loop take new settings, and the listener the names in them. It returns the configuration
-// with the settings in force.
+// updateSettings applies new settings to the event loop and their names to the listener. It returns the configuration
+// with the settings that are then in force.
 func (s *server) updateSettings(old, c Config) (Config, error) {
-	same := c.Settings
-	same.Seed, same.Classes, same.CanGossip = old.Settings.Seed, old.Settings.Classes, old.Settings.CanGossip
+	candidate := c.Settings
+	candidate.Seed, candidate.Classes = old.Settings.Seed, old.Settings.Classes
+	candidate.CanGossip = old.Settings.CanGossip
 	classes := c.namedClasses()
-	if reflect.DeepEqual(same, old.Settings) && slices.Equal(classes, old.classes) {
+	if reflect.DeepEqual(candidate, old.Settings) && slices.Equal(classes, old.classes) {
 		return old, nil
 	}
 	if s.deadLetters != nil {
 		for name, n := range old.Names.Tenants {
 			if c.Names.Tenants[name] != n {
-				s.log.Warn("settings change waits for the next start: tenants renumbered while dead letters are kept",
+				s.log.Warn("settings change takes effect at the next start: tenants renumbered while dead letters are kept",
 					"tenant", name)
 				return old, nil
 			}
@@ -82,35 +84,38 @@
 	if r.Err != nil {
 		return old, fmt.Errorf("settings: %w", r.Err)
 	}
-	now := old
-	now.classes = classes
-	now.Names, now.Settings = c.Names, c.Settings
-	now.Names.Classes, now.Names.Kinds = r.Numbers, old.Names.Kinds
-	now.Settings.Classes, now.Settings.Seed, now.Settings.CanGossip = r.Classes, old.Settings.Seed, old.Settings.CanGossip
-	now.Settings.FleetSize, now.Settings.Index, now.Settings.Kinds =
+	inForce := old
+	inForce.classes = classes
+	inForce.Names, inForce.Settings = c.Names, c.Settings
+	inForce.Names.Classes, inForce.Names.Kinds = r.Numbers, old.Names.Kinds
+	inForce.Settings.Classes, inForce.Settings.Seed, inForce.Settings.CanGossip =
+		r.Classes, old.Settings.Seed, old.Settings.CanGossip
+	inForce.Settings.FleetSize, inForce.Settings.Index, inForce.Settings.Kinds =
 		old.Settings.FleetSize, old.Settings.Index, old.Settings.Kinds
 	if s.deadLetters != nil {
-		s.deadLetters.TenantsChanged(namesByNumber(now.Names.Tenants))
+		s.deadLetters.TenantsChanged(namesByNumber(inForce.Names.Tenants))
 	}
-	s.listener.SetNames(now.Names, now.Settings.Classes)
-	return now, nil
+	s.listener.SetNames(inForce.Names, inForce.Settings.Classes)
+	return inForce, nil
 }
 
-// pendingRestart names the keys of a configuration that are not in force before the next start.
-func (c Config) pendingRestart(now Config) (keys []string) {
+// pendingRestart returns the keys whose values differ from the configuration in force and take effect only at the next
+// start.
+func (c Config) pendingRestart(inForce Config) (keys []string) {
 	for _, k := range []struct {
 		name string
 		same bool
 	}{
-		{"listen", c.Listen == now.Listen},
-		{"state", c.State == now.State},
-		{"admin", c.Admin == now.Admin},
-		{"peers", c.PeerListen == now.PeerListen && c.PeersAll == now.PeersAll && slices.Equal(c.Peers, now.Peers)},
-		{"limits.sockets", c.Limits.Sockets == now.Limits.Sockets},
-		{"limits.disk_mb", c.Limits.DiskBytes == now.Limits.DiskBytes},
-		{"settings.siblings", c.Settings.FleetSize == now.Settings.FleetSize},
-		{"settings.me", c.Settings.Index == now.Settings.Index},
-		{"settings.kinds", slices.Equal(c.Settings.Kinds, now.Settings.Kinds)},
+		{"listen", c.Listen == inForce.Listen},
+		{"state", c.State == inForce.State},
+		{"admin", c.Admin == inForce.Admin},
+		{"peers", c.PeerListen == inForce.PeerListen && c.PeersAll == inForce.PeersAll &&
+			slices.Equal(c.Peers, inForce.Peers)},
+		{"limits.sockets", c.Limits.Sockets == inForce.Limits.Sockets},
+		{"limits.disk_mb", c.Limits.DiskBytes == inForce.Limits.DiskBytes},
+		{"settings.siblings", c.Settings.FleetSize == inForce.Settings.FleetSize},
+		{"settings.me", c.Settings.Index == inForce.Settings.Index},
+		{"settings.kinds", slices.Equal(c.Settings.Kinds, inForce.Settings.Kinds)},
 	} {
 		if !k.same {
 			keys = append(keys, k.name)
@@ -119,25 +124,26 @@
 	return keys
 }
 
-// reloadOwnSettings takes over what a script may change as the sender runs: bounds, rates and rules. The folder of the
-// dead-letter queue, the write-ahead log's durability and the admin socket wait for the next start.
+// reloadOwnSettings returns the settings that are in force after a reload of the settings script. Bounds, rates and
+// rules change at once. The dead-letter queue's folder, the write-ahead log's durability and the admin socket keep
+// their values until the next start.
 func reloadOwnSettings(old, c *settings.Settings, log *slog.Logger) *settings.Settings {
 	if old == nil || c == nil || (old.Held == nil) != (c.Held == nil) {
 		if old != nil || c != nil {
-			log.Warn("settings change waits for the next start: dead-letter queue on or off")
+			log.Warn("settings change takes effect at the next start: dead-letter queue enabled or disabled")
 		}
 		return old
 	}
 	if c.Held != nil && c.Held.Folder != old.Held.Folder {
-		log.Warn("settings change waits for the next start: folder of the dead-letter queue", "folder", c.Held.Folder)
+		log.Warn("settings change takes effect at the next start: folder of the dead-letter queue", "folder", c.Held.Folder)
 		c.Held.Folder = old.Held.Folder
 	}
 	if c.Journal != old.Journal {
-		log.Warn("settings change waits for the next start: durability of the write-ahead log")
+		log.Warn("settings change takes effect at the next start: durability of the write-ahead log")
 		c.Journal = old.Journal
 	}
 	if (old.Admin == nil) != (c.Admin == nil) || c.Admin != nil && *c.Admin != *old.Admin {
-		log.Warn("settings change waits for the next start: admin socket")
+		log.Warn("settings change takes effect at the next start: admin socket")
 		c.Admin = old.Admin
 	}
 	return c
--- a/internal/lifecycle/server.go
+++ b/internal/lifecycle/server.go
@@ -13,25 +13,26 @@
 	"cleathold/internal/state"
 )
 
-// The stop, counted from SIGTERM. The clients' balancer notices only after a while that no more is wanted; SIGKILL
-// follows at 3.7 s at the soonest.
+// Deadlines of the shutdown, counted from the stop signal. The clients' load balancer notices only after a delay that
+// the sender is stopping, so messages are accepted for a while longer. SIGKILL follows 3.7 s after SIGTERM at the
+// earliest.
 const (
-	acceptWindow     = 500 * time.Millisecond  // new messages are still accepted
-	sendWindow       = 2 * time.Second         // new attempts are still made
-	finishTimeout    = 3300 * time.Millisecond // attempts and connections end
-	exitTimeout      = 3400 * time.Millisecond // the dead-letter queue closes
+	acceptWindow     = 500 * time.Millisecond  // end of accepting new messages
+	sendWindow       = 2 * time.Second         // end of starting new attempts
+	finishTimeout    = 3300 * time.Millisecond // attempts and connections must have ended
+	exitTimeout      = 3400 * time.Millisecond // the dead-letter queue must have closed
 	idlePollInterval = 20 * time.Millisecond
 )
 
-// lingerTimeout is how long a process that has handed over waits for the connections that still linger.
+// lingerTimeout bounds the wait for lingering connections after a hand-over.
 const lingerTimeout = 500 * time.Millisecond
 
-// settingsTimeout is how long the loop may take to answer new settings, or take exclusions.
+// settingsTimeout bounds the time for the event loop to accept new settings or exclusions.
 const settingsTimeout = time.Second
 
-var errJournalBroken = errors.New("the journal can't be written")
+var errLogNotWritable = errors.New("the journal can't be written")
 
-// A taskGroup owns goroutines that end together: cancel asks them to, and Wait waits until they have.
+// A taskGroup owns goroutines with a common lifetime: cancel requests their end, and Wait waits for it.
 type taskGroup struct {
 	sync.WaitGroup
 	ctx    context.Context
@@ -44,14 +45,15 @@
 	return g
 }
 
-// run runs a task on a goroutine of its own.
+// run runs a task in a new goroutine.
 func (g *taskGroup) run(task func(context.Context)) { g.Go(func() { task(g.ctx) }) }
 
-// A server is the parts of a sender, connected, from their start to a stop or a hand-over. It is used by one goroutine.
+// A server connects the components of a sender and runs them until a stop signal or a hand-over. It is used by one
+// goroutine.
 type server struct {
 	*process
-	config      *Config      // in force; of Run, and of the next server
-	predecessor *predecessor // nil: there was none
+	config      *Config      // configuration in force; owned by Run and passed on to the next server
+	predecessor *predecessor // nil: no state was taken over
 
 	loop        *state.Loop
 	transport   *protocol.Transport
@@ -61,39 +63,39 @@
 	gossip      *protocol.GossipTransport // nil: none
 	admin       *admin.Server             // nil: none
 	deadLetters *deadletter.Queue         // nil: none
-	successors  *handover.Listener        // nil: nobody can take over
+	successors  *handover.Listener        // nil: hand-over is unavailable
 
-	// The owners of goroutines. What faces the platform and the operators ends first when another process takes over;
-	// calls that are out end last.
-	calls             *taskGroup    // loop, transport, listener, and the results of the predecessor's calls
-	facing            *taskGroup    // discovery, reporter, gossip, admin API; within calls
-	deadLettersClosed chan struct{} // closed once the dead-letter queue has ended, or if there is none
+	// Groups of goroutines. At a hand-over the control tasks, which communicate with the platform and the operators, end
+	// first; the delivery tasks run on until the last call in flight has ended.
+	deliveryTasks     *taskGroup    // loop, transport, listener, and the results of the predecessor's calls
+	controlTasks      *taskGroup    // discovery, reporter, gossip, admin API; child context of deliveryTasks
+	deadLettersClosed chan struct{} // closed once the dead-letter queue has ended; closed at start if there is no queue
 	stopDeadLetters   context.CancelFunc
 }
 
-// start starts all parts, and tells the predecessor. Clients are served from then on.
+// start starts all components and notifies the predecessor. From then on the server serves clients.
 func (s *server) start() error {
 	s.startDeadLetters()
 	if s.admin != nil {
-		s.facing.Go(s.admin.Serve)
+		s.controlTasks.Go(s.admin.Serve)
 	}
-	s.calls.run(s.loop.Run)
-	s.calls.run(s.transport.Run)
-	s.facing.run(s.discovery.Run)
-	s.facing.run(s.reporter.Run)
+	s.deliveryTasks.run(s.loop.Run)
+	s.deliveryTasks.run(s.transport.Run)
+	s.controlTasks.run(s.discovery.Run)
+	s.controlTasks.run(s.reporter.Run)
 	if s.gossip != nil {
-		s.facing.run(func(ctx context.Context) { s.gossip.Run(ctx, s.loop) })
+		s.controlTasks.run(func(ctx context.Context) { s.gossip.Run(ctx, s.loop) })
 	}
-	s.calls.Go(s.listener.Serve)
+	s.deliveryTasks.Go(s.listener.Serve)
 	if s.predecessor != nil {
 		if err := s.predecessor.confirmReady(); err != nil {
-			s.calls.cancel()
+			s.deliveryTasks.cancel()
 			s.listener.Close(time.Now())
-			s.stopFacing()
-			s.calls.Wait()
+			s.stopControlTasks()
+			s.deliveryTasks.Wait()
 			return err
 		}
-		s.calls.run(func(ctx context.Context) { s.predecessor.receiveResults(ctx, s.loop) })
+		s.deliveryTasks.run(func(ctx context.Context) { s.predecessor.receiveResults(ctx, s.loop) })
 	}
 	s.successors = listenForSuccessor(*s.config, s.log)
 	s.board.loop.Store(s.loop)
@@ -110,7 +112,7 @@
 // startDeadLetters starts the dead-letter queue, if there is one.
 func (s *server) startDeadLetters() {
 	var ctx context.Context
-	ctx, s.stopDeadLetters = context.WithCancel(s.calls.ctx)
+	ctx, s.stopDeadLetters = context.WithCancel(s.deliveryTasks.ctx)
 	if s.deadLetters == nil {
 		close(s.deadLettersClosed)
 		return
@@ -123,15 +125,15 @@
 	}()
 }
 
-// run obeys signals and requests to take over until a stop, or until another process has taken over. Where that one
-// fails, what it was given is returned.
+// run handles signals and takeover requests until a stop signal or until another process has taken over. After a failed
+// hand-over it returns the state for the next server of this process.
 func (s *server) run() *predecessor {
 	for {
 		select {
 		case <-s.reload:
 			s.reloadConfig()
 		case request := <-s.successors.Requests():
-			if returned, ended := s.answerTakeover(request); ended {
+			if returned, ended := s.handleTakeover(request); ended {
 				return returned
 			}
 		case signaledAt := <-s.stop:
@@ -141,11 +143,12 @@
 	}
 }
 
-// answerTakeover lets another process take over. The server has ended then, unless the request was rejected.
-func (s *server) answerTakeover(request *handover.Request) (returned *predecessor, ended bool) {
+// handleTakeover hands over to another process. It reports whether the server has ended, which is the case unless it
+// rejected the request. After a failed hand-over it also returns the state for the next server.
+func (s *server) handleTakeover(request *handover.Request) (returned *predecessor, ended bool) {
 	socket, err := s.listener.File()
 	if err == nil && !s.loop.LogIntact() {
-		err = errJournalBroken
+		err = errLogNotWritable
 	}
 	if err != nil {
 		s.log.Error("hand-over rejected", "err", err)
@@ -155,32 +158,34 @@
 	returned = s.handOver(request, socket)
 	socket.Close()
 	if returned != nil {
-		go func() { <-returned.drained; s.calls.cancel() }() // results of calls that are out are passed on until then
+		// The delivery tasks keep forwarding the results of calls in flight until none remain.
+		go func() { <-returned.drained; s.deliveryTasks.cancel() }()
 		return returned, true
 	}
-	s.calls.cancel()
-	s.calls.Wait()
+	s.deliveryTasks.cancel()
+	s.deliveryTasks.Wait()
 	s.listener.Wait(time.Now().Add(lingerTimeout))
 	s.log.Info("stopped after hand-over", "sender", s.config.Name)
 	return nil, true
 }
 
-// shutDown brings the server to its end, counted from the signal.
+// shutDown stops the server. Its deadlines count from the time of the stop signal.
 func (s *server) shutDown(signaledAt time.Time) {
 	s.machine.advance(stopping)
 	s.finishCalls(signaledAt)
-	s.stopFacing()
-	s.calls.cancel()
-	s.calls.Wait()
+	s.stopControlTasks()
+	s.deliveryTasks.cancel()
+	s.deliveryTasks.Wait()
 	select {
 	case <-s.deadLettersClosed:
-	case <-time.After(time.Until(signaledAt.Add(exitTimeout))): // a disk may hang
-		s.log.Warn("dead-letter queue not closed in time; the write-ahead log has what it lacks")
+	case <-time.After(time.Until(signaledAt.Add(exitTimeout))): // a disk operation may hang
+		s.log.Warn("dead-letter queue not closed in time; the write-ahead log holds the records that it lacks")
 	}
 	s.log.Info("stopped", "sender", s.config.Name)
 }
 
-// finishCalls accepts messages for a while and lets the calls end, counted from the signal.
+// finishCalls accepts messages until acceptWindow after the signal, starts attempts until sendWindow, and waits for
+// calls and connections until finishTimeout.
 func (s *server) finishCalls(signaledAt time.Time) {
 	s.listener.DisableKeepAlive()
 	time.Sleep(time.Until(signaledAt.Add(acceptWindow)))
@@ -197,22 +202,23 @@
 	s.listener.Wait(signaledAt.Add(finishTimeout))
 }
 
-// stopFacing ends what faces the platform and the operators.
-func (s *server) stopFacing() {
-	s.facing.cancel()
+// stopControlTasks ends the tasks that communicate with the platform and the operators.
+func (s *server) stopControlTasks() {
+	s.controlTasks.cancel()
 	if s.admin != nil {
 		s.admin.Close()
 	}
-	s.facing.Wait()
+	s.controlTasks.Wait()
 }
 
-// closeDeadLetters ends the dead-letter queue. Its error is errDeadLettersOpen if that takes too long.
+// closeDeadLetters closes the dead-letter queue. It returns errDeadLetterCloseTimeout if the queue has not closed
+// within deadLetterCloseTimeout.
 func (s *server) closeDeadLetters() error {
 	s.stopDeadLetters()
 	select {
 	case <-s.deadLettersClosed:
 		return nil
 	case <-time.After(deadLetterCloseTimeout):
-		return errDeadLettersOpen
+		return errDeadLetterCloseTimeout
 	}
 }
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -11,29 +11,29 @@
 	"go.starlark.net/starlark"
 )
 
-// Agent is the configuration of an agent, which runs the senders of a machine.
+// Agent is the configuration of an agent. An agent runs the senders of one machine.
 type Agent struct {
 	Name    string
-	Listen  string            // its address for other agents and the command line
-	Folder  string            // its quorum data and its records of senders
+	Listen  string            // address for other agents and the command line
+	Folder  string            // folder of the quorum data and the records of senders
 	Agents  map[string]string // addresses of all agents by name
-	Version string            // the name of the version that senders run before the first release
-	Program string            // and its program file
+	Version string            // name of the version that senders run before the first release
+	Program string            // program file of that version
 	Senders []AgentSender
 	Budget  AgentBudget
 	Timing  AgentTiming
 }
 
-// AgentSender is a sender that an agent runs.
+// AgentSender is the configuration of a sender that an agent runs.
 type AgentSender struct {
 	Name, Building string
-	Config         string    // its configuration file
-	Admin          [2]string // admin addresses: of the serving process and of its successor
-	Reach          [2]string // the addresses at which the agent reaches them
-	Restart        bool      // versions change by a restart, not by a hand-over
+	Config         string    // path of its configuration file
+	Admin          [2]string // admin addresses of the serving process and its successor
+	Reach          [2]string // addresses by which the agent connects to them
+	Restart        bool      // true: versions change by a restart; false: by a hand-over
 }
 
-// AgentBudget bounds how many senders and endpoints may be out at once; see rollout.Budget.
+// AgentBudget limits how many senders and endpoints may be out of service at once; see rollout.Budget.
 type AgentBudget struct{ Fleet, Building, Serving, Endpoints, Kind int }
 
 // AgentTiming is the timing of grants; see rollout.Timing.
@@ -44,7 +44,7 @@
 	maxSenders = 1000
 )
 
-// defaultAgent returns the values of arguments that are left out.
+// defaultAgent returns an agent with the default values of optional arguments.
 func defaultAgent() *Agent {
 	return &Agent{
 		Agents: map[string]string{}, Budget: AgentBudget{Fleet: 1},
@@ -52,7 +52,7 @@
 	}
 }
 
-// agentBuiltin is agent(name, ...): makes the settings an agent's.
+// agentBuiltin implements agent(name, ...), which makes the settings those of an agent.
 func (s *Settings) agentBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
@@ -67,7 +67,7 @@
 		name, ok1 := starlark.AsString(pair[0])
 		addr, ok2 := starlark.AsString(pair[1])
 		if !ok1 || !ok2 {
-			return nil, errors.New("agent: agents: names and addresses as strings")
+			return nil, errors.New("agent: agents: names and addresses must be strings")
 		}
 		a.Agents[name] = addr
 	}
@@ -75,15 +75,15 @@
 	case checkTopLevel(t, "agent") != nil:
 		return nil, checkTopLevel(t, "agent")
 	case len(args) > 0:
-		return nil, errors.New("agent: arguments go by name")
+		return nil, errors.New("agent: arguments must be passed by name")
 	case s.Agent != nil:
 		return nil, errors.New("agent: called twice")
 	case a.Name == "" || a.Listen == "" || a.Folder == "" || a.Version == "" || a.Program == "":
 		return nil, errors.New("agent: name, listen, folder, version and program must not be empty")
 	case a.Agents[a.Name] == "":
-		return nil, fmt.Errorf("agent: agents: %s itself is missing", a.Name)
+		return nil, fmt.Errorf("agent: agents: the agent itself, %s, is missing", a.Name)
 	case len(a.Agents) > maxAgents:
-		return nil, fmt.Errorf("agent: agents: %d at most", maxAgents)
+		return nil, fmt.Errorf("agent: agents: at most %d are allowed", maxAgents)
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.Agents)) {
 		if _, _, err := net.SplitHostPort(a.Agents[name]); err != nil {
@@ -95,7 +95,7 @@
 	return starlark.None, nil
 }
 
-// draftAgent returns the agent that the calls so far describe. It takes effect only with a call of agent().
+// draftAgent returns the agent as configured by the calls so far. It takes effect only if the script calls agent().
 func (s *Settings) draftAgent() *Agent {
 	if s.Agent != nil {
 		return s.Agent
@@ -106,15 +106,15 @@
 	return s.agentDraft
 }
 
-// senderBuiltin is sender(name, config, admin, ...): a sender that the agent runs.
+// senderBuiltin implements sender(name, config, admin, ...), which adds a sender that the agent runs.
 func (s *Settings) senderBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	var x AgentSender
+	var sender AgentSender
 	var addresses, reach *starlark.List
 	change := "handover"
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "name", &x.Name, "config", &x.Config, "admin", &addresses,
-		"building?", &x.Building, "change?", &change, "reach?", &reach); err != nil {
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "name", &sender.Name, "config", &sender.Config,
+		"admin", &addresses, "building?", &sender.Building, "change?", &change, "reach?", &reach); err != nil {
 		return nil, err
 	}
 	if checkTopLevel(t, "sender") != nil {
@@ -123,73 +123,73 @@
 	if reach == nil {
 		reach = addresses
 	}
-	if len(args) > 0 || x.Name == "" || x.Config == "" || addresses.Len() != 2 || reach.Len() != 2 {
-		return nil, errors.New("sender: name, config and two admin addresses are needed, by name; reach has two, too")
+	if len(args) > 0 || sender.Name == "" || sender.Config == "" || addresses.Len() != 2 || reach.Len() != 2 {
+		return nil, errors.New("sender: name, config and two admin addresses are required by name; reach must have two, too")
 	}
 	if change != "handover" && change != "restart" {
-		return nil, fmt.Errorf("sender: change: %q is neither handover nor restart", change)
+		return nil, fmt.Errorf("sender: change: %q is not handover or restart", change)
 	}
 	a := s.draftAgent()
 	taken := map[string]bool{}
 	for _, other := range a.Senders {
-		if other.Name == x.Name {
-			return nil, fmt.Errorf("sender: two of name %s", x.Name)
+		if other.Name == sender.Name {
+			return nil, fmt.Errorf("sender: duplicate name %s", sender.Name)
 		}
 		taken[other.Admin[0]], taken[other.Admin[1]] = true, true
 	}
-	for i := range x.Admin {
+	for i := range sender.Admin {
 		addr, ok := starlark.AsString(addresses.Index(i))
 		if _, _, err := net.SplitHostPort(addr); !ok || err != nil {
-			return nil, fmt.Errorf("sender: admin: %s is no address", addresses.Index(i))
+			return nil, fmt.Errorf("sender: admin: %s is not a host:port address", addresses.Index(i))
 		}
 		if taken[addr] {
-			return nil, fmt.Errorf("sender: admin: %s is another one's", addr)
+			return nil, fmt.Errorf("sender: admin: %s is already in use", addr)
 		}
-		x.Admin[i], taken[addr] = addr, true
-		if x.Reach[i], ok = starlark.AsString(reach.Index(i)); ok {
-			_, _, err := net.SplitHostPort(x.Reach[i])
+		sender.Admin[i], taken[addr] = addr, true
+		if sender.Reach[i], ok = starlark.AsString(reach.Index(i)); ok {
+			_, _, err := net.SplitHostPort(sender.Reach[i])
 			ok = err == nil
 		}
 		if !ok {
-			return nil, fmt.Errorf("sender: reach: %s is no address", reach.Index(i))
+			return nil, fmt.Errorf("sender: reach: %s is not a host:port address", reach.Index(i))
 		}
 	}
 	if len(a.Senders) >= maxSenders {
-		return nil, fmt.Errorf("sender: %d beside one agent at most", maxSenders)
+		return nil, fmt.Errorf("sender: at most %d are allowed per agent", maxSenders)
 	}
-	x.Config, x.Restart = s.resolvePath(x.Config), change == "restart"
-	a.Senders = append(a.Senders, x)
+	sender.Config, sender.Restart = s.resolvePath(sender.Config), change == "restart"
+	a.Senders = append(a.Senders, sender)
 	return starlark.None, nil
 }
 
-// budgetBuiltin is budget(fleet, ...): how many may be out at once.
+// budgetBuiltin implements budget(fleet, ...), which limits how many senders may be out of service at once.
 func (s *Settings) budgetBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	x := &s.draftAgent().Budget
-	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fleet", &x.Fleet, "building?", &x.Building, "serving?",
-		&x.Serving,
-		"endpoints?", &x.Endpoints, "kind?", &x.Kind); err != nil {
+	budget := &s.draftAgent().Budget
+	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fleet", &budget.Fleet,
+		"building?", &budget.Building, "serving?", &budget.Serving, "endpoints?", &budget.Endpoints,
+		"kind?", &budget.Kind); err != nil {
 		return nil, err
 	}
 	switch {
 	case checkTopLevel(t, "budget") != nil:
 		return nil, checkTopLevel(t, "budget")
 	case len(args) > 0:
-		return nil, errors.New("budget: arguments go by name")
-	case x.Fleet < 1 || x.Building < 0 || x.Serving < 0 || x.Endpoints < 0 || x.Kind < 0:
-		return nil, errors.New("budget: fleet: 1 at the least; building, serving, endpoints and kind: 0 or more")
+		return nil, errors.New("budget: arguments must be passed by name")
+	case budget.Fleet < 1 || budget.Building < 0 || budget.Serving < 0 || budget.Endpoints < 0 || budget.Kind < 0:
+		return nil, errors.New("budget: fleet must be at least 1; building, serving, endpoints and kind must not be negative")
 	}
 	return starlark.None, nil
 }
 
-// timingBuiltin is timing(fresh, accept, lease, clock_error).
+// timingBuiltin implements timing(fresh, accept, lease, clock_error), which sets the timing of grants.
 func (s *Settings) timingBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	x := &s.draftAgent().Timing
-	fresh, accept := number(x.Fresh.Seconds()), number(x.Accept.Seconds())
-	lease, clockError := number(x.Lease.Seconds()), number(x.ClockError.Seconds())
+	timing := &s.draftAgent().Timing
+	fresh, accept := number(timing.Fresh.Seconds()), number(timing.Accept.Seconds())
+	lease, clockError := number(timing.Lease.Seconds()), number(timing.ClockError.Seconds())
 	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "fresh?", &fresh, "accept?", &accept, "lease?", &lease,
 		"clock_error?", &clockError); err != nil {
 		return nil, err
@@ -203,20 +203,21 @@
 		setting *time.Duration
 		max     time.Duration
 	}{
-		{"fresh", fresh, &x.Fresh, time.Minute}, {"accept", accept, &x.Accept, time.Minute},
-		{"lease", lease, &x.Lease, 10 * time.Minute}, {"clock_error", clockError, &x.ClockError, 10 * time.Second},
+		{"fresh", fresh, &timing.Fresh, time.Minute}, {"accept", accept, &timing.Accept, time.Minute},
+		{"lease", lease, &timing.Lease, 10 * time.Minute},
+		{"clock_error", clockError, &timing.ClockError, 10 * time.Second},
 	} {
 		d, err := duration(f.name, f.given)
 		if err != nil {
 			return nil, fmt.Errorf("timing: %w", err)
 		}
 		if d > f.max {
-			return nil, fmt.Errorf("timing: %s: %v at most", f.name, f.max)
+			return nil, fmt.Errorf("timing: %s: must be at most %v", f.name, f.max)
 		}
 		*f.setting = d
 	}
 	if len(args) > 0 {
-		return nil, errors.New("timing: arguments go by name")
+		return nil, errors.New("timing: arguments must be passed by name")
 	}
 	return starlark.None, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,36 +7,37 @@
 	"time"
 )
 
-const store = "held(folder = \"/h\")\n"
+const heldCall = "held(folder = \"/h\")\n"
 
-func TestFaultsNameTheirPlace(t *testing.T) {
+// Errors of a script start with file, line and column, followed by the cause.
+func TestErrorPositions(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"syntax", "held(folder = \n\n", "s.star:3:1: got end of file"},
 		{"unknown name", "x = 1\n  \ny = what", "s.star:3:5: undefined: what"},
 		{"unknown bound", "held(folder = \"/h\", colour = 1)", "s.star:1:5: held: unexpected keyword argument \"colour\""},
 		{"bad bound", "\nheld(folder = \"/h\", max_records = 0)", "s.star:2:5: held: max_records"},
-		{"twice", store + store, "s.star:2:5: held: called twice"},
-		{"no store", "def hold(record, partner):\n  return HOLD", "s.star: rules hold and after need a store"},
-		{"shape", store + "def hold(record):\n  return HOLD", "s.star:2:1: hold takes (record, partner)"},
-		{"no function", store + "hold = 1", "s.star: hold is a int"},
+		{"twice", heldCall + heldCall, "s.star:2:5: held: called twice"},
+		{"no store", "def hold(record, partner):\n  return HOLD", "s.star: rules hold and after require a dead-letter queue"},
+		{"shape", heldCall + "def hold(record):\n  return HOLD", "s.star:2:1: hold must have the parameters (record, partner)"},
+		{"no function", heldCall + "hold = 1", "s.star: hold is a int"},
 		{"load", "load(\"x\", \"y\")", "s.star:1:1: load"},
-		{"span", "resend(within = -1)", "s.star:1:7: within"},
-		{"nan", "resend(within = float(\"nan\"))", "s.star:1:7: within"},
+		{"span", "resend(within = -1)", "s.star:1:7: within: got"},
+		{"nan", "resend(within = float(\"nan\"))", "s.star:1:7: within: got"},
 		{"method", "x = \"a\".join([])", "s.star:1:9: no field or method .join"},
 		{"union", "x = {} | {}", "s.star:1:5: the operator |"},
 		{"steps", "def f():\n  for i in range(10000):\n    for j in range(10000):\n      pass\nf()",
 			"s.star:3:5: Starlark computation cancelled: too many steps"},
-		{"durability", "\njournal(durability = \"some\")", "s.star:2:8: journal: durability: \"some\" is none of"},
-		{"long wait", "journal(durability = \"group\", wait = 2)", "s.star:1:8: journal: wait: a second at most"},
-		{"socket", "admin(socket = \"/" + strings.Repeat("x", 120) + "\")", "s.star:1:6: admin: the path"},
-		{"agent without itself", `agent(name = "a", listen = "127.0.0.1:1", folder = "f", agents = {"b": "127.0.0.1:2"}, version = "v", program = "p")`, "s.star:1:6: agent: agents: a itself"},
-		{"no agent", "budget(fleet = 2)", "s.star: sender, budget and timing are an agent's"},
-		{"no budget", "budget(fleet = 0)", "s.star:1:7: budget: fleet: 1 at the least"},
+		{"durability", "\njournal(durability = \"some\")", "s.star:2:8: journal: durability: \"some\" is not process"},
+		{"long wait", "journal(durability = \"group\", wait = 2)", "s.star:1:8: journal: wait must be at most one second"},
+		{"socket", "admin(socket = \"/" + strings.Repeat("x", 120) + "\")", "s.star:1:6: admin: the path of the socket must"},
+		{"agent without itself", `agent(name = "a", listen = "127.0.0.1:1", folder = "f", agents = {"b": "127.0.0.1:2"}, version = "v", program = "p")`, "s.star:1:6: agent: agents: the agent itself, a, is missing"},
+		{"no agent", "budget(fleet = 2)", "s.star: sender, budget and timing require an agent"},
+		{"no budget", "budget(fleet = 0)", "s.star:1:7: budget: fleet must be at least 1"},
 		{"one address twice", `sender(name = "n", config = "c", admin = ["127.0.0.1:1", "127.0.0.1:1"])`,
-			"s.star:1:7: sender: admin: 127.0.0.1:1 is another one's"},
+			"s.star:1:7: sender: admin: 127.0.0.1:1 is already in use"},
 		{"no address", `sender(name = "n", config = "c", admin = ["127.0.0.1:1", 5])`,
-			"s.star:1:7: sender: admin: 5 is no address"},
-		{"two of a name", "def f(p):\n  return sender(name = \"n\", config = \"c\", admin = [p + \":1\", p + \":2\"])\nx = [f(p) for p in [\"a\", \"b\"]]", "s.star:2:16: sender: two of name n"},
+			"s.star:1:7: sender: admin: 5 is not a host:port address"},
+		{"two of a name", "def f(p):\n  return sender(name = \"n\", config = \"c\", admin = [p + \":1\", p + \":2\"])\nx = [f(p) for p in [\"a\", \"b\"]]", "s.star:2:16: sender: duplicate name n"},
 		{"change", `sender(name = "n", config = "c", admin = ["127.0.0.1:1", "127.0.0.1:2"], change = "magic")`,
 			"s.star:1:7: sender: change: \"magic\""},
 		{"timing", "timing(lease = 0)", "s.star:1:7: timing: lease"},
@@ -49,8 +50,8 @@
 	}
 }
 
-// No step may build what the memory does not hold.
-func TestStepsAreSmall(t *testing.T) {
+// Scripts can't create values that exhaust memory within their limit of steps.
+func TestRejectsOversizedValues(t *testing.T) {
 	for _, text := range []string{
 		`x = "x" * 1000000000`, `x = [0] * 1000000000`, `x = range(1000000000)`, `x = 1 << 60 << 60 << 1`,
 		"def f():\n  s = \"xx\"\n  for i in range(40):\n    s += s\nf()",
@@ -60,13 +61,15 @@
 		`x = getattr("x", "join")`, `x = str([1])`, `x = "%s" % "y"`, `x = "{}".format(1)`,
 	} {
 		if _, err := Parse("s.star", []byte(text)); err == nil {
-			t.Errorf("taken: %s", text)
+			t.Errorf("script was accepted: %s", text)
 		}
 	}
 }
 
+// Hold and Decide return the results of the rules, and their defaults with an error if a rule fails or returns a wrong
+// type.
 func TestRules(t *testing.T) {
-	const text = store + `
+	const text = heldCall + `
 resend(within = 5 * MINUTE)
 
 def hold(record, partner):
@@ -106,9 +109,9 @@
 		{"little time", Record{Class: "print", TimeLeft: time.Second}, Partner{}, true, ""},
 		{"partner down", Record{Class: "print", TimeLeft: time.Minute}, Partner{Failing: time.Minute}, true, ""},
 		{"else", Record{Class: "print", TimeLeft: time.Minute}, Partner{}, false, ""},
-		{"endless, its client's", Record{Class: "loop", Deferred: true}, Partner{}, false, "s.star:10:"},
-		{"endless, nobody's", Record{Class: "loop"}, Partner{}, true, "too many steps"},
-		{"no answer", Record{Class: "odd"}, Partner{}, true, "hold answered int"},
+		{"endless, would be deferred", Record{Class: "loop", Deferred: true}, Partner{}, false, "s.star:10:"},
+		{"endless, would not be deferred", Record{Class: "loop"}, Partner{}, true, "too many steps"},
+		{"wrong result type", Record{Class: "odd"}, Partner{}, true, "hold returned int"},
 	} {
 		got, err := s.Hold(c.r, c.p)
 		if got != c.want || (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
@@ -123,10 +126,10 @@
 		err  bool
 	}{
 		{"again", Record{}, Partner{}, Decision{Action: Redeliver, Delay: 2 * time.Second, Within: 5 * time.Minute}, false},
-		{"told to wait", Record{}, Partner{RetryAfter: time.Minute}, Decision{Action: KeepRecord, ReviewIn: time.Minute},
+		{"Retry-After", Record{}, Partner{RetryAfter: time.Minute}, Decision{Action: KeepRecord, ReviewIn: time.Minute},
 			false},
-		{"often enough", Record{Resends: 3}, Partner{}, Decision{Action: DropRecord}, false},
-		{"a rule that fails keeps", Record{Tenant: "bad"}, Partner{}, Decision{}, true},
+		{"redelivered often enough", Record{Resends: 3}, Partner{}, Decision{Action: DropRecord}, false},
+		{"a failed rule keeps the record", Record{Tenant: "bad"}, Partner{}, Decision{}, true},
 	} {
 		if got, err := s.Decide(c.r, c.p); got != c.want || (err != nil) != c.err {
 			t.Errorf("after, %s: %+v %v", c.name, got, err)
@@ -134,6 +137,7 @@
 	}
 }
 
+// Summary describes the failures that each durability level survives.
 func TestJournal(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "over kills", "journal(durability = \"group\", wait = 0.002)": "but for the last 2ms",
--- a/internal/usersocket/usersocket_test.go
+++ b/internal/usersocket/usersocket_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A socket takes the place of one that was there, is its owner's alone, and outlasts Close.
+// Listen replaces an existing socket, gives access to the owner alone, and leaves the path in place after Close.
 func TestListen(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	for range 2 {
@@ -19,28 +19,28 @@
 		if err != nil || info.Mode().Perm() != 0o600 || info.Mode().Type() != os.ModeSocket {
 			t.Fatalf("%v, %v", info, err)
 		}
-		theirs, err := net.Dial("unix", path)
+		client, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ours, err := l.Accept()
+		server, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if uid := PeerUID(ours); uid != os.Getuid() {
+		if uid := PeerUID(server); uid != os.Getuid() {
 			t.Errorf("the peer is user %d, want %d", uid, os.Getuid())
 		}
-		ours.Close()
-		theirs.Close()
+		server.Close()
+		client.Close()
 		l.Close()
 	}
 	if _, err := os.Stat(path); err != nil {
 		t.Error(err)
 	}
 	if _, err := Listen(filepath.Join(t.TempDir(), "missing", "s")); err == nil {
-		t.Error("a socket in a folder that does not exist")
+		t.Error("Listen succeeded in a folder that does not exist")
 	}
 	if uid := PeerUID(&net.TCPConn{}); uid != -1 {
-		t.Errorf("the peer on TCP is user %d", uid)
+		t.Errorf("the peer of a TCP connection is user %d, want -1", uid)
 	}
 }
