--- a/control/actions.go
+++ b/control/actions.go
@@ -22,7 +22,7 @@
 	// Fetch asks for the complete endpoint list once.
 	Fetch()
 	// Gossip tells all peers what was seen. It may be lost, and comes late.
-	Gossip(n Observation)
+	Gossip(observation Observation)
 	// SetTimer asks for a call of Controller.TimerFired after a while.
 	SetTimer(after time.Duration, token uint32)
 	// Log adds a line to the host's log.
--- a/control/calltime.go
+++ b/control/calltime.go
@@ -16,8 +16,8 @@
 	deviation time.Duration // moving average of the distance from T_m
 }
 
-// learn moves the estimate towards the time of the latest call.
-func (t *callTime) learn(elapsed time.Duration) {
+// update moves the estimate towards the time of the latest call.
+func (t *callTime) update(elapsed time.Duration) {
 	if t.mean == 0 {
 		t.mean, t.deviation = elapsed, elapsed/2
 	}
@@ -26,9 +26,9 @@
 }
 
 // upperBound is the time within which a call is answered if all is well; unknown is returned before the first one.
-func (t *callTime) upperBound(unknown time.Duration) time.Duration {
+func (t *callTime) upperBound(fallback time.Duration) time.Duration {
 	if t.mean == 0 {
-		return unknown
+		return fallback
 	}
 	return max(t.mean+time.Duration(expectedDeviations*float64(t.deviation)), 2*t.mean)
 }
@@ -45,14 +45,14 @@
 // that rests on few or old answers.
 type callTimeDrift float64
 
-// learn takes the time of the latest call to a destination with this T_m, of which floor is the least that counts.
-func (f *callTimeDrift) learn(elapsed, mean, floor time.Duration) {
-	*f += callTimeDrift(callTimeDriftWeight * (float64(elapsed)/float64(max(mean, floor, 1)) - float64(*f)))
+// update takes the time of the latest call to a destination with this T_m, of which floor is the least that counts.
+func (d *callTimeDrift) update(elapsed, mean, floor time.Duration) {
+	*d += callTimeDrift(callTimeDriftWeight * (float64(elapsed)/float64(max(mean, floor, 1)) - float64(*d)))
 }
 
-// stretch lengthens an expected time as calls take longer lately; it never shortens one.
-func (f callTimeDrift) stretch(expected time.Duration) time.Duration {
-	return time.Duration(float64(expected) * max(1, float64(f)))
+// scale lengthens an expected time as calls take longer lately; it never shortens one.
+func (d callTimeDrift) scale(expected time.Duration) time.Duration {
+	return time.Duration(float64(expected) * max(1, float64(d)))
 }
 
 // A stallDetector finds pauses of a destination: gaps between its answers far above the usual one while calls were in
@@ -63,8 +63,8 @@
 	stalledUntil time.Duration // the time of calls sent before this holds a stall
 }
 
-// answered takes an answer to a call sent at sentAt.
-func (s *stallDetector) answered(now, sentAt time.Duration) {
+// recordAnswer takes an answer to a call sent at sentAt.
+func (s *stallDetector) recordAnswer(now, sentAt time.Duration) {
 	gap := now - max(sentAt, s.lastAnswerAt)
 	if s.usualGap > 0 && float64(gap) > stallFactor*float64(s.usualGap) {
 		s.stalledUntil = now
@@ -81,12 +81,13 @@
 	}
 }
 
-// learnCallTime takes the time of a served call. Rejections and errors say nothing of the call time, and a timeout only
-// that it is longer: either would let T_m, and both tests of a round with it, follow the fault and not the work.
-func (c *Controller) learnCallTime(dest *destination, elapsed time.Duration) {
-	c.callTimeDrift.learn(elapsed, dest.callTime.mean, c.settings.Tick)
-	dest.callTime.learn(elapsed)
-	c.overallCallTime.learn(elapsed)
+// recordCallTime adds the time of a served call to the estimates. Rejections and errors do not show the call time, and
+// a timeout is only a lower bound: with them T_m, and with it both checks of a selection round, would depend on faults
+// instead of work.
+func (c *Controller) recordCallTime(dest *destination, elapsed time.Duration) {
+	c.callTimeDrift.update(elapsed, dest.callTime.mean, c.settings.Tick)
+	dest.callTime.update(elapsed)
+	c.overallCallTime.update(elapsed)
 	dest.consecutiveTimeouts = 0
 	dest.callTimeSamples++
 }
@@ -95,5 +96,5 @@
 // timeout is only a lower bound.
 func (c *Controller) expectedCallTime(dest *destination, class *Class) time.Duration {
 	bound := dest.callTime.upperBound(class.LatencyObjective / 2)
-	return c.callTimeDrift.stretch(bound << min(dest.consecutiveTimeouts, maxTimeoutDoublings))
+	return c.callTimeDrift.scale(bound << min(dest.consecutiveTimeouts, maxTimeoutDoublings))
 }
--- a/control/calltime_test.go
+++ b/control/calltime_test.go
@@ -120,7 +120,7 @@
 	} {
 		var estimate callTime
 		for _, elapsed := range c.calls {
-			estimate.learn(elapsed)
+			estimate.update(elapsed)
 		}
 		if bound := estimate.upperBound(700 * ms); estimate.mean != c.mean || bound.Round(ms/2) != c.bound {
 			t.Errorf("%s: T_m %v, at most %v; want %v and %v", c.name, estimate.mean, bound, c.mean, c.bound)
@@ -139,9 +139,9 @@
 	} {
 		var stalls stallDetector
 		for at := 100 * ms; at <= 2*time.Second; at += 100 * ms {
-			stalls.answered(at, at-100*ms)
+			stalls.recordAnswer(at, at-100*ms)
 		}
-		if stalls.answered(5*time.Second, c.sentAt); (stalls.stalledUntil > 0) != c.stalled {
+		if stalls.recordAnswer(5*time.Second, c.sentAt); (stalls.stalledUntil > 0) != c.stalled {
 			t.Errorf("%s: stalled until %v", c.name, stalls.stalledUntil)
 		}
 	}
--- a/control/circuitbreaker.go
+++ b/control/circuitbreaker.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	circuitOpenFailures = 3    // failures in a row that open a circuit
-	firstTrialDivisor   = 4    // the first trial comes within WarmUp divided by this...
-	firstTrialFleet     = 8    // ...and within the overload window times the fleet size divided by this
-	maxTrialDivisor     = 8    // the longest time between trials: WarmUp divided by this, or what the fair share asks
-	minTrialRate        = 0.01 // trial calls a second, below which the fair share does not count
+	circuitOpenFailures    = 3    // failures in a row that open a circuit
+	firstTrialDivisor      = 4    // the first trial comes within WarmUp divided by this...
+	firstTrialFleetDivisor = 8    // ...and within the overload window times the fleet size divided by this
+	maxTrialDivisor        = 8    // the longest time between trials: WarmUp divided by this, or what the fair share asks
+	minTrialRate           = 0.01 // trial calls a second, below which the fair share does not count
 )
 
 // A circuitBreaker follows the failures of a route. While its circuit is open the route gets trial calls only. The zero
 // value is closed.
 type circuitBreaker struct {
-	open                bool
-	consecutiveFailures int
-	failingSince        time.Duration // the first of them
-	lastFailureAt       time.Duration
-	lastSuccessAt       time.Duration
-	callTimeBefore      time.Duration // T_m when the circuit opened
-	probeFirst          bool          // open: a call may be lost, so a health check goes before a trial call
-	probeSucceeded      bool          // open: a health check was answered, so one trial call may go
-	nextTrial           time.Duration
-	backoff             time.Duration // open: until the trial after the next
+	open                 bool
+	consecutiveFailures  int
+	failingSince         time.Duration // the first of them
+	lastFailureAt        time.Duration
+	lastSuccessAt        time.Duration
+	callTimeBefore       time.Duration // T_m when the circuit opened
+	healthCheckFirst     bool          // open: a call may be lost, so a health check goes before a trial call
+	healthCheckSucceeded bool          // open: a health check was answered, so one trial call may go
+	nextTrial            time.Duration
+	backoff              time.Duration // open: until the trial after the next
 }
 
 // trip opens the circuit, or lengthens the time to the next trial if it is open: by first at the start, and no more
 // than longest. The draw, from 0 to 1, spreads trials by a quarter either way.
-func (b *circuitBreaker) trip(now, callTime, first, longest time.Duration, draw float64) {
+func (b *circuitBreaker) trip(now, callTime, first, longest time.Duration, random float64) {
 	if !b.open {
 		b.open, b.backoff, b.callTimeBefore = true, first, callTime
 	}
-	b.nextTrial = now + time.Duration((0.75+draw/2)*float64(b.backoff))
+	b.nextTrial = now + time.Duration((0.75+random/2)*float64(b.backoff))
 	b.backoff = min(b.backoff*2, longest)
 }
 
@@ -40,11 +40,13 @@
 
 // allowsTrial reports whether an open circuit lets a trial call go now.
 func (b *circuitBreaker) allowsTrial(now time.Duration, canHealthCheck bool) bool {
-	return b.probeSucceeded || now >= b.nextTrial && !(b.probeFirst && canHealthCheck)
+	return b.healthCheckSucceeded || now >= b.nextTrial && !(b.healthCheckFirst && canHealthCheck)
 }
 
-// wantsProbe reports whether a health check has to go before the next trial call.
-func (b *circuitBreaker) wantsProbe() bool { return b.open && b.probeFirst && !b.probeSucceeded }
+// needsHealthCheck reports whether a health check has to go before the next trial call.
+func (b *circuitBreaker) needsHealthCheck() bool {
+	return b.open && b.healthCheckFirst && !b.healthCheckSucceeded
+}
 
 // recordFailure takes the failure of a call sent at sentAt and reports whether it counts: calls that were sent together
 // fail together and count as one.
@@ -70,7 +72,7 @@
 func (c *Controller) openCircuit(endpoint *endpoint) {
 	interval, window := c.trialInterval(endpoint), c.settings.OverloadWindow
 	first := min(interval, c.settings.WarmUp/firstTrialDivisor,
-		window*time.Duration(c.settings.FleetSize)/firstTrialFleet)
+		window*time.Duration(c.settings.FleetSize)/firstTrialFleetDivisor)
 	longest := max(c.settings.WarmUp/maxTrialDivisor, interval)
 	endpoint.route.breaker.trip(c.now, endpoint.destination.callTime.mean, max(first, window/2), longest, c.rng.Float64())
 }
@@ -92,7 +94,7 @@
 		}
 		var to *endpoint
 		for _, e := range dest.endpoints {
-			due := e.route.breaker.wantsProbe() && c.mayHealthCheck(e)
+			due := e.route.breaker.needsHealthCheck() && c.mayHealthCheck(e)
 			if due && (to == nil || e.lastUsedAt < to.lastUsedAt) {
 				to = e
 			}
@@ -125,7 +127,7 @@
 	case result == Rejected && !breaker.open && retryAfter < window && breaker.succeededWithin(c.now, window):
 		// A rejection among served calls is one above a limit, which the rate limit deals with. Taken for an outage
 		// it would cost a pause and a slow start while there is capacity.
-		route.holdUntil(c.now + retryAfter)
+		route.extendRetryAfter(c.now + retryAfter)
 	default:
 		c.recordFailure(endpoint, sentAt, result, retryAfter)
 	}
@@ -166,14 +168,14 @@
 	}
 	dest.concurrencyReduced = true
 	if retryAfter > 0 {
-		route.holdUntil(c.now + retryAfter)
+		route.extendRetryAfter(c.now + retryAfter)
 	}
 	// A long Retry-After tells of a destination that is shut and warms up after it, for the whole fleet at one instant.
 	if retryAfter >= c.settings.OverloadWindow && !breaker.open {
 		c.openCircuit(endpoint)
 		breaker.nextTrial = route.retryAfter + time.Duration(c.rng.Float64()*float64(c.trialInterval(endpoint)))
 	}
-	breaker.probeFirst = result.MayHaveRun()
+	breaker.healthCheckFirst = result.MayHaveRun()
 	// A sender of a large fleet makes few calls: it may meet the same failing endpoints again while others serve.
 	if !breaker.open && breaker.consecutiveFailures >= circuitOpenFailures &&
 		(result == Rejected || !fleetRate || c.allLastCallsFailed(dest)) {
--- a/control/circuitbreaker_test.go
+++ b/control/circuitbreaker_test.go
@@ -198,10 +198,10 @@
 	}{
 		{"before the trial", circuitBreaker{open: true, nextTrial: 5 * s}, 4 * s, false, false},
 		{"trial due", circuitBreaker{open: true, nextTrial: 5 * s}, 5 * s, false, true},
-		{"health check first", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true}, 5 * s, false, false},
-		{"no health checks", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true}, 5 * s, true, true},
-		{"health check answered", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true, probeSucceeded: true}, s,
-			false, true},
+		{"health check first", circuitBreaker{open: true, nextTrial: 5 * s, healthCheckFirst: true}, 5 * s, false, false},
+		{"no health checks", circuitBreaker{open: true, nextTrial: 5 * s, healthCheckFirst: true}, 5 * s, true, true},
+		{"health check answered",
+			circuitBreaker{open: true, nextTrial: 5 * s, healthCheckFirst: true, healthCheckSucceeded: true}, s, false, true},
 	} {
 		if trial := c.breaker.allowsTrial(c.now, !c.noChecks); trial != c.trial {
 			t.Errorf("%s: trial %v", c.name, trial)
--- a/control/connections.go
+++ b/control/connections.go
@@ -27,8 +27,8 @@
 	pending   int // outcomes still to come
 }
 
-// joinsCall reports whether a send to an endpoint would share the call that was made at this instant.
-func (c *Controller) joinsCall(endpoint *endpoint) bool {
+// canJoinCall reports whether a send to an endpoint would share the call that was made at this instant.
+func (c *Controller) canJoinCall(endpoint *endpoint) bool {
 	last := endpoint.lastCall
 	return last != nil && last.pending > 0 && last.startedAt == c.now &&
 		last.size < c.settings.kind(endpoint.Kind).MaxBatch
@@ -92,8 +92,8 @@
 
 // reject takes a rejection: the wait is about callTime, as capacity comes when calls end, and twice as long with each
 // in a row. The draw, from 0 to 1, spreads it by half either way.
-func (b *capacityBackoff) reject(now, callTime time.Duration, draw float64) {
-	b.retryAt = now + time.Duration((0.5+draw)*float64(callTime<<b.rejections))
+func (b *capacityBackoff) reject(now, callTime time.Duration, random float64) {
+	b.retryAt = now + time.Duration((0.5+random)*float64(callTime<<b.rejections))
 	b.rejections = min(b.rejections+1, maxCapacityDoublings)
 }
 
@@ -131,8 +131,8 @@
 	c.released = c.released[:0]
 }
 
-// releaseAll has closeScarceConnections look at the connections of all endpoints.
-func (c *Controller) releaseAll() {
+// markAllReleased has closeScarceConnections look at the connections of all endpoints.
+func (c *Controller) markAllReleased() {
 	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) { // in order, as it decides the order of actions
 		c.released = append(c.released, c.endpoints[id])
 	}
--- a/control/controller.go
+++ b/control/controller.go
@@ -58,35 +58,35 @@
 
 // New returns a controller for one sender that asks act for what is to be done. The error names the setting that no
 // decision could be based on.
-func New(set Settings, act Actions) (*Controller, error) {
-	if err := validate(&set); err != nil {
+func New(settings Settings, actions Actions) (*Controller, error) {
+	if err := validate(&settings); err != nil {
 		return nil, err
 	}
 	return &Controller{
-		settings:     set,
-		actions:      act,
-		rng:          rand.New(rand.NewPCG(set.Seed, 0)),
+		settings:     settings,
+		actions:      actions,
+		rng:          rand.New(rand.NewPCG(settings.Seed, 0)),
 		endpoints:    map[EndpointID]*endpoint{},
 		destinations: map[int]*destination{},
 		messages:     map[MessageID]*message{},
 		sequences:    keySequences{byKey: map[uint64]*keySequence{}},
 		connections:  connectionStats{rejectionRate: map[int]float64{}},
-		peers:        reachability.Detector{FleetSize: set.FleetSize},
+		peers:        reachability.Detector{FleetSize: settings.FleetSize},
 	}, nil
 }
 
 // UpdateSettings takes other settings while messages are open. Each message keeps the class that it came with. Seed,
 // Index, FleetSize, Zone, Kinds, CanGossip and PollsList stay as they were at the start. On an error, which names the
 // setting as that of New does, nothing changes.
-func (c *Controller) UpdateSettings(now time.Duration, set Settings) error {
+func (c *Controller) UpdateSettings(now time.Duration, settings Settings) error {
 	c.advanceClock(now)
 	old := &c.settings
-	set.Seed, set.Index, set.FleetSize, set.Zone = old.Seed, old.Index, old.FleetSize, old.Zone
-	set.Kinds, set.CanGossip, set.PollsList = old.Kinds, old.CanGossip, old.PollsList
-	if err := validate(&set); err != nil {
+	settings.Seed, settings.Index, settings.FleetSize, settings.Zone = old.Seed, old.Index, old.FleetSize, old.Zone
+	settings.Kinds, settings.CanGossip, settings.PollsList = old.Kinds, old.CanGossip, old.PollsList
+	if err := validate(&settings); err != nil {
 		return err
 	}
-	c.settings = set
+	c.settings = settings
 	for _, msg := range slices.Clone(c.openMessages) { // fewer attempts may be allowed than some had
 		if msg.waiting() && !c.mayRetry(msg) {
 			c.finishUndelivered(msg)
@@ -96,14 +96,14 @@
 }
 
 // UpdateEndpoints takes an update of the endpoint list.
-func (c *Controller) UpdateEndpoints(now time.Duration, news ListUpdateKind, list []Endpoint) {
+func (c *Controller) UpdateEndpoints(now time.Duration, kind ListUpdateKind, list []Endpoint) {
 	c.advanceClock(now)
-	c.recordListAnswer(news)
-	if news == ListFull || news == ListCached {
+	c.recordListAnswer(kind)
+	if kind == ListFull || kind == ListCached {
 		c.removeUnlisted(list)
 	}
-	for _, line := range list {
-		c.updateEndpoint(line)
+	for _, entry := range list {
+		c.updateEndpoint(entry)
 	}
 	c.pruneRemoved()
 }
@@ -131,7 +131,7 @@
 	c.messages[msg.ID] = msg
 	c.openMessages = append(c.openMessages, msg)
 	if msg.class.Ordered && msg.Key != 0 {
-		c.sequences.of(msg.Key).add(msg)
+		c.sequences.forKey(msg.Key).add(msg)
 	}
 	dest.traffic.record(now)
 	c.inheritCallTime(dest)
@@ -212,7 +212,7 @@
 	}
 	c.recordLoadReport(endpoint, load)
 	// Health checks may be answered while calls are not: one lets a trial call go, and the answer to that counts.
-	endpoint.route.breaker.probeSucceeded = result == Served
+	endpoint.route.breaker.healthCheckSucceeded = result == Served
 	if result != Served {
 		c.recordHealth(endpoint, now-elapsed, result, 0)
 	}
@@ -243,28 +243,28 @@
 	}
 	endpoint, route, dest := a.endpoint, a.endpoint.route, a.endpoint.destination
 	if o.RetryAfter > 0 {
-		route.holdUntil(c.now + o.RetryAfter)
+		route.extendRetryAfter(c.now + o.RetryAfter)
 	}
-	dest.stalls.answered(c.now, a.sentAt)
+	dest.stalls.recordAnswer(c.now, a.sentAt)
 	if o.Result == Served && c.now != c.resumedAt { // the call time holds no stall of this sender
 		c.recordWarmCall(endpoint, o.Elapsed)
 		if a.sentAt >= dest.stalls.stalledUntil {
-			c.learnCallTime(dest, o.Elapsed)
+			c.recordCallTime(dest, o.Elapsed)
 		}
 	}
 	c.recordConnection(a, o.Result)
 	if o.Result == ConnectionRejected {
 		// In a large fleet the endpoint is full of peers' connections: that proves neither a limit nor an outage.
 		if c.settings.usesFleetRate() && !route.breaker.open {
-			endpoint.connecting.reject(c.now, max(dest.callTime.mean, c.settings.Tick), c.rng.Float64())
+			endpoint.connectBackoff.reject(c.now, max(dest.callTime.mean, c.settings.Tick), c.rng.Float64())
 			return
 		}
 		o.Result = Rejected
 	}
-	endpoint.connecting.rejections = 0
+	endpoint.connectBackoff.rejections = 0
 	c.recordLoadReport(endpoint, o.LoadReport)
 	if c.rejectedAtLimit(route, o) {
-		route.holdUntil(c.now + o.RetryAfter)
+		route.extendRetryAfter(c.now + o.RetryAfter)
 	} else {
 		c.recordHealth(endpoint, a.sentAt, o.Result, o.RetryAfter)
 	}
@@ -273,8 +273,8 @@
 
 // maySend reports whether the rules allow an attempt of a message at an endpoint now. No attempt is made without it.
 func (c *Controller) maySend(msg *message, to *endpoint) bool {
-	return !msg.finished && msg.inFlight == nil && c.now < msg.deadline && c.mayRetry(msg) && msg.keyKnownIn(to.Zone) &&
-		c.firstOfKey(msg) && c.available(to) && (c.freeSlots() > 0 || c.joinsCall(to))
+	return !msg.finished && msg.inFlight == nil && c.now < msg.deadline && c.mayRetry(msg) &&
+		msg.keyValidInZone(to.Zone) && c.isNextOfKey(msg) && c.available(to) && (c.freeSlots() > 0 || c.canJoinCall(to))
 }
 
 // send makes an attempt, if the rules allow it.
@@ -282,7 +282,7 @@
 	if !c.maySend(msg, to) {
 		return
 	}
-	if !c.joinsCall(to) {
+	if !c.canJoinCall(to) {
 		to.lastCall = &call{startedAt: c.now, idleBand: c.closeStaleConnections(to)}
 		to.route.bucket.tokens--
 		c.callsInFlight++
@@ -292,7 +292,7 @@
 	to.lastCall.size++
 	to.lastCall.pending++
 	if to.route.breaker.open {
-		to.route.breaker.probeSucceeded = false
+		to.route.breaker.healthCheckSucceeded = false
 		c.openCircuit(to)
 	}
 	timeout := c.attemptTimeout(msg)
@@ -374,7 +374,7 @@
 		}
 		for _, e := range dest.endpoints {
 			consider(e.route.retryAfter)
-			consider(e.connecting.retryAt)
+			consider(e.connectBackoff.retryAt)
 			consider(e.route.breaker.nextTrial)
 			if rate := c.sendRate(e); rate > 0 {
 				consider(c.now + e.route.bucket.untilToken(rate))
--- a/control/endpointlist.go
+++ b/control/endpointlist.go
@@ -30,11 +30,11 @@
 // idle reports whether there is neither a subscription nor a poll.
 func (p *listPoller) idle() bool { return !p.subscribed && !p.polling }
 
-// answered takes that the list answered.
-func (p *listPoller) answered() { p.subscribed, p.polling, p.failed = true, false, false }
+// recordAnswer takes that the list recordAnswer.
+func (p *listPoller) recordAnswer() { p.subscribed, p.polling, p.failed = true, false, false }
 
-// pollFailed takes that a poll failed or the subscription broke.
-func (p *listPoller) pollFailed(largeFleet bool) {
+// recordFailure takes that a poll failed or the subscription broke.
+func (p *listPoller) recordFailure(largeFleet bool) {
 	p.subscribed, p.polling, p.failed = false, false, largeFleet
 }
 
@@ -69,13 +69,13 @@
 			c.list.nextPoll += time.Duration(c.rng.Float64() * float64(c.settings.PollSpread()))
 		}
 	case ListFailed:
-		c.list.pollFailed(c.settings.usesFleetRate())
+		c.list.recordFailure(c.settings.usesFleetRate())
 		if c.list.failed {
-			c.releaseAll()
+			c.markAllReleased()
 		}
 		c.list.nextPoll = c.now + time.Duration((0.5+c.rng.Float64())*float64(c.settings.pollRetryDelay()))
 	default:
-		c.list.answered()
+		c.list.recordAnswer()
 	}
 }
 
@@ -88,41 +88,41 @@
 }
 
 // updateEndpoint takes one line of the list.
-func (c *Controller) updateEndpoint(line Endpoint) {
-	known := c.endpoints[line.ID]
+func (c *Controller) updateEndpoint(entry Endpoint) {
+	known := c.endpoints[entry.ID]
 	switch {
-	case known == nil && line.State == Removed:
+	case known == nil && entry.State == Removed:
 	case known == nil:
-		c.addEndpoint(line)
-	case line.State == Removed:
+		c.addEndpoint(entry)
+	case entry.State == Removed:
 		c.removeEndpoint(known)
 	default:
-		line.Destination = known.Destination // an endpoint never changes its destination
-		known.Endpoint = line
+		entry.Destination = known.Destination // an endpoint never changes its destination
+		known.Endpoint = entry
 	}
 }
 
 // addEndpoint adds an endpoint to its destination, in order of id.
-func (c *Controller) addEndpoint(line Endpoint) {
-	dest := c.destination(line.Destination)
-	added := &endpoint{Endpoint: line, destination: dest, route: dest.sharedRoute}
-	if c.settings.kind(line.Kind).SeparateRoutes {
+func (c *Controller) addEndpoint(entry Endpoint) {
+	dest := c.destination(entry.Destination)
+	added := &endpoint{Endpoint: entry, destination: dest, route: dest.sharedRoute}
+	if c.settings.kind(entry.Kind).SeparateRoutes {
 		added.route = c.newRoute()
 	}
 	if c.settings.usesFleetRate() { // the fleet must not begin with the same one
-		order := rand.New(rand.NewPCG(c.settings.Seed, uint64(line.ID)))
+		order := rand.New(rand.NewPCG(c.settings.Seed, uint64(entry.ID)))
 		added.lastUsedAt = -time.Duration(order.Int64N(int64(time.Second)))
 	}
-	c.endpoints[line.ID] = added
-	i := sort.Search(len(dest.endpoints), func(i int) bool { return dest.endpoints[i].ID > line.ID })
+	c.endpoints[entry.ID] = added
+	i := sort.Search(len(dest.endpoints), func(i int) bool { return dest.endpoints[i].ID > entry.ID })
 	dest.endpoints = slices.Insert(dest.endpoints, i, added)
 }
 
 // removeUnlisted removes the endpoints that a complete list leaves out.
 func (c *Controller) removeUnlisted(list []Endpoint) {
 	listed := make(map[EndpointID]bool, len(list))
-	for _, line := range list {
-		listed[line.ID] = true
+	for _, entry := range list {
+		listed[entry.ID] = true
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) { // in order, as it decides the order of actions
 		if !listed[id] {
--- a/control/endpointlist_test.go
+++ b/control/endpointlist_test.go
@@ -163,9 +163,9 @@
 	}{
 		{"at its time", func() {}, true},
 		{"under way", func() { p.polling = true }, false},
-		{"failed", func() { p.pollFailed(true) }, true},
-		{"answered", func() { p.answered() }, false},
-		{"subscription broke", func() { p.pollFailed(false) }, true},
+		{"failed", func() { p.recordFailure(true) }, true},
+		{"answered", func() { p.recordAnswer() }, false},
+		{"subscription broke", func() { p.recordFailure(false) }, true},
 	} {
 		if c.change(); p.due(time.Second) != c.due || p.due(time.Second-1) {
 			t.Errorf("%s: due %v", c.name, p.due(time.Second))
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -19,11 +19,11 @@
 	ObservedDown                      // a call failed
 	ObservedUp                        // a call was served where those of others failed
 	ObservedWarm                      // a call to one that is warming up was served as quickly as before
-	observationKinds
+	observationKindCount
 )
 
 // Known reports whether this version knows the kind.
-func (s ObservationKind) Known() bool { return s > ObservedNothing && s < observationKinds }
+func (k ObservationKind) Known() bool { return k > ObservedNothing && k < observationKindCount }
 
 // Observation is one thing that a sender saw of an endpoint. It proves nothing of any message.
 type Observation struct {
@@ -35,26 +35,27 @@
 
 // ReceiveGossip takes an observation of a peer in a large fleet. It never makes this sender send what it could not
 // have found out by calls of its own.
-func (c *Controller) ReceiveGossip(now time.Duration, n Observation) {
+func (c *Controller) ReceiveGossip(now time.Duration, observation Observation) {
 	c.advanceClock(now)
-	endpoint := c.endpoints[n.Endpoint]
+	endpoint := c.endpoints[observation.Endpoint]
 	if endpoint == nil || !c.settings.usesFleetRate() {
 		return
 	}
-	c.peers.RecordPeer(now, n.Peer)
-	if n.Kind == ReachabilityQuery && c.peers.ShouldReply(c.rng.Float64()) {
-		c.actions.Gossip(Observation{Endpoint: n.Endpoint, Kind: ReachabilityReply})
+	c.peers.RecordPeer(now, observation.Peer)
+	if observation.Kind == ReachabilityQuery && c.peers.ShouldReply(c.rng.Float64()) {
+		c.actions.Gossip(Observation{Endpoint: observation.Endpoint, Kind: ReachabilityReply})
 	}
-	route, observedAt := endpoint.route, now-n.Age
-	switch n.Kind {
+	route, observedAt := endpoint.route, now-observation.Age
+	switch observation.Kind {
 	case ObservedRejection:
 		if !route.slowStart.active && observedAt >= route.limit.reducedAt {
 			c.reduceFleetRate(route)
 		}
 	case ObservedDown, ObservedUp:
-		c.mergePeerReport(endpoint, fleethealth.Report{Peer: n.Peer, At: observedAt, Up: n.Kind == ObservedUp})
+		up := observation.Kind == ObservedUp
+		c.mergePeerReport(endpoint, fleethealth.Report{Peer: observation.Peer, At: observedAt, Up: up})
 	case ObservedWarm:
-		if observedAt > route.slowStart.recoveredAt && route.slowStart.addWarmReport(n.Peer) {
+		if observedAt > route.slowStart.recoveredAt && route.slowStart.addWarmReport(observation.Peer) {
 			route.slowStart.advance(c.settings.WarmUp)
 		}
 	case ObservedRecovery:
@@ -78,8 +79,8 @@
 // mergePeerReport takes what a peer found of an endpoint. An endpoint that is up again counts as just used at as many
 // senders as make its fair share of them, so that these look at it first.
 func (c *Controller) mergePeerReport(endpoint *endpoint, report fleethealth.Report) {
-	ownOver, recovered := endpoint.health.Merge(c.now, report, c.fleetHealthParams(), c.rng.Float64())
-	if ownOver {
+	ownFailureCleared, recovered := endpoint.health.Merge(c.now, report, c.fleetHealthParams(), c.rng.Float64())
+	if ownFailureCleared {
 		endpoint.consecutiveFailures = 0
 	}
 	if recovered && c.rng.Float64()*float64(len(endpoint.destination.endpoints)) < 1 {
@@ -97,8 +98,8 @@
 // gossipRejection tells peers of a rejection of a call sent age ago, and asks whether any of them can be reached, as
 // the reachability detector decides.
 func (c *Controller) gossipRejection(endpoint *endpoint, age time.Duration) {
-	tell, query := c.peers.Rejected(c.now)
-	if tell {
+	gossip, query := c.peers.Rejected(c.now)
+	if gossip {
 		c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: ObservedRejection, Age: age})
 	}
 	if query {
--- a/control/handover.go
+++ b/control/handover.go
@@ -66,15 +66,15 @@
 
 func (e *endpoint) restore(now time.Duration, state RouteState) {
 	route, dest := e.route, e.destination
-	route.holdUntil(now + state.RetryAfter)
+	route.extendRetryAfter(now + state.RetryAfter)
 	breaker := &route.breaker
 	breaker.consecutiveFailures = state.ConsecutiveFailures
 	breaker.failingSince, breaker.lastFailureAt = now-state.FailingFor, now
 	breaker.open, breaker.nextTrial, breaker.backoff = state.CircuitOpen, now+state.NextTrial, state.Backoff
 	breaker.callTimeBefore = state.CallTime
-	breaker.probeFirst = state.CircuitOpen // whether the trial calls may have run is not told
+	breaker.healthCheckFirst = state.CircuitOpen // whether the trial calls may have run is not told
 	if route.slowStart.active = state.SlowStart; state.SlowStart {
-		route.slowStart.recoveredAt, route.slowStart.risingFrom = now-state.RecoveredFor, now-state.RecoveredFor
+		route.slowStart.recoveredAt, route.slowStart.rampStart = now-state.RecoveredFor, now-state.RecoveredFor
 		route.bucket.tokens = 0
 	}
 	if state.LimitFraction > 0 && state.LimitFraction <= 1 {
@@ -89,10 +89,10 @@
 
 // ApplyRetryAfter has a Retry-After bind an endpoint that was told before the endpoint was listed, as by another one at
 // its address.
-func (c *Controller) ApplyRetryAfter(now time.Duration, id EndpointID, wait time.Duration) {
+func (c *Controller) ApplyRetryAfter(now time.Duration, id EndpointID, retryAfter time.Duration) {
 	c.advanceClock(now)
 	if e := c.endpoints[id]; e != nil {
-		e.route.holdUntil(now + wait)
+		e.route.extendRetryAfter(now + retryAfter)
 	}
 }
 
@@ -104,7 +104,7 @@
 
 // RemoteOutcome takes the outcome of a call that another process of this sender had in flight, sent so long ago: its
 // Retry-After binds, and it tells of the endpoint's health. The host sees to its message.
-func (c *Controller) RemoteOutcome(now time.Duration, o Outcome, ago time.Duration) {
+func (c *Controller) RemoteOutcome(now time.Duration, o Outcome, sinceSent time.Duration) {
 	c.advanceClock(now)
 	e := c.endpoints[o.Endpoint]
 	if e == nil {
@@ -115,7 +115,7 @@
 		return // they say nothing of the endpoint's health
 	}
 	if o.RetryAfter > 0 {
-		e.route.holdUntil(c.now + o.RetryAfter)
+		e.route.extendRetryAfter(c.now + o.RetryAfter)
 	}
-	c.recordHealth(e, now-ago, o.Result, o.RetryAfter)
+	c.recordHealth(e, now-sinceSent, o.Result, o.RetryAfter)
 }
--- a/control/loadbalancer.go
+++ b/control/loadbalancer.go
@@ -20,8 +20,8 @@
 	bucket     tokenBucket
 }
 
-// holdUntil has nothing sent before at; a later time that holds already stays.
-func (r *route) holdUntil(at time.Duration) { r.retryAfter = max(r.retryAfter, at) }
+// extendRetryAfter has nothing sent before at; a later time that holds already stays.
+func (r *route) extendRetryAfter(at time.Duration) { r.retryAfter = max(r.retryAfter, at) }
 
 // An endpoint is a listed endpoint with what its own calls have shown.
 type endpoint struct {
@@ -33,7 +33,7 @@
 	lastUsedAt          time.Duration
 	lastSuccessAt       time.Duration
 	connected           bool // a connection is thought open
-	connecting          capacityBackoff
+	connectBackoff      capacityBackoff
 	removedAt           time.Duration // when the list left it out
 	lastCall            *call         // which messages sent at the same instant may share; nil = none yet
 	health              fleethealth.Health
@@ -55,13 +55,13 @@
 // breaker, slow start and rate limit let one go.
 func (c *Controller) available(endpoint *endpoint) bool {
 	route := endpoint.route
-	if endpoint.State != Ready || c.now < max(route.retryAfter, endpoint.connecting.retryAt) {
+	if endpoint.State != Ready || c.now < max(route.retryAfter, endpoint.connectBackoff.retryAt) {
 		return false
 	}
 	if route.breaker.open {
 		return route.breaker.allowsTrial(c.now, c.settings.CanHealthCheck)
 	}
-	if c.joinsCall(endpoint) {
+	if c.canJoinCall(endpoint) {
 		return true
 	}
 	c.refillTokens(endpoint)
@@ -81,13 +81,13 @@
 // at once: a further message in a call costs neither a slot nor a part of the limit.
 func (c *Controller) pickEndpoint(dest *destination, msg *message) *endpoint {
 	var best *endpoint
-	full := dest.callsInFlight >= c.concurrencyLimit(dest)
+	atLimit := dest.callsInFlight >= c.concurrencyLimit(dest)
 	for _, e := range dest.endpoints {
-		joins := c.joinsCall(e)
-		if full && !joins || !c.maySend(msg, e) {
+		joinsCall := c.canJoinCall(e)
+		if atLimit && !joinsCall || !c.maySend(msg, e) {
 			continue
 		}
-		if joins {
+		if joinsCall {
 			return e
 		}
 		if best == nil || c.preferred(msg, e, best) {
--- a/control/ordering.go
+++ b/control/ordering.go
@@ -20,8 +20,8 @@
 // remove takes out a message that is finished.
 func (s *keySequence) remove(msg *message) { s.queue = without(s.queue, msg) }
 
-// mayGo reports whether it is the message's turn.
-func (s *keySequence) mayGo(msg *message, now time.Duration) bool {
+// isNext reports whether it is the message's turn.
+func (s *keySequence) isNext(msg *message, now time.Duration) bool {
 	return s.queue[0] == msg && s.attemptsInFlight == 0 && (s.pausedBy == msg || now >= s.pausedUntil)
 }
 
@@ -33,8 +33,8 @@
 	}
 }
 
-// unused reports whether no message is in the sequence.
-func (s *keySequence) unused() bool { return len(s.queue) == 0 && s.attemptsInFlight == 0 }
+// empty reports whether no message is in the sequence.
+func (s *keySequence) empty() bool { return len(s.queue) == 0 && s.attemptsInFlight == 0 }
 
 // keySequences holds the sequences of all keys, each until no message is in it and its pause is over.
 type keySequences struct {
@@ -42,8 +42,8 @@
 	idle  []*keySequence // those that a message has left, in that order
 }
 
-// of returns the sequence of a key.
-func (s *keySequences) of(key uint64) *keySequence {
+// forKey returns the sequence forKey a key.
+func (s *keySequences) forKey(key uint64) *keySequence {
 	sequence := s.byKey[key]
 	if sequence == nil {
 		sequence = &keySequence{key: key}
@@ -57,15 +57,15 @@
 	if sequence != nil {
 		s.idle = append(s.idle, sequence)
 	}
-	for len(s.idle) > 0 && (now >= s.idle[0].pausedUntil || !s.idle[0].unused()) {
-		if first := s.idle[0]; first.unused() && s.byKey[first.key] == first {
+	for len(s.idle) > 0 && (now >= s.idle[0].pausedUntil || !s.idle[0].empty()) {
+		if first := s.idle[0]; first.empty() && s.byKey[first.key] == first {
 			delete(s.byKey, first.key)
 		}
 		s.idle = s.idle[1:]
 	}
 }
 
-// firstOfKey reports whether the order of its key lets the message go.
-func (c *Controller) firstOfKey(msg *message) bool {
-	return msg.sequence == nil || msg.sequence.mayGo(msg, c.now)
+// isNextOfKey reports whether the order of its key lets the message go.
+func (c *Controller) isNextOfKey(msg *message) bool {
+	return msg.sequence == nil || msg.sequence.isNext(msg, c.now)
 }
--- a/control/ordering_test.go
+++ b/control/ordering_test.go
@@ -33,7 +33,7 @@
 func TestKeySequence(t *testing.T) {
 	sequences := keySequences{byKey: map[uint64]*keySequence{}}
 	first, second := &message{}, &message{}
-	s := sequences.of(5)
+	s := sequences.forKey(5)
 	s.add(first)
 	s.add(second)
 	for _, c := range []struct {
@@ -49,12 +49,12 @@
 		{"pause over", time.Second, func() {}, false, true},
 	} {
 		c.change()
-		if a, b := s.mayGo(first, c.now), s.mayGo(second, c.now); a != c.first || b != c.second {
+		if a, b := s.isNext(first, c.now), s.isNext(second, c.now); a != c.first || b != c.second {
 			t.Errorf("%s: the first may go %v, the second %v", c.name, a, b)
 		}
 	}
 	s.remove(second)
-	if sequences.release(s, 999*ms); sequences.of(5) != s {
+	if sequences.release(s, 999*ms); sequences.forKey(5) != s {
 		t.Error("dropped within its pause")
 	}
 	if sequences.release(nil, time.Second); len(sequences.byKey) > 0 {
--- a/control/queue.go
+++ b/control/queue.go
@@ -80,15 +80,15 @@
 
 // weightAt is what a message of the class brings when served at that age. Past the latency objective it falls, to
 // LateWeight of the full weight at the deadline; halving makes it halve with each further objective.
-func (k *Class) weightAt(age time.Duration, halving bool) float64 {
-	if age <= k.LatencyObjective {
-		return k.PriorityWeight
+func (c *Class) weightAt(age time.Duration, halving bool) float64 {
+	if age <= c.LatencyObjective {
+		return c.PriorityWeight
 	}
 	if halving {
-		return k.PriorityWeight * max(k.LateWeight, math.Exp2(1-float64(age)/float64(max(k.LatencyObjective, 1))))
+		return c.PriorityWeight * max(c.LateWeight, math.Exp2(1-float64(age)/float64(max(c.LatencyObjective, 1))))
 	}
-	late := float64(age-k.LatencyObjective) / float64(max(k.Deadline-k.LatencyObjective, 1))
-	return k.PriorityWeight * (1 - (1-k.LateWeight)*min(late, 1))
+	late := float64(age-c.LatencyObjective) / float64(max(c.Deadline-c.LatencyObjective, 1))
+	return c.PriorityWeight * (1 - (1-c.LateWeight)*min(late, 1))
 }
 
 // age is the time since the message was first submitted, wherever that was.
@@ -158,28 +158,28 @@
 func (c *Controller) runSelection() {
 	for {
 		var best *message
-		var to *endpoint
-		most := 0.0
+		var bestEndpoint *endpoint
+		bestValue := 0.0
 		for _, dest := range c.busy {
 			msg, endpoint := c.selectionRound(dest)
 			if msg == nil {
 				continue
 			}
 			value := c.weightPerSecond(msg)
-			if c.joinsCall(endpoint) {
+			if c.canJoinCall(endpoint) {
 				value = math.Inf(1) // it takes no slot
 			} else if c.slotReserved(value) {
 				continue
 			}
-			if best == nil || value > most {
-				best, to, most = msg, endpoint, value
+			if best == nil || value > bestValue {
+				best, bestEndpoint, bestValue = msg, endpoint, value
 			}
 		}
 		if best == nil {
 			return
 		}
 		best.destination.dequeue(best)
-		c.send(best, to)
+		c.send(best, bestEndpoint)
 	}
 }
 
@@ -210,21 +210,21 @@
 // weight when served now, then the one that has waited longest.
 func (c *Controller) queueHead(dest *destination, queue []*message) (*message, *endpoint) {
 	var best *message
-	var to *endpoint
-	most := 0.0
+	var bestEndpoint *endpoint
+	maxWeight := 0.0
 	for _, msg := range queue {
 		weight := msg.weightWhenServed(c.now, c.settings.WeightHalves)
 		if dest.sharedRoute.breaker.open && msg.class.Idempotency == NotIdempotent {
 			weight = -weight // a trial call may be lost: it should carry a message that may be repeated
 		}
-		if best != nil && weight <= most {
+		if best != nil && weight <= maxWeight {
 			continue
 		}
 		if endpoint := c.pickEndpoint(dest, msg); endpoint != nil {
-			best, to, most = msg, endpoint, weight
+			best, bestEndpoint, maxWeight = msg, endpoint, weight
 		}
 	}
-	return best, to
+	return best, bestEndpoint
 }
 
 // weightWhenServed is the weight that a message brings if it is sent now and served after the expected call time.
--- a/control/retry.go
+++ b/control/retry.go
@@ -25,9 +25,9 @@
 	return now+margin < msg.firstRunAt+msg.class.KeyRetention
 }
 
-// keyKnownIn reports whether a repeat may go to a zone: where keys are scoped to a zone, one that may have run stays in
-// the zone where its repeats are dropped.
-func (msg *message) keyKnownIn(zone int) bool {
+// keyValidInZone reports whether the message may be sent to a zone. Where keys are scoped to a zone, a message that may
+// have run stays in its zone, as repeats are dropped only there.
+func (msg *message) keyValidInZone(zone int) bool {
 	return !msg.mayHaveRun || !msg.class.KeyZoneScoped || zone == msg.firstRunZone
 }
 
@@ -43,16 +43,17 @@
 // finishUndelivered ends a message without delivery: rejected if submitting it again is safe, failed otherwise.
 func (c *Controller) finishUndelivered(msg *message) {
 	if msg.mayReject() {
-		c.actions.Reject(msg.ID, c.retryAdvice(msg))
+		c.actions.Reject(msg.ID, c.rejectionRetryAfter(msg))
 	} else if !msg.finished {
 		c.actions.Fail(msg.ID)
 	}
 	c.finish(msg)
 }
 
-// retryAdvice is the Retry-After for a rejected message: the time until the first endpoint of its destination may be
-// called. Where nothing is known it is the latency objective, as the client should not come back at once.
-func (c *Controller) retryAdvice(msg *message) time.Duration {
+// rejectionRetryAfter returns the Retry-After for a rejected message: the time until the first endpoint of its
+// destination may be called. If no endpoint is ready it is the latency objective, so that the client does not retry at
+// once.
+func (c *Controller) rejectionRetryAfter(msg *message) time.Duration {
 	if !c.settings.CanSendRetryAfter {
 		return 0
 	}
@@ -65,9 +66,9 @@
 	if earliest == math.MaxInt64 {
 		earliest = c.now + msg.class.LatencyObjective
 	}
-	shortest := msg.destination.callTime.mean
-	if shortest == 0 {
-		shortest = msg.class.LatencyObjective / 2
+	minDelay := msg.destination.callTime.mean
+	if minDelay == 0 {
+		minDelay = msg.class.LatencyObjective / 2
 	}
-	return min(c.settings.MaxRetryAfter, max(shortest, earliest-c.now))
+	return min(c.settings.MaxRetryAfter, max(minDelay, earliest-c.now))
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -132,9 +132,9 @@
 			return fmt.Errorf("Tenants[%d]: negative Rate or Portion", i)
 		}
 	}
-	figures := []struct {
-		name string
-		bad  bool
+	ranges := []struct {
+		name    string
+		invalid bool
 	}{
 		{"Slots", s.MaxInFlight < 1}, {"Siblings", s.FleetSize < 1}, {"HoldCap", s.MaxOpenMessages < 0},
 		{"SendCap", s.MaxAttempts < 0}, {"StreamsPerConn", s.StreamsPerConn < 0}, {"Tick", s.Tick < 0},
@@ -143,8 +143,8 @@
 		{"FallMultiple", s.OverloadFactor < 0}, {"FallWindow", s.OverloadWindow < 0}, {"MaxAdvice", s.MaxRetryAfter < 0},
 		{"ConnIdle", s.ConnIdleTimeout < 0}, {"ConnectTimeout", s.ConnectTimeout < 0},
 	}
-	for _, f := range figures {
-		if f.bad {
+	for _, f := range ranges {
+		if f.invalid {
 			return fmt.Errorf("%s: out of range", f.name)
 		}
 	}
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -15,13 +15,13 @@
 type slowStart struct {
 	active        bool
 	recoveredAt   time.Duration // the first call served after the outage
-	risingFrom    time.Duration // when the rate began to rise: recoveredAt, or before it where calls were quick
+	rampStart     time.Duration // when the rate began to rise: recoveredAt, or before it where calls were quick
 	warmReporters []int         // peers that reported it warm since recoveredAt
 }
 
 // begin starts a slow start at now.
 func (s *slowStart) begin(now time.Duration) {
-	s.active, s.risingFrom, s.recoveredAt, s.warmReporters = true, now, now, s.warmReporters[:0]
+	s.active, s.rampStart, s.recoveredAt, s.warmReporters = true, now, now, s.warmReporters[:0]
 }
 
 // expire ends the slow start once WarmUp is over.
@@ -33,7 +33,7 @@
 
 // advance shortens the slow start by one step.
 func (s *slowStart) advance(warmUp time.Duration) {
-	s.risingFrom -= time.Duration(float64(warmUp) * warmReportStep)
+	s.rampStart -= time.Duration(float64(warmUp) * warmReportStep)
 }
 
 // addWarmReport takes that a peer found the destination warm and reports whether it counts: each peer once, so that one
@@ -50,7 +50,7 @@
 func (s *slowStart) capacityFraction(now time.Duration, settings *Settings) float64 {
 	fraction := settings.ColdCapacity
 	if settings.WarmUp > 0 {
-		fraction += (1 - fraction) * float64(now-s.risingFrom) / float64(settings.WarmUp)
+		fraction += (1 - fraction) * float64(now-s.rampStart) / float64(settings.WarmUp)
 	}
 	if settings.usesFleetRate() {
 		fraction *= fleetRateSlowStartFactor
@@ -74,7 +74,7 @@
 	if !route.slowStart.active || elapsed > time.Duration(warmCallFactor*float64(route.breaker.callTimeBefore)) {
 		return
 	}
-	if c.settings.usesFleetRate() && c.now-route.slowStart.risingFrom < c.settings.WarmUp { // peers have yet to gain by it
+	if c.settings.usesFleetRate() && c.now-route.slowStart.rampStart < c.settings.WarmUp { // peers have yet to gain by it
 		c.gossipHealth(endpoint, ObservedWarm)
 	}
 	route.slowStart.advance(c.settings.WarmUp)
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -171,7 +171,7 @@
 		for i := range 30 {
 			again.c.ReceiveGossip(again.now, Observation{Endpoint: 0, Kind: ObservedWarm, Peer: i})
 		}
-		if got := rt.slowStart.recoveredAt - rt.slowStart.risingFrom; got != again.set.WarmUp ||
+		if got := rt.slowStart.recoveredAt - rt.slowStart.rampStart; got != again.set.WarmUp ||
 			len(rt.slowStart.warmReporters) > 10 {
 			t.Errorf("return %d: %v earlier by the word of %d", n, got, len(rt.slowStart.warmReporters))
 		}
@@ -196,8 +196,8 @@
 	if n := told(); n < 1 || n > 8 {
 		t.Errorf("told %d times that it is warm", n)
 	}
-	if !e.route.slowStart.active || r.c.now-e.route.slowStart.risingFrom < r.set.WarmUp {
-		t.Errorf("after 20 brisk calls: warming %v, from %v on", e.route.slowStart.active, e.route.slowStart.risingFrom-r.now)
+	if !e.route.slowStart.active || r.c.now-e.route.slowStart.rampStart < r.set.WarmUp {
+		t.Errorf("after 20 brisk calls: warming %v, from %v on", e.route.slowStart.active, e.route.slowStart.rampStart-r.now)
 	}
 }
 
--- a/control/timeout.go
+++ b/control/timeout.go
@@ -77,7 +77,7 @@
 			} else if i > 0 || dest.stalls.lastAnswerAt > a.sentAt {
 				continue
 			}
-			endpoint.route.breaker.probeFirst = true
+			endpoint.route.breaker.healthCheckFirst = true
 			c.openCircuit(endpoint)
 		}
 	}
