--- a/control/actions.go
+++ b/control/actions.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Actions is what a controller asks of its host. The host carries the actions out in the order in which they are asked
-// for, and never calls back into the controller while it does.
+// Actions is the interface through which a controller requests actions from its host. The host executes them in the
+// order of the calls and must not call the controller from within them.
 type Actions interface {
-	// Send makes an attempt to send a message to an endpoint. The attempts of a message count from 0.
+	// Send starts an attempt to send a message to an endpoint. The attempts of a message are numbered from 0.
 	Send(id MessageID, to EndpointID, timeout time.Duration)
-	// Cancel stops waiting for an attempt, whose outcome is Canceled then.
+	// Cancel cancels an attempt, whose outcome is then Canceled.
 	Cancel(id MessageID, attempt int)
-	// Reject answers a message's client that it was not delivered and may safely be submitted again after retryAfter.
+	// Reject responds to a message's client that the message was not delivered and may safely be submitted again after
+	// retryAfter.
 	Reject(id MessageID, retryAfter time.Duration)
-	// Fail answers a message's client that it failed and must not be submitted again.
+	// Fail responds to a message's client that the message failed and must not be submitted again.
 	Fail(id MessageID)
-	// HealthCheck checks an endpoint without a message; Controller.HealthChecked takes the answer.
+	// HealthCheck sends a health check to an endpoint. The host passes its result to Controller.HealthChecked.
 	HealthCheck(to EndpointID)
 	// Disconnect closes the idle connections to an endpoint.
 	Disconnect(to EndpointID)
-	// Watch subscribes to changes of the endpoint list from now on, or ends that.
+	// Watch starts or ends the subscription to changes of the endpoint list.
 	Watch(on bool)
-	// Fetch asks for the complete endpoint list once.
+	// Fetch requests the complete endpoint list once.
 	Fetch()
-	// Gossip tells all peers what was seen. It may be lost, and comes late.
+	// Gossip sends an observation to all peers. It may be lost or delayed.
 	Gossip(observation Observation)
-	// SetTimer asks for a call of Controller.TimerFired after a while.
+	// SetTimer requests a call of Controller.TimerFired with the token after the given time.
 	SetTimer(after time.Duration, token uint32)
-	// Log adds a line to the host's log.
+	// Log writes a line to the host's log.
 	Log(text string)
 }
--- a/control/calltime.go
+++ b/control/calltime.go
@@ -4,19 +4,20 @@
 
 const (
 	callTimeSmoothing   = 0.25 // weight of the latest call in T_m and its deviation
-	expectedDeviations  = 4.0  // a call takes at most T_m and so many mean deviations if all is well
-	stallFactor         = 6.0  // a gap between answers of so many usual gaps is a stall
+	expectedDeviations  = 4.0  // a call to a healthy destination takes at most T_m plus this many mean deviations
+	stallFactor         = 6.0  // a gap between answers above this multiple of the mean gap is a stall
 	callTimeDriftWeight = 0.1  // weight of the latest call in the drift
-	maxTimeoutDoublings = 4    // times that timeouts in a row double the expected call time
+	maxTimeoutDoublings = 4    // maximum number of times that consecutive timeouts double the expected call time
 )
 
-// A callTime is the paper's estimate of the time of a call, from calls that were served. The zero value knows nothing.
+// A callTime is the paper's estimate of the call time, based on served calls. The zero value is an estimate without
+// calls.
 type callTime struct {
-	mean      time.Duration // T_m, an exponentially weighted moving average; 0 = no call was served yet
-	deviation time.Duration // moving average of the distance from T_m
+	mean      time.Duration // T_m, an exponentially weighted moving average; 0 = no call has been served yet
+	deviation time.Duration // moving average of the absolute deviation from T_m
 }
 
-// update moves the estimate towards the time of the latest call.
+// update adds the time of a call to the estimate.
 func (t *callTime) update(elapsed time.Duration) {
 	if t.mean == 0 {
 		t.mean, t.deviation = elapsed, elapsed/2
@@ -25,7 +26,8 @@
 	t.mean = ewma(t.mean, elapsed)
 }
 
-// upperBound is the time within which a call is answered if all is well; unknown is returned before the first one.
+// upperBound returns the time within which a healthy destination answers a call, or fallback before the first served
+// call.
 func (t *callTime) upperBound(fallback time.Duration) time.Duration {
 	if t.mean == 0 {
 		return fallback
@@ -33,7 +35,7 @@
 	return max(t.mean+time.Duration(expectedDeviations*float64(t.deviation)), 2*t.mean)
 }
 
-// ewma is the exponentially weighted moving average of the paper.
+// ewma returns the exponentially weighted moving average of the paper after the latest value.
 func ewma(old, latest time.Duration) time.Duration {
 	if old == 0 {
 		return latest
@@ -41,29 +43,29 @@
 	return time.Duration(callTimeSmoothing*float64(latest) + (1-callTimeSmoothing)*float64(old))
 }
 
-// A callTimeDrift is how long calls to all destinations take lately, as a multiple of their T_m. It makes up for a T_m
-// that rests on few or old answers.
+// A callTimeDrift is the recent call time of all destinations as a multiple of their T_m. It corrects a T_m that is
+// based on few or old calls.
 type callTimeDrift float64
 
-// update takes the time of the latest call to a destination with this T_m, of which floor is the least that counts.
+// update adds the time of a call to a destination whose T_m is mean. A mean below floor counts as floor.
 func (d *callTimeDrift) update(elapsed, mean, floor time.Duration) {
 	*d += callTimeDrift(callTimeDriftWeight * (float64(elapsed)/float64(max(mean, floor, 1)) - float64(*d)))
 }
 
-// scale lengthens an expected time as calls take longer lately; it never shortens one.
+// scale multiplies an expected time by the drift. It never returns less than the expected time.
 func (d callTimeDrift) scale(expected time.Duration) time.Duration {
 	return time.Duration(float64(expected) * max(1, float64(d)))
 }
 
-// A stallDetector finds pauses of a destination: gaps between its answers far above the usual one while calls were in
-// flight. The zero value has seen no answer.
+// A stallDetector detects stalls of a destination: gaps between its answers that are far above the mean gap while calls
+// are in flight. The zero value is a detector without answers.
 type stallDetector struct {
 	lastAnswerAt time.Duration
 	usualGap     time.Duration // moving average
-	stalledUntil time.Duration // the time of calls sent before this holds a stall
+	stalledUntil time.Duration // the call times of calls sent before this include a stall
 }
 
-// recordAnswer takes an answer to a call sent at sentAt.
+// recordAnswer records an answer to a call sent at sentAt.
 func (s *stallDetector) recordAnswer(now, sentAt time.Duration) {
 	gap := now - max(sentAt, s.lastAnswerAt)
 	if s.usualGap > 0 && float64(gap) > stallFactor*float64(s.usualGap) {
@@ -73,8 +75,8 @@
 	s.lastAnswerAt = now
 }
 
-// inheritCallTime gives a destination that has not served a call yet the call time of all destinations: in a large
-// fleet one sender makes few calls to each.
+// inheritCallTime initializes the call time of a destination that has not served a call yet with that of all
+// destinations. In a large fleet, a sender makes too few calls to each destination to measure it soon.
 func (c *Controller) inheritCallTime(dest *destination) {
 	if dest.callTimeSamples == 0 {
 		dest.callTime = c.overallCallTime
@@ -92,8 +94,8 @@
 	dest.callTimeSamples++
 }
 
-// expectedCallTime is the time within which a call is answered if all is well. Each timeout in a row doubles it, as a
-// timeout is only a lower bound.
+// expectedCallTime returns the time within which a healthy destination answers a call. Each consecutive timeout doubles
+// it, as a timeout is only a lower bound of the call time.
 func (c *Controller) expectedCallTime(dest *destination, class *Class) time.Duration {
 	bound := dest.callTime.upperBound(class.LatencyObjective / 2)
 	return c.callTimeDrift.scale(bound << min(dest.consecutiveTimeouts, maxTimeoutDoublings))
--- a/control/controller.go
+++ b/control/controller.go
@@ -1,13 +1,14 @@
-// Package control makes the decisions of an outbound gateway that calls many partners' systems. It does no I/O,
-// takes the time as a parameter and keeps nothing beyond its process: its host carries out the Actions that it asks
-// for.
+// Package control implements the scheduling decisions of an outbound gateway that delivers messages to many partners'
+// systems. It performs no I/O, takes the current time as a parameter and persists nothing: its host executes the
+// Actions that it requests.
 //
-// For each destination messages wait in a fresh and a deferred queue. A round of selection sends the fresh head if
-// its age plus the expected call time T_m meets the latency objective, and defers it otherwise; once no fresh
-// message is left it sends the deferred head if that meets the deadline, and rejects it otherwise.
+// Each destination has a fresh and a deferred queue. A selection round sends the head of the fresh queue if its age
+// plus the expected call time T_m meets the latency objective, and moves it to the deferred queue otherwise. Once no
+// message of the fresh queue is left, it sends the head of the deferred queue if that meets its deadline, and rejects
+// it otherwise.
 //
-// Each decision has a file of its own, with the state that it rests on and its tuned constants. Controller, in
-// controller.go, takes the events and puts the decisions in order.
+// Each kind of decision has its own file with the state that it depends on and its tuned constants. Controller, in
+// controller.go, handles the events and runs the decisions in order.
 package control
 
 import (
@@ -20,11 +21,11 @@
 	"cleathold/internal/reachability"
 )
 
-// timerResolution is the step at which the time is watched while calls are in flight.
+// timerResolution is the timer interval while calls are in flight.
 const timerResolution = 100 * time.Millisecond
 
-// Controller decides for one sender. It is not safe for concurrent use. Times are those of its host's clock, which must
-// not go back.
+// Controller makes the decisions of one sender. It is not safe for concurrent use. All times are readings of its host's
+// clock, which must be monotonic.
 type Controller struct {
 	settings Settings
 	actions  Actions
@@ -33,31 +34,31 @@
 
 	endpoints    map[EndpointID]*endpoint
 	destinations map[int]*destination
-	busy         []*destination // those with messages or attempts, in order of id
+	busy         []*destination // destinations with messages or attempts, ordered by id
 	messages     map[MessageID]*message
-	openMessages []*message // not finished, in order of submission
+	openMessages []*message // unfinished messages in order of submission
 	sequences    keySequences
 
-	callsInFlight  int // slots that this process uses
-	remoteInFlight int // slots that another process of this sender uses
+	callsInFlight  int // slots used by this process
+	remoteInFlight int // slots used by another process of this sender
 	slotYield      slotYield
 
-	overallCallTime callTime // of all destinations
+	overallCallTime callTime // over all destinations
 	callTimeDrift   callTimeDrift
 	connections     connectionStats
-	released        []*endpoint // with outcomes at this instant
+	released        []*endpoint // endpoints that had an outcome at this instant
 
 	timerToken uint32
-	timerAt    time.Duration // 0 = not set
-	resumedAt  time.Duration // the end of this sender's latest stall
+	timerAt    time.Duration // 0 = no timer is set
+	resumedAt  time.Duration // end of this sender's latest stall
 
 	list          listPoller
 	peers         reachability.Detector
 	gossipLimiter fleethealth.RateLimiter
 }
 
-// New returns a controller for one sender that asks act for what is to be done. The error names the setting that no
-// decision could be based on.
+// New returns a controller for one sender, which requests its actions from actions. If a setting is invalid, the error
+// names it.
 func New(settings Settings, actions Actions) (*Controller, error) {
 	if err := validate(&settings); err != nil {
 		return nil, err
@@ -75,9 +76,9 @@
 	}, nil
 }
 
-// UpdateSettings takes other settings while messages are open. Each message keeps the class that it came with. Seed,
-// Index, FleetSize, Zone, Kinds, CanGossip and PollsList stay as they were at the start. On an error, which names the
-// setting as that of New does, nothing changes.
+// UpdateSettings replaces the settings at run time. Open messages keep the class with which they were submitted. Seed,
+// Index, FleetSize, Zone, Kinds, CanGossip and PollsList keep the values that were passed to New. If a setting is
+// invalid, UpdateSettings changes nothing and returns an error that names it.
 func (c *Controller) UpdateSettings(now time.Duration, settings Settings) error {
 	c.advanceClock(now)
 	old := &c.settings
@@ -87,7 +88,7 @@
 		return err
 	}
 	c.settings = settings
-	for _, msg := range slices.Clone(c.openMessages) { // fewer attempts may be allowed than some had
+	for _, msg := range slices.Clone(c.openMessages) { // MaxAttempts may now be below the attempts made
 		if msg.waiting() && !c.mayRetry(msg) {
 			c.finishUndelivered(msg)
 		}
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// UpdateEndpoints takes an update of the endpoint list.
+// UpdateEndpoints applies an update of the endpoint list.
 func (c *Controller) UpdateEndpoints(now time.Duration, kind ListUpdateKind, list []Endpoint) {
 	c.advanceClock(now)
 	c.recordListAnswer(kind)
@@ -108,7 +109,7 @@
 	c.pruneRemoved()
 }
 
-// Submit takes a message. One whose id is open already is ignored.
+// Submit accepts a message. It ignores a message whose id is already open.
 func (c *Controller) Submit(now time.Duration, submitted Message) {
 	c.advanceClock(now)
 	if c.messages[submitted.ID] != nil {
@@ -135,7 +136,7 @@
 	}
 	dest.traffic.record(now)
 	c.inheritCallTime(dest)
-	if !c.mayRetry(msg) { // its earlier attempts allow no further one
+	if !c.mayRetry(msg) { // its earlier attempts rule out another one
 		c.finishUndelivered(msg)
 		return
 	}
@@ -143,7 +144,8 @@
 	c.markBusy(dest)
 }
 
-// AttemptDone takes the outcome of an attempt. One that is not the latest of an open message is ignored.
+// AttemptDone processes the outcome of an attempt. It ignores the outcome unless the attempt is the latest one of an
+// open message.
 func (c *Controller) AttemptDone(now time.Duration, o Outcome) {
 	c.advanceClock(now)
 	msg := c.messages[o.ID]
@@ -166,7 +168,7 @@
 	case o.Final:
 		c.finish(msg)
 	case msg.finished:
-	case o.Result == Unprocessable: // the destination would refuse it again
+	case o.Result == Unprocessable: // the destination would refuse a retry, too
 		c.actions.Fail(msg.ID)
 		c.finish(msg)
 	case c.mayRetry(msg):
@@ -177,7 +179,8 @@
 	c.forgetFinished(msg)
 }
 
-// StreamStarted takes that the streamed answer to a message's attempt has begun; from then on it belongs to the client.
+// StreamStarted records that the streamed response to a message's attempt has begun. From then on the message does not
+// expire and its attempt is not preempted, as the client is receiving the response.
 func (c *Controller) StreamStarted(now time.Duration, id MessageID) {
 	c.advanceClock(now)
 	if msg := c.messages[id]; msg != nil {
@@ -185,7 +188,8 @@
 	}
 }
 
-// Abandon takes that nobody wants a message any more. It gets no answer; an attempt in flight is awaited.
+// Abandon ends a message whose client no longer waits for it. The message gets no answer. An attempt in flight keeps
+// its slot until its outcome.
 func (c *Controller) Abandon(now time.Duration, id MessageID) {
 	c.advanceClock(now)
 	if msg := c.messages[id]; msg != nil {
@@ -193,7 +197,7 @@
 	}
 }
 
-// TimerFired takes that the timer of an earlier SetTimer fired.
+// TimerFired records that the timer of an earlier Actions.SetTimer has fired.
 func (c *Controller) TimerFired(now time.Duration, token uint32) {
 	c.advanceClock(now)
 	if token == c.timerToken {
@@ -201,7 +205,7 @@
 	}
 }
 
-// HealthChecked takes the answer to a health check, which took elapsed.
+// HealthChecked processes the result of a health check that took elapsed.
 func (c *Controller) HealthChecked(
 	now time.Duration, to EndpointID, result Result, elapsed time.Duration, load []float32,
 ) {
@@ -211,15 +215,17 @@
 		return
 	}
 	c.recordLoadReport(endpoint, load)
-	// Health checks may be answered while calls are not: one lets a trial call go, and the answer to that counts.
+	// An endpoint may answer health checks but no calls. A successful health check therefore only permits a trial call,
+	// whose result decides whether the circuit closes.
 	endpoint.route.breaker.healthCheckSucceeded = result == Served
 	if result != Served {
 		c.recordHealth(endpoint, now-elapsed, result, 0)
 	}
 }
 
-// Decide acts on what the events of an instant have changed, once all are in. After a stall of this sender they come
-// together: taken one by one, calls would seem overdue whose answers are the next event.
+// Decide makes the decisions that follow from the events of an instant. The host calls it once all of them have been
+// passed in: after a stall of this sender many events arrive together, and a decision between two of them would treat a
+// call as overdue whose answer is the next event.
 func (c *Controller) Decide(now time.Duration) {
 	c.advanceClock(now)
 	c.trimBusy()
@@ -233,9 +239,9 @@
 	c.setTimer()
 }
 
-// recordOutcome learns from the outcome of an attempt.
+// recordOutcome updates the state of an attempt's endpoint, route and destination from its outcome.
 func (c *Controller) recordOutcome(a *attempt, o Outcome) {
-	if o.Result == NotSent || o.Result == Unprocessable { // neither says anything of the endpoint
+	if o.Result == NotSent || o.Result == Unprocessable { // neither depends on the endpoint
 		return
 	}
 	if o.Result == Canceled {
@@ -246,7 +252,7 @@
 		route.extendRetryAfter(c.now + o.RetryAfter)
 	}
 	dest.stalls.recordAnswer(c.now, a.sentAt)
-	if o.Result == Served && c.now != c.resumedAt { // the call time holds no stall of this sender
+	if o.Result == Served && c.now != c.resumedAt { // else the call time includes a stall of this sender
 		c.recordWarmCall(endpoint, o.Elapsed)
 		if a.sentAt >= dest.stalls.stalledUntil {
 			c.recordCallTime(dest, o.Elapsed)
@@ -254,7 +260,8 @@
 	}
 	c.recordConnection(a, o.Result)
 	if o.Result == ConnectionRejected {
-		// In a large fleet the endpoint is full of peers' connections: that proves neither a limit nor an outage.
+		// In a large fleet the connections of peers use up the endpoint's capacity. This indicates neither a rate limit
+		// nor an outage.
 		if c.settings.usesFleetRate() && !route.breaker.open {
 			endpoint.connectBackoff.reject(c.now, max(dest.callTime.mean, c.settings.Tick), c.rng.Float64())
 			return
@@ -271,13 +278,13 @@
 	c.adjustLimitFraction(a, o.Result, o.LoadReport)
 }
 
-// maySend reports whether the rules allow an attempt of a message at an endpoint now. No attempt is made without it.
+// maySend reports whether a message may be sent to an endpoint now. Every attempt is subject to this check.
 func (c *Controller) maySend(msg *message, to *endpoint) bool {
 	return !msg.finished && msg.inFlight == nil && c.now < msg.deadline && c.mayRetry(msg) &&
 		msg.keyValidInZone(to.Zone) && c.isNextOfKey(msg) && c.available(to) && (c.freeSlots() > 0 || c.canJoinCall(to))
 }
 
-// send makes an attempt, if the rules allow it.
+// send starts an attempt if maySend allows it.
 func (c *Controller) send(msg *message, to *endpoint) {
 	if !c.maySend(msg, to) {
 		return
@@ -314,7 +321,7 @@
 	c.actions.Send(msg.ID, to.ID, timeout)
 }
 
-// releaseSlot frees the slot of a call once all its attempts have their outcomes.
+// releaseSlot frees the slot of a call once all of its attempts have an outcome.
 func (c *Controller) releaseSlot(a *attempt) {
 	a.endpoint.lastUsedAt = c.now
 	c.released = append(c.released, a.endpoint)
@@ -325,8 +332,8 @@
 	}
 }
 
-// advanceClock takes the time. A timer that fires late tells of a stall of this sender: all that came meanwhile is seen
-// at this one instant, and call times hold the stall.
+// advanceClock sets the current time. A timer that fires late indicates a stall of this sender: the events of the whole
+// stall are processed at this instant, and the call times measured there include the stall.
 func (c *Controller) advanceClock(now time.Duration) {
 	if now > c.now && c.timerAt > 0 && now > c.timerAt+timerResolution/2 {
 		c.resumedAt = now
@@ -334,7 +341,7 @@
 	c.now = now
 }
 
-// setTimer asks for a timer at the next instant when time alone changes what can be done.
+// setTimer requests a timer for the time that nextDecision returns, unless an earlier one is pending.
 func (c *Controller) setTimer() {
 	next := c.nextDecision()
 	if next == math.MaxInt64 || c.timerAt > c.now && c.timerAt <= next {
@@ -345,7 +352,8 @@
 	c.actions.SetTimer(next-c.now, c.timerToken)
 }
 
-// nextDecision is the next instant when time alone changes what can be done, or the latest there is.
+// nextDecision returns the next time at which a decision may change without any event, or math.MaxInt64 if there is
+// none.
 func (c *Controller) nextDecision() time.Duration {
 	next := time.Duration(math.MaxInt64)
 	consider := func(at time.Duration) {
--- a/control/endpointlist.go
+++ b/control/endpointlist.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	pollIntervalPerSender = 50 * time.Millisecond // a large fleet leaves discovery this time for each poll
-	pollSpreadFraction    = 0.8                   // polls are spread over this part of MaxPollInterval at most...
-	maxPollJitter         = 43 * time.Second / 10 // ...and this: a tenth more and an answer are within 6 s
-	pollRetryFraction     = 0.1                   // part of MaxPollInterval to wait after a failed poll
-	maxPollRetryDelay     = 12 * time.Second / 5  // and at most: half more and two answers are within 6 s
+	pollIntervalPerSender = 50 * time.Millisecond // a large fleet leaves discovery this much time per poll
+	pollSpreadFraction    = 0.8                   // polls are spread over at most this fraction of MaxPollInterval...
+	maxPollJitter         = 43 * time.Second / 10 // ...and this: plus a tenth and one answer it is below 6 s
+	pollRetryFraction     = 0.1                   // fraction of MaxPollInterval between a failed poll and the next one
+	maxPollRetryDelay     = 12 * time.Second / 5  // maximum of this: plus a half and two answers it is below 6 s
 )
 
-// A listPoller follows the subscription to an endpoint list that answers only when polled.
+// A listPoller tracks the polls of an endpoint list and the subscription that a successful poll starts.
 type listPoller struct {
 	subscribed bool
-	polling    bool // a poll is under way
+	polling    bool // a poll is in progress
 	failed     bool // the latest poll failed, in a large fleet
 	nextPoll   time.Duration
 }
 
-// due reports whether the next poll is due.
+// due reports whether it is time for the next poll.
 func (p *listPoller) due(now time.Duration) bool { return p.idle() && now >= p.nextPoll }
 
-// idle reports whether there is neither a subscription nor a poll.
+// idle reports whether there is neither a subscription nor a poll in progress.
 func (p *listPoller) idle() bool { return !p.subscribed && !p.polling }
 
-// recordAnswer takes that the list recordAnswer.
+// recordAnswer records that a poll was answered, which starts the subscription.
 func (p *listPoller) recordAnswer() { p.subscribed, p.polling, p.failed = true, false, false }
 
-// recordFailure takes that a poll failed or the subscription broke.
+// recordFailure records that a poll failed or that the subscription was lost.
 func (p *listPoller) recordFailure(largeFleet bool) {
 	p.subscribed, p.polling, p.failed = false, false, largeFleet
 }
 
-// PollSpread is the time over which a large fleet spreads polls that would come at one instant; else 0. At any fleet
-// size it leaves time to poll before MaxPollInterval is over.
+// PollSpread returns the time over which a large fleet spreads polls that would otherwise be simultaneous, and 0 for a
+// small fleet. For every fleet size it leaves enough time to poll before MaxPollInterval is over.
 func (s *Settings) PollSpread() time.Duration {
 	if !s.largeFleet() {
 		return 0
@@ -51,19 +51,19 @@
 	return spread
 }
 
-// pollRetryDelay is the mean time between a failed poll and the next one. Each poll that is repeated puts discovery
-// further behind, as it also works off those that nobody waits for any more.
+// pollRetryDelay returns the mean time between a failed poll and the next one. Each repeated poll increases the backlog
+// of discovery, which also processes the polls that have already timed out.
 func (s *Settings) pollRetryDelay() time.Duration {
 	return min(maxPollRetryDelay, max(s.PollSpread(), time.Duration(pollRetryFraction*float64(s.MaxPollInterval))))
 }
 
-// recordListAnswer takes whether the list answered, where it answers only when polled.
+// recordListAnswer updates the poller by the kind of a list update, if the list has to be polled.
 func (c *Controller) recordListAnswer(kind ListUpdateKind) {
 	if !c.settings.PollsList {
 		return
 	}
 	switch kind {
-	case ListExcluded: // says nothing of the list
+	case ListExcluded: // unrelated to polls
 	case ListCached:
 		if c.list.nextPoll = c.now; c.settings.PollSpread() > 0 {
 			c.list.nextPoll += time.Duration(c.rng.Float64() * float64(c.settings.PollSpread()))
@@ -79,7 +79,7 @@
 	}
 }
 
-// pollList subscribes to the list when a poll is due, where it answers only when polled.
+// pollList starts a poll if the list has to be polled and the next poll is due.
 func (c *Controller) pollList() {
 	if c.settings.PollsList && c.list.due(c.now) {
 		c.list.polling = true
@@ -87,7 +87,7 @@
 	}
 }
 
-// updateEndpoint takes one line of the list.
+// updateEndpoint applies an entry of the endpoint list.
 func (c *Controller) updateEndpoint(entry Endpoint) {
 	known := c.endpoints[entry.ID]
 	switch {
@@ -102,14 +102,14 @@
 	}
 }
 
-// addEndpoint adds an endpoint to its destination, in order of id.
+// addEndpoint adds an endpoint to its destination, whose endpoints stay ordered by id.
 func (c *Controller) addEndpoint(entry Endpoint) {
 	dest := c.destination(entry.Destination)
 	added := &endpoint{Endpoint: entry, destination: dest, route: dest.sharedRoute}
 	if c.settings.kind(entry.Kind).SeparateRoutes {
 		added.route = c.newRoute()
 	}
-	if c.settings.usesFleetRate() { // the fleet must not begin with the same one
+	if c.settings.usesFleetRate() { // the senders of a fleet must not all start with the same endpoint
 		order := rand.New(rand.NewPCG(c.settings.Seed, uint64(entry.ID)))
 		added.lastUsedAt = -time.Duration(order.Int64N(int64(time.Second)))
 	}
@@ -118,7 +118,7 @@
 	dest.endpoints = slices.Insert(dest.endpoints, i, added)
 }
 
-// removeUnlisted removes the endpoints that a complete list leaves out.
+// removeUnlisted removes the endpoints that are missing from a complete list.
 func (c *Controller) removeUnlisted(list []Endpoint) {
 	listed := make(map[EndpointID]bool, len(list))
 	for _, entry := range list {
@@ -131,8 +131,8 @@
 	}
 }
 
-// removeEndpoint takes an endpoint off the list. Its idle connections are closed, as the next endpoint at its address
-// has another id.
+// removeEndpoint marks an endpoint as removed. It closes the endpoint's idle connections, as the next endpoint at the
+// same address will have another id.
 func (c *Controller) removeEndpoint(endpoint *endpoint) {
 	if endpoint.State == Removed {
 		return
@@ -144,8 +144,9 @@
 	}
 }
 
-// pruneRemoved forgets endpoints that were removed long ago, or their number would grow without end where new ones
-// replace old ones all day. One that is listed again within an outage and a slow start is known with its failures.
+// pruneRemoved deletes endpoints that were removed long ago. Otherwise their number would grow without bound where new
+// endpoints keep replacing old ones. The retention time covers an outage and a slow start, so that an endpoint that is
+// listed again within it keeps its failure state.
 func (c *Controller) pruneRemoved() {
 	retention := 2*c.settings.WarmUp + c.settings.OverloadWindow + c.settings.DrainGrace
 	for id, e := range c.endpoints {
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -6,35 +6,36 @@
 	"cleathold/internal/fleethealth"
 )
 
-// ObservationKind is what one sender tells its peers that it saw of an endpoint. Its numbers are on the wire.
+// ObservationKind is the kind of an observation. Its numbers are part of the wire format.
 type ObservationKind uint8
 
 // The kinds of observations.
 const (
 	ObservedNothing   ObservationKind = iota
-	ObservedRejection                 // a call was rejected above a limit
+	ObservedRejection                 // a call exceeded a limit and was rejected
 	ObservedRecovery                  // a call was served after an outage: the destination is warming up
-	ReachabilityQuery                 // none: a sender that has heard nobody for a while asks whether anybody hears it
-	ReachabilityReply                 // none: the answer to that, by a few peers
+	ReachabilityQuery                 // no observation: query of a sender that has received nothing for a while
+	ReachabilityReply                 // no observation: reply to a query, sent by a few peers
 	ObservedDown                      // a call failed
-	ObservedUp                        // a call was served where those of others failed
-	ObservedWarm                      // a call to one that is warming up was served as quickly as before
+	ObservedUp                        // a call was served by an endpoint at which peers' calls failed
+	ObservedWarm                      // an endpoint that is warming up served a call as fast as before the outage
 	observationKindCount
 )
 
-// Known reports whether this version knows the kind.
+// Known reports whether this version supports the kind.
 func (k ObservationKind) Known() bool { return k > ObservedNothing && k < observationKindCount }
 
-// Observation is one thing that a sender saw of an endpoint. It proves nothing of any message.
+// Observation is a sender's observation of an endpoint, which it gossips to its peers. It implies nothing about the
+// outcome of any message.
 type Observation struct {
 	Endpoint EndpointID
 	Kind     ObservationKind
-	Age      time.Duration // since the call that showed it was sent
-	Peer     int           // of a received one: the peer that told it, by a number that the host gives it
+	Age      time.Duration // time since the observed call was sent
+	Peer     int           // received observations: number that the host assigned to the sending peer
 }
 
-// ReceiveGossip takes an observation of a peer in a large fleet. It never makes this sender send what it could not
-// have found out by calls of its own.
+// ReceiveGossip processes a peer's observation in a large fleet. An observation never allows this sender to send
+// anything that the results of its own calls could not allow as well.
 func (c *Controller) ReceiveGossip(now time.Duration, observation Observation) {
 	c.advanceClock(now)
 	endpoint := c.endpoints[observation.Endpoint]
@@ -63,8 +64,8 @@
 	}
 }
 
-// recoverByGossip takes that a peer's call to an endpoint was served after an outage: this sender needs no trial
-// call of its own, and starts as slowly as after one.
+// recoverByGossip ends an outage of an endpoint after a peer's call to it was served. This sender then needs no trial
+// call of its own and begins the same slow start as after one.
 func (c *Controller) recoverByGossip(endpoint *endpoint, observedAt time.Duration) {
 	route, breaker := endpoint.route, &endpoint.route.breaker
 	if breaker.consecutiveFailures == 0 || observedAt <= breaker.lastFailureAt ||
@@ -76,8 +77,8 @@
 	endpoint.consecutiveFailures = 0
 }
 
-// mergePeerReport takes what a peer found of an endpoint. An endpoint that is up again counts as just used at as many
-// senders as make its fair share of them, so that these look at it first.
+// mergePeerReport merges a peer's report on the health of an endpoint. When an endpoint recovers, a random fair share
+// of the senders mark it as just used, so that they prefer it.
 func (c *Controller) mergePeerReport(endpoint *endpoint, report fleethealth.Report) {
 	ownFailureCleared, recovered := endpoint.health.Merge(c.now, report, c.fleetHealthParams(), c.rng.Float64())
 	if ownFailureCleared {
@@ -88,15 +89,16 @@
 	}
 }
 
-// gossipHealth tells peers what a call to an endpoint has just shown, as often as the fleet's rate allows.
+// gossipHealth sends peers an observation of an endpoint that a call has just shown, unless this sender is isolated or
+// has reached its rate limit for gossip.
 func (c *Controller) gossipHealth(endpoint *endpoint, kind ObservationKind) {
 	if !c.peers.Isolated(c.now) && c.gossipLimiter.Allow(c.now, c.fleetHealthParams()) {
 		c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: kind})
 	}
 }
 
-// gossipRejection tells peers of a rejection of a call sent age ago, and asks whether any of them can be reached, as
-// the reachability detector decides.
+// gossipRejection sends peers the rejection of a call sent age ago and a reachability query, each if the reachability
+// detector allows it.
 func (c *Controller) gossipRejection(endpoint *endpoint, age time.Duration) {
 	gossip, query := c.peers.Rejected(c.now)
 	if gossip {
--- a/control/handover.go
+++ b/control/handover.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// A RouteState is what a controller knows of an endpoint's route, for the one that succeeds it in another process of
-// the same sender. Times count from the instant of Controller.RouteStates. The JSON keys are those of the hand-over.
+// A RouteState is the state of an endpoint's route, which a controller passes to its successor in another process of
+// the same sender. Times are relative to the call of Controller.RouteStates. The JSON keys are part of the hand-over
+// format.
 type RouteState struct {
 	Endpoint            EndpointID    `json:"Endpoint"`
-	RetryAfter          time.Duration `json:"Wait"`    // nothing is to be sent for so long
-	ConsecutiveFailures int           `json:"Bad"`     // calls in a row that were not served
+	RetryAfter          time.Duration `json:"Wait"`    // time for which nothing may be sent
+	ConsecutiveFailures int           `json:"Bad"`     // consecutive calls that were not served
 	FailingFor          time.Duration `json:"Since"`   // time since the first of them
 	CircuitOpen         bool          `json:"Open"`    // trial calls only
 	NextTrial           time.Duration `json:"Retry"`   // circuit open: time until the next trial call
 	Backoff             time.Duration `json:"Backoff"` // circuit open: time until the trial after that
-	SlowStart           bool          `json:"Warming"` // its rate rises after an outage...
-	RecoveredFor        time.Duration `json:"Back"`    // ...that ended so long ago
-	LimitFraction       float64       `json:"Share"`   // fraction of its limit that this sender uses
-	CallTime            time.Duration `json:"TM"`      // T_m of its destination
+	SlowStart           bool          `json:"Warming"` // the rate is rising after an outage...
+	RecoveredFor        time.Duration `json:"Back"`    // ...that ended this long ago
+	LimitFraction       float64       `json:"Share"`   // fraction of the limit that this sender uses
+	CallTime            time.Duration `json:"TM"`      // T_m of the destination
 	CallTimeDeviation   time.Duration `json:"Dev"`     // mean deviation from T_m
 }
 
-// RouteStates returns what is known of the endpoints that are listed, by id.
+// RouteStates returns the route states of the listed endpoints, ordered by id.
 func (c *Controller) RouteStates(now time.Duration) []RouteState {
 	c.advanceClock(now)
 	var states []RouteState
@@ -53,8 +54,8 @@
 	}
 }
 
-// RestoreRoutes takes what the predecessor knew of endpoints that this controller has in its list; others are left out.
-// The clock of this controller may have begun with it: times before that are negative.
+// RestoreRoutes restores the predecessor's route states. It ignores endpoints that this controller has not listed. If
+// the clock of this controller started with its process, restored times before that are negative.
 func (c *Controller) RestoreRoutes(now time.Duration, states []RouteState) {
 	c.advanceClock(now)
 	for _, state := range states {
@@ -72,7 +73,7 @@
 	breaker.failingSince, breaker.lastFailureAt = now-state.FailingFor, now
 	breaker.open, breaker.nextTrial, breaker.backoff = state.CircuitOpen, now+state.NextTrial, state.Backoff
 	breaker.callTimeBefore = state.CallTime
-	breaker.healthCheckFirst = state.CircuitOpen // whether the trial calls may have run is not told
+	breaker.healthCheckFirst = state.CircuitOpen // the state lacks whether failed calls may have run
 	if route.slowStart.active = state.SlowStart; state.SlowStart {
 		route.slowStart.recoveredAt, route.slowStart.rampStart = now-state.RecoveredFor, now-state.RecoveredFor
 		route.bucket.tokens = 0
@@ -87,8 +88,8 @@
 	route.bucket.filledAt = now
 }
 
-// ApplyRetryAfter has a Retry-After bind an endpoint that was told before the endpoint was listed, as by another one at
-// its address.
+// ApplyRetryAfter applies to an endpoint a Retry-After that was received before the endpoint was listed, for example
+// from another endpoint at the same address.
 func (c *Controller) ApplyRetryAfter(now time.Duration, id EndpointID, retryAfter time.Duration) {
 	c.advanceClock(now)
 	if e := c.endpoints[id]; e != nil {
@@ -96,14 +97,14 @@
 	}
 }
 
-// SetRemoteInFlight takes how many slots calls of another process of this sender use.
+// SetRemoteInFlight sets the number of slots that the calls of another process of this sender use.
 func (c *Controller) SetRemoteInFlight(now time.Duration, calls int) {
 	c.advanceClock(now)
 	c.remoteInFlight = calls
 }
 
-// RemoteOutcome takes the outcome of a call that another process of this sender had in flight, sent so long ago: its
-// Retry-After binds, and it tells of the endpoint's health. The host sees to its message.
+// RemoteOutcome processes the outcome of a call that another process of this sender made, sent sinceSent ago. It
+// applies the Retry-After and updates the endpoint's health. The host handles the message.
 func (c *Controller) RemoteOutcome(now time.Duration, o Outcome, sinceSent time.Duration) {
 	c.advanceClock(now)
 	e := c.endpoints[o.Endpoint]
@@ -112,7 +113,7 @@
 	}
 	switch o.Result {
 	case NotSent, Unprocessable, Canceled, ConnectionRejected:
-		return // they say nothing of the endpoint's health
+		return // independent of the endpoint's health
 	}
 	if o.RetryAfter > 0 {
 		e.route.extendRetryAfter(c.now + o.RetryAfter)
--- a/control/loadbalancer.go
+++ b/control/loadbalancer.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	maxConcurrencyFraction     = 0.75 // part of the slots that one destination may take
+	maxConcurrencyFraction     = 0.75 // fraction of the slots that one destination may use
 	reducedConcurrencyFraction = 0.5  // the same after a failure, until a call is served
 )
 
-// A route is what limits, waits and outages hold for: a destination, or one endpoint of it with a separate route.
+// A route is the unit to which limits, Retry-After and outages apply: a destination, or a single endpoint with a
+// separate route.
 type route struct {
-	retryAfter time.Duration // nothing is sent before this
+	retryAfter time.Duration // nothing may be sent before this
 	breaker    circuitBreaker
 	slowStart  slowStart
 	limit      rateLimit
 	bucket     tokenBucket
 }
 
-// extendRetryAfter has nothing sent before at; a later time that holds already stays.
+// extendRetryAfter prevents sends before at. A later time that already applies is kept.
 func (r *route) extendRetryAfter(at time.Duration) { r.retryAfter = max(r.retryAfter, at) }
 
-// An endpoint is a listed endpoint with what its own calls have shown.
+// An endpoint is a listed endpoint with the state derived from its calls and from peers' reports.
 type endpoint struct {
 	Endpoint
 	destination         *destination
@@ -32,14 +33,14 @@
 	consecutiveFailures int
 	lastUsedAt          time.Duration
 	lastSuccessAt       time.Duration
-	connected           bool // a connection is thought open
+	connected           bool // a connection is assumed to be open
 	connectBackoff      capacityBackoff
-	removedAt           time.Duration // when the list left it out
-	lastCall            *call         // which messages sent at the same instant may share; nil = none yet
+	removedAt           time.Duration // time of the list update that removed it
+	lastCall            *call         // latest call, which messages sent at the same instant may join; nil = none yet
 	health              fleethealth.Health
 }
 
-// newRoute returns a route on which nothing is known yet.
+// newRoute returns a route in its initial state.
 func (c *Controller) newRoute() *route {
 	fraction, tokens := 1.0, 1.0
 	if c.settings.usesFleetRate() {
@@ -51,8 +52,8 @@
 	}
 }
 
-// available reports whether an endpoint takes a call now: it is listed as ready, no Retry-After binds, and its circuit
-// breaker, slow start and rate limit let one go.
+// available reports whether an endpoint may be called now: it is listed as ready, no Retry-After applies, and its
+// circuit breaker, slow start and rate limit allow a call.
 func (c *Controller) available(endpoint *endpoint) bool {
 	route := endpoint.route
 	if endpoint.State != Ready || c.now < max(route.retryAfter, endpoint.connectBackoff.retryAt) {
@@ -68,7 +69,7 @@
 	return route.bucket.tokens >= 1 || c.sendRate(endpoint) <= 0
 }
 
-// concurrencyLimit is the number of calls that a destination may have in flight.
+// concurrencyLimit returns the number of calls that a destination may have in flight.
 func (c *Controller) concurrencyLimit(dest *destination) int {
 	fraction := maxConcurrencyFraction
 	if dest.concurrencyReduced {
@@ -77,8 +78,8 @@
 	return max(1, int(fraction*float64(c.settings.MaxInFlight)))
 }
 
-// pickEndpoint chooses the endpoint for a message, or nil. One that has a call at this instant with space left is taken
-// at once: a further message in a call costs neither a slot nor a part of the limit.
+// pickEndpoint returns the endpoint for a message, or nil. It returns the first endpoint whose call of this instant the
+// message can join, as this takes neither a slot nor a part of the limit.
 func (c *Controller) pickEndpoint(dest *destination, msg *message) *endpoint {
 	var best *endpoint
 	atLimit := dest.callsInFlight >= c.concurrencyLimit(dest)
@@ -97,8 +98,8 @@
 	return best
 }
 
-// preferred reports whether endpoint a is better for a message than b: by fewer failures, lower cost, fewer calls in
-// flight, then the latest use, as that one has a connection.
+// preferred reports whether endpoint a is better for a message than b. It compares the failures, the cost, the calls in
+// flight and then the time of the last use: the one used most recently is better, as it has an open connection.
 func (c *Controller) preferred(msg *message, a, b *endpoint) bool {
 	if x, y := c.failureScore(msg, a), c.failureScore(msg, b); x != y {
 		return x < y
@@ -110,12 +111,12 @@
 		return a.callsInFlight < b.callsInFlight
 	}
 	if c.settings.usesFleetRate() && c.connections.scarce(a.Kind) {
-		return a.lastUsedAt < b.lastUsedAt // where none is kept, the whole fleet would use the same endpoint
+		return a.lastUsedAt < b.lastUsedAt // no connections are kept, so the whole fleet would use one endpoint
 	}
 	return a.lastUsedAt > b.lastUsedAt
 }
 
-// zoneCost is the price of a message that an endpoint with a separate route takes.
+// zoneCost returns the cost of a message sent to an endpoint with a separate route, and 0 for other endpoints.
 func (c *Controller) zoneCost(endpoint *endpoint) float64 {
 	zone := endpoint.Zone
 	if zone < 0 || zone >= len(c.settings.ZoneCosts) || !c.settings.kind(endpoint.Kind).SeparateRoutes {
--- a/control/message.go
+++ b/control/message.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// MessageID names a message for as long as its host lives; it is never reused.
+// MessageID identifies a message during the lifetime of its host. It is never reused.
 type MessageID uint32
 
-// Message is one message that was submitted.
+// Message is a submitted message.
 type Message struct {
 	ID           MessageID
 	Class        int // index into Settings.Classes
 	Destination  int
-	TimeLeft     time.Duration // until it expires
-	ExpectedWork time.Duration // 0 = not told
+	TimeLeft     time.Duration // time until the deadline
+	ExpectedWork time.Duration // 0 = unknown
 	Key          uint64        // for ordered classes; 0 = none
 	Tenant       int           // index into Settings.Tenants
-	Resubmitted  bool          // it was submitted before
-	Inherited    bool          // it comes from a sender that died
+	Resubmitted  bool          // the client has submitted it before
+	Inherited    bool          // it was taken over from a failed sender
 
-	// What was done for it before this controller, where the host has restarted.
-	Attempts     int           // attempts made
-	MayHaveRun   bool          // one of them may have run
-	FirstRunAgo  time.Duration // how long ago the first such attempt was sent
-	FirstRunZone int           // the zone that it went to
+	// Attempts that were made before this controller was created, if the host has restarted.
+	Attempts     int           // number of attempts made
+	MayHaveRun   bool          // an attempt may have taken effect
+	FirstRunAgo  time.Duration // time since the first such attempt was sent
+	FirstRunZone int           // zone of that attempt's endpoint
 }
--- a/control/ordering.go
+++ b/control/ordering.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// A keySequence keeps the order of the messages with one key: they go one at a time, in the order of their submission.
+// A keySequence holds the messages with the same key, which are sent one at a time, in order of submission.
 type keySequence struct {
 	key              uint64
 	queue            []*message
-	pausedUntil      time.Duration // later messages wait until this
-	pausedBy         *message      // whose attempt may still run; it does not wait for itself
+	pausedUntil      time.Duration // the next message waits until this
+	pausedBy         *message      // message whose attempt may still be running; the pause does not apply to it
 	attemptsInFlight int
 }
 
-// add puts a message at the end of the sequence.
+// add appends a message to the sequence.
 func (s *keySequence) add(msg *message) {
 	msg.sequence = s
 	s.queue = append(s.queue, msg)
 }
 
-// remove takes out a message that is finished.
+// remove removes a finished message.
 func (s *keySequence) remove(msg *message) { s.queue = without(s.queue, msg) }
 
-// isNext reports whether it is the message's turn.
+// isNext reports whether the message is the next one to be sent and may be sent now.
 func (s *keySequence) isNext(msg *message, now time.Duration) bool {
 	return s.queue[0] == msg && s.attemptsInFlight == 0 && (s.pausedBy == msg || now >= s.pausedUntil)
 }
 
-// attemptDone takes the result of an attempt. After one that may still run the key pauses until then.
+// attemptDone records the result of an attempt. If the attempt may still be running, the sequence pauses until
+// pauseUntil.
 func (s *keySequence) attemptDone(msg *message, result Result, pauseUntil time.Duration) {
 	s.attemptsInFlight--
 	if result == TimedOut || result == ConnectionLost || result == Canceled || result == Unknown {
@@ -33,16 +34,16 @@
 	}
 }
 
-// empty reports whether no message is in the sequence.
+// empty reports whether the sequence has neither a message nor an attempt in flight.
 func (s *keySequence) empty() bool { return len(s.queue) == 0 && s.attemptsInFlight == 0 }
 
-// keySequences holds the sequences of all keys, each until no message is in it and its pause is over.
+// keySequences holds the sequences of all keys. It keeps each one until it is empty and its pause is over.
 type keySequences struct {
 	byKey map[uint64]*keySequence
-	idle  []*keySequence // those that a message has left, in that order
+	idle  []*keySequence // sequences that a message has left, in that order
 }
 
-// forKey returns the sequence forKey a key.
+// forKey returns the sequence of a key, which it creates if necessary.
 func (s *keySequences) forKey(key uint64) *keySequence {
 	sequence := s.byKey[key]
 	if sequence == nil {
@@ -52,7 +53,8 @@
 	return sequence
 }
 
-// release takes that a message has left its sequence, which may be nil, and drops sequences that nobody needs.
+// release records that a message has left its sequence, which may be nil, and deletes sequences that are no longer
+// needed.
 func (s *keySequences) release(sequence *keySequence, now time.Duration) {
 	if sequence != nil {
 		s.idle = append(s.idle, sequence)
@@ -65,7 +67,7 @@
 	}
 }
 
-// isNextOfKey reports whether the order of its key lets the message go.
+// isNextOfKey reports whether the order of the message's key allows it to be sent.
 func (c *Controller) isNextOfKey(msg *message) bool {
 	return msg.sequence == nil || msg.sequence.isNext(msg, c.now)
 }
--- a/control/outcome.go
+++ b/control/outcome.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Result says how an attempt or a health check ended.
+// Result is the result of an attempt or a health check.
 type Result uint8
 
 // The results.
 const (
-	Unknown            Result = iota // anything else
+	Unknown            Result = iota // any other result
 	Served                           // delivered
 	Failed                           // answered with an error
-	Rejected                         // refused unseen
+	Rejected                         // refused without being processed
 	TimedOut                         // no answer in time
-	ConnectFailed                    // no connection could be opened
-	ConnectionLost                   // the connection broke
+	ConnectFailed                    // the connection could not be opened
+	ConnectionLost                   // the connection was lost
 	Canceled                         // canceled by Actions.Cancel
 	NotSent                          // the host did not send it
-	Unprocessable                    // the destination cannot use this message
-	ConnectionRejected               // refused unseen, as the endpoint had no capacity for the connection
+	Unprocessable                    // the destination cannot process this message
+	ConnectionRejected               // refused without being processed, as the endpoint had no capacity for the connection
 )
 
 // MayHaveRun reports whether an attempt with this result may have taken effect.
@@ -25,15 +25,15 @@
 	return r != Rejected && r != ConnectFailed && r != ConnectionRejected && r != NotSent && r != Unprocessable
 }
 
-// Outcome tells how an attempt ended.
+// Outcome is the outcome of an attempt.
 type Outcome struct {
 	ID         MessageID
-	Attempt    int // attempts of a message count from 0
+	Attempt    int // attempts of a message are numbered from 0
 	Endpoint   EndpointID
 	Result     Result
 	Elapsed    time.Duration
-	Final      bool          // the message is finished: its client needs no answer
-	RetryAfter time.Duration // send nothing there for so long; 0 = none told
-	NoSlot     bool          // NotSent: all slots were taken
-	LoadReport []float32     // the endpoint's report, see Settings.LimitIndex and HeadroomIndex; nil = none
+	Final      bool          // the message is finished; its client needs no further answer
+	RetryAfter time.Duration // nothing may be sent there for this long; 0 = none
+	NoSlot     bool          // NotSent: all slots were in use
+	LoadReport []float32     // load report of the endpoint, see Settings.LimitIndex and HeadroomIndex; nil = none
 }
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	maxIdleDoublings = 3  // times that failures in a row double the idle time after which an endpoint is tried again
-	trialScore       = -1 // failure score of an ejected endpoint whose trial is due
+	maxIdleDoublings = 3  // maximum number of times that consecutive failures double the idle time before a retry
+	trialScore       = -1 // failure score of an ejected endpoint whose trial call is due
 )
 
-// fleetHealthParams are the parameters of what the fleet finds of endpoints together.
+// fleetHealthParams returns the parameters of the health detection that the fleet shares by gossip.
 func (c *Controller) fleetHealthParams() fleethealth.Params {
 	return fleethealth.NewParams(c.settings.FleetSize, c.settings.OverloadWindow)
 }
 
-// allLastCallsFailed reports whether the last call to each endpoint that may be called failed, by this sender's calls
-// or by what its peers found.
+// allLastCallsFailed reports whether the last call to each ready endpoint failed, according to this sender's calls or
+// its peers' reports.
 func (c *Controller) allLastCallsFailed(dest *destination) bool {
 	return !slices.ContainsFunc(dest.endpoints, func(e *endpoint) bool {
 		return e.State == Ready && e.consecutiveFailures == 0 && !c.ejected(e)
 	})
 }
 
-// ejected reports whether the fleet ejected an endpoint, and not too many others of its destination. In a small fleet
-// none ever is.
+// ejected reports whether an endpoint is ejected by the fleet's reports and no more endpoints of its destination than
+// the ejection limit allows. In a small fleet no endpoint is ever ejected.
 func (c *Controller) ejected(endpoint *endpoint) bool {
 	if !endpoint.health.Ejected(c.now, c.fleetHealthParams()) {
 		return false
@@ -41,9 +41,10 @@
 	return fleethealth.WithinEjectionLimit(ejected, ready)
 }
 
-// failureScore ranks an endpoint for a message: the lower, the better; it counts failures in a row. A failed endpoint
-// that was idle for a while scores 0 for a message that may be repeated, or it would stay idle while another one
-// serves. One sender tests an ejected endpoint for the whole fleet: this one when it is due, by its next such message.
+// failureScore returns the score of an endpoint for a message, normally its consecutive failures. Lower scores are
+// better. For a message that may be retried, a failed endpoint scores 0 again after it was idle for a while, as it
+// would otherwise stay unused as long as another endpoint serves. An ejected endpoint is tested by one sender for the
+// whole fleet: when the trial of this sender is due, it uses its next such message.
 func (c *Controller) failureScore(msg *message, endpoint *endpoint) int {
 	repeatable, ejected := msg.class.Idempotency != NotIdempotent, c.ejected(endpoint)
 	failures := endpoint.consecutiveFailures
--- a/control/queue.go
+++ b/control/queue.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	reservedSlotFraction = 0.25 // part of the slots that only calls of the usual yield may take
-	lowYieldFraction     = 0.5  // a call that brings less than this part of the usual yield is of low yield
-	slotYieldWeight      = 0.02 // weight of the latest call in the yield
+	reservedSlotFraction = 0.25 // fraction of the slots that calls with a low yield may not use
+	lowYieldFraction     = 0.5  // a yield below this fraction of the average is low
+	slotYieldWeight      = 0.02 // weight of the latest call in the average yield
 )
 
-// A destination is one destination with its two queues and what its calls have shown.
+// A destination holds the two queues of a destination and the state derived from its calls.
 type destination struct {
 	id                  int
-	endpoints           []*endpoint // listed and lately removed ones, by id
-	sharedRoute         *route      // of the endpoints without a separate route
-	fresh               []*message  // wait in hope of their latency objective
-	deferred            []*message  // wait for their deadline only
-	attempts            []*attempt  // in flight, in order of sending
+	endpoints           []*endpoint // listed and recently removed ones, ordered by id
+	sharedRoute         *route      // route of the endpoints that have no separate one
+	fresh               []*message  // may still meet their latency objective
+	deferred            []*message  // may only meet their deadline
+	attempts            []*attempt  // in flight, in sending order
 	callsInFlight       int
-	busy                bool // in Controller.busy
-	concurrencyReduced  bool // a call failed and none was served since
+	busy                bool // contained in Controller.busy
+	concurrencyReduced  bool // a call failed and none has been served since
 	consecutiveTimeouts int
 	callTime            callTime
-	callTimeSamples     int // served calls of its own that callTime rests on
+	callTimeSamples     int // number of its own served calls in callTime
 	stalls              stallDetector
 	traffic             trafficRate
 }
 
-// A message is one message that is open, or has an attempt in flight.
+// A message is a message that is open or has an attempt in flight.
 type message struct {
 	Message
 	class        *Class
@@ -39,33 +39,33 @@
 	deadline     time.Duration
 	attempts     int
 	inFlight     *attempt
-	mayHaveRun   bool          // an attempt may have run
-	firstRunAt   time.Duration // when the first such attempt was sent
-	firstRunZone int           // the zone it went to
-	finished     bool          // its client has its answer, or wants none
-	streaming    bool          // its streamed answer has started
-	sequence     *keySequence  // of its key; nil = not ordered
+	mayHaveRun   bool          // an attempt may have taken effect
+	firstRunAt   time.Duration // send time of the first such attempt
+	firstRunZone int           // zone of that attempt's endpoint
+	finished     bool          // its client has been answered or has abandoned it
+	streaming    bool          // its streamed response has started
+	sequence     *keySequence  // sequence of its key; nil = not ordered
 }
 
-// An attempt is one send of a message, until its outcome.
+// An attempt is an attempt to send a message, from the send to its outcome.
 type attempt struct {
 	message       *message
 	endpoint      *endpoint
 	call          *call
 	sentAt        time.Duration
-	idleBand      int           // of the connection's idle time before the call
-	expectedTime  time.Duration // answered within this if all is well
-	preemptibleAt time.Duration // canceled from here on if others need its slot
+	idleBand      int           // idle band of the connection before the call
+	expectedTime  time.Duration // a healthy destination answers within this
+	preemptibleAt time.Duration // from then on it may be canceled to free its slot
 	canceled      bool
 }
 
-// A slotYield follows the priority weight that calls bring for the slot time that they take.
+// A slotYield tracks the average priority weight that calls gain per second of slot time.
 type slotYield struct {
 	weight  float64 // decayed sum
 	seconds float64 // decayed sum
 }
 
-// record takes a call that held a slot for elapsed and brought this weight.
+// record adds a call that held a slot for elapsed and gained weight.
 func (y *slotYield) record(weight float64, elapsed time.Duration) {
 	y.weight *= 1 - slotYieldWeight
 	y.seconds *= 1 - slotYieldWeight
@@ -73,13 +73,14 @@
 	y.weight += weight
 }
 
-// low reports whether a call of this weight for each second of its slot brings much less than calls usually do.
+// low reports whether a call that gains weightPerSecond for its slot is far below the average yield.
 func (y *slotYield) low(weightPerSecond float64) bool {
 	return y.seconds > 0 && weightPerSecond < lowYieldFraction*y.weight/y.seconds
 }
 
-// weightAt is what a message of the class brings when served at that age. Past the latency objective it falls, to
-// LateWeight of the full weight at the deadline; halving makes it halve with each further objective.
+// weightAt returns the weight that a message of the class gains when it is served at the given age. Past the latency
+// objective the weight falls linearly to the LateWeight fraction at the deadline. With halving it halves with each
+// further latency objective instead, down to that fraction.
 func (c *Class) weightAt(age time.Duration, halving bool) float64 {
 	if age <= c.LatencyObjective {
 		return c.PriorityWeight
@@ -91,29 +92,29 @@
 	return c.PriorityWeight * (1 - (1-c.LateWeight)*min(late, 1))
 }
 
-// age is the time since the message was first submitted, wherever that was.
+// age returns the time since the message was first submitted, whichever sender accepted it.
 func (msg *message) age(now time.Duration) time.Duration {
 	return msg.class.Deadline - (msg.deadline - now)
 }
 
-// waiting reports whether the message is neither in flight nor being streamed to its client.
+// waiting reports whether the message neither has an attempt in flight nor is being streamed to its client.
 func (msg *message) waiting() bool { return msg.inFlight == nil && !msg.streaming }
 
-// latestSendTime is when a waiting message must be sent to meet its deadline.
+// latestSendTime returns the time by which a waiting message must be sent to meet its deadline.
 func (c *Controller) latestSendTime(msg *message) time.Duration {
 	return msg.deadline - msg.destination.callTime.mean - c.settings.Tick
 }
 
-// hasWaiting reports whether messages wait in either queue.
+// hasWaiting reports whether either queue holds a message.
 func (d *destination) hasWaiting() bool { return len(d.fresh)+len(d.deferred) > 0 }
 
-// dequeue takes a message out of the queue that it waits in.
+// dequeue removes a message from the queue that holds it.
 func (d *destination) dequeue(msg *message) {
 	d.fresh = without(d.fresh, msg)
 	d.deferred = without(d.deferred, msg)
 }
 
-// destination returns the destination with that number; one not known yet is added.
+// destination returns the destination with the given id, which it adds if necessary.
 func (c *Controller) destination(id int) *destination {
 	if dest := c.destinations[id]; dest != nil {
 		return dest
@@ -123,7 +124,7 @@
 	return dest
 }
 
-// markBusy puts a destination that has work among the busy ones, which are the only ones that a decision visits.
+// markBusy adds a destination that has work to c.busy. Decisions visit only these destinations.
 func (c *Controller) markBusy(dest *destination) {
 	if dest.busy {
 		return
@@ -133,7 +134,7 @@
 	c.busy = slices.Insert(c.busy, i, dest)
 }
 
-// trimBusy takes destinations without messages and attempts out of the busy ones.
+// trimBusy removes destinations without waiting messages and attempts from c.busy.
 func (c *Controller) trimBusy() {
 	c.busy = slices.DeleteFunc(c.busy, func(dest *destination) bool {
 		dest.busy = dest.hasWaiting() || len(dest.attempts) > 0
@@ -146,15 +147,15 @@
 	for i := 0; i < len(c.openMessages); {
 		msg := c.openMessages[i]
 		if msg.waiting() && c.now >= c.latestSendTime(msg) {
-			c.finishUndelivered(msg) // takes it out of openMessages
+			c.finishUndelivered(msg) // removes it from openMessages
 			continue
 		}
 		i++
 	}
 }
 
-// runSelection runs rounds of selection while a slot is free. Of the messages that the destinations' rounds select, the
-// one with the most weight for its slot time goes first.
+// runSelection sends messages until no busy destination selects one that may take a slot. Of the messages that the
+// destinations' selection rounds return, it first sends the one with the highest weight per second of slot time.
 func (c *Controller) runSelection() {
 	for {
 		var best *message
@@ -167,7 +168,7 @@
 			}
 			value := c.weightPerSecond(msg)
 			if c.canJoinCall(endpoint) {
-				value = math.Inf(1) // it takes no slot
+				value = math.Inf(1) // needs no further slot
 			} else if c.slotReserved(value) {
 				continue
 			}
@@ -183,8 +184,9 @@
 	}
 }
 
-// selectionRound is the paper's round of selection for a destination: the message that goes next, and where to, or nil.
-// A fresh head that would miss its latency objective is deferred, a deferred one that would miss its deadline is ended.
+// selectionRound performs the paper's selection round for a destination. It returns the message to send next and its
+// endpoint, or nil. It defers a head of the fresh queue that would miss its latency objective, and finishes a head of
+// the deferred queue that would miss its deadline.
 func (c *Controller) selectionRound(dest *destination) (*message, *endpoint) {
 	for {
 		msg, endpoint := c.queueHead(dest, dest.fresh)
@@ -206,8 +208,8 @@
 	}
 }
 
-// queueHead returns the message of a queue that goes first, and where to: of those that may go, the one with the most
-// weight when served now, then the one that has waited longest.
+// queueHead returns the first message of a queue and its endpoint, or nil: of the messages that may be sent, the one
+// that gains the most weight if it is sent now, and among equal ones the first in the queue.
 func (c *Controller) queueHead(dest *destination, queue []*message) (*message, *endpoint) {
 	var best *message
 	var bestEndpoint *endpoint
@@ -215,7 +217,7 @@
 	for _, msg := range queue {
 		weight := msg.weightWhenServed(c.now, c.settings.WeightHalves)
 		if dest.sharedRoute.breaker.open && msg.class.Idempotency == NotIdempotent {
-			weight = -weight // a trial call may be lost: it should carry a message that may be repeated
+			weight = -weight // a trial call may be lost, so prefer a message that may be retried
 		}
 		if best != nil && weight <= maxWeight {
 			continue
@@ -227,18 +229,18 @@
 	return best, bestEndpoint
 }
 
-// weightWhenServed is the weight that a message brings if it is sent now and served after the expected call time.
+// weightWhenServed returns the weight that a message gains if it is sent now and served after the mean call time.
 func (msg *message) weightWhenServed(now time.Duration, halving bool) float64 {
 	return msg.class.weightAt(msg.age(now)+msg.destination.callTime.mean, halving)
 }
 
-// weightPerSecond is the weight that a message brings for each second of its slot.
+// weightPerSecond returns the weight that a message gains per second of slot time.
 func (c *Controller) weightPerSecond(msg *message) float64 {
 	slotTime := max(msg.destination.callTime.mean, c.settings.Tick, time.Millisecond)
 	return msg.weightWhenServed(c.now, c.settings.WeightHalves) / slotTime.Seconds()
 }
 
-// recordSlotYield takes what a call brought for its time.
+// recordSlotYield records the weight that an attempt gained in its slot time.
 func (c *Controller) recordSlotYield(msg *message, elapsed time.Duration, result Result) {
 	weight := 0.0
 	if result == Served {
@@ -247,19 +249,19 @@
 	c.slotYield.record(weight, elapsed)
 }
 
-// freeSlots is the number of slots that neither this process nor its predecessor or successor uses.
+// freeSlots returns the number of slots that neither this process nor its predecessor or successor uses.
 func (c *Controller) freeSlots() int {
 	return c.settings.MaxInFlight - c.callsInFlight - c.remoteInFlight
 }
 
-// slotReserved holds back a call of low yield when few slots are free: a slow or failing destination may use idle
-// slots, but not the last ones, which quick calls to others need.
+// slotReserved reports whether the remaining free slots are reserved against a call with this yield. A slow or failing
+// destination, whose yield is low, may use spare slots but not the last ones, which fast calls to others need.
 func (c *Controller) slotReserved(weightPerSecond float64) bool {
 	return float64(c.freeSlots()) <= reservedSlotFraction*float64(c.settings.MaxInFlight) &&
 		c.slotYield.low(weightPerSecond)
 }
 
-// finish ends a message. An attempt in flight is awaited.
+// finish marks a message as finished. An attempt in flight keeps its slot until its outcome.
 func (c *Controller) finish(msg *message) {
 	if msg.finished {
 		return
@@ -282,7 +284,7 @@
 	c.sequences.release(msg.sequence, c.now)
 }
 
-// without returns the list less one element, in the same order. It reuses the list's array.
+// without removes the first occurrence of an element from a list, in place, and returns the shortened list.
 func without[T comparable](list []T, element T) []T {
 	for i, x := range list {
 		if x == element {
--- a/control/retry.go
+++ b/control/retry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// mayRetry reports whether the message may have a further attempt, by its class and the limit on attempts.
+// mayRetry reports whether the message's class and the limit on attempts allow another attempt.
 func (c *Controller) mayRetry(msg *message) bool {
 	if c.settings.MaxAttempts > 0 && msg.attempts >= c.settings.MaxAttempts {
 		return false
@@ -19,7 +19,8 @@
 	return msg.keyRetained(c.now, c.expectedCallTime(msg.destination, msg.class))
 }
 
-// keyRetained reports whether a repeat sent now, which arrives within a call's time, is still dropped by its key.
+// keyRetained reports whether a retry sent now, which arrives within callTime, would still be dropped by its key if the
+// message has already run.
 func (msg *message) keyRetained(now, callTime time.Duration) bool {
 	margin := min(callTime, msg.class.KeyRetention/4)
 	return now+margin < msg.firstRunAt+msg.class.KeyRetention
@@ -31,7 +32,7 @@
 	return !msg.mayHaveRun || !msg.class.KeyZoneScoped || zone == msg.firstRunZone
 }
 
-// mayReject reports whether the message may be rejected, which tells its client that it may safely submit it again.
+// mayReject reports whether the message may be rejected, which allows its client to submit it again.
 func (msg *message) mayReject() bool {
 	if msg.finished || msg.inFlight != nil {
 		return false
@@ -40,7 +41,8 @@
 		msg.class.Idempotency == IdempotentByKey && !msg.class.KeyZoneScoped
 }
 
-// finishUndelivered ends a message without delivery: rejected if submitting it again is safe, failed otherwise.
+// finishUndelivered finishes a message without delivery. It rejects the message if submitting it again is safe, and
+// fails it otherwise.
 func (c *Controller) finishUndelivered(msg *message) {
 	if msg.mayReject() {
 		c.actions.Reject(msg.ID, c.rejectionRetryAfter(msg))
--- a/control/settings.go
+++ b/control/settings.go
@@ -5,98 +5,97 @@
 	"time"
 )
 
-// Idempotency says what repeating a message may do at its destination.
+// Idempotency describes the effect of delivering a message more than once.
 type Idempotency uint8
 
-// What repeating a message may do.
+// The levels of idempotency.
 const (
-	Idempotent      Idempotency = iota // nothing: it may be repeated at will
-	IdempotentByKey                    // nothing within Class.KeyRetention, as repeats are dropped by their key
-	NotIdempotent                      // harm: it must never run twice
+	Idempotent      Idempotency = iota // repeats have no effect
+	IdempotentByKey                    // repeats within Class.KeyRetention are dropped by their key
+	NotIdempotent                      // repeats do harm: the message must never run twice
 )
 
-// Class describes one class of message.
+// Class describes a class of messages.
 type Class struct {
-	LatencyObjective time.Duration // full weight when served by this age
-	ObjectiveStretch float64       // the objective grows by this multiple of the expected work
+	LatencyObjective time.Duration // age up to which a served message has its full weight
+	ObjectiveStretch float64       // LatencyObjective grows by this multiple of the expected work
 	Deadline         time.Duration // age at which the message expires
-	PriorityWeight   float64       // weight of one message in scheduling
-	LateWeight       float64       // fraction of the weight that is left at the deadline
+	PriorityWeight   float64       // weight of a message in scheduling
+	LateWeight       float64       // fraction of PriorityWeight that is left at the deadline
 	Idempotency      Idempotency
-	KeyZoneScoped    bool          // by key: repeats are dropped only within one zone
-	KeyRetention     time.Duration // by key: how long repeats are dropped
-	Ordered          bool          // messages with one key go one at a time, in order of submission
-	Streaming        bool          // the answer starts before it ends
+	KeyZoneScoped    bool          // IdempotentByKey: repeats are dropped only within one zone
+	KeyRetention     time.Duration // IdempotentByKey: time for which repeats are dropped
+	Ordered          bool          // messages with the same key are sent one at a time, in order of submission
+	Streaming        bool          // the response is streamed to the client
 }
 
-// Kind describes one kind of destination.
+// Kind describes a kind of partner.
 type Kind struct {
-	MaxBatch       int  // messages that may share one call; at least 1
-	SeparateRoutes bool // each endpoint has its own limit, waits and outages
+	MaxBatch       int  // maximum number of messages in one call; at least 1
+	SeparateRoutes bool // limits, Retry-After and outages apply per endpoint
 }
 
-// Tenant describes one customer that shares the service.
+// Tenant describes a customer that shares the service.
 type Tenant struct {
-	Quota    float64 // messages a second, over the whole fleet
-	Fraction float64 // of the service
+	Quota    float64 // messages per second over the whole fleet
+	Fraction float64 // share of the service
 }
 
-// WeightKind says what Endpoint.Weight holds.
+// WeightKind defines the meaning of Endpoint.Weight.
 type WeightKind uint8
 
-// The forms that weights take.
+// The meanings of endpoint weights.
 const (
-	WeightsUnset       WeightKind = iota // nothing
-	WeightsNominal                       // calls a second that the endpoint takes from the whole fleet
-	WeightsApproximate                   // the same, far from exact
+	WeightsUnset       WeightKind = iota // no meaning
+	WeightsNominal                       // capacity in calls per second for the whole fleet
+	WeightsApproximate                   // the same as a rough estimate
 )
 
-// Settings is all that a controller is told at its start. New and Controller.UpdateSettings reject those that no
-// decision could be based on.
+// Settings holds the configuration of a controller. New and Controller.UpdateSettings reject invalid settings.
 type Settings struct {
-	Seed              uint64 // of all random draws
-	Index             int    // of this sender in the fleet
-	FleetSize         int    // senders that share the traffic, this one included
-	Zone              int    // of this sender
+	Seed              uint64 // seed of the random number generator
+	Index             int    // index of this sender in the fleet
+	FleetSize         int    // number of senders that share the traffic, including this one
+	Zone              int    // zone of this sender
 	Classes           []Class
 	Kinds             []Kind
 	Tenants           []Tenant
-	OverQuotaFactor   float64 // weight of traffic beyond a tenant's quota, as a fraction
-	WeightHalves      bool    // weight halves with each further latency objective; else it falls evenly
-	WeightByWork      bool    // a message counts by its expected work, not as one
-	MaxInFlight       int     // calls in flight at once
-	MaxOpenMessages   int     // open messages at once; 0 = no limit
-	MaxAttempts       int     // attempts for one message; 0 = no limit
-	AllowHedging      bool    // two attempts for one message may be in flight at once
+	OverQuotaFactor   float64 // fraction of the weight that counts for traffic above a tenant's quota
+	WeightHalves      bool    // weight halves with each further latency objective; otherwise it falls linearly
+	WeightByWork      bool    // a message counts by its expected work instead of as one
+	MaxInFlight       int     // maximum number of calls in flight
+	MaxOpenMessages   int     // maximum number of open messages; 0 = no limit
+	MaxAttempts       int     // maximum number of attempts per message; 0 = no limit
+	AllowHedging      bool    // a message may have two attempts in flight
 	CanCancel         bool
 	CanHealthCheck    bool
-	CanGossip         bool          // peers may be told what was seen
-	CanSendRetryAfter bool          // clients receive a Retry-After
-	MaxRetryAfter     time.Duration // the longest Retry-After that clients heed
-	StreamsPerConn    int           // calls that one connection carries at once
-	ConnIdleTimeout   time.Duration // an idle connection closes after this
+	CanGossip         bool          // the host can send observations to peers
+	CanSendRetryAfter bool          // rejections to clients carry a Retry-After
+	MaxRetryAfter     time.Duration // longest Retry-After that clients honor
+	StreamsPerConn    int           // maximum number of concurrent calls on a connection
+	ConnIdleTimeout   time.Duration // an idle connection is closed after this
 	ConnectTimeout    time.Duration
-	HeadroomIndex     int        // place in Outcome.LoadReport of the fraction of the limit that is left; -1 = none
-	LimitIndex        int        // place in Outcome.LoadReport of the limit in calls a second; -1 = none
-	WeightKind        WeightKind // what Endpoint.Weight holds
-	PollsList         bool       // the endpoint list answers only when polled
+	HeadroomIndex     int        // index in Outcome.LoadReport of the unused fraction of the limit; -1 = none
+	LimitIndex        int        // index in Outcome.LoadReport of the limit in calls per second; -1 = none
+	WeightKind        WeightKind // meaning of Endpoint.Weight
+	PollsList         bool       // the endpoint list has to be polled
 	Tick              time.Duration
-	ResponseGrace     time.Duration // an answer to a client this late still counts
-	MaxPollInterval   time.Duration // after this long without a poll the list counts as notified; 0 = no such rule
-	DrainGrace        time.Duration // calls to a draining endpoint are allowed for so long
-	ColdCapacity      float64       // fraction of its capacity that a destination has after an outage
-	WarmUp            time.Duration // time after which it has all of it
-	OverloadFactor    float64       // times its present capacity that overloads a destination that is warming up...
-	OverloadWindow    time.Duration // ...when sent for so long
-	OrderedPause      time.Duration // pause of a key after an attempt that may still run
-	RejectionCost     float64       // price of a call that is rejected above a limit
-	ConnectionCost    float64       // price of an opened connection
-	HealthCheckCost   float64       // price of a health check
-	WastedWorkCost    float64       // price of work that served nothing
-	ZoneCosts         []float64     // by zone: price of a message that an endpoint with a separate route there takes
+	ResponseGrace     time.Duration // an answer to a client still counts if it is this late
+	MaxPollInterval   time.Duration // list updates count as notified after this long without a poll; 0 = no such rule
+	DrainGrace        time.Duration // time for which calls to a draining endpoint are allowed
+	ColdCapacity      float64       // fraction of a destination's capacity that is available right after an outage
+	WarmUp            time.Duration // time after an outage until the full capacity is available
+	OverloadFactor    float64       // multiple of its current capacity that overloads a warming destination...
+	OverloadWindow    time.Duration // ...if it lasts this long
+	OrderedPause      time.Duration // pause of a key after an attempt that may still be running
+	RejectionCost     float64       // cost of a call that is rejected above a limit
+	ConnectionCost    float64       // cost of opening a connection
+	HealthCheckCost   float64       // cost of a health check
+	WastedWorkCost    float64       // cost of work that served no message
+	ZoneCosts         []float64     // by zone: cost of a message sent to an endpoint with a separate route there
 }
 
-// kind returns what is known of a kind of destination.
+// kind returns the settings of a kind of partner, or defaults for an unknown kind.
 func (s *Settings) kind(i int) Kind {
 	if i < 0 || i >= len(s.Kinds) {
 		return Kind{MaxBatch: 1}
@@ -104,20 +103,20 @@
 	return s.Kinds[i]
 }
 
-// validate rejects settings that no decision could be based on. Its errors begin with the key that the setting has in
-// settings files, which may differ from the name of the field.
+// validate returns an error for settings that are missing or out of range. The error begins with the key of the setting
+// in settings files, which may differ from the name of its field.
 func validate(s *Settings) error {
 	if len(s.Classes) == 0 {
-		//lint:ignore ST1005 it begins with the name of the field
+		//lint:ignore ST1005 the error begins with the key of the setting
 		return fmt.Errorf("Classes: none given")
 	}
 	for i, k := range s.Classes {
 		if k.Deadline <= 0 || k.LatencyObjective < 0 || k.KeyRetention < 0 || k.ObjectiveStretch < 0 {
-			//lint:ignore ST1005 it begins with the name of the field
+			//lint:ignore ST1005 the error begins with the key of the setting
 			return fmt.Errorf("Classes[%d]: Deadline must be positive; Aim, Memory, AimStretch not negative", i)
 		}
 		if k.PriorityWeight < 0 || k.LateWeight < 0 || k.LateWeight > 1 || k.Idempotency > NotIdempotent {
-			//lint:ignore ST1005 it begins with the name of the field
+			//lint:ignore ST1005 the error begins with the key of the setting
 			return fmt.Errorf("Classes[%d]: Worth, LateWorth or Effect out of range", i)
 		}
 	}
@@ -128,7 +127,7 @@
 	}
 	for i, t := range s.Tenants {
 		if t.Quota < 0 || t.Fraction < 0 {
-			//lint:ignore ST1005 it begins with the name of the field
+			//lint:ignore ST1005 the error begins with the key of the setting
 			return fmt.Errorf("Tenants[%d]: negative Rate or Portion", i)
 		}
 	}
--- a/control/timeout.go
+++ b/control/timeout.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	idempotentTimeoutFactor    = 3.0 // an attempt that may be repeated waits for so many expected call times
-	notIdempotentTimeoutFactor = 8.0 // one that must not be: a timeout loses its message
-	preemptibleFraction        = 0.5 // part of its timeout after which an attempt gives its slot to others
+	idempotentTimeoutFactor    = 3.0 // timeout in expected call times if the message may be retried
+	notIdempotentTimeoutFactor = 8.0 // the same if it must not be retried, as a timeout then loses the message
+	preemptibleFraction        = 0.5 // fraction of its timeout after which an attempt may be preempted
 )
 
-// attemptTimeout is how long an attempt may go unanswered. Unresponsive calls hold slots that other destinations need,
-// and a message that may be repeated can go to another endpoint.
+// attemptTimeout returns the timeout of an attempt. It is limited because unresponsive calls occupy slots that other
+// destinations need, and because a message that may be retried can be sent to another endpoint.
 func (c *Controller) attemptTimeout(msg *message) time.Duration {
 	expected := float64(c.expectedCallTime(msg.destination, msg.class))
 	factor := idempotentTimeoutFactor
@@ -19,8 +19,8 @@
 	return min(msg.deadline-c.now, time.Duration(factor*expected))
 }
 
-// preemptOverdueCall cancels the most overdue call of an unresponsive destination when all slots are taken and messages
-// to others wait. With slots to spare the call may yet be answered.
+// preemptOverdueCall cancels the most overdue call to an unresponsive destination if all slots are in use and messages
+// to other destinations wait. As long as slots are free the call is kept, as it may still be answered.
 func (c *Controller) preemptOverdueCall() {
 	if !c.settings.CanCancel || c.freeSlots() > 0 {
 		return
@@ -50,15 +50,16 @@
 	}
 }
 
-// preemptible reports whether the attempt is overdue at a destination that has answered nothing since it was sent.
+// preemptible reports whether the attempt is overdue and its destination has answered nothing since it was sent.
 func (a *attempt) preemptible(now time.Duration) bool {
 	unresponsive := a.endpoint.route.breaker.open && a.endpoint.destination.stalls.lastAnswerAt <= a.sentAt
 	return unresponsive && now >= a.preemptibleAt && !a.message.streaming
 }
 
-// detectUnresponsive finds destinations that have answered nothing since their oldest call was overdue. Slow and
-// unresponsive ones look the same: until they answer they get trial calls only, so that they do not fill the slots. A
-// sender of a large fleet makes few calls to each: one that is overdue says this of its endpoint alone.
+// detectUnresponsive opens the circuits of destinations that have answered nothing since their oldest call was sent,
+// once that call is overdue. Slow and unresponsive destinations cannot be distinguished: until they answer they receive
+// only trial calls, so that they do not occupy all slots. A sender of a large fleet makes few calls to each
+// destination, so an overdue call counts against its endpoint only.
 func (c *Controller) detectUnresponsive() {
 	for _, dest := range c.busy {
 		for i, a := range dest.attempts {
