--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// idle is a host that does nothing.
-type idle struct{}
+// noopHost is a host that does nothing.
+type noopHost struct{}
 
-func (idle) Send(MessageID, EndpointID, time.Duration) {}
-func (idle) Cancel(MessageID, int)                     {}
-func (idle) Reject(MessageID, time.Duration)           {}
-func (idle) Fail(MessageID)                            {}
-func (idle) HealthCheck(EndpointID)                    {}
-func (idle) Disconnect(EndpointID)                     {}
-func (idle) Watch(bool)                                {}
-func (idle) Fetch()                                    {}
-func (idle) SetTimer(time.Duration, uint32)            {}
-func (idle) Log(string)                                {}
-func (idle) Gossip(Observation)                        {}
+func (noopHost) Send(MessageID, EndpointID, time.Duration) {}
+func (noopHost) Cancel(MessageID, int)                     {}
+func (noopHost) Reject(MessageID, time.Duration)           {}
+func (noopHost) Fail(MessageID)                            {}
+func (noopHost) HealthCheck(EndpointID)                    {}
+func (noopHost) Disconnect(EndpointID)                     {}
+func (noopHost) Watch(bool)                                {}
+func (noopHost) Fetch()                                    {}
+func (noopHost) SetTimer(time.Duration, uint32)            {}
+func (noopHost) Log(string)                                {}
+func (noopHost) Gossip(Observation)                        {}
 
 // BenchmarkEvent measures an event, a message and the decision after it, with so many destinations that have messages
 // waiting.
 func BenchmarkEvent(b *testing.B) {
 	for _, busy := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(busy), func(b *testing.B) {
-			set := settings()
-			set.FleetSize, set.CanGossip, set.WeightKind, set.MaxOpenMessages = 80, true, WeightsApproximate, 0
-			set.HeadroomIndex, set.LimitIndex = -1, -1
-			c, err := New(set, idle{})
+			cfg := testSettings()
+			cfg.FleetSize, cfg.CanGossip, cfg.WeightKind, cfg.MaxOpenMessages = 80, true, WeightsApproximate, 0
+			cfg.HeadroomIndex, cfg.LimitIndex = -1, -1
+			c, err := New(cfg, noopHost{})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/control/calltime_test.go
+++ b/control/calltime_test.go
@@ -8,13 +8,13 @@
 
 // Quick rejections and timeouts do not change T_m.
 func TestCallTimeFromServedOnly(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 1)
-	r.arrive(1, 0, 0)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 1)
+	r.submit(1, 0, 0)
 	r.advance(200 * ms)
 	r.answer(1, Served, 0)
 	before := r.c.destination(0).callTime.mean
-	r.arrive(2, 0, 0)
+	r.submit(2, 0, 0)
 	r.advance(5 * ms)
 	r.answer(2, Rejected, 0)
 	r.advance(3 * time.Second)
@@ -25,25 +25,25 @@
 
 // What a sender finds at one instant after a stall of its own opens no circuit and does not change T_m, in whatever
 // order it comes.
-func TestStallIsNotMeasured(t *testing.T) {
-	for _, jobsFirst := range []bool{false, true} {
-		r := newRecorder(t, settings())
+func TestCallTimeExcludesSenderStall(t *testing.T) {
+	for _, submitFirst := range []bool{false, true} {
+		r := newRecorder(t, testSettings())
 		id := MessageID(0)
 		for dest := range 3 {
-			r.ready(dest, 1)
+			r.addReady(dest, 1)
 		}
 		for range 20 {
 			for dest := range 3 {
 				id++
-				r.arrive(id, 0, dest)
+				r.submit(id, 0, dest)
 			}
 			r.serve(120*ms, 100*ms)
 		}
 		before := r.c.destination(0).callTime.mean
-		r.arrive(1000, 0, 0)
-		r.arrive(1001, 0, 1)
+		r.submit(1000, 0, 0)
+		r.submit(1001, 0, 1)
 		r.now += 1900 * ms
-		if jobsFirst {
+		if submitFirst {
 			r.c.Submit(r.now, Message{ID: 1002, Destination: 2, TimeLeft: 8000 * ms})
 		}
 		for i, w := range r.timers {
@@ -52,32 +52,34 @@
 			}
 		}
 		for _, m := range []MessageID{1000, 1001} {
-			r.messages[m].outcome, r.messages[m].out = "served", false
-			r.c.AttemptDone(r.now, Outcome{ID: m, Endpoint: r.messages[m].to, Result: Served, Elapsed: 1900 * ms, Final: true})
+			r.messages[m].outcome, r.messages[m].inFlight = "served", false
+			r.c.AttemptDone(r.now, Outcome{ID: m, Endpoint: r.messages[m].endpoint, Result: Served, Elapsed: 1900 * ms,
+				Final: true})
 		}
-		r.messages[1002] = &tracked{class: r.set.Classes[0], due: r.now + 8000*ms, Message: Message{Destination: 2}}
+		r.messages[1002] = &trackedMessage{class: r.cfg.Classes[0], deadline: r.now + 8000*ms,
+			Message: Message{Destination: 2}}
 		r.c.Decide(r.now)
 		for dest := range 3 {
 			if d := r.c.destination(dest); d.sharedRoute.breaker.open || d.concurrencyReduced {
-				t.Errorf("jobs first %v: destination %d taken for failed", jobsFirst, dest)
+				t.Errorf("jobs first %v: destination %d taken for failed", submitFirst, dest)
 			}
 		}
 		if d := r.c.destination(0); d.callTime.mean != before || len(r.healthChecks) > 0 {
-			t.Errorf("jobs first %v: T_m %v became %v, %d probes", jobsFirst, before, d.callTime.mean, len(r.healthChecks))
+			t.Errorf("jobs first %v: T_m %v became %v, %d probes", submitFirst, before, d.callTime.mean, len(r.healthChecks))
 		}
 	}
 }
 
 // The first call to a destination expects the call time of all destinations.
 func TestFirstCallUsesOverallCallTime(t *testing.T) {
-	r := newRecorder(t, settings())
+	r := newRecorder(t, testSettings())
 	for dest := range 12 {
-		r.ready(dest, 1)
-		r.arrive(MessageID(dest+1), 0, dest)
+		r.addReady(dest, 1)
+		r.submit(MessageID(dest+1), 0, dest)
 		r.serve(120*ms, 100*ms)
 	}
-	r.ready(50, 1)
-	m := r.arrive(90, 0, 50)
+	r.addReady(50, 1)
+	m := r.submit(90, 0, 50)
 	if tm := r.c.destination(50).callTime.mean; tm < 80*ms || tm > 130*ms ||
 		m.timeout > time.Duration(idempotentTimeoutFactor*float64(350*ms)) {
 		t.Fatalf("T_m %v, time-out %v where calls take 100 ms", tm, m.timeout)
@@ -85,23 +87,23 @@
 }
 
 // When calls take longer everywhere, one to a destination with an old T_m is not taken for unresponsive.
-func TestSlownessEverywhereIsNotUnresponsive(t *testing.T) {
-	r := newRecorder(t, settings())
+func TestOverallSlowdownIsNotUnresponsive(t *testing.T) {
+	r := newRecorder(t, testSettings())
 	for dest := range 12 {
-		r.ready(dest, 1)
-		r.arrive(MessageID(dest+1), 0, dest)
+		r.addReady(dest, 1)
+		r.submit(MessageID(dest+1), 0, dest)
 		r.serve(120*ms, 100*ms)
 	}
-	d, k := r.c.destination(0), &r.set.Classes[0]
-	before := r.c.expectedCallTime(d, k)
+	dest, class := r.c.destination(0), &r.cfg.Classes[0]
+	before := r.c.expectedCallTime(dest, class)
 	for id := MessageID(100); id < 160; id++ {
-		r.arrive(id, 0, 1+int(id)%11)
+		r.submit(id, 0, 1+int(id)%11)
 		r.serve(260*ms, 250*ms)
 		for dest := 1; dest < 12; dest++ {
 			r.c.destination(dest).callTime.mean = 100 * ms
 		}
 	}
-	if after := r.c.expectedCallTime(d, k); after < before*7/4 {
+	if after := r.c.expectedCallTime(dest, class); after < before*7/4 {
 		t.Fatalf("usual call %v became %v though all calls take 2.5 times as long", before, after)
 	}
 }
--- a/control/circuitbreaker_test.go
+++ b/control/circuitbreaker_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// outage opens the circuit of destination 0, which stops answering.
-func outage(r *recorder) {
-	r.ready(0, 2)
-	r.arrive(1, 0, 0)
+// causeOutage opens the circuit of destination 0, which stops answering.
+func causeOutage(r *recorder) {
+	r.addReady(0, 2)
+	r.submit(1, 0, 0)
 	r.advance(100 * ms)
 	r.answer(1, Served, 0)
 	for id := MessageID(2); id < 10; id++ {
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 		r.advance(300 * ms)
 	}
 }
 
 // An unresponsive destination must not fill the slots, and gets health checks.
 func TestUnresponsiveDestinationLeavesSlots(t *testing.T) {
-	r := newRecorder(t, settings())
-	outage(r)
-	if n := r.out(0); n > r.set.MaxInFlight/2 {
+	r := newRecorder(t, testSettings())
+	causeOutage(r)
+	if n := r.attemptsInFlight(0); n > r.cfg.MaxInFlight/2 {
 		t.Fatalf("%d calls out at a hung destination", n)
 	}
 	if !r.c.destination(0).sharedRoute.breaker.open || len(r.healthChecks) == 0 {
 		t.Fatalf("the route should be open and probed: %v", r.trace)
 	}
-	r.ready(1, 1)
-	if m := r.arrive(50, 0, 1); !m.out {
+	r.addReady(1, 1)
+	if m := r.submit(50, 0, 1); !m.inFlight {
 		t.Fatal("another destination got no slot")
 	}
 }
 
 // Without health checks a trial call tests an open circuit.
 func TestTrialCallWithoutHealthChecks(t *testing.T) {
-	set := settings()
-	set.CanHealthCheck = false
-	r := newRecorder(t, set)
-	outage(r)
+	cfg := testSettings()
+	cfg.CanHealthCheck = false
+	r := newRecorder(t, cfg)
+	causeOutage(r)
 	sends := 0
 	for _, m := range r.messages {
 		sends += m.attempts
@@ -56,10 +56,10 @@
 
 // A single rejection among served calls is no outage: no slow start follows.
 func TestRejectionIsNoOutage(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 1)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 1)
 	for id := MessageID(1); id < 20; id++ {
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 		r.advance(50 * ms)
 		if id%4 == 0 {
 			r.answer(id, Rejected, 0)
@@ -68,29 +68,29 @@
 		}
 		r.serve(200*ms, 50*ms)
 	}
-	if rt := r.c.destination(0).sharedRoute; rt.breaker.open || rt.slowStart.active {
-		t.Fatalf("open %v, warming %v", rt.breaker.open, rt.slowStart.active)
+	if route := r.c.destination(0).sharedRoute; route.breaker.open || route.slowStart.active {
+		t.Fatalf("open %v, warming %v", route.breaker.open, route.slowStart.active)
 	}
 }
 
 // A long Retry-After is an outage: one trial call comes after it, not all that is queued.
-func TestLongWaitIsOutage(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 2)
-	r.arrive(1, 0, 0)
+func TestLongRetryAfterIsOutage(t *testing.T) {
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 2)
+	r.submit(1, 0, 0)
 	r.advance(50 * ms)
-	r.answer(1, Rejected, 2*r.set.OverloadWindow)
+	r.answer(1, Rejected, 2*r.cfg.OverloadWindow)
 	for id := MessageID(2); id < 12; id++ {
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 	}
-	r.advance(2*r.set.OverloadWindow - 50*ms)
+	r.advance(2*r.cfg.OverloadWindow - 50*ms)
 	before := len(r.trace)
-	r.advance(r.set.OverloadWindow)
+	r.advance(r.cfg.OverloadWindow)
 	tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send ")
 	if tests > 2 {
 		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
 	}
-	r.advance(r.set.WarmUp)
+	r.advance(r.cfg.WarmUp)
 	if after := strings.Count(strings.Join(r.trace, "\n"), "send "); after < 2 {
 		t.Fatal("never tested after the wait")
 	}
@@ -99,23 +99,23 @@
 // A call from before a long Retry-After that is served within it does not end the outage: `cleathold lab sim` found
 // returning partners overloaded after such an answer.
 func TestLateAnswerDoesNotEndOutage(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 2)
-	r.arrive(1, 0, 0)
-	r.arrive(2, 0, 0)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 2)
+	r.submit(1, 0, 0)
+	r.submit(2, 0, 0)
 	r.advance(50 * ms)
-	if r.out(0) != 2 {
-		t.Fatalf("%d calls out", r.out(0))
+	if r.attemptsInFlight(0) != 2 {
+		t.Fatalf("%d calls out", r.attemptsInFlight(0))
 	}
-	r.answer(1, Rejected, 2*r.set.OverloadWindow)
+	r.answer(1, Rejected, 2*r.cfg.OverloadWindow)
 	r.advance(20 * ms)
 	r.answer(2, Served, 0)
 	for id := MessageID(3); id < 13; id++ {
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 	}
-	r.advance(2*r.set.OverloadWindow - 50*ms)
+	r.advance(2*r.cfg.OverloadWindow - 50*ms)
 	before := len(r.trace)
-	r.advance(r.set.OverloadWindow)
+	r.advance(r.cfg.OverloadWindow)
 	if tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send "); tests > 2 {
 		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
 	}
@@ -123,67 +123,67 @@
 
 // Rejections above a limit with served calls among them are no outage: the circuit stays closed, at a rate that each
 // rejection lowers and served calls raise again.
-func TestRejectionsBetweenAnswers(t *testing.T) {
-	set := settings()
-	set.WeightKind = WeightsApproximate
-	r := newRecorder(t, set)
+func TestRejectionsAmongServedCalls(t *testing.T) {
+	cfg := testSettings()
+	cfg.WeightKind = WeightsApproximate
+	r := newRecorder(t, cfg)
 	r.updateList(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
 	e := r.c.endpoints[1]
-	r.arrive(1, 0, 0)
+	r.submit(1, 0, 0)
 	r.advance(50 * ms)
 	r.answer(1, Served, 0)
-	whole := r.c.sendRate(e)
-	m := r.arrive(2, 0, 0)
+	fullRate := r.c.sendRate(e)
+	m := r.submit(2, 0, 0)
 	for range 2 * circuitOpenFailures {
-		for !m.out {
+		for !m.inFlight {
 			r.advance(50 * ms)
 		}
 		r.answer(2, Rejected, 0)
 	}
-	low := r.c.sendRate(e)
-	if e.route.breaker.open || low >= whole/2 {
-		t.Fatalf("open %t, pace %.1f of %.1f", e.route.breaker.open, low, whole)
+	reducedRate := r.c.sendRate(e)
+	if e.route.breaker.open || reducedRate >= fullRate/2 {
+		t.Fatalf("open %t, pace %.1f of %.1f", e.route.breaker.open, reducedRate, fullRate)
 	}
-	for !m.out {
+	for !m.inFlight {
 		r.advance(50 * ms)
 	}
 	r.answer(2, Served, 0)
 	for id := MessageID(3); id < 20; id++ {
-		for m := r.arrive(id, 0, 0); !m.out; {
+		for m := r.submit(id, 0, 0); !m.inFlight; {
 			r.advance(50 * ms)
 		}
 		r.answer(id, Served, 0)
 	}
-	if up := r.c.sendRate(e); up <= low || up > whole {
-		t.Errorf("pace %.1f after %.1f and %.1f", up, whole, low)
+	if raisedRate := r.c.sendRate(e); raisedRate <= reducedRate || raisedRate > fullRate {
+		t.Errorf("pace %.1f after %.1f and %.1f", raisedRate, fullRate, reducedRate)
 	}
 }
 
 // Trial calls of an open circuit come often enough that a recovery is not missed for long.
 func TestOpenCircuitTrialInterval(t *testing.T) {
-	set := settings()
-	set.WeightKind = WeightsApproximate
-	r := newRecorder(t, set)
+	cfg := testSettings()
+	cfg.WeightKind = WeightsApproximate
+	r := newRecorder(t, cfg)
 	r.updateList(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
-	m := r.arrive(1, 0, 0)
-	most, last := time.Duration(0), time.Duration(0)
+	m := r.submit(1, 0, 0)
+	maxInterval, lastSentAt := time.Duration(0), time.Duration(0)
 	for n := range 10 {
-		for m.outcome == "" && !m.out {
+		for m.outcome == "" && !m.inFlight {
 			r.advance(10 * ms)
 		}
 		if m.outcome != "" {
-			m = r.arrive(MessageID(n+2), 0, 0)
+			m = r.submit(MessageID(n+2), 0, 0)
 			continue
 		}
-		if r.c.endpoints[1].route.breaker.open && last > 0 {
-			most = max(most, r.c.now-last)
+		if r.c.endpoints[1].route.breaker.open && lastSentAt > 0 {
+			maxInterval = max(maxInterval, r.c.now-lastSentAt)
 		}
-		last = r.c.now
+		lastSentAt = r.c.now
 		r.advance(10 * ms)
 		r.answer(m.ID, Rejected, 0)
 	}
-	if limit := set.WarmUp / 4; most == 0 || most > limit {
-		t.Errorf("tests %v apart, %v at most", most, limit)
+	if limit := cfg.WarmUp / 4; maxInterval == 0 || maxInterval > limit {
+		t.Errorf("tests %v apart, %v at most", maxInterval, limit)
 	}
 }
 
--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -8,15 +8,15 @@
 
 // Connections that lose calls after lying idle are closed before the next call.
 func TestStaleConnectionsClosed(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 1)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 1)
 	id := MessageID(0)
-	call := func(idle time.Duration, res Result) {
+	call := func(idle time.Duration, result Result) {
 		r.advance(idle)
 		id++
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 		r.advance(50 * ms)
-		r.answer(id, res, 0)
+		r.answer(id, result, 0)
 		r.serve(100*ms, 50*ms)
 	}
 	for range 12 {
@@ -24,12 +24,12 @@
 		call(20*ms, Served)
 		call(1500*ms, ConnectionLost)
 	}
-	if len(r.closed) == 0 {
+	if len(r.disconnected) == 0 {
 		t.Fatal("no idle connection was closed")
 	}
-	r2 := newRecorder(t, settings())
-	outage(r2)
-	if len(r2.closed) > 0 {
+	r2 := newRecorder(t, testSettings())
+	causeOutage(r2)
+	if len(r2.disconnected) > 0 {
 		t.Fatal("an unresponsive destination is no reason to close connections")
 	}
 }
@@ -38,19 +38,19 @@
 // peers out; where none is rejected, it is kept for the next call.
 func TestScarceConnectionsAreClosed(t *testing.T) {
 	for _, scarce := range []bool{false, true} {
-		r := newRecorder(t, settings())
-		r.ready(0, 1)
-		r.ready(1, 1)
+		r := newRecorder(t, testSettings())
+		r.addReady(0, 1)
+		r.addReady(1, 1)
 		if scarce {
-			r.arrive(1, 0, 0)
+			r.submit(1, 0, 0)
 			r.advance(10 * ms)
 			r.answer(1, ConnectFailed, 0)
 			r.serve(200*ms, 50*ms)
 		}
-		n := len(r.closed)
-		r.arrive(2, 0, 1)
+		n := len(r.disconnected)
+		r.submit(2, 0, 1)
 		r.serve(200*ms, 50*ms)
-		if closed := len(r.closed) > n; closed != scarce {
+		if closed := len(r.disconnected) > n; closed != scarce {
 			t.Errorf("connections scarce %v: closed %v", scarce, closed)
 		}
 	}
@@ -60,20 +60,20 @@
 // that takes few would have no capacity for most of them. Calls that all get one show that there are enough.
 func TestLargeFleetKeepsNoIdleConnections(t *testing.T) {
 	for _, fleetSize := range []int{largeFleetSize - 1, largeFleetSize, 80} {
-		set := settings()
-		set.FleetSize = fleetSize
-		r := newRecorder(t, set)
-		r.ready(0, 1)
-		r.arrive(1, 0, 0)
+		cfg := testSettings()
+		cfg.FleetSize = fleetSize
+		r := newRecorder(t, cfg)
+		r.addReady(0, 1)
+		r.submit(1, 0, 0)
 		r.serve(200*ms, 50*ms)
-		if closed, want := len(r.closed) == 1, fleetSize >= largeFleetSize; closed != want {
+		if closed, want := len(r.disconnected) == 1, fleetSize >= largeFleetSize; closed != want {
 			t.Errorf("fleet of %d: first connection closed %v", fleetSize, closed)
 		}
 		for id := MessageID(2); id < 200; id++ {
-			r.arrive(id, 0, 0)
+			r.submit(id, 0, 0)
 			r.serve(200*ms, 50*ms)
 		}
-		if n := len(r.closed); n > 100 {
+		if n := len(r.disconnected); n > 100 {
 			t.Errorf("fleet of %d: %d of 199 connections closed though all calls found capacity", fleetSize, n)
 		}
 	}
@@ -83,31 +83,31 @@
 // drain that the list would have told. An answer ends that.
 func TestConnectionsClosedAfterListFailure(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		what  func(r *recorder)
-		after bool // the connection of the next call is closed, too
+		name   string
+		change func(r *recorder)
+		closed bool // the connection of the next call is closed, too
 	}{
 		{"list failed", func(r *recorder) { r.updateList(ListFailed) }, true},
 		{"list answered after it failed", func(r *recorder) { r.updateList(ListFailed); r.updateList(ListDelta) }, false},
 	} {
-		set := settings()
-		set.FleetSize, set.CanGossip, set.PollsList = 80, true, true
-		r := newRecorder(t, set)
+		cfg := testSettings()
+		cfg.FleetSize, cfg.CanGossip, cfg.PollsList = 80, true, true
+		r := newRecorder(t, cfg)
 		r.updateList(ListFull, Endpoint{ID: 1, State: Ready})
 		for id := MessageID(1); id < 99; id++ {
-			r.arrive(id, 0, 0)
+			r.submit(id, 0, 0)
 			r.serve(200*ms, 50*ms)
 		}
-		n := len(r.closed)
-		c.what(r)
+		n := len(r.disconnected)
+		c.change(r)
 		r.advance(ms)
-		if len(r.closed) != n+1 {
-			t.Errorf("%s: the idle connection was closed %d times", c.name, len(r.closed)-n)
+		if len(r.disconnected) != n+1 {
+			t.Errorf("%s: the idle connection was closed %d times", c.name, len(r.disconnected)-n)
 		}
-		n = len(r.closed)
-		r.arrive(100, 0, 0)
+		n = len(r.disconnected)
+		r.submit(100, 0, 0)
 		r.serve(100*ms, 50*ms)
-		if closed := len(r.closed) > n; closed != c.after {
+		if closed := len(r.disconnected) > n; closed != c.closed {
 			t.Errorf("%s: the next connection closed %v", c.name, closed)
 		}
 	}
@@ -116,24 +116,24 @@
 // An endpoint without capacity for a connection is full of peers' connections: its limit is not met, nothing is
 // gossiped, and its circuit stays closed, whether or not it served this sender lately. It is tried again within
 // about a call's time, and ever later as long as it has none.
-func TestConnectionRejectionIsNoLimit(t *testing.T) {
-	for _, lately := range []bool{true, false} {
-		set := settings()
-		set.FleetSize, set.CanGossip, set.WeightKind, set.HeadroomIndex, set.LimitIndex = 80, true, WeightsApproximate, -1, -1
-		r := newRecorder(t, set)
+func TestConnectionRejectionIsNotRateLimit(t *testing.T) {
+	for _, recentlyServed := range []bool{true, false} {
+		cfg := testSettings()
+		cfg.FleetSize, cfg.CanGossip, cfg.WeightKind, cfg.HeadroomIndex, cfg.LimitIndex = 80, true, WeightsApproximate, -1, -1
+		r := newRecorder(t, cfg)
 		r.updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: 200})
-		r.arrive(1, 0, 0)
+		r.submit(1, 0, 0)
 		r.serve(200*ms, 50*ms)
-		if !lately {
-			r.advance(2 * set.OverloadWindow)
+		if !recentlyServed {
+			r.advance(2 * cfg.OverloadWindow)
 		}
-		rt := r.c.destination(0).sharedRoute
-		fraction := rt.limit.fraction
-		m := r.arrive(2, 0, 0)
+		route := r.c.destination(0).sharedRoute
+		fraction := route.limit.fraction
+		m := r.submit(2, 0, 0)
 		tries := func(span time.Duration) int {
 			before := m.attempts
 			for end := r.now + span; r.now < end; r.advance(5 * ms) {
-				if m.out {
+				if m.inFlight {
 					r.answer(2, ConnectionRejected, 0)
 				}
 			}
@@ -141,12 +141,12 @@
 		}
 		soon, later := tries(500*ms), tries(500*ms)
 		rejections := slices.ContainsFunc(r.gossiped, func(n Observation) bool { return n.Kind == ObservedRejection })
-		if rt.breaker.open || rt.limit.fraction < fraction || rejections {
-			t.Errorf("lately %v: open %v, fraction %v after %v, told %d", lately, rt.breaker.open, rt.limit.fraction, fraction,
-				len(r.gossiped))
+		if route.breaker.open || route.limit.fraction < fraction || rejections {
+			t.Errorf("lately %v: open %v, fraction %v after %v, told %d", recentlyServed, route.breaker.open,
+				route.limit.fraction, fraction, len(r.gossiped))
 		}
 		if soon < 3 || later < 1 || later >= soon {
-			t.Errorf("lately %v: tried %d times in 500 ms, then %d", lately, soon, later)
+			t.Errorf("lately %v: tried %d times in 500 ms, then %d", recentlyServed, soon, later)
 		}
 	}
 }
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -59,32 +59,32 @@
 	}
 }
 
-// TestFuzz plays seeded random events and checks every action against the rules. Each play is repeated and must give
-// the same actions.
-func TestFuzz(t *testing.T) {
+// TestRandomEvents plays seeded random events and checks every action against the rules. Each play is repeated and must
+// give the same actions.
+func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
-		first, second := fuzzDay(t, seed), fuzzDay(t, seed)
+		first, second := fuzzRun(t, seed), fuzzRun(t, seed)
 		if !slices.Equal(first, second) {
 			t.Fatalf("seed %d: the same events gave other actions", seed)
 		}
 	}
 }
 
-func fuzzDay(t *testing.T, seed uint64) []string {
+func fuzzRun(t *testing.T, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	set := settings()
-	set.Seed = seed
-	set.Kinds = []Kind{{MaxBatch: 1 + rng.IntN(4), SeparateRoutes: rng.IntN(3) == 0}}
-	set.WeightHalves = rng.IntN(2) == 0
-	set.CanHealthCheck = rng.IntN(2) == 0
-	set.PollsList = rng.IntN(2) == 0
-	set.WeightKind = WeightKind(rng.IntN(3))
-	set.AllowHedging = rng.IntN(2) == 0
-	for i := range set.Classes {
-		set.Classes[i].Ordered = rng.IntN(2) == 0
-		set.Classes[i].KeyZoneScoped = rng.IntN(2) == 0
-	}
-	r := newRecorder(t, set)
+	cfg := testSettings()
+	cfg.Seed = seed
+	cfg.Kinds = []Kind{{MaxBatch: 1 + rng.IntN(4), SeparateRoutes: rng.IntN(3) == 0}}
+	cfg.WeightHalves = rng.IntN(2) == 0
+	cfg.CanHealthCheck = rng.IntN(2) == 0
+	cfg.PollsList = rng.IntN(2) == 0
+	cfg.WeightKind = WeightKind(rng.IntN(3))
+	cfg.AllowHedging = rng.IntN(2) == 0
+	for i := range cfg.Classes {
+		cfg.Classes[i].Ordered = rng.IntN(2) == 0
+		cfg.Classes[i].KeyZoneScoped = rng.IntN(2) == 0
+	}
+	r := newRecorder(t, cfg)
 	id := MessageID(0)
 	results := []Result{Served, Served, Served, Served, Failed, Rejected, TimedOut, ConnectFailed, ConnectionRejected,
 		ConnectionLost, Unknown, NotSent}
@@ -92,12 +92,12 @@
 		switch rng.IntN(12) {
 		case 0, 1, 2, 3:
 			id++
-			class := rng.IntN(len(set.Classes))
-			left := time.Duration(rng.Int64N(int64(set.Classes[class].Deadline)))
+			class := rng.IntN(len(cfg.Classes))
+			left := time.Duration(rng.Int64N(int64(cfg.Classes[class].Deadline)))
 			if rng.IntN(20) == 0 {
 				left = -ms
 			}
-			r.submit(Message{ID: id, Class: class, Destination: rng.IntN(4), TimeLeft: left, Key: uint64(rng.IntN(3))})
+			r.submitMessage(Message{ID: id, Class: class, Destination: rng.IntN(4), TimeLeft: left, Key: uint64(rng.IntN(3))})
 		case 4:
 			e := EndpointID(rng.IntN(9))
 			r.updateList(ListDelta, Endpoint{ID: e, Destination: int(e) % 3, Zone: int(e) % 2, State: EndpointState(rng.IntN(3)),
@@ -112,33 +112,33 @@
 			r.c.Decide(r.now)
 		case 6:
 			if len(r.healthChecks) > 0 {
-				res := results[rng.IntN(len(results))]
-				if res == NotSent {
-					res = TimedOut
+				result := results[rng.IntN(len(results))]
+				if result == NotSent {
+					result = TimedOut
 				}
-				r.c.HealthChecked(r.now, r.healthChecks[0], res, 20*ms, nil)
+				r.c.HealthChecked(r.now, r.healthChecks[0], result, 20*ms, nil)
 				r.c.Decide(r.now)
 				r.healthChecks = r.healthChecks[1:]
 			}
 		case 7:
 			if id > 0 {
-				gone := MessageID(1 + rng.IntN(int(id)))
-				if m := r.messages[gone]; m.outcome == "" {
+				abandoned := MessageID(1 + rng.IntN(int(id)))
+				if m := r.messages[abandoned]; m.outcome == "" {
 					m.outcome = "gone"
-					r.c.Abandon(r.now, gone)
+					r.c.Abandon(r.now, abandoned)
 					r.c.Decide(r.now)
 				}
 			}
 		default:
-			r.advance(time.Duration(1+rng.IntN(20)) * set.Tick)
+			r.advance(time.Duration(1+rng.IntN(20)) * cfg.Tick)
 			for _, a := range r.arrivals {
-				if m := r.messages[a]; m.out && rng.IntN(3) > 0 {
-					res := results[rng.IntN(len(results))]
-					wait := time.Duration(0)
-					if res == Rejected && rng.IntN(2) == 0 {
-						wait = time.Duration(rng.IntN(1500)) * ms
+				if m := r.messages[a]; m.inFlight && rng.IntN(3) > 0 {
+					result := results[rng.IntN(len(results))]
+					retryAfter := time.Duration(0)
+					if result == Rejected && rng.IntN(2) == 0 {
+						retryAfter = time.Duration(rng.IntN(1500)) * ms
 					}
-					r.answer(a, res, wait, float32(rng.Float64()), float32(rng.IntN(10)))
+					r.answer(a, result, retryAfter, float32(rng.Float64()), float32(rng.IntN(10)))
 				}
 			}
 		}
@@ -156,10 +156,10 @@
 }
 
 // Abandoned messages get no answer, and their slots come free.
-func TestAbandonFreesAll(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 1)
-	m := r.arrive(1, 0, 0)
+func TestAbandonFreesSlot(t *testing.T) {
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 1)
+	m := r.submit(1, 0, 0)
 	m.outcome = "gone"
 	r.c.Abandon(r.now, 1)
 	r.c.Decide(r.now)
@@ -172,14 +172,14 @@
 
 // A streamed answer that has started belongs to the client: it neither times out nor expires.
 func TestStreamOutlivesDeadline(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 1)
-	m := r.arrive(1, 0, 0)
-	m.timeout, m.due = time.Hour, time.Hour*100
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 1)
+	m := r.submit(1, 0, 0)
+	m.timeout, m.deadline = time.Hour, time.Hour*100
 	r.c.StreamStarted(r.now, 1)
 	r.c.Decide(r.now)
 	r.advance(20 * time.Second)
-	if m.outcome != "" || !m.out {
+	if m.outcome != "" || !m.inFlight {
 		t.Fatalf("ended %q", m.outcome)
 	}
 	r.answer(1, Served, 0)
@@ -190,14 +190,14 @@
 
 // Only destinations with work are visited: others cost nothing at an event.
 func TestIdleDestinationsAreNotVisited(t *testing.T) {
-	r := newRecorder(t, settings())
+	r := newRecorder(t, testSettings())
 	for dest := range 200 {
-		r.ready(dest, 1)
-		r.arrive(MessageID(dest+1), 0, dest)
+		r.addReady(dest, 1)
+		r.submit(MessageID(dest+1), 0, dest)
 		r.serve(20*ms, 10*ms)
 	}
 	r.serve(50*ms, 10*ms)
-	r.arrive(900, 0, 7)
+	r.submit(900, 0, 7)
 	if len(r.c.busy) != 1 || r.c.busy[0].id != 7 {
 		t.Fatalf("%d destinations are visited, want one", len(r.c.busy))
 	}
@@ -205,15 +205,15 @@
 
 // Sends of one instant to one endpoint share a call: one slot until all are answered.
 func TestBatchSharesSlot(t *testing.T) {
-	set := settings()
-	set.Kinds[0].MaxBatch = 3
-	set.MaxInFlight = 2
-	r := newRecorder(t, set)
-	r.ready(0, 1)
+	cfg := testSettings()
+	cfg.Kinds[0].MaxBatch = 3
+	cfg.MaxInFlight = 2
+	r := newRecorder(t, cfg)
+	r.addReady(0, 1)
 	for id := MessageID(1); id <= 4; id++ {
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 	}
-	if r.c.callsInFlight > 2 || !r.messages[3].out {
+	if r.c.callsInFlight > 2 || !r.messages[3].inFlight {
 		t.Fatalf("%d slots for a call of three", r.c.callsInFlight)
 	}
 	r.advance(20 * ms)
--- a/control/endpointlist_test.go
+++ b/control/endpointlist_test.go
@@ -7,37 +7,37 @@
 
 // Nothing is sent to a draining endpoint.
 func TestDrainStopsSends(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 1)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 1)
 	r.updateList(ListDelta, Endpoint{ID: 0, Destination: 0, State: Draining})
-	m := r.arrive(1, 0, 0)
+	m := r.submit(1, 0, 0)
 	r.advance(time.Second)
 	if m.attempts != 0 {
 		t.Fatal("sent to a draining endpoint")
 	}
 	r.updateList(ListFull, Endpoint{ID: 7, Destination: 0, State: Ready})
-	if !m.out || m.to != 7 {
+	if !m.inFlight || m.endpoint != 7 {
 		t.Fatal("not sent to the new endpoint")
 	}
 }
 
 // Where the list answers only when polled, a failed poll is followed by another one.
 func TestPollAfterFailure(t *testing.T) {
-	set := settings()
-	set.PollsList = true
-	r := newRecorder(t, set)
+	cfg := testSettings()
+	cfg.PollsList = true
+	r := newRecorder(t, cfg)
 	r.updateList(ListCached, Endpoint{ID: 1, State: Ready})
 	if r.watches != 1 {
 		t.Fatalf("polled %d times at the start", r.watches)
 	}
 	r.updateList(ListFailed)
-	r.advance(set.MaxPollInterval / 2)
+	r.advance(cfg.MaxPollInterval / 2)
 	if r.watches < 2 {
 		t.Fatal("not polled again after a failure")
 	}
 	r.updateList(ListDelta)
 	n := r.watches
-	r.advance(set.MaxPollInterval)
+	r.advance(cfg.MaxPollInterval)
 	if r.watches != n {
 		t.Fatal("polled again though subscribed")
 	}
@@ -55,9 +55,9 @@
 	var queue []poll
 	fleet, seen, answered := make([]*recorder, senders), make([]int, senders), make([]bool, senders)
 	for i := range fleet {
-		set := settings()
-		set.PollsList, set.FleetSize, set.Seed = true, senders, uint64(i)
-		fleet[i] = newRecorder(t, set)
+		cfg := testSettings()
+		cfg.PollsList, cfg.FleetSize, cfg.Seed = true, senders, uint64(i)
+		fleet[i] = newRecorder(t, cfg)
 		fleet[i].updateList(ListCached, Endpoint{ID: 1, State: Ready})
 	}
 	done, polls, capacity := 0, 0, 0.0
@@ -110,9 +110,9 @@
 		{1000, 2 * time.Second, 1600 * ms, 2400 * ms},
 		{1000, 0, 4300 * ms, 3600 * ms},
 	} {
-		set := settings()
-		set.FleetSize, set.MaxPollInterval, set.PollsList = c.fleetSize, c.maxPollInterval, true
-		if got := set.PollSpread(); got != c.spread {
+		cfg := testSettings()
+		cfg.FleetSize, cfg.MaxPollInterval, cfg.PollsList = c.fleetSize, c.maxPollInterval, true
+		if got := cfg.PollSpread(); got != c.spread {
 			t.Errorf("%+v: %v", c, got)
 		}
 		// What is answered at one instant is known in 6 s by all, an answer of 1.2 s included; the rest is a tenth longer
@@ -122,8 +122,8 @@
 		}
 		longest := time.Duration(0)
 		for seed := range uint64(40) {
-			set.Seed = seed
-			r := newRecorder(t, set)
+			cfg.Seed = seed
+			r := newRecorder(t, cfg)
 			for range 8 {
 				r.c.list.polling = true
 				r.c.UpdateEndpoints(r.now, ListFailed, nil)
@@ -139,7 +139,7 @@
 // Endpoints that were removed long ago are forgotten, with destinations that have no other; one that is listed again
 // soon is known with its failures.
 func TestRemovedEndpointsArePruned(t *testing.T) {
-	r := newRecorder(t, settings())
+	r := newRecorder(t, testSettings())
 	for i := range 200 {
 		r.updateList(ListDelta, Endpoint{ID: EndpointID(1000 + i), Destination: 50 + i, State: Ready})
 		r.updateList(ListDelta, Endpoint{ID: EndpointID(1000 + i), Destination: 50 + i, State: Removed})
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,22 +7,24 @@
 	"cleathold/control"
 )
 
-// printer is a host that prints what it is asked to do.
-type printer struct{}
+// printingHost is a host that prints what it is asked to do.
+type printingHost struct{}
 
-func (printer) Send(id control.MessageID, to control.EndpointID, _ time.Duration) {
+func (printingHost) Send(id control.MessageID, to control.EndpointID, _ time.Duration) {
 	fmt.Printf("send message %d to endpoint %d\n", id, to)
 }
-func (printer) Cancel(control.MessageID, int)                {}
-func (printer) Reject(id control.MessageID, _ time.Duration) { fmt.Printf("reject message %d\n", id) }
-func (printer) Fail(id control.MessageID)                    { fmt.Printf("fail message %d\n", id) }
-func (printer) HealthCheck(control.EndpointID)               {}
-func (printer) Disconnect(control.EndpointID)                {}
-func (printer) Watch(bool)                                   {}
-func (printer) Fetch()                                       {}
-func (printer) SetTimer(time.Duration, uint32)               {}
-func (printer) Gossip(control.Observation)                   {}
-func (printer) Log(string)                                   {}
+func (printingHost) Cancel(control.MessageID, int) {}
+func (printingHost) Reject(id control.MessageID, _ time.Duration) {
+	fmt.Printf("reject message %d\n", id)
+}
+func (printingHost) Fail(id control.MessageID)      { fmt.Printf("fail message %d\n", id) }
+func (printingHost) HealthCheck(control.EndpointID) {}
+func (printingHost) Disconnect(control.EndpointID)  {}
+func (printingHost) Watch(bool)                     {}
+func (printingHost) Fetch()                         {}
+func (printingHost) SetTimer(time.Duration, uint32) {}
+func (printingHost) Gossip(control.Observation)     {}
+func (printingHost) Log(string)                     {}
 
 // A host owns the calls and the clock; the controller decides.
 func Example() {
@@ -30,7 +32,7 @@
 		FleetSize: 1, MaxInFlight: 1, HeadroomIndex: -1, LimitIndex: -1,
 		Classes: []control.Class{{LatencyObjective: time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}},
 		Kinds:   []control.Kind{{MaxBatch: 1}},
-	}, printer{})
+	}, printingHost{})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/control/fleetrate_test.go
+++ b/control/fleetrate_test.go
@@ -10,19 +10,19 @@
 
 // largeFleetAtLimit returns one of eighty senders that share the limit of an endpoint.
 func largeFleetAtLimit(t *testing.T) (*recorder, *endpoint) {
-	set := settings()
-	set.FleetSize, set.CanGossip, set.WeightKind, set.HeadroomIndex, set.LimitIndex = 80, true, WeightsApproximate, -1, -1
-	r := newRecorder(t, set)
+	cfg := testSettings()
+	cfg.FleetSize, cfg.CanGossip, cfg.WeightKind, cfg.HeadroomIndex, cfg.LimitIndex = 80, true, WeightsApproximate, -1, -1
+	r := newRecorder(t, cfg)
 	r.updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: 4000})
 	return r, r.c.endpoints[1]
 }
 
 // largeFleetMember returns one of eighty senders, with n endpoints of a destination.
 func largeFleetMember(t *testing.T, n int) *recorder {
-	set := settings()
-	set.FleetSize, set.CanGossip, set.MaxAttempts = 80, true, 99
-	r := newRecorder(t, set)
-	r.ready(0, n)
+	cfg := testSettings()
+	cfg.FleetSize, cfg.CanGossip, cfg.MaxAttempts = 80, true, 99
+	r := newRecorder(t, cfg)
+	r.addReady(0, n)
 	return r
 }
 
@@ -30,31 +30,31 @@
 // rejection that is gossiped slows all at once. With half of the gossip lost it takes longer, and without any each
 // slows by what it learns itself. Gossip never makes a sender send more.
 func TestLargeFleetKeepsLimit(t *testing.T) {
-	const senders, step, whole, low, seeds = 80, 20 * ms, 80.0, 13.0, 5 // in the mean of so many
-	play := func(name string, lost float64, seed uint64) (served, rejected int) {
+	const senders, step, fullLimit, reducedLimit, seeds = 80, 20 * ms, 80.0, 13.0, 5 // in the mean of so many
+	run := func(name string, lost float64, seed uint64) (served, rejected int) {
 		rng := rand.New(rand.NewPCG(7, seed))
 		fleet := make([]*recorder, senders)
 		for i := range fleet {
-			set := settings()
-			set.FleetSize, set.CanGossip, set.WeightKind, set.Seed = senders, true, WeightsApproximate, uint64(i)
-			set.HeadroomIndex, set.LimitIndex = -1, -1
-			fleet[i] = newRecorder(t, set)
-			fleet[i].updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: whole})
+			cfg := testSettings()
+			cfg.FleetSize, cfg.CanGossip, cfg.WeightKind, cfg.Seed = senders, true, WeightsApproximate, uint64(i)
+			cfg.HeadroomIndex, cfg.LimitIndex = -1, -1
+			fleet[i] = newRecorder(t, cfg)
+			fleet[i].updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: fullLimit})
 		}
 		capacity, id := 0.0, MessageID(0)
 		for now := time.Duration(0); now < 15*time.Second; now += step {
-			limit := whole
+			limit := fullLimit
 			if now >= 3*time.Second && now < 12*time.Second {
-				limit = low
+				limit = reducedLimit
 			}
 			capacity = min(capacity+limit*step.Seconds(), limit/5)
 			for i, r := range fleet {
-				if rng.Float64() < 0.8*whole/senders*step.Seconds() {
+				if rng.Float64() < 0.8*fullLimit/senders*step.Seconds() {
 					id++
-					r.arrive(id, 0, 0)
+					r.submit(id, 0, 0)
 				}
 				for _, m := range slices.Clone(r.arrivals) {
-					if !r.messages[m].out {
+					if !r.messages[m].inFlight {
 						continue
 					}
 					if capacity--; capacity < 0 { // a rejected call uses the limit up, too
@@ -63,9 +63,9 @@
 					} else {
 						r.answer(m, Served, 0)
 					}
-					if limit == low && capacity < 0 {
+					if limit == reducedLimit && capacity < 0 {
 						rejected++
-					} else if limit == low {
+					} else if limit == reducedLimit {
 						served++
 					}
 				}
@@ -96,7 +96,7 @@
 	}{{"all arrive", 0, 60, 100}, {"half lost", 0.5, 25, 150}, {"none arrives", 1, 5, 400}} {
 		served, rejected := 0, 0
 		for seed := range uint64(seeds) {
-			s, n := play(c.name, c.lost, seed)
+			s, n := run(c.name, c.lost, seed)
 			served, rejected = served+s, rejected+n
 		}
 		if served < seeds*c.served || rejected > seeds*c.rejected {
@@ -110,20 +110,20 @@
 // Rejections above a limit are no outage, and in a fleet of hundreds one slows a sender at once: when the limit is
 // overrun all calls are rejected, and only fewer of them help. Reported headroom raises the rate again.
 func TestRejectionSlowsLargeFleet(t *testing.T) {
-	set := settings()
-	set.FleetSize = 200
-	r := newRecorder(t, set)
-	r.ready(0, 1)
-	r.arrive(1, 0, 0)
+	cfg := testSettings()
+	cfg.FleetSize = 200
+	r := newRecorder(t, cfg)
+	r.addReady(0, 1)
+	r.submit(1, 0, 0)
 	r.serve(100*ms, 50*ms, 1, 10)
 	id := MessageID(1)
 	sends := 0
 	for range 40 {
 		id++
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 		r.advance(50 * ms)
 		for _, a := range r.arrivals {
-			if r.messages[a].out {
+			if r.messages[a].inFlight {
 				sends++
 				r.answer(a, Rejected, 0, 0, 10)
 			}
@@ -140,7 +140,7 @@
 }
 
 // A sender that hears nobody gossips ever less; after one observation of a peer it gossips each rejection again.
-func TestFewObservationsWhileIsolated(t *testing.T) {
+func TestIsolatedSenderReducesGossip(t *testing.T) {
 	r, e := largeFleetAtLimit(t)
 	reject := func(n int) int {
 		before := len(r.gossiped)
@@ -168,46 +168,46 @@
 func TestIsolatedRate(t *testing.T) {
 	r, e := largeFleetAtLimit(t)
 	fraction := func() float64 { r.c.refillTokens(e); return e.route.limit.fraction * 80 } // in fair shares
-	came := func(at time.Duration, result Result) {
+	recordResult := func(at time.Duration, result Result) {
 		r.now = at
 		r.c.advanceClock(at)
 		r.c.adjustLimitFraction(&attempt{endpoint: e, sentAt: at}, result, nil)
 	}
-	pass := func(at time.Duration) { r.now = at; r.c.advanceClock(at) }
-	pass(10 * time.Second)
+	advanceTo := func(at time.Duration) { r.now = at; r.c.advanceClock(at) }
+	advanceTo(10 * time.Second)
 	if got := fraction(); got != fleetRateMax {
 		t.Fatalf("%.2f fair shares at first", got)
 	}
-	came(10*time.Second, Rejected)
+	recordResult(10*time.Second, Rejected)
 	if got := fraction(); math.Abs(got-fleetRateReduction*fleetRateReductionBase) > 1e-9 {
 		t.Errorf("%.3f after a rejection", got)
 	}
-	pass(10*time.Second + 600*ms)
+	advanceTo(10*time.Second + 600*ms)
 	isolated := fraction()
 	if math.Abs(isolated-isolatedRateReduction) > 1e-9 {
 		t.Errorf("%.3f once nobody has answered", isolated)
 	}
-	pass(20 * time.Second)
+	advanceTo(20 * time.Second)
 	if got := fraction(); got != isolated {
 		t.Errorf("%.3f grown by time alone", got)
 	}
 	for i := range 10 {
-		came(20*time.Second+time.Duration(i)*ms, Served)
+		recordResult(20*time.Second+time.Duration(i)*ms, Served)
 	}
 	if got := fraction(); math.Abs(got-isolated*math.Pow(1+isolatedRateRisePerCall, 10)) > 1e-9 {
 		t.Errorf("%.3f after ten served calls", got)
 	}
-	came(21*time.Second, Rejected)
+	recordResult(21*time.Second, Rejected)
 	if got := fraction(); got > isolated*0.5 {
 		t.Errorf("%.3f after another rejection", got)
 	}
 	queries := len(r.gossiped)
-	pass(26 * time.Second)
+	advanceTo(26 * time.Second)
 	if fraction(); len(r.gossiped) != queries+1 || r.gossiped[queries].Kind != ReachabilityQuery {
 		t.Errorf("it does not ask again though nothing is rejected: %v", r.gossiped[queries:])
 	}
 	r.c.ReceiveGossip(26*time.Second, Observation{Endpoint: 1, Kind: ReachabilityReply, Peer: 5})
-	pass(28 * time.Second)
+	advanceTo(28 * time.Second)
 	if got := fraction(); got < 0.9 {
 		t.Errorf("%.3f two seconds after somebody was heard", got)
 	}
--- a/control/loadbalancer_test.go
+++ b/control/loadbalancer_test.go
@@ -4,23 +4,23 @@
 
 // An endpoint that failed is tried again when the one that serves is busy.
 func TestFailedEndpointIsRetried(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 2)
-	r.arrive(1, 0, 0)
-	failed := r.messages[1].to
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 2)
+	r.submit(1, 0, 0)
+	failed := r.messages[1].endpoint
 	r.advance(20 * ms)
 	r.answer(1, ConnectFailed, 0)
 	r.serve(100*ms, 50*ms)
-	id, again := MessageID(1), false
+	id, retried := MessageID(1), false
 	for range 30 {
 		for range 3 {
 			id++
-			m := r.arrive(id, 0, 0)
-			again = again || m.out && m.to == failed
+			m := r.submit(id, 0, 0)
+			retried = retried || m.inFlight && m.endpoint == failed
 		}
 		r.serve(200*ms, 50*ms)
 	}
-	if !again {
+	if !retried {
 		t.Fatal("the endpoint stayed idle for good")
 	}
 }
@@ -31,13 +31,13 @@
 	for _, c := range []struct{ fleetSize, first, each int }{{80, 10, 3}, {2, 0, 0}} {
 		first := 0
 		for seed := range uint64(40) {
-			set := settings()
-			set.FleetSize, set.CanGossip, set.WeightKind, set.Seed = c.fleetSize, true, WeightsApproximate, seed
-			r := newRecorder(t, set)
+			cfg := testSettings()
+			cfg.FleetSize, cfg.CanGossip, cfg.WeightKind, cfg.Seed = c.fleetSize, true, WeightsApproximate, seed
+			r := newRecorder(t, cfg)
 			r.updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: 800}, Endpoint{ID: 2, State: Ready, Weight: 800})
 			second := 0
 			for id := MessageID(1); id <= 8; id++ {
-				if r.arrive(id, 0, 0).to == 2 {
+				if r.submit(id, 0, 0).endpoint == 2 {
 					if second++; id == 1 {
 						first++
 					}
@@ -69,22 +69,22 @@
 		{"none told", true, nil, 0},
 		{"shared", false, []float64{0.04, 0.01}, 0},
 	} {
-		set := settings()
-		set.Kinds, set.ZoneCosts = []Kind{{MaxBatch: 1, SeparateRoutes: c.separate}}, c.costs
-		r := newRecorder(t, set)
-		r.ready(0, 2) // zones 0 and 1
+		cfg := testSettings()
+		cfg.Kinds, cfg.ZoneCosts = []Kind{{MaxBatch: 1, SeparateRoutes: c.separate}}, c.costs
+		r := newRecorder(t, cfg)
+		r.addReady(0, 2) // zones 0 and 1
 		for id := MessageID(1); id <= 5; id++ {
-			m := r.arrive(id, 0, 0)
-			if !m.out || r.list[m.to].Zone != c.zone {
-				t.Errorf("%s: message %d went to zone %d", c.name, id, r.list[m.to].Zone)
+			m := r.submit(id, 0, 0)
+			if !m.inFlight || r.list[m.endpoint].Zone != c.zone {
+				t.Errorf("%s: message %d went to zone %d", c.name, id, r.list[m.endpoint].Zone)
 			}
 			r.answer(id, Served, 0)
 			r.advance(50 * ms)
 		}
-		full := r.arrive(6, 0, 0)
+		redirected := r.submit(6, 0, 0)
 		r.answer(6, Rejected, 500*ms) // its route is told to wait
 		r.advance(50 * ms)
-		if c.separate && (!full.out || r.list[full.to].Zone == c.zone) {
+		if c.separate && (!redirected.inFlight || r.list[redirected.endpoint].Zone == c.zone) {
 			t.Errorf("%s: the other route is not used", c.name)
 		}
 	}
--- a/control/ordering_test.go
+++ b/control/ordering_test.go
@@ -7,21 +7,21 @@
 
 // Messages of one key go one at a time, and the key pauses after a timeout.
 func TestOrderedByKey(t *testing.T) {
-	set := settings()
-	set.Classes[2].Ordered = true
-	r := newRecorder(t, set)
-	r.ready(0, 2)
-	hand := func(id MessageID) *tracked {
-		return r.submit(Message{ID: id, Class: 2, Destination: 0, TimeLeft: 8000 * ms, Key: 5})
+	cfg := testSettings()
+	cfg.Classes[2].Ordered = true
+	r := newRecorder(t, cfg)
+	r.addReady(0, 2)
+	submitKeyed := func(id MessageID) *trackedMessage {
+		return r.submitMessage(Message{ID: id, Class: 2, Destination: 0, TimeLeft: 8000 * ms, Key: 5})
 	}
-	first, second := hand(1), hand(2)
-	if !first.out || second.out {
+	first, second := submitKeyed(1), submitKeyed(2)
+	if !first.inFlight || second.inFlight {
 		t.Fatal("the second message of a key must wait for the first")
 	}
 	r.advance(20 * ms)
 	r.answer(1, ConnectionLost, 0)
-	r.advance(set.OrderedPause - 100*ms)
-	if second.out {
+	r.advance(cfg.OrderedPause - 100*ms)
+	if second.inFlight {
 		t.Fatal("the key must rest after an attempt that may still run")
 	}
 	r.advance(time.Second)
--- a/control/queue_test.go
+++ b/control/queue_test.go
@@ -7,67 +7,67 @@
 
 // A fresh head goes before deferred ones; these go once no fresh one is left.
 func TestFreshBeforeDeferred(t *testing.T) {
-	set := settings()
-	set.MaxInFlight = 1
-	r := newRecorder(t, set)
-	r.ready(0, 1)
-	blocker := r.arrive(1, 0, 0)
-	old := r.submit(Message{ID: 2, Destination: 0, TimeLeft: set.Classes[0].Deadline - 1500*ms})
-	young := r.arrive(3, 0, 0)
+	cfg := testSettings()
+	cfg.MaxInFlight = 1
+	r := newRecorder(t, cfg)
+	r.addReady(0, 1)
+	blocker := r.submit(1, 0, 0)
+	deferred := r.submitMessage(Message{ID: 2, Destination: 0, TimeLeft: cfg.Classes[0].Deadline - 1500*ms})
+	fresh := r.submit(3, 0, 0)
 	r.advance(50 * ms)
-	if !blocker.out || old.out || young.out {
+	if !blocker.inFlight || deferred.inFlight || fresh.inFlight {
 		t.Fatal("one slot should carry the first message only")
 	}
 	r.answer(1, Served, 0)
-	if old.out || !young.out {
+	if deferred.inFlight || !fresh.inFlight {
 		t.Fatal("the fresh message should go before the deferred one")
 	}
 	r.answer(3, Served, 0)
-	if !old.out {
+	if !deferred.inFlight {
 		t.Fatal("the deferred message should go once no fresh one is left")
 	}
 }
 
 // A message that cannot meet its deadline any more is rejected at once, with a Retry-After.
 func TestRejectedWhenDeadlineCannotBeMet(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 1)
-	r.arrive(1, 0, 0)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 1)
+	r.submit(1, 0, 0)
 	r.advance(400 * ms)
 	r.answer(1, Served, 0)
-	late := r.submit(Message{ID: 2, Destination: 0, TimeLeft: 100 * ms})
+	late := r.submitMessage(Message{ID: 2, Destination: 0, TimeLeft: 100 * ms})
 	if late.outcome != "rejected" || late.retryAfter <= 0 {
 		t.Fatalf("got %q with advice %v", late.outcome, late.retryAfter)
 	}
-	homeless := r.submit(Message{ID: 3, Destination: 9, TimeLeft: 500 * ms})
-	spent := r.submit(Message{ID: 4, Destination: 0, TimeLeft: 0})
+	noEndpoint := r.submitMessage(Message{ID: 3, Destination: 9, TimeLeft: 500 * ms})
+	expired := r.submitMessage(Message{ID: 4, Destination: 0, TimeLeft: 0})
 	r.advance(time.Second)
-	if homeless.outcome != "rejected" || spent.outcome != "rejected" {
-		t.Fatalf("no endpoint: %q, no time: %q", homeless.outcome, spent.outcome)
+	if noEndpoint.outcome != "rejected" || expired.outcome != "rejected" {
+		t.Fatalf("no endpoint: %q, no time: %q", noEndpoint.outcome, expired.outcome)
 	}
 }
 
 // A slow destination must not take the last slots from quick ones.
 func TestSlowDestinationLeavesLastSlots(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 2)
-	r.ready(1, 2)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 2)
+	r.addReady(1, 2)
 	id := MessageID(0)
 	for range 60 {
 		id++
-		r.arrive(id, 0, 1)
+		r.submit(id, 0, 1)
 		r.serve(60*ms, 50*ms)
 	}
 	r.c.destination(0).callTime.mean = 900 * ms
 	for range 20 {
 		id++
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 	}
-	if n := r.out(0); n == 0 || n > 6 {
+	if n := r.attemptsInFlight(0); n == 0 || n > 6 {
 		t.Fatalf("%d calls of 8 slots out at a slow destination", n)
 	}
 	id++
-	if m := r.arrive(id, 0, 1); !m.out {
+	if m := r.submit(id, 0, 1); !m.inFlight {
 		t.Fatal("the quick destination got no slot")
 	}
 }
--- a/control/ratelimit_test.go
+++ b/control/ratelimit_test.go
@@ -9,12 +9,12 @@
 
 // Calls keep to a reported limit.
 func TestRateKeepsReportedLimit(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 2)
-	r.arrive(1, 0, 0)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 2)
+	r.submit(1, 0, 0)
 	r.serve(100*ms, 50*ms, 0.1, 4)
 	for id := MessageID(2); id < 60; id++ {
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 	}
 	before := len(r.trace)
 	r.serve(3*time.Second, 50*ms, 0.1, 4)
@@ -27,17 +27,17 @@
 // A Retry-After binds its destination; with separate routes, its endpoint only.
 func TestRetryAfter(t *testing.T) {
 	for _, separate := range []bool{false, true} {
-		set := settings()
-		set.Kinds[0].SeparateRoutes = separate
-		r := newRecorder(t, set)
-		r.ready(0, 2)
-		m := r.arrive(1, 0, 0)
-		first := m.to
+		cfg := testSettings()
+		cfg.Kinds[0].SeparateRoutes = separate
+		r := newRecorder(t, cfg)
+		r.addReady(0, 2)
+		m := r.submit(1, 0, 0)
+		first := m.endpoint
 		r.advance(10 * ms)
 		r.answer(1, Rejected, 800*ms)
 		r.advance(600 * ms)
-		if separate != (m.attempts == 2) || separate && m.to == first {
-			t.Fatalf("separate %v: %d sends, to %d after %d", separate, m.attempts, m.to, first)
+		if separate != (m.attempts == 2) || separate && m.endpoint == first {
+			t.Fatalf("separate %v: %d sends, to %d after %d", separate, m.attempts, m.endpoint, first)
 		}
 		r.advance(600 * ms)
 		if m.attempts != 2 {
@@ -49,13 +49,13 @@
 // A Retry-After that comes with a served call binds like any other: the recorder fails the test if anything is sent
 // before it is over.
 func TestRetryAfterWithServedAnswer(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 2)
-	r.arrive(1, 0, 0)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 2)
+	r.submit(1, 0, 0)
 	r.advance(10 * ms)
 	r.answer(1, Served, 400*ms)
-	m := r.arrive(2, 0, 0)
-	if m.out {
+	m := r.submit(2, 0, 0)
+	if m.inFlight {
 		t.Fatal("sent during the wait")
 	}
 	r.advance(500 * ms)
--- a/control/recorder_test.go
+++ b/control/recorder_test.go
@@ -9,16 +9,16 @@
 
 const ms = time.Millisecond
 
-// settings returns plain settings with a class of each idempotency.
-func settings() Settings {
+// testSettings returns plain testSettings with a class of each idempotency.
+func testSettings() Settings {
 	class := Class{LatencyObjective: 1000 * ms, Deadline: 8000 * ms, PriorityWeight: 1, LateWeight: 0.5,
 		KeyRetention: 5000 * ms}
-	safe, keyed, unsafe := class, class, class
+	idempotent, keyed, notIdempotent := class, class, class
 	keyed.Idempotency, keyed.PriorityWeight = IdempotentByKey, 2
-	unsafe.Idempotency, unsafe.PriorityWeight = NotIdempotent, 4
+	notIdempotent.Idempotency, notIdempotent.PriorityWeight = NotIdempotent, 4
 	return Settings{
-		Seed: 1, FleetSize: 2, Classes: []Class{safe, keyed, unsafe}, Kinds: []Kind{{MaxBatch: 1}}, MaxInFlight: 8,
-		MaxOpenMessages: 200, MaxAttempts: 12, CanCancel: true, CanHealthCheck: true, CanSendRetryAfter: true,
+		Seed: 1, FleetSize: 2, Classes: []Class{idempotent, keyed, notIdempotent}, Kinds: []Kind{{MaxBatch: 1}},
+		MaxInFlight: 8, MaxOpenMessages: 200, MaxAttempts: 12, CanCancel: true, CanHealthCheck: true, CanSendRetryAfter: true,
 		MaxRetryAfter:  2000 * ms,
 		StreamsPerConn: 1, ConnIdleTimeout: 10000 * ms, ConnectTimeout: 1000 * ms, HeadroomIndex: 0, LimitIndex: 1,
 		Tick: 5 * ms, ResponseGrace: 20 * ms, MaxPollInterval: 10000 * ms, DrainGrace: 500 * ms, ColdCapacity: 0.2,
@@ -30,16 +30,16 @@
 type recorder struct {
 	t            testing.TB
 	c            *Controller
-	set          Settings
+	cfg          Settings
 	now          time.Duration
 	trace        []string
-	messages     map[MessageID]*tracked
-	list         map[EndpointID]*listed
+	messages     map[MessageID]*trackedMessage
+	list         map[EndpointID]*listedEndpoint
 	arrivals     []MessageID
 	healthChecks []EndpointID
 	timers       []timer
 	watches      int
-	closed       []EndpointID
+	disconnected []EndpointID
 	gossiped     []Observation
 }
 
@@ -48,19 +48,19 @@
 	token uint32
 }
 
-type listed struct {
+type listedEndpoint struct {
 	Endpoint
 	stoppedAt  time.Duration // when it was listed as draining or removed; 0 = never
 	retryAfter time.Duration
 }
 
-type tracked struct {
+type trackedMessage struct {
 	Message
 	class        Class
-	due          time.Duration
+	deadline     time.Duration
 	attempts     int
-	out          bool
-	to           EndpointID
+	inFlight     bool
+	endpoint     EndpointID
 	sentAt       time.Duration
 	timeout      time.Duration
 	mayHaveRun   bool
@@ -72,9 +72,10 @@
 	pausedUntil  time.Duration
 }
 
-func newRecorder(t testing.TB, set Settings) *recorder {
-	r := &recorder{t: t, set: set, now: time.Hour, messages: map[MessageID]*tracked{}, list: map[EndpointID]*listed{}}
-	c, err := New(set, r)
+func newRecorder(t testing.TB, cfg Settings) *recorder {
+	r := &recorder{t: t, cfg: cfg, now: time.Hour, messages: map[MessageID]*trackedMessage{},
+		list: map[EndpointID]*listedEndpoint{}}
+	c, err := New(cfg, r)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +87,7 @@
 	r.trace = append(r.trace, fmt.Sprintf("%v ", r.now)+fmt.Sprintf(format, a...))
 }
 
-func (r *recorder) ruleBroken(format string, a ...any) {
+func (r *recorder) violation(format string, a ...any) {
 	r.t.Helper()
 	r.t.Fatalf("rule broken at %v: %s\n%v", r.now, fmt.Sprintf(format, a...), r.trace[max(0, len(r.trace)-12):])
 }
@@ -96,33 +97,33 @@
 	m, e := r.messages[id], r.list[to]
 	switch {
 	case m == nil || m.outcome != "":
-		r.ruleBroken("sent message %d, which is over", id)
+		r.violation("sent message %d, which is over", id)
 	case e == nil || e.Destination != m.Destination:
-		r.ruleBroken("sent message %d to endpoint %d, not of its destination", id, to)
-	case m.out:
-		r.ruleBroken("message %d has two attempts out", id)
+		r.violation("sent message %d to endpoint %d, not of its destination", id, to)
+	case m.inFlight:
+		r.violation("message %d has two attempts out", id)
 	case m.mayHaveRun && m.class.Idempotency == NotIdempotent:
-		r.ruleBroken("unsafe message %d sent again", id)
+		r.violation("unsafe message %d sent again", id)
 	case m.mayHaveRun && m.class.Idempotency == IdempotentByKey && r.now > m.firstRunAt+m.class.KeyRetention:
-		r.ruleBroken("keyed message %d sent after its memory", id)
+		r.violation("keyed message %d sent after its memory", id)
 	case m.mayHaveRun && m.class.Idempotency == IdempotentByKey && m.class.KeyZoneScoped && e.Zone != m.firstRunZone:
-		r.ruleBroken("keyed message %d sent outside its zone", id)
-	case e.stoppedAt > 0 && r.now > e.stoppedAt+r.set.DrainGrace:
-		r.ruleBroken("sent to endpoint %d after its drain", to)
+		r.violation("keyed message %d sent outside its zone", id)
+	case e.stoppedAt > 0 && r.now > e.stoppedAt+r.cfg.DrainGrace:
+		r.violation("sent to endpoint %d after its drain", to)
 	case r.now < r.retryAfterOf(e):
-		r.ruleBroken("sent to endpoint %d before its wait is over", to)
-	case m.attempts >= r.set.MaxAttempts:
-		r.ruleBroken("message %d sent too often", id)
+		r.violation("sent to endpoint %d before its wait is over", to)
+	case m.attempts >= r.cfg.MaxAttempts:
+		r.violation("message %d sent too often", id)
 	}
 	r.checkOrder(m)
 	m.attempts++
 	m.canceled = false
-	m.out, m.to, m.sentAt, m.timeout = true, to, r.now, timeout
+	m.inFlight, m.endpoint, m.sentAt, m.timeout = true, to, r.now, timeout
 }
 
 // retryAfterOf is when the last Retry-After that binds an endpoint is over.
-func (r *recorder) retryAfterOf(e *listed) time.Duration {
-	if r.set.Kinds[e.Kind].SeparateRoutes {
+func (r *recorder) retryAfterOf(e *listedEndpoint) time.Duration {
+	if r.cfg.Kinds[e.Kind].SeparateRoutes {
 		return e.retryAfter
 	}
 	var end time.Duration
@@ -134,7 +135,7 @@
 	return end
 }
 
-func (r *recorder) checkOrder(m *tracked) {
+func (r *recorder) checkOrder(m *trackedMessage) {
 	if !m.class.Ordered || m.Key == 0 {
 		return
 	}
@@ -143,8 +144,8 @@
 		if o == m {
 			return
 		}
-		if o.class.Ordered && o.Key == m.Key && (o.outcome == "" || o.out || r.now < o.pausedUntil) {
-			r.ruleBroken("message %d sent out of its turn, after %d", m.ID, o.ID)
+		if o.class.Ordered && o.Key == m.Key && (o.outcome == "" || o.inFlight || r.now < o.pausedUntil) {
+			r.violation("message %d sent out of its turn, after %d", m.ID, o.ID)
 		}
 	}
 }
@@ -152,8 +153,8 @@
 func (r *recorder) Cancel(id MessageID, attempt int) {
 	r.log("cancel %d.%d", id, attempt)
 	m := r.messages[id]
-	if m == nil || attempt != m.attempts-1 || !r.set.CanCancel {
-		r.ruleBroken("cancelled attempt %d of message %d, which was never made", attempt, id)
+	if m == nil || attempt != m.attempts-1 || !r.cfg.CanCancel {
+		r.violation("cancelled attempt %d of message %d, which was never made", attempt, id)
 	}
 	m.canceled = true
 }
@@ -162,40 +163,40 @@
 	r.log("reject %d, retry after %v", id, after)
 	m := r.messages[id]
 	if m.mayHaveRun && (m.class.Idempotency == NotIdempotent || m.class.Idempotency == IdempotentByKey &&
-		m.class.KeyZoneScoped) || m.out {
-		r.ruleBroken("message %d rejected though it may have run", id)
+		m.class.KeyZoneScoped) || m.inFlight {
+		r.violation("message %d rejected though it may have run", id)
 	}
 	m.retryAfter = after
-	r.end(id, "rejected")
+	r.finish(id, "rejected")
 }
 
 func (r *recorder) Fail(id MessageID) {
 	r.log("fail %d", id)
-	r.end(id, "failed")
+	r.finish(id, "failed")
 }
 
-func (r *recorder) end(id MessageID, how string) {
+func (r *recorder) finish(id MessageID, outcome string) {
 	m := r.messages[id]
 	if m == nil || m.outcome != "" {
-		r.ruleBroken("second answer for message %d: %s", id, how)
+		r.violation("second answer for message %d: %s", id, outcome)
 	}
-	if r.now > m.due+r.set.ResponseGrace {
-		r.ruleBroken("answer for message %d came %v late", id, r.now-m.due)
+	if r.now > m.deadline+r.cfg.ResponseGrace {
+		r.violation("answer for message %d came %v late", id, r.now-m.deadline)
 	}
-	m.outcome = how
+	m.outcome = outcome
 }
 
 func (r *recorder) HealthCheck(to EndpointID) {
 	r.log("probe %d", to)
-	if e := r.list[to]; !r.set.CanHealthCheck || r.now < r.retryAfterOf(e) {
-		r.ruleBroken("probe of %d against the rules", to)
+	if e := r.list[to]; !r.cfg.CanHealthCheck || r.now < r.retryAfterOf(e) {
+		r.violation("probe of %d against the rules", to)
 	}
 	r.healthChecks = append(r.healthChecks, to)
 }
 
 func (r *recorder) Disconnect(to EndpointID) {
 	r.log("close %d", to)
-	r.closed = append(r.closed, to)
+	r.disconnected = append(r.disconnected, to)
 }
 
 func (r *recorder) Watch(on bool) {
@@ -209,17 +210,17 @@
 	r.timers = append(r.timers, timer{r.now + after, token})
 }
 
-func (r *recorder) Gossip(n Observation) { r.gossiped = append(r.gossiped, n) }
-func (r *recorder) Log(text string)      { r.log("log %s", text) }
+func (r *recorder) Gossip(observation Observation) { r.gossiped = append(r.gossiped, observation) }
+func (r *recorder) Log(text string)                { r.log("log %s", text) }
 
 // updateList gives the controller an update of the endpoint list.
-func (r *recorder) updateList(news ListUpdateKind, list ...Endpoint) {
-	named := map[EndpointID]bool{}
+func (r *recorder) updateList(kind ListUpdateKind, list ...Endpoint) {
+	listed := map[EndpointID]bool{}
 	for _, e := range list {
-		named[e.ID] = true
+		listed[e.ID] = true
 		l := r.list[e.ID]
 		if l == nil {
-			l = &listed{}
+			l = &listedEndpoint{}
 			r.list[e.ID] = l
 		}
 		if l.Endpoint = e; e.State == Ready {
@@ -229,16 +230,16 @@
 		}
 	}
 	for id, l := range r.list {
-		if news == ListFull && !named[id] && l.stoppedAt == 0 {
+		if kind == ListFull && !listed[id] && l.stoppedAt == 0 {
 			l.stoppedAt = r.now
 		}
 	}
-	r.c.UpdateEndpoints(r.now, news, list)
+	r.c.UpdateEndpoints(r.now, kind, list)
 	r.c.Decide(r.now)
 }
 
-// ready lists n endpoints of a destination.
-func (r *recorder) ready(dest, n int) {
+// addReady lists n endpoints of a destination.
+func (r *recorder) addReady(dest, n int) {
 	var list []Endpoint
 	for i := range n {
 		list = append(list, Endpoint{ID: EndpointID(100*dest + i), Destination: dest, State: Ready, Zone: i % 2})
@@ -246,50 +247,50 @@
 	r.updateList(ListDelta, list...)
 }
 
-// arrive submits a message with all its time left.
-func (r *recorder) arrive(id MessageID, class, dest int) *tracked {
-	return r.submit(Message{ID: id, Class: class, Destination: dest, TimeLeft: r.set.Classes[class].Deadline})
+// submit submits a message with all its time left.
+func (r *recorder) submit(id MessageID, class, dest int) *trackedMessage {
+	return r.submitMessage(Message{ID: id, Class: class, Destination: dest, TimeLeft: r.cfg.Classes[class].Deadline})
 }
 
-func (r *recorder) submit(m Message) *tracked {
+func (r *recorder) submitMessage(m Message) *trackedMessage {
 	r.log("arrive %d class %d dest %d left %v", m.ID, m.Class, m.Destination, m.TimeLeft)
-	k := &tracked{Message: m, class: r.set.Classes[m.Class], due: r.now + m.TimeLeft}
-	r.messages[m.ID] = k
+	tracked := &trackedMessage{Message: m, class: r.cfg.Classes[m.Class], deadline: r.now + m.TimeLeft}
+	r.messages[m.ID] = tracked
 	r.arrivals = append(r.arrivals, m.ID)
 	r.c.Submit(r.now, m)
 	r.c.Decide(r.now)
-	return k
+	return tracked
 }
 
 // answer ends the attempt that a message has in flight.
-func (r *recorder) answer(id MessageID, res Result, wait time.Duration, load ...float32) {
+func (r *recorder) answer(id MessageID, result Result, retryAfter time.Duration, load ...float32) {
 	m := r.messages[id]
-	if !m.out {
+	if !m.inFlight {
 		r.t.Fatalf("message %d has no attempt out", id)
 	}
-	r.log("answer %d: %d", id, res)
-	m.out = false
-	if res.MayHaveRun() && !m.mayHaveRun {
-		m.mayHaveRun, m.firstRunAt, m.firstRunZone = true, m.sentAt, r.list[m.to].Zone
+	r.log("answer %d: %d", id, result)
+	m.inFlight = false
+	if result.MayHaveRun() && !m.mayHaveRun {
+		m.mayHaveRun, m.firstRunAt, m.firstRunZone = true, m.sentAt, r.list[m.endpoint].Zone
 	}
-	if res == TimedOut || res == ConnectionLost || res == Canceled || res == Unknown {
-		m.pausedUntil = r.now + r.set.OrderedPause
+	if result == TimedOut || result == ConnectionLost || result == Canceled || result == Unknown {
+		m.pausedUntil = r.now + r.cfg.OrderedPause
 	}
-	if wait > 0 {
-		r.list[m.to].retryAfter = r.now + wait
+	if retryAfter > 0 {
+		r.list[m.endpoint].retryAfter = r.now + retryAfter
 	}
-	if res == Served && m.outcome == "" {
+	if result == Served && m.outcome == "" {
 		m.outcome = "served"
 	}
-	r.c.AttemptDone(r.now, Outcome{ID: id, Attempt: m.attempts - 1, Endpoint: m.to, Result: res, Elapsed: r.now - m.sentAt,
-		Final: m.outcome != "", RetryAfter: wait, LoadReport: load})
+	r.c.AttemptDone(r.now, Outcome{ID: id, Attempt: m.attempts - 1, Endpoint: m.endpoint, Result: result,
+		Elapsed: r.now - m.sentAt, Final: m.outcome != "", RetryAfter: retryAfter, LoadReport: load})
 	r.c.Decide(r.now)
 }
 
 // advance moves the time on, tick by tick: timers fire, attempts time out.
-func (r *recorder) advance(d time.Duration) {
-	for end := r.now + d; r.now < end; {
-		r.now += r.set.Tick
+func (r *recorder) advance(duration time.Duration) {
+	for end := r.now + duration; r.now < end; {
+		r.now += r.cfg.Tick
 		for i := 0; i < len(r.timers); i++ {
 			if w := r.timers[i]; w.at <= r.now {
 				r.timers = slices.Delete(r.timers, i, i+1)
@@ -300,37 +301,37 @@
 		}
 		for _, id := range r.arrivals {
 			m := r.messages[id]
-			if m.out && m.canceled {
+			if m.inFlight && m.canceled {
 				m.canceled = false
 				r.answer(id, Canceled, 0)
 			}
-			if m.out && r.now >= m.sentAt+m.timeout {
+			if m.inFlight && r.now >= m.sentAt+m.timeout {
 				r.answer(id, TimedOut, 0)
 			}
-			if m.outcome == "" && r.now > m.due+r.set.ResponseGrace {
-				r.ruleBroken("message %d lost", id)
+			if m.outcome == "" && r.now > m.deadline+r.cfg.ResponseGrace {
+				r.violation("message %d lost", id)
 			}
 		}
 	}
 }
 
 // serve answers every attempt after a call time, for a while.
-func (r *recorder) serve(d, took time.Duration, load ...float32) {
-	for end := r.now + d; r.now < end; {
-		r.advance(r.set.Tick)
+func (r *recorder) serve(duration, callTime time.Duration, load ...float32) {
+	for end := r.now + duration; r.now < end; {
+		r.advance(r.cfg.Tick)
 		for _, id := range r.arrivals {
-			if m := r.messages[id]; m.out && r.now >= m.sentAt+took {
+			if m := r.messages[id]; m.inFlight && r.now >= m.sentAt+callTime {
 				r.answer(id, Served, 0, load...)
 			}
 		}
 	}
 }
 
-// out counts the attempts in flight at a destination.
-func (r *recorder) out(dest int) int {
+// attemptsInFlight counts the attempts in flight at a destination.
+func (r *recorder) attemptsInFlight(dest int) int {
 	n := 0
 	for _, m := range r.messages {
-		if m.out && m.Destination == dest {
+		if m.inFlight && m.Destination == dest {
 			n++
 		}
 	}
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -6,33 +6,33 @@
 )
 
 // Messages that are not idempotent fail if they may have run; others are retried.
-func TestUnsafeOnlyOnce(t *testing.T) {
-	for res, again := range map[Result]bool{
+func TestNotIdempotentSentOnce(t *testing.T) {
+	for result, mayRetry := range map[Result]bool{
 		Failed: false, TimedOut: false, ConnectionLost: false, Canceled: false, Unknown: false, Rejected: true,
 		ConnectFailed: true,
 	} {
-		r := newRecorder(t, settings())
-		r.ready(0, 2)
-		m := r.arrive(1, 2, 0)
+		r := newRecorder(t, testSettings())
+		r.addReady(0, 2)
+		m := r.submit(1, 2, 0)
 		r.advance(10 * ms)
-		r.answer(1, res, 0)
-		if !again && m.outcome != "failed" {
-			t.Errorf("result %d: got %q, want failed at once", res, m.outcome)
+		r.answer(1, result, 0)
+		if !mayRetry && m.outcome != "failed" {
+			t.Errorf("result %d: got %q, want failed at once", result, m.outcome)
 		}
 		r.advance(2 * time.Second)
-		if again && m.attempts < 2 {
-			t.Errorf("result %d: not sent again", res)
+		if mayRetry && m.attempts < 2 {
+			t.Errorf("result %d: not sent again", result)
 		}
 	}
 }
 
 // A message with an idempotency key is retried only within the key retention.
 func TestRetryWithinKeyRetention(t *testing.T) {
-	set := settings()
-	set.Classes[1].KeyRetention = 300 * ms
-	r := newRecorder(t, set)
-	r.ready(0, 2)
-	m := r.arrive(1, 1, 0)
+	cfg := testSettings()
+	cfg.Classes[1].KeyRetention = 300 * ms
+	r := newRecorder(t, cfg)
+	r.addReady(0, 2)
+	m := r.submit(1, 1, 0)
 	r.advance(100 * ms)
 	r.answer(1, ConnectionLost, 0)
 	if m.attempts != 2 {
@@ -47,16 +47,16 @@
 
 // Where keys are scoped to a zone, retries stay in the zone and the message is never rejected.
 func TestKeyedZoneScope(t *testing.T) {
-	set := settings()
-	set.Classes[1].KeyZoneScoped = true
-	r := newRecorder(t, set)
-	r.ready(0, 4)
-	m := r.arrive(1, 1, 0)
-	first := m.to
+	cfg := testSettings()
+	cfg.Classes[1].KeyZoneScoped = true
+	r := newRecorder(t, cfg)
+	r.addReady(0, 4)
+	m := r.submit(1, 1, 0)
+	first := m.endpoint
 	r.advance(20 * ms)
 	r.answer(1, ConnectionLost, 0)
-	if m.attempts != 2 || m.to%2 != first%2 {
-		t.Fatalf("repeat went from %d to %d", first, m.to)
+	if m.attempts != 2 || m.endpoint%2 != first%2 {
+		t.Fatalf("repeat went from %d to %d", first, m.endpoint)
 	}
 	r.advance(9 * time.Second)
 	if m.outcome != "failed" {
@@ -83,15 +83,15 @@
 		{"unsafe, may have run", 2, true, time.Second, 0, 1, "failed"},
 		{"unsafe, never ran", 2, false, 0, 0, 3, "sent"},
 	} {
-		set := settings()
-		set.Classes[1].KeyZoneScoped = true
-		r := newRecorder(t, set)
-		r.ready(0, 1)
-		m := r.submit(Message{ID: 1, Class: c.class, TimeLeft: 4 * time.Second, Attempts: c.sends, MayHaveRun: c.ran,
+		cfg := testSettings()
+		cfg.Classes[1].KeyZoneScoped = true
+		r := newRecorder(t, cfg)
+		r.addReady(0, 1)
+		m := r.submitMessage(Message{ID: 1, Class: c.class, TimeLeft: 4 * time.Second, Attempts: c.sends, MayHaveRun: c.ran,
 			FirstRunAgo: c.ago, FirstRunZone: c.zone})
 		got := m.outcome
 		switch {
-		case m.out:
+		case m.inFlight:
 			got = "sent"
 		case got == "":
 			got = "waiting"
@@ -99,7 +99,7 @@
 		if got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
-		if k := r.c.messages[1]; k != nil && m.out && k.attempts != c.sends+1 {
+		if k := r.c.messages[1]; k != nil && m.inFlight && k.attempts != c.sends+1 {
 			t.Errorf("%s: attempt %d", c.name, k.attempts)
 		}
 	}
@@ -107,24 +107,24 @@
 
 // With separate routes the Retry-After is the soonest of their waits; where nothing is known it is the latency
 // objective.
-func TestRetryAdviceBySoonestRoute(t *testing.T) {
-	set := settings()
-	set.Kinds = []Kind{{MaxBatch: 1, SeparateRoutes: true}}
-	r := newRecorder(t, set)
-	r.ready(0, 2)
-	m := r.arrive(1, 0, 0)
+func TestRejectionRetryAfterUsesEarliestRoute(t *testing.T) {
+	cfg := testSettings()
+	cfg.Kinds = []Kind{{MaxBatch: 1, SeparateRoutes: true}}
+	r := newRecorder(t, cfg)
+	r.addReady(0, 2)
+	m := r.submit(1, 0, 0)
 	r.answer(1, Rejected, 1900*ms) // goes to the other one
 	r.answer(1, Rejected, 1400*ms)
-	if m.out {
+	if m.inFlight {
 		t.Fatal("sent during the waits")
 	}
-	late := r.submit(Message{ID: 3, Destination: 0, TimeLeft: 5 * ms})
+	late := r.submitMessage(Message{ID: 3, Destination: 0, TimeLeft: 5 * ms})
 	if late.outcome != "rejected" || late.retryAfter != 1400*ms {
 		t.Errorf("%q, advice %v", late.outcome, late.retryAfter)
 	}
-	homeless := r.submit(Message{ID: 4, Destination: 9, TimeLeft: 5 * ms})
-	if homeless.outcome != "rejected" || homeless.retryAfter != set.Classes[0].LatencyObjective {
-		t.Errorf("without a target: %q, advice %v", homeless.outcome, homeless.retryAfter)
+	noEndpoint := r.submitMessage(Message{ID: 4, Destination: 9, TimeLeft: 5 * ms})
+	if noEndpoint.outcome != "rejected" || noEndpoint.retryAfter != cfg.Classes[0].LatencyObjective {
+		t.Errorf("without a target: %q, advice %v", noEndpoint.outcome, noEndpoint.retryAfter)
 	}
 }
 
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -7,8 +7,8 @@
 )
 
 // The error names the key of the setting.
-func TestNewNamesTheSetting(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+func TestNewErrorNamesSetting(t *testing.T) {
+	for key, invalidate := range map[string]func(*Settings){
 		"Classes":      func(s *Settings) { s.Classes = nil },
 		"Classes[1]":   func(s *Settings) { s.Classes[1].Deadline = -1 },
 		"Kinds[0]":     func(s *Settings) { s.Kinds[0].MaxBatch = 0 },
@@ -18,9 +18,9 @@
 		"Tenants[0]":   func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
 		"FallMultiple": func(s *Settings) { s.OverloadFactor = -2 },
 	} {
-		set := settings()
-		spoil(&set)
-		if _, err := New(set, nil); err == nil || !strings.HasPrefix(err.Error(), key) {
+		cfg := testSettings()
+		invalidate(&cfg)
+		if _, err := New(cfg, nil); err == nil || !strings.HasPrefix(err.Error(), key) {
 			t.Errorf("%s: error %v does not name it", key, err)
 		}
 	}
@@ -30,10 +30,10 @@
 // ends at once, a Retry-After stays, and settings that are rejected change nothing.
 func TestUpdateSettings(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		tune  func(*Settings)
-		err   bool
-		final string // of an unsafe message that was turned away once and waits
+		name    string
+		change  func(*Settings)
+		wantErr bool
+		outcome string // of an unsafe message that was turned away once and waits
 	}{
 		{"nothing", func(*Settings) {}, false, ""},
 		{"classes vanish", func(s *Settings) { s.Classes = s.Classes[:1] }, false, ""},
@@ -42,26 +42,26 @@
 		{"no deadline", func(s *Settings) { s.MaxAttempts, s.Classes[1].Deadline = 1, 0 }, true, ""},
 		{"no classes", func(s *Settings) { s.MaxAttempts, s.Classes = 1, nil }, true, ""},
 	} {
-		r := newRecorder(t, settings())
-		r.ready(0, 1)
-		out, waits := r.arrive(1, 2, 0), r.arrive(2, 2, 0)
+		r := newRecorder(t, testSettings())
+		r.addReady(0, 1)
+		inFlight, waiting := r.submit(1, 2, 0), r.submit(2, 2, 0)
 		r.answer(2, Rejected, 500*ms)
-		set := settings()
-		set.FleetSize, set.Kinds = 99, nil // what can't change under way
-		c.tune(&set)
-		if err := r.c.UpdateSettings(r.now, set); (err != nil) != c.err {
+		cfg := testSettings()
+		cfg.FleetSize, cfg.Kinds = 99, nil // what can't change under way
+		c.change(&cfg)
+		if err := r.c.UpdateSettings(r.now, cfg); (err != nil) != c.wantErr {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		if r.c.settings.FleetSize != 2 || len(r.c.settings.Kinds) != 1 {
 			t.Errorf("%s: fleetSize %d, kinds %d", c.name, r.c.settings.FleetSize, len(r.c.settings.Kinds))
 		}
-		if waits.outcome != c.final {
-			t.Errorf("%s: the waiting message: %q, want %q", c.name, waits.outcome, c.final)
+		if waiting.outcome != c.outcome {
+			t.Errorf("%s: the waiting message: %q, want %q", c.name, waiting.outcome, c.outcome)
 		}
 		r.answer(1, ConnectionLost, 0)
 		r.advance(time.Second)
-		if out.attempts > 1 || out.outcome != "failed" {
-			t.Errorf("%s: one that broke was sent %d times, and ended %q", c.name, out.attempts, out.outcome)
+		if inFlight.attempts > 1 || inFlight.outcome != "failed" {
+			t.Errorf("%s: one that broke was sent %d times, and ended %q", c.name, inFlight.attempts, inFlight.outcome)
 		}
 	}
 }
