--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// noopHost is a host that does nothing.
+// noopHost is a host that ignores all actions.
 type noopHost struct{}
 
 func (noopHost) Send(MessageID, EndpointID, time.Duration) {}
@@ -21,8 +21,8 @@
 func (noopHost) Log(string)                                {}
 func (noopHost) Gossip(Observation)                        {}
 
-// BenchmarkEvent measures an event, a message and the decision after it, with so many destinations that have messages
-// waiting.
+// BenchmarkEvent measures the submission of a message and the decision after it while the given number of destinations
+// have waiting messages.
 func BenchmarkEvent(b *testing.B) {
 	for _, busy := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(busy), func(b *testing.B) {
@@ -40,7 +40,7 @@
 			now := time.Hour
 			c.UpdateEndpoints(now, ListFull, list)
 			id := MessageID(0)
-			for range 3 * busy { // more than the slots: the rest waits
+			for range 3 * busy { // exceeds the slots, so that messages wait
 				id++
 				c.Submit(now, Message{ID: id, Class: 0, Destination: int(id) % busy, TimeLeft: 8 * time.Second})
 				c.Decide(now)
--- a/control/calltime_test.go
+++ b/control/calltime_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Quick rejections and timeouts do not change T_m.
+// Rejections and timeouts do not change T_m.
 func TestCallTimeFromServedOnly(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 1)
@@ -19,12 +19,11 @@
 	r.answer(2, Rejected, 0)
 	r.advance(3 * time.Second)
 	if got := r.c.destination(0).callTime.mean; got != before {
-		t.Fatalf("T_m moved from %v to %v", before, got)
+		t.Fatalf("T_m changed from %v to %v", before, got)
 	}
 }
 
-// What a sender finds at one instant after a stall of its own opens no circuit and does not change T_m, in whatever
-// order it comes.
+// Events that arrive together after a stall of the sender neither open a circuit nor change T_m, in any order.
 func TestCallTimeExcludesSenderStall(t *testing.T) {
 	for _, submitFirst := range []bool{false, true} {
 		r := newRecorder(t, testSettings())
@@ -61,16 +60,17 @@
 		r.c.Decide(r.now)
 		for dest := range 3 {
 			if d := r.c.destination(dest); d.sharedRoute.breaker.open || d.concurrencyReduced {
-				t.Errorf("jobs first %v: destination %d taken for failed", submitFirst, dest)
+				t.Errorf("submission first %v: destination %d is treated as failed", submitFirst, dest)
 			}
 		}
 		if d := r.c.destination(0); d.callTime.mean != before || len(r.healthChecks) > 0 {
-			t.Errorf("jobs first %v: T_m %v became %v, %d probes", submitFirst, before, d.callTime.mean, len(r.healthChecks))
+			t.Errorf("submission first %v: T_m changed from %v to %v, %d health checks", submitFirst, before, d.callTime.mean,
+				len(r.healthChecks))
 		}
 	}
 }
 
-// The first call to a destination expects the call time of all destinations.
+// The first call to a destination uses the call time of all destinations.
 func TestFirstCallUsesOverallCallTime(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	for dest := range 12 {
@@ -82,11 +82,11 @@
 	m := r.submit(90, 0, 50)
 	if tm := r.c.destination(50).callTime.mean; tm < 80*ms || tm > 130*ms ||
 		m.timeout > time.Duration(idempotentTimeoutFactor*float64(350*ms)) {
-		t.Fatalf("T_m %v, time-out %v where calls take 100 ms", tm, m.timeout)
+		t.Fatalf("T_m %v, timeout %v though calls take 100 ms", tm, m.timeout)
 	}
 }
 
-// When calls take longer everywhere, one to a destination with an old T_m is not taken for unresponsive.
+// When calls to all destinations take longer, a destination with an old T_m is not considered unresponsive.
 func TestOverallSlowdownIsNotUnresponsive(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	for dest := range 12 {
@@ -104,7 +104,7 @@
 		}
 	}
 	if after := r.c.expectedCallTime(dest, class); after < before*7/4 {
-		t.Fatalf("usual call %v became %v though all calls take 2.5 times as long", before, after)
+		t.Fatalf("expected call time changed from %v to %v though all calls take 2.5 times as long", before, after)
 	}
 }
 
@@ -117,15 +117,15 @@
 	}{
 		{"no call", nil, 0, 700 * ms},
 		{"one call", []time.Duration{100 * ms}, 100 * ms, 250 * ms},
-		{"the same again and again", slices.Repeat([]time.Duration{100 * ms}, 50), 100 * ms, 200 * ms},
-		{"a longer one counts a quarter", []time.Duration{100 * ms, 200 * ms}, 125 * ms, 337500 * time.Microsecond},
+		{"constant call time", slices.Repeat([]time.Duration{100 * ms}, 50), 100 * ms, 200 * ms},
+		{"latest call has a weight of a quarter", []time.Duration{100 * ms, 200 * ms}, 125 * ms, 337500 * time.Microsecond},
 	} {
 		var estimate callTime
 		for _, elapsed := range c.calls {
 			estimate.update(elapsed)
 		}
 		if bound := estimate.upperBound(700 * ms); estimate.mean != c.mean || bound.Round(ms/2) != c.bound {
-			t.Errorf("%s: T_m %v, at most %v; want %v and %v", c.name, estimate.mean, bound, c.mean, c.bound)
+			t.Errorf("%s: T_m %v, upper bound %v; want %v and %v", c.name, estimate.mean, bound, c.mean, c.bound)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 func TestStallDetector(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		sentAt  time.Duration // of the call that is answered at 5 s, after answers each 100 ms up to 2 s
+		sentAt  time.Duration // send time of the call answered at 5 s, after answers every 100 ms up to 2 s
 		stalled bool
 	}{
 		{"nothing answered for 3 s", time.Second, true},
--- a/control/circuitbreaker_test.go
+++ b/control/circuitbreaker_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// causeOutage opens the circuit of destination 0, which stops answering.
+// causeOutage makes destination 0 stop answering, which opens its circuit.
 func causeOutage(r *recorder) {
 	r.addReady(0, 2)
 	r.submit(1, 0, 0)
@@ -18,23 +18,23 @@
 	}
 }
 
-// An unresponsive destination must not fill the slots, and gets health checks.
+// An unresponsive destination must not occupy all slots, and receives health checks.
 func TestUnresponsiveDestinationLeavesSlots(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	causeOutage(r)
 	if n := r.attemptsInFlight(0); n > r.cfg.MaxInFlight/2 {
-		t.Fatalf("%d calls out at a hung destination", n)
+		t.Fatalf("%d calls in flight at an unresponsive destination", n)
 	}
 	if !r.c.destination(0).sharedRoute.breaker.open || len(r.healthChecks) == 0 {
-		t.Fatalf("the route should be open and probed: %v", r.trace)
+		t.Fatalf("the circuit should be open and health checks sent: %v", r.trace)
 	}
 	r.addReady(1, 1)
 	if m := r.submit(50, 0, 1); !m.inFlight {
-		t.Fatal("another destination got no slot")
+		t.Fatal("no slot left for another destination")
 	}
 }
 
-// Without health checks a trial call tests an open circuit.
+// Without health checks an open circuit is tested by trial calls.
 func TestTrialCallWithoutHealthChecks(t *testing.T) {
 	cfg := testSettings()
 	cfg.CanHealthCheck = false
@@ -50,7 +50,7 @@
 		after += m.attempts
 	}
 	if len(r.healthChecks) > 0 || after == sends || after > sends+8 {
-		t.Fatalf("%d probes, %d calls in 4 s of outage", len(r.healthChecks), after-sends)
+		t.Fatalf("%d health checks, %d calls in 4 s of outage", len(r.healthChecks), after-sends)
 	}
 }
 
@@ -69,11 +69,11 @@
 		r.serve(200*ms, 50*ms)
 	}
 	if route := r.c.destination(0).sharedRoute; route.breaker.open || route.slowStart.active {
-		t.Fatalf("open %v, warming %v", route.breaker.open, route.slowStart.active)
+		t.Fatalf("open %v, slow start %v", route.breaker.open, route.slowStart.active)
 	}
 }
 
-// A long Retry-After is an outage: one trial call comes after it, not all that is queued.
+// A long Retry-After counts as an outage: a trial call follows it instead of all queued messages.
 func TestLongRetryAfterIsOutage(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 2)
@@ -88,16 +88,16 @@
 	r.advance(r.cfg.OverloadWindow)
 	tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send ")
 	if tests > 2 {
-		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
+		t.Fatalf("%d sends within an overload window after the end of a long Retry-After", tests)
 	}
 	r.advance(r.cfg.WarmUp)
 	if after := strings.Count(strings.Join(r.trace, "\n"), "send "); after < 2 {
-		t.Fatal("never tested after the wait")
+		t.Fatal("no trial call after the Retry-After")
 	}
 }
 
-// A call from before a long Retry-After that is served within it does not end the outage: `cleathold lab sim` found
-// returning partners overloaded after such an answer.
+// A call that was sent before a long Retry-After and is served while it lasts does not end the outage. When it did,
+// recovering partners were overloaded after such an answer in `cleathold lab sim`.
 func TestLateAnswerDoesNotEndOutage(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 2)
@@ -105,7 +105,7 @@
 	r.submit(2, 0, 0)
 	r.advance(50 * ms)
 	if r.attemptsInFlight(0) != 2 {
-		t.Fatalf("%d calls out", r.attemptsInFlight(0))
+		t.Fatalf("%d calls in flight", r.attemptsInFlight(0))
 	}
 	r.answer(1, Rejected, 2*r.cfg.OverloadWindow)
 	r.advance(20 * ms)
@@ -117,12 +117,12 @@
 	before := len(r.trace)
 	r.advance(r.cfg.OverloadWindow)
 	if tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send "); tests > 2 {
-		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
+		t.Fatalf("%d sends within an overload window after the end of a long Retry-After", tests)
 	}
 }
 
-// Rejections above a limit with served calls among them are no outage: the circuit stays closed, at a rate that each
-// rejection lowers and served calls raise again.
+// Rejections above a limit with served calls among them are no outage: the circuit stays closed, each rejection lowers
+// the rate and served calls raise it again.
 func TestRejectionsAmongServedCalls(t *testing.T) {
 	cfg := testSettings()
 	cfg.WeightKind = WeightsApproximate
@@ -142,7 +142,7 @@
 	}
 	reducedRate := r.c.sendRate(e)
 	if e.route.breaker.open || reducedRate >= fullRate/2 {
-		t.Fatalf("open %t, pace %.1f of %.1f", e.route.breaker.open, reducedRate, fullRate)
+		t.Fatalf("open %t, rate %.1f of %.1f", e.route.breaker.open, reducedRate, fullRate)
 	}
 	for !m.inFlight {
 		r.advance(50 * ms)
@@ -155,11 +155,11 @@
 		r.answer(id, Served, 0)
 	}
 	if raisedRate := r.c.sendRate(e); raisedRate <= reducedRate || raisedRate > fullRate {
-		t.Errorf("pace %.1f after %.1f and %.1f", raisedRate, fullRate, reducedRate)
+		t.Errorf("rate %.1f after a full rate of %.1f and a reduced rate of %.1f", raisedRate, fullRate, reducedRate)
 	}
 }
 
-// Trial calls of an open circuit come often enough that a recovery is not missed for long.
+// Trial calls of an open circuit are frequent enough to detect a recovery soon.
 func TestOpenCircuitTrialInterval(t *testing.T) {
 	cfg := testSettings()
 	cfg.WeightKind = WeightsApproximate
@@ -183,7 +183,7 @@
 		r.answer(m.ID, Rejected, 0)
 	}
 	if limit := cfg.WarmUp / 4; maxInterval == 0 || maxInterval > limit {
-		t.Errorf("tests %v apart, %v at most", maxInterval, limit)
+		t.Errorf("trial calls are up to %v apart, want at most %v", maxInterval, limit)
 	}
 }
 
@@ -193,7 +193,7 @@
 		name     string
 		breaker  circuitBreaker
 		now      time.Duration
-		noChecks bool // the host cannot make health checks
+		noChecks bool // the host cannot send health checks
 		trial    bool
 	}{
 		{"before the trial", circuitBreaker{open: true, nextTrial: 5 * s}, 4 * s, false, false},
@@ -211,13 +211,13 @@
 	for i, c := range []struct {
 		now, sentAt time.Duration
 		counts      bool
-		// the last was sent before the one before failed
+		// the last call was sent before the previous failure
 	}{{s, 0, true}, {2 * s, 1500 * ms, true}, {2100 * ms, 1900 * ms, false}} {
 		if counts := b.recordFailure(c.now, c.sentAt); counts != c.counts {
 			t.Errorf("failure %d counts: %v", i, counts)
 		}
 	}
-	for i, interval := range []time.Duration{s, 2 * s, 3 * s, 3 * s} { // doubled, and 3 s at most
+	for i, interval := range []time.Duration{s, 2 * s, 3 * s, 3 * s} { // doubles up to 3 s
 		if b.trip(10*s, 100*ms, s, 3*s, 0.5); !b.open || b.nextTrial != 10*s+interval {
 			t.Errorf("trial %d after %v, want %v", i, b.nextTrial-10*s, interval)
 		}
--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Connections that lose calls after lying idle are closed before the next call.
+// Connections on which calls are lost after an idle time are closed before the next call.
 func TestStaleConnectionsClosed(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 1)
@@ -30,12 +30,12 @@
 	r2 := newRecorder(t, testSettings())
 	causeOutage(r2)
 	if len(r2.disconnected) > 0 {
-		t.Fatal("an unresponsive destination is no reason to close connections")
+		t.Fatal("connections of an unresponsive destination were closed")
 	}
 }
 
-// Where connections are rejected though the endpoints are well, an idle one is closed after its call, as it keeps
-// peers out; where none is rejected, it is kept for the next call.
+// Where healthy endpoints reject connections, a connection is closed after its call, as it would block those of peers.
+// Otherwise it is kept for the next call.
 func TestScarceConnectionsAreClosed(t *testing.T) {
 	for _, scarce := range []bool{false, true} {
 		r := newRecorder(t, testSettings())
@@ -56,8 +56,8 @@
 	}
 }
 
-// In a large fleet connections are taken for scarce from the first call on: if each sender kept one, an endpoint
-// that takes few would have no capacity for most of them. Calls that all get one show that there are enough.
+// In a large fleet connections count as scarce from the first call on: if each sender kept one, an endpoint that
+// accepts few would have no capacity for most senders. Once enough calls have found capacity, connections are kept.
 func TestLargeFleetKeepsNoIdleConnections(t *testing.T) {
 	for _, fleetSize := range []int{largeFleetSize - 1, largeFleetSize, 80} {
 		cfg := testSettings()
@@ -79,13 +79,13 @@
 	}
 }
 
-// Connections kept for the next call are closed after a failed poll of the list: only new connections may meet a
-// drain that the list would have told. An answer ends that.
+// Idle connections are closed after a failed poll of the endpoint list, as then only a new connection can reveal that
+// an endpoint is draining. After an answered poll connections are kept again.
 func TestConnectionsClosedAfterListFailure(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(r *recorder)
-		closed bool // the connection of the next call is closed, too
+		closed bool // the connection of the next call is closed as well
 	}{
 		{"list failed", func(r *recorder) { r.updateList(ListFailed) }, true},
 		{"list answered after it failed", func(r *recorder) { r.updateList(ListFailed); r.updateList(ListDelta) }, false},
@@ -102,20 +102,20 @@
 		c.change(r)
 		r.advance(ms)
 		if len(r.disconnected) != n+1 {
-			t.Errorf("%s: the idle connection was closed %d times", c.name, len(r.disconnected)-n)
+			t.Errorf("%s: idle connection closed %d times, want 1", c.name, len(r.disconnected)-n)
 		}
 		n = len(r.disconnected)
 		r.submit(100, 0, 0)
 		r.serve(100*ms, 50*ms)
 		if closed := len(r.disconnected) > n; closed != c.closed {
-			t.Errorf("%s: the next connection closed %v", c.name, closed)
+			t.Errorf("%s: next connection closed %v", c.name, closed)
 		}
 	}
 }
 
-// An endpoint without capacity for a connection is full of peers' connections: its limit is not met, nothing is
-// gossiped, and its circuit stays closed, whether or not it served this sender lately. It is tried again within
-// about a call's time, and ever later as long as it has none.
+// Peers' connections use up the capacity of an endpoint that rejects a connection. This neither lowers the rate nor is
+// gossiped, and the circuit stays closed, whether or not the endpoint served this sender recently. The endpoint is
+// tried again after about one call time, and less and less often as long as it has no capacity.
 func TestConnectionRejectionIsNotRateLimit(t *testing.T) {
 	for _, recentlyServed := range []bool{true, false} {
 		cfg := testSettings()
@@ -142,11 +142,11 @@
 		soon, later := tries(500*ms), tries(500*ms)
 		rejections := slices.ContainsFunc(r.gossiped, func(n Observation) bool { return n.Kind == ObservedRejection })
 		if route.breaker.open || route.limit.fraction < fraction || rejections {
-			t.Errorf("lately %v: open %v, fraction %v after %v, told %d", recentlyServed, route.breaker.open,
-				route.limit.fraction, fraction, len(r.gossiped))
+			t.Errorf("recently served %v: open %v, fraction %v after %v, %d observations gossiped", recentlyServed,
+				route.breaker.open, route.limit.fraction, fraction, len(r.gossiped))
 		}
 		if soon < 3 || later < 1 || later >= soon {
-			t.Errorf("lately %v: tried %d times in 500 ms, then %d", recentlyServed, soon, later)
+			t.Errorf("recently served %v: tried %d times in 500 ms, then %d", recentlyServed, soon, later)
 		}
 	}
 }
@@ -154,12 +154,12 @@
 func TestConnectionStats(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
-		lostIdle, lostBusy   int // calls on connections of band 3 and 0
+		lostIdle, lostBusy   int // lost calls on connections of bands 3 and 0
 		staleBand3, staleOne bool
 	}{
-		{"none lost", 0, 0, false, false},
-		{"idle ones lost", 5, 0, true, false},
-		{"all lost", 5, 5, false, false},
+		{"no call lost", 0, 0, false, false},
+		{"calls on idle connections lost", 5, 0, true, false},
+		{"all calls lost", 5, 5, false, false},
 	} {
 		var s connectionStats
 		for range c.lostIdle {
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// TestModuleSize keeps each file of the module within its limits, and has deploy/balancer.toml name them all.
+// TestModuleSize checks that no file of the module exceeds its size limits and that deploy/balancer.toml lists all
+// files.
 func TestModuleSize(t *testing.T) {
 	const maxLines, maxColumns = 500, 120
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -59,13 +60,13 @@
 	}
 }
 
-// TestRandomEvents plays seeded random events and checks every action against the rules. Each play is repeated and must
-// give the same actions.
+// TestRandomEvents generates seeded random events and checks every action against the rules. Each run is repeated and
+// must result in the same actions.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		first, second := fuzzRun(t, seed), fuzzRun(t, seed)
 		if !slices.Equal(first, second) {
-			t.Fatalf("seed %d: the same events gave other actions", seed)
+			t.Fatalf("seed %d: the same events resulted in different actions", seed)
 		}
 	}
 }
@@ -124,7 +125,7 @@
 			if id > 0 {
 				abandoned := MessageID(1 + rng.IntN(int(id)))
 				if m := r.messages[abandoned]; m.outcome == "" {
-					m.outcome = "gone"
+					m.outcome = "abandoned"
 					r.c.Abandon(r.now, abandoned)
 					r.c.Decide(r.now)
 				}
@@ -146,21 +147,21 @@
 	r.advance(10 * time.Second)
 	for _, a := range r.arrivals {
 		if m := r.messages[a]; m.outcome == "" {
-			t.Fatalf("seed %d: message %d never answered", seed, a)
+			t.Fatalf("seed %d: message %d was never answered", seed, a)
 		}
 	}
 	if r.c.callsInFlight != 0 || len(r.c.messages) != 0 || len(r.c.openMessages) != 0 {
-		t.Fatalf("seed %d: %d slots, %d messages left over", seed, r.c.callsInFlight, len(r.c.messages))
+		t.Fatalf("seed %d: %d slots still in use, %d messages still open", seed, r.c.callsInFlight, len(r.c.messages))
 	}
 	return r.trace
 }
 
-// Abandoned messages get no answer, and their slots come free.
+// Abandoned messages get no answer, and their slots become free.
 func TestAbandonFreesSlot(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 1)
 	m := r.submit(1, 0, 0)
-	m.outcome = "gone"
+	m.outcome = "abandoned"
 	r.c.Abandon(r.now, 1)
 	r.c.Decide(r.now)
 	r.advance(20 * ms)
@@ -170,7 +171,7 @@
 	}
 }
 
-// A streamed answer that has started belongs to the client: it neither times out nor expires.
+// A message whose streamed response has started neither times out nor expires, as the client is receiving it.
 func TestStreamOutlivesDeadline(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 1)
@@ -180,7 +181,7 @@
 	r.c.Decide(r.now)
 	r.advance(20 * time.Second)
 	if m.outcome != "" || !m.inFlight {
-		t.Fatalf("ended %q", m.outcome)
+		t.Fatalf("outcome %q", m.outcome)
 	}
 	r.answer(1, Served, 0)
 	if r.c.callsInFlight != 0 {
@@ -188,7 +189,7 @@
 	}
 }
 
-// Only destinations with work are visited: others cost nothing at an event.
+// Decisions visit only destinations with work, so that idle ones do not add to the cost of an event.
 func TestIdleDestinationsAreNotVisited(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	for dest := range 200 {
@@ -203,7 +204,7 @@
 	}
 }
 
-// Sends of one instant to one endpoint share a call: one slot until all are answered.
+// Messages sent to an endpoint at the same instant share a call, which uses one slot until all of them are answered.
 func TestBatchSharesSlot(t *testing.T) {
 	cfg := testSettings()
 	cfg.Kinds[0].MaxBatch = 3
@@ -220,6 +221,6 @@
 	r.answer(1, Served, 0)
 	r.answer(2, Served, 0)
 	if before := r.c.destination(0).callsInFlight; before == 0 {
-		t.Fatal("the slot was freed before all were answered")
+		t.Fatal("the slot was freed before all messages were answered")
 	}
 }
--- a/control/endpointlist_test.go
+++ b/control/endpointlist_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// Where the list answers only when polled, a failed poll is followed by another one.
+// If the endpoint list has to be polled, a failed poll is followed by another one.
 func TestPollAfterFailure(t *testing.T) {
 	cfg := testSettings()
 	cfg.PollsList = true
@@ -43,11 +43,10 @@
 	}
 }
 
-// Discovery works through polls in order, also through those that were given up after two seconds. Each of 80
-// senders that start at one instant has its answer within ten seconds, and discovery never gets much more polls than
-// it can answer.
+// Discovery processes polls in order, including those that timed out after two seconds. Each of 80 senders that start
+// at the same instant receives an answer within ten seconds, with at most twice as many polls as senders.
 func TestLargeFleetSpreadsPolls(t *testing.T) {
-	const senders, step, perStep = 80, 100 * ms, 1.5 // 15 polls a second
+	const senders, step, perStep = 80, 100 * ms, 1.5 // discovery processes 15 polls per second
 	type poll struct {
 		by int
 		at time.Duration
@@ -74,11 +73,11 @@
 			if now-q.at <= 2*time.Second {
 				fleet[q.by].updateList(ListDelta)
 				answered[q.by], done, last = true, done+1, now
-			} else if now-q.at <= 2*time.Second+step { // worked off as it gives up, and not answered below
+			} else if now-q.at <= 2*time.Second+step { // processed as it times out, and therefore not failed below
 				fleet[q.by].updateList(ListFailed)
 			}
 		}
-		for i := range queue { // they give up, but discovery still comes to them
+		for i := range queue { // timed out, but discovery still processes them
 			if q := &queue[i]; now-q.at > 2*time.Second && now-q.at <= 2*time.Second+step {
 				fleet[q.by].updateList(ListFailed)
 			}
@@ -93,13 +92,12 @@
 	}
 }
 
-// The time between polls grows with the fleet as far as the list may be old, and no further; so does that after
-// failures, however many: what discovery has counts as notified 6 s after it could be reached, and a poll takes its
-// time, too.
+// The spread of polls grows with the fleet, and the delay after failures with the spread, but both are bounded: an
+// update must be known 6 s after discovery could be reached, and that time includes the poll itself.
 func TestPollSpreadIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		fleetSize                     int
-		maxPollInterval, spread, poll time.Duration // poll: the longest wait after failures
+		maxPollInterval, spread, poll time.Duration // poll: longest delay after failures
 	}{
 		{4, 10 * time.Second, 0, 1500 * ms},
 		{4, 60 * time.Second, 0, 3600 * ms},
@@ -115,8 +113,8 @@
 		if got := cfg.PollSpread(); got != c.spread {
 			t.Errorf("%+v: %v", c, got)
 		}
-		// What is answered at one instant is known in 6 s by all, an answer of 1.2 s included; the rest is a tenth longer
-		// at most.
+		// All senders must know an update within 6 s, including 1.2 s for the answer. The spread may be exceeded by a
+		// tenth.
 		if known := c.spread + c.spread/10 + 1200*ms; known >= 6*time.Second {
 			t.Errorf("%+v: known after %v", c, known)
 		}
@@ -136,21 +134,21 @@
 	}
 }
 
-// Endpoints that were removed long ago are forgotten, with destinations that have no other; one that is listed again
-// soon is known with its failures.
+// Endpoints that were removed long ago are deleted, together with destinations that have no other endpoint. Endpoints
+// that were removed recently are kept.
 func TestRemovedEndpointsArePruned(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	for i := range 200 {
 		r.updateList(ListDelta, Endpoint{ID: EndpointID(1000 + i), Destination: 50 + i, State: Ready})
 		r.updateList(ListDelta, Endpoint{ID: EndpointID(1000 + i), Destination: 50 + i, State: Removed})
 		if r.c.endpoints[EndpointID(1000+i)] == nil {
-			t.Fatal("forgotten at once")
+			t.Fatal("deleted at once")
 		}
 		r.advance(time.Second)
 	}
 	keep := int((2*r.c.settings.WarmUp+r.c.settings.OverloadWindow+r.c.settings.DrainGrace)/time.Second) + 1
 	if len(r.c.endpoints) > keep || len(r.c.destinations) > keep {
-		t.Errorf("%d endpoints and %d destinations known, %d at most", len(r.c.endpoints), len(r.c.destinations), keep)
+		t.Errorf("%d endpoints and %d destinations kept, want at most %d", len(r.c.endpoints), len(r.c.destinations), keep)
 	}
 }
 
@@ -161,11 +159,11 @@
 		change func()
 		due    bool // at 1 s
 	}{
-		{"at its time", func() {}, true},
-		{"under way", func() { p.polling = true }, false},
+		{"poll due", func() {}, true},
+		{"poll in progress", func() { p.polling = true }, false},
 		{"failed", func() { p.recordFailure(true) }, true},
 		{"answered", func() { p.recordAnswer() }, false},
-		{"subscription broke", func() { p.recordFailure(false) }, true},
+		{"subscription lost", func() { p.recordFailure(false) }, true},
 	} {
 		if c.change(); p.due(time.Second) != c.due || p.due(time.Second-1) {
 			t.Errorf("%s: due %v", c.name, p.due(time.Second))
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,7 +7,7 @@
 	"cleathold/control"
 )
 
-// printingHost is a host that prints what it is asked to do.
+// printingHost is a host that prints some of the requested actions.
 type printingHost struct{}
 
 func (printingHost) Send(id control.MessageID, to control.EndpointID, _ time.Duration) {
@@ -26,7 +26,7 @@
 func (printingHost) Gossip(control.Observation)     {}
 func (printingHost) Log(string)                     {}
 
-// A host owns the calls and the clock; the controller decides.
+// The host makes the calls and provides the time. The controller makes the decisions.
 func Example() {
 	c, err := control.New(control.Settings{
 		FleetSize: 1, MaxInFlight: 1, HeadroomIndex: -1, LimitIndex: -1,
--- a/control/fleetrate_test.go
+++ b/control/fleetrate_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// largeFleetAtLimit returns one of eighty senders that share the limit of an endpoint.
+// largeFleetAtLimit returns a member of a fleet of 80 senders that share the limit of an endpoint.
 func largeFleetAtLimit(t *testing.T) (*recorder, *endpoint) {
 	cfg := testSettings()
 	cfg.FleetSize, cfg.CanGossip, cfg.WeightKind, cfg.HeadroomIndex, cfg.LimitIndex = 80, true, WeightsApproximate, -1, -1
@@ -17,7 +17,7 @@
 	return r, r.c.endpoints[1]
 }
 
-// largeFleetMember returns one of eighty senders, with n endpoints of a destination.
+// largeFleetMember returns a member of a fleet of 80 senders, with n endpoints of a destination.
 func largeFleetMember(t *testing.T, n int) *recorder {
 	cfg := testSettings()
 	cfg.FleetSize, cfg.CanGossip, cfg.MaxAttempts = 80, true, 99
@@ -26,11 +26,11 @@
 	return r
 }
 
-// What 80 senders send in sum stays below a limit that is lowered to a sixth, where rejected calls use it up: one
-// rejection that is gossiped slows all at once. With half of the gossip lost it takes longer, and without any each
-// slows by what it learns itself. Gossip never makes a sender send more.
+// The total rate of 80 senders stays below a limit that is lowered to a sixth and that rejected calls use up as well:
+// one gossiped rejection slows all senders at once. With half of the gossip lost this takes longer, and without gossip
+// each sender slows only by its own rejections. Gossip never raises a sender's rate.
 func TestLargeFleetKeepsLimit(t *testing.T) {
-	const senders, step, fullLimit, reducedLimit, seeds = 80, 20 * ms, 80.0, 13.0, 5 // in the mean of so many
+	const senders, step, fullLimit, reducedLimit, seeds = 80, 20 * ms, 80.0, 13.0, 5 // results are means over the seeds
 	run := func(name string, lost float64, seed uint64) (served, rejected int) {
 		rng := rand.New(rand.NewPCG(7, seed))
 		fleet := make([]*recorder, senders)
@@ -57,7 +57,7 @@
 					if !r.messages[m].inFlight {
 						continue
 					}
-					if capacity--; capacity < 0 { // a rejected call uses the limit up, too
+					if capacity--; capacity < 0 { // a rejected call uses up the limit as well
 						capacity = max(capacity, -limit/5)
 						r.answer(m, Rejected, 0)
 					} else {
@@ -91,24 +91,24 @@
 	for _, c := range []struct {
 		name     string
 		lost     float64
-		served   int // in 9 s of the lowered limit, at least
-		rejected int // in the same time, at most
-	}{{"all arrive", 0, 60, 100}, {"half lost", 0.5, 25, 150}, {"none arrives", 1, 5, 400}} {
+		served   int // minimum in 9 s of the lowered limit
+		rejected int // maximum in the same time
+	}{{"all gossip arrives", 0, 60, 100}, {"half of the gossip lost", 0.5, 25, 150}, {"no gossip arrives", 1, 5, 400}} {
 		served, rejected := 0, 0
 		for seed := range uint64(seeds) {
 			s, n := run(c.name, c.lost, seed)
 			served, rejected = served+s, rejected+n
 		}
 		if served < seeds*c.served || rejected > seeds*c.rejected {
-			t.Errorf("%s: %d served and %d rejected while the limit was low, want %d and %d", c.name, served/seeds,
-				rejected/seeds, c.served, c.rejected)
+			t.Errorf("%s: %d served and %d rejected while the limit was low, want at least %d and at most %d", c.name,
+				served/seeds, rejected/seeds, c.served, c.rejected)
 		}
 		t.Logf("%s: %d served, %d rejected", c.name, served/seeds, rejected/seeds)
 	}
 }
 
-// Rejections above a limit are no outage, and in a fleet of hundreds one slows a sender at once: when the limit is
-// overrun all calls are rejected, and only fewer of them help. Reported headroom raises the rate again.
+// Rejections above a limit are no outage. In a fleet of hundreds one rejection slows a sender at once, as all calls are
+// rejected while the limit is exceeded, until the fleet sends fewer. Reported headroom raises the rate again.
 func TestRejectionSlowsLargeFleet(t *testing.T) {
 	cfg := testSettings()
 	cfg.FleetSize = 200
@@ -135,11 +135,12 @@
 	}
 	r.serve(20*time.Second, 50*ms, 1, 10)
 	if d.sharedRoute.limit.fraction < 0.9 {
-		t.Fatalf("fraction %v though all of the limit is left", d.sharedRoute.limit.fraction)
+		t.Fatalf("fraction %v though the limit is unused", d.sharedRoute.limit.fraction)
 	}
 }
 
-// A sender that hears nobody gossips ever less; after one observation of a peer it gossips each rejection again.
+// A sender that receives nothing from peers gossips less and less. After it receives an observation it gossips each
+// rejection again.
 func TestIsolatedSenderReducesGossip(t *testing.T) {
 	r, e := largeFleetAtLimit(t)
 	reject := func(n int) int {
@@ -151,20 +152,20 @@
 		}
 		return len(r.gossiped) - before
 	}
-	if n := reject(32); n < 2 || n > 6 { // the first sends a query, too, and once it is isolated nothing is gossiped
+	if n := reject(32); n < 2 || n > 6 { // the first also sends a query, and an isolated sender gossips nothing
 		t.Errorf("%d observations of 32 rejections", n)
 	}
 	if !r.c.peers.Isolated(r.now) {
-		t.Error("it does not know that it is isolated")
+		t.Error("the isolation was not detected")
 	}
 	r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedRejection})
 	if n := reject(2); n != 2 {
-		t.Errorf("%d of 2 rejections gossiped after a peer was heard", n)
+		t.Errorf("%d of 2 rejections gossiped after an observation of a peer", n)
 	}
 }
 
-// An isolated sender takes a part of its fair share after a rejection, which grows by served calls alone, and shares
-// the fleet rate again as soon as it hears a peer. One that is asked for a sign answers now and then.
+// After a rejection an isolated sender uses a part of its fair share, which only served calls raise. It uses the fleet
+// rate again as soon as it receives something from a peer. A sender replies to some of the reachability queries.
 func TestIsolatedRate(t *testing.T) {
 	r, e := largeFleetAtLimit(t)
 	fraction := func() float64 { r.c.refillTokens(e); return e.route.limit.fraction * 80 } // in fair shares
@@ -176,7 +177,7 @@
 	advanceTo := func(at time.Duration) { r.now = at; r.c.advanceClock(at) }
 	advanceTo(10 * time.Second)
 	if got := fraction(); got != fleetRateMax {
-		t.Fatalf("%.2f fair shares at first", got)
+		t.Fatalf("%.2f fair shares initially", got)
 	}
 	recordResult(10*time.Second, Rejected)
 	if got := fraction(); math.Abs(got-fleetRateReduction*fleetRateReductionBase) > 1e-9 {
@@ -185,11 +186,11 @@
 	advanceTo(10*time.Second + 600*ms)
 	isolated := fraction()
 	if math.Abs(isolated-isolatedRateReduction) > 1e-9 {
-		t.Errorf("%.3f once nobody has answered", isolated)
+		t.Errorf("%.3f after the query was not answered", isolated)
 	}
 	advanceTo(20 * time.Second)
 	if got := fraction(); got != isolated {
-		t.Errorf("%.3f grown by time alone", got)
+		t.Errorf("%.3f, raised by time alone", got)
 	}
 	for i := range 10 {
 		recordResult(20*time.Second+time.Duration(i)*ms, Served)
@@ -204,18 +205,18 @@
 	queries := len(r.gossiped)
 	advanceTo(26 * time.Second)
 	if fraction(); len(r.gossiped) != queries+1 || r.gossiped[queries].Kind != ReachabilityQuery {
-		t.Errorf("it does not ask again though nothing is rejected: %v", r.gossiped[queries:])
+		t.Errorf("the query was not repeated once while nothing was rejected: %v", r.gossiped[queries:])
 	}
 	r.c.ReceiveGossip(26*time.Second, Observation{Endpoint: 1, Kind: ReachabilityReply, Peer: 5})
 	advanceTo(28 * time.Second)
 	if got := fraction(); got < 0.9 {
-		t.Errorf("%.3f two seconds after somebody was heard", got)
+		t.Errorf("%.3f two seconds after a peer replied", got)
 	}
 	before := len(r.gossiped)
 	for i := range 400 {
 		r.c.ReceiveGossip(28*time.Second, Observation{Endpoint: 1, Kind: ReachabilityQuery, Peer: i % 79})
 	}
-	if n := len(r.gossiped) - before; n < 20 || n > 70 { // 8 of 80 in the mean
-		t.Errorf("%d of 400 questions answered", n)
+	if n := len(r.gossiped) - before; n < 20 || n > 70 { // 8 of 80 on average
+		t.Errorf("%d replies to 400 queries", n)
 	}
 }
--- a/control/loadbalancer_test.go
+++ b/control/loadbalancer_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An endpoint that failed is tried again when the one that serves is busy.
+// A failed endpoint is tried again while the one that serves is busy.
 func TestFailedEndpointIsRetried(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 2)
@@ -21,12 +21,13 @@
 		r.serve(200*ms, 50*ms)
 	}
 	if !retried {
-		t.Fatal("the endpoint stayed idle for good")
+		t.Fatal("the failed endpoint was never tried again")
 	}
 }
 
-// Endpoints take few connections, and a fleet of 80 keeps none: each sender spreads its calls over all endpoints,
-// and not all begin with the same one. A fleet of two keeps to the endpoint that it has a connection to.
+// A fleet of 80 keeps no connections, as endpoints accept few: each sender spreads its calls over all endpoints, and
+// the senders do not all start with the same one. The senders of a fleet of two use the endpoint to which they have a
+// connection.
 func TestLargeFleetSpreadsOverEndpoints(t *testing.T) {
 	for _, c := range []struct{ fleetSize, first, each int }{{80, 10, 3}, {2, 0, 0}} {
 		first := 0
@@ -46,27 +47,27 @@
 				r.advance(100 * ms)
 			}
 			if second < c.each || second > 8-c.each || c.each == 0 && second > 0 {
-				t.Errorf("fleet of %d, seed %d: %d of 8 calls went to the second endpoint", c.fleetSize, seed, second)
+				t.Errorf("fleet of %d, seed %d: %d of 8 calls were sent to the second endpoint", c.fleetSize, seed, second)
 			}
 		}
 		if first < c.first || first > 40-c.first || c.first == 0 && first > 0 {
-			t.Errorf("fleet of %d: %d of 40 began with the second endpoint", c.fleetSize, first)
+			t.Errorf("fleet of %d: %d of 40 senders started with the second endpoint", c.fleetSize, first)
 		}
 	}
 }
 
-// Of two separate routes the one with the lower cost takes what it can, and the other the rest; where endpoints
-// share a limit the cost does not count.
+// Of two separate routes the one with the lower cost is used as far as possible, and the other one for the rest. Where
+// endpoints share a route the cost is ignored.
 func TestLowerZoneCostFirst(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		separate bool
 		costs    []float64
-		zone     int // of the endpoint that all calls go to
+		zone     int // zone of the endpoint that receives all calls
 	}{
-		{"expensive first", true, []float64{0.04, 0.01}, 1},
-		{"cheap first", true, []float64{0.01, 0.04}, 0},
-		{"none told", true, nil, 0},
+		{"first zone expensive", true, []float64{0.04, 0.01}, 1},
+		{"first zone cheap", true, []float64{0.01, 0.04}, 0},
+		{"no costs", true, nil, 0},
 		{"shared", false, []float64{0.04, 0.01}, 0},
 	} {
 		cfg := testSettings()
@@ -76,16 +77,16 @@
 		for id := MessageID(1); id <= 5; id++ {
 			m := r.submit(id, 0, 0)
 			if !m.inFlight || r.list[m.endpoint].Zone != c.zone {
-				t.Errorf("%s: message %d went to zone %d", c.name, id, r.list[m.endpoint].Zone)
+				t.Errorf("%s: message %d was sent to zone %d", c.name, id, r.list[m.endpoint].Zone)
 			}
 			r.answer(id, Served, 0)
 			r.advance(50 * ms)
 		}
 		redirected := r.submit(6, 0, 0)
-		r.answer(6, Rejected, 500*ms) // its route is told to wait
+		r.answer(6, Rejected, 500*ms) // a Retry-After for its route
 		r.advance(50 * ms)
 		if c.separate && (!redirected.inFlight || r.list[redirected.endpoint].Zone == c.zone) {
-			t.Errorf("%s: the other route is not used", c.name)
+			t.Errorf("%s: the other route was not used", c.name)
 		}
 	}
 }
--- a/control/ordering_test.go
+++ b/control/ordering_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Messages of one key go one at a time, and the key pauses after a timeout.
+// Messages with the same key are sent one at a time, and the key pauses after an attempt that may still be running.
 func TestOrderedByKey(t *testing.T) {
 	cfg := testSettings()
 	cfg.Classes[2].Ordered = true
@@ -16,17 +16,17 @@
 	}
 	first, second := submitKeyed(1), submitKeyed(2)
 	if !first.inFlight || second.inFlight {
-		t.Fatal("the second message of a key must wait for the first")
+		t.Fatal("the first message of a key should be in flight and the second should wait")
 	}
 	r.advance(20 * ms)
 	r.answer(1, ConnectionLost, 0)
 	r.advance(cfg.OrderedPause - 100*ms)
 	if second.inFlight {
-		t.Fatal("the key must rest after an attempt that may still run")
+		t.Fatal("sent during the pause after an attempt that may still be running")
 	}
 	r.advance(time.Second)
 	if second.attempts == 0 {
-		t.Fatal("the second message never got its turn")
+		t.Fatal("the second message was never sent")
 	}
 }
 
@@ -40,7 +40,7 @@
 		name          string
 		now           time.Duration
 		change        func()
-		first, second bool // may go
+		first, second bool // is next
 	}{
 		{"nothing sent", 0, func() {}, true, false},
 		{"first in flight", 0, func() { s.attemptsInFlight++ }, false, false},
@@ -50,14 +50,14 @@
 	} {
 		c.change()
 		if a, b := s.isNext(first, c.now), s.isNext(second, c.now); a != c.first || b != c.second {
-			t.Errorf("%s: the first may go %v, the second %v", c.name, a, b)
+			t.Errorf("%s: first is next %v, second is next %v", c.name, a, b)
 		}
 	}
 	s.remove(second)
 	if sequences.release(s, 999*ms); sequences.forKey(5) != s {
-		t.Error("dropped within its pause")
+		t.Error("sequence deleted during its pause")
 	}
 	if sequences.release(nil, time.Second); len(sequences.byKey) > 0 {
-		t.Error("kept after its pause")
+		t.Error("sequence kept after its pause")
 	}
 }
--- a/control/queue_test.go
+++ b/control/queue_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A fresh head goes before deferred ones; these go once no fresh one is left.
+// A fresh message is sent before deferred ones, which are sent once no fresh message is left.
 func TestFreshBeforeDeferred(t *testing.T) {
 	cfg := testSettings()
 	cfg.MaxInFlight = 1
@@ -16,19 +16,19 @@
 	fresh := r.submit(3, 0, 0)
 	r.advance(50 * ms)
 	if !blocker.inFlight || deferred.inFlight || fresh.inFlight {
-		t.Fatal("one slot should carry the first message only")
+		t.Fatal("only the first message should use the one slot")
 	}
 	r.answer(1, Served, 0)
 	if deferred.inFlight || !fresh.inFlight {
-		t.Fatal("the fresh message should go before the deferred one")
+		t.Fatal("the fresh message should be sent before the deferred one")
 	}
 	r.answer(3, Served, 0)
 	if !deferred.inFlight {
-		t.Fatal("the deferred message should go once no fresh one is left")
+		t.Fatal("the deferred message should be sent once no fresh one is left")
 	}
 }
 
-// A message that cannot meet its deadline any more is rejected at once, with a Retry-After.
+// A message that can no longer meet its deadline is rejected at once, with a Retry-After.
 func TestRejectedWhenDeadlineCannotBeMet(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 1)
@@ -37,7 +37,7 @@
 	r.answer(1, Served, 0)
 	late := r.submitMessage(Message{ID: 2, Destination: 0, TimeLeft: 100 * ms})
 	if late.outcome != "rejected" || late.retryAfter <= 0 {
-		t.Fatalf("got %q with advice %v", late.outcome, late.retryAfter)
+		t.Fatalf("got %q with Retry-After %v", late.outcome, late.retryAfter)
 	}
 	noEndpoint := r.submitMessage(Message{ID: 3, Destination: 9, TimeLeft: 500 * ms})
 	expired := r.submitMessage(Message{ID: 4, Destination: 0, TimeLeft: 0})
@@ -47,7 +47,7 @@
 	}
 }
 
-// A slow destination must not take the last slots from quick ones.
+// A slow destination must not occupy the last slots, which fast destinations need.
 func TestSlowDestinationLeavesLastSlots(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 2)
@@ -64,11 +64,11 @@
 		r.submit(id, 0, 0)
 	}
 	if n := r.attemptsInFlight(0); n == 0 || n > 6 {
-		t.Fatalf("%d calls of 8 slots out at a slow destination", n)
+		t.Fatalf("a slow destination uses %d of 8 slots", n)
 	}
 	id++
 	if m := r.submit(id, 0, 1); !m.inFlight {
-		t.Fatal("the quick destination got no slot")
+		t.Fatal("no slot left for the fast destination")
 	}
 }
 
@@ -88,10 +88,10 @@
 func TestSlotYield(t *testing.T) {
 	var y slotYield
 	if y.low(0) {
-		t.Error("low before any call")
+		t.Error("low yield before any call")
 	}
 	for range 500 {
-		y.record(1, 100*ms) // 10 a second
+		y.record(1, 100*ms) // yield of 10 per second
 	}
 	if !y.low(4.9) || y.low(5.1) {
 		t.Errorf("low at 4.9 %v, at 5.1 %v", y.low(4.9), y.low(5.1))
--- a/control/ratelimit_test.go
+++ b/control/ratelimit_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Calls keep to a reported limit.
+// The rate of calls stays within a reported limit.
 func TestRateKeepsReportedLimit(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 2)
@@ -20,11 +20,11 @@
 	r.serve(3*time.Second, 50*ms, 0.1, 4)
 	sends := strings.Count(strings.Join(r.trace[before:], "\n"), "send ")
 	if sends < 6 || sends > 16 {
-		t.Fatalf("%d calls in 3 s at a limit of 4 a second", sends)
+		t.Fatalf("%d calls in 3 s at a limit of 4 per second", sends)
 	}
 }
 
-// A Retry-After binds its destination; with separate routes, its endpoint only.
+// A Retry-After applies to the destination, or with separate routes to the endpoint only.
 func TestRetryAfter(t *testing.T) {
 	for _, separate := range []bool{false, true} {
 		cfg := testSettings()
@@ -41,13 +41,13 @@
 		}
 		r.advance(600 * ms)
 		if m.attempts != 2 {
-			t.Fatalf("separate %v: not sent after the wait", separate)
+			t.Fatalf("separate %v: not sent after the Retry-After", separate)
 		}
 	}
 }
 
-// A Retry-After that comes with a served call binds like any other: the recorder fails the test if anything is sent
-// before it is over.
+// A Retry-After in the response of a served call applies like any other: the recorder fails the test if anything is
+// sent before it has passed.
 func TestRetryAfterWithServedAnswer(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 2)
@@ -56,11 +56,11 @@
 	r.answer(1, Served, 400*ms)
 	m := r.submit(2, 0, 0)
 	if m.inFlight {
-		t.Fatal("sent during the wait")
+		t.Fatal("sent before the Retry-After has passed")
 	}
 	r.advance(500 * ms)
 	if m.attempts == 0 {
-		t.Fatal("not sent after the wait")
+		t.Fatal("not sent after the Retry-After")
 	}
 }
 
@@ -73,7 +73,7 @@
 	}{
 		{"no time", 0.5, 0, 0.5},
 		{"a second at 2 a second", 0.5, time.Second, 2.5},
-		{"no more than its depth", 0.5, time.Hour, 3},
+		{"at most its depth", 0.5, time.Hour, 3},
 		{"time does not go back", 0.5, -time.Second, 0.5},
 	} {
 		b := tokenBucket{tokens: c.from, filledAt: time.Minute}
@@ -82,7 +82,7 @@
 		}
 	}
 	if got := (&tokenBucket{tokens: -0.5}).untilToken(3); got != 500*ms {
-		t.Errorf("a token in %v", got)
+		t.Errorf("next token in %v", got)
 	}
 }
 
--- a/control/recorder_test.go
+++ b/control/recorder_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// testSettings returns plain testSettings with a class of each idempotency.
+// testSettings returns basic settings with one class for each level of idempotency.
 func testSettings() Settings {
 	class := Class{LatencyObjective: 1000 * ms, Deadline: 8000 * ms, PriorityWeight: 1, LateWeight: 0.5,
 		KeyRetention: 5000 * ms}
@@ -26,7 +26,7 @@
 	}
 }
 
-// A recorder is a host that records the actions it is asked for and fails the test if one breaks a rule.
+// A recorder is a host that records the requested actions and fails the test if an action violates a rule.
 type recorder struct {
 	t            testing.TB
 	c            *Controller
@@ -50,7 +50,7 @@
 
 type listedEndpoint struct {
 	Endpoint
-	stoppedAt  time.Duration // when it was listed as draining or removed; 0 = never
+	stoppedAt  time.Duration // time when it was listed as draining or removed; 0 = never
 	retryAfter time.Duration
 }
 
@@ -89,7 +89,7 @@
 
 func (r *recorder) violation(format string, a ...any) {
 	r.t.Helper()
-	r.t.Fatalf("rule broken at %v: %s\n%v", r.now, fmt.Sprintf(format, a...), r.trace[max(0, len(r.trace)-12):])
+	r.t.Fatalf("rule violated at %v: %s\n%v", r.now, fmt.Sprintf(format, a...), r.trace[max(0, len(r.trace)-12):])
 }
 
 func (r *recorder) Send(id MessageID, to EndpointID, timeout time.Duration) {
@@ -97,23 +97,23 @@
 	m, e := r.messages[id], r.list[to]
 	switch {
 	case m == nil || m.outcome != "":
-		r.violation("sent message %d, which is over", id)
+		r.violation("sent message %d, which is unknown or finished", id)
 	case e == nil || e.Destination != m.Destination:
-		r.violation("sent message %d to endpoint %d, not of its destination", id, to)
+		r.violation("sent message %d to endpoint %d, which is not of its destination", id, to)
 	case m.inFlight:
-		r.violation("message %d has two attempts out", id)
+		r.violation("message %d has two attempts in flight", id)
 	case m.mayHaveRun && m.class.Idempotency == NotIdempotent:
-		r.violation("unsafe message %d sent again", id)
+		r.violation("message %d, which is not idempotent, sent again", id)
 	case m.mayHaveRun && m.class.Idempotency == IdempotentByKey && r.now > m.firstRunAt+m.class.KeyRetention:
-		r.violation("keyed message %d sent after its memory", id)
+		r.violation("keyed message %d sent after its key retention", id)
 	case m.mayHaveRun && m.class.Idempotency == IdempotentByKey && m.class.KeyZoneScoped && e.Zone != m.firstRunZone:
 		r.violation("keyed message %d sent outside its zone", id)
 	case e.stoppedAt > 0 && r.now > e.stoppedAt+r.cfg.DrainGrace:
 		r.violation("sent to endpoint %d after its drain", to)
 	case r.now < r.retryAfterOf(e):
-		r.violation("sent to endpoint %d before its wait is over", to)
+		r.violation("sent to endpoint %d before its Retry-After has passed", to)
 	case m.attempts >= r.cfg.MaxAttempts:
-		r.violation("message %d sent too often", id)
+		r.violation("message %d sent more often than allowed", id)
 	}
 	r.checkOrder(m)
 	m.attempts++
@@ -121,7 +121,7 @@
 	m.inFlight, m.endpoint, m.sentAt, m.timeout = true, to, r.now, timeout
 }
 
-// retryAfterOf is when the last Retry-After that binds an endpoint is over.
+// retryAfterOf returns the end of the latest Retry-After that applies to an endpoint.
 func (r *recorder) retryAfterOf(e *listedEndpoint) time.Duration {
 	if r.cfg.Kinds[e.Kind].SeparateRoutes {
 		return e.retryAfter
@@ -145,7 +145,7 @@
 			return
 		}
 		if o.class.Ordered && o.Key == m.Key && (o.outcome == "" || o.inFlight || r.now < o.pausedUntil) {
-			r.violation("message %d sent out of its turn, after %d", m.ID, o.ID)
+			r.violation("message %d sent out of order: message %d is unfinished or its key is paused", m.ID, o.ID)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 	r.log("cancel %d.%d", id, attempt)
 	m := r.messages[id]
 	if m == nil || attempt != m.attempts-1 || !r.cfg.CanCancel {
-		r.violation("cancelled attempt %d of message %d, which was never made", attempt, id)
+		r.violation("canceled attempt %d of message %d, which is not the latest attempt or must not be canceled", attempt, id)
 	}
 	m.canceled = true
 }
@@ -178,24 +178,24 @@
 func (r *recorder) finish(id MessageID, outcome string) {
 	m := r.messages[id]
 	if m == nil || m.outcome != "" {
-		r.violation("second answer for message %d: %s", id, outcome)
+		r.violation("message %d is unknown or already answered: %s", id, outcome)
 	}
 	if r.now > m.deadline+r.cfg.ResponseGrace {
-		r.violation("answer for message %d came %v late", id, r.now-m.deadline)
+		r.violation("answer for message %d is %v late", id, r.now-m.deadline)
 	}
 	m.outcome = outcome
 }
 
 func (r *recorder) HealthCheck(to EndpointID) {
-	r.log("probe %d", to)
+	r.log("health check %d", to)
 	if e := r.list[to]; !r.cfg.CanHealthCheck || r.now < r.retryAfterOf(e) {
-		r.violation("probe of %d against the rules", to)
+		r.violation("health check of endpoint %d is not allowed", to)
 	}
 	r.healthChecks = append(r.healthChecks, to)
 }
 
 func (r *recorder) Disconnect(to EndpointID) {
-	r.log("close %d", to)
+	r.log("disconnect %d", to)
 	r.disconnected = append(r.disconnected, to)
 }
 
@@ -213,7 +213,7 @@
 func (r *recorder) Gossip(observation Observation) { r.gossiped = append(r.gossiped, observation) }
 func (r *recorder) Log(text string)                { r.log("log %s", text) }
 
-// updateList gives the controller an update of the endpoint list.
+// updateList passes an update of the endpoint list to the controller.
 func (r *recorder) updateList(kind ListUpdateKind, list ...Endpoint) {
 	listed := map[EndpointID]bool{}
 	for _, e := range list {
@@ -247,13 +247,13 @@
 	r.updateList(ListDelta, list...)
 }
 
-// submit submits a message with all its time left.
+// submit submits a message whose full deadline is left.
 func (r *recorder) submit(id MessageID, class, dest int) *trackedMessage {
 	return r.submitMessage(Message{ID: id, Class: class, Destination: dest, TimeLeft: r.cfg.Classes[class].Deadline})
 }
 
 func (r *recorder) submitMessage(m Message) *trackedMessage {
-	r.log("arrive %d class %d dest %d left %v", m.ID, m.Class, m.Destination, m.TimeLeft)
+	r.log("submit %d class %d destination %d time left %v", m.ID, m.Class, m.Destination, m.TimeLeft)
 	tracked := &trackedMessage{Message: m, class: r.cfg.Classes[m.Class], deadline: r.now + m.TimeLeft}
 	r.messages[m.ID] = tracked
 	r.arrivals = append(r.arrivals, m.ID)
@@ -262,11 +262,11 @@
 	return tracked
 }
 
-// answer ends the attempt that a message has in flight.
+// answer passes the result of a message's attempt in flight to the controller.
 func (r *recorder) answer(id MessageID, result Result, retryAfter time.Duration, load ...float32) {
 	m := r.messages[id]
 	if !m.inFlight {
-		r.t.Fatalf("message %d has no attempt out", id)
+		r.t.Fatalf("message %d has no attempt in flight", id)
 	}
 	r.log("answer %d: %d", id, result)
 	m.inFlight = false
@@ -287,7 +287,7 @@
 	r.c.Decide(r.now)
 }
 
-// advance moves the time on, tick by tick: timers fire, attempts time out.
+// advance advances the time tick by tick. It fires the timers and the timeouts of attempts.
 func (r *recorder) advance(duration time.Duration) {
 	for end := r.now + duration; r.now < end; {
 		r.now += r.cfg.Tick
@@ -309,13 +309,13 @@
 				r.answer(id, TimedOut, 0)
 			}
 			if m.outcome == "" && r.now > m.deadline+r.cfg.ResponseGrace {
-				r.violation("message %d lost", id)
+				r.violation("message %d was not answered in time", id)
 			}
 		}
 	}
 }
 
-// serve answers every attempt after a call time, for a while.
+// serve advances the time and answers every attempt as served after callTime.
 func (r *recorder) serve(duration, callTime time.Duration, load ...float32) {
 	for end := r.now + duration; r.now < end; {
 		r.advance(r.cfg.Tick)
@@ -327,7 +327,7 @@
 	}
 }
 
-// attemptsInFlight counts the attempts in flight at a destination.
+// attemptsInFlight returns the number of attempts in flight at a destination.
 func (r *recorder) attemptsInFlight(dest int) int {
 	n := 0
 	for _, m := range r.messages {
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -36,12 +36,12 @@
 	r.advance(100 * ms)
 	r.answer(1, ConnectionLost, 0)
 	if m.attempts != 2 {
-		t.Fatalf("%d sends inside the memory, want 2", m.attempts)
+		t.Fatalf("%d sends within the key retention, want 2", m.attempts)
 	}
 	r.advance(250 * ms)
 	r.answer(1, ConnectionLost, 0)
 	if m.outcome == "" || m.attempts != 2 {
-		t.Fatalf("past the memory: %q after %d sends", m.outcome, m.attempts)
+		t.Fatalf("after the key retention: %q after %d sends", m.outcome, m.attempts)
 	}
 }
 
@@ -56,15 +56,16 @@
 	r.advance(20 * ms)
 	r.answer(1, ConnectionLost, 0)
 	if m.attempts != 2 || m.endpoint%2 != first%2 {
-		t.Fatalf("repeat went from %d to %d", first, m.endpoint)
+		t.Fatalf("retry of a message sent to %d was sent to %d", first, m.endpoint)
 	}
 	r.advance(9 * time.Second)
 	if m.outcome != "failed" {
-		t.Fatalf("ended %q, want failed", m.outcome)
+		t.Fatalf("outcome %q, want failed", m.outcome)
 	}
 }
 
-// A message that had attempts before this controller gets what its class still allows, and its attempts count on.
+// A message with attempts from before this controller gets the attempts that its class still allows, and the numbering
+// of its attempts continues.
 func TestEarlierAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -75,13 +76,13 @@
 		sends int
 		want  string // "sent", "rejected" or "failed"
 	}{
-		{"safe", 0, true, time.Hour, 0, 1, "sent"},
-		{"safe, all attempts made", 0, true, 0, 0, 12, "rejected"},
-		{"keyed, remembered", 1, true, time.Second, 0, 1, "sent"},
-		{"keyed, forgotten", 1, true, 5 * time.Second, 0, 1, "failed"},
-		{"keyed, remembered elsewhere", 1, true, time.Second, 1, 1, "waiting"},
-		{"unsafe, may have run", 2, true, time.Second, 0, 1, "failed"},
-		{"unsafe, never ran", 2, false, 0, 0, 3, "sent"},
+		{"idempotent", 0, true, time.Hour, 0, 1, "sent"},
+		{"idempotent, all attempts made", 0, true, 0, 0, 12, "rejected"},
+		{"keyed, key retained", 1, true, time.Second, 0, 1, "sent"},
+		{"keyed, key not retained", 1, true, 5 * time.Second, 0, 1, "failed"},
+		{"keyed, key retained in another zone", 1, true, time.Second, 1, 1, "waiting"},
+		{"not idempotent, may have run", 2, true, time.Second, 0, 1, "failed"},
+		{"not idempotent, never ran", 2, false, 0, 0, 3, "sent"},
 	} {
 		cfg := testSettings()
 		cfg.Classes[1].KeyZoneScoped = true
@@ -105,26 +106,26 @@
 	}
 }
 
-// With separate routes the Retry-After is the soonest of their waits; where nothing is known it is the latency
-// objective.
+// With separate routes the Retry-After of a rejection is the earliest one of the routes. Without endpoints it is the
+// latency objective.
 func TestRejectionRetryAfterUsesEarliestRoute(t *testing.T) {
 	cfg := testSettings()
 	cfg.Kinds = []Kind{{MaxBatch: 1, SeparateRoutes: true}}
 	r := newRecorder(t, cfg)
 	r.addReady(0, 2)
 	m := r.submit(1, 0, 0)
-	r.answer(1, Rejected, 1900*ms) // goes to the other one
+	r.answer(1, Rejected, 1900*ms) // the message is sent to the other endpoint
 	r.answer(1, Rejected, 1400*ms)
 	if m.inFlight {
-		t.Fatal("sent during the waits")
+		t.Fatal("sent before either Retry-After has passed")
 	}
 	late := r.submitMessage(Message{ID: 3, Destination: 0, TimeLeft: 5 * ms})
 	if late.outcome != "rejected" || late.retryAfter != 1400*ms {
-		t.Errorf("%q, advice %v", late.outcome, late.retryAfter)
+		t.Errorf("%q, Retry-After %v", late.outcome, late.retryAfter)
 	}
 	noEndpoint := r.submitMessage(Message{ID: 4, Destination: 9, TimeLeft: 5 * ms})
 	if noEndpoint.outcome != "rejected" || noEndpoint.retryAfter != cfg.Classes[0].LatencyObjective {
-		t.Errorf("without a target: %q, advice %v", noEndpoint.outcome, noEndpoint.retryAfter)
+		t.Errorf("without an endpoint: %q, Retry-After %v", noEndpoint.outcome, noEndpoint.retryAfter)
 	}
 }
 
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The error names the key of the setting.
+// The error of New starts with the key of the invalid setting.
 func TestNewErrorNamesSetting(t *testing.T) {
 	for key, invalidate := range map[string]func(*Settings){
 		"Classes":      func(s *Settings) { s.Classes = nil },
@@ -21,23 +21,23 @@
 		cfg := testSettings()
 		invalidate(&cfg)
 		if _, err := New(cfg, nil); err == nil || !strings.HasPrefix(err.Error(), key) {
-			t.Errorf("%s: error %v does not name it", key, err)
+			t.Errorf("%s: error %v does not start with the key", key, err)
 		}
 	}
 }
 
-// Under other settings a message keeps the class that it came with, one that had more attempts than are allowed now
-// ends at once, a Retry-After stays, and settings that are rejected change nothing.
+// When settings change, a message keeps the class with which it was submitted, a message with more attempts than are
+// now allowed ends at once, and a Retry-After stays in force. Invalid settings change nothing.
 func TestUpdateSettings(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		change  func(*Settings)
 		wantErr bool
-		outcome string // of an unsafe message that was turned away once and waits
+		outcome string // of a waiting message that is not idempotent and was rejected once
 	}{
-		{"nothing", func(*Settings) {}, false, ""},
-		{"classes vanish", func(s *Settings) { s.Classes = s.Classes[:1] }, false, ""},
-		{"its class becomes safe", func(s *Settings) { s.Classes[2].Idempotency = Idempotent }, false, ""},
+		{"no change", func(*Settings) {}, false, ""},
+		{"fewer classes", func(s *Settings) { s.Classes = s.Classes[:1] }, false, ""},
+		{"class becomes idempotent", func(s *Settings) { s.Classes[2].Idempotency = Idempotent }, false, ""},
 		{"fewer attempts", func(s *Settings) { s.MaxAttempts = 1 }, false, "rejected"},
 		{"no deadline", func(s *Settings) { s.MaxAttempts, s.Classes[1].Deadline = 1, 0 }, true, ""},
 		{"no classes", func(s *Settings) { s.MaxAttempts, s.Classes = 1, nil }, true, ""},
@@ -47,7 +47,7 @@
 		inFlight, waiting := r.submit(1, 2, 0), r.submit(2, 2, 0)
 		r.answer(2, Rejected, 500*ms)
 		cfg := testSettings()
-		cfg.FleetSize, cfg.Kinds = 99, nil // what can't change under way
+		cfg.FleetSize, cfg.Kinds = 99, nil // settings that cannot change at run time
 		c.change(&cfg)
 		if err := r.c.UpdateSettings(r.now, cfg); (err != nil) != c.wantErr {
 			t.Errorf("%s: %v", c.name, err)
@@ -56,12 +56,13 @@
 			t.Errorf("%s: fleetSize %d, kinds %d", c.name, r.c.settings.FleetSize, len(r.c.settings.Kinds))
 		}
 		if waiting.outcome != c.outcome {
-			t.Errorf("%s: the waiting message: %q, want %q", c.name, waiting.outcome, c.outcome)
+			t.Errorf("%s: outcome of the waiting message %q, want %q", c.name, waiting.outcome, c.outcome)
 		}
 		r.answer(1, ConnectionLost, 0)
 		r.advance(time.Second)
 		if inFlight.attempts > 1 || inFlight.outcome != "failed" {
-			t.Errorf("%s: one that broke was sent %d times, and ended %q", c.name, inFlight.attempts, inFlight.outcome)
+			t.Errorf("%s: message with a lost connection was sent %d times, outcome %q", c.name, inFlight.attempts,
+				inFlight.outcome)
 		}
 	}
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -29,11 +29,11 @@
 	}
 	budget := r.cfg.OverloadFactor * 10 * 0.35 * r.cfg.OverloadWindow.Seconds()
 	if sends == 0 || float64(sends) > budget {
-		t.Fatalf("%d sends to a cold destination within its fall window, budget %.1f", sends, budget)
+		t.Fatalf("%d sends to a warming destination within the overload window, budget %.1f", sends, budget)
 	}
 }
 
-// A large fleet that knows of an outage makes trial calls and starts in sum within what a warming destination takes.
+// After an outage the total rate of a large fleet does not overload a destination that is warming up.
 func TestSlowStartOfLargeFleet(t *testing.T) {
 	cfg := testSettings()
 	cfg.FleetSize = 200
@@ -55,25 +55,25 @@
 	r.c.recordHealth(d.endpoints[0], r.now, Served, 0)
 	sum := r.c.sendRate(d.endpoints[0]) * float64(cfg.FleetSize)
 	if budget := 20 * cfg.ColdCapacity * cfg.OverloadFactor; !d.sharedRoute.slowStart.active || sum <= 0 || sum > budget {
-		t.Fatalf("warming %v: all fleetSize send %.1f a second, budget %.1f", d.sharedRoute.slowStart.active, sum, budget)
+		t.Fatalf("slow start %v: the fleet sends %.1f per second, budget %.1f", d.sharedRoute.slowStart.active, sum, budget)
 	}
 }
 
-// One trial call tells a fleet of 80 that a destination recovered. The others make none, and start as slowly as
-// after one, in sum within what a warming destination takes. A call sent before the latest failure proves nothing, a
-// Retry-After stays, and a sender that saw no outage goes on as before.
+// In a fleet of 80 one served trial call is gossiped to all senders. The others then make no trial calls and begin the
+// same slow start, with a total rate that does not overload a destination that is warming up. A call sent before the
+// latest failure has no effect, a Retry-After stays in force, and a sender without an outage is not affected.
 func TestRecoveryGossip(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		failures   int           // failures seen
-		sentAgo    time.Duration // since the served call was sent
-		retryAfter time.Duration // told to this sender
+		failures   int           // failures of this sender
+		sentAgo    time.Duration // time since the served call was sent
+		retryAfter time.Duration // received by this sender
 		recovers   bool
 	}{
-		{"back", 3, 0, 0, true},
+		{"recovered", 3, 0, 0, true},
 		{"served before the latest failure", 3, 3 * time.Second, 0, false},
-		{"within a told wait", 3, 0, 5 * time.Second, false},
-		{"no outage seen", 0, 0, 0, false},
+		{"before the Retry-After has passed", 3, 0, 5 * time.Second, false},
+		{"no outage at this sender", 0, 0, 0, false},
 	} {
 		sum, cfg := 0.0, testSettings()
 		cfg.FleetSize, cfg.CanGossip, cfg.WeightKind = 80, true, WeightsApproximate
@@ -95,17 +95,17 @@
 			r.advance(200 * ms)
 			r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedRecovery, Age: c.sentAgo})
 			if back := open && !route.breaker.open && route.slowStart.active; back != c.recovers {
-				t.Fatalf("%s: open %v, then %v, warming %v", c.name, open, route.breaker.open, route.slowStart.active)
+				t.Fatalf("%s: circuit open %v, then %v, slow start %v", c.name, open, route.breaker.open, route.slowStart.active)
 			}
 			sum += r.c.sendRate(r.c.endpoints[1])
 		}
 		if budget := 20 * cfg.ColdCapacity * cfg.OverloadFactor; c.recovers && (sum <= 0 || sum > budget) {
-			t.Errorf("%s: all fleetSize send %.1f a second, budget %.1f", c.name, sum, budget)
+			t.Errorf("%s: the fleet sends %.1f per second, budget %.1f", c.name, sum, budget)
 		}
 	}
 }
 
-// A timeout that a stall of the sender hid until its end opens no circuit, but the destination gets a slow start.
+// A timeout that is only noticed after a stall of the sender opens no circuit, but the destination gets a slow start.
 func TestSlowStartAfterStall(t *testing.T) {
 	r := newRecorder(t, testSettings())
 	r.addReady(0, 1)
@@ -116,7 +116,7 @@
 	r.answer(2, TimedOut, 0)
 	route := r.c.destination(0).sharedRoute
 	if route.breaker.open {
-		t.Fatal("one failure found after a standstill opened the route")
+		t.Fatal("one failure after a stall of the sender opened the circuit")
 	}
 	r.advance(r.cfg.OverloadWindow)
 	if !r.messages[2].inFlight {
@@ -124,26 +124,27 @@
 	}
 	r.c.recordHealth(r.c.destination(0).endpoints[0], r.now, Served, 0)
 	if !route.slowStart.active {
-		t.Fatal("the partner may be cold, and gets all that waits")
+		t.Fatal("no slow start though the destination may be warming up")
 	}
 }
 
-// A recovered destination that is as quick as before is warm for the fleet: each peer's report takes a tenth off the
-// slow start, once. Reports from before the recovery do not count, and none is sent at the full rate.
+// Peers report a recovered destination as warm if it is as fast as before the outage. The first report of each peer
+// shortens the slow start by a tenth. Reports from before the recovery do not count, and no report is sent at the full
+// rate.
 func TestWarmObservationsShortenSlowStart(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		peer        func(i int) int
 		age         time.Duration
 		reports     int
-		minFraction float64 // of its even part, then, at least
+		minFraction float64 // of the fair share, after the reports
 		maxFraction float64
 	}{
-		{"nobody", nil, 0, 0, 0.2, 0.3},
-		{"five fleetSize", func(i int) int { return i }, 0, 5, 0.75, 0.85},
-		{"twelve fleetSize", func(i int) int { return i }, 0, 12, 1, 1},
-		{"one that says it again and again", func(int) int { return 3 }, 0, 100, 0.3, 0.4},
-		{"from before the return", func(i int) int { return i }, 5 * time.Second, 12, 0.2, 0.3},
+		{"no reports", nil, 0, 0, 0.2, 0.3},
+		{"five peers", func(i int) int { return i }, 0, 5, 0.75, 0.85},
+		{"twelve peers", func(i int) int { return i }, 0, 12, 1, 1},
+		{"repeated reports of one peer", func(int) int { return 3 }, 0, 100, 0.3, 0.4},
+		{"reports from before the recovery", func(i int) int { return i }, 5 * time.Second, 12, 0.2, 0.3},
 	} {
 		cfg := testSettings()
 		cfg.FleetSize, cfg.CanGossip, cfg.WeightKind, cfg.HeadroomIndex, cfg.LimitIndex = 80, true, WeightsApproximate, -1, -1
@@ -157,10 +158,10 @@
 		}
 		got, limit := r.c.sendRate(e)/r.c.fairShare(e), c.maxFraction*fleetRateSlowStartFactor
 		if got < c.minFraction || got > limit && got > 1 || c.maxFraction < 1 && got > limit {
-			t.Errorf("%s: %.2f of its even part", c.name, got)
+			t.Errorf("%s: %.2f of the fair share", c.name, got)
 		}
 	}
-	// in each return the word of each counts anew, and no more are kept than count
+	// After each recovery the report of each peer counts anew, and at most ten reports are kept.
 	repeated, interval := largeFleetMember(t, 1), 20*time.Second
 	for n := range 2 {
 		route := repeated.c.endpoints[0].route
@@ -173,7 +174,7 @@
 		}
 		if got := route.slowStart.recoveredAt - route.slowStart.rampStart; got != repeated.cfg.WarmUp ||
 			len(route.slowStart.warmReporters) > 10 {
-			t.Errorf("return %d: %v earlier by the word of %d", n, got, len(route.slowStart.warmReporters))
+			t.Errorf("recovery %d: slow start shortened by %v after %d reports", n, got, len(route.slowStart.warmReporters))
 		}
 	}
 	r := largeFleetMember(t, 1)
@@ -194,10 +195,11 @@
 		r.c.recordOutcome(&attempt{endpoint: e, sentAt: r.now - 10*ms}, Outcome{Result: Served, Elapsed: 10 * ms})
 	}
 	if n := warmReportsSent(); n < 1 || n > 8 {
-		t.Errorf("told %d times that it is warm", n)
+		t.Errorf("%d warm reports gossiped", n)
 	}
 	if !e.route.slowStart.active || r.c.now-e.route.slowStart.rampStart < r.cfg.WarmUp {
-		t.Errorf("after 20 brisk calls: warming %v, from %v on", e.route.slowStart.active, e.route.slowStart.rampStart-r.now)
+		t.Errorf("after 20 fast calls: slow start %v, ramp start %v from now", e.route.slowStart.active,
+			e.route.slowStart.rampStart-r.now)
 	}
 }
 
@@ -211,9 +213,9 @@
 		fraction float64
 	}{
 		{"at the start", 0, 0, 0.2},
-		{"half of it over", 5 * time.Second, 0, 0.6},
+		{"halfway", 5 * time.Second, 0, 0.6},
 		{"over", 20 * time.Second, 0, 1},
-		{"five peers found it warm", 0, 5, 0.6},
+		{"five peers report it warm", 0, 5, 0.6},
 		{"more peers than count", 0, 50, 1},
 	} {
 		var s slowStart
--- a/control/timeout_test.go
+++ b/control/timeout_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Calls of an unresponsive destination are canceled when messages to others need the slots.
+// Calls to an unresponsive destination are canceled when messages to other destinations need the slots.
 func TestOverdueCallsArePreempted(t *testing.T) {
 	for _, slotsWanted := range []bool{false, true} {
 		cfg := testSettings()
@@ -31,12 +31,12 @@
 			}
 		}
 		if canceled := strings.Contains(strings.Join(r.trace, "\n"), "cancel 10.0"); canceled != slotsWanted {
-			t.Errorf("slots wanted %v: called off %v", slotsWanted, canceled)
+			t.Errorf("slots wanted %v: canceled %v", slotsWanted, canceled)
 		}
 	}
 }
 
-// Where peers found the other endpoints down, one overdue call is enough for an outage of the destination.
+// If peers report all other endpoints down, one overdue call is enough for an outage of the destination.
 func TestUnresponsiveBesideEjectedEndpoints(t *testing.T) {
 	for _, reported := range []bool{true, false} {
 		r := largeFleetMember(t, 3)
@@ -54,7 +54,7 @@
 			r.c.Decide(r.now)
 		}
 		if reported && last.endpoint != m.endpoint || r.c.destination(0).sharedRoute.breaker.open != reported {
-			t.Errorf("others found down: %v; the call went to %d after %d, the destination is open: %v", reported, last.endpoint,
+			t.Errorf("others reported down %v: call sent to %d after %d, circuit open %v", reported, last.endpoint,
 				m.endpoint, r.c.destination(0).sharedRoute.breaker.open)
 		}
 	}
