--- a/control/calltime_test.go
+++ b/control/calltime_test.go
@@ -45,9 +45,9 @@
 		if submitFirst {
 			r.c.Submit(r.now, Message{ID: 1002, Destination: 2, TimeLeft: 8000 * ms})
 		}
-		for i, w := range r.timers {
+		for i, timer := range r.timers {
 			if i%2 == 0 {
-				r.c.TimerFired(r.now, w.token)
+				r.c.TimerFired(r.now, timer.token)
 			}
 		}
 		for _, m := range []MessageID{1000, 1001} {
--- a/control/circuitbreaker_test.go
+++ b/control/circuitbreaker_test.go
@@ -86,9 +86,9 @@
 	r.advance(2*r.cfg.OverloadWindow - 50*ms)
 	before := len(r.trace)
 	r.advance(r.cfg.OverloadWindow)
-	tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send ")
-	if tests > 2 {
-		t.Fatalf("%d sends within an overload window after the end of a long Retry-After", tests)
+	sends := strings.Count(strings.Join(r.trace[before:], "\n"), "send ")
+	if sends > 2 {
+		t.Fatalf("%d sends within an overload window after the end of a long Retry-After", sends)
 	}
 	r.advance(r.cfg.WarmUp)
 	if after := strings.Count(strings.Join(r.trace, "\n"), "send "); after < 2 {
@@ -116,8 +116,8 @@
 	r.advance(2*r.cfg.OverloadWindow - 50*ms)
 	before := len(r.trace)
 	r.advance(r.cfg.OverloadWindow)
-	if tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send "); tests > 2 {
-		t.Fatalf("%d sends within an overload window after the end of a long Retry-After", tests)
+	if sends := strings.Count(strings.Join(r.trace[before:], "\n"), "send "); sends > 2 {
+		t.Fatalf("%d sends within an overload window after the end of a long Retry-After", sends)
 	}
 }
 
--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -153,9 +153,9 @@
 
 func TestConnectionStats(t *testing.T) {
 	for _, c := range []struct {
-		name                 string
-		lostIdle, lostBusy   int // lost calls on connections of bands 3 and 0
-		staleBand3, staleOne bool
+		name                   string
+		lostIdle, lostBusy     int // lost calls on connections of bands 3 and 0
+		staleBand3, staleBand1 bool
 	}{
 		{"no call lost", 0, 0, false, false},
 		{"calls on idle connections lost", 5, 0, true, false},
@@ -168,13 +168,13 @@
 		for range c.lostBusy {
 			s.recordReuse(0, TimedOut)
 		}
-		if a, b := s.stale(3), s.stale(1); a != c.staleBand3 || b != c.staleOne {
+		if a, b := s.stale(3), s.stale(1); a != c.staleBand3 || b != c.staleBand1 {
 			t.Errorf("%s: stale %v and %v", c.name, a, b)
 		}
 	}
 	var b capacityBackoff
-	for i, wait := range []time.Duration{1, 2, 4, 8, 8} {
-		if b.reject(time.Minute, 10*ms, 0.5); b.retryAt != time.Minute+wait*10*ms {
+	for i, factor := range []time.Duration{1, 2, 4, 8, 8} {
+		if b.reject(time.Minute, 10*ms, 0.5); b.retryAt != time.Minute+factor*10*ms {
 			t.Errorf("rejection %d: wait %v", i, b.retryAt-time.Minute)
 		}
 	}
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -64,14 +64,14 @@
 // must result in the same actions.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
-		first, second := fuzzRun(t, seed), fuzzRun(t, seed)
+		first, second := randomRun(t, seed), randomRun(t, seed)
 		if !slices.Equal(first, second) {
 			t.Fatalf("seed %d: the same events resulted in different actions", seed)
 		}
 	}
 }
 
-func fuzzRun(t *testing.T, seed uint64) []string {
+func randomRun(t *testing.T, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	cfg := testSettings()
 	cfg.Seed = seed
@@ -132,7 +132,7 @@
 			}
 		default:
 			r.advance(time.Duration(1+rng.IntN(20)) * cfg.Tick)
-			for _, a := range r.arrivals {
+			for _, a := range r.submitted {
 				if m := r.messages[a]; m.inFlight && rng.IntN(3) > 0 {
 					result := results[rng.IntN(len(results))]
 					retryAfter := time.Duration(0)
@@ -145,7 +145,7 @@
 		}
 	}
 	r.advance(10 * time.Second)
-	for _, a := range r.arrivals {
+	for _, a := range r.submitted {
 		if m := r.messages[a]; m.outcome == "" {
 			t.Fatalf("seed %d: message %d was never answered", seed, a)
 		}
--- a/control/endpointlist_test.go
+++ b/control/endpointlist_test.go
@@ -48,11 +48,11 @@
 func TestLargeFleetSpreadsPolls(t *testing.T) {
 	const senders, step, perStep = 80, 100 * ms, 1.5 // discovery processes 15 polls per second
 	type poll struct {
-		by int
-		at time.Duration
+		sender int
+		at     time.Duration
 	}
 	var queue []poll
-	fleet, seen, answered := make([]*recorder, senders), make([]int, senders), make([]bool, senders)
+	fleet, watchesSeen, answered := make([]*recorder, senders), make([]int, senders), make([]bool, senders)
 	for i := range fleet {
 		cfg := testSettings()
 		cfg.PollsList, cfg.FleetSize, cfg.Seed = true, senders, uint64(i)
@@ -63,23 +63,23 @@
 	var last time.Duration
 	for now := time.Duration(0); now < 30*time.Second; now += step {
 		for i, r := range fleet {
-			if n := r.watches - seen[i]; n > 0 {
-				queue, polls, seen[i] = append(queue, poll{i, now}), polls+n, r.watches
+			if n := r.watches - watchesSeen[i]; n > 0 {
+				queue, polls, watchesSeen[i] = append(queue, poll{i, now}), polls+n, r.watches
 			}
 		}
 		for capacity += perStep; capacity >= 1 && len(queue) > 0; capacity-- {
 			q := queue[0]
 			queue = queue[1:]
 			if now-q.at <= 2*time.Second {
-				fleet[q.by].updateList(ListDelta)
-				answered[q.by], done, last = true, done+1, now
+				fleet[q.sender].updateList(ListDelta)
+				answered[q.sender], done, last = true, done+1, now
 			} else if now-q.at <= 2*time.Second+step { // processed as it times out, and therefore not failed below
-				fleet[q.by].updateList(ListFailed)
+				fleet[q.sender].updateList(ListFailed)
 			}
 		}
 		for i := range queue { // timed out, but discovery still processes them
 			if q := &queue[i]; now-q.at > 2*time.Second && now-q.at <= 2*time.Second+step {
-				fleet[q.by].updateList(ListFailed)
+				fleet[q.sender].updateList(ListFailed)
 			}
 		}
 		capacity = min(capacity, perStep)
--- a/control/fleetrate_test.go
+++ b/control/fleetrate_test.go
@@ -53,7 +53,7 @@
 					id++
 					r.submit(id, 0, 0)
 				}
-				for _, m := range slices.Clone(r.arrivals) {
+				for _, m := range slices.Clone(r.submitted) {
 					if !r.messages[m].inFlight {
 						continue
 					}
@@ -122,7 +122,7 @@
 		id++
 		r.submit(id, 0, 0)
 		r.advance(50 * ms)
-		for _, a := range r.arrivals {
+		for _, a := range r.submitted {
 			if r.messages[a].inFlight {
 				sends++
 				r.answer(a, Rejected, 0, 0, 10)
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -18,8 +18,8 @@
 		predecessor.submit(id, 2, 1)
 		predecessor.answer(id, Failed, 0) // an outage
 	}
-	recovering := predecessor.c.endpoints[200].route
-	predecessor.c.startSlowStart(recovering) // a slow start
+	recoveringRoute := predecessor.c.endpoints[200].route
+	predecessor.c.startSlowStart(recoveringRoute) // a slow start
 	predecessor.advance(200 * ms)
 	states := predecessor.c.RouteStates(predecessor.now)
 	successor := newRecorder(t, testSettings())
--- a/control/outlier_test.go
+++ b/control/outlier_test.go
@@ -37,13 +37,13 @@
 		{"not idempotent: no trial", []report{{1, 1, false}, {1, 2, false}}, 2, 4400 * ms, []EndpointID{1}, 0, 0},
 	} {
 		r := largeFleetMember(t, cmp.Or(c.endpoints, 3))
-		for _, w := range c.reports {
+		for _, report := range c.reports {
 			kind := ObservedDown
-			if w.up {
+			if report.up {
 				kind = ObservedUp
 			}
 			r.now += ms
-			r.c.ReceiveGossip(r.now, Observation{Endpoint: w.endpoint, Kind: kind, Peer: w.peer})
+			r.c.ReceiveGossip(r.now, Observation{Endpoint: report.endpoint, Kind: kind, Peer: report.peer})
 		}
 		r.advance(c.after)
 		used := map[EndpointID]bool{}
@@ -73,7 +73,7 @@
 // A recovered endpoint receives calls from its fair share of the senders again, although each sender prefers the
 // endpoint to which it has a connection.
 func TestRecoveredEndpointGetsFairShare(t *testing.T) {
-	returned := 0
+	recoveredSenders := 0
 	const senders = 200
 	for i := range senders {
 		cfg := testSettings()
@@ -85,18 +85,18 @@
 		r.advance(10 * ms)
 		r.answer(1, Served, 0)
 		other := 1 - first.endpoint
-		for by := range 2 {
-			r.c.ReceiveGossip(r.now, Observation{Endpoint: other, Kind: ObservedDown, Peer: by})
+		for peer := range 2 {
+			r.c.ReceiveGossip(r.now, Observation{Endpoint: other, Kind: ObservedDown, Peer: peer})
 		}
 		r.advance(50 * ms)
 		r.c.ReceiveGossip(r.now, Observation{Endpoint: other, Kind: ObservedUp, Peer: 3})
 		r.advance(2 * time.Second)
 		if r.submit(2, 0, 0).endpoint == other {
-			returned++
+			recoveredSenders++
 		}
 	}
-	if returned < senders*2/5 || returned > senders*3/5 {
-		t.Errorf("%d of %d senders use the recovered one of two endpoints", returned, senders)
+	if recoveredSenders < senders*2/5 || recoveredSenders > senders*3/5 {
+		t.Errorf("%d of %d senders use the recovered one of two endpoints", recoveredSenders, senders)
 	}
 }
 
@@ -179,8 +179,8 @@
 	q.advance(10 * ms)
 	q.c.endpoints[0].lastSuccessAt = q.now
 	q.advance(60 * ms)
-	if bad := q.c.endpoints[0].consecutiveFailures; !q.messages[2].inFlight || bad != 0 {
-		t.Errorf("answered since: %d failures, call in flight %v", bad, q.messages[2].inFlight)
+	if failures := q.c.endpoints[0].consecutiveFailures; !q.messages[2].inFlight || failures != 0 {
+		t.Errorf("answered since: %d failures, call in flight %v", failures, q.messages[2].inFlight)
 	}
 	a, e := largeFleetAtLimit(t) // an isolated sender does not gossip
 	a.c.adjustLimitFraction(&attempt{endpoint: e, sentAt: a.now}, Rejected, nil)
--- a/control/recorder_test.go
+++ b/control/recorder_test.go
@@ -35,7 +35,7 @@
 	trace        []string
 	messages     map[MessageID]*trackedMessage
 	list         map[EndpointID]*listedEndpoint
-	arrivals     []MessageID
+	submitted    []MessageID
 	healthChecks []EndpointID
 	timers       []timer
 	watches      int
@@ -127,9 +127,9 @@
 		return e.retryAfter
 	}
 	var end time.Duration
-	for _, o := range r.list {
-		if o.Destination == e.Destination {
-			end = max(end, o.retryAfter)
+	for _, other := range r.list {
+		if other.Destination == e.Destination {
+			end = max(end, other.retryAfter)
 		}
 	}
 	return end
@@ -139,13 +139,14 @@
 	if !m.class.Ordered || m.Key == 0 {
 		return
 	}
-	for _, id := range r.arrivals {
-		o := r.messages[id]
-		if o == m {
+	for _, id := range r.submitted {
+		earlier := r.messages[id]
+		if earlier == m {
 			return
 		}
-		if o.class.Ordered && o.Key == m.Key && (o.outcome == "" || o.inFlight || r.now < o.pausedUntil) {
-			r.violation("message %d sent out of order: message %d is unfinished or its key is paused", m.ID, o.ID)
+		if earlier.class.Ordered && earlier.Key == m.Key &&
+			(earlier.outcome == "" || earlier.inFlight || r.now < earlier.pausedUntil) {
+			r.violation("message %d sent out of order: message %d is unfinished or its key is paused", m.ID, earlier.ID)
 		}
 	}
 }
@@ -159,14 +160,14 @@
 	m.canceled = true
 }
 
-func (r *recorder) Reject(id MessageID, after time.Duration) {
-	r.log("reject %d, retry after %v", id, after)
+func (r *recorder) Reject(id MessageID, retryAfter time.Duration) {
+	r.log("reject %d, retry after %v", id, retryAfter)
 	m := r.messages[id]
 	if m.mayHaveRun && (m.class.Idempotency == NotIdempotent || m.class.Idempotency == IdempotentByKey &&
 		m.class.KeyZoneScoped) || m.inFlight {
 		r.violation("message %d rejected though it may have run", id)
 	}
-	m.retryAfter = after
+	m.retryAfter = retryAfter
 	r.finish(id, "rejected")
 }
 
@@ -256,7 +257,7 @@
 	r.log("submit %d class %d destination %d time left %v", m.ID, m.Class, m.Destination, m.TimeLeft)
 	tracked := &trackedMessage{Message: m, class: r.cfg.Classes[m.Class], deadline: r.now + m.TimeLeft}
 	r.messages[m.ID] = tracked
-	r.arrivals = append(r.arrivals, m.ID)
+	r.submitted = append(r.submitted, m.ID)
 	r.c.Submit(r.now, m)
 	r.c.Decide(r.now)
 	return tracked
@@ -292,14 +293,14 @@
 	for end := r.now + duration; r.now < end; {
 		r.now += r.cfg.Tick
 		for i := 0; i < len(r.timers); i++ {
-			if w := r.timers[i]; w.at <= r.now {
+			if timer := r.timers[i]; timer.at <= r.now {
 				r.timers = slices.Delete(r.timers, i, i+1)
 				i--
-				r.c.TimerFired(r.now, w.token)
+				r.c.TimerFired(r.now, timer.token)
 				r.c.Decide(r.now)
 			}
 		}
-		for _, id := range r.arrivals {
+		for _, id := range r.submitted {
 			m := r.messages[id]
 			if m.inFlight && m.canceled {
 				m.canceled = false
@@ -319,7 +320,7 @@
 func (r *recorder) serve(duration, callTime time.Duration, load ...float32) {
 	for end := r.now + duration; r.now < end; {
 		r.advance(r.cfg.Tick)
-		for _, id := range r.arrivals {
+		for _, id := range r.submitted {
 			if m := r.messages[id]; m.inFlight && r.now >= m.sentAt+callTime {
 				r.answer(id, Served, 0, load...)
 			}
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -100,8 +100,8 @@
 		if got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
-		if k := r.c.messages[1]; k != nil && m.inFlight && k.attempts != c.sends+1 {
-			t.Errorf("%s: attempt %d", c.name, k.attempts)
+		if msg := r.c.messages[1]; msg != nil && m.inFlight && msg.attempts != c.sends+1 {
+			t.Errorf("%s: attempt %d", c.name, msg.attempts)
 		}
 	}
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -84,7 +84,7 @@
 			for id := MessageID(1); id <= 20 && r.c.destination(0).sharedRoute.breaker.consecutiveFailures < c.failures; id++ {
 				r.submit(id, 0, 0)
 				r.advance(time.Second)
-				for _, m := range slices.Clone(r.arrivals) {
+				for _, m := range slices.Clone(r.submitted) {
 					if r.messages[m].inFlight {
 						r.answer(m, ConnectFailed, c.retryAfter)
 					}
@@ -94,7 +94,7 @@
 			open := route.breaker.open
 			r.advance(200 * ms)
 			r.c.ReceiveGossip(r.now, Observation{Endpoint: 1, Kind: ObservedRecovery, Age: c.sentAgo})
-			if back := open && !route.breaker.open && route.slowStart.active; back != c.recovers {
+			if recovered := open && !route.breaker.open && route.slowStart.active; recovered != c.recovers {
 				t.Fatalf("%s: circuit open %v, then %v, slow start %v", c.name, open, route.breaker.open, route.slowStart.active)
 			}
 			sum += r.c.sendRate(r.c.endpoints[1])
@@ -181,8 +181,8 @@
 	e := r.c.endpoints[0]
 	e.route.breaker.callTimeBefore = 100 * ms
 	warmReportsSent := func() (n int) {
-		for _, x := range r.gossiped {
-			if x.Kind == ObservedWarm {
+		for _, observation := range r.gossiped {
+			if observation.Kind == ObservedWarm {
 				n++
 			}
 		}
--- a/control/timeout_test.go
+++ b/control/timeout_test.go
@@ -23,7 +23,7 @@
 			}
 			for range 10 {
 				r.advance(5 * ms)
-				for _, other := range r.arrivals {
+				for _, other := range r.submitted {
 					if m := r.messages[other]; other > 10 && m.inFlight && r.now >= m.sentAt+100*ms {
 						r.answer(other, Served, 0)
 					}
@@ -44,8 +44,8 @@
 		r.advance(10 * ms)
 		r.answer(1, Served, 0)
 		for e := EndpointID(0); e < 3 && reported; e++ {
-			for by := 1; by <= 2 && e != m.endpoint; by++ {
-				r.c.ReceiveGossip(r.now, Observation{Endpoint: e, Kind: ObservedDown, Peer: by})
+			for peer := 1; peer <= 2 && e != m.endpoint; peer++ {
+				r.c.ReceiveGossip(r.now, Observation{Endpoint: e, Kind: ObservedDown, Peer: peer})
 			}
 		}
 		last := r.submit(2, 0, 0)
