--- a/control/endpointlist.go
+++ b/control/endpointlist.go
@@ -8,12 +8,15 @@
 	"time"
 )
 
+// An update of the endpoint list counts as notified 6 s after discovery could be reached. maxPollJitter keeps the
+// spread of polls, exceeded by up to a tenth, plus one answer within that time. maxPollRetryDelay does the same for the
+// delay after a failed poll, exceeded by up to a half, plus two answers.
 const (
 	pollIntervalPerSender = 50 * time.Millisecond // a large fleet leaves discovery this much time per poll
 	pollSpreadFraction    = 0.8                   // polls are spread over at most this fraction of MaxPollInterval...
-	maxPollJitter         = 43 * time.Second / 10 // ...and this: plus a tenth and one answer it is below 6 s
+	maxPollJitter         = 43 * time.Second / 10 // ...and this time
 	pollRetryFraction     = 0.1                   // fraction of MaxPollInterval between a failed poll and the next one
-	maxPollRetryDelay     = 12 * time.Second / 5  // maximum of this: plus a half and two answers it is below 6 s
+	maxPollRetryDelay     = 12 * time.Second / 5  // maximum of this delay
 )
 
 // A listPoller tracks the polls of an endpoint list and the subscription that a successful poll starts.
@@ -124,7 +127,7 @@
 	for _, entry := range list {
 		listed[entry.ID] = true
 	}
-	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) { // in order, as it decides the order of actions
+	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) { // sorted, as the order of actions must be deterministic
 		if !listed[id] {
 			c.removeEndpoint(c.endpoints[id])
 		}
--- a/control/queue.go
+++ b/control/queue.go
@@ -31,7 +31,7 @@
 	traffic             trafficRate
 }
 
-// A message is a message that is open or has an attempt in flight.
+// A message is a submitted message that is open or has an attempt in flight.
 type message struct {
 	Message
 	class        *Class
@@ -47,7 +47,7 @@
 	sequence     *keySequence  // sequence of its key; nil = not ordered
 }
 
-// An attempt is an attempt to send a message, from the send to its outcome.
+// An attempt is a single send of a message. It is kept until its outcome.
 type attempt struct {
 	message       *message
 	endpoint      *endpoint
