--- a/control/ratelimit.go
+++ b/control/ratelimit.go
@@ -12,7 +12,7 @@
 	limitRisePerSecond   = 0.08                   // each second with served calls raises the limit fraction by this
 	minFairShareFraction = 0.4                    // the rate never falls below this fraction of the fair share
 	minLimitFraction     = 0.01                   // reported headroom raises the limit fraction from at least this
-	headroomRaise        = 0.1                    // relative rise of it by a response that reports an unused limit
+	headroomRaise        = 0.1                    // relative rise of the limit fraction if the reported limit is unused
 	headroomAtLimit      = 0.5                    // a rejection with at most this headroom is above the limit
 )
 
