--- a/control/calltime_test.go
+++ b/control/calltime_test.go
@@ -6,103 +6,105 @@
 	"time"
 )
 
-// Quick rejections and timeouts do not change T_m.
+// Rejections and timeouts do not change T_m.
 func TestCallTimeFromServedOnly(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 1)
-	r.arrive(1, 0, 0)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 1)
+	r.submit(1, 0, 0)
 	r.advance(200 * ms)
 	r.answer(1, Served, 0)
 	before := r.c.destination(0).callTime.mean
-	r.arrive(2, 0, 0)
+	r.submit(2, 0, 0)
 	r.advance(5 * ms)
 	r.answer(2, Rejected, 0)
 	r.advance(3 * time.Second)
 	if got := r.c.destination(0).callTime.mean; got != before {
-		t.Fatalf("T_m moved from %v to %v", before, got)
+		t.Fatalf("T_m changed from %v to %v", before, got)
 	}
 }
 
-// What a sender finds at one instant after a stall of its own opens no circuit and does not change T_m, in whatever
-// order it comes.
-func TestStallIsNotMeasured(t *testing.T) {
-	for _, jobsFirst := range []bool{false, true} {
-		r := newRecorder(t, settings())
+// Events that arrive together after a stall of the sender neither open a circuit nor change T_m, in any order.
+func TestCallTimeExcludesSenderStall(t *testing.T) {
+	for _, submitFirst := range []bool{false, true} {
+		r := newRecorder(t, testSettings())
 		id := MessageID(0)
 		for dest := range 3 {
-			r.ready(dest, 1)
+			r.addReady(dest, 1)
 		}
 		for range 20 {
 			for dest := range 3 {
 				id++
-				r.arrive(id, 0, dest)
+				r.submit(id, 0, dest)
 			}
 			r.serve(120*ms, 100*ms)
 		}
 		before := r.c.destination(0).callTime.mean
-		r.arrive(1000, 0, 0)
-		r.arrive(1001, 0, 1)
+		r.submit(1000, 0, 0)
+		r.submit(1001, 0, 1)
 		r.now += 1900 * ms
-		if jobsFirst {
+		if submitFirst {
 			r.c.Submit(r.now, Message{ID: 1002, Destination: 2, TimeLeft: 8000 * ms})
 		}
-		for i, w := range r.timers {
+		for i, timer := range r.timers {
 			if i%2 == 0 {
-				r.c.TimerFired(r.now, w.token)
+				r.c.TimerFired(r.now, timer.token)
 			}
 		}
 		for _, m := range []MessageID{1000, 1001} {
-			r.messages[m].outcome, r.messages[m].out = "served", false
-			r.c.AttemptDone(r.now, Outcome{ID: m, Endpoint: r.messages[m].to, Result: Served, Elapsed: 1900 * ms, Final: true})
+			r.messages[m].outcome, r.messages[m].inFlight = "served", false
+			r.c.AttemptDone(r.now, Outcome{ID: m, Endpoint: r.messages[m].endpoint, Result: Served, Elapsed: 1900 * ms,
+				Final: true})
 		}
-		r.messages[1002] = &tracked{class: r.set.Classes[0], due: r.now + 8000*ms, Message: Message{Destination: 2}}
+		r.messages[1002] = &trackedMessage{class: r.cfg.Classes[0], deadline: r.now + 8000*ms,
+			Message: Message{Destination: 2}}
 		r.c.Decide(r.now)
 		for dest := range 3 {
 			if d := r.c.destination(dest); d.sharedRoute.breaker.open || d.concurrencyReduced {
-				t.Errorf("jobs first %v: destination %d taken for failed", jobsFirst, dest)
+				t.Errorf("submission first %v: destination %d is treated as failed", submitFirst, dest)
 			}
 		}
 		if d := r.c.destination(0); d.callTime.mean != before || len(r.healthChecks) > 0 {
-			t.Errorf("jobs first %v: T_m %v became %v, %d probes", jobsFirst, before, d.callTime.mean, len(r.healthChecks))
+			t.Errorf("submission first %v: T_m changed from %v to %v, %d health checks", submitFirst, before, d.callTime.mean,
+				len(r.healthChecks))
 		}
 	}
 }
 
-// The first call to a destination expects the call time of all destinations.
+// The first call to a destination uses the call time of all destinations.
 func TestFirstCallUsesOverallCallTime(t *testing.T) {
-	r := newRecorder(t, settings())
+	r := newRecorder(t, testSettings())
 	for dest := range 12 {
-		r.ready(dest, 1)
-		r.arrive(MessageID(dest+1), 0, dest)
+		r.addReady(dest, 1)
+		r.submit(MessageID(dest+1), 0, dest)
 		r.serve(120*ms, 100*ms)
 	}
-	r.ready(50, 1)
-	m := r.arrive(90, 0, 50)
+	r.addReady(50, 1)
+	m := r.submit(90, 0, 50)
 	if tm := r.c.destination(50).callTime.mean; tm < 80*ms || tm > 130*ms ||
 		m.timeout > time.Duration(idempotentTimeoutFactor*float64(350*ms)) {
-		t.Fatalf("T_m %v, time-out %v where calls take 100 ms", tm, m.timeout)
+		t.Fatalf("T_m %v, timeout %v though calls take 100 ms", tm, m.timeout)
 	}
 }
 
-// When calls take longer everywhere, one to a destination with an old T_m is not taken for unresponsive.
-func TestSlownessEverywhereIsNotUnresponsive(t *testing.T) {
-	r := newRecorder(t, settings())
+// When calls to all destinations take longer, a destination with an old T_m is not considered unresponsive.
+func TestOverallSlowdownIsNotUnresponsive(t *testing.T) {
+	r := newRecorder(t, testSettings())
 	for dest := range 12 {
-		r.ready(dest, 1)
-		r.arrive(MessageID(dest+1), 0, dest)
+		r.addReady(dest, 1)
+		r.submit(MessageID(dest+1), 0, dest)
 		r.serve(120*ms, 100*ms)
 	}
-	d, k := r.c.destination(0), &r.set.Classes[0]
-	before := r.c.expectedCallTime(d, k)
+	dest, class := r.c.destination(0), &r.cfg.Classes[0]
+	before := r.c.expectedCallTime(dest, class)
 	for id := MessageID(100); id < 160; id++ {
-		r.arrive(id, 0, 1+int(id)%11)
+		r.submit(id, 0, 1+int(id)%11)
 		r.serve(260*ms, 250*ms)
 		for dest := 1; dest < 12; dest++ {
 			r.c.destination(dest).callTime.mean = 100 * ms
 		}
 	}
-	if after := r.c.expectedCallTime(d, k); after < before*7/4 {
-		t.Fatalf("usual call %v became %v though all calls take 2.5 times as long", before, after)
+	if after := r.c.expectedCallTime(dest, class); after < before*7/4 {
+		t.Fatalf("expected call time changed from %v to %v though all calls take 2.5 times as long", before, after)
 	}
 }
 
@@ -115,15 +117,15 @@
 	}{
 		{"no call", nil, 0, 700 * ms},
 		{"one call", []time.Duration{100 * ms}, 100 * ms, 250 * ms},
-		{"the same again and again", slices.Repeat([]time.Duration{100 * ms}, 50), 100 * ms, 200 * ms},
-		{"a longer one counts a quarter", []time.Duration{100 * ms, 200 * ms}, 125 * ms, 337500 * time.Microsecond},
+		{"constant call time", slices.Repeat([]time.Duration{100 * ms}, 50), 100 * ms, 200 * ms},
+		{"latest call has a weight of a quarter", []time.Duration{100 * ms, 200 * ms}, 125 * ms, 337500 * time.Microsecond},
 	} {
 		var estimate callTime
 		for _, elapsed := range c.calls {
-			estimate.learn(elapsed)
+			estimate.update(elapsed)
 		}
 		if bound := estimate.upperBound(700 * ms); estimate.mean != c.mean || bound.Round(ms/2) != c.bound {
-			t.Errorf("%s: T_m %v, at most %v; want %v and %v", c.name, estimate.mean, bound, c.mean, c.bound)
+			t.Errorf("%s: T_m %v, upper bound %v; want %v and %v", c.name, estimate.mean, bound, c.mean, c.bound)
 		}
 	}
 }
@@ -131,7 +133,7 @@
 func TestStallDetector(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		sentAt  time.Duration // of the call that is answered at 5 s, after answers each 100 ms up to 2 s
+		sentAt  time.Duration // send time of the call answered at 5 s, after answers every 100 ms up to 2 s
 		stalled bool
 	}{
 		{"nothing answered for 3 s", time.Second, true},
@@ -139,9 +141,9 @@
 	} {
 		var stalls stallDetector
 		for at := 100 * ms; at <= 2*time.Second; at += 100 * ms {
-			stalls.answered(at, at-100*ms)
+			stalls.recordAnswer(at, at-100*ms)
 		}
-		if stalls.answered(5*time.Second, c.sentAt); (stalls.stalledUntil > 0) != c.stalled {
+		if stalls.recordAnswer(5*time.Second, c.sentAt); (stalls.stalledUntil > 0) != c.stalled {
 			t.Errorf("%s: stalled until %v", c.name, stalls.stalledUntil)
 		}
 	}
--- a/control/circuitbreaker_test.go
+++ b/control/circuitbreaker_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// outage opens the circuit of destination 0, which stops answering.
-func outage(r *recorder) {
-	r.ready(0, 2)
-	r.arrive(1, 0, 0)
+// causeOutage makes destination 0 stop answering, which opens its circuit.
+func causeOutage(r *recorder) {
+	r.addReady(0, 2)
+	r.submit(1, 0, 0)
 	r.advance(100 * ms)
 	r.answer(1, Served, 0)
 	for id := MessageID(2); id < 10; id++ {
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 		r.advance(300 * ms)
 	}
 }
 
-// An unresponsive destination must not fill the slots, and gets health checks.
+// An unresponsive destination must not occupy all slots, and receives health checks.
 func TestUnresponsiveDestinationLeavesSlots(t *testing.T) {
-	r := newRecorder(t, settings())
-	outage(r)
-	if n := r.out(0); n > r.set.MaxInFlight/2 {
-		t.Fatalf("%d calls out at a hung destination", n)
+	r := newRecorder(t, testSettings())
+	causeOutage(r)
+	if n := r.attemptsInFlight(0); n > r.cfg.MaxInFlight/2 {
+		t.Fatalf("%d calls in flight at an unresponsive destination", n)
 	}
 	if !r.c.destination(0).sharedRoute.breaker.open || len(r.healthChecks) == 0 {
-		t.Fatalf("the route should be open and probed: %v", r.trace)
+		t.Fatalf("the circuit should be open and health checks sent: %v", r.trace)
 	}
-	r.ready(1, 1)
-	if m := r.arrive(50, 0, 1); !m.out {
-		t.Fatal("another destination got no slot")
+	r.addReady(1, 1)
+	if m := r.submit(50, 0, 1); !m.inFlight {
+		t.Fatal("no slot left for another destination")
 	}
 }
 
-// Without health checks a trial call tests an open circuit.
+// Without health checks an open circuit is tested by trial calls.
 func TestTrialCallWithoutHealthChecks(t *testing.T) {
-	set := settings()
-	set.CanHealthCheck = false
-	r := newRecorder(t, set)
-	outage(r)
+	cfg := testSettings()
+	cfg.CanHealthCheck = false
+	r := newRecorder(t, cfg)
+	causeOutage(r)
 	sends := 0
 	for _, m := range r.messages {
 		sends += m.attempts
@@ -50,16 +50,16 @@
 		after += m.attempts
 	}
 	if len(r.healthChecks) > 0 || after == sends || after > sends+8 {
-		t.Fatalf("%d probes, %d calls in 4 s of outage", len(r.healthChecks), after-sends)
+		t.Fatalf("%d health checks, %d calls in 4 s of outage", len(r.healthChecks), after-sends)
 	}
 }
 
 // A single rejection among served calls is no outage: no slow start follows.
 func TestRejectionIsNoOutage(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 1)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 1)
 	for id := MessageID(1); id < 20; id++ {
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 		r.advance(50 * ms)
 		if id%4 == 0 {
 			r.answer(id, Rejected, 0)
@@ -68,122 +68,122 @@
 		}
 		r.serve(200*ms, 50*ms)
 	}
-	if rt := r.c.destination(0).sharedRoute; rt.breaker.open || rt.slowStart.active {
-		t.Fatalf("open %v, warming %v", rt.breaker.open, rt.slowStart.active)
+	if route := r.c.destination(0).sharedRoute; route.breaker.open || route.slowStart.active {
+		t.Fatalf("open %v, slow start %v", route.breaker.open, route.slowStart.active)
 	}
 }
 
-// A long Retry-After is an outage: one trial call comes after it, not all that is queued.
-func TestLongWaitIsOutage(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 2)
-	r.arrive(1, 0, 0)
+// A long Retry-After counts as an outage: a trial call follows it instead of all queued messages.
+func TestLongRetryAfterIsOutage(t *testing.T) {
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 2)
+	r.submit(1, 0, 0)
 	r.advance(50 * ms)
-	r.answer(1, Rejected, 2*r.set.OverloadWindow)
+	r.answer(1, Rejected, 2*r.cfg.OverloadWindow)
 	for id := MessageID(2); id < 12; id++ {
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 	}
-	r.advance(2*r.set.OverloadWindow - 50*ms)
+	r.advance(2*r.cfg.OverloadWindow - 50*ms)
 	before := len(r.trace)
-	r.advance(r.set.OverloadWindow)
-	tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send ")
-	if tests > 2 {
-		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
+	r.advance(r.cfg.OverloadWindow)
+	sends := strings.Count(strings.Join(r.trace[before:], "\n"), "send ")
+	if sends > 2 {
+		t.Fatalf("%d sends within an overload window after the end of a long Retry-After", sends)
 	}
-	r.advance(r.set.WarmUp)
+	r.advance(r.cfg.WarmUp)
 	if after := strings.Count(strings.Join(r.trace, "\n"), "send "); after < 2 {
-		t.Fatal("never tested after the wait")
+		t.Fatal("no trial call after the Retry-After")
 	}
 }
 
-// A call from before a long Retry-After that is served within it does not end the outage: `cleathold lab sim` found
-// returning partners overloaded after such an answer.
+// A call that was sent before a long Retry-After and is served while it lasts does not end the outage. When it did,
+// recovering partners were overloaded after such an answer in `cleathold lab sim`.
 func TestLateAnswerDoesNotEndOutage(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 2)
-	r.arrive(1, 0, 0)
-	r.arrive(2, 0, 0)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 2)
+	r.submit(1, 0, 0)
+	r.submit(2, 0, 0)
 	r.advance(50 * ms)
-	if r.out(0) != 2 {
-		t.Fatalf("%d calls out", r.out(0))
+	if r.attemptsInFlight(0) != 2 {
+		t.Fatalf("%d calls in flight", r.attemptsInFlight(0))
 	}
-	r.answer(1, Rejected, 2*r.set.OverloadWindow)
+	r.answer(1, Rejected, 2*r.cfg.OverloadWindow)
 	r.advance(20 * ms)
 	r.answer(2, Served, 0)
 	for id := MessageID(3); id < 13; id++ {
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 	}
-	r.advance(2*r.set.OverloadWindow - 50*ms)
+	r.advance(2*r.cfg.OverloadWindow - 50*ms)
 	before := len(r.trace)
-	r.advance(r.set.OverloadWindow)
-	if tests := strings.Count(strings.Join(r.trace[before:], "\n"), "send "); tests > 2 {
-		t.Fatalf("%d sends within a fall window of the end of a long wait", tests)
+	r.advance(r.cfg.OverloadWindow)
+	if sends := strings.Count(strings.Join(r.trace[before:], "\n"), "send "); sends > 2 {
+		t.Fatalf("%d sends within an overload window after the end of a long Retry-After", sends)
 	}
 }
 
-// Rejections above a limit with served calls among them are no outage: the circuit stays closed, at a rate that each
-// rejection lowers and served calls raise again.
-func TestRejectionsBetweenAnswers(t *testing.T) {
-	set := settings()
-	set.WeightKind = WeightsApproximate
-	r := newRecorder(t, set)
+// Rejections above a limit with served calls among them are no outage: the circuit stays closed, each rejection lowers
+// the rate and served calls raise it again.
+func TestRejectionsAmongServedCalls(t *testing.T) {
+	cfg := testSettings()
+	cfg.WeightKind = WeightsApproximate
+	r := newRecorder(t, cfg)
 	r.updateList(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
 	e := r.c.endpoints[1]
-	r.arrive(1, 0, 0)
+	r.submit(1, 0, 0)
 	r.advance(50 * ms)
 	r.answer(1, Served, 0)
-	whole := r.c.sendRate(e)
-	m := r.arrive(2, 0, 0)
+	fullRate := r.c.sendRate(e)
+	m := r.submit(2, 0, 0)
 	for range 2 * circuitOpenFailures {
-		for !m.out {
+		for !m.inFlight {
 			r.advance(50 * ms)
 		}
 		r.answer(2, Rejected, 0)
 	}
-	low := r.c.sendRate(e)
-	if e.route.breaker.open || low >= whole/2 {
-		t.Fatalf("open %t, pace %.1f of %.1f", e.route.breaker.open, low, whole)
+	reducedRate := r.c.sendRate(e)
+	if e.route.breaker.open || reducedRate >= fullRate/2 {
+		t.Fatalf("open %t, rate %.1f of %.1f", e.route.breaker.open, reducedRate, fullRate)
 	}
-	for !m.out {
+	for !m.inFlight {
 		r.advance(50 * ms)
 	}
 	r.answer(2, Served, 0)
 	for id := MessageID(3); id < 20; id++ {
-		for m := r.arrive(id, 0, 0); !m.out; {
+		for m := r.submit(id, 0, 0); !m.inFlight; {
 			r.advance(50 * ms)
 		}
 		r.answer(id, Served, 0)
 	}
-	if up := r.c.sendRate(e); up <= low || up > whole {
-		t.Errorf("pace %.1f after %.1f and %.1f", up, whole, low)
+	if raisedRate := r.c.sendRate(e); raisedRate <= reducedRate || raisedRate > fullRate {
+		t.Errorf("rate %.1f after a full rate of %.1f and a reduced rate of %.1f", raisedRate, fullRate, reducedRate)
 	}
 }
 
-// Trial calls of an open circuit come often enough that a recovery is not missed for long.
+// Trial calls of an open circuit are frequent enough to detect a recovery soon.
 func TestOpenCircuitTrialInterval(t *testing.T) {
-	set := settings()
-	set.WeightKind = WeightsApproximate
-	r := newRecorder(t, set)
+	cfg := testSettings()
+	cfg.WeightKind = WeightsApproximate
+	r := newRecorder(t, cfg)
 	r.updateList(ListDelta, Endpoint{ID: 1, State: Ready, Weight: 20})
-	m := r.arrive(1, 0, 0)
-	most, last := time.Duration(0), time.Duration(0)
+	m := r.submit(1, 0, 0)
+	maxInterval, lastSentAt := time.Duration(0), time.Duration(0)
 	for n := range 10 {
-		for m.outcome == "" && !m.out {
+		for m.outcome == "" && !m.inFlight {
 			r.advance(10 * ms)
 		}
 		if m.outcome != "" {
-			m = r.arrive(MessageID(n+2), 0, 0)
+			m = r.submit(MessageID(n+2), 0, 0)
 			continue
 		}
-		if r.c.endpoints[1].route.breaker.open && last > 0 {
-			most = max(most, r.c.now-last)
+		if r.c.endpoints[1].route.breaker.open && lastSentAt > 0 {
+			maxInterval = max(maxInterval, r.c.now-lastSentAt)
 		}
-		last = r.c.now
+		lastSentAt = r.c.now
 		r.advance(10 * ms)
 		r.answer(m.ID, Rejected, 0)
 	}
-	if limit := set.WarmUp / 4; most == 0 || most > limit {
-		t.Errorf("tests %v apart, %v at most", most, limit)
+	if limit := cfg.WarmUp / 4; maxInterval == 0 || maxInterval > limit {
+		t.Errorf("trial calls are up to %v apart, want at most %v", maxInterval, limit)
 	}
 }
 
@@ -193,15 +193,15 @@
 		name     string
 		breaker  circuitBreaker
 		now      time.Duration
-		noChecks bool // the host cannot make health checks
+		noChecks bool // the host cannot send health checks
 		trial    bool
 	}{
 		{"before the trial", circuitBreaker{open: true, nextTrial: 5 * s}, 4 * s, false, false},
 		{"trial due", circuitBreaker{open: true, nextTrial: 5 * s}, 5 * s, false, true},
-		{"health check first", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true}, 5 * s, false, false},
-		{"no health checks", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true}, 5 * s, true, true},
-		{"health check answered", circuitBreaker{open: true, nextTrial: 5 * s, probeFirst: true, probeSucceeded: true}, s,
-			false, true},
+		{"health check first", circuitBreaker{open: true, nextTrial: 5 * s, healthCheckFirst: true}, 5 * s, false, false},
+		{"no health checks", circuitBreaker{open: true, nextTrial: 5 * s, healthCheckFirst: true}, 5 * s, true, true},
+		{"health check answered",
+			circuitBreaker{open: true, nextTrial: 5 * s, healthCheckFirst: true, healthCheckSucceeded: true}, s, false, true},
 	} {
 		if trial := c.breaker.allowsTrial(c.now, !c.noChecks); trial != c.trial {
 			t.Errorf("%s: trial %v", c.name, trial)
@@ -211,13 +211,13 @@
 	for i, c := range []struct {
 		now, sentAt time.Duration
 		counts      bool
-		// the last was sent before the one before failed
+		// the last call was sent before the previous failure
 	}{{s, 0, true}, {2 * s, 1500 * ms, true}, {2100 * ms, 1900 * ms, false}} {
 		if counts := b.recordFailure(c.now, c.sentAt); counts != c.counts {
 			t.Errorf("failure %d counts: %v", i, counts)
 		}
 	}
-	for i, interval := range []time.Duration{s, 2 * s, 3 * s, 3 * s} { // doubled, and 3 s at most
+	for i, interval := range []time.Duration{s, 2 * s, 3 * s, 3 * s} { // doubles up to 3 s
 		if b.trip(10*s, 100*ms, s, 3*s, 0.5); !b.open || b.nextTrial != 10*s+interval {
 			t.Errorf("trial %d after %v, want %v", i, b.nextTrial-10*s, interval)
 		}
--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Connections that lose calls after lying idle are closed before the next call.
+// Connections on which calls are lost after an idle time are closed before the next call.
 func TestStaleConnectionsClosed(t *testing.T) {
-	r := newRecorder(t, settings())
-	r.ready(0, 1)
+	r := newRecorder(t, testSettings())
+	r.addReady(0, 1)
 	id := MessageID(0)
-	call := func(idle time.Duration, res Result) {
+	call := func(idle time.Duration, result Result) {
 		r.advance(idle)
 		id++
-		r.arrive(id, 0, 0)
+		r.submit(id, 0, 0)
 		r.advance(50 * ms)
-		r.answer(id, res, 0)
+		r.answer(id, result, 0)
 		r.serve(100*ms, 50*ms)
 	}
 	for range 12 {
@@ -24,116 +24,116 @@
 		call(20*ms, Served)
 		call(1500*ms, ConnectionLost)
 	}
-	if len(r.closed) == 0 {
+	if len(r.disconnected) == 0 {
 		t.Fatal("no idle connection was closed")
 	}
-	r2 := newRecorder(t, settings())
-	outage(r2)
-	if len(r2.closed) > 0 {
-		t.Fatal("an unresponsive destination is no reason to close connections")
+	r2 := newRecorder(t, testSettings())
+	causeOutage(r2)
+	if len(r2.disconnected) > 0 {
+		t.Fatal("connections of an unresponsive destination were closed")
 	}
 }
 
-// Where connections are rejected though the endpoints are well, an idle one is closed after its call, as it keeps
-// peers out; where none is rejected, it is kept for the next call.
+// Where healthy endpoints reject connections, a connection is closed after its call, as it would block those of peers.
+// Otherwise it is kept for the next call.
 func TestScarceConnectionsAreClosed(t *testing.T) {
 	for _, scarce := range []bool{false, true} {
-		r := newRecorder(t, settings())
-		r.ready(0, 1)
-		r.ready(1, 1)
+		r := newRecorder(t, testSettings())
+		r.addReady(0, 1)
+		r.addReady(1, 1)
 		if scarce {
-			r.arrive(1, 0, 0)
+			r.submit(1, 0, 0)
 			r.advance(10 * ms)
 			r.answer(1, ConnectFailed, 0)
 			r.serve(200*ms, 50*ms)
 		}
-		n := len(r.closed)
-		r.arrive(2, 0, 1)
+		n := len(r.disconnected)
+		r.submit(2, 0, 1)
 		r.serve(200*ms, 50*ms)
-		if closed := len(r.closed) > n; closed != scarce {
+		if closed := len(r.disconnected) > n; closed != scarce {
 			t.Errorf("connections scarce %v: closed %v", scarce, closed)
 		}
 	}
 }
 
-// In a large fleet connections are taken for scarce from the first call on: if each sender kept one, an endpoint
-// that takes few would have no capacity for most of them. Calls that all get one show that there are enough.
+// In a large fleet connections count as scarce from the first call on: if each sender kept one, an endpoint that
+// accepts few would have no capacity for most senders. Once enough calls have found capacity, connections are kept.
 func TestLargeFleetKeepsNoIdleConnections(t *testing.T) {
 	for _, fleetSize := range []int{largeFleetSize - 1, largeFleetSize, 80} {
-		set := settings()
-		set.FleetSize = fleetSize
-		r := newRecorder(t, set)
-		r.ready(0, 1)
-		r.arrive(1, 0, 0)
+		cfg := testSettings()
+		cfg.FleetSize = fleetSize
+		r := newRecorder(t, cfg)
+		r.addReady(0, 1)
+		r.submit(1, 0, 0)
 		r.serve(200*ms, 50*ms)
-		if closed, want := len(r.closed) == 1, fleetSize >= largeFleetSize; closed != want {
+		if closed, want := len(r.disconnected) == 1, fleetSize >= largeFleetSize; closed != want {
 			t.Errorf("fleet of %d: first connection closed %v", fleetSize, closed)
 		}
 		for id := MessageID(2); id < 200; id++ {
-			r.arrive(id, 0, 0)
+			r.submit(id, 0, 0)
 			r.serve(200*ms, 50*ms)
 		}
-		if n := len(r.closed); n > 100 {
+		if n := len(r.disconnected); n > 100 {
 			t.Errorf("fleet of %d: %d of 199 connections closed though all calls found capacity", fleetSize, n)
 		}
 	}
 }
 
-// Connections kept for the next call are closed after a failed poll of the list: only new connections may meet a
-// drain that the list would have told. An answer ends that.
+// Idle connections are closed after a failed poll of the endpoint list, as then only a new connection can reveal that
+// an endpoint is draining. After an answered poll connections are kept again.
 func TestConnectionsClosedAfterListFailure(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		what  func(r *recorder)
-		after bool // the connection of the next call is closed, too
+		name   string
+		change func(r *recorder)
+		closed bool // the connection of the next call is closed as well
 	}{
 		{"list failed", func(r *recorder) { r.updateList(ListFailed) }, true},
 		{"list answered after it failed", func(r *recorder) { r.updateList(ListFailed); r.updateList(ListDelta) }, false},
 	} {
-		set := settings()
-		set.FleetSize, set.CanGossip, set.PollsList = 80, true, true
-		r := newRecorder(t, set)
+		cfg := testSettings()
+		cfg.FleetSize, cfg.CanGossip, cfg.PollsList = 80, true, true
+		r := newRecorder(t, cfg)
 		r.updateList(ListFull, Endpoint{ID: 1, State: Ready})
 		for id := MessageID(1); id < 99; id++ {
-			r.arrive(id, 0, 0)
+			r.submit(id, 0, 0)
 			r.serve(200*ms, 50*ms)
 		}
-		n := len(r.closed)
-		c.what(r)
+		n := len(r.disconnected)
+		c.change(r)
 		r.advance(ms)
-		if len(r.closed) != n+1 {
-			t.Errorf("%s: the idle connection was closed %d times", c.name, len(r.closed)-n)
+		if len(r.disconnected) != n+1 {
+			t.Errorf("%s: idle connection closed %d times, want 1", c.name, len(r.disconnected)-n)
 		}
-		n = len(r.closed)
-		r.arrive(100, 0, 0)
+		n = len(r.disconnected)
+		r.submit(100, 0, 0)
 		r.serve(100*ms, 50*ms)
-		if closed := len(r.closed) > n; closed != c.after {
-			t.Errorf("%s: the next connection closed %v", c.name, closed)
+		if closed := len(r.disconnected) > n; closed != c.closed {
+			t.Errorf("%s: next connection closed %v", c.name, closed)
 		}
 	}
 }
 
-// An endpoint without capacity for a connection is full of peers' connections: its limit is not met, nothing is
-// gossiped, and its circuit stays closed, whether or not it served this sender lately. It is tried again within
-// about a call's time, and ever later as long as it has none.
-func TestConnectionRejectionIsNoLimit(t *testing.T) {
-	for _, lately := range []bool{true, false} {
-		set := settings()
-		set.FleetSize, set.CanGossip, set.WeightKind, set.HeadroomIndex, set.LimitIndex = 80, true, WeightsApproximate, -1, -1
-		r := newRecorder(t, set)
+// Peers' connections use up the capacity of an endpoint that rejects a connection. This neither lowers the rate nor is
+// gossiped, and the circuit stays closed, whether or not the endpoint served this sender recently. The endpoint is
+// tried again after about one call time, and less and less often as long as it has no capacity.
+func TestConnectionRejectionIsNotRateLimit(t *testing.T) {
+	for _, recentlyServed := range []bool{true, false} {
+		cfg := testSettings()
+		cfg.FleetSize, cfg.CanGossip, cfg.WeightKind, cfg.HeadroomIndex, cfg.LimitIndex = 80, true, WeightsApproximate, -1, -1
+		r := newRecorder(t, cfg)
 		r.updateList(ListFull, Endpoint{ID: 1, State: Ready, Weight: 200})
-		r.arrive(1, 0, 0)
+		r.submit(1, 0, 0)
 		r.serve(200*ms, 50*ms)
-		if !lately {
-			r.advance(2 * set.OverloadWindow)
+		if !recentlyServed {
+			r.advance(2 * cfg.OverloadWindow)
 		}
-		rt := r.c.destination(0).sharedRoute
-		fraction := rt.limit.fraction
-		m := r.arrive(2, 0, 0)
+		route := r.c.destination(0).sharedRoute
+		fraction := route.limit.fraction
+		m := r.submit(2, 0, 0)
 		tries := func(span time.Duration) int {
 			before := m.attempts
 			for end := r.now + span; r.now < end; r.advance(5 * ms) {
-				if m.out {
+				if m.inFlight {
 					r.answer(2, ConnectionRejected, 0)
 				}
 			}
@@ -141,25 +141,25 @@
 		}
 		soon, later := tries(500*ms), tries(500*ms)
 		rejections := slices.ContainsFunc(r.gossiped, func(n Observation) bool { return n.Kind == ObservedRejection })
-		if rt.breaker.open || rt.limit.fraction < fraction || rejections {
-			t.Errorf("lately %v: open %v, fraction %v after %v, told %d", lately, rt.breaker.open, rt.limit.fraction, fraction,
-				len(r.gossiped))
+		if route.breaker.open || route.limit.fraction < fraction || rejections {
+			t.Errorf("recently served %v: open %v, fraction %v after %v, %d observations gossiped", recentlyServed,
+				route.breaker.open, route.limit.fraction, fraction, len(r.gossiped))
 		}
 		if soon < 3 || later < 1 || later >= soon {
-			t.Errorf("lately %v: tried %d times in 500 ms, then %d", lately, soon, later)
+			t.Errorf("recently served %v: tried %d times in 500 ms, then %d", recentlyServed, soon, later)
 		}
 	}
 }
 
 func TestConnectionStats(t *testing.T) {
 	for _, c := range []struct {
-		name                 string
-		lostIdle, lostBusy   int // calls on connections of band 3 and 0
-		staleBand3, staleOne bool
+		name                   string
+		lostIdle, lostBusy     int // lost calls on connections of bands 3 and 0
+		staleBand3, staleBand1 bool
 	}{
-		{"none lost", 0, 0, false, false},
-		{"idle ones lost", 5, 0, true, false},
-		{"all lost", 5, 5, false, false},
+		{"no call lost", 0, 0, false, false},
+		{"calls on idle connections lost", 5, 0, true, false},
+		{"all calls lost", 5, 5, false, false},
 	} {
 		var s connectionStats
 		for range c.lostIdle {
@@ -168,13 +168,13 @@
 		for range c.lostBusy {
 			s.recordReuse(0, TimedOut)
 		}
-		if a, b := s.stale(3), s.stale(1); a != c.staleBand3 || b != c.staleOne {
+		if a, b := s.stale(3), s.stale(1); a != c.staleBand3 || b != c.staleBand1 {
 			t.Errorf("%s: stale %v and %v", c.name, a, b)
 		}
 	}
 	var b capacityBackoff
-	for i, wait := range []time.Duration{1, 2, 4, 8, 8} {
-		if b.reject(time.Minute, 10*ms, 0.5); b.retryAt != time.Minute+wait*10*ms {
+	for i, factor := range []time.Duration{1, 2, 4, 8, 8} {
+		if b.reject(time.Minute, 10*ms, 0.5); b.retryAt != time.Minute+factor*10*ms {
 			t.Errorf("rejection %d: wait %v", i, b.retryAt-time.Minute)
 		}
 	}
--- a/control/ordering_test.go
+++ b/control/ordering_test.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// Messages of one key go one at a time, and the key pauses after a timeout.
+// Messages with the same key are sent one at a time, and the key pauses after an attempt that may still be running.
 func TestOrderedByKey(t *testing.T) {
-	set := settings()
-	set.Classes[2].Ordered = true
-	r := newRecorder(t, set)
-	r.ready(0, 2)
-	hand := func(id MessageID) *tracked {
-		return r.submit(Message{ID: id, Class: 2, Destination: 0, TimeLeft: 8000 * ms, Key: 5})
+	cfg := testSettings()
+	cfg.Classes[2].Ordered = true
+	r := newRecorder(t, cfg)
+	r.addReady(0, 2)
+	submitKeyed := func(id MessageID) *trackedMessage {
+		return r.submitMessage(Message{ID: id, Class: 2, Destination: 0, TimeLeft: 8000 * ms, Key: 5})
 	}
-	first, second := hand(1), hand(2)
-	if !first.out || second.out {
-		t.Fatal("the second message of a key must wait for the first")
+	first, second := submitKeyed(1), submitKeyed(2)
+	if !first.inFlight || second.inFlight {
+		t.Fatal("the first message of a key should be in flight and the second should wait")
 	}
 	r.advance(20 * ms)
 	r.answer(1, ConnectionLost, 0)
-	r.advance(set.OrderedPause - 100*ms)
-	if second.out {
-		t.Fatal("the key must rest after an attempt that may still run")
+	r.advance(cfg.OrderedPause - 100*ms)
+	if second.inFlight {
+		t.Fatal("sent during the pause after an attempt that may still be running")
 	}
 	r.advance(time.Second)
 	if second.attempts == 0 {
-		t.Fatal("the second message never got its turn")
+		t.Fatal("the second message was never sent")
 	}
 }
 
 func TestKeySequence(t *testing.T) {
 	sequences := keySequences{byKey: map[uint64]*keySequence{}}
 	first, second := &message{}, &message{}
-	s := sequences.of(5)
+	s := sequences.forKey(5)
 	s.add(first)
 	s.add(second)
 	for _, c := range []struct {
 		name          string
 		now           time.Duration
 		change        func()
-		first, second bool // may go
+		first, second bool // is next
 	}{
 		{"nothing sent", 0, func() {}, true, false},
 		{"first in flight", 0, func() { s.attemptsInFlight++ }, false, false},
@@ -49,15 +49,15 @@
 		{"pause over", time.Second, func() {}, false, true},
 	} {
 		c.change()
-		if a, b := s.mayGo(first, c.now), s.mayGo(second, c.now); a != c.first || b != c.second {
-			t.Errorf("%s: the first may go %v, the second %v", c.name, a, b)
+		if a, b := s.isNext(first, c.now), s.isNext(second, c.now); a != c.first || b != c.second {
+			t.Errorf("%s: first is next %v, second is next %v", c.name, a, b)
 		}
 	}
 	s.remove(second)
-	if sequences.release(s, 999*ms); sequences.of(5) != s {
-		t.Error("dropped within its pause")
+	if sequences.release(s, 999*ms); sequences.forKey(5) != s {
+		t.Error("sequence deleted during its pause")
 	}
 	if sequences.release(nil, time.Second); len(sequences.byKey) > 0 {
-		t.Error("kept after its pause")
+		t.Error("sequence kept after its pause")
 	}
 }
--- a/control/retry.go
+++ b/control/retry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// mayRetry reports whether the message may have a further attempt, by its class and the limit on attempts.
+// mayRetry reports whether the message's class and the limit on attempts allow another attempt.
 func (c *Controller) mayRetry(msg *message) bool {
 	if c.settings.MaxAttempts > 0 && msg.attempts >= c.settings.MaxAttempts {
 		return false
@@ -19,19 +19,20 @@
 	return msg.keyRetained(c.now, c.expectedCallTime(msg.destination, msg.class))
 }
 
-// keyRetained reports whether a repeat sent now, which arrives within a call's time, is still dropped by its key.
+// keyRetained reports whether a retry sent now, which arrives within callTime, would still be dropped by its key if the
+// message has already run.
 func (msg *message) keyRetained(now, callTime time.Duration) bool {
 	margin := min(callTime, msg.class.KeyRetention/4)
 	return now+margin < msg.firstRunAt+msg.class.KeyRetention
 }
 
-// keyKnownIn reports whether a repeat may go to a zone: where keys are scoped to a zone, one that may have run stays in
-// the zone where its repeats are dropped.
-func (msg *message) keyKnownIn(zone int) bool {
+// keyValidInZone reports whether the message may be sent to a zone. Where keys are scoped to a zone, a message that may
+// have run stays in its zone, as repeats are dropped only there.
+func (msg *message) keyValidInZone(zone int) bool {
 	return !msg.mayHaveRun || !msg.class.KeyZoneScoped || zone == msg.firstRunZone
 }
 
-// mayReject reports whether the message may be rejected, which tells its client that it may safely submit it again.
+// mayReject reports whether the message may be rejected, which allows its client to submit it again.
 func (msg *message) mayReject() bool {
 	if msg.finished || msg.inFlight != nil {
 		return false
@@ -40,19 +41,21 @@
 		msg.class.Idempotency == IdempotentByKey && !msg.class.KeyZoneScoped
 }
 
-// finishUndelivered ends a message without delivery: rejected if submitting it again is safe, failed otherwise.
+// finishUndelivered finishes a message without delivery. It rejects the message if submitting it again is safe, and
+// fails it otherwise.
 func (c *Controller) finishUndelivered(msg *message) {
 	if msg.mayReject() {
-		c.actions.Reject(msg.ID, c.retryAdvice(msg))
+		c.actions.Reject(msg.ID, c.rejectionRetryAfter(msg))
 	} else if !msg.finished {
 		c.actions.Fail(msg.ID)
 	}
 	c.finish(msg)
 }
 
-// retryAdvice is the Retry-After for a rejected message: the time until the first endpoint of its destination may be
-// called. Where nothing is known it is the latency objective, as the client should not come back at once.
-func (c *Controller) retryAdvice(msg *message) time.Duration {
+// rejectionRetryAfter returns the Retry-After for a rejected message: the time until the first endpoint of its
+// destination may be called. If no endpoint is ready it is the latency objective, so that the client does not retry at
+// once.
+func (c *Controller) rejectionRetryAfter(msg *message) time.Duration {
 	if !c.settings.CanSendRetryAfter {
 		return 0
 	}
@@ -65,9 +68,9 @@
 	if earliest == math.MaxInt64 {
 		earliest = c.now + msg.class.LatencyObjective
 	}
-	shortest := msg.destination.callTime.mean
-	if shortest == 0 {
-		shortest = msg.class.LatencyObjective / 2
+	minDelay := msg.destination.callTime.mean
+	if minDelay == 0 {
+		minDelay = msg.class.LatencyObjective / 2
 	}
-	return min(c.settings.MaxRetryAfter, max(shortest, earliest-c.now))
+	return min(c.settings.MaxRetryAfter, max(minDelay, earliest-c.now))
 }
