--- a/internal/state/killed_test.go
+++ b/internal/state/killed_test.go
@@ -43,9 +43,16 @@
 		}
 		return content
 	}
-	size := func() int {
-		l.Idle()
-		return len(read())
+	// sizeAbove waits for the write that follows an event: the loop writes the log at the end of its iteration, which may
+	// be after it has answered Idle.
+	sizeAbove := func(previous int) int {
+		for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
+			if size := len(read()); size > previous {
+				return size
+			}
+		}
+		t.Fatalf("the log did not grow beyond %d bytes", previous)
+		return 0
 	}
 	written := &messageLog{class: class}
 	v := make(chan Response, 1)
@@ -53,12 +60,12 @@
 	if !receive(t, v).Accepted {
 		t.Fatal("not accepted")
 	}
-	written.accepted = size()
+	written.accepted = sizeAbove(0)
 	l.Post(ResponseWritten{"a", true})
 	call := receive(t, o.calls)
-	written.sent = size()
+	written.sent = sizeAbove(written.accepted)
 	l.Post(endedWith(call, AttemptResult{Result: control.Served, Final: true}))
-	written.ended = size()
+	written.ended = sizeAbove(written.sent)
 	cancel()
 	<-l.finished
 	written.name, written.content = logFile(t, dir), read()
