--- a/internal/deadletter/audit.go
+++ b/internal/deadletter/audit.go
@@ -21,20 +21,20 @@
 const maxAuditRecords = 100
 
 // audit adds an entry. The trail keeps the latest maxAuditEntries.
-func (t *Tx) audit(a AuditEntry) error {
+func (t *Tx) audit(entry AuditEntry) error {
 	b := t.Bucket(bucketAudit)
 	n, err := b.NextSequence()
 	if err != nil {
 		return err
 	}
-	if len(a.Records) > maxAuditRecords {
-		a.Records = a.Records[:maxAuditRecords]
+	if len(entry.Records) > maxAuditRecords {
+		entry.Records = entry.Records[:maxAuditRecords]
 	}
-	text, err := json.Marshal(a)
+	data, err := json.Marshal(entry)
 	if err != nil {
 		return err
 	}
-	if err := b.Put(encodeUint(n), text); err != nil || n <= maxAuditEntries {
+	if err := b.Put(encodeUint(n), data); err != nil || n <= maxAuditEntries {
 		return err
 	}
 	return b.Delete(encodeUint(n - maxAuditEntries))
--- a/internal/deadletter/bench_test.go
+++ b/internal/deadletter/bench_test.go
@@ -50,23 +50,23 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	k := NewQueue(Config{Settings: set, Log: quiet, Platform: control.Settings{Classes: make([]control.Class, 1)},
+	q := NewQueue(Config{Settings: set, Log: quiet, Platform: control.Settings{Classes: make([]control.Class, 1)},
 		Names: Names{Classes: []string{"fee-payment"}}})
-	p := &state.DeadLetter{Message: &state.Message{ID: "id", Deadline: time.Now()}, At: time.Now()}
+	letter := &state.DeadLetter{Message: &state.Message{ID: "id", Deadline: time.Now()}, At: time.Now()}
 	b.ReportAllocs()
 	for b.Loop() {
-		k.Accepts(p)
+		q.Accepts(letter)
 	}
 }
 
 // What each call's end costs the loop beside that.
 func BenchmarkCallEnded(b *testing.B) {
 	set, _ := settings.Parse("s.star", []byte(`held(folder = "/h")`))
-	k := NewQueue(Config{Settings: set, Log: quiet})
+	q := NewQueue(Config{Settings: set, Log: quiet})
 	b.ReportAllocs()
 	for b.Loop() {
-		k.CallEnded(7, control.Served, 0, false)
-		k.LoadChanged(state.LoopLoad{})
+		q.CallEnded(7, control.Served, 0, false)
+		q.LoadChanged(state.LoopLoad{})
 	}
 }
 
@@ -74,7 +74,7 @@
 func BenchmarkHundredThousand(b *testing.B) {
 	dir := b.TempDir()
 	s := openStore(b, dir)
-	fill(b, s, 100_000)
+	addRecords(b, s, 100_000)
 	s.Close()
 	heap := func() float64 {
 		var m runtime.MemStats
--- a/internal/deadletter/claims.go
+++ b/internal/deadletter/claims.go
@@ -10,8 +10,8 @@
 // called by the client's goroutine before the message is accepted, and waits for the store only if a record may be
 // held. It returns false if such a record is being redelivered or the store does not answer by the deadline: the
 // client should come again.
-func (q *Queue) ClaimKey(number int, key string, by time.Time) bool {
-	class := nameAt(q.platform.Load().Classes, number)
+func (q *Queue) ClaimKey(classNumber int, key string, deadline time.Time) bool {
+	class := nameAt(q.platform.Load().Classes, classNumber)
 	q.mu.Lock()
 	s := q.store
 	if s == nil { // the claim is written before anything is redelivered
@@ -27,7 +27,7 @@
 	if !s.MayContain(class, key) && !q.keyInFlight(s, class, key) {
 		return true
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), by)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	return q.applyChange(ctx, func(t *Tx) error {
 		if len(t.inFlightWithKey(class, key)) > 0 {
@@ -54,7 +54,7 @@
 
 // inFlightWithKey lists the records of a key that are being redelivered.
 func (t *Tx) inFlightWithKey(class, key string) (seqs []uint64) {
-	list, _, err := t.List(Filter{State: Out}, 0, maxInFlightScan)
+	list, _, err := t.List(Filter{State: InFlight}, 0, maxInFlightScan)
 	for _, r := range list {
 		if r.Class == class && r.Key == key {
 			seqs = append(seqs, r.Sequence)
@@ -69,7 +69,7 @@
 // supersede ends the held records of a key that a client submitted anew.
 func (q *Queue) supersede(t *Tx, class, key string) error {
 	now := q.clock.now()
-	for _, seq := range t.byKey(class, key) {
+	for _, seq := range t.sequencesByKey(class, key) {
 		err := t.change(seq, func(r *Record) error {
 			r.addEvent(now, "its client handed the key in anew", "sender")
 			r.end(now, Superseded)
--- a/internal/deadletter/clock.go
+++ b/internal/deadletter/clock.go
@@ -19,13 +19,13 @@
 // now returns the current time without a monotonic reading.
 func (c *clock) now() time.Time { return c.base.Add(time.Since(c.start)) }
 
-// adopt takes the latest time in a store, in whole microseconds. If the wall clock went back, the times of this
+// advancePast takes the latest time in a store, in whole microseconds. If the wall clock went back, the times of this
 // process begin behind it, so that they stay distinct from those of before.
-func (c *clock) adopt(latest time.Time) {
+func (c *clock) advancePast(latest time.Time) {
 	if latest.After(c.now().Add(clockTolerance)) {
 		c.base, c.wentBack = latest.Add(time.Microsecond), true
 	}
 }
 
-// certain reports whether the time since at is known.
-func (c *clock) certain(at time.Time) bool { return !c.wentBack || !at.Before(c.base) }
+// elapsedKnown reports whether the time since at is known.
+func (c *clock) elapsedKnown(at time.Time) bool { return !c.wentBack || !at.Before(c.base) }
--- a/internal/deadletter/commands.go
+++ b/internal/deadletter/commands.go
@@ -34,8 +34,8 @@
 // ErrNoStore means that the store is not open.
 var ErrNoStore = errors.New("held: the store is not open; the log says why")
 
-// errDry rolls back the transaction of a dry run.
-var errDry = errors.New("held: dry run")
+// errDryRun rolls back the transaction of a dry run.
+var errDryRun = errors.New("held: dry run")
 
 // View runs a read transaction. It returns ErrNoStore while the store is not open.
 func (q *Queue) View(f func(*Tx) error) error {
@@ -51,43 +51,43 @@
 // changeSelected runs a command over a selection, in one transaction with its entry in the audit trail. The function
 // f changes a record, or returns why not, as a *NotEligible. A dry run changes nothing.
 func (q *Queue) changeSelected(
-	ctx context.Context, by, verb string, selection Selection, dry bool, f func(r *Record, now time.Time) error,
+	ctx context.Context, by, verb string, selection Selection, dryRun bool, f func(r *Record, now time.Time) error,
 ) (Outcome, error) {
-	var o Outcome
+	var outcome Outcome
 	if q.View(func(*Tx) error { return nil }) != nil {
-		return o, ErrNoStore
+		return outcome, ErrNoStore
 	}
 	err := q.applyChange(ctx, func(t *Tx) error {
-		o = Outcome{}
+		outcome = Outcome{}
 		now := q.clock.now()
-		sequences, err := t.selected(selection, &o)
+		sequences, err := t.selected(selection, &outcome)
 		if err != nil {
 			return err
 		}
-		done, err := t.changeEach(sequences, &o, func(r *Record) error { return f(r, now) })
+		done, err := t.changeEach(sequences, &outcome, func(r *Record) error { return f(r, now) })
 		switch {
 		case err != nil:
 			return err
-		case dry:
-			return errDry
+		case dryRun:
+			return errDryRun
 		case len(sequences) == 0:
 			return nil
 		}
-		entry := AuditEntry{At: now, By: by, Verb: verb, Records: done, Done: o.Done, Rejected: len(o.Rejected)}
+		entry := AuditEntry{At: now, By: by, Verb: verb, Records: done, Done: outcome.Done, Rejected: len(outcome.Rejected)}
 		if selection.Sequences == nil {
 			entry.Filter = &selection.Filter
 		}
 		return t.audit(entry)
 	})
-	if errors.Is(err, errDry) {
+	if errors.Is(err, errDryRun) {
 		err = nil
 	}
 	q.signal()
-	return o, err
+	return outcome, err
 }
 
 // selected returns the sequence numbers of a selection, and sets where the next page of a filter begins.
-func (t *Tx) selected(selection Selection, o *Outcome) ([]uint64, error) {
+func (t *Tx) selected(selection Selection, outcome *Outcome) ([]uint64, error) {
 	if len(selection.Sequences) > MaxPageSize {
 		return nil, fmt.Errorf("held: %d records named, %d at most at a time", len(selection.Sequences), MaxPageSize)
 	}
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, err
 	}
-	o.Next = next
+	outcome.Next = next
 	var sequences []uint64
 	for _, r := range list {
 		if !r.State.Ended() { // nothing can be done with ended ones
@@ -109,19 +109,19 @@
 }
 
 // changeEach changes records one by one, notes in the outcome what became of each, and returns those that were changed.
-func (t *Tx) changeEach(sequences []uint64, o *Outcome, f func(*Record) error) (done []uint64, err error) {
+func (t *Tx) changeEach(sequences []uint64, outcome *Outcome, f func(*Record) error) (done []uint64, err error) {
 	for _, sequence := range sequences {
 		err := t.change(sequence, f)
 		var notEligible *NotEligible
 		switch {
 		case errors.As(err, &notEligible):
-			o.Rejected = append(o.Rejected, RejectedRecord{sequence, notEligible.Reason})
+			outcome.Rejected = append(outcome.Rejected, RejectedRecord{sequence, notEligible.Reason})
 		case errors.Is(err, ErrNotFound):
-			o.Rejected = append(o.Rejected, RejectedRecord{sequence, "there is no such record"})
+			outcome.Rejected = append(outcome.Rejected, RejectedRecord{sequence, "there is no such record"})
 		case err != nil:
 			return done, err
 		default:
-			o.Done++
+			outcome.Done++
 			done = append(done, sequence)
 		}
 	}
@@ -131,14 +131,14 @@
 // Redeliver orders records to be redelivered within a time; 0 stands for that of the settings. By names the caller
 // for the audit trail.
 func (q *Queue) Redeliver(
-	ctx context.Context, by string, selection Selection, within time.Duration, dry bool,
+	ctx context.Context, by string, selection Selection, within time.Duration, dryRun bool,
 ) (Outcome, error) {
 	if within <= 0 {
 		q.mu.Lock()
 		within = q.settings.Resend.Within
 		q.mu.Unlock()
 	}
-	return q.changeSelected(ctx, by, "resend", selection, dry, func(r *Record, now time.Time) error {
+	return q.changeSelected(ctx, by, "resend", selection, dryRun, func(r *Record, now time.Time) error {
 		if r.State == Ordered {
 			return &NotEligible{"it is ordered already", true}
 		}
@@ -152,10 +152,10 @@
 }
 
 // Drop drops records. One that is being redelivered can't be dropped.
-func (q *Queue) Drop(ctx context.Context, by string, selection Selection, dry bool) (Outcome, error) {
-	return q.changeSelected(ctx, by, "drop", selection, dry, func(r *Record, now time.Time) error {
+func (q *Queue) Drop(ctx context.Context, by string, selection Selection, dryRun bool) (Outcome, error) {
+	return q.changeSelected(ctx, by, "drop", selection, dryRun, func(r *Record, now time.Time) error {
 		switch {
-		case r.State == Out:
+		case r.State == InFlight:
 			return &NotEligible{"it is being sent", true}
 		case r.State.Ended():
 			return neverEligible("it has ended: %s", r.State)
@@ -167,22 +167,22 @@
 }
 
 // Import adds exported lines. A line whose id is in the store is rejected.
-func (q *Queue) Import(ctx context.Context, by string, lines []ExportLine, dry bool) (Outcome, error) {
-	var o Outcome
+func (q *Queue) Import(ctx context.Context, by string, lines []ExportLine, dryRun bool) (Outcome, error) {
+	var outcome Outcome
 	if q.View(func(*Tx) error { return nil }) != nil {
-		return o, ErrNoStore
+		return outcome, ErrNoStore
 	}
 	if len(lines) > MaxPageSize {
-		return o, fmt.Errorf("held: %d lines, %d at most at a time", len(lines), MaxPageSize)
+		return outcome, fmt.Errorf("held: %d lines, %d at most at a time", len(lines), MaxPageSize)
 	}
 	err := q.applyChange(ctx, func(t *Tx) error {
-		o = Outcome{}
+		outcome = Outcome{}
 		now := q.clock.now()
 		var done []uint64
 		for i := range lines {
 			r, body, err := lines[i].toRecord(now)
 			if err != nil {
-				o.Rejected = append(o.Rejected, RejectedRecord{lines[i].Sequence, err.Error()})
+				outcome.Rejected = append(outcome.Rejected, RejectedRecord{lines[i].Sequence, err.Error()})
 				continue
 			}
 			r.addEvent(now, "imported: what happened to it elsewhere is not known", by)
@@ -191,19 +191,20 @@
 			case err != nil:
 				return err
 			case !added:
-				o.Rejected = append(o.Rejected, RejectedRecord{lines[i].Sequence, "a record with its id is here"})
+				outcome.Rejected = append(outcome.Rejected, RejectedRecord{lines[i].Sequence, "a record with its id is here"})
 			default:
-				o.Done++
+				outcome.Done++
 				done = append(done, r.Sequence)
 			}
 		}
-		if dry {
-			return errDry
+		if dryRun {
+			return errDryRun
 		}
-		return t.audit(AuditEntry{At: now, By: by, Verb: "import", Records: done, Done: o.Done, Rejected: len(o.Rejected)})
+		return t.audit(AuditEntry{At: now, By: by, Verb: "import", Records: done, Done: outcome.Done,
+			Rejected: len(outcome.Rejected)})
 	})
-	if errors.Is(err, errDry) {
+	if errors.Is(err, errDryRun) {
 		err = nil
 	}
-	return o, err
+	return outcome, err
 }
--- a/internal/deadletter/evict.go
+++ b/internal/deadletter/evict.go
@@ -64,7 +64,7 @@
 		if stop(x.at) { // the removals so far may have been enough
 			break
 		}
-		if r.State == Out || t.ReportPending(r.ID) {
+		if r.State == InFlight || t.ReportPending(r.ID) {
 			continue
 		}
 		if err := t.remove(&r); err != nil {
--- a/internal/deadletter/export.go
+++ b/internal/deadletter/export.go
@@ -49,8 +49,8 @@
 }
 
 // Export returns a page of records with their bodies, and the position to go on after.
-func (t *Tx) Export(f Filter, after uint64, most int) (lines []ExportLine, next uint64, err error) {
-	list, next, err := t.List(f, after, most)
+func (t *Tx) Export(f Filter, after uint64, limit int) (lines []ExportLine, next uint64, err error) {
+	list, next, err := t.List(f, after, limit)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/deadletter/frame.go
+++ b/internal/deadletter/frame.go
@@ -21,44 +21,44 @@
 	kindBody   = 'B'
 )
 
-var frameMark = []byte{0xc1, 0xea, 0x7d, 0x48}
+var frameMagic = []byte{0xc1, 0xea, 0x7d, 0x48}
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 // frame returns a payload in its frame.
-func frame(kind byte, seq, rev uint64, payload []byte) []byte {
-	to := make([]byte, 0, frameHeaderSize+len(payload))
-	to = append(append(to, frameMark...), kind)
-	to = binary.BigEndian.AppendUint64(to, seq)
-	to = binary.BigEndian.AppendUint64(to, rev)
-	to = binary.BigEndian.AppendUint32(to, uint32(len(payload)))
-	to = binary.BigEndian.AppendUint32(to, frameSum(to, payload))
-	return append(to, payload...)
+func frame(kind byte, seq, revision uint64, payload []byte) []byte {
+	buf := make([]byte, 0, frameHeaderSize+len(payload))
+	buf = append(append(buf, frameMagic...), kind)
+	buf = binary.BigEndian.AppendUint64(buf, seq)
+	buf = binary.BigEndian.AppendUint64(buf, revision)
+	buf = binary.BigEndian.AppendUint32(buf, uint32(len(payload)))
+	buf = binary.BigEndian.AppendUint32(buf, frameSum(buf, payload))
+	return append(buf, payload...)
 }
 
 // frameSum returns the checksum of the header, up to the checksum, and the payload.
-func frameSum(head, payload []byte) uint32 {
-	return crc32.Update(crc32.Checksum(head[:frameHeaderSize-4], castagnoli), castagnoli, payload)
+func frameSum(header, payload []byte) uint32 {
+	return crc32.Update(crc32.Checksum(header[:frameHeaderSize-4], castagnoliTable), castagnoliTable, payload)
 }
 
-// framed is a decoded frame.
-type framed struct {
-	kind     byte
-	seq, rev uint64
-	payload  []byte
-	size     int // of the whole frame
+// decodedFrame is a decoded frame.
+type decodedFrame struct {
+	kind          byte
+	seq, revision uint64
+	payload       []byte
+	size          int // of the whole frame
 }
 
 // unframe decodes the frame at the start of data. It returns false if there is no intact one.
-func unframe(data []byte) (framed, bool) {
-	if len(data) < frameHeaderSize || !bytes.Equal(data[:4], frameMark) {
-		return framed{}, false
+func unframe(data []byte) (decodedFrame, bool) {
+	if len(data) < frameHeaderSize || !bytes.Equal(data[:4], frameMagic) {
+		return decodedFrame{}, false
 	}
 	n := int(binary.BigEndian.Uint32(data[21:]))
 	if n > maxPayload || n > len(data)-frameHeaderSize {
-		return framed{}, false
+		return decodedFrame{}, false
 	}
-	p := framed{data[4], binary.BigEndian.Uint64(data[5:]), binary.BigEndian.Uint64(data[13:]),
+	p := decodedFrame{data[4], binary.BigEndian.Uint64(data[5:]), binary.BigEndian.Uint64(data[13:]),
 		data[frameHeaderSize : frameHeaderSize+n], frameHeaderSize + n}
 	return p, frameSum(data, p.payload) == binary.BigEndian.Uint32(data[25:])
 }
@@ -67,12 +67,12 @@
 func encode(r *Record) ([]byte, error) { return json.Marshal(r) }
 
 // decode returns the record in a frame, with the sequence number and revision of the frame.
-func decode(p framed) (Record, bool) {
+func decode(p decodedFrame) (Record, bool) {
 	var r Record
 	if p.kind != kindRecord || json.Unmarshal(p.payload, &r) != nil {
 		return Record{}, false
 	}
-	r.Sequence, r.Revision = p.seq, p.rev
+	r.Sequence, r.Revision = p.seq, p.revision
 	return r, true
 }
 
@@ -85,8 +85,8 @@
 // encodeName encodes a name in a key. Its end is marked, so that no name is a prefix of another.
 func encodeName(s string) []byte { return append([]byte(s), 0) }
 
-// join concatenates the parts of a key.
-func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
+// joinKey concatenates the parts of a key.
+func joinKey(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
 // decodeInt decodes a number of encodeInt.
 func decodeInt(b []byte) int { return int(int64(binary.BigEndian.Uint64(b) ^ 1<<63)) }
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -9,8 +9,8 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenHeld writes and reads the records, exports and answers of the store as 096da04 did.
-func TestGoldenHeld(t *testing.T) {
+// TestGoldenJSON writes and reads the records, exports and answers of the store as 096da04 did.
+func TestGoldenJSON(t *testing.T) {
 	golden.JSON[Record](t, "record.json")
 	golden.JSON[ExportLine](t, "line.json")
 	golden.JSON[AuditEntry](t, "act.json")
--- a/internal/deadletter/index.go
+++ b/internal/deadletter/index.go
@@ -15,40 +15,40 @@
 	seq := encodeUint(r.Sequence)
 	list := []indexEntry{
 		{bucketIDs, encodeName(r.ID), seq},
-		{bucketTimes, join(encodeUint(uint64(r.HeldAt.UnixMicro())), seq), nil},
-		{bucketDests, join(encodeInt(r.Destination), seq), nil},
-		{bucketTenants, join(encodeName(r.Tenant), seq), nil},
-		{bucketClasses, join(encodeName(r.Class), seq), nil},
-		{bucketReasons, join(encodeName(r.Reason), seq), nil},
-		{bucketStates, join(encodeName(string(r.State)), seq), encodeInt(r.Destination)},
+		{bucketTimes, joinKey(encodeUint(uint64(r.HeldAt.UnixMicro())), seq), nil},
+		{bucketDestinations, joinKey(encodeInt(r.Destination), seq), nil},
+		{bucketTenants, joinKey(encodeName(r.Tenant), seq), nil},
+		{bucketClasses, joinKey(encodeName(r.Class), seq), nil},
+		{bucketReasons, joinKey(encodeName(r.Reason), seq), nil},
+		{bucketStates, joinKey(encodeName(string(r.State)), seq), encodeInt(r.Destination)},
 	}
-	at := func(t time.Time) []byte { return join(encodeUint(uint64(max(0, t.UnixMicro()))), seq) }
+	timeKey := func(t time.Time) []byte { return joinKey(encodeUint(uint64(max(0, t.UnixMicro()))), seq) }
 	switch {
 	case r.State.Ended():
-		list = append(list, indexEntry{bucketEnded, at(r.EndedAt), nil})
+		list = append(list, indexEntry{bucketEnded, timeKey(r.EndedAt), nil})
 	case r.State == Ordered && r.Ready:
-		list = append(list, indexEntry{bucketReady, join(encodeInt(r.Destination), encodeName(r.Tenant), seq), nil})
+		list = append(list, indexEntry{bucketReady, joinKey(encodeInt(r.Destination), encodeName(r.Tenant), seq), nil})
 	case r.State == Ordered:
-		list = append(list, indexEntry{bucketDue, at(r.NotBefore), nil})
+		list = append(list, indexEntry{bucketDue, timeKey(r.NotBefore), nil})
 	case r.State == Held && !r.ReviewAt.IsZero():
-		list = append(list, indexEntry{bucketDue, at(r.ReviewAt), nil})
+		list = append(list, indexEntry{bucketDue, timeKey(r.ReviewAt), nil})
 	}
 	if r.Key != "" && (r.State == Held || r.State == Ordered) {
-		list = append(list, indexEntry{bucketKeys, join(encodeName(r.Class), encodeName(r.Key), seq), nil})
+		list = append(list, indexEntry{bucketKeys, joinKey(encodeName(r.Class), encodeName(r.Key), seq), nil})
 	}
 	return list
 }
 
 // countKey adds by to the count of a record's key, if the record is held or ordered.
-func (t *Tx) countKey(r *Record, by int32) {
+func (t *Tx) countKey(r *Record, delta int32) {
 	if r.Key != "" && (r.State == Held || r.State == Ordered) {
-		t.keyCounts[keyHash(r.Class, r.Key)] += by
+		t.keyCounts[keyHash(r.Class, r.Key)] += delta
 	}
 }
 
-// byKey returns the held and ordered records with a key.
-func (t *Tx) byKey(class, key string) (seqs []uint64) {
-	prefix := join(encodeName(class), encodeName(key))
+// sequencesByKey returns the held and ordered records with a key.
+func (t *Tx) sequencesByKey(class, key string) (seqs []uint64) {
+	prefix := joinKey(encodeName(class), encodeName(key))
 	c := t.Bucket(bucketKeys).Cursor()
 	for k, _ := c.Seek(prefix); bytes.HasPrefix(k, prefix) && len(k) == len(prefix)+8; k, _ = c.Next() {
 		seqs = append(seqs, binary.BigEndian.Uint64(k[len(prefix):]))
--- a/internal/deadletter/items.go
+++ b/internal/deadletter/items.go
@@ -26,22 +26,22 @@
 	admitted bool // by the event loop
 }
 
-// journalState is the state of the write-ahead log at the start: ids of dead letters that it still has, and records
+// walState is the state of the write-ahead log at the start: ids of dead letters that it still has, and records
 // in redelivery.
-type journalState struct {
-	owed     []string
-	inFlight []uint64
+type walState struct {
+	pendingReports []string
+	inFlight       []uint64
 }
 
-func (x journalState) write(q *Queue, t *Tx, b *writtenBatch) error {
-	q.journalKnown = true
+func (x walState) write(q *Queue, t *Tx, b *writtenBatch) error {
+	q.walStateKnown = true
 	return q.reconcile(t, x, b.now)
 }
 
-// forgotten are ids that the write-ahead log has forgotten.
-type forgotten struct{ ids []string }
+// forgottenIDs are ids of messages that the write-ahead log has forgotten.
+type forgottenIDs struct{ ids []string }
 
-func (x forgotten) write(_ *Queue, t *Tx, _ *writtenBatch) error {
+func (x forgottenIDs) write(_ *Queue, t *Tx, _ *writtenBatch) error {
 	for _, id := range x.ids {
 		if err := t.clearReportPending(id); err != nil {
 			return err
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// newLetter is a dead letter, or the end of a redelivery.
-type newLetter state.DeadLetter
+// deadLetterItem is a dead letter, or the end of a redelivery.
+type deadLetterItem state.DeadLetter
 
-func (x newLetter) write(q *Queue, t *Tx, b *writtenBatch) error {
+func (x deadLetterItem) write(q *Queue, t *Tx, b *writtenBatch) error {
 	letter := state.DeadLetter(x)
 	if !letter.NotAdmitted {
 		b.stored = append(b.stored, letter.Number)
@@ -67,16 +67,16 @@
 
 // toQueueTime converts a time of the event loop to the queue's clock. Unix time 0 and the zero time mean an unknown
 // time.
-func (q *Queue) toQueueTime(when, now time.Time) time.Time {
-	if when.IsZero() || when.Unix() == 0 {
+func (q *Queue) toQueueTime(eventTime, now time.Time) time.Time {
+	if eventTime.IsZero() || eventTime.Unix() == 0 {
 		return time.Time{}
 	}
-	return now.Add(-time.Since(when))
+	return now.Add(-time.Since(eventTime))
 }
 
-// history converts the attempts of a message, or of a redelivery by its number.
-func (q *Queue) history(attempts []state.AttemptRecord, redelivery int, now time.Time) []Attempt {
-	list := attemptsOf(attempts, redelivery)
+// attemptHistory converts the attempts of a message, or of a redelivery by its number.
+func (q *Queue) attemptHistory(attempts []state.AttemptRecord, redelivery int, now time.Time) []Attempt {
+	list := convertAttempts(attempts, redelivery)
 	for i := range list {
 		list[i].At = q.toQueueTime(list[i].At, now)
 	}
@@ -84,23 +84,24 @@
 }
 
 // addRecord adds a dead letter that is new to the store.
-func (q *Queue) addRecord(t *Tx, p *state.DeadLetter, now time.Time) error {
-	m, words := p.Message, q.platform.Load()
+func (q *Queue) addRecord(t *Tx, letter *state.DeadLetter, now time.Time) error {
+	message, platform := letter.Message, q.platform.Load()
 	r := Record{
-		State: Held, ID: m.ID, Key: m.Key, Class: nameAt(words.Classes, m.Class), Tenant: nameAt(words.Tenants, m.Tenant),
-		Destination: m.Destination, Size: len(m.Body), Reason: p.Reason, Deferred: p.Deferred, Deadline: m.Deadline.Round(0),
-		HeldAt: now, AttemptCount: p.AttemptCount,
+		State: Held, ID: message.ID, Key: message.Key, Class: nameAt(platform.Classes, message.Class),
+		Tenant: nameAt(platform.Tenants, message.Tenant), Destination: message.Destination, Size: len(message.Body),
+		Reason: letter.Reason, Deferred: letter.Deferred, Deadline: message.Deadline.Round(0),
+		HeldAt: now, AttemptCount: letter.AttemptCount,
 	}
-	r.addAttempts(q.history(p.Attempts, 0, now))
+	r.addAttempts(q.attemptHistory(letter.Attempts, 0, now))
 	q.mu.Lock()
 	hasRules := q.settings.Rules()
 	q.mu.Unlock()
 	if hasRules {
 		r.ReviewAt = now
 	}
-	added, err := t.Add(&r, m.Body)
+	added, err := t.Add(&r, message.Body)
 	if err == nil && added {
-		err = t.markReportPending(m.ID)
+		err = t.markReportPending(message.ID)
 	}
 	return err
 }
@@ -108,7 +109,7 @@
 // endRedelivery records the end of a redelivery. A second report of it changes nothing.
 func (q *Queue) endRedelivery(t *Tx, letter *state.DeadLetter, now time.Time) error {
 	err := t.change(letter.Seq, func(r *Record) error {
-		if r.State != Out || r.ID != letter.Message.ID {
+		if r.State != InFlight || r.ID != letter.Message.ID {
 			return errUnchanged
 		}
 		if letter.NotAdmitted { // the controller never had it
@@ -117,14 +118,14 @@
 			return nil
 		}
 		r.AttemptCount = max(r.AttemptCount, letter.AttemptCount)
-		r.addAttempts(q.history(letter.Attempts, r.Redeliveries, now))
+		r.addAttempts(q.attemptHistory(letter.Attempts, r.Redeliveries, now))
 		switch {
 		case letter.Delivered:
 			r.addEvent(now, "delivered", "sender")
 			r.end(now, Delivered)
 		case letter.Final:
 			r.addEvent(now, "the partner's side says that it is over", "sender")
-			r.end(now, Over)
+			r.end(now, Closed)
 		default:
 			r.Reason = letter.Reason
 			q.redeliveryFailed(r, now)
@@ -165,19 +166,19 @@
 
 // reconcile brings the store in line with the write-ahead log at the start. Dead letters that the log still has may
 // be reported again.
-func (q *Queue) reconcile(t *Tx, journal journalState, now time.Time) error {
-	owed := map[string]bool{}
-	for _, id := range journal.owed {
-		owed[id] = true
+func (q *Queue) reconcile(t *Tx, wal walState, now time.Time) error {
+	pending := map[string]bool{}
+	for _, id := range wal.pendingReports {
+		pending[id] = true
 	}
-	if err := t.reconcileReports(owed); err != nil {
+	if err := t.reconcileReports(pending); err != nil {
 		return err
 	}
 	inFlight := map[uint64]bool{}
-	for _, sequence := range journal.inFlight {
+	for _, sequence := range wal.inFlight {
 		inFlight[sequence] = true
 	}
-	list, _, err := t.List(Filter{State: Out}, 0, maxScanned)
+	list, _, err := t.List(Filter{State: InFlight}, 0, maxScanned)
 	if err != nil {
 		return err
 	}
@@ -185,7 +186,8 @@
 		if inFlight[r.Sequence] {
 			continue
 		}
-		if err := t.change(r.Sequence, func(r *Record) error { q.lostRedelivery(r, now); return nil }); err != nil {
+		err := t.change(r.Sequence, func(r *Record) error { q.recordInterruptedRedelivery(r, now); return nil })
+		if err != nil {
 			return err
 		}
 	}
@@ -194,12 +196,12 @@
 
 // reconcileReports sets which delivery reports are pending: of the ids that the write-ahead log has, those with a
 // record.
-func (t *Tx) reconcileReports(owed map[string]bool) error {
+func (t *Tx) reconcileReports(pending map[string]bool) error {
 	var acknowledged []string
-	c := t.Bucket(bucketOwed).Cursor()
+	c := t.Bucket(bucketPendingReports).Cursor()
 	for id, _ := c.First(); id != nil; id, _ = c.Next() {
-		if !owed[nameOf(id)] {
-			acknowledged = append(acknowledged, nameOf(id))
+		if !pending[decodeName(id)] {
+			acknowledged = append(acknowledged, decodeName(id))
 		}
 	}
 	for _, id := range acknowledged {
@@ -207,8 +209,8 @@
 			return err
 		}
 	}
-	for id := range owed {
-		if _, known := t.byID(id); known {
+	for id := range pending {
+		if _, known := t.sequenceByID(id); known {
 			if err := t.markReportPending(id); err != nil {
 				return err
 			}
@@ -217,9 +219,9 @@
 	return nil
 }
 
-// lostRedelivery takes back a record that was being redelivered when the sender ended. It was written down before it
-// left, so that an attempt counts.
-func (q *Queue) lostRedelivery(r *Record, now time.Time) {
+// recordInterruptedRedelivery ends a redelivery that was in flight when the sender stopped. The record was marked as in
+// flight before the message was sent, so an attempt is added that may have run.
+func (q *Queue) recordInterruptedRedelivery(r *Record, now time.Time) {
 	at := r.HeldAt
 	if n := len(r.Events); n > 0 {
 		at = r.Events[n-1].At
--- a/internal/deadletter/platform.go
+++ b/internal/deadletter/platform.go
@@ -27,11 +27,11 @@
 }
 
 // classNumber returns the number of a class; of one that is no longer in the settings the last that it had.
-func (v *platformSettings) classNumber(class string) int {
-	if n, known := v.numbers[class]; known {
+func (p *platformSettings) classNumber(class string) int {
+	if n, known := p.numbers[class]; known {
 		return n
 	}
-	for n, name := range slices.Backward(v.Classes) {
+	for n, name := range slices.Backward(p.Classes) {
 		if name == class {
 			return n
 		}
@@ -40,8 +40,8 @@
 }
 
 // ClassesChanged takes new classes: the names of all since the start by number, the current numbers, and the settings.
-func (q *Queue) ClassesChanged(names []string, now map[string]int, set control.Settings) {
-	q.setPlatform(names, now, set)
+func (q *Queue) ClassesChanged(names []string, numbers map[string]int, platform control.Settings) {
+	q.setPlatform(names, numbers, platform)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.planner.SetLimits(q.limits())
@@ -51,39 +51,40 @@
 func (q *Queue) TenantsChanged(names []string) {
 	for {
 		old := q.platform.Load()
-		v := *old
-		v.Tenants = names
-		if q.platform.CompareAndSwap(old, &v) { // the event loop may change the classes meanwhile
+		updated := *old
+		updated.Tenants = names
+		if q.platform.CompareAndSwap(old, &updated) { // the event loop may change the classes meanwhile
 			return
 		}
 	}
 }
 
 // setPlatform replaces the classes and settings, and leaves the tenants.
-func (q *Queue) setPlatform(names []string, now map[string]int, set control.Settings) {
+func (q *Queue) setPlatform(names []string, numbers map[string]int, platform control.Settings) {
 	old := q.platform.Load()
-	v := &platformSettings{
-		Names: Names{Classes: names, Tenants: old.Tenants}, numbers: now, control: set,
-		rules: ClassRules{Classes: map[string]control.Class{}, MaxAttempts: set.MaxAttempts},
+	updated := &platformSettings{
+		Names: Names{Classes: names, Tenants: old.Tenants}, numbers: numbers, control: platform,
+		rules: ClassRules{Classes: map[string]control.Class{}, MaxAttempts: platform.MaxAttempts},
 	}
 	for i, name := range names {
-		if n, known := now[name]; known {
+		if n, known := numbers[name]; known {
 			i = n
 		}
-		if i < len(set.Classes) { // a former class keeps its rules for its records
-			v.rules.Classes[name] = set.Classes[i]
+		if i < len(platform.Classes) { // a former class keeps its rules for its records
+			updated.rules.Classes[name] = platform.Classes[i]
 		}
 	}
-	if !q.platform.CompareAndSwap(old, v) { // the tenants have changed meanwhile
-		q.setPlatform(names, now, set)
+	if !q.platform.CompareAndSwap(old, updated) { // the tenants have changed meanwhile
+		q.setPlatform(names, numbers, platform)
 	}
 }
 
 // limits returns the limits of redelivery by the current settings.
 func (q *Queue) limits() redelivery.Limits {
-	plat := &q.platform.Load().control
+	platform := &q.platform.Load().control
 	return redelivery.Limits{
-		FleetSize: plat.FleetSize, ColdCapacity: plat.ColdCapacity, WarmUp: plat.WarmUp, OverloadFactor: plat.OverloadFactor,
-		OverloadWindow: plat.OverloadWindow, CapacityShare: q.settings.Resend.Share, MaxInFlight: q.settings.Resend.MaxOut,
+		FleetSize: platform.FleetSize, ColdCapacity: platform.ColdCapacity, WarmUp: platform.WarmUp,
+		OverloadFactor: platform.OverloadFactor, OverloadWindow: platform.OverloadWindow,
+		CapacityShare: q.settings.Resend.Share, MaxInFlight: q.settings.Resend.MaxOut,
 	}
 }
--- a/internal/deadletter/query.go
+++ b/internal/deadletter/query.go
@@ -38,7 +38,7 @@
 func (f *Filter) index() (bucket, prefix []byte) {
 	switch {
 	case f.Destination != nil:
-		return bucketDests, encodeInt(*f.Destination)
+		return bucketDestinations, encodeInt(*f.Destination)
 	case f.State != "":
 		return bucketStates, encodeName(string(f.State))
 	case f.Tenant != "":
@@ -58,13 +58,13 @@
 // A page that is short, or empty, may still not be the last, since the records read for it are bounded.
 func (t *Tx) List(f Filter, after uint64, limit int) (list []Record, next uint64, err error) {
 	if after == 0 && !f.Since.IsZero() {
-		after = t.firstSince(f.Since)
+		after = t.positionBefore(f.Since)
 	}
 	bucket, prefix := f.index()
 	c := t.Bucket(bucket).Cursor()
 	scanned := 0
 	isEntry := func(k []byte) bool { return bytes.HasPrefix(k, prefix) && len(k) == len(prefix)+8 }
-	for k, _ := c.Seek(join(prefix, encodeUint(after+1))); isEntry(k); k, _ = c.Next() {
+	for k, _ := c.Seek(joinKey(prefix, encodeUint(after+1))); isEntry(k); k, _ = c.Next() {
 		seq := binary.BigEndian.Uint64(k[len(prefix):])
 		if len(list) >= limit || scanned >= maxScanned {
 			return list, after, nil
@@ -87,8 +87,8 @@
 	return list, 0, nil
 }
 
-// firstSince returns the position before the first record held since a time.
-func (t *Tx) firstSince(since time.Time) uint64 {
+// positionBefore returns the position before the first record held since a time.
+func (t *Tx) positionBefore(since time.Time) uint64 {
 	k, _ := t.Bucket(bucketTimes).Cursor().Seek(encodeUint(uint64(max(0, since.UnixMicro()))))
 	if len(k) != 16 {
 		return t.Bucket(bucketRecords).Sequence()
@@ -126,15 +126,15 @@
 	s := Stats{
 		Records: int(t.counter(metaCount)), Bytes: int64(t.counter(metaBytes)), File: t.Size(),
 		Evicted: t.counter(metaEvicted), Aged: t.counter(metaAged),
-		States: t.groups(bucketStates, nameOf), Reasons: t.groups(bucketReasons, nameOf),
-		Classes: t.groups(bucketClasses, nameOf),
-		Tenants: t.groups(bucketTenants, nameOf), Dests: t.groups(bucketDests, numberOf),
+		States: t.groups(bucketStates, decodeName), Reasons: t.groups(bucketReasons, decodeName),
+		Classes: t.groups(bucketClasses, decodeName),
+		Tenants: t.groups(bucketTenants, decodeName), Dests: t.groups(bucketDestinations, decodeNumber),
 	}
-	c := t.Bucket(bucketOwed).Cursor()
+	c := t.Bucket(bucketPendingReports).Cursor()
 	for k, _ := c.First(); k != nil; k, _ = c.Next() {
 		s.Owed++
 	}
-	for _, state := range []State{Held, Ordered, Out} {
+	for _, state := range []State{Held, Ordered, InFlight} {
 		list, _, err := t.List(Filter{State: state}, 0, 1)
 		if err != nil {
 			return s, err
@@ -146,11 +146,11 @@
 	return s, nil
 }
 
-// nameOf decodes a name in a key.
-func nameOf(k []byte) string { return strings.TrimSuffix(string(k), "\x00") }
+// decodeName decodes a name in a key.
+func decodeName(k []byte) string { return strings.TrimSuffix(string(k), "\x00") }
 
-// numberOf decodes a number in a key, as text.
-func numberOf(k []byte) string { return strconv.Itoa(decodeInt(k)) }
+// decodeNumber decodes a number in a key, as text.
+func decodeNumber(k []byte) string { return strconv.Itoa(decodeInt(k)) }
 
 // groups counts the keys of an index by the value before the sequence number, the largest groups first.
 func (t *Tx) groups(bucket []byte, decode func([]byte) string) []Group {
@@ -190,15 +190,15 @@
 	c := t.Bucket(bucketReady).Cursor()
 	for k, _ := c.Seek(prefix); bytes.HasPrefix(k, prefix) && len(k) > 16; {
 		tenant := k[8 : len(k)-8]
-		list = append(list, nameOf(tenant))
-		k, _ = c.Seek(join(prefix, tenant, encodeUint(1<<64-1), []byte{0}))
+		list = append(list, decodeName(tenant))
+		k, _ = c.Seek(joinKey(prefix, tenant, encodeUint(1<<64-1), []byte{0}))
 	}
 	return list
 }
 
-// readyFirst returns the first of a tenant's records that are ready for a destination.
-func (t *Tx) readyFirst(dest int, tenant string) (uint64, bool) {
-	prefix := join(encodeInt(dest), encodeName(tenant))
+// firstReady returns the first of a tenant's records that are ready for a destination.
+func (t *Tx) firstReady(dest int, tenant string) (uint64, bool) {
+	prefix := joinKey(encodeInt(dest), encodeName(tenant))
 	k, _ := t.Bucket(bucketReady).Cursor().Seek(prefix)
 	if !bytes.HasPrefix(k, prefix) || len(k) != len(prefix)+8 {
 		return 0, false
@@ -206,8 +206,8 @@
 	return binary.BigEndian.Uint64(k[len(prefix):]), true
 }
 
-// due returns up to limit records that are due for review, and the time at which the next one will be.
-func (t *Tx) due(now time.Time, limit int) (seqs []uint64, next time.Time) {
+// dueRecords returns up to limit records that are dueRecords for review, and the time at which the next one will be.
+func (t *Tx) dueRecords(now time.Time, limit int) (seqs []uint64, next time.Time) {
 	c := t.Bucket(bucketDue).Cursor()
 	for k, _ := c.First(); len(k) == 16; k, _ = c.Next() {
 		at := time.UnixMicro(int64(binary.BigEndian.Uint64(k)))
--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -14,8 +14,8 @@
 
 const (
 	maxBatch            = 256                    // items in one transaction
-	maxDue              = 64                     // records due in one transaction; each may cost the call of a rule
-	maxSweep            = 256                    // records scheduled for review by new rules, in one transaction
+	maxDueRecords       = 64                     // records due in one transaction; each may cost the call of a rule
+	maxSweepRecords     = 256                    // records scheduled for review by new rules, in one transaction
 	maintenanceInterval = 10 * time.Second       // the longest time between two checks of the bounds
 	minRetryDelay       = 100 * time.Millisecond // after a failure of the store, doubled up to...
 	maxRetryDelay       = 10 * time.Second       // ...this
@@ -43,49 +43,49 @@
 	log      *slog.Logger
 	platform atomic.Pointer[platformSettings] // the latest settings
 	loop     EventPoster
-	work     chan struct{}
+	wake     chan struct{}
 	changes  chan change
 
 	mu              sync.Mutex
 	settings        *settings.Settings
 	items           []item
-	newLetters      int // dead letters among the items that are new to the store
+	newDeadLetters  int // dead letters among the items that are new to the store
 	failing         bool
 	store           *Store // nil until it is open
 	planner         *redelivery.Planner
 	load            redelivery.Load
 	pendingClaims   map[[2]string]bool // by class and key: submitted while the store was not open
 	claimsLostUntil time.Time          // until then keys may have been submitted that are not in pendingClaims
-	logged          map[string]time.Time
+	lastWarned      map[string]time.Time
 
 	// Owned by the goroutine of Run.
 	clock         clock
 	granted       map[uint64]int // destinations of the records that this process is redelivering, by sequence
 	sweepPosition uint64         // after a change of rules: held records up to here are scheduled for review
 	sweeping      bool
-	journalKnown  bool // the state of the write-ahead log is known
+	walStateKnown bool // the state of the write-ahead log is known
 	maintainedAt  time.Time
 }
 
 // NewQueue returns a queue. Connect must be called next, then Run, which opens the store.
-func NewQueue(s Config) *Queue {
+func NewQueue(config Config) *Queue {
 	q := &Queue{
-		log: s.Log, settings: s.Settings, clock: newClock(),
-		work: make(chan struct{}, 1), changes: make(chan change, maxPendingChanges),
-		pendingClaims: map[[2]string]bool{}, logged: map[string]time.Time{}, granted: map[uint64]int{},
+		log: config.Log, settings: config.Settings, clock: newClock(),
+		wake: make(chan struct{}, 1), changes: make(chan change, maxPendingChanges),
+		pendingClaims: map[[2]string]bool{}, lastWarned: map[string]time.Time{}, granted: map[uint64]int{},
 	}
-	now := map[string]int{}
-	for i, name := range s.Names.Classes {
-		now[name] = i
+	numbers := map[string]int{}
+	for i, name := range config.Names.Classes {
+		numbers[name] = i
 	}
-	q.platform.Store(&platformSettings{Names: Names{Tenants: s.Names.Tenants}})
-	q.setPlatform(s.Names.Classes, now, s.Platform)
-	q.planner = redelivery.New(q.limits(), s.Platform.Seed)
+	q.platform.Store(&platformSettings{Names: Names{Tenants: config.Names.Tenants}})
+	q.setPlatform(config.Names.Classes, numbers, config.Platform)
+	q.planner = redelivery.New(q.limits(), config.Platform.Seed)
 	return q
 }
 
 // Connect sets the event loop. It must be called before Run.
-func (q *Queue) Connect(p EventPoster) { q.loop = p }
+func (q *Queue) Connect(loop EventPoster) { q.loop = loop }
 
 // UpdateSettings changes bounds, rates and rules. The folder stays.
 func (q *Queue) UpdateSettings(s *settings.Settings) {
@@ -104,7 +104,7 @@
 // signal wakes the writer.
 func (q *Queue) signal() {
 	select {
-	case q.work <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
@@ -114,7 +114,7 @@
 	q.mu.Lock()
 	q.items = append(q.items, x)
 	if isNew(x) {
-		q.newLetters++
+		q.newDeadLetters++
 	}
 	q.mu.Unlock()
 	q.signal()
@@ -122,7 +122,7 @@
 
 // isNew reports whether an item is a dead letter that is new to the store.
 func isNew(x item) bool {
-	letter, ok := x.(newLetter)
+	letter, ok := x.(deadLetterItem)
 	return ok && letter.Seq == 0
 }
 
@@ -130,24 +130,26 @@
 
 // Begin takes the state of the write-ahead log at the start: the ids of messages owed to the queue, and the records
 // in redelivery.
-func (q *Queue) Begin(owed []string, out []uint64) { q.push(journalState{owed, out}) }
+func (q *Queue) Begin(pendingReports []string, inFlight []uint64) {
+	q.push(walState{pendingReports, inFlight})
+}
 
 // Add takes a dead letter, or the end of a redelivery.
-func (q *Queue) Add(p state.DeadLetter) { q.push(newLetter(p)) }
+func (q *Queue) Add(letter state.DeadLetter) { q.push(deadLetterItem(letter)) }
 
 // Forget takes ids that the write-ahead log has forgotten.
-func (q *Queue) Forget(ids []string) { q.push(forgotten{ids}) }
+func (q *Queue) Forget(ids []string) { q.push(forgottenIDs{ids}) }
 
 // CallEnded learns from the end of a call.
-func (q *Queue) CallEnded(dest int, r control.Result, wait time.Duration, again bool) {
+func (q *Queue) CallEnded(dest int, result control.Result, retryAfter time.Duration, isRedelivery bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.planner.CallEnded(q.since(), dest, partnerResult(r), wait, again)
+	q.planner.CallEnded(q.plannerTime(), dest, partnerResult(result), retryAfter, isRedelivery)
 }
 
 // partnerResult converts the result of a call to what it says of the partner.
-func partnerResult(r control.Result) redelivery.Result {
-	switch r {
+func partnerResult(result control.Result) redelivery.Result {
+	switch result {
 	case control.Served, control.Unprocessable: // the partner was there
 		return redelivery.Served
 	case control.Rejected, control.ConnectionRejected:
@@ -159,84 +161,85 @@
 }
 
 // CapacityChanged takes the capacity of destinations.
-func (q *Queue) CapacityChanged(all map[int]state.DestinationCapacity) {
+func (q *Queue) CapacityChanged(capacities map[int]state.DestinationCapacity) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for dest, x := range all {
-		q.planner.CapacityChanged(q.since(), dest, x.Weight, x.Ready > 0)
+	for dest, capacity := range capacities {
+		q.planner.CapacityChanged(q.plannerTime(), dest, capacity.Weight, capacity.Ready > 0)
 	}
 }
 
 // LoadChanged takes the load of the event loop.
-func (q *Queue) LoadChanged(l state.LoopLoad) {
+func (q *Queue) LoadChanged(load state.LoopLoad) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.load = redelivery.Load(l)
+	q.load = redelivery.Load(load)
 }
 
-// since returns the time of the planner.
-func (q *Queue) since() time.Duration { return time.Since(q.clock.start) }
+// plannerTime returns the time of the planner.
+func (q *Queue) plannerTime() time.Duration { return time.Since(q.clock.start) }
 
 // Accepts asks the rule hold whether a message becomes a dead letter. While the store fails or too many dead letters
 // wait, none does.
 func (q *Queue) Accepts(letter *state.DeadLetter) bool {
 	q.mu.Lock()
-	full := q.failing || q.newLetters >= q.settings.Held.Queue
-	set, words := q.settings, q.platform.Load()
+	full := q.failing || q.newDeadLetters >= q.settings.Held.Queue
+	current, platform := q.settings, q.platform.Load()
 	partner := q.partner(letter.Message.Destination)
 	q.mu.Unlock()
 	if full {
-		q.warnOnce("dead letter not accepted: the store fails or its queue is full")
+		q.warnRateLimited("dead letter not accepted: the store fails or its queue is full")
 		return false
 	}
 	mayHaveRun := false
-	for _, t := range letter.Attempts {
-		mayHaveRun = mayHaveRun || t.Open || t.Result.MayHaveRun()
+	for _, attempt := range letter.Attempts {
+		mayHaveRun = mayHaveRun || attempt.Open || attempt.Result.MayHaveRun()
 	}
-	hold, err := set.Hold(settings.Record{
-		ID: letter.Message.ID, Key: letter.Message.Key, Class: nameAt(words.Classes, letter.Message.Class),
-		Tenant:      nameAt(words.Tenants, letter.Message.Tenant),
+	hold, err := current.Hold(settings.Record{
+		ID: letter.Message.ID, Key: letter.Message.Key, Class: nameAt(platform.Classes, letter.Message.Class),
+		Tenant:      nameAt(platform.Tenants, letter.Message.Tenant),
 		Destination: letter.Message.Destination, Size: len(letter.Message.Body), Reason: letter.Reason,
 		MayHaveRun: mayHaveRun, Deferred: letter.Deferred,
 		Attempts: letter.AttemptCount, TimeLeft: max(0, letter.Message.Deadline.Sub(letter.At)),
 	}, partner)
 	if err != nil {
-		q.warnOnce("rule hold failed", "err", err.Error())
+		q.warnRateLimited("rule hold failed", "err", err.Error())
 	}
 	return hold
 }
 
 // partner returns a destination as rules see it. The mutex must be held.
-func (q *Queue) partner(dest int) settings.Partner {
-	v := q.planner.View(q.since(), dest)
-	p := settings.Partner{InFlight: v.InFlight, Failing: v.Failing, Served: v.Served, RetryAfter: v.RetryAfter}
-	if v.Known {
+func (q *Queue) partner(destination int) settings.Partner {
+	status := q.planner.Status(q.plannerTime(), destination)
+	p := settings.Partner{InFlight: status.InFlight, Failing: status.FailingFor, Served: status.SinceServed,
+		RetryAfter: status.RetryAfter}
+	if status.HasResult {
 		p.Last = map[redelivery.Result]string{redelivery.Served: "served", redelivery.Rejected: "refused",
-			redelivery.Failed: "failed"}[v.Last]
+			redelivery.Failed: "failed"}[status.LastResult]
 	}
 	if q.store != nil {
-		p.Held = q.store.Count(dest)
+		p.Held = q.store.Count(destination)
 	}
 	return p
 }
 
-// warnOnce logs a warning unless the same one was logged lately.
-func (q *Queue) warnOnce(text string, args ...any) {
-	id := text
+// warnRateLimited logs a warning unless the same one was logged lately.
+func (q *Queue) warnRateLimited(text string, args ...any) {
+	key := text
 	for _, a := range args {
 		if s, ok := a.(string); ok {
-			id += s
+			key += s
 		}
 	}
 	now := time.Now()
 	q.mu.Lock()
-	last, known := q.logged[id]
+	last, known := q.lastWarned[key]
 	due := !known || now.Sub(last) >= logInterval
-	if len(q.logged) > 256 {
-		clear(q.logged)
+	if len(q.lastWarned) > 256 {
+		clear(q.lastWarned)
 	}
 	if due {
-		q.logged[id] = now
+		q.lastWarned[key] = now
 	}
 	q.mu.Unlock()
 	if due {
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -18,15 +18,15 @@
 const (
 	Held       State = "held"       // until an operator or a rule decides
 	Ordered    State = "ordered"    // to be redelivered, up to a time
-	Out        State = "out"        // in redelivery; counts as sent
+	InFlight   State = "out"        // in redelivery; counts as sent
 	Delivered  State = "delivered"  // by a redelivery
 	Dropped    State = "dropped"    // by an operator or a rule
 	Superseded State = "superseded" // its client submitted the key anew
-	Over       State = "over"       // the partner said that nothing more is owed
+	Closed     State = "over"       // the partner said that nothing more is owed
 )
 
 // Ended reports whether the record has ended.
-func (s State) Ended() bool { return s != Held && s != Ordered && s != Out }
+func (s State) Ended() bool { return s != Held && s != Ordered && s != InFlight }
 
 // Attempt is one attempt in the history of a record.
 type Attempt struct {
@@ -81,8 +81,8 @@
 )
 
 // addEvent adds an event. Only the latest ones are kept.
-func (r *Record) addEvent(now time.Time, what, by string) {
-	r.Events = append(r.Events, Event{now, what, by})
+func (r *Record) addEvent(now time.Time, kind, by string) {
+	r.Events = append(r.Events, Event{now, kind, by})
 	if n := len(r.Events) - maxEvents; n > 0 {
 		r.Events = append([]Event(nil), r.Events[n:]...)
 	}
@@ -120,8 +120,8 @@
 }
 
 // end ends a record.
-func (r *Record) end(now time.Time, s State) {
-	r.State, r.EndedAt, r.BodyMissing, r.Ready = s, now, true, false
+func (r *Record) end(now time.Time, state State) {
+	r.State, r.EndedAt, r.BodyMissing, r.Ready = state, now, true, false
 	r.Until, r.NotBefore, r.ReviewAt = time.Time{}, time.Time{}, time.Time{}
 }
 
@@ -131,8 +131,8 @@
 }
 
 // unschedule makes a record held, with the time of its next review; zero: none.
-func (r *Record) unschedule(askAt time.Time) {
-	r.State, r.Ready, r.ReviewAt = Held, false, askAt
+func (r *Record) unschedule(reviewAt time.Time) {
+	r.State, r.Ready, r.ReviewAt = Held, false, reviewAt
 	r.Until, r.NotBefore = time.Time{}, time.Time{}
 }
 
@@ -144,16 +144,16 @@
 	control.ConnectionRejected: "no-room",
 }
 
-// attemptsOf converts attempts of the event loop.
-func attemptsOf(tries []state.AttemptRecord, resend int) []Attempt {
-	list := make([]Attempt, 0, len(tries))
-	for _, t := range tries {
-		a := Attempt{Target: t.Target, Zone: t.Zone, At: t.At, Result: resultNames[t.Result],
-			MayHaveRun: t.Result.MayHaveRun(), Redelivery: resend}
-		if t.Open {
+// convertAttempts converts attempts of the event loop.
+func convertAttempts(attempts []state.AttemptRecord, redelivery int) []Attempt {
+	list := make([]Attempt, 0, len(attempts))
+	for _, attempt := range attempts {
+		a := Attempt{Target: attempt.Target, Zone: attempt.Zone, At: attempt.At, Result: resultNames[attempt.Result],
+			MayHaveRun: attempt.Result.MayHaveRun(), Redelivery: redelivery}
+		if attempt.Open {
 			a.Result, a.MayHaveRun = resultNames[control.Unknown], true
 		}
-		if t.At.Unix() == 0 {
+		if attempt.At.Unix() == 0 {
 			a.At = time.Time{}
 		}
 		list = append(list, a)
--- a/internal/deadletter/recover.go
+++ b/internal/deadletter/recover.go
@@ -46,50 +46,50 @@
 	}
 	page := int64(os.Getpagesize())
 	for i := range int64(2) {
-		const head, size = 16, 64 // bytes of a page's head, and of the meta behind it
-		buf := make([]byte, head+size)
+		const headerSize, metaSize = 16, 64 // bytes of a page's head, and of the meta behind it
+		buf := make([]byte, headerSize+metaSize)
 		if _, err := f.ReadAt(buf, i*page); err != nil {
 			return fmt.Errorf("%w: meta page %d: %w", ErrDamaged, i, err)
 		}
-		meta := buf[head:]
+		meta := buf[headerSize:]
 		if p := int64(binary.NativeEndian.Uint32(meta[8:])); i == 0 && p >= 512 && p <= 1<<16 {
 			page = p // a file from a machine with other pages
 		}
 		sum := fnv.New64a()
-		sum.Write(meta[:size-8])
-		if binary.NativeEndian.Uint64(meta[size-8:]) != sum.Sum64() {
+		sum.Write(meta[:metaSize-8])
+		if binary.NativeEndian.Uint64(meta[metaSize-8:]) != sum.Sum64() {
 			return fmt.Errorf("%w: meta page %d", ErrDamaged, i)
 		}
 	}
 	return nil
 }
 
-// fileRange is the place of a frame in the raw file.
-type fileRange struct {
+// frameLocation is the place of a frame in the raw file.
+type frameLocation struct {
 	revision uint64
 	offset   int64
 	size     int
 }
 
-// recovered is what was found in a damaged file.
-type recovered struct {
+// recoveredData is what was found in a damaged file.
+type recoveredData struct {
 	treeRevisions map[uint64]uint64 // by sequence: the revisions of the records that the tree leads to
 	treeIntact    bool              // the whole tree was read
-	records       map[uint64]fileRange
-	bodies        map[uint64]fileRange
+	records       map[uint64]frameLocation
+	bodies        map[uint64]frameLocation
 	auditEntries  [][]byte
 }
 
 // recoverStore creates a new store from what can be read of a damaged one, and renames the damaged file. A crash at
 // any point leaves one of the two complete.
 func recoverStore(path string, cause error, log *slog.Logger) (*Store, error) {
-	fresh := path + newSuffix
+	newPath := path + newSuffix
 	log.Error("dead-letter store damaged, recovering what can be read", "file", path, "err", cause)
 	found, err := readDamaged(path)
 	if err != nil {
 		return nil, err
 	}
-	s, err := open(fresh, false)
+	s, err := open(newPath, false)
 	if err != nil {
 		return nil, err
 	}
@@ -102,18 +102,18 @@
 		err = err2
 	}
 	if err != nil {
-		os.Remove(fresh)
+		os.Remove(newPath)
 		return nil, fmt.Errorf("held: recovery: %w", err)
 	}
 	damagedPath := fmt.Sprintf("%s%s%d", path, damagedSuffix, time.Now().UnixMilli())
 	if err := os.Rename(path, damagedPath); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
-	if err := os.Rename(fresh, path); err != nil {
+	if err := os.Rename(newPath, path); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
 	log.Error("damaged dead-letter store replaced", "file", damagedPath, "records", result.intact,
-		"history_incomplete", result.uncertain, "bodies_lost", result.bodiesLost, "audit_entries", len(found.auditEntries))
+		"history_incomplete", result.incomplete, "bodies_lost", result.bodiesLost, "audit_entries", len(found.auditEntries))
 	removeOldDamagedFiles(path, log)
 	return open(path, false)
 }
@@ -121,15 +121,15 @@
 // finishRecovery completes a recovery that was interrupted. If the damaged file was renamed already, the new one is
 // complete; else it is removed.
 func finishRecovery(path string) error {
-	fresh := path + newSuffix
-	if _, err := os.Stat(fresh); errors.Is(err, os.ErrNotExist) {
+	newPath := path + newSuffix
+	if _, err := os.Stat(newPath); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
 	_, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
-		err = os.Rename(fresh, path)
+		err = os.Rename(newPath, path)
 	} else if err == nil {
-		err = os.Remove(fresh)
+		err = os.Remove(newPath)
 	}
 	if err != nil {
 		return fmt.Errorf("held: %w", err)
@@ -147,27 +147,29 @@
 }
 
 // readDamaged finds what a damaged file holds, by its tree and by a scan of the raw file.
-func readDamaged(path string) (*recovered, error) {
-	f := &recovered{treeRevisions: map[uint64]uint64{}, records: map[uint64]fileRange{}, bodies: map[uint64]fileRange{}}
+func readDamaged(path string) (*recoveredData, error) {
+	found := &recoveredData{
+		treeRevisions: map[uint64]uint64{}, records: map[uint64]frameLocation{}, bodies: map[uint64]frameLocation{},
+	}
 	err := recoverPanics(func() error {
 		db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout, ReadOnly: true})
 		if err != nil {
 			return err
 		}
 		defer db.Close()
-		return db.View(f.readTree)
+		return db.View(found.readTree)
 	})
-	f.treeIntact = err == nil
+	found.treeIntact = err == nil
 	raw, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
 	defer raw.Close()
-	return f, f.scanFrames(raw)
+	return found, found.scanFrames(raw)
 }
 
 // readTree reads the tree as far as it can be read.
-func (f *recovered) readTree(tx *bolt.Tx) error {
+func (d *recoveredData) readTree(tx *bolt.Tx) error {
 	records := tx.Bucket(bucketRecords)
 	if records == nil {
 		return ErrDamaged
@@ -175,7 +177,7 @@
 	damaged := false
 	err := records.ForEach(func(k, v []byte) error {
 		if p, intact := unframe(v); intact && p.kind == kindRecord && len(k) == 8 && p.seq == binary.BigEndian.Uint64(k) {
-			f.treeRevisions[p.seq] = p.rev
+			d.treeRevisions[p.seq] = p.revision
 		} else {
 			damaged = true
 		}
@@ -184,7 +186,7 @@
 	if audit := tx.Bucket(bucketAudit); audit != nil {
 		audit.ForEach(func(_, v []byte) error {
 			if json.Valid(v) {
-				f.auditEntries = append(f.auditEntries, bytes.Clone(v))
+				d.auditEntries = append(d.auditEntries, bytes.Clone(v))
 			}
 			return nil
 		})
@@ -196,7 +198,7 @@
 }
 
 // scanFrames finds frames in the raw file, in bounded memory. Of the frames of a record the highest revision counts.
-func (f *recovered) scanFrames(r io.ReaderAt) error {
+func (d *recoveredData) scanFrames(r io.ReaderAt) error {
 	const overlap = frameHeaderSize + maxPayload
 	buf := make([]byte, scanChunk+overlap)
 	for base := int64(0); ; base += scanChunk {
@@ -206,7 +208,7 @@
 		}
 		data := buf[:n]
 		for i := 0; i < min(n, scanChunk); {
-			j := bytes.Index(data[i:], frameMark)
+			j := bytes.Index(data[i:], frameMagic)
 			if j < 0 || i+j >= scanChunk {
 				break
 			}
@@ -216,12 +218,12 @@
 				i++
 				continue
 			}
-			to := f.records
+			locations := d.records
 			if p.kind == kindBody {
-				to = f.bodies
+				locations = d.bodies
 			}
-			if old, known := to[p.seq]; !known || p.rev >= old.revision {
-				to[p.seq] = fileRange{p.rev, base + int64(i), p.size}
+			if old, known := locations[p.seq]; !known || p.revision >= old.revision {
+				locations[p.seq] = frameLocation{p.revision, base + int64(i), p.size}
 			}
 			i += p.size
 		}
@@ -234,12 +236,12 @@
 // recoveryResult counts the records of a recovery.
 type recoveryResult struct {
 	intact     int // recovered as they were
-	uncertain  int // recovered with an incomplete history
+	incomplete int // recovered with an incomplete history
 	bodiesLost int
 }
 
 // fillFrom fills a new store with what was found in a damaged file.
-func (s *Store) fillFrom(path string, found *recovered) (recoveryResult, error) {
+func (s *Store) fillFrom(path string, found *recoveredData) (recoveryResult, error) {
 	var result recoveryResult
 	raw, err := os.Open(path)
 	if err != nil {
@@ -270,7 +272,7 @@
 }
 
 // recoverRecord restores a record from the raw file, if it can be read.
-func (t *Tx) recoverRecord(raw io.ReaderAt, found *recovered, sequence uint64, result *recoveryResult) error {
+func (t *Tx) recoverRecord(raw io.ReaderAt, found *recoveredData, sequence uint64, result *recoveryResult) error {
 	p, intact := readFrame(raw, found.records[sequence])
 	r, ok := decode(p)
 	if !intact || !ok {
@@ -279,7 +281,7 @@
 	if revision, inTree := found.treeRevisions[sequence]; inTree && revision == r.Revision {
 		result.intact++
 	} else {
-		result.uncertain++
+		result.incomplete++
 		r.HistoryIncomplete = true
 		if !r.State.Ended() {
 			r.unschedule(time.Time{})
@@ -299,10 +301,10 @@
 }
 
 // readFrame reads a frame that the scan found.
-func readFrame(raw io.ReaderAt, at fileRange) (framed, bool) {
-	buf := make([]byte, at.size)
-	if _, err := raw.ReadAt(buf, at.offset); err != nil {
-		return framed{}, false
+func readFrame(raw io.ReaderAt, location frameLocation) (decodedFrame, bool) {
+	buf := make([]byte, location.size)
+	if _, err := raw.ReadAt(buf, location.offset); err != nil {
+		return decodedFrame{}, false
 	}
 	return unframe(buf)
 }
--- a/internal/deadletter/redeliver.go
+++ b/internal/deadletter/redeliver.go
@@ -11,7 +11,7 @@
 // loop. It reports whether there was any grant.
 func (q *Queue) redeliverReady(s *Store, destinations []int, now time.Time) (bool, error) {
 	q.mu.Lock()
-	grants := q.planner.Grant(q.since(), destinations, q.load)
+	grants := q.planner.Grant(q.plannerTime(), destinations, q.load)
 	q.mu.Unlock()
 	if len(grants) == 0 {
 		return false, nil
@@ -21,7 +21,7 @@
 	err := s.Update(func(t *Tx) error {
 		taken, unused = taken[:0], unused[:0]
 		for _, dest := range grants {
-			e, err := q.takeNext(t, dest, now)
+			e, err := q.takeNextRecord(t, dest, now)
 			if err != nil {
 				return err
 			}
@@ -38,7 +38,7 @@
 	}
 	q.mu.Lock()
 	for _, dest := range unused {
-		q.planner.RedeliveryEnded(q.since(), dest, true)
+		q.planner.RedeliveryEnded(q.plannerTime(), dest, true)
 	}
 	for _, e := range taken {
 		q.granted[e.Seq] = e.Message.Destination
@@ -50,16 +50,17 @@
 	return true, err
 }
 
-// takeNext marks the next record for a destination as sent and returns it. It returns nil if that record may not go.
-func (q *Queue) takeNext(t *Tx, dest int, now time.Time) (*state.Redelivery, error) {
+// takeNextRecord marks the next record for a destination as in flight and returns its redelivery. It returns nil if
+// there is no record or it may not be redelivered now.
+func (q *Queue) takeNextRecord(t *Tx, dest int, now time.Time) (*state.Redelivery, error) {
 	tenants := t.readyTenants(dest)
 	if len(tenants) == 0 {
 		return nil, nil
 	}
 	q.mu.Lock()
-	tenant := q.planner.NextTenant(q.since(), dest, tenants)
+	tenant := q.planner.NextTenant(q.plannerTime(), dest, tenants)
 	q.mu.Unlock()
-	seq, found := t.readyFirst(dest, tenant)
+	seq, found := t.firstReady(dest, tenant)
 	if !found {
 		return nil, nil
 	}
@@ -87,7 +88,7 @@
 		if e.MayHaveRun, e.FirstRunZone = ran, zone; ran {
 			e.FirstRunAgo = now.Sub(at)
 		}
-		r.State, r.Ready = Out, false
+		r.State, r.Ready = InFlight, false
 		r.Redeliveries++
 		r.addEvent(now, "sent again", "sender")
 		taken = e
@@ -99,13 +100,13 @@
 // message returns a record as a message. Its time is short of its class's by the latency objective, so that it is
 // deferred from the start: in the controller's selection, fresh messages for the destination go first.
 func (q *Queue) message(r *Record, body []byte, now time.Time) *state.Message {
-	words := q.platform.Load()
-	class := words.rules.Classes[r.Class]
+	platform := q.platform.Load()
+	class := platform.rules.Classes[r.Class]
 	left := max(class.Deadline-class.LatencyObjective, class.Deadline/2)
 	m := &state.Message{
 		ID: r.ID, Key: r.Key, Destination: r.Destination, Resubmitted: true,
 		Deadline: time.Now().Add(min(left, r.Until.Sub(now))), Body: append([]byte(nil), body...),
-		Class: words.classNumber(r.Class), Tenant: max(0, slices.Index(words.Tenants, r.Tenant)),
+		Class: platform.classNumber(r.Class), Tenant: max(0, slices.Index(platform.Tenants, r.Tenant)),
 	}
 	return m
 }
--- a/internal/deadletter/review.go
+++ b/internal/deadletter/review.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return 0, err
 	}
-	busy, err := q.keepBounds(s, bounds, due.overBounds, now)
+	busy, err := q.enforceBounds(s, bounds, due.overBounds, now)
 	if err != nil {
 		return 0, err
 	}
@@ -37,7 +37,7 @@
 		}
 		busy = true
 	}
-	if q.journalKnown && len(due.destinations) > 0 {
+	if q.walStateKnown && len(due.destinations) > 0 {
 		sent, err := q.redeliverReady(s, due.destinations, now)
 		if err != nil {
 			return 0, err
@@ -53,7 +53,7 @@
 // findDue finds what is due.
 func (s *Store) findDue(now time.Time, bounds Bounds) (due dueWork, err error) {
 	err = s.View(func(t *Tx) error {
-		due.records, due.next = t.due(now, maxDue)
+		due.records, due.next = t.dueRecords(now, maxDueRecords)
 		due.destinations = t.readyDestinations()
 		due.overBounds = int64(t.counter(metaBytes)) > bounds.Bytes || t.counter(metaCount) > uint64(bounds.Records)
 		return nil
@@ -61,9 +61,9 @@
 	return due, err
 }
 
-// keepBounds evicts records where the store is over its bounds, and once every maintenanceInterval. It reports
+// enforceBounds evicts records where the store is over its bounds, and once every maintenanceInterval. It reports
 // whether there may be more.
-func (q *Queue) keepBounds(s *Store, bounds Bounds, over bool, now time.Time) (more bool, err error) {
+func (q *Queue) enforceBounds(s *Store, bounds Bounds, over bool, now time.Time) (more bool, err error) {
 	if !over && now.Sub(q.maintainedAt) < maintenanceInterval {
 		return false, nil
 	}
@@ -85,7 +85,7 @@
 		q.maintainedAt = now
 	}
 	q.mu.Lock()
-	q.planner.Prune(q.since())
+	q.planner.Prune(q.plannerTime())
 	q.mu.Unlock()
 	return more, nil
 }
@@ -98,7 +98,7 @@
 	}
 	if len(due.destinations) > 0 {
 		q.mu.Lock()
-		at := q.since()
+		at := q.plannerTime()
 		wait = min(wait, q.planner.NextGrant(at, due.destinations)-at)
 		q.mu.Unlock()
 	}
@@ -126,7 +126,7 @@
 
 // scheduleReviews schedules the next held records for review, after a change of rules.
 func (q *Queue) scheduleReviews(t *Tx, now time.Time) error {
-	list, next, err := t.List(Filter{State: Held}, q.sweepPosition, maxSweep)
+	list, next, err := t.List(Filter{State: Held}, q.sweepPosition, maxSweepRecords)
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 	case r.State == Ordered:
 		r.Ready = true
 	case r.State == Held:
-		q.askRule(r, current, now)
+		q.applyRule(r, current, now)
 	}
 }
 
@@ -167,14 +167,14 @@
 	}
 }
 
-// askRule asks the rule after about a held record and does what it decides.
-func (q *Queue) askRule(r *Record, current *settings.Settings, now time.Time) {
+// applyRule asks the rule after about a held record and does what it decides.
+func (q *Queue) applyRule(r *Record, current *settings.Settings, now time.Time) {
 	q.mu.Lock()
 	partner := q.partner(r.Destination)
 	q.mu.Unlock()
 	decision, err := current.Decide(ruleView(r, now), partner)
 	if err != nil {
-		q.warnOnce("rule after failed, record kept", "err", err.Error())
+		q.warnRateLimited("rule after failed, record kept", "err", err.Error())
 	}
 	r.ReviewAt = time.Time{}
 	switch decision.Action {
@@ -221,5 +221,5 @@
 		return neverEligible("its key may have been handed in anew while the store could not be asked")
 	}
 	at, _, _ := r.FirstRun()
-	return q.platform.Load().rules.Eligible(r, now, q.clock.certain(at))
+	return q.platform.Load().rules.Eligible(r, now, q.clock.elapsedKnown(at))
 }
--- a/internal/deadletter/schema.go
+++ b/internal/deadletter/schema.go
@@ -10,30 +10,29 @@
 
 // The buckets. Records and bodies are framed values; the others are indexes, whose keys follow from the record alone.
 var (
-	bucketMeta    = []byte("meta")
-	bucketRecords = []byte("records") // seq -> record
-	bucketBodies  = []byte("bodies")  // seq -> body
-	bucketIDs     = []byte("ids")     // id -> seq
-	bucketKeys    = []byte("keys")    // class, key, seq; held and ordered ones
-	bucketOwed    = []byte("owed")    // ids of messages whose delivery report is not acknowledged
-	bucketReady   = []byte("ready")   // destination, tenant, seq: ordered, and its time has come
-	bucketDue     = []byte("due")     // time, seq: due for review then
-	bucketEnded   = []byte("ended")   // time, seq
-	bucketTimes   = []byte("times")   // time held, seq
-	bucketDests   = []byte("destinations")
-	bucketTenants = []byte("tenants")
-	bucketClasses = []byte("classes")
-	bucketReasons = []byte("reasons")
-	bucketStates  = []byte("states")
-	bucketAudit   = []byte("audit")
-	allBuckets    = [][]byte{
-		bucketMeta, bucketRecords, bucketBodies, bucketIDs, bucketKeys, bucketOwed, bucketReady, bucketDue, bucketEnded,
-		bucketTimes,
-		bucketDests, bucketTenants, bucketClasses, bucketReasons, bucketStates, bucketAudit,
+	bucketMeta           = []byte("meta")
+	bucketRecords        = []byte("records") // seq -> record
+	bucketBodies         = []byte("bodies")  // seq -> body
+	bucketIDs            = []byte("ids")     // id -> seq
+	bucketKeys           = []byte("keys")    // class, key, seq; held and ordered ones
+	bucketPendingReports = []byte("owed")    // ids of messages whose delivery report is not acknowledged
+	bucketReady          = []byte("ready")   // destination, tenant, seq: ordered, and its time has come
+	bucketDue            = []byte("due")     // time, seq: due for review then
+	bucketEnded          = []byte("ended")   // time, seq
+	bucketTimes          = []byte("times")   // time held, seq
+	bucketDestinations   = []byte("destinations")
+	bucketTenants        = []byte("tenants")
+	bucketClasses        = []byte("classes")
+	bucketReasons        = []byte("reasons")
+	bucketStates         = []byte("states")
+	bucketAudit          = []byte("audit")
+	allBuckets           = [][]byte{
+		bucketMeta, bucketRecords, bucketBodies, bucketIDs, bucketKeys, bucketPendingReports, bucketReady, bucketDue,
+		bucketEnded, bucketTimes, bucketDestinations, bucketTenants, bucketClasses, bucketReasons, bucketStates, bucketAudit,
 	}
 	indexedBuckets = [][]byte{
-		bucketIDs, bucketKeys, bucketReady, bucketDue, bucketEnded, bucketTimes, bucketDests, bucketTenants, bucketClasses,
-		bucketReasons, bucketStates,
+		bucketIDs, bucketKeys, bucketReady, bucketDue, bucketEnded, bucketTimes, bucketDestinations, bucketTenants,
+		bucketClasses, bucketReasons, bucketStates,
 	}
 )
 
@@ -47,8 +46,8 @@
 	metaLatest  = "latest" // the latest time seen, Unix microseconds
 )
 
-// hasBuckets returns an error unless all buckets exist.
-func hasBuckets(tx *bolt.Tx) error {
+// requireBuckets returns an error unless all buckets exist.
+func requireBuckets(tx *bolt.Tx) error {
 	for _, name := range allBuckets {
 		if tx.Bucket(name) == nil {
 			return ErrNotFound
@@ -98,7 +97,7 @@
 	if v := meta.Get([]byte(metaCount)); n > 0 && (len(v) != 8 || binary.BigEndian.Uint64(v) != n) {
 		return fmt.Errorf("%w: %d records found, another count written", ErrDamaged, n)
 	}
-	for _, state := range []State{Held, Ordered, Out} {
+	for _, state := range []State{Held, Ordered, InFlight} {
 		c, prefix := tx.Bucket(bucketStates).Cursor(), encodeName(string(state))
 		for k, v := c.Seek(prefix); bytes.HasPrefix(k, prefix); k, v = c.Next() {
 			if len(v) != 8 {
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -60,10 +60,10 @@
 }
 
 // applyDeltas adds the changes of a transaction to counts, and removes those that fall to zero.
-func applyDeltas[K comparable, N int | int32](to map[K]N, by map[K]N) {
-	for k, n := range by {
-		if to[k] += n; to[k] <= 0 {
-			delete(to, k)
+func applyDeltas[K comparable, N int | int32](counts map[K]N, deltas map[K]N) {
+	for k, n := range deltas {
+		if counts[k] += n; counts[k] <= 0 {
+			delete(counts, k)
 		}
 	}
 }
@@ -124,27 +124,27 @@
 
 // lockFolder locks a folder: a writer against all other processes, a reader against writers. The lock ends with the
 // process.
-func lockFolder(folder string, reading bool) (*os.File, error) {
+func lockFolder(folder string, readOnly bool) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(folder, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("held: %w", err)
 	}
-	how := syscall.LOCK_EX
-	if reading {
-		how = syscall.LOCK_SH
+	lockMode := syscall.LOCK_EX
+	if readOnly {
+		lockMode = syscall.LOCK_SH
 	}
-	for limit := time.Now().Add(lockTimeout); ; time.Sleep(lockTimeout / 40) {
-		if err = syscall.Flock(int(f.Fd()), how|syscall.LOCK_NB); err == nil {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockTimeout / 40) {
+		if err = syscall.Flock(int(f.Fd()), lockMode|syscall.LOCK_NB); err == nil {
 			break
 		}
-		if reading || time.Now().After(limit) {
-			by := make([]byte, 16)
-			n, _ := f.ReadAt(by, 0)
+		if readOnly || time.Now().After(deadline) {
+			owner := make([]byte, 16)
+			n, _ := f.ReadAt(owner, 0)
 			f.Close()
-			return nil, fmt.Errorf("%w (process %s)", ErrInUse, bytes.TrimSpace(by[:n]))
+			return nil, fmt.Errorf("%w (process %s)", ErrInUse, bytes.TrimSpace(owner[:n]))
 		}
 	}
-	if !reading {
+	if !readOnly {
 		f.Truncate(0)
 		fmt.Fprintln(f, os.Getpid())
 	}
@@ -152,7 +152,7 @@
 }
 
 // open opens and verifies a file, which must be locked.
-func open(path string, reading bool) (*Store, error) {
+func open(path string, readOnly bool) (*Store, error) {
 	if err := checkMetaPages(path); err != nil {
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 		// The free list is stored in the file. Without it bbolt would read all pages on a goroutine of its own, where a
 		// damaged one would end the process.
 		db, err := bolt.Open(path, 0o600, &bolt.Options{
-			Timeout: lockTimeout, ReadOnly: reading, FreelistType: bolt.FreelistMapType, NoStatistics: true,
+			Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType, NoStatistics: true,
 			OpenFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
 				f, err := os.OpenFile(name, flag, mode)
 				file = f
@@ -173,7 +173,7 @@
 			return err
 		}
 		s.db = db
-		if !reading && db.View(hasBuckets) != nil {
+		if !readOnly && db.View(requireBuckets) != nil {
 			if err := db.Update(createBuckets); err != nil {
 				return err
 			}
@@ -190,14 +190,14 @@
 		return nil, ErrInUse
 	case errors.Is(err, ErrNewer):
 		return nil, err
-	case errors.Is(err, os.ErrPermission), isSystem(err):
+	case errors.Is(err, os.ErrPermission), isFileSystemError(err):
 		return nil, fmt.Errorf("held: %w", err)
 	}
 	return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 }
 
-// isSystem reports whether an error is one of the file system, not of the content.
-func isSystem(err error) bool {
+// isFileSystemError reports whether an error is one of the file system, not of the content.
+func isFileSystemError(err error) bool {
 	var p *os.PathError
 	return errors.As(err, &p)
 }
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -19,7 +19,7 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-var terms = ClassRules{MaxAttempts: 12, Classes: map[string]control.Class{
+var classRules = ClassRules{MaxAttempts: 12, Classes: map[string]control.Class{
 	"safe": {Idempotency: control.Idempotent}, "keyed": {Idempotency: control.IdempotentByKey,
 		KeyRetention: 12 * time.Second}, "unsafe": {Idempotency: control.NotIdempotent},
 }}
@@ -42,8 +42,8 @@
 	}
 }
 
-// fill adds records of three classes, four destinations and three tenants.
-func fill(t testing.TB, s *Store, n int) {
+// addRecords adds records of three classes, four destinations and three tenants.
+func addRecords(t testing.TB, s *Store, n int) {
 	t.Helper()
 	start := time.Now().Add(-time.Hour)
 	for from := 0; from < n; from += 1000 {
@@ -64,7 +64,7 @@
 	}
 }
 
-func all(t testing.TB, s *Store, f Filter) (list []Record) {
+func listAll(t testing.TB, s *Store, f Filter) (list []Record) {
 	t.Helper()
 	for next := uint64(0); ; {
 		err := s.View(func(tx *Tx) error {
@@ -83,21 +83,21 @@
 
 func TestFilters(t *testing.T) {
 	s := openStore(t, t.TempDir())
-	fill(t, s, 120)
+	addRecords(t, s, 120)
 	dest := -1
-	start := all(t, s, Filter{})[0].HeldAt
+	start := listAll(t, s, Filter{})[0].HeldAt
 	for _, c := range []struct {
 		f    Filter
 		want int
 	}{
 		{Filter{}, 120}, {Filter{Destination: &dest}, 30}, {Filter{Class: "keyed"}, 40}, {Filter{Tenant: "t2"}, 40},
 		{Filter{Tenant: "t"}, 0},
-		{Filter{Reason: "expired", State: Held}, 120}, {Filter{State: Out}, 0},
+		{Filter{Reason: "expired", State: Held}, 120}, {Filter{State: InFlight}, 0},
 		{Filter{Destination: &dest, Class: "unsafe"}, 10},
 		{Filter{Since: start.Add(100 * time.Millisecond)}, 20}, {Filter{Before: start.Add(20 * time.Millisecond)}, 20},
 		{Filter{Since: start.Add(time.Hour)}, 0},
 	} {
-		if got := all(t, s, c.f); len(got) != c.want ||
+		if got := listAll(t, s, c.f); len(got) != c.want ||
 			!slices.IsSortedFunc(got, func(a, b Record) int { return int(a.Sequence) - int(b.Sequence) }) {
 			t.Errorf("%+v: %d, want %d", c.f, len(got), c.want)
 		}
@@ -111,10 +111,10 @@
 		return []Attempt{{At: now.Add(-time.Hour), Result: "refused"}, {At: now.Add(-ago), Result: "reset", MayHaveRun: true}}
 	}
 	for _, c := range []struct {
-		name string
-		r    Record
-		back bool
-		want string
+		name         string
+		r            Record
+		clockSetBack bool
+		want         string
 	}{
 		{"safe that ran", Record{Class: "safe", Attempts: ran(time.Hour)}, false, ""},
 		{"unsafe that never ran", Record{Class: "unsafe", Attempts: []Attempt{{Result: "refused"}}}, false, ""},
@@ -130,7 +130,7 @@
 		{"keyed in doubt", Record{Class: "keyed", Attempts: ran(time.Second), HistoryIncomplete: true}, false, "not known"},
 		{"keyed, the clock went back", Record{Class: "keyed", Attempts: ran(time.Second)}, true, "clock"},
 		{"safe, the clock went back", Record{Class: "safe", Attempts: ran(time.Second)}, true, ""},
-		{"out", Record{Class: "safe", State: Out}, false, "being sent"},
+		{"out", Record{Class: "safe", State: InFlight}, false, "being sent"},
 		{"ended", Record{Class: "safe", State: Dropped}, false, "ended"},
 		{"no body", Record{Class: "safe", BodyMissing: true}, false, "body"},
 		{"attempts", Record{Class: "safe", AttemptCount: 12}, false, "12 attempts"},
@@ -139,7 +139,7 @@
 		if c.r.State == "" {
 			c.r.State = Held
 		}
-		why := terms.Eligible(&c.r, now, !c.back)
+		why := classRules.Eligible(&c.r, now, !c.clockSetBack)
 		if (why == nil) != (c.want == "") || why != nil && !strings.Contains(why.Reason, c.want) {
 			t.Errorf("%s: %v, want %q", c.name, why, c.want)
 		}
@@ -160,7 +160,7 @@
 // and never one that is out or that the journal may bring again.
 func TestEviction(t *testing.T) {
 	s := openStore(t, t.TempDir())
-	fill(t, s, 100)
+	addRecords(t, s, 100)
 	now := time.Now()
 	update(t, s, func(tx *Tx) error {
 		for seq := uint64(91); seq <= 100; seq++ {
@@ -168,42 +168,42 @@
 				return err
 			}
 		}
-		tx.change(1, func(r *Record) error { r.State = Out; return nil })
+		tx.change(1, func(r *Record) error { r.State = InFlight; return nil })
 		return tx.markReportPending("id-1") // number 2
 	})
-	evict := func(b Bounds) (gone Evicted) {
-		update(t, s, func(tx *Tx) (err error) { gone, err = tx.evict(b, now); return })
-		return gone
+	evict := func(b Bounds) (evicted Evicted) {
+		update(t, s, func(tx *Tx) (err error) { evicted, err = tx.evict(b, now); return })
+		return evicted
 	}
-	wide := Bounds{Bytes: 1e9, Records: 1000, Age: 24 * time.Hour, EndedRetention: time.Hour}
-	if got := evict(wide); got != (Evicted{}) {
+	wideBounds := Bounds{Bytes: 1e9, Records: 1000, Age: 24 * time.Hour, EndedRetention: time.Hour}
+	if got := evict(wideBounds); got != (Evicted{}) {
 		t.Errorf("within bounds: %+v", got)
 	}
-	b := wide
+	b := wideBounds
 	b.Records = 85
 	if got := evict(b); got != (Evicted{Ended: 10, Open: 5}) {
 		t.Errorf("records: %+v", got)
 	}
-	list := all(t, s, Filter{})
+	list := listAll(t, s, Filter{})
 	if len(list) != 85 || list[0].Sequence != 1 || list[1].Sequence != 2 || list[2].Sequence != 8 {
 		t.Errorf("left: %d, %d %d %d", len(list), list[0].Sequence, list[1].Sequence, list[2].Sequence)
 	}
-	b = wide
+	b = wideBounds
 	s.View(func(tx *Tx) error { b.Bytes = int64(tx.counter(metaBytes)) / 2; return nil })
 	if got := evict(b); got.Open < 40 || got.Open > 45 {
 		t.Errorf("bytes: %+v", got)
 	}
-	b = wide
+	b = wideBounds
 	b.Age = time.Minute
-	if evict(b); len(all(t, s, Filter{})) != 2 || s.Count(-1)+s.Count(0) != 2 {
-		t.Errorf("too old: %+v, counts %v", all(t, s, Filter{}), s.openCounts)
+	if evict(b); len(listAll(t, s, Filter{})) != 2 || s.Count(-1)+s.Count(0) != 2 {
+		t.Errorf("too old: %+v, counts %v", listAll(t, s, Filter{}), s.openCounts)
 	}
 }
 
 // A message that arrives twice is stored once, also after its record was removed.
-func TestSameMessageTwice(t *testing.T) {
+func TestAddRejectsDuplicates(t *testing.T) {
 	s := openStore(t, t.TempDir())
-	arrive := func() (added bool) {
+	add := func() (added bool) {
 		update(t, s, func(tx *Tx) (err error) {
 			r := Record{State: Held, ID: "a", Class: "safe"}
 			if added, err = tx.Add(&r, []byte("x")); err == nil && added {
@@ -213,23 +213,23 @@
 		})
 		return added
 	}
-	if !arrive() || arrive() {
+	if !add() || add() {
 		t.Error("the second arrival counts")
 	}
 	update(t, s, func(tx *Tx) error {
 		r, _ := tx.Get(1)
 		return tx.remove(&r)
 	})
-	if arrive() {
+	if add() {
 		t.Error("it came back after it was removed, while the write-ahead log had it")
 	}
 	update(t, s, func(tx *Tx) error { return tx.clearReportPending("a") })
-	if !arrive() {
+	if !add() {
 		t.Error("another message of that id is not taken")
 	}
 }
 
-func TestOneWriter(t *testing.T) {
+func TestStoreLock(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	if _, err := OpenReading(dir); !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), fmt.Sprint(os.Getpid())) {
@@ -247,22 +247,22 @@
 
 // Wherever a bit flips, or the file is cut, the store opens; of what it held
 // nothing comes back as sendable that was sent.
-func TestDamage(t *testing.T) {
+func TestDamagedStore(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
-	fill(t, s, 200)
+	addRecords(t, s, 200)
 	update(t, s, func(tx *Tx) error { // number 3 and 6 are unsafe: sent, and dropped
-		if err := tx.change(3, func(r *Record) error { r.State = Out; return nil }); err != nil {
+		if err := tx.change(3, func(r *Record) error { r.State = InFlight; return nil }); err != nil {
 			return err
 		}
 		return tx.change(6, func(r *Record) error { r.end(time.Now(), Dropped); return nil })
 	})
 	s.Close()
-	whole, err := os.ReadFile(filepath.Join(dir, fileName))
+	intact, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	try := func(name string, data []byte) (kept int) {
+	reopen := func(name string, data []byte) (kept int) {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, fileName), data, 0o600); err != nil {
 			t.Fatal(err)
@@ -276,7 +276,7 @@
 			list, _, err := tx.List(Filter{}, 0, 1000)
 			kept = len(list)
 			for _, r := range list {
-				if (r.Sequence == 3 || r.Sequence == 6) && terms.Eligible(&r, time.Now(), true) == nil {
+				if (r.Sequence == 3 || r.Sequence == 6) && classRules.Eligible(&r, time.Now(), true) == nil {
 					return fmt.Errorf("number %d may be sent again: %+v", r.Sequence, r)
 				}
 			}
@@ -287,52 +287,52 @@
 			if s, err = openOrRecover(dir, err, quiet); err != nil {
 				t.Fatalf("%s: at work: %v", name, err)
 			}
-			kept = len(all(t, s, Filter{}))
+			kept = len(listAll(t, s, Filter{}))
 		}
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		return kept
 	}
-	step := len(whole)/80 | 1
-	for at := 0; at < len(whole); at += step {
-		data := slices.Clone(whole)
+	step := len(intact)/80 | 1
+	for at := 0; at < len(intact); at += step {
+		data := slices.Clone(intact)
 		data[at] ^= 1 << (at % 8)
-		if kept := try(fmt.Sprintf("bit flipped at %d", at), data); kept < 190 {
+		if kept := reopen(fmt.Sprintf("bit flipped at %d", at), data); kept < 190 {
 			t.Errorf("flipped at %d: %d of 200 kept", at, kept)
 		}
 	}
-	for at := 0; at < len(whole); at += 5 * step {
-		try(fmt.Sprintf("cut at %d", at), whole[:at])
+	for at := 0; at < len(intact); at += 5 * step {
+		reopen(fmt.Sprintf("cut at %d", at), intact[:at])
 	}
-	zeroed := slices.Clone(whole)
+	zeroed := slices.Clone(intact)
 	clear(zeroed[:8192]) // both metas: only the raw file tells
-	if kept := try("no metas", zeroed); kept < 199 {
+	if kept := reopen("no metas", zeroed); kept < 199 {
 		t.Errorf("no metas: %d of 200 kept", kept)
 	}
 }
 
 // A recovery that is cut short starts again, or stands.
-func TestRecoveryCutShort(t *testing.T) {
+func TestInterruptedRecovery(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
 	s := openStore(t, dir)
-	fill(t, s, 10)
+	addRecords(t, s, 10)
 	s.Close()
 	os.WriteFile(path+newSuffix, []byte("half"), 0o600)
 	s = openStore(t, dir)
-	if n := len(all(t, s, Filter{})); n != 10 {
+	if n := len(listAll(t, s, Filter{})); n != 10 {
 		t.Errorf("half a new file: %d", n)
 	}
 	s.Close()
 	os.Rename(path, path+newSuffix) // the old one was put aside already
-	if s = openStore(t, dir); len(all(t, s, Filter{})) != 10 {
+	if s = openStore(t, dir); len(listAll(t, s, Filter{})) != 10 {
 		t.Error("the new file was not taken")
 	}
 }
 
 // The indexes follow from the records, whatever is done with them.
-func TestIndexes(t *testing.T) {
+func TestIndexesMatchRecords(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	rapid.Check(t, func(rt *rapid.T) {
 		update(t, s, func(tx *Tx) error {
@@ -345,12 +345,12 @@
 		model := map[uint64]State{}
 		for i := range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			seq := uint64(rapid.IntRange(1, 10).Draw(rt, "seq"))
-			what := rapid.IntRange(0, 5).Draw(rt, "what")
+			operation := rapid.IntRange(0, 5).Draw(rt, "what")
 			update(t, s, func(tx *Tx) error {
 				_, known := model[seq]
 				now := time.UnixMicro(int64(i))
 				switch {
-				case what == 0:
+				case operation == 0:
 					r := Record{State: Held, ID: fmt.Sprint("i", i), Key: fmt.Sprint("k", i%3), Class: "safe", Destination: i % 2,
 						HeldAt: now}
 					_, err := tx.Add(&r, []byte("x"))
@@ -358,7 +358,7 @@
 					return err
 				case !known:
 					return nil
-				case what == 1:
+				case operation == 1:
 					delete(model, seq)
 					r, err := tx.Get(seq)
 					return errors.Join(err, tx.remove(&r))
@@ -366,12 +366,12 @@
 					return nil
 				}
 				return tx.change(seq, func(r *Record) error {
-					switch what {
+					switch operation {
 					case 2:
 						r.schedule(now, now.Add(time.Hour))
 						r.Ready = i%2 == 0
 					case 3:
-						r.State, r.Ready = Out, false
+						r.State, r.Ready = InFlight, false
 					case 4:
 						r.unschedule(now)
 					case 5:
--- a/internal/deadletter/tx.go
+++ b/internal/deadletter/tx.go
@@ -23,8 +23,8 @@
 }
 
 // addToCounter adds to a counter of the meta bucket.
-func (t *Tx) addToCounter(name string, by int64) error {
-	return t.Bucket(bucketMeta).Put([]byte(name), encodeUint(uint64(int64(t.counter(name))+by)))
+func (t *Tx) addToCounter(name string, delta int64) error {
+	return t.Bucket(bucketMeta).Put([]byte(name), encodeUint(uint64(int64(t.counter(name))+delta)))
 }
 
 // Get returns a record. It returns ErrNotFound or ErrDamaged.
@@ -109,8 +109,8 @@
 	return t.put(&r, &former)
 }
 
-// byID returns the sequence number of the record with a message's id.
-func (t *Tx) byID(id string) (uint64, bool) {
+// sequenceByID returns the sequence number of the record with a message's id.
+func (t *Tx) sequenceByID(id string) (uint64, bool) {
 	v := t.Bucket(bucketIDs).Get(encodeName(id))
 	if len(v) != 8 {
 		return 0, false
@@ -121,7 +121,7 @@
 // Add adds a record with its body. If the id is known it changes nothing and returns false: after a restart a dead
 // letter may be reported twice.
 func (t *Tx) Add(r *Record, body []byte) (added bool, err error) {
-	if _, known := t.byID(r.ID); known || t.Bucket(bucketOwed).Get(encodeName(r.ID)) != nil {
+	if _, known := t.sequenceByID(r.ID); known || t.Bucket(bucketPendingReports).Get(encodeName(r.ID)) != nil {
 		return false, nil
 	}
 	if r.Sequence, err = t.Bucket(bucketRecords).NextSequence(); err != nil {
@@ -163,12 +163,16 @@
 
 // markReportPending notes that the write-ahead log still has a message, and may report it again.
 func (t *Tx) markReportPending(id string) error {
-	return t.Bucket(bucketOwed).Put(encodeName(id), []byte{1})
+	return t.Bucket(bucketPendingReports).Put(encodeName(id), []byte{1})
 }
 
 // clearReportPending notes that the write-ahead log has forgotten a message.
-func (t *Tx) clearReportPending(id string) error { return t.Bucket(bucketOwed).Delete(encodeName(id)) }
+func (t *Tx) clearReportPending(id string) error {
+	return t.Bucket(bucketPendingReports).Delete(encodeName(id))
+}
 
 // ReportPending reports whether the write-ahead log still has a message. Its client may then not know yet that it is
 // undeliverable, so that it must not be redelivered.
-func (t *Tx) ReportPending(id string) bool { return t.Bucket(bucketOwed).Get(encodeName(id)) != nil }
+func (t *Tx) ReportPending(id string) bool {
+	return t.Bucket(bucketPendingReports).Get(encodeName(id)) != nil
+}
--- a/internal/deadletter/writer.go
+++ b/internal/deadletter/writer.go
@@ -112,7 +112,7 @@
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-q.work:
+	case <-q.wake:
 	case c := <-q.changes:
 		if err := q.runChange(s, c); errors.Is(err, ErrDamaged) {
 			return err
@@ -123,17 +123,17 @@
 }
 
 // setFailing sets whether the store fails.
-func (q *Queue) setFailing(on bool) {
+func (q *Queue) setFailing(failing bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.failing = on
+	q.failing = failing
 }
 
 // useStore starts to use an open store.
 func (q *Queue) useStore(s *Store) {
 	s.View(func(t *Tx) error {
-		if us := t.counter(metaLatest); us > 0 {
-			q.clock.adopt(time.UnixMicro(int64(us)))
+		if micros := t.counter(metaLatest); micros > 0 {
+			q.clock.advancePast(time.UnixMicro(int64(micros)))
 		}
 		return nil
 	})
@@ -214,7 +214,7 @@
 	q.items = q.items[len(items):]
 	for _, x := range items {
 		if isNew(x) {
-			q.newLetters--
+			q.newDeadLetters--
 		}
 	}
 	for c := range claims {
@@ -223,7 +223,7 @@
 	for _, e := range ended {
 		if destination, granted := q.granted[e.sequence]; granted {
 			delete(q.granted, e.sequence)
-			q.planner.RedeliveryEnded(q.since(), destination, e.admitted)
+			q.planner.RedeliveryEnded(q.plannerTime(), destination, e.admitted)
 		}
 	}
 	return len(q.items)
--- a/internal/redelivery/partner.go
+++ b/internal/redelivery/partner.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// partner is what is known of one destination.
-type partner struct {
+// partnerState is what is known of one destination.
+type partnerState struct {
 	capacity           float64 // calls a second from all senders; 0: unknown
 	ready              bool    // one of its endpoints accepts new work
 	guessedCapacity    float64 // used where the capacity is unknown
@@ -21,7 +21,7 @@
 	failingSince       time.Duration // the first of the consecutive failed calls; below 0: the last call was served
 	retryAfter         time.Duration
 	lastResult         Result
-	known              bool
+	hasResult          bool
 	lastTenant         string // the one whose message went last
 	lastUsed           time.Duration
 }
--- a/internal/redelivery/planner.go
+++ b/internal/redelivery/planner.go
@@ -47,8 +47,8 @@
 	// one part in this many of the calls in flight stays free of redeliveries
 	reservedFraction   = 4
 	maxOpenFraction    = 2                      // no redelivery once open messages times this reach their bound
-	minGuess           = 0.5                    // calls a second to a partner of unknown capacity, at full level
-	maxGuess           = 50.0                   // calls a second, up to which the guess grows as calls are served
+	minGuessedCapacity = 0.5                    // calls a second to a partner of unknown capacity, at full level
+	maxGuessedCapacity = 50.0                   // calls a second, up to which the guess grows as calls are served
 	bucketDepth        = 250 * time.Millisecond // of the token bucket
 	maxInFlightWindow  = time.Second            // redeliveries in flight are bounded by the rate times this
 	liveRateWindow     = 2 * time.Second        // time constant of the rate of live calls
@@ -61,7 +61,7 @@
 type Planner struct {
 	limits       Limits
 	rng          *rand.Rand
-	partners     map[int]*partner
+	partners     map[int]*partnerState
 	inFlight     int
 	lastGranted  int // the destination of the latest grant
 	backoffUntil time.Duration
@@ -70,7 +70,7 @@
 // New returns a planner. Each partner counts as warming up at first: it has dead letters because it failed. The seed
 // is for random draws.
 func New(l Limits, seed uint64) *Planner {
-	p := &Planner{rng: rand.New(rand.NewPCG(seed, 7)), partners: map[int]*partner{}, lastGranted: math.MinInt}
+	p := &Planner{rng: rand.New(rand.NewPCG(seed, 7)), partners: map[int]*partnerState{}, lastGranted: math.MinInt}
 	p.SetLimits(l)
 	return p
 }
@@ -88,139 +88,140 @@
 	p.limits = l
 }
 
-// partner returns what is known of a destination.
-func (p *Planner) partner(now time.Duration, dest int) *partner {
-	x := p.partners[dest]
-	if x == nil {
-		x = &partner{
-			guessedCapacity: minGuess, level: p.limits.ColdCapacity, levelSetAt: now, tokensSetAt: now, tokens: p.rng.Float64(),
-			trial: true, servedAt: -1, failingSince: -1, ready: true,
+// state returns the state of a destination and creates it on first use.
+func (p *Planner) state(now time.Duration, dest int) *partnerState {
+	partner := p.partners[dest]
+	if partner == nil {
+		partner = &partnerState{
+			guessedCapacity: minGuessedCapacity, level: p.limits.ColdCapacity, levelSetAt: now, tokensSetAt: now,
+			tokens: p.rng.Float64(), trial: true, servedAt: -1, failingSince: -1, ready: true,
 		}
-		p.partners[dest] = x
+		p.partners[dest] = partner
 	}
-	x.lastUsed = now
-	return x
+	partner.lastUsed = now
+	return partner
 }
 
 // CapacityChanged sets the capacity of a destination in calls a second from all senders (0: unknown), and whether one
 // of its endpoints accepts new work.
-func (p *Planner) CapacityChanged(now time.Duration, dest int, weight float64, ready bool) {
-	x := p.partner(now, dest)
-	x.capacity, x.ready = max(0, weight), ready
+func (p *Planner) CapacityChanged(now time.Duration, dest int, capacity float64, ready bool) {
+	partner := p.state(now, dest)
+	partner.capacity, partner.ready = max(0, capacity), ready
 }
 
 // CallEnded learns from the end of a call, of live traffic or of a redelivery.
 func (p *Planner) CallEnded(now time.Duration, dest int, r Result, retryAfter time.Duration, redelivery bool) {
-	x := p.partner(now, dest)
+	partner := p.state(now, dest)
 	if r == NotSent && retryAfter <= 0 {
 		return
 	}
 	if !redelivery {
-		x.liveCalls = x.liveCalls*math.Exp(-float64(now-x.liveCallsAt)/float64(liveRateWindow)) + 1
-		x.liveCallsAt = now
+		partner.liveCalls = partner.liveCalls*math.Exp(-float64(now-partner.liveCallsAt)/float64(liveRateWindow)) + 1
+		partner.liveCallsAt = now
 	}
-	x.lastResult, x.known = r, true
+	partner.lastResult, partner.hasResult = r, true
 	if r == Served && retryAfter <= 0 {
-		p.callServed(now, x, redelivery)
+		p.callServed(now, partner, redelivery)
 		return
 	}
-	p.callFailed(now, x, r, retryAfter)
+	p.callFailed(now, partner, r, retryAfter)
 }
 
 // callServed raises the level with time, but only while calls are served.
-func (p *Planner) callServed(now time.Duration, x *partner, redelivery bool) {
-	x.servedAt, x.failingSince = now, -1
-	if now < x.backoffUntil {
+func (p *Planner) callServed(now time.Duration, partner *partnerState, redelivery bool) {
+	partner.servedAt, partner.failingSince = now, -1
+	if now < partner.backoffUntil {
 		return // the call was sent before the failure and says nothing of it
 	}
-	if x.trial && (redelivery || x.consecutiveOutages == 0) {
-		x.trial = false
-		x.levelSetAt, x.tokensSetAt = now, now
+	if partner.trial && (redelivery || partner.consecutiveOutages == 0) {
+		partner.trial = false
+		partner.levelSetAt, partner.tokensSetAt = now, now
 	}
-	if x.trial {
+	if partner.trial {
 		return
 	}
-	x.consecutiveOutages = 0
+	partner.consecutiveOutages = 0
 	if p.limits.WarmUp > 0 {
-		step := min(now-x.levelSetAt, p.limits.WarmUp/4) // longer times without answers do not count
-		x.level = min(1, x.level+(1-p.limits.ColdCapacity)*float64(step)/float64(p.limits.WarmUp))
+		step := min(now-partner.levelSetAt, p.limits.WarmUp/4) // longer times without answers do not count
+		partner.level = min(1, partner.level+(1-p.limits.ColdCapacity)*float64(step)/float64(p.limits.WarmUp))
 	} else {
-		x.level = 1
+		partner.level = 1
 	}
-	x.levelSetAt = now
-	if redelivery && x.capacity <= 0 {
-		x.guessedCapacity = min(maxGuess, x.guessedCapacity*1.05)
+	partner.levelSetAt = now
+	if redelivery && partner.capacity <= 0 {
+		partner.guessedCapacity = min(maxGuessedCapacity, partner.guessedCapacity*1.05)
 	}
 }
 
 // callFailed pauses redelivery to a partner. A rejection between served calls means that a limit was exceeded, which
 // halves the level. Anything else counts as an outage, after which the partner is warming up.
-func (p *Planner) callFailed(now time.Duration, x *partner, r Result, retryAfter time.Duration) {
-	if x.failingSince < 0 {
-		x.failingSince = now
+func (p *Planner) callFailed(now time.Duration, partner *partnerState, r Result, retryAfter time.Duration) {
+	if partner.failingSince < 0 {
+		partner.failingSince = now
 	}
-	x.retryAfter = max(x.retryAfter, now+retryAfter)
-	limited := r == Rejected && retryAfter < p.limits.OverloadWindow && x.servedAt >= 0 &&
-		now-x.servedAt < p.limits.OverloadWindow
-	if now < x.backoffUntil { // the call was sent before the pause: it may extend a Retry-After, not the pause
-		x.backoffUntil = max(x.backoffUntil, x.retryAfter)
+	partner.retryAfter = max(partner.retryAfter, now+retryAfter)
+	limited := r == Rejected && retryAfter < p.limits.OverloadWindow && partner.servedAt >= 0 &&
+		now-partner.servedAt < p.limits.OverloadWindow
+	if now < partner.backoffUntil { // the call was sent before the pause: it may extend a Retry-After, not the pause
+		partner.backoffUntil = max(partner.backoffUntil, partner.retryAfter)
 		return
 	}
-	pause := p.limits.OverloadWindow * initialBackoffWindows << min(x.consecutiveOutages, maxBackoffDoublings)
+	backoff := p.limits.OverloadWindow * initialBackoffWindows << min(partner.consecutiveOutages, maxBackoffDoublings)
 	if limited {
-		pause = p.limits.OverloadWindow / 2
-		x.level = max(p.limits.ColdCapacity*backoffFactor, x.level*backoffFactor)
+		backoff = p.limits.OverloadWindow / 2
+		partner.level = max(p.limits.ColdCapacity*backoffFactor, partner.level*backoffFactor)
 	} else {
-		x.consecutiveOutages++
-		x.level, x.trial = p.limits.ColdCapacity, true
-		x.guessedCapacity = max(minGuess, x.guessedCapacity*backoffFactor)
+		partner.consecutiveOutages++
+		partner.level, partner.trial = p.limits.ColdCapacity, true
+		partner.guessedCapacity = max(minGuessedCapacity, partner.guessedCapacity*backoffFactor)
 	}
-	x.backoffUntil = max(x.retryAfter, now+time.Duration((0.75+p.rng.Float64()/2)*float64(pause)))
-	x.tokens, x.levelSetAt, x.tokensSetAt = 0, x.backoffUntil, x.backoffUntil
+	partner.backoffUntil = max(partner.retryAfter, now+time.Duration((0.75+p.rng.Float64()/2)*float64(backoff)))
+	partner.tokens, partner.levelSetAt, partner.tokensSetAt = 0, partner.backoffUntil, partner.backoffUntil
 }
 
 // RedeliveryEnded ends a grant, whatever came of the redelivery. One that the loop did not admit says that this
 // sender is busy; it says nothing of the partner.
 func (p *Planner) RedeliveryEnded(now time.Duration, dest int, admitted bool) {
-	x := p.partner(now, dest)
-	x.inFlight, p.inFlight = max(0, x.inFlight-1), max(0, p.inFlight-1)
+	partner := p.state(now, dest)
+	partner.inFlight, p.inFlight = max(0, partner.inFlight-1), max(0, p.inFlight-1)
 	if !admitted {
-		x.tokens = min(x.tokens+1, 1)
+		partner.tokens = min(partner.tokens+1, 1)
 		p.backoffUntil = max(p.backoffUntil, now+notAdmittedBackoff)
 	}
 }
 
 // rate returns the current rate of redelivery to a partner, in messages a second.
-func (p *Planner) rate(now time.Duration, x *partner) float64 {
-	share := x.guessedCapacity
-	if x.capacity > 0 {
-		share = x.capacity / float64(p.limits.FleetSize)
+func (p *Planner) rate(now time.Duration, partner *partnerState) float64 {
+	share := partner.guessedCapacity
+	if partner.capacity > 0 {
+		share = partner.capacity / float64(p.limits.FleetSize)
 	}
-	live := x.liveCalls * math.Exp(-float64(now-x.liveCallsAt)/float64(liveRateWindow)) / liveRateWindow.Seconds()
-	free := share*x.level - live
-	return max(0, min(free, p.limits.CapacityShare*share*x.level))
+	live := partner.liveCalls * math.Exp(-float64(now-partner.liveCallsAt)/float64(liveRateWindow)) /
+		liveRateWindow.Seconds()
+	free := share*partner.level - live
+	return max(0, min(free, p.limits.CapacityShare*share*partner.level))
 }
 
 // refill fills the token bucket of a partner and returns the rate.
-func (p *Planner) refill(now time.Duration, x *partner) float64 {
-	rate := p.rate(now, x)
-	if now > x.tokensSetAt {
-		x.tokens = min(max(1, rate*bucketDepth.Seconds()), x.tokens+rate*(now-x.tokensSetAt).Seconds())
-		x.tokensSetAt = now
+func (p *Planner) refill(now time.Duration, partner *partnerState) float64 {
+	rate := p.rate(now, partner)
+	if now > partner.tokensSetAt {
+		partner.tokens = min(max(1, rate*bucketDepth.Seconds()), partner.tokens+rate*(now-partner.tokensSetAt).Seconds())
+		partner.tokensSetAt = now
 	}
 	return rate
 }
 
 // canSend reports whether a partner may be sent one more message now.
-func (p *Planner) canSend(now time.Duration, x *partner) bool {
-	if !x.ready || now < x.backoffUntil {
+func (p *Planner) canSend(now time.Duration, partner *partnerState) bool {
+	if !partner.ready || now < partner.backoffUntil {
 		return false
 	}
-	rate := p.refill(now, x)
-	if x.trial {
-		return x.inFlight == 0
+	rate := p.refill(now, partner)
+	if partner.trial {
+		return partner.inFlight == 0
 	}
-	return x.tokens >= 1 && x.inFlight < max(1, int(math.Ceil(rate*maxInFlightWindow.Seconds())))
+	return partner.tokens >= 1 && partner.inFlight < max(1, int(math.Ceil(rate*maxInFlightWindow.Seconds())))
 }
 
 // Grant returns the destinations, of those with messages ready, to which one message each may be sent. They take
@@ -242,12 +243,12 @@
 		if len(grants) >= free {
 			break
 		}
-		x := p.partner(now, dest)
-		if !p.canSend(now, x) {
+		partner := p.state(now, dest)
+		if !p.canSend(now, partner) {
 			continue
 		}
-		x.tokens--
-		x.inFlight++
+		partner.tokens--
+		partner.inFlight++
 		p.inFlight++
 		p.lastGranted = dest
 		grants = append(grants, dest)
@@ -257,42 +258,45 @@
 
 // NextTenant returns the tenant whose message goes next to a destination: each in turn.
 func (p *Planner) NextTenant(now time.Duration, dest int, tenants []string) string {
-	x := p.partner(now, dest)
+	partner := p.state(now, dest)
 	order := slices.Sorted(slices.Values(tenants))
-	i, found := slices.BinarySearch(order, x.lastTenant)
+	i, found := slices.BinarySearch(order, partner.lastTenant)
 	if found {
 		i++
 	}
 	if len(order) > 0 {
-		x.lastTenant = order[i%len(order)]
+		partner.lastTenant = order[i%len(order)]
 	}
-	return x.lastTenant
+	return partner.lastTenant
 }
 
-// View is what rules see of a partner.
-type View struct {
-	InFlight   int
-	Known      bool
-	Last       Result
-	Failing    time.Duration // since the first of the consecutive failed calls; 0: the last call was served
-	Served     time.Duration // since the last served call; below 0: there was none
-	RetryAfter time.Duration
+// PartnerStatus is what rules see of a partner.
+type PartnerStatus struct {
+	InFlight    int
+	HasResult   bool
+	LastResult  Result
+	FailingFor  time.Duration // since the first of the consecutive failed calls; 0: the last call was served
+	SinceServed time.Duration // since the last served call; below 0: there was none
+	RetryAfter  time.Duration
 }
 
-// View returns what is known of a destination.
-func (p *Planner) View(now time.Duration, dest int) View {
-	x := p.partners[dest]
-	if x == nil {
-		return View{Served: -1}
+// Status returns what is known of a destination.
+func (p *Planner) Status(now time.Duration, dest int) PartnerStatus {
+	partner := p.partners[dest]
+	if partner == nil {
+		return PartnerStatus{SinceServed: -1}
 	}
-	v := View{InFlight: x.inFlight, Known: x.known, Last: x.lastResult, Served: -1, RetryAfter: max(0, x.retryAfter-now)}
-	if x.failingSince >= 0 {
-		v.Failing = max(1, now-x.failingSince)
+	status := PartnerStatus{
+		InFlight: partner.inFlight, HasResult: partner.hasResult, LastResult: partner.lastResult, SinceServed: -1,
+		RetryAfter: max(0, partner.retryAfter-now),
 	}
-	if x.servedAt >= 0 {
-		v.Served = now - x.servedAt
+	if partner.failingSince >= 0 {
+		status.FailingFor = max(1, now-partner.failingSince)
 	}
-	return v
+	if partner.servedAt >= 0 {
+		status.SinceServed = now - partner.servedAt
+	}
+	return status
 }
 
 // NextGrant returns the time at which Grant should be called again if nothing happens before. It is later than now.
@@ -300,15 +304,15 @@
 	const soonest, latest = 10 * time.Millisecond, time.Second
 	next := now + latest
 	for _, dest := range ready {
-		x := p.partners[dest]
+		partner := p.partners[dest]
 		switch {
-		case x == nil:
+		case partner == nil:
 			return now + soonest
-		case now < x.backoffUntil:
-			next = min(next, x.backoffUntil)
-		case x.tokens < 1:
-			if rate := p.rate(now, x); rate > 0 {
-				next = min(next, now+time.Duration((1-x.tokens)/rate*float64(time.Second)))
+		case now < partner.backoffUntil:
+			next = min(next, partner.backoffUntil)
+		case partner.tokens < 1:
+			if rate := p.rate(now, partner); rate > 0 {
+				next = min(next, now+time.Duration((1-partner.tokens)/rate*float64(time.Second)))
 			}
 		default:
 			next = min(next, now+5*soonest)
@@ -319,8 +323,8 @@
 
 // Prune forgets partners without calls for long.
 func (p *Planner) Prune(now time.Duration) {
-	for dest, x := range p.partners {
-		if x.inFlight == 0 && now-x.lastUsed > partnerTTL && now > x.backoffUntil {
+	for dest, partner := range p.partners {
+		if partner.inFlight == 0 && now-partner.lastUsed > partnerTTL && now > partner.backoffUntil {
 			delete(p.partners, dest)
 		}
 	}
--- a/internal/redelivery/planner_test.go
+++ b/internal/redelivery/planner_test.go
@@ -9,48 +9,48 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{
+var testLimits = Limits{
 	FleetSize: 1, ColdCapacity: 0.22, WarmUp: 13 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second,
 	CapacityShare: 0.5, MaxInFlight: 8,
 }
 
-var idle = Load{MaxInFlight: 16, MaxOpenMessages: 200}
+var idleLoad = Load{MaxInFlight: 16, MaxOpenMessages: 200}
 
 // A cold partner takes ColdFrom of its capacity as it returns and all of it
 // after Cold. All siblings resend at the same time, none knowing of the others.
 func TestSlowStartAfterRecovery(t *testing.T) {
-	for _, siblings := range []int{1, 2, 3, 8} {
-		lim := limits
-		lim.FleetSize = siblings
-		const weight, back = 20.0, 30 * time.Second
+	for _, senders := range []int{1, 2, 3, 8} {
+		lim := testLimits
+		lim.FleetSize = senders
+		const capacity, recoveredAt = 20.0, 30 * time.Second
 		var fleet []*Planner
-		for i := range siblings {
+		for i := range senders {
 			p := New(lim, uint64(i+1))
-			p.CapacityChanged(0, 7, weight, true)
+			p.CapacityChanged(0, 7, capacity, true)
 			fleet = append(fleet, p)
 		}
 		var calls []time.Duration
-		tests, full := 0, 0.0
+		trials, warmCalls := 0, 0.0
 		const step, end = 5 * time.Millisecond, 100 * time.Second
 		for now := time.Duration(0); now < end; now += step {
 			for _, p := range fleet {
-				for range p.Grant(now, []int{7}, idle) {
-					if now < back {
-						tests++
+				for range p.Grant(now, []int{7}, idleLoad) {
+					if now < recoveredAt {
+						trials++
 						p.CallEnded(now, 7, Failed, 0, true)
 					} else {
 						calls = append(calls, now)
 						p.CallEnded(now, 7, Served, 0, true)
 						if now > end-10*time.Second {
-							full++
+							warmCalls++
 						}
 					}
 					p.RedeliveryEnded(now, 7, true)
 				}
 			}
 		}
-		if most := 6 * siblings; tests > most || tests < siblings {
-			t.Errorf("%d siblings: %d tests in %v, at most %d wanted", siblings, tests, back, most)
+		if limit := 6 * senders; trials > limit || trials < senders {
+			t.Errorf("%d siblings: %d tests in %v, at most %d wanted", senders, trials, recoveredAt, limit)
 		}
 		first := calls[0]
 		for i, from := range calls { // any window of FallWindow from a call on
@@ -61,25 +61,25 @@
 				}
 			}
 			warm := min(1, lim.ColdCapacity+(1-lim.ColdCapacity)*float64(from-first)/float64(lim.WarmUp))
-			if budget := lim.OverloadFactor * warm * weight * lim.OverloadWindow.Seconds(); float64(n) > budget {
-				t.Fatalf("%d siblings: %d calls in the window from %v, %.1f allowed", siblings, n, from, budget)
+			if budget := lim.OverloadFactor * warm * capacity * lim.OverloadWindow.Seconds(); float64(n) > budget {
+				t.Fatalf("%d siblings: %d calls in the window from %v, %.1f allowed", senders, n, from, budget)
 			}
 		}
-		if rate := full / 10; rate < 0.8*lim.CapacityShare*weight || rate > 1.05*lim.CapacityShare*weight {
-			t.Errorf("%d siblings: %.1f a second once warm, near %.1f wanted", siblings, rate, lim.CapacityShare*weight)
+		if rate := warmCalls / 10; rate < 0.8*lim.CapacityShare*capacity || rate > 1.05*lim.CapacityShare*capacity {
+			t.Errorf("%d siblings: %.1f a second once warm, near %.1f wanted", senders, rate, lim.CapacityShare*capacity)
 		}
 	}
 }
 
 // warmPlanner returns a planner whose partners are at full level.
-func warmPlanner(t *testing.T, weight float64, dests ...int) (*Planner, time.Duration) {
+func warmPlanner(t *testing.T, capacity float64, dests ...int) (*Planner, time.Duration) {
 	t.Helper()
-	p, now := New(limits, 1), time.Duration(0)
+	p, now := New(testLimits, 1), time.Duration(0)
 	for _, d := range dests {
-		p.CapacityChanged(now, d, weight, true)
+		p.CapacityChanged(now, d, capacity, true)
 	}
 	for ; now < 40*time.Second; now += 20 * time.Millisecond {
-		for _, d := range p.Grant(now, dests, idle) {
+		for _, d := range p.Grant(now, dests, idleLoad) {
 			p.CallEnded(now, d, Served, 0, true)
 			p.RedeliveryEnded(now, d, true)
 		}
@@ -87,8 +87,8 @@
 	return p, now
 }
 
-// grants counts what a planner grants over a while, all served at once.
-func grants(p *Planner, now, span time.Duration, load Load, dests ...int) map[int]int {
+// countGrants counts what a planner countGrants over a while, all served at once.
+func countGrants(p *Planner, now, span time.Duration, load Load, dests ...int) map[int]int {
 	n := map[int]int{}
 	for end := now + span; now < end; now += 10 * time.Millisecond {
 		for _, d := range p.Grant(now, dests, load) {
@@ -100,13 +100,13 @@
 	return n
 }
 
-func TestStopsOnFailure(t *testing.T) {
+func TestPausesAfterFailure(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		r       Result
-		wait    time.Duration
-		silence time.Duration
-		lone    bool
+		name          string
+		result        Result
+		retryAfter    time.Duration
+		pause         time.Duration
+		limitExceeded bool
 	}{
 		{"refusal between served calls", Rejected, 0, 700 * time.Millisecond, true},
 		{"told wait", Rejected, 5 * time.Second, 5 * time.Second, false},
@@ -114,41 +114,41 @@
 		{"a wait told with an answer that served", Served, time.Second, time.Second, false},
 	} {
 		p, now := warmPlanner(t, 20, 7)
-		p.CallEnded(now, 7, c.r, c.wait, false) // live traffic stops resends too
-		if n := grants(p, now, c.silence, idle, 7); n[7] > 0 {
-			t.Errorf("%s: %d within %v", c.name, n[7], c.silence)
+		p.CallEnded(now, 7, c.result, c.retryAfter, false) // live traffic stops resends too
+		if n := countGrants(p, now, c.pause, idleLoad, 7); n[7] > 0 {
+			t.Errorf("%s: %d within %v", c.name, n[7], c.pause)
 		}
 		later := now + 20*time.Second
-		if c.lone {
+		if c.limitExceeded {
 			later = now + 2*time.Second
 		}
-		n := grants(p, later, time.Second, idle, 7)
-		if n[7] == 0 || !c.lone && n[7] > 4 {
+		n := countGrants(p, later, time.Second, idleLoad, 7)
+		if n[7] == 0 || !c.limitExceeded && n[7] > 4 {
 			t.Errorf("%s: starts again with %d in a second", c.name, n[7])
 		}
 	}
 }
 
 // A partner that stays shut costs a few tests, ever more seldom.
-func TestStaysPausedWhileFailing(t *testing.T) {
-	p := New(limits, 3)
+func TestTrialBackoffWhileFailing(t *testing.T) {
+	p := New(testLimits, 3)
 	p.CapacityChanged(0, 7, 20, true)
-	var at []time.Duration
+	var trials []time.Duration
 	for now := time.Duration(0); now < 10*time.Minute; now += 10 * time.Millisecond {
-		for range p.Grant(now, []int{7}, idle) {
-			at = append(at, now)
+		for range p.Grant(now, []int{7}, idleLoad) {
+			trials = append(trials, now)
 			p.CallEnded(now, 7, Failed, 0, true)
 			p.RedeliveryEnded(now, 7, true)
 		}
 	}
-	if len(at) > 12 || len(at) < 5 {
-		t.Errorf("%d tests in 10 minutes: %v", len(at), at)
+	if len(trials) > 12 || len(trials) < 5 {
+		t.Errorf("%d tests in 10 minutes: %v", len(trials), trials)
 	}
 }
 
-func TestLiveTrafficFirst(t *testing.T) {
+func TestLiveTrafficHasPriority(t *testing.T) {
 	p, now := warmPlanner(t, 20, 7)
-	alone := grants(p, now, 5*time.Second, idle, 7)[7]
+	alone := countGrants(p, now, 5*time.Second, idleLoad, 7)[7]
 	now += 5 * time.Second
 	n := 0
 	for i := range 1000 { // 20 live calls a second: all that it takes
@@ -159,7 +159,7 @@
 		if i < 300 {
 			continue
 		}
-		for range p.Grant(now, []int{7}, idle) {
+		for range p.Grant(now, []int{7}, idleLoad) {
 			n++
 			p.RedeliveryEnded(now, 7, true)
 		}
@@ -172,16 +172,16 @@
 		"hold":  {MaxInFlight: 16, MaxOpenMessages: 200, Open: 100},
 	} {
 		p, now := warmPlanner(t, 20, 7)
-		if n := grants(p, now, 5*time.Second, load, 7); n[7] > 0 {
+		if n := countGrants(p, now, 5*time.Second, load, 7); n[7] > 0 {
 			t.Errorf("%s short: %d granted", name, n[7])
 		}
 	}
 }
 
 // Many for one destination don't starve others; tenants go in turn.
-func TestDestinationsInTurn(t *testing.T) {
+func TestDestinationsAndTenantsTakeTurns(t *testing.T) {
 	p, now := warmPlanner(t, 20, 1, 2, 3)
-	n := grants(p, now, 10*time.Second, idle, 1, 2, 3)
+	n := countGrants(p, now, 10*time.Second, idleLoad, 1, 2, 3)
 	for _, d := range []int{2, 3} {
 		if math.Abs(float64(n[d]-n[1])) > 0.1*float64(n[1]) {
 			t.Errorf("grants %v", n)
@@ -199,11 +199,11 @@
 
 // Whatever comes, no more are out than allowed, none within a told wait, and at
 // most one to a partner under test.
-func TestAnyHistory(t *testing.T) {
+func TestPlannerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := New(limits, rapid.Uint64().Draw(t, "seed"))
-		out := map[int]int{}
-		waits := map[int]time.Duration{}
+		p := New(testLimits, rapid.Uint64().Draw(t, "seed"))
+		inFlight := map[int]int{}
+		retryAfterUntil := map[int]time.Duration{}
 		var now time.Duration
 		all := []int{1, 2, 3}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -216,27 +216,27 @@
 				wait := time.Duration(rapid.IntRange(0, 4000).Draw(t, "wait")) * time.Millisecond
 				p.CallEnded(now, dest, rapid.SampledFrom([]Result{Served, Rejected, Failed, NotSent}).Draw(t, "result"), wait,
 					rapid.Bool().Draw(t, "own"))
-				waits[dest] = max(waits[dest], now+wait)
+				retryAfterUntil[dest] = max(retryAfterUntil[dest], now+wait)
 			case 2:
-				if out[dest] > 0 {
-					out[dest]--
+				if inFlight[dest] > 0 {
+					inFlight[dest]--
 					p.RedeliveryEnded(now, dest, rapid.Bool().Draw(t, "in"))
 				}
 			}
 			sum := 0
-			for _, d := range p.Grant(now, all, idle) {
-				out[d]++
-				if now < waits[d] {
-					t.Fatalf("%v: a grant within the wait until %v", now, waits[d])
+			for _, d := range p.Grant(now, all, idleLoad) {
+				inFlight[d]++
+				if now < retryAfterUntil[d] {
+					t.Fatalf("%v: a grant within the wait until %v", now, retryAfterUntil[d])
 				}
-				if p.partners[d].trial && out[d] > 1 {
-					t.Fatalf("%v: %d out under test", now, out[d])
+				if p.partners[d].trial && inFlight[d] > 1 {
+					t.Fatalf("%v: %d out under test", now, inFlight[d])
 				}
 			}
-			for _, n := range out {
+			for _, n := range inFlight {
 				sum += n
 			}
-			if sum > limits.MaxInFlight {
+			if sum > testLimits.MaxInFlight {
 				t.Fatalf("%d out", sum)
 			}
 			if next := p.NextGrant(now, all); next <= now || next > now+2*time.Second {
