--- a/internal/deadletter/audit.go
+++ b/internal/deadletter/audit.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// AuditEntry is an entry of the audit trail: one command of an operator.
+// AuditEntry records one operator command in the audit trail.
 type AuditEntry struct {
 	At       time.Time `json:"at"`
 	By       string    `json:"by"`
 	Verb     string    `json:"verb"`
 	Filter   *Filter   `json:"filter,omitempty"`
-	Records  []uint64  `json:"records,omitempty"` // the first maxAuditRecords ones
+	Records  []uint64  `json:"records,omitempty"` // at most the first maxAuditRecords
 	Done     int       `json:"done"`
 	Rejected int       `json:"refused"`
 }
 
-// maxAuditRecords bounds the records named in one entry.
+// maxAuditRecords limits the sequence numbers listed in one entry.
 const maxAuditRecords = 100
 
-// audit adds an entry. The trail keeps the latest maxAuditEntries.
+// audit appends an entry. The audit trail keeps the latest maxAuditEntries entries.
 func (t *Tx) audit(entry AuditEntry) error {
 	b := t.Bucket(bucketAudit)
 	n, err := b.NextSequence()
@@ -40,7 +40,7 @@
 	return b.Delete(encodeUint(n - maxAuditEntries))
 }
 
-// Audit returns the latest entries, the newest first.
+// Audit returns up to limit of the latest entries, newest first.
 func (t *Tx) Audit(limit int) ([]AuditEntry, error) {
 	var list []AuditEntry
 	c := t.Bucket(bucketAudit).Cursor()
--- a/internal/deadletter/claims.go
+++ b/internal/deadletter/claims.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// ClaimKey ends the held records of a key that a client submits anew: from now on the message is its client's. It is
-// called by the client's goroutine before the message is accepted, and waits for the store only if a record may be
-// held. It returns false if such a record is being redelivered or the store does not answer by the deadline: the
-// client should come again.
+// ClaimKey ends the held records of a key that a client submits again, so that only the new message is delivered. The
+// client's goroutine calls it before the message is accepted. It waits for the store only if a record of the key may
+// exist. It returns false if such a record is being redelivered or the store does not respond by the deadline; the
+// client should then retry later.
 func (q *Queue) ClaimKey(classNumber int, key string, deadline time.Time) bool {
 	class := nameAt(q.platform.Load().Classes, classNumber)
 	q.mu.Lock()
 	s := q.store
-	if s == nil { // the claim is written before anything is redelivered
+	if s == nil { // the claim is stored before any record is redelivered
 		if len(q.pendingClaims) < maxPendingClaims {
 			q.pendingClaims[[2]string{class, key}] = true
 		} else {
@@ -37,10 +37,10 @@
 	}) == nil
 }
 
-// errKeyInFlight ends the claim of a key of which a record is being redelivered.
-var errKeyInFlight = errors.New("held: a record of that key is being sent")
+// errKeyInFlight rejects the claim of a key if a record with this key is being redelivered.
+var errKeyInFlight = errors.New("held: a record with this key is being redelivered")
 
-// keyInFlight reports whether a record of a key is being redelivered, or may be.
+// keyInFlight reports whether a record with a key may be in redelivery. It returns true if the store cannot be read.
 func (q *Queue) keyInFlight(s *Store, class, key string) (inFlight bool) {
 	err := s.View(func(t *Tx) error {
 		inFlight = len(t.inFlightWithKey(class, key)) > 0
@@ -49,10 +49,11 @@
 	return inFlight || err != nil
 }
 
-// maxInFlightScan bounds the records in redelivery that are searched for a key; there are few of them.
+// maxInFlightScan limits the records in redelivery that are searched for a key. There are usually few of them.
 const maxInFlightScan = 4096
 
-// inFlightWithKey lists the records of a key that are being redelivered.
+// inFlightWithKey returns the records with a key that are being redelivered. If the store cannot be read, the result is
+// not empty, so that the key counts as in flight.
 func (t *Tx) inFlightWithKey(class, key string) (seqs []uint64) {
 	list, _, err := t.List(Filter{State: InFlight}, 0, maxInFlightScan)
 	for _, r := range list {
@@ -66,7 +67,7 @@
 	return seqs
 }
 
-// supersede ends the held records of a key that a client submitted anew.
+// supersede ends the held and ordered records with a key that a client submitted again.
 func (q *Queue) supersede(t *Tx, class, key string) error {
 	now := q.clock.now()
 	for _, seq := range t.sequencesByKey(class, key) {
--- a/internal/deadletter/clock.go
+++ b/internal/deadletter/clock.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// clock is a clock that never goes back while the process runs: it is set by the wall clock once and goes on with the
+// clock never goes back while the process runs: it reads the wall clock once at the start and then advances with the
 // monotonic clock.
 type clock struct {
-	base     time.Time // wall time of the start
+	base     time.Time // wall time at the start
 	start    time.Time // the same instant with its monotonic reading
-	wentBack bool      // at the start the wall clock was before the latest time in the store
+	wentBack bool      // at the start the wall clock was behind the latest time in the store
 }
 
 // newClock returns a clock that starts now.
@@ -19,13 +19,14 @@
 // now returns the current time without a monotonic reading.
 func (c *clock) now() time.Time { return c.base.Add(time.Since(c.start)) }
 
-// advancePast takes the latest time in a store, in whole microseconds. If the wall clock went back, the times of this
-// process begin behind it, so that they stay distinct from those of before.
+// advancePast moves the clock past the latest time in a store, which is in whole microseconds, if the wall clock was
+// set back. The times of this process are then distinct from those of earlier processes.
 func (c *clock) advancePast(latest time.Time) {
 	if latest.After(c.now().Add(clockTolerance)) {
 		c.base, c.wentBack = latest.Add(time.Microsecond), true
 	}
 }
 
-// elapsedKnown reports whether the time since at is known.
+// elapsedKnown reports whether the time that has elapsed since at can be computed. After the wall clock was set back it
+// is unknown for times of earlier processes.
 func (c *clock) elapsedKnown(at time.Time) bool { return !c.wentBack || !at.Before(c.base) }
--- a/internal/deadletter/commands.go
+++ b/internal/deadletter/commands.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Selection selects records by their sequence numbers, or by a filter after a position.
+// Selection selects records by their sequence numbers, or by a filter starting after a position.
 type Selection struct {
 	Sequences []uint64 `json:"seqs,omitempty"`
 	Filter    Filter   `json:"filter,omitzero"`
@@ -15,26 +15,26 @@
 	Limit     int      `json:"most,omitempty"`
 }
 
-// MaxPageSize is the highest number of records in a page, and in one command.
+// MaxPageSize is the maximum number of records in a page and in one command.
 const MaxPageSize = 500
 
-// RejectedRecord is a record that a command left as it is.
+// RejectedRecord is a record that a command did not change, with the reason.
 type RejectedRecord struct {
 	Seq    uint64 `json:"seq"`
 	Reason string `json:"why"`
 }
 
-// Outcome is the outcome of a command.
+// Outcome is the result of a command.
 type Outcome struct {
 	Done     int              `json:"done"`
 	Rejected []RejectedRecord `json:"refused,omitempty"`
-	Next     uint64           `json:"next,omitempty"` // the position to go on after; 0: that was all
+	Next     uint64           `json:"next,omitempty"` // the position for the next page; 0: there are no more records
 }
 
-// ErrNoStore means that the store is not open.
+// ErrNoStore is returned while the store is not open.
 var ErrNoStore = errors.New("held: the store is not open; the log says why")
 
-// errDryRun rolls back the transaction of a dry run.
+// errDryRun makes the writer roll back the transaction of a dry run.
 var errDryRun = errors.New("held: dry run")
 
 // View runs a read transaction. It returns ErrNoStore while the store is not open.
@@ -48,8 +48,9 @@
 	return s.View(f)
 }
 
-// changeSelected runs a command over a selection, in one transaction with its entry in the audit trail. The function
-// f changes a record, or returns why not, as a *NotEligible. A dry run changes nothing.
+// changeSelected applies a command to the selected records and adds an entry to the audit trail, in one transaction.
+// The function f changes a record, or returns a *NotEligible error with the reason why it does not. A dry run changes
+// nothing.
 func (q *Queue) changeSelected(
 	ctx context.Context, by, verb string, selection Selection, dryRun bool, f func(r *Record, now time.Time) error,
 ) (Outcome, error) {
@@ -86,7 +87,7 @@
 	return outcome, err
 }
 
-// selected returns the sequence numbers of a selection, and sets where the next page of a filter begins.
+// selected returns the sequence numbers of a selection. For a filter it sets the position of the next page in outcome.
 func (t *Tx) selected(selection Selection, outcome *Outcome) ([]uint64, error) {
 	if len(selection.Sequences) > MaxPageSize {
 		return nil, fmt.Errorf("held: %d records named, %d at most at a time", len(selection.Sequences), MaxPageSize)
@@ -101,14 +102,14 @@
 	outcome.Next = next
 	var sequences []uint64
 	for _, r := range list {
-		if !r.State.Ended() { // nothing can be done with ended ones
+		if !r.State.Ended() { // ended records cannot be changed
 			sequences = append(sequences, r.Sequence)
 		}
 	}
 	return sequences, nil
 }
 
-// changeEach changes records one by one, notes in the outcome what became of each, and returns those that were changed.
+// changeEach applies f to each record, counts the results in outcome and returns the records that were changed.
 func (t *Tx) changeEach(sequences []uint64, outcome *Outcome, f func(*Record) error) (done []uint64, err error) {
 	for _, sequence := range sequences {
 		err := t.change(sequence, f)
@@ -128,8 +129,8 @@
 	return done, nil
 }
 
-// Redeliver orders records to be redelivered within a time; 0 stands for that of the settings. By names the caller
-// for the audit trail.
+// Redeliver orders the redelivery of records within a period; 0 selects the period of the settings. By identifies the
+// caller in the audit trail.
 func (q *Queue) Redeliver(
 	ctx context.Context, by string, selection Selection, within time.Duration, dryRun bool,
 ) (Outcome, error) {
@@ -151,7 +152,7 @@
 	})
 }
 
-// Drop drops records. One that is being redelivered can't be dropped.
+// Drop drops records. Records in redelivery cannot be dropped.
 func (q *Queue) Drop(ctx context.Context, by string, selection Selection, dryRun bool) (Outcome, error) {
 	return q.changeSelected(ctx, by, "drop", selection, dryRun, func(r *Record, now time.Time) error {
 		switch {
@@ -166,7 +167,7 @@
 	})
 }
 
-// Import adds exported lines. A line whose id is in the store is rejected.
+// Import adds exported records. A line whose id is already in the store is rejected.
 func (q *Queue) Import(ctx context.Context, by string, lines []ExportLine, dryRun bool) (Outcome, error) {
 	var outcome Outcome
 	if q.View(func(*Tx) error { return nil }) != nil {
--- a/internal/deadletter/eligibility.go
+++ b/internal/deadletter/eligibility.go
@@ -7,13 +7,14 @@
 	"cleathold/control"
 )
 
-// ClassRules are what the platform's settings allow for classes.
+// ClassRules contains the platform settings that decide whether a message may be sent again.
 type ClassRules struct {
 	Classes     map[string]control.Class
 	MaxAttempts int
 }
 
-// NotEligible is the error for a record that may not be redelivered. Unless Temporary it never may.
+// NotEligible is the error for a record that must not be redelivered. Unless Temporary is set, it never becomes
+// eligible.
 type NotEligible struct {
 	Reason    string
 	Temporary bool
@@ -22,13 +23,14 @@
 // Error implements error.
 func (e *NotEligible) Error() string { return e.Reason }
 
-// neverEligible returns the error for a record that may never be redelivered.
+// neverEligible returns the error for a record that must never be redelivered.
 func neverEligible(format string, args ...any) *NotEligible {
 	return &NotEligible{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Eligible returns why a record may not be redelivered now, or nil. The time must be of a clock that never goes back;
-// where that can't be known, sure is false, and keys count as forgotten.
+// Eligible returns nil if a record may be redelivered now, and the reason otherwise. The time must come from a clock
+// that never goes back. If this cannot be guaranteed, the caller passes false for clockReliable, and the partner is
+// assumed to have forgotten the idempotency keys of attempts that may have run.
 func (rules *ClassRules) Eligible(r *Record, now time.Time, clockReliable bool) *NotEligible {
 	class, known := rules.Classes[r.Class]
 	at, _, ran := r.FirstRun()
@@ -56,7 +58,8 @@
 	case !clockReliable:
 		return neverEligible("the clock went back, so whether the partner remembers its key can't be told")
 	case !now.Before(at.Add(class.KeyRetention - class.KeyRetention/4)):
-		// The repeat must arrive while the key is retained; a quarter is left for its way, as in package control.
+		// The repeated message must arrive while the partner retains the key. As in package control, a quarter of the
+		// retention is reserved for its transmission.
 		return neverEligible("it may have run %v ago, and the partner remembers its key for %v",
 			now.Sub(at).Round(time.Millisecond), class.KeyRetention)
 	}
--- a/internal/deadletter/evict.go
+++ b/internal/deadletter/evict.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Bounds are the bounds of a store. Bytes are of records and bodies; Age is that of a record, EndedRetention the time
-// since its end.
+// Bounds contains the limits of a store. Bytes limits the total size of records and bodies, Age the time since a record
+// was added, and EndedRetention the time since it ended.
 type Bounds struct {
 	Bytes          int64
 	Records        int
@@ -15,12 +15,13 @@
 	EndedRetention time.Duration
 }
 
-// Evicted counts evicted records: ended ones, open ones over the bounds, and those that were too old.
+// Evicted counts evicted records: ended ones, open ones that exceeded the bounds, and those that were too old.
 type Evicted struct{ Ended, Open, Aged int }
 
-// evict keeps the bounds. Records that are too old go first, then ended ones after their retention. As long as the
-// store is over its bounds the ended ones go in the order of their ends, then the held ones, the longest held first.
-// Records in redelivery, and those whose report is pending, stay. It removes a limited number at a time.
+// evict enforces the bounds. It removes records that are too old, then ended records after their retention. While the
+// store still exceeds its bounds, it removes ended records in the order of their ends, and then other records, the
+// oldest first. It never removes records in redelivery or records whose delivery report is pending. The number of
+// records removed in one call is limited.
 func (t *Tx) evict(b Bounds, now time.Time) (Evicted, error) {
 	var evicted Evicted
 	withinBounds := func(time.Time) bool {
@@ -41,7 +42,7 @@
 	return evicted, err
 }
 
-// evictUntil removes records in the order of an index by time until stop holds, and counts them.
+// evictUntil removes records in the order of a time index until stop returns true, and adds their number to count.
 func (t *Tx) evictUntil(bucket []byte, stop func(at time.Time) bool, count *int) error {
 	type candidate struct {
 		at       time.Time
@@ -61,7 +62,7 @@
 		if err != nil {
 			return err
 		}
-		if stop(x.at) { // the removals so far may have been enough
+		if stop(x.at) { // the previous removals may have been sufficient
 			break
 		}
 		if r.State == InFlight || t.ReportPending(r.ID) {
--- a/internal/deadletter/export.go
+++ b/internal/deadletter/export.go
@@ -14,16 +14,16 @@
 	Body string `json:"body"` // base64
 }
 
-// NewExportLine returns the line for a record.
+// NewExportLine returns the export line of a record.
 func NewExportLine(r Record, body []byte) ExportLine {
 	return ExportLine{r, base64.StdEncoding.EncodeToString(body)}
 }
 
-// maxNameSize bounds the strings of an imported record, in bytes.
+// maxNameSize limits each name of an imported record, in bytes.
 const maxNameSize = 256
 
-// toRecord checks an imported line and returns a new record of it. What happened to the message since the export is
-// unknown, so that it may have run at any time.
+// toRecord validates an imported line and converts it to a new record. The record's history is marked as incomplete:
+// the message may have been sent elsewhere since the export, so it may have run at any time.
 func (l *ExportLine) toRecord(now time.Time) (Record, []byte, error) {
 	body, err := base64.StdEncoding.DecodeString(l.Body)
 	switch {
@@ -48,7 +48,7 @@
 	return r, body, nil
 }
 
-// Export returns a page of records with their bodies, and the position to go on after.
+// Export returns a page of records with their bodies, and the position for the next page; 0: there are no more.
 func (t *Tx) Export(f Filter, after uint64, limit int) (lines []ExportLine, next uint64, err error) {
 	list, next, err := t.List(f, after, limit)
 	if err != nil {
--- a/internal/deadletter/index.go
+++ b/internal/deadletter/index.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// indexEntry is an entry of an index.
+// indexEntry is a key and value in an index bucket.
 type indexEntry struct{ bucket, key, value []byte }
 
 // indexEntries returns the index entries of a record.
@@ -39,14 +39,14 @@
 	return list
 }
 
-// countKey adds by to the count of a record's key, if the record is held or ordered.
+// countKey adds delta to the count of the record's key if the record is held or ordered.
 func (t *Tx) countKey(r *Record, delta int32) {
 	if r.Key != "" && (r.State == Held || r.State == Ordered) {
 		t.keyCounts[keyHash(r.Class, r.Key)] += delta
 	}
 }
 
-// sequencesByKey returns the held and ordered records with a key.
+// sequencesByKey returns the sequence numbers of the held and ordered records with a key.
 func (t *Tx) sequencesByKey(class, key string) (seqs []uint64) {
 	prefix := joinKey(encodeName(class), encodeName(key))
 	c := t.Bucket(bucketKeys).Cursor()
@@ -56,7 +56,8 @@
 	return seqs
 }
 
-// removeFromIndexes removes the index entries of a record. Its id may belong to another record by now.
+// removeFromIndexes removes the index entries of a record. Entries whose value refers to another record are kept, since
+// the id may have been reused.
 func (t *Tx) removeFromIndexes(r *Record) error {
 	for _, s := range indexEntries(r) {
 		b := t.Bucket(s.bucket)
@@ -72,5 +73,5 @@
 
 var keySeed = maphash.MakeSeed()
 
-// keyHash returns the hash of a key. A collision only costs a read of the file.
+// keyHash returns the hash of a class and key. A collision only causes an unnecessary read of the store.
 func keyHash(class, key string) uint64 { return maphash.String(keySeed, class+"\x00"+key) }
--- a/internal/deadletter/items.go
+++ b/internal/deadletter/items.go
@@ -8,26 +8,26 @@
 	"cleathold/internal/state"
 )
 
-// item is something that the event loop reported and the store does not have yet.
+// item is a report of the event loop that is not stored yet.
 type item interface {
 	write(q *Queue, t *Tx, b *writtenBatch) error
 }
 
-// writtenBatch is what a transaction of the writer did, for what follows once it is committed.
+// writtenBatch collects the results of a write transaction that are processed after its commit.
 type writtenBatch struct {
 	now    time.Time
-	stored []control.MessageID // dead letters that the store has now
+	stored []control.MessageID // dead letters that are stored
 	ended  []endedRedelivery
 }
 
-// endedRedelivery is a redelivery that has ended.
+// endedRedelivery identifies a redelivery that has ended.
 type endedRedelivery struct {
 	sequence uint64
 	admitted bool // by the event loop
 }
 
-// walState is the state of the write-ahead log at the start: ids of dead letters that it still has, and records
-// in redelivery.
+// walState is the state of the write-ahead log at the start: the ids of dead letters that it still contains, and the
+// sequence numbers of records in redelivery.
 type walState struct {
 	pendingReports []string
 	inFlight       []uint64
@@ -38,7 +38,7 @@
 	return q.reconcile(t, x, b.now)
 }
 
-// forgottenIDs are ids of messages that the write-ahead log has forgotten.
+// forgottenIDs contains ids of messages that the write-ahead log no longer contains.
 type forgottenIDs struct{ ids []string }
 
 func (x forgottenIDs) write(_ *Queue, t *Tx, _ *writtenBatch) error {
@@ -65,8 +65,8 @@
 	return q.endRedelivery(t, &letter, b.now)
 }
 
-// toQueueTime converts a time of the event loop to the queue's clock. Unix time 0 and the zero time mean an unknown
-// time.
+// toQueueTime converts a time of the event loop to the queue's clock. Unix time 0 and the zero time stand for an
+// unknown time and are converted to the zero time.
 func (q *Queue) toQueueTime(eventTime, now time.Time) time.Time {
 	if eventTime.IsZero() || eventTime.Unix() == 0 {
 		return time.Time{}
@@ -74,7 +74,8 @@
 	return now.Add(-time.Since(eventTime))
 }
 
-// attemptHistory converts the attempts of a message, or of a redelivery by its number.
+// attemptHistory converts attempts of the event loop to the queue's clock. Redelivery is the number of the redelivery
+// that they belong to; 0 stands for the attempts before the message became a dead letter.
 func (q *Queue) attemptHistory(attempts []state.AttemptRecord, redelivery int, now time.Time) []Attempt {
 	list := convertAttempts(attempts, redelivery)
 	for i := range list {
@@ -83,7 +84,7 @@
 	return list
 }
 
-// addRecord adds a dead letter that is new to the store.
+// addRecord adds a new dead letter to the store.
 func (q *Queue) addRecord(t *Tx, letter *state.DeadLetter, now time.Time) error {
 	message, platform := letter.Message, q.platform.Load()
 	r := Record{
@@ -106,13 +107,13 @@
 	return err
 }
 
-// endRedelivery records the end of a redelivery. A second report of it changes nothing.
+// endRedelivery records the end of a redelivery. A repeated report has no effect.
 func (q *Queue) endRedelivery(t *Tx, letter *state.DeadLetter, now time.Time) error {
 	err := t.change(letter.Seq, func(r *Record) error {
 		if r.State != InFlight || r.ID != letter.Message.ID {
 			return errUnchanged
 		}
-		if letter.NotAdmitted { // the controller never had it
+		if letter.NotAdmitted { // the message did not reach the controller
 			r.Redeliveries--
 			r.schedule(now.Add(notAdmittedDelay), r.Until)
 			return nil
@@ -138,7 +139,8 @@
 	return err
 }
 
-// redeliveryFailed schedules a record again as long as its order holds and it is eligible, else it stays for review.
+// redeliveryFailed schedules a record again if its order has not expired and it is still eligible. Otherwise the record
+// is held again.
 func (q *Queue) redeliveryFailed(r *Record, now time.Time) {
 	until := r.Until
 	r.unschedule(time.Time{})
@@ -158,14 +160,14 @@
 	}
 }
 
-// notAdmittedDelay is the time until a redelivery that the event loop did not admit is due again.
+// notAdmittedDelay is the delay before the retry of a redelivery that the event loop did not admit.
 const notAdmittedDelay = 100 * time.Millisecond
 
-// errUnchanged ends a change that leaves a record as it is.
-var errUnchanged = errors.New("held: nothing to change")
+// errUnchanged cancels the change of a record.
+var errUnchanged = errors.New("held: record unchanged")
 
-// reconcile brings the store in line with the write-ahead log at the start. Dead letters that the log still has may
-// be reported again.
+// reconcile synchronizes the store with the state of the write-ahead log at the start. Records that the store has in
+// flight and the log does not are treated as interrupted redeliveries.
 func (q *Queue) reconcile(t *Tx, wal walState, now time.Time) error {
 	pending := map[string]bool{}
 	for _, id := range wal.pendingReports {
@@ -194,8 +196,8 @@
 	return nil
 }
 
-// reconcileReports sets which delivery reports are pending: of the ids that the write-ahead log has, those with a
-// record.
+// reconcileReports updates which delivery reports are pending: those of the messages that the write-ahead log still
+// contains and that have a record. The event loop may report these messages again.
 func (t *Tx) reconcileReports(pending map[string]bool) error {
 	var acknowledged []string
 	c := t.Bucket(bucketPendingReports).Cursor()
--- a/internal/deadletter/platform.go
+++ b/internal/deadletter/platform.go
@@ -7,10 +7,10 @@
 	"cleathold/internal/redelivery"
 )
 
-// Names are the names of classes and tenants by their numbers.
+// Names contains the names of classes and tenants, indexed by their numbers.
 type Names struct{ Classes, Tenants []string }
 
-// nameAt returns the name with a number, or nothing.
+// nameAt returns the name with the given number, or an empty string if there is none.
 func nameAt(list []string, i int) string {
 	if i < 0 || i >= len(list) {
 		return ""
@@ -18,15 +18,15 @@
 	return list[i]
 }
 
-// platformSettings are the platform's settings as far as the queue needs them. They are immutable.
+// platformSettings is an immutable copy of the platform settings that the queue needs.
 type platformSettings struct {
 	Names
-	numbers map[string]int // current numbers of the classes by name
+	numbers map[string]int // current class numbers by name
 	rules   ClassRules
 	control control.Settings
 }
 
-// classNumber returns the number of a class; of one that is no longer in the settings the last that it had.
+// classNumber returns the number of a class. For a class that was removed from the settings it returns its last number.
 func (p *platformSettings) classNumber(class string) int {
 	if n, known := p.numbers[class]; known {
 		return n
@@ -39,7 +39,8 @@
 	return 0
 }
 
-// ClassesChanged takes new classes: the names of all since the start by number, the current numbers, and the settings.
+// ClassesChanged sets the classes: the names of all classes since the start by number, the current numbers by name, and
+// the platform settings.
 func (q *Queue) ClassesChanged(names []string, numbers map[string]int, platform control.Settings) {
 	q.setPlatform(names, numbers, platform)
 	q.mu.Lock()
@@ -47,19 +48,19 @@
 	q.planner.SetLimits(q.limits())
 }
 
-// TenantsChanged takes the names of tenants by number. Earlier numbers stay.
+// TenantsChanged sets the names of the tenants by number. The numbers of known tenants must not change.
 func (q *Queue) TenantsChanged(names []string) {
 	for {
 		old := q.platform.Load()
 		updated := *old
 		updated.Tenants = names
-		if q.platform.CompareAndSwap(old, &updated) { // the event loop may change the classes meanwhile
+		if q.platform.CompareAndSwap(old, &updated) { // retry if the event loop has changed the classes concurrently
 			return
 		}
 	}
 }
 
-// setPlatform replaces the classes and settings, and leaves the tenants.
+// setPlatform replaces the classes and settings and keeps the tenants.
 func (q *Queue) setPlatform(names []string, numbers map[string]int, platform control.Settings) {
 	old := q.platform.Load()
 	updated := &platformSettings{
@@ -70,16 +71,16 @@
 		if n, known := numbers[name]; known {
 			i = n
 		}
-		if i < len(platform.Classes) { // a former class keeps its rules for its records
+		if i < len(platform.Classes) { // the records of a removed class keep its last rules
 			updated.rules.Classes[name] = platform.Classes[i]
 		}
 	}
-	if !q.platform.CompareAndSwap(old, updated) { // the tenants have changed meanwhile
+	if !q.platform.CompareAndSwap(old, updated) { // the tenants have changed concurrently
 		q.setPlatform(names, numbers, platform)
 	}
 }
 
-// limits returns the limits of redelivery by the current settings.
+// limits returns the redelivery limits of the current settings.
 func (q *Queue) limits() redelivery.Limits {
 	platform := &q.platform.Load().control
 	return redelivery.Limits{
--- a/internal/deadletter/query.go
+++ b/internal/deadletter/query.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// Filter selects records. An empty field matches any.
+// Filter selects records. An empty field matches all records.
 type Filter struct {
 	Destination *int      `json:"destination,omitempty"`
 	Class       string    `json:"class,omitempty"`
 	Tenant      string    `json:"tenant,omitempty"`
 	Reason      string    `json:"reason,omitempty"`
 	State       State     `json:"state,omitempty"`
-	Since       time.Time `json:"since,omitzero"` // held at this time or later
-	Before      time.Time `json:"before,omitzero"`
+	Since       time.Time `json:"since,omitzero"`  // added at this time or later
+	Before      time.Time `json:"before,omitzero"` // added before this time
 }
 
 // Empty reports whether the filter matches all records.
 func (f *Filter) Empty() bool { return *f == Filter{} }
 
-// matches reports whether a record matches.
+// matches reports whether a record matches the filter.
 func (f *Filter) matches(r *Record) bool {
 	return (f.Destination == nil || *f.Destination == r.Destination) &&
 		(f.Class == "" || f.Class == r.Class) && (f.Tenant == "" || f.Tenant == r.Tenant) &&
@@ -33,8 +33,8 @@
 		(f.Since.IsZero() || !r.HeldAt.Before(f.Since)) && (f.Before.IsZero() || r.HeldAt.Before(f.Before))
 }
 
-// index returns the index to use: its bucket and the prefix of its keys. Sequence numbers grow with the time held, so
-// that each index is in the order of both.
+// index returns the bucket and key prefix of the index to search. Sequence numbers increase with the time at which
+// records were added, so each index is ordered by both.
 func (f *Filter) index() (bucket, prefix []byte) {
 	switch {
 	case f.Destination != nil:
@@ -51,11 +51,11 @@
 	return bucketRecords, nil
 }
 
-// maxScanned bounds the records that are read for one page.
+// maxScanned limits the records that are read for one page.
 const maxScanned = 20_000
 
-// List returns up to limit matching records behind a position, and the position to go on after; 0: there are no more.
-// A page that is short, or empty, may still not be the last, since the records read for it are bounded.
+// List returns up to limit matching records after a position, and the position for the next page; 0: there are no more.
+// A page may be short or empty without being the last, since the number of records read for it is limited.
 func (t *Tx) List(f Filter, after uint64, limit int) (list []Record, next uint64, err error) {
 	if after == 0 && !f.Since.IsZero() {
 		after = t.positionBefore(f.Since)
@@ -72,7 +72,7 @@
 		scanned++
 		r, err := t.Get(seq)
 		if errors.Is(err, ErrNotFound) {
-			err = fmt.Errorf("%w: an index leads to number %d, which is not there", ErrDamaged, seq)
+			err = fmt.Errorf("%w: index entry refers to missing record %d", ErrDamaged, seq)
 		}
 		if err != nil {
 			return list, 0, err
@@ -81,13 +81,13 @@
 		if f.matches(&r) {
 			list = append(list, r)
 		} else if !f.Before.IsZero() && !r.HeldAt.Before(f.Before) {
-			break // all following records were held later
+			break // all following records were added later
 		}
 	}
 	return list, 0, nil
 }
 
-// positionBefore returns the position before the first record held since a time.
+// positionBefore returns the position before the first record that was added at or after a time.
 func (t *Tx) positionBefore(since time.Time) uint64 {
 	k, _ := t.Bucket(bucketTimes).Cursor().Seek(encodeUint(uint64(max(0, since.UnixMicro()))))
 	if len(k) != 16 {
@@ -96,32 +96,32 @@
 	return binary.BigEndian.Uint64(k[8:]) - 1
 }
 
-// Group counts the records with a value in common.
+// Group is the number of records with the same value of a field.
 type Group struct {
 	Name    string `json:"name"`
 	Records int    `json:"records"`
 }
 
-// Stats describes the content of a store.
+// Stats summarizes the content of a store.
 type Stats struct {
 	Records int       `json:"records"`
 	Bytes   int64     `json:"bytes"`
 	File    int64     `json:"file_bytes"`
-	Owed    int       `json:"not_yet_told"` // the platform has not acknowledged their delivery reports
+	Owed    int       `json:"not_yet_told"` // records whose delivery report the client has not acknowledged
 	Evicted uint64    `json:"evicted_open"`
 	Aged    uint64    `json:"evicted_by_age"`
-	Oldest  time.Time `json:"oldest,omitzero"` // the oldest open record
+	Oldest  time.Time `json:"oldest,omitzero"` // when the oldest open record was added
 	States  []Group   `json:"states"`
 	Reasons []Group   `json:"reasons"`
 	Classes []Group   `json:"classes"`
-	Tenants []Group   `json:"tenants"`      // the largest groups
-	Dests   []Group   `json:"destinations"` // the largest
+	Tenants []Group   `json:"tenants"`      // only the largest groups
+	Dests   []Group   `json:"destinations"` // only the largest groups
 }
 
-// maxGroups bounds the groups of a kind in Stats.
+// maxGroups limits the groups of each field in Stats.
 const maxGroups = 20
 
-// Stats counts by the indexes alone.
+// Stats computes the statistics from the counters and indexes; it does not read all records.
 func (t *Tx) Stats() (Stats, error) {
 	s := Stats{
 		Records: int(t.counter(metaCount)), Bytes: int64(t.counter(metaBytes)), File: t.Size(),
@@ -146,13 +146,14 @@
 	return s, nil
 }
 
-// decodeName decodes a name in a key.
+// decodeName decodes a name encoded by encodeName.
 func decodeName(k []byte) string { return strings.TrimSuffix(string(k), "\x00") }
 
-// decodeNumber decodes a number in a key, as text.
+// decodeNumber decodes a number encoded by encodeInt and formats it.
 func decodeNumber(k []byte) string { return strconv.Itoa(decodeInt(k)) }
 
-// groups counts the keys of an index by the value before the sequence number, the largest groups first.
+// groups counts the keys of an index by the value that precedes the sequence number. It returns up to maxGroups groups,
+// the largest first.
 func (t *Tx) groups(bucket []byte, decode func([]byte) string) []Group {
 	var list []Group
 	var last []byte
@@ -168,7 +169,7 @@
 	return list[:min(len(list), maxGroups)]
 }
 
-// readyDestinations returns the destinations with records that are ready to be redelivered.
+// readyDestinations returns the destinations of records that are ready to be redelivered.
 func (t *Tx) readyDestinations() []int {
 	var list []int
 	c := t.Bucket(bucketReady).Cursor()
@@ -183,7 +184,7 @@
 	return list
 }
 
-// readyTenants returns the tenants with records that are ready for a destination.
+// readyTenants returns the tenants of records that are ready to be redelivered to a destination.
 func (t *Tx) readyTenants(dest int) []string {
 	var list []string
 	prefix := encodeInt(dest)
@@ -196,7 +197,7 @@
 	return list
 }
 
-// firstReady returns the first of a tenant's records that are ready for a destination.
+// firstReady returns the first record of a tenant that is ready to be redelivered to a destination.
 func (t *Tx) firstReady(dest int, tenant string) (uint64, bool) {
 	prefix := joinKey(encodeInt(dest), encodeName(tenant))
 	k, _ := t.Bucket(bucketReady).Cursor().Seek(prefix)
@@ -206,7 +207,8 @@
 	return binary.BigEndian.Uint64(k[len(prefix):]), true
 }
 
-// dueRecords returns up to limit records that are dueRecords for review, and the time at which the next one will be.
+// dueRecords returns up to limit records that are due for review, and the time at which the next one becomes due. A
+// zero time means that there is none.
 func (t *Tx) dueRecords(now time.Time, limit int) (seqs []uint64, next time.Time) {
 	c := t.Bucket(bucketDue).Cursor()
 	for k, _ := c.First(); len(k) == 16; k, _ = c.Next() {
--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	maxBatch            = 256                    // items in one transaction
-	maxDueRecords       = 64                     // records due in one transaction; each may cost the call of a rule
-	maxSweepRecords     = 256                    // records scheduled for review by new rules, in one transaction
-	maintenanceInterval = 10 * time.Second       // the longest time between two checks of the bounds
-	minRetryDelay       = 100 * time.Millisecond // after a failure of the store, doubled up to...
-	maxRetryDelay       = 10 * time.Second       // ...this
-	clockTolerance      = 2 * time.Second        // the clock may be behind the latest time in the store by this much
-	maxPendingChanges   = 16                     // changes that wait for the writer
-	maxPendingClaims    = 4096                   // keys submitted before the store was open
-	reportPendingDelay  = time.Second            // until a record is due again whose delivery report is not acknowledged
-	logInterval         = time.Minute            // the same warning is logged once in this time
+	maxBatch            = 256                    // items written in one transaction
+	maxDueRecords       = 64                     // due records in one transaction; each may cost a rule evaluation
+	maxSweepRecords     = 256                    // records scheduled for review in one transaction by new rules
+	maintenanceInterval = 10 * time.Second       // the longest interval between two checks of the bounds
+	minRetryDelay       = 100 * time.Millisecond // after a store failure; doubled after each further one
+	maxRetryDelay       = 10 * time.Second       // limit of the doubled delay
+	clockTolerance      = 2 * time.Second        // tolerated lag of the wall clock behind the latest time in the store
+	maxPendingChanges   = 16                     // changes queued for the writer
+	maxPendingClaims    = 4096                   // keys claimed while the store was not open
+	reportPendingDelay  = time.Second            // review interval while the delivery report is not acknowledged
+	logInterval         = time.Minute            // the same warning is logged at most once per interval
 )
 
-// EventPoster takes events; the event loop is one.
+// EventPoster receives events for the event loop.
 type EventPoster interface{ Post(event state.Event) }
 
-// Config is the configuration of a queue.
+// Config configures a Queue.
 type Config struct {
-	Settings *settings.Settings // its Held part must be set
+	Settings *settings.Settings // Held must be set
 	Platform control.Settings
 	Names    Names
 	Log      *slog.Logger
 }
 
-// Queue is the dead-letter queue of a sender. The goroutine of Run alone writes the store. What other goroutines
-// report waits in a bounded list, and in the write-ahead log until the store has it.
+// Queue is the dead-letter queue of a sender. Only the goroutine of Run writes to the store. Reports of other
+// goroutines are kept in a bounded list, and in the write-ahead log until they are stored.
 type Queue struct {
 	log      *slog.Logger
 	platform atomic.Pointer[platformSettings] // the latest settings
@@ -49,25 +49,26 @@
 	mu              sync.Mutex
 	settings        *settings.Settings
 	items           []item
-	newDeadLetters  int // dead letters among the items that are new to the store
+	newDeadLetters  int // new dead letters in items, without ends of redeliveries
 	failing         bool
 	store           *Store // nil until it is open
 	planner         *redelivery.Planner
 	load            redelivery.Load
-	pendingClaims   map[[2]string]bool // by class and key: submitted while the store was not open
-	claimsLostUntil time.Time          // until then keys may have been submitted that are not in pendingClaims
+	pendingClaims   map[[2]string]bool // by class and key: claimed while the store was not open
+	claimsLostUntil time.Time          // claims before this time may be missing from pendingClaims
 	lastWarned      map[string]time.Time
 
 	// Owned by the goroutine of Run.
 	clock         clock
-	granted       map[uint64]int // destinations of the records that this process is redelivering, by sequence
-	sweepPosition uint64         // after a change of rules: held records up to here are scheduled for review
+	granted       map[uint64]int // destinations of records that this process is redelivering, by sequence number
+	sweepPosition uint64         // held records up to here have been scheduled for review after a change of rules
 	sweeping      bool
-	walStateKnown bool // the state of the write-ahead log is known
+	walStateKnown bool // Begin has reported the state of the write-ahead log
 	maintainedAt  time.Time
 }
 
-// NewQueue returns a queue. Connect must be called next, then Run, which opens the store.
+// NewQueue returns a queue whose store is not open yet. The caller must call Connect, and then Run, which opens the
+// store.
 func NewQueue(config Config) *Queue {
 	q := &Queue{
 		log: config.Log, settings: config.Settings, clock: newClock(),
@@ -87,7 +88,7 @@
 // Connect sets the event loop. It must be called before Run.
 func (q *Queue) Connect(loop EventPoster) { q.loop = loop }
 
-// UpdateSettings changes bounds, rates and rules. The folder stays.
+// UpdateSettings applies new bounds, rates and rules. A change of the folder has no effect while the store is open.
 func (q *Queue) UpdateSettings(s *settings.Settings) {
 	q.mu.Lock()
 	q.settings = s
@@ -96,12 +97,12 @@
 	select {
 	case q.changes <- change{apply: func(*Tx) error { q.sweepPosition, q.sweeping = 0, s.Rules(); return nil },
 		done: make(chan error, 1)}:
-	default: // records are reviewed as they become due
-		q.log.Warn("too many changes pending, held records are reviewed by the new rules later")
+	default: // records are still reviewed by the new rules when they become due
+		q.log.Warn("too many pending changes; the new rules apply to held records at their next review")
 	}
 }
 
-// signal wakes the writer.
+// signal wakes up the writer.
 func (q *Queue) signal() {
 	select {
 	case q.wake <- struct{}{}:
@@ -109,7 +110,7 @@
 	}
 }
 
-// push adds an item for the writer.
+// push queues an item for the writer.
 func (q *Queue) push(x item) {
 	q.mu.Lock()
 	q.items = append(q.items, x)
@@ -120,37 +121,37 @@
 	q.signal()
 }
 
-// isNew reports whether an item is a dead letter that is new to the store.
+// isNew reports whether an item is a new dead letter, and not the end of a redelivery.
 func isNew(x item) bool {
 	letter, ok := x.(deadLetterItem)
 	return ok && letter.Seq == 0
 }
 
-// The methods below implement state.DeadLetterQueue. None of them waits for the store.
+// The methods below implement state.DeadLetterQueue. None of them blocks on the store.
 
-// Begin takes the state of the write-ahead log at the start: the ids of messages owed to the queue, and the records
-// in redelivery.
+// Begin reports the state of the write-ahead log at the start: the ids of the dead letters that it still contains, and
+// the sequence numbers of the records in redelivery.
 func (q *Queue) Begin(pendingReports []string, inFlight []uint64) {
 	q.push(walState{pendingReports, inFlight})
 }
 
-// Add takes a dead letter, or the end of a redelivery.
+// Add queues a dead letter, or the end of a redelivery, for the store.
 func (q *Queue) Add(letter state.DeadLetter) { q.push(deadLetterItem(letter)) }
 
-// Forget takes ids that the write-ahead log has forgotten.
+// Forget reports ids of messages that the write-ahead log no longer contains.
 func (q *Queue) Forget(ids []string) { q.push(forgottenIDs{ids}) }
 
-// CallEnded learns from the end of a call.
+// CallEnded reports the end of a call to the planner.
 func (q *Queue) CallEnded(dest int, result control.Result, retryAfter time.Duration, isRedelivery bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.planner.CallEnded(q.plannerTime(), dest, partnerResult(result), retryAfter, isRedelivery)
 }
 
-// partnerResult converts the result of a call to what it says of the partner.
+// partnerResult converts the result of a call to the planner's view of the partner.
 func partnerResult(result control.Result) redelivery.Result {
 	switch result {
-	case control.Served, control.Unprocessable: // the partner was there
+	case control.Served, control.Unprocessable: // the partner responded
 		return redelivery.Served
 	case control.Rejected, control.ConnectionRejected:
 		return redelivery.Rejected
@@ -160,7 +161,7 @@
 	return redelivery.Failed
 }
 
-// CapacityChanged takes the capacity of destinations.
+// CapacityChanged reports the capacity of destinations.
 func (q *Queue) CapacityChanged(capacities map[int]state.DestinationCapacity) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -169,18 +170,18 @@
 	}
 }
 
-// LoadChanged takes the load of the event loop.
+// LoadChanged reports the load of the event loop.
 func (q *Queue) LoadChanged(load state.LoopLoad) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.load = redelivery.Load(load)
 }
 
-// plannerTime returns the time of the planner.
+// plannerTime returns the current time of the planner, which is the time since the queue was created.
 func (q *Queue) plannerTime() time.Duration { return time.Since(q.clock.start) }
 
-// Accepts asks the rule hold whether a message becomes a dead letter. While the store fails or too many dead letters
-// wait, none does.
+// Accepts reports whether a message becomes a dead letter, which the rule "hold" decides. It returns false while the
+// store is failing or too many dead letters wait to be written.
 func (q *Queue) Accepts(letter *state.DeadLetter) bool {
 	q.mu.Lock()
 	full := q.failing || q.newDeadLetters >= q.settings.Held.Queue
@@ -188,7 +189,7 @@
 	partner := q.partner(letter.Message.Destination)
 	q.mu.Unlock()
 	if full {
-		q.warnRateLimited("dead letter not accepted: the store fails or its queue is full")
+		q.warnRateLimited("dead letter not accepted: the store is failing or its queue is full")
 		return false
 	}
 	mayHaveRun := false
@@ -208,7 +209,7 @@
 	return hold
 }
 
-// partner returns a destination as rules see it. The mutex must be held.
+// partner returns the attributes of a destination for the rules. The caller must hold q.mu.
 func (q *Queue) partner(destination int) settings.Partner {
 	status := q.planner.Status(q.plannerTime(), destination)
 	p := settings.Partner{InFlight: status.InFlight, Failing: status.FailingFor, Served: status.SinceServed,
@@ -223,7 +224,8 @@
 	return p
 }
 
-// warnRateLimited logs a warning unless the same one was logged lately.
+// warnRateLimited logs a warning at most once per logInterval. Warnings are equal if their text and string arguments
+// are.
 func (q *Queue) warnRateLimited(text string, args ...any) {
 	key := text
 	for _, a := range args {
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -1,7 +1,7 @@
-// Package deadletter is the queue of messages that could not be delivered. It owns a store on bbolt, which the
-// goroutine of Queue.Run alone writes, and the rules by which a dead letter may be sent again: ClassRules.Eligible,
-// the rules of the settings and the rates of package redelivery. It does not send by itself: redeliveries are events
-// for the event loop, whose controller decides about each message again.
+// Package deadletter implements the queue of messages that could not be delivered. It keeps them in a bbolt store, to
+// which only the goroutine of Queue.Run writes, and decides which of them may be redelivered and when: by
+// ClassRules.Eligible, by the rules of the settings and by the rates of package redelivery. It does not send messages
+// itself. It posts redeliveries to the event loop, whose controller decides about each message again.
 package deadletter
 
 import (
@@ -14,21 +14,21 @@
 // State is the state of a record. Its values are stored.
 type State string
 
-// The states. The first three are open, the others ended.
+// The states of a record. Held, Ordered and InFlight are open states; in the others the record has ended.
 const (
-	Held       State = "held"       // until an operator or a rule decides
-	Ordered    State = "ordered"    // to be redelivered, up to a time
-	InFlight   State = "out"        // in redelivery; counts as sent
+	Held       State = "held"       // waits for the decision of an operator or a rule
+	Ordered    State = "ordered"    // to be redelivered before a deadline
+	InFlight   State = "out"        // being redelivered; counts as sent
 	Delivered  State = "delivered"  // by a redelivery
 	Dropped    State = "dropped"    // by an operator or a rule
-	Superseded State = "superseded" // its client submitted the key anew
-	Closed     State = "over"       // the partner said that nothing more is owed
+	Superseded State = "superseded" // the client submitted the key again
+	Closed     State = "over"       // the partner reported that the message needs no further delivery
 )
 
-// Ended reports whether the record has ended.
+// Ended reports whether a record in this state has ended.
 func (s State) Ended() bool { return s != Held && s != Ordered && s != InFlight }
 
-// Attempt is one attempt in the history of a record.
+// Attempt is a delivery attempt in the history of a record.
 type Attempt struct {
 	Target     string    `json:"target,omitempty"` // id of the endpoint; empty: unknown
 	Zone       int       `json:"zone"`
@@ -38,7 +38,7 @@
 	Redelivery int       `json:"resend,omitempty"` // number of the redelivery; 0: before the message became a dead letter
 }
 
-// Event is something that was done with a record.
+// Event is an entry in the event history of a record, such as an order or a redelivery.
 type Event struct {
 	At   time.Time `json:"at"`
 	Kind string    `json:"what"`
@@ -47,40 +47,40 @@
 
 // Record is a dead letter without its body.
 type Record struct {
-	Sequence     uint64    `json:"seq"` // its number in the store, by which commands name it
-	Revision     uint64    `json:"rev"` // counts its changes
+	Sequence     uint64    `json:"seq"` // identifies the record in the store and in commands
+	Revision     uint64    `json:"rev"` // number of changes to the record
 	State        State     `json:"state"`
-	ID           string    `json:"id"` // the client's id; redeliveries go out under it
+	ID           string    `json:"id"` // the id that the client chose; redeliveries use it as well
 	Key          string    `json:"key,omitempty"`
 	Class        string    `json:"class"`
 	Tenant       string    `json:"tenant,omitempty"`
 	Destination  int       `json:"destination"`
 	Size         int       `json:"size"` // bytes of the body
 	Reason       string    `json:"reason"`
-	Deferred     bool      `json:"deferred,omitempty"` // its client would have been told to come again
+	Deferred     bool      `json:"deferred,omitempty"` // without the queue the client would have been asked to retry later
 	Deadline     time.Time `json:"deadline"`
 	HeldAt       time.Time `json:"held_at"`
 	AttemptCount int       `json:"sends"` // redeliveries included
 	Redeliveries int       `json:"resends"`
-	// HistoryIncomplete: attempts are missing from the history; one may have run at any time.
+	// HistoryIncomplete means that attempts are missing from the history; the message may have run at any time.
 	HistoryIncomplete bool      `json:"doubt,omitempty"`
 	Attempts          []Attempt `json:"attempts,omitempty"`
 	Events            []Event   `json:"deeds,omitempty"`
 
-	Until       time.Time `json:"until,omitzero"`      // ordered: the order expires then
-	NotBefore   time.Time `json:"not_before,omitzero"` // ordered: not before this
-	Ready       bool      `json:"ready,omitempty"`     // ordered, and due
-	ReviewAt    time.Time `json:"ask_at,omitzero"`     // held: the rule after is asked then
+	Until       time.Time `json:"until,omitzero"`      // Ordered: when the order expires
+	NotBefore   time.Time `json:"not_before,omitzero"` // Ordered: the earliest time of the redelivery
+	Ready       bool      `json:"ready,omitempty"`     // Ordered: NotBefore has passed
+	ReviewAt    time.Time `json:"ask_at,omitzero"`     // Held: when the rule "after" is evaluated
 	EndedAt     time.Time `json:"ended_at,omitzero"`
 	BodyMissing bool      `json:"no_body,omitempty"` // the record has ended, or the body was lost to damage
 }
 
 const (
-	maxAttempts = 64 // in the history of a record: the first ones, which decide whether it may have run
-	maxEvents   = 32 // the latest ones
+	maxAttempts = 64 // the history keeps the earliest attempts, which determine whether the message may have run
+	maxEvents   = 32 // the event history keeps the latest events
 )
 
-// addEvent adds an event. Only the latest ones are kept.
+// addEvent appends an event and drops the oldest ones beyond maxEvents.
 func (r *Record) addEvent(now time.Time, kind, by string) {
 	r.Events = append(r.Events, Event{now, kind, by})
 	if n := len(r.Events) - maxEvents; n > 0 {
@@ -88,7 +88,8 @@
 	}
 }
 
-// addAttempts adds attempts. If the first one that may have run is beyond the limit, the history is incomplete.
+// addAttempts appends attempts up to maxAttempts. If the first attempt that may have run exceeds this limit, the
+// history is marked as incomplete.
 func (r *Record) addAttempts(list []Attempt) {
 	for _, a := range list {
 		if len(r.Attempts) < maxAttempts {
@@ -99,8 +100,8 @@
 	}
 }
 
-// FirstRun reports whether the message may have run, and when and to which zone the first such attempt was sent. A
-// zero time is unknown.
+// FirstRun reports whether the partner may have run the message, and the time and zone of the first attempt that may
+// have run. A zero time means that the time is unknown.
 func (r *Record) FirstRun() (at time.Time, zone int, ran bool) {
 	for _, a := range r.Attempts {
 		if !a.MayHaveRun {
@@ -119,24 +120,24 @@
 	return at, zone, ran
 }
 
-// end ends a record.
+// end moves a record to an ended state.
 func (r *Record) end(now time.Time, state State) {
 	r.State, r.EndedAt, r.BodyMissing, r.Ready = state, now, true, false
 	r.Until, r.NotBefore, r.ReviewAt = time.Time{}, time.Time{}, time.Time{}
 }
 
-// schedule orders a record to be redelivered.
+// schedule orders the redelivery of a record between notBefore and until.
 func (r *Record) schedule(notBefore, until time.Time) {
 	r.State, r.NotBefore, r.Until, r.Ready, r.ReviewAt = Ordered, notBefore, until, false, time.Time{}
 }
 
-// unschedule makes a record held, with the time of its next review; zero: none.
+// unschedule cancels the order of a record, which is held again. A zero reviewAt means that no review is scheduled.
 func (r *Record) unschedule(reviewAt time.Time) {
 	r.State, r.Ready, r.ReviewAt = Held, false, reviewAt
 	r.Until, r.NotBefore = time.Time{}, time.Time{}
 }
 
-// resultNames are the names of results in stored records.
+// resultNames maps results to their names in stored records.
 var resultNames = map[control.Result]string{
 	control.Unknown: "unknown", control.Served: "served", control.Failed: "error", control.Rejected: "refused",
 	control.TimedOut: "timed-out", control.ConnectFailed: "no-connection", control.ConnectionLost: "reset",
@@ -144,7 +145,7 @@
 	control.ConnectionRejected: "no-room",
 }
 
-// convertAttempts converts attempts of the event loop.
+// convertAttempts converts attempts reported by the event loop. Attempts that are still open may have run.
 func convertAttempts(attempts []state.AttemptRecord, redelivery int) []Attempt {
 	list := make([]Attempt, 0, len(attempts))
 	for _, attempt := range attempts {
--- a/internal/deadletter/recover.go
+++ b/internal/deadletter/recover.go
@@ -17,20 +17,21 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Recovery of a damaged store. Records that the tree still leads to are recovered as they are. A record that is found
-// only in the raw file may be an older state of it, or one that was removed: it is recovered with an incomplete
-// history, so that it may have run.
+// Recovery of a damaged store. Records that are reachable through the B+ tree are recovered unchanged. A record that is
+// found only by scanning the raw file may be outdated or deleted. It is recovered with an incomplete history, which
+// means that it may have run.
 
 const (
 	newSuffix       = ".new"
 	damagedSuffix   = ".damaged-"
-	maxDamagedFiles = 4       // damaged files that are kept
-	scanChunk       = 1 << 20 // bytes read at a time
-	recoveryBatch   = 500     // records in one transaction
+	maxDamagedFiles = 4       // number of damaged files kept
+	scanChunk       = 1 << 20 // bytes read from the raw file at a time
+	recoveryBatch   = 500     // records restored in one transaction
 )
 
-// checkMetaPages returns ErrDamaged if one of bbolt's two meta pages is damaged. bbolt itself would go on with the
-// other, an older state, in which a record that was sent may still be held. A missing or empty file is no error.
+// checkMetaPages returns ErrDamaged if one of bbolt's two meta pages is damaged. bbolt itself would fall back to the
+// other one, which refers to an older state in which a record that was sent may still be held. A missing or empty file
+// is not an error.
 func checkMetaPages(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -46,14 +47,14 @@
 	}
 	page := int64(os.Getpagesize())
 	for i := range int64(2) {
-		const headerSize, metaSize = 16, 64 // bytes of a page's head, and of the meta behind it
+		const headerSize, metaSize = 16, 64 // sizes of the page header and of the meta that follows it
 		buf := make([]byte, headerSize+metaSize)
 		if _, err := f.ReadAt(buf, i*page); err != nil {
 			return fmt.Errorf("%w: meta page %d: %w", ErrDamaged, i, err)
 		}
 		meta := buf[headerSize:]
 		if p := int64(binary.NativeEndian.Uint32(meta[8:])); i == 0 && p >= 512 && p <= 1<<16 {
-			page = p // a file from a machine with other pages
+			page = p // the file was written on a machine with another page size
 		}
 		sum := fnv.New64a()
 		sum.Write(meta[:metaSize-8])
@@ -64,27 +65,27 @@
 	return nil
 }
 
-// frameLocation is the place of a frame in the raw file.
+// frameLocation is the location of a frame in the raw file.
 type frameLocation struct {
 	revision uint64
 	offset   int64
 	size     int
 }
 
-// recoveredData is what was found in a damaged file.
+// recoveredData describes the content that was found in a damaged file.
 type recoveredData struct {
-	treeRevisions map[uint64]uint64 // by sequence: the revisions of the records that the tree leads to
-	treeIntact    bool              // the whole tree was read
+	treeRevisions map[uint64]uint64 // revisions of the records reachable through the tree, by sequence number
+	treeIntact    bool              // the tree was read completely
 	records       map[uint64]frameLocation
 	bodies        map[uint64]frameLocation
 	auditEntries  [][]byte
 }
 
-// recoverStore creates a new store from what can be read of a damaged one, and renames the damaged file. A crash at
-// any point leaves one of the two complete.
+// recoverStore copies the readable content of a damaged store to a new one, and renames the damaged file. After a crash
+// at any point, either the damaged file or the new store is complete.
 func recoverStore(path string, cause error, log *slog.Logger) (*Store, error) {
 	newPath := path + newSuffix
-	log.Error("dead-letter store damaged, recovering what can be read", "file", path, "err", cause)
+	log.Error("dead-letter store is damaged; recovering readable records", "file", path, "err", cause)
 	found, err := readDamaged(path)
 	if err != nil {
 		return nil, err
@@ -93,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.db.NoSync = true // it is synced as a whole below
+	s.db.NoSync = true // the complete file is synced below
 	result, err := s.fillFrom(path, found)
 	if err == nil {
 		err = s.db.Sync()
@@ -118,8 +119,8 @@
 	return open(path, false)
 }
 
-// finishRecovery completes a recovery that was interrupted. If the damaged file was renamed already, the new one is
-// complete; else it is removed.
+// finishRecovery handles the new file of an interrupted recovery. If the damaged file was already renamed, the new file
+// is complete and takes its place; otherwise the new file is removed.
 func finishRecovery(path string) error {
 	newPath := path + newSuffix
 	if _, err := os.Stat(newPath); errors.Is(err, os.ErrNotExist) {
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// removeOldDamagedFiles removes all but the latest damaged files.
+// removeOldDamagedFiles removes all but the latest maxDamagedFiles damaged files.
 func removeOldDamagedFiles(path string, log *slog.Logger) {
 	list, _ := filepath.Glob(path + damagedSuffix + "*")
 	slices.Sort(list)
@@ -146,7 +147,7 @@
 	}
 }
 
-// readDamaged finds what a damaged file holds, by its tree and by a scan of the raw file.
+// readDamaged locates the records of a damaged file through its tree and by scanning the raw file.
 func readDamaged(path string) (*recoveredData, error) {
 	found := &recoveredData{
 		treeRevisions: map[uint64]uint64{}, records: map[uint64]frameLocation{}, bodies: map[uint64]frameLocation{},
@@ -168,7 +169,7 @@
 	return found, found.scanFrames(raw)
 }
 
-// readTree reads the tree as far as it can be read.
+// readTree collects the revisions of the records, and the audit entries, that are reachable through the tree.
 func (d *recoveredData) readTree(tx *bolt.Tx) error {
 	records := tx.Bucket(bucketRecords)
 	if records == nil {
@@ -197,7 +198,8 @@
 	return err
 }
 
-// scanFrames finds frames in the raw file, in bounded memory. Of the frames of a record the highest revision counts.
+// scanFrames searches the raw file for frames, using bounded memory. If a record has several frames, the one with the
+// highest revision is used.
 func (d *recoveredData) scanFrames(r io.ReaderAt) error {
 	const overlap = frameHeaderSize + maxPayload
 	buf := make([]byte, scanChunk+overlap)
@@ -233,14 +235,14 @@
 	}
 }
 
-// recoveryResult counts the records of a recovery.
+// recoveryResult counts the recovered records.
 type recoveryResult struct {
-	intact     int // recovered as they were
+	intact     int // recovered unchanged
 	incomplete int // recovered with an incomplete history
 	bodiesLost int
 }
 
-// fillFrom fills a new store with what was found in a damaged file.
+// fillFrom restores the content that was found in a damaged file into a new store.
 func (s *Store) fillFrom(path string, found *recoveredData) (recoveryResult, error) {
 	var result recoveryResult
 	raw, err := os.Open(path)
@@ -271,7 +273,7 @@
 	return result, s.Update(func(t *Tx) error { return t.restoreAudit(found.auditEntries) })
 }
 
-// recoverRecord restores a record from the raw file, if it can be read.
+// recoverRecord restores a record from the raw file. It skips a record that cannot be read.
 func (t *Tx) recoverRecord(raw io.ReaderAt, found *recoveredData, sequence uint64, result *recoveryResult) error {
 	p, intact := readFrame(raw, found.records[sequence])
 	r, ok := decode(p)
@@ -300,7 +302,7 @@
 	return t.restore(&r, body)
 }
 
-// readFrame reads a frame that the scan found.
+// readFrame reads a frame at a location found by the scan.
 func readFrame(raw io.ReaderAt, location frameLocation) (decodedFrame, bool) {
 	buf := make([]byte, location.size)
 	if _, err := raw.ReadAt(buf, location.offset); err != nil {
@@ -324,7 +326,7 @@
 	return nil
 }
 
-// restore adds a record under its former sequence number.
+// restore adds a record with its original sequence number.
 func (t *Tx) restore(r *Record, body []byte) error {
 	b := t.Bucket(bucketRecords)
 	if b.Sequence() < r.Sequence {
--- a/internal/deadletter/redeliver.go
+++ b/internal/deadletter/redeliver.go
@@ -7,8 +7,9 @@
 	"cleathold/internal/state"
 )
 
-// redeliverReady writes down that the records which the planner grants are sent, and then gives them to the event
-// loop. It reports whether there was any grant.
+// redeliverReady redelivers the records for which the planner grants a redelivery. It first stores them as in flight
+// and then posts them to the event loop, so that no redelivery is forgotten after a crash. It reports whether the
+// planner granted any.
 func (q *Queue) redeliverReady(s *Store, destinations []int, now time.Time) (bool, error) {
 	q.mu.Lock()
 	grants := q.planner.Grant(q.plannerTime(), destinations, q.load)
@@ -97,8 +98,8 @@
 	return taken, err
 }
 
-// message returns a record as a message. Its time is short of its class's by the latency objective, so that it is
-// deferred from the start: in the controller's selection, fresh messages for the destination go first.
+// message converts a record to a message. Its deadline is the deadline of its class less the latency objective, so that
+// the controller treats it as deferred from the start and prefers new messages for the destination.
 func (q *Queue) message(r *Record, body []byte, now time.Time) *state.Message {
 	platform := q.platform.Load()
 	class := platform.rules.Classes[r.Class]
--- a/internal/deadletter/review.go
+++ b/internal/deadletter/review.go
@@ -7,16 +7,16 @@
 	"cleathold/internal/settings"
 )
 
-// dueWork is what a look at the store found to be due.
+// dueWork is the work that is due according to the store.
 type dueWork struct {
-	records      []uint64 // due for review, by sequence
-	next         time.Time
-	destinations []int // with records that are ready to be redelivered
+	records      []uint64  // due for review, by sequence
+	next         time.Time // when the next record becomes due for review; zero: never
+	destinations []int     // of records that are ready to be redelivered
 	overBounds   bool
 }
 
-// maintain does what is due with time: it keeps the bounds, reviews records and redelivers. It returns the time until
-// more is due.
+// maintain runs the work that is due: it enforces the bounds, reviews records and redelivers messages. It returns the
+// time until the next work is due.
 func (q *Queue) maintain(s *Store) (time.Duration, error) {
 	now := q.clock.now()
 	q.mu.Lock()
@@ -50,7 +50,7 @@
 	return q.untilDue(due, now), nil
 }
 
-// findDue finds what is due.
+// findDue returns the work that is due.
 func (s *Store) findDue(now time.Time, bounds Bounds) (due dueWork, err error) {
 	err = s.View(func(t *Tx) error {
 		due.records, due.next = t.dueRecords(now, maxDueRecords)
@@ -61,8 +61,8 @@
 	return due, err
 }
 
-// enforceBounds evicts records where the store is over its bounds, and once every maintenanceInterval. It reports
-// whether there may be more.
+// enforceBounds evicts records if the store exceeds its bounds, and every maintenanceInterval. It reports whether more
+// records may have to be evicted.
 func (q *Queue) enforceBounds(s *Store, bounds Bounds, over bool, now time.Time) (more bool, err error) {
 	if !over && now.Sub(q.maintainedAt) < maintenanceInterval {
 		return false, nil
@@ -90,7 +90,7 @@
 	return more, nil
 }
 
-// untilDue returns the time until more is due.
+// untilDue returns the time until the next work is due.
 func (q *Queue) untilDue(due dueWork, now time.Time) time.Duration {
 	wait := maintenanceInterval
 	if !due.next.IsZero() {
@@ -105,7 +105,7 @@
 	return max(wait, time.Millisecond)
 }
 
-// review asks the rules about held records that are due, and makes ordered ones ready.
+// review applies the rules to held records that are due, and marks ordered records that are due as ready.
 func (q *Queue) review(t *Tx, current *settings.Settings, due []uint64, now time.Time) error {
 	if q.sweeping {
 		if err := q.scheduleReviews(t, now); err != nil {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// scheduleReviews schedules the next held records for review, after a change of rules.
+// scheduleReviews schedules the next batch of held records for review after a change of rules.
 func (q *Queue) scheduleReviews(t *Tx, now time.Time) error {
 	list, next, err := t.List(Filter{State: Held}, q.sweepPosition, maxSweepRecords)
 	if err != nil {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// reviewRecord does what is due with a record. Before the client was told of the message's outcome it is put off.
+// reviewRecord runs the due review of a record. It postpones the review while the delivery report is pending.
 func (q *Queue) reviewRecord(r *Record, current *settings.Settings, reportPending bool, now time.Time) {
 	switch {
 	case reportPending && r.State == Ordered:
@@ -158,7 +158,7 @@
 	}
 }
 
-// expireOrder ends an order to redeliver that was not carried out in time.
+// expireOrder cancels an order that was not carried out before its deadline.
 func (q *Queue) expireOrder(r *Record, now time.Time) {
 	r.unschedule(time.Time{})
 	r.addEvent(now, "its order has run out", "sender")
@@ -167,7 +167,8 @@
 	}
 }
 
-// applyRule asks the rule after about a held record and does what it decides.
+// applyRule evaluates the rule "after" for a held record and applies its decision. If the rule fails, the record is
+// kept.
 func (q *Queue) applyRule(r *Record, current *settings.Settings, now time.Time) {
 	q.mu.Lock()
 	partner := q.partner(r.Destination)
@@ -195,7 +196,7 @@
 	}
 }
 
-// ruleView returns a record as rules see it.
+// ruleView returns the attributes of a record for the rules.
 func ruleView(r *Record, now time.Time) settings.Record {
 	_, _, ran := r.FirstRun()
 	return settings.Record{
@@ -205,14 +206,15 @@
 	}
 }
 
-// hasRules reports whether the settings have the rule after.
+// hasRules reports whether the settings define the rule "after".
 func (q *Queue) hasRules() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.settings.Rules()
 }
 
-// eligible returns why a record may not be redelivered now, or nil.
+// eligible returns nil if a record may be redelivered now, and the reason otherwise. A record with a key is not
+// eligible if a claim of its key may have been lost.
 func (q *Queue) eligible(r *Record, now time.Time) *NotEligible {
 	q.mu.Lock()
 	claimsLostUntil := q.claimsLostUntil
--- a/internal/deadletter/schema.go
+++ b/internal/deadletter/schema.go
@@ -8,18 +8,19 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// The buckets. Records and bodies are framed values; the others are indexes, whose keys follow from the record alone.
+// The buckets. Records and bodies contain framed values. The buckets in indexedBuckets are indexes, whose keys are
+// derived from the records alone.
 var (
 	bucketMeta           = []byte("meta")
 	bucketRecords        = []byte("records") // seq -> record
 	bucketBodies         = []byte("bodies")  // seq -> body
 	bucketIDs            = []byte("ids")     // id -> seq
-	bucketKeys           = []byte("keys")    // class, key, seq; held and ordered ones
+	bucketKeys           = []byte("keys")    // class, key, seq of held and ordered records
 	bucketPendingReports = []byte("owed")    // ids of messages whose delivery report is not acknowledged
-	bucketReady          = []byte("ready")   // destination, tenant, seq: ordered, and its time has come
-	bucketDue            = []byte("due")     // time, seq: due for review then
-	bucketEnded          = []byte("ended")   // time, seq
-	bucketTimes          = []byte("times")   // time held, seq
+	bucketReady          = []byte("ready")   // destination, tenant, seq of ordered records that are due
+	bucketDue            = []byte("due")     // time, seq: when a record is due for review
+	bucketEnded          = []byte("ended")   // time, seq: when a record ended
+	bucketTimes          = []byte("times")   // time, seq: when a record was added
 	bucketDestinations   = []byte("destinations")
 	bucketTenants        = []byte("tenants")
 	bucketClasses        = []byte("classes")
@@ -36,17 +37,17 @@
 	}
 )
 
-// The counters in the meta bucket.
+// The values in the meta bucket.
 const (
 	metaFormat  = "format"
 	metaBytes   = "bytes"
 	metaCount   = "records"
-	metaEvicted = "evicted"
-	metaAged    = "aged"
-	metaLatest  = "latest" // the latest time seen, Unix microseconds
+	metaEvicted = "evicted" // open records evicted because of the bounds
+	metaAged    = "aged"    // records evicted because of their age
+	metaLatest  = "latest"  // the latest time of the queue's clock, in Unix microseconds
 )
 
-// requireBuckets returns an error unless all buckets exist.
+// requireBuckets returns an error if a bucket is missing.
 func requireBuckets(tx *bolt.Tx) error {
 	for _, name := range allBuckets {
 		if tx.Bucket(name) == nil {
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// createBuckets creates missing buckets and checks the version of the format.
+// createBuckets creates missing buckets and checks the format version.
 func createBuckets(tx *bolt.Tx) error {
 	for _, name := range allBuckets {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -72,11 +73,12 @@
 	return nil
 }
 
-// verify checks the frame of each record, and counts open records by destination and held keys.
+// verify checks the buckets, the format version and the frames of the records. It also counts the open records by
+// destination and the held and ordered records by key.
 func (s *Store) verify(tx *bolt.Tx) error {
 	for _, name := range allBuckets {
 		if tx.Bucket(name) == nil {
-			return fmt.Errorf("%w: no bucket %q", ErrDamaged, name)
+			return fmt.Errorf("%w: missing bucket %q", ErrDamaged, name)
 		}
 	}
 	meta := tx.Bucket(bucketMeta)
@@ -95,13 +97,13 @@
 		return err
 	}
 	if v := meta.Get([]byte(metaCount)); n > 0 && (len(v) != 8 || binary.BigEndian.Uint64(v) != n) {
-		return fmt.Errorf("%w: %d records found, another count written", ErrDamaged, n)
+		return fmt.Errorf("%w: found %d records, but the stored count differs", ErrDamaged, n)
 	}
 	for _, state := range []State{Held, Ordered, InFlight} {
 		c, prefix := tx.Bucket(bucketStates).Cursor(), encodeName(string(state))
 		for k, v := c.Seek(prefix); bytes.HasPrefix(k, prefix); k, v = c.Next() {
 			if len(v) != 8 {
-				return fmt.Errorf("%w: index of states", ErrDamaged)
+				return fmt.Errorf("%w: invalid entry in the state index", ErrDamaged)
 			}
 			s.openCounts[decodeInt(v)]++
 		}
@@ -109,7 +111,7 @@
 	return tx.Bucket(bucketKeys).ForEach(func(k, _ []byte) error {
 		class, rest, ok := bytes.Cut(k, []byte{0})
 		if !ok || len(rest) < 9 {
-			return fmt.Errorf("%w: index of keys", ErrDamaged)
+			return fmt.Errorf("%w: invalid entry in the key index", ErrDamaged)
 		}
 		s.keyCounts[keyHash(string(class), string(rest[:len(rest)-9]))]++
 		return nil
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -19,13 +19,13 @@
 const (
 	fileName        = "held.db"
 	lockName        = "held.lock"
-	lockTimeout     = 2 * time.Second // the predecessor may still be ending
+	lockTimeout     = 2 * time.Second // the predecessor may still be shutting down
 	formatVersion   = 1
-	maxAuditEntries = 10_000 // entries
-	maxEvictions    = 2_000  // records in one transaction
+	maxAuditEntries = 10_000
+	maxEvictions    = 2_000 // records evicted in one transaction
 )
 
-// Errors of a store.
+// Errors returned by a Store.
 var (
 	ErrNotFound = errors.New("held: no such record")
 	ErrInUse    = errors.New("held: another process has the store open; ask the running sender by --socket")
@@ -33,11 +33,11 @@
 	ErrNewer    = errors.New("held: the store was written by a newer version")
 )
 
-// Store is an open store: one bbolt file. Any goroutine may read; one alone may write.
+// Store is an open dead-letter store in a bbolt file. Any goroutine may read; only one goroutine may write.
 type Store struct {
 	db   *bolt.DB
 	lock *os.File // locked as long as the store is open
-	file *os.File // bbolt's own handle
+	file *os.File // the file opened by bbolt
 	path string
 
 	mu         sync.Mutex
@@ -45,21 +45,21 @@
 	keyCounts  map[uint64]int32 // held and ordered records by the hash of class and key
 }
 
-// Count returns the number of open records for a destination.
+// Count returns the number of open records of a destination.
 func (s *Store) Count(dest int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.openCounts[dest]
 }
 
-// MayContain reports whether a held or ordered record with a key may exist; false is certain.
+// MayContain reports whether a held or ordered record with a key may exist. There are no false negatives.
 func (s *Store) MayContain(class, key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.keyCounts[keyHash(class, key)] > 0
 }
 
-// applyDeltas adds the changes of a transaction to counts, and removes those that fall to zero.
+// applyDeltas adds the deltas of a transaction to counts and removes counts that drop to zero.
 func applyDeltas[K comparable, N int | int32](counts map[K]N, deltas map[K]N) {
 	for k, n := range deltas {
 		if counts[k] += n; counts[k] <= 0 {
@@ -68,13 +68,13 @@
 	}
 }
 
-// Open opens the store of a folder for writing, or creates one. A damaged file is renamed, and what can be read of it
-// goes into a new one; both are logged. It returns ErrInUse where another process has the store, and ErrNewer for a
-// newer format.
+// Open opens the store in a folder for writing and creates it if it does not exist. A damaged file is renamed, and its
+// readable records are copied to a new file; both steps are logged. It returns ErrInUse if another process has the
+// store open, and ErrNewer if the store has a newer format.
 func Open(folder string, log *slog.Logger) (*Store, error) { return openOrRecover(folder, nil, log) }
 
-// openOrRecover is Open. With a cause, the damage that was found while the store was in use, it recovers the store
-// even if it looks intact.
+// openOrRecover implements Open. A cause other than nil is damage that was detected while the store was in use; the
+// store is then recovered even if it appears intact.
 func openOrRecover(folder string, cause error, log *slog.Logger) (*Store, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
@@ -103,7 +103,7 @@
 	return s, nil
 }
 
-// OpenReading opens the store of a folder for reading. It returns ErrInUse while a sender has it.
+// OpenReading opens the store in a folder for reading. It returns ErrInUse while a sender has the store open.
 func OpenReading(folder string) (*Store, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
@@ -122,8 +122,8 @@
 	return s, nil
 }
 
-// lockFolder locks a folder: a writer against all other processes, a reader against writers. The lock ends with the
-// process.
+// lockFolder locks a folder: exclusively for a writer, shared for readers. The operating system releases the lock when
+// the process exits.
 func lockFolder(folder string, readOnly bool) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(folder, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -151,16 +151,16 @@
 	return f, nil
 }
 
-// open opens and verifies a file, which must be locked.
+// open opens and verifies a store file. The caller must have locked its folder.
 func open(path string, readOnly bool) (*Store, error) {
 	if err := checkMetaPages(path); err != nil {
 		return nil, err
 	}
 	s := &Store{path: path, openCounts: map[int]int{}, keyCounts: map[uint64]int32{}}
-	var file *os.File // a panic in bolt.Open leaves it open and locked
+	var file *os.File // a panic in bolt.Open would leave it open and locked
 	err := recoverPanics(func() error {
-		// The free list is stored in the file. Without it bbolt would read all pages on a goroutine of its own, where a
-		// damaged one would end the process.
+		// The free list must be stored in the file. Otherwise bbolt reads all pages in a goroutine of its own, where a
+		// damaged page would crash the process.
 		db, err := bolt.Open(path, 0o600, &bolt.Options{
 			Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bolt.FreelistMapType, NoStatistics: true,
 			OpenFile: func(name string, flag int, mode os.FileMode) (*os.File, error) {
@@ -196,14 +196,14 @@
 	return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 }
 
-// isFileSystemError reports whether an error is one of the file system, not of the content.
+// isFileSystemError reports whether an error comes from the file system and not from damaged content.
 func isFileSystemError(err error) bool {
 	var p *os.PathError
 	return errors.As(err, &p)
 }
 
-// recoverPanics runs f and returns a panic in it as ErrDamaged: bbolt panics, or reads beyond the end, where the file
-// is damaged.
+// recoverPanics runs f and converts a panic or memory fault to ErrDamaged: on a damaged file bbolt may panic, or read
+// beyond the end of the mapped file.
 func recoverPanics(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -214,7 +214,7 @@
 	return f()
 }
 
-// Update runs a write transaction. Only the writer calls it.
+// Update runs a write transaction. It must only be called by the writer.
 func (s *Store) Update(f func(*Tx) error) error {
 	return recoverPanics(func() error {
 		var t *Tx
@@ -237,8 +237,9 @@
 	return recoverPanics(func() error { return s.db.View(func(tx *bolt.Tx) error { return f(&Tx{Tx: tx}) }) })
 }
 
-// abandon gives up a damaged store. bbolt's Close could wait forever for a mutex that was locked at a panic, and its
-// mapping would keep the file locked; so the lock is released here, and the mapping stays until the process ends.
+// abandon releases the locks of a damaged store without closing the database: bbolt's Close could block forever on a
+// mutex that a panic left locked, and without Close the mapping would keep the file locked. The mapping remains until
+// the process exits.
 func (s *Store) abandon() {
 	if s.file != nil {
 		syscall.Flock(int(s.file.Fd()), syscall.LOCK_UN)
--- a/internal/deadletter/tx.go
+++ b/internal/deadletter/tx.go
@@ -7,7 +7,7 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Tx is a transaction on the store.
+// Tx is a transaction on the store. In a write transaction it also collects the changes of the counts in memory.
 type Tx struct {
 	*bolt.Tx
 	openCounts map[int]int
@@ -22,12 +22,12 @@
 	return 0
 }
 
-// addToCounter adds to a counter of the meta bucket.
+// addToCounter adds delta to a counter of the meta bucket.
 func (t *Tx) addToCounter(name string, delta int64) error {
 	return t.Bucket(bucketMeta).Put([]byte(name), encodeUint(uint64(int64(t.counter(name))+delta)))
 }
 
-// Get returns a record. It returns ErrNotFound or ErrDamaged.
+// Get returns a record. It fails with ErrNotFound or ErrDamaged.
 func (t *Tx) Get(seq uint64) (Record, error) {
 	v := t.Bucket(bucketRecords).Get(encodeUint(seq))
 	if v == nil {
@@ -40,7 +40,8 @@
 	return Record{}, fmt.Errorf("%w: record %d", ErrDamaged, seq)
 }
 
-// Body returns the body of a record, which is valid until the transaction ends. It returns ErrNotFound or ErrDamaged.
+// Body returns the body of a record, which is valid until the transaction ends. It fails with ErrNotFound or
+// ErrDamaged.
 func (t *Tx) Body(seq uint64) ([]byte, error) {
 	v := t.Bucket(bucketBodies).Get(encodeUint(seq))
 	if v == nil {
@@ -53,13 +54,13 @@
 	return p.payload, nil
 }
 
-// storedSize returns the bytes that a record counts toward the bound.
+// storedSize returns the size of a record and its body in bytes, as counted toward the size bound.
 func (t *Tx) storedSize(seq uint64) int64 {
 	return int64(len(t.Bucket(bucketRecords).Get(encodeUint(seq))) + len(t.Bucket(bucketBodies).Get(encodeUint(seq))))
 }
 
-// put writes a record and its index entries in place of its former state; nil: it is new. The body of an ended record
-// is removed.
+// put writes a record and its index entries. Former is the record that it replaces, or nil for a new record. The body
+// of an ended record is deleted.
 func (t *Tx) put(r, former *Record) error {
 	before := t.storedSize(r.Sequence)
 	if former != nil {
@@ -96,7 +97,7 @@
 	return t.addToCounter(metaBytes, t.storedSize(r.Sequence)-before)
 }
 
-// change changes a record by f. An error of f leaves it as it is.
+// change applies f to a record and stores the result. If f returns an error, the record is not changed.
 func (t *Tx) change(seq uint64, f func(*Record) error) error {
 	former, err := t.Get(seq)
 	if err != nil {
@@ -109,7 +110,7 @@
 	return t.put(&r, &former)
 }
 
-// sequenceByID returns the sequence number of the record with a message's id.
+// sequenceByID returns the sequence number of the record with a message id.
 func (t *Tx) sequenceByID(id string) (uint64, bool) {
 	v := t.Bucket(bucketIDs).Get(encodeName(id))
 	if len(v) != 8 {
@@ -118,8 +119,8 @@
 	return binary.BigEndian.Uint64(v), true
 }
 
-// Add adds a record with its body. If the id is known it changes nothing and returns false: after a restart a dead
-// letter may be reported twice.
+// Add adds a record with its body. If the id is already known it changes nothing and returns false, since a dead letter
+// may be reported again after a restart.
 func (t *Tx) Add(r *Record, body []byte) (added bool, err error) {
 	if _, known := t.sequenceByID(r.ID); known || t.Bucket(bucketPendingReports).Get(encodeName(r.ID)) != nil {
 		return false, nil
@@ -140,7 +141,7 @@
 	return true, t.addToCounter(metaCount, 1)
 }
 
-// remove deletes a record.
+// remove deletes a record with its body and index entries.
 func (t *Tx) remove(r *Record) error {
 	before := t.storedSize(r.Sequence)
 	if err := t.removeFromIndexes(r); err != nil {
@@ -161,18 +162,18 @@
 	return t.addToCounter(metaCount, -1)
 }
 
-// markReportPending notes that the write-ahead log still has a message, and may report it again.
+// markReportPending records that the write-ahead log still contains a message, so that it may be reported again.
 func (t *Tx) markReportPending(id string) error {
 	return t.Bucket(bucketPendingReports).Put(encodeName(id), []byte{1})
 }
 
-// clearReportPending notes that the write-ahead log has forgotten a message.
+// clearReportPending records that the write-ahead log no longer contains a message.
 func (t *Tx) clearReportPending(id string) error {
 	return t.Bucket(bucketPendingReports).Delete(encodeName(id))
 }
 
-// ReportPending reports whether the write-ahead log still has a message. Its client may then not know yet that it is
-// undeliverable, so that it must not be redelivered.
+// ReportPending reports whether the write-ahead log still contains a message. Such a message must not be redelivered,
+// since its client may not have received the delivery report yet.
 func (t *Tx) ReportPending(id string) bool {
 	return t.Bucket(bucketPendingReports).Get(encodeName(id)) != nil
 }
--- a/internal/deadletter/writer.go
+++ b/internal/deadletter/writer.go
@@ -9,16 +9,16 @@
 	"cleathold/internal/state"
 )
 
-// errStopped ends changes that wait when the sender stops.
+// errStopped is the result of changes that are still queued when the sender stops.
 var errStopped = errors.New("held: the sender stops")
 
-// change is a change of the store for which another goroutine waits.
+// change is a change to the store whose result another goroutine waits for.
 type change struct {
 	apply func(*Tx) error
 	done  chan error
 }
 
-// applyChange has the writer run a change in a transaction, and waits for it.
+// applyChange queues a change, which the writer runs in a transaction, and waits for its result.
 func (q *Queue) applyChange(ctx context.Context, apply func(*Tx) error) error {
 	c := change{apply, make(chan error, 1)}
 	select {
@@ -34,8 +34,8 @@
 	}
 }
 
-// Run opens the store and writes it until the context ends. What is not written by then is still in the write-ahead
-// log.
+// Run opens the store and writes to it until the context is done. Items that are not written by then are still in the
+// write-ahead log.
 func (q *Queue) Run(ctx context.Context) {
 	delay := minRetryDelay
 	var damage error
@@ -58,8 +58,8 @@
 	q.close()
 }
 
-// runOnce opens the store if it is not open, and does an iteration; it reports whether the store could be written. A
-// damaged store is abandoned; damage then holds the error for the recovery at the next opening.
+// runOnce opens the store if it is not open, runs one iteration and waits for work. It reports whether the iteration
+// succeeded. A damaged store is abandoned; damage is then set to the error, so that the next call recovers the store.
 func (q *Queue) runOnce(ctx context.Context, damage *error) (written bool, err error) {
 	q.mu.Lock()
 	s, folder := q.store, q.settings.Held.Folder
@@ -75,7 +75,7 @@
 	if written = err == nil; written {
 		err = q.wait(ctx, s, next)
 	}
-	if errors.Is(err, ErrDamaged) { // also found by a change: bbolt may still hold its own lock then
+	if errors.Is(err, ErrDamaged) { // a change may detect it as well; bbolt may then still hold its own lock
 		*damage = err
 		q.mu.Lock()
 		q.store = nil
@@ -85,7 +85,7 @@
 	return written, err
 }
 
-// close closes the store and ends the changes that still wait.
+// close closes the store and fails the queued changes with errStopped.
 func (q *Queue) close() {
 	q.mu.Lock()
 	s := q.store
@@ -104,8 +104,8 @@
 	}
 }
 
-// wait waits until there is something to do, at most for a timeout, and runs a change if one comes. It returns an
-// error only for a damaged store.
+// wait waits for work, at most for a timeout, and runs a change if one is queued. It returns an error only if the store
+// is damaged.
 func (q *Queue) wait(ctx context.Context, s *Store, timeout time.Duration) error {
 	q.setFailing(false)
 	timer := time.NewTimer(timeout)
@@ -122,14 +122,14 @@
 	return nil
 }
 
-// setFailing sets whether the store fails.
+// setFailing sets whether the store is failing.
 func (q *Queue) setFailing(failing bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.failing = failing
 }
 
-// useStore starts to use an open store.
+// useStore puts an open store into use and adjusts the clock to the latest time in it.
 func (q *Queue) useStore(s *Store) {
 	s.View(func(t *Tx) error {
 		if micros := t.counter(metaLatest); micros > 0 {
@@ -138,7 +138,7 @@
 		return nil
 	})
 	if q.clock.wentBack {
-		q.log.Warn("wall clock went back while the sender was down, retention of earlier keys is unknown")
+		q.log.Warn("wall clock was set back while the sender was down; the age of earlier attempts is unknown")
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -146,7 +146,7 @@
 	q.sweeping = q.settings.Rules()
 }
 
-// runChange runs a change and reports its result to whoever waits.
+// runChange runs a change and sends its result to the waiting goroutine.
 func (q *Queue) runChange(s *Store, c change) error {
 	err := s.Update(func(t *Tx) error {
 		if err := c.apply(t); err != nil {
@@ -158,12 +158,13 @@
 	return err
 }
 
-// saveTime stores the current time, by which the next start sees that the wall clock went back.
+// saveTime stores the current time, so that the next start can detect that the wall clock was set back.
 func (q *Queue) saveTime(t *Tx) error {
 	return t.Bucket(bucketMeta).Put([]byte(metaLatest), encodeUint(uint64(q.clock.now().UnixMicro())))
 }
 
-// iterate writes what waits, does what is due and redelivers what may go. It returns the time until more is due.
+// iterate writes queued items. Once none are left it runs the due maintenance and redeliveries. It returns the time
+// until the next iteration is due.
 func (q *Queue) iterate(s *Store) (time.Duration, error) {
 	more, err := q.writeItems(s)
 	if err != nil || more {
@@ -172,7 +173,8 @@
 	return q.maintain(s)
 }
 
-// writeItems writes a batch of items and of keys claimed before the store was open. It reports whether more wait.
+// writeItems writes a batch of items, and the keys that were claimed before the store was open. It reports whether
+// items remain.
 func (q *Queue) writeItems(s *Store) (more bool, err error) {
 	q.mu.Lock()
 	items := q.items[:min(len(q.items), maxBatch)]
@@ -207,7 +209,7 @@
 	return remaining > 0, nil
 }
 
-// itemsWritten forgets a batch that the store has, and returns the number of items that remain.
+// itemsWritten removes a stored batch from the queue and returns the number of remaining items.
 func (q *Queue) itemsWritten(items []item, claims map[[2]string]bool, ended []endedRedelivery) int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/redelivery/partner.go
+++ b/internal/redelivery/partner.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// partnerState is what is known of one destination.
+// partnerState is the state of one destination.
 type partnerState struct {
-	capacity           float64 // calls a second from all senders; 0: unknown
-	ready              bool    // one of its endpoints accepts new work
-	guessedCapacity    float64 // used where the capacity is unknown
-	level              float64 // fraction of the rate, from ColdCapacity up to 1
+	capacity           float64 // calls per second from all senders; 0: unknown
+	ready              bool    // at least one endpoint accepts new work
+	guessedCapacity    float64 // calls per second; used while the capacity is unknown
+	level              float64 // fraction of the full rate, from ColdCapacity to 1
 	levelSetAt         time.Duration
 	tokens             float64
 	tokensSetAt        time.Duration
-	backoffUntil       time.Duration // no redelivery before this
-	consecutiveOutages int           // outages in a row
-	trial              bool          // the next redelivery goes alone
+	backoffUntil       time.Duration // no redelivery before this time
+	consecutiveOutages int           // number of outages without a served call between them
+	trial              bool          // only one redelivery may be in flight, until a call is served
 	inFlight           int
-	liveCalls          float64 // decayed count
+	liveCalls          float64 // exponentially decayed count of live calls
 	liveCallsAt        time.Duration
-	servedAt           time.Duration // the latest served call; below 0: none
-	failingSince       time.Duration // the first of the consecutive failed calls; below 0: the last call was served
+	servedAt           time.Duration // time of the latest served call; negative: none
+	failingSince       time.Duration // time of the first of the consecutive failed calls; negative: the last call was served
 	retryAfter         time.Duration
 	lastResult         Result
 	hasResult          bool
-	lastTenant         string // the one whose message went last
+	lastTenant         string // the tenant of the latest redelivery
 	lastUsed           time.Duration
 }
--- a/internal/redelivery/planner.go
+++ b/internal/redelivery/planner.go
@@ -1,11 +1,11 @@
-// Package redelivery decides when dead letters may be sent again, and to which partner. It does no I/O, takes the
-// time as a parameter and makes the same decisions from the same events.
+// Package redelivery decides when dead letters may be redelivered and to which partner. It does no I/O, takes the time
+// as a parameter and is deterministic: the same events lead to the same decisions.
 //
-// The controller still decides about each message; this package only limits how many reach it. All senders of a fleet
-// may redeliver to a partner that is warming up at the same time. The rate for a partner is therefore this sender's
-// fair share of its capacity, less the live traffic, times a level that rises slowly from the cold capacity of the
-// settings while calls are served. A rejection, a Retry-After or a failure stops redelivery to the partner; a single
-// trial follows the pause.
+// The controller still decides about each message; this package only limits how many messages reach it. All senders of
+// a fleet may redeliver at the same time to a partner that is warming up. The rate for a partner is therefore limited
+// to this sender's share of the partner's capacity, times a level, less the live traffic. The level rises slowly from
+// the cold capacity of the settings while calls are served. A rejection, a Retry-After or a failure pauses redelivery
+// to the partner. The pause after an outage is followed by a single trial.
 package redelivery
 
 import (
@@ -15,68 +15,66 @@
 	"time"
 )
 
-// Limits are the settings of a planner.
+// Limits contains the settings of a planner.
 type Limits struct {
-	FleetSize      int           // senders that may redeliver at the same time, this one included
-	ColdCapacity   float64       // fraction of its capacity that a partner has after an outage...
-	WarmUp         time.Duration // ...and the time until it has all of it
-	OverloadFactor float64       // a partner that is sent this multiple of its present capacity...
-	OverloadWindow time.Duration // ...for this long fails again
+	FleetSize      int           // number of senders that may redeliver at the same time, including this one
+	ColdCapacity   float64       // fraction of its capacity that a partner has after an outage
+	WarmUp         time.Duration // time until the partner has its full capacity again
+	OverloadFactor float64       // a partner fails again if it is sent this multiple of its current capacity
+	OverloadWindow time.Duration // how long OverloadFactor must be exceeded for this
 	CapacityShare  float64       // fraction of a partner's capacity that redeliveries may use
-	MaxInFlight    int           // redeliveries in flight
+	MaxInFlight    int           // maximum number of redeliveries in flight
 }
 
-// Result is how a call to a partner ended.
+// Result is the result of a call to a partner.
 type Result uint8
 
-// The results.
+// The results of a call.
 const (
 	Served   Result = iota
 	Rejected        // with or without a Retry-After
 	Failed          // any other failure
-	NotSent         // says nothing of the partner
+	NotSent         // says nothing about the partner
 )
 
-// Load is how busy this sender is: calls in flight and open messages, with their bounds. A bound of 0 messages means
-// none.
+// Load is the load of this sender: the calls in flight and open messages, with their limits. MaxOpenMessages is 0 if
+// the number of open messages is not limited.
 type Load struct{ MaxInFlight, InFlight, MaxOpenMessages, Open int }
 
 const (
-	initialBackoffWindows = 2 // overload windows of pause after the first outage...
-	maxBackoffDoublings   = 5 // ...doubled this often at most
-	// one part in this many of the calls in flight stays free of redeliveries
-	reservedFraction   = 4
-	maxOpenFraction    = 2                      // no redelivery once open messages times this reach their bound
-	minGuessedCapacity = 0.5                    // calls a second to a partner of unknown capacity, at full level
-	maxGuessedCapacity = 50.0                   // calls a second, up to which the guess grows as calls are served
-	bucketDepth        = 250 * time.Millisecond // of the token bucket
-	maxInFlightWindow  = time.Second            // redeliveries in flight are bounded by the rate times this
-	liveRateWindow     = 2 * time.Second        // time constant of the rate of live calls
-	backoffFactor      = 0.5                    // a rejection between served calls multiplies the level by this
-	notAdmittedBackoff = 200 * time.Millisecond // after a redelivery that the loop did not admit
-	partnerTTL         = 10 * time.Minute       // a partner without calls is forgotten after this
+	initialBackoffWindows = 2                      // backoff after the first outage, in overload windows
+	maxBackoffDoublings   = 5                      // maximum number of times that the backoff is doubled
+	reservedFraction      = 4                      // one in this many call slots is reserved for live traffic
+	maxOpenFraction       = 2                      // no redelivery once open messages reach their limit divided by this
+	minGuessedCapacity    = 0.5                    // initial and lowest guess of an unknown capacity, in calls per second
+	maxGuessedCapacity    = 50.0                   // highest guess; the guess grows while redeliveries are served
+	bucketDepth           = 250 * time.Millisecond // the token bucket holds the tokens of this period
+	maxInFlightWindow     = time.Second            // redeliveries in flight are limited to the rate times this
+	liveRateWindow        = 2 * time.Second        // time constant of the decay of the live call rate
+	backoffFactor         = 0.5                    // factor for the level after an exceeded limit
+	notAdmittedBackoff    = 200 * time.Millisecond // pause after a redelivery that the event loop did not admit
+	partnerTTL            = 10 * time.Minute       // the state of a partner without calls is removed after this
 )
 
-// Planner plans the redeliveries of one sender. It is not safe for concurrent use.
+// Planner schedules the redeliveries of one sender. It is not safe for concurrent use.
 type Planner struct {
 	limits       Limits
 	rng          *rand.Rand
 	partners     map[int]*partnerState
 	inFlight     int
-	lastGranted  int // the destination of the latest grant
+	lastGranted  int // destination of the latest grant
 	backoffUntil time.Duration
 }
 
-// New returns a planner. Each partner counts as warming up at first: it has dead letters because it failed. The seed
-// is for random draws.
+// New returns a planner. Each partner is initially assumed to be warming up, since it has dead letters because it
+// failed. The seed initializes the random number generator.
 func New(l Limits, seed uint64) *Planner {
 	p := &Planner{rng: rand.New(rand.NewPCG(seed, 7)), partners: map[int]*partnerState{}, lastGranted: math.MinInt}
 	p.SetLimits(l)
 	return p
 }
 
-// SetLimits changes the limits; what is known of partners stays. Values out of range are replaced by the nearest that
-// make sense.
+// SetLimits changes the limits and keeps the state of the partners. Invalid values are replaced by valid ones.
 func (p *Planner) SetLimits(l Limits) {
 	l.FleetSize, l.MaxInFlight = max(1, l.FleetSize), max(1, l.MaxInFlight)
 	if l.ColdCapacity <= 0 || l.ColdCapacity > 1 {
@@ -102,14 +100,14 @@
 	return partner
 }
 
-// CapacityChanged sets the capacity of a destination in calls a second from all senders (0: unknown), and whether one
-// of its endpoints accepts new work.
+// CapacityChanged sets the capacity of a destination in calls per second from all senders (0: unknown), and whether at
+// least one of its endpoints accepts new work.
 func (p *Planner) CapacityChanged(now time.Duration, dest int, capacity float64, ready bool) {
 	partner := p.state(now, dest)
 	partner.capacity, partner.ready = max(0, capacity), ready
 }
 
-// CallEnded learns from the end of a call, of live traffic or of a redelivery.
+// CallEnded updates the state of a destination with the result of a call, of live traffic or of a redelivery.
 func (p *Planner) CallEnded(now time.Duration, dest int, r Result, retryAfter time.Duration, redelivery bool) {
 	partner := p.state(now, dest)
 	if r == NotSent && retryAfter <= 0 {
@@ -127,11 +125,12 @@
 	p.callFailed(now, partner, r, retryAfter)
 }
 
-// callServed raises the level with time, but only while calls are served.
+// callServed raises the level of a partner with the time during which calls are served. The level does not rise while a
+// trial is pending; after an outage, only a served redelivery ends the trial.
 func (p *Planner) callServed(now time.Duration, partner *partnerState, redelivery bool) {
 	partner.servedAt, partner.failingSince = now, -1
 	if now < partner.backoffUntil {
-		return // the call was sent before the failure and says nothing of it
+		return // the call was sent before the failure, so it does not show that the partner has recovered
 	}
 	if partner.trial && (redelivery || partner.consecutiveOutages == 0) {
 		partner.trial = false
@@ -142,7 +141,7 @@
 	}
 	partner.consecutiveOutages = 0
 	if p.limits.WarmUp > 0 {
-		step := min(now-partner.levelSetAt, p.limits.WarmUp/4) // longer times without answers do not count
+		step := min(now-partner.levelSetAt, p.limits.WarmUp/4) // the part of a gap beyond this does not count
 		partner.level = min(1, partner.level+(1-p.limits.ColdCapacity)*float64(step)/float64(p.limits.WarmUp))
 	} else {
 		partner.level = 1
@@ -153,8 +152,8 @@
 	}
 }
 
-// callFailed pauses redelivery to a partner. A rejection between served calls means that a limit was exceeded, which
-// halves the level. Anything else counts as an outage, after which the partner is warming up.
+// callFailed pauses redelivery to a partner. A rejection shortly after a served call means that a limit was exceeded;
+// it halves the level. Any other failure counts as an outage, after which the partner is assumed to be warming up.
 func (p *Planner) callFailed(now time.Duration, partner *partnerState, r Result, retryAfter time.Duration) {
 	if partner.failingSince < 0 {
 		partner.failingSince = now
@@ -162,7 +161,7 @@
 	partner.retryAfter = max(partner.retryAfter, now+retryAfter)
 	limited := r == Rejected && retryAfter < p.limits.OverloadWindow && partner.servedAt >= 0 &&
 		now-partner.servedAt < p.limits.OverloadWindow
-	if now < partner.backoffUntil { // the call was sent before the pause: it may extend a Retry-After, not the pause
+	if now < partner.backoffUntil { // sent before the pause: only a Retry-After may extend it
 		partner.backoffUntil = max(partner.backoffUntil, partner.retryAfter)
 		return
 	}
@@ -179,8 +178,8 @@
 	partner.tokens, partner.levelSetAt, partner.tokensSetAt = 0, partner.backoffUntil, partner.backoffUntil
 }
 
-// RedeliveryEnded ends a grant, whatever came of the redelivery. One that the loop did not admit says that this
-// sender is busy; it says nothing of the partner.
+// RedeliveryEnded ends a grant, regardless of the result of the redelivery. If the event loop did not admit the
+// redelivery, this sender is busy, and all redeliveries are paused briefly; the state of the partner is not affected.
 func (p *Planner) RedeliveryEnded(now time.Duration, dest int, admitted bool) {
 	partner := p.state(now, dest)
 	partner.inFlight, p.inFlight = max(0, partner.inFlight-1), max(0, p.inFlight-1)
@@ -190,7 +189,7 @@
 	}
 }
 
-// rate returns the current rate of redelivery to a partner, in messages a second.
+// rate returns the current redelivery rate for a partner, in messages per second.
 func (p *Planner) rate(now time.Duration, partner *partnerState) float64 {
 	share := partner.guessedCapacity
 	if partner.capacity > 0 {
@@ -202,7 +201,7 @@
 	return max(0, min(free, p.limits.CapacityShare*share*partner.level))
 }
 
-// refill fills the token bucket of a partner and returns the rate.
+// refill refills the token bucket of a partner and returns its rate.
 func (p *Planner) refill(now time.Duration, partner *partnerState) float64 {
 	rate := p.rate(now, partner)
 	if now > partner.tokensSetAt {
@@ -212,7 +211,7 @@
 	return rate
 }
 
-// canSend reports whether a partner may be sent one more message now.
+// canSend reports whether one more message may be redelivered to a partner now.
 func (p *Planner) canSend(now time.Duration, partner *partnerState) bool {
 	if !partner.ready || now < partner.backoffUntil {
 		return false
@@ -224,9 +223,9 @@
 	return partner.tokens >= 1 && partner.inFlight < max(1, int(math.Ceil(rate*maxInFlightWindow.Seconds())))
 }
 
-// Grant returns the destinations, of those with messages ready, to which one message each may be sent. They take
-// turns, so that many messages for one do not delay those for others. A grant counts as in flight until
-// RedeliveryEnded. The list is in any order, without duplicates.
+// Grant returns the destinations to which one message each may be redelivered. Ready lists the destinations with
+// messages to redeliver, without duplicates and in any order. They are served in turn, so that many messages for one
+// destination do not delay those for others. A grant counts as in flight until RedeliveryEnded is called.
 func (p *Planner) Grant(now time.Duration, ready []int, load Load) []int {
 	if now < p.backoffUntil || load.MaxOpenMessages > 0 && maxOpenFraction*load.Open >= load.MaxOpenMessages {
 		return nil
@@ -256,7 +255,7 @@
 	return grants
 }
 
-// NextTenant returns the tenant whose message goes next to a destination: each in turn.
+// NextTenant selects the tenant whose message is redelivered next to a destination. Tenants are selected in turn.
 func (p *Planner) NextTenant(now time.Duration, dest int, tenants []string) string {
 	partner := p.state(now, dest)
 	order := slices.Sorted(slices.Values(tenants))
@@ -270,17 +269,17 @@
 	return partner.lastTenant
 }
 
-// PartnerStatus is what rules see of a partner.
+// PartnerStatus is the state of a partner that rules can read.
 type PartnerStatus struct {
 	InFlight    int
 	HasResult   bool
 	LastResult  Result
-	FailingFor  time.Duration // since the first of the consecutive failed calls; 0: the last call was served
-	SinceServed time.Duration // since the last served call; below 0: there was none
+	FailingFor  time.Duration // time since the first of the consecutive failed calls; 0: the last call was served
+	SinceServed time.Duration // time since the last served call; negative: there was none
 	RetryAfter  time.Duration
 }
 
-// Status returns what is known of a destination.
+// Status returns the status of a destination.
 func (p *Planner) Status(now time.Duration, dest int) PartnerStatus {
 	partner := p.partners[dest]
 	if partner == nil {
@@ -299,7 +298,8 @@
 	return status
 }
 
-// NextGrant returns the time at which Grant should be called again if nothing happens before. It is later than now.
+// NextGrant returns the time at which Grant should be called again unless an event occurs earlier. It is always later
+// than now.
 func (p *Planner) NextGrant(now time.Duration, ready []int) time.Duration {
 	const soonest, latest = 10 * time.Millisecond, time.Second
 	next := now + latest
@@ -321,7 +321,7 @@
 	return max(next, now+soonest, min(p.backoffUntil, now+latest))
 }
 
-// Prune forgets partners without calls for long.
+// Prune removes the state of partners that have been unused for partnerTTL.
 func (p *Planner) Prune(now time.Duration) {
 	for dest, partner := range p.partners {
 		if partner.inFlight == 0 && now-partner.lastUsed > partnerTTL && now > partner.backoffUntil {
