--- a/internal/deadletter/commands.go
+++ b/internal/deadletter/commands.go
@@ -52,7 +52,7 @@
 // The function f changes a record, or returns a *NotEligible error with the reason why it does not. A dry run changes
 // nothing.
 func (q *Queue) changeSelected(
-	ctx context.Context, by, verb string, selection Selection, dryRun bool, f func(r *Record, now time.Time) error,
+	ctx context.Context, caller, command string, selection Selection, dryRun bool, f func(r *Record, now time.Time) error,
 ) (Outcome, error) {
 	var outcome Outcome
 	if q.View(func(*Tx) error { return nil }) != nil {
@@ -74,7 +74,8 @@
 		case len(sequences) == 0:
 			return nil
 		}
-		entry := AuditEntry{At: now, By: by, Verb: verb, Records: done, Done: outcome.Done, Rejected: len(outcome.Rejected)}
+		entry := AuditEntry{At: now, By: caller, Verb: command, Records: done, Done: outcome.Done,
+			Rejected: len(outcome.Rejected)}
 		if selection.Sequences == nil {
 			entry.Filter = &selection.Filter
 		}
@@ -129,46 +130,46 @@
 	return done, nil
 }
 
-// Redeliver orders the redelivery of records within a period; 0 selects the period of the settings. By identifies the
-// caller in the audit trail.
+// Redeliver orders the redelivery of records within a period; 0 selects the period of the settings. Caller is
+// recorded in the audit trail.
 func (q *Queue) Redeliver(
-	ctx context.Context, by string, selection Selection, within time.Duration, dryRun bool,
+	ctx context.Context, caller string, selection Selection, within time.Duration, dryRun bool,
 ) (Outcome, error) {
 	if within <= 0 {
 		q.mu.Lock()
 		within = q.settings.Resend.Within
 		q.mu.Unlock()
 	}
-	return q.changeSelected(ctx, by, "resend", selection, dryRun, func(r *Record, now time.Time) error {
+	return q.changeSelected(ctx, caller, "resend", selection, dryRun, func(r *Record, now time.Time) error {
 		if r.State == Ordered {
 			return &NotEligible{"it is ordered already", true}
 		}
 		if why := q.eligible(r, now); why != nil {
 			return why
 		}
-		r.addEvent(now, "ordered", by)
+		r.addEvent(now, "ordered", caller)
 		r.schedule(now, now.Add(within))
 		return nil
 	})
 }
 
 // Drop drops records. Records in redelivery cannot be dropped.
-func (q *Queue) Drop(ctx context.Context, by string, selection Selection, dryRun bool) (Outcome, error) {
-	return q.changeSelected(ctx, by, "drop", selection, dryRun, func(r *Record, now time.Time) error {
+func (q *Queue) Drop(ctx context.Context, caller string, selection Selection, dryRun bool) (Outcome, error) {
+	return q.changeSelected(ctx, caller, "drop", selection, dryRun, func(r *Record, now time.Time) error {
 		switch {
 		case r.State == InFlight:
 			return &NotEligible{"it is being sent", true}
 		case r.State.Ended():
 			return neverEligible("it has ended: %s", r.State)
 		}
-		r.addEvent(now, "dropped", by)
+		r.addEvent(now, "dropped", caller)
 		r.end(now, Dropped)
 		return nil
 	})
 }
 
 // Import adds exported records. A line whose id is already in the store is rejected.
-func (q *Queue) Import(ctx context.Context, by string, lines []ExportLine, dryRun bool) (Outcome, error) {
+func (q *Queue) Import(ctx context.Context, caller string, lines []ExportLine, dryRun bool) (Outcome, error) {
 	var outcome Outcome
 	if q.View(func(*Tx) error { return nil }) != nil {
 		return outcome, ErrNoStore
@@ -186,7 +187,7 @@
 				outcome.Rejected = append(outcome.Rejected, RejectedRecord{lines[i].Sequence, err.Error()})
 				continue
 			}
-			r.addEvent(now, "imported: what happened to it elsewhere is not known", by)
+			r.addEvent(now, "imported: what happened to it elsewhere is not known", caller)
 			added, err := t.Add(&r, body)
 			switch {
 			case err != nil:
@@ -201,7 +202,7 @@
 		if dryRun {
 			return errDryRun
 		}
-		return t.audit(AuditEntry{At: now, By: by, Verb: "import", Records: done, Done: outcome.Done,
+		return t.audit(AuditEntry{At: now, By: caller, Verb: "import", Records: done, Done: outcome.Done,
 			Rejected: len(outcome.Rejected)})
 	})
 	if errors.Is(err, errDryRun) {
--- a/internal/deadletter/platform.go
+++ b/internal/deadletter/platform.go
@@ -21,14 +21,14 @@
 // platformSettings is an immutable copy of the platform settings that the queue needs.
 type platformSettings struct {
 	Names
-	numbers map[string]int // current class numbers by name
-	rules   ClassRules
-	control control.Settings
+	classNumbers map[string]int // current class numbers by name
+	rules        ClassRules
+	control      control.Settings
 }
 
 // classNumber returns the number of a class. For a class that was removed from the settings it returns its last number.
 func (p *platformSettings) classNumber(class string) int {
-	if n, known := p.numbers[class]; known {
+	if n, known := p.classNumbers[class]; known {
 		return n
 	}
 	for n, name := range slices.Backward(p.Classes) {
@@ -64,7 +64,7 @@
 func (q *Queue) setPlatform(names []string, numbers map[string]int, platform control.Settings) {
 	old := q.platform.Load()
 	updated := &platformSettings{
-		Names: Names{Classes: names, Tenants: old.Tenants}, numbers: numbers, control: platform,
+		Names: Names{Classes: names, Tenants: old.Tenants}, classNumbers: numbers, control: platform,
 		rules: ClassRules{Classes: map[string]control.Class{}, MaxAttempts: platform.MaxAttempts},
 	}
 	for i, name := range names {
--- a/internal/deadletter/queue_test.go
+++ b/internal/deadletter/queue_test.go
@@ -282,8 +282,8 @@
 // Rules: kept where they fail, asked again after a reload, in the middle of a resend too.
 func TestRuleAfter(t *testing.T) {
 	dir := t.TempDir()
-	const endless = "def after(record, partner):\n  for i in range(10000):\n    for j in range(10000):\n      pass\n"
-	q, events, _ := start(t, dir, endless, nil)
+	const endlessRule = "def after(record, partner):\n  for i in range(10000):\n    for j in range(10000):\n      pass\n"
+	q, events, _ := start(t, dir, endlessRule, nil)
 	q.Begin(nil, nil)
 	addDeadLetter(t, q, events, "a", 0, 1, 0)
 	addDeadLetter(t, q, events, "b", 0, 1, 1)
@@ -412,14 +412,14 @@
 	if o, err := q.Redeliver(ctx, "uid 1", Selection{Limit: MaxPageSize}, time.Minute, false); err != nil || o.Done != 62 {
 		t.Fatal(o, err)
 	}
-	at := map[string]int{}
+	positions := map[string]int{}
 	for i := range 62 {
 		e := receive(t, events.redeliveries)
-		at[e.Message.ID] = i
+		positions[e.Message.ID] = i
 		finishRedelivery(q, e, true)
 	}
-	if at["other-tenant"] > 12 || at["other-destination"] > 12 {
-		t.Errorf("came as numbers %d and %d", at["other-tenant"], at["other-destination"])
+	if positions["other-tenant"] > 12 || positions["other-destination"] > 12 {
+		t.Errorf("came as numbers %d and %d", positions["other-tenant"], positions["other-destination"])
 	}
 }
 
--- a/internal/deadletter/record.go
+++ b/internal/deadletter/record.go
@@ -81,8 +81,8 @@
 )
 
 // addEvent appends an event and drops the oldest ones beyond maxEvents.
-func (r *Record) addEvent(now time.Time, kind, by string) {
-	r.Events = append(r.Events, Event{now, kind, by})
+func (r *Record) addEvent(now time.Time, kind, actor string) {
+	r.Events = append(r.Events, Event{now, kind, actor})
 	if n := len(r.Events) - maxEvents; n > 0 {
 		r.Events = append([]Event(nil), r.Events[n:]...)
 	}
--- a/internal/deadletter/review.go
+++ b/internal/deadletter/review.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return 0, err
 	}
-	busy, err := q.enforceBounds(s, bounds, due.overBounds, now)
+	moreWork, err := q.enforceBounds(s, bounds, due.overBounds, now)
 	if err != nil {
 		return 0, err
 	}
@@ -35,16 +35,16 @@
 		if err := s.Update(func(t *Tx) error { return q.review(t, current, due.records, now) }); err != nil {
 			return 0, err
 		}
-		busy = true
+		moreWork = true
 	}
 	if q.walStateKnown && len(due.destinations) > 0 {
 		sent, err := q.redeliverReady(s, due.destinations, now)
 		if err != nil {
 			return 0, err
 		}
-		busy = busy || sent
+		moreWork = moreWork || sent
 	}
-	if busy {
+	if moreWork {
 		return 0, nil
 	}
 	return q.untilDue(due, now), nil
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -107,7 +107,7 @@
 // What the class allows, and what is not known counts as may have run.
 func TestEligible(t *testing.T) {
 	now := time.Now()
-	ran := func(ago time.Duration) []Attempt {
+	ranAgo := func(ago time.Duration) []Attempt {
 		return []Attempt{{At: now.Add(-time.Hour), Result: "refused"}, {At: now.Add(-ago), Result: "reset", MayHaveRun: true}}
 	}
 	for _, c := range []struct {
@@ -116,20 +116,20 @@
 		clockSetBack bool
 		want         string
 	}{
-		{"safe that ran", Record{Class: "safe", Attempts: ran(time.Hour)}, false, ""},
+		{"safe that ran", Record{Class: "safe", Attempts: ranAgo(time.Hour)}, false, ""},
 		{"unsafe that never ran", Record{Class: "unsafe", Attempts: []Attempt{{Result: "refused"}}}, false, ""},
-		{"unsafe that may have run", Record{Class: "unsafe", Attempts: ran(time.Second)}, false,
+		{"unsafe that may have run", Record{Class: "unsafe", Attempts: ranAgo(time.Second)}, false,
 			"must never take effect twice"},
 		{"unsafe in doubt", Record{Class: "unsafe", HistoryIncomplete: true}, false, "not whole"},
-		{"keyed within the span", Record{Class: "keyed", Attempts: ran(5 * time.Second)}, false, ""},
-		{"keyed near its end", Record{Class: "keyed", Attempts: ran(9 * time.Second)}, false, "remembers its key for"},
-		{"keyed beyond", Record{Class: "keyed", Attempts: ran(time.Minute)}, false, "remembers its key for"},
-		{"keyed, the first counts", Record{Class: "keyed", Attempts: append(ran(time.Minute), ran(0)...)}, false,
+		{"keyed within the span", Record{Class: "keyed", Attempts: ranAgo(5 * time.Second)}, false, ""},
+		{"keyed near its end", Record{Class: "keyed", Attempts: ranAgo(9 * time.Second)}, false, "remembers its key for"},
+		{"keyed beyond", Record{Class: "keyed", Attempts: ranAgo(time.Minute)}, false, "remembers its key for"},
+		{"keyed, the first counts", Record{Class: "keyed", Attempts: append(ranAgo(time.Minute), ranAgo(0)...)}, false,
 			"remembers"},
 		{"keyed at an unknown time", Record{Class: "keyed", Attempts: []Attempt{{MayHaveRun: true}}}, false, "not known"},
-		{"keyed in doubt", Record{Class: "keyed", Attempts: ran(time.Second), HistoryIncomplete: true}, false, "not known"},
-		{"keyed, the clock went back", Record{Class: "keyed", Attempts: ran(time.Second)}, true, "clock"},
-		{"safe, the clock went back", Record{Class: "safe", Attempts: ran(time.Second)}, true, ""},
+		{"keyed in doubt", Record{Class: "keyed", Attempts: ranAgo(time.Second), HistoryIncomplete: true}, false, "not known"},
+		{"keyed, the clock went back", Record{Class: "keyed", Attempts: ranAgo(time.Second)}, true, "clock"},
+		{"safe, the clock went back", Record{Class: "safe", Attempts: ranAgo(time.Second)}, true, ""},
 		{"out", Record{Class: "safe", State: InFlight}, false, "being sent"},
 		{"ended", Record{Class: "safe", State: Dropped}, false, "ended"},
 		{"no body", Record{Class: "safe", BodyMissing: true}, false, "body"},
@@ -262,7 +262,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reopen := func(name string, data []byte) (kept int) {
+	reopen := func(name string, data []byte) (recovered int) {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, fileName), data, 0o600); err != nil {
 			t.Fatal(err)
@@ -274,7 +274,7 @@
 		defer s.Close()
 		err = s.View(func(tx *Tx) error {
 			list, _, err := tx.List(Filter{}, 0, 1000)
-			kept = len(list)
+			recovered = len(list)
 			for _, r := range list {
 				if (r.Sequence == 3 || r.Sequence == 6) && classRules.Eligible(&r, time.Now(), true) == nil {
 					return fmt.Errorf("number %d may be sent again: %+v", r.Sequence, r)
@@ -287,12 +287,12 @@
 			if s, err = openOrRecover(dir, err, quiet); err != nil {
 				t.Fatalf("%s: at work: %v", name, err)
 			}
-			kept = len(listAll(t, s, Filter{}))
+			recovered = len(listAll(t, s, Filter{}))
 		}
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		return kept
+		return recovered
 	}
 	step := len(intact)/80 | 1
 	for at := 0; at < len(intact); at += step {
--- a/internal/redelivery/partner.go
+++ b/internal/redelivery/partner.go
@@ -18,7 +18,7 @@
 	liveCalls          float64 // exponentially decayed count of live calls
 	liveCallsAt        time.Duration
 	servedAt           time.Duration // time of the latest served call; negative: none
-	failingSince       time.Duration // time of the first of the consecutive failed calls; negative: the last call was served
+	failingSince       time.Duration // time of the first consecutive failed call; negative: the last call was served
 	retryAfter         time.Duration
 	lastResult         Result
 	hasResult          bool
--- a/internal/redelivery/planner.go
+++ b/internal/redelivery/planner.go
@@ -108,21 +108,21 @@
 }
 
 // CallEnded updates the state of a destination with the result of a call, of live traffic or of a redelivery.
-func (p *Planner) CallEnded(now time.Duration, dest int, r Result, retryAfter time.Duration, redelivery bool) {
+func (p *Planner) CallEnded(now time.Duration, dest int, result Result, retryAfter time.Duration, redelivery bool) {
 	partner := p.state(now, dest)
-	if r == NotSent && retryAfter <= 0 {
+	if result == NotSent && retryAfter <= 0 {
 		return
 	}
 	if !redelivery {
 		partner.liveCalls = partner.liveCalls*math.Exp(-float64(now-partner.liveCallsAt)/float64(liveRateWindow)) + 1
 		partner.liveCallsAt = now
 	}
-	partner.lastResult, partner.hasResult = r, true
-	if r == Served && retryAfter <= 0 {
+	partner.lastResult, partner.hasResult = result, true
+	if result == Served && retryAfter <= 0 {
 		p.callServed(now, partner, redelivery)
 		return
 	}
-	p.callFailed(now, partner, r, retryAfter)
+	p.callFailed(now, partner, result, retryAfter)
 }
 
 // callServed raises the level of a partner with the time during which calls are served. The level does not rise while a
@@ -154,19 +154,19 @@
 
 // callFailed pauses redelivery to a partner. A rejection shortly after a served call means that a limit was exceeded;
 // it halves the level. Any other failure counts as an outage, after which the partner is assumed to be warming up.
-func (p *Planner) callFailed(now time.Duration, partner *partnerState, r Result, retryAfter time.Duration) {
+func (p *Planner) callFailed(now time.Duration, partner *partnerState, result Result, retryAfter time.Duration) {
 	if partner.failingSince < 0 {
 		partner.failingSince = now
 	}
 	partner.retryAfter = max(partner.retryAfter, now+retryAfter)
-	limited := r == Rejected && retryAfter < p.limits.OverloadWindow && partner.servedAt >= 0 &&
+	limitExceeded := result == Rejected && retryAfter < p.limits.OverloadWindow && partner.servedAt >= 0 &&
 		now-partner.servedAt < p.limits.OverloadWindow
 	if now < partner.backoffUntil { // sent before the pause: only a Retry-After may extend it
 		partner.backoffUntil = max(partner.backoffUntil, partner.retryAfter)
 		return
 	}
 	backoff := p.limits.OverloadWindow * initialBackoffWindows << min(partner.consecutiveOutages, maxBackoffDoublings)
-	if limited {
+	if limitExceeded {
 		backoff = p.limits.OverloadWindow / 2
 		partner.level = max(p.limits.ColdCapacity*backoffFactor, partner.level*backoffFactor)
 	} else {
--- a/internal/redelivery/planner_test.go
+++ b/internal/redelivery/planner_test.go
@@ -20,12 +20,12 @@
 // after Cold. All siblings resend at the same time, none knowing of the others.
 func TestSlowStartAfterRecovery(t *testing.T) {
 	for _, senders := range []int{1, 2, 3, 8} {
-		lim := testLimits
-		lim.FleetSize = senders
+		limits := testLimits
+		limits.FleetSize = senders
 		const capacity, recoveredAt = 20.0, 30 * time.Second
 		var fleet []*Planner
 		for i := range senders {
-			p := New(lim, uint64(i+1))
+			p := New(limits, uint64(i+1))
 			p.CapacityChanged(0, 7, capacity, true)
 			fleet = append(fleet, p)
 		}
@@ -56,17 +56,17 @@
 		for i, from := range calls { // any window of FallWindow from a call on
 			n := 0
 			for _, at := range calls[i:] {
-				if at < from+lim.OverloadWindow {
+				if at < from+limits.OverloadWindow {
 					n++
 				}
 			}
-			warm := min(1, lim.ColdCapacity+(1-lim.ColdCapacity)*float64(from-first)/float64(lim.WarmUp))
-			if budget := lim.OverloadFactor * warm * capacity * lim.OverloadWindow.Seconds(); float64(n) > budget {
+			warm := min(1, limits.ColdCapacity+(1-limits.ColdCapacity)*float64(from-first)/float64(limits.WarmUp))
+			if budget := limits.OverloadFactor * warm * capacity * limits.OverloadWindow.Seconds(); float64(n) > budget {
 				t.Fatalf("%d siblings: %d calls in the window from %v, %.1f allowed", senders, n, from, budget)
 			}
 		}
-		if rate := warmCalls / 10; rate < 0.8*lim.CapacityShare*capacity || rate > 1.05*lim.CapacityShare*capacity {
-			t.Errorf("%d siblings: %.1f a second once warm, near %.1f wanted", senders, rate, lim.CapacityShare*capacity)
+		if rate := warmCalls / 10; rate < 0.8*limits.CapacityShare*capacity || rate > 1.05*limits.CapacityShare*capacity {
+			t.Errorf("%d siblings: %.1f a second once warm, near %.1f wanted", senders, rate, limits.CapacityShare*capacity)
 		}
 	}
 }
@@ -118,11 +118,11 @@
 		if n := countGrants(p, now, c.pause, idleLoad, 7); n[7] > 0 {
 			t.Errorf("%s: %d within %v", c.name, n[7], c.pause)
 		}
-		later := now + 20*time.Second
+		resumedAt := now + 20*time.Second
 		if c.limitExceeded {
-			later = now + 2*time.Second
+			resumedAt = now + 2*time.Second
 		}
-		n := countGrants(p, later, time.Second, idleLoad, 7)
+		n := countGrants(p, resumedAt, time.Second, idleLoad, 7)
 		if n[7] == 0 || !c.limitExceeded && n[7] > 4 {
 			t.Errorf("%s: starts again with %d in a second", c.name, n[7])
 		}
@@ -148,7 +148,7 @@
 
 func TestLiveTrafficHasPriority(t *testing.T) {
 	p, now := warmPlanner(t, 20, 7)
-	alone := countGrants(p, now, 5*time.Second, idleLoad, 7)[7]
+	withoutLiveTraffic := countGrants(p, now, 5*time.Second, idleLoad, 7)[7]
 	now += 5 * time.Second
 	n := 0
 	for i := range 1000 { // 20 live calls a second: all that it takes
@@ -164,8 +164,8 @@
 			p.RedeliveryEnded(now, 7, true)
 		}
 	}
-	if alone < 30 || n > 14 { // a tenth of the live calls
-		t.Errorf("%d alone, %d beside full live traffic", alone, n)
+	if withoutLiveTraffic < 30 || n > 14 { // a tenth of the live calls
+		t.Errorf("%d alone, %d beside full live traffic", withoutLiveTraffic, n)
 	}
 	for name, load := range map[string]Load{
 		"slots": {MaxInFlight: 16, InFlight: 12, MaxOpenMessages: 200},
@@ -223,7 +223,7 @@
 					p.RedeliveryEnded(now, dest, rapid.Bool().Draw(t, "in"))
 				}
 			}
-			sum := 0
+			total := 0
 			for _, d := range p.Grant(now, all, idleLoad) {
 				inFlight[d]++
 				if now < retryAfterUntil[d] {
@@ -234,10 +234,10 @@
 				}
 			}
 			for _, n := range inFlight {
-				sum += n
+				total += n
 			}
-			if sum > testLimits.MaxInFlight {
-				t.Fatalf("%d out", sum)
+			if total > testLimits.MaxInFlight {
+				t.Fatalf("%d out", total)
 			}
 			if next := p.NextGrant(now, all); next <= now || next > now+2*time.Second {
 				t.Fatalf("%v: next at %v", now, next)
