--- a/internal/deadletter/bench_test.go
+++ b/internal/deadletter/bench_test.go
@@ -13,7 +13,7 @@
 	"cleathold/internal/state"
 )
 
-// Records a second into the store, synced to the disk, by the size of a batch.
+// BenchmarkIntoStore measures the rate at which records are stored and synced to the disk, by batch size.
 func BenchmarkIntoStore(b *testing.B) {
 	for _, batch := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint("batch=", batch), func(b *testing.B) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// What a message costs the loop, where it ends undelivered and the rule is asked.
+// BenchmarkAccepts measures the time that the event loop spends on the rule "hold" for an undeliverable message.
 func BenchmarkAccepts(b *testing.B) {
 	set, err := settings.Parse("s.star", []byte(`
 held(folder = "/h")
@@ -59,7 +59,7 @@
 	}
 }
 
-// What each call's end costs the loop beside that.
+// BenchmarkCallEnded measures the time that the event loop spends on the queue at the end of each call.
 func BenchmarkCallEnded(b *testing.B) {
 	set, _ := settings.Parse("s.star", []byte(`held(folder = "/h")`))
 	q := NewQueue(Config{Settings: set, Log: quiet})
@@ -70,7 +70,7 @@
 	}
 }
 
-// A hundred thousand records: opening, memory, and a filter over all of them.
+// BenchmarkHundredThousand measures opening, memory use, listing and statistics of a store with 100,000 records.
 func BenchmarkHundredThousand(b *testing.B) {
 	dir := b.TempDir()
 	s := openStore(b, dir)
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -9,7 +9,8 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenJSON writes and reads the records, exports and answers of the store as 096da04 did.
+// TestGoldenJSON checks that the JSON of records, exports and command outcomes is read and written as by commit
+// 096da04.
 func TestGoldenJSON(t *testing.T) {
 	golden.JSON[Record](t, "record.json")
 	golden.JSON[ExportLine](t, "line.json")
@@ -19,7 +20,7 @@
 	golden.JSON[Stats](t, "stats.json")
 }
 
-// TestGoldenStore opens a store that 096da04 wrote.
+// TestGoldenStore checks that a store written by commit 096da04 can be opened and has the same content.
 func TestGoldenStore(t *testing.T) {
 	dir := golden.Folder(t, "store")
 	read, err := OpenReading(dir)
@@ -31,7 +32,7 @@
 	golden.Bytes(t, "store.txt", goldenContent(t, openStore(t, dir)), false)
 }
 
-// goldenContent is each record of a store with its body, and the audit trail.
+// goldenContent formats the records of a store with their bodies, and its audit trail.
 func goldenContent(t *testing.T, s *Store) []byte {
 	t.Helper()
 	var b strings.Builder
--- a/internal/deadletter/queue_test.go
+++ b/internal/deadletter/queue_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// recordedEvents are what the keeper tells the loop.
+// recordedEvents records the events that the queue posts to the event loop.
 type recordedEvents struct {
 	redeliveries chan state.Redelivery
 	stored       chan state.DeadLettersStored
@@ -42,7 +42,7 @@
 	case v := <-ch:
 		return v
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received within 20 seconds")
 		panic("unreachable")
 	}
 }
@@ -57,7 +57,8 @@
 	return s
 }
 
-// start runs a keeper over a folder until the test ends, or stop is called.
+// start runs a queue with its store in a folder until the test ends or stop is called. The function change may modify
+// the queue before Run starts.
 func start(t *testing.T, dir, rules string, change func(*Queue)) (q *Queue, events *recordedEvents, stop func()) {
 	t.Helper()
 	platform := control.Settings{FleetSize: 1, ColdCapacity: 0.5, WarmUp: 100 * time.Millisecond,
@@ -84,7 +85,7 @@
 	return q, events, stop
 }
 
-// addDeadLetter gives a keeper a message and waits until it has it.
+// addDeadLetter adds a dead letter to a queue, waits until it is stored and acknowledges its delivery report.
 func addDeadLetter(t *testing.T, q *Queue, events *recordedEvents, id string, class, dest, tenant int,
 	attempts ...state.AttemptRecord) {
 	t.Helper()
@@ -103,21 +104,21 @@
 	return r
 }
 
-// awaitState waits for a record to come to a state.
+// awaitState waits until a record is in a state.
 func (q *Queue) awaitState(t *testing.T, seq uint64, state State) Record {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); time.Now().Before(limit); time.Sleep(time.Millisecond) {
 		var r Record
-		q.View(func(tx *Tx) (err error) { r, err = tx.Get(seq); return }) // it may not have come yet
+		q.View(func(tx *Tx) (err error) { r, err = tx.Get(seq); return }) // the record may not exist yet
 		if r.State == state {
 			return r
 		}
 	}
-	t.Fatalf("never %s: %+v", state, q.record(t, seq))
+	t.Fatalf("record did not reach state %s: %+v", state, q.record(t, seq))
 	return Record{}
 }
 
-// finishRedelivery gives the keeper what came of a resend.
+// finishRedelivery reports the result of a redelivery to a queue.
 func finishRedelivery(q *Queue, e state.Redelivery, delivered bool, attempts ...state.AttemptRecord) {
 	q.CallEnded(e.Message.Destination, map[bool]control.Result{true: control.Served, false: control.Rejected}[delivered],
 		0, true)
@@ -129,6 +130,8 @@
 
 func selectOne(seq uint64) Selection { return Selection{Sequences: []uint64{seq}} }
 
+// TestRedeliveryRoundTrip follows records from their order to the end of the redelivery, and checks their history and
+// the audit trail. A record that is not idempotent and may have run must not be redelivered again.
 func TestRedeliveryRoundTrip(t *testing.T) {
 	q, events, _ := start(t, t.TempDir(), "", nil)
 	q.Begin(nil, nil)
@@ -141,15 +144,15 @@
 		q.record(t, 1).State != InFlight {
 		t.Errorf("%+v, %+v", e, q.record(t, 1))
 	}
-	if left := time.Until(e.Message.Deadline); left > 9*time.Second { // deadline less aim: among the deferred
-		t.Errorf("%v left: live messages would not go first", left)
+	if left := time.Until(e.Message.Deadline); left > 9*time.Second { // class deadline less latency objective
+		t.Errorf("%v left until the deadline: new messages would not have priority", left)
 	}
 	if o, _ := q.Drop(ctx, "uid 1", selectOne(1), false); o.Done != 0 || o.Rejected[0].Reason != "it is being sent" {
-		t.Errorf("drop of one that is out: %+v", o)
+		t.Errorf("drop of a record in redelivery: %+v", o)
 	}
 	finishRedelivery(q, e, false, state.AttemptRecord{Target: "s", At: time.Now(), Result: control.ConnectionLost})
 	receive(t, events.stored)
-	r := q.awaitState(t, 1, Held) // unsafe, and it may have run: never again
+	r := q.awaitState(t, 1, Held) // not idempotent and may have run: never redelivered again
 	if _, _, ran := r.FirstRun(); !ran || r.Redeliveries != 1 || len(r.Attempts) != 2 || r.Attempts[1].Redelivery != 1 {
 		t.Errorf("%+v", r)
 	}
@@ -161,9 +164,9 @@
 	q.Redeliver(ctx, "uid 1", selectOne(2), time.Minute, false)
 	e = receive(t, events.redeliveries)
 	finishRedelivery(q, e, false)
-	e = receive(t, events.redeliveries) // its order still stands
+	e = receive(t, events.redeliveries) // its order has not expired
 	finishRedelivery(q, e, true)
-	finishRedelivery(q, e, true) // the journal brings it twice
+	finishRedelivery(q, e, true) // the write-ahead log may report it twice
 	if r := q.awaitState(t, 2, Delivered); r.Redeliveries != 2 {
 		t.Errorf("%+v", r)
 	}
@@ -175,10 +178,11 @@
 	}
 }
 
-// Two operators at the same time: one order. An order that is dropped in time is not sent.
+// TestConcurrentCommands checks that only one of several concurrent commands orders a record, and that an ordered
+// record that is dropped before its redelivery is not sent.
 func TestConcurrentCommands(t *testing.T) {
 	q, events, _ := start(t, t.TempDir(), "", func(q *Queue) {
-		q.planner.CallEnded(0, 1, 1, time.Hour, false) // told to wait
+		q.planner.CallEnded(0, 1, 1, time.Hour, false) // Retry-After of an hour
 	})
 	q.Begin(nil, nil)
 	addDeadLetter(t, q, events, "a", 0, 1, 0)
@@ -210,7 +214,7 @@
 	}
 }
 
-// Nothing is redelivered before its delivery report was acknowledged.
+// TestNotRedeliveredBeforeReported checks that a record is not redelivered before its delivery report is acknowledged.
 func TestNotRedeliveredBeforeReported(t *testing.T) {
 	q, events, _ := start(t, t.TempDir(), "", nil)
 	q.Begin(nil, nil)
@@ -230,7 +234,8 @@
 	}
 }
 
-// After a start a redelivery that the write-ahead log does not have in flight counts as sent.
+// TestRestartDuringRedelivery checks that a record whose redelivery was in flight when the sender stopped counts as
+// sent after the restart, unless the write-ahead log contains the redelivery.
 func TestRestartDuringRedelivery(t *testing.T) {
 	dir := t.TempDir()
 	q, events, stop := start(t, dir, "", nil)
@@ -246,18 +251,19 @@
 	if e := receive(t, events.redeliveries); e.Seq != 1 { // safe
 		t.Errorf("%+v", e)
 	}
-	if e := receive(t, events.redeliveries); e.Seq != 2 || !e.MayHaveRun { // keyed, within its memory
+	if e := receive(t, events.redeliveries); e.Seq != 2 || !e.MayHaveRun { // keyed, within the key retention
 		t.Errorf("%+v", e)
 	}
 	if r := q.awaitState(t, 3, Held); classRules.Eligible(&r, time.Now(), true) == nil {
 		t.Errorf("%+v", r)
 	}
-	if r := q.record(t, 4); r.State != InFlight { // the write-ahead log has it
+	if r := q.record(t, 4); r.State != InFlight { // the write-ahead log contains its redelivery
 		t.Errorf("%+v", r)
 	}
 }
 
-// A clock that went back while the sender was down: no memory span can be judged.
+// TestClockSetBack checks the eligibility of records after the wall clock was set back while the sender was down. The
+// age of earlier attempts is then unknown, so the partner may have forgotten their keys.
 func TestClockSetBack(t *testing.T) {
 	dir := t.TempDir()
 	q, events, stop := start(t, dir, "", func(q *Queue) { q.clock.base = q.clock.base.Add(time.Hour) })
@@ -266,7 +272,7 @@
 	addDeadLetter(t, q, events, "a", 1, 1, 0, ran)
 	addDeadLetter(t, q, events, "b", 0, 1, 0, ran)
 	stop()
-	q, events, _ = start(t, dir, "", func(q *Queue) { // a second goes by until its store is open
+	q, events, _ = start(t, dir, "", func(q *Queue) { // the store is opened a second after the start
 		q.clock.base, q.clock.start = q.clock.base.Add(-time.Second), q.clock.start.Add(-time.Second)
 	})
 	q.Begin(nil, nil)
@@ -274,12 +280,13 @@
 	for seq, want := range map[uint64]string{1: "the clock went back", 2: "", 3: ""} {
 		o, err := q.Redeliver(ctx, "uid 1", selectOne(seq), time.Minute, true)
 		if err != nil || (want == "") != (o.Done == 1) || want != "" && !strings.Contains(o.Rejected[0].Reason, want) {
-			t.Errorf("number %d: %+v %v", seq, o, err)
+			t.Errorf("record %d: %+v %v", seq, o, err)
 		}
 	}
 }
 
-// Rules: kept where they fail, asked again after a reload, in the middle of a resend too.
+// TestRuleAfter checks that records are kept if the rule "after" fails, and are reviewed again after a reload of the
+// rules, also if it happens during a redelivery.
 func TestRuleAfter(t *testing.T) {
 	dir := t.TempDir()
 	const endlessRule = "def after(record, partner):\n  for i in range(10000):\n    for j in range(10000):\n      pass\n"
@@ -296,7 +303,7 @@
 		"def after(record, partner):\n  return drop() if record.tenant == \"t0\" else again()\n"))
 	q.awaitState(t, 1, Dropped)
 	if r := q.record(t, 2); r.State != InFlight {
-		t.Errorf("the one that is out: %+v", r)
+		t.Errorf("record in redelivery: %+v", r)
 	}
 	finishRedelivery(q, e, false)
 	finishRedelivery(q, receive(t, events.redeliveries), true)
@@ -307,8 +314,8 @@
 	q.awaitState(t, 3, Dropped)
 }
 
-// A client that hands a key in anew has its message back; one whose record is on
-// its way is told to come again.
+// TestClaimKey checks that a client that submits the key of a held record again supersedes the record, and that the
+// claim is rejected while a record with the key is being redelivered.
 func TestClaimKey(t *testing.T) {
 	dir := t.TempDir()
 	q, events, stop := start(t, dir, "", nil)
@@ -318,7 +325,7 @@
 	addDeadLetter(t, q, events, "b", 1, 1, 0)
 	addDeadLetter(t, q, events, "c", 1, 1, 0)
 	if !q.ClaimKey(1, "key-z", deadline()) || !q.ClaimKey(1, "key-a", deadline()) {
-		t.Error("not free")
+		t.Error("claim of an unused key or of a held record rejected")
 	}
 	if r := q.record(t, 1); r.State != Superseded {
 		t.Errorf("%+v", r)
@@ -326,17 +333,17 @@
 	q.Redeliver(ctx, "uid 1", selectOne(2), time.Minute, false)
 	e := receive(t, events.redeliveries)
 	if q.ClaimKey(1, "key-b", deadline()) {
-		t.Error("free while it is out")
+		t.Error("claim accepted during the redelivery")
 	}
 	finishRedelivery(q, e, true)
 	q.awaitState(t, 2, Delivered)
 	if !q.ClaimKey(1, "key-b", deadline()) {
-		t.Error("not free after its end")
+		t.Error("claim rejected after the record has ended")
 	}
 	stop()
 	q, _, _ = start(t, dir, "", func(q *Queue) { // before the store is open
 		if !q.ClaimKey(1, "key-c", deadline()) {
-			t.Error("a client waits for a store that is not open")
+			t.Error("claim rejected while the store is not open")
 		}
 	})
 	q.Begin(nil, nil)
@@ -346,12 +353,13 @@
 	q.awaitState(t, 3, Superseded)
 }
 
-// A store that can't be had, or is broken at work, holds nothing up: the keeper
-// wants no more, takes what it was promised once it can, and goes on.
+// TestStoreFailure checks that the queue accepts no dead letters while the store cannot be opened, and stores those
+// that it has already accepted once the store is available. It also checks that a store that is damaged while in use is
+// recovered without a restart.
 func TestStoreFailure(t *testing.T) {
 	dir := t.TempDir()
 	folder := filepath.Join(dir, "held")
-	if err := os.WriteFile(folder, nil, 0o600); err != nil { // no folder can be there
+	if err := os.WriteFile(folder, nil, 0o600); err != nil { // prevents the creation of the folder
 		t.Fatal(err)
 	}
 	q, events, _ := start(t, dir, "", nil)
@@ -361,11 +369,11 @@
 	accepted := func() bool { return q.Accepts(&state.DeadLetter{Message: m, At: time.Now()}) }
 	for limit := time.Now().Add(20 * time.Second); accepted(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("it goes on holding")
+			t.Fatal("messages are still accepted as dead letters")
 		}
 	}
 	if _, err := q.Redeliver(ctx, "uid 1", selectOne(1), 0, false); err != ErrNoStore {
-		t.Errorf("an order without a store: %v", err)
+		t.Errorf("order while the store is not open: %v, want ErrNoStore", err)
 	}
 	os.Remove(folder)
 	receive(t, events.stored)
@@ -373,7 +381,7 @@
 	for i := range 20 {
 		addDeadLetter(t, q, events, fmt.Sprint("b", i), 0, 1, 0)
 	}
-	// All behind the metas is overwritten while the store is open.
+	// Overwrite the header of each page after the meta pages while the store is open.
 	path := filepath.Join(folder, fileName)
 	info, _ := os.Stat(path)
 	f, err := os.OpenFile(path, os.O_WRONLY, 0)
@@ -382,7 +390,7 @@
 	}
 	const metaPagesSize = 8192
 	whole, _ := os.ReadFile(path)
-	for at := metaPagesSize; at < len(whole); at += 4096 { // pages' heads go, what stands in them stays
+	for at := metaPagesSize; at < len(whole); at += 4096 { // the content of the pages is kept
 		f.WriteAt(bytes.Repeat([]byte{0xff}, 16), int64(at))
 	}
 	f.Close()
@@ -393,11 +401,12 @@
 	q.View(func(tx *Tx) (err error) { stats, err = tx.Stats(); return })
 	damagedFiles, _ := filepath.Glob(path + damagedSuffix + "*")
 	if stats.Records != 22 || len(damagedFiles) != 1 {
-		t.Errorf("%d records of 22, set aside %v; the file had %d bytes", stats.Records, damagedFiles, info.Size())
+		t.Errorf("%d of 22 records, damaged files %v; the file had %d bytes", stats.Records, damagedFiles, info.Size())
 	}
 }
 
-// Hundreds held for one destination, or of one tenant, keep nobody else's back.
+// TestDestinationsAndTenantsTakeTurns checks that many ordered records of one destination or one tenant do not delay
+// those of others.
 func TestDestinationsAndTenantsTakeTurns(t *testing.T) {
 	q, events, _ := start(t, t.TempDir(), "", func(q *Queue) {
 		q.planner.CallEnded(0, 1, 1, time.Second, false)
@@ -419,11 +428,13 @@
 		finishRedelivery(q, e, true)
 	}
 	if positions["other-tenant"] > 12 || positions["other-destination"] > 12 {
-		t.Errorf("came as numbers %d and %d", positions["other-tenant"], positions["other-destination"])
+		t.Errorf("other tenant redelivered at position %d, other destination at position %d",
+			positions["other-tenant"], positions["other-destination"])
 	}
 }
 
-// A partner without room for a connection is there: it has turned a call away, and is not out of order.
+// TestPartnerResult checks the conversion of call results. A partner that rejects a connection because it is at its
+// connection limit is up, so this counts as a rejection and not as a failure.
 func TestPartnerResult(t *testing.T) {
 	for r, want := range map[control.Result]redelivery.Result{
 		control.Served: redelivery.Served, control.Rejected: redelivery.Rejected,
@@ -431,7 +442,7 @@
 		control.ConnectFailed:      redelivery.Failed, control.NotSent: redelivery.NotSent,
 	} {
 		if got := partnerResult(r); got != want {
-			t.Errorf("result %v: told %v, want %v", r, got, want)
+			t.Errorf("result %v converted to %v, want %v", r, got, want)
 		}
 	}
 }
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.db.NoSync = true // the disk's time is not what is tested
+	s.db.NoSync = true // the tests do not depend on syncs, which are slow
 	t.Cleanup(func() { s.Close() })
 	return s
 }
@@ -81,6 +81,7 @@
 	}
 }
 
+// TestFilters checks the number and order of the records that filters select.
 func TestFilters(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	addRecords(t, s, 120)
@@ -104,7 +105,8 @@
 	}
 }
 
-// What the class allows, and what is not known counts as may have run.
+// TestEligible checks whether the rules of a class allow a redelivery. Attempts that are missing from the history count
+// as attempts that may have run.
 func TestEligible(t *testing.T) {
 	now := time.Now()
 	ranAgo := func(ago time.Duration) []Attempt {
@@ -120,21 +122,24 @@
 		{"unsafe that never ran", Record{Class: "unsafe", Attempts: []Attempt{{Result: "refused"}}}, false, ""},
 		{"unsafe that may have run", Record{Class: "unsafe", Attempts: ranAgo(time.Second)}, false,
 			"must never take effect twice"},
-		{"unsafe in doubt", Record{Class: "unsafe", HistoryIncomplete: true}, false, "not whole"},
-		{"keyed within the span", Record{Class: "keyed", Attempts: ranAgo(5 * time.Second)}, false, ""},
-		{"keyed near its end", Record{Class: "keyed", Attempts: ranAgo(9 * time.Second)}, false, "remembers its key for"},
-		{"keyed beyond", Record{Class: "keyed", Attempts: ranAgo(time.Minute)}, false, "remembers its key for"},
-		{"keyed, the first counts", Record{Class: "keyed", Attempts: append(ranAgo(time.Minute), ranAgo(0)...)}, false,
+		{"unsafe with an incomplete history", Record{Class: "unsafe", HistoryIncomplete: true}, false, "not whole"},
+		{"keyed within the retention", Record{Class: "keyed", Attempts: ranAgo(5 * time.Second)}, false, ""},
+		{"keyed near the end of the retention", Record{Class: "keyed", Attempts: ranAgo(9 * time.Second)}, false,
+			"remembers its key for"},
+		{"keyed after the retention", Record{Class: "keyed", Attempts: ranAgo(time.Minute)}, false, "remembers its key for"},
+		{"keyed, first attempt decides", Record{Class: "keyed", Attempts: append(ranAgo(time.Minute), ranAgo(0)...)}, false,
 			"remembers"},
-		{"keyed at an unknown time", Record{Class: "keyed", Attempts: []Attempt{{MayHaveRun: true}}}, false, "not known"},
-		{"keyed in doubt", Record{Class: "keyed", Attempts: ranAgo(time.Second), HistoryIncomplete: true}, false, "not known"},
-		{"keyed, the clock went back", Record{Class: "keyed", Attempts: ranAgo(time.Second)}, true, "clock"},
-		{"safe, the clock went back", Record{Class: "safe", Attempts: ranAgo(time.Second)}, true, ""},
-		{"out", Record{Class: "safe", State: InFlight}, false, "being sent"},
+		{"keyed, run at an unknown time", Record{Class: "keyed", Attempts: []Attempt{{MayHaveRun: true}}}, false,
+			"not known"},
+		{"keyed with an incomplete history", Record{Class: "keyed", Attempts: ranAgo(time.Second), HistoryIncomplete: true},
+			false, "not known"},
+		{"keyed, clock set back", Record{Class: "keyed", Attempts: ranAgo(time.Second)}, true, "clock"},
+		{"safe, clock set back", Record{Class: "safe", Attempts: ranAgo(time.Second)}, true, ""},
+		{"in redelivery", Record{Class: "safe", State: InFlight}, false, "being sent"},
 		{"ended", Record{Class: "safe", State: Dropped}, false, "ended"},
-		{"no body", Record{Class: "safe", BodyMissing: true}, false, "body"},
-		{"attempts", Record{Class: "safe", AttemptCount: 12}, false, "12 attempts"},
-		{"class", Record{Class: "what"}, false, "class"},
+		{"body missing", Record{Class: "safe", BodyMissing: true}, false, "body"},
+		{"no attempts left", Record{Class: "safe", AttemptCount: 12}, false, "12 attempts"},
+		{"unknown class", Record{Class: "what"}, false, "class"},
 	} {
 		if c.r.State == "" {
 			c.r.State = Held
@@ -144,20 +149,20 @@
 			t.Errorf("%s: %v, want %q", c.name, why, c.want)
 		}
 	}
-	r := Record{} // a history too long for its record is in doubt, unless that is known to it
+	r := Record{} // a history that exceeds maxAttempts is incomplete only if the first attempt that may have run is lost
 	for range maxAttempts + 1 {
 		r.addAttempts([]Attempt{{At: now, Result: "refused"}})
 	}
 	if r.HistoryIncomplete {
-		t.Error("in doubt without cause")
+		t.Error("history marked as incomplete although no attempt may have run")
 	}
 	if r.addAttempts([]Attempt{{At: now, MayHaveRun: true}}); !r.HistoryIncomplete {
-		t.Error("an attempt that may have run is lost")
+		t.Error("history not marked as incomplete although an attempt that may have run was lost")
 	}
 }
 
-// Over its bounds a store gives up ended records first, then those held longest,
-// and never one that is out or that the journal may bring again.
+// TestEviction checks that a store that exceeds its bounds evicts ended records first, then the oldest others, and
+// never records in redelivery or records that the write-ahead log may report again.
 func TestEviction(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	addRecords(t, s, 100)
@@ -169,7 +174,7 @@
 			}
 		}
 		tx.change(1, func(r *Record) error { r.State = InFlight; return nil })
-		return tx.markReportPending("id-1") // number 2
+		return tx.markReportPending("id-1") // record 2
 	})
 	evict := func(b Bounds) (evicted Evicted) {
 		update(t, s, func(tx *Tx) (err error) { evicted, err = tx.evict(b, now); return })
@@ -177,30 +182,32 @@
 	}
 	wideBounds := Bounds{Bytes: 1e9, Records: 1000, Age: 24 * time.Hour, EndedRetention: time.Hour}
 	if got := evict(wideBounds); got != (Evicted{}) {
-		t.Errorf("within bounds: %+v", got)
+		t.Errorf("evicted within the bounds: %+v", got)
 	}
 	b := wideBounds
 	b.Records = 85
 	if got := evict(b); got != (Evicted{Ended: 10, Open: 5}) {
-		t.Errorf("records: %+v", got)
+		t.Errorf("evicted over the bound of records: %+v", got)
 	}
 	list := listAll(t, s, Filter{})
 	if len(list) != 85 || list[0].Sequence != 1 || list[1].Sequence != 2 || list[2].Sequence != 8 {
-		t.Errorf("left: %d, %d %d %d", len(list), list[0].Sequence, list[1].Sequence, list[2].Sequence)
+		t.Errorf("%d records left, the first ones are %d, %d, %d",
+			len(list), list[0].Sequence, list[1].Sequence, list[2].Sequence)
 	}
 	b = wideBounds
 	s.View(func(tx *Tx) error { b.Bytes = int64(tx.counter(metaBytes)) / 2; return nil })
 	if got := evict(b); got.Open < 40 || got.Open > 45 {
-		t.Errorf("bytes: %+v", got)
+		t.Errorf("evicted over the bound of bytes: %+v", got)
 	}
 	b = wideBounds
 	b.Age = time.Minute
 	if evict(b); len(listAll(t, s, Filter{})) != 2 || s.Count(-1)+s.Count(0) != 2 {
-		t.Errorf("too old: %+v, counts %v", listAll(t, s, Filter{}), s.openCounts)
+		t.Errorf("records left after eviction by age: %+v, counts %v", listAll(t, s, Filter{}), s.openCounts)
 	}
 }
 
-// A message that arrives twice is stored once, also after its record was removed.
+// TestAddRejectsDuplicates checks that a message that is reported twice is stored once. This also applies after its
+// record was removed, as long as the write-ahead log contains the message.
 func TestAddRejectsDuplicates(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	add := func() (added bool) {
@@ -214,26 +221,28 @@
 		return added
 	}
 	if !add() || add() {
-		t.Error("the second arrival counts")
+		t.Error("message not stored on the first report, or stored again on the second")
 	}
 	update(t, s, func(tx *Tx) error {
 		r, _ := tx.Get(1)
 		return tx.remove(&r)
 	})
 	if add() {
-		t.Error("it came back after it was removed, while the write-ahead log had it")
+		t.Error("message stored again after its removal, although the write-ahead log still contains it")
 	}
 	update(t, s, func(tx *Tx) error { return tx.clearReportPending("a") })
 	if !add() {
-		t.Error("another message of that id is not taken")
+		t.Error("new message with the same id not stored after the write-ahead log has forgotten the first")
 	}
 }
 
+// TestStoreLock checks that a store that is open for writing cannot be opened for reading, and that it can after it was
+// closed.
 func TestStoreLock(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	if _, err := OpenReading(dir); !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), fmt.Sprint(os.Getpid())) {
-		t.Errorf("a reader beside a writer: %v", err)
+		t.Errorf("reader while a writer has the store open: %v, want ErrInUse with its process id", err)
 	}
 	s.Close()
 	r, err := OpenReading(dir)
@@ -245,13 +254,13 @@
 	}
 }
 
-// Wherever a bit flips, or the file is cut, the store opens; of what it held
-// nothing comes back as sendable that was sent.
+// TestDamagedStore checks that a store with a flipped bit at any position, or truncated at any length, can be opened,
+// and that a record that was sent or dropped is not eligible for redelivery after the recovery.
 func TestDamagedStore(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	addRecords(t, s, 200)
-	update(t, s, func(tx *Tx) error { // number 3 and 6 are unsafe: sent, and dropped
+	update(t, s, func(tx *Tx) error { // records 3 and 6 are not idempotent: 3 is in flight, 6 is dropped
 		if err := tx.change(3, func(r *Record) error { r.State = InFlight; return nil }); err != nil {
 			return err
 		}
@@ -277,15 +286,15 @@
 			recovered = len(list)
 			for _, r := range list {
 				if (r.Sequence == 3 || r.Sequence == 6) && classRules.Eligible(&r, time.Now(), true) == nil {
-					return fmt.Errorf("number %d may be sent again: %+v", r.Sequence, r)
+					return fmt.Errorf("record %d may be redelivered: %+v", r.Sequence, r)
 				}
 			}
 			return err
 		})
-		if errors.Is(err, ErrDamaged) { // seen at work: then it is taken over
+		if errors.Is(err, ErrDamaged) { // the damage is detected after opening, and then recovered
 			s.Close()
 			if s, err = openOrRecover(dir, err, quiet); err != nil {
-				t.Fatalf("%s: at work: %v", name, err)
+				t.Fatalf("%s: recovery: %v", name, err)
 			}
 			recovered = len(listAll(t, s, Filter{}))
 		}
@@ -299,20 +308,21 @@
 		data := slices.Clone(intact)
 		data[at] ^= 1 << (at % 8)
 		if kept := reopen(fmt.Sprintf("bit flipped at %d", at), data); kept < 190 {
-			t.Errorf("flipped at %d: %d of 200 kept", at, kept)
+			t.Errorf("bit flipped at %d: %d of 200 records recovered", at, kept)
 		}
 	}
 	for at := 0; at < len(intact); at += 5 * step {
 		reopen(fmt.Sprintf("cut at %d", at), intact[:at])
 	}
 	zeroed := slices.Clone(intact)
-	clear(zeroed[:8192]) // both metas: only the raw file tells
-	if kept := reopen("no metas", zeroed); kept < 199 {
-		t.Errorf("no metas: %d of 200 kept", kept)
+	clear(zeroed[:8192]) // both meta pages: only the scan of the raw file finds records
+	if kept := reopen("no meta pages", zeroed); kept < 199 {
+		t.Errorf("no meta pages: %d of 200 records recovered", kept)
 	}
 }
 
-// A recovery that is cut short starts again, or stands.
+// TestInterruptedRecovery checks that an interrupted recovery is repeated if the damaged file was not renamed yet, and
+// completed otherwise.
 func TestInterruptedRecovery(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
@@ -322,16 +332,16 @@
 	os.WriteFile(path+newSuffix, []byte("half"), 0o600)
 	s = openStore(t, dir)
 	if n := len(listAll(t, s, Filter{})); n != 10 {
-		t.Errorf("half a new file: %d", n)
+		t.Errorf("incomplete new file: %d records, want 10", n)
 	}
 	s.Close()
-	os.Rename(path, path+newSuffix) // the old one was put aside already
+	os.Rename(path, path+newSuffix) // as after a recovery that had already renamed the damaged file
 	if s = openStore(t, dir); len(listAll(t, s, Filter{})) != 10 {
-		t.Error("the new file was not taken")
+		t.Error("new file not used")
 	}
 }
 
-// The indexes follow from the records, whatever is done with them.
+// TestIndexesMatchRecords checks that the indexes and counters match the records after any sequence of changes.
 func TestIndexesMatchRecords(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	rapid.Check(t, func(rt *rapid.T) {
@@ -345,7 +355,7 @@
 		model := map[uint64]State{}
 		for i := range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			seq := uint64(rapid.IntRange(1, 10).Draw(rt, "seq"))
-			operation := rapid.IntRange(0, 5).Draw(rt, "what")
+			operation := rapid.IntRange(0, 5).Draw(rt, "operation")
 			update(t, s, func(tx *Tx) error {
 				_, known := model[seq]
 				now := time.UnixMicro(int64(i))
@@ -388,16 +398,16 @@
 			for seq, state := range model {
 				r, err := tx.Get(seq)
 				if err != nil || r.State != state {
-					rt.Fatalf("number %d: %v, %s, want %s", seq, err, r.State, state)
+					rt.Fatalf("record %d: %v, state %s, want %s", seq, err, r.State, state)
 				}
 				for _, x := range indexEntries(&r) {
 					want[string(x.bucket)]++
 					if got := tx.Bucket(x.bucket).Get(x.key); got == nil || string(got) != string(x.value) {
-						rt.Fatalf("number %d is not in %s", seq, x.bucket)
+						rt.Fatalf("record %d is missing in index %s", seq, x.bucket)
 					}
 				}
 				if _, err := tx.Body(seq); (err == nil) == state.Ended() {
-					rt.Fatalf("number %d, %s: body: %v", seq, state, err)
+					rt.Fatalf("record %d, state %s: body: %v", seq, state, err)
 				}
 				if !state.Ended() {
 					open++
@@ -405,11 +415,12 @@
 			}
 			for _, b := range indexedBuckets {
 				if n := tx.Bucket(b).Stats().KeyN; n != want[string(b)] {
-					rt.Fatalf("%s has %d entries, want %d", b, n, want[string(b)])
+					rt.Fatalf("index %s has %d entries, want %d", b, n, want[string(b)])
 				}
 			}
 			if n := s.Count(0) + s.Count(1); n != open || tx.counter(metaCount) != uint64(len(model)) {
-				rt.Fatalf("%d open counted, %d are; %d records counted, %d are", n, open, tx.counter(metaCount), len(model))
+				rt.Fatalf("%d open records counted, want %d; %d records counted, want %d",
+					n, open, tx.counter(metaCount), len(model))
 			}
 			return nil
 		})
--- a/internal/redelivery/planner_test.go
+++ b/internal/redelivery/planner_test.go
@@ -16,8 +16,9 @@
 
 var idleLoad = Load{MaxInFlight: 16, MaxOpenMessages: 200}
 
-// A cold partner takes ColdFrom of its capacity as it returns and all of it
-// after Cold. All siblings resend at the same time, none knowing of the others.
+// TestSlowStartAfterRecovery checks that redelivery does not overload a recovering partner. After an outage a partner
+// has only ColdCapacity of its capacity, and all of it after WarmUp. The senders of a fleet redeliver to it at the same
+// time without coordination; if they send too much together, it fails again.
 func TestSlowStartAfterRecovery(t *testing.T) {
 	for _, senders := range []int{1, 2, 3, 8} {
 		limits := testLimits
@@ -50,10 +51,10 @@
 			}
 		}
 		if limit := 6 * senders; trials > limit || trials < senders {
-			t.Errorf("%d siblings: %d tests in %v, at most %d wanted", senders, trials, recoveredAt, limit)
+			t.Errorf("%d senders: %d trials in %v, want at most %d", senders, trials, recoveredAt, limit)
 		}
 		first := calls[0]
-		for i, from := range calls { // any window of FallWindow from a call on
+		for i, from := range calls { // check the window of length OverloadWindow that starts at each call
 			n := 0
 			for _, at := range calls[i:] {
 				if at < from+limits.OverloadWindow {
@@ -62,16 +63,17 @@
 			}
 			warm := min(1, limits.ColdCapacity+(1-limits.ColdCapacity)*float64(from-first)/float64(limits.WarmUp))
 			if budget := limits.OverloadFactor * warm * capacity * limits.OverloadWindow.Seconds(); float64(n) > budget {
-				t.Fatalf("%d siblings: %d calls in the window from %v, %.1f allowed", senders, n, from, budget)
+				t.Fatalf("%d senders: %d calls in the window from %v, want at most %.1f", senders, n, from, budget)
 			}
 		}
 		if rate := warmCalls / 10; rate < 0.8*limits.CapacityShare*capacity || rate > 1.05*limits.CapacityShare*capacity {
-			t.Errorf("%d siblings: %.1f a second once warm, near %.1f wanted", senders, rate, limits.CapacityShare*capacity)
+			t.Errorf("%d senders: %.1f calls per second once warm, want about %.1f",
+				senders, rate, limits.CapacityShare*capacity)
 		}
 	}
 }
 
-// warmPlanner returns a planner whose partners are at full level.
+// warmPlanner returns a planner whose partners have reached the full level, and its current time.
 func warmPlanner(t *testing.T, capacity float64, dests ...int) (*Planner, time.Duration) {
 	t.Helper()
 	p, now := New(testLimits, 1), time.Duration(0)
@@ -87,7 +89,7 @@
 	return p, now
 }
 
-// countGrants counts what a planner countGrants over a while, all served at once.
+// countGrants returns the number of grants by destination within span. Every granted redelivery is served immediately.
 func countGrants(p *Planner, now, span time.Duration, load Load, dests ...int) map[int]int {
 	n := map[int]int{}
 	for end := now + span; now < end; now += 10 * time.Millisecond {
@@ -100,6 +102,8 @@
 	return n
 }
 
+// TestPausesAfterFailure checks that a failure, a rejection or a Retry-After pauses redelivery, and how redelivery
+// resumes.
 func TestPausesAfterFailure(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -108,15 +112,15 @@
 		pause         time.Duration
 		limitExceeded bool
 	}{
-		{"refusal between served calls", Rejected, 0, 700 * time.Millisecond, true},
-		{"told wait", Rejected, 5 * time.Second, 5 * time.Second, false},
+		{"rejection between served calls", Rejected, 0, 700 * time.Millisecond, true},
+		{"rejection with Retry-After", Rejected, 5 * time.Second, 5 * time.Second, false},
 		{"failure", Failed, 0, 3 * time.Second, false},
-		{"a wait told with an answer that served", Served, time.Second, time.Second, false},
+		{"served with Retry-After", Served, time.Second, time.Second, false},
 	} {
 		p, now := warmPlanner(t, 20, 7)
-		p.CallEnded(now, 7, c.result, c.retryAfter, false) // live traffic stops resends too
+		p.CallEnded(now, 7, c.result, c.retryAfter, false) // a result of live traffic pauses redelivery as well
 		if n := countGrants(p, now, c.pause, idleLoad, 7); n[7] > 0 {
-			t.Errorf("%s: %d within %v", c.name, n[7], c.pause)
+			t.Errorf("%s: %d grants within %v", c.name, n[7], c.pause)
 		}
 		resumedAt := now + 20*time.Second
 		if c.limitExceeded {
@@ -124,12 +128,13 @@
 		}
 		n := countGrants(p, resumedAt, time.Second, idleLoad, 7)
 		if n[7] == 0 || !c.limitExceeded && n[7] > 4 {
-			t.Errorf("%s: starts again with %d in a second", c.name, n[7])
+			t.Errorf("%s: %d grants in the first second after the pause", c.name, n[7])
 		}
 	}
 }
 
-// A partner that stays shut costs a few tests, ever more seldom.
+// TestTrialBackoffWhileFailing checks that a partner that keeps failing receives only a few trials, at increasing
+// intervals.
 func TestTrialBackoffWhileFailing(t *testing.T) {
 	p := New(testLimits, 3)
 	p.CapacityChanged(0, 7, 20, true)
@@ -142,16 +147,18 @@
 		}
 	}
 	if len(trials) > 12 || len(trials) < 5 {
-		t.Errorf("%d tests in 10 minutes: %v", len(trials), trials)
+		t.Errorf("%d trials in 10 minutes: %v", len(trials), trials)
 	}
 }
 
+// TestLiveTrafficHasPriority checks that redelivery yields to live traffic to the partner, and to a high load of the
+// sender.
 func TestLiveTrafficHasPriority(t *testing.T) {
 	p, now := warmPlanner(t, 20, 7)
 	withoutLiveTraffic := countGrants(p, now, 5*time.Second, idleLoad, 7)[7]
 	now += 5 * time.Second
 	n := 0
-	for i := range 1000 { // 20 live calls a second: all that it takes
+	for i := range 1000 { // 20 live calls per second, the full capacity of the partner
 		now += 10 * time.Millisecond
 		if i%5 == 0 {
 			p.CallEnded(now, 7, Served, 0, false)
@@ -164,27 +171,28 @@
 			p.RedeliveryEnded(now, 7, true)
 		}
 	}
-	if withoutLiveTraffic < 30 || n > 14 { // a tenth of the live calls
-		t.Errorf("%d alone, %d beside full live traffic", withoutLiveTraffic, n)
+	if withoutLiveTraffic < 30 || n > 14 { // 14 is a tenth of the live calls
+		t.Errorf("%d grants without live traffic, %d with full live traffic", withoutLiveTraffic, n)
 	}
 	for name, load := range map[string]Load{
-		"slots": {MaxInFlight: 16, InFlight: 12, MaxOpenMessages: 200},
-		"hold":  {MaxInFlight: 16, MaxOpenMessages: 200, Open: 100},
+		"call slots":    {MaxInFlight: 16, InFlight: 12, MaxOpenMessages: 200},
+		"open messages": {MaxInFlight: 16, MaxOpenMessages: 200, Open: 100},
 	} {
 		p, now := warmPlanner(t, 20, 7)
 		if n := countGrants(p, now, 5*time.Second, load, 7); n[7] > 0 {
-			t.Errorf("%s short: %d granted", name, n[7])
+			t.Errorf("%s nearly exhausted: %d grants", name, n[7])
 		}
 	}
 }
 
-// Many for one destination don't starve others; tenants go in turn.
+// TestDestinationsAndTenantsTakeTurns checks that grants are distributed evenly across destinations, and that the
+// tenants of a destination are selected in turn.
 func TestDestinationsAndTenantsTakeTurns(t *testing.T) {
 	p, now := warmPlanner(t, 20, 1, 2, 3)
 	n := countGrants(p, now, 10*time.Second, idleLoad, 1, 2, 3)
 	for _, d := range []int{2, 3} {
 		if math.Abs(float64(n[d]-n[1])) > 0.1*float64(n[1]) {
-			t.Errorf("grants %v", n)
+			t.Errorf("grants by destination: %v", n)
 		}
 	}
 	var got []string
@@ -193,12 +201,13 @@
 	}
 	got = append(got, p.NextTenant(now, 1, []string{"c"}), p.NextTenant(now, 1, []string{"b", "c"}))
 	if want := []string{"a", "b", "c", "a", "c", "b"}; !slices.Equal(got, want) {
-		t.Errorf("turns %v, want %v", got, want)
+		t.Errorf("tenants %v, want %v", got, want)
 	}
 }
 
-// Whatever comes, no more are out than allowed, none within a told wait, and at
-// most one to a partner under test.
+// TestPlannerInvariants checks for random sequences of events that the number of redeliveries in flight stays within
+// the limit, that no redelivery is granted before a Retry-After has passed, and that at most one is in flight to a
+// partner during a trial.
 func TestPlannerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := New(testLimits, rapid.Uint64().Draw(t, "seed"))
@@ -209,38 +218,38 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			dest := rapid.SampledFrom(all).Draw(t, "dest")
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				p.CapacityChanged(now, dest, rapid.Float64Range(0, 100).Draw(t, "weight"), rapid.Bool().Draw(t, "ready"))
+				p.CapacityChanged(now, dest, rapid.Float64Range(0, 100).Draw(t, "capacity"), rapid.Bool().Draw(t, "ready"))
 			case 1:
-				wait := time.Duration(rapid.IntRange(0, 4000).Draw(t, "wait")) * time.Millisecond
+				wait := time.Duration(rapid.IntRange(0, 4000).Draw(t, "retryAfter")) * time.Millisecond
 				p.CallEnded(now, dest, rapid.SampledFrom([]Result{Served, Rejected, Failed, NotSent}).Draw(t, "result"), wait,
-					rapid.Bool().Draw(t, "own"))
+					rapid.Bool().Draw(t, "redelivery"))
 				retryAfterUntil[dest] = max(retryAfterUntil[dest], now+wait)
 			case 2:
 				if inFlight[dest] > 0 {
 					inFlight[dest]--
-					p.RedeliveryEnded(now, dest, rapid.Bool().Draw(t, "in"))
+					p.RedeliveryEnded(now, dest, rapid.Bool().Draw(t, "admitted"))
 				}
 			}
 			total := 0
 			for _, d := range p.Grant(now, all, idleLoad) {
 				inFlight[d]++
 				if now < retryAfterUntil[d] {
-					t.Fatalf("%v: a grant within the wait until %v", now, retryAfterUntil[d])
+					t.Fatalf("%v: grant before the Retry-After at %v", now, retryAfterUntil[d])
 				}
 				if p.partners[d].trial && inFlight[d] > 1 {
-					t.Fatalf("%v: %d out under test", now, inFlight[d])
+					t.Fatalf("%v: %d in flight during a trial", now, inFlight[d])
 				}
 			}
 			for _, n := range inFlight {
 				total += n
 			}
 			if total > testLimits.MaxInFlight {
-				t.Fatalf("%d out", total)
+				t.Fatalf("%d redeliveries in flight, want at most %d", total, testLimits.MaxInFlight)
 			}
 			if next := p.NextGrant(now, all); next <= now || next > now+2*time.Second {
-				t.Fatalf("%v: next at %v", now, next)
+				t.Fatalf("%v: next grant at %v, want within 2 seconds", now, next)
 			}
 		}
 	})
