--- a/internal/deadletter/audit.go
+++ b/internal/deadletter/audit.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// AuditEntry is an entry of the audit trail: one command of an operator.
+// AuditEntry records one operator command in the audit trail.
 type AuditEntry struct {
 	At       time.Time `json:"at"`
 	By       string    `json:"by"`
 	Verb     string    `json:"verb"`
 	Filter   *Filter   `json:"filter,omitempty"`
-	Records  []uint64  `json:"records,omitempty"` // the first maxAuditRecords ones
+	Records  []uint64  `json:"records,omitempty"` // at most the first maxAuditRecords
 	Done     int       `json:"done"`
 	Rejected int       `json:"refused"`
 }
 
-// maxAuditRecords bounds the records named in one entry.
+// maxAuditRecords limits the sequence numbers listed in one entry.
 const maxAuditRecords = 100
 
-// audit adds an entry. The trail keeps the latest maxAuditEntries.
-func (t *Tx) audit(a AuditEntry) error {
+// audit appends an entry. The audit trail keeps the latest maxAuditEntries entries.
+func (t *Tx) audit(entry AuditEntry) error {
 	b := t.Bucket(bucketAudit)
 	n, err := b.NextSequence()
 	if err != nil {
 		return err
 	}
-	if len(a.Records) > maxAuditRecords {
-		a.Records = a.Records[:maxAuditRecords]
+	if len(entry.Records) > maxAuditRecords {
+		entry.Records = entry.Records[:maxAuditRecords]
 	}
-	text, err := json.Marshal(a)
+	data, err := json.Marshal(entry)
 	if err != nil {
 		return err
 	}
-	if err := b.Put(encodeUint(n), text); err != nil || n <= maxAuditEntries {
+	if err := b.Put(encodeUint(n), data); err != nil || n <= maxAuditEntries {
 		return err
 	}
 	return b.Delete(encodeUint(n - maxAuditEntries))
 }
 
-// Audit returns the latest entries, the newest first.
+// Audit returns up to limit of the latest entries, newest first.
 func (t *Tx) Audit(limit int) ([]AuditEntry, error) {
 	var list []AuditEntry
 	c := t.Bucket(bucketAudit).Cursor()
--- a/internal/deadletter/bench_test.go
+++ b/internal/deadletter/bench_test.go
@@ -13,7 +13,7 @@
 	"cleathold/internal/state"
 )
 
-// Records a second into the store, synced to the disk, by the size of a batch.
+// BenchmarkIntoStore measures the rate at which records are stored and synced to the disk, by batch size.
 func BenchmarkIntoStore(b *testing.B) {
 	for _, batch := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint("batch=", batch), func(b *testing.B) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// What a message costs the loop, where it ends undelivered and the rule is asked.
+// BenchmarkAccepts measures the time that the event loop spends on the rule "hold" for an undeliverable message.
 func BenchmarkAccepts(b *testing.B) {
 	set, err := settings.Parse("s.star", []byte(`
 held(folder = "/h")
@@ -50,31 +50,31 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	k := NewQueue(Config{Settings: set, Log: quiet, Platform: control.Settings{Classes: make([]control.Class, 1)},
+	q := NewQueue(Config{Settings: set, Log: quiet, Platform: control.Settings{Classes: make([]control.Class, 1)},
 		Names: Names{Classes: []string{"fee-payment"}}})
-	p := &state.DeadLetter{Message: &state.Message{ID: "id", Deadline: time.Now()}, At: time.Now()}
+	letter := &state.DeadLetter{Message: &state.Message{ID: "id", Deadline: time.Now()}, At: time.Now()}
 	b.ReportAllocs()
 	for b.Loop() {
-		k.Accepts(p)
+		q.Accepts(letter)
 	}
 }
 
-// What each call's end costs the loop beside that.
+// BenchmarkCallEnded measures the time that the event loop spends on the queue at the end of each call.
 func BenchmarkCallEnded(b *testing.B) {
 	set, _ := settings.Parse("s.star", []byte(`held(folder = "/h")`))
-	k := NewQueue(Config{Settings: set, Log: quiet})
+	q := NewQueue(Config{Settings: set, Log: quiet})
 	b.ReportAllocs()
 	for b.Loop() {
-		k.CallEnded(7, control.Served, 0, false)
-		k.LoadChanged(state.LoopLoad{})
+		q.CallEnded(7, control.Served, 0, false)
+		q.LoadChanged(state.LoopLoad{})
 	}
 }
 
-// A hundred thousand records: opening, memory, and a filter over all of them.
+// BenchmarkHundredThousand measures opening, memory use, listing and statistics of a store with 100,000 records.
 func BenchmarkHundredThousand(b *testing.B) {
 	dir := b.TempDir()
 	s := openStore(b, dir)
-	fill(b, s, 100_000)
+	addRecords(b, s, 100_000)
 	s.Close()
 	heap := func() float64 {
 		var m runtime.MemStats
--- a/internal/deadletter/items.go
+++ b/internal/deadletter/items.go
@@ -8,40 +8,40 @@
 	"cleathold/internal/state"
 )
 
-// item is something that the event loop reported and the store does not have yet.
+// item is a report of the event loop that is not stored yet.
 type item interface {
 	write(q *Queue, t *Tx, b *writtenBatch) error
 }
 
-// writtenBatch is what a transaction of the writer did, for what follows once it is committed.
+// writtenBatch collects the results of a write transaction that are processed after its commit.
 type writtenBatch struct {
 	now    time.Time
-	stored []control.MessageID // dead letters that the store has now
+	stored []control.MessageID // dead letters that are stored
 	ended  []endedRedelivery
 }
 
-// endedRedelivery is a redelivery that has ended.
+// endedRedelivery identifies a redelivery that has ended.
 type endedRedelivery struct {
 	sequence uint64
 	admitted bool // by the event loop
 }
 
-// journalState is the state of the write-ahead log at the start: ids of dead letters that it still has, and records
-// in redelivery.
-type journalState struct {
-	owed     []string
-	inFlight []uint64
+// walState is the state of the write-ahead log at the start: the ids of dead letters that it still contains, and the
+// sequence numbers of records in redelivery.
+type walState struct {
+	pendingReports []string
+	inFlight       []uint64
 }
 
-func (x journalState) write(q *Queue, t *Tx, b *writtenBatch) error {
-	q.journalKnown = true
+func (x walState) write(q *Queue, t *Tx, b *writtenBatch) error {
+	q.walStateKnown = true
 	return q.reconcile(t, x, b.now)
 }
 
-// forgotten are ids that the write-ahead log has forgotten.
-type forgotten struct{ ids []string }
+// forgottenIDs contains ids of messages that the write-ahead log no longer contains.
+type forgottenIDs struct{ ids []string }
 
-func (x forgotten) write(_ *Queue, t *Tx, _ *writtenBatch) error {
+func (x forgottenIDs) write(_ *Queue, t *Tx, _ *writtenBatch) error {
 	for _, id := range x.ids {
 		if err := t.clearReportPending(id); err != nil {
 			return err
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// newLetter is a dead letter, or the end of a redelivery.
-type newLetter state.DeadLetter
+// deadLetterItem is a dead letter, or the end of a redelivery.
+type deadLetterItem state.DeadLetter
 
-func (x newLetter) write(q *Queue, t *Tx, b *writtenBatch) error {
+func (x deadLetterItem) write(q *Queue, t *Tx, b *writtenBatch) error {
 	letter := state.DeadLetter(x)
 	if !letter.NotAdmitted {
 		b.stored = append(b.stored, letter.Number)
@@ -65,66 +65,68 @@
 	return q.endRedelivery(t, &letter, b.now)
 }
 
-// toQueueTime converts a time of the event loop to the queue's clock. Unix time 0 and the zero time mean an unknown
-// time.
-func (q *Queue) toQueueTime(when, now time.Time) time.Time {
-	if when.IsZero() || when.Unix() == 0 {
+// toQueueTime converts a time of the event loop to the queue's clock. Unix time 0 and the zero time stand for an
+// unknown time and are converted to the zero time.
+func (q *Queue) toQueueTime(eventTime, now time.Time) time.Time {
+	if eventTime.IsZero() || eventTime.Unix() == 0 {
 		return time.Time{}
 	}
-	return now.Add(-time.Since(when))
+	return now.Add(-time.Since(eventTime))
 }
 
-// history converts the attempts of a message, or of a redelivery by its number.
-func (q *Queue) history(attempts []state.AttemptRecord, redelivery int, now time.Time) []Attempt {
-	list := attemptsOf(attempts, redelivery)
+// attemptHistory converts attempts of the event loop to the queue's clock. Redelivery is the number of the redelivery
+// that they belong to; 0 stands for the attempts before the message became a dead letter.
+func (q *Queue) attemptHistory(attempts []state.AttemptRecord, redelivery int, now time.Time) []Attempt {
+	list := convertAttempts(attempts, redelivery)
 	for i := range list {
 		list[i].At = q.toQueueTime(list[i].At, now)
 	}
 	return list
 }
 
-// addRecord adds a dead letter that is new to the store.
-func (q *Queue) addRecord(t *Tx, p *state.DeadLetter, now time.Time) error {
-	m, words := p.Message, q.platform.Load()
+// addRecord adds a new dead letter to the store.
+func (q *Queue) addRecord(t *Tx, letter *state.DeadLetter, now time.Time) error {
+	message, platform := letter.Message, q.platform.Load()
 	r := Record{
-		State: Held, ID: m.ID, Key: m.Key, Class: nameAt(words.Classes, m.Class), Tenant: nameAt(words.Tenants, m.Tenant),
-		Destination: m.Destination, Size: len(m.Body), Reason: p.Reason, Deferred: p.Deferred, Deadline: m.Deadline.Round(0),
-		HeldAt: now, AttemptCount: p.AttemptCount,
+		State: Held, ID: message.ID, Key: message.Key, Class: nameAt(platform.Classes, message.Class),
+		Tenant: nameAt(platform.Tenants, message.Tenant), Destination: message.Destination, Size: len(message.Body),
+		Reason: letter.Reason, Deferred: letter.Deferred, Deadline: message.Deadline.Round(0),
+		HeldAt: now, AttemptCount: letter.AttemptCount,
 	}
-	r.addAttempts(q.history(p.Attempts, 0, now))
+	r.addAttempts(q.attemptHistory(letter.Attempts, 0, now))
 	q.mu.Lock()
 	hasRules := q.settings.Rules()
 	q.mu.Unlock()
 	if hasRules {
 		r.ReviewAt = now
 	}
-	added, err := t.Add(&r, m.Body)
+	added, err := t.Add(&r, message.Body)
 	if err == nil && added {
-		err = t.markReportPending(m.ID)
+		err = t.markReportPending(message.ID)
 	}
 	return err
 }
 
-// endRedelivery records the end of a redelivery. A second report of it changes nothing.
+// endRedelivery records the end of a redelivery. A repeated report has no effect.
 func (q *Queue) endRedelivery(t *Tx, letter *state.DeadLetter, now time.Time) error {
 	err := t.change(letter.Seq, func(r *Record) error {
-		if r.State != Out || r.ID != letter.Message.ID {
+		if r.State != InFlight || r.ID != letter.Message.ID {
 			return errUnchanged
 		}
-		if letter.NotAdmitted { // the controller never had it
+		if letter.NotAdmitted { // the message did not reach the controller
 			r.Redeliveries--
 			r.schedule(now.Add(notAdmittedDelay), r.Until)
 			return nil
 		}
 		r.AttemptCount = max(r.AttemptCount, letter.AttemptCount)
-		r.addAttempts(q.history(letter.Attempts, r.Redeliveries, now))
+		r.addAttempts(q.attemptHistory(letter.Attempts, r.Redeliveries, now))
 		switch {
 		case letter.Delivered:
 			r.addEvent(now, "delivered", "sender")
 			r.end(now, Delivered)
 		case letter.Final:
 			r.addEvent(now, "the partner's side says that it is over", "sender")
-			r.end(now, Over)
+			r.end(now, Closed)
 		default:
 			r.Reason = letter.Reason
 			q.redeliveryFailed(r, now)
@@ -137,7 +139,8 @@
 	return err
 }
 
-// redeliveryFailed schedules a record again as long as its order holds and it is eligible, else it stays for review.
+// redeliveryFailed schedules a record again if its order has not expired and it is still eligible. Otherwise the record
+// is held again.
 func (q *Queue) redeliveryFailed(r *Record, now time.Time) {
 	until := r.Until
 	r.unschedule(time.Time{})
@@ -157,27 +160,27 @@
 	}
 }
 
-// notAdmittedDelay is the time until a redelivery that the event loop did not admit is due again.
+// notAdmittedDelay is the delay before the retry of a redelivery that the event loop did not admit.
 const notAdmittedDelay = 100 * time.Millisecond
 
-// errUnchanged ends a change that leaves a record as it is.
-var errUnchanged = errors.New("held: nothing to change")
+// errUnchanged cancels the change of a record.
+var errUnchanged = errors.New("held: record unchanged")
 
-// reconcile brings the store in line with the write-ahead log at the start. Dead letters that the log still has may
-// be reported again.
-func (q *Queue) reconcile(t *Tx, journal journalState, now time.Time) error {
-	owed := map[string]bool{}
-	for _, id := range journal.owed {
-		owed[id] = true
+// reconcile synchronizes the store with the state of the write-ahead log at the start. Records that the store has in
+// flight and the log does not are treated as interrupted redeliveries.
+func (q *Queue) reconcile(t *Tx, wal walState, now time.Time) error {
+	pending := map[string]bool{}
+	for _, id := range wal.pendingReports {
+		pending[id] = true
 	}
-	if err := t.reconcileReports(owed); err != nil {
+	if err := t.reconcileReports(pending); err != nil {
 		return err
 	}
 	inFlight := map[uint64]bool{}
-	for _, sequence := range journal.inFlight {
+	for _, sequence := range wal.inFlight {
 		inFlight[sequence] = true
 	}
-	list, _, err := t.List(Filter{State: Out}, 0, maxScanned)
+	list, _, err := t.List(Filter{State: InFlight}, 0, maxScanned)
 	if err != nil {
 		return err
 	}
@@ -185,21 +188,22 @@
 		if inFlight[r.Sequence] {
 			continue
 		}
-		if err := t.change(r.Sequence, func(r *Record) error { q.lostRedelivery(r, now); return nil }); err != nil {
+		err := t.change(r.Sequence, func(r *Record) error { q.recordInterruptedRedelivery(r, now); return nil })
+		if err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// reconcileReports sets which delivery reports are pending: of the ids that the write-ahead log has, those with a
-// record.
-func (t *Tx) reconcileReports(owed map[string]bool) error {
+// reconcileReports updates which delivery reports are pending: those of the messages that the write-ahead log still
+// contains and that have a record. The event loop may report these messages again.
+func (t *Tx) reconcileReports(pending map[string]bool) error {
 	var acknowledged []string
-	c := t.Bucket(bucketOwed).Cursor()
+	c := t.Bucket(bucketPendingReports).Cursor()
 	for id, _ := c.First(); id != nil; id, _ = c.Next() {
-		if !owed[nameOf(id)] {
-			acknowledged = append(acknowledged, nameOf(id))
+		if !pending[decodeName(id)] {
+			acknowledged = append(acknowledged, decodeName(id))
 		}
 	}
 	for _, id := range acknowledged {
@@ -207,8 +211,8 @@
 			return err
 		}
 	}
-	for id := range owed {
-		if _, known := t.byID(id); known {
+	for id := range pending {
+		if _, known := t.sequenceByID(id); known {
 			if err := t.markReportPending(id); err != nil {
 				return err
 			}
@@ -217,9 +221,9 @@
 	return nil
 }
 
-// lostRedelivery takes back a record that was being redelivered when the sender ended. It was written down before it
-// left, so that an attempt counts.
-func (q *Queue) lostRedelivery(r *Record, now time.Time) {
+// recordInterruptedRedelivery ends a redelivery that was in flight when the sender stopped. The record was marked as in
+// flight before the message was sent, so an attempt is added that may have run.
+func (q *Queue) recordInterruptedRedelivery(r *Record, now time.Time) {
 	at := r.HeldAt
 	if n := len(r.Events); n > 0 {
 		at = r.Events[n-1].At
--- a/internal/deadletter/platform.go
+++ b/internal/deadletter/platform.go
@@ -7,10 +7,10 @@
 	"cleathold/internal/redelivery"
 )
 
-// Names are the names of classes and tenants by their numbers.
+// Names contains the names of classes and tenants, indexed by their numbers.
 type Names struct{ Classes, Tenants []string }
 
-// nameAt returns the name with a number, or nothing.
+// nameAt returns the name with the given number, or an empty string if there is none.
 func nameAt(list []string, i int) string {
 	if i < 0 || i >= len(list) {
 		return ""
@@ -18,20 +18,20 @@
 	return list[i]
 }
 
-// platformSettings are the platform's settings as far as the queue needs them. They are immutable.
+// platformSettings is an immutable copy of the platform settings that the queue needs.
 type platformSettings struct {
 	Names
-	numbers map[string]int // current numbers of the classes by name
-	rules   ClassRules
-	control control.Settings
+	classNumbers map[string]int // current class numbers by name
+	rules        ClassRules
+	control      control.Settings
 }
 
-// classNumber returns the number of a class; of one that is no longer in the settings the last that it had.
-func (v *platformSettings) classNumber(class string) int {
-	if n, known := v.numbers[class]; known {
+// classNumber returns the number of a class. For a class that was removed from the settings it returns its last number.
+func (p *platformSettings) classNumber(class string) int {
+	if n, known := p.classNumbers[class]; known {
 		return n
 	}
-	for n, name := range slices.Backward(v.Classes) {
+	for n, name := range slices.Backward(p.Classes) {
 		if name == class {
 			return n
 		}
@@ -39,51 +39,53 @@
 	return 0
 }
 
-// ClassesChanged takes new classes: the names of all since the start by number, the current numbers, and the settings.
-func (q *Queue) ClassesChanged(names []string, now map[string]int, set control.Settings) {
-	q.setPlatform(names, now, set)
+// ClassesChanged sets the classes: the names of all classes since the start by number, the current numbers by name, and
+// the platform settings.
+func (q *Queue) ClassesChanged(names []string, numbers map[string]int, platform control.Settings) {
+	q.setPlatform(names, numbers, platform)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.planner.SetLimits(q.limits())
 }
 
-// TenantsChanged takes the names of tenants by number. Earlier numbers stay.
+// TenantsChanged sets the names of the tenants by number. The numbers of known tenants must not change.
 func (q *Queue) TenantsChanged(names []string) {
 	for {
 		old := q.platform.Load()
-		v := *old
-		v.Tenants = names
-		if q.platform.CompareAndSwap(old, &v) { // the event loop may change the classes meanwhile
+		updated := *old
+		updated.Tenants = names
+		if q.platform.CompareAndSwap(old, &updated) { // retry if the event loop has changed the classes concurrently
 			return
 		}
 	}
 }
 
-// setPlatform replaces the classes and settings, and leaves the tenants.
-func (q *Queue) setPlatform(names []string, now map[string]int, set control.Settings) {
+// setPlatform replaces the classes and settings and keeps the tenants.
+func (q *Queue) setPlatform(names []string, numbers map[string]int, platform control.Settings) {
 	old := q.platform.Load()
-	v := &platformSettings{
-		Names: Names{Classes: names, Tenants: old.Tenants}, numbers: now, control: set,
-		rules: ClassRules{Classes: map[string]control.Class{}, MaxAttempts: set.MaxAttempts},
+	updated := &platformSettings{
+		Names: Names{Classes: names, Tenants: old.Tenants}, classNumbers: numbers, control: platform,
+		rules: ClassRules{Classes: map[string]control.Class{}, MaxAttempts: platform.MaxAttempts},
 	}
 	for i, name := range names {
-		if n, known := now[name]; known {
+		if n, known := numbers[name]; known {
 			i = n
 		}
-		if i < len(set.Classes) { // a former class keeps its rules for its records
-			v.rules.Classes[name] = set.Classes[i]
+		if i < len(platform.Classes) { // the records of a removed class keep its last rules
+			updated.rules.Classes[name] = platform.Classes[i]
 		}
 	}
-	if !q.platform.CompareAndSwap(old, v) { // the tenants have changed meanwhile
-		q.setPlatform(names, now, set)
+	if !q.platform.CompareAndSwap(old, updated) { // the tenants have changed concurrently
+		q.setPlatform(names, numbers, platform)
 	}
 }
 
-// limits returns the limits of redelivery by the current settings.
+// limits returns the redelivery limits of the current settings.
 func (q *Queue) limits() redelivery.Limits {
-	plat := &q.platform.Load().control
+	platform := &q.platform.Load().control
 	return redelivery.Limits{
-		FleetSize: plat.FleetSize, ColdCapacity: plat.ColdCapacity, WarmUp: plat.WarmUp, OverloadFactor: plat.OverloadFactor,
-		OverloadWindow: plat.OverloadWindow, CapacityShare: q.settings.Resend.Share, MaxInFlight: q.settings.Resend.MaxOut,
+		FleetSize: platform.FleetSize, ColdCapacity: platform.ColdCapacity, WarmUp: platform.WarmUp,
+		OverloadFactor: platform.OverloadFactor, OverloadWindow: platform.OverloadWindow,
+		CapacityShare: q.settings.Resend.Share, MaxInFlight: q.settings.Resend.MaxOut,
 	}
 }
--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -13,81 +13,82 @@
 )
 
 const (
-	maxBatch            = 256                    // items in one transaction
-	maxDue              = 64                     // records due in one transaction; each may cost the call of a rule
-	maxSweep            = 256                    // records scheduled for review by new rules, in one transaction
-	maintenanceInterval = 10 * time.Second       // the longest time between two checks of the bounds
-	minRetryDelay       = 100 * time.Millisecond // after a failure of the store, doubled up to...
-	maxRetryDelay       = 10 * time.Second       // ...this
-	clockTolerance      = 2 * time.Second        // the clock may be behind the latest time in the store by this much
-	maxPendingChanges   = 16                     // changes that wait for the writer
-	maxPendingClaims    = 4096                   // keys submitted before the store was open
-	reportPendingDelay  = time.Second            // until a record is due again whose delivery report is not acknowledged
-	logInterval         = time.Minute            // the same warning is logged once in this time
+	maxBatch            = 256                    // items written in one transaction
+	maxDueRecords       = 64                     // due records in one transaction; each may cost a rule evaluation
+	maxSweepRecords     = 256                    // records scheduled for review in one transaction by new rules
+	maintenanceInterval = 10 * time.Second       // the longest interval between two checks of the bounds
+	minRetryDelay       = 100 * time.Millisecond // after a store failure; doubled after each further one
+	maxRetryDelay       = 10 * time.Second       // limit of the doubled delay
+	clockTolerance      = 2 * time.Second        // tolerated lag of the wall clock behind the latest time in the store
+	maxPendingChanges   = 16                     // changes queued for the writer
+	maxPendingClaims    = 4096                   // keys claimed while the store was not open
+	reportPendingDelay  = time.Second            // review interval while the delivery report is not acknowledged
+	logInterval         = time.Minute            // the same warning is logged at most once per interval
 )
 
-// EventPoster takes events; the event loop is one.
+// EventPoster receives events for the event loop.
 type EventPoster interface{ Post(event state.Event) }
 
-// Config is the configuration of a queue.
+// Config configures a Queue.
 type Config struct {
-	Settings *settings.Settings // its Held part must be set
+	Settings *settings.Settings // Held must be set
 	Platform control.Settings
 	Names    Names
 	Log      *slog.Logger
 }
 
-// Queue is the dead-letter queue of a sender. The goroutine of Run alone writes the store. What other goroutines
-// report waits in a bounded list, and in the write-ahead log until the store has it.
+// Queue is the dead-letter queue of a sender. Only the goroutine of Run writes to the store. Reports of other
+// goroutines are kept in a bounded list, and in the write-ahead log until they are stored.
 type Queue struct {
 	log      *slog.Logger
 	platform atomic.Pointer[platformSettings] // the latest settings
 	loop     EventPoster
-	work     chan struct{}
+	wake     chan struct{}
 	changes  chan change
 
 	mu              sync.Mutex
 	settings        *settings.Settings
 	items           []item
-	newLetters      int // dead letters among the items that are new to the store
+	newDeadLetters  int // new dead letters in items, without ends of redeliveries
 	failing         bool
 	store           *Store // nil until it is open
 	planner         *redelivery.Planner
 	load            redelivery.Load
-	pendingClaims   map[[2]string]bool // by class and key: submitted while the store was not open
-	claimsLostUntil time.Time          // until then keys may have been submitted that are not in pendingClaims
-	logged          map[string]time.Time
+	pendingClaims   map[[2]string]bool // by class and key: claimed while the store was not open
+	claimsLostUntil time.Time          // claims before this time may be missing from pendingClaims
+	lastWarned      map[string]time.Time
 
 	// Owned by the goroutine of Run.
 	clock         clock
-	granted       map[uint64]int // destinations of the records that this process is redelivering, by sequence
-	sweepPosition uint64         // after a change of rules: held records up to here are scheduled for review
+	granted       map[uint64]int // destinations of records that this process is redelivering, by sequence number
+	sweepPosition uint64         // held records up to here have been scheduled for review after a change of rules
 	sweeping      bool
-	journalKnown  bool // the state of the write-ahead log is known
+	walStateKnown bool // Begin has reported the state of the write-ahead log
 	maintainedAt  time.Time
 }
 
-// NewQueue returns a queue. Connect must be called next, then Run, which opens the store.
-func NewQueue(s Config) *Queue {
+// NewQueue returns a queue whose store is not open yet. The caller must call Connect, and then Run, which opens the
+// store.
+func NewQueue(config Config) *Queue {
 	q := &Queue{
-		log: s.Log, settings: s.Settings, clock: newClock(),
-		work: make(chan struct{}, 1), changes: make(chan change, maxPendingChanges),
-		pendingClaims: map[[2]string]bool{}, logged: map[string]time.Time{}, granted: map[uint64]int{},
+		log: config.Log, settings: config.Settings, clock: newClock(),
+		wake: make(chan struct{}, 1), changes: make(chan change, maxPendingChanges),
+		pendingClaims: map[[2]string]bool{}, lastWarned: map[string]time.Time{}, granted: map[uint64]int{},
 	}
-	now := map[string]int{}
-	for i, name := range s.Names.Classes {
-		now[name] = i
+	numbers := map[string]int{}
+	for i, name := range config.Names.Classes {
+		numbers[name] = i
 	}
-	q.platform.Store(&platformSettings{Names: Names{Tenants: s.Names.Tenants}})
-	q.setPlatform(s.Names.Classes, now, s.Platform)
-	q.planner = redelivery.New(q.limits(), s.Platform.Seed)
+	q.platform.Store(&platformSettings{Names: Names{Tenants: config.Names.Tenants}})
+	q.setPlatform(config.Names.Classes, numbers, config.Platform)
+	q.planner = redelivery.New(q.limits(), config.Platform.Seed)
 	return q
 }
 
 // Connect sets the event loop. It must be called before Run.
-func (q *Queue) Connect(p EventPoster) { q.loop = p }
+func (q *Queue) Connect(loop EventPoster) { q.loop = loop }
 
-// UpdateSettings changes bounds, rates and rules. The folder stays.
+// UpdateSettings applies new bounds, rates and rules. A change of the folder has no effect while the store is open.
 func (q *Queue) UpdateSettings(s *settings.Settings) {
 	q.mu.Lock()
 	q.settings = s
@@ -96,59 +97,61 @@
 	select {
 	case q.changes <- change{apply: func(*Tx) error { q.sweepPosition, q.sweeping = 0, s.Rules(); return nil },
 		done: make(chan error, 1)}:
-	default: // records are reviewed as they become due
-		q.log.Warn("too many changes pending, held records are reviewed by the new rules later")
+	default: // records are still reviewed by the new rules when they become due
+		q.log.Warn("too many pending changes; the new rules apply to held records at their next review")
 	}
 }
 
-// signal wakes the writer.
+// signal wakes up the writer.
 func (q *Queue) signal() {
 	select {
-	case q.work <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// push adds an item for the writer.
+// push queues an item for the writer.
 func (q *Queue) push(x item) {
 	q.mu.Lock()
 	q.items = append(q.items, x)
 	if isNew(x) {
-		q.newLetters++
+		q.newDeadLetters++
 	}
 	q.mu.Unlock()
 	q.signal()
 }
 
-// isNew reports whether an item is a dead letter that is new to the store.
+// isNew reports whether an item is a new dead letter, and not the end of a redelivery.
 func isNew(x item) bool {
-	letter, ok := x.(newLetter)
+	letter, ok := x.(deadLetterItem)
 	return ok && letter.Seq == 0
 }
 
-// The methods below implement state.DeadLetterQueue. None of them waits for the store.
+// The methods below implement state.DeadLetterQueue. None of them blocks on the store.
 
-// Begin takes the state of the write-ahead log at the start: the ids of messages owed to the queue, and the records
-// in redelivery.
-func (q *Queue) Begin(owed []string, out []uint64) { q.push(journalState{owed, out}) }
+// Begin reports the state of the write-ahead log at the start: the ids of the dead letters that it still contains, and
+// the sequence numbers of the records in redelivery.
+func (q *Queue) Begin(pendingReports []string, inFlight []uint64) {
+	q.push(walState{pendingReports, inFlight})
+}
 
-// Add takes a dead letter, or the end of a redelivery.
-func (q *Queue) Add(p state.DeadLetter) { q.push(newLetter(p)) }
+// Add queues a dead letter, or the end of a redelivery, for the store.
+func (q *Queue) Add(letter state.DeadLetter) { q.push(deadLetterItem(letter)) }
 
-// Forget takes ids that the write-ahead log has forgotten.
-func (q *Queue) Forget(ids []string) { q.push(forgotten{ids}) }
+// Forget reports ids of messages that the write-ahead log no longer contains.
+func (q *Queue) Forget(ids []string) { q.push(forgottenIDs{ids}) }
 
-// CallEnded learns from the end of a call.
-func (q *Queue) CallEnded(dest int, r control.Result, wait time.Duration, again bool) {
+// CallEnded reports the end of a call to the planner.
+func (q *Queue) CallEnded(dest int, result control.Result, retryAfter time.Duration, isRedelivery bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.planner.CallEnded(q.since(), dest, partnerResult(r), wait, again)
+	q.planner.CallEnded(q.plannerTime(), dest, partnerResult(result), retryAfter, isRedelivery)
 }
 
-// partnerResult converts the result of a call to what it says of the partner.
-func partnerResult(r control.Result) redelivery.Result {
-	switch r {
-	case control.Served, control.Unprocessable: // the partner was there
+// partnerResult converts the result of a call to the planner's view of the partner.
+func partnerResult(result control.Result) redelivery.Result {
+	switch result {
+	case control.Served, control.Unprocessable: // the partner responded
 		return redelivery.Served
 	case control.Rejected, control.ConnectionRejected:
 		return redelivery.Rejected
@@ -158,85 +161,87 @@
 	return redelivery.Failed
 }
 
-// CapacityChanged takes the capacity of destinations.
-func (q *Queue) CapacityChanged(all map[int]state.DestinationCapacity) {
+// CapacityChanged reports the capacity of destinations.
+func (q *Queue) CapacityChanged(capacities map[int]state.DestinationCapacity) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for dest, x := range all {
-		q.planner.CapacityChanged(q.since(), dest, x.Weight, x.Ready > 0)
+	for dest, capacity := range capacities {
+		q.planner.CapacityChanged(q.plannerTime(), dest, capacity.Weight, capacity.Ready > 0)
 	}
 }
 
-// LoadChanged takes the load of the event loop.
-func (q *Queue) LoadChanged(l state.LoopLoad) {
+// LoadChanged reports the load of the event loop.
+func (q *Queue) LoadChanged(load state.LoopLoad) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.load = redelivery.Load(l)
+	q.load = redelivery.Load(load)
 }
 
-// since returns the time of the planner.
-func (q *Queue) since() time.Duration { return time.Since(q.clock.start) }
+// plannerTime returns the current time of the planner, which is the time since the queue was created.
+func (q *Queue) plannerTime() time.Duration { return time.Since(q.clock.start) }
 
-// Accepts asks the rule hold whether a message becomes a dead letter. While the store fails or too many dead letters
-// wait, none does.
+// Accepts reports whether a message becomes a dead letter, which the rule "hold" decides. It returns false while the
+// store is failing or too many dead letters wait to be written.
 func (q *Queue) Accepts(letter *state.DeadLetter) bool {
 	q.mu.Lock()
-	full := q.failing || q.newLetters >= q.settings.Held.Queue
-	set, words := q.settings, q.platform.Load()
+	full := q.failing || q.newDeadLetters >= q.settings.Held.Queue
+	current, platform := q.settings, q.platform.Load()
 	partner := q.partner(letter.Message.Destination)
 	q.mu.Unlock()
 	if full {
-		q.warnOnce("dead letter not accepted: the store fails or its queue is full")
+		q.warnRateLimited("dead letter not accepted: the store is failing or its queue is full")
 		return false
 	}
 	mayHaveRun := false
-	for _, t := range letter.Attempts {
-		mayHaveRun = mayHaveRun || t.Open || t.Result.MayHaveRun()
+	for _, attempt := range letter.Attempts {
+		mayHaveRun = mayHaveRun || attempt.Open || attempt.Result.MayHaveRun()
 	}
-	hold, err := set.Hold(settings.Record{
-		ID: letter.Message.ID, Key: letter.Message.Key, Class: nameAt(words.Classes, letter.Message.Class),
-		Tenant:      nameAt(words.Tenants, letter.Message.Tenant),
+	hold, err := current.Hold(settings.Record{
+		ID: letter.Message.ID, Key: letter.Message.Key, Class: nameAt(platform.Classes, letter.Message.Class),
+		Tenant:      nameAt(platform.Tenants, letter.Message.Tenant),
 		Destination: letter.Message.Destination, Size: len(letter.Message.Body), Reason: letter.Reason,
 		MayHaveRun: mayHaveRun, Deferred: letter.Deferred,
 		Attempts: letter.AttemptCount, TimeLeft: max(0, letter.Message.Deadline.Sub(letter.At)),
 	}, partner)
 	if err != nil {
-		q.warnOnce("rule hold failed", "err", err.Error())
+		q.warnRateLimited("rule hold failed", "err", err.Error())
 	}
 	return hold
 }
 
-// partner returns a destination as rules see it. The mutex must be held.
-func (q *Queue) partner(dest int) settings.Partner {
-	v := q.planner.View(q.since(), dest)
-	p := settings.Partner{InFlight: v.InFlight, Failing: v.Failing, Served: v.Served, RetryAfter: v.RetryAfter}
-	if v.Known {
+// partner returns the attributes of a destination for the rules. The caller must hold q.mu.
+func (q *Queue) partner(destination int) settings.Partner {
+	status := q.planner.Status(q.plannerTime(), destination)
+	p := settings.Partner{InFlight: status.InFlight, Failing: status.FailingFor, Served: status.SinceServed,
+		RetryAfter: status.RetryAfter}
+	if status.HasResult {
 		p.Last = map[redelivery.Result]string{redelivery.Served: "served", redelivery.Rejected: "refused",
-			redelivery.Failed: "failed"}[v.Last]
+			redelivery.Failed: "failed"}[status.LastResult]
 	}
 	if q.store != nil {
-		p.Held = q.store.Count(dest)
+		p.Held = q.store.Count(destination)
 	}
 	return p
 }
 
-// warnOnce logs a warning unless the same one was logged lately.
-func (q *Queue) warnOnce(text string, args ...any) {
-	id := text
+// warnRateLimited logs a warning at most once per logInterval. Warnings are equal if their text and string arguments
+// are.
+func (q *Queue) warnRateLimited(text string, args ...any) {
+	key := text
 	for _, a := range args {
 		if s, ok := a.(string); ok {
-			id += s
+			key += s
 		}
 	}
 	now := time.Now()
 	q.mu.Lock()
-	last, known := q.logged[id]
+	last, known := q.lastWarned[key]
 	due := !known || now.Sub(last) >= logInterval
-	if len(q.logged) > 256 {
-		clear(q.logged)
+	if len(q.lastWarned) > 256 {
+		clear(q.lastWarned)
 	}
 	if due {
-		q.logged[id] = now
+		q.lastWarned[key] = now
 	}
 	q.mu.Unlock()
 	if due {
--- a/internal/deadletter/review.go
+++ b/internal/deadletter/review.go
@@ -7,16 +7,16 @@
 	"cleathold/internal/settings"
 )
 
-// dueWork is what a look at the store found to be due.
+// dueWork is the work that is due according to the store.
 type dueWork struct {
-	records      []uint64 // due for review, by sequence
-	next         time.Time
-	destinations []int // with records that are ready to be redelivered
+	records      []uint64  // due for review, by sequence
+	next         time.Time // when the next record becomes due for review; zero: never
+	destinations []int     // of records that are ready to be redelivered
 	overBounds   bool
 }
 
-// maintain does what is due with time: it keeps the bounds, reviews records and redelivers. It returns the time until
-// more is due.
+// maintain runs the work that is due: it enforces the bounds, reviews records and redelivers messages. It returns the
+// time until the next work is due.
 func (q *Queue) maintain(s *Store) (time.Duration, error) {
 	now := q.clock.now()
 	q.mu.Lock()
@@ -27,7 +27,7 @@
 	if err != nil {
 		return 0, err
 	}
-	busy, err := q.keepBounds(s, bounds, due.overBounds, now)
+	moreWork, err := q.enforceBounds(s, bounds, due.overBounds, now)
 	if err != nil {
 		return 0, err
 	}
@@ -35,25 +35,25 @@
 		if err := s.Update(func(t *Tx) error { return q.review(t, current, due.records, now) }); err != nil {
 			return 0, err
 		}
-		busy = true
+		moreWork = true
 	}
-	if q.journalKnown && len(due.destinations) > 0 {
+	if q.walStateKnown && len(due.destinations) > 0 {
 		sent, err := q.redeliverReady(s, due.destinations, now)
 		if err != nil {
 			return 0, err
 		}
-		busy = busy || sent
+		moreWork = moreWork || sent
 	}
-	if busy {
+	if moreWork {
 		return 0, nil
 	}
 	return q.untilDue(due, now), nil
 }
 
-// findDue finds what is due.
+// findDue returns the work that is due.
 func (s *Store) findDue(now time.Time, bounds Bounds) (due dueWork, err error) {
 	err = s.View(func(t *Tx) error {
-		due.records, due.next = t.due(now, maxDue)
+		due.records, due.next = t.dueRecords(now, maxDueRecords)
 		due.destinations = t.readyDestinations()
 		due.overBounds = int64(t.counter(metaBytes)) > bounds.Bytes || t.counter(metaCount) > uint64(bounds.Records)
 		return nil
@@ -61,9 +61,9 @@
 	return due, err
 }
 
-// keepBounds evicts records where the store is over its bounds, and once every maintenanceInterval. It reports
-// whether there may be more.
-func (q *Queue) keepBounds(s *Store, bounds Bounds, over bool, now time.Time) (more bool, err error) {
+// enforceBounds evicts records if the store exceeds its bounds, and every maintenanceInterval. It reports whether more
+// records may have to be evicted.
+func (q *Queue) enforceBounds(s *Store, bounds Bounds, over bool, now time.Time) (more bool, err error) {
 	if !over && now.Sub(q.maintainedAt) < maintenanceInterval {
 		return false, nil
 	}
@@ -85,12 +85,12 @@
 		q.maintainedAt = now
 	}
 	q.mu.Lock()
-	q.planner.Prune(q.since())
+	q.planner.Prune(q.plannerTime())
 	q.mu.Unlock()
 	return more, nil
 }
 
-// untilDue returns the time until more is due.
+// untilDue returns the time until the next work is due.
 func (q *Queue) untilDue(due dueWork, now time.Time) time.Duration {
 	wait := maintenanceInterval
 	if !due.next.IsZero() {
@@ -98,14 +98,14 @@
 	}
 	if len(due.destinations) > 0 {
 		q.mu.Lock()
-		at := q.since()
+		at := q.plannerTime()
 		wait = min(wait, q.planner.NextGrant(at, due.destinations)-at)
 		q.mu.Unlock()
 	}
 	return max(wait, time.Millisecond)
 }
 
-// review asks the rules about held records that are due, and makes ordered ones ready.
+// review applies the rules to held records that are due, and marks ordered records that are due as ready.
 func (q *Queue) review(t *Tx, current *settings.Settings, due []uint64, now time.Time) error {
 	if q.sweeping {
 		if err := q.scheduleReviews(t, now); err != nil {
@@ -124,9 +124,9 @@
 	return nil
 }
 
-// scheduleReviews schedules the next held records for review, after a change of rules.
+// scheduleReviews schedules the next batch of held records for review after a change of rules.
 func (q *Queue) scheduleReviews(t *Tx, now time.Time) error {
-	list, next, err := t.List(Filter{State: Held}, q.sweepPosition, maxSweep)
+	list, next, err := t.List(Filter{State: Held}, q.sweepPosition, maxSweepRecords)
 	if err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// reviewRecord does what is due with a record. Before the client was told of the message's outcome it is put off.
+// reviewRecord runs the due review of a record. It postpones the review while the delivery report is pending.
 func (q *Queue) reviewRecord(r *Record, current *settings.Settings, reportPending bool, now time.Time) {
 	switch {
 	case reportPending && r.State == Ordered:
@@ -154,11 +154,11 @@
 	case r.State == Ordered:
 		r.Ready = true
 	case r.State == Held:
-		q.askRule(r, current, now)
+		q.applyRule(r, current, now)
 	}
 }
 
-// expireOrder ends an order to redeliver that was not carried out in time.
+// expireOrder cancels an order that was not carried out before its deadline.
 func (q *Queue) expireOrder(r *Record, now time.Time) {
 	r.unschedule(time.Time{})
 	r.addEvent(now, "its order has run out", "sender")
@@ -167,14 +167,15 @@
 	}
 }
 
-// askRule asks the rule after about a held record and does what it decides.
-func (q *Queue) askRule(r *Record, current *settings.Settings, now time.Time) {
+// applyRule evaluates the rule "after" for a held record and applies its decision. If the rule fails, the record is
+// kept.
+func (q *Queue) applyRule(r *Record, current *settings.Settings, now time.Time) {
 	q.mu.Lock()
 	partner := q.partner(r.Destination)
 	q.mu.Unlock()
 	decision, err := current.Decide(ruleView(r, now), partner)
 	if err != nil {
-		q.warnOnce("rule after failed, record kept", "err", err.Error())
+		q.warnRateLimited("rule after failed, record kept", "err", err.Error())
 	}
 	r.ReviewAt = time.Time{}
 	switch decision.Action {
@@ -195,7 +196,7 @@
 	}
 }
 
-// ruleView returns a record as rules see it.
+// ruleView returns the attributes of a record for the rules.
 func ruleView(r *Record, now time.Time) settings.Record {
 	_, _, ran := r.FirstRun()
 	return settings.Record{
@@ -205,14 +206,15 @@
 	}
 }
 
-// hasRules reports whether the settings have the rule after.
+// hasRules reports whether the settings define the rule "after".
 func (q *Queue) hasRules() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.settings.Rules()
 }
 
-// eligible returns why a record may not be redelivered now, or nil.
+// eligible returns nil if a record may be redelivered now, and the reason otherwise. A record with a key is not
+// eligible if a claim of its key may have been lost.
 func (q *Queue) eligible(r *Record, now time.Time) *NotEligible {
 	q.mu.Lock()
 	claimsLostUntil := q.claimsLostUntil
@@ -221,5 +223,5 @@
 		return neverEligible("its key may have been handed in anew while the store could not be asked")
 	}
 	at, _, _ := r.FirstRun()
-	return q.platform.Load().rules.Eligible(r, now, q.clock.certain(at))
+	return q.platform.Load().rules.Eligible(r, now, q.clock.elapsedKnown(at))
 }
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -19,7 +19,7 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-var terms = ClassRules{MaxAttempts: 12, Classes: map[string]control.Class{
+var classRules = ClassRules{MaxAttempts: 12, Classes: map[string]control.Class{
 	"safe": {Idempotency: control.Idempotent}, "keyed": {Idempotency: control.IdempotentByKey,
 		KeyRetention: 12 * time.Second}, "unsafe": {Idempotency: control.NotIdempotent},
 }}
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.db.NoSync = true // the disk's time is not what is tested
+	s.db.NoSync = true // the tests do not depend on syncs, which are slow
 	t.Cleanup(func() { s.Close() })
 	return s
 }
@@ -42,8 +42,8 @@
 	}
 }
 
-// fill adds records of three classes, four destinations and three tenants.
-func fill(t testing.TB, s *Store, n int) {
+// addRecords adds records of three classes, four destinations and three tenants.
+func addRecords(t testing.TB, s *Store, n int) {
 	t.Helper()
 	start := time.Now().Add(-time.Hour)
 	for from := 0; from < n; from += 1000 {
@@ -64,7 +64,7 @@
 	}
 }
 
-func all(t testing.TB, s *Store, f Filter) (list []Record) {
+func listAll(t testing.TB, s *Store, f Filter) (list []Record) {
 	t.Helper()
 	for next := uint64(0); ; {
 		err := s.View(func(tx *Tx) error {
@@ -81,86 +81,91 @@
 	}
 }
 
+// TestFilters checks the number and order of the records that filters select.
 func TestFilters(t *testing.T) {
 	s := openStore(t, t.TempDir())
-	fill(t, s, 120)
+	addRecords(t, s, 120)
 	dest := -1
-	start := all(t, s, Filter{})[0].HeldAt
+	start := listAll(t, s, Filter{})[0].HeldAt
 	for _, c := range []struct {
 		f    Filter
 		want int
 	}{
 		{Filter{}, 120}, {Filter{Destination: &dest}, 30}, {Filter{Class: "keyed"}, 40}, {Filter{Tenant: "t2"}, 40},
 		{Filter{Tenant: "t"}, 0},
-		{Filter{Reason: "expired", State: Held}, 120}, {Filter{State: Out}, 0},
+		{Filter{Reason: "expired", State: Held}, 120}, {Filter{State: InFlight}, 0},
 		{Filter{Destination: &dest, Class: "unsafe"}, 10},
 		{Filter{Since: start.Add(100 * time.Millisecond)}, 20}, {Filter{Before: start.Add(20 * time.Millisecond)}, 20},
 		{Filter{Since: start.Add(time.Hour)}, 0},
 	} {
-		if got := all(t, s, c.f); len(got) != c.want ||
+		if got := listAll(t, s, c.f); len(got) != c.want ||
 			!slices.IsSortedFunc(got, func(a, b Record) int { return int(a.Sequence) - int(b.Sequence) }) {
 			t.Errorf("%+v: %d, want %d", c.f, len(got), c.want)
 		}
 	}
 }
 
-// What the class allows, and what is not known counts as may have run.
+// TestEligible checks whether the rules of a class allow a redelivery. Attempts that are missing from the history count
+// as attempts that may have run.
 func TestEligible(t *testing.T) {
 	now := time.Now()
-	ran := func(ago time.Duration) []Attempt {
+	ranAgo := func(ago time.Duration) []Attempt {
 		return []Attempt{{At: now.Add(-time.Hour), Result: "refused"}, {At: now.Add(-ago), Result: "reset", MayHaveRun: true}}
 	}
 	for _, c := range []struct {
-		name string
-		r    Record
-		back bool
-		want string
+		name         string
+		r            Record
+		clockSetBack bool
+		want         string
 	}{
-		{"safe that ran", Record{Class: "safe", Attempts: ran(time.Hour)}, false, ""},
+		{"safe that ran", Record{Class: "safe", Attempts: ranAgo(time.Hour)}, false, ""},
 		{"unsafe that never ran", Record{Class: "unsafe", Attempts: []Attempt{{Result: "refused"}}}, false, ""},
-		{"unsafe that may have run", Record{Class: "unsafe", Attempts: ran(time.Second)}, false,
+		{"unsafe that may have run", Record{Class: "unsafe", Attempts: ranAgo(time.Second)}, false,
 			"must never take effect twice"},
-		{"unsafe in doubt", Record{Class: "unsafe", HistoryIncomplete: true}, false, "not whole"},
-		{"keyed within the span", Record{Class: "keyed", Attempts: ran(5 * time.Second)}, false, ""},
-		{"keyed near its end", Record{Class: "keyed", Attempts: ran(9 * time.Second)}, false, "remembers its key for"},
-		{"keyed beyond", Record{Class: "keyed", Attempts: ran(time.Minute)}, false, "remembers its key for"},
-		{"keyed, the first counts", Record{Class: "keyed", Attempts: append(ran(time.Minute), ran(0)...)}, false,
+		{"unsafe with an incomplete history", Record{Class: "unsafe", HistoryIncomplete: true}, false, "not whole"},
+		{"keyed within the retention", Record{Class: "keyed", Attempts: ranAgo(5 * time.Second)}, false, ""},
+		{"keyed near the end of the retention", Record{Class: "keyed", Attempts: ranAgo(9 * time.Second)}, false,
+			"remembers its key for"},
+		{"keyed after the retention", Record{Class: "keyed", Attempts: ranAgo(time.Minute)}, false, "remembers its key for"},
+		{"keyed, first attempt decides", Record{Class: "keyed", Attempts: append(ranAgo(time.Minute), ranAgo(0)...)}, false,
 			"remembers"},
-		{"keyed at an unknown time", Record{Class: "keyed", Attempts: []Attempt{{MayHaveRun: true}}}, false, "not known"},
-		{"keyed in doubt", Record{Class: "keyed", Attempts: ran(time.Second), HistoryIncomplete: true}, false, "not known"},
-		{"keyed, the clock went back", Record{Class: "keyed", Attempts: ran(time.Second)}, true, "clock"},
-		{"safe, the clock went back", Record{Class: "safe", Attempts: ran(time.Second)}, true, ""},
-		{"out", Record{Class: "safe", State: Out}, false, "being sent"},
+		{"keyed, run at an unknown time", Record{Class: "keyed", Attempts: []Attempt{{MayHaveRun: true}}}, false,
+			"not known"},
+		{"keyed with an incomplete history", Record{Class: "keyed", Attempts: ranAgo(time.Second), HistoryIncomplete: true},
+			false, "not known"},
+		{"keyed, clock set back", Record{Class: "keyed", Attempts: ranAgo(time.Second)}, true, "clock"},
+		{"safe, clock set back", Record{Class: "safe", Attempts: ranAgo(time.Second)}, true, ""},
+		{"in redelivery", Record{Class: "safe", State: InFlight}, false, "being sent"},
 		{"ended", Record{Class: "safe", State: Dropped}, false, "ended"},
-		{"no body", Record{Class: "safe", BodyMissing: true}, false, "body"},
-		{"attempts", Record{Class: "safe", AttemptCount: 12}, false, "12 attempts"},
-		{"class", Record{Class: "what"}, false, "class"},
+		{"body missing", Record{Class: "safe", BodyMissing: true}, false, "body"},
+		{"no attempts left", Record{Class: "safe", AttemptCount: 12}, false, "12 attempts"},
+		{"unknown class", Record{Class: "what"}, false, "class"},
 	} {
 		if c.r.State == "" {
 			c.r.State = Held
 		}
-		why := terms.Eligible(&c.r, now, !c.back)
+		why := classRules.Eligible(&c.r, now, !c.clockSetBack)
 		if (why == nil) != (c.want == "") || why != nil && !strings.Contains(why.Reason, c.want) {
 			t.Errorf("%s: %v, want %q", c.name, why, c.want)
 		}
 	}
-	r := Record{} // a history too long for its record is in doubt, unless that is known to it
+	r := Record{} // a history that exceeds maxAttempts is incomplete only if the first attempt that may have run is lost
 	for range maxAttempts + 1 {
 		r.addAttempts([]Attempt{{At: now, Result: "refused"}})
 	}
 	if r.HistoryIncomplete {
-		t.Error("in doubt without cause")
+		t.Error("history marked as incomplete although no attempt may have run")
 	}
 	if r.addAttempts([]Attempt{{At: now, MayHaveRun: true}}); !r.HistoryIncomplete {
-		t.Error("an attempt that may have run is lost")
+		t.Error("history not marked as incomplete although an attempt that may have run was lost")
 	}
 }
 
-// Over its bounds a store gives up ended records first, then those held longest,
-// and never one that is out or that the journal may bring again.
+// TestEviction checks that a store that exceeds its bounds evicts ended records first, then the oldest others, and
+// never records in redelivery or records that the write-ahead log may report again.
 func TestEviction(t *testing.T) {
 	s := openStore(t, t.TempDir())
-	fill(t, s, 100)
+	addRecords(t, s, 100)
 	now := time.Now()
 	update(t, s, func(tx *Tx) error {
 		for seq := uint64(91); seq <= 100; seq++ {
@@ -168,42 +173,44 @@
 				return err
 			}
 		}
-		tx.change(1, func(r *Record) error { r.State = Out; return nil })
-		return tx.markReportPending("id-1") // number 2
+		tx.change(1, func(r *Record) error { r.State = InFlight; return nil })
+		return tx.markReportPending("id-1") // record 2
 	})
-	evict := func(b Bounds) (gone Evicted) {
-		update(t, s, func(tx *Tx) (err error) { gone, err = tx.evict(b, now); return })
-		return gone
+	evict := func(b Bounds) (evicted Evicted) {
+		update(t, s, func(tx *Tx) (err error) { evicted, err = tx.evict(b, now); return })
+		return evicted
 	}
-	wide := Bounds{Bytes: 1e9, Records: 1000, Age: 24 * time.Hour, EndedRetention: time.Hour}
-	if got := evict(wide); got != (Evicted{}) {
-		t.Errorf("within bounds: %+v", got)
+	wideBounds := Bounds{Bytes: 1e9, Records: 1000, Age: 24 * time.Hour, EndedRetention: time.Hour}
+	if got := evict(wideBounds); got != (Evicted{}) {
+		t.Errorf("evicted within the bounds: %+v", got)
 	}
-	b := wide
+	b := wideBounds
 	b.Records = 85
 	if got := evict(b); got != (Evicted{Ended: 10, Open: 5}) {
-		t.Errorf("records: %+v", got)
+		t.Errorf("evicted over the bound of records: %+v", got)
 	}
-	list := all(t, s, Filter{})
+	list := listAll(t, s, Filter{})
 	if len(list) != 85 || list[0].Sequence != 1 || list[1].Sequence != 2 || list[2].Sequence != 8 {
-		t.Errorf("left: %d, %d %d %d", len(list), list[0].Sequence, list[1].Sequence, list[2].Sequence)
+		t.Errorf("%d records left, the first ones are %d, %d, %d",
+			len(list), list[0].Sequence, list[1].Sequence, list[2].Sequence)
 	}
-	b = wide
+	b = wideBounds
 	s.View(func(tx *Tx) error { b.Bytes = int64(tx.counter(metaBytes)) / 2; return nil })
 	if got := evict(b); got.Open < 40 || got.Open > 45 {
-		t.Errorf("bytes: %+v", got)
+		t.Errorf("evicted over the bound of bytes: %+v", got)
 	}
-	b = wide
+	b = wideBounds
 	b.Age = time.Minute
-	if evict(b); len(all(t, s, Filter{})) != 2 || s.Count(-1)+s.Count(0) != 2 {
-		t.Errorf("too old: %+v, counts %v", all(t, s, Filter{}), s.openCounts)
+	if evict(b); len(listAll(t, s, Filter{})) != 2 || s.Count(-1)+s.Count(0) != 2 {
+		t.Errorf("records left after eviction by age: %+v, counts %v", listAll(t, s, Filter{}), s.openCounts)
 	}
 }
 
-// A message that arrives twice is stored once, also after its record was removed.
-func TestSameMessageTwice(t *testing.T) {
+// TestAddRejectsDuplicates checks that a message that is reported twice is stored once. This also applies after its
+// record was removed, as long as the write-ahead log contains the message.
+func TestAddRejectsDuplicates(t *testing.T) {
 	s := openStore(t, t.TempDir())
-	arrive := func() (added bool) {
+	add := func() (added bool) {
 		update(t, s, func(tx *Tx) (err error) {
 			r := Record{State: Held, ID: "a", Class: "safe"}
 			if added, err = tx.Add(&r, []byte("x")); err == nil && added {
@@ -213,27 +220,29 @@
 		})
 		return added
 	}
-	if !arrive() || arrive() {
-		t.Error("the second arrival counts")
+	if !add() || add() {
+		t.Error("message not stored on the first report, or stored again on the second")
 	}
 	update(t, s, func(tx *Tx) error {
 		r, _ := tx.Get(1)
 		return tx.remove(&r)
 	})
-	if arrive() {
-		t.Error("it came back after it was removed, while the write-ahead log had it")
+	if add() {
+		t.Error("message stored again after its removal, although the write-ahead log still contains it")
 	}
 	update(t, s, func(tx *Tx) error { return tx.clearReportPending("a") })
-	if !arrive() {
-		t.Error("another message of that id is not taken")
+	if !add() {
+		t.Error("new message with the same id not stored after the write-ahead log has forgotten the first")
 	}
 }
 
-func TestOneWriter(t *testing.T) {
+// TestStoreLock checks that a store that is open for writing cannot be opened for reading, and that it can after it was
+// closed.
+func TestStoreLock(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	if _, err := OpenReading(dir); !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), fmt.Sprint(os.Getpid())) {
-		t.Errorf("a reader beside a writer: %v", err)
+		t.Errorf("reader while a writer has the store open: %v, want ErrInUse with its process id", err)
 	}
 	s.Close()
 	r, err := OpenReading(dir)
@@ -245,24 +254,24 @@
 	}
 }
 
-// Wherever a bit flips, or the file is cut, the store opens; of what it held
-// nothing comes back as sendable that was sent.
-func TestDamage(t *testing.T) {
+// TestDamagedStore checks that a store with a flipped bit at any position, or truncated at any length, can be opened,
+// and that a record that was sent or dropped is not eligible for redelivery after the recovery.
+func TestDamagedStore(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
-	fill(t, s, 200)
-	update(t, s, func(tx *Tx) error { // number 3 and 6 are unsafe: sent, and dropped
-		if err := tx.change(3, func(r *Record) error { r.State = Out; return nil }); err != nil {
+	addRecords(t, s, 200)
+	update(t, s, func(tx *Tx) error { // records 3 and 6 are not idempotent: 3 is in flight, 6 is dropped
+		if err := tx.change(3, func(r *Record) error { r.State = InFlight; return nil }); err != nil {
 			return err
 		}
 		return tx.change(6, func(r *Record) error { r.end(time.Now(), Dropped); return nil })
 	})
 	s.Close()
-	whole, err := os.ReadFile(filepath.Join(dir, fileName))
+	intact, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	try := func(name string, data []byte) (kept int) {
+	reopen := func(name string, data []byte) (recovered int) {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, fileName), data, 0o600); err != nil {
 			t.Fatal(err)
@@ -274,65 +283,66 @@
 		defer s.Close()
 		err = s.View(func(tx *Tx) error {
 			list, _, err := tx.List(Filter{}, 0, 1000)
-			kept = len(list)
+			recovered = len(list)
 			for _, r := range list {
-				if (r.Sequence == 3 || r.Sequence == 6) && terms.Eligible(&r, time.Now(), true) == nil {
-					return fmt.Errorf("number %d may be sent again: %+v", r.Sequence, r)
+				if (r.Sequence == 3 || r.Sequence == 6) && classRules.Eligible(&r, time.Now(), true) == nil {
+					return fmt.Errorf("record %d may be redelivered: %+v", r.Sequence, r)
 				}
 			}
 			return err
 		})
-		if errors.Is(err, ErrDamaged) { // seen at work: then it is taken over
+		if errors.Is(err, ErrDamaged) { // the damage is detected after opening, and then recovered
 			s.Close()
 			if s, err = openOrRecover(dir, err, quiet); err != nil {
-				t.Fatalf("%s: at work: %v", name, err)
+				t.Fatalf("%s: recovery: %v", name, err)
 			}
-			kept = len(all(t, s, Filter{}))
+			recovered = len(listAll(t, s, Filter{}))
 		}
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		return kept
+		return recovered
 	}
-	step := len(whole)/80 | 1
-	for at := 0; at < len(whole); at += step {
-		data := slices.Clone(whole)
+	step := len(intact)/80 | 1
+	for at := 0; at < len(intact); at += step {
+		data := slices.Clone(intact)
 		data[at] ^= 1 << (at % 8)
-		if kept := try(fmt.Sprintf("bit flipped at %d", at), data); kept < 190 {
-			t.Errorf("flipped at %d: %d of 200 kept", at, kept)
+		if kept := reopen(fmt.Sprintf("bit flipped at %d", at), data); kept < 190 {
+			t.Errorf("bit flipped at %d: %d of 200 records recovered", at, kept)
 		}
 	}
-	for at := 0; at < len(whole); at += 5 * step {
-		try(fmt.Sprintf("cut at %d", at), whole[:at])
+	for at := 0; at < len(intact); at += 5 * step {
+		reopen(fmt.Sprintf("cut at %d", at), intact[:at])
 	}
-	zeroed := slices.Clone(whole)
-	clear(zeroed[:8192]) // both metas: only the raw file tells
-	if kept := try("no metas", zeroed); kept < 199 {
-		t.Errorf("no metas: %d of 200 kept", kept)
+	zeroed := slices.Clone(intact)
+	clear(zeroed[:8192]) // both meta pages: only the scan of the raw file finds records
+	if kept := reopen("no meta pages", zeroed); kept < 199 {
+		t.Errorf("no meta pages: %d of 200 records recovered", kept)
 	}
 }
 
-// A recovery that is cut short starts again, or stands.
-func TestRecoveryCutShort(t *testing.T) {
+// TestInterruptedRecovery checks that an interrupted recovery is repeated if the damaged file was not renamed yet, and
+// completed otherwise.
+func TestInterruptedRecovery(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
 	s := openStore(t, dir)
-	fill(t, s, 10)
+	addRecords(t, s, 10)
 	s.Close()
 	os.WriteFile(path+newSuffix, []byte("half"), 0o600)
 	s = openStore(t, dir)
-	if n := len(all(t, s, Filter{})); n != 10 {
-		t.Errorf("half a new file: %d", n)
+	if n := len(listAll(t, s, Filter{})); n != 10 {
+		t.Errorf("incomplete new file: %d records, want 10", n)
 	}
 	s.Close()
-	os.Rename(path, path+newSuffix) // the old one was put aside already
-	if s = openStore(t, dir); len(all(t, s, Filter{})) != 10 {
-		t.Error("the new file was not taken")
+	os.Rename(path, path+newSuffix) // as after a recovery that had already renamed the damaged file
+	if s = openStore(t, dir); len(listAll(t, s, Filter{})) != 10 {
+		t.Error("new file not used")
 	}
 }
 
-// The indexes follow from the records, whatever is done with them.
-func TestIndexes(t *testing.T) {
+// TestIndexesMatchRecords checks that the indexes and counters match the records after any sequence of changes.
+func TestIndexesMatchRecords(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	rapid.Check(t, func(rt *rapid.T) {
 		update(t, s, func(tx *Tx) error {
@@ -345,12 +355,12 @@
 		model := map[uint64]State{}
 		for i := range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			seq := uint64(rapid.IntRange(1, 10).Draw(rt, "seq"))
-			what := rapid.IntRange(0, 5).Draw(rt, "what")
+			operation := rapid.IntRange(0, 5).Draw(rt, "operation")
 			update(t, s, func(tx *Tx) error {
 				_, known := model[seq]
 				now := time.UnixMicro(int64(i))
 				switch {
-				case what == 0:
+				case operation == 0:
 					r := Record{State: Held, ID: fmt.Sprint("i", i), Key: fmt.Sprint("k", i%3), Class: "safe", Destination: i % 2,
 						HeldAt: now}
 					_, err := tx.Add(&r, []byte("x"))
@@ -358,7 +368,7 @@
 					return err
 				case !known:
 					return nil
-				case what == 1:
+				case operation == 1:
 					delete(model, seq)
 					r, err := tx.Get(seq)
 					return errors.Join(err, tx.remove(&r))
@@ -366,12 +376,12 @@
 					return nil
 				}
 				return tx.change(seq, func(r *Record) error {
-					switch what {
+					switch operation {
 					case 2:
 						r.schedule(now, now.Add(time.Hour))
 						r.Ready = i%2 == 0
 					case 3:
-						r.State, r.Ready = Out, false
+						r.State, r.Ready = InFlight, false
 					case 4:
 						r.unschedule(now)
 					case 5:
@@ -388,16 +398,16 @@
 			for seq, state := range model {
 				r, err := tx.Get(seq)
 				if err != nil || r.State != state {
-					rt.Fatalf("number %d: %v, %s, want %s", seq, err, r.State, state)
+					rt.Fatalf("record %d: %v, state %s, want %s", seq, err, r.State, state)
 				}
 				for _, x := range indexEntries(&r) {
 					want[string(x.bucket)]++
 					if got := tx.Bucket(x.bucket).Get(x.key); got == nil || string(got) != string(x.value) {
-						rt.Fatalf("number %d is not in %s", seq, x.bucket)
+						rt.Fatalf("record %d is missing in index %s", seq, x.bucket)
 					}
 				}
 				if _, err := tx.Body(seq); (err == nil) == state.Ended() {
-					rt.Fatalf("number %d, %s: body: %v", seq, state, err)
+					rt.Fatalf("record %d, state %s: body: %v", seq, state, err)
 				}
 				if !state.Ended() {
 					open++
@@ -405,11 +415,12 @@
 			}
 			for _, b := range indexedBuckets {
 				if n := tx.Bucket(b).Stats().KeyN; n != want[string(b)] {
-					rt.Fatalf("%s has %d entries, want %d", b, n, want[string(b)])
+					rt.Fatalf("index %s has %d entries, want %d", b, n, want[string(b)])
 				}
 			}
 			if n := s.Count(0) + s.Count(1); n != open || tx.counter(metaCount) != uint64(len(model)) {
-				rt.Fatalf("%d open counted, %d are; %d records counted, %d are", n, open, tx.counter(metaCount), len(model))
+				rt.Fatalf("%d open records counted, want %d; %d records counted, want %d",
+					n, open, tx.counter(metaCount), len(model))
 			}
 			return nil
 		})
