--- a/internal/fleethealth/health.go
+++ b/internal/fleethealth/health.go
@@ -58,16 +58,16 @@
 type Evidence struct {
 	failures     [maxReporters]Report // the latest first; only those after lastUp
 	failureCount int
-	lastUp       Report
-	hasUp        bool
+	lastServed   Report
+	hasServed    bool
 }
 
-// Take merges a report and reports whether it was news.
-func (e *Evidence) Take(r Report) bool {
+// Add merges a report and reports whether it was news.
+func (e *Evidence) Add(r Report) bool {
 	if r.Up {
-		return e.takeUp(r)
+		return e.addServed(r)
 	}
-	if e.hasUp && r.At <= e.lastUp.At {
+	if e.hasServed && r.At <= e.lastServed.At {
 		return false
 	}
 	for i, known := range e.failures[:e.failureCount] {
@@ -80,36 +80,36 @@
 			break
 		}
 	}
-	at := 0
-	for at < e.failureCount && later(e.failures[at], r) {
-		at++
+	pos := 0
+	for pos < e.failureCount && newer(e.failures[pos], r) {
+		pos++
 	}
-	if at == maxReporters {
+	if pos == maxReporters {
 		return false
 	}
 	e.failureCount = min(e.failureCount+1, maxReporters)
-	copy(e.failures[at+1:e.failureCount], e.failures[at:e.failureCount-1])
-	e.failures[at] = r
+	copy(e.failures[pos+1:e.failureCount], e.failures[pos:e.failureCount-1])
+	e.failures[pos] = r
 	return true
 }
 
-func (e *Evidence) takeUp(r Report) bool {
-	if e.hasUp && !later(r, e.lastUp) {
+func (e *Evidence) addServed(r Report) bool {
+	if e.hasServed && !newer(r, e.lastServed) {
 		return false
 	}
-	e.lastUp, e.hasUp = r, true
+	e.lastServed, e.hasServed = r, true
 	for e.failureCount > 0 && e.failures[e.failureCount-1].At <= r.At {
 		e.failureCount--
 	}
 	return true
 }
 
-// later orders reports. Those of one instant go by their peer, so that all senders keep the same.
-func later(a, b Report) bool { return a.At > b.At || a.At == b.At && a.Peer > b.Peer }
+// newer orders reports. Those of one instant go by their peer, so that all senders keep the same.
+func newer(a, b Report) bool { return a.At > b.At || a.At == b.At && a.Peer > b.Peer }
 
-// Against returns how many senders found the endpoint down since a call to it was last served, by reports that are
+// FailureReporters returns how many senders found the endpoint down since a call to it was last served, by reports that are
 // not too old, and whether this sender is one of them.
-func (e *Evidence) Against(now time.Duration, p Params) (reporters int, own bool) {
+func (e *Evidence) FailureReporters(now time.Duration, p Params) (reporters int, own bool) {
 	for _, r := range e.failures[:e.failureCount] {
 		if now-r.At < p.ReportTTL {
 			reporters, own = reporters+1, own || r.Peer == Self
@@ -118,34 +118,36 @@
 	return reporters, own
 }
 
-// Latest returns when the latest call ended that failed since one was served; ok is false if none did.
-func (e *Evidence) Latest() (at time.Duration, ok bool) { return e.failures[0].At, e.failureCount > 0 }
+// LatestFailure returns when the latest call ended that failed since one was served; ok is false if none did.
+func (e *Evidence) LatestFailure() (at time.Duration, ok bool) {
+	return e.failures[0].At, e.failureCount > 0
+}
 
 // Health is what one sender believes of an endpoint. The zero value knows nothing.
 type Health struct {
 	Evidence
-	nextTrial         time.Duration // this sender makes no trial call before this
-	recoveryDelayed   time.Duration // it does not act on a recovery before this
-	contradicted      [maxReporters]Report
-	contradictedCount int           // of those, in use: whose report a served call contradicted, and when
-	disputedUntil     time.Duration // each sender goes by its own calls
+	nextTrial            time.Duration // this sender makes no trial call before this
+	recoveryDelayedUntil time.Duration // it does not act on a recovery before this
+	contradicted         [maxReporters]Report
+	contradictedCount    int           // of those, in use: whose report a served call contradicted, and when
+	disputedUntil        time.Duration // each sender goes by its own calls
 }
 
 // Ejected reports whether the endpoint counts as ejected for this sender. A single report, or reports in dispute,
 // eject nothing.
 func (h *Health) Ejected(now time.Duration, p Params) bool {
-	reporters, _ := h.Against(now, p)
-	return reporters >= minReporters && now >= h.disputedUntil || now < h.recoveryDelayed
+	reporters, _ := h.FailureReporters(now, p)
+	return reporters >= minReporters && now >= h.disputedUntil || now < h.recoveryDelayedUntil
 }
 
 // Suspected reports whether a sender found the endpoint down, and no dispute is on.
 func (h *Health) Suspected(now time.Duration, p Params) bool {
-	reporters, _ := h.Against(now, p)
+	reporters, _ := h.FailureReporters(now, p)
 	return reporters > 0 && now >= h.disputedUntil
 }
 
 // NextTrialAt is from when on this sender may make a trial call to the endpoint while it is ejected.
-func (h *Health) NextTrialAt() time.Duration { return max(h.nextTrial, h.recoveryDelayed) }
+func (h *Health) NextTrialAt() time.Duration { return max(h.nextTrial, h.recoveryDelayedUntil) }
 
 // Contradicted reports whether calls of others were served where this sender's failed.
 func (h *Health) Contradicted(now time.Duration, p Params) bool {
@@ -158,8 +160,8 @@
 // Failed takes that a call of this sender's failed, with a draw from 0 to 1. It reports whether to gossip it: while
 // that is news to the fleet, and after each trial call.
 func (h *Health) Failed(now time.Duration, p Params, draw float64) (gossip bool) {
-	reporters, own := h.Against(now, p)
-	last, known := h.Latest()
+	reporters, own := h.FailureReporters(now, p)
+	last, known := h.LatestFailure()
 	if !h.mergeFailure(now, Report{Self, now, false}, p, draw) {
 		return false
 	}
@@ -169,22 +171,22 @@
 // Served takes that a call of this sender's was served. It reports whether to gossip it: where others found the
 // endpoint down.
 func (h *Health) Served(now time.Duration, p Params) (gossip bool) {
-	reporters, own := h.Against(now, p)
-	h.Take(Report{Self, now, true})
-	h.forgetContradicted(Self)
-	h.recoveryDelayed = 0
+	reporters, own := h.FailureReporters(now, p)
+	h.Add(Report{Self, now, true})
+	h.removeContradicted(Self)
+	h.recoveryDelayedUntil = 0
 	return reporters >= minReporters || reporters > 0 && !own
 }
 
 // Merge takes a peer's report, with a draw from 0 to 1. It returns whether the report ends what this sender found
 // itself, and whether the endpoint was ejected and is no more.
-func (h *Health) Merge(now time.Duration, r Report, p Params, draw float64) (ownOver, recovered bool) {
+func (h *Health) Merge(now time.Duration, r Report, p Params, draw float64) (ownSuperseded, recovered bool) {
 	if !r.Up {
 		h.mergeFailure(now, r, p, draw)
 		return false, false
 	}
 	ejected, before := h.Ejected(now, p), h.Evidence
-	if !h.Take(r) {
+	if !h.Add(r) {
 		return false, false
 	}
 	for _, failure := range before.failures[:before.failureCount] {
@@ -192,13 +194,13 @@
 			continue
 		}
 		// A report alone must not send this sender to a failing endpoint again and again.
-		ownOver = ownOver || failure.Peer == Self && r.At-failure.At >= p.TrialInterval/2
+		ownSuperseded = ownSuperseded || failure.Peer == Self && r.At-failure.At >= p.TrialInterval/2
 		h.contradict(now, failure.Peer, p)
 	}
 	if recovered = ejected && h.failureCount == 0; recovered { // the whole fleet hears of it at once
-		h.recoveryDelayed = now + time.Duration(draw*float64(p.RecoverySpread))
+		h.recoveryDelayedUntil = now + time.Duration(draw*float64(p.RecoverySpread))
 	}
-	return ownOver, recovered
+	return ownSuperseded, recovered
 }
 
 // mergeFailure merges a failure and reports whether it was news. One of a sender that was contradicted lately counts
@@ -208,7 +210,7 @@
 		h.contradict(now, r.Peer, p)
 		return false
 	}
-	if !h.Take(r) {
+	if !h.Add(r) {
 		return false
 	}
 	h.nextTrial = now + p.TrialInterval + p.trialDelay(draw)
@@ -227,19 +229,19 @@
 
 // contradict remembers that a sender was contradicted. Where there are too many of them the endpoint is in dispute.
 func (h *Health) contradict(now time.Duration, peer int, p Params) {
-	h.forgetContradicted(peer)
+	h.removeContradicted(peer)
 	for h.contradictedCount > 0 && now-h.contradicted[0].At >= p.ReportTTL {
-		h.forgetContradicted(h.contradicted[0].Peer)
+		h.removeContradicted(h.contradicted[0].Peer)
 	}
 	if h.contradictedCount == maxReporters {
 		h.disputedUntil = now + p.ReportTTL
-		h.forgetContradicted(h.contradicted[0].Peer)
+		h.removeContradicted(h.contradicted[0].Peer)
 	}
 	h.contradicted[h.contradictedCount] = Report{Peer: peer, At: now}
 	h.contradictedCount++
 }
 
-func (h *Health) forgetContradicted(peer int) {
+func (h *Health) removeContradicted(peer int) {
 	for i, r := range h.contradicted[:h.contradictedCount] {
 		if r.Peer == peer {
 			copy(h.contradicted[i:h.contradictedCount], h.contradicted[i+1:h.contradictedCount])
--- a/internal/fleethealth/health_test.go
+++ b/internal/fleethealth/health_test.go
@@ -26,16 +26,16 @@
 		}
 		var a, b Evidence
 		for _, w := range reports {
-			a.Take(w)
+			a.Add(w)
 		}
 		for _, w := range repeated {
-			b.Take(w)
+			b.Add(w)
 		}
 		if !same(&a, &b) {
 			t.Fatalf("%+v\n%+v", a, b)
 		}
 		for _, w := range repeated {
-			if b.Take(w) {
+			if b.Add(w) {
 				t.Fatalf("%+v is news again to %+v", w, b)
 			}
 		}
@@ -43,7 +43,7 @@
 }
 
 func same(a, b *Evidence) bool {
-	if a.failureCount != b.failureCount || a.lastUp != b.lastUp || a.hasUp != b.hasUp {
+	if a.failureCount != b.failureCount || a.lastServed != b.lastServed || a.hasServed != b.hasServed {
 		return false
 	}
 	for i := range a.failureCount {
--- a/internal/protocol/batch_test.go
+++ b/internal/protocol/batch_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestParseResults(t *testing.T) {
-	got := parseResults([]byte("a delivered\r\nb failed\nc refused\nd over\ne spent\n"))
+	got := parseBatchResults([]byte("a delivered\r\nb failed\nc refused\nd over\ne spent\n"))
 	for id, want := range map[string]state.AttemptResult{
 		"a": {Result: control.Served, Final: true}, "b": {Result: control.Failed}, "c": {Result: control.Rejected},
 		"d": {Result: control.NotSent, Final: true}, "e": {Result: control.NotSent},
@@ -24,7 +24,7 @@
 	}
 	for _, spoilt := range []string{"a delivered\nb what\n", "a refused\nnonsense\n", "a refused\na refused\n",
 		"a refused\nb deliv"} {
-		if got := parseResults([]byte(spoilt)); len(got) > 0 {
+		if got := parseBatchResults([]byte(spoilt)); len(got) > 0 {
 			t.Errorf("%q: %+v", spoilt, got)
 		}
 	}
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -20,8 +20,8 @@
 	servedTailTimeout   = 50 * time.Millisecond
 )
 
-// noKey stands in the frame of a message that has no idempotency key.
-const noKey = "-"
+// emptyKeyPlaceholder stands in the frame of a message that has no idempotency key.
+const emptyKeyPlaceholder = "-"
 
 // errMalformedResponse tells of a response that came and can't be read.
 var errMalformedResponse = errors.New("response can't be read")
@@ -32,7 +32,7 @@
 const (
 	callConnecting callState = iota
 	callSending
-	callWithdrawn // canceled before any byte of it was sent
+	callCanceled // canceled before any byte of it was sent
 )
 
 // An inFlightCall is one call under way, on a goroutine of its own.
@@ -185,7 +185,7 @@
 	for _, a := range attempts {
 		key := a.Message.Key
 		if key == "" {
-			key = noKey
+			key = emptyKeyPlaceholder
 		}
 		b.WriteString(a.Message.ID + " " + key + " " + strconv.Itoa(len(a.Message.Body)) + "\r\n")
 		b.Write(a.Message.Body)
--- a/internal/protocol/callresult.go
+++ b/internal/protocol/callresult.go
@@ -93,7 +93,7 @@
 		f.endEach(func(*state.Attempt) (state.AttemptResult, bool) { return common, true })
 		return
 	}
-	results := parseResults(r.body)
+	results := parseBatchResults(r.body)
 	for _, a := range f.attempts {
 		if _, named := results[a.Message.ID]; !named {
 			f.endUnanswered(errMalformedResponse)
@@ -101,9 +101,9 @@
 		}
 	}
 	f.endEach(func(a *state.Attempt) (state.AttemptResult, bool) {
-		own := results[a.Message.ID]
-		own.RetryAfter = common.RetryAfter
-		return own, true
+		result := results[a.Message.ID]
+		result.RetryAfter = common.RetryAfter
+		return result, true
 	})
 }
 
@@ -142,8 +142,8 @@
 	return result
 }
 
-// batchResults are the words for a message's result in the response to a batch.
-var batchResults = map[string]state.AttemptResult{
+// batchResultsByWord are the words for a message's result in the response to a batch.
+var batchResultsByWord = map[string]state.AttemptResult{
 	"delivered": {Result: control.Served, Final: true},
 	"failed":    {Result: control.Failed},
 	"refused":   {Result: control.Rejected},
@@ -151,9 +151,9 @@
 	"spent":     {Result: control.NotSent},
 }
 
-// parseResults reads the lines with each message's result. Where one can't be read or names a message twice it returns
+// parseBatchResults reads the lines with each message's result. Where one can't be read or names a message twice it returns
 // nil: the others are not to be believed either.
-func parseResults(body []byte) map[string]state.AttemptResult {
+func parseBatchResults(body []byte) map[string]state.AttemptResult {
 	results := map[string]state.AttemptResult{}
 	for line := range bytes.Lines(body) {
 		words := strings.Fields(string(line))
@@ -163,8 +163,8 @@
 		if len(words) != 2 {
 			return nil
 		}
-		result, known := batchResults[words[1]]
-		if _, twice := results[words[0]]; twice || !known {
+		result, known := batchResultsByWord[words[1]]
+		if _, duplicate := results[words[0]]; duplicate || !known {
 			return nil
 		}
 		results[words[0]] = result
--- a/internal/protocol/clientconn.go
+++ b/internal/protocol/clientconn.go
@@ -78,7 +78,7 @@
 			l.usedConns++
 		}
 	case connEvicted:
-		c.SetReadDeadline(longAgo)
+		c.SetReadDeadline(pastDeadline)
 	case connLingering:
 		delete(l.conns, c)
 		if c.used {
@@ -127,11 +127,11 @@
 }
 
 // evictedBefore reports whether a connection is evicted before another one.
-func (c *clientConn) evictedBefore(o *clientConn) bool {
-	if c.used != o.used {
-		return o.used
+func (c *clientConn) evictedBefore(other *clientConn) bool {
+	if c.used != other.used {
+		return other.used
 	}
-	return c.waitingSince.Before(o.waitingSince)
+	return c.waitingSince.Before(other.waitingSince)
 }
 
 // closesAfterResponse reports whether a connection is to end after the response under way.
--- a/internal/protocol/conn.go
+++ b/internal/protocol/conn.go
@@ -14,8 +14,8 @@
 // maxLingerBytes is the most that is read of a connection between its half-close and its close.
 const maxLingerBytes = 16 * state.MaxBody
 
-// longAgo is a deadline that ends what waits on a connection at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that ends what waits on a connection at once.
+var pastDeadline = time.Unix(1, 0)
 
 // A bufferedConn is one connection with its read buffer. What it reads is bounded by readLimit, as the HTTP parser sets
 // no limit to headers.
@@ -77,5 +77,5 @@
 // whether the connection had not been interrupted.
 func interruptOnDone(ctx context.Context, c *bufferedConn) (stop func() bool) {
 	c.SetDeadline(time.Time{})
-	return context.AfterFunc(ctx, func() { c.SetDeadline(longAgo) })
+	return context.AfterFunc(ctx, func() { c.SetDeadline(pastDeadline) })
 }
--- a/internal/protocol/counters.go
+++ b/internal/protocol/counters.go
@@ -10,7 +10,7 @@
 type Counters struct {
 	accepted, acceptFailed, requests, evicted, unanswered atomic.Int64
 
-	answers [http.StatusNetworkAuthenticationRequired + 1]atomic.Int64 // by status
+	responses [http.StatusNetworkAuthenticationRequired + 1]atomic.Int64 // by status
 }
 
 // Counts are the values of Counters since the start of the process.
@@ -25,14 +25,14 @@
 
 // Counts reads the counters, which are not of one instant.
 func (c *Counters) Counts() Counts {
-	list := Counts{
+	counts := Counts{
 		Accepted: c.accepted.Load(), AcceptFailed: c.acceptFailed.Load(), Requests: c.requests.Load(),
 		Unanswered: c.unanswered.Load(), Evicted: c.evicted.Load(), Answers: map[string]int64{},
 	}
-	for status := range c.answers {
-		if n := c.answers[status].Load(); n > 0 {
-			list.Answers[strconv.Itoa(status)] = n
+	for status := range c.responses {
+		if n := c.responses[status].Load(); n > 0 {
+			counts.Answers[strconv.Itoa(status)] = n
 		}
 	}
-	return list
+	return counts
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -79,7 +79,9 @@
 }
 
 // Watch begins or ends polling for what is newer than a version.
-func (d *Discovery) Watch(on bool, since int64) { d.request(pollRequest{watch: on, since: since}) }
+func (d *Discovery) Watch(enabled bool, since int64) {
+	d.request(pollRequest{watch: enabled, since: since})
+}
 
 // Fetch polls the full list once.
 func (d *Discovery) Fetch() { d.request(pollRequest{fetch: true}) }
@@ -118,42 +120,42 @@
 func (d *Discovery) Run(ctx context.Context) {
 	client := &httpClient{pacing: readPacing{maxGap: maxAnswerGap, maxDuration: d.maxAnswerTime()}}
 	defer client.close()
-	var now pollRequest
-	for d.nextPoll(ctx, &now) {
-		polling, end, addr := d.beginPoll(ctx)
+	var current pollRequest
+	for d.nextPoll(ctx, &current) {
+		pollCtx, cancel, addr := d.beginPoll(ctx)
 		client.setAddress(addr)
 		startedAt := time.Now()
-		opened := d.reportPollOpen(now)
-		update, err := d.poll(polling, client, now)
-		opened.Stop()
+		openTimer := d.reportPollOpen(current)
+		update, err := d.poll(pollCtx, client, current)
+		openTimer.Stop()
 		switch {
-		case polling.Err() != nil: // the address changed, also where an answer came in that instant
-			now.watch, now.fetch = false, false // what to poll at the new address is among the requests
+		case pollCtx.Err() != nil: // the address changed, also where an answer came in that instant
+			current.watch, current.fetch = false, false // what to poll at the new address is among the requests
 		case err != nil:
-			if now.resumesAfterDelay() && time.Since(startedAt) > pollTimeout {
-				now.uncertainSince = time.Time{} // it was received, and ended later
+			if current.followsDelay() && time.Since(startedAt) > pollTimeout {
+				current.uncertainSince = time.Time{} // it was received, and ended later
 			}
-			d.handleFailure(polling, &now, err)
-		case !now.fullList() && update.Version < now.since:
+			d.handleFailure(pollCtx, &current, err)
+		case !current.fullList() && update.Version < current.since:
 			d.Log.Warn("discovery list older than the known one, polling the full list",
-				"since", now.since, "version", update.Version)
-			now.advance(state.NoVersion)
-			sleepUntil(polling, startedAt.Add(minPollInterval))
+				"since", current.since, "version", update.Version)
+			current.advance(state.NoVersion)
+			sleepUntil(pollCtx, startedAt.Add(minPollInterval))
 		default:
-			d.handleUpdate(polling, &now, update, startedAt)
+			d.handleUpdate(pollCtx, &current, update, startedAt)
 		}
-		end()
+		cancel()
 	}
 }
 
 // nextPoll says what to poll now: what is requested anew, else the watch goes on. It waits while nothing is
 // requested, and returns false at the end.
-func (d *Discovery) nextPoll(ctx context.Context, now *pollRequest) bool {
+func (d *Discovery) nextPoll(ctx context.Context, current *pollRequest) bool {
 	for ctx.Err() == nil {
-		if now.watch || now.fetch {
+		if current.watch || current.fetch {
 			select {
 			case r := <-d.requests:
-				now.merge(r)
+				current.merge(r)
 			default:
 				return true
 			}
@@ -162,7 +164,7 @@
 		select {
 		case <-ctx.Done():
 		case r := <-d.requests:
-			now.merge(r)
+			current.merge(r)
 		}
 	}
 	return false
@@ -170,30 +172,32 @@
 
 // reportPollOpen posts state.PollOpen once a poll after a delay has been open for pollOpenDelay: the list is known
 // then, as what the sender was notified of before the poll would have come by then.
-func (d *Discovery) reportPollOpen(now pollRequest) *time.Timer {
-	if !now.resumesAfterDelay() {
+func (d *Discovery) reportPollOpen(current pollRequest) *time.Timer {
+	if !current.followsDelay() {
 		return time.NewTimer(time.Hour)
 	}
 	return time.AfterFunc(pollOpenDelay, func() { d.events.Post(state.PollOpen{}) })
 }
 
 // handleUpdate passes an answer on, and delays the next poll where that is called for.
-func (d *Discovery) handleUpdate(ctx context.Context, now *pollRequest, update state.ListUpdate, startedAt time.Time) {
-	if now.retries > 0 {
-		d.Log.Info("discovery list certain again", "attempt", now.retries, "version", update.Version)
+func (d *Discovery) handleUpdate(
+	ctx context.Context, current *pollRequest, update state.ListUpdate, startedAt time.Time,
+) {
+	if current.retries > 0 {
+		d.Log.Info("discovery list certain again", "attempt", current.retries, "version", update.Version)
 	}
 	if len(update.Targets) > 0 {
-		d.Log.Info("discovery list changed", "version", update.Version, "since", now.since, "count", len(update.Targets),
+		d.Log.Info("discovery list changed", "version", update.Version, "since", current.since, "count", len(update.Targets),
 			"elapsed", time.Since(startedAt).Round(time.Millisecond))
 	}
-	now.advance(update.Version)
-	delays := d.PollSpread > 0 && len(update.Targets) > 0
-	if delays && d.DrainGrace > 0 {
-		now.uncertainSince = time.Now()
+	current.advance(update.Version)
+	delayNextPoll := d.PollSpread > 0 && len(update.Targets) > 0
+	if delayNextPoll && d.DrainGrace > 0 {
+		current.uncertainSince = time.Now()
 		update.PollPaused = true
 	}
 	d.events.Post(update)
-	if delays {
+	if delayNextPoll {
 		sleepUntil(ctx, time.Now().Add(d.delayAfterUpdate()))
 	} else if len(update.Targets) == 0 && time.Since(startedAt) < minPollInterval {
 		// A discovery that answers at once must not be flooded.
@@ -210,51 +214,53 @@
 }
 
 // handleFailure deals with a poll that got no answer that can be used: it is repeated here, or is over.
-func (d *Discovery) handleFailure(ctx context.Context, now *pollRequest, err error) {
+func (d *Discovery) handleFailure(ctx context.Context, current *pollRequest, err error) {
 	var broken *brokenAnswerError
 	switch {
 	case errors.As(err, &broken):
 		d.Log.Warn("discovery answer broken off, polling again",
-			"err", err, "bytes", len(broken.body), "attempt", now.retries)
+			"err", err, "bytes", len(broken.body), "attempt", current.retries)
 		d.events.Post(state.ListUnreadable{At: broken.startedAt, Departing: parseDraining(broken.body, d.Names)})
-		now.uncertainSince = broken.startedAt
-		d.retryAfterBackoff(ctx, now, err)
-	case !now.uncertainSince.IsZero() && time.Since(now.uncertainSince) < state.UncertaintyTimeout(d.MaxPollInterval):
-		d.Log.Info("discovery unanswered while the list is uncertain, polling again", "err", err, "attempt", now.retries)
-		if !now.fullList() {
-			d.events.Post(state.PollFailed{Since: now.uncertainSince})
+		current.uncertainSince = broken.startedAt
+		d.retryAfterBackoff(ctx, current, err)
+	case !current.uncertainSince.IsZero() &&
+		time.Since(current.uncertainSince) < state.UncertaintyTimeout(d.MaxPollInterval):
+		d.Log.Info("discovery unanswered while the list is uncertain, polling again",
+			"err", err, "attempt", current.retries)
+		if !current.fullList() {
+			d.events.Post(state.PollFailed{Since: current.uncertainSince})
 		}
-		d.retryAfterBackoff(ctx, now, err)
-	case now.watch && !now.immediate && d.reopens(err):
+		d.retryAfterBackoff(ctx, current, err)
+	case current.watch && !current.immediate && d.shouldRepollAtOnce(err):
 		d.Log.Info("discovery poll unresponsive or ended, polling again", "err", err)
-		now.immediate = true
+		current.immediate = true
 	default:
-		d.Log.Info("discovery failed", "err", err, "since", now.since, "immediate", now.immediate)
-		now.stop()
+		d.Log.Info("discovery failed", "err", err, "since", current.since, "immediate", current.immediate)
+		current.stop()
 		d.events.Post(state.ListUpdate{Kind: control.ListFailed})
 	}
 }
 
-// reopens reports whether a watch goes on at once after an error.
-func (d *Discovery) reopens(err error) bool {
+// shouldRepollAtOnce reports whether a watch goes on at once after an error.
+func (d *Discovery) shouldRepollAtOnce(err error) bool {
 	return errors.Is(err, errNoAnswer) || errors.Is(err, errConnectionEnded) && d.PollSpread == 0
 }
 
 // retryAfterBackoff has the next poll be one that does not wait, after a backoff that doubles. A large fleet's sender
 // takes its time, as discovery answers one poll after another, unless this one did not leave the machine.
-func (d *Discovery) retryAfterBackoff(ctx context.Context, now *pollRequest, err error) {
-	first, most := minRetryBackoff, maxRetryBackoff
+func (d *Discovery) retryAfterBackoff(ctx context.Context, current *pollRequest, err error) {
+	minBackoff, maxBackoff := minRetryBackoff, maxRetryBackoff
 	var broken *brokenAnswerError
 	switch {
 	case d.PollSpread == 0 || isLocalError(err):
-	case errors.As(err, &broken) || now.fullList():
-		first, most = max(first, time.Duration(fleetBackoffFraction*float64(d.DrainGrace))), maxFleetBackoff
+	case errors.As(err, &broken) || current.fullList():
+		minBackoff, maxBackoff = max(minBackoff, time.Duration(fleetBackoffFraction*float64(d.DrainGrace))), maxFleetBackoff
 	default: // it may be behind with the polls of all
-		first, most = max(first, d.PollSpread/rejectedBackoffDivisor), maxFleetBackoff
+		minBackoff, maxBackoff = max(minBackoff, d.PollSpread/rejectedBackoffDivisor), maxFleetBackoff
 	}
-	backoff := min(first<<min(now.retries, 10), most)
-	now.immediate = true
-	now.retries++
+	backoff := min(minBackoff<<min(current.retries, 10), maxBackoff)
+	current.immediate = true
+	current.retries++
 	sleepUntil(ctx, time.Now().Add(backoff/2+rand.N(backoff/2)))
 }
 
--- a/internal/protocol/gossip.go
+++ b/internal/protocol/gossip.go
@@ -34,10 +34,10 @@
 
 // OpenGossip listens for gossip. peers are the addresses of all senders by their numbers, of which this one has the
 // number me, and all is the address that reaches all.
-func OpenGossip(listen, all string, peers []string, me int, log *slog.Logger) (*GossipTransport, error) {
+func OpenGossip(listen, broadcast string, peers []string, self int, log *slog.Logger) (*GossipTransport, error) {
 	g := &GossipTransport{log: log, peerByAddr: map[netip.AddrPort]int{}}
 	var err error
-	if g.broadcast, err = netip.ParseAddrPort(all); err != nil {
+	if g.broadcast, err = netip.ParseAddrPort(broadcast); err != nil {
 		return nil, fmt.Errorf("peers_all: %w", err)
 	}
 	for i, text := range peers {
@@ -45,7 +45,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		if i != me { // its own datagrams come back, too
+		if i != self { // its own datagrams come back, too
 			g.peerByAddr[addr] = i
 		}
 	}
@@ -73,7 +73,7 @@
 		}
 	}()
 	buf := make([]byte, gossip.MaxSize+1)
-	for second, read := time.Now(), 0; ; read++ {
+	for windowStart, readCount := time.Now(), 0; ; readCount++ {
 		n, from, err := g.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
 			if ctx.Err() != nil {
@@ -82,11 +82,11 @@
 			sleepUntil(ctx, time.Now().Add(gossipReadBackoff))
 			continue
 		}
-		if read >= maxDatagramsPerSecond {
-			sleepUntil(ctx, second.Add(time.Second))
+		if readCount >= maxDatagramsPerSecond {
+			sleepUntil(ctx, windowStart.Add(time.Second))
 		}
-		if now := time.Now(); now.Sub(second) >= time.Second {
-			second, read = now, 0
+		if now := time.Now(); now.Sub(windowStart) >= time.Second {
+			windowStart, readCount = now, 0
 		}
 		peer, known := g.peerByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		observations, err := gossip.Decode(buf[:n])
--- a/internal/protocol/handler.go
+++ b/internal/protocol/handler.go
@@ -38,15 +38,15 @@
 	errors.As(err, &rejected)
 	// A body that nobody wanted must not be taken for the next request.
 	unread := m == nil && (rejected == nil || !rejected.closes) && !discardBody(r)
-	last := r.Close || unread || l.closesAfterResponse(c)
+	closeAfter := r.Close || unread || l.closesAfterResponse(c)
 	switch {
 	case rejected != nil:
 		rejected.closes = rejected.closes || unread
-		return l.respondError(c, rejected, last)
+		return l.respondError(c, rejected, closeAfter)
 	case m == nil:
-		return l.respondHealth(c, last)
+		return l.respondHealth(c, closeAfter)
 	}
-	return l.submit(c, m, last)
+	return l.submit(c, m, closeAfter)
 }
 
 // requestErrorOf is what is wrong with a request whose head can't be read; nil if the connection has ended.
@@ -78,79 +78,82 @@
 }
 
 // respondHealth answers a health check.
-func (l *Listener) respondHealth(c *clientConn, last bool) bool {
+func (l *Listener) respondHealth(c *clientConn, closeAfter bool) bool {
 	switch {
 	case l.closing.Load():
 		return l.respond(c, http.StatusServiceUnavailable, 0, "stopping", true)
 	case l.drainedSince.Load() != nil:
 		return l.respond(c, http.StatusServiceUnavailable, 0, "drained", true)
 	}
-	return l.respond(c, http.StatusOK, 0, "ok", last)
+	return l.respond(c, http.StatusOK, 0, "ok", closeAfter)
 }
 
 // submit gives a message to the loop and its client the response.
-func (l *Listener) submit(c *clientConn, m *state.Message, last bool) bool {
+func (l *Listener) submit(c *clientConn, m *state.Message, closeAfter bool) bool {
 	if l.rejectsMessages() {
 		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "drained", true)
 	}
-	answer := make(chan state.Response, 1)
+	responses := make(chan state.Response, 1)
 	deadline := time.Now().Add(responseTimeout)
 	if l.keyClaimer != nil && m.Key != "" && !l.keyClaimer.ClaimKey(m.Class, m.Key, deadline) {
-		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "a message with this key is on its way", last)
+		return l.respond(
+			c, http.StatusServiceUnavailable, busyRetryAfter, "a message with this key is on its way", closeAfter)
 	}
-	submitted := state.Submitted{Message: m, Response: answer, Decision: &state.AdmissionDecision{}}
+	submitted := state.Submitted{Message: m, Response: responses, Decision: &state.AdmissionDecision{}}
 	if !l.events.PostBefore(submitted, deadline) {
-		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", last)
+		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", closeAfter)
 	}
-	r, decided := awaitResponse(answer, submitted.Decision, deadline)
-	last = last || l.closesAfterResponse(c) // the end may have been asked for meanwhile: the response says so
+	r, decided := awaitResponse(responses, submitted.Decision, deadline)
+	closeAfter = closeAfter || l.closesAfterResponse(c) // the end may have been asked for meanwhile: the response says so
 	switch {
 	case !decided:
-		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", last)
+		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", closeAfter)
 	case r.Accepted:
-		err := l.writeResponse(c, http.StatusAccepted, 0, "", last)
+		err := l.writeResponse(c, http.StatusAccepted, 0, "", closeAfter)
 		l.events.Post(state.ResponseWritten{ID: m.ID, OK: err == nil})
-		return err == nil && !last
+		return err == nil && !closeAfter
 	case r.Invalid == state.UnknownDestination:
-		return l.respond(c, http.StatusBadRequest, 0, "unknown destination", last)
+		return l.respond(c, http.StatusBadRequest, 0, "unknown destination", closeAfter)
 	case r.Invalid == state.DuplicateID:
-		return l.respond(c, http.StatusConflict, 0, "X-Request-Id in use", last)
+		return l.respond(c, http.StatusConflict, 0, "X-Request-Id in use", closeAfter)
 	case r.Permanent:
-		return l.respond(c, http.StatusInternalServerError, 0, "failed", last)
+		return l.respond(c, http.StatusInternalServerError, 0, "failed", closeAfter)
 	}
-	return l.respond(c, http.StatusServiceUnavailable, r.RetryAfter, "come again", last)
+	return l.respond(c, http.StatusServiceUnavailable, r.RetryAfter, "come again", closeAfter)
 }
 
 // awaitResponse waits for the loop's response to a message until a deadline. Where none has come by then the message is
 // rejected, and can't be accepted any more; one that was accepted in that instant is not rejected.
 func awaitResponse(
-	answer <-chan state.Response, d *state.AdmissionDecision, deadline time.Time,
+	responses <-chan state.Response, decision *state.AdmissionDecision, deadline time.Time,
 ) (r state.Response, decided bool) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case r = <-answer:
+	case r = <-responses:
 		return r, true
 	case <-timer.C:
 	}
-	if d.Reject() {
+	if decision.Reject() {
 		return r, false
 	}
-	return <-answer, true
+	return <-responses, true
 }
 
 // respondError answers a request that is rejected unseen by the loop.
-func (l *Listener) respondError(c *clientConn, e *requestError, last bool) bool {
-	return l.respond(c, e.status, 0, e.text, last || e.closes)
+func (l *Listener) respondError(c *clientConn, e *requestError, closeAfter bool) bool {
+	return l.respond(c, e.status, 0, e.text, closeAfter || e.closes)
 }
 
 // respond writes a response and reports whether another request may follow.
-func (l *Listener) respond(c *clientConn, status int, retryAfter time.Duration, text string, last bool) bool {
-	return l.writeResponse(c, status, retryAfter, text, last) == nil && !last
+func (l *Listener) respond(c *clientConn, status int, retryAfter time.Duration, text string, closeAfter bool) bool {
+	return l.writeResponse(c, status, retryAfter, text, closeAfter) == nil && !closeAfter
 }
 
 // writeResponse writes a response; the last one on its connection says so.
-func (l *Listener) writeResponse(c *clientConn, status int, retryAfter time.Duration, text string, last bool) error {
+func (l *Listener) writeResponse(
+	c *clientConn, status int, retryAfter time.Duration, text string, closeAfter bool,
+) error {
 	var b bytes.Buffer
 	b.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
 	if retryAfter > 0 {
@@ -159,7 +162,7 @@
 	if status == http.StatusMethodNotAllowed {
 		b.WriteString("Allow: POST, GET\r\n")
 	}
-	if last {
+	if closeAfter {
 		b.WriteString("Connection: close\r\n")
 	}
 	if text != "" {
@@ -173,6 +176,6 @@
 		return err
 	}
 	c.responseOwed = false
-	l.counters.answers[status].Add(1)
+	l.counters.responses[status].Add(1)
 	return nil
 }
--- a/internal/protocol/lateconn_test.go
+++ b/internal/protocol/lateconn_test.go
@@ -149,7 +149,7 @@
 	}
 	close(up)
 	<-flown
-	if s.pool.pop("s") == nil {
+	if s.pool.popIdle("s") == nil {
 		t.Error("the connection was not kept")
 	}
 }
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -36,7 +36,7 @@
 func parseTarget(entry gjson.Result, n Names) state.Target {
 	t := state.Target{ID: entry.Get("id").String(), Addr: entry.Get("addr").String()}
 	t.Destination = int(entry.Get("cell").Int())
-	t.Kind, t.Zone = numberOf(n.Kinds, entry.Get("kind")), numberOf(n.Zones, entry.Get("zone"))
+	t.Kind, t.Zone = lookUpNumber(n.Kinds, entry.Get("kind")), lookUpNumber(n.Zones, entry.Get("zone"))
 	t.Weight = entry.Get("weight").Float()
 	switch entry.Get("state").String() {
 	case "up":
@@ -51,8 +51,8 @@
 
 // parseDraining reads the targets that drain or are removed off the part of a list that came. Entries that are not
 // complete are left out.
-func parseDraining(part []byte, n Names) (draining []state.Target) {
-	gjson.GetBytes(part, "servers").ForEach(func(_, entry gjson.Result) bool {
+func parseDraining(partial []byte, n Names) (draining []state.Target) {
+	gjson.GetBytes(partial, "servers").ForEach(func(_, entry gjson.Result) bool {
 		if !gjson.Valid(entry.Raw) || !entry.IsObject() {
 			return false
 		}
@@ -65,14 +65,14 @@
 }
 
 // isUnchanged reports whether the part of a list that came names, completely, the version that is known already.
-func isUnchanged(part []byte, known int64) bool {
-	version := gjson.GetBytes(part, "version")
-	complete := version.Index+len(version.Raw) < len(part) // more digits could follow
+func isUnchanged(partial []byte, known int64) bool {
+	version := gjson.GetBytes(partial, "version")
+	complete := version.Index+len(version.Raw) < len(partial) // more digits could follow
 	return version.Type == gjson.Number && complete && version.Int() == known
 }
 
-// numberOf is the number of a name; -1 for one that the settings don't have.
-func numberOf(names map[string]int, v gjson.Result) int {
+// lookUpNumber is the number of a name; -1 for one that the settings don't have.
+func lookUpNumber(names map[string]int, v gjson.Result) int {
 	if i, known := names[v.String()]; known {
 		return i
 	}
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -28,13 +28,13 @@
 // EventQueue takes what the listener reads; the loop is one.
 type EventQueue interface {
 	EventPoster
-	PostBefore(event state.Event, limit time.Time) bool
+	PostBefore(event state.Event, deadline time.Time) bool
 }
 
 // KeyClaimer is asked before a message with an idempotency key is accepted: one of that key may wait in the dead-letter
 // queue. False: it is on its way, and the client should retry later.
 type KeyClaimer interface {
-	ClaimKey(class int, key string, by time.Time) bool
+	ClaimKey(class int, key string, deadline time.Time) bool
 }
 
 // Listener accepts the clients' connections and serves their requests. Its methods may be called from any goroutine,
@@ -73,22 +73,22 @@
 // Listen opens the listening socket, for most connections at once. Of those that had a request keep are kept for the
 // next one: some clients ask once and never close their connection, and clients may not hold that many.
 func Listen(
-	addr string, events EventQueue, n Names, classes []control.Class, most, keep int, log *slog.Logger,
+	addr string, events EventQueue, n Names, classes []control.Class, maxConns, maxKeepAlive int, log *slog.Logger,
 ) (*Listener, error) {
 	socket, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return ListenOn(socket, events, n, classes, most, keep, log), nil
+	return ListenOn(socket, events, n, classes, maxConns, maxKeepAlive, log), nil
 }
 
 // ListenOn is Listen on a socket that another process has opened.
 func ListenOn(
-	socket net.Listener, events EventQueue, n Names, classes []control.Class, most, keep int, log *slog.Logger,
+	socket net.Listener, events EventQueue, n Names, classes []control.Class, maxConns, maxKeepAlive int, log *slog.Logger,
 ) *Listener {
 	l := &Listener{
-		events: events, log: log, socket: socket, counters: &Counters{}, maxKeepAlive: keep,
-		servingSlots: make(chan struct{}, most), lingerSlots: make(chan struct{}, MaxLingering(most)),
+		events: events, log: log, socket: socket, counters: &Counters{}, maxKeepAlive: maxKeepAlive,
+		servingSlots: make(chan struct{}, maxConns), lingerSlots: make(chan struct{}, MaxLingering(maxConns)),
 		conns: map[*clientConn]struct{}{},
 	}
 	l.SetNames(n, classes)
@@ -168,20 +168,20 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for {
-		var first *clientConn
+		var oldest *clientConn
 		for c := range l.conns {
-			if c.state.waiting() && !c.evictionChecked && (first == nil || c.evictedBefore(first)) {
-				first = c
+			if c.state.waiting() && !c.evictionChecked && (oldest == nil || c.evictedBefore(oldest)) {
+				oldest = c
 			}
 		}
-		if first == nil {
+		if oldest == nil {
 			l.slotAwaited.Store(true)
 			return
 		}
-		first.evictionChecked = true
-		if first.openWithoutInput() {
+		oldest.evictionChecked = true
+		if oldest.openWithoutInput() {
 			l.counters.evicted.Add(1)
-			l.setState(first, connEvicted)
+			l.setState(oldest, connEvicted)
 			return
 		}
 	}
--- a/internal/protocol/poll.go
+++ b/internal/protocol/poll.go
@@ -62,8 +62,8 @@
 // fullList reports whether the full list is polled, not what has changed.
 func (r pollRequest) fullList() bool { return r.fetch || r.since == state.NoVersion }
 
-// resumesAfterDelay reports whether this is the poll after a delayed one: once it is open the list is known.
-func (r pollRequest) resumesAfterDelay() bool {
+// followsDelay reports whether this is the poll after a delayed one: once it is open the list is known.
+func (r pollRequest) followsDelay() bool {
 	return !r.uncertainSince.IsZero() && !r.immediate && !r.fullList()
 }
 
--- a/internal/protocol/pool.go
+++ b/internal/protocol/pool.go
@@ -39,7 +39,7 @@
 // address; nil if there is none.
 func (p *connPool) get(id, addr string) *bufferedConn {
 	for {
-		c := p.pop(id)
+		c := p.popIdle(id)
 		if c == nil {
 			return nil
 		}
@@ -50,7 +50,7 @@
 	}
 }
 
-func (p *connPool) pop(id string) *bufferedConn {
+func (p *connPool) popIdle(id string) *bufferedConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conns := p.idle[id]
@@ -78,7 +78,7 @@
 
 // closeIdle closes the idle connections to an endpoint.
 func (p *connPool) closeIdle(id string) {
-	for c := p.pop(id); c != nil; c = p.pop(id) {
+	for c := p.popIdle(id); c != nil; c = p.popIdle(id) {
 		c.Close()
 	}
 }
--- a/internal/protocol/reporter.go
+++ b/internal/protocol/reporter.go
@@ -67,13 +67,13 @@
 // acknowledge takes the first reports off the queue and tells the loop.
 func (r *Reporter) acknowledge(count int) {
 	r.mu.Lock()
-	nums := make([]control.MessageID, count)
-	for i := range nums {
-		nums[i] = r.queue[i].Number
+	numbers := make([]control.MessageID, count)
+	for i := range numbers {
+		numbers[i] = r.queue[i].Number
 	}
 	r.queue = r.queue[count:]
 	r.mu.Unlock()
-	r.events.Post(state.ReportsAcknowledged{Numbers: nums})
+	r.events.Post(state.ReportsAcknowledged{Numbers: numbers})
 }
 
 // Run delivers reports until the context ends.
@@ -130,19 +130,19 @@
 func encodeReports(batch []state.DeliveryReport) []byte {
 	var out []byte
 	for _, report := range batch {
-		line := struct {
+		record := struct {
 			ID         string `json:"id"`
 			Status     string `json:"status"`
 			RetryAfter *int64 `json:"again_ms,omitempty"`
 		}{ID: report.ID, Status: "undeliverable"}
 		if report.Deferred {
-			line.Status = "deferred"
+			record.Status = "deferred"
 			if ms := report.RetryAfter.Milliseconds(); ms > 0 {
-				line.RetryAfter = &ms
+				record.RetryAfter = &ms
 			}
 		}
-		text, _ := json.Marshal(line) // strings and a number can always be encoded
-		out = append(append(out, text...), '\n')
+		encoded, _ := json.Marshal(record) // strings and a number can always be encoded
+		out = append(append(out, encoded...), '\n')
 	}
 	return out
 }
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -45,7 +45,7 @@
 
 // parseMessage reads the body of a request and makes a message of it. A nil message without an error is a health check.
 func parseMessage(r *http.Request, arrived time.Time, n Names, classes []control.Class) (*state.Message, error) {
-	if err := checkFraming(r); err != nil {
+	if err := validateFraming(r); err != nil {
 		return nil, err
 	}
 	class, err := classOfRequest(r, n)
@@ -66,7 +66,7 @@
 	if m.Key == "" && classes[class].Idempotency == control.IdempotentByKey {
 		return nil, badRequest("Idempotency-Key missing")
 	}
-	if m.Key != "" && (!validToken(m.Key) || m.Key == noKey) {
+	if m.Key != "" && (!validToken(m.Key) || m.Key == emptyKeyPlaceholder) {
 		return nil, badRequest("Idempotency-Key malformed")
 	}
 	var known bool
@@ -101,10 +101,10 @@
 	return body, nil
 }
 
-// checkFraming wants one length and one value of each header that matters. A body in chunks may come with a
+// validateFraming wants one length and one value of each header that matters. A body in chunks may come with a
 // Content-Length as well, which the parser drops: where the body ends is then ambiguous, and a request could be
 // smuggled in it. Clients know their lengths, so chunks are rejected.
-func checkFraming(r *http.Request) error {
+func validateFraming(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
 		return &requestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 wanted", true}
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -32,16 +32,16 @@
 	method string, maxBody int64, deadline func(firstStatus int) time.Time,
 ) (response, error) {
 	c.readLimit.N = maxHeaderBytes + maxBody
-	limitTime := func(status int) {
+	setDeadline := func(status int) {
 		if deadline != nil {
 			c.SetReadDeadline(deadline(status))
 		}
 	}
 	for {
-		limitTime(0)
-		first := c.peekStatus()
-		limitTime(first)
-		resp := response{firstStatus: first, closes: true}
+		setDeadline(0)
+		firstStatus := c.peekStatus()
+		setDeadline(firstStatus)
+		resp := response{firstStatus: firstStatus, closes: true}
 		r, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return resp, err
--- a/internal/protocol/transport.go
+++ b/internal/protocol/transport.go
@@ -22,11 +22,11 @@
 // Transport carries calls and health checks to endpoints, each on a goroutine of its own. Its methods may be called
 // from any goroutine; what comes of them is posted.
 type Transport struct {
-	events       EventPoster
-	log          *slog.Logger
-	pool         *connPool
-	healthChecks chan struct{} // holds a token for each health check out
-	dial         func(ctx context.Context, addr string) (*bufferedConn, error)
+	events           EventPoster
+	log              *slog.Logger
+	pool             *connPool
+	healthCheckSlots chan struct{} // holds a token for each health check out
+	dial             func(ctx context.Context, addr string) (*bufferedConn, error)
 
 	mu       sync.Mutex
 	inFlight map[*state.Call]*inFlightCall
@@ -35,10 +35,10 @@
 var _ state.Transport = (*Transport)(nil)
 
 // NewTransport returns a transport whose connections endpoints keep idle for so long, and which keeps most idle ones.
-func NewTransport(events EventPoster, idle time.Duration, most int, log *slog.Logger) *Transport {
+func NewTransport(events EventPoster, idleTimeout time.Duration, maxIdleConns int, log *slog.Logger) *Transport {
 	return &Transport{
-		events: events, log: log, pool: newConnPool(idle, most), dial: dial,
-		healthChecks: make(chan struct{}, maxHealthChecks), inFlight: map[*state.Call]*inFlightCall{},
+		events: events, log: log, pool: newConnPool(idleTimeout, maxIdleConns), dial: dial,
+		healthCheckSlots: make(chan struct{}, maxHealthChecks), inFlight: map[*state.Call]*inFlightCall{},
 	}
 }
 
@@ -84,7 +84,7 @@
 func (t *Transport) CancelUnsent(c *state.Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if f := t.inFlight[c]; f != nil && f.advance(callWithdrawn) {
+	if f := t.inFlight[c]; f != nil && f.advance(callCanceled) {
 		f.cancel()
 	}
 }
@@ -96,13 +96,13 @@
 func (t *Transport) HealthCheck(target state.Target, deadline time.Time) {
 	id := target.Endpoint.ID
 	select {
-	case t.healthChecks <- struct{}{}:
+	case t.healthCheckSlots <- struct{}{}:
 	default:
 		go t.events.Post(state.HealthChecked{Target: id, Result: control.Unknown})
 		return
 	}
 	go func() {
-		defer func() { <-t.healthChecks }()
+		defer func() { <-t.healthCheckSlots }()
 		startedAt := time.Now()
 		result := t.checkHealth(target, deadline)
 		t.events.Post(state.HealthChecked{Target: id, Result: result, Elapsed: time.Since(startedAt)})
--- a/internal/protocol/transport_test.go
+++ b/internal/protocol/transport_test.go
@@ -92,7 +92,7 @@
 		if e := next[state.CallEnded](t, p).Results[0]; e.Result != c.want {
 			t.Errorf("%s: %+v, want %v", c.name, e, c.want)
 		}
-		if s.pool.pop("s") != nil {
+		if s.pool.popIdle("s") != nil {
 			t.Errorf("%s: the connection was kept", c.name)
 		}
 	}
@@ -290,7 +290,7 @@
 		return <-conns
 	}
 	a, b := call(), call() // the connection is back before its call's end is known
-	l := s.pool.pop("s")
+	l := s.pool.popIdle("s")
 	l.Conn.(*net.TCPConn).CloseRead() // reads as closed by the other side
 	s.pool.put("s", l)
 	if c := call(); a != b || b == c {
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	querySilence       = 2 * time.Second        // a sender that has heard nobody for this long sends a query
-	replyTimeout       = 500 * time.Millisecond // it is isolated if nobody has replied in this time
-	meanReplies        = 8.0                    // peers that reply to a query in the mean, at any fleet size
-	observationTTL     = 20 * time.Second       // what was heard before is forgotten
-	historySize        = 64                     // observations that are remembered
-	minObservations    = 8                      // with fewer the fraction is not known
-	recentObservations = 16                     // of so many latest observations...
-	maxRecentPeers     = 9                      // ...from no more than so many peers the fraction is small
+	silenceBeforeQuery  = 2 * time.Second        // a sender that has heard nobody for this long sends a query
+	replyTimeout        = 500 * time.Millisecond // it is isolated if nobody has replied in this time
+	meanRepliesPerQuery = 8.0                    // peers that reply to a query in the mean, at any fleet size
+	observationTTL      = 20 * time.Second       // what was heard before is forgotten
+	historySize         = 64                     // observations that are remembered
+	minObservations     = 8                      // with fewer the fraction is not known
+	recentObservations  = 16                     // of so many latest observations...
+	maxRecentPeers      = 9                      // ...from no more than so many peers the fraction is small
 	// An isolated sender repeats its query after this time for each sender of the fleet, so that a whole fleet sends as
 	// many at any size. The first one that is heard when connections work again ends it for all.
 	queryIntervalPerSender = 50 * time.Millisecond
@@ -35,7 +35,7 @@
 	nextQuery              time.Duration // no query is sent before this
 	rejectionsSinceContact int           // rejections of its own since a peer was heard
 	history                [historySize]observation
-	observations           int // ever made; the latest is at (observations-1) modulo historySize
+	observationCount       int // ever made; the latest is at (observations-1) modulo historySize
 	fraction               float64
 }
 
@@ -48,9 +48,9 @@
 // RecordPeer takes that a peer was heard.
 func (d *Detector) RecordPeer(now time.Duration, peer int) {
 	d.rejectionsSinceContact, d.lastContactAt, d.nextQuery = 0, now, now
-	d.history[d.observations%historySize] = observation{peer, now}
-	d.observations++
-	d.fraction = d.estimate(now)
+	d.history[d.observationCount%historySize] = observation{peer, now}
+	d.observationCount++
+	d.fraction = d.estimateFraction(now)
 }
 
 // Rejected takes a rejection of a call of this sender's. It reports whether to tell peers of it, and whether to send a
@@ -59,7 +59,7 @@
 func (d *Detector) Rejected(now time.Duration) (gossip, query bool) {
 	d.rejectionsSinceContact++
 	gossip = d.rejectionsSinceContact&(d.rejectionsSinceContact-1) == 0
-	query = gossip && now-d.lastContactAt >= querySilence && now >= d.nextQuery
+	query = gossip && now-d.lastContactAt >= silenceBeforeQuery && now >= d.nextQuery
 	gossip = gossip && (query || !d.Isolated(now))
 	if query && d.lastContactAt >= d.QueriedAt {
 		d.QueriedAt = now
@@ -71,7 +71,7 @@
 }
 
 func (d *Detector) queryInterval() time.Duration {
-	return max(querySilence, time.Duration(d.FleetSize)*queryIntervalPerSender)
+	return max(silenceBeforeQuery, time.Duration(d.FleetSize)*queryIntervalPerSender)
 }
 
 // RepeatQuery reports whether an isolated sender sends a query now, though nothing was rejected, and counts it.
@@ -84,7 +84,9 @@
 }
 
 // ShouldReply reports whether to reply to a peer's query, by a draw from 0 to 1.
-func (d *Detector) ShouldReply(draw float64) bool { return draw*float64(d.FleetSize) < meanReplies }
+func (d *Detector) ShouldReply(draw float64) bool {
+	return draw*float64(d.FleetSize) < meanRepliesPerQuery
+}
 
 // Isolated reports whether no peer has replied to a query: peers do not hear of this sender's rejections, nor it of
 // theirs.
@@ -95,30 +97,30 @@
 // ReachableFraction is about the fraction of the fleet that this sender hears, from 0 to 1; it is 1 where nothing
 // speaks against it.
 func (d *Detector) ReachableFraction(now time.Duration) float64 {
-	if d.observations == 0 || now-d.lastContactAt > observationTTL {
+	if d.observationCount == 0 || now-d.lastContactAt > observationTTL {
 		return 1
 	}
 	return d.fraction
 }
 
-// estimate estimates the fraction from the number of peers in the history. The latest few observations are enough to
+// estimateFraction estimates the fraction from the number of peers in the history. The latest few observations are enough to
 // show that it has become small, and too few for anything else.
-func (d *Detector) estimate(now time.Duration) float64 {
+func (d *Detector) estimateFraction(now time.Duration) float64 {
 	count, peers := d.distinctPeers(now, recentObservations)
 	if count == recentObservations && peers <= maxRecentPeers {
-		return d.fractionOf(count, peers)
+		return d.fractionFromPeers(count, peers)
 	}
 	count, peers = d.distinctPeers(now, historySize)
 	if count < minObservations {
 		return 1
 	}
-	return d.fractionOf(count, peers)
+	return d.fractionFromPeers(count, peers)
 }
 
 // distinctPeers counts the latest observations that are not too old, limit at most, and the peers that made them.
 func (d *Detector) distinctPeers(now time.Duration, limit int) (count, peers int) {
 	seen := [historySize]int{}
-	for i := d.observations - 1; i >= 0 && i >= d.observations-limit; i-- {
+	for i := d.observationCount - 1; i >= 0 && i >= d.observationCount-limit; i-- {
 		o := d.history[i%historySize]
 		if now-o.at > observationTTL {
 			break
@@ -136,11 +138,11 @@
 	return count, peers
 }
 
-// fractionOf is the fraction of the fleet that count observations from so many peers speak for: of m peers that tell
+// fractionFromPeers is the fraction of the fleet that count observations from so many peers speak for: of m peers that tell
 // alike, k observations come from m(1-exp(-k/m)) in the mean.
-func (d *Detector) fractionOf(count, peers int) float64 {
-	fleet, heard, m := float64(d.FleetSize), float64(peers), float64(peers)
-	for m < fleet && m*(1-math.Exp(-float64(count)/m)) < heard-0.5 {
+func (d *Detector) fractionFromPeers(count, peers int) float64 {
+	fleet, distinct, m := float64(d.FleetSize), float64(peers), float64(peers)
+	for m < fleet && m*(1-math.Exp(-float64(count)/m)) < distinct-0.5 {
 		m++
 	}
 	return min(1, unevenTrafficFactor*(m+1)/fleet)
