--- a/internal/fleethealth/health.go
+++ b/internal/fleethealth/health.go
@@ -1,30 +1,30 @@
-// Package fleethealth keeps what the senders of a large fleet know together of an endpoint: which of them found it
-// down, and when a call to it was last served. It says whether the endpoint counts as ejected, when this sender may
-// make a trial call, and what to gossip; where a message goes it does not decide. It does no I/O, takes the time as
-// a parameter, and its random draws are made by its caller. Its design is docs/design/fleet-limits.md.
+// Package fleethealth tracks the health of endpoints as observed by all senders of a large fleet: which senders found
+// an endpoint down, and when a call to it was last served. It determines whether the endpoint is ejected, when this
+// sender may make a trial call, and what to gossip. It doesn't select endpoints for messages. The package does no I/O;
+// the caller passes the time and random numbers as parameters. docs/design/fleet-limits.md describes the design.
 package fleethealth
 
 import "time"
 
 const (
-	maxReporters           = 4                     // senders whose reports are remembered for an endpoint
-	minReporters           = 2                     // of them, this sender included, eject it
-	maxEjectedFraction     = 2.0 / 3               // of a destination's endpoints
-	trialIntervalPerSender = 50 * time.Millisecond // the fleet spreads trial calls over this time for each sender
-	fleetGossipRate        = 100.0                 // reports a second that the whole fleet may gossip...
-	gossipBurst            = 4.0                   // ...beside so many that each sender may at once
+	maxReporters           = 4                     // senders whose failure reports are kept for an endpoint
+	minReporters           = 2                     // senders, this one included, that must report failures to eject it
+	maxEjectedFraction     = 2.0 / 3               // maximum fraction of a destination's endpoints that may be ejected
+	trialIntervalPerSender = 50 * time.Millisecond // trial calls are spread over this time multiplied by the fleet size
+	fleetGossipRate        = 100.0                 // reports per second that the whole fleet may gossip
+	gossipBurst            = 4.0                   // reports that each sender may gossip at once beyond that rate
 )
 
-// Params are what is the same for all endpoints.
+// Params holds the parameters that are common to all endpoints.
 type Params struct {
-	FleetSize      int           // senders, this one included
-	TrialInterval  time.Duration // between trial calls of the whole fleet to an ejected endpoint
-	ReportTTL      time.Duration // a report is forgotten after this
-	RecoverySpread time.Duration // the fleet comes back to a recovered endpoint over this time
+	FleetSize      int           // number of senders, this one included
+	TrialInterval  time.Duration // time between trial calls of the whole fleet to an ejected endpoint
+	ReportTTL      time.Duration // time after which a report expires
+	RecoverySpread time.Duration // time over which the senders resume calls to a recovered endpoint
 }
 
-// NewParams returns the parameters of a fleet whose destinations are overloaded by what they are sent in such a
-// window while they warm up: an ejected endpoint gets two trial calls in one.
+// NewParams returns the parameters of a fleet. overloadWindow is how long calls above its capacity must last to
+// overload a destination that is warming up; an ejected endpoint receives two trial calls in that time.
 func NewParams(fleetSize int, overloadWindow time.Duration) Params {
 	return Params{
 		FleetSize: fleetSize, TrialInterval: overloadWindow / 2,
@@ -32,37 +32,37 @@
 	}
 }
 
-// WithinEjectionLimit reports whether so many of a destination's endpoints may be ejected.
+// WithinEjectionLimit reports whether this number of a destination's endpoints may be ejected.
 func WithinEjectionLimit(ejected, endpoints int) bool {
 	return float64(ejected) <= maxEjectedFraction*float64(endpoints)
 }
 
-// trialDelay is what a draw from 0 to 1 adds to the trial interval, so that about one sender makes each trial call.
+// trialDelay returns a random delay to add to the trial interval, so that about one sender makes each trial call. draw
+// is a random number in [0, 1).
 func (p Params) trialDelay(draw float64) time.Duration {
 	return time.Duration(draw * float64(p.FleetSize) * float64(trialIntervalPerSender))
 }
 
-// A Report is what one call showed, whoever made it.
+// A Report is the result of one call made by this sender or a peer.
 type Report struct {
 	Peer int           // number of the peer that made the call, or Self
 	At   time.Duration // when the call ended, by this sender's clock
-	Up   bool          // it was served; else it failed
+	Up   bool          // whether the call was served; otherwise it failed
 }
 
-// Self is the number under which a sender remembers its own reports.
+// Self is the peer number in a sender's own reports.
 const Self = -1
 
-// Evidence is what is known of one endpoint. Reports are merged by their times alone, so that neither their order nor
-// repeats matter: of failures the latest of each sender is kept, of served calls the latest. The zero value knows
-// nothing.
+// Evidence holds the reports about one endpoint: the latest failure of each sender and the latest served call. Reports
+// are merged by their times alone, so the order of arrival and duplicates don't matter. The zero value has no reports.
 type Evidence struct {
-	failures     [maxReporters]Report // the latest first; only those after lastUp
+	failures     [maxReporters]Report // latest first; only failures after lastServed
 	failureCount int
 	lastServed   Report
 	hasServed    bool
 }
 
-// Add merges a report and reports whether it was news.
+// Add merges a report and reports whether it changed the evidence.
 func (e *Evidence) Add(r Report) bool {
 	if r.Up {
 		return e.addServed(r)
@@ -104,11 +104,11 @@
 	return true
 }
 
-// newer orders reports. Those of one instant go by their peer, so that all senders keep the same.
+// newer reports whether a is later than b. Ties are broken by peer number, so that all senders keep the same reports.
 func newer(a, b Report) bool { return a.At > b.At || a.At == b.At && a.Peer > b.Peer }
 
-// FailureReporters returns how many senders found the endpoint down since a call to it was last served, by reports that are
-// not too old, and whether this sender is one of them.
+// FailureReporters returns the number of senders that reported a failure since a call was last served, ignoring expired
+// reports, and whether this sender is one of them.
 func (e *Evidence) FailureReporters(now time.Duration, p Params) (reporters int, own bool) {
 	for _, r := range e.failures[:e.failureCount] {
 		if now-r.At < p.ReportTTL {
@@ -118,47 +118,48 @@
 	return reporters, own
 }
 
-// LatestFailure returns when the latest call ended that failed since one was served; ok is false if none did.
+// LatestFailure returns when the latest failed call ended. ok is false if no call has failed since one was last served.
 func (e *Evidence) LatestFailure() (at time.Duration, ok bool) {
 	return e.failures[0].At, e.failureCount > 0
 }
 
-// Health is what one sender believes of an endpoint. The zero value knows nothing.
+// Health is the state of an endpoint as seen by one sender. The zero value has no reports.
 type Health struct {
 	Evidence
-	nextTrial            time.Duration // this sender makes no trial call before this
-	recoveryDelayedUntil time.Duration // it does not act on a recovery before this
-	contradicted         [maxReporters]Report
-	contradictedCount    int           // of those, in use: whose report a served call contradicted, and when
-	disputedUntil        time.Duration // each sender goes by its own calls
+	nextTrial            time.Duration        // earliest time of this sender's next trial call
+	recoveryDelayedUntil time.Duration        // the endpoint stays ejected until then after a recovery
+	contradicted         [maxReporters]Report // senders (Peer) whose failure a served call contradicted, and when (At)
+	contradictedCount    int                  // number of entries of contradicted in use
+	disputedUntil        time.Duration        // until then, reports of peers don't eject the endpoint
 }
 
-// Ejected reports whether the endpoint counts as ejected for this sender. A single report, or reports in dispute,
-// eject nothing.
+// Ejected reports whether this sender treats the endpoint as ejected. A failure report from a single sender, or
+// disputed reports, don't eject an endpoint.
 func (h *Health) Ejected(now time.Duration, p Params) bool {
 	reporters, _ := h.FailureReporters(now, p)
 	return reporters >= minReporters && now >= h.disputedUntil || now < h.recoveryDelayedUntil
 }
 
-// Suspected reports whether a sender found the endpoint down, and no dispute is on.
+// Suspected reports whether any sender found the endpoint down and the reports are not disputed.
 func (h *Health) Suspected(now time.Duration, p Params) bool {
 	reporters, _ := h.FailureReporters(now, p)
 	return reporters > 0 && now >= h.disputedUntil
 }
 
-// NextTrialAt is from when on this sender may make a trial call to the endpoint while it is ejected.
+// NextTrialAt returns the earliest time at which this sender may make a trial call to the endpoint while it is ejected.
 func (h *Health) NextTrialAt() time.Duration { return max(h.nextTrial, h.recoveryDelayedUntil) }
 
-// Contradicted reports whether calls of others were served where this sender's failed.
+// Contradicted reports whether calls of other senders were served after calls of this sender failed.
 func (h *Health) Contradicted(now time.Duration, p Params) bool {
 	return h.isContradicted(Self, now, p)
 }
 
-// Disputed reports whether some senders find the endpoint down while others are served, or it comes and goes.
+// Disputed reports whether the reports of the senders disagree, because calls of some senders fail while those of
+// others are served, or because the endpoint fails intermittently.
 func (h *Health) Disputed(now time.Duration) bool { return now < h.disputedUntil }
 
-// Failed takes that a call of this sender's failed, with a draw from 0 to 1. It reports whether to gossip it: while
-// that is news to the fleet, and after each trial call.
+// Failed records that a call of this sender failed. draw is a random number in [0, 1). It reports whether to gossip the
+// failure, which is the case if it is new to the fleet, and after each trial call.
 func (h *Health) Failed(now time.Duration, p Params, draw float64) (gossip bool) {
 	reporters, own := h.FailureReporters(now, p)
 	last, known := h.LatestFailure()
@@ -168,8 +169,8 @@
 	return now >= h.disputedUntil && (reporters < minReporters && !own || !known || now-last >= p.TrialInterval/2)
 }
 
-// Served takes that a call of this sender's was served. It reports whether to gossip it: where others found the
-// endpoint down.
+// Served records that a call of this sender was served. It reports whether to gossip that, which is the case if other
+// senders found the endpoint down.
 func (h *Health) Served(now time.Duration, p Params) (gossip bool) {
 	reporters, own := h.FailureReporters(now, p)
 	h.Add(Report{Self, now, true})
@@ -178,8 +179,8 @@
 	return reporters >= minReporters || reporters > 0 && !own
 }
 
-// Merge takes a peer's report, with a draw from 0 to 1. It returns whether the report ends what this sender found
-// itself, and whether the endpoint was ejected and is no more.
+// Merge merges the report of a peer. draw is a random number in [0, 1). ownSuperseded reports whether the report
+// supersedes a failure that this sender observed itself, and recovered whether it ended the ejection of the endpoint.
 func (h *Health) Merge(now time.Duration, r Report, p Params, draw float64) (ownSuperseded, recovered bool) {
 	if !r.Up {
 		h.mergeFailure(now, r, p, draw)
@@ -193,18 +194,20 @@
 		if failure.At > r.At || now-failure.At >= p.ReportTTL {
 			continue
 		}
-		// A report alone must not send this sender to a failing endpoint again and again.
+		// A recent failure of this sender is not superseded. Otherwise reports of peers would make it call an endpoint
+		// again and again that keeps failing for this sender.
 		ownSuperseded = ownSuperseded || failure.Peer == Self && r.At-failure.At >= p.TrialInterval/2
 		h.contradict(now, failure.Peer, p)
 	}
-	if recovered = ejected && h.failureCount == 0; recovered { // the whole fleet hears of it at once
+	if recovered = ejected && h.failureCount == 0; recovered {
+		// The whole fleet receives the report at the same time, so senders resume calls after different delays.
 		h.recoveryDelayedUntil = now + time.Duration(draw*float64(p.RecoverySpread))
 	}
 	return ownSuperseded, recovered
 }
 
-// mergeFailure merges a failure and reports whether it was news. One of a sender that was contradicted lately counts
-// for that sender alone.
+// mergeFailure merges a failure and reports whether it changed the evidence. A failure of a recently contradicted
+// sender is ignored, because it only concerns that sender.
 func (h *Health) mergeFailure(now time.Duration, r Report, p Params, draw float64) bool {
 	if h.isContradicted(r.Peer, now, p) {
 		h.contradict(now, r.Peer, p)
@@ -217,7 +220,7 @@
 	return true
 }
 
-// isContradicted reports whether a sender was contradicted lately.
+// isContradicted reports whether a sender was contradicted within the last ReportTTL.
 func (h *Health) isContradicted(peer int, now time.Duration, p Params) bool {
 	for _, r := range h.contradicted[:h.contradictedCount] {
 		if r.Peer == peer && now-r.At < p.ReportTTL {
@@ -227,7 +230,7 @@
 	return false
 }
 
-// contradict remembers that a sender was contradicted. Where there are too many of them the endpoint is in dispute.
+// contradict records that a sender was contradicted. If too many senders are, the endpoint becomes disputed.
 func (h *Health) contradict(now time.Duration, peer int, p Params) {
 	h.removeContradicted(peer)
 	for h.contradictedCount > 0 && now-h.contradicted[0].At >= p.ReportTTL {
@@ -251,14 +254,14 @@
 	}
 }
 
-// RateLimiter bounds what one sender gossips of endpoints, so that the whole fleet stays within its rate at any size.
-// The zero value is ready for use.
+// RateLimiter limits the reports that one sender gossips, so that the whole fleet stays within fleetGossipRate at any
+// size. The zero value is ready for use.
 type RateLimiter struct {
 	spent     float64 // reports that count against the burst
 	updatedAt time.Duration
 }
 
-// Allow reports whether one more report may be gossiped now, and counts it if so.
+// Allow reports whether another report may be gossiped now, and counts it if so.
 func (l *RateLimiter) Allow(now time.Duration, p Params) bool {
 	l.spent = max(0, l.spent-(now-l.updatedAt).Seconds()*fleetGossipRate/float64(p.FleetSize))
 	if l.updatedAt = now; l.spent > gossipBurst-1 {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,5 +1,6 @@
-// Package gossip encodes what senders tell one another of targets as datagrams. It owns their form on the wire, and
-// neither sends them nor acts on them: an observation says what one sender saw, and how long ago; it orders nothing.
+// Package gossip encodes and decodes the datagrams with which senders exchange observations of targets. It defines
+// their wire format, and neither sends datagrams nor acts on them. An observation states what one sender observed and
+// how long ago; it is not an instruction to the receiver.
 package gossip
 
 import (
@@ -15,35 +16,36 @@
 // MaxSize is the size of the largest datagram in bytes.
 const MaxSize = 256
 
-// The form of a datagram: the version, then the observations of four bytes of EndpointHash (little-endian), one of Kind
-// and one of Age each.
+// A datagram has one byte with the version, followed by the observations. Each observation has four bytes with
+// EndpointHash (little-endian), one byte with Kind and one byte with Age.
 const (
 	version         = 1
 	headerSize      = 1
 	observationSize = 6
 	ageUnit         = 10 * time.Millisecond
-	maxAge          = 255 * ageUnit // older observations are told as this old
+	maxAge          = 255 * ageUnit // larger ages are encoded as maxAge
 )
 
-// MaxObservations is the number of observations that one datagram holds.
+// MaxObservations is the maximum number of observations in a datagram.
 const MaxObservations = (MaxSize - headerSize) / observationSize
 
-// Observation is what one sender saw of one target, under a name that is the same at all senders.
+// Observation is what one sender observed of one target. The target is identified by a hash of its ID, which is the
+// same for all senders.
 type Observation struct {
-	EndpointHash uint32 // HashID of the target's id
+	EndpointHash uint32 // HashID of the target's ID
 	Kind         control.ObservationKind
-	Age          time.Duration // since the call that showed it was sent; on the wire in steps of 10 ms up to 2.55 s
+	Age          time.Duration // time since the observed call was sent; encoded in steps of 10 ms up to 2.55 s
 }
 
-// HashID shortens a target's id. Two targets with one hash, one of four billion pairs, would only make senders more
-// careful with the one for the other.
+// HashID returns a 32-bit hash of a target's ID. The hashes of two targets collide with a probability of one in four
+// billion; senders would then apply observations of one to the other as well, which only makes them more cautious.
 func HashID(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return h.Sum32()
 }
 
-// Encode returns a datagram of the first MaxObservations of a list.
+// Encode returns a datagram with the observations, of which it uses at most the first MaxObservations.
 func Encode(observations []Observation) []byte {
 	observations = observations[:min(len(observations), MaxObservations)]
 	datagram := make([]byte, headerSize, headerSize+observationSize*len(observations))
@@ -55,11 +57,11 @@
 	return datagram
 }
 
-// ErrVersion is returned for a datagram of a version that is not known here.
+// ErrVersion is returned for a datagram of an unknown version.
 var ErrVersion = errors.New("gossip: unknown version")
 
-// Decode reads a datagram. Observations of kinds that are not known here are left out, so that senders of a later
-// version can tell more. The error is ErrVersion, or tells that the size is wrong.
+// Decode decodes a datagram. It skips observations of unknown kinds, so that later versions of the sender can add
+// kinds. It returns ErrVersion for an unknown version, and another error if the size is invalid.
 func Decode(datagram []byte) ([]Observation, error) {
 	switch {
 	case len(datagram) < headerSize || len(datagram) > MaxSize:
--- a/internal/protocol/call.go
+++ b/internal/protocol/call.go
@@ -14,42 +14,43 @@
 	"cleathold/internal/state"
 )
 
-// Once a response has begun its rest must come within these. Of a 200 to a single message only the status line matters.
+// Time limits for the remainder of a response after its first byte. servedTailTimeout applies to a 200 response to a
+// single message, of which only the status line matters.
 const (
 	responseTailTimeout = 300 * time.Millisecond
 	servedTailTimeout   = 50 * time.Millisecond
 )
 
-// emptyKeyPlaceholder stands in the frame of a message that has no idempotency key.
+// emptyKeyPlaceholder is written in a batch frame in place of the idempotency key if the message has none.
 const emptyKeyPlaceholder = "-"
 
-// errMalformedResponse tells of a response that came and can't be read.
-var errMalformedResponse = errors.New("response can't be read")
+// errMalformedResponse is returned if a response was received but can't be parsed.
+var errMalformedResponse = errors.New("malformed response")
 
-// A callState is how far a call has come. It leaves callConnecting once, for one of the others.
+// A callState is the state of a call in flight. It changes once, from callConnecting to one of the other states.
 type callState int32
 
 const (
 	callConnecting callState = iota
 	callSending
-	callCanceled // canceled before any byte of it was sent
+	callCanceled // canceled before its first byte was sent
 )
 
-// An inFlightCall is one call under way, on a goroutine of its own.
+// An inFlightCall is a call in flight. It runs on its own goroutine.
 type inFlightCall struct {
 	*Transport
 	call      *state.Call
 	ctx       context.Context
 	cancel    context.CancelFunc
 	startedAt time.Time
-	sentAt    time.Time    // when its first byte was written; zero: not yet
+	sentAt    time.Time    // when writing the request began; zero before that
 	state     atomic.Int32 // a callState
 
-	attempts []*state.Attempt // of the call, those that are sent with it...
-	ended    []bool           // ...and which of them have ended
+	attempts []*state.Attempt // the attempts of the call that are sent
+	ended    []bool           // ended[i] reports whether attempts[i] has ended
 }
 
-// advance leaves callConnecting, unless the call has left it.
+// advance changes the state from callConnecting to next. It reports false if the state has changed before.
 func (f *inFlightCall) advance(next callState) bool {
 	return f.state.CompareAndSwap(int32(callConnecting), int32(next))
 }
@@ -57,7 +58,8 @@
 // run sends the call and waits for its response.
 func (f *inFlightCall) run() {
 	id := f.call.Target.ID
-	// Before the last byte is written nothing has run, whatever went wrong.
+	// The endpoint processes no message of the call before the last byte is written, so any earlier failure means that
+	// none was processed.
 	c, err := f.openConnection()
 	if !f.advance(callSending) {
 		if err == nil {
@@ -77,7 +79,7 @@
 	f.transmit(c)
 }
 
-// transmit sends the call on a connection that is up, and waits for its response.
+// transmit sends the call on an open connection and waits for its response.
 func (f *inFlightCall) transmit(c *bufferedConn) {
 	stop := interruptOnDone(f.ctx, c)
 	if !f.writeRequest(c) {
@@ -88,8 +90,8 @@
 		return
 	}
 	r, err := f.readResponse(c)
-	// The connection first, then the results: with these comes the next call to this endpoint, which should find the
-	// connection idle and the capacity free.
+	// Return the connection before posting the results: the results may trigger the next call to this endpoint, which
+	// should find the connection idle and the capacity free.
 	c.SetReadDeadline(time.Time{})
 	if stop() && err == nil && !r.closes {
 		f.pool.put(f.call.Target.ID, c)
@@ -99,11 +101,11 @@
 	f.endAnswered(r, err)
 }
 
-// openConnection takes an idle connection, or opens one. It may come up late: attempts that must not be sent any more
-// end then as those that got none, and the others wait on.
+// openConnection returns an idle connection from the pool, or dials a new one. Attempts whose send deadline passes
+// while it dials end with control.ConnectFailed; the remaining attempts continue to wait.
 func (f *inFlightCall) openConnection() (*bufferedConn, error) {
 	target := f.call.Target
-	defer f.endOverdue(control.ConnectFailed, sendDeadline) // nothing is sent after its time
+	defer f.endOverdue(control.ConnectFailed, sendDeadline) // no attempt may be sent after its send deadline
 	if c := f.pool.get(target.ID, target.Addr); c != nil {
 		return c, nil
 	}
@@ -132,9 +134,9 @@
 	}
 }
 
-// dropEnded leaves out the attempts that ended before the call is sent, and reports whether any is left.
+// dropEnded removes the attempts that ended before the call is sent, and reports whether any remain.
 func (f *inFlightCall) dropEnded() bool {
-	var live []*state.Attempt // the call's own slice is the loop's
+	var live []*state.Attempt // a new slice, because the event loop owns the one in the call
 	for i, a := range f.attempts {
 		if !f.ended[i] {
 			live = append(live, a)
@@ -144,13 +146,14 @@
 	return len(live) > 0
 }
 
-// writeRequest writes the call, and reports whether its last byte was written: from then on it may have run. An attempt
-// whose time comes in the middle of it ends the whole call: it can't be taken out any more.
+// writeRequest writes the request and reports whether its last byte was written. From then on the endpoint may have
+// processed the call. If the send deadline of any attempt passes during the write, the whole call fails, because a
+// single attempt can't be removed from a partly written request.
 func (f *inFlightCall) writeRequest(c *bufferedConn) bool {
 	head, body := f.encodeRequest()
 	next, _ := f.nextDeadline(sendDeadline)
 	c.SetWriteDeadline(next)
-	if f.ctx.Err() != nil { // it ended while the deadline was moved
+	if f.ctx.Err() != nil { // the context may have ended before SetWriteDeadline, which then overrode the interrupt
 		return false
 	}
 	f.sentAt = time.Now()
@@ -158,7 +161,7 @@
 	return err == nil || n == len(head)+len(body)
 }
 
-// encodeRequest writes a call of one message, or of several as a batch of frames.
+// encodeRequest encodes the head and body of the request: a single message, or a batch of message frames.
 func (f *inFlightCall) encodeRequest() (head, body []byte) {
 	var h bytes.Buffer
 	addr := f.call.Target.Addr
@@ -179,7 +182,7 @@
 	return h.Bytes(), body
 }
 
-// encodeBatch writes each message as a line with id, key and length, and its bytes.
+// encodeBatch encodes each message as a frame: a line with its ID, key and body length, followed by the body.
 func encodeBatch(attempts []*state.Attempt) []byte {
 	var b bytes.Buffer
 	for _, a := range attempts {
@@ -194,7 +197,7 @@
 	return b.Bytes()
 }
 
-// readResponse reads the response to a call that was written.
+// readResponse reads the response to a call whose request was written completely.
 func (f *inFlightCall) readResponse(c *bufferedConn) (response, error) {
 	c.readLimit.N = maxHeaderBytes
 	if err := f.awaitFirstByte(c); err != nil {
@@ -213,18 +216,18 @@
 	return r, err
 }
 
-// statusSuffices reports whether a status line is all there is to know of a call.
+// statusSuffices reports whether the status line alone determines the result of the call.
 func (f *inFlightCall) statusSuffices(firstStatus int) bool {
 	return firstStatus == http.StatusOK && len(f.attempts) == 1
 }
 
-// awaitFirstByte waits for the first byte of the response. Attempts whose own deadline comes before that end as timed
-// out, while the others of the call wait on.
+// awaitFirstByte waits for the first byte of the response. Attempts whose deadline passes before that end with
+// control.TimedOut; the remaining attempts of the call continue to wait.
 func (f *inFlightCall) awaitFirstByte(c *bufferedConn) error {
 	for {
 		next, _ := f.nextDeadline(responseDeadline)
 		c.SetReadDeadline(next)
-		if f.ctx.Err() != nil { // it ended while the deadline was moved
+		if f.ctx.Err() != nil { // the context may have ended before SetReadDeadline, which then overrode the interrupt
 			return f.ctx.Err()
 		}
 		_, err := c.reader.Peek(1)
@@ -239,8 +242,8 @@
 	}
 }
 
-// nextDeadline is the earliest deadline of an attempt that waits, if the call itself ends later; the zero time, for
-// none, lifts a connection's deadline.
+// nextDeadline returns the earliest deadline among the attempts that have not ended, if it is before the deadline of
+// the whole call. Otherwise it returns the zero time, which clears a connection's deadline, and false.
 func (f *inFlightCall) nextDeadline(deadline func(*state.Attempt) time.Time) (next time.Time, ok bool) {
 	last, _ := f.ctx.Deadline()
 	for i, a := range f.attempts {
@@ -251,10 +254,10 @@
 	return next, ok
 }
 
-// responseDeadline is how long the response to an attempt that was sent is awaited.
+// responseDeadline returns the time until which to wait for the response to an attempt that was sent.
 func responseDeadline(a *state.Attempt) time.Time { return a.Deadline }
 
-// sendDeadline is the time after which an attempt must not be sent.
+// sendDeadline returns the time after which an attempt must not be sent.
 func sendDeadline(a *state.Attempt) time.Time {
 	if !a.NotAfter.IsZero() && a.NotAfter.Before(a.Deadline) {
 		return a.NotAfter
--- a/internal/protocol/callresult.go
+++ b/internal/protocol/callresult.go
@@ -12,12 +12,13 @@
 	"cleathold/internal/state"
 )
 
-// endAll ends every attempt that has not ended yet in the same way.
+// endAll ends every attempt that has not ended yet with the same result.
 func (f *inFlightCall) endAll(r control.Result) {
 	f.endEach(func(*state.Attempt) (state.AttemptResult, bool) { return state.AttemptResult{Result: r}, true })
 }
 
-// endEach posts the results of the attempts that have not ended and for which there is one.
+// endEach calls result for every attempt that has not ended, and ends those for which it returns true. It posts their
+// results as one event.
 func (f *inFlightCall) endEach(result func(a *state.Attempt) (state.AttemptResult, bool)) {
 	var results []state.AttemptResult
 	for i, a := range f.attempts {
@@ -35,7 +36,7 @@
 	}
 }
 
-// endOverdue ends the attempts whose deadline has come.
+// endOverdue ends the attempts whose deadline has passed.
 func (f *inFlightCall) endOverdue(r control.Result, deadline func(*state.Attempt) time.Time) {
 	now := time.Now()
 	f.endEach(func(a *state.Attempt) (state.AttemptResult, bool) {
@@ -43,12 +44,12 @@
 	})
 }
 
-// endUnanswered ends the attempts of a call that may have run and got no response.
+// endUnanswered ends the attempts of a call that the endpoint may have processed without a usable response.
 func (f *inFlightCall) endUnanswered(err error) {
 	last, _ := f.ctx.Deadline()
 	switch {
 	case errors.Is(err, errMalformedResponse):
-		f.endAll(control.Failed) // the endpoint is there, and what it did is not known
+		f.endAll(control.Failed) // the endpoint is reachable, but whether it processed the call is unknown
 	case f.ctx.Err() == nil && !errors.Is(err, os.ErrDeadlineExceeded):
 		f.endAll(control.ConnectionLost)
 	case time.Now().Before(last):
@@ -58,8 +59,9 @@
 	}
 }
 
-// resultBeforeSent is the result of a call that was broken off before its last byte was written. It has not run. What
-// the endpoint has answered by then may tell that it rejects calls, and a Retry-After that binds.
+// resultBeforeSent returns the result of a call whose request could not be written completely, so that the endpoint
+// has not processed it. The endpoint may already have sent a response that rejects the call; its Retry-After must be
+// honored.
 func (f *inFlightCall) resultBeforeSent(c *bufferedConn) state.AttemptResult {
 	failed := state.AttemptResult{Result: control.ConnectFailed}
 	if f.ctx.Err() != nil {
@@ -75,8 +77,8 @@
 	return resultOfResponse(r)
 }
 
-// endAnswered ends the attempts of a call by its response. The status line of a 200 is enough for a single message; all
-// else must have come complete.
+// endAnswered ends the attempts of a call according to its response. For a single message the status line of a 200 is
+// sufficient; any other response must be complete.
 func (f *inFlightCall) endAnswered(r response, err error) {
 	if f.statusSuffices(r.firstStatus) {
 		r.status, err = http.StatusOK, nil
@@ -87,7 +89,8 @@
 	}
 	common := resultOfResponse(r)
 	if common.Result == control.Unprocessable {
-		f.log.Error("call unprocessable", "endpoint", f.call.Target.ID, "status", r.status, "count", len(f.attempts))
+		f.log.Error("endpoint rejected the call as invalid",
+			"endpoint", f.call.Target.ID, "status", r.status, "count", len(f.attempts))
 	}
 	if r.status != http.StatusOK || len(f.attempts) == 1 {
 		f.endEach(func(*state.Attempt) (state.AttemptResult, bool) { return common, true })
@@ -107,7 +110,7 @@
 	})
 }
 
-// resultOfStatus is what a status tells of a call.
+// resultOfStatus returns the result of a call with this response status.
 func resultOfStatus(status int) control.Result {
 	switch status {
 	case http.StatusOK:
@@ -124,7 +127,7 @@
 	return control.Unknown
 }
 
-// resultOfResponse is what a response tells of all messages of a call.
+// resultOfResponse returns the result that a response gives for all messages of a call.
 func resultOfResponse(r response) state.AttemptResult {
 	result := state.AttemptResult{
 		Result: resultOfStatus(r.status),
@@ -134,15 +137,16 @@
 	if r.header.Get("X-Over-Slots") == "1" {
 		result.Result, result.NoSlot = control.NotSent, true
 	}
-	// An endpoint that rejects a call above its limit keeps the connection for the next. One that closes it has no
-	// capacity for connections: that is over as soon as another is closed, and tells nothing of the limit.
+	// An endpoint that rejects a call above its limit keeps the connection open for the next call. If it closes the
+	// connection, it has too many connections. That ends as soon as another one is closed, and says nothing about the
+	// limit.
 	if result.Result == control.Rejected && r.closes && result.RetryAfter == 0 {
 		result.Result = control.ConnectionRejected
 	}
 	return result
 }
 
-// batchResultsByWord are the words for a message's result in the response to a batch.
+// batchResultsByWord maps the words in the response to a batch to the results of its messages.
 var batchResultsByWord = map[string]state.AttemptResult{
 	"delivered": {Result: control.Served, Final: true},
 	"failed":    {Result: control.Failed},
@@ -151,8 +155,8 @@
 	"spent":     {Result: control.NotSent},
 }
 
-// parseBatchResults reads the lines with each message's result. Where one can't be read or names a message twice it returns
-// nil: the others are not to be believed either.
+// parseBatchResults parses the response to a batch, which has one line with the result of each message. It returns nil
+// if any line is malformed or names a message twice, because the other lines can't be trusted then.
 func parseBatchResults(body []byte) map[string]state.AttemptResult {
 	results := map[string]state.AttemptResult{}
 	for line := range bytes.Lines(body) {
--- a/internal/protocol/clientconn.go
+++ b/internal/protocol/clientconn.go
@@ -9,56 +9,56 @@
 )
 
 const (
-	idleTimeout     = 2500 * time.Millisecond // how long a connection may wait for another request
-	readTimeout     = 2 * time.Second         // a request must be read within this; the first one from the accept on
-	responseTimeout = 300 * time.Millisecond  // ...and answered within this: clients wait 400 ms
-	closeGrace      = 20 * time.Millisecond   // a connection that is to end: a request on its way still gets its response
+	idleTimeout     = 2500 * time.Millisecond // maximum wait for another request on a connection
+	readTimeout     = 2 * time.Second         // maximum time to read a request; for the first one since the accept
+	responseTimeout = 300 * time.Millisecond  // maximum time to respond to a request; clients wait 400 ms
+	closeGrace      = 20 * time.Millisecond   // wait before a close for a request that is already in transit
 
-	lingerTimeout      = 500 * time.Millisecond // how long input is discarded after a half-close...
-	shortLingerTimeout = 5 * time.Millisecond   // ...and where too many linger
+	lingerTimeout      = 500 * time.Millisecond // how long input is discarded after a half-close
+	shortLingerTimeout = 5 * time.Millisecond   // the same if too many connections are lingering
 )
 
-// A connState is what a client's connection is doing. Its changes go through Listener.setState.
+// A connState is the state of a client connection. Listener.setState makes all transitions.
 type connState int
 
 const (
-	connNew       connState = iota // accepted, waits for its first request
-	connIdle                       // waits for another request
-	connDraining                   // is to end, unless a request is on its way
+	connNew       connState = iota // accepted, waiting for the first request
+	connIdle                       // waiting for another request
+	connDraining                   // closes unless a request is already in transit
 	connActive                     // a request is being read or answered
-	connEvicted                    // chosen to make room; a request that came in that instant is still served, as the last
-	connLingering                  // half-closed: input is discarded until the close; the last state
+	connEvicted                    // closes to free its slot; a request that has just arrived is still served, as the last
+	connLingering                  // half-closed, input is discarded until the close; final state
 )
 
 func (s connState) String() string {
 	return [...]string{"new", "idle", "draining", "active", "evicted", "lingering"}[s]
 }
 
-// waiting reports whether a connection waits for a request and may be evicted or drained.
+// waiting reports whether a connection in this state waits for a request and may be evicted or drained.
 func (s connState) waiting() bool { return s == connNew || s == connIdle || s == connDraining }
 
-// A clientConn is one client's connection.
+// A clientConn is a connection accepted from a client.
 type clientConn struct {
 	*bufferedConn
 
-	// Under the listener's mutex.
+	// Guarded by the listener's mutex.
 	state           connState
-	used            bool      // it has had a request
-	evictionChecked bool      // it had input pending when it was to be evicted, since it waits
-	waitingSince    time.Time // for a request
-
-	// Of the goroutine that serves it.
-	lastRequest  bool  // the request that it reads is the last
-	responseOwed bool  // a request was read, or a part of one, and has no response
-	err          error // why that is so, if it is
+	used            bool      // at least one request was received
+	evictionChecked bool      // already considered for eviction during the present wait
+	waitingSince    time.Time // when the wait for a request began
+
+	// Used only by the goroutine that serves the connection.
+	lastRequest  bool  // the connection closes after the request being read
+	responseOwed bool  // a request was received at least in part, and has no response yet
+	err          error // the error that prevented the response
 }
 
 func newClientConn(conn net.Conn) *clientConn {
 	return &clientConn{bufferedConn: newBufferedConn(conn), waitingSince: time.Now()}
 }
 
-// setState has a connection enter a state, and sets how long it may be in it. Its caller holds the listener's mutex,
-// and is the goroutine that serves the connection for each state but connEvicted and connDraining.
+// setState moves a connection to a state and sets the deadline that applies in it. The caller must hold the listener's
+// mutex. Only connEvicted and connDraining may be set by goroutines other than the one serving the connection.
 func (l *Listener) setState(c *clientConn, next connState) {
 	now := time.Now()
 	switch next {
@@ -88,24 +88,24 @@
 	c.state = next
 }
 
-// readDeadline is when a request that began to come now must have been read. A client that connects and sends no whole
-// request is not waited for any longer than one that sends nothing.
+// readDeadline returns the time by which a request whose first byte has arrived now must have been read. The wait for a
+// client that sends only a part of its first request is no longer than for one that sends nothing.
 func (c *clientConn) readDeadline(now time.Time) time.Time {
 	if c.used {
 		return now.Add(readTimeout)
 	}
 	deadline := c.waitingSince.Add(readTimeout)
-	if earliest := now.Add(responseTimeout); deadline.Before(earliest) { // its first byte came in the last instant
+	if earliest := now.Add(responseTimeout); deadline.Before(earliest) { // the first byte came just before the deadline
 		return earliest
 	}
 	return deadline
 }
 
-// enterWaiting has a connection wait for a request, in the state that follows from what the listener is doing.
+// enterWaiting moves a connection to the waiting state that the state of the listener requires.
 func (l *Listener) enterWaiting(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.state == connEvicted { // between its accept and now
+	if c.state == connEvicted { // evicted right after its accept
 		return
 	}
 	c.evictionChecked, c.waitingSince = false, time.Now()
@@ -119,14 +119,15 @@
 	}
 }
 
-// activate has a connection read and answer a request whose first byte is there.
+// activate moves a connection to connActive once the first byte of a request has arrived.
 func (l *Listener) activate(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.setState(c, connActive)
 }
 
-// evictedBefore reports whether a connection is evicted before another one.
+// evictedBefore reports whether c is evicted before other. Connections that never had a request come first, then those
+// that have waited longest.
 func (c *clientConn) evictedBefore(other *clientConn) bool {
 	if c.used != other.used {
 		return other.used
@@ -134,7 +135,7 @@
 	return c.waitingSince.Before(other.waitingSince)
 }
 
-// closesAfterResponse reports whether a connection is to end after the response under way.
+// closesAfterResponse reports whether a connection must be closed after the current response.
 func (l *Listener) closesAfterResponse(c *clientConn) bool {
 	if c.lastRequest || l.closing.Load() || l.keepAliveDisabled.Load() ||
 		l.slotAwaited.Load() || l.drainedSince.Load() != nil {
@@ -145,7 +146,7 @@
 	return l.usedConns > l.maxKeepAlive
 }
 
-// serveConn serves one connection, one request after another, and closes it.
+// serveConn serves the requests on a connection one after another, and then closes it.
 func (l *Listener) serveConn(c *clientConn) {
 	defer l.serving.Done()
 	for l.awaitRequest(c) {
@@ -158,15 +159,15 @@
 	}
 	if c.responseOwed {
 		l.counters.unanswered.Add(1)
-		if !errors.Is(c.err, io.ErrUnexpectedEOF) { // the client did not leave in the middle of its request
-			l.log.Info("request unanswered", "client", c.RemoteAddr().String(), "err", c.err)
+		if !errors.Is(c.err, io.ErrUnexpectedEOF) { // the client did not disconnect in the middle of its request
+			l.log.Info("connection ended before the request was answered", "client", c.RemoteAddr().String(), "err", c.err)
 		}
 	}
 	l.closeConn(c)
 }
 
-// awaitRequest waits for the first byte of a request. Whoever wants the connection to end moves its deadline; a request
-// that came in that instant still gets its response, as the last.
+// awaitRequest waits for the first byte of a request and reports whether one arrived. Eviction and draining interrupt
+// the wait by setting the read deadline; a request that arrives at the same time is still answered, as the last one.
 func (l *Listener) awaitRequest(c *clientConn) bool {
 	l.enterWaiting(c)
 	c.readLimit.N = maxHeaderBytes
@@ -179,7 +180,8 @@
 	return err == nil
 }
 
-// closeConn closes a connection gracefully. Its slot is free at once, unless too many linger.
+// closeConn closes a connection gracefully. It frees the serving slot at once, unless too many connections are
+// lingering already.
 func (l *Listener) closeConn(c *clientConn) {
 	l.mu.Lock()
 	l.setState(c, connLingering)
--- a/internal/protocol/conn.go
+++ b/internal/protocol/conn.go
@@ -11,20 +11,20 @@
 	"cleathold/internal/state"
 )
 
-// maxLingerBytes is the most that is read of a connection between its half-close and its close.
+// maxLingerBytes is the maximum number of bytes discarded from a connection between its half-close and its close.
 const maxLingerBytes = 16 * state.MaxBody
 
-// pastDeadline is a deadline that ends what waits on a connection at once.
+// pastDeadline is a deadline in the past, which interrupts pending reads and writes on a connection.
 var pastDeadline = time.Unix(1, 0)
 
-// A bufferedConn is one connection with its read buffer. What it reads is bounded by readLimit, as the HTTP parser sets
-// no limit to headers.
+// A bufferedConn is a connection with a read buffer. readLimit bounds the bytes read, because the HTTP parser doesn't
+// limit the size of headers.
 type bufferedConn struct {
 	net.Conn
 	readLimit *io.LimitedReader
 	reader    *bufio.Reader
-	addr      string    // the address it was dialed for
-	idleSince time.Time // when it was put into a connPool
+	addr      string    // the dialed address
+	idleSince time.Time // when the connection was returned to a connPool
 }
 
 func newBufferedConn(c net.Conn) *bufferedConn {
@@ -32,7 +32,7 @@
 	return &bufferedConn{Conn: c, readLimit: limit, reader: bufio.NewReaderSize(limit, 4<<10)}
 }
 
-// dial opens a connection, within the context's time.
+// dial opens a TCP connection. The context bounds only the dial.
 func dial(ctx context.Context, addr string) (*bufferedConn, error) {
 	conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -43,12 +43,12 @@
 	return c, nil
 }
 
-// stale reports whether the other side has closed an idle connection, or has sent something unsolicited: a request
-// written to it would be lost.
+// stale reports whether the remote side has closed an idle connection or sent unsolicited data. A request written to
+// such a connection would be lost.
 func (c *bufferedConn) stale() bool { return !c.openWithoutInput() || c.reader.Buffered() > 0 }
 
-// openWithoutInput reports whether the connection is open and its socket holds no unread bytes. It takes no lock that a
-// reader holds, and so may be asked while another goroutine waits in Read.
+// openWithoutInput reports whether the connection is open and its socket has no unread bytes. It doesn't take the read
+// lock of the connection, so it may be called while another goroutine is blocked in Read.
 func (c *bufferedConn) openWithoutInput() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -63,8 +63,8 @@
 	return err == nil && open
 }
 
-// closeGracefully half-closes a connection, reads and discards what still comes until a deadline, and closes it. A
-// plain close over unread bytes resets the connection, and the other side loses what it has not read of a response.
+// closeGracefully half-closes a connection, discards its input until the deadline, and closes it. Closing a connection
+// with unread input would reset it, and the remote side would lose the unread part of a response.
 func (c *bufferedConn) closeGracefully(deadline time.Time) {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
 		c.SetReadDeadline(deadline)
@@ -73,8 +73,8 @@
 	c.Close()
 }
 
-// interruptOnDone interrupts reads and writes on a connection when the context ends. stop ends that, and reports
-// whether the connection had not been interrupted.
+// interruptOnDone interrupts reads and writes on a connection when the context is done. The returned function stops
+// that, and reports whether the connection was not interrupted.
 func interruptOnDone(ctx context.Context, c *bufferedConn) (stop func() bool) {
 	c.SetDeadline(time.Time{})
 	return context.AfterFunc(ctx, func() { c.SetDeadline(pastDeadline) })
--- a/internal/protocol/counters.go
+++ b/internal/protocol/counters.go
@@ -6,24 +6,25 @@
 	"sync/atomic"
 )
 
-// Counters count what the listeners of one process do. They may be read and added to from any goroutine.
+// Counters holds the connection and request counters shared by the listeners of a process. It is safe for concurrent
+// use.
 type Counters struct {
 	accepted, acceptFailed, requests, evicted, unanswered atomic.Int64
 
 	responses [http.StatusNetworkAuthenticationRequired + 1]atomic.Int64 // by status
 }
 
-// Counts are the values of Counters since the start of the process.
+// Counts holds the values of Counters, counted since the start of the process.
 type Counts struct {
-	Accepted     int64            `json:"accepted"`      // connections
-	AcceptFailed int64            `json:"accept_failed"` // accepts that the system refused
-	Requests     int64            `json:"requests"`      // of which a first byte came at least
-	Answers      map[string]int64 `json:"answers,omitempty"`
-	Unanswered   int64            `json:"unanswered"` // requests whose connection ended with no complete response
-	Evicted      int64            `json:"evicted"`    // connections that made room for others
+	Accepted     int64            `json:"accepted"`          // accepted connections
+	AcceptFailed int64            `json:"accept_failed"`     // failed accept calls
+	Requests     int64            `json:"requests"`          // requests of which at least one byte arrived
+	Answers      map[string]int64 `json:"answers,omitempty"` // complete responses by status
+	Unanswered   int64            `json:"unanswered"`        // requests whose connection ended before a complete response
+	Evicted      int64            `json:"evicted"`           // idle connections closed to free slots for new ones
 }
 
-// Counts reads the counters, which are not of one instant.
+// Counts returns the current values. It reads them one by one, so they are not a consistent snapshot.
 func (c *Counters) Counts() Counts {
 	counts := Counts{
 		Accepted: c.accepted.Load(), AcceptFailed: c.acceptFailed.Load(), Requests: c.requests.Load(),
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -13,61 +13,63 @@
 )
 
 const (
-	// minPollInterval is too soon for an answer without changes, and less than the time in which the next poll still
-	// continues a watch.
+	// minPollInterval is the minimum time between polls if the response contains no changes. It must be shorter than the
+	// time within which discovery treats the next poll as a continuation of the same watch.
 	minPollInterval = 100 * time.Millisecond
 
-	// minRetryBackoff is waited before a poll whose answer broke off is repeated; doubled up to maxRetryBackoff.
+	// minRetryBackoff is the backoff before the first retry after an incomplete response. It doubles with each retry up to
+	// maxRetryBackoff.
 	minRetryBackoff = 20 * time.Millisecond
 	maxRetryBackoff = 640 * time.Millisecond
 
-	// fleetBackoffFraction of the grace of drains takes the place of minRetryBackoff in a large fleet, and maxFleetBackoff
-	// that of maxRetryBackoff: the answers with a change that all got at one instant may have broken off for all.
+	// A large fleet starts its retries with the backoff DrainGrace * fleetBackoffFraction instead of minRetryBackoff, and
+	// limits it to maxFleetBackoff instead of maxRetryBackoff. Discovery sends a change to all senders at the same time,
+	// so the responses to all of them may be incomplete.
 	fleetBackoffFraction = 0.3
 	maxFleetBackoff      = 2400 * time.Millisecond
 
-	// rejectedBackoffDivisor divides the time over which a fleet spreads its polls into the first backoff after a poll
-	// that was refused.
+	// The first backoff after a rejected poll in a large fleet is PollSpread / rejectedBackoffDivisor.
 	rejectedBackoffDivisor = 4
 
-	// maxUpdateDelayFraction of the grace of drains is the longest delay of a large fleet's sender after a change. A watch
-	// goes on for 200 ms after an answer, in which the sender counts as notified of changes: they must be known before
-	// the grace is over.
+	// maxUpdateDelayFraction is the longest delay after a change in a large fleet, as a fraction of DrainGrace. A watch
+	// continues for 200 ms after a response; the sender counts as notified of changes made in that time, and must
+	// receive them before the drain grace period ends.
 	maxUpdateDelayFraction = 0.4
 
-	// pollOpenDelay is how long a poll has been open when it counts as received: discovery answers 503 where one waited
-	// too long. That delay and this are over before sends would be held back.
+	// pollOpenDelay is the time after which an open poll counts as received by discovery, which responds with 503 to polls
+	// that were queued for too long. The delay after a change plus this time must end before sends would be held back.
 	pollOpenDelay = 900 * time.Millisecond
 )
 
-// DiscoveryConfig is what a client of discovery is built from.
+// DiscoveryConfig is the configuration of a discovery client.
 type DiscoveryConfig struct {
 	Addr  string
 	Names Names
-	// MaxPollInterval bounds how long a poll waits for a change; 0 = it does not.
+	// MaxPollInterval limits how long a poll waits for a change, in addition to maxLongPoll. Zero means no limit.
 	MaxPollInterval time.Duration
-	// PollSpread is the delay, on average, between a change and the next poll. All senders are notified of a change at one
-	// instant, and the next polls of many would come together and keep discovery from all else.
+	// PollSpread is the average delay between a change and the next poll. Discovery notifies all senders of a change at
+	// the same time; without the delay, the next polls of a large fleet would arrive together and overload discovery.
 	PollSpread time.Duration
-	// DrainGrace is the time within which a sender must heed a drain that it was notified of; 0 = unknown.
+	// DrainGrace is the time within which a sender must stop sending to an endpoint after it was notified that the
+	// endpoint drains. Zero means unknown.
 	DrainGrace time.Duration
 	Log        *slog.Logger
 }
 
-// Discovery polls the endpoint list on the goroutine that calls Run, and posts what it hears. Its other methods may be
-// called from any goroutine.
+// Discovery polls the endpoint list on the goroutine that calls Run, and posts list updates and poll failures as
+// events. Its other methods are safe for concurrent use.
 type Discovery struct {
 	DiscoveryConfig
 	events   EventPoster
-	longPoll time.Duration // how long a poll may wait for a change
+	longPoll time.Duration // how long a poll waits for a change
 	requests chan pollRequest
 
 	mu         sync.Mutex
 	addr       string
-	cancelPoll context.CancelFunc // ends the poll under way
+	cancelPoll context.CancelFunc // cancels the current poll
 }
 
-// NewDiscovery returns a client of discovery. It polls nothing before Run.
+// NewDiscovery returns a discovery client. It doesn't poll before Run is called.
 func NewDiscovery(events EventPoster, c DiscoveryConfig) *Discovery {
 	longPoll := maxLongPoll
 	if c.MaxPollInterval > 0 {
@@ -78,25 +80,25 @@
 	}
 }
 
-// Watch begins or ends polling for what is newer than a version.
+// Watch enables or disables continuous polling for changes after the version since.
 func (d *Discovery) Watch(enabled bool, since int64) {
 	d.request(pollRequest{watch: enabled, since: since})
 }
 
-// Fetch polls the full list once.
+// Fetch requests the full list once.
 func (d *Discovery) Fetch() { d.request(pollRequest{fetch: true}) }
 
 func (d *Discovery) request(r pollRequest) {
 	select {
 	case d.requests <- r:
 	default:
-		d.Log.Warn("discovery request dropped: too many at once")
+		d.Log.Warn("discovery request dropped, request queue is full")
 	}
 }
 
-// SetAddress turns to another address, where the full list is polled first, again and again if need be: the sender
-// counts as notified of what it has to tell 4 s later. A poll under way at the old one is canceled, as it may never
-// be answered.
+// SetAddress switches to another address and polls the full list there, with retries: 4 s later the sender counts as
+// notified of the list at the new address. A poll in progress at the old address is canceled, because it may never be
+// answered.
 func (d *Discovery) SetAddress(addr string) {
 	d.mu.Lock()
 	d.addr = addr
@@ -107,7 +109,7 @@
 	d.requests <- pollRequest{watch: true, since: state.NoVersion, uncertainSince: time.Now()}
 }
 
-// beginPoll returns where to poll, and a context that SetAddress ends.
+// beginPoll returns the address to poll, and a context that SetAddress cancels.
 func (d *Discovery) beginPoll(ctx context.Context) (context.Context, context.CancelFunc, string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,8 +117,8 @@
 	return ctx, d.cancelPoll, d.addr
 }
 
-// Run polls as requested until the context ends. A watch goes on with the next poll right after each answer, until one
-// fails: when to poll then is the controller's decision.
+// Run polls as requested until the context is done. A watch polls again after each response until a poll fails. The
+// controller then decides when to poll again.
 func (d *Discovery) Run(ctx context.Context) {
 	client := &httpClient{pacing: readPacing{maxGap: maxAnswerGap, maxDuration: d.maxAnswerTime()}}
 	defer client.close()
@@ -129,15 +131,15 @@
 		update, err := d.poll(pollCtx, client, current)
 		openTimer.Stop()
 		switch {
-		case pollCtx.Err() != nil: // the address changed, also where an answer came in that instant
-			current.watch, current.fetch = false, false // what to poll at the new address is among the requests
+		case pollCtx.Err() != nil: // the address changed; a response that arrived at the same time is ignored
+			current.watch, current.fetch = false, false // SetAddress has queued the request for the new address
 		case err != nil:
 			if current.followsDelay() && time.Since(startedAt) > pollTimeout {
-				current.uncertainSince = time.Time{} // it was received, and ended later
+				current.uncertainSince = time.Time{} // discovery received the poll and ended it later
 			}
 			d.handleFailure(pollCtx, &current, err)
 		case !current.fullList() && update.Version < current.since:
-			d.Log.Warn("discovery list older than the known one, polling the full list",
+			d.Log.Warn("discovery returned an older list version, polling the full list",
 				"since", current.since, "version", update.Version)
 			current.advance(state.NoVersion)
 			sleepUntil(pollCtx, startedAt.Add(minPollInterval))
@@ -148,8 +150,8 @@
 	}
 }
 
-// nextPoll says what to poll now: what is requested anew, else the watch goes on. It waits while nothing is
-// requested, and returns false at the end.
+// nextPoll updates current with the pending requests, or leaves it as is to continue a watch. It blocks while there is
+// nothing to poll, and returns false when the context is done.
 func (d *Discovery) nextPoll(ctx context.Context, current *pollRequest) bool {
 	for ctx.Err() == nil {
 		if current.watch || current.fetch {
@@ -170,8 +172,8 @@
 	return false
 }
 
-// reportPollOpen posts state.PollOpen once a poll after a delay has been open for pollOpenDelay: the list is known
-// then, as what the sender was notified of before the poll would have come by then.
+// reportPollOpen starts a timer that posts state.PollOpen once a poll that follows a delay has been open for
+// pollOpenDelay. The list is up to date then, because discovery would have sent any earlier change by that time.
 func (d *Discovery) reportPollOpen(current pollRequest) *time.Timer {
 	if !current.followsDelay() {
 		return time.NewTimer(time.Hour)
@@ -179,12 +181,12 @@
 	return time.AfterFunc(pollOpenDelay, func() { d.events.Post(state.PollOpen{}) })
 }
 
-// handleUpdate passes an answer on, and delays the next poll where that is called for.
+// handleUpdate posts a list update and waits before the next poll if necessary.
 func (d *Discovery) handleUpdate(
 	ctx context.Context, current *pollRequest, update state.ListUpdate, startedAt time.Time,
 ) {
 	if current.retries > 0 {
-		d.Log.Info("discovery list certain again", "attempt", current.retries, "version", update.Version)
+		d.Log.Info("discovery list up to date again", "attempt", current.retries, "version", update.Version)
 	}
 	if len(update.Targets) > 0 {
 		d.Log.Info("discovery list changed", "version", update.Version, "since", current.since, "count", len(update.Targets),
@@ -200,12 +202,12 @@
 	if delayNextPoll {
 		sleepUntil(ctx, time.Now().Add(d.delayAfterUpdate()))
 	} else if len(update.Targets) == 0 && time.Since(startedAt) < minPollInterval {
-		// A discovery that answers at once must not be flooded.
+		// Don't flood a discovery server that responds without waiting.
 		sleepUntil(ctx, time.Now().Add(minPollInterval))
 	}
 }
 
-// delayAfterUpdate is how long a large fleet's sender waits between a change and its next poll.
+// delayAfterUpdate returns how long a sender of a large fleet waits after a change before its next poll.
 func (d *Discovery) delayAfterUpdate() time.Duration {
 	if d.DrainGrace <= 0 {
 		return d.PollSpread*9/10 + rand.N(d.PollSpread/5)
@@ -213,41 +215,43 @@
 	return rand.N(min(d.PollSpread, time.Duration(maxUpdateDelayFraction*float64(d.DrainGrace))))
 }
 
-// handleFailure deals with a poll that got no answer that can be used: it is repeated here, or is over.
+// handleFailure handles a poll without a usable response. It either prepares a retry or stops polling and reports the
+// failure to the controller.
 func (d *Discovery) handleFailure(ctx context.Context, current *pollRequest, err error) {
 	var broken *brokenAnswerError
 	switch {
 	case errors.As(err, &broken):
-		d.Log.Warn("discovery answer broken off, polling again",
+		d.Log.Warn("discovery response incomplete or malformed, polling again",
 			"err", err, "bytes", len(broken.body), "attempt", current.retries)
 		d.events.Post(state.ListUnreadable{At: broken.startedAt, Departing: parseDraining(broken.body, d.Names)})
 		current.uncertainSince = broken.startedAt
 		d.retryAfterBackoff(ctx, current, err)
 	case !current.uncertainSince.IsZero() &&
 		time.Since(current.uncertainSince) < state.UncertaintyTimeout(d.MaxPollInterval):
-		d.Log.Info("discovery unanswered while the list is uncertain, polling again",
+		d.Log.Info("discovery poll failed while the list may be out of date, polling again",
 			"err", err, "attempt", current.retries)
 		if !current.fullList() {
 			d.events.Post(state.PollFailed{Since: current.uncertainSince})
 		}
 		d.retryAfterBackoff(ctx, current, err)
 	case current.watch && !current.immediate && d.shouldRepollAtOnce(err):
-		d.Log.Info("discovery poll unresponsive or ended, polling again", "err", err)
+		d.Log.Info("discovery poll timed out or its connection was closed, polling again", "err", err)
 		current.immediate = true
 	default:
-		d.Log.Info("discovery failed", "err", err, "since", current.since, "immediate", current.immediate)
+		d.Log.Info("discovery poll failed", "err", err, "since", current.since, "immediate", current.immediate)
 		current.stop()
 		d.events.Post(state.ListUpdate{Kind: control.ListFailed})
 	}
 }
 
-// shouldRepollAtOnce reports whether a watch goes on at once after an error.
+// shouldRepollAtOnce reports whether a watch continues immediately after this error.
 func (d *Discovery) shouldRepollAtOnce(err error) bool {
 	return errors.Is(err, errNoAnswer) || errors.Is(err, errConnectionEnded) && d.PollSpread == 0
 }
 
-// retryAfterBackoff has the next poll be one that does not wait, after a backoff that doubles. A large fleet's sender
-// takes its time, as discovery answers one poll after another, unless this one did not leave the machine.
+// retryAfterBackoff waits for an exponential backoff and makes the next poll an immediate one, which doesn't wait for
+// changes. Senders of a large fleet use a longer backoff, because discovery processes polls one at a time, unless the
+// poll failed on the local machine.
 func (d *Discovery) retryAfterBackoff(ctx context.Context, current *pollRequest, err error) {
 	minBackoff, maxBackoff := minRetryBackoff, maxRetryBackoff
 	var broken *brokenAnswerError
@@ -255,7 +259,7 @@
 	case d.PollSpread == 0 || isLocalError(err):
 	case errors.As(err, &broken) || current.fullList():
 		minBackoff, maxBackoff = max(minBackoff, time.Duration(fleetBackoffFraction*float64(d.DrainGrace))), maxFleetBackoff
-	default: // it may be behind with the polls of all
+	default: // discovery may have a backlog of polls from the whole fleet
 		minBackoff, maxBackoff = max(minBackoff, d.PollSpread/rejectedBackoffDivisor), maxFleetBackoff
 	}
 	backoff := min(minBackoff<<min(current.retries, 10), maxBackoff)
@@ -264,7 +268,7 @@
 	sleepUntil(ctx, time.Now().Add(backoff/2+rand.N(backoff/2)))
 }
 
-// sleepUntil waits until a time or the end of the context.
+// sleepUntil waits until t or until the context is done.
 func sleepUntil(ctx context.Context, t time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, t)
 	defer cancel()
--- a/internal/protocol/gossip.go
+++ b/internal/protocol/gossip.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// maxDatagramsPerSecond bounds how much gossip is read: a flood is left in the socket's buffer, where the kernel drops
-	// what does not fit.
+	// maxDatagramsPerSecond limits the rate at which gossip is read. During a flood the excess stays in the socket buffer,
+	// and the kernel drops what doesn't fit.
 	maxDatagramsPerSecond = 2000
 
-	// gossipReadBackoff is waited after a read that failed.
+	// gossipReadBackoff is the delay after a failed read.
 	gossipReadBackoff = 100 * time.Millisecond
 )
 
-// GossipTransport sends gossip to the peers over UDP, and receives theirs.
+// GossipTransport exchanges gossip with peers over UDP.
 type GossipTransport struct {
 	log        *slog.Logger
 	conn       *net.UDPConn
 	broadcast  netip.AddrPort
-	peerByAddr map[netip.AddrPort]int // the peer's number
+	peerByAddr map[netip.AddrPort]int // peer numbers
 
 	dropped atomic.Int64
 }
 
-// OpenGossip listens for gossip. peers are the addresses of all senders by their numbers, of which this one has the
-// number me, and all is the address that reaches all.
+// OpenGossip listens for gossip. peers holds the addresses of all senders, indexed by sender number; self is the number
+// of this sender. Datagrams sent to the address broadcast reach all senders.
 func OpenGossip(listen, broadcast string, peers []string, self int, log *slog.Logger) (*GossipTransport, error) {
 	g := &GossipTransport{log: log, peerByAddr: map[netip.AddrPort]int{}}
 	var err error
@@ -45,7 +45,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		if i != self { // its own datagrams come back, too
+		if i != self { // broadcasts also reach this sender; leaving it out drops its own datagrams
 			g.peerByAddr[addr] = i
 		}
 	}
@@ -57,19 +57,19 @@
 	return g, err
 }
 
-// SendGossip sends observations to all peers. A datagram that can't be sent is lost, as any may be.
+// SendGossip sends observations to all peers. Send errors are ignored, because UDP delivery is unreliable anyway.
 func (g *GossipTransport) SendGossip(observations []gossip.Observation) {
 	g.conn.WriteToUDPAddrPort(gossip.Encode(observations), g.broadcast)
 }
 
-// Run posts what peers tell as state.GossipReceived until the context ends. Datagrams from strangers, too long, cut
-// short or of another version are counted and dropped.
+// Run posts gossip from peers as state.GossipReceived until the context is done. It counts and drops datagrams that are
+// from unknown addresses, too long, truncated or of another version.
 func (g *GossipTransport) Run(ctx context.Context, events EventPoster) {
 	stop := context.AfterFunc(ctx, func() { g.conn.Close() })
 	defer stop()
 	defer func() {
 		if n := g.dropped.Load(); n > 0 {
-			g.log.Info("gossip dropped", "count", n)
+			g.log.Info("invalid gossip datagrams dropped", "count", n)
 		}
 	}()
 	buf := make([]byte, gossip.MaxSize+1)
--- a/internal/protocol/handler.go
+++ b/internal/protocol/handler.go
@@ -13,10 +13,10 @@
 	"cleathold/internal/state"
 )
 
-// busyRetryAfter is the Retry-After where the loop does not answer, or will not.
+// busyRetryAfter is the Retry-After of a 503 response to a message on which the event loop made no decision.
 const busyRetryAfter = time.Second
 
-// serveRequest reads one request and answers it. It reports whether another may follow.
+// serveRequest reads one request and responds to it. It reports whether the connection may be used for another request.
 func (l *Listener) serveRequest(c *clientConn) bool {
 	r, err := readRequest(c.reader)
 	arrived := time.Now()
@@ -28,7 +28,7 @@
 		}
 		return l.respondError(c, rejected, true)
 	}
-	c.readLimit.N = state.MaxBody + maxHeaderBytes // chunks take more than what they hold
+	c.readLimit.N = state.MaxBody + maxHeaderBytes // leaves room for the overhead of chunked encoding
 	if r.Header.Get("Expect") != "" && r.ContentLength <= state.MaxBody {
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
@@ -36,7 +36,7 @@
 	m, err := parseMessage(r, arrived, settings.names, settings.classes)
 	var rejected *requestError
 	errors.As(err, &rejected)
-	// A body that nobody wanted must not be taken for the next request.
+	// Discard a body that was not read, so that it is not parsed as the next request.
 	unread := m == nil && (rejected == nil || !rejected.closes) && !discardBody(r)
 	closeAfter := r.Close || unread || l.closesAfterResponse(c)
 	switch {
@@ -49,7 +49,7 @@
 	return l.submit(c, m, closeAfter)
 }
 
-// requestErrorOf is what is wrong with a request whose head can't be read; nil if the connection has ended.
+// requestErrorOf returns the error response for a request whose head can't be read, or nil if the connection has ended.
 func (c *clientConn) requestErrorOf(err error) *requestError {
 	var rejected *requestError
 	switch {
@@ -65,19 +65,19 @@
 	return &requestError{http.StatusBadRequest, "malformed request", true}
 }
 
-// isConnectionEnd tells an end of the connection from a request that can't be read.
+// isConnectionEnd reports whether err means that the connection has ended, as opposed to a malformed request.
 func isConnectionEnd(err error) bool {
 	var n net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &n)
 }
 
-// discardBody reads what is left of a request, and reports whether that was all.
+// discardBody discards the rest of a request body, up to a limit, and reports whether its end was reached.
 func discardBody(r *http.Request) bool {
 	_, err := io.CopyN(io.Discard, r.Body, state.MaxBody+1)
 	return err == io.EOF
 }
 
-// respondHealth answers a health check.
+// respondHealth responds to a health check.
 func (l *Listener) respondHealth(c *clientConn, closeAfter bool) bool {
 	switch {
 	case l.closing.Load():
@@ -88,7 +88,7 @@
 	return l.respond(c, http.StatusOK, 0, "ok", closeAfter)
 }
 
-// submit gives a message to the loop and its client the response.
+// submit submits a message to the event loop and sends the client the resulting response.
 func (l *Listener) submit(c *clientConn, m *state.Message, closeAfter bool) bool {
 	if l.rejectsMessages() {
 		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "drained", true)
@@ -104,7 +104,7 @@
 		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", closeAfter)
 	}
 	r, decided := awaitResponse(responses, submitted.Decision, deadline)
-	closeAfter = closeAfter || l.closesAfterResponse(c) // the end may have been asked for meanwhile: the response says so
+	closeAfter = closeAfter || l.closesAfterResponse(c) // a close may have been requested while the message was pending
 	switch {
 	case !decided:
 		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", closeAfter)
@@ -122,8 +122,8 @@
 	return l.respond(c, http.StatusServiceUnavailable, r.RetryAfter, "come again", closeAfter)
 }
 
-// awaitResponse waits for the loop's response to a message until a deadline. Where none has come by then the message is
-// rejected, and can't be accepted any more; one that was accepted in that instant is not rejected.
+// awaitResponse waits until the deadline for the event loop's response to a message. After the deadline it rejects the
+// message, so that the loop can't accept it any more, unless the loop has just accepted it.
 func awaitResponse(
 	responses <-chan state.Response, decision *state.AdmissionDecision, deadline time.Time,
 ) (r state.Response, decided bool) {
@@ -140,17 +140,17 @@
 	return <-responses, true
 }
 
-// respondError answers a request that is rejected unseen by the loop.
+// respondError responds to a request that is rejected without involving the event loop.
 func (l *Listener) respondError(c *clientConn, e *requestError, closeAfter bool) bool {
 	return l.respond(c, e.status, 0, e.text, closeAfter || e.closes)
 }
 
-// respond writes a response and reports whether another request may follow.
+// respond writes a response and reports whether the connection may be used for another request.
 func (l *Listener) respond(c *clientConn, status int, retryAfter time.Duration, text string, closeAfter bool) bool {
 	return l.writeResponse(c, status, retryAfter, text, closeAfter) == nil && !closeAfter
 }
 
-// writeResponse writes a response; the last one on its connection says so.
+// writeResponse writes a response. If closeAfter is set, the response has a Connection: close header.
 func (l *Listener) writeResponse(
 	c *clientConn, status int, retryAfter time.Duration, text string, closeAfter bool,
 ) error {
--- a/internal/protocol/httpclient.go
+++ b/internal/protocol/httpclient.go
@@ -12,31 +12,31 @@
 	"time"
 )
 
-// maxListBytes bounds the body of a response, of which discovery's list is the longest.
+// maxListBytes is the maximum size of a response body. The endpoint list of discovery is the largest response.
 const maxListBytes = 4 << 20
 
-// An httpClient sends one request after another to one address on a connection that it keeps.
+// An httpClient sends requests to one address, one at a time, over a persistent connection.
 type httpClient struct {
 	addr   string
 	conn   *bufferedConn
-	pacing readPacing // of a response that has begun; zero: the request's deadline alone holds
+	pacing readPacing // limits for reading a response; if zero, only the request's deadline applies
 }
 
-// A readPacing bounds a response from its first byte on, whatever the request's deadline is.
+// A readPacing limits the time for reading a response from its first byte on, independently of the request's deadline.
 type readPacing struct {
-	maxGap      time.Duration // between two reads that bring something
-	maxDuration time.Duration // of the whole response
+	maxGap      time.Duration // maximum time between two reads that return data
+	maxDuration time.Duration // maximum time for the whole response
 }
 
-// An exchange is the response to a request, as far as it came.
+// An exchange is the part of a response that was received.
 type exchange struct {
 	status    int
 	body      []byte
-	startedAt time.Time // when the first byte of the response came; zero: none did
+	startedAt time.Time // when the first byte of the response arrived; zero if none did
 }
 
-// do sends a request and reads its response, by the deadline. It never sends twice. With an error the exchange tells
-// how much of the response came.
+// do sends a request and reads its response, both by the deadline. It never sends a request twice. If it returns an
+// error, the exchange holds the part of the response that was received.
 func (h *httpClient) do(ctx context.Context, method, path string, body []byte, deadline time.Time) (exchange, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -73,8 +73,7 @@
 	return out.Bytes()
 }
 
-// readResponse reads the response to a request that was sent, and reports whether the connection can't be used any
-// more.
+// readResponse reads the response to a request that was sent. closes reports whether the connection must be closed.
 func (h *httpClient) readResponse(ctx context.Context, method string) (e exchange, closes bool, err error) {
 	c := h.conn
 	c.readLimit.N = maxHeaderBytes + maxListBytes
@@ -93,7 +92,7 @@
 	return e, r.closes, err
 }
 
-// setAddress has the next requests go to another address, if it is one.
+// setAddress sets the address for the following requests. If it differs from the current one, the connection is closed.
 func (h *httpClient) setAddress(addr string) {
 	if h.addr != addr {
 		h.close()
@@ -108,7 +107,7 @@
 	}
 }
 
-// A pacedReader reads a connection within the bounds of a readPacing, and only while its context lasts.
+// A pacedReader reads from a connection within the limits of a readPacing until its context is done.
 type pacedReader struct {
 	ctx      context.Context
 	conn     net.Conn
@@ -116,25 +115,25 @@
 	deadline time.Time
 }
 
-// Read fails with os.ErrDeadlineExceeded after a gap that is too long, or after the deadline.
+// Read returns os.ErrDeadlineExceeded if no data arrives within maxGap, or after the deadline.
 func (r *pacedReader) Read(p []byte) (int, error) {
 	next := time.Now().Add(r.maxGap)
 	if next.After(r.deadline) {
 		next = r.deadline
 	}
 	r.conn.SetReadDeadline(next)
-	if r.ctx.Err() != nil { // it ended while the deadline was moved
+	if r.ctx.Err() != nil { // the context may have ended before SetReadDeadline, which then overrode the interrupt
 		return 0, os.ErrDeadlineExceeded
 	}
 	return r.conn.Read(p)
 }
 
-// localErrors are errors of this machine, which the system reports at once.
+// localErrors are errors caused by the local machine, which system calls return without waiting for the remote side.
 var localErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH,
 }
 
-// isLocalError tells an error of this machine from one of the other side.
+// isLocalError reports whether err was caused by the local machine and not by the remote side.
 func isLocalError(err error) bool {
 	for _, e := range localErrors {
 		if errors.Is(err, e) {
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -9,14 +9,15 @@
 	"cleathold/internal/state"
 )
 
-// ParseList reads discovery's list, or its changes. Any entry without an id makes all of it an error.
+// ParseList parses the endpoint list of discovery, or a list update with the changes. It returns an error if any entry
+// has no id.
 func ParseList(body []byte, n Names) (state.ListUpdate, error) {
 	if !gjson.ValidBytes(body) {
-		return state.ListUpdate{}, errors.New("list: not JSON")
+		return state.ListUpdate{}, errors.New("list: invalid JSON")
 	}
 	list := gjson.ParseBytes(body)
 	if !list.Get("servers").IsArray() || list.Get("version").Type != gjson.Number {
-		return state.ListUpdate{}, errors.New("list: no servers or no version")
+		return state.ListUpdate{}, errors.New("list: servers array or version number is missing")
 	}
 	update := state.ListUpdate{Kind: control.ListDelta, Version: list.Get("version").Int()}
 	if list.Get("full").Bool() {
@@ -25,14 +26,14 @@
 	for _, entry := range list.Get("servers").Array() {
 		t := parseTarget(entry, n)
 		if t.ID == "" {
-			return state.ListUpdate{}, errors.New("list: an entry without id")
+			return state.ListUpdate{}, errors.New("list: entry has no id")
 		}
 		update.Targets = append(update.Targets, t)
 	}
 	return update, nil
 }
 
-// parseTarget reads one entry of a list.
+// parseTarget parses one entry of a list.
 func parseTarget(entry gjson.Result, n Names) state.Target {
 	t := state.Target{ID: entry.Get("id").String(), Addr: entry.Get("addr").String()}
 	t.Destination = int(entry.Get("cell").Int())
@@ -44,13 +45,12 @@
 	case "removed":
 		t.State = control.Removed
 	default:
-		t.State = control.Draining // also a state that is not known here: no new work goes there
+		t.State = control.Draining // an unknown state is treated as draining, so that no new messages are sent there
 	}
 	return t
 }
 
-// parseDraining reads the targets that drain or are removed off the part of a list that came. Entries that are not
-// complete are left out.
+// parseDraining returns the draining and removed targets in a partially received list. It omits incomplete entries.
 func parseDraining(partial []byte, n Names) (draining []state.Target) {
 	gjson.GetBytes(partial, "servers").ForEach(func(_, entry gjson.Result) bool {
 		if !gjson.Valid(entry.Raw) || !entry.IsObject() {
@@ -64,14 +64,14 @@
 	return draining
 }
 
-// isUnchanged reports whether the part of a list that came names, completely, the version that is known already.
+// isUnchanged reports whether a partially received list contains the complete version field and that version is known.
 func isUnchanged(partial []byte, known int64) bool {
 	version := gjson.GetBytes(partial, "version")
 	complete := version.Index+len(version.Raw) < len(partial) // more digits could follow
 	return version.Type == gjson.Number && complete && version.Int() == known
 }
 
-// lookUpNumber is the number of a name; -1 for one that the settings don't have.
+// lookUpNumber returns the number of a name, or -1 if the settings don't contain the name.
 func lookUpNumber(names map[string]int, v gjson.Result) int {
 	if i, known := names[v.String()]; known {
 		return i
--- a/internal/protocol/listener.go
+++ b/internal/protocol/listener.go
@@ -15,63 +15,68 @@
 )
 
 const (
-	lingeringDivisor = 8 // part of the served connections that may linger beside them...
-	minLingering     = 8 // ...but so many at least
+	lingeringDivisor = 8 // one connection may linger for this many served connections
+	minLingering     = 8 // minimum number of connections that may linger
 
-	minAcceptBackoff = 5 * time.Millisecond // after an accept that failed, doubled up to maxAcceptBackoff
+	minAcceptBackoff = 5 * time.Millisecond // backoff after a failed accept, doubled up to maxAcceptBackoff
 	maxAcceptBackoff = 100 * time.Millisecond
 
-	// drainAcceptWindow is how long a drained sender still accepts messages: the clients' balancer notices only then.
+	// drainAcceptWindow is how long a drained sender still accepts messages. The load balancer of the clients needs this
+	// time to notice the failing health check.
 	drainAcceptWindow = time.Second
 )
 
-// EventQueue takes what the listener reads; the loop is one.
+// EventQueue is the interface for submitting messages and posting events. The event loop implements it.
 type EventQueue interface {
 	EventPoster
+	// PostBefore posts an event and reports false if that is not possible before the deadline.
 	PostBefore(event state.Event, deadline time.Time) bool
 }
 
-// KeyClaimer is asked before a message with an idempotency key is accepted: one of that key may wait in the dead-letter
-// queue. False: it is on its way, and the client should retry later.
+// KeyClaimer claims an idempotency key before a message with that key is accepted, because an earlier message with the
+// same key may be in the dead-letter queue.
 type KeyClaimer interface {
+	// ClaimKey reports false if the earlier message is being redelivered, or if the claim fails by the deadline. The
+	// client should retry later then.
 	ClaimKey(class int, key string, deadline time.Time) bool
 }
 
-// Listener accepts the clients' connections and serves their requests. Its methods may be called from any goroutine,
-// the setters before Serve only.
+// Listener accepts client connections and serves their requests. Its methods are safe for concurrent use, except that
+// SetKeyClaimer and SetCounters must be called before Serve.
 type Listener struct {
 	events     EventQueue
 	settings   atomic.Pointer[requestSettings]
 	log        *slog.Logger
 	socket     net.Listener
-	keyClaimer KeyClaimer // nil: keys have no owner besides the loop's table
+	keyClaimer KeyClaimer // nil if only the event loop tracks keys
 	counters   *Counters
 
-	servingSlots chan struct{}  // holds a token for each connection that is served
-	lingerSlots  chan struct{}  // and for each that lingers
-	serving      sync.WaitGroup // connections that are served, and Serve
-	lingering    sync.WaitGroup // connections that linger
+	servingSlots chan struct{}  // holds a token for each connection being served
+	lingerSlots  chan struct{}  // holds a token for each lingering connection
+	serving      sync.WaitGroup // counts the connections being served, and Serve
+	lingering    sync.WaitGroup // counts the lingering connections
 
 	closing           atomic.Bool
-	keepAliveDisabled atomic.Bool               // each connection ends with its next response
-	slotAwaited       atomic.Bool               // a connection waits for a slot, and none could be evicted
-	drainedSince      atomic.Pointer[time.Time] // by the monotonic clock; nil: not drained
+	keepAliveDisabled atomic.Bool               // each connection closes after its next response
+	slotAwaited       atomic.Bool               // a new connection waits for a slot and none could be evicted
+	drainedSince      atomic.Pointer[time.Time] // has a monotonic clock reading; nil if not drained
 
-	maxKeepAlive int // so many connections are kept after a request
+	maxKeepAlive int // maximum number of connections kept open after a request
 
 	mu        sync.Mutex
-	conns     map[*clientConn]struct{}
-	usedConns int // of those, the ones that had a request
+	conns     map[*clientConn]struct{} // connections that are not lingering
+	usedConns int                      // number of conns that had at least one request
 }
 
-// requestSettings are the names that requests may use, and the classes that they number.
+// requestSettings holds the names that requests may use and the classes, which are indexed by class number.
 type requestSettings struct {
 	names   Names
 	classes []control.Class
 }
 
-// Listen opens the listening socket, for most connections at once. Of those that had a request keep are kept for the
-// next one: some clients ask once and never close their connection, and clients may not hold that many.
+// Listen opens the listening socket. At most maxConns connections are served at once, and at most maxKeepAlive of them
+// are kept open after a request: some clients send a single request and never close the connection, and clients have a
+// limit on their own connections.
 func Listen(
 	addr string, events EventQueue, n Names, classes []control.Class, maxConns, maxKeepAlive int, log *slog.Logger,
 ) (*Listener, error) {
@@ -82,7 +87,7 @@
 	return ListenOn(socket, events, n, classes, maxConns, maxKeepAlive, log), nil
 }
 
-// ListenOn is Listen on a socket that another process has opened.
+// ListenOn is like Listen but uses a listening socket that is already open, such as one inherited from another process.
 func ListenOn(
 	socket net.Listener, events EventQueue, n Names, classes []control.Class, maxConns, maxKeepAlive int, log *slog.Logger,
 ) *Listener {
@@ -96,21 +101,22 @@
 	return l
 }
 
-// MaxLingering is how many half-closed connections may linger until their close, beside so many that are served.
+// MaxLingering returns the maximum number of half-closed connections that may linger in addition to the served ones.
 func MaxLingering(served int) int { return max(minLingering, served/lingeringDivisor) }
 
-// SetNames has requests read by other names and classes from now on; also while it serves.
+// SetNames sets the names and classes used to parse requests. It may be called while the listener is serving.
 func (l *Listener) SetNames(n Names, classes []control.Class) {
 	l.settings.Store(&requestSettings{n, classes})
 }
 
-// SetKeyClaimer names the claimer; before Serve.
+// SetKeyClaimer sets the KeyClaimer. It must be called before Serve.
 func (l *Listener) SetKeyClaimer(c KeyClaimer) { l.keyClaimer = c }
 
-// SetCounters has what it does added to counters from now on; before Serve.
+// SetCounters sets the counters that the listener updates. It must be called before Serve.
 func (l *Listener) SetCounters(c *Counters) { l.counters = c }
 
-// File returns the listening socket for another process: connections that wait in its queue outlast Close.
+// File returns a duplicate of the listening socket to pass to another process. Connections in its accept queue are not
+// lost when this listener closes.
 func (l *Listener) File() (*os.File, error) {
 	socket, ok := l.socket.(*net.TCPListener)
 	if !ok {
@@ -119,10 +125,11 @@
 	return socket.File()
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the listener listens on.
 func (l *Listener) Addr() net.Addr { return l.socket.Addr() }
 
-// Serve accepts connections until Close. At their limit the next one waits for a slot, and an idle one is evicted.
+// Serve accepts connections until Close. At the connection limit it evicts an idle connection, and the new one waits
+// for the slot.
 func (l *Listener) Serve() {
 	defer l.serving.Done()
 	backoff := minAcceptBackoff
@@ -134,7 +141,7 @@
 		if err != nil {
 			l.counters.acceptFailed.Add(1)
 			l.log.Warn("accept failed", "err", err)
-			time.Sleep(backoff) // out of descriptors: don't spin
+			time.Sleep(backoff) // avoids a busy loop while the process is out of file descriptors
 			backoff = min(2*backoff, maxAcceptBackoff)
 			continue
 		}
@@ -150,7 +157,7 @@
 	}
 }
 
-// awaitSlot takes a slot for a connection.
+// awaitSlot acquires a serving slot for a new connection, and evicts an idle connection if none is free.
 func (l *Listener) awaitSlot() {
 	select {
 	case l.servingSlots <- struct{}{}:
@@ -161,9 +168,9 @@
 	}
 }
 
-// evictIdle ends the connection that has waited for a request for longest, if no input is pending on it. Those that
-// never had a request come first: some peers connect by hundreds and send nothing, and others should not have to make
-// room for them. Where none can be evicted, the next that has its response ends.
+// evictIdle evicts the connection that has waited longest for a request and has no pending input. Connections that
+// never had a request are evicted first: some clients open hundreds of connections and send nothing, and these should
+// not displace connections in use. If none can be evicted, the next connection that completes a response is closed.
 func (l *Listener) evictIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,22 +194,22 @@
 	}
 }
 
-// DisableKeepAlive ends each connection with its next response. Clients that are told so send nothing more on it,
-// while a plain close could cross a request.
+// DisableKeepAlive closes each connection after its next response. The response announces the close, so the client
+// sends no further request on the connection; closing an idle connection could lose a request in transit.
 func (l *Listener) DisableKeepAlive() { l.keepAliveDisabled.Store(true) }
 
-// Drain sends clients away: health says no, connections end with their next response, idle ones at once, and after
-// drainAcceptWindow messages are rejected. Accepted messages are not touched.
+// Drain makes clients use other senders: health checks fail, idle connections are closed at once and others after their
+// next response, and messages are rejected after drainAcceptWindow. Accepted messages are not affected.
 func (l *Listener) Drain() {
 	if now := time.Now(); l.drainedSince.CompareAndSwap(nil, &now) {
 		l.drainIdle()
 	}
 }
 
-// Activate ends Drain.
+// Activate reverts Drain.
 func (l *Listener) Activate() { l.drainedSince.Store(nil) }
 
-// drainIdle ends connections that wait for a request, unless one is on its way.
+// drainIdle closes connections that wait for a request, unless one is already in transit.
 func (l *Listener) drainIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -213,14 +220,14 @@
 	}
 }
 
-// rejectsMessages reports whether a drained sender accepts no message any more.
+// rejectsMessages reports whether the sender has been drained for longer than drainAcceptWindow.
 func (l *Listener) rejectsMessages() bool {
 	since := l.drainedSince.Load()
 	return since != nil && time.Since(*since) > drainAcceptWindow
 }
 
-// Close ends accepting and idle connections, and lets the others end with the response under way. It waits until no
-// request is served any more, or the deadline. Connections that linger go on: see Wait.
+// Close stops accepting connections, closes idle ones, and closes the others after their current response. It waits
+// until no request is being served, or until the deadline. It doesn't wait for lingering connections; see Wait.
 func (l *Listener) Close(deadline time.Time) {
 	l.closing.Store(true)
 	l.socket.Close()
@@ -228,11 +235,11 @@
 	waitUntil(deadline, &l.serving)
 }
 
-// Wait waits after Close until all connections are closed, or the deadline: the end of the process would reset those
-// that still linger.
+// Wait waits after Close until all lingering connections are closed, or until the deadline. If the process exited
+// earlier, they would be reset.
 func (l *Listener) Wait(deadline time.Time) { waitUntil(deadline, &l.lingering) }
 
-// waitUntil waits for a group until a deadline.
+// waitUntil waits for wg, at most until the deadline.
 func waitUntil(deadline time.Time, wg *sync.WaitGroup) {
 	done := make(chan struct{})
 	go func() { wg.Wait(); close(done) }()
--- a/internal/protocol/poll.go
+++ b/internal/protocol/poll.go
@@ -16,64 +16,67 @@
 const (
 	listPath = "/catalog/members"
 
-	// pollTimeout is how long an answer may take, and how much longer than its wait a poll may.
+	// pollTimeout limits the time to receive a response from its first byte on, and the time that a poll may take in
+	// addition to its long-poll wait.
 	pollTimeout = 1200 * time.Millisecond
 
-	// maxLongPoll is the longest that a poll is asked to wait. One that is unresponsive is noticed that much and
-	// pollTimeout later, and repeated within another pollTimeout: under the 6 s after which the sender counts as notified
-	// of what it missed.
+	// maxLongPoll is the longest wait that a poll requests. An unresponsive poll is detected after maxLongPoll plus
+	// pollTimeout and repeated within another pollTimeout. The sum is less than 6 s, after which the sender counts as
+	// notified of the changes that it missed.
 	maxLongPoll = 3 * time.Second
 
-	// maxAnswerGap is the longest gap within an answer. The sender counts as notified of what discovery has begun to
-	// write, so that an answer which breaks off is polled again long before the grace of drains is over.
+	// maxAnswerGap is the longest pause within a response. The sender counts as notified as soon as discovery begins to
+	// write a response, so an incomplete one must be polled again well before the drain grace period ends.
 	maxAnswerGap = 300 * time.Millisecond
 )
 
 var (
-	// errNoAnswer tells of a poll whose answer did not come in its time.
-	errNoAnswer = errors.New("no complete answer in time")
+	// errNoAnswer is returned for a poll without a complete response before its deadline.
+	errNoAnswer = errors.New("no complete response before the deadline")
 
-	// errConnectionEnded tells of a poll whose connection ended before anything of an answer came.
-	errConnectionEnded = errors.New("the connection ended without an answer")
+	// errConnectionEnded is returned for a poll whose connection ended before the first byte of a response.
+	errConnectionEnded = errors.New("connection ended before a response")
 )
 
-// A brokenAnswerError tells of an answer that began and can't be read, or not to its end. What was in it is not known.
+// A brokenAnswerError is returned for a response that is incomplete or malformed, so that its content is unknown.
 type brokenAnswerError struct {
-	startedAt time.Time // when its first byte came
-	body      []byte    // as far as it came
+	startedAt time.Time // when the first byte arrived
+	body      []byte    // the part of the body that was received
 	cause     error
 }
 
-// Error names the cause.
-func (e *brokenAnswerError) Error() string { return "the answer broke off: " + e.cause.Error() }
+// Error returns a message with the cause.
+func (e *brokenAnswerError) Error() string {
+	return "incomplete or malformed response: " + e.cause.Error()
+}
 
 // Unwrap returns the cause.
 func (e *brokenAnswerError) Unwrap() error { return e.cause }
 
-// A pollRequest is what the controller asks for, and how polling for it went so far.
+// A pollRequest holds what the controller has requested, and the state of polling for it.
 type pollRequest struct {
 	watch, fetch   bool
-	since          int64     // the version that is known
-	immediate      bool      // the poll before was unresponsive or broke off: what it missed is polled without a wait
-	retries        int       // polls that failed since the list became uncertain
-	uncertainSince time.Time // since when there may be changes that are not known; zero: there are none
+	since          int64     // the known list version
+	immediate      bool      // poll without waiting for changes, because the previous poll may have missed some
+	retries        int       // retries since the list became uncertain
+	uncertainSince time.Time // since when there may be unknown changes; zero if there are none
 }
 
-// fullList reports whether the full list is polled, not what has changed.
+// fullList reports whether to poll the full list instead of the changes.
 func (r pollRequest) fullList() bool { return r.fetch || r.since == state.NoVersion }
 
-// followsDelay reports whether this is the poll after a delayed one: once it is open the list is known.
+// followsDelay reports whether this is the first poll after a delay. Once it is open, the list is up to date again.
 func (r pollRequest) followsDelay() bool {
 	return !r.uncertainSince.IsZero() && !r.immediate && !r.fullList()
 }
 
-// stop ends polling: when to poll again is the controller's decision.
+// stop ends polling until the controller requests it again.
 func (r *pollRequest) stop() { *r = pollRequest{since: r.since} }
 
-// advance goes on from an answer that was complete.
+// advance continues a watch from the version of a complete response, and clears the retry state.
 func (r *pollRequest) advance(version int64) { *r = pollRequest{watch: r.watch, since: version} }
 
-// merge adds what is requested; a single fetch leaves a watch as it is.
+// merge adds a new request. A fetch leaves a watch unchanged.
 func (r *pollRequest) merge(next pollRequest) {
 	if next.fetch {
 		r.fetch = true
@@ -82,8 +85,8 @@
 	*r = pollRequest{watch: next.watch, since: next.since, fetch: r.fetch, uncertainSince: next.uncertainSince}
 }
 
-// maxAnswerTime is how long an answer may take from its first byte on. Where that is longer than usual the list
-// counts as uncertain before the grace of drains is over.
+// maxAnswerTime returns the maximum time to receive a response from its first byte on. It ensures that the list counts
+// as uncertain before the drain grace period ends if a response takes unusually long.
 func (d *Discovery) maxAnswerTime() time.Duration {
 	if d.DrainGrace <= 0 {
 		return pollTimeout
@@ -91,8 +94,9 @@
 	return min(pollTimeout, d.DrainGrace/2)
 }
 
-// poll sends one request. Its error is a brokenAnswerError where an answer began, errNoAnswer where none did in time,
-// and errConnectionEnded where a connection that was up ended instead.
+// poll sends one request and parses the response. The error is a brokenAnswerError if the response is incomplete or
+// malformed, errNoAnswer if there was no response by the deadline, and errConnectionEnded if an open connection ended
+// before the response.
 func (d *Discovery) poll(ctx context.Context, client *httpClient, r pollRequest) (state.ListUpdate, error) {
 	path, deadline := listPath, time.Now().Add(pollTimeout)
 	if !r.fullList() {
--- a/internal/protocol/pool.go
+++ b/internal/protocol/pool.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// idleTimeFraction of the time that an endpoint keeps an idle connection is how long it is kept here: a request that
-	// crosses the endpoint's close would be lost.
+	// idleTimeFraction is the time that the pool keeps idle connections, as a fraction of the endpoints' idle timeout. A
+	// request sent while the endpoint closes the connection would be lost.
 	idleTimeFraction = 0.8
 
-	// defaultIdleTimeout is used where the settings don't tell how long endpoints keep an idle connection.
+	// defaultIdleTimeout is used if the settings don't contain the idle timeout of the endpoints.
 	defaultIdleTimeout = 2 * time.Second
 )
 
-// A connPool keeps idle connections to endpoints, by the endpoint's id, the latest used on top.
+// A connPool keeps idle connections to endpoints. For each endpoint ID it is a stack with the most recently used
+// connection on top.
 type connPool struct {
 	maxIdleTime  time.Duration
 	maxIdleConns int
@@ -35,8 +36,8 @@
 	}
 }
 
-// get takes the connection to an endpoint that was used last, if it can be used and leads to the endpoint's present
-// address; nil if there is none.
+// get removes and returns the most recently used connection to an endpoint that is still usable and was dialed for
+// addr. It closes unusable ones, and returns nil if none is left.
 func (p *connPool) get(id, addr string) *bufferedConn {
 	for {
 		c := p.popIdle(id)
@@ -63,7 +64,7 @@
 	return c
 }
 
-// put keeps an idle connection, or closes it if there are too many.
+// put adds an idle connection to the pool, or closes it if the pool is full.
 func (p *connPool) put(id string, c *bufferedConn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// closeStale closes connections that were idle for too long or that the endpoint has closed.
+// closeStale closes connections that have been idle for too long or are stale.
 func (p *connPool) closeStale() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 }
 
-// run closes stale connections until the context ends.
+// run closes stale connections periodically until the context is done.
 func (p *connPool) run(ctx context.Context) {
 	tick := time.NewTicker(max(p.maxIdleTime/20, 50*time.Millisecond))
 	defer tick.Stop()
--- a/internal/protocol/reporter.go
+++ b/internal/protocol/reporter.go
@@ -12,18 +12,19 @@
 	"cleathold/internal/state"
 )
 
-// A delivery report is due 300 ms after its message's time, which bounds the timeouts and the backoff.
+// A delivery report is due 300 ms after the deadline of its message. The timeouts and the backoff must be short enough
+// for that.
 const (
 	reportPath        = "/status"
-	reportTimeout     = 500 * time.Millisecond // of a call with reports, connecting included...
-	reusedConnTimeout = 130 * time.Millisecond // ...and on a connection that has served, which may be dead
-	maxReportBatch    = 256                    // reports in one call
-	minReportBackoff  = 10 * time.Millisecond  // after a failure, doubled up to maxReportBackoff
+	reportTimeout     = 500 * time.Millisecond // for a request with reports, including the connect
+	reusedConnTimeout = 130 * time.Millisecond // for a request on a reused connection, which may be dead
+	maxReportBatch    = 256                    // maximum number of reports in one request
+	minReportBackoff  = 10 * time.Millisecond  // backoff after a failure, doubled up to maxReportBackoff
 	maxReportBackoff  = 40 * time.Millisecond
 )
 
-// Reporter tells the platform of the outcomes of messages, in order, each until it is acknowledged. The loop's table of
-// messages bounds how many wait.
+// Reporter sends delivery reports to the platform in order, and repeats each one until it is acknowledged. The message
+// table of the event loop limits the number of queued reports.
 type Reporter struct {
 	events EventPoster
 	log    *slog.Logger
@@ -34,12 +35,12 @@
 	queue []state.DeliveryReport
 }
 
-// NewReporter returns a reporter to the platform's address. It sends nothing before Run.
+// NewReporter returns a reporter that sends to the platform at addr. It sends nothing before Run is called.
 func NewReporter(events EventPoster, addr string, log *slog.Logger) *Reporter {
 	return &Reporter{events: events, addr: addr, log: log, wake: make(chan struct{}, 1)}
 }
 
-// Report queues a delivery report. state.ReportsAcknowledged is posted once the platform has it.
+// Report queues a delivery report. The reporter posts state.ReportsAcknowledged once the platform has acknowledged it.
 func (r *Reporter) Report(report state.DeliveryReport) {
 	r.mu.Lock()
 	r.queue = append(r.queue, report)
@@ -50,21 +51,21 @@
 	}
 }
 
-// SetAddress sends reports to another address from now on.
+// SetAddress sets the address for the following requests.
 func (r *Reporter) SetAddress(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.addr = addr
 }
 
-// nextBatch returns the reports that go next, and where to.
+// nextBatch returns the reports to send next, and the address to send them to.
 func (r *Reporter) nextBatch() ([]state.DeliveryReport, string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.queue[:min(len(r.queue), maxReportBatch)], r.addr
 }
 
-// acknowledge takes the first reports off the queue and tells the loop.
+// acknowledge removes the first count reports from the queue and posts state.ReportsAcknowledged.
 func (r *Reporter) acknowledge(count int) {
 	r.mu.Lock()
 	numbers := make([]control.MessageID, count)
@@ -76,7 +77,7 @@
 	r.events.Post(state.ReportsAcknowledged{Numbers: numbers})
 }
 
-// Run delivers reports until the context ends.
+// Run sends queued reports until the context is done.
 func (r *Reporter) Run(ctx context.Context) {
 	client := &httpClient{}
 	defer client.close()
@@ -101,24 +102,24 @@
 			backoff, limit = minReportBackoff, maxReportBatch
 			continue
 		case err == nil && e.status == http.StatusBadRequest && len(batch) == 1:
-			// A report that the platform can't read it never will read, and all others would wait behind it.
-			r.log.Error("delivery report unreadable to the platform, dropped", "message", batch[0].ID)
+			// Repeating a report that the platform can't parse would never succeed, and would block all later reports.
+			r.log.Error("delivery report rejected as malformed by the platform, dropping it", "message", batch[0].ID)
 			r.acknowledge(1)
 			continue
 		case err == nil && e.status == http.StatusBadRequest:
-			limit = 1 // find out which one it is
+			limit = 1 // send reports one by one to find the malformed one
 			continue
 		}
 		r.log.Warn("delivery reports not acknowledged", "count", len(batch), "status", e.status, "err", err)
 		if reused && err != nil {
-			continue // at once, on a new connection
+			continue // retry immediately on a new connection
 		}
 		sleepUntil(ctx, time.Now().Add(backoff))
 		backoff = min(2*backoff, maxReportBackoff)
 	}
 }
 
-// reportTimeout is how long the platform's response is awaited.
+// reportTimeout returns the timeout of a request with reports, which is shorter on a reused connection.
 func (h *httpClient) reportTimeout() time.Duration {
 	if h.conn != nil {
 		return reusedConnTimeout
@@ -126,7 +127,7 @@
 	return reportTimeout
 }
 
-// encodeReports writes one JSON object a line.
+// encodeReports encodes reports as one JSON object per line.
 func encodeReports(batch []state.DeliveryReport) []byte {
 	var out []byte
 	for _, report := range batch {
@@ -141,7 +142,7 @@
 				record.RetryAfter = &ms
 			}
 		}
-		encoded, _ := json.Marshal(record) // strings and a number can always be encoded
+		encoded, _ := json.Marshal(record) // can't fail for strings and a number
 		out = append(append(out, encoded...), '\n')
 	}
 	return out
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -15,26 +15,26 @@
 const (
 	healthPath = "/_health"
 
-	// healthCheck takes the place of a class's number where a request is a health check.
+	// healthCheck is returned by classOfRequest instead of a class number if the request is a health check.
 	healthCheck = -1
 
-	// maxDeadline bounds a deadline where the class's own is longer.
+	// maxDeadline is the upper limit for the time until a message's deadline, even if the deadline of its class is longer.
 	maxDeadline = 24 * time.Hour
 )
 
-// Names map the names in the settings to the numbers that package control knows them by.
+// Names maps the names in the settings to the numbers that package control uses for them.
 type Names struct {
 	Classes, Tenants, Zones, Kinds map[string]int
 }
 
-// A requestError is why a request is rejected unseen by the loop, as its client hears it.
+// A requestError is the error response to a request that is rejected without involving the event loop.
 type requestError struct {
 	status int
 	text   string
-	closes bool // where the next request on the connection begins can't be told
+	closes bool // the connection must be closed, because the start of the next request on it is unknown
 }
 
-// Error is the text that the client gets.
+// Error returns the text that is sent to the client.
 func (e *requestError) Error() string { return e.text }
 
 func badRequest(text string) error { return &requestError{status: http.StatusBadRequest, text: text} }
@@ -43,7 +43,8 @@
 	return &requestError{http.StatusRequestEntityTooLarge, "body too large", true}
 }
 
-// parseMessage reads the body of a request and makes a message of it. A nil message without an error is a health check.
+// parseMessage reads the body of a request and returns the message in it. It returns nil without an error for a health
+// check.
 func parseMessage(r *http.Request, arrived time.Time, n Names, classes []control.Class) (*state.Message, error) {
 	if err := validateFraming(r); err != nil {
 		return nil, err
@@ -62,7 +63,7 @@
 	if !validToken(m.ID) {
 		return nil, badRequest("X-Request-Id missing or malformed")
 	}
-	// Without its key a message that is idempotent by key could not be repeated safely.
+	// A message that is idempotent by key can't be retried safely without a key.
 	if m.Key == "" && classes[class].Idempotency == control.IdempotentByKey {
 		return nil, badRequest("Idempotency-Key missing")
 	}
@@ -86,7 +87,7 @@
 	return m, nil
 }
 
-// readRequestBody reads a request's body, of state.MaxBody bytes at most.
+// readRequestBody reads a request body of at most state.MaxBody bytes.
 func readRequestBody(r *http.Request) ([]byte, error) {
 	if r.ContentLength > state.MaxBody {
 		return nil, bodyTooLarge()
@@ -101,9 +102,9 @@
 	return body, nil
 }
 
-// validateFraming wants one length and one value of each header that matters. A body in chunks may come with a
-// Content-Length as well, which the parser drops: where the body ends is then ambiguous, and a request could be
-// smuggled in it. Clients know their lengths, so chunks are rejected.
+// validateFraming rejects requests with chunked encoding or with several values of a header that is used. A chunked
+// request may also have a Content-Length, which the parser drops. The end of the body is ambiguous then, which allows
+// request smuggling. Chunked encoding is rejected in general, as clients know the length of their messages.
 func validateFraming(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// classOfRequest finds the class in the path; healthCheck stands for a health check.
+// classOfRequest returns the class number for the request's path, or healthCheck for a health check.
 func classOfRequest(r *http.Request, n Names) (int, error) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class, known := n.Classes[first]
@@ -136,7 +137,7 @@
 	return 0, &requestError{status: http.StatusNotFound, text: "no such path"}
 }
 
-// parseDestination finds dest among the fields of the addressing header.
+// parseDestination returns the value of the dest field in the X-Addressing header.
 func parseDestination(s string) (int, bool) {
 	for field := range strings.FieldsFuncSeq(s, func(r rune) bool { return r == ',' || r == ';' || r == ' ' }) {
 		if v, found := strings.CutPrefix(field, "dest="); found {
@@ -147,8 +148,8 @@
 	return 0, false
 }
 
-// readRequest reads a request's head. Its error is a requestError for an expectation that can't be met, else the
-// parser's or the connection's.
+// readRequest reads the head of a request. The error is a requestError if the Expect header is not supported, and
+// otherwise comes from the parser or the connection.
 func readRequest(in *bufio.Reader) (*http.Request, error) {
 	r, err := http.ReadRequest(in)
 	if err == nil && r.Header.Get("Expect") != "" && !strings.EqualFold(r.Header.Get("Expect"), "100-continue") {
@@ -157,8 +158,8 @@
 	return r, err
 }
 
-// validToken reports whether a header's value can stand in the frame of a batch: no blanks, no control characters, 1 to
-// 256 bytes.
+// validToken reports whether a header value can be used in a batch frame: it must have 1 to 256 bytes and contain only
+// printable ASCII characters without spaces.
 func validToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] <= ' ' || s[i] >= 0x7f {
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// maxHeaderBytes bounds a request line or status line with its headers.
+// maxHeaderBytes is the maximum size of a request line or status line including the headers.
 const maxHeaderBytes = 16 << 10
 
-// errTooLong tells of a body that is longer than allowed.
-var errTooLong = errors.New("longer than allowed")
+// errTooLong is returned for a body that exceeds the size limit.
+var errTooLong = errors.New("body exceeds the size limit")
 
-// A response is what came back on a connection, as far as it could be read.
+// A response is the part of a response that could be read from a connection.
 type response struct {
-	firstStatus int // of the first line, even if nothing else can be read
-	status      int // of a response whose head can be read
+	firstStatus int // status in the first line, even if nothing else can be read
+	status      int // status of a response whose head can be read
 	header      http.Header
 	body        []byte
-	closes      bool // the connection can't be used any more
+	closes      bool // the connection must be closed
 }
 
-// readResponse reads a response with a body of maxBody bytes at most. Once its first byte is in, the rest must follow
-// by a time that deadline, if it is not nil, tells from the status of the first line (0: not read yet): an endpoint
-// may stop in the middle and keep the connection open.
+// readResponse reads a response with a body of at most maxBody bytes. If deadline is not nil, it sets the read deadline
+// for the rest of the response, given the status in the first line or 0 if that has not been read yet. This handles
+// endpoints that stop in the middle of a response and keep the connection open.
 func (c *bufferedConn) readResponse(
 	method string, maxBody int64, deadline func(firstStatus int) time.Time,
 ) (response, error) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// peekStatus returns the status of the first line without consuming it; 0 if there is none.
+// peekStatus returns the status in the first line without consuming it, or 0 if there is none.
 func (c *bufferedConn) peekStatus() int {
 	for n := 1; n <= c.reader.Size(); n = c.reader.Buffered() + 1 {
 		if _, err := c.reader.Peek(n); err != nil {
@@ -70,7 +70,7 @@
 	return 0
 }
 
-// parseStatusLine returns the status of a status line; 0 if it is none.
+// parseStatusLine returns the status in a status line, or 0 if the line is malformed.
 func parseStatusLine(line string) int {
 	version, rest, _ := strings.Cut(strings.TrimSuffix(line, "\r"), " ")
 	code, _, _ := strings.Cut(rest, " ")
@@ -84,7 +84,7 @@
 	return n
 }
 
-// readBody reads a body of limit bytes at most. Its error is errTooLong if there are more.
+// readBody reads a body of at most limit bytes. It returns errTooLong if the body is longer.
 func readBody(from io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(from, limit+1))
 	if err == nil && int64(len(body)) > limit {
@@ -93,12 +93,12 @@
 	return body, err
 }
 
-// formatSeconds writes a duration in seconds with decimals, as it stands in headers.
+// formatSeconds formats a duration for a header, in seconds with three decimals. Negative durations become 0.
 func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(max(0, d.Seconds()), 'f', 3, 64)
 }
 
-// parseSeconds reads such a header. Only plain decimals count.
+// parseSeconds parses a header value in seconds. It accepts only digits and a decimal point.
 func parseSeconds(s string) (time.Duration, bool) {
 	for _, c := range s {
 		if (c < '0' || c > '9') && c != '.' {
--- a/internal/protocol/transport.go
+++ b/internal/protocol/transport.go
@@ -13,19 +13,19 @@
 	"cleathold/internal/state"
 )
 
-// maxHealthChecks bounds the health checks out at once.
+// maxHealthChecks is the maximum number of concurrent health checks.
 const maxHealthChecks = 32
 
-// EventPoster takes events; the loop is one.
+// EventPoster is the interface for posting events. The event loop implements it.
 type EventPoster interface{ Post(event state.Event) }
 
-// Transport carries calls and health checks to endpoints, each on a goroutine of its own. Its methods may be called
-// from any goroutine; what comes of them is posted.
+// Transport sends calls and health checks to endpoints, each on its own goroutine, and posts their results as events.
+// Its methods are safe for concurrent use.
 type Transport struct {
 	events           EventPoster
 	log              *slog.Logger
 	pool             *connPool
-	healthCheckSlots chan struct{} // holds a token for each health check out
+	healthCheckSlots chan struct{} // holds a token for each health check in progress
 	dial             func(ctx context.Context, addr string) (*bufferedConn, error)
 
 	mu       sync.Mutex
@@ -34,7 +34,8 @@
 
 var _ state.Transport = (*Transport)(nil)
 
-// NewTransport returns a transport whose connections endpoints keep idle for so long, and which keeps most idle ones.
+// NewTransport returns a transport that keeps up to maxIdleConns idle connections for reuse. idleTimeout is the time
+// after which endpoints close an idle connection.
 func NewTransport(events EventPoster, idleTimeout time.Duration, maxIdleConns int, log *slog.Logger) *Transport {
 	return &Transport{
 		events: events, log: log, pool: newConnPool(idleTimeout, maxIdleConns), dial: dial,
@@ -42,11 +43,11 @@
 	}
 }
 
-// Run closes idle connections before their endpoints do, until the context ends.
+// Run closes idle connections before their endpoints close them. It returns when the context is done.
 func (t *Transport) Run(ctx context.Context) { t.pool.run(ctx) }
 
-// Send sends a call and posts state.CallEnded for its attempts, some of which may end before others. The controller
-// bounds how many calls are out.
+// Send sends a call and posts state.CallEnded for its attempts. Attempts of one call may end at different times and
+// are then reported in separate events. The controller limits the number of calls in flight.
 func (t *Transport) Send(c *state.Call) {
 	last := c.Attempts[0].Deadline
 	for _, a := range c.Attempts {
@@ -71,7 +72,7 @@
 	}()
 }
 
-// Cancel abandons a call by closing its connection.
+// Cancel cancels a call in flight and closes its connection.
 func (t *Transport) Cancel(c *state.Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 }
 
-// CancelUnsent ends a call that still waits for its connection; one that is being sent goes on.
+// CancelUnsent cancels a call that is still waiting for a connection. It has no effect once the call is being sent.
 func (t *Transport) CancelUnsent(c *state.Call) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,7 +93,8 @@
 // Disconnect closes the idle connections to an endpoint.
 func (t *Transport) Disconnect(endpoint string) { t.pool.closeIdle(endpoint) }
 
-// HealthCheck asks an endpoint how it is and posts state.HealthChecked, by the deadline.
+// HealthCheck sends a health check to an endpoint and posts state.HealthChecked with the result by the deadline. The
+// result is control.Unknown if maxHealthChecks are already in progress.
 func (t *Transport) HealthCheck(target state.Target, deadline time.Time) {
 	id := target.Endpoint.ID
 	select {
@@ -130,7 +132,7 @@
 	return resultOfStatus(e.status)
 }
 
-// connect takes an idle connection, or opens one.
+// connect returns an idle connection to the target from the pool, or dials a new one.
 func (t *Transport) connect(ctx context.Context, target state.Target) (*bufferedConn, error) {
 	if c := t.pool.get(target.ID, target.Addr); c != nil {
 		return c, nil
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -1,7 +1,7 @@
-// Package reachability is a failure detector for one sender of a large fleet: it estimates whether the sender's peers
-// can be reached, and about how many of them, as what a rejection stands for depends on who else has heard of it. It
-// decides nothing of messages, does no I/O, takes the time as a parameter and makes no random draws. Its design is
-// docs/design/fleet-limits.md.
+// Package reachability implements a failure detector for one sender of a large fleet. It estimates whether the peers of
+// the sender are reachable, and what fraction of them, because the weight of a rejection depends on how many peers
+// receive the gossip about it. The package makes no decisions about messages, does no I/O, takes the time as a
+// parameter and draws no random numbers. docs/design/fleet-limits.md describes the design.
 package reachability
 
 import (
@@ -10,42 +10,44 @@
 )
 
 const (
-	silenceBeforeQuery  = 2 * time.Second        // a sender that has heard nobody for this long sends a query
-	replyTimeout        = 500 * time.Millisecond // it is isolated if nobody has replied in this time
-	meanRepliesPerQuery = 8.0                    // peers that reply to a query in the mean, at any fleet size
-	observationTTL      = 20 * time.Second       // what was heard before is forgotten
-	historySize         = 64                     // observations that are remembered
-	minObservations     = 8                      // with fewer the fraction is not known
-	recentObservations  = 16                     // of so many latest observations...
-	maxRecentPeers      = 9                      // ...from no more than so many peers the fraction is small
-	// An isolated sender repeats its query after this time for each sender of the fleet, so that a whole fleet sends as
-	// many at any size. The first one that is heard when connections work again ends it for all.
+	silenceBeforeQuery  = 2 * time.Second        // time without contact to any peer after which a sender sends a query
+	replyTimeout        = 500 * time.Millisecond // a sender without a reply to its query in this time is isolated
+	meanRepliesPerQuery = 8.0                    // mean number of peers that reply to a query, at any fleet size
+	observationTTL      = 20 * time.Second       // time after which an observation expires
+	historySize         = 64                     // number of observations that are kept
+	minObservations     = 8                      // minimum number of observations for an estimate
+	recentObservations  = 16                     // latest observations checked for a recent drop of the fraction
+	maxRecentPeers      = 9                      // the fraction has dropped if they come from no more peers than this
+	// An isolated sender repeats its query after this interval multiplied by the fleet size, so that the query rate of the
+	// whole fleet doesn't depend on its size. Once connectivity is restored, the first query that arrives ends the
+	// isolation of all senders.
 	queryIntervalPerSender = 50 * time.Millisecond
-	// Senders with more traffic tell more, and hide some of the others, which count as well.
+	// Senders with more traffic gossip more often and make others underrepresented in the history. This factor corrects
+	// the estimate for them.
 	unevenTrafficFactor = 1.3
 )
 
-// Detector is what one sender knows of its peers. The zero value has heard nobody, and sent no query; FleetSize must be
-// set. It is not safe for concurrent use.
+// Detector estimates the reachability of a sender's peers. FleetSize must be set; otherwise the zero value is ready for
+// use. It is not safe for concurrent use.
 type Detector struct {
-	FleetSize int           // senders, this one included
-	QueriedAt time.Duration // the first query since a peer was heard
+	FleetSize int           // number of senders, this one included
+	QueriedAt time.Duration // time of the first query since the last contact with a peer
 
 	lastContactAt          time.Duration
-	nextQuery              time.Duration // no query is sent before this
-	rejectionsSinceContact int           // rejections of its own since a peer was heard
+	nextQuery              time.Duration // earliest time of the next query
+	rejectionsSinceContact int           // rejections of this sender's calls since the last contact with a peer
 	history                [historySize]observation
-	observationCount       int // ever made; the latest is at (observations-1) modulo historySize
+	observationCount       int // total; the latest observation is at index (observationCount-1) % historySize
 	fraction               float64
 }
 
-// An observation is one time that a peer was heard.
+// An observation records the receipt of gossip from a peer.
 type observation struct {
 	peer int
 	at   time.Duration
 }
 
-// RecordPeer takes that a peer was heard.
+// RecordPeer records that gossip from a peer was received.
 func (d *Detector) RecordPeer(now time.Duration, peer int) {
 	d.rejectionsSinceContact, d.lastContactAt, d.nextQuery = 0, now, now
 	d.history[d.observationCount%historySize] = observation{peer, now}
@@ -53,9 +55,9 @@
 	d.fraction = d.estimateFraction(now)
 }
 
-// Rejected takes a rejection of a call of this sender's. It reports whether to tell peers of it, and whether to send a
-// query with that. While no peer is heard it tells ever fewer, as none may hear, and an isolated one only tells with a
-// query.
+// Rejected records that a call of this sender was rejected. It reports whether to gossip the rejection, and whether to
+// send a query along with it. Without contact to peers, rejections are gossiped exponentially less often, because
+// possibly no peer receives them; an isolated sender gossips them only along with a query.
 func (d *Detector) Rejected(now time.Duration) (gossip, query bool) {
 	d.rejectionsSinceContact++
 	gossip = d.rejectionsSinceContact&(d.rejectionsSinceContact-1) == 0
@@ -74,7 +76,8 @@
 	return max(silenceBeforeQuery, time.Duration(d.FleetSize)*queryIntervalPerSender)
 }
 
-// RepeatQuery reports whether an isolated sender sends a query now, though nothing was rejected, and counts it.
+// RepeatQuery reports whether an isolated sender must send a query now although no call was rejected. If so, it
+// schedules the next one.
 func (d *Detector) RepeatQuery(now time.Duration) bool {
 	if !d.Isolated(now) || now < d.nextQuery {
 		return false
@@ -83,19 +86,19 @@
 	return true
 }
 
-// ShouldReply reports whether to reply to a peer's query, by a draw from 0 to 1.
+// ShouldReply reports whether to reply to a peer's query. draw is a random number in [0, 1).
 func (d *Detector) ShouldReply(draw float64) bool {
 	return draw*float64(d.FleetSize) < meanRepliesPerQuery
 }
 
-// Isolated reports whether no peer has replied to a query: peers do not hear of this sender's rejections, nor it of
-// theirs.
+// Isolated reports whether no peer has replied to a query within replyTimeout. This sender and its peers then don't
+// receive each other's gossip about rejections.
 func (d *Detector) Isolated(now time.Duration) bool {
 	return d.lastContactAt < d.QueriedAt && now >= d.QueriedAt+replyTimeout
 }
 
-// ReachableFraction is about the fraction of the fleet that this sender hears, from 0 to 1; it is 1 where nothing
-// speaks against it.
+// ReachableFraction returns the estimated fraction of the fleet from which this sender receives gossip, from 0 to 1. It
+// returns 1 if there is no evidence to the contrary.
 func (d *Detector) ReachableFraction(now time.Duration) float64 {
 	if d.observationCount == 0 || now-d.lastContactAt > observationTTL {
 		return 1
@@ -103,8 +106,8 @@
 	return d.fraction
 }
 
-// estimateFraction estimates the fraction from the number of peers in the history. The latest few observations are enough to
-// show that it has become small, and too few for anything else.
+// estimateFraction estimates the reachable fraction from the number of peers in the history. The recent observations
+// alone suffice to detect that the fraction has become small, but are too few for any other estimate.
 func (d *Detector) estimateFraction(now time.Duration) float64 {
 	count, peers := d.distinctPeers(now, recentObservations)
 	if count == recentObservations && peers <= maxRecentPeers {
@@ -117,7 +120,7 @@
 	return d.fractionFromPeers(count, peers)
 }
 
-// distinctPeers counts the latest observations that are not too old, limit at most, and the peers that made them.
+// distinctPeers counts the latest unexpired observations, at most limit, and the distinct peers among them.
 func (d *Detector) distinctPeers(now time.Duration, limit int) (count, peers int) {
 	seen := [historySize]int{}
 	for i := d.observationCount - 1; i >= 0 && i >= d.observationCount-limit; i-- {
@@ -138,8 +141,8 @@
 	return count, peers
 }
 
-// fractionFromPeers is the fraction of the fleet that count observations from so many peers speak for: of m peers that tell
-// alike, k observations come from m(1-exp(-k/m)) in the mean.
+// fractionFromPeers estimates the reachable fraction of the fleet from the number of distinct peers among count
+// observations. If m peers gossip equally often, k observations come from m(1-exp(-k/m)) distinct peers on average.
 func (d *Detector) fractionFromPeers(count, peers int) float64 {
 	fleet, distinct, m := float64(d.FleetSize), float64(peers), float64(peers)
 	for m < fleet && m*(1-math.Exp(-float64(count)/m)) < distinct-0.5 {
