--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -15,10 +15,10 @@
 func TestGoldenDatagrams(t *testing.T) {
 	var b strings.Builder
 	var all []Observation
-	for what := control.ObservedNothing + 1; what.Known(); what++ {
-		f := Observation{EndpointHash: HashID("target-1"), Kind: what, Age: 130 * time.Millisecond}
-		all = append(all, f)
-		fmt.Fprintf(&b, "%d %x\n", what, Encode([]Observation{f}))
+	for kind := control.ObservedNothing + 1; kind.Known(); kind++ {
+		o := Observation{EndpointHash: HashID("target-1"), Kind: kind, Age: 130 * time.Millisecond}
+		all = append(all, o)
+		fmt.Fprintf(&b, "%d %x\n", kind, Encode([]Observation{o}))
 	}
 	fmt.Fprintf(&b, "all %x\n", Encode(all))
 	golden.Bytes(t, "datagrams.txt", []byte(b.String()), false)
@@ -36,9 +36,9 @@
 	if err != nil || len(observations) != len(all) {
 		t.Fatalf("%d observations, %v", len(observations), err)
 	}
-	for i, f := range observations {
-		if f != all[i] {
-			t.Errorf("read %+v, want %+v", f, all[i])
+	for i, o := range observations {
+		if o != all[i] {
+			t.Errorf("read %+v, want %+v", o, all[i])
 		}
 	}
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -11,7 +11,7 @@
 
 // What is encoded is decoded alike; what cannot be decoded is an error, and kinds of a later version are left out.
 func TestDecode(t *testing.T) {
-	good := Encode([]Observation{{7, control.ObservedRejection, 50 * time.Millisecond},
+	valid := Encode([]Observation{{7, control.ObservedRejection, 50 * time.Millisecond},
 		{8, control.ObservedRejection, time.Hour}})
 	for _, c := range []struct {
 		name         string
@@ -19,20 +19,20 @@
 		observations int
 		fails        bool
 	}{
-		{"as it is", good, 2, false},
-		{"nothing in it", good[:1], 0, false},
+		{"as it is", valid, 2, false},
+		{"nothing in it", valid[:1], 0, false},
 		{"empty", nil, 0, true},
-		{"truncated", good[:9], 0, true},
-		{"another version", append([]byte{9}, good[1:]...), 0, true},
+		{"truncated", valid[:9], 0, true},
+		{"another version", append([]byte{9}, valid[1:]...), 0, true},
 		{"too long", make([]byte, MaxSize+1), 0, true},
-		{"a kind not known", append(bytes.Clone(good), 1, 2, 3, 4, 200, 0), 2, false},
+		{"a kind not known", append(bytes.Clone(valid), 1, 2, 3, 4, 200, 0), 2, false},
 	} {
 		observations, err := Decode(c.in)
 		if len(observations) != c.observations || (err != nil) != c.fails {
 			t.Errorf("%s: %v, %v", c.name, observations, err)
 		}
 	}
-	if observations, _ := Decode(good); observations[1].Age != maxAge ||
+	if observations, _ := Decode(valid); observations[1].Age != maxAge ||
 		observations[0] != (Observation{7, control.ObservedRejection, 50 * time.Millisecond}) {
 		t.Errorf("read as %v", observations)
 	}
@@ -48,9 +48,9 @@
 		if err != nil {
 			return
 		}
-		if again, err := Decode(Encode(observations)); err != nil || len(again) != len(observations) ||
-			len(observations) > 0 && !reflect.DeepEqual(again, observations) {
-			t.Fatalf("%v decoded again as %v, %v", observations, again, err)
+		if decoded, err := Decode(Encode(observations)); err != nil || len(decoded) != len(observations) ||
+			len(observations) > 0 && !reflect.DeepEqual(decoded, observations) {
+			t.Fatalf("%v decoded again as %v, %v", observations, decoded, err)
 		}
 	})
 }
--- a/internal/protocol/batch_test.go
+++ b/internal/protocol/batch_test.go
@@ -12,7 +12,7 @@
 	"cleathold/internal/state"
 )
 
-func TestParseResults(t *testing.T) {
+func TestParseBatchResults(t *testing.T) {
 	got := parseBatchResults([]byte("a delivered\r\nb failed\nc refused\nd over\ne spent\n"))
 	for id, want := range map[string]state.AttemptResult{
 		"a": {Result: control.Served, Final: true}, "b": {Result: control.Failed}, "c": {Result: control.Rejected},
@@ -22,55 +22,55 @@
 			t.Errorf("%s: %+v, want %+v", id, got[id], want)
 		}
 	}
-	for _, spoilt := range []string{"a delivered\nb what\n", "a refused\nnonsense\n", "a refused\na refused\n",
+	for _, malformed := range []string{"a delivered\nb what\n", "a refused\nnonsense\n", "a refused\na refused\n",
 		"a refused\nb deliv"} {
-		if got := parseBatchResults([]byte(spoilt)); len(got) > 0 {
-			t.Errorf("%q: %+v", spoilt, got)
+		if got := parseBatchResults([]byte(malformed)); len(got) > 0 {
+			t.Errorf("%q: %+v", malformed, got)
 		}
 	}
 }
 
-func TestEncodeBodies(t *testing.T) {
+func TestEncodeBatchAndReports(t *testing.T) {
 	body := encodeBatch([]*state.Attempt{
 		{Message: &state.Message{ID: "a", Body: []byte("he\r\nlo")}}, {Message: &state.Message{ID: "b", Key: "k"}},
 	})
 	if want := "a - 6\r\nhe\r\nlo\r\nb k 0\r\n\r\n"; string(body) != want {
 		t.Errorf("frames %q, want %q", body, want)
 	}
-	notices := encodeReports([]state.DeliveryReport{{ID: "a", Deferred: true, RetryAfter: 500 * time.Millisecond},
+	reports := encodeReports([]state.DeliveryReport{{ID: "a", Deferred: true, RetryAfter: 500 * time.Millisecond},
 		{ID: "b"}})
 	want := `{"id":"a","status":"deferred","again_ms":500}` + "\n" + `{"id":"b","status":"undeliverable"}` + "\n"
-	if string(notices) != want {
-		t.Errorf("notices %q, want %q", notices, want)
+	if string(reports) != want {
+		t.Errorf("notices %q, want %q", reports, want)
 	}
 }
 
 // Each message of a batch has a result of its own. One whose deadline comes first ends alone, and the others still
 // get theirs.
 func TestBatchResults(t *testing.T) {
-	p := newEventRecorder()
-	s := NewTransport(p, time.Minute, 8, discardLog)
-	goOn := make(chan struct{})
+	recorder := newEventRecorder()
+	transport := NewTransport(recorder, time.Minute, 8, discardLog)
+	respond := make(chan struct{})
 	addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
 		if r.URL.Path != "/receive-many" || !strings.HasPrefix(body, "a k-a 9\r\nbody of a\r\nb k-b 9\r\n") {
 			t.Errorf("target got %v %q", r, body)
 		}
-		<-goOn
+		<-respond
 		const ends = "a delivered\r\nb refused\r\nc delivered\r\n"
 		return fmt.Sprintf("HTTP/1.1 200 x\r\nRetry-After: 2\r\nContent-Length: %d\r\n\r\n%s", len(ends), ends)
 	})
 	c := callTo(addr, time.Minute, "a", "b", "c")
 	c.Attempts[2].Deadline = time.Now().Add(20 * time.Millisecond)
-	s.Send(c)
-	first := next[state.CallEnded](t, p).Results
+	transport.Send(c)
+	first := next[state.CallEnded](t, recorder).Results
 	if len(first) != 1 || first[0].Attempt != c.Attempts[2] || first[0].Result != control.TimedOut {
 		t.Fatalf("first %+v", first)
 	}
-	close(goOn)
-	then := next[state.CallEnded](t, p).Results
-	if len(then) != 2 || then[0].Result != control.Served || then[1].Result != control.Rejected ||
-		then[1].RetryAfter != 2*time.Second {
-		t.Fatalf("then %+v", then)
+	close(respond)
+	rest := next[state.CallEnded](t, recorder).Results
+	if len(rest) != 2 || rest[0].Result != control.Served || rest[1].Result != control.Rejected ||
+		rest[1].RetryAfter != 2*time.Second {
+		t.Fatalf("then %+v", rest)
 	}
 }
 
@@ -83,12 +83,12 @@
 		socktest.JSON("a delivered\r\na delivered\r\nb delivered\r\n"),
 		socktest.JSON("a deliv\r\nb delivered\r\n"),
 	} {
-		p := newEventRecorder()
-		s := NewTransport(p, time.Minute, 8, discardLog)
-		s.Send(callTo(socktest.Serve(t, func(int, *http.Request, string) string { return answer }), time.Minute, "a", "b"))
-		ends := next[state.CallEnded](t, p).Results
-		if len(ends) != 2 || ends[0].Result != control.Failed || ends[1].Result != control.Failed {
-			t.Errorf("%q: %+v", answer, ends)
+		recorder := newEventRecorder()
+		transport := NewTransport(recorder, time.Minute, 8, discardLog)
+		transport.Send(callTo(socktest.Serve(t, func(int, *http.Request, string) string { return answer }), time.Minute, "a", "b"))
+		results := next[state.CallEnded](t, recorder).Results
+		if len(results) != 2 || results[0].Result != control.Failed || results[1].Result != control.Failed {
+			t.Errorf("%q: %+v", answer, results)
 		}
 	}
 }
--- a/internal/protocol/clientconn_test.go
+++ b/internal/protocol/clientconn_test.go
@@ -6,27 +6,30 @@
 	"time"
 )
 
-// pipeDeadline records the last read deadline.
-type pipeDeadline struct {
+// deadlineConn records the last read deadline.
+type deadlineConn struct {
 	net.Conn
-	read time.Time
+	readDeadline time.Time
 }
 
-func (p *pipeDeadline) SetDeadline(t time.Time) error { p.read = t; return p.Conn.SetDeadline(t) }
-func (p *pipeDeadline) SetReadDeadline(t time.Time) error {
-	p.read = t
+func (p *deadlineConn) SetDeadline(t time.Time) error {
+	p.readDeadline = t
+	return p.Conn.SetDeadline(t)
+}
+func (p *deadlineConn) SetReadDeadline(t time.Time) error {
+	p.readDeadline = t
 	return p.Conn.SetReadDeadline(t)
 }
 
 // The state that a connection waits in and the time that it may wait follow from what the listener is doing.
-func TestConnStateAtRest(t *testing.T) {
+func TestConnStateWhileWaiting(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		used  bool
-		is    connState
-		while func(l *Listener)
-		want  connState
-		limit time.Duration // 0 = the deadline that is set stays
+		name    string
+		used    bool
+		initial connState
+		setUp   func(l *Listener)
+		want    connState
+		limit   time.Duration // 0 = the deadline that is set stays
 	}{
 		{"first request", false, connNew, func(*Listener) {}, connNew, readTimeout},
 		{"another request", true, connActive, func(*Listener) {}, connIdle, idleTimeout},
@@ -39,19 +42,19 @@
 	} {
 		l := ListenOn(nil, nil, testNames, testClasses, 4, 3, discardLog)
 		ours, theirs := net.Pipe()
-		pipe := &pipeDeadline{Conn: ours}
+		pipe := &deadlineConn{Conn: ours}
 		conn := newClientConn(pipe)
-		conn.used, conn.state = c.used, c.is
-		c.while(l)
+		conn.used, conn.state = c.used, c.initial
+		c.setUp(l)
 		before := time.Now()
 		l.enterWaiting(conn)
 		if conn.state != c.want {
 			t.Errorf("%s: %v, want %v", c.name, conn.state, c.want)
 		}
-		if limit := pipe.read.Sub(before); c.limit > 0 && (limit < c.limit || limit > c.limit+time.Since(before)) {
+		if limit := pipe.readDeadline.Sub(before); c.limit > 0 && (limit < c.limit || limit > c.limit+time.Since(before)) {
 			t.Errorf("%s: may wait %v, want %v", c.name, limit, c.limit)
 		}
-		if c.limit == 0 && !pipe.read.IsZero() {
+		if c.limit == 0 && !pipe.readDeadline.IsZero() {
 			t.Errorf("%s: its deadline was moved", c.name)
 		}
 		ours.Close()
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -20,24 +20,24 @@
 // A request that arrives in the instant in which its connection is to end, for whatever reason, gets its complete
 // response, as the last.
 func TestRequestAsConnectionCloses(t *testing.T) {
-	for name, ending := range map[string]func(l *Listener){
+	for name, closeConn := range map[string]func(l *Listener){
 		"its time is over": func(*Listener) {},
 		"drained":          (*Listener).Drain,
 		"stopped":          func(l *Listener) { go l.Close(time.Now().Add(10 * time.Second)) },
 		"makes room":       (*Listener).evictIdle,
 	} {
-		p := newEventRecorder()
-		p.response = state.Response{Accepted: true}
-		reading, there := make(chan struct{}), make(chan struct{})
+		recorder := newEventRecorder()
+		recorder.response = state.Response{Accepted: true}
+		reading, requestSent := make(chan struct{}), make(chan struct{})
 		l, conn := startFaulty(t, &faultyListener{beforeRead: func() error {
 			close(reading)
-			<-there
+			<-requestSent
 			return os.ErrDeadlineExceeded // though the request is there
-		}}, p)
+		}}, recorder)
 		<-reading
-		ending(l)
+		closeConn(l)
 		io.WriteString(conn, submission)
-		close(there)
+		close(requestSent)
 		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || r.StatusCode != 202 || !r.Close {
 			t.Errorf("%s: %+v, %v", name, r, err)
@@ -48,8 +48,8 @@
 // A request that comes between the last check for input and the half-close is not acted on, and its client reads an
 // end, not a reset: it sends the request again on another connection.
 func TestRequestAcrossHalfClose(t *testing.T) {
-	p := newEventRecorder()
-	p.response = state.Response{Accepted: true}
+	recorder := newEventRecorder()
+	recorder.response = state.Response{Accepted: true}
 	var conn net.Conn
 	s := &faultyListener{beforeRead: func() error { return os.ErrDeadlineExceeded }}
 	connected := make(chan struct{})
@@ -57,13 +57,13 @@
 		<-connected
 		io.WriteString(conn, submission)
 	}
-	_, conn = startFaulty(t, s, p)
+	_, conn = startFaulty(t, s, recorder)
 	close(connected)
 	if rest, err := io.ReadAll(conn); err != nil || len(rest) > 0 {
 		t.Errorf("read %q, %v", rest, err)
 	}
-	if len(p.events) > 0 {
-		t.Errorf("acted on: %+v", <-p.events)
+	if len(recorder.events) > 0 {
+		t.Errorf("acted on: %+v", <-recorder.events)
 	}
 }
 
@@ -75,7 +75,7 @@
 	for _, c := range []struct {
 		name, send       string
 		status           int
-		verdict          state.Response
+		response         state.Response
 		disableKeepAlive bool
 	}{
 		{"requests behind the last", last + strings.Repeat(submission, 20), 202, state.Response{Accepted: true}, false},
@@ -89,9 +89,9 @@
 		{"head too large", "GET /_health HTTP/1.1\r\nA: " + flood, 431, state.Response{}, false},
 		{"noise", "what is this\r\n\r\n" + flood, 400, state.Response{}, false},
 	} {
-		p := newEventRecorder()
-		p.response = c.verdict
-		l, conn := startFaulty(t, &faultyListener{}, p)
+		recorder := newEventRecorder()
+		recorder.response = c.response
+		l, conn := startFaulty(t, &faultyListener{}, recorder)
 		if c.disableKeepAlive {
 			l.DisableKeepAlive()
 		}
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := stalledDiscovery{in: make(chan struct{}), on: make(chan struct{})}
+	s := stalledDiscovery{entered: make(chan struct{}), resume: make(chan struct{})}
 	loop.Connect(NewTransport(loop, time.Minute, 8, discardLog), s, s)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -150,11 +150,11 @@
 		}
 		return r.StatusCode
 	}
-	<-s.in
+	<-s.entered
 	if status := send("late"); status != 503 {
 		t.Errorf("while the loop stalls: %d", status)
 	}
-	close(s.on)
+	close(s.resume)
 	if status := send("fresh"); status != 202 {
 		t.Errorf("then: %d", status)
 	}
@@ -191,15 +191,15 @@
 
 // A 202 that can't be written completely is none: its client may resubmit the message, so this one is over.
 func TestPartialResponseWrite(t *testing.T) {
-	p := newEventRecorder()
-	p.response = state.Response{Accepted: true}
+	recorder := newEventRecorder()
+	recorder.response = state.Response{Accepted: true}
 	_, conn := startFaulty(t, &faultyListener{write: func(c *net.TCPConn, b []byte) (int, error) {
 		n, _ := c.Write(b[:len(b)/2])
 		return n, syscall.ECONNRESET
-	}}, p)
+	}}, recorder)
 	io.WriteString(conn, submission)
-	next[state.Submitted](t, p)
-	if a := next[state.ResponseWritten](t, p); a.ID != "i" || a.OK {
+	next[state.Submitted](t, recorder)
+	if a := next[state.ResponseWritten](t, recorder); a.ID != "i" || a.OK {
 		t.Errorf("%+v", a)
 	}
 	if r, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
@@ -210,15 +210,15 @@
 // A close that is asked for while the loop decides is announced with the response, which is the last of its
 // connection.
 func TestCloseWhileResponsePending(t *testing.T) {
-	for name, end := range map[string]func(*Listener){"leaves": (*Listener).DisableKeepAlive,
+	for name, requestClose := range map[string]func(*Listener){"leaves": (*Listener).DisableKeepAlive,
 		"drained": (*Listener).Drain} {
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &hookedRecorder{eventRecorder: newEventRecorder()}
-		l := ListenOn(sock, p, testNames, testClasses, 4, 3, discardLog)
-		p.before = func() { end(l) }
+		recorder := &hookedRecorder{eventRecorder: newEventRecorder()}
+		l := ListenOn(sock, recorder, testNames, testClasses, 4, 3, discardLog)
+		recorder.beforePost = func() { requestClose(l) }
 		go l.Serve()
 		conn, err := net.Dial("tcp", sock.Addr().String())
 		if err != nil {
@@ -242,28 +242,28 @@
 		t.Fatal(err)
 	}
 	defer sock.Close()
-	theirs, err := net.Dial("tcp", sock.Addr().String())
+	clientSide, err := net.Dial("tcp", sock.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { theirs.Close() })
-	ours, err := sock.Accept()
+	t.Cleanup(func() { clientSide.Close() })
+	serverSide, err := sock.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ours.Close() })
-	conn := &deadlineRecorder{TCPConn: ours.(*net.TCPConn)}
-	k := newClientConn(conn)
+	t.Cleanup(func() { serverSide.Close() })
+	conn := &deadlineRecorder{TCPConn: serverSide.(*net.TCPConn)}
+	client := newClientConn(conn)
 	l.mu.Lock()
-	l.conns[k] = struct{}{}
+	l.conns[client] = struct{}{}
 	l.mu.Unlock()
-	return k, conn
+	return client, conn
 }
 
 // While an evicted connection is on its way out, the others stay.
 func TestEvictionEndsOneConnection(t *testing.T) {
 	l := startListener(t, newEventRecorder())
-	k, _ := idleClient(t, l)
+	client, _ := idleClient(t, l)
 	l.evictIdle()
 	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -283,39 +283,39 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k.state != connEvicted {
+	if client.state != connEvicted {
 		t.Error("the idle connection was not chosen")
 	}
-	delete(l.conns, k)
+	delete(l.conns, client)
 }
 
 // An evicted connection whose request was read in that instant is told with its response that it is the last.
-func TestEvictedWithARequest(t *testing.T) {
+func TestEvictedConnectionWithRequest(t *testing.T) {
 	l := startListener(t, newEventRecorder())
-	k, _ := idleClient(t, l)
+	client, _ := idleClient(t, l)
 	l.evictIdle()
-	l.activate(k)
-	if !l.closesAfterResponse(k) {
+	l.activate(client)
+	if !l.closesAfterResponse(client) {
 		t.Error("another request may follow")
 	}
 	l.mu.Lock()
-	l.setState(k, connLingering)
+	l.setState(client, connLingering)
 	l.mu.Unlock()
 }
 
 // A connection that is evicted between its accept and the wait for its first byte ends at once: whoever waits for its
 // slot, and all behind it, would wait for its timeout otherwise.
-func TestEvictedOnAccept(t *testing.T) {
+func TestEvictionAfterAccept(t *testing.T) {
 	l := startListener(t, newEventRecorder())
-	k, conn := idleClient(t, l)
+	client, conn := idleClient(t, l)
 	l.evictIdle()
-	if l.awaitRequest(k) {
+	if l.awaitRequest(client) {
 		t.Error("it waits for a request")
 	}
 	l.mu.Lock()
-	delete(l.conns, k)
+	delete(l.conns, client)
 	l.mu.Unlock()
-	for _, at := range conn.set {
+	for _, at := range conn.deadlines {
 		if at.After(time.Now().Add(-time.Minute)) {
 			t.Errorf("a deadline %v from now was set", time.Until(at))
 		}
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -120,7 +120,7 @@
 // Run polls as requested until the context is done. A watch polls again after each response until a poll fails. The
 // controller then decides when to poll again.
 func (d *Discovery) Run(ctx context.Context) {
-	client := &httpClient{pacing: readPacing{maxGap: maxAnswerGap, maxDuration: d.maxAnswerTime()}}
+	client := &httpClient{pacing: readPacing{maxGap: maxResponseGap, maxDuration: d.maxResponseTime()}}
 	defer client.close()
 	var current pollRequest
 	for d.nextPoll(ctx, &current) {
@@ -218,7 +218,7 @@
 // handleFailure handles a poll without a usable response. It either prepares a retry or stops polling and reports the
 // failure to the controller.
 func (d *Discovery) handleFailure(ctx context.Context, current *pollRequest, err error) {
-	var broken *brokenAnswerError
+	var broken *brokenResponseError
 	switch {
 	case errors.As(err, &broken):
 		d.Log.Warn("discovery response incomplete or malformed, polling again",
@@ -246,7 +246,7 @@
 
 // shouldRepollAtOnce reports whether a watch continues immediately after this error.
 func (d *Discovery) shouldRepollAtOnce(err error) bool {
-	return errors.Is(err, errNoAnswer) || errors.Is(err, errConnectionEnded) && d.PollSpread == 0
+	return errors.Is(err, errNoResponse) || errors.Is(err, errConnectionEnded) && d.PollSpread == 0
 }
 
 // retryAfterBackoff waits for an exponential backoff and makes the next poll an immediate one, which doesn't wait for
@@ -254,7 +254,7 @@
 // poll failed on the local machine.
 func (d *Discovery) retryAfterBackoff(ctx context.Context, current *pollRequest, err error) {
 	minBackoff, maxBackoff := minRetryBackoff, maxRetryBackoff
-	var broken *brokenAnswerError
+	var broken *brokenResponseError
 	switch {
 	case d.PollSpread == 0 || isLocalError(err):
 	case errors.As(err, &broken) || current.fullList():
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -14,9 +14,9 @@
 )
 
 // startDiscovery runs a client of discovery that posts to the recorder.
-func startDiscovery(t *testing.T, p *eventRecorder, c DiscoveryConfig) *Discovery {
+func startDiscovery(t *testing.T, recorder *eventRecorder, c DiscoveryConfig) *Discovery {
 	c.Names, c.Log = testNames, discardLog
-	d := NewDiscovery(p, c)
+	d := NewDiscovery(recorder, c)
 	runUntilEnd(t, d.Run)
 	return d
 }
@@ -39,13 +39,13 @@
 		}
 		return list("new")
 	})
-	p := newEventRecorder()
-	d := startDiscovery(t, p, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second})
+	recorder := newEventRecorder()
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second})
 	d.Watch(true, 3)
 	<-watched
 	d.SetAddress(addr)
 	close(moved)
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
+	if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
 		t.Errorf("%+v", n)
 	}
 }
@@ -67,13 +67,13 @@
 		}
 		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"new","state":"up","cell":1}]}`)
 	})
-	p := newEventRecorder()
-	d := startDiscovery(t, p, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second,
+	recorder := newEventRecorder()
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second,
 		DrainGrace: 2 * time.Second})
 	d.Watch(true, 3)
 	moved := time.Now()
 	d.SetAddress(addr)
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
+	if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
 		t.Errorf("%+v", n)
 	}
 	if took := time.Since(moved); took > 4*time.Second {
@@ -88,7 +88,7 @@
 	answer := socktest.JSON(changedList)
 	for _, c := range []struct {
 		name, first string
-		unread      bool
+		unreadable  bool
 		within      time.Duration
 	}{
 		{"before an answer", socktest.Hang, false, 6 * time.Second},
@@ -110,19 +110,19 @@
 				}
 				return answer
 			})
-			p := newEventRecorder()
-			d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
-			began := time.Now()
+			recorder := newEventRecorder()
+			d := startDiscovery(t, recorder, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
+			startedAt := time.Now()
 			d.Watch(true, 4)
-			if c.unread {
-				if u := next[state.ListUnreadable](t, p); u.At.Sub(began) > 200*time.Millisecond {
-					t.Errorf("an answer that began %v after the question", u.At.Sub(began))
+			if c.unreadable {
+				if u := next[state.ListUnreadable](t, recorder); u.At.Sub(startedAt) > 200*time.Millisecond {
+					t.Errorf("an answer that began %v after the question", u.At.Sub(startedAt))
 				}
 			}
-			if n := next[state.ListUpdate](t, p); n.Kind != control.ListDelta || n.Version != 9 {
+			if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListDelta || n.Version != 9 {
 				t.Errorf("%+v", n)
 			}
-			if took := time.Since(began); took > c.within {
+			if took := time.Since(startedAt); took > c.within {
 				t.Errorf("known after %v", took)
 			}
 			if len(queries) < 2 {
@@ -139,10 +139,10 @@
 func TestUnresponsiveDiscovery(t *testing.T) {
 	queries := make(chan struct{}, 8)
 	addr := socktest.Serve(t, func(int, *http.Request, string) string { queries <- struct{}{}; return socktest.Hang })
-	p := newEventRecorder()
-	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Millisecond})
+	recorder := newEventRecorder()
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Millisecond})
 	d.Watch(true, 4)
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed || len(queries) != 2 {
+	if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListFailed || len(queries) != 2 {
 		t.Errorf("%+v after %d asks", n, len(queries))
 	}
 }
@@ -161,10 +161,10 @@
 		}
 		return socktest.JSON(`{"version":2,"full":true,"servers":[{"id":"b","state":"up","cell":1}]}`)
 	})
-	p := newEventRecorder()
-	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
+	recorder := newEventRecorder()
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
 	d.Watch(true, 4)
-	if n := next[state.ListUpdate](t, p); n.Version != 3 || n.Targets[0].ID != "a" {
+	if n := next[state.ListUpdate](t, recorder); n.Version != 3 || n.Targets[0].ID != "a" {
 		t.Errorf("%+v", n)
 	}
 	if len(queries) < 2 {
@@ -191,19 +191,19 @@
 				time.Sleep(c.open)
 				return socktest.Status(http.StatusServiceUnavailable)
 			})
-			p := newEventRecorder()
-			d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second,
+			recorder := newEventRecorder()
+			d := startDiscovery(t, recorder, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second,
 				PollSpread: 100 * time.Millisecond, DrainGrace: 2 * time.Second})
 			d.Watch(true, 4)
-			if n := next[state.ListUpdate](t, p); !n.PollPaused {
+			if n := next[state.ListUpdate](t, recorder); !n.PollPaused {
 				t.Errorf("%+v", n)
 			}
 			if c.open > 0 {
-				next[state.PollOpen](t, p)
-				next[state.ListUpdate](t, p)
+				next[state.PollOpen](t, recorder)
+				next[state.ListUpdate](t, recorder)
 				return
 			}
-			if u := next[state.PollFailed](t, p); time.Since(u.Since) > time.Second {
+			if u := next[state.PollFailed](t, recorder); time.Since(u.Since) > time.Second {
 				t.Errorf("uncertain for %v", time.Since(u.Since))
 			}
 		})
@@ -221,13 +221,13 @@
 		const list = `{"version":9,"full":true,"servers":[]}`
 		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	})
-	p := newEventRecorder()
-	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: time.Second})
+	recorder := newEventRecorder()
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: addr, MaxPollInterval: time.Second})
 	d.Watch(true, 4)
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Version != 9 {
+	if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListFull || n.Version != 9 {
 		t.Errorf("first %+v", n)
 	}
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed {
+	if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListFailed {
 		t.Errorf("then %+v", n)
 	}
 	if a, b := <-queries, <-queries; a != "4" || b != "9" {
@@ -248,14 +248,14 @@
 		const list = `{"version":0,"full":true,"servers":[{"id":"a","state":"up"}]}`
 		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	})
-	const rest = 100 * time.Millisecond
+	const pollSpread = 100 * time.Millisecond
 	for _, c := range []struct {
 		since       int64
 		first, then string
 	}{{0, "since=0&timeout_ms=1000", "since=0&timeout_ms=1000"}, {state.NoVersion, "", "since=0&timeout_ms=1000"}} {
 		ctx, cancel := context.WithCancel(t.Context())
 		d := NewDiscovery(newEventRecorder(), DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second,
-			PollSpread: rest, Log: discardLog})
+			PollSpread: pollSpread, Log: discardLog})
 		ended := make(chan struct{})
 		go func() { defer close(ended); d.Run(ctx) }()
 		d.Watch(true, c.since)
@@ -263,8 +263,8 @@
 		if a.path != c.first || b.path != c.then {
 			t.Errorf("since %d: asked %q, then %q", c.since, a.path, b.path)
 		}
-		if gap := b.at.Sub(a.at); gap < rest/2 {
-			t.Errorf("asked again %v after news, wanted a rest of %v at least", gap, rest/2)
+		if gap := b.at.Sub(a.at); gap < pollSpread/2 {
+			t.Errorf("asked again %v after news, wanted a rest of %v at least", gap, pollSpread/2)
 		}
 		cancel()
 		<-ended
--- a/internal/protocol/gossip_test.go
+++ b/internal/protocol/gossip_test.go
@@ -22,35 +22,36 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	sibling, stranger, own := open(), open(), open()
-	p, err := OpenGossip("127.0.0.1:0", sibling.LocalAddr().String(),
-		[]string{own.LocalAddr().String(), sibling.LocalAddr().String()}, 0, discardLog)
+	peer, stranger, own := open(), open(), open()
+	transport, err := OpenGossip("127.0.0.1:0", peer.LocalAddr().String(),
+		[]string{own.LocalAddr().String(), peer.LocalAddr().String()}, 0, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	posts, ended := newEventRecorder(), make(chan struct{})
-	go func() { defer close(ended); p.Run(ctx, posts) }()
-	to := p.conn.LocalAddr().(*net.UDPAddr)
-	good := gossip.Encode([]gossip.Observation{{EndpointHash: 5, Kind: control.ObservedRejection,
+	recorder, ended := newEventRecorder(), make(chan struct{})
+	go func() { defer close(ended); transport.Run(ctx, recorder) }()
+	to := transport.conn.LocalAddr().(*net.UDPAddr)
+	valid := gossip.Encode([]gossip.Observation{{EndpointHash: 5, Kind: control.ObservedRejection,
 		Age: 20 * time.Millisecond}})
-	stranger.WriteToUDP(good, to)
-	own.WriteToUDP(good, to)
-	sibling.WriteToUDP(make([]byte, 2*gossip.MaxSize), to)
-	sibling.WriteToUDP(good[:4], to)
-	sibling.WriteToUDP([]byte{200, 1, 2, 3, 4, 5, 6}, to)
-	sibling.WriteToUDP(good, to)
-	h := next[state.GossipReceived](t, posts)
-	if h.Peer != 1 || len(h.Observations) != 1 || h.Observations[0].EndpointHash != 5 || len(posts.events) > 0 {
-		t.Errorf("heard %+v, and %d more", h, len(posts.events))
+	stranger.WriteToUDP(valid, to)
+	own.WriteToUDP(valid, to)
+	peer.WriteToUDP(make([]byte, 2*gossip.MaxSize), to)
+	peer.WriteToUDP(valid[:4], to)
+	peer.WriteToUDP([]byte{200, 1, 2, 3, 4, 5, 6}, to)
+	peer.WriteToUDP(valid, to)
+	received := next[state.GossipReceived](t, recorder)
+	if received.Peer != 1 || len(received.Observations) != 1 || received.Observations[0].EndpointHash != 5 ||
+		len(recorder.events) > 0 {
+		t.Errorf("heard %+v, and %d more", received, len(recorder.events))
 	}
-	if n := p.dropped.Load(); n != 5 {
+	if n := transport.dropped.Load(); n != 5 {
 		t.Errorf("%d dropped, want 5", n)
 	}
-	p.SendGossip(h.Observations)
+	transport.SendGossip(received.Observations)
 	buf := make([]byte, gossip.MaxSize)
-	sibling.SetReadDeadline(time.Now().Add(10 * time.Second))
-	if n, _, err := sibling.ReadFromUDP(buf); err != nil || string(buf[:n]) != string(good) {
+	peer.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if n, _, err := peer.ReadFromUDP(buf); err != nil || string(buf[:n]) != string(valid) {
 		t.Errorf("told %x, %v", buf[:n], err)
 	}
 	cancel()
--- a/internal/protocol/hedge_test.go
+++ b/internal/protocol/hedge_test.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewTransport(l, time.Minute, 8, discardLog)
-	l.Connect(s, noPeers{}, noPeers{})
+	transport := NewTransport(l, time.Minute, 8, discardLog)
+	l.Connect(transport, silentServices{}, silentServices{})
 	for i, id := range []string{"repeatable", "unrepeatable"} {
 		m := &state.Message{ID: id, Class: i, Destination: 7, Deadline: time.Now().Add(time.Minute), Body: []byte("b")}
 		l.Post(state.Submitted{Message: m, Response: make(chan state.Response, 1)})
--- a/internal/protocol/helpers_test.go
+++ b/internal/protocol/helpers_test.go
@@ -35,20 +35,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return &faultyConn{TCPConn: c.(*net.TCPConn), to: s}, nil
+	return &faultyConn{TCPConn: c.(*net.TCPConn), listener: s}, nil
 }
 
 type faultyConn struct {
 	*net.TCPConn
-	to            *faultyListener
-	once, closing sync.Once
+	listener            *faultyListener
+	readOnce, closeOnce sync.Once
 }
 
 func (c *faultyConn) Read(b []byte) (int, error) {
 	var err error
-	c.once.Do(func() {
-		if c.to.beforeRead != nil {
-			err = c.to.beforeRead()
+	c.readOnce.Do(func() {
+		if c.listener.beforeRead != nil {
+			err = c.listener.beforeRead()
 		}
 	})
 	if err != nil {
@@ -58,30 +58,30 @@
 }
 
 func (c *faultyConn) Write(b []byte) (int, error) {
-	if c.to.write != nil {
-		return c.to.write(c.TCPConn, b)
+	if c.listener.write != nil {
+		return c.listener.write(c.TCPConn, b)
 	}
 	return c.TCPConn.Write(b)
 }
 
-func (c *faultyConn) ends() {
-	if c.to.beforeClose != nil {
-		c.closing.Do(c.to.beforeClose)
+func (c *faultyConn) beforeClose() {
+	if c.listener.beforeClose != nil {
+		c.closeOnce.Do(c.listener.beforeClose)
 	}
 }
 
-func (c *faultyConn) CloseWrite() error { c.ends(); return c.TCPConn.CloseWrite() }
-func (c *faultyConn) Close() error      { c.ends(); return c.TCPConn.Close() }
+func (c *faultyConn) CloseWrite() error { c.beforeClose(); return c.TCPConn.CloseWrite() }
+func (c *faultyConn) Close() error      { c.beforeClose(); return c.TCPConn.Close() }
 
 // startFaulty starts a listener on such a socket, and connects to it.
-func startFaulty(t *testing.T, s *faultyListener, p *eventRecorder) (*Listener, net.Conn) {
+func startFaulty(t *testing.T, s *faultyListener, recorder *eventRecorder) (*Listener, net.Conn) {
 	t.Helper()
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Listener = sock
-	l := ListenOn(s, p, testNames, testClasses, 4, 3, discardLog)
+	l := ListenOn(s, recorder, testNames, testClasses, 4, 3, discardLog)
 	go l.Serve()
 	t.Cleanup(func() { l.Close(time.Now().Add(10 * time.Second)) })
 	conn, err := net.Dial("tcp", sock.Addr().String())
@@ -95,20 +95,20 @@
 
 // stalledDiscovery is a discovery that stalls the loop, as a disk could.
 type stalledDiscovery struct {
-	noPeers
-	in, on chan struct{}
+	silentServices
+	entered, resume chan struct{}
 }
 
-func (s stalledDiscovery) Watch(bool, int64) { close(s.in); <-s.on }
+func (s stalledDiscovery) Watch(bool, int64) { close(s.entered); <-s.resume }
 
 // hookedRecorder runs a hook before it accepts a message.
 type hookedRecorder struct {
 	*eventRecorder
-	before func()
+	beforePost func()
 }
 
-func (p *hookedRecorder) PostBefore(e state.Event, _ time.Time) bool {
-	p.before()
+func (r *hookedRecorder) PostBefore(e state.Event, _ time.Time) bool {
+	r.beforePost()
 	e.(state.Submitted).Response <- state.Response{Accepted: true}
 	return true
 }
@@ -116,25 +116,25 @@
 // deadlineRecorder is a connection that records the deadlines set on it.
 type deadlineRecorder struct {
 	*net.TCPConn
-	set []time.Time
+	deadlines []time.Time
 }
 
 func (d *deadlineRecorder) SetDeadline(t time.Time) error {
-	d.set = append(d.set, t)
+	d.deadlines = append(d.deadlines, t)
 	return d.TCPConn.SetDeadline(t)
 }
 
 func (d *deadlineRecorder) SetReadDeadline(t time.Time) error {
-	d.set = append(d.set, t)
+	d.deadlines = append(d.deadlines, t)
 	return d.TCPConn.SetReadDeadline(t)
 }
 
-// noPeers is a discovery and a platform that tell nothing.
-type noPeers struct{}
+// silentServices is a discovery and a platform that tell nothing.
+type silentServices struct{}
 
-func (noPeers) Watch(bool, int64)           {}
-func (noPeers) Fetch()                      {}
-func (noPeers) Report(state.DeliveryReport) {}
+func (silentServices) Watch(bool, int64)           {}
+func (silentServices) Fetch()                      {}
+func (silentServices) Report(state.DeliveryReport) {}
 
 // batchIDs lists the ids of the messages in a call's body.
 func batchIDs(body string) (ids []string) {
@@ -176,12 +176,12 @@
 // cancelOnEnd cancels a call in the instant in which its result is posted.
 type cancelOnEnd struct {
 	*eventRecorder
-	s *Transport
+	transport *Transport
 }
 
 func (a *cancelOnEnd) Post(e state.Event) {
 	if e, ok := e.(state.CallEnded); ok {
-		a.s.Cancel(e.Call)
+		a.transport.Cancel(e.Call)
 	}
 	a.eventRecorder.Post(e)
 }
@@ -212,11 +212,11 @@
 
 func newEventRecorder() *eventRecorder { return &eventRecorder{events: make(chan state.Event, 64)} }
 
-func (p *eventRecorder) Post(e state.Event) { p.events <- e }
+func (r *eventRecorder) Post(e state.Event) { r.events <- e }
 
-func (p *eventRecorder) PostBefore(e state.Event, _ time.Time) bool {
-	p.events <- e
-	e.(state.Submitted).Response <- p.response
+func (r *eventRecorder) PostBefore(e state.Event, _ time.Time) bool {
+	r.events <- e
+	e.(state.Submitted).Response <- r.response
 	return true
 }
 
@@ -229,10 +229,10 @@
 }
 
 // next waits for an event; only a hang makes it fail.
-func next[T any](t *testing.T, p *eventRecorder) T {
+func next[T any](t *testing.T, recorder *eventRecorder) T {
 	t.Helper()
 	select {
-	case e := <-p.events:
+	case e := <-recorder.events:
 		return e.(T)
 	case <-time.After(10 * time.Second):
 		t.Fatal("nothing was posted")
@@ -241,19 +241,19 @@
 }
 
 // callTo makes a call of messages to an address, with a deadline.
-func callTo(addr string, limit time.Duration, ids ...string) *state.Call {
+func callTo(addr string, timeout time.Duration, ids ...string) *state.Call {
 	c := &state.Call{Target: state.Target{ID: "s", Addr: addr}, ConnectBy: time.Now().Add(time.Minute)}
 	for _, id := range ids {
 		m := &state.Message{ID: id, Key: "k-" + id, Body: []byte("body of " + id)}
-		c.Attempts = append(c.Attempts, &state.Attempt{Message: m, Deadline: time.Now().Add(limit)})
+		c.Attempts = append(c.Attempts, &state.Attempt{Message: m, Deadline: time.Now().Add(timeout)})
 	}
 	return c
 }
 
 // startListener starts a listener on the recorder.
-func startListener(t *testing.T, p *eventRecorder) *Listener {
+func startListener(t *testing.T, recorder *eventRecorder) *Listener {
 	t.Helper()
-	l, err := Listen("127.0.0.1:0", p, testNames, testClasses, 4, 3, discardLog)
+	l, err := Listen("127.0.0.1:0", recorder, testNames, testClasses, 4, 3, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/lateconn_test.go
+++ b/internal/protocol/lateconn_test.go
@@ -18,11 +18,11 @@
 // of a call that is withdrawn or over. Each attempt ends at its own deadline, and the connection is kept.
 func TestLateConnection(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		brief  []int // the attempts whose deadline comes while the connection is not up
-		during func(s *Transport, call *state.Call)
-		sent   string // path and messages that arrive; empty = none
-		ends   []control.Result
+		name    string
+		overdue []int // the attempts whose deadline comes while the connection is not up
+		during  func(s *Transport, call *state.Call)
+		sent    string // path and messages that arrive; empty = none
+		want    []control.Result
 	}{
 		{"in time", nil, nil, "/receive-many a b c", []control.Result{control.Served, control.Served, control.Served}},
 		{"one is over", []int{1}, nil, "/receive-many a c",
@@ -35,31 +35,31 @@
 			[]control.Result{control.ConnectFailed, control.ConnectFailed, control.ConnectFailed}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newEventRecorder()
-			s := NewTransport(p, time.Minute, 8, discardLog)
+			recorder := newEventRecorder()
+			transport := NewTransport(recorder, time.Minute, 8, discardLog)
 			got := make(chan string, 1)
 			addr := serveBatches(t, got)
 			up := make(chan struct{})
-			s.dial = dialWhenUp(up)
+			transport.dial = dialWhenUp(up)
 			call := callTo(addr, time.Minute, "a", "b", "c")
-			shorten(call, c.brief)
-			s.Send(call)
-			ends := map[*state.Attempt]control.Result{}
-			take := func() { takeResults(t, p, ends) }
-			for len(ends) < len(c.brief) {
-				take() // at their own deadline, though the connection is not up
+			shortenDeadlines(call, c.overdue)
+			transport.Send(call)
+			results := map[*state.Attempt]control.Result{}
+			waitForResults := func() { collectResults(t, recorder, results) }
+			for len(results) < len(c.overdue) {
+				waitForResults() // at their own deadline, though the connection is not up
 			}
 			if c.during != nil {
-				c.during(s, call)
+				c.during(transport, call)
 			} else {
 				close(up)
 			}
-			for len(ends) < 3 {
-				take()
+			for len(results) < 3 {
+				waitForResults()
 			}
-			for i, want := range c.ends {
-				if f := call.Attempts[i]; ends[f] != want {
-					t.Errorf("%s ended with %v, want %v", f.Message.ID, ends[f], want)
+			for i, want := range c.want {
+				if f := call.Attempts[i]; results[f] != want {
+					t.Errorf("%s ended with %v, want %v", f.Message.ID, results[f], want)
 				}
 			}
 			if c.sent == "" {
@@ -73,8 +73,9 @@
 	}
 }
 
-// shorten has some attempts of a call end soon: their deadline has come, or they must not be repeated any more.
-func shorten(call *state.Call, attempts []int) {
+// shortenDeadlines has some attempts of a call end soon: their deadline has come, or they must not be repeated any
+// more.
+func shortenDeadlines(call *state.Call, attempts []int) {
 	for n, i := range attempts {
 		if soon := time.Now().Add(10 * time.Millisecond); n%2 == 0 {
 			call.Attempts[i].NotAfter = soon
@@ -84,13 +85,13 @@
 	}
 }
 
-// takeResults waits for results and adds them to others, each attempt once.
-func takeResults(t *testing.T, p *eventRecorder, ends map[*state.Attempt]control.Result) {
-	for _, e := range next[state.CallEnded](t, p).Results {
-		if _, twice := ends[e.Attempt]; twice {
+// collectResults waits for results and adds them to others, each attempt once.
+func collectResults(t *testing.T, recorder *eventRecorder, results map[*state.Attempt]control.Result) {
+	for _, e := range next[state.CallEnded](t, recorder).Results {
+		if _, twice := results[e.Attempt]; twice {
 			t.Errorf("%s ended twice", e.Attempt.Message.ID)
 		}
-		ends[e.Attempt] = e.Result
+		results[e.Attempt] = e.Result
 	}
 }
 
@@ -128,28 +129,28 @@
 
 // A connection that comes up once all attempts of a call have ended carries nothing, and serves the next call.
 func TestLateConnectionWithoutAttempts(t *testing.T) {
-	p := newEventRecorder()
-	s := NewTransport(p, time.Minute, 8, discardLog)
+	recorder := newEventRecorder()
+	transport := NewTransport(recorder, time.Minute, 8, discardLog)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		t.Errorf("%s was sent", r.Header.Get("X-Request-Id"))
 		return socktest.Status(200)
 	})
 	call := callTo(addr, 0, "a") // over from the start, as those of a call to which others belonged
-	f := &inFlightCall{Transport: s, call: call, ended: make([]bool, 1), attempts: call.Attempts}
+	f := &inFlightCall{Transport: transport, call: call, ended: make([]bool, 1), attempts: call.Attempts}
 	f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 	defer f.cancel()
-	up, flown := make(chan struct{}), make(chan struct{})
-	s.dial = func(_ context.Context, addr string) (*bufferedConn, error) {
+	up, runDone := make(chan struct{}), make(chan struct{})
+	transport.dial = func(_ context.Context, addr string) (*bufferedConn, error) {
 		<-up
 		return dial(context.Background(), addr)
 	}
-	go func() { defer close(flown); f.run() }()
-	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.ConnectFailed {
+	go func() { defer close(runDone); f.run() }()
+	if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.ConnectFailed {
 		t.Errorf("%+v", e)
 	}
 	close(up)
-	<-flown
-	if s.pool.popIdle("s") == nil {
+	<-runDone
+	if transport.pool.popIdle("s") == nil {
 		t.Error("the connection was not kept")
 	}
 }
@@ -157,16 +158,16 @@
 // A call that can't be written completely before the deadline of one of its attempts has not run, and ends as a
 // whole.
 func TestStalledWrite(t *testing.T) {
-	p := newEventRecorder()
-	s := NewTransport(p, time.Minute, 8, discardLog)
-	ours, theirs := net.Pipe() // takes no byte that is not read
-	defer theirs.Close()
-	s.dial = func(context.Context, string) (*bufferedConn, error) { return newBufferedConn(ours), nil }
+	recorder := newEventRecorder()
+	transport := NewTransport(recorder, time.Minute, 8, discardLog)
+	clientSide, serverSide := net.Pipe() // takes no byte that is not read
+	defer serverSide.Close()
+	transport.dial = func(context.Context, string) (*bufferedConn, error) { return newBufferedConn(clientSide), nil }
 	call := callTo("nowhere", time.Minute, "a", "b")
 	call.Attempts[1].Deadline = time.Now().Add(50 * time.Millisecond)
-	s.Send(call)
-	io.ReadFull(theirs, make([]byte, 40)) // the begin, and nothing more
-	for _, e := range next[state.CallEnded](t, p).Results {
+	transport.Send(call)
+	io.ReadFull(serverSide, make([]byte, 40)) // the begin, and nothing more
+	for _, e := range next[state.CallEnded](t, recorder).Results {
 		if e.Result != control.ConnectFailed {
 			t.Errorf("%s: %+v", e.Attempt.Message.ID, e)
 		}
@@ -190,8 +191,8 @@
 		{"half an answer", "HTTP/1.1 429 x\r\nRetry-Af", state.AttemptResult{Result: control.ConnectFailed}},
 		{"nothing", "", state.AttemptResult{Result: control.ConnectFailed}},
 	} {
-		p := newEventRecorder()
-		s := NewTransport(p, time.Minute, 8, discardLog)
+		recorder := newEventRecorder()
+		transport := NewTransport(recorder, time.Minute, 8, discardLog)
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -207,7 +208,7 @@
 			io.WriteString(conn, c.answer)
 			conn.Close() // over bytes that were not read
 		}()
-		s.dial = func(ctx context.Context, addr string) (*bufferedConn, error) {
+		transport.dial = func(ctx context.Context, addr string) (*bufferedConn, error) {
 			l, err := dial(ctx, addr)
 			if err == nil {
 				l.Conn.(*net.TCPConn).SetWriteBuffer(1 << 10)
@@ -216,8 +217,8 @@
 		}
 		call := callTo(sock.Addr().String(), time.Minute, "a")
 		call.Attempts[0].Message.Body = make([]byte, 8<<20) // more than any buffer on the way holds
-		s.Send(call)
-		e := next[state.CallEnded](t, p).Results[0]
+		transport.Send(call)
+		e := next[state.CallEnded](t, recorder).Results[0]
 		if e.SentAt.IsZero() {
 			t.Errorf("%s: nothing was written", c.name)
 		}
@@ -243,8 +244,8 @@
 			len(socktest.JSON("a delivered\r\nb delivered\r\n"))},
 	} {
 		for n := range len(c.answer) + 1 {
-			p := newEventRecorder()
-			s := NewTransport(p, time.Minute, 8, discardLog)
+			recorder := newEventRecorder()
+			transport := NewTransport(recorder, time.Minute, 8, discardLog)
 			sock, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -260,8 +261,8 @@
 				io.WriteString(conn, c.answer[:n])
 				conn.Close()
 			}()
-			s.Send(callTo(sock.Addr().String(), time.Minute, c.ids...))
-			ends := next[state.CallEnded](t, p).Results
+			transport.Send(callTo(sock.Addr().String(), time.Minute, c.ids...))
+			results := next[state.CallEnded](t, recorder).Results
 			want := control.Failed
 			switch {
 			case n == 0:
@@ -269,8 +270,8 @@
 			case n >= c.complete:
 				want = control.Served
 			}
-			if len(ends) != len(c.ids) || ends[0].Result != want || ends[len(ends)-1].Result != want {
-				t.Errorf("%q: %+v, want %v", c.answer[:n], ends, want)
+			if len(results) != len(c.ids) || results[0].Result != want || results[len(results)-1].Result != want {
+				t.Errorf("%q: %+v, want %v", c.answer[:n], results, want)
 			}
 			sock.Close()
 		}
--- a/internal/protocol/list_test.go
+++ b/internal/protocol/list_test.go
@@ -56,8 +56,8 @@
 		if ids != want {
 			t.Errorf("of %s: %q leave, want %q", prefix, ids, want)
 		}
-		if is, want := isUnchanged(prefix, 41), cut > strings.Index(list, "41,")+2; is != want {
-			t.Errorf("%s tells nothing new: %t", prefix, is)
+		if unchanged, want := isUnchanged(prefix, 41), cut > strings.Index(list, "41,")+2; unchanged != want {
+			t.Errorf("%s tells nothing new: %t", prefix, unchanged)
 		}
 		if isUnchanged(prefix, 4) {
 			t.Errorf("%s is taken for version 4", prefix)
--- a/internal/protocol/listener_test.go
+++ b/internal/protocol/listener_test.go
@@ -28,11 +28,11 @@
 
 // Every request that can be read gets a response, and malformed ones do no harm.
 func TestListenerResponses(t *testing.T) {
-	p := newEventRecorder()
-	l := startListener(t, p)
+	recorder := newEventRecorder()
+	l := startListener(t, recorder)
 	for _, c := range []struct {
 		name, send string
-		verdict    state.Response
+		response   state.Response
 		status     int
 		retryAfter string
 	}{
@@ -51,7 +51,7 @@
 		{"older HTTP", strings.Replace(submission, "HTTP/1.1", "HTTP/1.0", 1), state.Response{}, 505, ""},
 		{"health", healthRequest, state.Response{}, 200, ""},
 	} {
-		p.response = c.verdict
+		recorder.response = c.response
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -62,12 +62,12 @@
 			t.Errorf("%s: %v %+v", c.name, err, r)
 		}
 		conn.Close()
-		if c.status == 202 || c.verdict != (state.Response{}) {
-			if m := next[state.Submitted](t, p).Message; string(m.Body) != "hi" {
+		if c.status == 202 || c.response != (state.Response{}) {
+			if m := next[state.Submitted](t, recorder).Message; string(m.Body) != "hi" {
 				t.Errorf("%s: body %q", c.name, m.Body)
 			}
 		}
-		if c.verdict.Accepted && !next[state.ResponseWritten](t, p).OK {
+		if c.response.Accepted && !next[state.ResponseWritten](t, recorder).OK {
 			t.Errorf("%s: answer not confirmed", c.name)
 		}
 	}
@@ -75,9 +75,9 @@
 
 // A request with two lengths hides another in its body: neither is accepted.
 func TestRequestSmuggling(t *testing.T) {
-	p := newEventRecorder()
-	p.response = state.Response{Accepted: true}
-	l := startListener(t, p)
+	recorder := newEventRecorder()
+	recorder.response = state.Response{Accepted: true}
+	l := startListener(t, recorder)
 	for _, outer := range []string{submission, strings.Replace(submission, "/status", "/nothing", 1)} {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -89,8 +89,8 @@
 				submission), 1))
 		answers, err := io.ReadAll(conn)
 		if err != nil || !strings.HasPrefix(string(answers), "HTTP/1.1 411 ") ||
-			strings.Count(string(answers), "HTTP/1.1") != 1 || len(p.events) > 0 {
-			t.Errorf("%v %d messages, answers %q", err, len(p.events), answers)
+			strings.Count(string(answers), "HTTP/1.1") != 1 || len(recorder.events) > 0 {
+			t.Errorf("%v %d messages, answers %q", err, len(recorder.events), answers)
 		}
 	}
 }
@@ -123,9 +123,9 @@
 // A listener without keep-alive still accepts messages, and tells each client that its connection ends with the
 // response.
 func TestDisableKeepAlive(t *testing.T) {
-	p := newEventRecorder()
-	p.response = state.Response{Accepted: true}
-	l := startListener(t, p)
+	recorder := newEventRecorder()
+	recorder.response = state.Response{Accepted: true}
+	l := startListener(t, recorder)
 	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -296,10 +296,10 @@
 // A drained sender is not healthy, ends connections with their responses and idle ones at once, and rejects messages
 // after a while, with a Retry-After; activated, it is as before.
 func TestDrainedListener(t *testing.T) {
-	p := newEventRecorder()
-	p.response = state.Response{Accepted: true}
+	recorder := newEventRecorder()
+	recorder.response = state.Response{Accepted: true}
 	classes := []control.Class{{Deadline: time.Minute, Idempotency: control.Idempotent}}
-	l, err := Listen("127.0.0.1:0", p, Names{Classes: map[string]int{"status": 0}}, classes, 8, 8, discardLog)
+	l, err := Listen("127.0.0.1:0", recorder, Names{Classes: map[string]int{"status": 0}}, classes, 8, 8, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -317,9 +317,10 @@
 		t.Fatalf("before: %d, close %v", r.StatusCode, r.Close)
 	}
 	l.Drain()
-	began := time.Now()
-	if _, err := idle.in.ReadByte(); err != io.EOF || time.Since(began) > idleTimeout/2 { // it was idle, and had longer
-		t.Errorf("an idle connection: %v after %v", err, time.Since(began))
+	drainedAt := time.Now()
+	// It was idle, and had longer.
+	if _, err := idle.in.ReadByte(); err != io.EOF || time.Since(drainedAt) > idleTimeout/2 {
+		t.Errorf("an idle connection: %v after %v", err, time.Since(drainedAt))
 	}
 	for _, c := range []struct {
 		name, request string
--- a/internal/protocol/poll.go
+++ b/internal/protocol/poll.go
@@ -25,33 +25,33 @@
 	// notified of the changes that it missed.
 	maxLongPoll = 3 * time.Second
 
-	// maxAnswerGap is the longest pause within a response. The sender counts as notified as soon as discovery begins to
+	// maxResponseGap is the longest pause within a response. The sender counts as notified as soon as discovery begins to
 	// write a response, so an incomplete one must be polled again well before the drain grace period ends.
-	maxAnswerGap = 300 * time.Millisecond
+	maxResponseGap = 300 * time.Millisecond
 )
 
 var (
-	// errNoAnswer is returned for a poll without a complete response before its deadline.
-	errNoAnswer = errors.New("no complete response before the deadline")
+	// errNoResponse is returned for a poll without a complete response before its deadline.
+	errNoResponse = errors.New("no complete response before the deadline")
 
 	// errConnectionEnded is returned for a poll whose connection ended before the first byte of a response.
 	errConnectionEnded = errors.New("connection ended before a response")
 )
 
-// A brokenAnswerError is returned for a response that is incomplete or malformed, so that its content is unknown.
-type brokenAnswerError struct {
+// A brokenResponseError is returned for a response that is incomplete or malformed, so that its content is unknown.
+type brokenResponseError struct {
 	startedAt time.Time // when the first byte arrived
 	body      []byte    // the part of the body that was received
 	cause     error
 }
 
 // Error returns a message with the cause.
-func (e *brokenAnswerError) Error() string {
+func (e *brokenResponseError) Error() string {
 	return "incomplete or malformed response: " + e.cause.Error()
 }
 
 // Unwrap returns the cause.
-func (e *brokenAnswerError) Unwrap() error { return e.cause }
+func (e *brokenResponseError) Unwrap() error { return e.cause }
 
 // A pollRequest holds what the controller has requested, and the state of polling for it.
 type pollRequest struct {
@@ -85,9 +85,9 @@
 	*r = pollRequest{watch: next.watch, since: next.since, fetch: r.fetch, uncertainSince: next.uncertainSince}
 }
 
-// maxAnswerTime returns the maximum time to receive a response from its first byte on. It ensures that the list counts
-// as uncertain before the drain grace period ends if a response takes unusually long.
-func (d *Discovery) maxAnswerTime() time.Duration {
+// maxResponseTime returns the maximum time to receive a response from its first byte on. It ensures that the list
+// counts as uncertain before the drain grace period ends if a response takes unusually long.
+func (d *Discovery) maxResponseTime() time.Duration {
 	if d.DrainGrace <= 0 {
 		return pollTimeout
 	}
@@ -114,13 +114,13 @@
 	case err == nil:
 		update, err := ParseList(e.body, d.Names)
 		if err != nil {
-			return state.ListUpdate{}, &brokenAnswerError{e.startedAt, e.body, err}
+			return state.ListUpdate{}, &brokenResponseError{e.startedAt, e.body, err}
 		}
 		return update, nil
 	case !e.startedAt.IsZero() && (r.fullList() || !isUnchanged(e.body, r.since)):
-		return state.ListUpdate{}, &brokenAnswerError{e.startedAt, e.body, err}
+		return state.ListUpdate{}, &brokenResponseError{e.startedAt, e.body, err}
 	case !time.Now().Before(deadline) || !e.startedAt.IsZero():
-		return state.ListUpdate{}, fmt.Errorf("%w: %w", errNoAnswer, err)
+		return state.ListUpdate{}, fmt.Errorf("%w: %w", errNoResponse, err)
 	case errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE):
 		return state.ListUpdate{}, fmt.Errorf("%w: %w", errConnectionEnded, err)
 	}
--- a/internal/protocol/reporter_test.go
+++ b/internal/protocol/reporter_test.go
@@ -23,15 +23,15 @@
 		}
 		return socktest.Status(204)
 	})
-	p := newEventRecorder()
-	n := NewReporter(p, addr, discardLog)
-	runUntilEnd(t, n.Run)
-	n.Report(state.DeliveryReport{Number: 1, ID: "a"})
-	next[state.ReportsAcknowledged](t, p)
-	began := time.Now()
-	n.Report(state.DeliveryReport{Number: 2, ID: "b"})
-	next[state.ReportsAcknowledged](t, p)
-	if took := time.Since(began); took > 300*time.Millisecond {
+	recorder := newEventRecorder()
+	reporter := NewReporter(recorder, addr, discardLog)
+	runUntilEnd(t, reporter.Run)
+	reporter.Report(state.DeliveryReport{Number: 1, ID: "a"})
+	next[state.ReportsAcknowledged](t, recorder)
+	startedAt := time.Now()
+	reporter.Report(state.DeliveryReport{Number: 2, ID: "b"})
+	next[state.ReportsAcknowledged](t, recorder)
+	if took := time.Since(startedAt); took > 300*time.Millisecond {
 		t.Errorf("acknowledged after %v", took)
 	}
 	if a, b, c := <-received, <-received, <-received; a != 0 || b != 0 || c != 1 {
@@ -42,22 +42,22 @@
 // A platform that could not be reached for a while gets reports soon after it can be: they are due 300 ms after the
 // time of their messages, which may fall into that while.
 func TestReportAfterPlatformRecovers(t *testing.T) {
-	var back atomic.Pointer[time.Time]
+	var recoversAt atomic.Pointer[time.Time]
 	received := make(chan time.Time, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
-		if at := back.Load(); at == nil || time.Now().Before(*at) {
+		if at := recoversAt.Load(); at == nil || time.Now().Before(*at) {
 			return ""
 		}
 		received <- time.Now()
 		return socktest.Status(204)
 	})
-	p := newEventRecorder()
-	n := NewReporter(p, addr, discardLog)
-	runUntilEnd(t, n.Run)
+	recorder := newEventRecorder()
+	reporter := NewReporter(recorder, addr, discardLog)
+	runUntilEnd(t, reporter.Run)
 	at := time.Now().Add(1500 * time.Millisecond)
-	back.Store(&at)
-	n.Report(state.DeliveryReport{Number: 1, ID: "a"})
-	next[state.ReportsAcknowledged](t, p)
+	recoversAt.Store(&at)
+	reporter.Report(state.DeliveryReport{Number: 1, ID: "a"})
+	next[state.ReportsAcknowledged](t, recorder)
 	if late := (<-received).Sub(at); late > 200*time.Millisecond {
 		t.Errorf("told %v after the platform could be reached", late)
 	}
@@ -77,18 +77,18 @@
 		got = append(got, body)
 		return socktest.Status(204)
 	})
-	p := newEventRecorder()
-	n := NewReporter(p, addr, discardLog)
+	recorder := newEventRecorder()
+	reporter := NewReporter(recorder, addr, discardLog)
 	for i, id := range []string{"a", "b", "c"} {
-		n.Report(state.DeliveryReport{Number: control.MessageID(i), ID: id})
+		reporter.Report(state.DeliveryReport{Number: control.MessageID(i), ID: id})
 	}
-	runUntilEnd(t, n.Run)
-	var nums []control.MessageID
-	for len(nums) < 3 {
-		nums = append(nums, next[state.ReportsAcknowledged](t, p).Numbers...)
+	runUntilEnd(t, reporter.Run)
+	var numbers []control.MessageID
+	for len(numbers) < 3 {
+		numbers = append(numbers, next[state.ReportsAcknowledged](t, recorder).Numbers...)
 	}
-	if nums[0] != 0 || nums[1] != 1 || nums[2] != 2 || !strings.Contains(strings.Join(got, ""), `"a"`) ||
+	if numbers[0] != 0 || numbers[1] != 1 || numbers[2] != 2 || !strings.Contains(strings.Join(got, ""), `"a"`) ||
 		!strings.Contains(strings.Join(got, ""), `"c"`) {
-		t.Errorf("acknowledged %v, told %q", nums, got)
+		t.Errorf("acknowledged %v, told %q", numbers, got)
 	}
 }
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -14,8 +14,8 @@
 func TestParseMessage(t *testing.T) {
 	const good = "X-Request-Id: i1\r\nX-Tenant: acme\r\nX-Deadline: 1.5\r\nX-Addressing: a=1, dest=7\r\n"
 	for _, c := range []struct {
-		name, line, head, body string
-		status                 int // 0 = taken in
+		name, requestLine, head, body string
+		status                        int // 0 = taken in
 	}{
 		{"plain", "POST /status", good, "hi", 0},
 		{"deeper path", "POST /status/x", good, "hi", 0},
@@ -40,8 +40,8 @@
 		{"largest", "POST /status", good, strings.Repeat("x", state.MaxBody), 0},
 		{"too large", "POST /status", good, strings.Repeat("x", state.MaxBody+1), 413},
 	} {
-		text := c.line + " HTTP/1.1\r\nHost: h\r\n" + c.head + "Content-Length: " + strconv.Itoa(len(c.body)) + "\r\n\r\n" +
-			c.body
+		text := c.requestLine + " HTTP/1.1\r\nHost: h\r\n" + c.head +
+			"Content-Length: " + strconv.Itoa(len(c.body)) + "\r\n\r\n" + c.body
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 		if err != nil {
 			t.Fatal(c.name, err)
--- a/internal/protocol/transport_test.go
+++ b/internal/protocol/transport_test.go
@@ -25,8 +25,8 @@
 	head, body := f.encodeRequest()
 	for _, reused := range []bool{false, true} {
 		for _, n := range []int{1, len(head), len(head) + 1, len(head) + len(body) - 1, len(head) + len(body)} {
-			p := newEventRecorder()
-			s := NewTransport(p, time.Minute, 8, discardLog)
+			recorder := newEventRecorder()
+			transport := NewTransport(recorder, time.Minute, 8, discardLog)
 			addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
 				in := bufio.NewReader(conn)
 				if reused {
@@ -37,15 +37,15 @@
 				reset(conn)
 			})
 			if reused {
-				s.Send(callTo(addr, time.Minute, "first"))
-				if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Failed {
+				transport.Send(callTo(addr, time.Minute, "first"))
+				if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.Failed {
 					t.Fatalf("%+v", e)
 				}
 			}
-			s.Send(callTo(addr, time.Minute, "a", "b"))
-			ends := next[state.CallEnded](t, p).Results
-			if len(ends) != 2 || ends[0].Result != control.ConnectionLost || ends[1].Result != control.ConnectionLost {
-				t.Errorf("kept %t, reset after %d bytes: %+v", reused, n, ends)
+			transport.Send(callTo(addr, time.Minute, "a", "b"))
+			results := next[state.CallEnded](t, recorder).Results
+			if len(results) != 2 || results[0].Result != control.ConnectionLost || results[1].Result != control.ConnectionLost {
+				t.Errorf("kept %t, reset after %d bytes: %+v", reused, n, results)
 			}
 		}
 	}
@@ -63,8 +63,8 @@
 		{"half-closed", func(conn *net.TCPConn) { conn.CloseWrite() }, control.ConnectionLost},
 		{"reset", reset, control.ConnectFailed},
 	} {
-		p := newEventRecorder()
-		s := NewTransport(p, time.Minute, 8, discardLog)
+		recorder := newEventRecorder()
+		transport := NewTransport(recorder, time.Minute, 8, discardLog)
 		conns := make(chan *net.TCPConn, 4)
 		addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
 			in := bufio.NewReader(conn)
@@ -72,27 +72,27 @@
 			receive(in)
 			io.WriteString(conn, socktest.Status(200))
 		})
-		s.Send(callTo(addr, time.Minute, "first"))
-		if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served {
+		transport.Send(callTo(addr, time.Minute, "first"))
+		if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.Served {
 			t.Fatalf("%+v", e)
 		}
 		call := callTo(addr, time.Minute, "a")
-		f := &inFlightCall{Transport: s, call: call, ended: make([]bool, 1), attempts: call.Attempts}
+		f := &inFlightCall{Transport: transport, call: call, ended: make([]bool, 1), attempts: call.Attempts}
 		f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 		defer f.cancel()
-		l, err := f.openConnection() // it looks...
+		conn, err := f.openConnection() // it looks...
 		if err != nil || len(conns) != 1 {
 			t.Fatalf("%s: %v, %d connections", c.name, err, len(conns))
 		}
 		c.end(<-conns)
-		for l.openWithoutInput() { // ...and the end comes
+		for conn.openWithoutInput() { // ...and the end comes
 			time.Sleep(time.Millisecond)
 		}
-		f.transmit(l)
-		if e := next[state.CallEnded](t, p).Results[0]; e.Result != c.want {
+		f.transmit(conn)
+		if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != c.want {
 			t.Errorf("%s: %+v, want %v", c.name, e, c.want)
 		}
-		if s.pool.popIdle("s") != nil {
+		if transport.pool.popIdle("s") != nil {
 			t.Errorf("%s: the connection was kept", c.name)
 		}
 	}
@@ -102,8 +102,8 @@
 // out on another connection.
 func TestUnsolicitedResponse(t *testing.T) {
 	for _, stray := range []string{socktest.Status(200), "HTTP/1.1 2", "\r\n"} {
-		p := newEventRecorder()
-		s := NewTransport(p, time.Minute, 8, discardLog)
+		recorder := newEventRecorder()
+		transport := NewTransport(recorder, time.Minute, 8, discardLog)
 		addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
 			if conn == 0 {
 				return socktest.Status(200) + stray
@@ -111,8 +111,8 @@
 			return socktest.Status(500)
 		})
 		for _, want := range []control.Result{control.Served, control.Failed} {
-			s.Send(callTo(addr, time.Minute, "a"))
-			if e := next[state.CallEnded](t, p).Results[0]; e.Result != want {
+			transport.Send(callTo(addr, time.Minute, "a"))
+			if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != want {
 				t.Errorf("%q: %+v, want %v", stray, e, want)
 			}
 		}
@@ -122,9 +122,9 @@
 // A call canceled in the instant of its response ends once: before the response as canceled, with the response as it
 // says, and between the two as either. The connection of one that was answered serves the next call.
 func TestCancelDuringResponse(t *testing.T) {
-	p := &cancelOnEnd{eventRecorder: newEventRecorder()}
-	s := NewTransport(p, time.Minute, 8, discardLog)
-	p.s = s
+	recorder := &cancelOnEnd{eventRecorder: newEventRecorder()}
+	transport := NewTransport(recorder, time.Minute, 8, discardLog)
+	recorder.transport = transport
 	var call *state.Call
 	when := ""
 	conns := make(chan int, 8)
@@ -132,10 +132,10 @@
 		conns <- conn
 		switch when {
 		case "before":
-			s.Cancel(call)
-			s.waitUntilIdle()
+			transport.Cancel(call)
+			transport.waitUntilIdle()
 		case "between":
-			s.Cancel(call)
+			transport.Cancel(call)
 		}
 		return socktest.Status(200)
 	})
@@ -151,16 +151,16 @@
 		{"between", []control.Result{control.Canceled, control.Served}, true},
 	} {
 		call, when = callTo(addr, time.Minute, "a"), c.when
-		last := s.pool.idleCount
-		s.Send(call)
-		ends := next[state.CallEnded](t, p.eventRecorder).Results
-		if len(ends) != 1 || !slices.Contains(c.want, ends[0].Result) || c.reused != (last == 1) {
-			t.Errorf("%s: %+v, want one of %v; %d connections kept before", c.when, ends, c.want, last)
+		last := transport.pool.idleCount
+		transport.Send(call)
+		results := next[state.CallEnded](t, recorder.eventRecorder).Results
+		if len(results) != 1 || !slices.Contains(c.want, results[0].Result) || c.reused != (last == 1) {
+			t.Errorf("%s: %+v, want one of %v; %d connections kept before", c.when, results, c.want, last)
 		}
 		<-conns
-		s.waitUntilIdle() // whatever it still did is done
-		if len(p.events) > 0 {
-			t.Errorf("%s: ended again: %+v", c.when, <-p.events)
+		transport.waitUntilIdle() // whatever it still did is done
+		if len(recorder.events) > 0 {
+			t.Errorf("%s: ended again: %+v", c.when, <-recorder.events)
 		}
 	}
 }
@@ -213,8 +213,8 @@
 // Each way in which a call can end has its result.
 func TestAttemptOutcomes(t *testing.T) {
 	for _, c := range attemptOutcomes {
-		p := newEventRecorder()
-		s := NewTransport(p, time.Minute, 8, discardLog)
+		recorder := newEventRecorder()
+		transport := NewTransport(recorder, time.Minute, 8, discardLog)
 		got := make(chan struct{}, 1)
 		addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
 			if r.URL.Path != "/receive" || r.Header.Get("X-Request-Id") != "a" || r.Header.Get("Idempotency-Key") != "k-a" ||
@@ -228,12 +228,12 @@
 			addr = socktest.Refusing(t)
 		}
 		call := callTo(addr, c.limit, "a")
-		s.Send(call)
+		transport.Send(call)
 		if c.name == "canceled" {
 			<-got
-			s.Cancel(call)
+			transport.Cancel(call)
 		}
-		e := next[state.CallEnded](t, p).Results[0]
+		e := next[state.CallEnded](t, recorder).Results[0]
 		if e.SentAt.IsZero() != (c.want.Result == control.ConnectFailed) {
 			t.Errorf("%s: left at %v", c.name, e.SentAt)
 		}
@@ -246,53 +246,53 @@
 
 // A call withdrawn before its connection is up is never sent; one that has been sent goes on.
 func TestCancelUnsent(t *testing.T) {
-	p := newEventRecorder()
-	s := NewTransport(p, time.Minute, 8, discardLog)
-	got, goOn := make(chan string, 2), make(chan struct{})
+	recorder := newEventRecorder()
+	transport := NewTransport(recorder, time.Minute, 8, discardLog)
+	got, respond := make(chan string, 2), make(chan struct{})
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		got <- r.Header.Get("X-Request-Id")
-		<-goOn
+		<-respond
 		return socktest.Status(200)
 	})
 	sent := callTo(addr, time.Minute, "left")
-	s.Send(sent)
+	transport.Send(sent)
 	<-got
-	s.CancelUnsent(sent)
-	f := &inFlightCall{Transport: s, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
+	transport.CancelUnsent(sent)
+	f := &inFlightCall{Transport: transport, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
 	f.attempts = f.call.Attempts
 	f.ctx, f.cancel = context.WithCancel(t.Context())
-	s.inFlight[f.call] = f
-	s.CancelUnsent(f.call)
+	transport.inFlight[f.call] = f
+	transport.CancelUnsent(f.call)
 	f.run()
-	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.NotSent || e.Final {
+	if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.NotSent || e.Final {
 		t.Errorf("withheld: %+v", e)
 	}
-	close(goOn)
-	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served || len(got) > 0 {
+	close(respond)
+	if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.Served || len(got) > 0 {
 		t.Errorf("left: %+v, and %d more calls", e, len(got))
 	}
 }
 
 // A connection is reused, unless its endpoint has closed it meanwhile: a request written to that one would be lost.
 func TestConnectionReuse(t *testing.T) {
-	p := newEventRecorder()
-	s := NewTransport(p, time.Minute, 8, discardLog)
+	recorder := newEventRecorder()
+	transport := NewTransport(recorder, time.Minute, 8, discardLog)
 	conns := make(chan int, 8)
 	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
 		conns <- conn
 		return socktest.Status(200)
 	})
 	call := func() int {
-		s.Send(callTo(addr, time.Minute, "a"))
-		if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served {
+		transport.Send(callTo(addr, time.Minute, "a"))
+		if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.Served {
 			t.Fatalf("%+v", e)
 		}
 		return <-conns
 	}
 	a, b := call(), call() // the connection is back before its call's end is known
-	l := s.pool.popIdle("s")
-	l.Conn.(*net.TCPConn).CloseRead() // reads as closed by the other side
-	s.pool.put("s", l)
+	conn := transport.pool.popIdle("s")
+	conn.Conn.(*net.TCPConn).CloseRead() // reads as closed by the other side
+	transport.pool.put("s", conn)
 	if c := call(); a != b || b == c {
 		t.Errorf("connections %d %d %d, want the first twice and then another", a, b, c)
 	}
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -13,7 +13,7 @@
 	h := Detector{FleetSize: 100}
 	steps := []struct {
 		at            time.Duration
-		heard         bool // before
+		contact       bool // before
 		rejected      bool
 		gossip, query bool
 		isolated      bool // then
@@ -26,14 +26,14 @@
 		{at: 13 * s, rejected: true, isolated: true},
 		{at: 14 * s, rejected: true, isolated: true},
 		{at: 14*s + 900*time.Millisecond, rejected: true, isolated: true},
-		{at: 15 * s, heard: true},
+		{at: 15 * s, contact: true},
 		{at: 16 * s, rejected: true, gossip: true}, // somebody was heard a second ago
 		{at: 17 * s},
 		{at: 18 * s, rejected: true, gossip: true, query: true},
-		{at: 18*s + 400*time.Millisecond, heard: true},
+		{at: 18*s + 400*time.Millisecond, contact: true},
 		// a query after a peer was heard need not wait for the interval
 		{at: 21 * s, rejected: true, gossip: true, query: true},
-		{at: 21*s + 400*time.Millisecond, heard: true},
+		{at: 21*s + 400*time.Millisecond, contact: true},
 		{at: 30 * s},
 		{at: 31 * s, rejected: true, gossip: true, query: true},
 		{at: 32 * s, isolated: true},
@@ -42,17 +42,17 @@
 		// the fourth that nobody heard, and the interval of 5 s is over
 		{at: 40 * s, rejected: true, gossip: true, query: true, isolated: true},
 	}
-	for i, x := range steps {
-		if x.heard {
-			h.RecordPeer(x.at, 7)
+	for i, step := range steps {
+		if step.contact {
+			h.RecordPeer(step.at, 7)
 		}
-		if x.rejected {
-			if gossip, query := h.Rejected(x.at); gossip != x.gossip || query != x.query {
+		if step.rejected {
+			if gossip, query := h.Rejected(step.at); gossip != step.gossip || query != step.query {
 				t.Errorf("step %d: gossips %t, queries %t", i, gossip, query)
 			}
 		}
-		if h.Isolated(x.at) != x.isolated {
-			t.Errorf("step %d: isolated %t", i, !x.isolated)
+		if h.Isolated(step.at) != step.isolated {
+			t.Errorf("step %d: isolated %t", i, !step.isolated)
 		}
 	}
 }
@@ -84,9 +84,9 @@
 func TestReachableFraction(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, c := range []struct {
-		fleetSize, heard int
-		uneven           bool
-		from, to         float64
+		fleetSize, reachable int
+		uneven               bool
+		from, to             float64
 	}{
 		{300, 299, false, 0.6, 1}, {300, 299, true, 0.4, 1}, {300, 150, false, 0.33, 1}, {300, 60, false, 0.16, 0.4},
 		{300, 60, true, 0.07, 0.4},
@@ -97,11 +97,11 @@
 		for range 50 {
 			h := Detector{FleetSize: c.fleetSize}
 			for i := range 200 {
-				who := rng.IntN(c.heard)
-				for c.uneven && who%3 > 0 && rng.IntN(3) > 0 { // a third of them tells most
-					who = rng.IntN(c.heard)
+				peer := rng.IntN(c.reachable)
+				for c.uneven && peer%3 > 0 && rng.IntN(3) > 0 { // a third of them tells most
+					peer = rng.IntN(c.reachable)
 				}
-				h.RecordPeer(time.Duration(i)*100*time.Millisecond, who)
+				h.RecordPeer(time.Duration(i)*100*time.Millisecond, peer)
 			}
 			p := h.ReachableFraction(20 * s)
 			least, most = min(least, p), max(most, p)
@@ -112,11 +112,11 @@
 	}
 	shrunk := Detector{FleetSize: 40} // all are heard, then an eighth
 	for i := range historySize + recentObservations {
-		who := i % 39
+		peer := i % 39
 		if i >= historySize {
-			who = i % 7
+			peer = i % 7
 		}
-		shrunk.RecordPeer(time.Duration(i)*100*time.Millisecond, who)
+		shrunk.RecordPeer(time.Duration(i)*100*time.Millisecond, peer)
 	}
 	if p := shrunk.ReachableFraction(time.Duration(historySize+recentObservations) * 100 * time.Millisecond); p > 0.35 {
 		t.Errorf("%.2f after %d observations of an eighth", p, recentObservations)
@@ -138,13 +138,13 @@
 func TestShouldReply(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for _, n := range []int{8, 40, 300, 1000} {
-		h, sum := Detector{FleetSize: n}, 0
+		h, replies := Detector{FleetSize: n}, 0
 		for range 1000 * n {
 			if h.ShouldReply(rng.Float64()) {
-				sum++
+				replies++
 			}
 		}
-		if mean := float64(sum) / 1000; mean < 7.5 || mean > 8.5 {
+		if mean := float64(replies) / 1000; mean < 7.5 || mean > 8.5 {
 			t.Errorf("fleet of %d: %.2f reply", n, mean)
 		}
 	}
