--- a/internal/protocol/batch_test.go
+++ b/internal/protocol/batch_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Each message of a batch has a result of its own. One whose deadline comes first ends alone, and the others still
-// get theirs.
+// TestBatchResults checks that each message of a batch gets its own result, and that a message whose deadline passes
+// first times out alone while the others still get their results.
 func TestBatchResults(t *testing.T) {
 	recorder := newEventRecorder()
 	transport := NewTransport(recorder, time.Minute, 8, discardLog)
@@ -74,10 +74,11 @@
 	}
 }
 
-// A malformed response to a batch ends all its messages in the same way, at once, and its connection is not reused.
+// TestMalformedBatchResponse checks that a malformed response to a batch ends all messages of the batch with the same
+// result.
 func TestMalformedBatchResponse(t *testing.T) {
 	for _, answer := range []string{
-		"HTTP/1.1 200 x\r\nContent-Length: 13\r\n\r\na delivered\r\n", // nothing of b
+		"HTTP/1.1 200 x\r\nContent-Length: 13\r\n\r\na delivered\r\n", // no result for b
 		"HTTP/1.1 200 x\r\nContent-Length: 90\r\n\r\na delivered\r\nb deli",
 		"HTTP/1.1 200 x\r\nContent-Length: -1\r\n\r\n",
 		socktest.JSON("a delivered\r\na delivered\r\nb delivered\r\n"),
@@ -85,7 +86,8 @@
 	} {
 		recorder := newEventRecorder()
 		transport := NewTransport(recorder, time.Minute, 8, discardLog)
-		transport.Send(callTo(socktest.Serve(t, func(int, *http.Request, string) string { return answer }), time.Minute, "a", "b"))
+		addr := socktest.Serve(t, func(int, *http.Request, string) string { return answer })
+		transport.Send(callTo(addr, time.Minute, "a", "b"))
 		results := next[state.CallEnded](t, recorder).Results
 		if len(results) != 2 || results[0].Result != control.Failed || results[1].Result != control.Failed {
 			t.Errorf("%q: %+v", answer, results)
--- a/internal/protocol/clientconn_test.go
+++ b/internal/protocol/clientconn_test.go
@@ -21,7 +21,8 @@
 	return p.Conn.SetReadDeadline(t)
 }
 
-// The state that a connection waits in and the time that it may wait follow from what the listener is doing.
+// TestConnStateWhileWaiting checks that the state of the listener determines the state in which a connection waits for
+// a request, and how long it may wait.
 func TestConnStateWhileWaiting(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -29,7 +30,7 @@
 		initial connState
 		setUp   func(l *Listener)
 		want    connState
-		limit   time.Duration // 0 = the deadline that is set stays
+		limit   time.Duration // 0: the deadline must not change
 	}{
 		{"first request", false, connNew, func(*Listener) {}, connNew, readTimeout},
 		{"another request", true, connActive, func(*Listener) {}, connIdle, idleTimeout},
@@ -55,14 +56,15 @@
 			t.Errorf("%s: may wait %v, want %v", c.name, limit, c.limit)
 		}
 		if c.limit == 0 && !pipe.readDeadline.IsZero() {
-			t.Errorf("%s: its deadline was moved", c.name)
+			t.Errorf("%s: the read deadline was changed", c.name)
 		}
 		ours.Close()
 		theirs.Close()
 	}
 }
 
-// A connection that is used counts until it lingers, once.
+// TestConnStateCountsUsedConnections checks that a connection with at least one request is counted exactly once as used
+// until it lingers.
 func TestConnStateCountsUsedConnections(t *testing.T) {
 	l := ListenOn(nil, nil, testNames, testClasses, 4, 3, discardLog)
 	ours, theirs := net.Pipe()
@@ -81,6 +83,6 @@
 		}
 	}
 	if len(l.conns) > 0 {
-		t.Error("it is listed after its end")
+		t.Error("the lingering connection is still in conns")
 	}
 }
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -17,14 +17,14 @@
 	"cleathold/internal/state"
 )
 
-// A request that arrives in the instant in which its connection is to end, for whatever reason, gets its complete
-// response, as the last.
+// TestRequestAsConnectionCloses checks that a request that arrives just as the listener closes its connection, for any
+// reason, gets a complete response that announces the close.
 func TestRequestAsConnectionCloses(t *testing.T) {
 	for name, closeConn := range map[string]func(l *Listener){
-		"its time is over": func(*Listener) {},
-		"drained":          (*Listener).Drain,
-		"stopped":          func(l *Listener) { go l.Close(time.Now().Add(10 * time.Second)) },
-		"makes room":       (*Listener).evictIdle,
+		"idle timeout": func(*Listener) {},
+		"drained":      (*Listener).Drain,
+		"stopped":      func(l *Listener) { go l.Close(time.Now().Add(10 * time.Second)) },
+		"evicted":      (*Listener).evictIdle,
 	} {
 		recorder := newEventRecorder()
 		recorder.response = state.Response{Accepted: true}
@@ -32,7 +32,7 @@
 		l, conn := startFaulty(t, &faultyListener{beforeRead: func() error {
 			close(reading)
 			<-requestSent
-			return os.ErrDeadlineExceeded // though the request is there
+			return os.ErrDeadlineExceeded // although the request has arrived
 		}}, recorder)
 		<-reading
 		closeConn(l)
@@ -45,8 +45,8 @@
 	}
 }
 
-// A request that comes between the last check for input and the half-close is not acted on, and its client reads an
-// end, not a reset: it sends the request again on another connection.
+// TestRequestAcrossHalfClose checks that a request that arrives between the last check for input and the half-close is
+// not processed, and that its client reads EOF instead of a reset, so that it can retry on another connection.
 func TestRequestAcrossHalfClose(t *testing.T) {
 	recorder := newEventRecorder()
 	recorder.response = state.Response{Accepted: true}
@@ -63,12 +63,12 @@
 		t.Errorf("read %q, %v", rest, err)
 	}
 	if len(recorder.events) > 0 {
-		t.Errorf("acted on: %+v", <-recorder.events)
+		t.Errorf("the request was processed: %+v", <-recorder.events)
 	}
 }
 
-// The last response before a close arrives complete and ends the connection in order, whatever else was sent behind
-// its request.
+// TestLastResponseArrivesComplete checks that the client receives the last response before a close completely, and EOF
+// after it, even if it has sent more data after its request.
 func TestLastResponseArrivesComplete(t *testing.T) {
 	last := strings.Replace(submission, "Host: h", "Host: h\r\nConnection: close", 1)
 	flood := strings.Repeat("x", 400<<10)
@@ -78,10 +78,10 @@
 		response         state.Response
 		disableKeepAlive bool
 	}{
-		{"requests behind the last", last + strings.Repeat(submission, 20), 202, state.Response{Accepted: true}, false},
-		{"requests behind a refusal of one that leaves", submission + strings.Repeat(submission, 20), 503, state.Response{},
-			true},
-		{"a flood behind the last", last + flood, 202, state.Response{Accepted: true}, false},
+		{"requests after the last one", last + strings.Repeat(submission, 20), 202, state.Response{Accepted: true}, false},
+		{"requests after a rejected one without keep-alive", submission + strings.Repeat(submission, 20), 503,
+			state.Response{}, true},
+		{"data after the last request", last + flood, 202, state.Response{Accepted: true}, false},
 		{"body too long", strings.Replace(submission, "Length: 2", "Length: 400000", 1) + flood, 413, state.Response{},
 			false},
 		{"chunked", strings.Replace(submission, "Content-Length: 2\r\n\r\nhi",
@@ -111,8 +111,8 @@
 	}
 }
 
-// A client whose message the loop does not decide on in time is rejected then, and the message is not accepted
-// afterwards.
+// TestResponseTimeout checks that a message is rejected if the event loop makes no decision on it in time, and is not
+// accepted later.
 func TestResponseTimeout(t *testing.T) {
 	set := control.Settings{
 		FleetSize: 1, Classes: testClasses, Kinds: []control.Kind{{MaxBatch: 1}},
@@ -163,15 +163,15 @@
 	<-ended
 	list, err := state.ReadPending(dir, discardLog)
 	if err != nil || len(list) != 1 || list[0].ID != "fresh" {
-		t.Errorf("taken on: %+v, %v", list, err)
+		t.Errorf("accepted: %+v, %v", list, err)
 	}
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		t.Error(ctx.Err())
 	}
 }
 
-// Close waits for requests, not for clients that leave their ended connection open: another process waits to take
-// over.
+// TestCloseWaitsForRequestsOnly checks that Close waits for requests, but not for clients that don't close their side
+// of a connection. A longer wait would delay the hand-over to the successor process.
 func TestCloseWaitsForRequestsOnly(t *testing.T) {
 	l, conn := startFaulty(t, &faultyListener{}, newEventRecorder())
 	io.WriteString(conn, healthRequest)
@@ -189,7 +189,8 @@
 	}
 }
 
-// A 202 that can't be written completely is none: its client may resubmit the message, so this one is over.
+// TestPartialResponseWrite checks that a message whose 202 response can't be written completely counts as not accepted,
+// because its client may resubmit it.
 func TestPartialResponseWrite(t *testing.T) {
 	recorder := newEventRecorder()
 	recorder.response = state.Response{Accepted: true}
@@ -207,10 +208,10 @@
 	}
 }
 
-// A close that is asked for while the loop decides is announced with the response, which is the last of its
-// connection.
+// TestCloseWhileResponsePending checks that a close requested while the event loop decides on a message is announced in
+// the response.
 func TestCloseWhileResponsePending(t *testing.T) {
-	for name, requestClose := range map[string]func(*Listener){"leaves": (*Listener).DisableKeepAlive,
+	for name, requestClose := range map[string]func(*Listener){"keep-alive disabled": (*Listener).DisableKeepAlive,
 		"drained": (*Listener).Drain} {
 		sock, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -234,7 +235,8 @@
 	}
 }
 
-// idleClient is a connection that the listener has accepted and that waits for its first request.
+// idleClient adds a connection to the listener that waits for its first request. The returned deadlineRecorder records
+// the deadlines set on it.
 func idleClient(t *testing.T, l *Listener) (*clientConn, *deadlineRecorder) {
 	t.Helper()
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
@@ -260,7 +262,8 @@
 	return client, conn
 }
 
-// While an evicted connection is on its way out, the others stay.
+// TestEvictionEndsOneConnection checks that an eviction doesn't close other connections while the evicted one is still
+// closing.
 func TestEvictionEndsOneConnection(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	client, _ := idleClient(t, l)
@@ -284,12 +287,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if client.state != connEvicted {
-		t.Error("the idle connection was not chosen")
+		t.Error("the idle connection was not evicted")
 	}
 	delete(l.conns, client)
 }
 
-// An evicted connection whose request was read in that instant is told with its response that it is the last.
+// TestEvictedConnectionWithRequest checks that a connection evicted just as a request arrives is closed after the
+// response to it.
 func TestEvictedConnectionWithRequest(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	client, _ := idleClient(t, l)
@@ -303,14 +307,14 @@
 	l.mu.Unlock()
 }
 
-// A connection that is evicted between its accept and the wait for its first byte ends at once: whoever waits for its
-// slot, and all behind it, would wait for its timeout otherwise.
+// TestEvictionAfterAccept checks that a connection evicted between its accept and the wait for its first byte is closed
+// at once. Otherwise the connections waiting for its slot would have to wait for its timeout.
 func TestEvictionAfterAccept(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	client, conn := idleClient(t, l)
 	l.evictIdle()
 	if l.awaitRequest(client) {
-		t.Error("it waits for a request")
+		t.Error("the evicted connection waits for a request")
 	}
 	l.mu.Lock()
 	delete(l.conns, client)
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -13,7 +13,7 @@
 	"cleathold/internal/state"
 )
 
-// startDiscovery runs a client of discovery that posts to the recorder.
+// startDiscovery runs a discovery client that posts to the recorder.
 func startDiscovery(t *testing.T, recorder *eventRecorder, c DiscoveryConfig) *Discovery {
 	c.Names, c.Log = testNames, discardLog
 	d := NewDiscovery(recorder, c)
@@ -21,8 +21,8 @@
 	return d
 }
 
-// An answer from the old address that comes after a change of address is not the list: the new address is polled, for
-// the full one.
+// TestResponseFromOldAddress checks that a response from the old address that arrives after SetAddress is ignored, and
+// that the full list is polled at the new address.
 func TestResponseFromOldAddress(t *testing.T) {
 	list := func(id string) string {
 		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"` + id + `","state":"up","cell":1}]}`)
@@ -50,8 +50,8 @@
 	}
 }
 
-// What a new address has to tell counts as told 4 s after the change. A first poll there that is not answered is
-// repeated soon, and is not left to the controller to repeat.
+// TestSetAddressToSlowServer checks that the discovery client itself retries failed polls at a new address, instead of
+// leaving that to the controller: 4 s after the change the sender counts as notified of the list there.
 func TestSetAddressToSlowServer(t *testing.T) {
 	old := socktest.Serve(t, func(int, *http.Request, string) string { return socktest.Hang })
 	var queries atomic.Int32
@@ -68,8 +68,8 @@
 		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"new","state":"up","cell":1}]}`)
 	})
 	recorder := newEventRecorder()
-	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second,
-		DrainGrace: 2 * time.Second})
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second,
+		PollSpread: 4 * time.Second, DrainGrace: 2 * time.Second})
 	d.Watch(true, 3)
 	moved := time.Now()
 	d.SetAddress(addr)
@@ -77,13 +77,13 @@
 		t.Errorf("%+v", n)
 	}
 	if took := time.Since(moved); took > 4*time.Second {
-		t.Errorf("known %v after the move", took)
+		t.Errorf("list received %v after the change of address", took)
 	}
 }
 
-// A poll that becomes unresponsive is repeated without a wait: before an answer so that what it missed is known
-// within the 6 s after which that counts as told, in an answer within a second, as what has begun to come counts as
-// told at once.
+// TestUnresponsivePoll checks that an unresponsive poll is repeated as an immediate one. If it stalls before the
+// response, missed changes must arrive within 6 s, after which the sender counts as notified of them. If it stalls
+// within the response, the limit is one second, because the sender counts as notified once a response has begun.
 func TestUnresponsivePoll(t *testing.T) {
 	answer := socktest.JSON(changedList)
 	for _, c := range []struct {
@@ -116,7 +116,7 @@
 			d.Watch(true, 4)
 			if c.unreadable {
 				if u := next[state.ListUnreadable](t, recorder); u.At.Sub(startedAt) > 200*time.Millisecond {
-					t.Errorf("an answer that began %v after the question", u.At.Sub(startedAt))
+					t.Errorf("the response began %v after the poll", u.At.Sub(startedAt))
 				}
 			}
 			if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListDelta || n.Version != 9 {
@@ -135,7 +135,8 @@
 	}
 }
 
-// An unresponsive discovery is a failed poll to the controller, which decides when to poll again.
+// TestUnresponsiveDiscovery checks that the controller is notified of a failed poll if discovery doesn't respond to the
+// immediate retry either. The controller then decides when to poll again.
 func TestUnresponsiveDiscovery(t *testing.T) {
 	queries := make(chan struct{}, 8)
 	addr := socktest.Serve(t, func(int, *http.Request, string) string { queries <- struct{}{}; return socktest.Hang })
@@ -147,8 +148,8 @@
 	}
 }
 
-// A list older than the known one does not take its place: the full list is polled, and holds whatever its version
-// is.
+// TestOlderListVersion checks that a list older than the known one is ignored, and that the full list is polled instead
+// and used whatever its version is.
 func TestOlderListVersion(t *testing.T) {
 	queries := make(chan string, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
@@ -175,8 +176,9 @@
 	}
 }
 
-// In a large fleet the list is known once the poll after a delay has been open for a while. A poll that ends later
-// was received; one that is rejected at once leaves what was told before it unknown.
+// TestPollAfterDelay checks when the list of a sender in a large fleet counts as up to date after a delay: once the
+// next poll has been open for pollOpenDelay, even if it fails later. If the poll is rejected at once, changes made
+// before it remain unknown.
 func TestPollAfterDelay(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -210,7 +212,8 @@
 	}
 }
 
-// A poll follows each answer until one fails, and asks for what is newer than the latest version.
+// TestPoll checks that a watch polls again after each response until a poll fails, and that each poll requests the
+// changes since the latest version.
 func TestPoll(t *testing.T) {
 	queries := make(chan string, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
@@ -235,8 +238,9 @@
 	}
 }
 
-// A list that has not changed yet has version zero: what is polled then is what has changed since. Only where no
-// version is known the full list is polled. After a change a large fleet's sender delays its next poll.
+// TestPollFromVersionZero checks that zero is a valid version, from which a watch polls for changes, and that the full
+// list is polled only if no version is known. It also checks that a sender of a large fleet delays the poll after a
+// change.
 func TestPollFromVersionZero(t *testing.T) {
 	type query struct {
 		path string
--- a/internal/protocol/gossip_test.go
+++ b/internal/protocol/gossip_test.go
@@ -11,8 +11,8 @@
 	"cleathold/internal/state"
 )
 
-// Gossip of peers arrives with their numbers. Datagrams of strangers, too long, cut short or of another version are
-// dropped, and so are the sender's own.
+// TestGossipTransport checks that gossip of peers is posted with their numbers, and that datagrams from the sender
+// itself, from unknown addresses, too long, truncated or of another version are dropped.
 func TestGossipTransport(t *testing.T) {
 	open := func() *net.UDPConn {
 		c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/protocol/hedge_test.go
+++ b/internal/protocol/hedge_test.go
@@ -13,8 +13,8 @@
 	"cleathold/internal/state"
 )
 
-// Where hedged requests are not allowed, a message whose call is out on an open connection is not sent again: its
-// call may hold others that are awaited for longer, and all of them wait as long.
+// TestNoHedgeWhileCallIsOpen checks that without hedged requests a message is not sent again while its call is in
+// flight on an open connection. The call may contain other messages with later deadlines, and all of them wait as long.
 func TestNoHedgeWhileCallIsOpen(t *testing.T) {
 	repeated := make(chan string, 8)
 	addr := serveRepeatsOnly(t, repeated)
@@ -28,7 +28,7 @@
 		MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
 		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2, CanCancel: true,
 	}
-	var targets []state.Target // two routes to one address: the other is open at once
+	var targets []state.Target // two routes to one address, so that the second is available at once
 	for _, id := range []string{"s", "t"} {
 		target := state.Target{ID: id, Addr: addr}
 		target.Endpoint = control.Endpoint{Destination: 7, State: control.Ready}
@@ -59,11 +59,11 @@
 	}
 }
 
-// serveRepeatsOnly serves an address that never answers the first copy of a message, and answers later ones. It sends
-// the id of each message that comes again, and whether its first copy was still out.
+// serveRepeatsOnly starts an endpoint that never responds to the first copy of a message but responds to later ones. It
+// sends the ID of each repeated message to repeated, and whether its first copy was still in flight.
 func serveRepeatsOnly(t *testing.T, repeated chan<- string) (addr string) {
 	var mu sync.Mutex
-	first := map[string]*bufferedConn{} // by message: the connection on which it came first
+	first := map[string]*bufferedConn{} // connection of the first copy, by message ID
 	return socktest.Accept(t, func(_ int, conn *net.TCPConn) {
 		c := newBufferedConn(conn)
 		c.readLimit.N = 1 << 20
@@ -81,9 +81,9 @@
 		for _, id := range ids {
 			switch before := first[id]; {
 			case before == nil:
-				first[id] = c // and hangs
+				first[id] = c // no response
 			case before.openWithoutInput():
-				repeated <- id + " while its first copy was out"
+				repeated <- id + " while its first copy was in flight"
 			default:
 				repeated <- id
 			}
--- a/internal/protocol/helpers_test.go
+++ b/internal/protocol/helpers_test.go
@@ -16,13 +16,13 @@
 	"cleathold/internal/state"
 )
 
-// faultyListener is a listening socket whose connections run hooks of the test.
+// faultyListener is a listening socket that injects errors and runs hooks on its connections.
 type faultyListener struct {
 	net.Listener
 	beforeRead  func() error // before the first read of a connection
-	beforeClose func()       // before a half-close, or a close without one
+	beforeClose func()       // before the first half-close or close of a connection
 	write       func(c *net.TCPConn, b []byte) (int, error)
-	acceptErrs  []error // of the first accepts
+	acceptErrs  []error // returned by the first calls of Accept
 }
 
 func (s *faultyListener) Accept() (net.Conn, error) {
@@ -73,7 +73,7 @@
 func (c *faultyConn) CloseWrite() error { c.beforeClose(); return c.TCPConn.CloseWrite() }
 func (c *faultyConn) Close() error      { c.beforeClose(); return c.TCPConn.Close() }
 
-// startFaulty starts a listener on such a socket, and connects to it.
+// startFaulty starts a Listener on a faultyListener and opens a connection to it.
 func startFaulty(t *testing.T, s *faultyListener, recorder *eventRecorder) (*Listener, net.Conn) {
 	t.Helper()
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,7 +93,7 @@
 	return l, conn
 }
 
-// stalledDiscovery is a discovery that stalls the loop, as a disk could.
+// stalledDiscovery is a discovery client that blocks the event loop, as a slow disk could.
 type stalledDiscovery struct {
 	silentServices
 	entered, resume chan struct{}
@@ -129,7 +129,7 @@
 	return d.TCPConn.SetReadDeadline(t)
 }
 
-// silentServices is a discovery and a platform that tell nothing.
+// silentServices implements a discovery client and a reporter that do nothing.
 type silentServices struct{}
 
 func (silentServices) Watch(bool, int64)           {}
@@ -144,7 +144,7 @@
 			return ids
 		}
 		ids = append(ids, strings.Fields(head)[0])
-		in.ReadString('\n') // bodies here hold no line's end
+		in.ReadString('\n') // bodies in these tests contain no newline
 	}
 }
 
@@ -164,7 +164,7 @@
 	conn.Close()
 }
 
-// receive reads a request and its body.
+// receive reads a request including its body.
 func receive(in *bufio.Reader) (*http.Request, error) {
 	r, err := http.ReadRequest(in)
 	if err == nil {
@@ -173,7 +173,7 @@
 	return r, err
 }
 
-// cancelOnEnd cancels a call in the instant in which its result is posted.
+// cancelOnEnd cancels each call while its result is being posted.
 type cancelOnEnd struct {
 	*eventRecorder
 	transport *Transport
@@ -193,7 +193,7 @@
 	}
 }
 
-// inFlightCount is how many calls are in flight.
+// inFlightCount returns the number of calls in flight.
 func (t *Transport) inFlightCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,7 +204,7 @@
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// eventRecorder records what is posted, and answers each message with its response.
+// eventRecorder records the posted events, and decides each submitted message with its response.
 type eventRecorder struct {
 	events   chan state.Event
 	response state.Response
@@ -220,7 +220,7 @@
 	return true
 }
 
-// runUntilEnd runs something until the end of the test, which waits for it.
+// runUntilEnd calls run on a goroutine, and cancels and awaits it at the end of the test.
 func runUntilEnd(t *testing.T, run func(context.Context)) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -228,19 +228,19 @@
 	t.Cleanup(func() { cancel(); <-ended })
 }
 
-// next waits for an event; only a hang makes it fail.
+// next returns the next event. The timeout is long enough that it only expires if no event is posted at all.
 func next[T any](t *testing.T, recorder *eventRecorder) T {
 	t.Helper()
 	select {
 	case e := <-recorder.events:
 		return e.(T)
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing was posted")
+		t.Fatal("no event was posted")
 		panic("unreachable")
 	}
 }
 
-// callTo makes a call of messages to an address, with a deadline.
+// callTo returns a call with these messages to an address. Each attempt ends after the timeout.
 func callTo(addr string, timeout time.Duration, ids ...string) *state.Call {
 	c := &state.Call{Target: state.Target{ID: "s", Addr: addr}, ConnectBy: time.Now().Add(time.Minute)}
 	for _, id := range ids {
@@ -250,7 +250,7 @@
 	return c
 }
 
-// startListener starts a listener on the recorder.
+// startListener starts a listener that posts to the recorder.
 func startListener(t *testing.T, recorder *eventRecorder) *Listener {
 	t.Helper()
 	l, err := Listen("127.0.0.1:0", recorder, testNames, testClasses, 4, 3, discardLog)
--- a/internal/protocol/lateconn_test.go
+++ b/internal/protocol/lateconn_test.go
@@ -14,14 +14,14 @@
 	"cleathold/internal/state"
 )
 
-// A connection that comes up late carries only what is still wanted: no attempt whose deadline has come, and nothing
-// of a call that is withdrawn or over. Each attempt ends at its own deadline, and the connection is kept.
+// TestLateConnection checks that a connection established late carries no attempt whose deadline has passed and nothing
+// of a canceled call. Each attempt ends at its own deadline.
 func TestLateConnection(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		overdue []int // the attempts whose deadline comes while the connection is not up
+		overdue []int // attempts whose deadline passes while the connection is being established
 		during  func(s *Transport, call *state.Call)
-		sent    string // path and messages that arrive; empty = none
+		sent    string // path and messages that the endpoint receives; empty: none
 		want    []control.Result
 	}{
 		{"in time", nil, nil, "/receive-many a b c", []control.Result{control.Served, control.Served, control.Served}},
@@ -47,7 +47,7 @@
 			results := map[*state.Attempt]control.Result{}
 			waitForResults := func() { collectResults(t, recorder, results) }
 			for len(results) < len(c.overdue) {
-				waitForResults() // at their own deadline, though the connection is not up
+				waitForResults() // attempts end at their own deadline, although the connection is not established
 			}
 			if c.during != nil {
 				c.during(transport, call)
@@ -73,8 +73,7 @@
 	}
 }
 
-// shortenDeadlines has some attempts of a call end soon: their deadline has come, or they must not be repeated any
-// more.
+// shortenDeadlines makes some attempts of a call end soon, by an early Deadline or an early NotAfter.
 func shortenDeadlines(call *state.Call, attempts []int) {
 	for n, i := range attempts {
 		if soon := time.Now().Add(10 * time.Millisecond); n%2 == 0 {
@@ -85,7 +84,7 @@
 	}
 }
 
-// collectResults waits for results and adds them to others, each attempt once.
+// collectResults waits for a CallEnded event and adds its results to results. Each attempt may end only once.
 func collectResults(t *testing.T, recorder *eventRecorder, results map[*state.Attempt]control.Result) {
 	for _, e := range next[state.CallEnded](t, recorder).Results {
 		if _, twice := results[e.Attempt]; twice {
@@ -95,7 +94,7 @@
 	}
 }
 
-// serveBatches serves an address whose messages are all delivered, and sends the path and the messages of each call.
+// serveBatches starts an endpoint that delivers all messages, and sends the path and message IDs of each call to got.
 func serveBatches(t *testing.T, got chan<- string) (addr string) {
 	return socktest.Serve(t, func(_ int, r *http.Request, body string) string {
 		ids := r.Header.Get("X-Request-Id")
@@ -113,7 +112,7 @@
 	})
 }
 
-// dialWhenUp dials, and has the connection up once the channel is closed.
+// dialWhenUp returns a dial function that returns the connection only once the channel up is closed.
 func dialWhenUp(up <-chan struct{}) func(context.Context, string) (*bufferedConn, error) {
 	return func(ctx context.Context, addr string) (*bufferedConn, error) {
 		c, err := dial(context.Background(), addr)
@@ -127,7 +126,8 @@
 	}
 }
 
-// A connection that comes up once all attempts of a call have ended carries nothing, and serves the next call.
+// TestLateConnectionWithoutAttempts checks that a connection established after all attempts of its call have ended
+// carries no request and is kept for the next call.
 func TestLateConnectionWithoutAttempts(t *testing.T) {
 	recorder := newEventRecorder()
 	transport := NewTransport(recorder, time.Minute, 8, discardLog)
@@ -135,7 +135,7 @@
 		t.Errorf("%s was sent", r.Header.Get("X-Request-Id"))
 		return socktest.Status(200)
 	})
-	call := callTo(addr, 0, "a") // over from the start, as those of a call to which others belonged
+	call := callTo(addr, 0, "a") // its deadline has passed already, which can only happen in a call with further attempts
 	f := &inFlightCall{Transport: transport, call: call, ended: make([]bool, 1), attempts: call.Attempts}
 	f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 	defer f.cancel()
@@ -155,18 +155,18 @@
 	}
 }
 
-// A call that can't be written completely before the deadline of one of its attempts has not run, and ends as a
-// whole.
+// TestStalledWrite checks that a call that can't be written completely before the deadline of one of its attempts ends
+// as a whole, as not processed.
 func TestStalledWrite(t *testing.T) {
 	recorder := newEventRecorder()
 	transport := NewTransport(recorder, time.Minute, 8, discardLog)
-	clientSide, serverSide := net.Pipe() // takes no byte that is not read
+	clientSide, serverSide := net.Pipe() // unbuffered: a write blocks until its bytes are read
 	defer serverSide.Close()
 	transport.dial = func(context.Context, string) (*bufferedConn, error) { return newBufferedConn(clientSide), nil }
 	call := callTo("nowhere", time.Minute, "a", "b")
 	call.Attempts[1].Deadline = time.Now().Add(50 * time.Millisecond)
 	transport.Send(call)
-	io.ReadFull(serverSide, make([]byte, 40)) // the begin, and nothing more
+	io.ReadFull(serverSide, make([]byte, 40)) // only the beginning of the request
 	for _, e := range next[state.CallEnded](t, recorder).Results {
 		if e.Result != control.ConnectFailed {
 			t.Errorf("%s: %+v", e.Attempt.Message.ID, e)
@@ -174,8 +174,8 @@
 	}
 }
 
-// An endpoint answers and closes before it has read the whole call: nothing of the call has run, and its Retry-After
-// binds all the same.
+// TestResponseBeforeRequestSent checks a response of an endpoint that responds and closes the connection before it has
+// read the whole request. No message was processed then, and a Retry-After must still be honored.
 func TestResponseBeforeRequestSent(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -206,7 +206,7 @@
 			conn.(*net.TCPConn).SetReadBuffer(1 << 10)
 			io.ReadFull(conn, make([]byte, 1))
 			io.WriteString(conn, c.answer)
-			conn.Close() // over bytes that were not read
+			conn.Close() // with unread input, which resets the connection
 		}()
 		transport.dial = func(ctx context.Context, addr string) (*bufferedConn, error) {
 			l, err := dial(ctx, addr)
@@ -216,7 +216,7 @@
 			return l, err
 		}
 		call := callTo(sock.Addr().String(), time.Minute, "a")
-		call.Attempts[0].Message.Body = make([]byte, 8<<20) // more than any buffer on the way holds
+		call.Attempts[0].Message.Body = make([]byte, 8<<20) // larger than all socket buffers together
 		transport.Send(call)
 		e := next[state.CallEnded](t, recorder).Results[0]
 		if e.SentAt.IsZero() {
@@ -229,13 +229,13 @@
 	}
 }
 
-// A response that is cut at any byte ends a call, and each of its messages once: a 200 to one message counts from its
-// status line on, all else has to come completely.
+// TestTruncatedResponse checks that a response truncated at any byte ends each message of the call once. A 200 response
+// to a single message counts from its complete status line on; any other response must be complete.
 func TestTruncatedResponse(t *testing.T) {
 	for _, c := range []struct {
 		ids      []string
 		answer   string
-		complete int // from so many bytes on the messages are delivered
+		complete int // number of bytes from which on the messages count as delivered
 	}{
 		{[]string{"a"}, "HTTP/1.1 200 OK\r\nX-Load: x0=0.4\r\nContent-Length: 2\r\n\r\nok", len("HTTP/1.1 200 OK\r\n")},
 		{[]string{"a"}, "HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
--- a/internal/protocol/list_test.go
+++ b/internal/protocol/list_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Of an answer that broke off, the targets that are named completely as draining or removed are known. One that could
-// only have told the known version has told nothing.
+// TestTruncatedList checks that parseDraining returns the draining and removed targets that a truncated list contains
+// completely, and that isUnchanged detects a truncated list with the known version.
 func TestTruncatedList(t *testing.T) {
 	const list = `{"version":41,"full":false,"servers":[{"id":"a","state":"draining","cell":1},` +
 		`{"id":"b","state":"up","cell":1},` +
@@ -54,7 +54,7 @@
 			want = "ac"
 		}
 		if ids != want {
-			t.Errorf("of %s: %q leave, want %q", prefix, ids, want)
+			t.Errorf("%s: %q draining, want %q", prefix, ids, want)
 		}
 		if unchanged, want := isUnchanged(prefix, 41), cut > strings.Index(list, "41,")+2; unchanged != want {
 			t.Errorf("%s tells nothing new: %t", prefix, unchanged)
--- a/internal/protocol/listener_test.go
+++ b/internal/protocol/listener_test.go
@@ -16,7 +16,8 @@
 	"cleathold/internal/state"
 )
 
-// Accepts that fail for want of descriptors do not end the listener.
+// TestAcceptWithoutDescriptors checks that failed accepts, such as for lack of file descriptors, don't end the
+// listener.
 func TestAcceptWithoutDescriptors(t *testing.T) {
 	_, conn := startFaulty(t, &faultyListener{acceptErrs: []error{syscall.EMFILE, syscall.ENFILE, syscall.ECONNABORTED}},
 		newEventRecorder())
@@ -26,7 +27,7 @@
 	}
 }
 
-// Every request that can be read gets a response, and malformed ones do no harm.
+// TestListenerResponses checks the responses to valid, rejected and malformed requests.
 func TestListenerResponses(t *testing.T) {
 	recorder := newEventRecorder()
 	l := startListener(t, recorder)
@@ -36,10 +37,10 @@
 		status     int
 		retryAfter string
 	}{
-		{"taken", submission, state.Response{Accepted: true}, 202, ""},
-		{"refused", submission, state.Response{RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
+		{"accepted", submission, state.Response{Accepted: true}, 202, ""},
+		{"rejected", submission, state.Response{RetryAfter: 250 * time.Millisecond}, 503, "0.250"},
 		{"failed", submission, state.Response{Permanent: true}, 500, ""},
-		{"nowhere to go", submission, state.Response{Invalid: state.UnknownDestination}, 400, ""},
+		{"unknown destination", submission, state.Response{Invalid: state.UnknownDestination}, 400, ""},
 		{"id in use", submission, state.Response{Invalid: state.DuplicateID}, 409, ""},
 		{"bad", strings.Replace(submission, "dest=1", "dest=", 1), state.Response{}, 400, ""},
 		{"no HTTP", "what is this\r\n\r\n", state.Response{}, 400, ""},
@@ -68,12 +69,13 @@
 			}
 		}
 		if c.response.Accepted && !next[state.ResponseWritten](t, recorder).OK {
-			t.Errorf("%s: answer not confirmed", c.name)
+			t.Errorf("%s: ResponseWritten without OK", c.name)
 		}
 	}
 }
 
-// A request with two lengths hides another in its body: neither is accepted.
+// TestRequestSmuggling checks that a request with both Content-Length and chunked encoding, which hides a second
+// request in its body, is rejected, and that the second request is not processed.
 func TestRequestSmuggling(t *testing.T) {
 	recorder := newEventRecorder()
 	recorder.response = state.Response{Accepted: true}
@@ -95,7 +97,7 @@
 	}
 }
 
-// The body of a rejected request is not read as the next request.
+// TestUnreadBody checks that the body of a rejected request is not parsed as the next request.
 func TestUnreadBody(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	conn, err := net.Dial("tcp", l.Addr().String())
@@ -120,8 +122,8 @@
 	}
 }
 
-// A listener without keep-alive still accepts messages, and tells each client that its connection ends with the
-// response.
+// TestDisableKeepAlive checks that a listener without keep-alive still accepts messages, and announces the close of the
+// connection in the response.
 func TestDisableKeepAlive(t *testing.T) {
 	recorder := newEventRecorder()
 	recorder.response = state.Response{Accepted: true}
@@ -146,8 +148,9 @@
 	}
 }
 
-// Peers that connect and send nothing, however many, keep nobody else out: a connection that has been served and is
-// idle stays, and a new one is served. Each of them, and one that stops in the middle of a request, is closed.
+// TestIdleConnectionFlood checks that clients that open many connections and send nothing don't displace others: an
+// idle connection that has had a request stays open, and a new connection is served. The silent connections, and one
+// that stops in the middle of a request, are closed.
 func TestIdleConnectionFlood(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	for i, conn := range floodIdle(t, l) {
@@ -157,8 +160,8 @@
 	}
 }
 
-// The connection that has been served stays also where it is still on its way to wait for the next request, as on a
-// busy machine, while an idle one is evicted.
+// TestIdleConnectionFloodAfterResponse checks that a connection that has had a request also stays open if it has not
+// yet begun to wait for the next request when others are evicted, as happens on a busy machine.
 func TestIdleConnectionFloodAfterResponse(t *testing.T) {
 	l, first := startFaulty(t, &faultyListener{write: func(c *net.TCPConn, b []byte) (int, error) {
 		n, err := c.Write(b)
@@ -169,8 +172,8 @@
 	floodIdle(t, l)
 }
 
-// floodIdle has a connection served, opens more that send nothing or half a request, and checks that the first one
-// and a new one are served. It returns the silent ones.
+// floodIdle sends a request on one connection, opens more connections that send nothing or half a request, and checks
+// that requests on the first and on a new connection are served. It returns the silent connections.
 func floodIdle(t *testing.T, l *Listener) (silent []net.Conn) {
 	t.Helper()
 	dial := func() net.Conn {
@@ -202,9 +205,9 @@
 	return silent
 }
 
-// Of clients that ask once and keep their connection open only so many are kept: the next ones are told that theirs
-// ends with the response, and those that are idle for long are closed. Clients that may not hold more connections
-// could not send otherwise.
+// TestKeepAliveLimit checks that only a limited number of connections is kept open after a request. Further ones close
+// after their response, and kept ones close after the idle timeout. Otherwise clients that have reached the limit of
+// their own connections could not send any more.
 func TestKeepAliveLimit(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	var held []net.Conn
@@ -229,12 +232,12 @@
 	}
 	for i, conn := range held {
 		if _, err := io.Copy(io.Discard, conn); os.IsTimeout(err) {
-			t.Errorf("connection %d stays for good", i)
+			t.Errorf("connection %d is never closed", i)
 		}
 	}
 }
 
-// At the limit of connections an idle one is evicted for a new one.
+// TestConnectionLimit checks that an idle connection is evicted for a new one at the connection limit.
 func TestConnectionLimit(t *testing.T) {
 	l := startListener(t, newEventRecorder())
 	for i := range 12 {
@@ -251,13 +254,13 @@
 	}
 }
 
-// listenerClient is a client's side of a connection.
+// listenerClient is the client side of a connection to a listener.
 type listenerClient struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// dialListener connects to a listener until the end of the test.
+// dialListener opens a connection to a listener. The connection is closed at the end of the test.
 func dialListener(t *testing.T, l *Listener) *listenerClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", l.Addr().String())
@@ -281,20 +284,20 @@
 	return r
 }
 
-// breakOffRequest sends a part of a request, and waits until it counts as unanswered.
+// breakOffRequest sends a part of a request, closes the connection, and waits until the request counts as unanswered.
 func breakOffRequest(t *testing.T, l *Listener) {
 	half := dialListener(t, l)
 	io.WriteString(half, "POST /status HTTP/1.1\r\nHost: x\r\n")
 	half.Close()
 	for until := time.Now().Add(10 * time.Second); l.counters.unanswered.Load() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("a request that broke off is not counted")
+			t.Fatal("an incomplete request is not counted as unanswered")
 		}
 	}
 }
 
-// A drained sender is not healthy, ends connections with their responses and idle ones at once, and rejects messages
-// after a while, with a Retry-After; activated, it is as before.
+// TestDrainedListener checks that a drained listener fails health checks, closes idle connections at once and others
+// after their response, and rejects messages with a Retry-After after drainAcceptWindow. Activate reverts all of this.
 func TestDrainedListener(t *testing.T) {
 	recorder := newEventRecorder()
 	recorder.response = state.Response{Accepted: true}
@@ -318,7 +321,7 @@
 	}
 	l.Drain()
 	drainedAt := time.Now()
-	// It was idle, and had longer.
+	// The connection was idle and must close well before its idle timeout.
 	if _, err := idle.in.ReadByte(); err != io.EOF || time.Since(drainedAt) > idleTimeout/2 {
 		t.Errorf("an idle connection: %v after %v", err, time.Since(drainedAt))
 	}
--- a/internal/protocol/reporter_test.go
+++ b/internal/protocol/reporter_test.go
@@ -12,8 +12,8 @@
 	"cleathold/internal/state"
 )
 
-// A report on a connection that has become unresponsive goes again on a new one in time: it is due 300 ms after its
-// message's time.
+// TestReportOnUnresponsiveConnection checks that a report sent on an unresponsive connection is repeated on a new one
+// in time: it is due 300 ms after the deadline of its message.
 func TestReportOnUnresponsiveConnection(t *testing.T) {
 	received := make(chan int, 8)
 	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
@@ -39,8 +39,8 @@
 	}
 }
 
-// A platform that could not be reached for a while gets reports soon after it can be: they are due 300 ms after the
-// time of their messages, which may fall into that while.
+// TestReportAfterPlatformRecovers checks that reports arrive soon after an outage of the platform: they are due 300 ms
+// after the deadlines of their messages, which may pass during the outage.
 func TestReportAfterPlatformRecovers(t *testing.T) {
 	var recoversAt atomic.Pointer[time.Time]
 	received := make(chan time.Time, 8)
@@ -59,11 +59,12 @@
 	reporter.Report(state.DeliveryReport{Number: 1, ID: "a"})
 	next[state.ReportsAcknowledged](t, recorder)
 	if late := (<-received).Sub(at); late > 200*time.Millisecond {
-		t.Errorf("told %v after the platform could be reached", late)
+		t.Errorf("report received %v after the platform recovered", late)
 	}
 }
 
-// Reports go out in order and again until 204; one that can't be read is dropped.
+// TestReports checks that reports are sent in order and repeated until the platform responds with 204, and that one
+// rejected as malformed is dropped.
 func TestReports(t *testing.T) {
 	var got []string
 	calls := 0
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -15,7 +15,7 @@
 	const good = "X-Request-Id: i1\r\nX-Tenant: acme\r\nX-Deadline: 1.5\r\nX-Addressing: a=1, dest=7\r\n"
 	for _, c := range []struct {
 		name, requestLine, head, body string
-		status                        int // 0 = taken in
+		status                        int // 0: accepted
 	}{
 		{"plain", "POST /status", good, "hi", 0},
 		{"deeper path", "POST /status/x", good, "hi", 0},
@@ -59,7 +59,7 @@
 		}
 		if m != nil && (m.ID != "i1" || m.Destination != 7 || string(m.Body) != c.body ||
 			!m.Deadline.Equal(now.Add(1500*time.Millisecond))) {
-			t.Errorf("%s: taken in as %+v", c.name, m)
+			t.Errorf("%s: parsed as %+v", c.name, m)
 		}
 	}
 }
--- a/internal/protocol/transport_test.go
+++ b/internal/protocol/transport_test.go
@@ -16,8 +16,8 @@
 	"cleathold/internal/state"
 )
 
-// A connection is reset once so many bytes of a call have come, on a new connection and on a reused one: all bytes
-// had been sent, so the call may have run, and none of its messages counts as not run.
+// TestResetUnderCall checks that a call whose connection is reset ends with ConnectionLost, however many bytes of it
+// the endpoint has read, on new and on reused connections: all bytes were sent, so the call may have been processed.
 func TestResetUnderCall(t *testing.T) {
 	f := &inFlightCall{call: callTo("127.0.0.1:99999", time.Minute, "a", "b")}
 	f.attempts = f.call.Attempts
@@ -45,14 +45,15 @@
 			transport.Send(callTo(addr, time.Minute, "a", "b"))
 			results := next[state.CallEnded](t, recorder).Results
 			if len(results) != 2 || results[0].Result != control.ConnectionLost || results[1].Result != control.ConnectionLost {
-				t.Errorf("kept %t, reset after %d bytes: %+v", reused, n, results)
+				t.Errorf("reused %t, reset after %d bytes: %+v", reused, n, results)
 			}
 		}
 	}
 }
 
-// An endpoint closes an idle connection after the check for staleness and before the write. What was written there
-// may have been read: it counts as run. Where no byte could be sent any more it has not run, and may be sent again.
+// TestClosedAfterStaleCheck checks a call on an idle connection that the endpoint closes between the staleness check
+// and the write. If the request was written, the call may have been processed. If no byte could be sent, it was not
+// processed and may be sent again.
 func TestClosedAfterStaleCheck(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -80,12 +81,12 @@
 		f := &inFlightCall{Transport: transport, call: call, ended: make([]bool, 1), attempts: call.Attempts}
 		f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 		defer f.cancel()
-		conn, err := f.openConnection() // it looks...
+		conn, err := f.openConnection() // includes the staleness check
 		if err != nil || len(conns) != 1 {
 			t.Fatalf("%s: %v, %d connections", c.name, err, len(conns))
 		}
 		c.end(<-conns)
-		for conn.openWithoutInput() { // ...and the end comes
+		for conn.openWithoutInput() { // wait until the close has arrived
 			time.Sleep(time.Millisecond)
 		}
 		f.transmit(conn)
@@ -98,8 +99,8 @@
 	}
 }
 
-// Bytes behind a response are nobody's: a second response that came with the first is not the next call's, which goes
-// out on another connection.
+// TestUnsolicitedResponse checks that bytes after a response are not parsed as the response to the next call, which
+// uses another connection.
 func TestUnsolicitedResponse(t *testing.T) {
 	for _, stray := range []string{socktest.Status(200), "HTTP/1.1 2", "\r\n"} {
 		recorder := newEventRecorder()
@@ -119,8 +120,9 @@
 	}
 }
 
-// A call canceled in the instant of its response ends once: before the response as canceled, with the response as it
-// says, and between the two as either. The connection of one that was answered serves the next call.
+// TestCancelDuringResponse checks that a call canceled at about the time of its response ends exactly once: as canceled
+// if canceled before the response, with the result of the response if canceled after it, and with either if both happen
+// at the same time. The connection of a call with a response is reused for the next one.
 func TestCancelDuringResponse(t *testing.T) {
 	recorder := &cancelOnEnd{eventRecorder: newEventRecorder()}
 	transport := NewTransport(recorder, time.Minute, 8, discardLog)
@@ -142,7 +144,7 @@
 	for _, c := range []struct {
 		when   string
 		want   []control.Result
-		reused bool // the connection is the one before
+		reused bool // the call reuses the previous connection
 	}{
 		{"after", []control.Result{control.Served}, false},
 		{"after", []control.Result{control.Served}, true},
@@ -158,14 +160,14 @@
 			t.Errorf("%s: %+v, want one of %v; %d connections kept before", c.when, results, c.want, last)
 		}
 		<-conns
-		transport.waitUntilIdle() // whatever it still did is done
+		transport.waitUntilIdle() // no further event can be posted after this
 		if len(recorder.events) > 0 {
 			t.Errorf("%s: ended again: %+v", c.when, <-recorder.events)
 		}
 	}
 }
 
-// attemptOutcomes are answers of an endpoint to a single message, and what comes of them.
+// attemptOutcomes lists responses of an endpoint to a single message with the expected results.
 var attemptOutcomes = []struct {
 	name, answer string
 	limit        time.Duration
@@ -210,7 +212,7 @@
 	{"refused", "shut", time.Minute, state.AttemptResult{Result: control.ConnectFailed}},
 }
 
-// Each way in which a call can end has its result.
+// TestAttemptOutcomes checks the result of each way in which a call can end.
 func TestAttemptOutcomes(t *testing.T) {
 	for _, c := range attemptOutcomes {
 		recorder := newEventRecorder()
@@ -235,7 +237,7 @@
 		}
 		e := next[state.CallEnded](t, recorder).Results[0]
 		if e.SentAt.IsZero() != (c.want.Result == control.ConnectFailed) {
-			t.Errorf("%s: left at %v", c.name, e.SentAt)
+			t.Errorf("%s: sent at %v", c.name, e.SentAt)
 		}
 		e.Elapsed, e.SentAt, e.Attempt = 0, time.Time{}, nil
 		if e != c.want {
@@ -244,7 +246,8 @@
 	}
 }
 
-// A call withdrawn before its connection is up is never sent; one that has been sent goes on.
+// TestCancelUnsent checks that CancelUnsent prevents the sending of a call without a connection, and has no effect on a
+// call that was sent.
 func TestCancelUnsent(t *testing.T) {
 	recorder := newEventRecorder()
 	transport := NewTransport(recorder, time.Minute, 8, discardLog)
@@ -265,15 +268,16 @@
 	transport.CancelUnsent(f.call)
 	f.run()
 	if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.NotSent || e.Final {
-		t.Errorf("withheld: %+v", e)
+		t.Errorf("unsent call: %+v", e)
 	}
 	close(respond)
 	if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.Served || len(got) > 0 {
-		t.Errorf("left: %+v, and %d more calls", e, len(got))
+		t.Errorf("sent call: %+v, and %d more calls", e, len(got))
 	}
 }
 
-// A connection is reused, unless its endpoint has closed it meanwhile: a request written to that one would be lost.
+// TestConnectionReuse checks that a connection is reused unless the endpoint has closed it, in which case a request
+// would be lost.
 func TestConnectionReuse(t *testing.T) {
 	recorder := newEventRecorder()
 	transport := NewTransport(recorder, time.Minute, 8, discardLog)
@@ -289,9 +293,9 @@
 		}
 		return <-conns
 	}
-	a, b := call(), call() // the connection is back before its call's end is known
+	a, b := call(), call() // a connection is returned to the pool before the end of its call is posted
 	conn := transport.pool.popIdle("s")
-	conn.Conn.(*net.TCPConn).CloseRead() // reads as closed by the other side
+	conn.Conn.(*net.TCPConn).CloseRead() // has the same effect on reads as a close by the endpoint
 	transport.pool.put("s", conn)
 	if c := call(); a != b || b == c {
 		t.Errorf("connections %d %d %d, want the first twice and then another", a, b, c)
