--- a/internal/fleethealth/health_test.go
+++ b/internal/fleethealth/health_test.go
@@ -12,17 +12,17 @@
 var params = Params{FleetSize: 300, TrialInterval: time.Second, ReportTTL: 6 * time.Second,
 	RecoverySpread: 2 * time.Second}
 
-// Reports merge to the same evidence in any order, however often each comes.
+// TestMerge checks that reports merge to the same evidence in any order, even if they are repeated.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		report := rapid.Custom(func(t *rapid.T) Report {
-			return Report{rapid.IntRange(Self, 9).Draw(t, "by"), time.Duration(rapid.IntRange(0, 30).Draw(t, "at")) * 100 * ms,
+			return Report{rapid.IntRange(Self, 9).Draw(t, "peer"), time.Duration(rapid.IntRange(0, 30).Draw(t, "at")) * 100 * ms,
 				rapid.IntRange(0, 4).Draw(t, "up") == 0}
 		})
-		reports := rapid.SliceOfN(report, 0, 25).Draw(t, "words")
+		reports := rapid.SliceOfN(report, 0, 25).Draw(t, "reports")
 		repeated := rapid.Permutation(reports).Draw(t, "order")
 		for range len(reports) {
-			repeated = append(repeated, rapid.SampledFrom(reports).Draw(t, "again"))
+			repeated = append(repeated, rapid.SampledFrom(reports).Draw(t, "repeated"))
 		}
 		var a, b Evidence
 		for _, w := range reports {
@@ -36,7 +36,7 @@
 		}
 		for _, w := range repeated {
 			if b.Add(w) {
-				t.Fatalf("%+v is news again to %+v", w, b)
+				t.Fatalf("repeating %+v changed the evidence %+v", w, b)
 			}
 		}
 	})
@@ -54,7 +54,7 @@
 	return true
 }
 
-// callStep is one call, and what must hold after it.
+// callStep is one call and the state expected after it.
 type callStep struct {
 	at      time.Duration
 	peer    int // whose call it was
@@ -71,31 +71,32 @@
 		checkedAt time.Duration // looked at again
 		ejected   bool
 	}{
-		{"one report ejects nothing", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: 3}}, 3 * s, false},
-		{"two senders' do", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: 4, ejected: true}}, 3 * s, true},
-		{"its own counts", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: Self, gossip: true, ejected: true}}, 3 * s, true},
-		{"it ends by itself", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: 4, ejected: true}}, 7*s + ms, false},
-		{"a trial renews it", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: 4, ejected: true},
+		{"reports of one sender don't eject", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: 3}}, 3 * s, false},
+		{"reports of two senders eject", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: 4, ejected: true}}, 3 * s, true},
+		{"own report counts", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: Self, gossip: true, ejected: true}},
+			3 * s, true},
+		{"ejection ends after the TTL", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: 4, ejected: true}}, 7*s + ms, false},
+		{"failed trial call renews the ejection", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: 4, ejected: true},
 			{at: 6 * s, peer: 5, ejected: true}}, 7*s + ms, true},
-		{"a served call ends it", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: 4, ejected: true},
+		{"served call ends the ejection", []callStep{{at: s, peer: 3}, {at: 2 * s, peer: 4, ejected: true},
 			{at: 3 * s, peer: Self, up: true, gossip: true}}, 3*s + ms, false},
-		{"an older one does not", []callStep{{at: 3 * s, peer: 3}, {at: 4 * s, peer: 4, ejected: true},
+		{"older served call doesn't end it", []callStep{{at: 3 * s, peer: 3}, {at: 4 * s, peer: 4, ejected: true},
 			{at: 2 * s, peer: 5, up: true, ejected: true}}, 5 * s, true},
-		{"what is known is not gossiped", []callStep{{at: s, peer: 3}, {at: s, peer: 4, ejected: true},
+		{"known failure is not gossiped", []callStep{{at: s, peer: 3}, {at: s, peer: 4, ejected: true},
 			{at: s + 100*ms, peer: Self, ejected: true}}, 2 * s, true},
-		{"a trial of its own is gossiped", []callStep{{at: s, peer: 3}, {at: s, peer: 4, ejected: true},
+		{"own failed trial call is gossiped", []callStep{{at: s, peer: 3}, {at: s, peer: 4, ejected: true},
 			{at: 3 * s, peer: Self, gossip: true, ejected: true}}, 4 * s, true},
-		{"nobody found it down", []callStep{{at: s, peer: Self, up: true}}, 2 * s, false},
-		{"a single report is contradicted", []callStep{{at: s, peer: 3}, {at: s + ms, peer: Self, up: true, gossip: true},
+		{"no failures", []callStep{{at: s, peer: Self, up: true}}, 2 * s, false},
+		{"single report is contradicted", []callStep{{at: s, peer: 3}, {at: s + ms, peer: Self, up: true, gossip: true},
 			{at: s + 2*ms, peer: Self, up: true}}, 2 * s, false},
-		{"one that was contradicted counts for itself",
+		{"report of a contradicted sender is ignored",
 			[]callStep{{at: s, peer: 3}, {at: s + ms, peer: 5, up: true}, {at: s + 2*ms, peer: 3}, {at: 2 * s, peer: 4}},
 			3 * s, false},
-		{"while it goes on", []callStep{{at: s, peer: 3}, {at: s + ms, peer: 5, up: true}, {at: 6 * s, peer: 3},
-			{at: 8 * s, peer: 3}, {at: 8 * s, peer: 4}}, 9 * s, false},
-		{"until its own call is served", []callStep{{at: s, peer: Self, gossip: true}, {at: s + ms, peer: 5, up: true},
-			{at: 2 * s, peer: Self, up: true}, {at: 3 * s, peer: Self, gossip: true}}, 4 * s, false},
-		{"but others count", []callStep{{at: s, peer: 3}, {at: s + ms, peer: 5, up: true}, {at: 2 * s, peer: 6},
+		{"still ignored while the sender keeps failing", []callStep{{at: s, peer: 3}, {at: s + ms, peer: 5, up: true},
+			{at: 6 * s, peer: 3}, {at: 8 * s, peer: 3}, {at: 8 * s, peer: 4}}, 9 * s, false},
+		{"counts again after the sender's own call is served", []callStep{{at: s, peer: Self, gossip: true},
+			{at: s + ms, peer: 5, up: true}, {at: 2 * s, peer: Self, up: true}, {at: 3 * s, peer: Self, gossip: true}}, 4 * s, false},
+		{"reports of other senders count", []callStep{{at: s, peer: 3}, {at: s + ms, peer: 5, up: true}, {at: 2 * s, peer: 6},
 			{at: 2 * s, peer: 4, ejected: true}}, 3 * s, true},
 	} {
 		var h Health
@@ -119,26 +120,26 @@
 	}
 }
 
-// A sender whose own connections fail sees that others are served. Many such, or an endpoint that comes and goes, and
-// no report counts.
+// TestContradicted checks that a sender whose calls fail detects that calls of others are served, and that the reports
+// are disputed if this is the case for many senders or the endpoint fails intermittently.
 func TestContradicted(t *testing.T) {
 	var h Health
 	if h.Failed(time.Second, params, 0); h.Contradicted(time.Second, params) {
-		t.Error("contradicted before anybody was served")
+		t.Error("contradicted before any call was served")
 	}
 	over, _ := h.Merge(time.Second+5*ms, Report{7, time.Second + 4*ms, true}, params, 0)
 	if over || !h.Contradicted(time.Second+5*ms, params) {
 		t.Errorf("others are served: over %v, contradicted %v", over, h.Contradicted(time.Second+5*ms, params))
 	}
 	if h.Failed(3*time.Second, params, 0) {
-		t.Error("it gossips again what was contradicted")
+		t.Error("a contradicted failure is gossiped again")
 	}
 	if h.Contradicted(9*time.Second+ms, params) || !h.Failed(10*time.Second, params, 0) {
 		t.Error("after the TTL it should gossip again")
 	}
 	var disputed Health
 	at := time.Second
-	for round := range 3 { // one zone finds it down, another is served
+	for round := range 3 { // calls from one zone fail, those from another are served
 		for by := range 2 {
 			at += 10 * ms
 			disputed.Merge(at, Report{10*round + by, at, false}, params, 0)
@@ -159,19 +160,19 @@
 			disputed.Disputed(at+ms), disputed.Ejected(at+ms, params))
 	}
 	if disputed.Disputed(at + params.ReportTTL) {
-		t.Error("a dispute ends by itself")
+		t.Error("still disputed after the TTL")
 	}
 }
 
-// The fleet hears of a recovery at once and acts on it over some time; what a sender found itself just before is not
-// undone by a report.
+// TestRecovery checks that senders resume calls to a recovered endpoint after a delay, although all receive the report
+// at once, and that a report doesn't supersede a recent failure of the sender's own call.
 func TestRecovery(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		ownFailureAt time.Duration // this sender's own call failed; 0 = none
 		superseded   bool
-	}{{"heard of only", 0, false}, {"found too, a while ago", 2 * time.Second, true},
-		{"found a moment ago", 3900 * ms, false}} {
+	}{{"failures of peers only", 0, false}, {"own failure some time ago", 2 * time.Second, true},
+		{"own failure just before", 3900 * ms, false}} {
 		var h Health
 		h.Merge(time.Second, Report{3, time.Second, false}, params, 0)
 		h.Merge(time.Second, Report{4, time.Second, false}, params, 0)
@@ -185,12 +186,12 @@
 				recovered, h.Ejected(now+999*ms, params), h.Ejected(now+time.Second, params))
 		}
 		if h.Served(now+ms, params); h.Ejected(now+2*ms, params) {
-			t.Errorf("%s: its own call was served, and it still waits", c.name)
+			t.Errorf("%s: still ejected after the sender's own call was served", c.name)
 		}
 	}
 }
 
-// At any fleet size, trial calls come at about the trial interval, and gossip at the fleet's rate.
+// TestFleetRates checks that the rates of trial calls and of gossip of the whole fleet don't depend on its size.
 func TestFleetRates(t *testing.T) {
 	for _, n := range []int{20, 80, 300, 1000} {
 		p := params
@@ -214,7 +215,7 @@
 		reports := 0
 		for range n {
 			var limiter RateLimiter
-			for at := time.Duration(0); at < 10*time.Second; at += 5 * ms { // all would gossip all the time
+			for at := time.Duration(0); at < 10*time.Second; at += 5 * ms { // every sender attempts to gossip all the time
 				if limiter.Allow(at, p) {
 					reports++
 				}
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -11,7 +11,7 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenDatagrams writes and reads a datagram of each kind of observation as 096da04 did.
+// TestGoldenDatagrams checks that datagrams with each kind of observation are encoded and decoded as in commit 096da04.
 func TestGoldenDatagrams(t *testing.T) {
 	var b strings.Builder
 	var all []Observation
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -9,7 +9,8 @@
 	"cleathold/control"
 )
 
-// What is encoded is decoded alike; what cannot be decoded is an error, and kinds of a later version are left out.
+// TestDecode checks that encoded observations are decoded unchanged, that invalid datagrams are rejected, and that
+// observations of unknown kinds are skipped.
 func TestDecode(t *testing.T) {
 	valid := Encode([]Observation{{7, control.ObservedRejection, 50 * time.Millisecond},
 		{8, control.ObservedRejection, time.Hour}})
@@ -19,13 +20,13 @@
 		observations int
 		fails        bool
 	}{
-		{"as it is", valid, 2, false},
-		{"nothing in it", valid[:1], 0, false},
+		{"valid", valid, 2, false},
+		{"no observations", valid[:1], 0, false},
 		{"empty", nil, 0, true},
 		{"truncated", valid[:9], 0, true},
-		{"another version", append([]byte{9}, valid[1:]...), 0, true},
+		{"unknown version", append([]byte{9}, valid[1:]...), 0, true},
 		{"too long", make([]byte, MaxSize+1), 0, true},
-		{"a kind not known", append(bytes.Clone(valid), 1, 2, 3, 4, 200, 0), 2, false},
+		{"unknown kind", append(bytes.Clone(valid), 1, 2, 3, 4, 200, 0), 2, false},
 	} {
 		observations, err := Decode(c.in)
 		if len(observations) != c.observations || (err != nil) != c.fails {
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -8,7 +8,8 @@
 
 const s = time.Second
 
-// A sender is isolated when nobody replies to its query, from half a second on and until a peer is heard.
+// TestIsolated checks that a sender is isolated from half a second after a query without a reply until the next contact
+// with a peer.
 func TestIsolated(t *testing.T) {
 	h := Detector{FleetSize: 100}
 	steps := []struct {
@@ -22,16 +23,16 @@
 		{at: 10 * s, rejected: true, gossip: true, query: true},
 		{at: 10*s + 499*time.Millisecond},
 		{at: 10*s + 500*time.Millisecond, isolated: true},
-		{at: 12 * s, rejected: true, isolated: true}, // it has sent its query, and tells nobody
+		{at: 12 * s, rejected: true, isolated: true}, // the query was sent, and rejections are not gossiped
 		{at: 13 * s, rejected: true, isolated: true},
 		{at: 14 * s, rejected: true, isolated: true},
 		{at: 14*s + 900*time.Millisecond, rejected: true, isolated: true},
 		{at: 15 * s, contact: true},
-		{at: 16 * s, rejected: true, gossip: true}, // somebody was heard a second ago
+		{at: 16 * s, rejected: true, gossip: true}, // the last contact was a second ago
 		{at: 17 * s},
 		{at: 18 * s, rejected: true, gossip: true, query: true},
 		{at: 18*s + 400*time.Millisecond, contact: true},
-		// a query after a peer was heard need not wait for the interval
+		// after a contact, the next query doesn't wait for the query interval
 		{at: 21 * s, rejected: true, gossip: true, query: true},
 		{at: 21*s + 400*time.Millisecond, contact: true},
 		{at: 30 * s},
@@ -39,7 +40,7 @@
 		{at: 32 * s, isolated: true},
 		{at: 35 * s, rejected: true, isolated: true},
 		{at: 37 * s, rejected: true, isolated: true},
-		// the fourth that nobody heard, and the interval of 5 s is over
+		// the fourth rejection since the last contact, and the query interval of 5 s has passed
 		{at: 40 * s, rejected: true, gossip: true, query: true, isolated: true},
 	}
 	for i, step := range steps {
@@ -57,12 +58,13 @@
 	}
 }
 
-// An isolated sender repeats its query until a peer is heard; a whole fleet as often at any size.
+// TestRepeatQuery checks that an isolated sender repeats its query until the next contact with a peer, and that the
+// query rate of the whole fleet doesn't depend on its size.
 func TestRepeatQuery(t *testing.T) {
 	for _, n := range []int{8, 40, 300, 1000} {
 		h, queries := Detector{FleetSize: n}, 0
 		if h.RepeatQuery(5 * s) {
-			t.Error("a query though nothing was rejected")
+			t.Error("a query although no call was rejected")
 		}
 		h.Rejected(10 * s)
 		for at := 10 * s; at < 610*s; at += 20 * time.Millisecond {
@@ -75,12 +77,13 @@
 		}
 		h.RecordPeer(620*s, 1)
 		if h.RepeatQuery(700 * s) {
-			t.Errorf("fleet of %d: it goes on", n)
+			t.Errorf("fleet of %d: queries continue after a contact", n)
 		}
 	}
 }
 
-// The fraction of a fleet that is heard, at any fleet size, whether all tell alike or some much more.
+// TestReachableFraction checks the estimate of the reachable fraction at several fleet sizes, with peers that gossip
+// equally often and with some that gossip much more often.
 func TestReachableFraction(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, c := range []struct {
@@ -98,7 +101,7 @@
 			h := Detector{FleetSize: c.fleetSize}
 			for i := range 200 {
 				peer := rng.IntN(c.reachable)
-				for c.uneven && peer%3 > 0 && rng.IntN(3) > 0 { // a third of them tells most
+				for c.uneven && peer%3 > 0 && rng.IntN(3) > 0 { // a third of the peers gossips most
 					peer = rng.IntN(c.reachable)
 				}
 				h.RecordPeer(time.Duration(i)*100*time.Millisecond, peer)
@@ -110,7 +113,7 @@
 			t.Errorf("%+v: from %.2f to %.2f", c, least, most)
 		}
 	}
-	shrunk := Detector{FleetSize: 40} // all are heard, then an eighth
+	shrunk := Detector{FleetSize: 40} // first all peers are reachable, then an eighth
 	for i := range historySize + recentObservations {
 		peer := i % 39
 		if i >= historySize {
@@ -126,7 +129,7 @@
 		h.RecordPeer(s, i%2)
 	}
 	if h.ReachableFraction(2*s) != 1 {
-		t.Error("few observations prove something")
+		t.Error("an estimate from fewer than minObservations")
 	}
 	h.RecordPeer(s, 1)
 	if h.ReachableFraction(2*s) > 0.1 || h.ReachableFraction(30*s) != 1 {
@@ -134,7 +137,7 @@
 	}
 }
 
-// How many peers reply does not grow with the fleet.
+// TestShouldReply checks that the mean number of replies to a query doesn't depend on the fleet size.
 func TestShouldReply(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for _, n := range []int{8, 40, 300, 1000} {
