--- a/internal/fleethealth/health_test.go
+++ b/internal/fleethealth/health_test.go
@@ -95,7 +95,8 @@
 		{"still ignored while the sender keeps failing", []callStep{{at: s, peer: 3}, {at: s + ms, peer: 5, up: true},
 			{at: 6 * s, peer: 3}, {at: 8 * s, peer: 3}, {at: 8 * s, peer: 4}}, 9 * s, false},
 		{"counts again after the sender's own call is served", []callStep{{at: s, peer: Self, gossip: true},
-			{at: s + ms, peer: 5, up: true}, {at: 2 * s, peer: Self, up: true}, {at: 3 * s, peer: Self, gossip: true}}, 4 * s, false},
+			{at: s + ms, peer: 5, up: true}, {at: 2 * s, peer: Self, up: true}, {at: 3 * s, peer: Self, gossip: true}},
+			4 * s, false},
 		{"reports of other senders count", []callStep{{at: s, peer: 3}, {at: s + ms, peer: 5, up: true}, {at: 2 * s, peer: 6},
 			{at: 2 * s, peer: 4, ejected: true}}, 3 * s, true},
 	} {
--- a/internal/protocol/gossip_test.go
+++ b/internal/protocol/gossip_test.go
@@ -43,7 +43,7 @@
 	received := next[state.GossipReceived](t, recorder)
 	if received.Peer != 1 || len(received.Observations) != 1 || received.Observations[0].EndpointHash != 5 ||
 		len(recorder.events) > 0 {
-		t.Errorf("heard %+v, and %d more", received, len(recorder.events))
+		t.Errorf("received %+v, and %d more events", received, len(recorder.events))
 	}
 	if n := transport.dropped.Load(); n != 5 {
 		t.Errorf("%d dropped, want 5", n)
@@ -52,7 +52,7 @@
 	buf := make([]byte, gossip.MaxSize)
 	peer.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, _, err := peer.ReadFromUDP(buf); err != nil || string(buf[:n]) != string(valid) {
-		t.Errorf("told %x, %v", buf[:n], err)
+		t.Errorf("sent %x, %v", buf[:n], err)
 	}
 	cancel()
 	<-ended
--- a/internal/protocol/list_test.go
+++ b/internal/protocol/list_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("%s: %q draining, want %q", prefix, ids, want)
 		}
 		if unchanged, want := isUnchanged(prefix, 41), cut > strings.Index(list, "41,")+2; unchanged != want {
-			t.Errorf("%s tells nothing new: %t", prefix, unchanged)
+			t.Errorf("%s: unchanged %t, want %t", prefix, unchanged, want)
 		}
 		if isUnchanged(prefix, 4) {
 			t.Errorf("%s is taken for version 4", prefix)
--- a/internal/protocol/poll.go
+++ b/internal/protocol/poll.go
@@ -94,8 +94,8 @@
 	return min(pollTimeout, d.DrainGrace/2)
 }
 
-// poll sends one request and parses the response. The error is a brokenAnswerError if the response is incomplete or
-// malformed, errNoAnswer if there was no response by the deadline, and errConnectionEnded if an open connection ended
+// poll sends a request and parses the response. The error is a brokenResponseError if the response is incomplete or
+// malformed, errNoResponse if there was no response by the deadline, and errConnectionEnded if an open connection ended
 // before the response.
 func (d *Discovery) poll(ctx context.Context, client *httpClient, r pollRequest) (state.ListUpdate, error) {
 	path, deadline := listPath, time.Now().Add(pollTimeout)
--- a/internal/protocol/reporter_test.go
+++ b/internal/protocol/reporter_test.go
@@ -35,7 +35,7 @@
 		t.Errorf("acknowledged after %v", took)
 	}
 	if a, b, c := <-received, <-received, <-received; a != 0 || b != 0 || c != 1 {
-		t.Errorf("told on connections %d, %d, %d", a, b, c)
+		t.Errorf("received on connections %d, %d, %d", a, b, c)
 	}
 }
 
@@ -90,6 +90,6 @@
 	}
 	if numbers[0] != 0 || numbers[1] != 1 || numbers[2] != 2 || !strings.Contains(strings.Join(got, ""), `"a"`) ||
 		!strings.Contains(strings.Join(got, ""), `"c"`) {
-		t.Errorf("acknowledged %v, told %q", numbers, got)
+		t.Errorf("acknowledged %v, received %q", numbers, got)
 	}
 }
