--- a/internal/protocol/clientconn_test.go
+++ b/internal/protocol/clientconn_test.go
@@ -6,27 +6,31 @@
 	"time"
 )
 
-// pipeDeadline records the last read deadline.
-type pipeDeadline struct {
+// deadlineConn records the last read deadline.
+type deadlineConn struct {
 	net.Conn
-	read time.Time
+	readDeadline time.Time
 }
 
-func (p *pipeDeadline) SetDeadline(t time.Time) error { p.read = t; return p.Conn.SetDeadline(t) }
-func (p *pipeDeadline) SetReadDeadline(t time.Time) error {
-	p.read = t
+func (p *deadlineConn) SetDeadline(t time.Time) error {
+	p.readDeadline = t
+	return p.Conn.SetDeadline(t)
+}
+func (p *deadlineConn) SetReadDeadline(t time.Time) error {
+	p.readDeadline = t
 	return p.Conn.SetReadDeadline(t)
 }
 
-// The state that a connection waits in and the time that it may wait follow from what the listener is doing.
-func TestConnStateAtRest(t *testing.T) {
+// TestConnStateWhileWaiting checks that the state of the listener determines the state in which a connection waits for
+// a request, and how long it may wait.
+func TestConnStateWhileWaiting(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		used  bool
-		is    connState
-		while func(l *Listener)
-		want  connState
-		limit time.Duration // 0 = the deadline that is set stays
+		name    string
+		used    bool
+		initial connState
+		setUp   func(l *Listener)
+		want    connState
+		limit   time.Duration // 0: the deadline must not change
 	}{
 		{"first request", false, connNew, func(*Listener) {}, connNew, readTimeout},
 		{"another request", true, connActive, func(*Listener) {}, connIdle, idleTimeout},
@@ -39,27 +43,28 @@
 	} {
 		l := ListenOn(nil, nil, testNames, testClasses, 4, 3, discardLog)
 		ours, theirs := net.Pipe()
-		pipe := &pipeDeadline{Conn: ours}
+		pipe := &deadlineConn{Conn: ours}
 		conn := newClientConn(pipe)
-		conn.used, conn.state = c.used, c.is
-		c.while(l)
+		conn.used, conn.state = c.used, c.initial
+		c.setUp(l)
 		before := time.Now()
 		l.enterWaiting(conn)
 		if conn.state != c.want {
 			t.Errorf("%s: %v, want %v", c.name, conn.state, c.want)
 		}
-		if limit := pipe.read.Sub(before); c.limit > 0 && (limit < c.limit || limit > c.limit+time.Since(before)) {
+		if limit := pipe.readDeadline.Sub(before); c.limit > 0 && (limit < c.limit || limit > c.limit+time.Since(before)) {
 			t.Errorf("%s: may wait %v, want %v", c.name, limit, c.limit)
 		}
-		if c.limit == 0 && !pipe.read.IsZero() {
-			t.Errorf("%s: its deadline was moved", c.name)
+		if c.limit == 0 && !pipe.readDeadline.IsZero() {
+			t.Errorf("%s: the read deadline was changed", c.name)
 		}
 		ours.Close()
 		theirs.Close()
 	}
 }
 
-// A connection that is used counts until it lingers, once.
+// TestConnStateCountsUsedConnections checks that a connection with at least one request is counted exactly once as used
+// until it lingers.
 func TestConnStateCountsUsedConnections(t *testing.T) {
 	l := ListenOn(nil, nil, testNames, testClasses, 4, 3, discardLog)
 	ours, theirs := net.Pipe()
@@ -78,6 +83,6 @@
 		}
 	}
 	if len(l.conns) > 0 {
-		t.Error("it is listed after its end")
+		t.Error("the lingering connection is still in conns")
 	}
 }
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -13,16 +13,16 @@
 	"cleathold/internal/state"
 )
 
-// startDiscovery runs a client of discovery that posts to the recorder.
-func startDiscovery(t *testing.T, p *eventRecorder, c DiscoveryConfig) *Discovery {
+// startDiscovery runs a discovery client that posts to the recorder.
+func startDiscovery(t *testing.T, recorder *eventRecorder, c DiscoveryConfig) *Discovery {
 	c.Names, c.Log = testNames, discardLog
-	d := NewDiscovery(p, c)
+	d := NewDiscovery(recorder, c)
 	runUntilEnd(t, d.Run)
 	return d
 }
 
-// An answer from the old address that comes after a change of address is not the list: the new address is polled, for
-// the full one.
+// TestResponseFromOldAddress checks that a response from the old address that arrives after SetAddress is ignored, and
+// that the full list is polled at the new address.
 func TestResponseFromOldAddress(t *testing.T) {
 	list := func(id string) string {
 		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"` + id + `","state":"up","cell":1}]}`)
@@ -39,19 +39,19 @@
 		}
 		return list("new")
 	})
-	p := newEventRecorder()
-	d := startDiscovery(t, p, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second})
+	recorder := newEventRecorder()
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second})
 	d.Watch(true, 3)
 	<-watched
 	d.SetAddress(addr)
 	close(moved)
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
+	if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
 		t.Errorf("%+v", n)
 	}
 }
 
-// What a new address has to tell counts as told 4 s after the change. A first poll there that is not answered is
-// repeated soon, and is not left to the controller to repeat.
+// TestSetAddressToSlowServer checks that the discovery client itself retries failed polls at a new address, instead of
+// leaving that to the controller: 4 s after the change the sender counts as notified of the list there.
 func TestSetAddressToSlowServer(t *testing.T) {
 	old := socktest.Serve(t, func(int, *http.Request, string) string { return socktest.Hang })
 	var queries atomic.Int32
@@ -67,28 +67,28 @@
 		}
 		return socktest.JSON(`{"version":4,"full":true,"servers":[{"id":"new","state":"up","cell":1}]}`)
 	})
-	p := newEventRecorder()
-	d := startDiscovery(t, p, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second, PollSpread: 4 * time.Second,
-		DrainGrace: 2 * time.Second})
+	recorder := newEventRecorder()
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: old, MaxPollInterval: 10 * time.Second,
+		PollSpread: 4 * time.Second, DrainGrace: 2 * time.Second})
 	d.Watch(true, 3)
 	moved := time.Now()
 	d.SetAddress(addr)
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
+	if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListFull || n.Targets[0].ID != "new" {
 		t.Errorf("%+v", n)
 	}
 	if took := time.Since(moved); took > 4*time.Second {
-		t.Errorf("known %v after the move", took)
+		t.Errorf("list received %v after the change of address", took)
 	}
 }
 
-// A poll that becomes unresponsive is repeated without a wait: before an answer so that what it missed is known
-// within the 6 s after which that counts as told, in an answer within a second, as what has begun to come counts as
-// told at once.
+// TestUnresponsivePoll checks that an unresponsive poll is repeated as an immediate one. If it stalls before the
+// response, missed changes must arrive within 6 s, after which the sender counts as notified of them. If it stalls
+// within the response, the limit is one second, because the sender counts as notified once a response has begun.
 func TestUnresponsivePoll(t *testing.T) {
 	answer := socktest.JSON(changedList)
 	for _, c := range []struct {
 		name, first string
-		unread      bool
+		unreadable  bool
 		within      time.Duration
 	}{
 		{"before an answer", socktest.Hang, false, 6 * time.Second},
@@ -110,19 +110,19 @@
 				}
 				return answer
 			})
-			p := newEventRecorder()
-			d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
-			began := time.Now()
+			recorder := newEventRecorder()
+			d := startDiscovery(t, recorder, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
+			startedAt := time.Now()
 			d.Watch(true, 4)
-			if c.unread {
-				if u := next[state.ListUnreadable](t, p); u.At.Sub(began) > 200*time.Millisecond {
-					t.Errorf("an answer that began %v after the question", u.At.Sub(began))
+			if c.unreadable {
+				if u := next[state.ListUnreadable](t, recorder); u.At.Sub(startedAt) > 200*time.Millisecond {
+					t.Errorf("the response began %v after the poll", u.At.Sub(startedAt))
 				}
 			}
-			if n := next[state.ListUpdate](t, p); n.Kind != control.ListDelta || n.Version != 9 {
+			if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListDelta || n.Version != 9 {
 				t.Errorf("%+v", n)
 			}
-			if took := time.Since(began); took > c.within {
+			if took := time.Since(startedAt); took > c.within {
 				t.Errorf("known after %v", took)
 			}
 			if len(queries) < 2 {
@@ -135,20 +135,21 @@
 	}
 }
 
-// An unresponsive discovery is a failed poll to the controller, which decides when to poll again.
+// TestUnresponsiveDiscovery checks that the controller is notified of a failed poll if discovery doesn't respond to the
+// immediate retry either. The controller then decides when to poll again.
 func TestUnresponsiveDiscovery(t *testing.T) {
 	queries := make(chan struct{}, 8)
 	addr := socktest.Serve(t, func(int, *http.Request, string) string { queries <- struct{}{}; return socktest.Hang })
-	p := newEventRecorder()
-	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Millisecond})
+	recorder := newEventRecorder()
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Millisecond})
 	d.Watch(true, 4)
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed || len(queries) != 2 {
+	if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListFailed || len(queries) != 2 {
 		t.Errorf("%+v after %d asks", n, len(queries))
 	}
 }
 
-// A list older than the known one does not take its place: the full list is polled, and holds whatever its version
-// is.
+// TestOlderListVersion checks that a list older than the known one is ignored, and that the full list is polled instead
+// and used whatever its version is.
 func TestOlderListVersion(t *testing.T) {
 	queries := make(chan string, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
@@ -161,10 +162,10 @@
 		}
 		return socktest.JSON(`{"version":2,"full":true,"servers":[{"id":"b","state":"up","cell":1}]}`)
 	})
-	p := newEventRecorder()
-	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
+	recorder := newEventRecorder()
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second})
 	d.Watch(true, 4)
-	if n := next[state.ListUpdate](t, p); n.Version != 3 || n.Targets[0].ID != "a" {
+	if n := next[state.ListUpdate](t, recorder); n.Version != 3 || n.Targets[0].ID != "a" {
 		t.Errorf("%+v", n)
 	}
 	if len(queries) < 2 {
@@ -175,8 +176,9 @@
 	}
 }
 
-// In a large fleet the list is known once the poll after a delay has been open for a while. A poll that ends later
-// was received; one that is rejected at once leaves what was told before it unknown.
+// TestPollAfterDelay checks when the list of a sender in a large fleet counts as up to date after a delay: once the
+// next poll has been open for pollOpenDelay, even if it fails later. If the poll is rejected at once, changes made
+// before it remain unknown.
 func TestPollAfterDelay(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -191,26 +193,27 @@
 				time.Sleep(c.open)
 				return socktest.Status(http.StatusServiceUnavailable)
 			})
-			p := newEventRecorder()
-			d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second,
+			recorder := newEventRecorder()
+			d := startDiscovery(t, recorder, DiscoveryConfig{Addr: addr, MaxPollInterval: 10 * time.Second,
 				PollSpread: 100 * time.Millisecond, DrainGrace: 2 * time.Second})
 			d.Watch(true, 4)
-			if n := next[state.ListUpdate](t, p); !n.PollPaused {
+			if n := next[state.ListUpdate](t, recorder); !n.PollPaused {
 				t.Errorf("%+v", n)
 			}
 			if c.open > 0 {
-				next[state.PollOpen](t, p)
-				next[state.ListUpdate](t, p)
+				next[state.PollOpen](t, recorder)
+				next[state.ListUpdate](t, recorder)
 				return
 			}
-			if u := next[state.PollFailed](t, p); time.Since(u.Since) > time.Second {
+			if u := next[state.PollFailed](t, recorder); time.Since(u.Since) > time.Second {
 				t.Errorf("uncertain for %v", time.Since(u.Since))
 			}
 		})
 	}
 }
 
-// A poll follows each answer until one fails, and asks for what is newer than the latest version.
+// TestPoll checks that a watch polls again after each response until a poll fails, and that each poll requests the
+// changes since the latest version.
 func TestPoll(t *testing.T) {
 	queries := make(chan string, 8)
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
@@ -221,13 +224,13 @@
 		const list = `{"version":9,"full":true,"servers":[]}`
 		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	})
-	p := newEventRecorder()
-	d := startDiscovery(t, p, DiscoveryConfig{Addr: addr, MaxPollInterval: time.Second})
+	recorder := newEventRecorder()
+	d := startDiscovery(t, recorder, DiscoveryConfig{Addr: addr, MaxPollInterval: time.Second})
 	d.Watch(true, 4)
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFull || n.Version != 9 {
+	if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListFull || n.Version != 9 {
 		t.Errorf("first %+v", n)
 	}
-	if n := next[state.ListUpdate](t, p); n.Kind != control.ListFailed {
+	if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListFailed {
 		t.Errorf("then %+v", n)
 	}
 	if a, b := <-queries, <-queries; a != "4" || b != "9" {
@@ -235,8 +238,9 @@
 	}
 }
 
-// A list that has not changed yet has version zero: what is polled then is what has changed since. Only where no
-// version is known the full list is polled. After a change a large fleet's sender delays its next poll.
+// TestPollFromVersionZero checks that zero is a valid version, from which a watch polls for changes, and that the full
+// list is polled only if no version is known. It also checks that a sender of a large fleet delays the poll after a
+// change.
 func TestPollFromVersionZero(t *testing.T) {
 	type query struct {
 		path string
@@ -248,14 +252,14 @@
 		const list = `{"version":0,"full":true,"servers":[{"id":"a","state":"up"}]}`
 		return fmt.Sprintf("HTTP/1.1 200 x\r\nContent-Length: %d\r\n\r\n%s", len(list), list)
 	})
-	const rest = 100 * time.Millisecond
+	const pollSpread = 100 * time.Millisecond
 	for _, c := range []struct {
 		since       int64
 		first, then string
 	}{{0, "since=0&timeout_ms=1000", "since=0&timeout_ms=1000"}, {state.NoVersion, "", "since=0&timeout_ms=1000"}} {
 		ctx, cancel := context.WithCancel(t.Context())
 		d := NewDiscovery(newEventRecorder(), DiscoveryConfig{Addr: addr, Names: testNames, MaxPollInterval: time.Second,
-			PollSpread: rest, Log: discardLog})
+			PollSpread: pollSpread, Log: discardLog})
 		ended := make(chan struct{})
 		go func() { defer close(ended); d.Run(ctx) }()
 		d.Watch(true, c.since)
@@ -263,8 +267,8 @@
 		if a.path != c.first || b.path != c.then {
 			t.Errorf("since %d: asked %q, then %q", c.since, a.path, b.path)
 		}
-		if gap := b.at.Sub(a.at); gap < rest/2 {
-			t.Errorf("asked again %v after news, wanted a rest of %v at least", gap, rest/2)
+		if gap := b.at.Sub(a.at); gap < pollSpread/2 {
+			t.Errorf("asked again %v after news, wanted a rest of %v at least", gap, pollSpread/2)
 		}
 		cancel()
 		<-ended
--- a/internal/protocol/handler.go
+++ b/internal/protocol/handler.go
@@ -13,10 +13,10 @@
 	"cleathold/internal/state"
 )
 
-// busyRetryAfter is the Retry-After where the loop does not answer, or will not.
+// busyRetryAfter is the Retry-After of a 503 response to a message on which the event loop made no decision.
 const busyRetryAfter = time.Second
 
-// serveRequest reads one request and answers it. It reports whether another may follow.
+// serveRequest reads one request and responds to it. It reports whether the connection may be used for another request.
 func (l *Listener) serveRequest(c *clientConn) bool {
 	r, err := readRequest(c.reader)
 	arrived := time.Now()
@@ -28,7 +28,7 @@
 		}
 		return l.respondError(c, rejected, true)
 	}
-	c.readLimit.N = state.MaxBody + maxHeaderBytes // chunks take more than what they hold
+	c.readLimit.N = state.MaxBody + maxHeaderBytes // leaves room for the overhead of chunked encoding
 	if r.Header.Get("Expect") != "" && r.ContentLength <= state.MaxBody {
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
@@ -36,20 +36,20 @@
 	m, err := parseMessage(r, arrived, settings.names, settings.classes)
 	var rejected *requestError
 	errors.As(err, &rejected)
-	// A body that nobody wanted must not be taken for the next request.
+	// Discard a body that was not read, so that it is not parsed as the next request.
 	unread := m == nil && (rejected == nil || !rejected.closes) && !discardBody(r)
-	last := r.Close || unread || l.closesAfterResponse(c)
+	closeAfter := r.Close || unread || l.closesAfterResponse(c)
 	switch {
 	case rejected != nil:
 		rejected.closes = rejected.closes || unread
-		return l.respondError(c, rejected, last)
+		return l.respondError(c, rejected, closeAfter)
 	case m == nil:
-		return l.respondHealth(c, last)
+		return l.respondHealth(c, closeAfter)
 	}
-	return l.submit(c, m, last)
+	return l.submit(c, m, closeAfter)
 }
 
-// requestErrorOf is what is wrong with a request whose head can't be read; nil if the connection has ended.
+// requestErrorOf returns the error response for a request whose head can't be read, or nil if the connection has ended.
 func (c *clientConn) requestErrorOf(err error) *requestError {
 	var rejected *requestError
 	switch {
@@ -65,92 +65,95 @@
 	return &requestError{http.StatusBadRequest, "malformed request", true}
 }
 
-// isConnectionEnd tells an end of the connection from a request that can't be read.
+// isConnectionEnd reports whether err means that the connection has ended, as opposed to a malformed request.
 func isConnectionEnd(err error) bool {
 	var n net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &n)
 }
 
-// discardBody reads what is left of a request, and reports whether that was all.
+// discardBody discards the rest of a request body, up to a limit, and reports whether its end was reached.
 func discardBody(r *http.Request) bool {
 	_, err := io.CopyN(io.Discard, r.Body, state.MaxBody+1)
 	return err == io.EOF
 }
 
-// respondHealth answers a health check.
-func (l *Listener) respondHealth(c *clientConn, last bool) bool {
+// respondHealth responds to a health check.
+func (l *Listener) respondHealth(c *clientConn, closeAfter bool) bool {
 	switch {
 	case l.closing.Load():
 		return l.respond(c, http.StatusServiceUnavailable, 0, "stopping", true)
 	case l.drainedSince.Load() != nil:
 		return l.respond(c, http.StatusServiceUnavailable, 0, "drained", true)
 	}
-	return l.respond(c, http.StatusOK, 0, "ok", last)
+	return l.respond(c, http.StatusOK, 0, "ok", closeAfter)
 }
 
-// submit gives a message to the loop and its client the response.
-func (l *Listener) submit(c *clientConn, m *state.Message, last bool) bool {
+// submit submits a message to the event loop and sends the client the resulting response.
+func (l *Listener) submit(c *clientConn, m *state.Message, closeAfter bool) bool {
 	if l.rejectsMessages() {
 		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "drained", true)
 	}
-	answer := make(chan state.Response, 1)
+	responses := make(chan state.Response, 1)
 	deadline := time.Now().Add(responseTimeout)
 	if l.keyClaimer != nil && m.Key != "" && !l.keyClaimer.ClaimKey(m.Class, m.Key, deadline) {
-		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "a message with this key is on its way", last)
+		return l.respond(
+			c, http.StatusServiceUnavailable, busyRetryAfter, "a message with this key is on its way", closeAfter)
 	}
-	submitted := state.Submitted{Message: m, Response: answer, Decision: &state.AdmissionDecision{}}
+	submitted := state.Submitted{Message: m, Response: responses, Decision: &state.AdmissionDecision{}}
 	if !l.events.PostBefore(submitted, deadline) {
-		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", last)
+		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", closeAfter)
 	}
-	r, decided := awaitResponse(answer, submitted.Decision, deadline)
-	last = last || l.closesAfterResponse(c) // the end may have been asked for meanwhile: the response says so
+	r, decided := awaitResponse(responses, submitted.Decision, deadline)
+	closeAfter = closeAfter || l.closesAfterResponse(c) // a close may have been requested while the message was pending
 	switch {
 	case !decided:
-		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", last)
+		return l.respond(c, http.StatusServiceUnavailable, busyRetryAfter, "busy", closeAfter)
 	case r.Accepted:
-		err := l.writeResponse(c, http.StatusAccepted, 0, "", last)
+		err := l.writeResponse(c, http.StatusAccepted, 0, "", closeAfter)
 		l.events.Post(state.ResponseWritten{ID: m.ID, OK: err == nil})
-		return err == nil && !last
+		return err == nil && !closeAfter
 	case r.Invalid == state.UnknownDestination:
-		return l.respond(c, http.StatusBadRequest, 0, "unknown destination", last)
+		return l.respond(c, http.StatusBadRequest, 0, "unknown destination", closeAfter)
 	case r.Invalid == state.DuplicateID:
-		return l.respond(c, http.StatusConflict, 0, "X-Request-Id in use", last)
+		return l.respond(c, http.StatusConflict, 0, "X-Request-Id in use", closeAfter)
 	case r.Permanent:
-		return l.respond(c, http.StatusInternalServerError, 0, "failed", last)
+		return l.respond(c, http.StatusInternalServerError, 0, "failed", closeAfter)
 	}
-	return l.respond(c, http.StatusServiceUnavailable, r.RetryAfter, "come again", last)
+	return l.respond(c, http.StatusServiceUnavailable, r.RetryAfter, "come again", closeAfter)
 }
 
-// awaitResponse waits for the loop's response to a message until a deadline. Where none has come by then the message is
-// rejected, and can't be accepted any more; one that was accepted in that instant is not rejected.
+// awaitResponse waits until the deadline for the event loop's response to a message. After the deadline it rejects the
+// message, so that the loop can't accept it any more, unless the loop has just accepted it.
 func awaitResponse(
-	answer <-chan state.Response, d *state.AdmissionDecision, deadline time.Time,
+	responses <-chan state.Response, decision *state.AdmissionDecision, deadline time.Time,
 ) (r state.Response, decided bool) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case r = <-answer:
+	case r = <-responses:
 		return r, true
 	case <-timer.C:
 	}
-	if d.Reject() {
+	if decision.Reject() {
 		return r, false
 	}
-	return <-answer, true
+	return <-responses, true
 }
 
-// respondError answers a request that is rejected unseen by the loop.
-func (l *Listener) respondError(c *clientConn, e *requestError, last bool) bool {
-	return l.respond(c, e.status, 0, e.text, last || e.closes)
+// respondError responds to a request that is rejected without involving the event loop.
+func (l *Listener) respondError(c *clientConn, e *requestError, closeAfter bool) bool {
+	return l.respond(c, e.status, 0, e.text, closeAfter || e.closes)
 }
 
-// respond writes a response and reports whether another request may follow.
-func (l *Listener) respond(c *clientConn, status int, retryAfter time.Duration, text string, last bool) bool {
-	return l.writeResponse(c, status, retryAfter, text, last) == nil && !last
+// respond writes a response and reports whether the connection may be used for another request.
+func (l *Listener) respond(c *clientConn, status int, retryAfter time.Duration, text string, closeAfter bool) bool {
+	return l.writeResponse(c, status, retryAfter, text, closeAfter) == nil && !closeAfter
 }
 
-// writeResponse writes a response; the last one on its connection says so.
-func (l *Listener) writeResponse(c *clientConn, status int, retryAfter time.Duration, text string, last bool) error {
+// writeResponse writes a response. If closeAfter is set, the response has a Connection: close header.
+func (l *Listener) writeResponse(
+	c *clientConn, status int, retryAfter time.Duration, text string, closeAfter bool,
+) error {
 	var b bytes.Buffer
 	b.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
 	if retryAfter > 0 {
@@ -159,7 +162,7 @@
 	if status == http.StatusMethodNotAllowed {
 		b.WriteString("Allow: POST, GET\r\n")
 	}
-	if last {
+	if closeAfter {
 		b.WriteString("Connection: close\r\n")
 	}
 	if text != "" {
@@ -173,6 +176,6 @@
 		return err
 	}
 	c.responseOwed = false
-	l.counters.answers[status].Add(1)
+	l.counters.responses[status].Add(1)
 	return nil
 }
--- a/internal/protocol/transport_test.go
+++ b/internal/protocol/transport_test.go
@@ -16,8 +16,8 @@
 	"cleathold/internal/state"
 )
 
-// A connection is reset once so many bytes of a call have come, on a new connection and on a reused one: all bytes
-// had been sent, so the call may have run, and none of its messages counts as not run.
+// TestResetUnderCall checks that a call whose connection is reset ends with ConnectionLost, however many bytes of it
+// the endpoint has read, on new and on reused connections: all bytes were sent, so the call may have been processed.
 func TestResetUnderCall(t *testing.T) {
 	f := &inFlightCall{call: callTo("127.0.0.1:99999", time.Minute, "a", "b")}
 	f.attempts = f.call.Attempts
@@ -25,8 +25,8 @@
 	head, body := f.encodeRequest()
 	for _, reused := range []bool{false, true} {
 		for _, n := range []int{1, len(head), len(head) + 1, len(head) + len(body) - 1, len(head) + len(body)} {
-			p := newEventRecorder()
-			s := NewTransport(p, time.Minute, 8, discardLog)
+			recorder := newEventRecorder()
+			transport := NewTransport(recorder, time.Minute, 8, discardLog)
 			addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
 				in := bufio.NewReader(conn)
 				if reused {
@@ -37,22 +37,23 @@
 				reset(conn)
 			})
 			if reused {
-				s.Send(callTo(addr, time.Minute, "first"))
-				if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Failed {
+				transport.Send(callTo(addr, time.Minute, "first"))
+				if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.Failed {
 					t.Fatalf("%+v", e)
 				}
 			}
-			s.Send(callTo(addr, time.Minute, "a", "b"))
-			ends := next[state.CallEnded](t, p).Results
-			if len(ends) != 2 || ends[0].Result != control.ConnectionLost || ends[1].Result != control.ConnectionLost {
-				t.Errorf("kept %t, reset after %d bytes: %+v", reused, n, ends)
+			transport.Send(callTo(addr, time.Minute, "a", "b"))
+			results := next[state.CallEnded](t, recorder).Results
+			if len(results) != 2 || results[0].Result != control.ConnectionLost || results[1].Result != control.ConnectionLost {
+				t.Errorf("reused %t, reset after %d bytes: %+v", reused, n, results)
 			}
 		}
 	}
 }
 
-// An endpoint closes an idle connection after the check for staleness and before the write. What was written there
-// may have been read: it counts as run. Where no byte could be sent any more it has not run, and may be sent again.
+// TestClosedAfterStaleCheck checks a call on an idle connection that the endpoint closes between the staleness check
+// and the write. If the request was written, the call may have been processed. If no byte could be sent, it was not
+// processed and may be sent again.
 func TestClosedAfterStaleCheck(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -63,8 +64,8 @@
 		{"half-closed", func(conn *net.TCPConn) { conn.CloseWrite() }, control.ConnectionLost},
 		{"reset", reset, control.ConnectFailed},
 	} {
-		p := newEventRecorder()
-		s := NewTransport(p, time.Minute, 8, discardLog)
+		recorder := newEventRecorder()
+		transport := NewTransport(recorder, time.Minute, 8, discardLog)
 		conns := make(chan *net.TCPConn, 4)
 		addr := socktest.Accept(t, func(_ int, conn *net.TCPConn) {
 			in := bufio.NewReader(conn)
@@ -72,38 +73,38 @@
 			receive(in)
 			io.WriteString(conn, socktest.Status(200))
 		})
-		s.Send(callTo(addr, time.Minute, "first"))
-		if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served {
+		transport.Send(callTo(addr, time.Minute, "first"))
+		if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.Served {
 			t.Fatalf("%+v", e)
 		}
 		call := callTo(addr, time.Minute, "a")
-		f := &inFlightCall{Transport: s, call: call, ended: make([]bool, 1), attempts: call.Attempts}
+		f := &inFlightCall{Transport: transport, call: call, ended: make([]bool, 1), attempts: call.Attempts}
 		f.ctx, f.cancel = context.WithDeadline(t.Context(), time.Now().Add(time.Minute))
 		defer f.cancel()
-		l, err := f.openConnection() // it looks...
+		conn, err := f.openConnection() // includes the staleness check
 		if err != nil || len(conns) != 1 {
 			t.Fatalf("%s: %v, %d connections", c.name, err, len(conns))
 		}
 		c.end(<-conns)
-		for l.openWithoutInput() { // ...and the end comes
+		for conn.openWithoutInput() { // wait until the close has arrived
 			time.Sleep(time.Millisecond)
 		}
-		f.transmit(l)
-		if e := next[state.CallEnded](t, p).Results[0]; e.Result != c.want {
+		f.transmit(conn)
+		if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != c.want {
 			t.Errorf("%s: %+v, want %v", c.name, e, c.want)
 		}
-		if s.pool.pop("s") != nil {
+		if transport.pool.popIdle("s") != nil {
 			t.Errorf("%s: the connection was kept", c.name)
 		}
 	}
 }
 
-// Bytes behind a response are nobody's: a second response that came with the first is not the next call's, which goes
-// out on another connection.
+// TestUnsolicitedResponse checks that bytes after a response are not parsed as the response to the next call, which
+// uses another connection.
 func TestUnsolicitedResponse(t *testing.T) {
 	for _, stray := range []string{socktest.Status(200), "HTTP/1.1 2", "\r\n"} {
-		p := newEventRecorder()
-		s := NewTransport(p, time.Minute, 8, discardLog)
+		recorder := newEventRecorder()
+		transport := NewTransport(recorder, time.Minute, 8, discardLog)
 		addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
 			if conn == 0 {
 				return socktest.Status(200) + stray
@@ -111,20 +112,21 @@
 			return socktest.Status(500)
 		})
 		for _, want := range []control.Result{control.Served, control.Failed} {
-			s.Send(callTo(addr, time.Minute, "a"))
-			if e := next[state.CallEnded](t, p).Results[0]; e.Result != want {
+			transport.Send(callTo(addr, time.Minute, "a"))
+			if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != want {
 				t.Errorf("%q: %+v, want %v", stray, e, want)
 			}
 		}
 	}
 }
 
-// A call canceled in the instant of its response ends once: before the response as canceled, with the response as it
-// says, and between the two as either. The connection of one that was answered serves the next call.
+// TestCancelDuringResponse checks that a call canceled at about the time of its response ends exactly once: as canceled
+// if canceled before the response, with the result of the response if canceled after it, and with either if both happen
+// at the same time. The connection of a call with a response is reused for the next one.
 func TestCancelDuringResponse(t *testing.T) {
-	p := &cancelOnEnd{eventRecorder: newEventRecorder()}
-	s := NewTransport(p, time.Minute, 8, discardLog)
-	p.s = s
+	recorder := &cancelOnEnd{eventRecorder: newEventRecorder()}
+	transport := NewTransport(recorder, time.Minute, 8, discardLog)
+	recorder.transport = transport
 	var call *state.Call
 	when := ""
 	conns := make(chan int, 8)
@@ -132,17 +134,17 @@
 		conns <- conn
 		switch when {
 		case "before":
-			s.Cancel(call)
-			s.waitUntilIdle()
+			transport.Cancel(call)
+			transport.waitUntilIdle()
 		case "between":
-			s.Cancel(call)
+			transport.Cancel(call)
 		}
 		return socktest.Status(200)
 	})
 	for _, c := range []struct {
 		when   string
 		want   []control.Result
-		reused bool // the connection is the one before
+		reused bool // the call reuses the previous connection
 	}{
 		{"after", []control.Result{control.Served}, false},
 		{"after", []control.Result{control.Served}, true},
@@ -151,21 +153,21 @@
 		{"between", []control.Result{control.Canceled, control.Served}, true},
 	} {
 		call, when = callTo(addr, time.Minute, "a"), c.when
-		last := s.pool.idleCount
-		s.Send(call)
-		ends := next[state.CallEnded](t, p.eventRecorder).Results
-		if len(ends) != 1 || !slices.Contains(c.want, ends[0].Result) || c.reused != (last == 1) {
-			t.Errorf("%s: %+v, want one of %v; %d connections kept before", c.when, ends, c.want, last)
+		last := transport.pool.idleCount
+		transport.Send(call)
+		results := next[state.CallEnded](t, recorder.eventRecorder).Results
+		if len(results) != 1 || !slices.Contains(c.want, results[0].Result) || c.reused != (last == 1) {
+			t.Errorf("%s: %+v, want one of %v; %d connections kept before", c.when, results, c.want, last)
 		}
 		<-conns
-		s.waitUntilIdle() // whatever it still did is done
-		if len(p.events) > 0 {
-			t.Errorf("%s: ended again: %+v", c.when, <-p.events)
+		transport.waitUntilIdle() // no further event can be posted after this
+		if len(recorder.events) > 0 {
+			t.Errorf("%s: ended again: %+v", c.when, <-recorder.events)
 		}
 	}
 }
 
-// attemptOutcomes are answers of an endpoint to a single message, and what comes of them.
+// attemptOutcomes lists responses of an endpoint to a single message with the expected results.
 var attemptOutcomes = []struct {
 	name, answer string
 	limit        time.Duration
@@ -210,11 +212,11 @@
 	{"refused", "shut", time.Minute, state.AttemptResult{Result: control.ConnectFailed}},
 }
 
-// Each way in which a call can end has its result.
+// TestAttemptOutcomes checks the result of each way in which a call can end.
 func TestAttemptOutcomes(t *testing.T) {
 	for _, c := range attemptOutcomes {
-		p := newEventRecorder()
-		s := NewTransport(p, time.Minute, 8, discardLog)
+		recorder := newEventRecorder()
+		transport := NewTransport(recorder, time.Minute, 8, discardLog)
 		got := make(chan struct{}, 1)
 		addr := socktest.Serve(t, func(_ int, r *http.Request, body string) string {
 			if r.URL.Path != "/receive" || r.Header.Get("X-Request-Id") != "a" || r.Header.Get("Idempotency-Key") != "k-a" ||
@@ -228,14 +230,14 @@
 			addr = socktest.Refusing(t)
 		}
 		call := callTo(addr, c.limit, "a")
-		s.Send(call)
+		transport.Send(call)
 		if c.name == "canceled" {
 			<-got
-			s.Cancel(call)
+			transport.Cancel(call)
 		}
-		e := next[state.CallEnded](t, p).Results[0]
+		e := next[state.CallEnded](t, recorder).Results[0]
 		if e.SentAt.IsZero() != (c.want.Result == control.ConnectFailed) {
-			t.Errorf("%s: left at %v", c.name, e.SentAt)
+			t.Errorf("%s: sent at %v", c.name, e.SentAt)
 		}
 		e.Elapsed, e.SentAt, e.Attempt = 0, time.Time{}, nil
 		if e != c.want {
@@ -244,55 +246,57 @@
 	}
 }
 
-// A call withdrawn before its connection is up is never sent; one that has been sent goes on.
+// TestCancelUnsent checks that CancelUnsent prevents the sending of a call without a connection, and has no effect on a
+// call that was sent.
 func TestCancelUnsent(t *testing.T) {
-	p := newEventRecorder()
-	s := NewTransport(p, time.Minute, 8, discardLog)
-	got, goOn := make(chan string, 2), make(chan struct{})
+	recorder := newEventRecorder()
+	transport := NewTransport(recorder, time.Minute, 8, discardLog)
+	got, respond := make(chan string, 2), make(chan struct{})
 	addr := socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		got <- r.Header.Get("X-Request-Id")
-		<-goOn
+		<-respond
 		return socktest.Status(200)
 	})
 	sent := callTo(addr, time.Minute, "left")
-	s.Send(sent)
+	transport.Send(sent)
 	<-got
-	s.CancelUnsent(sent)
-	f := &inFlightCall{Transport: s, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
+	transport.CancelUnsent(sent)
+	f := &inFlightCall{Transport: transport, call: callTo(addr, time.Minute, "held"), ended: make([]bool, 1)}
 	f.attempts = f.call.Attempts
 	f.ctx, f.cancel = context.WithCancel(t.Context())
-	s.inFlight[f.call] = f
-	s.CancelUnsent(f.call)
+	transport.inFlight[f.call] = f
+	transport.CancelUnsent(f.call)
 	f.run()
-	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.NotSent || e.Final {
-		t.Errorf("withheld: %+v", e)
+	if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.NotSent || e.Final {
+		t.Errorf("unsent call: %+v", e)
 	}
-	close(goOn)
-	if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served || len(got) > 0 {
-		t.Errorf("left: %+v, and %d more calls", e, len(got))
+	close(respond)
+	if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.Served || len(got) > 0 {
+		t.Errorf("sent call: %+v, and %d more calls", e, len(got))
 	}
 }
 
-// A connection is reused, unless its endpoint has closed it meanwhile: a request written to that one would be lost.
+// TestConnectionReuse checks that a connection is reused unless the endpoint has closed it, in which case a request
+// would be lost.
 func TestConnectionReuse(t *testing.T) {
-	p := newEventRecorder()
-	s := NewTransport(p, time.Minute, 8, discardLog)
+	recorder := newEventRecorder()
+	transport := NewTransport(recorder, time.Minute, 8, discardLog)
 	conns := make(chan int, 8)
 	addr := socktest.Serve(t, func(conn int, _ *http.Request, _ string) string {
 		conns <- conn
 		return socktest.Status(200)
 	})
 	call := func() int {
-		s.Send(callTo(addr, time.Minute, "a"))
-		if e := next[state.CallEnded](t, p).Results[0]; e.Result != control.Served {
+		transport.Send(callTo(addr, time.Minute, "a"))
+		if e := next[state.CallEnded](t, recorder).Results[0]; e.Result != control.Served {
 			t.Fatalf("%+v", e)
 		}
 		return <-conns
 	}
-	a, b := call(), call() // the connection is back before its call's end is known
-	l := s.pool.pop("s")
-	l.Conn.(*net.TCPConn).CloseRead() // reads as closed by the other side
-	s.pool.put("s", l)
+	a, b := call(), call() // a connection is returned to the pool before the end of its call is posted
+	conn := transport.pool.popIdle("s")
+	conn.Conn.(*net.TCPConn).CloseRead() // has the same effect on reads as a close by the endpoint
+	transport.pool.put("s", conn)
 	if c := call(); a != b || b == c {
 		t.Errorf("connections %d %d %d, want the first twice and then another", a, b, c)
 	}
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -8,12 +8,13 @@
 
 const s = time.Second
 
-// A sender is isolated when nobody replies to its query, from half a second on and until a peer is heard.
+// TestIsolated checks that a sender is isolated from half a second after a query without a reply until the next contact
+// with a peer.
 func TestIsolated(t *testing.T) {
 	h := Detector{FleetSize: 100}
 	steps := []struct {
 		at            time.Duration
-		heard         bool // before
+		contact       bool // before
 		rejected      bool
 		gossip, query bool
 		isolated      bool // then
@@ -22,47 +23,48 @@
 		{at: 10 * s, rejected: true, gossip: true, query: true},
 		{at: 10*s + 499*time.Millisecond},
 		{at: 10*s + 500*time.Millisecond, isolated: true},
-		{at: 12 * s, rejected: true, isolated: true}, // it has sent its query, and tells nobody
+		{at: 12 * s, rejected: true, isolated: true}, // the query was sent, and rejections are not gossiped
 		{at: 13 * s, rejected: true, isolated: true},
 		{at: 14 * s, rejected: true, isolated: true},
 		{at: 14*s + 900*time.Millisecond, rejected: true, isolated: true},
-		{at: 15 * s, heard: true},
-		{at: 16 * s, rejected: true, gossip: true}, // somebody was heard a second ago
+		{at: 15 * s, contact: true},
+		{at: 16 * s, rejected: true, gossip: true}, // the last contact was a second ago
 		{at: 17 * s},
 		{at: 18 * s, rejected: true, gossip: true, query: true},
-		{at: 18*s + 400*time.Millisecond, heard: true},
-		// a query after a peer was heard need not wait for the interval
+		{at: 18*s + 400*time.Millisecond, contact: true},
+		// after a contact, the next query doesn't wait for the query interval
 		{at: 21 * s, rejected: true, gossip: true, query: true},
-		{at: 21*s + 400*time.Millisecond, heard: true},
+		{at: 21*s + 400*time.Millisecond, contact: true},
 		{at: 30 * s},
 		{at: 31 * s, rejected: true, gossip: true, query: true},
 		{at: 32 * s, isolated: true},
 		{at: 35 * s, rejected: true, isolated: true},
 		{at: 37 * s, rejected: true, isolated: true},
-		// the fourth that nobody heard, and the interval of 5 s is over
+		// the fourth rejection since the last contact, and the query interval of 5 s has passed
 		{at: 40 * s, rejected: true, gossip: true, query: true, isolated: true},
 	}
-	for i, x := range steps {
-		if x.heard {
-			h.RecordPeer(x.at, 7)
+	for i, step := range steps {
+		if step.contact {
+			h.RecordPeer(step.at, 7)
 		}
-		if x.rejected {
-			if gossip, query := h.Rejected(x.at); gossip != x.gossip || query != x.query {
+		if step.rejected {
+			if gossip, query := h.Rejected(step.at); gossip != step.gossip || query != step.query {
 				t.Errorf("step %d: gossips %t, queries %t", i, gossip, query)
 			}
 		}
-		if h.Isolated(x.at) != x.isolated {
-			t.Errorf("step %d: isolated %t", i, !x.isolated)
+		if h.Isolated(step.at) != step.isolated {
+			t.Errorf("step %d: isolated %t", i, !step.isolated)
 		}
 	}
 }
 
-// An isolated sender repeats its query until a peer is heard; a whole fleet as often at any size.
+// TestRepeatQuery checks that an isolated sender repeats its query until the next contact with a peer, and that the
+// query rate of the whole fleet doesn't depend on its size.
 func TestRepeatQuery(t *testing.T) {
 	for _, n := range []int{8, 40, 300, 1000} {
 		h, queries := Detector{FleetSize: n}, 0
 		if h.RepeatQuery(5 * s) {
-			t.Error("a query though nothing was rejected")
+			t.Error("a query although no call was rejected")
 		}
 		h.Rejected(10 * s)
 		for at := 10 * s; at < 610*s; at += 20 * time.Millisecond {
@@ -75,18 +77,19 @@
 		}
 		h.RecordPeer(620*s, 1)
 		if h.RepeatQuery(700 * s) {
-			t.Errorf("fleet of %d: it goes on", n)
+			t.Errorf("fleet of %d: queries continue after a contact", n)
 		}
 	}
 }
 
-// The fraction of a fleet that is heard, at any fleet size, whether all tell alike or some much more.
+// TestReachableFraction checks the estimate of the reachable fraction at several fleet sizes, with peers that gossip
+// equally often and with some that gossip much more often.
 func TestReachableFraction(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, c := range []struct {
-		fleetSize, heard int
-		uneven           bool
-		from, to         float64
+		fleetSize, reachable int
+		uneven               bool
+		from, to             float64
 	}{
 		{300, 299, false, 0.6, 1}, {300, 299, true, 0.4, 1}, {300, 150, false, 0.33, 1}, {300, 60, false, 0.16, 0.4},
 		{300, 60, true, 0.07, 0.4},
@@ -97,11 +100,11 @@
 		for range 50 {
 			h := Detector{FleetSize: c.fleetSize}
 			for i := range 200 {
-				who := rng.IntN(c.heard)
-				for c.uneven && who%3 > 0 && rng.IntN(3) > 0 { // a third of them tells most
-					who = rng.IntN(c.heard)
+				peer := rng.IntN(c.reachable)
+				for c.uneven && peer%3 > 0 && rng.IntN(3) > 0 { // a third of the peers gossips most
+					peer = rng.IntN(c.reachable)
 				}
-				h.RecordPeer(time.Duration(i)*100*time.Millisecond, who)
+				h.RecordPeer(time.Duration(i)*100*time.Millisecond, peer)
 			}
 			p := h.ReachableFraction(20 * s)
 			least, most = min(least, p), max(most, p)
@@ -110,13 +113,13 @@
 			t.Errorf("%+v: from %.2f to %.2f", c, least, most)
 		}
 	}
-	shrunk := Detector{FleetSize: 40} // all are heard, then an eighth
+	shrunk := Detector{FleetSize: 40} // first all peers are reachable, then an eighth
 	for i := range historySize + recentObservations {
-		who := i % 39
+		peer := i % 39
 		if i >= historySize {
-			who = i % 7
+			peer = i % 7
 		}
-		shrunk.RecordPeer(time.Duration(i)*100*time.Millisecond, who)
+		shrunk.RecordPeer(time.Duration(i)*100*time.Millisecond, peer)
 	}
 	if p := shrunk.ReachableFraction(time.Duration(historySize+recentObservations) * 100 * time.Millisecond); p > 0.35 {
 		t.Errorf("%.2f after %d observations of an eighth", p, recentObservations)
@@ -126,7 +129,7 @@
 		h.RecordPeer(s, i%2)
 	}
 	if h.ReachableFraction(2*s) != 1 {
-		t.Error("few observations prove something")
+		t.Error("an estimate from fewer than minObservations")
 	}
 	h.RecordPeer(s, 1)
 	if h.ReachableFraction(2*s) > 0.1 || h.ReachableFraction(30*s) != 1 {
@@ -134,17 +137,17 @@
 	}
 }
 
-// How many peers reply does not grow with the fleet.
+// TestShouldReply checks that the mean number of replies to a query doesn't depend on the fleet size.
 func TestShouldReply(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for _, n := range []int{8, 40, 300, 1000} {
-		h, sum := Detector{FleetSize: n}, 0
+		h, replies := Detector{FleetSize: n}, 0
 		for range 1000 * n {
 			if h.ShouldReply(rng.Float64()) {
-				sum++
+				replies++
 			}
 		}
-		if mean := float64(sum) / 1000; mean < 7.5 || mean > 8.5 {
+		if mean := float64(replies) / 1000; mean < 7.5 || mean > 8.5 {
 			t.Errorf("fleet of %d: %.2f reply", n, mean)
 		}
 	}
