--- a/internal/quorum/golden_test.go
+++ b/internal/quorum/golden_test.go
@@ -20,12 +20,12 @@
 
 // TestGoldenFolder opens an agent's folder that 096da04 wrote: its name, its vote and three entries.
 func TestGoldenFolder(t *testing.T) {
-	log := newRecordedLog()
+	log := newRecordingMachine()
 	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), log))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := node.Status(); s.Member.Name != "a" || s.Member.Number != founderNumber("a") {
+	if s := node.Status(); s.Member.Name != "a" || s.Member.Number != initialMemberNumber("a") {
 		t.Errorf("%+v", s.Member)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/quorum/helpers_test.go
+++ b/internal/quorum/helpers_test.go
@@ -16,16 +16,16 @@
 	"cleathold/internal/store"
 )
 
-// recordedLog is a machine that keeps what it is given.
-type recordedLog struct {
+// recordingMachine is a machine that keeps what it is given.
+type recordingMachine struct {
 	mu      sync.Mutex
 	List    []string
 	changed chan struct{}
 }
 
-func newRecordedLog() *recordedLog { return &recordedLog{changed: make(chan struct{})} }
+func newRecordingMachine() *recordingMachine { return &recordingMachine{changed: make(chan struct{})} }
 
-func (t *recordedLog) Apply(_ uint64, data []byte) {
+func (t *recordingMachine) Apply(_ uint64, data []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.List = append(t.List, string(data))
@@ -33,38 +33,38 @@
 	t.changed = make(chan struct{})
 }
 
-func (t *recordedLog) Snapshot() ([]byte, error) {
+func (t *recordingMachine) Snapshot() ([]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return json.Marshal(t.List)
 }
 
-func (t *recordedLog) Restore(_ uint64, data []byte) error {
+func (t *recordingMachine) Restore(_ uint64, data []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.List = nil
 	return json.Unmarshal(data, &t.List)
 }
 
-func (t *recordedLog) all() []string {
+func (t *recordingMachine) all() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.List)
 }
 
 // waitFor waits until something was applied; false: not in time.
-func (t *recordedLog) waitFor(text string, span time.Duration) bool {
-	timer := time.NewTimer(span)
+func (t *recordingMachine) waitFor(text string, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		t.mu.Lock()
-		in, news := slices.Contains(t.List, text), t.changed
+		applied, changed := slices.Contains(t.List, text), t.changed
 		t.mu.Unlock()
-		if in {
+		if applied {
 			return true
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			return false
 		}
@@ -76,7 +76,7 @@
 	name, dir string
 	peers     map[string]string
 	listener  net.Listener
-	log       *recordedLog
+	log       *recordingMachine
 	node      *Node
 	server    *http.Server
 	cancel    context.CancelFunc
@@ -143,7 +143,7 @@
 
 func (x *testCluster) start(h *testAgent) {
 	x.t.Helper()
-	h.log = newRecordedLog()
+	h.log = newRecordingMachine()
 	node, err := Open(Config{Name: h.name, FS: store.Dir(h.dir), Peers: h.peers, Machine: h.log,
 		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -169,8 +169,8 @@
 }
 
 // propose proposes until it is applied at its proposer, or until a time.
-func (x *testCluster) propose(h *testAgent, text string, span time.Duration) bool {
-	for until := time.Now().Add(span); time.Now().Before(until); {
+func (x *testCluster) propose(h *testAgent, text string, timeout time.Duration) bool {
+	for until := time.Now().Add(timeout); time.Now().Before(until); {
 		if h.node.Propose(x.t.Context(), []byte(text)) == nil && h.log.waitFor(text, time.Second) {
 			return true
 		}
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -24,13 +24,13 @@
 
 // The smaller side of a split agrees on nothing, the larger goes on, and all have the same log once it is over. Three
 // to two, two to one, and ways that are silent in one direction only.
-func TestSplits(t *testing.T) {
+func TestNetworkPartitions(t *testing.T) {
 	for _, c := range []struct {
-		agents int
-		small  []string
-		oneWay bool
+		agents   int
+		minority []string
+		oneWay   bool
 	}{{3, []string{"a0"}, false}, {5, []string{"a0", "a3"}, false}, {3, []string{"a0"}, true}} {
-		t.Run(fmt.Sprintf("%d agents, %v, one way %t", c.agents, c.small, c.oneWay), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d agents, %v, one way %t", c.agents, c.minority, c.oneWay), func(t *testing.T) {
 			t.Parallel()
 			x := newTestCluster(t, c.agents)
 			if !x.propose(x.agents[0], "before", 20*time.Second) {
@@ -41,7 +41,7 @@
 					x.net.Set("a0", other, netfault.State{Silent: true})
 				}
 			} else {
-				x.net.Partition(c.small, x.names, netfault.State{Cut: true})
+				x.net.Partition(c.minority, x.names, netfault.State{Cut: true})
 			}
 			if !x.propose(x.agents[1], "larger", 20*time.Second) {
 				t.Errorf("%v: the larger side agrees on nothing", c)
@@ -79,7 +79,7 @@
 
 // A folder is lost: the agent is taken in anew in its old place, by a snapshot, and the old seat's vote is gone. A
 // majority holds even while another one is down.
-func TestReplaced(t *testing.T) {
+func TestMemberReplacement(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3)
 	lost := cluster.agents[2]
@@ -121,7 +121,7 @@
 // A node that replaces another counts as a voter only once raft needs no majority of the members before the change:
 // until then a further failure would leave nobody who can agree on anything.
 func TestVoterOnceReplacementIsComplete(t *testing.T) {
-	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), newRecordedLog()))
+	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), newRecordingMachine()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,34 +149,34 @@
 	t.Parallel()
 	x := newTestCluster(t, 3)
 	type input struct {
-		take bool
-		who  string
+		take   bool
+		sender string
 	}
-	const room = 2
+	const capacity = 2
 	// The machine is the tape; whether an entry had room follows from all before it.
 	granted := func(list []string, id string) (ok, found bool) {
-		out := map[string]bool{}
+		holders := map[string]bool{}
 		for _, e := range list {
 			var take bool
 			var who, by string
 			fmt.Sscan(e, &take, &who, &by)
-			had := out[who]
-			fits := take && !had && len(out) < room
-			if fits {
-				out[who] = true
+			held := holders[who]
+			acquired := take && !held && len(holders) < capacity
+			if acquired {
+				holders[who] = true
 			}
 			if !take {
-				delete(out, who)
+				delete(holders, who)
 			}
 			if by == id {
-				return fits || !take && had, true
+				return acquired || !take && held, true
 			}
 		}
 		return false, false
 	}
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	begun := time.Now()
+	started := time.Now()
 	ctx, stop := context.WithTimeout(t.Context(), 6*time.Second)
 	defer stop()
 	var wg sync.WaitGroup
@@ -186,8 +186,8 @@
 			for k := 0; ctx.Err() == nil; k++ {
 				in := input{rng.IntN(2) == 0, fmt.Sprint("n", rng.IntN(4))}
 				id := fmt.Sprintf("%d-%d", i, k)
-				text := fmt.Sprint(in.take, " ", in.who, " ", id)
-				call := time.Since(begun)
+				text := fmt.Sprint(in.take, " ", in.sender, " ", id)
+				call := time.Since(started)
 				if h.node.Propose(ctx, []byte(text)) != nil {
 					time.Sleep(5 * time.Millisecond)
 					continue
@@ -195,7 +195,7 @@
 				op := porcupine.Operation{ClientId: i, Input: in, Call: int64(call), Output: nil, Return: int64(time.Hour)}
 				if h.log.waitFor(text, 500*time.Millisecond) { // else nobody knows: it may take effect at any time later
 					ok, _ := granted(h.log.all(), id)
-					op.Output, op.Return = ok, int64(time.Since(begun))
+					op.Output, op.Return = ok, int64(time.Since(started))
 				} else {
 					op.ClientId = 1000 + len(history)
 				}
@@ -222,20 +222,20 @@
 		Init: func() any { return "" },
 		Step: func(state, in, out any) (bool, any) {
 			list := []string{}
-			for _, who := range []string{"n0", "n1", "n2", "n3"} {
-				if slices.Contains(strings.Fields(state.(string)), who) {
-					list = append(list, who)
+			for _, sender := range []string{"n0", "n1", "n2", "n3"} {
+				if slices.Contains(strings.Fields(state.(string)), sender) {
+					list = append(list, sender)
 				}
 			}
 			i := in.(input)
-			had := slices.Contains(list, i.who)
-			ok := had
+			held := slices.Contains(list, i.sender)
+			ok := held
 			if i.take {
-				if ok = !had && len(list) < room; ok {
-					list = append(list, i.who)
+				if ok = !held && len(list) < capacity; ok {
+					list = append(list, i.sender)
 				}
-			} else if had {
-				list = slices.DeleteFunc(list, func(s string) bool { return s == i.who })
+			} else if held {
+				list = slices.DeleteFunc(list, func(s string) bool { return s == i.sender })
 			}
 			slices.Sort(list)
 			next := fmt.Sprint(list)
--- a/internal/quorum/propose.go
+++ b/internal/quorum/propose.go
@@ -39,7 +39,7 @@
 	if n.raft.BasicStatus().RaftState != raft.StateLeader {
 		return errNotLeading
 	}
-	if _, has := n.members[member.Number]; has {
+	if _, exists := n.members[member.Number]; exists {
 		return nil
 	}
 	context, err := json.Marshal(member)
--- a/internal/quorum/storage.go
+++ b/internal/quorum/storage.go
@@ -41,8 +41,8 @@
 		"give the agent an empty one, and it is added anew")
 )
 
-// founderNumber returns the number of a member that was there from the start, by its name.
-func founderNumber(name string) uint64 {
+// initialMemberNumber returns the number of a member that was there from the start, by its name.
+func initialMemberNumber(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64() | 1
@@ -82,14 +82,14 @@
 		return err
 	}
 	defer s.Close()
-	if _, has := s.Get(memberEntity); has {
+	if _, exists := s.Get(memberEntity); exists {
 		return ErrAlreadyBootstrapped
 	}
 	names := map[uint64]string{}
 	var voters []uint64
 	for _, other := range all {
-		names[founderNumber(other)] = other
-		voters = append(voters, founderNumber(other))
+		names[initialMemberNumber(other)] = other
+		voters = append(voters, initialMemberNumber(other))
 	}
 	if len(names) != len(all) {
 		return errors.New("quorum: two agents of one name")
@@ -102,8 +102,8 @@
 	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{
 		Index: new(uint64(1)), Term: new(uint64(1)), ConfState: &pb.ConfState{Voters: voters},
 	}}
-	hard := &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
-	return writeMember(s, Member{name, founderNumber(name)}, hard, snap)
+	hardState := &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
+	return writeMember(s, Member{name, initialMemberNumber(name)}, hardState, snap)
 }
 
 // writeNewMember creates the folder of an agent that is to be added: it has a number of its own, and no vote yet.
@@ -112,14 +112,14 @@
 }
 
 // writeMember writes the member and, of one that was there from the start, its hard state and snapshot.
-func writeMember(s *store.Store, member Member, hard *pb.HardState, snap *pb.Snapshot) error {
+func writeMember(s *store.Store, member Member, hardState *pb.HardState, snap *pb.Snapshot) error {
 	text, err := json.Marshal(member)
 	if err != nil {
 		return err
 	}
 	batch := []store.Record{{Entity: memberEntity, Kind: store.Base, Data: text}}
-	if hard != nil {
-		if batch, err = appendProto(batch, hardStateEntity, hard); err == nil {
+	if hardState != nil {
+		if batch, err = appendProto(batch, hardStateEntity, hardState); err == nil {
 			batch, err = appendProto(batch, snapshotEntity, snap)
 		}
 	}
@@ -200,11 +200,11 @@
 	case id == memberEntity:
 		return nil, json.Unmarshal(data, &st.member)
 	case id == hardStateEntity:
-		hard := &pb.HardState{}
-		if err := proto.Unmarshal(data, hard); err != nil {
+		hardState := &pb.HardState{}
+		if err := proto.Unmarshal(data, hardState); err != nil {
 			return nil, err
 		}
-		return nil, st.memory.SetHardState(hard)
+		return nil, st.memory.SetHardState(hardState)
 	case id == snapshotEntity:
 		snap := &pb.Snapshot{}
 		if err := proto.Unmarshal(data, snap); err != nil {
@@ -243,7 +243,7 @@
 }
 
 // save stores what raft has ready. After an error the folder has all of it or nothing, and must be opened anew.
-func (st *storage) save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error {
+func (st *storage) save(hardState *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error {
 	var batch []store.Record
 	var err error
 	if !raft.IsEmptySnap(snap) {
@@ -272,8 +272,8 @@
 		}
 		st.lastEntry = max(st.lastEntry, next-1) // the emptied ones end with a later snapshot
 	}
-	if !raft.IsEmptyHardState(hard) {
-		if batch, err = appendProto(batch, hardStateEntity, hard); err != nil {
+	if !raft.IsEmptyHardState(hardState) {
+		if batch, err = appendProto(batch, hardStateEntity, hardState); err != nil {
 			return err
 		}
 	}
@@ -288,8 +288,8 @@
 	if err = st.memory.Append(entries); err != nil {
 		return err
 	}
-	if !raft.IsEmptyHardState(hard) {
-		return st.memory.SetHardState(hard)
+	if !raft.IsEmptyHardState(hardState) {
+		return st.memory.SetHardState(hardState)
 	}
 	return nil
 }
--- a/internal/quorum/storage_test.go
+++ b/internal/quorum/storage_test.go
@@ -43,14 +43,14 @@
 
 // A folder that can't be written ends the node before anything is promised, and what it has promised is there when it
 // is opened again. A damaged one is not opened at all.
-func TestFolder(t *testing.T) {
+func TestStorageFailures(t *testing.T) {
 	dir := t.TempDir()
 	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); err != nil {
 		t.Fatal(err)
 	}
 	full := false
-	open := func() (*Node, *recordedLog, func() error) {
-		m := newRecordedLog()
+	open := func() (*Node, *recordingMachine, func() error) {
+		m := newRecordingMachine()
 		n, err := Open(Config{Name: "a", FS: failingFS{store.Dir(dir), &full}, Peers: map[string]string{"a": ""},
 			Machine: m, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
@@ -61,7 +61,7 @@
 		go func() { done <- n.Run(ctx) }()
 		return n, m, func() error { stop(); return <-done }
 	}
-	put := func(n *Node, m *recordedLog, text string) bool {
+	proposeAndWait := func(n *Node, m *recordingMachine, text string) bool {
 		for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 			err := n.Propose(t.Context(), []byte(text))
 			if err == nil {
@@ -74,11 +74,11 @@
 		return false
 	}
 	n, m, stop := open()
-	if !put(n, m, "one") {
+	if !proposeAndWait(n, m, "one") {
 		t.Fatal("one agent agrees with itself on nothing")
 	}
 	full = true
-	if put(n, m, "two") {
+	if proposeAndWait(n, m, "two") {
 		t.Error("agreed on what could not be written")
 	}
 	if err := stop(); !errors.Is(err, errFull) {
@@ -86,7 +86,7 @@
 	}
 	full = false
 	n, m, stop = open()
-	if !put(n, m, "three") || slices.Contains(m.all(), "two") || !slices.Contains(m.all(), "one") {
+	if !proposeAndWait(n, m, "three") || slices.Contains(m.all(), "two") || !slices.Contains(m.all(), "one") {
 		t.Errorf("%v", m.all())
 	}
 	if err := stop(); err != nil {
@@ -95,7 +95,7 @@
 	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); !errors.Is(err, ErrAlreadyBootstrapped) {
 		t.Errorf("founded twice: %v", err)
 	}
-	if _, err := Open(Config{Name: "b", FS: store.Dir(dir), Machine: newRecordedLog(),
+	if _, err := Open(Config{Name: "b", FS: store.Dir(dir), Machine: newRecordingMachine(),
 		Log: slog.New(slog.DiscardHandler)}); err == nil {
 		t.Error("another agent's folder was opened")
 	}
@@ -106,7 +106,7 @@
 			f.Close()
 		}
 	}
-	if _, err := Open(Config{Name: "a", FS: store.Dir(dir), Machine: newRecordedLog(),
+	if _, err := Open(Config{Name: "a", FS: store.Dir(dir), Machine: newRecordingMachine(),
 		Log: slog.New(slog.DiscardHandler)}); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a damaged folder: %v", err)
 	}
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -14,10 +14,10 @@
 	Resume          Verb = "resume"       // Plan, Revision
 	RollBack        Verb = "back"         // Plan
 	Activate        Verb = "activate"     // Plan, Senders
-	GrantThese      Verb = "grant"        // Plan, Asks, Seen
+	GrantSenders    Verb = "grant"        // Plan, Asks, Seen
 	Close           Verb = "close"        // Sender, Epoch, Sight
-	MarkOut         Verb = "out"          // Sender, Epoch
-	JudgeGate       Verb = "verdict"      // Plan, Stage, Good, Text
+	MarkDrained     Verb = "out"          // Sender, Epoch
+	RecordVerdict   Verb = "verdict"      // Plan, Stage, Good, Text
 	ExcludeEndpoint Verb = "endpoint out" // Endpoint, Listed
 	IncludeEndpoint Verb = "endpoint in"  // Endpoint
 )
@@ -51,7 +51,7 @@
 	Stage       int          `json:"stage,omitempty"`
 	Good        bool         `json:"good,omitempty"`
 	Text        string       `json:"text,omitempty"`
-	Others      *Sums        `json:"others,omitempty"` // baseline of the stage that is left
+	Baseline    *Sums        `json:"others,omitempty"` // baseline of the stage that is left
 	Endpoint    string       `json:"endpoint,omitempty"`
 	Listed      []Endpoint   `json:"listed,omitempty"` // all that the proposer knows
 }
--- a/internal/rollout/endpoint.go
+++ b/internal/rollout/endpoint.go
@@ -13,16 +13,16 @@
 		return "", reject("an author and a reason are needed")
 	}
 	s.forgetIncluded(c.At)
-	out := s.Endpoints[c.Endpoint]
+	exclusion := s.Endpoints[c.Endpoint]
 	if c.Verb == IncludeEndpoint {
-		if out == nil || !out.Back.IsZero() {
+		if exclusion == nil || !exclusion.Back.IsZero() {
 			return "", reject("endpoint %q is not out by order", c.Endpoint)
 		}
-		out.Back, s.ExclusionEpoch = c.At, index
+		exclusion.Back, s.ExclusionEpoch = c.At, index
 		return fmt.Sprintf("endpoint %s is in again", c.Endpoint), nil
 	}
-	if out != nil && out.Back.IsZero() {
-		return "", reject("endpoint %s is out already, by %s (%s)", c.Endpoint, out.By, out.Reason)
+	if exclusion != nil && exclusion.Back.IsZero() {
+		return "", reject("endpoint %s is out already, by %s (%s)", c.Endpoint, exclusion.By, exclusion.Reason)
 	}
 	i := slices.IndexFunc(c.Listed, func(e Endpoint) bool { return e.ID == c.Endpoint })
 	if i < 0 {
@@ -32,7 +32,7 @@
 	if err := s.checkEndpointBudget(e, c.Listed); err != nil {
 		return "", err
 	}
-	s.Endpoints[e.ID] = &EndpointOut{Endpoint: e, By: c.By, Reason: c.Reason, At: c.At}
+	s.Endpoints[e.ID] = &EndpointExclusion{Endpoint: e, By: c.By, Reason: c.Reason, At: c.At}
 	s.ExclusionEpoch = index
 	return fmt.Sprintf("endpoint %s of destination %d is out", e.ID, e.Dest), nil
 }
@@ -41,14 +41,14 @@
 // that are being included again, count as out; the last one of a destination is never excluded.
 func (s *State) checkEndpointBudget(e Endpoint, listed []Endpoint) error {
 	b := s.Terms.Budget
-	dest, kind, serving := map[string]bool{}, map[string]bool{}, 0
+	outOfDest, outOfKind, serving := map[string]bool{}, map[string]bool{}, 0
 	isOut := func(x Endpoint) bool { return !x.Up || s.Endpoints[x.ID] != nil }
 	count := func(x Endpoint) {
 		if x.Dest == e.Dest {
-			dest[x.ID] = true
+			outOfDest[x.ID] = true
 		}
 		if x.Kind == e.Kind {
-			kind[x.ID] = true
+			outOfKind[x.ID] = true
 		}
 	}
 	for _, x := range listed {
@@ -66,11 +66,11 @@
 		}
 	}
 	switch {
-	case len(dest) >= b.Endpoints:
-		return reject("%d endpoints of destination %d are out, %d may be: %s", len(dest), e.Dest, b.Endpoints,
-			firstNames(dest))
-	case b.Kind > 0 && len(kind) >= b.Kind:
-		return reject("%d endpoints of its kind are out, %d may be: %s", len(kind), b.Kind, firstNames(kind))
+	case len(outOfDest) >= b.Endpoints:
+		return reject("%d endpoints of destination %d are out, %d may be: %s", len(outOfDest), e.Dest, b.Endpoints,
+			firstNames(outOfDest))
+	case b.Kind > 0 && len(outOfKind) >= b.Kind:
+		return reject("%d endpoints of its kind are out, %d may be: %s", len(outOfKind), b.Kind, firstNames(outOfKind))
 	case serving == 0:
 		return reject("%s is the last endpoint of destination %d that is in", e.ID, e.Dest)
 	}
@@ -80,7 +80,7 @@
 // forgetIncluded forgets endpoints that were included so long ago that no sender can still exclude them.
 func (s *State) forgetIncluded(now time.Time) {
 	t := s.Terms.Timing
-	maps.DeleteFunc(s.Endpoints, func(_ string, x *EndpointOut) bool {
+	maps.DeleteFunc(s.Endpoints, func(_ string, x *EndpointExclusion) bool {
 		return !x.Back.IsZero() && now.Sub(x.Back) > t.Lease+4*t.Error
 	})
 }
@@ -104,8 +104,8 @@
 	Up   bool   `json:"up"` // else discovery drains it
 }
 
-// EndpointOut is an endpoint that operators have excluded, or include again: senders learn of it within a lease.
-type EndpointOut struct {
+// EndpointExclusion is an endpoint that operators have excluded, or include again: senders learn of it within a lease.
+type EndpointExclusion struct {
 	Endpoint
 	By     string    `json:"by"`
 	Reason string    `json:"reason"`
--- a/internal/rollout/endpoint_test.go
+++ b/internal/rollout/endpoint_test.go
@@ -7,11 +7,11 @@
 )
 
 // Endpoints out at once: e0 to e3 are of destination 1, f0 and f1 of 2, all of one kind but f1.
-func TestEndpoints(t *testing.T) {
+func TestEndpointExclusions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		budget Budget
-		does   string // "out:x", "in:x", "drained:x" by discovery, "later"
+		steps  string // "out:x", "in:x", "drained:x" by discovery, "later"
 		want   string // of the last
 	}{
 		{"one", Budget{Endpoints: 1}, "out:e0", ""},
@@ -36,8 +36,8 @@
 		listed := []Endpoint{{"e0", 1, 0, true}, {"e1", 1, 0, true}, {"e2", 1, 0, true}, {"e3", 1, 0, true},
 			{"f0", 2, 0, true}, {"f1", 2, 1, true}}
 		var err error
-		for _, do := range strings.Fields(c.does) {
-			verb, id, _ := strings.Cut(do, ":")
+		for _, step := range strings.Fields(c.steps) {
+			verb, id, _ := strings.Cut(step, ":")
 			switch verb {
 			case "out":
 				err = x.apply(Command{Verb: ExcludeEndpoint, Reason: "r", Endpoint: id, Listed: listed})
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -28,7 +28,7 @@
 type Verdict struct {
 	Good, Known bool
 	Text        string
-	Others      Sums // the sums with which the changed senders were compared
+	Baseline    Sums // the sums with which the changed senders were compared
 }
 
 // Verdict returns the verdict on the current stage of a plan. Several plans may run.
@@ -77,10 +77,10 @@
 	if problem != nil {
 		return *problem
 	}
-	if p.Others != nil && (x.others.Senders == 0 || x.others.Taken+x.others.Refused < int64(p.Gate.MinMessages)) {
-		x.others = *p.Others
+	if p.Baseline != nil && (x.others.Senders == 0 || x.others.Accepted+x.others.Rejected < int64(p.Gate.MinMessages)) {
+		x.others = *p.Baseline
 	}
-	if reason := worse(x.changed, x.others, p.Gate); reason != "" {
+	if reason := regression(x.changed, x.others, p.Gate); reason != "" {
 		return failed("%s", reason)
 	}
 	reason, pending := w.confirmLate(x.changed, x.others, p.Gate, now)
@@ -103,7 +103,7 @@
 // comparison is what the changed senders and the others have done since the stage was complete.
 type comparison struct {
 	changed, others Sums
-	unseen          string // a changed sender that was not observed lately
+	unobserved      string // a changed sender that was not observed lately
 }
 
 // compare sums up what the senders have done. It returns a verdict if a changed sender has failed.
@@ -118,7 +118,7 @@
 		soaked := now.Sub(w.since) > p.Gate.Soak
 		switch {
 		case observed.Process == "" && changed && stale:
-			x.unseen = name
+			x.unobserved = name
 		case observed.Process == "" && changed && soaked:
 			v := failed("%s changed and is not seen any more: %s", name, observed.Phase)
 			return x, &v
@@ -134,7 +134,7 @@
 				return x, &v
 			}
 			if stale { // its agent is away, which says nothing of the version
-				x.unseen = name
+				x.unobserved = name
 			}
 		default:
 			x.others.add(observed, before)
@@ -166,21 +166,21 @@
 	waited := now.Sub(w.since)
 	enough := int64(p.Gate.MinMessages)
 	switch {
-	case x.unseen != "" && waited >= p.Gate.Wait:
-		return failed("not known to be good: nobody has seen %s for %v", x.unseen,
-			now.Sub(observations[x.unseen].At).Round(time.Second))
-	case waited < p.Gate.Soak || x.unseen != "" || pending && waited < p.Gate.Wait:
+	case x.unobserved != "" && waited >= p.Gate.Wait:
+		return failed("not known to be good: nobody has seen %s for %v", x.unobserved,
+			now.Sub(observations[x.unobserved].At).Round(time.Second))
+	case waited < p.Gate.Soak || x.unobserved != "" || pending && waited < p.Gate.Wait:
 		return Verdict{}
 	case pending:
 		return failed("not known to be good: first calls came late, and %d have been made since, %d wanted",
 			x.changed.Called-w.lateBaseline.Called, p.Gate.MinMessages)
-	case x.changed.Ends >= enough && x.others.Ends >= enough:
+	case x.changed.Outcomes >= enough && x.others.Outcomes >= enough:
 		return Verdict{true, true, fmt.Sprintf("%d messages ended at %d changed senders, %d at others; none worse",
-			x.changed.Ends, x.changed.Senders, x.others.Ends), x.others}
+			x.changed.Outcomes, x.changed.Senders, x.others.Outcomes), x.others}
 	case waited >= p.Gate.Wait:
 		return failed("not known to be good: after %v %d messages have ended at the changed senders "+
 			"and %d beside them, %d wanted",
-			waited.Round(time.Second), x.changed.Ends, x.others.Ends, p.Gate.MinMessages)
+			waited.Round(time.Second), x.changed.Outcomes, x.others.Outcomes, p.Gate.MinMessages)
 	}
 	return Verdict{}
 }
@@ -218,7 +218,7 @@
 func (w *stageWatch) confirmLate(changed, others Sums, g Gate, now time.Time) (reason string, pending bool) {
 	since := changed
 	since.Called, since.Late = changed.Called-w.lateBaseline.Called, changed.Late-w.lateBaseline.Late
-	late := worseLate(since, others, g)
+	late := lateRegression(since, others, g)
 	switch {
 	case w.lateSince.IsZero() && late == "":
 		return "", false
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -8,10 +8,10 @@
 )
 
 // What the first stage's gate makes of a version, and how many senders ever ran it.
-func TestGates(t *testing.T) {
+func TestGateVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
-		acts func(x *testFleet, changed string)
-		want string
+		simulate func(x *testFleet, changed string)
+		want     string
 	}{
 		"like the others": {func(x *testFleet, _ string) { x.addTraffic(20, noFailures) }, "stage 2 of"},
 		"fails more": {func(x *testFleet, changed string) {
@@ -106,7 +106,7 @@
 		changed := x.state.Plan(id).Stages[0][0]
 		for range 70 {
 			x.advance(time.Second)
-			c.acts(x, changed)
+			c.simulate(x, changed)
 			if x.run(nil); x.state.Plan(id).Phase != Running || x.state.Plan(id).Stage > 0 {
 				break
 			}
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -27,7 +27,7 @@
 			lastErr = reject("%d of plan %d are out", p.AtOnce, p.ID)
 			break
 		}
-		if err := s.checkBudget(s.census(c.Seen), m); err != nil {
+		if err := s.checkBudget(s.availability(c.Seen), m); err != nil {
 			lastErr = err
 			continue
 		}
@@ -169,8 +169,8 @@
 	return fmt.Sprintf("plan %d is %s: %s: %s", p.ID, p.Phase, c.Sender, fault), nil
 }
 
-// markOut notes that a sender is drained.
-func (s *State) markOut(c Command) (string, error) {
+// markDrained notes that a sender is drained.
+func (s *State) markDrained(c Command) (string, error) {
 	g := s.Grants[c.Sender]
 	if g == nil || g.Epoch != c.Epoch || !g.Drain {
 		return "", reject("no drain %d of %s is open", c.Epoch, c.Sender)
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -65,7 +65,7 @@
 }
 
 // run proposes and applies until nothing more comes; takes, unless nil, has a sender take its grant.
-func (x *testFleet) run(takes func(g *Grant)) {
+func (x *testFleet) run(takeGrant func(g *Grant)) {
 	for range 100 {
 		list := x.state.Next(x.observations, &x.watch, x.now)
 		for _, c := range list {
@@ -77,8 +77,8 @@
 			return
 		}
 		for name, g := range x.state.Grants {
-			if x.observations[name].Epoch < g.Epoch && takes != nil {
-				takes(g)
+			if x.observations[name].Epoch < g.Epoch && takeGrant != nil {
+				takeGrant(g)
 			}
 		}
 	}
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -44,7 +44,7 @@
 	watches      [agents]Watch
 	clockOffsets [agents]time.Duration
 	senders      [agents]*modelSender
-	drawn        int
+	lastProcess  int
 
 	// In flight; what is delivered may stay, and come again.
 	proposals            []Command
@@ -66,22 +66,24 @@
 
 func modelTime(d time.Duration) time.Time { return time.Unix(1000, 0).UTC().Add(d) }
 
-func newModel(budget int, offs [2 * agents]time.Duration) *model {
+func newModel(budget int, offsets [2 * agents]time.Duration) *model {
 	m := &model{}
 	terms := Terms{Budget: Budget{Fleet: budget}, Timing: Timing{modelFresh, modelAccept, modelLease, modelError}}
 	m.log = append(m.log, Command{Verb: SetTerms, By: "x", Terms: &terms})
 	for i, name := range modelNames {
 		agent := fmt.Sprint("a", i)
 		m.log = append(m.log, Command{Verb: SetRoster, By: agent, Roster: []Member{{Name: name, Agent: agent}}})
-		m.states[i], m.observations[i], m.clockOffsets[i] = New(), map[string]Observation{}, offs[i]
-		m.senders[i] = &modelSender{alive: true, process: m.draw(), clockOffset: offs[agents+i], notServingSince: -1}
+		m.states[i], m.observations[i], m.clockOffsets[i] = New(), map[string]Observation{}, offsets[i]
+		m.senders[i] = &modelSender{
+			alive: true, process: m.nextProcess(), clockOffset: offsets[agents+i], notServingSince: -1,
+		}
 	}
 	plan := &Plan{Kind: Drain, Stages: [][]string{modelNames}, Hold: modelStep}
 	m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, Seen: modelNames})
 	return m
 }
 
-func (m *model) draw() int { m.drawn++; return m.drawn }
+func (m *model) nextProcess() int { m.lastProcess++; return m.lastProcess }
 
 // apply has an agent apply one entry more.
 func (m *model) apply(i int) bool {
@@ -130,7 +132,7 @@
 }
 
 func (m *model) receive(to int, v Observation) {
-	if old, some := m.observations[to][v.Sender]; !some || v.At.After(old.At) {
+	if old, known := m.observations[to][v.Sender]; !known || v.At.After(old.At) {
 		m.observations[to][v.Sender] = v
 	}
 }
@@ -164,13 +166,13 @@
 
 // takeOrder delivers an order to a sender. The budget is checked here.
 func (m *model) takeOrder(k int) {
-	o := m.orders[k]
-	s := m.senders[o.to]
+	delivery := m.orders[k]
+	s := m.senders[delivery.to]
 	if !s.alive || s.stopped {
 		return
 	}
-	alreadyTaken := s.leases.Active() && s.leases.Epoch == o.o.Epoch
-	if s.leases.Take(o.o, fmt.Sprint(s.process), modelTime(m.now+s.clockOffset)) != nil || alreadyTaken {
+	alreadyTaken := s.leases.Active() && s.leases.Epoch == delivery.o.Epoch
+	if s.leases.Take(delivery.o, fmt.Sprint(s.process), modelTime(m.now+s.clockOffset)) != nil || alreadyTaken {
 		return
 	}
 	m.ordersTaken++
@@ -182,8 +184,8 @@
 		}
 	}
 	if budget := m.states[0].Terms.Budget.Fleet; budget > 0 && len(out) > budget {
-		m.violation = fmt.Sprintf("at %v %s went out by order %d, and then %v were out, %d may be", m.now, modelNames[o.to],
-			o.o.Epoch, out, budget)
+		m.violation = fmt.Sprintf("at %v %s went out by order %d, and then %v were out, %d may be", m.now,
+			modelNames[delivery.to], delivery.o.Epoch, out, budget)
 	}
 }
 
@@ -198,7 +200,7 @@
 
 func (m *model) restart(i int) {
 	if s := m.senders[i]; !s.alive {
-		*s = modelSender{alive: true, process: m.draw(), clockOffset: s.clockOffset, notServingSince: -1}
+		*s = modelSender{alive: true, process: m.nextProcess(), clockOffset: s.clockOffset, notServingSince: -1}
 	}
 }
 
@@ -265,8 +267,8 @@
 }
 
 // latest returns the indices of the last of n things, the very last first.
-func latest(n, most int) (list []int) {
-	for i := n - 1; i >= 0 && len(list) < most; i-- {
+func latest(n, limit int) (list []int) {
+	for i := n - 1; i >= 0 && len(list) < limit; i-- {
 		list = append(list, i)
 	}
 	return list
@@ -288,17 +290,17 @@
 
 // runRound plays a round without faults: observations, entries, orders and ends. Orders are delivered or stay in
 // flight.
-func (m *model) runRound(leader, whom int, deliver bool) {
+func (m *model) runRound(leader, sender int, deliver bool) {
 	m.deliverAll()
 	before := len(m.proposals)
 	m.propose(leader)
 	for _, c := range m.proposals[before:] {
-		if c.Verb != GrantThese {
+		if c.Verb != GrantSenders {
 			m.log = append(m.log, c)
 		}
 	}
 	m.deliverAll()
-	m.requestGrant(leader, whom)
+	m.requestGrant(leader, sender)
 	m.deliverAll()
 	orders, ends := len(m.orders), len(m.ends)
 	for i := range agents {
@@ -320,7 +322,7 @@
 	now := modelTime(m.now + m.clockOffsets[i])
 	for _, p := range s.Plans {
 		if t := p.Tasks[v.Sender]; p.Phase == Running && t != nil && t.Step == Waiting {
-			m.log = append(m.log, Command{Verb: GrantThese, At: now, Plan: p.ID,
+			m.log = append(m.log, Command{Verb: GrantSenders, At: now, Plan: p.ID,
 				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.Seen(m.observations[i], now)})
 		}
 	}
@@ -342,43 +344,43 @@
 }
 
 // Random histories. By hand: go test ./internal/rollout -run Histories -rapid.checks=100000
-func TestHistories(t *testing.T) {
+func TestRandomHistories(t *testing.T) {
 	taken := 0
 	rapid.Check(t, func(t *rapid.T) {
-		var offs [2 * agents]time.Duration
-		for i := range offs {
-			offs[i] = modelError * time.Duration(rapid.IntRange(-1, 1).Draw(t, "clock"))
+		var offsets [2 * agents]time.Duration
+		for i := range offsets {
+			offsets[i] = modelError * time.Duration(rapid.IntRange(-1, 1).Draw(t, "clock"))
 		}
-		m := newModel(rapid.IntRange(1, 2).Draw(t, "budget"), offs)
+		m := newModel(rapid.IntRange(1, 2).Draw(t, "budget"), offsets)
 		m.deliverAll()
 		for range 100 {
 			n := rapid.IntRange(0, 99).Draw(t, "what")
-			who, whom := rapid.IntRange(0, agents-1).Draw(t, "who"), rapid.IntRange(0, agents-1).Draw(t, "whom")
+			agent, other := rapid.IntRange(0, agents-1).Draw(t, "who"), rapid.IntRange(0, agents-1).Draw(t, "whom")
 			switch {
 			case n < 20:
-				m.runRound(who, whom, true)
+				m.runRound(agent, other, true)
 			case n < 35:
-				m.runRound(who, whom, false)
+				m.runRound(agent, other, false)
 			case n < 47:
 				if len(m.orders) > 0 {
-					m.takeOrder(len(m.orders) - 1 - (3*who+whom)%min(9, len(m.orders)))
+					m.takeOrder(len(m.orders) - 1 - (3*agent+other)%min(9, len(m.orders)))
 				}
 			case n < 57:
-				m.requestGrant(who, whom)
+				m.requestGrant(agent, other)
 			case n < 62:
-				m.crash(who)
-				m.restart(who)
+				m.crash(agent)
+				m.restart(agent)
 			case n < 66:
 				list := m.faults()
-				list[3*who+whom]()
+				list[3*agent+other]()
 			case n < 76:
 				m.advance(modelStep)
 			case n < 80:
 				m.advance(5 * modelStep)
 			case n < 83:
-				m.resumeOrStart(who)
+				m.resumeOrStart(agent)
 			case n < 86:
-				m.observeRemotely(who, whom)
+				m.observeRemotely(agent, other)
 			default:
 				list := m.actions()
 				list[rapid.IntRange(0, len(list)-1).Draw(t, "act")]()
@@ -400,14 +402,14 @@
 
 // Every order of what may come next, up to a depth, from the states that a drain goes through.
 func TestAllInterleavings(t *testing.T) {
-	fast, slow, orders := modelError, -modelError, 0
-	for _, offs := range [][2 * agents]time.Duration{{}, {fast, slow, slow, slow, fast, slow},
+	fast, slow, sequences := modelError, -modelError, 0
+	for _, offsets := range [][2 * agents]time.Duration{{}, {fast, slow, slow, slow, fast, slow},
 		{slow, fast, fast, fast, slow, fast}} {
-		for way := range 10 {
+		for steps := range 10 {
 			start := func() *model {
-				m := newModel(1, offs)
+				m := newModel(1, offsets)
 				m.deliverAll()
-				for k := range way {
+				for k := range steps {
 					switch k % 3 {
 					case 0:
 						m.propose(0)
@@ -441,7 +443,7 @@
 				}
 				n++
 				if m.violation != "" {
-					t.Fatalf("clocks %v, way %d, path %v: %s", offs, way, path, m.violation)
+					t.Fatalf("clocks %v, way %d, path %v: %s", offsets, steps, path, m.violation)
 				}
 				if len(path) == *deep || t.Failed() {
 					return
@@ -451,10 +453,10 @@
 				}
 			}
 			walk(nil)
-			orders += n
+			sequences += n
 		}
 	}
-	t.Logf("%d orders of %d steps", orders, *deep)
+	t.Logf("%d orders of %d steps", sequences, *deep)
 }
 
 // names of the members, for tests.
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -25,9 +25,9 @@
 		return list
 	}
 	var list []Command
-	fleet := s.census(s.Seen(observations, now))
+	fleet := s.availability(s.Seen(observations, now))
 	for _, p := range s.Plans {
-		if due := p.endOfHold(now); len(due) > 0 {
+		if due := p.holdElapsed(now); len(due) > 0 {
 			list = append(list, Command{
 				Verb: Activate, At: now, By: p.By, Reason: "held out for as long as asked", Plan: p.ID, Senders: due,
 			})
@@ -37,7 +37,7 @@
 		}
 		if c, known := s.gateVerdict(p, w, observations, now); known {
 			list = append(list, c)
-		} else if c, any := s.requestGrants(p, fleet, observations, now); any {
+		} else if c, ok := s.requestGrants(p, fleet, observations, now); ok {
 			list = append(list, c)
 		}
 	}
@@ -60,14 +60,14 @@
 		p := s.Plan(g.Plan)
 		drained := g.Drain && v.Drained && v.Epoch == g.Epoch && !v.Ended
 		if drained && p != nil && p.Tasks[name].Step == Granted {
-			list = append(list, Command{Verb: MarkOut, At: now, Sender: name, Epoch: g.Epoch})
+			list = append(list, Command{Verb: MarkDrained, At: now, Sender: name, Epoch: g.Epoch})
 		}
 	}
 	return list
 }
 
-// endOfHold returns the senders of a drain that have been out for as long as it holds, in order.
-func (p *Plan) endOfHold(now time.Time) []string {
+// holdElapsed returns the senders of a drain that have been out for as long as it holds, in order.
+func (p *Plan) holdElapsed(now time.Time) []string {
 	if p.Kind != Drain || p.Hold <= 0 || !p.Phase.Open() {
 		return nil
 	}
@@ -92,18 +92,18 @@
 	if !v.Known {
 		return Command{}, false
 	}
-	c = Command{Verb: JudgeGate, At: now, Plan: p.ID, Stage: p.Stage, Good: v.Good, Text: v.Text}
+	c = Command{Verb: RecordVerdict, At: now, Plan: p.ID, Stage: p.Stage, Good: v.Good, Text: v.Text}
 	if v.Good {
-		c.Others = &v.Others
+		c.Baseline = &v.Baseline
 	}
 	return c, true
 }
 
 // requestGrants returns the command for as many grants as the budget allows now, if any.
 func (s *State) requestGrants(
-	p *Plan, fleet census, observations map[string]Observation, now time.Time,
+	p *Plan, fleet availability, observations map[string]Observation, now time.Time,
 ) (Command, bool) {
-	c := Command{Verb: GrantThese, At: now, Plan: p.ID}
+	c := Command{Verb: GrantSenders, At: now, Plan: p.ID}
 	order := p.Stages[p.Stage]
 	if p.RolledBack { // in the reverse order
 		order = s.Order(slices.Collect(maps.Keys(p.Tasks)))
@@ -125,7 +125,7 @@
 		}
 		c.Requests = append(c.Requests, GrantRequest{Sender: name, Process: v.Process, ObservedAt: v.At})
 		fleet.out[name] = true
-		fleet.building[m.Building]++
+		fleet.outByBuilding[m.Building]++
 		free--
 	}
 	c.Seen = s.Seen(observations, now)
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -126,8 +126,8 @@
 	return fmt.Sprintf("plan %d goes back", p.ID), nil
 }
 
-// judge applies the verdict on the current stage of a release.
-func (s *State) judge(index uint64, c Command) (string, error) {
+// applyVerdict applies the verdict on the current stage of a release.
+func (s *State) applyVerdict(index uint64, c Command) (string, error) {
 	p := s.Plan(c.Plan)
 	if p == nil || p.Phase != Running || p.RolledBack || p.Kind != Release || p.Stage != c.Stage {
 		return "", reject("plan %d has no stage %d to be judged", c.Plan, c.Stage)
@@ -141,8 +141,8 @@
 			return "", reject("%s of stage %d is %s", name, p.Stage+1, p.Tasks[name].Step)
 		}
 	}
-	if c.Others != nil {
-		p.Others = c.Others
+	if c.Baseline != nil {
+		p.Baseline = c.Baseline
 	}
 	if p.Stage++; p.Stage == len(p.Stages) {
 		p.Phase, p.Revision = Done, index
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if fleet := s.census(c.Seen); len(fleet.out) > s.Terms.Budget.Fleet {
+	if fleet := s.availability(c.Seen); len(fleet.out) > s.Terms.Budget.Fleet {
 		return nil, reject("%d senders are out or not seen now, the budget has %d: %s; bring them back first",
 			len(fleet.out), s.Terms.Budget.Fleet, firstNames(fleet.out))
 	}
@@ -217,5 +217,5 @@
 	Why               string           `json:"why,omitempty"`
 	Revision          uint64           `json:"revision"` // changes with each order; a resume must name it
 	Tasks             map[string]*Task `json:"tasks"`
-	Others            *Sums            `json:"others,omitempty"` // the baseline of the latest gate
+	Baseline          *Sums            `json:"others,omitempty"` // the baseline of the latest gate
 }
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -13,72 +13,72 @@
 	if len(c.Roster) > MaxSenders {
 		return "", reject("%d senders, %d at most", len(c.Roster), MaxSenders)
 	}
-	now := map[string]bool{}
+	listed := map[string]bool{}
 	for _, m := range c.Roster {
 		if m.Name == "" || m.Agent != c.By {
 			return "", reject("a sender of another agent, or without a name")
 		}
-		if was := s.Members[m.Name]; was != nil && was.Agent != m.Agent && s.committed(m.Name) {
-			return "", reject("sender %s has an open grant at agent %s", m.Name, was.Agent)
+		if existing := s.Members[m.Name]; existing != nil && existing.Agent != m.Agent && s.inUse(m.Name) {
+			return "", reject("sender %s has an open grant at agent %s", m.Name, existing.Agent)
 		}
-		now[m.Name] = true
+		listed[m.Name] = true
 	}
 	if len(s.Members)+len(c.Roster) > 2*MaxSenders {
 		return "", reject("too many senders")
 	}
-	var gone []string
+	var removed []string
 	for name, m := range s.Members {
-		if m.Agent == c.By && !now[name] && !s.committed(name) {
-			gone = append(gone, name)
+		if m.Agent == c.By && !listed[name] && !s.inUse(name) {
+			removed = append(removed, name)
 		}
 	}
-	for _, name := range gone {
+	for _, name := range removed {
 		delete(s.Members, name)
 	}
 	for _, m := range c.Roster {
-		if was := s.Members[m.Name]; was != nil && was.Version.Name != "" {
-			m.Version = was.Version // the version is agreed on; an agent can't set it
+		if existing := s.Members[m.Name]; existing != nil && existing.Version.Name != "" {
+			m.Version = existing.Version // the version is agreed on; an agent can't set it
 		}
 		s.Members[m.Name] = &m
 	}
 	return fmt.Sprintf("agent %s has %d senders", c.By, len(c.Roster)), nil
 }
 
-// committed reports whether a sender has an open grant or is in an open plan.
-func (s *State) committed(name string) bool { return s.Grants[name] != nil || s.planOf(name) != nil }
+// inUse reports whether a sender has an open grant or is in an open plan.
+func (s *State) inUse(name string) bool { return s.Grants[name] != nil || s.planOf(name) != nil }
 
-// census is which senders of a fleet are out, and how many by building.
-type census struct {
-	out      map[string]bool
-	building map[string]int
+// availability is which senders of a fleet are out, and how many by building.
+type availability struct {
+	out           map[string]bool
+	outByBuilding map[string]int
 }
 
-// census counts a sender as out if it has an open grant, or is not among those that were seen serving.
-func (s *State) census(seen []string) census {
-	in := make(map[string]bool, len(seen))
+// availability counts a sender as out if it has an open grant, or is not among those that were seen serving.
+func (s *State) availability(seen []string) availability {
+	serving := make(map[string]bool, len(seen))
 	for _, name := range seen {
-		in[name] = true
+		serving[name] = true
 	}
-	k := census{out: map[string]bool{}, building: map[string]int{}}
+	counts := availability{out: map[string]bool{}, outByBuilding: map[string]int{}}
 	for name, m := range s.Members {
-		if s.Grants[name] != nil || !in[name] {
-			k.out[name] = true
-			k.building[m.Building]++
+		if s.Grants[name] != nil || !serving[name] {
+			counts.out[name] = true
+			counts.outByBuilding[m.Building]++
 		}
 	}
-	return k
+	return counts
 }
 
 // checkBudget returns why a sender can't go out as well, or nil.
-func (s *State) checkBudget(fleet census, m *Member) error {
+func (s *State) checkBudget(fleet availability, m *Member) error {
 	b := s.Terms.Budget
 	switch {
 	case fleet.out[m.Name]:
 		return reject("%s is out already, or nobody sees it serving", m.Name)
 	case len(fleet.out) >= b.Fleet:
 		return reject("%d senders are out, %d may be: %s", len(fleet.out), b.Fleet, firstNames(fleet.out))
-	case b.Building > 0 && fleet.building[m.Building] >= b.Building:
-		return reject("%d senders of building %s are out, %d may be", fleet.building[m.Building], m.Building, b.Building)
+	case b.Building > 0 && fleet.outByBuilding[m.Building] >= b.Building:
+		return reject("%d senders of building %s are out, %d may be", fleet.outByBuilding[m.Building], m.Building, b.Building)
 	case len(s.Members)-len(fleet.out)-1 < b.Serving:
 		return reject("%d senders serve, %d must", len(s.Members)-len(fleet.out), b.Serving)
 	}
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -25,13 +25,13 @@
 	Plans   []*Plan            `json:"plans"`  // by ID
 	Events  []Event            `json:"events"` // by Index
 
-	Endpoints      map[string]*EndpointOut `json:"endpoints,omitempty"`
-	ExclusionEpoch uint64                  `json:"aside,omitempty"` // index of the entry that changed them last
+	Endpoints      map[string]*EndpointExclusion `json:"endpoints,omitempty"`
+	ExclusionEpoch uint64                        `json:"aside,omitempty"` // index of the entry that changed them last
 }
 
 // New returns the state before the first entry of the log.
 func New() *State {
-	return &State{Members: map[string]*Member{}, Grants: map[string]*Grant{}, Endpoints: map[string]*EndpointOut{}}
+	return &State{Members: map[string]*Member{}, Grants: map[string]*Grant{}, Endpoints: map[string]*EndpointExclusion{}}
 }
 
 // ErrRejected means that a command changed nothing.
@@ -62,14 +62,14 @@
 		text, err = s.changePhase(index, c)
 	case Activate:
 		text, err = s.activate(c)
-	case GrantThese:
+	case GrantSenders:
 		text, err = s.grant(index, c)
 	case Close:
 		text, err = s.close(index, c)
-	case MarkOut:
-		text, err = s.markOut(c)
-	case JudgeGate:
-		text, err = s.judge(index, c)
+	case MarkDrained:
+		text, err = s.markDrained(c)
+	case RecordVerdict:
+		text, err = s.applyVerdict(index, c)
 	case ExcludeEndpoint, IncludeEndpoint:
 		text, err = s.changeEndpoint(index, c)
 	default:
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -114,7 +114,7 @@
 		"resume of one running": {Command{Verb: Resume, Reason: "r", Plan: first}, "is running"},
 		"another's activate":    {Command{Verb: Activate, Plan: first, Senders: []string{"n3"}}, "n3 is not in plan"},
 		"unknown verb":          {Command{Verb: "dance"}, "newer agent"},
-		"grant in no plan": {Command{Verb: GrantThese, Plan: 99, Requests: []GrantRequest{{Sender: "n0"}}},
+		"grant in no plan": {Command{Verb: GrantSenders, Plan: 99, Requests: []GrantRequest{{Sender: "n0"}}},
 			"does not run"},
 		"close of no grant": {Command{Verb: Close, Sender: "n0", Observation: &Observation{}}, "no grant"},
 	} {
@@ -137,9 +137,9 @@
 	x := newTestFleet(t, 4, Budget{Fleet: 1})
 	id := x.drain("n0", "n1")
 	x.must(Command{Verb: Halt, Reason: "r", Plan: id})
-	saw := x.state.Plan(id).Revision
+	stale := x.state.Plan(id).Revision
 	x.must(Command{Verb: Halt, Reason: "again, by another", Plan: id})
-	if err := x.apply(Command{Verb: Resume, Reason: "r", Plan: id, Revision: saw}); !errors.Is(err, ErrRejected) {
+	if err := x.apply(Command{Verb: Resume, Reason: "r", Plan: id, Revision: stale}); !errors.Is(err, ErrRejected) {
 		t.Errorf("resume of what was seen before the second halt: %v", err)
 	}
 	if x.run(nil); len(x.state.Grants) != 0 {
@@ -173,9 +173,9 @@
 
 // A version that does not come to serve halts the release at its first sender, or has it go back, as asked.
 func TestFailedChange(t *testing.T) {
-	for _, goBack := range []bool{false, true} {
+	for _, rollBack := range []bool{false, true} {
 		x := newTestFleet(t, 10, Budget{Fleet: 3})
-		id := x.release(Plan{RollBackOnFailure: goBack})
+		id := x.release(Plan{RollBackOnFailure: rollBack})
 		x.run(func(g *Grant) {
 			x.advance(time.Millisecond)
 			x.observe(g.Sender, func(v *Observation) {
@@ -183,9 +183,9 @@
 			})
 		})
 		p := x.state.Plan(id)
-		if want := map[bool]Phase{false: Halted, true: Ended}[goBack]; p.Phase != want ||
+		if want := map[bool]Phase{false: Halted, true: Ended}[rollBack]; p.Phase != want ||
 			!strings.Contains(p.Why, "exit status 1") {
-			t.Errorf("go back %t: %s, %s", goBack, p.Phase, p.Why)
+			t.Errorf("go back %t: %s, %s", rollBack, p.Phase, p.Why)
 		}
 		if len(x.state.Grants) != 0 {
 			t.Errorf("grants left: %v", x.state.Grants)
@@ -252,7 +252,7 @@
 		id := x.must(Command{Verb: Start, Reason: "r",
 			New:  &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold},
 			Seen: x.state.Seen(x.observations, x.now)})
-		comeBack := func() {
+		finishReturn := func() {
 			for name, t := range x.state.Plan(id).Tasks {
 				if t.Step == Returning {
 					x.observe(name, func(v *Observation) { v.Ended, v.Drained, v.Serving = true, false, true })
@@ -272,7 +272,7 @@
 			x.must(Command{Verb: Activate, Reason: "r", Plan: id, Senders: []string{"n0", "n2"}})
 		}
 		x.run(nil)
-		comeBack()
+		finishReturn()
 		x.run(x.carryOut)
 		if x.state.Plan(id).Tasks["n1"].Step != Out || len(x.state.Grants) != 1 {
 			t.Fatalf("hold %v: the third is %s", hold, x.state.Plan(id).Tasks["n1"].Step)
@@ -282,7 +282,7 @@
 			x.must(Command{Verb: Activate, Reason: "r", Plan: id})
 		}
 		x.run(nil)
-		comeBack()
+		finishReturn()
 		x.run(nil)
 		if x.state.Plan(id).Phase != Done || len(x.state.Grants) != 0 {
 			t.Errorf("hold %v: %s", hold, x.state.Plan(id).Phase)
@@ -291,7 +291,7 @@
 }
 
 // A state that goes through its text is the same, and goes on the same way.
-func TestStateAsText(t *testing.T) {
+func TestStateJSONRoundTrip(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 2})
 	x.release(Plan{})
 	x.run(nil)
--- a/internal/rollout/sums.go
+++ b/internal/rollout/sums.go
@@ -7,10 +7,10 @@
 
 // Sums are the counters of several senders over a time.
 type Sums struct {
-	Refused  int64   `json:"refused"`
-	Taken    int64   `json:"taken"`
+	Rejected int64   `json:"refused"`
+	Accepted int64   `json:"taken"`
 	Failed   int64   `json:"failed"`
-	Ends     int64   `json:"ends"`
+	Outcomes int64   `json:"ends"`
 	Called   int64   `json:"called"`
 	Late     int64   `json:"late"`
 	Senders  int     `json:"senders"`
@@ -18,28 +18,28 @@
 }
 
 // add adds what a sender has done since an earlier observation. A new process has started to count at zero.
-func (x *Sums) add(now, then Observation) {
-	f, b := now.Facts, then.Facts
-	if now.Process != then.Process {
-		b = Counters{Restarts: b.Restarts}
+func (x *Sums) add(current, earlier Observation) {
+	counts, base := current.Facts, earlier.Facts
+	if current.Process != earlier.Process {
+		base = Counters{Restarts: base.Restarts}
 	}
-	x.Taken += f.Accepted - b.Accepted
-	x.Refused += f.Rejected - b.Rejected
-	x.Failed += f.Failed - b.Failed
-	x.Ends += f.Failed + f.Delivered + f.Deferred - b.Failed - b.Delivered - b.Deferred
-	x.Called += f.Called - b.Called
-	x.Late += f.Late - b.Late
-	x.MemoryMB = max(x.MemoryMB, f.MemoryMB)
+	x.Accepted += counts.Accepted - base.Accepted
+	x.Rejected += counts.Rejected - base.Rejected
+	x.Failed += counts.Failed - base.Failed
+	x.Outcomes += counts.Failed + counts.Delivered + counts.Deferred - base.Failed - base.Delivered - base.Deferred
+	x.Called += counts.Called - base.Called
+	x.Late += counts.Late - base.Late
+	x.MemoryMB = max(x.MemoryMB, counts.MemoryMB)
 	x.Senders++
 }
 
-// worse returns in what the changed senders are worse than the others, or nothing.
-func worse(changed, others Sums, g Gate) string {
-	if why := worseShare("messages refused", changed.Refused, changed.Taken+changed.Refused, others.Refused,
-		others.Taken+others.Refused, g); why != "" {
+// regression returns in what the changed senders are regression than the others, or nothing.
+func regression(changed, others Sums, g Gate) string {
+	if why := shareRegression("messages refused", changed.Rejected, changed.Accepted+changed.Rejected, others.Rejected,
+		others.Accepted+others.Rejected, g); why != "" {
 		return why
 	}
-	if why := worseShare("ends that are failures", changed.Failed, changed.Ends, others.Failed, others.Ends,
+	if why := shareRegression("ends that are failures", changed.Failed, changed.Outcomes, others.Failed, others.Outcomes,
 		g); why != "" {
 		return why
 	}
@@ -50,24 +50,24 @@
 	return ""
 }
 
-// worseLate returns that more first attempts of the changed senders are late than of the others, or nothing.
-func worseLate(changed, others Sums, g Gate) string {
-	return worseShare("time to the first call too long", changed.Late, changed.Called, others.Late, others.Called, g)
+// lateRegression returns that more first attempts of the changed senders are late than of the others, or nothing.
+func lateRegression(changed, others Sums, g Gate) string {
+	return shareRegression("time to the first call too long", changed.Late, changed.Called, others.Late, others.Called, g)
 }
 
-// worseShare returns that n of total is a greater share than n0 of total0, by more than the slack of the gate and
+// shareRegression returns that n of total is a greater share than n0 of total0, by more than the slack of the gate and
 // chance, or nothing.
-func worseShare(what string, n, total, n0, total0 int64, g Gate) string {
-	if least := int64(g.MinMessages); total < least || total0 < least || total == 0 || total0 == 0 {
+func shareRegression(measure string, n, total, otherN, otherTotal int64, g Gate) string {
+	if minimum := int64(g.MinMessages); total < minimum || otherTotal < minimum || total == 0 || otherTotal == 0 {
 		return ""
 	}
-	a, b := float64(n)/float64(total), float64(n0)/float64(total0)
-	pool := float64(n+n0) / float64(total+total0)
-	err := math.Sqrt(pool * (1 - pool) * (1/float64(total) + 1/float64(total0)))
-	if a-b <= g.Slack+maxStandardErrors*err {
+	share, otherShare := float64(n)/float64(total), float64(otherN)/float64(otherTotal)
+	pool := float64(n+otherN) / float64(total+otherTotal)
+	stdError := math.Sqrt(pool * (1 - pool) * (1/float64(total) + 1/float64(otherTotal)))
+	if share-otherShare <= g.Slack+maxStandardErrors*stdError {
 		return ""
 	}
-	return fmt.Sprintf("%s: %.1f%% of %d, %.1f%% of %d beside them", what, 100*a, total, 100*b, total0)
+	return fmt.Sprintf("%s: %.1f%% of %d, %.1f%% of %d beside them", measure, 100*share, total, 100*otherShare, otherTotal)
 }
 
 // Parameters of the comparison. A share is worse if it is higher than the other by the slack of the plan's gate and
--- a/internal/rollout/terms.go
+++ b/internal/rollout/terms.go
@@ -8,19 +8,21 @@
 
 // Check returns what is wrong with terms for a fleet of so many senders; 0: unknown.
 func (t Terms) Check(senders int) error {
-	b, w := t.Budget, t.Timing
+	budget, timing := t.Budget, t.Timing
 	switch {
-	case b.Fleet < 1:
-		return fmt.Errorf("budget: fleet: %d senders out at once: 1 at the least", b.Fleet)
-	case b.Building < 0 || b.Serving < 0 || b.Endpoints < 0 || b.Kind < 0:
+	case budget.Fleet < 1:
+		return fmt.Errorf("budget: fleet: %d senders out at once: 1 at the least", budget.Fleet)
+	case budget.Building < 0 || budget.Serving < 0 || budget.Endpoints < 0 || budget.Kind < 0:
 		return errors.New("budget: building, serving, endpoints and kind: 0 or more")
-	case senders > 0 && b.Fleet > senders:
-		return fmt.Errorf("budget: fleet: %d senders out at once of %d there are", b.Fleet, senders)
-	case senders > 0 && b.Serving >= senders:
-		return fmt.Errorf("budget: serving: %d must serve of %d there are: nothing could ever go out", b.Serving, senders)
-	case w.Fresh <= 0 || w.Accept <= 0 || w.Lease <= 0 || w.Error < 0:
+	case senders > 0 && budget.Fleet > senders:
+		return fmt.Errorf("budget: fleet: %d senders out at once of %d there are", budget.Fleet, senders)
+	case senders > 0 && budget.Serving >= senders:
+		return fmt.Errorf("budget: serving: %d must serve of %d there are: nothing could ever go out",
+			budget.Serving, senders)
+	case timing.Fresh <= 0 || timing.Accept <= 0 || timing.Lease <= 0 || timing.Error < 0:
 		return errors.New("timing: fresh, accept and lease above 0, clock_error 0 or more")
-	case w.Fresh > time.Minute || w.Accept > time.Minute || w.Lease > 10*time.Minute || w.Error > 10*time.Second:
+	case timing.Fresh > time.Minute || timing.Accept > time.Minute || timing.Lease > 10*time.Minute ||
+		timing.Error > 10*time.Second:
 		return errors.New("timing: fresh and accept of a minute, lease of ten, clock_error of 10 s at most")
 	}
 	return nil
