--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,10 +1,11 @@
-// Package agent runs beside the senders of one machine. It starts and supervises their processes, restarts those that
-// crash, and drains them and changes their versions as the agents of the fleet have agreed.
+// Package agent implements the agent that runs on each machine with senders. It starts and supervises the senders'
+// processes, restarts those that crash, and drains the senders and changes their versions as agreed by the fleet's
+// agents.
 //
 // The package owns the processes, the log files and the records of its senders, the agent's HTTP API, and the loops
-// that replicate and lead the fleet's rollouts. It decides none of them: internal/rollout holds the decisions, and
-// internal/quorum the replicated log. An agent orders nothing of a sender on its own account: it passes on grants,
-// and the sender itself checks whether a grant is still in force (internal/lease).
+// that replicate and lead the fleet's rollouts. It makes no rollout decisions itself: internal/rollout makes them, and
+// internal/quorum replicates the log. An agent never takes a sender out of service on its own initiative: it passes
+// grants on, and the sender checks whether a grant is still in force (internal/lease).
 package agent
 
 import (
@@ -21,11 +22,11 @@
 )
 
 const (
-	pollInterval   = 200 * time.Millisecond // between two polls of a sender, and between two reports to the leader
-	leaderInterval = 50 * time.Millisecond  // between two looks of the leader for commands to propose
-	callTimeout    = time.Second            // of a call to a sender or to another agent
-	commandTimeout = 5 * time.Second        // a proposal that is not applied within this has an unknown outcome
-	reopenDelay    = time.Second            // before the quorum's folder is opened again after a failure
+	pollInterval   = 200 * time.Millisecond // between polls of a sender, and between reports to the leader
+	leaderInterval = 50 * time.Millisecond  // between the leader's checks for commands to propose
+	callTimeout    = time.Second            // for a call to a sender or to another agent
+	commandTimeout = 5 * time.Second        // the outcome of a proposal that is not applied in this time is unknown
+	reopenDelay    = time.Second            // between a failure of the quorum's node and its reopening
 )
 
 // Agent supervises the senders of one machine and takes part in the fleet's quorum.
@@ -38,12 +39,12 @@
 	traffic     trafficCounters
 
 	mu      sync.Mutex
-	node    *quorum.Node // nil while the quorum's folder can't be used
+	node    *quorum.Node // nil while no node runs, for example while the quorum's folder is unusable
 	nodeErr error        // why node is nil
 }
 
-// New returns an agent for a configuration. It makes the agent's folder and reads the records of its senders; nothing
-// runs before Run.
+// New returns an agent for a configuration. It creates the agent's folder and reads the records of its senders. It
+// starts neither processes nor goroutines; Run does.
 func New(cfg Config) (*Agent, error) {
 	if err := os.MkdirAll(cfg.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
@@ -62,8 +63,8 @@
 	return a, nil
 }
 
-// Run serves the agent's address and runs its loops until the context ends or the quorum's folder can't be made. The
-// senders' processes go on without it.
+// Run serves the agent's address and runs its loops until the context ends. It returns an error if it can't listen or
+// can't create the quorum's folder. The senders' processes keep running after it returns.
 func (a *Agent) Run(ctx context.Context) error {
 	server, err := a.listen()
 	if err != nil {
@@ -84,7 +85,7 @@
 	return err
 }
 
-// sleep waits for d. It reports false if the context ended first.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -7,7 +7,7 @@
 	"cleathold/internal/rollout"
 )
 
-// The paths of an agent's API.
+// The paths of an agent's HTTP API.
 const (
 	viewPath          = "/v1/fleet"
 	commandPath       = "/v1/command"
@@ -16,53 +16,54 @@
 	joinPath          = "/v1/join"
 )
 
-// forwardedHeader marks a request that another agent has forwarded. It is not forwarded again.
+// forwardedHeader marks a request that another agent has forwarded. Such a request is not forwarded again.
 const forwardedHeader = "X-Passed-By"
 
-// View is the state of the fleet as one agent knows it.
+// View is the state of the fleet as known to one agent.
 type View struct {
 	Agent  string         `json:"agent"`
 	At     time.Time      `json:"at"`
-	Quorum *quorum.Status `json:"quorum,omitempty"` // nil: the agent takes no part in the quorum
+	Quorum *quorum.Status `json:"quorum,omitempty"` // nil: the agent's quorum node does not run
 	Why    string         `json:"why,omitempty"`    // why Quorum is nil
 	State  *rollout.State `json:"state"`
 
-	// Observations are the latest by sender: of all senders at the leader, elsewhere of the agent's own alone.
+	// Observations are the latest ones by sender. The leader has those of all senders, other agents only those of
+	// their own senders.
 	Observations map[string]rollout.Observation `json:"sights"`
-	Listed       []rollout.Endpoint             `json:"listed"` // what discovery lists, as this agent has heard
-	Traffic      Traffic                        `json:"spent"`  // by this agent
+	Listed       []rollout.Endpoint             `json:"listed"` // endpoints of discovery, as reported to this agent
+	Traffic      Traffic                        `json:"spent"`  // this agent's own
 }
 
-// Call is a command as the command line sends it.
+// Call is a request from the command line to execute a command.
 type Call struct {
 	Command rollout.Command `json:"command"`
-	DryRun  bool            `json:"dry_run,omitempty"` // of a rollout.Start: only draft and check the plan
+	DryRun  bool            `json:"dry_run,omitempty"` // for rollout.Start: only draft and check the plan
 }
 
 // Result is the response to a Call or a CompatibilityCheck.
 type Result struct {
-	Index uint64        `json:"index,omitempty"` // of the command's entry in the log
-	Plan  *rollout.Plan `json:"plan,omitempty"`  // the draft of a dry run, or the plan as it began
+	Index uint64        `json:"index,omitempty"` // index of the command's entry in the log
+	Plan  *rollout.Plan `json:"plan,omitempty"`  // the draft of a dry run, or the plan that was started
 	Text  string        `json:"error,omitempty"` // empty: no error
-	Kind  string        `json:"kind,omitempty"`  // of the error: one of the Kind constants
+	Kind  string        `json:"kind,omitempty"`  // kind of the error: one of the Kind constants
 }
 
 // The kinds of errors in a Result, from which the command line takes its exit code.
 const (
-	KindRejected   = "refused"     // nothing was changed, and a repeat is rejected, too, until something else changes
+	KindRejected   = "refused"     // nothing was changed; a repeat is rejected, too, unless the state changes first
 	KindNoMajority = "no-majority" // nothing was changed
 	KindUnknown    = "unknown"     // something may have been changed
 )
 
-// CompatibilityCheck asks an agent whether its senders can run a version, and roll back from it.
+// CompatibilityCheck requests an agent to check whether its senders can run a version and roll back from it.
 type CompatibilityCheck struct {
 	To      rollout.Version `json:"to"`
 	Senders []string        `json:"senders"`
 }
 
-// ProgramInfo is what a sender's program tells of itself with `version --json`.
+// ProgramInfo is the output of a sender's program for `version --json`.
 type ProgramInfo struct {
 	Version string `json:"version"`
 	Reads   []int  `json:"journal_reads"`  // formats of the write-ahead log that it can read
-	Writes  int    `json:"journal_writes"` // the format that it writes
+	Writes  int    `json:"journal_writes"` // format of the write-ahead log that it writes
 }
--- a/internal/agent/backoff.go
+++ b/internal/agent/backoff.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// The delays match those with which the platform restarts a process.
+// The delays are the same as those with which the platform restarts a process.
 const (
 	minRestartDelay = 600 * time.Millisecond
 	maxRestartDelay = 15 * time.Second
-	maxStarts       = 6 // within startWindow
+	maxStarts       = 6 // maximum number of starts within startWindow
 	startWindow     = time.Minute
 )
 
-// restartBackoff bounds the restarts of a process. The delay doubles with each restart, until a process has run for
-// longer than startWindow; and there are at most maxStarts within startWindow. The zero value is ready.
+// restartBackoff limits the restarts of a process. The delay doubles with each restart up to maxRestartDelay, and is
+// reset when a process has run for longer than startWindow. There are at most maxStarts starts within startWindow. The
+// zero value is ready for use.
 type restartBackoff struct {
 	starts []time.Time
 	delay  time.Duration
 }
 
-// nextStart returns the time of the next start, for a process that has ended after it ran for so long.
+// nextStart returns the time of the next start of a process that has ended. ran is how long it has run.
 func (b *restartBackoff) nextStart(ran time.Duration, now time.Time) time.Time {
 	b.delay = min(max(2*b.delay, minRestartDelay), maxRestartDelay)
 	if ran > startWindow {
@@ -35,5 +36,5 @@
 	return at
 }
 
-// started counts a start.
+// started records a start.
 func (b *restartBackoff) started(now time.Time) { b.starts = append(b.starts, now) }
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -14,24 +14,24 @@
 
 const maxResponseSize = 4 * maxBodySize // bytes
 
-// errNoResponse says that a call may or may not have arrived.
+// errNoResponse is returned for a call without a response: the request may or may not have arrived.
 var errNoResponse = errors.New("no answer")
 
-// FetchView returns the state of the fleet from the agent at addr (host:port): the leader's view, if that agent
-// reaches the leader.
+// FetchView returns the state of the fleet from the agent at addr (host:port). It is the leader's view if that agent
+// can reach the leader, and otherwise the agent's own.
 func FetchView(ctx context.Context, addr string) (v View, err error) {
 	err = sendJSON(ctx, http.DefaultClient, addr, viewPath, nil, &v, nil)
 	return v, err
 }
 
-// FetchOwnView returns the state of the fleet as the agent at addr (host:port) knows it without the leader.
+// FetchOwnView returns the own view of the agent at addr (host:port), without a call to the leader.
 func FetchOwnView(ctx context.Context, addr string) (v View, err error) {
 	err = sendJSON(ctx, http.DefaultClient, addr, viewPath+"?own=1", nil, &v, nil)
 	return v, err
 }
 
-// SendCommand has the agent at addr (host:port) execute a command. After an error there is no usable response, and
-// what became of the command is not known. A rejection is no error: it is in the Result.
+// SendCommand sends a command to the agent at addr (host:port) for execution. An error means that there is no usable
+// response and that the outcome of the command is unknown. A rejection is not an error; the Result reports it.
 func SendCommand(ctx context.Context, addr string, call Call) (result Result, err error) {
 	err = sendJSON(ctx, http.DefaultClient, addr, commandPath, call, &result, nil)
 	return result, err
@@ -42,15 +42,15 @@
 	return a.callWithin(ctx, callTimeout, addr, path, body, into)
 }
 
-// callWithin makes a call to another agent, which is not to forward it.
+// callWithin makes a call to another agent within a timeout. The other agent does not forward it.
 func (a *Agent) callWithin(ctx context.Context, timeout time.Duration, addr, path string, body, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return sendJSON(ctx, a.http, addr, path, body, into, http.Header{forwardedHeader: {a.cfg.Name}})
 }
 
-// sendJSON makes a call to an agent: a GET without a body, else a POST. The response is decoded into a value, unless
-// that is nil.
+// sendJSON makes a call to an agent: a GET if body is nil, otherwise a POST. It decodes the response into the value
+// that into points to, unless into is nil.
 func sendJSON(
 	ctx context.Context, client *http.Client, addr, path string, body, into any, header http.Header,
 ) error {
@@ -74,8 +74,8 @@
 	return err
 }
 
-// fetch makes a call and returns the response's body. Any status but 2xx is an error; errNoResponse says that there
-// was none.
+// fetch makes a call and returns the response's body. Any status other than 2xx is an error. The error wraps
+// errNoResponse if there was no complete response.
 func fetch(client *http.Client, request *http.Request) ([]byte, error) {
 	response, err := client.Do(request)
 	if err != nil {
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -11,13 +11,13 @@
 	"cleathold/internal/rollout"
 )
 
-// operatorVerbs are the verbs that the command line may send. The others are the agents' own.
+// operatorVerbs are the verbs that the command line may send. Only agents propose the others.
 var operatorVerbs = []rollout.Verb{
 	rollout.SetTerms, rollout.Start, rollout.Halt, rollout.Resume, rollout.RollBack, rollout.Activate,
 	rollout.ExcludeEndpoint, rollout.IncludeEndpoint,
 }
 
-// errorResult returns the response for an error.
+// errorResult returns the Result for an error.
 func errorResult(err error) Result {
 	kind := KindRejected
 	switch {
@@ -29,8 +29,8 @@
 	return Result{Text: err.Error(), Kind: kind}
 }
 
-// submit has the leader execute a command, as the leader alone has the observations of all senders. A command that
-// another agent has forwarded is executed here in any case.
+// submit forwards a command to the leader, since only the leader has the observations of all senders. It executes the
+// command here if this agent leads or if another agent has forwarded the command.
 func (a *Agent) submit(ctx context.Context, call Call, forwarded bool) Result {
 	leader, leads := a.leadership()
 	if leader == "" {
@@ -41,7 +41,8 @@
 		if !leaderLost || call.Command.Verb != rollout.Halt {
 			return result
 		}
-		// To halt twice does no harm, and nothing more may go out meanwhile: the next leader is asked, too.
+		// The leader was lost, and its response with it. A Halt is sent to the next leader, too: it must take effect
+		// before more senders go out, and a second one does no harm.
 		if leader, leads = a.awaitLeader(ctx); leader == "" {
 			return errorResult(quorum.ErrNoMajority)
 		}
@@ -49,8 +50,8 @@
 	return a.execute(ctx, call)
 }
 
-// forwardCommand sends a command to the leader. leaderLost reports that there was no answer and that the agent no
-// longer leads.
+// forwardCommand sends a command to the leader. leaderLost reports whether the call failed because that agent no longer
+// leads.
 func (a *Agent) forwardCommand(ctx context.Context, leader string, call Call) (result Result, leaderLost bool) {
 	leaderCtx, stop := a.whileLeads(ctx, leader)
 	defer stop()
@@ -62,8 +63,8 @@
 	return errorResult(fmt.Errorf("%w (the leading agent %s: %w)", ErrUnknown, leader, err)), leaderLost
 }
 
-// whileLeads returns a context that ends with its parent, or once the given agent no longer leads: it may never
-// answer then.
+// whileLeads returns a context that ends with its parent, or when the given agent is no longer the leader. Such an
+// agent may never respond.
 func (a *Agent) whileLeads(parent context.Context, leader string) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancel(parent)
 	go func() {
@@ -77,7 +78,7 @@
 	return ctx, stop
 }
 
-// awaitLeader waits until a leader is known, at most for commandTimeout.
+// awaitLeader waits until a leader is known, for commandTimeout at most.
 func (a *Agent) awaitLeader(ctx context.Context) (leader string, leads bool) {
 	deadline := time.Now().Add(commandTimeout)
 	leader, leads = a.leadership()
@@ -87,7 +88,7 @@
 	return leader, leads
 }
 
-// execute checks a command, completes it with what this agent knows, and proposes it.
+// execute checks a command, adds this agent's observations and endpoints where the verb needs them, and proposes it.
 func (a *Agent) execute(ctx context.Context, call Call) Result {
 	command := call.Command
 	if !slices.Contains(operatorVerbs, command.Verb) {
@@ -105,7 +106,7 @@
 		if call.DryRun {
 			return Result{Plan: draft}
 		}
-		command.At = time.Now().UTC() // the checks of the draft took a while
+		command.At = time.Now().UTC() // again, since the checks of the draft take time
 		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
 			command.Seen = state.Seen(observations, command.At)
 		})
@@ -126,7 +127,8 @@
 	return result
 }
 
-// draftPlan returns the plan that a rollout.Start would begin, after a check of the senders that a release concerns.
+// draftPlan returns the plan that a rollout.Start would start. For a release it checks first whether the senders can
+// run the version.
 func (a *Agent) draftPlan(ctx context.Context, command rollout.Command) (*rollout.Plan, error) {
 	a.awaitObservations(ctx)
 	var draft *rollout.Plan
@@ -142,8 +144,8 @@
 	return draft, err
 }
 
-// awaitObservations waits until all senders are observed serving, at most for as long as an observation holds: a new
-// leader has got few reports at first.
+// awaitObservations waits until all senders are observed to serve, for Timing.Fresh at most. A new leader has received
+// few reports at first.
 func (a *Agent) awaitObservations(ctx context.Context) {
 	for began := time.Now(); ; {
 		all, fresh := false, time.Duration(0)
--- a/internal/agent/compatibility.go
+++ b/internal/agent/compatibility.go
@@ -16,11 +16,11 @@
 	"cleathold/internal/rollout"
 )
 
-// versionTimeout is how long a program may take to tell its version.
+// versionTimeout is how long a program may take to print its version.
 const versionTimeout = 5 * time.Second
 
-// checkPlan has each agent that has senders in the plan check them. The error wraps rollout.ErrRejected and names
-// every agent that failed.
+// checkPlan makes each agent with senders in the plan check their compatibility. The error wraps rollout.ErrRejected
+// and names every agent whose check failed.
 func (a *Agent) checkPlan(ctx context.Context, plan *rollout.Plan) error {
 	sendersOf := map[string][]string{} // by agent
 	a.fleet.withLock(func(state *rollout.State, _ map[string]rollout.Observation) {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// checkAt has an agent, this one or another, check its senders.
+// checkAt runs the compatibility check at an agent, which may be this one.
 func (a *Agent) checkAt(ctx context.Context, agent string, check CompatibilityCheck) error {
 	if agent == a.cfg.Name {
 		return a.checkCompatibility(ctx, check)
@@ -69,9 +69,9 @@
 	return nil
 }
 
-// checkCompatibility checks whether senders of this agent can run a version: a new program must run here and be able
-// to take over the write-ahead log, and the old one to take it back; a new configuration must be there for each
-// sender.
+// checkCompatibility checks whether senders of this agent can run a version. A new program must run on this machine and
+// be able to read the old program's write-ahead log, and the old program must be able to read the new one's for a
+// rollback. A new configuration must exist for each sender.
 func (a *Agent) checkCompatibility(ctx context.Context, check CompatibilityCheck) error {
 	next, err := readProgramInfo(ctx, check.To.Program)
 	if check.To.Program != "" && err != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// readProgramInfo runs a program to have it tell its version.
+// readProgramInfo runs a program with `version --json` and returns what it prints.
 func readProgramInfo(ctx context.Context, program string) (info ProgramInfo, err error) {
 	if program == "" {
 		return info, errors.New("no program")
--- a/internal/agent/fleetstate.go
+++ b/internal/agent/fleetstate.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	endpointListWindow = 10 * time.Second // an agent's endpoint list that is older is left out
-	maxAgents          = 64               // agents whose endpoint lists are kept
+	endpointListWindow = 10 * time.Second // older endpoint lists are ignored
+	maxAgents          = 64               // maximum number of agents whose endpoint lists are kept
 )
 
-// fleetState is what this agent knows of the fleet: the replicated state, and the latest observations and endpoint
-// lists, which are not replicated. It is the quorum's state machine. It is safe for concurrent use.
+// fleetState is this agent's knowledge of the fleet: the replicated state, and the latest observations and endpoint
+// lists, which are not replicated. It implements quorum.Machine. It is safe for concurrent use.
 type fleetState struct {
 	mu            sync.Mutex
 	state         *rollout.State
-	observations  map[string]rollout.Observation // the latest by sender
-	proposals     map[string]chan applyResult    // commands that this agent has proposed, by ID
-	endpointLists map[string]endpointList        // by the agent that reported it
+	observations  map[string]rollout.Observation // the latest one by sender
+	proposals     map[string]chan applyResult    // this agent's pending proposals by command ID
+	endpointLists map[string]endpointList        // by reporting agent
 }
 
-// endpointList is what the senders of one agent know of discovery.
+// endpointList is a list of endpoints that one agent has reported from its senders.
 type endpointList struct {
 	receivedAt time.Time
 	endpoints  []rollout.Endpoint
 }
 
-// applyResult is what came of a proposal: the index of its entry, and the state's error if it was rejected.
+// applyResult is the result of applying a proposed command: the index of its entry, and the error if it was rejected.
 type applyResult struct {
 	index uint64
 	err   error
@@ -45,8 +45,8 @@
 	}
 }
 
-// Apply applies an entry of the log and tells a waiting proposer. An entry that can't be decoded comes from a newer
-// agent: only the index advances.
+// Apply applies an entry of the log and sends the result to the proposer if it waits here. An entry that can't be
+// decoded was written by a newer agent: it only advances the index.
 func (f *fleetState) Apply(index uint64, data []byte) {
 	var command rollout.Command
 	err := json.Unmarshal(data, &command)
@@ -70,7 +70,7 @@
 	return json.Marshal(f.state)
 }
 
-// Restore replaces the replicated state by a snapshot of the entries up to index.
+// Restore replaces the replicated state with a snapshot of the entries up to index.
 func (f *fleetState) Restore(index uint64, data []byte) error {
 	state := rollout.New()
 	if err := json.Unmarshal(data, state); err != nil {
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// addProposal registers a command's ID before it is proposed. The channel, which has room for it, gets the result.
+// addProposal registers the ID of a command before the command is proposed. The result is sent to the returned channel,
+// which is buffered so that Apply never blocks.
 func (f *fleetState) addProposal(id string) <-chan applyResult {
 	done := make(chan applyResult, 1)
 	f.mu.Lock()
@@ -92,21 +93,22 @@
 	return done
 }
 
-// dropProposal forgets a command that nobody waits for any more.
+// dropProposal removes a proposal whose result is no longer awaited.
 func (f *fleetState) dropProposal(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.proposals, id)
 }
 
-// withLock calls do with the state and the observations, under the mutex. do must neither block nor retain them.
+// withLock calls do with the state and the observations while it holds the mutex. do must neither block nor retain
+// them.
 func (f *fleetState) withLock(do func(state *rollout.State, observations map[string]rollout.Observation)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do(f.state, f.observations)
 }
 
-// observe enters observations. One that is no later than the known one of the same sender is dropped.
+// observe stores observations. An observation that is not later than the stored one of the same sender is dropped.
 func (f *fleetState) observe(observations ...rollout.Observation) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,7 +123,7 @@
 	}
 }
 
-// setEndpoints enters the endpoint list of an agent.
+// setEndpoints stores the endpoint list of an agent.
 func (f *fleetState) setEndpoints(agent string, endpoints []rollout.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -130,7 +132,8 @@
 	}
 }
 
-// endpoints returns the endpoints of all recent lists, ordered by ID. One is up if every list that has it says so.
+// endpoints returns the endpoints of all recent lists, ordered by ID. An endpoint is up if it is up in every list that
+// contains it.
 func (f *fleetState) endpoints() []rollout.Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,17 +152,17 @@
 	return slices.SortedFunc(maps.Values(all), func(a, b rollout.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// assignment is what the fleet has agreed on for one sender.
+// assignment is the part of the replicated state that concerns one sender.
 type assignment struct {
-	grant          *rollout.Grant // nil if it has none
-	duty           rollout.Duty   // what its supervisor is to do about the grant
-	exclusionEpoch uint64         // the entry that changed the excluded endpoints last
-	excluded       []string       // ids of excluded endpoints
+	grant          *rollout.Grant // the sender's open grant; nil: none
+	duty           rollout.Duty   // action that its supervisor must take on the grant
+	exclusionEpoch uint64         // index of the entry that last changed the excluded endpoints
+	excluded       []string       // IDs of the excluded endpoints
 	timing         rollout.Timing
 }
 
-// assignment returns what is to be done for a sender, given the latest observation of it and the epoch of the grant
-// that it was asked to take last.
+// assignment returns the assignment of a sender, given its latest observation and the epoch of the latest grant that it
+// was asked to take.
 func (f *fleetState) assignment(observed rollout.Observation, lastTakenEpoch uint64) assignment {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -173,7 +176,7 @@
 	return assigned
 }
 
-// deepCopy copies a value through JSON, so that it can be read without the mutex.
+// deepCopy copies a value by encoding it as JSON, so that the copy can be read without the mutex.
 func deepCopy[T any](v *T) *T {
 	c := new(T)
 	if text, err := json.Marshal(v); err == nil {
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -6,7 +6,8 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenAgent writes and reads what goes to an agent's folder, to other agents and to operators as 096da04 did.
+// TestGoldenAgent checks that the data in an agent's folder, and the data sent to other agents and to operators, is
+// encoded and decoded as in commit 096da04.
 func TestGoldenAgent(t *testing.T) {
 	golden.JSON[record](t, "record.json")
 	golden.JSON[observationReport](t, "sightings.json")
--- a/internal/agent/grant.go
+++ b/internal/agent/grant.go
@@ -9,7 +9,7 @@
 	"cleathold/internal/rollout"
 )
 
-// carryOutDuty does what the fleet has agreed on for this sender.
+// carryOutDuty carries out the assignment of this sender: it sends the exclusions and acts on the grant, if any.
 func (s *supervisor) carryOutDuty(ctx context.Context) {
 	assigned := s.agent.fleet.assignment(s.observation, s.lastTakenEpoch)
 	s.sendExclusions(ctx, assigned)
@@ -33,8 +33,8 @@
 	}
 }
 
-// sendExclusions tells the sender which endpoints are excluded. It repeats this while there are any, as the sender
-// forgets them after a lease.
+// sendExclusions sends the excluded endpoints to the sender when they have changed. While there are any it repeats them
+// periodically, since the sender drops them after a lease.
 func (s *supervisor) sendExclusions(ctx context.Context, assigned assignment) {
 	leader, _ := s.agent.leadership()
 	if leader == "" || !s.exclusions.due(assigned, s.observation.Process, time.Now()) {
@@ -49,18 +49,19 @@
 	s.exclusions = sentExclusions{assigned.exclusionEpoch, s.observation.Process, time.Now()}
 }
 
-// due reports whether the excluded endpoints must be sent to a process, which is empty while it is not known.
+// due reports whether the excluded endpoints must be sent to a process. process is empty while it is unknown.
 func (e sentExclusions) due(assigned assignment, process string, now time.Time) bool {
 	if process == "" {
 		return false
 	}
-	if assigned.exclusionEpoch == e.epoch && process == e.process { // it has the present list
+	if assigned.exclusionEpoch == e.epoch && process == e.process { // the process has the current list
 		return len(assigned.excluded) > 0 && now.Sub(e.at) >= assigned.timing.Lease/3
 	}
 	return assigned.exclusionEpoch != 0 || len(assigned.excluded) > 0
 }
 
-// takeGrant asks the sender to take a grant, which the sender decides on by itself, and then carries the grant out.
+// takeGrant asks the sender to take a grant, which the sender may reject. If the sender takes the grant and it is for a
+// version change, takeGrant changes the version and then ends the lease.
 func (s *supervisor) takeGrant(ctx context.Context, grant *rollout.Grant, timing rollout.Timing) {
 	s.lastTakenEpoch = grant.Epoch
 	path := admin.HoldPath
@@ -70,7 +71,7 @@
 	if err := s.client.take(ctx, s.adminIndex(), path, grant); err != nil {
 		s.log.Warn("grant not taken", "epoch", grant.Epoch, "err", err)
 		if errors.Is(err, errNoResponse) {
-			s.lastTakenEpoch = 0 // the request may not have arrived; the sender knows a repeated one
+			s.lastTakenEpoch = 0 // retry: the request may not have arrived, and taking the same grant twice is harmless
 		}
 		return
 	}
@@ -80,7 +81,7 @@
 	}
 	err := s.changeVersion(ctx, grant, timing)
 	if ctx.Err() != nil {
-		return // the agent's next run finds in the record what it needs
+		return // the record has what the agent needs to continue after its restart
 	}
 	if err != nil {
 		s.log.Error("version change failed", "epoch", grant.Epoch, "version", grant.To.Name, "err", err)
@@ -91,21 +92,22 @@
 	s.endLease(ctx, grant.Epoch)
 }
 
-// failGrant ends a grant that could not be carried out. The reason goes to the leader with the next observation.
+// failGrant ends the lease of a grant that could not be carried out. The next observation reports the reason to the
+// leader.
 func (s *supervisor) failGrant(ctx context.Context, grant *rollout.Grant, reason string) {
 	s.fault, s.faultEpoch = reason, grant.Epoch
 	s.endLease(ctx, grant.Epoch)
 }
 
-// endLease has the sender serve again. If the sender does not hear of it the lease ends by time.
+// endLease makes the sender serve again. If the request does not reach the sender the lease expires.
 func (s *supervisor) endLease(ctx context.Context, epoch uint64) {
 	if err := s.client.activate(ctx, s.adminIndex(), epoch); err != nil {
 		s.log.Warn("lease not ended", "epoch", epoch, "err", err)
 	}
 }
 
-// renewLease extends the sender's lease. A failure is not an error: the lease ends by time, unless the next renewal
-// arrives.
+// renewLease extends the sender's lease. A failure is ignored: a later renewal may still arrive in time, otherwise the
+// lease expires.
 func (s *supervisor) renewLease(ctx context.Context, epoch uint64, lease time.Duration) {
 	_ = s.client.renew(ctx, s.adminIndex(), epoch, time.Now().Add(lease))
 }
--- a/internal/agent/leader.go
+++ b/internal/agent/leader.go
@@ -7,7 +7,7 @@
 	"cleathold/internal/rollout"
 )
 
-// runLeader proposes what comes next in the fleet's plans, while this agent leads.
+// runLeader proposes the next commands of the fleet's plans while this agent leads.
 func (a *Agent) runLeader(ctx context.Context) {
 	var watch rollout.Watch
 	led := false
@@ -16,7 +16,7 @@
 			led = false
 			continue
 		}
-		if !led { // what an earlier term observed is no baseline for this one
+		if !led { // observations from an earlier term as leader are not a valid baseline
 			watch, led = rollout.Watch{}, true
 		}
 		for _, command := range a.nextCommands(&watch, time.Now().UTC()) {
@@ -31,7 +31,8 @@
 	}
 }
 
-// nextCommands returns what the leader should propose now. A fleet without terms gets this agent's own first.
+// nextCommands returns the commands that the leader should propose now. If the fleet has no terms yet this is a command
+// that sets those of this agent's configuration.
 func (a *Agent) nextCommands(watch *rollout.Watch, now time.Time) (commands []rollout.Command) {
 	a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
 		if state.Terms.Budget.Fleet != 0 {
--- a/internal/agent/membership.go
+++ b/internal/agent/membership.go
@@ -12,7 +12,7 @@
 	"cleathold/internal/store"
 )
 
-// Bootstrap makes the quorum's folder of one of the fleet's first agents, with all of cfg.Peers as its members. An
+// Bootstrap creates the quorum's folder of one of the fleet's initial agents, with all of cfg.Peers as members. An
 // agent that joins later starts with an empty folder instead.
 func Bootstrap(cfg Config) error {
 	folder, err := makeQuorumFolder(cfg.Folder)
@@ -22,7 +22,7 @@
 	return quorum.Bootstrap(folder, cfg.Name, slices.Sorted(maps.Keys(cfg.Peers)))
 }
 
-// makeQuorumFolder makes the quorum's folder in the agent's folder, if it is not there.
+// makeQuorumFolder creates the quorum's folder in the agent's folder, unless it exists.
 func makeQuorumFolder(folder string) (store.Dir, error) {
 	path := filepath.Join(folder, "log")
 	if err := os.MkdirAll(path, 0o700); err != nil {
@@ -31,8 +31,8 @@
 	return store.Dir(path), nil
 }
 
-// runQuorum runs the quorum's node until the context ends. A node that fails is opened again, as a disk may be full
-// for a while; the senders run on meanwhile.
+// runQuorum runs the quorum's node until the context ends. It reopens a node that has failed, since the cause may be
+// temporary, such as a full disk. The senders keep running meanwhile.
 func (a *Agent) runQuorum(ctx context.Context) error {
 	folder, err := makeQuorumFolder(a.cfg.Folder)
 	if err != nil {
@@ -79,7 +79,7 @@
 	a.node, a.nodeErr = node, err
 }
 
-// quorumNode returns the running node, or an error that says why there is none.
+// quorumNode returns the running node, or the error because of which there is none.
 func (a *Agent) quorumNode() (*quorum.Node, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -89,7 +89,7 @@
 	return a.node, nil
 }
 
-// leadership returns the name of the leading agent, empty if this agent knows of none, and whether it is this agent.
+// leadership returns the name of the leading agent, which is empty if unknown, and whether that is this agent.
 func (a *Agent) leadership() (leader string, leads bool) {
 	node, err := a.quorumNode()
 	if err != nil {
@@ -99,7 +99,7 @@
 	return status.Leader, status.Leads
 }
 
-// requestMembership asks the other agents to add this one as a member, until it is one.
+// requestMembership asks the other agents to add this agent to the quorum, until it is a voter.
 func (a *Agent) requestMembership(ctx context.Context, node *quorum.Node) {
 	for sleep(ctx, reopenDelay) {
 		status := node.Status()
--- a/internal/agent/observation.go
+++ b/internal/agent/observation.go
@@ -5,19 +5,19 @@
 	"cleathold/internal/rollout"
 )
 
-// The phases of a sender's status that an agent tells apart; see package lifecycle.
+// The phases of a sender's status that an agent distinguishes. Package lifecycle defines all phases.
 const (
 	phaseServing = "serving"
 	phaseDrained = "drained"
 )
 
-// started reports whether a sender in this phase has started and is not stopping.
+// started reports whether a sender with this status has started and is not stopping.
 func started(status admin.Status) bool {
 	return status.Phase == phaseServing || status.Phase == phaseDrained
 }
 
-// observationOf returns what a sender's status shows. The sender's name, the time, the version and the agent's own
-// facts are left to the caller.
+// observationOf returns the observation for a sender's status. The caller must set the sender's name, the time, the
+// version and the fields that only the sender's agent knows.
 func observationOf(status admin.Status) rollout.Observation {
 	counts := status.Counts
 	return rollout.Observation{
--- a/internal/agent/process.go
+++ b/internal/agent/process.go
@@ -12,22 +12,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// stopTimeout is how long a process may take from SIGTERM to its end, by the platform's protocol. Then it is killed.
+// stopTimeout is how long a process may take to end after SIGTERM, according to the platform's protocol. After that it
+// is killed.
 const stopTimeout = 3700 * time.Millisecond
 
-// errProcessGone says that there is no such process, or no longer.
+// errProcessGone is returned if a process does not exist or has ended.
 var errProcessGone = errors.New("agent: no such process")
 
-// process is an operating system's process of a sender. Its parent may be an earlier run of the agent, or a stranger:
-// its end is then noticed by its pidfd. A nil process is one that does not run.
+// process is an operating system process of a sender. It need not be a child of this process: an earlier run of the
+// agent or another program may have started it. Its end is then detected through a pidfd. A nil process does not run.
 type process struct {
 	pid        int
-	startTime  string        // in clock ticks since the machine's boot; tells it from a later process with the same pid
-	ended      chan struct{} // closed at the end
-	exitStatus string        // valid once ended is closed; empty where another process is the parent
+	startTime  string        // in clock ticks since boot; distinguishes it from a later process with the same pid
+	ended      chan struct{} // closed when the process has ended
+	exitStatus string        // valid once ended is closed; empty if another process is the parent
 }
 
-// launchProcess starts a program, with its output appended to a log file. The process goes on when the agent ends.
+// launchProcess starts a program with its output appended to a log file. The process keeps running when the agent ends.
 func launchProcess(program string, env []string, log string) (*process, error) {
 	out, err := openLog(log)
 	if err != nil {
@@ -54,8 +55,8 @@
 	return p, nil
 }
 
-// adoptProcess returns a running process that this run of the agent has not started. If startTime is not empty the
-// process must have it; if not, errProcessGone is returned.
+// adoptProcess returns a running process that this run of the agent has not started. It returns errProcessGone if there
+// is no such process, or if startTime is not empty and differs from the process's start time.
 func adoptProcess(pid int, startTime string) (*process, error) {
 	fd, err := unix.PidfdOpen(pid, 0)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return p, nil
 }
 
-// awaitPidfd waits until the process of a pidfd has ended.
+// awaitPidfd waits until the process that a pidfd refers to has ended.
 func awaitPidfd(fd int) {
 	for {
 		n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, -1)
@@ -85,14 +86,14 @@
 	}
 }
 
-// processStartTime returns the start time of a process from /proc/PID/stat (proc(5), field 22), or errProcessGone,
-// also for a zombie.
+// processStartTime returns the start time of a process from /proc/PID/stat (field 22, see proc(5)). It returns
+// errProcessGone if there is no such process or if it is a zombie.
 func processStartTime(pid int) (string, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return "", errProcessGone
 	}
-	_, rest, ok := strings.Cut(string(text), ") ") // skips pid and name: the rest begins with field 3
+	_, rest, ok := strings.Cut(string(text), ") ") // skip pid and name: rest starts with field 3
 	fields := strings.Fields(rest)
 	if !ok || len(fields) < 20 || fields[0] == "Z" {
 		return "", errProcessGone
@@ -100,7 +101,7 @@
 	return fields[19], nil
 }
 
-// running reports whether the process has not ended yet.
+// running reports whether the process runs.
 func (p *process) running() bool {
 	if p == nil {
 		return false
@@ -122,7 +123,7 @@
 	}
 }
 
-// stop ends the process by SIGTERM, and after stopTimeout by SIGKILL.
+// stop sends SIGTERM to the process and waits for its end. After stopTimeout it kills the process.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	timer := time.NewTimer(stopTimeout)
@@ -134,7 +135,7 @@
 	}
 }
 
-// kill ends the process by SIGKILL and waits for its end.
+// kill sends SIGKILL to the process and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
--- a/internal/agent/processlog.go
+++ b/internal/agent/processlog.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	maxLogSize      = 16 << 20    // bytes of a sender's log file, and of the older one beside it
-	logTrimInterval = time.Minute // between two checks of the size
-	logTailSize     = 300         // bytes of a log that an error quotes
+	maxLogSize      = 16 << 20    // bytes; of a sender's log file, and of its previous one (.1)
+	logTrimInterval = time.Minute // between checks of the log file's size
+	logTailSize     = 300         // bytes of the log that an error message quotes
 )
 
-// openLog opens a sender's log file for appending. One beyond maxLogSize becomes the older one.
+// openLog opens a sender's log file for appending. A file larger than maxLogSize is renamed to .1 first.
 func openLog(path string) (*os.File, error) {
 	if info, err := os.Stat(path); err == nil && info.Size() > maxLogSize {
 		os.Rename(path, path+".1")
@@ -24,8 +24,8 @@
 	return f, nil
 }
 
-// trimLog bounds the log file of a running process. The content is copied, not renamed: the process goes on appending
-// to the same file.
+// trimLog limits the size of a running process's log file. It copies the content to .1 and truncates the file instead
+// of renaming it, since the process keeps appending to the open file.
 func trimLog(path string) {
 	info, err := os.Stat(path)
 	if err != nil || info.Size() <= maxLogSize {
@@ -37,7 +37,7 @@
 	}
 }
 
-// logTail returns the end of a log file, or why it can't be read.
+// logTail returns the end of a log file, or the text of the error if it can't be read.
 func logTail(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/agent/proposal.go
+++ b/internal/agent/proposal.go
@@ -9,11 +9,11 @@
 	"cleathold/internal/rollout"
 )
 
-// ErrUnknown says that it is not known whether a command took effect.
+// ErrUnknown is returned if it is unknown whether a command took effect.
 var ErrUnknown = errors.New("no answer in time: it may have taken effect, look before you repeat it")
 
-// propose appends a command to the replicated log and waits until it is applied here. It returns the index of the
-// command's entry. The error is that of the state (rollout.ErrRejected), that of the quorum, or ErrUnknown.
+// propose proposes a command for the replicated log and waits until it is applied here. It returns the index of the
+// command's entry. The error is rollout.ErrRejected from the state, an error of the quorum, or ErrUnknown.
 func (a *Agent) propose(ctx context.Context, command rollout.Command) (uint64, error) {
 	node, err := a.quorumNode()
 	if err != nil {
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -10,23 +10,23 @@
 	"cleathold/internal/rollout"
 )
 
-// record is what an agent must know of a sender after its own restart.
+// record is the information about a sender that an agent needs after its own restart.
 type record struct {
-	Version    rollout.Version `json:"version"` // that its process runs
-	AdminIndex int             `json:"admin"`   // which of its admin addresses the process has
+	Version    rollout.Version `json:"version"` // version that the process runs
+	AdminIndex int             `json:"admin"`   // index of the process's admin address
 	Pid        int             `json:"pid,omitempty"`
-	StartTime  string          `json:"start,omitempty"` // of the process; see process.startTime
-	Successor  *successor      `json:"heir,omitempty"`  // nil unless a hand-over is under way
+	StartTime  string          `json:"start,omitempty"` // start time of the process; see process.startTime
+	Successor  *successor      `json:"heir,omitempty"`  // nil unless a hand-over is in progress
 }
 
-// successor is a process that takes over from the sender's present one. It has the other admin address.
+// successor is a process that takes over from the sender's current one. It has the other admin address.
 type successor struct {
 	Version   rollout.Version `json:"version"`
 	Pid       int             `json:"pid"`
 	StartTime string          `json:"start"`
 }
 
-// recordFile is the record of one sender with its file. It is safe for concurrent use.
+// recordFile is the record of one sender and the file that stores it. It is safe for concurrent use.
 type recordFile struct {
 	sender string
 	path   string
@@ -35,7 +35,7 @@
 	current record
 }
 
-// openRecord reads a sender's record. A sender without one runs the first version.
+// openRecord reads a sender's record. A sender without a record runs the first version.
 func openRecord(sender, path string, first rollout.Version) (*recordFile, error) {
 	f := &recordFile{sender: sender, path: path, current: record{Version: first}}
 	text, err := os.ReadFile(path)
@@ -59,7 +59,7 @@
 	return f.current
 }
 
-// update changes the record, in the file first. After an error it is as it was.
+// update changes the record. It writes the file first; after an error the record in memory is unchanged.
 func (f *recordFile) update(change func(*record)) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// replaceFile replaces a file by a rename, so that a reader sees either its old or its new content.
+// replaceFile replaces a file's content by means of a rename, so that a reader gets either the old or the new content.
 func replaceFile(path string, text []byte) error {
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return err
--- a/internal/agent/remoteobserver.go
+++ b/internal/agent/remoteobserver.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	maxRemotePolls    = 16              // polls at once
-	remotePollTimeout = callTimeout / 2 // of one poll
+	maxRemotePolls    = 16              // maximum number of concurrent polls
+	remotePollTimeout = callTimeout / 2 // for one poll
 )
 
-// remoteObserver polls the senders whose own agents are silent, while this agent leads. A machine without its agent
-// is thereby not taken for one without senders. Its observations (rollout.Observation.Far) count for the budget
-// alone: they neither bring a sender a grant nor close one. A sender whose admin addresses can't be reached from here
-// stays unknown.
+// remoteObserver polls the senders whose own agents do not report, while this agent leads, so that the failure of an
+// agent does not make its senders count as out of service. Its observations (rollout.Observation.Far) are used only for
+// the budget: they lead to neither the opening nor the closing of a grant. A sender whose admin addresses can't be
+// reached from this machine remains unobserved.
 type remoteObserver struct {
 	agent *Agent
 	http  *http.Client
@@ -28,7 +28,7 @@
 // remoteSender is a sender to be polled.
 type remoteSender struct {
 	last  rollout.Observation
-	reach []string // its admin addresses
+	reach []string // admin addresses (host:port)
 }
 
 func newRemoteObserver(a *Agent) *remoteObserver {
@@ -44,12 +44,12 @@
 	}
 }
 
-// unreported returns the other agents' senders of which no fresh observation is known.
+// unreported returns the other agents' senders whose latest observation is missing or about to become stale.
 func (o *remoteObserver) unreported() (senders []remoteSender) {
 	o.agent.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
 		for name, member := range state.Members {
 			last, known := observations[name]
-			if !known { // nobody has reported it since this agent leads
+			if !known { // no agent has reported it to this one
 				last = rollout.Observation{Sender: name, Version: member.Version.Name}
 			}
 			if member.Agent != o.agent.cfg.Name && time.Since(last.At) > state.Terms.Timing.Fresh*6/10 {
@@ -60,7 +60,7 @@
 	return senders
 }
 
-// pollAll polls senders at the first of their addresses that answers.
+// pollAll polls the senders concurrently. For each sender it tries the addresses in order until one responds.
 func (o *remoteObserver) pollAll(ctx context.Context, senders []remoteSender) {
 	slots := make(chan struct{}, maxRemotePolls)
 	var wg sync.WaitGroup
@@ -79,7 +79,8 @@
 	wg.Wait()
 }
 
-// poll polls a sender at one address. What only its own agent knows is taken from the last observation.
+// poll polls a sender at one address. It copies the fields that only the sender's own agent knows from the last
+// observation.
 func (o *remoteObserver) poll(
 	ctx context.Context, addr string, last rollout.Observation,
 ) (observed rollout.Observation, ok bool) {
--- a/internal/agent/reports.go
+++ b/internal/agent/reports.go
@@ -9,16 +9,16 @@
 	"cleathold/internal/rollout"
 )
 
-// observationReport is what one agent reports to the leader.
+// observationReport is a report of one agent to the leader.
 type observationReport struct {
 	Agent        string                `json:"agent"`
 	Observations []rollout.Observation `json:"list"`
-	Endpoints    []rollout.Endpoint    `json:"endpoints,omitempty"` // in one report of each quarter of endpointListWindow
+	Endpoints    []rollout.Endpoint    `json:"endpoints,omitempty"` // sent once per quarter of endpointListWindow
 }
 
-// runReports reports to the leader what this agent observes, and keeps its senders in the roster.
+// runReports reports this agent's observations to the leader and keeps the roster's entries of its senders up to date.
 func (a *Agent) runReports(ctx context.Context) {
-	var enrolled []bool // the roster's matches when it was last known to be complete
+	var enrolled []bool // rosterMatches at the time of the last successful updateRoster
 	var endpointsAt time.Time
 	for sleep(ctx, pollInterval) {
 		leader, leads := a.leadership()
@@ -44,7 +44,7 @@
 	}
 }
 
-// sendReport sends a report to the leader. One that is lost is made up for by the next.
+// sendReport sends a report to the leader. Errors are ignored, since the next report supersedes a lost one.
 func (a *Agent) sendReport(ctx context.Context, leader string, report observationReport) {
 	text, err := json.Marshal(report)
 	if err != nil {
@@ -55,8 +55,8 @@
 	a.call(ctx, a.cfg.Peers[leader], observationsPath, json.RawMessage(text), nil)
 }
 
-// discoveredEndpoints returns what discovery lists, as told by the first of this agent's senders that answers with a
-// list.
+// discoveredEndpoints returns the endpoints that discovery lists, from the first of this agent's senders that responds
+// with a non-empty list.
 func (a *Agent) discoveredEndpoints(ctx context.Context) []rollout.Endpoint {
 	for _, s := range a.supervisors {
 		if list, err := s.client.endpoints(ctx, s.adminIndex()); err == nil && len(list) > 0 {
--- a/internal/agent/roster.go
+++ b/internal/agent/roster.go
@@ -8,7 +8,7 @@
 	"cleathold/internal/rollout"
 )
 
-// enrolled reports whether the roster has a sender of this agent as it is configured here. member may be nil.
+// enrolled reports whether a sender's roster entry, which may be nil, matches this agent's configuration.
 func (a *Agent) enrolled(member *rollout.Member, sender Sender) bool {
 	return member != nil && member.Agent == a.cfg.Name && member.Building == sender.Building &&
 		slices.Equal(member.Reach, sender.Admin[:])
@@ -25,7 +25,7 @@
 	return matches
 }
 
-// updateRoster proposes this agent's senders for the roster, unless the roster has just these.
+// updateRoster proposes this agent's senders for the roster, unless the roster has exactly these already.
 func (a *Agent) updateRoster(ctx context.Context) error {
 	command := rollout.Command{Verb: rollout.SetRoster, At: time.Now().UTC(), By: a.cfg.Name}
 	complete := true
--- a/internal/agent/senderclient.go
+++ b/internal/agent/senderclient.go
@@ -15,8 +15,8 @@
 	"cleathold/internal/rollout"
 )
 
-// senderClient makes the calls to one sender. Each call is bounded by callTimeout and goes on a connection of its
-// own. An admin index says which of the sender's two admin addresses is meant.
+// senderClient makes the calls to one sender. Each call has a timeout of callTimeout and uses a new connection. An
+// admin index selects one of the sender's two admin addresses.
 type senderClient struct {
 	sender  Sender
 	http    *http.Client
@@ -38,7 +38,7 @@
 	return status, err
 }
 
-// endpoints returns the endpoints that the sender knows from discovery.
+// endpoints returns the endpoints that the sender has received from discovery.
 func (c *senderClient) endpoints(ctx context.Context, adminIndex int) (list []rollout.Endpoint, err error) {
 	text, err := c.call(ctx, http.MethodGet, c.sender.Reach[adminIndex], admin.TargetsPath)
 	if err == nil {
@@ -47,7 +47,7 @@
 	return list, err
 }
 
-// checkHealth makes a health check at the clients' address, as the load balancer before the senders does.
+// checkHealth makes a health check at the address for clients, like the load balancer in front of the senders.
 func (c *senderClient) checkHealth(ctx context.Context) error {
 	text, err := os.ReadFile(c.sender.Config)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return err
 }
 
-// take asks the sender to take a grant, by admin.DrainPath or admin.HoldPath. The sender rejects one that is not in
-// force.
+// take asks the sender to take a grant; path is admin.DrainPath or admin.HoldPath. The sender rejects a grant that is
+// not in force.
 func (c *senderClient) take(ctx context.Context, adminIndex int, path string, grant *rollout.Grant) error {
 	return c.put(ctx, adminIndex, path, url.Values{
 		"process": {grant.Process}, "epoch": {formatEpoch(grant.Epoch)},
@@ -76,7 +76,7 @@
 	return c.put(ctx, adminIndex, admin.ActivatePath, url.Values{"epoch": {formatEpoch(epoch)}})
 }
 
-// exclude tells the sender which endpoints are excluded, until a time.
+// exclude sends the sender the IDs of the excluded endpoints. The exclusions hold until the given time.
 func (c *senderClient) exclude(
 	ctx context.Context, adminIndex int, epoch uint64, until time.Time, endpoints []string,
 ) error {
@@ -105,5 +105,5 @@
 
 func formatEpoch(epoch uint64) string { return strconv.FormatUint(epoch, 10) }
 
-// formatTime returns a time as the admin API takes it, in milliseconds since 1970.
+// formatTime formats a time for the admin API, as milliseconds since the Unix epoch.
 func formatTime(t time.Time) string { return strconv.FormatInt(t.UnixMilli(), 10) }
--- a/internal/agent/senderclient_test.go
+++ b/internal/agent/senderclient_test.go
@@ -14,7 +14,7 @@
 	"cleathold/internal/rollout"
 )
 
-// TestSenderClient pins the requests that a sender gets from its agent.
+// TestSenderClient checks the exact requests that an agent sends to its sender.
 func TestSenderClient(t *testing.T) {
 	var got string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -13,11 +13,11 @@
 
 const (
 	maxConnections = 128
-	serverTimeout  = 15 * time.Second // for a whole request: a plan's compatibility checks at all agents take a while
-	maxBodySize    = 8 << 20          // bytes of a request
+	serverTimeout  = 15 * time.Second // for a whole request; allows for a plan's compatibility checks at all agents
+	maxBodySize    = 8 << 20          // bytes of a request body
 )
 
-// listen binds the agent's address for the other agents and the command line.
+// listen opens the listener for calls from the other agents and the command line.
 func (a *Agent) listen() (*admin.HTTPServer, error) {
 	return admin.ListenCalls(a.cfg.Listen, map[string]http.HandlerFunc{
 		"GET " + viewPath:           a.handleView,
@@ -34,7 +34,7 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// readJSON decodes the request's body. It reports false after it has answered a body that can't be decoded.
+// readJSON decodes the request's body. If it can't be decoded readJSON responds with status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodySize)).Decode(into)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return err == nil
 }
 
-// handleView answers with the leader's view, which has the observations of all senders, or with this agent's own
-// where the leader does not answer.
+// handleView responds with the leader's view, which has the observations of all senders. It responds with this agent's
+// own view if the leader does not respond, or if the request asks for it.
 func (a *Agent) handleView(w http.ResponseWriter, r *http.Request) {
 	leader, leads := a.leadership()
 	ownOnly := r.Header.Get(forwardedHeader) != "" || r.URL.Query().Get("own") != ""
@@ -73,7 +73,7 @@
 	return v
 }
 
-// handleCommand executes a command of the operators.
+// handleCommand executes or forwards an operator's command.
 func (a *Agent) handleCommand(w http.ResponseWriter, r *http.Request) {
 	var call Call
 	if readJSON(w, r, &call) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// handleCompatibilityCheck checks this agent's senders for a plan of the leader.
+// handleCompatibilityCheck checks this agent's senders for a plan that the leader drafts.
 func (a *Agent) handleCompatibilityCheck(w http.ResponseWriter, r *http.Request) {
 	var check CompatibilityCheck
 	if !readJSON(w, r, &check) {
@@ -94,7 +94,7 @@
 	writeJSON(w, Result{})
 }
 
-// handleObservations enters another agent's report.
+// handleObservations stores another agent's report.
 func (a *Agent) handleObservations(w http.ResponseWriter, r *http.Request) {
 	var report observationReport
 	if readJSON(w, r, &report) && len(report.Observations) <= rollout.MaxSenders {
@@ -126,7 +126,7 @@
 	a.log.Info("member added", "agent", member.Name, "member", member.Number)
 }
 
-// handleQuorum passes messages of the quorum to this agent's node.
+// handleQuorum passes the quorum's messages to this agent's node.
 func (a *Agent) handleQuorum(w http.ResponseWriter, r *http.Request) {
 	node, err := a.quorumNode()
 	if err != nil {
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -10,11 +10,12 @@
 	"cleathold/internal/rollout"
 )
 
-// firstResponseTimeout is how long a process may neither answer nor end after its start. Then it is killed.
+// firstResponseTimeout is how long after its start a process may run without responding to a poll. After that it is
+// killed.
 const firstResponseTimeout = 10 * time.Second
 
-// supervisor runs and observes one sender, and carries out the grants of the fleet for it. Its fields belong to the
-// goroutine of run, but for those that are safe for concurrent use.
+// supervisor runs and observes one sender and carries out the grants for it. Only the goroutine of run may access its
+// fields, except those that are safe for concurrent use.
 type supervisor struct {
 	cfg    Sender
 	agent  *Agent
@@ -22,27 +23,27 @@
 	client *senderClient
 	record *recordFile
 
-	process          *process  // nil before the first start, and after the end was noticed
-	processStartedAt time.Time // as far as this agent knows
-	answered         bool      // the process has answered a poll
+	process          *process  // nil before the first start and after its end was detected
+	processStartedAt time.Time // time of the start, or of the adoption, of the process
+	answered         bool      // the process has responded to a poll
 	backoff          restartBackoff
-	restartAt        time.Time // when a process that has ended is started again
+	restartAt        time.Time // when to restart a process that has ended
 	crashes          int       // since the agent's start
 	logTrimmedAt     time.Time
 
 	lastStatus  admin.Status
-	observation rollout.Observation // the latest
+	observation rollout.Observation // the latest one
 
-	lastTakenEpoch uint64 // epoch of the grant that the sender was asked to take last
+	lastTakenEpoch uint64 // epoch of the latest grant that the sender was asked to take
 	faultEpoch     uint64 // epoch of the last grant that failed
 	fault          string // why it failed
 	exclusions     sentExclusions
 }
 
-// sentExclusions tells which list of excluded endpoints a sender has got.
+// sentExclusions identifies the list of excluded endpoints that was last sent to a sender.
 type sentExclusions struct {
 	epoch   uint64
-	process string // id of the process that got it
+	process string // ID of the process that received it
 	at      time.Time
 }
 
@@ -57,15 +58,15 @@
 	}, nil
 }
 
-// version returns the version that the sender runs. It may be called from any goroutine.
+// version returns the version that the sender runs. It is safe for concurrent use.
 func (s *supervisor) version() rollout.Version { return s.record.get().Version }
 
-// adminIndex returns which admin address the sender's process has. It may be called from any goroutine.
+// adminIndex returns the index of the admin address of the sender's process. It is safe for concurrent use.
 func (s *supervisor) adminIndex() int { return s.record.get().AdminIndex }
 
 func (s *supervisor) logPath() string { return filepath.Join(s.agent.cfg.Folder, s.cfg.Name+".log") }
 
-// run supervises the sender until the context ends. The sender's process goes on.
+// run supervises the sender until the context ends. The sender's process keeps running.
 func (s *supervisor) run(ctx context.Context) {
 	s.recoverProcesses(ctx)
 	for {
@@ -77,8 +78,8 @@
 	}
 }
 
-// recoverProcesses adopts the process that this agent has left at its last end. Of two, where it ended within a
-// hand-over, the successor is kept if it comes to serve.
+// recoverProcesses adopts the process that the agent's previous run has left. If that run ended during a hand-over
+// there may be two processes: then the successor is kept if it starts to serve, and is killed otherwise.
 func (s *supervisor) recoverProcesses(ctx context.Context) {
 	rec := s.record.get()
 	if rec.Pid > 0 {
@@ -100,8 +101,8 @@
 	s.updateRecord(func(r *record) { r.Successor = nil })
 }
 
-// poll polls the sender and publishes the observation. A process that has ended is started again, and one that has
-// never answered is killed.
+// poll polls the sender and publishes the observation. It restarts a process that has ended, and kills one that has not
+// responded within firstResponseTimeout of its start.
 func (s *supervisor) poll(ctx context.Context) {
 	if time.Since(s.logTrimmedAt) > logTrimInterval {
 		s.logTrimmedAt = time.Now()
@@ -127,12 +128,12 @@
 	observed.Version = version.Name
 	observed.Serving = observed.Serving && s.client.checkHealth(ctx) == nil
 	if status.Release != "" && version.Config == "" {
-		observed.Version = status.Release // another one where the process was not started by this agent
+		observed.Version = status.Release // differs from the record if the process was not started by this agent
 	}
 	s.publish(observed, now)
 }
 
-// restartProcess starts the sender's process again, once the backoff allows it.
+// restartProcess restarts the sender's process as soon as the backoff allows it.
 func (s *supervisor) restartProcess(ctx context.Context, now time.Time) {
 	if s.process != nil {
 		s.crashes++
@@ -148,7 +149,7 @@
 	s.startProcess(ctx)
 }
 
-// startProcess starts the sender's process, or adopts one that answers at its admin address.
+// startProcess starts the sender's process, or adopts a process that responds at the sender's admin address.
 func (s *supervisor) startProcess(ctx context.Context) {
 	rec := s.record.get()
 	if status, err := s.client.status(ctx, rec.AdminIndex); err == nil && status.Pid > 0 {
@@ -169,7 +170,7 @@
 	s.setProcess(p)
 }
 
-// launch starts a process of the sender with a version and an admin address.
+// launch starts a process of the sender with the given version and admin address.
 func (s *supervisor) launch(v rollout.Version, adminIndex int) (*process, error) {
 	env := []string{
 		"LB_CONFIG=" + s.cfg.Config, "LB_ADMIN=" + s.cfg.Admin[adminIndex], "CLEATHOLD_RELEASE=" + v.Name,
@@ -177,20 +178,21 @@
 	return launchProcess(v.Program, env, s.logPath())
 }
 
-// setProcess makes a process that has not answered yet the sender's.
+// setProcess makes a process that has not responded yet the sender's current one.
 func (s *supervisor) setProcess(p *process) {
 	s.process, s.processStartedAt, s.answered = p, time.Now(), false
 	s.updateRecord(func(r *record) { r.Pid, r.StartTime = p.pid, p.startTime })
 }
 
-// updateRecord changes the record where the sender goes on whether or not the change can be written.
+// updateRecord changes the record and logs a failure. It is for changes after which the sender must continue even if
+// they can't be written.
 func (s *supervisor) updateRecord(change func(*record)) {
 	if err := s.record.update(change); err != nil {
 		s.log.Error("record not written", "err", err)
 	}
 }
 
-// publish completes an observation of the sender by what its agent knows, and enters it.
+// publish adds the fields that only this agent knows to an observation of the sender, and stores it.
 func (s *supervisor) publish(observed rollout.Observation, at time.Time) {
 	observed.Sender, observed.At = s.cfg.Name, at.UTC().Round(0)
 	observed.Facts.Restarts = s.crashes
--- a/internal/agent/traffic.go
+++ b/internal/agent/traffic.go
@@ -2,18 +2,18 @@
 
 import "sync/atomic"
 
-// Traffic counts what an agent has sent and polled since its start, besides the quorum's messages.
+// Traffic counts an agent's reports and polls since its start. The quorum's messages are not included.
 type Traffic struct {
-	ReportedBytes int64 `json:"told_bytes"` // of observation reports to the leader
+	ReportedBytes int64 `json:"told_bytes"` // size of the observation reports to the leader
 	Reports       int64 `json:"told_calls"`
-	PolledBytes   int64 `json:"look_bytes"` // of its senders' responses at their admin addresses
+	PolledBytes   int64 `json:"look_bytes"` // size of its senders' responses to this agent's calls
 	Polls         int64 `json:"looks"`
 }
 
-// trafficCounters are the counters behind Traffic.
+// trafficCounters are the counters from which Traffic is read.
 type trafficCounters struct{ reportedBytes, reports, polledBytes, polls atomic.Int64 }
 
-// totals returns the counts so far.
+// totals returns the current counts.
 func (c *trafficCounters) totals() Traffic {
 	return Traffic{
 		ReportedBytes: c.reportedBytes.Load(), Reports: c.reports.Load(),
--- a/internal/agent/versionchange.go
+++ b/internal/agent/versionchange.go
@@ -16,32 +16,32 @@
 const (
 	readyTimeout       = 8 * time.Second // from the start of a process until it serves
 	reloadTimeout      = 3 * time.Second // from a SIGHUP until the new configuration is in force
-	settleTimeout      = time.Minute     // for a drained sender's open messages, before its restart
+	settleTimeout      = time.Minute     // for the outcomes of a drained sender's open messages before its restart
 	changePollInterval = 50 * time.Millisecond
 )
 
-// The texts of these errors go into the grant's fault, which operators see.
+// The texts of these errors become part of the grant's fault, which operators read.
 var (
 	errTimeout      = errors.New("not in time")
 	errNeverServed  = errors.New("it never served")
 	errProcessEnded = errors.New("the process ended")
 )
 
-// versionChange is a change of a sender's version, under the lease of a grant.
+// versionChange is a change of a sender's version under the lease of a grant.
 type versionChange struct {
 	*supervisor
-	epoch uint64        // of the grant
-	lease time.Duration // by which the grant's lease is renewed
+	epoch uint64        // epoch of the grant
+	lease time.Duration // duration of the lease after each renewal
 	from  rollout.Version
 	to    rollout.Version
 }
 
-// needsNewProcess reports whether a change of versions needs another process.
+// needsNewProcess reports whether a version change requires a new process.
 func needsNewProcess(to, from rollout.Version) bool {
 	return to.Program != "" && to.Program != from.Program
 }
 
-// changeVersion has the sender run the version of a grant. After an error it runs the one that it ran before, as far
+// changeVersion changes the sender's version to that of a grant. After an error it restores the former version as far
 // as possible.
 func (s *supervisor) changeVersion(ctx context.Context, grant *rollout.Grant, timing rollout.Timing) error {
 	c := &versionChange{supervisor: s, epoch: grant.Epoch, lease: timing.Lease, from: s.version(), to: grant.To}
@@ -77,7 +77,8 @@
 	return err
 }
 
-// replaceConfig replaces the sender's configuration file by that of a release. restore puts the old content back.
+// replaceConfig replaces the content of the sender's configuration file with that of a release. restore writes the old
+// content back.
 func (s *supervisor) replaceConfig(folder string) (restore func() error, err error) {
 	text, err := os.ReadFile(filepath.Join(folder, s.cfg.Name+".json"))
 	if err != nil {
@@ -93,8 +94,8 @@
 	return func() error { return replaceFile(s.cfg.Config, old) }, nil
 }
 
-// await renews the lease and polls until reached reports true or an error, or the timeout is over. A lease that can't
-// be renewed ends, but does not end the change.
+// await polls reached, and renews the lease, until reached returns true or an error or the timeout is over. A lease
+// that can't be renewed expires, but that does not abort the change.
 func (c *versionChange) await(ctx context.Context, timeout time.Duration, reached func() (bool, error)) error {
 	renewedAt := time.Now()
 	deadline := renewedAt.Add(timeout)
@@ -115,7 +116,7 @@
 	}
 }
 
-// reload has the process read its configuration file again.
+// reload makes the process read its configuration file again and waits until it uses the new configuration.
 func (c *versionChange) reload(ctx context.Context) error {
 	text, err := os.ReadFile(c.cfg.Config)
 	if err != nil {
@@ -136,8 +137,8 @@
 	return c.record.update(func(r *record) { r.Version = c.to })
 }
 
-// handOver starts a process with the new version beside the old one, which hands over to it. The record names the
-// successor from its start on, so that the agent's next run finds it.
+// handOver starts a process with the new version while the old one runs and hands over to it. The successor is entered
+// in the record right after its start, so that the agent can find it after a restart of its own.
 func (c *versionChange) handOver(ctx context.Context) error {
 	adminIndex := 1 - c.adminIndex()
 	p, err := c.launch(c.to, adminIndex)
@@ -167,7 +168,8 @@
 	return err
 }
 
-// promote makes the successor the sender's process, and stops the old one, which may have ended after its hand-over.
+// promote makes the successor the sender's current process. It stops the old process, unless that has already ended
+// after the hand-over.
 func (s *supervisor) promote(p *process, next successor, adminIndex int) {
 	old := s.process
 	s.process, s.processStartedAt, s.answered = p, time.Now(), true
@@ -179,10 +181,10 @@
 	}
 }
 
-// restart waits until the drained process has no open messages, stops it and starts the new version. If that does not
-// come to serve the old version is started again.
+// restart waits until the drained process has no open messages, stops it and starts the new version. If the new version
+// does not start to serve restart starts the old version again.
 func (c *versionChange) restart(ctx context.Context) error {
-	// Messages that are still open after the timeout stay in the write-ahead log, for the next process.
+	// Messages that are still open after the timeout stay in the write-ahead log, where the next process finds them.
 	c.await(ctx, settleTimeout, func() (bool, error) {
 		status, err := c.client.status(ctx, c.adminIndex())
 		return err != nil || status.Counts.Open == 0, nil
@@ -200,7 +202,7 @@
 	return err
 }
 
-// replaceProcess stops the sender's process and starts another with a version.
+// replaceProcess stops the sender's process, starts one with the given version and waits until it serves.
 func (s *supervisor) replaceProcess(ctx context.Context, v rollout.Version) error {
 	if s.process.running() {
 		s.process.stop()
@@ -222,7 +224,7 @@
 	return s.record.update(func(r *record) { r.Version = v })
 }
 
-// awaitServing waits until a process serves, for readyTimeout at most. No lease is renewed meanwhile.
+// awaitServing waits until a process serves, for readyTimeout at most. It does not renew the lease.
 func (s *supervisor) awaitServing(ctx context.Context, p *process, adminIndex int) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && p.running() {
@@ -236,7 +238,7 @@
 	return errNeverServed
 }
 
-// serves reports whether a process has started to serve, or is drained, at an admin address.
+// serves reports whether a process responds at an admin address and serves or is drained.
 func (s *supervisor) serves(ctx context.Context, p *process, adminIndex int) bool {
 	status, err := s.client.status(ctx, adminIndex)
 	return err == nil && status.Pid == p.pid && started(status)
--- a/internal/quorum/apply.go
+++ b/internal/quorum/apply.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// handleReady does what raft has ready, in the order that raft demands: store, send, apply.
+// handleReady handles raft's next Ready in the order that raft requires: store, send, apply.
 func (n *Node) handleReady() error {
 	r := n.raft.Ready()
 	if err := n.storage.save(r.HardState, r.Entries, r.Snapshot); err != nil {
@@ -51,8 +51,8 @@
 	return n.applyMembers(e)
 }
 
-// applyMembers applies a change of members. Its context names the new one; the change that leaves a joint
-// configuration has none.
+// applyMembers applies a change of the members. The change's context has the new member. It is empty in the change that
+// leaves a joint configuration.
 func (n *Node) applyMembers(e *pb.Entry) error {
 	c := &pb.ConfChangeV2{}
 	if err := proto.Unmarshal(e.GetData(), c); err != nil {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// takeSnapshot replaces the log by a snapshot once it is long, or the members have changed: raft gives a new member
-// no snapshot in which it is missing.
+// takeSnapshot replaces the log with a snapshot once snapshotInterval entries were applied since the last one, or the
+// members have changed: raft does not send a new member a snapshot that does not list it as a member.
 func (n *Node) takeSnapshot() error {
 	if n.applied-n.snapshotIndex < snapshotInterval && !n.membersChanged {
 		return nil
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// replaced reports whether another member has this agent's name.
+// replaced reports whether this node is no longer a member and another member has its agent's name.
 func (n *Node) replaced() bool {
 	if _, isMember := n.members[n.storage.member.Number]; isMember || len(n.members) == 0 {
 		return false
--- a/internal/quorum/golden_test.go
+++ b/internal/quorum/golden_test.go
@@ -11,14 +11,15 @@
 	"cleathold/internal/store"
 )
 
-// TestGoldenQuorum writes and reads what goes to an agent's folder and to operators as 096da04 did.
+// TestGoldenQuorum checks that the data in an agent's folder, and the data sent to operators, is encoded and decoded as
+// in commit 096da04.
 func TestGoldenQuorum(t *testing.T) {
 	golden.JSON[Member](t, "seat.json")
 	golden.JSON[snapshot](t, "image.json")
 	golden.JSON[Status](t, "status.json")
 }
 
-// TestGoldenFolder opens an agent's folder that 096da04 wrote: its name, its vote and three entries.
+// TestGoldenFolder opens an agent's folder written by commit 096da04, with its name, its vote and three entries.
 func TestGoldenFolder(t *testing.T) {
 	log := newRecordingMachine()
 	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), log))
--- a/internal/quorum/helpers_test.go
+++ b/internal/quorum/helpers_test.go
@@ -16,7 +16,7 @@
 	"cleathold/internal/store"
 )
 
-// recordingMachine is a machine that keeps what it is given.
+// recordingMachine is a Machine that records the entries applied to it.
 type recordingMachine struct {
 	mu      sync.Mutex
 	List    []string
@@ -52,7 +52,7 @@
 	return slices.Clone(t.List)
 }
 
-// waitFor waits until something was applied; false: not in time.
+// waitFor waits until an entry is applied. It returns false if that does not happen within the timeout.
 func (t *recordingMachine) waitFor(text string, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -71,7 +71,7 @@
 	}
 }
 
-// A testAgent is one agent under test, with its folder and its address.
+// testAgent is an agent under test with its folder and its address.
 type testAgent struct {
 	name, dir string
 	peers     map[string]string
@@ -93,7 +93,7 @@
 	return <-h.done
 }
 
-// testCluster is some agents, and the links between them.
+// testCluster is a set of agents and the network between them.
 type testCluster struct {
 	t      *testing.T
 	net    *netfault.Net
@@ -168,7 +168,7 @@
 	go h.server.Serve(l)
 }
 
-// propose proposes until it is applied at its proposer, or until a time.
+// propose proposes an entry repeatedly until its proposer has applied it. It returns false after the timeout.
 func (x *testCluster) propose(h *testAgent, text string, timeout time.Duration) bool {
 	for until := time.Now().Add(timeout); time.Now().Before(until); {
 		if h.node.Propose(x.t.Context(), []byte(text)) == nil && h.log.waitFor(text, time.Second) {
@@ -188,6 +188,6 @@
 			}
 		}
 	}
-	x.t.Fatal("nobody leads")
+	x.t.Fatal("no agent leads")
 	return nil
 }
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -1,6 +1,6 @@
-// Package quorum replicates a log among a few agents. It runs raft (go.etcd.io/raft), keeps raft's log and votes in a
-// store of package store, and carries its messages over HTTP. It owns the members and the snapshots; what the entries
-// mean is the Machine's matter.
+// Package quorum replicates a log among a small number of agents. It runs raft (go.etcd.io/raft), stores raft's log and
+// votes by means of package store, and sends raft's messages over HTTP. It manages the members and the snapshots. It
+// does not interpret the entries: the Machine does.
 package quorum
 
 import (
@@ -24,28 +24,29 @@
 
 const (
 	heartbeatTicks   = 1
-	electionTicks    = 10   // a follower that hears no leader starts an election after one to two times this
-	snapshotInterval = 1000 // entries
-	keptEntries      = 200  // entries kept behind a snapshot, for members that are a little behind
+	electionTicks    = 10   // a follower without messages from a leader starts an election after one to two times this
+	snapshotInterval = 1000 // number of entries after which a new snapshot is taken
+	keptEntries      = 200  // entries before the snapshot that are kept, for members that are slightly behind
 	maxLearnedNames  = 64
 
-	// The lengths of the queues to the node's goroutine.
+	// The capacities of the channels to the node's goroutine.
 	incomingQueue = 512
 	proposalQueue = 64
 	deliveryQueue = 64
 
 	maxMessageSize     = 1 << 20  // bytes
-	maxInflight        = 64       // messages to one member
+	maxInflight        = 64       // append messages in flight to one member
 	maxUncommittedSize = 16 << 20 // bytes
 )
 
-// Machine is the state machine to which the log is applied, in order. The node's goroutine alone calls it.
+// Machine is the state machine to which the entries of the log are applied in order. Only the node's goroutine calls
+// it.
 type Machine interface {
 	// Apply applies a committed entry.
 	Apply(index uint64, data []byte)
-	// Snapshot returns all that was applied.
+	// Snapshot returns the encoded state after all entries applied so far.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by a snapshot that ends with the entry of that index.
+	// Restore replaces the state with that of a snapshot whose last entry has the given index.
 	Restore(index uint64, image []byte) error
 }
 
@@ -58,7 +59,7 @@
 	Log     *slog.Logger
 }
 
-// snapshot is the content of a snapshot.
+// snapshot is the data of a raft snapshot.
 type snapshot struct {
 	Members map[uint64]string `json:"seats"`
 	Machine json.RawMessage   `json:"machine,omitempty"`
@@ -67,18 +68,18 @@
 // Status is the state of a node as of the last iteration of its loop.
 type Status struct {
 	Member  Member            `json:"seat"`
-	Leader  string            `json:"leader"` // empty: none is known, and nothing can be committed
+	Leader  string            `json:"leader"` // empty: no leader is known, so that nothing can be committed
 	Leads   bool              `json:"leads"`
 	Term    uint64            `json:"term"`
 	Applied uint64            `json:"applied"`
-	Voter   bool              `json:"voter"` // it votes, and no replaced member does any more
+	Voter   bool              `json:"voter"` // it is a voter, and no replaced member still is
 	Members map[uint64]string `json:"seats"`
 	Disk    int64             `json:"disk_bytes"`
-	Sent    int64             `json:"sent_bytes"` // to other members, since the start
-	Calls   int64             `json:"calls"`      // to other members, since the start
+	Sent    int64             `json:"sent_bytes"` // bytes sent to other members since the start
+	Calls   int64             `json:"calls"`      // calls to other members since the start
 }
 
-// Node is one member of the quorum. Run owns its state; the other methods may be called from any goroutine.
+// Node is one member of the quorum. Run owns its state; the other exported methods are safe for concurrent use.
 type Node struct {
 	cfg       Config
 	storage   *storage
@@ -86,7 +87,7 @@
 	confState *pb.ConfState
 	members   map[uint64]string
 	incoming  chan incomingMessage
-	// names of members that have sent messages, for a node that does not know the members yet
+	// names of the members that have sent messages; needed as long as the node does not know the quorum's members
 	learnedNames map[uint64]string
 	proposals    chan proposal
 	deliveries   chan delivery
@@ -94,19 +95,19 @@
 
 	applied        uint64
 	snapshotIndex  uint64
-	membersChanged bool // since the latest snapshot
+	membersChanged bool // the members have changed since the latest snapshot
 	status         atomic.Pointer[Status]
 	ended          chan struct{}
 }
 
-// incomingMessage is a message of raft with the name of the agent that sent it.
+// incomingMessage is a raft message with the name of the agent that sent it.
 type incomingMessage struct {
 	*pb.Message
 	from string
 }
 
-// Errors of a node. After ErrNoMajority nothing was changed; after ErrStopped and ErrReplaced the node takes no
-// further part.
+// Errors of a node. ErrNoMajority means that nothing was changed. After ErrStopped and ErrReplaced the node no longer
+// takes part in the quorum.
 var (
 	ErrNoMajority = errors.New("no majority of agents can be reached: nothing new can be agreed on")
 	ErrStopped    = errors.New("quorum: stopped")
@@ -114,7 +115,7 @@
 		"give it an empty folder to be added anew")
 )
 
-// Open opens the folder of a member and restores the machine from its latest snapshot. Run must be called next.
+// Open opens the folder of a member and restores the machine from the latest snapshot. The caller must call Run next.
 func Open(c Config) (*Node, error) {
 	storage, err := openStorage(c.FS, c.Name, c.Log)
 	if err != nil {
@@ -139,7 +140,7 @@
 	return n, nil
 }
 
-// start restores the latest snapshot and starts raft on the log after it.
+// start restores the latest snapshot and starts raft with the log that follows it.
 func (n *Node) start() error {
 	snap, err := n.storage.memory.Snapshot()
 	if err != nil {
@@ -159,7 +160,7 @@
 	return err
 }
 
-// restore replaces members and machine by those of a snapshot.
+// restore replaces the members and the machine's state with those of a snapshot.
 func (n *Node) restore(snap *pb.Snapshot) error {
 	var content snapshot
 	if err := json.Unmarshal(snap.GetData(), &content); err != nil {
@@ -176,9 +177,9 @@
 	return nil
 }
 
-// Run takes part in the quorum until the context ends; then it returns nil. It returns an error when the folder
-// fails, since a vote that is not stored must not be given, and ErrReplaced when another agent has taken this one's
-// place. The node has to be opened anew then.
+// Run takes part in the quorum until the context ends, and then returns nil. It returns an error if the folder can't be
+// written, since raft must not cast a vote that is not stored. It returns ErrReplaced if another agent has replaced
+// this one. After an error the caller must open the node again.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -214,7 +215,7 @@
 	}
 }
 
-// step gives raft a message of another member. Raft drops what it can't use.
+// step passes a message of another member to raft, which drops messages that it can't use.
 func (n *Node) step(m incomingMessage) {
 	if len(n.learnedNames) < maxLearnedNames || n.learnedNames[m.GetFrom()] != "" {
 		n.learnedNames[m.GetFrom()] = m.from
@@ -222,7 +223,7 @@
 	n.raft.Step(m.Message)
 }
 
-// reportDelivery tells raft what became of messages to a member.
+// reportDelivery reports the delivery of messages to a member to raft.
 func (n *Node) reportDelivery(d delivery) {
 	if !d.snapshot {
 		n.raft.ReportUnreachable(d.to)
@@ -235,7 +236,7 @@
 	n.raft.ReportSnapshot(d.to, status)
 }
 
-// advance does what raft has ready, and publishes the status.
+// advance handles everything that raft has ready, takes a snapshot if one is due, and publishes the status.
 func (n *Node) advance() error {
 	for n.raft.HasReady() {
 		if err := n.handleReady(); err != nil {
@@ -252,7 +253,7 @@
 	return nil
 }
 
-// publishStopped publishes that this node takes no further part.
+// publishStopped publishes a status without a leader, for a node that no longer takes part in the quorum.
 func (n *Node) publishStopped() {
 	s := *n.status.Load()
 	s.Leader, s.Leads = "", false
@@ -262,7 +263,7 @@
 // Status returns the latest status.
 func (n *Node) Status() Status { return *n.status.Load() }
 
-// publish makes the current status available to other goroutines.
+// publish stores the current status for Status.
 func (n *Node) publish() {
 	b := n.raft.BasicStatus()
 	s := &Status{
@@ -281,8 +282,9 @@
 	n.status.Store(s)
 }
 
-// votes reports whether this node is a voter and no replaced member is one any more. As long as raft is in a joint
-// configuration, it needs a majority of the former members, too, and the failure of another one could leave none.
+// votes reports whether this node is a voter and no replaced member still is one. While raft is in a joint
+// configuration it needs a majority of the former members as well, so that the failure of one more member could leave
+// no majority.
 func (n *Node) votes() bool {
 	return slices.Contains(n.confState.GetVoters(), n.storage.member.Number) && len(n.confState.GetVotersOutgoing()) == 0
 }
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The smaller side of a split agrees on nothing, the larger goes on, and all have the same log once it is over. Three
-// to two, two to one, and ways that are silent in one direction only.
+// During a network partition the minority must commit nothing and the majority must make progress. After it all agents
+// must have the same log. The cases are two agents to one, three to two, and messages lost in one direction only.
 func TestNetworkPartitions(t *testing.T) {
 	for _, c := range []struct {
 		agents   int
@@ -34,9 +34,9 @@
 			t.Parallel()
 			x := newTestCluster(t, c.agents)
 			if !x.propose(x.agents[0], "before", 20*time.Second) {
-				t.Fatal("nothing can be agreed on")
+				t.Fatal("nothing can be committed")
 			}
-			if c.oneWay { // it hears the others, and nobody hears it
+			if c.oneWay { // a0 receives messages of the others, but its own are lost
 				for _, other := range x.names[1:] {
 					x.net.Set("a0", other, netfault.State{Silent: true})
 				}
@@ -44,26 +44,26 @@
 				x.net.Partition(c.minority, x.names, netfault.State{Cut: true})
 			}
 			if !x.propose(x.agents[1], "larger", 20*time.Second) {
-				t.Errorf("%v: the larger side agrees on nothing", c)
+				t.Errorf("%v: the majority commits nothing", c)
 			}
 			if x.propose(x.agents[0], "smaller", 3*time.Second) {
-				t.Errorf("%v: the smaller side agrees on something", c)
+				t.Errorf("%v: the minority commits an entry", c)
 			}
 			if !c.oneWay {
 				if err := x.agents[0].node.Propose(t.Context(), []byte("x")); !errors.Is(err, ErrNoMajority) {
-					t.Errorf("%v: asked on the smaller side: %v", c, err)
+					t.Errorf("%v: proposal at the minority: %v", c, err)
 				}
 			}
 			x.net.Heal()
 			if !x.propose(x.agents[0], "after", 20*time.Second) {
-				t.Errorf("%v: nothing is agreed on after it", c)
+				t.Errorf("%v: nothing is committed after the partition", c)
 			}
 			for _, h := range x.agents {
 				if !h.log.waitFor("after", 20*time.Second) {
-					t.Errorf("%v: %s lacks the end", c, h.name)
+					t.Errorf("%v: %s lacks the last entry", c, h.name)
 				}
 			}
-			// What was proposed again, as its answer was late, may still be on its way to some.
+			// Entries that were proposed again after a timeout may not have reached all agents yet.
 			same := func(h *testAgent) bool { return slices.Equal(h.log.all(), x.agents[0].log.all()) }
 			for _, h := range x.agents[1:] {
 				for until := time.Now().Add(20 * time.Second); !same(h) && time.Now().Before(until); {
@@ -77,15 +77,15 @@
 	}
 }
 
-// A folder is lost: the agent is taken in anew in its old place, by a snapshot, and the old seat's vote is gone. A
-// majority holds even while another one is down.
+// An agent's folder is lost. The agent must be added again as a new member that receives a snapshot, and the old member
+// must lose its vote, so that there is still a majority while another agent is down.
 func TestMemberReplacement(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3)
 	lost := cluster.agents[2]
 	for i := range snapshotInterval + 100 {
 		if i%100 == 0 && !cluster.propose(cluster.agents[0], fmt.Sprint("e", i), 20*time.Second) {
-			t.Fatal("nothing can be agreed on")
+			t.Fatal("nothing can be committed")
 		}
 		cluster.agents[0].node.Propose(t.Context(), []byte(fmt.Sprint("f", i)))
 	}
@@ -107,19 +107,19 @@
 	cluster.agents[0].stop()
 	if !cluster.propose(cluster.agents[1], "two of three", 20*time.Second) ||
 		!lost.log.waitFor("two of three", 20*time.Second) {
-		t.Error("nothing can be agreed on with the new seat")
+		t.Error("nothing can be committed with the new member")
 	}
 	if got := lost.log.all(); !slices.Contains(got, "e0") || len(got) < snapshotInterval {
 		t.Errorf("%d entries came with the snapshot", len(got))
 	}
 	lost.stop()
 	if err := Bootstrap(store.Dir(lost.dir), lost.name, cluster.names); !errors.Is(err, ErrAlreadyBootstrapped) {
-		t.Errorf("founded again: %v", err)
+		t.Errorf("second bootstrap: %v", err)
 	}
 }
 
-// A node that replaces another counts as a voter only once raft needs no majority of the members before the change:
-// until then a further failure would leave nobody who can agree on anything.
+// A node that replaces another must count as a voter only once raft no longer needs a majority of the former members as
+// well: until then the failure of one more agent would leave no majority.
 func TestVoterOnceReplacementIsComplete(t *testing.T) {
 	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), newRecordingMachine()))
 	if err != nil {
@@ -143,8 +143,8 @@
 	}
 }
 
-// Leave for at most two at once, taken and given back by three agents at a time while links come and go: what each saw
-// of its own orders must be explained by one order of all of them.
+// Three agents concurrently acquire and release permits, of which at most two may be held at once, while links fail and
+// recover. The results that each agent observes must be linearizable.
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
 	x := newTestCluster(t, 3)
@@ -153,7 +153,7 @@
 		sender string
 	}
 	const capacity = 2
-	// The machine is the tape; whether an entry had room follows from all before it.
+	// The machine only records the entries. Whether an entry acquired a permit follows from the entries before it.
 	granted := func(list []string, id string) (ok, found bool) {
 		holders := map[string]bool{}
 		for _, e := range list {
@@ -193,7 +193,7 @@
 					continue
 				}
 				op := porcupine.Operation{ClientId: i, Input: in, Call: int64(call), Output: nil, Return: int64(time.Hour)}
-				if h.log.waitFor(text, 500*time.Millisecond) { // else nobody knows: it may take effect at any time later
+				if h.log.waitFor(text, 500*time.Millisecond) { // else the result is unknown: it may take effect later
 					ok, _ := granted(h.log.all(), id)
 					op.Output, op.Return = ok, int64(time.Since(started))
 				} else {
@@ -249,6 +249,6 @@
 		}
 	}
 	if got := porcupine.CheckOperationsTimeout(model, history, 30*time.Second); got == porcupine.Illegal || known < 20 {
-		t.Errorf("%v: %d orders, %d with a known end", got, len(history), known)
+		t.Errorf("%v: %d operations, %d with a known result", got, len(history), known)
 	}
 }
--- a/internal/quorum/propose.go
+++ b/internal/quorum/propose.go
@@ -10,17 +10,17 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// errNotLeading tells that only the leader changes the members.
+// errNotLeading is returned to a proposal of a member at an agent that does not lead.
 var errNotLeading = errors.New("quorum: this agent does not lead")
 
-// proposal asks the node's goroutine to propose an entry or a new member.
+// proposal requests the node's goroutine to propose an entry or a new member.
 type proposal struct {
 	data   []byte
-	member *Member // the member to add; nil: an entry
+	member *Member // the member to add; nil: data is an entry
 	done   chan error
 }
 
-// propose gives a proposal to raft.
+// propose passes a proposal to raft.
 func (n *Node) propose(p proposal) error {
 	if n.raft.BasicStatus().Lead == raft.None {
 		return ErrNoMajority
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// proposeMember proposes a member, which replaces the one of its name. A member that is there already is no error.
+// proposeMember proposes a member, which replaces any member with the same name. It does nothing if the member has
+// already been added.
 func (n *Node) proposeMember(member Member) error {
 	if n.raft.BasicStatus().RaftState != raft.StateLeader {
 		return errNotLeading
@@ -59,18 +60,19 @@
 	return nil
 }
 
-// Propose proposes an entry. It returns ErrNoMajority where there is no leader and ErrStopped after Run has ended. It
-// does not wait until the entry is committed: also without an error the entry may be lost.
+// Propose proposes an entry. It returns ErrNoMajority if there is no leader and ErrStopped after Run has returned. It
+// does not wait until the entry is committed: even if it returns no error the entry may be lost.
 func (n *Node) Propose(ctx context.Context, data []byte) error {
 	return n.submit(ctx, proposal{data: data, done: make(chan error, 1)})
 }
 
-// AddMember proposes a member, in place of the one of its name. Only the leader accepts it.
+// AddMember proposes a member, which replaces any member with the same name. It returns an error unless this node
+// leads.
 func (n *Node) AddMember(ctx context.Context, m Member) error {
 	return n.submit(ctx, proposal{member: &m, done: make(chan error, 1)})
 }
 
-// submit hands a proposal to the node's goroutine and waits for its answer.
+// submit passes a proposal to the node's goroutine and waits for the result.
 func (n *Node) submit(ctx context.Context, p proposal) error {
 	select {
 	case n.proposals <- p:
--- a/internal/quorum/raftlogger.go
+++ b/internal/quorum/raftlogger.go
@@ -6,8 +6,8 @@
 	"log/slog"
 )
 
-// raftLogger passes raft's warnings and errors to the program's log. Raft's ordinary progress is of no use to
-// operators and is dropped.
+// raftLogger writes raft's warnings and errors to the program's log. It drops raft's debug and info messages, which are
+// of no use to operators.
 type raftLogger struct{ log *slog.Logger }
 
 func (raftLogger) Debug(...any)                  {}
--- a/internal/quorum/storage.go
+++ b/internal/quorum/storage.go
@@ -17,8 +17,8 @@
 	"cleathold/internal/store"
 )
 
-// The entities of the store in an agent's folder: the member, raft's hard state (its vote), the latest snapshot, and
-// one for each entry of the log. An append is synced before a message that depends on it is sent.
+// The entities of the store in an agent's folder: the member, raft's hard state (with its vote), the latest snapshot,
+// and one entity for each entry of the log. An append is synced before a message that depends on it is sent.
 const (
 	memberEntity    = 1
 	hardStateEntity = 2
@@ -28,36 +28,36 @@
 	segmentSize     = 4 << 20  // bytes
 )
 
-// Member is an agent's identity in the quorum. The number stays the same as long as its folder is kept.
+// Member is an agent's identity in the quorum. The number does not change unless the agent's folder is lost.
 type Member struct {
 	Name   string `json:"name"`
 	Number uint64 `json:"number"`
 }
 
-// Errors of a folder.
+// Errors of a member's folder.
 var (
 	ErrAlreadyBootstrapped = errors.New("quorum: the folder holds a member already")
 	ErrDamaged             = errors.New("quorum: the folder is damaged and may lack a vote; " +
 		"give the agent an empty one, and it is added anew")
 )
 
-// initialMemberNumber returns the number of a member that was there from the start, by its name.
+// initialMemberNumber returns the number of an initial member, which is derived from its name.
 func initialMemberNumber(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64() | 1
 }
 
-// storage is an agent's folder and the part of it that raft reads from memory.
+// storage is an agent's folder with an in-memory copy of the data that raft reads.
 type storage struct {
 	store      *store.Store
 	memory     *raft.MemoryStorage
 	member     Member
-	firstEntry uint64 // index of the first entry in the folder...
-	lastEntry  uint64 // ...and of the last one
+	firstEntry uint64 // index of the first entry in the folder
+	lastEntry  uint64 // index of the last entry in the folder
 }
 
-// openStore opens the store of a folder. A damaged one is not opened: it may lack a vote.
+// openStore opens the store in a folder. It returns ErrDamaged for a damaged one, which may lack a vote.
 func openStore(fs store.FS, log *slog.Logger) (*store.Store, error) {
 	s, err := store.Open(store.Options{FS: fs, Budget: maxFolderSize, Segment: segmentSize, Durability: store.Each,
 		Log: log})
@@ -71,8 +71,8 @@
 	return s, nil
 }
 
-// Bootstrap creates the folder of one of the first agents. All of them must be given the same names. It returns
-// ErrAlreadyBootstrapped where the folder holds a member.
+// Bootstrap creates the folder of one of the initial agents. The list of all names must be the same for all of them. It
+// returns ErrAlreadyBootstrapped if the folder already holds a member.
 func Bootstrap(fs store.FS, name string, all []string) error {
 	if !slices.Contains(all, name) {
 		return fmt.Errorf("quorum: %s is not among %v", name, all)
@@ -106,12 +106,13 @@
 	return writeMember(s, Member{name, initialMemberNumber(name)}, hardState, snap)
 }
 
-// writeNewMember creates the folder of an agent that is to be added: it has a number of its own, and no vote yet.
+// writeNewMember writes the member of an agent that is to be added to the quorum. It has a random number and no vote
+// yet.
 func writeNewMember(s *store.Store, name string) error {
 	return writeMember(s, Member{name, rand.Uint64()&^1 | 1<<63}, nil, nil)
 }
 
-// writeMember writes the member and, of one that was there from the start, its hard state and snapshot.
+// writeMember writes the member and, unless hard is nil, its hard state and snapshot. Only an initial member has these.
 func writeMember(s *store.Store, member Member, hardState *pb.HardState, snap *pb.Snapshot) error {
 	text, err := json.Marshal(member)
 	if err != nil {
@@ -129,7 +130,7 @@
 	return s.Append(batch...)
 }
 
-// appendProto adds a message to a batch in the place of what the entity held.
+// appendProto appends a record to a batch that replaces the content of an entity with a message.
 func appendProto(batch []store.Record, entity uint64, m proto.Message) ([]store.Record, error) {
 	data, err := proto.Marshal(m)
 	if err != nil {
@@ -138,7 +139,8 @@
 	return append(batch, store.Record{Entity: entity, Kind: store.Base, Time: int64(entity), Data: data}), nil
 }
 
-// openStorage opens a folder. One without a member gets a new one of that name, which is to be added to the quorum.
+// openStorage opens a folder. If the folder holds no member openStorage writes a new one with the given name, which is
+// then to be added to the quorum.
 func openStorage(fs store.FS, name string, log *slog.Logger) (*storage, error) {
 	s, err := openStore(fs, log)
 	if err != nil {
@@ -152,7 +154,7 @@
 	return st, nil
 }
 
-// read loads the folder into memory. A gap in the log means damage.
+// read loads the folder into memory. It returns ErrDamaged if an entry of the log is missing.
 func (st *storage) read(name string) error {
 	if _, exists := st.store.Get(memberEntity); !exists {
 		if err := writeNewMember(st.store, name); err != nil {
@@ -169,7 +171,7 @@
 	return st.appendToMemory(entries)
 }
 
-// readRecords reads the member, the hard state and the snapshot, and returns the entries of the log in their order.
+// readRecords reads the member, the hard state and the snapshot, and returns the entries of the log in order.
 func (st *storage) readRecords() ([]*pb.Entry, error) {
 	var ids []uint64
 	st.store.ByTime(math.MinInt64, func(e store.Entity) bool { ids = append(ids, e.ID); return true })
@@ -194,7 +196,7 @@
 	return entries, nil
 }
 
-// decode takes the latest record of an entity. It returns the entry of the log if it is one.
+// decode decodes the latest record of an entity. It returns a log entry, and stores any other content in st.
 func (st *storage) decode(id uint64, data []byte) (*pb.Entry, error) {
 	switch {
 	case id == memberEntity:
@@ -211,19 +213,19 @@
 			return nil, err
 		}
 		return nil, st.memory.ApplySnapshot(snap)
-	case len(data) > 0: // else it was overwritten by a shorter log
+	case len(data) > 0: // an empty record marks an entry that was truncated from the log
 		entry := &pb.Entry{}
 		return entry, proto.Unmarshal(data, entry)
 	}
 	return nil, nil
 }
 
-// appendToMemory gives raft the entries behind the snapshot. One that is missing is a damage.
+// appendToMemory appends the entries after the snapshot to the log in memory. It returns ErrDamaged if one is missing.
 func (st *storage) appendToMemory(entries []*pb.Entry) error {
 	next, _ := st.memory.FirstIndex()
 	for _, e := range entries {
 		if e.GetIndex() < next {
-			continue // in the snapshot
+			continue // covered by the snapshot
 		}
 		if e.GetIndex() != next {
 			return fmt.Errorf("%w: entry %d is missing", ErrDamaged, next)
@@ -242,7 +244,8 @@
 	return nil
 }
 
-// save stores what raft has ready. After an error the folder has all of it or nothing, and must be opened anew.
+// save stores the data of a raft Ready. After an error the folder holds either all or none of it, and must be opened
+// again.
 func (st *storage) save(hardState *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error {
 	var batch []store.Record
 	var err error
@@ -253,7 +256,7 @@
 		for i := st.firstEntry; i <= st.lastEntry; i++ {
 			kind := store.End
 			if i > snap.GetMetadata().GetIndex() {
-				kind = store.Base // its number comes again
+				kind = store.Base // the index will be used again
 			}
 			batch = append(batch, store.Record{Entity: entryBase + i, Kind: kind, Time: int64(entryBase + i)})
 		}
@@ -270,7 +273,7 @@
 		for i := next; i <= st.lastEntry; i++ {
 			batch = append(batch, store.Record{Entity: entryBase + i, Kind: store.Base, Time: int64(entryBase + i)})
 		}
-		st.lastEntry = max(st.lastEntry, next-1) // the emptied ones end with a later snapshot
+		st.lastEntry = max(st.lastEntry, next-1) // the emptied entities are ended by a later snapshot
 	}
 	if !raft.IsEmptyHardState(hardState) {
 		if batch, err = appendProto(batch, hardStateEntity, hardState); err != nil {
@@ -294,7 +297,8 @@
 	return nil
 }
 
-// compact replaces the entries up to an index by a snapshot, but for the latest ones, which other members may lack.
+// compact replaces the entries up to an index with a snapshot. It keeps the latest of them, up to the number keep, for
+// other members that still lack them.
 func (st *storage) compact(index uint64, conf *pb.ConfState, data []byte, keep uint64) error {
 	snap, err := st.memory.CreateSnapshot(index, conf, data)
 	if err != nil {
@@ -319,5 +323,5 @@
 	return nil
 }
 
-// close closes the store; nothing can be saved after it.
+// close closes the store. Nothing can be saved afterwards.
 func (st *storage) close() error { return st.store.Close() }
--- a/internal/quorum/storage_test.go
+++ b/internal/quorum/storage_test.go
@@ -11,7 +11,7 @@
 	"cleathold/internal/store"
 )
 
-// broken fails writes once told to.
+// failingFS is a file system whose writes fail while full is true.
 type failingFS struct {
 	store.FS
 	full *bool
@@ -41,8 +41,8 @@
 
 var errFull = errors.New("no space left on device")
 
-// A folder that can't be written ends the node before anything is promised, and what it has promised is there when it
-// is opened again. A damaged one is not opened at all.
+// A node whose folder can't be written must stop before it commits anything that is not stored. Entries that it has
+// committed must be there when it is opened again. A damaged folder must not be opened at all.
 func TestStorageFailures(t *testing.T) {
 	dir := t.TempDir()
 	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); err != nil {
@@ -75,14 +75,14 @@
 	}
 	n, m, stop := open()
 	if !proposeAndWait(n, m, "one") {
-		t.Fatal("one agent agrees with itself on nothing")
+		t.Fatal("a single agent commits nothing")
 	}
 	full = true
 	if proposeAndWait(n, m, "two") {
-		t.Error("agreed on what could not be written")
+		t.Error("an entry was committed that could not be written")
 	}
 	if err := stop(); !errors.Is(err, errFull) {
-		t.Errorf("ended by %v", err)
+		t.Errorf("Run returned %v", err)
 	}
 	full = false
 	n, m, stop = open()
@@ -93,7 +93,7 @@
 		t.Error(err)
 	}
 	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); !errors.Is(err, ErrAlreadyBootstrapped) {
-		t.Errorf("founded twice: %v", err)
+		t.Errorf("second bootstrap: %v", err)
 	}
 	if _, err := Open(Config{Name: "b", FS: store.Dir(dir), Machine: newRecordingMachine(),
 		Log: slog.New(slog.DiscardHandler)}); err == nil {
--- a/internal/quorum/transport.go
+++ b/internal/quorum/transport.go
@@ -24,31 +24,31 @@
 const Path = "/v1/raft"
 
 const (
-	maxQueued       = 256             // messages for one member; more are dropped, and raft repeats what is missed
+	maxQueued       = 256             // messages queued for one member; further ones are dropped, and raft repeats them
 	maxBatch        = 64              // messages in one call
 	maxBodySize     = 8 << 20         // bytes
-	callTimeout     = time.Second     // of a call without a snapshot
-	snapshotTimeout = 5 * time.Second // of a call with one
+	callTimeout     = time.Second     // for a call without a snapshot
+	snapshotTimeout = 5 * time.Second // for a call with a snapshot
 )
 
-// delivery is what became of messages to a member, for raft.
+// delivery is a report to raft on the delivery of messages to a member.
 type delivery struct {
 	to        uint64
 	snapshot  bool
 	delivered bool
 }
 
-// transport carries messages to one member, one call after another.
+// transport sends messages to one member, with one call at a time.
 type transport struct {
 	url   string
-	from  string // the name of this agent
+	from  string // name of this agent
 	queue chan *pb.Message
 	http  *http.Client
 	bytes atomic.Int64
 	calls atomic.Int64
 }
 
-// newTransport returns the transport of an agent to the one at an address. run must be called next.
+// newTransport returns the transport from an agent to the one at an address. The caller must call run next.
 func newTransport(from, addr string) *transport {
 	return &transport{
 		url: "http://" + addr + Path, from: from, queue: make(chan *pb.Message, maxQueued),
@@ -56,7 +56,8 @@
 	}
 }
 
-// sendMessages queues messages. A message to an unknown member, or to a full queue, is dropped; raft repeats it.
+// sendMessages queues messages for sending. A message to an unknown member, or to a member whose queue is full, is
+// dropped; raft repeats it.
 func (n *Node) sendMessages(list []*pb.Message) {
 	for _, m := range list {
 		name, known := n.members[m.GetTo()]
@@ -78,7 +79,7 @@
 	}
 }
 
-// runTransports runs the transports until the context ends.
+// runTransports runs the transports until the context ends, and returns when all have stopped.
 func runTransports(ctx context.Context, transports map[string]*transport, deliveries chan<- delivery) {
 	var wg sync.WaitGroup
 	for _, t := range transports {
@@ -87,7 +88,7 @@
 	wg.Wait()
 }
 
-// run sends queued messages until the context ends, and reports what raft must know of.
+// run sends queued messages until the context ends, and reports on their delivery where raft requires it.
 func (t *transport) run(ctx context.Context, deliveries chan<- delivery) {
 	defer t.http.CloseIdleConnections()
 	for {
@@ -105,7 +106,7 @@
 	}
 }
 
-// nextBatch waits for a message and returns it with those behind it, or nothing once the context ends.
+// nextBatch waits for a message and returns it with the messages queued after it, or nil once the context ends.
 func (t *transport) nextBatch(ctx context.Context) []*pb.Message {
 	var batch []*pb.Message
 	select {
@@ -125,8 +126,8 @@
 	return batch
 }
 
-// outcomes lists what raft must know of a call: each snapshot, and once for each member that its messages did not
-// arrive.
+// outcomes returns the reports to raft for one call: one for each snapshot and, if the call failed, at most one more
+// for each member that it had messages for.
 func outcomes(batch []*pb.Message, err error) []delivery {
 	var list []delivery
 	reported := map[uint64]bool{}
@@ -165,14 +166,14 @@
 		return err
 	}
 	defer response.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(response.Body, 1<<12)) // so that the connection can be used again
+	io.Copy(io.Discard, io.LimitReader(response.Body, 1<<12)) // allows reuse of the connection
 	if response.StatusCode != http.StatusOK {
 		return errors.New(response.Status)
 	}
 	return nil
 }
 
-// pack writes each message behind its length in four bytes.
+// pack encodes messages, each preceded by its length in four bytes.
 func pack(list []*pb.Message) ([]byte, error) {
 	var body []byte
 	for _, m := range list {
@@ -185,10 +186,10 @@
 	return body, nil
 }
 
-// errTruncated tells that a body ends within a message.
+// errTruncated is returned for a body that ends within a message.
 var errTruncated = errors.New("cut short")
 
-// unpack reads a body that pack wrote.
+// unpack decodes a body that pack has encoded.
 func unpack(body []byte) (list []*pb.Message, err error) {
 	for len(body) > 0 {
 		if len(body) < 4 {
@@ -207,8 +208,8 @@
 	return list, nil
 }
 
-// Receive is the HTTP handler for messages of other agents, at Path. It answers 400 to a body that can't be read and
-// 410 to one that is meant for a member that this agent is not.
+// Receive is the HTTP handler for messages of other agents, at Path. It responds with status 400 to a body that can't
+// be decoded, and with 410 to a message for a member other than this node.
 func (n *Node) Receive(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodySize))
 	if err != nil {
@@ -230,7 +231,7 @@
 		case <-n.ended:
 			http.Error(w, "stopped", http.StatusServiceUnavailable)
 			return
-		default: // raft repeats what it misses
+		default: // raft repeats messages that are dropped here
 		}
 	}
 }
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Verb is the kind of a command. Its values are stored.
+// Verb is the kind of a command. Its values are stored in the log.
 type Verb string
 
-// The verbs, with the fields that they use. Those of operators need an author and a reason.
+// The verbs, each with the Command fields that it uses. Operators' commands also require By and Reason.
 const (
 	SetTerms        Verb = "terms"        // Terms
-	SetRoster       Verb = "roster"       // Author, Roster: the senders of one agent
+	SetRoster       Verb = "roster"       // By, Roster: replaces the senders of one agent
 	Start           Verb = "plan"         // New, Seen
 	Halt            Verb = "halt"         // Plan
 	Resume          Verb = "resume"       // Plan, Revision
 	RollBack        Verb = "back"         // Plan
 	Activate        Verb = "activate"     // Plan, Senders
-	GrantSenders    Verb = "grant"        // Plan, Asks, Seen
-	Close           Verb = "close"        // Sender, Epoch, Sight
+	GrantSenders    Verb = "grant"        // Plan, Requests, Seen
+	Close           Verb = "close"        // Sender, Epoch, Observation
 	MarkDrained     Verb = "out"          // Sender, Epoch
-	RecordVerdict   Verb = "verdict"      // Plan, Stage, Good, Text
+	RecordVerdict   Verb = "verdict"      // Plan, Stage, Good, Text, Baseline
 	ExcludeEndpoint Verb = "endpoint out" // Endpoint, Listed
 	IncludeEndpoint Verb = "endpoint in"  // Endpoint
 )
@@ -32,7 +32,7 @@
 // Command is an entry of the replicated log.
 type Command struct {
 	Verb     Verb           `json:"verb"`
-	ID       string         `json:"id,omitempty"` // by which the proposer recognizes its own command
+	ID       string         `json:"id,omitempty"` // lets the proposer recognize its own command
 	At       time.Time      `json:"at"`
 	By       string         `json:"by"`
 	Reason   string         `json:"reason,omitempty"`
@@ -43,7 +43,7 @@
 	Revision uint64         `json:"revision,omitempty"`
 	Senders  []string       `json:"senders,omitempty"`
 	Requests []GrantRequest `json:"asks,omitempty"`
-	// senders that the proposer saw serving, none longer than Timing.Fresh before At
+	// senders that the proposer observed to serve, at most Timing.Fresh before At
 	Seen        []string     `json:"seen,omitempty"`
 	Sender      string       `json:"sender,omitempty"`
 	Epoch       uint64       `json:"epoch,omitempty"`
@@ -51,12 +51,12 @@
 	Stage       int          `json:"stage,omitempty"`
 	Good        bool         `json:"good,omitempty"`
 	Text        string       `json:"text,omitempty"`
-	Baseline    *Sums        `json:"others,omitempty"` // baseline of the stage that is left
+	Baseline    *Sums        `json:"others,omitempty"` // sums of the unchanged senders in the completed stage
 	Endpoint    string       `json:"endpoint,omitempty"`
-	Listed      []Endpoint   `json:"listed,omitempty"` // all that the proposer knows
+	Listed      []Endpoint   `json:"listed,omitempty"` // all endpoints that the proposer knows
 }
 
-// Event is a line of the history that operators read.
+// Event is an entry of the event history that operators read.
 type Event struct {
 	Index  uint64    `json:"index"`
 	At     time.Time `json:"at"`
--- a/internal/rollout/endpoint.go
+++ b/internal/rollout/endpoint.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// changeEndpoint excludes an endpoint, or includes it again.
+// changeEndpoint excludes an endpoint or ends its exclusion.
 func (s *State) changeEndpoint(index uint64, c Command) (string, error) {
 	if c.By == "" || c.Reason == "" {
 		return "", reject("an author and a reason are needed")
@@ -37,8 +37,9 @@
 	return fmt.Sprintf("endpoint %s of destination %d is out", e.ID, e.Dest), nil
 }
 
-// checkEndpointBudget returns why an endpoint can't be excluded, or nil. Endpoints that discovery drains, and those
-// that are being included again, count as out; the last one of a destination is never excluded.
+// checkEndpointBudget returns an error that says why an endpoint can't be excluded, or nil. Endpoints that discovery
+// drains count as out, and so do endpoints that were included again but may still be excluded at some senders. The
+// last endpoint of a destination is never excluded.
 func (s *State) checkEndpointBudget(e Endpoint, listed []Endpoint) error {
 	b := s.Terms.Budget
 	outOfDest, outOfKind, serving := map[string]bool{}, map[string]bool{}, 0
@@ -60,7 +61,7 @@
 			serving++
 		}
 	}
-	for _, x := range s.Endpoints { // some may not be listed any more
+	for _, x := range s.Endpoints { // discovery may no longer list some of them
 		if x.ID != e.ID {
 			count(x.Endpoint)
 		}
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// forgetIncluded forgets endpoints that were included so long ago that no sender can still exclude them.
+// forgetIncluded deletes the endpoints that were included again so long ago that no sender can still exclude them.
 func (s *State) forgetIncluded(now time.Time) {
 	t := s.Terms.Timing
 	maps.DeleteFunc(s.Endpoints, func(_ string, x *EndpointExclusion) bool {
@@ -85,7 +86,7 @@
 	})
 }
 
-// ExcludedEndpoints returns the ids of the excluded endpoints in order.
+// ExcludedEndpoints returns the sorted IDs of the excluded endpoints.
 func (s *State) ExcludedEndpoints() (list []string) {
 	for id, x := range s.Endpoints {
 		if x.Back.IsZero() {
@@ -101,14 +102,15 @@
 	ID   string `json:"id"`
 	Dest int    `json:"dest"`
 	Kind int    `json:"kind"`
-	Up   bool   `json:"up"` // else discovery drains it
+	Up   bool   `json:"up"` // false: discovery drains it
 }
 
-// EndpointExclusion is an endpoint that operators have excluded, or include again: senders learn of it within a lease.
+// EndpointExclusion is an endpoint that operators have excluded. It is kept for a while after the endpoint was included
+// again, since senders may apply the change up to a lease later.
 type EndpointExclusion struct {
 	Endpoint
 	By     string    `json:"by"`
 	Reason string    `json:"reason"`
 	At     time.Time `json:"at"`
-	Back   time.Time `json:"back,omitzero"` // when it was included again; zero: it is excluded
+	Back   time.Time `json:"back,omitzero"` // when the exclusion ended; zero: still excluded
 }
--- a/internal/rollout/endpoint_test.go
+++ b/internal/rollout/endpoint_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// Endpoints out at once: e0 to e3 are of destination 1, f0 and f1 of 2, all of one kind but f1.
+// Checks which endpoints may be excluded at the same time. e0 to e3 belong to destination 1, f0 and f1 to destination
+// 2. All are of the same kind except f1.
 func TestEndpointExclusions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		budget Budget
-		steps  string // "out:x", "in:x", "drained:x" by discovery, "later"
-		want   string // of the last
+		steps  string // "out:x" excludes x, "in:x" includes it, "drained:x": discovery drains it
+		want   string // part of the last step's error; empty: no error
 	}{
 		{"one", Budget{Endpoints: 1}, "out:e0", ""},
 		{"none may be", Budget{}, "out:e0", "0 may be"},
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// Watch gathers what the gates of stages are decided by. It belongs to the leading agent: a new leader gathers anew,
-// which takes longer, but lets nothing pass that the old one would not have. The sums of the unchanged senders are
-// replicated with each stage that is left, since in the last stage none remain to compare with. The zero value is
-// ready for use.
+// Watch collects the data on which the verdicts of the stages' gates are based. Only the leading agent keeps it. A new
+// leader starts with an empty Watch: its verdicts take longer, but it accepts no stage that the previous leader would
+// have failed. The sums of the unchanged senders are replicated whenever a stage is completed, since no unchanged
+// sender is left for the comparison in the last stage. The zero value is ready for use.
 type Watch struct{ plans map[uint64]*stageWatch }
 
-// stageWatch is what was gathered of the current stage of a plan.
+// stageWatch is the data collected for the current stage of a plan.
 type stageWatch struct {
 	stage    int
-	since    time.Time              // when all of its senders had changed; zero: not yet
-	baseline map[string]Observation // of all senders at that time
+	since    time.Time              // when all senders of the stage had changed; zero: not yet
+	baseline map[string]Observation // the observations of all senders at that time
 
-	notServingSince map[string]time.Time // by sender: since when one that is changing was seen not to serve
+	notServingSince map[string]time.Time // by changing sender: since when it is observed not to serve
 
-	lateBaseline Sums      // the changed senders' sums when late first attempts were last found, or cleared
-	lateSince    time.Time // when that was, if it is to be confirmed; else zero
+	lateBaseline Sums      // the changed senders' sums when the share of late first attempts was last found or cleared
+	lateSince    time.Time // when late first attempts were found that are still to be confirmed; else zero
 }
 
-// Verdict says whether a stage may be left, as far as Known, and why.
+// Verdict is the result of a gate's check: whether the plan may leave the stage, and why. Good and Text are valid only
+// if Known is true.
 type Verdict struct {
 	Good, Known bool
 	Text        string
-	Baseline    Sums // the sums with which the changed senders were compared
+	Baseline    Sums // the sums that the changed senders were compared with
 }
 
-// Verdict returns the verdict on the current stage of a plan. Several plans may run.
+// Verdict returns the verdict on the current stage of a plan. Several plans may run at the same time.
 func (w *Watch) Verdict(s *State, p *Plan, observations map[string]Observation, now time.Time) Verdict {
 	if w.plans == nil {
 		w.plans = map[uint64]*stageWatch{}
@@ -52,7 +53,7 @@
 	return x.verdict(s, p, observations, now)
 }
 
-// failed returns the verdict that a stage may not be left, and why.
+// failed returns the verdict that the plan may not leave a stage, with the reason.
 func failed(format string, args ...any) Verdict {
 	return Verdict{Known: true, Text: fmt.Sprintf(format, args...)}
 }
@@ -100,13 +101,13 @@
 	return true
 }
 
-// comparison is what the changed senders and the others have done since the stage was complete.
+// comparison holds the counts of the changed senders and of the others since all senders of the stage had changed.
 type comparison struct {
 	changed, others Sums
-	unobserved      string // a changed sender that was not observed lately
+	unobserved      string // a changed sender without a fresh observation, if any
 }
 
-// compare sums up what the senders have done. It returns a verdict if a changed sender has failed.
+// compare sums up the senders' counters since the baseline. It returns a verdict if a changed sender has failed.
 func (w *stageWatch) compare(
 	s *State, p *Plan, observations map[string]Observation, now time.Time,
 ) (comparison, *Verdict) {
@@ -133,7 +134,7 @@
 				v := failed("%s changed and does not serve: %s", name, observed.Phase)
 				return x, &v
 			}
-			if stale { // its agent is away, which says nothing of the version
+			if stale { // its agent does not report, which is no evidence against the version
 				x.unobserved = name
 			}
 		default:
@@ -143,8 +144,9 @@
 	return x, nil
 }
 
-// updateBaseline returns the baseline of a sender and its latest observation. A new leader completes its baseline
-// with the first observation of a process, and with the count of restarts that only the sender's own agent knows.
+// updateBaseline returns the baseline of a sender and its latest observation. A new leader may lack data in its
+// baseline: updateBaseline adds the first observation of a process, and the count of restarts, which only the sender's
+// own agent knows.
 func (w *stageWatch) updateBaseline(name string, observed Observation) (before, after Observation) {
 	before = w.baseline[name]
 	if before.Process == "" && observed.Process != "" {
@@ -158,8 +160,8 @@
 	return before, observed
 }
 
-// decide returns the verdict where nothing is worse: once the gate's soak is over and enough messages were compared,
-// or its wait is over.
+// decide returns the verdict where the comparison found no regression. The verdict is known once the gate's soak is
+// over and enough messages were compared, or once the gate's wait is over.
 func (w *stageWatch) decide(
 	p *Plan, x comparison, pending bool, observations map[string]Observation, now time.Time,
 ) Verdict {
@@ -185,10 +187,10 @@
 	return Verdict{}
 }
 
-// lostSender returns a sender of the stage that went out and has not served for the soak of the gate since, as
-// observed by its own agent, or nothing. An agent that is still changing the version observes nothing, so that its
-// observation is stale. Without this rule a version that becomes unresponsive right after the change would leave its
-// grant open, and the plan waiting, forever.
+// lostSender returns the name of a sender of the stage that went out of service and has since been observed by its own
+// agent not to serve for the gate's soak, or "". While an agent changes a sender's version it makes no observations,
+// so that its last one is stale. Without this rule a version that becomes unresponsive right after the change would
+// leave its grant open, and the plan waiting, forever.
 func (w *stageWatch) lostSender(s *State, p *Plan, observations map[string]Observation, now time.Time) string {
 	if w.notServingSince == nil {
 		w.notServingSince = map[string]time.Time{}
@@ -197,7 +199,7 @@
 	for _, name := range p.Stages[p.Stage] {
 		g, v := s.Grants[name], observations[name]
 		known := !v.Far && v.At.After(now.Add(-s.Terms.Timing.Fresh))
-		active := g != nil && v.Epoch == g.Epoch && !v.Ended // the agent ends or renews an active lease
+		active := g != nil && v.Epoch == g.Epoch && !v.Ended // the agent renews or ends an active lease
 		if p.Tasks[name].Step != Granted || g == nil || active || v.Serving {
 			delete(w.notServingSince, name)
 			continue
@@ -212,9 +214,10 @@
 	return lost
 }
 
-// confirmLate returns why the changed senders' first attempts are late, once that was found twice, a soak apart, or
-// that this is still to be seen. Messages that wait for one faulty destination are late together, so that a single
-// finding may be chance; and a sender that has just started learns of a fault later than the others.
+// confirmLate returns the reason why the changed senders fail for late first attempts, or pending while a first finding
+// is still to be confirmed. It takes two findings, a soak apart: messages that wait for one faulty destination are late
+// together, so that a single finding may be chance, and a sender that has just started detects a fault later than the
+// others.
 func (w *stageWatch) confirmLate(changed, others Sums, g Gate, now time.Time) (reason string, pending bool) {
 	since := changed
 	since.Called, since.Late = changed.Called-w.lateBaseline.Called, changed.Late-w.lateBaseline.Late
@@ -232,18 +235,18 @@
 	return late, false
 }
 
-// Gate is the condition under which a release goes on to its next stage.
+// Gate is the condition under which a release proceeds to its next stage.
 type Gate struct {
-	MinMessages int           `json:"least"` // messages with an outcome, at the changed senders and at the others
-	Soak        time.Duration `json:"soak"`  // minimum time
-	Wait        time.Duration `json:"wait"`  // halted if the verdict is not known by then
-	Slack       float64       `json:"slack"` // by which a share may be worse, besides chance
+	MinMessages int           `json:"least"` // messages with an outcome, of the changed senders and of the others
+	Soak        time.Duration `json:"soak"`  // minimum time after the last change of the stage before it may pass
+	Wait        time.Duration `json:"wait"`  // the gate fails if there is no verdict by then
+	Slack       float64       `json:"slack"` // by how much a share may be worse, in addition to chance
 }
 
-// DefaultGate is the gate of a plan that gives none.
+// DefaultGate has the values for the fields that a plan's gate leaves at zero.
 var DefaultGate = Gate{MinMessages: 30, Soak: 5 * time.Second, Wait: 10 * time.Minute, Slack: 0.02}
 
-// withDefaults replaces what a gate leaves out by the defaults.
+// withDefaults returns the gate with its zero fields replaced by those of DefaultGate.
 func (g Gate) withDefaults() Gate {
 	u := DefaultGate
 	return Gate{cmp.Or(g.MinMessages, u.MinMessages), cmp.Or(g.Soak, u.Soak), cmp.Or(g.Wait, u.Wait),
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// What the first stage's gate makes of a version, and how many senders ever ran it.
+// Checks the verdict of the first stage's gate on versions of different behavior, and that only one sender ever ran
+// them.
 func TestGateVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
 		simulate func(x *testFleet, changed string)
@@ -40,7 +41,7 @@
 				})
 			}
 		}, "stage 2 of"},
-		// Of a destination in trouble when the version began: late together, and never again.
+		// A destination was faulty when the version started: its messages are late together, and none are late afterwards.
 		"nine that waited together": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) {
@@ -130,8 +131,8 @@
 	}
 }
 
-// Another agent leads once all have changed: there is nobody left to compare with, and what the others were like in the
-// stages before is agreed on. It is compared with as before: a version that has grown worse does not pass.
+// The leader changes after all senders have changed, so that no unchanged sender is left for the comparison. The new
+// leader must compare with the replicated sums of the earlier stages: a version that has become worse must not pass.
 func TestGateOfNewLeader(t *testing.T) {
 	for name, failed := range map[string]int64{"as before": 0, "worse": 6} {
 		x := newTestFleet(t, 10, Budget{Fleet: 9})
@@ -142,8 +143,8 @@
 			x.advance(time.Second)
 			x.addTraffic(20, noFailures)
 		}
-		x.run(x.carryOut) // the last ones change...
-		x.watch = Watch{} // ...and the next leader has seen none of it
+		x.run(x.carryOut) // the last senders change
+		x.watch = Watch{} // the next leader has no data of the earlier stages
 		for range 90 {
 			x.advance(time.Second)
 			x.addTraffic(20, func(string) int64 { return failed })
@@ -158,8 +159,8 @@
 	}
 }
 
-// A leader that looks at a sender itself does not know how often it crashed: what its agent tells later is no crash
-// since.
+// A leader that polls a sender itself does not know its number of restarts. When the sender's agent reports the number
+// later, these restarts must not count as crashes since the change.
 func TestGateOfRemoteObservation(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 3})
 	id := x.release(Plan{Gate: Gate{Wait: time.Minute}})
@@ -176,11 +177,12 @@
 	x.advance(time.Second)
 	x.observe(changed, func(v *Observation) { v.Facts.Restarts = 3 })
 	if x.run(nil); x.state.Plan(id).Phase != Halted {
-		t.Error("a crash since is not seen")
+		t.Error("a later crash was not detected")
 	}
 }
 
-// A release goes by building, one, a few, then a tenth at a time, and each stage waits for its gate.
+// A release proceeds by building: one sender, then a few, then a tenth of them per stage. Each stage waits for its
+// gate.
 func TestReleaseStages(t *testing.T) {
 	x := newTestFleet(t, 40, Budget{Fleet: 4, Building: 4})
 	id := x.release(Plan{})
@@ -210,8 +212,8 @@
 	}
 }
 
-// A version that served its agent's question and fell silent before the next sight leaves its grant open: that halts
-// the release, once its agent has not seen it serve for the gate's soak, and no sooner.
+// A version that responds to its agent right after the change, but not before the next observation, leaves its grant
+// open. The release must halt once the agent has observed for the gate's soak that it does not serve, and not earlier.
 func TestSilentBeforeFirstObservation(t *testing.T) {
 	for name, c := range map[string]struct {
 		seen Observation
@@ -250,7 +252,7 @@
 	}
 }
 
-// Two releases at once, of different senders: each has its gates, and both come to their ends.
+// Two releases of different senders run at the same time. Each has its own gates, and both must finish.
 func TestTwoReleases(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 4})
 	a := x.release(Plan{Stages: [][]string{{"n0", "n2", "n4"}}})
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -6,7 +6,7 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenRollout writes and reads the entries of the log and its snapshot as 096da04 did.
+// TestGoldenRollout checks that the entries and the snapshots of the log are encoded and decoded as in commit 096da04.
 func TestGoldenRollout(t *testing.T) {
 	golden.JSON[Command](t, "command.json")
 	golden.JSON[State](t, "state.json")
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// grant opens the requested grants for which the budget has room. The entry is rejected if it has room for none.
+// grant opens those of the requested grants that the budget allows. If it allows none the entry is rejected.
 func (s *State) grant(index uint64, c Command) (string, error) {
 	p := s.Plan(c.Plan)
 	if p == nil || p.Phase != Running && p.Phase != RollingBack {
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("plan %d: %s may go out", p.ID, strings.Join(granted, ", ")), nil
 }
 
-// openGrant opens a grant of an epoch for a sender that waits in a plan.
+// openGrant opens a grant with the given epoch for a waiting sender of a plan.
 func (s *State) openGrant(epoch uint64, p *Plan, request GrantRequest, at time.Time) {
 	t, m := p.Tasks[request.Sender], s.Members[request.Sender]
 	g := &Grant{
@@ -58,7 +58,7 @@
 	t.Step, t.Epoch, t.Since, t.Why = Granted, g.Epoch, at, ""
 }
 
-// openGrants returns how many of a plan's senders have open grants.
+// openGrants returns the number of a plan's senders that have open grants.
 func (s *State) openGrants(p *Plan) (n int) {
 	for name := range p.Tasks {
 		if g := s.Grants[name]; g != nil && g.Plan == p.ID {
@@ -68,25 +68,25 @@
 	return n
 }
 
-// Closable reports whether an observation proves that the sender serves and a grant can have no effect any more.
+// Closable reports whether an observation proves that the sender serves and that a grant can have no further effect.
 func (s *State) Closable(g *Grant, v *Observation) bool {
 	margin := 2 * s.Terms.Timing.Error
 	switch {
 	case !v.Serving || v.Sender != g.Sender:
 		return false
-	case v.Far: // only the sender's own agent knows whether a change is under way
+	case v.Far: // only the sender's own agent knows whether a version change is in progress
 		return false
-	case v.Epoch >= g.Epoch && v.Ended: // it rejects all further copies of the order
+	case v.Epoch >= g.Epoch && v.Ended: // the sender rejects all further copies of the order
 		return true
 	case v.Epoch > g.Epoch:
 		return false
-	case v.Process != g.Process: // a later process, for which the order is not meant
+	case v.Process != g.Process: // a later process, which the order does not address
 		return v.At.After(g.ObservedAt.Add(margin)) && !(v.Epoch == g.Epoch && !v.Ended)
 	}
-	return v.Epoch < g.Epoch && v.At.After(g.By.Add(margin)) // too late, also by the sender's clock
+	return v.Epoch < g.Epoch && v.At.After(g.By.Add(margin)) // the grant has expired by the sender's clock, too
 }
 
-// close ends a grant whose sender serves for good again, and moves its task on.
+// close closes a grant that can have no further effect and whose sender serves again, and advances the sender's task.
 func (s *State) close(index uint64, c Command) (string, error) {
 	g := s.Grants[c.Sender]
 	if g == nil || g.Epoch != c.Epoch || c.Observation == nil {
@@ -112,16 +112,16 @@
 	return s.changeClosed(index, p, t, g, c)
 }
 
-// notTaken reports whether a sender has not taken up a grant, as far as was observed.
+// notTaken reports whether the observation shows no sign that the sender has taken up a grant.
 func (v *Observation) notTaken(g *Grant) bool { return v.FaultEpoch != g.Epoch && v.Epoch != g.Epoch }
 
-// drainClosed moves on the task of a drain whose grant has ended.
+// drainClosed advances the task of a drain whose grant was closed.
 func (s *State) drainClosed(index uint64, p *Plan, t *Task, g *Grant, c Command) (string, error) {
 	switch {
 	case p.RolledBack || t.Step == Returning:
 	case c.Observation.notTaken(g) && t.Step == Granted && c.Observation.Process == g.Process:
 		return s.retryOrFail(index, p, t, c, "")
-	default: // it crashed while it was out, or nobody renewed its lease: it must go out again
+	default: // the sender crashed while it was out, or its lease was not renewed: it must be drained again
 		t.Step = Waiting
 		return fmt.Sprintf("%s came back by itself, and is to go out again", c.Sender), nil
 	}
@@ -130,7 +130,7 @@
 	return fmt.Sprintf("%s serves again", c.Sender), nil
 }
 
-// changeClosed moves on the task of a release whose grant has ended.
+// changeClosed advances the task of a release whose grant was closed.
 func (s *State) changeClosed(index uint64, p *Plan, t *Task, g *Grant, c Command) (string, error) {
 	m := s.Members[c.Sender]
 	if c.Observation.Version == g.To.Name {
@@ -145,7 +145,7 @@
 		t.Step = done
 		s.finish(index, p)
 		return fmt.Sprintf("%s runs %s", c.Sender, target.Name), nil
-	case g.To.Name != target.Name: // the plan was rolled back meanwhile
+	case g.To.Name != target.Name: // the plan was rolled back while the grant was open
 		t.Step = Waiting
 		return fmt.Sprintf("%s runs %s, and is to go back", c.Sender, m.Version.Name), nil
 	case c.Observation.notTaken(g):
@@ -154,8 +154,8 @@
 	return s.retryOrFail(index, p, t, c, c.Observation.Fault)
 }
 
-// retryOrFail has a sender wait for another grant after one that it did not take up. After several, or with a fault,
-// its task fails.
+// retryOrFail sets a task to wait for another grant after the sender has not taken one up. The task fails instead
+// after maxGrantAttempts grants, or if there is a fault.
 func (s *State) retryOrFail(index uint64, p *Plan, t *Task, c Command, fault string) (string, error) {
 	if fault == "" {
 		if t.Attempts++; t.Attempts < maxGrantAttempts {
@@ -169,7 +169,7 @@
 	return fmt.Sprintf("plan %d is %s: %s: %s", p.ID, p.Phase, c.Sender, fault), nil
 }
 
-// markDrained notes that a sender is drained.
+// markDrained records that a sender is drained.
 func (s *State) markDrained(c Command) (string, error) {
 	g := s.Grants[c.Sender]
 	if g == nil || g.Epoch != c.Epoch || !g.Drain {
@@ -184,17 +184,17 @@
 	return fmt.Sprintf("%s is drained", c.Sender), nil
 }
 
-// Grant permits one sender to go out. It stays open until an observation proves that no copy of it can have effect
-// any more.
+// Grant permits one sender to go out of service. It stays open until an observation proves that no copy of it can have
+// any further effect.
 type Grant struct {
 	Epoch      uint64    `json:"epoch"`
 	Plan       uint64    `json:"plan"`
 	Sender     string    `json:"sender"`
 	Process    string    `json:"process"`
-	ObservedAt time.Time `json:"saw"` // time of the observation on which it rests
+	ObservedAt time.Time `json:"saw"` // time of the observation for which it was requested
 	At         time.Time `json:"at"`
-	By         time.Time `json:"by"`
-	Until      time.Time `json:"until"`
+	By         time.Time `json:"by"`    // the sender must take it up before
+	Until      time.Time `json:"until"` // end of its lease, unless renewed
 	Drain      bool      `json:"drain,omitempty"`
 	To         Version   `json:"to,omitzero"`
 }
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A testFleet is a fleet under test: a state, what is seen, and a clock.
+// testFleet is a fleet under test: a state, the latest observations, and a clock.
 type testFleet struct {
 	t            *testing.T
 	state        *State
@@ -56,7 +56,7 @@
 	x.observations[name] = v
 }
 
-// advance lets time pass in which all are observed unchanged.
+// advance advances the clock and then observes all senders unchanged.
 func (x *testFleet) advance(d time.Duration) {
 	x.now = x.now.Add(d)
 	for name := range x.observations {
@@ -64,7 +64,8 @@
 	}
 }
 
-// run proposes and applies until nothing more comes; takes, unless nil, has a sender take its grant.
+// run proposes and applies commands until there are no more. Unless takeGrant is nil, run calls it for each grant that
+// its sender has not taken up.
 func (x *testFleet) run(takeGrant func(g *Grant)) {
 	for range 100 {
 		list := x.state.Next(x.observations, &x.watch, x.now)
@@ -82,10 +83,10 @@
 			}
 		}
 	}
-	x.t.Fatal("no end of proposals")
+	x.t.Fatal("the proposals do not end")
 }
 
-// carryOut has a sender take its grant and run the version of it.
+// carryOut makes a sender take up its grant: it drains, or runs the grant's version.
 func (x *testFleet) carryOut(g *Grant) {
 	x.advance(time.Millisecond)
 	x.observe(g.Sender, func(v *Observation) {
@@ -111,7 +112,8 @@
 	return x.must(Command{Verb: Start, Reason: "r", New: &p, Seen: x.state.Seen(x.observations, x.now)})
 }
 
-// addTraffic has senders end so many messages each, a part of which fail.
+// addTraffic adds n messages with an outcome to each sender's counters. failed returns how many of them fail at a
+// sender.
 func (x *testFleet) addTraffic(n int64, failed func(name string) int64) {
 	for name := range x.observations {
 		x.observe(name, func(v *Observation) {
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -13,9 +13,9 @@
 	"cleathold/internal/lease"
 )
 
-// The model has three agents, each beside one sender, one log, and everything in between late, twice or never: sights
-// on their way, entries proposed by agents that may lead no more, orders, ends. Clocks differ. It knows what is true,
-// and wants the budget kept by it.
+// The model has one log and three agents with one sender each. Everything that passes between them may arrive late,
+// more than once or never: observations, entries proposed by agents that may no longer lead, orders, and ends of
+// leases. Clocks differ. The model knows the senders' actual state and checks the budget against it.
 const (
 	modelFresh  = 6 * time.Millisecond
 	modelAccept = 8 * time.Millisecond
@@ -32,7 +32,7 @@
 	process         int
 	leases          lease.Holder
 	clockOffset     time.Duration
-	notServingSince time.Duration // since when it does not serve without an order; -1 = it serves
+	notServingSince time.Duration // since when it does not serve although it has no order; -1: it serves
 }
 
 type model struct {
@@ -46,7 +46,7 @@
 	senders      [agents]*modelSender
 	lastProcess  int
 
-	// In flight; what is delivered may stay, and come again.
+	// In flight. Delivered items may stay here and be delivered again.
 	proposals            []Command
 	observationsInFlight []struct {
 		to int
@@ -85,7 +85,7 @@
 
 func (m *model) nextProcess() int { m.lastProcess++; return m.lastProcess }
 
-// apply has an agent apply one entry more.
+// apply makes an agent apply the next entry. It returns false if there is none.
 func (m *model) apply(i int) bool {
 	if m.applied[i] >= len(m.log) {
 		return false
@@ -95,7 +95,7 @@
 	return true
 }
 
-// observe has an agent poll its sender and send the observation to all agents.
+// observe makes an agent poll its sender and send the observation to all agents.
 func (m *model) observe(i int) {
 	s := m.senders[i]
 	if !s.alive || s.stopped {
@@ -118,7 +118,7 @@
 	}
 }
 
-// observeRemotely has an agent poll the sender of another agent, for itself.
+// observeRemotely makes an agent poll the sender of another agent. It does not send the observation to other agents.
 func (m *model) observeRemotely(i, k int) {
 	s := m.senders[k]
 	if i == k || !s.alive || s.stopped {
@@ -137,7 +137,7 @@
 	}
 }
 
-// propose has an agent propose what it computes to come next, whether or not it leads.
+// propose makes an agent propose its next commands, whether or not it leads.
 func (m *model) propose(i int) {
 	for _, c := range m.states[i].Next(m.observations[i], &m.watches[i], modelTime(m.now+m.clockOffsets[i])) {
 		c.By = fmt.Sprint("a", i)
@@ -145,7 +145,7 @@
 	}
 }
 
-// sendOrder has an agent send its sender what is granted.
+// sendOrder makes an agent send its sender the order for its grant, or the end of the lease.
 func (m *model) sendOrder(i int) {
 	g := m.states[i].Grants[modelNames[i]]
 	if g == nil {
@@ -164,7 +164,7 @@
 	}{i, lease.Order{Process: g.Process, Epoch: g.Epoch, By: g.By, Until: g.Until, Drain: true}})
 }
 
-// takeOrder delivers an order to a sender. The budget is checked here.
+// takeOrder delivers an order to a sender. It records a violation if more senders are out than the budget allows.
 func (m *model) takeOrder(k int) {
 	delivery := m.orders[k]
 	s := m.senders[delivery.to]
@@ -204,7 +204,7 @@
 	}
 }
 
-// stopOrContinue is SIGSTOP, or SIGCONT for one that is stopped: it goes on with the view that it had.
+// stopOrContinue simulates SIGSTOP, or SIGCONT for a stopped sender. A continued sender keeps its former state.
 func (m *model) stopOrContinue(i int) {
 	s := m.senders[i]
 	if !s.alive {
@@ -227,7 +227,7 @@
 	}
 }
 
-// actions are the steps that may come next.
+// actions returns the steps without faults that are possible next.
 func (m *model) actions() []func() {
 	list := []func(){func() { m.advance(modelStep) }, func() { m.advance(5 * modelStep) }}
 	for i := range agents {
@@ -237,7 +237,7 @@
 			list = append(list, func() { m.apply(i) })
 		}
 	}
-	// The latest in flight come first, but old ones come, too.
+	// Of the items in flight, the latest few can be delivered, the very last one first.
 	for _, k := range latest(len(m.observationsInFlight), 6) {
 		list = append(list, func() { m.receive(m.observationsInFlight[k].to, m.observationsInFlight[k].v) })
 	}
@@ -257,7 +257,7 @@
 	return list
 }
 
-// faults are the faults of senders that may come next.
+// faults returns the faults of senders that are possible next.
 func (m *model) faults() []func() {
 	var list []func()
 	for i := range agents {
@@ -266,7 +266,7 @@
 	return list
 }
 
-// latest returns the indices of the last of n things, the very last first.
+// latest returns the indices of the last items of n, in descending order, limit at most.
 func latest(n, limit int) (list []int) {
 	for i := n - 1; i >= 0 && len(list) < limit; i-- {
 		list = append(list, i)
@@ -274,7 +274,7 @@
 	return list
 }
 
-// deliverAll delivers all observations and applies all entries, so that histories make progress.
+// deliverAll delivers all observations and applies all entries. Without it random histories would make little progress.
 func (m *model) deliverAll() {
 	for i := range agents {
 		m.observe(i)
@@ -288,8 +288,8 @@
 	}
 }
 
-// runRound plays a round without faults: observations, entries, orders and ends. Orders are delivered or stay in
-// flight.
+// runRound runs a round without faults: observations, entries, orders and ends of leases. If deliver is false the
+// orders stay in flight.
 func (m *model) runRound(leader, sender int, deliver bool) {
 	m.deliverAll()
 	before := len(m.proposals)
@@ -316,7 +316,7 @@
 	}
 }
 
-// requestGrant has an agent propose a grant for any sender, in any order: safety must not rest on which is next.
+// requestGrant makes an agent propose a grant for any waiting sender, since safety must not depend on the order.
 func (m *model) requestGrant(i, k int) {
 	s, v := m.states[i], m.observations[i][modelNames[k]]
 	now := modelTime(m.now + m.clockOffsets[i])
@@ -328,7 +328,7 @@
 	}
 }
 
-// resumeOrStart resumes halted plans, and starts a new one once all are over.
+// resumeOrStart resumes halted plans, and starts a new plan if none is open.
 func (m *model) resumeOrStart(i int) {
 	s := m.states[i]
 	open := false
@@ -343,7 +343,8 @@
 	}
 }
 
-// Random histories. By hand: go test ./internal/rollout -run Histories -rapid.checks=100000
+// Checks the budget in random histories. For a longer run:
+// go test ./internal/rollout -run RandomHistories -rapid.checks=100000
 func TestRandomHistories(t *testing.T) {
 	taken := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -392,15 +393,16 @@
 		taken += m.ordersTaken
 	})
 	if taken == 0 {
-		t.Error("nobody ever went out")
+		t.Error("no sender ever took an order")
 	}
 }
 
-// deep is how many steps are gone through in every order, from each of some states on the way of a drain. By hand:
-// go test ./internal/rollout -run EveryOrder -deep 4 (seven minutes)
-var deep = flag.Int("deep", 2, "steps of TestEveryOrder")
+// deep is the length of the step sequences that TestAllInterleavings runs from each of its start states. For a longer
+// run: go test ./internal/rollout -run AllInterleavings -deep 4 (takes seven minutes)
+var deep = flag.Int("deep", 2, "steps of TestAllInterleavings")
 
-// Every order of what may come next, up to a depth, from the states that a drain goes through.
+// Checks the budget in all sequences of possible steps, up to the length deep, from each state that a drain goes
+// through.
 func TestAllInterleavings(t *testing.T) {
 	fast, slow, sequences := modelError, -modelError, 0
 	for _, offsets := range [][2 * agents]time.Duration{{}, {fast, slow, slow, slow, fast, slow},
@@ -459,5 +461,5 @@
 	t.Logf("%d orders of %d steps", sequences, *deep)
 }
 
-// names of the members, for tests.
+// names returns the sorted names of the members.
 func (s *State) names() []string { return slices.Sorted(maps.Keys(s.Members)) }
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Seen returns the senders that were observed to serve, not longer than Timing.Fresh ago, in order.
+// Seen returns the sorted names of the senders that were observed to serve at most Timing.Fresh ago.
 func (s *State) Seen(observations map[string]Observation, now time.Time) []string {
 	var list []string
 	for name := range s.Members {
@@ -18,8 +18,8 @@
 	return list
 }
 
-// Next returns what the leading agent should propose now. Observed changes come first, since everything else depends
-// on them.
+// Next returns the commands that the leading agent should propose now. If there are observed changes it returns only
+// these, since all other decisions depend on them.
 func (s *State) Next(observations map[string]Observation, w *Watch, now time.Time) []Command {
 	if list := s.observedChanges(observations, now); len(list) > 0 {
 		return list
@@ -44,7 +44,8 @@
 	return list
 }
 
-// observedChanges returns the commands for what the observations prove: that grants have ended, or senders are drained.
+// observedChanges returns the commands for the changes that the observations prove: grants that can be closed and
+// senders that are drained.
 func (s *State) observedChanges(observations map[string]Observation, now time.Time) []Command {
 	var list []Command
 	for _, name := range slices.Sorted(maps.Keys(s.Grants)) {
@@ -66,7 +67,7 @@
 	return list
 }
 
-// holdElapsed returns the senders of a drain that have been out for as long as it holds, in order.
+// holdElapsed returns the sorted names of the senders of a drain that have been out for the plan's hold time.
 func (p *Plan) holdElapsed(now time.Time) []string {
 	if p.Kind != Drain || p.Hold <= 0 || !p.Phase.Open() {
 		return nil
@@ -99,13 +100,13 @@
 	return c, true
 }
 
-// requestGrants returns the command for as many grants as the budget allows now, if any.
+// requestGrants returns the command that requests as many grants as the budget allows now, if any.
 func (s *State) requestGrants(
 	p *Plan, fleet availability, observations map[string]Observation, now time.Time,
 ) (Command, bool) {
 	c := Command{Verb: GrantSenders, At: now, Plan: p.ID}
 	order := p.Stages[p.Stage]
-	if p.RolledBack { // in the reverse order
+	if p.RolledBack { // a rollback goes through the senders in reverse order
 		order = s.Order(slices.Collect(maps.Keys(p.Tasks)))
 		slices.Reverse(order)
 	}
@@ -119,7 +120,7 @@
 			break
 		}
 		v := observations[name]
-		// nobody would carry out the grant of a sender whose agent is silent
+		// without its own agent nothing would carry out the sender's grant
 		if t.Step != Waiting || m == nil || v.Far || s.checkBudget(fleet, m) != nil {
 			continue
 		}
@@ -132,20 +133,20 @@
 	return c, len(c.Requests) > 0
 }
 
-// Duty is what an agent must do about a grant of one of its senders.
+// Duty is the action that an agent must take on a grant of one of its senders.
 type Duty uint8
 
 // The duties.
 const (
 	NoDuty Duty = iota
-	Take        // give the order to the sender
-	Renew       // the lease of a drain
-	End         // order it back
-	Fail        // end a change that an earlier process of the agent began
+	Take        // order the sender to take up the grant
+	Renew       // renew the lease of a drain
+	End         // order the sender to serve again
+	Fail        // end a version change that an earlier process of the agent began
 )
 
-// Duty returns the duty for a grant, by an observation of the sender. lastTaken is the epoch that the sender was last
-// ordered to take up.
+// Duty returns the duty for a grant, given an observation of the sender. lastTaken is the epoch of the latest grant
+// that the sender was ordered to take up.
 func (s *State) Duty(g *Grant, observed Observation, lastTaken uint64, now time.Time) Duty {
 	p := s.Plan(g.Plan)
 	endWanted := p == nil || p.Tasks[g.Sender] == nil || p.Tasks[g.Sender].Step == Returning || !p.Phase.Open()
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// fail halts a plan, or rolls it back if it is a release that wants that and is not rolled back yet.
+// fail halts a plan. A release with RollBackOnFailure is rolled back instead, unless it is being rolled back already.
 func (s *State) fail(index uint64, p *Plan, why string) {
 	if p.RollBackOnFailure && p.Kind == Release && !p.RolledBack {
 		s.rollBack(index, p, why)
@@ -18,7 +18,8 @@
 	}
 }
 
-// rollBack has the changed senders of a plan go back, and leaves the others as they are.
+// rollBack starts the rollback of a plan: changed senders return to their former version, and drained ones to service.
+// The others stay as they are.
 func (s *State) rollBack(index uint64, p *Plan, why string) {
 	p.Phase, p.RolledBack, p.Why, p.Revision = RollingBack, true, why, index
 	for name, t := range p.Tasks {
@@ -39,8 +40,8 @@
 	s.finish(index, p)
 }
 
-// finish ends a plan if all its tasks are done. A release that is not rolled back ends by the verdict on its last
-// stage.
+// finish ends a plan if all its tasks are done. A release that is not rolled back ends with the verdict on its last
+// stage instead.
 func (s *State) finish(index uint64, p *Plan) {
 	for _, t := range p.Tasks {
 		if t.Step != Finished && t.Step != Kept {
@@ -55,7 +56,7 @@
 	}
 }
 
-// activate ends the drain of senders, or of all senders of the plan.
+// activate ends the drain of the named senders, or of all senders of the plan if none is named.
 func (s *State) activate(c Command) (string, error) {
 	p := s.Plan(c.Plan)
 	if p == nil || !p.Phase.Open() || p.Kind != Drain {
@@ -82,7 +83,7 @@
 	return fmt.Sprintf("plan %d: %s back to work", p.ID, strings.Join(names, ", ")), nil
 }
 
-// changePhase halts, resumes or rolls back a plan by order of an operator.
+// changePhase halts, resumes or rolls back a plan at the request of an operator.
 func (s *State) changePhase(index uint64, c Command) (string, error) {
 	p := s.Plan(c.Plan)
 	switch {
@@ -98,7 +99,7 @@
 		if p.Phase != Halted {
 			p.Phase = Halted
 		}
-		// also if it is halted, so that a resume ordered before is rejected
+		// The revision changes even if the plan is halted already, so that an earlier request to resume is rejected.
 		p.Why, p.Revision = fmt.Sprintf("%s: %s", c.By, c.Reason), index
 		return fmt.Sprintf("plan %d is halted", p.ID), nil
 	case Resume:
@@ -126,7 +127,7 @@
 	return fmt.Sprintf("plan %d goes back", p.ID), nil
 }
 
-// applyVerdict applies the verdict on the current stage of a release.
+// applyVerdict applies a verdict on the current stage of a release: the release proceeds, ends or fails.
 func (s *State) applyVerdict(index uint64, c Command) (string, error) {
 	p := s.Plan(c.Plan)
 	if p == nil || p.Phase != Running || p.RolledBack || p.Kind != Release || p.Stage != c.Stage {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// secondStageSize is the size of the second stage; later ones are a tenth of the senders.
+// secondStageSize is the maximum size of the second stage. Later stages have a tenth of the senders.
 const secondStageSize = 3
 
-// Stages divides senders into stages: one, then a few, then a tenth of them at a time, in the given order.
+// Stages divides senders, in the given order, into stages: one sender, then a few, then a tenth of them per stage.
 func Stages(names []string) [][]string {
 	var stages [][]string
 	tenth := max(1, (len(names)+9)/10)
@@ -39,7 +39,7 @@
 	return slices.Compact(list)
 }
 
-// building returns the building of a sender.
+// building returns the building of a sender, or "" for an unknown sender.
 func (s *State) building(name string) string {
 	if m := s.Members[name]; m != nil {
 		return m.Building
@@ -47,7 +47,7 @@
 	return ""
 }
 
-// start adds a new plan.
+// start adds a new plan. Beyond maxPlans it replaces the oldest plan that is no longer open.
 func (s *State) start(index uint64, c Command) (string, error) {
 	p, err := s.Draft(index, c)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("plan %d: %s of %d senders in %d stages", p.ID, p.Kind, len(p.Tasks), len(p.Stages)), nil
 }
 
-// Draft returns the plan that a command would start, or an error that wraps ErrRejected. It changes nothing.
+// Draft returns the plan that a command would start, or an error that wraps ErrRejected. It does not change the state.
 func (s *State) Draft(index uint64, c Command) (*Plan, error) {
 	request := c.New
 	if err := s.checkRequest(c); err != nil {
@@ -105,7 +105,7 @@
 	return p, nil
 }
 
-// checkRequest checks the command for a new plan by itself.
+// checkRequest checks the command for a new plan, apart from the senders that it names.
 func (s *State) checkRequest(c Command) error {
 	request := c.New
 	switch {
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// plannedSenders returns the senders of a new plan in order. None of them may be in another open plan.
+// plannedSenders returns the senders of a new plan, sorted by Order. It returns an error if one of them is unknown or
+// in another open plan.
 func (s *State) plannedSenders(request *Plan) ([]string, error) {
 	names := slices.Concat(request.Stages...)
 	if len(names) == 0 {
@@ -150,7 +151,7 @@
 	return names, nil
 }
 
-// Kind is the kind of a plan. Its values are stored.
+// Kind is the kind of a plan. Its values are stored in the log.
 type Kind string
 
 // The kinds of plan.
@@ -159,7 +160,7 @@
 	Release Kind = "release"
 )
 
-// Phase is the phase of a plan. Its values are stored.
+// Phase is the phase of a plan. Its values are part of the stored state.
 type Phase string
 
 // The phases.
@@ -171,10 +172,10 @@
 	Ended       Phase = "ended" // rolled back
 )
 
-// Open reports whether a plan in this phase may still change anything.
+// Open reports whether a plan in this phase is still in progress or may be resumed.
 func (p Phase) Open() bool { return p == Running || p == Halted || p == RollingBack }
 
-// Step is the step of one sender in a plan. Its values are stored.
+// Step is the progress of one sender in a plan. Its values are part of the stored state.
 type Step string
 
 // The steps.
@@ -182,23 +183,23 @@
 	Waiting   Step = "waiting"
 	Granted   Step = "granted"
 	Out       Step = "out"       // drained
-	Returning Step = "returning" // ordered back
+	Returning Step = "returning" // ordered to serve again
 	Finished  Step = "finished"
 	Failed    Step = "failed"
-	Kept      Step = "kept" // unchanged, or as it was before the plan
+	Kept      Step = "kept" // not changed by the plan, or restored to its former version
 )
 
-// Task is one sender's part in a plan.
+// Task is the state of one sender in a plan.
 type Task struct {
 	Step     Step      `json:"step"`
-	Epoch    uint64    `json:"epoch,omitempty"` // of the latest grant
-	Attempts int       `json:"tries,omitempty"` // grants that the sender did not take up
-	Since    time.Time `json:"since,omitzero"`  // of the step
-	From     Version   `json:"from,omitzero"`   // its version before the plan
+	Epoch    uint64    `json:"epoch,omitempty"` // epoch of the latest grant
+	Attempts int       `json:"tries,omitempty"` // number of grants that the sender did not take up
+	Since    time.Time `json:"since,omitzero"`  // start of the step
+	From     Version   `json:"from,omitzero"`   // the sender's version before the plan
 	Why      string    `json:"why,omitempty"`
 }
 
-// Plan is a drain or a release that operators have ordered.
+// Plan is a drain or a release that an operator has requested.
 type Plan struct {
 	ID                uint64           `json:"id"`
 	Kind              Kind             `json:"kind"`
@@ -206,16 +207,16 @@
 	Reason            string           `json:"reason"`
 	At                time.Time        `json:"at"`
 	To                Version          `json:"to,omitzero"`
-	AtOnce            int              `json:"at_once,omitempty"` // of its senders out at once; 0: as the budget allows
-	Hold              time.Duration    `json:"hold,omitempty"`    // drains: how long; 0: until they are activated
+	AtOnce            int              `json:"at_once,omitempty"` // maximum of its senders out at once; 0: the budget's
+	Hold              time.Duration    `json:"hold,omitempty"`    // drain: time that senders stay out; 0: until activated
 	Gate              Gate             `json:"gate,omitzero"`
-	RollBackOnFailure bool             `json:"go_back,omitempty"` // else a failed gate halts it
+	RollBackOnFailure bool             `json:"go_back,omitempty"` // false: a failure halts the plan
 	Stages            [][]string       `json:"stages"`
 	Stage             int              `json:"stage"`
 	Phase             Phase            `json:"phase"`
-	RolledBack        bool             `json:"back,omitempty"` // it rolls back, or has
+	RolledBack        bool             `json:"back,omitempty"` // the plan is being rolled back or has been
 	Why               string           `json:"why,omitempty"`
-	Revision          uint64           `json:"revision"` // changes with each order; a resume must name it
+	Revision          uint64           `json:"revision"` // changes with the phase and with each order; Resume must name it
 	Tasks             map[string]*Task `json:"tasks"`
-	Baseline          *Sums            `json:"others,omitempty"` // the baseline of the latest gate
+	Baseline          *Sums            `json:"others,omitempty"` // sums of unchanged senders at the last passed gate
 }
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -7,8 +7,7 @@
 	"strings"
 )
 
-// setRoster replaces the senders of one agent. A sender with an open grant, or in an open plan, stays until that is
-// over.
+// setRoster replaces the senders of one agent. A sender with an open grant or in an open plan is not removed.
 func (s *State) setRoster(c Command) (string, error) {
 	if len(c.Roster) > MaxSenders {
 		return "", reject("%d senders, %d at most", len(c.Roster), MaxSenders)
@@ -37,7 +36,7 @@
 	}
 	for _, m := range c.Roster {
 		if existing := s.Members[m.Name]; existing != nil && existing.Version.Name != "" {
-			m.Version = existing.Version // the version is agreed on; an agent can't set it
+			m.Version = existing.Version // the version is replicated state, which an agent can't overwrite
 		}
 		s.Members[m.Name] = &m
 	}
@@ -47,13 +46,14 @@
 // inUse reports whether a sender has an open grant or is in an open plan.
 func (s *State) inUse(name string) bool { return s.Grants[name] != nil || s.planOf(name) != nil }
 
-// availability is which senders of a fleet are out, and how many by building.
+// availability records which senders of a fleet are out of service, and how many of each building.
 type availability struct {
 	out           map[string]bool
 	outByBuilding map[string]int
 }
 
-// availability counts a sender as out if it has an open grant, or is not among those that were seen serving.
+// availability returns the availability of the fleet. A sender counts as out if it has an open grant or is not among
+// those that were observed to serve.
 func (s *State) availability(seen []string) availability {
 	serving := make(map[string]bool, len(seen))
 	for _, name := range seen {
@@ -69,7 +69,7 @@
 	return counts
 }
 
-// checkBudget returns why a sender can't go out as well, or nil.
+// checkBudget returns an error that says why the budget does not allow another sender to go out, or nil.
 func (s *State) checkBudget(fleet availability, m *Member) error {
 	b := s.Terms.Budget
 	switch {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// firstNames lists the first few of a set.
+// firstNames formats the first five names of a set and the number of the others.
 func firstNames(set map[string]bool) string {
 	names := slices.Sorted(maps.Keys(set))
 	if n := len(names); n > 5 {
@@ -94,18 +94,18 @@
 	return strings.Join(names, ", ")
 }
 
-// Version is a program with its configuration.
+// Version is a program and, optionally, a configuration for each sender.
 type Version struct {
 	Name    string `json:"name"`
 	Program string `json:"program"`          // path on the sender's machine
-	Config  string `json:"config,omitempty"` // folder there with a NAME.json for each sender; empty: the sender's own file
+	Config  string `json:"config,omitempty"` // folder there with NAME.json for each sender; empty: no change
 }
 
 // Member is a sender in the roster.
 type Member struct {
 	Name     string   `json:"name"`
 	Building string   `json:"building,omitempty"`
-	Agent    string   `json:"agent"`           // the one on its machine
-	Reach    []string `json:"reach,omitempty"` // its admin addresses
+	Agent    string   `json:"agent"`           // name of the agent on its machine
+	Reach    []string `json:"reach,omitempty"` // admin addresses (host:port)
 	Version  Version  `json:"version"`
 }
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -7,26 +7,26 @@
 	"slices"
 )
 
-// Bounds of a state.
+// Limits of a state.
 const (
 	MaxSenders        = 10_000
-	maxPlans          = 64   // open and ended ones
-	maxEvents         = 1000 // the latest
-	maxGrantsPerEntry = 255  // grants of one entry
-	maxGrantAttempts  = 3    // grants that a sender may leave untaken
+	maxPlans          = 64   // open and ended plans
+	maxEvents         = 1000 // the latest events are kept
+	maxGrantsPerEntry = 255  // fits the low 8 bits of a grant's epoch
+	maxGrantAttempts  = 3    // a task fails once its sender has not taken up this many grants
 )
 
 // State is the replicated state of a fleet. It is not safe for concurrent use.
 type State struct {
-	Index   uint64             `json:"index"` // of the last entry applied
+	Index   uint64             `json:"index"` // index of the last entry applied
 	Terms   Terms              `json:"terms,omitzero"`
 	Members map[string]*Member `json:"members"`
-	Grants  map[string]*Grant  `json:"grants"` // open ones, by sender
-	Plans   []*Plan            `json:"plans"`  // by ID
-	Events  []Event            `json:"events"` // by Index
+	Grants  map[string]*Grant  `json:"grants"` // open grants by sender
+	Plans   []*Plan            `json:"plans"`  // ordered by ID
+	Events  []Event            `json:"events"` // ordered by Index
 
 	Endpoints      map[string]*EndpointExclusion `json:"endpoints,omitempty"`
-	ExclusionEpoch uint64                        `json:"aside,omitempty"` // index of the entry that changed them last
+	ExclusionEpoch uint64                        `json:"aside,omitempty"` // index of the last entry that changed Endpoints
 }
 
 // New returns the state before the first entry of the log.
@@ -34,7 +34,7 @@
 	return &State{Members: map[string]*Member{}, Grants: map[string]*Grant{}, Endpoints: map[string]*EndpointExclusion{}}
 }
 
-// ErrRejected means that a command changed nothing.
+// ErrRejected is returned for a command that was rejected and changed nothing.
 var ErrRejected = errors.New("refused")
 
 // reject returns an error that wraps ErrRejected.
@@ -42,8 +42,8 @@
 	return fmt.Errorf("%w: %s", ErrRejected, fmt.Sprintf(format, args...))
 }
 
-// Apply applies an entry of the log. Its effect depends on the state and the entry alone. After an error, which wraps
-// ErrRejected, the entry changed nothing but Index. An entry that was applied before changes nothing.
+// Apply applies an entry of the log. Its effect depends only on the state and the entry. An error wraps ErrRejected;
+// the entry has then changed nothing but Index. An entry that was applied before changes nothing.
 func (s *State) Apply(index uint64, c Command) error {
 	if index <= s.Index {
 		return nil
@@ -84,7 +84,7 @@
 	return err
 }
 
-// Plan returns a plan, or nil.
+// Plan returns the plan with an ID, or nil.
 func (s *State) Plan(id uint64) *Plan {
 	i, found := slices.BinarySearchFunc(s.Plans, id, func(p *Plan, id uint64) int { return cmp.Compare(p.ID, id) })
 	if !found {
@@ -93,7 +93,7 @@
 	return s.Plans[i]
 }
 
-// planOf returns the open plan of a sender, or nil.
+// planOf returns the open plan that includes a sender, or nil.
 func (s *State) planOf(sender string) *Plan {
 	for _, p := range s.Plans {
 		if t := p.Tasks[sender]; p.Phase.Open() && t != nil {
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The budget in each of its parts: who is granted leave at once, of four senders in two buildings, of which some are
-// not seen.
+// Checks each limit of the budget: how many of four senders in two buildings are granted at once, with some of them not
+// observed lately.
 func TestBudget(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -44,8 +44,8 @@
 	}
 }
 
-// Each sight of a sender and whether it closes its grant: epoch 5, by 2 s after the grant, clocks wrong by 250 ms at
-// most.
+// Checks which observations of a sender close its grant. The grant has epoch 5 and must be taken up within 2 s; clocks
+// are wrong by 250 ms at most.
 func TestClosable(t *testing.T) {
 	x := newTestFleet(t, 2, Budget{Fleet: 1})
 	at := func(s float64) time.Time { return x.now.Add(time.Duration(s * float64(time.Second))) }
@@ -84,7 +84,7 @@
 	}
 }
 
-// What staff may not ask for, and that nothing changes then.
+// Checks that invalid commands are rejected and leave the state unchanged.
 func TestRejectedCommands(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 2})
 	first := x.drain("n0")
@@ -132,7 +132,8 @@
 	}
 }
 
-// Two operators: whoever halts last wins over a resume that has not seen it.
+// Two operators act at the same time: a request to resume must be rejected if the plan was halted again after the
+// revision that the request names.
 func TestStaleResumeRejected(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 1})
 	id := x.drain("n0", "n1")
@@ -140,18 +141,18 @@
 	stale := x.state.Plan(id).Revision
 	x.must(Command{Verb: Halt, Reason: "again, by another", Plan: id})
 	if err := x.apply(Command{Verb: Resume, Reason: "r", Plan: id, Revision: stale}); !errors.Is(err, ErrRejected) {
-		t.Errorf("resume of what was seen before the second halt: %v", err)
+		t.Errorf("resume with the revision before the second halt: %v", err)
 	}
 	if x.run(nil); len(x.state.Grants) != 0 {
-		t.Error("a halted plan goes on")
+		t.Error("a halted plan proceeds")
 	}
 	x.must(Command{Verb: Resume, Reason: "r", Plan: id, Revision: x.state.Plan(id).Revision})
 	if x.run(nil); len(x.state.Grants) != 1 {
-		t.Error("a resumed plan does not go on")
+		t.Error("a resumed plan does not proceed")
 	}
 }
 
-// An agent opens its folder anew, and all of its log comes once more: nothing changes by it.
+// An agent that opens its folder again applies its whole log once more. That must not change the state.
 func TestCommandAppliedTwice(t *testing.T) {
 	terms, at, replay := DefaultTerms, time.Unix(1000, 0).UTC(), New()
 	terms.Budget = Budget{Fleet: 2}
@@ -171,7 +172,7 @@
 	}
 }
 
-// A version that does not come to serve halts the release at its first sender, or has it go back, as asked.
+// A version that does not start to serve halts the release at its first sender, or rolls it back if requested.
 func TestFailedChange(t *testing.T) {
 	for _, rollBack := range []bool{false, true} {
 		x := newTestFleet(t, 10, Budget{Fleet: 3})
@@ -193,7 +194,7 @@
 	}
 }
 
-// A grant that is never taken up is given again, and the third time halts the plan.
+// A grant that is not taken up is followed by another one. After the third the plan halts.
 func TestGrantNotTaken(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 1})
 	id := x.drain("n0")
@@ -210,8 +211,8 @@
 	}
 }
 
-// Going back from the middle of a release: those that changed run the old version again, within the same budget, and
-// one that is on its way when the plan turns does so, too.
+// A rollback in the middle of a release: the changed senders return to the old version within the same budget, and so
+// do senders whose change is in progress when the rollback starts.
 func TestRollBack(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 2})
 	id := x.release(Plan{Gate: Gate{MinMessages: 1, Soak: time.Second}})
@@ -226,7 +227,7 @@
 	}
 	x.must(Command{Verb: RollBack, Reason: "r", Plan: id})
 	most := 0
-	for _, g := range x.state.Grants { // on their way as the plan turns
+	for _, g := range x.state.Grants { // changes in progress when the rollback starts
 		x.carryOut(g)
 	}
 	x.run(func(g *Grant) {
@@ -245,7 +246,7 @@
 	}
 }
 
-// A drain holds its senders out until they are activated, or for as long as asked, and then takes the next ones.
+// A drain keeps its senders out until they are activated or its hold time is over, and then drains the next ones.
 func TestDrains(t *testing.T) {
 	for _, hold := range []time.Duration{0, time.Minute} {
 		x := newTestFleet(t, 4, Budget{Fleet: 2})
@@ -261,13 +262,13 @@
 		}
 		x.run(x.carryOut)
 		if n := len(x.state.Grants); n != 2 {
-			t.Fatalf("%d out", n)
+			t.Fatalf("%d senders are out", n)
 		}
 		x.advance(2 * time.Minute)
 		if hold == 0 {
 			x.run(nil)
 			if x.state.Plan(id).Tasks["n1"].Step != Waiting {
-				t.Fatal("the third goes out before the first are back")
+				t.Fatal("the third sender goes out before the first two serve again")
 			}
 			x.must(Command{Verb: Activate, Reason: "r", Plan: id, Senders: []string{"n0", "n2"}})
 		}
@@ -275,7 +276,7 @@
 		finishReturn()
 		x.run(x.carryOut)
 		if x.state.Plan(id).Tasks["n1"].Step != Out || len(x.state.Grants) != 1 {
-			t.Fatalf("hold %v: the third is %s", hold, x.state.Plan(id).Tasks["n1"].Step)
+			t.Fatalf("hold %v: the third sender is %s", hold, x.state.Plan(id).Tasks["n1"].Step)
 		}
 		x.advance(2 * time.Minute)
 		if hold == 0 {
@@ -290,7 +291,7 @@
 	}
 }
 
-// A state that goes through its text is the same, and goes on the same way.
+// A state that was encoded as JSON and decoded again must be the same and return the same next commands.
 func TestStateJSONRoundTrip(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 2})
 	x.release(Plan{})
@@ -304,7 +305,7 @@
 		t.Fatal(err)
 	}
 	if again, _ := json.Marshal(copied); string(again) != string(text) {
-		t.Error("not the same")
+		t.Error("the decoded state is encoded differently")
 	}
 	for name := range x.state.Grants {
 		v := x.observations[name]
--- a/internal/rollout/sums.go
+++ b/internal/rollout/sums.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Sums are the counters of several senders over a time.
+// Sums are the counts of several senders over a period of time.
 type Sums struct {
 	Rejected int64   `json:"refused"`
 	Accepted int64   `json:"taken"`
@@ -14,10 +14,11 @@
 	Called   int64   `json:"called"`
 	Late     int64   `json:"late"`
 	Senders  int     `json:"senders"`
-	MemoryMB float64 `json:"memory_mb"` // the highest of one sender
+	MemoryMB float64 `json:"memory_mb"` // the highest value of any of the senders
 }
 
-// add adds what a sender has done since an earlier observation. A new process has started to count at zero.
+// add adds the difference between two observations of a sender. If they are of different processes the counts of the
+// current one are added in full, since a process starts to count at zero.
 func (x *Sums) add(current, earlier Observation) {
 	counts, base := current.Facts, earlier.Facts
 	if current.Process != earlier.Process {
@@ -33,7 +34,7 @@
 	x.Senders++
 }
 
-// regression returns in what the changed senders are regression than the others, or nothing.
+// regression returns a description of the measure in which the changed senders are worse than the others, or "".
 func regression(changed, others Sums, g Gate) string {
 	if why := shareRegression("messages refused", changed.Rejected, changed.Accepted+changed.Rejected, others.Rejected,
 		others.Accepted+others.Rejected, g); why != "" {
@@ -50,13 +51,14 @@
 	return ""
 }
 
-// lateRegression returns that more first attempts of the changed senders are late than of the others, or nothing.
+// lateRegression returns a description if the changed senders have a greater share of late first attempts than the
+// others, or "".
 func lateRegression(changed, others Sums, g Gate) string {
 	return shareRegression("time to the first call too long", changed.Late, changed.Called, others.Late, others.Called, g)
 }
 
-// shareRegression returns that n of total is a greater share than n0 of total0, by more than the slack of the gate and
-// chance, or nothing.
+// shareRegression returns a description if n of total is a greater share than otherN of otherTotal, by more than the
+// gate's slack and chance explain, or "".
 func shareRegression(measure string, n, total, otherN, otherTotal int64, g Gate) string {
 	if minimum := int64(g.MinMessages); total < minimum || otherTotal < minimum || total == 0 || otherTotal == 0 {
 		return ""
@@ -70,11 +72,12 @@
 	return fmt.Sprintf("%s: %.1f%% of %d, %.1f%% of %d beside them", measure, 100*share, total, 100*otherShare, otherTotal)
 }
 
-// Parameters of the comparison. A share is worse if it is higher than the other by the slack of the plan's gate and
-// by more standard errors than chance explains; memory, if it is higher by the factor and by the margin. Times are
-// compared by the share that is late, as one message that waits for seconds would move the mean of a few.
+// Parameters of the comparison. A share is worse if it exceeds the other by more than the slack of the plan's gate plus
+// maxStandardErrors. Memory use is worse if it exceeds the other both by the factor and by the margin. Times are
+// compared by the share of late messages, because a single message that waits for seconds would distort the mean of a
+// few.
 const (
-	maxStandardErrors = 3.0 // which chance exceeds in less than one of some hundred comparisons
+	maxStandardErrors = 3.0 // chance exceeds this in fewer than one of several hundred comparisons
 	memoryFactor      = 1.5
 	memoryMarginMB    = 24.0 // MB
 )
--- a/internal/rollout/terms.go
+++ b/internal/rollout/terms.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Check returns what is wrong with terms for a fleet of so many senders; 0: unknown.
+// Check returns an error if the terms are invalid, or unsuitable for a fleet of the given number of senders. The number
+// is 0 if it is not known.
 func (t Terms) Check(senders int) error {
 	budget, timing := t.Budget, t.Timing
 	switch {
@@ -28,7 +29,7 @@
 	return nil
 }
 
-// setTerms changes the terms.
+// setTerms replaces the terms, unless they are invalid.
 func (s *State) setTerms(c Command) (string, error) {
 	if c.Terms == nil {
 		return "", reject("no terms")
@@ -41,31 +42,31 @@
 	return fmt.Sprintf("terms: %d out at once, %d of a building, %d must serve", b.Fleet, b.Building, b.Serving), nil
 }
 
-// Budget bounds how many senders and endpoints may be out at once.
+// Budget limits how many senders and endpoints may be out at once.
 type Budget struct {
-	Fleet    int `json:"fleet"`    // senders; 1 at least
-	Building int `json:"building"` // senders of one building; 0: no bound of its own
-	Serving  int `json:"serving"`  // senders that must serve
+	Fleet    int `json:"fleet"`    // maximum number of senders out; at least 1
+	Building int `json:"building"` // maximum number of senders out of one building; 0: no separate limit
+	Serving  int `json:"serving"`  // minimum number of senders that serve
 
-	Endpoints int `json:"endpoints"` // of one destination; 0: none may be excluded
-	Kind      int `json:"kind"`      // of one kind; 0: no bound
+	Endpoints int `json:"endpoints"` // maximum number of endpoints out of one destination; 0: none may be excluded
+	Kind      int `json:"kind"`      // maximum number of endpoints out of one kind; 0: no limit
 }
 
-// Timing is the timing on which the guarantees rest.
+// Timing has the time limits on which the safety of grants depends.
 type Timing struct {
-	Fresh  time.Duration `json:"fresh"`  // an older observation proves nothing
-	Accept time.Duration `json:"accept"` // a grant is taken up within this, or never
-	Lease  time.Duration `json:"lease"`  // a lease that is not renewed ends after this
-	Error  time.Duration `json:"error"`  // the largest error of any clock
+	Fresh  time.Duration `json:"fresh"`  // an older observation is not evidence that a sender serves
+	Accept time.Duration `json:"accept"` // a sender takes up a grant within this time or not at all
+	Lease  time.Duration `json:"lease"`  // a lease that is not renewed ends after this time
+	Error  time.Duration `json:"error"`  // upper bound of the error of any clock
 }
 
-// Terms are the settings of a fleet, on which all agents agree.
+// Terms are the settings of a fleet. They are part of the replicated state.
 type Terms struct {
 	Budget Budget `json:"budget"`
 	Timing Timing `json:"timing"`
 }
 
-// DefaultTerms are the terms without settings.
+// DefaultTerms are the terms of a fleet for which none are configured.
 var DefaultTerms = Terms{
 	Budget: Budget{Fleet: 1},
 	Timing: Timing{Fresh: time.Second, Accept: 2 * time.Second, Lease: 10 * time.Second, Error: 250 * time.Millisecond},
