--- a/internal/quorum/helpers_test.go
+++ b/internal/quorum/helpers_test.go
@@ -112,12 +112,12 @@
 		x.net.Close()
 	})
 	for i := range n {
-		sock, err := net.Listen("tcp4", "127.0.0.1:0")
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		x.names = append(x.names, fmt.Sprint("a", i))
-		x.agents = append(x.agents, &testAgent{name: x.names[i], dir: t.TempDir(), listener: sock,
+		x.agents = append(x.agents, &testAgent{name: x.names[i], dir: t.TempDir(), listener: listener,
 			peers: map[string]string{}})
 	}
 	for _, a := range x.agents {
@@ -156,16 +156,16 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+Path, node.Receive)
 	h.server = &http.Server{Handler: mux}
-	sock, err := h.listener.(*net.TCPListener).File()
+	file, err := h.listener.(*net.TCPListener).File()
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	defer sock.Close()
-	l, err := net.FileListener(sock)
+	defer file.Close()
+	listener, err := net.FileListener(file)
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	go h.server.Serve(l)
+	go h.server.Serve(listener)
 }
 
 // propose proposes an entry repeatedly until its proposer has applied it. It returns false after the timeout.
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -158,17 +158,17 @@
 		holders := map[string]bool{}
 		for _, e := range list {
 			var take bool
-			var who, by string
-			fmt.Sscan(e, &take, &who, &by)
-			held := holders[who]
+			var sender, operation string
+			fmt.Sscan(e, &take, &sender, &operation)
+			held := holders[sender]
 			acquired := take && !held && len(holders) < capacity
 			if acquired {
-				holders[who] = true
+				holders[sender] = true
 			}
 			if !take {
-				delete(holders, who)
+				delete(holders, sender)
 			}
-			if by == id {
+			if operation == id {
 				return acquired || !take && held, true
 			}
 		}
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -15,7 +15,7 @@
 	RollBack        Verb = "back"         // Plan
 	Activate        Verb = "activate"     // Plan, Senders
 	GrantSenders    Verb = "grant"        // Plan, Requests, Seen
-	Close           Verb = "close"        // Sender, Epoch, Observation
+	CloseGrant      Verb = "close"        // Sender, Epoch, Observation
 	MarkDrained     Verb = "out"          // Sender, Epoch
 	RecordVerdict   Verb = "verdict"      // Plan, Stage, Good, Text, Baseline
 	ExcludeEndpoint Verb = "endpoint out" // Endpoint, Listed
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -118,15 +118,15 @@
 				last = e
 			}
 		}
-		ran := 0
+		changedCount := 0
 		for _, m := range x.state.Members {
 			if m.Version.Name == "v2" {
-				ran++
+				changedCount++
 			}
 		}
-		if !strings.Contains(last, c.want) || ran != 1 ||
+		if !strings.Contains(last, c.want) || changedCount != 1 ||
 			(x.state.Plan(id).Phase == Running) != strings.HasPrefix(c.want, "stage") {
-			t.Errorf("%s: %s, %d ran it: %s; want %s", name, x.state.Plan(id).Phase, ran, last, c.want)
+			t.Errorf("%s: %s, %d ran it: %s; want %s", name, x.state.Plan(id).Phase, changedCount, last, c.want)
 		}
 	}
 }
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -138,7 +138,7 @@
 	}
 	target, done := p.To, Finished
 	if p.RolledBack {
-		target, done = t.From, Kept
+		target, done = t.From, Unchanged
 	}
 	switch {
 	case m.Version.Name == target.Name:
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		if s.Closable(g, &v) {
-			list = append(list, Command{Verb: Close, At: now, Sender: name, Epoch: g.Epoch, Observation: &v})
+			list = append(list, Command{Verb: CloseGrant, At: now, Sender: name, Epoch: g.Epoch, Observation: &v})
 			continue
 		}
 		p := s.Plan(g.Plan)
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -25,11 +25,11 @@
 	for name, t := range p.Tasks {
 		switch t.Step {
 		case Waiting:
-			t.Step = Kept
+			t.Step = Unchanged
 		case Finished, Failed:
 			t.Step, t.Attempts = Waiting, 0
 			if m := s.Members[name]; p.Kind == Drain || m == nil || m.Version.Name == t.From.Name {
-				t.Step = Kept
+				t.Step = Unchanged
 			}
 		case Granted, Out:
 			if p.Kind == Drain {
@@ -44,7 +44,7 @@
 // stage instead.
 func (s *State) finish(index uint64, p *Plan) {
 	for _, t := range p.Tasks {
-		if t.Step != Finished && t.Step != Kept {
+		if t.Step != Finished && t.Step != Unchanged {
 			return
 		}
 	}
@@ -74,7 +74,7 @@
 	for _, name := range names {
 		switch t := p.Tasks[name]; t.Step {
 		case Waiting, Failed:
-			t.Step = Kept
+			t.Step = Unchanged
 		case Granted, Out:
 			t.Step, t.Since = Returning, c.At
 		}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -87,7 +87,7 @@
 	for _, name := range names {
 		t := &Task{Step: Waiting, Since: c.At}
 		if request.Kind == Release && s.Members[name].Version.Name == request.To.Name {
-			t.Step = Kept
+			t.Step = Unchanged
 		} else {
 			changing = append(changing, name)
 		}
@@ -186,7 +186,7 @@
 	Returning Step = "returning" // ordered to serve again
 	Finished  Step = "finished"
 	Failed    Step = "failed"
-	Kept      Step = "kept" // not changed by the plan, or restored to its former version
+	Unchanged Step = "kept" // not changed by the plan, or restored to its former version
 )
 
 // Task is the state of one sender in a plan.
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -64,7 +64,7 @@
 		text, err = s.activate(c)
 	case GrantSenders:
 		text, err = s.grant(index, c)
-	case Close:
+	case CloseGrant:
 		text, err = s.close(index, c)
 	case MarkDrained:
 		text, err = s.markDrained(c)
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -116,7 +116,7 @@
 		"unknown verb":          {Command{Verb: "dance"}, "newer agent"},
 		"grant in no plan": {Command{Verb: GrantSenders, Plan: 99, Requests: []GrantRequest{{Sender: "n0"}}},
 			"does not run"},
-		"close of no grant": {Command{Verb: Close, Sender: "n0", Observation: &Observation{}}, "no grant"},
+		"close of no grant": {Command{Verb: CloseGrant, Sender: "n0", Observation: &Observation{}}, "no grant"},
 	} {
 		before, _ := json.Marshal(x.state)
 		index := x.state.Index
