--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -150,13 +150,13 @@
 	}
 	f.path = filepath.Join(path, "no folder")
 	if f.update(func(r *record) { r.Pid = 6 }) == nil || f.get().Pid != 5 {
-		t.Errorf("a change that can't be written took effect: %+v", f.get())
+		t.Errorf("a change took effect although it could not be written: %+v", f.get())
 	}
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := openRecord("s", path, first); err == nil {
-		t.Error("a damaged record was taken for a good one")
+		t.Error("a damaged record was accepted")
 	}
 }
 
--- a/internal/agent/record.go
+++ b/internal/agent/record.go
@@ -47,7 +47,7 @@
 	}
 	f.current = record{}
 	if err := json.Unmarshal(text, &f.current); err != nil {
-		return nil, fmt.Errorf("agent: %s: %w; remove it to have the sender run %s", path, err, first.Name)
+		return nil, fmt.Errorf("agent: %s: %w; remove the file to make the sender run %s", path, err, first.Name)
 	}
 	return f, nil
 }
--- a/internal/quorum/storage.go
+++ b/internal/quorum/storage.go
@@ -36,7 +36,7 @@
 
 // Errors of a member's folder.
 var (
-	ErrAlreadyBootstrapped = errors.New("quorum: the folder holds a member already")
+	ErrAlreadyBootstrapped = errors.New("quorum: the folder already holds a member")
 	ErrDamaged             = errors.New("quorum: the folder is damaged and may lack a vote; " +
 		"give the agent an empty one, and it is added anew")
 )
@@ -75,7 +75,7 @@
 // returns ErrAlreadyBootstrapped if the folder already holds a member.
 func Bootstrap(fs store.FS, name string, all []string) error {
 	if !slices.Contains(all, name) {
-		return fmt.Errorf("quorum: %s is not among %v", name, all)
+		return fmt.Errorf("quorum: agent %s is not in the list of initial agents %v", name, all)
 	}
 	s, err := openStore(fs, nil)
 	if err != nil {
@@ -92,7 +92,7 @@
 		voters = append(voters, initialMemberNumber(other))
 	}
 	if len(names) != len(all) {
-		return errors.New("quorum: two agents of one name")
+		return errors.New("quorum: duplicate agent name")
 	}
 	slices.Sort(voters)
 	data, err := json.Marshal(snapshot{Members: names})
@@ -112,7 +112,8 @@
 	return writeMember(s, Member{name, rand.Uint64()&^1 | 1<<63}, nil, nil)
 }
 
-// writeMember writes the member and, unless hard is nil, its hard state and snapshot. Only an initial member has these.
+// writeMember writes the member and, unless hardState is nil, its hard state and snapshot. Only an initial member has
+// these.
 func writeMember(s *store.Store, member Member, hardState *pb.HardState, snap *pb.Snapshot) error {
 	text, err := json.Marshal(member)
 	if err != nil {
--- a/internal/rollout/endpoint_test.go
+++ b/internal/rollout/endpoint_test.go
@@ -15,22 +15,22 @@
 		steps  string // "out:x" excludes x, "in:x" includes it, "drained:x": discovery drains it
 		want   string // part of the last step's error; empty: no error
 	}{
-		{"one", Budget{Endpoints: 1}, "out:e0", ""},
-		{"none may be", Budget{}, "out:e0", "0 may be"},
-		{"two of one", Budget{Endpoints: 1}, "out:e0 out:e1", "1 may be: e0"},
-		{"one of each", Budget{Endpoints: 1}, "out:e0 out:f0", ""},
-		{"one of each, of one kind", Budget{Endpoints: 1, Kind: 1}, "out:e0 out:f0", "of its kind"},
-		{"one of each, of two kinds", Budget{Endpoints: 1, Kind: 1}, "out:e0 out:f1", ""},
-		{"discovery drains one", Budget{Endpoints: 1}, "drained:e1 out:e0", "1 may be: e1"},
-		{"discovery drains that one", Budget{Endpoints: 1}, "drained:e0 out:e0", ""},
+		{"one endpoint", Budget{Endpoints: 1}, "out:e0", ""},
+		{"budget of zero", Budget{}, "out:e0", "0 may be"},
+		{"two of one destination", Budget{Endpoints: 1}, "out:e0 out:e1", "1 may be: e0"},
+		{"one per destination", Budget{Endpoints: 1}, "out:e0 out:f0", ""},
+		{"one per destination, same kind", Budget{Endpoints: 1, Kind: 1}, "out:e0 out:f0", "of its kind"},
+		{"one per destination, different kinds", Budget{Endpoints: 1, Kind: 1}, "out:e0 out:f1", ""},
+		{"discovery drains another one", Budget{Endpoints: 1}, "drained:e1 out:e0", "1 may be: e1"},
+		{"discovery drains the same one", Budget{Endpoints: 1}, "drained:e0 out:e0", ""},
 		{"the last of two", Budget{Endpoints: 9}, "out:f0 out:f1", "the last endpoint"},
-		{"the last of two, one drained", Budget{Endpoints: 9}, "drained:f0 out:f1", "the last endpoint"},
-		{"twice", Budget{Endpoints: 2}, "out:e0 out:e0", "out already"},
-		{"back, and another at once", Budget{Endpoints: 1}, "out:e0 in:e0 out:e1", "1 may be: e0"},
-		{"back, and another later", Budget{Endpoints: 1}, "out:e0 in:e0 later out:e1", ""},
-		{"back at once", Budget{Endpoints: 1}, "out:e0 in:e0 out:e0", ""},
-		{"back when it is in", Budget{Endpoints: 1}, "in:e0", "not out by order"},
-		{"unknown", Budget{Endpoints: 1}, "out:x", "no sender knows"},
+		{"the last of two, the other drained", Budget{Endpoints: 9}, "drained:f0 out:f1", "the last endpoint"},
+		{"the same one twice", Budget{Endpoints: 2}, "out:e0 out:e0", "out already"},
+		{"another one right after inclusion", Budget{Endpoints: 1}, "out:e0 in:e0 out:e1", "1 may be: e0"},
+		{"another one long after inclusion", Budget{Endpoints: 1}, "out:e0 in:e0 later out:e1", ""},
+		{"the same one right after inclusion", Budget{Endpoints: 1}, "out:e0 in:e0 out:e0", ""},
+		{"inclusion without exclusion", Budget{Endpoints: 1}, "in:e0", "not out by order"},
+		{"unknown endpoint", Budget{Endpoints: 1}, "out:x", "no sender knows"},
 	} {
 		c.budget.Fleet = 1
 		x := newTestFleet(t, 2, c.budget)
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -14,7 +14,7 @@
 		simulate func(x *testFleet, changed string)
 		want     string
 	}{
-		"like the others": {func(x *testFleet, _ string) { x.addTraffic(20, noFailures) }, "stage 2 of"},
+		"same as the others": {func(x *testFleet, _ string) { x.addTraffic(20, noFailures) }, "stage 2 of"},
 		"fails more": {func(x *testFleet, changed string) {
 			x.addTraffic(20, func(n string) int64 {
 				if n == changed {
@@ -23,16 +23,16 @@
 				return 0
 			})
 		}, "ends that are failures"},
-		"refuses one in five": {func(x *testFleet, changed string) {
+		"rejects one in five": {func(x *testFleet, changed string) {
 			x.addTraffic(20, noFailures)
 			x.observe(changed, func(v *Observation) { v.Facts.Rejected += 5 })
 		}, "messages refused"},
-		"fails as all do": {func(x *testFleet, _ string) { x.addTraffic(20, func(string) int64 { return 4 }) }, "stage 2 of"},
-		"slow to call": {func(x *testFleet, n string) {
+		"fails like all": {func(x *testFleet, _ string) { x.addTraffic(20, func(string) int64 { return 4 }) }, "stage 2 of"},
+		"late first attempts": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) { v.Facts.Late += 10 })
 		}, "time to the first call"},
-		"two stragglers": {func(x *testFleet, n string) {
+		"two late messages": {func(x *testFleet, n string) {
 			if x.addTraffic(20, noFailures); !x.observations[n].Drained {
 				x.observe(n, func(v *Observation) {
 					if v.Facts.Called == 60 {
@@ -42,7 +42,7 @@
 			}
 		}, "stage 2 of"},
 		// A destination was faulty when the version started: its messages are late together, and none are late afterwards.
-		"nine that waited together": {func(x *testFleet, n string) {
+		"nine late messages at once": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) {
 				if v.Facts.Called == 40 {
@@ -50,7 +50,7 @@
 				}
 			})
 		}, "stage 2 of"},
-		"some late at first, and no more traffic": {func(x *testFleet, n string) {
+		"some late at first, then no traffic": {func(x *testFleet, n string) {
 			x.observe(n, func(v *Observation) {
 				if v.Facts.Called < 40 {
 					x.addTraffic(40, noFailures)
@@ -59,7 +59,7 @@
 				}
 			})
 		}, "first calls came late, and 0 have been made since"},
-		"late again and again": {func(x *testFleet, n string) {
+		"late repeatedly": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) {
 				if v.Facts.Called%60 <= 20 {
@@ -67,32 +67,32 @@
 				}
 			})
 		}, "time to the first call"},
-		"leaks": {func(x *testFleet, n string) {
+		"uses more memory": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) { v.Facts.MemoryMB += 30 })
 		}, "memory"},
 		"crashes": {func(x *testFleet, n string) { x.observe(n, func(v *Observation) { v.Facts.Restarts++ }) },
 			"crashed after its change"},
-		"answers nothing": {func(x *testFleet, n string) {
+		"does not respond": {func(x *testFleet, n string) {
 			x.observe(n, func(v *Observation) { *v = Observation{Sender: n, At: x.now, Phase: "no answer"} })
 		}, "not seen any more: no answer"},
-		"its agent is away": {func(x *testFleet, n string) {
+		"its agent does not report": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			v := x.observations[n]
 			v.At = x.now.Add(-time.Minute)
 			x.observations[n] = v
 		}, "nobody has seen n0"},
 		"too little traffic": {func(x *testFleet, _ string) {}, "not known to be good"},
-		"traffic elsewhere": {func(x *testFleet, n string) {
+		"traffic only at the others": {func(x *testFleet, n string) {
 			v := x.observations[n]
 			x.addTraffic(20, noFailures)
 			v.At = x.now
 			x.observations[n] = v
 		}, "not known to be good"},
-		"serves no more": {func(x *testFleet, n string) {
+		"no longer serves": {func(x *testFleet, n string) {
 			x.observe(n, func(v *Observation) { v.Serving, v.Phase = false, "starting" })
 		}, "does not serve"},
-		"others have no traffic": {func(x *testFleet, n string) {
+		"no traffic at the others": {func(x *testFleet, n string) {
 			v := x.observations[n]
 			v.Facts.Accepted, v.Facts.Delivered = v.Facts.Accepted+50, v.Facts.Delivered+50
 			x.observations[n] = v
@@ -126,7 +126,8 @@
 		}
 		if !strings.Contains(last, c.want) || changedCount != 1 ||
 			(x.state.Plan(id).Phase == Running) != strings.HasPrefix(c.want, "stage") {
-			t.Errorf("%s: %s, %d ran it: %s; want %s", name, x.state.Plan(id).Phase, changedCount, last, c.want)
+			t.Errorf("%s: plan %s, %d senders run the version: %s; want %s", name, x.state.Plan(id).Phase,
+				changedCount, last, c.want)
 		}
 	}
 }
@@ -203,7 +204,7 @@
 		stages++
 	}
 	if x.state.Plan(id).Phase != Done || most > 4 {
-		t.Fatalf("%s: %s; %d out at once", x.state.Plan(id).Phase, x.state.Plan(id).Why, most)
+		t.Fatalf("%s: %s; %d senders out at once", x.state.Plan(id).Phase, x.state.Plan(id).Why, most)
 	}
 	for _, name := range x.state.names() {
 		if x.state.Members[name].Version.Name != "v2" {
@@ -219,11 +220,11 @@
 		seen Observation
 		want Phase
 	}{
-		"no answer":          {Observation{Phase: "no answer"}, Halted},
-		"not healthy":        {Observation{Process: "p-new", Phase: "serving"}, Halted},
-		"seen now and then":  {Observation{Phase: "no answer", At: time.Unix(2, 0)}, Halted},
-		"its agent is at it": {Observation{Phase: "no answer", At: time.Unix(1, 0)}, Running},
-		"seen from afar":     {Observation{Phase: "no answer", Far: true}, Running},
+		"no response":                  {Observation{Phase: "no answer"}, Halted},
+		"not healthy":                  {Observation{Process: "p-new", Phase: "serving"}, Halted},
+		"observed every other second":  {Observation{Phase: "no answer", At: time.Unix(2, 0)}, Halted},
+		"version change in progress":   {Observation{Phase: "no answer", At: time.Unix(1, 0)}, Running},
+		"observed by the leader alone": {Observation{Phase: "no answer", Far: true}, Running},
 	} {
 		x := newTestFleet(t, 4, Budget{Fleet: 1})
 		id := x.release(Plan{Gate: Gate{Soak: 5 * time.Second, Wait: time.Minute}})
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -184,7 +184,7 @@
 		}
 	}
 	if budget := m.states[0].Terms.Budget.Fleet; budget > 0 && len(out) > budget {
-		m.violation = fmt.Sprintf("at %v %s went out by order %d, and then %v were out, %d may be", m.now,
+		m.violation = fmt.Sprintf("at %v %s went out with order %d; now %v are out, the budget is %d", m.now,
 			modelNames[delivery.to], delivery.o.Epoch, out, budget)
 	}
 }
@@ -355,8 +355,8 @@
 		m := newModel(rapid.IntRange(1, 2).Draw(t, "budget"), offsets)
 		m.deliverAll()
 		for range 100 {
-			n := rapid.IntRange(0, 99).Draw(t, "what")
-			agent, other := rapid.IntRange(0, agents-1).Draw(t, "who"), rapid.IntRange(0, agents-1).Draw(t, "whom")
+			n := rapid.IntRange(0, 99).Draw(t, "action")
+			agent, other := rapid.IntRange(0, agents-1).Draw(t, "agent"), rapid.IntRange(0, agents-1).Draw(t, "other")
 			switch {
 			case n < 20:
 				m.runRound(agent, other, true)
@@ -384,7 +384,7 @@
 				m.observeRemotely(agent, other)
 			default:
 				list := m.actions()
-				list[rapid.IntRange(0, len(list)-1).Draw(t, "act")]()
+				list[rapid.IntRange(0, len(list)-1).Draw(t, "step")]()
 			}
 			if m.violation != "" {
 				t.Fatal(m.violation)
@@ -445,7 +445,7 @@
 				}
 				n++
 				if m.violation != "" {
-					t.Fatalf("clocks %v, way %d, path %v: %s", offsets, steps, path, m.violation)
+					t.Fatalf("clock offsets %v, start state %d, path %v: %s", offsets, steps, path, m.violation)
 				}
 				if len(path) == *deep || t.Failed() {
 					return
@@ -458,7 +458,7 @@
 			sequences += n
 		}
 	}
-	t.Logf("%d orders of %d steps", sequences, *deep)
+	t.Logf("%d sequences of up to %d steps", sequences, *deep)
 }
 
 // names returns the sorted names of the members.
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -24,10 +24,10 @@
 		{"two, one of a building", Budget{Fleet: 2, Building: 1}, "", 2},
 		{"three, one of a building", Budget{Fleet: 3, Building: 1}, "", 2},
 		{"three must serve", Budget{Fleet: 4, Serving: 3}, "", 1},
-		{"one is not seen", Budget{Fleet: 2}, "n3", 1},
-		{"one is not seen, one may be out", Budget{Fleet: 1}, "n3", 0},
-		{"two are not seen in one building", Budget{Fleet: 4, Building: 2}, "n1 n3", 2},
-		{"four must serve", Budget{Fleet: 4, Serving: 3}, "n2", 0},
+		{"one is not observed", Budget{Fleet: 2}, "n3", 1},
+		{"one is not observed, one may be out", Budget{Fleet: 1}, "n3", 0},
+		{"two of one building are not observed", Budget{Fleet: 4, Building: 2}, "n1 n3", 2},
+		{"three must serve, one is not observed", Budget{Fleet: 4, Serving: 3}, "n2", 0},
 	} {
 		x := newTestFleet(t, 4, c.budget)
 		x.drain("n0", "n1", "n2", "n3")
@@ -39,7 +39,7 @@
 		}
 		x.run(nil)
 		if got := len(x.state.Grants); got != c.want {
-			t.Errorf("%s: %d may go out, want %d", c.name, got, c.want)
+			t.Errorf("%s: %d grants, want %d", c.name, got, c.want)
 		}
 	}
 }
@@ -54,23 +54,23 @@
 		v    Observation
 		want bool
 	}{
-		"it has ended it": {Observation{Process: "p", At: at(1), Serving: true, Epoch: 5,
+		"its lease has ended": {Observation{Process: "p", At: at(1), Serving: true, Epoch: 5,
 			Ended: true}, true},
-		"it has ended a later one": {Observation{Process: "p", At: at(1), Serving: true, Epoch: 6,
+		"a later lease has ended": {Observation{Process: "p", At: at(1), Serving: true, Epoch: 6,
 			Ended: true}, true},
-		"ended, but it does not serve": {Observation{Process: "p", At: at(1), Epoch: 5, Ended: true}, false},
-		"ended, seen long ago": {Observation{Process: "p", At: at(-9), Serving: true, Epoch: 5,
+		"ended, but the sender does not serve": {Observation{Process: "p", At: at(1), Epoch: 5, Ended: true}, false},
+		"ended, observed long ago": {Observation{Process: "p", At: at(-9), Serving: true, Epoch: 5,
 			Ended: true}, true},
-		"not taken up, it may yet": {Observation{Process: "p", At: at(1.9), Serving: true, Epoch: 4,
+		"not taken up, but still valid": {Observation{Process: "p", At: at(1.9), Serving: true, Epoch: 4,
 			Ended: true}, false},
-		"not taken up, too late by its clock": {Observation{Process: "p", At: at(2.51), Serving: true, Epoch: 4,
+		"not taken up, expired by the sender's clock": {Observation{Process: "p", At: at(2.51), Serving: true, Epoch: 4,
 			Ended: true}, true},
-		"not taken up, too late by another clock": {Observation{Process: "p", At: at(2.4), Serving: true, Epoch: 4,
+		"not taken up, expired by another clock only": {Observation{Process: "p", At: at(2.4), Serving: true, Epoch: 4,
 			Ended: true}, false},
-		"another process":              {Observation{Process: "q", At: at(0.1), Serving: true}, true},
-		"another process, from before": {Observation{Process: "o", At: at(-0.4), Serving: true}, false},
-		"it took it up":                {Observation{Process: "p", At: at(3), Epoch: 5}, false},
-		"seen by the leader, not its agent": {Observation{Process: "p", At: at(3), Serving: true, Epoch: 5,
+		"a later process":    {Observation{Process: "q", At: at(0.1), Serving: true}, true},
+		"an earlier process": {Observation{Process: "o", At: at(-0.4), Serving: true}, false},
+		"taken up":           {Observation{Process: "p", At: at(3), Epoch: 5}, false},
+		"observed by the leader, not its agent": {Observation{Process: "p", At: at(3), Serving: true, Epoch: 5,
 			Ended: true, Far: true}, false},
 		"another sender": {Observation{Sender: "n1", Process: "p", At: at(3), Serving: true,
 			Epoch: 5, Ended: true}, false},
@@ -96,23 +96,23 @@
 		want string
 	}{
 		"no such sender":     {start(Plan{Kind: Drain, Stages: [][]string{{"n9"}}}), `no sender "n9"`},
-		"nobody":             {start(Plan{Kind: Drain}), "name the senders"},
+		"no senders":         {start(Plan{Kind: Drain}), "name the senders"},
 		"in another plan":    {start(Plan{Kind: Drain, Stages: [][]string{{"n0", "n1"}}}), "n0 is in plan"},
 		"all, one in a plan": {start(Plan{Kind: Release, To: Version{Name: "v2", Program: "/v2"}}), "n0 is in plan"},
 		"no name":            {start(Plan{Kind: Release, To: Version{Program: "/v2"}}), "needs a name"},
-		"nothing new": {start(Plan{Kind: Release, Stages: [][]string{{"n1"}},
+		"same version": {start(Plan{Kind: Release, Stages: [][]string{{"n1"}},
 			To: Version{Name: "v1", Program: "/v1"}}), "all of them run v1 already"},
 		"more than the budget": {start(Plan{Kind: Drain, Stages: [][]string{{"n1"}}, AtOnce: 3}), "3 senders at once"},
 		"no reason": {Command{Verb: Start, New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}}, Seen: seen},
 			"a reason"},
-		"the fleet breaks it": {Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}},
+		"budget exceeded": {Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}},
 			Seen: []string{"n1"}}, "3 senders are out or not seen now"},
-		"a budget of none":      {terms(Budget{}), "1 at the least"},
+		"a budget of zero":      {terms(Budget{}), "1 at the least"},
 		"a budget of too many":  {terms(Budget{Fleet: 5}), "of 4 there are"},
 		"all must serve":        {terms(Budget{Fleet: 1, Serving: 4}), "nothing could ever go out"},
 		"halt of no plan":       {Command{Verb: Halt, Reason: "r", Plan: 99}, "no plan 99"},
 		"resume of one running": {Command{Verb: Resume, Reason: "r", Plan: first}, "is running"},
-		"another's activate":    {Command{Verb: Activate, Plan: first, Senders: []string{"n3"}}, "n3 is not in plan"},
+		"sender of no plan":     {Command{Verb: Activate, Plan: first, Senders: []string{"n3"}}, "n3 is not in plan"},
 		"unknown verb":          {Command{Verb: "dance"}, "newer agent"},
 		"grant in no plan": {Command{Verb: GrantSenders, Plan: 99, Requests: []GrantRequest{{Sender: "n0"}}},
 			"does not run"},
@@ -127,7 +127,7 @@
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
 		if string(before) != string(after) {
-			t.Errorf("%s: something changed", name)
+			t.Errorf("%s: the state changed", name)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 		p := x.state.Plan(id)
 		if want := map[bool]Phase{false: Halted, true: Ended}[rollBack]; p.Phase != want ||
 			!strings.Contains(p.Why, "exit status 1") {
-			t.Errorf("go back %t: %s, %s", rollBack, p.Phase, p.Why)
+			t.Errorf("rollback %t: %s, %s", rollBack, p.Phase, p.Why)
 		}
 		if len(x.state.Grants) != 0 {
 			t.Errorf("grants left: %v", x.state.Grants)
