--- a/internal/agent/backoff.go
+++ b/internal/agent/backoff.go
@@ -18,22 +18,22 @@
 	delay  time.Duration
 }
 
-// nextStart returns the time of the next start of a process that has ended. ran is how long it has run.
-func (b *restartBackoff) nextStart(ran time.Duration, now time.Time) time.Time {
+// nextStart returns the time of the next start of a process that has ended after runTime.
+func (b *restartBackoff) nextStart(runTime time.Duration, now time.Time) time.Time {
 	b.delay = min(max(2*b.delay, minRestartDelay), maxRestartDelay)
-	if ran > startWindow {
+	if runTime > startWindow {
 		b.delay = minRestartDelay
 	}
-	at := now.Add(b.delay)
+	next := now.Add(b.delay)
 	for len(b.starts) > 0 && now.Sub(b.starts[0]) > startWindow {
 		b.starts = b.starts[1:]
 	}
 	if len(b.starts) >= maxStarts {
-		if free := b.starts[0].Add(startWindow); free.After(at) {
-			at = free
+		if earliest := b.starts[0].Add(startWindow); earliest.After(next) {
+			next = earliest
 		}
 	}
-	return at
+	return next
 }
 
 // started records a start.
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -38,21 +38,21 @@
 }
 
 // call makes a call to another agent, within callTimeout.
-func (a *Agent) call(ctx context.Context, addr, path string, body, into any) error {
-	return a.callWithin(ctx, callTimeout, addr, path, body, into)
+func (a *Agent) call(ctx context.Context, addr, path string, body, result any) error {
+	return a.callWithin(ctx, callTimeout, addr, path, body, result)
 }
 
 // callWithin makes a call to another agent within a timeout. The other agent does not forward it.
-func (a *Agent) callWithin(ctx context.Context, timeout time.Duration, addr, path string, body, into any) error {
+func (a *Agent) callWithin(ctx context.Context, timeout time.Duration, addr, path string, body, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return sendJSON(ctx, a.http, addr, path, body, into, http.Header{forwardedHeader: {a.cfg.Name}})
+	return sendJSON(ctx, a.http, addr, path, body, result, http.Header{forwardedHeader: {a.cfg.Name}})
 }
 
-// sendJSON makes a call to an agent: a GET if body is nil, otherwise a POST. It decodes the response into the value
-// that into points to, unless into is nil.
+// sendJSON makes a call to an agent: a GET if body is nil, otherwise a POST. It decodes the response into result,
+// unless that is nil.
 func sendJSON(
-	ctx context.Context, client *http.Client, addr, path string, body, into any, header http.Header,
+	ctx context.Context, client *http.Client, addr, path string, body, result any, header http.Header,
 ) error {
 	method, reader := http.MethodGet, io.Reader(nil)
 	if body != nil {
@@ -68,8 +68,8 @@
 	}
 	maps.Copy(request.Header, header)
 	text, err := fetch(client, request)
-	if err == nil && into != nil {
-		err = json.Unmarshal(text, into)
+	if err == nil && result != nil {
+		err = json.Unmarshal(text, result)
 	}
 	return err
 }
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -147,13 +147,13 @@
 // awaitObservations waits until all senders are observed to serve, for Timing.Fresh at most. A new leader has received
 // few reports at first.
 func (a *Agent) awaitObservations(ctx context.Context) {
-	for began := time.Now(); ; {
-		all, fresh := false, time.Duration(0)
+	for startedAt := time.Now(); ; {
+		allServing, fresh := false, time.Duration(0)
 		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
-			all = len(state.Seen(observations, time.Now())) == len(state.Members)
+			allServing = len(state.Seen(observations, time.Now())) == len(state.Members)
 			fresh = state.Terms.Timing.Fresh
 		})
-		if all || time.Since(began) > fresh || !sleep(ctx, leaderInterval) {
+		if allServing || time.Since(startedAt) > fresh || !sleep(ctx, leaderInterval) {
 			return
 		}
 	}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -35,8 +35,8 @@
 }
 
 // readJSON decodes the request's body. If it can't be decoded readJSON responds with status 400 and returns false.
-func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodySize)).Decode(into)
+func readJSON(w http.ResponseWriter, r *http.Request, result any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodySize)).Decode(result)
 	if err != nil {
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 	}
--- a/internal/quorum/storage.go
+++ b/internal/quorum/storage.go
@@ -73,9 +73,9 @@
 
 // Bootstrap creates the folder of one of the initial agents. The list of all names must be the same for all of them. It
 // returns ErrAlreadyBootstrapped if the folder already holds a member.
-func Bootstrap(fs store.FS, name string, all []string) error {
-	if !slices.Contains(all, name) {
-		return fmt.Errorf("quorum: agent %s is not in the list of initial agents %v", name, all)
+func Bootstrap(fs store.FS, name string, initialAgents []string) error {
+	if !slices.Contains(initialAgents, name) {
+		return fmt.Errorf("quorum: agent %s is not in the list of initial agents %v", name, initialAgents)
 	}
 	s, err := openStore(fs, nil)
 	if err != nil {
@@ -85,17 +85,17 @@
 	if _, exists := s.Get(memberEntity); exists {
 		return ErrAlreadyBootstrapped
 	}
-	names := map[uint64]string{}
+	memberNames := map[uint64]string{}
 	var voters []uint64
-	for _, other := range all {
-		names[initialMemberNumber(other)] = other
+	for _, other := range initialAgents {
+		memberNames[initialMemberNumber(other)] = other
 		voters = append(voters, initialMemberNumber(other))
 	}
-	if len(names) != len(all) {
+	if len(memberNames) != len(initialAgents) {
 		return errors.New("quorum: duplicate agent name")
 	}
 	slices.Sort(voters)
-	data, err := json.Marshal(snapshot{Members: names})
+	data, err := json.Marshal(snapshot{Members: memberNames})
 	if err != nil {
 		return err
 	}
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -42,15 +42,15 @@
 			delete(w.plans, id)
 		}
 	}
-	x := w.plans[p.ID]
-	if x == nil {
-		x = &stageWatch{stage: p.Stage}
-		w.plans[p.ID] = x
+	watch := w.plans[p.ID]
+	if watch == nil {
+		watch = &stageWatch{stage: p.Stage}
+		w.plans[p.ID] = watch
 	}
-	if x.stage != p.Stage {
-		*x = stageWatch{stage: p.Stage}
+	if watch.stage != p.Stage {
+		*watch = stageWatch{stage: p.Stage}
 	}
-	return x.verdict(s, p, observations, now)
+	return watch.verdict(s, p, observations, now)
 }
 
 // failed returns the verdict that the plan may not leave a stage, with the reason.
@@ -74,21 +74,22 @@
 			w.baseline[name] = observations[name]
 		}
 	}
-	x, problem := w.compare(s, p, observations, now)
-	if problem != nil {
-		return *problem
+	counts, failure := w.compare(s, p, observations, now)
+	if failure != nil {
+		return *failure
 	}
-	if p.Baseline != nil && (x.others.Senders == 0 || x.others.Accepted+x.others.Rejected < int64(p.Gate.MinMessages)) {
-		x.others = *p.Baseline
+	if p.Baseline != nil && (counts.others.Senders == 0 ||
+		counts.others.Accepted+counts.others.Rejected < int64(p.Gate.MinMessages)) {
+		counts.others = *p.Baseline
 	}
-	if reason := regression(x.changed, x.others, p.Gate); reason != "" {
+	if reason := regression(counts.changed, counts.others, p.Gate); reason != "" {
 		return failed("%s", reason)
 	}
-	reason, pending := w.confirmLate(x.changed, x.others, p.Gate, now)
+	reason, pending := w.confirmLate(counts.changed, counts.others, p.Gate, now)
 	if reason != "" {
 		return failed("%s", reason)
 	}
-	return w.decide(p, x, pending, observations, now)
+	return w.decide(p, counts, pending, observations, now)
 }
 
 // stageComplete reports whether all senders of the current stage have changed.
@@ -111,7 +112,7 @@
 func (w *stageWatch) compare(
 	s *State, p *Plan, observations map[string]Observation, now time.Time,
 ) (comparison, *Verdict) {
-	var x comparison
+	var counts comparison
 	for name := range s.Members {
 		before, observed := w.updateBaseline(name, observations[name])
 		changed := p.Tasks[name] != nil && p.Tasks[name].Step == Finished
@@ -119,29 +120,29 @@
 		soaked := now.Sub(w.since) > p.Gate.Soak
 		switch {
 		case observed.Process == "" && changed && stale:
-			x.unobserved = name
+			counts.unobserved = name
 		case observed.Process == "" && changed && soaked:
 			v := failed("%s changed and is not seen any more: %s", name, observed.Phase)
-			return x, &v
+			return counts, &v
 		case observed.Process == "":
 		case changed:
-			x.changed.add(observed, before)
+			counts.changed.add(observed, before)
 			if observed.Facts.Restarts > before.Facts.Restarts {
 				v := failed("%s crashed after its change", name)
-				return x, &v
+				return counts, &v
 			}
 			if !observed.Serving && !stale && s.Grants[name] == nil && soaked {
 				v := failed("%s changed and does not serve: %s", name, observed.Phase)
-				return x, &v
+				return counts, &v
 			}
 			if stale { // its agent does not report, which is no evidence against the version
-				x.unobserved = name
+				counts.unobserved = name
 			}
 		default:
-			x.others.add(observed, before)
+			counts.others.add(observed, before)
 		}
 	}
-	return x, nil
+	return counts, nil
 }
 
 // updateBaseline returns the baseline of a sender and its latest observation. A new leader may lack data in its
@@ -163,26 +164,26 @@
 // decide returns the verdict where the comparison found no regression. The verdict is known once the gate's soak is
 // over and enough messages were compared, or once the gate's wait is over.
 func (w *stageWatch) decide(
-	p *Plan, x comparison, pending bool, observations map[string]Observation, now time.Time,
+	p *Plan, counts comparison, pending bool, observations map[string]Observation, now time.Time,
 ) Verdict {
 	waited := now.Sub(w.since)
 	enough := int64(p.Gate.MinMessages)
 	switch {
-	case x.unobserved != "" && waited >= p.Gate.Wait:
-		return failed("not known to be good: nobody has seen %s for %v", x.unobserved,
-			now.Sub(observations[x.unobserved].At).Round(time.Second))
-	case waited < p.Gate.Soak || x.unobserved != "" || pending && waited < p.Gate.Wait:
+	case counts.unobserved != "" && waited >= p.Gate.Wait:
+		return failed("not known to be good: nobody has seen %s for %v", counts.unobserved,
+			now.Sub(observations[counts.unobserved].At).Round(time.Second))
+	case waited < p.Gate.Soak || counts.unobserved != "" || pending && waited < p.Gate.Wait:
 		return Verdict{}
 	case pending:
 		return failed("not known to be good: first calls came late, and %d have been made since, %d wanted",
-			x.changed.Called-w.lateBaseline.Called, p.Gate.MinMessages)
-	case x.changed.Outcomes >= enough && x.others.Outcomes >= enough:
+			counts.changed.Called-w.lateBaseline.Called, p.Gate.MinMessages)
+	case counts.changed.Outcomes >= enough && counts.others.Outcomes >= enough:
 		return Verdict{true, true, fmt.Sprintf("%d messages ended at %d changed senders, %d at others; none worse",
-			x.changed.Outcomes, x.changed.Senders, x.others.Outcomes), x.others}
+			counts.changed.Outcomes, counts.changed.Senders, counts.others.Outcomes), counts.others}
 	case waited >= p.Gate.Wait:
 		return failed("not known to be good: after %v %d messages have ended at the changed senders "+
 			"and %d beside them, %d wanted",
-			waited.Round(time.Second), x.changed.Outcomes, x.others.Outcomes, p.Gate.MinMessages)
+			waited.Round(time.Second), counts.changed.Outcomes, counts.others.Outcomes, p.Gate.MinMessages)
 	}
 	return Verdict{}
 }
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -110,13 +110,13 @@
 		order = s.Order(slices.Collect(maps.Keys(p.Tasks)))
 		slices.Reverse(order)
 	}
-	free := maxGrantsPerEntry
+	remaining := maxGrantsPerEntry
 	if p.AtOnce > 0 {
-		free = min(free, p.AtOnce-s.openGrants(p))
+		remaining = min(remaining, p.AtOnce-s.openGrants(p))
 	}
 	for _, name := range order {
 		t, m := p.Tasks[name], s.Members[name]
-		if free <= 0 {
+		if remaining <= 0 {
 			break
 		}
 		v := observations[name]
@@ -127,7 +127,7 @@
 		c.Requests = append(c.Requests, GrantRequest{Sender: name, Process: v.Process, ObservedAt: v.At})
 		fleet.out[name] = true
 		fleet.outByBuilding[m.Building]++
-		free--
+		remaining--
 	}
 	c.Seen = s.Seen(observations, now)
 	return c, len(c.Requests) > 0
