--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -22,8 +22,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// During a network partition the minority must commit nothing and the majority must make progress. After it all agents
-// must have the same log. The cases are two agents to one, three to two, and messages lost in one direction only.
+// TestNetworkPartitions checks that during a network partition the minority commits nothing and the majority makes
+// progress, and that all agents have the same log afterwards. The cases are two agents to one, three to two, and
+// messages lost in one direction only.
 func TestNetworkPartitions(t *testing.T) {
 	for _, c := range []struct {
 		agents   int
@@ -77,8 +78,8 @@
 	}
 }
 
-// An agent's folder is lost. The agent must be added again as a new member that receives a snapshot, and the old member
-// must lose its vote, so that there is still a majority while another agent is down.
+// TestMemberReplacement loses an agent's folder. The agent must be added again as a new member that receives a
+// snapshot, and the old member must lose its vote, so that there is still a majority while another agent is down.
 func TestMemberReplacement(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3)
@@ -118,8 +119,9 @@
 	}
 }
 
-// A node that replaces another must count as a voter only once raft no longer needs a majority of the former members as
-// well: until then the failure of one more agent would leave no majority.
+// TestVoterOnceReplacementIsComplete checks that a node that replaces another counts as a voter only once raft no
+// longer needs a majority of the former members as well: until then the failure of one more agent would leave no
+// majority.
 func TestVoterOnceReplacementIsComplete(t *testing.T) {
 	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), newRecordingMachine()))
 	if err != nil {
@@ -143,8 +145,8 @@
 	}
 }
 
-// Three agents concurrently acquire and release permits, of which at most two may be held at once, while links fail and
-// recover. The results that each agent observes must be linearizable.
+// TestLinearizable has three agents concurrently acquire and release permits, of which at most two may be held at once,
+// while links fail and recover. The results that each agent observes must be linearizable.
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
 	x := newTestCluster(t, 3)
--- a/internal/quorum/storage_test.go
+++ b/internal/quorum/storage_test.go
@@ -41,8 +41,9 @@
 
 var errFull = errors.New("no space left on device")
 
-// A node whose folder can't be written must stop before it commits anything that is not stored. Entries that it has
-// committed must be there when it is opened again. A damaged folder must not be opened at all.
+// TestStorageFailures checks that a node whose folder can't be written stops before it commits anything that is not
+// stored, and that the entries that it has committed are there when it is opened again. A damaged folder must not be
+// opened at all.
 func TestStorageFailures(t *testing.T) {
 	dir := t.TempDir()
 	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); err != nil {
--- a/internal/rollout/endpoint_test.go
+++ b/internal/rollout/endpoint_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Checks which endpoints may be excluded at the same time. e0 to e3 belong to destination 1, f0 and f1 to destination
-// 2. All are of the same kind except f1.
+// TestEndpointExclusions checks which endpoints may be excluded at the same time. e0 to e3 belong to destination 1, f0
+// and f1 to destination 2. All are of the same kind except f1.
 func TestEndpointExclusions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Checks the verdict of the first stage's gate on versions of different behavior, and that only one sender ever ran
-// them.
+// TestGateVerdicts checks the verdict of the first stage's gate on versions that differ in how they perform, and that
+// only one sender ever ran them.
 func TestGateVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
 		simulate func(x *testFleet, changed string)
@@ -132,8 +132,9 @@
 	}
 }
 
-// The leader changes after all senders have changed, so that no unchanged sender is left for the comparison. The new
-// leader must compare with the replicated sums of the earlier stages: a version that has become worse must not pass.
+// TestGateOfNewLeader changes the leader after all senders have changed, so that no unchanged sender is left for the
+// comparison. The new leader must compare with the replicated sums of the earlier stages: a version that has become
+// worse must not pass.
 func TestGateOfNewLeader(t *testing.T) {
 	for name, failed := range map[string]int64{"as before": 0, "worse": 6} {
 		x := newTestFleet(t, 10, Budget{Fleet: 9})
@@ -160,8 +161,8 @@
 	}
 }
 
-// A leader that polls a sender itself does not know its number of restarts. When the sender's agent reports the number
-// later, these restarts must not count as crashes since the change.
+// TestGateOfRemoteObservation has a leader poll a sender itself, which does not show the sender's number of restarts.
+// When the sender's agent reports the number later, these restarts must not count as crashes since the change.
 func TestGateOfRemoteObservation(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 3})
 	id := x.release(Plan{Gate: Gate{Wait: time.Minute}})
@@ -182,8 +183,8 @@
 	}
 }
 
-// A release proceeds by building: one sender, then a few, then a tenth of them per stage. Each stage waits for its
-// gate.
+// TestReleaseStages checks that a release proceeds by building, with one sender, then a few, then a tenth of them per
+// stage, and that each stage waits for its gate.
 func TestReleaseStages(t *testing.T) {
 	x := newTestFleet(t, 40, Budget{Fleet: 4, Building: 4})
 	id := x.release(Plan{})
@@ -213,8 +214,9 @@
 	}
 }
 
-// A version that responds to its agent right after the change, but not before the next observation, leaves its grant
-// open. The release must halt once the agent has observed for the gate's soak that it does not serve, and not earlier.
+// TestSilentBeforeFirstObservation checks a version that responds to its agent right after the change, but not before
+// the next observation, so that its grant stays open. The release must halt once the agent has observed for the gate's
+// soak that it does not serve, and not earlier.
 func TestSilentBeforeFirstObservation(t *testing.T) {
 	for name, c := range map[string]struct {
 		seen Observation
@@ -253,7 +255,8 @@
 	}
 }
 
-// Two releases of different senders run at the same time. Each has its own gates, and both must finish.
+// TestTwoReleases runs two releases of different senders at the same time. Each has its own gates, and both must
+// finish.
 func TestTwoReleases(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 4})
 	a := x.release(Plan{Stages: [][]string{{"n0", "n2", "n4"}}})
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -343,7 +343,7 @@
 	}
 }
 
-// Checks the budget in random histories. For a longer run:
+// TestRandomHistories checks the budget in random histories. For a longer run:
 // go test ./internal/rollout -run RandomHistories -rapid.checks=100000
 func TestRandomHistories(t *testing.T) {
 	taken := 0
@@ -401,8 +401,8 @@
 // run: go test ./internal/rollout -run AllInterleavings -deep 4 (takes seven minutes)
 var deep = flag.Int("deep", 2, "steps of TestAllInterleavings")
 
-// Checks the budget in all sequences of possible steps, up to the length deep, from each state that a drain goes
-// through.
+// TestAllInterleavings checks the budget in all sequences of possible steps, up to the length deep, from each state
+// that a drain goes through.
 func TestAllInterleavings(t *testing.T) {
 	fast, slow, sequences := modelError, -modelError, 0
 	for _, offsets := range [][2 * agents]time.Duration{{}, {fast, slow, slow, slow, fast, slow},
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Checks each limit of the budget: how many of four senders in two buildings are granted at once, with some of them not
-// observed lately.
+// TestBudget checks each limit of the budget: how many of four senders in two buildings are granted at once, with some
+// of them not observed lately.
 func TestBudget(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -44,8 +44,8 @@
 	}
 }
 
-// Checks which observations of a sender close its grant. The grant has epoch 5 and must be taken up within 2 s; clocks
-// are wrong by 250 ms at most.
+// TestClosable checks which observations of a sender close its grant. The grant has epoch 5 and must be taken up within
+// 2 s; clocks are wrong by 250 ms at most.
 func TestClosable(t *testing.T) {
 	x := newTestFleet(t, 2, Budget{Fleet: 1})
 	at := func(s float64) time.Time { return x.now.Add(time.Duration(s * float64(time.Second))) }
@@ -84,7 +84,7 @@
 	}
 }
 
-// Checks that invalid commands are rejected and leave the state unchanged.
+// TestRejectedCommands checks that invalid commands are rejected and leave the state unchanged.
 func TestRejectedCommands(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 2})
 	first := x.drain("n0")
@@ -132,8 +132,8 @@
 	}
 }
 
-// Two operators act at the same time: a request to resume must be rejected if the plan was halted again after the
-// revision that the request names.
+// TestStaleResumeRejected checks that a request to resume is rejected if another operator has halted the plan again
+// after the revision that the request names.
 func TestStaleResumeRejected(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 1})
 	id := x.drain("n0", "n1")
@@ -152,7 +152,8 @@
 	}
 }
 
-// An agent that opens its folder again applies its whole log once more. That must not change the state.
+// TestCommandAppliedTwice checks that the state does not change when an agent opens its folder again and applies its
+// whole log once more.
 func TestCommandAppliedTwice(t *testing.T) {
 	terms, at, replay := DefaultTerms, time.Unix(1000, 0).UTC(), New()
 	terms.Budget = Budget{Fleet: 2}
@@ -172,7 +173,8 @@
 	}
 }
 
-// A version that does not start to serve halts the release at its first sender, or rolls it back if requested.
+// TestFailedChange checks that a version that does not start to serve halts the release at its first sender, or rolls
+// it back if requested.
 func TestFailedChange(t *testing.T) {
 	for _, rollBack := range []bool{false, true} {
 		x := newTestFleet(t, 10, Budget{Fleet: 3})
@@ -194,7 +196,8 @@
 	}
 }
 
-// A grant that is not taken up is followed by another one. After the third the plan halts.
+// TestGrantNotTaken checks that a grant that is not taken up is followed by another one, and that the plan halts after
+// the third.
 func TestGrantNotTaken(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 1})
 	id := x.drain("n0")
@@ -211,8 +214,8 @@
 	}
 }
 
-// A rollback in the middle of a release: the changed senders return to the old version within the same budget, and so
-// do senders whose change is in progress when the rollback starts.
+// TestRollBack rolls a release back from its middle. The changed senders must return to the old version within the same
+// budget, and so must senders whose change is in progress when the rollback starts.
 func TestRollBack(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 2})
 	id := x.release(Plan{Gate: Gate{MinMessages: 1, Soak: time.Second}})
@@ -246,7 +249,8 @@
 	}
 }
 
-// A drain keeps its senders out until they are activated or its hold time is over, and then drains the next ones.
+// TestDrains checks that a drain keeps its senders out until they are activated or its hold time is over, and then
+// drains the next ones.
 func TestDrains(t *testing.T) {
 	for _, hold := range []time.Duration{0, time.Minute} {
 		x := newTestFleet(t, 4, Budget{Fleet: 2})
@@ -291,7 +295,8 @@
 	}
 }
 
-// A state that was encoded as JSON and decoded again must be the same and return the same next commands.
+// TestStateJSONRoundTrip checks that a state that was encoded as JSON and decoded again is the same and returns the
+// same next commands.
 func TestStateJSONRoundTrip(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 2})
 	x.release(Plan{})
