--- a/internal/quorum/raftlogger.go
+++ b/internal/quorum/raftlogger.go
@@ -6,8 +6,8 @@
 	"log/slog"
 )
 
-// raftLogger writes raft's warnings and errors to the program's log. It drops raft's debug and info messages, which are
-// of no use to operators.
+// raftLogger writes raft's warnings and errors to the program's log, at levels Debug and Warn. It drops raft's debug
+// and info messages, which are of no use to operators.
 type raftLogger struct{ log *slog.Logger }
 
 func (raftLogger) Debug(...any)                  {}
