--- a/internal/agent/backoff.go
+++ b/internal/agent/backoff.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// The delays match those with which the platform restarts a process.
+// The delays are the same as those with which the platform restarts a process.
 const (
 	minRestartDelay = 600 * time.Millisecond
 	maxRestartDelay = 15 * time.Second
-	maxStarts       = 6 // within startWindow
+	maxStarts       = 6 // maximum number of starts within startWindow
 	startWindow     = time.Minute
 )
 
-// restartBackoff bounds the restarts of a process. The delay doubles with each restart, until a process has run for
-// longer than startWindow; and there are at most maxStarts within startWindow. The zero value is ready.
+// restartBackoff limits the restarts of a process. The delay doubles with each restart up to maxRestartDelay, and is
+// reset when a process has run for longer than startWindow. There are at most maxStarts starts within startWindow. The
+// zero value is ready for use.
 type restartBackoff struct {
 	starts []time.Time
 	delay  time.Duration
 }
 
-// nextStart returns the time of the next start, for a process that has ended after it ran for so long.
-func (b *restartBackoff) nextStart(ran time.Duration, now time.Time) time.Time {
+// nextStart returns the time of the next start of a process that has ended after runTime.
+func (b *restartBackoff) nextStart(runTime time.Duration, now time.Time) time.Time {
 	b.delay = min(max(2*b.delay, minRestartDelay), maxRestartDelay)
-	if ran > startWindow {
+	if runTime > startWindow {
 		b.delay = minRestartDelay
 	}
-	at := now.Add(b.delay)
+	next := now.Add(b.delay)
 	for len(b.starts) > 0 && now.Sub(b.starts[0]) > startWindow {
 		b.starts = b.starts[1:]
 	}
 	if len(b.starts) >= maxStarts {
-		if free := b.starts[0].Add(startWindow); free.After(at) {
-			at = free
+		if earliest := b.starts[0].Add(startWindow); earliest.After(next) {
+			next = earliest
 		}
 	}
-	return at
+	return next
 }
 
-// started counts a start.
+// started records a start.
 func (b *restartBackoff) started(now time.Time) { b.starts = append(b.starts, now) }
--- a/internal/quorum/helpers_test.go
+++ b/internal/quorum/helpers_test.go
@@ -16,16 +16,16 @@
 	"cleathold/internal/store"
 )
 
-// recordedLog is a machine that keeps what it is given.
-type recordedLog struct {
+// recordingMachine is a Machine that records the entries applied to it.
+type recordingMachine struct {
 	mu      sync.Mutex
 	List    []string
 	changed chan struct{}
 }
 
-func newRecordedLog() *recordedLog { return &recordedLog{changed: make(chan struct{})} }
+func newRecordingMachine() *recordingMachine { return &recordingMachine{changed: make(chan struct{})} }
 
-func (t *recordedLog) Apply(_ uint64, data []byte) {
+func (t *recordingMachine) Apply(_ uint64, data []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.List = append(t.List, string(data))
@@ -33,50 +33,50 @@
 	t.changed = make(chan struct{})
 }
 
-func (t *recordedLog) Snapshot() ([]byte, error) {
+func (t *recordingMachine) Snapshot() ([]byte, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return json.Marshal(t.List)
 }
 
-func (t *recordedLog) Restore(_ uint64, data []byte) error {
+func (t *recordingMachine) Restore(_ uint64, data []byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.List = nil
 	return json.Unmarshal(data, &t.List)
 }
 
-func (t *recordedLog) all() []string {
+func (t *recordingMachine) all() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.List)
 }
 
-// waitFor waits until something was applied; false: not in time.
-func (t *recordedLog) waitFor(text string, span time.Duration) bool {
-	timer := time.NewTimer(span)
+// waitFor waits until an entry is applied. It returns false if that does not happen within the timeout.
+func (t *recordingMachine) waitFor(text string, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		t.mu.Lock()
-		in, news := slices.Contains(t.List, text), t.changed
+		applied, changed := slices.Contains(t.List, text), t.changed
 		t.mu.Unlock()
-		if in {
+		if applied {
 			return true
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
 			return false
 		}
 	}
 }
 
-// A testAgent is one agent under test, with its folder and its address.
+// testAgent is an agent under test with its folder and its address.
 type testAgent struct {
 	name, dir string
 	peers     map[string]string
 	listener  net.Listener
-	log       *recordedLog
+	log       *recordingMachine
 	node      *Node
 	server    *http.Server
 	cancel    context.CancelFunc
@@ -93,7 +93,7 @@
 	return <-h.done
 }
 
-// testCluster is some agents, and the links between them.
+// testCluster is a set of agents and the network between them.
 type testCluster struct {
 	t      *testing.T
 	net    *netfault.Net
@@ -112,12 +112,12 @@
 		x.net.Close()
 	})
 	for i := range n {
-		sock, err := net.Listen("tcp4", "127.0.0.1:0")
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		x.names = append(x.names, fmt.Sprint("a", i))
-		x.agents = append(x.agents, &testAgent{name: x.names[i], dir: t.TempDir(), listener: sock,
+		x.agents = append(x.agents, &testAgent{name: x.names[i], dir: t.TempDir(), listener: listener,
 			peers: map[string]string{}})
 	}
 	for _, a := range x.agents {
@@ -143,7 +143,7 @@
 
 func (x *testCluster) start(h *testAgent) {
 	x.t.Helper()
-	h.log = newRecordedLog()
+	h.log = newRecordingMachine()
 	node, err := Open(Config{Name: h.name, FS: store.Dir(h.dir), Peers: h.peers, Machine: h.log,
 		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -156,21 +156,21 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+Path, node.Receive)
 	h.server = &http.Server{Handler: mux}
-	sock, err := h.listener.(*net.TCPListener).File()
+	file, err := h.listener.(*net.TCPListener).File()
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	defer sock.Close()
-	l, err := net.FileListener(sock)
+	defer file.Close()
+	listener, err := net.FileListener(file)
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	go h.server.Serve(l)
+	go h.server.Serve(listener)
 }
 
-// propose proposes until it is applied at its proposer, or until a time.
-func (x *testCluster) propose(h *testAgent, text string, span time.Duration) bool {
-	for until := time.Now().Add(span); time.Now().Before(until); {
+// propose proposes an entry repeatedly until its proposer has applied it. It returns false after the timeout.
+func (x *testCluster) propose(h *testAgent, text string, timeout time.Duration) bool {
+	for until := time.Now().Add(timeout); time.Now().Before(until); {
 		if h.node.Propose(x.t.Context(), []byte(text)) == nil && h.log.waitFor(text, time.Second) {
 			return true
 		}
@@ -188,6 +188,6 @@
 			}
 		}
 	}
-	x.t.Fatal("nobody leads")
+	x.t.Fatal("no agent leads")
 	return nil
 }
--- a/internal/quorum/node_test.go
+++ b/internal/quorum/node_test.go
@@ -22,48 +22,49 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The smaller side of a split agrees on nothing, the larger goes on, and all have the same log once it is over. Three
-// to two, two to one, and ways that are silent in one direction only.
-func TestSplits(t *testing.T) {
+// TestNetworkPartitions checks that during a network partition the minority commits nothing and the majority makes
+// progress, and that all agents have the same log afterwards. The cases are two agents to one, three to two, and
+// messages lost in one direction only.
+func TestNetworkPartitions(t *testing.T) {
 	for _, c := range []struct {
-		agents int
-		small  []string
-		oneWay bool
+		agents   int
+		minority []string
+		oneWay   bool
 	}{{3, []string{"a0"}, false}, {5, []string{"a0", "a3"}, false}, {3, []string{"a0"}, true}} {
-		t.Run(fmt.Sprintf("%d agents, %v, one way %t", c.agents, c.small, c.oneWay), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d agents, %v, one way %t", c.agents, c.minority, c.oneWay), func(t *testing.T) {
 			t.Parallel()
 			x := newTestCluster(t, c.agents)
 			if !x.propose(x.agents[0], "before", 20*time.Second) {
-				t.Fatal("nothing can be agreed on")
+				t.Fatal("nothing can be committed")
 			}
-			if c.oneWay { // it hears the others, and nobody hears it
+			if c.oneWay { // a0 receives messages of the others, but its own are lost
 				for _, other := range x.names[1:] {
 					x.net.Set("a0", other, netfault.State{Silent: true})
 				}
 			} else {
-				x.net.Partition(c.small, x.names, netfault.State{Cut: true})
+				x.net.Partition(c.minority, x.names, netfault.State{Cut: true})
 			}
 			if !x.propose(x.agents[1], "larger", 20*time.Second) {
-				t.Errorf("%v: the larger side agrees on nothing", c)
+				t.Errorf("%v: the majority commits nothing", c)
 			}
 			if x.propose(x.agents[0], "smaller", 3*time.Second) {
-				t.Errorf("%v: the smaller side agrees on something", c)
+				t.Errorf("%v: the minority commits an entry", c)
 			}
 			if !c.oneWay {
 				if err := x.agents[0].node.Propose(t.Context(), []byte("x")); !errors.Is(err, ErrNoMajority) {
-					t.Errorf("%v: asked on the smaller side: %v", c, err)
+					t.Errorf("%v: proposal at the minority: %v", c, err)
 				}
 			}
 			x.net.Heal()
 			if !x.propose(x.agents[0], "after", 20*time.Second) {
-				t.Errorf("%v: nothing is agreed on after it", c)
+				t.Errorf("%v: nothing is committed after the partition", c)
 			}
 			for _, h := range x.agents {
 				if !h.log.waitFor("after", 20*time.Second) {
-					t.Errorf("%v: %s lacks the end", c, h.name)
+					t.Errorf("%v: %s lacks the last entry", c, h.name)
 				}
 			}
-			// What was proposed again, as its answer was late, may still be on its way to some.
+			// Entries that were proposed again after a timeout may not have reached all agents yet.
 			same := func(h *testAgent) bool { return slices.Equal(h.log.all(), x.agents[0].log.all()) }
 			for _, h := range x.agents[1:] {
 				for until := time.Now().Add(20 * time.Second); !same(h) && time.Now().Before(until); {
@@ -77,15 +78,15 @@
 	}
 }
 
-// A folder is lost: the agent is taken in anew in its old place, by a snapshot, and the old seat's vote is gone. A
-// majority holds even while another one is down.
-func TestReplaced(t *testing.T) {
+// TestMemberReplacement loses an agent's folder. The agent must be added again as a new member that receives a
+// snapshot, and the old member must lose its vote, so that there is still a majority while another agent is down.
+func TestMemberReplacement(t *testing.T) {
 	t.Parallel()
 	cluster := newTestCluster(t, 3)
 	lost := cluster.agents[2]
 	for i := range snapshotInterval + 100 {
 		if i%100 == 0 && !cluster.propose(cluster.agents[0], fmt.Sprint("e", i), 20*time.Second) {
-			t.Fatal("nothing can be agreed on")
+			t.Fatal("nothing can be committed")
 		}
 		cluster.agents[0].node.Propose(t.Context(), []byte(fmt.Sprint("f", i)))
 	}
@@ -107,21 +108,22 @@
 	cluster.agents[0].stop()
 	if !cluster.propose(cluster.agents[1], "two of three", 20*time.Second) ||
 		!lost.log.waitFor("two of three", 20*time.Second) {
-		t.Error("nothing can be agreed on with the new seat")
+		t.Error("nothing can be committed with the new member")
 	}
 	if got := lost.log.all(); !slices.Contains(got, "e0") || len(got) < snapshotInterval {
 		t.Errorf("%d entries came with the snapshot", len(got))
 	}
 	lost.stop()
 	if err := Bootstrap(store.Dir(lost.dir), lost.name, cluster.names); !errors.Is(err, ErrAlreadyBootstrapped) {
-		t.Errorf("founded again: %v", err)
+		t.Errorf("second bootstrap: %v", err)
 	}
 }
 
-// A node that replaces another counts as a voter only once raft needs no majority of the members before the change:
-// until then a further failure would leave nobody who can agree on anything.
+// TestVoterOnceReplacementIsComplete checks that a node that replaces another counts as a voter only once raft no
+// longer needs a majority of the former members as well: until then the failure of one more agent would leave no
+// majority.
 func TestVoterOnceReplacementIsComplete(t *testing.T) {
-	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), newRecordedLog()))
+	node, err := Open(goldenConfig(store.Dir(golden.Folder(t, "folder")), newRecordingMachine()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,40 +145,40 @@
 	}
 }
 
-// Leave for at most two at once, taken and given back by three agents at a time while links come and go: what each saw
-// of its own orders must be explained by one order of all of them.
+// TestLinearizable has three agents concurrently acquire and release permits, of which at most two may be held at once,
+// while links fail and recover. The results that each agent observes must be linearizable.
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
 	x := newTestCluster(t, 3)
 	type input struct {
-		take bool
-		who  string
+		take   bool
+		sender string
 	}
-	const room = 2
-	// The machine is the tape; whether an entry had room follows from all before it.
+	const capacity = 2
+	// The machine only records the entries. Whether an entry acquired a permit follows from the entries before it.
 	granted := func(list []string, id string) (ok, found bool) {
-		out := map[string]bool{}
+		holders := map[string]bool{}
 		for _, e := range list {
 			var take bool
-			var who, by string
-			fmt.Sscan(e, &take, &who, &by)
-			had := out[who]
-			fits := take && !had && len(out) < room
-			if fits {
-				out[who] = true
+			var sender, operation string
+			fmt.Sscan(e, &take, &sender, &operation)
+			held := holders[sender]
+			acquired := take && !held && len(holders) < capacity
+			if acquired {
+				holders[sender] = true
 			}
 			if !take {
-				delete(out, who)
+				delete(holders, sender)
 			}
-			if by == id {
-				return fits || !take && had, true
+			if operation == id {
+				return acquired || !take && held, true
 			}
 		}
 		return false, false
 	}
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	begun := time.Now()
+	started := time.Now()
 	ctx, stop := context.WithTimeout(t.Context(), 6*time.Second)
 	defer stop()
 	var wg sync.WaitGroup
@@ -186,16 +188,16 @@
 			for k := 0; ctx.Err() == nil; k++ {
 				in := input{rng.IntN(2) == 0, fmt.Sprint("n", rng.IntN(4))}
 				id := fmt.Sprintf("%d-%d", i, k)
-				text := fmt.Sprint(in.take, " ", in.who, " ", id)
-				call := time.Since(begun)
+				text := fmt.Sprint(in.take, " ", in.sender, " ", id)
+				call := time.Since(started)
 				if h.node.Propose(ctx, []byte(text)) != nil {
 					time.Sleep(5 * time.Millisecond)
 					continue
 				}
 				op := porcupine.Operation{ClientId: i, Input: in, Call: int64(call), Output: nil, Return: int64(time.Hour)}
-				if h.log.waitFor(text, 500*time.Millisecond) { // else nobody knows: it may take effect at any time later
+				if h.log.waitFor(text, 500*time.Millisecond) { // else the result is unknown: it may take effect later
 					ok, _ := granted(h.log.all(), id)
-					op.Output, op.Return = ok, int64(time.Since(begun))
+					op.Output, op.Return = ok, int64(time.Since(started))
 				} else {
 					op.ClientId = 1000 + len(history)
 				}
@@ -222,20 +224,20 @@
 		Init: func() any { return "" },
 		Step: func(state, in, out any) (bool, any) {
 			list := []string{}
-			for _, who := range []string{"n0", "n1", "n2", "n3"} {
-				if slices.Contains(strings.Fields(state.(string)), who) {
-					list = append(list, who)
+			for _, sender := range []string{"n0", "n1", "n2", "n3"} {
+				if slices.Contains(strings.Fields(state.(string)), sender) {
+					list = append(list, sender)
 				}
 			}
 			i := in.(input)
-			had := slices.Contains(list, i.who)
-			ok := had
+			held := slices.Contains(list, i.sender)
+			ok := held
 			if i.take {
-				if ok = !had && len(list) < room; ok {
-					list = append(list, i.who)
+				if ok = !held && len(list) < capacity; ok {
+					list = append(list, i.sender)
 				}
-			} else if had {
-				list = slices.DeleteFunc(list, func(s string) bool { return s == i.who })
+			} else if held {
+				list = slices.DeleteFunc(list, func(s string) bool { return s == i.sender })
 			}
 			slices.Sort(list)
 			next := fmt.Sprint(list)
@@ -249,6 +251,6 @@
 		}
 	}
 	if got := porcupine.CheckOperationsTimeout(model, history, 30*time.Second); got == porcupine.Illegal || known < 20 {
-		t.Errorf("%v: %d orders, %d with a known end", got, len(history), known)
+		t.Errorf("%v: %d operations, %d with a known result", got, len(history), known)
 	}
 }
--- a/internal/quorum/storage_test.go
+++ b/internal/quorum/storage_test.go
@@ -11,7 +11,7 @@
 	"cleathold/internal/store"
 )
 
-// broken fails writes once told to.
+// failingFS is a file system whose writes fail while full is true.
 type failingFS struct {
 	store.FS
 	full *bool
@@ -41,16 +41,17 @@
 
 var errFull = errors.New("no space left on device")
 
-// A folder that can't be written ends the node before anything is promised, and what it has promised is there when it
-// is opened again. A damaged one is not opened at all.
-func TestFolder(t *testing.T) {
+// TestStorageFailures checks that a node whose folder can't be written stops before it commits anything that is not
+// stored, and that the entries that it has committed are there when it is opened again. A damaged folder must not be
+// opened at all.
+func TestStorageFailures(t *testing.T) {
 	dir := t.TempDir()
 	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); err != nil {
 		t.Fatal(err)
 	}
 	full := false
-	open := func() (*Node, *recordedLog, func() error) {
-		m := newRecordedLog()
+	open := func() (*Node, *recordingMachine, func() error) {
+		m := newRecordingMachine()
 		n, err := Open(Config{Name: "a", FS: failingFS{store.Dir(dir), &full}, Peers: map[string]string{"a": ""},
 			Machine: m, Log: slog.New(slog.DiscardHandler)})
 		if err != nil {
@@ -61,7 +62,7 @@
 		go func() { done <- n.Run(ctx) }()
 		return n, m, func() error { stop(); return <-done }
 	}
-	put := func(n *Node, m *recordedLog, text string) bool {
+	proposeAndWait := func(n *Node, m *recordingMachine, text string) bool {
 		for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 			err := n.Propose(t.Context(), []byte(text))
 			if err == nil {
@@ -74,28 +75,28 @@
 		return false
 	}
 	n, m, stop := open()
-	if !put(n, m, "one") {
-		t.Fatal("one agent agrees with itself on nothing")
+	if !proposeAndWait(n, m, "one") {
+		t.Fatal("a single agent commits nothing")
 	}
 	full = true
-	if put(n, m, "two") {
-		t.Error("agreed on what could not be written")
+	if proposeAndWait(n, m, "two") {
+		t.Error("an entry was committed that could not be written")
 	}
 	if err := stop(); !errors.Is(err, errFull) {
-		t.Errorf("ended by %v", err)
+		t.Errorf("Run returned %v", err)
 	}
 	full = false
 	n, m, stop = open()
-	if !put(n, m, "three") || slices.Contains(m.all(), "two") || !slices.Contains(m.all(), "one") {
+	if !proposeAndWait(n, m, "three") || slices.Contains(m.all(), "two") || !slices.Contains(m.all(), "one") {
 		t.Errorf("%v", m.all())
 	}
 	if err := stop(); err != nil {
 		t.Error(err)
 	}
 	if err := Bootstrap(store.Dir(dir), "a", []string{"a"}); !errors.Is(err, ErrAlreadyBootstrapped) {
-		t.Errorf("founded twice: %v", err)
+		t.Errorf("second bootstrap: %v", err)
 	}
-	if _, err := Open(Config{Name: "b", FS: store.Dir(dir), Machine: newRecordedLog(),
+	if _, err := Open(Config{Name: "b", FS: store.Dir(dir), Machine: newRecordingMachine(),
 		Log: slog.New(slog.DiscardHandler)}); err == nil {
 		t.Error("another agent's folder was opened")
 	}
@@ -106,7 +107,7 @@
 			f.Close()
 		}
 	}
-	if _, err := Open(Config{Name: "a", FS: store.Dir(dir), Machine: newRecordedLog(),
+	if _, err := Open(Config{Name: "a", FS: store.Dir(dir), Machine: newRecordingMachine(),
 		Log: slog.New(slog.DiscardHandler)}); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a damaged folder: %v", err)
 	}
--- a/internal/rollout/endpoint.go
+++ b/internal/rollout/endpoint.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// changeEndpoint excludes an endpoint, or includes it again.
+// changeEndpoint excludes an endpoint or ends its exclusion.
 func (s *State) changeEndpoint(index uint64, c Command) (string, error) {
 	if c.By == "" || c.Reason == "" {
 		return "", reject("an author and a reason are needed")
 	}
 	s.forgetIncluded(c.At)
-	out := s.Endpoints[c.Endpoint]
+	exclusion := s.Endpoints[c.Endpoint]
 	if c.Verb == IncludeEndpoint {
-		if out == nil || !out.Back.IsZero() {
+		if exclusion == nil || !exclusion.Back.IsZero() {
 			return "", reject("endpoint %q is not out by order", c.Endpoint)
 		}
-		out.Back, s.ExclusionEpoch = c.At, index
+		exclusion.Back, s.ExclusionEpoch = c.At, index
 		return fmt.Sprintf("endpoint %s is in again", c.Endpoint), nil
 	}
-	if out != nil && out.Back.IsZero() {
-		return "", reject("endpoint %s is out already, by %s (%s)", c.Endpoint, out.By, out.Reason)
+	if exclusion != nil && exclusion.Back.IsZero() {
+		return "", reject("endpoint %s is out already, by %s (%s)", c.Endpoint, exclusion.By, exclusion.Reason)
 	}
 	i := slices.IndexFunc(c.Listed, func(e Endpoint) bool { return e.ID == c.Endpoint })
 	if i < 0 {
@@ -32,23 +32,24 @@
 	if err := s.checkEndpointBudget(e, c.Listed); err != nil {
 		return "", err
 	}
-	s.Endpoints[e.ID] = &EndpointOut{Endpoint: e, By: c.By, Reason: c.Reason, At: c.At}
+	s.Endpoints[e.ID] = &EndpointExclusion{Endpoint: e, By: c.By, Reason: c.Reason, At: c.At}
 	s.ExclusionEpoch = index
 	return fmt.Sprintf("endpoint %s of destination %d is out", e.ID, e.Dest), nil
 }
 
-// checkEndpointBudget returns why an endpoint can't be excluded, or nil. Endpoints that discovery drains, and those
-// that are being included again, count as out; the last one of a destination is never excluded.
+// checkEndpointBudget returns an error that says why an endpoint can't be excluded, or nil. Endpoints that discovery
+// drains count as out, and so do endpoints that were included again but may still be excluded at some senders. The
+// last endpoint of a destination is never excluded.
 func (s *State) checkEndpointBudget(e Endpoint, listed []Endpoint) error {
 	b := s.Terms.Budget
-	dest, kind, serving := map[string]bool{}, map[string]bool{}, 0
+	outOfDest, outOfKind, serving := map[string]bool{}, map[string]bool{}, 0
 	isOut := func(x Endpoint) bool { return !x.Up || s.Endpoints[x.ID] != nil }
 	count := func(x Endpoint) {
 		if x.Dest == e.Dest {
-			dest[x.ID] = true
+			outOfDest[x.ID] = true
 		}
 		if x.Kind == e.Kind {
-			kind[x.ID] = true
+			outOfKind[x.ID] = true
 		}
 	}
 	for _, x := range listed {
@@ -60,32 +61,32 @@
 			serving++
 		}
 	}
-	for _, x := range s.Endpoints { // some may not be listed any more
+	for _, x := range s.Endpoints { // discovery may no longer list some of them
 		if x.ID != e.ID {
 			count(x.Endpoint)
 		}
 	}
 	switch {
-	case len(dest) >= b.Endpoints:
-		return reject("%d endpoints of destination %d are out, %d may be: %s", len(dest), e.Dest, b.Endpoints,
-			firstNames(dest))
-	case b.Kind > 0 && len(kind) >= b.Kind:
-		return reject("%d endpoints of its kind are out, %d may be: %s", len(kind), b.Kind, firstNames(kind))
+	case len(outOfDest) >= b.Endpoints:
+		return reject("%d endpoints of destination %d are out, %d may be: %s", len(outOfDest), e.Dest, b.Endpoints,
+			firstNames(outOfDest))
+	case b.Kind > 0 && len(outOfKind) >= b.Kind:
+		return reject("%d endpoints of its kind are out, %d may be: %s", len(outOfKind), b.Kind, firstNames(outOfKind))
 	case serving == 0:
 		return reject("%s is the last endpoint of destination %d that is in", e.ID, e.Dest)
 	}
 	return nil
 }
 
-// forgetIncluded forgets endpoints that were included so long ago that no sender can still exclude them.
+// forgetIncluded deletes the endpoints that were included again so long ago that no sender can still exclude them.
 func (s *State) forgetIncluded(now time.Time) {
 	t := s.Terms.Timing
-	maps.DeleteFunc(s.Endpoints, func(_ string, x *EndpointOut) bool {
+	maps.DeleteFunc(s.Endpoints, func(_ string, x *EndpointExclusion) bool {
 		return !x.Back.IsZero() && now.Sub(x.Back) > t.Lease+4*t.Error
 	})
 }
 
-// ExcludedEndpoints returns the ids of the excluded endpoints in order.
+// ExcludedEndpoints returns the sorted IDs of the excluded endpoints.
 func (s *State) ExcludedEndpoints() (list []string) {
 	for id, x := range s.Endpoints {
 		if x.Back.IsZero() {
@@ -101,14 +102,15 @@
 	ID   string `json:"id"`
 	Dest int    `json:"dest"`
 	Kind int    `json:"kind"`
-	Up   bool   `json:"up"` // else discovery drains it
+	Up   bool   `json:"up"` // false: discovery drains it
 }
 
-// EndpointOut is an endpoint that operators have excluded, or include again: senders learn of it within a lease.
-type EndpointOut struct {
+// EndpointExclusion is an endpoint that operators have excluded. It is kept for a while after the endpoint was included
+// again, since senders may apply the change up to a lease later.
+type EndpointExclusion struct {
 	Endpoint
 	By     string    `json:"by"`
 	Reason string    `json:"reason"`
 	At     time.Time `json:"at"`
-	Back   time.Time `json:"back,omitzero"` // when it was included again; zero: it is excluded
+	Back   time.Time `json:"back,omitzero"` // when the exclusion ended; zero: still excluded
 }
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// Watch gathers what the gates of stages are decided by. It belongs to the leading agent: a new leader gathers anew,
-// which takes longer, but lets nothing pass that the old one would not have. The sums of the unchanged senders are
-// replicated with each stage that is left, since in the last stage none remain to compare with. The zero value is
-// ready for use.
+// Watch collects the data on which the verdicts of the stages' gates are based. Only the leading agent keeps it. A new
+// leader starts with an empty Watch: its verdicts take longer, but it accepts no stage that the previous leader would
+// have failed. The sums of the unchanged senders are replicated whenever a stage is completed, since no unchanged
+// sender is left for the comparison in the last stage. The zero value is ready for use.
 type Watch struct{ plans map[uint64]*stageWatch }
 
-// stageWatch is what was gathered of the current stage of a plan.
+// stageWatch is the data collected for the current stage of a plan.
 type stageWatch struct {
 	stage    int
-	since    time.Time              // when all of its senders had changed; zero: not yet
-	baseline map[string]Observation // of all senders at that time
+	since    time.Time              // when all senders of the stage had changed; zero: not yet
+	baseline map[string]Observation // the observations of all senders at that time
 
-	notServingSince map[string]time.Time // by sender: since when one that is changing was seen not to serve
+	notServingSince map[string]time.Time // by changing sender: since when it is observed not to serve
 
-	lateBaseline Sums      // the changed senders' sums when late first attempts were last found, or cleared
-	lateSince    time.Time // when that was, if it is to be confirmed; else zero
+	lateBaseline Sums      // the changed senders' sums when the share of late first attempts was last found or cleared
+	lateSince    time.Time // when late first attempts were found that are still to be confirmed; else zero
 }
 
-// Verdict says whether a stage may be left, as far as Known, and why.
+// Verdict is the result of a gate's check: whether the plan may leave the stage, and why. Good and Text are valid only
+// if Known is true.
 type Verdict struct {
 	Good, Known bool
 	Text        string
-	Others      Sums // the sums with which the changed senders were compared
+	Baseline    Sums // the sums that the changed senders were compared with
 }
 
-// Verdict returns the verdict on the current stage of a plan. Several plans may run.
+// Verdict returns the verdict on the current stage of a plan. Several plans may run at the same time.
 func (w *Watch) Verdict(s *State, p *Plan, observations map[string]Observation, now time.Time) Verdict {
 	if w.plans == nil {
 		w.plans = map[uint64]*stageWatch{}
@@ -41,18 +42,18 @@
 			delete(w.plans, id)
 		}
 	}
-	x := w.plans[p.ID]
-	if x == nil {
-		x = &stageWatch{stage: p.Stage}
-		w.plans[p.ID] = x
+	watch := w.plans[p.ID]
+	if watch == nil {
+		watch = &stageWatch{stage: p.Stage}
+		w.plans[p.ID] = watch
 	}
-	if x.stage != p.Stage {
-		*x = stageWatch{stage: p.Stage}
+	if watch.stage != p.Stage {
+		*watch = stageWatch{stage: p.Stage}
 	}
-	return x.verdict(s, p, observations, now)
+	return watch.verdict(s, p, observations, now)
 }
 
-// failed returns the verdict that a stage may not be left, and why.
+// failed returns the verdict that the plan may not leave a stage, with the reason.
 func failed(format string, args ...any) Verdict {
 	return Verdict{Known: true, Text: fmt.Sprintf(format, args...)}
 }
@@ -73,21 +74,22 @@
 			w.baseline[name] = observations[name]
 		}
 	}
-	x, problem := w.compare(s, p, observations, now)
-	if problem != nil {
-		return *problem
+	counts, failure := w.compare(s, p, observations, now)
+	if failure != nil {
+		return *failure
 	}
-	if p.Others != nil && (x.others.Senders == 0 || x.others.Taken+x.others.Refused < int64(p.Gate.MinMessages)) {
-		x.others = *p.Others
+	if p.Baseline != nil && (counts.others.Senders == 0 ||
+		counts.others.Accepted+counts.others.Rejected < int64(p.Gate.MinMessages)) {
+		counts.others = *p.Baseline
 	}
-	if reason := worse(x.changed, x.others, p.Gate); reason != "" {
+	if reason := regression(counts.changed, counts.others, p.Gate); reason != "" {
 		return failed("%s", reason)
 	}
-	reason, pending := w.confirmLate(x.changed, x.others, p.Gate, now)
+	reason, pending := w.confirmLate(counts.changed, counts.others, p.Gate, now)
 	if reason != "" {
 		return failed("%s", reason)
 	}
-	return w.decide(p, x, pending, observations, now)
+	return w.decide(p, counts, pending, observations, now)
 }
 
 // stageComplete reports whether all senders of the current stage have changed.
@@ -100,17 +102,17 @@
 	return true
 }
 
-// comparison is what the changed senders and the others have done since the stage was complete.
+// comparison holds the counts of the changed senders and of the others since all senders of the stage had changed.
 type comparison struct {
 	changed, others Sums
-	unseen          string // a changed sender that was not observed lately
+	unobserved      string // a changed sender without a fresh observation, if any
 }
 
-// compare sums up what the senders have done. It returns a verdict if a changed sender has failed.
+// compare sums up the senders' counters since the baseline. It returns a verdict if a changed sender has failed.
 func (w *stageWatch) compare(
 	s *State, p *Plan, observations map[string]Observation, now time.Time,
 ) (comparison, *Verdict) {
-	var x comparison
+	var counts comparison
 	for name := range s.Members {
 		before, observed := w.updateBaseline(name, observations[name])
 		changed := p.Tasks[name] != nil && p.Tasks[name].Step == Finished
@@ -118,33 +120,34 @@
 		soaked := now.Sub(w.since) > p.Gate.Soak
 		switch {
 		case observed.Process == "" && changed && stale:
-			x.unseen = name
+			counts.unobserved = name
 		case observed.Process == "" && changed && soaked:
 			v := failed("%s changed and is not seen any more: %s", name, observed.Phase)
-			return x, &v
+			return counts, &v
 		case observed.Process == "":
 		case changed:
-			x.changed.add(observed, before)
+			counts.changed.add(observed, before)
 			if observed.Facts.Restarts > before.Facts.Restarts {
 				v := failed("%s crashed after its change", name)
-				return x, &v
+				return counts, &v
 			}
 			if !observed.Serving && !stale && s.Grants[name] == nil && soaked {
 				v := failed("%s changed and does not serve: %s", name, observed.Phase)
-				return x, &v
+				return counts, &v
 			}
-			if stale { // its agent is away, which says nothing of the version
-				x.unseen = name
+			if stale { // its agent does not report, which is no evidence against the version
+				counts.unobserved = name
 			}
 		default:
-			x.others.add(observed, before)
+			counts.others.add(observed, before)
 		}
 	}
-	return x, nil
+	return counts, nil
 }
 
-// updateBaseline returns the baseline of a sender and its latest observation. A new leader completes its baseline
-// with the first observation of a process, and with the count of restarts that only the sender's own agent knows.
+// updateBaseline returns the baseline of a sender and its latest observation. A new leader may lack data in its
+// baseline: updateBaseline adds the first observation of a process, and the count of restarts, which only the sender's
+// own agent knows.
 func (w *stageWatch) updateBaseline(name string, observed Observation) (before, after Observation) {
 	before = w.baseline[name]
 	if before.Process == "" && observed.Process != "" {
@@ -158,37 +161,37 @@
 	return before, observed
 }
 
-// decide returns the verdict where nothing is worse: once the gate's soak is over and enough messages were compared,
-// or its wait is over.
+// decide returns the verdict where the comparison found no regression. The verdict is known once the gate's soak is
+// over and enough messages were compared, or once the gate's wait is over.
 func (w *stageWatch) decide(
-	p *Plan, x comparison, pending bool, observations map[string]Observation, now time.Time,
+	p *Plan, counts comparison, pending bool, observations map[string]Observation, now time.Time,
 ) Verdict {
 	waited := now.Sub(w.since)
 	enough := int64(p.Gate.MinMessages)
 	switch {
-	case x.unseen != "" && waited >= p.Gate.Wait:
-		return failed("not known to be good: nobody has seen %s for %v", x.unseen,
-			now.Sub(observations[x.unseen].At).Round(time.Second))
-	case waited < p.Gate.Soak || x.unseen != "" || pending && waited < p.Gate.Wait:
+	case counts.unobserved != "" && waited >= p.Gate.Wait:
+		return failed("not known to be good: nobody has seen %s for %v", counts.unobserved,
+			now.Sub(observations[counts.unobserved].At).Round(time.Second))
+	case waited < p.Gate.Soak || counts.unobserved != "" || pending && waited < p.Gate.Wait:
 		return Verdict{}
 	case pending:
 		return failed("not known to be good: first calls came late, and %d have been made since, %d wanted",
-			x.changed.Called-w.lateBaseline.Called, p.Gate.MinMessages)
-	case x.changed.Ends >= enough && x.others.Ends >= enough:
+			counts.changed.Called-w.lateBaseline.Called, p.Gate.MinMessages)
+	case counts.changed.Outcomes >= enough && counts.others.Outcomes >= enough:
 		return Verdict{true, true, fmt.Sprintf("%d messages ended at %d changed senders, %d at others; none worse",
-			x.changed.Ends, x.changed.Senders, x.others.Ends), x.others}
+			counts.changed.Outcomes, counts.changed.Senders, counts.others.Outcomes), counts.others}
 	case waited >= p.Gate.Wait:
 		return failed("not known to be good: after %v %d messages have ended at the changed senders "+
 			"and %d beside them, %d wanted",
-			waited.Round(time.Second), x.changed.Ends, x.others.Ends, p.Gate.MinMessages)
+			waited.Round(time.Second), counts.changed.Outcomes, counts.others.Outcomes, p.Gate.MinMessages)
 	}
 	return Verdict{}
 }
 
-// lostSender returns a sender of the stage that went out and has not served for the soak of the gate since, as
-// observed by its own agent, or nothing. An agent that is still changing the version observes nothing, so that its
-// observation is stale. Without this rule a version that becomes unresponsive right after the change would leave its
-// grant open, and the plan waiting, forever.
+// lostSender returns the name of a sender of the stage that went out of service and has since been observed by its own
+// agent not to serve for the gate's soak, or "". While an agent changes a sender's version it makes no observations,
+// so that its last one is stale. Without this rule a version that becomes unresponsive right after the change would
+// leave its grant open, and the plan waiting, forever.
 func (w *stageWatch) lostSender(s *State, p *Plan, observations map[string]Observation, now time.Time) string {
 	if w.notServingSince == nil {
 		w.notServingSince = map[string]time.Time{}
@@ -197,7 +200,7 @@
 	for _, name := range p.Stages[p.Stage] {
 		g, v := s.Grants[name], observations[name]
 		known := !v.Far && v.At.After(now.Add(-s.Terms.Timing.Fresh))
-		active := g != nil && v.Epoch == g.Epoch && !v.Ended // the agent ends or renews an active lease
+		active := g != nil && v.Epoch == g.Epoch && !v.Ended // the agent renews or ends an active lease
 		if p.Tasks[name].Step != Granted || g == nil || active || v.Serving {
 			delete(w.notServingSince, name)
 			continue
@@ -212,13 +215,14 @@
 	return lost
 }
 
-// confirmLate returns why the changed senders' first attempts are late, once that was found twice, a soak apart, or
-// that this is still to be seen. Messages that wait for one faulty destination are late together, so that a single
-// finding may be chance; and a sender that has just started learns of a fault later than the others.
+// confirmLate returns the reason why the changed senders fail for late first attempts, or pending while a first finding
+// is still to be confirmed. It takes two findings, a soak apart: messages that wait for one faulty destination are late
+// together, so that a single finding may be chance, and a sender that has just started detects a fault later than the
+// others.
 func (w *stageWatch) confirmLate(changed, others Sums, g Gate, now time.Time) (reason string, pending bool) {
 	since := changed
 	since.Called, since.Late = changed.Called-w.lateBaseline.Called, changed.Late-w.lateBaseline.Late
-	late := worseLate(since, others, g)
+	late := lateRegression(since, others, g)
 	switch {
 	case w.lateSince.IsZero() && late == "":
 		return "", false
@@ -232,18 +236,18 @@
 	return late, false
 }
 
-// Gate is the condition under which a release goes on to its next stage.
+// Gate is the condition under which a release proceeds to its next stage.
 type Gate struct {
-	MinMessages int           `json:"least"` // messages with an outcome, at the changed senders and at the others
-	Soak        time.Duration `json:"soak"`  // minimum time
-	Wait        time.Duration `json:"wait"`  // halted if the verdict is not known by then
-	Slack       float64       `json:"slack"` // by which a share may be worse, besides chance
+	MinMessages int           `json:"least"` // messages with an outcome, of the changed senders and of the others
+	Soak        time.Duration `json:"soak"`  // minimum time after the last change of the stage before it may pass
+	Wait        time.Duration `json:"wait"`  // the gate fails if there is no verdict by then
+	Slack       float64       `json:"slack"` // by how much a share may be worse, in addition to chance
 }
 
-// DefaultGate is the gate of a plan that gives none.
+// DefaultGate has the values for the fields that a plan's gate leaves at zero.
 var DefaultGate = Gate{MinMessages: 30, Soak: 5 * time.Second, Wait: 10 * time.Minute, Slack: 0.02}
 
-// withDefaults replaces what a gate leaves out by the defaults.
+// withDefaults returns the gate with its zero fields replaced by those of DefaultGate.
 func (g Gate) withDefaults() Gate {
 	u := DefaultGate
 	return Gate{cmp.Or(g.MinMessages, u.MinMessages), cmp.Or(g.Soak, u.Soak), cmp.Or(g.Wait, u.Wait),
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// What the first stage's gate makes of a version, and how many senders ever ran it.
-func TestGates(t *testing.T) {
+// TestGateVerdicts checks the verdict of the first stage's gate on versions that differ in how they perform, and that
+// only one sender ever ran them.
+func TestGateVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
-		acts func(x *testFleet, changed string)
-		want string
+		simulate func(x *testFleet, changed string)
+		want     string
 	}{
-		"like the others": {func(x *testFleet, _ string) { x.addTraffic(20, noFailures) }, "stage 2 of"},
+		"same as the others": {func(x *testFleet, _ string) { x.addTraffic(20, noFailures) }, "stage 2 of"},
 		"fails more": {func(x *testFleet, changed string) {
 			x.addTraffic(20, func(n string) int64 {
 				if n == changed {
@@ -22,16 +23,16 @@
 				return 0
 			})
 		}, "ends that are failures"},
-		"refuses one in five": {func(x *testFleet, changed string) {
+		"rejects one in five": {func(x *testFleet, changed string) {
 			x.addTraffic(20, noFailures)
 			x.observe(changed, func(v *Observation) { v.Facts.Rejected += 5 })
 		}, "messages refused"},
-		"fails as all do": {func(x *testFleet, _ string) { x.addTraffic(20, func(string) int64 { return 4 }) }, "stage 2 of"},
-		"slow to call": {func(x *testFleet, n string) {
+		"fails like all": {func(x *testFleet, _ string) { x.addTraffic(20, func(string) int64 { return 4 }) }, "stage 2 of"},
+		"late first attempts": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) { v.Facts.Late += 10 })
 		}, "time to the first call"},
-		"two stragglers": {func(x *testFleet, n string) {
+		"two late messages": {func(x *testFleet, n string) {
 			if x.addTraffic(20, noFailures); !x.observations[n].Drained {
 				x.observe(n, func(v *Observation) {
 					if v.Facts.Called == 60 {
@@ -40,8 +41,8 @@
 				})
 			}
 		}, "stage 2 of"},
-		// Of a destination in trouble when the version began: late together, and never again.
-		"nine that waited together": {func(x *testFleet, n string) {
+		// A destination was faulty when the version started: its messages are late together, and none are late afterwards.
+		"nine late messages at once": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) {
 				if v.Facts.Called == 40 {
@@ -49,7 +50,7 @@
 				}
 			})
 		}, "stage 2 of"},
-		"some late at first, and no more traffic": {func(x *testFleet, n string) {
+		"some late at first, then no traffic": {func(x *testFleet, n string) {
 			x.observe(n, func(v *Observation) {
 				if v.Facts.Called < 40 {
 					x.addTraffic(40, noFailures)
@@ -58,7 +59,7 @@
 				}
 			})
 		}, "first calls came late, and 0 have been made since"},
-		"late again and again": {func(x *testFleet, n string) {
+		"late repeatedly": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) {
 				if v.Facts.Called%60 <= 20 {
@@ -66,32 +67,32 @@
 				}
 			})
 		}, "time to the first call"},
-		"leaks": {func(x *testFleet, n string) {
+		"uses more memory": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) { v.Facts.MemoryMB += 30 })
 		}, "memory"},
 		"crashes": {func(x *testFleet, n string) { x.observe(n, func(v *Observation) { v.Facts.Restarts++ }) },
 			"crashed after its change"},
-		"answers nothing": {func(x *testFleet, n string) {
+		"does not respond": {func(x *testFleet, n string) {
 			x.observe(n, func(v *Observation) { *v = Observation{Sender: n, At: x.now, Phase: "no answer"} })
 		}, "not seen any more: no answer"},
-		"its agent is away": {func(x *testFleet, n string) {
+		"its agent does not report": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			v := x.observations[n]
 			v.At = x.now.Add(-time.Minute)
 			x.observations[n] = v
 		}, "nobody has seen n0"},
 		"too little traffic": {func(x *testFleet, _ string) {}, "not known to be good"},
-		"traffic elsewhere": {func(x *testFleet, n string) {
+		"traffic only at the others": {func(x *testFleet, n string) {
 			v := x.observations[n]
 			x.addTraffic(20, noFailures)
 			v.At = x.now
 			x.observations[n] = v
 		}, "not known to be good"},
-		"serves no more": {func(x *testFleet, n string) {
+		"no longer serves": {func(x *testFleet, n string) {
 			x.observe(n, func(v *Observation) { v.Serving, v.Phase = false, "starting" })
 		}, "does not serve"},
-		"others have no traffic": {func(x *testFleet, n string) {
+		"no traffic at the others": {func(x *testFleet, n string) {
 			v := x.observations[n]
 			v.Facts.Accepted, v.Facts.Delivered = v.Facts.Accepted+50, v.Facts.Delivered+50
 			x.observations[n] = v
@@ -106,7 +107,7 @@
 		changed := x.state.Plan(id).Stages[0][0]
 		for range 70 {
 			x.advance(time.Second)
-			c.acts(x, changed)
+			c.simulate(x, changed)
 			if x.run(nil); x.state.Plan(id).Phase != Running || x.state.Plan(id).Stage > 0 {
 				break
 			}
@@ -117,21 +118,23 @@
 				last = e
 			}
 		}
-		ran := 0
+		changedCount := 0
 		for _, m := range x.state.Members {
 			if m.Version.Name == "v2" {
-				ran++
+				changedCount++
 			}
 		}
-		if !strings.Contains(last, c.want) || ran != 1 ||
+		if !strings.Contains(last, c.want) || changedCount != 1 ||
 			(x.state.Plan(id).Phase == Running) != strings.HasPrefix(c.want, "stage") {
-			t.Errorf("%s: %s, %d ran it: %s; want %s", name, x.state.Plan(id).Phase, ran, last, c.want)
+			t.Errorf("%s: plan %s, %d senders run the version: %s; want %s", name, x.state.Plan(id).Phase,
+				changedCount, last, c.want)
 		}
 	}
 }
 
-// Another agent leads once all have changed: there is nobody left to compare with, and what the others were like in the
-// stages before is agreed on. It is compared with as before: a version that has grown worse does not pass.
+// TestGateOfNewLeader changes the leader after all senders have changed, so that no unchanged sender is left for the
+// comparison. The new leader must compare with the replicated sums of the earlier stages: a version that has become
+// worse must not pass.
 func TestGateOfNewLeader(t *testing.T) {
 	for name, failed := range map[string]int64{"as before": 0, "worse": 6} {
 		x := newTestFleet(t, 10, Budget{Fleet: 9})
@@ -142,8 +145,8 @@
 			x.advance(time.Second)
 			x.addTraffic(20, noFailures)
 		}
-		x.run(x.carryOut) // the last ones change...
-		x.watch = Watch{} // ...and the next leader has seen none of it
+		x.run(x.carryOut) // the last senders change
+		x.watch = Watch{} // the next leader has no data of the earlier stages
 		for range 90 {
 			x.advance(time.Second)
 			x.addTraffic(20, func(string) int64 { return failed })
@@ -158,8 +161,8 @@
 	}
 }
 
-// A leader that looks at a sender itself does not know how often it crashed: what its agent tells later is no crash
-// since.
+// TestGateOfRemoteObservation has a leader poll a sender itself, which does not show the sender's number of restarts.
+// When the sender's agent reports the number later, these restarts must not count as crashes since the change.
 func TestGateOfRemoteObservation(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 3})
 	id := x.release(Plan{Gate: Gate{Wait: time.Minute}})
@@ -176,11 +179,12 @@
 	x.advance(time.Second)
 	x.observe(changed, func(v *Observation) { v.Facts.Restarts = 3 })
 	if x.run(nil); x.state.Plan(id).Phase != Halted {
-		t.Error("a crash since is not seen")
+		t.Error("a later crash was not detected")
 	}
 }
 
-// A release goes by building, one, a few, then a tenth at a time, and each stage waits for its gate.
+// TestReleaseStages checks that a release proceeds by building, with one sender, then a few, then a tenth of them per
+// stage, and that each stage waits for its gate.
 func TestReleaseStages(t *testing.T) {
 	x := newTestFleet(t, 40, Budget{Fleet: 4, Building: 4})
 	id := x.release(Plan{})
@@ -201,7 +205,7 @@
 		stages++
 	}
 	if x.state.Plan(id).Phase != Done || most > 4 {
-		t.Fatalf("%s: %s; %d out at once", x.state.Plan(id).Phase, x.state.Plan(id).Why, most)
+		t.Fatalf("%s: %s; %d senders out at once", x.state.Plan(id).Phase, x.state.Plan(id).Why, most)
 	}
 	for _, name := range x.state.names() {
 		if x.state.Members[name].Version.Name != "v2" {
@@ -210,18 +214,19 @@
 	}
 }
 
-// A version that served its agent's question and fell silent before the next sight leaves its grant open: that halts
-// the release, once its agent has not seen it serve for the gate's soak, and no sooner.
+// TestSilentBeforeFirstObservation checks a version that responds to its agent right after the change, but not before
+// the next observation, so that its grant stays open. The release must halt once the agent has observed for the gate's
+// soak that it does not serve, and not earlier.
 func TestSilentBeforeFirstObservation(t *testing.T) {
 	for name, c := range map[string]struct {
 		seen Observation
 		want Phase
 	}{
-		"no answer":          {Observation{Phase: "no answer"}, Halted},
-		"not healthy":        {Observation{Process: "p-new", Phase: "serving"}, Halted},
-		"seen now and then":  {Observation{Phase: "no answer", At: time.Unix(2, 0)}, Halted},
-		"its agent is at it": {Observation{Phase: "no answer", At: time.Unix(1, 0)}, Running},
-		"seen from afar":     {Observation{Phase: "no answer", Far: true}, Running},
+		"no response":                  {Observation{Phase: "no answer"}, Halted},
+		"not healthy":                  {Observation{Process: "p-new", Phase: "serving"}, Halted},
+		"observed every other second":  {Observation{Phase: "no answer", At: time.Unix(2, 0)}, Halted},
+		"version change in progress":   {Observation{Phase: "no answer", At: time.Unix(1, 0)}, Running},
+		"observed by the leader alone": {Observation{Phase: "no answer", Far: true}, Running},
 	} {
 		x := newTestFleet(t, 4, Budget{Fleet: 1})
 		id := x.release(Plan{Gate: Gate{Soak: 5 * time.Second, Wait: time.Minute}})
@@ -250,7 +255,8 @@
 	}
 }
 
-// Two releases at once, of different senders: each has its gates, and both come to their ends.
+// TestTwoReleases runs two releases of different senders at the same time. Each has its own gates, and both must
+// finish.
 func TestTwoReleases(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 4})
 	a := x.release(Plan{Stages: [][]string{{"n0", "n2", "n4"}}})
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -13,9 +13,9 @@
 	"cleathold/internal/lease"
 )
 
-// The model has three agents, each beside one sender, one log, and everything in between late, twice or never: sights
-// on their way, entries proposed by agents that may lead no more, orders, ends. Clocks differ. It knows what is true,
-// and wants the budget kept by it.
+// The model has one log and three agents with one sender each. Everything that passes between them may arrive late,
+// more than once or never: observations, entries proposed by agents that may no longer lead, orders, and ends of
+// leases. Clocks differ. The model knows the senders' actual state and checks the budget against it.
 const (
 	modelFresh  = 6 * time.Millisecond
 	modelAccept = 8 * time.Millisecond
@@ -32,7 +32,7 @@
 	process         int
 	leases          lease.Holder
 	clockOffset     time.Duration
-	notServingSince time.Duration // since when it does not serve without an order; -1 = it serves
+	notServingSince time.Duration // since when it does not serve although it has no order; -1: it serves
 }
 
 type model struct {
@@ -44,9 +44,9 @@
 	watches      [agents]Watch
 	clockOffsets [agents]time.Duration
 	senders      [agents]*modelSender
-	drawn        int
+	lastProcess  int
 
-	// In flight; what is delivered may stay, and come again.
+	// In flight. Delivered items may stay here and be delivered again.
 	proposals            []Command
 	observationsInFlight []struct {
 		to int
@@ -66,24 +66,26 @@
 
 func modelTime(d time.Duration) time.Time { return time.Unix(1000, 0).UTC().Add(d) }
 
-func newModel(budget int, offs [2 * agents]time.Duration) *model {
+func newModel(budget int, offsets [2 * agents]time.Duration) *model {
 	m := &model{}
 	terms := Terms{Budget: Budget{Fleet: budget}, Timing: Timing{modelFresh, modelAccept, modelLease, modelError}}
 	m.log = append(m.log, Command{Verb: SetTerms, By: "x", Terms: &terms})
 	for i, name := range modelNames {
 		agent := fmt.Sprint("a", i)
 		m.log = append(m.log, Command{Verb: SetRoster, By: agent, Roster: []Member{{Name: name, Agent: agent}}})
-		m.states[i], m.observations[i], m.clockOffsets[i] = New(), map[string]Observation{}, offs[i]
-		m.senders[i] = &modelSender{alive: true, process: m.draw(), clockOffset: offs[agents+i], notServingSince: -1}
+		m.states[i], m.observations[i], m.clockOffsets[i] = New(), map[string]Observation{}, offsets[i]
+		m.senders[i] = &modelSender{
+			alive: true, process: m.nextProcess(), clockOffset: offsets[agents+i], notServingSince: -1,
+		}
 	}
 	plan := &Plan{Kind: Drain, Stages: [][]string{modelNames}, Hold: modelStep}
 	m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, Seen: modelNames})
 	return m
 }
 
-func (m *model) draw() int { m.drawn++; return m.drawn }
+func (m *model) nextProcess() int { m.lastProcess++; return m.lastProcess }
 
-// apply has an agent apply one entry more.
+// apply makes an agent apply the next entry. It returns false if there is none.
 func (m *model) apply(i int) bool {
 	if m.applied[i] >= len(m.log) {
 		return false
@@ -93,7 +95,7 @@
 	return true
 }
 
-// observe has an agent poll its sender and send the observation to all agents.
+// observe makes an agent poll its sender and send the observation to all agents.
 func (m *model) observe(i int) {
 	s := m.senders[i]
 	if !s.alive || s.stopped {
@@ -116,7 +118,7 @@
 	}
 }
 
-// observeRemotely has an agent poll the sender of another agent, for itself.
+// observeRemotely makes an agent poll the sender of another agent. It does not send the observation to other agents.
 func (m *model) observeRemotely(i, k int) {
 	s := m.senders[k]
 	if i == k || !s.alive || s.stopped {
@@ -130,12 +132,12 @@
 }
 
 func (m *model) receive(to int, v Observation) {
-	if old, some := m.observations[to][v.Sender]; !some || v.At.After(old.At) {
+	if old, known := m.observations[to][v.Sender]; !known || v.At.After(old.At) {
 		m.observations[to][v.Sender] = v
 	}
 }
 
-// propose has an agent propose what it computes to come next, whether or not it leads.
+// propose makes an agent propose its next commands, whether or not it leads.
 func (m *model) propose(i int) {
 	for _, c := range m.states[i].Next(m.observations[i], &m.watches[i], modelTime(m.now+m.clockOffsets[i])) {
 		c.By = fmt.Sprint("a", i)
@@ -143,7 +145,7 @@
 	}
 }
 
-// sendOrder has an agent send its sender what is granted.
+// sendOrder makes an agent send its sender the order for its grant, or the end of the lease.
 func (m *model) sendOrder(i int) {
 	g := m.states[i].Grants[modelNames[i]]
 	if g == nil {
@@ -162,15 +164,15 @@
 	}{i, lease.Order{Process: g.Process, Epoch: g.Epoch, By: g.By, Until: g.Until, Drain: true}})
 }
 
-// takeOrder delivers an order to a sender. The budget is checked here.
+// takeOrder delivers an order to a sender. It records a violation if more senders are out than the budget allows.
 func (m *model) takeOrder(k int) {
-	o := m.orders[k]
-	s := m.senders[o.to]
+	delivery := m.orders[k]
+	s := m.senders[delivery.to]
 	if !s.alive || s.stopped {
 		return
 	}
-	alreadyTaken := s.leases.Active() && s.leases.Epoch == o.o.Epoch
-	if s.leases.Take(o.o, fmt.Sprint(s.process), modelTime(m.now+s.clockOffset)) != nil || alreadyTaken {
+	alreadyTaken := s.leases.Active() && s.leases.Epoch == delivery.o.Epoch
+	if s.leases.Take(delivery.o, fmt.Sprint(s.process), modelTime(m.now+s.clockOffset)) != nil || alreadyTaken {
 		return
 	}
 	m.ordersTaken++
@@ -182,8 +184,8 @@
 		}
 	}
 	if budget := m.states[0].Terms.Budget.Fleet; budget > 0 && len(out) > budget {
-		m.violation = fmt.Sprintf("at %v %s went out by order %d, and then %v were out, %d may be", m.now, modelNames[o.to],
-			o.o.Epoch, out, budget)
+		m.violation = fmt.Sprintf("at %v %s went out with order %d; now %v are out, the budget is %d", m.now,
+			modelNames[delivery.to], delivery.o.Epoch, out, budget)
 	}
 }
 
@@ -198,11 +200,11 @@
 
 func (m *model) restart(i int) {
 	if s := m.senders[i]; !s.alive {
-		*s = modelSender{alive: true, process: m.draw(), clockOffset: s.clockOffset, notServingSince: -1}
+		*s = modelSender{alive: true, process: m.nextProcess(), clockOffset: s.clockOffset, notServingSince: -1}
 	}
 }
 
-// stopOrContinue is SIGSTOP, or SIGCONT for one that is stopped: it goes on with the view that it had.
+// stopOrContinue simulates SIGSTOP, or SIGCONT for a stopped sender. A continued sender keeps its former state.
 func (m *model) stopOrContinue(i int) {
 	s := m.senders[i]
 	if !s.alive {
@@ -225,7 +227,7 @@
 	}
 }
 
-// actions are the steps that may come next.
+// actions returns the steps without faults that are possible next.
 func (m *model) actions() []func() {
 	list := []func(){func() { m.advance(modelStep) }, func() { m.advance(5 * modelStep) }}
 	for i := range agents {
@@ -235,7 +237,7 @@
 			list = append(list, func() { m.apply(i) })
 		}
 	}
-	// The latest in flight come first, but old ones come, too.
+	// Of the items in flight, the latest few can be delivered, the very last one first.
 	for _, k := range latest(len(m.observationsInFlight), 6) {
 		list = append(list, func() { m.receive(m.observationsInFlight[k].to, m.observationsInFlight[k].v) })
 	}
@@ -255,7 +257,7 @@
 	return list
 }
 
-// faults are the faults of senders that may come next.
+// faults returns the faults of senders that are possible next.
 func (m *model) faults() []func() {
 	var list []func()
 	for i := range agents {
@@ -264,15 +266,15 @@
 	return list
 }
 
-// latest returns the indices of the last of n things, the very last first.
-func latest(n, most int) (list []int) {
-	for i := n - 1; i >= 0 && len(list) < most; i-- {
+// latest returns the indices of the last items of n, in descending order, limit at most.
+func latest(n, limit int) (list []int) {
+	for i := n - 1; i >= 0 && len(list) < limit; i-- {
 		list = append(list, i)
 	}
 	return list
 }
 
-// deliverAll delivers all observations and applies all entries, so that histories make progress.
+// deliverAll delivers all observations and applies all entries. Without it random histories would make little progress.
 func (m *model) deliverAll() {
 	for i := range agents {
 		m.observe(i)
@@ -286,19 +288,19 @@
 	}
 }
 
-// runRound plays a round without faults: observations, entries, orders and ends. Orders are delivered or stay in
-// flight.
-func (m *model) runRound(leader, whom int, deliver bool) {
+// runRound runs a round without faults: observations, entries, orders and ends of leases. If deliver is false the
+// orders stay in flight.
+func (m *model) runRound(leader, sender int, deliver bool) {
 	m.deliverAll()
 	before := len(m.proposals)
 	m.propose(leader)
 	for _, c := range m.proposals[before:] {
-		if c.Verb != GrantThese {
+		if c.Verb != GrantSenders {
 			m.log = append(m.log, c)
 		}
 	}
 	m.deliverAll()
-	m.requestGrant(leader, whom)
+	m.requestGrant(leader, sender)
 	m.deliverAll()
 	orders, ends := len(m.orders), len(m.ends)
 	for i := range agents {
@@ -314,19 +316,19 @@
 	}
 }
 
-// requestGrant has an agent propose a grant for any sender, in any order: safety must not rest on which is next.
+// requestGrant makes an agent propose a grant for any waiting sender, since safety must not depend on the order.
 func (m *model) requestGrant(i, k int) {
 	s, v := m.states[i], m.observations[i][modelNames[k]]
 	now := modelTime(m.now + m.clockOffsets[i])
 	for _, p := range s.Plans {
 		if t := p.Tasks[v.Sender]; p.Phase == Running && t != nil && t.Step == Waiting {
-			m.log = append(m.log, Command{Verb: GrantThese, At: now, Plan: p.ID,
+			m.log = append(m.log, Command{Verb: GrantSenders, At: now, Plan: p.ID,
 				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.Seen(m.observations[i], now)})
 		}
 	}
 }
 
-// resumeOrStart resumes halted plans, and starts a new one once all are over.
+// resumeOrStart resumes halted plans, and starts a new plan if none is open.
 func (m *model) resumeOrStart(i int) {
 	s := m.states[i]
 	open := false
@@ -341,47 +343,48 @@
 	}
 }
 
-// Random histories. By hand: go test ./internal/rollout -run Histories -rapid.checks=100000
-func TestHistories(t *testing.T) {
+// TestRandomHistories checks the budget in random histories. For a longer run:
+// go test ./internal/rollout -run RandomHistories -rapid.checks=100000
+func TestRandomHistories(t *testing.T) {
 	taken := 0
 	rapid.Check(t, func(t *rapid.T) {
-		var offs [2 * agents]time.Duration
-		for i := range offs {
-			offs[i] = modelError * time.Duration(rapid.IntRange(-1, 1).Draw(t, "clock"))
+		var offsets [2 * agents]time.Duration
+		for i := range offsets {
+			offsets[i] = modelError * time.Duration(rapid.IntRange(-1, 1).Draw(t, "clock"))
 		}
-		m := newModel(rapid.IntRange(1, 2).Draw(t, "budget"), offs)
+		m := newModel(rapid.IntRange(1, 2).Draw(t, "budget"), offsets)
 		m.deliverAll()
 		for range 100 {
-			n := rapid.IntRange(0, 99).Draw(t, "what")
-			who, whom := rapid.IntRange(0, agents-1).Draw(t, "who"), rapid.IntRange(0, agents-1).Draw(t, "whom")
+			n := rapid.IntRange(0, 99).Draw(t, "action")
+			agent, other := rapid.IntRange(0, agents-1).Draw(t, "agent"), rapid.IntRange(0, agents-1).Draw(t, "other")
 			switch {
 			case n < 20:
-				m.runRound(who, whom, true)
+				m.runRound(agent, other, true)
 			case n < 35:
-				m.runRound(who, whom, false)
+				m.runRound(agent, other, false)
 			case n < 47:
 				if len(m.orders) > 0 {
-					m.takeOrder(len(m.orders) - 1 - (3*who+whom)%min(9, len(m.orders)))
+					m.takeOrder(len(m.orders) - 1 - (3*agent+other)%min(9, len(m.orders)))
 				}
 			case n < 57:
-				m.requestGrant(who, whom)
+				m.requestGrant(agent, other)
 			case n < 62:
-				m.crash(who)
-				m.restart(who)
+				m.crash(agent)
+				m.restart(agent)
 			case n < 66:
 				list := m.faults()
-				list[3*who+whom]()
+				list[3*agent+other]()
 			case n < 76:
 				m.advance(modelStep)
 			case n < 80:
 				m.advance(5 * modelStep)
 			case n < 83:
-				m.resumeOrStart(who)
+				m.resumeOrStart(agent)
 			case n < 86:
-				m.observeRemotely(who, whom)
+				m.observeRemotely(agent, other)
 			default:
 				list := m.actions()
-				list[rapid.IntRange(0, len(list)-1).Draw(t, "act")]()
+				list[rapid.IntRange(0, len(list)-1).Draw(t, "step")]()
 			}
 			if m.violation != "" {
 				t.Fatal(m.violation)
@@ -390,24 +393,25 @@
 		taken += m.ordersTaken
 	})
 	if taken == 0 {
-		t.Error("nobody ever went out")
+		t.Error("no sender ever took an order")
 	}
 }
 
-// deep is how many steps are gone through in every order, from each of some states on the way of a drain. By hand:
-// go test ./internal/rollout -run EveryOrder -deep 4 (seven minutes)
-var deep = flag.Int("deep", 2, "steps of TestEveryOrder")
+// deep is the length of the step sequences that TestAllInterleavings runs from each of its start states. For a longer
+// run: go test ./internal/rollout -run AllInterleavings -deep 4 (takes seven minutes)
+var deep = flag.Int("deep", 2, "steps of TestAllInterleavings")
 
-// Every order of what may come next, up to a depth, from the states that a drain goes through.
+// TestAllInterleavings checks the budget in all sequences of possible steps, up to the length deep, from each state
+// that a drain goes through.
 func TestAllInterleavings(t *testing.T) {
-	fast, slow, orders := modelError, -modelError, 0
-	for _, offs := range [][2 * agents]time.Duration{{}, {fast, slow, slow, slow, fast, slow},
+	fast, slow, sequences := modelError, -modelError, 0
+	for _, offsets := range [][2 * agents]time.Duration{{}, {fast, slow, slow, slow, fast, slow},
 		{slow, fast, fast, fast, slow, fast}} {
-		for way := range 10 {
+		for steps := range 10 {
 			start := func() *model {
-				m := newModel(1, offs)
+				m := newModel(1, offsets)
 				m.deliverAll()
-				for k := range way {
+				for k := range steps {
 					switch k % 3 {
 					case 0:
 						m.propose(0)
@@ -441,7 +445,7 @@
 				}
 				n++
 				if m.violation != "" {
-					t.Fatalf("clocks %v, way %d, path %v: %s", offs, way, path, m.violation)
+					t.Fatalf("clock offsets %v, start state %d, path %v: %s", offsets, steps, path, m.violation)
 				}
 				if len(path) == *deep || t.Failed() {
 					return
@@ -451,11 +455,11 @@
 				}
 			}
 			walk(nil)
-			orders += n
+			sequences += n
 		}
 	}
-	t.Logf("%d orders of %d steps", orders, *deep)
+	t.Logf("%d sequences of up to %d steps", sequences, *deep)
 }
 
-// names of the members, for tests.
+// names returns the sorted names of the members.
 func (s *State) names() []string { return slices.Sorted(maps.Keys(s.Members)) }
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Seen returns the senders that were observed to serve, not longer than Timing.Fresh ago, in order.
+// Seen returns the sorted names of the senders that were observed to serve at most Timing.Fresh ago.
 func (s *State) Seen(observations map[string]Observation, now time.Time) []string {
 	var list []string
 	for name := range s.Members {
@@ -18,16 +18,16 @@
 	return list
 }
 
-// Next returns what the leading agent should propose now. Observed changes come first, since everything else depends
-// on them.
+// Next returns the commands that the leading agent should propose now. If there are observed changes it returns only
+// these, since all other decisions depend on them.
 func (s *State) Next(observations map[string]Observation, w *Watch, now time.Time) []Command {
 	if list := s.observedChanges(observations, now); len(list) > 0 {
 		return list
 	}
 	var list []Command
-	fleet := s.census(s.Seen(observations, now))
+	fleet := s.availability(s.Seen(observations, now))
 	for _, p := range s.Plans {
-		if due := p.endOfHold(now); len(due) > 0 {
+		if due := p.holdElapsed(now); len(due) > 0 {
 			list = append(list, Command{
 				Verb: Activate, At: now, By: p.By, Reason: "held out for as long as asked", Plan: p.ID, Senders: due,
 			})
@@ -37,14 +37,15 @@
 		}
 		if c, known := s.gateVerdict(p, w, observations, now); known {
 			list = append(list, c)
-		} else if c, any := s.requestGrants(p, fleet, observations, now); any {
+		} else if c, ok := s.requestGrants(p, fleet, observations, now); ok {
 			list = append(list, c)
 		}
 	}
 	return list
 }
 
-// observedChanges returns the commands for what the observations prove: that grants have ended, or senders are drained.
+// observedChanges returns the commands for the changes that the observations prove: grants that can be closed and
+// senders that are drained.
 func (s *State) observedChanges(observations map[string]Observation, now time.Time) []Command {
 	var list []Command
 	for _, name := range slices.Sorted(maps.Keys(s.Grants)) {
@@ -54,20 +55,20 @@
 			continue
 		}
 		if s.Closable(g, &v) {
-			list = append(list, Command{Verb: Close, At: now, Sender: name, Epoch: g.Epoch, Observation: &v})
+			list = append(list, Command{Verb: CloseGrant, At: now, Sender: name, Epoch: g.Epoch, Observation: &v})
 			continue
 		}
 		p := s.Plan(g.Plan)
 		drained := g.Drain && v.Drained && v.Epoch == g.Epoch && !v.Ended
 		if drained && p != nil && p.Tasks[name].Step == Granted {
-			list = append(list, Command{Verb: MarkOut, At: now, Sender: name, Epoch: g.Epoch})
+			list = append(list, Command{Verb: MarkDrained, At: now, Sender: name, Epoch: g.Epoch})
 		}
 	}
 	return list
 }
 
-// endOfHold returns the senders of a drain that have been out for as long as it holds, in order.
-func (p *Plan) endOfHold(now time.Time) []string {
+// holdElapsed returns the sorted names of the senders of a drain that have been out for the plan's hold time.
+func (p *Plan) holdElapsed(now time.Time) []string {
 	if p.Kind != Drain || p.Hold <= 0 || !p.Phase.Open() {
 		return nil
 	}
@@ -92,60 +93,60 @@
 	if !v.Known {
 		return Command{}, false
 	}
-	c = Command{Verb: JudgeGate, At: now, Plan: p.ID, Stage: p.Stage, Good: v.Good, Text: v.Text}
+	c = Command{Verb: RecordVerdict, At: now, Plan: p.ID, Stage: p.Stage, Good: v.Good, Text: v.Text}
 	if v.Good {
-		c.Others = &v.Others
+		c.Baseline = &v.Baseline
 	}
 	return c, true
 }
 
-// requestGrants returns the command for as many grants as the budget allows now, if any.
+// requestGrants returns the command that requests as many grants as the budget allows now, if any.
 func (s *State) requestGrants(
-	p *Plan, fleet census, observations map[string]Observation, now time.Time,
+	p *Plan, fleet availability, observations map[string]Observation, now time.Time,
 ) (Command, bool) {
-	c := Command{Verb: GrantThese, At: now, Plan: p.ID}
+	c := Command{Verb: GrantSenders, At: now, Plan: p.ID}
 	order := p.Stages[p.Stage]
-	if p.RolledBack { // in the reverse order
+	if p.RolledBack { // a rollback goes through the senders in reverse order
 		order = s.Order(slices.Collect(maps.Keys(p.Tasks)))
 		slices.Reverse(order)
 	}
-	free := maxGrantsPerEntry
+	remaining := maxGrantsPerEntry
 	if p.AtOnce > 0 {
-		free = min(free, p.AtOnce-s.openGrants(p))
+		remaining = min(remaining, p.AtOnce-s.openGrants(p))
 	}
 	for _, name := range order {
 		t, m := p.Tasks[name], s.Members[name]
-		if free <= 0 {
+		if remaining <= 0 {
 			break
 		}
 		v := observations[name]
-		// nobody would carry out the grant of a sender whose agent is silent
+		// without its own agent nothing would carry out the sender's grant
 		if t.Step != Waiting || m == nil || v.Far || s.checkBudget(fleet, m) != nil {
 			continue
 		}
 		c.Requests = append(c.Requests, GrantRequest{Sender: name, Process: v.Process, ObservedAt: v.At})
 		fleet.out[name] = true
-		fleet.building[m.Building]++
-		free--
+		fleet.outByBuilding[m.Building]++
+		remaining--
 	}
 	c.Seen = s.Seen(observations, now)
 	return c, len(c.Requests) > 0
 }
 
-// Duty is what an agent must do about a grant of one of its senders.
+// Duty is the action that an agent must take on a grant of one of its senders.
 type Duty uint8
 
 // The duties.
 const (
 	NoDuty Duty = iota
-	Take        // give the order to the sender
-	Renew       // the lease of a drain
-	End         // order it back
-	Fail        // end a change that an earlier process of the agent began
+	Take        // order the sender to take up the grant
+	Renew       // renew the lease of a drain
+	End         // order the sender to serve again
+	Fail        // end a version change that an earlier process of the agent began
 )
 
-// Duty returns the duty for a grant, by an observation of the sender. lastTaken is the epoch that the sender was last
-// ordered to take up.
+// Duty returns the duty for a grant, given an observation of the sender. lastTaken is the epoch of the latest grant
+// that the sender was ordered to take up.
 func (s *State) Duty(g *Grant, observed Observation, lastTaken uint64, now time.Time) Duty {
 	p := s.Plan(g.Plan)
 	endWanted := p == nil || p.Tasks[g.Sender] == nil || p.Tasks[g.Sender].Step == Returning || !p.Phase.Open()
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The budget in each of its parts: who is granted leave at once, of four senders in two buildings, of which some are
-// not seen.
+// TestBudget checks each limit of the budget: how many of four senders in two buildings are granted at once, with some
+// of them not observed lately.
 func TestBudget(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -24,10 +24,10 @@
 		{"two, one of a building", Budget{Fleet: 2, Building: 1}, "", 2},
 		{"three, one of a building", Budget{Fleet: 3, Building: 1}, "", 2},
 		{"three must serve", Budget{Fleet: 4, Serving: 3}, "", 1},
-		{"one is not seen", Budget{Fleet: 2}, "n3", 1},
-		{"one is not seen, one may be out", Budget{Fleet: 1}, "n3", 0},
-		{"two are not seen in one building", Budget{Fleet: 4, Building: 2}, "n1 n3", 2},
-		{"four must serve", Budget{Fleet: 4, Serving: 3}, "n2", 0},
+		{"one is not observed", Budget{Fleet: 2}, "n3", 1},
+		{"one is not observed, one may be out", Budget{Fleet: 1}, "n3", 0},
+		{"two of one building are not observed", Budget{Fleet: 4, Building: 2}, "n1 n3", 2},
+		{"three must serve, one is not observed", Budget{Fleet: 4, Serving: 3}, "n2", 0},
 	} {
 		x := newTestFleet(t, 4, c.budget)
 		x.drain("n0", "n1", "n2", "n3")
@@ -39,13 +39,13 @@
 		}
 		x.run(nil)
 		if got := len(x.state.Grants); got != c.want {
-			t.Errorf("%s: %d may go out, want %d", c.name, got, c.want)
+			t.Errorf("%s: %d grants, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// Each sight of a sender and whether it closes its grant: epoch 5, by 2 s after the grant, clocks wrong by 250 ms at
-// most.
+// TestClosable checks which observations of a sender close its grant. The grant has epoch 5 and must be taken up within
+// 2 s; clocks are wrong by 250 ms at most.
 func TestClosable(t *testing.T) {
 	x := newTestFleet(t, 2, Budget{Fleet: 1})
 	at := func(s float64) time.Time { return x.now.Add(time.Duration(s * float64(time.Second))) }
@@ -54,23 +54,23 @@
 		v    Observation
 		want bool
 	}{
-		"it has ended it": {Observation{Process: "p", At: at(1), Serving: true, Epoch: 5,
+		"its lease has ended": {Observation{Process: "p", At: at(1), Serving: true, Epoch: 5,
 			Ended: true}, true},
-		"it has ended a later one": {Observation{Process: "p", At: at(1), Serving: true, Epoch: 6,
+		"a later lease has ended": {Observation{Process: "p", At: at(1), Serving: true, Epoch: 6,
 			Ended: true}, true},
-		"ended, but it does not serve": {Observation{Process: "p", At: at(1), Epoch: 5, Ended: true}, false},
-		"ended, seen long ago": {Observation{Process: "p", At: at(-9), Serving: true, Epoch: 5,
+		"ended, but the sender does not serve": {Observation{Process: "p", At: at(1), Epoch: 5, Ended: true}, false},
+		"ended, observed long ago": {Observation{Process: "p", At: at(-9), Serving: true, Epoch: 5,
 			Ended: true}, true},
-		"not taken up, it may yet": {Observation{Process: "p", At: at(1.9), Serving: true, Epoch: 4,
+		"not taken up, but still valid": {Observation{Process: "p", At: at(1.9), Serving: true, Epoch: 4,
 			Ended: true}, false},
-		"not taken up, too late by its clock": {Observation{Process: "p", At: at(2.51), Serving: true, Epoch: 4,
+		"not taken up, expired by the sender's clock": {Observation{Process: "p", At: at(2.51), Serving: true, Epoch: 4,
 			Ended: true}, true},
-		"not taken up, too late by another clock": {Observation{Process: "p", At: at(2.4), Serving: true, Epoch: 4,
+		"not taken up, expired by another clock only": {Observation{Process: "p", At: at(2.4), Serving: true, Epoch: 4,
 			Ended: true}, false},
-		"another process":              {Observation{Process: "q", At: at(0.1), Serving: true}, true},
-		"another process, from before": {Observation{Process: "o", At: at(-0.4), Serving: true}, false},
-		"it took it up":                {Observation{Process: "p", At: at(3), Epoch: 5}, false},
-		"seen by the leader, not its agent": {Observation{Process: "p", At: at(3), Serving: true, Epoch: 5,
+		"a later process":    {Observation{Process: "q", At: at(0.1), Serving: true}, true},
+		"an earlier process": {Observation{Process: "o", At: at(-0.4), Serving: true}, false},
+		"taken up":           {Observation{Process: "p", At: at(3), Epoch: 5}, false},
+		"observed by the leader, not its agent": {Observation{Process: "p", At: at(3), Serving: true, Epoch: 5,
 			Ended: true, Far: true}, false},
 		"another sender": {Observation{Sender: "n1", Process: "p", At: at(3), Serving: true,
 			Epoch: 5, Ended: true}, false},
@@ -84,7 +84,7 @@
 	}
 }
 
-// What staff may not ask for, and that nothing changes then.
+// TestRejectedCommands checks that invalid commands are rejected and leave the state unchanged.
 func TestRejectedCommands(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 2})
 	first := x.drain("n0")
@@ -96,27 +96,27 @@
 		want string
 	}{
 		"no such sender":     {start(Plan{Kind: Drain, Stages: [][]string{{"n9"}}}), `no sender "n9"`},
-		"nobody":             {start(Plan{Kind: Drain}), "name the senders"},
+		"no senders":         {start(Plan{Kind: Drain}), "name the senders"},
 		"in another plan":    {start(Plan{Kind: Drain, Stages: [][]string{{"n0", "n1"}}}), "n0 is in plan"},
 		"all, one in a plan": {start(Plan{Kind: Release, To: Version{Name: "v2", Program: "/v2"}}), "n0 is in plan"},
 		"no name":            {start(Plan{Kind: Release, To: Version{Program: "/v2"}}), "needs a name"},
-		"nothing new": {start(Plan{Kind: Release, Stages: [][]string{{"n1"}},
+		"same version": {start(Plan{Kind: Release, Stages: [][]string{{"n1"}},
 			To: Version{Name: "v1", Program: "/v1"}}), "all of them run v1 already"},
 		"more than the budget": {start(Plan{Kind: Drain, Stages: [][]string{{"n1"}}, AtOnce: 3}), "3 senders at once"},
 		"no reason": {Command{Verb: Start, New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}}, Seen: seen},
 			"a reason"},
-		"the fleet breaks it": {Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}},
+		"budget exceeded": {Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}},
 			Seen: []string{"n1"}}, "3 senders are out or not seen now"},
-		"a budget of none":      {terms(Budget{}), "1 at the least"},
+		"a budget of zero":      {terms(Budget{}), "1 at the least"},
 		"a budget of too many":  {terms(Budget{Fleet: 5}), "of 4 there are"},
 		"all must serve":        {terms(Budget{Fleet: 1, Serving: 4}), "nothing could ever go out"},
 		"halt of no plan":       {Command{Verb: Halt, Reason: "r", Plan: 99}, "no plan 99"},
 		"resume of one running": {Command{Verb: Resume, Reason: "r", Plan: first}, "is running"},
-		"another's activate":    {Command{Verb: Activate, Plan: first, Senders: []string{"n3"}}, "n3 is not in plan"},
+		"sender of no plan":     {Command{Verb: Activate, Plan: first, Senders: []string{"n3"}}, "n3 is not in plan"},
 		"unknown verb":          {Command{Verb: "dance"}, "newer agent"},
-		"grant in no plan": {Command{Verb: GrantThese, Plan: 99, Requests: []GrantRequest{{Sender: "n0"}}},
+		"grant in no plan": {Command{Verb: GrantSenders, Plan: 99, Requests: []GrantRequest{{Sender: "n0"}}},
 			"does not run"},
-		"close of no grant": {Command{Verb: Close, Sender: "n0", Observation: &Observation{}}, "no grant"},
+		"close of no grant": {Command{Verb: CloseGrant, Sender: "n0", Observation: &Observation{}}, "no grant"},
 	} {
 		before, _ := json.Marshal(x.state)
 		index := x.state.Index
@@ -127,31 +127,33 @@
 			t.Errorf("%s: %v, want %s", name, err, c.want)
 		}
 		if string(before) != string(after) {
-			t.Errorf("%s: something changed", name)
+			t.Errorf("%s: the state changed", name)
 		}
 	}
 }
 
-// Two operators: whoever halts last wins over a resume that has not seen it.
+// TestStaleResumeRejected checks that a request to resume is rejected if another operator has halted the plan again
+// after the revision that the request names.
 func TestStaleResumeRejected(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 1})
 	id := x.drain("n0", "n1")
 	x.must(Command{Verb: Halt, Reason: "r", Plan: id})
-	saw := x.state.Plan(id).Revision
+	stale := x.state.Plan(id).Revision
 	x.must(Command{Verb: Halt, Reason: "again, by another", Plan: id})
-	if err := x.apply(Command{Verb: Resume, Reason: "r", Plan: id, Revision: saw}); !errors.Is(err, ErrRejected) {
-		t.Errorf("resume of what was seen before the second halt: %v", err)
+	if err := x.apply(Command{Verb: Resume, Reason: "r", Plan: id, Revision: stale}); !errors.Is(err, ErrRejected) {
+		t.Errorf("resume with the revision before the second halt: %v", err)
 	}
 	if x.run(nil); len(x.state.Grants) != 0 {
-		t.Error("a halted plan goes on")
+		t.Error("a halted plan proceeds")
 	}
 	x.must(Command{Verb: Resume, Reason: "r", Plan: id, Revision: x.state.Plan(id).Revision})
 	if x.run(nil); len(x.state.Grants) != 1 {
-		t.Error("a resumed plan does not go on")
+		t.Error("a resumed plan does not proceed")
 	}
 }
 
-// An agent opens its folder anew, and all of its log comes once more: nothing changes by it.
+// TestCommandAppliedTwice checks that the state does not change when an agent opens its folder again and applies its
+// whole log once more.
 func TestCommandAppliedTwice(t *testing.T) {
 	terms, at, replay := DefaultTerms, time.Unix(1000, 0).UTC(), New()
 	terms.Budget = Budget{Fleet: 2}
@@ -171,11 +173,12 @@
 	}
 }
 
-// A version that does not come to serve halts the release at its first sender, or has it go back, as asked.
+// TestFailedChange checks that a version that does not start to serve halts the release at its first sender, or rolls
+// it back if requested.
 func TestFailedChange(t *testing.T) {
-	for _, goBack := range []bool{false, true} {
+	for _, rollBack := range []bool{false, true} {
 		x := newTestFleet(t, 10, Budget{Fleet: 3})
-		id := x.release(Plan{RollBackOnFailure: goBack})
+		id := x.release(Plan{RollBackOnFailure: rollBack})
 		x.run(func(g *Grant) {
 			x.advance(time.Millisecond)
 			x.observe(g.Sender, func(v *Observation) {
@@ -183,9 +186,9 @@
 			})
 		})
 		p := x.state.Plan(id)
-		if want := map[bool]Phase{false: Halted, true: Ended}[goBack]; p.Phase != want ||
+		if want := map[bool]Phase{false: Halted, true: Ended}[rollBack]; p.Phase != want ||
 			!strings.Contains(p.Why, "exit status 1") {
-			t.Errorf("go back %t: %s, %s", goBack, p.Phase, p.Why)
+			t.Errorf("rollback %t: %s, %s", rollBack, p.Phase, p.Why)
 		}
 		if len(x.state.Grants) != 0 {
 			t.Errorf("grants left: %v", x.state.Grants)
@@ -193,7 +196,8 @@
 	}
 }
 
-// A grant that is never taken up is given again, and the third time halts the plan.
+// TestGrantNotTaken checks that a grant that is not taken up is followed by another one, and that the plan halts after
+// the third.
 func TestGrantNotTaken(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 1})
 	id := x.drain("n0")
@@ -210,8 +214,8 @@
 	}
 }
 
-// Going back from the middle of a release: those that changed run the old version again, within the same budget, and
-// one that is on its way when the plan turns does so, too.
+// TestRollBack rolls a release back from its middle. The changed senders must return to the old version within the same
+// budget, and so must senders whose change is in progress when the rollback starts.
 func TestRollBack(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 2})
 	id := x.release(Plan{Gate: Gate{MinMessages: 1, Soak: time.Second}})
@@ -226,7 +230,7 @@
 	}
 	x.must(Command{Verb: RollBack, Reason: "r", Plan: id})
 	most := 0
-	for _, g := range x.state.Grants { // on their way as the plan turns
+	for _, g := range x.state.Grants { // changes in progress when the rollback starts
 		x.carryOut(g)
 	}
 	x.run(func(g *Grant) {
@@ -245,14 +249,15 @@
 	}
 }
 
-// A drain holds its senders out until they are activated, or for as long as asked, and then takes the next ones.
+// TestDrains checks that a drain keeps its senders out until they are activated or its hold time is over, and then
+// drains the next ones.
 func TestDrains(t *testing.T) {
 	for _, hold := range []time.Duration{0, time.Minute} {
 		x := newTestFleet(t, 4, Budget{Fleet: 2})
 		id := x.must(Command{Verb: Start, Reason: "r",
 			New:  &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold},
 			Seen: x.state.Seen(x.observations, x.now)})
-		comeBack := func() {
+		finishReturn := func() {
 			for name, t := range x.state.Plan(id).Tasks {
 				if t.Step == Returning {
 					x.observe(name, func(v *Observation) { v.Ended, v.Drained, v.Serving = true, false, true })
@@ -261,28 +266,28 @@
 		}
 		x.run(x.carryOut)
 		if n := len(x.state.Grants); n != 2 {
-			t.Fatalf("%d out", n)
+			t.Fatalf("%d senders are out", n)
 		}
 		x.advance(2 * time.Minute)
 		if hold == 0 {
 			x.run(nil)
 			if x.state.Plan(id).Tasks["n1"].Step != Waiting {
-				t.Fatal("the third goes out before the first are back")
+				t.Fatal("the third sender goes out before the first two serve again")
 			}
 			x.must(Command{Verb: Activate, Reason: "r", Plan: id, Senders: []string{"n0", "n2"}})
 		}
 		x.run(nil)
-		comeBack()
+		finishReturn()
 		x.run(x.carryOut)
 		if x.state.Plan(id).Tasks["n1"].Step != Out || len(x.state.Grants) != 1 {
-			t.Fatalf("hold %v: the third is %s", hold, x.state.Plan(id).Tasks["n1"].Step)
+			t.Fatalf("hold %v: the third sender is %s", hold, x.state.Plan(id).Tasks["n1"].Step)
 		}
 		x.advance(2 * time.Minute)
 		if hold == 0 {
 			x.must(Command{Verb: Activate, Reason: "r", Plan: id})
 		}
 		x.run(nil)
-		comeBack()
+		finishReturn()
 		x.run(nil)
 		if x.state.Plan(id).Phase != Done || len(x.state.Grants) != 0 {
 			t.Errorf("hold %v: %s", hold, x.state.Plan(id).Phase)
@@ -290,8 +295,9 @@
 	}
 }
 
-// A state that goes through its text is the same, and goes on the same way.
-func TestStateAsText(t *testing.T) {
+// TestStateJSONRoundTrip checks that a state that was encoded as JSON and decoded again is the same and returns the
+// same next commands.
+func TestStateJSONRoundTrip(t *testing.T) {
 	x := newTestFleet(t, 10, Budget{Fleet: 2})
 	x.release(Plan{})
 	x.run(nil)
@@ -304,7 +310,7 @@
 		t.Fatal(err)
 	}
 	if again, _ := json.Marshal(copied); string(again) != string(text) {
-		t.Error("not the same")
+		t.Error("the decoded state is encoded differently")
 	}
 	for name := range x.state.Grants {
 		v := x.observations[name]
