--- a/internal/cluster/agents.go
+++ b/internal/cluster/agents.go
@@ -48,11 +48,11 @@
 			agents = append(agents, i)
 		}
 	}
-	var list []string
+	var addresses []string
 	for _, i := range agents {
-		list = append(list, c.agents[i].addr)
+		addresses = append(addresses, c.agents[i].addr)
 	}
-	cmd := c.command(append([]string{"fleet", "--agent", strings.Join(list, ",")}, args...)...)
+	cmd := c.command(append([]string{"fleet", "--agent", strings.Join(addresses, ",")}, args...)...)
 	timeout := time.AfterFunc(commandTimeout, func() { cmd.Process.Kill() })
 	out, err := cmd.CombinedOutput()
 	timeout.Stop()
@@ -116,9 +116,9 @@
 func (c *Cluster) WipeAgent(i int) error { return os.RemoveAll(c.agents[i].folder) }
 
 // AgentNames returns the names of the agents, as links know them.
-func (c *Cluster) AgentNames() (list []string) {
+func (c *Cluster) AgentNames() (names []string) {
 	for _, a := range c.agents {
-		list = append(list, a.name)
+		names = append(names, a.name)
 	}
-	return list
+	return names
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	c.Poll.begin()
+	c.Poll.start()
 	c.Environment.Begin()
 	if c.Rate > 0 {
 		c.clientsRunning.Go(c.Clients.Run)
--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -79,46 +79,46 @@
 // Draw draws a history: orders of staff, and faults beside them, until its length is over. The same arguments give
 // the same history, in every version, so the order of the draws must not change.
 func Draw(seed uint64, senders, agents int, length time.Duration) *History {
-	d := &drawer{
-		rng: rand.New(rand.NewPCG(seed, 77)),
-		h:   &History{Seed: seed, Senders: senders, Agents: agents, Length: length},
+	g := &generator{
+		rng:     rand.New(rand.NewPCG(seed, 77)),
+		history: &History{Seed: seed, Senders: senders, Agents: agents, Length: length},
 	}
-	d.h.Budget.Fleet = 1 + d.rng.IntN(3)
-	if d.rng.IntN(2) == 0 {
-		d.h.Budget.Building = max(1, d.h.Budget.Fleet-1)
+	g.history.Budget.Fleet = 1 + g.rng.IntN(3)
+	if g.rng.IntN(2) == 0 {
+		g.history.Budget.Building = max(1, g.history.Budget.Fleet-1)
 	}
-	d.drawOrders()
-	d.drawFaults()
-	sortActions(d.h.Actions)
-	return d.h
+	g.generateOrders()
+	g.generateFaults()
+	sortActions(g.history.Actions)
+	return g.history
 }
 
 func sortActions(actions []Action) {
 	slices.SortStableFunc(actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
 }
 
-// A drawer draws the actions of a history.
-type drawer struct {
-	rng *rand.Rand
-	h   *History
+// A generator draws the actions of a history.
+type generator struct {
+	rng     *rand.Rand
+	history *History
 }
 
-func (d *drawer) between(from, to time.Duration) time.Duration {
-	return from + time.Duration(d.rng.Int64N(int64(to-from)))
+func (g *generator) randomDuration(from, to time.Duration) time.Duration {
+	return from + time.Duration(g.rng.Int64N(int64(to-from)))
 }
 
-func (d *drawer) add(a Action) {
-	a.At = min(a.At, d.h.Length)
-	d.h.Actions = append(d.h.Actions, a)
+func (g *generator) add(a Action) {
+	a.At = min(a.At, g.history.Length)
+	g.history.Actions = append(g.history.Actions, a)
 }
 
-// drawOrders draws drains and releases, and orders that steer them.
-func (d *drawer) drawOrders() {
-	h, rng := d.h, d.rng
-	for at := d.between(0, time.Second); at < h.Length; at += d.between(h.Length/15, h.Length/6) {
+// generateOrders draws drains and releases, and orders that steer them.
+func (g *generator) generateOrders() {
+	h, rng := g.history, g.rng
+	for at := g.randomDuration(0, time.Second); at < h.Length; at += g.randomDuration(h.Length/15, h.Length/6) {
 		a := Action{
 			At: at, Kind: DrainOrder, Agent: rng.IntN(h.Agents),
-			For: d.between(100*time.Millisecond, 900*time.Millisecond),
+			For: g.randomDuration(100*time.Millisecond, 900*time.Millisecond),
 		}
 		for _, i := range rng.Perm(h.Senders)[:1+rng.IntN(max(1, h.Senders/3))] {
 			a.Of = append(a.Of, fmt.Sprint("n", i))
@@ -126,10 +126,10 @@
 		if rng.IntN(3) == 0 {
 			a.Kind, a.Good, a.Back = ReleaseOrder, rng.IntN(3) > 0, rng.IntN(2) == 0
 		}
-		d.add(a)
+		g.add(a)
 		if rng.IntN(4) == 0 {
-			d.add(Action{
-				At:    at + d.between(0, 2*time.Second),
+			g.add(Action{
+				At:    at + g.randomDuration(0, 2*time.Second),
 				Kind:  []ActionKind{HaltOrder, RollBackOrder, ResumeOrder}[rng.IntN(3)],
 				Agent: rng.IntN(h.Agents),
 			})
@@ -137,18 +137,18 @@
 	}
 }
 
-// drawFaults draws faults of processes and links.
-func (d *drawer) drawFaults() {
+// generateFaults draws faults of processes and links.
+func (g *generator) generateFaults() {
 	const minGap, maxGap = 300 * time.Millisecond, 1500 * time.Millisecond
-	h, rng := d.h, d.rng
+	h, rng := g.history, g.rng
 	cut, silent := netfault.State{Cut: true}, netfault.State{Silent: true}
 	slow := netfault.State{Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond}
 	lossy := slow
 	lossy.Loss = 0.3
-	for at := d.between(500*time.Millisecond, 2*time.Second); at < h.Length; at += d.between(minGap, maxGap) {
+	for at := g.randomDuration(500*time.Millisecond, 2*time.Second); at < h.Length; at += g.randomDuration(minGap, maxGap) {
 		a := Action{
 			At: at, Agent: rng.IntN(h.Agents), Other: rng.IntN(h.Agents), Sender: rng.IntN(h.Senders),
-			For: d.between(300*time.Millisecond, 5*time.Second),
+			For: g.randomDuration(300*time.Millisecond, 5*time.Second),
 		}
 		switch n := rng.IntN(13); {
 		case n < 2:
@@ -167,7 +167,7 @@
 			a.Kind = []ActionKind{SenderToAgent, ClientsLink, DiscoveryLink}[n-10]
 			a.State = []netfault.State{cut, silent, slow}[rng.IntN(3)]
 		}
-		d.add(a)
+		g.add(a)
 	}
 }
 
--- a/internal/cluster/orders.go
+++ b/internal/cluster/orders.go
@@ -52,8 +52,8 @@
 
 // Await looks at the fleet by way of any agent until a condition holds. Its error names what was awaited and the last
 // view.
-func (c *Cluster) Await(timeout time.Duration, what string, holds func(v agent.View) bool) error {
-	var last agent.View
+func (c *Cluster) Await(timeout time.Duration, description string, condition func(v agent.View) bool) error {
+	var lastView agent.View
 	for until := time.Now().Add(timeout); time.Now().Before(until); time.Sleep(awaitInterval) {
 		for i := range c.agents {
 			if c.agents[i].cmd == nil {
@@ -63,7 +63,7 @@
 			if err != nil || v.Quorum == nil || !v.Quorum.Leads {
 				continue
 			}
-			if last = v; holds(v) {
+			if lastView = v; condition(v) {
 				return nil
 			}
 		}
@@ -71,8 +71,8 @@
 			return c.ctx.Err()
 		}
 	}
-	text, _ := json.Marshal(last)
-	return fmt.Errorf("not within %v: %s; last seen: %.3000s", timeout, what, text)
+	text, _ := json.Marshal(lastView)
+	return fmt.Errorf("not within %v: %s; last seen: %.3000s", timeout, description, text)
 }
 
 // AwaitPlan waits until a plan is in one of some phases, and returns it.
@@ -131,8 +131,8 @@
 	for until := time.Now().Add(orderTimeout); time.Now().Before(until); time.Sleep(orderInterval) {
 		for i := range c.agents {
 			r, err = c.sendOrder(i, command)
-			var dial *net.OpError
-			if errors.As(err, &dial) && dial.Op == "dial" || err == nil && r.Kind == agent.KindNoMajority {
+			var opErr *net.OpError
+			if errors.As(err, &opErr) && opErr.Op == "dial" || err == nil && r.Kind == agent.KindNoMajority {
 				continue
 			}
 			if err == nil {
--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -43,7 +43,7 @@
 		cluster: c, history: h, workingProgram: working, failingProgram: failing,
 		agentBusyUntil: make([]time.Time, h.Agents), senderBusyUntil: make([]time.Time, h.Senders),
 	}
-	if err := p.playActions(ctx); err != nil {
+	if err := p.executeActions(ctx); err != nil {
 		return err
 	}
 	c.Net.Heal()
@@ -82,8 +82,8 @@
 	undo func()
 }
 
-// playActions carries out each action at its time, and ends each fault when its time is over.
-func (p *player) playActions(ctx context.Context) error {
+// executeActions carries out each action at its time, and ends each fault when its time is over.
+func (p *player) executeActions(ctx context.Context) error {
 	started := time.Now()
 	var undos []scheduledUndo
 	for _, a := range p.history.Actions {
@@ -93,7 +93,7 @@
 			undos = undos[1:]
 		}
 		time.Sleep(time.Until(started.Add(a.At)))
-		if undo := p.inject(a); undo != nil {
+		if undo := p.executeAction(a); undo != nil {
 			undos = append(undos, scheduledUndo{time.Now().Add(a.For), undo})
 			slices.SortStableFunc(undos, func(a, b scheduledUndo) int { return a.at.Compare(b.at) })
 		}
@@ -151,8 +151,8 @@
 	}
 }
 
-// inject carries out an action, and returns what ends it; nil if nothing does.
-func (p *player) inject(a Action) (undo func()) {
+// executeAction carries out an action, and returns what ends it; nil if nothing does.
+func (p *player) executeAction(a Action) (undo func()) {
 	switch a.Kind {
 	case DrainOrder:
 		p.order(a.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
@@ -161,7 +161,7 @@
 	case ReleaseOrder:
 		p.release(a)
 	case HaltOrder, RollBackOrder, ResumeOrder:
-		p.steerLastPlan(a)
+		p.controlLastPlan(a)
 	case KillAgent, WipeAgent, StopAgent:
 		return p.injectAgentFault(a)
 	case KillSender, TermSender, HupSender, WipeSender, ReconfigureSender:
@@ -192,8 +192,8 @@
 	}})
 }
 
-// steerLastPlan halts, rolls back or resumes the latest plan that an agent knows.
-func (p *player) steerLastPlan(a Action) {
+// controlLastPlan halts, rolls back or resumes the latest plan that an agent knows.
+func (p *player) controlLastPlan(a Action) {
 	v, err := p.cluster.View(a.Agent, false)
 	if err != nil || len(v.State.Plans) == 0 {
 		return
--- a/internal/cluster/player_test.go
+++ b/internal/cluster/player_test.go
@@ -63,7 +63,7 @@
 			Net: links, Environment: environment, Names: []string{"n0", "n1"},
 			agents: []*agentProcess{{name: "a0"}, {name: "a1"}, {name: "a2"}},
 		}}
-		undo := p.inject(Action{Kind: kind, Agent: 1, Other: 2, Sender: 1, State: netfault.State{Cut: true}})
+		undo := p.executeAction(Action{Kind: kind, Agent: 1, Other: 2, Sender: 1, State: netfault.State{Cut: true}})
 		if passes(addr) {
 			t.Errorf("%s: the link passes data", kind)
 		}
--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -61,10 +61,10 @@
 	return &Poll{cluster: c, done: make(chan struct{}), current: make([]senderState, c.Senders)}
 }
 
-// begin starts to poll all senders, until stop.
-func (p *Poll) begin() {
+// start starts to poll all senders, until stop.
+func (p *Poll) start() {
 	for i := range p.cluster.Senders {
-		p.wg.Go(func() { p.watch(i) })
+		p.wg.Go(func() { p.pollSender(i) })
 	}
 }
 
@@ -77,8 +77,8 @@
 	p.wg.Wait()
 }
 
-// watch polls one sender.
-func (p *Poll) watch(sender int) {
+// pollSender polls one sender.
+func (p *Poll) pollSender(sender int) {
 	transport := &http.Transport{
 		DialContext: (&net.Dialer{Timeout: pollTimeout}).DialContext, MaxIdleConnsPerHost: 1,
 	}
@@ -224,22 +224,22 @@
 		return
 	}
 	e.orders++
-	out, ordered, text := 0, 0, ""
-	outOf := map[string]int{} // by building
+	out, draining, text := 0, 0, ""
+	outByBuilding := map[string]int{} // by building
 	for i, state := range e.states {
-		lasting := r.at.Sub(e.since[i])
-		if state == stateDraining || state == stateUnresponsive && lasting > e.unresponsiveAfter {
+		duration := r.at.Sub(e.since[i])
+		if state == stateDraining || state == stateUnresponsive && duration > e.unresponsiveAfter {
 			out++
-			outOf[e.buildings[i]]++
-			text += fmt.Sprintf(" %s %v for %v;", e.names[i], state, lasting.Round(time.Millisecond))
+			outByBuilding[e.buildings[i]]++
+			text += fmt.Sprintf(" %s %v for %v;", e.names[i], state, duration.Round(time.Millisecond))
 		}
 		if state == stateDraining {
-			ordered++
+			draining++
 		}
 	}
-	e.maxOut = max(e.maxOut, ordered)
+	e.maxOut = max(e.maxOut, draining)
 	b := e.budget
-	if out > b.Fleet || b.Building > 0 && outOf[e.buildings[r.sender]] > b.Building {
+	if out > b.Fleet || b.Building > 0 && outByBuilding[e.buildings[r.sender]] > b.Building {
 		e.over = append(e.over,
 			BudgetExceeded{r.at.Sub(e.started), fmt.Sprintf("%s went away:%s", e.names[r.sender], text)})
 	}
--- a/internal/cluster/prepare.go
+++ b/internal/cluster/prepare.go
@@ -17,9 +17,9 @@
 	senderMemoryMB   = 192
 )
 
-// calmScenario is played without a plan: its endpoints have capacity to spare, so that what is seen is the fleet's
+// defaultScenario is played without a plan: its endpoints have capacity to spare, so that what is seen is the fleet's
 // doing.
-const calmScenario = `
+const defaultScenario = `
 scenario(name = "fleet", seconds = %g, senders = %d, zones = ["bldg-a", "bldg-b"], hold = (20, 20), slots = (4, 4))
 kind(name = "partners", limit = "none", headroom = (4, 4), conns = (200, 200),
   least_conns = (400, 400), endpoints = (2, 2), cv = (0.1, 0.1))
@@ -48,7 +48,7 @@
 	if c.Environment, err = harness.NewEnvironment(c.ctx, c.plan, c.Log, c.recordEvent); err != nil {
 		return err
 	}
-	c.Environment.UseLinks(c.Net)
+	c.Environment.SetNetwork(c.Net)
 	if err = c.Environment.OpenEndpoints(); err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 	if c.Plan != nil {
 		return c.Plan, nil
 	}
-	script := fmt.Appendf(nil, calmScenario+"%s", c.Length.Seconds(), c.Senders, max(c.Rate, 1), c.Script)
+	script := fmt.Appendf(nil, defaultScenario+"%s", c.Length.Seconds(), c.Senders, max(c.Rate, 1), c.Script)
 	s, err := scenario.Parse("fleet.star", script, nil)
 	if err != nil {
 		return nil, err
@@ -159,7 +159,7 @@
 // agentScript opens the links of an agent, and returns its settings script.
 func (c *Cluster) agentScript(i int) (string, error) {
 	a := c.agents[i]
-	var others []string
+	var agents []string
 	for _, b := range c.agents {
 		addr := b.addr
 		if a != b {
@@ -168,19 +168,19 @@
 				return "", err
 			}
 		}
-		others = append(others, fmt.Sprintf("%q: %q", b.name, addr))
+		agents = append(agents, fmt.Sprintf("%q: %q", b.name, addr))
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "agent(name = %q, listen = %q, folder = %q, agents = {%s}, version = \"v1\", program = %q)\n",
-		a.name, a.addr, a.folder, strings.Join(others, ", "), c.Program)
+		a.name, a.addr, a.folder, strings.Join(agents, ", "), c.Program)
 	b, t := c.Terms.Budget, c.Terms.Timing
 	fmt.Fprintf(&text, "budget(fleet = %d, building = %d, serving = %d, endpoints = %d, kind = %d)\n",
 		b.Fleet, b.Building, b.Serving, b.Endpoints, b.Kind)
 	fmt.Fprintf(&text, "timing(fresh = %g, accept = %g, lease = %g, clock_error = %g)\n",
 		t.Fresh.Seconds(), t.Accept.Seconds(), t.Lease.Seconds(), t.Error.Seconds())
-	change := "handover"
+	versionChange := "handover"
 	if c.Restart {
-		change = "restart"
+		versionChange = "restart"
 	}
 	for k := i; k < len(c.senders); k += c.Agents { // the senders that this agent runs
 		s := c.senders[k]
@@ -193,7 +193,7 @@
 		}
 		fmt.Fprintf(&text,
 			"sender(name = %q, building = %q, config = %q, admin = [%q, %q], reach = [%q, %q], change = %q)\n",
-			c.Names[k], c.Building(k), s.config, s.admin[0], s.admin[1], reach[0], reach[1], change)
+			c.Names[k], c.Building(k), s.config, s.admin[0], s.admin[1], reach[0], reach[1], versionChange)
 	}
 	return text.String(), nil
 }
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	restDuration     = 5 * time.Second // of each measurement at rest
+	idleDuration     = 5 * time.Second // of each measurement at rest
 	releaseTimeout   = 10 * time.Minute
 	rollBackTimeout  = 5 * time.Minute
 	haltTimeout      = 30 * time.Second
@@ -51,8 +51,8 @@
 	AtRest        Cost `json:"Rest"`
 	DuringRelease Cost `json:"Busy"`
 	// What a sender spends on average at rest, with its agent and while all agents are stopped.
-	WithAgent    SenderSpent `json:"Watched"`
-	WithoutAgent SenderSpent `json:"Alone"`
+	WithAgent    SenderUsage `json:"Watched"`
+	WithoutAgent SenderUsage `json:"Alone"`
 }
 
 // A measurer fills a Measurement step by step.
@@ -86,14 +86,14 @@
 		return err
 	}
 	m.Begin = time.Since(started)
-	good, _, err := writePrograms(c.Setup)
+	program, _, err := writePrograms(c.Setup)
 	if err != nil {
 		return err
 	}
-	if err := m.measureRest(); err != nil {
+	if err := m.measureIdle(); err != nil {
 		return err
 	}
-	if err := m.measureRelease(good); err != nil {
+	if err := m.measureRelease(program); err != nil {
 		return err
 	}
 	if m.HaltAll, err = c.measureHalt(false); err != nil {
@@ -110,13 +110,13 @@
 	return nil
 }
 
-// measureRest measures senders and agents while nothing is ordered: senders alone first, then both.
-func (m *measurer) measureRest() error {
+// measureIdle measures senders and agents while nothing is ordered: senders alone first, then both.
+func (m *measurer) measureIdle() error {
 	c := m.cluster
 	for i := range c.agents {
 		c.SignalAgent(i, syscall.SIGSTOP)
 	}
-	m.WithoutAgent = c.senderUsage(restDuration)
+	m.WithoutAgent = c.senderUsage(idleDuration)
 	for i := range c.agents {
 		c.SignalAgent(i, syscall.SIGCONT)
 	}
@@ -128,7 +128,7 @@
 	}
 	before := c.agentUsage()
 	requested, executed := c.deliveryCounts()
-	m.WithAgent = c.senderUsage(restDuration)
+	m.WithAgent = c.senderUsage(idleDuration)
 	m.usage = c.agentUsage()
 	m.AtRest = costBetween(before, m.usage)
 	m.requested, m.executed = c.deliveryCounts()
@@ -247,7 +247,7 @@
 }
 
 func (c *Cluster) injectAgentFaults(done <-chan struct{}) {
-	wait := func(d time.Duration) bool {
+	sleep := func(d time.Duration) bool {
 		select {
 		case <-done:
 			return false
@@ -256,20 +256,20 @@
 		}
 	}
 	names := c.AgentNames()
-	for i := 0; wait(faultInterval); i++ {
+	for i := 0; sleep(faultInterval); i++ {
 		k := i % len(names)
 		switch i % 3 {
 		case 0:
 			c.SignalAgent(k, syscall.SIGKILL)
-			wait(faultDuration)
+			sleep(faultDuration)
 			c.StartAgent(k)
 		case 1:
 			c.Net.Partition(names[k:k+1], names, netfault.State{Silent: true})
-			wait(faultDuration)
+			sleep(faultDuration)
 			c.Net.Heal()
 		case 2:
 			c.Net.Set(names[k], names[(k+1)%len(names)], netfault.State{Cut: true})
-			wait(faultDuration)
+			sleep(faultDuration)
 			c.Net.Heal()
 		}
 	}
@@ -279,7 +279,7 @@
 // after the halt was ordered the last sender went out; 0 if none did. With cut the leader is cut off, and the halt
 // goes to the other agents, as soon as one of them leads.
 func (c *Cluster) measureHalt(cut bool) (time.Duration, error) {
-	id, err := c.drainHalfway()
+	id, err := c.startDrainOfAll()
 	if err != nil {
 		return 0, err
 	}
@@ -312,8 +312,8 @@
 	return last.Sub(ordered), nil
 }
 
-// drainHalfway orders a drain of all senders, and returns its plan's id when some of them are through.
-func (c *Cluster) drainHalfway() (id uint64, err error) {
+// startDrainOfAll orders a drain of all senders, and returns its plan's id when some of them are through.
+func (c *Cluster) startDrainOfAll() (id uint64, err error) {
 	id, err = c.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
 		Kind: rollout.Drain, Stages: [][]string{c.Names}, Hold: 300 * time.Millisecond,
 	}})
--- a/internal/cluster/senders.go
+++ b/internal/cluster/senders.go
@@ -101,8 +101,8 @@
 		if err != nil {
 			continue
 		}
-		for word := range strings.SplitSeq(string(env), "\x00") {
-			if config, ok := strings.CutPrefix(word, "LB_CONFIG="); ok && strings.HasPrefix(config, c.Folder+"/") {
+		for variable := range strings.SplitSeq(string(env), "\x00") {
+			if config, ok := strings.CutPrefix(variable, "LB_CONFIG="); ok && strings.HasPrefix(config, c.Folder+"/") {
 				var pid int
 				fmt.Sscanf(filepath.Base(d), "%d", &pid)
 				pids[pid] = config
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -10,8 +10,8 @@
 	"cleathold/internal/agent"
 )
 
-// SenderSpent is what a sender spends in a second, and holds.
-type SenderSpent struct {
+// SenderUsage is what a sender spends in a second, and holds.
+type SenderUsage struct {
 	Processor float64 `json:"processor_s"` // processor seconds a second
 	MemoryMB  float64 `json:"memory_mb"`   // resident
 }
@@ -58,19 +58,19 @@
 }
 
 // senderUsage measures for a duration what a sender spends, on average.
-func (c *Cluster) senderUsage(duration time.Duration) SenderSpent {
-	sum := func() (processor, memoryMB float64) {
+func (c *Cluster) senderUsage(duration time.Duration) SenderUsage {
+	totalUsage := func() (processor, memoryMB float64) {
 		for pid := range c.processes() {
 			p, m := processUsage(pid)
 			processor, memoryMB = processor+p, memoryMB+m
 		}
 		return processor, memoryMB
 	}
-	before, _ := sum()
+	before, _ := totalUsage()
 	time.Sleep(duration)
-	after, memoryMB := sum()
+	after, memoryMB := totalUsage()
 	n := float64(c.Senders)
-	return SenderSpent{Processor: (after - before) / duration.Seconds() / n, MemoryMB: memoryMB / n}
+	return SenderUsage{Processor: (after - before) / duration.Seconds() / n, MemoryMB: memoryMB / n}
 }
 
 // agentUsage returns what the agents have spent so far.
--- a/internal/harness/addresses.go
+++ b/internal/harness/addresses.go
@@ -13,7 +13,7 @@
 func (r *run) processSpecs(platform []string) ([]ProcessSpec, error) {
 	n := r.Plan.Scenario.Senders
 	r.links = netfault.New(r.Plan.Seed)
-	r.env.UseLinks(r.links)
+	r.env.SetNetwork(r.links)
 	for range 1 + (n-1)/maxHostsPerBlock {
 		b, err := netfault.NewBlock()
 		if err != nil {
--- a/internal/harness/answer_failure.go
+++ b/internal/harness/answer_failure.go
@@ -24,8 +24,8 @@
 }
 
 // writeFailedAnswer writes an answer as it fails, and closes its connection or waits until the sender does.
-func (env *Environment) writeFailedAnswer(out http.ResponseWriter, a listAnswer) {
-	hijacker, ok := out.(http.Hijacker)
+func (env *Environment) writeFailedAnswer(w http.ResponseWriter, a listAnswer) {
+	hijacker, ok := w.(http.Hijacker)
 	if !ok {
 		return
 	}
@@ -41,19 +41,19 @@
 	}
 	text := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
 		len(body), body)
-	part := text[:1+int(a.fraction*float64(len(text)-2))]
+	prefix := text[:1+int(a.fraction*float64(len(text)-2))]
 	switch a.failure {
 	case Garbles:
 		conn.Write(text)
 	case Dribbles:
 		env.writeSlowly(conn, text)
 	case Stalls:
-		conn.Write(part)
+		conn.Write(prefix)
 	case Closes:
-		conn.Write(part)
+		conn.Write(prefix)
 		return
 	case Resets:
-		conn.Write(part)
+		conn.Write(prefix)
 		resetConn(conn)
 		return
 	}
@@ -61,11 +61,11 @@
 }
 
 // writeSlowly writes a text in small pieces, spread over slowAnswerDuration.
-func (env *Environment) writeSlowly(to net.Conn, text []byte) {
+func (env *Environment) writeSlowly(conn net.Conn, text []byte) {
 	size := max(1, len(text)/slowAnswerParts)
 	for len(text) > 0 {
 		n := min(size, len(text))
-		if _, err := to.Write(text[:n]); err != nil || !env.sleep(slowAnswerDuration/slowAnswerParts) {
+		if _, err := conn.Write(text[:n]); err != nil || !env.sleep(slowAnswerDuration/slowAnswerParts) {
 			return
 		}
 		text = text[n:]
--- a/internal/harness/call_request.go
+++ b/internal/harness/call_request.go
@@ -43,8 +43,8 @@
 
 // readCall reads a request as the section 'Senders to endpoints' of PROTOCOL defines it. An error that is no
 // *requestError means that no request could be read.
-func readCall(in *bufio.Reader) (*receivedCall, error) {
-	r, err := http.ReadRequest(in)
+func readCall(reader *bufio.Reader) (*receivedCall, error) {
+	r, err := http.ReadRequest(reader)
 	if err != nil {
 		return nil, err
 	}
@@ -78,28 +78,28 @@
 
 // readBatch reads the body of a call with several messages, none of them twice.
 func readBatch(body string) ([]partner.Message, error) {
-	malformed := &requestError{http.StatusBadRequest, "body of several messages unreadable"}
-	var list []partner.Message
+	errMalformed := &requestError{http.StatusBadRequest, "body of several messages unreadable"}
+	var messages []partner.Message
 	seen := map[string]bool{}
 	for body != "" {
 		line, rest, found := strings.Cut(body, "\r\n")
 		fields := strings.Split(line, " ")
 		if !found || len(fields) != 3 || fields[0] == "" || seen[fields[0]] {
-			return nil, malformed
+			return nil, errMalformed
 		}
 		n, err := strconv.Atoi(fields[2])
 		if err != nil || n < 0 || len(rest) < n+2 || rest[n:n+2] != "\r\n" {
-			return nil, malformed
+			return nil, errMalformed
 		}
 		m := partner.Message{ID: fields[0], Key: fields[1]}
 		if m.Key == "-" {
 			m.Key = ""
 		}
 		seen[m.ID] = true
-		list, body = append(list, m), rest[n+2:]
+		messages, body = append(messages, m), rest[n+2:]
 	}
-	if len(list) == 0 {
-		return nil, malformed
+	if len(messages) == 0 {
+		return nil, errMalformed
 	}
-	return list, nil
+	return messages, nil
 }
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -71,7 +71,7 @@
 // Run submits until the plan's last arrival, Stop or the end of the run. The submissions go on after it; see Idle.
 func (c *Clients) Run() {
 	arrivals := c.env.plan.Arrivals()
-	for a, some := arrivals.Next(); some; a, some = arrivals.Next() {
+	for a, ok := arrivals.Next(); ok; a, ok = arrivals.Next() {
 		if c.stopped.Load() || c.env.now() < a.At && !c.env.sleepUntil(a.At) || c.env.ctx.Err() != nil {
 			return
 		}
--- a/internal/harness/delivery_reports.go
+++ b/internal/harness/delivery_reports.go
@@ -14,10 +14,10 @@
 const maxReportBytes = 1 << 20
 
 // serveReports takes delivery reports, also while discovery is down.
-func (env *Environment) serveReports(sender int, out http.ResponseWriter, r *http.Request) {
+func (env *Environment) serveReports(sender int, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxReportBytes))
 	if err != nil || !gjson.ValidBytes(body) && !validReportLines(body) {
-		http.Error(out, "notices unreadable", http.StatusBadRequest)
+		http.Error(w, "notices unreadable", http.StatusBadRequest)
 		return
 	}
 	gjson.ForEachLine(string(body), func(line gjson.Result) bool {
@@ -29,7 +29,7 @@
 		env.onReport(id, deferred, retryAfter)
 		return true
 	})
-	out.WriteHeader(http.StatusNoContent)
+	w.WriteHeader(http.StatusNoContent)
 }
 
 // validReportLines reports whether each line is a report of its own.
--- a/internal/harness/discovery.go
+++ b/internal/harness/discovery.go
@@ -22,17 +22,17 @@
 // OpenPlatform opens an address of discovery for each sender, by which the caller is known, and returns the addresses
 // by sender. It takes delivery reports there, too. The servers end with the environment.
 func (env *Environment) OpenPlatform() ([]string, error) {
-	var list []string
+	var addresses []string
 	for i := range env.plan.Scenario.Senders {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			return nil, fmt.Errorf("rig: discovery: %w", err)
 		}
 		mux := http.NewServeMux()
-		mux.HandleFunc("GET /catalog/members", func(out http.ResponseWriter, r *http.Request) {
-			env.serveMembers(i, out, r)
+		mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) {
+			env.serveMembers(i, w, r)
 		})
-		mux.HandleFunc("POST /status", func(out http.ResponseWriter, r *http.Request) { env.serveReports(i, out, r) })
+		mux.HandleFunc("POST /status", func(w http.ResponseWriter, r *http.Request) { env.serveReports(i, w, r) })
 		server := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 		env.wg.Go(func() {
 			if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
@@ -43,9 +43,9 @@
 			<-env.ctx.Done()
 			server.Close()
 		})
-		list = append(list, l.Addr().String())
+		addresses = append(addresses, l.Addr().String())
 	}
-	return list, nil
+	return addresses, nil
 }
 
 // A listQuery says what a poll asks for: the full list, or with watch the changes since a version, for which it waits.
@@ -72,7 +72,7 @@
 	env      *Environment
 	sender   int
 	query    listQuery
-	out      http.ResponseWriter
+	w        http.ResponseWriter
 	ctx      context.Context // of the request
 	deadline time.Time       // of a watch
 	delayed  bool            // its answer was late already
@@ -87,14 +87,14 @@
 }
 
 // serveMembers answers with the list, or with what changes in it.
-func (env *Environment) serveMembers(sender int, out http.ResponseWriter, r *http.Request) {
+func (env *Environment) serveMembers(sender int, w http.ResponseWriter, r *http.Request) {
 	query, err := parseListQuery(r.URL.Query())
 	if err != nil {
-		http.Error(out, err.Error(), http.StatusBadRequest)
+		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	p := &listPoll{
-		env: env, sender: sender, query: query, out: out, ctx: r.Context(), deadline: time.Now().Add(query.wait),
+		env: env, sender: sender, query: query, w: w, ctx: r.Context(), deadline: time.Now().Add(query.wait),
 	}
 	for !p.step() {
 	}
@@ -114,7 +114,7 @@
 	if _, outage := env.simulated.DiscoveryOutage(now); outage {
 		env.simulated.Polled(now, p.sender, false, true)
 		env.mu.Unlock()
-		http.Error(p.out, "discovery is down", http.StatusServiceUnavailable)
+		http.Error(p.w, "discovery is down", http.StatusServiceUnavailable)
 		return true
 	}
 	lines, version, full := p.list(now)
@@ -124,11 +124,11 @@
 		return p.send(a)
 	}
 	env.simulated.Polled(now, p.sender, true, false)
-	next, some := env.simulated.NextListUpdate(p.sender, p.query.since)
+	next, ok := env.simulated.NextListUpdate(p.sender, p.query.since)
 	changed := env.listChanged
 	env.mu.Unlock()
 	wait := time.Until(p.deadline)
-	if some {
+	if ok {
 		wait = min(wait, next-now)
 	}
 	return !p.awaitList(changed, max(wait, time.Millisecond))
@@ -197,14 +197,14 @@
 		return true
 	case "":
 	default:
-		env.writeFailedAnswer(p.out, a)
+		env.writeFailedAnswer(p.w, a)
 		return true
 	}
 	if p.query.watch {
 		env.recordWatchTail(p.sender, a.version)
 	}
-	p.out.Header().Set("Content-Type", "application/json")
-	p.out.Write(a.body)
+	p.w.Header().Set("Content-Type", "application/json")
+	p.w.Write(a.body)
 	return true
 }
 
--- a/internal/harness/endpoint_listener.go
+++ b/internal/harness/endpoint_listener.go
@@ -82,15 +82,15 @@
 	}
 }
 
-// noAddress is told for an endpoint that has no listener: the port of the discard service, where nobody listens.
-const noAddress = "127.0.0.1:9"
+// unreachableAddress is told for an endpoint that has no listener: the port of the discard service, where nobody listens.
+const unreachableAddress = "127.0.0.1:9"
 
 // addressOf is the address at which a sender reaches a listed endpoint. The caller holds the lock.
 func (env *Environment) addressOf(sender int, listed simulation.ListedEndpoint) string {
 	if l := env.listeners[sender][listed.Address]; l != nil {
 		return l.addr
 	}
-	return noAddress
+	return unreachableAddress
 }
 
 // updateListeners has the listeners listen, or not, as the model and the links say. The caller holds the lock.
@@ -180,8 +180,8 @@
 
 // resetConn closes a connection by a reset in place of an orderly end.
 func resetConn(c net.Conn) {
-	if t, is := c.(*net.TCPConn); is {
-		t.SetLinger(0)
+	if tcpConn, ok := c.(*net.TCPConn); ok {
+		tcpConn.SetLinger(0)
 	}
 	c.Close()
 }
--- a/internal/harness/environment.go
+++ b/internal/harness/environment.go
@@ -16,8 +16,8 @@
 	"cleathold/internal/simulation"
 )
 
-// submissionRetention is how long the class of a message is known after its submission.
-const submissionRetention = 3 * time.Minute
+// submissionClassRetention is how long the class of a message is known after its submission.
+const submissionClassRetention = 3 * time.Minute
 
 // An Environment is all that is outside the senders: endpoints, discovery, links and what judges the run. What stands
 // below its lock is touched under it. Its clock stands at 0 until Begin.
@@ -28,29 +28,29 @@
 	cancel context.CancelCauseFunc
 	wg     sync.WaitGroup
 
-	mu             sync.Mutex
-	started        time.Time     // zero before Begin
-	lastEvent      time.Duration // of the latest event; times of events never decrease
-	simulated      *simulation.Environment
-	auditor        *audit.Auditor
-	meter          *simulation.ServiceMeter
-	sink           func(audit.Event) error
-	pendingAnswers map[uint64]chan partner.Answer // by call id; each gets one answer at most
-	lastCallID     uint64
-	connections    int
-	submissions    map[string]submission // by message id
-	nextSweep      time.Duration
-	listeners      []map[string]*endpointListener // by sender and address
-	listChanged    chan struct{}                  // closed and replaced when the list or the state of discovery changes
-	wake           chan struct{}                  // makes advanceModel look at the model again
-	linksChanged   chan struct{}                  // closed and replaced when links change
-	discoveryCut   []bool                         // by sender: whether its link to or from discovery passes nothing
-	links          *netfault.Net                  // nil if nothing passes through links
-	lag            *hdrhistogram.Histogram
-	faults         Faults
-	faultRNG       *rand.Rand                                               // draws which answers fail, and how
-	onReport       func(id string, deferred bool, retryAfter time.Duration) // called for each delivery report
-	onDelivered    func(ids []string)                                       // called for each call that was delivered
+	mu                  sync.Mutex
+	started             time.Time     // zero before Begin
+	lastEvent           time.Duration // of the latest event; times of events never decrease
+	simulated           *simulation.Environment
+	auditor             *audit.Auditor
+	meter               *simulation.ServiceMeter
+	sink                func(audit.Event) error
+	pendingAnswers      map[uint64]chan partner.Answer // by call id; each gets one answer at most
+	lastCallID          uint64
+	connections         int
+	submissions         map[string]submission // by message id
+	nextSubmissionSweep time.Duration
+	listeners           []map[string]*endpointListener // by sender and address
+	listChanged         chan struct{}                  // closed and replaced when the list or the state of discovery changes
+	wake                chan struct{}                  // makes advanceModel look at the model again
+	linksChanged        chan struct{}                  // closed and replaced when links change
+	discoveryCut        []bool                         // by sender: whether its link to or from discovery passes nothing
+	links               *netfault.Net                  // nil if nothing passes through links
+	lag                 *hdrhistogram.Histogram
+	faults              Faults
+	faultRNG            *rand.Rand                                               // draws which answers fail, and how
+	onReport            func(id string, deferred bool, retryAfter time.Duration) // called for each delivery report
+	onDelivered         func(ids []string)                                       // called for each call that was delivered
 }
 
 // A submission is what the endpoints must know of a message that they receive.
@@ -79,11 +79,11 @@
 		onDelivered:    func([]string) {},
 	}
 	env.ctx, env.cancel = context.WithCancelCause(ctx)
-	set, err := simulation.Settings(p, 0, 0)
+	settings, err := simulation.Settings(p, 0, 0)
 	if err != nil {
 		return nil, err
 	}
-	env.auditor = audit.New(simulation.Rules(p, set))
+	env.auditor = audit.New(simulation.Rules(p, settings))
 	if env.simulated, err = simulation.NewEnvironment(p, env.record); err != nil {
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 	env.mu.Lock()
 	env.started = time.Now()
 	if env.links != nil {
-		env.links.Follow(env.linkRule(env.started))
+		env.links.SetRule(env.linkRule(env.started))
 	}
 	env.mu.Unlock()
 	env.wg.Go(env.advanceModel)
@@ -138,13 +138,13 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.submissions[e.Message] = submission{e.Class, env.now()}
-	if now := env.now(); now >= env.nextSweep {
+	if now := env.now(); now >= env.nextSubmissionSweep {
 		for id, s := range env.submissions {
-			if now-s.at > submissionRetention {
+			if now-s.at > submissionClassRetention {
 				delete(env.submissions, id)
 			}
 		}
-		env.nextSweep = now + submissionRetention/4
+		env.nextSubmissionSweep = now + submissionClassRetention/4
 	}
 	env.record(e)
 }
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -28,14 +28,14 @@
 
 // newTestEnvironment returns an environment with listeners and a clock that runs, of a scenario that a script
 // completes.
-func newTestEnvironment(t *testing.T, more string) (*Environment, *scenario.Plan) {
+func newTestEnvironment(t *testing.T, extraScript string) (*Environment, *scenario.Plan) {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/building-refuses.star")
 	if err != nil {
 		t.Fatal(err)
 	}
 	script, _, _ := strings.Cut(string(text), "trouble(")
-	s, err := scenario.Parse("s.star", []byte(script+more), nil)
+	s, err := scenario.Parse("s.star", []byte(script+extraScript), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,11 +88,11 @@
 	return "POST /receive HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Deadline: 5\r\nContent-Length: 2\r\n\r\nhi"
 }
 
-// locked calls a function under the environment's lock.
-func (env *Environment) locked(do func()) {
+// withLock calls a function under the environment's lock.
+func (env *Environment) withLock(f func()) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	do()
+	f()
 }
 
 // recordAcceptedMessage records a message that a client submitted to sender 0, and that it accepted.
@@ -134,14 +134,14 @@
 func TestEndpointListenerFollowsModel(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	listener := env.listeners[0][p.Dests[0].Endpoints[0].ID]
-	set := func(fault partner.Fault) {
-		env.locked(func() {
+	setFault := func(fault partner.Fault) {
+		env.withLock(func() {
 			env.simulated.Model.SetFault(env.now(), listener.endpoint, fault)
 			env.updateListeners()
 			env.dispatchAndWake()
 		})
 	}
-	set(partner.Fault{Mode: partner.Shut, Until: time.Hour})
+	setFault(partner.Fault{Mode: partner.Shut, Until: time.Hour})
 	r, _, err := sendRequest(t, listener.addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
 	if err != nil || r.StatusCode != 503 && r.StatusCode != 429 {
 		t.Errorf("shut: %v %v", r, err)
@@ -153,7 +153,7 @@
 	defer idle.Close()
 	// Down: open connections break, new ones are refused, the port stays reserved.
 	addr := listener.addr
-	set(partner.Fault{Mode: partner.Down})
+	setFault(partner.Fault{Mode: partner.Down})
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
 		t.Error("a connection outlives its endpoint")
 	}
@@ -166,7 +166,7 @@
 		l.Close()
 		t.Error("another socket got its port")
 	}
-	set(partner.Fault{})
+	setFault(partner.Fault{})
 	sendUntilServed(t, addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
 }
 
@@ -175,7 +175,7 @@
 	env, p := newTestEnvironment(t, "")
 	d := p.Dests[0]
 	listener := env.listeners[0][d.Endpoints[0].ID]
-	env.locked(func() {
+	env.withLock(func() {
 		env.simulated.Model.SetFault(env.now(), listener.endpoint, partner.Fault{Mode: partner.Unresponsive})
 	})
 	recordAcceptedMessage(env, "a", d.Dest)
@@ -185,7 +185,7 @@
 	}
 	io.WriteString(c, receiveRequest("a"))
 	running := func() (n int) {
-		env.locked(func() { n = len(env.pendingAnswers) })
+		env.withLock(func() { n = len(env.pendingAnswers) })
 		return n
 	}
 	waitFor(t, "the call", func() bool { return running() == 1 })
@@ -193,23 +193,23 @@
 	waitFor(t, "its end", func() bool { return running() == 0 })
 	waitFor(t, "its effect", func() bool {
 		n := 0
-		env.locked(func() { s, _ := env.auditor.Totals(); n = s.Effects })
+		env.withLock(func() { s, _ := env.auditor.Totals(); n = s.Effects })
 		return n == 1
 	})
 }
 
-func waitFor(t *testing.T, what string, until func() bool) {
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(20 * time.Second); !until(); time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("%s: never", what)
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: never", description)
 		}
 	}
 }
 
 // Discovery on sockets: the full list, a watch that waits, a change that is notified late, an address that a new
 // endpoint takes over, and an outage.
-func TestPlatform(t *testing.T) {
+func TestDiscoveryServer(t *testing.T) {
 	env, p := newTestEnvironment(t, "discovery_out(at = 10000, seconds = 1)\n")
 	addresses, err := env.OpenPlatform()
 	if err != nil {
@@ -232,31 +232,31 @@
 	if status, body := get("?since=1&timeout_ms=20"); status != 200 || !strings.Contains(body, noChange) {
 		t.Errorf("a watch without news: %d %s", status, body)
 	}
-	env.locked(func() {
+	env.withLock(func() {
 		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
 		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
 		env.applyChange(scenario.Change{Endpoint: "new", Dest: 1, Joins: &partner.EndpointSpec{ID: "new"}, Address: e.ID})
 	})
-	at, seen := 1, ""
+	version, received := 1, ""
 	for range 3 { // the changes come in one answer or more
-		_, body := get("?since=" + strconv.Itoa(at) + "&timeout_ms=10000")
-		for v := 4; v > at; v-- {
+		_, body := get("?since=" + strconv.Itoa(version) + "&timeout_ms=10000")
+		for v := 4; v > version; v-- {
 			if strings.Contains(body, `"version":`+strconv.Itoa(v)) {
-				at = v
+				version = v
 			}
 		}
-		if seen += body; at == 4 {
+		if received += body; version == 4 {
 			break
 		}
 	}
 	for _, want := range []string{`"state":"removed"`, `"id":"new","addr":"` + env.listeners[0][e.ID].addr} {
-		if !strings.Contains(seen, want) {
-			t.Errorf("no %s in %s", want, seen)
+		if !strings.Contains(received, want) {
+			t.Errorf("no %s in %s", want, received)
 		}
 	}
 	// The new endpoint at the old address.
 	sendUntilServed(t, env.listeners[0][e.ID].addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
-	env.locked(func() { env.plan.DiscoveryOutages = []scenario.Span{{From: 0, To: time.Hour}}; env.notifyListChanged() })
+	env.withLock(func() { env.plan.DiscoveryOutages = []scenario.Span{{From: 0, To: time.Hour}}; env.notifyListChanged() })
 	if status, _ := get("?since=4&timeout_ms=10000"); status != 503 {
 		t.Errorf("down: %d", status)
 	}
@@ -348,16 +348,16 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	read, write := io.Pipe()
+	pipeReader, pipeWriter := io.Pipe()
 	done := make(chan Result, 1)
 	go func() {
-		r, err := Serve(ctx, Setup{Plan: s.Plan(1), Folder: t.TempDir(), Log: slog.New(slog.DiscardHandler)}, write)
+		r, err := Serve(ctx, Setup{Plan: s.Plan(1), Folder: t.TempDir(), Log: slog.New(slog.DiscardHandler)}, pipeWriter)
 		if err != nil {
 			t.Error(err)
 		}
 		done <- r
 	}()
-	lines := bufio.NewScanner(read)
+	lines := bufio.NewScanner(pipeReader)
 	for range s.Senders {
 		if !lines.Scan() || !strings.Contains(lines.Text(), "LB_CONFIG=") {
 			t.Fatalf("%q", lines.Text())
@@ -371,7 +371,7 @@
 
 // The exit status of a process is known, however soon it ends.
 func TestExitErrorOfShortProcess(t *testing.T) {
-	x := &Process{program: "/bin/false", dir: t.TempDir()}
+	p := &Process{program: "/bin/false", dir: t.TempDir()}
 	// Other goroutines keep the processors busy, so that the one that starts the process may be the last to go on.
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -390,11 +390,11 @@
 		})
 	}
 	for range 40 {
-		if err := x.Start(); err != nil {
+		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		<-x.Ended()
-		if x.exitError() == nil {
+		<-p.Ended()
+		if p.exitError() == nil {
 			t.Fatal("a process that ended with exit status 1 has no exit error")
 		}
 	}
@@ -414,7 +414,7 @@
 		d := p.Dests[0]
 		listener := env.listeners[0][d.Endpoints[0].ID]
 		waitFor(t, "the fault", func() (applies bool) {
-			env.locked(func() {
+			env.withLock(func() {
 				forward, back := listener.linkStates()
 				applies = !forward.Passes() || !back.Passes() || c.want == "served"
 				applies = applies && (listener.listener == nil) == (c.want == "refused")
@@ -423,12 +423,12 @@
 		})
 		recordAcceptedMessage(env, "a", d.Dest)
 		if c.want == "late" { // its sender no longer waits
-			gone, err := net.Dial("tcp", listener.addr)
+			closedConn, err := net.Dial("tcp", listener.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			io.WriteString(gone, receiveRequest("a"))
-			gone.Close()
+			io.WriteString(closedConn, receiveRequest("a"))
+			closedConn.Close()
 		}
 		_, _, err := sendRequest(t, listener.addr, receiveRequest("a"))
 		got := "served"
@@ -443,13 +443,13 @@
 		}
 		if c.want == "refused" {
 			waitFor(t, "the listener to listen again", func() (listens bool) {
-				env.locked(func() { listens = listener.listener != nil })
+				env.withLock(func() { listens = listener.listener != nil })
 				return listens
 			})
 			sendUntilServed(t, listener.addr, receiveRequest("a"))
 		}
 		calls := 0
-		env.locked(func() { s, _ := env.auditor.Totals(); calls = s.Effects + s.Dropped })
+		env.withLock(func() { s, _ := env.auditor.Totals(); calls = s.Effects + s.Dropped })
 		if strings.HasPrefix(c.link, `of = "n0", to = "partners", what = "SILENT"`) && calls != 1 {
 			t.Errorf("%s: %d calls took effect", c.link, calls)
 		}
@@ -459,13 +459,13 @@
 // A sender whose link from discovery is silent waits for the list, and gets it when the link is healed.
 func TestLinkToDiscovery(t *testing.T) {
 	env, _ := newTestEnvironment(t, `link(at = 0, seconds = 1, of = "n0", to = "discovery", what = "SILENT")`+"\n")
-	waitFor(t, "the fault", func() (off bool) { env.locked(func() { off = env.discoveryCut[0] }); return off })
-	list, err := env.OpenPlatform()
+	waitFor(t, "the fault", func() (cut bool) { env.withLock(func() { cut = env.discoveryCut[0] }); return cut })
+	addresses, err := env.OpenPlatform()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, late := range []bool{true, false} {
-		r, _, err := sendRequest(t, list[1-i], "GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n")
+		r, _, err := sendRequest(t, addresses[1-i], "GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n")
 		if err != nil || r.StatusCode != 200 || env.currentTime() >= time.Second == late {
 			t.Errorf("sender %d: %v at %v", 1-i, err, env.currentTime())
 		}
--- a/internal/harness/links.go
+++ b/internal/harness/links.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// UseLinks has the links of a network follow the plan from Begin on. Datagrams between senders get the delays and
+// SetNetwork has the links of a network follow the plan from Begin on. Datagrams between senders get the delays and
 // losses that they have in virtual time, too.
-func (env *Environment) UseLinks(links *netfault.Net) {
+func (env *Environment) SetNetwork(links *netfault.Net) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.links = links
--- a/internal/harness/model.go
+++ b/internal/harness/model.go
@@ -22,9 +22,9 @@
 		env.mu.Lock()
 		env.simulated.Model.Advance(env.now())
 		env.dispatchAnswers()
-		next, some := env.simulated.Model.Next()
+		next, ok := env.simulated.Model.Next()
 		env.mu.Unlock()
-		if some {
+		if ok {
 			timer.Reset(time.Until(env.started.Add(next)))
 		} else {
 			timer.Reset(time.Hour)
@@ -73,7 +73,7 @@
 		changes.Push(at, 0, env.updateLinks)
 	}
 	env.mu.Unlock()
-	for _, _, some := changes.First(); some; _, _, some = changes.First() {
+	for _, _, ok := changes.First(); ok; _, _, ok = changes.First() {
 		at, apply := changes.Pop()
 		if !env.sleepUntil(at) {
 			return
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -72,14 +72,14 @@
 		settings: s.Settings, plan: s.Plan, spec: spec, wrap: s.Faults.Wrap,
 	}
 	if err := Configure(p.configPath(), s.Plan, num, spec); err != nil {
-		p.Release()
+		p.ReleasePort()
 		return nil, err
 	}
 	return p, nil
 }
 
-// Release gives the sender's port back.
-func (p *Process) Release() { unix.Close(p.reservedFD) }
+// ReleasePort gives the sender's port back.
+func (p *Process) ReleasePort() { unix.Close(p.reservedFD) }
 
 func (p *Process) configPath() string { return filepath.Join(p.dir, "config.json") }
 
@@ -180,8 +180,8 @@
 	<-ended
 }
 
-// StopBySeries ends the process by several signals in quick succession, as when several operators act at once.
-func (p *Process) StopBySeries() {
+// StopWithSignalSeries ends the process by several signals in quick succession, as when several operators act at once.
+func (p *Process) StopWithSignalSeries() {
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
 		p.Signal(s)
 		time.Sleep(signalInterval)
@@ -189,9 +189,9 @@
 	p.Stop(true)
 }
 
-// Ready waits until the sender's health check says that it is ready. It fails if the process ends before or the
+// AwaitReady waits until the sender's health check says that it is ready. It fails if the process ends before or the
 // deadline passes, and returns the context's cause if that ends.
-func (p *Process) Ready(ctx context.Context, deadline time.Time) error {
+func (p *Process) AwaitReady(ctx context.Context, deadline time.Time) error {
 	for ctx.Err() == nil {
 		if p.healthy() {
 			return nil
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	drainTimeout     = 30 * time.Second // a run goes on for so long after the last arrival, at most
+	finishTimeout    = 30 * time.Second // a run goes on for so long after the last arrival, at most
 	idleInterval     = 200 * time.Millisecond
 	progressInterval = 5 * time.Second
 	maxLagMillis     = 5.0 // at the 99th percentile; the result of a run with a greater lag says so
@@ -50,19 +50,19 @@
 
 // addWarnings says why a result is to be read with care.
 func (r *Result) addWarnings() {
-	add := func(applies bool, format string, args ...any) {
+	warnIf := func(applies bool, format string, args ...any) {
 		if applies {
 			r.Warnings = append(r.Warnings, fmt.Sprintf(format, args...))
 		}
 	}
-	add(r.EndpointLag.P99 > maxLagMillis,
+	warnIf(r.EndpointLag.P99 > maxLagMillis,
 		"the rig's partners were late themselves: %.1f ms at the 99th percentile, %.1f at most", r.EndpointLag.P99,
 		r.EndpointLag.Max)
-	add(r.Clients.Lag.P99 > maxLagMillis,
+	warnIf(r.Clients.Lag.P99 > maxLagMillis,
 		"the rig's clients were late themselves: %.1f ms at the 99th percentile, %.1f at most",
 		r.Clients.Lag.P99, r.Clients.Lag.Max)
-	add(r.Clients.Skipped > 0, "%d hand-ins were left out: too many were under way", r.Clients.Skipped)
-	add(r.Crashes > 0, "senders ended %d times without being told to", r.Crashes)
+	warnIf(r.Clients.Skipped > 0, "%d hand-ins were left out: too many were under way", r.Clients.Skipped)
+	warnIf(r.Crashes > 0, "senders ended %d times without being told to", r.Crashes)
 }
 
 // A run is a plan that is being played. It owns the senders' processes, the links and the addresses; shutDown ends
@@ -98,7 +98,7 @@
 	r := &run{Setup: s, env: env}
 	err = r.start()
 	if err == nil {
-		err = r.playPlan()
+		err = r.executePlan()
 	}
 	orderly := err == nil && context.Cause(env.ctx) == nil
 	peak := r.peakMB() // while the processes still run
@@ -147,7 +147,7 @@
 		}
 	}
 	for _, p := range r.processes {
-		if err := p.Ready(r.env.ctx, r.readyDeadline()); err != nil {
+		if err := p.AwaitReady(r.env.ctx, r.readyDeadline()); err != nil {
 			return err
 		}
 	}
@@ -181,8 +181,8 @@
 	return time.Now().Add(readyTimeout)
 }
 
-// playPlan plays the plan, until all messages have an outcome or drainTimeout after its length.
-func (r *run) playPlan() error {
+// executePlan plays the plan, until all messages have an outcome or drainTimeout after its length.
+func (r *run) executePlan() error {
 	env := r.env
 	env.Begin()
 	env.startIdleClients(r.addresses)
@@ -191,21 +191,21 @@
 	}
 	submitted := make(chan struct{})
 	env.wg.Go(func() { defer close(submitted); r.clients.Run() })
-	progress := time.NewTicker(progressInterval)
-	defer progress.Stop()
-	end := time.NewTimer(r.Plan.Scenario.Length + drainTimeout)
-	defer end.Stop()
-	idle := time.NewTicker(idleInterval)
-	defer idle.Stop()
+	progressTicker := time.NewTicker(progressInterval)
+	defer progressTicker.Stop()
+	timeout := time.NewTimer(r.Plan.Scenario.Length + finishTimeout)
+	defer timeout.Stop()
+	idleTicker := time.NewTicker(idleInterval)
+	defer idleTicker.Stop()
 	for {
 		select {
 		case <-env.ctx.Done():
 			return context.Cause(env.ctx)
-		case <-progress.C:
+		case <-progressTicker.C:
 			r.showProgress()
-		case <-end.C:
+		case <-timeout.C:
 			return nil
-		case <-idle.C:
+		case <-idleTicker.C:
 			select {
 			case <-submitted:
 				if env.now() > r.Plan.Scenario.Length+time.Second && env.Open() == 0 && r.clients.Idle() {
@@ -247,7 +247,7 @@
 		wg.Go(func() {
 			p.Signal(syscall.SIGCONT)
 			p.Stop(orderly)
-			p.Release()
+			p.ReleasePort()
 		})
 	}
 	wg.Wait()
--- a/internal/harness/sender_pool.go
+++ b/internal/harness/sender_pool.go
@@ -67,16 +67,16 @@
 	c.mu.Unlock()
 	for i := range c.senders {
 		n := (first + i) % len(c.senders)
-		if p := c.senders[n]; !p.knownGone(c.keepConnections) {
+		if p := c.senders[n]; !p.unavailable(c.keepConnections) {
 			return n, p
 		}
 	}
 	return first, c.senders[first]
 }
 
-// knownGone reports whether the clients' load balancer sends nobody to the sender. With keepConnections a sender that
+// unavailable reports whether the clients' load balancer sends nobody to the sender. With keepConnections a sender that
 // is down still gets clients for as long as there are connections to it.
-func (p *senderPool) knownGone(keepConnections bool) bool {
+func (p *senderPool) unavailable(keepConnections bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	down := !p.downSince.IsZero() && time.Since(p.downSince) > simulation.DeadSenderTimeout
--- a/internal/harness/server_conn.go
+++ b/internal/harness/server_conn.go
@@ -135,7 +135,7 @@
 
 // writeAnswer writes an answer in the form of PROTOCOL. It returns false if the connection ends with it.
 func (s *serverConn) writeAnswer(a partner.Answer, c *receivedCall) bool {
-	status, head, body := http.StatusOK, "", ""
+	status, header, body := http.StatusOK, "", ""
 	switch a.Kind {
 	case partner.Delivered:
 		if c.batch {
@@ -151,7 +151,7 @@
 		status = http.StatusServiceUnavailable
 		if a.RetryAfter > 0 {
 			status = http.StatusTooManyRequests
-			head = "Retry-After: " + strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 6, 64) + "\r\n"
+			header = "Retry-After: " + strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 6, 64) + "\r\n"
 		}
 	case partner.Unprocessable:
 		status = http.StatusRequestEntityTooLarge
@@ -164,20 +164,20 @@
 		return false
 	}
 	_, err := fmt.Fprintf(s.conn, "HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n%s",
-		status, http.StatusText(status), head, len(body), body)
+		status, http.StatusText(status), header, len(body), body)
 	return err == nil && !s.overCapacity
 }
 
 // peerClosed reports whether the other end of a connection has closed it, though there may still be data to read.
-func peerClosed(c net.Conn) (gone bool) {
+func peerClosed(c net.Conn) (closed bool) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
 	}
 	err = raw.Control(func(fd uintptr) {
-		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		_, err := unix.Poll(poll, 0)
-		gone = err != nil || poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		pollFDs := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		_, err := unix.Poll(pollFDs, 0)
+		closed = err != nil || pollFDs[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return gone || err != nil
+	return closed || err != nil
 }
--- a/internal/harness/sink.go
+++ b/internal/harness/sink.go
@@ -16,9 +16,9 @@
 	if err != nil {
 		return "", fmt.Errorf("rig: sink: %w", err)
 	}
-	accept := func(out http.ResponseWriter, r *http.Request) {
+	accept := func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		out.WriteHeader(http.StatusAccepted)
+		w.WriteHeader(http.StatusAccepted)
 	}
 	server := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(accept)}
 	go server.Serve(l) // until the context closes the server
--- a/internal/harness/standalone.go
+++ b/internal/harness/standalone.go
@@ -22,7 +22,7 @@
 	}
 	processes, err := prepareSenders(env, s, out)
 	for _, p := range processes {
-		defer p.Release()
+		defer p.ReleasePort()
 	}
 	if err == nil {
 		env.Begin()
@@ -81,13 +81,13 @@
 	env.Begin()
 	submitted := make(chan struct{})
 	go func() { defer close(submitted); c.Run() }()
-	tick := time.NewTicker(progressInterval)
-	defer tick.Stop()
+	progressTicker := time.NewTicker(progressInterval)
+	defer progressTicker.Stop()
 	for running := true; running; {
 		select {
 		case <-submitted:
 			running = !c.Idle() && env.sleep(50*time.Millisecond)
-		case <-tick.C:
+		case <-progressTicker.C:
 			if progress != nil {
 				fmt.Fprintf(progress, "%v of %v: %d asked\n",
 					env.currentTime().Truncate(100*time.Millisecond), p.Scenario.Length, c.requestCount())
--- a/internal/harness/supervise.go
+++ b/internal/harness/supervise.go
@@ -28,7 +28,7 @@
 				actions = nil
 				continue
 			}
-			if !s.inject(a) {
+			if !s.executeAction(a) {
 				continue
 			}
 			r.countRestart(false)
@@ -86,7 +86,7 @@
 		env.cancel(err)
 		return false
 	}
-	if err := s.process.Ready(env.ctx, s.run.readyDeadline()); err != nil {
+	if err := s.process.AwaitReady(env.ctx, s.run.readyDeadline()); err != nil {
 		if env.ctx.Err() == nil {
 			env.cancel(err)
 		}
@@ -108,8 +108,8 @@
 	s.run.clients.SetDown(s.number, false)
 }
 
-// inject carries out an action, and reports whether the process has ended by it.
-func (s *supervisor) inject(a scenario.PlannedAction) (ended bool) {
+// executeAction carries out an action, and reports whether the process has ended by it.
+func (s *supervisor) executeAction(a scenario.PlannedAction) (ended bool) {
 	p, env := s.process, s.run.env
 	switch a.What {
 	case "hup":
@@ -131,20 +131,20 @@
 		return true
 	case "signals":
 		s.recordDown("")
-		p.StopBySeries()
+		p.StopWithSignalSeries()
 		return true
 	case "stop":
 		s.recordDown("")
 		p.Signal(syscall.SIGSTOP)
-		s.atEnd(a, func() {
+		s.scheduleUndo(a, func() {
 			p.Signal(syscall.SIGCONT)
 			s.recordUp()
 		})
 	case "drain":
-		s.order("drain", true)
-		s.atEnd(a, func() { s.order("activate", false) })
+		s.sendOrder("drain", true)
+		s.scheduleUndo(a, func() { s.sendOrder("activate", false) })
 	case "activate":
-		s.order("activate", false)
+		s.sendOrder("activate", false)
 	case "retune":
 		if err := p.reconfigure(a); err != nil {
 			env.cancel(err)
@@ -153,8 +153,8 @@
 	return false
 }
 
-// atEnd calls a function when an action is over, unless the process that it was injected into has ended by then.
-func (s *supervisor) atEnd(a scenario.PlannedAction, undo func()) {
+// scheduleUndo calls a function when an action is over, unless the process that it was injected into has ended by then.
+func (s *supervisor) scheduleUndo(a scenario.PlannedAction, undo func()) {
 	if a.Until == 0 {
 		return
 	}
@@ -171,8 +171,8 @@
 	})
 }
 
-// order gives the process an order of the operators, and tells the clients what its health check says from then on.
-func (s *supervisor) order(verb string, draining bool) {
+// sendOrder gives the process an sendOrder of the operators, and tells the clients what its health check says from then on.
+func (s *supervisor) sendOrder(verb string, draining bool) {
 	if err := s.process.sendOrder(verb); err != nil {
 		s.run.env.log.Warn("operator order failed", "sender", s.number, "order", verb, "err", err)
 		return
--- a/internal/netfault/netfault_test.go
+++ b/internal/netfault/netfault_test.go
@@ -53,8 +53,8 @@
 }
 
 // exchange sends a line and reads it back, within a timeout.
-func (l *lineConn) exchange(text string, span time.Duration) error {
-	l.SetDeadline(time.Now().Add(span))
+func (l *lineConn) exchange(text string, timeout time.Duration) error {
+	l.SetDeadline(time.Now().Add(timeout))
 	if _, err := fmt.Fprintln(l, text); err != nil {
 		return err
 	}
@@ -202,18 +202,18 @@
 	const long = 20 * time.Second
 	n.Set("n0", "n1", State{Loss: 0.5})
 	// One at a time: a socket's buffer holds fewer than 400 datagrams, and the kernel drops the others unseen.
-	c := n.Passed("n0", "n1")
-	gone, came := c.Pieces+c.Lost, c.Pieces
+	c := n.Counts("n0", "n1")
+	previous, previouslyPassed := c.Chunks+c.Lost, c.Chunks
 	for i := range int64(400) {
 		p.send(0, d.Peers()[1], "x")
-		for until := time.Now().Add(long); c.Pieces+c.Lost <= gone+i; c = n.Passed("n0", "n1") {
+		for until := time.Now().Add(long); c.Chunks+c.Lost <= previous+i; c = n.Counts("n0", "n1") {
 			if time.Now().After(until) {
 				t.Fatalf("datagram %d neither passed nor is lost", i)
 			}
 			time.Sleep(50 * time.Microsecond)
 		}
-		if c.Pieces > came {
-			came = c.Pieces
+		if c.Chunks > previouslyPassed {
+			previouslyPassed = c.Chunks
 			if p.receive(1, long) == "" {
 				t.Fatalf("datagram %d passed and did not come", i)
 			}
--- a/internal/netfault/network.go
+++ b/internal/netfault/network.go
@@ -11,15 +11,15 @@
 type Net struct {
 	wg sync.WaitGroup // of all goroutines that serve links
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	states    map[direction]State
-	rule      func(from, to string) State // of directions that are not set; nil: they are sound
-	conns     map[*proxiedConn]bool
-	changed   chan struct{} // closed and replaced at each change of states
-	resources []io.Closer   // closed with the network
-	closed    bool
-	counts    map[direction]Count
+	mu      sync.Mutex
+	rng     *rand.Rand
+	states  map[direction]State
+	rule    func(from, to string) State // of directions that are not set; nil: they are sound
+	conns   map[*proxiedConn]bool
+	changed chan struct{} // closed and replaced at each change of states
+	closers []io.Closer   // closed with the network
+	closed  bool
+	counts  map[direction]Count
 }
 
 // New returns a network that draws delays and losses from a seed. The caller closes it.
@@ -38,7 +38,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.states[direction{from, to}] = s
-	n.notifyChanged()
+	n.applyChange()
 }
 
 // SetBoth is Set in both directions.
@@ -49,13 +49,13 @@
 
 // Partition sets the state between a group and all others among the names, in both directions.
 func (n *Net) Partition(group, all []string, s State) {
-	in := map[string]bool{}
+	inGroup := map[string]bool{}
 	for _, name := range group {
-		in[name] = true
+		inGroup[name] = true
 	}
 	for _, a := range all {
 		for _, b := range all {
-			if in[a] != in[b] {
+			if inGroup[a] != inGroup[b] {
 				n.Set(a, b, s)
 			}
 		}
@@ -67,27 +67,27 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.states)
-	n.notifyChanged()
+	n.applyChange()
 }
 
-// Follow has a rule give the states of the directions that are not set. The rule is called under the network's lock.
+// SetRule has a rule give the states of the directions that are not set. The rule is called under the network's lock.
 // Who gives it calls Refresh whenever its states change.
-func (n *Net) Follow(rule func(from, to string) State) {
+func (n *Net) SetRule(rule func(from, to string) State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rule = rule
-	n.notifyChanged()
+	n.applyChange()
 }
 
 // Refresh applies the states of the rule anew. Connections that a cut hits break at once.
 func (n *Net) Refresh() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.notifyChanged()
+	n.applyChange()
 }
 
-// Passed returns what has passed in one direction.
-func (n *Net) Passed(from, to string) Count {
+// Counts returns what has passed in one direction.
+func (n *Net) Counts(from, to string) Count {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts[direction{from, to}]
@@ -97,7 +97,7 @@
 func (n *Net) Close() {
 	n.mu.Lock()
 	n.closed = true
-	for _, c := range n.resources {
+	for _, c := range n.closers {
 		c.Close()
 	}
 	for c := range n.conns {
@@ -125,8 +125,8 @@
 	return n.stateOf(d), n.changed
 }
 
-// notifyChanged breaks connections that are cut now, and wakes all that wait for a change. The caller holds the lock.
-func (n *Net) notifyChanged() {
+// applyChange breaks connections that are cut now, and wakes all that wait for a change. The caller holds the lock.
+func (n *Net) applyChange() {
 	n.wakeWaiters()
 	for c := range n.conns {
 		if n.stateOf(c.forward()).Cut || n.stateOf(c.back()).Cut {
@@ -140,8 +140,8 @@
 	n.changed = make(chan struct{})
 }
 
-// chance is true with a probability.
-func (n *Net) chance(probability float64) bool {
+// randomBool is true with a probability.
+func (n *Net) randomBool(probability float64) bool {
 	if probability <= 0 {
 		return false
 	}
@@ -164,7 +164,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c := n.counts[d]
-	c.Bytes, c.Pieces = c.Bytes+int64(bytes), c.Pieces+1
+	c.Bytes, c.Chunks = c.Bytes+int64(bytes), c.Chunks+1
 	n.counts[d] = c
 }
 
@@ -184,6 +184,6 @@
 		c.Close()
 		return false
 	}
-	n.resources = append(n.resources, c)
+	n.closers = append(n.closers, c)
 	return true
 }
--- a/internal/netfault/state.go
+++ b/internal/netfault/state.go
@@ -14,7 +14,7 @@
 }
 
 // Count is what has passed in one direction. A piece is a datagram, or what one read of a connection returned.
-type Count struct{ Bytes, Pieces, Lost int64 }
+type Count struct{ Bytes, Chunks, Lost int64 }
 
 // A direction is one of the two between a pair of parties.
 type direction struct{ from, to string }
--- a/internal/netfault/tcp.go
+++ b/internal/netfault/tcp.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	maxPieceBytes   = 32 << 10
-	maxQueuedPieces = 256 // pieces of one direction that wait for their time
-	dialTimeout     = 2 * time.Second
-	closedInterval  = 100 * time.Millisecond // a connection that waits for its link looks so often whether it was reset
+	maxChunkBytes      = 32 << 10
+	maxQueuedChunks    = 256 // pieces of one direction that wait for their time
+	dialTimeout        = 2 * time.Second
+	resetCheckInterval = 100 * time.Millisecond // a connection that waits for its link looks so often whether it was reset
 )
 
 // A proxiedConn is one connection through a link: the conns to both parties.
@@ -26,8 +26,8 @@
 
 func (c *proxiedConn) back() direction { return direction{c.to, c.from} }
 
-// add makes the connection own a conn. If it was reset already, it closes the conn and returns false.
-func (c *proxiedConn) add(conn net.Conn) bool {
+// addConn makes the connection own a conn. If it was reset already, it closes the conn and returns false.
+func (c *proxiedConn) addConn(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -99,11 +99,11 @@
 		delete(n.conns, c)
 		n.mu.Unlock()
 	}()
-	if !c.add(conn) || !n.awaitPassing(c, c.forward()) {
+	if !c.addConn(conn) || !n.awaitPassing(c, c.forward()) {
 		return
 	}
 	peer, err := net.DialTimeout("tcp4", target, dialTimeout)
-	if err != nil || !c.add(peer) {
+	if err != nil || !c.addConn(peer) {
 		return
 	}
 	var wg sync.WaitGroup
@@ -124,13 +124,13 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(closedInterval):
+		case <-time.After(resetCheckInterval):
 		}
 	}
 }
 
-// A piece is what one read returned, and when it is to be passed on.
-type piece struct {
+// A chunk is what one read returned, and when it is to be passed on.
+type chunk struct {
 	data []byte
 	at   time.Time
 }
@@ -138,10 +138,10 @@
 // forward passes on one direction of a connection, in order, each piece after its delay. The end of the stream is
 // passed on, too, unless the direction is silent.
 func (n *Net) forward(c *proxiedConn, d direction, in, out net.Conn) {
-	queue := make(chan piece, maxQueuedPieces)
+	queue := make(chan chunk, maxQueuedChunks)
 	go func() {
 		defer close(queue)
-		n.readPieces(d, in, queue)
+		n.readChunks(d, in, queue)
 	}()
 	failed := false
 	for p := range queue { // to its end even after a failure, or the reader would block for ever
@@ -170,23 +170,23 @@
 	}
 }
 
-// readPieces reads a conn to its end, and gives each piece its time. A loss delays a piece and all behind it.
-func (n *Net) readPieces(d direction, in net.Conn, queue chan<- piece) {
+// readChunks reads a conn to its end, and gives each piece its time. A loss delays a piece and all behind it.
+func (n *Net) readChunks(d direction, in net.Conn, queue chan<- chunk) {
 	last := time.Time{}
 	for {
-		data := make([]byte, maxPieceBytes)
+		data := make([]byte, maxChunkBytes)
 		size, err := in.Read(data)
 		if size > 0 {
 			s, _ := n.currentState(d)
 			at := time.Now().Add(s.Delay + n.randomDelay(s.Jitter))
-			if n.chance(s.Loss) {
+			if n.randomBool(s.Loss) {
 				at = at.Add(retransmissionDelay)
 			}
 			if at.Before(last) {
 				at = last
 			}
 			last = at
-			queue <- piece{data[:size], at}
+			queue <- chunk{data[:size], at}
 		}
 		if err != nil {
 			return
--- a/internal/netfault/udp.go
+++ b/internal/netfault/udp.go
@@ -71,11 +71,11 @@
 }
 
 // Peers returns the addresses in the network of all parties, by their numbers.
-func (d *Datagrams) Peers() (list []string) {
+func (d *Datagrams) Peers() (addresses []string) {
 	for _, conn := range d.public {
-		list = append(list, conn.LocalAddr().String())
+		addresses = append(addresses, conn.LocalAddr().String())
 	}
-	return list
+	return addresses
 }
 
 // All returns the address by which a party reaches all others.
@@ -106,17 +106,17 @@
 func (d *Datagrams) forward(from, to int, data []byte) {
 	n, dir := d.network, direction{d.names[from], d.names[to]}
 	s, _ := n.currentState(dir)
-	if s.Cut || s.Silent || n.chance(s.Loss) {
+	if s.Cut || s.Silent || n.randomBool(s.Loss) {
 		n.recordLost(dir)
 		return
 	}
 	count := 1
-	if n.chance(s.Duplicate) {
+	if n.randomBool(s.Duplicate) {
 		count = 2
 	}
 	for range count {
 		delay := s.Delay + n.randomDelay(s.Jitter)
-		if n.chance(s.Reorder) {
+		if n.randomBool(s.Reorder) {
 			delay += reorderFactor * s.Jitter
 		}
 		send := func() {
