--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -103,7 +103,7 @@
 	history *History
 }
 
-func (g *generator) randomDuration(from, to time.Duration) time.Duration {
+func (g *generator) randomBetween(from, to time.Duration) time.Duration {
 	return from + time.Duration(g.rng.Int64N(int64(to-from)))
 }
 
@@ -115,10 +115,10 @@
 // generateOrders draws drains and releases, and orders that steer them.
 func (g *generator) generateOrders() {
 	h, rng := g.history, g.rng
-	for at := g.randomDuration(0, time.Second); at < h.Length; at += g.randomDuration(h.Length/15, h.Length/6) {
+	for at := g.randomBetween(0, time.Second); at < h.Length; at += g.randomBetween(h.Length/15, h.Length/6) {
 		a := Action{
 			At: at, Kind: DrainOrder, Agent: rng.IntN(h.Agents),
-			For: g.randomDuration(100*time.Millisecond, 900*time.Millisecond),
+			For: g.randomBetween(100*time.Millisecond, 900*time.Millisecond),
 		}
 		for _, i := range rng.Perm(h.Senders)[:1+rng.IntN(max(1, h.Senders/3))] {
 			a.Of = append(a.Of, fmt.Sprint("n", i))
@@ -129,7 +129,7 @@
 		g.add(a)
 		if rng.IntN(4) == 0 {
 			g.add(Action{
-				At:    at + g.randomDuration(0, 2*time.Second),
+				At:    at + g.randomBetween(0, 2*time.Second),
 				Kind:  []ActionKind{HaltOrder, RollBackOrder, ResumeOrder}[rng.IntN(3)],
 				Agent: rng.IntN(h.Agents),
 			})
@@ -145,10 +145,10 @@
 	slow := netfault.State{Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond}
 	lossy := slow
 	lossy.Loss = 0.3
-	for at := g.randomDuration(500*time.Millisecond, 2*time.Second); at < h.Length; at += g.randomDuration(minGap, maxGap) {
+	for at := g.randomBetween(500*time.Millisecond, 2*time.Second); at < h.Length; at += g.randomBetween(minGap, maxGap) {
 		a := Action{
 			At: at, Agent: rng.IntN(h.Agents), Other: rng.IntN(h.Agents), Sender: rng.IntN(h.Senders),
-			For: g.randomDuration(300*time.Millisecond, 5*time.Second),
+			For: g.randomBetween(300*time.Millisecond, 5*time.Second),
 		}
 		switch n := rng.IntN(13); {
 		case n < 2:
