--- a/internal/cluster/agents.go
+++ b/internal/cluster/agents.go
@@ -11,37 +11,38 @@
 	"time"
 )
 
-// An agentProcess is an agent and the process that runs it.
+// An agentProcess is an agent with its process.
 type agentProcess struct {
 	name   string
-	script string // path of its settings
+	script string // path of the settings script
 	addr   string
-	folder string        // of its state
-	cmd    *exec.Cmd     // nil: none runs
+	folder string        // state folder
+	cmd    *exec.Cmd     // nil = no process runs
 	ended  chan struct{} // closed when cmd has ended
 }
 
-// commandTimeout is how long a command of staff may take: one that watches a plan which never ends must not hang a
-// test.
+// commandTimeout limits the duration of an operator's command. Without it, a command that watches a plan that never
+// ends would block the test.
 const commandTimeout = 60 * time.Second
 
-// command is a command of the program. Its folder for temporary files is the cluster's own, since hand-over sockets are
-// made there.
+// command returns a command that runs the program with the given arguments. Its temporary directory is the cluster's
+// own, since hand-over sockets are created there.
 func (c *Cluster) command(args ...string) *exec.Cmd {
 	cmd := exec.Command(c.Program, args...)
 	cmd.Env = append(append(os.Environ(), c.Env...), "TMPDIR="+c.tempDir())
 	return cmd
 }
 
-// tempDir is the cluster's folder for temporary files; its path is short, as socket paths must be.
+// tempDir returns the cluster's temporary directory and creates it if needed. Its path is short because the length of
+// socket paths is limited.
 func (c *Cluster) tempDir() string {
 	dir := filepath.Join(os.TempDir(), fmt.Sprintf("cy-%d-%s", os.Getpid(), c.blocks[0].Host(0)))
 	os.MkdirAll(dir, 0o700)
 	return dir
 }
 
-// RunCommand runs the fleet command as staff do, with the addresses of some agents; nil: of all. It returns the
-// output and the exit code; -1 if the command could not run.
+// RunCommand runs the fleet command as operators do, with the addresses of the given agents, or of all agents if agents
+// is nil. It returns the output and the exit code; -1 if the command could not be run.
 func (c *Cluster) RunCommand(agents []int, args ...string) (string, int) {
 	if agents == nil {
 		for i := range c.agents {
@@ -66,7 +67,7 @@
 	return string(out), 0
 }
 
-// StartAgent starts the process of an agent that does not run.
+// StartAgent starts the process of an agent that is not running.
 func (c *Cluster) StartAgent(i int) error {
 	a := c.agents[i]
 	log, err := os.OpenFile(filepath.Join(filepath.Dir(a.script), "log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// SignalAgent sends a signal to an agent, if it runs. After SIGKILL and SIGTERM it waits until the process has ended.
+// SignalAgent sends a signal to an agent if it is running. After SIGKILL and SIGTERM it waits until the process has
+// ended.
 func (c *Cluster) SignalAgent(i int, s syscall.Signal) {
 	a := c.agents[i]
 	if a.cmd == nil {
@@ -98,7 +100,7 @@
 	}
 }
 
-// AgentPid returns the process id of an agent; 0 if none runs.
+// AgentPid returns the process id of an agent; 0 if it is not running.
 func (c *Cluster) AgentPid(i int) int {
 	a := c.agents[i]
 	if a.cmd == nil {
@@ -112,10 +114,10 @@
 	}
 }
 
-// WipeAgent removes the state of an agent that does not run.
+// WipeAgent deletes the state of an agent that is not running.
 func (c *Cluster) WipeAgent(i int) error { return os.RemoveAll(c.agents[i].folder) }
 
-// AgentNames returns the names of the agents, as links know them.
+// AgentNames returns the agents' names, which are also their names in the network of links.
 func (c *Cluster) AgentNames() (names []string) {
 	for _, a := range c.agents {
 		names = append(names, a.name)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	defaultLength  = 10 * time.Minute // longer than a test; Finish ends the traffic
+	defaultLength  = 10 * time.Minute // longer than any test; Finish ends the traffic
 	serveTimeout   = 60 * time.Second // from the start of the agents until all senders serve
 	outcomeTimeout = 40 * time.Second // from the last submission until all messages have an outcome
 	finishInterval = 20 * time.Millisecond
 )
 
-// Setup is what a cluster is made from.
+// Setup contains the parameters of a cluster.
 type Setup struct {
-	Program string   // of senders and agents
-	Env     []string // added to the environment of both
+	Program string   // path of the program of senders and agents
+	Env     []string // environment variables added for both
 	Folder  string
 	Senders int
 	Agents  int
-	Rate    float64       // messages a second over all senders; 0 = none come
-	Length  time.Duration // of the traffic; 0 = until Finish
+	Rate    float64       // messages per second over all senders; 0 = no traffic
+	Length  time.Duration // duration of the traffic; 0 = until Finish
 	Seed    uint64
 	Terms   rollout.Terms
-	Restart bool           // versions change by a restart, not by a hand-over
-	Script  string         // added to the scenario, such as faults of endpoints
-	Plan    *scenario.Plan // played in place of the calm scenario; Rate and Script do not count then
-	Links   bool           // clients, discovery and agents reach senders by links; agents one another always do
-	Log     *slog.Logger   // nil: nothing is logged
+	Restart bool           // versions are changed by a restart instead of a hand-over
+	Script  string         // appended to the scenario script, such as faults of endpoints
+	Plan    *scenario.Plan // replaces the plan of defaultScenario; Rate and Script are ignored then
+	Links   bool           // connections to senders and to discovery use proxied links; those between agents always do
+	Log     *slog.Logger   // nil = no logging
 }
 
-// Cluster is a fleet that runs: its senders are known by their numbers, its agents by theirs.
+// Cluster is a running fleet. Senders and agents are identified by their numbers.
 type Cluster struct {
 	Setup
 	Net         *netfault.Net
@@ -60,9 +60,9 @@
 	cancel         context.CancelFunc
 
 	mu        sync.Mutex
-	lastCalls map[string]time.Time // by endpoint
-	requested int                  // messages that clients requested
-	executed  int                  // of them, messages that took effect
+	lastCalls map[string]time.Time // time of the latest call, by endpoint
+	requested int                  // messages requested by clients
+	executed  int                  // messages that took effect
 }
 
 // Building returns the building, or zone, of a sender.
@@ -71,7 +71,7 @@
 	return zones[i%len(zones)]
 }
 
-// New prepares a cluster: folders, links and endpoints. No process runs yet. The caller closes it.
+// New prepares the folders, links and endpoints of a cluster without starting processes. The caller must call Close.
 func New(ctx context.Context, s Setup) (*Cluster, error) {
 	if s.Length == 0 {
 		s.Length = defaultLength
@@ -88,7 +88,7 @@
 	return c, nil
 }
 
-// recordEvent counts messages and calls. It is the sink of the environment's events.
+// recordEvent updates the counts of messages and the times of calls. It is the sink of the environment's events.
 func (c *Cluster) recordEvent(e audit.Event) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,21 +103,21 @@
 	return nil
 }
 
-// deliveryCounts returns how many messages clients requested, and how many of them took effect.
+// deliveryCounts returns the number of messages that clients requested, and how many of them took effect.
 func (c *Cluster) deliveryCounts() (requested, executed int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requested, c.executed
 }
 
-// LastCall returns when the latest call came to an endpoint; zero if none came.
+// LastCall returns the time of the latest call to an endpoint; zero if there was none.
 func (c *Cluster) LastCall(endpoint string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastCalls[endpoint]
 }
 
-// Begin starts all agents, waits until they know that all senders serve, and starts the clients.
+// Begin starts all agents, waits until the agents report that all senders serve, and starts the clients.
 func (c *Cluster) Begin() error {
 	for i := range c.agents {
 		if err := c.StartAgent(i); err != nil {
@@ -144,16 +144,16 @@
 	return nil
 }
 
-// Report is what a cluster showed in the end.
+// Report is the result of a cluster's run.
 type Report struct {
 	simulation.Result
-	OverBudget []BudgetExceeded // instants at which an order took one out too many
+	OverBudget []BudgetExceeded // violations of the budget
 	Clients    harness.ClientStats
-	Orders     int // times that a sender went out by order, as seen from outside
-	MaxOut     int // senders out by order at once
+	Orders     int // number of times that a sender was taken out by an order, according to health checks
+	MaxOut     int // maximum number of senders that were out by order at the same time
 }
 
-// Finish ends the traffic, waits until all messages have an outcome, and judges what was seen.
+// Finish ends the traffic, waits until all messages have an outcome, and returns the result of all checks.
 func (c *Cluster) Finish() Report {
 	c.Clients.Stop()
 	c.clientsRunning.Wait()
@@ -168,7 +168,7 @@
 	return r
 }
 
-// Close ends all processes of the cluster, its links and its environment, and removes its temporary files.
+// Close kills all processes of the cluster, closes its links and its environment, and removes its temporary files.
 func (c *Cluster) Close() {
 	c.Poll.stop()
 	for i := range c.agents {
--- a/internal/cluster/golden_test.go
+++ b/internal/cluster/golden_test.go
@@ -6,12 +6,12 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenHistory writes and reads the history of a campaign as 096da04 did.
+// TestGoldenHistory checks that the history of a campaign is written and read as by commit 096da04.
 func TestGoldenHistory(t *testing.T) {
 	golden.JSON[History](t, "history.json")
 }
 
-// TestGoldenMeasurement writes what 'lab fleet measure --json' prints as 096da04 did.
+// TestGoldenMeasurement checks that the output of 'lab fleet measure --json' is written and read as by commit 096da04.
 func TestGoldenMeasurement(t *testing.T) {
 	golden.JSON[Measurement](t, "measurement.json")
 }
--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -14,11 +14,11 @@
 	"cleathold/internal/scenario"
 )
 
-// An ActionKind is what an Action does.
+// An ActionKind is the kind of an Action.
 type ActionKind string
 
-// The kinds of actions. Their words stand in history files. In a scenario's plan the actions on agents and senders
-// have the words of the scenario, to which FromPlan adds whom they hit.
+// The kinds of actions. Their values are stored in history files. For an action on an agent or a sender in a scenario's
+// plan, FromPlan forms the value from the scenario's name of the action followed by " agent" or " sender".
 const (
 	DrainOrder    ActionKind = "drain"
 	ReleaseOrder  ActionKind = "release"
@@ -37,30 +37,30 @@
 	ReconfigureSender ActionKind = "retune sender"
 	StopSender        ActionKind = "stop sender"
 
-	PartitionAgent ActionKind = "part agent"      // from all other agents
-	AgentLink      ActionKind = "one way"         // from one agent to another
+	PartitionAgent ActionKind = "part agent"      // links between an agent and all other agents
+	AgentLink      ActionKind = "one way"         // link from one agent to another
 	SenderToAgent  ActionKind = "agent's way"     // a sender's links to and from its agent
 	ClientsLink    ActionKind = "clients' way"    // a sender's links to and from clients
 	DiscoveryLink  ActionKind = "discovery's way" // a sender's links to and from discovery
 )
 
-// Action is one fault of a campaign, or one order of staff.
+// Action is a fault or an operator's order in a history.
 type Action struct {
-	At     time.Duration  `json:"at"` // from the start
+	At     time.Duration  `json:"at"` // since the start
 	Kind   ActionKind     `json:"what"`
 	Agent  int            `json:"agent,omitempty"`
-	Other  int            `json:"other,omitempty"` // agent, of an AgentLink
+	Other  int            `json:"other,omitempty"` // the other agent of an AgentLink
 	Sender int            `json:"sender,omitempty"`
-	Of     []string       `json:"of,omitempty"`  // senders that are drained or released
-	For    time.Duration  `json:"for,omitempty"` // how long a fault lasts, or a drain holds
+	Of     []string       `json:"of,omitempty"`  // senders of a drain or release
+	For    time.Duration  `json:"for,omitempty"` // duration of a fault, or how long a drain holds a sender
 	State  netfault.State `json:"state,omitzero"`
-	Good   bool           `json:"good,omitempty"` // a release of a program that works
-	Back   bool           `json:"back,omitempty"` // a release that rolls back when it fails
+	Good   bool           `json:"good,omitempty"` // of a release: the program works
+	Back   bool           `json:"back,omitempty"` // of a release: it is rolled back when it fails
 
-	planned scenario.PlannedAction // that FromPlan made the action from
+	planned scenario.PlannedAction // the planned action from which FromPlan created this one
 }
 
-// History is the script of a campaign for one seed, and what came of it. As a file it can be played again.
+// History contains the actions of a campaign for one seed, and its results. A saved history can be played again.
 type History struct {
 	Seed    uint64         `json:"seed"`
 	Senders int            `json:"senders"`
@@ -69,15 +69,15 @@
 	Budget  rollout.Budget `json:"Budget"`
 	Lease   time.Duration  `json:"lease,omitempty"` // 0 = 3 s
 	Actions []Action       `json:"deeds"`
-	Faults  []string       `json:"faults,omitempty"` // rules and budgets that were broken
-	Orders  int            `json:"orders"`           // times that a sender went out by order, as seen from outside
-	MaxOut  int            `json:"most"`             // senders out by order at once
+	Faults  []string       `json:"faults,omitempty"` // violations of rules and budgets
+	Orders  int            `json:"orders"`           // see Report.Orders
+	MaxOut  int            `json:"most"`             // see Report.MaxOut
 	Plans   []string       `json:"plans,omitempty"`
 	Served  float64        `json:"served"`
 }
 
-// Draw draws a history: orders of staff, and faults beside them, until its length is over. The same arguments give
-// the same history, in every version, so the order of the draws must not change.
+// Draw generates a random history with operators' orders and simultaneous faults over the given length. The same
+// arguments must give the same history in every version, so the order of the random draws must not change.
 func Draw(seed uint64, senders, agents int, length time.Duration) *History {
 	g := &generator{
 		rng:     rand.New(rand.NewPCG(seed, 77)),
@@ -97,7 +97,7 @@
 	slices.SortStableFunc(actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
 }
 
-// A generator draws the actions of a history.
+// A generator generates the random actions of a history.
 type generator struct {
 	rng     *rand.Rand
 	history *History
@@ -112,7 +112,7 @@
 	g.history.Actions = append(g.history.Actions, a)
 }
 
-// generateOrders draws drains and releases, and orders that steer them.
+// generateOrders generates drains and releases, and orders that halt, roll back or resume them.
 func (g *generator) generateOrders() {
 	h, rng := g.history, g.rng
 	for at := g.randomBetween(0, time.Second); at < h.Length; at += g.randomBetween(h.Length/15, h.Length/6) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// generateFaults draws faults of processes and links.
+// generateFaults generates faults of processes and links.
 func (g *generator) generateFaults() {
 	const minGap, maxGap = 300 * time.Millisecond, 1500 * time.Millisecond
 	h, rng := g.history, g.rng
@@ -171,8 +171,8 @@
 	}
 }
 
-// FromPlan returns the history of a scenario's plan: its agents, its orders and the faults of processes. The links
-// follow the plan itself.
+// FromPlan converts a scenario's plan to a history with its agents, its orders and the faults of processes. Faults of
+// links are not included, since the links follow the plan directly.
 func FromPlan(p *scenario.Plan) *History {
 	agents := p.Scenario.Agents
 	h := &History{
@@ -199,7 +199,7 @@
 	return h
 }
 
-// Save writes a history as a file that can be played again.
+// Save writes a history to a file that LoadHistory can read.
 func (h *History) Save(path string) error {
 	text, err := json.MarshalIndent(h, "", " ")
 	if err == nil {
@@ -208,7 +208,7 @@
 	return err
 }
 
-// LoadHistory reads a file that Save wrote.
+// LoadHistory reads a history from a file written by Save.
 func LoadHistory(path string) (*History, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -219,7 +219,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if h.Senders < 1 || h.Agents < 1 || h.Length <= 0 {
-		return nil, fmt.Errorf("%s: no history", path)
+		return nil, fmt.Errorf("%s: not a valid history", path)
 	}
 	return h, nil
 }
--- a/internal/cluster/history_test.go
+++ b/internal/cluster/history_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Draw draws the same histories as ever: those of the seeds in journals can be played again.
+// TestDrawIsReproducible checks that Draw still generates the same histories, so that the histories of seeds that are
+// recorded in journals can be played again.
 func TestDrawIsReproducible(t *testing.T) {
 	digest := sha256.New()
 	for seed := range uint64(20) {
--- a/internal/cluster/orders.go
+++ b/internal/cluster/orders.go
@@ -16,11 +16,11 @@
 const (
 	viewTimeout   = 3 * time.Second
 	orderTimeout  = 20 * time.Second
-	awaitInterval = 20 * time.Millisecond // between two looks at the fleet
-	orderInterval = 50 * time.Millisecond // before the agents are asked again
+	awaitInterval = 20 * time.Millisecond // between two requests for the fleet's state
+	orderInterval = 50 * time.Millisecond // before an order is sent to the agents again
 )
 
-// View returns how one agent sees the fleet: by its own means alone, or by way of the leader.
+// View returns an agent's view of the fleet: only from its own information if own is set, otherwise from the leader's.
 func (c *Cluster) View(i int, own bool) (agent.View, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, viewTimeout)
 	defer cancel()
@@ -30,7 +30,8 @@
 	return agent.FetchView(ctx, c.agents[i].addr)
 }
 
-// Leader returns the number of the agent that says it leads, with the latest term if several do; -1 if none does.
+// Leader returns the number of the agent that reports to be the leader. If several agents do, it returns the one with
+// the latest term; if none does, it returns -1.
 func (c *Cluster) Leader() int {
 	terms := map[int]uint64{}
 	for i, a := range c.agents {
@@ -50,8 +51,8 @@
 	return best
 }
 
-// Await looks at the fleet by way of any agent until a condition holds. Its error names what was awaited and the last
-// view.
+// Await polls the leader's view of the fleet, through any agent, until a condition holds. If it times out, the error
+// contains the description of the condition and the last view.
 func (c *Cluster) Await(timeout time.Duration, description string, condition func(v agent.View) bool) error {
 	var lastView agent.View
 	for until := time.Now().Add(timeout); time.Now().Before(until); time.Sleep(awaitInterval) {
@@ -75,7 +76,7 @@
 	return fmt.Errorf("not within %v: %s; last seen: %.3000s", timeout, description, text)
 }
 
-// AwaitPlan waits until a plan is in one of some phases, and returns it.
+// AwaitPlan waits until a plan is in one of the given phases, and returns the plan.
 func (c *Cluster) AwaitPlan(timeout time.Duration, id uint64, phases ...rollout.Phase) (p *rollout.Plan, err error) {
 	err = c.Await(timeout, fmt.Sprintf("plan %d is %v", id, phases), func(v agent.View) bool {
 		p = v.State.Plan(id)
@@ -84,16 +85,16 @@
 	return p, err
 }
 
-// An OrderError is an order that an agent answered and did not carry out, as far as it knows.
+// An OrderError reports that an agent answered an order and, as far as the agent knows, the order was not executed.
 type OrderError struct {
-	Kind string // one of the kinds of package agent, such as agent.KindRejected
+	Kind string // one of the error kinds of package agent, such as agent.KindRejected
 	Text string
 }
 
 // Error returns the kind and the agent's text.
 func (e *OrderError) Error() string { return e.Kind + ": " + e.Text }
 
-// orderError returns the error of an order that an agent answered; nil if it was carried out.
+// orderError returns the error in an agent's answer to an order; nil if the order was executed.
 func orderError(r agent.Result) error {
 	if r.Text == "" {
 		return nil
@@ -101,8 +102,8 @@
 	return &OrderError{Kind: r.Kind, Text: r.Text}
 }
 
-// Order gives an order by way of one agent, and returns its index in the fleet's log. An order that the agent
-// answered and that was not carried out is an *OrderError.
+// Order sends an order to one agent, and returns the order's index in the fleet's log. If the agent answers that the
+// order was not executed, the error is an *OrderError.
 func (c *Cluster) Order(i int, command rollout.Command) (uint64, error) {
 	r, err := c.sendOrder(i, command)
 	if err == nil {
@@ -123,8 +124,9 @@
 	return agent.SendCommand(ctx, c.agents[i].addr, agent.Call{Command: command})
 }
 
-// OrderAny asks one agent after the other, as the tool of staff does, for as long as none takes the order: one that was
-// killed may not listen again yet, and no agent may lead. An order that may have been carried out is not given twice.
+// OrderAny sends an order to one agent after the other until one accepts it, as the fleet command does. It retries for
+// up to orderTimeout, since a killed agent may not listen again yet and there may be no leader. An order that may have
+// been executed is not sent again.
 func (c *Cluster) OrderAny(command rollout.Command) (uint64, error) {
 	var r agent.Result
 	var err error
--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -19,10 +19,10 @@
 	"cleathold/internal/scenario"
 )
 
-// settleTimeout is how long a fleet may take to serve again after the last action.
+// settleTimeout limits the time from the last action until the whole fleet serves again.
 const settleTimeout = 60 * time.Second
 
-// Play plays a history with processes, and enters what it showed.
+// Play executes a history on a new cluster, and stores the results in the history.
 func (h *History) Play(ctx context.Context, s Setup) error {
 	s.Senders, s.Agents, s.Seed, s.Links = h.Senders, h.Agents, h.Seed, true
 	s.Terms = rollout.DefaultTerms
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// writePrograms writes a version that is like the one before, and one that ends at its start.
+// writePrograms writes two new versions of the program: one that behaves like the present one, and one whose senders
+// exit at their start.
 func writePrograms(s Setup) (working, failing string, err error) {
 	working, failing = filepath.Join(s.Folder, "good"), filepath.Join(s.Folder, "bad")
 	err = os.WriteFile(working, fmt.Appendf(nil, "#!/bin/sh\nexec %s \"$@\"\n", s.Program), 0o700)
@@ -66,14 +67,14 @@
 	return working, failing, err
 }
 
-// A player carries out the actions of a history.
+// A player executes the actions of a history.
 type player struct {
 	cluster                        *Cluster
 	history                        *History
 	workingProgram, failingProgram string      // programs
-	releases                       int         // so far
-	agentBusyUntil                 []time.Time // an agent that has a fault gets no other one until then
-	senderBusyUntil                []time.Time // the same for senders
+	releases                       int         // number of releases ordered so far
+	agentBusyUntil                 []time.Time // by agent: no further fault is injected before this time
+	senderBusyUntil                []time.Time // by sender: no further fault is injected before this time
 }
 
 // A scheduledUndo ends a fault.
@@ -82,7 +83,7 @@
 	undo func()
 }
 
-// executeActions carries out each action at its time, and ends each fault when its time is over.
+// executeActions executes each action at its time, and ends each fault after its duration.
 func (p *player) executeActions(ctx context.Context) error {
 	started := time.Now()
 	var undos []scheduledUndo
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// awaitSettled waits until all senders serve and no plan runs. Senders that a halted drain left out are activated, as
-// staff would do.
+// awaitSettled waits until all senders serve and no plan is running. It activates the senders that a halted drain has
+// left out, as operators would.
 func (p *player) awaitSettled() error {
 	c := p.cluster
 	return c.Await(settleTimeout, "all serve again, and no plan runs", func(v agent.View) bool {
@@ -132,7 +133,7 @@
 	})
 }
 
-// recordResult ends the cluster's traffic, and enters what the play showed.
+// recordResult ends the cluster's traffic, and stores the results in the history.
 func (p *player) recordResult() {
 	c, h := p.cluster, p.history
 	if v, err := c.View(max(0, c.Leader()), true); err == nil {
@@ -151,7 +152,7 @@
 	}
 }
 
-// executeAction carries out an action, and returns what ends it; nil if nothing does.
+// executeAction executes an action, and returns a function that ends it; nil if there is nothing to end.
 func (p *player) executeAction(a Action) (undo func()) {
 	switch a.Kind {
 	case DrainOrder:
@@ -176,11 +177,12 @@
 	return nil
 }
 
-// release orders a release of the good program or, unless the action is good, of the one that ends at its start.
+// release orders a release of the working program or, if the action is not Good, of the one whose senders exit at their
+// start.
 func (p *player) release(a Action) {
 	p.releases++
 	to := rollout.Version{Name: fmt.Sprint("r", p.releases), Program: p.workingProgram}
-	if p.releases%2 == 0 { // another path is another program
+	if p.releases%2 == 0 { // alternate between two paths, since a release needs a different program path
 		to.Program = p.cluster.Program
 	}
 	if !a.Good {
@@ -192,7 +194,7 @@
 	}})
 }
 
-// controlLastPlan halts, rolls back or resumes the latest plan that an agent knows.
+// controlLastPlan halts, rolls back or resumes the latest plan that the agent knows.
 func (p *player) controlLastPlan(a Action) {
 	v, err := p.cluster.View(a.Agent, false)
 	if err != nil || len(v.State.Plans) == 0 {
@@ -205,7 +207,7 @@
 	p.order(a.Agent, rollout.Command{Verb: verbs[a.Kind], Plan: plan.ID, Revision: plan.Revision})
 }
 
-// injectAgentFault kills or stops an agent that has no fault yet.
+// injectAgentFault kills or stops an agent, unless an earlier fault of the agent is not over yet.
 func (p *player) injectAgentFault(a Action) (undo func()) {
 	c, now := p.cluster, time.Now()
 	if now.Before(p.agentBusyUntil[a.Agent]) {
@@ -223,7 +225,7 @@
 	return func() { c.StartAgent(a.Agent) }
 }
 
-// stopSender stops the process that serves for a sender, if the sender is not stopped yet.
+// stopSender stops the serving process of a sender, unless an earlier fault of the sender is not over yet.
 func (p *player) stopSender(a Action) (undo func()) {
 	now := time.Now()
 	pid := p.cluster.Pid(a.Sender)
@@ -256,7 +258,7 @@
 	case ClientsLink:
 		return p.setSenderLink(a, sender, scenario.Clients)
 	}
-	// Delivery reports cannot arrive meanwhile, and are not due.
+	// Delivery reports cannot arrive while the link is faulty. The event makes the auditor not expect them.
 	heal := p.setSenderLink(a, sender, scenario.Discovery)
 	environment := p.cluster.Environment
 	environment.Record(audit.Event{Kind: audit.Unreachable, Sender: a.Sender})
@@ -271,7 +273,7 @@
 	return func() { p.cluster.Net.SetBoth(sender, other, netfault.State{}) }
 }
 
-// injectSender carries out an action on a sender that takes no time.
+// injectSender executes an instantaneous action on a sender.
 func (p *player) injectSender(a Action) {
 	c := p.cluster
 	switch a.Kind {
@@ -294,8 +296,8 @@
 	}
 }
 
-// order gives an order to one agent, and to the next ones where that has a fault. Whether the order is carried out, is
-// rejected or gets no answer is part of the play. It does not wait for the answer.
+// order sends an order to one agent, and to the next ones as long as there is no definite answer. It does not wait for
+// the answer: the order may be executed, be rejected or remain unanswered in a history.
 func (p *player) order(first int, command rollout.Command) {
 	go func() {
 		for i := range p.history.Agents {
--- a/internal/cluster/player_test.go
+++ b/internal/cluster/player_test.go
@@ -16,8 +16,8 @@
 	"cleathold/internal/scenario"
 )
 
-// A fault of links cuts the link that it names, and its undo heals it. The auditor hears of the time in which a
-// sender does not reach discovery.
+// TestInjectLinkFault checks that each kind of link fault cuts the right link, that undo heals it, and that the times
+// in which a sender cannot reach discovery are recorded for the auditor.
 func TestInjectLinkFault(t *testing.T) {
 	s, err := scenario.Load("../../examples/scenarios/building-refuses.star", nil)
 	if err != nil {
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	defer target.Close()
-	go func() { // greets whoever connects
+	go func() { // sends a greeting on each connection
 		for {
 			c, err := target.Accept()
 			if err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// passes reports whether a greeting comes through a link.
+// passes reports whether a greeting arrives through a link.
 func passes(addr string) bool {
 	c, err := net.DialTimeout("tcp4", addr, 10*time.Second)
 	if err != nil {
@@ -91,7 +91,8 @@
 	return text == "hello\n"
 }
 
-// An order that an agent answered and did not carry out is an OrderError with the agent's kind and text.
+// TestOrderError checks that an order that an agent answered without executing it becomes an OrderError with the kind
+// and text of the agent's answer.
 func TestOrderError(t *testing.T) {
 	if err := orderError(agent.Result{Index: 3}); err != nil {
 		t.Errorf("carried out: %v", err)
--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -14,12 +14,13 @@
 
 const (
 	pollInterval = 20 * time.Millisecond
-	pollTimeout  = 500 * time.Millisecond // a sender that does not answer for so long is unresponsive
+	pollTimeout  = 500 * time.Millisecond // a sender that does not answer within this time is unresponsive
 )
 
-// Poll checks the health of each sender at the clients' address, as the clients' load balancer does, and relies on
-// nothing that the fleet tells of itself. A sender that answers and is not healthy was taken out by an order, since
-// nobody drains senders of a cluster by hand. One that does not answer has crashed, hangs or was stopped.
+// Poll checks the health of each sender at the address for clients, as the clients' load balancer does. It does not use
+// what the fleet reports about itself. A sender that answers and is not healthy was taken out by an order, since
+// senders of a cluster are not drained in any other way. A sender that does not answer has crashed, hangs or was
+// stopped.
 type Poll struct {
 	cluster  *Cluster
 	done     chan struct{}
@@ -27,31 +28,31 @@
 	wg       sync.WaitGroup
 
 	mu      sync.Mutex
-	changes []pollResult  // in the order of time
+	changes []pollResult  // in order of time
 	current []senderState // by sender
 }
 
-// A senderState is what a health check showed of a sender.
+// A senderState is the result of a sender's health check.
 type senderState uint8
 
 const (
 	stateUnknown senderState = iota // before the first check
 	stateServing
-	stateDraining     // it answers that it is not healthy
-	stateUnresponsive // no answer
+	stateDraining     // the sender answers that it is not healthy
+	stateUnresponsive // the sender does not answer
 )
 
-// String returns the state as reports name it.
+// String returns the name of the state in reports.
 func (s senderState) String() string { return [...]string{"unseen", "serves", "away", "quiet"}[s] }
 
-// A pollResult is a change of a sender's state.
+// A pollResult is the result of a health check.
 type pollResult struct {
 	at     time.Time
 	sender int
 	state  senderState
 }
 
-// BudgetExceeded is an instant at which one sender too many was out, and an order had taken the last one out.
+// BudgetExceeded is a violation of the budget: an order took a sender out, and more senders were out than allowed.
 type BudgetExceeded struct {
 	At   time.Duration // since the first health check
 	Text string
@@ -61,14 +62,14 @@
 	return &Poll{cluster: c, done: make(chan struct{}), current: make([]senderState, c.Senders)}
 }
 
-// start starts to poll all senders, until stop.
+// start starts polling all senders until stop is called.
 func (p *Poll) start() {
 	for i := range p.cluster.Senders {
 		p.wg.Go(func() { p.pollSender(i) })
 	}
 }
 
-// stop ends the polling. It may be called several times, and for a nil Poll.
+// stop ends the polling. It may be called several times and on a nil Poll.
 func (p *Poll) stop() {
 	if p == nil {
 		return
@@ -110,7 +111,8 @@
 	return stateServing
 }
 
-// recordState keeps a change, and tells the clients and the auditor of messages what they would notice themselves.
+// recordState records a change of a sender's state. It notifies the clients and the auditor of what clients would
+// detect themselves.
 func (p *Poll) recordState(result pollResult) {
 	p.mu.Lock()
 	previous := p.current[result.sender]
@@ -123,7 +125,7 @@
 		return
 	}
 	c := p.cluster
-	if result.state != stateUnresponsive { // what it answered last holds while it does not answer
+	if result.state != stateUnresponsive { // the last answer remains valid while the sender does not answer
 		c.Clients.SetDraining(result.sender, result.state == stateDraining)
 	}
 	switch {
@@ -136,21 +138,22 @@
 	}
 }
 
-// recordSignal records a signal that the cluster itself sends to a sender, so that no order is blamed for the end.
+// recordSignal records a signal that the cluster itself sends to a sender, so that the end of the process is not
+// attributed to an order.
 func (p *Poll) recordSignal(sender int, s syscall.Signal) {
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
 		p.cluster.Environment.Record(audit.Event{Kind: audit.Died, Sender: sender})
 	}
 }
 
-// Now returns what the latest check of a sender showed: "unseen", "serves", "away" or "quiet".
+// Now returns the result of a sender's latest health check: "unseen", "serves", "away" or "quiet".
 func (p *Poll) Now(sender int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.current[sender].String()
 }
 
-// OutByOrder counts the senders that are draining now.
+// OutByOrder returns the number of senders that are draining now.
 func (p *Poll) OutByOrder() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,7 +165,7 @@
 	return n
 }
 
-// Since counts the senders that began to drain after an instant, and returns when the last one did.
+// Since returns how often a sender began to drain after a given time, and when the last one did.
 func (p *Poll) Since(at time.Time) (n int, last time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,8 +177,8 @@
 	return n, last
 }
 
-// evaluate checks all changes against the budget. It returns the instants at which it was exceeded, how often a
-// sender went out by order, and the most senders that were out by order at once.
+// evaluate checks all changes against the budget. It returns the violations, the number of times that a sender was
+// taken out by an order, and the maximum number of senders that were out by order at the same time.
 func (p *Poll) evaluate() (over []BudgetExceeded, orders, maxOut int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,7 +190,7 @@
 	t := c.Terms.Timing
 	e := budgetEvaluation{
 		budget: c.Terms.Budget, names: c.Names, buildings: buildings,
-		// An order may rest on an observation that is so old.
+		// An order may be based on an observation of this age.
 		unresponsiveAfter: t.Fresh + t.Accept + 4*t.Error + pollTimeout + 10*pollInterval,
 		states:            make([]senderState, c.Senders), since: make([]time.Time, c.Senders),
 	}
@@ -197,23 +200,24 @@
 	return e.over, e.orders, e.maxOut
 }
 
-// A budgetEvaluation goes through the changes of a fleet and checks each order against the budget. When a sender
-// begins to drain, those that drain already count, and those that have been unresponsive for long.
+// A budgetEvaluation processes the state changes of a fleet in order and checks each order against the budget. When a
+// sender begins to drain, the senders that are draining already count as out, and those that have been unresponsive for
+// longer than unresponsiveAfter.
 type budgetEvaluation struct {
 	budget            rollout.Budget
 	names, buildings  []string // by sender
 	unresponsiveAfter time.Duration
 
-	started time.Time // of the first change
-	states  []senderState
-	since   []time.Time // of the states
+	started time.Time     // time of the first change
+	states  []senderState // by sender
+	since   []time.Time   // by sender: when the state began
 
 	over           []BudgetExceeded
 	orders, maxOut int
 }
 
-// add takes the next change. A sender that drains as it comes back from a crash, or at the first check, counts for no
-// order: when it was given is not seen.
+// add processes the next change. A sender that is draining at its first check, or when it recovers from a crash, does
+// not count as an order, since the time of the order is unknown.
 func (e *budgetEvaluation) add(r pollResult) {
 	if e.started.IsZero() {
 		e.started = r.at
--- a/internal/cluster/poll_test.go
+++ b/internal/cluster/poll_test.go
@@ -7,8 +7,9 @@
 	"cleathold/internal/rollout"
 )
 
-// Orders count against the budget together with senders that drain or have been unresponsive for long; a sender that is
-// back from a crash and drains counts for no order.
+// TestBudgetEvaluation checks that an order counts against the budget together with the senders that are draining or
+// have been unresponsive for a long time, and that a sender that is draining when it recovers from a crash does not
+// count as an order.
 func TestBudgetEvaluation(t *testing.T) {
 	type change struct {
 		second int
--- a/internal/cluster/prepare.go
+++ b/internal/cluster/prepare.go
@@ -12,13 +12,12 @@
 )
 
 const (
-	// maxHostsPerBlock senders have their addresses in one block.
-	maxHostsPerBlock = 200
-	senderMemoryMB   = 192
+	maxHostsPerBlock = 200 // number of senders whose addresses are taken from one block
+	senderMemoryMB   = 192 // memory limit of a sender
 )
 
-// defaultScenario is played without a plan: its endpoints have capacity to spare, so that what is seen is the fleet's
-// doing.
+// defaultScenario is used without a plan. Its endpoints have spare capacity, so that observed problems are caused by
+// the fleet and not by the endpoints.
 const defaultScenario = `
 scenario(name = "fleet", seconds = %g, senders = %d, zones = ["bldg-a", "bldg-b"], hold = (20, 20), slots = (4, 4))
 kind(name = "partners", limit = "none", headroom = (4, 4), conns = (200, 200),
@@ -33,7 +32,7 @@
 tenant(name = "school-bands", share = 1)
 `
 
-// prepare opens the environment and writes the files of senders and agents.
+// prepare opens the environment and writes the files of the senders and agents.
 func (c *Cluster) prepare() (err error) {
 	for range 1 + c.Senders/maxHostsPerBlock {
 		b, err := netfault.NewBlock()
@@ -65,7 +64,7 @@
 	return c.prepareAgents()
 }
 
-// choosePlan returns the plan of the setup, or one of the calm scenario.
+// choosePlan returns the plan of the setup, or else a plan of defaultScenario.
 func (c *Cluster) choosePlan() (*scenario.Plan, error) {
 	if c.Plan != nil {
 		return c.Plan, nil
@@ -78,7 +77,7 @@
 	return s.Plan(c.Seed), nil
 }
 
-// prepareSenders writes the senders' configurations, and returns the addresses by which clients reach them.
+// prepareSenders writes the senders' configuration files, and returns the addresses at which clients reach them.
 func (c *Cluster) prepareSenders(platform []string) (addresses []string, err error) {
 	var listens []string
 	for i := range c.Senders {
@@ -120,7 +119,8 @@
 	return addresses, nil
 }
 
-// linkTo returns the address by which one party reaches another: that of a link, or without links the other's own.
+// linkTo returns the address at which one party reaches another: the address of a proxied link if Links is set,
+// otherwise the other party's own address.
 func (c *Cluster) linkTo(from, to, addr string) (string, error) {
 	if !c.Links {
 		return addr, nil
@@ -128,7 +128,8 @@
 	return c.Net.TCP(from, to, "127.0.0.1", addr)
 }
 
-// prepareAgents writes the agents' scripts and founds their folders. Each agent reaches each other one by a link.
+// prepareAgents writes the agents' settings scripts and initializes their folders with the found command. Agents reach
+// each other through proxied links.
 func (c *Cluster) prepareAgents() error {
 	for i := range c.Agents {
 		name := fmt.Sprint("a", i)
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// agentScript opens the links of an agent, and returns its settings script.
+// agentScript opens the links of an agent and returns its settings script.
 func (c *Cluster) agentScript(i int) (string, error) {
 	a := c.agents[i]
 	var agents []string
@@ -182,7 +183,7 @@
 	if c.Restart {
 		versionChange = "restart"
 	}
-	for k := i; k < len(c.senders); k += c.Agents { // the senders that this agent runs
+	for k := i; k < len(c.senders); k += c.Agents { // the senders of this agent
 		s := c.senders[k]
 		reach := s.admin
 		for j := range reach {
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -13,60 +13,60 @@
 )
 
 const (
-	idleDuration     = 5 * time.Second // of each measurement at rest
+	idleDuration     = 5 * time.Second // of each measurement without orders
 	releaseTimeout   = 10 * time.Minute
 	rollBackTimeout  = 5 * time.Minute
 	haltTimeout      = 30 * time.Second
 	maxResumes       = 20
 	faultInterval    = time.Second     // between two faults of agents
-	faultDuration    = 2 * time.Second // of each
-	afterHaltMargin  = 2 * time.Second // beyond the time in which an agent may still act on an old order
+	faultDuration    = 2 * time.Second // of each fault of an agent
+	afterHaltMargin  = 2 * time.Second // added to the time during which agents may still act on an old order
 	activateInterval = 100 * time.Millisecond
 )
 
-// releaseGate is the gate of the releases that are measured.
+// releaseGate is the gate of the measured releases.
 var releaseGate = rollout.Gate{MinMessages: 30, Soak: time.Second, Wait: time.Minute}
 
-// Measurement is what a release over a fleet, and halts of drains, took.
+// Measurement contains the durations and costs of a release to a whole fleet, of halts of drains and of a rollback.
 type Measurement struct {
 	Senders           int           `json:"Senders"`
 	Agents            int           `json:"Agents"`
 	WithFaults        bool          `json:"Struck"`  // agents are killed and links cut during the release
-	Begin             time.Duration `json:"Begin"`   // until all senders serve
-	Release           time.Duration `json:"Release"` // from the order to the end
-	Resumes           int           `json:"Resumes"` // times that staff had to resume it
-	RollBack          time.Duration `json:"Back"`    // until all run the old version again
-	HaltAll           time.Duration `json:"HaltAll"` // from a halt to the last sender that goes out after it; 0: none did
-	HaltCut           time.Duration `json:"HaltCut"` // the same with the leader cut off as it is ordered
+	Begin             time.Duration `json:"Begin"`   // from the start until all senders serve
+	Release           time.Duration `json:"Release"` // from the order to the end of the release
+	Resumes           int           `json:"Resumes"` // number of times that the release had to be resumed
+	RollBack          time.Duration `json:"Back"`    // from the order until all senders run the old version again
+	HaltAll           time.Duration `json:"HaltAll"` // from a halt to the last sender that goes out after it; 0 = none
+	HaltCut           time.Duration `json:"HaltCut"` // like HaltAll, with the leader cut off when the halt is ordered
 	FailedSubmissions int           `json:"Door"`    // without a response, or rejected, during the release
-	Submissions       int           `json:"HandIns"` // in that time
+	Submissions       int           `json:"HandIns"` // all submissions during the release
 	Served            float64       `json:"Served"`
 	Violations        int           `json:"Breaks"`
 	OverBudget        int           `json:"Over"`
 
-	// The fraction of the requested messages that took effect, in 5 s before the release and during it.
+	// The fraction of the requested messages that took effect, in the 5 s before the release and during it.
 	Before float64 `json:"Before"`
 	During float64 `json:"During"`
-	// What an agent spends on average, at rest and during the release.
+	// The average resource usage of an agent, without orders and during the release.
 	AtRest        Cost `json:"Rest"`
 	DuringRelease Cost `json:"Busy"`
-	// What a sender spends on average at rest, with its agent and while all agents are stopped.
+	// The average resource usage of a sender without orders, with its agent and while all agents are stopped.
 	WithAgent    SenderUsage `json:"Watched"`
 	WithoutAgent SenderUsage `json:"Alone"`
 }
 
-// A measurer fills a Measurement step by step.
+// A measurer performs the steps of a Measurement.
 type measurer struct {
 	Measurement
 	cluster *Cluster
 
-	// At the end of the measurement at rest, where that of the release begins.
+	// Values at the end of measureIdle, where the measurement of the release begins.
 	usage               usage
 	requested, executed int
 }
 
-// Measure plays a release over a whole fleet to its end, two drains that are halted, and a release that is rolled
-// back. With faults, agents are killed and cut off during the release.
+// Measure starts a cluster and measures a complete release to the whole fleet, two drains that are halted, and a
+// release that is rolled back. With faults, agents are killed and cut off during the first release.
 func Measure(ctx context.Context, s Setup, faults bool) (Measurement, error) {
 	m := measurer{Measurement: Measurement{Senders: s.Senders, Agents: s.Agents, WithFaults: faults}}
 	c, err := New(ctx, s)
@@ -110,7 +110,8 @@
 	return nil
 }
 
-// measureIdle measures senders and agents while nothing is ordered: senders alone first, then both.
+// measureIdle measures the resource usage without orders: first that of the senders while the agents are stopped, then
+// that of both.
 func (m *measurer) measureIdle() error {
 	c := m.cluster
 	for i := range c.agents {
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// measureRelease plays a release to its end.
+// measureRelease measures a complete release.
 func (m *measurer) measureRelease(program string) error {
 	c := m.cluster
 	failedBefore, allBefore := c.submissionCounts()
@@ -165,7 +166,8 @@
 	return nil
 }
 
-// submissionCounts returns how many submissions got no response or were rejected, of how many.
+// submissionCounts returns the number of submissions that got no response or were rejected, and that of all
+// submissions.
 func (c *Cluster) submissionCounts() (failed, all int) {
 	for status, n := range c.Clients.Stats().Answers {
 		if all += n; status != http.StatusAccepted && status != http.StatusOK {
@@ -175,14 +177,14 @@
 	return failed, all
 }
 
-// orderRelease orders a release to all senders, and returns the id of its plan.
+// orderRelease orders a release to all senders, and returns the plan's id.
 func (c *Cluster) orderRelease(version, program string) (id uint64, err error) {
 	return c.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
 		Kind: rollout.Release, To: rollout.Version{Name: version, Program: program}, Gate: releaseGate,
 	}})
 }
 
-// awaitRelease waits until a release is done, and resumes it whenever it is halted, as staff would.
+// awaitRelease waits until a release is done, and resumes it whenever it is halted, as operators would.
 func (m *measurer) awaitRelease(id uint64) error {
 	c := m.cluster
 	for {
@@ -195,9 +197,9 @@
 		}
 		m.Resumes++
 		if m.Resumes > maxResumes {
-			return fmt.Errorf("the release does not end: %s", p.Why)
+			return fmt.Errorf("release halted too often: %s", p.Why)
 		}
-		time.Sleep(time.Second) // until staff act
+		time.Sleep(time.Second) // reaction time of the operators
 		for i := range c.agents {
 			resume := rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}
 			if _, err := c.Order(i, resume); err == nil {
@@ -207,7 +209,7 @@
 	}
 }
 
-// measureRollBack releases the old program again, and rolls back when a third of the stages are through.
+// measureRollBack orders a release of the old program, and rolls it back when a third of the stages are finished.
 func (m *measurer) measureRollBack() error {
 	c := m.cluster
 	id, err := c.orderRelease("v3", c.Program)
@@ -232,8 +234,8 @@
 	return nil
 }
 
-// startAgentFaults injects faults into one agent after the other, so that never a majority of them is out. The returned
-// function ends that, and returns when the last fault is over.
+// startAgentFaults starts injecting faults into one agent after the other, so that a majority of the agents always
+// remains. The returned function stops it and waits until the last fault is over.
 func (c *Cluster) startAgentFaults() (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -275,9 +277,9 @@
 	}
 }
 
-// measureHalt drains the whole fleet, a few senders at a time, and halts that in the middle. It returns how long
-// after the halt was ordered the last sender went out; 0 if none did. With cut the leader is cut off, and the halt
-// goes to the other agents, as soon as one of them leads.
+// measureHalt drains the whole fleet, a few senders at a time, and halts the drain in the middle. It returns the time
+// from the halt order to the last sender that went out; 0 if none did. With cut, the leader is cut off first and the
+// halt is sent to the other agents, which accept it as soon as one of them is the leader.
 func (c *Cluster) measureHalt(cut bool) (time.Duration, error) {
 	id, err := c.startDrainOfAll()
 	if err != nil {
@@ -312,7 +314,7 @@
 	return last.Sub(ordered), nil
 }
 
-// startDrainOfAll orders a drain of all senders, and returns its plan's id when some of them are through.
+// startDrainOfAll orders a drain of all senders, waits until some of them have finished, and returns the plan's id.
 func (c *Cluster) startDrainOfAll() (id uint64, err error) {
 	id, err = c.OrderAny(rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
 		Kind: rollout.Drain, Stages: [][]string{c.Names}, Hold: 300 * time.Millisecond,
@@ -334,7 +336,7 @@
 	return id, err
 }
 
-// orderHalt orders a halt from one agent after the other, but the one to be skipped, until one takes it.
+// orderHalt sends a halt to one agent after the other, except the skipped one, until one accepts it.
 func (c *Cluster) orderHalt(id uint64, skip int) (err error) {
 	for until := time.Now().Add(haltTimeout); ; time.Sleep(orderInterval) {
 		for i := range c.agents {
--- a/internal/cluster/senders.go
+++ b/internal/cluster/senders.go
@@ -14,17 +14,17 @@
 
 const (
 	statusTimeout = time.Second
-	maxLogTail    = 2500 // bytes of a log that Logs copies
+	maxLogTail    = 2500 // bytes of each log that Logs writes
 )
 
-// senderAddresses is where a sender is reached.
+// A senderAddresses contains the configuration path and the addresses of a sender.
 type senderAddresses struct {
 	config string // path of its configuration file
 	listen string
-	admin  [2]string // second addresses: two processes serve side by side during a hand-over
+	admin  [2]string // addresses of the admin API: two, since two processes run during a hand-over
 }
 
-// Pid returns the id of the process that serves for a sender; 0 if none answers.
+// Pid returns the id of a sender's serving or drained process; 0 if no process answers.
 func (c *Cluster) Pid(i int) int {
 	client := &http.Client{Timeout: statusTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, addr := range c.senders[i].admin {
@@ -51,7 +51,7 @@
 // Config returns the path of a sender's configuration file.
 func (c *Cluster) Config(i int) string { return c.senders[i].config }
 
-// LastPid returns the id of a process of a sender, whether it answers or not; 0 if there is none.
+// LastPid returns the id of any process of a sender, whether it answers or not; 0 if there is none.
 func (c *Cluster) LastPid(i int) int {
 	for pid, config := range c.processes() {
 		if config == c.senders[i].config {
@@ -61,8 +61,8 @@
 	return 0
 }
 
-// Replace kills a sender's process and starts another in its place, as an operator would who does not know of its
-// agent.
+// Replace kills a sender's process and starts another one in its place without involving the sender's agent, as an
+// operator might do by mistake.
 func (c *Cluster) Replace(i int) error {
 	pid := c.LastPid(i)
 	env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
@@ -77,11 +77,11 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	go cmd.Wait() // Close kills it
+	go cmd.Wait() // the process is killed by Close
 	return nil
 }
 
-// SignalSender sends a signal to the process that serves for a sender, and reports whether there is one.
+// SignalSender sends a signal to the process that Pid returns, and reports whether there is one.
 func (c *Cluster) SignalSender(i int, s syscall.Signal) bool {
 	pid := c.Pid(i)
 	if pid > 0 {
@@ -91,8 +91,8 @@
 	return pid > 0
 }
 
-// processes returns the configuration paths of all processes of the cluster's senders, by process id. Agents start
-// them, so they are found by their environment.
+// processes returns the configuration paths of all sender processes of the cluster, by process id. The agents start
+// these processes, so they are identified by their environment variables.
 func (c *Cluster) processes() map[int]string {
 	pids := map[int]string{}
 	dirs, _ := filepath.Glob("/proc/[0-9]*")
@@ -112,7 +112,7 @@
 	return pids
 }
 
-// Logs writes the end of each log, for the report of a failed test.
+// Logs writes the end of each log, for the output of a failed test.
 func (c *Cluster) Logs(out io.Writer) {
 	for _, pattern := range []string{"a*/log", "a*/state/*.log"} {
 		files, _ := filepath.Glob(filepath.Join(c.Folder, pattern))
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -10,46 +10,46 @@
 	"cleathold/internal/agent"
 )
 
-// SenderUsage is what a sender spends in a second, and holds.
+// SenderUsage is the average resource usage of a sender.
 type SenderUsage struct {
-	Processor float64 `json:"processor_s"` // processor seconds a second
-	MemoryMB  float64 `json:"memory_mb"`   // resident
+	Processor float64 `json:"processor_s"` // processor seconds per second
+	MemoryMB  float64 `json:"memory_mb"`   // resident set
 }
 
-// Cost is what an agent spends in a second, and holds.
+// Cost is the average resource usage of an agent. Bytes and calls are per second.
 type Cost struct {
-	Processor   float64 `json:"processor_s"` // processor seconds a second
-	MemoryMB    float64 `json:"memory_mb"`   // resident
+	Processor   float64 `json:"processor_s"` // processor seconds per second
+	MemoryMB    float64 `json:"memory_mb"`   // resident set
 	RaftBytes   float64 `json:"raft_bytes"`
 	RaftCalls   float64 `json:"raft_calls"`
-	ReportBytes float64 `json:"told_bytes"` // of observations, to the leader
+	ReportBytes float64 `json:"told_bytes"` // reports of observations to the leader
 	ReportCalls float64 `json:"told_calls"`
-	PollBytes   float64 `json:"look_bytes"` // of its senders' answers to polls
+	PollBytes   float64 `json:"look_bytes"` // answers of the agent's senders to polls
 	PollCalls   float64 `json:"looks"`
 }
 
-// usage is what all agents have spent up to a time.
+// usage is the accumulated resource usage of all agents at a point in time.
 type usage struct {
 	at          time.Time
-	processor   float64 // seconds
-	memoryMB    float64 // held now
+	processor   float64 // processor seconds
+	memoryMB    float64 // current resident set
 	quorumBytes int64
 	quorumCalls int64
 	traffic     agent.Traffic
-	agents      int // that run
+	agents      int // running agents
 }
 
-// clockTicks is the number of ticks a second in which Linux counts processor time for user space (USER_HZ).
+// clockTicks is the number of clock ticks per second in which /proc/PID/stat reports processor time (USER_HZ).
 const clockTicks = 100
 
-// processUsage returns the processor seconds that a process has spent so far, and the MiB that it holds; 0 if it has
+// processUsage returns the processor seconds that a process has used so far and its resident set in MiB; 0 if it has
 // ended.
 func processUsage(pid int) (processor, memoryMB float64) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0
 	}
-	_, rest, _ := strings.Cut(string(stat), ") ") // after the name of the program, which may have blanks
+	_, rest, _ := strings.Cut(string(stat), ") ") // skip the program name, which may contain spaces
 	fields := strings.Fields(rest)
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
@@ -57,7 +57,7 @@
 	return (user + system) / clockTicks, pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// senderUsage measures for a duration what a sender spends, on average.
+// senderUsage measures the average resource usage of a sender over a duration.
 func (c *Cluster) senderUsage(duration time.Duration) SenderUsage {
 	totalUsage := func() (processor, memoryMB float64) {
 		for pid := range c.processes() {
@@ -73,7 +73,7 @@
 	return SenderUsage{Processor: (after - before) / duration.Seconds() / n, MemoryMB: memoryMB / n}
 }
 
-// agentUsage returns what the agents have spent so far.
+// agentUsage returns the accumulated resource usage of the running agents.
 func (c *Cluster) agentUsage() (u usage) {
 	u.at = time.Now()
 	for i, a := range c.agents {
@@ -95,7 +95,7 @@
 	return u
 }
 
-// costBetween returns what an agent spent between two times, on average.
+// costBetween returns the average resource usage of an agent between two measurements.
 func costBetween(a, b usage) Cost {
 	n, seconds := float64(max(1, b.agents)), b.at.Sub(a.at).Seconds()
 	rate := func(a, b int64) float64 { return float64(b-a) / seconds / n }
--- a/internal/harness/addresses.go
+++ b/internal/harness/addresses.go
@@ -5,11 +5,12 @@
 	"cleathold/internal/scenario"
 )
 
-// maxHostsPerBlock senders have their addresses in one block.
+// maxHostsPerBlock is the number of senders whose addresses are taken from one block.
 const maxHostsPerBlock = 250
 
-// processSpecs chooses the senders' second and gossip addresses, and how they reach one another and discovery. A pair
-// of parties whose link the plan lets fail is connected by a link; all others reach one another directly.
+// processSpecs assigns the senders' admin and gossip addresses, and the addresses at which they reach one another and
+// discovery. If the plan has link faults, the senders reach discovery through a proxied link, otherwise directly.
+// Gossip between several senders always passes through proxied links.
 func (r *run) processSpecs(platform []string) ([]ProcessSpec, error) {
 	n := r.Plan.Scenario.Senders
 	r.links = netfault.New(r.Plan.Seed)
--- a/internal/harness/answer_failure.go
+++ b/internal/harness/answer_failure.go
@@ -11,8 +11,8 @@
 	"cleathold/internal/audit"
 )
 
-// drawAnswerFailure draws whether an answer that is due now fails, and how; empty: it does not. The caller holds the
-// lock.
+// drawAnswerFailure randomly decides whether a discovery answer that is due now fails, and returns the failure mode,
+// or the empty string if it does not fail. The caller must hold env.mu.
 func (env *Environment) drawAnswerFailure() AnswerFailure {
 	now := env.now()
 	for _, f := range env.faults.Answers {
@@ -23,7 +23,8 @@
 	return ""
 }
 
-// writeFailedAnswer writes an answer as it fails, and closes its connection or waits until the sender does.
+// writeFailedAnswer writes an answer according to its failure mode, and then closes the connection or waits until the
+// sender closes it.
 func (env *Environment) writeFailedAnswer(w http.ResponseWriter, a listAnswer) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
@@ -57,10 +58,10 @@
 		resetConn(conn)
 		return
 	}
-	io.Copy(io.Discard, conn) // until the sender closes it
+	io.Copy(io.Discard, conn) // returns when the sender closes the connection
 }
 
-// writeSlowly writes a text in small pieces, spread over slowAnswerDuration.
+// writeSlowly writes text in small pieces, spread over slowAnswerDuration.
 func (env *Environment) writeSlowly(conn net.Conn, text []byte) {
 	size := max(1, len(text)/slowAnswerParts)
 	for len(text) > 0 {
@@ -72,8 +73,8 @@
 	}
 }
 
-// recordWatchTail records the changes that count as notified after an answer to a watch, as the watch goes on for a
-// while.
+// recordWatchTail records, after watchTailWindow, the endpoint changes since the given version as notified. According
+// to PROTOCOL, a watch still covers changes that occur shortly after its answer.
 func (env *Environment) recordWatchTail(sender int, version int64) {
 	if !env.faults.WatchTail {
 		return
@@ -85,7 +86,7 @@
 		env.mu.Lock()
 		defer env.mu.Unlock()
 		if env.discoveryCut[sender] || env.simulated.Watching(sender) {
-			return // nothing reaches the sender, or its open watch notifies it
+			return // the sender is unreachable, or its next watch is open and will notify it
 		}
 		lines, _, full := env.simulated.ListChanges(env.now(), sender, version)
 		for _, l := range lines {
--- a/internal/harness/answer_failure_test.go
+++ b/internal/harness/answer_failure_test.go
@@ -12,12 +12,13 @@
 	"time"
 )
 
-// Each failure of an answer is seen by the sender as its name says.
+// TestAnswerFailures checks what a sender receives with each failure mode of a discovery answer: how much of the answer
+// arrives, and whether the connection then stays open, ends or is reset.
 func TestAnswerFailures(t *testing.T) {
-	const timeout = 1500 * time.Millisecond // longer than an answer is late or slow
+	const timeout = 1500 * time.Millisecond // longer than the duration of a delayed or slow answer
 	for how, c := range map[AnswerFailure]struct {
 		complete, valid bool  // the answer
-		err             error // of the connection after it
+		err             error // from reading after the answer
 	}{
 		Stalls:   {err: os.ErrDeadlineExceeded},
 		Closes:   {},
@@ -45,13 +46,13 @@
 				t.Errorf("complete %v, want %v; body %q", complete, c.complete, body)
 			}
 			if how == Silent && text != "" {
-				t.Errorf("an answer came: %q", text)
+				t.Errorf("received an answer: %q", text)
 			}
 		})
 	}
 }
 
-// readAll sends a request and reads until the connection ends or a timeout has passed.
+// readAll sends a request and reads until the connection ends or the timeout passes.
 func readAll(addr, request string, timeout time.Duration) (string, error) {
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
--- a/internal/harness/call_request.go
+++ b/internal/harness/call_request.go
@@ -12,27 +12,27 @@
 	"cleathold/internal/partner"
 )
 
-// maxBodyBytes bounds the body of a call.
+// maxBodyBytes limits the size of a call's body.
 const maxBodyBytes = 1 << 20
 
-// A receivedCall is a call as an endpoint read it.
+// A receivedCall is a call as parsed by an endpoint.
 type receivedCall struct {
 	messages    []partner.Message
 	batch       bool // several messages in one call
 	healthCheck bool
-	timeout     time.Duration // how long the sender waits; 0 if it does not say
+	timeout     time.Duration // how long the sender waits for the answer, from X-Deadline; 0 = not given
 }
 
-// A requestError is a call that is answered with a status of its own.
+// A requestError describes an invalid request that is answered with a specific HTTP status.
 type requestError struct {
 	status int
 	text   string
 }
 
-// Error returns what is malformed with the request.
+// Error returns the reason for which the request is invalid.
 func (e *requestError) Error() string { return e.text }
 
-// errorStatus is the status for a call that could not be read.
+// errorStatus returns the HTTP status with which a call that could not be read is answered.
 func errorStatus(err error) int {
 	var e *requestError
 	if errors.As(err, &e) {
@@ -41,8 +41,8 @@
 	return http.StatusBadRequest
 }
 
-// readCall reads a request as the section 'Senders to endpoints' of PROTOCOL defines it. An error that is no
-// *requestError means that no request could be read.
+// readCall reads a request in the format that the section 'Senders to endpoints' of PROTOCOL defines. An error that
+// is not a *requestError means that no HTTP request could be read.
 func readCall(reader *bufio.Reader) (*receivedCall, error) {
 	r, err := http.ReadRequest(reader)
 	if err != nil {
@@ -62,7 +62,7 @@
 	case r.Method == http.MethodPost && r.URL.Path == "/receive":
 		id := r.Header.Get("X-Request-Id")
 		if id == "" {
-			return nil, &requestError{http.StatusBadRequest, "no X-Request-Id"}
+			return nil, &requestError{http.StatusBadRequest, "missing X-Request-Id header"}
 		}
 		c.messages = []partner.Message{{ID: id, Key: r.Header.Get("Idempotency-Key")}}
 	case r.Method == http.MethodPost && r.URL.Path == "/receive-many":
@@ -76,9 +76,9 @@
 	return c, nil
 }
 
-// readBatch reads the body of a call with several messages, none of them twice.
+// readBatch parses the body of a call with several messages. A message id that occurs twice is an error.
 func readBatch(body string) ([]partner.Message, error) {
-	errMalformed := &requestError{http.StatusBadRequest, "body of several messages unreadable"}
+	errMalformed := &requestError{http.StatusBadRequest, "malformed batch body"}
 	var messages []partner.Message
 	seen := map[string]bool{}
 	for body != "" {
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -20,36 +20,37 @@
 )
 
 const (
-	// maxOpenSubmissions bounds the submissions in progress or to be repeated. Those beyond it are skipped, and the
-	// result says so.
+	// maxOpenSubmissions limits the number of submissions that are in progress or wait to be repeated. Submissions
+	// beyond the limit are skipped and counted in the result.
 	maxOpenSubmissions = 20_000
-	// exitNoticeDelay is how much later than its clients the harness may notice that a process has ended.
+	// exitNoticeDelay is the maximum time by which the harness detects the exit of a process later than the clients do.
 	exitNoticeDelay = 100 * time.Millisecond
 )
 
-// Clients submit the arrivals of a plan, each at its time whatever became of those before it (an open loop), and
-// repeat submissions as section 6 of BRIEF says. Latency counts from the time at which the plan has a message arrive,
-// so that a sender that stalls does not hide the wait of the messages behind it.
+// Clients submits the arrivals of a plan as an open-loop load generator: each message is submitted at its planned time,
+// regardless of the progress of earlier ones. Submissions are repeated according to section 6 of BRIEF. Latency is
+// measured from the planned arrival time, so that a stalled sender does not hide the waiting time of the messages that
+// arrive during the stall (coordinated omission).
 type Clients struct {
 	env     *Environment
 	senders []*senderPool
 
-	stopped         atomic.Bool // Run returns before the plan's last arrival
+	stopped         atomic.Bool // set by Stop: Run returns before the plan's last arrival
 	keepConnections bool        // see Faults.KeepConnections
 
 	mu           sync.Mutex
 	rng          *rand.Rand
-	inProgress   int                                  // submissions, and waits before further ones
-	skipped      int                                  // beyond maxOpenSubmissions
+	inProgress   int                                  // submissions in progress or waiting to be repeated
+	skipped      int                                  // submissions beyond maxOpenSubmissions
 	requested    int                                  // arrivals of the plan so far
 	pending      map[string]*simulation.ClientRequest // by message id, until its outcome is known
 	lag          *hdrhistogram.Histogram
 	responseTime *hdrhistogram.Histogram // of first submissions, from the planned arrival
-	statusCounts map[int]int             // by status; 0 = no response
+	statusCounts map[int]int             // responses by HTTP status; 0 = no response
 	unanswered   int                     // see ClientStats
 }
 
-// NewClients makes clients of the senders at these addresses. The caller closes them.
+// NewClients returns clients that submit to the senders at the given addresses. The caller must call Close.
 func (env *Environment) NewClients(addresses []string) *Clients {
 	c := &Clients{
 		env:          env,
@@ -68,7 +69,8 @@
 	return c
 }
 
-// Run submits until the plan's last arrival, Stop or the end of the run. The submissions go on after it; see Idle.
+// Run submits messages until the plan's last arrival, a call of Stop or the end of the run. Submissions may still be in
+// progress when it returns; see Idle.
 func (c *Clients) Run() {
 	arrivals := c.env.plan.Arrivals()
 	for a, ok := arrivals.Next(); ok; a, ok = arrivals.Next() {
@@ -99,10 +101,10 @@
 	}
 }
 
-// Stop ends Run at its next arrival.
+// Stop makes Run return at its next arrival.
 func (c *Clients) Stop() { c.stopped.Store(true) }
 
-// schedule calls a function after a delay, unless the run ends before.
+// schedule calls submit after a delay, unless the run ends earlier or too many submissions are in progress.
 func (c *Clients) schedule(delay time.Duration, submit func()) {
 	c.mu.Lock()
 	if c.inProgress >= maxOpenSubmissions {
@@ -126,7 +128,7 @@
 	c.mu.Unlock()
 }
 
-// submit submits a message once, for the first time or again, and schedules what follows from the response.
+// submit performs one submission of a message, the first one or a repetition, and handles the response.
 func (c *Clients) submit(m *simulation.ClientRequest) {
 	s := c.env.plan.Scenario
 	c.mu.Lock()
@@ -168,9 +170,9 @@
 	pool.put(conn)
 }
 
-// send sends a request and reads its response. A connection that was idle may have been closed by the sender as the
-// request was on its way: the request then goes out once more on a new one. It returns the connection that was used
-// last; nil if that could not be opened.
+// send sends a request and reads its response. The sender may close a reused idle connection while the request is on
+// its way; the request is then sent once more on a new connection. send returns the connection that was used last, or
+// nil if the new connection could not be opened.
 func (c *Clients) send(
 	pool *senderPool, conn *clientConn, reused bool, request []byte, deadline time.Time,
 ) (*clientConn, *http.Response, error) {
@@ -201,7 +203,7 @@
 	}
 }
 
-// handleNoResponse records a submission that got no response, and has its client submit again.
+// handleNoResponse records that a submission got no response, and schedules its repetition.
 func (c *Clients) handleNoResponse(m *simulation.ClientRequest, sender int, id string, err error) {
 	cause := "died"
 	if errors.Is(err, errResponseTimeout) {
@@ -212,13 +214,13 @@
 	c.retryUnanswered(m)
 }
 
-// handleResponse records what the sender said to a submission, and has the client of a rejected one come again.
+// handleResponse records the sender's response to a submission, and schedules a repetition if it was rejected.
 func (c *Clients) handleResponse(m *simulation.ClientRequest, sender int, id string, response *http.Response) {
 	switch response.StatusCode {
 	case http.StatusAccepted, http.StatusOK:
 		c.env.Record(audit.Event{Kind: audit.Accepted, Sender: sender, Message: id})
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 if there is none
+		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64) // 0 if the header is missing
 		retryAfter := time.Duration(seconds * float64(time.Second))
 		c.env.Record(audit.Event{Kind: audit.Rejected, Sender: sender, Message: id, RetryAfter: retryAfter})
 		c.forget(id)
@@ -229,8 +231,8 @@
 	}
 }
 
-// idleClientsActive reports whether idle clients hold connections now or did a moment ago. The senders may close new
-// connections unread then.
+// idleClientsActive reports whether idle clients hold connections, or held some within the last second. During that
+// time senders may close new connections without reading from them.
 func (c *Clients) idleClientsActive() bool {
 	now := c.env.currentTime()
 	for _, idle := range c.env.faults.IdleClients {
@@ -241,7 +243,8 @@
 	return false
 }
 
-// countUnanswered counts a request without a response, unless the process of its sender was down or ending.
+// countUnanswered counts a request without a response, unless the sender's process was down or terminating. It waits
+// for exitNoticeDelay first, since the harness may not have detected the exit yet.
 func (c *Clients) countUnanswered(pool *senderPool) {
 	if !c.env.sleep(exitNoticeDelay) {
 		return
@@ -262,7 +265,7 @@
 	c.mu.Unlock()
 }
 
-// retryUnanswered has a client submit again what no sender responded to.
+// retryUnanswered schedules the repetition of a submission that got no response, if the scenario provides for one.
 func (c *Clients) retryUnanswered(m *simulation.ClientRequest) {
 	c.mu.Lock()
 	delay, retry := m.Unanswered(c.env.plan.Scenario, c.rng)
@@ -272,7 +275,7 @@
 	}
 }
 
-// retryRejected has a client submit again what was rejected or deferred, as often as the scenario says.
+// retryRejected schedules the repetition of a rejected or deferred message, up to the scenario's number of retries.
 func (c *Clients) retryRejected(m *simulation.ClientRequest, retryAfter time.Duration) {
 	c.mu.Lock()
 	delay, retry := m.Rejected(c.env.plan.Scenario, c.rng, retryAfter)
@@ -282,7 +285,7 @@
 	}
 }
 
-// handleReport takes a delivery report of a message that ended undelivered.
+// handleReport processes the delivery report of a message that was not delivered.
 func (c *Clients) handleReport(id string, deferred bool, retryAfter time.Duration) {
 	c.mu.Lock()
 	m := c.pending[id]
@@ -293,7 +296,7 @@
 	}
 }
 
-// handleDelivered takes the messages of a call that was delivered.
+// handleDelivered marks the messages of a delivered call as done.
 func (c *Clients) handleDelivered(ids []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -305,7 +308,7 @@
 	}
 }
 
-// Idle reports whether no submission is in progress or waits to be repeated.
+// Idle reports whether no submission is in progress or waiting to be repeated.
 func (c *Clients) Idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -318,19 +321,19 @@
 	return c.requested
 }
 
-// ClientStats is what the clients saw.
+// ClientStats contains the clients' measurements.
 type ClientStats struct {
-	Lag          Lag         `json:"lag"`     // of the submissions, against the plan
-	ResponseTime Lag         `json:"door"`    // from the planned arrival to the sender's response
-	Answers      map[int]int `json:"answers"` // responses by status; 0 = none came
-	Skipped      int         `json:"left_out"`
+	Lag          Lag         `json:"lag"`      // delay of the submissions relative to the plan
+	ResponseTime Lag         `json:"door"`     // from the planned arrival to the sender's response
+	Answers      map[int]int `json:"answers"`  // responses by HTTP status; 0 = no response
+	Skipped      int         `json:"left_out"` // submissions beyond maxOpenSubmissions
 
-	// Unanswered are requests that were written whole on a new connection to a sender that was up, and whose connection
-	// then ended without a response, while no idle clients held connections.
+	// Unanswered counts the requests that were sent on a new connection to a running sender and whose connection ended
+	// without a response, while no idle clients held connections.
 	Unanswered int `json:"unanswered"`
 }
 
-// Stats returns what the clients saw so far.
+// Stats returns the measurements so far.
 func (c *Clients) Stats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -340,14 +343,14 @@
 	}
 }
 
-// Close closes the idle connections. Connections of submissions that are still in progress are closed as these end.
+// Close closes the idle connections. The connection of a submission that is still in progress is closed when it ends.
 func (c *Clients) Close() {
 	for _, p := range c.senders {
 		p.close()
 	}
 }
 
-// formatRequest writes a submission as PROTOCOL defines it.
+// formatRequest returns the HTTP request of a submission in the format that PROTOCOL defines.
 func formatRequest(
 	s *scenario.Scenario, m *simulation.ClientRequest, id, key string, timeLeft time.Duration, resubmission bool,
 ) []byte {
--- a/internal/harness/delivery_reports.go
+++ b/internal/harness/delivery_reports.go
@@ -10,10 +10,10 @@
 	"cleathold/internal/audit"
 )
 
-// maxReportBytes bounds the delivery reports in one request.
+// maxReportBytes limits the size of the delivery reports in one request.
 const maxReportBytes = 1 << 20
 
-// serveReports takes delivery reports, also while discovery is down.
+// serveReports handles requests with delivery reports. It works during discovery outages, too.
 func (env *Environment) serveReports(sender int, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxReportBytes))
 	if err != nil || !gjson.ValidBytes(body) && !validReportLines(body) {
@@ -32,7 +32,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// validReportLines reports whether each line is a report of its own.
+// validReportLines reports whether each line of the body is a JSON object with an id.
 func validReportLines(body []byte) bool {
 	valid := true
 	gjson.ForEachLine(string(body), func(line gjson.Result) bool {
--- a/internal/harness/discovery.go
+++ b/internal/harness/discovery.go
@@ -16,17 +16,18 @@
 	"cleathold/internal/simulation"
 )
 
-// maxWatchTimeout bounds how long a watch waits for a change.
+// maxWatchTimeout limits how long a watch waits for a change.
 const maxWatchTimeout = time.Minute
 
-// OpenPlatform opens an address of discovery for each sender, by which the caller is known, and returns the addresses
-// by sender. It takes delivery reports there, too. The servers end with the environment.
+// OpenPlatform starts a server for discovery requests and delivery reports for each sender, and returns the addresses
+// by sender. Each sender has an address of its own, so that the address identifies the caller. The servers run until
+// the environment is closed.
 func (env *Environment) OpenPlatform() ([]string, error) {
 	var addresses []string
 	for i := range env.plan.Scenario.Senders {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
-			return nil, fmt.Errorf("rig: discovery: %w", err)
+			return nil, fmt.Errorf("harness: discovery: %w", err)
 		}
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) {
@@ -36,7 +37,7 @@
 		server := &http.Server{Handler: mux, ReadHeaderTimeout: 10 * time.Second}
 		env.wg.Go(func() {
 			if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-				env.cancel(fmt.Errorf("rig: discovery of sender %d died: %w", i, err))
+				env.cancel(fmt.Errorf("harness: discovery server of sender %d failed: %w", i, err))
 			}
 		})
 		env.wg.Go(func() {
@@ -48,7 +49,8 @@
 	return addresses, nil
 }
 
-// A listQuery says what a poll asks for: the full list, or with watch the changes since a version, for which it waits.
+// A listQuery contains the parameters of a poll: it requests the full list or, with watch, the changes since a version.
+// A watch waits for a change.
 type listQuery struct {
 	watch bool
 	since int64
@@ -67,7 +69,7 @@
 	return listQuery{watch: true, since: since, wait: min(time.Duration(ms)*time.Millisecond, maxWatchTimeout)}, nil
 }
 
-// A listPoll is one request of a sender to discovery, until it is answered.
+// A listPoll is a discovery request of a sender that is being served.
 type listPoll struct {
 	env      *Environment
 	sender   int
@@ -75,18 +77,18 @@
 	w        http.ResponseWriter
 	ctx      context.Context // of the request
 	deadline time.Time       // of a watch
-	delayed  bool            // its answer was late already
+	delayed  bool            // the answer has been delayed by an AnswerFault; it is delayed once at most
 }
 
-// A listAnswer is an answer to a poll, and how it fails.
+// A listAnswer is an answer to a poll, with the failure that is injected into it.
 type listAnswer struct {
-	failure  AnswerFailure // empty: it does not
-	fraction float64       // drawn: of the answer that is written, or of the longest delay
+	failure  AnswerFailure // empty = the answer does not fail
+	fraction float64       // random: the part of the answer that is written, or of the maximum delay
 	body     []byte
 	version  int64
 }
 
-// serveMembers answers with the list, or with what changes in it.
+// serveMembers handles discovery requests. It answers with the full list or with its changes.
 func (env *Environment) serveMembers(sender int, w http.ResponseWriter, r *http.Request) {
 	query, err := parseListQuery(r.URL.Query())
 	if err != nil {
@@ -100,8 +102,8 @@
 	}
 }
 
-// step looks at the list once: it answers, or waits until it is to be looked at again. It returns true when the
-// request is done.
+// step checks the list once, and either answers the request or waits until the list must be checked again. It returns
+// true when the request is done.
 func (p *listPoll) step() (done bool) {
 	env := p.env
 	env.mu.Lock()
@@ -134,7 +136,7 @@
 	return !p.awaitList(changed, max(wait, time.Millisecond))
 }
 
-// list returns what the poll asks for. The caller holds the environment's lock.
+// list returns the requested entries. The caller must hold env.mu.
 func (p *listPoll) list(now time.Duration) (lines []simulation.ListedEndpoint, version int64, full bool) {
 	if p.query.watch {
 		return p.env.simulated.ListChanges(now, p.sender, p.query.since)
@@ -143,7 +145,7 @@
 	return lines, version, true
 }
 
-// awaitLink waits until links change; false if the request or the run ends before.
+// awaitLink waits until the state of links changes. It returns false if the request or the run ends first.
 func (p *listPoll) awaitLink(changed <-chan struct{}) bool {
 	select {
 	case <-changed:
@@ -154,7 +156,7 @@
 	return false
 }
 
-// awaitList waits until the list changes or a time has passed; false if the request or the run has ended.
+// awaitList waits until the list changes or a timeout passes. It returns false if the request or the run has ended.
 func (p *listPoll) awaitList(changed <-chan struct{}, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -167,8 +169,8 @@
 	return p.ctx.Err() == nil && p.env.ctx.Err() == nil
 }
 
-// prepareAnswer draws whether the answer fails, and writes it unless nothing of it is sent now. The caller holds the
-// environment's lock.
+// prepareAnswer randomly decides whether the answer fails, and encodes it unless it is delayed or suppressed. The
+// caller must hold env.mu.
 func (p *listPoll) prepareAnswer(
 	now time.Duration, lines []simulation.ListedEndpoint, version int64, full bool,
 ) listAnswer {
@@ -185,7 +187,8 @@
 	return a
 }
 
-// send sends an answer as it fails. It returns false for one that is late: the list is to be looked at again then.
+// send sends an answer according to its failure mode. For a delayed answer it waits and returns false: the list must be
+// checked again.
 func (p *listPoll) send(a listAnswer) (done bool) {
 	env := p.env
 	switch a.failure {
@@ -193,7 +196,7 @@
 		p.delayed = true
 		return !env.sleep(time.Duration(a.fraction * float64(maxAnswerDelay)))
 	case Silent:
-		<-p.ctx.Done() // the sender gives up, or the server is closed
+		<-p.ctx.Done() // until the sender closes the connection or the server is closed
 		return true
 	case "":
 	default:
@@ -208,7 +211,7 @@
 	return true
 }
 
-// listedServer is an endpoint in a list, as PROTOCOL defines it.
+// A listedServer is an endpoint in a discovery answer, in the format that PROTOCOL defines.
 type listedServer struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -220,19 +223,19 @@
 	Started int64   `json:"started_ms"`
 }
 
-// listBody is an answer of discovery, as PROTOCOL defines it.
+// A listBody is the body of a discovery answer, in the format that PROTOCOL defines.
 type listBody struct {
 	Version int64          `json:"version"`
 	Full    bool           `json:"full"`
 	Servers []listedServer `json:"servers"`
 }
 
-// stateNames are the states of endpoints as PROTOCOL has them.
+// stateNames maps the states of endpoints to their names in PROTOCOL.
 var stateNames = map[control.EndpointState]string{
 	control.Ready: "up", control.Draining: "draining", control.Removed: "removed",
 }
 
-// encodeList writes a list, and records which changes the sender is notified of by it. The caller holds the lock.
+// encodeList encodes a list, and records the changes of which it notifies the sender. The caller must hold env.mu.
 func (env *Environment) encodeList(sender int, lines []simulation.ListedEndpoint, version int64, full bool) []byte {
 	answer := listBody{Version: version, Full: full, Servers: []listedServer{}}
 	s := env.plan.Scenario
@@ -247,6 +250,6 @@
 			State: stateNames[l.State], Weight: l.Weight,
 		})
 	}
-	text, _ := json.Marshal(answer) // strings and finite numbers: it cannot fail
+	text, _ := json.Marshal(answer) // cannot fail: the answer contains only strings, booleans and finite numbers
 	return text
 }
--- a/internal/harness/endpoint_listener.go
+++ b/internal/harness/endpoint_listener.go
@@ -14,22 +14,23 @@
 	"cleathold/internal/simulation"
 )
 
-// An endpointListener is the address of one endpoint for one sender, so that the caller is known by the address. Its
-// port stays reserved until the environment is closed; while the endpoint is down nobody listens there, and
-// connections are refused. The environment's lock covers it.
+// An endpointListener listens for one endpoint's calls from one sender: each sender has an address of its own for each
+// endpoint, so that the address identifies the caller. The port stays reserved until the environment is closed; while
+// the endpoint is down, connections to it are refused. The fields are protected by the environment's lock.
 type endpointListener struct {
 	env         *Environment
 	sender      int
 	addr        string
-	endpoint    string // the id that has this address now; a later one may take it over
+	endpoint    string // id of the endpoint that has this address now; a later endpoint may take the address over
 	zone        int
 	dest        int
-	listener    net.Listener // nil while nobody listens
-	reservedFD  int          // a socket that is bound and does not listen; negative: none
+	listener    net.Listener // nil while the endpoint does not listen
+	reservedFD  int          // socket that is bound but not listening, to reserve the port; negative = none
 	connections map[net.Conn]bool
 }
 
-// reusePort lets two sockets be bound to one port: one that listens, and one that reserves the port.
+// reusePort sets SO_REUSEPORT, so that the listening socket and the socket that reserves the port can be bound to the
+// same port.
 var reusePort = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	var optErr error
 	err := c.Control(func(fd uintptr) {
@@ -38,7 +39,7 @@
 	return cmp.Or(err, optErr)
 }}
 
-// OpenEndpoints opens an address for each endpoint and sender. Close closes them.
+// OpenEndpoints opens a listener for each pair of sender and endpoint. Close closes them.
 func (env *Environment) OpenEndpoints() error {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -67,8 +68,8 @@
 	return nil
 }
 
-// addEndpoint gives a new endpoint its listeners: new ones, or those of the endpoint whose address it takes over. The
-// caller holds the lock.
+// addEndpoint opens the listeners of a new endpoint, or reassigns to it those of the endpoint whose address it takes
+// over. The caller must hold env.mu.
 func (env *Environment) addEndpoint(c scenario.Change) {
 	for i, byAddress := range env.listeners {
 		old := byAddress[c.Address]
@@ -82,10 +83,11 @@
 	}
 }
 
-// unreachableAddress is told for an endpoint that has no listener: the port of the discard service, where nobody listens.
+// unreachableAddress is listed for an endpoint that has no listener: the port of the discard service, which refuses
+// connections.
 const unreachableAddress = "127.0.0.1:9"
 
-// addressOf is the address at which a sender reaches a listed endpoint. The caller holds the lock.
+// addressOf returns the address at which a sender reaches a listed endpoint. The caller must hold env.mu.
 func (env *Environment) addressOf(sender int, listed simulation.ListedEndpoint) string {
 	if l := env.listeners[sender][listed.Address]; l != nil {
 		return l.addr
@@ -93,7 +95,8 @@
 	return unreachableAddress
 }
 
-// updateListeners has the listeners listen, or not, as the model and the links say. The caller holds the lock.
+// updateListeners starts and stops listeners according to the states of the model and of the links. The caller must
+// hold env.mu.
 func (env *Environment) updateListeners() {
 	for _, byAddress := range env.listeners {
 		for _, l := range byAddress {
@@ -110,24 +113,24 @@
 	}
 }
 
-// endpointListens reports whether the model has an endpoint accept connections.
+// endpointListens reports whether an endpoint accepts connections according to the model.
 func (env *Environment) endpointListens(id string) bool {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.simulated.Model.Listens(id)
 }
 
-// linkStates are those of the links from the sender to the endpoint and back. The caller holds the lock.
+// linkStates returns the states of the links from the sender to the endpoint and back. The caller must hold env.mu.
 func (e *endpointListener) linkStates() (forward, back scenario.LinkState) {
 	sender := scenario.Sender(e.sender)
 	return e.env.linkState(sender, e.endpoint), e.env.linkState(e.endpoint, sender)
 }
 
-// listen begins to listen, at the same address each time. The caller holds the lock.
+// listen starts listening, at the same address each time. The caller must hold env.mu.
 func (e *endpointListener) listen() error {
 	l, err := reusePort.Listen(context.Background(), "tcp4", e.addr)
 	if err != nil {
-		return fmt.Errorf("rig: the address of %s for sender %d: %w", e.endpoint, e.sender, err)
+		return fmt.Errorf("harness: listening for endpoint %s and sender %d: %w", e.endpoint, e.sender, err)
 	}
 	e.listener, e.addr = l, l.Addr().String()
 	e.releasePort()
@@ -135,7 +138,7 @@
 	return nil
 }
 
-// releasePort closes the socket that reserves the port while nobody listens.
+// releasePort closes the socket that reserves the port while the endpoint does not listen.
 func (e *endpointListener) releasePort() {
 	if e.reservedFD >= 0 {
 		unix.Close(e.reservedFD)
@@ -143,8 +146,8 @@
 	}
 }
 
-// stopListening breaks the connections and closes the listener. The port stays reserved, or another process could
-// take it. The caller holds the lock.
+// stopListening resets the connections and closes the listener. It keeps the port reserved, since another process could
+// bind it otherwise. The caller must hold env.mu.
 func (e *endpointListener) stopListening() {
 	port := e.listener.Addr().(*net.TCPAddr).Port
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -156,7 +159,7 @@
 		err = unix.Bind(fd, &unix.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}})
 	}
 	if err != nil {
-		e.env.cancel(fmt.Errorf("rig: the address of %s: %w", e.endpoint, err))
+		e.env.cancel(fmt.Errorf("harness: reserving the port of endpoint %s: %w", e.endpoint, err))
 	}
 	l := e.listener
 	e.listener = nil
@@ -166,7 +169,7 @@
 	}
 }
 
-// close ends the listener and its connections for good. The caller holds the lock.
+// close closes the listener and its connections, and releases the port. The caller must hold env.mu.
 func (e *endpointListener) close() {
 	if l := e.listener; l != nil {
 		e.listener = nil
@@ -178,7 +181,7 @@
 	}
 }
 
-// resetConn closes a connection by a reset in place of an orderly end.
+// resetConn closes a connection with a TCP reset.
 func resetConn(c net.Conn) {
 	if tcpConn, ok := c.(*net.TCPConn); ok {
 		tcpConn.SetLinger(0)
@@ -186,7 +189,7 @@
 	c.Close()
 }
 
-// accept serves connections until its listener is closed. A listener that fails otherwise ends the run.
+// accept serves connections until the listener is closed. Any other failure of the listener ends the run.
 func (e *endpointListener) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -194,8 +197,8 @@
 			e.env.mu.Lock()
 			current := e.listener == l
 			e.env.mu.Unlock()
-			if current { // not closed by the plan or by close
-				e.env.cancel(fmt.Errorf("rig: the partner at %s (%s) died: %w", e.addr, e.endpoint, err))
+			if current { // not closed by stopListening or close
+				e.env.cancel(fmt.Errorf("harness: listener at %s of endpoint %s failed: %w", e.addr, e.endpoint, err))
 			}
 			return
 		}
--- a/internal/harness/environment.go
+++ b/internal/harness/environment.go
@@ -16,11 +16,11 @@
 	"cleathold/internal/simulation"
 )
 
-// submissionClassRetention is how long the class of a message is known after its submission.
+// submissionClassRetention is how long the class of a message is kept after its submission.
 const submissionClassRetention = 3 * time.Minute
 
-// An Environment is all that is outside the senders: endpoints, discovery, links and what judges the run. What stands
-// below its lock is touched under it. Its clock stands at 0 until Begin.
+// An Environment contains everything outside the senders: endpoints, discovery, links, the auditor and the service
+// meter. The fields below mu are protected by it. The plan's clock is at 0 until Begin.
 type Environment struct {
 	plan   *scenario.Plan
 	log    *slog.Logger
@@ -30,37 +30,37 @@
 
 	mu                  sync.Mutex
 	started             time.Time     // zero before Begin
-	lastEvent           time.Duration // of the latest event; times of events never decrease
+	lastEvent           time.Duration // time of the latest event; times of events never decrease
 	simulated           *simulation.Environment
 	auditor             *audit.Auditor
 	meter               *simulation.ServiceMeter
 	sink                func(audit.Event) error
-	pendingAnswers      map[uint64]chan partner.Answer // by call id; each gets one answer at most
+	pendingAnswers      map[uint64]chan partner.Answer // by call id; each channel receives at most one answer
 	lastCallID          uint64
 	connections         int
 	submissions         map[string]submission // by message id
 	nextSubmissionSweep time.Duration
 	listeners           []map[string]*endpointListener // by sender and address
-	listChanged         chan struct{}                  // closed and replaced when the list or the state of discovery changes
-	wake                chan struct{}                  // makes advanceModel look at the model again
+	listChanged         chan struct{}                  // closed and replaced when the list or discovery's state changes
+	wake                chan struct{}                  // makes advanceModel check the model for its next event
 	linksChanged        chan struct{}                  // closed and replaced when links change
-	discoveryCut        []bool                         // by sender: whether its link to or from discovery passes nothing
-	links               *netfault.Net                  // nil if nothing passes through links
+	discoveryCut        []bool                         // by sender: its link to or from discovery passes no data
+	links               *netfault.Net                  // nil if no proxied links are used
 	lag                 *hdrhistogram.Histogram
 	faults              Faults
-	faultRNG            *rand.Rand                                               // draws which answers fail, and how
+	faultRNG            *rand.Rand                                               // decides which discovery answers fail
 	onReport            func(id string, deferred bool, retryAfter time.Duration) // called for each delivery report
 	onDelivered         func(ids []string)                                       // called for each call that was delivered
 }
 
-// A submission is what the endpoints must know of a message that they receive.
+// A submission is the information about a submitted message that its calls do not contain.
 type submission struct {
 	class int
 	at    time.Duration
 }
 
-// NewEnvironment makes the environment of a plan. Events go to the sink too, if it is not nil. A failure in it
-// cancels its context, with the failure as the cause. The caller closes it.
+// NewEnvironment returns the environment of a plan. If sink is not nil, it is called for each event. A failure in the
+// environment cancels its context, with the failure as the cause. The caller must call Close.
 func NewEnvironment(
 	ctx context.Context, p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error,
 ) (*Environment, error) {
@@ -90,7 +90,8 @@
 	return env, nil
 }
 
-// record gives an event to the auditor, the service meter and the sink. The caller holds the lock.
+// record passes an event to the auditor, the service meter and the sink. An error of any of them ends the run. The
+// caller must hold env.mu.
 func (env *Environment) record(e audit.Event) {
 	env.lastEvent = max(env.lastEvent, env.now())
 	e.At = env.lastEvent
@@ -106,14 +107,14 @@
 	}
 }
 
-// Record gives an event to all that read events. A reader that fails ends the run.
+// Record passes an event to the auditor, the service meter and the sink. An error of any of them ends the run.
 func (env *Environment) Record(e audit.Event) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.record(e)
 }
 
-// Begin starts the plan's clock, and the goroutines that act by it. They end with the context; Close waits for them.
+// Begin starts the plan's clock and the goroutines that run by it. They end with the context; Close waits for them.
 func (env *Environment) Begin() {
 	env.mu.Lock()
 	env.started = time.Now()
@@ -149,21 +150,21 @@
 	env.record(e)
 }
 
-// Open is the number of messages and calls that still have no outcome.
+// Open returns the number of messages and calls that have no outcome yet.
 func (env *Environment) Open() int {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.auditor.Owed()
 }
 
-// Score returns the service so far.
+// Score returns the service score so far.
 func (env *Environment) Score() simulation.Score {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.meter.Score()
 }
 
-// Close ends all that the environment serves, waits for its goroutines, and judges what was recorded.
+// Close stops all servers and goroutines of the environment, and returns the result of the audit and the service score.
 func (env *Environment) Close() simulation.Result {
 	env.cancel(context.Canceled)
 	env.mu.Lock()
--- a/internal/harness/exchange.go
+++ b/internal/harness/exchange.go
@@ -10,25 +10,27 @@
 	"cleathold/internal/simulation"
 )
 
-// An exchange is one call on a connection, from its first byte until its answer is written or nobody waits for it.
+// An exchange is one call on a connection, from its first byte until its answer is written or the sender has stopped
+// waiting for it.
 type exchange struct {
 	conn       *serverConn
 	received   *receivedCall
 	call       partner.Call
 	messageIDs []string
-	firstByte  time.Duration // when its first byte came
+	firstByte  time.Duration // when the first byte of the call arrived
 	answer     chan partner.Answer
-	peerGone   <-chan bool // one value: true if the sender closed the connection, false if stopReader ended the read
+	peerGone   <-chan bool // gets one value: true if the sender closed the connection, false if stopReader ended the read
 }
 
-// serveCall passes a call to the model and the model's answer back. It returns false if the connection ends with it.
+// serveCall passes a call to the model and the model's answer back to the sender. It returns false if the connection
+// must be closed.
 func (s *serverConn) serveCall(received *receivedCall, firstByte time.Duration) bool {
 	env := s.listener.env
 	x := s.beginExchange(received, firstByte)
 	x.peerGone = s.watchPeer()
 	delay := s.networkDelay
 	if s.firstCall {
-		delay += 2 * s.networkDelay // the handshake, which takes no time on loopback
+		delay += 2 * s.networkDelay // the TCP handshake, whose delay loopback does not have
 	}
 	if !env.sleep(delay) {
 		return s.stopReader(x.peerGone)
@@ -47,7 +49,7 @@
 	}
 }
 
-// beginExchange gives a call its id, and records that the sender sent it.
+// beginExchange assigns the call's id and records that the sender has sent the call.
 func (s *serverConn) beginExchange(received *receivedCall, firstByte time.Duration) *exchange {
 	env := s.listener.env
 	x := &exchange{conn: s, received: received, firstByte: firstByte, answer: make(chan partner.Answer, 1)}
@@ -72,8 +74,8 @@
 	return x
 }
 
-// watchPeer reads on while a call is being served, so that a sender that closes the connection is noticed at once. What
-// it returns gets one value; stopReader ends the read.
+// watchPeer keeps reading while a call is being served, so that a close by the sender is detected immediately. The
+// returned channel receives one value, as described for exchange.peerGone; stopReader ends the read.
 func (s *serverConn) watchPeer() <-chan bool {
 	s.conn.SetReadDeadline(time.Time{})
 	gone := make(chan bool, 1)
@@ -84,13 +86,13 @@
 	return gone
 }
 
-// stopReader ends the read that watchPeer began, and reports whether the sender has closed the connection.
+// stopReader ends the read that watchPeer started, and reports whether the sender has closed the connection.
 func (s *serverConn) stopReader(peerGone <-chan bool) bool {
 	s.conn.SetReadDeadline(time.Unix(1, 0))
 	return <-peerGone
 }
 
-// submit gives the call to the model. A call that the model does not take is reset.
+// submit passes the call to the model. If the model returns an error, the connection is reset.
 func (x *exchange) submit() {
 	env := x.conn.listener.env
 	env.mu.Lock()
@@ -102,7 +104,7 @@
 	env.dispatchAndWake()
 }
 
-// cancel tells the model, after the time that the close takes to reach the endpoint, that nobody waits for the call.
+// cancel cancels the call in the model, after the network delay with which the endpoint detects the closed connection.
 func (x *exchange) cancel() {
 	env := x.conn.listener.env
 	if !env.sleep(x.conn.networkDelay) {
@@ -114,7 +116,8 @@
 	env.dispatchAndWake()
 }
 
-// returnAnswer sends an answer of the model to the sender, unless it has closed the connection meanwhile.
+// returnAnswer sends the model's answer to the sender, unless the sender has closed the connection. It returns false if
+// the connection must be closed.
 func (x *exchange) returnAnswer(a partner.Answer) bool {
 	s := x.conn
 	if !s.listener.env.sleep(s.networkDelay) {
@@ -126,7 +129,7 @@
 		return false
 	default:
 	}
-	if peerClosed(s.conn) { // closed just now, and the reader has not seen it yet
+	if peerClosed(s.conn) { // just closed, and not yet detected by the reader
 		x.recordAbandoned()
 		return false
 	}
@@ -138,7 +141,7 @@
 	return !s.stopReader(x.peerGone) && ok
 }
 
-// recordAbandoned records that the sender no longer waits for the call.
+// recordAbandoned records that the sender no longer waits for the call: it has canceled it, or the call timed out.
 func (x *exchange) recordAbandoned() {
 	s, env := x.conn, x.conn.listener.env
 	env.mu.Lock()
@@ -154,7 +157,7 @@
 	})
 }
 
-// recordAnswer records an answer just before it is written.
+// recordAnswer records an answer. It is called just before the answer is written.
 func (x *exchange) recordAnswer(a partner.Answer) {
 	s, env := x.conn, x.conn.listener.env
 	outcome, cause := simulation.OutcomeOf(a.Kind)
--- a/internal/harness/golden_test.go
+++ b/internal/harness/golden_test.go
@@ -6,7 +6,7 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenResult writes and reads the result of a run on sockets as 096da04 did.
+// TestGoldenResult checks that the result of a run on sockets is written and read as by commit 096da04.
 func TestGoldenResult(t *testing.T) {
 	golden.JSON[Result](t, "result.json")
 }
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -26,8 +26,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// newTestEnvironment returns an environment with listeners and a clock that runs, of a scenario that a script
-// completes.
+// newTestEnvironment returns an environment with open listeners and a running clock. Its scenario is
+// building-refuses.star without its faults, extended by extraScript.
 func newTestEnvironment(t *testing.T, extraScript string) (*Environment, *scenario.Plan) {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/building-refuses.star")
@@ -52,7 +52,7 @@
 	return env, p
 }
 
-// sendRequest sends one request on a connection of its own, and returns the response and its body.
+// sendRequest sends one request on a new connection, and returns the response and its body.
 func sendRequest(t *testing.T, addr, text string) (*http.Response, string, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -70,7 +70,7 @@
 	return r, string(body), err
 }
 
-// sendUntilServed repeats a request until it is served: a limit may reject it for a while.
+// sendUntilServed repeats a request until it is served, since a limit may reject it for a while.
 func sendUntilServed(t *testing.T, addr, text string) (body string) {
 	t.Helper()
 	waitFor(t, "an answer", func() bool {
@@ -88,14 +88,14 @@
 	return "POST /receive HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Deadline: 5\r\nContent-Length: 2\r\n\r\nhi"
 }
 
-// withLock calls a function under the environment's lock.
+// withLock calls f while holding the environment's lock.
 func (env *Environment) withLock(f func()) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	f()
 }
 
-// recordAcceptedMessage records a message that a client submitted to sender 0, and that it accepted.
+// recordAcceptedMessage records a message that a client has submitted to sender 0 and the sender has accepted.
 func recordAcceptedMessage(env *Environment, id string, dest int) {
 	env.recordSubmission(audit.Event{Kind: audit.Submitted, Message: id, Dest: dest, TimeLeft: 8 * time.Second})
 	env.Record(audit.Event{Kind: audit.Accepted, Message: id})
@@ -129,8 +129,8 @@
 	}
 }
 
-// An endpoint at its limit rejects calls. One that is down breaks its connections and refuses new ones, and keeps its
-// port.
+// TestEndpointListenerFollowsModel checks that an endpoint at its limit rejects calls, and that an endpoint that is
+// down resets its connections, refuses new ones and keeps its port reserved.
 func TestEndpointListenerFollowsModel(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	listener := env.listeners[0][p.Dests[0].Endpoints[0].ID]
@@ -151,11 +151,11 @@
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	// Down: open connections break, new ones are refused, the port stays reserved.
+	// Down: open connections are reset, new ones are refused, the port stays reserved.
 	addr := listener.addr
 	setFault(partner.Fault{Mode: partner.Down})
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
-		t.Error("a connection outlives its endpoint")
+		t.Error("a connection stays open after its endpoint went down")
 	}
 	for range 3 {
 		if _, _, err := sendRequest(t, addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n"); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -164,13 +164,13 @@
 	}
 	if l, err := net.Listen("tcp4", addr); err == nil {
 		l.Close()
-		t.Error("another socket got its port")
+		t.Error("another socket could be bound to the port")
 	}
 	setFault(partner.Fault{})
 	sendUntilServed(t, addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
 }
 
-// A call that is canceled and takes effect all the same counts as one late effect of one call.
+// TestCanceledCallTakesEffect checks that a call that was canceled and is executed nevertheless counts as one effect.
 func TestCanceledCallTakesEffect(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	d := p.Dests[0]
@@ -202,13 +202,13 @@
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: never", description)
+			t.Fatalf("timed out waiting for %s", description)
 		}
 	}
 }
 
-// Discovery on sockets: the full list, a watch that waits, a change that is notified late, an address that a new
-// endpoint takes over, and an outage.
+// TestDiscoveryServer checks discovery on sockets: the full list, a watch without changes, a watch during which changes
+// are published, a new endpoint at the address of a removed one, and an outage.
 func TestDiscoveryServer(t *testing.T) {
 	env, p := newTestEnvironment(t, "discovery_out(at = 10000, seconds = 1)\n")
 	addresses, err := env.OpenPlatform()
@@ -230,7 +230,7 @@
 	}
 	const noChange = `"version":1,"full":false,"servers":[]`
 	if status, body := get("?since=1&timeout_ms=20"); status != 200 || !strings.Contains(body, noChange) {
-		t.Errorf("a watch without news: %d %s", status, body)
+		t.Errorf("a watch without changes: %d %s", status, body)
 	}
 	env.withLock(func() {
 		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
@@ -238,7 +238,7 @@
 		env.applyChange(scenario.Change{Endpoint: "new", Dest: 1, Joins: &partner.EndpointSpec{ID: "new"}, Address: e.ID})
 	})
 	version, received := 1, ""
-	for range 3 { // the changes come in one answer or more
+	for range 3 { // the changes may arrive in several answers
 		_, body := get("?since=" + strconv.Itoa(version) + "&timeout_ms=10000")
 		for v := 4; v > version; v-- {
 			if strings.Contains(body, `"version":`+strconv.Itoa(v)) {
@@ -254,7 +254,7 @@
 			t.Errorf("no %s in %s", want, received)
 		}
 	}
-	// The new endpoint at the old address.
+	// The new endpoint serves at the old address.
 	sendUntilServed(t, env.listeners[0][e.ID].addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
 	env.withLock(func() { env.plan.DiscoveryOutages = []scenario.Span{{From: 0, To: time.Hour}}; env.notifyListChanged() })
 	if status, _ := get("?since=4&timeout_ms=10000"); status != 503 {
@@ -262,7 +262,8 @@
 	}
 }
 
-// Delivery reports are taken also while discovery is down, and malformed ones are rejected.
+// TestDeliveryReports checks that delivery reports are accepted even during a discovery outage, and that malformed ones
+// are rejected.
 func TestDeliveryReports(t *testing.T) {
 	env, _ := newTestEnvironment(t, "discovery_out(at = 0, seconds = 10000)\n")
 	addresses, err := env.OpenPlatform()
@@ -277,14 +278,14 @@
 	const report = "POST /status HTTP/1.1\r\nHost: h\r\nContent-Length: "
 	r, _, err = sendRequest(t, addresses[0], report+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 	if err != nil || r.StatusCode != 204 {
-		t.Errorf("notices while it is down: %v %v", r, err)
+		t.Errorf("reports during the outage: %v %v", r, err)
 	}
 	if r, _, err := sendRequest(t, addresses[0], report+"1\r\n\r\n{"); err != nil || r.StatusCode != 400 {
-		t.Errorf("no notice: %v %v", r, err)
+		t.Errorf("malformed report: %v %v", r, err)
 	}
 }
 
-// A listener that fails ends the run, and the error names its address.
+// TestFailedListenerEndsRun checks that a failing listener ends the run with an error that contains its address.
 func TestFailedListenerEndsRun(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	listener := env.listeners[1][p.Dests[0].Endpoints[0].ID]
@@ -295,8 +296,8 @@
 	}
 }
 
-// The clients' latency counts from the planned arrival of a message: a sender that stalls does not hide the wait of the
-// messages behind it.
+// TestOpenLoop checks that the clients' latency is measured from the planned arrival of a message, so that a stalled
+// sender does not hide the waiting time of the messages that arrive during the stall.
 func TestOpenLoop(t *testing.T) {
 	env, _ := newTestEnvironment(t, "")
 	stall := make(chan struct{})
@@ -331,17 +332,18 @@
 	c := env.NewClients([]string{l.Addr().String()})
 	defer c.Close()
 	env.wg.Go(c.Run)
-	for range 5 { // the others come though the first has no response
+	for range 5 { // later requests arrive although the first has no response yet
 		<-requests
 	}
 	close(stall)
 	waitFor(t, "answers", func() bool { return c.Stats().Answers[202]+c.Stats().Answers[0] >= 5 })
 	if s := c.Stats(); s.ResponseTime.Max < 5 {
-		t.Errorf("the wait does not show: %+v", s)
+		t.Errorf("the waiting time is not measured: %+v", s)
 	}
 }
 
-// Serve writes what a sender needs, ends with its context, and judges nothing that it cannot see.
+// TestServe checks that Serve prints how to start each sender, returns when its context ends, and reports no
+// violations, since it does not observe the submissions.
 func TestServe(t *testing.T) {
 	s, err := scenario.Load("../../examples/scenarios/building-refuses.star", nil)
 	if err != nil {
@@ -369,10 +371,11 @@
 	}
 }
 
-// The exit status of a process is known, however soon it ends.
+// TestExitErrorOfShortProcess checks that the exit error of a process is recorded even if it ends immediately. Start
+// resets the error of the previous process, and must do so before the new one can end.
 func TestExitErrorOfShortProcess(t *testing.T) {
 	p := &Process{program: "/bin/false", dir: t.TempDir()}
-	// Other goroutines keep the processors busy, so that the one that starts the process may be the last to go on.
+	// Busy goroutines compete for the processors, so that the process may end before Start continues.
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -400,9 +403,9 @@
 	}
 }
 
-// A link between a sender and an endpoint: while it is cut, connections break and are refused; while it is silent in
-// either direction, nothing is answered until it is healed, and a call whose sender closed the connection meanwhile
-// takes no effect. Other senders notice nothing.
+// TestLinkToEndpoint checks faults of the link between a sender and an endpoint. While the link is cut, connections are
+// refused. While it is silent in either direction, calls are answered only after it is healed, and a call whose sender
+// has closed the connection by then takes no effect. Other senders are not affected.
 func TestLinkToEndpoint(t *testing.T) {
 	for _, c := range []struct{ link, want string }{
 		{`of = "n0", to = "partners", what = "CUT"`, "refused"},
@@ -422,7 +425,7 @@
 			return applies
 		})
 		recordAcceptedMessage(env, "a", d.Dest)
-		if c.want == "late" { // its sender no longer waits
+		if c.want == "late" { // an additional call whose sender no longer waits
 			closedConn, err := net.Dial("tcp", listener.addr)
 			if err != nil {
 				t.Fatal(err)
@@ -435,7 +438,7 @@
 		switch healed := env.currentTime() >= time.Second; {
 		case err != nil:
 			got = "refused"
-		case healed: // whether served, or rejected by a limit
+		case healed: // served, or rejected by a limit
 			got = "late"
 		}
 		if got != c.want {
@@ -456,7 +459,8 @@
 	}
 }
 
-// A sender whose link from discovery is silent waits for the list, and gets it when the link is healed.
+// TestLinkToDiscovery checks that a sender whose link to discovery is silent receives the list only when the link is
+// healed, and that other senders receive it at once.
 func TestLinkToDiscovery(t *testing.T) {
 	env, _ := newTestEnvironment(t, `link(at = 0, seconds = 1, of = "n0", to = "discovery", what = "SILENT")`+"\n")
 	waitFor(t, "the fault", func() (cut bool) { env.withLock(func() { cut = env.discoveryCut[0] }); return cut })
--- a/internal/harness/idle_clients.go
+++ b/internal/harness/idle_clients.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// startIdleClients has the idle clients connect to each sender.
+// startIdleClients starts the goroutines of the idle clients, one for each sender and entry of Faults.IdleClients.
 func (env *Environment) startIdleClients(addresses []string) {
 	for _, c := range env.faults.IdleClients {
 		for _, addr := range addresses {
@@ -15,8 +15,8 @@
 	}
 }
 
-// holdIdleClients connects idle clients to one sender and keeps their connections open until their time is over. A
-// connection that the sender closes is not replaced.
+// holdIdleClients opens idle connections to one sender at c.From and closes them at c.To. A connection that the sender
+// closes is not replaced.
 func (env *Environment) holdIdleClients(c IdleClients, addr string) {
 	if !env.sleepUntil(c.From) {
 		return
--- a/internal/harness/lag.go
+++ b/internal/harness/lag.go
@@ -6,8 +6,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Lag is how late the harness itself was, in milliseconds: what a run shows is only as good as its harness was
-// punctual.
+// Lag is the distribution of the harness's own delays, in milliseconds. The results of a run are only reliable if the
+// harness was on time.
 type Lag struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -15,15 +15,15 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// newLagHistogram returns a histogram of 1 µs to 60 s, in µs.
+// newLagHistogram returns a histogram with a range of 1 µs to 60 s, in microseconds.
 func newLagHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
-// recordLag adds a lag; one outside the histogram's range counts as its nearest bound.
+// recordLag records a lag. Values outside the histogram's range are clamped to it.
 func recordLag(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(max(d.Microseconds(), 1), 59_999_999)) // no error: it is in range
+	h.RecordValue(min(max(d.Microseconds(), 1), 59_999_999)) // cannot fail: the value is in range
 }
 
-// summarizeLag returns the quantiles of a histogram.
+// summarizeLag returns the count, quantiles and maximum of a histogram.
 func summarizeLag(h *hdrhistogram.Histogram) Lag {
 	ms := func(v int64) float64 { return float64(v) / 1000 }
 	return Lag{h.TotalCount(), ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(99)), ms(h.Max())}
--- a/internal/harness/links.go
+++ b/internal/harness/links.go
@@ -9,13 +9,13 @@
 	"cleathold/internal/simulation"
 )
 
-// linkState is the state of the link from one party to another now. The caller holds the lock.
+// linkState returns the current state of the link from one party to another. The caller must hold env.mu.
 func (env *Environment) linkState(from, to string) scenario.LinkState {
 	return env.plan.LinkState(env.now(), from, to)
 }
 
-// updateLinks brings all that depends on links to their states now: who reaches discovery, which endpoints listen, and
-// the connections that pass through links. The caller holds the lock.
+// updateLinks applies the current states of all links: it updates which senders reach discovery, which endpoints
+// listen, and the connections that pass through proxied links. The caller must hold env.mu.
 func (env *Environment) updateLinks() {
 	for i := range env.discoveryCut {
 		sender := scenario.Sender(i)
@@ -39,16 +39,16 @@
 	}
 }
 
-// SetNetwork has the links of a network follow the plan from Begin on. Datagrams between senders get the delays and
-// losses that they have in virtual time, too.
+// SetNetwork sets the network whose links follow the plan from Begin on. Datagrams between senders also get the delays
+// and losses that the simulation in virtual time applies to them.
 func (env *Environment) SetNetwork(links *netfault.Net) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.links = links
 }
 
-// linkRule returns the states of links by the plan, for a run that started at a time. The rule takes no lock of the
-// environment: the network calls it under its own.
+// linkRule returns a function that computes the states of links from the plan, for a run that started at a given time.
+// The function does not lock the environment, since the network calls it while holding its own lock.
 func (env *Environment) linkRule(started time.Time) func(from, to string) netfault.State {
 	senders := map[string]bool{}
 	for i := range env.plan.Scenario.Senders {
--- a/internal/harness/model.go
+++ b/internal/harness/model.go
@@ -7,8 +7,8 @@
 	"cleathold/internal/timeline"
 )
 
-// advanceModel keeps the model at the time of the clock, until the run ends: it wakes for the model's next event and
-// when a call may have brought an earlier one.
+// advanceModel advances the model in step with the plan's clock until the run ends. It wakes up for the model's next
+// event, and when a call may have scheduled an earlier event.
 func (env *Environment) advanceModel() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -32,8 +32,8 @@
 	}
 }
 
-// dispatchAndWake passes on the answers after a step of the model, and has advanceModel look for its next event. The
-// caller holds the lock.
+// dispatchAndWake dispatches the answers after a step of the model, and makes advanceModel check for the next event.
+// The caller must hold env.mu.
 func (env *Environment) dispatchAndWake() {
 	env.dispatchAnswers()
 	select {
@@ -42,14 +42,14 @@
 	}
 }
 
-// dispatchAnswers passes the model's answers to the calls that wait for them, and records how late they are. The caller
-// holds the lock.
+// dispatchAnswers passes the model's answers to the waiting calls and records the answers' lag. The caller must hold
+// env.mu.
 func (env *Environment) dispatchAnswers() {
 	overloads := env.simulated.Overloads()
 	for _, a := range env.simulated.Collect() {
 		recordLag(env.lag, env.now()-a.At)
 		if c := env.pendingAnswers[a.Call]; c != nil {
-			c <- a // never blocks: it has room for the one answer that a call gets
+			c <- a // never blocks: the channel has a buffer for the call's only answer
 			delete(env.pendingAnswers, a.Call)
 		}
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-// runChanges applies the plan's changes of endpoints, discovery and links, each at its time.
+// runChanges applies the plan's changes of endpoints, discovery and links at their times.
 func (env *Environment) runChanges() {
 	var changes timeline.Queue[func()]
 	env.mu.Lock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// applyChange applies one change of the plan to the model and to the listeners. The caller holds the lock.
+// applyChange applies one change of the plan to the model and the listeners. The caller must hold env.mu.
 func (env *Environment) applyChange(c scenario.Change) {
 	update, err := env.simulated.Apply(env.now(), c)
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// notifyListChanged wakes the watches of discovery. The caller holds the lock.
+// notifyListChanged wakes the goroutines that serve watches of discovery. The caller must hold env.mu.
 func (env *Environment) notifyListChanged() {
 	close(env.listChanged)
 	env.listChanged = make(chan struct{})
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -24,21 +24,21 @@
 	readyTimeout    = 30 * time.Second
 	restartDelay    = 600 * time.Millisecond
 	killTimeout     = 3700 * time.Millisecond // from SIGTERM to SIGKILL
-	signalInterval  = 40 * time.Millisecond   // between the signals of a series
+	signalInterval  = 40 * time.Millisecond   // between the signals of StopWithSignalSeries
 	orderTimeout    = 3 * time.Second
-	defaultMemoryMB = 192 // limit of a sender
-	defaultSockets  = 1024
-	maxLogTail      = 600 // bytes of its log that go with an error
+	defaultMemoryMB = 192  // memory limit of a sender
+	defaultSockets  = 1024 // file descriptor limit of a sender
+	maxLogTail      = 600  // bytes of the sender's log that an error includes
 )
 
-// A Process is one sender: its folder and port, which it owns until Release, and the process that runs there now.
+// A Process is one sender: its folder, its port, which stays reserved until ReleasePort, and its current process.
 type Process struct {
 	num        int
 	program    string
-	dir        string // of configuration, state and log
+	dir        string // contains configuration, state and log
 	addr       string
 	reservedFD int    // the socket that reserves the port
-	settings   string // path of a settings script; may be empty
+	settings   string // path of the settings script; may be empty
 	plan       *scenario.Plan
 	spec       ProcessSpec
 	wrap       func(sender int, program string) []string // see Faults.Wrap
@@ -46,11 +46,11 @@
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	ended   chan struct{} // closed when the process has ended
-	exitErr error         // of the process that ended last, or nil
+	exitErr error         // of the last process that ended; nil while one runs
 }
 
-// NewProcess prepares a sender's folder, and chooses its address and limits in place of those of the spec. No process
-// runs yet.
+// NewProcess prepares a sender's folder without starting a process. It sets the spec's address, state folder and
+// limits.
 func NewProcess(s Setup, num int, dir string, spec ProcessSpec) (*Process, error) {
 	if spec.MemoryMB = s.MemoryMB; spec.MemoryMB <= 0 {
 		spec.MemoryMB = defaultMemoryMB
@@ -60,7 +60,7 @@
 	}
 	spec.State = filepath.Join(dir, "state")
 	if err := os.MkdirAll(spec.State, 0o700); err != nil {
-		return nil, fmt.Errorf("rig: %w", err)
+		return nil, fmt.Errorf("harness: %w", err)
 	}
 	fd, addr, err := reservePort()
 	if err != nil {
@@ -78,28 +78,28 @@
 	return p, nil
 }
 
-// ReleasePort gives the sender's port back.
+// ReleasePort closes the socket that reserves the sender's port.
 func (p *Process) ReleasePort() { unix.Close(p.reservedFD) }
 
 func (p *Process) configPath() string { return filepath.Join(p.dir, "config.json") }
 
 func (p *Process) logPath() string { return filepath.Join(p.dir, "log") }
 
-// Start starts the program. The process dies with this one, however that ends.
+// Start starts the program. The kernel kills the process when the harness process ends for whatever reason.
 func (p *Process) Start() error {
 	log, err := os.OpenFile(p.logPath(), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
-		return fmt.Errorf("rig: %w", err)
+		return fmt.Errorf("harness: %w", err)
 	}
 	cmd := p.command(log)
 	started := make(chan error, 1)
 	ended := make(chan struct{})
 	p.mu.Lock()
-	p.exitErr = nil // before the process can end
+	p.exitErr = nil // must be reset before the process can end
 	p.mu.Unlock()
 	go func() {
-		// The kernel sends the parent-death signal when the thread ends that started the child: this thread stays
-		// until the child has ended.
+		// The kernel sends the parent-death signal when the thread that started the child ends. Locking the goroutine
+		// to its thread keeps the thread alive until the child has ended.
 		runtime.LockOSThread()
 		defer runtime.UnlockOSThread()
 		defer close(ended)
@@ -115,7 +115,7 @@
 		p.mu.Unlock()
 	}()
 	if err := <-started; err != nil {
-		return fmt.Errorf("rig: sender n%d: %w", p.num, err)
+		return fmt.Errorf("harness: sender n%d: %w", p.num, err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// command is the program's command, with its output in the log.
+// command returns the command that runs the program, with its output redirected to the log.
 func (p *Process) command(log *os.File) *exec.Cmd {
 	command := []string{p.program}
 	if p.wrap != nil {
@@ -133,26 +133,27 @@
 	cmd.Env = append(os.Environ(), "LB_CONFIG="+p.configPath(), "CLEATHOLD_SETTINGS="+p.settings,
 		"LB_LISTEN=", "LB_STATE=", "LB_DISCOVERY=", "LB_NAME=")
 	cmd.Stdout, cmd.Stderr = log, log
-	// A process group of its own: Ctrl-C at the terminal is for this process, which ends its senders itself.
+	// The sender gets its own process group, so that Ctrl-C at the terminal signals only the harness, which stops its
+	// senders itself.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	return cmd
 }
 
-// Ended returns a channel that is closed when the process that runs now has ended; nil before the first start.
+// Ended returns a channel that is closed when the current process has ended. It returns nil before the first start.
 func (p *Process) Ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-// exitError is how the last process ended; nil while one runs, and after exit status 0.
+// exitError returns the exit error of the last process; nil while a process runs and after exit status 0.
 func (p *Process) exitError() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.exitErr
 }
 
-// Signal sends a signal to the process, if one runs.
+// Signal sends a signal to the process if one runs.
 func (p *Process) Signal(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,8 +162,8 @@
 	}
 }
 
-// Stop ends the process: at once, or if it is to be orderly by SIGTERM, with SIGKILL after killTimeout. It returns
-// when the process has ended.
+// Stop ends the process and waits until it has ended. If orderly, it sends SIGTERM, and SIGKILL after killTimeout;
+// otherwise it sends SIGKILL at once.
 func (p *Process) Stop(orderly bool) {
 	ended := p.Ended()
 	if ended == nil {
@@ -180,7 +181,8 @@
 	<-ended
 }
 
-// StopWithSignalSeries ends the process by several signals in quick succession, as when several operators act at once.
+// StopWithSignalSeries sends several signals in quick succession, as when several operators act at the same time, and
+// waits until the process has ended.
 func (p *Process) StopWithSignalSeries() {
 	for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGINT} {
 		p.Signal(s)
@@ -189,8 +191,8 @@
 	p.Stop(true)
 }
 
-// AwaitReady waits until the sender's health check says that it is ready. It fails if the process ends before or the
-// deadline passes, and returns the context's cause if that ends.
+// AwaitReady waits until the sender's health check succeeds. It returns an error if the process ends first or the
+// deadline passes, and the context's cause if the context ends.
 func (p *Process) AwaitReady(ctx context.Context, deadline time.Time) error {
 	for ctx.Err() == nil {
 		if p.healthy() {
@@ -198,13 +200,13 @@
 		}
 		select {
 		case <-p.Ended():
-			return fmt.Errorf("rig: sender n%d ended before it was ready: %v; its log ends: %s",
+			return fmt.Errorf("harness: sender n%d ended before it was ready: %v; its log ends: %s",
 				p.num, p.exitError(), p.logTail())
 		case <-ctx.Done():
 		case <-time.After(10 * time.Millisecond):
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("rig: sender n%d is not ready in time; its log ends: %s", p.num, p.logTail())
+			return fmt.Errorf("harness: sender n%d is not ready in time; its log ends: %s", p.num, p.logTail())
 		}
 	}
 	return context.Cause(ctx)
@@ -221,7 +223,7 @@
 	return err == nil && r.StatusCode == http.StatusOK
 }
 
-// logTail is the end of the sender's log.
+// logTail returns the end of the sender's log.
 func (p *Process) logTail() string {
 	f, err := os.Open(p.logPath())
 	if err != nil {
@@ -235,7 +237,7 @@
 	return string(bytes.TrimSpace(text))
 }
 
-// PeakMB is the largest resident set that the process has had, in MiB; 0 if none runs.
+// PeakMB returns the peak resident set size of the process in MiB; 0 if no process runs.
 func (p *Process) PeakMB() float64 {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -256,7 +258,8 @@
 	return 0
 }
 
-// reconfigure writes the settings of a planned action, and has the process read them.
+// reconfigure writes the settings of a planned action to the configuration file, and sends SIGHUP to the process to
+// reload it.
 func (p *Process) reconfigure(a scenario.PlannedAction) error {
 	if err := Reconfigure(p.configPath(), a, p.plan); err != nil {
 		return err
@@ -265,7 +268,7 @@
 	return nil
 }
 
-// sendOrder gives the process an operator's order through its admin API.
+// sendOrder sends an operator's order to the admin API of the process.
 func (p *Process) sendOrder(verb string) error {
 	request, err := http.NewRequest(http.MethodPut, "http://"+p.spec.Admin+"/v1/sender/"+verb, nil)
 	if err != nil {
@@ -278,12 +281,12 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode/100 != 2 {
-		return fmt.Errorf("rig: sender n%d: %s: %s", p.num, verb, response.Status)
+		return fmt.Errorf("harness: sender n%d: %s: %s", p.num, verb, response.Status)
 	}
 	return nil
 }
 
-// wipeState empties the state folder of a sender whose process has ended.
+// wipeState deletes the contents of the sender's state folder. The process must have ended.
 func (p *Process) wipeState() error {
 	return errors.Join(os.RemoveAll(p.spec.State), os.MkdirAll(p.spec.State, 0o700))
 }
--- a/internal/harness/process_config.go
+++ b/internal/harness/process_config.go
@@ -9,19 +9,20 @@
 	"cleathold/internal/simulation"
 )
 
-// A ProcessSpec is where a sender runs, and what it has there. Without a PeerListen it exchanges no gossip.
+// A ProcessSpec contains the addresses, state folder and limits of a sender. Without PeerListen the sender does not
+// exchange gossip.
 type ProcessSpec struct {
 	Listen, Discovery string // addresses
 	State             string // folder
 	MemoryMB          float64
 	Sockets           int      // file descriptors; 0 = 1,024
 	PeerListen        string   // address for gossip
-	PeersAll          string   // address that reaches all peers
-	Peers             []string // addresses of all senders, by their numbers
-	Admin             string   // second address, of the admin API; empty: it has none
+	PeersAll          string   // address for messages to all peers
+	Peers             []string // gossip addresses of all senders, by sender number
+	Admin             string   // address of the admin API; empty = none
 }
 
-// A senderConfig is a sender's configuration file. Its keys are written in the order of the alphabet.
+// A senderConfig is the content of a sender's configuration file. The keys are written in alphabetical order.
 type senderConfig struct {
 	Admin       string         `json:"admin,omitempty"`
 	Discovery   string         `json:"discovery"`
@@ -34,14 +35,14 @@
 	State       string         `json:"state"`
 }
 
-// peerConfig is the part of a configuration that lets a sender exchange gossip.
+// A peerConfig is the part of a sender's configuration that enables gossip.
 type peerConfig struct {
 	Listen string   `json:"peer_listen"`
 	Peers  []string `json:"peers"`
 	All    string   `json:"peers_all"`
 }
 
-// A knownList is the endpoint list that a sender has before its first poll.
+// A knownList is the endpoint list that a sender uses before its first poll.
 type knownList struct {
 	Full    bool  `json:"full"`
 	Servers []any `json:"servers"`
@@ -56,7 +57,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Configure writes the configuration file of a plan's sender.
+// Configure writes the configuration file of a sender of the plan.
 func Configure(path string, p *scenario.Plan, sender int, spec ProcessSpec) error {
 	if spec.Sockets <= 0 {
 		spec.Sockets = defaultSockets
@@ -74,22 +75,22 @@
 	return writeConfig(path, config)
 }
 
-// Reconfigure puts the settings of a planned action into an existing configuration file, and leaves its other keys as
-// they are, whoever wrote them.
+// Reconfigure replaces the settings in an existing configuration file by those of a planned action. All other keys stay
+// unchanged, including keys that Configure did not write.
 func Reconfigure(path string, a scenario.PlannedAction, p *scenario.Plan) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("rig: %w", err)
+		return fmt.Errorf("harness: %w", err)
 	}
 	config := map[string]any{}
 	if err := json.Unmarshal(text, &config); err != nil {
-		return fmt.Errorf("rig: %s: %w", path, err)
+		return fmt.Errorf("harness: %s: %w", path, err)
 	}
 	config["settings"] = simulation.UpdatedSettings(p, a)
 	return writeConfig(path, config)
 }
 
-// writeConfig replaces a file in one step, since a sender may read it at any time.
+// writeConfig replaces a file atomically, since a sender may read it at any time.
 func writeConfig(path string, config any) error {
 	text, err := json.MarshalIndent(config, "", " ")
 	if err == nil {
@@ -99,7 +100,7 @@
 		err = os.Rename(path+".new", path)
 	}
 	if err != nil {
-		return fmt.Errorf("rig: %w", err)
+		return fmt.Errorf("harness: %w", err)
 	}
 	return nil
 }
--- a/internal/harness/process_config_test.go
+++ b/internal/harness/process_config_test.go
@@ -9,7 +9,8 @@
 	"cleathold/internal/scenario"
 )
 
-// A configuration has the keys of a sender's file and no others, and Reconfigure changes nothing but the settings.
+// TestConfigure checks that a configuration file contains exactly the keys of a sender's configuration, and that
+// Reconfigure changes only the settings.
 func TestConfigure(t *testing.T) {
 	s, err := scenario.Load("../../examples/scenarios/building-refuses.star", nil)
 	if err != nil {
--- a/internal/harness/reserved_port.go
+++ b/internal/harness/reserved_port.go
@@ -6,14 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// reservePort reserves a free port on loopback for as long as the returned socket is open. Only the sender that is
-// meant listens there: the port is bound exclusively first, so that another harness gets another one, and only then
-// opened to those that bind with SO_REUSEADDR, as every listener of package net does. A bound socket that does not
-// listen refuses connections, as the port of a process that has ended does.
+// reservePort reserves a free port on loopback for as long as the returned socket is open. The port is first bound
+// exclusively, so that other harness processes get different ports. SO_REUSEADDR is set only afterwards, so that the
+// sender can bind the port, too: listeners of package net always set SO_REUSEADDR. While the sender does not listen,
+// connections are refused, as on the port of a process that has ended.
 func reservePort() (fd int, addr string, err error) {
 	fd, err = unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return -1, "", fmt.Errorf("rig: %w", err)
+		return -1, "", fmt.Errorf("harness: %w", err)
 	}
 	err = unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	if err == nil {
@@ -25,7 +25,7 @@
 	}
 	if err != nil {
 		unix.Close(fd)
-		return -1, "", fmt.Errorf("rig: a port for a sender: %w", err)
+		return -1, "", fmt.Errorf("harness: reserving a port for a sender: %w", err)
 	}
 	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port), nil
 }
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -18,37 +18,37 @@
 )
 
 const (
-	finishTimeout    = 30 * time.Second // a run goes on for so long after the last arrival, at most
-	idleInterval     = 200 * time.Millisecond
+	finishTimeout    = 30 * time.Second       // maximum time that a run continues after the scenario's length
+	idleInterval     = 200 * time.Millisecond // between checks whether all messages have an outcome
 	progressInterval = 5 * time.Second
-	maxLagMillis     = 5.0 // at the 99th percentile; the result of a run with a greater lag says so
+	maxLagMillis     = 5.0 // 99th percentile above which the result contains a warning
 )
 
-// Setup is what a run on sockets needs.
+// Setup contains the parameters of a run on sockets.
 type Setup struct {
 	Plan     *scenario.Plan
-	Program  string // of the senders
-	Folder   string // for their configurations, states and logs
-	Settings string // a settings script for them; may be empty
+	Program  string // path of the senders' program
+	Folder   string // for the senders' configurations, states and logs
+	Settings string // path of the senders' settings script; may be empty
 	Log      *slog.Logger
-	Progress io.Writer               // nil: progress is not shown
-	Sink     func(audit.Event) error // gets each event, in order; may be nil
-	MemoryMB float64                 // limit of each sender; 0 = 192
-	ReadyIn  time.Duration           // a sender must be ready so long after its start; 0 = 30 s
+	Progress io.Writer               // nil = progress is not shown
+	Sink     func(audit.Event) error // called for each event, in order; may be nil
+	MemoryMB float64                 // memory limit of each sender; 0 = 192
+	ReadyIn  time.Duration           // time limit for a sender to become ready after its start; 0 = 30 s
 	Faults   Faults
 }
 
-// Result is what a run on sockets showed.
+// Result is the result of a run on sockets.
 type Result struct {
 	simulation.Result
-	EndpointLag Lag         `json:"rig_lag"` // of the endpoints' answers, against the model
+	EndpointLag Lag         `json:"rig_lag"` // delay of the endpoints' answers relative to the model
 	Clients     ClientStats `json:"clients"`
-	Crashes     int         `json:"crashes"`         // processes that ended without being told to
-	PeakMB      float64     `json:"peak_mb"`         // the largest resident set of a sender that ran to the end
-	Warnings    []string    `json:"marks,omitempty"` // why the result is to be read with care
+	Crashes     int         `json:"crashes"`         // processes that ended unexpectedly
+	PeakMB      float64     `json:"peak_mb"`         // largest peak resident set of the senders that ran to the end
+	Warnings    []string    `json:"marks,omitempty"` // reasons why the result may be unreliable
 }
 
-// addWarnings says why a result is to be read with care.
+// addWarnings adds the reasons why the result may be unreliable.
 func (r *Result) addWarnings() {
 	warnIf := func(applies bool, format string, args ...any) {
 		if applies {
@@ -65,7 +65,7 @@
 	warnIf(r.Crashes > 0, "senders ended %d times without being told to", r.Crashes)
 }
 
-// A run is a plan that is being played. It owns the senders' processes, the links and the addresses; shutDown ends
+// A run executes a plan. It owns the senders' processes, the links and the address blocks; shutDown ends and releases
 // them.
 type run struct {
 	Setup
@@ -75,20 +75,20 @@
 	processes   []*Process
 	links       *netfault.Net
 	blocks      []*netfault.Block
-	supervisors sync.WaitGroup // one for each process, while the plan plays
+	supervisors sync.WaitGroup // one goroutine for each process
 
 	mu       sync.Mutex
 	crashes  int
 	restarts int
 }
 
-// errFinished is the cause of the context's end when the plan was played to its end.
+// errFinished is the cancellation cause of the context of a run that has completed its plan.
 var errFinished = errors.New("over")
 
-// errInterrupted is returned for a run whose context was canceled from outside.
+// errInterrupted is returned for a run whose context was canceled by the caller.
 var errInterrupted = errors.New("broken off")
 
-// Run plays a plan on sockets, to its end or until the context ends. It leaves no process behind in either case.
+// Run executes a plan on sockets until its end or until the context ends. No process is left running in either case.
 func Run(ctx context.Context, s Setup) (Result, error) {
 	env, err := NewEnvironment(ctx, s.Plan, s.Log, s.Sink)
 	if err != nil {
@@ -101,7 +101,7 @@
 		err = r.executePlan()
 	}
 	orderly := err == nil && context.Cause(env.ctx) == nil
-	peak := r.peakMB() // while the processes still run
+	peak := r.peakMB() // must be read while the processes still run
 	r.shutDown(orderly)
 	cause := context.Cause(env.ctx)
 	stats := ClientStats{}
@@ -123,7 +123,7 @@
 	return result, err
 }
 
-// start opens the addresses and starts the senders. It returns when all of them are ready.
+// start opens the addresses, starts the senders and waits until all of them are ready.
 func (r *run) start() error {
 	if err := r.env.OpenEndpoints(); err != nil {
 		return err
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// addProcess prepares a sender and the address by which clients reach it.
+// addProcess prepares a sender and the address at which clients reach it.
 func (r *run) addProcess(number int, spec ProcessSpec) error {
 	p, err := NewProcess(r.Setup, number, filepath.Join(r.Folder, fmt.Sprint("n", number)), spec)
 	if err != nil {
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// readyDeadline is when a sender that starts now must be ready.
+// readyDeadline returns the time by which a sender that is started now must be ready.
 func (r *run) readyDeadline() time.Time {
 	if r.ReadyIn > 0 {
 		return time.Now().Add(r.ReadyIn)
@@ -181,7 +181,7 @@
 	return time.Now().Add(readyTimeout)
 }
 
-// executePlan plays the plan, until all messages have an outcome or drainTimeout after its length.
+// executePlan executes the plan until all messages have an outcome, or until finishTimeout after the scenario's length.
 func (r *run) executePlan() error {
 	env := r.env
 	env.Begin()
@@ -226,7 +226,7 @@
 		r.env.currentTime().Truncate(100*time.Millisecond), r.Plan.Scenario.Length, s.Messages, s.Service, r.env.Open())
 }
 
-// peakMB is the largest resident set of the senders that run.
+// peakMB returns the largest peak resident set of the running senders.
 func (r *run) peakMB() float64 {
 	peak := 0.0
 	for _, p := range r.processes {
@@ -235,13 +235,13 @@
 	return peak
 }
 
-// shutDown ends the environment's context and the senders, by SIGTERM if it is to be orderly, and frees the addresses.
+// shutDown cancels the environment's context, stops the senders, with SIGTERM if orderly, and releases the addresses.
 func (r *run) shutDown(orderly bool) {
 	if orderly {
 		r.env.cancel(errFinished)
 	}
-	r.env.cancel(context.Canceled) // no effect after another cause
-	r.supervisors.Wait()           // nobody starts a process any more
+	r.env.cancel(context.Canceled) // no effect if the context was canceled with another cause before
+	r.supervisors.Wait()           // no process is started after this
 	var wg sync.WaitGroup
 	for _, p := range r.processes {
 		wg.Go(func() {
--- a/internal/harness/sender_pool.go
+++ b/internal/harness/sender_pool.go
@@ -13,22 +13,23 @@
 	"cleathold/internal/simulation"
 )
 
-// maxIdleConns bounds the idle connections to one sender.
+// maxIdleConns limits the number of idle connections to one sender.
 const maxIdleConns = 256
 
-// errResponseTimeout means that no response came while a client waited.
-var errResponseTimeout = errors.New("no answer in time")
+// errResponseTimeout means that no response arrived before the client's deadline.
+var errResponseTimeout = errors.New("no response before the deadline")
 
-// A senderPool is a sender as its clients see it: whether it takes clients, and the idle connections to it.
+// A senderPool contains the clients' information about one sender: the idle connections to it, and whether the clients'
+// load balancer may choose it.
 type senderPool struct {
 	addr string
 
 	mu        sync.Mutex
 	idle      []*clientConn
-	closed    bool      // no connection is kept any more
-	draining  bool      // the sender says that it wants no clients
-	downSince time.Time // since when no process serves; zero: one does
-	upSince   time.Time // since when one serves again
+	closed    bool      // connections are closed instead of kept
+	draining  bool      // the sender's health check reports that it does not accept clients
+	downSince time.Time // since when the sender's process is down; zero = a process serves
+	upSince   time.Time // when the sender's process became available again
 }
 
 // A clientConn is one connection of a client to a sender.
@@ -37,8 +38,8 @@
 	reader *bufio.Reader
 }
 
-// SetDown tells the clients' load balancer that the process of a sender has ended, or serves again. It still sends
-// clients to a sender that is down until simulation.DeadSenderTimeout has passed.
+// SetDown notifies the clients' load balancer that the process of a sender has ended or serves again. The load balancer
+// still chooses a sender that is down until simulation.DeadSenderTimeout has passed.
 func (c *Clients) SetDown(sender int, down bool) {
 	p := c.senders[sender]
 	p.mu.Lock()
@@ -52,7 +53,7 @@
 	p.downSince, p.upSince = time.Time{}, time.Now()
 }
 
-// SetDraining tells the clients' load balancer what a sender's health check says. It takes effect at once.
+// SetDraining notifies the clients' load balancer of the result of a sender's health check. It takes effect at once.
 func (c *Clients) SetDraining(sender int, draining bool) {
 	p := c.senders[sender]
 	p.mu.Lock()
@@ -60,7 +61,7 @@
 	p.draining = draining
 }
 
-// chooseSender picks a sender for a submission at random, among those that are not known to be gone.
+// chooseSender picks a random sender for a submission, preferring senders that are available.
 func (c *Clients) chooseSender() (int, *senderPool) {
 	c.mu.Lock()
 	first := c.rng.IntN(len(c.senders))
@@ -74,8 +75,8 @@
 	return first, c.senders[first]
 }
 
-// unavailable reports whether the clients' load balancer sends nobody to the sender. With keepConnections a sender that
-// is down still gets clients for as long as there are connections to it.
+// unavailable reports whether the clients' load balancer excludes the sender. With keepConnections, a sender that is
+// down is not excluded as long as there are idle connections to it.
 func (p *senderPool) unavailable(keepConnections bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +84,7 @@
 	return p.draining || down && !(keepConnections && len(p.idle) > 0)
 }
 
-// get takes an idle connection, or opens one.
+// get returns an idle connection, or a new one if there is none.
 func (p *senderPool) get(deadline time.Time) (c *clientConn, reused bool, err error) {
 	p.mu.Lock()
 	if n := len(p.idle); n > 0 {
@@ -100,12 +101,12 @@
 func (p *senderPool) dial(deadline time.Time) (*clientConn, error) {
 	conn, err := (&net.Dialer{Deadline: deadline}).Dial("tcp4", p.addr)
 	if err != nil {
-		return nil, fmt.Errorf("no connection to a sender: %w", err)
+		return nil, fmt.Errorf("connecting to a sender: %w", err)
 	}
 	return &clientConn{conn, bufio.NewReader(conn)}, nil
 }
 
-// put keeps a connection for another submission, or closes it.
+// put returns a connection to the pool for another submission, or closes it if the pool is closed or full.
 func (p *senderPool) put(c *clientConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,8 +126,8 @@
 	p.idle, p.closed = nil, true
 }
 
-// roundTrip sends a request and reads the response. Its error is errResponseTimeout if nothing of a response came in
-// time, and io.EOF if the connection was closed or reset before any of it came.
+// roundTrip sends a request and reads the response. It returns errResponseTimeout if no byte of a response arrived
+// before the deadline, and io.EOF if the connection was closed or reset before that.
 func (c *clientConn) roundTrip(request []byte, deadline time.Time) (*http.Response, error) {
 	c.SetDeadline(deadline)
 	_, err := c.Write(request)
--- a/internal/harness/server_conn.go
+++ b/internal/harness/server_conn.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	idleTimeout    = 15 * time.Second // an idle connection is closed by the endpoint after it
-	requestTimeout = 10 * time.Second // by when a request that has begun must have arrived
-	// timeoutSlack tells a timeout from a cancellation: a sender that stops waiting this close to the end of its
-	// announced time has timed out; one that stops sooner has canceled the call.
+	idleTimeout    = 15 * time.Second // the endpoint closes connections that are idle for this long
+	requestTimeout = 10 * time.Second // from the first byte of a request to its last
+	// timeoutSlack distinguishes timeouts from cancellations: a sender that closes the connection less than this before
+	// the end of its announced waiting time, or later, has timed out; one that closes it earlier has canceled the call.
 	timeoutSlack = 30 * time.Millisecond
 )
 
-// A serverConn is one connection of a sender to an endpoint. Its fields other than those of the listener's
-// environment are touched by the connection's goroutine alone.
+// A serverConn is the endpoint's side of a connection from a sender. Its fields are used by the connection's goroutine
+// only, except for the environment behind listener.
 type serverConn struct {
 	listener          *endpointListener
 	conn              net.Conn
 	reader            *bufio.Reader
-	endpoint          string // the listener's endpoint when the connection came
+	endpoint          string // the listener's endpoint when the connection was accepted
 	dest              int
 	zone              int
-	networkDelay      time.Duration // one direction, between the zones of sender and endpoint
-	overCapacity      bool          // accepted beyond the endpoint's connections: it answers once and closes
-	firstCall         bool          // nothing was served on it yet
-	modelDisconnected bool          // the model no longer counts it
+	networkDelay      time.Duration // one-way delay between the zones of sender and endpoint
+	overCapacity      bool          // accepted beyond the endpoint's connection limit: answers one call, then closes
+	firstCall         bool          // no call has been served on the connection yet
+	modelDisconnected bool          // the model no longer counts the connection
 }
 
-// serve registers a new connection with the model, and serves its calls until one of them ends it.
+// serve registers a new connection with the model, and serves its calls until the connection must be closed.
 func (e *endpointListener) serve(conn net.Conn) {
 	s, ok := e.register(conn)
 	if !ok {
@@ -54,7 +54,8 @@
 	conn.Close()
 }
 
-// register tells the model of a connection; false if the endpoint refuses it or is no longer listening.
+// register registers a connection with the model. It returns false if the endpoint refuses the connection or no longer
+// listens.
 func (e *endpointListener) register(conn net.Conn) (*serverConn, bool) {
 	env := e.env
 	env.mu.Lock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// serveNext reads and serves one call. It returns false if the connection ends with it.
+// serveNext reads and serves one call. It returns false if the connection must be closed.
 func (s *serverConn) serveNext() bool {
 	s.conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	if _, err := s.reader.Peek(1); err != nil {
@@ -104,7 +105,7 @@
 }
 
 // awaitLink waits until the link from the sender, or the one back to it, passes data, and then for the link's delay. It
-// returns false if the sender closed the connection meanwhile or the run ends.
+// returns false if the sender has closed the connection in the meantime or the run ends.
 func (s *serverConn) awaitLink(back bool, peerGone <-chan bool) bool {
 	env, waited := s.listener.env, false
 	for {
@@ -133,7 +134,7 @@
 	}
 }
 
-// writeAnswer writes an answer in the form of PROTOCOL. It returns false if the connection ends with it.
+// writeAnswer writes an answer in the format that PROTOCOL defines. It returns false if the connection must be closed.
 func (s *serverConn) writeAnswer(a partner.Answer, c *receivedCall) bool {
 	status, header, body := http.StatusOK, "", ""
 	switch a.Kind {
@@ -168,7 +169,7 @@
 	return err == nil && !s.overCapacity
 }
 
-// peerClosed reports whether the other end of a connection has closed it, though there may still be data to read.
+// peerClosed reports whether the peer has closed the connection, even if unread data is still buffered.
 func peerClosed(c net.Conn) (closed bool) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/internal/harness/standalone.go
+++ b/internal/harness/standalone.go
@@ -13,7 +13,7 @@
 )
 
 // Serve opens a plan's endpoints, discovery and receiver of delivery reports on loopback addresses, writes a
-// configuration for each sender, and stays until the context ends. The senders are started by others. The plan's
+// configuration file for each sender, and serves until the context ends. It does not start the senders. The plan's
 // clock starts at once.
 func Serve(ctx context.Context, s Setup, out io.Writer) (Result, error) {
 	env, err := NewEnvironment(ctx, s.Plan, s.Log, s.Sink)
@@ -33,15 +33,15 @@
 	}
 	r := Result{Result: env.Close(), EndpointLag: summarizeLag(env.lag)}
 	r.addWarnings()
-	// The submissions are not seen here, and most of the rules rest on them.
+	// Without the submissions, which are not observed here, most rules cannot be checked.
 	r.Violations = nil
 	r.Warnings = append(r.Warnings,
 		"service and rules are not judged: what clients elsewhere hand in is not seen here")
 	return r, err
 }
 
-// prepareSenders opens what the senders need and writes their configurations. It returns those that hold a port, also
-// with an error.
+// prepareSenders opens the endpoints and discovery and writes the senders' configuration files. The returned processes
+// hold reserved ports, even if an error is returned.
 func prepareSenders(env *Environment, s Setup, out io.Writer) ([]*Process, error) {
 	if err := env.OpenEndpoints(); err != nil {
 		return nil, err
@@ -64,13 +64,13 @@
 	return processes, nil
 }
 
-// Load submits a plan's arrivals to senders that run elsewhere, and judges nothing but the clients' side. Its error
-// says why it ended before the plan.
+// Load submits a plan's arrivals to senders that were started separately, and returns only the clients' measurements.
+// The error is the reason if it ended before the plan did.
 func Load(
 	ctx context.Context, p *scenario.Plan, addresses []string, log *slog.Logger, progress io.Writer,
 ) (ClientStats, error) {
 	if len(addresses) == 0 {
-		return ClientStats{}, errors.New("load: no address to hand in to")
+		return ClientStats{}, errors.New("load: no sender address given")
 	}
 	env, err := NewEnvironment(ctx, p, log, nil)
 	if err != nil {
--- a/internal/harness/supervise.go
+++ b/internal/harness/supervise.go
@@ -7,14 +7,14 @@
 	"cleathold/internal/scenario"
 )
 
-// A supervisor injects the plan's actions into one sender, and starts its process again after each end.
+// A supervisor executes the plan's actions on one sender, and restarts its process whenever it has ended.
 type supervisor struct {
 	run     *run
 	process *Process
 	number  int // of the sender
 }
 
-// supervise runs the supervisor of one sender, until the run ends.
+// supervise runs the supervisor of one sender until the run ends.
 func (r *run) supervise(number int) {
 	s := &supervisor{run: r, process: r.processes[number], number: number}
 	env := r.env
@@ -51,7 +51,8 @@
 	}
 }
 
-// dueActions delivers the plan's actions for the sender, each when it is due, and is closed after the last one.
+// dueActions returns a channel that receives the plan's actions for the sender, each when it is due. The channel is
+// closed after the last one.
 func (s *supervisor) dueActions() <-chan scenario.PlannedAction {
 	env := s.run.env
 	due := make(chan scenario.PlannedAction)
@@ -74,14 +75,14 @@
 	return due
 }
 
-// restart starts the process again after restartDelay, and waits until it is ready. It returns false if the run ends
-// before, or is ended by it because the process does not become ready.
+// restart starts the process again after restartDelay and waits until it is ready. If the process does not start or
+// does not become ready, restart ends the run. It returns false if the run has ended.
 func (s *supervisor) restart() bool {
 	env := s.run.env
 	if !env.sleep(restartDelay) {
 		return false
 	}
-	s.run.clients.SetDraining(s.number, false) // an operator's drain ends with the process
+	s.run.clients.SetDraining(s.number, false) // a drain order does not survive a restart
 	if err := s.process.Start(); err != nil {
 		env.cancel(err)
 		return false
@@ -96,19 +97,19 @@
 	return true
 }
 
-// recordDown tells the auditor and the clients that the process serves no more.
+// recordDown notifies the auditor and the clients that the process no longer serves.
 func (s *supervisor) recordDown(cause string) {
 	s.run.env.Record(audit.Event{Kind: audit.Died, Sender: s.number, Cause: cause})
 	s.run.clients.SetDown(s.number, true)
 }
 
-// recordUp tells them that it serves again.
+// recordUp notifies the auditor and the clients that the process serves again.
 func (s *supervisor) recordUp() {
 	s.run.env.Record(audit.Event{Kind: audit.Ready, Sender: s.number})
 	s.run.clients.SetDown(s.number, false)
 }
 
-// executeAction carries out an action, and reports whether the process has ended by it.
+// executeAction executes an action, and reports whether it has ended the process.
 func (s *supervisor) executeAction(a scenario.PlannedAction) (ended bool) {
 	p, env := s.process, s.run.env
 	switch a.What {
@@ -153,7 +154,8 @@
 	return false
 }
 
-// scheduleUndo calls a function when an action is over, unless the process that it was injected into has ended by then.
+// scheduleUndo calls undo when the action is over, unless the process on which the action was executed has ended by
+// then.
 func (s *supervisor) scheduleUndo(a scenario.PlannedAction, undo func()) {
 	if a.Until == 0 {
 		return
@@ -171,7 +173,8 @@
 	})
 }
 
-// sendOrder gives the process an sendOrder of the operators, and tells the clients what its health check says from then on.
+// sendOrder sends an operator's order to the process, and notifies the clients of the resulting state of its health
+// check.
 func (s *supervisor) sendOrder(verb string, draining bool) {
 	if err := s.process.sendOrder(verb); err != nil {
 		s.run.env.log.Warn("operator order failed", "sender", s.number, "order", verb, "err", err)
--- a/internal/netfault/block.go
+++ b/internal/netfault/block.go
@@ -7,23 +7,22 @@
 	"os"
 )
 
-// A Block is a range of loopback addresses that no other process of this machine takes from this package.
+// A Block is a range of loopback addresses. No other process on the same machine gets the same block from this package.
 type Block struct {
 	prefix string
 	lock   net.Listener
 }
 
 const (
-	// lockPort on the first address of a block is listened on by the process that has the block.
-	lockPort  = 20007
+	lockPort  = 20007     // the owner of a block listens on this port of the block's first address
 	maxBlocks = 100 * 256 // 127.20.0.0 to 127.119.255.0
 )
 
-// errNoBlock means that many blocks were tried and all of them were taken.
-var errNoBlock = errors.New("fault: no free block of loopback addresses")
+// errNoBlock means that 1000 blocks were tried and all of them were in use.
+var errNoBlock = errors.New("netfault: no free block of loopback addresses")
 
-// NewBlock takes a free block. The platform's ports can be used on each of its addresses, as on machines of their
-// own. The caller closes it.
+// NewBlock reserves a free block. The platform's usual ports can be used on each of its addresses, as on separate
+// machines. The caller must call Close.
 func NewBlock() (*Block, error) {
 	for i := range 1000 {
 		k := (os.Getpid() + i*257) % maxBlocks
@@ -36,8 +35,8 @@
 	return nil, errNoBlock
 }
 
-// Host returns an address of the block, by a number from 2 to 254.
+// Host returns the address with the given number in the block, from 2 to 254.
 func (b *Block) Host(n int) string { return fmt.Sprintf("%s%d", b.prefix, n) }
 
-// Close gives the block back.
+// Close releases the block.
 func (b *Block) Close() { b.lock.Close() }
--- a/internal/netfault/doc.go
+++ b/internal/netfault/doc.go
@@ -1,6 +1,7 @@
-// Package netfault puts links between processes on loopback addresses: connections and datagrams pass through them,
-// and each direction of each pair of parties can be cut, silent, slow, lossy, duplicating or reordering, and healed.
+// Package netfault proxies connections and datagrams between processes on loopback addresses and injects network
+// faults. Each direction between two parties can be cut, made silent or slow, and made to lose, duplicate or reorder
+// data, and it can be healed.
 //
-// It owns the sockets of the links and the goroutines that serve them, until Net.Close. It must not read or change
-// what passes, and it knows nothing of the parties but their names.
+// The package owns the sockets of the links and the goroutines that serve them until Net.Close. It must not interpret
+// or change the data, and it identifies parties only by their names.
 package netfault
--- a/internal/netfault/netfault_test.go
+++ b/internal/netfault/netfault_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startEchoServer sends back what it reads, and returns its address.
+// startEchoServer starts a server that sends back what it reads, and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -52,7 +52,7 @@
 	return &lineConn{t, c, bufio.NewReader(c)}
 }
 
-// exchange sends a line and reads it back, within a timeout.
+// exchange sends a line and reads the echo within a timeout.
 func (l *lineConn) exchange(text string, timeout time.Duration) error {
 	l.SetDeadline(time.Now().Add(timeout))
 	if _, err := fmt.Fprintln(l, text); err != nil {
@@ -67,8 +67,8 @@
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// A connection in each state of its directions: what is sent while one is silent arrives when it is healed, and a cut
-// breaks the connection and those that come after.
+// TestTCP checks a connection with faults in each direction: data that is sent while a direction is silent arrives when
+// it is healed, a cut resets the connection and later ones, and a delay applies in both directions.
 func TestTCP(t *testing.T) {
 	n := New(1)
 	defer n.Close()
@@ -99,11 +99,11 @@
 		t.Errorf("cut: %v", err)
 	}
 	n.Set("a", "b", State{Cut: true})
-	// The break may come while the kernel still connects.
+	// The reset may occur while the kernel is still connecting.
 	if c, err := net.Dial("tcp4", addr); err == nil {
 		l := &lineConn{t, c, bufio.NewReader(c)}
 		if err := l.exchange("one", long); err == nil || isTimeout(err) {
-			t.Errorf("a new one while it is cut: %v", err)
+			t.Errorf("a new connection during the cut: %v", err)
 		}
 		c.Close()
 	}
@@ -143,13 +143,14 @@
 	return p
 }
 
-// send sends a text from a party to an address.
+// send sends text from a party to an address.
 func (p *udpParties) send(from int, to, text string) {
 	a, _ := net.ResolveUDPAddr("udp4", to)
 	p.conns[from].WriteTo([]byte(text), a)
 }
 
-// receive returns the next text that comes to a party, after the number of its sender; empty if none comes in time.
+// receive returns the next datagram that a party receives, prefixed with the number of its sender; the empty string if
+// none arrives before the timeout.
 func (p *udpParties) receive(at int, timeout time.Duration) string {
 	b := make([]byte, 100)
 	p.conns[at].SetReadDeadline(time.Now().Add(timeout))
@@ -162,17 +163,18 @@
 			return fmt.Sprintf("%d:%s", i, b[:k])
 		}
 	}
-	return "a stranger"
+	return "unknown sender"
 }
 
-// Datagrams come from the address that the others know, and are lost and doubled by the state of their direction.
+// TestUDP checks that datagrams arrive from the public address of their sender, and that they are lost or duplicated
+// according to the state of their direction.
 func TestUDP(t *testing.T) {
 	p := newUDPParties(t)
 	n, d := p.network, p.datagrams
 	const soon, long = 50 * time.Millisecond, 20 * time.Second
 	p.send(0, d.All(0), "x")
 	if a, b, c := p.receive(1, long), p.receive(2, long), p.receive(0, soon); a != "0:x" || b != "0:x" || c != "" {
-		t.Errorf("to all: %q, %q, and at its sender %q", a, b, c)
+		t.Errorf("to all: %q, %q, and back at the sender %q", a, b, c)
 	}
 	p.send(2, d.Peers()[1], "y")
 	if a, c := p.receive(1, long), p.receive(0, soon); a != "2:y" || c != "" {
@@ -185,23 +187,24 @@
 	}
 	p.send(1, d.Peers()[0], "back")
 	if a := p.receive(0, long); a != "1:back" {
-		t.Errorf("the other way: %q", a)
+		t.Errorf("opposite direction: %q", a)
 	}
 	n.Heal()
 	n.Set("n0", "n1", State{Duplicate: 1})
 	p.send(0, d.Peers()[1], "x")
 	if a, b := p.receive(1, long), p.receive(1, long); a != "0:x" || b != "0:x" {
-		t.Errorf("doubled: %q, %q", a, b)
+		t.Errorf("duplicated: %q, %q", a, b)
 	}
 }
 
-// Datagrams are lost with the probability that is set, and those that are not lost arrive.
+// TestUDPLoss checks that datagrams are lost with the configured probability, and that all others arrive.
 func TestUDPLoss(t *testing.T) {
 	p := newUDPParties(t)
 	n, d := p.network, p.datagrams
 	const long = 20 * time.Second
 	n.Set("n0", "n1", State{Loss: 0.5})
-	// One at a time: a socket's buffer holds fewer than 400 datagrams, and the kernel drops the others unseen.
+	// Datagrams are sent one at a time: a socket's buffer holds fewer than 400 datagrams, and the kernel would silently
+	// drop the others.
 	c := n.Counts("n0", "n1")
 	previous, previouslyPassed := c.Chunks+c.Lost, c.Chunks
 	for i := range int64(400) {
@@ -215,7 +218,7 @@
 		if c.Chunks > previouslyPassed {
 			previouslyPassed = c.Chunks
 			if p.receive(1, long) == "" {
-				t.Fatalf("datagram %d passed and did not come", i)
+				t.Fatalf("datagram %d passed and did not arrive", i)
 			}
 		}
 	}
@@ -224,7 +227,7 @@
 	}
 }
 
-// Two blocks share no address, and their hosts can be bound at once.
+// TestBlock checks that two blocks have no address in common and that their hosts can be bound at the same time.
 func TestBlock(t *testing.T) {
 	a, err := NewBlock()
 	if err != nil {
--- a/internal/netfault/network.go
+++ b/internal/netfault/network.go
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// Net is a network of links between named parties. A direction that is not set is sound. It is safe for concurrent use.
+// Net is a network of proxied links between named parties. A direction whose state is not set has no faults, unless a
+// rule is set. It is safe for concurrent use.
 type Net struct {
-	wg sync.WaitGroup // of all goroutines that serve links
+	wg sync.WaitGroup // all goroutines that serve links
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	states  map[direction]State
-	rule    func(from, to string) State // of directions that are not set; nil: they are sound
+	rule    func(from, to string) State // state of directions that are not in states; nil = no faults
 	conns   map[*proxiedConn]bool
-	changed chan struct{} // closed and replaced at each change of states
-	closers []io.Closer   // closed with the network
+	changed chan struct{} // closed and replaced whenever states or the rule change
+	closers []io.Closer   // closed by Close
 	closed  bool
 	counts  map[direction]Count
 }
 
-// New returns a network that draws delays and losses from a seed. The caller closes it.
+// New returns a network. Its delays and losses are drawn from a random generator with the given seed. The caller must
+// call Close.
 func New(seed uint64) *Net {
 	return &Net{
 		rng:     rand.New(rand.NewPCG(seed, 0)),
@@ -33,7 +35,8 @@
 	}
 }
 
-// Set sets the state of one direction; a zero state heals it. Connections that a cut hits break at once.
+// Set sets the state of one direction; the zero state means no faults. Connections through a direction that is cut are
+// reset at once.
 func (n *Net) Set(from, to string, s State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -41,13 +44,13 @@
 	n.applyChange()
 }
 
-// SetBoth is Set in both directions.
+// SetBoth sets the state of both directions between two parties.
 func (n *Net) SetBoth(a, b string, s State) {
 	n.Set(a, b, s)
 	n.Set(b, a, s)
 }
 
-// Partition sets the state between a group and all others among the names, in both directions.
+// Partition sets the state of both directions between each party in group and each other party in all.
 func (n *Net) Partition(group, all []string, s State) {
 	inGroup := map[string]bool{}
 	for _, name := range group {
@@ -62,7 +65,7 @@
 	}
 }
 
-// Heal undoes all Set calls. A rule goes on.
+// Heal discards the states set by Set, SetBoth and Partition. A rule remains in effect.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,8 +73,8 @@
 	n.applyChange()
 }
 
-// SetRule has a rule give the states of the directions that are not set. The rule is called under the network's lock.
-// Who gives it calls Refresh whenever its states change.
+// SetRule sets a function that returns the states of the directions that are not set explicitly. The function is called
+// while the network's lock is held. The caller must call Refresh whenever the returned states change.
 func (n *Net) SetRule(rule func(from, to string) State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -79,21 +82,21 @@
 	n.applyChange()
 }
 
-// Refresh applies the states of the rule anew. Connections that a cut hits break at once.
+// Refresh applies changed states of the rule. Connections through a direction that is cut are reset at once.
 func (n *Net) Refresh() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.applyChange()
 }
 
-// Counts returns what has passed in one direction.
+// Counts returns the counters of one direction.
 func (n *Net) Counts(from, to string) Count {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts[direction{from, to}]
 }
 
-// Close ends all links and waits for the goroutines that serve them. A datagram that is delayed beyond it is lost.
+// Close closes all links and waits for the goroutines that serve them. Datagrams that are still delayed are lost.
 func (n *Net) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -109,7 +112,7 @@
 	n.wg.Wait()
 }
 
-// stateOf is the state of a direction. The caller holds the lock.
+// stateOf returns the state of a direction. The caller must hold n.mu.
 func (n *Net) stateOf(d direction) State {
 	s, set := n.states[d]
 	if !set && n.rule != nil {
@@ -118,14 +121,15 @@
 	return s
 }
 
-// currentState is the state of a direction, with a channel that is closed at the next change of any.
+// currentState returns the state of a direction, and a channel that is closed at the next change of any direction.
 func (n *Net) currentState(d direction) (State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stateOf(d), n.changed
 }
 
-// applyChange breaks connections that are cut now, and wakes all that wait for a change. The caller holds the lock.
+// applyChange resets connections that are cut now, and wakes all goroutines that wait for a change. The caller must
+// hold n.mu.
 func (n *Net) applyChange() {
 	n.wakeWaiters()
 	for c := range n.conns {
@@ -140,7 +144,7 @@
 	n.changed = make(chan struct{})
 }
 
-// randomBool is true with a probability.
+// randomBool returns true with the given probability.
 func (n *Net) randomBool(probability float64) bool {
 	if probability <= 0 {
 		return false
@@ -150,7 +154,7 @@
 	return n.rng.Float64() < probability
 }
 
-// randomDelay draws a delay that is shorter than a bound.
+// randomDelay returns a random delay that is less than bound.
 func (n *Net) randomDelay(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
@@ -176,7 +180,7 @@
 	n.counts[d] = c
 }
 
-// track has something closed with the network. If that is closed already, it closes it at once and returns false.
+// track registers a closer that Close closes. If the network is already closed, it closes c at once and returns false.
 func (n *Net) track(c io.Closer) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/netfault/tcp.go
+++ b/internal/netfault/tcp.go
@@ -8,14 +8,14 @@
 
 const (
 	maxChunkBytes      = 32 << 10
-	maxQueuedChunks    = 256 // pieces of one direction that wait for their time
+	maxQueuedChunks    = 256 // chunks of one direction that wait for the end of their delay
 	dialTimeout        = 2 * time.Second
-	resetCheckInterval = 100 * time.Millisecond // a connection that waits for its link looks so often whether it was reset
+	resetCheckInterval = 100 * time.Millisecond // between checks whether a connection that waits for its link was reset
 )
 
-// A proxiedConn is one connection through a link: the conns to both parties.
+// A proxiedConn is one connection through a link. It consists of the network connections to both parties.
 type proxiedConn struct {
-	from, to string // from opened it
+	from, to string // from is the party that opened the connection
 
 	mu     sync.Mutex
 	conns  []net.Conn
@@ -26,7 +26,7 @@
 
 func (c *proxiedConn) back() direction { return direction{c.to, c.from} }
 
-// addConn makes the connection own a conn. If it was reset already, it closes the conn and returns false.
+// addConn adds the network connection to one of the parties. If c was already reset, it closes conn and returns false.
 func (c *proxiedConn) addConn(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,7 +38,7 @@
 	return true
 }
 
-// reset breaks the connection at both ends.
+// reset resets the connections to both parties.
 func (c *proxiedConn) reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,8 +57,8 @@
 	return c.closed
 }
 
-// TCP opens an address on a host by which one party reaches another's address, the target. Nobody need listen there
-// yet. The link ends with the network.
+// TCP opens a link and returns its address on host, at which party from reaches the target address of party to. The
+// target need not be listening yet. The link is closed with the network.
 func (n *Net) TCP(from, to, host, target string) (string, error) {
 	l, err := net.Listen("tcp4", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -78,7 +78,7 @@
 	return l.Addr().String(), nil
 }
 
-// serve starts to serve a connection; false if the network is closed.
+// serve starts serving a connection. It returns false if the network is closed.
 func (n *Net) serve(c *proxiedConn, conn net.Conn, target string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -112,7 +112,8 @@
 	wg.Wait()
 }
 
-// awaitPassing waits until a direction passes data; false if it is cut or the connection was reset.
+// awaitPassing waits until a direction passes data. It returns false if the direction is cut or the connection was
+// reset.
 func (n *Net) awaitPassing(c *proxiedConn, d direction) bool {
 	for {
 		s, changed := n.currentState(d)
@@ -129,14 +130,14 @@
 	}
 }
 
-// A chunk is what one read returned, and when it is to be passed on.
+// A chunk is the data of one read and the time at which it is to be forwarded.
 type chunk struct {
 	data []byte
 	at   time.Time
 }
 
-// forward passes on one direction of a connection, in order, each piece after its delay. The end of the stream is
-// passed on, too, unless the direction is silent.
+// forward forwards the chunks of one direction of a connection in order, each after its delay. It also forwards the end
+// of the stream, as soon as the direction passes data.
 func (n *Net) forward(c *proxiedConn, d direction, in, out net.Conn) {
 	queue := make(chan chunk, maxQueuedChunks)
 	go func() {
@@ -144,7 +145,7 @@
 		n.readChunks(d, in, queue)
 	}()
 	failed := false
-	for p := range queue { // to its end even after a failure, or the reader would block for ever
+	for p := range queue { // continues to the end even after a failure, since the reader would block forever otherwise
 		if failed {
 			continue
 		}
@@ -170,7 +171,8 @@
 	}
 }
 
-// readChunks reads a conn to its end, and gives each piece its time. A loss delays a piece and all behind it.
+// readChunks reads a connection until it ends, and sets the time of each chunk. A loss delays a chunk and all later
+// ones.
 func (n *Net) readChunks(d direction, in net.Conn, queue chan<- chunk) {
 	last := time.Time{}
 	for {
--- a/internal/netfault/udp.go
+++ b/internal/netfault/udp.go
@@ -10,27 +10,27 @@
 
 const (
 	maxDatagramBytes = 2048
-	reorderFactor    = 10 // times the jitter, by which a reordered datagram is late
+	reorderFactor    = 10 // a reordered datagram is delayed by this multiple of the jitter
 )
 
-// Datagrams are the links for gossip between parties: each party has an address in the network by which the others
-// know it, and one by which it reaches all of them.
+// Datagrams are the UDP links between parties that exchange gossip. Each party has two addresses in the network: a
+// public address at which the others reach it, and a broadcast address at which it reaches all others.
 type Datagrams struct {
 	network   *Net
 	names     []string
 	listens   []netip.AddrPort // where the parties listen
 	parties   map[netip.AddrPort]int
-	public    []*net.UDPConn // by which the others know a party
-	broadcast []*net.UDPConn // by which a party reaches all others
+	public    []*net.UDPConn // by party: address at which the others reach it
+	broadcast []*net.UDPConn // by party: address at which it reaches all others
 }
 
-// UDP opens links between parties that listen at these addresses. They end with the network.
+// UDP opens links between parties that listen at the given addresses. The links are closed with the network.
 func (n *Net) UDP(host string, names, listens []string) (*Datagrams, error) {
 	d := &Datagrams{network: n, names: names, parties: map[netip.AddrPort]int{}}
 	for i, l := range listens {
 		a, err := netip.ParseAddrPort(l)
 		if err != nil {
-			return nil, fmt.Errorf("fault: %w", err)
+			return nil, fmt.Errorf("netfault: %w", err)
 		}
 		d.listens = append(d.listens, a)
 		d.parties[a] = i
@@ -70,7 +70,7 @@
 	return conn, nil
 }
 
-// Peers returns the addresses in the network of all parties, by their numbers.
+// Peers returns the public addresses of all parties, by party number.
 func (d *Datagrams) Peers() (addresses []string) {
 	for _, conn := range d.public {
 		addresses = append(addresses, conn.LocalAddr().String())
@@ -78,11 +78,11 @@
 	return addresses
 }
 
-// All returns the address by which a party reaches all others.
+// All returns the address at which a party reaches all others.
 func (d *Datagrams) All(party int) string { return d.broadcast[party].LocalAddr().String() }
 
-// receive passes on what comes to an address to some parties, until the address is closed. What comes from nobody of
-// the network is dropped.
+// receive forwards the datagrams that arrive at an address to the given parties, until the address is closed. Datagrams
+// from unknown addresses are dropped.
 func (d *Datagrams) receive(conn *net.UDPConn, to []int) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -101,8 +101,8 @@
 	}
 }
 
-// forward has a datagram arrive by the state of its direction: not at all, once or twice, now or later, from the
-// address by which the receiver knows the sender.
+// forward delivers a datagram according to the state of its direction: it may be lost, duplicated or delayed. The
+// datagram is sent from the public address of its sender.
 func (d *Datagrams) forward(from, to int, data []byte) {
 	n, dir := d.network, direction{d.names[from], d.names[to]}
 	s, _ := n.currentState(dir)
@@ -121,7 +121,7 @@
 		}
 		send := func() {
 			n.recordPassed(dir, len(data))
-			d.public[from].WriteToUDPAddrPort(data, d.listens[to]) // an error is a loss
+			d.public[from].WriteToUDPAddrPort(data, d.listens[to]) // an error counts as a loss
 		}
 		if delay == 0 {
 			send()
