--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -158,7 +158,7 @@
 	c.Clients.Stop()
 	c.clientsRunning.Wait()
 	deadline := time.Now().Add(outcomeTimeout)
-	for time.Now().Before(deadline) && (c.Environment.Open() > 0 || !c.Clients.Idle()) {
+	for time.Now().Before(deadline) && (c.Environment.OpenCount() > 0 || !c.Clients.Idle()) {
 		time.Sleep(finishInterval)
 	}
 	c.Poll.stop()
--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -46,16 +46,16 @@
 
 // Action is a fault or an operator's order in a history.
 type Action struct {
-	At     time.Duration  `json:"at"` // since the start
-	Kind   ActionKind     `json:"what"`
-	Agent  int            `json:"agent,omitempty"`
-	Other  int            `json:"other,omitempty"` // the other agent of an AgentLink
-	Sender int            `json:"sender,omitempty"`
-	Of     []string       `json:"of,omitempty"`  // senders of a drain or release
-	For    time.Duration  `json:"for,omitempty"` // duration of a fault, or how long a drain holds a sender
-	State  netfault.State `json:"state,omitzero"`
-	Good   bool           `json:"good,omitempty"` // of a release: the program works
-	Back   bool           `json:"back,omitempty"` // of a release: it is rolled back when it fails
+	At                time.Duration  `json:"at"` // since the start
+	Kind              ActionKind     `json:"what"`
+	Agent             int            `json:"agent,omitempty"`
+	Other             int            `json:"other,omitempty"` // the other agent of an AgentLink
+	Sender            int            `json:"sender,omitempty"`
+	Senders           []string       `json:"of,omitempty"`  // senders of a drain or release
+	Duration          time.Duration  `json:"for,omitempty"` // duration of a fault, or how long a drain holds a sender
+	State             netfault.State `json:"state,omitzero"`
+	Works             bool           `json:"good,omitempty"` // of a release: the program works
+	RollBackOnFailure bool           `json:"back,omitempty"` // of a release: it is rolled back when it fails
 
 	planned scenario.PlannedAction // the planned action from which FromPlan created this one
 }
@@ -118,13 +118,13 @@
 	for at := g.randomBetween(0, time.Second); at < h.Length; at += g.randomBetween(h.Length/15, h.Length/6) {
 		a := Action{
 			At: at, Kind: DrainOrder, Agent: rng.IntN(h.Agents),
-			For: g.randomBetween(100*time.Millisecond, 900*time.Millisecond),
+			Duration: g.randomBetween(100*time.Millisecond, 900*time.Millisecond),
 		}
 		for _, i := range rng.Perm(h.Senders)[:1+rng.IntN(max(1, h.Senders/3))] {
-			a.Of = append(a.Of, fmt.Sprint("n", i))
+			a.Senders = append(a.Senders, fmt.Sprint("n", i))
 		}
 		if rng.IntN(3) == 0 {
-			a.Kind, a.Good, a.Back = ReleaseOrder, rng.IntN(3) > 0, rng.IntN(2) == 0
+			a.Kind, a.Works, a.RollBackOnFailure = ReleaseOrder, rng.IntN(3) > 0, rng.IntN(2) == 0
 		}
 		g.add(a)
 		if rng.IntN(4) == 0 {
@@ -148,7 +148,7 @@
 	for at := g.randomBetween(500*time.Millisecond, 2*time.Second); at < h.Length; at += g.randomBetween(minGap, maxGap) {
 		a := Action{
 			At: at, Agent: rng.IntN(h.Agents), Other: rng.IntN(h.Agents), Sender: rng.IntN(h.Senders),
-			For: g.randomBetween(300*time.Millisecond, 5*time.Second),
+			Duration: g.randomBetween(300*time.Millisecond, 5*time.Second),
 		}
 		switch n := rng.IntN(13); {
 		case n < 2:
@@ -181,18 +181,18 @@
 	}
 	for _, a := range p.AgentActions {
 		h.Actions = append(h.Actions, Action{
-			At: a.At, Kind: ActionKind(a.What + " agent"), Agent: a.Agent, For: a.Until - a.At,
+			At: a.At, Kind: ActionKind(a.What + " agent"), Agent: a.Agent, Duration: a.Until - a.At,
 		})
 	}
 	for _, o := range p.Orders {
 		h.Actions = append(h.Actions, Action{
-			At: o.At, Kind: ActionKind(o.What), Agent: o.Agent, Of: o.Of, For: o.Hold, Good: !o.FailsAtStart,
-			Back: o.RollBackOnFailure,
+			At: o.At, Kind: ActionKind(o.What), Agent: o.Agent, Senders: o.Of, Duration: o.Hold, Works: !o.FailsAtStart,
+			RollBackOnFailure: o.RollBackOnFailure,
 		})
 	}
 	for _, a := range p.Actions {
 		h.Actions = append(h.Actions, Action{
-			At: a.At, Kind: ActionKind(a.What + " sender"), Sender: a.Sender, For: max(0, a.Until-a.At), planned: a,
+			At: a.At, Kind: ActionKind(a.What + " sender"), Sender: a.Sender, Duration: max(0, a.Until-a.At), planned: a,
 		})
 	}
 	sortActions(h.Actions)
--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -95,7 +95,7 @@
 		}
 		time.Sleep(time.Until(started.Add(a.At)))
 		if undo := p.executeAction(a); undo != nil {
-			undos = append(undos, scheduledUndo{time.Now().Add(a.For), undo})
+			undos = append(undos, scheduledUndo{time.Now().Add(a.Duration), undo})
 			slices.SortStableFunc(undos, func(a, b scheduledUndo) int { return a.at.Compare(b.at) })
 		}
 		if ctx.Err() != nil {
@@ -157,7 +157,7 @@
 	switch a.Kind {
 	case DrainOrder:
 		p.order(a.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
-			Kind: rollout.Drain, Stages: [][]string{a.Of}, Hold: a.For,
+			Kind: rollout.Drain, Stages: [][]string{a.Senders}, Hold: a.Duration,
 		}})
 	case ReleaseOrder:
 		p.release(a)
@@ -185,11 +185,11 @@
 	if p.releases%2 == 0 { // alternate between two paths, since a release needs a different program path
 		to.Program = p.cluster.Program
 	}
-	if !a.Good {
+	if !a.Works {
 		to.Program = p.failingProgram
 	}
 	p.order(a.Agent, rollout.Command{Verb: rollout.Start, New: &rollout.Plan{
-		Kind: rollout.Release, To: to, RollBackOnFailure: a.Back, Stages: [][]string{a.Of},
+		Kind: rollout.Release, To: to, RollBackOnFailure: a.RollBackOnFailure, Stages: [][]string{a.Senders},
 		Gate: rollout.Gate{MinMessages: 3, Soak: 200 * time.Millisecond, Wait: 3 * time.Second, Slack: 0.5},
 	}})
 }
@@ -213,7 +213,7 @@
 	if now.Before(p.agentBusyUntil[a.Agent]) {
 		return nil
 	}
-	p.agentBusyUntil[a.Agent] = now.Add(a.For + time.Second)
+	p.agentBusyUntil[a.Agent] = now.Add(a.Duration + time.Second)
 	if a.Kind == StopAgent {
 		c.SignalAgent(a.Agent, syscall.SIGSTOP)
 		return func() { c.SignalAgent(a.Agent, syscall.SIGCONT) }
@@ -232,7 +232,7 @@
 	if pid == 0 || now.Before(p.senderBusyUntil[a.Sender]) {
 		return nil
 	}
-	p.senderBusyUntil[a.Sender] = now.Add(a.For + time.Second)
+	p.senderBusyUntil[a.Sender] = now.Add(a.Duration + time.Second)
 	syscall.Kill(pid, syscall.SIGSTOP)
 	return func() { syscall.Kill(pid, syscall.SIGCONT) }
 }
--- a/internal/cluster/prepare.go
+++ b/internal/cluster/prepare.go
@@ -79,7 +79,7 @@
 
 // prepareSenders writes the senders' configuration files, and returns the addresses at which clients reach them.
 func (c *Cluster) prepareSenders(platform []string) (addresses []string, err error) {
-	var listens []string
+	var gossipAddresses []string
 	for i := range c.Senders {
 		host := c.blocks[i/maxHostsPerBlock].Host(20 + i%maxHostsPerBlock)
 		c.Names = append(c.Names, fmt.Sprint("n", i))
@@ -88,9 +88,9 @@
 			listen: host + ":8080",
 			admin:  [2]string{host + ":9001", host + ":9002"},
 		})
-		listens = append(listens, host+":7946")
+		gossipAddresses = append(gossipAddresses, host+":7946")
 	}
-	gossip, err := c.Net.UDP("127.0.0.1", c.Names, listens)
+	gossip, err := c.Net.UDP("127.0.0.1", c.Names, gossipAddresses)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 		}
 		spec := harness.ProcessSpec{
 			Listen: s.listen, Discovery: discovery, State: state, MemoryMB: senderMemoryMB,
-			PeerListen: listens[i], PeersAll: gossip.All(i), Peers: gossip.Peers(),
+			PeerListen: gossipAddresses[i], PeersAll: gossip.All(i), Peers: gossip.Peers(),
 		}
 		if err := harness.Configure(s.config, c.plan, i, spec); err != nil {
 			return nil, err
--- a/internal/harness/addresses.go
+++ b/internal/harness/addresses.go
@@ -23,7 +23,7 @@
 		r.blocks = append(r.blocks, b)
 	}
 	specs := make([]ProcessSpec, n)
-	var names, listens []string
+	var names, gossipAddresses []string
 	for i := range specs {
 		host := r.blocks[i/maxHostsPerBlock].Host(2 + i%maxHostsPerBlock)
 		specs[i] = ProcessSpec{Discovery: platform[i], Admin: host + ":9001"}
@@ -35,17 +35,17 @@
 			}
 			specs[i].Discovery = addr
 		}
-		names, listens = append(names, name), append(listens, host+":7946")
+		names, gossipAddresses = append(names, name), append(gossipAddresses, host+":7946")
 	}
 	if n == 1 { // no peers
 		return specs, nil
 	}
-	gossip, err := r.links.UDP("127.0.0.1", names, listens)
+	gossip, err := r.links.UDP("127.0.0.1", names, gossipAddresses)
 	if err != nil {
 		return nil, err
 	}
 	for i := range specs {
-		specs[i].PeerListen, specs[i].PeersAll, specs[i].Peers = listens[i], gossip.All(i), gossip.Peers()
+		specs[i].PeerListen, specs[i].PeersAll, specs[i].Peers = gossipAddresses[i], gossip.All(i), gossip.Peers()
 	}
 	return specs, nil
 }
--- a/internal/harness/environment.go
+++ b/internal/harness/environment.go
@@ -150,8 +150,8 @@
 	env.record(e)
 }
 
-// Open returns the number of messages and calls that have no outcome yet.
-func (env *Environment) Open() int {
+// OpenCount returns the number of messages and calls that have no outcome yet.
+func (env *Environment) OpenCount() int {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.auditor.Owed()
--- a/internal/harness/exchange.go
+++ b/internal/harness/exchange.go
@@ -78,12 +78,12 @@
 // returned channel receives one value, as described for exchange.peerGone; stopReader ends the read.
 func (s *serverConn) watchPeer() <-chan bool {
 	s.conn.SetReadDeadline(time.Time{})
-	gone := make(chan bool, 1)
+	closed := make(chan bool, 1)
 	go func() {
 		_, err := s.reader.Peek(1)
-		gone <- err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+		closed <- err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 	}()
-	return gone
+	return closed
 }
 
 // stopReader ends the read that watchPeer started, and reports whether the sender has closed the connection.
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -208,7 +208,7 @@
 		case <-idleTicker.C:
 			select {
 			case <-submitted:
-				if env.now() > r.Plan.Scenario.Length+time.Second && env.Open() == 0 && r.clients.Idle() {
+				if env.now() > r.Plan.Scenario.Length+time.Second && env.OpenCount() == 0 && r.clients.Idle() {
 					return nil
 				}
 			default:
@@ -223,7 +223,7 @@
 	}
 	s := r.env.Score()
 	fmt.Fprintf(r.Progress, "%v of %v: %d messages, service so far %.3f, %d without an end\n",
-		r.env.currentTime().Truncate(100*time.Millisecond), r.Plan.Scenario.Length, s.Messages, s.Service, r.env.Open())
+		r.env.currentTime().Truncate(100*time.Millisecond), r.Plan.Scenario.Length, s.Messages, s.Service, r.env.OpenCount())
 }
 
 // peakMB returns the largest peak resident set of the running senders.
