--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -71,7 +71,7 @@
 type player struct {
 	cluster                        *Cluster
 	history                        *History
-	workingProgram, failingProgram string      // programs
+	workingProgram, failingProgram string      // paths
 	releases                       int         // number of releases ordered so far
 	agentBusyUntil                 []time.Time // by agent: no further fault is injected before this time
 	senderBusyUntil                []time.Time // by sender: no further fault is injected before this time
@@ -177,12 +177,12 @@
 	return nil
 }
 
-// release orders a release of the working program or, if the action is not Good, of the one whose senders exit at their
+// release orders a release of the working program or, if a.Works is not set, of the one whose senders exit at their
 // start.
 func (p *player) release(a Action) {
 	p.releases++
 	to := rollout.Version{Name: fmt.Sprint("r", p.releases), Program: p.workingProgram}
-	if p.releases%2 == 0 { // alternate between two paths, since a release needs a different program path
+	if p.releases%2 == 0 { // alternates between two paths: a different path counts as a different program
 		to.Program = p.cluster.Program
 	}
 	if !a.Works {
@@ -258,7 +258,8 @@
 	case ClientsLink:
 		return p.setSenderLink(a, sender, scenario.Clients)
 	}
-	// Delivery reports cannot arrive while the link is faulty. The event makes the auditor not expect them.
+	// Delivery reports cannot arrive while the link is faulty. The recorded event makes the auditor stop expecting
+	// them.
 	heal := p.setSenderLink(a, sender, scenario.Discovery)
 	environment := p.cluster.Environment
 	environment.Record(audit.Event{Kind: audit.Unreachable, Sender: a.Sender})
@@ -296,8 +297,8 @@
 	}
 }
 
-// order sends an order to one agent, and to the next ones as long as there is no definite answer. It does not wait for
-// the answer: the order may be executed, be rejected or remain unanswered in a history.
+// order sends an order to one agent, and to the next agents until one executes or rejects it. It does not wait for the
+// result: an order may be executed, be rejected or remain unanswered, and none of this is a fault.
 func (p *player) order(first int, command rollout.Command) {
 	go func() {
 		for i := range p.history.Agents {
--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -229,7 +229,7 @@
 	}
 	e.orders++
 	out, draining, text := 0, 0, ""
-	outByBuilding := map[string]int{} // by building
+	outByBuilding := map[string]int{} // number of senders that are out, by building
 	for i, state := range e.states {
 		duration := r.at.Sub(e.since[i])
 		if state == stateDraining || state == stateUnresponsive && duration > e.unresponsiveAfter {
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -199,7 +199,7 @@
 		if m.Resumes > maxResumes {
 			return fmt.Errorf("release halted too often: %s", p.Why)
 		}
-		time.Sleep(time.Second) // reaction time of the operators
+		time.Sleep(time.Second) // simulated reaction time of the operators
 		for i := range c.agents {
 			resume := rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}
 			if _, err := c.Order(i, resume); err == nil {
--- a/internal/harness/clients.go
+++ b/internal/harness/clients.go
@@ -328,8 +328,8 @@
 	Answers      map[int]int `json:"answers"`  // responses by HTTP status; 0 = no response
 	Skipped      int         `json:"left_out"` // submissions beyond maxOpenSubmissions
 
-	// Unanswered counts the requests that were sent on a new connection to a running sender and whose connection ended
-	// without a response, while no idle clients held connections.
+	// Unanswered counts the requests that were completely written on a new connection to a running sender and whose
+	// connection then ended without a response, while no idle clients held connections.
 	Unanswered int `json:"unanswered"`
 }
 
--- a/internal/harness/endpoint_listener.go
+++ b/internal/harness/endpoint_listener.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// unreachableAddress is listed for an endpoint that has no listener: the port of the discard service, which refuses
-// connections.
+// unreachableAddress is listed for an endpoint that has no listener. It is the port of the discard service, on which
+// nothing listens.
 const unreachableAddress = "127.0.0.1:9"
 
 // addressOf returns the address at which a sender reaches a listed endpoint. The caller must hold env.mu.
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -4,9 +4,10 @@
 	"time"
 )
 
-// Faults are faults and options of a run on sockets that the plan does not contain. The zero value injects none.
+// Faults contains the faults and special behavior of a run on sockets that are not part of its plan. The zero value
+// injects no faults.
 type Faults struct {
-	Answers     []AnswerFault // of discovery
+	Answers     []AnswerFault // failures of discovery answers
 	IdleClients []IdleClients
 	// KeepConnections makes clients continue to use their connections to a sender that shuts down, until these are
 	// closed.
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -73,7 +73,7 @@
 // sendUntilServed repeats a request until it is served, since a limit may reject it for a while.
 func sendUntilServed(t *testing.T, addr, text string) (body string) {
 	t.Helper()
-	waitFor(t, "an answer", func() bool {
+	waitFor(t, "a response with status 200", func() bool {
 		r, got, err := sendRequest(t, addr, text)
 		if err != nil {
 			t.Fatal(err)
@@ -101,6 +101,8 @@
 	env.Record(audit.Event{Kind: audit.Accepted, Message: id})
 }
 
+// TestEndpointListener checks that an endpoint serves calls with one and with several messages, and answers malformed
+// ones with the right status.
 func TestEndpointListener(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	d := p.Dests[0]
@@ -170,7 +172,8 @@
 	sendUntilServed(t, addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
 }
 
-// TestCanceledCallTakesEffect checks that a call that was canceled and is executed nevertheless counts as one effect.
+// TestCanceledCallTakesEffect checks that a call that was canceled and is executed nevertheless counts as exactly one
+// late effect of one call.
 func TestCanceledCallTakesEffect(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	d := p.Dests[0]
@@ -188,10 +191,10 @@
 		env.withLock(func() { n = len(env.pendingAnswers) })
 		return n
 	}
-	waitFor(t, "the call", func() bool { return running() == 1 })
+	waitFor(t, "the start of the call", func() bool { return running() == 1 })
 	c.Close()
-	waitFor(t, "its end", func() bool { return running() == 0 })
-	waitFor(t, "its effect", func() bool {
+	waitFor(t, "the end of the call", func() bool { return running() == 0 })
+	waitFor(t, "the effect of the call", func() bool {
 		n := 0
 		env.withLock(func() { s, _ := env.auditor.Totals(); n = s.Effects })
 		return n == 1
@@ -207,8 +210,8 @@
 	}
 }
 
-// TestDiscoveryServer checks discovery on sockets: the full list, a watch without changes, a watch during which changes
-// are published, a new endpoint at the address of a removed one, and an outage.
+// TestDiscoveryServer checks discovery on sockets: the full list, a watch that waits without changes, changes that are
+// notified with a delay, a new endpoint at the address of a removed one, and an outage.
 func TestDiscoveryServer(t *testing.T) {
 	env, p := newTestEnvironment(t, "discovery_out(at = 10000, seconds = 1)\n")
 	addresses, err := env.OpenPlatform()
@@ -336,7 +339,7 @@
 		<-requests
 	}
 	close(stall)
-	waitFor(t, "answers", func() bool { return c.Stats().Answers[202]+c.Stats().Answers[0] >= 5 })
+	waitFor(t, "five responses", func() bool { return c.Stats().Answers[202]+c.Stats().Answers[0] >= 5 })
 	if s := c.Stats(); s.ResponseTime.Max < 5 {
 		t.Errorf("the waiting time is not measured: %+v", s)
 	}
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -49,8 +49,8 @@
 	exitErr error         // of the last process that ended; nil while one runs
 }
 
-// NewProcess prepares a sender's folder without starting a process. It sets the spec's address, state folder and
-// limits.
+// NewProcess prepares a sender's folder without starting a process. The spec's listen address, state folder and limits
+// are replaced by those that NewProcess chooses.
 func NewProcess(s Setup, num int, dir string, spec ProcessSpec) (*Process, error) {
 	if spec.MemoryMB = s.MemoryMB; spec.MemoryMB <= 0 {
 		spec.MemoryMB = defaultMemoryMB
--- a/internal/netfault/tcp.go
+++ b/internal/netfault/tcp.go
@@ -137,7 +137,7 @@
 }
 
 // forward forwards the chunks of one direction of a connection in order, each after its delay. It also forwards the end
-// of the stream, as soon as the direction passes data.
+// of the stream, as soon as the direction passes data; the end is not forwarded if the direction is cut.
 func (n *Net) forward(c *proxiedConn, d direction, in, out net.Conn) {
 	queue := make(chan chunk, maxQueuedChunks)
 	go func() {
