--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -165,8 +165,8 @@
 	return n
 }
 
-// Since returns how often a sender began to drain after a given time, and when the last one did.
-func (p *Poll) Since(at time.Time) (n int, last time.Time) {
+// DrainsSince returns how often a sender began to drain after a given time, and when the last one did.
+func (p *Poll) DrainsSince(at time.Time) (n int, last time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, r := range p.changes {
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -298,7 +298,7 @@
 		return 0, err
 	}
 	time.Sleep(c.Terms.Timing.Accept + afterHaltMargin)
-	_, last := c.Poll.Since(ordered)
+	_, last := c.Poll.DrainsSince(ordered)
 	c.Net.Heal()
 	for until := time.Now().Add(haltTimeout); time.Now().Before(until); time.Sleep(activateInterval) {
 		if _, err := c.OrderAny(rollout.Command{Verb: rollout.Activate, Plan: id}); err == nil {
