--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -14,11 +14,11 @@
 	"cleathold/internal/scenario"
 )
 
-// An ActionKind is what an Action does.
+// An ActionKind is the kind of an Action.
 type ActionKind string
 
-// The kinds of actions. Their words stand in history files. In a scenario's plan the actions on agents and senders
-// have the words of the scenario, to which FromPlan adds whom they hit.
+// The kinds of actions. Their values are stored in history files. For an action on an agent or a sender in a scenario's
+// plan, FromPlan forms the value from the scenario's name of the action followed by " agent" or " sender".
 const (
 	DrainOrder    ActionKind = "drain"
 	ReleaseOrder  ActionKind = "release"
@@ -37,30 +37,30 @@
 	ReconfigureSender ActionKind = "retune sender"
 	StopSender        ActionKind = "stop sender"
 
-	PartitionAgent ActionKind = "part agent"      // from all other agents
-	AgentLink      ActionKind = "one way"         // from one agent to another
+	PartitionAgent ActionKind = "part agent"      // links between an agent and all other agents
+	AgentLink      ActionKind = "one way"         // link from one agent to another
 	SenderToAgent  ActionKind = "agent's way"     // a sender's links to and from its agent
 	ClientsLink    ActionKind = "clients' way"    // a sender's links to and from clients
 	DiscoveryLink  ActionKind = "discovery's way" // a sender's links to and from discovery
 )
 
-// Action is one fault of a campaign, or one order of staff.
+// Action is a fault or an operator's order in a history.
 type Action struct {
-	At     time.Duration  `json:"at"` // from the start
-	Kind   ActionKind     `json:"what"`
-	Agent  int            `json:"agent,omitempty"`
-	Other  int            `json:"other,omitempty"` // agent, of an AgentLink
-	Sender int            `json:"sender,omitempty"`
-	Of     []string       `json:"of,omitempty"`  // senders that are drained or released
-	For    time.Duration  `json:"for,omitempty"` // how long a fault lasts, or a drain holds
-	State  netfault.State `json:"state,omitzero"`
-	Good   bool           `json:"good,omitempty"` // a release of a program that works
-	Back   bool           `json:"back,omitempty"` // a release that rolls back when it fails
-
-	planned scenario.PlannedAction // that FromPlan made the action from
+	At                time.Duration  `json:"at"` // since the start
+	Kind              ActionKind     `json:"what"`
+	Agent             int            `json:"agent,omitempty"`
+	Other             int            `json:"other,omitempty"` // the other agent of an AgentLink
+	Sender            int            `json:"sender,omitempty"`
+	Senders           []string       `json:"of,omitempty"`  // senders of a drain or release
+	Duration          time.Duration  `json:"for,omitempty"` // duration of a fault, or how long a drain holds a sender
+	State             netfault.State `json:"state,omitzero"`
+	Works             bool           `json:"good,omitempty"` // of a release: the program works
+	RollBackOnFailure bool           `json:"back,omitempty"` // of a release: it is rolled back when it fails
+
+	planned scenario.PlannedAction // the planned action from which FromPlan created this one
 }
 
-// History is the script of a campaign for one seed, and what came of it. As a file it can be played again.
+// History contains the actions of a campaign for one seed, and its results. A saved history can be played again.
 type History struct {
 	Seed    uint64         `json:"seed"`
 	Senders int            `json:"senders"`
@@ -69,67 +69,67 @@
 	Budget  rollout.Budget `json:"Budget"`
 	Lease   time.Duration  `json:"lease,omitempty"` // 0 = 3 s
 	Actions []Action       `json:"deeds"`
-	Faults  []string       `json:"faults,omitempty"` // rules and budgets that were broken
-	Orders  int            `json:"orders"`           // times that a sender went out by order, as seen from outside
-	MaxOut  int            `json:"most"`             // senders out by order at once
+	Faults  []string       `json:"faults,omitempty"` // violations of rules and budgets
+	Orders  int            `json:"orders"`           // see Report.Orders
+	MaxOut  int            `json:"most"`             // see Report.MaxOut
 	Plans   []string       `json:"plans,omitempty"`
 	Served  float64        `json:"served"`
 }
 
-// Draw draws a history: orders of staff, and faults beside them, until its length is over. The same arguments give
-// the same history, in every version, so the order of the draws must not change.
+// Draw generates a random history with operators' orders and simultaneous faults over the given length. The same
+// arguments must give the same history in every version, so the order of the random draws must not change.
 func Draw(seed uint64, senders, agents int, length time.Duration) *History {
-	d := &drawer{
-		rng: rand.New(rand.NewPCG(seed, 77)),
-		h:   &History{Seed: seed, Senders: senders, Agents: agents, Length: length},
+	g := &generator{
+		rng:     rand.New(rand.NewPCG(seed, 77)),
+		history: &History{Seed: seed, Senders: senders, Agents: agents, Length: length},
 	}
-	d.h.Budget.Fleet = 1 + d.rng.IntN(3)
-	if d.rng.IntN(2) == 0 {
-		d.h.Budget.Building = max(1, d.h.Budget.Fleet-1)
+	g.history.Budget.Fleet = 1 + g.rng.IntN(3)
+	if g.rng.IntN(2) == 0 {
+		g.history.Budget.Building = max(1, g.history.Budget.Fleet-1)
 	}
-	d.drawOrders()
-	d.drawFaults()
-	sortActions(d.h.Actions)
-	return d.h
+	g.generateOrders()
+	g.generateFaults()
+	sortActions(g.history.Actions)
+	return g.history
 }
 
 func sortActions(actions []Action) {
 	slices.SortStableFunc(actions, func(a, b Action) int { return cmp.Compare(a.At, b.At) })
 }
 
-// A drawer draws the actions of a history.
-type drawer struct {
-	rng *rand.Rand
-	h   *History
+// A generator generates the random actions of a history.
+type generator struct {
+	rng     *rand.Rand
+	history *History
 }
 
-func (d *drawer) between(from, to time.Duration) time.Duration {
-	return from + time.Duration(d.rng.Int64N(int64(to-from)))
+func (g *generator) randomBetween(from, to time.Duration) time.Duration {
+	return from + time.Duration(g.rng.Int64N(int64(to-from)))
 }
 
-func (d *drawer) add(a Action) {
-	a.At = min(a.At, d.h.Length)
-	d.h.Actions = append(d.h.Actions, a)
+func (g *generator) add(a Action) {
+	a.At = min(a.At, g.history.Length)
+	g.history.Actions = append(g.history.Actions, a)
 }
 
-// drawOrders draws drains and releases, and orders that steer them.
-func (d *drawer) drawOrders() {
-	h, rng := d.h, d.rng
-	for at := d.between(0, time.Second); at < h.Length; at += d.between(h.Length/15, h.Length/6) {
+// generateOrders generates drains and releases, and orders that halt, roll back or resume them.
+func (g *generator) generateOrders() {
+	h, rng := g.history, g.rng
+	for at := g.randomBetween(0, time.Second); at < h.Length; at += g.randomBetween(h.Length/15, h.Length/6) {
 		a := Action{
 			At: at, Kind: DrainOrder, Agent: rng.IntN(h.Agents),
-			For: d.between(100*time.Millisecond, 900*time.Millisecond),
+			Duration: g.randomBetween(100*time.Millisecond, 900*time.Millisecond),
 		}
 		for _, i := range rng.Perm(h.Senders)[:1+rng.IntN(max(1, h.Senders/3))] {
-			a.Of = append(a.Of, fmt.Sprint("n", i))
+			a.Senders = append(a.Senders, fmt.Sprint("n", i))
 		}
 		if rng.IntN(3) == 0 {
-			a.Kind, a.Good, a.Back = ReleaseOrder, rng.IntN(3) > 0, rng.IntN(2) == 0
+			a.Kind, a.Works, a.RollBackOnFailure = ReleaseOrder, rng.IntN(3) > 0, rng.IntN(2) == 0
 		}
-		d.add(a)
+		g.add(a)
 		if rng.IntN(4) == 0 {
-			d.add(Action{
-				At:    at + d.between(0, 2*time.Second),
+			g.add(Action{
+				At:    at + g.randomBetween(0, 2*time.Second),
 				Kind:  []ActionKind{HaltOrder, RollBackOrder, ResumeOrder}[rng.IntN(3)],
 				Agent: rng.IntN(h.Agents),
 			})
@@ -137,18 +137,18 @@
 	}
 }
 
-// drawFaults draws faults of processes and links.
-func (d *drawer) drawFaults() {
+// generateFaults generates faults of processes and links.
+func (g *generator) generateFaults() {
 	const minGap, maxGap = 300 * time.Millisecond, 1500 * time.Millisecond
-	h, rng := d.h, d.rng
+	h, rng := g.history, g.rng
 	cut, silent := netfault.State{Cut: true}, netfault.State{Silent: true}
 	slow := netfault.State{Delay: 300 * time.Millisecond, Jitter: 400 * time.Millisecond}
 	lossy := slow
 	lossy.Loss = 0.3
-	for at := d.between(500*time.Millisecond, 2*time.Second); at < h.Length; at += d.between(minGap, maxGap) {
+	for at := g.randomBetween(500*time.Millisecond, 2*time.Second); at < h.Length; at += g.randomBetween(minGap, maxGap) {
 		a := Action{
 			At: at, Agent: rng.IntN(h.Agents), Other: rng.IntN(h.Agents), Sender: rng.IntN(h.Senders),
-			For: d.between(300*time.Millisecond, 5*time.Second),
+			Duration: g.randomBetween(300*time.Millisecond, 5*time.Second),
 		}
 		switch n := rng.IntN(13); {
 		case n < 2:
@@ -167,12 +167,12 @@
 			a.Kind = []ActionKind{SenderToAgent, ClientsLink, DiscoveryLink}[n-10]
 			a.State = []netfault.State{cut, silent, slow}[rng.IntN(3)]
 		}
-		d.add(a)
+		g.add(a)
 	}
 }
 
-// FromPlan returns the history of a scenario's plan: its agents, its orders and the faults of processes. The links
-// follow the plan itself.
+// FromPlan converts a scenario's plan to a history with its agents, its orders and the faults of processes. Faults of
+// links are not included, since the links follow the plan directly.
 func FromPlan(p *scenario.Plan) *History {
 	agents := p.Scenario.Agents
 	h := &History{
@@ -181,25 +181,25 @@
 	}
 	for _, a := range p.AgentActions {
 		h.Actions = append(h.Actions, Action{
-			At: a.At, Kind: ActionKind(a.What + " agent"), Agent: a.Agent, For: a.Until - a.At,
+			At: a.At, Kind: ActionKind(a.What + " agent"), Agent: a.Agent, Duration: a.Until - a.At,
 		})
 	}
 	for _, o := range p.Orders {
 		h.Actions = append(h.Actions, Action{
-			At: o.At, Kind: ActionKind(o.What), Agent: o.Agent, Of: o.Of, For: o.Hold, Good: !o.FailsAtStart,
-			Back: o.RollBackOnFailure,
+			At: o.At, Kind: ActionKind(o.What), Agent: o.Agent, Senders: o.Of, Duration: o.Hold, Works: !o.FailsAtStart,
+			RollBackOnFailure: o.RollBackOnFailure,
 		})
 	}
 	for _, a := range p.Actions {
 		h.Actions = append(h.Actions, Action{
-			At: a.At, Kind: ActionKind(a.What + " sender"), Sender: a.Sender, For: max(0, a.Until-a.At), planned: a,
+			At: a.At, Kind: ActionKind(a.What + " sender"), Sender: a.Sender, Duration: max(0, a.Until-a.At), planned: a,
 		})
 	}
 	sortActions(h.Actions)
 	return h
 }
 
-// Save writes a history as a file that can be played again.
+// Save writes a history to a file that LoadHistory can read.
 func (h *History) Save(path string) error {
 	text, err := json.MarshalIndent(h, "", " ")
 	if err == nil {
@@ -208,7 +208,7 @@
 	return err
 }
 
-// LoadHistory reads a file that Save wrote.
+// LoadHistory reads a history from a file written by Save.
 func LoadHistory(path string) (*History, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -219,7 +219,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if h.Senders < 1 || h.Agents < 1 || h.Length <= 0 {
-		return nil, fmt.Errorf("%s: no history", path)
+		return nil, fmt.Errorf("%s: not a valid history", path)
 	}
 	return h, nil
 }
--- a/internal/cluster/prepare.go
+++ b/internal/cluster/prepare.go
@@ -12,14 +12,13 @@
 )
 
 const (
-	// maxHostsPerBlock senders have their addresses in one block.
-	maxHostsPerBlock = 200
-	senderMemoryMB   = 192
+	maxHostsPerBlock = 200 // number of senders whose addresses are taken from one block
+	senderMemoryMB   = 192 // memory limit of a sender
 )
 
-// calmScenario is played without a plan: its endpoints have capacity to spare, so that what is seen is the fleet's
-// doing.
-const calmScenario = `
+// defaultScenario is used without a plan. Its endpoints have spare capacity, so that observed problems are caused by
+// the fleet and not by the endpoints.
+const defaultScenario = `
 scenario(name = "fleet", seconds = %g, senders = %d, zones = ["bldg-a", "bldg-b"], hold = (20, 20), slots = (4, 4))
 kind(name = "partners", limit = "none", headroom = (4, 4), conns = (200, 200),
   least_conns = (400, 400), endpoints = (2, 2), cv = (0.1, 0.1))
@@ -33,7 +32,7 @@
 tenant(name = "school-bands", share = 1)
 `
 
-// prepare opens the environment and writes the files of senders and agents.
+// prepare opens the environment and writes the files of the senders and agents.
 func (c *Cluster) prepare() (err error) {
 	for range 1 + c.Senders/maxHostsPerBlock {
 		b, err := netfault.NewBlock()
@@ -48,7 +47,7 @@
 	if c.Environment, err = harness.NewEnvironment(c.ctx, c.plan, c.Log, c.recordEvent); err != nil {
 		return err
 	}
-	c.Environment.UseLinks(c.Net)
+	c.Environment.SetNetwork(c.Net)
 	if err = c.Environment.OpenEndpoints(); err != nil {
 		return err
 	}
@@ -65,12 +64,12 @@
 	return c.prepareAgents()
 }
 
-// choosePlan returns the plan of the setup, or one of the calm scenario.
+// choosePlan returns the plan of the setup, or else a plan of defaultScenario.
 func (c *Cluster) choosePlan() (*scenario.Plan, error) {
 	if c.Plan != nil {
 		return c.Plan, nil
 	}
-	script := fmt.Appendf(nil, calmScenario+"%s", c.Length.Seconds(), c.Senders, max(c.Rate, 1), c.Script)
+	script := fmt.Appendf(nil, defaultScenario+"%s", c.Length.Seconds(), c.Senders, max(c.Rate, 1), c.Script)
 	s, err := scenario.Parse("fleet.star", script, nil)
 	if err != nil {
 		return nil, err
@@ -78,9 +77,9 @@
 	return s.Plan(c.Seed), nil
 }
 
-// prepareSenders writes the senders' configurations, and returns the addresses by which clients reach them.
+// prepareSenders writes the senders' configuration files, and returns the addresses at which clients reach them.
 func (c *Cluster) prepareSenders(platform []string) (addresses []string, err error) {
-	var listens []string
+	var gossipAddresses []string
 	for i := range c.Senders {
 		host := c.blocks[i/maxHostsPerBlock].Host(20 + i%maxHostsPerBlock)
 		c.Names = append(c.Names, fmt.Sprint("n", i))
@@ -89,9 +88,9 @@
 			listen: host + ":8080",
 			admin:  [2]string{host + ":9001", host + ":9002"},
 		})
-		listens = append(listens, host+":7946")
+		gossipAddresses = append(gossipAddresses, host+":7946")
 	}
-	gossip, err := c.Net.UDP("127.0.0.1", c.Names, listens)
+	gossip, err := c.Net.UDP("127.0.0.1", c.Names, gossipAddresses)
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +109,7 @@
 		}
 		spec := harness.ProcessSpec{
 			Listen: s.listen, Discovery: discovery, State: state, MemoryMB: senderMemoryMB,
-			PeerListen: listens[i], PeersAll: gossip.All(i), Peers: gossip.Peers(),
+			PeerListen: gossipAddresses[i], PeersAll: gossip.All(i), Peers: gossip.Peers(),
 		}
 		if err := harness.Configure(s.config, c.plan, i, spec); err != nil {
 			return nil, err
@@ -120,7 +119,8 @@
 	return addresses, nil
 }
 
-// linkTo returns the address by which one party reaches another: that of a link, or without links the other's own.
+// linkTo returns the address at which one party reaches another: the address of a proxied link if Links is set,
+// otherwise the other party's own address.
 func (c *Cluster) linkTo(from, to, addr string) (string, error) {
 	if !c.Links {
 		return addr, nil
@@ -128,7 +128,8 @@
 	return c.Net.TCP(from, to, "127.0.0.1", addr)
 }
 
-// prepareAgents writes the agents' scripts and founds their folders. Each agent reaches each other one by a link.
+// prepareAgents writes the agents' settings scripts and initializes their folders with the found command. Agents reach
+// each other through proxied links.
 func (c *Cluster) prepareAgents() error {
 	for i := range c.Agents {
 		name := fmt.Sprint("a", i)
@@ -156,10 +157,10 @@
 	return nil
 }
 
-// agentScript opens the links of an agent, and returns its settings script.
+// agentScript opens the links of an agent and returns its settings script.
 func (c *Cluster) agentScript(i int) (string, error) {
 	a := c.agents[i]
-	var others []string
+	var agents []string
 	for _, b := range c.agents {
 		addr := b.addr
 		if a != b {
@@ -168,21 +169,21 @@
 				return "", err
 			}
 		}
-		others = append(others, fmt.Sprintf("%q: %q", b.name, addr))
+		agents = append(agents, fmt.Sprintf("%q: %q", b.name, addr))
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "agent(name = %q, listen = %q, folder = %q, agents = {%s}, version = \"v1\", program = %q)\n",
-		a.name, a.addr, a.folder, strings.Join(others, ", "), c.Program)
+		a.name, a.addr, a.folder, strings.Join(agents, ", "), c.Program)
 	b, t := c.Terms.Budget, c.Terms.Timing
 	fmt.Fprintf(&text, "budget(fleet = %d, building = %d, serving = %d, endpoints = %d, kind = %d)\n",
 		b.Fleet, b.Building, b.Serving, b.Endpoints, b.Kind)
 	fmt.Fprintf(&text, "timing(fresh = %g, accept = %g, lease = %g, clock_error = %g)\n",
 		t.Fresh.Seconds(), t.Accept.Seconds(), t.Lease.Seconds(), t.Error.Seconds())
-	change := "handover"
+	versionChange := "handover"
 	if c.Restart {
-		change = "restart"
+		versionChange = "restart"
 	}
-	for k := i; k < len(c.senders); k += c.Agents { // the senders that this agent runs
+	for k := i; k < len(c.senders); k += c.Agents { // the senders of this agent
 		s := c.senders[k]
 		reach := s.admin
 		for j := range reach {
@@ -193,7 +194,7 @@
 		}
 		fmt.Fprintf(&text,
 			"sender(name = %q, building = %q, config = %q, admin = [%q, %q], reach = [%q, %q], change = %q)\n",
-			c.Names[k], c.Building(k), s.config, s.admin[0], s.admin[1], reach[0], reach[1], change)
+			c.Names[k], c.Building(k), s.config, s.admin[0], s.admin[1], reach[0], reach[1], versionChange)
 	}
 	return text.String(), nil
 }
--- a/internal/harness/addresses.go
+++ b/internal/harness/addresses.go
@@ -5,15 +5,16 @@
 	"cleathold/internal/scenario"
 )
 
-// maxHostsPerBlock senders have their addresses in one block.
+// maxHostsPerBlock is the number of senders whose addresses are taken from one block.
 const maxHostsPerBlock = 250
 
-// processSpecs chooses the senders' second and gossip addresses, and how they reach one another and discovery. A pair
-// of parties whose link the plan lets fail is connected by a link; all others reach one another directly.
+// processSpecs assigns the senders' admin and gossip addresses, and the addresses at which they reach one another and
+// discovery. If the plan has link faults, the senders reach discovery through a proxied link, otherwise directly.
+// Gossip between several senders always passes through proxied links.
 func (r *run) processSpecs(platform []string) ([]ProcessSpec, error) {
 	n := r.Plan.Scenario.Senders
 	r.links = netfault.New(r.Plan.Seed)
-	r.env.UseLinks(r.links)
+	r.env.SetNetwork(r.links)
 	for range 1 + (n-1)/maxHostsPerBlock {
 		b, err := netfault.NewBlock()
 		if err != nil {
@@ -22,7 +23,7 @@
 		r.blocks = append(r.blocks, b)
 	}
 	specs := make([]ProcessSpec, n)
-	var names, listens []string
+	var names, gossipAddresses []string
 	for i := range specs {
 		host := r.blocks[i/maxHostsPerBlock].Host(2 + i%maxHostsPerBlock)
 		specs[i] = ProcessSpec{Discovery: platform[i], Admin: host + ":9001"}
@@ -34,17 +35,17 @@
 			}
 			specs[i].Discovery = addr
 		}
-		names, listens = append(names, name), append(listens, host+":7946")
+		names, gossipAddresses = append(names, name), append(gossipAddresses, host+":7946")
 	}
 	if n == 1 { // no peers
 		return specs, nil
 	}
-	gossip, err := r.links.UDP("127.0.0.1", names, listens)
+	gossip, err := r.links.UDP("127.0.0.1", names, gossipAddresses)
 	if err != nil {
 		return nil, err
 	}
 	for i := range specs {
-		specs[i].PeerListen, specs[i].PeersAll, specs[i].Peers = listens[i], gossip.All(i), gossip.Peers()
+		specs[i].PeerListen, specs[i].PeersAll, specs[i].Peers = gossipAddresses[i], gossip.All(i), gossip.Peers()
 	}
 	return specs, nil
 }
--- a/internal/harness/delivery_reports.go
+++ b/internal/harness/delivery_reports.go
@@ -10,14 +10,14 @@
 	"cleathold/internal/audit"
 )
 
-// maxReportBytes bounds the delivery reports in one request.
+// maxReportBytes limits the size of the delivery reports in one request.
 const maxReportBytes = 1 << 20
 
-// serveReports takes delivery reports, also while discovery is down.
-func (env *Environment) serveReports(sender int, out http.ResponseWriter, r *http.Request) {
+// serveReports handles requests with delivery reports. It works during discovery outages, too.
+func (env *Environment) serveReports(sender int, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxReportBytes))
 	if err != nil || !gjson.ValidBytes(body) && !validReportLines(body) {
-		http.Error(out, "notices unreadable", http.StatusBadRequest)
+		http.Error(w, "notices unreadable", http.StatusBadRequest)
 		return
 	}
 	gjson.ForEachLine(string(body), func(line gjson.Result) bool {
@@ -29,10 +29,10 @@
 		env.onReport(id, deferred, retryAfter)
 		return true
 	})
-	out.WriteHeader(http.StatusNoContent)
+	w.WriteHeader(http.StatusNoContent)
 }
 
-// validReportLines reports whether each line is a report of its own.
+// validReportLines reports whether each line of the body is a JSON object with an id.
 func validReportLines(body []byte) bool {
 	valid := true
 	gjson.ForEachLine(string(body), func(line gjson.Result) bool {
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -26,16 +26,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// newTestEnvironment returns an environment with listeners and a clock that runs, of a scenario that a script
-// completes.
-func newTestEnvironment(t *testing.T, more string) (*Environment, *scenario.Plan) {
+// newTestEnvironment returns an environment with open listeners and a running clock. Its scenario is
+// building-refuses.star without its faults, extended by extraScript.
+func newTestEnvironment(t *testing.T, extraScript string) (*Environment, *scenario.Plan) {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/building-refuses.star")
 	if err != nil {
 		t.Fatal(err)
 	}
 	script, _, _ := strings.Cut(string(text), "trouble(")
-	s, err := scenario.Parse("s.star", []byte(script+more), nil)
+	s, err := scenario.Parse("s.star", []byte(script+extraScript), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	return env, p
 }
 
-// sendRequest sends one request on a connection of its own, and returns the response and its body.
+// sendRequest sends one request on a new connection, and returns the response and its body.
 func sendRequest(t *testing.T, addr, text string) (*http.Response, string, error) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -70,10 +70,10 @@
 	return r, string(body), err
 }
 
-// sendUntilServed repeats a request until it is served: a limit may reject it for a while.
+// sendUntilServed repeats a request until it is served, since a limit may reject it for a while.
 func sendUntilServed(t *testing.T, addr, text string) (body string) {
 	t.Helper()
-	waitFor(t, "an answer", func() bool {
+	waitFor(t, "a response with status 200", func() bool {
 		r, got, err := sendRequest(t, addr, text)
 		if err != nil {
 			t.Fatal(err)
@@ -88,19 +88,21 @@
 	return "POST /receive HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Deadline: 5\r\nContent-Length: 2\r\n\r\nhi"
 }
 
-// locked calls a function under the environment's lock.
-func (env *Environment) locked(do func()) {
+// withLock calls f while holding the environment's lock.
+func (env *Environment) withLock(f func()) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	do()
+	f()
 }
 
-// recordAcceptedMessage records a message that a client submitted to sender 0, and that it accepted.
+// recordAcceptedMessage records a message that a client has submitted to sender 0 and the sender has accepted.
 func recordAcceptedMessage(env *Environment, id string, dest int) {
 	env.recordSubmission(audit.Event{Kind: audit.Submitted, Message: id, Dest: dest, TimeLeft: 8 * time.Second})
 	env.Record(audit.Event{Kind: audit.Accepted, Message: id})
 }
 
+// TestEndpointListener checks that an endpoint serves calls with one and with several messages, and answers malformed
+// ones with the right status.
 func TestEndpointListener(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	d := p.Dests[0]
@@ -129,19 +131,19 @@
 	}
 }
 
-// An endpoint at its limit rejects calls. One that is down breaks its connections and refuses new ones, and keeps its
-// port.
+// TestEndpointListenerFollowsModel checks that an endpoint at its limit rejects calls, and that an endpoint that is
+// down resets its connections, refuses new ones and keeps its port reserved.
 func TestEndpointListenerFollowsModel(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	listener := env.listeners[0][p.Dests[0].Endpoints[0].ID]
-	set := func(fault partner.Fault) {
-		env.locked(func() {
+	setFault := func(fault partner.Fault) {
+		env.withLock(func() {
 			env.simulated.Model.SetFault(env.now(), listener.endpoint, fault)
 			env.updateListeners()
 			env.dispatchAndWake()
 		})
 	}
-	set(partner.Fault{Mode: partner.Shut, Until: time.Hour})
+	setFault(partner.Fault{Mode: partner.Shut, Until: time.Hour})
 	r, _, err := sendRequest(t, listener.addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
 	if err != nil || r.StatusCode != 503 && r.StatusCode != 429 {
 		t.Errorf("shut: %v %v", r, err)
@@ -151,11 +153,11 @@
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	// Down: open connections break, new ones are refused, the port stays reserved.
+	// Down: open connections are reset, new ones are refused, the port stays reserved.
 	addr := listener.addr
-	set(partner.Fault{Mode: partner.Down})
+	setFault(partner.Fault{Mode: partner.Down})
 	if _, err := idle.Read(make([]byte, 1)); err == nil {
-		t.Error("a connection outlives its endpoint")
+		t.Error("a connection stays open after its endpoint went down")
 	}
 	for range 3 {
 		if _, _, err := sendRequest(t, addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n"); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -164,18 +166,19 @@
 	}
 	if l, err := net.Listen("tcp4", addr); err == nil {
 		l.Close()
-		t.Error("another socket got its port")
+		t.Error("another socket could be bound to the port")
 	}
-	set(partner.Fault{})
+	setFault(partner.Fault{})
 	sendUntilServed(t, addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
 }
 
-// A call that is canceled and takes effect all the same counts as one late effect of one call.
+// TestCanceledCallTakesEffect checks that a call that was canceled and is executed nevertheless counts as exactly one
+// late effect of one call.
 func TestCanceledCallTakesEffect(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	d := p.Dests[0]
 	listener := env.listeners[0][d.Endpoints[0].ID]
-	env.locked(func() {
+	env.withLock(func() {
 		env.simulated.Model.SetFault(env.now(), listener.endpoint, partner.Fault{Mode: partner.Unresponsive})
 	})
 	recordAcceptedMessage(env, "a", d.Dest)
@@ -185,31 +188,31 @@
 	}
 	io.WriteString(c, receiveRequest("a"))
 	running := func() (n int) {
-		env.locked(func() { n = len(env.pendingAnswers) })
+		env.withLock(func() { n = len(env.pendingAnswers) })
 		return n
 	}
-	waitFor(t, "the call", func() bool { return running() == 1 })
+	waitFor(t, "the start of the call", func() bool { return running() == 1 })
 	c.Close()
-	waitFor(t, "its end", func() bool { return running() == 0 })
-	waitFor(t, "its effect", func() bool {
+	waitFor(t, "the end of the call", func() bool { return running() == 0 })
+	waitFor(t, "the effect of the call", func() bool {
 		n := 0
-		env.locked(func() { s, _ := env.auditor.Totals(); n = s.Effects })
+		env.withLock(func() { s, _ := env.auditor.Totals(); n = s.Effects })
 		return n == 1
 	})
 }
 
-func waitFor(t *testing.T, what string, until func() bool) {
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(20 * time.Second); !until(); time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("%s: never", what)
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for %s", description)
 		}
 	}
 }
 
-// Discovery on sockets: the full list, a watch that waits, a change that is notified late, an address that a new
-// endpoint takes over, and an outage.
-func TestPlatform(t *testing.T) {
+// TestDiscoveryServer checks discovery on sockets: the full list, a watch that waits without changes, changes that are
+// notified with a delay, a new endpoint at the address of a removed one, and an outage.
+func TestDiscoveryServer(t *testing.T) {
 	env, p := newTestEnvironment(t, "discovery_out(at = 10000, seconds = 1)\n")
 	addresses, err := env.OpenPlatform()
 	if err != nil {
@@ -230,39 +233,40 @@
 	}
 	const noChange = `"version":1,"full":false,"servers":[]`
 	if status, body := get("?since=1&timeout_ms=20"); status != 200 || !strings.Contains(body, noChange) {
-		t.Errorf("a watch without news: %d %s", status, body)
+		t.Errorf("a watch without changes: %d %s", status, body)
 	}
-	env.locked(func() {
+	env.withLock(func() {
 		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
 		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
 		env.applyChange(scenario.Change{Endpoint: "new", Dest: 1, Joins: &partner.EndpointSpec{ID: "new"}, Address: e.ID})
 	})
-	at, seen := 1, ""
-	for range 3 { // the changes come in one answer or more
-		_, body := get("?since=" + strconv.Itoa(at) + "&timeout_ms=10000")
-		for v := 4; v > at; v-- {
+	version, received := 1, ""
+	for range 3 { // the changes may arrive in several answers
+		_, body := get("?since=" + strconv.Itoa(version) + "&timeout_ms=10000")
+		for v := 4; v > version; v-- {
 			if strings.Contains(body, `"version":`+strconv.Itoa(v)) {
-				at = v
+				version = v
 			}
 		}
-		if seen += body; at == 4 {
+		if received += body; version == 4 {
 			break
 		}
 	}
 	for _, want := range []string{`"state":"removed"`, `"id":"new","addr":"` + env.listeners[0][e.ID].addr} {
-		if !strings.Contains(seen, want) {
-			t.Errorf("no %s in %s", want, seen)
+		if !strings.Contains(received, want) {
+			t.Errorf("no %s in %s", want, received)
 		}
 	}
-	// The new endpoint at the old address.
+	// The new endpoint serves at the old address.
 	sendUntilServed(t, env.listeners[0][e.ID].addr, "GET /ping HTTP/1.1\r\nHost: h\r\n\r\n")
-	env.locked(func() { env.plan.DiscoveryOutages = []scenario.Span{{From: 0, To: time.Hour}}; env.notifyListChanged() })
+	env.withLock(func() { env.plan.DiscoveryOutages = []scenario.Span{{From: 0, To: time.Hour}}; env.notifyListChanged() })
 	if status, _ := get("?since=4&timeout_ms=10000"); status != 503 {
 		t.Errorf("down: %d", status)
 	}
 }
 
-// Delivery reports are taken also while discovery is down, and malformed ones are rejected.
+// TestDeliveryReports checks that delivery reports are accepted even during a discovery outage, and that malformed ones
+// are rejected.
 func TestDeliveryReports(t *testing.T) {
 	env, _ := newTestEnvironment(t, "discovery_out(at = 0, seconds = 10000)\n")
 	addresses, err := env.OpenPlatform()
@@ -277,14 +281,14 @@
 	const report = "POST /status HTTP/1.1\r\nHost: h\r\nContent-Length: "
 	r, _, err = sendRequest(t, addresses[0], report+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 	if err != nil || r.StatusCode != 204 {
-		t.Errorf("notices while it is down: %v %v", r, err)
+		t.Errorf("reports during the outage: %v %v", r, err)
 	}
 	if r, _, err := sendRequest(t, addresses[0], report+"1\r\n\r\n{"); err != nil || r.StatusCode != 400 {
-		t.Errorf("no notice: %v %v", r, err)
+		t.Errorf("malformed report: %v %v", r, err)
 	}
 }
 
-// A listener that fails ends the run, and the error names its address.
+// TestFailedListenerEndsRun checks that a failing listener ends the run with an error that contains its address.
 func TestFailedListenerEndsRun(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
 	listener := env.listeners[1][p.Dests[0].Endpoints[0].ID]
@@ -295,8 +299,8 @@
 	}
 }
 
-// The clients' latency counts from the planned arrival of a message: a sender that stalls does not hide the wait of the
-// messages behind it.
+// TestOpenLoop checks that the clients' latency is measured from the planned arrival of a message, so that a stalled
+// sender does not hide the waiting time of the messages that arrive during the stall.
 func TestOpenLoop(t *testing.T) {
 	env, _ := newTestEnvironment(t, "")
 	stall := make(chan struct{})
@@ -331,33 +335,34 @@
 	c := env.NewClients([]string{l.Addr().String()})
 	defer c.Close()
 	env.wg.Go(c.Run)
-	for range 5 { // the others come though the first has no response
+	for range 5 { // later requests arrive although the first has no response yet
 		<-requests
 	}
 	close(stall)
-	waitFor(t, "answers", func() bool { return c.Stats().Answers[202]+c.Stats().Answers[0] >= 5 })
+	waitFor(t, "five responses", func() bool { return c.Stats().Answers[202]+c.Stats().Answers[0] >= 5 })
 	if s := c.Stats(); s.ResponseTime.Max < 5 {
-		t.Errorf("the wait does not show: %+v", s)
+		t.Errorf("the waiting time is not measured: %+v", s)
 	}
 }
 
-// Serve writes what a sender needs, ends with its context, and judges nothing that it cannot see.
+// TestServe checks that Serve prints how to start each sender, returns when its context ends, and reports no
+// violations, since it does not observe the submissions.
 func TestServe(t *testing.T) {
 	s, err := scenario.Load("../../examples/scenarios/building-refuses.star", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	read, write := io.Pipe()
+	pipeReader, pipeWriter := io.Pipe()
 	done := make(chan Result, 1)
 	go func() {
-		r, err := Serve(ctx, Setup{Plan: s.Plan(1), Folder: t.TempDir(), Log: slog.New(slog.DiscardHandler)}, write)
+		r, err := Serve(ctx, Setup{Plan: s.Plan(1), Folder: t.TempDir(), Log: slog.New(slog.DiscardHandler)}, pipeWriter)
 		if err != nil {
 			t.Error(err)
 		}
 		done <- r
 	}()
-	lines := bufio.NewScanner(read)
+	lines := bufio.NewScanner(pipeReader)
 	for range s.Senders {
 		if !lines.Scan() || !strings.Contains(lines.Text(), "LB_CONFIG=") {
 			t.Fatalf("%q", lines.Text())
@@ -369,10 +374,11 @@
 	}
 }
 
-// The exit status of a process is known, however soon it ends.
+// TestExitErrorOfShortProcess checks that the exit error of a process is recorded even if it ends immediately. Start
+// resets the error of the previous process, and must do so before the new one can end.
 func TestExitErrorOfShortProcess(t *testing.T) {
-	x := &Process{program: "/bin/false", dir: t.TempDir()}
-	// Other goroutines keep the processors busy, so that the one that starts the process may be the last to go on.
+	p := &Process{program: "/bin/false", dir: t.TempDir()}
+	// Busy goroutines compete for the processors, so that the process may end before Start continues.
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -390,19 +396,19 @@
 		})
 	}
 	for range 40 {
-		if err := x.Start(); err != nil {
+		if err := p.Start(); err != nil {
 			t.Fatal(err)
 		}
-		<-x.Ended()
-		if x.exitError() == nil {
+		<-p.Ended()
+		if p.exitError() == nil {
 			t.Fatal("a process that ended with exit status 1 has no exit error")
 		}
 	}
 }
 
-// A link between a sender and an endpoint: while it is cut, connections break and are refused; while it is silent in
-// either direction, nothing is answered until it is healed, and a call whose sender closed the connection meanwhile
-// takes no effect. Other senders notice nothing.
+// TestLinkToEndpoint checks faults of the link between a sender and an endpoint. While the link is cut, connections are
+// refused. While it is silent in either direction, calls are answered only after it is healed, and a call whose sender
+// has closed the connection by then takes no effect. Other senders are not affected.
 func TestLinkToEndpoint(t *testing.T) {
 	for _, c := range []struct{ link, want string }{
 		{`of = "n0", to = "partners", what = "CUT"`, "refused"},
@@ -414,7 +420,7 @@
 		d := p.Dests[0]
 		listener := env.listeners[0][d.Endpoints[0].ID]
 		waitFor(t, "the fault", func() (applies bool) {
-			env.locked(func() {
+			env.withLock(func() {
 				forward, back := listener.linkStates()
 				applies = !forward.Passes() || !back.Passes() || c.want == "served"
 				applies = applies && (listener.listener == nil) == (c.want == "refused")
@@ -422,20 +428,20 @@
 			return applies
 		})
 		recordAcceptedMessage(env, "a", d.Dest)
-		if c.want == "late" { // its sender no longer waits
-			gone, err := net.Dial("tcp", listener.addr)
+		if c.want == "late" { // an additional call whose sender no longer waits
+			closedConn, err := net.Dial("tcp", listener.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			io.WriteString(gone, receiveRequest("a"))
-			gone.Close()
+			io.WriteString(closedConn, receiveRequest("a"))
+			closedConn.Close()
 		}
 		_, _, err := sendRequest(t, listener.addr, receiveRequest("a"))
 		got := "served"
 		switch healed := env.currentTime() >= time.Second; {
 		case err != nil:
 			got = "refused"
-		case healed: // whether served, or rejected by a limit
+		case healed: // served, or rejected by a limit
 			got = "late"
 		}
 		if got != c.want {
@@ -443,29 +449,30 @@
 		}
 		if c.want == "refused" {
 			waitFor(t, "the listener to listen again", func() (listens bool) {
-				env.locked(func() { listens = listener.listener != nil })
+				env.withLock(func() { listens = listener.listener != nil })
 				return listens
 			})
 			sendUntilServed(t, listener.addr, receiveRequest("a"))
 		}
 		calls := 0
-		env.locked(func() { s, _ := env.auditor.Totals(); calls = s.Effects + s.Dropped })
+		env.withLock(func() { s, _ := env.auditor.Totals(); calls = s.Effects + s.Dropped })
 		if strings.HasPrefix(c.link, `of = "n0", to = "partners", what = "SILENT"`) && calls != 1 {
 			t.Errorf("%s: %d calls took effect", c.link, calls)
 		}
 	}
 }
 
-// A sender whose link from discovery is silent waits for the list, and gets it when the link is healed.
+// TestLinkToDiscovery checks that a sender whose link to discovery is silent receives the list only when the link is
+// healed, and that other senders receive it at once.
 func TestLinkToDiscovery(t *testing.T) {
 	env, _ := newTestEnvironment(t, `link(at = 0, seconds = 1, of = "n0", to = "discovery", what = "SILENT")`+"\n")
-	waitFor(t, "the fault", func() (off bool) { env.locked(func() { off = env.discoveryCut[0] }); return off })
-	list, err := env.OpenPlatform()
+	waitFor(t, "the fault", func() (cut bool) { env.withLock(func() { cut = env.discoveryCut[0] }); return cut })
+	addresses, err := env.OpenPlatform()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, late := range []bool{true, false} {
-		r, _, err := sendRequest(t, list[1-i], "GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n")
+		r, _, err := sendRequest(t, addresses[1-i], "GET /catalog/members HTTP/1.1\r\nHost: h\r\n\r\n")
 		if err != nil || r.StatusCode != 200 || env.currentTime() >= time.Second == late {
 			t.Errorf("sender %d: %v at %v", 1-i, err, env.currentTime())
 		}
--- a/internal/netfault/network.go
+++ b/internal/netfault/network.go
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// Net is a network of links between named parties. A direction that is not set is sound. It is safe for concurrent use.
+// Net is a network of proxied links between named parties. A direction whose state is not set has no faults, unless a
+// rule is set. It is safe for concurrent use.
 type Net struct {
-	wg sync.WaitGroup // of all goroutines that serve links
+	wg sync.WaitGroup // all goroutines that serve links
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	states    map[direction]State
-	rule      func(from, to string) State // of directions that are not set; nil: they are sound
-	conns     map[*proxiedConn]bool
-	changed   chan struct{} // closed and replaced at each change of states
-	resources []io.Closer   // closed with the network
-	closed    bool
-	counts    map[direction]Count
+	mu      sync.Mutex
+	rng     *rand.Rand
+	states  map[direction]State
+	rule    func(from, to string) State // state of directions that are not in states; nil = no faults
+	conns   map[*proxiedConn]bool
+	changed chan struct{} // closed and replaced whenever states or the rule change
+	closers []io.Closer   // closed by Close
+	closed  bool
+	counts  map[direction]Count
 }
 
-// New returns a network that draws delays and losses from a seed. The caller closes it.
+// New returns a network. Its delays and losses are drawn from a random generator with the given seed. The caller must
+// call Close.
 func New(seed uint64) *Net {
 	return &Net{
 		rng:     rand.New(rand.NewPCG(seed, 0)),
@@ -33,71 +35,72 @@
 	}
 }
 
-// Set sets the state of one direction; a zero state heals it. Connections that a cut hits break at once.
+// Set sets the state of one direction; the zero state means no faults. Connections through a direction that is cut are
+// reset at once.
 func (n *Net) Set(from, to string, s State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.states[direction{from, to}] = s
-	n.notifyChanged()
+	n.applyChange()
 }
 
-// SetBoth is Set in both directions.
+// SetBoth sets the state of both directions between two parties.
 func (n *Net) SetBoth(a, b string, s State) {
 	n.Set(a, b, s)
 	n.Set(b, a, s)
 }
 
-// Partition sets the state between a group and all others among the names, in both directions.
+// Partition sets the state of both directions between each party in group and each other party in all.
 func (n *Net) Partition(group, all []string, s State) {
-	in := map[string]bool{}
+	inGroup := map[string]bool{}
 	for _, name := range group {
-		in[name] = true
+		inGroup[name] = true
 	}
 	for _, a := range all {
 		for _, b := range all {
-			if in[a] != in[b] {
+			if inGroup[a] != inGroup[b] {
 				n.Set(a, b, s)
 			}
 		}
 	}
 }
 
-// Heal undoes all Set calls. A rule goes on.
+// Heal discards the states set by Set, SetBoth and Partition. A rule remains in effect.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.states)
-	n.notifyChanged()
+	n.applyChange()
 }
 
-// Follow has a rule give the states of the directions that are not set. The rule is called under the network's lock.
-// Who gives it calls Refresh whenever its states change.
-func (n *Net) Follow(rule func(from, to string) State) {
+// SetRule sets a function that returns the states of the directions that are not set explicitly. The function is called
+// while the network's lock is held. The caller must call Refresh whenever the returned states change.
+func (n *Net) SetRule(rule func(from, to string) State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rule = rule
-	n.notifyChanged()
+	n.applyChange()
 }
 
-// Refresh applies the states of the rule anew. Connections that a cut hits break at once.
+// Refresh applies changed states of the rule. Connections through a direction that is cut are reset at once.
 func (n *Net) Refresh() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.notifyChanged()
+	n.applyChange()
 }
 
-// Passed returns what has passed in one direction.
-func (n *Net) Passed(from, to string) Count {
+// Counts returns the counters of one direction.
+func (n *Net) Counts(from, to string) Count {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts[direction{from, to}]
 }
 
-// Close ends all links and waits for the goroutines that serve them. A datagram that is delayed beyond it is lost.
+// Close closes all links and waits for the goroutines that serve them. Datagrams that are still delayed are lost.
 func (n *Net) Close() {
 	n.mu.Lock()
 	n.closed = true
-	for _, c := range n.resources {
+	for _, c := range n.closers {
 		c.Close()
 	}
 	for c := range n.conns {
@@ -109,7 +112,7 @@
 	n.wg.Wait()
 }
 
-// stateOf is the state of a direction. The caller holds the lock.
+// stateOf returns the state of a direction. The caller must hold n.mu.
 func (n *Net) stateOf(d direction) State {
 	s, set := n.states[d]
 	if !set && n.rule != nil {
@@ -118,15 +121,16 @@
 	return s
 }
 
-// currentState is the state of a direction, with a channel that is closed at the next change of any.
+// currentState returns the state of a direction, and a channel that is closed at the next change of any direction.
 func (n *Net) currentState(d direction) (State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stateOf(d), n.changed
 }
 
-// notifyChanged breaks connections that are cut now, and wakes all that wait for a change. The caller holds the lock.
-func (n *Net) notifyChanged() {
+// applyChange resets connections that are cut now, and wakes all goroutines that wait for a change. The caller must
+// hold n.mu.
+func (n *Net) applyChange() {
 	n.wakeWaiters()
 	for c := range n.conns {
 		if n.stateOf(c.forward()).Cut || n.stateOf(c.back()).Cut {
@@ -140,8 +144,8 @@
 	n.changed = make(chan struct{})
 }
 
-// chance is true with a probability.
-func (n *Net) chance(probability float64) bool {
+// randomBool returns true with the given probability.
+func (n *Net) randomBool(probability float64) bool {
 	if probability <= 0 {
 		return false
 	}
@@ -150,7 +154,7 @@
 	return n.rng.Float64() < probability
 }
 
-// randomDelay draws a delay that is shorter than a bound.
+// randomDelay returns a random delay that is less than bound.
 func (n *Net) randomDelay(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
@@ -164,7 +168,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c := n.counts[d]
-	c.Bytes, c.Pieces = c.Bytes+int64(bytes), c.Pieces+1
+	c.Bytes, c.Chunks = c.Bytes+int64(bytes), c.Chunks+1
 	n.counts[d] = c
 }
 
@@ -176,7 +180,7 @@
 	n.counts[d] = c
 }
 
-// track has something closed with the network. If that is closed already, it closes it at once and returns false.
+// track registers a closer that Close closes. If the network is already closed, it closes c at once and returns false.
 func (n *Net) track(c io.Closer) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -184,6 +188,6 @@
 		c.Close()
 		return false
 	}
-	n.resources = append(n.resources, c)
+	n.closers = append(n.closers, c)
 	return true
 }
