--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -10,38 +10,38 @@
 
 // actions writes the actions of one instance's controller into the reply.
 type actions struct {
-	reply *wire.Reply
-	who   uint16
+	reply      *wire.Reply
+	instanceID uint16
 }
 
 func (a *actions) Send(id control.MessageID, to control.EndpointID, timeout time.Duration) {
-	a.reply.Forward(a.who, uint32(id), uint32(to), wire.Millis(timeout))
+	a.reply.Forward(a.instanceID, uint32(id), uint32(to), wire.Millis(timeout))
 }
 
 func (a *actions) Cancel(id control.MessageID, attempt int) {
-	a.reply.Withdraw(a.who, uint32(id), uint16(attempt))
+	a.reply.Withdraw(a.instanceID, uint32(id), uint16(attempt))
 }
 
 func (a *actions) Reject(id control.MessageID, retryAfter time.Duration) {
-	a.reply.OverloadReply(a.who, uint32(id), wire.Millis(max(retryAfter, 0)))
+	a.reply.OverloadReply(a.instanceID, uint32(id), wire.Millis(max(retryAfter, 0)))
 }
 
-func (a *actions) Fail(id control.MessageID) { a.reply.Fail(a.who, uint32(id)) }
+func (a *actions) Fail(id control.MessageID) { a.reply.Fail(a.instanceID, uint32(id)) }
 
-func (a *actions) HealthCheck(to control.EndpointID) { a.reply.Test(a.who, uint32(to)) }
+func (a *actions) HealthCheck(to control.EndpointID) { a.reply.Test(a.instanceID, uint32(to)) }
 
-func (a *actions) Disconnect(to control.EndpointID) { a.reply.Disconnect(a.who, uint32(to)) }
+func (a *actions) Disconnect(to control.EndpointID) { a.reply.Disconnect(a.instanceID, uint32(to)) }
 
-func (a *actions) Watch(on bool) { a.reply.Watch(a.who, on) }
+func (a *actions) Watch(on bool) { a.reply.Watch(a.instanceID, on) }
 
-func (a *actions) Fetch() { a.reply.Lookup(a.who) }
+func (a *actions) Fetch() { a.reply.Lookup(a.instanceID) }
 
 func (a *actions) SetTimer(after time.Duration, token uint32) {
-	a.reply.Arm(a.who, wire.Millis(after), token)
+	a.reply.Arm(a.instanceID, wire.Millis(after), token)
 }
 
 func (a *actions) Gossip(n control.Observation) {
-	a.reply.Say(a.who, gossip.Encode([]gossip.Observation{{EndpointHash: uint32(n.Endpoint), Kind: n.Kind, Age: n.Age}}))
+	a.reply.Say(a.instanceID, gossip.Encode([]gossip.Observation{{EndpointHash: uint32(n.Endpoint), Kind: n.Kind, Age: n.Age}}))
 }
 
-func (a *actions) Log(text string) { a.reply.JournalLine(a.who, text) }
+func (a *actions) Log(text string) { a.reply.JournalLine(a.instanceID, text) }
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -14,27 +14,27 @@
 
 // host runs the controllers of one simulated process.
 type host struct {
-	reader    *wire.Reader
-	reply     wire.Reply
-	now       time.Duration
-	lists     map[uint16][]control.Endpoint
-	instances map[uint16]*instance
-	due       []uint16 // instances with events in this batch, in order of the first
+	reader           *wire.Reader
+	reply            wire.Reply
+	now              time.Duration
+	endpointLists    map[uint16][]control.Endpoint
+	instances        map[uint16]*instance
+	pendingDecisions []uint16 // instances with events in this batch, in order of the first
 }
 
 // instance is the controller of one sender. A message keeps the class with which it was submitted. After a change of
 // settings the numbers of classes on the wire therefore differ from those of the controller.
 type instance struct {
 	*control.Controller
-	seed    uint64
-	classes []control.Class // all since the start, by the controller's number
-	numbers []int           // the controller's number by the number in the latest settings
+	seed         uint64
+	classes      []control.Class // all since the start, by the controller's number
+	classNumbers []int           // the controller's number by the number in the latest settings
 }
 
 // renumberClasses adds the classes of new settings to those known and replaces them in the settings by all of them.
-func (i *instance) renumberClasses(set *control.Settings) {
+func (i *instance) renumberClasses(settings *control.Settings) {
 	classes, numbers := slices.Clone(i.classes), []int(nil)
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		n := 0
 		for n < len(classes) && (classes[n] != c || slices.Contains(numbers, n)) {
 			n++
@@ -44,78 +44,78 @@
 		}
 		numbers = append(numbers, n)
 	}
-	i.classes, i.numbers, set.Classes = classes, numbers, classes
+	i.classes, i.classNumbers, settings.Classes = classes, numbers, classes
 }
 
-// class returns the controller's number of a class of the latest settings, or -1 for an unknown one.
-func (i *instance) class(n int) int {
-	if n < len(i.numbers) {
-		return i.numbers[n]
+// classNumber returns the controller's number of a classNumber of the latest settings, or -1 for an unknown one.
+func (i *instance) classNumber(n int) int {
+	if n < len(i.classNumbers) {
+		return i.classNumbers[n]
 	}
 	return -1
 }
 
 // updateSettings changes the settings of a running instance. After an error the old ones hold.
 func (i *instance) updateSettings(now time.Duration, text []byte) error {
-	set, err := wire.ParseSettings(text, i.seed)
+	settings, err := wire.ParseSettings(text, i.seed)
 	if err != nil {
 		return err
 	}
-	next := *i
-	next.renumberClasses(&set)
-	if err := i.UpdateSettings(now, set); err != nil {
+	updated := *i
+	updated.renumberClasses(&settings)
+	if err := i.UpdateSettings(now, settings); err != nil {
 		return err
 	}
-	*i = next
+	*i = updated
 	return nil
 }
 
 func newHost(in io.Reader) *host {
 	return &host{
-		reader: wire.NewReader(bufio.NewReaderSize(in, 1<<16)),
-		lists:  map[uint16][]control.Endpoint{}, instances: map[uint16]*instance{},
+		reader:        wire.NewReader(bufio.NewReaderSize(in, 1<<16)),
+		endpointLists: map[uint16][]control.Endpoint{}, instances: map[uint16]*instance{},
 	}
 }
 
-// batch delivers the events of a batch to their instances and collects the reply.
-func (h *host) batch(b wire.Batch) error {
+// handleBatch delivers the events of a handleBatch to their instances and collects the reply.
+func (h *host) handleBatch(b wire.Batch) error {
 	h.reply.Reset()
 	h.now = wire.Duration(b.ClockMs)
 	for _, e := range b.Events {
-		if err := h.event(e); err != nil {
+		if err := h.handleEvent(e); err != nil {
 			return err
 		}
 	}
-	for _, who := range h.due {
-		h.decide(who)
+	for _, instanceID := range h.pendingDecisions {
+		h.decide(instanceID)
 	}
-	h.due = h.due[:0]
+	h.pendingDecisions = h.pendingDecisions[:0]
 	return nil
 }
 
 // decide lets an instance act after all events of the batch.
-func (h *host) decide(who uint16) {
-	defer h.recoverPanic(who)
-	if c := h.instances[who]; c != nil {
+func (h *host) decide(instanceID uint16) {
+	defer h.recoverPanic(instanceID)
+	if c := h.instances[instanceID]; c != nil {
 		c.Decide(h.now)
 	}
 }
 
 // recoverPanic reports a panic in the decisions as a bug of the instance, which ends.
-func (h *host) recoverPanic(who uint16) {
+func (h *host) recoverPanic(instanceID uint16) {
 	if p := recover(); p != nil {
-		h.reply.Bug(who, fmt.Sprint("panic: ", p))
-		delete(h.instances, who)
+		h.reply.Bug(instanceID, fmt.Sprint("panic: ", p))
+		delete(h.instances, instanceID)
 	}
 }
 
-// event handles one event. An error means that the stream makes no sense.
-func (h *host) event(e wire.Event) error {
-	who := e.Instance()
-	defer h.recoverPanic(who)
+// handleEvent handles one handleEvent. An error means that the stream makes no sense.
+func (h *host) handleEvent(e wire.Event) error {
+	instanceID := e.Instance()
+	defer h.recoverPanic(instanceID)
 	switch e := e.(type) {
 	case wire.Census:
-		h.lists[e.Table] = endpoints(e.Entries)
+		h.endpointLists[e.Table] = endpoints(e.Entries)
 		return nil
 	case wire.Start:
 		h.start(e)
@@ -124,14 +124,14 @@
 		delete(h.instances, e.Who)
 		return nil
 	case wire.Discovery:
-		if _, known := h.lists[e.Table]; !known && e.Form != wire.FormFailed {
+		if _, known := h.endpointLists[e.Table]; !known && e.Form != wire.FormFailed {
 			return fmt.Errorf("a Discovery for instance %d names list %d, which was never sent", e.Who, e.Table)
 		}
 	}
-	if c := h.instances[who]; c != nil {
+	if c := h.instances[instanceID]; c != nil {
 		h.deliver(c, e)
-		if !slices.Contains(h.due, who) {
-			h.due = append(h.due, who)
+		if !slices.Contains(h.pendingDecisions, instanceID) {
+			h.pendingDecisions = append(h.pendingDecisions, instanceID)
 		}
 	}
 	return nil
@@ -140,11 +140,11 @@
 // start creates an instance. Invalid settings are reported as a bug of the instance.
 func (h *host) start(e wire.Start) {
 	delete(h.instances, e.Who)
-	set, err := wire.ParseSettings(e.Settings, e.Seed)
+	settings, err := wire.ParseSettings(e.Settings, e.Seed)
 	if err == nil {
 		i := &instance{seed: e.Seed}
-		i.renumberClasses(&set)
-		if i.Controller, err = control.New(set, &actions{&h.reply, e.Who}); err == nil {
+		i.renumberClasses(&settings)
+		if i.Controller, err = control.New(settings, &actions{&h.reply, e.Who}); err == nil {
 			h.instances[e.Who] = i
 			return
 		}
@@ -162,12 +162,12 @@
 	case wire.Discovery:
 		var list []control.Endpoint
 		if e.Form != wire.FormFailed {
-			list = h.lists[e.Table]
+			list = h.endpointLists[e.Table]
 		}
 		c.UpdateEndpoints(h.now, listUpdateKind(e.Form), list)
 	case wire.JobIn:
 		m := message(e)
-		m.Class = c.class(m.Class)
+		m.Class = c.classNumber(m.Class)
 		c.Submit(h.now, m)
 	case wire.First:
 		c.StreamStarted(h.now, control.MessageID(e.Txn))
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			return err
 		}
-		if err := h.batch(batch); err != nil {
+		if err := h.handleBatch(batch); err != nil {
 			return err
 		}
 		if _, err := h.reply.WriteTo(out); err != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -15,33 +15,33 @@
 	"profiles": [{"aim-ms": 1000, "deadline-ms": 8000, "effect": "safe", "worth": 1}],
 	"kinds": ["k"], "specifics": {"max-calls": 4, "kind-batch": [1]}, "limits": {"send-cap": 5}}`
 
-// A script builds batches as the simulator sends them.
-type script struct {
+// A batchBuilder builds batches as the simulator sends them.
+type batchBuilder struct {
 	bytes.Buffer
 	body []byte
 }
 
-func (s *script) put(parts ...any) *script {
+func (s *batchBuilder) append(parts ...any) *batchBuilder {
 	for _, p := range parts {
 		s.body, _ = binary.Append(s.body, binary.LittleEndian, p)
 	}
 	return s
 }
 
-func (s *script) start(who uint16, settings string) *script {
-	return s.put(uint8(7), who, uint64(who), uint32(len(settings)), []byte(settings))
+func (s *batchBuilder) start(who uint16, settings string) *batchBuilder {
+	return s.append(uint8(7), who, uint64(who), uint32(len(settings)), []byte(settings))
 }
 
-func (s *script) list(who uint16, endpoint uint32) *script {
-	s.put(uint8(10), uint16(0), uint32(1), endpoint, uint8(0), uint16(0), uint16(3), uint8(1), float32(1), float64(0))
-	return s.put(uint8(3), who, uint64(1), uint16(0), uint8(2))
+func (s *batchBuilder) sendEndpointList(who uint16, endpoint uint32) *batchBuilder {
+	s.append(uint8(10), uint16(0), uint32(1), endpoint, uint8(0), uint16(0), uint16(3), uint8(1), float32(1), float64(0))
+	return s.append(uint8(3), who, uint64(1), uint16(0), uint8(2))
 }
 
-func (s *script) job(who uint16, txn uint32) *script {
-	return s.put(uint8(9), who, txn, uint16(0), float64(0), float32(3), float64(8000), uint64(0), uint8(0), uint32(0))
+func (s *batchBuilder) submit(who uint16, txn uint32) *batchBuilder {
+	return s.append(uint8(9), who, txn, uint16(0), float64(0), float32(3), float64(8000), uint64(0), uint8(0), uint32(0))
 }
 
-func (s *script) end(clock float64) *script {
+func (s *batchBuilder) endBatch(clock float64) *batchBuilder {
 	head, _ := binary.Append(nil, binary.LittleEndian, uint32(len(s.body)))
 	head, _ = binary.Append(head, binary.LittleEndian, clock)
 	s.Write(append(head, s.body...))
@@ -49,8 +49,8 @@
 	return s
 }
 
-// forwards lists the instance and message of each Forward in the replies.
-func forwards(t *testing.T, out []byte) (list [][2]uint32, bugs []string) {
+// decodeReplies lists the instance and message of each Forward in the replies.
+func decodeReplies(t *testing.T, out []byte) (forwards [][2]uint32, bugs []string) {
 	t.Helper()
 	for len(out) >= 8 {
 		n := binary.LittleEndian.Uint32(out)
@@ -60,7 +60,7 @@
 			who := uint32(binary.LittleEndian.Uint16(body[1:]))
 			switch body[0] {
 			case 9:
-				list = append(list, [2]uint32{who, binary.LittleEndian.Uint32(body[3:])})
+				forwards = append(forwards, [2]uint32{who, binary.LittleEndian.Uint32(body[3:])})
 				body = body[19:]
 			case 7:
 				body = body[15:]
@@ -73,33 +73,33 @@
 			}
 		}
 	}
-	return list, bugs
+	return forwards, bugs
 }
 
 // Instances act alike whether they share a process or not.
-func TestInstancesShareNothing(t *testing.T) {
-	both := new(script)
-	both.start(1, testSettings).list(1, 40).start(2, testSettings).list(2, 41).end(1000)
-	both.job(1, 7).job(2, 8).job(1, 9).end(1005)
+func TestInstancesAreIndependent(t *testing.T) {
+	both := new(batchBuilder)
+	both.start(1, testSettings).sendEndpointList(1, 40).start(2, testSettings).sendEndpointList(2, 41).endBatch(1000)
+	both.submit(1, 7).submit(2, 8).submit(1, 9).endBatch(1005)
 	var out bytes.Buffer
 	if err := run(both, &out); err != nil {
 		t.Fatal(err)
 	}
-	got, _ := forwards(t, out.Bytes())
+	got, _ := decodeReplies(t, out.Bytes())
 	var want [][2]uint32
 	for _, who := range []uint16{1, 2} {
-		separate := new(script)
-		separate.start(who, testSettings).list(who, 39+uint32(who)).end(1000)
+		separate := new(batchBuilder)
+		separate.start(who, testSettings).sendEndpointList(who, 39+uint32(who)).endBatch(1000)
 		if who == 1 {
-			separate.job(1, 7).job(1, 9).end(1005)
+			separate.submit(1, 7).submit(1, 9).endBatch(1005)
 		} else {
-			separate.job(2, 8).end(1005)
+			separate.submit(2, 8).endBatch(1005)
 		}
 		out.Reset()
 		if err := run(separate, &out); err != nil {
 			t.Fatal(err)
 		}
-		f, _ := forwards(t, out.Bytes())
+		f, _ := decodeReplies(t, out.Bytes())
 		want = append(want, f...)
 	}
 	if len(got) != 3 || len(want) != 3 || !slices.Equal(got, want) {
@@ -107,14 +107,14 @@
 	}
 }
 
-func TestBadSettingsAreTheInstancesFault(t *testing.T) {
-	s := new(script)
-	s.start(1, `{"profiles": []}`).start(2, "nonsense").start(3, testSettings).list(3, 40).job(3, 5).job(1, 6).end(1)
+func TestInvalidSettingsReportedAsInstanceBug(t *testing.T) {
+	s := new(batchBuilder)
+	s.start(1, `{"profiles": []}`).start(2, "nonsense").start(3, testSettings).sendEndpointList(3, 40).submit(3, 5).submit(1, 6).endBatch(1)
 	var out bytes.Buffer
 	if err := run(s, &out); err != nil {
 		t.Fatal(err)
 	}
-	sent, bugs := forwards(t, out.Bytes())
+	sent, bugs := decodeReplies(t, out.Bytes())
 	if len(bugs) != 2 || !strings.Contains(bugs[0], "Classes") || !strings.Contains(bugs[1], "profile-data") {
 		t.Errorf("faults %q", bugs)
 	}
@@ -124,43 +124,43 @@
 }
 
 func TestDestroyedAndUnknownInstances(t *testing.T) {
-	s := new(script)
-	s.start(1, testSettings).list(1, 40).put(uint8(4), uint16(1)).job(1, 5).job(9, 6).end(1)
-	s.put(uint8(2), uint16(1), uint32(77)).end(2)
+	s := new(batchBuilder)
+	s.start(1, testSettings).sendEndpointList(1, 40).append(uint8(4), uint16(1)).submit(1, 5).submit(9, 6).endBatch(1)
+	s.append(uint8(2), uint16(1), uint32(77)).endBatch(2)
 	var out bytes.Buffer
 	if err := run(s, &out); err != nil {
 		t.Fatal(err)
 	}
-	if sent, bugs := forwards(t, out.Bytes()); len(sent)+len(bugs) != 0 {
+	if sent, bugs := decodeReplies(t, out.Bytes()); len(sent)+len(bugs) != 0 {
 		t.Errorf("sent %v, faults %q", sent, bugs)
 	}
 }
 
-func TestCutOffInputIsAnError(t *testing.T) {
-	s := new(script)
-	s.start(1, testSettings).end(math.Pi)
+func TestTruncatedInputIsAnError(t *testing.T) {
+	s := new(batchBuilder)
+	s.start(1, testSettings).endBatch(math.Pi)
 	data := s.Bytes()
 	for _, n := range []int{5, 20, len(data) - 1} {
 		if err := run(bytes.NewReader(data[:n]), new(bytes.Buffer)); err == nil || !strings.Contains(err.Error(), "cut off") {
 			t.Errorf("cut to %d bytes: %v", n, err)
 		}
 	}
-	lost := new(script)
-	lost.start(1, testSettings).put(uint8(3), uint16(1), uint64(1), uint16(5), uint8(1)).end(1)
-	if err := run(lost, new(bytes.Buffer)); err == nil || !strings.Contains(err.Error(), "list 5") {
+	unknownList := new(batchBuilder)
+	unknownList.start(1, testSettings).append(uint8(3), uint16(1), uint64(1), uint16(5), uint8(1)).endBatch(1)
+	if err := run(unknownList, new(bytes.Buffer)); err == nil || !strings.Contains(err.Error(), "list 5") {
 		t.Errorf("a list never sent: %v", err)
 	}
 }
 
-func (s *script) retune(who uint16, settings string) *script {
-	return s.put(uint8(128), who, uint32(len(settings)), []byte(settings))
+func (s *batchBuilder) retune(who uint16, settings string) *batchBuilder {
+	return s.append(uint8(128), who, uint32(len(settings)), []byte(settings))
 }
 
 // New settings under way: one slot more lets one more message go; a class that was put in front of the others takes
 // none of theirs, for those held and for those that come; settings that can't be change nothing.
 func TestRetune(t *testing.T) {
-	few := strings.Replace(testSettings, `"max-calls": 4`, `"max-calls": 1`, 1)
-	brief := strings.Replace(few, `"profiles": [`,
+	oneSlot := strings.Replace(testSettings, `"max-calls": 4`, `"max-calls": 1`, 1)
+	extraClass := strings.Replace(oneSlot, `"profiles": [`,
 		`"profiles": [{"aim-ms": 5, "deadline-ms": 10, "effect": "unsafe", "worth": 1}, `, 1)
 	for _, c := range []struct {
 		name, settings string
@@ -170,24 +170,24 @@
 	}{
 		{"none", "", 0, 1, ""},
 		{"more slots", testSettings, 0, 3, ""},
-		{"a class in front", strings.Replace(brief, `"max-calls": 1`, `"max-calls": 4`, 1), 1, 3, ""},
+		{"a class in front", strings.Replace(extraClass, `"max-calls": 1`, `"max-calls": 4`, 1), 1, 3, ""},
 		{"not readable", "nonsense", 0, 1, "new settings: profile-data"},
 		{"without classes", `{"profiles": []}`, 0, 1, "new settings: "},
 	} {
-		s := new(script)
-		s.start(1, few).list(1, 40).end(1000)
-		s.job(1, 5).job(1, 6).end(1005)
+		s := new(batchBuilder)
+		s.start(1, oneSlot).sendEndpointList(1, 40).endBatch(1000)
+		s.submit(1, 5).submit(1, 6).endBatch(1005)
 		if c.settings != "" {
 			s.retune(1, c.settings).retune(9, c.settings) // nobody is 9
 		}
-		s.put(uint8(9), uint16(1), uint32(7), c.class, float64(0), float32(3), float64(8000), uint64(0), uint8(0),
-			uint32(0)).end(1200)
-		s.put(uint8(8), uint16(1), uint32(0)).end(1300)
+		s.append(uint8(9), uint16(1), uint32(7), c.class, float64(0), float32(3), float64(8000), uint64(0), uint8(0),
+			uint32(0)).endBatch(1200)
+		s.append(uint8(8), uint16(1), uint32(0)).endBatch(1300)
 		var out bytes.Buffer
 		if err := run(s, &out); err != nil {
 			t.Fatal(err)
 		}
-		sent, bugs := forwards(t, out.Bytes())
+		sent, bugs := decodeReplies(t, out.Bytes())
 		if len(sent) != c.want || len(bugs) > 1 || (len(bugs) == 1) != (c.bug != "") ||
 			len(bugs) == 1 && !strings.HasPrefix(bugs[0], c.bug) {
 			t.Errorf("%s: sent %v, faults %q", c.name, sent, bugs)
@@ -199,7 +199,7 @@
 func TestClassNumbers(t *testing.T) {
 	a, b, c := control.Class{PriorityWeight: 1}, control.Class{PriorityWeight: 2}, control.Class{PriorityWeight: 3}
 	i := &instance{}
-	for _, x := range []struct {
+	for _, step := range []struct {
 		classes []control.Class
 		numbers []int
 		known   int
@@ -208,10 +208,10 @@
 		{[]control.Class{c, b}, []int{3, 1}, 4},
 		{[]control.Class{a, a, c}, []int{0, 2, 3}, 4},
 	} {
-		set := control.Settings{Classes: x.classes}
+		set := control.Settings{Classes: step.classes}
 		i.renumberClasses(&set)
-		if !slices.Equal(i.numbers, x.numbers) || len(set.Classes) != x.known || i.class(len(x.classes)) != -1 {
-			t.Errorf("%v: numbers %v of %d", x.classes, i.numbers, len(set.Classes))
+		if !slices.Equal(i.classNumbers, step.numbers) || len(set.Classes) != step.known || i.classNumber(len(step.classes)) != -1 {
+			t.Errorf("%v: numbers %v of %d", step.classes, i.classNumbers, len(set.Classes))
 		}
 	}
 }
