--- a/examples/scenarios/agents.star
+++ b/examples/scenarios/agents.star
@@ -1,5 +1,5 @@
-# Drains and a release of a small fleet whose agents are killed, stopped and cut off meanwhile: never more than two
-# senders out at once, in virtual time and with processes.
+# Drains and releases in a small fleet while agents are killed, stopped and isolated. At most two senders may be out of
+# service at any time. The scenario runs in virtual time and with processes.
 
 scenario(name = "agents", seconds = param("seconds", 40), senders = param("senders", 6), zones = ["bldg-a", "bldg-b"], hold = 20, slots = 4)
 kind(name = "partners", limit = "none", headroom = 4, conns = 200, least_conns = 400, endpoints = 2, cv = 0.1)
--- a/examples/scenarios/all-at-once.star
+++ b/examples/scenarios/all-at-once.star
@@ -1,6 +1,6 @@
-# All at once: a building refuses, a kind fails, calls are slow, traffic bursts, a few
-# partners draw more, endpoints are replaced, discovery is out, and senders are
-# killed, stopped and told to reload.
+# Many faults in one run: endpoints in one zone refuse connections, calls fail, are slow or break, traffic bursts, a
+# few destinations get a larger share of the traffic, endpoints are replaced, discovery is unavailable, and senders are
+# killed, terminated and reloaded by SIGHUP.
 
 scenario(name = "all-at-once", seconds = 60, senders = 3, zones = ["bldg-a", "bldg-b"])
 
--- a/examples/scenarios/building-refuses.star
+++ b/examples/scenarios/building-refuses.star
@@ -1,5 +1,5 @@
-# A building refuses: the endpoints of up to a quarter of the traffic in bldg-b
-# refuse connections for ten to twenty seconds, and return cold.
+# Endpoints of one zone refuse connections: those that serve up to a quarter of the traffic in bldg-b are down for ten
+# to twenty seconds and return cold.
 
 scenario(name = "building-refuses", seconds = 60, senders = 3, zones = ["bldg-a", "bldg-b"])
 
--- a/examples/scenarios/churned-endpoints.star
+++ b/examples/scenarios/churned-endpoints.star
@@ -1,5 +1,5 @@
-# Endpoints come and go all the time, some at the address of the one before, while
-# discovery is late, and for a time dead.
+# Endpoints are replaced continuously, some by another one at the same address, while discovery reports changes late
+# and is unavailable for six to nine seconds.
 
 scenario(name = "churned-endpoints", seconds = 60, senders = 3, zones = ["bldg-a", "bldg-b"])
 
--- a/examples/scenarios/cold-return.star
+++ b/examples/scenarios/cold-return.star
@@ -1,6 +1,5 @@
-# A cold return: the partner systems with most traffic shut altogether for half a
-# minute, and all that was held meanwhile wants to go to them when they come back
-# with a fifth of their capacity.
+# Cold return: the partner systems with the most traffic reject all calls for half a minute. The messages that are
+# queued meanwhile are due when the partners return with a fifth of their capacity.
 
 scenario(name = "cold-return", seconds = 60, senders = 3, zones = ["bldg-a", "bldg-b"])
 
--- a/examples/scenarios/fleet-cut.star
+++ b/examples/scenarios/fleet-cut.star
@@ -1,5 +1,6 @@
-# One destination's limit is halved, below its traffic, while senders share it; notes between senders pass, or not
-# (--set parts=2 and more: the fleet in so many parts from 12 to 22 s). Later half of another destination's endpoints die.
+# The rate limit of one destination is halved, below its traffic, while many senders share it. Gossip between the
+# senders works, or is cut: with --set parts=2 or more, the fleet is partitioned into that many parts from 12 to 22 s.
+# Later some endpoints of another destination fail.
 #
 #     cleathold lab sim examples/scenarios/fleet-cut.star --set senders=250 --set rate=500 --set parts=250 --out RUN
 #     cleathold lab limits RUN
--- a/examples/scenarios/fleet-dead.star
+++ b/examples/scenarios/fleet-dead.star
@@ -1,6 +1,6 @@
-# Half of the endpoints of two destinations die for a while and come back cold; notes between senders pass, or not
-# (--set lost=1: none; --set parts=2 and more: the fleet in so many parts from 10 s on). --set mode=1: they hang; 2: they answer with
-# errors; 3: they are four times slower.
+# Half of the endpoints of two destinations fail for 6 s and return cold. Gossip between the senders works, or not: with
+# --set lost=1 all of it is lost, and with --set parts=2 or more the fleet is partitioned into that many parts from 10 s
+# on. --set mode=1: the endpoints hang; 2: they answer with errors; 3: they are four times slower.
 #
 #     cleathold lab sim examples/scenarios/fleet-dead.star --set senders=250 --set rate=500 --out RUN
 #     cleathold lab outages RUN
--- a/examples/scenarios/fleet-herd.star
+++ b/examples/scenarios/fleet-herd.star
@@ -1,4 +1,5 @@
-# Most of 80 senders are killed at once as endpoints are replaced, and discovery is down as they return.
+# Restart of most of a fleet: 70% of 80 senders are killed at once while endpoints are replaced, and discovery is
+# unavailable when they restart.
 
 senders, lost = param("senders", 80), param("lost", 0)
 scenario(name = "fleet-herd", seconds = 30, senders = senders, zones = ["bldg-a", "bldg-b"], slots = (1.8, 2.4), hold = (7.1, 11),
--- a/examples/scenarios/fleet-limits.star
+++ b/examples/scenarios/fleet-limits.star
@@ -1,6 +1,6 @@
-# Partners with half of the traffic lower their limits for 9 s, and 80 senders share them.
+# Partners with half of the traffic lower their limits for 9 s while 80 senders share them.
 #
-#     cleathold lab sim examples/scenarios/fleet-limits.star --set lost=1    # without notes between them
+#     cleathold lab sim examples/scenarios/fleet-limits.star --set lost=1    # without gossip between the senders
 
 senders, lost = param("senders", 80), param("lost", 0)
 scenario(name = "fleet-limits", seconds = 30, senders = senders, zones = ["bldg-a", "bldg-b"], slots = (1.8, 2.4), hold = (7.1, 11),
--- a/examples/scenarios/fleet-return.star
+++ b/examples/scenarios/fleet-return.star
@@ -1,4 +1,4 @@
-# Partners with half of the traffic are down for 5 s and come back cold, to 80 senders.
+# Partners with half of the traffic are down for 5 s and return cold while 80 senders have messages for them.
 
 senders, lost = param("senders", 80), param("lost", 0)
 scenario(name = "fleet-return", seconds = 30, senders = senders, zones = ["bldg-a", "bldg-b"], slots = (1.8, 2.4), hold = (7.1, 11),
--- a/examples/scenarios/hollow-day.star
+++ b/examples/scenarios/hollow-day.star
@@ -1,8 +1,9 @@
-# A day of hollow-main with one trouble, for comparisons with the bench's days.
+# One run of the test bench's "hollow-main" setup with one kind of fault, for comparisons with the results of the bench.
 #
 #     cleathold lab sim examples/scenarios/hollow-day.star --set trouble=1
 #
-# 0 none, 1 a building refuses, 2 quick errors, 3 shut, 4 slow, 5 a burst, 6 hot.
+# trouble: 0 no fault, 1 a zone refuses connections, 2 calls fail at once, 3 partners reject all calls, 4 calls are slow,
+# 5 a traffic burst, 6 a few destinations get a larger share of the traffic.
 
 trouble_of = param("trouble", 1)
 level = param("level", 0.84)  # of full load
--- a/examples/scenarios/kills.star
+++ b/examples/scenarios/kills.star
@@ -1,5 +1,5 @@
-# Kills: a sender is killed every second or so, another is told to stop now and then,
-# while a building refuses. What was taken on ends once all the same.
+# A sender is killed about every second, and every tenth time terminated instead, while endpoints of one zone refuse
+# connections. Each accepted message must still end exactly once.
 
 scenario(name = "kills", seconds = 60, senders = 3, zones = ["bldg-a", "bldg-b"])
 
--- a/examples/scenarios/large.star
+++ b/examples/scenarios/large.star
@@ -1,16 +1,16 @@
-# Large: any number of endpoints and senders, for measurements of size. The load of
-# each endpoint stays the same as the fleet grows.
+# A fleet of configurable size, to measure how the senders scale. The load of each endpoint stays the same as the fleet
+# grows.
 #
 #     cleathold lab sim examples/scenarios/large.star --set endpoints=1000 --set senders=40
 
 endpoints = param("endpoints", 100)
 senders = param("senders", 4)
 seconds = param("seconds", 60)
-each = param("each", 1.8)  # messages a second for each endpoint
+each = param("each", 1.8)  # messages per second and endpoint
 
 scenario(name = "large", seconds = seconds, senders = senders, zones = ["bldg-a", "bldg-b"])
 
-# 2.2 endpoints a destination in the mean.
+# A destination has 2.2 endpoints on average.
 large = max(1, int(endpoints / 2.2 / 3))
 small = max(1, int(endpoints / 2.2) - large)
 
--- a/examples/scenarios/limit-halved.star
+++ b/examples/scenarios/limit-halved.star
@@ -1,5 +1,5 @@
-# A limit cut by half without a word: partners with half of the traffic refuse what
-# was allowed a moment ago.
+# Limits are halved without notice: partners with half of the traffic suddenly reject calls at a rate that they
+# accepted before.
 
 scenario(name = "limit-halved", seconds = 60, senders = 3, zones = ["bldg-a", "bldg-b"])
 
--- a/examples/scenarios/links-fail.star
+++ b/examples/scenarios/links-fail.star
@@ -1,6 +1,6 @@
-# Ways between processes fail: senders in two halves, one that hears nobody, late and lost notes, a sender
-# that can't reach one destination, discovery out of reach of a building; senders are stopped and go on,
-# one loses its folder, clients are sent away for a while, and the settings change.
+# Network links fail: the senders are partitioned into two halves, one sender receives nothing from the others, gossip
+# is late or lost, a sender can't reach one destination, and a zone can't reach discovery. Senders are also stopped and
+# continued, one loses its state folder, one is drained, and the settings change.
 
 scenario(name = "links-fail", seconds = 70, senders = param("senders", 4), zones = ["bldg-a", "bldg-b"])
 
--- a/examples/scenarios/payment-hangs.star
+++ b/examples/scenarios/payment-hangs.star
@@ -1,5 +1,5 @@
-# Payment partners that hang: calls to a part of the traffic are taken in and never
-# answered. Fee payments among them may have taken effect, and must not go twice.
+# Partners hang: calls that carry a part of the traffic are accepted and never answered. Fee payments among them may
+# have taken effect and must not be sent twice.
 
 scenario(name = "payment-hangs", seconds = 60, senders = 3, zones = ["bldg-a", "bldg-b"])
 
--- a/examples/scenarios/shut-kind.star
+++ b/examples/scenarios/shut-kind.star
@@ -1,5 +1,5 @@
-# A kind of partner systems shuts, and each refusal tells how long to wait: until
-# it opens again. Nothing may go there before.
+# All partner systems of one kind reject calls for some seconds. Each rejection has a Retry-After that ends when they
+# accept calls again, and no call may be made before that.
 
 scenario(name = "shut-kind", seconds = 60, senders = 3, zones = ["bldg-a", "bldg-b"])
 
