--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -8,7 +8,8 @@
 	"cleathold/internal/wire"
 )
 
-// actions writes the actions of one instance's controller into the reply.
+// actions implements control.Actions for one instance. It appends each action to the reply that is sent to the
+// simulator.
 type actions struct {
 	reply      *wire.Reply
 	instanceID uint16
@@ -41,7 +42,9 @@
 }
 
 func (a *actions) Gossip(n control.Observation) {
-	a.reply.Say(a.instanceID, gossip.Encode([]gossip.Observation{{EndpointHash: uint32(n.Endpoint), Kind: n.Kind, Age: n.Age}}))
+	a.reply.Say(a.instanceID, gossip.Encode([]gossip.Observation{
+		{EndpointHash: uint32(n.Endpoint), Kind: n.Kind, Age: n.Age},
+	}))
 }
 
 func (a *actions) Log(text string) { a.reply.JournalLine(a.instanceID, text) }
--- a/cmd/simadapter/convert.go
+++ b/cmd/simadapter/convert.go
@@ -5,12 +5,12 @@
 	"cleathold/internal/wire"
 )
 
-// listUpdateKinds by the forms of a Discovery.
+// listUpdateKinds maps the form of a Discovery event to the kind of list update.
 var listUpdateKinds = map[uint8]control.ListUpdateKind{
 	wire.FormDelta: control.ListDelta, wire.FormFull: control.ListFull, wire.FormCached: control.ListCached,
 }
 
-// listUpdateKind converts the form of a Discovery. An unknown form counts as a failed poll.
+// listUpdateKind converts the form of a Discovery event. An unknown form counts as a failed poll.
 func listUpdateKind(form uint8) control.ListUpdateKind {
 	if kind, known := listUpdateKinds[form]; known {
 		return kind
@@ -18,13 +18,14 @@
 	return control.ListFailed
 }
 
-// results by the codes of a ReportBack or Pong, which are HTTP status codes or the simulator's own (WIRE).
+// results maps the code of a ReportBack or Pong event to the result of a call. Codes are HTTP status codes, or are
+// defined by the simulator's protocol (WIRE).
 var results = map[uint16]control.Result{
 	200: control.Served, 410: control.NotSent, 499: control.Canceled, 500: control.Failed, 502: control.ConnectFailed,
 	503: control.Rejected, 504: control.TimedOut, 598: control.ConnectionLost,
 }
 
-// resultOf converts a code. An unknown one means that the attempt may have run.
+// resultOf converts the code of a ReportBack or Pong event. An unknown code means that the attempt may have run.
 func resultOf(code uint16) control.Result {
 	if result, known := results[code]; known {
 		return result
@@ -32,10 +33,10 @@
 	return control.Unknown
 }
 
-// endpointStates by the lifecycle of a Census entry.
+// endpointStates maps the lifecycle of a Census entry to the state of an endpoint.
 var endpointStates = map[uint8]control.EndpointState{1: control.Ready, 2: control.Draining}
 
-// endpointState converts a lifecycle. An unknown one counts as removed.
+// endpointState converts the lifecycle of a Census entry. An endpoint with an unknown lifecycle counts as removed.
 func endpointState(lifecycle uint8) control.EndpointState {
 	if state, known := endpointStates[lifecycle]; known {
 		return state
@@ -43,7 +44,7 @@
 	return control.Removed
 }
 
-// endpoints converts the entries of a Census.
+// endpoints converts the entries of a Census event to an endpoint list.
 func endpoints(entries []wire.Entry) []control.Endpoint {
 	list := make([]control.Endpoint, len(entries))
 	for i, e := range entries {
@@ -55,7 +56,7 @@
 	return list
 }
 
-// message converts a JobIn. Its class is a number of the settings in force.
+// message converts a JobIn event. The message's class is its index in the latest settings.
 func message(e wire.JobIn) control.Message {
 	m := control.Message{
 		ID: control.MessageID(e.Txn), Class: int(e.Class), Destination: int(e.FarEnd),
@@ -68,7 +69,7 @@
 	return m
 }
 
-// outcome converts a ReportBack, whose remark means something else with each code.
+// outcome converts a ReportBack event. The meaning of the event's remark depends on its code.
 func outcome(e wire.ReportBack) control.Outcome {
 	o := control.Outcome{
 		ID: control.MessageID(e.Txn), Attempt: int(e.SendNo), Endpoint: control.EndpointID(e.Endpoint),
--- a/cmd/simadapter/host.go
+++ b/cmd/simadapter/host.go
@@ -12,26 +12,28 @@
 	"cleathold/internal/wire"
 )
 
-// host runs the controllers of one simulated process.
+// host runs the controllers of all simulated senders and applies the simulator's events to them.
 type host struct {
 	reader           *wire.Reader
 	reply            wire.Reply
 	now              time.Duration
 	endpointLists    map[uint16][]control.Endpoint
 	instances        map[uint16]*instance
-	pendingDecisions []uint16 // instances with events in this batch, in order of the first
+	pendingDecisions []uint16 // instances with events in this batch, ordered by their first event
 }
 
-// instance is the controller of one sender. A message keeps the class with which it was submitted. After a change of
-// settings the numbers of classes on the wire therefore differ from those of the controller.
+// instance is the controller of one sender. A message keeps the class with which it was submitted, also after the
+// settings change. The controller therefore keeps all classes since the start, and its class numbers differ from those
+// on the wire.
 type instance struct {
 	*control.Controller
 	seed         uint64
-	classes      []control.Class // all since the start, by the controller's number
-	classNumbers []int           // the controller's number by the number in the latest settings
+	classes      []control.Class // all classes since the start, indexed by the controller's class number
+	classNumbers []int           // maps a class number in the latest settings to the controller's class number
 }
 
-// renumberClasses adds the classes of new settings to those known and replaces them in the settings by all of them.
+// renumberClasses adds the classes of new settings to the known classes, and replaces the classes in the settings with
+// all known classes.
 func (i *instance) renumberClasses(settings *control.Settings) {
 	classes, numbers := slices.Clone(i.classes), []int(nil)
 	for _, c := range settings.Classes {
@@ -47,7 +49,8 @@
 	i.classes, i.classNumbers, settings.Classes = classes, numbers, classes
 }
 
-// classNumber returns the controller's number of a classNumber of the latest settings, or -1 for an unknown one.
+// classNumber returns the controller's number for a class number of the latest settings, or -1 if there is no such
+// class.
 func (i *instance) classNumber(n int) int {
 	if n < len(i.classNumbers) {
 		return i.classNumbers[n]
@@ -55,7 +58,7 @@
 	return -1
 }
 
-// updateSettings changes the settings of a running instance. After an error the old ones hold.
+// updateSettings changes the settings of a running instance. On an error the previous settings stay in force.
 func (i *instance) updateSettings(now time.Duration, text []byte) error {
 	settings, err := wire.ParseSettings(text, i.seed)
 	if err != nil {
@@ -77,7 +80,8 @@
 	}
 }
 
-// handleBatch delivers the events of a handleBatch to their instances and collects the reply.
+// handleBatch applies the events of a batch to their instances, runs the decisions of these instances, and collects the
+// reply.
 func (h *host) handleBatch(b wire.Batch) error {
 	h.reply.Reset()
 	h.now = wire.Duration(b.ClockMs)
@@ -93,7 +97,7 @@
 	return nil
 }
 
-// decide lets an instance act after all events of the batch.
+// decide runs the decisions of an instance after all events of the batch have been applied.
 func (h *host) decide(instanceID uint16) {
 	defer h.recoverPanic(instanceID)
 	if c := h.instances[instanceID]; c != nil {
@@ -101,7 +105,7 @@
 	}
 }
 
-// recoverPanic reports a panic in the decisions as a bug of the instance, which ends.
+// recoverPanic recovers from a panic in a controller, reports it as a bug of the instance and removes the instance.
 func (h *host) recoverPanic(instanceID uint16) {
 	if p := recover(); p != nil {
 		h.reply.Bug(instanceID, fmt.Sprint("panic: ", p))
@@ -109,7 +113,7 @@
 	}
 }
 
-// handleEvent handles one handleEvent. An error means that the stream makes no sense.
+// handleEvent applies one event. It returns an error if the event contradicts the events before it.
 func (h *host) handleEvent(e wire.Event) error {
 	instanceID := e.Instance()
 	defer h.recoverPanic(instanceID)
@@ -125,7 +129,7 @@
 		return nil
 	case wire.Discovery:
 		if _, known := h.endpointLists[e.Table]; !known && e.Form != wire.FormFailed {
-			return fmt.Errorf("a Discovery for instance %d names list %d, which was never sent", e.Who, e.Table)
+			return fmt.Errorf("a Discovery for instance %d refers to list %d, which was not received", e.Who, e.Table)
 		}
 	}
 	if c := h.instances[instanceID]; c != nil {
@@ -137,7 +141,8 @@
 	return nil
 }
 
-// start creates an instance. Invalid settings are reported as a bug of the instance.
+// start creates an instance, in place of an earlier one with the same number. It reports invalid settings as a bug of
+// the instance.
 func (h *host) start(e wire.Start) {
 	delete(h.instances, e.Who)
 	settings, err := wire.ParseSettings(e.Settings, e.Seed)
@@ -152,7 +157,7 @@
 	h.reply.Bug(e.Who, "settings: "+err.Error())
 }
 
-// deliver calls the controller's method for an event.
+// deliver calls the method of the instance's controller for an event.
 func (h *host) deliver(c *instance, e wire.Event) {
 	switch e := e.(type) {
 	case wire.Retune:
@@ -180,7 +185,7 @@
 	case wire.Pong:
 		c.HealthChecked(h.now, control.EndpointID(e.Endpoint), resultOf(e.Code), wire.Duration(e.TookMs), e.Feedback)
 	case wire.Memo:
-		observations, _ := gossip.Decode(e.Blob) // gossip may be lost; what can't be read counts as lost
+		observations, _ := gossip.Decode(e.Blob) // gossip may be lost, so an unreadable message is ignored
 		for _, o := range observations {
 			c.ReceiveGossip(h.now, control.Observation{Endpoint: control.EndpointID(o.EndpointHash), Kind: o.Kind, Age: o.Age,
 				Peer: int(e.From)})
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Command simadapter connects the decision module (package control) to the operators' simulator: it speaks the
-// simulator's protocol on standard input and output and runs one controller for each simulated sender. It decides
-// nothing.
+// Command simadapter connects the decision module (package control) to the operators' simulator. It implements the
+// simulator's protocol on standard input and output and runs one controller for each simulated sender. Package control
+// makes all decisions.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run reads batches of events and writes a reply to each, until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	h := newHost(in)
 	for {
@@ -32,7 +32,7 @@
 			return err
 		}
 		if _, err := h.reply.WriteTo(out); err != nil {
-			return fmt.Errorf("reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -15,7 +15,7 @@
 	"profiles": [{"aim-ms": 1000, "deadline-ms": 8000, "effect": "safe", "worth": 1}],
 	"kinds": ["k"], "specifics": {"max-calls": 4, "kind-batch": [1]}, "limits": {"send-cap": 5}}`
 
-// A batchBuilder builds batches as the simulator sends them.
+// batchBuilder encodes batches of events as the simulator sends them.
 type batchBuilder struct {
 	bytes.Buffer
 	body []byte
@@ -49,7 +49,7 @@
 	return s
 }
 
-// decodeReplies lists the instance and message of each Forward in the replies.
+// decodeReplies returns the instance and message of each Forward action and the text of each Bug action in the replies.
 func decodeReplies(t *testing.T, out []byte) (forwards [][2]uint32, bugs []string) {
 	t.Helper()
 	for len(out) >= 8 {
@@ -76,7 +76,7 @@
 	return forwards, bugs
 }
 
-// Instances act alike whether they share a process or not.
+// TestInstancesAreIndependent checks that instances take the same actions whether they share a process or not.
 func TestInstancesAreIndependent(t *testing.T) {
 	both := new(batchBuilder)
 	both.start(1, testSettings).sendEndpointList(1, 40).start(2, testSettings).sendEndpointList(2, 41).endBatch(1000)
@@ -103,20 +103,21 @@
 		want = append(want, f...)
 	}
 	if len(got) != 3 || len(want) != 3 || !slices.Equal(got, want) {
-		t.Fatalf("together %v, alone %v", got, want)
+		t.Fatalf("in one process %v, in separate processes %v", got, want)
 	}
 }
 
 func TestInvalidSettingsReportedAsInstanceBug(t *testing.T) {
 	s := new(batchBuilder)
-	s.start(1, `{"profiles": []}`).start(2, "nonsense").start(3, testSettings).sendEndpointList(3, 40).submit(3, 5).submit(1, 6).endBatch(1)
+	s.start(1, `{"profiles": []}`).start(2, "nonsense").start(3, testSettings).sendEndpointList(3, 40)
+	s.submit(3, 5).submit(1, 6).endBatch(1)
 	var out bytes.Buffer
 	if err := run(s, &out); err != nil {
 		t.Fatal(err)
 	}
 	sent, bugs := decodeReplies(t, out.Bytes())
 	if len(bugs) != 2 || !strings.Contains(bugs[0], "Classes") || !strings.Contains(bugs[1], "profile-data") {
-		t.Errorf("faults %q", bugs)
+		t.Errorf("bugs %q", bugs)
 	}
 	if len(sent) != 1 || sent[0] != [2]uint32{3, 5} {
 		t.Errorf("sent %v", sent)
@@ -132,7 +133,7 @@
 		t.Fatal(err)
 	}
 	if sent, bugs := decodeReplies(t, out.Bytes()); len(sent)+len(bugs) != 0 {
-		t.Errorf("sent %v, faults %q", sent, bugs)
+		t.Errorf("sent %v, bugs %q", sent, bugs)
 	}
 }
 
@@ -142,13 +143,13 @@
 	data := s.Bytes()
 	for _, n := range []int{5, 20, len(data) - 1} {
 		if err := run(bytes.NewReader(data[:n]), new(bytes.Buffer)); err == nil || !strings.Contains(err.Error(), "cut off") {
-			t.Errorf("cut to %d bytes: %v", n, err)
+			t.Errorf("input truncated to %d bytes: %v", n, err)
 		}
 	}
 	unknownList := new(batchBuilder)
 	unknownList.start(1, testSettings).append(uint8(3), uint16(1), uint64(1), uint16(5), uint8(1)).endBatch(1)
 	if err := run(unknownList, new(bytes.Buffer)); err == nil || !strings.Contains(err.Error(), "list 5") {
-		t.Errorf("a list never sent: %v", err)
+		t.Errorf("Discovery with a list that was not sent: %v", err)
 	}
 }
 
@@ -156,8 +157,8 @@
 	return s.append(uint8(128), who, uint32(len(settings)), []byte(settings))
 }
 
-// New settings under way: one slot more lets one more message go; a class that was put in front of the others takes
-// none of theirs, for those held and for those that come; settings that can't be change nothing.
+// TestRetune changes the settings of a running instance. More slots let more messages out. A class inserted before the
+// others must not change the class of messages that are queued or submitted later. Invalid settings change nothing.
 func TestRetune(t *testing.T) {
 	oneSlot := strings.Replace(testSettings, `"max-calls": 4`, `"max-calls": 1`, 1)
 	extraClass := strings.Replace(oneSlot, `"profiles": [`,
@@ -165,7 +166,7 @@
 	for _, c := range []struct {
 		name, settings string
 		class          uint16
-		want           int // messages that went out
+		want           int // number of messages sent
 		bug            string
 	}{
 		{"none", "", 0, 1, ""},
@@ -178,7 +179,7 @@
 		s.start(1, oneSlot).sendEndpointList(1, 40).endBatch(1000)
 		s.submit(1, 5).submit(1, 6).endBatch(1005)
 		if c.settings != "" {
-			s.retune(1, c.settings).retune(9, c.settings) // nobody is 9
+			s.retune(1, c.settings).retune(9, c.settings) // there is no instance 9
 		}
 		s.append(uint8(9), uint16(1), uint32(7), c.class, float64(0), float32(3), float64(8000), uint64(0), uint8(0),
 			uint32(0)).endBatch(1200)
@@ -190,12 +191,13 @@
 		sent, bugs := decodeReplies(t, out.Bytes())
 		if len(sent) != c.want || len(bugs) > 1 || (len(bugs) == 1) != (c.bug != "") ||
 			len(bugs) == 1 && !strings.HasPrefix(bugs[0], c.bug) {
-			t.Errorf("%s: sent %v, faults %q", c.name, sent, bugs)
+			t.Errorf("%s: sent %v, bugs %q", c.name, sent, bugs)
 		}
 	}
 }
 
-// Classes keep their numbers at the controller, whatever their places in settings; two alike stay two.
+// TestClassNumbers checks that classes keep their numbers in the controller wherever they stand in new settings, and
+// that two equal classes stay separate.
 func TestClassNumbers(t *testing.T) {
 	a, b, c := control.Class{PriorityWeight: 1}, control.Class{PriorityWeight: 2}, control.Class{PriorityWeight: 3}
 	i := &instance{}
@@ -210,8 +212,9 @@
 	} {
 		set := control.Settings{Classes: step.classes}
 		i.renumberClasses(&set)
-		if !slices.Equal(i.classNumbers, step.numbers) || len(set.Classes) != step.known || i.classNumber(len(step.classes)) != -1 {
-			t.Errorf("%v: numbers %v of %d", step.classes, i.classNumbers, len(set.Classes))
+		if !slices.Equal(i.classNumbers, step.numbers) || len(set.Classes) != step.known ||
+			i.classNumber(len(step.classes)) != -1 {
+			t.Errorf("%v: class numbers %v of %d", step.classes, i.classNumbers, len(set.Classes))
 		}
 	}
 }
