--- a/examples/demo/main.go
+++ b/examples/demo/main.go
@@ -1,6 +1,6 @@
-// Command demo shows the main job once, from the root of the repository: it builds the sender and the toy environment,
-// starts both, submits one message and follows it to its outcome. It exits with 0 only if the message was seen at its
-// endpoint and the sender owes nothing any more.
+// Command demo demonstrates the delivery of one message. Run it in the root of the repository. It builds and starts the
+// sender and the toy environment, submits a message and waits for its outcome. It exits with 0 only if the message has
+// reached its endpoint and no message is pending at the sender.
 package main
 
 import (
@@ -40,7 +40,7 @@
 	build := exec.Command("go", "build", "-o", dir+string(filepath.Separator), "./cmd/cleathold", "./examples/toy")
 	build.Stderr = os.Stderr
 	if err := build.Run(); err != nil {
-		return fmt.Errorf("build, from the root of the repository: %w", err)
+		return fmt.Errorf("build (run this in the root of the repository): %w", err)
 	}
 	state := filepath.Join(dir, "state")
 	toy := exec.Command(filepath.Join(dir, "toy"))
@@ -72,17 +72,17 @@
 	}
 	fmt.Println("3. its endpoint received it:", line)
 	if err := stop(serve); err != nil {
-		return fmt.Errorf("the sender did not stop in order: %w", err)
+		return fmt.Errorf("the sender did not stop cleanly: %w", err)
 	}
 	pending, err := exec.Command(filepath.Join(dir, "cleathold"), "pending", state).Output()
 	if err != nil || strings.TrimSpace(string(pending)) != "0 pending" {
-		return fmt.Errorf("the sender still owes: %s %v", pending, err)
+		return fmt.Errorf("messages are still pending: %s %v", pending, err)
 	}
 	fmt.Println("4. the sender has stopped in order and owes nothing: 0 pending")
 	return nil
 }
 
-// awaitReady waits until the sender may be used.
+// awaitReady waits until the sender is ready.
 func awaitReady(limit time.Time) error {
 	for time.Now().Before(limit) {
 		if r, err := http.Get(senderURL + "/_health"); err == nil {
@@ -93,9 +93,10 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return errors.New("no sender at 127.0.0.1:8080: are the ports 8080, 8500 and 9001 to 9003 free?")
+	return errors.New("the sender at 127.0.0.1:8080 is not ready: are the ports 8080, 8500 and 9001 to 9003 free?")
 }
 
+// submit submits the message and checks that it is accepted.
 func submit() error {
 	r, err := http.NewRequest(http.MethodPost, senderURL+"/status", strings.NewReader("hello"))
 	if err != nil {
@@ -113,12 +114,12 @@
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusAccepted {
 		text, _ := io.ReadAll(answer.Body)
-		return fmt.Errorf("submitted: %s %s", answer.Status, text)
+		return fmt.Errorf("submit: %s %s", answer.Status, text)
 	}
 	return nil
 }
 
-// awaitCall reads what the toy prints until it tells of the message.
+// awaitCall reads the log of the toy environment until it contains the message, and returns that line.
 func awaitCall(toy io.Reader, limit time.Time) (string, error) {
 	found := make(chan string, 1)
 	go func() {
@@ -137,10 +138,10 @@
 		}
 	case <-time.After(time.Until(limit)):
 	}
-	return "", errors.New("the message never reached its endpoint")
+	return "", errors.New("the message did not reach its endpoint in time")
 }
 
-// stop ends a process in order; a second time does nothing.
+// stop terminates a process and waits until it has exited. If the process has already exited, stop does nothing.
 func stop(c *exec.Cmd) error {
 	if c.ProcessState != nil {
 		return nil
--- a/examples/toy/main.go
+++ b/examples/toy/main.go
@@ -1,5 +1,6 @@
-// Command toy plays the environment of one sender, to try it by hand: discovery and the platform on one address, three
-// endpoints, and one that is down. It serves on loopback and prints what reaches it.
+// Command toy simulates the environment of one sender for manual tests: discovery and the platform at one address,
+// three endpoints, and a fourth one that is down. It listens on loopback addresses and logs the requests that it
+// receives.
 package main
 
 import (
@@ -15,16 +16,17 @@
 	"time"
 )
 
+// platform is the address of discovery and the platform.
 const platform = "127.0.0.1:8500"
 
-// endpointList is the only list that discovery has. Nobody listens at the last address.
+// endpointList is the only endpoint list that discovery returns. No process listens at the last address.
 const endpointList = `{"version":1,"full":true,"servers":[
 {"id":"s-one","addr":"127.0.0.1:9001","zone":"here","kind":"batching","cell":1,"state":"up","weight":20,"started_ms":0},
 {"id":"s-two","addr":"127.0.0.1:9002","zone":"there","kind":"batching","cell":1,"state":"up","weight":20,"started_ms":0},
 {"id":"s-three","addr":"127.0.0.1:9003","zone":"here","kind":"plain","cell":2,"state":"up","weight":20,"started_ms":0},
 {"id":"s-none","addr":"127.0.0.1:9004","zone":"here","kind":"plain","cell":3,"state":"up","weight":20,"started_ms":0}]}`
 
-// A handler answers one request with a status and a body.
+// A handler returns the status and the body of the response to a request.
 type handler func(r *http.Request, body string) (int, string)
 
 func main() {
@@ -35,7 +37,7 @@
 	serve(platform, answerPlatform)
 }
 
-// answerPlatform answers as discovery and the platform do.
+// answerPlatform is the handler of discovery and the platform.
 func answerPlatform(r *http.Request, body string) (int, string) {
 	switch {
 	case r.URL.Path == "/status" && r.Method == http.MethodPost:
@@ -46,13 +48,13 @@
 	case r.URL.Query().Get("since") != "1":
 		return http.StatusOK, endpointList
 	}
-	// Nothing newer will ever exist: wait as long as the watch asks.
+	// The list never changes, so wait for the timeout of the poll.
 	ms, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	time.Sleep(time.Duration(min(max(ms, 0), 60_000)) * time.Millisecond)
 	return http.StatusOK, `{"version":1,"full":false,"servers":[]}`
 }
 
-// newEndpoint returns the handler of an endpoint. Every call whose number failEvery divides fails; 0: none.
+// newEndpoint returns the handler of an endpoint. Each failEvery-th call fails; with 0, no call fails.
 func newEndpoint(name string, failEvery int64) handler {
 	var calls atomic.Int64
 	return func(r *http.Request, body string) (int, string) {
@@ -74,7 +76,7 @@
 	}
 }
 
-// delivered names each message of a call as delivered.
+// delivered returns a response body that reports each message of a batch as delivered.
 func delivered(body string) string {
 	var b strings.Builder
 	for body != "" {
@@ -93,7 +95,7 @@
 	return b.String()
 }
 
-// serve answers requests on one address.
+// serve accepts connections at one address.
 func serve(addr string, h handler) {
 	sock, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -108,6 +110,7 @@
 	}
 }
 
+// serveConn responds to the requests of one connection.
 func serveConn(c net.Conn, h handler) {
 	defer c.Close()
 	in := bufio.NewReader(c)
