--- a/cmd/cleathold/agentfaults_test.go
+++ b/cmd/cleathold/agentfaults_test.go
@@ -33,7 +33,7 @@
 	},
 	{
 		"cut off",
-		func(_ *testing.T, fleet *cluster.Cluster, i int) { isolate(fleet, fleet.AgentNames()[i:i+1]) },
+		func(_ *testing.T, fleet *cluster.Cluster, i int) { isolateAgents(fleet, fleet.AgentNames()[i:i+1]) },
 		healNetwork,
 	},
 	{
@@ -43,38 +43,38 @@
 	},
 	{
 		"heard by nobody",
-		func(_ *testing.T, fleet *cluster.Cluster, i int) { muteOneWay(fleet, i, true) },
+		func(_ *testing.T, fleet *cluster.Cluster, i int) { dropOneWay(fleet, i, true) },
 		healNetwork,
 	},
 	{
 		"hears nobody",
-		func(_ *testing.T, fleet *cluster.Cluster, i int) { muteOneWay(fleet, i, false) },
+		func(_ *testing.T, fleet *cluster.Cluster, i int) { dropOneWay(fleet, i, false) },
 		healNetwork,
 	},
 }
 
 func healNetwork(_ *testing.T, fleet *cluster.Cluster, _ int) { fleet.Net.Heal() }
 
-// isolate cuts some agents off from all others, silently.
-func isolate(fleet *cluster.Cluster, agents []string) {
+// isolateAgents cuts some agents off from all others, silently.
+func isolateAgents(fleet *cluster.Cluster, agents []string) {
 	fleet.Net.Partition(agents, fleet.AgentNames(), netfault.State{Silent: true})
 }
 
-// muteOneWay drops what an agent says to the others, or what they say to it.
-func muteOneWay(fleet *cluster.Cluster, i int, out bool) {
-	names := fleet.AgentNames()
+// dropOneWay drops what an agent says to the others, or what they say to it.
+func dropOneWay(fleet *cluster.Cluster, i int, outgoing bool) {
+	agents := fleet.AgentNames()
 	for _, k := range otherAgents(fleet, i) {
-		if out {
-			fleet.Net.Set(names[i], names[k], netfault.State{Silent: true})
+		if outgoing {
+			fleet.Net.Set(agents[i], agents[k], netfault.State{Silent: true})
 		} else {
-			fleet.Net.Set(names[k], names[i], netfault.State{Silent: true})
+			fleet.Net.Set(agents[k], agents[i], netfault.State{Silent: true})
 		}
 	}
 }
 
-// agentFaultTime is how long an agent's fault lasts: longer than a lease and than the others take to agree on a new
+// agentFaultDuration is how long an agent's fault lasts: longer than a lease and than the others take to agree on a new
 // leader.
-var agentFaultTime = flag.Duration("strike", 4500*time.Millisecond, "how long an agent is struck")
+var agentFaultDuration = flag.Duration("strike", 4500*time.Millisecond, "how long an agent is struck")
 
 // TestLeaderFaultDuringDrain has the leader fail at each step of a drain: each drain ends all the same, and never is
 // one sender too many out.
@@ -115,7 +115,7 @@
 	fault.inject(t, fleet, leader)
 	injectedAt := time.Now()
 	awaitOtherLeader(t, fleet, 20*time.Second, leader) // the others go on with what does not need its senders
-	time.Sleep(time.Until(injectedAt.Add(*agentFaultTime)))
+	time.Sleep(time.Until(injectedAt.Add(*agentFaultDuration)))
 	fault.recover(t, fleet, leader)
 	p, err := fleet.AwaitPlan(60*time.Second, id, rollout.Done, rollout.Halted)
 	must(t, err)
@@ -138,10 +138,10 @@
 	id, err := fleet.Order(leader, rollout.Command{Verb: rollout.Start, New: plan})
 	must(t, err)
 	awaitView(t, fleet, 20*time.Second, "one is out", func(v agent.View) bool { return len(v.State.Grants) == 1 })
-	isolate(fleet, fleet.AgentNames()[leader:leader+1])
-	began := time.Now()
+	isolateAgents(fleet, fleet.AgentNames()[leader:leader+1])
+	orderedAt := time.Now()
 	_, err = fleet.Order(otherAgents(fleet, leader)[0], rollout.Command{Verb: rollout.Halt, Plan: id})
-	if took := time.Since(began); err != nil || took > 10*time.Second {
+	if took := time.Since(orderedAt); err != nil || took > 10*time.Second {
 		t.Errorf("halted after %v: %v", took, err)
 	}
 	fleet.Net.Heal()
@@ -174,7 +174,7 @@
 				})
 				leader := awaitLeader(t, fleet)
 				fault.inject(t, fleet, leader)
-				time.Sleep(*agentFaultTime)
+				time.Sleep(*agentFaultDuration)
 				fault.recover(t, fleet, leader)
 				resumePlan(t, fleet, id)
 			}
@@ -212,7 +212,7 @@
 		t.Run(fmt.Sprintf("%d of %d", c.minority, c.agents), func(t *testing.T) {
 			t.Parallel()
 			fleet := newCluster(t, cluster.Setup{
-				Senders: 10, Agents: c.agents, Rate: 20, Terms: quickTerms(rollout.Budget{Fleet: 6}),
+				Senders: 10, Agents: c.agents, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 6}),
 			})
 			id := planNumber(t, fleetCommand(t, fleet, 0, "drain", "n0", "--reason", "r")) // of agent 0
 			awaitView(t, fleet, 20*time.Second, "n0 is out", func(v agent.View) bool {
@@ -220,7 +220,7 @@
 				return p != nil && p.Tasks["n0"].Step == rollout.Out
 			})
 			minority := fleet.AgentNames()[:c.minority]
-			isolate(fleet, minority)
+			isolateAgents(fleet, minority)
 			isolatedAt := time.Now()
 			awaitView(t, fleet, 20*time.Second, "a leader in the majority", func(v agent.View) bool {
 				return !slices.Contains(minority, v.Agent)
@@ -271,13 +271,13 @@
 	fleet := newCluster(t, threeSenders())
 	v, err := fleet.View(2, true)
 	must(t, err)
-	old := v.Quorum.Member.Number
+	lostMember := v.Quorum.Member.Number
 	pids := []int{fleet.Pid(0), fleet.Pid(1), fleet.Pid(2)}
 	fleet.SignalAgent(2, syscall.SIGKILL)
 	must(t, fleet.WipeAgent(2))
 	must(t, fleet.StartAgent(2))
 	awaitView(t, fleet, 30*time.Second, "it is a new member", func(v agent.View) bool {
-		_, is := v.Quorum.Members[old]
+		_, is := v.Quorum.Members[lostMember]
 		return !is && len(v.Quorum.Members) == 3 && v.Observations["n2"].Serving
 	})
 	fleetCommand(t, fleet, 0, "drain", "n2", "--for", "100ms", "--watch", "--reason", "r")
@@ -295,27 +295,27 @@
 func TestAgentDiskFull(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, threeSenders())
-	for _, leads := range []bool{false, true} {
+	for _, leaderFails := range []bool{false, true} {
 		faulty := awaitLeader(t, fleet)
-		if !leads {
+		if !leaderFails {
 			faulty = otherAgents(fleet, faulty)[0]
 		}
-		rest := otherAgents(fleet, faulty)
+		healthy := otherAgents(fleet, faulty)
 		setDiskSpace(t, fleet, faulty, false)
-		if leads {
+		if leaderFails {
 			failLeaderOnWrite(t, fleet, faulty)
 		}
-		for _, i := range rest { // agent i watches sender i
-			drainUntilLed(t, fleet, rest, fmt.Sprint("n", i))
+		for _, i := range healthy { // agent i watches sender i
+			drainUntilLed(t, fleet, healthy, fmt.Sprint("n", i))
 		}
 		if fleet.AgentPid(faulty) == 0 {
-			t.Errorf("leads %t: the agent has ended", leads)
+			t.Errorf("leads %t: the agent has ended", leaderFails)
 		}
-		out, _ := fleet.RunCommand(rest, "drain", fmt.Sprint("n", faulty), "--for", "100ms", "--reason", "r")
+		out, _ := fleet.RunCommand(healthy, "drain", fmt.Sprint("n", faulty), "--for", "100ms", "--reason", "r")
 		id := planNumber(t, out)
 		time.Sleep(2 * time.Second)
 		if now := fleet.Poll.Now(faulty); now != "serves" {
-			t.Errorf("leads %t: the faulty one's sender %s", leads, now)
+			t.Errorf("leads %t: the faulty one's sender %s", leaderFails, now)
 		}
 		setDiskSpace(t, fleet, faulty, true)
 		p, err := fleet.AwaitPlan(40*time.Second, id, rollout.Done, rollout.Halted)
@@ -330,7 +330,7 @@
 		must(t, err)
 		for i, e := range v.State.Events[1:] {
 			if e.Index <= v.State.Events[i].Index {
-				t.Fatalf("leads %t: entry %d comes after %d in its events", leads, e.Index, v.State.Events[i].Index)
+				t.Fatalf("leads %t: entry %d comes after %d in its events", leaderFails, e.Index, v.State.Events[i].Index)
 			}
 		}
 	}
@@ -338,10 +338,10 @@
 }
 
 // setDiskSpace bounds the size of the files that an agent writes, so that writes fail as on a full disk, or ends that.
-func setDiskSpace(t *testing.T, fleet *cluster.Cluster, i int, some bool) {
+func setDiskSpace(t *testing.T, fleet *cluster.Cluster, i int, available bool) {
 	t.Helper()
 	limit := unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY}
-	if some {
+	if available {
 		limit.Cur = unix.RLIM_INFINITY
 	}
 	must(t, unix.Prlimit(fleet.AgentPid(i), unix.RLIMIT_FSIZE, &limit, nil))
--- a/cmd/cleathold/cluster_test.go
+++ b/cmd/cleathold/cluster_test.go
@@ -19,8 +19,8 @@
 	"cleathold/internal/rollout"
 )
 
-// quickTerms returns terms under which tests need not wait long.
-func quickTerms(budget rollout.Budget) rollout.Terms {
+// shortLeaseTerms returns terms under which tests need not wait long.
+func shortLeaseTerms(budget rollout.Budget) rollout.Terms {
 	t := rollout.DefaultTerms
 	t.Budget, t.Timing.Lease = budget, 4*time.Second
 	return t
@@ -28,13 +28,13 @@
 
 // threeSenders is the setup of three senders, one of which may be out, and three agents.
 func threeSenders() cluster.Setup {
-	return cluster.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: quickTerms(rollout.Budget{Fleet: 1})}
+	return cluster.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 1})}
 }
 
 // fourSenders is the setup of four senders, so many of which may be out, and three agents, with traffic enough for
 // gates.
 func fourSenders(maxOut int) cluster.Setup {
-	return cluster.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: quickTerms(rollout.Budget{Fleet: maxOut})}
+	return cluster.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: shortLeaseTerms(rollout.Budget{Fleet: maxOut})}
 }
 
 // newCluster starts a cluster whose processes run this test's own program.
@@ -73,16 +73,18 @@
 }
 
 // awaitView waits until the view of the agent that leads meets a condition.
-func awaitView(t *testing.T, fleet *cluster.Cluster, within time.Duration, what string, is func(v agent.View) bool) {
+func awaitView(
+	t *testing.T, fleet *cluster.Cluster, within time.Duration, description string, condition func(v agent.View) bool,
+) {
 	t.Helper()
-	must(t, fleet.Await(within, what, is))
+	must(t, fleet.Await(within, description, condition))
 }
 
 // awaitOtherLeader waits until an agent other than one leads.
-func awaitOtherLeader(t *testing.T, fleet *cluster.Cluster, within time.Duration, not int) {
+func awaitOtherLeader(t *testing.T, fleet *cluster.Cluster, within time.Duration, excluded int) {
 	t.Helper()
 	awaitView(t, fleet, within, "another agent leads", func(v agent.View) bool {
-		return v.Agent != fleet.AgentNames()[not]
+		return v.Agent != fleet.AgentNames()[excluded]
 	})
 }
 
@@ -100,12 +102,12 @@
 	return r
 }
 
-// quickGate are the flags of gates that tests need not wait long for.
-var quickGate = []string{"--reason", "r", "--least", "25", "--soak", "1s", "--wait", "15s"}
+// shortGateFlags are the flags of gates that tests need not wait long for.
+var shortGateFlags = []string{"--reason", "r", "--least", "25", "--soak", "1s", "--wait", "15s"}
 
 // gatedRelease returns the arguments of a release of a program through such gates.
 func gatedRelease(name, program string, extra ...string) []string {
-	return slices.Concat([]string{"release", "--name", name, "--program", program}, quickGate, extra)
+	return slices.Concat([]string{"release", "--name", name, "--program", program}, shortGateFlags, extra)
 }
 
 // planNumber returns the number of the plan that a command has started, from its output.
@@ -157,16 +159,16 @@
 
 // writeVersion writes a program that is this one, with shell commands before it serves. Ran counts the senders that
 // ever started it.
-func writeVersion(t *testing.T, name, serve string) (path string, ran func() int) {
+func writeVersion(t *testing.T, name, serveCommands string) (path string, startedBy func() int) {
 	t.Helper()
 	dir := t.TempDir()
 	path = filepath.Join(dir, name)
-	marks := filepath.Join(dir, "ran")
+	startLog := filepath.Join(dir, "ran")
 	text := fmt.Sprintf("#!/bin/sh\nif [ \"$1\" = serve ]; then\necho $LB_ADMIN >> %s\n%s\nfi\nexec %s \"$@\"\n",
-		marks, serve, os.Args[0])
+		startLog, serveCommands, os.Args[0])
 	must(t, os.WriteFile(path, []byte(text), 0o700))
 	return path, func() int {
-		text, _ := os.ReadFile(marks)
+		text, _ := os.ReadFile(startLog)
 		seen := map[string]bool{}
 		for line := range strings.Lines(string(text)) {
 			host, _, _ := strings.Cut(line, ":")
@@ -177,9 +179,9 @@
 }
 
 // otherAgents returns the numbers of all agents but one.
-func otherAgents(fleet *cluster.Cluster, not int) (list []int) {
+func otherAgents(fleet *cluster.Cluster, excluded int) (list []int) {
 	for i := range fleet.AgentNames() {
-		if i != not {
+		if i != excluded {
 			list = append(list, i)
 		}
 	}
@@ -212,9 +214,9 @@
 }
 
 // putAdmin makes one call at the admin address of a sender, and returns the status of the answer, or 0.
-func putAdmin(fleet *cluster.Cluster, sender int, path string, q url.Values) int {
+func putAdmin(fleet *cluster.Cluster, sender int, path string, parameters url.Values) int {
 	for _, addr := range fleet.Admin(sender) {
-		r, err := http.NewRequest(http.MethodPut, "http://"+addr+path+"?"+q.Encode(), nil)
+		r, err := http.NewRequest(http.MethodPut, "http://"+addr+path+"?"+parameters.Encode(), nil)
 		if err != nil {
 			return 0
 		}
--- a/cmd/cleathold/deadletter_test.go
+++ b/cmd/cleathold/deadletter_test.go
@@ -18,12 +18,12 @@
 }
 
 // requireCommands runs commands and checks each.
-func (env *environment) requireCommands(when string, cases []commandCase) {
+func (env *environment) requireCommands(situation string, cases []commandCase) {
 	env.t.Helper()
 	for _, c := range cases {
 		out, code := env.runCommand(strings.Fields(c.args)...)
 		if code != c.code || !strings.Contains(out, c.want) {
-			env.t.Errorf("%s, %s: exit %d\n%s", when, c.args, code, out)
+			env.t.Errorf("%s, %s: exit %d\n%s", situation, c.args, code, out)
 		}
 	}
 }
@@ -71,11 +71,11 @@
 		{"held list --folder /nowhere", exitUnreachable, "no such file"},
 	})
 	// In another sender's store the exported ones are in doubt.
-	other := newDeadLetterEnvironment(t, p, holdAllSettings)
-	other.collectNotices()
-	other.start()
-	other.awaitStats(other.adminAPI(), "open", func(map[string]int, deadletter.Stats) bool { return true })
-	other.requireCommands("another sender", []commandCase{
+	importingEnv := newDeadLetterEnvironment(t, p, holdAllSettings)
+	importingEnv.collectNotices()
+	importingEnv.start()
+	importingEnv.awaitStats(importingEnv.adminAPI(), "open", func(map[string]int, deadletter.Stats) bool { return true })
+	importingEnv.requireCommands("another sender", []commandCase{
 		{"held import " + file, 0, "5 done"},
 		{"held resend --class unsafe", exitRejected, "not whole"},
 	})
--- a/cmd/cleathold/deadletterexport.go
+++ b/cmd/cleathold/deadletterexport.go
@@ -54,8 +54,8 @@
 			if err := buffered.Flush(); err != nil {
 				return err
 			}
-			before := written
-			if written += len(page.Lines); written/exportReportStep > before/exportReportStep {
+			previous := written
+			if written += len(page.Lines); written/exportReportStep > previous/exportReportStep {
 				fmt.Fprintf(os.Stderr, "export: %d so far\n", written)
 			}
 			if next = page.Next; next == 0 {
@@ -83,20 +83,20 @@
 		in = file
 	}
 	return h.Source.run(func(ctx context.Context, api admin.API) error {
-		i := importer{api: api, dryRun: c.DryRun, rejections: out}
+		imp := importer{api: api, dryRun: c.DryRun, rejections: out}
 		if h.Source.JSON {
-			i.rejections = io.Discard
+			imp.rejections = io.Discard
 		}
-		if err := i.run(ctx, in); err != nil {
+		if err := imp.run(ctx, in); err != nil {
 			return err
 		}
 		if h.Source.JSON {
-			writeJSON(out, map[string]int{"done": i.done, "refused": i.rejected})
+			writeJSON(out, map[string]int{"done": imp.imported, "refused": imp.rejected})
 		} else {
-			fmt.Fprintf(out, "import: %d done, %d refused\n", i.done, i.rejected)
+			fmt.Fprintf(out, "import: %d done, %d refused\n", imp.imported, imp.rejected)
 		}
-		if i.rejected > 0 {
-			return exitError{fmt.Errorf("%d lines were refused", i.rejected), exitRejected}
+		if imp.rejected > 0 {
+			return exitError{fmt.Errorf("%d lines were refused", imp.rejected), exitRejected}
 		}
 		return nil
 	})
@@ -108,60 +108,60 @@
 	dryRun     bool
 	rejections io.Writer // for the first rejected lines, maxShownRejections of them
 
-	done, rejected int // records, lines
-	line           int // number of the latest line that was read
-	batch          []deadletter.ExportLine
-	batchBytes     int
+	imported, rejected int // records, lines
+	lineNumber         int // number of the latest line that was read
+	batch              []deadletter.ExportLine
+	batchBytes         int
 }
 
 // run reads all lines. An error ends it; lines that are rejected do not.
-func (i *importer) run(ctx context.Context, in io.Reader) error {
+func (imp *importer) run(ctx context.Context, in io.Reader) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLineLength)
 	for lines.Scan() {
-		i.line++
+		imp.lineNumber++
 		if strings.TrimSpace(lines.Text()) == "" {
 			continue
 		}
 		var record deadletter.ExportLine
 		if err := json.Unmarshal(lines.Bytes(), &record); err != nil {
-			i.reject(err.Error())
+			imp.reject(err.Error())
 			continue
 		}
-		i.batch = append(i.batch, record)
-		i.batchBytes += len(lines.Bytes())
-		if len(i.batch) == admin.MaxImportLines || i.batchBytes > maxBatchBytes {
-			if err := i.flush(ctx); err != nil {
+		imp.batch = append(imp.batch, record)
+		imp.batchBytes += len(lines.Bytes())
+		if len(imp.batch) == admin.MaxImportLines || imp.batchBytes > maxBatchBytes {
+			if err := imp.flush(ctx); err != nil {
 				return err
 			}
 		}
 	}
 	if err := lines.Err(); err != nil {
-		return fmt.Errorf("line %d: %w", i.line+1, err)
+		return fmt.Errorf("line %d: %w", imp.lineNumber+1, err)
 	}
-	return i.flush(ctx)
+	return imp.flush(ctx)
 }
 
 // reject counts a line that was not imported. Records of a batch are reported at the line that completed it.
-func (i *importer) reject(reason string) {
-	if i.rejected++; i.rejected <= maxShownRejections {
-		fmt.Fprintf(i.rejections, "  line %d: %s\n", i.line, reason)
+func (imp *importer) reject(reason string) {
+	if imp.rejected++; imp.rejected <= maxShownRejections {
+		fmt.Fprintf(imp.rejections, "  line %d: %s\n", imp.lineNumber, reason)
 	}
 }
 
 // flush sends the batch.
-func (i *importer) flush(ctx context.Context) error {
-	if len(i.batch) == 0 {
+func (imp *importer) flush(ctx context.Context) error {
+	if len(imp.batch) == 0 {
 		return nil
 	}
-	got, err := i.api.Act(ctx, "import", admin.Order{Lines: i.batch, DryRun: i.dryRun})
+	outcome, err := imp.api.Act(ctx, "import", admin.Order{Lines: imp.batch, DryRun: imp.dryRun})
 	if err != nil {
-		return fmt.Errorf("after %d records: %w", i.done, err)
+		return fmt.Errorf("after %d records: %w", imp.imported, err)
 	}
-	i.done += got.Done
-	for _, r := range got.Rejected {
-		i.reject(fmt.Sprintf("record %d: %s", r.Seq, r.Reason))
+	imp.imported += outcome.Done
+	for _, r := range outcome.Rejected {
+		imp.reject(fmt.Sprintf("record %d: %s", r.Seq, r.Reason))
 	}
-	i.batch, i.batchBytes = i.batch[:0], 0
+	imp.batch, imp.batchBytes = imp.batch[:0], 0
 	return nil
 }
--- a/cmd/cleathold/deadletterorder.go
+++ b/cmd/cleathold/deadletterorder.go
@@ -28,12 +28,12 @@
 
 // orderResult adds up what came of an order over its pages.
 type orderResult struct {
-	done        int
-	rejected    int                         // records
-	byReason    map[string]int              // rejected records
-	rejections  []deadletter.RejectedRecord // the first, a page at most
-	wasDryRun   bool
-	commandVerb string
+	done       int
+	rejected   int                         // records
+	byReason   map[string]int              // rejected records
+	rejections []deadletter.RejectedRecord // the first, a page at most
+	dryRun     bool
+	verb       string
 }
 
 // add counts the outcome of one page.
@@ -62,7 +62,7 @@
 	}
 	order.DryRun = f.DryRun
 	return h.Source.run(func(ctx context.Context, api admin.API) error {
-		result := &orderResult{byReason: map[string]int{}, wasDryRun: f.DryRun, commandVerb: verb}
+		result := &orderResult{byReason: map[string]int{}, dryRun: f.DryRun, verb: verb}
 		if len(f.Sequences) > 0 {
 			err = result.runSequences(ctx, api, order, f.Sequences)
 		} else {
@@ -91,7 +91,7 @@
 		count := min(len(sequences), deadletter.MaxPageSize)
 		order.Selection = deadletter.Selection{Sequences: sequences[:count]}
 		sequences = sequences[count:]
-		page, err := api.Act(ctx, r.commandVerb, order)
+		page, err := api.Act(ctx, r.verb, order)
 		if err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 	next := uint64(0)
 	for pages := 1; ; pages++ {
 		order.Selection = deadletter.Selection{Filter: filter, After: next, Limit: deadletter.MaxPageSize}
-		page, err := api.Act(ctx, r.commandVerb, order)
+		page, err := api.Act(ctx, r.verb, order)
 		if err != nil {
 			return fmt.Errorf("after %d done: %w", r.done, err)
 		}
@@ -116,7 +116,7 @@
 			return nil
 		}
 		if pages%progressPages == 0 {
-			fmt.Fprintf(os.Stderr, "%s: %d so far, at number %d\n", r.commandVerb, r.done, next)
+			fmt.Fprintf(os.Stderr, "%s: %d so far, at number %d\n", r.verb, r.done, next)
 		}
 	}
 }
@@ -131,15 +131,15 @@
 }
 
 func (r *orderResult) writeJSON(out io.Writer) error {
-	return writeJSON(out, orderJSON{r.done, r.rejected, r.byReason, r.rejections, r.wasDryRun})
+	return writeJSON(out, orderJSON{r.done, r.rejected, r.byReason, r.rejections, r.dryRun})
 }
 
 func (r *orderResult) writeText(out io.Writer) {
 	note := ""
-	if r.wasDryRun {
+	if r.dryRun {
 		note = " (dry run: nothing was changed)"
 	}
-	fmt.Fprintf(out, "%s: %d done, %d refused%s\n", r.commandVerb, r.done, r.rejected, note)
+	fmt.Fprintf(out, "%s: %d done, %d refused%s\n", r.verb, r.done, r.rejected, note)
 	for _, rejection := range r.rejections[:min(len(r.rejections), maxShownRejections)] {
 		fmt.Fprintf(out, "  %d: %s\n", rejection.Seq, rejection.Reason)
 	}
--- a/cmd/cleathold/discovery_test.go
+++ b/cmd/cleathold/discovery_test.go
@@ -14,22 +14,22 @@
 // again.
 func TestTruncatedDiscoveryAnswers(t *testing.T) {
 	t.Parallel()
-	closes := func(end func(*net.TCPConn)) func(*net.TCPConn, string) {
+	truncateAndEnd := func(end func(*net.TCPConn)) func(*net.TCPConn, string) {
 		return func(c *net.TCPConn, text string) { io.WriteString(c, text[:len(text)-9]); end(c) }
 	}
-	for _, x := range []struct {
-		name   string
-		fail   func(c *net.TCPConn, text string)
-		faulty int
-		span   time.Duration
+	for _, test := range []struct {
+		name          string
+		fail          func(c *net.TCPConn, text string)
+		faultyAnswers int
+		faultDuration time.Duration
 	}{
 		{"stops in its first line", writePrefix(9), 1, 0},
 		{"stops in its head", writePrefix(25), 1, 0},
 		{"stops in its list", writePrefix(-9), 1, 0},
 		{"stops in its list twice", writePrefix(-9), 2, 0},
 		{"each stops before its list for 3 s", writePrefix(60), 0, 3 * time.Second},
-		{"closes in its list twice", closes(func(c *net.TCPConn) { c.Close() }), 2, 0},
-		{"resets in its list twice", closes(func(c *net.TCPConn) { c.SetLinger(0); c.Close() }), 2, 0},
+		{"closes in its list twice", truncateAndEnd(func(c *net.TCPConn) { c.Close() }), 2, 0},
+		{"resets in its list twice", truncateAndEnd(func(c *net.TCPConn) { c.SetLinger(0); c.Close() }), 2, 0},
 		{"can't be read", func(c *net.TCPConn, text string) {
 			io.WriteString(c, socktest.JSON(`{"version":2,"servers":}`))
 		}, 1, 0},
@@ -40,16 +40,16 @@
 			}
 		}, 1, 0},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			testBrokenAnswer(t, x.fail, x.faulty, x.span)
+			testFailedAnswers(t, test.fail, test.faultyAnswers, test.faultDuration)
 		})
 	}
 }
 
-// TestChangeRightAfterAnswer changes the list within the 200 ms that a watch goes on after an answer: the change counts
+// TestListChangeAfterPollAnswer changes the list within the 200 ms that a watch goes on after an answer: the change counts
 // as known, also where a large fleet's sender waits before it polls again.
-func TestChangeRightAfterAnswer(t *testing.T) {
+func TestListChangeAfterPollAnswer(t *testing.T) {
 	t.Parallel()
 	const grace = 2 * time.Second
 	env := newDrainEnvironment(t, nil, grace, 50)
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestRestartKnowsDrainedTarget restarts a process with the list of its configuration while discovery says nothing: it
+// TestRestartKeepsDrainedTarget restarts a process with the list of its configuration while discovery says nothing: it
 // sends nothing to a target of which the process before was told that it drains.
-func TestRestartKnowsDrainedTarget(t *testing.T) {
+func TestRestartKeepsDrainedTarget(t *testing.T) {
 	t.Parallel()
 	env := newDrainEnvironment(t, nil, time.Second, 1)
 	env.setState("draining", 0, 0)
@@ -93,12 +93,12 @@
 	env.awaitCalls(t, before)
 }
 
-// testBrokenAnswer has answers of discovery about a drain fail, and checks that no call reaches the target after the
+// testFailedAnswers has answers of discovery about a drain fail, and checks that no call reaches the target after the
 // grace.
-func testBrokenAnswer(t *testing.T, fail func(*net.TCPConn, string), faulty int, duration time.Duration) {
+func testFailedAnswers(t *testing.T, fail func(*net.TCPConn, string), faultyAnswers int, duration time.Duration) {
 	const grace = time.Second
 	env := newDrainEnvironment(t, fail, grace, 1)
-	env.setState("draining", faulty, duration)
+	env.setState("draining", faultyAnswers, duration)
 	env.submitUntil("a", time.Now().Add(3500*time.Millisecond))
 	notified := env.notifiedAt()
 	if notified.IsZero() {
--- a/cmd/cleathold/discoverystub_test.go
+++ b/cmd/cleathold/discoverystub_test.go
@@ -36,11 +36,12 @@
 }
 
 // setState changes the state of the target. So many answers about the change fail, and all for a time.
-func (stub *discoveryStub) setState(state string, faulty int, duration time.Duration) {
+func (stub *discoveryStub) setState(state string, faultyAnswers int, duration time.Duration) {
 	stub.mu.Lock()
 	defer stub.mu.Unlock()
 	stub.version++
-	stub.state, stub.notified, stub.faultyAnswers, stub.faultyUntil = state, time.Time{}, faulty, time.Now().Add(duration)
+	stub.state, stub.notified, stub.faultyAnswers, stub.faultyUntil =
+		state, time.Time{}, faultyAnswers, time.Now().Add(duration)
 	close(stub.changed)
 	stub.changed = make(chan struct{})
 }
@@ -78,9 +79,9 @@
 	end := time.After(time.Duration(wait) * time.Millisecond)
 	for waiting := true; waiting; {
 		stub.mu.Lock()
-		changedSince, changed := since != strconv.Itoa(stub.version), stub.changed
+		hasChange, changed := since != strconv.Itoa(stub.version), stub.changed
 		stub.mu.Unlock()
-		if waiting = !changedSince; !waiting {
+		if waiting = !hasChange; !waiting {
 			break
 		}
 		select {
@@ -140,12 +141,12 @@
 	}
 	env.discoveryStub = newDiscoveryStub(env.environment.targetAddr, fail)
 	env.tune = func(config map[string]any) {
-		set := config["settings"].(map[string]any)
-		set["siblings"] = siblings
+		settings := config["settings"].(map[string]any)
+		settings["siblings"] = siblings
 		config["known"] = map[string]any{"version": 1, "full": true, "servers": []map[string]any{
 			{"id": "s", "addr": env.environment.targetAddr, "zone": "z", "kind": "k", "cell": 7, "state": "up", "weight": 150},
 		}}
-		set["guarantees"].(map[string]any)["drain-grace-ms"] = grace.Milliseconds()
+		settings["guarantees"].(map[string]any)["drain-grace-ms"] = grace.Milliseconds()
 	}
 	env.configure(socktest.Accept(t, env.serve))
 	env.process = env.start()
--- a/cmd/cleathold/environment_test.go
+++ b/cmd/cleathold/environment_test.go
@@ -212,10 +212,10 @@
 }
 
 // receive waits for the next value of a channel.
-func receive(t *testing.T, from chan string) string {
+func receive(t *testing.T, ch chan string) string {
 	t.Helper()
 	select {
-	case s := <-from:
+	case s := <-ch:
 		return s
 	case <-time.After(20 * time.Second):
 		t.Fatal("nothing came")
@@ -223,14 +223,14 @@
 	}
 }
 
-// hosts counts the addresses that freeAddr has returned.
-var hosts atomic.Int32
+// allocatedHosts counts the addresses that freeAddr has returned.
+var allocatedHosts atomic.Int32
 
 // freeAddr returns an address that nobody listens on, at a host of its own: a port of 127.0.0.1 that was given back may
 // become that of anybody's connection.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	n := hosts.Add(1)
+	n := allocatedHosts.Add(1)
 	free, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", 1+n/250, 1+n%250))
 	must(t, err)
 	defer free.Close()
--- a/cmd/cleathold/fleet_test.go
+++ b/cmd/cleathold/fleet_test.go
@@ -12,7 +12,9 @@
 // rejected, and the log says who did what.
 func TestFleetDrain(t *testing.T) {
 	t.Parallel()
-	fleet := newCluster(t, cluster.Setup{Senders: 4, Agents: 3, Rate: 20, Terms: quickTerms(rollout.Budget{Fleet: 1})})
+	fleet := newCluster(t, cluster.Setup{
+		Senders: 4, Agents: 3, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 1}),
+	})
 	for args, want := range map[string]string{
 		"drain n9 --reason r":                                `no sender "n9"`,
 		"drain n0 --at-once 2 --reason r":                    "the budget has 1 to 1",
--- a/cmd/cleathold/fleetclient.go
+++ b/cmd/cleathold/fleetclient.go
@@ -58,8 +58,8 @@
 // sendCommand sends a command to the agents. An agent that was reached but did not answer may have executed it; so only
 // agents that can't be reached at all are passed over, and no command is sent twice. An error's exit code tells whether
 // anything was changed.
-func (f *fleetCmd) sendCommand(c rollout.Command, by attribution, dryRun bool) (agent.Result, error) {
-	c.By, c.Reason = by.author(), by.Reason
+func (f *fleetCmd) sendCommand(c rollout.Command, who attribution, dryRun bool) (agent.Result, error) {
+	c.By, c.Reason = who.author(), who.Reason
 	if _, err := f.view(); err != nil {
 		return agent.Result{}, err
 	}
--- a/cmd/cleathold/fleetendpoint.go
+++ b/cmd/cleathold/fleetendpoint.go
@@ -37,11 +37,11 @@
 
 // endpointStatus describes in a few words whether senders use an endpoint.
 func endpointStatus(v agent.View, e rollout.Endpoint) string {
-	excluded := v.State.Endpoints[e.ID]
+	exclusion := v.State.Endpoints[e.ID]
 	switch {
-	case excluded != nil && excluded.Back.IsZero():
-		return fmt.Sprintf("out, by %s (%s)", excluded.By, excluded.Reason)
-	case excluded != nil:
+	case exclusion != nil && exclusion.Back.IsZero():
+		return fmt.Sprintf("out, by %s (%s)", exclusion.By, exclusion.Reason)
+	case exclusion != nil:
 		return "on its way back"
 	case !e.Up:
 		return "drained by discovery"
--- a/cmd/cleathold/fleetlist.go
+++ b/cmd/cleathold/fleetlist.go
@@ -47,9 +47,9 @@
 
 // senderStatus describes a sender in a few words, and tells whether it counts as out of service.
 func senderStatus(v agent.View, name string) (text string, out bool) {
-	seen, observed := v.Observations[name]
+	observation, observed := v.Observations[name]
 	grant := v.State.Grants[name]
-	stale := v.At.Sub(seen.At) > v.State.Terms.Timing.Fresh
+	stale := v.At.Sub(observation.At) > v.State.Terms.Timing.Fresh
 	switch {
 	case grant != nil && grant.Drain:
 		text = "out, to drain"
@@ -58,21 +58,21 @@
 	case !observed:
 		return "never seen", true
 	case stale:
-		return fmt.Sprintf("not seen for %v", v.At.Sub(seen.At).Round(time.Second)), true
-	case seen.Serving:
+		return fmt.Sprintf("not seen for %v", v.At.Sub(observation.At).Round(time.Second)), true
+	case observation.Serving:
 		return "serves", false
 	default:
-		return "out: " + seen.Phase, true
+		return "out: " + observation.Phase, true
 	}
 	if observed && !stale {
-		text += ": " + seen.Phase
+		text += ": " + observation.Phase
 	}
 	return text, true
 }
 
 // writeFleet writes the senders as a table, then the budget, the open plans and which agent leads.
 func writeFleet(out io.Writer, v agent.View) error {
-	outCount := 0
+	outOfService := 0
 	table := newTable(out)
 	fmt.Fprintln(table, "SENDER\tBUILDING\tAGENT\tVERSION\tOWES\tSTANDS")
 	names := v.State.Order(slices.Collect(maps.Keys(v.State.Members)))
@@ -80,7 +80,7 @@
 		member := v.State.Members[name]
 		text, isOut := senderStatus(v, name)
 		if isOut {
-			outCount++
+			outOfService++
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\n",
 			name, member.Building, member.Agent, member.Version.Name, v.Observations[name].Open, text)
@@ -90,7 +90,7 @@
 	}
 	budget := v.State.Terms.Budget
 	fmt.Fprintf(out, "%d senders, %d out; %d of the fleet may be, %d of a building, %d must serve\n",
-		len(names), outCount, budget.Fleet, budget.Building, budget.Serving)
+		len(names), outOfService, budget.Fleet, budget.Building, budget.Serving)
 	for _, p := range v.State.Plans {
 		if p.Phase.Open() {
 			fmt.Fprintln(out, planSummary(p))
--- a/cmd/cleathold/fleetorders_test.go
+++ b/cmd/cleathold/fleetorders_test.go
@@ -20,7 +20,9 @@
 // One halts while the other resumes: the halt wins.
 func TestTwoOperators(t *testing.T) {
 	t.Parallel()
-	fleet := newCluster(t, cluster.Setup{Senders: 6, Agents: 3, Rate: 20, Terms: quickTerms(rollout.Budget{Fleet: 1})})
+	fleet := newCluster(t, cluster.Setup{
+		Senders: 6, Agents: 3, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 1}),
+	})
 	var wg sync.WaitGroup
 	codes := make([]int, 4)
 	for i, senders := range [][]string{{"n0", "n1"}, {"n1", "n0"}, {"n2", "n3"}, {"n3", "n2"}} {
@@ -62,16 +64,17 @@
 // drainOrder is what an agent tells a sender that is to drain: the process meant, the epoch of the grant, the time by
 // which the order must have come, and the end of the lease.
 type drainOrder struct {
-	process   string
-	epoch     uint64
-	by, until time.Time
+	process            string
+	epoch              uint64
+	acceptBy, leaseEnd time.Time
 }
 
 // send puts the order to a sender and returns the status of the answer.
 func (o drainOrder) send(fleet *cluster.Cluster, sender int) int {
 	milliseconds := func(t time.Time) []string { return []string{strconv.FormatInt(t.UnixMilli(), 10)} }
 	return putAdmin(fleet, sender, "/v1/sender/drain", url.Values{
-		"process": {o.process}, "epoch": {fmt.Sprint(o.epoch)}, "by": milliseconds(o.by), "until": milliseconds(o.until),
+		"process": {o.process}, "epoch": {fmt.Sprint(o.epoch)},
+		"by": milliseconds(o.acceptBy), "until": milliseconds(o.leaseEnd),
 	})
 }
 
@@ -80,7 +83,9 @@
 // come twice, late, after a newer one, or for a process that has ended.
 func TestSendersCrashStallAndRestart(t *testing.T) {
 	t.Parallel()
-	fleet := newCluster(t, cluster.Setup{Senders: 6, Agents: 3, Rate: 20, Terms: quickTerms(rollout.Budget{Fleet: 2})})
+	fleet := newCluster(t, cluster.Setup{
+		Senders: 6, Agents: 3, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 2}),
+	})
 	id := planNumber(t, fleetCommand(t, fleet, 0, "drain", "n0", "n2", "n4", "--reason", "r")) // all of one building
 	var v agent.View
 	awaitView(t, fleet, 20*time.Second, "two are out", func(now agent.View) bool {
@@ -103,11 +108,11 @@
 			regranted.Epoch > grant.Epoch && regranted.Process != grant.Process
 	})
 	now := time.Now()
-	old := drainOrder{grant.Process, grant.Epoch + 1<<30, now.Add(time.Second), now.Add(2 * time.Second)}
-	if got := old.send(fleet, 0); got != http.StatusConflict {
+	endedProcess := drainOrder{grant.Process, grant.Epoch + 1<<30, now.Add(time.Second), now.Add(2 * time.Second)}
+	if got := endedProcess.send(fleet, 0); got != http.StatusConflict {
 		t.Errorf("an order for a process that has ended: %d", got)
 	}
-	requireStalledHoldsGrant(t, fleet, id)
+	requireStoppedSenderKeepsGrant(t, fleet, id)
 	// Somebody else restarts n5: its agent takes the new process over, and it can be drained.
 	fleet.Replace(5)
 	awaitView(t, fleet, 30*time.Second, "n5 serves", func(now agent.View) bool {
@@ -135,9 +140,9 @@
 	}
 }
 
-// requireStalledHoldsGrant stops n2 while it is drained by a plan, past its lease: no other sender takes its place, and
+// requireStoppedSenderKeepsGrant stops n2 while it is drained by a plan, past its lease: no other sender takes its place, and
 // when it wakes it serves.
-func requireStalledHoldsGrant(t *testing.T, fleet *cluster.Cluster, id uint64) {
+func requireStoppedSenderKeepsGrant(t *testing.T, fleet *cluster.Cluster, id uint64) {
 	t.Helper()
 	if !fleet.SignalSender(2, syscall.SIGSTOP) {
 		t.Fatal("n2 does not answer")
@@ -167,7 +172,7 @@
 func TestEndpointExcluded(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, cluster.Setup{
-		Senders: 4, Agents: 3, Rate: 300, Terms: quickTerms(rollout.Budget{Fleet: 1, Endpoints: 1}),
+		Senders: 4, Agents: 3, Rate: 300, Terms: shortLeaseTerms(rollout.Budget{Fleet: 1, Endpoints: 1}),
 	})
 	var list []rollout.Endpoint
 	awaitView(t, fleet, 20*time.Second, "endpoints are listed", func(v agent.View) bool {
@@ -175,30 +180,30 @@
 		return len(list) > 2
 	})
 	id := list[0].ID
-	if !called(fleet, id, 10*time.Second) {
+	if !awaitEndpointCall(fleet, id, 10*time.Second) {
 		t.Fatalf("%s gets no calls at all", id)
 	}
 	fleetCommand(t, fleet, 0, "endpoint", "out", id, "--reason", "r")
-	ordered := time.Now()
+	excludedAt := time.Now()
 	for _, e := range list[1:] {
 		if e.Dest == list[0].Dest {
 			requireRejected(t, fleet, "may be", "endpoint", "out", e.ID, "--reason", "r")
 		}
 	}
-	time.Sleep(time.Until(ordered.Add(2 * time.Second)))
-	if called(fleet, id, 3*time.Second) {
-		t.Errorf("%s is called %v after it was ordered out", id, fleet.LastCall(id).Sub(ordered))
+	time.Sleep(time.Until(excludedAt.Add(2 * time.Second)))
+	if awaitEndpointCall(fleet, id, 3*time.Second) {
+		t.Errorf("%s is called %v after it was ordered out", id, fleet.LastCall(id).Sub(excludedAt))
 	}
 	fleet.SignalSender(1, syscall.SIGKILL)
 	awaitView(t, fleet, 20*time.Second, "n1 serves", func(v agent.View) bool {
 		return fleet.Poll.Now(1) == "serves" && v.Observations["n1"].Serving
 	})
 	time.Sleep(time.Second)
-	if called(fleet, id, time.Second) {
+	if awaitEndpointCall(fleet, id, time.Second) {
 		t.Errorf("%s is called by a sender that was restarted", id)
 	}
 	fleetCommand(t, fleet, 0, "endpoint", "in", id, "--reason", "r")
-	if !called(fleet, id, 10*time.Second) {
+	if !awaitEndpointCall(fleet, id, 10*time.Second) {
 		t.Errorf("%s is not called again", id)
 	}
 	time.Sleep(fleet.Terms.Timing.Lease + 2*time.Second) // until then it counts as out
@@ -206,14 +211,14 @@
 	for i := range fleet.AgentNames() {
 		fleet.SignalAgent(i, syscall.SIGKILL)
 	}
-	if !called(fleet, id, fleet.Terms.Timing.Lease+10*time.Second) {
+	if !awaitEndpointCall(fleet, id, fleet.Terms.Timing.Lease+10*time.Second) {
 		t.Errorf("%s stays out although no agent says so any more", id)
 	}
 	checkRules(t, fleet)
 }
 
-// called waits for a call of an endpoint, and tells whether one came in time.
-func called(fleet *cluster.Cluster, id string, within time.Duration) bool {
+// awaitEndpointCall waits for a call of an endpoint, and tells whether one came in time.
+func awaitEndpointCall(fleet *cluster.Cluster, id string, within time.Duration) bool {
 	from := time.Now()
 	for time.Since(from) < within {
 		if fleet.LastCall(id).After(from) {
--- a/cmd/cleathold/fleetrelease_test.go
+++ b/cmd/cleathold/fleetrelease_test.go
@@ -16,13 +16,13 @@
 )
 
 // writeConfigs writes a configuration for each sender, its present one changed, and returns the folder.
-func writeConfigs(t *testing.T, fleet *cluster.Cluster, old, changed string) string {
+func writeConfigs(t *testing.T, fleet *cluster.Cluster, old, replacement string) string {
 	t.Helper()
 	dir := t.TempDir()
 	for i, name := range fleet.Names {
 		text, err := os.ReadFile(fleet.Config(i))
 		must(t, err)
-		config := strings.Replace(string(text), old, changed, 1)
+		config := strings.Replace(string(text), old, replacement, 1)
 		must(t, os.WriteFile(filepath.Join(dir, name+".json"), []byte(config), 0o600))
 	}
 	return dir
@@ -35,7 +35,7 @@
 	fleet := newCluster(t, fourSenders(2))
 	pid := fleet.Pid(1)
 	release := func(name, config string, extra ...string) []string {
-		return slices.Concat([]string{"release", "--name", name, "--config", config, "--watch"}, quickGate, extra)
+		return slices.Concat([]string{"release", "--name", name, "--config", config, "--watch"}, shortGateFlags, extra)
 	}
 	invalid := writeConfigs(t, fleet, `"send-cap": 12`, `"send-cap": 0`)
 	rejected := fleetCommand(t, fleet, exitPlanStopped, release("c0", invalid, "--go-back")...)
@@ -60,11 +60,11 @@
 	const hangingCalls = `trouble(what = "SILENT", zone = "bldg-a", at = 1, seconds = 4)`
 	for name, c := range map[string]struct {
 		script  string
-		hup     bool
+		sendHUP bool
 		restart bool
 	}{
 		"a building's partners are down": {script: `trouble(what = "DOWN", zone = "bldg-b", at = 1, seconds = 5)`},
-		"SIGHUP by somebody else":        {hup: true},
+		"SIGHUP by somebody else":        {sendHUP: true},
 		"calls hang":                     {script: hangingCalls},
 		"calls hang, by restart":         {script: hangingCalls, restart: true},
 	} {
@@ -76,7 +76,7 @@
 			program, ran := writeVersion(t, "v2", "")
 			id := planNumber(t, fleetCommand(t, fleet, 0, gatedRelease("v2", program)...))
 			stopSignals := func() {}
-			if c.hup {
+			if c.sendHUP {
 				stopSignals = repeatHUP(fleet)
 			}
 			p, err := fleet.AwaitPlan(60*time.Second, id, rollout.Done, rollout.Halted)
@@ -92,12 +92,12 @@
 
 // repeatHUP sends SIGHUP to one sender after the other, ten times a second, until stop is called.
 func repeatHUP(fleet *cluster.Cluster) (stop func()) {
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for i := 0; ; i++ {
 			select {
-			case <-over:
+			case <-stopped:
 				return
 			case <-time.After(100 * time.Millisecond):
 				if pid := fleet.Pid(i % 4); pid > 0 { // one that starts does not catch the signal yet
@@ -107,7 +107,7 @@
 		}
 	})
 	return func() {
-		close(over)
+		close(stopped)
 		wg.Wait()
 	}
 }
@@ -153,19 +153,19 @@
 	}
 }
 
-// TestReleaseWithoutRollbackRejected releases versions whose write-ahead log can't be read by the one before, or that
+// TestIncompatibleReleaseRejected releases versions whose write-ahead log can't be read by the one before, or that
 // can't read that one's: they are rejected before the first stage.
-func TestReleaseWithoutRollbackRejected(t *testing.T) {
+func TestIncompatibleReleaseRejected(t *testing.T) {
 	t.Parallel()
-	fleet := newCluster(t, cluster.Setup{Senders: 2, Agents: 3, Terms: quickTerms(rollout.Budget{Fleet: 1})})
-	for about, want := range map[string]string{
+	fleet := newCluster(t, cluster.Setup{Senders: 2, Agents: 3, Terms: shortLeaseTerms(rollout.Budget{Fleet: 1})})
+	for versionOutput, want := range map[string]string{
 		`{"version":"v2","journal_reads":[1,2,3],"journal_writes":3}`: "no way back: " +
 			"v1 can't read the journal that v2 writes (form 3)",
 		`{"version":"v2","journal_reads":[3],"journal_writes":2}`: "v2 can't read the journal that v1 writes (form 2)",
 		`hello`: "no version that agents can manage",
 	} {
 		path := filepath.Join(t.TempDir(), "v2")
-		must(t, os.WriteFile(path, []byte("#!/bin/sh\necho '"+about+"'\n"), 0o700))
+		must(t, os.WriteFile(path, []byte("#!/bin/sh\necho '"+versionOutput+"'\n"), 0o700))
 		requireRejected(t, fleet, want, gatedRelease("v2", path)...)
 	}
 }
--- a/cmd/cleathold/handover_test.go
+++ b/cmd/cleathold/handover_test.go
@@ -117,7 +117,7 @@
 // after.
 func TestHandoversUnderLoad(t *testing.T) {
 	env := newHandoverEnvironment(t, func(string) string { return "" })
-	load := &loadGenerator{t: t, env: env, sends: map[string]int{}, delivered: map[string]chan struct{}{}}
+	load := &loadGenerator{t: t, env: env, callCounts: map[string]int{}, delivered: map[string]chan struct{}{}}
 	env.respond = load.respond
 	last, adminAddr := env.startProcess()
 	awaitReady(t, adminAddr)
@@ -157,9 +157,9 @@
 	env                *environment
 	accepted, rejected atomic.Int64
 
-	mu        sync.Mutex
-	sends     map[string]int
-	delivered map[string]chan struct{} // closed with the first send of a message
+	mu         sync.Mutex
+	callCounts map[string]int
+	delivered  map[string]chan struct{} // closed with the first send of a message
 }
 
 // respond counts a call and serves it.
@@ -167,7 +167,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	id := r.Header.Get("X-Request-Id")
-	if l.sends[id]++; l.sends[id] == 1 {
+	if l.callCounts[id]++; l.callCounts[id] == 1 {
 		close(l.delivered[id])
 	}
 	return socktest.Status(200)
@@ -175,13 +175,13 @@
 
 // start starts four clients, which submit one message after the other until stop is called.
 func (l *loadGenerator) start() (stop func()) {
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	var wg sync.WaitGroup
 	for n := range 4 {
 		wg.Go(func() {
 			for i := 0; ; i++ {
 				select {
-				case <-over:
+				case <-stopped:
 					return
 				default:
 				}
@@ -197,7 +197,7 @@
 		})
 	}
 	return func() {
-		close(over)
+		close(stopped)
 		wg.Wait()
 	}
 }
@@ -224,7 +224,7 @@
 	l.t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for id, n := range l.sends {
+	for id, n := range l.callCounts {
 		if n > 1 && strings.HasPrefix(id, "unsafe") {
 			l.t.Errorf("%s was sent %d times", id, n)
 		}
@@ -251,15 +251,15 @@
 		id := fmt.Sprint("u", round)
 		served.Store(round > 0)
 		env.submitAndAwait("unsafe", id)
-		i, err := handover.RequestTakeover(handover.Path(env.stateFolder))
-		if err != nil || i == nil {
-			t.Fatalf("%v, %v", i, err)
+		takeover, err := handover.RequestTakeover(handover.Path(env.stateFolder))
+		if err != nil || takeover == nil {
+			t.Fatalf("%v, %v", takeover, err)
 		}
-		if out := len(i.State.InFlight); round == 0 && out != 1 {
-			t.Errorf("out: %+v", i.State.InFlight)
+		if inFlight := len(takeover.State.InFlight); round == 0 && inFlight != 1 {
+			t.Errorf("out: %+v", takeover.State.InFlight)
 		}
-		i.Listener.Close()
-		i.Abort()
+		takeover.Listener.Close()
+		takeover.Abort()
 		awaitReady(t, adminAddr)
 		if round == 0 {
 			close(answer)
--- a/cmd/cleathold/handoverchain_test.go
+++ b/cmd/cleathold/handoverchain_test.go
@@ -112,14 +112,14 @@
 
 // handoverChain is a sender whose processes take over from one another, and the one that serves.
 type handoverChain struct {
-	t         *testing.T
-	env       *environment
-	block     *netfault.Block
-	temp      string // a folder with one for each process, for its socket
-	current   *exec.Cmd
-	adminAddr string
-	socket    string // path of its hand-over socket
-	started   int
+	t            *testing.T
+	env          *environment
+	block        *netfault.Block
+	temp         string // a folder with one for each process, for its socket
+	current      *exec.Cmd
+	adminAddr    string
+	socket       string // path of its hand-over socket
+	processCount int
 
 	mu          sync.Mutex
 	calls       map[string]int           // by message
@@ -179,10 +179,10 @@
 
 // newProcess prepares a process whose hand-over socket is in a folder of its own.
 func (chain *handoverChain) newProcess() (c *exec.Cmd, adminAddr, socket string) {
-	chain.started++
-	dir := filepath.Join(chain.temp, fmt.Sprint(chain.started))
+	chain.processCount++
+	dir := filepath.Join(chain.temp, fmt.Sprint(chain.processCount))
 	must(chain.t, os.MkdirAll(dir, 0o700))
-	adminAddr = fmt.Sprintf("%s:%d", chain.block.Host(3), 9000+chain.started)
+	adminAddr = fmt.Sprintf("%s:%d", chain.block.Host(3), 9000+chain.processCount)
 	c = exec.Command(os.Args[0], "serve")
 	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "LB_CONFIG="+chain.env.config, "LB_ADMIN="+adminAddr, "TMPDIR="+dir)
 	return c, adminAddr, filepath.Join(dir, filepath.Base(handover.Path(chain.env.stateFolder)))
@@ -196,11 +196,11 @@
 }
 
 // await waits until a condition holds.
-func (chain *handoverChain) await(what string, is func() bool) {
+func (chain *handoverChain) await(description string, condition func() bool) {
 	chain.t.Helper()
-	for until := time.Now().Add(20 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
+	for until := time.Now().Add(20 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(until) {
-			chain.t.Fatalf("not within 20 s: %s", what)
+			chain.t.Fatalf("not within 20 s: %s", description)
 		}
 	}
 }
@@ -212,11 +212,11 @@
 		return -1
 	}
 	defer r.Body.Close()
-	x := admin.Status{Counts: state.Counts{Open: -1}}
-	if json.NewDecoder(r.Body).Decode(&x) != nil {
+	status := admin.Status{Counts: state.Counts{Open: -1}}
+	if json.NewDecoder(r.Body).Decode(&status) != nil {
 		return -1
 	}
-	return x.Counts.Open
+	return status.Counts.Open
 }
 
 // handOver has another process take over, and cuts the connection of the two after so many bytes in a direction. An
@@ -225,41 +225,41 @@
 	t := chain.t
 	t.Helper()
 	name := fmt.Sprintf("%d.%d", direction, remaining)
-	out, more := "out-"+name, "more-"+name
+	inFlightID, followUpID := "out-"+name, "more-"+name
 	chain.mu.Lock()
-	chain.heldAnswers[out] = make(chan struct{})
+	chain.heldAnswers[inFlightID] = make(chan struct{})
 	chain.mu.Unlock()
-	chain.env.submit("unsafe", out)
-	chain.await("the call is out", func() bool { n, _ := chain.count(out); return n == 1 })
+	chain.env.submit("unsafe", inFlightID)
+	chain.await("the call is out", func() bool { n, _ := chain.count(inFlightID); return n == 1 })
 	c, adminAddr, socket := chain.newProcess()
-	r := newRelay(t, socket, chain.socket, direction, remaining)
+	proxy := newRelay(t, socket, chain.socket, direction, remaining)
 	must(t, c.Start())
 	t.Cleanup(func() { c.Process.Kill() })
 	go c.Wait()
 	chain.await("the connection is cut, or the successor is ready", func() bool {
 		select {
-		case <-r.done:
+		case <-proxy.done:
 			return true
 		default:
 			return callAdmin(http.MethodGet, adminAddr, "/v1/readyz") == http.StatusOK
 		}
 	})
 	chain.mu.Lock()
-	close(chain.heldAnswers[out])
+	close(chain.heldAnswers[inFlightID])
 	chain.mu.Unlock()
-	<-r.done
+	<-proxy.done
 	alive := func(c *exec.Cmd) bool { return c.Process.Signal(unix.Signal(0)) == nil }
 	chain.await("one of them has ended", func() bool { return alive(chain.current) != alive(c) })
 	if succeeded = alive(c); succeeded {
 		chain.current, chain.adminAddr, chain.socket = c, adminAddr, socket
 	}
-	if succeeded && !r.stateComplete() {
+	if succeeded && !proxy.stateComplete() {
 		t.Errorf("%s: a successor serves without the complete state", name)
 	}
 	awaitReady(t, chain.adminAddr)
-	chain.env.submit("unsafe", more)
+	chain.env.submit("unsafe", followUpID)
 	chain.await("nothing is open", func() bool { return chain.openMessages() == 0 })
-	return r.passed, succeeded
+	return proxy.passed, succeeded
 }
 
 // start starts the first process of the chain.
--- a/cmd/cleathold/handovercut_test.go
+++ b/cmd/cleathold/handovercut_test.go
@@ -29,10 +29,10 @@
 		chain.checkOutcomes(map[string]bool{"out-0.-1": false})
 	})
 	var cuts [][2]int
-	for direction, n := range passed {
-		for k := range n {
-			if direction == fromSuccessor || *everyByte || k < 6 || k > n-200 && k%3 == 0 || k%61 == 0 {
-				cuts = append(cuts, [2]int{direction, k})
+	for direction, size := range passed {
+		for offset := range size {
+			if direction == fromSuccessor || *everyByte || offset < 6 || offset > size-200 && offset%3 == 0 || offset%61 == 0 {
+				cuts = append(cuts, [2]int{direction, offset})
 			}
 		}
 	}
@@ -43,16 +43,16 @@
 				t.Parallel()
 				chain := newHandoverChain(t)
 				chain.start()
-				cut := map[string]bool{}
+				succeededByID := map[string]bool{}
 				for k := i; k < len(cuts); k += shards {
 					_, succeeded := chain.handOver(cuts[k][0], cuts[k][1])
-					if cut[fmt.Sprintf("out-%d.%d", cuts[k][0], cuts[k][1])] = succeeded; succeeded {
+					if succeededByID[fmt.Sprintf("out-%d.%d", cuts[k][0], cuts[k][1])] = succeeded; succeeded {
 						successors.Add(1)
 					} else {
 						predecessors.Add(1)
 					}
 				}
-				chain.checkOutcomes(cut)
+				chain.checkOutcomes(succeededByID)
 			})
 		}
 	})
--- a/cmd/cleathold/lab_test.go
+++ b/cmd/cleathold/lab_test.go
@@ -28,10 +28,10 @@
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/building-refuses.star")
 	must(t, err)
-	s := strings.Replace(string(text), "seconds = 60, senders = 3", "seconds = 5, senders = 2", 1)
-	s = strings.Replace(s, "at = (12, 18), seconds = (10, 20)", "at = 1, seconds = 2", 1)
+	script := strings.Replace(string(text), "seconds = 60, senders = 3", "seconds = 5, senders = 2", 1)
+	script = strings.Replace(script, "at = (12, 18), seconds = (10, 20)", "at = 1, seconds = 2", 1)
 	path := filepath.Join(t.TempDir(), "short.star")
-	must(t, os.WriteFile(path, []byte(s+extra), 0o644))
+	must(t, os.WriteFile(path, []byte(script+extra), 0o644))
 	return path
 }
 
@@ -152,9 +152,9 @@
 	t.Parallel()
 	errDiskFull := errors.New("no space left on device")
 	s := harnessSetup(t, shortScenario(t, ""))
-	n := 0
+	eventCount := 0
 	s.Sink = func(audit.Event) error {
-		if n++; n > 100 {
+		if eventCount++; eventCount > 100 {
 			return errDiskFull
 		}
 		return nil
@@ -261,24 +261,24 @@
 sender(number = 1, at = 1, what = "wipe")
 sender(number = 0, at = 3.6, what = "stop", seconds = 0.8)
 `)
-	set := harnessSetup(t, path)
+	setup := harnessSetup(t, path)
 	var mu sync.Mutex
 	accepted := map[[2]int]int{} // by sender and tenths of a second
-	first := map[int]time.Duration{}
-	set.Sink = func(e audit.Event) error {
+	firstDeath := map[int]time.Duration{}
+	setup.Sink = func(e audit.Event) error {
 		mu.Lock()
 		defer mu.Unlock()
 		if e.Kind == audit.Accepted {
 			accepted[[2]int{e.Sender, int(e.At / (100 * time.Millisecond))}]++
 		}
-		if e.Kind == audit.Died && first[e.Sender] == 0 {
-			first[e.Sender] = e.At
+		if e.Kind == audit.Died && firstDeath[e.Sender] == 0 {
+			firstDeath[e.Sender] = e.At
 		}
 		return nil
 	}
-	r, err := harness.Run(t.Context(), set)
+	r, err := harness.Run(t.Context(), setup)
 	must(t, err)
-	between := func(sender int, from, to float64) (n int) {
+	acceptedBetween := func(sender int, from, to float64) (n int) {
 		for at := int(from * 10); at < int(to*10); at++ {
 			n += accepted[[2]int{sender, at}]
 		}
@@ -290,19 +290,19 @@
 	for _, c := range []struct {
 		sender   int
 		from, to float64
-		some     bool
+		accepts  bool
 	}{
 		{0, 0, 1, true}, {0, 1.2, 2.9, false}, {1, 2.2, 3.2, true}, {1, 3.8, 4.5, false}, {0, 3.7, 4.3, false},
 		{0, 4.5, 6, true},
 	} {
-		if n := between(c.sender, c.from, c.to); (n > 0) != c.some {
+		if n := acceptedBetween(c.sender, c.from, c.to); (n > 0) != c.accepts {
 			t.Errorf("n%d took on %d messages from %v to %v s", c.sender, n, c.from, c.to)
 		}
 	}
-	if first[1] < 900*time.Millisecond || first[1] > 1500*time.Millisecond {
-		t.Errorf("n1 lost its folder at %v", first[1])
+	if firstDeath[1] < 900*time.Millisecond || firstDeath[1] > 1500*time.Millisecond {
+		t.Errorf("n1 lost its folder at %v", firstDeath[1])
 	}
-	text, err := os.ReadFile(filepath.Join(set.Folder, "n0", "log"))
+	text, err := os.ReadFile(filepath.Join(setup.Folder, "n0", "log"))
 	if err != nil || !strings.Contains(string(text), "configuration read again") {
 		t.Errorf("n0 has no new settings: %v\n%s", err, text)
 	}
@@ -314,12 +314,12 @@
 	t.Parallel()
 	text, err := os.ReadFile("../../examples/scenarios/fleet-return.star")
 	must(t, err)
-	s := strings.Replace(string(text), "seconds = 30", "seconds = 13", 1)
-	s = strings.Replace(s, "traffic(rate = 500", "traffic(rate = 150", 1)
-	s = strings.Replace(s, `at = 6, seconds = 5, part = 0.5`, `at = 2, seconds = 4, part = 0.5`, 1)
-	s += "\n[sender(number = n, at = 4, what = \"kill\") for n in (0, 7, 13)]\n"
+	script := strings.Replace(string(text), "seconds = 30", "seconds = 13", 1)
+	script = strings.Replace(script, "traffic(rate = 500", "traffic(rate = 150", 1)
+	script = strings.Replace(script, `at = 6, seconds = 5, part = 0.5`, `at = 2, seconds = 4, part = 0.5`, 1)
+	script += "\n[sender(number = n, at = 4, what = \"kill\") for n in (0, 7, 13)]\n"
 	path := filepath.Join(t.TempDir(), "return.star")
-	must(t, os.WriteFile(path, []byte(s), 0o644))
+	must(t, os.WriteFile(path, []byte(script), 0o644))
 	args := scenarioArgs{Scenario: path, Set: map[string]float64{"senders": 20}}
 	r := runLab(t, args, filepath.Join(t.TempDir(), "run"))
 	if r.Overloads != 0 || r.Restarts != 3 || r.Crashes != 0 || r.Overall < 0.5 {
--- a/cmd/cleathold/labcompare.go
+++ b/cmd/cleathold/labcompare.go
@@ -112,12 +112,12 @@
 
 // writeComparison writes the difference and the rules that were broken.
 func writeComparison(out io.Writer, c comparison) {
-	conclusion := "a difference"
+	verdict := "a difference"
 	if c.Noise {
-		conclusion = fmt.Sprintf("noise: %d pairs would not show a difference under %.4f", c.Pairs, c.Detectable)
+		verdict = fmt.Sprintf("noise: %d pairs would not show a difference under %.4f", c.Pairs, c.Detectable)
 	}
 	fmt.Fprintf(out, "A %.4f, B %.4f; B less A: %+.4f, 95%% interval %+.4f to %+.4f over %d pairs: %s\n",
-		c.Difference.A, c.Difference.B, c.Mean, c.Low, c.High, c.Pairs, conclusion)
+		c.Difference.A, c.Difference.B, c.Mean, c.Low, c.High, c.Pairs, verdict)
 	if c.Violations != [2]int{} {
 		fmt.Fprintf(out, "breaks of rules: A %d, B %d\n", c.Violations[0], c.Violations[1])
 	}
@@ -151,16 +151,16 @@
 	for name, value := range c.Set {
 		args = append(args, fmt.Sprintf("--set=%s=%g", name, value))
 	}
-	text, err := exec.CommandContext(ctx, program, args...).Output()
-	var failed *exec.ExitError
-	if errors.As(err, &failed) && failed.ExitCode() != exitViolations {
-		return sideResult{}, fmt.Errorf("%w: %s", err, failed.Stderr)
+	output, err := exec.CommandContext(ctx, program, args...).Output()
+	var exitErr *exec.ExitError
+	if errors.As(err, &exitErr) && exitErr.ExitCode() != exitViolations {
+		return sideResult{}, fmt.Errorf("%w: %s", err, exitErr.Stderr)
 	}
-	if err != nil && failed == nil {
+	if err != nil && exitErr == nil {
 		return sideResult{}, err
 	}
 	var r simulation.Result
-	if err := json.Unmarshal(text, &r); err != nil {
+	if err := json.Unmarshal(output, &r); err != nil {
 		return sideResult{}, fmt.Errorf("its result can't be read: %w", err)
 	}
 	return sideResult{r.Service, len(r.Violations)}, nil
--- a/cmd/cleathold/labfleet.go
+++ b/cmd/cleathold/labfleet.go
@@ -47,7 +47,7 @@
 	}
 	ctx, stop := interruptible()
 	defer stop()
-	result := campaignResult{out: out, folder: c.Out}
+	summary := campaignResult{out: out, folder: c.Out}
 	var wg sync.WaitGroup
 	seeds := seedChannel(ctx, c.From, c.Seeds)
 	for range c.Jobs {
@@ -55,14 +55,14 @@
 			for seed := range seeds {
 				history := cluster.Draw(seed, c.Senders, c.Agents, c.Length)
 				err := playHistory(ctx, history, c.Rate)
-				result.add(history, err, ctx.Err() != nil)
+				summary.add(history, err, ctx.Err() != nil)
 			}
 		})
 	}
 	wg.Wait()
 	fmt.Fprintf(out, "%d histories played, %d broke something; senders went out by order %d times\n",
-		result.played, result.broken, result.orders)
-	return violationsError(result.broken)
+		summary.played, summary.broken, summary.orders)
+	return violationsError(summary.broken)
 }
 
 // seedChannel returns a channel of count seeds from first up. It closes early if the context ends.
--- a/cmd/cleathold/labreport.go
+++ b/cmd/cleathold/labreport.go
@@ -152,9 +152,9 @@
 	}
 	fmt.Fprintf(out, "%11s %7s %7s %8s %8s %8s %8s %10s %6s\n",
 		"DESTINATION", "FROM", "TO", "LIMIT", "CALLS", "REFUSED", "SERVED", "WORST/LIMIT", "USED")
-	for _, x := range spans {
+	for _, span := range spans {
 		fmt.Fprintf(out, "%11d %7d %7d %8.1f %8.1f %8.1f %8.1f %11.2f %6.2f\n",
-			x.Dest, x.From, x.To, x.Limit, x.Calls, x.Rejected, x.Served, x.MaxExcess, x.Used)
+			span.Dest, span.From, span.To, span.Limit, span.Calls, span.Rejected, span.Served, span.MaxExcess, span.Used)
 	}
 	return nil
 }
--- a/cmd/cleathold/labsim.go
+++ b/cmd/cleathold/labsim.go
@@ -23,8 +23,8 @@
 	progressEvents   = 1024            // events between two looks at the clock
 )
 
-// errAborted is the error of a run that a signal ended.
-var errAborted = errors.New("broken off")
+// errInterrupted is the error of a run that a signal ended.
+var errInterrupted = errors.New("broken off")
 
 // labSimCmd plays a scenario in virtual time.
 type labSimCmd struct {
@@ -137,7 +137,7 @@
 	}
 	r, err := sim.Run()
 	if errors.Is(err, context.Canceled) {
-		err = errAborted
+		err = errInterrupted
 	}
 	if writer != nil && err == nil {
 		err = writer.Finish(r)
--- a/cmd/cleathold/labsoak.go
+++ b/cmd/cleathold/labsoak.go
@@ -81,7 +81,7 @@
 	wg.Wait()
 	fmt.Fprintf(out, "%d cases played, %d unsound\n", played, unsound)
 	if ctx.Err() != nil {
-		return exitError{errAborted, exitIncomplete}
+		return exitError{errInterrupted, exitIncomplete}
 	}
 	return violationsError(unsound)
 }
--- a/cmd/cleathold/main_test.go
+++ b/cmd/cleathold/main_test.go
@@ -57,34 +57,34 @@
 // and sends none twice that must not be repeated.
 func TestKilledRepeatedly(t *testing.T) {
 	env := newEnvironment(t, func(string) string { return socktest.Status(200) })
-	owed := map[string]bool{}
+	unfinished := map[string]bool{}
 	sends := map[string]int{}
-	seen := func(id string) {
+	recordSend := func(id string) {
 		sends[id]++
-		delete(owed, id)
+		delete(unfinished, id)
 	}
 	for round := range 4 {
 		c := env.start()
 		for i := range 10 + 3*round { // the kill falls elsewhere each time
 			id := fmt.Sprintf("%c%d-%d", "su"[i%2], round, i)
-			owed[id] = true
+			unfinished[id] = true
 			env.submit([]string{"safe", "unsafe"}[i%2], id)
 		}
 		env.kill(c)
 	}
 	env.start()
-	for len(owed) > 0 {
+	for len(unfinished) > 0 {
 		select {
 		case id := <-env.calls:
-			seen(id)
+			recordSend(id)
 		case lines := <-env.notices:
-			for id := range owed {
+			for id := range unfinished {
 				if strings.Contains(lines, `"`+id+`"`) {
-					delete(owed, id)
+					delete(unfinished, id)
 				}
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("lost: %v", owed)
+			t.Fatalf("lost: %v", unfinished)
 		}
 	}
 	for id, n := range sends {
--- a/cmd/cleathold/partner_test.go
+++ b/cmd/cleathold/partner_test.go
@@ -33,17 +33,17 @@
 // partner is a stand-in for one partner system. It is shut, or returns cold: its limit rises from warmUpFraction of its
 // rate to all of it. It counts effects, by key where a message has one, and all calls that reach it.
 type partner struct {
-	mu          sync.Mutex
-	rate        float64     // calls a second once warm
-	openedAt    time.Time   // zero: shut
-	resetCalls  bool        // a call takes effect and its connection is reset
-	calls       []time.Time // all that came
-	accepted    []time.Time // the latest within the limit
-	effects     map[string]int
-	firstEffect map[string]time.Time
-	flakyAnswer func() string        // "ordinary", "break" or an answer in the place of the ordinary one; under mu
-	seenKeys    map[string]time.Time // by key: when it was first seen
-	doubles     []string             // ids with more effects than their class allows
+	mu            sync.Mutex
+	rate          float64     // calls a second once warm
+	openedAt      time.Time   // zero: shut
+	resetCalls    bool        // a call takes effect and its connection is reset
+	calls         []time.Time // all that came
+	accepted      []time.Time // the latest within the limit
+	effects       map[string]int
+	firstEffect   map[string]time.Time
+	flakyAnswer   func() string        // "ordinary", "break" or an answer in the place of the ordinary one; under mu
+	seenKeys      map[string]time.Time // by key: when it was first seen
+	excessEffects []string             // ids with more effects than their class allows
 }
 
 // newPartner returns a partner that is shut.
@@ -83,14 +83,14 @@
 	id, key := r.Header.Get("X-Request-Id"), r.Header.Get("Idempotency-Key")
 	p.calls = append(p.calls, now)
 	if p.resetCalls {
-		p.effect(id, key, now)
+		p.applyEffect(id, key, now)
 		return ""
 	}
 	if p.flakyAnswer != nil {
 		switch a := p.flakyAnswer(); a {
 		case "ordinary":
 		case "break":
-			p.effect(id, key, now)
+			p.applyEffect(id, key, now)
 			return ""
 		default:
 			return a
@@ -103,12 +103,12 @@
 		return socktest.Status(503)
 	}
 	p.accepted = append(p.accepted, now)
-	p.effect(id, key, now)
+	p.applyEffect(id, key, now)
 	return socktest.Status(200)
 }
 
-// effect lets a message take effect unless its key was seen. All but safe ones must have one effect at most.
-func (p *partner) effect(id, key string, now time.Time) {
+// applyEffect lets a message take applyEffect unless its key was seen. All but safe ones must have one applyEffect at most.
+func (p *partner) applyEffect(id, key string, now time.Time) {
 	if key != "" {
 		if at, known := p.seenKeys[key]; known && now.Sub(at) < keyRetention {
 			return
@@ -119,7 +119,7 @@
 		p.firstEffect[id] = now
 	}
 	if p.effects[id]++; p.effects[id] > 1 && id[0] != 's' {
-		p.doubles = append(p.doubles, id)
+		p.excessEffects = append(p.excessEffects, id)
 	}
 }
 
@@ -163,8 +163,8 @@
 	env.tune = func(c map[string]any) {
 		c["limits"].(map[string]any)["disk_mb"] = 8
 		c["limits"].(map[string]any)["sockets"] = 1024
-		set := c["settings"].(map[string]any)
-		set["profiles"] = []map[string]any{
+		settings := c["settings"].(map[string]any)
+		settings["profiles"] = []map[string]any{
 			{"name": "safe", "aim-ms": 400, "deadline-ms": 4000, "effect": "safe", "late-worth": 0.5, "worth": 1},
 			{
 				"name": "keyed", "aim-ms": 400, "deadline-ms": 4000, "effect": "keyed",
@@ -172,13 +172,13 @@
 			},
 			{"name": "unsafe", "aim-ms": 400, "deadline-ms": 4000, "effect": "unsafe", "late-worth": 0.5, "worth": 1},
 		}
-		set["weights"] = "rough"
-		set["specifics"] = map[string]any{"max-calls": 48}
-		set["limits"] = map[string]any{
+		settings["weights"] = "rough"
+		settings["specifics"] = map[string]any{"max-calls": 48}
+		settings["limits"] = map[string]any{
 			"open-cap": 1500, "send-cap": 0, "conn-idle-ms": 15000, "connect-timeout-ms": 1500, "cancel": true,
 			"probes": true, "second-copies": true,
 		}
-		set["guarantees"] = map[string]any{
+		settings["guarantees"] = map[string]any{
 			"must-ask-in-ms": 10000, "fall-ms": overloadWindow.Milliseconds(), "fall-multiple": 2,
 			"cold-ms": warmUpDuration.Milliseconds(), "cold-from": warmUpFraction,
 		}
@@ -237,7 +237,7 @@
 
 // awaitStats polls the dead-letter queue until a condition holds, and returns the number of records by state.
 func (env *environment) awaitStats(
-	api admin.API, what string, done func(states map[string]int, s deadletter.Stats) bool,
+	api admin.API, description string, condition func(states map[string]int, s deadletter.Stats) bool,
 ) map[string]int {
 	env.t.Helper()
 	states := map[string]int{}
@@ -250,11 +250,11 @@
 		for _, g := range s.States {
 			states[g.Name] = g.Records
 		}
-		if done(states, s) {
+		if condition(states, s) {
 			return states
 		}
 	}
-	env.t.Fatalf("%s: %v", what, states)
+	env.t.Fatalf("%s: %v", description, states)
 	return nil
 }
 
--- a/cmd/cleathold/recovery_test.go
+++ b/cmd/cleathold/recovery_test.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	deadLetters     = 600 // records whose call never ran
-	mayHaveRunCalls = 30  // calls that break after they took effect, or before they are made
-	liveMessages    = 300
-	liveInterval    = 40 * time.Millisecond // 25 messages a second
+	deadLetters  = 600 // records whose call never ran
+	brokenCalls  = 30  // calls that break after they took effect, or before they are made
+	liveMessages = 300
+	liveInterval = 40 * time.Millisecond // 25 messages a second
 )
 
 // TestRedeliveryToRecoveringPartner sends hundreds of dead letters to a partner that is warming up: none has a double
@@ -31,7 +31,7 @@
 }
 
 // runRecovery plays an outage and the recovery, with or without redelivery, and returns the worth of live traffic.
-func runRecovery(t *testing.T, resends bool) (served float64) {
+func runRecovery(t *testing.T, resends bool) (liveWorth float64) {
 	p := newPartner(150)
 	env := newDeadLetterEnvironment(t, p, holdAllSettings)
 	noticed := env.collectNotices()
@@ -45,7 +45,7 @@
 	}
 	if resends {
 		done, rejected, err := resendAll(api, 60)
-		if err != nil || done != deadLetters+mayHaveRunCalls-ran || len(rejected) != ran ||
+		if err != nil || done != deadLetters+brokenCalls-ran || len(rejected) != ran ||
 			!strings.Contains(rejected[0].Reason, "must never take effect twice") {
 			t.Fatalf("ordered %d, rejected %d, %v", done, len(rejected), err)
 		}
@@ -54,7 +54,7 @@
 	start := submitLive(t, c)
 	if resends {
 		env.awaitStats(api, "all redelivered", func(states map[string]int, _ deadletter.Stats) bool {
-			return states["delivered"]+states["held"] == deadLetters+mayHaveRunCalls
+			return states["delivered"]+states["held"] == deadLetters+brokenCalls
 		})
 		requireRedelivered(t, api, ran)
 	}
@@ -66,11 +66,11 @@
 	if overload > 2 {
 		t.Errorf("overloaded: %.2f times its capacity", overload)
 	}
-	served = liveScore(p, start)
+	liveWorth = liveScore(p, start)
 	requireEffects(t, p, resends)
 	t.Logf("resends %t: worth of live traffic %.1f of %d, at most %.2f times the capacity in %v, partner opened %v ago",
-		resends, served, liveMessages, overload, overloadWindow, time.Since(start).Round(time.Second))
-	return served
+		resends, liveWorth, liveMessages, overload, overloadWindow, time.Since(start).Round(time.Second))
+	return liveWorth
 }
 
 // fillDeadLetters submits messages whose calls break after they took effect, then shuts the partner and submits the
@@ -79,13 +79,13 @@
 	t.Helper()
 	api := env.adminAPI()
 	p.resetCalls = true
-	for n := range mayHaveRunCalls {
+	for n := range brokenCalls {
 		if status, err := c.submit("unsafe", fmt.Sprint("u-ran", n), "", 1); status != 202 {
 			t.Fatalf("%d %v", status, err)
 		}
 	}
 	env.awaitStats(api, "those that may have run", func(states map[string]int, _ deadletter.Stats) bool {
-		return states["held"] == mayHaveRunCalls
+		return states["held"] == brokenCalls
 	})
 	p.mu.Lock()
 	p.resetCalls = false
@@ -100,7 +100,7 @@
 			t.Fatalf("%s: %d %v", id, status, err)
 		}
 	}
-	env.awaitStats(api, "all held", heldAndNoticed(deadLetters+mayHaveRunCalls))
+	env.awaitStats(api, "all held", heldAndNoticed(deadLetters+brokenCalls))
 	return ran
 }
 
@@ -146,7 +146,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for n := range liveMessages {
-		if at, came := p.firstEffect[fmt.Sprint("slive", n)]; came {
+		if at, delivered := p.firstEffect[fmt.Sprint("slive", n)]; delivered {
 			lateness := at.Sub(start.Add(time.Duration(n)*liveInterval)) - 400*time.Millisecond
 			score += 1 - max(0, lateness.Seconds()/3.6)/2
 		}
@@ -165,13 +165,13 @@
 			t.Errorf("%s took effect %d times", id, p.effects[id])
 		}
 	}
-	for n := range mayHaveRunCalls {
+	for n := range brokenCalls {
 		if id := fmt.Sprint("u-ran", n); p.effects[id] > 1 {
 			t.Errorf("%s took effect %d times", id, p.effects[id])
 		}
 	}
-	if len(p.doubles) > 0 {
-		t.Errorf("doubles: %v", p.doubles)
+	if len(p.excessEffects) > 0 {
+		t.Errorf("doubles: %v", p.excessEffects)
 	}
 }
 
--- a/cmd/cleathold/redelivery_test.go
+++ b/cmd/cleathold/redelivery_test.go
@@ -66,9 +66,9 @@
 // changeClasses puts another class in front, gives the rest other figures, and waits until they are in force.
 func changeClasses(t *testing.T, env *environment, adminAddr string) {
 	t.Helper()
-	old := env.tune
+	baseTune := env.tune
 	env.tune = func(config map[string]any) {
-		old(config)
+		baseTune(config)
 		settings := config["settings"].(map[string]any)
 		classes := settings["profiles"].([]map[string]any)
 		for _, c := range classes {
@@ -81,7 +81,7 @@
 		settings["profiles"] = append([]map[string]any{added}, classes...)
 	}
 	env.configure(env.secondAddr)
-	env.tune = old
+	env.tune = baseTune
 	text, err := os.ReadFile(env.config)
 	must(t, err)
 	want := admin.Digest(string(text))
@@ -159,8 +159,8 @@
 	p.mu.Unlock()
 	rounds.start(env, process)
 	api := env.adminAPI()
-	quiet := func(s map[string]int, x deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 && x.Owed == 0 }
-	env.awaitStats(api, "nothing on its way", quiet)
+	idle := func(s map[string]int, x deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 && x.Owed == 0 }
+	env.awaitStats(api, "nothing on its way", idle)
 	time.Sleep(time.Second) // live ones have 0.55 s at most
 	_, rejections, err := resendAll(api, 60)
 	must(t, err)
@@ -168,7 +168,7 @@
 	for _, r := range rejections {
 		rejected[r.Seq] = true
 	}
-	states := env.awaitStats(api, "all sent that may be", quiet)
+	states := env.awaitStats(api, "all sent that may be", idle)
 	records := readRecords(t, api)
 	requireOneState(t, p, accepted, records, rejected, noticed)
 	t.Logf("%d rounds, %d messages accepted, %d of them held: %v", count, len(accepted), len(records), states)
@@ -186,7 +186,7 @@
 			if class := map[byte]string{'s': "safe", 'k': "keyed", 'u': "unsafe"}[r.ID[0]]; r.Class != class {
 				t.Errorf("%s is of class %s, and is held as one of %q", r.ID, class, r.Class)
 			}
-			if _, twice := records[r.ID]; twice {
+			if _, duplicate := records[r.ID]; duplicate {
 				t.Errorf("%s is in the store twice", r.ID)
 			}
 			records[r.ID] = r
@@ -219,7 +219,7 @@
 			t.Errorf("%s is delivered by the store's word alone", id)
 		}
 	}
-	for _, id := range p.doubles {
+	for _, id := range p.excessEffects {
 		t.Errorf("double effect: %s: %+v", id, records[id])
 	}
 }
--- a/cmd/cleathold/resources_test.go
+++ b/cmd/cleathold/resources_test.go
@@ -18,9 +18,9 @@
 )
 
 // limitDescriptors bounds the descriptors of a process.
-func limitDescriptors(t *testing.T, pid int, most uint64) {
+func limitDescriptors(t *testing.T, pid int, limit uint64) {
 	t.Helper()
-	must(t, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: 1024}, nil))
+	must(t, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: 1024}, nil))
 }
 
 // TestIdleClientsWhileDiscoveryIsDown has clients connect and say nothing, or ask once and stay, more of them than
@@ -28,7 +28,7 @@
 // write-ahead log and to the platform, and when discovery recovers it is polled.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
-	const most = 96
+	const maxDescriptors = 96
 	env := newEnvironment(t, func(id string) string {
 		if strings.HasPrefix(id, "u") {
 			return socktest.Status(500)
@@ -36,12 +36,12 @@
 		return socktest.Status(200)
 	})
 	env.tune = func(config map[string]any) {
-		config["limits"].(map[string]any)["sockets"] = most
+		config["limits"].(map[string]any)["sockets"] = maxDescriptors
 		config["settings"].(map[string]any)["guarantees"].(map[string]any)["must-ask-in-ms"] = 500
 	}
 	env.configure(env.firstAddr)
 	c := env.start()
-	limitDescriptors(t, c.Process.Pid, most)
+	limitDescriptors(t, c.Process.Pid, maxDescriptors)
 	receive(t, env.polls)
 	receive(t, env.polls) // the watch: the list has come
 	env.discoveryDown.Store(true)
@@ -84,11 +84,11 @@
 	for i := range 40 {
 		conn := env.connectClient()
 		if i%2 == 1 {
-			came := time.Now()
+			sentAt := time.Now()
 			if got := exchange(conn, bufio.NewReader(conn), healthRequest); got != 200 {
 				t.Fatalf("round %d, connection %d: health %d", round, i, got)
 			}
-			waited += time.Since(came)
+			waited += time.Since(sentAt)
 		}
 	}
 	return waited
@@ -99,11 +99,11 @@
 func submitLarge(t *testing.T, env *environment, round int, body string) (waited time.Duration) {
 	t.Helper()
 	for _, class := range []string{"safe", "unsafe"} {
-		id, came := fmt.Sprint(class[:1], round), time.Now()
+		id, submittedAt := fmt.Sprint(class[:1], round), time.Now()
 		if got := env.roundTrip(messageRequest(class, id, body)); got != 202 {
 			t.Fatalf("%s: %d", id, got)
 		}
-		waited += time.Since(came)
+		waited += time.Since(submittedAt)
 		if got := receive(t, env.calls); got != id {
 			t.Fatalf("%s reached the target, want %s", got, id)
 		}
@@ -144,7 +144,7 @@
 	}
 	late := env.connectClient() // waits in the queue
 	time.Sleep(500 * time.Millisecond)
-	spent, passed := processorTime(t, c.Process.Pid)-before, time.Since(began)
+	processorUsed, elapsed := processorTime(t, c.Process.Pid)-before, time.Since(began)
 	limitDescriptors(t, c.Process.Pid, 256)
 	if len(accepted) == 0 || len(env.calls) > 0 {
 		t.Errorf("%d accepted, %d rejected, %d calls", len(accepted), rejected, len(env.calls))
@@ -165,8 +165,8 @@
 	if id := receive(t, env.calls); id != "last" {
 		t.Errorf("%s reached the target", id)
 	}
-	if spent > passed*3/4 {
-		t.Errorf("%v of the processor in %v without descriptors", spent, passed)
+	if processorUsed > elapsed*3/4 {
+		t.Errorf("%v of the processor in %v without descriptors", processorUsed, elapsed)
 	}
 }
 
@@ -236,37 +236,37 @@
 		}
 	}()
 	began := time.Now()
-	took := make([]time.Duration, senders)
-	all := make([]*environment, senders)
-	for i := range all {
-		all[i] = env.addSender()
-		all[i].startProcess()
+	readyAfter := make([]time.Duration, senders)
+	senderEnvs := make([]*environment, senders)
+	for i := range senderEnvs {
+		senderEnvs[i] = env.addSender()
+		senderEnvs[i].startProcess()
 	}
 	var wg sync.WaitGroup
-	for i, x := range all {
+	for i, x := range senderEnvs {
 		wg.Go(func() {
 			for until := began.Add(60 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 				if x.roundTrip(healthRequest) == 200 {
-					took[i] = time.Since(began)
+					readyAfter[i] = time.Since(began)
 					return
 				}
 			}
 		})
 	}
 	wg.Wait()
-	slices.Sort(took)
-	if took[0] == 0 || took[senders*9/10-1] > 10*time.Second {
-		t.Fatalf("nine in ten ready within %v, all within %v; 0 = never", took[senders*9/10-1], took[senders-1])
+	slices.Sort(readyAfter)
+	if readyAfter[0] == 0 || readyAfter[senders*9/10-1] > 10*time.Second {
+		t.Fatalf("nine in ten ready within %v, all within %v; 0 = never", readyAfter[senders*9/10-1], readyAfter[senders-1])
 	}
-	t.Logf("nine in ten ready within %v, all within %v", took[senders*9/10-1], took[senders-1])
-	owed := map[string]bool{}
-	for i, x := range all {
+	t.Logf("nine in ten ready within %v, all within %v", readyAfter[senders*9/10-1], readyAfter[senders-1])
+	undelivered := map[string]bool{}
+	for i, x := range senderEnvs {
 		id := fmt.Sprint("s", i)
 		x.submit("safe", id)
-		owed[id] = true
+		undelivered[id] = true
 	}
 	env.platformSilent.Store(false)
-	for len(owed) > 0 {
-		delete(owed, receive(t, env.calls))
+	for len(undelivered) > 0 {
+		delete(undelivered, receive(t, env.calls))
 	}
 }
