--- a/cmd/cleathold/agent.go
+++ b/cmd/cleathold/agent.go
@@ -14,18 +14,18 @@
 	"cleathold/internal/settings"
 )
 
-// agentCmd groups the commands that run on an agent's own machine.
+// agentCmd groups the commands that run on the machine of an agent.
 type agentCmd struct {
 	Found agentFoundCmd `cmd:"" help:"Make the folder of one of the first agents, once. Say it on each of their machines."`
 	Run   agentRunCmd   `cmd:"" help:"${help_agent_run}"`
 }
 
-// agentSettings is the flag that names an agent's settings script.
+// agentSettings is the flag for the path of an agent's settings script.
 type agentSettings struct {
 	Settings string `help:"${help_agent_settings}" env:"CLEATHOLD_SETTINGS" required:"" type:"existingfile"`
 }
 
-// load reads the script and checks the terms in it.
+// load reads the script, converts it to the agent's configuration and checks the terms in it.
 func (s agentSettings) load(log *slog.Logger) (agent.Config, error) {
 	script, err := loadAgentSettings(s.Settings)
 	if err != nil {
@@ -41,19 +41,19 @@
 	return c, c.Terms.Check(0)
 }
 
-// loadAgentSettings reads a settings script, which must describe an agent.
+// loadAgentSettings reads a settings script. It returns an error if the script does not configure an agent.
 func loadAgentSettings(path string) (*settings.Agent, error) {
 	script, err := settings.Load(path)
 	if err != nil {
 		return nil, err
 	}
 	if script.Agent == nil {
-		return nil, fmt.Errorf("%s: no agent(name = ...) in it", path)
+		return nil, fmt.Errorf("%s: the script does not call agent(name = ...)", path)
 	}
 	return script.Agent, nil
 }
 
-// rolloutTerms returns the budget and the timing that a settings script asks for.
+// rolloutTerms returns the budget and the timing of a settings script.
 func rolloutTerms(s *settings.Agent) rollout.Terms {
 	return rollout.Terms{
 		Budget: rollout.Budget(s.Budget),
@@ -63,7 +63,7 @@
 	}
 }
 
-// agentFoundCmd makes the folder of one of the first agents of a fleet.
+// agentFoundCmd creates the folder of one of the first agents of a fleet.
 type agentFoundCmd struct{ agentSettings }
 
 // Run executes the command.
@@ -79,7 +79,7 @@
 	return err
 }
 
-// agentRunCmd runs an agent until SIGINT or SIGTERM. SIGHUP is ignored: it is for the senders.
+// agentRunCmd runs an agent until SIGINT or SIGTERM. It ignores SIGHUP, which makes senders reload their configuration.
 type agentRunCmd struct{ agentSettings }
 
 // Run executes the command.
--- a/cmd/cleathold/deadletter.go
+++ b/cmd/cleathold/deadletter.go
@@ -24,7 +24,8 @@
 	Audit  heldAuditCmd     `cmd:"" help:"Show who did what, the latest first."`
 }
 
-// deadLetterSource holds the flags that say where the queue is: at a running sender, or in a stopped one's folder.
+// deadLetterSource holds the flags that locate the queue: the admin socket of a running sender, or the folder of a
+// stopped one.
 type deadLetterSource struct {
 	Socket   string `help:"Admin socket of a running sender." type:"path"`
 	Folder   string `help:"Held folder of a stopped sender; to read only." type:"path"`
@@ -32,14 +33,14 @@
 	jsonFlag
 }
 
-// locate returns the admin socket and the folder that the flags, or else the settings script, name. Either may be
-// empty.
+// locate returns the admin socket and the folder from the flags or, without these flags, from the settings script.
+// Either may be empty.
 func (s *deadLetterSource) locate() (socket, folder string, err error) {
 	if s.Socket != "" || s.Folder != "" {
 		return s.Socket, s.Folder, nil
 	}
 	if s.Settings == "" {
-		return "", "", errors.New("name --socket, --folder or --settings: whom to ask")
+		return "", "", errors.New("specify --socket, --folder or --settings")
 	}
 	script, err := settings.Load(s.Settings)
 	if err != nil {
@@ -54,7 +55,8 @@
 	return socket, folder, nil
 }
 
-// connect returns the admin API of the running sender, or a read-only one of the folder where no sender answers.
+// connect returns the admin API of the running sender. If no sender listens at the socket, it returns a read-only API
+// for the folder.
 func (s *deadLetterSource) connect() (admin.API, error) {
 	socket, folder, err := s.locate()
 	if err != nil {
@@ -68,13 +70,13 @@
 		}
 	}
 	if folder == "" {
-		return nil, fmt.Errorf("%s names neither an admin socket nor a held folder", s.Settings)
+		return nil, fmt.Errorf("%s configures neither an admin socket nor a held folder", s.Settings)
 	}
 	api, err := admin.OpenFolder(folder)
 	return api, withExitCode(err)
 }
 
-// run calls f with the admin API. SIGINT and SIGTERM end the context, so that f stops between two pages.
+// run calls f with the admin API. SIGINT and SIGTERM cancel the context, so that f stops between two pages.
 func (s *deadLetterSource) run(f func(context.Context, admin.API) error) error {
 	api, err := s.connect()
 	if err != nil {
@@ -86,7 +88,7 @@
 	return withExitCode(f(ctx, api))
 }
 
-// filterFlags are the flags that select records by their properties.
+// filterFlags holds the flags that select records by their properties.
 type filterFlags struct {
 	Destination *int   `help:"Only this destination."`
 	Class       string `help:"Only this class."`
@@ -97,7 +99,7 @@
 	Before      string `help:"Held before this time."`
 }
 
-// parse returns the filter that the flags describe.
+// parse returns the filter for the flags.
 func (f *filterFlags) parse() (deadletter.Filter, error) {
 	filter := deadletter.Filter{
 		Destination: f.Destination, Class: f.Class, Tenant: f.Tenant, Reason: f.Reason, State: deadletter.State(f.State),
@@ -110,7 +112,8 @@
 	return filter, err
 }
 
-// parseTime reads a flag's value, an RFC 3339 time or a duration back from now. An empty one is the zero time.
+// parseTime parses the value of a flag: an RFC 3339 time, or a duration before now. For an empty value it returns the
+// zero time.
 func parseTime(flag, value string) (time.Time, error) {
 	if value == "" {
 		return time.Time{}, nil
--- a/cmd/cleathold/deadletter_test.go
+++ b/cmd/cleathold/deadletter_test.go
@@ -51,7 +51,7 @@
 		{"held drop 1 --dry-run", 0, "1 done, 0 refused (dry run"},
 		{"held drop 1", 0, "1 done"},
 		{"held drop 1", exitRejected, "it has ended: dropped"},
-		{"held drop", 1, "name numbers, a filter, or --all"},
+		{"held drop", 1, "specify record numbers, a filter, or --all"},
 		{"held resend --destination 7 --dry-run --json", 0, `"done": 5`},
 		{"held export --state held --out " + file, 0, ""},
 		{"held import " + file, exitRejected, "a record with its id is here"},
--- a/cmd/cleathold/deadletterexport.go
+++ b/cmd/cleathold/deadletterexport.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	maxLineLength    = 1 << 20 // bytes of a line that is imported
-	maxBatchBytes    = 4 << 20 // bytes of lines after which they are sent to the sender
-	exportReportStep = 1000    // lines between two reports of progress
+	maxLineLength    = 1 << 20 // maximum length of an imported line, in bytes
+	maxBatchBytes    = 4 << 20 // size of the lines, in bytes, above which a batch is sent
+	exportReportStep = 1000    // number of lines between two progress messages
 )
 
-// heldExportCmd writes records, with their bodies, as JSON lines.
+// heldExportCmd exports records, with their bodies, as JSON lines.
 type heldExportCmd struct {
 	filterFlags
 	Out string `help:"File to write; - is standard output." default:"-"`
@@ -65,7 +65,7 @@
 	})
 }
 
-// heldImportCmd adds records that were exported to a sender's dead-letter queue.
+// heldImportCmd imports exported records into a sender's dead-letter queue.
 type heldImportCmd struct {
 	File   string `arg:"" help:"JSON lines that export wrote; - is standard input."`
 	DryRun bool   `help:"Only tell what would be done."`
@@ -96,20 +96,20 @@
 			fmt.Fprintf(out, "import: %d done, %d refused\n", imp.imported, imp.rejected)
 		}
 		if imp.rejected > 0 {
-			return exitError{fmt.Errorf("%d lines were refused", imp.rejected), exitRejected}
+			return exitError{fmt.Errorf("%d lines were rejected", imp.rejected), exitRejected}
 		}
 		return nil
 	})
 }
 
-// importer sends lines to a sender in batches.
+// importer sends records to a sender in batches.
 type importer struct {
 	api        admin.API
 	dryRun     bool
-	rejections io.Writer // for the first rejected lines, maxShownRejections of them
+	rejections io.Writer // receives a message for each of the first maxShownRejections rejected lines
 
 	imported, rejected int // records, lines
-	lineNumber         int // number of the latest line that was read
+	lineNumber         int // number of the latest line read
 	batch              []deadletter.ExportLine
 	batchBytes         int
 }
@@ -142,14 +142,15 @@
 	return imp.flush(ctx)
 }
 
-// reject counts a line that was not imported. Records of a batch are reported at the line that completed it.
+// reject counts a rejected line and writes the reason. A record that the sender rejects is reported with the number of
+// the last line of its batch.
 func (imp *importer) reject(reason string) {
 	if imp.rejected++; imp.rejected <= maxShownRejections {
 		fmt.Fprintf(imp.rejections, "  line %d: %s\n", imp.lineNumber, reason)
 	}
 }
 
-// flush sends the batch.
+// flush sends the current batch, if it is not empty.
 func (imp *importer) flush(ctx context.Context) error {
 	if len(imp.batch) == 0 {
 		return nil
--- a/cmd/cleathold/deadletterlist.go
+++ b/cmd/cleathold/deadletterlist.go
@@ -12,7 +12,7 @@
 	"cleathold/internal/deadletter"
 )
 
-// heldListCmd lists records.
+// heldListCmd lists the records that pass a filter.
 type heldListCmd struct {
 	filterFlags
 	Limit int    `help:"Records at most." default:"100"`
@@ -106,7 +106,7 @@
 	}
 }
 
-// orDash returns a dash in place of an empty text.
+// orDash returns s, or a dash if s is empty.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
@@ -114,7 +114,7 @@
 	return s
 }
 
-// heldStatsCmd counts the records by their properties.
+// heldStatsCmd prints the number of records by state, reason, class, tenant and destination.
 type heldStatsCmd struct{}
 
 // Run executes the command.
@@ -149,7 +149,7 @@
 	}
 }
 
-// heldAuditCmd lists the operators' actions on a dead-letter queue.
+// heldAuditCmd lists the latest actions of operators on a dead-letter queue.
 type heldAuditCmd struct {
 	Limit int `help:"Entries at most." default:"50"`
 }
--- a/cmd/cleathold/deadletterorder.go
+++ b/cmd/cleathold/deadletterorder.go
@@ -12,13 +12,13 @@
 	"cleathold/internal/deadletter"
 )
 
-// maxShownRejections is how many rejected records or lines are written one by one.
+// maxShownRejections is the number of rejected records or lines that are listed individually.
 const maxShownRejections = 20
 
-// progressPages is how many pages pass between two lines of progress.
+// progressPages is the number of pages between two progress messages.
 const progressPages = 4
 
-// orderFlags are the flags of resend and drop, which act on records.
+// orderFlags holds the flags of resend and drop.
 type orderFlags struct {
 	filterFlags
 	Sequences []uint64 `arg:"" optional:"" help:"Numbers of records." name:"seqs"`
@@ -26,17 +26,17 @@
 	DryRun    bool     `help:"Only tell what would be done."`
 }
 
-// orderResult adds up what came of an order over its pages.
+// orderResult accumulates the outcome of an order over its pages.
 type orderResult struct {
 	done       int
-	rejected   int                         // records
-	byReason   map[string]int              // rejected records
-	rejections []deadletter.RejectedRecord // the first, a page at most
+	rejected   int                         // number of records
+	byReason   map[string]int              // number of rejected records by reason
+	rejections []deadletter.RejectedRecord // the first ones, at most one page
 	dryRun     bool
 	verb       string
 }
 
-// add counts the outcome of one page.
+// add adds the outcome of one page.
 func (r *orderResult) add(page deadletter.Outcome) {
 	r.done += page.Done
 	r.rejected += len(page.Rejected)
@@ -48,7 +48,7 @@
 	}
 }
 
-// run carries an order out page by page, writes the result, and returns an error with exitRejected if any record was
+// run executes an order page by page and writes the result. It returns an error with exitRejected if any record was
 // rejected.
 func (f *orderFlags) run(out io.Writer, h *heldCmd, verb string, order admin.Order) error {
 	filter, err := f.parse()
@@ -56,9 +56,9 @@
 	case err != nil:
 		return err
 	case len(f.Sequences) > 0 && !filter.Empty():
-		return errors.New("name numbers or a filter, not both")
+		return errors.New("specify record numbers or a filter, not both")
 	case len(f.Sequences) == 0 && filter.Empty() && !f.All:
-		return errors.New("name numbers, a filter, or --all")
+		return errors.New("specify record numbers, a filter, or --all")
 	}
 	order.DryRun = f.DryRun
 	return h.Source.run(func(ctx context.Context, api admin.API) error {
@@ -79,13 +79,13 @@
 			result.writeText(out)
 		}
 		if result.rejected > 0 {
-			return exitError{fmt.Errorf("%d records were refused", result.rejected), exitRejected}
+			return exitError{fmt.Errorf("%d records were rejected", result.rejected), exitRejected}
 		}
 		return nil
 	})
 }
 
-// runSequences carries the order out for records by number.
+// runSequences executes the order for the records with these sequence numbers.
 func (r *orderResult) runSequences(ctx context.Context, api admin.API, order admin.Order, sequences []uint64) error {
 	for len(sequences) > 0 {
 		count := min(len(sequences), deadletter.MaxPageSize)
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// runFilter carries the order out for all records that pass a filter, and tells the progress on standard error.
+// runFilter executes the order for all records that pass a filter, and writes progress messages to standard error.
 func (r *orderResult) runFilter(
 	ctx context.Context, api admin.API, order admin.Order, filter deadletter.Filter,
 ) error {
@@ -121,7 +121,7 @@
 	}
 }
 
-// orderJSON is the JSON of an order's result.
+// orderJSON is the JSON representation of an order's result.
 type orderJSON struct {
 	Done       int                         `json:"done"`
 	Rejected   int                         `json:"refused"`
@@ -150,7 +150,7 @@
 	}
 }
 
-// heldResendCmd orders redelivery.
+// heldResendCmd orders the redelivery of records.
 type heldResendCmd struct {
 	orderFlags
 	Within time.Duration `help:"Give up for now after this; the settings' time if not given."`
@@ -161,7 +161,7 @@
 	return c.run(out, h, "resend", admin.Order{WithinS: c.Within.Seconds()})
 }
 
-// heldDropCmd ends records without a redelivery.
+// heldDropCmd drops records without redelivery.
 type heldDropCmd struct{ orderFlags }
 
 // Run executes the command.
--- a/cmd/cleathold/discovery_test.go
+++ b/cmd/cleathold/discovery_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestListChangeAfterPollAnswer changes the list within the 200 ms that a watch goes on after an answer: the change counts
-// as known, also where a large fleet's sender waits before it polls again.
+// TestListChangeAfterPollAnswer changes the list within the 200 ms that a watch goes on after an answer: the change
+// counts as known, also where a large fleet's sender waits before it polls again.
 func TestListChangeAfterPollAnswer(t *testing.T) {
 	t.Parallel()
 	const grace = 2 * time.Second
--- a/cmd/cleathold/exitcode.go
+++ b/cmd/cleathold/exitcode.go
@@ -9,21 +9,21 @@
 	"cleathold/internal/deadletter"
 )
 
-// The program's exit codes besides 0, 1 and those of the command line's parser. Codes 4 and 5 mean one thing for the
-// commands that ask a sender or its store, and another for those that ask the agents.
+// These are the program's exit codes besides 0, 1 and the codes of the command line parser. The meaning of codes 4 and
+// 5 depends on the command: the held commands query a sender or its store, the fleet commands query the agents.
 const (
-	exitRejected    = 3 // some records, or the order to the fleet, were refused
-	exitUnreachable = 4 // held: neither a sender nor a store to ask
-	exitNoMajority  = 4 // fleet: no agent answers, or no majority of them agrees: nothing was changed
-	exitNotFound    = 5 // no such record or plan
-	exitUnknown     = 5 // fleet: it is not known whether anything was changed
-	exitViolations  = 6 // lab: a run broke a rule
-	exitIncomplete  = 7 // lab: a run did not reach its end
+	exitRejected    = 3 // some records, or the command to the fleet, were rejected
+	exitUnreachable = 4 // held: neither a sender nor a store is available
+	exitNoMajority  = 4 // fleet: no agent responded, or there is no majority; nothing was changed
+	exitNotFound    = 5 // the record or plan does not exist
+	exitUnknown     = 5 // fleet: the command may have been executed
+	exitViolations  = 6 // lab: a run violated a rule
+	exitIncomplete  = 7 // lab: a run was not completed
 	exitDamaged     = 8 // store: the check found damage
-	exitPlanStopped = 9 // fleet: the plan that was watched is halted, or was rolled back
+	exitPlanStopped = 9 // fleet: the watched plan is halted or was rolled back
 )
 
-// exitError is an error with the exit code that the program ends with. Kong finds the code by the method ExitCode.
+// exitError is an error with an exit code for the program. Kong gets the code from the method ExitCode.
 type exitError struct {
 	error
 	code int
@@ -32,10 +32,11 @@
 // ExitCode returns the program's exit code.
 func (e exitError) ExitCode() int { return e.code }
 
-// Unwrap returns the error itself, for errors.Is and errors.As.
+// Unwrap returns the wrapped error, for errors.Is and errors.As.
 func (e exitError) Unwrap() error { return e.error }
 
-// withExitCode gives errors of the dead-letter queue and the admin API their exit codes. Others stay as they are.
+// withExitCode wraps errors of the dead-letter queue and the admin API with their exit codes. It returns other errors
+// unchanged.
 func withExitCode(err error) error {
 	switch {
 	case err == nil:
@@ -49,10 +50,10 @@
 	return err
 }
 
-// violationsError returns the error of a run that broke so many rules, or nil for 0.
+// violationsError returns an error with exitViolations for a number of violations, or nil if there are none.
 func violationsError(count int) error {
 	if count > 0 {
-		return exitError{fmt.Errorf("%d breaks of rules", count), exitViolations}
+		return exitError{fmt.Errorf("%d rule violations", count), exitViolations}
 	}
 	return nil
 }
--- a/cmd/cleathold/fleet.go
+++ b/cmd/cleathold/fleet.go
@@ -1,6 +1,6 @@
 package main
 
-// fleetCmd groups the commands that ask the agents of a fleet.
+// fleetCmd groups the commands that are sent to the agents of a fleet.
 type fleetCmd struct {
 	Agents []string `help:"${help_fleet_agent}" env:"CLEATHOLD_AGENTS" name:"agent" placeholder:"ADDRESS" required:""`
 
--- a/cmd/cleathold/fleetclient.go
+++ b/cmd/cleathold/fleetclient.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	agentTimeout  = 20 * time.Second       // for one agent's answer
-	listInterval  = time.Second            // between two views of 'fleet list --watch'
-	watchInterval = 200 * time.Millisecond // between two views of a plan that is watched
+	agentTimeout  = 20 * time.Second       // for the response of one agent
+	listInterval  = time.Second            // between two polls of 'fleet list --watch'
+	watchInterval = 200 * time.Millisecond // between two polls of a watched plan
 )
 
-// firstAnswer calls request with the address of one agent after the other until one succeeds. If none does, the error
-// joins those of all agents and has the code exitNoMajority.
+// firstAnswer calls request with the address of each agent in turn until a call succeeds. If all calls fail, it returns
+// the joined errors with the code exitNoMajority.
 func firstAnswer[T any](f *fleetCmd, request func(ctx context.Context, addr string) (T, error)) (T, error) {
 	var zero T
 	var failures []error
@@ -36,16 +36,16 @@
 	return zero, exitError{errors.Join(failures...), exitNoMajority}
 }
 
-// view returns the fleet as the first agent that answers sees it.
+// view returns the view of the fleet from the first agent that responds.
 func (f *fleetCmd) view() (agent.View, error) { return firstAnswer(f, agent.FetchView) }
 
-// attribution is who orders something and why, as the log of events records it.
+// attribution names the author of a command and the reason for it. Both are recorded in the event log of the fleet.
 type attribution struct {
 	By     string `help:"Who orders it; without it your user's name."`
 	Reason string `help:"Why. It is shown by 'fleet events'." required:""`
 }
 
-// author returns By, or else the name of the user who runs the program.
+// author returns By, or the name of the current user if By is empty.
 func (a attribution) author() string {
 	if a.By == "" {
 		if u, err := user.Current(); err == nil {
@@ -55,9 +55,9 @@
 	return a.By
 }
 
-// sendCommand sends a command to the agents. An agent that was reached but did not answer may have executed it; so only
-// agents that can't be reached at all are passed over, and no command is sent twice. An error's exit code tells whether
-// anything was changed.
+// sendCommand sends a command to the first reachable agent. An agent that was reached but did not respond may have
+// executed the command. Therefore only unreachable agents are skipped, and no command is sent twice. The exit code of
+// an error indicates whether anything was changed.
 func (f *fleetCmd) sendCommand(c rollout.Command, who attribution, dryRun bool) (agent.Result, error) {
 	c.By, c.Reason = who.author(), who.Reason
 	if _, err := f.view(); err != nil {
@@ -79,15 +79,15 @@
 	return result, exitError{errors.New(result.Text), commandExitCode(result.Kind)}
 }
 
-// commandExitCode returns the exit code of a command that failed with a kind of result.
+// commandExitCode returns the exit code for the kind of a failed command's result.
 func commandExitCode(kind string) int {
 	return cmp.Or(map[string]int{
 		agent.KindRejected: exitRejected, agent.KindNoMajority: exitNoMajority, agent.KindUnknown: exitUnknown,
 	}[kind], 1)
 }
 
-// watch writes a plan's progress until it is done, or until an operator has to see to it: then the error has the code
-// exitPlanStopped.
+// watch writes a plan's progress until the plan is done. If the plan is halted or was rolled back, it returns an error
+// with the code exitPlanStopped.
 func (f *fleetCmd) watch(out io.Writer, id uint64) error {
 	ctx, stop := interruptible()
 	defer stop()
@@ -99,7 +99,7 @@
 		}
 		plan := view.State.Plan(id)
 		if plan == nil {
-			return exitError{fmt.Errorf("plan %d is not known any more", id), exitNotFound}
+			return exitError{fmt.Errorf("plan %d no longer exists", id), exitNotFound}
 		}
 		if summary := planSummary(plan); summary != last {
 			last = summary
@@ -113,7 +113,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.New("not watched any more; the plan goes on")
+			return errors.New("stopped watching; the plan continues")
 		case <-time.After(watchInterval):
 		}
 	}
--- a/cmd/cleathold/fleetendpoint.go
+++ b/cmd/cleathold/fleetendpoint.go
@@ -15,7 +15,7 @@
 	In   fleetEndpointInCmd   `cmd:"" help:"Have senders use it again."`
 }
 
-// fleetEndpointListCmd lists the endpoints.
+// fleetEndpointListCmd lists the endpoints that senders know.
 type fleetEndpointListCmd struct{ jsonFlag }
 
 // Run executes the command.
@@ -35,7 +35,7 @@
 	return table.Flush()
 }
 
-// endpointStatus describes in a few words whether senders use an endpoint.
+// endpointStatus returns a short description of whether senders use an endpoint.
 func endpointStatus(v agent.View, e rollout.Endpoint) string {
 	exclusion := v.State.Endpoints[e.ID]
 	switch {
@@ -49,7 +49,7 @@
 	return "in"
 }
 
-// fleetEndpointOutCmd excludes an endpoint.
+// fleetEndpointOutCmd excludes an endpoint for all senders.
 type fleetEndpointOutCmd struct {
 	attribution
 	ID string `arg:"" help:"The endpoint's id, as 'fleet endpoint list' has it."`
--- a/cmd/cleathold/fleetlist.go
+++ b/cmd/cleathold/fleetlist.go
@@ -11,7 +11,7 @@
 	"cleathold/internal/agent"
 )
 
-// fleetListCmd lists the senders.
+// fleetListCmd lists the senders of the fleet.
 type fleetListCmd struct {
 	jsonFlag
 	Watch bool `help:"Again and again, until Ctrl-C."`
@@ -42,10 +42,10 @@
 	}
 }
 
-// newTable returns a writer that aligns columns separated by tabs.
+// newTable returns a writer that aligns tab-separated columns.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
 
-// senderStatus describes a sender in a few words, and tells whether it counts as out of service.
+// senderStatus returns a short description of a sender's status, and whether the sender counts as out of service.
 func senderStatus(v agent.View, name string) (text string, out bool) {
 	observation, observed := v.Observations[name]
 	grant := v.State.Grants[name]
@@ -70,7 +70,7 @@
 	return text, true
 }
 
-// writeFleet writes the senders as a table, then the budget, the open plans and which agent leads.
+// writeFleet writes a table of the senders, followed by the budget, the open plans and the leader of the agents.
 func writeFleet(out io.Writer, v agent.View) error {
 	outOfService := 0
 	table := newTable(out)
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// quorumSummary says which agent leads, or warns of what the view lacks without a leader.
+// quorumSummary returns a line about the leader of the agents, or a warning that the view is limited because no leader
+// responds.
 func quorumSummary(v agent.View) string {
 	switch {
 	case v.Quorum == nil:
--- a/cmd/cleathold/fleetorders_test.go
+++ b/cmd/cleathold/fleetorders_test.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// requireStoppedSenderKeepsGrant stops n2 while it is drained by a plan, past its lease: no other sender takes its place, and
-// when it wakes it serves.
+// requireStoppedSenderKeepsGrant stops n2 while it is drained by a plan, past its lease: no other sender takes its
+// place, and when it wakes it serves.
 func requireStoppedSenderKeepsGrant(t *testing.T, fleet *cluster.Cluster, id uint64) {
 	t.Helper()
 	if !fleet.SignalSender(2, syscall.SIGSTOP) {
--- a/cmd/cleathold/fleetplan.go
+++ b/cmd/cleathold/fleetplan.go
@@ -11,7 +11,7 @@
 	"cleathold/internal/rollout"
 )
 
-// planSummary describes a plan and its progress in a line.
+// planSummary returns a line that describes a plan and its progress.
 func planSummary(p *rollout.Plan) string {
 	steps := map[rollout.Step]int{}
 	for _, task := range p.Tasks {
@@ -32,7 +32,7 @@
 	return text
 }
 
-// fleetPlansCmd lists the plans.
+// fleetPlansCmd lists all plans.
 type fleetPlansCmd struct{ jsonFlag }
 
 // Run executes the command.
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// fleetShowCmd shows one plan.
+// fleetShowCmd shows one plan with the step of each sender.
 type fleetShowCmd struct {
 	jsonFlag
 	Plan uint64 `arg:"" help:"Number of the plan."`
@@ -72,7 +72,7 @@
 	return writePlan(out, view, plan)
 }
 
-// writePlan writes a plan and its senders stage by stage.
+// writePlan writes the summary of a plan, and a table of its senders by stage.
 func writePlan(out io.Writer, v agent.View, p *rollout.Plan) error {
 	fmt.Fprintln(out, planSummary(p))
 	table := newTable(out)
@@ -87,14 +87,14 @@
 	return table.Flush()
 }
 
-// planFlags are the flags of the commands that act on a plan.
+// planFlags holds the flags of the commands that change a plan.
 type planFlags struct {
 	jsonFlag
 	attribution
 	Plan uint64 `arg:"" help:"Number of the plan."`
 }
 
-// run sends a command for the plan and writes what was done.
+// run sends a command for the plan and writes the result.
 func (p *planFlags) run(out io.Writer, f *fleetCmd, c rollout.Command) error {
 	c.Plan = p.Plan
 	result, err := f.sendCommand(c, p.attribution, false)
@@ -124,7 +124,7 @@
 	return c.run(out, f, rollout.Command{Verb: rollout.RollBack})
 }
 
-// fleetResumeCmd resumes a halted plan, unless it has changed since the operator saw it.
+// fleetResumeCmd resumes a halted plan. The command is rejected if the plan has changed since the given revision.
 type fleetResumeCmd struct {
 	planFlags
 	Revision uint64 `help:"${help_fleet_revision}" required:""`
@@ -135,7 +135,7 @@
 	return c.run(out, f, rollout.Command{Verb: rollout.Resume, Revision: c.Revision})
 }
 
-// fleetActivateCmd puts drained senders back into service.
+// fleetActivateCmd returns drained senders to service.
 type fleetActivateCmd struct {
 	planFlags
 	Senders []string `arg:"" optional:"" help:"Names of senders; without any, all of the plan."`
--- a/cmd/cleathold/fleetstart.go
+++ b/cmd/cleathold/fleetstart.go
@@ -10,7 +10,7 @@
 	"cleathold/internal/rollout"
 )
 
-// startFlags are the flags of the commands that start a plan.
+// startFlags holds the flags of the commands that start a plan.
 type startFlags struct {
 	jsonFlag
 	attribution
@@ -19,7 +19,7 @@
 	Watch  bool `help:"Tell the progress until the plan is over, halted, or has gone back."`
 }
 
-// run starts the plan and writes its stages, or writes them alone and changes nothing.
+// run starts the plan and writes its stages. With --plan it only writes the stages and changes nothing.
 func (s *startFlags) run(out io.Writer, f *fleetCmd, plan *rollout.Plan) error {
 	plan.AtOnce = s.AtOnce
 	result, err := f.sendCommand(rollout.Command{Verb: rollout.Start, New: plan}, s.attribution, s.Plan)
@@ -37,7 +37,7 @@
 	return f.watch(out, result.Index)
 }
 
-// writeResult writes the stages of the plan, and its number if it was started.
+// writeResult writes the stages of the plan and, if it was started, its number.
 func (s *startFlags) writeResult(out io.Writer, result agent.Result) error {
 	if result.Plan != nil {
 		for i, stage := range result.Plan.Stages {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// fleetDrainCmd starts a drain.
+// fleetDrainCmd starts a plan that drains senders.
 type fleetDrainCmd struct {
 	startFlags
 	Senders []string      `arg:"" help:"Names of senders."`
@@ -65,7 +65,7 @@
 	return c.run(out, f, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{c.Senders}, Hold: c.For})
 }
 
-// fleetReleaseCmd starts a release.
+// fleetReleaseCmd starts a plan that releases a program or a configuration.
 type fleetReleaseCmd struct {
 	startFlags
 	Senders           []string      `arg:"" optional:"" help:"Names of senders; without any, all."`
--- a/cmd/cleathold/fleetterms.go
+++ b/cmd/cleathold/fleetterms.go
@@ -32,8 +32,8 @@
 	return table.Flush()
 }
 
-// fleetTermsCmd shows the budget and the timing of the fleet, after it has set them if a script is named. Its reason is
-// required only then, so it does not embed attribution.
+// fleetTermsCmd shows the budget and the timing of the fleet. With a settings script it sets them first. It does not
+// embed attribution, because the reason is required only when it sets them.
 type fleetTermsCmd struct {
 	jsonFlag
 	By       string `help:"Who orders it; without it your user's name."`
--- a/cmd/cleathold/help.go
+++ b/cmd/cleathold/help.go
@@ -2,7 +2,7 @@
 
 import "github.com/alecthomas/kong"
 
-// longHelp holds the help texts that are too long for a line of Go; the struct tags name them as ${NAME}.
+// longHelp holds the help texts that are too long for a struct tag on one line. Struct tags refer to them as ${NAME}.
 var longHelp = kong.Vars{
 	"help_agent": "Run beside the senders of a machine: start, watch, drain and change them as the agents agree.",
 	"help_agent_run": "Run the agent. One whose folder is empty is taken in by the others, in its old one's " +
--- a/cmd/cleathold/lab.go
+++ b/cmd/cleathold/lab.go
@@ -14,7 +14,7 @@
 	"cleathold/internal/scenario"
 )
 
-// labCmd groups the commands of the laboratory.
+// labCmd groups the commands that run test scenarios and evaluate the runs.
 type labCmd struct {
 	Check   labCheckCmd   `cmd:"" help:"Read a scenario and say what it holds, or what is wrong with it."`
 	Sim     labSimCmd     `cmd:"" help:"Play a scenario in virtual time."`
@@ -29,27 +29,27 @@
 	Compare labCompareCmd `cmd:"" help:"Play paired seeds with two builds or two scenarios, and tell whether they differ."`
 }
 
-// scenarioArgs name a scenario and the values of its parameters.
+// scenarioArgs holds the path of a scenario and the values of its parameters.
 type scenarioArgs struct {
 	Scenario string             `arg:"" help:"Scenario script." type:"existingfile"`
 	Set      map[string]float64 `help:"${help_lab_set}" placeholder:"NAME=FIGURE"`
 }
 
-// load reads the scenario.
+// load reads and evaluates the scenario script.
 func (s *scenarioArgs) load() (*scenario.Scenario, error) { return scenario.Load(s.Scenario, s.Set) }
 
-// seededScenarioArgs name a scenario and the seed of its only run.
+// seededScenarioArgs holds a scenario and the seed for a single run of it.
 type seededScenarioArgs struct {
 	scenarioArgs
 	Seed uint64 `help:"Seed." default:"1"`
 }
 
-// runFolderArg names the folder of a run that was played.
+// runFolderArg holds the folder of a recorded run.
 type runFolderArg struct {
 	RunFolder string `arg:"" name:"run" help:"Run folder." type:"existingdir"`
 }
 
-// labCheckCmd reads a scenario and shows what its plan holds.
+// labCheckCmd checks a scenario and prints a summary of its plan.
 type labCheckCmd struct {
 	scenarioArgs
 	Seed uint64 `help:"Seed of the draw." default:"1"`
@@ -75,14 +75,14 @@
 	return err
 }
 
-// The modes of a run, as the ledger's head has them.
+// These are the modes of a run that the head of a ledger records.
 const (
 	modeVirtual = "virtual"
 	modeSockets = "sockets"
 )
 
-// ledgerHead describes a run at the head of its ledger: the scenario, the seed, the mode, the senders' program (empty
-// for this one), and the versions and the machine that play it.
+// ledgerHead returns the head of a run's ledger. It records the scenario, the seed, the mode, the senders' program
+// (empty for this program), the versions of the program and of Go, and the machine.
 func ledgerHead(s *scenario.Scenario, seed uint64, mode, program string) ledger.Head {
 	head := ledger.Head{
 		Scenario: s.Name, Seed: seed, Mode: mode, Program: program, Go: runtime.Version(), Started: time.Now().UTC(),
@@ -100,7 +100,7 @@
 	return head
 }
 
-// writeViolations writes a line for each rule that a run broke.
+// writeViolations writes a line for each violation of a run.
 func writeViolations(out io.Writer, violations []audit.Violation) {
 	for _, v := range violations {
 		fmt.Fprintf(out, "  BROKEN at %v by sender %d: %s: %s (message %s, calls %v, times %v)\n",
@@ -108,7 +108,7 @@
 	}
 }
 
-// senderProgram returns the absolute path of the program that senders run: the one named, or else this one.
+// senderProgram returns the absolute path of the senders' program. An empty path stands for this program.
 func senderProgram(path string) (string, error) {
 	if path == "" {
 		var err error
--- a/cmd/cleathold/labcompare.go
+++ b/cmd/cleathold/labcompare.go
@@ -18,7 +18,7 @@
 	"cleathold/internal/simulation"
 )
 
-// labCompareCmd plays the same seeds on two sides and compares their service.
+// labCompareCmd runs two programs or two scenarios with the same seeds and compares the service that they reach.
 type labCompareCmd struct {
 	A        string             `arg:"" help:"One side: a program, or a scenario script." type:"existingfile"`
 	B        string             `arg:"" help:"The other side, of the same sort." type:"existingfile"`
@@ -33,8 +33,8 @@
 	SettingsB string `help:"Settings script for B's senders, on sockets." type:"existingfile"`
 }
 
-// comparison is the result of 'lab compare': the service of each side by pair, the seeds of the pairs, how many rules
-// each side broke, and the difference.
+// comparison is the result of 'lab compare': the service of each side by pair, the seeds of the pairs, the number of
+// violations of each side, and the difference.
 type comparison struct {
 	ServiceA   []float64 `json:"A"`
 	ServiceB   []float64 `json:"B"`
@@ -43,31 +43,31 @@
 	report.Difference
 }
 
-// side is one of the two that are compared.
+// side is one of the two sides of a comparison.
 type side struct {
-	scenario string // path of the script
-	program  string // of the senders; empty for this one
-	settings string // path of the senders' settings script, on sockets
+	scenario string // path of the scenario script
+	program  string // path of the senders' program; empty for this program
+	settings string // path of the senders' settings script, for runs on sockets
 }
 
-// sideResult is what one side reached in one run.
+// sideResult is the result of one run of one side.
 type sideResult struct {
 	service    float64
 	violations int
 }
 
-// sides returns both sides, or an error if the flags do not go together.
+// sides returns both sides, or an error if the flags contradict each other.
 func (c *labCompareCmd) sides() ([2]side, error) {
 	scripts := strings.HasSuffix(c.A, ".star") && strings.HasSuffix(c.B, ".star")
 	switch {
 	case !scripts && c.Scenario == "":
-		return [2]side{}, errors.New("name the scenario that both programs play, by --scenario")
+		return [2]side{}, errors.New("--scenario is required unless both sides are scenario scripts")
 	case scripts && c.Scenario != "":
-		return [2]side{}, errors.New("--scenario goes with two programs; here the sides are scenarios themselves")
+		return [2]side{}, errors.New("--scenario can be used only with two programs, not with two scenarios")
 	case c.Runs < 2:
-		return [2]side{}, errors.New("--runs: 2 at the least")
+		return [2]side{}, errors.New("--runs must be at least 2")
 	case !c.Sockets && (c.SettingsA != "" || c.SettingsB != ""):
-		return [2]side{}, errors.New("settings for the senders go with --sockets")
+		return [2]side{}, errors.New("--settings-a and --settings-b require --sockets")
 	case scripts:
 		return [2]side{{scenario: c.A, settings: c.SettingsA}, {scenario: c.B, settings: c.SettingsB}}, nil
 	}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// writeComparison writes the difference and the rules that were broken.
+// writeComparison writes the difference and the number of violations.
 func writeComparison(out io.Writer, c comparison) {
 	verdict := "a difference"
 	if c.Noise {
@@ -123,7 +123,7 @@
 	}
 }
 
-// play plays one run of one side: on sockets, or in virtual time by this program or by the side's own.
+// play executes one run of one side: on sockets, or in virtual time with this program or with the side's program.
 func (c *labCompareCmd) play(ctx context.Context, s side, seed uint64, log *slog.Logger) (sideResult, error) {
 	if !c.Sockets && s.program != "" {
 		return c.playProgram(ctx, s, seed)
@@ -141,7 +141,7 @@
 	return sideResult{run.result.Service, len(run.result.Violations)}, run.err
 }
 
-// playProgram runs 'lab sim' of the side's program. That rules were broken is a result, not an error.
+// playProgram executes 'lab sim' of the side's program. Violations are part of the result, not an error.
 func (c *labCompareCmd) playProgram(ctx context.Context, s side, seed uint64) (sideResult, error) {
 	program, err := filepath.Abs(s.program)
 	if err != nil {
@@ -161,7 +161,7 @@
 	}
 	var r simulation.Result
 	if err := json.Unmarshal(output, &r); err != nil {
-		return sideResult{}, fmt.Errorf("its result can't be read: %w", err)
+		return sideResult{}, fmt.Errorf("parse the result of lab sim: %w", err)
 	}
 	return sideResult{r.Service, len(r.Violations)}, nil
 }
--- a/cmd/cleathold/labfleet.go
+++ b/cmd/cleathold/labfleet.go
@@ -15,20 +15,20 @@
 	"cleathold/internal/rollout"
 )
 
-// labFleetCmd groups the commands that play a cluster: senders, agents and partners as processes on one machine.
+// labFleetCmd groups the commands that run a cluster: senders, agents and partners as processes on one machine.
 type labFleetCmd struct {
 	Campaign labCampaignCmd `cmd:"" help:"Histories drawn by seeds; those that break something are kept as files."`
 	Replay   labReplayCmd   `cmd:"" help:"Play a history from its file."`
 	Measure  labMeasureCmd  `cmd:"" help:"${help_lab_fleet_measure}"`
 }
 
-// clusterSetup returns the setup of a cluster of this program's own processes, with so many messages a second.
+// clusterSetup returns the setup of a cluster whose processes run this program, with rate messages per second.
 func clusterSetup(folder string, rate float64) (cluster.Setup, error) {
 	program, err := os.Executable()
 	return cluster.Setup{Program: program, Folder: folder, Rate: rate, Log: slog.New(slog.DiscardHandler)}, err
 }
 
-// labCampaignCmd plays histories of faults and operators' orders that are drawn by seeds.
+// labCampaignCmd plays histories of faults and operators' commands that are generated from seeds.
 type labCampaignCmd struct {
 	Seeds   int           `help:"Histories, each with the next seed." default:"200"`
 	From    uint64        `help:"First seed." default:"1"`
@@ -43,7 +43,7 @@
 // Run executes the command.
 func (c *labCampaignCmd) Run(out io.Writer) error {
 	if c.Seeds < 1 || c.Jobs < 1 || c.Senders < 2 || c.Agents < 1 || c.Length < time.Second {
-		return errors.New("seeds, jobs and agents from 1 up, senders from 2, a length of a second at least")
+		return errors.New("--seeds, --jobs and --agents must be at least 1, --senders at least 2, --length at least 1s")
 	}
 	ctx, stop := interruptible()
 	defer stop()
@@ -65,7 +65,8 @@
 	return violationsError(summary.broken)
 }
 
-// seedChannel returns a channel of count seeds from first up. It closes early if the context ends.
+// seedChannel returns a channel that yields count consecutive seeds from first on. The channel is closed early if the
+// context is canceled.
 func seedChannel(ctx context.Context, first uint64, count int) <-chan uint64 {
 	seeds := make(chan uint64)
 	go func() {
@@ -84,18 +85,18 @@
 	return seeds
 }
 
-// campaignResult counts the histories of a campaign and writes what came of each. Its method may be called from several
-// goroutines.
+// campaignResult counts the histories of a campaign and writes the result of each. Its method may be called from
+// several goroutines.
 type campaignResult struct {
 	out    io.Writer
-	folder string // for the histories that broke something
+	folder string // for the histories with violations or errors
 
 	mu                     sync.Mutex
 	played, broken, orders int
 }
 
-// add counts a history that was played, or that failed with err. One that broke something is saved, unless the campaign
-// was aborted: then it is no finding.
+// add counts a history that was played, or that failed with err. A history with faults is saved, unless the campaign
+// was aborted, because its faults may result from the abort.
 func (r *campaignResult) add(history *cluster.History, err error, aborted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +131,7 @@
 	return history.Play(ctx, setup)
 }
 
-// writeHistory writes a history's figures and what it broke.
+// writeHistory writes a history's figures and its faults.
 func writeHistory(out io.Writer, h *cluster.History) {
 	fmt.Fprintf(out, "seed %d: %d out at once at most (%d may be), %d times by order, service %.3f, %d plans\n",
 		h.Seed, h.MaxOut, h.Budget.Fleet, h.Orders, h.Served, len(h.Plans))
@@ -139,7 +140,7 @@
 	}
 }
 
-// labReplayCmd plays a history that a campaign saved.
+// labReplayCmd replays a history that a campaign has saved.
 type labReplayCmd struct {
 	History string  `arg:"" help:"File of a history." type:"existingfile"`
 	Rate    float64 `help:"Messages a second over all senders." default:"60"`
@@ -160,7 +161,7 @@
 	return violationsError(len(history.Faults))
 }
 
-// labMeasureCmd measures a release and drains of a whole fleet.
+// labMeasureCmd measures the duration and the cost of a release and of drains of a whole fleet.
 type labMeasureCmd struct {
 	Senders int     `help:"Senders." default:"100"`
 	Agents  int     `help:"Agents." default:"5"`
@@ -196,7 +197,7 @@
 	return violationsError(m.Violations + m.OverBudget)
 }
 
-// writeMeasurement writes what 'lab fleet measure' has measured.
+// writeMeasurement writes the result of 'lab fleet measure'.
 func writeMeasurement(out io.Writer, m cluster.Measurement) {
 	round := func(d time.Duration) time.Duration { return d.Round(10 * time.Millisecond) }
 	fmt.Fprintf(out, "%d senders, %d agents, faults %t: all serve after %v\n",
@@ -214,7 +215,7 @@
 		m.Before, m.During)
 }
 
-// writeAgentCost writes what an agent uses of the machine and the network.
+// writeAgentCost writes the processor time, memory and network traffic of an agent.
 func writeAgentCost(out io.Writer, when string, c cluster.Cost) {
 	fmt.Fprintf(out, "an agent %s: %.3f of a processor, %.0f MB; a second: raft %.0f bytes and %.1f calls, "+
 		"sights %.0f bytes and %.1f calls, looks %.0f bytes and %.1f calls\n",
--- a/cmd/cleathold/labreport.go
+++ b/cmd/cleathold/labreport.go
@@ -14,7 +14,7 @@
 	"cleathold/internal/scenario"
 )
 
-// openRun opens a run folder and draws the run's plan again.
+// openRun opens a run folder and regenerates the run's plan from its scenario and seed.
 func openRun(folder string) (*ledger.Run, *scenario.Plan, error) {
 	run, err := ledger.Open(folder)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return run, s.Plan(run.Head.Seed), nil
 }
 
-// labReportCmd makes a page of runs.
+// labReportCmd writes a report page for each run.
 type labReportCmd struct {
 	Runs []string `arg:"" help:"Run folders." type:"existingdir"`
 	HTML string   `help:"Write a page to this file, with drawings; with several runs, one after the other." name:"html"`
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// readPage reads a run folder. A run that was aborted has a page too, which says so.
+// readPage reads a run folder and returns its report page. The page of an aborted run has a note about it.
 func readPage(folder string) (*report.Page, error) {
 	run, plan, err := openRun(folder)
 	if err != nil {
@@ -159,10 +159,10 @@
 	return nil
 }
 
-// writeDestination writes the sums of one destination second by second.
+// writeDestination writes the sums of one destination by second.
 func (c *labLimitsCmd) writeDestination(out io.Writer, sums *report.Sums) error {
 	if len(sums.Of(c.Destination)) == 0 {
-		return fmt.Errorf("no calls for a destination %d in it", c.Destination)
+		return fmt.Errorf("the run has no calls to destination %d", c.Destination)
 	}
 	if c.JSON {
 		return writeJSON(out, sums.Of(c.Destination))
--- a/cmd/cleathold/labrun.go
+++ b/cmd/cleathold/labrun.go
@@ -15,7 +15,7 @@
 	"cleathold/internal/scenario"
 )
 
-// labRunCmd plays a scenario on sockets, with senders, and agents if it has any, as processes.
+// labRunCmd plays a scenario on sockets. The senders, and the agents if the scenario has any, are processes.
 type labRunCmd struct {
 	seededScenarioArgs
 	Out      string  `help:"Folder for the run."`
@@ -53,7 +53,7 @@
 	return violationsError(len(r.Violations))
 }
 
-// writeRunResult writes a run's figures, the delays of the harness itself, and the rules that were broken.
+// writeRunResult writes a run's figures, the delays of the harness itself, and the violations.
 func writeRunResult(out io.Writer, r harness.Result) {
 	fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, "+
 		"%d connections, %d restarts\n",
@@ -68,14 +68,14 @@
 	writeViolations(out, r.Violations)
 }
 
-// playSockets plays one run on sockets. It has a ledger if the setup names a folder; else its folder is a temporary
-// one.
+// playSockets plays one run on sockets. If the setup has a folder, a ledger is written to it. Otherwise the run uses a
+// temporary folder and has no ledger.
 func playSockets(ctx context.Context, s *scenario.Scenario, setup harness.Setup) (harness.Result, error) {
 	var err error
 	if setup.Program, err = senderProgram(setup.Program); err != nil {
 		return harness.Result{}, err
 	}
-	for _, path := range []*string{&setup.Settings, &setup.Folder} { // the senders run in folders of their own
+	for _, path := range []*string{&setup.Settings, &setup.Folder} { // the senders run in other working directories
 		if *path == "" {
 			continue
 		}
@@ -102,7 +102,7 @@
 	return r, writer.Finish(r)
 }
 
-// runWithAgents plays a scenario that has agents: they start and watch the senders.
+// runWithAgents plays a scenario in which agents start and supervise the senders.
 func (c *labRunCmd) runWithAgents(out io.Writer, s *scenario.Scenario) error {
 	folder, remove, err := c.clusterFolder()
 	if err != nil {
@@ -137,8 +137,8 @@
 	return violationsError(len(history.Faults))
 }
 
-// clusterFolder makes the folder of a run: the one named, which must not exist yet, or a temporary one, which remove
-// deletes.
+// clusterFolder creates the folder of a run: the folder of --out, which must not exist yet, or else a temporary folder.
+// remove deletes a temporary folder.
 func (c *labRunCmd) clusterFolder() (folder string, remove func(), err error) {
 	remove = func() {}
 	if c.Out != "" {
--- a/cmd/cleathold/labserve.go
+++ b/cmd/cleathold/labserve.go
@@ -12,7 +12,7 @@
 	"cleathold/internal/ledger"
 )
 
-// labServeCmd serves a scenario's partners and platform to senders that somebody else starts.
+// labServeCmd serves a scenario's partners and platform for senders that are started separately.
 type labServeCmd struct {
 	seededScenarioArgs
 	Out      string `help:"Folder for the senders' configurations and the run." required:""`
@@ -43,7 +43,7 @@
 	return writer.Finish(r)
 }
 
-// labLoadCmd submits a scenario's messages to senders that somebody else runs.
+// labLoadCmd submits a scenario's messages to senders that are started separately.
 type labLoadCmd struct {
 	seededScenarioArgs
 	To   []string `help:"Addresses of the senders." placeholder:"ADDR"`
@@ -61,7 +61,7 @@
 	defer stop()
 	switch {
 	case c.Sink == (len(c.To) > 0):
-		return errors.New("name the senders by --to, or --sink")
+		return errors.New("specify either --to or --sink")
 	case c.Sink:
 		addr, err := harness.StartSink(ctx)
 		if err != nil {
--- a/cmd/cleathold/labsim.go
+++ b/cmd/cleathold/labsim.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	maxDefaultJobs   = 32              // runs at once where --jobs is not given
-	progressInterval = 5 * time.Second // between two reports of progress
-	progressEvents   = 1024            // events between two looks at the clock
+	maxDefaultJobs   = 32              // limit of parallel runs if --jobs is not given
+	progressInterval = 5 * time.Second // between two progress messages
+	progressEvents   = 1024            // number of events between two reads of the clock
 )
 
 // errInterrupted is the error of a run that a signal ended.
@@ -38,7 +38,7 @@
 	Verbose  bool `help:"The senders' log on standard error."`
 }
 
-// simResult is what came of one run in virtual time.
+// simResult is the result of one run in virtual time.
 type simResult struct {
 	result  simulation.Result
 	elapsed time.Duration
@@ -52,7 +52,7 @@
 		return err
 	}
 	if c.Runs < 1 || c.Jobs < 0 {
-		return errors.New("--runs: 1 at the least; --jobs: 0 or more")
+		return errors.New("--runs must be at least 1, and --jobs must not be negative")
 	}
 	if !c.Verbose {
 		log = slog.New(slog.DiscardHandler)
@@ -77,8 +77,8 @@
 	return violationsError(violations)
 }
 
-// startAll starts the runs, as many at once as there are jobs. Each result comes on a channel of its own, so that the
-// caller can write them in the order of their seeds.
+// startAll starts the runs, with up to c.Jobs in parallel. It returns a channel for the result of each run, so that the
+// caller can write the results in the order of the seeds.
 func (c *labSimCmd) startAll(ctx context.Context, s *scenario.Scenario, log *slog.Logger) []chan simResult {
 	jobs := c.Jobs
 	if jobs == 0 {
@@ -101,7 +101,7 @@
 	return runs
 }
 
-// writeSimResult writes a run's figures and the rules that it broke.
+// writeSimResult writes a run's figures and violations.
 func writeSimResult(out io.Writer, s *scenario.Scenario, run simResult) {
 	r := run.result
 	fmt.Fprintf(out, "seed %d: service %.3f (whole %.3f, worst 10 s %.3f at %v), %d messages, %d calls, %d refused, "+
@@ -147,7 +147,7 @@
 	return simResult{r, time.Since(started), err}
 }
 
-// withProgress returns a sink that passes events on, and reports on standard error how far the run is.
+// withProgress returns a sink that forwards events to another sink and writes progress messages to standard error.
 func withProgress(sink func(audit.Event) error, seed uint64, length time.Duration) func(audit.Event) error {
 	next := time.Now().Add(progressInterval)
 	count := 0
--- a/cmd/cleathold/labsoak.go
+++ b/cmd/cleathold/labsoak.go
@@ -15,10 +15,10 @@
 	"cleathold/internal/soak"
 )
 
-// maxShownFindings is how many findings of a case are written.
+// maxShownFindings is the number of findings that are written for a case.
 const maxShownFindings = 20
 
-// labSoakCmd plays cases of overlapping faults that are drawn by seeds.
+// labSoakCmd plays cases of overlapping faults that are generated from seeds.
 type labSoakCmd struct {
 	Seeds   int           `help:"Cases, each with the next seed." default:"50"`
 	From    uint64        `help:"First seed." default:"1"`
@@ -35,7 +35,7 @@
 // Run executes the command.
 func (c *labSoakCmd) Run(out io.Writer) error {
 	if c.Seeds < 1 || c.Jobs < 1 || c.Senders < 2 || c.Length < 5*time.Second || !(c.Rate > 0) {
-		return errors.New("seeds and jobs from 1 up, senders from 2, a length of 5 s at least, a rate above 0")
+		return errors.New("--seeds and --jobs must be at least 1, --senders at least 2, --length at least 5s, --rate above 0")
 	}
 	options := soak.Options{Senders: c.Senders, Length: c.Length, Rate: c.Rate}
 	var err error
@@ -56,7 +56,7 @@
 	return c.playAll(out, options)
 }
 
-// playAll plays the cases, as many at once as there are jobs.
+// playAll plays the cases, with up to c.Jobs in parallel.
 func (c *labSoakCmd) playAll(out io.Writer, options soak.Options) error {
 	ctx, stop := interruptible()
 	defer stop()
@@ -86,7 +86,7 @@
 	return violationsError(unsound)
 }
 
-// play plays one case in a folder of its own, and removes the folder if the case is sound.
+// play plays one case in a folder of its own. It removes the folder if the case has no findings.
 func (c *labSoakCmd) play(ctx context.Context, drawn *soak.Case) (*soak.Report, string, error) {
 	folder, err := filepath.Abs(filepath.Join(c.Out, fmt.Sprintf("soak-%d", drawn.Seed)))
 	if err != nil {
@@ -102,7 +102,7 @@
 	return report, folder, err
 }
 
-// writeReport writes the result of a case, and returns whether the case was sound.
+// writeReport writes the result of a case and reports whether the case was played without findings.
 func writeReport(out io.Writer, drawn *soak.Case, r *soak.Report, folder string, err error) bool {
 	if err != nil {
 		fmt.Fprintf(out, "seed %d: not played: %v (%s)\n", drawn.Seed, err, folder)
@@ -122,7 +122,7 @@
 	return false
 }
 
-// writeCase writes the scenario of a case and the notes on how it was drawn.
+// writeCase writes the scenario of a case and the notes about how it was generated.
 func writeCase(out io.Writer, drawn *soak.Case) {
 	fmt.Fprintf(out, "seed %d\n%s", drawn.Seed, drawn.Script)
 	for _, note := range drawn.Notes {
--- a/cmd/cleathold/main.go
+++ b/cmd/cleathold/main.go
@@ -1,9 +1,9 @@
-// Command cleathold accepts messages from clients and delivers them to partner systems. Besides the sender itself it
-// has the commands of its operators: for dead letters, for the write-ahead log's folder, for the agents that run beside
-// the senders and for the fleet that they manage, and a laboratory that plays scenarios in virtual time or on sockets.
+// Command cleathold accepts messages from clients and delivers them to partner systems. Besides running the sender, it
+// has commands for operators: they manage dead letters, the folder of the write-ahead log, the agents that supervise
+// senders and the fleet of these senders, and run test scenarios in virtual time or on sockets.
 //
-// This package owns the command line: flags, help, output and exit codes. What the commands do is in the packages that
-// they call; it must not decide anything about messages, endpoints or senders.
+// This package contains only the command line: flags, help, output and exit codes. The commands are implemented in the
+// packages that they call. This package must not decide anything about messages, endpoints or senders.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"cleathold/internal/state"
 )
 
-// cli is the grammar of the command line, as Kong reads it.
+// cli defines the command line for the Kong parser.
 type cli struct {
 	Serve   serveCmd   `cmd:"" help:"Take in messages and deliver them until SIGTERM."`
 	Check   checkCmd   `cmd:"" help:"Read a configuration and say what it holds, or what is wrong with it."`
@@ -32,7 +32,7 @@
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
-// versionCmd prints the program's version.
+// versionCmd prints the program's version and, as JSON, the supported formats of the write-ahead log.
 type versionCmd struct {
 	JSON bool `help:"JSON, with the forms of the journal that this program reads and writes." name:"json"`
 }
--- a/cmd/cleathold/output.go
+++ b/cmd/cleathold/output.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// jsonFlag is the flag of all commands that can write JSON in place of text.
+// jsonFlag is embedded in all commands that can write JSON instead of text.
 type jsonFlag struct {
 	JSON bool `help:"JSON instead of text." name:"json"`
 }
@@ -20,8 +20,8 @@
 	return encoder.Encode(v)
 }
 
-// interruptible returns a context that ends with SIGINT or SIGTERM. The caller calls stop, which restores the signals'
-// default effect.
+// interruptible returns a context that is canceled by SIGINT or SIGTERM. The caller must call stop to restore the
+// default handling of these signals.
 func interruptible() (ctx context.Context, stop context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
--- a/cmd/cleathold/partner_test.go
+++ b/cmd/cleathold/partner_test.go
@@ -107,7 +107,8 @@
 	return socktest.Status(200)
 }
 
-// applyEffect lets a message take applyEffect unless its key was seen. All but safe ones must have one applyEffect at most.
+// applyEffect lets a message take applyEffect unless its key was seen. All but safe ones must have one applyEffect at
+// most.
 func (p *partner) applyEffect(id, key string, now time.Time) {
 	if key != "" {
 		if at, known := p.seenKeys[key]; known && now.Sub(at) < keyRetention {
--- a/cmd/cleathold/serve.go
+++ b/cmd/cleathold/serve.go
@@ -13,7 +13,7 @@
 	"cleathold/internal/state"
 )
 
-// serveCmd runs a sender.
+// serveCmd runs a sender until it is terminated.
 type serveCmd struct {
 	Config   string `help:"Configuration file." env:"LB_CONFIG" required:"" type:"path"`
 	Settings string `help:"${help_serve_settings}" env:"CLEATHOLD_SETTINGS"`
@@ -25,7 +25,7 @@
 	return lifecycle.Serve(load, log)
 }
 
-// checkCmd reads a sender's configuration, a settings script, or both, and starts nothing.
+// checkCmd checks a sender's configuration, a settings script, or both, without starting a sender.
 type checkCmd struct {
 	Config   string `arg:"" optional:"" help:"Configuration file." type:"existingfile"`
 	Settings string `help:"Starlark script with settings of our own." type:"existingfile"`
@@ -34,7 +34,7 @@
 // Run executes the command.
 func (k *checkCmd) Run(out io.Writer) error {
 	if k.Config == "" && k.Settings == "" {
-		return errors.New("name a configuration file, or a script by --settings")
+		return errors.New("specify a configuration file or --settings")
 	}
 	if k.Settings != "" {
 		s, err := settings.Load(k.Settings)
@@ -55,7 +55,8 @@
 	return err
 }
 
-// pendingCmd lists the messages in a state folder's write-ahead log whose outcome, or whose delivery report, is owed.
+// pendingCmd lists the messages in a state folder's write-ahead log that have no outcome yet, or whose delivery report
+// has not been acknowledged.
 type pendingCmd struct {
 	State string `arg:"" help:"State folder." env:"LB_STATE" type:"existingdir"`
 }
--- a/cmd/cleathold/store.go
+++ b/cmd/cleathold/store.go
@@ -9,7 +9,7 @@
 	"cleathold/internal/store"
 )
 
-// storeCmd groups the commands for the folder of a store: a write-ahead log, or a dead-letter queue.
+// storeCmd groups the commands for the folder of a store, which is a write-ahead log or a dead-letter queue.
 type storeCmd struct {
 	Stat    storeStatCmd    `cmd:"" help:"Tell what a folder holds; also while it is in use."`
 	Verify  storeVerifyCmd  `cmd:"" help:"Read all that is live, and tell of damage; also while it is in use."`
@@ -19,21 +19,21 @@
 	Repair  storeRepairCmd  `cmd:"" help:"Write what can be read of a folder into an empty one."`
 }
 
-// storeFolder is the argument of the commands that read a store.
+// storeFolder is the folder argument of the commands that read a store.
 type storeFolder struct {
 	Folder string `arg:"" help:"Folder of the store." type:"existingdir"`
 }
 
-// open opens the folder read-only, which works while a sender has it open.
+// open opens the store read-only. This also works while a sender has it open.
 func (f storeFolder) open() (*store.Store, error) {
 	s, err := store.OpenReadOnly(store.Dir(f.Folder))
 	if errors.Is(err, store.ErrNewer) {
-		return nil, fmt.Errorf("%w: use that one to read it", err)
+		return nil, fmt.Errorf("%w: use that program to read it", err)
 	}
 	return s, err
 }
 
-// read opens the folder for the time of a call of use.
+// read opens the store, calls use and closes the store.
 func (f storeFolder) read(use func(s *store.Store) error) error {
 	s, err := f.open()
 	if err != nil {
@@ -43,7 +43,7 @@
 	return use(s)
 }
 
-// storeStatCmd tells the size and the damage of a store by segment.
+// storeStatCmd prints the size of each segment of a store, and its damage.
 type storeStatCmd struct {
 	storeFolder
 	jsonFlag
@@ -66,7 +66,8 @@
 	})
 }
 
-// writeDamages writes a line for each damaged place. An append that was cut off is none: nobody was promised it.
+// writeDamages writes a line for each damaged range. An incomplete append at the end of a segment does not count as
+// damage, because its durability was never confirmed.
 func writeDamages(out io.Writer, summary store.Summary) {
 	for _, d := range summary.Damages {
 		if d.Tail {
@@ -81,7 +82,7 @@
 	}
 }
 
-// damageText describes one damaged place.
+// damageText describes one damaged range.
 func damageText(d store.Damage) string {
 	if d.Missing {
 		return fmt.Sprintf("segments before %s are missing", d.File)
@@ -89,7 +90,7 @@
 	return fmt.Sprintf("%s at %d: %d bytes can't be read", d.File, d.Offset, d.Length)
 }
 
-// storeVerifyCmd reads all live records of a store; damage ends it with the exit code exitDamaged.
+// storeVerifyCmd reads all live records of a store. It exits with exitDamaged if any are damaged.
 type storeVerifyCmd struct {
 	storeFolder
 	jsonFlag
@@ -113,7 +114,7 @@
 			}
 		}
 		if damage != nil {
-			err := fmt.Errorf("%w\n`cleathold store repair` writes what can be read into another folder", damage)
+			err := fmt.Errorf("%w\n`cleathold store repair` copies the readable records into another folder", damage)
 			return exitError{err, exitDamaged}
 		}
 		if !c.JSON {
@@ -123,7 +124,7 @@
 	})
 }
 
-// storeDumpCmd writes a store's live records.
+// storeDumpCmd writes a store's live records as JSON lines.
 type storeDumpCmd struct{ storeFolder }
 
 // Run executes the command.
@@ -140,7 +141,7 @@
 // Run executes the command.
 func (c *storeBackupCmd) Run(out io.Writer) error { return copyStore(out, c.Folder, c.To) }
 
-// storeRestoreCmd copies a backup into the place of a store.
+// storeRestoreCmd copies a backup to an empty folder of a store.
 type storeRestoreCmd struct {
 	Backup string `arg:"" help:"Folder of the backup." type:"existingdir"`
 	To     string `arg:"" help:"Folder of the store; it is made, or must be empty."`
@@ -162,7 +163,7 @@
 	return (&storeVerifyCmd{storeFolder: storeFolder{to}}).Run(out)
 }
 
-// storeRepairCmd writes what can be read of a damaged store into another folder.
+// storeRepairCmd copies the readable records of a damaged store into another folder.
 type storeRepairCmd struct {
 	storeFolder
 	To    string `arg:"" help:"Folder for the repaired one; it is made, or must be empty."`
