--- a/cmd/cleathold/agentfaults_test.go
+++ b/cmd/cleathold/agentfaults_test.go
@@ -18,7 +18,7 @@
 	"cleathold/internal/rollout"
 )
 
-// agentFault is a fault of one agent, by its number, and how it ends.
+// agentFault is a fault of one agent, which is given by its number, and the recovery from it.
 type agentFault struct {
 	name    string
 	inject  func(t *testing.T, fleet *cluster.Cluster, i int)
@@ -32,7 +32,7 @@
 		func(t *testing.T, fleet *cluster.Cluster, i int) { must(t, fleet.StartAgent(i)) },
 	},
 	{
-		"cut off",
+		"isolated",
 		func(_ *testing.T, fleet *cluster.Cluster, i int) { isolateAgents(fleet, fleet.AgentNames()[i:i+1]) },
 		healNetwork,
 	},
@@ -42,12 +42,12 @@
 		func(_ *testing.T, fleet *cluster.Cluster, i int) { fleet.SignalAgent(i, syscall.SIGCONT) },
 	},
 	{
-		"heard by nobody",
+		"outgoing messages lost",
 		func(_ *testing.T, fleet *cluster.Cluster, i int) { dropOneWay(fleet, i, true) },
 		healNetwork,
 	},
 	{
-		"hears nobody",
+		"incoming messages lost",
 		func(_ *testing.T, fleet *cluster.Cluster, i int) { dropOneWay(fleet, i, false) },
 		healNetwork,
 	},
@@ -55,12 +55,12 @@
 
 func healNetwork(_ *testing.T, fleet *cluster.Cluster, _ int) { fleet.Net.Heal() }
 
-// isolateAgents cuts some agents off from all others, silently.
+// isolateAgents drops all traffic between these agents and all others, without closing connections.
 func isolateAgents(fleet *cluster.Cluster, agents []string) {
 	fleet.Net.Partition(agents, fleet.AgentNames(), netfault.State{Silent: true})
 }
 
-// dropOneWay drops what an agent says to the others, or what they say to it.
+// dropOneWay drops all messages of an agent to the others, or all messages of the others to it.
 func dropOneWay(fleet *cluster.Cluster, i int, outgoing bool) {
 	agents := fleet.AgentNames()
 	for _, k := range otherAgents(fleet, i) {
@@ -72,12 +72,12 @@
 	}
 }
 
-// agentFaultDuration is how long an agent's fault lasts: longer than a lease and than the others take to agree on a new
-// leader.
+// agentFaultDuration is how long the fault of an agent lasts. It is longer than a lease, and longer than the other
+// agents need to elect a new leader.
 var agentFaultDuration = flag.Duration("strike", 4500*time.Millisecond, "how long an agent is struck")
 
-// TestLeaderFaultDuringDrain has the leader fail at each step of a drain: each drain ends all the same, and never is
-// one sender too many out.
+// TestLeaderFaultDuringDrain makes the leader fail at each step of a drain. Each drain must be completed, and the
+// number of senders out of service must never exceed the budget.
 func TestLeaderFaultDuringDrain(t *testing.T) {
 	for _, fault := range agentFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -87,13 +87,13 @@
 				drainWithLeaderFault(t, fleet, fault, step)
 			}
 			if r := checkRules(t, fleet); r.Orders < 10 {
-				t.Errorf("%d senders went out by order, 12 should have", r.Orders)
+				t.Errorf("%d senders were drained, want 12", r.Orders)
 			}
 		})
 	}
 }
 
-// drainWithLeaderFault drains all senders, and has the leader fail once a sender is at a step.
+// drainWithLeaderFault drains all senders, and makes the leader fail when a sender has reached a step.
 func drainWithLeaderFault(t *testing.T, fleet *cluster.Cluster, fault agentFault, step rollout.Step) {
 	t.Helper()
 	leader := awaitLeader(t, fleet)
@@ -110,16 +110,16 @@
 				return true
 			}
 		}
-		return p.Phase == rollout.Done // the step was passed between two views
+		return p.Phase == rollout.Done // the step was over before it was observed
 	})
 	fault.inject(t, fleet, leader)
 	injectedAt := time.Now()
-	awaitOtherLeader(t, fleet, 20*time.Second, leader) // the others go on with what does not need its senders
+	awaitOtherLeader(t, fleet, 20*time.Second, leader) // the others continue without its senders
 	time.Sleep(time.Until(injectedAt.Add(*agentFaultDuration)))
 	fault.recover(t, fleet, leader)
 	p, err := fleet.AwaitPlan(60*time.Second, id, rollout.Done, rollout.Halted)
 	must(t, err)
-	if p.Phase == rollout.Halted { // a sender that no agent watched did not use its grants in time
+	if p.Phase == rollout.Halted { // a sender without an agent did not use its grant in time
 		command := rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}
 		_, err := fleet.Order(awaitLeader(t, fleet), command)
 		must(t, err)
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestHaltWhileLeaderPartitioned isolates the leader, silently, as an operator asks another agent for a halt: it does
-// not wait for the one that can't answer, but asks whoever leads next.
+// TestHaltWhileLeaderPartitioned isolates the leader and then asks another agent to halt a plan. That agent must not
+// wait for the unreachable leader, but forward the command to the next one.
 func TestHaltWhileLeaderPartitioned(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, threeSenders())
@@ -154,8 +154,9 @@
 	checkRules(t, fleet)
 }
 
-// TestLeaderFaultDuringRelease has the leader fail in a release: as the first sender changes, while the gate waits, and
-// as the last ones change. All senders run the new version in the end, whatever half-done change an agent left.
+// TestLeaderFaultDuringRelease makes the leader fail during a release: while the first sender changes, while the gate
+// waits, and while the last senders change. All senders must run the new version in the end, even if an agent was
+// interrupted in the middle of a change.
 func TestLeaderFaultDuringRelease(t *testing.T) {
 	for _, fault := range agentFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -187,7 +188,8 @@
 	}
 }
 
-// resumeUntilDone resumes a plan each time that it halts, three times at most.
+// resumeUntilDone resumes a plan each time that it halts. It fails the test if the plan is not done after three
+// resumes.
 func resumeUntilDone(t *testing.T, fleet *cluster.Cluster, id uint64) {
 	t.Helper()
 	for attempts := 0; ; attempts++ {
@@ -204,9 +206,9 @@
 	}
 }
 
-// TestMinorityPartition splits the agents two to one and three to two: asked in the minority for a drain, nothing is
-// changed and the answer says so; in the majority it is done, for senders that it reaches. Drained senders of the
-// minority come back by themselves.
+// TestMinorityPartition partitions the agents, two to one and three to two. An agent in the minority must reject a
+// drain and report that there is no majority. An agent in the majority must execute it for the senders that it reaches.
+// A drained sender in the minority must return to service when its lease ends.
 func TestMinorityPartition(t *testing.T) {
 	for _, c := range []struct{ agents, minority int }{{3, 1}, {5, 2}} {
 		t.Run(fmt.Sprintf("%d of %d", c.minority, c.agents), func(t *testing.T) {
@@ -214,7 +216,7 @@
 			fleet := newCluster(t, cluster.Setup{
 				Senders: 10, Agents: c.agents, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 6}),
 			})
-			id := planNumber(t, fleetCommand(t, fleet, 0, "drain", "n0", "--reason", "r")) // of agent 0
+			id := planNumber(t, fleetCommand(t, fleet, 0, "drain", "n0", "--reason", "r")) // supervised by agent 0
 			awaitView(t, fleet, 20*time.Second, "n0 is out", func(v agent.View) bool {
 				p := v.State.Plan(id)
 				return p != nil && p.Tasks["n0"].Step == rollout.Out
@@ -226,17 +228,17 @@
 				return !slices.Contains(minority, v.Agent)
 			})
 			requireMinorityRejects(t, fleet)
-			sender := "n" + strconv.Itoa(c.minority) // of the first agent in the majority
+			sender := "n" + strconv.Itoa(c.minority) // supervised by the first agent in the majority
 			out, code := fleet.RunCommand([]int{c.minority}, "drain", sender, "--for", "100ms", "--watch", "--reason", "r")
 			if code != 0 {
-				t.Errorf("in the majority: code %d: %s", code, out)
+				t.Errorf("drain in the majority: exit code %d: %s", code, out)
 			}
-			// Nobody renews n0's lease in the minority: it comes back within the lease and the clocks' error.
+			// No agent renews n0's lease in the minority, so n0 returns to service within the lease and the clock error.
 			for fleet.Poll.Now(0) == "away" && time.Since(isolatedAt) < 20*time.Second {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if d := time.Since(isolatedAt); d > 2*time.Second+fleet.Terms.Timing.Lease+fleet.Terms.Timing.Error+time.Second {
-				t.Errorf("n0 was out for %v after its agent was isolated", d)
+				t.Errorf("n0 was out of service for %v after its agent was isolated", d)
 			}
 			fleet.Net.Heal()
 			awaitView(t, fleet, 20*time.Second, "n0 is seen serving", func(v agent.View) bool {
@@ -247,7 +249,8 @@
 	}
 }
 
-// requireMinorityRejects checks that agent 0 soon knows of no majority, and says so.
+// requireMinorityRejects waits until agent 0 rejects commands because it has no majority, and checks that its list has
+// a warning about that.
 func requireMinorityRejects(t *testing.T, fleet *cluster.Cluster) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(50 * time.Millisecond) {
@@ -256,16 +259,16 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("asked in the minority: code %d: %s", code, out)
+			t.Fatalf("drain in the minority: exit code %d: %s", code, out)
 		}
 	}
 	if out, code := fleet.RunCommand([]int{0}, "list"); code != 0 || !strings.Contains(out, "reaches no majority") {
-		t.Errorf("list in the minority: code %d: %s", code, out)
+		t.Errorf("list in the minority: exit code %d: %s", code, out)
 	}
 }
 
-// TestAgentFolderLost wipes the folder of an agent: it becomes a new member, its senders go on, and drains of them go
-// on once it is back. The member that was lost can't vote twice.
+// TestAgentFolderLost deletes the folder of an agent and restarts it. The agent must join as a new member, so that the
+// lost member can't vote twice. Its senders must not be restarted, and drains of them must work again.
 func TestAgentFolderLost(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, threeSenders())
@@ -276,7 +279,7 @@
 	fleet.SignalAgent(2, syscall.SIGKILL)
 	must(t, fleet.WipeAgent(2))
 	must(t, fleet.StartAgent(2))
-	awaitView(t, fleet, 30*time.Second, "it is a new member", func(v agent.View) bool {
+	awaitView(t, fleet, 30*time.Second, "the agent is a new member", func(v agent.View) bool {
 		_, is := v.Quorum.Members[lostMember]
 		return !is && len(v.Quorum.Members) == 3 && v.Observations["n2"].Serving
 	})
@@ -289,9 +292,9 @@
 	checkRules(t, fleet)
 }
 
-// TestAgentDiskFull fills the disk of an agent: first of a follower, then of the leader. The others go on, none of the
-// faulty one's senders goes out while it can't write what was agreed on, and once there is space it has all that it
-// missed.
+// TestAgentDiskFull fills the disk of a follower and then of the leader. The other agents must continue. The senders of
+// the faulty agent must not be drained while it can't write log entries. When space is available again, the agent must
+// catch up and apply no entry twice.
 func TestAgentDiskFull(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, threeSenders())
@@ -305,39 +308,40 @@
 		if leaderFails {
 			failLeaderOnWrite(t, fleet, faulty)
 		}
-		for _, i := range healthy { // agent i watches sender i
+		for _, i := range healthy { // agent i supervises sender i
 			drainUntilLed(t, fleet, healthy, fmt.Sprint("n", i))
 		}
 		if fleet.AgentPid(faulty) == 0 {
-			t.Errorf("leads %t: the agent has ended", leaderFails)
+			t.Errorf("leader %t: the agent has exited", leaderFails)
 		}
 		out, _ := fleet.RunCommand(healthy, "drain", fmt.Sprint("n", faulty), "--for", "100ms", "--reason", "r")
 		id := planNumber(t, out)
 		time.Sleep(2 * time.Second)
 		if now := fleet.Poll.Now(faulty); now != "serves" {
-			t.Errorf("leads %t: the faulty one's sender %s", leaderFails, now)
+			t.Errorf("leader %t: the sender of the faulty agent %s", leaderFails, now)
 		}
 		setDiskSpace(t, fleet, faulty, true)
 		p, err := fleet.AwaitPlan(40*time.Second, id, rollout.Done, rollout.Halted)
 		must(t, err)
-		if p.Phase == rollout.Halted { // a grant that was not used in time
+		if p.Phase == rollout.Halted { // a grant was not used in time
 			resumePlan(t, fleet, id)
 			_, err = fleet.AwaitPlan(40*time.Second, id, rollout.Done)
 			must(t, err)
 		}
-		// It has opened its folder again and again: it has applied nothing twice.
+		// The agent has reopened its folder several times, but must not have applied an entry twice.
 		v, err := fleet.View(faulty, true)
 		must(t, err)
 		for i, e := range v.State.Events[1:] {
 			if e.Index <= v.State.Events[i].Index {
-				t.Fatalf("leads %t: entry %d comes after %d in its events", leaderFails, e.Index, v.State.Events[i].Index)
+				t.Fatalf("leader %t: entry %d follows entry %d in the events", leaderFails, e.Index, v.State.Events[i].Index)
 			}
 		}
 	}
 	checkRules(t, fleet)
 }
 
-// setDiskSpace bounds the size of the files that an agent writes, so that writes fail as on a full disk, or ends that.
+// setDiskSpace limits the size of the files that an agent may write, so that writes fail as on a full disk, or removes
+// the limit.
 func setDiskSpace(t *testing.T, fleet *cluster.Cluster, i int, available bool) {
 	t.Helper()
 	limit := unix.Rlimit{Cur: 1, Max: unix.RLIM_INFINITY}
@@ -347,8 +351,8 @@
 	must(t, unix.Prlimit(fleet.AgentPid(i), unix.RLIMIT_FSIZE, &limit, nil))
 }
 
-// failLeaderOnWrite has a leader without disk space write an entry, with which it fails, and ends what came of the
-// entry.
+// failLeaderOnWrite makes a leader without disk space write an entry, so that it loses the leadership. It then ends any
+// plan that the entry has started.
 func failLeaderOnWrite(t *testing.T, fleet *cluster.Cluster, leader int) {
 	t.Helper()
 	fleet.RunCommand([]int{leader}, "drain", "n0", "--reason", "whether this is done is not known")
@@ -366,7 +370,7 @@
 	})
 }
 
-// drainUntilLed drains a sender by some agents, and waits while none of them leads.
+// drainUntilLed drains a sender by one of these agents, and retries while none of them leads.
 func drainUntilLed(t *testing.T, fleet *cluster.Cluster, agents []int, sender string) {
 	t.Helper()
 	for until := time.Now().Add(30 * time.Second); ; time.Sleep(100 * time.Millisecond) {
@@ -377,7 +381,7 @@
 		if code != exitNoMajority || time.Now().After(until) {
 			list, _ := fleet.RunCommand(agents, "list")
 			events, _ := fleet.RunCommand(agents, "events")
-			t.Fatalf("%s: code %d: %s\n%s\n%s", sender, code, out, list, events)
+			t.Fatalf("drain of %s: exit code %d: %s\n%s\n%s", sender, code, out, list, events)
 		}
 	}
 }
--- a/cmd/cleathold/cluster_test.go
+++ b/cmd/cleathold/cluster_test.go
@@ -19,25 +19,25 @@
 	"cleathold/internal/rollout"
 )
 
-// shortLeaseTerms returns terms under which tests need not wait long.
+// shortLeaseTerms returns terms with a short lease, so that tests take less time.
 func shortLeaseTerms(budget rollout.Budget) rollout.Terms {
 	t := rollout.DefaultTerms
 	t.Budget, t.Timing.Lease = budget, 4*time.Second
 	return t
 }
 
-// threeSenders is the setup of three senders, one of which may be out, and three agents.
+// threeSenders returns the setup of three senders, of which one may be out of service, and three agents.
 func threeSenders() cluster.Setup {
 	return cluster.Setup{Senders: 3, Agents: 3, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 1})}
 }
 
-// fourSenders is the setup of four senders, so many of which may be out, and three agents, with traffic enough for
-// gates.
+// fourSenders returns the setup of four senders, of which maxOut may be out of service, and three agents. Its traffic
+// is high enough for the gates of releases.
 func fourSenders(maxOut int) cluster.Setup {
 	return cluster.Setup{Senders: 4, Agents: 3, Rate: 80, Terms: shortLeaseTerms(rollout.Budget{Fleet: maxOut})}
 }
 
-// newCluster starts a cluster whose processes run this test's own program.
+// newCluster starts a cluster whose processes run the test binary.
 func newCluster(t *testing.T, s cluster.Setup) *cluster.Cluster {
 	t.Helper()
 	s.Program, s.Folder = os.Args[0], t.TempDir()
@@ -54,7 +54,7 @@
 	return fleet
 }
 
-// fleetCommand runs a fleet command as operators do. It must end with the exit code.
+// fleetCommand runs a fleet command as operators do, and checks its exit code.
 func fleetCommand(t *testing.T, fleet *cluster.Cluster, code int, args ...string) string {
 	t.Helper()
 	out, got := fleet.RunCommand(nil, args...)
@@ -64,7 +64,7 @@
 	return out
 }
 
-// requireRejected runs a fleet command that must be rejected with such a text, and change nothing.
+// requireRejected runs a fleet command that must be rejected with an error that contains want.
 func requireRejected(t *testing.T, fleet *cluster.Cluster, want string, args ...string) {
 	t.Helper()
 	if out := fleetCommand(t, fleet, exitRejected, args...); !strings.Contains(out, want) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// awaitView waits until the view of the agent that leads meets a condition.
+// awaitView waits until the view of the leader meets a condition.
 func awaitView(
 	t *testing.T, fleet *cluster.Cluster, within time.Duration, description string, condition func(v agent.View) bool,
 ) {
@@ -80,7 +80,7 @@
 	must(t, fleet.Await(within, description, condition))
 }
 
-// awaitOtherLeader waits until an agent other than one leads.
+// awaitOtherLeader waits until an agent other than the excluded one leads.
 func awaitOtherLeader(t *testing.T, fleet *cluster.Cluster, within time.Duration, excluded int) {
 	t.Helper()
 	awaitView(t, fleet, within, "another agent leads", func(v agent.View) bool {
@@ -88,8 +88,8 @@
 	})
 }
 
-// checkRules ends the traffic, and checks that no order took one sender out too many and no rule for messages was
-// broken.
+// checkRules ends the traffic. It checks that plans never exceeded the budget, and that no rule for messages was
+// violated.
 func checkRules(t *testing.T, fleet *cluster.Cluster) cluster.Report {
 	t.Helper()
 	r := fleet.Finish()
@@ -97,35 +97,35 @@
 		t.Errorf("over the budget at %v: %s", v.At, v.Text)
 	}
 	for _, v := range r.Violations {
-		t.Errorf("rule broken at %v by %d: %s: %s", v.At, v.Sender, v.Rule, v.Text)
+		t.Errorf("rule violated at %v by sender %d: %s: %s", v.At, v.Sender, v.Rule, v.Text)
 	}
 	return r
 }
 
-// shortGateFlags are the flags of gates that tests need not wait long for.
+// shortGateFlags are the flags of gates with short waiting times.
 var shortGateFlags = []string{"--reason", "r", "--least", "25", "--soak", "1s", "--wait", "15s"}
 
-// gatedRelease returns the arguments of a release of a program through such gates.
+// gatedRelease returns the arguments of a release of a program with shortGateFlags.
 func gatedRelease(name, program string, extra ...string) []string {
 	return slices.Concat([]string{"release", "--name", name, "--program", program}, shortGateFlags, extra)
 }
 
-// planNumber returns the number of the plan that a command has started, from its output.
+// planNumber returns the number of the plan that a command has started. It parses the output of the command.
 func planNumber(t *testing.T, out string) (id uint64) {
 	t.Helper()
 	if _, text, ok := strings.Cut(out, "\nplan "); ok {
 		fmt.Sscan(text, &id)
 	}
 	if id == 0 {
-		t.Fatalf("no plan in %q", out)
+		t.Fatalf("no plan number in %q", out)
 	}
 	return id
 }
 
-// leakedMemory is the memory of a version that leaks.
+// leakedMemory holds the memory of a version with a memory leak.
 var leakedMemory []byte
 
-// injectFault has this process, a version that a test releases, fail in some way.
+// injectFault simulates a fault in this process, which runs a version that a test releases.
 func injectFault(fault string) {
 	switch fault {
 	case "leaks":
@@ -135,7 +135,7 @@
 		}
 	case "mute":
 		go func() {
-			for !supervised(os.Getenv("LB_CONFIG"), os.Getpid()) { // until its agent has found it ready
+			for !supervised(os.Getenv("LB_CONFIG"), os.Getpid()) { // until its agent has detected that it is ready
 				time.Sleep(time.Millisecond)
 			}
 			syscall.Kill(os.Getpid(), syscall.SIGSTOP)
@@ -143,8 +143,8 @@
 	}
 }
 
-// supervised tells whether an agent's record has a process as its sender's, rather than as one that is to take over.
-// The sender's configuration tells where the agents' folders are.
+// supervised reports whether an agent's record names a process as the current process of its sender, rather than as the
+// successor that is to take over. The agents' folders are located relative to the sender's configuration.
 func supervised(config string, pid int) bool {
 	name := filepath.Dir(config)
 	list, _ := filepath.Glob(filepath.Join(filepath.Dir(name), "a*", "state", filepath.Base(name)+".json"))
@@ -157,8 +157,8 @@
 	return false
 }
 
-// writeVersion writes a program that is this one, with shell commands before it serves. Ran counts the senders that
-// ever started it.
+// writeVersion writes a program that executes the test binary and runs shell commands before it serves. startedBy
+// returns the number of senders that have started the program.
 func writeVersion(t *testing.T, name, serveCommands string) (path string, startedBy func() int) {
 	t.Helper()
 	dir := t.TempDir()
@@ -178,7 +178,7 @@
 	}
 }
 
-// otherAgents returns the numbers of all agents but one.
+// otherAgents returns the numbers of all agents except the excluded one.
 func otherAgents(fleet *cluster.Cluster, excluded int) (list []int) {
 	for i := range fleet.AgentNames() {
 		if i != excluded {
@@ -200,7 +200,7 @@
 	return -1
 }
 
-// resumePlan resumes a plan if it is halted, as operators would after a look at it.
+// resumePlan resumes a plan if it is halted, as an operator would do.
 func resumePlan(t *testing.T, fleet *cluster.Cluster, id uint64) {
 	t.Helper()
 	must(t, fleet.Await(20*time.Second, "the plan", func(v agent.View) bool { return v.State.Plan(id) != nil }))
@@ -208,12 +208,12 @@
 	must(t, err)
 	if p := v.State.Plan(id); p != nil && p.Phase == rollout.Halted {
 		t.Logf("resumed: %s", p.Why)
-		// An error is no failure: the plan may have changed meanwhile.
+		// An error is ignored, because the plan may have changed meanwhile.
 		fleet.Order(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision})
 	}
 }
 
-// putAdmin makes one call at the admin address of a sender, and returns the status of the answer, or 0.
+// putAdmin sends a PUT request to the admin address of a sender and returns the status of the response, or 0.
 func putAdmin(fleet *cluster.Cluster, sender int, path string, parameters url.Values) int {
 	for _, addr := range fleet.Admin(sender) {
 		r, err := http.NewRequest(http.MethodPut, "http://"+addr+path+"?"+parameters.Encode(), nil)
--- a/cmd/cleathold/deadletter_test.go
+++ b/cmd/cleathold/deadletter_test.go
@@ -10,26 +10,26 @@
 	"cleathold/internal/deadletter"
 )
 
-// commandCase is a command line with the exit code and a part of the output that it must have.
+// commandCase is a command line with its expected exit code and a part of its expected output.
 type commandCase struct {
 	args string
 	code int
 	want string
 }
 
-// requireCommands runs commands and checks each.
+// requireCommands runs commands and checks their exit codes and outputs.
 func (env *environment) requireCommands(situation string, cases []commandCase) {
 	env.t.Helper()
 	for _, c := range cases {
 		out, code := env.runCommand(strings.Fields(c.args)...)
 		if code != c.code || !strings.Contains(out, c.want) {
-			env.t.Errorf("%s, %s: exit %d\n%s", situation, c.args, code, out)
+			env.t.Errorf("%s, %s: exit code %d\n%s", situation, c.args, code, out)
 		}
 	}
 }
 
-// TestDeadLetterCommands runs the held commands against a running sender, against the folder of a stopped one, and
-// against another sender that imports what was exported.
+// TestDeadLetterCommands runs the held commands against a running sender, against the folder of a stopped sender, and
+// against another sender that imports exported records.
 func TestDeadLetterCommands(t *testing.T) {
 	p := newPartner(150)
 	env := newDeadLetterEnvironment(t, p, holdAllSettings)
@@ -70,7 +70,7 @@
 		{"held resend 2", exitUnreachable, "can be read only"},
 		{"held list --folder /nowhere", exitUnreachable, "no such file"},
 	})
-	// In another sender's store the exported ones are in doubt.
+	// In the store of another sender, imported records count as ones that may have run.
 	importingEnv := newDeadLetterEnvironment(t, p, holdAllSettings)
 	importingEnv.collectNotices()
 	importingEnv.start()
@@ -81,8 +81,8 @@
 	})
 }
 
-// TestSettingsReload checks that SIGHUP reads the script again: one with a fault changes nothing and ends nothing, a
-// valid one is in force from then on.
+// TestSettingsReload checks that SIGHUP reloads the settings script. An invalid script must neither change the settings
+// nor end the process, and a valid one must take effect.
 func TestSettingsReload(t *testing.T) {
 	env := newDeadLetterEnvironment(t, newPartner(150), holdAllSettings)
 	env.collectNotices()
--- a/cmd/cleathold/discovery_test.go
+++ b/cmd/cleathold/discovery_test.go
@@ -9,9 +9,9 @@
 	"cleathold/internal/socktest"
 )
 
-// TestTruncatedDiscoveryAnswers checks that what discovery has begun to tell counts as known, whatever becomes of its
-// answer: no call reaches a draining target later than the grace of drains, and service goes on once the target is up
-// again.
+// TestTruncatedDiscoveryAnswers checks that a change counts as known from the first byte of discovery's answer on, even
+// if the answer is truncated or invalid. No call may reach a draining target later than the grace period, and calls
+// must resume once the target is up again.
 func TestTruncatedDiscoveryAnswers(t *testing.T) {
 	t.Parallel()
 	truncateAndEnd := func(end func(*net.TCPConn)) func(*net.TCPConn, string) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestListChangeAfterPollAnswer changes the list within the 200 ms that a watch goes on after an answer: the change
-// counts as known, also where a large fleet's sender waits before it polls again.
+// TestListChangeAfterPollAnswer changes the list within the 200 ms that a poll stays active after its answer. The
+// change must count as known, even if a sender of a large fleet waits before its next poll.
 func TestListChangeAfterPollAnswer(t *testing.T) {
 	t.Parallel()
 	const grace = 2 * time.Second
@@ -64,19 +64,19 @@
 	notified := time.Now()
 	env.submitUntil("a", notified.Add(4*time.Second))
 	if last, _ := env.callStats(); last.Sub(notified) > grace+50*time.Millisecond {
-		t.Errorf("a call reached the target %v after discovery told of the drain", last.Sub(notified))
+		t.Errorf("a call reached the target %v after discovery announced the drain", last.Sub(notified))
 	}
 }
 
-// TestRestartKeepsDrainedTarget restarts a process with the list of its configuration while discovery says nothing: it
-// sends nothing to a target of which the process before was told that it drains.
+// TestRestartKeepsDrainedTarget restarts a sender while discovery does not answer. The configuration lists the target
+// as up, but the previous process knew that it drains. The sender must not send anything to the target.
 func TestRestartKeepsDrainedTarget(t *testing.T) {
 	t.Parallel()
 	env := newDrainEnvironment(t, nil, time.Second, 1)
 	env.setState("draining", 0, 0)
 	for until := time.Now().Add(10 * time.Second); env.notifiedAt().IsZero(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("discovery never told of the drain")
+			t.Fatal("discovery did not announce the drain")
 		}
 	}
 	env.submitUntil("a", time.Now().Add(1200*time.Millisecond))
@@ -93,8 +93,8 @@
 	env.awaitCalls(t, before)
 }
 
-// testFailedAnswers has answers of discovery about a drain fail, and checks that no call reaches the target after the
-// grace.
+// testFailedAnswers makes discovery's answers about a drain fail, and checks that no call reaches the target after the
+// grace period.
 func testFailedAnswers(t *testing.T, fail func(*net.TCPConn, string), faultyAnswers int, duration time.Duration) {
 	const grace = time.Second
 	env := newDrainEnvironment(t, fail, grace, 1)
@@ -102,11 +102,11 @@
 	env.submitUntil("a", time.Now().Add(3500*time.Millisecond))
 	notified := env.notifiedAt()
 	if notified.IsZero() {
-		t.Fatal("discovery never told of the drain")
+		t.Fatal("discovery did not announce the drain")
 	}
 	last, before := env.callStats()
 	if lateness := last.Sub(notified); lateness > grace+50*time.Millisecond {
-		t.Errorf("a call reached the target %v after discovery told of the drain", lateness)
+		t.Errorf("a call reached the target %v after discovery announced the drain", lateness)
 	}
 	env.setState("up", 0, 0)
 	env.awaitCalls(t, before)
--- a/cmd/cleathold/discoverystub_test.go
+++ b/cmd/cleathold/discoverystub_test.go
@@ -16,18 +16,18 @@
 	"cleathold/internal/socktest"
 )
 
-// discoveryStub is a stand-in of discovery for one target, whose answers about a change can fail in the middle.
+// discoveryStub is a test server for discovery with one target. Its answers about a change can fail.
 type discoveryStub struct {
 	mu            sync.Mutex
 	version       int
 	state         string
 	target        string
-	changed       chan struct{}                     // closed with the next change
-	notified      time.Time                         // when the first byte of an answer about the latest change was written
-	faultyAnswers int                               // so many answers about it fail...
-	faultyUntil   time.Time                         // ...and all until then
-	fail          func(c *net.TCPConn, text string) // writes one that fails
-	silent        atomic.Bool                       // polls get no answer
+	changed       chan struct{}                     // closed at the next change
+	notified      time.Time                         // time of the first byte of an answer with the latest change
+	faultyAnswers int                               // number of answers with the change that still fail
+	faultyUntil   time.Time                         // all answers with the change fail until this time
+	fail          func(c *net.TCPConn, text string) // writes an answer that fails
+	silent        atomic.Bool                       // polls are not answered
 }
 
 // newDiscoveryStub returns a stub whose target is up.
@@ -35,7 +35,8 @@
 	return &discoveryStub{version: 1, state: "up", target: target, changed: make(chan struct{}), fail: fail}
 }
 
-// setState changes the state of the target. So many answers about the change fail, and all for a time.
+// setState changes the state of the target. The first faultyAnswers answers with the change fail, and so do all answers
+// for a duration.
 func (stub *discoveryStub) setState(state string, faultyAnswers int, duration time.Duration) {
 	stub.mu.Lock()
 	defer stub.mu.Unlock()
@@ -46,14 +47,14 @@
 	stub.changed = make(chan struct{})
 }
 
-// notifiedAt returns when an answer about the latest change began; zero if none has.
+// notifiedAt returns the time when the first answer with the latest change began, or the zero time if there was none.
 func (stub *discoveryStub) notifiedAt() time.Time {
 	stub.mu.Lock()
 	defer stub.mu.Unlock()
 	return stub.notified
 }
 
-// serve answers on one connection, as discovery and as the platform that accepts delivery reports.
+// serve answers the requests of one connection, both polls of discovery and delivery reports to the platform.
 func (stub *discoveryStub) serve(_ int, c *net.TCPConn) {
 	in := bufio.NewReader(c)
 	for {
@@ -72,7 +73,7 @@
 	}
 }
 
-// answer answers one poll, and returns whether another may follow.
+// answer answers one poll, and reports whether the connection can be used for another one.
 func (stub *discoveryStub) answer(c *net.TCPConn, r *http.Request) bool {
 	since := r.URL.Query().Get("since")
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
@@ -111,12 +112,13 @@
 	return true
 }
 
-// writePrefix writes the first bytes of an answer and leaves the connection open.
+// writePrefix returns a function that writes the first n bytes of an answer, or all but the last -n, and leaves the
+// connection open.
 func writePrefix(n int) func(*net.TCPConn, string) {
 	return func(c *net.TCPConn, text string) { io.WriteString(c, text[:(n+len(text))%len(text)]) }
 }
 
-// drainEnvironment is a sender with a discovery stub and one target, whose calls are counted.
+// drainEnvironment is a sender with a discovery stub and one target. It counts the calls to the target.
 type drainEnvironment struct {
 	*environment
 	*discoveryStub
@@ -126,8 +128,8 @@
 	callCount int
 }
 
-// newDrainEnvironment starts a sender in a fleet of some size, with a grace for drains, whose configuration lists the
-// target.
+// newDrainEnvironment starts a sender whose configuration lists the target. The sender is part of a fleet of the given
+// size and has the given grace period for drains.
 func newDrainEnvironment(
 	t *testing.T, fail func(*net.TCPConn, string), grace time.Duration, siblings int,
 ) *drainEnvironment {
@@ -154,14 +156,14 @@
 	return env
 }
 
-// callStats returns when the latest call came, and how many did.
+// callStats returns the time of the latest call and the number of calls.
 func (env *drainEnvironment) callStats() (last time.Time, count int) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.lastCall, env.callCount
 }
 
-// submitUntil submits messages until a time.
+// submitUntil submits messages until the given time.
 func (env *drainEnvironment) submitUntil(round string, until time.Time) {
 	for i := 0; time.Now().Before(until); i++ {
 		env.roundTrip(messageRequest("safe", round+strconv.Itoa(i), "hi"))
@@ -169,7 +171,7 @@
 	}
 }
 
-// awaitCalls waits until there are more calls than before.
+// awaitCalls submits messages until the number of calls has grown.
 func (env *drainEnvironment) awaitCalls(t *testing.T, before int) {
 	t.Helper()
 	for round, until := 0, time.Now().Add(5*time.Second); time.Now().Before(until); round++ {
--- a/cmd/cleathold/environment_test.go
+++ b/cmd/cleathold/environment_test.go
@@ -18,32 +18,32 @@
 	"cleathold/internal/socktest"
 )
 
-// environment is one sender, which runs as a process, with the platform and one target around it.
+// environment is one sender process with a test platform and one test target.
 type environment struct {
 	t              *testing.T
 	stateFolder    string
 	listen         string // address of the clients' listener
 	config         string // path of the configuration
-	settingsScript string // path of the settings script; may be empty
+	settingsScript string // path of the settings script; empty if there is none
 	tune           func(config map[string]any)
 
 	targetAddr string
-	calls      chan string                  // ids of messages, as they reach the target
-	answer     func(id string) string       // the target's answer to a message
-	respond    func(r *http.Request) string // in the place of answer and calls, if set
+	calls      chan string                  // ids of the messages that reach the target, in order
+	answer     func(id string) string       // returns the target's response to a message
+	respond    func(r *http.Request) string // replaces answer and calls if set
 
 	firstAddr      string      // the platform's address
-	secondAddr     string      // the address of its other name
-	polls          chan string // polls of discovery, by the platform's name
-	notices        chan string // delivery reports that the platform got
-	failNotices    atomic.Bool // the platform fails delivery reports
-	noticesMoved   atomic.Bool // the first platform accepts no delivery reports any more
-	discoveryDown  atomic.Bool // discovery closes each connection without an answer
-	platformSilent atomic.Bool // the platform answers nothing at all
-	targetDraining atomic.Bool // the list that follows the first has the target draining
+	secondAddr     string      // the platform's other address
+	polls          chan string // receives the platform's name for each poll of discovery
+	notices        chan string // delivery reports that the platform received
+	failNotices    atomic.Bool // the platform responds to delivery reports with an error
+	noticesMoved   atomic.Bool // the first address rejects delivery reports
+	discoveryDown  atomic.Bool // discovery closes connections without a response
+	platformSilent atomic.Bool // the platform does not respond
+	targetDraining atomic.Bool // discovery returns a second list, in which the target drains
 }
 
-// newEnvironment starts the platform and a target with such answers, and writes the sender's configuration.
+// newEnvironment starts the platform and a target with the given responses, and writes the sender's configuration.
 func newEnvironment(t *testing.T, answer func(id string) string) *environment {
 	env := &environment{
 		t: t, stateFolder: t.TempDir(), answer: answer,
@@ -78,7 +78,7 @@
 	return sender
 }
 
-// platform answers for discovery and accepts delivery reports.
+// platform responds as discovery and accepts delivery reports.
 func (env *environment) platform(name string, r *http.Request, body string) string {
 	switch {
 	case env.platformSilent.Load():
@@ -106,10 +106,10 @@
 	return socktest.JSON(fmt.Sprintf(`{"version":%d,"full":true,"servers":%s}`, version, list))
 }
 
-// targetList is discovery's list of one target, whose address and state are to be filled in.
+// targetList is the format of a discovery list with one target. Its arguments are the address and the state.
 const targetList = `[{"id":"s","addr":%q,"zone":"z","kind":"k","cell":7,"state":%q,"weight":150}]`
 
-// configure writes the configuration with that address of the platform.
+// configure writes the configuration with the given address of the platform.
 func (env *environment) configure(platform string) {
 	config := map[string]any{
 		"name": "n0", "listen": env.listen, "discovery": platform, "state": env.stateFolder,
@@ -138,7 +138,7 @@
 	must(env.t, os.WriteFile(env.config, text, 0o600))
 }
 
-// launch starts the program with more variables in its environment, and kills it when the test ends.
+// launch starts the program with additional environment variables. The process is killed when the test ends.
 func (env *environment) launch(variables ...string) *exec.Cmd {
 	env.t.Helper()
 	c := exec.Command(os.Args[0], "serve")
@@ -149,7 +149,7 @@
 	return c
 }
 
-// start starts the program and waits until its clients' listener says that it is ready.
+// start starts the program and waits until it reports at the clients' listener that it is ready.
 func (env *environment) start() *exec.Cmd {
 	env.t.Helper()
 	c := env.launch()
@@ -158,18 +158,18 @@
 			return c
 		}
 	}
-	env.t.Fatal("never ready")
+	env.t.Fatal("not ready within 20 s")
 	return nil
 }
 
-// startProcess starts the program with an admin address and returns without waiting.
+// startProcess starts the program with an admin address, without waiting until it is ready.
 func (env *environment) startProcess() (c *exec.Cmd, adminAddr string) {
 	env.t.Helper()
 	adminAddr = freeAddr(env.t)
 	return env.launch("LB_ADMIN=" + adminAddr), adminAddr
 }
 
-// roundTrip sends one request and returns the status of the answer, or 0.
+// roundTrip sends one request on a new connection and returns the status of the response, or 0.
 func (env *environment) roundTrip(text string) int {
 	conn, err := net.Dial("tcp", env.listen)
 	if err != nil {
@@ -179,7 +179,7 @@
 	return exchange(conn, bufio.NewReader(conn), text)
 }
 
-// submit submits a message, which must be accepted.
+// submit submits a message, and fails the test if it is not accepted.
 func (env *environment) submit(class, id string) {
 	env.t.Helper()
 	if got := env.roundTrip(messageRequest(class, id, "hi")); got != 202 {
@@ -187,13 +187,13 @@
 	}
 }
 
-// kill kills a process and waits for its end.
+// kill kills a process and waits until it has exited.
 func (env *environment) kill(c *exec.Cmd) {
 	c.Process.Signal(syscall.SIGKILL)
 	c.Wait()
 }
 
-// exchange sends one request on a connection and returns the status of the answer, or 0.
+// exchange sends one request on a connection and returns the status of the response, or 0.
 func exchange(conn net.Conn, in *bufio.Reader, text string) int {
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
 	io.WriteString(conn, text)
@@ -205,20 +205,20 @@
 	return r.StatusCode
 }
 
-// messageRequest returns a client's request with a message.
+// messageRequest returns the text of a client's request that submits a message.
 func messageRequest(class, id, body string) string {
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: 60\r\n"+
 		"X-Addressing: dest=7\r\nContent-Length: %d\r\n\r\n%s", class, id, len(body), body)
 }
 
-// receive waits for the next value of a channel.
+// receive returns the next value of a channel. It fails the test after 20 s.
 func receive(t *testing.T, ch chan string) string {
 	t.Helper()
 	select {
 	case s := <-ch:
 		return s
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received within 20 s")
 		return ""
 	}
 }
@@ -226,8 +226,8 @@
 // allocatedHosts counts the addresses that freeAddr has returned.
 var allocatedHosts atomic.Int32
 
-// freeAddr returns an address that nobody listens on, at a host of its own: a port of 127.0.0.1 that was given back may
-// become that of anybody's connection.
+// freeAddr returns a free address with an IP address of its own. After a port of 127.0.0.1 is closed, the kernel may
+// use it for any other connection.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	n := allocatedHosts.Add(1)
@@ -237,18 +237,18 @@
 	return free.Addr().String()
 }
 
-// newHandoverEnvironment is newEnvironment with a folder for temporary files, and so for the socket of the hand-over,
-// of its own.
+// newHandoverEnvironment returns an environment with its own folder for temporary files, and so with its own hand-over
+// socket.
 func newHandoverEnvironment(t *testing.T, answer func(id string) string) *environment {
 	t.Helper()
-	temp, err := os.MkdirTemp("", "ct") // a Unix address is short
+	temp, err := os.MkdirTemp("", "ct") // the length of a Unix socket address is limited
 	must(t, err)
 	t.Cleanup(func() { os.RemoveAll(temp) })
 	t.Setenv("TMPDIR", temp)
 	return newEnvironment(t, answer)
 }
 
-// submitAndAwait submits a message, which must be the next that reaches the target.
+// submitAndAwait submits a message, which must be the next one that reaches the target.
 func (env *environment) submitAndAwait(class, id string) {
 	env.t.Helper()
 	env.submit(class, id)
@@ -257,7 +257,7 @@
 	}
 }
 
-// requireNoNotice checks that the platform got no other delivery report.
+// requireNoNotice checks that the platform has received no other delivery report.
 func (env *environment) requireNoNotice() {
 	env.t.Helper()
 	select {
@@ -267,7 +267,7 @@
 	}
 }
 
-// awaitReady waits until a process says at its admin address that it is ready.
+// awaitReady waits until a process reports at its admin address that it is ready.
 func awaitReady(t *testing.T, adminAddr string) {
 	t.Helper()
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
@@ -275,10 +275,10 @@
 			return
 		}
 	}
-	t.Fatal("never ready")
+	t.Fatal("not ready within 20 s")
 }
 
-// callAdmin makes one call at an admin address and returns the status of the answer, or 0.
+// callAdmin sends one request to an admin address and returns the status of the response, or 0.
 func callAdmin(method, adminAddr, path string) int {
 	r, err := http.NewRequest(method, "http://"+adminAddr+path, nil)
 	if err != nil {
@@ -293,7 +293,7 @@
 	return answer.StatusCode
 }
 
-// awaitExit waits for a process that ends by itself.
+// awaitExit waits until a process exits by itself, and returns its error.
 func awaitExit(t *testing.T, c *exec.Cmd) error {
 	t.Helper()
 	done := make(chan error, 1)
@@ -302,15 +302,15 @@
 	case err := <-done:
 		return err
 	case <-time.After(20 * time.Second):
-		t.Fatal("it runs on")
+		t.Fatal("the process did not exit within 20 s")
 		return nil
 	}
 }
 
-// healthRequest is a client's question whether the sender is ready.
+// healthRequest is a client's health check of the sender.
 const healthRequest = "GET /_health HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// connectClient opens a connection to the clients' listener, which the client keeps open until the test ends.
+// connectClient opens a connection to the clients' listener. It stays open until the test ends.
 func (env *environment) connectClient() net.Conn {
 	env.t.Helper()
 	conn, err := net.Dial("tcp", env.listen)
@@ -319,7 +319,7 @@
 	return conn
 }
 
-// must ends the test if there is an error.
+// must fails the test if err is not nil.
 func must(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
--- a/cmd/cleathold/fleet_test.go
+++ b/cmd/cleathold/fleet_test.go
@@ -8,8 +8,8 @@
 	"cleathold/internal/rollout"
 )
 
-// TestFleetDrain drains senders by the commands: one after the other goes out and comes back, what is asked in error is
-// rejected, and the log says who did what.
+// TestFleetDrain drains senders by commands. The senders must be drained and return to service one at a time, invalid
+// commands must be rejected, and the event log must record the author and the reason of each command.
 func TestFleetDrain(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, cluster.Setup{
@@ -38,6 +38,6 @@
 	}
 	r := fleet.Finish()
 	if len(r.OverBudget) > 0 || len(r.Violations) > 0 || r.Orders != 2 || r.MaxOut != 1 {
-		t.Errorf("over %v, breaks %v, %d orders, %d at once", r.OverBudget, r.Violations, r.Orders, r.MaxOut)
+		t.Errorf("over budget %v, violations %v, %d orders, %d at once", r.OverBudget, r.Violations, r.Orders, r.MaxOut)
 	}
 }
--- a/cmd/cleathold/fleetorders_test.go
+++ b/cmd/cleathold/fleetorders_test.go
@@ -16,8 +16,9 @@
 	"cleathold/internal/rollout"
 )
 
-// TestTwoOperators has two operators start plans at once, for the same senders and for others: budgets do not add up.
-// One halts while the other resumes: the halt wins.
+// TestTwoOperators starts plans of several operators at the same time, for the same senders and for others. The plans
+// share one budget, and of two plans for the same sender one is rejected. If one operator halts a plan while another
+// resumes it, the halt takes precedence.
 func TestTwoOperators(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, cluster.Setup{
@@ -33,7 +34,7 @@
 	}
 	wg.Wait()
 	if codes[0]+codes[1] != exitRejected || codes[2]+codes[3] != exitRejected {
-		t.Errorf("exit codes %v: of two plans for one sender one is rejected", codes)
+		t.Errorf("exit codes %v: want one of two plans for the same senders to be rejected", codes)
 	}
 	awaitView(t, fleet, 30*time.Second, "both are done", func(v agent.View) bool {
 		done := 0
@@ -61,15 +62,15 @@
 	checkRules(t, fleet)
 }
 
-// drainOrder is what an agent tells a sender that is to drain: the process meant, the epoch of the grant, the time by
-// which the order must have come, and the end of the lease.
+// drainOrder is an agent's order to a sender to drain. It has the intended process, the epoch of the grant, the time
+// until which the order may be accepted, and the end of the lease.
 type drainOrder struct {
 	process            string
 	epoch              uint64
 	acceptBy, leaseEnd time.Time
 }
 
-// send puts the order to a sender and returns the status of the answer.
+// send sends the order to a sender and returns the status of the response.
 func (o drainOrder) send(fleet *cluster.Cluster, sender int) int {
 	milliseconds := func(t time.Time) []string { return []string{strconv.FormatInt(t.UnixMilli(), 10)} }
 	return putAdmin(fleet, sender, "/v1/sender/drain", url.Values{
@@ -78,15 +79,15 @@
 	})
 }
 
-// TestSendersCrashStallAndRestart has senders fail while they are out or about to be: one crashes in the middle of a
-// stage, one is stopped while it is drained and wakes after its lease, one is restarted by somebody else. And orders
-// come twice, late, after a newer one, or for a process that has ended.
+// TestSendersCrashStallAndRestart makes senders fail while they are drained or about to be. One crashes in the middle
+// of a stage, one is stopped while it is drained and continued after its lease, and one is restarted independently of
+// its agent. Orders are also repeated, late, outdated, or meant for a process that has exited.
 func TestSendersCrashStallAndRestart(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, cluster.Setup{
 		Senders: 6, Agents: 3, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 2}),
 	})
-	id := planNumber(t, fleetCommand(t, fleet, 0, "drain", "n0", "n2", "n4", "--reason", "r")) // all of one building
+	id := planNumber(t, fleetCommand(t, fleet, 0, "drain", "n0", "n2", "n4", "--reason", "r")) // all in one building
 	var v agent.View
 	awaitView(t, fleet, 20*time.Second, "two are out", func(now agent.View) bool {
 		v = now
@@ -97,8 +98,8 @@
 		t.Fatalf("%v", v.State.Grants)
 	}
 	requireStaleOrdersRejected(t, fleet, v, grant)
-	// n0 crashes: it counts as out until it serves again. Its grant is over then, as the order was for another process,
-	// and it goes out anew, as the plan still wants it out.
+	// n0 crashes, and counts as out of service until it serves again. Its grant ends then, because it was for another
+	// process, and n0 is drained again, because the plan still requires it.
 	if !fleet.SignalSender(0, syscall.SIGKILL) {
 		t.Fatal("n0 does not answer")
 	}
@@ -110,10 +111,10 @@
 	now := time.Now()
 	endedProcess := drainOrder{grant.Process, grant.Epoch + 1<<30, now.Add(time.Second), now.Add(2 * time.Second)}
 	if got := endedProcess.send(fleet, 0); got != http.StatusConflict {
-		t.Errorf("an order for a process that has ended: %d", got)
+		t.Errorf("an order for a process that has exited: status %d", got)
 	}
 	requireStoppedSenderKeepsGrant(t, fleet, id)
-	// Somebody else restarts n5: its agent takes the new process over, and it can be drained.
+	// n5 is restarted independently of its agent. The agent must supervise the new process, which can be drained.
 	fleet.Replace(5)
 	awaitView(t, fleet, 30*time.Second, "n5 serves", func(now agent.View) bool {
 		return now.Observations["n5"].Serving && fleet.Poll.Now(5) == "serves"
@@ -122,26 +123,27 @@
 	checkRules(t, fleet)
 }
 
-// requireStaleOrdersRejected sends orders that are repeated, late, or older than the grant of n0.
+// requireStaleOrdersRejected repeats the current order to n0, which must be accepted, and sends a late and an outdated
+// order, which must be rejected.
 func requireStaleOrdersRejected(t *testing.T, fleet *cluster.Cluster, v agent.View, grant *rollout.Grant) {
 	t.Helper()
 	repeated := drainOrder{grant.Process, grant.Epoch, time.UnixMilli(1), time.UnixMilli(2)}
 	if got := repeated.send(fleet, 0); got != http.StatusOK {
-		t.Errorf("the order that stands, again: %d", got)
+		t.Errorf("the current order, repeated: status %d", got)
 	}
 	now := time.Now()
 	late := drainOrder{v.Observations["n4"].Process, grant.Epoch + 1000, now.Add(-time.Second), now.Add(3 * time.Second)}
 	if got := late.send(fleet, 4); got != http.StatusConflict {
-		t.Errorf("a late order: %d", got)
+		t.Errorf("a late order: status %d", got)
 	}
 	older := drainOrder{v.Observations["n0"].Process, grant.Epoch - 1, now.Add(time.Second), now.Add(3 * time.Second)}
 	if got := older.send(fleet, 0); got != http.StatusConflict {
-		t.Errorf("an order from before: %d", got)
+		t.Errorf("an outdated order: status %d", got)
 	}
 }
 
-// requireStoppedSenderKeepsGrant stops n2 while it is drained by a plan, past its lease: no other sender takes its
-// place, and when it wakes it serves.
+// requireStoppedSenderKeepsGrant stops n2 past its lease while a plan drains it. No other sender may use its grant.
+// When it is continued, it must return to service.
 func requireStoppedSenderKeepsGrant(t *testing.T, fleet *cluster.Cluster, id uint64) {
 	t.Helper()
 	if !fleet.SignalSender(2, syscall.SIGSTOP) {
@@ -159,16 +161,16 @@
 	v, err := fleet.View(awaitLeader(t, fleet), true)
 	must(t, err)
 	if v.State.Grants["n2"] == nil {
-		t.Error("the grant of a stopped sender was closed")
+		t.Error("the grant of a stopped sender has ended")
 	}
 	syscall.Kill(pid, syscall.SIGCONT)
 	_, err = fleet.AwaitPlan(20*time.Second, id, rollout.Done)
 	must(t, err)
 }
 
-// TestEndpointExcluded excludes an endpoint: within two seconds no sender calls it, also one that is restarted. A
-// second one of its destination is rejected. Included again, it is called. When no agent tells the senders any more,
-// the exclusion ends by itself.
+// TestEndpointExcluded excludes an endpoint. Within two seconds no sender may call it, not even one that is restarted.
+// The exclusion of a second endpoint of the same destination must be rejected. After its inclusion the endpoint must be
+// called again. If no agent renews the exclusion, it must end by itself.
 func TestEndpointExcluded(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, cluster.Setup{
@@ -181,7 +183,7 @@
 	})
 	id := list[0].ID
 	if !awaitEndpointCall(fleet, id, 10*time.Second) {
-		t.Fatalf("%s gets no calls at all", id)
+		t.Fatalf("%s is not called", id)
 	}
 	fleetCommand(t, fleet, 0, "endpoint", "out", id, "--reason", "r")
 	excludedAt := time.Now()
@@ -192,7 +194,7 @@
 	}
 	time.Sleep(time.Until(excludedAt.Add(2 * time.Second)))
 	if awaitEndpointCall(fleet, id, 3*time.Second) {
-		t.Errorf("%s is called %v after it was ordered out", id, fleet.LastCall(id).Sub(excludedAt))
+		t.Errorf("%s is called %v after it was excluded", id, fleet.LastCall(id).Sub(excludedAt))
 	}
 	fleet.SignalSender(1, syscall.SIGKILL)
 	awaitView(t, fleet, 20*time.Second, "n1 serves", func(v agent.View) bool {
@@ -206,18 +208,18 @@
 	if !awaitEndpointCall(fleet, id, 10*time.Second) {
 		t.Errorf("%s is not called again", id)
 	}
-	time.Sleep(fleet.Terms.Timing.Lease + 2*time.Second) // until then it counts as out
+	time.Sleep(fleet.Terms.Timing.Lease + 2*time.Second) // until then the endpoint counts as excluded
 	fleetCommand(t, fleet, 0, "endpoint", "out", id, "--reason", "r")
 	for i := range fleet.AgentNames() {
 		fleet.SignalAgent(i, syscall.SIGKILL)
 	}
 	if !awaitEndpointCall(fleet, id, fleet.Terms.Timing.Lease+10*time.Second) {
-		t.Errorf("%s stays out although no agent says so any more", id)
+		t.Errorf("%s stays excluded although no agent renews the exclusion", id)
 	}
 	checkRules(t, fleet)
 }
 
-// awaitEndpointCall waits for a call of an endpoint, and tells whether one came in time.
+// awaitEndpointCall waits for a call of an endpoint, and reports whether one was made in time.
 func awaitEndpointCall(fleet *cluster.Cluster, id string, within time.Duration) bool {
 	from := time.Now()
 	for time.Since(from) < within {
@@ -229,7 +231,7 @@
 	return false
 }
 
-// TestCampaign plays three histories of a campaign; 'cleathold lab fleet campaign' plays many more.
+// TestCampaign plays three histories of a campaign. The command 'cleathold lab fleet campaign' plays more of them.
 func TestCampaign(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
--- a/cmd/cleathold/fleetrelease_test.go
+++ b/cmd/cleathold/fleetrelease_test.go
@@ -15,7 +15,7 @@
 	"cleathold/internal/rollout"
 )
 
-// writeConfigs writes a configuration for each sender, its present one changed, and returns the folder.
+// writeConfigs writes a copy of each sender's configuration in which old is replaced, and returns the folder.
 func writeConfigs(t *testing.T, fleet *cluster.Cluster, old, replacement string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -28,8 +28,9 @@
 	return dir
 }
 
-// TestConfigurationRelease releases configurations: they are taken over by SIGHUP without another process; one that a
-// sender rejects halts the release and leaves the old one in force; a release of the old ones puts them back.
+// TestConfigurationRelease releases configurations. A valid one must be loaded by SIGHUP without a new process. One
+// that a sender rejects must halt the release and leave the previous configuration in force. A release of the original
+// configurations must restore them.
 func TestConfigurationRelease(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, fourSenders(2))
@@ -45,7 +46,7 @@
 	valid := writeConfigs(t, fleet, `"send-cap": 12`, `"send-cap": 11`)
 	id := planNumber(t, fleetCommand(t, fleet, 0, release("c1", valid)...))
 	if text, _ := os.ReadFile(fleet.Config(1)); !strings.Contains(string(text), `"send-cap": 11`) || fleet.Pid(1) != pid {
-		t.Error("the new configuration is not in place, or another process is")
+		t.Error("the new configuration is not in place, or the process was replaced")
 	}
 	requireRejected(t, fleet, "is done", "back", fmt.Sprint(id), "--reason", "r")
 	restored := writeConfigs(t, fleet, `"send-cap": 11`, `"send-cap": 12`)
@@ -53,9 +54,9 @@
 	checkRules(t, fleet)
 }
 
-// TestReleaseDuringFaults releases a version while all partners of a building are down for some seconds, while somebody
-// else sends SIGHUP to every sender again and again, and while calls of a drained sender hang: none of it is the new
-// version's fault, and nothing is lost.
+// TestReleaseDuringFaults releases a version while all partners of a zone are down for some seconds, while every
+// sender gets SIGHUP repeatedly, or while calls of a drained sender hang. The gate must not attribute these faults to
+// the new version, and no message may be lost.
 func TestReleaseDuringFaults(t *testing.T) {
 	const hangingCalls = `trouble(what = "SILENT", zone = "bldg-a", at = 1, seconds = 4)`
 	for name, c := range map[string]struct {
@@ -63,10 +64,10 @@
 		sendHUP bool
 		restart bool
 	}{
-		"a building's partners are down": {script: `trouble(what = "DOWN", zone = "bldg-b", at = 1, seconds = 5)`},
-		"SIGHUP by somebody else":        {sendHUP: true},
-		"calls hang":                     {script: hangingCalls},
-		"calls hang, by restart":         {script: hangingCalls, restart: true},
+		"partners of a zone are down": {script: `trouble(what = "DOWN", zone = "bldg-b", at = 1, seconds = 5)`},
+		"SIGHUP by another process":   {sendHUP: true},
+		"calls hang":                  {script: hangingCalls},
+		"calls hang, by restart":      {script: hangingCalls, restart: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -90,7 +91,7 @@
 	}
 }
 
-// repeatHUP sends SIGHUP to one sender after the other, ten times a second, until stop is called.
+// repeatHUP sends SIGHUP to the senders in turn, ten times per second, until stop is called.
 func repeatHUP(fleet *cluster.Cluster) (stop func()) {
 	stopped := make(chan struct{})
 	var wg sync.WaitGroup
@@ -100,7 +101,7 @@
 			case <-stopped:
 				return
 			case <-time.After(100 * time.Millisecond):
-				if pid := fleet.Pid(i % 4); pid > 0 { // one that starts does not catch the signal yet
+				if pid := fleet.Pid(i % 4); pid > 0 { // a starting process does not handle the signal yet
 					syscall.Kill(pid, syscall.SIGHUP)
 				}
 			}
@@ -112,8 +113,9 @@
 	}
 }
 
-// TestFaultyVersions releases versions with faults: each is halted at its first sender, with what the gate saw. How
-// many senders ever ran one is counted by the versions themselves.
+// TestFaultyVersions releases versions with faults. The release must halt at the first sender, and the output must name
+// the observation of the gate. A version without a fault must be released to all senders. The versions themselves count
+// how many senders started them.
 func TestFaultyVersions(t *testing.T) {
 	tune := func(key, value string) string {
 		return fmt.Sprintf("sed 's/\"%s\": *[0-9]*/\"%s\": %s/' $LB_CONFIG > $LB_CONFIG.bad; "+
@@ -124,13 +126,13 @@
 		ran   int
 		want  string
 	}{
-		"ends at start":       {"echo no such library; exit 3", 1, "exit status 3"},
-		"never gets ready":    {"exec sleep 100", 1, "not in time"},
-		"refuses many":        {tune("open-cap", "1"), 1, "messages refused"},
-		"is slow":             {tune("max-calls", "1"), 1, "time to the first call"},
-		"leaks":               {"export CLEATHOLD_FAULT=leaks", 1, "memory"},
-		"answers nothing":     {"export CLEATHOLD_FAULT=mute", 1, "not seen any more"},
-		"serves as it should": {"", 4, ""},
+		"ends at start":    {"echo no such library; exit 3", 1, "exit status 3"},
+		"never gets ready": {"exec sleep 100", 1, "not in time"},
+		"refuses many":     {tune("open-cap", "1"), 1, "messages refused"},
+		"is slow":          {tune("max-calls", "1"), 1, "time to the first call"},
+		"leaks":            {"export CLEATHOLD_FAULT=leaks", 1, "memory"},
+		"answers nothing":  {"export CLEATHOLD_FAULT=mute", 1, "not seen any more"},
+		"no fault":         {"", 4, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -153,8 +155,8 @@
 	}
 }
 
-// TestIncompatibleReleaseRejected releases versions whose write-ahead log can't be read by the one before, or that
-// can't read that one's: they are rejected before the first stage.
+// TestIncompatibleReleaseRejected releases versions that can't read the write-ahead log of the previous version, or
+// whose write-ahead log the previous version can't read. They must be rejected before the first stage.
 func TestIncompatibleReleaseRejected(t *testing.T) {
 	t.Parallel()
 	fleet := newCluster(t, cluster.Setup{Senders: 2, Agents: 3, Terms: shortLeaseTerms(rollout.Budget{Fleet: 1})})
--- a/cmd/cleathold/golden_test.go
+++ b/cmd/cleathold/golden_test.go
@@ -6,7 +6,7 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenComparison writes and reads what 'lab compare --json' prints as it did before its fields had tags.
+// TestGoldenComparison checks that the JSON of 'lab compare --json' has not changed since its fields had no tags.
 func TestGoldenComparison(t *testing.T) {
 	golden.JSON[comparison](t, "comparison.json")
 }
--- a/cmd/cleathold/handover_test.go
+++ b/cmd/cleathold/handover_test.go
@@ -20,9 +20,10 @@
 	"cleathold/internal/state"
 )
 
-// TestHandoverWithCallsInFlight has the next process take over while calls of the predecessor are in flight, which
-// passes their results on: served, nothing is sent twice; rejected, they never ran, and the successor sends them again.
-// Killed before that, the predecessor leaves them as ones that may have run.
+// TestHandoverWithCallsInFlight hands over to another process while calls of the predecessor are in flight. The
+// predecessor passes their results on. Served messages must not be sent again. Rejected calls never ran, so the
+// successor must send their messages again. If the predecessor is killed before it passes the results on, its calls may
+// have run.
 func TestHandoverWithCallsInFlight(t *testing.T) {
 	for _, callResult := range []string{"served", "rejected", "killed"} {
 		t.Run(callResult, func(t *testing.T) {
@@ -71,9 +72,9 @@
 	}
 }
 
-// TestHandoverWhileCallConnects has a call wait for its connection as the next process takes over, and discovery tell
-// that one of a drain. Once established, the connection carries nothing: the predecessor knows of no drain, and the
-// message is the successor's, as one that never ran.
+// TestHandoverWhileCallConnects hands over while a call waits for its connection, and while the successor learns that
+// the target drains. The predecessor does not know of the drain. It must not use the connection once it is established,
+// and the successor must take over the message as one that never ran.
 func TestHandoverWhileCallConnects(t *testing.T) {
 	env := newHandoverEnvironment(t, func(string) string { return "" })
 	addr, open := socktest.Full(t)
@@ -81,13 +82,13 @@
 	first, adminAddr := env.startProcess()
 	awaitReady(t, adminAddr)
 	receive(t, env.polls)
-	receive(t, env.polls) // the watch: the list has come
+	receive(t, env.polls) // the second poll shows that the list was received
 	env.submit("safe", "s")
 	env.targetDraining.Store(true)
 	_, adminAddr = env.startProcess()
 	awaitReady(t, adminAddr)
 	receive(t, env.polls)
-	receive(t, env.polls) // the next one's watch: it knows of the drain
+	receive(t, env.polls) // the second poll of the successor shows that it knows of the drain
 	called := make(chan string, 8)
 	open(func(_ int, c *net.TCPConn) {
 		if line, err := bufio.NewReader(c).ReadString('\n'); err == nil {
@@ -112,9 +113,9 @@
 	env.requireNoNotice()
 }
 
-// TestHandoversUnderLoad makes two hand-overs in a row while messages come in on new connections without a pause: each
-// is accepted and delivered, once if it must not be repeated. A drain that was ordered before holds in the process
-// after.
+// TestHandoversUnderLoad makes two hand-overs in a row while messages are submitted on new connections. Each message
+// must be accepted and delivered, and unsafe ones must be sent only once. A drain that was ordered before a hand-over
+// must still be in force after it.
 func TestHandoversUnderLoad(t *testing.T) {
 	env := newHandoverEnvironment(t, func(string) string { return "" })
 	load := &loadGenerator{t: t, env: env, callCounts: map[string]int{}, delivered: map[string]chan struct{}{}}
@@ -151,7 +152,7 @@
 	}
 }
 
-// loadGenerator submits messages and is the target that they reach.
+// loadGenerator submits messages, and is the target that receives them.
 type loadGenerator struct {
 	t                  *testing.T
 	env                *environment
@@ -159,10 +160,10 @@
 
 	mu         sync.Mutex
 	callCounts map[string]int
-	delivered  map[string]chan struct{} // closed with the first send of a message
+	delivered  map[string]chan struct{} // by message, closed when its first call arrives
 }
 
-// respond counts a call and serves it.
+// respond counts a call and responds to it with success.
 func (l *loadGenerator) respond(r *http.Request) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,7 +174,7 @@
 	return socktest.Status(200)
 }
 
-// start starts four clients, which submit one message after the other until stop is called.
+// start starts four clients, each of which submits messages one after the other until stop is called.
 func (l *loadGenerator) start() (stop func()) {
 	stopped := make(chan struct{})
 	var wg sync.WaitGroup
@@ -187,7 +188,7 @@
 				}
 				class := []string{"safe", "unsafe"}[i%2]
 				id := fmt.Sprintf("%s-%d-%d", class, n, i)
-				// A close that crosses a request is no answer: the client sends it once more.
+				// The sender may close a connection before it reads the request, so the client retries once.
 				if l.submit(class, id) || l.submit(class, id+"-again") {
 					l.accepted.Add(1)
 				} else {
@@ -202,7 +203,8 @@
 	}
 }
 
-// submit submits a message and returns whether it was accepted. It waits for its delivery: the target sets the pace.
+// submit submits a message, waits for its delivery so that the target limits the rate, and reports whether the message
+// was accepted.
 func (l *loadGenerator) submit(class, id string) bool {
 	delivered := make(chan struct{})
 	l.mu.Lock()
@@ -219,7 +221,7 @@
 	return true
 }
 
-// requireDelivered checks that no message was rejected, and none sent twice that must not be repeated.
+// requireDelivered checks that no message was rejected, and that no unsafe message was sent twice.
 func (l *loadGenerator) requireDelivered() {
 	l.t.Helper()
 	l.mu.Lock()
@@ -234,8 +236,9 @@
 	}
 }
 
-// TestSuccessorDiesDuringTakeover has a process ask, take the state and die before it serves, which changes nothing:
-// the predecessor takes everything back, calls that were in flight end there, and the next one that asks takes over.
+// TestSuccessorDiesDuringTakeover simulates a successor that requests the takeover, receives the state and dies before
+// it serves. The predecessor must continue to serve and complete the calls in flight, and the next successor must be
+// able to take over.
 func TestSuccessorDiesDuringTakeover(t *testing.T) {
 	answer := make(chan struct{})
 	var served atomic.Bool
@@ -256,7 +259,7 @@
 			t.Fatalf("%v, %v", takeover, err)
 		}
 		if inFlight := len(takeover.State.InFlight); round == 0 && inFlight != 1 {
-			t.Errorf("out: %+v", takeover.State.InFlight)
+			t.Errorf("calls in flight: %+v", takeover.State.InFlight)
 		}
 		takeover.Listener.Close()
 		takeover.Abort()
@@ -275,8 +278,8 @@
 	env.requireNoNotice()
 }
 
-// TestStaleHandoverSocket checks that a socket that a killed process left, and a folder for temporary files that can't
-// be written, keep no process from starting.
+// TestStaleHandoverSocket checks that a process starts even if a killed process has left its hand-over socket, or if
+// the folder for temporary files is not writable.
 func TestStaleHandoverSocket(t *testing.T) {
 	env := newHandoverEnvironment(t, func(string) string { return socktest.Status(200) })
 	first, adminAddr := env.startProcess()
--- a/cmd/cleathold/handoverchain_test.go
+++ b/cmd/cleathold/handoverchain_test.go
@@ -24,25 +24,26 @@
 	"cleathold/internal/usersocket"
 )
 
-// The directions of a relay.
+// These are the directions of a relay.
 const (
 	fromSuccessor   = 0
 	fromPredecessor = 1
 )
 
-// relay passes on what two processes of a sender tell each other, descriptors included, until so many bytes have passed
-// in one direction: then it closes both connections.
+// relay forwards the data and descriptors between two processes of a sender. After a number of bytes in one direction
+// it closes both connections.
 type relay struct {
 	listener     *net.UnixListener
 	direction    int
-	remaining    int // bytes that may pass in the direction; below 0 = any number
+	remaining    int // bytes that may still pass in this direction; unlimited if negative
 	mu           sync.Mutex
-	passed       [2]int // bytes, by direction
-	lengthPrefix []byte // the first bytes from the predecessor: the length of its state
+	passed       [2]int // bytes forwarded, by direction
+	lengthPrefix []byte // the first bytes from the predecessor, which hold the length of its state
 	done         chan struct{}
 }
 
-// newRelay listens at the socket's path where the successor asks, and cuts after so many bytes in a direction.
+// newRelay listens at the socket path that the successor connects to, and closes the connections after remaining bytes
+// in a direction.
 func newRelay(t *testing.T, path, predecessorPath string, direction, remaining int) *relay {
 	t.Helper()
 	listener, err := usersocket.Listen(path)
@@ -69,12 +70,12 @@
 	return r
 }
 
-// stateComplete tells whether the whole state of the hand-over has passed.
+// stateComplete reports whether the complete state of the hand-over was forwarded.
 func (r *relay) stateComplete() bool {
 	return len(r.lengthPrefix) == 4 && r.passed[fromPredecessor] >= 4+int(binary.BigEndian.Uint32(r.lengthPrefix))
 }
 
-// pump passes bytes and descriptors on in one direction.
+// pump forwards bytes and descriptors in one direction.
 func (r *relay) pump(direction int, in, out *net.UnixConn) {
 	data, control := make([]byte, 64<<10), make([]byte, unix.CmsgSpace(4))
 	for {
@@ -95,7 +96,7 @@
 			r.mu.Unlock()
 			out.WriteMsgUnix(data[:n], control[:rights], nil)
 		}
-		if rights > 0 { // the successor has copies of them
+		if rights > 0 { // the receiver has its own copies
 			list, _ := unix.ParseSocketControlMessage(control[:rights])
 			for _, m := range list {
 				fds, _ := unix.ParseUnixRights(&m)
@@ -110,29 +111,29 @@
 	}
 }
 
-// handoverChain is a sender whose processes take over from one another, and the one that serves.
+// handoverChain is a sender whose processes take over from one another. It holds the process that currently serves.
 type handoverChain struct {
 	t            *testing.T
 	env          *environment
 	block        *netfault.Block
-	temp         string // a folder with one for each process, for its socket
+	temp         string // contains a folder for each process with its socket
 	current      *exec.Cmd
 	adminAddr    string
-	socket       string // path of its hand-over socket
+	socket       string // path of the current process's hand-over socket
 	processCount int
 
 	mu          sync.Mutex
-	calls       map[string]int           // by message
-	heldAnswers map[string]chan struct{} // an unsafe message's call is answered when it is closed
+	calls       map[string]int           // number of calls by message
+	heldAnswers map[string]chan struct{} // by unsafe message; closing the channel answers its call
 	notices     map[string]string        // delivery reports by message
 }
 
-// callTime is the time of calls that are not held back.
+// callTime is the response time of calls whose answer is not held back.
 const callTime = 100 * time.Millisecond
 
 // newHandoverChain returns a chain without a process.
 func newHandoverChain(t *testing.T) *handoverChain {
-	temp, err := os.MkdirTemp("", "cs") // a Unix address is short
+	temp, err := os.MkdirTemp("", "cs") // the length of a Unix socket address is limited
 	must(t, err)
 	t.Cleanup(func() { os.RemoveAll(temp) })
 	block, err := netfault.NewBlock()
@@ -142,7 +143,7 @@
 		t: t, env: newEnvironment(t, nil), temp: temp, block: block,
 		calls: map[string]int{}, heldAnswers: map[string]chan struct{}{}, notices: map[string]string{},
 	}
-	chain.env.listen = block.Host(2) + ":8080" // nobody else of this machine has it
+	chain.env.listen = block.Host(2) + ":8080" // not used by any other process of this machine
 	chain.env.configure(chain.env.firstAddr)
 	chain.env.respond = func(r *http.Request) string {
 		id := r.Header.Get("X-Request-Id")
@@ -153,7 +154,7 @@
 		if answered != nil {
 			<-answered
 		} else {
-			time.Sleep(callTime) // or the sender would soon think that no call takes so long as a hand-over does
+			time.Sleep(callTime) // with shorter calls, the call timeout would fall below the duration of a hand-over
 		}
 		return socktest.Status(200)
 	}
@@ -177,7 +178,7 @@
 	return chain
 }
 
-// newProcess prepares a process whose hand-over socket is in a folder of its own.
+// newProcess prepares a process whose hand-over socket is in a separate folder.
 func (chain *handoverChain) newProcess() (c *exec.Cmd, adminAddr, socket string) {
 	chain.processCount++
 	dir := filepath.Join(chain.temp, fmt.Sprint(chain.processCount))
@@ -188,14 +189,14 @@
 	return c, adminAddr, filepath.Join(dir, filepath.Base(handover.Path(chain.env.stateFolder)))
 }
 
-// count returns how often a message was called, and the delivery reports on it.
+// count returns the number of calls and the delivery reports of a message.
 func (chain *handoverChain) count(id string) (calls int, notice string) {
 	chain.mu.Lock()
 	defer chain.mu.Unlock()
 	return chain.calls[id], chain.notices[id]
 }
 
-// await waits until a condition holds.
+// await waits until a condition holds. It fails the test after 20 s.
 func (chain *handoverChain) await(description string, condition func() bool) {
 	chain.t.Helper()
 	for until := time.Now().Add(20 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
@@ -205,7 +206,8 @@
 	}
 }
 
-// openMessages returns how many messages the process that serves still owes an outcome; below 0: it does not say.
+// openMessages returns the number of messages without an outcome in the serving process, or a negative number if it is
+// unknown.
 func (chain *handoverChain) openMessages() int {
 	r, err := http.Get("http://" + chain.adminAddr + admin.StatusPath)
 	if err != nil {
@@ -219,8 +221,9 @@
 	return status.Counts.Open
 }
 
-// handOver has another process take over, and cuts the connection of the two after so many bytes in a direction. An
-// unsafe message is in flight meanwhile; its call is answered once it is clear which process serves.
+// handOver starts another process that takes over, and cuts the connection between the two processes after remaining
+// bytes in a direction. An unsafe message is in flight meanwhile. Its call is answered once it is clear which process
+// serves.
 func (chain *handoverChain) handOver(direction, remaining int) (passed [2]int, succeeded bool) {
 	t := chain.t
 	t.Helper()
@@ -230,7 +233,7 @@
 	chain.heldAnswers[inFlightID] = make(chan struct{})
 	chain.mu.Unlock()
 	chain.env.submit("unsafe", inFlightID)
-	chain.await("the call is out", func() bool { n, _ := chain.count(inFlightID); return n == 1 })
+	chain.await("the call is in flight", func() bool { n, _ := chain.count(inFlightID); return n == 1 })
 	c, adminAddr, socket := chain.newProcess()
 	proxy := newRelay(t, socket, chain.socket, direction, remaining)
 	must(t, c.Start())
@@ -249,16 +252,16 @@
 	chain.mu.Unlock()
 	<-proxy.done
 	alive := func(c *exec.Cmd) bool { return c.Process.Signal(unix.Signal(0)) == nil }
-	chain.await("one of them has ended", func() bool { return alive(chain.current) != alive(c) })
+	chain.await("one of the processes has exited", func() bool { return alive(chain.current) != alive(c) })
 	if succeeded = alive(c); succeeded {
 		chain.current, chain.adminAddr, chain.socket = c, adminAddr, socket
 	}
 	if succeeded && !proxy.stateComplete() {
-		t.Errorf("%s: a successor serves without the complete state", name)
+		t.Errorf("%s: the successor serves without the complete state", name)
 	}
 	awaitReady(t, chain.adminAddr)
 	chain.env.submit("unsafe", followUpID)
-	chain.await("nothing is open", func() bool { return chain.openMessages() == 0 })
+	chain.await("all messages have ended", func() bool { return chain.openMessages() == 0 })
 	return proxy.passed, succeeded
 }
 
@@ -272,11 +275,12 @@
 	chain.current, chain.adminAddr, chain.socket = c, adminAddr, socket
 }
 
-// checkOutcomes checks all messages in the end, by whether the successor took over. What was in flight when it did may
-// have ended undeliverable where the answer could not be passed on; nothing else may.
+// checkOutcomes checks the outcome of all messages. succeeded has the messages that were in flight during a hand-over,
+// and whether the successor took over. If it did, such a message may be undeliverable, because the result of its call
+// could not be passed on. All other messages must be delivered.
 func (chain *handoverChain) checkOutcomes(succeeded map[string]bool) {
 	chain.t.Helper()
-	time.Sleep(300 * time.Millisecond) // a notice that should not come would be under way now
+	time.Sleep(300 * time.Millisecond) // time for unexpected delivery reports to arrive
 	chain.mu.Lock()
 	defer chain.mu.Unlock()
 	for id, n := range chain.calls {
--- a/cmd/cleathold/handovercut_test.go
+++ b/cmd/cleathold/handovercut_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// everyByte has a hand-over cut at each byte, and not only at some of the state's.
+// everyByte makes the test cut the hand-over at each byte of the state, not only at some of them.
 var everyByte = flag.Bool("every-byte", false, "cut a hand-over at each byte of the state, too")
 
-// TestHandoverCutAtEachByte cuts the connection of two processes of a sender at each byte of a hand-over, while both
-// live. As long as the state is incomplete the predecessor serves on. From then on both may believe that they have it,
-// and whichever locks the write-ahead log first does; the other finds it locked and ends. One of them serves in any
-// case, nothing unsafe is sent twice, and what was in flight ends once: by its call's answer, or undeliverable where
-// that could not be passed on.
+// TestHandoverCutAtEachByte cuts the connection between the two processes of a hand-over at each byte, while both
+// processes live. As long as the state is incomplete, the predecessor must continue to serve. After that, both may try
+// to serve: the process that locks the write-ahead log first serves, and the other one exits. In each case one of them
+// must serve, no unsafe message may be sent twice, and each message in flight must end once: by the result of its call,
+// or as undeliverable if the result could not be passed on.
 func TestHandoverCutAtEachByte(t *testing.T) {
 	t.Parallel()
 	const shards = 6
@@ -56,7 +56,7 @@
 			})
 		}
 	})
-	t.Logf("the successor says %d bytes, the predecessor %d; %d cuts: %d successors and %d predecessors served",
+	t.Logf("the successor sends %d bytes, the predecessor %d; %d cuts: %d successors and %d predecessors served",
 		passed[fromSuccessor], passed[fromPredecessor], len(cuts), successors.Load(), predecessors.Load())
 	if successors.Load() < 30 || predecessors.Load() < 30 {
 		t.Errorf("%d successors and %d predecessors served", successors.Load(), predecessors.Load())
--- a/cmd/cleathold/lab_test.go
+++ b/cmd/cleathold/lab_test.go
@@ -23,7 +23,7 @@
 	"cleathold/internal/scenario"
 )
 
-// shortScenario writes a scenario of a few seconds, with more lines at its end, and returns its path.
+// shortScenario writes a scenario of a few seconds, with additional lines at its end, and returns its path.
 func shortScenario(t *testing.T, extra string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/building-refuses.star")
@@ -35,10 +35,10 @@
 	return path
 }
 
-// discardLog discards what the commands log.
+// discardLog is a logger that discards the log of commands.
 var discardLog = slog.New(slog.DiscardHandler)
 
-// harnessSetup returns the setup of a run of a scenario with this program.
+// harnessSetup returns the setup for a run of a scenario with the test binary.
 func harnessSetup(t *testing.T, path string) harness.Setup {
 	t.Helper()
 	s, err := scenario.Load(path, nil)
@@ -46,7 +46,7 @@
 	return harness.Setup{Plan: s.Plan(1), Program: os.Args[0], Folder: t.TempDir(), Log: discardLog}
 }
 
-// senderAddresses returns the addresses of the clients' listeners of a run's senders.
+// senderAddresses returns the addresses of the clients' listeners of all senders of a run.
 func senderAddresses(t *testing.T, folder string) []string {
 	t.Helper()
 	var list []string
@@ -66,7 +66,7 @@
 	return list
 }
 
-// requireNoListeners checks that soon no process listens at any of the addresses.
+// requireNoListeners checks that within 10 s no process listens at any of the addresses.
 func requireNoListeners(t *testing.T, list []string) {
 	t.Helper()
 	for _, a := range list {
@@ -77,14 +77,14 @@
 			}
 			c.Close()
 			if time.Now().After(until) {
-				t.Errorf("a sender is left behind at %s", a)
+				t.Errorf("a sender is still running at %s", a)
 				break
 			}
 		}
 	}
 }
 
-// runLab runs 'lab run' of a scenario with this program, and returns its result.
+// runLab runs 'lab run' of a scenario with the test binary, and returns the result.
 func runLab(t *testing.T, args scenarioArgs, folder string) (r harness.Result) {
 	t.Helper()
 	out := &bytes.Buffer{}
@@ -99,8 +99,8 @@
 	return r
 }
 
-// TestLabRun plays a scenario on sockets with a fault, a kill and a reload: the rules hold, the run folder gives a
-// page, and no sender stays behind.
+// TestLabRun plays a scenario on sockets with a fault, a killed sender and a reload. No rule may be violated, the run
+// folder must be readable for a report, and no sender may be left running.
 func TestLabRun(t *testing.T) {
 	t.Parallel()
 	path := shortScenario(t, `
@@ -127,7 +127,8 @@
 	}
 }
 
-// TestLabNeverReady has a sender that never gets ready, or ends first: the error is clear, and no sender stays behind.
+// TestLabNeverReady runs senders that exit at the start or never get ready. The error must name the cause, and no
+// sender may be left running.
 func TestLabNeverReady(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ script, want string }{
@@ -147,7 +148,8 @@
 	}
 }
 
-// TestLabAborted has the ledger's disk full, or the run canceled: the error is clear, and no sender stays behind.
+// TestLabAborted plays runs in which the ledger's disk is full, or which are canceled. The error must name the cause,
+// and no sender may be left running.
 func TestLabAborted(t *testing.T) {
 	t.Parallel()
 	errDiskFull := errors.New("no space left on device")
@@ -160,7 +162,7 @@
 		return nil
 	}
 	if _, err := harness.Run(t.Context(), s); !errors.Is(err, errDiskFull) {
-		t.Errorf("a full disk: %v", err)
+		t.Errorf("full disk: %v", err)
 	}
 	requireNoListeners(t, senderAddresses(t, s.Folder))
 
@@ -173,13 +175,13 @@
 		return nil
 	}
 	if _, err := harness.Run(ctx, s); err == nil || err.Error() != "broken off" {
-		t.Errorf("called off: %v", err)
+		t.Errorf("canceled: %v", err)
 	}
 	requireNoListeners(t, senderAddresses(t, s.Folder))
 }
 
-// TestLabKilled interrupts 'lab run', and kills it: no sender outlives it, and what was written of the ledger can be
-// read.
+// TestLabKilled interrupts and kills 'lab run'. No sender may be left running, and the part of the ledger that was
+// written must be readable.
 func TestLabKilled(t *testing.T) {
 	t.Parallel()
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGKILL} {
@@ -190,7 +192,7 @@
 		var stderr bytes.Buffer
 		c.Stderr = &stderr
 		must(t, c.Start())
-		// Once a block of the ledger is there, the run is in its middle.
+		// Once a block of the ledger has been written, the run is in progress.
 		for until := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 			if info, err := os.Stat(filepath.Join(folder, "ledger.zst")); err == nil && info.Size() > 500 {
 				break
@@ -211,7 +213,7 @@
 		events := 0
 		complete, err := run.Events(func(audit.Event) error { events++; return nil })
 		if err != nil || events == 0 || complete != (sig == syscall.SIGINT) || run.Result != nil {
-			t.Errorf("%v: %v, %d events, whole %t", sig, err, events, complete)
+			t.Errorf("%v: %v, %d events, complete %t", sig, err, events, complete)
 		}
 		page := &bytes.Buffer{}
 		err = (&labReportCmd{Runs: []string{folder}}).Run(page)
@@ -221,8 +223,8 @@
 	}
 }
 
-// TestLabCompare compares sides on paired seeds: a scenario against itself is noise, and against one with silent
-// partners it is not. Programs need a scenario.
+// TestLabCompare compares two sides on paired seeds. A scenario compared with itself must be noise, and compared with
+// one whose partners hang it must not. Two programs require a scenario.
 func TestLabCompare(t *testing.T) {
 	t.Parallel()
 	path := shortScenario(t, "")
@@ -246,12 +248,12 @@
 		t.Errorf("programs: %v, %s", err, out)
 	}
 	if err := (&labCompareCmd{A: os.Args[0], B: os.Args[0], Runs: 2}).Run(io.Discard, discardLog); err == nil {
-		t.Error("two programs without a scenario")
+		t.Error("two programs without a scenario are accepted")
 	}
 }
 
-// TestLabFaults checks that the faults of a script affect processes as they affect senders in virtual time, and only
-// them.
+// TestLabFaults checks that the faults of a script have the same effect on processes as on senders in virtual time, and
+// affect only the senders that they name.
 func TestLabFaults(t *testing.T) {
 	t.Parallel()
 	path := shortScenario(t, `
@@ -296,7 +298,7 @@
 		{0, 4.5, 6, true},
 	} {
 		if n := acceptedBetween(c.sender, c.from, c.to); (n > 0) != c.accepts {
-			t.Errorf("n%d took on %d messages from %v to %v s", c.sender, n, c.from, c.to)
+			t.Errorf("n%d accepted %d messages from %v to %v s", c.sender, n, c.from, c.to)
 		}
 	}
 	if firstDeath[1] < 900*time.Millisecond || firstDeath[1] > 1500*time.Millisecond {
@@ -304,12 +306,12 @@
 	}
 	text, err := os.ReadFile(filepath.Join(setup.Folder, "n0", "log"))
 	if err != nil || !strings.Contains(string(text), "configuration read again") {
-		t.Errorf("n0 has no new settings: %v\n%s", err, text)
+		t.Errorf("n0 did not reload its settings: %v\n%s", err, text)
 	}
 }
 
-// TestSlowStartAcrossTwentyProcesses has an endpoint recover and warm up: what twenty processes send in sum stays
-// within its limit, though some of them were killed in the outage and know nothing of it.
+// TestSlowStartAcrossTwentyProcesses lets an endpoint recover and warm up. The total rate of twenty processes must stay
+// within its limit, although some of them were killed during the outage and don't know of it.
 func TestSlowStartAcrossTwentyProcesses(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile("../../examples/scenarios/fleet-return.star")
--- a/cmd/cleathold/main_test.go
+++ b/cmd/cleathold/main_test.go
@@ -12,19 +12,19 @@
 	"cleathold/internal/socktest"
 )
 
-// TestMain lets the test's own binary be the program, for all processes that tests start.
+// TestMain runs the program instead of the tests in all processes that tests start from the test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("CLEATHOLD_CHILD") != "" {
 		injectFault(os.Getenv("CLEATHOLD_FAULT"))
 		main()
 		return
 	}
-	os.Setenv("CLEATHOLD_CHILD", "1") // of all that tests start
+	os.Setenv("CLEATHOLD_CHILD", "1") // for all processes that tests start
 	os.Exit(m.Run())
 }
 
-// TestKilled kills a process with attempts in flight: of their messages, those that may be repeated are sent again, the
-// others are undeliverable, and no more is sent.
+// TestKilled kills a process with attempts in flight. Their messages must be sent again if they may be repeated, and
+// must otherwise be undeliverable and not be sent again.
 func TestKilled(t *testing.T) {
 	var answers atomic.Bool
 	env := newEnvironment(t, func(string) string {
@@ -47,14 +47,14 @@
 	if n := receive(t, env.notices); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
 		t.Errorf("notice %q", n)
 	}
-	env.submit("safe", "s2") // serves on, with nothing of u1 before it
+	env.submit("safe", "s2") // it continues to serve, and u1 is not sent
 	if id := receive(t, env.calls); id != "s2" {
 		t.Errorf("sent: %s", id)
 	}
 }
 
-// TestKilledRepeatedly kills the program again and again while messages come in: it loses none that it has accepted,
-// and sends none twice that must not be repeated.
+// TestKilledRepeatedly kills the program repeatedly while messages are submitted. No accepted message may be lost, and
+// no unsafe message may be sent twice.
 func TestKilledRepeatedly(t *testing.T) {
 	env := newEnvironment(t, func(string) string { return socktest.Status(200) })
 	unfinished := map[string]bool{}
@@ -65,7 +65,7 @@
 	}
 	for round := range 4 {
 		c := env.start()
-		for i := range 10 + 3*round { // the kill falls elsewhere each time
+		for i := range 10 + 3*round { // so that each kill happens at another point
 			id := fmt.Sprintf("%c%d-%d", "su"[i%2], round, i)
 			unfinished[id] = true
 			env.submit([]string{"safe", "unsafe"}[i%2], id)
@@ -84,7 +84,7 @@
 				}
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("lost: %v", unfinished)
+			t.Fatalf("no call and no delivery report for %v", unfinished)
 		}
 	}
 	for id, n := range sends {
@@ -94,7 +94,8 @@
 	}
 }
 
-// TestNoticeSurvivesKill checks that a delivery report outlasts the process until the platform has it.
+// TestNoticeSurvivesKill checks that a delivery report survives a kill of the process if the platform has not
+// acknowledged it.
 func TestNoticeSurvivesKill(t *testing.T) {
 	env := newEnvironment(t, func(string) string { return socktest.Status(500) })
 	env.failNotices.Store(true)
@@ -112,8 +113,8 @@
 	}
 }
 
-// TestReload checks SIGHUP: discovery is polled and delivery reports are sent at the address that the file names now,
-// and a file that can't be read changes nothing and ends nothing.
+// TestReload checks that after SIGHUP discovery is polled and delivery reports are sent at the new address, and that an
+// invalid file neither changes the configuration nor ends the process.
 func TestReload(t *testing.T) {
 	env := newEnvironment(t, func(string) string { return socktest.Status(500) })
 	c := env.start()
@@ -126,7 +127,7 @@
 	c.Process.Signal(syscall.SIGHUP)
 	for receive(t, env.polls) != "second" {
 	}
-	// What can't be read, and what lacks a key that was there: not even its address of discovery is taken over.
+	// The first file is not valid JSON, the second lacks a key. Not even its discovery address may be used.
 	for _, invalid := range []string{"what", strings.Replace(string(before), `"send-cap":12`, `"x":12`, 1)} {
 		must(t, os.WriteFile(env.config, []byte(invalid), 0o600))
 		c.Process.Signal(syscall.SIGHUP)
@@ -136,17 +137,17 @@
 		t.Errorf("notice %q", n)
 	}
 	c.Process.Signal(syscall.SIGTERM)
-	if err := c.Wait(); err != nil { // an end by SIGHUP would show here
+	if err := c.Wait(); err != nil { // fails if SIGHUP has ended the process
 		t.Error(err)
 	}
 	for len(env.polls) > 0 {
 		if name := <-env.polls; name != "second" {
-			t.Errorf("discovery asked at %s again", name)
+			t.Errorf("discovery was polled at %s again", name)
 		}
 	}
 }
 
-// TestTerminated checks SIGTERM: calls in flight are finished, and the program ends with 0.
+// TestTerminated checks that after SIGTERM calls in flight are completed and the program exits with 0.
 func TestTerminated(t *testing.T) {
 	answer := make(chan struct{})
 	env := newEnvironment(t, func(string) string { <-answer; return socktest.Status(200) })
@@ -160,6 +161,6 @@
 	}
 	out := &strings.Builder{}
 	if err := (&pendingCmd{State: env.stateFolder}).Run(out, nil); err != nil || out.String() != "0 pending\n" {
-		t.Errorf("%v, left: %s", err, out)
+		t.Errorf("%v, pending: %s", err, out)
 	}
 }
--- a/cmd/cleathold/partner_test.go
+++ b/cmd/cleathold/partner_test.go
@@ -23,37 +23,38 @@
 )
 
 const (
-	keyRetention   = 3 * time.Second        // how long the partner drops repeats of a key
-	overloadWindow = 500 * time.Millisecond // in which an overload is measured
+	keyRetention   = 3 * time.Second        // how long the partner ignores repeated keys
+	overloadWindow = 500 * time.Millisecond // window for the measurement of overload
 	warmUpDuration = 3 * time.Second
-	warmUpFraction = 0.22                   // of the rate, as the partner returns
-	limitWindow    = 250 * time.Millisecond // in which the partner counts calls against its limit
+	warmUpFraction = 0.22                   // fraction of the rate when the partner returns
+	limitWindow    = 250 * time.Millisecond // window in which the partner counts calls against its limit
 )
 
-// partner is a stand-in for one partner system. It is shut, or returns cold: its limit rises from warmUpFraction of its
-// rate to all of it. It counts effects, by key where a message has one, and all calls that reach it.
+// partner simulates one partner system. It rejects all calls, or returns cold: its limit then rises from warmUpFraction
+// of its rate to the full rate. It records all calls, and counts the effects of each message, with repeated keys
+// ignored.
 type partner struct {
 	mu            sync.Mutex
-	rate          float64     // calls a second once warm
-	openedAt      time.Time   // zero: shut
-	resetCalls    bool        // a call takes effect and its connection is reset
-	calls         []time.Time // all that came
-	accepted      []time.Time // the latest within the limit
+	rate          float64     // calls per second when warm
+	openedAt      time.Time   // zero if the partner rejects all calls
+	resetCalls    bool        // each call takes effect and its connection is closed
+	calls         []time.Time // times of all calls
+	accepted      []time.Time // times of the accepted calls in the latest window
 	effects       map[string]int
 	firstEffect   map[string]time.Time
-	flakyAnswer   func() string        // "ordinary", "break" or an answer in the place of the ordinary one; under mu
-	seenKeys      map[string]time.Time // by key: when it was first seen
-	excessEffects []string             // ids with more effects than their class allows
+	flakyAnswer   func() string        // returns "ordinary", "break" or a response; guarded by mu
+	seenKeys      map[string]time.Time // time of the last effect, by key
+	excessEffects []string             // ids of messages with more effects than their class allows
 }
 
-// newPartner returns a partner that is shut.
+// newPartner returns a partner that rejects all calls.
 func newPartner(rate float64) *partner {
 	return &partner{
 		rate: rate, effects: map[string]int{}, firstEffect: map[string]time.Time{}, seenKeys: map[string]time.Time{},
 	}
 }
 
-// open has the partner return cold, and forget the calls that came before.
+// open makes the partner return cold, and discards the record of earlier calls.
 func (p *partner) open() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +62,7 @@
 	p.calls = nil
 }
 
-// capacity returns what the partner can do at a time, in calls a second.
+// capacity returns the partner's capacity at a time, in calls per second.
 func (p *partner) capacity(at time.Time) float64 {
 	if p.openedAt.IsZero() {
 		return 0
@@ -69,7 +70,7 @@
 	return p.rate * min(1, warmUpFraction+(1-warmUpFraction)*at.Sub(p.openedAt).Seconds()/warmUpDuration.Seconds())
 }
 
-// answer answers a call or a health check.
+// answer responds to a call or a health check.
 func (p *partner) answer(r *http.Request) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,8 +108,8 @@
 	return socktest.Status(200)
 }
 
-// applyEffect lets a message take applyEffect unless its key was seen. All but safe ones must have one applyEffect at
-// most.
+// applyEffect records an effect of a message unless its key was used within keyRetention. Only safe messages may have
+// more than one effect.
 func (p *partner) applyEffect(id, key string, now time.Time) {
 	if key != "" {
 		if at, known := p.seenKeys[key]; known && now.Sub(at) < keyRetention {
@@ -124,8 +125,8 @@
 	}
 }
 
-// maxOverload returns the most calls in a window since the partner opened, as a multiple of its capacity at the start
-// of the window.
+// maxOverload returns the largest number of calls in a window since the partner returned, as a multiple of its capacity
+// at the start of that window.
 func (p *partner) maxOverload(window time.Duration) (worst float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,8 +155,7 @@
     return HOLD
 `
 
-// newDeadLetterEnvironment returns an environment whose sender has a dead-letter queue, and whose target is the
-// partner.
+// newDeadLetterEnvironment returns an environment whose sender has a dead-letter queue and whose target is the partner.
 func newDeadLetterEnvironment(t *testing.T, p *partner, script string) *environment {
 	env := newEnvironment(t, func(string) string { return "" })
 	env.settingsScript = filepath.Join(t.TempDir(), "s.star")
@@ -188,7 +188,7 @@
 	return env
 }
 
-// adminAPI returns the sender's admin API at its socket.
+// adminAPI returns a client for the admin API at the sender's socket.
 func (env *environment) adminAPI() admin.API {
 	api := admin.Dial(filepath.Join(filepath.Dir(env.settingsScript), "a.sock"))
 	env.t.Cleanup(func() { api.Close() })
@@ -201,7 +201,7 @@
 	in   *bufio.Reader
 }
 
-// client opens a connection.
+// client connects a client to the sender.
 func (env *environment) client() *client {
 	conn := env.connectClient()
 	return &client{conn, bufio.NewReader(conn)}
@@ -225,7 +225,7 @@
 	return r.StatusCode, nil
 }
 
-// testMessage returns the class, the id and the key of the n-th message.
+// testMessage returns the class, the id and the key of message n.
 func testMessage(n int) (name, id, key string) {
 	switch n % 3 {
 	case 0:
@@ -259,8 +259,8 @@
 	return nil
 }
 
-// collectNotices keeps the channels of the environment empty. The function that it returns tells whether the platform
-// was notified that a message is undeliverable.
+// collectNotices starts a goroutine that drains the channels of the environment. The returned function reports whether
+// the platform has received a delivery report that a message is undeliverable.
 func (env *environment) collectNotices() (undeliverable func(id string) bool) {
 	var mu sync.Mutex
 	ids := map[string]bool{}
@@ -288,7 +288,7 @@
 	}
 }
 
-// runCommand runs a command of the program as a process, and returns its output and its exit code.
+// runCommand runs a command of the program as a process, and returns its output and exit code.
 func (env *environment) runCommand(args ...string) (string, int) {
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "CLEATHOLD_SETTINGS="+env.settingsScript)
@@ -298,7 +298,7 @@
 	return out.String(), c.ProcessState.ExitCode()
 }
 
-// statusOf returns what a sender says at its admin address.
+// statusOf returns the status of a sender from its admin address.
 func statusOf(t *testing.T, adminAddr string) (s admin.Status) {
 	t.Helper()
 	r, err := http.Get("http://" + adminAddr + admin.StatusPath)
--- a/cmd/cleathold/recovery_test.go
+++ b/cmd/cleathold/recovery_test.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	deadLetters  = 600 // records whose call never ran
-	brokenCalls  = 30  // calls that break after they took effect, or before they are made
+	deadLetters  = 600 // records whose calls never ran
+	brokenCalls  = 30  // calls whose connection is closed after they took effect, or that are not made
 	liveMessages = 300
-	liveInterval = 40 * time.Millisecond // 25 messages a second
+	liveInterval = 40 * time.Millisecond // 25 messages per second
 )
 
-// TestRedeliveryToRecoveringPartner sends hundreds of dead letters to a partner that is warming up: none has a double
-// effect, the partner is never overloaded, live traffic keeps its service, and all that may be sent takes effect.
+// TestRedeliveryToRecoveringPartner redelivers hundreds of dead letters to a partner that is warming up. No message may
+// have a second effect, the partner must not be overloaded, the service of live traffic must not degrade, and all
+// messages that may be redelivered must take effect.
 func TestRedeliveryToRecoveringPartner(t *testing.T) {
 	served := map[bool]float64{}
 	for _, resends := range []bool{false, true} {
 		served[resends] = runRecovery(t, resends)
 	}
 	if served[true] < 0.95*served[false] {
-		t.Errorf("worth of live traffic %.1f beside resends, %.1f without", served[true], served[false])
+		t.Errorf("worth of live traffic %.1f with redelivery, %.1f without", served[true], served[false])
 	}
 }
 
-// runRecovery plays an outage and the recovery, with or without redelivery, and returns the worth of live traffic.
+// runRecovery runs an outage and the recovery, with or without redelivery, and returns the worth of live traffic.
 func runRecovery(t *testing.T, resends bool) (liveWorth float64) {
 	p := newPartner(150)
 	env := newDeadLetterEnvironment(t, p, holdAllSettings)
@@ -47,7 +48,7 @@
 		done, rejected, err := resendAll(api, 60)
 		if err != nil || done != deadLetters+brokenCalls-ran || len(rejected) != ran ||
 			!strings.Contains(rejected[0].Reason, "must never take effect twice") {
-			t.Fatalf("ordered %d, rejected %d, %v", done, len(rejected), err)
+			t.Fatalf("%d redeliveries ordered, %d rejected, %v", done, len(rejected), err)
 		}
 	}
 	p.open()
@@ -64,17 +65,18 @@
 	time.Sleep(time.Until(start.Add(liveMessages*liveInterval + 4*time.Second)))
 	overload := p.maxOverload(overloadWindow)
 	if overload > 2 {
-		t.Errorf("overloaded: %.2f times its capacity", overload)
+		t.Errorf("the partner got %.2f times its capacity", overload)
 	}
 	liveWorth = liveScore(p, start)
 	requireEffects(t, p, resends)
-	t.Logf("resends %t: worth of live traffic %.1f of %d, at most %.2f times the capacity in %v, partner opened %v ago",
+	t.Logf("redelivery %t: live traffic worth %.1f of %d, at most %.2f times the capacity in %v, partner returned %v ago",
 		resends, liveWorth, liveMessages, overload, overloadWindow, time.Since(start).Round(time.Second))
 	return liveWorth
 }
 
-// fillDeadLetters submits messages whose calls break after they took effect, then shuts the partner and submits the
-// others. It returns how many took effect: the rest found the route taken for an outage, and never ran.
+// fillDeadLetters submits messages whose calls break after they took effect, and then others while the partner rejects
+// all calls. It returns how many messages took effect. The rest of the first messages never ran, because the sender
+// treated their route as down after the broken calls.
 func fillDeadLetters(t *testing.T, env *environment, p *partner, c *client) (ran int) {
 	t.Helper()
 	api := env.adminAPI()
@@ -92,7 +94,7 @@
 	ran = len(p.effects)
 	p.mu.Unlock()
 	if ran == 0 {
-		t.Fatal("no call broke")
+		t.Fatal("no call took effect")
 	}
 	for n := range deadLetters {
 		name, id, key := testMessage(n)
@@ -104,7 +106,7 @@
 	return ran
 }
 
-// submitLive submits live traffic at times that are fixed ahead, and returns the first of them.
+// submitLive submits live traffic at fixed times, and returns the first of them.
 func submitLive(t *testing.T, c *client) (start time.Time) {
 	t.Helper()
 	start = time.Now()
@@ -117,10 +119,10 @@
 	return start
 }
 
-// requireRedelivered checks that all records are delivered except the first ones, which must not be resent, and unsafe
-// ones whose only redelivery timed out. The call timeout follows the partner's call time of less than a millisecond, so
-// a busy machine can delay an answer beyond it. Such a call may have run, and the record must stay held.
-// requireEffects checks that the message took effect all the same.
+// requireRedelivered checks that all records are delivered, except for notResent records that must not be resent and
+// unsafe records whose only redelivery timed out. The call timeout follows the partner's call time of less than a
+// millisecond, so a busy machine can delay a response beyond it. Such a call may have run, and the record must stay
+// held. requireEffects checks that its message took effect nevertheless.
 func requireRedelivered(t *testing.T, api admin.API, notResent int) {
 	t.Helper()
 	page, err := api.List(context.Background(), deadletter.Filter{State: deadletter.Held}, 0, deadletter.MaxPageSize)
@@ -140,8 +142,8 @@
 	}
 }
 
-// liveScore returns the worth of live traffic: 1 for each message within the latency objective of 400 ms, falling to a
-// half at the deadline of 4 s, 0 after it.
+// liveScore returns the worth of live traffic. A message within the latency objective of 400 ms is worth 1. Its worth
+// falls to a half at the deadline of 4 s, and is 0 if it has no effect.
 func liveScore(p *partner, start time.Time) (score float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,8 +156,8 @@
 	return score
 }
 
-// requireEffects checks that each message took effect as often as its class allows, and at least once if it was resent.
-// A safe one may be repeated, and is where a call is slow: a busy machine does that.
+// requireEffects checks that no message took effect more often than its class allows, and that each resent message took
+// effect at least once. A safe message may be repeated, which happens if a call is slow on a busy machine.
 func requireEffects(t *testing.T, p *partner, resent bool) {
 	t.Helper()
 	p.mu.Lock()
@@ -171,11 +173,11 @@
 		}
 	}
 	if len(p.excessEffects) > 0 {
-		t.Errorf("doubles: %v", p.excessEffects)
+		t.Errorf("more effects than allowed: %v", p.excessEffects)
 	}
 }
 
-// resendAll orders the redelivery of all records, each within so many seconds.
+// resendAll orders the redelivery of all records, each within withinS seconds.
 func resendAll(api admin.API, withinS float64) (done int, rejected []deadletter.RejectedRecord, err error) {
 	order := admin.Order{WithinS: withinS}
 	order.Selection.Limit = deadletter.MaxPageSize
@@ -191,7 +193,8 @@
 	}
 }
 
-// heldAndNoticed is the condition that so many records are held and the platform knows of all of them.
+// heldAndNoticed returns the condition that count records are held and that the platform has acknowledged the delivery
+// reports of all of them.
 func heldAndNoticed(count int) func(states map[string]int, s deadletter.Stats) bool {
 	return func(states map[string]int, s deadletter.Stats) bool { return states["held"] == count && s.Owed == 0 }
 }
--- a/cmd/cleathold/redelivery_test.go
+++ b/cmd/cleathold/redelivery_test.go
@@ -16,19 +16,19 @@
 	"cleathold/internal/socktest"
 )
 
-// redeliveryRounds says how processes follow one another while messages are held and sent again.
+// redeliveryRounds defines how processes follow one another while messages are held and redelivered.
 type redeliveryRounds struct {
-	// start starts the process of a round, beside the last one's or in its place.
+	// start starts the process of a round, beside the previous process or after its end.
 	start func(env *environment, last *exec.Cmd) *exec.Cmd
-	// change changes something in the middle of a round.
+	// change is called in the middle of a round.
 	change func(env *environment)
-	// end ends a round.
+	// end is called at the end of a round.
 	end func(env *environment, process *exec.Cmd)
 }
 
-// TestRedeliveryThroughKills kills the sender at random moments while messages are held and sent again: it keeps each
-// in exactly one state, and the partner sees no more effects of a message than its class allows. CLEATHOLD_KILLS=200
-// makes the long run of it.
+// TestRedeliveryThroughKills kills the sender at random moments while messages are held and redelivered. Each message
+// must be in exactly one state, and must not have more effects than its class allows. CLEATHOLD_KILLS=200 runs 200
+// rounds.
 func TestRedeliveryThroughKills(t *testing.T) {
 	redeliverThrough(t, redeliveryRounds{
 		start:  func(env *environment, _ *exec.Cmd) *exec.Cmd { return env.start() },
@@ -37,11 +37,11 @@
 	})
 }
 
-// TestRedeliveryThroughHandovers is the same where one process hands over to the next instead, and where the platform's
-// settings change under way: a class comes in front of the others, the rest have other figures, and each record keeps
-// the name of its own.
+// TestRedeliveryThroughHandovers does the same with hand-overs instead of kills, and changes the platform's settings in
+// each round: a class is inserted before the others, and the other classes get new values. Each record must keep the
+// name of its class.
 func TestRedeliveryThroughHandovers(t *testing.T) {
-	temp, err := os.MkdirTemp("", "ch") // a Unix address is short
+	temp, err := os.MkdirTemp("", "ch") // the length of a Unix socket address is limited
 	must(t, err)
 	t.Cleanup(func() { os.RemoveAll(temp) })
 	t.Setenv("TMPDIR", temp)
@@ -63,7 +63,8 @@
 	})
 }
 
-// changeClasses puts another class in front, gives the rest other figures, and waits until they are in force.
+// changeClasses inserts a class before the others, changes the values of the other classes, and waits until the new
+// settings are in force.
 func changeClasses(t *testing.T, env *environment, adminAddr string) {
 	t.Helper()
 	baseTune := env.tune
@@ -88,14 +89,14 @@
 	until := time.Now().Add(20 * time.Second)
 	for statusOf(t, adminAddr).Config != want {
 		if time.Now().After(until) {
-			t.Fatal("the new settings are not in force")
+			t.Fatal("the new settings are not in force after 20 s")
 		}
 		syscall.Kill(statusOf(t, adminAddr).Pid, syscall.SIGHUP)
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// redeliveryPlan returns how many rounds to play and the seed that draws them.
+// redeliveryPlan returns the number of rounds and the seed of the random numbers.
 func redeliveryPlan(t *testing.T) (rounds int, seed uint64) {
 	rounds, seed = 8, 1
 	if n, err := strconv.Atoi(os.Getenv("CLEATHOLD_KILLS")); err == nil && n > 0 {
@@ -108,7 +109,7 @@
 	return rounds, seed
 }
 
-// drawFaults returns answers of a partner that often fails, in one of three ways.
+// drawFaults returns the flakyAnswer function of a partner that fails often, in one of three ways.
 func drawFaults(seed uint64) func() string {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	return func() string {
@@ -124,8 +125,8 @@
 	}
 }
 
-// redeliverThrough plays the rounds against a partner that often fails, then lets it recover, orders redelivery of all
-// records and checks what became of each message.
+// redeliverThrough runs the rounds against a partner that fails often. It then lets the partner recover, orders the
+// redelivery of all records and checks the state of each message.
 func redeliverThrough(t *testing.T, rounds redeliveryRounds) {
 	count, seed := redeliveryPlan(t)
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -160,22 +161,22 @@
 	rounds.start(env, process)
 	api := env.adminAPI()
 	idle := func(s map[string]int, x deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 && x.Owed == 0 }
-	env.awaitStats(api, "nothing on its way", idle)
-	time.Sleep(time.Second) // live ones have 0.55 s at most
+	env.awaitStats(api, "no redelivery in progress", idle)
+	time.Sleep(time.Second) // live messages have a deadline of 0.55 s at most
 	_, rejections, err := resendAll(api, 60)
 	must(t, err)
 	rejected := map[uint64]bool{}
 	for _, r := range rejections {
 		rejected[r.Seq] = true
 	}
-	states := env.awaitStats(api, "all sent that may be", idle)
+	states := env.awaitStats(api, "all redeliveries done", idle)
 	records := readRecords(t, api)
 	requireOneState(t, p, accepted, records, rejected, noticed)
 	t.Logf("%d rounds, %d messages accepted, %d of them held: %v", count, len(accepted), len(records), states)
 }
 
-// readRecords returns all records by the ids of their messages, and checks that none is there twice or of another
-// class.
+// readRecords returns all records by the ids of their messages. It checks that no message has two records, and that
+// each record has the class of its message.
 func readRecords(t *testing.T, api admin.API) map[string]deadletter.Record {
 	t.Helper()
 	records := map[string]deadletter.Record{}
@@ -184,10 +185,10 @@
 		must(t, err)
 		for _, r := range page.Records {
 			if class := map[byte]string{'s': "safe", 'k': "keyed", 'u': "unsafe"}[r.ID[0]]; r.Class != class {
-				t.Errorf("%s is of class %s, and is held as one of %q", r.ID, class, r.Class)
+				t.Errorf("%s is of class %s, but is held with class %q", r.ID, class, r.Class)
 			}
 			if _, duplicate := records[r.ID]; duplicate {
-				t.Errorf("%s is in the store twice", r.ID)
+				t.Errorf("%s has two records", r.ID)
 			}
 			records[r.ID] = r
 		}
@@ -197,8 +198,9 @@
 	}
 }
 
-// requireOneState checks that each accepted message was delivered or is held, that the platform knows of those held,
-// that all that may be sent were, and that no message had more effects than its class allows.
+// requireOneState checks that each accepted message was delivered or is held, that the platform got the delivery
+// reports of the held ones, that all records that may be redelivered were redelivered, and that no message had more
+// effects than its class allows.
 func requireOneState(
 	t *testing.T, p *partner, accepted map[string]bool, records map[string]deadletter.Record, rejected map[uint64]bool,
 	noticed func(id string) bool,
@@ -212,14 +214,14 @@
 		case !held && p.effects[id] == 0:
 			t.Errorf("%s is lost", id)
 		case held && !noticed(id):
-			t.Errorf("%s is held, and the platform does not know: %+v", id, r)
+			t.Errorf("%s is held, but its delivery report was not received: %+v", id, r)
 		case held && r.State == deadletter.Held && !rejected[r.Sequence]:
-			t.Errorf("%s may be sent and was not: %+v", id, r)
+			t.Errorf("%s may be redelivered, but was not: %+v", id, r)
 		case held && r.State == deadletter.Delivered && p.effects[id] == 0:
-			t.Errorf("%s is delivered by the store's word alone", id)
+			t.Errorf("%s is recorded as delivered, but had no effect", id)
 		}
 	}
 	for _, id := range p.excessEffects {
-		t.Errorf("double effect: %s: %+v", id, records[id])
+		t.Errorf("more effects than allowed: %s: %+v", id, records[id])
 	}
 }
--- a/cmd/cleathold/resources_test.go
+++ b/cmd/cleathold/resources_test.go
@@ -17,15 +17,16 @@
 	"cleathold/internal/socktest"
 )
 
-// limitDescriptors bounds the descriptors of a process.
+// limitDescriptors limits the number of file descriptors of a process.
 func limitDescriptors(t *testing.T, pid int, limit uint64) {
 	t.Helper()
 	must(t, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: 1024}, nil))
 }
 
-// TestIdleClientsWhileDiscoveryIsDown has clients connect and say nothing, or ask once and stay, more of them than
-// there are descriptors, while discovery is down: messages still get in, to targets, into new segments of the
-// write-ahead log and to the platform, and when discovery recovers it is polled.
+// TestIdleClientsWhileDiscoveryIsDown connects more idle clients than there are file descriptors while discovery is
+// down. Some clients send nothing, others send one request and stay connected. Messages must still be accepted, reach
+// their targets and be written to new segments of the write-ahead log, and delivery reports must reach the platform.
+// When discovery recovers, it must be polled.
 func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	const maxDescriptors = 96
@@ -43,11 +44,11 @@
 	c := env.start()
 	limitDescriptors(t, c.Process.Pid, maxDescriptors)
 	receive(t, env.polls)
-	receive(t, env.polls) // the watch: the list has come
+	receive(t, env.polls) // the second poll shows that the list was received
 	env.discoveryDown.Store(true)
 	body := strings.Repeat("x", 60<<10)
 	segments := map[string]bool{}
-	var waited time.Duration // by new clients, in all
+	var waited time.Duration // total waiting time of new clients
 	for round := range 6 {
 		waited += connectIdleClients(t, env, round)
 		waited += submitLarge(t, env, round, body)
@@ -56,12 +57,13 @@
 			segments[name] = true
 		}
 	}
-	// Where nobody makes room, those behind wait until silent ones have been so for 2 s: some 70 s in all.
+	// Unless idle connections are closed for new clients, these wait until silent connections time out after 2 s, which
+	// takes about 70 s in total.
 	if waited > 20*time.Second {
 		t.Errorf("new clients waited %v", waited)
 	}
 	if len(segments) < 2 {
-		t.Errorf("the write-ahead log was never in another segment: %v", segments)
+		t.Errorf("the write-ahead log has not started another segment: %v", segments)
 	}
 	for len(env.polls) > 0 {
 		<-env.polls
@@ -77,8 +79,8 @@
 	}
 }
 
-// connectIdleClients connects forty clients that stay, of which every other one asks once. It returns how long those
-// waited.
+// connectIdleClients connects forty clients that stay connected. Every other one sends one request. It returns the
+// total time that these waited for a response.
 func connectIdleClients(t *testing.T, env *environment, round int) (waited time.Duration) {
 	t.Helper()
 	for i := range 40 {
@@ -95,7 +97,7 @@
 }
 
 // submitLarge submits a safe and an unsafe message with a body. Both must be accepted and reach the target, and the
-// unsafe one be reported undeliverable. It returns how long the clients waited.
+// unsafe one must be reported as undeliverable. It returns the total time that the clients waited.
 func submitLarge(t *testing.T, env *environment, round int, body string) (waited time.Duration) {
 	t.Helper()
 	for _, class := range []string{"safe", "unsafe"} {
@@ -115,8 +117,9 @@
 	return waited
 }
 
-// TestNoFreeDescriptors leaves no descriptor for a while, neither for a client, a target nor the write-ahead log: what
-// was accepted meanwhile is delivered afterwards, the rest was rejected, and the process neither ends nor spins.
+// TestNoFreeDescriptors leaves a process without free file descriptors for a while, so that it can't accept clients,
+// connect to targets or open segments. Messages that it accepted meanwhile must be delivered afterwards, and all others
+// must be rejected. The process must neither exit nor run a busy loop.
 func TestNoFreeDescriptors(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t, func(string) string { return socktest.Status(200) })
@@ -131,7 +134,7 @@
 	accepted := map[string]bool{}
 	rejected := 0
 	body := strings.Repeat("x", 60<<10)
-	for i := range 24 { // more than a segment holds, and than the folder may hold of messages
+	for i := range 24 { // more than fit into a segment, and more than the folder may hold
 		id := fmt.Sprint("s", i)
 		switch got := exchange(client, in, messageRequest("safe", id, body)); got {
 		case 202:
@@ -142,7 +145,7 @@
 			t.Fatalf("%s: %d", id, got)
 		}
 	}
-	late := env.connectClient() // waits in the queue
+	late := env.connectClient() // waits in the accept queue
 	time.Sleep(500 * time.Millisecond)
 	processorUsed, elapsed := processorTime(t, c.Process.Pid)-before, time.Since(began)
 	limitDescriptors(t, c.Process.Pid, 256)
@@ -166,7 +169,7 @@
 		t.Errorf("%s reached the target", id)
 	}
 	if processorUsed > elapsed*3/4 {
-		t.Errorf("%v of the processor in %v without descriptors", processorUsed, elapsed)
+		t.Errorf("%v of processor time in %v without descriptors", processorUsed, elapsed)
 	}
 }
 
@@ -182,9 +185,9 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// TestReadyWhilePlatformSilent kills a sender with messages owed and starts it while the platform answers nothing at
-// all: readiness waits for nothing of it, and the sender delivers what it owes and what came since once discovery
-// answers again.
+// TestReadyWhilePlatformSilent kills a sender with a pending message and restarts it while the platform does not
+// respond. The sender must become ready without the platform, and must deliver pending and new messages once discovery
+// responds again.
 func TestReadyWhilePlatformSilent(t *testing.T) {
 	t.Parallel()
 	var answers bool
@@ -205,7 +208,7 @@
 	if took := time.Since(began); took > 10*time.Second {
 		t.Errorf("ready after %v", took)
 	}
-	c.Process.Signal(syscall.SIGHUP) // the same file once more: nothing of it waits, either
+	c.Process.Signal(syscall.SIGHUP) // a reload of the same file must not wait for the platform either
 	if got := env.roundTrip(healthRequest); got != 200 {
 		t.Errorf("health: %d", got)
 	}
@@ -219,14 +222,15 @@
 	}
 }
 
-// TestHundredStartWhileDiscoverySilent starts a hundred senders of one platform together while discovery takes their
-// polls and answers none: nine in ten are ready within 10 s, all before it answers, and each delivers once it does.
+// TestHundredStartWhileDiscoverySilent starts a hundred senders of one platform at the same time while discovery
+// accepts polls but does not respond. Nine in ten must be ready within 10 s, and all before discovery responds. Each
+// must deliver once it does.
 func TestHundredStartWhileDiscoverySilent(t *testing.T) {
 	const senders = 100
 	env := newEnvironment(t, func(string) string { return socktest.Status(200) })
 	env.tune = func(config map[string]any) { config["settings"].(map[string]any)["siblings"] = senders }
 	env.platformSilent.Store(true)
-	go func() { // nobody counts the questions
+	go func() { // discards the polls
 		for {
 			select {
 			case <-env.polls:
