--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -109,8 +109,8 @@
 
 func TestInvalidSettingsReportedAsInstanceBug(t *testing.T) {
 	s := new(batchBuilder)
-	s.start(1, `{"profiles": []}`).start(2, "nonsense").start(3, testSettings).sendEndpointList(3, 40)
-	s.submit(3, 5).submit(1, 6).endBatch(1)
+	s.start(1, `{"profiles": []}`).start(2, "nonsense").start(3, testSettings).
+		sendEndpointList(3, 40).submit(3, 5).submit(1, 6).endBatch(1)
 	var out bytes.Buffer
 	if err := run(s, &out); err != nil {
 		t.Fatal(err)
