--- a/cmd/cleathold/labsim.go
+++ b/cmd/cleathold/labsim.go
@@ -111,7 +111,8 @@
 	writeViolations(out, r.Violations)
 }
 
-// play plays one run, with a ledger where a folder is named. An end of the context ends it with errAborted.
+// play plays one run, and writes a ledger if there is a folder for it. If the context is canceled, the run fails with
+// errInterrupted.
 func (c *labSimCmd) play(ctx context.Context, s *scenario.Scenario, seed uint64, log *slog.Logger) simResult {
 	plan := s.Plan(seed)
 	var writer *ledger.Writer
--- a/cmd/cleathold/labsoak.go
+++ b/cmd/cleathold/labsoak.go
@@ -86,7 +86,7 @@
 	return violationsError(unsound)
 }
 
-// play plays one case in a folder of its own. It removes the folder if the case has no findings.
+// play plays one case in a separate folder. It removes the folder if the case has no findings.
 func (c *labSoakCmd) play(ctx context.Context, drawn *soak.Case) (*soak.Report, string, error) {
 	folder, err := filepath.Abs(filepath.Join(c.Out, fmt.Sprintf("soak-%d", drawn.Seed)))
 	if err != nil {
