--- a/cmd/cleathold/deadletter_test.go
+++ b/cmd/cleathold/deadletter_test.go
@@ -33,14 +33,14 @@
 func TestDeadLetterCommands(t *testing.T) {
 	p := newPartner(150)
 	env := newDeadLetterEnvironment(t, p, holdAllSettings)
-	env.collectNotices()
+	env.collectReports()
 	process := env.start()
 	clientConn := env.client()
 	for n := range 6 {
 		name, id, key := testMessage(n)
 		clientConn.submit(name, id, key, 0.3)
 	}
-	env.awaitStats(env.adminAPI(), "held", heldAndNoticed(6))
+	env.awaitStats(env.adminAPI(), "held", heldAndReported(6))
 	file := filepath.Join(t.TempDir(), "out.jsonl")
 	env.requireCommands("running", []commandCase{
 		{"held list --class unsafe --limit 1", 0, "more: --after"},
@@ -72,7 +72,7 @@
 	})
 	// In the store of another sender, imported records count as ones that may have run.
 	importingEnv := newDeadLetterEnvironment(t, p, holdAllSettings)
-	importingEnv.collectNotices()
+	importingEnv.collectReports()
 	importingEnv.start()
 	importingEnv.awaitStats(importingEnv.adminAPI(), "open", func(map[string]int, deadletter.Stats) bool { return true })
 	importingEnv.requireCommands("another sender", []commandCase{
@@ -85,7 +85,7 @@
 // nor end the process, and a valid one must take effect.
 func TestSettingsReload(t *testing.T) {
 	env := newDeadLetterEnvironment(t, newPartner(150), holdAllSettings)
-	env.collectNotices()
+	env.collectReports()
 	process := env.start()
 	clientConn := env.client()
 	reload := func(text string) {
@@ -94,13 +94,13 @@
 	}
 	clientConn.submit("safe", "s1", "", 0.2)
 	api := env.adminAPI()
-	env.awaitStats(api, "held", heldAndNoticed(1))
+	env.awaitStats(api, "held", heldAndReported(1))
 	check := "check --settings " + env.settingsScript
 	env.requireCommands("valid script", []commandCase{{check, 0, ""}})
 	reload(holdAllSettings + "\nheld(\n")
 	env.requireCommands("invalid script", []commandCase{{check, 1, "s.star:9:1"}})
 	clientConn.submit("safe", "s2", "", 0.2)
-	env.awaitStats(api, "held by the old script", heldAndNoticed(2))
+	env.awaitStats(api, "held by the old script", heldAndReported(2))
 	reload(holdAllSettings + "\ndef after(record, partner):\n    return drop()\n")
 	env.awaitStats(api, "dropped by the new one", func(states map[string]int, _ deadletter.Stats) bool {
 		return states["dropped"] == 2
--- a/cmd/cleathold/environment_test.go
+++ b/cmd/cleathold/environment_test.go
@@ -32,22 +32,22 @@
 	answer     func(id string) string       // returns the target's response to a message
 	respond    func(r *http.Request) string // replaces answer and calls if set
 
-	firstAddr      string      // the platform's address
-	secondAddr     string      // the platform's other address
-	polls          chan string // receives the platform's name for each poll of discovery
-	notices        chan string // delivery reports that the platform received
-	failNotices    atomic.Bool // the platform responds to delivery reports with an error
-	noticesMoved   atomic.Bool // the first address rejects delivery reports
-	discoveryDown  atomic.Bool // discovery closes connections without a response
-	platformSilent atomic.Bool // the platform does not respond
-	targetDraining atomic.Bool // discovery returns a second list, in which the target drains
+	firstAddr           string      // the platform's address
+	secondAddr          string      // the platform's other address
+	polls               chan string // receives the platform's name for each poll of discovery
+	reports             chan string // delivery reports that the platform received
+	failReports         atomic.Bool // the platform responds to delivery reports with an error
+	firstRejectsReports atomic.Bool // the first address rejects delivery reports
+	discoveryDown       atomic.Bool // discovery closes connections without a response
+	platformSilent      atomic.Bool // the platform does not respond
+	targetDraining      atomic.Bool // discovery returns a second list, in which the target drains
 }
 
 // newEnvironment starts the platform and a target with the given responses, and writes the sender's configuration.
 func newEnvironment(t *testing.T, answer func(id string) string) *environment {
 	env := &environment{
 		t: t, stateFolder: t.TempDir(), answer: answer,
-		calls: make(chan string, 256), notices: make(chan string, 256), polls: make(chan string, 256),
+		calls: make(chan string, 256), reports: make(chan string, 256), polls: make(chan string, 256),
 	}
 	env.targetAddr = socktest.Serve(t, func(_ int, r *http.Request, _ string) string {
 		if env.respond != nil {
@@ -85,13 +85,13 @@
 		return socktest.Hang
 	case r.Method == http.MethodGet && env.discoveryDown.Load():
 		return ""
-	case r.Method == http.MethodPost && name == "first" && env.noticesMoved.Load():
+	case r.Method == http.MethodPost && name == "first" && env.firstRejectsReports.Load():
 		return socktest.Status(503)
-	case r.Method == http.MethodPost && env.failNotices.Load():
-		env.notices <- "unheard"
+	case r.Method == http.MethodPost && env.failReports.Load():
+		env.reports <- "unheard"
 		return socktest.Status(503)
 	case r.Method == http.MethodPost:
-		env.notices <- body
+		env.reports <- body
 		return socktest.Status(204)
 	}
 	env.polls <- name
@@ -257,11 +257,11 @@
 	}
 }
 
-// requireNoNotice checks that the platform has received no other delivery report.
-func (env *environment) requireNoNotice() {
+// requireNoReport checks that the platform has received no other delivery report.
+func (env *environment) requireNoReport() {
 	env.t.Helper()
 	select {
-	case n := <-env.notices:
+	case n := <-env.reports:
 		env.t.Errorf("notice %q", n)
 	default:
 	}
--- a/cmd/cleathold/handover_test.go
+++ b/cmd/cleathold/handover_test.go
@@ -51,7 +51,7 @@
 				if id := receive(t, env.calls); id != "s1" {
 					t.Errorf("sent again: %s", id)
 				}
-				if n := receive(t, env.notices); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
+				if n := receive(t, env.reports); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
 					t.Errorf("notice %q", n)
 				}
 			} else {
@@ -67,7 +67,7 @@
 				}
 			}
 			env.submitAndAwait("unsafe", "u2")
-			env.requireNoNotice()
+			env.requireNoReport()
 		})
 	}
 }
@@ -110,7 +110,7 @@
 			t.Fatalf("pending %+v, %v", list, err)
 		}
 	}
-	env.requireNoNotice()
+	env.requireNoReport()
 }
 
 // TestHandoversUnderLoad makes two hand-overs in a row while messages are submitted on new connections. Each message
@@ -275,7 +275,7 @@
 		t.Errorf("the predecessor: %v", err)
 	}
 	env.submitAndAwait("safe", "s2")
-	env.requireNoNotice()
+	env.requireNoReport()
 }
 
 // TestStaleHandoverSocket checks that a process starts even if a killed process has left its hand-over socket, or if
--- a/cmd/cleathold/handoverchain_test.go
+++ b/cmd/cleathold/handoverchain_test.go
@@ -125,7 +125,7 @@
 	mu          sync.Mutex
 	calls       map[string]int           // number of calls by message
 	heldAnswers map[string]chan struct{} // by unsafe message; closing the channel answers its call
-	notices     map[string]string        // delivery reports by message
+	reports     map[string]string        // delivery reports by message
 }
 
 // callTime is the response time of calls whose answer is not held back.
@@ -141,7 +141,7 @@
 	t.Cleanup(block.Close)
 	chain := &handoverChain{
 		t: t, env: newEnvironment(t, nil), temp: temp, block: block,
-		calls: map[string]int{}, heldAnswers: map[string]chan struct{}{}, notices: map[string]string{},
+		calls: map[string]int{}, heldAnswers: map[string]chan struct{}{}, reports: map[string]string{},
 	}
 	chain.env.listen = block.Host(2) + ":8080" // not used by any other process of this machine
 	chain.env.configure(chain.env.firstAddr)
@@ -164,12 +164,12 @@
 			case <-t.Context().Done():
 				return
 			case <-chain.env.polls:
-			case text := <-chain.env.notices:
+			case text := <-chain.env.reports:
 				chain.mu.Lock()
 				for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 					var id string
 					fmt.Sscanf(line, `{"id":%q`, &id)
-					chain.notices[id] += line
+					chain.reports[id] += line
 				}
 				chain.mu.Unlock()
 			}
@@ -190,10 +190,10 @@
 }
 
 // count returns the number of calls and the delivery reports of a message.
-func (chain *handoverChain) count(id string) (calls int, notice string) {
+func (chain *handoverChain) count(id string) (calls int, report string) {
 	chain.mu.Lock()
 	defer chain.mu.Unlock()
-	return chain.calls[id], chain.notices[id]
+	return chain.calls[id], chain.reports[id]
 }
 
 // await waits until a condition holds. It fails the test after 20 s.
@@ -287,10 +287,10 @@
 		if n != 1 {
 			chain.t.Errorf("%s was sent %d times", id, n)
 		}
-		notice := chain.notices[id]
-		undeliverable := strings.Count(notice, id) == 1 && strings.Contains(notice, "undeliverable")
-		if notice != "" && !(succeeded[id] && undeliverable) {
-			chain.t.Errorf("%s: %s", id, notice)
+		report := chain.reports[id]
+		undeliverable := strings.Count(report, id) == 1 && strings.Contains(report, "undeliverable")
+		if report != "" && !(succeeded[id] && undeliverable) {
+			chain.t.Errorf("%s: %s", id, report)
 		}
 	}
 	if len(chain.calls) != 2*len(succeeded) {
--- a/cmd/cleathold/main_test.go
+++ b/cmd/cleathold/main_test.go
@@ -44,7 +44,7 @@
 	if id := receive(t, env.calls); id != "s1" {
 		t.Errorf("sent again: %s", id)
 	}
-	if n := receive(t, env.notices); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
+	if n := receive(t, env.reports); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
 		t.Errorf("notice %q", n)
 	}
 	env.submit("safe", "s2") // it continues to serve, and u1 is not sent
@@ -77,7 +77,7 @@
 		select {
 		case id := <-env.calls:
 			recordSend(id)
-		case lines := <-env.notices:
+		case lines := <-env.reports:
 			for id := range unfinished {
 				if strings.Contains(lines, `"`+id+`"`) {
 					delete(unfinished, id)
@@ -94,21 +94,21 @@
 	}
 }
 
-// TestNoticeSurvivesKill checks that a delivery report survives a kill of the process if the platform has not
+// TestDeliveryReportSurvivesKill checks that a delivery report survives a kill of the process if the platform has not
 // acknowledged it.
-func TestNoticeSurvivesKill(t *testing.T) {
+func TestDeliveryReportSurvivesKill(t *testing.T) {
 	env := newEnvironment(t, func(string) string { return socktest.Status(500) })
-	env.failNotices.Store(true)
+	env.failReports.Store(true)
 	c := env.start()
 	env.submit("unsafe", "u1")
-	receive(t, env.notices)
+	receive(t, env.reports)
 	env.kill(c)
-	env.failNotices.Store(false)
-	for len(env.notices) > 0 {
-		<-env.notices
+	env.failReports.Store(false)
+	for len(env.reports) > 0 {
+		<-env.reports
 	}
 	env.start()
-	if n := receive(t, env.notices); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
+	if n := receive(t, env.reports); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
 		t.Errorf("notice %q", n)
 	}
 }
@@ -122,7 +122,7 @@
 	}
 	before, err := os.ReadFile(env.config)
 	must(t, err)
-	env.noticesMoved.Store(true)
+	env.firstRejectsReports.Store(true)
 	env.configure(env.secondAddr)
 	c.Process.Signal(syscall.SIGHUP)
 	for receive(t, env.polls) != "second" {
@@ -133,7 +133,7 @@
 		c.Process.Signal(syscall.SIGHUP)
 	}
 	env.submit("unsafe", "u1")
-	if n := receive(t, env.notices); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
+	if n := receive(t, env.reports); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
 		t.Errorf("notice %q", n)
 	}
 	c.Process.Signal(syscall.SIGTERM)
--- a/cmd/cleathold/partner_test.go
+++ b/cmd/cleathold/partner_test.go
@@ -259,9 +259,9 @@
 	return nil
 }
 
-// collectNotices starts a goroutine that drains the channels of the environment. The returned function reports whether
+// collectReports starts a goroutine that drains the channels of the environment. The returned function reports whether
 // the platform has received a delivery report that a message is undeliverable.
-func (env *environment) collectNotices() (undeliverable func(id string) bool) {
+func (env *environment) collectReports() (undeliverable func(id string) bool) {
 	var mu sync.Mutex
 	ids := map[string]bool{}
 	go func() {
@@ -269,7 +269,7 @@
 			select {
 			case <-env.calls:
 			case <-env.polls:
-			case text := <-env.notices:
+			case text := <-env.reports:
 				mu.Lock()
 				for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 					var n struct{ ID, Status string }
--- a/cmd/cleathold/recovery_test.go
+++ b/cmd/cleathold/recovery_test.go
@@ -35,13 +35,13 @@
 func runRecovery(t *testing.T, resends bool) (liveWorth float64) {
 	p := newPartner(150)
 	env := newDeadLetterEnvironment(t, p, holdAllSettings)
-	noticed := env.collectNotices()
+	reported := env.collectReports()
 	env.start()
 	api, c := env.adminAPI(), env.client()
 	ran := fillDeadLetters(t, env, p, c)
 	for n := range deadLetters {
-		if _, id, _ := testMessage(n); !noticed(id) || p.effects[id] > 0 {
-			t.Fatalf("%s: noticed %t, effects %d", id, noticed(id), p.effects[id])
+		if _, id, _ := testMessage(n); !reported(id) || p.effects[id] > 0 {
+			t.Fatalf("%s: noticed %t, effects %d", id, reported(id), p.effects[id])
 		}
 	}
 	if resends {
@@ -102,7 +102,7 @@
 			t.Fatalf("%s: %d %v", id, status, err)
 		}
 	}
-	env.awaitStats(api, "all held", heldAndNoticed(deadLetters+brokenCalls))
+	env.awaitStats(api, "all held", heldAndReported(deadLetters+brokenCalls))
 	return ran
 }
 
@@ -193,8 +193,8 @@
 	}
 }
 
-// heldAndNoticed returns the condition that count records are held and that the platform has acknowledged the delivery
+// heldAndReported returns the condition that count records are held and that the platform has acknowledged the delivery
 // reports of all of them.
-func heldAndNoticed(count int) func(states map[string]int, s deadletter.Stats) bool {
+func heldAndReported(count int) func(states map[string]int, s deadletter.Stats) bool {
 	return func(states map[string]int, s deadletter.Stats) bool { return states["held"] == count && s.Owed == 0 }
 }
--- a/cmd/cleathold/redelivery_test.go
+++ b/cmd/cleathold/redelivery_test.go
@@ -134,7 +134,7 @@
 	p.openedAt = time.Now().Add(-time.Hour)
 	p.flakyAnswer = drawFaults(seed)
 	env := newDeadLetterEnvironment(t, p, holdAllSettings)
-	noticed := env.collectNotices()
+	reported := env.collectReports()
 	accepted := map[string]bool{}
 	var process *exec.Cmd
 	for round := range count {
@@ -171,7 +171,7 @@
 	}
 	states := env.awaitStats(api, "all redeliveries done", idle)
 	records := readRecords(t, api)
-	requireOneState(t, p, accepted, records, rejected, noticed)
+	requireOneState(t, p, accepted, records, rejected, reported)
 	t.Logf("%d rounds, %d messages accepted, %d of them held: %v", count, len(accepted), len(records), states)
 }
 
@@ -203,7 +203,7 @@
 // effects than its class allows.
 func requireOneState(
 	t *testing.T, p *partner, accepted map[string]bool, records map[string]deadletter.Record, rejected map[uint64]bool,
-	noticed func(id string) bool,
+	reported func(id string) bool,
 ) {
 	t.Helper()
 	p.mu.Lock()
@@ -213,7 +213,7 @@
 		switch {
 		case !held && p.effects[id] == 0:
 			t.Errorf("%s is lost", id)
-		case held && !noticed(id):
+		case held && !reported(id):
 			t.Errorf("%s is held, but its delivery report was not received: %+v", id, r)
 		case held && r.State == deadletter.Held && !rejected[r.Sequence]:
 			t.Errorf("%s may be redelivered, but was not: %+v", id, r)
