--- a/cmd/cleathold/environment_test.go
+++ b/cmd/cleathold/environment_test.go
@@ -262,7 +262,7 @@
 	env.t.Helper()
 	select {
 	case n := <-env.reports:
-		env.t.Errorf("notice %q", n)
+		env.t.Errorf("delivery report %q", n)
 	default:
 	}
 }
--- a/cmd/cleathold/handover_test.go
+++ b/cmd/cleathold/handover_test.go
@@ -52,7 +52,7 @@
 					t.Errorf("sent again: %s", id)
 				}
 				if n := receive(t, env.reports); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
-					t.Errorf("notice %q", n)
+					t.Errorf("delivery report %q", n)
 				}
 			} else {
 				env.submitAndAwait("safe", "s2")
--- a/cmd/cleathold/main_test.go
+++ b/cmd/cleathold/main_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("sent again: %s", id)
 	}
 	if n := receive(t, env.reports); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
-		t.Errorf("notice %q", n)
+		t.Errorf("delivery report %q", n)
 	}
 	env.submit("safe", "s2") // it continues to serve, and u1 is not sent
 	if id := receive(t, env.calls); id != "s2" {
@@ -109,7 +109,7 @@
 	}
 	env.start()
 	if n := receive(t, env.reports); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
-		t.Errorf("notice %q", n)
+		t.Errorf("delivery report %q", n)
 	}
 }
 
@@ -134,7 +134,7 @@
 	}
 	env.submit("unsafe", "u1")
 	if n := receive(t, env.reports); n != `{"id":"u1","status":"undeliverable"}`+"\n" {
-		t.Errorf("notice %q", n)
+		t.Errorf("delivery report %q", n)
 	}
 	c.Process.Signal(syscall.SIGTERM)
 	if err := c.Wait(); err != nil { // fails if SIGHUP has ended the process
--- a/cmd/cleathold/recovery_test.go
+++ b/cmd/cleathold/recovery_test.go
@@ -41,7 +41,7 @@
 	ran := fillDeadLetters(t, env, p, c)
 	for n := range deadLetters {
 		if _, id, _ := testMessage(n); !reported(id) || p.effects[id] > 0 {
-			t.Fatalf("%s: noticed %t, effects %d", id, reported(id), p.effects[id])
+			t.Fatalf("%s: reported %t, effects %d", id, reported(id), p.effects[id])
 		}
 	}
 	if resends {
--- a/cmd/cleathold/resources_test.go
+++ b/cmd/cleathold/resources_test.go
@@ -112,7 +112,7 @@
 	}
 	want := fmt.Sprintf("{\"id\":\"u%d\",\"status\":\"undeliverable\"}\n", round)
 	if got := receive(t, env.reports); got != want {
-		t.Errorf("notice %q, want %q", got, want)
+		t.Errorf("delivery report %q, want %q", got, want)
 	}
 	return waited
 }
