--- a/cmd/cleathold/deadletterorder.go
+++ b/cmd/cleathold/deadletterorder.go
@@ -12,13 +12,13 @@
 	"cleathold/internal/deadletter"
 )
 
-// maxShownRejections is how many rejected records or lines are written one by one.
+// maxShownRejections is the number of rejected records or lines that are listed individually.
 const maxShownRejections = 20
 
-// progressPages is how many pages pass between two lines of progress.
+// progressPages is the number of pages between two progress messages.
 const progressPages = 4
 
-// orderFlags are the flags of resend and drop, which act on records.
+// orderFlags holds the flags of resend and drop.
 type orderFlags struct {
 	filterFlags
 	Sequences []uint64 `arg:"" optional:"" help:"Numbers of records." name:"seqs"`
@@ -26,17 +26,17 @@
 	DryRun    bool     `help:"Only tell what would be done."`
 }
 
-// orderResult adds up what came of an order over its pages.
+// orderResult accumulates the outcome of an order over its pages.
 type orderResult struct {
-	done        int
-	rejected    int                         // records
-	byReason    map[string]int              // rejected records
-	rejections  []deadletter.RejectedRecord // the first, a page at most
-	wasDryRun   bool
-	commandVerb string
+	done       int
+	rejected   int                         // number of records
+	byReason   map[string]int              // number of rejected records by reason
+	rejections []deadletter.RejectedRecord // the first ones, at most one page
+	dryRun     bool
+	verb       string
 }
 
-// add counts the outcome of one page.
+// add adds the outcome of one page.
 func (r *orderResult) add(page deadletter.Outcome) {
 	r.done += page.Done
 	r.rejected += len(page.Rejected)
@@ -48,7 +48,7 @@
 	}
 }
 
-// run carries an order out page by page, writes the result, and returns an error with exitRejected if any record was
+// run executes an order page by page and writes the result. It returns an error with exitRejected if any record was
 // rejected.
 func (f *orderFlags) run(out io.Writer, h *heldCmd, verb string, order admin.Order) error {
 	filter, err := f.parse()
@@ -56,13 +56,13 @@
 	case err != nil:
 		return err
 	case len(f.Sequences) > 0 && !filter.Empty():
-		return errors.New("name numbers or a filter, not both")
+		return errors.New("specify record numbers or a filter, not both")
 	case len(f.Sequences) == 0 && filter.Empty() && !f.All:
-		return errors.New("name numbers, a filter, or --all")
+		return errors.New("specify record numbers, a filter, or --all")
 	}
 	order.DryRun = f.DryRun
 	return h.Source.run(func(ctx context.Context, api admin.API) error {
-		result := &orderResult{byReason: map[string]int{}, wasDryRun: f.DryRun, commandVerb: verb}
+		result := &orderResult{byReason: map[string]int{}, dryRun: f.DryRun, verb: verb}
 		if len(f.Sequences) > 0 {
 			err = result.runSequences(ctx, api, order, f.Sequences)
 		} else {
@@ -79,19 +79,19 @@
 			result.writeText(out)
 		}
 		if result.rejected > 0 {
-			return exitError{fmt.Errorf("%d records were refused", result.rejected), exitRejected}
+			return exitError{fmt.Errorf("%d records were rejected", result.rejected), exitRejected}
 		}
 		return nil
 	})
 }
 
-// runSequences carries the order out for records by number.
+// runSequences executes the order for the records with these sequence numbers.
 func (r *orderResult) runSequences(ctx context.Context, api admin.API, order admin.Order, sequences []uint64) error {
 	for len(sequences) > 0 {
 		count := min(len(sequences), deadletter.MaxPageSize)
 		order.Selection = deadletter.Selection{Sequences: sequences[:count]}
 		sequences = sequences[count:]
-		page, err := api.Act(ctx, r.commandVerb, order)
+		page, err := api.Act(ctx, r.verb, order)
 		if err != nil {
 			return err
 		}
@@ -100,14 +100,14 @@
 	return nil
 }
 
-// runFilter carries the order out for all records that pass a filter, and tells the progress on standard error.
+// runFilter executes the order for all records that pass a filter, and writes progress messages to standard error.
 func (r *orderResult) runFilter(
 	ctx context.Context, api admin.API, order admin.Order, filter deadletter.Filter,
 ) error {
 	next := uint64(0)
 	for pages := 1; ; pages++ {
 		order.Selection = deadletter.Selection{Filter: filter, After: next, Limit: deadletter.MaxPageSize}
-		page, err := api.Act(ctx, r.commandVerb, order)
+		page, err := api.Act(ctx, r.verb, order)
 		if err != nil {
 			return fmt.Errorf("after %d done: %w", r.done, err)
 		}
@@ -116,12 +116,12 @@
 			return nil
 		}
 		if pages%progressPages == 0 {
-			fmt.Fprintf(os.Stderr, "%s: %d so far, at number %d\n", r.commandVerb, r.done, next)
+			fmt.Fprintf(os.Stderr, "%s: %d so far, at number %d\n", r.verb, r.done, next)
 		}
 	}
 }
 
-// orderJSON is the JSON of an order's result.
+// orderJSON is the JSON representation of an order's result.
 type orderJSON struct {
 	Done       int                         `json:"done"`
 	Rejected   int                         `json:"refused"`
@@ -131,15 +131,15 @@
 }
 
 func (r *orderResult) writeJSON(out io.Writer) error {
-	return writeJSON(out, orderJSON{r.done, r.rejected, r.byReason, r.rejections, r.wasDryRun})
+	return writeJSON(out, orderJSON{r.done, r.rejected, r.byReason, r.rejections, r.dryRun})
 }
 
 func (r *orderResult) writeText(out io.Writer) {
 	note := ""
-	if r.wasDryRun {
+	if r.dryRun {
 		note = " (dry run: nothing was changed)"
 	}
-	fmt.Fprintf(out, "%s: %d done, %d refused%s\n", r.commandVerb, r.done, r.rejected, note)
+	fmt.Fprintf(out, "%s: %d done, %d refused%s\n", r.verb, r.done, r.rejected, note)
 	for _, rejection := range r.rejections[:min(len(r.rejections), maxShownRejections)] {
 		fmt.Fprintf(out, "  %d: %s\n", rejection.Seq, rejection.Reason)
 	}
@@ -150,7 +150,7 @@
 	}
 }
 
-// heldResendCmd orders redelivery.
+// heldResendCmd orders the redelivery of records.
 type heldResendCmd struct {
 	orderFlags
 	Within time.Duration `help:"Give up for now after this; the settings' time if not given."`
@@ -161,7 +161,7 @@
 	return c.run(out, h, "resend", admin.Order{WithinS: c.Within.Seconds()})
 }
 
-// heldDropCmd ends records without a redelivery.
+// heldDropCmd drops records without redelivery.
 type heldDropCmd struct{ orderFlags }
 
 // Run executes the command.
--- a/cmd/cleathold/handovercut_test.go
+++ b/cmd/cleathold/handovercut_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// everyByte has a hand-over cut at each byte, and not only at some of the state's.
+// everyByte makes the test cut the hand-over at each byte of the state, not only at some of them.
 var everyByte = flag.Bool("every-byte", false, "cut a hand-over at each byte of the state, too")
 
-// TestHandoverCutAtEachByte cuts the connection of two processes of a sender at each byte of a hand-over, while both
-// live. As long as the state is incomplete the predecessor serves on. From then on both may believe that they have it,
-// and whichever locks the write-ahead log first does; the other finds it locked and ends. One of them serves in any
-// case, nothing unsafe is sent twice, and what was in flight ends once: by its call's answer, or undeliverable where
-// that could not be passed on.
+// TestHandoverCutAtEachByte cuts the connection between the two processes of a hand-over at each byte, while both
+// processes live. As long as the state is incomplete, the predecessor must continue to serve. After that, both may try
+// to serve: the process that locks the write-ahead log first serves, and the other one exits. In each case one of them
+// must serve, no unsafe message may be sent twice, and each message in flight must end once: by the result of its call,
+// or as undeliverable if the result could not be passed on.
 func TestHandoverCutAtEachByte(t *testing.T) {
 	t.Parallel()
 	const shards = 6
@@ -29,10 +29,10 @@
 		chain.checkOutcomes(map[string]bool{"out-0.-1": false})
 	})
 	var cuts [][2]int
-	for direction, n := range passed {
-		for k := range n {
-			if direction == fromSuccessor || *everyByte || k < 6 || k > n-200 && k%3 == 0 || k%61 == 0 {
-				cuts = append(cuts, [2]int{direction, k})
+	for direction, size := range passed {
+		for offset := range size {
+			if direction == fromSuccessor || *everyByte || offset < 6 || offset > size-200 && offset%3 == 0 || offset%61 == 0 {
+				cuts = append(cuts, [2]int{direction, offset})
 			}
 		}
 	}
@@ -43,20 +43,20 @@
 				t.Parallel()
 				chain := newHandoverChain(t)
 				chain.start()
-				cut := map[string]bool{}
+				succeededByID := map[string]bool{}
 				for k := i; k < len(cuts); k += shards {
 					_, succeeded := chain.handOver(cuts[k][0], cuts[k][1])
-					if cut[fmt.Sprintf("out-%d.%d", cuts[k][0], cuts[k][1])] = succeeded; succeeded {
+					if succeededByID[fmt.Sprintf("out-%d.%d", cuts[k][0], cuts[k][1])] = succeeded; succeeded {
 						successors.Add(1)
 					} else {
 						predecessors.Add(1)
 					}
 				}
-				chain.checkOutcomes(cut)
+				chain.checkOutcomes(succeededByID)
 			})
 		}
 	})
-	t.Logf("the successor says %d bytes, the predecessor %d; %d cuts: %d successors and %d predecessors served",
+	t.Logf("the successor sends %d bytes, the predecessor %d; %d cuts: %d successors and %d predecessors served",
 		passed[fromSuccessor], passed[fromPredecessor], len(cuts), successors.Load(), predecessors.Load())
 	if successors.Load() < 30 || predecessors.Load() < 30 {
 		t.Errorf("%d successors and %d predecessors served", successors.Load(), predecessors.Load())
--- a/cmd/cleathold/partner_test.go
+++ b/cmd/cleathold/partner_test.go
@@ -23,37 +23,38 @@
 )
 
 const (
-	keyRetention   = 3 * time.Second        // how long the partner drops repeats of a key
-	overloadWindow = 500 * time.Millisecond // in which an overload is measured
+	keyRetention   = 3 * time.Second        // how long the partner ignores repeated keys
+	overloadWindow = 500 * time.Millisecond // window for the measurement of overload
 	warmUpDuration = 3 * time.Second
-	warmUpFraction = 0.22                   // of the rate, as the partner returns
-	limitWindow    = 250 * time.Millisecond // in which the partner counts calls against its limit
+	warmUpFraction = 0.22                   // fraction of the rate when the partner returns
+	limitWindow    = 250 * time.Millisecond // window in which the partner counts calls against its limit
 )
 
-// partner is a stand-in for one partner system. It is shut, or returns cold: its limit rises from warmUpFraction of its
-// rate to all of it. It counts effects, by key where a message has one, and all calls that reach it.
+// partner simulates one partner system. It rejects all calls, or returns cold: its limit then rises from warmUpFraction
+// of its rate to the full rate. It records all calls, and counts the effects of each message, with repeated keys
+// ignored.
 type partner struct {
-	mu          sync.Mutex
-	rate        float64     // calls a second once warm
-	openedAt    time.Time   // zero: shut
-	resetCalls  bool        // a call takes effect and its connection is reset
-	calls       []time.Time // all that came
-	accepted    []time.Time // the latest within the limit
-	effects     map[string]int
-	firstEffect map[string]time.Time
-	flakyAnswer func() string        // "ordinary", "break" or an answer in the place of the ordinary one; under mu
-	seenKeys    map[string]time.Time // by key: when it was first seen
-	doubles     []string             // ids with more effects than their class allows
+	mu            sync.Mutex
+	rate          float64     // calls per second when warm
+	openedAt      time.Time   // zero if the partner rejects all calls
+	resetCalls    bool        // each call takes effect and its connection is closed
+	calls         []time.Time // times of all calls
+	accepted      []time.Time // times of the accepted calls in the latest window
+	effects       map[string]int
+	firstEffect   map[string]time.Time
+	flakyAnswer   func() string        // returns "ordinary", "break" or a response; guarded by mu
+	seenKeys      map[string]time.Time // time of the last effect, by key
+	excessEffects []string             // ids of messages with more effects than their class allows
 }
 
-// newPartner returns a partner that is shut.
+// newPartner returns a partner that rejects all calls.
 func newPartner(rate float64) *partner {
 	return &partner{
 		rate: rate, effects: map[string]int{}, firstEffect: map[string]time.Time{}, seenKeys: map[string]time.Time{},
 	}
 }
 
-// open has the partner return cold, and forget the calls that came before.
+// open makes the partner return cold, and discards the record of earlier calls.
 func (p *partner) open() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +62,7 @@
 	p.calls = nil
 }
 
-// capacity returns what the partner can do at a time, in calls a second.
+// capacity returns the partner's capacity at a time, in calls per second.
 func (p *partner) capacity(at time.Time) float64 {
 	if p.openedAt.IsZero() {
 		return 0
@@ -69,7 +70,7 @@
 	return p.rate * min(1, warmUpFraction+(1-warmUpFraction)*at.Sub(p.openedAt).Seconds()/warmUpDuration.Seconds())
 }
 
-// answer answers a call or a health check.
+// answer responds to a call or a health check.
 func (p *partner) answer(r *http.Request) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,14 +84,14 @@
 	id, key := r.Header.Get("X-Request-Id"), r.Header.Get("Idempotency-Key")
 	p.calls = append(p.calls, now)
 	if p.resetCalls {
-		p.effect(id, key, now)
+		p.applyEffect(id, key, now)
 		return ""
 	}
 	if p.flakyAnswer != nil {
 		switch a := p.flakyAnswer(); a {
 		case "ordinary":
 		case "break":
-			p.effect(id, key, now)
+			p.applyEffect(id, key, now)
 			return ""
 		default:
 			return a
@@ -103,12 +104,13 @@
 		return socktest.Status(503)
 	}
 	p.accepted = append(p.accepted, now)
-	p.effect(id, key, now)
+	p.applyEffect(id, key, now)
 	return socktest.Status(200)
 }
 
-// effect lets a message take effect unless its key was seen. All but safe ones must have one effect at most.
-func (p *partner) effect(id, key string, now time.Time) {
+// applyEffect records an effect of a message unless its key was used within keyRetention. Only safe messages may have
+// more than one effect.
+func (p *partner) applyEffect(id, key string, now time.Time) {
 	if key != "" {
 		if at, known := p.seenKeys[key]; known && now.Sub(at) < keyRetention {
 			return
@@ -119,12 +121,12 @@
 		p.firstEffect[id] = now
 	}
 	if p.effects[id]++; p.effects[id] > 1 && id[0] != 's' {
-		p.doubles = append(p.doubles, id)
+		p.excessEffects = append(p.excessEffects, id)
 	}
 }
 
-// maxOverload returns the most calls in a window since the partner opened, as a multiple of its capacity at the start
-// of the window.
+// maxOverload returns the largest number of calls in a window since the partner returned, as a multiple of its capacity
+// at the start of that window.
 func (p *partner) maxOverload(window time.Duration) (worst float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,8 +155,7 @@
     return HOLD
 `
 
-// newDeadLetterEnvironment returns an environment whose sender has a dead-letter queue, and whose target is the
-// partner.
+// newDeadLetterEnvironment returns an environment whose sender has a dead-letter queue and whose target is the partner.
 func newDeadLetterEnvironment(t *testing.T, p *partner, script string) *environment {
 	env := newEnvironment(t, func(string) string { return "" })
 	env.settingsScript = filepath.Join(t.TempDir(), "s.star")
@@ -163,8 +164,8 @@
 	env.tune = func(c map[string]any) {
 		c["limits"].(map[string]any)["disk_mb"] = 8
 		c["limits"].(map[string]any)["sockets"] = 1024
-		set := c["settings"].(map[string]any)
-		set["profiles"] = []map[string]any{
+		settings := c["settings"].(map[string]any)
+		settings["profiles"] = []map[string]any{
 			{"name": "safe", "aim-ms": 400, "deadline-ms": 4000, "effect": "safe", "late-worth": 0.5, "worth": 1},
 			{
 				"name": "keyed", "aim-ms": 400, "deadline-ms": 4000, "effect": "keyed",
@@ -172,13 +173,13 @@
 			},
 			{"name": "unsafe", "aim-ms": 400, "deadline-ms": 4000, "effect": "unsafe", "late-worth": 0.5, "worth": 1},
 		}
-		set["weights"] = "rough"
-		set["specifics"] = map[string]any{"max-calls": 48}
-		set["limits"] = map[string]any{
+		settings["weights"] = "rough"
+		settings["specifics"] = map[string]any{"max-calls": 48}
+		settings["limits"] = map[string]any{
 			"open-cap": 1500, "send-cap": 0, "conn-idle-ms": 15000, "connect-timeout-ms": 1500, "cancel": true,
 			"probes": true, "second-copies": true,
 		}
-		set["guarantees"] = map[string]any{
+		settings["guarantees"] = map[string]any{
 			"must-ask-in-ms": 10000, "fall-ms": overloadWindow.Milliseconds(), "fall-multiple": 2,
 			"cold-ms": warmUpDuration.Milliseconds(), "cold-from": warmUpFraction,
 		}
@@ -187,7 +188,7 @@
 	return env
 }
 
-// adminAPI returns the sender's admin API at its socket.
+// adminAPI returns a client for the admin API at the sender's socket.
 func (env *environment) adminAPI() admin.API {
 	api := admin.Dial(filepath.Join(filepath.Dir(env.settingsScript), "a.sock"))
 	env.t.Cleanup(func() { api.Close() })
@@ -200,7 +201,7 @@
 	in   *bufio.Reader
 }
 
-// client opens a connection.
+// client connects a client to the sender.
 func (env *environment) client() *client {
 	conn := env.connectClient()
 	return &client{conn, bufio.NewReader(conn)}
@@ -224,7 +225,7 @@
 	return r.StatusCode, nil
 }
 
-// testMessage returns the class, the id and the key of the n-th message.
+// testMessage returns the class, the id and the key of message n.
 func testMessage(n int) (name, id, key string) {
 	switch n % 3 {
 	case 0:
@@ -237,7 +238,7 @@
 
 // awaitStats polls the dead-letter queue until a condition holds, and returns the number of records by state.
 func (env *environment) awaitStats(
-	api admin.API, what string, done func(states map[string]int, s deadletter.Stats) bool,
+	api admin.API, description string, condition func(states map[string]int, s deadletter.Stats) bool,
 ) map[string]int {
 	env.t.Helper()
 	states := map[string]int{}
@@ -250,17 +251,17 @@
 		for _, g := range s.States {
 			states[g.Name] = g.Records
 		}
-		if done(states, s) {
+		if condition(states, s) {
 			return states
 		}
 	}
-	env.t.Fatalf("%s: %v", what, states)
+	env.t.Fatalf("%s: %v", description, states)
 	return nil
 }
 
-// collectNotices keeps the channels of the environment empty. The function that it returns tells whether the platform
-// was notified that a message is undeliverable.
-func (env *environment) collectNotices() (undeliverable func(id string) bool) {
+// collectReports starts a goroutine that drains the channels of the environment. The returned function reports whether
+// the platform has received a delivery report that a message is undeliverable.
+func (env *environment) collectReports() (undeliverable func(id string) bool) {
 	var mu sync.Mutex
 	ids := map[string]bool{}
 	go func() {
@@ -268,7 +269,7 @@
 			select {
 			case <-env.calls:
 			case <-env.polls:
-			case text := <-env.notices:
+			case text := <-env.reports:
 				mu.Lock()
 				for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 					var n struct{ ID, Status string }
@@ -287,7 +288,7 @@
 	}
 }
 
-// runCommand runs a command of the program as a process, and returns its output and its exit code.
+// runCommand runs a command of the program as a process, and returns its output and exit code.
 func (env *environment) runCommand(args ...string) (string, int) {
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), "CLEATHOLD_CHILD=1", "CLEATHOLD_SETTINGS="+env.settingsScript)
@@ -297,7 +298,7 @@
 	return out.String(), c.ProcessState.ExitCode()
 }
 
-// statusOf returns what a sender says at its admin address.
+// statusOf returns the status of a sender from its admin address.
 func statusOf(t *testing.T, adminAddr string) (s admin.Status) {
 	t.Helper()
 	r, err := http.Get("http://" + adminAddr + admin.StatusPath)
