--- a/internal/partner/call.go
+++ b/internal/partner/call.go
@@ -54,14 +54,14 @@
 // A job is a call that waits for a server or runs on one.
 type job struct {
 	Call
-	endpoint   *endpoint
-	workLeft   time.Duration // at full speed, as of since
-	since      time.Duration // the last update of workLeft
-	version    uint64        // of its entry in the agenda; 0: it has none
-	canceled   bool
-	answer     AnswerKind
-	failsEarly bool // Reset: before its effect
-	unanswered bool // it gets no answer
+	endpoint          *endpoint
+	workLeft          time.Duration // at full speed, as of since
+	since             time.Duration // the last update of workLeft
+	version           uint64        // of its entry in the agenda; 0: it has none
+	canceled          bool
+	answer            AnswerKind
+	resetBeforeEffect bool // Reset: before its effect
+	noAnswer          bool // it gets no answer
 }
 
 // Call has an endpoint receive a call on an open connection. Answers returns its answer. It returns ErrUnknown for an
@@ -70,7 +70,7 @@
 	m.Advance(now)
 	e := m.endpoints[c.Endpoint]
 	if e == nil || e.removed {
-		return ErrUnknown
+		return ErrUnknownEndpoint
 	}
 	if m.jobs[c.ID] != nil {
 		return fmt.Errorf("partner: call %d is out already", c.ID)
@@ -79,7 +79,7 @@
 	if f.Mode != Overloaded {
 		m.checkOverload(e.route, c.Sender)
 	}
-	if kind, retryAfter, done := m.answerAtOnce(e, f, &c); done {
+	if kind, retryAfter, done := m.answerImmediately(e, f, &c); done {
 		if c.HealthCheck {
 			retryAfter = 0 // PROTOCOL: a health check is answered 200 or 503
 		}
@@ -93,9 +93,11 @@
 	return nil
 }
 
-// answerAtOnce returns the answer to a call that needs no server, from an endpoint with a fault. It returns false for
-// a call that does.
-func (m *Model) answerAtOnce(e *endpoint, f Fault, c *Call) (kind AnswerKind, retryAfter time.Duration, done bool) {
+// answerImmediately returns the answer to a call that an endpoint with fault f answers without a server. For a call
+// that needs a server, done is false.
+func (m *Model) answerImmediately(
+	e *endpoint, f Fault, c *Call,
+) (kind AnswerKind, retryAfter time.Duration, done bool) {
 	switch {
 	case f.Mode == Down || f.Mode == Overloaded:
 		return Reset, 0, true
@@ -117,7 +119,7 @@
 
 // newJob draws the work of a call and, from the endpoint's fault, how it is answered.
 func (m *Model) newJob(e *endpoint, f Fault, c Call) *job {
-	j := &job{Call: c, endpoint: e, workLeft: m.draw(e.dest, &c), unanswered: f.Mode == Unresponsive}
+	j := &job{Call: c, endpoint: e, workLeft: m.drawWork(e.dest, &c), noAnswer: f.Mode == Unresponsive}
 	switch f.Mode {
 	case ReturningErrors:
 		if m.rng.Float64() < f.Share {
@@ -125,7 +127,7 @@
 		}
 	case BreakingConnections:
 		if m.rng.Float64() < f.Share {
-			j.answer, j.failsEarly = Reset, m.rng.IntN(2) == 0
+			j.answer, j.resetBeforeEffect = Reset, m.rng.IntN(2) == 0
 		}
 	case GarblingAnswers:
 		if m.rng.Float64() < f.Share {
@@ -135,15 +137,15 @@
 	return j
 }
 
-// draw draws the work of a call: lognormal around the mean, more for each further message and for a new connection.
-func (m *Model) draw(d *destination, c *Call) time.Duration {
-	x := 1.0
+// drawWork draws the work of a call: lognormal around the mean, more for each further message and for a new connection.
+func (m *Model) drawWork(d *destination, c *Call) time.Duration {
+	factor := 1.0
 	if d.CV > 0 {
 		sigma := math.Sqrt(math.Log(1 + d.CV*d.CV))
-		x = math.Exp(sigma*m.rng.NormFloat64() - sigma*sigma/2)
+		factor = math.Exp(sigma*m.rng.NormFloat64() - sigma*sigma/2)
 	}
-	x *= 1 + d.ItemCost*float64(max(0, len(c.Messages)-1))
-	work := time.Duration(x * float64(d.Mean))
+	factor *= 1 + d.ItemCost*float64(max(0, len(c.Messages)-1))
+	work := time.Duration(factor * float64(d.Mean))
 	if c.NewConnection {
 		work += d.ConnCost
 	}
@@ -165,19 +167,19 @@
 	j.canceled = true
 	j.endpoint.conns = max(0, j.endpoint.conns-1)
 	if m.rng.Float64() < j.endpoint.dest.StopsOnCancel {
-		m.abort(j)
+		m.stopWork(j)
 	}
 }
 
-// abort ends a job without an effect.
-func (m *Model) abort(j *job) {
+// stopWork ends a job without an effect.
+func (m *Model) stopWork(j *job) {
 	e := j.endpoint
 	m.updateWork(e)
 	delete(m.jobs, j.ID)
-	same := func(o *job) bool { return o == j }
-	e.running, e.queue = slices.DeleteFunc(e.running, same), slices.DeleteFunc(e.queue, same)
+	isJob := func(o *job) bool { return o == j }
+	e.running, e.queue = slices.DeleteFunc(e.running, isJob), slices.DeleteFunc(e.queue, isJob)
 	j.version = 0
-	m.schedule(e)
+	m.scheduleCompletions(e)
 	m.startQueued(e)
 }
 
@@ -199,10 +201,10 @@
 	delete(m.jobs, j.ID)
 	j.version = 0
 	e.running = slices.DeleteFunc(e.running, func(o *job) bool { return o == j })
-	if j.answer != Errored && !(j.answer == Reset && j.failsEarly) {
+	if j.answer != Errored && !(j.answer == Reset && j.resetBeforeEffect) {
 		m.applyEffects(j)
 	}
-	if !j.canceled && !j.unanswered {
+	if !j.canceled && !j.noAnswer {
 		m.answers = append(m.answers, Answer{j.ID, m.now, j.answer, 0})
 	}
 	m.startQueued(e)
--- a/internal/partner/call_test.go
+++ b/internal/partner/call_test.go
@@ -26,7 +26,7 @@
 }
 
 // A canceled call takes effect later, once, and is not answered.
-func TestCanceledCallRunsOn(t *testing.T) {
+func TestCanceledCallTakesEffectOnce(t *testing.T) {
 	m := newModel(t, nil)
 	id := sendCall(t, m, 0, "a", 0, "k")
 	m.Cancel(50*ms, id, "a")
--- a/internal/partner/effect.go
+++ b/internal/partner/effect.go
@@ -13,8 +13,8 @@
 	Late     bool // after the call was canceled
 }
 
-// keyUse is where and when a key was seen first.
-type keyUse struct {
+// firstUse is where and when a key was seen first.
+type firstUse struct {
 	at       time.Duration
 	zone     int
 	endpoint string
@@ -24,14 +24,14 @@
 func (m *Model) applyEffects(j *job) {
 	e, d := j.endpoint, j.endpoint.dest
 	for _, msg := range j.Messages {
-		dropped := msg.Key != "" && d.KeyRetention > 0 && d.useKey(msg.Key, keyUse{m.now, e.Zone, e.ID})
+		dropped := msg.Key != "" && d.KeyRetention > 0 && d.registerKey(msg.Key, firstUse{m.now, e.Zone, e.ID})
 		m.effects = append(m.effects, Effect{m.now, j.ID, msg, e.ID, j.Sender, dropped, j.canceled})
 	}
-	d.forgetKeys(m.now)
+	d.expireKeys(m.now)
 }
 
-// useKey reports whether a key was seen before, within the retention and the scope. If not, it is from now on.
-func (d *destination) useKey(key string, use keyUse) (seen bool) {
+// registerKey reports whether a key was seen before, within the retention and the scope. If not, it is from now on.
+func (d *destination) registerKey(key string, use firstUse) (seen bool) {
 	first, seen := d.seenKeys[key]
 	seen = seen && use.at-first.at < d.KeyRetention
 	switch d.KeyScope {
@@ -46,9 +46,9 @@
 	return seen
 }
 
-// forgetKeys drops, once in a retention, the keys that are older than it.
-func (d *destination) forgetKeys(now time.Duration) {
-	if now < d.sweepAt {
+// expireKeys drops, once in a retention, the keys that are older than it.
+func (d *destination) expireKeys(now time.Duration) {
+	if now < d.nextKeyExpiry {
 		return
 	}
 	for key, use := range d.seenKeys {
@@ -56,5 +56,5 @@
 			delete(d.seenKeys, key)
 		}
 	}
-	d.sweepAt = now + d.KeyRetention
+	d.nextKeyExpiry = now + d.KeyRetention
 }
--- a/internal/partner/limit.go
+++ b/internal/partner/limit.go
@@ -27,7 +27,7 @@
 	dest        *destination
 	endpoint    *endpoint // nil: the route is that of the destination
 	tokens      float64
-	filledAt    time.Duration
+	refilledAt  time.Duration
 	window      int64 // Window: its number...
 	count       int   // ...and the calls counted in it
 	recoveredAt time.Duration
@@ -37,7 +37,7 @@
 
 // newRoute makes the route of a destination, or of an endpoint with a separate route.
 func (m *Model) newRoute(d *destination, e *endpoint) *route {
-	r := &route{dest: d, endpoint: e, filledAt: m.now, window: -1}
+	r := &route{dest: d, endpoint: e, refilledAt: m.now, window: -1}
 	r.tokens = r.bucketSize()
 	return r
 }
@@ -68,8 +68,8 @@
 
 // takeToken takes a token from the bucket, which is filled at a rate of calls a second.
 func (r *route) takeToken(now time.Duration, rate float64) bool {
-	r.tokens = min(r.bucketSize(), r.tokens+rate*(now-r.filledAt).Seconds())
-	r.filledAt = now
+	r.tokens = min(r.bucketSize(), r.tokens+rate*(now-r.refilledAt).Seconds())
+	r.refilledAt = now
 	if r.tokens >= 1 {
 		r.tokens--
 		return true
--- a/internal/partner/limit_test.go
+++ b/internal/partner/limit_test.go
@@ -49,7 +49,7 @@
 }
 
 // After the Retry-After of a rate limit there is capacity.
-func TestRetryAfterIsHonest(t *testing.T) {
+func TestCapacityAfterRetryAfter(t *testing.T) {
 	m := newModel(t, func(s *Spec) {
 		s.Limit, s.RetryAfterShare, s.Servers, s.QueueLength = Limit{Form: Rate, PerSecond: 5}, 1, 100, 100
 	})
--- a/internal/partner/model.go
+++ b/internal/partner/model.go
@@ -22,7 +22,7 @@
 	destinations map[int]*destination
 	endpoints    map[string]*endpoint
 	jobs         map[uint64]*job // by the ids of their calls
-	agenda       timeline.Queue[agendaEntry]
+	completions  timeline.Queue[scheduledCompletion]
 	answers      []Answer
 	effects      []Effect
 	overloads    []Overload
@@ -31,10 +31,10 @@
 
 type destination struct {
 	Spec
-	route     *route      // of its endpoints, unless they have separate ones
-	endpoints []*endpoint // but the removed ones
-	seenKeys  map[string]keyUse
-	sweepAt   time.Duration // when old keys are dropped next
+	route         *route      // of its endpoints, unless they have separate ones
+	endpoints     []*endpoint // but the removed ones
+	seenKeys      map[string]firstUse
+	nextKeyExpiry time.Duration // when old keys are dropped next
 }
 
 type endpoint struct {
@@ -64,7 +64,7 @@
 	if m.destinations[s.Dest] != nil {
 		return fmt.Errorf("destination %d: twice", s.Dest)
 	}
-	d := &destination{Spec: s, seenKeys: map[string]keyUse{}}
+	d := &destination{Spec: s, seenKeys: map[string]firstUse{}}
 	d.route = m.newRoute(d, nil)
 	m.destinations[s.Dest] = d
 	for _, e := range s.Endpoints {
@@ -77,11 +77,11 @@
 
 // Join adds an endpoint to a destination. It returns an error for an unknown destination and an id that was used
 // before.
-func (m *Model) Join(now time.Duration, to int, s EndpointSpec) error {
+func (m *Model) Join(now time.Duration, dest int, s EndpointSpec) error {
 	m.Advance(now)
-	d := m.destinations[to]
+	d := m.destinations[dest]
 	if d == nil || m.endpoints[s.ID] != nil {
-		return fmt.Errorf("endpoint %q: no destination %d, or an id that was used", s.ID, to)
+		return fmt.Errorf("endpoint %q: no destination %d, or an id that was used", s.ID, dest)
 	}
 	e := &endpoint{EndpointSpec: s, dest: d, route: d.route}
 	if d.SeparateRoutes {
@@ -98,7 +98,7 @@
 	m.Advance(now)
 	e := m.endpoints[id]
 	if e == nil {
-		return ErrUnknown
+		return ErrUnknownEndpoint
 	}
 	m.resetAll(e)
 	e.removed = true
@@ -112,7 +112,7 @@
 	m.Advance(now)
 	e := m.endpoints[id]
 	if e == nil || e.removed {
-		return ErrUnknown
+		return ErrUnknownEndpoint
 	}
 	old := e.fault
 	if old.Mode == Paused && f.Mode != Paused { // work goes on from here
@@ -125,11 +125,11 @@
 	switch {
 	case f.Mode == Down || f.Mode == Overloaded:
 		m.resetAll(e)
-	case old.Outage() && !f.Outage() && e.othersDown():
+	case old.Outage() && !f.Outage() && e.otherEndpointsDown():
 		r := e.route
 		r.warming, r.recoveredAt, r.arrivals = true, m.now, nil
 	}
-	m.schedule(e)
+	m.scheduleCompletions(e)
 	m.startQueued(e)
 	return nil
 }
@@ -142,9 +142,9 @@
 	return Fault{Mode: Down}
 }
 
-// othersDown reports whether the other endpoints of its route are down, too. A route of which some endpoints went on
-// serving does not warm up.
-func (e *endpoint) othersDown() bool {
+// otherEndpointsDown reports whether the other endpoints of the endpoint's route are down as well. A route does not
+// warm up if any of its endpoints stayed in service.
+func (e *endpoint) otherEndpointsDown() bool {
 	if e.route.endpoint != nil {
 		return true
 	}
@@ -177,5 +177,5 @@
 	return list
 }
 
-// ErrUnknown is returned for an endpoint that the model does not have.
-var ErrUnknown = errors.New("partner: no such endpoint")
+// ErrUnknownEndpoint is returned for an endpoint that the model does not have.
+var ErrUnknownEndpoint = errors.New("partner: no such endpoint")
--- a/internal/partner/model_test.go
+++ b/internal/partner/model_test.go
@@ -72,14 +72,14 @@
 	if m.Join(60*ms, 7, EndpointSpec{ID: "a"}) == nil || m.Join(60*ms, 7, EndpointSpec{ID: "b"}) != nil {
 		t.Error("an id comes twice, or a new one does not come")
 	}
-	if err := m.Call(70*ms, Call{ID: 1, Endpoint: "a", Messages: []Message{{ID: "x"}}}); err != ErrUnknown {
+	if err := m.Call(70*ms, Call{ID: 1, Endpoint: "a", Messages: []Message{{ID: "x"}}}); err != ErrUnknownEndpoint {
 		t.Errorf("a call to one that left: %v", err)
 	}
 }
 
 // Whatever is done, each call ends once at most, a message takes effect once a call at most, and the same seed gives
 // the same results.
-func TestAnySequence(t *testing.T) {
+func TestRandomOperationSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) [4]int {
 			return [4]int{
@@ -87,7 +87,7 @@
 				rapid.IntRange(0, 10).Draw(t, "n"),
 			}
 		}), 1, 120).Draw(t, "steps")
-		play := func() (answers []Answer, effects []Effect) {
+		run := func() (answers []Answer, effects []Effect) {
 			m := New(3)
 			s := baseSpec()
 			s.Endpoints = []EndpointSpec{{"a", 0}, {"b", 0}, {"c", 1}}
@@ -123,20 +123,20 @@
 			}
 			return m.Answers(), m.Effects()
 		}
-		answers, effects := play()
-		ends := map[uint64]int{}
+		answers, effects := run()
+		answerCounts := map[uint64]int{}
 		for _, a := range answers {
-			if ends[a.Call]++; ends[a.Call] > 1 {
+			if answerCounts[a.Call]++; answerCounts[a.Call] > 1 {
 				t.Fatalf("call %d ends twice", a.Call)
 			}
 		}
-		ran := map[string]int{}
+		effectCounts := map[string]int{}
 		for _, e := range effects {
-			if ran[e.Message.ID]++; ran[e.Message.ID] > 1 {
+			if effectCounts[e.Message.ID]++; effectCounts[e.Message.ID] > 1 {
 				t.Fatalf("message %s takes effect twice", e.Message.ID)
 			}
 		}
-		answers2, effects2 := play()
+		answers2, effects2 := run()
 		if !reflect.DeepEqual(answers, answers2) || !reflect.DeepEqual(effects, effects2) {
 			t.Fatal("the same seed gives other results")
 		}
--- a/internal/partner/schedule.go
+++ b/internal/partner/schedule.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// An agendaEntry is a time at which a job ends or changes its speed. It is void once the job has another version.
-type agendaEntry struct {
+// A scheduledCompletion is the time at which a job ends or its speed is computed again. It is stale if its version is
+// no longer the job's.
+type scheduledCompletion struct {
 	version uint64
 	job     *job
 }
 
 // speed returns how fast an endpoint works now; 1 is its full speed.
 func (m *Model) speed(e *endpoint) float64 {
-	x := m.capacity(e.route)
+	speed := m.capacity(e.route)
 	switch {
 	case e.fault.Mode == Paused:
 		return 0
 	case e.fault.Mode == Slow && e.fault.Factor > 0:
-		x /= e.fault.Factor
+		speed /= e.fault.Factor
 	}
-	return x
+	return speed
 }
 
 // updateWork subtracts what the running jobs of an endpoint have done since the last update.
@@ -32,9 +33,9 @@
 	}
 }
 
-// schedule enters the ends of an endpoint's running jobs, at its present speed, into the agenda. While the endpoint
-// warms up its speed changes, and the ends are computed again from time to time.
-func (m *Model) schedule(e *endpoint) {
+// scheduleCompletions queues the completions of an endpoint's running jobs at its current speed. While the endpoint
+// warms up, its speed changes, and the completions are computed again at a fixed interval.
+func (m *Model) scheduleCompletions(e *endpoint) {
 	const interval = 250 * time.Millisecond // between computations while it warms up
 	x := m.speed(e)
 	for _, j := range e.running {
@@ -48,7 +49,7 @@
 		}
 		m.serial++
 		j.version = m.serial
-		m.agenda.Push(at, j.version, agendaEntry{j.version, j})
+		m.completions.Push(at, j.version, scheduledCompletion{j.version, j})
 	}
 }
 
@@ -64,18 +65,18 @@
 	}
 	if started {
 		m.updateWork(e)
-		m.schedule(e)
+		m.scheduleCompletions(e)
 	}
 }
 
 // Next returns the next time at which the model changes by itself; false where there is none.
 func (m *Model) Next() (time.Duration, bool) {
 	for {
-		at, e, ok := m.agenda.First()
+		at, e, ok := m.completions.First()
 		if !ok || e.version == e.job.version {
 			return at, ok
 		}
-		m.agenda.Pop()
+		m.completions.Pop()
 	}
 }
 
@@ -86,13 +87,13 @@
 		if !ok || at > now {
 			break
 		}
-		_, due := m.agenda.Pop()
+		_, due := m.completions.Pop()
 		j := due.job
 		m.now = max(m.now, at)
 		e := j.endpoint
 		m.updateWork(e)
 		if j.workLeft > time.Microsecond {
-			m.schedule(e)
+			m.scheduleCompletions(e)
 			continue
 		}
 		m.finish(j)
--- a/internal/partner/spec.go
+++ b/internal/partner/spec.go
@@ -55,33 +55,33 @@
 
 // Check returns an error for a description that makes no sense.
 func (s *Spec) Check() error {
-	invalid := func(format string, args ...any) error {
+	specError := func(format string, args ...any) error {
 		return fmt.Errorf("destination %d: %s", s.Dest, fmt.Sprintf(format, args...))
 	}
 	seen := map[string]bool{}
 	for _, e := range s.Endpoints {
 		if e.ID == "" || seen[e.ID] {
-			return invalid("an endpoint without id, or two of id %q", e.ID)
+			return specError("an endpoint without id, or two of id %q", e.ID)
 		}
 		seen[e.ID] = true
 	}
 	switch {
 	case len(s.Endpoints) == 0:
-		return invalid("no endpoints")
+		return specError("no endpoints")
 	case s.Limit.Form != NoLimit && s.Limit.PerSecond <= 0:
-		return invalid("a limit of %g a second", s.Limit.PerSecond)
+		return specError("a limit of %g a second", s.Limit.PerSecond)
 	case s.Limit.Form == Window && s.Limit.Window <= 0:
-		return invalid("a window without a span")
+		return specError("a window without a span")
 	case s.RetryAfterShare < 0 || s.RetryAfterShare > 1 || s.StopsOnCancel < 0 || s.StopsOnCancel > 1:
-		return invalid("a share outside 0 to 1")
+		return specError("a share outside 0 to 1")
 	case s.Mean <= 0 || s.CV < 0 || s.ItemCost < 0:
-		return invalid("service time")
+		return specError("service time")
 	case s.Servers < 1 || s.QueueLength < 0 || s.MaxBatch < 1 || s.MaxConnections < 0:
-		return invalid("servers, depth, batch or connections out of range")
+		return specError("servers, depth, batch or connections out of range")
 	case s.InitialCapacity <= 0 || s.InitialCapacity > 1:
-		return invalid("cold-from: more than 0, 1 at most")
+		return specError("cold-from: more than 0, 1 at most")
 	case s.OverloadWindow > 0 && s.OverloadFactor <= 1:
-		return invalid("it would fall over at its capacity")
+		return specError("it would fall over at its capacity")
 	}
 	return nil
 }
--- a/internal/partner/warmup.go
+++ b/internal/partner/warmup.go
@@ -60,8 +60,8 @@
 	for len(r.arrivals) > 0 && m.now-r.arrivals[0].at >= d.OverloadWindow {
 		r.arrivals = r.arrivals[1:]
 	}
-	const slack = 2 // calls beyond the budget that may come by chance
-	budget := d.OverloadFactor*m.capacity(r)*r.ratedCapacity()*d.OverloadWindow.Seconds() + slack
+	const chanceCalls = 2 // calls beyond the budget that may come by chance
+	budget := d.OverloadFactor*m.capacity(r)*r.ratedCapacity()*d.OverloadWindow.Seconds() + chanceCalls
 	if float64(len(r.arrivals)) <= budget {
 		return
 	}
--- a/internal/partner/warmup_test.go
+++ b/internal/partner/warmup_test.go
@@ -71,7 +71,7 @@
 }
 
 // The call that overloads a destination fares as if it had not: it is not reset with those before it.
-func TestOverloadingCallIsServed(t *testing.T) {
+func TestCallThatOverloadsIsServed(t *testing.T) {
 	m := newModel(t, func(s *Spec) { s.QueueLength, s.OverloadFactor, s.OverloadWindow = 1000, 2, 2*time.Second })
 	m.SetFault(0, "a", Fault{Mode: Shut})
 	m.SetFault(time.Second, "a", Fault{})
--- a/internal/scenario/arrivals.go
+++ b/internal/scenario/arrivals.go
@@ -13,29 +13,29 @@
 
 // Load returns the rate of messages at a time, as a multiple of the full load.
 func (p *Plan) Load(at time.Duration) float64 {
-	x := 1.0
+	load := 1.0
 	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
 		i, _ := slices.BinarySearchFunc(curve, at, func(r RatePoint, at time.Duration) int { return cmp.Compare(r.At, at) })
 		switch {
 		case i == 0:
-			x = curve[0].Factor
+			load = curve[0].Factor
 		case i == len(curve):
-			x = curve[i-1].Factor
+			load = curve[i-1].Factor
 		default:
 			a, b := curve[i-1], curve[i]
-			x = a.Factor + (b.Factor-a.Factor)*float64(at-a.At)/float64(b.At-a.At)
+			load = a.Factor + (b.Factor-a.Factor)*float64(at-a.At)/float64(b.At-a.At)
 		}
 	}
-	for _, b := range p.bursts {
+	for _, b := range p.burstWindows {
 		if b.contains(at) {
-			x *= b.size
+			load *= b.amount
 		}
 	}
-	return x
+	return load
 }
 
-// maxLoad returns a load that Load never exceeds.
-func (p *Plan) maxLoad() float64 {
+// loadBound returns a load that Load never exceeds.
+func (p *Plan) loadBound() float64 {
 	x := 1.0
 	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
 		x = 0
@@ -43,8 +43,8 @@
 			x = max(x, r.Factor)
 		}
 	}
-	for _, b := range p.bursts {
-		x *= max(1, b.size)
+	for _, b := range p.burstWindows {
+		x *= max(1, b.amount)
 	}
 	return x
 }
@@ -67,11 +67,11 @@
 	destShares      []float64 // running sums of the destinations' shares
 	classShares     []float64
 	tenantShares    []float64
-	largest         []int         // indices of destinations, those with most traffic first
+	bySize          []int         // indices of destinations, those with most traffic first
 	nextSingle      time.Duration // time of the next message that is in no clump
 	nextClump       time.Duration
 	clumpsPerSecond float64               // a second
-	pending         timeline.Queue[clump] // by the time of their next message
+	activeClumps    timeline.Queue[clump] // by the time of their next message
 	count           int
 }
 
@@ -79,7 +79,7 @@
 type clump struct {
 	dest      int
 	remaining int
-	order     uint64
+	serial    uint64
 }
 
 // An arrivalSource is what the next arrival belongs to.
@@ -98,9 +98,9 @@
 	for i, d := range p.Dests {
 		sum += d.Share
 		a.destShares = append(a.destShares, sum)
-		a.largest = append(a.largest, i)
+		a.bySize = append(a.bySize, i)
 	}
-	slices.SortStableFunc(a.largest, func(i, j int) int { return cmp.Compare(p.Dests[j].Share, p.Dests[i].Share) })
+	slices.SortStableFunc(a.bySize, func(i, j int) int { return cmp.Compare(p.Dests[j].Share, p.Dests[i].Share) })
 	sum = 0
 	for _, c := range p.Scenario.Traffic.Classes {
 		sum += c.Share
@@ -121,7 +121,7 @@
 func (a *Arrivals) clumpRate() float64 {
 	size := 0.0 // of a clump, in the mean
 	for _, d := range a.plan.Dests {
-		size += d.Share * max(1, a.plan.clumpSize.Mean()*a.capacity(&d))
+		size += d.Share * max(1, a.plan.clumpSeconds.Mean()*a.capacity(&d))
 	}
 	return a.plan.Rate * a.plan.clumpShare / size
 }
@@ -137,7 +137,7 @@
 // nextEvent draws, by thinning, the time of the next event of a Poisson process whose rate follows the load. Rate is
 // the events a second at full load.
 func (a *Arrivals) nextEvent(at time.Duration, rate float64) time.Duration {
-	peak := a.plan.maxLoad()
+	peak := a.plan.loadBound()
 	if rate*peak <= 0 {
 		return math.MaxInt64
 	}
@@ -149,20 +149,20 @@
 	}
 }
 
-// choose draws an index by running sums of shares.
-func (a *Arrivals) choose(sums []float64) int {
+// drawIndex draws an index by running sums of shares.
+func (a *Arrivals) drawIndex(sums []float64) int {
 	i, _ := slices.BinarySearch(sums, a.rng.Float64()*sums[len(sums)-1])
 	return min(i, len(sums)-1)
 }
 
 // drawDest draws the index of a destination. Hot keys draw a part of the messages to the largest ones.
 func (a *Arrivals) drawDest(at time.Duration) int {
-	for _, h := range a.plan.hotKeys {
-		if h.contains(at) && a.rng.Float64() < h.size {
-			return a.largest[a.rng.IntN(min(h.keys, len(a.largest)))]
+	for _, h := range a.plan.hotKeyWindows {
+		if h.contains(at) && a.rng.Float64() < h.amount {
+			return a.bySize[a.rng.IntN(min(h.destinations, len(a.bySize)))]
 		}
 	}
-	return a.choose(a.destShares)
+	return a.drawIndex(a.destShares)
 }
 
 // Next returns the next message; false after the last one.
@@ -172,7 +172,7 @@
 		if a.nextClump < at {
 			at, source = a.nextClump, newClump
 		}
-		if next, _, ok := a.pending.First(); ok && next <= at {
+		if next, _, ok := a.activeClumps.First(); ok && next <= at {
 			at, source = next, messageOfClump
 		}
 		if at > a.plan.Scenario.Length {
@@ -185,20 +185,20 @@
 			dest = a.drawDest(at)
 		case newClump:
 			a.nextClump = a.nextEvent(at, a.clumpsPerSecond)
-			d := a.choose(a.destShares)
-			size := max(1, int(math.Round(a.plan.clumpSize.draw(a.rng)*a.capacity(&a.plan.Dests[d]))))
-			a.pending.Push(at, uint64(a.count), clump{d, size, uint64(a.count)})
+			d := a.drawIndex(a.destShares)
+			size := max(1, int(math.Round(a.plan.clumpSeconds.draw(a.rng)*a.capacity(&a.plan.Dests[d]))))
+			a.activeClumps.Push(at, uint64(a.count), clump{d, size, uint64(a.count)})
 			continue
 		case messageOfClump:
-			_, c := a.pending.Pop()
+			_, c := a.activeClumps.Pop()
 			dest = c.dest
 			if c.remaining--; c.remaining > 0 {
-				a.pending.Push(at+time.Duration(a.rng.ExpFloat64()*2*float64(time.Millisecond)), c.order, c)
+				a.activeClumps.Push(at+time.Duration(a.rng.ExpFloat64()*2*float64(time.Millisecond)), c.serial, c)
 			}
 		}
 		m := Arrival{
-			At: at, N: a.count, Dest: a.plan.Dests[dest].Dest, Class: a.choose(a.classShares),
-			Tenant: a.choose(a.tenantShares), Size: int(a.plan.Scenario.Traffic.Body.draw(a.rng)),
+			At: at, N: a.count, Dest: a.plan.Dests[dest].Dest, Class: a.drawIndex(a.classShares),
+			Tenant: a.drawIndex(a.tenantShares), Size: int(a.plan.Scenario.Traffic.Body.draw(a.rng)),
 		}
 		a.count++
 		return m, true
--- a/internal/scenario/arrivals_test.go
+++ b/internal/scenario/arrivals_test.go
@@ -14,8 +14,8 @@
 		byClass, byDest, within = map[int]int{}, map[int]int{}, map[int]int{}
 		var last time.Duration
 		for a := p.Arrivals(); ; n++ {
-			m, some := a.Next()
-			if !some {
+			m, ok := a.Next()
+			if !ok {
 				return
 			}
 			if m.At < last || m.N != n || m.At > p.Scenario.Length {
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -94,8 +94,8 @@
 		if o.Agent < 0 || o.Agent >= s.Agents.Number {
 			return fmt.Errorf("order: no agent %d", o.Agent)
 		}
-		for _, name := range o.Of {
-			if !s.knowsParty(name) || !strings.HasPrefix(name, "n") && !slices.Contains(s.Zones, name) {
+		for _, name := range o.Targets {
+			if !s.isParty(name) || !strings.HasPrefix(name, "n") && !slices.Contains(s.Zones, name) {
 				return fmt.Errorf("order: no sender and no zone %q", name)
 			}
 		}
@@ -106,8 +106,8 @@
 // checkDrains finds drains that are not ordered at an agent, where there are agents.
 func (s *Scenario) checkDrains() error {
 	for _, x := range s.Actions {
-		if s.Agents.Number > 0 && (x.What == "drain" || x.What == "activate") {
-			return fmt.Errorf("sender: %s: with agents, order() does that", x.What)
+		if s.Agents.Number > 0 && (x.Kind == "drain" || x.Kind == "activate") {
+			return fmt.Errorf("sender: %s: with agents, order() does that", x.Kind)
 		}
 	}
 	return nil
@@ -118,8 +118,8 @@
 	const parties = "a zone, senders, agents, a0 and so on, discovery, clients, partners, partners/ZONE, " +
 		"destination/NUMBER or endpoint/ID"
 	for _, l := range s.Links {
-		for _, name := range slices.Concat(l.Of, l.To) {
-			if !s.knowsParty(name) {
+		for _, name := range slices.Concat(l.From, l.To) {
+			if !s.isParty(name) {
 				return fmt.Errorf("link: no party %q: n0 to n%d, %s", name, s.Senders-1, parties)
 			}
 		}
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// knowsParty reports whether a name may stand for a party. Any endpoint may be named, since endpoints are drawn later.
-func (s *Scenario) knowsParty(name string) bool {
+// isParty reports whether a name may stand for a party. Any endpoint may be named, since endpoints are drawn later.
+func (s *Scenario) isParty(name string) bool {
 	if num, ok := strings.CutPrefix(name, "n"); ok {
 		if i, err := strconv.Atoi(num); err == nil {
 			return i >= 0 && i < s.Senders && name == Sender(i)
@@ -144,14 +144,14 @@
 			return i >= 0 && i < s.Agents.Number && name == Agent(i)
 		}
 	}
-	if zone, ok := strings.CutPrefix(name, inZone); ok {
+	if zone, ok := strings.CutPrefix(name, zonePrefix); ok {
 		return slices.Contains(s.Zones, zone)
 	}
-	if num, ok := strings.CutPrefix(name, ofDest); ok {
+	if num, ok := strings.CutPrefix(name, destPrefix); ok {
 		i, err := strconv.Atoi(num)
 		return err == nil && i > 0
 	}
-	if strings.HasPrefix(name, oneEndpoint) || slices.Contains(s.Zones, name) {
+	if strings.HasPrefix(name, endpointPrefix) || slices.Contains(s.Zones, name) {
 		return true
 	}
 	return slices.Contains([]string{Discovery, Clients, allSenders, allAgents, allPartners}, name)
--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -58,15 +58,15 @@
 }
 
 // A fault is where the script says: zone, part of the traffic, kind.
-func TestFaultsAreAsDescribed(t *testing.T) {
+func TestFaultPlacement(t *testing.T) {
 	for seed := range uint64(50) {
 		p := parseWith(t, `trouble(what = "SHUT", at = 30, seconds = 5, kind = "large-partners", part = 1, knows_end = True)
 `).Plan(seed)
-		where := map[string]Destination{}
-		zone := map[string]string{}
+		destOf := map[string]Destination{}
+		zoneOf := map[string]string{}
 		for _, d := range p.Dests {
 			for _, e := range d.Endpoints {
-				where[e.ID], zone[e.ID] = d, p.Scenario.Zones[e.Zone]
+				destOf[e.ID], zoneOf[e.ID] = d, p.Scenario.Zones[e.Zone]
 			}
 		}
 		share, endpoints := 0.0, map[int]int{}
@@ -74,15 +74,15 @@
 		for _, c := range p.Changes {
 			switch {
 			case c.Of == 0 && c.Fault.Mode == partner.Down:
-				d := where[c.Endpoint]
+				d := destOf[c.Endpoint]
 				share += d.Share / float64(len(d.Endpoints))
 				endpoints[d.Dest]++
-				if zone[c.Endpoint] != "bldg-b" {
-					t.Errorf("seed %d: %s of %s has a fault", seed, c.Endpoint, zone[c.Endpoint])
+				if zoneOf[c.Endpoint] != "bldg-b" {
+					t.Errorf("seed %d: %s of %s has a fault", seed, c.Endpoint, zoneOf[c.Endpoint])
 				}
 			case c.Of == 1 && c.Fault.Mode == partner.Shut:
-				shut[where[c.Endpoint].Dest] = true
-				if c.Fault.Until != 35*time.Second || where[c.Endpoint].Kind != "large-partners" {
+				shut[destOf[c.Endpoint].Dest] = true
+				if c.Fault.Until != 35*time.Second || destOf[c.Endpoint].Kind != "large-partners" {
 					t.Errorf("seed %d: %+v", seed, c)
 				}
 			}
@@ -100,7 +100,7 @@
 
 func TestChurn(t *testing.T) {
 	p := parseWith(t, "churn(at = 5, every = 2, drain = 1, reuse_address = True)\n").Plan(1)
-	drains, comes := map[string]time.Duration{}, 0
+	drains, added := map[string]time.Duration{}, 0
 	for _, c := range p.Changes {
 		switch {
 		case c.Drains:
@@ -111,12 +111,12 @@
 		case c.Leaves && c.At != drains[c.Endpoint]+time.Second:
 			t.Errorf("%+v", c)
 		case c.Joins != nil:
-			if comes++; c.Address == "" || drains[c.Address] != c.At-time.Second {
+			if added++; c.Address == "" || drains[c.Address] != c.At-time.Second {
 				t.Errorf("%+v", c)
 			}
 		}
 	}
-	if comes < 5 || comes != len(drains) {
-		t.Errorf("%d are added, %d drain", comes, len(drains))
+	if added < 5 || added != len(drains) {
+		t.Errorf("%d are added, %d drain", added, len(drains))
 	}
 }
--- a/internal/scenario/drawactions.go
+++ b/internal/scenario/drawactions.go
@@ -15,25 +15,25 @@
 
 // drawActions draws the actions on senders.
 func (p *Plan) drawActions(rng *rand.Rand) {
-	for k, d := range p.Scenario.Actions {
-		at := d.At.seconds(rng)
-		senders := []int{d.Sender}
-		if d.Sender < 0 {
-			senders = p.Scenario.drawSenders(rng, d.Share)
+	for index, action := range p.Scenario.Actions {
+		at := action.At.seconds(rng)
+		senders := []int{action.Sender}
+		if action.Sender < 0 {
+			senders = p.Scenario.drawSenders(rng, action.Share)
 		}
 		spread := time.Duration(0)
-		if d.Spread.To > 0 {
-			spread = d.Spread.seconds(rng)
+		if action.Spread.To > 0 {
+			spread = action.Spread.seconds(rng)
 		}
 		for i, num := range senders {
-			x := PlannedAction{
-				At: at + spread*time.Duration(i)/time.Duration(len(senders)), Sender: num, What: d.What,
-				InFlight: d.InFlight, OpenMessages: d.OpenMessages, Of: k,
+			planned := PlannedAction{
+				At: at + spread*time.Duration(i)/time.Duration(len(senders)), Sender: num, What: action.Kind,
+				InFlight: action.InFlight, OpenMessages: action.OpenMessages, ActionIndex: index,
 			}
-			if d.Length.To > 0 {
-				x.Until = x.At + d.Length.seconds(rng)
+			if action.Length.To > 0 {
+				planned.Until = planned.At + action.Length.seconds(rng)
 			}
-			p.Actions = append(p.Actions, x)
+			p.Actions = append(p.Actions, planned)
 		}
 	}
 	slices.SortStableFunc(p.Actions, func(a, b PlannedAction) int { return cmp.Compare(a.At, b.At) })
@@ -47,7 +47,7 @@
 	What         string
 	InFlight     float64 // of a retune: multiples of the scenario's
 	OpenMessages float64
-	Of           int // index in Scenario.Actions
+	ActionIndex  int // index in Scenario.Actions
 }
 
 // PlannedAgentAction is an action on an agent, drawn.
@@ -69,23 +69,23 @@
 
 // drawAgents draws the actions on agents, and the orders to them.
 func (p *Plan) drawAgents(rng *rand.Rand) {
-	for _, d := range p.Scenario.AgentActions {
-		span := drawSpan(rng, d.At, d.Length)
-		p.AgentActions = append(p.AgentActions, PlannedAgentAction{span.From, span.To, d.Agent, d.What})
+	for _, action := range p.Scenario.AgentActions {
+		span := drawSpan(rng, action.At, action.Length)
+		p.AgentActions = append(p.AgentActions, PlannedAgentAction{span.From, span.To, action.Agent, action.Kind})
 	}
 	slices.SortStableFunc(p.AgentActions, func(a, b PlannedAgentAction) int { return cmp.Compare(a.At, b.At) })
 	for _, o := range p.Scenario.Orders {
-		x := PlannedOrder{
-			At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.What, FailsAtStart: o.FailsAtStart,
+		planned := PlannedOrder{
+			At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.Kind, FailsAtStart: o.FailsAtStart,
 			RollBackOnFailure: o.RollBackOnFailure,
 		}
-		of := p.parties(o.Of)
+		targets := p.expandParties(o.Targets)
 		for i := range p.Scenario.Senders {
-			if len(o.Of) == 0 || of[Sender(i)] {
-				x.Of = append(x.Of, Sender(i))
+			if len(o.Targets) == 0 || targets[Sender(i)] {
+				planned.Of = append(planned.Of, Sender(i))
 			}
 		}
-		p.Orders = append(p.Orders, x)
+		p.Orders = append(p.Orders, planned)
 	}
 	slices.SortStableFunc(p.Orders, func(a, b PlannedOrder) int { return cmp.Compare(a.At, b.At) })
 }
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -19,16 +19,16 @@
 		if f.EndKnown {
 			fault.Until = span.To
 		}
-		maxShare, total := f.TrafficShare.draw(rng), 0.0
+		maxShare, affected := f.TrafficShare.draw(rng), 0.0
 		for _, n := range rng.Perm(len(p.Dests)) {
 			d := &p.Dests[n]
 			ids := p.drawFaultyEndpoints(rng, &f, d)
 			share := d.Share * float64(len(ids)) / float64(len(d.Endpoints))
 			excluded := f.Kind != "" && d.Kind != f.Kind || f.Dest >= 0 && d.Dest != f.Dest
-			if len(ids) == 0 || excluded || total > 0 && total+share > maxShare {
+			if len(ids) == 0 || excluded || affected > 0 && affected+share > maxShare {
 				continue
 			}
-			total += share
+			affected += share
 			for _, id := range ids {
 				p.Changes = append(p.Changes,
 					Change{At: span.From, Endpoint: id, Fault: fault, Of: i},
@@ -58,15 +58,15 @@
 // after the end of the last one.
 func (p *Plan) resolveOverlaps() {
 	slices.SortStableFunc(p.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
-	current := map[string][]Change{} // by endpoint, in the order in which they began
+	activeFaults := map[string][]Change{} // by endpoint, in the order in which they began
 	for i := range p.Changes {
 		c := &p.Changes[i]
 		if c.Fault.Mode != partner.Healthy {
-			current[c.Endpoint] = append(current[c.Endpoint], *c)
+			activeFaults[c.Endpoint] = append(activeFaults[c.Endpoint], *c)
 			continue
 		}
-		remaining := slices.DeleteFunc(current[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
-		if current[c.Endpoint] = remaining; len(remaining) > 0 {
+		remaining := slices.DeleteFunc(activeFaults[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
+		if activeFaults[c.Endpoint] = remaining; len(remaining) > 0 {
 			c.Fault = remaining[len(remaining)-1].Fault
 		}
 	}
@@ -75,11 +75,11 @@
 // drawWindows draws the bursts and the hot keys.
 func (p *Plan) drawWindows(rng *rand.Rand) {
 	for _, b := range p.Scenario.Bursts {
-		p.bursts = append(p.bursts, window{Span: drawSpan(rng, b.At, b.Length), size: b.Factor.draw(rng)})
+		p.burstWindows = append(p.burstWindows, window{Span: drawSpan(rng, b.At, b.Length), amount: b.Factor.draw(rng)})
 	}
 	for _, h := range p.Scenario.HotKeys {
 		span := drawSpan(rng, h.At, h.Length)
-		p.hotKeys = append(p.hotKeys, window{Span: span, size: h.Share.draw(rng), keys: h.Keys})
+		p.hotKeyWindows = append(p.hotKeyWindows, window{Span: span, amount: h.Share.draw(rng), destinations: h.Keys})
 	}
 }
 
@@ -97,7 +97,7 @@
 				serial++
 				replacement := &partner.EndpointSpec{ID: fmt.Sprintf("n%05d", serial), Zone: e.Zone}
 				address := ""
-				if c.Reuse {
+				if c.ReuseAddress {
 					address = e.ID
 				}
 				p.Changes = append(p.Changes,
--- a/internal/scenario/drawfleet.go
+++ b/internal/scenario/drawfleet.go
@@ -14,7 +14,7 @@
 const (
 	connCost        = 10 * time.Millisecond
 	limitBurst      = 200 * time.Millisecond
-	coldCapacity    = 0.22
+	initialCapacity = 0.22
 	warmUp          = 13 * time.Second
 	overloadFactor  = 2
 	overloadWindow  = 2 * time.Second
@@ -24,18 +24,18 @@
 	announcedSpread = 0.3 // an announced rate is this much more than minAnnounced times the limit at most
 )
 
-// A fleetDraw draws the destinations of a plan.
-type fleetDraw struct {
+// A fleetSampler draws the destinations of a plan.
+type fleetSampler struct {
 	plan        *Plan
 	rng         *rand.Rand
 	totalWeight float64
 	maxWeight   float64
-	service     float64 // mean service time of all messages, in seconds
+	meanService float64 // mean service time of all messages, in seconds
 	endpoints   int     // drawn so far
 }
 
-// destinationWeight is a destination before its figures are drawn.
-type destinationWeight struct {
+// weightedDestination is a destination before its figures are drawn.
+type weightedDestination struct {
 	kind      *Kind
 	weight    float64 // of its traffic
 	endpoints int     // 0: drawn
@@ -44,10 +44,10 @@
 // drawFleet draws the destinations. A few of them get much of the traffic.
 func (p *Plan) drawFleet(rng *rand.Rand) {
 	p.Rate = p.Scenario.Traffic.Rate.draw(rng)
-	p.clumpShare, p.clumpSize = p.Scenario.Traffic.Clumps.draw(rng), p.Scenario.Traffic.Clump
-	d := &fleetDraw{plan: p, rng: rng}
-	list := d.weights()
-	for _, w := range list {
+	p.clumpShare, p.clumpSeconds = p.Scenario.Traffic.ClumpShare.draw(rng), p.Scenario.Traffic.ClumpSeconds
+	d := &fleetSampler{plan: p, rng: rng}
+	destinations := d.drawWeights()
+	for _, w := range destinations {
 		d.totalWeight, d.maxWeight = d.totalWeight+w.weight, max(d.maxWeight, w.weight)
 	}
 	work, shares := 0.0, 0.0
@@ -55,15 +55,15 @@
 		work += c.Share * c.Service.Mean()
 		shares += c.Share
 	}
-	d.service = work / shares
-	for i, w := range list {
-		p.Dests = append(p.Dests, d.destination(i+1, w))
+	d.meanService = work / shares
+	for i, w := range destinations {
+		p.Dests = append(p.Dests, d.drawDestination(i+1, w))
 	}
 }
 
-// weights draws how many destinations each fleet has, and how its traffic is spread over them.
-func (d *fleetDraw) weights() []destinationWeight {
-	var list []destinationWeight
+// drawWeights draws how many destinations each fleet has, and how its traffic is spread over them.
+func (d *fleetSampler) drawWeights() []weightedDestination {
+	var list []weightedDestination
 	s := d.plan.Scenario
 	zipf := s.Traffic.Zipf.draw(d.rng)
 	for _, f := range s.Fleets {
@@ -72,7 +72,7 @@
 		sum := 0.0
 		from := len(list)
 		for i := range n {
-			list = append(list, destinationWeight{k, math.Pow(float64(i+1), -zipf), f.Endpoints})
+			list = append(list, weightedDestination{k, math.Pow(float64(i+1), -zipf), f.Endpoints})
 			sum += list[from+i].weight
 		}
 		for i := range n {
@@ -82,52 +82,53 @@
 	return list
 }
 
-// destination draws a destination. The order of the draws stays, or plans change.
-func (d *fleetDraw) destination(num int, w destinationWeight) Destination {
+// drawDestination draws a destination. The order of the draws must not change, since a plan depends on it.
+func (d *fleetSampler) drawDestination(num int, w weightedDestination) Destination {
 	k, share := w.kind, w.weight/d.totalWeight
 	load := share * d.plan.Rate // calls a second at full load
-	x := Destination{Share: share}
+	dest := Destination{Share: share}
 	speed := math.Exp(speedDeviation * d.rng.NormFloat64())
-	x.Dest, x.Kind, x.SeparateRoutes, x.MaxBatch = num, k.Name, k.SeparateRoutes, k.Batch
-	x.Mean = time.Duration(d.service * speed * float64(time.Second))
-	x.CV, x.ItemCost = k.CV.draw(d.rng), k.ItemCost.draw(d.rng)
+	dest.Dest, dest.Kind, dest.SeparateRoutes, dest.MaxBatch = num, k.Name, k.SeparateRoutes, k.Batch
+	dest.Mean = time.Duration(d.meanService * speed * float64(time.Second))
+	dest.CV, dest.ItemCost = k.CV.draw(d.rng), k.ItemCost.draw(d.rng)
 	n := int(math.Round(k.Endpoints.draw(d.rng) * (0.8 + 0.8*w.weight/d.maxWeight)))
 	n = min(max(1, n), maxEndpoints)
 	if w.endpoints > 0 {
 		n = w.endpoints
 	}
-	limit := max(k.Headroom.draw(d.rng)*load, k.MinLimit.draw(d.rng)) // of a route
-	sharing := float64(n)                                             // endpoints of a route
+	limit := max(k.LimitHeadroom.draw(d.rng)*load, k.MinLimit.draw(d.rng)) // of a route
+	endpointsPerRoute := float64(n)                                        // endpoints of a route
 	if k.SeparateRoutes {
 		limit /= float64(n)
-		sharing = 1
+		endpointsPerRoute = 1
 	}
-	x.Limit = partner.Limit{
-		Form: k.Form, PerSecond: limit, Window: k.Span, Burst: limitBurst, CountRejected: k.CountRejected,
+	dest.Limit = partner.Limit{
+		Form: k.Form, PerSecond: limit, Window: k.Window, Burst: limitBurst, CountRejected: k.CountRejected,
 	}
-	x.RetryAfterShare, x.RetryAfter = k.RetryAfterShare.draw(d.rng), k.RetryAfter.seconds(d.rng)
-	capacity := limit * k.SpareCapacity.draw(d.rng) / sharing // of an endpoint
-	x.Servers = max(1, int(math.Ceil(capacity*x.Mean.Seconds())))
-	x.QueueLength = max(1, int(math.Ceil(capacity*k.QueueLength.draw(d.rng))))
+	dest.RetryAfterShare, dest.RetryAfter = k.RetryAfterShare.draw(d.rng), k.RetryAfter.seconds(d.rng)
+	capacity := limit * k.SpareCapacity.draw(d.rng) / endpointsPerRoute // of an endpoint
+	dest.Servers = max(1, int(math.Ceil(capacity*dest.Mean.Seconds())))
+	dest.QueueLength = max(1, int(math.Ceil(capacity*k.QueueLength.draw(d.rng))))
 	if k.Connections.To > 0 {
-		conns := max(k.Connections.draw(d.rng)*float64(x.Servers), k.MinConnections.draw(d.rng))
-		x.MaxConnections = int(math.Ceil(conns))
+		conns := max(k.Connections.draw(d.rng)*float64(dest.Servers), k.MinConnections.draw(d.rng))
+		dest.MaxConnections = int(math.Ceil(conns))
 	}
-	x.ConnCost = connCost
+	dest.ConnCost = connCost
 	for _, c := range d.plan.Scenario.Traffic.Classes {
-		x.KeyRetention = max(x.KeyRetention, c.KeyRetention)
+		dest.KeyRetention = max(dest.KeyRetention, c.KeyRetention)
 	}
-	x.InitialCapacity, x.WarmUp, x.OverloadFactor, x.OverloadWindow = coldCapacity, warmUp, overloadFactor, overloadWindow
-	x.Endpoints = d.drawEndpoints(n)
-	x.AnnouncedRate = limit * (minAnnounced + announcedSpread*d.rng.Float64())
+	dest.InitialCapacity, dest.WarmUp, dest.OverloadFactor, dest.OverloadWindow =
+		initialCapacity, warmUp, overloadFactor, overloadWindow
+	dest.Endpoints = d.drawEndpoints(n)
+	dest.AnnouncedRate = limit * (minAnnounced + announcedSpread*d.rng.Float64())
 	if k.Form == partner.NoLimit {
-		x.AnnouncedRate = 0
+		dest.AnnouncedRate = 0
 	}
-	return x
+	return dest
 }
 
 // drawEndpoints draws the zones of a destination's endpoints.
-func (d *fleetDraw) drawEndpoints(n int) []partner.EndpointSpec {
+func (d *fleetSampler) drawEndpoints(n int) []partner.EndpointSpec {
 	var list []partner.EndpointSpec
 	for range n {
 		d.endpoints++
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -28,19 +28,21 @@
 	State    LinkState
 	Text     string // what it is, for a time axis
 
-	of, to map[string]bool // names of parties; to nil: all that are not in of
-	oneWay bool
-	sideOf map[string]int // of a partition: which side a sender is on
+	fromParties, toParties map[string]bool // names of parties; toParties nil: all that are not in fromParties
+	oneWay                 bool
+	sides                  map[string]int // of a partition: which side a sender is on
 }
 
 // affects reports whether it is a fault of the link from one party to another.
 func (l *PlannedLink) affects(from, to string) bool {
-	if l.sideOf != nil {
-		a, ok1 := l.sideOf[from]
-		b, ok2 := l.sideOf[to]
+	if l.sides != nil {
+		a, ok1 := l.sides[from]
+		b, ok2 := l.sides[to]
 		return ok1 && ok2 && a != b
 	}
-	between := func(a, b string) bool { return l.of[a] && (l.to[b] || l.to == nil && !l.of[b]) }
+	between := func(a, b string) bool {
+		return l.fromParties[a] && (l.toParties[b] || l.toParties == nil && !l.fromParties[b])
+	}
 	return between(from, to) || !l.oneWay && between(to, from)
 }
 
@@ -70,16 +72,16 @@
 
 // Names in a script that stand for several parties.
 const (
-	allSenders  = "senders"
-	allAgents   = "agents"
-	allPartners = "partners"
-	inZone      = "partners/"
-	ofDest      = "destination/"
-	oneEndpoint = "endpoint/"
+	allSenders     = "senders"
+	allAgents      = "agents"
+	allPartners    = "partners"
+	zonePrefix     = "partners/"
+	destPrefix     = "destination/"
+	endpointPrefix = "endpoint/"
 )
 
-// parties returns the parties that names of a script stand for.
-func (p *Plan) parties(names []string) map[string]bool {
+// expandParties returns the parties that the names in a script refer to.
+func (p *Plan) expandParties(names []string) map[string]bool {
 	set := map[string]bool{}
 	for _, name := range names {
 		switch {
@@ -95,12 +97,12 @@
 			for i := range p.Scenario.Agents.Number {
 				set[Agent(i)] = true
 			}
-		case strings.HasPrefix(name, oneEndpoint):
-			set[strings.TrimPrefix(name, oneEndpoint)] = true
-		case name == allPartners || strings.HasPrefix(name, inZone) || strings.HasPrefix(name, ofDest):
+		case strings.HasPrefix(name, endpointPrefix):
+			set[strings.TrimPrefix(name, endpointPrefix)] = true
+		case name == allPartners || strings.HasPrefix(name, zonePrefix) || strings.HasPrefix(name, destPrefix):
 			for _, d := range p.Dests {
 				for _, e := range d.Endpoints {
-					zone, dest := inZone+p.Scenario.Zones[e.Zone], ofDest+strconv.Itoa(d.Dest)
+					zone, dest := zonePrefix+p.Scenario.Zones[e.Zone], destPrefix+strconv.Itoa(d.Dest)
 					if name == allPartners || name == zone || name == dest {
 						set[e.ID] = true
 					}
@@ -118,29 +120,29 @@
 	for _, l := range p.Scenario.Links {
 		span := drawSpan(rng, l.At, l.Length)
 		x := PlannedLink{From: span.From, To: span.To, State: l.LinkState, oneWay: l.OneWay}
-		of := l.Of
-		if len(of) == 0 {
+		names := l.From
+		if len(names) == 0 {
 			for _, i := range p.Scenario.drawSenders(rng, l.Share) {
-				of = append(of, Sender(i))
+				names = append(names, Sender(i))
 			}
 		}
-		if x.of = p.parties(of); len(l.To) > 0 {
-			x.to = p.parties(l.To)
+		if x.fromParties = p.expandParties(names); len(l.To) > 0 {
+			x.toParties = p.expandParties(l.To)
 		}
-		x.Text = l.LinkState.describe() + " between " + summarize(of) + " and " + summarize(l.To)
+		x.Text = l.LinkState.describe() + " between " + summarize(names) + " and " + summarize(l.To)
 		if l.OneWay {
-			x.Text = l.LinkState.describe() + " from " + summarize(of) + " to " + summarize(l.To)
+			x.Text = l.LinkState.describe() + " from " + summarize(names) + " to " + summarize(l.To)
 		}
 		p.Links = append(p.Links, x)
 	}
-	for _, c := range p.Scenario.Partitions {
-		span := drawSpan(rng, c.At, c.Length)
+	for _, partition := range p.Scenario.Partitions {
+		span := drawSpan(rng, partition.At, partition.Length)
 		x := PlannedLink{
-			From: span.From, To: span.To, State: c.LinkState, sideOf: map[string]int{},
-			Text: fmt.Sprintf("%s between %d parts of the senders", c.LinkState.describe(), c.Sides),
+			From: span.From, To: span.To, State: partition.LinkState, sides: map[string]int{},
+			Text: fmt.Sprintf("%s between %d parts of the senders", partition.LinkState.describe(), partition.Sides),
 		}
 		for i, num := range rng.Perm(p.Scenario.Senders) {
-			x.sideOf[Sender(num)] = i % c.Sides
+			x.sides[Sender(num)] = i % partition.Sides
 		}
 		p.Links = append(p.Links, x)
 	}
@@ -159,12 +161,12 @@
 	if l.Delay+l.Jitter > 0 {
 		list = append(list, fmt.Sprintf("%v to %v late", l.Delay, l.Delay+l.Jitter))
 	}
-	for _, part := range []struct {
-		word string
-		of   float64
+	for _, effect := range []struct {
+		text  string
+		share float64
 	}{{"lost", l.Loss}, {"doubled", l.Duplicate}, {"out of order", l.Reorder}} {
-		if part.of > 0 {
-			list = append(list, fmt.Sprintf("%.0f%% %s", 100*part.of, part.word))
+		if effect.share > 0 {
+			list = append(list, fmt.Sprintf("%.0f%% %s", 100*effect.share, effect.text))
 		}
 	}
 	return strings.Join(list, ", ")
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -29,20 +29,20 @@
 	s := &Scenario{
 		Path: path, Script: text, Figures: figures, Senders: 1, InFlight: Range{1.8, 2.4}, OpenMessages: Range{7, 11},
 		Traffic: Traffic{
-			Zipf: Range{0.8, 1.15}, Clump: Range{1, 3}, RetryDelay: Range{0.3, 2}, ResubmitDelay: Range{0.8, 2},
+			Zipf: Range{0.8, 1.15}, ClumpSeconds: Range{1, 3}, RetryDelay: Range{0.3, 2}, ResubmitDelay: Range{0.8, 2},
 			Body: Range{100, 400}, Patience: 400 * time.Millisecond,
 		},
 	}
-	names := starlark.StringDict{}
+	globals := starlark.StringDict{}
 	for word := range faultModes {
-		names[word] = starlark.String(word)
+		globals[word] = starlark.String(word)
 	}
 	for name, f := range s.functions() {
-		names[name] = starlark.NewBuiltin(name, withArgs(f))
+		globals[name] = starlark.NewBuiltin(name, withArgs(f))
 	}
 	unused := maps.Clone(figures)
-	names["param"] = starlark.NewBuiltin("param", param(figures, unused))
-	if _, err := settings.Exec(path, text, names); err != nil {
+	globals["param"] = starlark.NewBuiltin("param", param(figures, unused))
+	if _, err := settings.Exec(path, text, globals); err != nil {
 		return nil, err
 	}
 	if len(unused) > 0 {
@@ -90,14 +90,14 @@
 		if len(given) > 0 {
 			return nil, fmt.Errorf("%s: arguments go by name", b.Name())
 		}
-		a := &args{name: b.Name(), given: map[string]starlark.Value{}}
+		a := &args{name: b.Name(), values: map[string]starlark.Value{}}
 		for _, pair := range named {
-			a.given[string(pair[0].(starlark.String))] = pair[1]
+			a.values[string(pair[0].(starlark.String))] = pair[1]
 		}
 		if err := f(a); err != nil {
 			return nil, fmt.Errorf("%s: %w", b.Name(), err)
 		}
-		return starlark.None, a.done()
+		return starlark.None, a.finish()
 	}
 }
 
@@ -116,13 +116,13 @@
 			return nil, fmt.Errorf("param: usual: got %s, want a number", usual.Type())
 		}
 		delete(unused, name)
-		figure, isSet := figures[name]
+		value, isSet := figures[name]
 		if !isSet {
 			return usual, nil
 		}
-		if _, isInt := usual.(starlark.Int); isInt && figure == math.Trunc(figure) {
-			return starlark.MakeInt64(int64(figure)), nil
+		if _, isInt := usual.(starlark.Int); isInt && value == math.Trunc(value) {
+			return starlark.MakeInt64(int64(value)), nil
 		}
-		return starlark.Float(figure), nil
+		return starlark.Float(value), nil
 	}
 }
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -70,16 +70,16 @@
 		{"syntax", `trouble(`, ":2:1: got end of file"},
 	} {
 		_, err := Parse("s.star", []byte(libraryScript(t)+c.text+"\n"), nil)
-		var own *settings.Error
-		if !errors.As(err, &own) {
+		var scriptErr *settings.Error
+		if !errors.As(err, &scriptErr) {
 			t.Errorf("%s: %v", c.name, err)
 			continue
 		}
-		if own.Line > 0 {
-			own.Line -= lines
+		if scriptErr.Line > 0 {
+			scriptErr.Line -= lines
 		}
-		if !strings.HasPrefix(own.Error(), "s.star"+c.want) {
-			t.Errorf("%s: %v, want %s", c.name, own, c.want)
+		if !strings.HasPrefix(scriptErr.Error(), "s.star"+c.want) {
+			t.Errorf("%s: %v, want %s", c.name, scriptErr, c.want)
 		}
 	}
 }
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -24,11 +24,12 @@
 			list = append(list, Mark{c.At, c.At, fmt.Sprintf("%s of destination %d is gone", c.Endpoint, c.Dest)})
 		}
 	}
-	for _, b := range p.bursts {
-		list = append(list, Mark{b.From, b.To, fmt.Sprintf("burst: %.1f times the traffic", b.size)})
+	for _, b := range p.burstWindows {
+		list = append(list, Mark{b.From, b.To, fmt.Sprintf("burst: %.1f times the traffic", b.amount)})
 	}
-	for _, h := range p.hotKeys {
-		list = append(list, Mark{h.From, h.To, fmt.Sprintf("%d large destinations draw %.0f%% more", h.keys, 100*h.size)})
+	for _, h := range p.hotKeyWindows {
+		list = append(list, Mark{h.From, h.To,
+			fmt.Sprintf("%d large destinations draw %.0f%% more", h.destinations, 100*h.amount)})
 	}
 	for _, o := range p.DiscoveryOutages {
 		list = append(list, Mark{o.From, o.To, "discovery is down"})
@@ -51,9 +52,9 @@
 // faultMarks has one mark for each fault of the scenario, unless it found no endpoint.
 func (p *Plan) faultMarks() []Mark {
 	var list []Mark
-	words := map[partner.Mode]string{}
+	modeNames := map[partner.Mode]string{}
 	for word, mode := range faultModes {
-		words[mode] = word
+		modeNames[mode] = word
 	}
 	for i, f := range p.Scenario.Faults {
 		m := Mark{From: -1}
@@ -75,11 +76,12 @@
 		if m.From < 0 {
 			continue
 		}
-		where := ""
+		location := ""
 		if f.Zone != "" {
-			where = " in " + f.Zone
+			location = " in " + f.Zone
 		}
-		m.Text = fmt.Sprintf("%s%s: %d destinations, %.0f%% of the traffic", words[f.Mode], where, len(dests), 100*share)
+		m.Text = fmt.Sprintf(
+			"%s%s: %d destinations, %.0f%% of the traffic", modeNames[f.Mode], location, len(dests), 100*share)
 		list = append(list, m)
 	}
 	return list
@@ -102,15 +104,15 @@
 		m := Mark{From: -1}
 		senders := 0
 		for _, x := range p.Actions {
-			if x.Of == i {
+			if x.ActionIndex == i {
 				if senders++; m.From < 0 {
 					m.From = x.At
 				}
 				m.To = max(m.To, x.At, x.Until)
 			}
 		}
-		if m.Text = fmt.Sprintf("sender %d: %s", a.Sender, a.What); a.Sender < 0 {
-			m.Text = fmt.Sprintf("%d senders: %s", senders, a.What)
+		if m.Text = fmt.Sprintf("sender %d: %s", a.Sender, a.Kind); a.Sender < 0 {
+			m.Text = fmt.Sprintf("%d senders: %s", senders, a.Kind)
 		}
 		list = append(list, m)
 	}
--- a/internal/scenario/parseactions.go
+++ b/internal/scenario/parseactions.go
@@ -27,23 +27,23 @@
 	a.integer("number", &x.Sender)
 	a.number("share", &x.Share)
 	a.numberRange("spread", &x.Spread)
-	a.text("what", &x.What)
+	a.text("what", &x.Kind)
 	a.number("slots", &x.InFlight)
 	a.number("hold", &x.OpenMessages)
-	if !slices.Contains(senderActions, x.What) {
-		return a.invalid("what: %q is none of %s", x.What, strings.Join(senderActions, ", "))
+	if !slices.Contains(senderActions, x.Kind) {
+		return a.withError("what: %q is none of %s", x.Kind, strings.Join(senderActions, ", "))
 	}
 	switch {
 	case (x.Sender < 0) == (x.Share == 0) || x.Share < 0 || x.Share > 1:
-		return a.invalid("either a number, or a share above 0 up to 1, is needed")
-	case x.What == "stop" && x.Length.From <= 0:
-		return a.invalid("a stop needs its seconds")
-	case x.Length.To > 0 && x.What != "stop" && x.What != "drain":
-		return a.invalid("seconds: a %s takes none", x.What)
+		return a.withError("either a number, or a share above 0 up to 1, is needed")
+	case x.Kind == "stop" && x.Length.From <= 0:
+		return a.withError("a stop needs its seconds")
+	case x.Length.To > 0 && x.Kind != "stop" && x.Kind != "drain":
+		return a.withError("seconds: a %s takes none", x.Kind)
 	case !(x.InFlight > 0 && x.InFlight <= 100 && x.OpenMessages > 0 && x.OpenMessages <= 100):
-		return a.invalid("slots and hold: multiples above 0, 100 at most")
-	case x.What != "retune" && (x.InFlight != 1 || x.OpenMessages != 1):
-		return a.invalid("slots and hold: a %s takes none", x.What)
+		return a.withError("slots and hold: multiples above 0, 100 at most")
+	case x.Kind != "retune" && (x.InFlight != 1 || x.OpenMessages != 1):
+		return a.withError("slots and hold: a %s takes none", x.Kind)
 	}
 	s.Actions = append(s.Actions, x)
 	return a.err
@@ -61,7 +61,7 @@
 	case s.Agents.Number > 0:
 		return errors.New("called twice")
 	case x.Number < 1 || x.Number > 9 || x.Fleet < 1 || x.Building < 0 || x.Serving < 0 || x.Lease < time.Second:
-		return a.invalid("number: 1 to 9; fleet: 1 at the least; building and serving: 0 or more; lease: a second at least")
+		return a.withError("number: 1 to 9; fleet: 1 at the least; building and serving: 0 or more; lease: a second at least")
 	}
 	s.Agents = x
 	return a.err
@@ -72,12 +72,12 @@
 	var x AgentAction
 	a.period(&x.At, &x.Length)
 	a.integer("number", &x.Agent)
-	a.text("what", &x.What)
+	a.text("what", &x.Kind)
 	switch {
-	case x.What != "kill" && x.What != "wipe" && x.What != "stop":
-		return a.invalid("what: %q is none of kill, stop, wipe", x.What)
+	case x.Kind != "kill" && x.Kind != "wipe" && x.Kind != "stop":
+		return a.withError("what: %q is none of kill, stop, wipe", x.Kind)
 	case x.Length.From <= 0:
-		return a.invalid("seconds above 0 are needed: it is back after them")
+		return a.withError("seconds above 0 are needed: it is back after them")
 	}
 	s.AgentActions = append(s.AgentActions, x)
 	return a.err
@@ -88,13 +88,13 @@
 	o := Order{Hold: Range{1, 1}}
 	a.numberRange("at", &o.At)
 	a.integer("agent", &o.Agent)
-	a.text("what", &o.What)
-	a.names("of", &o.Of)
+	a.text("what", &o.Kind)
+	a.names("of", &o.Targets)
 	a.numberRange("hold", &o.Hold)
 	a.boolean("bad", &o.FailsAtStart)
 	a.boolean("go_back", &o.RollBackOnFailure)
-	if !slices.Contains([]string{"drain", "release", "halt", "resume", "back"}, o.What) {
-		return a.invalid("what: %q is none of drain, release, halt, resume, back", o.What)
+	if !slices.Contains([]string{"drain", "release", "halt", "resume", "back"}, o.Kind) {
+		return a.withError("what: %q is none of drain, release, halt, resume, back", o.Kind)
 	}
 	s.Orders = append(s.Orders, o)
 	return a.err
--- a/internal/scenario/parsefaults.go
+++ b/internal/scenario/parsefaults.go
@@ -35,9 +35,9 @@
 		return fmt.Errorf("what: %q is no trouble", what)
 	case f.Share.To > 1 || f.TrafficShare.To > 1 || f.Endpoints < 0 || f.Endpoints > 1 || f.Length.From <= 0 ||
 		f.Factor.From <= 0:
-		return a.invalid("share, part and endpoints: 0 to 1; seconds and factor: above 0")
+		return a.withError("share, part and endpoints: 0 to 1; seconds and factor: above 0")
 	case mode == partner.LimitReduced && f.Factor.To >= 1:
-		return a.invalid("factor: a cut limit is less than 1 times the usual")
+		return a.withError("factor: a cut limit is less than 1 times the usual")
 	}
 	f.Mode = mode
 	s.Faults = append(s.Faults, f)
@@ -49,7 +49,7 @@
 	var b DiscoveryOutage
 	a.period(&b.At, &b.Length)
 	if b.Length.From <= 0 {
-		return a.invalid("seconds above 0 are needed")
+		return a.withError("seconds above 0 are needed")
 	}
 	s.DiscoveryOutages = append(s.DiscoveryOutages, b)
 	return a.err
@@ -61,9 +61,9 @@
 	a.numberRange("at", &c.At)
 	a.duration("every", &c.Every)
 	a.duration("drain", &c.Drain)
-	a.boolean("reuse_address", &c.Reuse)
+	a.boolean("reuse_address", &c.ReuseAddress)
 	if c.Every > 0 && c.Every < 100*time.Millisecond {
-		return a.invalid("every: 0.1 s at the least")
+		return a.withError("every: 0.1 s at the least")
 	}
 	s.Churns = append(s.Churns, c)
 	return a.err
@@ -78,12 +78,12 @@
 	a.text("what", &what)
 	a.duration("delay", &l.Delay)
 	a.duration("jitter", &l.Jitter)
-	for _, part := range []struct {
-		name string
-		of   *float64
+	for _, share := range []struct {
+		name  string
+		value *float64
 	}{{"loss", &l.Loss}, {"double", &l.Duplicate}, {"reorder", &l.Reorder}} {
-		if a.number(part.name, part.of); *part.of < 0 || *part.of > 1 {
-			return fmt.Errorf("%s: a part from 0 to 1", part.name)
+		if a.number(share.name, share.value); *share.value < 0 || *share.value > 1 {
+			return fmt.Errorf("%s: a part from 0 to 1", share.name)
 		}
 	}
 	switch what {
@@ -108,7 +108,7 @@
 func (s *Scenario) addLink(a *args) error {
 	var l Link
 	a.period(&l.At, &l.Length)
-	a.names("of", &l.Of)
+	a.names("of", &l.From)
 	a.names("to", &l.To)
 	a.number("share", &l.Share)
 	a.boolean("one_way", &l.OneWay)
@@ -117,9 +117,9 @@
 	}
 	switch {
 	case l.Length.From <= 0:
-		return a.invalid("seconds above 0 are needed")
-	case (len(l.Of) == 0) == (l.Share == 0) || l.Share < 0 || l.Share > 1:
-		return a.invalid("either of, or a share of the senders above 0 up to 1, is needed")
+		return a.withError("seconds above 0 are needed")
+	case (len(l.From) == 0) == (l.Share == 0) || l.Share < 0 || l.Share > 1:
+		return a.withError("either of, or a share of the senders above 0 up to 1, is needed")
 	}
 	s.Links = append(s.Links, l)
 	return a.err
@@ -134,7 +134,7 @@
 		return errors.Join(a.err, err)
 	}
 	if p.Length.From <= 0 || p.Sides < 2 {
-		return a.invalid("seconds above 0, and two parts at least, are needed")
+		return a.withError("seconds above 0, and two parts at least, are needed")
 	}
 	s.Partitions = append(s.Partitions, p)
 	return a.err
--- a/internal/scenario/parsefleet.go
+++ b/internal/scenario/parsefleet.go
@@ -21,12 +21,12 @@
 	a.numberRange("slots", &s.InFlight)
 	a.numberRange("hold", &s.OpenMessages)
 	if a.number("notes_lost", &s.GossipLoss); s.GossipLoss < 0 || s.GossipLoss > 1 {
-		a.fail("notes_lost", "a part from 0 to 1", starlark.Float(s.GossipLoss))
+		a.typeError("notes_lost", "a part from 0 to 1", starlark.Float(s.GossipLoss))
 	}
 	if v, ok := a.take("zones"); ok {
 		list, isList := v.(*starlark.List)
 		if !isList {
-			a.fail("zones", "a list", v)
+			a.typeError("zones", "a list", v)
 			return a.err
 		}
 		for i := range list.Len() {
@@ -40,16 +40,16 @@
 // addKind is kind(...) in a script.
 func (s *Scenario) addKind(a *args) error {
 	k := Kind{
-		Headroom: Range{1.3, 2}, MinLimit: Range{2, 4}, Span: time.Second, SpareCapacity: Range{1.15, 1.6},
+		LimitHeadroom: Range{1.3, 2}, MinLimit: Range{2, 4}, Window: time.Second, SpareCapacity: Range{1.15, 1.6},
 		QueueLength: Range{0.3, 1}, CV: Range{0.3, 0.8}, Batch: 1, ItemCost: Range{0.05, 0.25}, MinConnections: Range{6, 16},
 		Endpoints: Range{2, 2.3}, RetryAfter: Range{0.3, 1},
 	}
 	form := "rate"
 	a.text("name", &k.Name)
 	a.text("limit", &form)
-	a.numberRange("headroom", &k.Headroom)
+	a.numberRange("headroom", &k.LimitHeadroom)
 	a.numberRange("least", &k.MinLimit)
-	a.duration("span", &k.Span)
+	a.duration("span", &k.Window)
 	a.boolean("refused_count", &k.CountRejected)
 	a.numberRange("tells_wait", &k.RetryAfterShare)
 	a.numberRange("wait", &k.RetryAfter)
@@ -72,9 +72,9 @@
 	default:
 		return fmt.Errorf("limit: %q is none of rate, window and none", form)
 	}
-	if k.Name == "" || k.Batch < 1 || k.Span <= 0 || k.RetryAfterShare.To > 1 || k.Endpoints.From < 1 ||
+	if k.Name == "" || k.Batch < 1 || k.Window <= 0 || k.RetryAfterShare.To > 1 || k.Endpoints.From < 1 ||
 		k.SpareCapacity.From < 1 {
-		return a.invalid("name, batch, span, tells_wait (0 to 1), endpoints (1 up) or spare (1 up) out of range")
+		return a.withError("name, batch, span, tells_wait (0 to 1), endpoints (1 up) or spare (1 up) out of range")
 	}
 	s.Kinds = append(s.Kinds, k)
 	return a.err
@@ -88,7 +88,7 @@
 	a.number("weight", &f.Weight)
 	a.integer("endpoints", &f.Endpoints)
 	if f.Destinations.From < 1 || f.Destinations.To > 100_000 || !(f.Weight > 0) || f.Endpoints < 0 || f.Endpoints > 1000 {
-		return a.invalid("destinations: 1 to 100,000; weight: above 0; endpoints of each: 1,000 at most")
+		return a.withError("destinations: 1 to 100,000; weight: above 0; endpoints of each: 1,000 at most")
 	}
 	s.Fleets = append(s.Fleets, f)
 	return a.err
--- a/internal/scenario/parsetraffic.go
+++ b/internal/scenario/parsetraffic.go
@@ -10,15 +10,15 @@
 	t := &s.Traffic
 	a.numberRange("rate", &t.Rate)
 	a.numberRange("zipf", &t.Zipf)
-	a.numberRange("clumps", &t.Clumps)
-	a.numberRange("clump", &t.Clump)
+	a.numberRange("clumps", &t.ClumpShare)
+	a.numberRange("clump", &t.ClumpSeconds)
 	a.integer("retries", &t.Retries)
 	a.numberRange("retry_in", &t.RetryDelay)
 	a.numberRange("again_in", &t.ResubmitDelay)
 	a.numberRange("body", &t.Body)
 	a.duration("patience", &t.Patience)
-	if t.Clumps.To > 1 || t.Retries < 0 || t.Retries > 100 || t.Body.To > 64<<10 {
-		return a.invalid("clumps: 0 to 1; retries: 0 to 100; body: 65,536 bytes at most")
+	if t.ClumpShare.To > 1 || t.Retries < 0 || t.Retries > 100 || t.Body.To > 64<<10 {
+		return a.withError("clumps: 0 to 1; retries: 0 to 100; body: 65,536 bytes at most")
 	}
 	return a.err
 }
@@ -42,7 +42,7 @@
 		return errors.New("a keyed class needs its memory")
 	case c.Name == "" || !(c.Share > 0) || c.Service.From <= 0 || c.LatencyObjective <= 0 ||
 		c.Deadline <= c.LatencyObjective:
-		return a.invalid("name, share, service, aim and a deadline after it are needed")
+		return a.withError("name, share, service, aim and a deadline after it are needed")
 	}
 	s.Traffic.Classes = append(s.Traffic.Classes, c)
 	return a.err
@@ -54,7 +54,7 @@
 	a.text("name", &t.Name)
 	a.number("share", &t.Share)
 	if t.Name == "" || !(t.Share > 0) {
-		return a.invalid("name and a share above 0 are needed")
+		return a.withError("name and a share above 0 are needed")
 	}
 	s.Traffic.Tenants = append(s.Traffic.Tenants, t)
 	return a.err
@@ -66,7 +66,7 @@
 	a.duration("at", &p.At)
 	a.number("factor", &p.Factor)
 	if n := len(s.Traffic.RateCurve); p.Factor < 0 || n > 0 && p.At <= s.Traffic.RateCurve[n-1].At {
-		return a.invalid("points in the order of their times, factors from 0 up")
+		return a.withError("points in the order of their times, factors from 0 up")
 	}
 	s.Traffic.RateCurve = append(s.Traffic.RateCurve, p)
 	return a.err
@@ -78,7 +78,7 @@
 	a.period(&b.At, &b.Length)
 	a.numberRange("factor", &b.Factor)
 	if b.Length.From <= 0 || b.Factor.From < 1 {
-		return a.invalid("seconds above 0 and a factor from 1 up are needed")
+		return a.withError("seconds above 0 and a factor from 1 up are needed")
 	}
 	s.Bursts = append(s.Bursts, b)
 	return a.err
@@ -91,7 +91,7 @@
 	a.numberRange("share", &h.Share)
 	a.integer("destinations", &h.Keys)
 	if h.Length.From <= 0 || h.Share.From <= 0 || h.Share.To >= 1 || h.Keys < 1 {
-		return a.invalid("seconds above 0, a share between 0 and 1, and destinations from 1 up are needed")
+		return a.withError("seconds above 0, a share between 0 and 1, and destinations from 1 up are needed")
 	}
 	s.HotKeys = append(s.HotKeys, h)
 	return a.err
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -22,10 +22,10 @@
 	Orders           []PlannedOrder
 	Links            []PlannedLink // in the order in which they begin
 	DiscoveryOutages []Span        // discovery answers nobody in them
-	bursts           []window
-	hotKeys          []window
+	burstWindows     []window
+	hotKeyWindows    []window
 	clumpShare       float64 // of the messages, that come in clumps
-	clumpSize        Range   // seconds of a destination's limit
+	clumpSeconds     Range   // seconds of a destination's limit
 }
 
 // Destination is a partner system, drawn.
@@ -54,8 +54,8 @@
 // A window is the time of a burst or of hot keys.
 type window struct {
 	Span
-	size float64 // of a burst: factor of the rate; of hot keys: share of the messages
-	keys int     // hot keys: destinations
+	amount       float64 // of a burst: factor of the rate; of hot keys: share of the messages
+	destinations int     // hot keys: destinations
 }
 
 // The random streams. Each part of a plan has its own, so that a change of one part of a script leaves the draws of
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -46,9 +46,9 @@
 type Kind struct {
 	Name            string
 	Form            partner.LimitForm
-	Headroom        Range         // of the limit, as a multiple of the calls at full load
+	LimitHeadroom   Range         // of the limit, as a multiple of the calls at full load
 	MinLimit        Range         // calls a second
-	Span            time.Duration // of a partner.Window
+	Window          time.Duration // of a partner.Window
 	CountRejected   bool          // rejected calls use up the limit
 	RetryAfterShare Range         // part of the rejections
 	RetryAfter      Range         // seconds
@@ -94,8 +94,8 @@
 type Traffic struct {
 	Rate          Range // messages a second, over all senders
 	Zipf          Range // how unevenly destinations get messages: the exponent
-	Clumps        Range // part of the messages that come close after one another
-	Clump         Range // messages of a clump, in seconds of the limit
+	ClumpShare    Range // part of the messages that come close after one another
+	ClumpSeconds  Range // messages of a clump, in seconds of the limit
 	Classes       []Class
 	Tenants       []Tenant
 	Retries       int           // submissions of a client after a rejection
@@ -144,7 +144,7 @@
 	Sender       int     // its number; below 0: a share of them
 	Share        float64 // of the senders, drawn
 	Spread       Range   // seconds over which the senders are affected, one after the other
-	What         string  // see senderActions
+	Kind         string  // see senderActions
 	InFlight     float64 // of a retune: calls in flight at once, as a multiple of the scenario's...
 	OpenMessages float64 // ...and open messages
 }
@@ -161,15 +161,15 @@
 type AgentAction struct {
 	At, Length Range
 	Agent      int
-	What       string // kill, wipe (its folder is lost, too) or stop
+	Kind       string // kill, wipe (its folder is lost, too) or stop
 }
 
 // Order is an order of the staff to the agents.
 type Order struct {
 	At                Range
 	Agent             int      // that gets it; the next one where it does not run
-	What              string   // drain or release; for the latest plan: halt, resume or back
-	Of                []string // senders and zones; empty: all
+	Kind              string   // drain or release; for the latest plan: halt, resume or back
+	Targets           []string // senders and zones; empty: all
 	Hold              Range    // seconds for which each is drained
 	FailsAtStart      bool     // the program of the release ends at its start
 	RollBackOnFailure bool     // a release that fails is rolled back
@@ -179,7 +179,7 @@
 // discovery, clients, and endpoints (partners, partners/ZONE, destination/NUMBER, endpoint/ID).
 type Link struct {
 	At, Length Range
-	Of, To     []string // To empty: all parties that are not in Of
+	From, To   []string // To empty: all parties that are not in Of
 	Share      float64  // of the senders, drawn, where Of is empty
 	OneWay     bool     // only from Of to To
 	LinkState  LinkState
@@ -208,10 +208,10 @@
 
 // Churn replaces an endpoint: the old one drains and is removed, and a new one is added.
 type Churn struct {
-	At    Range
-	Every time.Duration // between replacements; 0: only one
-	Drain time.Duration
-	Reuse bool // the new one has the address of the old one
+	At           Range
+	Every        time.Duration // between replacements; 0: only one
+	Drain        time.Duration
+	ReuseAddress bool // the new one has the address of the old one
 }
 
 // DiscoveryOutage is a time, in seconds, in which discovery answers nobody.
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -11,7 +11,7 @@
 
 // An agent supervises the senders whose numbers, divided by the number of agents, leave its own as the remainder.
 type agent struct {
-	fleet        *agents
+	cluster      *agentCluster
 	num          int
 	name         string
 	state        *rollout.State
@@ -34,21 +34,21 @@
 	process       string // that it saw last
 }
 
-func newAgent(fleet *agents, num int) *agent {
+func newAgent(cluster *agentCluster, num int) *agent {
 	ag := &agent{
-		fleet: fleet, num: num, name: scenario.Agent(num), state: rollout.New(),
+		cluster: cluster, num: num, name: scenario.Agent(num), state: rollout.New(),
 		observations: map[string]rollout.Observation{}, supervised: map[string]*supervision{},
 	}
-	p := fleet.sim.plan.Scenario
+	p := cluster.sim.plan.Scenario
 	for k := num; k < p.Senders; k += p.Agents.Number {
 		ag.supervised[scenario.Sender(k)] = &supervision{sender: k}
 	}
 	return ag
 }
 
-// roster returns the command that makes the agent's senders known.
-func (ag *agent) roster(p *scenario.Scenario) rollout.Command {
-	c := rollout.Command{Verb: rollout.SetRoster, At: ag.fleet.sim.clock(), By: ag.name}
+// rosterCommand returns the command that makes the agent's senders known.
+func (ag *agent) rosterCommand(p *scenario.Scenario) rollout.Command {
+	c := rollout.Command{Verb: rollout.SetRoster, At: ag.cluster.sim.clock(), By: ag.name}
 	for k := ag.num; k < p.Senders; k += p.Agents.Number {
 		c.Roster = append(c.Roster, rollout.Member{
 			Name: scenario.Sender(k), Building: p.Zones[k%len(p.Zones)], Agent: ag.name,
@@ -70,36 +70,36 @@
 	}
 }
 
-func (ag *agent) running() bool { return !ag.dead && ag.fleet.sim.now >= ag.stoppedUntil }
+func (ag *agent) running() bool { return !ag.dead && ag.cluster.sim.now >= ag.stoppedUntil }
 
 // connectedTo reports whether it and another agent can talk to each other.
 func (ag *agent) connectedTo(other *agent) bool {
-	s := ag.fleet.sim
+	s := ag.cluster.sim
 	return ag == other || other.running() && s.link(ag.name, other.name).Passes() && s.link(other.name, ag.name).Passes()
 }
 
 // hasMajority reports whether it runs and is connected to a majority of the agents, itself included.
 func (ag *agent) hasMajority() bool {
 	n := 0
-	for _, other := range ag.fleet.members {
+	for _, other := range ag.cluster.members {
 		if ag.connectedTo(other) {
 			n++
 		}
 	}
-	return ag.running() && 2*n > len(ag.fleet.members)
+	return ag.running() && 2*n > len(ag.cluster.members)
 }
 
 // catchUp applies the commands of the log that it does not have yet.
 func (ag *agent) catchUp() {
-	for ; ag.applied < len(ag.fleet.log); ag.applied++ {
-		ag.state.Apply(uint64(ag.applied+1), ag.fleet.log[ag.applied])
+	for ; ag.applied < len(ag.cluster.log); ag.applied++ {
+		ag.state.Apply(uint64(ag.applied+1), ag.cluster.log[ag.applied])
 	}
 }
 
 // observeSenders observes the agent's senders, passes the observations to the leader, and carries out the agreed
 // commands.
 func (ag *agent) observeSenders() {
-	s, a := ag.fleet.sim, ag.fleet
+	s, a := ag.cluster.sim, ag.cluster
 	s.at(s.now+observeInterval, ag.observeSenders)
 	if !ag.running() {
 		return
@@ -110,7 +110,7 @@
 	}
 	for k := ag.num; k < len(s.senders); k += len(a.members) {
 		m := ag.supervised[scenario.Sender(k)]
-		v := ag.observe(m)
+		v := ag.observeSender(m)
 		ag.addObservation(v)
 		if follows {
 			l, after := a.leader, agentDelay+s.extraDelay(s.link(ag.name, a.leader.name))
@@ -120,7 +120,7 @@
 				}
 			})
 		}
-		ag.supervise(m, v, follows || a.leader == ag)
+		ag.applyGrant(m, v, follows || a.leader == ag)
 	}
 }
 
@@ -131,26 +131,26 @@
 	}
 }
 
-// reaches reports whether a sender's process answers the agent.
-func (ag *agent) reaches(sd *sender) bool {
-	s := ag.fleet.sim
-	answers := !sd.dead && !sd.shuttingDown && !sd.stopped()
-	return answers && s.link(ag.name, sd.name).Passes() && s.link(sd.name, ag.name).Passes()
+// canReach reports whether a sender's process answers the agent.
+func (ag *agent) canReach(sd *sender) bool {
+	s := ag.cluster.sim
+	responsive := !sd.dead && !sd.shuttingDown && !sd.stopped()
+	return responsive && s.link(ag.name, sd.name).Passes() && s.link(sd.name, ag.name).Passes()
 }
 
-// observe returns what the agent sees of a sender, and counts crashes.
-func (ag *agent) observe(m *supervision) rollout.Observation {
-	s := ag.fleet.sim
+// observeSender returns what the agent sees of a sender, and counts crashes.
+func (ag *agent) observeSender(m *supervision) rollout.Observation {
+	s := ag.cluster.sim
 	sd := s.senders[m.sender]
 	v := rollout.Observation{Sender: sd.name, At: s.clock(), Phase: "no answer", FaultEpoch: m.faultEpoch, Fault: m.fault}
-	if !ag.reaches(sd) {
+	if !ag.canReach(sd) {
 		return v
 	}
 	if m.process != "" && m.process != sd.process && !m.changing && m.process != sd.predecessor {
 		m.crashes++
 	}
 	m.process = sd.process
-	v = sd.observe()
+	v = sd.observation()
 	v.FaultEpoch, v.Fault, v.Facts.Restarts = m.faultEpoch, m.fault, m.crashes
 	v.Serving = v.Serving && !m.changing
 	return v
@@ -158,12 +158,12 @@
 
 // observeRemotely has a leader observe senders itself whose agents are silent.
 func (ag *agent) observeRemotely() {
-	s := ag.fleet.sim
+	s := ag.cluster.sim
 	for name, v := range ag.observations {
 		var num int
 		fmt.Sscanf(name, "n%d", &num)
-		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.fleet.terms.Timing.Fresh*6/10 && ag.reaches(sd) {
-			now := sd.observe()
+		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.cluster.terms.Timing.Fresh*6/10 && ag.canReach(sd) {
+			now := sd.observation()
 			now.Far, now.Version, now.Facts.Restarts = true, v.Version, v.Facts.Restarts
 			now.FaultEpoch, now.Fault = v.FaultEpoch, v.Fault
 			ag.observations[name] = now
@@ -171,13 +171,13 @@
 	}
 }
 
-// supervise carries out what was agreed on for a sender. Leases are renewed only while the agent is connected to a
+// applyGrant carries out what was agreed on for a sender. Leases are renewed only while the agent is connected to a
 // leader.
-func (ag *agent) supervise(m *supervision, v rollout.Observation, connected bool) {
-	s := ag.fleet.sim
+func (ag *agent) applyGrant(m *supervision, v rollout.Observation, connected bool) {
+	s := ag.cluster.sim
 	sd := s.senders[m.sender]
 	g := ag.state.Grants[sd.name]
-	if g == nil || m.changing || !ag.reaches(sd) {
+	if g == nil || m.changing || !ag.canReach(sd) {
 		return
 	}
 	now := s.clock()
@@ -188,7 +188,7 @@
 	case rollout.End:
 		sd.lease.End(g.Epoch)
 	case rollout.Renew:
-		if connected && sd.lease.Renew(g.Epoch, now.Add(ag.fleet.terms.Timing.Lease), now) == nil {
+		if connected && sd.lease.Renew(g.Epoch, now.Add(ag.cluster.terms.Timing.Lease), now) == nil {
 			sd.scheduleExpiry()
 		}
 	case rollout.Take:
@@ -198,14 +198,14 @@
 
 // acceptGrant has a sender accept a grant, if its lease allows it, and changes the version if the grant is for that.
 func (ag *agent) acceptGrant(m *supervision, sd *sender, g *rollout.Grant) {
-	s := ag.fleet.sim
+	s := ag.cluster.sim
 	m.acceptedEpoch = g.Epoch
 	order := lease.Order{Process: g.Process, Epoch: g.Epoch, By: g.By, Until: g.Until, Drain: g.Drain}
 	if sd.lease.Take(order, sd.process, s.clock()) != nil {
 		return
 	}
 	sd.scheduleExpiry()
-	ag.fleet.checkBudget(sd)
+	ag.cluster.checkBudget(sd)
 	if g.Drain {
 		return
 	}
@@ -226,8 +226,8 @@
 	})
 }
 
-// observe returns what a sender tells of itself.
-func (sd *sender) observe() rollout.Observation {
+// observation returns what a sender tells of itself.
+func (sd *sender) observation() rollout.Observation {
 	c := sd.counters.Counts()
 	v := rollout.Observation{
 		Sender: sd.name, At: sd.sim.clock(), Process: sd.process, Version: sd.version, Epoch: sd.lease.Epoch,
@@ -261,5 +261,5 @@
 	sd.process, sd.version = fmt.Sprintf("%s-%d", sd.name, sd.sim.senderStarts), version
 }
 
-// drainingByOrder reports whether it sends clients away because of its lease.
-func (sd *sender) drainingByOrder() bool { return sd.lease.Active() && sd.lease.Drain }
+// drainOrdered reports whether it sends clients away because of its lease.
+func (sd *sender) drainOrdered() bool { return sd.lease.Active() && sd.lease.Drain }
--- a/internal/simulation/agents.go
+++ b/internal/simulation/agents.go
@@ -20,11 +20,11 @@
 // errNoLeader is returned where no agent has a majority.
 var errNoLeader = errors.New("lab: no leader")
 
-// agents are the agents in virtual time. Decisions are those of internal/rollout, and the senders' leases those of
-// internal/lease. Consensus is a log that only the leader may append to, and only while it is connected to a
+// agentCluster is the set of agents in virtual time. Decisions are those of internal/rollout, and the senders' leases
+// those of internal/lease. Consensus is a log that only the leader may append to, and only while it is connected to a
 // majority; Raft itself is simulated by the tests of internal/quorum. A change of version puts another process in the
 // place of one, which takes a while.
-type agents struct {
+type agentCluster struct {
 	sim          *Sim
 	terms        rollout.Terms
 	members      []*agent
@@ -33,10 +33,10 @@
 	leaderLostAt time.Duration // since when there is none; meaningless while there is one
 }
 
-// newAgents makes agents that have agreed on terms and members, and schedules what the plan has for them.
-func newAgents(s *Sim) *agents {
+// newAgentCluster makes agents that have agreed on terms and members, and schedules what the plan has for them.
+func newAgentCluster(s *Sim) *agentCluster {
 	p := s.plan.Scenario
-	a := &agents{sim: s, terms: rollout.DefaultTerms, leaderLostAt: -electionDelay}
+	a := &agentCluster{sim: s, terms: rollout.DefaultTerms, leaderLostAt: -electionDelay}
 	a.terms.Budget = rollout.Budget{Fleet: p.Agents.Fleet, Building: p.Agents.Building, Serving: p.Agents.Serving}
 	a.terms.Timing.Lease = p.Agents.Lease
 	terms := a.terms
@@ -45,16 +45,16 @@
 	})
 	for i := range p.Agents.Number {
 		ag := newAgent(a, i)
-		a.log = append(a.log, ag.roster(p))
+		a.log = append(a.log, ag.rosterCommand(p))
 		a.members = append(a.members, ag)
 		s.at(time.Duration(i)*observeInterval/time.Duration(p.Agents.Number), ag.observeSenders)
 	}
 	for _, ag := range a.members {
 		ag.catchUp()
 	}
-	s.at(0, a.lead)
+	s.at(0, a.runLeader)
 	for _, action := range s.plan.AgentActions {
-		s.at(action.At, func() { a.inject(a.members[action.Agent], action) })
+		s.at(action.At, func() { a.applyAction(a.members[action.Agent], action) })
 	}
 	for _, o := range s.plan.Orders {
 		s.at(o.At, func() { a.submitOrder(o, s.now+orderTimeout) })
@@ -67,7 +67,7 @@
 func (s *Sim) clock() time.Time { return virtualStart.Add(s.now) }
 
 // propose appends a command to the log. It returns errNoLeader, or the error of applying the command.
-func (a *agents) propose(c rollout.Command) error {
+func (a *agentCluster) propose(c rollout.Command) error {
 	l := a.leader
 	if l == nil || !l.hasMajority() {
 		return errNoLeader
@@ -78,10 +78,10 @@
 	return l.state.Apply(uint64(len(a.log)), c)
 }
 
-// lead elects a leader where there is none, and has it propose what comes next.
-func (a *agents) lead() {
+// runLeader elects a leader where there is none, and has it propose what comes next.
+func (a *agentCluster) runLeader() {
 	s := a.sim
-	s.at(s.now+leaderInterval, a.lead)
+	s.at(s.now+leaderInterval, a.runLeader)
 	if a.leader != nil && !a.leader.hasMajority() {
 		a.leader, a.leaderLostAt = nil, s.now
 	}
@@ -108,25 +108,25 @@
 
 // checkBudget counts, as a sender goes out of service by order, the senders out of service: those with a lease, and
 // those down for longer than an order may rest on an old observation.
-func (a *agents) checkBudget(sd *sender) {
+func (a *agentCluster) checkBudget(sd *sender) {
 	s, t := a.sim, a.terms.Timing
 	s.result.Orders++
 	margin := t.Fresh + t.Accept + 4*t.Error + 2*observeInterval
-	out, text := 0, ""
+	outOfService, names := 0, ""
 	for _, other := range s.senders {
 		down := other.dead && s.now-other.endedAt > margin || other.stopped() && s.now-other.stoppedAt > margin
 		if other.lease.Active() || down {
-			out++
-			text += " " + other.name
+			outOfService++
+			names += " " + other.name
 		}
 	}
-	if out > a.terms.Budget.Fleet {
-		s.result.OverBudget = append(s.result.OverBudget, fmt.Sprintf("%v: %s went out, out are%s", s.now, sd.name, text))
+	if outOfService > a.terms.Budget.Fleet {
+		s.result.OverBudget = append(s.result.OverBudget, fmt.Sprintf("%v: %s went out, out are%s", s.now, sd.name, names))
 	}
 }
 
-// inject carries out an action on an agent.
-func (a *agents) inject(ag *agent, action scenario.PlannedAgentAction) {
+// applyAction carries out an action on an agent.
+func (a *agentCluster) applyAction(ag *agent, action scenario.PlannedAgentAction) {
 	s := a.sim
 	switch action.What {
 	case "stop":
@@ -137,8 +137,8 @@
 	}
 }
 
-// finish enters the rollout plans and the senders that are out of service into the result.
-func (a *agents) finish() {
+// recordResult enters the rollout plans and the senders that are out of service into the result.
+func (a *agentCluster) recordResult() {
 	l := a.leader
 	if l == nil {
 		l = a.members[0]
--- a/internal/simulation/agents_test.go
+++ b/internal/simulation/agents_test.go
@@ -9,7 +9,7 @@
 
 // Drains and releases of a fleet with faults of agents and senders, over seeds and sizes: never one sender too many
 // goes out by order, all are back in the end, and the rules hold.
-func TestAgents(t *testing.T) {
+func TestRolloutsStayWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		senders float64
 		seeds   uint64
@@ -42,7 +42,7 @@
 }
 
 // The check of the budget sees one sender too many: agents that believe in a budget of two are checked against one.
-func TestBudgetCheckSeesExcess(t *testing.T) {
+func TestBudgetCheckReportsExcess(t *testing.T) {
 	sc, err := scenario.Load("../../examples/scenarios/agents.star", nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/call.go
+++ b/internal/simulation/call.go
@@ -15,24 +15,24 @@
 
 // An inFlightCall is a call, or a health check, of a sender to an endpoint.
 type inFlightCall struct {
-	sender       *sender
-	call         *state.Call // nil: a health check
-	target       state.Target
-	id           uint64
-	delay        time.Duration // of the network, one way
-	newConn      bool          // it is the first on its connection
-	overCapacity bool          // its connection is one more than the endpoint takes
-	sent         bool          // its first byte has left
-	done         bool          // the sender waits for it no more
-	ended        map[*state.Attempt]bool
-	startedAt    time.Duration
+	sender        *sender
+	call          *state.Call // nil: a health check
+	target        state.Target
+	id            uint64
+	delay         time.Duration // of the network, one way
+	newConnection bool          // it is the first on its connection
+	overCapacity  bool          // its connection is one more than the endpoint takes
+	sent          bool          // its first byte has left
+	done          bool          // the sender waits for it no more
+	endedAttempts map[*state.Attempt]bool
+	startedAt     time.Duration
 }
 
 // Send makes a call, on an idle connection or on a new one. It implements state.Transport, as do Cancel,
 // CancelUnsent, HealthCheck and Disconnect.
 func (sd *sender) Send(c *state.Call) {
 	f := sd.startCall(c.Target)
-	f.call, f.ended = c, map[*state.Attempt]bool{}
+	f.call, f.endedAttempts = c, map[*state.Attempt]bool{}
 	sd.byCall[c] = f
 	for _, a := range c.Attempts {
 		sd.sim.at(a.Deadline.Sub(virtualStart), func() { f.timeOut(a) })
@@ -47,10 +47,10 @@
 			if f.done {
 				return
 			}
-			if s := sd.sim; f.forget(sd.num, "timeout") {
+			if s := sd.sim; f.recordNoAnswer(sd.num, "timeout") {
 				s.environment.Model.Cancel(s.now, f.id, f.target.ID)
 			}
-			f.endAll(state.AttemptResult{Result: control.TimedOut})
+			f.end(state.AttemptResult{Result: control.TimedOut})
 		})
 	})
 }
@@ -87,22 +87,24 @@
 }
 
 // startCall sends on the connection that was idle for the shortest time, or on a new one.
-func (sd *sender) startCall(to state.Target) *inFlightCall {
+func (sd *sender) startCall(target state.Target) *inFlightCall {
 	s := sd.sim
 	s.lastCall++
-	f := &inFlightCall{sender: sd, target: to, id: s.lastCall, delay: NetworkDelay(to.Zone, sd.zone), startedAt: s.now}
+	f := &inFlightCall{
+		sender: sd, target: target, id: s.lastCall, delay: NetworkDelay(target.Zone, sd.zone), startedAt: s.now,
+	}
 	sd.inFlight[f] = true
-	idle := sd.idleConns[to.ID]
+	idle := sd.idleConns[target.ID]
 	for len(idle) > 0 && s.now-idle[0] >= idleConnTimeout { // the endpoint has closed these
-		s.environment.Model.Disconnect(s.now, to.ID)
+		s.environment.Model.Disconnect(s.now, target.ID)
 		idle = idle[1:]
 	}
 	if n := len(idle); n > 0 {
-		sd.idleConns[to.ID] = idle[:n-1]
+		sd.idleConns[target.ID] = idle[:n-1]
 		s.at(s.now, f.send)
 		return f
 	}
-	sd.idleConns[to.ID] = idle
+	sd.idleConns[target.ID] = idle
 	f.connect()
 	return f
 }
@@ -110,7 +112,7 @@
 // connect opens a connection and sends on it.
 func (f *inFlightCall) connect() {
 	sd, s := f.sender, f.sender.sim
-	f.newConn = true
+	f.newConnection = true
 	s.result.Connections++
 	if request, reply := f.links(); !request.Passes() || !reply.Passes() {
 		after := f.delay
@@ -121,7 +123,7 @@
 			if !sd.dead && !f.done {
 				f.recordFailure()
 			}
-			f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+			f.end(state.AttemptResult{Result: control.ConnectFailed})
 		})
 		return
 	}
@@ -139,7 +141,7 @@
 		if !f.sender.dead {
 			f.recordFailure()
 		}
-		f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+		f.end(state.AttemptResult{Result: control.ConnectFailed})
 	case f.done && result == partner.ConnectionOpened:
 		s.environment.Model.Disconnect(s.now, f.target.ID)
 	case !f.done:
@@ -170,12 +172,12 @@
 	request, reply := f.links()
 	if request.Cut || reply.Cut {
 		s.environment.Model.Disconnect(s.now, f.target.ID)
-		f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+		f.end(state.AttemptResult{Result: control.ConnectFailed})
 		return
 	}
 	f.sent = true
 	c := partner.Call{
-		ID: f.id, Sender: f.sender.num, Endpoint: f.target.ID, NewConnection: f.newConn, OverCapacity: f.overCapacity,
+		ID: f.id, Sender: f.sender.num, Endpoint: f.target.ID, NewConnection: f.newConnection, OverCapacity: f.overCapacity,
 		HealthCheck: f.call == nil,
 	}
 	var ids []string
@@ -228,8 +230,8 @@
 		f.recordFailure()
 	}
 	if a.Kind == partner.Delivered && f.call != nil {
-		for _, at := range f.call.Attempts {
-			s.delivered(at.Message.ID)
+		for _, attempt := range f.call.Attempts {
+			s.delivered(attempt.Message.ID)
 		}
 	}
 	if !reply.Passes() {
@@ -238,12 +240,12 @@
 	if a.Kind != partner.Reset && !f.done {
 		f.releaseConn()
 	}
-	end := attemptResult(a)
+	result := attemptResult(a)
 	if after := s.extraDelay(reply); after > 0 {
-		s.at(s.now+after, func() { f.endAll(end) })
+		s.at(s.now+after, func() { f.end(result) })
 		return
 	}
-	f.endAll(end)
+	f.end(result)
 }
 
 // attemptResult is what an answer of an endpoint means to a sender.
@@ -272,13 +274,13 @@
 		f.sender.whenRunning(func() { f.timeOut(a) })
 		return
 	}
-	if f.done || f.ended[a] {
+	if f.done || f.endedAttempts[a] {
 		return
 	}
-	f.ended[a] = true
+	f.endedAttempts[a] = true
 	f.recordFailure()
 	r := state.AttemptResult{Attempt: a, Result: control.TimedOut, Elapsed: f.sender.sim.now - f.startedAt}
-	if len(f.ended) == len(f.call.Attempts) {
+	if len(f.endedAttempts) == len(f.call.Attempts) {
 		f.abandon("timeout")
 	}
 	f.sender.step(state.CallEnded{Call: f.call, Results: []state.AttemptResult{r}})
@@ -293,8 +295,8 @@
 	f.endAttempts(state.AttemptResult{Result: r})
 }
 
-// endAll ends the call, with one result for all attempts that have none yet.
-func (f *inFlightCall) endAll(r state.AttemptResult) {
+// end ends the call, with one result for all attempts that have none yet.
+func (f *inFlightCall) end(r state.AttemptResult) {
 	if f.done {
 		return
 	}
@@ -311,8 +313,8 @@
 func (f *inFlightCall) endAttempts(r state.AttemptResult) {
 	var results []state.AttemptResult
 	for _, a := range f.call.Attempts {
-		if !f.ended[a] {
-			f.ended[a] = true
+		if !f.endedAttempts[a] {
+			f.endedAttempts[a] = true
 			r.Attempt, r.Elapsed = a, f.sender.sim.now-f.startedAt
 			results = append(results, r)
 		}
@@ -323,7 +325,7 @@
 // abandon stops waiting: the connection is closed, though the endpoint may go on with its work.
 func (f *inFlightCall) abandon(cause string) {
 	f.finish()
-	if f.forget(f.sender.num, cause) {
+	if f.recordNoAnswer(f.sender.num, cause) {
 		f.notifyCanceled()
 	}
 }
@@ -337,9 +339,9 @@
 	}
 }
 
-// forget records that a call ended without an answer, and ignores one that still comes. It returns false if there was
-// one, or if the call was not sent.
-func (f *inFlightCall) forget(sender int, cause string) bool {
+// recordNoAnswer records that a call ended without an answer, and makes the simulation ignore a later answer. It
+// returns false if the call has already been answered or was not sent.
+func (f *inFlightCall) recordNoAnswer(sender int, cause string) bool {
 	s := f.sender.sim
 	if !f.sent || s.calls[f.id] == nil {
 		return false
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -13,7 +13,7 @@
 	// DeadSenderTimeout is how long the load balancer goes on sending to a sender that has died.
 	DeadSenderTimeout = 2 * time.Second
 
-	maxLostSubmissions = 8 // submissions of one message without a response
+	maxUnansweredSubmissions = 8 // submissions of one message without a response
 )
 
 // ClientRequest is a message that a client wants delivered, with its submissions: clients resubmit as BRIEF 6 says.
@@ -23,7 +23,7 @@
 	Done        bool // delivered
 	submissions int  // so far
 	rejections  int  // at most as many as the scenario has retries, and one
-	lost        int  // submissions without a response
+	unanswered  int  // submissions without a response
 }
 
 // TimeLeft returns the time for which the message may still be delivered; 0 where it is delivered or its time is over.
@@ -60,7 +60,7 @@
 
 // Unanswered notes that a submission got no response. It returns whether the client submits again, and after how long.
 func (m *ClientRequest) Unanswered(s *scenario.Scenario, rng *rand.Rand) (time.Duration, bool) {
-	if m.lost++; m.lost >= maxLostSubmissions {
+	if m.unanswered++; m.unanswered >= maxUnansweredSubmissions {
 		return 0, false
 	}
 	return drawSeconds(s.Traffic.ResubmitDelay, rng), true
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -22,7 +22,7 @@
 	rng          *rand.Rand
 	kinds        map[string]int            // numbers of the kinds of destinations
 	listed       map[string]ListedEndpoint // by id, removed ones too
-	order        []string                  // of the ids in the list
+	listOrder    []string                  // of the ids in the list
 	version      int64                     // of the list
 	updates      [][]scheduledUpdate       // by sender, in the order of their times and versions
 	baseVersions []int64                   // by sender: updates up to this version are forgotten
@@ -45,8 +45,8 @@
 	for i := range env.baseVersions {
 		env.baseVersions[i] = 1
 	}
-	for i, k := range p.Scenario.Kinds {
-		env.kinds[k.Name] = i
+	for i, kind := range p.Scenario.Kinds {
+		env.kinds[kind.Name] = i
 	}
 	for i := range p.Dests {
 		for _, e := range p.Dests[i].Endpoints {
@@ -60,16 +60,16 @@
 func (env *Environment) addEndpoint(d *scenario.Destination, e partner.EndpointSpec, address string) {
 	l := ListedEndpoint{e.ID, address, d.Dest, env.kinds[d.Kind], e.Zone, control.Ready, d.AnnouncedRate}
 	env.listed[e.ID] = l
-	env.order = append(env.order, e.ID)
+	env.listOrder = append(env.listOrder, e.ID)
 }
 
 // Rules returns the rules that the senders of a plan have to keep.
-func Rules(p *scenario.Plan, set control.Settings) audit.Rules {
+func Rules(p *scenario.Plan, settings control.Settings) audit.Rules {
 	var classes []audit.Class
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		classes = append(classes, audit.Class{Idempotency: audit.Idempotency(c.Idempotency), KeyRetention: c.KeyRetention})
 	}
-	rules := audit.SocketRules(classes, set.DrainGrace)
+	rules := audit.SocketRules(classes, settings.DrainGrace)
 	for i := range p.Dests {
 		rules.SeparateRoutes[p.Dests[i].Dest] = p.Dests[i].SeparateRoutes
 	}
@@ -99,18 +99,18 @@
 			return nil, err
 		}
 		address := c.Joins.ID
-		if old, was := env.listed[c.Address]; was {
+		if old, wasListed := env.listed[c.Address]; wasListed {
 			address = old.Address
 		}
 		env.addEndpoint(&env.Plan.Dests[c.Dest-1], *c.Joins, address)
-		return env.announce(now, ListedEndpoint{}, false, c.Joins.ID), nil
+		return env.scheduleNotifications(now, ListedEndpoint{}, false, c.Joins.ID), nil
 	case !listed || l.State == control.Removed:
 		return nil, nil
 	case c.Drains:
-		notifiedAt = env.depart(now, l, control.Draining)
+		notifiedAt = env.setLeaving(now, l, control.Draining)
 		return notifiedAt, env.Model.SetFault(now, l.ID, partner.Fault{Mode: partner.Draining})
 	case c.Leaves:
-		notifiedAt = env.depart(now, l, control.Removed)
+		notifiedAt = env.setLeaving(now, l, control.Removed)
 		return notifiedAt, env.Model.Leave(now, l.ID)
 	case l.State == control.Draining:
 		return nil, nil // no fault befalls an endpoint that drains
@@ -118,13 +118,13 @@
 	return nil, env.setFault(now, l, c.Fault)
 }
 
-// depart lists an endpoint as draining or removed. It returns when each sender is notified.
-func (env *Environment) depart(now time.Duration, l ListedEndpoint, to control.EndpointState) []time.Duration {
+// setLeaving lists an endpoint as draining or removed. It returns when each sender is notified.
+func (env *Environment) setLeaving(now time.Duration, l ListedEndpoint, state control.EndpointState) []time.Duration {
 	previous := l
-	l.State = to
+	l.State = state
 	env.listed[l.ID] = l
 	env.departures = append(env.departures, departure{now, l.ID, l.Dest})
-	return env.announce(now, previous, true, l.ID)
+	return env.scheduleNotifications(now, previous, true, l.ID)
 }
 
 // setFault sets an endpoint's fault, and records where an outage begins or ends with it.
--- a/internal/simulation/environment_test.go
+++ b/internal/simulation/environment_test.go
@@ -17,39 +17,39 @@
 		t.Fatal(err)
 	}
 	p := sc.Plan(1)
-	g, err := NewEnvironment(p, func(audit.Event) {})
+	env, err := NewEnvironment(p, func(audit.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	e := p.Dests[0].Endpoints[0]
-	all, _ := g.FullList(0, 0)
-	first, err := g.Apply(time.Second, scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
+	initial, _ := env.FullList(0, 0)
+	first, err := env.Apply(time.Second, scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, _ := g.Apply(1100*time.Millisecond, scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
+	second, _ := env.Apply(1100*time.Millisecond, scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
 	for i := range first {
 		if second[i] < first[i] || first[i] > time.Second+maxListDelay {
 			t.Errorf("sender %d is notified at %v and %v", i, first[i], second[i])
 		}
 	}
-	if endpoints, version, full := g.ListChanges(first[0]-1, 0, 1); len(endpoints) != 0 || version != 1 || full {
+	if endpoints, version, full := env.ListChanges(first[0]-1, 0, 1); len(endpoints) != 0 || version != 1 || full {
 		t.Errorf("notified early: %+v %d", endpoints, version)
 	}
-	if endpoints, _ := g.FullList(first[0]-1, 0); len(endpoints) != len(all) || endpoints[0].State != control.Ready {
+	if endpoints, _ := env.FullList(first[0]-1, 0); len(endpoints) != len(initial) || endpoints[0].State != control.Ready {
 		t.Errorf("the full list tells early: %+v", endpoints[0])
 	}
-	endpoints, version, _ := g.ListChanges(second[0], 0, 1)
+	endpoints, version, _ := env.ListChanges(second[0], 0, 1)
 	if len(endpoints) == 0 || endpoints[len(endpoints)-1].State != control.Removed || version != 3 {
 		t.Errorf("%+v %d", endpoints, version)
 	}
-	if endpoints, _ := g.FullList(second[0], 0); len(endpoints) != len(all)-1 {
-		t.Errorf("%d lines after %d", len(endpoints), len(all))
+	if endpoints, _ := env.FullList(second[0], 0); len(endpoints) != len(initial)-1 {
+		t.Errorf("%d lines after %d", len(endpoints), len(initial))
 	}
-	if endpoints, _, _ := g.ListChanges(second[0], 0, 3); len(endpoints) != 0 {
+	if endpoints, _, _ := env.ListChanges(second[0], 0, 3); len(endpoints) != 0 {
 		t.Errorf("notified again: %+v", endpoints)
 	}
-	if endpoints, _, full := g.ListChanges(second[0], 0, 1); !full || len(endpoints) != len(all)-1 {
+	if endpoints, _, full := env.ListChanges(second[0], 0, 1); !full || len(endpoints) != len(initial)-1 {
 		t.Error("what is forgotten is not in the full list")
 	}
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -24,20 +24,20 @@
 	}
 }
 
-// inject carries out an action on a sender, unless its process has ended or is about to. "hup" changes nothing in
+// applyAction carries out an action on a sender, unless its process has ended or is about to. "hup" changes nothing in
 // virtual time, where there is no file to read again.
-func (s *Sim) inject(a scenario.PlannedAction) {
-	sd := s.senders[a.Sender]
+func (s *Sim) applyAction(action scenario.PlannedAction) {
+	sd := s.senders[action.Sender]
 	if sd.dead || sd.shuttingDown {
 		return
 	}
-	switch a.What {
+	switch action.What {
 	case "kill":
 		s.record(audit.Event{Kind: audit.Died, Sender: sd.num})
-		sd.exit()
+		sd.exitProcess()
 	case "wipe":
 		s.record(audit.Event{Kind: audit.Died, Sender: sd.num, Cause: audit.Wiped})
-		sd.exit()
+		sd.exitProcess()
 		dir := s.walDirs[sd.num]
 		if err := errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700)); err != nil {
 			s.fail(err)
@@ -50,22 +50,22 @@
 			}
 		})
 	case "stop":
-		sd.stop(a.Until)
+		sd.stop(action.Until)
 	case "drain":
 		sd.draining = true
-		if a.Until > 0 {
-			s.at(a.Until, func() { s.senders[a.Sender].draining = false })
+		if action.Until > 0 {
+			s.at(action.Until, func() { s.senders[action.Sender].draining = false })
 		}
 	case "activate":
 		sd.draining = false
 	case "retune":
-		s.settingsUpdates[sd.num] = a
-		set, err := readProfile(s.profile(sd.num), 0)
+		s.settingsUpdates[sd.num] = action
+		settings, err := readProfile(s.profile(sd.num), 0)
 		if err != nil {
 			s.fail(err)
 			return
 		}
-		sd.updateSettings(set)
+		sd.updateSettings(settings)
 	}
 }
 
@@ -111,10 +111,10 @@
 		if !f.sent || !s.cutBetween(sd.name, f.target.ID) {
 			continue
 		}
-		if f.forget(sd.num, "reset") {
+		if f.recordNoAnswer(sd.num, "reset") {
 			f.notifyCanceled()
 		}
-		f.endAll(state.AttemptResult{Result: control.ConnectionLost})
+		f.end(state.AttemptResult{Result: control.ConnectionLost})
 	}
 	for _, id := range slices.Sorted(maps.Keys(sd.idleConns)) {
 		if s.cutBetween(sd.name, id) {
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -12,7 +12,7 @@
 // Eighty senders, summed over the fleet: lowered limits, a recovery with a slow start, most of them killed during an
 // outage of discovery, each with all gossip, half of it, and none. The auditor's rules hold, messages that are not
 // idempotent take effect once, and gossip keeps rejected calls to a part of what they are without.
-func TestEightySenders(t *testing.T) {
+func TestFleetOfEightySenders(t *testing.T) {
 	for _, c := range []struct {
 		path        string
 		service     float64 // with all gossip, at least
@@ -48,7 +48,7 @@
 // part is below one call, and while none of them hears another. The laboratory's budget leaves two calls to chance,
 // fewer than the operators' do. Plays of 300 senders take over a minute each: docs/design/large-fleet.md has what
 // they showed.
-func TestReturnStaysInBudget(t *testing.T) {
+func TestSlowStartCallsStayWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		senders, lost float64
 		seeds         uint64
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -31,11 +31,11 @@
 	if s.rng.Float64() < s.plan.Scenario.GossipLoss || !l.Passes() || l.Loss > 0 && s.rng.Float64() < l.Loss {
 		return
 	}
-	deliveries := 1
+	copies := 1
 	if l.Duplicate > 0 && s.rng.Float64() < l.Duplicate {
-		deliveries = 2
+		copies = 2
 	}
-	for range deliveries {
+	for range copies {
 		after := MinGossipDelay + time.Duration(s.rng.Int64N(int64(MaxGossipDelay-MinGossipDelay))) + s.extraDelay(l)
 		if l.Reorder > 0 && s.rng.Float64() < l.Reorder {
 			after += 10 * l.Jitter
--- a/internal/simulation/links_test.go
+++ b/internal/simulation/links_test.go
@@ -12,13 +12,13 @@
 const linksFailScript = "../../examples/scenarios/links-fail.star"
 
 // playScript plays a script and passes each event to see.
-func playScript(t *testing.T, text string, seed uint64, see func(audit.Event)) Result {
+func playScript(t *testing.T, text string, seed uint64, onEvent func(audit.Event)) Result {
 	t.Helper()
 	sc, err := scenario.Parse("s.star", []byte(text), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return simulate(t, sc, seed, func(e audit.Event) error { see(e); return nil })
+	return simulate(t, sc, seed, func(e audit.Event) error { onEvent(e); return nil })
 }
 
 // faultFreeScript is the library's script without its faults.
@@ -34,72 +34,76 @@
 
 // Each fault by itself shows where it must and nowhere else, and the rules hold.
 func TestLinkFaultsOneByOne(t *testing.T) {
-	type seen struct{ accepted, abandoned, calls, rejected int }
+	type eventCounts struct{ accepted, abandoned, calls, rejected int }
 	for _, c := range []struct {
-		name, more string
-		from, to   float64 // the fault, in seconds
-		want       func(n0, rest seen) bool
+		name, faults string
+		from, to     float64 // the fault, in seconds
+		want         func(n0, rest eventCounts) bool
 	}{
 		{
 			"clients can't reach it",
 			`link(at = 20, seconds = 10, of = "n0", to = "clients", what = "CUT")`, 20.5, 30,
-			func(n0, rest seen) bool { return n0.accepted == 0 && rest.accepted > 100 },
+			func(n0, rest eventCounts) bool { return n0.accepted == 0 && rest.accepted > 100 },
 		},
 		{
 			"its answers do not reach clients",
 			`link(at = 20, seconds = 10, of = "n0", to = "clients", one_way = True, what = "SILENT")`, 20.5, 30,
-			func(n0, rest seen) bool {
+			func(n0, rest eventCounts) bool {
 				return n0.accepted == 0 && n0.abandoned > 10 && n0.calls > 0 && rest.abandoned == 0
 			},
 		},
 		{
 			"what clients say does not arrive",
 			`link(at = 20, seconds = 10, of = "clients", to = "n0", one_way = True, what = "SILENT")`, 20.5, 30,
-			func(n0, rest seen) bool { return n0.accepted == 0 && n0.abandoned > 10 && rest.abandoned == 0 },
+			func(n0, rest eventCounts) bool { return n0.accepted == 0 && n0.abandoned > 10 && rest.abandoned == 0 },
 		},
 		{
 			"partners are cut off from it",
 			`link(at = 20, seconds = 10, of = "n0", to = "partners", what = "CUT")`, 20.5, 30,
-			func(n0, rest seen) bool { return n0.calls == 0 && rest.calls > 100 },
+			func(n0, rest eventCounts) bool { return n0.calls == 0 && rest.calls > 100 },
 		},
 		{
 			"it is stopped",
 			`sender(number = 0, at = 20, what = "stop", seconds = 10)`, 20.5, 29.9,
-			func(n0, rest seen) bool { return n0.accepted+n0.calls == 0 && n0.abandoned > 5 && rest.abandoned == 0 },
+			func(n0, rest eventCounts) bool {
+				return n0.accepted+n0.calls == 0 && n0.abandoned > 5 && rest.abandoned == 0
+			},
 		},
 		{
 			"clients are sent away",
 			`sender(number = 0, at = 20, what = "drain", seconds = 10)`, 20.5, 30,
-			func(n0, rest seen) bool { return n0.accepted+n0.abandoned == 0 && rest.accepted > 100 },
+			func(n0, rest eventCounts) bool { return n0.accepted+n0.abandoned == 0 && rest.accepted > 100 },
 		},
 		{
 			"fewer slots and less room",
 			`sender(number = 0, at = 20, what = "retune", slots = 0.05, hold = 0.05)`, 22, 40,
-			func(n0, rest seen) bool { return n0.rejected > 10*rest.rejected+10 && n0.accepted > 0 },
+			func(n0, rest eventCounts) bool { return n0.rejected > 10*rest.rejected+10 && n0.accepted > 0 },
 		},
 		{
 			"nothing", "", 20.5, 30,
-			func(n0, rest seen) bool { return n0.accepted > 30 && n0.calls > 30 && n0.abandoned+rest.abandoned == 0 },
+			func(n0, rest eventCounts) bool {
+				return n0.accepted > 30 && n0.calls > 30 && n0.abandoned+rest.abandoned == 0
+			},
 		},
 	} {
-		var n0, rest seen
-		r := playScript(t, faultFreeScript(t)+c.more, 5, func(e audit.Event) {
+		var n0, rest eventCounts
+		r := playScript(t, faultFreeScript(t)+c.faults, 5, func(e audit.Event) {
 			if at := e.At.Seconds(); at < c.from || at >= c.to {
 				return
 			}
-			who := &rest
+			counts := &rest
 			if e.Sender == 0 {
-				who = &n0
+				counts = &n0
 			}
 			switch e.Kind {
 			case audit.Accepted:
-				who.accepted++
+				counts.accepted++
 			case audit.Rejected:
-				who.rejected++
+				counts.rejected++
 			case audit.Abandoned:
-				who.abandoned++
+				counts.abandoned++
 			case audit.Sent:
-				who.calls++
+				counts.calls++
 			}
 		})
 		if !c.want(n0, rest) || len(r.Violations) > 0 {
@@ -110,15 +114,15 @@
 
 // No gossip passes a cut, all of it passes healthy links, and duplicates change nothing.
 func TestGossipOnLinks(t *testing.T) {
-	fault := "trouble(what = \"DOWN\", at = 15, seconds = 20, part = 0.5)\n"
+	outage := "trouble(what = \"DOWN\", at = 15, seconds = 20, part = 0.5)\n"
 	received := map[string]int{}
-	for name, more := range map[string]string{
+	for name, faults := range map[string]string{
 		"sound": "", "cut": `parts(at = 0, seconds = 90, parts = 20, what = "CUT")`,
 		"doubled": `link(at = 0, seconds = 90, of = "senders", to = "senders", double = 1)`,
 		"lost":    `link(at = 0, seconds = 90, of = "senders", to = "senders", loss = 1)`,
 	} {
 		figures := map[string]float64{"senders": 20, "rate": 100}
-		sc, err := scenario.Parse("s.star", []byte(faultFreeScript(t)+fault+more), figures)
+		sc, err := scenario.Parse("s.star", []byte(faultFreeScript(t)+outage+faults), figures)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulation/listupdates.go
+++ b/internal/simulation/listupdates.go
@@ -31,11 +31,11 @@
 
 // A scheduledUpdate is a change of which discovery tells one sender from a time on.
 type scheduledUpdate struct {
-	due      time.Duration
-	version  int64
-	endpoint ListedEndpoint
-	previous ListedEndpoint // before the change...
-	known    bool           // ...if it was listed
+	due       time.Duration
+	version   int64
+	endpoint  ListedEndpoint
+	previous  ListedEndpoint // before the change...
+	wasListed bool           // ...if it was listed
 }
 
 // NotifiedCheckInterval is how often MarkNotified is to be called.
@@ -46,7 +46,7 @@
 	lastAt   time.Duration // of its last poll, or of the end of its watch
 	watching bool
 	failed   bool // discovery did not answer the last poll
-	notified int  // departures of which it counts as notified, though discovery did not tell it
+	counted  int  // departures of which the sender counts as notified although discovery did not notify it
 }
 
 // A departure is an endpoint that began to drain or was removed.
@@ -56,8 +56,11 @@
 	dest int
 }
 
-// announce draws when each sender is notified of a change. No sender is notified of the newer of two changes first.
-func (env *Environment) announce(now time.Duration, previous ListedEndpoint, known bool, id string) []time.Duration {
+// scheduleNotifications draws when each sender is notified of a change, and returns these times by sender. No sender is
+// notified of the newer of two changes first.
+func (env *Environment) scheduleNotifications(
+	now time.Duration, previous ListedEndpoint, wasListed bool, id string,
+) []time.Duration {
 	env.version++
 	due := make([]time.Duration, len(env.updates))
 	for i := range env.updates {
@@ -65,7 +68,7 @@
 		if n := len(env.updates[i]); n > 0 {
 			due[i] = max(due[i], env.updates[i][n-1].due)
 		}
-		env.updates[i] = append(env.updates[i], scheduledUpdate{due[i], env.version, env.listed[id], previous, known})
+		env.updates[i] = append(env.updates[i], scheduledUpdate{due[i], env.version, env.listed[id], previous, wasListed})
 	}
 	return due
 }
@@ -90,8 +93,8 @@
 		if p.watching || now-p.lastAt < interval {
 			continue
 		}
-		for ; p.notified < len(env.departures) && env.departures[p.notified].at <= now-interval; p.notified++ {
-			d := env.departures[p.notified]
+		for ; p.counted < len(env.departures) && env.departures[p.counted].at <= now-interval; p.counted++ {
+			d := env.departures[p.counted]
 			env.record(audit.Event{Kind: audit.Notified, Sender: i, Endpoint: d.id, Dest: d.dest, Leaves: true})
 		}
 	}
@@ -99,9 +102,9 @@
 
 // DiscoveryOutage reports whether discovery is down, and until when.
 func (env *Environment) DiscoveryOutage(now time.Duration) (until time.Duration, down bool) {
-	for _, b := range env.Plan.DiscoveryOutages {
-		if now >= b.From && now < b.To {
-			return b.To, true
+	for _, outage := range env.Plan.DiscoveryOutages {
+		if now >= outage.From && now < outage.To {
+			return outage.To, true
 		}
 	}
 	return 0, false
@@ -119,20 +122,20 @@
 		return endpoints, version, true
 	}
 	version = since
-	seen := 0
+	knownUpdates := 0
 	for _, u := range env.updates[sender] {
 		if u.due > now {
 			break
 		}
 		if u.version <= since {
-			seen++
+			knownUpdates++
 			continue
 		}
 		endpoints, version = append(endpoints, u.endpoint), u.version
 	}
-	if seen > 0 {
-		env.baseVersions[sender] = env.updates[sender][seen-1].version
-		env.updates[sender] = slices.Delete(env.updates[sender], 0, seen)
+	if knownUpdates > 0 {
+		env.baseVersions[sender] = env.updates[sender][knownUpdates-1].version
+		env.updates[sender] = slices.Delete(env.updates[sender], 0, knownUpdates)
 	}
 	return endpoints, version, false
 }
@@ -159,12 +162,12 @@
 		version = max(version, u.version)
 	}
 	var endpoints []ListedEndpoint
-	for _, id := range env.order {
-		l, known := env.listed[id], true
+	for _, id := range env.listOrder {
+		l, listed := env.listed[id], true
 		if u, ok := pending[id]; ok {
-			l, known = u.previous, u.known
+			l, listed = u.previous, u.wasListed
 		}
-		if known && l.State != control.Removed {
+		if listed && l.State != control.Removed {
 			endpoints = append(endpoints, l)
 		}
 	}
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -20,7 +20,7 @@
 
 // submitOrder has staff give an order to the first agent that runs and is connected to the leader, beginning with the
 // one that the order names; and again after a while where there is none.
-func (a *agents) submitOrder(o scenario.PlannedOrder, until time.Duration) {
+func (a *agentCluster) submitOrder(o scenario.PlannedOrder, until time.Duration) {
 	s := a.sim
 	c := rollout.Command{By: "staff", Reason: "the scenario", At: s.clock()}
 	for i := range a.members {
@@ -44,7 +44,7 @@
 
 // fillCommand sets what a command has to do for an order. It returns false where the order is about a plan and there
 // is none.
-func (a *agents) fillCommand(c *rollout.Command, o scenario.PlannedOrder) bool {
+func (a *agentCluster) fillCommand(c *rollout.Command, o scenario.PlannedOrder) bool {
 	switch o.What {
 	case "drain":
 		c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{o.Of}, Hold: o.Hold}
@@ -70,7 +70,7 @@
 }
 
 // reactivate has staff put back into service what a halted drain left out, until nothing is left.
-func (a *agents) reactivate() {
+func (a *agentCluster) reactivate() {
 	s := a.sim
 	if l := a.leader; l != nil {
 		for _, p := range l.state.Plans {
--- a/internal/simulation/profile.go
+++ b/internal/simulation/profile.go
@@ -38,14 +38,14 @@
 	for _, k := range s.Kinds {
 		kinds, batch, separateRoutes = append(kinds, k.Name), append(batch, k.Batch), append(separateRoutes, k.SeparateRoutes)
 	}
-	busy := 0.0 // calls that are in flight on average, over all senders
+	meanInFlight := 0.0 // calls that are in flight on average, over all senders
 	for _, d := range p.Dests {
-		busy += p.Rate * d.Share * (d.Mean.Seconds() + 2*crossZoneDelay.Seconds()/2)
+		meanInFlight += p.Rate * d.Share * (d.Mean.Seconds() + 2*crossZoneDelay.Seconds()/2)
 	}
 	fraction := 1 / float64(s.Senders)
-	pick := func(r scenario.Range) float64 { return r.From + (r.To-r.From)*rng.Float64() }
-	maxInFlight := max(3, int(math.Ceil(pick(s.InFlight)*busy*fraction)))
-	maxOpen := max(16, int(math.Ceil(pick(s.OpenMessages)*p.Rate*fraction)))
+	draw := func(r scenario.Range) float64 { return r.From + (r.To-r.From)*rng.Float64() }
+	maxInFlight := max(3, int(math.Ceil(draw(s.InFlight)*meanInFlight*fraction)))
+	maxOpen := max(16, int(math.Ceil(draw(s.OpenMessages)*p.Rate*fraction)))
 	return object{
 		"clients": object{"marks-retry": true}, "discovery": "ask", "kind-of-service": "deliver", "weights": "rough",
 		"worth-by": "request", "tick-ms": 5.0, "tier": 0, "me": sender, "siblings": s.Senders,
@@ -69,14 +69,14 @@
 }
 
 // UpdatedSettings returns the "settings" object after a "retune" action: Profile with other limits.
-func UpdatedSettings(p *scenario.Plan, d scenario.PlannedAction) map[string]any {
-	profile := Profile(p, d.Sender)
+func UpdatedSettings(p *scenario.Plan, action scenario.PlannedAction) map[string]any {
+	profile := Profile(p, action.Sender)
 	scale := func(section, key string, by float64, minimum int) {
 		object := profile[section].(map[string]any)
 		object[key] = max(minimum, int(math.Ceil(float64(object[key].(int))*by)))
 	}
-	scale("specifics", "max-calls", d.InFlight, 1)
-	scale("limits", "open-cap", d.OpenMessages, 1)
+	scale("specifics", "max-calls", action.InFlight, 1)
+	scale("limits", "open-cap", action.OpenMessages, 1)
 	return profile
 }
 
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -39,7 +39,7 @@
 	draining     bool // it sends clients away; the load balancer knows at once
 	stoppedUntil time.Duration
 	stoppedAt    time.Duration
-	deferred     []func() // what happened while it was stopped, in order
+	pendingSteps []func() // what happened while it was stopped, in order
 
 	process, predecessor string // names of this process, and of the one that handed over to it
 	version              string // of its program
@@ -50,12 +50,12 @@
 // newSender starts a process of a sender.
 func (s *Sim) newSender(num int) (*sender, error) {
 	s.senderStarts++
-	set, err := readProfile(s.profile(num), s.plan.Seed*1_000_003+s.senderStarts-1)
+	settings, err := readProfile(s.profile(num), s.plan.Seed*1_000_003+s.senderStarts-1)
 	if err != nil {
 		return nil, err
 	}
 	sd := &sender{
-		sim: s, num: num, name: scenario.Sender(num), zone: set.Zone, idleConns: map[string][]time.Duration{},
+		sim: s, num: num, name: scenario.Sender(num), zone: settings.Zone, idleConns: map[string][]time.Duration{},
 		byCall: map[*state.Call]*inFlightCall{}, inFlight: map[*inFlightCall]bool{}, timerAt: -1, accepting: true,
 		process: fmt.Sprintf("n%d-%d", num, s.senderStarts), version: "v1",
 	}
@@ -64,7 +64,7 @@
 	}
 	dir, hasDir := s.walDirs[num]
 	loop, err := state.NewLoop(state.Setup{
-		Settings: set, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6,
+		Settings: settings, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6,
 		Log: s.log, Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &sd.counters,
 	})
 	if err != nil {
@@ -114,13 +114,13 @@
 }
 
 // updateSettings has the loop take other settings, as a reload does.
-func (sd *sender) updateSettings(set control.Settings) {
+func (sd *sender) updateSettings(settings control.Settings) {
 	done := make(chan state.SettingsResult, 1)
 	var classes []state.NamedClass
-	for i, c := range set.Classes {
+	for i, c := range settings.Classes {
 		classes = append(classes, state.NamedClass{Name: sd.sim.plan.Scenario.Traffic.Classes[i].Name, Class: c})
 	}
-	sd.step(state.UpdateSettings{Settings: set, Classes: classes, Done: done})
+	sd.step(state.UpdateSettings{Settings: settings, Classes: classes, Done: done})
 	sd.whenRunning(func() {
 		select {
 		case r := <-done:
@@ -152,32 +152,32 @@
 		return
 	}
 	sd.sim.record(audit.Event{Kind: audit.Ready, Sender: sd.num})
-	for len(sd.deferred) > 0 && !sd.dead {
-		do := sd.deferred[0]
-		sd.deferred = sd.deferred[1:]
-		do()
+	for len(sd.pendingSteps) > 0 && !sd.dead {
+		step := sd.pendingSteps[0]
+		sd.pendingSteps = sd.pendingSteps[1:]
+		step()
 	}
 }
 
 // whenRunning calls do, once its process runs.
-func (sd *sender) whenRunning(do func()) {
+func (sd *sender) whenRunning(step func()) {
 	if sd.stopped() {
-		sd.deferred = append(sd.deferred, do)
+		sd.pendingSteps = append(sd.pendingSteps, step)
 		return
 	}
-	do()
+	step()
 }
 
 // knownUnavailable reports whether the load balancer sends it no clients.
 func (sd *sender) knownUnavailable(now time.Duration) bool {
-	const shutdownSeenBefore = 200 * time.Millisecond // a shutdown is seen so long before the sender stops to accept
-	switch ended := now - sd.endedAt; {
-	case sd.stopped() && now-sd.stoppedAt >= DeadSenderTimeout, sd.draining, sd.drainingByOrder():
+	const shutdownNotice = 200 * time.Millisecond // a shutdown is seen so long before the sender stops to accept
+	switch sinceEnd := now - sd.endedAt; {
+	case sd.stopped() && now-sd.stoppedAt >= DeadSenderTimeout, sd.draining, sd.drainOrdered():
 		return true
 	case sd.shuttingDown:
-		return ended >= stopDelay-shutdownSeenBefore
+		return sinceEnd >= stopDelay-shutdownNotice
 	default:
-		return sd.dead && ended >= DeadSenderTimeout
+		return sd.dead && sinceEnd >= DeadSenderTimeout
 	}
 }
 
@@ -203,14 +203,14 @@
 func (sd *sender) awaitDrained() {
 	s := sd.sim
 	if sd.loop.Drained() || s.now >= sd.endedAt+shutdownTimeout {
-		sd.exit()
+		sd.exitProcess()
 		return
 	}
 	s.at(s.now+drainedCheckInterval, sd.awaitDrained)
 }
 
-// exit ends the process: its connections break, and another one is started after a while.
-func (sd *sender) exit() {
+// exitProcess ends the process: its connections break, and another one is started after a while.
+func (sd *sender) exitProcess() {
 	s := sd.sim
 	if sd.dead {
 		return
@@ -221,13 +221,13 @@
 	}
 	for _, p := range sd.submissions {
 		if m := s.messages[p.id]; m != nil {
-			s.senderLost(m, p.id, sd)
+			s.connectionLost(m, p.id, sd)
 		}
 	}
 	sd.submissions = nil
 	for _, f := range s.callsOf(sd) {
 		f.done = true
-		if f.forget(0, "reset") { // in a ledger these calls' ends name no sender
+		if f.recordNoAnswer(0, "reset") { // in a ledger these calls' ends name no sender
 			f.notifyCanceled()
 		}
 	}
--- a/internal/simulation/sender_test.go
+++ b/internal/simulation/sender_test.go
@@ -15,8 +15,8 @@
 	at := func(x float64) scenario.Range { return scenario.Range{From: x, To: x} }
 	s.Length = 40 * time.Second
 	s.Actions = []scenario.Action{
-		{At: at(8), Sender: 0, What: "kill"}, {At: at(15), Sender: 1, What: "term"},
-		{At: at(22), Sender: 0, What: "kill"}, {At: at(23), Sender: 2, What: "hup"},
+		{At: at(8), Sender: 0, Kind: "kill"}, {At: at(15), Sender: 1, Kind: "term"},
+		{At: at(22), Sender: 0, Kind: "kill"}, {At: at(23), Sender: 2, Kind: "hup"},
 	}
 }
 
@@ -40,7 +40,7 @@
 }
 
 // Without its write-ahead log a killed sender loses what it had, and the auditor reports that.
-func TestLostWALBreaksOutcomeRule(t *testing.T) {
+func TestLostWALViolatesOutcomeRule(t *testing.T) {
 	sc, err := scenario.Load(buildingRefusesScript, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -67,13 +67,13 @@
 	plan             *scenario.Plan
 	environment      *Environment
 	rng              *rand.Rand
-	agents           *agents // nil: none
+	agents           *agentCluster // nil: none
 	log              *slog.Logger
 	responsesMayFail bool // links fail, or processes are stopped
 	now              time.Duration
 	schedule         timeline.Queue[func()]
 	serial           uint64        // of the latest scheduled step; steps of one time run in this order
-	modelWakeAt      time.Duration // when the model advances next; below 0: not scheduled
+	modelAdvanceAt   time.Duration // when the model advances next; below 0: not scheduled
 
 	senders         []*sender
 	senderStarts    uint64                         // processes started so far; seeds their random sources
@@ -84,7 +84,7 @@
 	lastCall        uint64
 	auditor         *audit.Auditor
 	meter           *ServiceMeter
-	sink            func(audit.Event) error
+	eventSink       func(audit.Event) error
 	arrivals        *scenario.Arrivals
 	messages        map[string]*ClientRequest // by the id of their latest submission
 	result          Result
@@ -92,9 +92,9 @@
 }
 
 // at schedules a step; one in the past runs now.
-func (s *Sim) at(when time.Duration, do func()) {
+func (s *Sim) at(when time.Duration, step func()) {
 	s.serial++
-	s.schedule.Push(max(when, s.now), s.serial, do)
+	s.schedule.Push(max(when, s.now), s.serial, step)
 }
 
 // fail ends the run. The first error is the one that Run returns.
@@ -113,8 +113,8 @@
 	if err := s.meter.Read(e); err != nil {
 		s.fail(err)
 	}
-	if s.sink != nil {
-		if err := s.sink(e); err != nil {
+	if s.eventSink != nil {
+		if err := s.eventSink(e); err != nil {
 			s.fail(err)
 		}
 	}
@@ -123,20 +123,20 @@
 // NewSim prepares a run of a plan. Each event goes to sink, unless it is nil; an error of sink ends the run.
 func NewSim(p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*Sim, error) {
 	s := &Sim{
-		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 99)), log: log, modelWakeAt: -1, walDirs: map[int]string{},
+		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 99)), log: log, modelAdvanceAt: -1, walDirs: map[int]string{},
 		settingsUpdates: map[int]scenario.PlannedAction{}, calls: map[uint64]*inFlightCall{},
-		messages: map[string]*ClientRequest{}, arrivals: p.Arrivals(), meter: NewServiceMeter(p.Scenario), sink: sink,
+		messages: map[string]*ClientRequest{}, arrivals: p.Arrivals(), meter: NewServiceMeter(p.Scenario), eventSink: sink,
 	}
 	var err error
 	if s.environment, err = NewEnvironment(p, s.record); err != nil {
 		return nil, err
 	}
 	s.result.Scenario, s.result.Seed = p.Scenario.Name, p.Seed
-	set, err := Settings(p, 0, 0)
+	settings, err := Settings(p, 0, 0)
 	if err != nil {
 		return nil, err
 	}
-	s.auditor = audit.New(Rules(p, set))
+	s.auditor = audit.New(Rules(p, settings))
 	if err := s.makeWALDirs(); err != nil {
 		return nil, err
 	}
@@ -162,14 +162,14 @@
 	if s.tempDir, err = os.MkdirTemp("", "cleathold-lab-"); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
-	for _, d := range s.plan.Actions {
-		switch d.What {
+	for _, action := range s.plan.Actions {
+		switch action.What {
 		case "kill", "wipe", "term", "signals":
-			dir := filepath.Join(s.tempDir, fmt.Sprint("n", d.Sender))
+			dir := filepath.Join(s.tempDir, fmt.Sprint("n", action.Sender))
 			if err := os.MkdirAll(dir, 0o700); err != nil {
 				return fmt.Errorf("lab: %w", err)
 			}
-			s.walDirs[d.Sender] = dir
+			s.walDirs[action.Sender] = dir
 		}
 	}
 	return nil
@@ -181,23 +181,23 @@
 	for _, c := range p.Changes {
 		s.at(c.At, func() { s.applyChange(c) })
 	}
-	for _, b := range p.DiscoveryOutages {
-		s.at(b.From, func() {
+	for _, outage := range p.DiscoveryOutages {
+		s.at(outage.From, func() {
 			for _, sd := range s.senders {
 				sd.discoveryDown()
 			}
 		})
 	}
 	s.responsesMayFail = len(p.Links) > 0
-	for _, d := range p.Actions {
-		s.at(d.At, func() { s.inject(d) })
-		s.responsesMayFail = s.responsesMayFail || d.What == "stop"
+	for _, action := range p.Actions {
+		s.at(action.At, func() { s.applyAction(action) })
+		s.responsesMayFail = s.responsesMayFail || action.What == "stop"
 	}
 	for _, at := range p.LinkChanges() {
 		s.at(at, s.linksChanged)
 	}
 	if p.Scenario.Agents.Number > 0 {
-		s.agents = newAgents(s)
+		s.agents = newAgentCluster(s)
 	}
 	if len(p.Scenario.Churns) > 0 {
 		s.at(NotifiedCheckInterval, s.markNotified)
@@ -223,10 +223,10 @@
 		if at, _, ok := s.schedule.First(); !ok || at > end {
 			break
 		}
-		now, do := s.schedule.Pop()
+		now, step := s.schedule.Pop()
 		s.now = now
 		s.result.Events++
-		do()
+		step()
 		s.collect()
 	}
 	if s.err != nil {
@@ -234,7 +234,7 @@
 	}
 	s.now = end
 	if s.agents != nil {
-		s.agents.finish()
+		s.agents.recordResult()
 	}
 	s.result.Violations = s.auditor.Close(end)
 	s.result.Counts, _ = s.auditor.Totals()
@@ -254,9 +254,9 @@
 		}
 	}
 	at, ok := s.environment.Model.Next()
-	if !ok || s.modelWakeAt >= 0 && s.modelWakeAt <= at && s.modelWakeAt > s.now {
+	if !ok || s.modelAdvanceAt >= 0 && s.modelAdvanceAt <= at && s.modelAdvanceAt > s.now {
 		return
 	}
-	s.modelWakeAt = at
+	s.modelAdvanceAt = at
 	s.at(at, func() { s.environment.Model.Advance(s.now) })
 }
--- a/internal/simulation/sim_test.go
+++ b/internal/simulation/sim_test.go
@@ -44,12 +44,12 @@
 
 // A scenario of the library: the rules hold, service is that of a sender that
 // works, and the fault shows in it.
-func TestBuildingRefuses(t *testing.T) {
-	calmSum, roughSum := 0.0, 0.0
+func TestBuildingOutage(t *testing.T) {
+	faultFreeSum, faultySum := 0.0, 0.0
 	for seed := range uint64(4) {
-		calm := play(t, buildingRefusesScript, seed, func(s *scenario.Scenario) { s.Faults = nil })
-		rough := play(t, buildingRefusesScript, seed, nil)
-		for name, r := range map[string]Result{"calm": calm, "rough": rough} {
+		faultFree := play(t, buildingRefusesScript, seed, func(s *scenario.Scenario) { s.Faults = nil })
+		faulty := play(t, buildingRefusesScript, seed, nil)
+		for name, r := range map[string]Result{"calm": faultFree, "rough": faulty} {
 			t.Logf("seed %d, %s: service %.3f, whole %.3f, worst %.3f at %v, %d messages, %d calls, %d refused, %d events",
 				seed, name, r.Service, r.Overall, r.Worst, r.WorstAt, r.Messages, r.Calls, r.RejectedCalls, r.Events)
 			for _, b := range r.Violations {
@@ -57,13 +57,13 @@
 					seed, name, b.Rule, b.Text, b.Message, b.Calls, b.Times)
 			}
 		}
-		if calm.Messages != rough.Messages {
+		if faultFree.Messages != faulty.Messages {
 			t.Errorf("seed %d: the fault changes the arrivals", seed)
 		}
-		calmSum, roughSum = calmSum+calm.Service/4, roughSum+rough.Service/4
+		faultFreeSum, faultySum = faultFreeSum+faultFree.Service/4, faultySum+faulty.Service/4
 	}
-	if calmSum < 0.85 || roughSum > calmSum {
-		t.Errorf("service %.3f without faults, %.3f with them", calmSum, roughSum)
+	if faultFreeSum < 0.85 || faultySum > faultFreeSum {
+		t.Errorf("service %.3f without faults, %.3f with them", faultFreeSum, faultySum)
 	}
 }
 
@@ -75,7 +75,7 @@
 }
 
 // Endpoints come and go: nothing new goes to one that drains, and service stays.
-func TestChurnRun(t *testing.T) {
+func TestEndpointChurn(t *testing.T) {
 	r := play(t, buildingRefusesScript, 2, func(s *scenario.Scenario) {
 		s.Faults = nil
 		s.Churns = []scenario.Churn{{At: scenario.Range{From: 5, To: 5}, Every: 3 * time.Second, Drain: 3 * time.Second}}
@@ -105,7 +105,7 @@
 }
 
 // The rules hold in each scenario of the library.
-func TestLibraryPlays(t *testing.T) {
+func TestExampleScenariosKeepRules(t *testing.T) {
 	list, _ := filepath.Glob("../../examples/scenarios/*.star")
 	for _, path := range list {
 		r := play(t, path, 2, nil)
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -47,36 +47,36 @@
 	if timeLeft <= 0 {
 		return
 	}
-	to := s.pickSender()
-	link := s.link(scenario.Clients, to.name)
-	if !to.accepting || link.Cut {
-		s.submissionLost(m)
+	target := s.pickSender()
+	link := s.link(scenario.Clients, target.name)
+	if !target.accepting || link.Cut {
+		s.submissionUnanswered(m)
 		return
 	}
 	id, resubmitted := m.NextSubmission()
 	key := m.Key(s.plan.Scenario)
 	s.messages[id] = m
 	submitted := audit.Event{
-		Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key,
+		Kind: audit.Submitted, Sender: target.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key,
 		Request: m.N, Tenant: m.Tenant,
 	}
 	if link.Silent {
 		s.record(submitted)
-		s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, to) })
+		s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, target) })
 		return
 	}
 	s.at(s.now+clientDelay+s.extraDelay(link), func() {
 		s.record(submitted)
-		if !to.accepting { // it has ended meanwhile
-			s.senderLost(m, id, to)
+		if !target.accepting { // it has ended meanwhile
+			s.connectionLost(m, id, target)
 			return
 		}
-		to.submit(&state.Message{
+		target.submit(&state.Message{
 			ID: id, Class: m.Class, Tenant: m.Tenant, Destination: m.Dest, Deadline: virtualStart.Add(s.now + timeLeft),
 			Resubmitted: resubmitted, Body: make([]byte, m.Size), Key: key,
 		})
 		if s.responsesMayFail {
-			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { to.clientTimeout(m, id) })
+			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { target.clientTimeout(m, id) })
 		}
 	})
 }
@@ -91,7 +91,7 @@
 // answerClients passes the responses that are there to their clients. It returns what the loop has to know of them.
 func (sd *sender) answerClients() []state.Event {
 	var written []state.Event
-	remaining := sd.submissions[:0]
+	pendingSubmissions := sd.submissions[:0]
 	for _, pending := range sd.submissions {
 		select {
 		case r := <-pending.response:
@@ -99,10 +99,10 @@
 				written = append(written, e)
 			}
 		default:
-			remaining = append(remaining, pending)
+			pendingSubmissions = append(pendingSubmissions, pending)
 		}
 	}
-	sd.submissions = remaining
+	sd.submissions = pendingSubmissions
 	return written
 }
 
@@ -113,7 +113,7 @@
 	// Either nobody waits any more, or the response does not arrive.
 	if link := s.link(sd.name, scenario.Clients); m == nil || !link.Passes() {
 		if m != nil && link.Cut {
-			s.senderLost(m, id, sd)
+			s.connectionLost(m, id, sd)
 		} else if m != nil {
 			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, sd) })
 		}
@@ -132,8 +132,8 @@
 
 // clientTimeout ends a client's wait, unless it has its response.
 func (sd *sender) clientTimeout(m *ClientRequest, id string) {
-	waits := func(p pendingSubmission) bool { return p.id == id }
-	if sd.sim.messages[id] == m && slices.ContainsFunc(sd.submissions, waits) {
+	matches := func(p pendingSubmission) bool { return p.id == id }
+	if sd.sim.messages[id] == m && slices.ContainsFunc(sd.submissions, matches) {
 		sd.sim.responseTimedOut(m, id, sd)
 	}
 }
@@ -143,19 +143,19 @@
 	s.record(audit.Event{Kind: audit.Abandoned, Sender: sd.num, Message: id, Cause: "timeout"})
 	delete(s.messages, id)
 	if !m.Done {
-		s.submissionLost(m)
+		s.submissionUnanswered(m)
 	}
 }
 
-// senderLost has a client whose connection broke resubmit its message.
-func (s *Sim) senderLost(m *ClientRequest, id string, sd *sender) {
+// connectionLost has a client whose connection broke resubmit its message.
+func (s *Sim) connectionLost(m *ClientRequest, id string, sd *sender) {
 	s.record(audit.Event{Kind: audit.Abandoned, Sender: sd.num, Message: id, Cause: "died"})
 	delete(s.messages, id)
-	s.submissionLost(m)
+	s.submissionUnanswered(m)
 }
 
-// submissionLost has a client resubmit, after a while, a message that nobody answered for.
-func (s *Sim) submissionLost(m *ClientRequest) {
+// submissionUnanswered has a client resubmit, after a while, a message that nobody answered for.
+func (s *Sim) submissionUnanswered(m *ClientRequest) {
 	if after, ok := m.Unanswered(s.plan.Scenario, s.rng); ok {
 		s.at(s.now+after, func() { s.submit(m) })
 	}
