--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -9,29 +9,29 @@
 	"cleathold/internal/scenario"
 )
 
-// An agent supervises the senders whose numbers, divided by the number of agents, leave its own as the remainder.
+// An agent supervises the senders whose number modulo the number of agents equals the agent's number.
 type agent struct {
 	cluster      *agentCluster
 	num          int
 	name         string
 	state        *rollout.State
-	applied      int                            // commands of the log that state has
-	observations map[string]rollout.Observation // by sender; those of other agents' senders only while it leads
+	applied      int                            // number of log commands applied to state
+	observations map[string]rollout.Observation // by sender; senders of other agents only on the leader
 	watch        rollout.Watch
 	dead         bool
 	stoppedUntil time.Duration
 	supervised   map[string]*supervision // by sender
 }
 
-// supervision is what an agent knows of one of its senders.
+// supervision is an agent's state for one of its senders.
 type supervision struct {
-	sender        int    // its number
-	acceptedEpoch uint64 // of the latest grant that the agent had it take
-	changing      bool   // a change of version is under way
-	fault         string // why the change of faultEpoch failed
+	sender        int    // number of the sender
+	acceptedEpoch uint64 // epoch of the latest grant that the agent applied to the sender
+	changing      bool   // a version change is in progress
+	fault         string // why the version change of faultEpoch failed
 	faultEpoch    uint64
-	crashes       int    // processes that ended by themselves
-	process       string // that it saw last
+	crashes       int    // processes that ended without an order
+	process       string // process observed last
 }
 
 func newAgent(cluster *agentCluster, num int) *agent {
@@ -46,7 +46,7 @@
 	return ag
 }
 
-// rosterCommand returns the command that makes the agent's senders known.
+// rosterCommand returns the command that registers the agent's senders.
 func (ag *agent) rosterCommand(p *scenario.Scenario) rollout.Command {
 	c := rollout.Command{Verb: rollout.SetRoster, At: ag.cluster.sim.clock(), By: ag.name}
 	for k := ag.num; k < p.Senders; k += p.Agents.Number {
@@ -58,8 +58,8 @@
 	return c
 }
 
-// restart has an agent that was killed run again. What it kept in memory is lost, and its copy of the log as well if
-// wiped.
+// restart starts an agent again after it was killed. Its in-memory state is lost; if wiped is true, so is its copy of
+// the log.
 func (ag *agent) restart(wiped bool) {
 	ag.dead, ag.observations, ag.watch = false, map[string]rollout.Observation{}, rollout.Watch{}
 	for _, m := range ag.supervised {
@@ -72,13 +72,13 @@
 
 func (ag *agent) running() bool { return !ag.dead && ag.cluster.sim.now >= ag.stoppedUntil }
 
-// connectedTo reports whether it and another agent can talk to each other.
+// connectedTo reports whether the agent and another one can exchange messages in both directions.
 func (ag *agent) connectedTo(other *agent) bool {
 	s := ag.cluster.sim
 	return ag == other || other.running() && s.link(ag.name, other.name).Passes() && s.link(other.name, ag.name).Passes()
 }
 
-// hasMajority reports whether it runs and is connected to a majority of the agents, itself included.
+// hasMajority reports whether the agent runs and is connected to a majority of the agents, itself included.
 func (ag *agent) hasMajority() bool {
 	n := 0
 	for _, other := range ag.cluster.members {
@@ -89,15 +89,15 @@
 	return ag.running() && 2*n > len(ag.cluster.members)
 }
 
-// catchUp applies the commands of the log that it does not have yet.
+// catchUp applies the commands of the log that the agent has not applied yet.
 func (ag *agent) catchUp() {
 	for ; ag.applied < len(ag.cluster.log); ag.applied++ {
 		ag.state.Apply(uint64(ag.applied+1), ag.cluster.log[ag.applied])
 	}
 }
 
-// observeSenders observes the agent's senders, passes the observations to the leader, and carries out the agreed
-// commands.
+// observeSenders observes the agent's senders, sends the observations to the leader and applies the committed commands.
+// It schedules its next run.
 func (ag *agent) observeSenders() {
 	s, a := ag.cluster.sim, ag.cluster
 	s.at(s.now+observeInterval, ag.observeSenders)
@@ -124,21 +124,21 @@
 	}
 }
 
-// addObservation keeps an observation unless there is a newer one of the same sender.
+// addObservation stores an observation unless a newer one of the same sender is stored.
 func (ag *agent) addObservation(v rollout.Observation) {
 	if old, ok := ag.observations[v.Sender]; !ok || v.At.After(old.At) {
 		ag.observations[v.Sender] = v
 	}
 }
 
-// canReach reports whether a sender's process answers the agent.
+// canReach reports whether a sender's process responds to the agent.
 func (ag *agent) canReach(sd *sender) bool {
 	s := ag.cluster.sim
 	responsive := !sd.dead && !sd.shuttingDown && !sd.stopped()
 	return responsive && s.link(ag.name, sd.name).Passes() && s.link(sd.name, ag.name).Passes()
 }
 
-// observeSender returns what the agent sees of a sender, and counts crashes.
+// observeSender returns the agent's observation of a sender, and counts crashes.
 func (ag *agent) observeSender(m *supervision) rollout.Observation {
 	s := ag.cluster.sim
 	sd := s.senders[m.sender]
@@ -156,7 +156,7 @@
 	return v
 }
 
-// observeRemotely has a leader observe senders itself whose agents are silent.
+// observeRemotely makes the leader itself observe the senders whose agents have sent no recent observation.
 func (ag *agent) observeRemotely() {
 	s := ag.cluster.sim
 	for name, v := range ag.observations {
@@ -171,8 +171,8 @@
 	}
 }
 
-// applyGrant carries out what was agreed on for a sender. Leases are renewed only while the agent is connected to a
-// leader.
+// applyGrant performs the duty that follows from a sender's current grant: it accepts, renews or ends the lease. Leases
+// are renewed only while the agent is connected to a leader.
 func (ag *agent) applyGrant(m *supervision, v rollout.Observation, connected bool) {
 	s := ag.cluster.sim
 	sd := s.senders[m.sender]
@@ -196,7 +196,8 @@
 	}
 }
 
-// acceptGrant has a sender accept a grant, if its lease allows it, and changes the version if the grant is for that.
+// acceptGrant makes a sender accept a grant, if its lease allows it. For a grant that is not a drain it then schedules
+// the version change.
 func (ag *agent) acceptGrant(m *supervision, sd *sender, g *rollout.Grant) {
 	s := ag.cluster.sim
 	m.acceptedEpoch = g.Epoch
@@ -211,7 +212,7 @@
 	}
 	m.changing = true
 	s.at(s.now+versionChangeDelay, func() {
-		if !ag.running() { // its next process finds the change half done
+		if !ag.running() { // after its restart the agent finds the change unfinished
 			m.changing = false
 			return
 		}
@@ -226,7 +227,7 @@
 	})
 }
 
-// observation returns what a sender tells of itself.
+// observation returns the observation that a sender reports of itself.
 func (sd *sender) observation() rollout.Observation {
 	c := sd.counters.Counts()
 	v := rollout.Observation{
@@ -241,7 +242,7 @@
 	return v
 }
 
-// scheduleExpiry ends the lease at its time, unless it is renewed before.
+// scheduleExpiry schedules the expiry of the lease. It has no effect if the lease is renewed before.
 func (sd *sender) scheduleExpiry() {
 	s := sd.sim
 	until := sd.lease.Until
@@ -254,12 +255,12 @@
 	})
 }
 
-// handOver has another process of the sender, with its state, take its place.
+// handOver replaces the sender's process by a successor, which keeps the state.
 func (sd *sender) handOver(version string) {
 	sd.sim.senderStarts++
 	sd.predecessor = sd.process
 	sd.process, sd.version = fmt.Sprintf("%s-%d", sd.name, sd.sim.senderStarts), version
 }
 
-// drainOrdered reports whether it sends clients away because of its lease.
+// drainOrdered reports whether the sender rejects clients because its lease is a drain.
 func (sd *sender) drainOrdered() bool { return sd.lease.Active() && sd.lease.Drain }
--- a/internal/simulation/agents.go
+++ b/internal/simulation/agents.go
@@ -12,28 +12,29 @@
 const (
 	observeInterval    = 200 * time.Millisecond // between two observations of an agent's senders
 	leaderInterval     = 50 * time.Millisecond  // between two decisions of the leader
-	electionDelay      = time.Second            // from the loss of a leader until the next one is elected
-	agentDelay         = time.Millisecond       // of a message between two agents
-	versionChangeDelay = 400 * time.Millisecond // of a sender's hand-over to another version
+	electionDelay      = time.Second            // from the loss of the leader to the next election
+	agentDelay         = time.Millisecond       // network delay of a message between two agents
+	versionChangeDelay = 400 * time.Millisecond // duration of a sender's hand-over to another version
 )
 
-// errNoLeader is returned where no agent has a majority.
+// errNoLeader is returned if no agent is connected to a majority.
 var errNoLeader = errors.New("lab: no leader")
 
 // agentCluster is the set of agents in virtual time. Decisions are those of internal/rollout, and the senders' leases
-// those of internal/lease. Consensus is a log that only the leader may append to, and only while it is connected to a
-// majority; Raft itself is simulated by the tests of internal/quorum. A change of version puts another process in the
-// place of one, which takes a while.
+// those of internal/lease. Consensus is a log that only the leader may append to, and only while it is
+// connected to a majority; Raft itself is simulated by the tests of internal/quorum. A version change replaces a
+// sender's process after versionChangeDelay.
 type agentCluster struct {
 	sim          *Sim
 	terms        rollout.Terms
 	members      []*agent
 	log          []rollout.Command
 	leader       *agent        // nil: none
-	leaderLostAt time.Duration // since when there is none; meaningless while there is one
+	leaderLostAt time.Duration // time at which the last leader was lost; only valid while leader is nil
 }
 
-// newAgentCluster makes agents that have agreed on terms and members, and schedules what the plan has for them.
+// newAgentCluster returns agents whose log already contains the terms and the roster, and schedules the plan's agent
+// actions and orders.
 func newAgentCluster(s *Sim) *agentCluster {
 	p := s.plan.Scenario
 	a := &agentCluster{sim: s, terms: rollout.DefaultTerms, leaderLostAt: -electionDelay}
@@ -63,7 +64,7 @@
 	return a
 }
 
-// clock returns the wall-clock time of all processes.
+// clock returns the wall-clock time that all processes read.
 func (s *Sim) clock() time.Time { return virtualStart.Add(s.now) }
 
 // propose appends a command to the log. It returns errNoLeader, or the error of applying the command.
@@ -78,7 +79,8 @@
 	return l.state.Apply(uint64(len(a.log)), c)
 }
 
-// runLeader elects a leader where there is none, and has it propose what comes next.
+// runLeader elects a leader if there is none, and makes the leader propose the next commands. It schedules its next
+// run.
 func (a *agentCluster) runLeader() {
 	s := a.sim
 	s.at(s.now+leaderInterval, a.runLeader)
@@ -106,8 +108,9 @@
 	}
 }
 
-// checkBudget counts, as a sender goes out of service by order, the senders out of service: those with a lease, and
-// those down for longer than an order may rest on an old observation.
+// checkBudget is called when a sender goes out of service by order. It counts the senders that are out of service, and
+// records a budget violation if there are too many. A sender is out of service if it has a lease, or if it has been
+// down for longer than the observation behind an order may be old.
 func (a *agentCluster) checkBudget(sd *sender) {
 	s, t := a.sim, a.terms.Timing
 	s.result.Orders++
@@ -137,7 +140,7 @@
 	}
 }
 
-// recordResult enters the rollout plans and the senders that are out of service into the result.
+// recordResult adds the rollout plans and the senders that are still out of service to the result.
 func (a *agentCluster) recordResult() {
 	l := a.leader
 	if l == nil {
--- a/internal/simulation/agents_test.go
+++ b/internal/simulation/agents_test.go
@@ -7,8 +7,9 @@
 	"cleathold/internal/scenario"
 )
 
-// Drains and releases of a fleet with faults of agents and senders, over seeds and sizes: never one sender too many
-// goes out by order, all are back in the end, and the rules hold.
+// Runs drains and releases of a fleet with faults of agents and senders, for several seeds and sizes. Orders must never
+// take more senders out of service than the budget allows, all senders must be back at the end, and no rule may be
+// violated.
 func TestRolloutsStayWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		senders float64
@@ -34,14 +35,14 @@
 			}
 		}
 		t.Logf("%v senders, %d seeds: %d times out by order, %d releases done", c.senders, c.seeds, orders, released)
-		// the larger one's scenario is too short for all its stages
+		// For 60 senders the scenario is too short to finish all stages of a release.
 		if orders < 8*int(c.seeds) || c.senders == 6 && released == 0 {
 			t.Errorf("%v senders: %d times out by order, %d releases done", c.senders, orders, released)
 		}
 	}
 }
 
-// The check of the budget sees one sender too many: agents that believe in a budget of two are checked against one.
+// Checks that checkBudget reports an excess: the agents apply a budget of two senders while the check uses one.
 func TestBudgetCheckReportsExcess(t *testing.T) {
 	sc, err := scenario.Load("../../examples/scenarios/agents.star", nil)
 	if err != nil {
@@ -61,6 +62,6 @@
 		over += len(r.OverBudget)
 	}
 	if over == 0 {
-		t.Error("nothing is seen")
+		t.Error("no budget excess was reported")
 	}
 }
--- a/internal/simulation/call.go
+++ b/internal/simulation/call.go
@@ -20,16 +20,16 @@
 	target        state.Target
 	id            uint64
 	delay         time.Duration // of the network, one way
-	newConnection bool          // it is the first on its connection
-	overCapacity  bool          // its connection is one more than the endpoint takes
-	sent          bool          // its first byte has left
-	done          bool          // the sender waits for it no more
+	newConnection bool          // it is the first call on its connection
+	overCapacity  bool          // its connection exceeds the endpoint's connection limit
+	sent          bool          // the first byte was sent
+	done          bool          // the sender no longer waits for the result
 	endedAttempts map[*state.Attempt]bool
 	startedAt     time.Duration
 }
 
-// Send makes a call, on an idle connection or on a new one. It implements state.Transport, as do Cancel,
-// CancelUnsent, HealthCheck and Disconnect.
+// Send starts a call on an idle connection or on a new one. Send, Cancel, CancelUnsent, HealthCheck and Disconnect
+// implement state.Transport.
 func (sd *sender) Send(c *state.Call) {
 	f := sd.startCall(c.Target)
 	f.call, f.endedAttempts = c, map[*state.Attempt]bool{}
@@ -39,7 +39,7 @@
 	}
 }
 
-// HealthCheck makes a call without a message.
+// HealthCheck starts a call without messages.
 func (sd *sender) HealthCheck(t state.Target, deadline time.Time) {
 	f := sd.startCall(t)
 	sd.sim.at(deadline.Sub(virtualStart), func() {
@@ -62,7 +62,7 @@
 	}
 }
 
-// CancelUnsent abandons a call whose first byte has not left.
+// CancelUnsent abandons a call whose first byte was not sent.
 func (sd *sender) CancelUnsent(c *state.Call) {
 	if f := sd.byCall[c]; f != nil && !f.sent {
 		sd.sim.at(sd.sim.now, func() {
@@ -81,12 +81,13 @@
 	delete(sd.idleConns, endpoint)
 }
 
-// callsOf returns a sender's calls in the order in which they began, since that of a map differs from run to run.
+// callsOf returns a sender's calls in the order in which they started. The iteration order of the map must not decide,
+// since it differs from run to run.
 func (s *Sim) callsOf(sd *sender) []*inFlightCall {
 	return slices.SortedFunc(maps.Keys(sd.inFlight), func(a, b *inFlightCall) int { return cmp.Compare(a.id, b.id) })
 }
 
-// startCall sends on the connection that was idle for the shortest time, or on a new one.
+// startCall starts a call on the most recently used idle connection, or on a new one if none is idle.
 func (sd *sender) startCall(target state.Target) *inFlightCall {
 	s := sd.sim
 	s.lastCall++
@@ -133,7 +134,7 @@
 	})
 }
 
-// connected takes the result of an attempt to connect.
+// connected handles the result of a connection attempt.
 func (f *inFlightCall) connected(result partner.ConnectionResult) {
 	s := f.sender.sim
 	switch {
@@ -150,19 +151,19 @@
 	}
 }
 
-// links returns the states of the links from its sender to its endpoint and back.
+// links returns the states of the links from the call's sender to its endpoint and back.
 func (f *inFlightCall) links() (request, reply scenario.LinkState) {
 	return f.sender.sim.link(f.sender.name, f.target.ID), f.sender.sim.link(f.target.ID, f.sender.name)
 }
 
-// recordFailure records that its sender has seen the endpoint fail.
+// recordFailure records that the call's sender observed a failure of the endpoint.
 func (f *inFlightCall) recordFailure() {
 	f.sender.sim.record(audit.Event{
 		Kind: audit.FailureSeen, Sender: f.sender.num, Dest: f.target.Destination, Endpoint: f.target.ID,
 	})
 }
 
-// send sends the first byte. The endpoint has the whole call after the network's delay.
+// send sends the call. The endpoint receives it completely after the network delay.
 func (f *inFlightCall) send() {
 	s := f.sender.sim
 	if f.done {
@@ -193,7 +194,7 @@
 	})
 	s.calls[f.id] = f
 	if !request.Passes() {
-		return // it never arrives: it times out, or a cut breaks its connection
+		return // the call never arrives: it times out, or a link cut breaks its connection
 	}
 	s.at(s.now+f.delay+s.extraDelay(request), func() {
 		if err := s.environment.Model.Call(s.now, c); err != nil { // the endpoint was removed meanwhile
@@ -202,7 +203,7 @@
 	})
 }
 
-// releaseConn keeps its connection for the next call.
+// releaseConn adds the call's connection to the idle ones. It closes the connection if the process has ended.
 func (f *inFlightCall) releaseConn() {
 	sd, s := f.sender, f.sender.sim
 	switch {
@@ -214,7 +215,7 @@
 	}
 }
 
-// receiveAnswer brings the endpoint's answer to the sender, unless that has stopped waiting.
+// receiveAnswer passes the endpoint's answer to the sender, unless the sender has stopped waiting.
 func (f *inFlightCall) receiveAnswer(a partner.Answer) {
 	s := f.sender.sim
 	if s.calls[f.id] == nil {
@@ -248,7 +249,7 @@
 	f.end(result)
 }
 
-// attemptResult is what an answer of an endpoint means to a sender.
+// attemptResult returns the result of an attempt that an endpoint answered.
 func attemptResult(a partner.Answer) state.AttemptResult {
 	r := state.AttemptResult{RetryAfter: a.RetryAfter}
 	switch a.Kind {
@@ -268,7 +269,7 @@
 	return r
 }
 
-// timeOut ends one attempt. The call is abandoned with its last one.
+// timeOut ends one attempt as timed out. The call is abandoned when its last attempt ends.
 func (f *inFlightCall) timeOut(a *state.Attempt) {
 	if f.sender.stopped() {
 		f.sender.whenRunning(func() { f.timeOut(a) })
@@ -286,7 +287,7 @@
 	f.sender.step(state.CallEnded{Call: f.call, Results: []state.AttemptResult{r}})
 }
 
-// cancel abandons the call for the sender's own reasons.
+// cancel abandons the call at the sender's request, with result r for the attempts that have none yet.
 func (f *inFlightCall) cancel(r control.Result) {
 	if f.done {
 		return
@@ -295,7 +296,7 @@
 	f.endAttempts(state.AttemptResult{Result: r})
 }
 
-// end ends the call, with one result for all attempts that have none yet.
+// end ends the call, with result r for all attempts that have none yet.
 func (f *inFlightCall) end(r state.AttemptResult) {
 	if f.done {
 		return
@@ -309,7 +310,7 @@
 	f.endAttempts(r)
 }
 
-// endAttempts tells the loop one result for all attempts that have none yet.
+// endAttempts passes result r to the event loop for all attempts that have none yet.
 func (f *inFlightCall) endAttempts(r state.AttemptResult) {
 	var results []state.AttemptResult
 	for _, a := range f.call.Attempts {
@@ -322,7 +323,7 @@
 	f.sender.step(state.CallEnded{Call: f.call, Results: results})
 }
 
-// abandon stops waiting: the connection is closed, though the endpoint may go on with its work.
+// abandon ends the sender's wait for the call and closes the connection. The endpoint may still finish the work.
 func (f *inFlightCall) abandon(cause string) {
 	f.finish()
 	if f.recordNoAnswer(f.sender.num, cause) {
@@ -351,7 +352,7 @@
 	return true
 }
 
-// notifyCanceled has the endpoint see, after the network's delay, that the connection was closed.
+// notifyCanceled notifies the endpoint, after the network delay, that the connection was closed.
 func (f *inFlightCall) notifyCanceled() {
 	s := f.sender.sim
 	s.at(s.now+f.delay, func() { s.environment.Model.Cancel(s.now, f.id, f.target.ID) })
--- a/internal/simulation/deliveryreport.go
+++ b/internal/simulation/deliveryreport.go
@@ -8,7 +8,7 @@
 	"cleathold/internal/state"
 )
 
-// reportRetryDelay is the time until a delivery report that did not arrive is sent again.
+// reportRetryDelay is the delay before a delivery report that did not arrive is sent again.
 const reportRetryDelay = 500 * time.Millisecond
 
 // Report sends a delivery report to the platform. It implements state.Reporter.
@@ -16,12 +16,12 @@
 	sd.sim.at(sd.sim.now+reportAckDelay, func() { sd.whenRunning(func() { sd.deliverReport(report) }) })
 }
 
-// deliverReport has a report arrive, as soon as the platform can be reached. The client of a deferred message may
-// retry it.
+// deliverReport delivers a report to the platform, and retries while the platform is unreachable. The client of a
+// deferred message may submit it again.
 func (sd *sender) deliverReport(report state.DeliveryReport) {
 	s := sd.sim
 	if sd.dead {
-		return // its write-ahead log has the report
+		return // the write-ahead log still contains the report
 	}
 	if !sd.reachesDiscovery() {
 		s.at(s.now+reportRetryDelay, func() { sd.whenRunning(func() { sd.deliverReport(report) }) })
--- a/internal/simulation/discovery.go
+++ b/internal/simulation/discovery.go
@@ -7,13 +7,14 @@
 	"cleathold/internal/state"
 )
 
-// reachesDiscovery reports whether the links to discovery and back pass anything.
+// reachesDiscovery reports whether the links to discovery and back pass traffic.
 func (sd *sender) reachesDiscovery() bool {
 	s := sd.sim
 	return s.link(sd.name, scenario.Discovery).Passes() && s.link(scenario.Discovery, sd.name).Passes()
 }
 
-// pollFailed has the loop see that discovery does not answer: soon where the link is cut, else after a timeout.
+// pollFailed notifies the event loop that a poll failed: after discoveryDelay if the link is cut, else after
+// pollTimeout.
 func (sd *sender) pollFailed() {
 	s := sd.sim
 	after := discoveryDelay
@@ -23,8 +24,8 @@
 	s.at(s.now+after, func() { sd.step(state.ListUpdate{Kind: control.ListFailed}) })
 }
 
-// Watch begins or ends a watch. Since is the version that the loop knows; for state.NoVersion the first update is the
-// full list. It implements state.Discovery, as does Fetch.
+// Watch starts or ends a watch of the endpoint list. Since is the list version that the event loop has; for
+// state.NoVersion the first update is the full list. Watch and Fetch implement state.Discovery.
 func (sd *sender) Watch(on bool, since int64) {
 	s := sd.sim
 	if sd.watching = false; !on {
@@ -55,7 +56,7 @@
 	})
 }
 
-// Fetch gives the loop the full list once.
+// Fetch requests the full list once and passes it to the event loop.
 func (sd *sender) Fetch() {
 	s := sd.sim
 	s.at(s.now+discoveryDelay, func() {
@@ -75,7 +76,7 @@
 	})
 }
 
-// receiveFullList gives the loop the list as discovery tells it to this sender now.
+// receiveFullList passes the full list, as discovery currently returns it to this sender, to the event loop.
 func (sd *sender) receiveFullList() {
 	if sd.dead {
 		return
@@ -85,7 +86,7 @@
 	sd.receiveUpdate(control.ListFull, version, endpoints)
 }
 
-// receiveChanges gives the loop of a sender that watches what has changed after its version.
+// receiveChanges passes the changes after the sender's list version to its event loop, if the sender watches.
 func (sd *sender) receiveChanges() {
 	s := sd.sim
 	if _, down := s.environment.DiscoveryOutage(s.now); down || !sd.watching || sd.dead || !sd.reachesDiscovery() {
@@ -100,7 +101,7 @@
 	}
 }
 
-// receiveUpdate gives the loop an update, and records of which endpoints it notifies the sender.
+// receiveUpdate passes a list update to the event loop, and records which endpoints it notifies the sender of.
 func (sd *sender) receiveUpdate(kind control.ListUpdateKind, version int64, endpoints []ListedEndpoint) {
 	update := state.ListUpdate{Kind: kind, Version: version}
 	for _, l := range endpoints {
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -10,10 +10,9 @@
 	"cleathold/internal/scenario"
 )
 
-// Environment is discovery and the partners as the senders see them, on sockets and in virtual time alike: the
-// partners, the changes that a plan makes to them, and discovery's endpoint list with the time at which each sender
-// is notified of each change. It does no I/O and is not safe for concurrent use. Times are counted from the start of
-// the run.
+// Environment models discovery and the partners, both for runs on sockets and in virtual time: the partners, the
+// changes that a plan makes to them, and discovery's endpoint list with the time at which each sender is notified of
+// each change. It does no I/O and is not safe for concurrent use. Times are counted from the start of the run.
 type Environment struct {
 	Plan  *scenario.Plan
 	Model *partner.Model
@@ -21,17 +20,17 @@
 	record       func(audit.Event)
 	rng          *rand.Rand
 	kinds        map[string]int            // numbers of the kinds of destinations
-	listed       map[string]ListedEndpoint // by id, removed ones too
-	listOrder    []string                  // of the ids in the list
+	listed       map[string]ListedEndpoint // by id, including removed endpoints
+	listOrder    []string                  // ids in the order of the list
 	version      int64                     // of the list
 	updates      [][]scheduledUpdate       // by sender, in the order of their times and versions
-	baseVersions []int64                   // by sender: updates up to this version are forgotten
-	overloads    int                       // routes that were overloaded
+	baseVersions []int64                   // by sender: updates up to this version were deleted
+	overloads    int                       // overloads of routes that were warming up
 	polls        []pollState               // by sender
 	departures   []departure               // endpoints that began to drain or were removed, in the order of their times
 }
 
-// NewEnvironment makes the environment of a plan. It passes the events that it sees to record.
+// NewEnvironment returns the environment of a plan. It passes its events to record.
 func NewEnvironment(p *scenario.Plan, record func(audit.Event)) (*Environment, error) {
 	m, err := p.Model()
 	if err != nil {
@@ -63,7 +62,7 @@
 	env.listOrder = append(env.listOrder, e.ID)
 }
 
-// Rules returns the rules that the senders of a plan have to keep.
+// Rules returns the rules by which the auditor checks the senders of a plan.
 func Rules(p *scenario.Plan, settings control.Settings) audit.Rules {
 	var classes []audit.Class
 	for _, c := range settings.Classes {
@@ -77,11 +76,11 @@
 }
 
 const (
-	sameZoneDelay  = 500 * time.Microsecond // of the network, one way
+	sameZoneDelay  = 500 * time.Microsecond // one-way network delay
 	crossZoneDelay = 10 * time.Millisecond
 )
 
-// NetworkDelay returns the delay, one way, between a sender and an endpoint in these zones.
+// NetworkDelay returns the one-way delay between a sender and an endpoint in these zones.
 func NetworkDelay(zone, other int) time.Duration {
 	if zone == other {
 		return sameZoneDelay
@@ -89,8 +88,8 @@
 	return crossZoneDelay
 }
 
-// Apply makes a change of the plan to an endpoint. If the list changes with it, notifiedAt has for each sender the
-// time from which on discovery tells it of that. Errors are those of the model.
+// Apply applies a change of the plan to an endpoint. If the change affects the endpoint list, notifiedAt contains, by
+// sender, the time at which discovery notifies the sender of it. Errors are those of the model.
 func (env *Environment) Apply(now time.Duration, c scenario.Change) (notifiedAt []time.Duration, err error) {
 	l, listed := env.listed[c.Endpoint]
 	switch {
@@ -113,7 +112,7 @@
 		notifiedAt = env.setLeaving(now, l, control.Removed)
 		return notifiedAt, env.Model.Leave(now, l.ID)
 	case l.State == control.Draining:
-		return nil, nil // no fault befalls an endpoint that drains
+		return nil, nil // faults are not applied to a draining endpoint
 	}
 	return nil, env.setFault(now, l, c.Fault)
 }
@@ -127,7 +126,7 @@
 	return env.scheduleNotifications(now, previous, true, l.ID)
 }
 
-// setFault sets an endpoint's fault, and records where an outage begins or ends with it.
+// setFault sets an endpoint's fault, and records the beginning or end of an outage.
 func (env *Environment) setFault(now time.Duration, l ListedEndpoint, to partner.Fault) error {
 	from := env.Model.Fault(l.ID)
 	err := env.Model.SetFault(now, l.ID, to)
@@ -139,7 +138,7 @@
 	return err
 }
 
-// Collect records what happened in the model since the last call, and returns the answers that it gave since.
+// Collect records the model's overloads and effects since the last call, and returns its answers since then.
 func (env *Environment) Collect() []partner.Answer {
 	for _, f := range env.Model.Overloads() {
 		env.overloads++
@@ -160,10 +159,10 @@
 	return env.Model.Answers()
 }
 
-// Overloads returns how many routes were overloaded as they returned.
+// Overloads returns the number of overloads of routes that were warming up.
 func (env *Environment) Overloads() int { return env.overloads }
 
-// OutcomeOf returns how an answer counts for the rules, and the cause that a ledger has for it.
+// OutcomeOf returns the outcome that the audit rules assign to an answer, and its cause as written to a ledger.
 func OutcomeOf(k partner.AnswerKind) (audit.Outcome, string) {
 	switch k {
 	case partner.Delivered:
--- a/internal/simulation/environment_test.go
+++ b/internal/simulation/environment_test.go
@@ -9,8 +9,8 @@
 	"cleathold/internal/scenario"
 )
 
-// Each sender is notified with a delay and in order, never of the newer of two changes first, and its full list is
-// what it was notified of by then.
+// Each sender is notified with a delay and in order, never of the newer of two changes first, and its full list
+// contains exactly the changes of which it was notified by then.
 func TestEnvironmentNotifiesInOrder(t *testing.T) {
 	sc, err := scenario.Load(buildingRefusesScript, nil)
 	if err != nil {
@@ -37,19 +37,19 @@
 		t.Errorf("notified early: %+v %d", endpoints, version)
 	}
 	if endpoints, _ := env.FullList(first[0]-1, 0); len(endpoints) != len(initial) || endpoints[0].State != control.Ready {
-		t.Errorf("the full list tells early: %+v", endpoints[0])
+		t.Errorf("the full list contains a change before the notification: %+v", endpoints[0])
 	}
 	endpoints, version, _ := env.ListChanges(second[0], 0, 1)
 	if len(endpoints) == 0 || endpoints[len(endpoints)-1].State != control.Removed || version != 3 {
 		t.Errorf("%+v %d", endpoints, version)
 	}
 	if endpoints, _ := env.FullList(second[0], 0); len(endpoints) != len(initial)-1 {
-		t.Errorf("%d lines after %d", len(endpoints), len(initial))
+		t.Errorf("%d endpoints listed after the removal, %d before", len(endpoints), len(initial))
 	}
 	if endpoints, _, _ := env.ListChanges(second[0], 0, 3); len(endpoints) != 0 {
 		t.Errorf("notified again: %+v", endpoints)
 	}
 	if endpoints, _, full := env.ListChanges(second[0], 0, 1); !full || len(endpoints) != len(initial)-1 {
-		t.Error("what is forgotten is not in the full list")
+		t.Error("after old changes were deleted, the sender does not get the full list")
 	}
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -13,7 +13,7 @@
 	"cleathold/internal/state"
 )
 
-// applyChange makes a change to a partner's endpoint. Discovery notifies the senders of it later.
+// applyChange applies a change to a partner's endpoint and schedules the notifications of the senders by discovery.
 func (s *Sim) applyChange(c scenario.Change) {
 	notifiedAt, err := s.environment.Apply(s.now, c)
 	if err != nil {
@@ -24,8 +24,8 @@
 	}
 }
 
-// applyAction carries out an action on a sender, unless its process has ended or is about to. "hup" changes nothing in
-// virtual time, where there is no file to read again.
+// applyAction performs an action on a sender, unless its process has ended or is shutting down. "hup" has no effect in
+// virtual time, since there is no file to reload.
 func (s *Sim) applyAction(action scenario.PlannedAction) {
 	sd := s.senders[action.Sender]
 	if sd.dead || sd.shuttingDown {
@@ -69,7 +69,7 @@
 	}
 }
 
-// profile returns a sender's configuration as it stands.
+// profile returns a sender's current configuration.
 func (s *Sim) profile(num int) map[string]any {
 	if a, ok := s.settingsUpdates[num]; ok {
 		return UpdatedSettings(s.plan, a)
@@ -88,7 +88,7 @@
 // cutBetween reports whether the link between two parties is cut in either direction.
 func (s *Sim) cutBetween(a, b string) bool { return s.link(a, b).Cut || s.link(b, a).Cut }
 
-// extraDelay draws how much longer than on a healthy link something is under way.
+// extraDelay draws the delay that a link adds to that of a healthy one.
 func (s *Sim) extraDelay(l scenario.LinkState) time.Duration {
 	if l.Jitter > 0 {
 		return l.Delay + time.Duration(s.rng.Int64N(int64(l.Jitter)))
@@ -96,15 +96,15 @@
 	return l.Delay
 }
 
-// linksChanged has every sender look at its links.
+// linksChanged applies the new link states to all senders.
 func (s *Sim) linksChanged() {
 	for _, sd := range s.senders {
 		sd.linksChanged()
 	}
 }
 
-// linksChanged breaks the connections on links that are cut now, and resumes the watch of discovery where that is
-// reachable again.
+// linksChanged breaks the connections on links that are now cut. It ends the watch if discovery has become unreachable,
+// and passes pending list changes to the event loop if discovery is reachable.
 func (sd *sender) linksChanged() {
 	s := sd.sim
 	for _, f := range s.callsOf(sd) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// discoveryDown ends the watch as an outage of discovery begins.
+// discoveryDown ends the watch at the beginning of an outage of discovery.
 func (sd *sender) discoveryDown() {
 	if sd.watching && !sd.dead {
 		sd.watching = false
--- a/internal/simulation/fleet_test.go
+++ b/internal/simulation/fleet_test.go
@@ -9,9 +9,9 @@
 	"cleathold/internal/scenario"
 )
 
-// Eighty senders, summed over the fleet: lowered limits, a recovery with a slow start, most of them killed during an
-// outage of discovery, each with all gossip, half of it, and none. The auditor's rules hold, messages that are not
-// idempotent take effect once, and gossip keeps rejected calls to a part of what they are without.
+// Runs fleets of eighty senders through lowered limits, a recovery with a slow start, and the kill of most senders
+// during an outage of discovery, each with all gossip delivered, half of it and none. The auditor's rules must hold
+// (among them: messages that are not idempotent take effect once), and gossip must keep the rejected calls low.
 func TestFleetOfEightySenders(t *testing.T) {
 	for _, c := range []struct {
 		path        string
@@ -44,10 +44,10 @@
 	}
 }
 
-// What all senders of a fleet send to a returned target stays within its budget, at any size: also where each one's
-// part is below one call, and while none of them hears another. The laboratory's budget leaves two calls to chance,
-// fewer than the operators' do. Plays of 300 senders take over a minute each: docs/design/large-fleet.md has what
-// they showed.
+// The calls of all senders of a fleet to a target that is warming up after an outage stay within its budget at any
+// fleet size, also if each sender's part is below one call, and if no gossip arrives. The simulated budget tolerates
+// two excess calls, fewer than the operators' budget. Runs with 300 senders take over a minute each and are not part of
+// the test; docs/design/large-fleet.md has their results.
 func TestSlowStartCallsStayWithinBudget(t *testing.T) {
 	for _, c := range []struct {
 		senders, lost float64
@@ -59,7 +59,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.senders < 8 { // of the whole traffic each would hold more than the laboratory plays in a minute
+			if c.senders < 8 { // with the full traffic each sender would have too many messages for a one-minute run
 				text = []byte(strings.Replace(string(text), "traffic(rate = 500", "traffic(rate = 120", 1))
 			}
 			sc, err := scenario.Parse("fleet-return.star", text, map[string]float64{"senders": c.senders, "lost": c.lost})
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -9,7 +9,7 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenResult reads and writes the result of a run as 096da04 did.
+// TestGoldenResult checks that the JSON form of a run's result is read and written as in commit 096da04.
 func TestGoldenResult(t *testing.T) {
 	golden.JSON[Result](t, "result.json")
 	text, err := os.ReadFile("../ledger/testdata/golden/run/result.json")
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -7,10 +7,10 @@
 	"cleathold/internal/state"
 )
 
-// MinGossipDelay and MaxGossipDelay bound the time that gossip between two senders takes.
+// MinGossipDelay and MaxGossipDelay bound the network delay of gossip between two senders.
 const MinGossipDelay, MaxGossipDelay = 1300 * time.Microsecond, 8700 * time.Microsecond
 
-// A gossipSender carries one sender's gossip to its peers. Each copy arrives late, twice or not at all.
+// A gossipSender sends one sender's gossip to its peers. Each packet is delayed, and may be duplicated or lost.
 type gossipSender struct{ *sender }
 
 // SendGossip implements state.GossipSender.
@@ -23,7 +23,7 @@
 	}
 }
 
-// sendTo draws what becomes of a packet on its way to a peer.
+// sendTo sends a packet to a peer. It draws whether the packet is lost, duplicated or reordered, and its delay.
 func (g gossipSender) sendTo(peer *sender, packet []byte) {
 	s := g.sim
 	s.result.GossipSent++
--- a/internal/simulation/links_test.go
+++ b/internal/simulation/links_test.go
@@ -11,7 +11,7 @@
 
 const linksFailScript = "../../examples/scenarios/links-fail.star"
 
-// playScript plays a script and passes each event to see.
+// playScript runs a script and passes each event to onEvent.
 func playScript(t *testing.T, text string, seed uint64, onEvent func(audit.Event)) Result {
 	t.Helper()
 	sc, err := scenario.Parse("s.star", []byte(text), nil)
@@ -21,7 +21,7 @@
 	return simulate(t, sc, seed, func(e audit.Event) error { onEvent(e); return nil })
 }
 
-// faultFreeScript is the library's script without its faults.
+// faultFreeScript returns the text of the script linksFailScript without its faults.
 func faultFreeScript(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(linksFailScript)
@@ -32,7 +32,7 @@
 	return script
 }
 
-// Each fault by itself shows where it must and nowhere else, and the rules hold.
+// Each fault by itself affects the links that it names and no others, and no rule is violated.
 func TestLinkFaultsOneByOne(t *testing.T) {
 	type eventCounts struct{ accepted, abandoned, calls, rejected int }
 	for _, c := range []struct {
@@ -41,46 +41,46 @@
 		want         func(n0, rest eventCounts) bool
 	}{
 		{
-			"clients can't reach it",
+			"clients cannot reach n0",
 			`link(at = 20, seconds = 10, of = "n0", to = "clients", what = "CUT")`, 20.5, 30,
 			func(n0, rest eventCounts) bool { return n0.accepted == 0 && rest.accepted > 100 },
 		},
 		{
-			"its answers do not reach clients",
+			"responses of n0 do not reach clients",
 			`link(at = 20, seconds = 10, of = "n0", to = "clients", one_way = True, what = "SILENT")`, 20.5, 30,
 			func(n0, rest eventCounts) bool {
 				return n0.accepted == 0 && n0.abandoned > 10 && n0.calls > 0 && rest.abandoned == 0
 			},
 		},
 		{
-			"what clients say does not arrive",
+			"submissions of clients do not reach n0",
 			`link(at = 20, seconds = 10, of = "clients", to = "n0", one_way = True, what = "SILENT")`, 20.5, 30,
 			func(n0, rest eventCounts) bool { return n0.accepted == 0 && n0.abandoned > 10 && rest.abandoned == 0 },
 		},
 		{
-			"partners are cut off from it",
+			"partners are cut off from n0",
 			`link(at = 20, seconds = 10, of = "n0", to = "partners", what = "CUT")`, 20.5, 30,
 			func(n0, rest eventCounts) bool { return n0.calls == 0 && rest.calls > 100 },
 		},
 		{
-			"it is stopped",
+			"n0 is stopped",
 			`sender(number = 0, at = 20, what = "stop", seconds = 10)`, 20.5, 29.9,
 			func(n0, rest eventCounts) bool {
 				return n0.accepted+n0.calls == 0 && n0.abandoned > 5 && rest.abandoned == 0
 			},
 		},
 		{
-			"clients are sent away",
+			"n0 is draining",
 			`sender(number = 0, at = 20, what = "drain", seconds = 10)`, 20.5, 30,
 			func(n0, rest eventCounts) bool { return n0.accepted+n0.abandoned == 0 && rest.accepted > 100 },
 		},
 		{
-			"fewer slots and less room",
+			"n0 has fewer calls in flight and fewer open messages",
 			`sender(number = 0, at = 20, what = "retune", slots = 0.05, hold = 0.05)`, 22, 40,
 			func(n0, rest eventCounts) bool { return n0.rejected > 10*rest.rejected+10 && n0.accepted > 0 },
 		},
 		{
-			"nothing", "", 20.5, 30,
+			"no fault", "", 20.5, 30,
 			func(n0, rest eventCounts) bool {
 				return n0.accepted > 30 && n0.calls > 30 && n0.abandoned+rest.abandoned == 0
 			},
@@ -112,14 +112,14 @@
 	}
 }
 
-// No gossip passes a cut, all of it passes healthy links, and duplicates change nothing.
+// No gossip passes a cut or lossy link, gossip passes healthy links, and duplicates do not violate any rule.
 func TestGossipOnLinks(t *testing.T) {
 	outage := "trouble(what = \"DOWN\", at = 15, seconds = 20, part = 0.5)\n"
 	received := map[string]int{}
 	for name, faults := range map[string]string{
-		"sound": "", "cut": `parts(at = 0, seconds = 90, parts = 20, what = "CUT")`,
-		"doubled": `link(at = 0, seconds = 90, of = "senders", to = "senders", double = 1)`,
-		"lost":    `link(at = 0, seconds = 90, of = "senders", to = "senders", loss = 1)`,
+		"healthy": "", "cut": `parts(at = 0, seconds = 90, parts = 20, what = "CUT")`,
+		"duplicated": `link(at = 0, seconds = 90, of = "senders", to = "senders", double = 1)`,
+		"lost":       `link(at = 0, seconds = 90, of = "senders", to = "senders", loss = 1)`,
 	} {
 		figures := map[string]float64{"senders": 20, "rate": 100}
 		sc, err := scenario.Parse("s.star", []byte(faultFreeScript(t)+outage+faults), figures)
@@ -132,12 +132,13 @@
 		}
 		received[name] = r.GossipReceived
 	}
-	if received["sound"] == 0 || received["cut"] != 0 || received["lost"] != 0 || received["doubled"] < received["sound"] {
+	if received["healthy"] == 0 || received["cut"] != 0 || received["lost"] != 0 ||
+		received["duplicated"] < received["healthy"] {
 		t.Errorf("gossip received: %v", received)
 	}
 }
 
-// With all faults at once, over seeds and sizes, the rules hold, and service stays that of a fleet that works.
+// With all faults at once, for several seeds and fleet sizes, no rule is violated and most messages are delivered.
 func TestLinksFail(t *testing.T) {
 	for _, c := range []struct {
 		senders, rate float64
@@ -150,10 +151,10 @@
 			}
 			r := simulate(t, sc, seed, nil)
 			if len(r.Violations) > 0 || r.Overall < 0.6 {
-				t.Errorf("%v senders, seed %d: service %.3f, whole %.3f, %+v",
+				t.Errorf("%v senders, seed %d: service %.3f, overall %.3f, %+v",
 					c.senders, seed, r.Service, r.Overall, r.Violations)
 			}
-			t.Logf("%v senders, seed %d: whole %.3f, %d restarts, %d gossip packets received",
+			t.Logf("%v senders, seed %d: overall %.3f, %d restarts, %d gossip packets received",
 				c.senders, seed, r.Overall, r.Restarts, r.GossipReceived)
 		}
 	}
--- a/internal/simulation/listupdates.go
+++ b/internal/simulation/listupdates.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// maxListDelay is the longest time until discovery notifies a sender of a change.
+	// maxListDelay is the maximum delay with which discovery notifies a sender of a change.
 	maxListDelay = 3 * time.Second
-	// maxPollInterval is the longest time that a sender may leave between polls: after it, the sender counts as notified
-	// of what was listed before it (WIRE, guarantees.must-ask-in-ms).
+	// maxPollInterval is the maximum time between two polls of a sender. After it, the sender counts as notified of all
+	// changes made before that interval (WIRE, guarantees.must-ask-in-ms).
 	maxPollInterval = 10 * time.Second
-	// maxPollIntervalAfterFailure is the same where discovery did not answer the last poll.
+	// maxPollIntervalAfterFailure is the maximum time if discovery did not answer the last poll.
 	maxPollIntervalAfterFailure = 4 * maxPollInterval
 )
 
@@ -29,21 +29,21 @@
 	Weight  float64
 }
 
-// A scheduledUpdate is a change of which discovery tells one sender from a time on.
+// A scheduledUpdate is a list change that discovery returns to one sender from time due on.
 type scheduledUpdate struct {
 	due       time.Duration
 	version   int64
 	endpoint  ListedEndpoint
-	previous  ListedEndpoint // before the change...
-	wasListed bool           // ...if it was listed
+	previous  ListedEndpoint // the endpoint before the change; only valid if wasListed
+	wasListed bool
 }
 
-// NotifiedCheckInterval is how often MarkNotified is to be called.
+// NotifiedCheckInterval is the interval at which MarkNotified is to be called.
 const NotifiedCheckInterval = 250 * time.Millisecond
 
-// A pollState is what is known of a sender's polls.
+// A pollState is the state of a sender's polls.
 type pollState struct {
-	lastAt   time.Duration // of its last poll, or of the end of its watch
+	lastAt   time.Duration // time of the last poll, or of the end of the watch
 	watching bool
 	failed   bool // discovery did not answer the last poll
 	counted  int  // departures of which the sender counts as notified although discovery did not notify it
@@ -73,16 +73,17 @@
 	return due
 }
 
-// Polled notes that a sender polled discovery or that its watch ended, whether it watches now, and whether discovery
-// failed to answer.
+// Polled records that a sender polled discovery or that its watch ended. Watching is whether it watches now, failed
+// whether discovery did not answer.
 func (env *Environment) Polled(now time.Duration, sender int, watching, failed bool) {
 	env.polls[sender].lastAt, env.polls[sender].watching, env.polls[sender].failed = now, watching, failed
 }
 
-// Watching reports whether a sender has a poll open at discovery that waits for changes.
+// Watching reports whether a sender has an open poll at discovery that waits for changes.
 func (env *Environment) Watching(sender int) bool { return env.polls[sender].watching }
 
-// MarkNotified records as notified the senders that have neither watched nor polled for longer than they may.
+// MarkNotified records the senders that have neither watched nor polled for longer than the allowed interval as
+// notified of the departures before that interval.
 func (env *Environment) MarkNotified(now time.Duration) {
 	for i := range env.polls {
 		p := &env.polls[i]
@@ -100,7 +101,7 @@
 	}
 }
 
-// DiscoveryOutage reports whether discovery is down, and until when.
+// DiscoveryOutage reports whether discovery is down, and returns the end of the outage.
 func (env *Environment) DiscoveryOutage(now time.Duration) (until time.Duration, down bool) {
 	for _, outage := range env.Plan.DiscoveryOutages {
 		if now >= outage.From && now < outage.To {
@@ -110,9 +111,9 @@
 	return 0, false
 }
 
-// ListChanges returns the endpoints that changed after the version since, as far as the sender is notified by now,
-// and the version that it then knows. Where changes after since were forgotten, endpoints is the full list, and full
-// is true. The sender's changes up to since are forgotten.
+// ListChanges returns the endpoints that changed after version since and of which the sender is notified by now, and
+// the version of the list with these changes. If changes after since were already deleted, endpoints is the full list
+// and full is true. ListChanges deletes the sender's changes up to since.
 func (env *Environment) ListChanges(
 	now time.Duration, sender int, since int64,
 ) (endpoints []ListedEndpoint, version int64, full bool) {
@@ -140,7 +141,8 @@
 	return endpoints, version, false
 }
 
-// NextListUpdate returns when a sender is notified of a change after the version since; false where there is none.
+// NextListUpdate returns the time at which a sender is notified of the first change after version since; false if there
+// is none.
 func (env *Environment) NextListUpdate(sender int, since int64) (time.Duration, bool) {
 	for _, u := range env.updates[sender] {
 		if u.version > since {
@@ -150,13 +152,13 @@
 	return 0, false
 }
 
-// FullList returns the endpoint list as discovery tells it to a sender now, and its version.
+// FullList returns the endpoint list as discovery currently returns it to a sender, and its version.
 func (env *Environment) FullList(now time.Duration, sender int) ([]ListedEndpoint, int64) {
 	version := env.baseVersions[sender]
 	pending := map[string]scheduledUpdate{}
 	for _, u := range slices.Backward(env.updates[sender]) {
 		if u.due > now {
-			pending[u.endpoint.ID] = u // the earliest one stays
+			pending[u.endpoint.ID] = u // the last assignment is the earliest update
 			continue
 		}
 		version = max(version, u.version)
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -9,17 +9,17 @@
 	"cleathold/internal/scenario"
 )
 
-// orderTimeout is how long staff repeat an order that no agent takes.
+// orderTimeout is how long an order that no agent accepts is submitted again.
 const orderTimeout = 10 * time.Second
 
-// failingProgram names a program that ends before it is ready.
+// failingProgram is the name of a program that exits before it is ready.
 const failingProgram = "ends at its start"
 
-// releaseGate is the gate of a scenario's releases: short, since scenarios last a minute or two.
+// releaseGate is the gate of a scenario's releases. Its times are short, since scenarios last a minute or two.
 var releaseGate = rollout.Gate{MinMessages: 5, Soak: time.Second, Wait: 10 * time.Second, Slack: 0.5}
 
-// submitOrder has staff give an order to the first agent that runs and is connected to the leader, beginning with the
-// one that the order names; and again after a while where there is none.
+// submitOrder submits an order to the first agent that runs and is connected to the leader, starting with the agent
+// that the order names. If there is none, it retries until the time until.
 func (a *agentCluster) submitOrder(o scenario.PlannedOrder, until time.Duration) {
 	s := a.sim
 	c := rollout.Command{By: "staff", Reason: "the scenario", At: s.clock()}
@@ -42,8 +42,8 @@
 	}
 }
 
-// fillCommand sets what a command has to do for an order. It returns false where the order is about a plan and there
-// is none.
+// fillCommand fills in a command from an order. It returns false if the order refers to a rollout plan and there is
+// none.
 func (a *agentCluster) fillCommand(c *rollout.Command, o scenario.PlannedOrder) bool {
 	switch o.What {
 	case "drain":
@@ -69,7 +69,8 @@
 	return true
 }
 
-// reactivate has staff put back into service what a halted drain left out, until nothing is left.
+// reactivate puts the senders that a halted rollout plan left out of service back into service. It schedules its next
+// run.
 func (a *agentCluster) reactivate() {
 	s := a.sim
 	if l := a.leader; l != nil {
--- a/internal/simulation/profile.go
+++ b/internal/simulation/profile.go
@@ -10,7 +10,7 @@
 	"cleathold/internal/wire"
 )
 
-// Profile returns the "settings" object of the configuration that the platform gives a sender of a plan.
+// Profile returns the "settings" object of the configuration that the platform provides to a sender of a plan.
 func Profile(p *scenario.Plan, sender int) map[string]any {
 	s := p.Scenario
 	rng := rand.New(rand.NewPCG(p.Seed, 98))
@@ -68,7 +68,7 @@
 	}
 }
 
-// UpdatedSettings returns the "settings" object after a "retune" action: Profile with other limits.
+// UpdatedSettings returns the "settings" object after a "retune" action: that of Profile with scaled limits.
 func UpdatedSettings(p *scenario.Plan, action scenario.PlannedAction) map[string]any {
 	profile := Profile(p, action.Sender)
 	scale := func(section, key string, by float64, minimum int) {
@@ -85,7 +85,7 @@
 	return readProfile(Profile(p, sender), seed)
 }
 
-// readProfile parses a profile. The seed is that of the sender's random source.
+// readProfile parses a profile. The seed initializes the sender's random source.
 func readProfile(profile map[string]any, seed uint64) (control.Settings, error) {
 	text, err := json.Marshal(profile)
 	if err != nil {
--- a/internal/simulation/sameevents_test.go
+++ b/internal/simulation/sameevents_test.go
@@ -8,8 +8,8 @@
 	"cleathold/internal/scenario"
 )
 
-// The same seed gives the same events, also where a change of the endpoint list cancels several unsent calls at once.
-// Seed 1 of this scenario does so: the order of their cancellation shows in the order of messages within a later call.
+// The same seed produces the same events, also if a change of the endpoint list cancels several unsent calls at once.
+// Seed 1 of this scenario does so: the order of the cancellations determines the order of messages within a later call.
 func TestSameSeedSameEvents(t *testing.T) {
 	sc, err := scenario.Load("../../examples/scenarios/large.star", nil)
 	if err != nil {
@@ -28,7 +28,7 @@
 	first := events()
 	for range 7 {
 		if !reflect.DeepEqual(events(), first) {
-			t.Fatal("the same seed gave other events")
+			t.Fatal("two runs with the same seed produced different events")
 		}
 	}
 }
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -13,36 +13,36 @@
 	"cleathold/internal/state"
 )
 
-// A sender is one process of a sender: an event loop whose connections, discovery, delivery reports and gossip are
-// simulated. After the process has ended, another one with the same write-ahead log takes its place in Sim.senders.
+// A sender is one process of a sender: an event loop with simulated connections, discovery, delivery reports and
+// gossip. When the process has ended, a new one with the same write-ahead log replaces it in Sim.senders.
 type sender struct {
 	sim         *Sim
 	num         int
-	name        string // as a party of links
+	name        string // the sender's name as a party of links
 	zone        int
 	loop        *state.Loop
 	submissions []pendingSubmission
 	idleConns   map[string][]time.Duration // by endpoint: since when each connection is idle, the oldest first
 	byCall      map[*state.Call]*inFlightCall
 	inFlight    map[*inFlightCall]bool // calls and health checks
-	timerAt     time.Duration          // when the loop's timer elapses; below 0: not set
+	timerAt     time.Duration          // time at which the loop's timer elapses; below 0: not set
 
-	watching    bool  // discovery notifies it of changes...
-	listVersion int64 // ...after this version
+	watching    bool // discovery notifies the sender of changes after listVersion
+	listVersion int64
 
-	accepting    bool // it takes connections of clients
+	accepting    bool // the process accepts connections of clients
 	shuttingDown bool // since endedAt
 	dead         bool // the process has ended, since endedAt
 	endedAt      time.Duration
 
-	unreachable  bool // from discovery, where delivery reports go, too
-	draining     bool // it sends clients away; the load balancer knows at once
+	unreachable  bool // from discovery, which also receives the delivery reports
+	draining     bool // it rejects clients; the load balancer takes it out of rotation at once
 	stoppedUntil time.Duration
 	stoppedAt    time.Duration
-	pendingSteps []func() // what happened while it was stopped, in order
+	pendingSteps []func() // work deferred while the process is stopped, in order
 
-	process, predecessor string // names of this process, and of the one that handed over to it
-	version              string // of its program
+	process, predecessor string // names of this process and of the process that handed over to it
+	version              string // program version
 	lease                lease.Holder
 	counters             state.Counters
 }
@@ -59,7 +59,7 @@
 		byCall: map[*state.Call]*inFlightCall{}, inFlight: map[*inFlightCall]bool{}, timerAt: -1, accepting: true,
 		process: fmt.Sprintf("n%d-%d", num, s.senderStarts), version: "v1",
 	}
-	if num < len(s.senders) { // the agent starts the version that ran last; the lease ends with its process
+	if num < len(s.senders) { // the agent starts the last version again; a lease ends with its process
 		sd.version = s.senders[num].version
 	}
 	dir, hasDir := s.walDirs[num]
@@ -77,7 +77,8 @@
 	return sd, nil
 }
 
-// step gives the loop events and carries out what follows from them.
+// step passes events to the event loop, then writes the responses to clients and sets the timer. While the process is
+// stopped, the step is deferred.
 func (sd *sender) step(events ...state.Event) {
 	if sd.dead {
 		return
@@ -94,7 +95,7 @@
 	sd.setTimer()
 }
 
-// setTimer schedules the time at which the loop wants to be woken.
+// setTimer schedules the next time at which the event loop has to be woken.
 func (sd *sender) setTimer() {
 	wake := sd.loop.WakeAt()
 	if wake.IsZero() {
@@ -113,7 +114,7 @@
 	})
 }
 
-// updateSettings has the loop take other settings, as a reload does.
+// updateSettings applies new settings to the event loop, as a reload does.
 func (sd *sender) updateSettings(settings control.Settings) {
 	done := make(chan state.SettingsResult, 1)
 	var classes []state.NamedClass
@@ -132,21 +133,21 @@
 	})
 }
 
-// stopped reports whether its process is stopped, as by SIGSTOP.
+// stopped reports whether the process is stopped, as by SIGSTOP.
 func (sd *sender) stopped() bool { return sd.sim.now < sd.stoppedUntil }
 
-// stop stops its process until a time, or a stopped one for longer.
+// stop stops the process until a time. If the process is already stopped, stop can only extend the stop.
 func (sd *sender) stop(until time.Duration) {
 	s := sd.sim
 	if !sd.stopped() {
 		sd.stoppedAt = s.now
-		s.record(audit.Event{Kind: audit.Died, Sender: sd.num}) // nothing is due from it until it goes on
+		s.record(audit.Event{Kind: audit.Died, Sender: sd.num}) // no rule requires anything of it until it resumes
 	}
 	sd.stoppedUntil = max(sd.stoppedUntil, until)
 	s.at(sd.stoppedUntil, sd.resume)
 }
 
-// resume has a stopped process go on, and do what it could not do meanwhile.
+// resume resumes a stopped process and runs the work deferred meanwhile.
 func (sd *sender) resume() {
 	if sd.stopped() || sd.dead {
 		return
@@ -159,7 +160,7 @@
 	}
 }
 
-// whenRunning calls do, once its process runs.
+// whenRunning calls step at once if the process runs, or when it resumes.
 func (sd *sender) whenRunning(step func()) {
 	if sd.stopped() {
 		sd.pendingSteps = append(sd.pendingSteps, step)
@@ -168,9 +169,9 @@
 	step()
 }
 
-// knownUnavailable reports whether the load balancer sends it no clients.
+// knownUnavailable reports whether the load balancer has taken the sender out of rotation.
 func (sd *sender) knownUnavailable(now time.Duration) bool {
-	const shutdownNotice = 200 * time.Millisecond // a shutdown is seen so long before the sender stops to accept
+	const shutdownNotice = 200 * time.Millisecond // how long before stopDelay the load balancer notices a shutdown
 	switch sinceEnd := now - sd.endedAt; {
 	case sd.stopped() && now-sd.stoppedAt >= DeadSenderTimeout, sd.draining, sd.drainOrdered():
 		return true
@@ -199,7 +200,7 @@
 	})
 }
 
-// awaitDrained ends the process once nothing is in flight, or its time is over.
+// awaitDrained ends the process once nothing is in flight or the shutdown timeout has passed.
 func (sd *sender) awaitDrained() {
 	s := sd.sim
 	if sd.loop.Drained() || s.now >= sd.endedAt+shutdownTimeout {
@@ -209,7 +210,7 @@
 	s.at(s.now+drainedCheckInterval, sd.awaitDrained)
 }
 
-// exitProcess ends the process: its connections break, and another one is started after a while.
+// exitProcess ends the process. Its connections break, and a new process is started after the restart delay.
 func (sd *sender) exitProcess() {
 	s := sd.sim
 	if sd.dead {
@@ -227,7 +228,7 @@
 	sd.submissions = nil
 	for _, f := range s.callsOf(sd) {
 		f.done = true
-		if f.recordNoAnswer(0, "reset") { // in a ledger these calls' ends name no sender
+		if f.recordNoAnswer(0, "reset") { // the ledger's events for these calls name no sender
 			f.notifyCanceled()
 		}
 	}
@@ -239,7 +240,7 @@
 	s.at(s.now+restartDelay+startupDelay, sd.restart)
 }
 
-// restart starts another process in the place of one that has ended.
+// restart replaces a process that has ended by a new one.
 func (sd *sender) restart() {
 	s := sd.sim
 	next, err := s.newSender(sd.num)
--- a/internal/simulation/sender_test.go
+++ b/internal/simulation/sender_test.go
@@ -10,7 +10,7 @@
 	"cleathold/internal/scenario"
 )
 
-// senderActions has one sender killed twice and another terminated.
+// senderActions changes a scenario so that one sender is killed twice and another is terminated.
 func senderActions(s *scenario.Scenario) {
 	at := func(x float64) scenario.Range { return scenario.Range{From: x, To: x} }
 	s.Length = 40 * time.Second
@@ -20,8 +20,8 @@
 	}
 }
 
-// After a kill or a termination the next process has the write-ahead log, no rule is broken, the run is the same each
-// time, and nothing is left on the disk.
+// After a kill or a termination the next process recovers from the write-ahead log, no rule is violated, the run is
+// reproducible, and no temporary files remain.
 func TestSenderRestarts(t *testing.T) {
 	tmp := t.TempDir()
 	t.Setenv("TMPDIR", tmp)
@@ -35,11 +35,11 @@
 		}
 	}
 	if entries, _ := os.ReadDir(tmp); len(entries) > 0 {
-		t.Errorf("left on the disk: %v", entries)
+		t.Errorf("temporary files remain: %v", entries)
 	}
 }
 
-// Without its write-ahead log a killed sender loses what it had, and the auditor reports that.
+// A killed sender whose write-ahead log is deleted loses its messages, and the auditor reports the violation.
 func TestLostWALViolatesOutcomeRule(t *testing.T) {
 	sc, err := scenario.Load(buildingRefusesScript, nil)
 	if err != nil {
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim.at(8*time.Second+restartDelay/2, func() { // between its death and its return
+	sim.at(8*time.Second+restartDelay/2, func() { // between the kill and the restart
 		os.RemoveAll(sim.walDirs[0])
 		os.MkdirAll(sim.walDirs[0], 0o700)
 	})
--- a/internal/simulation/servicemeter.go
+++ b/internal/simulation/servicemeter.go
@@ -7,10 +7,10 @@
 	"cleathold/internal/scenario"
 )
 
-// scoreWindow is the length of the windows of which the worst one counts.
+// scoreWindow is the length of the time windows; the one with the lowest score enters the service.
 const scoreWindow = 10 * time.Second
 
-// Score is the service of a run, with the weights of BRIEF 9. Shares are from 0 to 1.
+// Score is the service score of a run, computed with the weights of BRIEF 9. Shares are from 0 to 1.
 type Score struct {
 	Messages      int           `json:"messages"`
 	Service       float64       `json:"service"`
@@ -24,15 +24,15 @@
 	Calls         int           `json:"calls"`
 }
 
-// A ServiceMeter computes the service of a run from a ledger's events. It keeps messages until their time is over. It
-// is not safe for concurrent use.
+// A ServiceMeter computes the service score of a run from a ledger's events. It keeps messages until some time after
+// their deadline. It is not safe for concurrent use.
 type ServiceMeter struct {
-	// OnDelivered is called for each delivered message with its number and the weight that it got. It may be nil.
+	// OnDelivered is called for each delivered message with its number and its weight in the score. It may be nil.
 	OnDelivered func(n int, weight float64)
 
 	classes     []scenario.Class
 	requests    map[int]*request
-	oldest      int // the first that may still be among them
+	oldest      int // lower bound of the keys of requests
 	maxDeadline time.Duration
 	submissions map[string]*submission
 	calls       map[uint64][]string
@@ -42,10 +42,10 @@
 	score       Score
 }
 
-// A weightSum is the weight of the requested messages and of the delivered ones.
+// A weightSum is the total weight of the requested and of the delivered messages.
 type weightSum struct{ requested, delivered float64 }
 
-// fraction returns the delivered part; 1 where nothing was requested.
+// fraction returns the delivered part of the requested weight; 1 if nothing was requested.
 func (w weightSum) fraction() float64 {
 	if w.requested == 0 {
 		return 1
@@ -65,10 +65,10 @@
 type submission struct {
 	request   int
 	accepted  bool
-	delivered bool // by a partner, though its client may not know yet that it was accepted
+	delivered bool // by a partner; the client may not have received the acceptance yet
 }
 
-// NewServiceMeter returns a meter for a run of a scenario.
+// NewServiceMeter returns a ServiceMeter for a run of a scenario.
 func NewServiceMeter(s *scenario.Scenario) *ServiceMeter {
 	meter := &ServiceMeter{
 		classes: s.Traffic.Classes, requests: map[int]*request{}, submissions: map[string]*submission{},
@@ -81,7 +81,7 @@
 	return meter
 }
 
-// Read takes the next event. It returns no error.
+// Read processes the next event. The returned error is always nil.
 func (meter *ServiceMeter) Read(e audit.Event) error {
 	switch e.Kind {
 	case audit.Requested:
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// addRequest counts a requested message, and forgets those whose time is over.
+// addRequest counts a requested message, and deletes messages whose deadline passed more than 5 s ago.
 func (meter *ServiceMeter) addRequest(e audit.Event) {
 	w := meter.classes[e.Class].PriorityWeight
 	for i := int(e.At / scoreWindow); len(meter.windows) <= i; {
@@ -164,8 +164,8 @@
 	}
 }
 
-// PriorityWeightAt returns the weight of a message that is delivered at this age: the full one up to the latency
-// objective, and from there falling evenly to that at the deadline.
+// PriorityWeightAt returns the weight of a message that is delivered at this age: the full weight up to the latency
+// objective, then decreasing linearly to the late weight at the deadline.
 func PriorityWeightAt(c *scenario.Class, age time.Duration) float64 {
 	if age <= c.LatencyObjective {
 		return c.PriorityWeight
@@ -174,7 +174,7 @@
 	return c.PriorityWeight * (1 - (1-c.LateWeight)*late)
 }
 
-// Score returns the service so far.
+// Score returns the score so far.
 func (meter *ServiceMeter) Score() Score {
 	s := meter.score
 	s.Worst = 1
@@ -200,7 +200,7 @@
 	return s
 }
 
-// Size returns how many messages, submissions and calls are remembered.
+// Size returns the number of messages, submissions and calls that the meter keeps.
 func (meter *ServiceMeter) Size() int {
 	return len(meter.requests) + len(meter.submissions) + len(meter.calls)
 }
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -1,10 +1,10 @@
-// Package simulation plays scenarios in virtual time. The senders run the event loop, the write-ahead log and the
-// controller that real senders run; only sockets are left out. Partners are the model of internal/partner, and
-// internal/audit judges what was recorded. Environment, ServiceMeter, ClientRequest and Profile are shared with
-// internal/harness, which plays the same scenarios on sockets.
+// Package simulation runs scenarios in virtual time. The senders run the production event loop, write-ahead log and
+// controller; only the sockets are simulated. Partners are simulated by the model of internal/partner, and
+// internal/audit checks the recorded events. Environment, ServiceMeter, ClientRequest and Profile are shared with
+// internal/harness, which runs the same scenarios on sockets.
 //
-// The same plan gives the same events: nothing here may depend on the wall clock, on goroutines or on the iteration
-// order of a map, and the order of random draws is part of the behavior.
+// A run is deterministic: the same plan produces the same events. Nothing in this package may depend on the wall clock,
+// on goroutine scheduling or on the iteration order of a map, and the order of random draws is part of the behavior.
 package simulation
 
 import (
@@ -24,23 +24,24 @@
 var virtualStart = time.Unix(1_700_000_000, 0)
 
 const (
-	discoveryDelay  = 20 * time.Millisecond  // until discovery answers a poll
-	reportAckDelay  = 2 * time.Millisecond   // until the platform has acknowledged a delivery report
-	clientDelay     = 500 * time.Microsecond // from a client to a sender, one way
+	discoveryDelay  = 20 * time.Millisecond  // from a poll to discovery's answer
+	reportAckDelay  = 2 * time.Millisecond   // from a delivery report to the platform's acknowledgement
+	clientDelay     = 500 * time.Microsecond // one-way network delay from a client to a sender
 	idleConnTimeout = 15 * time.Second       // endpoints close connections that were idle for this long
-	drainPeriod     = 30 * time.Second       // how long a run goes on after the end of the scenario
+	drainPeriod     = 30 * time.Second       // how long a run continues after the end of the scenario
 
-	// Graceful shutdown of a sender, counted from SIGTERM, and its restart. The values of lifecycle and of DEPLOY.
-	restartDelay         = 600 * time.Millisecond  // until a process that ended is started again
-	startupDelay         = 50 * time.Millisecond   // from the start until it is ready
+	// Graceful shutdown of a sender, counted from SIGTERM, and its restart. These are the values of package lifecycle
+	// and of DEPLOY.
+	restartDelay         = 600 * time.Millisecond  // from the end of a process to the start of the next one
+	startupDelay         = 50 * time.Millisecond   // from the start of a process until it is ready
 	stopDelay            = 500 * time.Millisecond  // until it accepts no more messages
 	haltDelay            = 2 * time.Second         // until it starts no more attempts
-	shutdownTimeout      = 3300 * time.Millisecond // until it exits, whatever is in flight
+	shutdownTimeout      = 3300 * time.Millisecond // until it exits even if calls are in flight
 	drainedCheckInterval = 20 * time.Millisecond   // between checks whether anything is in flight
 
-	// Links that fail. The values of internal/protocol.
-	connectTimeout = 1500 * time.Millisecond // for a connection that does not come up
-	pollTimeout    = 2 * time.Second         // for discovery to answer
+	// Timeouts on failed links. These are the values of internal/protocol.
+	connectTimeout = 1500 * time.Millisecond // for opening a connection
+	pollTimeout    = 2 * time.Second         // for an answer of discovery
 )
 
 // Result is the outcome of a run. Its JSON form is that of result.json.
@@ -52,9 +53,9 @@
 	Overloads      int               `json:"falls"`
 	Restarts       int               `json:"restarts"`
 	GossipSent     int               `json:"notes"`            // gossip between senders, counted for each receiver
-	GossipReceived int               `json:"notes_heard"`      // of them, those that arrived; duplicates count again
+	GossipReceived int               `json:"notes_heard"`      // packets that arrived, duplicates included
 	Orders         int               `json:"orders,omitempty"` // times that agents took a sender out of service
-	OverBudget     []string          `json:"over,omitempty"`   // of them, those beyond the budget
+	OverBudget     []string          `json:"over,omitempty"`   // orders that exceeded the budget
 	Plans          []string          `json:"plans,omitempty"`  // each rollout plan with its last phase
 	StillOut       []string          `json:"left,omitempty"`   // senders that are out of service at the end
 	Counts         audit.Counts      `json:"counts"`
@@ -62,7 +63,7 @@
 	Events         int               `json:"events"` // steps of the simulation
 }
 
-// A Sim plays one plan. It is not safe for concurrent use.
+// A Sim runs one plan. It is not safe for concurrent use.
 type Sim struct {
 	plan             *scenario.Plan
 	environment      *Environment
@@ -72,7 +73,7 @@
 	responsesMayFail bool // links fail, or processes are stopped
 	now              time.Duration
 	schedule         timeline.Queue[func()]
-	serial           uint64        // of the latest scheduled step; steps of one time run in this order
+	serial           uint64        // of the latest scheduled step; steps at the same time run in this order
 	modelAdvanceAt   time.Duration // when the model advances next; below 0: not scheduled
 
 	senders         []*sender
@@ -91,13 +92,13 @@
 	err             error
 }
 
-// at schedules a step; one in the past runs now.
+// at schedules a step. A step in the past is scheduled for the current time.
 func (s *Sim) at(when time.Duration, step func()) {
 	s.serial++
 	s.schedule.Push(max(when, s.now), s.serial, step)
 }
 
-// fail ends the run. The first error is the one that Run returns.
+// fail ends the run. Run returns the first error passed to fail.
 func (s *Sim) fail(err error) {
 	if s.err == nil {
 		s.err = err
@@ -120,7 +121,7 @@
 	}
 }
 
-// NewSim prepares a run of a plan. Each event goes to sink, unless it is nil; an error of sink ends the run.
+// NewSim prepares a run of a plan. Each event is passed to sink, unless sink is nil; an error of sink ends the run.
 func NewSim(p *scenario.Plan, log *slog.Logger, sink func(audit.Event) error) (*Sim, error) {
 	s := &Sim{
 		plan: p, rng: rand.New(rand.NewPCG(p.Seed, 99)), log: log, modelAdvanceAt: -1, walDirs: map[int]string{},
@@ -152,8 +153,8 @@
 	return s, nil
 }
 
-// makeWALDirs makes a folder for the write-ahead log of each sender that is restarted. The others keep theirs in
-// memory.
+// makeWALDirs creates a folder for the write-ahead log of each sender that the plan restarts. The other senders keep
+// their logs in memory.
 func (s *Sim) makeWALDirs() error {
 	if len(s.plan.Actions) == 0 {
 		return nil
@@ -175,7 +176,8 @@
 	return nil
 }
 
-// schedulePlan schedules all that the plan has drawn, but the arrivals. The order of what falls on one time stays.
+// schedulePlan schedules everything in the plan except the arrivals. The order of scheduling must not change, since it
+// decides the order of steps at the same time.
 func (s *Sim) schedulePlan() {
 	p := s.plan
 	for _, c := range p.Changes {
@@ -204,14 +206,14 @@
 	}
 }
 
-// markNotified records, again and again, which senders count as notified though they did not poll.
+// markNotified records periodically which senders count as notified although they did not poll.
 func (s *Sim) markNotified() {
 	s.environment.MarkNotified(s.now)
 	s.at(s.now+NotifiedCheckInterval, s.markNotified)
 }
 
-// Run plays the plan to its end and removes the temporary files. It returns the first error of a loop, of the auditor
-// or of the sink.
+// Run runs the plan to its end and removes the temporary files. It returns the first error of an event loop, of the
+// auditor or of the sink.
 func (s *Sim) Run() (Result, error) {
 	defer func() {
 		if s.tempDir != "" {
@@ -246,7 +248,7 @@
 // Now returns the virtual time, counted from the start of the run.
 func (s *Sim) Now() time.Duration { return s.now }
 
-// collect schedules the answers that the model gave since the last step, and the model's next one.
+// collect schedules the arrival of the model's answers since the last step, and the model's next advance.
 func (s *Sim) collect() {
 	for _, a := range s.environment.Collect() {
 		if f := s.calls[a.Call]; f != nil {
--- a/internal/simulation/sim_test.go
+++ b/internal/simulation/sim_test.go
@@ -26,7 +26,7 @@
 	return simulate(t, sc, seed, nil)
 }
 
-// simulate plays a scenario, and passes each event to sink unless that is nil.
+// simulate runs a scenario, and passes each event to sink unless sink is nil.
 func simulate(t testing.TB, sc *scenario.Scenario, seed uint64, sink func(audit.Event) error) Result {
 	t.Helper()
 	sim, err := NewSim(sc.Plan(seed), discardLog, sink)
@@ -42,15 +42,15 @@
 
 const buildingRefusesScript = "../../examples/scenarios/building-refuses.star"
 
-// A scenario of the library: the rules hold, service is that of a sender that
-// works, and the fault shows in it.
+// Runs an example scenario with and without its fault: no rule is violated, the score without faults is high, and the
+// fault does not raise it.
 func TestBuildingOutage(t *testing.T) {
 	faultFreeSum, faultySum := 0.0, 0.0
 	for seed := range uint64(4) {
 		faultFree := play(t, buildingRefusesScript, seed, func(s *scenario.Scenario) { s.Faults = nil })
 		faulty := play(t, buildingRefusesScript, seed, nil)
-		for name, r := range map[string]Result{"calm": faultFree, "rough": faulty} {
-			t.Logf("seed %d, %s: service %.3f, whole %.3f, worst %.3f at %v, %d messages, %d calls, %d refused, %d events",
+		for name, r := range map[string]Result{"without faults": faultFree, "with faults": faulty} {
+			t.Logf("seed %d, %s: service %.3f, overall %.3f, worst %.3f at %v, %d messages, %d calls, %d rejected, %d events",
 				seed, name, r.Service, r.Overall, r.Worst, r.WorstAt, r.Messages, r.Calls, r.RejectedCalls, r.Events)
 			for _, b := range r.Violations {
 				t.Errorf("seed %d, %s: %s: %s (message %s, calls %v, times %v)",
@@ -67,14 +67,14 @@
 	}
 }
 
-// The same seed gives the same result.
+// The same seed produces the same result.
 func TestSameSeedSameResult(t *testing.T) {
 	if a, b := play(t, buildingRefusesScript, 3, nil), play(t, buildingRefusesScript, 3, nil); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v and %+v", a, b)
 	}
 }
 
-// Endpoints come and go: nothing new goes to one that drains, and service stays.
+// Endpoints are replaced during the run: no new call goes to a draining endpoint, and most messages are delivered.
 func TestEndpointChurn(t *testing.T) {
 	r := play(t, buildingRefusesScript, 2, func(s *scenario.Scenario) {
 		s.Faults = nil
@@ -85,8 +85,8 @@
 	}
 }
 
-// Endpoints drain and are removed while discovery is down, and their addresses pass to new ones: no sender goes on to
-// call those that were removed, whether it was notified or counts as notified.
+// Endpoints drain and are removed while discovery is down, and new endpoints reuse their addresses: no sender continues
+// to call a removed endpoint after it was notified or counts as notified.
 func TestChurnDuringDiscoveryOutage(t *testing.T) {
 	notified := 0
 	sc, err := scenario.Load("../../examples/scenarios/churned-endpoints.star", nil)
@@ -104,12 +104,12 @@
 	}
 }
 
-// The rules hold in each scenario of the library.
+// No rule is violated in any of the example scenarios.
 func TestExampleScenariosKeepRules(t *testing.T) {
 	list, _ := filepath.Glob("../../examples/scenarios/*.star")
 	for _, path := range list {
 		r := play(t, path, 2, nil)
-		t.Logf("%s: service %.3f, whole %.3f, worst %.3f, %d messages",
+		t.Logf("%s: service %.3f, overall %.3f, worst %.3f, %d messages",
 			filepath.Base(path), r.Service, r.Overall, r.Worst, r.Messages)
 		if len(r.Violations) > 0 {
 			t.Errorf("%s: %+v", path, r.Violations)
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -9,13 +9,13 @@
 	"cleathold/internal/state"
 )
 
-// pendingSubmission is a submission whose client waits for the response.
+// pendingSubmission is a submission whose client is waiting for the response.
 type pendingSubmission struct {
 	id       string
 	response <-chan state.Response
 }
 
-// scheduleArrival schedules the next message that a client wants delivered; that one schedules the next.
+// scheduleArrival schedules the next arrival of a message. Each arrival schedules the one after it.
 func (s *Sim) scheduleArrival() {
 	a, ok := s.arrivals.Next()
 	if !ok {
@@ -28,8 +28,8 @@
 	})
 }
 
-// pickSender is the load balancer in front of the senders: it draws one that is not known to be unavailable, or any
-// where all are.
+// pickSender acts as the load balancer in front of the senders: it draws a sender that is not known to be unavailable,
+// or any sender if all are unavailable.
 func (s *Sim) pickSender() *sender {
 	first := s.rng.IntN(len(s.senders))
 	for i := range s.senders {
@@ -41,7 +41,7 @@
 	return s.senders[first]
 }
 
-// submit has a client submit or resubmit a message, unless its time is over.
+// submit submits or resubmits a client's message, unless it is delivered or its deadline has passed.
 func (s *Sim) submit(m *ClientRequest) {
 	timeLeft := m.TimeLeft(s.plan.Scenario, s.now)
 	if timeLeft <= 0 {
@@ -67,7 +67,7 @@
 	}
 	s.at(s.now+clientDelay+s.extraDelay(link), func() {
 		s.record(submitted)
-		if !target.accepting { // it has ended meanwhile
+		if !target.accepting { // the process has ended or stopped accepting meanwhile
 			s.connectionLost(m, id, target)
 			return
 		}
@@ -81,14 +81,15 @@
 	})
 }
 
-// submit gives the loop a message and waits for its response.
+// submit passes a message to the event loop, and adds it to the submissions that wait for a response.
 func (sd *sender) submit(m *state.Message) {
 	response := make(chan state.Response, 1)
 	sd.submissions = append(sd.submissions, pendingSubmission{m.ID, response})
 	sd.step(state.Submitted{Response: response, Message: m})
 }
 
-// answerClients passes the responses that are there to their clients. It returns what the loop has to know of them.
+// answerClients passes the available responses to their clients. It returns the events that report the responses as
+// written to the event loop.
 func (sd *sender) answerClients() []state.Event {
 	var written []state.Event
 	pendingSubmissions := sd.submissions[:0]
@@ -106,11 +107,11 @@
 	return written
 }
 
-// respond passes a response to its client. It returns false where the loop need not know whether it arrived.
+// respond passes a response to its client. It returns false if the event loop needs no event about the response.
 func (sd *sender) respond(id string, r state.Response) (state.ResponseWritten, bool) {
 	s := sd.sim
 	m := s.messages[id]
-	// Either nobody waits any more, or the response does not arrive.
+	// Either the client no longer waits, or the link loses the response.
 	if link := s.link(sd.name, scenario.Clients); m == nil || !link.Passes() {
 		if m != nil && link.Cut {
 			s.connectionLost(m, id, sd)
@@ -130,7 +131,7 @@
 	return state.ResponseWritten{}, false
 }
 
-// clientTimeout ends a client's wait, unless it has its response.
+// clientTimeout ends a client's wait for a response, unless the response has arrived.
 func (sd *sender) clientTimeout(m *ClientRequest, id string) {
 	matches := func(p pendingSubmission) bool { return p.id == id }
 	if sd.sim.messages[id] == m && slices.ContainsFunc(sd.submissions, matches) {
@@ -138,7 +139,8 @@
 	}
 }
 
-// responseTimedOut has a client that waited long enough resubmit its message.
+// responseTimedOut records that a client has abandoned a submission after its timeout, and schedules a resubmission of
+// the message unless it is delivered.
 func (s *Sim) responseTimedOut(m *ClientRequest, id string, sd *sender) {
 	s.record(audit.Event{Kind: audit.Abandoned, Sender: sd.num, Message: id, Cause: "timeout"})
 	delete(s.messages, id)
@@ -147,21 +149,21 @@
 	}
 }
 
-// connectionLost has a client whose connection broke resubmit its message.
+// connectionLost records that a client's connection broke, and schedules a resubmission of the message.
 func (s *Sim) connectionLost(m *ClientRequest, id string, sd *sender) {
 	s.record(audit.Event{Kind: audit.Abandoned, Sender: sd.num, Message: id, Cause: "died"})
 	delete(s.messages, id)
 	s.submissionUnanswered(m)
 }
 
-// submissionUnanswered has a client resubmit, after a while, a message that nobody answered for.
+// submissionUnanswered schedules the resubmission of a message whose last submission got no response.
 func (s *Sim) submissionUnanswered(m *ClientRequest) {
 	if after, ok := m.Unanswered(s.plan.Scenario, s.rng); ok {
 		s.at(s.now+after, func() { s.submit(m) })
 	}
 }
 
-// rejected has a client retry a rejected message, as often as the scenario says.
+// rejected schedules a client's retry of a rejected message, up to the scenario's number of retries.
 func (s *Sim) rejected(m *ClientRequest, id string, retryAfter time.Duration) {
 	delete(s.messages, id)
 	if after, ok := m.Rejected(s.plan.Scenario, s.rng, retryAfter); ok {
@@ -169,7 +171,7 @@
 	}
 }
 
-// delivered ends a message for its client.
+// delivered marks a message as delivered, so that its client no longer submits it.
 func (s *Sim) delivered(id string) {
 	if m := s.messages[id]; m != nil {
 		m.Done = true
