--- a/internal/partner/call.go
+++ b/internal/partner/call.go
@@ -10,8 +10,8 @@
 // Message is a message of a call.
 type Message struct {
 	ID    string
-	Key   string // idempotency key; empty: each call of it takes effect
-	Class int    // passed on to its effect
+	Key   string // idempotency key; empty: each call with the message takes effect
+	Class int    // copied to the effect
 }
 
 // Call is a call that an endpoint has received completely.
@@ -20,12 +20,12 @@
 	Sender        int
 	Endpoint      string
 	NewConnection bool // the first on its connection
-	OverCapacity  bool // on a connection that was ConnectionOverCapacity
+	OverCapacity  bool // on a connection for which Connect returned ConnectionOverCapacity
 	HealthCheck   bool // without messages
 	Messages      []Message
 }
 
-// AnswerKind is how a call is answered.
+// AnswerKind is the kind of an answer to a call.
 type AnswerKind uint8
 
 // The kinds of answer.
@@ -33,39 +33,39 @@
 	Delivered AnswerKind = iota
 	Errored
 	Rejected
-	Reset   // the connection breaks
+	Reset   // the connection was reset
 	Garbled // the answer cannot be read
 	Unprocessable
 )
 
-// String returns the cause that a ledger has for the kind.
+// String returns the kind as written to a ledger as a cause.
 func (k AnswerKind) String() string {
 	return [...]string{"delivered", "error", "refused", "reset", "spoilt", "rejected"}[k]
 }
 
-// Answer ends a call. Calls to an unresponsive endpoint get none.
+// Answer is the answer that ends a call. Calls to an unresponsive endpoint get none.
 type Answer struct {
 	Call       uint64
 	At         time.Duration
 	Kind       AnswerKind
-	RetryAfter time.Duration // told with a rejection; 0: none
+	RetryAfter time.Duration // of a rejection; 0: none
 }
 
-// A job is a call that waits for a server or runs on one.
+// A job is a call that is queued for a server or runs on one.
 type job struct {
 	Call
 	endpoint          *endpoint
-	workLeft          time.Duration // at full speed, as of since
-	since             time.Duration // the last update of workLeft
-	version           uint64        // of its entry in the agenda; 0: it has none
+	workLeft          time.Duration // remaining work, in time at full speed, as of since
+	since             time.Duration // time of the last update of workLeft
+	version           uint64        // of its scheduledCompletion; 0: none
 	canceled          bool
 	answer            AnswerKind
 	resetBeforeEffect bool // Reset: before its effect
 	noAnswer          bool // it gets no answer
 }
 
-// Call has an endpoint receive a call on an open connection. Answers returns its answer. It returns ErrUnknown for an
-// endpoint that was removed.
+// Call delivers a call to an endpoint on an open connection. Answers returns the answer later. Call returns
+// ErrUnknownEndpoint for an endpoint that was removed or that the model does not have.
 func (m *Model) Call(now time.Duration, c Call) error {
 	m.Advance(now)
 	e := m.endpoints[c.Endpoint]
@@ -73,15 +73,15 @@
 		return ErrUnknownEndpoint
 	}
 	if m.jobs[c.ID] != nil {
-		return fmt.Errorf("partner: call %d is out already", c.ID)
+		return fmt.Errorf("partner: call %d is already in flight", c.ID)
 	}
-	f := e.fault // the call itself may overload the route, and still fares as before
+	f := e.fault // if this call overloads the route, it is still handled with the fault from before
 	if f.Mode != Overloaded {
 		m.checkOverload(e.route, c.Sender)
 	}
 	if kind, retryAfter, done := m.answerImmediately(e, f, &c); done {
 		if c.HealthCheck {
-			retryAfter = 0 // PROTOCOL: a health check is answered 200 or 503
+			retryAfter = 0 // PROTOCOL: a health check is answered with 200 or 503 only
 		}
 		m.answers = append(m.answers, Answer{c.ID, m.now, kind, retryAfter})
 		return nil
@@ -107,9 +107,9 @@
 		return Rejected, 0, true
 	case len(c.Messages) > e.dest.MaxBatch || !c.HealthCheck && len(c.Messages) == 0:
 		return Unprocessable, 0, true
-	case f.Mode != Unresponsive && !m.admit(e): // an unresponsive one rejects nothing
+	case f.Mode != Unresponsive && !m.admit(e): // an unresponsive endpoint rejects no calls
 		return Rejected, m.retryAfter(e, 0), true
-	case c.HealthCheck && f.Mode != Unresponsive && f.Mode != Paused: // these do not wait for a server
+	case c.HealthCheck && f.Mode != Unresponsive && f.Mode != Paused: // health checks need no server
 		return Delivered, 0, true
 	case len(e.running) >= e.dest.Servers && len(e.queue) >= e.dest.QueueLength:
 		return Rejected, m.retryAfter(e, 0), true
@@ -117,13 +117,13 @@
 	return 0, 0, false
 }
 
-// newJob draws the work of a call and, from the endpoint's fault, how it is answered.
+// newJob returns the job of a call. It draws the work and, as the endpoint's fault requires, the answer.
 func (m *Model) newJob(e *endpoint, f Fault, c Call) *job {
 	j := &job{Call: c, endpoint: e, workLeft: m.drawWork(e.dest, &c), noAnswer: f.Mode == Unresponsive}
 	switch f.Mode {
 	case ReturningErrors:
 		if m.rng.Float64() < f.Share {
-			j.answer, j.workLeft = Errored, j.workLeft/10 // errors come quickly
+			j.answer, j.workLeft = Errored, j.workLeft/10 // errors are returned quickly
 		}
 	case BreakingConnections:
 		if m.rng.Float64() < f.Share {
@@ -137,7 +137,7 @@
 	return j
 }
 
-// drawWork draws the work of a call: lognormal around the mean, more for each further message and for a new connection.
+// drawWork draws the work of a call from a lognormal distribution. Each further message and a new connection add work.
 func (m *Model) drawWork(d *destination, c *Call) time.Duration {
 	factor := 1.0
 	if d.CV > 0 {
@@ -152,8 +152,8 @@
 	return max(work, time.Microsecond)
 }
 
-// Cancel has an endpoint see that the sender closed a call's connection, also where the call has ended meanwhile.
-// Work may go on and take effect.
+// Cancel notifies an endpoint that the sender closed a call's connection. The call may have ended meanwhile. The
+// endpoint may still finish the work, and the messages then take effect.
 func (m *Model) Cancel(now time.Duration, id uint64, endpoint string) {
 	m.Advance(now)
 	j := m.jobs[id]
@@ -171,7 +171,7 @@
 	}
 }
 
-// stopWork ends a job without an effect.
+// stopWork ends a job before its messages take effect.
 func (m *Model) stopWork(j *job) {
 	e := j.endpoint
 	m.updateWork(e)
@@ -183,7 +183,7 @@
 	m.startQueued(e)
 }
 
-// resetAll breaks all connections of an endpoint. The calls on them end without an effect.
+// resetAll resets all connections of an endpoint. The calls on them end without an effect.
 func (m *Model) resetAll(e *endpoint) {
 	for _, j := range slices.Concat(e.running, e.queue) {
 		delete(m.jobs, j.ID)
@@ -195,7 +195,8 @@
 	e.running, e.queue, e.conns = nil, nil, 0
 }
 
-// finish ends a job with its effect, and with its answer if the sender waits for one.
+// finish completes a job: its messages take effect, unless the fault prevents that, and the call is answered if the
+// sender still waits for the answer.
 func (m *Model) finish(j *job) {
 	e := j.endpoint
 	delete(m.jobs, j.ID)
--- a/internal/partner/call_test.go
+++ b/internal/partner/call_test.go
@@ -8,7 +8,7 @@
 
 func TestQueue(t *testing.T) {
 	m := newModel(t, nil)
-	for range 5 { // two served, two wait, one too many
+	for range 5 { // two are served, two are queued, one is rejected
 		sendCall(t, m, 0, "a", 0)
 	}
 	if a := onlyAnswer(t, m); a.Kind != Rejected || a.RetryAfter != 0 {
@@ -25,7 +25,8 @@
 	}
 }
 
-// A canceled call takes effect later, once, and is not answered.
+// A canceled call takes effect once after the cancellation and is not answered. If the endpoint stops work on
+// cancellation, the next call gets the server at once.
 func TestCanceledCallTakesEffectOnce(t *testing.T) {
 	m := newModel(t, nil)
 	id := sendCall(t, m, 0, "a", 0, "k")
@@ -40,7 +41,7 @@
 	sendCall(t, m, 0, "a", 0)
 	m.Cancel(50*ms, id, "a")
 	m.Advance(time.Second)
-	if a := onlyAnswer(t, m); len(m.Effects()) != 1 || a.At != 150*ms { // the next had its server at once
+	if a := onlyAnswer(t, m); len(m.Effects()) != 1 || a.At != 150*ms { // the next call got the server at once
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/partner/connection.go
+++ b/internal/partner/connection.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// ConnectionResult is how an endpoint takes a new connection.
+// ConnectionResult is the result of opening a connection to an endpoint.
 type ConnectionResult uint8
 
 // The results.
 const (
 	ConnectionOpened       ConnectionResult = iota
 	ConnectionRefused                       // the endpoint does not listen
-	ConnectionOverCapacity                  // it is opened, and calls on it are rejected
+	ConnectionOverCapacity                  // the connection is opened, but calls on it are rejected
 )
 
-// Connect opens a connection. One over capacity is not counted: it needs no Disconnect, and a Call on it has
-// OverCapacity set.
+// Connect opens a connection. A connection over capacity is not counted: it must not be passed to Disconnect, and calls
+// on it must set OverCapacity.
 func (m *Model) Connect(now time.Duration, id string) ConnectionResult {
 	m.Advance(now)
 	e := m.endpoints[id]
@@ -27,7 +27,7 @@
 	return ConnectionOpened
 }
 
-// Disconnect closes a connection without a call in flight.
+// Disconnect closes a connection that has no call in flight.
 func (m *Model) Disconnect(now time.Duration, id string) {
 	m.Advance(now)
 	if e := m.endpoints[id]; e != nil && e.conns > 0 {
@@ -35,7 +35,7 @@
 	}
 }
 
-// Listens reports whether an endpoint takes connections at all.
+// Listens reports whether an endpoint listens for connections.
 func (m *Model) Listens(id string) bool {
 	e := m.endpoints[id]
 	return e != nil && !e.removed && e.fault.Mode != Down && e.fault.Mode != Overloaded
--- a/internal/partner/connection_test.go
+++ b/internal/partner/connection_test.go
@@ -14,12 +14,12 @@
 	}
 	m.Disconnect(0, "a")
 	if m.Connect(0, "a") != ConnectionOpened {
-		t.Error("a closed one still counts")
+		t.Error("a closed connection still counts against the limit")
 	}
 	m.Call(0, Call{ID: 1 << 40, Endpoint: "a", NewConnection: true, Messages: []Message{{ID: "x"}}})
 	m.Advance(time.Second)
 	if a := onlyAnswer(t, m); a.At != 130*ms {
-		t.Errorf("a new one costs nothing: %+v", a)
+		t.Errorf("the cost of a new connection is missing: %+v", a)
 	}
 	sendCall(t, m, time.Second, "a", 0)
 	m.SetFault(1050*ms, "a", Fault{Mode: Down})
--- a/internal/partner/effect.go
+++ b/internal/partner/effect.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Effect is a message that took effect, or was dropped because its key was seen before.
+// Effect records that a message took effect, or that it was dropped because its key was seen before.
 type Effect struct {
 	At       time.Duration
 	Call     uint64
@@ -13,14 +13,14 @@
 	Late     bool // after the call was canceled
 }
 
-// firstUse is where and when a key was seen first.
+// firstUse records where and when a key was seen first.
 type firstUse struct {
 	at       time.Duration
 	zone     int
 	endpoint string
 }
 
-// applyEffects has the messages of a call take effect, and drops those whose keys were seen before.
+// applyEffects records the effects of a call's messages, and drops the messages whose keys were seen before.
 func (m *Model) applyEffects(j *job) {
 	e, d := j.endpoint, j.endpoint.dest
 	for _, msg := range j.Messages {
@@ -30,7 +30,7 @@
 	d.expireKeys(m.now)
 }
 
-// registerKey reports whether a key was seen before, within the retention and the scope. If not, it is from now on.
+// registerKey reports whether a key was seen before, within the retention and the scope. If not, it records the use.
 func (d *destination) registerKey(key string, use firstUse) (seen bool) {
 	first, seen := d.seenKeys[key]
 	seen = seen && use.at-first.at < d.KeyRetention
@@ -46,7 +46,7 @@
 	return seen
 }
 
-// expireKeys drops, once in a retention, the keys that are older than it.
+// expireKeys deletes the keys that are older than the retention. It scans them only once per retention.
 func (d *destination) expireKeys(now time.Duration) {
 	if now < d.nextKeyExpiry {
 		return
--- a/internal/partner/fault.go
+++ b/internal/partner/fault.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Mode is what is wrong with an endpoint.
+// Mode is the kind of an endpoint's fault.
 type Mode uint8
 
 // The modes.
@@ -13,23 +13,23 @@
 	Unresponsive             // calls are never answered, though they may take effect
 	ReturningErrors          // a share of the calls is answered with an error
 	Slow                     // calls take longer
-	Paused                   // all work stops, and goes on after it
-	Draining                 // calls that have begun are finished, new ones are rejected
-	BreakingConnections      // a share of the calls is reset, after or before their effect
+	Paused                   // all work stops, and resumes after the fault
+	Draining                 // calls in progress are finished, new ones are rejected
+	BreakingConnections      // a share of the calls is reset, before or after their effect
 	GarblingAnswers          // a share of the answers cannot be read
-	Overloaded               // as Down, by its own doing, until another fault is set
-	LimitReduced             // its limit is a part of the usual one
+	Overloaded               // as Down; set by the model after an overload, until another fault is set
+	LimitReduced             // the limit is a fraction of the usual one
 )
 
-// Fault is a mode with its extent.
+// Fault is a fault of an endpoint: its mode with the parameters of the mode.
 type Fault struct {
 	Mode   Mode
 	Share  float64       // ReturningErrors, BreakingConnections, GarblingAnswers: of the calls
 	Factor float64       // Slow: of the service time; LimitReduced: of the limit
-	Until  time.Duration // when it ends, as rejections may tell; 0: not known
+	Until  time.Duration // end of the fault, for the Retry-After of rejections; 0: not known
 }
 
-// Outage reports whether an endpoint has to warm up after it.
+// Outage reports whether the fault is an outage, after which an endpoint has to warm up.
 func (f Fault) Outage() bool {
 	switch f.Mode {
 	case Down, Shut, Unresponsive, Overloaded:
--- a/internal/partner/limit.go
+++ b/internal/partner/limit.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// LimitForm is how a limit counts calls.
+// LimitForm is the method by which a limit counts calls.
 type LimitForm uint8
 
 // The forms.
@@ -12,42 +12,43 @@
 	Window            // a count in each fixed window
 )
 
-// Limit is the rate of calls that a route takes from all senders together.
+// Limit is the rate of calls that a route accepts from all senders together.
 type Limit struct {
 	Form      LimitForm
 	PerSecond float64       // calls
-	Window    time.Duration // Window: its length; windows follow one another from time 0 on
-	Burst     time.Duration // Rate: the calls that the bucket holds, as a time at the rate
-	// CountRejected has rejected calls use up the limit, too.
+	Window    time.Duration // Window: its length; the first window starts at time 0
+	Burst     time.Duration // Rate: the size of the bucket, as the time in which the rate fills it
+	// CountRejected makes rejected calls count against the limit as well.
 	CountRejected bool
 }
 
-// A route is what a limit, a wait and an overload hold for: a destination, or one endpoint with a separate route.
+// A route is the unit to which a limit, a Retry-After and an overload apply: a destination, or a single endpoint of a
+// destination with separate routes.
 type route struct {
 	dest        *destination
 	endpoint    *endpoint // nil: the route is that of the destination
 	tokens      float64
 	refilledAt  time.Duration
-	window      int64 // Window: its number...
-	count       int   // ...and the calls counted in it
+	window      int64 // Window: number of the current window
+	count       int   // Window: calls counted in the current window
 	recoveredAt time.Duration
-	warming     bool      // it has recovered less than WarmUp ago
-	arrivals    []arrival // while it is warming: within the latest OverloadWindow
+	warming     bool      // the route recovered less than WarmUp ago
+	arrivals    []arrival // while warming: calls within the latest OverloadWindow
 }
 
-// newRoute makes the route of a destination, or of an endpoint with a separate route.
+// newRoute returns the route of a destination (e is nil), or of an endpoint with a separate route.
 func (m *Model) newRoute(d *destination, e *endpoint) *route {
 	r := &route{dest: d, endpoint: e, refilledAt: m.now, window: -1}
 	r.tokens = r.bucketSize()
 	return r
 }
 
-// bucketSize returns how many tokens a rate's bucket holds.
+// bucketSize returns the number of tokens that the bucket of a rate limit holds.
 func (r *route) bucketSize() float64 {
 	return max(1, r.dest.Limit.PerSecond*r.dest.Limit.Burst.Seconds())
 }
 
-// limit returns the calls a second that an endpoint's route takes now.
+// limit returns the calls per second that an endpoint's route currently accepts.
 func (e *endpoint) limit() float64 {
 	if e.fault.Mode == LimitReduced {
 		return e.dest.Limit.PerSecond * e.fault.Factor
@@ -55,7 +56,7 @@
 	return e.dest.Limit.PerSecond
 }
 
-// admit counts a call against the limit, and reports whether the limit lets it pass.
+// admit counts a call against the limit, and reports whether the limit admits it.
 func (m *Model) admit(e *endpoint) bool {
 	switch e.dest.Limit.Form {
 	case Rate:
@@ -66,7 +67,7 @@
 	return true
 }
 
-// takeToken takes a token from the bucket, which is filled at a rate of calls a second.
+// takeToken refills the bucket at a rate of calls per second and takes a token. It reports whether there was one.
 func (r *route) takeToken(now time.Duration, rate float64) bool {
 	r.tokens = min(r.bucketSize(), r.tokens+rate*(now-r.refilledAt).Seconds())
 	r.refilledAt = now
@@ -74,13 +75,14 @@
 		r.tokens--
 		return true
 	}
-	if r.dest.Limit.CountRejected { // calls that keep coming keep it exhausted
+	if r.dest.Limit.CountRejected { // a sender that keeps calling keeps the bucket exhausted
 		r.tokens = max(r.tokens-1, -r.bucketSize())
 	}
 	return false
 }
 
-// countInWindow counts a call in the present window, which takes a rate of calls a second, and one at the least.
+// countInWindow counts a call in the current window, which admits a rate of calls per second but at least one call. It
+// reports whether the call is admitted.
 func (r *route) countInWindow(now time.Duration, rate float64) bool {
 	l := r.dest.Limit
 	if window := int64(now / l.Window); window != r.window {
@@ -96,8 +98,8 @@
 	return false
 }
 
-// retryAfter draws the wait that a rejection tells; 0 for none. After it there is capacity again, unless others have
-// used it. Until is the end of the fault, if it is known.
+// retryAfter draws the Retry-After of a rejection; 0 for none. After it there is capacity again, unless other calls
+// have used it. Until is the end of the fault; 0 if it is not known.
 func (m *Model) retryAfter(e *endpoint, until time.Duration) time.Duration {
 	d := e.dest
 	if m.rng.Float64() >= d.RetryAfterShare {
--- a/internal/partner/limit_test.go
+++ b/internal/partner/limit_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The edge of a window: the call just before it is rejected, the one at it is admitted, and a Retry-After ends there.
+// At the boundary of a window: a call just before it is rejected with a Retry-After that ends at the boundary, and a
+// call at the boundary is admitted.
 func TestWindowEdge(t *testing.T) {
 	m := newModel(t, func(s *Spec) {
 		s.Limit, s.RetryAfterShare, s.Servers = Limit{Form: Window, PerSecond: 2, Window: time.Second}, 1, 10
@@ -16,16 +17,16 @@
 	m.Answers()
 	sendCall(t, m, 999*ms, "a", 0)
 	if a := onlyAnswer(t, m); a.Kind != Rejected || a.RetryAfter != ms {
-		t.Errorf("before the edge: %+v", a)
+		t.Errorf("before the boundary: %+v", a)
 	}
 	sendCall(t, m, 1000*ms, "a", 0)
 	m.Advance(1500 * ms)
 	if a := onlyAnswer(t, m); a.Kind != Delivered {
-		t.Errorf("at the edge: %+v", a)
+		t.Errorf("at the boundary: %+v", a)
 	}
 }
 
-// Rejected calls that use up the limit keep it exhausted for as long as they come.
+// Rejected calls that count against the limit keep it exhausted for as long as they arrive.
 func TestRejectedCallsUseUpLimit(t *testing.T) {
 	for _, counts := range []bool{false, true} {
 		m := newModel(t, func(s *Spec) {
@@ -48,7 +49,8 @@
 	}
 }
 
-// After the Retry-After of a rate limit there is capacity.
+// After the Retry-After of a rate limit there is capacity for a call. While an endpoint is shut, Retry-After is the
+// time to the end of the fault.
 func TestCapacityAfterRetryAfter(t *testing.T) {
 	m := newModel(t, func(s *Spec) {
 		s.Limit, s.RetryAfterShare, s.Servers, s.QueueLength = Limit{Form: Rate, PerSecond: 5}, 1, 100, 100
--- a/internal/partner/model.go
+++ b/internal/partner/model.go
@@ -1,7 +1,7 @@
-// Package partner models partner systems: their endpoints, limits, queues, connections, kept keys, faults and slow
-// starts after an outage. It does no I/O, takes the time as a parameter and draws from a random source of its own, so
-// that the same calls at the same times have the same results. internal/simulation drives it in virtual time and
-// internal/harness on sockets; neither may add behavior of its own.
+// Package partner models partner systems: their endpoints, limits, queues, connections, retained idempotency keys,
+// faults and slow starts after an outage. It does no I/O, takes the time as a parameter and has its own random source,
+// so that the same calls at the same times have the same results. internal/simulation drives the model in virtual time
+// and internal/harness on sockets; neither may add behavior of its own.
 package partner
 
 import (
@@ -14,8 +14,8 @@
 	"cleathold/internal/timeline"
 )
 
-// Model is a set of destinations. It is not safe for concurrent use. Times are counted from its start and never go
-// back.
+// Model simulates a set of destinations. It is not safe for concurrent use. Times are counted from its start and must
+// not decrease.
 type Model struct {
 	rng          *rand.Rand
 	now          time.Duration
@@ -26,15 +26,15 @@
 	answers      []Answer
 	effects      []Effect
 	overloads    []Overload
-	serial       uint64 // of the latest entry in the agenda
+	serial       uint64 // version of the latest scheduledCompletion
 }
 
 type destination struct {
 	Spec
-	route         *route      // of its endpoints, unless they have separate ones
-	endpoints     []*endpoint // but the removed ones
+	route         *route      // route of the endpoints, unless they have separate routes
+	endpoints     []*endpoint // without removed endpoints
 	seenKeys      map[string]firstUse
-	nextKeyExpiry time.Duration // when old keys are dropped next
+	nextKeyExpiry time.Duration // time at which expired keys are deleted next
 }
 
 type endpoint struct {
@@ -43,12 +43,12 @@
 	route   *route
 	fault   Fault
 	running []*job
-	queue   []*job // calls that wait for a server
+	queue   []*job // jobs that wait for a server
 	conns   int    // open connections
 	removed bool
 }
 
-// New returns a model without destinations. The seed is that of its random source.
+// New returns a model without destinations. The seed initializes its random source.
 func New(seed uint64) *Model {
 	return &Model{
 		rng: rand.New(rand.NewPCG(seed, 11)), destinations: map[int]*destination{}, endpoints: map[string]*endpoint{},
@@ -56,13 +56,14 @@
 	}
 }
 
-// Add adds a destination with its endpoints. It returns the error of Spec.Check, or one for a number that is taken.
+// Add adds a destination with its endpoints. It returns the error of Spec.Check, or an error if the model already has a
+// destination with the same number.
 func (m *Model) Add(s Spec) error {
 	if err := s.Check(); err != nil {
 		return err
 	}
 	if m.destinations[s.Dest] != nil {
-		return fmt.Errorf("destination %d: twice", s.Dest)
+		return fmt.Errorf("destination %d: duplicate number", s.Dest)
 	}
 	d := &destination{Spec: s, seenKeys: map[string]firstUse{}}
 	d.route = m.newRoute(d, nil)
@@ -75,13 +76,13 @@
 	return nil
 }
 
-// Join adds an endpoint to a destination. It returns an error for an unknown destination and an id that was used
-// before.
+// Join adds an endpoint to a destination. It returns an error for an unknown destination and for an id that was already
+// used.
 func (m *Model) Join(now time.Duration, dest int, s EndpointSpec) error {
 	m.Advance(now)
 	d := m.destinations[dest]
 	if d == nil || m.endpoints[s.ID] != nil {
-		return fmt.Errorf("endpoint %q: no destination %d, or an id that was used", s.ID, dest)
+		return fmt.Errorf("endpoint %q: destination %d is unknown, or the id was already used", s.ID, dest)
 	}
 	e := &endpoint{EndpointSpec: s, dest: d, route: d.route}
 	if d.SeparateRoutes {
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// Leave removes an endpoint, whose connections break. Its id must not be used again. It returns ErrUnknown for an
-// endpoint that the model does not have.
+// Leave removes an endpoint and resets its connections. Its id must not be used again. Leave returns ErrUnknownEndpoint
+// for an endpoint that the model does not have.
 func (m *Model) Leave(now time.Duration, id string) error {
 	m.Advance(now)
 	e := m.endpoints[id]
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// SetFault sets an endpoint's fault; the zero Fault ends it. After an outage the endpoint's route warms up. It returns
-// ErrUnknown for an endpoint that was removed or that the model does not have.
+// SetFault sets an endpoint's fault; the zero Fault ends it. After an outage the endpoint's route warms up. SetFault
+// returns ErrUnknownEndpoint for an endpoint that was removed or that the model does not have.
 func (m *Model) SetFault(now time.Duration, id string, f Fault) error {
 	m.Advance(now)
 	e := m.endpoints[id]
@@ -115,7 +116,7 @@
 		return ErrUnknownEndpoint
 	}
 	old := e.fault
-	if old.Mode == Paused && f.Mode != Paused { // work goes on from here
+	if old.Mode == Paused && f.Mode != Paused { // work resumes now
 		for _, j := range e.running {
 			j.since = m.now
 		}
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// Fault returns an endpoint's fault; Down for one that the model does not have.
+// Fault returns an endpoint's fault; a fault of mode Down for an endpoint that the model does not have.
 func (m *Model) Fault(id string) Fault {
 	if e := m.endpoints[id]; e != nil {
 		return e.fault
@@ -156,21 +157,21 @@
 	return true
 }
 
-// Answers returns the answers since the last call of it, in the order of their times.
+// Answers returns the answers since the previous call of Answers, in the order of their times.
 func (m *Model) Answers() []Answer {
 	list := m.answers
 	m.answers = nil
 	return list
 }
 
-// Effects returns the effects since the last call of it.
+// Effects returns the effects since the previous call of Effects.
 func (m *Model) Effects() []Effect {
 	list := m.effects
 	m.effects = nil
 	return list
 }
 
-// Overloads returns the overloads since the last call of it.
+// Overloads returns the overloads since the previous call of Overloads.
 func (m *Model) Overloads() []Overload {
 	list := m.overloads
 	m.overloads = nil
--- a/internal/partner/model_test.go
+++ b/internal/partner/model_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// baseSpec is a destination of one endpoint without a limit.
+// baseSpec returns a destination with one endpoint and without a limit.
 func baseSpec() Spec {
 	return Spec{
 		Dest: 7, Endpoints: []EndpointSpec{{ID: "a"}}, Mean: 100 * ms, Servers: 2, QueueLength: 2, MaxBatch: 3,
@@ -34,7 +34,7 @@
 
 var lastCall uint64
 
-// sendCall sends one message at a time and returns the call's number.
+// sendCall sends a call at a time, with one message for each key, or one without a key, and returns the call's id.
 func sendCall(t testing.TB, m *Model, at time.Duration, endpoint string, sender int, keys ...string) uint64 {
 	t.Helper()
 	lastCall++
@@ -51,7 +51,7 @@
 	return lastCall
 }
 
-// onlyAnswer returns the one answer that came.
+// onlyAnswer returns the model's only answer, and fails the test if there is not exactly one.
 func onlyAnswer(t testing.TB, m *Model) Answer {
 	t.Helper()
 	list := m.Answers()
@@ -61,7 +61,7 @@
 	return list[0]
 }
 
-// A removed endpoint resets its calls; one that joins needs an id of its own.
+// The removal of an endpoint resets its calls; a new endpoint needs an unused id.
 func TestChurn(t *testing.T) {
 	m := newModel(t, nil)
 	sendCall(t, m, 0, "a", 0)
@@ -70,15 +70,15 @@
 		t.Errorf("%+v", a)
 	}
 	if m.Join(60*ms, 7, EndpointSpec{ID: "a"}) == nil || m.Join(60*ms, 7, EndpointSpec{ID: "b"}) != nil {
-		t.Error("an id comes twice, or a new one does not come")
+		t.Error("Join accepted a used id, or rejected a new one")
 	}
 	if err := m.Call(70*ms, Call{ID: 1, Endpoint: "a", Messages: []Message{{ID: "x"}}}); err != ErrUnknownEndpoint {
-		t.Errorf("a call to one that left: %v", err)
+		t.Errorf("a call to a removed endpoint: %v", err)
 	}
 }
 
-// Whatever is done, each call ends once at most, a message takes effect once a call at most, and the same seed gives
-// the same results.
+// For any sequence of operations, each call is answered at most once, each message takes effect at most once per call,
+// and the same seed produces the same results.
 func TestRandomOperationSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) [4]int {
@@ -119,7 +119,7 @@
 			}
 			m.Advance(now + time.Hour)
 			if len(m.jobs) > 0 {
-				t.Fatalf("%d calls never end", len(m.jobs))
+				t.Fatalf("%d calls did not end", len(m.jobs))
 			}
 			return m.Answers(), m.Effects()
 		}
@@ -138,7 +138,7 @@
 		}
 		answers2, effects2 := run()
 		if !reflect.DeepEqual(answers, answers2) || !reflect.DeepEqual(effects, effects2) {
-			t.Fatal("the same seed gives other results")
+			t.Fatal("two runs with the same seed produced different results")
 		}
 	})
 }
--- a/internal/partner/schedule.go
+++ b/internal/partner/schedule.go
@@ -12,7 +12,7 @@
 	job     *job
 }
 
-// speed returns how fast an endpoint works now; 1 is its full speed.
+// speed returns the current processing speed of an endpoint as a fraction of its full speed.
 func (m *Model) speed(e *endpoint) float64 {
 	speed := m.capacity(e.route)
 	switch {
@@ -24,7 +24,7 @@
 	return speed
 }
 
-// updateWork subtracts what the running jobs of an endpoint have done since the last update.
+// updateWork subtracts the work done since the last update from the running jobs of an endpoint.
 func (m *Model) updateWork(e *endpoint) {
 	x := m.speed(e)
 	for _, j := range e.running {
@@ -36,7 +36,7 @@
 // scheduleCompletions queues the completions of an endpoint's running jobs at its current speed. While the endpoint
 // warms up, its speed changes, and the completions are computed again at a fixed interval.
 func (m *Model) scheduleCompletions(e *endpoint) {
-	const interval = 250 * time.Millisecond // between computations while it warms up
+	const interval = 250 * time.Millisecond // between computations during warm-up
 	x := m.speed(e)
 	for _, j := range e.running {
 		if x <= 0 {
@@ -53,7 +53,7 @@
 	}
 }
 
-// startQueued gives the calls that wait to free servers.
+// startQueued starts queued jobs on free servers.
 func (m *Model) startQueued(e *endpoint) {
 	started := false
 	for len(e.running) < e.dest.Servers && len(e.queue) > 0 {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Next returns the next time at which the model changes by itself; false where there is none.
+// Next returns the time of the model's next scheduled completion; false if there is none.
 func (m *Model) Next() (time.Duration, bool) {
 	for {
 		at, e, ok := m.completions.First()
@@ -80,7 +80,7 @@
 	}
 }
 
-// Advance moves the time on. What happens meanwhile happens at its own time.
+// Advance advances the time to now. Completions that are due until then happen at their own times.
 func (m *Model) Advance(now time.Duration) {
 	for {
 		at, ok := m.Next()
--- a/internal/partner/warmup.go
+++ b/internal/partner/warmup.go
@@ -11,13 +11,14 @@
 	CallsBySender map[int]int   // calls within OverloadWindow, by sender
 }
 
-// An arrival is a call that reached a route.
+// An arrival is a call that arrived at a route.
 type arrival struct {
 	at     time.Duration
 	sender int
 }
 
-// Capacity returns the part of its full capacity, up to 1, that an endpoint's route has now; 0 for an unknown endpoint.
+// Capacity returns the current capacity of an endpoint's route as a fraction of its full capacity; 0 for an unknown
+// endpoint.
 func (m *Model) Capacity(id string) float64 {
 	if e := m.endpoints[id]; e != nil {
 		return m.capacity(e.route)
@@ -25,7 +26,8 @@
 	return 0
 }
 
-// capacity returns the part of its full capacity that a route has now: it rises from ColdCapacity to 1 within WarmUp.
+// capacity returns the current capacity of a route as a fraction of its full capacity. It rises from InitialCapacity to
+// 1 within WarmUp.
 func (m *Model) capacity(r *route) float64 {
 	d := r.dest
 	if !r.warming {
@@ -38,8 +40,8 @@
 	return d.InitialCapacity + (1-d.InitialCapacity)*float64(m.now-r.recoveredAt)/float64(d.WarmUp)
 }
 
-// ratedCapacity returns the calls a second that the servers of a route can do at full capacity. Its limit is below
-// that.
+// ratedCapacity returns the calls per second that the servers of a route can serve at full capacity. The route's limit
+// is below that.
 func (r *route) ratedCapacity() float64 {
 	servers := r.dest.Servers * max(1, len(r.dest.endpoints))
 	if r.endpoint != nil {
@@ -48,8 +50,8 @@
 	return float64(servers) / r.dest.Mean.Seconds()
 }
 
-// checkOverload counts a call, rejected or not, that reaches a route which warms up, and takes the route down if it is
-// overloaded.
+// checkOverload counts a call, rejected or not, that arrives at a warming route, and takes the route down if the calls
+// overload it.
 func (m *Model) checkOverload(r *route, sender int) {
 	d := r.dest
 	if m.capacity(r) >= 1 || d.OverloadWindow <= 0 {
@@ -60,7 +62,7 @@
 	for len(r.arrivals) > 0 && m.now-r.arrivals[0].at >= d.OverloadWindow {
 		r.arrivals = r.arrivals[1:]
 	}
-	const chanceCalls = 2 // calls beyond the budget that may come by chance
+	const chanceCalls = 2 // calls above the budget that are tolerated as random variation
 	budget := d.OverloadFactor*m.capacity(r)*r.ratedCapacity()*d.OverloadWindow.Seconds() + chanceCalls
 	if float64(len(r.arrivals)) <= budget {
 		return
--- a/internal/partner/warmup_test.go
+++ b/internal/partner/warmup_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A destination is slow after an outage, and is overloaded by too many calls. The overload tells whose calls they
-// were, also where one of the senders never saw the outage.
+// A destination is slow after an outage, and too many calls overload it while it warms up. The overload lists the calls
+// by sender.
 func TestSlowStartAndOverload(t *testing.T) {
 	slow := func(s *Spec) {
 		s.Servers, s.QueueLength = 2, 1000 // 20 calls a second
@@ -17,7 +17,7 @@
 	m.SetFault(10*time.Second, "a", Fault{})
 	sendCall(t, m, 10*time.Second, "a", 0)
 	m.Advance(11 * time.Second)
-	// a quarter of its speed, and rising
+	// the speed starts at a quarter and rises
 	if a := onlyAnswer(t, m); a.At < 10*time.Second+350*ms || a.At > 10*time.Second+400*ms {
 		t.Errorf("%+v", a)
 	}
@@ -53,24 +53,24 @@
 	}
 }
 
-// A destination of which an endpoint went on serving needs no slow start.
+// A destination does not warm up after an outage during which one of its endpoints stayed in service.
 func TestPartialOutageNeedsNoSlowStart(t *testing.T) {
 	m := newModel(t, func(s *Spec) { s.Endpoints = []EndpointSpec{{"a", 0}, {"b", 1}} })
 	m.SetFault(0, "a", Fault{Mode: Down})
 	m.SetFault(time.Second, "a", Fault{})
 	if m.Capacity("a") != 1 {
-		t.Errorf("%.2f after a part of it was down", m.Capacity("a"))
+		t.Errorf("capacity %.2f after an outage of one endpoint", m.Capacity("a"))
 	}
 	m.SetFault(2*time.Second, "a", Fault{Mode: Down})
 	m.SetFault(2*time.Second, "b", Fault{Mode: Down})
 	m.SetFault(3*time.Second, "a", Fault{})
 	m.SetFault(4*time.Second, "b", Fault{})
 	if c := m.Capacity("a"); c < 0.3 || c > 0.35 {
-		t.Errorf("%.2f a second after all of it was down", c)
+		t.Errorf("capacity %.2f after an outage of all endpoints", c)
 	}
 }
 
-// The call that overloads a destination fares as if it had not: it is not reset with those before it.
+// The call that overloads a destination is still served, while the calls before it are reset.
 func TestCallThatOverloadsIsServed(t *testing.T) {
 	m := newModel(t, func(s *Spec) { s.QueueLength, s.OverloadFactor, s.OverloadWindow = 1000, 2, 2*time.Second })
 	m.SetFault(0, "a", Fault{Mode: Shut})
