--- a/internal/scenario/args.go
+++ b/internal/scenario/args.go
@@ -10,15 +10,15 @@
 	"go.starlark.net/starlark"
 )
 
-// args are the arguments of one call of a script, which are taken by name. The methods that take one leave its
-// default where the call does not give it, and keep the first error in err.
+// args are the named arguments of one function call in a script. The methods that read an argument leave the default
+// unchanged if the call does not pass it, and keep the first error in err.
 type args struct {
 	name   string // of the function
 	values map[string]starlark.Value
 	err    error
 }
 
-// take returns an argument, which then counts as known.
+// take removes an argument and returns it. Arguments that are never taken are unknown ones.
 func (a *args) take(name string) (starlark.Value, bool) {
 	v, ok := a.values[name]
 	delete(a.values, name)
@@ -31,12 +31,12 @@
 	}
 }
 
-// withError adds an error to the first one.
+// withError returns a formatted error joined with the first error.
 func (a *args) withError(format string, values ...any) error {
 	return errors.Join(a.err, fmt.Errorf(format, values...))
 }
 
-// finish returns the first error, or one for an argument that is not known.
+// finish returns the first error, or an error for an unknown argument.
 func (a *args) finish() error {
 	if a.err != nil {
 		return fmt.Errorf("%s: %w", a.name, a.err)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// takeAs takes an argument that has to be of one type. Want names the type in the error.
+// takeAs takes an argument and converts it to one type. Want is the description of the type in the error.
 func takeAs[T any](a *args, name, want string, convert func(starlark.Value) (T, bool), dest *T) {
 	v, ok := a.take(name)
 	if !ok {
@@ -91,7 +91,7 @@
 	*dest = time.Duration(f * float64(time.Second))
 }
 
-// numberRange takes a number, or two as a range.
+// numberRange takes a number, or a pair of numbers as a range.
 func (a *args) numberRange(name string, dest *Range) {
 	v, ok := a.take(name)
 	if !ok {
@@ -110,17 +110,17 @@
 		a.typeError(name, "a number or (from, to)", v)
 	}
 	if a.err == nil && !(dest.From >= 0 && dest.To >= dest.From && dest.To < 1e12) {
-		a.err = fmt.Errorf("%s: a range from 0 up, its ends in order", name)
+		a.err = fmt.Errorf("%s: a range needs ends of at least 0, in ascending order", name)
 	}
 }
 
-// period takes when something begins, and for how long it lasts.
+// period takes a start time (at) and a length (seconds).
 func (a *args) period(at, length *Range) {
 	a.numberRange("at", at)
 	a.numberRange("seconds", length)
 }
 
-// names takes one name, or a list of them.
+// names takes a name or a list of names.
 func (a *args) names(name string, dest *[]string) {
 	v, ok := a.take(name)
 	if !ok {
--- a/internal/scenario/arrivals.go
+++ b/internal/scenario/arrivals.go
@@ -11,7 +11,7 @@
 	"cleathold/internal/timeline"
 )
 
-// Load returns the rate of messages at a time, as a multiple of the full load.
+// Load returns the message rate at a time, as a multiple of the rate at full load.
 func (p *Plan) Load(at time.Duration) float64 {
 	load := 1.0
 	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
@@ -34,7 +34,7 @@
 	return load
 }
 
-// loadBound returns a load that Load never exceeds.
+// loadBound returns an upper bound of Load.
 func (p *Plan) loadBound() float64 {
 	x := 1.0
 	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
@@ -52,37 +52,37 @@
 // Arrival is a message that a client submits for the first time.
 type Arrival struct {
 	At     time.Duration
-	N      int // counts from 0
+	N      int // sequence number, from 0
 	Dest   int
 	Class  int
 	Tenant int
 	Size   int
 }
 
-// Arrivals draws the messages of a plan one after another, in memory that does not grow with them. It is not safe for
-// concurrent use.
+// Arrivals draws the messages of a plan one by one, so that its memory does not grow with their number. It is not safe
+// for concurrent use.
 type Arrivals struct {
 	plan            *Plan
 	rng             *rand.Rand
-	destShares      []float64 // running sums of the destinations' shares
+	destShares      []float64 // cumulative sums of the destinations' shares
 	classShares     []float64
 	tenantShares    []float64
-	bySize          []int         // indices of destinations, those with most traffic first
-	nextSingle      time.Duration // time of the next message that is in no clump
+	bySize          []int         // indices of destinations, in descending order of their traffic
+	nextSingle      time.Duration // time of the next message outside clumps
 	nextClump       time.Duration
-	clumpsPerSecond float64               // a second
+	clumpsPerSecond float64
 	activeClumps    timeline.Queue[clump] // by the time of their next message
 	count           int
 }
 
-// A clump is a number of messages for one destination, close after one another.
+// A clump is a group of messages for one destination that arrive within a short time.
 type clump struct {
 	dest      int
 	remaining int
 	serial    uint64
 }
 
-// An arrivalSource is what the next arrival belongs to.
+// An arrivalSource is the process that generates the next arrival.
 type arrivalSource uint8
 
 const (
@@ -91,7 +91,7 @@
 	messageOfClump
 )
 
-// Arrivals returns the messages of a plan from the first one on.
+// Arrivals returns the messages of a plan, starting with the first one.
 func (p *Plan) Arrivals() *Arrivals {
 	a := &Arrivals{plan: p, rng: randomStream(p.Seed, streamTraffic)}
 	sum := 0.0
@@ -117,16 +117,16 @@
 	return a
 }
 
-// clumpRate returns how many clumps a second bring their part of the messages.
+// clumpRate returns the clumps per second that produce the share of messages in clumps.
 func (a *Arrivals) clumpRate() float64 {
-	size := 0.0 // of a clump, in the mean
+	size := 0.0 // mean messages of a clump
 	for _, d := range a.plan.Dests {
 		size += d.Share * max(1, a.plan.clumpSeconds.Mean()*a.capacity(&d))
 	}
 	return a.plan.Rate * a.plan.clumpShare / size
 }
 
-// capacity returns the calls a second that a destination takes.
+// capacity returns the calls per second that a destination can serve.
 func (a *Arrivals) capacity(d *Destination) float64 {
 	if d.Limit.Form == partner.NoLimit {
 		return float64(d.Servers*len(d.Endpoints)) / d.Mean.Seconds()
@@ -134,8 +134,8 @@
 	return d.Limit.PerSecond
 }
 
-// nextEvent draws, by thinning, the time of the next event of a Poisson process whose rate follows the load. Rate is
-// the events a second at full load.
+// nextEvent draws the time of the next event of a Poisson process whose rate follows the load, by thinning. Rate is the
+// number of events per second at full load.
 func (a *Arrivals) nextEvent(at time.Duration, rate float64) time.Duration {
 	peak := a.plan.loadBound()
 	if rate*peak <= 0 {
@@ -149,13 +149,14 @@
 	}
 }
 
-// drawIndex draws an index by running sums of shares.
+// drawIndex draws an index with probabilities given by cumulative sums of shares.
 func (a *Arrivals) drawIndex(sums []float64) int {
 	i, _ := slices.BinarySearch(sums, a.rng.Float64()*sums[len(sums)-1])
 	return min(i, len(sums)-1)
 }
 
-// drawDest draws the index of a destination. Hot keys draw a part of the messages to the largest ones.
+// drawDest draws the index of a destination. During a hot-key period, a share of the messages goes to the largest
+// destinations.
 func (a *Arrivals) drawDest(at time.Duration) int {
 	for _, h := range a.plan.hotKeyWindows {
 		if h.contains(at) && a.rng.Float64() < h.amount {
@@ -165,7 +166,7 @@
 	return a.drawIndex(a.destShares)
 }
 
-// Next returns the next message; false after the last one.
+// Next returns the next message, or false after the last one.
 func (a *Arrivals) Next() (Arrival, bool) {
 	for {
 		at, source := a.nextSingle, singleMessage
--- a/internal/scenario/arrivals_test.go
+++ b/internal/scenario/arrivals_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The messages are as the script says: rate, shares, clumps, bursts, hot keys.
+// The drawn messages match the script's rate, shares, clumps, bursts and hot keys.
 func TestTraffic(t *testing.T) {
 	count := func(more string) (n int, byClass, byDest map[int]int, within map[int]int, p *Plan) {
 		p = parseWith(t, more).Plan(3)
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// check finds what only the whole script shows. The first error counts.
+// check runs the checks that need the whole script, and returns the first error.
 func (s *Scenario) check() error {
 	for _, check := range []func() error{
 		s.checkKinds, s.checkComplete, s.checkFaults, s.checkActions, s.checkOrders, s.checkDrains, s.checkLinks,
@@ -24,14 +24,14 @@
 	seen := map[string]bool{}
 	for _, k := range s.Kinds {
 		if seen[k.Name] {
-			return fmt.Errorf("two kinds of name %q", k.Name)
+			return fmt.Errorf("duplicate kind %q", k.Name)
 		}
 		seen[k.Name] = true
 	}
 	return nil
 }
 
-// checkComplete finds what every script needs.
+// checkComplete checks for the calls and values that every script needs.
 func (s *Scenario) checkComplete() error {
 	switch {
 	case s.Name == "":
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// checkFaults finds fleets and faults of kinds and zones that are not there.
+// checkFaults checks that fleets and faults refer to existing kinds and zones.
 func (s *Scenario) checkFaults() error {
 	hasKind := func(name string) bool {
 		return slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == name })
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// checkActions finds actions on senders and agents that are not there.
+// checkActions checks that actions refer to existing senders and agents.
 func (s *Scenario) checkActions() error {
 	for _, x := range s.Actions {
 		if x.Sender >= s.Senders {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// checkOrders finds orders at agents, and of senders and zones, that are not there.
+// checkOrders checks that orders refer to existing agents, senders and zones.
 func (s *Scenario) checkOrders() error {
 	for _, o := range s.Orders {
 		if o.Agent < 0 || o.Agent >= s.Agents.Number {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// checkDrains finds drains that are not ordered at an agent, where there are agents.
+// checkDrains checks that a scenario with agents drains senders by orders only.
 func (s *Scenario) checkDrains() error {
 	for _, x := range s.Actions {
 		if s.Agents.Number > 0 && (x.Kind == "drain" || x.Kind == "activate") {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// checkLinks finds links of parties that are not there, and partitions with more sides than senders.
+// checkLinks checks that links refer to existing parties, and that no partition has more sides than there are senders.
 func (s *Scenario) checkLinks() error {
 	const parties = "a zone, senders, agents, a0 and so on, discovery, clients, partners, partners/ZONE, " +
 		"destination/NUMBER or endpoint/ID"
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// isParty reports whether a name may stand for a party. Any endpoint may be named, since endpoints are drawn later.
+// isParty reports whether a name refers to a party. Any endpoint name is accepted, since endpoints are drawn later.
 func (s *Scenario) isParty(name string) bool {
 	if num, ok := strings.CutPrefix(name, "n"); ok {
 		if i, err := strconv.Atoi(num); err == nil {
--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -8,7 +8,7 @@
 	"cleathold/internal/partner"
 )
 
-// The same seed draws the same plan, and a change of one part leaves the draws of the others.
+// The same seed draws the same plan, and a change of one part of the script does not change the draws of other parts.
 func TestSameSeed(t *testing.T) {
 	draw := func(more string, seed uint64) (*Plan, []Arrival) {
 		p := parseWith(t, more).Plan(seed)
@@ -25,18 +25,18 @@
 	q, list2 := draw("", 5)
 	same := reflect.DeepEqual(p.Dests, q.Dests) && reflect.DeepEqual(p.Changes, q.Changes)
 	if !same || !reflect.DeepEqual(list, list2) {
-		t.Error("the same seed draws another plan")
+		t.Error("two draws with the same seed produced different plans")
 	}
 	if _, other := draw("", 6); reflect.DeepEqual(list, other) {
-		t.Error("another seed draws the same messages")
+		t.Error("different seeds produced the same messages")
 	}
 	q, list2 = draw("trouble(what = \"SLOW\", at = 1, seconds = 2)\nsender(number = 0, at = 3, what = \"kill\")\n", 5)
 	if !reflect.DeepEqual(p.Dests, q.Dests) || !reflect.DeepEqual(list, list2) || len(q.Changes) <= len(p.Changes) {
-		t.Error("one more fault changes the fleet or the messages")
+		t.Error("an additional fault changed the fleet or the messages")
 	}
 }
 
-// Actions on a share of the senders: each sender once, spread over a time.
+// An action on a share of the senders affects each drawn sender once, spread over the given time.
 func TestActionsOnShare(t *testing.T) {
 	p := parseWith(t, `
 sender(share = 0.7, at = 10, what = "stop", seconds = 4, spread = 2)
@@ -57,7 +57,7 @@
 	}
 }
 
-// A fault is where the script says: zone, part of the traffic, kind.
+// A fault affects the zone, the share of the traffic and the kind that the script specifies.
 func TestFaultPlacement(t *testing.T) {
 	for seed := range uint64(50) {
 		p := parseWith(t, `trouble(what = "SHUT", at = 30, seconds = 5, kind = "large-partners", part = 1, knows_end = True)
@@ -78,7 +78,7 @@
 				share += d.Share / float64(len(d.Endpoints))
 				endpoints[d.Dest]++
 				if zoneOf[c.Endpoint] != "bldg-b" {
-					t.Errorf("seed %d: %s of %s has a fault", seed, c.Endpoint, zoneOf[c.Endpoint])
+					t.Errorf("seed %d: endpoint %s in zone %s has a fault", seed, c.Endpoint, zoneOf[c.Endpoint])
 				}
 			case c.Of == 1 && c.Fault.Mode == partner.Shut:
 				shut[destOf[c.Endpoint].Dest] = true
@@ -92,7 +92,7 @@
 		}
 		for _, d := range p.Dests {
 			if d.Kind == "large-partners" && !shut[d.Dest] {
-				t.Errorf("seed %d: destination %d was to be shut", seed, d.Dest)
+				t.Errorf("seed %d: destination %d is not shut", seed, d.Dest)
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 		switch {
 		case c.Drains:
 			if _, twice := drains[c.Endpoint]; twice {
-				t.Errorf("%s drains twice", c.Endpoint)
+				t.Errorf("endpoint %s drains twice", c.Endpoint)
 			}
 			drains[c.Endpoint] = c.At
 		case c.Leaves && c.At != drains[c.Endpoint]+time.Second:
@@ -117,6 +117,6 @@
 		}
 	}
 	if added < 5 || added != len(drains) {
-		t.Errorf("%d are added, %d drain", added, len(drains))
+		t.Errorf("%d endpoints are added, %d drain", added, len(drains))
 	}
 }
--- a/internal/scenario/drawactions.go
+++ b/internal/scenario/drawactions.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// drawSenders draws a share of the senders, one at the least.
+// drawSenders draws a share of the senders, at least one.
 func (s *Scenario) drawSenders(rng *rand.Rand, share float64) []int {
 	return rng.Perm(s.Senders)[:max(1, int(math.Round(share*float64(s.Senders))))]
 }
@@ -42,10 +42,10 @@
 // PlannedAction is an action on one sender, drawn. Times are counted from the start of the run.
 type PlannedAction struct {
 	At           time.Duration
-	Until        time.Duration // of a stop and a drain; 0: without an end
+	Until        time.Duration // end of a stop or a drain; 0: no end
 	Sender       int
 	What         string
-	InFlight     float64 // of a retune: multiples of the scenario's
+	InFlight     float64 // of a retune: as multiples of the scenario's value
 	OpenMessages float64
 	ActionIndex  int // index in Scenario.Actions
 }
@@ -67,7 +67,7 @@
 	RollBackOnFailure bool
 }
 
-// drawAgents draws the actions on agents, and the orders to them.
+// drawAgents draws the actions on agents and the orders to agents.
 func (p *Plan) drawAgents(rng *rand.Rand) {
 	for _, action := range p.Scenario.AgentActions {
 		span := drawSpan(rng, action.At, action.Length)
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -10,8 +10,8 @@
 	"cleathold/internal/partner"
 )
 
-// drawFaults draws which endpoints each fault is at: those of as many destinations as its part of the traffic allows,
-// and of the first one drawn in any case.
+// drawFaults draws the endpoints that each fault affects. It adds destinations as long as the fault's share of the
+// traffic allows, but at least one.
 func (p *Plan) drawFaults(rng *rand.Rand) {
 	for i, f := range p.Scenario.Faults {
 		span := drawSpan(rng, f.At, f.Length)
@@ -38,7 +38,7 @@
 	}
 }
 
-// drawFaultyEndpoints draws which endpoints a fault is at if it is at their destination.
+// drawFaultyEndpoints draws the endpoints of a destination that a fault affects.
 func (p *Plan) drawFaultyEndpoints(rng *rand.Rand, f *Fault, d *Destination) []string {
 	var ids []string
 	for _, e := range d.Endpoints {
@@ -54,11 +54,11 @@
 	return ids
 }
 
-// resolveOverlaps lets the fault that began last stand where faults of an endpoint overlap. The endpoint is healthy
-// after the end of the last one.
+// resolveOverlaps resolves overlapping faults of an endpoint: the fault that began last applies, and the endpoint is
+// healthy after the end of all of them.
 func (p *Plan) resolveOverlaps() {
 	slices.SortStableFunc(p.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
-	activeFaults := map[string][]Change{} // by endpoint, in the order in which they began
+	activeFaults := map[string][]Change{} // by endpoint, in the order of their beginnings
 	for i := range p.Changes {
 		c := &p.Changes[i]
 		if c.Fault.Mode != partner.Healthy {
@@ -72,7 +72,7 @@
 	}
 }
 
-// drawWindows draws the bursts and the hot keys.
+// drawWindows draws the time windows of the bursts and of the hot keys.
 func (p *Plan) drawWindows(rng *rand.Rand) {
 	for _, b := range p.Scenario.Bursts {
 		p.burstWindows = append(p.burstWindows, window{Span: drawSpan(rng, b.At, b.Length), amount: b.Factor.draw(rng)})
@@ -83,7 +83,7 @@
 	}
 }
 
-// drawChurns draws which endpoints are replaced: one after another, none twice.
+// drawChurns draws the endpoints that are replaced, one after another. No endpoint is replaced twice.
 func (p *Plan) drawChurns(rng *rand.Rand) {
 	serial := 0
 	replaced := map[string]bool{}
--- a/internal/scenario/drawfleet.go
+++ b/internal/scenario/drawfleet.go
@@ -10,7 +10,7 @@
 	"cleathold/internal/partner"
 )
 
-// What all destinations have in common.
+// Parameters that all destinations have in common.
 const (
 	connCost        = 10 * time.Millisecond
 	limitBurst      = 200 * time.Millisecond
@@ -18,10 +18,10 @@
 	warmUp          = 13 * time.Second
 	overloadFactor  = 2
 	overloadWindow  = 2 * time.Second
-	maxEndpoints    = 4   // that are drawn for a destination
-	speedDeviation  = 0.4 // of the logarithm of a destination's service time
+	maxEndpoints    = 4   // maximum number of endpoints drawn for a destination
+	speedDeviation  = 0.4 // standard deviation of the logarithm of a destination's service time
 	minAnnounced    = 0.85
-	announcedSpread = 0.3 // an announced rate is this much more than minAnnounced times the limit at most
+	announcedSpread = 0.3 // an announced rate is minAnnounced to minAnnounced+announcedSpread times the limit
 )
 
 // A fleetSampler draws the destinations of a plan.
@@ -34,14 +34,14 @@
 	endpoints   int     // drawn so far
 }
 
-// weightedDestination is a destination before its figures are drawn.
+// weightedDestination is a destination whose parameters are not drawn yet.
 type weightedDestination struct {
 	kind      *Kind
 	weight    float64 // of its traffic
 	endpoints int     // 0: drawn
 }
 
-// drawFleet draws the destinations. A few of them get much of the traffic.
+// drawFleet draws the destinations. A few of them get a large part of the traffic (Zipf distribution).
 func (p *Plan) drawFleet(rng *rand.Rand) {
 	p.Rate = p.Scenario.Traffic.Rate.draw(rng)
 	p.clumpShare, p.clumpSeconds = p.Scenario.Traffic.ClumpShare.draw(rng), p.Scenario.Traffic.ClumpSeconds
@@ -61,7 +61,7 @@
 	}
 }
 
-// drawWeights draws how many destinations each fleet has, and how its traffic is spread over them.
+// drawWeights draws the number of destinations of each fleet, and distributes the fleet's traffic over them.
 func (d *fleetSampler) drawWeights() []weightedDestination {
 	var list []weightedDestination
 	s := d.plan.Scenario
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The parties that are not senders and not endpoints.
+// Names of the parties that are neither senders, agents nor endpoints.
 const (
 	Discovery = "discovery"
 	Clients   = "clients"
@@ -26,14 +26,14 @@
 type PlannedLink struct {
 	From, To time.Duration
 	State    LinkState
-	Text     string // what it is, for a time axis
+	Text     string // description, for a time axis
 
 	fromParties, toParties map[string]bool // names of parties; toParties nil: all that are not in fromParties
 	oneWay                 bool
-	sides                  map[string]int // of a partition: which side a sender is on
+	sides                  map[string]int // of a partition: the side of each sender
 }
 
-// affects reports whether it is a fault of the link from one party to another.
+// affects reports whether the fault affects the link from one party to another.
 func (l *PlannedLink) affects(from, to string) bool {
 	if l.sides != nil {
 		a, ok1 := l.sides[from]
@@ -46,8 +46,8 @@
 	return between(from, to) || !l.oneWay && between(to, from)
 }
 
-// LinkState returns the state of the link from one party to another at a time. Of several faults the one that began
-// last counts.
+// LinkState returns the state of the link from one party to another at a time. If several faults affect the link, the
+// one that began last applies.
 func (p *Plan) LinkState(at time.Duration, from, to string) (state LinkState) {
 	for i := range p.Links {
 		l := &p.Links[i]
@@ -61,7 +61,7 @@
 	return state
 }
 
-// LinkChanges returns the times at which links change, in order.
+// LinkChanges returns the times at which link states change, in ascending order.
 func (p *Plan) LinkChanges() (list []time.Duration) {
 	for _, l := range p.Links {
 		list = append(list, l.From, l.To)
@@ -70,7 +70,7 @@
 	return slices.Compact(list)
 }
 
-// Names in a script that stand for several parties.
+// Names and name prefixes in a script that refer to several parties or to an endpoint.
 const (
 	allSenders     = "senders"
 	allAgents      = "agents"
@@ -149,7 +149,7 @@
 	slices.SortStableFunc(p.Links, func(a, b PlannedLink) int { return cmp.Compare(a.From, b.From) })
 }
 
-// describe returns what is wrong with a link, in a few words.
+// describe returns a short description of a link's fault.
 func (l LinkState) describe() string {
 	switch {
 	case l.Cut:
--- a/internal/scenario/links_test.go
+++ b/internal/scenario/links_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The state of a link at a time: between whom, in which direction, and by the fault that began last.
+// LinkState applies faults to the right parties and directions, and the fault that began last takes precedence.
 func TestLinkState(t *testing.T) {
 	p := parseWith(t, `
 link(at = 10, seconds = 5, of = "n0", what = "CUT")
@@ -42,7 +42,7 @@
 		}
 	}
 	if cutOff != 2 {
-		t.Errorf("%d of 3 senders are half of them", cutOff)
+		t.Errorf("%d of 3 senders are cut off, want 2 for a share of 0.5", cutOff)
 	}
 	if changes := p.LinkChanges(); len(changes) != 12 || changes[0] != 10*time.Second {
 		t.Errorf("links change at %v", changes)
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -13,8 +13,8 @@
 	"cleathold/internal/settings"
 )
 
-// Load reads and checks the script at a path. Figures replace the defaults of the params that they name. Errors of
-// the script are those of Parse.
+// Load reads and checks the script at a path. Figures replace the defaults of the params with the same names. Errors in
+// the script are returned as by Parse.
 func Load(path string, figures map[string]float64) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -23,8 +23,8 @@
 	return Parse(path, text, figures)
 }
 
-// Parse reads and checks the text of a script, as Load does. Its errors are of type *settings.Error, with the file
-// and, where there is one, line and column.
+// Parse executes and checks the text of a script. Its errors are of type *settings.Error, with the file and, if known,
+// line and column.
 func Parse(path string, text []byte, figures map[string]float64) (*Scenario, error) {
 	s := &Scenario{
 		Path: path, Script: text, Figures: figures, Senders: 1, InFlight: Range{1.8, 2.4}, OpenMessages: Range{7, 11},
@@ -55,7 +55,7 @@
 	return s, nil
 }
 
-// functions are what a script calls to describe a scenario, by their names in it.
+// functions returns the functions that a script calls to describe a scenario, by their names in the script.
 func (s *Scenario) functions() map[string]func(*args) error {
 	return map[string]func(*args) error{
 		"agent":         s.addAgentAction,
@@ -79,10 +79,11 @@
 	}
 }
 
-// builtin is the body of a function of a script.
+// builtin is the implementation of a function that scripts can call.
 type builtin = func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error)
 
-// withArgs passes the arguments of a call, which go by name, to f. Those that f does not take are an error.
+// withArgs returns a builtin that passes the named arguments of a call to f. Arguments that f does not take are an
+// error.
 func withArgs(f func(*args) error) builtin {
 	return func(
 		_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple,
@@ -101,8 +102,7 @@
 	}
 }
 
-// param returns the function that gives a script a figure, or its default. It deletes the figures that were asked for
-// from unused.
+// param returns the script function that returns a figure or its default. It deletes each requested figure from unused.
 func param(figures, unused map[string]float64) builtin {
 	return func(
 		_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple,
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -28,11 +28,11 @@
 	return s
 }
 
-// Every scenario of the library can be parsed, and its plan makes a model.
+// Every example scenario can be parsed, and a model can be built from its plan.
 func TestLibrary(t *testing.T) {
 	list, _ := filepath.Glob("../../examples/scenarios/*.star")
 	if len(list) == 0 {
-		t.Fatal("no library")
+		t.Fatal("no example scenarios found")
 	}
 	for _, path := range list {
 		s, err := Load(path, nil)
@@ -49,15 +49,15 @@
 func TestScriptErrors(t *testing.T) {
 	lines := strings.Count(libraryScript(t), "\n")
 	for _, c := range []struct{ name, text, want string }{
-		{"unknown fault", `trouble(what = "ODD", at = 1, seconds = 1)`, `:1:8: trouble: what: "ODD" is no trouble`},
-		{"bad range", `burst(at = 1, seconds = (3, 2), factor = 2)`, ":1:6: burst: seconds: a range"},
+		{"unknown fault", `trouble(what = "ODD", at = 1, seconds = 1)`, `:1:8: trouble: what: "ODD" is not a known fault`},
+		{"bad range", `burst(at = 1, seconds = (3, 2), factor = 2)`, ":1:6: burst: seconds: a range needs ends"},
 		{"no number", `burst(at = "x", seconds = 3, factor = 2)`, ":1:6: burst: at: got string"},
 		{"unknown argument", `hot(at = 1, seconds = 3, share = 0.1, size = 2)`, `:1:4: hot: unexpected argument "size"`},
 		{"position", `hot(1)`, ":1:4: hot: arguments go by name"},
 		{
 			"keyed without memory",
 			`message_class(name = "x", share = 1, service = 1, aim = 1, deadline = 2, effect = "keyed")`,
-			":1:14: message_class: a keyed class",
+			":1:14: message_class: a keyed class requires memory",
 		},
 		{"no kind", `fleet(kind = "x", destinations = 1)`, `: fleet: no kind "x"`},
 		{"no zone", `trouble(what = "DOWN", at = 1, seconds = 1, zone = "x")`, `: trouble: no zone "x"`},
@@ -89,7 +89,7 @@
 		{`link(at = 1, seconds = 1, of = "n3", what = "CUT")`, `link: no party "n3"`},
 		{`link(at = 1, seconds = 1, of = "n01", what = "CUT")`, `link: no party "n01"`},
 		{`link(at = 1, seconds = 1, of = ["n0", "partners/x"], what = "CUT")`, `link: no party "partners/x"`},
-		{`link(at = 1, seconds = 1, of = "n0")`, "nothing ails it"},
+		{`link(at = 1, seconds = 1, of = "n0")`, "no fault given: what (CUT or SILENT)"},
 		{`link(at = 1, seconds = 1, of = "n0", what = "ODD")`, `what: "ODD" is neither`},
 		{`link(at = 1, seconds = 1, of = "n0", loss = 1.5)`, "loss: a part from 0 to 1"},
 		{`link(at = 1, seconds = 1, of = "n0", delay = 100)`, "delay and jitter: 1m0s together at most"},
@@ -99,7 +99,7 @@
 		{`parts(at = 1, seconds = 1, parts = 1, what = "CUT")`, "two parts at least"},
 		{`parts(at = 1, seconds = 1, parts = 4, what = "CUT")`, "parts: 4 of 3 senders"},
 		{`sender(number = 1, share = 0.5, at = 1, what = "kill")`, "either a number, or a share"},
-		{`sender(number = 1, at = 1, what = "stop")`, "a stop needs its seconds"},
+		{`sender(number = 1, at = 1, what = "stop")`, "a stop requires seconds"},
 		{`sender(number = 1, at = 1, what = "kill", seconds = 1)`, "seconds: a kill takes none"},
 		{`sender(number = 1, at = 1, what = "kill", slots = 2)`, "a kill takes none"},
 		{`sender(number = 1, at = 1, what = "retune", slots = 0)`, "multiples above 0"},
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -10,13 +10,13 @@
 	"cleathold/internal/partner"
 )
 
-// A Mark is something that happens in a plan, for a time axis.
+// A Mark is an event of a plan for display on a time axis.
 type Mark struct {
-	From, To time.Duration // equal for what takes no time
+	From, To time.Duration // equal for an instantaneous event
 	Text     string
 }
 
-// Marks returns what happens in a plan, in the order of their times.
+// Marks returns the marks of a plan's events, in the order of their times.
 func (p *Plan) Marks() []Mark {
 	list := p.faultMarks()
 	for _, c := range p.Changes {
@@ -49,7 +49,7 @@
 	return list
 }
 
-// faultMarks has one mark for each fault of the scenario, unless it found no endpoint.
+// faultMarks returns one mark for each fault of the scenario that affects at least one endpoint.
 func (p *Plan) faultMarks() []Mark {
 	var list []Mark
 	modeNames := map[partner.Mode]string{}
@@ -87,7 +87,7 @@
 	return list
 }
 
-// destinationOf returns the destination that has an endpoint from the start; nil where none has.
+// destinationOf returns the destination that an endpoint belongs to from the start of the run; nil if there is none.
 func (p *Plan) destinationOf(endpoint string) *Destination {
 	for i, d := range p.Dests {
 		if slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == endpoint }) {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// actionMarks has one mark for each action of the scenario on senders.
+// actionMarks returns one mark for each action on senders in the scenario.
 func (p *Plan) actionMarks() []Mark {
 	var list []Mark
 	for i, a := range p.Scenario.Actions {
@@ -119,7 +119,7 @@
 	return list
 }
 
-// summarize names a few of the parties.
+// summarize returns a list of the parties' names, shortened if there are more than four.
 func summarize(names []string) string {
 	switch {
 	case len(names) == 0:
--- a/internal/scenario/parseactions.go
+++ b/internal/scenario/parseactions.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// senderActions are what can be done to a sender, in the order of their names.
+// senderActions are the actions on a sender, in alphabetical order.
 var senderActions = []string{
-	"activate", // clients are sent to it again
-	"drain",    // it is drained by order, through its second address
-	"hup",      // SIGHUP, with nothing new in its configuration
-	"kill",     // SIGKILL; it is started again
-	"retune",   // other settings, and SIGHUP
-	"signals",  // SIGHUP, SIGTERM and SIGINT one after the other; it is started again
-	"stop",     // SIGSTOP, and SIGCONT after a while
-	"term",     // SIGTERM; it is started again
-	"wipe",     // SIGKILL, and its folder is lost; it is started again
+	"activate", // ends a drain
+	"drain",    // drain through the sender's admin address
+	"hup",      // SIGHUP with an unchanged configuration
+	"kill",     // SIGKILL, then a restart
+	"retune",   // changed settings and SIGHUP
+	"signals",  // SIGHUP, SIGTERM and SIGINT one after the other, then a restart
+	"stop",     // SIGSTOP, and SIGCONT after the given time
+	"term",     // SIGTERM, then a restart
+	"wipe",     // SIGKILL and deletion of the sender's folder, then a restart
 }
 
-// addAction is sender(...) in a script.
+// addAction implements the script function sender(...).
 func (s *Scenario) addAction(a *args) error {
 	x := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
 	a.period(&x.At, &x.Length)
@@ -37,7 +37,7 @@
 	case (x.Sender < 0) == (x.Share == 0) || x.Share < 0 || x.Share > 1:
 		return a.withError("either a number, or a share above 0 up to 1, is needed")
 	case x.Kind == "stop" && x.Length.From <= 0:
-		return a.withError("a stop needs its seconds")
+		return a.withError("a stop requires seconds")
 	case x.Length.To > 0 && x.Kind != "stop" && x.Kind != "drain":
 		return a.withError("seconds: a %s takes none", x.Kind)
 	case !(x.InFlight > 0 && x.InFlight <= 100 && x.OpenMessages > 0 && x.OpenMessages <= 100):
@@ -49,7 +49,7 @@
 	return a.err
 }
 
-// setAgents is agents(...) in a script.
+// setAgents implements the script function agents(...).
 func (s *Scenario) setAgents(a *args) error {
 	x := Agents{Fleet: 1, Lease: 10 * time.Second}
 	a.integer("number", &x.Number)
@@ -67,7 +67,7 @@
 	return a.err
 }
 
-// addAgentAction is agent(...) in a script.
+// addAgentAction implements the script function agent(...).
 func (s *Scenario) addAgentAction(a *args) error {
 	var x AgentAction
 	a.period(&x.At, &x.Length)
@@ -77,13 +77,13 @@
 	case x.Kind != "kill" && x.Kind != "wipe" && x.Kind != "stop":
 		return a.withError("what: %q is none of kill, stop, wipe", x.Kind)
 	case x.Length.From <= 0:
-		return a.withError("seconds above 0 are needed: it is back after them")
+		return a.withError("seconds above 0 are needed: the time after which the agent is restarted or resumed")
 	}
 	s.AgentActions = append(s.AgentActions, x)
 	return a.err
 }
 
-// addOrder is order(...) in a script.
+// addOrder implements the script function order(...).
 func (s *Scenario) addOrder(a *args) error {
 	o := Order{Hold: Range{1, 1}}
 	a.numberRange("at", &o.At)
--- a/internal/scenario/parsefaults.go
+++ b/internal/scenario/parsefaults.go
@@ -8,14 +8,14 @@
 	"cleathold/internal/partner"
 )
 
-// faultModes are the words for faults of partners.
+// faultModes maps the constants of scripts to the fault modes of partners.
 var faultModes = map[string]partner.Mode{
 	"DOWN": partner.Down, "SHUT": partner.Shut, "SILENT": partner.Unresponsive,
 	"FAILING": partner.ReturningErrors, "SLOW": partner.Slow, "PAUSED": partner.Paused,
 	"BREAKING": partner.BreakingConnections, "SPOILING": partner.GarblingAnswers, "CUT": partner.LimitReduced,
 }
 
-// addFault is trouble(...) in a script.
+// addFault implements the script function trouble(...).
 func (s *Scenario) addFault(a *args) error {
 	f := Fault{Dest: -1, Share: Range{1, 1}, Factor: Range{2, 2}, TrafficShare: Range{1, 1}}
 	var what string
@@ -32,7 +32,7 @@
 	mode, known := faultModes[what]
 	switch {
 	case !known:
-		return fmt.Errorf("what: %q is no trouble", what)
+		return fmt.Errorf("what: %q is not a known fault", what)
 	case f.Share.To > 1 || f.TrafficShare.To > 1 || f.Endpoints < 0 || f.Endpoints > 1 || f.Length.From <= 0 ||
 		f.Factor.From <= 0:
 		return a.withError("share, part and endpoints: 0 to 1; seconds and factor: above 0")
@@ -44,7 +44,7 @@
 	return a.err
 }
 
-// addDiscoveryOutage is discovery_out(...) in a script.
+// addDiscoveryOutage implements the script function discovery_out(...).
 func (s *Scenario) addDiscoveryOutage(a *args) error {
 	var b DiscoveryOutage
 	a.period(&b.At, &b.Length)
@@ -55,7 +55,7 @@
 	return a.err
 }
 
-// addChurn is churn(...) in a script.
+// addChurn implements the script function churn(...).
 func (s *Scenario) addChurn(a *args) error {
 	c := Churn{Drain: 3 * time.Second}
 	a.numberRange("at", &c.At)
@@ -69,10 +69,10 @@
 	return a.err
 }
 
-// maxLinkDelay is the longest delay of a link. One longer than any call's timeout would be a silent link.
+// maxLinkDelay is the maximum delay of a link. A delay above the timeout of every call would be a silent link.
 const maxLinkDelay = time.Minute
 
-// linkState takes the state of a link.
+// linkState takes the arguments that describe the state of a link.
 func (a *args) linkState(l *LinkState) error {
 	what := ""
 	a.text("what", &what)
@@ -93,7 +93,7 @@
 		l.Silent = true
 	case "":
 		if *l == (LinkState{}) {
-			return errors.New("nothing ails it: what (CUT or SILENT), delay, jitter, loss, double or reorder is needed")
+			return errors.New("no fault given: what (CUT or SILENT), delay, jitter, loss, double or reorder is needed")
 		}
 	default:
 		return fmt.Errorf("what: %q is neither CUT nor SILENT", what)
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// addLink is link(...) in a script.
+// addLink implements the script function link(...).
 func (s *Scenario) addLink(a *args) error {
 	var l Link
 	a.period(&l.At, &l.Length)
@@ -125,7 +125,7 @@
 	return a.err
 }
 
-// addPartition is parts(...) in a script.
+// addPartition implements the script function parts(...).
 func (s *Scenario) addPartition(a *args) error {
 	p := Partition{Sides: 2}
 	a.period(&p.At, &p.Length)
--- a/internal/scenario/parsefleet.go
+++ b/internal/scenario/parsefleet.go
@@ -10,7 +10,7 @@
 	"cleathold/internal/partner"
 )
 
-// setScenario is scenario(...) in a script.
+// setScenario implements the script function scenario(...).
 func (s *Scenario) setScenario(a *args) error {
 	if s.Name != "" {
 		return errors.New("called twice")
@@ -37,7 +37,7 @@
 	return a.err
 }
 
-// addKind is kind(...) in a script.
+// addKind implements the script function kind(...).
 func (s *Scenario) addKind(a *args) error {
 	k := Kind{
 		LimitHeadroom: Range{1.3, 2}, MinLimit: Range{2, 4}, Window: time.Second, SpareCapacity: Range{1.15, 1.6},
@@ -80,7 +80,7 @@
 	return a.err
 }
 
-// addFleet is fleet(...) in a script.
+// addFleet implements the script function fleet(...).
 func (s *Scenario) addFleet(a *args) error {
 	f := Fleet{Weight: 1, Destinations: Range{10, 10}}
 	a.text("kind", &f.Kind)
--- a/internal/scenario/parsetraffic.go
+++ b/internal/scenario/parsetraffic.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// setTraffic is traffic(...) in a script.
+// setTraffic implements the script function traffic(...).
 func (s *Scenario) setTraffic(a *args) error {
 	t := &s.Traffic
 	a.numberRange("rate", &t.Rate)
@@ -23,7 +23,7 @@
 	return a.err
 }
 
-// addClass is message_class(...) in a script.
+// addClass implements the script function message_class(...).
 func (s *Scenario) addClass(a *args) error {
 	c := Class{PriorityWeight: 1, Effect: "safe"}
 	a.text("name", &c.Name)
@@ -39,7 +39,7 @@
 	case c.Effect != "safe" && c.Effect != "keyed" && c.Effect != "unsafe":
 		return fmt.Errorf("effect: %q is none of safe, keyed and unsafe", c.Effect)
 	case c.Effect == "keyed" && c.KeyRetention <= 0:
-		return errors.New("a keyed class needs its memory")
+		return errors.New("a keyed class requires memory")
 	case c.Name == "" || !(c.Share > 0) || c.Service.From <= 0 || c.LatencyObjective <= 0 ||
 		c.Deadline <= c.LatencyObjective:
 		return a.withError("name, share, service, aim and a deadline after it are needed")
@@ -48,7 +48,7 @@
 	return a.err
 }
 
-// addTenant is tenant(...) in a script.
+// addTenant implements the script function tenant(...).
 func (s *Scenario) addTenant(a *args) error {
 	var t Tenant
 	a.text("name", &t.Name)
@@ -60,19 +60,19 @@
 	return a.err
 }
 
-// addRatePoint is ramp(...) in a script.
+// addRatePoint implements the script function ramp(...).
 func (s *Scenario) addRatePoint(a *args) error {
 	var p RatePoint
 	a.duration("at", &p.At)
 	a.number("factor", &p.Factor)
 	if n := len(s.Traffic.RateCurve); p.Factor < 0 || n > 0 && p.At <= s.Traffic.RateCurve[n-1].At {
-		return a.withError("points in the order of their times, factors from 0 up")
+		return a.withError("points must be in ascending order of time, with factors of at least 0")
 	}
 	s.Traffic.RateCurve = append(s.Traffic.RateCurve, p)
 	return a.err
 }
 
-// addBurst is burst(...) in a script.
+// addBurst implements the script function burst(...).
 func (s *Scenario) addBurst(a *args) error {
 	var b Burst
 	a.period(&b.At, &b.Length)
@@ -84,7 +84,7 @@
 	return a.err
 }
 
-// addHotKeys is hot(...) in a script.
+// addHotKeys implements the script function hot(...).
 func (s *Scenario) addHotKeys(a *args) error {
 	h := HotKeys{Keys: 1}
 	a.period(&h.At, &h.Length)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package scenario reads scenarios: scripts in the project's Starlark that describe, in ranges, which partners there
-// are, what traffic comes and what faults there are. From a scenario and a seed it draws a Plan; the same seed gives
-// the same plan. The names in scripts keep the words of the platform's pages. It does no I/O but to read the script,
-// and plays nothing.
+// Package scenario reads scenarios: Starlark scripts that describe the partners, the traffic and the faults of a run,
+// mostly as ranges. From a scenario and a seed it draws a Plan; the same seed results in the same plan. The names in
+// scripts are the terms of the platform's documentation. The package does no I/O except reading the script, and does
+// not run scenarios.
 package scenario
 
 import (
@@ -10,14 +10,14 @@
 	"cleathold/internal/partner"
 )
 
-// Range is a number that is drawn evenly between two ends.
+// Range is the range from which a number is drawn, uniformly distributed.
 type Range struct{ From, To float64 }
 
-// Scenario is what a script describes.
+// Scenario is the content of a script.
 type Scenario struct {
 	Path             string
 	Script           []byte
-	Figures          map[string]float64 // given to the script, in place of the defaults of its params
+	Figures          map[string]float64 // values that replace the defaults of the script's params
 	Name             string
 	Length           time.Duration
 	Senders          int
@@ -36,21 +36,21 @@
 	Partitions       []Partition
 	Churns           []Churn
 	DiscoveryOutages []DiscoveryOutage
-	InFlight         Range // a sender's calls in flight at once, as a multiple of those that its part of the load needs
-	OpenMessages     Range // messages that a sender may have open, in seconds of its load
+	InFlight         Range // limit of a sender's calls in flight, as a multiple of those that its part of the load needs
+	OpenMessages     Range // limit of a sender's open messages, in seconds of its part of the load
 
-	GossipLoss float64 // part of the gossip between senders that is lost
+	GossipLoss float64 // share of the gossip between senders that is lost
 }
 
-// Kind describes a kind of destinations. Ranges are drawn for each destination.
+// Kind describes a kind of destinations. A value is drawn from each range for each destination.
 type Kind struct {
 	Name            string
 	Form            partner.LimitForm
-	LimitHeadroom   Range         // of the limit, as a multiple of the calls at full load
-	MinLimit        Range         // calls a second
-	Window          time.Duration // of a partner.Window
-	CountRejected   bool          // rejected calls use up the limit
-	RetryAfterShare Range         // part of the rejections
+	LimitHeadroom   Range         // the limit, as a multiple of the calls at full load
+	MinLimit        Range         // calls per second
+	Window          time.Duration // length of the window of a partner.Window limit
+	CountRejected   bool          // rejected calls count against the limit
+	RetryAfterShare Range         // share of the rejections with a Retry-After
 	RetryAfter      Range         // seconds
 	SpareCapacity   Range         // capacity, as a multiple of the limit
 	QueueLength     Range         // in seconds of the capacity
@@ -58,17 +58,17 @@
 	Batch           int
 	ItemCost        Range
 	SeparateRoutes  bool
-	Connections     Range // as a multiple of the calls served at once; 0: any number
+	Connections     Range // limit, as a multiple of the calls served at the same time; 0: no limit
 	MinConnections  Range
-	Endpoints       Range // on average; destinations with more traffic have more
+	Endpoints       Range // average per destination; destinations with more traffic have more
 }
 
 // Fleet is a number of destinations of a kind.
 type Fleet struct {
 	Kind         string
 	Destinations Range
-	Weight       float64 // of its traffic among the fleets'
-	Endpoints    int     // of each destination; 0: drawn, as the kind has it
+	Weight       float64 // relative share of the traffic among the fleets
+	Endpoints    int     // of each destination; 0: drawn by the kind's range
 }
 
 // Class describes a class of messages.
@@ -80,7 +80,7 @@
 	Deadline         time.Duration
 	Effect           string // safe, keyed, unsafe
 	KeyRetention     time.Duration
-	LateWeight       float64 // part of the weight that is left at the deadline
+	LateWeight       float64 // fraction of the weight that remains at the deadline
 	PriorityWeight   float64
 }
 
@@ -92,86 +92,86 @@
 
 // Traffic describes the messages.
 type Traffic struct {
-	Rate          Range // messages a second, over all senders
-	Zipf          Range // how unevenly destinations get messages: the exponent
-	ClumpShare    Range // part of the messages that come close after one another
-	ClumpSeconds  Range // messages of a clump, in seconds of the limit
+	Rate          Range // messages per second, over all senders
+	Zipf          Range // exponent of the Zipf distribution of messages over destinations
+	ClumpShare    Range // share of the messages that arrive in clumps
+	ClumpSeconds  Range // size of a clump, in seconds of the destination's limit
 	Classes       []Class
 	Tenants       []Tenant
-	Retries       int           // submissions of a client after a rejection
+	Retries       int           // maximum number of a client's submissions after a rejection
 	RetryDelay    Range         // seconds
-	ResubmitDelay Range         // seconds until a client resubmits what was not answered
-	RateCurve     []RatePoint   // the rate over time, as a multiple; empty: even
+	ResubmitDelay Range         // seconds until a client resubmits an unanswered message
+	RateCurve     []RatePoint   // the rate over time, as a multiple of Rate; empty: constant
 	Body          Range         // bytes
 	Patience      time.Duration // how long a client waits for a response
 }
 
-// RatePoint is a point of the rate's curve. Between points the rate changes evenly.
+// RatePoint is a point of the rate curve. Between points the rate is interpolated linearly.
 type RatePoint struct {
 	At     time.Duration
 	Factor float64
 }
 
-// Fault is a fault of some partners for a time.
+// Fault is a temporary fault of some partners.
 type Fault struct {
 	At, Length   Range // seconds
 	Mode         partner.Mode
 	Share        Range // of the calls, where the mode has a share
 	Factor       Range
-	TrafficShare Range   // of the traffic that it affects, at most
-	Zone         string  // only endpoints there; empty: any
+	TrafficShare Range   // maximum share of the traffic that the fault affects
+	Zone         string  // only endpoints in this zone; empty: any
 	Endpoints    float64 // this share of each destination's endpoints, drawn; 0: all of them
 	Kind         string
 	Dest         int  // only this destination; below 0: any
-	EndKnown     bool // rejections tell its end
+	EndKnown     bool // the Retry-After of rejections is the time to the fault's end
 }
 
-// Burst is more traffic for a time.
+// Burst is a temporary increase of the traffic by a factor.
 type Burst struct {
 	At, Length, Factor Range
 }
 
-// HotKeys sends a share of all messages to a few large destinations for a time.
+// HotKeys is a time in which a share of all messages goes to a few large destinations.
 type HotKeys struct {
 	At, Length, Share Range
 	Keys              int // destinations
 }
 
-// Action is a planned fault of senders, or something that operators do to them.
+// Action is a fault of senders or an operator's action on them.
 type Action struct {
 	At           Range
-	Length       Range   // of a stop and of a drain; 0: a drain without an end
-	Sender       int     // its number; below 0: a share of them
-	Share        float64 // of the senders, drawn
+	Length       Range   // of a stop or a drain; 0: a drain without an end
+	Sender       int     // number of the sender; below 0: Share of the senders
+	Share        float64 // share of the senders that is drawn
 	Spread       Range   // seconds over which the senders are affected, one after the other
 	Kind         string  // see senderActions
-	InFlight     float64 // of a retune: calls in flight at once, as a multiple of the scenario's...
-	OpenMessages float64 // ...and open messages
+	InFlight     float64 // of a retune: limit of calls in flight, as a multiple of the scenario's
+	OpenMessages float64 // of a retune: limit of open messages, as a multiple of the scenario's
 }
 
-// Agents are the agents of the senders. Each runs the senders whose numbers, divided by the number of agents, leave
-// its own as the remainder.
+// Agents describes the agents that supervise the senders. Each agent supervises the senders whose number modulo the
+// number of agents equals the agent's number.
 type Agents struct {
 	Number                   int // 0: none
-	Fleet, Building, Serving int // of senders out of service
+	Fleet, Building, Serving int // budget of senders out of service
 	Lease                    time.Duration
 }
 
-// AgentAction is a planned fault of an agent.
+// AgentAction is a fault of an agent.
 type AgentAction struct {
 	At, Length Range
 	Agent      int
-	Kind       string // kill, wipe (its folder is lost, too) or stop
+	Kind       string // kill, wipe (a kill that also deletes the agent's folder) or stop
 }
 
-// Order is an order of the staff to the agents.
+// Order is an operator's order to the agents.
 type Order struct {
 	At                Range
-	Agent             int      // that gets it; the next one where it does not run
+	Agent             int      // agent that receives the order; if it does not run, the next one does
 	Kind              string   // drain or release; for the latest plan: halt, resume or back
 	Targets           []string // senders and zones; empty: all
 	Hold              Range    // seconds for which each is drained
-	FailsAtStart      bool     // the program of the release ends at its start
+	FailsAtStart      bool     // the program of the release exits at its start
 	RollBackOnFailure bool     // a release that fails is rolled back
 }
 
@@ -179,42 +179,42 @@
 // discovery, clients, and endpoints (partners, partners/ZONE, destination/NUMBER, endpoint/ID).
 type Link struct {
 	At, Length Range
-	From, To   []string // To empty: all parties that are not in Of
-	Share      float64  // of the senders, drawn, where Of is empty
-	OneWay     bool     // only from Of to To
+	From, To   []string // To empty: all parties that are not in From
+	Share      float64  // share of the senders that is drawn as From if From is empty
+	OneWay     bool     // only from From to To
 	LinkState  LinkState
 }
 
-// Partition puts the senders on several sides, with a fault of the links between them.
+// Partition divides the senders into several sides, with a fault of the links between the sides.
 type Partition struct {
 	At, Length Range
 	Sides      int
 	LinkState  LinkState
 }
 
-// LinkState is the state of the link from one party to another. The zero value is a healthy one.
+// LinkState is the state of the link from one party to another. The zero value is a healthy link.
 type LinkState struct {
-	Cut       bool          // connections break and none is opened; datagrams are lost
-	Silent    bool          // connections stay open and nothing passes; datagrams are lost
-	Delay     time.Duration // of everything that passes
-	Jitter    time.Duration // up to this much more, drawn
-	Loss      float64       // part of the datagrams
-	Duplicate float64       // part of the datagrams that arrive twice
-	Reorder   float64       // part of the datagrams that arrive later by ten times the jitter
+	Cut       bool          // connections break and cannot be opened; datagrams are lost
+	Silent    bool          // connections stay open but pass no data; datagrams are lost
+	Delay     time.Duration // additional delay of all data
+	Jitter    time.Duration // maximum of a drawn delay in addition to Delay
+	Loss      float64       // share of the datagrams that is lost
+	Duplicate float64       // share of the datagrams that arrives twice
+	Reorder   float64       // share of the datagrams that arrives later by ten times the jitter
 }
 
-// Passes reports whether anything passes.
+// Passes reports whether the link passes data.
 func (l LinkState) Passes() bool { return !l.Cut && !l.Silent }
 
 // Churn replaces an endpoint: the old one drains and is removed, and a new one is added.
 type Churn struct {
 	At           Range
-	Every        time.Duration // between replacements; 0: only one
+	Every        time.Duration // interval between replacements; 0: only one replacement
 	Drain        time.Duration
-	ReuseAddress bool // the new one has the address of the old one
+	ReuseAddress bool // the new endpoint has the address of the old one
 }
 
-// DiscoveryOutage is a time, in seconds, in which discovery answers nobody.
+// DiscoveryOutage is a time, in seconds, in which discovery does not answer.
 type DiscoveryOutage struct {
 	At, Length Range
 }
