--- a/internal/partner/limit_test.go
+++ b/internal/partner/limit_test.go
@@ -28,9 +28,9 @@
 
 // Rejected calls that count against the limit keep it exhausted for as long as they arrive.
 func TestRejectedCallsUseUpLimit(t *testing.T) {
-	for _, counts := range []bool{false, true} {
+	for _, countRejected := range []bool{false, true} {
 		m := newModel(t, func(s *Spec) {
-			s.Limit = Limit{Form: Rate, PerSecond: 10, Burst: 200 * ms, CountRejected: counts}
+			s.Limit = Limit{Form: Rate, PerSecond: 10, Burst: 200 * ms, CountRejected: countRejected}
 			s.Servers, s.QueueLength = 100, 100
 		})
 		for i := range 100 { // twice the limit for 5 s
@@ -43,8 +43,8 @@
 				served++
 			}
 		}
-		if !counts && (served < 49 || served > 53) || counts && served > 10 {
-			t.Errorf("rejected calls count: %t: %d of 100 served", counts, served)
+		if !countRejected && (served < 49 || served > 53) || countRejected && served > 10 {
+			t.Errorf("rejected calls count: %t: %d of 100 served", countRejected, served)
 		}
 	}
 }
--- a/internal/partner/model_test.go
+++ b/internal/partner/model_test.go
@@ -54,11 +54,11 @@
 // onlyAnswer returns the model's only answer, and fails the test if there is not exactly one.
 func onlyAnswer(t testing.TB, m *Model) Answer {
 	t.Helper()
-	list := m.Answers()
-	if len(list) != 1 {
-		t.Fatalf("answers %+v", list)
+	answers := m.Answers()
+	if len(answers) != 1 {
+		t.Fatalf("answers %+v", answers)
 	}
-	return list[0]
+	return answers[0]
 }
 
 // The removal of an endpoint resets its calls; a new endpoint needs an unused id.
--- a/internal/scenario/args.go
+++ b/internal/scenario/args.go
@@ -25,9 +25,9 @@
 	return v, ok
 }
 
-func (a *args) typeError(name, want string, v starlark.Value) {
+func (a *args) typeError(name, expected string, v starlark.Value) {
 	if a.err == nil {
-		a.err = fmt.Errorf("%s: got %s, want %s", name, v.Type(), want)
+		a.err = fmt.Errorf("%s: got %s, want %s", name, v.Type(), expected)
 	}
 }
 
--- a/internal/scenario/arrivals_test.go
+++ b/internal/scenario/arrivals_test.go
@@ -8,8 +8,8 @@
 
 // The drawn messages match the script's rate, shares, clumps, bursts and hot keys.
 func TestTraffic(t *testing.T) {
-	count := func(more string) (n int, byClass, byDest map[int]int, within map[int]int, p *Plan) {
-		p = parseWith(t, more).Plan(3)
+	count := func(extra string) (n int, byClass, byDest map[int]int, within map[int]int, p *Plan) {
+		p = parseWith(t, extra).Plan(3)
 		p.Scenario.Length = 600 * time.Second
 		byClass, byDest, within = map[int]int{}, map[int]int{}, map[int]int{}
 		var last time.Duration
@@ -27,9 +27,9 @@
 			within[int(m.At/(100*time.Second))]++
 		}
 	}
-	near := func(name string, got, want, part float64) {
+	near := func(name string, got, want, tolerance float64) {
 		t.Helper()
-		if math.Abs(got-want) > part*want {
+		if math.Abs(got-want) > tolerance*want {
 			t.Errorf("%s: %g, want %g", name, got, want)
 		}
 	}
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -75,14 +75,14 @@
 
 // checkActions checks that actions refer to existing senders and agents.
 func (s *Scenario) checkActions() error {
-	for _, x := range s.Actions {
-		if x.Sender >= s.Senders {
-			return fmt.Errorf("sender: no number %d", x.Sender)
+	for _, action := range s.Actions {
+		if action.Sender >= s.Senders {
+			return fmt.Errorf("sender: no number %d", action.Sender)
 		}
 	}
-	for _, x := range s.AgentActions {
-		if x.Agent < 0 || x.Agent >= s.Agents.Number {
-			return fmt.Errorf("agent: no number %d", x.Agent)
+	for _, action := range s.AgentActions {
+		if action.Agent < 0 || action.Agent >= s.Agents.Number {
+			return fmt.Errorf("agent: no number %d", action.Agent)
 		}
 	}
 	return nil
--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -10,8 +10,8 @@
 
 // The same seed draws the same plan, and a change of one part of the script does not change the draws of other parts.
 func TestSameSeed(t *testing.T) {
-	draw := func(more string, seed uint64) (*Plan, []Arrival) {
-		p := parseWith(t, more).Plan(seed)
+	draw := func(extra string, seed uint64) (*Plan, []Arrival) {
+		p := parseWith(t, extra).Plan(seed)
 		var list []Arrival
 		for a, more := p.Arrivals(), true; more; {
 			var m Arrival
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -79,7 +79,7 @@
 	}
 	for _, h := range p.Scenario.HotKeys {
 		span := drawSpan(rng, h.At, h.Length)
-		p.hotKeyWindows = append(p.hotKeyWindows, window{Span: span, amount: h.Share.draw(rng), destinations: h.Keys})
+		p.hotKeyWindows = append(p.hotKeyWindows, window{Span: span, amount: h.Share.draw(rng), destinations: h.Destinations})
 	}
 }
 
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -119,32 +119,32 @@
 func (p *Plan) drawLinks(rng *rand.Rand) {
 	for _, l := range p.Scenario.Links {
 		span := drawSpan(rng, l.At, l.Length)
-		x := PlannedLink{From: span.From, To: span.To, State: l.LinkState, oneWay: l.OneWay}
+		planned := PlannedLink{From: span.From, To: span.To, State: l.LinkState, oneWay: l.OneWay}
 		names := l.From
 		if len(names) == 0 {
 			for _, i := range p.Scenario.drawSenders(rng, l.Share) {
 				names = append(names, Sender(i))
 			}
 		}
-		if x.fromParties = p.expandParties(names); len(l.To) > 0 {
-			x.toParties = p.expandParties(l.To)
+		if planned.fromParties = p.expandParties(names); len(l.To) > 0 {
+			planned.toParties = p.expandParties(l.To)
 		}
-		x.Text = l.LinkState.describe() + " between " + summarize(names) + " and " + summarize(l.To)
+		planned.Text = l.LinkState.describe() + " between " + summarize(names) + " and " + summarize(l.To)
 		if l.OneWay {
-			x.Text = l.LinkState.describe() + " from " + summarize(names) + " to " + summarize(l.To)
+			planned.Text = l.LinkState.describe() + " from " + summarize(names) + " to " + summarize(l.To)
 		}
-		p.Links = append(p.Links, x)
+		p.Links = append(p.Links, planned)
 	}
 	for _, partition := range p.Scenario.Partitions {
 		span := drawSpan(rng, partition.At, partition.Length)
-		x := PlannedLink{
+		planned := PlannedLink{
 			From: span.From, To: span.To, State: partition.LinkState, sides: map[string]int{},
 			Text: fmt.Sprintf("%s between %d parts of the senders", partition.LinkState.describe(), partition.Sides),
 		}
 		for i, num := range rng.Perm(p.Scenario.Senders) {
-			x.sides[Sender(num)] = i % partition.Sides
+			planned.sides[Sender(num)] = i % partition.Sides
 		}
-		p.Links = append(p.Links, x)
+		p.Links = append(p.Links, planned)
 	}
 	slices.SortStableFunc(p.Links, func(a, b PlannedLink) int { return cmp.Compare(a.From, b.From) })
 }
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -34,8 +34,8 @@
 		},
 	}
 	globals := starlark.StringDict{}
-	for word := range faultModes {
-		globals[word] = starlark.String(word)
+	for mode := range faultModes {
+		globals[mode] = starlark.String(mode)
 	}
 	for name, f := range s.functions() {
 		globals[name] = starlark.NewBuiltin(name, withArgs(f))
--- a/internal/scenario/load_test.go
+++ b/internal/scenario/load_test.go
@@ -19,9 +19,9 @@
 	return string(text)
 }
 
-func parseWith(t testing.TB, more string) *Scenario {
+func parseWith(t testing.TB, extra string) *Scenario {
 	t.Helper()
-	s, err := Parse("s.star", []byte(libraryScript(t)+more), nil)
+	s, err := Parse("s.star", []byte(libraryScript(t)+extra), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,8 +106,8 @@
 		{`sender(number = 1, at = 1, what = "odd")`, `"odd" is none of activate, drain, hup, kill`},
 	} {
 		_, err := Parse("s.star", []byte(libraryScript(t)+c.text+"\n"), nil)
-		var own *settings.Error
-		if !errors.As(err, &own) || !strings.Contains(err.Error(), c.want) {
+		var scriptErr *settings.Error
+		if !errors.As(err, &scriptErr) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.text, err, c.want)
 		}
 	}
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -53,8 +53,8 @@
 func (p *Plan) faultMarks() []Mark {
 	var list []Mark
 	modeNames := map[partner.Mode]string{}
-	for word, mode := range faultModes {
-		modeNames[mode] = word
+	for name, mode := range faultModes {
+		modeNames[mode] = name
 	}
 	for i, f := range p.Scenario.Faults {
 		m := Mark{From: -1}
--- a/internal/scenario/parseactions.go
+++ b/internal/scenario/parseactions.go
@@ -22,64 +22,65 @@
 
 // addAction implements the script function sender(...).
 func (s *Scenario) addAction(a *args) error {
-	x := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
-	a.period(&x.At, &x.Length)
-	a.integer("number", &x.Sender)
-	a.number("share", &x.Share)
-	a.numberRange("spread", &x.Spread)
-	a.text("what", &x.Kind)
-	a.number("slots", &x.InFlight)
-	a.number("hold", &x.OpenMessages)
-	if !slices.Contains(senderActions, x.Kind) {
-		return a.withError("what: %q is none of %s", x.Kind, strings.Join(senderActions, ", "))
+	action := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
+	a.period(&action.At, &action.Length)
+	a.integer("number", &action.Sender)
+	a.number("share", &action.Share)
+	a.numberRange("spread", &action.Spread)
+	a.text("what", &action.Kind)
+	a.number("slots", &action.InFlight)
+	a.number("hold", &action.OpenMessages)
+	if !slices.Contains(senderActions, action.Kind) {
+		return a.withError("what: %q is none of %s", action.Kind, strings.Join(senderActions, ", "))
 	}
 	switch {
-	case (x.Sender < 0) == (x.Share == 0) || x.Share < 0 || x.Share > 1:
+	case (action.Sender < 0) == (action.Share == 0) || action.Share < 0 || action.Share > 1:
 		return a.withError("either a number, or a share above 0 up to 1, is needed")
-	case x.Kind == "stop" && x.Length.From <= 0:
+	case action.Kind == "stop" && action.Length.From <= 0:
 		return a.withError("a stop requires seconds")
-	case x.Length.To > 0 && x.Kind != "stop" && x.Kind != "drain":
-		return a.withError("seconds: a %s takes none", x.Kind)
-	case !(x.InFlight > 0 && x.InFlight <= 100 && x.OpenMessages > 0 && x.OpenMessages <= 100):
+	case action.Length.To > 0 && action.Kind != "stop" && action.Kind != "drain":
+		return a.withError("seconds: a %s takes none", action.Kind)
+	case !(action.InFlight > 0 && action.InFlight <= 100 && action.OpenMessages > 0 && action.OpenMessages <= 100):
 		return a.withError("slots and hold: multiples above 0, 100 at most")
-	case x.Kind != "retune" && (x.InFlight != 1 || x.OpenMessages != 1):
-		return a.withError("slots and hold: a %s takes none", x.Kind)
+	case action.Kind != "retune" && (action.InFlight != 1 || action.OpenMessages != 1):
+		return a.withError("slots and hold: a %s takes none", action.Kind)
 	}
-	s.Actions = append(s.Actions, x)
+	s.Actions = append(s.Actions, action)
 	return a.err
 }
 
 // setAgents implements the script function agents(...).
 func (s *Scenario) setAgents(a *args) error {
-	x := Agents{Fleet: 1, Lease: 10 * time.Second}
-	a.integer("number", &x.Number)
-	a.integer("fleet", &x.Fleet)
-	a.integer("building", &x.Building)
-	a.integer("serving", &x.Serving)
-	a.duration("lease", &x.Lease)
+	agents := Agents{Fleet: 1, Lease: 10 * time.Second}
+	a.integer("number", &agents.Number)
+	a.integer("fleet", &agents.Fleet)
+	a.integer("building", &agents.Building)
+	a.integer("serving", &agents.Serving)
+	a.duration("lease", &agents.Lease)
 	switch {
 	case s.Agents.Number > 0:
 		return errors.New("called twice")
-	case x.Number < 1 || x.Number > 9 || x.Fleet < 1 || x.Building < 0 || x.Serving < 0 || x.Lease < time.Second:
+	case agents.Number < 1 || agents.Number > 9 || agents.Fleet < 1 || agents.Building < 0 || agents.Serving < 0 ||
+		agents.Lease < time.Second:
 		return a.withError("number: 1 to 9; fleet: 1 at the least; building and serving: 0 or more; lease: a second at least")
 	}
-	s.Agents = x
+	s.Agents = agents
 	return a.err
 }
 
 // addAgentAction implements the script function agent(...).
 func (s *Scenario) addAgentAction(a *args) error {
-	var x AgentAction
-	a.period(&x.At, &x.Length)
-	a.integer("number", &x.Agent)
-	a.text("what", &x.Kind)
+	var action AgentAction
+	a.period(&action.At, &action.Length)
+	a.integer("number", &action.Agent)
+	a.text("what", &action.Kind)
 	switch {
-	case x.Kind != "kill" && x.Kind != "wipe" && x.Kind != "stop":
-		return a.withError("what: %q is none of kill, stop, wipe", x.Kind)
-	case x.Length.From <= 0:
+	case action.Kind != "kill" && action.Kind != "wipe" && action.Kind != "stop":
+		return a.withError("what: %q is none of kill, stop, wipe", action.Kind)
+	case action.Length.From <= 0:
 		return a.withError("seconds above 0 are needed: the time after which the agent is restarted or resumed")
 	}
-	s.AgentActions = append(s.AgentActions, x)
+	s.AgentActions = append(s.AgentActions, action)
 	return a.err
 }
 
--- a/internal/scenario/parsefaults.go
+++ b/internal/scenario/parsefaults.go
@@ -18,8 +18,8 @@
 // addFault implements the script function trouble(...).
 func (s *Scenario) addFault(a *args) error {
 	f := Fault{Dest: -1, Share: Range{1, 1}, Factor: Range{2, 2}, TrafficShare: Range{1, 1}}
-	var what string
-	a.text("what", &what)
+	var modeName string
+	a.text("what", &modeName)
 	a.period(&f.At, &f.Length)
 	a.numberRange("share", &f.Share)
 	a.numberRange("factor", &f.Factor)
@@ -29,10 +29,10 @@
 	a.text("kind", &f.Kind)
 	a.integer("destination", &f.Dest)
 	a.boolean("knows_end", &f.EndKnown)
-	mode, known := faultModes[what]
+	mode, known := faultModes[modeName]
 	switch {
 	case !known:
-		return fmt.Errorf("what: %q is not a known fault", what)
+		return fmt.Errorf("what: %q is not a known fault", modeName)
 	case f.Share.To > 1 || f.TrafficShare.To > 1 || f.Endpoints < 0 || f.Endpoints > 1 || f.Length.From <= 0 ||
 		f.Factor.From <= 0:
 		return a.withError("share, part and endpoints: 0 to 1; seconds and factor: above 0")
@@ -46,12 +46,12 @@
 
 // addDiscoveryOutage implements the script function discovery_out(...).
 func (s *Scenario) addDiscoveryOutage(a *args) error {
-	var b DiscoveryOutage
-	a.period(&b.At, &b.Length)
-	if b.Length.From <= 0 {
+	var outage DiscoveryOutage
+	a.period(&outage.At, &outage.Length)
+	if outage.Length.From <= 0 {
 		return a.withError("seconds above 0 are needed")
 	}
-	s.DiscoveryOutages = append(s.DiscoveryOutages, b)
+	s.DiscoveryOutages = append(s.DiscoveryOutages, outage)
 	return a.err
 }
 
@@ -74,8 +74,8 @@
 
 // linkState takes the arguments that describe the state of a link.
 func (a *args) linkState(l *LinkState) error {
-	what := ""
-	a.text("what", &what)
+	fault := ""
+	a.text("what", &fault)
 	a.duration("delay", &l.Delay)
 	a.duration("jitter", &l.Jitter)
 	for _, share := range []struct {
@@ -86,7 +86,7 @@
 			return fmt.Errorf("%s: a part from 0 to 1", share.name)
 		}
 	}
-	switch what {
+	switch fault {
 	case "CUT":
 		l.Cut = true
 	case "SILENT":
@@ -96,7 +96,7 @@
 			return errors.New("no fault given: what (CUT or SILENT), delay, jitter, loss, double or reorder is needed")
 		}
 	default:
-		return fmt.Errorf("what: %q is neither CUT nor SILENT", what)
+		return fmt.Errorf("what: %q is neither CUT nor SILENT", fault)
 	}
 	if l.Delay+l.Jitter > maxLinkDelay {
 		return fmt.Errorf("delay and jitter: %v together at most", maxLinkDelay)
--- a/internal/scenario/parsetraffic.go
+++ b/internal/scenario/parsetraffic.go
@@ -86,11 +86,11 @@
 
 // addHotKeys implements the script function hot(...).
 func (s *Scenario) addHotKeys(a *args) error {
-	h := HotKeys{Keys: 1}
+	h := HotKeys{Destinations: 1}
 	a.period(&h.At, &h.Length)
 	a.numberRange("share", &h.Share)
-	a.integer("destinations", &h.Keys)
-	if h.Length.From <= 0 || h.Share.From <= 0 || h.Share.To >= 1 || h.Keys < 1 {
+	a.integer("destinations", &h.Destinations)
+	if h.Length.From <= 0 || h.Share.From <= 0 || h.Share.To >= 1 || h.Destinations < 1 {
 		return a.withError("seconds above 0, a share between 0 and 1, and destinations from 1 up are needed")
 	}
 	s.HotKeys = append(s.HotKeys, h)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -134,7 +134,7 @@
 // HotKeys is a time in which a share of all messages goes to a few large destinations.
 type HotKeys struct {
 	At, Length, Share Range
-	Keys              int // destinations
+	Destinations      int // destinations
 }
 
 // Action is a fault of senders or an operator's action on them.
