--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -62,8 +62,8 @@
 // the log.
 func (ag *agent) restart(wiped bool) {
 	ag.dead, ag.observations, ag.watch = false, map[string]rollout.Observation{}, rollout.Watch{}
-	for _, m := range ag.supervised {
-		m.acceptedEpoch, m.changing, m.process = 0, false, ""
+	for _, sup := range ag.supervised {
+		sup.acceptedEpoch, sup.changing, sup.process = 0, false, ""
 	}
 	if wiped {
 		ag.state, ag.applied = rollout.New(), 0
@@ -109,18 +109,18 @@
 		ag.catchUp()
 	}
 	for k := ag.num; k < len(s.senders); k += len(a.members) {
-		m := ag.supervised[scenario.Sender(k)]
-		v := ag.observeSender(m)
-		ag.addObservation(v)
+		sup := ag.supervised[scenario.Sender(k)]
+		observation := ag.observeSender(sup)
+		ag.addObservation(observation)
 		if follows {
 			l, after := a.leader, agentDelay+s.extraDelay(s.link(ag.name, a.leader.name))
 			s.at(s.now+after, func() {
 				if l.running() {
-					l.addObservation(v)
+					l.addObservation(observation)
 				}
 			})
 		}
-		ag.applyGrant(m, v, follows || a.leader == ag)
+		ag.applyGrant(sup, observation, follows || a.leader == ag)
 	}
 }
 
@@ -139,21 +139,23 @@
 }
 
 // observeSender returns the agent's observation of a sender, and counts crashes.
-func (ag *agent) observeSender(m *supervision) rollout.Observation {
+func (ag *agent) observeSender(sup *supervision) rollout.Observation {
 	s := ag.cluster.sim
-	sd := s.senders[m.sender]
-	v := rollout.Observation{Sender: sd.name, At: s.clock(), Phase: "no answer", FaultEpoch: m.faultEpoch, Fault: m.fault}
+	sd := s.senders[sup.sender]
+	observation := rollout.Observation{
+		Sender: sd.name, At: s.clock(), Phase: "no answer", FaultEpoch: sup.faultEpoch, Fault: sup.fault,
+	}
 	if !ag.canReach(sd) {
-		return v
+		return observation
 	}
-	if m.process != "" && m.process != sd.process && !m.changing && m.process != sd.predecessor {
-		m.crashes++
+	if sup.process != "" && sup.process != sd.process && !sup.changing && sup.process != sd.predecessor {
+		sup.crashes++
 	}
-	m.process = sd.process
-	v = sd.observation()
-	v.FaultEpoch, v.Fault, v.Facts.Restarts = m.faultEpoch, m.fault, m.crashes
-	v.Serving = v.Serving && !m.changing
-	return v
+	sup.process = sd.process
+	observation = sd.observation()
+	observation.FaultEpoch, observation.Fault, observation.Facts.Restarts = sup.faultEpoch, sup.fault, sup.crashes
+	observation.Serving = observation.Serving && !sup.changing
+	return observation
 }
 
 // observeRemotely makes the leader itself observe the senders whose agents have sent no recent observation.
@@ -163,27 +165,27 @@
 		var num int
 		fmt.Sscanf(name, "n%d", &num)
 		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.cluster.terms.Timing.Fresh*6/10 && ag.canReach(sd) {
-			now := sd.observation()
-			now.Far, now.Version, now.Facts.Restarts = true, v.Version, v.Facts.Restarts
-			now.FaultEpoch, now.Fault = v.FaultEpoch, v.Fault
-			ag.observations[name] = now
+			fresh := sd.observation()
+			fresh.Far, fresh.Version, fresh.Facts.Restarts = true, v.Version, v.Facts.Restarts
+			fresh.FaultEpoch, fresh.Fault = v.FaultEpoch, v.Fault
+			ag.observations[name] = fresh
 		}
 	}
 }
 
 // applyGrant performs the duty that follows from a sender's current grant: it accepts, renews or ends the lease. Leases
 // are renewed only while the agent is connected to a leader.
-func (ag *agent) applyGrant(m *supervision, v rollout.Observation, connected bool) {
+func (ag *agent) applyGrant(sup *supervision, v rollout.Observation, connected bool) {
 	s := ag.cluster.sim
-	sd := s.senders[m.sender]
+	sd := s.senders[sup.sender]
 	g := ag.state.Grants[sd.name]
-	if g == nil || m.changing || !ag.canReach(sd) {
+	if g == nil || sup.changing || !ag.canReach(sd) {
 		return
 	}
 	now := s.clock()
-	switch ag.state.Duty(g, v, m.acceptedEpoch, now) {
+	switch ag.state.Duty(g, v, sup.acceptedEpoch, now) {
 	case rollout.Fail:
-		m.fault, m.faultEpoch = "its agent was started anew in the middle of the change", g.Epoch
+		sup.fault, sup.faultEpoch = "its agent was started anew in the middle of the change", g.Epoch
 		sd.lease.End(g.Epoch)
 	case rollout.End:
 		sd.lease.End(g.Epoch)
@@ -192,15 +194,15 @@
 			sd.scheduleExpiry()
 		}
 	case rollout.Take:
-		ag.acceptGrant(m, sd, g)
+		ag.acceptGrant(sup, sd, g)
 	}
 }
 
 // acceptGrant makes a sender accept a grant, if its lease allows it. For a grant that is not a drain it then schedules
 // the version change.
-func (ag *agent) acceptGrant(m *supervision, sd *sender, g *rollout.Grant) {
+func (ag *agent) acceptGrant(sup *supervision, sd *sender, g *rollout.Grant) {
 	s := ag.cluster.sim
-	m.acceptedEpoch = g.Epoch
+	sup.acceptedEpoch = g.Epoch
 	order := lease.Order{Process: g.Process, Epoch: g.Epoch, By: g.By, Until: g.Until, Drain: g.Drain}
 	if sd.lease.Take(order, sd.process, s.clock()) != nil {
 		return
@@ -210,18 +212,18 @@
 	if g.Drain {
 		return
 	}
-	m.changing = true
+	sup.changing = true
 	s.at(s.now+versionChangeDelay, func() {
 		if !ag.running() { // after its restart the agent finds the change unfinished
-			m.changing = false
+			sup.changing = false
 			return
 		}
-		m.changing = false
+		sup.changing = false
 		if g.To.Program == failingProgram {
-			m.fault, m.faultEpoch = "the new process ended before it was ready", g.Epoch
-		} else if !sd.dead && s.senders[m.sender] == sd {
+			sup.fault, sup.faultEpoch = "the new process ended before it was ready", g.Epoch
+		} else if !sd.dead && s.senders[sup.sender] == sd {
 			sd.handOver(g.To.Name)
-			m.process = sd.process
+			sup.process = sd.process
 		}
 		sd.lease.End(g.Epoch)
 	})
--- a/internal/simulation/deliveryreport.go
+++ b/internal/simulation/deliveryreport.go
@@ -30,10 +30,10 @@
 	s.record(audit.Event{
 		Kind: audit.Notice, Sender: sd.num, Message: report.ID, Deferred: report.Deferred, RetryAfter: report.RetryAfter,
 	})
-	m := s.messages[report.ID]
-	if m != nil && report.Deferred {
-		s.rejected(m, report.ID, report.RetryAfter)
-	} else if m != nil {
+	request := s.messages[report.ID]
+	if request != nil && report.Deferred {
+		s.rejected(request, report.ID, report.RetryAfter)
+	} else if request != nil {
 		delete(s.messages, report.ID)
 	}
 	sd.step(state.ReportsAcknowledged{Numbers: []control.MessageID{report.Number}})
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -78,15 +78,16 @@
 			if !p.Phase.Open() {
 				continue
 			}
-			var out []string
+			var outOfService []string
 			for name, t := range p.Tasks {
 				if t.Step == rollout.Out {
-					out = append(out, name)
+					outOfService = append(outOfService, name)
 				}
 			}
-			if len(out) > 0 && p.Phase == rollout.Halted {
+			if len(outOfService) > 0 && p.Phase == rollout.Halted {
 				a.propose(rollout.Command{
-					Verb: rollout.Activate, At: s.clock(), By: "staff", Reason: "the end", Plan: p.ID, Senders: l.state.Order(out),
+					Verb: rollout.Activate, At: s.clock(), By: "staff", Reason: "the end", Plan: p.ID,
+					Senders: l.state.Order(outOfService),
 				})
 			}
 		}
--- a/internal/simulation/servicemeter.go
+++ b/internal/simulation/servicemeter.go
@@ -92,9 +92,9 @@
 			m.ids = append(m.ids, e.Message)
 		}
 	case audit.Accepted:
-		if x := meter.submissions[e.Message]; x != nil {
-			if x.accepted = true; x.delivered {
-				meter.addDelivered(x, e.At)
+		if sub := meter.submissions[e.Message]; sub != nil {
+			if sub.accepted = true; sub.delivered {
+				meter.addDelivered(sub, e.At)
 			}
 		}
 	case audit.Rejected:
@@ -112,9 +112,9 @@
 			meter.score.RejectedCalls++
 		}
 		for _, id := range meter.calls[e.Call] {
-			if x := meter.submissions[id]; x != nil && e.Outcome == audit.Delivered {
-				if x.delivered = true; x.accepted {
-					meter.addDelivered(x, e.At)
+			if sub := meter.submissions[id]; sub != nil && e.Outcome == audit.Delivered {
+				if sub.delivered = true; sub.accepted {
+					meter.addDelivered(sub, e.At)
 				}
 			}
 		}
@@ -149,8 +149,8 @@
 }
 
 // addDelivered counts the weight of a delivered message, once.
-func (meter *ServiceMeter) addDelivered(x *submission, at time.Duration) {
-	m := meter.requests[x.request]
+func (meter *ServiceMeter) addDelivered(sub *submission, at time.Duration) {
+	m := meter.requests[sub.request]
 	if m == nil || m.done {
 		return
 	}
@@ -160,18 +160,18 @@
 	meter.byClass[m.class].delivered += w
 	meter.byTenant[m.tenant].delivered += w
 	if meter.OnDelivered != nil {
-		meter.OnDelivered(x.request, w)
+		meter.OnDelivered(sub.request, w)
 	}
 }
 
 // PriorityWeightAt returns the weight of a message that is delivered at this age: the full weight up to the latency
 // objective, then decreasing linearly to the late weight at the deadline.
-func PriorityWeightAt(c *scenario.Class, age time.Duration) float64 {
-	if age <= c.LatencyObjective {
-		return c.PriorityWeight
+func PriorityWeightAt(class *scenario.Class, age time.Duration) float64 {
+	if age <= class.LatencyObjective {
+		return class.PriorityWeight
 	}
-	late := min(1, float64(age-c.LatencyObjective)/float64(c.Deadline-c.LatencyObjective))
-	return c.PriorityWeight * (1 - (1-c.LateWeight)*late)
+	late := min(1, float64(age-class.LatencyObjective)/float64(class.Deadline-class.LatencyObjective))
+	return class.PriorityWeight * (1 - (1-class.LateWeight)*late)
 }
 
 // Score returns the score so far.
