--- a/internal/partner/warmup_test.go
+++ b/internal/partner/warmup_test.go
@@ -6,7 +6,7 @@
 )
 
 // A destination is slow after an outage, and too many calls overload it while it warms up. The overload lists the calls
-// by sender.
+// by sender, including senders that did not observe the outage.
 func TestSlowStartAndOverload(t *testing.T) {
 	slow := func(s *Spec) {
 		s.Servers, s.QueueLength = 2, 1000 // 20 calls a second
--- a/internal/scenario/drawfleet.go
+++ b/internal/scenario/drawfleet.go
@@ -85,7 +85,7 @@
 // drawDestination draws a destination. The order of the draws must not change, since a plan depends on it.
 func (d *fleetSampler) drawDestination(num int, w weightedDestination) Destination {
 	k, share := w.kind, w.weight/d.totalWeight
-	load := share * d.plan.Rate // calls a second at full load
+	load := share * d.plan.Rate // calls per second at full load
 	dest := Destination{Share: share}
 	speed := math.Exp(speedDeviation * d.rng.NormFloat64())
 	dest.Dest, dest.Kind, dest.SeparateRoutes, dest.MaxBatch = num, k.Name, k.SeparateRoutes, k.Batch
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -20,7 +20,7 @@
 	Actions          []PlannedAction
 	AgentActions     []PlannedAgentAction
 	Orders           []PlannedOrder
-	Links            []PlannedLink // in the order in which they begin
+	Links            []PlannedLink // in the order of their beginnings
 	DiscoveryOutages []Span        // times in which discovery does not answer
 	burstWindows     []window
 	hotKeyWindows    []window
