--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// check finds what only the whole script shows. The first error counts.
+// check runs the checks that need the whole script, and returns the first error.
 func (s *Scenario) check() error {
 	for _, check := range []func() error{
 		s.checkKinds, s.checkComplete, s.checkFaults, s.checkActions, s.checkOrders, s.checkDrains, s.checkLinks,
@@ -24,14 +24,14 @@
 	seen := map[string]bool{}
 	for _, k := range s.Kinds {
 		if seen[k.Name] {
-			return fmt.Errorf("two kinds of name %q", k.Name)
+			return fmt.Errorf("duplicate kind %q", k.Name)
 		}
 		seen[k.Name] = true
 	}
 	return nil
 }
 
-// checkComplete finds what every script needs.
+// checkComplete checks for the calls and values that every script needs.
 func (s *Scenario) checkComplete() error {
 	switch {
 	case s.Name == "":
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// checkFaults finds fleets and faults of kinds and zones that are not there.
+// checkFaults checks that fleets and faults refer to existing kinds and zones.
 func (s *Scenario) checkFaults() error {
 	hasKind := func(name string) bool {
 		return slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == name })
@@ -73,29 +73,29 @@
 	return nil
 }
 
-// checkActions finds actions on senders and agents that are not there.
+// checkActions checks that actions refer to existing senders and agents.
 func (s *Scenario) checkActions() error {
-	for _, x := range s.Actions {
-		if x.Sender >= s.Senders {
-			return fmt.Errorf("sender: no number %d", x.Sender)
+	for _, action := range s.Actions {
+		if action.Sender >= s.Senders {
+			return fmt.Errorf("sender: no number %d", action.Sender)
 		}
 	}
-	for _, x := range s.AgentActions {
-		if x.Agent < 0 || x.Agent >= s.Agents.Number {
-			return fmt.Errorf("agent: no number %d", x.Agent)
+	for _, action := range s.AgentActions {
+		if action.Agent < 0 || action.Agent >= s.Agents.Number {
+			return fmt.Errorf("agent: no number %d", action.Agent)
 		}
 	}
 	return nil
 }
 
-// checkOrders finds orders at agents, and of senders and zones, that are not there.
+// checkOrders checks that orders refer to existing agents, senders and zones.
 func (s *Scenario) checkOrders() error {
 	for _, o := range s.Orders {
 		if o.Agent < 0 || o.Agent >= s.Agents.Number {
 			return fmt.Errorf("order: no agent %d", o.Agent)
 		}
-		for _, name := range o.Of {
-			if !s.knowsParty(name) || !strings.HasPrefix(name, "n") && !slices.Contains(s.Zones, name) {
+		for _, name := range o.Targets {
+			if !s.isParty(name) || !strings.HasPrefix(name, "n") && !slices.Contains(s.Zones, name) {
 				return fmt.Errorf("order: no sender and no zone %q", name)
 			}
 		}
@@ -103,23 +103,23 @@
 	return nil
 }
 
-// checkDrains finds drains that are not ordered at an agent, where there are agents.
+// checkDrains checks that a scenario with agents drains senders by orders only.
 func (s *Scenario) checkDrains() error {
 	for _, x := range s.Actions {
-		if s.Agents.Number > 0 && (x.What == "drain" || x.What == "activate") {
-			return fmt.Errorf("sender: %s: with agents, order() does that", x.What)
+		if s.Agents.Number > 0 && (x.Kind == "drain" || x.Kind == "activate") {
+			return fmt.Errorf("sender: %s: with agents, order() does that", x.Kind)
 		}
 	}
 	return nil
 }
 
-// checkLinks finds links of parties that are not there, and partitions with more sides than senders.
+// checkLinks checks that links refer to existing parties, and that no partition has more sides than there are senders.
 func (s *Scenario) checkLinks() error {
 	const parties = "a zone, senders, agents, a0 and so on, discovery, clients, partners, partners/ZONE, " +
 		"destination/NUMBER or endpoint/ID"
 	for _, l := range s.Links {
-		for _, name := range slices.Concat(l.Of, l.To) {
-			if !s.knowsParty(name) {
+		for _, name := range slices.Concat(l.From, l.To) {
+			if !s.isParty(name) {
 				return fmt.Errorf("link: no party %q: n0 to n%d, %s", name, s.Senders-1, parties)
 			}
 		}
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// knowsParty reports whether a name may stand for a party. Any endpoint may be named, since endpoints are drawn later.
-func (s *Scenario) knowsParty(name string) bool {
+// isParty reports whether a name refers to a party. Any endpoint name is accepted, since endpoints are drawn later.
+func (s *Scenario) isParty(name string) bool {
 	if num, ok := strings.CutPrefix(name, "n"); ok {
 		if i, err := strconv.Atoi(num); err == nil {
 			return i >= 0 && i < s.Senders && name == Sender(i)
@@ -144,14 +144,14 @@
 			return i >= 0 && i < s.Agents.Number && name == Agent(i)
 		}
 	}
-	if zone, ok := strings.CutPrefix(name, inZone); ok {
+	if zone, ok := strings.CutPrefix(name, zonePrefix); ok {
 		return slices.Contains(s.Zones, zone)
 	}
-	if num, ok := strings.CutPrefix(name, ofDest); ok {
+	if num, ok := strings.CutPrefix(name, destPrefix); ok {
 		i, err := strconv.Atoi(num)
 		return err == nil && i > 0
 	}
-	if strings.HasPrefix(name, oneEndpoint) || slices.Contains(s.Zones, name) {
+	if strings.HasPrefix(name, endpointPrefix) || slices.Contains(s.Zones, name) {
 		return true
 	}
 	return slices.Contains([]string{Discovery, Clients, allSenders, allAgents, allPartners}, name)
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -10,8 +10,8 @@
 	"cleathold/internal/partner"
 )
 
-// drawFaults draws which endpoints each fault is at: those of as many destinations as its part of the traffic allows,
-// and of the first one drawn in any case.
+// drawFaults draws the endpoints that each fault affects. It adds destinations as long as the fault's share of the
+// traffic allows, but at least one.
 func (p *Plan) drawFaults(rng *rand.Rand) {
 	for i, f := range p.Scenario.Faults {
 		span := drawSpan(rng, f.At, f.Length)
@@ -19,16 +19,16 @@
 		if f.EndKnown {
 			fault.Until = span.To
 		}
-		maxShare, total := f.TrafficShare.draw(rng), 0.0
+		maxShare, affected := f.TrafficShare.draw(rng), 0.0
 		for _, n := range rng.Perm(len(p.Dests)) {
 			d := &p.Dests[n]
 			ids := p.drawFaultyEndpoints(rng, &f, d)
 			share := d.Share * float64(len(ids)) / float64(len(d.Endpoints))
 			excluded := f.Kind != "" && d.Kind != f.Kind || f.Dest >= 0 && d.Dest != f.Dest
-			if len(ids) == 0 || excluded || total > 0 && total+share > maxShare {
+			if len(ids) == 0 || excluded || affected > 0 && affected+share > maxShare {
 				continue
 			}
-			total += share
+			affected += share
 			for _, id := range ids {
 				p.Changes = append(p.Changes,
 					Change{At: span.From, Endpoint: id, Fault: fault, Of: i},
@@ -38,7 +38,7 @@
 	}
 }
 
-// drawFaultyEndpoints draws which endpoints a fault is at if it is at their destination.
+// drawFaultyEndpoints draws the endpoints of a destination that a fault affects.
 func (p *Plan) drawFaultyEndpoints(rng *rand.Rand, f *Fault, d *Destination) []string {
 	var ids []string
 	for _, e := range d.Endpoints {
@@ -54,36 +54,36 @@
 	return ids
 }
 
-// resolveOverlaps lets the fault that began last stand where faults of an endpoint overlap. The endpoint is healthy
-// after the end of the last one.
+// resolveOverlaps resolves overlapping faults of an endpoint: the fault that began last applies, and the endpoint is
+// healthy after the end of all of them.
 func (p *Plan) resolveOverlaps() {
 	slices.SortStableFunc(p.Changes, func(a, b Change) int { return cmp.Compare(a.At, b.At) })
-	current := map[string][]Change{} // by endpoint, in the order in which they began
+	activeFaults := map[string][]Change{} // by endpoint, in the order of their beginnings
 	for i := range p.Changes {
 		c := &p.Changes[i]
 		if c.Fault.Mode != partner.Healthy {
-			current[c.Endpoint] = append(current[c.Endpoint], *c)
+			activeFaults[c.Endpoint] = append(activeFaults[c.Endpoint], *c)
 			continue
 		}
-		remaining := slices.DeleteFunc(current[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
-		if current[c.Endpoint] = remaining; len(remaining) > 0 {
+		remaining := slices.DeleteFunc(activeFaults[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
+		if activeFaults[c.Endpoint] = remaining; len(remaining) > 0 {
 			c.Fault = remaining[len(remaining)-1].Fault
 		}
 	}
 }
 
-// drawWindows draws the bursts and the hot keys.
+// drawWindows draws the time windows of the bursts and of the hot keys.
 func (p *Plan) drawWindows(rng *rand.Rand) {
 	for _, b := range p.Scenario.Bursts {
-		p.bursts = append(p.bursts, window{Span: drawSpan(rng, b.At, b.Length), size: b.Factor.draw(rng)})
+		p.burstWindows = append(p.burstWindows, window{Span: drawSpan(rng, b.At, b.Length), amount: b.Factor.draw(rng)})
 	}
 	for _, h := range p.Scenario.HotKeys {
 		span := drawSpan(rng, h.At, h.Length)
-		p.hotKeys = append(p.hotKeys, window{Span: span, size: h.Share.draw(rng), keys: h.Keys})
+		p.hotKeyWindows = append(p.hotKeyWindows, window{Span: span, amount: h.Share.draw(rng), destinations: h.Destinations})
 	}
 }
 
-// drawChurns draws which endpoints are replaced: one after another, none twice.
+// drawChurns draws the endpoints that are replaced, one after another. No endpoint is replaced twice.
 func (p *Plan) drawChurns(rng *rand.Rand) {
 	serial := 0
 	replaced := map[string]bool{}
@@ -97,7 +97,7 @@
 				serial++
 				replacement := &partner.EndpointSpec{ID: fmt.Sprintf("n%05d", serial), Zone: e.Zone}
 				address := ""
-				if c.Reuse {
+				if c.ReuseAddress {
 					address = e.ID
 				}
 				p.Changes = append(p.Changes,
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -13,8 +13,8 @@
 	"cleathold/internal/settings"
 )
 
-// Load reads and checks the script at a path. Figures replace the defaults of the params that they name. Errors of
-// the script are those of Parse.
+// Load reads and checks the script at a path. Figures replace the defaults of the params with the same names. Errors in
+// the script are returned as by Parse.
 func Load(path string, figures map[string]float64) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -23,26 +23,26 @@
 	return Parse(path, text, figures)
 }
 
-// Parse reads and checks the text of a script, as Load does. Its errors are of type *settings.Error, with the file
-// and, where there is one, line and column.
+// Parse executes and checks the text of a script. Its errors are of type *settings.Error, with the file and, if known,
+// line and column.
 func Parse(path string, text []byte, figures map[string]float64) (*Scenario, error) {
 	s := &Scenario{
 		Path: path, Script: text, Figures: figures, Senders: 1, InFlight: Range{1.8, 2.4}, OpenMessages: Range{7, 11},
 		Traffic: Traffic{
-			Zipf: Range{0.8, 1.15}, Clump: Range{1, 3}, RetryDelay: Range{0.3, 2}, ResubmitDelay: Range{0.8, 2},
+			Zipf: Range{0.8, 1.15}, ClumpSeconds: Range{1, 3}, RetryDelay: Range{0.3, 2}, ResubmitDelay: Range{0.8, 2},
 			Body: Range{100, 400}, Patience: 400 * time.Millisecond,
 		},
 	}
-	names := starlark.StringDict{}
-	for word := range faultModes {
-		names[word] = starlark.String(word)
+	globals := starlark.StringDict{}
+	for mode := range faultModes {
+		globals[mode] = starlark.String(mode)
 	}
 	for name, f := range s.functions() {
-		names[name] = starlark.NewBuiltin(name, withArgs(f))
+		globals[name] = starlark.NewBuiltin(name, withArgs(f))
 	}
 	unused := maps.Clone(figures)
-	names["param"] = starlark.NewBuiltin("param", param(figures, unused))
-	if _, err := settings.Exec(path, text, names); err != nil {
+	globals["param"] = starlark.NewBuiltin("param", param(figures, unused))
+	if _, err := settings.Exec(path, text, globals); err != nil {
 		return nil, err
 	}
 	if len(unused) > 0 {
@@ -55,7 +55,7 @@
 	return s, nil
 }
 
-// functions are what a script calls to describe a scenario, by their names in it.
+// functions returns the functions that a script calls to describe a scenario, by their names in the script.
 func (s *Scenario) functions() map[string]func(*args) error {
 	return map[string]func(*args) error{
 		"agent":         s.addAgentAction,
@@ -79,10 +79,11 @@
 	}
 }
 
-// builtin is the body of a function of a script.
+// builtin is the implementation of a function that scripts can call.
 type builtin = func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error)
 
-// withArgs passes the arguments of a call, which go by name, to f. Those that f does not take are an error.
+// withArgs returns a builtin that passes the named arguments of a call to f. Arguments that f does not take are an
+// error.
 func withArgs(f func(*args) error) builtin {
 	return func(
 		_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple,
@@ -90,19 +91,18 @@
 		if len(given) > 0 {
 			return nil, fmt.Errorf("%s: arguments go by name", b.Name())
 		}
-		a := &args{name: b.Name(), given: map[string]starlark.Value{}}
+		a := &args{name: b.Name(), values: map[string]starlark.Value{}}
 		for _, pair := range named {
-			a.given[string(pair[0].(starlark.String))] = pair[1]
+			a.values[string(pair[0].(starlark.String))] = pair[1]
 		}
 		if err := f(a); err != nil {
 			return nil, fmt.Errorf("%s: %w", b.Name(), err)
 		}
-		return starlark.None, a.done()
+		return starlark.None, a.finish()
 	}
 }
 
-// param returns the function that gives a script a figure, or its default. It deletes the figures that were asked for
-// from unused.
+// param returns the script function that returns a figure or its default. It deletes each requested figure from unused.
 func param(figures, unused map[string]float64) builtin {
 	return func(
 		_ *starlark.Thread, b *starlark.Builtin, given starlark.Tuple, named []starlark.Tuple,
@@ -116,13 +116,13 @@
 			return nil, fmt.Errorf("param: usual: got %s, want a number", usual.Type())
 		}
 		delete(unused, name)
-		figure, isSet := figures[name]
+		value, isSet := figures[name]
 		if !isSet {
 			return usual, nil
 		}
-		if _, isInt := usual.(starlark.Int); isInt && figure == math.Trunc(figure) {
-			return starlark.MakeInt64(int64(figure)), nil
+		if _, isInt := usual.(starlark.Int); isInt && value == math.Trunc(value) {
+			return starlark.MakeInt64(int64(value)), nil
 		}
-		return starlark.Float(figure), nil
+		return starlark.Float(value), nil
 	}
 }
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -10,13 +10,13 @@
 	"cleathold/internal/partner"
 )
 
-// A Mark is something that happens in a plan, for a time axis.
+// A Mark is an event of a plan for display on a time axis.
 type Mark struct {
-	From, To time.Duration // equal for what takes no time
+	From, To time.Duration // equal for an instantaneous event
 	Text     string
 }
 
-// Marks returns what happens in a plan, in the order of their times.
+// Marks returns the marks of a plan's events, in the order of their times.
 func (p *Plan) Marks() []Mark {
 	list := p.faultMarks()
 	for _, c := range p.Changes {
@@ -24,11 +24,12 @@
 			list = append(list, Mark{c.At, c.At, fmt.Sprintf("%s of destination %d is gone", c.Endpoint, c.Dest)})
 		}
 	}
-	for _, b := range p.bursts {
-		list = append(list, Mark{b.From, b.To, fmt.Sprintf("burst: %.1f times the traffic", b.size)})
+	for _, b := range p.burstWindows {
+		list = append(list, Mark{b.From, b.To, fmt.Sprintf("burst: %.1f times the traffic", b.amount)})
 	}
-	for _, h := range p.hotKeys {
-		list = append(list, Mark{h.From, h.To, fmt.Sprintf("%d large destinations draw %.0f%% more", h.keys, 100*h.size)})
+	for _, h := range p.hotKeyWindows {
+		list = append(list, Mark{h.From, h.To,
+			fmt.Sprintf("%d large destinations draw %.0f%% more", h.destinations, 100*h.amount)})
 	}
 	for _, o := range p.DiscoveryOutages {
 		list = append(list, Mark{o.From, o.To, "discovery is down"})
@@ -48,12 +49,12 @@
 	return list
 }
 
-// faultMarks has one mark for each fault of the scenario, unless it found no endpoint.
+// faultMarks returns one mark for each fault of the scenario that affects at least one endpoint.
 func (p *Plan) faultMarks() []Mark {
 	var list []Mark
-	words := map[partner.Mode]string{}
-	for word, mode := range faultModes {
-		words[mode] = word
+	modeNames := map[partner.Mode]string{}
+	for name, mode := range faultModes {
+		modeNames[mode] = name
 	}
 	for i, f := range p.Scenario.Faults {
 		m := Mark{From: -1}
@@ -75,17 +76,18 @@
 		if m.From < 0 {
 			continue
 		}
-		where := ""
+		location := ""
 		if f.Zone != "" {
-			where = " in " + f.Zone
+			location = " in " + f.Zone
 		}
-		m.Text = fmt.Sprintf("%s%s: %d destinations, %.0f%% of the traffic", words[f.Mode], where, len(dests), 100*share)
+		m.Text = fmt.Sprintf(
+			"%s%s: %d destinations, %.0f%% of the traffic", modeNames[f.Mode], location, len(dests), 100*share)
 		list = append(list, m)
 	}
 	return list
 }
 
-// destinationOf returns the destination that has an endpoint from the start; nil where none has.
+// destinationOf returns the destination that an endpoint belongs to from the start of the run; nil if there is none.
 func (p *Plan) destinationOf(endpoint string) *Destination {
 	for i, d := range p.Dests {
 		if slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == endpoint }) {
@@ -95,29 +97,29 @@
 	return nil
 }
 
-// actionMarks has one mark for each action of the scenario on senders.
+// actionMarks returns one mark for each action on senders in the scenario.
 func (p *Plan) actionMarks() []Mark {
 	var list []Mark
 	for i, a := range p.Scenario.Actions {
 		m := Mark{From: -1}
 		senders := 0
 		for _, x := range p.Actions {
-			if x.Of == i {
+			if x.ActionIndex == i {
 				if senders++; m.From < 0 {
 					m.From = x.At
 				}
 				m.To = max(m.To, x.At, x.Until)
 			}
 		}
-		if m.Text = fmt.Sprintf("sender %d: %s", a.Sender, a.What); a.Sender < 0 {
-			m.Text = fmt.Sprintf("%d senders: %s", senders, a.What)
+		if m.Text = fmt.Sprintf("sender %d: %s", a.Sender, a.Kind); a.Sender < 0 {
+			m.Text = fmt.Sprintf("%d senders: %s", senders, a.Kind)
 		}
 		list = append(list, m)
 	}
 	return list
 }
 
-// summarize names a few of the parties.
+// summarize returns a list of the parties' names, shortened if there are more than four.
 func summarize(names []string) string {
 	switch {
 	case len(names) == 0:
--- a/internal/simulation/call.go
+++ b/internal/simulation/call.go
@@ -15,31 +15,31 @@
 
 // An inFlightCall is a call, or a health check, of a sender to an endpoint.
 type inFlightCall struct {
-	sender       *sender
-	call         *state.Call // nil: a health check
-	target       state.Target
-	id           uint64
-	delay        time.Duration // of the network, one way
-	newConn      bool          // it is the first on its connection
-	overCapacity bool          // its connection is one more than the endpoint takes
-	sent         bool          // its first byte has left
-	done         bool          // the sender waits for it no more
-	ended        map[*state.Attempt]bool
-	startedAt    time.Duration
+	sender        *sender
+	call          *state.Call // nil: a health check
+	target        state.Target
+	id            uint64
+	delay         time.Duration // of the network, one way
+	newConnection bool          // it is the first call on its connection
+	overCapacity  bool          // its connection exceeds the endpoint's connection limit
+	sent          bool          // the first byte was sent
+	done          bool          // the sender no longer waits for the result
+	endedAttempts map[*state.Attempt]bool
+	startedAt     time.Duration
 }
 
-// Send makes a call, on an idle connection or on a new one. It implements state.Transport, as do Cancel,
-// CancelUnsent, HealthCheck and Disconnect.
+// Send starts a call on an idle connection or on a new one. Send, Cancel, CancelUnsent, HealthCheck and Disconnect
+// implement state.Transport.
 func (sd *sender) Send(c *state.Call) {
 	f := sd.startCall(c.Target)
-	f.call, f.ended = c, map[*state.Attempt]bool{}
+	f.call, f.endedAttempts = c, map[*state.Attempt]bool{}
 	sd.byCall[c] = f
 	for _, a := range c.Attempts {
 		sd.sim.at(a.Deadline.Sub(virtualStart), func() { f.timeOut(a) })
 	}
 }
 
-// HealthCheck makes a call without a message.
+// HealthCheck starts a call without messages.
 func (sd *sender) HealthCheck(t state.Target, deadline time.Time) {
 	f := sd.startCall(t)
 	sd.sim.at(deadline.Sub(virtualStart), func() {
@@ -47,10 +47,10 @@
 			if f.done {
 				return
 			}
-			if s := sd.sim; f.forget(sd.num, "timeout") {
+			if s := sd.sim; f.recordNoAnswer(sd.num, "timeout") {
 				s.environment.Model.Cancel(s.now, f.id, f.target.ID)
 			}
-			f.endAll(state.AttemptResult{Result: control.TimedOut})
+			f.end(state.AttemptResult{Result: control.TimedOut})
 		})
 	})
 }
@@ -62,7 +62,7 @@
 	}
 }
 
-// CancelUnsent abandons a call whose first byte has not left.
+// CancelUnsent abandons a call whose first byte was not sent.
 func (sd *sender) CancelUnsent(c *state.Call) {
 	if f := sd.byCall[c]; f != nil && !f.sent {
 		sd.sim.at(sd.sim.now, func() {
@@ -81,28 +81,31 @@
 	delete(sd.idleConns, endpoint)
 }
 
-// callsOf returns a sender's calls in the order in which they began, since that of a map differs from run to run.
+// callsOf returns a sender's calls in the order in which they started. The iteration order of the map must not decide,
+// since it differs from run to run.
 func (s *Sim) callsOf(sd *sender) []*inFlightCall {
 	return slices.SortedFunc(maps.Keys(sd.inFlight), func(a, b *inFlightCall) int { return cmp.Compare(a.id, b.id) })
 }
 
-// startCall sends on the connection that was idle for the shortest time, or on a new one.
-func (sd *sender) startCall(to state.Target) *inFlightCall {
+// startCall starts a call on the most recently used idle connection, or on a new one if none is idle.
+func (sd *sender) startCall(target state.Target) *inFlightCall {
 	s := sd.sim
 	s.lastCall++
-	f := &inFlightCall{sender: sd, target: to, id: s.lastCall, delay: NetworkDelay(to.Zone, sd.zone), startedAt: s.now}
+	f := &inFlightCall{
+		sender: sd, target: target, id: s.lastCall, delay: NetworkDelay(target.Zone, sd.zone), startedAt: s.now,
+	}
 	sd.inFlight[f] = true
-	idle := sd.idleConns[to.ID]
+	idle := sd.idleConns[target.ID]
 	for len(idle) > 0 && s.now-idle[0] >= idleConnTimeout { // the endpoint has closed these
-		s.environment.Model.Disconnect(s.now, to.ID)
+		s.environment.Model.Disconnect(s.now, target.ID)
 		idle = idle[1:]
 	}
 	if n := len(idle); n > 0 {
-		sd.idleConns[to.ID] = idle[:n-1]
+		sd.idleConns[target.ID] = idle[:n-1]
 		s.at(s.now, f.send)
 		return f
 	}
-	sd.idleConns[to.ID] = idle
+	sd.idleConns[target.ID] = idle
 	f.connect()
 	return f
 }
@@ -110,7 +113,7 @@
 // connect opens a connection and sends on it.
 func (f *inFlightCall) connect() {
 	sd, s := f.sender, f.sender.sim
-	f.newConn = true
+	f.newConnection = true
 	s.result.Connections++
 	if request, reply := f.links(); !request.Passes() || !reply.Passes() {
 		after := f.delay
@@ -121,7 +124,7 @@
 			if !sd.dead && !f.done {
 				f.recordFailure()
 			}
-			f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+			f.end(state.AttemptResult{Result: control.ConnectFailed})
 		})
 		return
 	}
@@ -131,7 +134,7 @@
 	})
 }
 
-// connected takes the result of an attempt to connect.
+// connected handles the result of a connection attempt.
 func (f *inFlightCall) connected(result partner.ConnectionResult) {
 	s := f.sender.sim
 	switch {
@@ -139,7 +142,7 @@
 		if !f.sender.dead {
 			f.recordFailure()
 		}
-		f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+		f.end(state.AttemptResult{Result: control.ConnectFailed})
 	case f.done && result == partner.ConnectionOpened:
 		s.environment.Model.Disconnect(s.now, f.target.ID)
 	case !f.done:
@@ -148,19 +151,19 @@
 	}
 }
 
-// links returns the states of the links from its sender to its endpoint and back.
+// links returns the states of the links from the call's sender to its endpoint and back.
 func (f *inFlightCall) links() (request, reply scenario.LinkState) {
 	return f.sender.sim.link(f.sender.name, f.target.ID), f.sender.sim.link(f.target.ID, f.sender.name)
 }
 
-// recordFailure records that its sender has seen the endpoint fail.
+// recordFailure records that the call's sender observed a failure of the endpoint.
 func (f *inFlightCall) recordFailure() {
 	f.sender.sim.record(audit.Event{
 		Kind: audit.FailureSeen, Sender: f.sender.num, Dest: f.target.Destination, Endpoint: f.target.ID,
 	})
 }
 
-// send sends the first byte. The endpoint has the whole call after the network's delay.
+// send sends the call. The endpoint receives it completely after the network delay.
 func (f *inFlightCall) send() {
 	s := f.sender.sim
 	if f.done {
@@ -170,12 +173,12 @@
 	request, reply := f.links()
 	if request.Cut || reply.Cut {
 		s.environment.Model.Disconnect(s.now, f.target.ID)
-		f.endAll(state.AttemptResult{Result: control.ConnectFailed})
+		f.end(state.AttemptResult{Result: control.ConnectFailed})
 		return
 	}
 	f.sent = true
 	c := partner.Call{
-		ID: f.id, Sender: f.sender.num, Endpoint: f.target.ID, NewConnection: f.newConn, OverCapacity: f.overCapacity,
+		ID: f.id, Sender: f.sender.num, Endpoint: f.target.ID, NewConnection: f.newConnection, OverCapacity: f.overCapacity,
 		HealthCheck: f.call == nil,
 	}
 	var ids []string
@@ -191,7 +194,7 @@
 	})
 	s.calls[f.id] = f
 	if !request.Passes() {
-		return // it never arrives: it times out, or a cut breaks its connection
+		return // the call never arrives: it times out, or a link cut breaks its connection
 	}
 	s.at(s.now+f.delay+s.extraDelay(request), func() {
 		if err := s.environment.Model.Call(s.now, c); err != nil { // the endpoint was removed meanwhile
@@ -200,7 +203,7 @@
 	})
 }
 
-// releaseConn keeps its connection for the next call.
+// releaseConn adds the call's connection to the idle ones. It closes the connection if the process has ended.
 func (f *inFlightCall) releaseConn() {
 	sd, s := f.sender, f.sender.sim
 	switch {
@@ -212,7 +215,7 @@
 	}
 }
 
-// receiveAnswer brings the endpoint's answer to the sender, unless that has stopped waiting.
+// receiveAnswer passes the endpoint's answer to the sender, unless the sender has stopped waiting.
 func (f *inFlightCall) receiveAnswer(a partner.Answer) {
 	s := f.sender.sim
 	if s.calls[f.id] == nil {
@@ -228,8 +231,8 @@
 		f.recordFailure()
 	}
 	if a.Kind == partner.Delivered && f.call != nil {
-		for _, at := range f.call.Attempts {
-			s.delivered(at.Message.ID)
+		for _, attempt := range f.call.Attempts {
+			s.delivered(attempt.Message.ID)
 		}
 	}
 	if !reply.Passes() {
@@ -238,15 +241,15 @@
 	if a.Kind != partner.Reset && !f.done {
 		f.releaseConn()
 	}
-	end := attemptResult(a)
+	result := attemptResult(a)
 	if after := s.extraDelay(reply); after > 0 {
-		s.at(s.now+after, func() { f.endAll(end) })
+		s.at(s.now+after, func() { f.end(result) })
 		return
 	}
-	f.endAll(end)
+	f.end(result)
 }
 
-// attemptResult is what an answer of an endpoint means to a sender.
+// attemptResult returns the result of an attempt that an endpoint answered.
 func attemptResult(a partner.Answer) state.AttemptResult {
 	r := state.AttemptResult{RetryAfter: a.RetryAfter}
 	switch a.Kind {
@@ -266,25 +269,25 @@
 	return r
 }
 
-// timeOut ends one attempt. The call is abandoned with its last one.
+// timeOut ends one attempt as timed out. The call is abandoned when its last attempt ends.
 func (f *inFlightCall) timeOut(a *state.Attempt) {
 	if f.sender.stopped() {
 		f.sender.whenRunning(func() { f.timeOut(a) })
 		return
 	}
-	if f.done || f.ended[a] {
+	if f.done || f.endedAttempts[a] {
 		return
 	}
-	f.ended[a] = true
+	f.endedAttempts[a] = true
 	f.recordFailure()
 	r := state.AttemptResult{Attempt: a, Result: control.TimedOut, Elapsed: f.sender.sim.now - f.startedAt}
-	if len(f.ended) == len(f.call.Attempts) {
+	if len(f.endedAttempts) == len(f.call.Attempts) {
 		f.abandon("timeout")
 	}
 	f.sender.step(state.CallEnded{Call: f.call, Results: []state.AttemptResult{r}})
 }
 
-// cancel abandons the call for the sender's own reasons.
+// cancel abandons the call at the sender's request, with result r for the attempts that have none yet.
 func (f *inFlightCall) cancel(r control.Result) {
 	if f.done {
 		return
@@ -293,8 +296,8 @@
 	f.endAttempts(state.AttemptResult{Result: r})
 }
 
-// endAll ends the call, with one result for all attempts that have none yet.
-func (f *inFlightCall) endAll(r state.AttemptResult) {
+// end ends the call, with result r for all attempts that have none yet.
+func (f *inFlightCall) end(r state.AttemptResult) {
 	if f.done {
 		return
 	}
@@ -307,12 +310,12 @@
 	f.endAttempts(r)
 }
 
-// endAttempts tells the loop one result for all attempts that have none yet.
+// endAttempts passes result r to the event loop for all attempts that have none yet.
 func (f *inFlightCall) endAttempts(r state.AttemptResult) {
 	var results []state.AttemptResult
 	for _, a := range f.call.Attempts {
-		if !f.ended[a] {
-			f.ended[a] = true
+		if !f.endedAttempts[a] {
+			f.endedAttempts[a] = true
 			r.Attempt, r.Elapsed = a, f.sender.sim.now-f.startedAt
 			results = append(results, r)
 		}
@@ -320,10 +323,10 @@
 	f.sender.step(state.CallEnded{Call: f.call, Results: results})
 }
 
-// abandon stops waiting: the connection is closed, though the endpoint may go on with its work.
+// abandon ends the sender's wait for the call and closes the connection. The endpoint may still finish the work.
 func (f *inFlightCall) abandon(cause string) {
 	f.finish()
-	if f.forget(f.sender.num, cause) {
+	if f.recordNoAnswer(f.sender.num, cause) {
 		f.notifyCanceled()
 	}
 }
@@ -337,9 +340,9 @@
 	}
 }
 
-// forget records that a call ended without an answer, and ignores one that still comes. It returns false if there was
-// one, or if the call was not sent.
-func (f *inFlightCall) forget(sender int, cause string) bool {
+// recordNoAnswer records that a call ended without an answer, and makes the simulation ignore a later answer. It
+// returns false if the call has already been answered or was not sent.
+func (f *inFlightCall) recordNoAnswer(sender int, cause string) bool {
 	s := f.sender.sim
 	if !f.sent || s.calls[f.id] == nil {
 		return false
@@ -349,7 +352,7 @@
 	return true
 }
 
-// notifyCanceled has the endpoint see, after the network's delay, that the connection was closed.
+// notifyCanceled notifies the endpoint, after the network delay, that the connection was closed.
 func (f *inFlightCall) notifyCanceled() {
 	s := f.sender.sim
 	s.at(s.now+f.delay, func() { s.environment.Model.Cancel(s.now, f.id, f.target.ID) })
--- a/internal/simulation/gossip.go
+++ b/internal/simulation/gossip.go
@@ -7,10 +7,10 @@
 	"cleathold/internal/state"
 )
 
-// MinGossipDelay and MaxGossipDelay bound the time that gossip between two senders takes.
+// MinGossipDelay and MaxGossipDelay bound the network delay of gossip between two senders.
 const MinGossipDelay, MaxGossipDelay = 1300 * time.Microsecond, 8700 * time.Microsecond
 
-// A gossipSender carries one sender's gossip to its peers. Each copy arrives late, twice or not at all.
+// A gossipSender sends one sender's gossip to its peers. Each packet is delayed, and may be duplicated or lost.
 type gossipSender struct{ *sender }
 
 // SendGossip implements state.GossipSender.
@@ -23,7 +23,7 @@
 	}
 }
 
-// sendTo draws what becomes of a packet on its way to a peer.
+// sendTo sends a packet to a peer. It draws whether the packet is lost, duplicated or reordered, and its delay.
 func (g gossipSender) sendTo(peer *sender, packet []byte) {
 	s := g.sim
 	s.result.GossipSent++
@@ -31,11 +31,11 @@
 	if s.rng.Float64() < s.plan.Scenario.GossipLoss || !l.Passes() || l.Loss > 0 && s.rng.Float64() < l.Loss {
 		return
 	}
-	deliveries := 1
+	copies := 1
 	if l.Duplicate > 0 && s.rng.Float64() < l.Duplicate {
-		deliveries = 2
+		copies = 2
 	}
-	for range deliveries {
+	for range copies {
 		after := MinGossipDelay + time.Duration(s.rng.Int64N(int64(MaxGossipDelay-MinGossipDelay))) + s.extraDelay(l)
 		if l.Reorder > 0 && s.rng.Float64() < l.Reorder {
 			after += 10 * l.Jitter
--- a/internal/simulation/submission.go
+++ b/internal/simulation/submission.go
@@ -9,13 +9,13 @@
 	"cleathold/internal/state"
 )
 
-// pendingSubmission is a submission whose client waits for the response.
+// pendingSubmission is a submission whose client is waiting for the response.
 type pendingSubmission struct {
 	id       string
 	response <-chan state.Response
 }
 
-// scheduleArrival schedules the next message that a client wants delivered; that one schedules the next.
+// scheduleArrival schedules the next arrival of a message. Each arrival schedules the one after it.
 func (s *Sim) scheduleArrival() {
 	a, ok := s.arrivals.Next()
 	if !ok {
@@ -28,8 +28,8 @@
 	})
 }
 
-// pickSender is the load balancer in front of the senders: it draws one that is not known to be unavailable, or any
-// where all are.
+// pickSender acts as the load balancer in front of the senders: it draws a sender that is not known to be unavailable,
+// or any sender if all are unavailable.
 func (s *Sim) pickSender() *sender {
 	first := s.rng.IntN(len(s.senders))
 	for i := range s.senders {
@@ -41,57 +41,58 @@
 	return s.senders[first]
 }
 
-// submit has a client submit or resubmit a message, unless its time is over.
+// submit submits or resubmits a client's message, unless it is delivered or its deadline has passed.
 func (s *Sim) submit(m *ClientRequest) {
 	timeLeft := m.TimeLeft(s.plan.Scenario, s.now)
 	if timeLeft <= 0 {
 		return
 	}
-	to := s.pickSender()
-	link := s.link(scenario.Clients, to.name)
-	if !to.accepting || link.Cut {
-		s.submissionLost(m)
+	target := s.pickSender()
+	link := s.link(scenario.Clients, target.name)
+	if !target.accepting || link.Cut {
+		s.submissionUnanswered(m)
 		return
 	}
 	id, resubmitted := m.NextSubmission()
 	key := m.Key(s.plan.Scenario)
 	s.messages[id] = m
 	submitted := audit.Event{
-		Kind: audit.Submitted, Sender: to.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key,
+		Kind: audit.Submitted, Sender: target.num, Message: id, Class: m.Class, Dest: m.Dest, TimeLeft: timeLeft, Key: key,
 		Request: m.N, Tenant: m.Tenant,
 	}
 	if link.Silent {
 		s.record(submitted)
-		s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, to) })
+		s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, target) })
 		return
 	}
 	s.at(s.now+clientDelay+s.extraDelay(link), func() {
 		s.record(submitted)
-		if !to.accepting { // it has ended meanwhile
-			s.senderLost(m, id, to)
+		if !target.accepting { // the process has ended or stopped accepting meanwhile
+			s.connectionLost(m, id, target)
 			return
 		}
-		to.submit(&state.Message{
+		target.submit(&state.Message{
 			ID: id, Class: m.Class, Tenant: m.Tenant, Destination: m.Dest, Deadline: virtualStart.Add(s.now + timeLeft),
 			Resubmitted: resubmitted, Body: make([]byte, m.Size), Key: key,
 		})
 		if s.responsesMayFail {
-			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { to.clientTimeout(m, id) })
+			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { target.clientTimeout(m, id) })
 		}
 	})
 }
 
-// submit gives the loop a message and waits for its response.
+// submit passes a message to the event loop, and adds it to the submissions that wait for a response.
 func (sd *sender) submit(m *state.Message) {
 	response := make(chan state.Response, 1)
 	sd.submissions = append(sd.submissions, pendingSubmission{m.ID, response})
 	sd.step(state.Submitted{Response: response, Message: m})
 }
 
-// answerClients passes the responses that are there to their clients. It returns what the loop has to know of them.
+// answerClients passes the available responses to their clients. It returns the events that report the responses as
+// written to the event loop.
 func (sd *sender) answerClients() []state.Event {
 	var written []state.Event
-	remaining := sd.submissions[:0]
+	pendingSubmissions := sd.submissions[:0]
 	for _, pending := range sd.submissions {
 		select {
 		case r := <-pending.response:
@@ -99,21 +100,21 @@
 				written = append(written, e)
 			}
 		default:
-			remaining = append(remaining, pending)
+			pendingSubmissions = append(pendingSubmissions, pending)
 		}
 	}
-	sd.submissions = remaining
+	sd.submissions = pendingSubmissions
 	return written
 }
 
-// respond passes a response to its client. It returns false where the loop need not know whether it arrived.
+// respond passes a response to its client. It returns false if the event loop needs no event about the response.
 func (sd *sender) respond(id string, r state.Response) (state.ResponseWritten, bool) {
 	s := sd.sim
 	m := s.messages[id]
-	// Either nobody waits any more, or the response does not arrive.
+	// Either the client no longer waits, or the link loses the response.
 	if link := s.link(sd.name, scenario.Clients); m == nil || !link.Passes() {
 		if m != nil && link.Cut {
-			s.senderLost(m, id, sd)
+			s.connectionLost(m, id, sd)
 		} else if m != nil {
 			s.at(s.now+s.plan.Scenario.Traffic.Patience, func() { s.responseTimedOut(m, id, sd) })
 		}
@@ -130,38 +131,39 @@
 	return state.ResponseWritten{}, false
 }
 
-// clientTimeout ends a client's wait, unless it has its response.
+// clientTimeout ends a client's wait for a response, unless the response has arrived.
 func (sd *sender) clientTimeout(m *ClientRequest, id string) {
-	waits := func(p pendingSubmission) bool { return p.id == id }
-	if sd.sim.messages[id] == m && slices.ContainsFunc(sd.submissions, waits) {
+	matches := func(p pendingSubmission) bool { return p.id == id }
+	if sd.sim.messages[id] == m && slices.ContainsFunc(sd.submissions, matches) {
 		sd.sim.responseTimedOut(m, id, sd)
 	}
 }
 
-// responseTimedOut has a client that waited long enough resubmit its message.
+// responseTimedOut records that a client has abandoned a submission after its timeout, and schedules a resubmission of
+// the message unless it is delivered.
 func (s *Sim) responseTimedOut(m *ClientRequest, id string, sd *sender) {
 	s.record(audit.Event{Kind: audit.Abandoned, Sender: sd.num, Message: id, Cause: "timeout"})
 	delete(s.messages, id)
 	if !m.Done {
-		s.submissionLost(m)
+		s.submissionUnanswered(m)
 	}
 }
 
-// senderLost has a client whose connection broke resubmit its message.
-func (s *Sim) senderLost(m *ClientRequest, id string, sd *sender) {
+// connectionLost records that a client's connection broke, and schedules a resubmission of the message.
+func (s *Sim) connectionLost(m *ClientRequest, id string, sd *sender) {
 	s.record(audit.Event{Kind: audit.Abandoned, Sender: sd.num, Message: id, Cause: "died"})
 	delete(s.messages, id)
-	s.submissionLost(m)
+	s.submissionUnanswered(m)
 }
 
-// submissionLost has a client resubmit, after a while, a message that nobody answered for.
-func (s *Sim) submissionLost(m *ClientRequest) {
+// submissionUnanswered schedules the resubmission of a message whose last submission got no response.
+func (s *Sim) submissionUnanswered(m *ClientRequest) {
 	if after, ok := m.Unanswered(s.plan.Scenario, s.rng); ok {
 		s.at(s.now+after, func() { s.submit(m) })
 	}
 }
 
-// rejected has a client retry a rejected message, as often as the scenario says.
+// rejected schedules a client's retry of a rejected message, up to the scenario's number of retries.
 func (s *Sim) rejected(m *ClientRequest, id string, retryAfter time.Duration) {
 	delete(s.messages, id)
 	if after, ok := m.Rejected(s.plan.Scenario, s.rng, retryAfter); ok {
@@ -169,7 +171,7 @@
 	}
 }
 
-// delivered ends a message for its client.
+// delivered marks a message as delivered, so that its client no longer submits it.
 func (s *Sim) delivered(id string) {
 	if m := s.messages[id]; m != nil {
 		m.Done = true
