--- a/internal/audit/auditor.go
+++ b/internal/audit/auditor.go
@@ -24,8 +24,8 @@
 	violations      []Violation
 	violationCounts map[Rule]int
 	counts          Counts
-	effects         map[string]effect // of messages that are not idempotent, by id
-	sweepAt         time.Duration     // when old effects are forgotten next
+	executions      map[string]execution // of messages that are not idempotent, by id
+	sweepAt         time.Duration        // when old effects are forgotten next
 }
 
 // Counts are the numbers of what was judged.
@@ -47,7 +47,7 @@
 func New(r Rules) *Auditor {
 	return &Auditor{
 		rules: r, messages: map[string]*message{}, calls: map[uint64]*call{}, senders: map[int]*sender{},
-		routes: map[routeKey]*route{}, violationCounts: map[Rule]int{}, effects: map[string]effect{},
+		routes: map[routeKey]*route{}, violationCounts: map[Rule]int{}, executions: map[string]execution{},
 	}
 }
 
@@ -88,11 +88,11 @@
 	case Notified:
 		a.sender(e.Sender).notified(e)
 	case OutageBegan:
-		a.route(a.keyOf(e.Dest, e.Endpoint)).outageBegan()
+		a.route(a.routeKeyFor(e.Dest, e.Endpoint)).outageBegan()
 	case OutageEnded:
-		a.route(a.keyOf(e.Dest, e.Endpoint)).inOutage = false
+		a.route(a.routeKeyFor(e.Dest, e.Endpoint)).inOutage = false
 	case FailureSeen:
-		if r := a.route(a.keyOf(e.Dest, e.Endpoint)); r.inOutage && !a.sender(e.Sender).down {
+		if r := a.route(a.routeKeyFor(e.Dest, e.Endpoint)); r.inOutage && !a.sender(e.Sender).down {
 			r.sawFailure[e.Sender] = true
 		}
 	case Overloaded:
--- a/internal/audit/auditor_test.go
+++ b/internal/audit/auditor_test.go
@@ -20,18 +20,18 @@
 	return r
 }
 
-// violatedRule plays a ledger and returns the rules that were broken.
-func violatedRule(t *testing.T, name string, list []Event) string {
+// violatedRules plays a ledger and returns the rules that were broken.
+func violatedRules(t *testing.T, name string, events []Event) string {
 	t.Helper()
 	a := New(testRules())
-	for _, e := range list {
+	for _, e := range events {
 		if err := a.Read(e); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
 	var rules []string
-	for _, b := range a.Close(list[len(list)-1].At + time.Minute) {
-		rules = append(rules, string(b.Rule))
+	for _, v := range a.Close(events[len(events)-1].At + time.Minute) {
+		rules = append(rules, string(v.Rule))
 	}
 	return strings.Join(rules, "; ")
 }
@@ -70,23 +70,23 @@
 	return Event{At: at, Kind: Notice, Message: id, Deferred: deferred}
 }
 
-func zoned(e Event, zone int) Event { e.Zone = zone; return e }
+func inZone(e Event, zone int) Event { e.Zone = zone; return e }
 
 func notified(at time.Duration, endpoint string, leaves bool) Event {
 	return Event{At: at, Kind: Notified, Endpoint: endpoint, Leaves: leaves}
 }
 
-func rejected(at time.Duration, n uint64, wait time.Duration) Event {
+func rejectedCall(at time.Duration, n uint64, wait time.Duration) Event {
 	return Event{At: at, Kind: Ended, Call: n, Outcome: NeverRan, RetryAfter: wait}
 }
 
-func longer(e Event) Event { e.TimeLeft = 20 * time.Second; return e }
+func withLongDeadline(e Event) Event { e.TimeLeft = 20 * time.Second; return e }
 
-func by(e Event, sender int) Event { e.Sender = sender; return e }
+func fromSender(e Event, sender int) Event { e.Sender = sender; return e }
 
-func overloaded(saw []int, calls map[int]int) []Event {
+func overloadEvents(witnesses []int, calls map[int]int) []Event {
 	list := []Event{{At: 1 * ms, Kind: OutageBegan, Dest: 7}}
-	for _, s := range saw {
+	for _, s := range witnesses {
 		list = append(list, Event{At: 2 * ms, Kind: FailureSeen, Dest: 7, Sender: s})
 	}
 	return append(list, Event{At: 3 * ms, Kind: OutageEnded, Dest: 7},
@@ -96,30 +96,31 @@
 // sentTwice has a call with a message of a class, which ends with an outcome, and then a second one.
 func sentTwice(class int, first Outcome, gap time.Duration, zone int) []Event {
 	return []Event{
-		longer(submitted(0, "m", class, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, first),
-		zoned(callSent(2*ms+gap, 2, "b", 7, "m"), zone), callEnded(3*ms+gap, 2, Delivered),
+		withLongDeadline(submitted(0, "m", class, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
+		callEnded(3*ms, 1, first),
+		inZone(callSent(2*ms+gap, 2, "b", 7, "m"), zone), callEnded(3*ms+gap, 2, Delivered),
 	}
 }
 
 // A ruleCase is a ledger, and the rules that it breaks.
 type ruleCase struct {
-	name string
-	list []Event
-	want string
+	name   string
+	events []Event
+	want   string
 }
 
 // checkRules finds each violation by one step, and none in the counterpart just within the rule.
 func checkRules(t *testing.T, cases []ruleCase) {
 	t.Helper()
 	for _, c := range cases {
-		if got := violatedRule(t, c.name, c.list); got != c.want {
+		if got := violatedRules(t, c.name, c.events); got != c.want {
 			t.Errorf("%s: broken: %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
 // A violation names the calls and times that it follows from.
-func TestViolationNamesItsCause(t *testing.T) {
+func TestViolationListsCallsAndTimes(t *testing.T) {
 	a := New(testRules())
 	for _, e := range []Event{
 		submitted(0, "m", 2, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Failed),
@@ -129,9 +130,10 @@
 			t.Fatal(err)
 		}
 	}
-	b := a.Close(5 * ms)
-	if len(b) != 1 || b[0].Message != "m" || fmt.Sprint(b[0].Calls, b[0].Times) != "[1 2] [2ms 5ms]" || b[0].At != 5*ms {
-		t.Errorf("%+v", b)
+	violations := a.Close(5 * ms)
+	if len(violations) != 1 || violations[0].Message != "m" ||
+		fmt.Sprint(violations[0].Calls, violations[0].Times) != "[1 2] [2ms 5ms]" || violations[0].At != 5*ms {
+		t.Errorf("%+v", violations)
 	}
 }
 
--- a/internal/audit/call.go
+++ b/internal/audit/call.go
@@ -12,7 +12,7 @@
 	endpoint    string
 	zone        int
 	dest        int
-	at          time.Duration // when it arrived completely
+	arrivedAt   time.Duration // when it arrived completely
 	firstByteAt time.Duration // when its first byte was written; its time by the rules
 	messages    []string
 }
@@ -48,14 +48,14 @@
 // callViolation adds a violation by a call, which follows from something that happened at since.
 func (a *Auditor) callViolation(c *call, rule Rule, message string, since time.Duration, text string) {
 	a.addViolation(Violation{
-		Rule: rule, At: c.at, Sender: c.sender, Message: message, Calls: []uint64{c.id}, Times: []time.Duration{since, c.at},
-		Text: text,
+		Rule: rule, At: c.arrivedAt, Sender: c.sender, Message: message, Calls: []uint64{c.id},
+		Times: []time.Duration{since, c.arrivedAt}, Text: text,
 	})
 }
 
 // checkEndpoint judges whether a call may go to its endpoint: not after a drain, and not before the end of a wait.
 func (a *Auditor) checkEndpoint(c *call) {
-	s, key := a.sender(c.sender), a.keyOf(c.dest, c.endpoint)
+	s, key := a.sender(c.sender), a.routeKeyFor(c.dest, c.endpoint)
 	if since, departed := s.departures[c.endpoint]; departed && c.firstByteAt > since+a.rules.DrainGrace {
 		text := fmt.Sprintf("a call to %s %v after the sender was told that it drains or is gone",
 			c.endpoint, c.firstByteAt-since)
@@ -64,10 +64,10 @@
 	w, waits := s.waits[key]
 	switch {
 	case !waits:
-	case c.at >= w.until:
+	case c.arrivedAt >= w.until:
 		delete(s.waits, key)
-	case c.at > w.from+a.rules.RetryAfterSlack:
-		text := fmt.Sprintf("a call to destination %d %v before the end of a wait", c.dest, w.until-c.at)
+	case c.arrivedAt > w.from+a.rules.RetryAfterSlack:
+		text := fmt.Sprintf("a call to destination %d %v before the end of a wait", c.dest, w.until-c.arrivedAt)
 		a.callViolation(c, RuleRetryAfter, "", w.from, text)
 	}
 }
@@ -78,7 +78,7 @@
 func (a *Auditor) checkRepeat(m *message, c *call) {
 	if m.ended && m.accepted && m.class.Idempotency == NotIdempotent && c.firstByteAt > m.endedAt {
 		a.addViolation(Violation{
-			Rule: RuleRepeat, At: c.at, Sender: c.sender, Message: m.id, Calls: append(m.callIDs(), c.id),
+			Rule: RuleRepeat, At: c.arrivedAt, Sender: c.sender, Message: m.id, Calls: append(m.callIDs(), c.id),
 			Text: "sent after its end",
 		})
 		return
@@ -87,19 +87,19 @@
 		if t.ended && (t.outcome == NeverRan || t.outcome == NothingOwed) {
 			continue
 		}
-		if why := m.class.whyNotRepeat(t.call, c); why != "" {
+		if reason := m.class.repeatViolation(t.call, c); reason != "" {
 			a.addViolation(Violation{
-				Rule: RuleRepeat, At: c.at, Sender: c.sender, Message: m.id, Calls: []uint64{t.call.id, c.id},
-				Times: []time.Duration{t.call.at, c.at}, Text: why,
+				Rule: RuleRepeat, At: c.arrivedAt, Sender: c.sender, Message: m.id, Calls: []uint64{t.call.id, c.id},
+				Times: []time.Duration{t.call.arrivedAt, c.arrivedAt}, Text: reason,
 			})
 			return
 		}
 	}
 }
 
-// whyNotRepeat returns why a message must not be in a call after it was in an earlier one that may have run it; empty
+// repeatViolation returns why a message must not be in a call after it was in an earlier one that may have run it; empty
 // where it may.
-func (c Class) whyNotRepeat(earlier, later *call) string {
+func (c Class) repeatViolation(earlier, later *call) string {
 	age := later.firstByteAt - earlier.firstByteAt
 	switch {
 	case c.Idempotency == NotIdempotent:
@@ -120,7 +120,7 @@
 	}
 	delete(a.calls, e.Call)
 	if s := a.sender(c.sender); e.RetryAfter > 0 && !s.down {
-		key := a.keyOf(c.dest, c.endpoint)
+		key := a.routeKeyFor(c.dest, c.endpoint)
 		if w := s.waits[key]; e.At+e.RetryAfter > w.until {
 			s.waits[key] = wait{e.At, e.At + e.RetryAfter}
 		}
@@ -130,12 +130,12 @@
 		if m == nil {
 			continue
 		}
-		outcome, apart := e.Outcomes[id]
-		if !apart {
+		outcome, hasOwn := e.Outcomes[id]
+		if !hasOwn {
 			outcome = e.Outcome
 		}
 		a.attemptEnded(m, c, outcome)
-		a.forget(m, a.now)
+		a.evictMessage(m, a.now)
 	}
 	return nil
 }
@@ -153,9 +153,9 @@
 			a.counts.Delivered++
 		}
 		if m.delivered = true; m.accepted {
-			a.end(m)
+			a.endMessage(m)
 		}
 	case NothingOwed:
-		a.end(m)
+		a.endMessage(m)
 	}
 }
--- a/internal/audit/call_test.go
+++ b/internal/audit/call_test.go
@@ -103,7 +103,7 @@
 		{
 			"another sender was notified",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), by(notified(2*ms, "a", true), 1),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), fromSender(notified(2*ms, "a", true), 1),
 				callSent(4*time.Second, 1, "a", 7, "m"), callEnded(5*time.Second, 1, Delivered),
 			},
 			"",
@@ -116,7 +116,7 @@
 		{
 			"Retry-After kept",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(1003*ms, 2, "b", 7, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			"",
@@ -124,7 +124,7 @@
 		{
 			"Retry-After broken",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(1002*ms, 2, "b", 7, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			retryAfter,
@@ -132,7 +132,7 @@
 		{
 			"just sent",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(103*ms, 2, "b", 7, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			"",
@@ -140,7 +140,7 @@
 		{
 			"sent a moment after",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(104*ms, 2, "b", 7, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			retryAfter,
@@ -149,7 +149,7 @@
 			"a shorter wait ends none",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callSent(2*ms, 2, "b", 7, "m"),
-				rejected(3*ms, 1, time.Second), rejected(4*ms, 2, 10*ms), callSent(500*ms, 3, "b", 7, "m"),
+				rejectedCall(3*ms, 1, time.Second), rejectedCall(4*ms, 2, 10*ms), callSent(500*ms, 3, "b", 7, "m"),
 				callEnded(1004*ms, 3, Delivered),
 			},
 			retryAfter,
@@ -157,15 +157,15 @@
 		{
 			"another sender goes on",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
-				by(callSent(500*ms, 2, "b", 7, "m"), 1), callEnded(1004*ms, 2, Delivered),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
+				fromSender(callSent(500*ms, 2, "b", 7, "m"), 1), callEnded(1004*ms, 2, Delivered),
 			},
 			"",
 		},
 		{
 			"separate routes",
 			[]Event{
-				submitted(0, "m", 0, 9), accepted(ms, "m"), callSent(2*ms, 1, "a", 9, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 9), accepted(ms, "m"), callSent(2*ms, 1, "a", 9, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(500*ms, 2, "b", 9, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			"",
@@ -173,7 +173,7 @@
 		{
 			"one route",
 			[]Event{
-				submitted(0, "m", 0, 9), accepted(ms, "m"), callSent(2*ms, 1, "a", 9, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 9), accepted(ms, "m"), callSent(2*ms, 1, "a", 9, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(500*ms, 2, "a", 9, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			retryAfter,
@@ -181,7 +181,7 @@
 		{
 			"a restart ends it",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				{At: 200 * ms, Kind: Died}, {At: 300 * ms, Kind: Ready}, callSent(500*ms, 2, "b", 7, "m"),
 				callEnded(1004*ms, 2, Delivered),
 			},
@@ -210,7 +210,7 @@
 	})
 }
 
-func TestEffectsAndDelayedCalls(t *testing.T) {
+func TestRepeatedExecutionsAndDelayedCalls(t *testing.T) {
 	checkRules(t, []ruleCase{
 		{
 			"an effect after its call was canceled, and after the end",
@@ -290,7 +290,7 @@
 		{
 			"a repeat that is delayed beyond its window",
 			[]Event{
-				longer(submitted(0, "m", 1, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
+				withLongDeadline(submitted(0, "m", 1, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
 				callEnded(3*ms, 1, Failed), withFirstByte(callSent(13*time.Second, 2, "a", 7, "m"), 12*time.Second),
 				callEnded(14*time.Second, 2, Delivered),
 			},
@@ -299,7 +299,7 @@
 		{
 			"a repeat that is delayed, and left after its window",
 			[]Event{
-				longer(submitted(0, "m", 1, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
+				withLongDeadline(submitted(0, "m", 1, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
 				callEnded(3*ms, 1, Failed), withFirstByte(callSent(13*time.Second, 2, "a", 7, "m"), 12*time.Second+2*ms),
 				callEnded(14*time.Second, 2, Delivered),
 			},
--- a/internal/audit/message.go
+++ b/internal/audit/message.go
@@ -58,17 +58,17 @@
 }
 
 // responded notes that a client has its response, or waits for it no more. From Accepted on the outcome is owed.
-func (a *Auditor) responded(m *message, what EventKind) {
-	switch what {
+func (a *Auditor) responded(m *message, kind EventKind) {
+	switch kind {
 	case Abandoned:
 		// The sender may have it and not know that it was abandoned: what it sends breaks no rule. A sender that was stopped
 		// reads it late, and counts its time from then.
-		a.end(m)
-		m.checkAt = m.deadline + lateEffectWindow
+		a.endMessage(m)
+		m.checkAt = m.deadline + lateExecutionWindow
 		a.scheduleCheck(m)
 		return
 	case Rejected:
-		a.end(m)
+		a.endMessage(m)
 		if len(m.attempts) == 0 {
 			delete(a.messages, m.id)
 		}
@@ -77,7 +77,7 @@
 	a.counts.Accepted++
 	m.accepted = true
 	if m.delivered {
-		a.end(m)
+		a.endMessage(m)
 		return
 	}
 	m.checkAt = m.deadline + a.rules.ResponseGrace
@@ -102,7 +102,7 @@
 			continue
 		}
 		if m.ended {
-			a.forget(m, now)
+			a.evictMessage(m, now)
 			continue
 		}
 		s := a.sender(m.sender)
@@ -122,23 +122,23 @@
 			Text: fmt.Sprintf("taken on, and neither delivered nor ended by a notice at %v; its time was up at %v",
 				m.checkAt, m.deadline),
 		})
-		a.end(m)
-		a.forget(m, now)
+		a.endMessage(m)
+		a.evictMessage(m, now)
 	}
 }
 
-// end notes that nothing is owed of a message any more. Its attempts are kept, since a later call could still repeat
+// endMessage notes that nothing is owed of a message any more. Its attempts are kept, since a later call could still repeat
 // it.
-func (a *Auditor) end(m *message) {
+func (a *Auditor) endMessage(m *message) {
 	if m.ended {
 		return
 	}
 	m.ended, m.endedAt = true, a.now
 }
 
-// forget drops an ended message once none of its calls can come any more. A call with it would then be one of a
+// evictMessage drops an ended message once none of its calls can come any more. A call with it would then be one of a
 // message that nobody submitted, which callSent finds.
-func (a *Auditor) forget(m *message, now time.Duration) {
+func (a *Auditor) evictMessage(m *message, now time.Duration) {
 	for _, t := range m.attempts {
 		if !t.ended {
 			return // forgotten as that ends
@@ -166,10 +166,10 @@
 		if e.Deferred && mayHaveRun && !m.class.resubmittable() {
 			a.addViolation(Violation{
 				Rule: RuleRepeat, At: e.At, Sender: e.Sender, Message: m.id, Calls: []uint64{t.call.id},
-				Times: []time.Duration{t.call.at, e.At}, Text: "handed back though it may have run",
+				Times: []time.Duration{t.call.arrivedAt, e.At}, Text: "handed back though it may have run",
 			})
 			break
 		}
 	}
-	a.end(m)
+	a.endMessage(m)
 }
--- a/internal/audit/route.go
+++ b/internal/audit/route.go
@@ -17,8 +17,8 @@
 	sawFailure map[int]bool // senders that saw a failure during the latest outage
 }
 
-// keyOf returns the route of an endpoint.
-func (a *Auditor) keyOf(dest int, endpoint string) routeKey {
+// routeKeyFor returns the route of an endpoint.
+func (a *Auditor) routeKeyFor(dest int, endpoint string) routeKey {
 	if a.rules.SeparateRoutes[dest] {
 		return routeKey{dest, endpoint}
 	}
@@ -43,24 +43,24 @@
 
 // checkOverload judges who overloaded a partner that was warming up: senders that saw its outage must not.
 func (a *Auditor) checkOverload(e Event) {
-	r := a.route(a.keyOf(e.Dest, e.Endpoint))
-	all, witnessed, maxCalls, worst := 0, 0, 0, 0
-	for who, n := range e.CallsBySender {
-		all += n
-		if !r.sawFailure[who] {
+	r := a.route(a.routeKeyFor(e.Dest, e.Endpoint))
+	totalCalls, witnessCalls, maxCalls, worst := 0, 0, 0, 0
+	for sender, n := range e.CallsBySender {
+		totalCalls += n
+		if !r.sawFailure[sender] {
 			continue
 		}
-		if witnessed += n; n > maxCalls || n == maxCalls && who < worst {
-			maxCalls, worst = n, who
+		if witnessCalls += n; n > maxCalls || n == maxCalls && sender < worst {
+			maxCalls, worst = n, sender
 		}
 	}
-	if all == 0 || float64(witnessed) < a.rules.OverloadShare*float64(all) {
+	if totalCalls == 0 || float64(witnessCalls) < a.rules.OverloadShare*float64(totalCalls) {
 		return
 	}
 	a.addViolation(Violation{
 		Rule: RuleOverload, At: e.At, Sender: worst, Times: []time.Duration{e.At},
 		Text: fmt.Sprintf(
 			"destination %d was pushed over: %d of %d calls came from senders that had seen it fail, most from sender %d",
-			e.Dest, witnessed, all, worst),
+			e.Dest, witnessCalls, totalCalls, worst),
 	})
 }
--- a/internal/audit/sender.go
+++ b/internal/audit/sender.go
@@ -46,7 +46,7 @@
 	if e.Cause == Wiped {
 		for _, m := range a.messages {
 			if m.sender == e.Sender {
-				a.end(m)
+				a.endMessage(m)
 			}
 		}
 	}
--- a/internal/audit/sender_test.go
+++ b/internal/audit/sender_test.go
@@ -8,24 +8,24 @@
 // Of a sender that is stopped, unreachable or has lost its folder only that is due which it can know or tell.
 func TestUnreachableSender(t *testing.T) {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	was := func(s float64, what EventKind, cause string) Event { return Event{At: at(s), Kind: what, Cause: cause} }
+	event := func(s float64, kind EventKind, cause string) Event { return Event{At: at(s), Kind: kind, Cause: cause} }
 	notified := Event{At: at(3), Kind: Notified, Endpoint: "e", Dest: 1, Leaves: true}
 	for _, c := range []struct {
-		name string
-		list []Event
-		want string
+		name   string
+		events []Event
+		want   string
 	}{
 		{
 			"a notice that is late",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), was(12, Requested, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(12, Requested, ""),
 			},
 			string(RuleOutcome),
 		},
 		{
 			"cut off, told as it can be",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), was(5, Unreachable, ""), was(20, ReachableAgain, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Unreachable, ""), event(20, ReachableAgain, ""),
 				{At: at(21), Kind: Notice, Message: "a"},
 			},
 			"",
@@ -33,22 +33,22 @@
 		{
 			"cut off, and never told",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), was(5, Unreachable, ""), was(20, ReachableAgain, ""),
-				was(22, Requested, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Unreachable, ""), event(20, ReachableAgain, ""),
+				event(22, Requested, ""),
 			},
 			string(RuleOutcome),
 		},
 		{
 			"killed",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), was(5, Died, ""), was(6, Ready, ""), was(22, Requested, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Died, ""), event(6, Ready, ""), event(22, Requested, ""),
 			},
 			string(RuleOutcome),
 		},
 		{
 			"killed, and its folder is lost",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), was(5, Died, Wiped), was(6, Ready, ""), was(22, Requested, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Died, Wiped), event(6, Ready, ""), event(22, Requested, ""),
 			},
 			"",
 		},
@@ -63,7 +63,7 @@
 		{
 			"told while it was stopped",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), was(2, Died, ""), notified, was(6, Ready, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(2, Died, ""), notified, event(6, Ready, ""),
 				callSent(at(7), 1, "e", 1, "a"), callEnded(at(8), 1, Delivered),
 			},
 			"",
@@ -71,13 +71,13 @@
 		{
 			"and two seconds later",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), was(2, Died, ""), notified, was(6, Ready, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(2, Died, ""), notified, event(6, Ready, ""),
 				callSent(at(8.5), 1, "e", 1, "a"), callEnded(at(9), 1, Delivered),
 			},
 			string(RuleDrain),
 		},
 	} {
-		if got := violatedRule(t, c.name, c.list); got != c.want {
+		if got := violatedRules(t, c.name, c.events); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -23,8 +23,8 @@
 		t.Errorf("head %+v, %d bytes of script, %d of result", run.Head, len(run.Script), len(run.Result))
 	}
 	var written bytes.Buffer
-	lines := json.NewEncoder(&written)
-	complete, err := run.Events(func(e audit.Event) error { return lines.Encode(e) })
+	encoder := json.NewEncoder(&written)
+	complete, err := run.Events(func(e audit.Event) error { return encoder.Encode(e) })
 	if err != nil || !complete {
 		t.Fatalf("complete %t, %v", complete, err)
 	}
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -55,7 +55,7 @@
 
 // Events calls do with each event, until that returns an error. A ledger that ends in the middle of a block or of a
 // line is read up to there, and complete is false.
-func (r *Run) Events(do func(audit.Event) error) (complete bool, err error) {
+func (r *Run) Events(visit func(audit.Event) error) (complete bool, err error) {
 	file, err := os.Open(filepath.Join(r.Dir, eventsFile))
 	if err != nil {
 		return false, fmt.Errorf("ledger: %w", err)
@@ -67,16 +67,16 @@
 		return false, fmt.Errorf("ledger: %w", err)
 	}
 	defer decompressor.Close()
-	lines := bufio.NewScanner(decompressor)
-	lines.Buffer(make([]byte, 64<<10), maxLineBytes)
-	for lines.Scan() {
+	scanner := bufio.NewScanner(decompressor)
+	scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
+	for scanner.Scan() {
 		var e audit.Event
-		if err := json.Unmarshal(lines.Bytes(), &e); err != nil {
+		if err := json.Unmarshal(scanner.Bytes(), &e); err != nil {
 			return false, nil // the last line of an incomplete run
 		}
-		if err := do(e); err != nil {
+		if err := visit(e); err != nil {
 			return false, err
 		}
 	}
-	return lines.Err() == nil, nil
+	return scanner.Err() == nil, nil
 }
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -46,7 +46,7 @@
 	openOrder       []string                 // the same, in order
 	byClass         []*hdrhistogram.Histogram
 	causes          map[string]int
-	deaths          int
+	processEnds     int
 }
 
 type request struct {
@@ -72,12 +72,12 @@
 	return c
 }
 
-// bin returns the bin of a time, and completes the bins before it.
-func (c *Collector) bin(at time.Duration) *timeBin {
+// binAt returns the binAt of a time, and completes the bins before it.
+func (c *Collector) binAt(at time.Duration) *timeBin {
 	i := int(at / c.binWidth)
 	for len(c.bins) <= i {
 		if n := len(c.bins); n > 0 {
-			c.bins[n-1].oldestAge = c.oldest(time.Duration(n) * c.binWidth)
+			c.bins[n-1].oldestAge = c.oldestOpenAge(time.Duration(n) * c.binWidth)
 		}
 		c.bins = append(c.bins, timeBin{causes: map[string]int{}, callsInFlight: len(c.calls),
 			openMessages: len(c.openSince)})
@@ -85,8 +85,8 @@
 	return &c.bins[i]
 }
 
-// oldest returns the age of the oldest open message.
-func (c *Collector) oldest(now time.Duration) time.Duration {
+// oldestOpenAge returns the age of the oldestOpenAge open message.
+func (c *Collector) oldestOpenAge(now time.Duration) time.Duration {
 	for len(c.openOrder) > 0 {
 		if at, open := c.openSince[c.openOrder[0]]; open {
 			return now - at
@@ -96,21 +96,21 @@
 	return 0
 }
 
-func (c *Collector) addCause(b *timeBin, word string) {
-	b.causes[word]++
-	c.causes[word]++
+func (c *Collector) addCause(b *timeBin, cause string) {
+	b.causes[cause]++
+	c.causes[cause]++
 }
 
 // Read takes the next event. It never fails.
 func (c *Collector) Read(e audit.Event) error {
 	c.events++
 	c.at = e.At
-	b := c.bin(e.At)
+	b := c.binAt(e.At)
 	switch e.Kind {
 	case audit.Requested:
 		b.requested += c.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
 		c.requests[e.Request] = request{class: e.Class, requestedAt: e.At}
-		c.forget(e)
+		c.evictExpired(e)
 	case audit.Submitted:
 		c.requestByID[e.Message] = e.Request
 		if w, known := c.requests[e.Request]; known {
@@ -147,7 +147,7 @@
 		}
 		delete(c.calls, e.Call)
 	case audit.Died:
-		c.deaths++
+		c.processEnds++
 	}
 	return c.meter.Read(e)
 }
@@ -156,9 +156,9 @@
 func (c *Collector) delivered(e audit.Event) {
 	for _, id := range c.calls[e.Call] {
 		n, known := c.requestByID[id]
-		w, still := c.requests[n]
+		w, pending := c.requests[n]
 		delete(c.openSince, id)
-		if !known || !still {
+		if !known || !pending {
 			continue
 		}
 		age := e.At - w.requestedAt
@@ -172,8 +172,8 @@
 	}
 }
 
-// forget drops requests whose deadline is long past.
-func (c *Collector) forget(e audit.Event) {
+// evictExpired drops requests whose deadline is long past.
+func (c *Collector) evictExpired(e audit.Event) {
 	for ; c.oldestRequest < e.Request; c.oldestRequest++ {
 		w, known := c.requests[c.oldestRequest]
 		if known && e.At < w.requestedAt+c.longestDeadline+5*time.Second {
@@ -186,14 +186,14 @@
 	}
 }
 
-// Remembered returns the number of remembered requests, submissions, calls and messages, for tests of the bounds.
-func (c *Collector) Remembered() int {
+// Size returns the number of remembered requests, submissions, calls and messages, for tests of the bounds.
+func (c *Collector) Size() int {
 	return len(c.requests) + len(c.requestByID) + len(c.calls) + len(c.openSince)
 }
 
 // Causes returns the causes of failures, the most frequent first.
 func (c *Collector) Causes() []string {
-	words := slices.Sorted(maps.Keys(c.causes))
-	slices.SortStableFunc(words, func(a, b string) int { return c.causes[b] - c.causes[a] })
-	return words
+	causes := slices.Sorted(maps.Keys(c.causes))
+	slices.SortStableFunc(causes, func(a, b string) int { return c.causes[b] - c.causes[a] })
+	return causes
 }
--- a/internal/report/limits.go
+++ b/internal/report/limits.go
@@ -92,7 +92,7 @@
 
 // limitAt returns the limit of a destination at a time.
 func (s *Sums) limitAt(d *scenario.Destination, at time.Duration) float64 {
-	sum, least := 0.0, 1.0
+	sum, lowestFactor := 0.0, 1.0
 	for _, e := range d.Endpoints {
 		factor := 1.0
 		for _, c := range s.plan.Changes {
@@ -106,12 +106,12 @@
 			}
 		}
 		sum += factor * d.Limit.PerSecond
-		least = min(least, factor)
+		lowestFactor = min(lowestFactor, factor)
 	}
 	if d.SeparateRoutes {
 		return sum
 	}
-	return least * d.Limit.PerSecond
+	return lowestFactor * d.Limit.PerSecond
 }
 
 // Of returns a destination's run, second by second.
@@ -184,16 +184,16 @@
 
 // Limited returns the destinations whose limit is reduced in the run, or all with a limit if there is none.
 func (s *Sums) Limited() (list []int) {
-	for _, only := range []bool{true, false} {
+	for _, reducedOnly := range []bool{true, false} {
 		for i := range s.plan.Dests {
 			d := &s.plan.Dests[i]
-			cut := false
+			reduced := false
 			for _, e := range d.Endpoints {
 				for _, c := range s.plan.Changes {
-					cut = cut || c.Endpoint == e.ID && c.Fault.Mode == partner.LimitReduced
+					reduced = reduced || c.Endpoint == e.ID && c.Fault.Mode == partner.LimitReduced
 				}
 			}
-			if d.Limit.Form != partner.NoLimit && (cut || !only) {
+			if d.Limit.Form != partner.NoLimit && (reduced || !reducedOnly) {
 				list = append(list, d.Dest)
 			}
 		}
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -43,11 +43,11 @@
 		t.Errorf("%d calls and %d refused, the run had %d and %d; %d senders in a second", calls, refused, r.Calls,
 			r.RejectedCalls, senders)
 	}
-	only := sums.Limited()
-	if len(only) != 1 {
-		t.Fatalf("limits of %v change", only)
+	limited := sums.Limited()
+	if len(limited) != 1 {
+		t.Fatalf("limits of %v change", limited)
 	}
-	spans := sums.Spans(only[0])
+	spans := sums.Spans(limited[0])
 	if len(spans) != 3 || spans[0].To != 12 || spans[1].To != 32 || math.Abs(spans[1].Limit-56) > 1e-6 ||
 		math.Abs(spans[0].Limit-112)+math.Abs(spans[2].Limit-112) > 1e-6 {
 		t.Errorf("%+v", spans)
@@ -56,7 +56,7 @@
 		t.Errorf("%+v", x)
 	}
 	var out bytes.Buffer
-	if err := sums.Table(&out, only[0]); err != nil || strings.Count(out.String(), "\n") != len(sums.Of(only[0]))+2 {
+	if err := sums.Table(&out, limited[0]); err != nil || strings.Count(out.String(), "\n") != len(sums.Of(limited[0]))+2 {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
--- a/internal/report/outages.go
+++ b/internal/report/outages.go
@@ -61,8 +61,8 @@
 		for _, d := range p.Dests {
 			x := &outage{affected: map[string]bool{}, discoveriesBySender: map[int]int{}}
 			for _, c := range p.Changes {
-				ours := slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == c.Endpoint })
-				if c.Of != i || c.Joins != nil || c.Drains || c.Leaves || !ours {
+				inDestination := slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == c.Endpoint })
+				if c.Of != i || c.Joins != nil || c.Drains || c.Leaves || !inDestination {
 					continue
 				}
 				if mode := c.Fault.Mode; mode != partner.Healthy && mode != partner.LimitReduced && !x.affected[c.Endpoint] {
@@ -80,8 +80,8 @@
 	return o
 }
 
-// at returns the outage of a destination at a time, or nil.
-func (o *Outages) at(dest int, at time.Duration) *outage {
+// outageAt returns the outage of a destination outageAt a time, or nil.
+func (o *Outages) outageAt(dest int, at time.Duration) *outage {
 	for _, x := range o.list {
 		if x.Dest == dest && at >= x.from && at < x.to {
 			return x
@@ -94,7 +94,7 @@
 func (o *Outages) Read(e audit.Event) error {
 	switch e.Kind {
 	case audit.Requested:
-		if x := o.at(e.Dest, e.At); x != nil {
+		if x := o.outageAt(e.Dest, e.At); x != nil {
 			x.Requested++
 			x.requestedWeight += o.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
 			o.byMessage[e.Request] = x
@@ -113,7 +113,7 @@
 			}
 		}
 	case audit.FailureSeen:
-		if x := o.at(e.Dest, e.At); x != nil && x.affected[e.Endpoint] {
+		if x := o.outageAt(e.Dest, e.At); x != nil && x.affected[e.Endpoint] {
 			x.Discoveries++
 			if x.discoveriesBySender[e.Sender]++; e.At < x.from+time.Second {
 				x.DiscoveriesInFirstSecond++
@@ -146,13 +146,13 @@
 // of their fair share.
 func (x *outage) balancedAfter() float64 {
 	const second = int(time.Second / outageStep)
-	want := 2.0 / 3 * float64(x.Affected) / float64(x.Of)
+	wantedShare := 2.0 / 3 * float64(x.Affected) / float64(x.Of)
 	for n := second; n <= len(x.callsAfter); n++ {
-		struck, all := 0, 0
+		affectedCalls, totalCalls := 0, 0
 		for _, c := range x.callsAfter[n-second : n] {
-			struck, all = struck+c[0], all+c[1]
+			affectedCalls, totalCalls = affectedCalls+c[0], totalCalls+c[1]
 		}
-		if all > 0 && float64(struck) >= want*float64(all) {
+		if totalCalls > 0 && float64(affectedCalls) >= wantedShare*float64(totalCalls) {
 			return (time.Duration(n) * outageStep).Seconds()
 		}
 	}
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -79,7 +79,7 @@
 			score.WorstAt)},
 		Line{"messages", fmt.Sprintf("%d; %d calls, %d of them turned away by partners; %d hand-ins turned away",
 			score.Messages, score.Calls, score.RejectedCalls, score.Rejected)},
-		Line{"senders that ended", fmt.Sprint(c.deaths)},
+		Line{"senders that ended", fmt.Sprint(c.processEnds)},
 		Line{"rules", rulesText(f.Violations)},
 	)
 	marks := c.plan.Marks()
@@ -93,8 +93,8 @@
 			h.ValueAtQuantile(50), h.ValueAtQuantile(90), h.ValueAtQuantile(99), h.ValueAtQuantile(99.9), h.Max(),
 		})
 	}
-	for _, word := range c.Causes() {
-		p.Causes = append(p.Causes, CauseLine{word, c.causes[word]})
+	for _, cause := range c.Causes() {
+		p.Causes = append(p.Causes, CauseLine{cause, c.causes[cause]})
 	}
 	for _, d := range []struct {
 		title, y string
@@ -124,11 +124,11 @@
 }
 
 // rulesText says whether the rules were kept.
-func rulesText(breaks []audit.Violation) string {
-	if len(breaks) == 0 {
+func rulesText(violations []audit.Violation) string {
+	if len(violations) == 0 {
 		return "kept"
 	}
-	return fmt.Sprintf("BROKEN %d times", len(breaks))
+	return fmt.Sprintf("BROKEN %d times", len(violations))
 }
 
 // spanText returns the time of a mark.
@@ -146,10 +146,10 @@
 }
 
 // seriesOf returns the points of a figure that bins have.
-func (c *Collector) seriesOf(of func(*timeBin) (float64, bool)) plotter.XYs {
+func (c *Collector) seriesOf(value func(*timeBin) (float64, bool)) plotter.XYs {
 	var list plotter.XYs
 	for i := range c.bins {
-		if y, some := of(&c.bins[i]); some {
+		if y, hasValue := value(&c.bins[i]); hasValue {
 			list = append(list, plotter.XY{X: (time.Duration(i) * c.binWidth).Seconds(), Y: y})
 		}
 	}
@@ -302,9 +302,9 @@
 	for _, l := range p.Lines {
 		fmt.Fprintf(t, "%s\t%s\n", l.Name, l.Value)
 	}
-	for _, b := range p.Violations {
-		fmt.Fprintf(t, "BROKEN\t%v by sender %d: %s: %s (message %s, calls %v, times %v)\n", b.At, b.Sender, b.Rule, b.Text,
-			b.Message, b.Calls, b.Times)
+	for _, v := range p.Violations {
+		fmt.Fprintf(t, "BROKEN\t%v by sender %d: %s: %s (message %s, calls %v, times %v)\n", v.At, v.Sender, v.Rule, v.Text,
+			v.Message, v.Calls, v.Times)
 	}
 	for _, m := range p.Marks {
 		fmt.Fprintf(t, "%d\t%s\t%s\n", m.Number, m.Span, m.Text)
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -46,12 +46,12 @@
 	}
 	p := s.Plan(3)
 	c := NewCollector(p)
-	most, asked, delivered := 0, 0, 0
+	maxSize, requested, delivered := 0, 0, 0
 	sim, err := simulation.NewSim(p, slog.New(slog.DiscardHandler), func(e audit.Event) error {
 		if e.Kind == audit.Requested {
-			asked++
+			requested++
 		}
-		most = max(most, c.Remembered())
+		maxSize = max(maxSize, c.Size())
 		return c.Read(e)
 	})
 	if err != nil {
@@ -69,18 +69,18 @@
 	for _, l := range page.Classes {
 		delivered += int(l.Delivered)
 	}
-	if delivered == 0 || delivered > asked || len(page.Plots) != 5 || len(page.Causes) == 0 || len(page.Marks) < 50 {
-		t.Errorf("%d delivered of %d, %+v", delivered, asked, page.Causes)
+	if delivered == 0 || delivered > requested || len(page.Plots) != 5 || len(page.Causes) == 0 || len(page.Marks) < 50 {
+		t.Errorf("%d delivered of %d, %+v", delivered, requested, page.Causes)
 	}
-	if most > 4*asked {
-		t.Errorf("%d things remembered of %d messages", most, asked)
+	if maxSize > 4*requested {
+		t.Errorf("%d things remembered of %d messages", maxSize, requested)
 	}
 	var text, html bytes.Buffer
 	if page.Text(&text) != nil || page.HTML(&html) != nil {
 		t.Fatal("not written")
 	}
 	if !strings.Contains(text.String(), "NOTE: late") || !strings.Contains(text.String(), "sender 0: kill") ||
-		r.Messages != asked {
+		r.Messages != requested {
 		t.Error(text.String())
 	}
 	if strings.Contains(html.String(), "<m1>") || !strings.Contains(html.String(), "&lt;m1&gt;") {
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -96,8 +96,8 @@
 }
 
 // starlarkBool returns a bool as Starlark writes it.
-func starlarkBool(yes bool) string {
-	if yes {
+func starlarkBool(value bool) string {
+	if value {
 		return "True"
 	}
 	return "False"
@@ -152,8 +152,8 @@
 }
 
 // call returns a call of Starlark.
-func call(name, at, seconds string, more ...string) string {
-	args := append([]string{"at = " + at}, more...)
+func call(name, at, seconds string, extraArgs ...string) string {
+	args := append([]string{"at = " + at}, extraArgs...)
 	if seconds != "" {
 		args = append(args, "seconds = "+seconds)
 	}
@@ -161,7 +161,7 @@
 }
 
 // pick draws one of several texts.
-func pick(d partDraw, of ...string) string { return of[d.IntN(len(of))] }
+func pick(d partDraw, options ...string) string { return options[d.IntN(len(options))] }
 
 // brokenLink draws the argument for how a link fails.
 func brokenLink(d partDraw) string { return `what = "` + pick(d, "CUT", "SILENT") + `"` }
@@ -171,10 +171,10 @@
 
 // drawAnswers draws how answers of discovery fail, and what clients do.
 func (c *Case) drawAnswers(d partDraw) {
-	second := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for range 1 + d.IntN(4) {
 		at := d.begin()
-		f := harness.AnswerFault{From: second(at), To: second(at + d.between(0.5, 5)), Share: d.between(0.3, 1)}
+		f := harness.AnswerFault{From: seconds(at), To: seconds(at + d.between(0.5, 5)), Share: d.between(0.3, 1)}
 		f.How = harness.AnswerFailures[d.IntN(len(harness.AnswerFailures))]
 		c.Faults.Answers = append(c.Faults.Answers, f)
 		c.addNote("answers of discovery, %.1f to %.1f s: %.2f of them %s", f.From.Seconds(), f.To.Seconds(), f.Share, f.How)
@@ -184,10 +184,10 @@
 	c.addNote("clients keep using open connections: %t", c.Faults.KeepConnections)
 	if d.IntN(3) == 0 {
 		at := d.begin()
-		crowd := harness.IdleClients{From: second(at), To: second(at + d.between(2, 6)), Connections: 200}
-		c.Faults.IdleClients, c.Faults.Sockets = []harness.IdleClients{crowd}, 192
-		c.addNote("a crowd of %d for each sender, %.1f to %.1f s", crowd.Connections, crowd.From.Seconds(),
-			crowd.To.Seconds())
+		idle := harness.IdleClients{From: seconds(at), To: seconds(at + d.between(2, 6)), Connections: 200}
+		c.Faults.IdleClients, c.Faults.Sockets = []harness.IdleClients{idle}, 192
+		c.addNote("a crowd of %d for each sender, %.1f to %.1f s", idle.Connections, idle.From.Seconds(),
+			idle.To.Seconds())
 	}
 }
 
@@ -217,25 +217,25 @@
 		if d.IntN(3) > 0 {
 			continue
 		}
-		form := systemCallFaults[d.IntN(len(systemCallFaults))]
+		injection := systemCallFaults[d.IntN(len(systemCallFaults))]
 		from := 20 + d.IntN(150)
-		switch strings.Count(form, "%d") {
+		switch strings.Count(injection, "%d") {
 		case 1:
-			form = fmt.Sprintf(form, from)
+			injection = fmt.Sprintf(injection, from)
 		case 2:
-			form = fmt.Sprintf(form, from, from+2+d.IntN(maxInjected))
+			injection = fmt.Sprintf(injection, from, from+2+d.IntN(maxInjected))
 		}
-		c.SystemCalls[i] = form
-		c.addNote("n%d: %s", i, form)
+		c.SystemCalls[i] = injection
+		c.addNote("n%d: %s", i, injection)
 	}
 	c.Faults.Wrap = func(sender int, program string) []string {
-		form, fails := c.SystemCalls[sender]
+		injection, fails := c.SystemCalls[sender]
 		if !fails {
 			return []string{program}
 		}
-		name, _, _ := strings.Cut(form, ":")
+		name, _, _ := strings.Cut(injection, ":")
 		// With -D the started child is the program itself, which gets the signals.
 		return []string{strace, "-D", "-f", "--seccomp-bpf", "-qqq", "-o", "/dev/null", "-e", "trace=" + name, "-e",
-			"inject=" + form, "--", program}
+			"inject=" + injection, "--", program}
 	}
 }
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -42,9 +42,9 @@
 		return nil, err
 	}
 	defer events.Close()
-	lines := bufio.NewWriter(events)
-	defer lines.Flush()
-	encoder := json.NewEncoder(lines)
+	writer := bufio.NewWriter(events)
+	defer writer.Flush()
+	encoder := json.NewEncoder(writer)
 	sink := func(e audit.Event) error { return encoder.Encode(e) }
 	result, err := harness.Run(ctx, harness.Setup{Plan: s.Plan(c.Seed), Program: program, Folder: folder, Log: log,
 		Faults: c.Faults, Sink: sink})
@@ -52,9 +52,9 @@
 		return nil, err
 	}
 	r := &Report{Result: result}
-	for _, b := range result.Violations {
-		r.addFinding("%v sender %d: %s: %s (message %s, calls %v, times %v)", b.At, b.Sender, b.Rule, b.Text, b.Message,
-			b.Calls, b.Times)
+	for _, v := range result.Violations {
+		r.addFinding("%v sender %d: %s: %s (message %s, calls %v, times %v)", v.At, v.Sender, v.Rule, v.Text, v.Message,
+			v.Calls, v.Times)
 	}
 	if result.Crashes > 0 {
 		r.addFinding("%d processes ended without being told to", result.Crashes)
@@ -82,14 +82,14 @@
 		return err
 	}
 	defer file.Close()
-	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, maxLogLine)
-	for lines.Scan() {
-		for _, part := range forbiddenLogLines {
-			if strings.Contains(lines.Text(), part) {
-				r.addFinding("n%d: %s", sender, lines.Text())
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(nil, maxLogLine)
+	for scanner.Scan() {
+		for _, pattern := range forbiddenLogLines {
+			if strings.Contains(scanner.Text(), pattern) {
+				r.addFinding("n%d: %s", sender, scanner.Text())
 			}
 		}
 	}
-	return lines.Err()
+	return scanner.Err()
 }
--- a/internal/socktest/socktest.go
+++ b/internal/socktest/socktest.go
@@ -106,11 +106,11 @@
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	at, err := unix.Getsockname(fd)
+	addr, err := unix.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", at.(*unix.SockaddrInet4).Port)
+	return fmt.Sprintf("127.0.0.1:%d", addr.(*unix.SockaddrInet4).Port)
 }
 
 // Status returns an answer without a body. Each header is a line such as "Retry-After: 1".
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -78,9 +78,9 @@
 }
 
 // take returns the next n bytes, or nil and an error that says what ran short.
-func (c *cursor) take(n int, what string) []byte {
+func (c *cursor) take(n int, field string) []byte {
 	if c.err == nil && n > len(c.data)-c.pos {
-		c.err = fmt.Errorf("byte %d: %s needs %d bytes, %d left", c.pos, what, n, len(c.data)-c.pos)
+		c.err = fmt.Errorf("byte %d: %s needs %d bytes, %d left", c.pos, field, n, len(c.data)-c.pos)
 	}
 	if c.err != nil {
 		return nil
@@ -89,45 +89,45 @@
 	return c.data[c.pos-n : c.pos]
 }
 
-func (c *cursor) u8(what string) uint8 {
-	if b := c.take(1, what); b != nil {
+func (c *cursor) u8(field string) uint8 {
+	if b := c.take(1, field); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (c *cursor) u16(what string) uint16 {
-	if b := c.take(2, what); b != nil {
+func (c *cursor) u16(field string) uint16 {
+	if b := c.take(2, field); b != nil {
 		return binary.LittleEndian.Uint16(b)
 	}
 	return 0
 }
 
-func (c *cursor) u32(what string) uint32 {
-	if b := c.take(4, what); b != nil {
+func (c *cursor) u32(field string) uint32 {
+	if b := c.take(4, field); b != nil {
 		return binary.LittleEndian.Uint32(b)
 	}
 	return 0
 }
 
-func (c *cursor) u64(what string) uint64 {
-	if b := c.take(8, what); b != nil {
+func (c *cursor) u64(field string) uint64 {
+	if b := c.take(8, field); b != nil {
 		return binary.LittleEndian.Uint64(b)
 	}
 	return 0
 }
 
-func (c *cursor) f32(what string) float32 { return math.Float32frombits(c.u32(what)) }
+func (c *cursor) f32(field string) float32 { return math.Float32frombits(c.u32(field)) }
 
-func (c *cursor) f64(what string) float64 { return math.Float64frombits(c.u64(what)) }
+func (c *cursor) f64(field string) float64 { return math.Float64frombits(c.u64(field)) }
 
 // floats reads a u8 count and that many f32.
-func (c *cursor) floats(what string) []float32 {
-	n := int(c.u8(what))
+func (c *cursor) floats(field string) []float32 {
+	n := int(c.u8(field))
 	if c.err != nil || n == 0 {
 		return nil
 	}
-	raw := c.take(4*n, what)
+	raw := c.take(4*n, field)
 	if raw == nil {
 		return nil
 	}
@@ -139,20 +139,20 @@
 }
 
 // blob copies n bytes out of the frame.
-func (c *cursor) blob(n int, what string) []byte { return bytes.Clone(c.take(n, what)) }
+func (c *cursor) blob(n int, field string) []byte { return bytes.Clone(c.take(n, field)) }
 
 // decode reads all records of a frame's body.
 func decode(data []byte) ([]Event, error) {
 	c := &cursor{data: data}
 	var events []Event
 	for c.pos < len(data) {
-		at := c.pos
+		offset := c.pos
 		e := c.event(c.u8("code"))
 		if c.err != nil {
 			return nil, c.err
 		}
 		if e == nil {
-			return nil, fmt.Errorf("byte %d: unknown event code %d", at, data[at])
+			return nil, fmt.Errorf("byte %d: unknown event code %d", offset, data[offset])
 		}
 		events = append(events, e)
 	}
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -122,13 +122,13 @@
 	r.u32(nonce)
 }
 
-// everyone is the receiver of a Say that goes to all other instances.
-const everyone = math.MaxUint32
+// allInstances is the receiver of a Say that goes to all other instances.
+const allInstances = math.MaxUint32
 
 // Say sends gossip to all other instances.
 func (r *Reply) Say(who uint16, blob []byte) {
 	r.record(actSay, who)
-	r.u32(everyone)
+	r.u32(allInstances)
 	r.text(string(blob))
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func raw(t *testing.T, s string) []byte {
+func decodeHex(t *testing.T, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
@@ -48,7 +48,7 @@
 		"census": {"0a 0100 01000000 05000000 01 0200 3900 01 0000803f 0000000000003e40",
 			Census{1, []Entry{{5, 1, 2, 57, 1, 1, 30}}}},
 	} {
-		body := raw(t, c.bytes)
+		body := decodeHex(t, c.bytes)
 		b, err := read(frame(body))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -73,10 +73,10 @@
 		"header cut off":            {1, 2, 3},
 		"body cut off":              {255, 255, 255, 255, 0, 0, 0, 0, 0, 0, 0, 0, 1},
 		"unknown event code 99":     frame([]byte{99}),
-		"Census counts":             frame(raw(t, "0a 0100 ffffffff 00")),
-		"Start settings needs":      frame(raw(t, "07 0200 0807060504030201 ffffffff")),
+		"Census counts":             frame(decodeHex(t, "0a 0100 ffffffff 00")),
+		"Start settings needs":      frame(decodeHex(t, "07 0200 0807060504030201 ffffffff")),
 		"the clock is no number":    {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xf8, 0x7f},
-		"ReportBack needs 8 bytes,": frame(raw(t, "01 0300 01000000 0200 05000000 c800 00000000 ")),
+		"ReportBack needs 8 bytes,": frame(decodeHex(t, "01 0300 01000000 0200 05000000 c800 00000000 ")),
 	} {
 		if _, err := read(data); err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: got %v", name, err)
@@ -98,7 +98,7 @@
 	r.Arm(3, 500, 77)
 	r.JournalLine(3, "hi")
 	r.Bug(3, "no")
-	want := raw(t, `09 0300 c4913a5d 4a1a1203 0000000000005440  06 0300 01000000 0200
+	want := decodeHex(t, `09 0300 c4913a5d 4a1a1203 0000000000005440  06 0300 01000000 0200
 		03 0300 01000000 0000000000406f40  0a 0300 01000000  08 0300 05000000  05 0300 05000000
 		0b 0300 01  0b 0300 00  01 0300  07 0300 0000000000407f40 4d000000  02 0300 0200 6869  04 0300 0200 6e6f`)
 	var out bytes.Buffer
