--- a/internal/audit/auditor.go
+++ b/internal/audit/auditor.go
@@ -1,7 +1,7 @@
-// Package audit judges from a ledger whether senders kept the rules of the project. A ledger has what was seen
-// outside the senders: submissions and responses, calls, delivery reports, the endpoint list as discovery told it,
-// and the partners' outages. The package takes no sender's word for anything, does no I/O, and keeps only what a
-// later event may still need.
+// Package audit checks a ledger for violations of the rules that senders must keep. A ledger contains what was
+// observed outside the senders: submissions and responses, calls, delivery reports, the endpoint list updates that
+// discovery sent, and the partners' outages. The package uses no data that a sender reports about itself. It does no
+// I/O, and it retains only state that a later event may need.
 package audit
 
 import (
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// maxViolations is how many violations are kept. More are only counted.
+// maxViolations is the number of violations that are stored. Further ones are only counted.
 const maxViolations = 1000
 
-// Auditor judges a ledger, event by event. It is not safe for concurrent use.
+// Auditor checks a ledger event by event. It is not safe for concurrent use.
 type Auditor struct {
 	rules           Rules
 	now             time.Duration
 	messages        map[string]*message
 	calls           map[uint64]*call
-	pendingChecks   []*message // by checkAt
+	pendingChecks   []*message // sorted by checkAt
 	senders         map[int]*sender
 	routes          map[routeKey]*route
 	violations      []Violation
 	violationCounts map[Rule]int
 	counts          Counts
-	executions      map[string]execution // of messages that are not idempotent, by id
-	sweepAt         time.Duration        // when old effects are forgotten next
+	executions      map[string]execution // first executions of messages that are not idempotent, by message id
+	sweepAt         time.Duration        // time of the next removal of expired executions
 }
 
-// Counts are the numbers of what was judged.
+// Counts holds the numbers of events, messages and calls that were checked.
 type Counts struct {
 	Events        int `json:"Events"`
 	Submissions   int `json:"HandIns"`
@@ -38,12 +38,12 @@
 	Deferred      int `json:"Deferred"`
 	Undeliverable int `json:"Undeliverable"`
 
-	Effects     int `json:"Effects"`     // executions of messages, repeated ones included
-	LateEffects int `json:"LateEffects"` // by calls that were canceled
-	Dropped     int `json:"Dropped"`     // repeats that partners dropped
+	Effects     int `json:"Effects"`     // executions of messages, including repeated ones
+	LateEffects int `json:"LateEffects"` // executions by calls that had been canceled
+	Dropped     int `json:"Dropped"`     // repeats that partners discarded
 }
 
-// New returns an auditor for a new ledger.
+// New returns an Auditor for a ledger that is read from its start.
 func New(r Rules) *Auditor {
 	return &Auditor{
 		rules: r, messages: map[string]*message{}, calls: map[uint64]*call{}, senders: map[int]*sender{},
@@ -58,11 +58,11 @@
 	}
 }
 
-// Read takes the next event. It returns an error for a ledger that is impossible: times that go back, or an event of
-// something that never was.
+// Read processes the next event. It returns an error if the ledger is inconsistent: if the event is earlier than the
+// previous one, or refers to a message or call that does not exist.
 func (a *Auditor) Read(e Event) error {
 	if e.At < a.now {
-		return fmt.Errorf("audit: an event at %v after one at %v", e.At, a.now)
+		return fmt.Errorf("audit: event at %v is earlier than the previous one at %v", e.At, a.now)
 	}
 	a.checkDeadlines(e.At)
 	a.now = e.At
@@ -74,7 +74,7 @@
 	case Accepted, Rejected, Abandoned:
 		m := a.messages[e.Message]
 		if m == nil {
-			return fmt.Errorf("audit: an answer to %q, which nobody handed in", e.Message)
+			return fmt.Errorf("audit: response for message %q, which was not submitted", e.Message)
 		}
 		a.responded(m, e.Kind)
 	case Sent:
@@ -106,15 +106,15 @@
 	case ReachableAgain:
 		a.sender(e.Sender).becameReachable(e.At)
 	default:
-		return fmt.Errorf("audit: an event of kind %d", e.Kind)
+		return fmt.Errorf("audit: unknown event kind %d", e.Kind)
 	}
 	return nil
 }
 
-// Close judges what is left at the end of a ledger, and returns the violations, 1,000 at most. End is a time by which
-// all outcomes are due.
+// Close checks the messages that have no outcome at the end of the ledger, and returns the violations, 1,000 at most.
+// All outcomes must be due by the time end.
 func (a *Auditor) Close(end time.Duration) []Violation {
-	for _, s := range a.senders { // one that never became ready owes what it had
+	for _, s := range a.senders { // a sender that never became ready again still owes its outcomes
 		if s.down {
 			s.down, s.readyAt = false, a.now
 		}
@@ -124,10 +124,10 @@
 	return a.violations
 }
 
-// Totals returns how much was judged, and how often each rule was violated.
+// Totals returns the counts of what was checked and the number of violations of each rule.
 func (a *Auditor) Totals() (Counts, map[Rule]int) { return a.counts, a.violationCounts }
 
-// Owed returns how many accepted messages have no outcome, and how many calls are in flight, in one sum.
+// Owed returns the number of accepted messages without an outcome plus the number of calls in flight.
 func (a *Auditor) Owed() int {
 	n := len(a.calls)
 	for _, m := range a.messages {
@@ -138,5 +138,5 @@
 	return n
 }
 
-// Size returns how many messages and calls are kept, for tests of its bounds.
+// Size returns the number of messages and calls in memory, for tests that check that it is bounded.
 func (a *Auditor) Size() int { return len(a.messages) + len(a.calls) }
--- a/internal/audit/auditor_test.go
+++ b/internal/audit/auditor_test.go
@@ -20,7 +20,7 @@
 	return r
 }
 
-// violatedRules plays a ledger and returns the rules that were broken.
+// violatedRules reads a ledger and returns the violated rules, separated by semicolons.
 func violatedRules(t *testing.T, name string, events []Event) string {
 	t.Helper()
 	a := New(testRules())
@@ -56,7 +56,7 @@
 
 func withFirstByte(e Event, at time.Duration) Event { e.FirstByteAt = at; return e }
 
-// What the cases of a rule expect; an empty string for no violation.
+// The values that test cases expect for a violation of a rule. An empty string means no violation.
 const (
 	outcome     = string(RuleOutcome)
 	repeat      = string(RuleRepeat)
@@ -93,7 +93,8 @@
 		Event{At: 4 * ms, Kind: Overloaded, Dest: 7, CallsBySender: calls})
 }
 
-// sentTwice has a call with a message of a class, which ends with an outcome, and then a second one.
+// sentTwice returns a ledger in which a message of a class is sent in a call that ends with the outcome first, and
+// after the gap in a second call to a zone.
 func sentTwice(class int, first Outcome, gap time.Duration, zone int) []Event {
 	return []Event{
 		withLongDeadline(submitted(0, "m", class, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
@@ -102,24 +103,25 @@
 	}
 }
 
-// A ruleCase is a ledger, and the rules that it breaks.
+// A ruleCase is a ledger and the rules that it violates.
 type ruleCase struct {
 	name   string
 	events []Event
 	want   string
 }
 
-// checkRules finds each violation by one step, and none in the counterpart just within the rule.
+// checkRules checks that each ledger violates exactly the expected rules. Most cases come in pairs: one that is just
+// within a rule, and one that violates it by the smallest step.
 func checkRules(t *testing.T, cases []ruleCase) {
 	t.Helper()
 	for _, c := range cases {
 		if got := violatedRules(t, c.name, c.events); got != c.want {
-			t.Errorf("%s: broken: %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: violated rules: %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// A violation names the calls and times that it follows from.
+// A violation lists the calls and the times of the events that caused it.
 func TestViolationListsCallsAndTimes(t *testing.T) {
 	a := New(testRules())
 	for _, e := range []Event{
@@ -133,11 +135,11 @@
 	violations := a.Close(5 * ms)
 	if len(violations) != 1 || violations[0].Message != "m" ||
 		fmt.Sprint(violations[0].Calls, violations[0].Times) != "[1 2] [2ms 5ms]" || violations[0].At != 5*ms {
-		t.Errorf("%+v", violations)
+		t.Errorf("violations = %+v", violations)
 	}
 }
 
-// An impossible ledger is an error, not a violation.
+// An inconsistent ledger results in an error, not in a violation.
 func TestImpossibleLedgers(t *testing.T) {
 	for name, list := range map[string][]Event{
 		"back in time":   {submitted(ms, "m", 0, 7), submitted(0, "n", 0, 7)},
@@ -145,7 +147,7 @@
 		"no class":       {submitted(0, "m", 17, 7)},
 		"end of no call": {callEnded(0, 1, Delivered)},
 		"call twice":     {callSent(0, 1, "a", 7), callSent(0, 1, "a", 7)},
-		"no hand-in":     {accepted(0, "m")},
+		"no submission":  {accepted(0, "m")},
 		"unknown":        {{Kind: 99}},
 	} {
 		a := New(testRules())
@@ -156,12 +158,12 @@
 			}
 		}
 		if err == nil {
-			t.Errorf("%s: read without an error", name)
+			t.Errorf("%s: Read returned no error", name)
 		}
 	}
 }
 
-// What is over is forgotten: a long ledger takes no more memory than a short one.
+// Ended messages and calls are evicted, so a long ledger needs no more memory than a short one.
 func TestMemoryIsBounded(t *testing.T) {
 	a := New(testRules())
 	largest, half := 0, 0
@@ -180,8 +182,9 @@
 			half = largest
 		}
 	}
-	// 100 a second, kept for 10 s and delayedCallWindow: as many in the first half as in all.
+	// 100 messages per second are kept for 10 s plus delayedCallWindow, so the second half needs no more memory than the
+	// first.
 	if n, _ := a.Totals(); largest > 2600 || largest > half || n.Delivered != 20_000 {
-		t.Errorf("held %d at most, %d in the first half, %+v", largest, half, n)
+		t.Errorf("size was at most %d, in the first half %d, totals %+v", largest, half, n)
 	}
 }
--- a/internal/audit/call.go
+++ b/internal/audit/call.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// A call is in flight from its Sent to its Ended event.
+// A call is a call in flight, that is, between its Sent and its Ended event.
 type call struct {
 	id          uint64
 	sender      int
 	endpoint    string
 	zone        int
 	dest        int
-	arrivedAt   time.Duration // when it arrived completely
-	firstByteAt time.Duration // when its first byte was written; its time by the rules
+	arrivedAt   time.Duration // when it had arrived completely
+	firstByteAt time.Duration // when its first byte was written; the rules apply to this time
 	messages    []string
 }
 
-// callSent judges a call: whether it may go to its endpoint now, and each of its messages.
+// callSent records a call and checks whether it may go to its endpoint now and may contain each of its messages.
 func (a *Auditor) callSent(e Event) error {
 	if a.calls[e.Call] != nil {
-		return fmt.Errorf("audit: call %d begins twice", e.Call)
+		return fmt.Errorf("audit: call %d is sent twice", e.Call)
 	}
 	a.counts.Calls++
 	c := &call{e.Call, e.Sender, e.Endpoint, e.Zone, e.Dest, e.At, e.At, e.Messages}
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// callViolation adds a violation by a call, which follows from something that happened at since.
+// callViolation records a violation by a call. The event that made the call a violation happened at the time since.
 func (a *Auditor) callViolation(c *call, rule Rule, message string, since time.Duration, text string) {
 	a.addViolation(Violation{
 		Rule: rule, At: c.arrivedAt, Sender: c.sender, Message: message, Calls: []uint64{c.id},
@@ -53,7 +53,8 @@
 	})
 }
 
-// checkEndpoint judges whether a call may go to its endpoint: not after a drain, and not before the end of a wait.
+// checkEndpoint checks that a call does not go to an endpoint that has drained or been removed, or to a route whose
+// Retry-After wait has not ended.
 func (a *Auditor) checkEndpoint(c *call) {
 	s, key := a.sender(c.sender), a.routeKeyFor(c.dest, c.endpoint)
 	if since, departed := s.departures[c.endpoint]; departed && c.firstByteAt > since+a.rules.DrainGrace {
@@ -72,9 +73,9 @@
 	}
 }
 
-// checkRepeat judges a further call with a message. A call's time is that of its first byte (PROTOCOL, 'Figures'):
-// where the link to its endpoint is silent for a while, the rest arrives after it, and the message may have ended
-// meanwhile.
+// checkRepeat checks whether a message that was in earlier calls may be sent again in c. The time of a call is that
+// of its first byte (PROTOCOL, 'Figures'): if the link to the endpoint drops packets for a while, the rest of the
+// call arrives later, and the message may have ended in the meantime.
 func (a *Auditor) checkRepeat(m *message, c *call) {
 	if m.ended && m.accepted && m.class.Idempotency == NotIdempotent && c.firstByteAt > m.endedAt {
 		a.addViolation(Violation{
@@ -97,8 +98,8 @@
 	}
 }
 
-// repeatViolation returns why a message must not be in a call after it was in an earlier one that may have run it; empty
-// where it may.
+// repeatViolation returns the reason why a message must not be sent in the later call, given that the earlier call
+// may have run it. It returns an empty string if the repeat is allowed.
 func (c Class) repeatViolation(earlier, later *call) string {
 	age := later.firstByteAt - earlier.firstByteAt
 	switch {
@@ -112,11 +113,11 @@
 	return ""
 }
 
-// callEnded notes how a call and each of its messages ended, and the wait that its answer told.
+// callEnded records the outcomes of a call and of each of its messages, and the Retry-After of its response.
 func (a *Auditor) callEnded(e Event) error {
 	c := a.calls[e.Call]
 	if c == nil {
-		return fmt.Errorf("audit: call %d ends and never began", e.Call)
+		return fmt.Errorf("audit: call %d ends but was never sent", e.Call)
 	}
 	delete(a.calls, e.Call)
 	if s := a.sender(c.sender); e.RetryAfter > 0 && !s.down {
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// attemptEnded notes how a message of a call ended.
+// attemptEnded records the outcome of a message of a call.
 func (a *Auditor) attemptEnded(m *message, c *call, outcome Outcome) {
 	for _, t := range m.attempts {
 		if t.call == c {
--- a/internal/audit/call_test.go
+++ b/internal/audit/call_test.go
@@ -130,7 +130,7 @@
 			retryAfter,
 		},
 		{
-			"just sent",
+			"sent just within the slack",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(103*ms, 2, "b", 7, "m"), callEnded(1004*ms, 2, Delivered),
@@ -138,7 +138,7 @@
 			"",
 		},
 		{
-			"sent a moment after",
+			"sent just after the slack",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(104*ms, 2, "b", 7, "m"), callEnded(1004*ms, 2, Delivered),
@@ -146,7 +146,7 @@
 			retryAfter,
 		},
 		{
-			"a shorter wait ends none",
+			"a shorter wait does not end a longer one",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callSent(2*ms, 2, "b", 7, "m"),
 				rejectedCall(3*ms, 1, time.Second), rejectedCall(4*ms, 2, 10*ms), callSent(500*ms, 3, "b", 7, "m"),
@@ -155,7 +155,7 @@
 			retryAfter,
 		},
 		{
-			"another sender goes on",
+			"another sender may still call",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				fromSender(callSent(500*ms, 2, "b", 7, "m"), 1), callEnded(1004*ms, 2, Delivered),
@@ -171,7 +171,7 @@
 			"",
 		},
 		{
-			"one route",
+			"same separate route",
 			[]Event{
 				submitted(0, "m", 0, 9), accepted(ms, "m"), callSent(2*ms, 1, "a", 9, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(500*ms, 2, "a", 9, "m"), callEnded(1004*ms, 2, Delivered),
@@ -179,7 +179,7 @@
 			retryAfter,
 		},
 		{
-			"a restart ends it",
+			"a restart ends the wait",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				{At: 200 * ms, Kind: Died}, {At: 300 * ms, Kind: Ready}, callSent(500*ms, 2, "b", 7, "m"),
@@ -206,14 +206,14 @@
 			},
 			destination,
 		},
-		{"nobody's message", []Event{callSent(2*ms, 1, "a", 8, "m"), callEnded(3*ms, 1, Delivered)}, destination},
+		{"unknown message", []Event{callSent(2*ms, 1, "a", 8, "m"), callEnded(3*ms, 1, Delivered)}, destination},
 	})
 }
 
 func TestRepeatedExecutionsAndDelayedCalls(t *testing.T) {
 	checkRules(t, []ruleCase{
 		{
-			"an effect after its call was canceled, and after the end",
+			"executed after its call was canceled and the message ended",
 			[]Event{
 				submitted(0, "m", 2, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Failed),
 				notice(4*ms, "m", false), executed(30*time.Second, 1, "m", 2),
@@ -221,7 +221,7 @@
 			"",
 		},
 		{
-			"two effects",
+			"executed twice",
 			[]Event{
 				submitted(0, "m", 2, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Failed),
 				notice(4*ms, "m", false), executed(5*ms, 1, "m", 2), executed(30*time.Second, 1, "m", 2),
@@ -229,7 +229,7 @@
 			repeat,
 		},
 		{
-			"two effects that are allowed",
+			"idempotent, executed twice",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Delivered),
 				executed(3*ms, 1, "m", 0), executed(4*ms, 1, "m", 0),
@@ -254,7 +254,7 @@
 		},
 		{"a submission without a response", []Event{submitted(0, "m", 2, 7), {At: ms, Kind: Abandoned, Message: "m"}}, ""},
 		{
-			"sent after its client gave up",
+			"sent after its client abandoned it",
 			[]Event{
 				submitted(0, "m", 2, 7), {At: ms, Kind: Abandoned, Message: "m"}, callSent(2*ms, 1, "a", 7, "m"),
 				callEnded(3*ms, 1, Delivered),
@@ -262,7 +262,7 @@
 			"",
 		},
 		{
-			"sent long after its client gave up",
+			"sent long after its client abandoned it",
 			[]Event{
 				submitted(0, "m", 2, 7), {At: ms, Kind: Abandoned, Message: "m"}, callSent(15*time.Second, 1, "a", 7, "m"),
 				callEnded(16*time.Second, 1, Delivered),
@@ -270,7 +270,7 @@
 			"",
 		},
 		{
-			"delayed on its way beyond its end",
+			"sent before the message ended, arrived after",
 			[]Event{
 				submitted(0, "m", 2, 7), accepted(ms, "m"), notice(5*time.Second, "m", false),
 				withFirstByte(callSent(20*time.Second, 1, "a", 7, "m"), 4*time.Second),
@@ -279,7 +279,7 @@
 			"",
 		},
 		{
-			"delayed on its way, and sent after its end",
+			"sent after the message ended",
 			[]Event{
 				submitted(0, "m", 2, 7), accepted(ms, "m"), notice(5*time.Second, "m", false),
 				withFirstByte(callSent(20*time.Second, 1, "a", 7, "m"), 6*time.Second),
@@ -288,7 +288,7 @@
 			repeat,
 		},
 		{
-			"a repeat that is delayed beyond its window",
+			"repeat sent within the key retention, arrived after",
 			[]Event{
 				withLongDeadline(submitted(0, "m", 1, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
 				callEnded(3*ms, 1, Failed), withFirstByte(callSent(13*time.Second, 2, "a", 7, "m"), 12*time.Second),
@@ -297,7 +297,7 @@
 			"",
 		},
 		{
-			"a repeat that is delayed, and left after its window",
+			"repeat sent after the key retention",
 			[]Event{
 				withLongDeadline(submitted(0, "m", 1, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
 				callEnded(3*ms, 1, Failed), withFirstByte(callSent(13*time.Second, 2, "a", 7, "m"), 12*time.Second+2*ms),
--- a/internal/audit/effect.go
+++ b/internal/audit/effect.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// An execution is the first execution of a message. A second one breaks a rule; it is looked for until a time.
+// An execution is the latest execution of a message that is not idempotent. Another one before the time until is a
+// violation.
 type execution struct {
 	call  uint64
 	at    time.Duration
 	until time.Duration
 }
 
-// lateExecutionWindow is for how long after the message's deadline a call may still take effect.
+// lateExecutionWindow is how long after the deadline of a message a call may still execute it.
 const lateExecutionWindow = 2 * time.Minute
 
-// executed judges an effect, whatever the sender made of its call, and also after the end of its message.
+// executed checks an execution of a message. It does so regardless of the outcome that the sender recorded for the
+// call, and also after the message has ended.
 func (a *Auditor) executed(e Event) {
 	switch {
 	case e.Cause == "dropped":
@@ -35,7 +37,7 @@
 	a.executions[e.Message] = execution{e.Call, e.At, e.At + lateExecutionWindow}
 }
 
-// expireExecutions drops, from time to time, the effects of which no second one is looked for any more.
+// expireExecutions removes expired executions. It scans them at most once per quarter of lateExecutionWindow.
 func (a *Auditor) expireExecutions() {
 	if a.now < a.sweepAt {
 		return
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -2,62 +2,65 @@
 
 import "time"
 
-// EventKind is what an event tells. The numbers stand in ledgers: they do not change.
+// EventKind is the kind of an event. The numbers are stored in ledgers and must not change.
 type EventKind uint8
 
-// The events. In brackets are the fields that they use besides At and Sender.
+// The kinds of events. The parentheses list the fields that a kind uses besides At and Sender.
 const (
-	// Submitted: a message has arrived completely (Message, Class, Dest, TimeLeft, Key).
+	// Submitted: a submission has arrived completely at a sender (Message, Class, Dest, TimeLeft, Key).
 	Submitted EventKind = iota
-	// Accepted: its client has the response that it is accepted (Message).
+	// Accepted: the client has received the response that its message is accepted (Message).
 	Accepted
-	// Rejected: its client has an error response; no outcome is owed (Message).
+	// Rejected: the client has received an error response; no outcome is owed (Message).
 	Rejected
-	// Sent: a call has arrived completely (Call, Endpoint, Zone, Dest, Messages; First, where its first byte came before).
+	// Sent: a call has arrived completely at an endpoint (Call, Endpoint, Zone, Dest, Messages; FirstByteAt if its first
+	// byte arrived earlier).
 	Sent
-	// Ended: a call has ended (Call, Outcome, RetryAfter, Cause; Outcomes, where its messages ended differently).
+	// Ended: a call has ended (Call, Outcome, RetryAfter, Cause; Outcomes for messages whose outcome differs from the
+	// call's).
 	Ended
-	// Notice: the platform has a delivery report (Message, Deferred, RetryAfter).
+	// Notice: the platform has received a delivery report (Message, Deferred, RetryAfter).
 	Notice
-	// Notified: discovery has notified a sender, or counts as having done so (Endpoint, Dest, Leaves).
+	// Notified: discovery has notified a sender of a change of an endpoint, or is considered to have done so (Endpoint,
+	// Dest, Leaves).
 	Notified
 	// OutageBegan: an outage of a route began (Dest; Endpoint for a separate route).
 	OutageBegan
-	// OutageEnded: it ended, and the route warms up (Dest, Endpoint).
+	// OutageEnded: an outage of a route ended, and the route is warming up (Dest, Endpoint).
 	OutageEnded
-	// FailureSeen: a sender has seen a call or health check fail or be rejected there (Dest, Endpoint).
+	// FailureSeen: a call or health check of a sender to a route failed or was rejected (Dest, Endpoint).
 	FailureSeen
 	// Overloaded: a route that was warming up was overloaded (Dest, Endpoint, CallsBySender).
 	Overloaded
-	// Died: a sender's process ended, was told to end, or was stopped (Cause).
+	// Died: the process of a sender ended, was asked to terminate, or was stopped (Cause).
 	Died
-	// Ready: it is ready again.
+	// Ready: the process of a sender is ready.
 	Ready
-	// Requested: from now on a client wants a message delivered (N, Class, Tenant, Dest).
+	// Requested: a client starts to request the delivery of a message (Request, Class, Tenant, Dest).
 	Requested
-	// Executed: a message took effect, or was dropped as a repeat (Call, Message, Class, Endpoint; Cause "dropped" or
-	// "late").
+	// Executed: an endpoint executed a message, or dropped it as a repeat (Call, Message, Class, Endpoint; Cause
+	// "dropped" or "late").
 	Executed
-	// Abandoned: a client has no response to a submission, and waits for it no more (Message, Cause).
+	// Abandoned: a client stopped waiting for the response to a submission (Message, Cause).
 	Abandoned
-	// Unreachable: the platform cannot hear a sender, and gets no delivery reports of it.
+	// Unreachable: a sender cannot reach the platform, which receives none of its delivery reports.
 	Unreachable
-	// ReachableAgain: it can again.
+	// ReachableAgain: a sender can reach the platform again.
 	ReachableAgain
 )
 
 // Outcome is how a call, or one of its messages, ended at the endpoint.
 type Outcome uint8
 
-// The outcomes. The numbers stand in ledgers: they do not change.
+// The outcomes. The numbers are stored in ledgers and must not change.
 const (
 	Delivered   Outcome = iota
-	Failed              // it may have run
-	NeverRan            // for certain: rejected, not connected, not sent
-	NothingOwed         // the endpoint says that nothing more is owed
+	Failed              // the message may have run
+	NeverRan            // the message certainly did not run: rejected, not connected, not sent
+	NothingOwed         // the endpoint responded that nothing more is owed
 )
 
-// Event is one line of a ledger. Lines are in the order of their times, which are counted from the start of the run.
+// Event is one line of a ledger. Lines are ordered by time; times are relative to the start of the run.
 type Event struct {
 	At            time.Duration      `json:"at"`
 	Kind          EventKind          `json:"what"`
@@ -75,15 +78,16 @@
 	Outcomes      map[string]Outcome `json:"ends,omitempty"`
 	RetryAfter    time.Duration      `json:"wait,omitempty"`
 	Deferred      bool               `json:"deferred,omitempty"`
-	Leaves        bool               `json:"leaves,omitempty"` // it drains or is removed
+	Leaves        bool               `json:"leaves,omitempty"` // the endpoint drains or is removed
 	CallsBySender map[int]int        `json:"pushes,omitempty"`
 
-	// For the service meter and the report.
-	Request     int           `json:"n,omitempty"` // number of the client's message, over all its submissions
+	// The remaining fields are used by the service meter and the report.
+	Request     int           `json:"n,omitempty"` // number of the client's message, the same for all its submissions
 	Tenant      int           `json:"tenant,omitempty"`
 	FirstByteAt time.Duration `json:"first,omitempty"`
 	Cause       string        `json:"cause,omitempty"`
 }
 
-// Wiped is the Cause of a Died whose folder is lost with the process. Outcomes of what it had are owed no more.
+// Wiped is the Cause of a Died event where the state folder is lost together with the process. The outcomes of the
+// messages in that folder are no longer owed.
 const Wiped = "wiped"
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -6,7 +6,7 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenAudit writes and reads what ledgers and results hold as 096da04 did.
+// TestGoldenAudit checks that the JSON of ledgers and results is written and read as commit 096da04 did.
 func TestGoldenAudit(t *testing.T) {
 	golden.JSON[Event](t, "event.json")
 	golden.JSON[Violation](t, "break.json")
--- a/internal/audit/message.go
+++ b/internal/audit/message.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// A message is one submission, from when it arrives until no later event can be judged by it.
+// A message is one submission. It is kept from its arrival until no later event can depend on it.
 type message struct {
 	id        string
 	sender    int
 	class     Class
 	dest      int
 	deadline  time.Duration
-	accepted  bool // its outcome is owed
-	ended     bool // nothing is owed any more
+	accepted  bool // the sender owes an outcome
+	ended     bool // no outcome is owed any more
 	endedAt   time.Duration
-	delivered bool // an endpoint said so, though the client may not know yet that it was accepted
+	delivered bool // confirmed by an endpoint, possibly before the client received Accepted
 	attempts  []*attempt
-	checkAt   time.Duration // when checkDeadlines looks at it
+	checkAt   time.Duration // when checkDeadlines checks it
 }
 
-// An attempt is the part of a call that one message is.
+// An attempt is the sending of one message in one call.
 type attempt struct {
 	call    *call
 	ended   bool
 	outcome Outcome
 }
 
-// callIDs returns the ids of the calls that the message was in.
+// callIDs returns the ids of the calls that contained the message.
 func (m *message) callIDs() []uint64 {
 	var list []uint64
 	for _, t := range m.attempts {
@@ -38,17 +38,17 @@
 	return list
 }
 
-// delayedCallWindow is how long after its deadline an ended message is kept: a call with it that left before may be
-// delayed on its way.
+// delayedCallWindow is how long after its deadline an ended message is kept, since a call that contains it and was
+// sent earlier may be delayed by the network.
 const delayedCallWindow = 15 * time.Second
 
-// submitted notes a submission. Its outcome is not owed before it is accepted.
+// submitted records a submission. Its outcome is not owed until it is accepted.
 func (a *Auditor) submitted(e Event) error {
 	if a.messages[e.Message] != nil {
-		return fmt.Errorf("audit: %q is handed in twice under one id", e.Message)
+		return fmt.Errorf("audit: message %q is submitted twice", e.Message)
 	}
 	if e.Class < 0 || e.Class >= len(a.rules.Classes) {
-		return fmt.Errorf("audit: %q has class %d", e.Message, e.Class)
+		return fmt.Errorf("audit: message %q has unknown class %d", e.Message, e.Class)
 	}
 	a.counts.Submissions++
 	a.messages[e.Message] = &message{
@@ -57,12 +57,13 @@
 	return nil
 }
 
-// responded notes that a client has its response, or waits for it no more. From Accepted on the outcome is owed.
+// responded records that a client received the response to a submission or stopped waiting for it. The outcome is
+// owed once the message is accepted.
 func (a *Auditor) responded(m *message, kind EventKind) {
 	switch kind {
 	case Abandoned:
-		// The sender may have it and not know that it was abandoned: what it sends breaks no rule. A sender that was stopped
-		// reads it late, and counts its time from then.
+		// The sender may have the message without knowing that its client abandoned it, so sending it violates no rule.
+		// A sender whose process was stopped reads the message late and counts its deadline from then on.
 		a.endMessage(m)
 		m.checkAt = m.deadline + lateExecutionWindow
 		a.scheduleCheck(m)
@@ -84,14 +85,14 @@
 	a.scheduleCheck(m)
 }
 
-// scheduleCheck enters a message into the pending checks by its checkAt.
+// scheduleCheck inserts a message into the pending checks, which are sorted by checkAt.
 func (a *Auditor) scheduleCheck(m *message) {
 	byCheckAt := func(x, m *message) int { return cmp.Compare(x.checkAt, m.checkAt) }
 	i, _ := slices.BinarySearchFunc(a.pendingChecks, m, byCheckAt)
 	a.pendingChecks = slices.Insert(a.pendingChecks, i, m)
 }
 
-// checkDeadlines judges the messages whose outcome was due before now, and forgets ended ones.
+// checkDeadlines checks the messages whose outcome was due before now, and removes those that have ended.
 func (a *Auditor) checkDeadlines(now time.Duration) {
 	for len(a.pendingChecks) > 0 && a.pendingChecks[0].checkAt < now {
 		m := a.pendingChecks[0]
@@ -106,7 +107,7 @@
 			continue
 		}
 		s := a.sender(m.sender)
-		if s.down || s.unreachable { // nothing is due until it is ready or reachable again
+		if s.down || s.unreachable { // nothing is due until the sender is ready or reachable again
 			m.checkAt = now + time.Millisecond
 			a.scheduleCheck(m)
 			continue
@@ -127,8 +128,8 @@
 	}
 }
 
-// endMessage notes that nothing is owed of a message any more. Its attempts are kept, since a later call could still repeat
-// it.
+// endMessage records that no outcome is owed for a message any more. Its attempts are kept, since a later call could
+// still repeat it.
 func (a *Auditor) endMessage(m *message) {
 	if m.ended {
 		return
@@ -136,12 +137,12 @@
 	m.ended, m.endedAt = true, a.now
 }
 
-// evictMessage drops an ended message once none of its calls can come any more. A call with it would then be one of a
-// message that nobody submitted, which callSent finds.
+// evictMessage removes an ended message once no call that contains it can arrive any more. callSent reports a call
+// that still does as a call with an unknown message.
 func (a *Auditor) evictMessage(m *message, now time.Duration) {
 	for _, t := range m.attempts {
 		if !t.ended {
-			return // forgotten as that ends
+			return // evicted when that attempt ends
 		}
 	}
 	if m.ended && now >= m.deadline+delayedCallWindow {
@@ -149,12 +150,12 @@
 	}
 }
 
-// reported judges a delivery report. A message may be deferred only if submitting it again is harmless: if it never
-// ran, is idempotent, or has a key that is kept at all endpoints.
+// reported checks a delivery report. A message may be deferred only if submitting it again is harmless: if it never
+// ran, is idempotent, or has an idempotency key that all endpoints honor.
 func (a *Auditor) reported(e Event) {
 	m := a.messages[e.Message]
 	if m == nil || m.ended {
-		return // a report of a message that has ended is harmless
+		return // a report for a message that has ended is harmless
 	}
 	if e.Deferred {
 		a.counts.Deferred++
--- a/internal/audit/message_test.go
+++ b/internal/audit/message_test.go
@@ -15,7 +15,7 @@
 			"",
 		},
 		{
-			"delivered before its client heard",
+			"delivered before the client received the response",
 			[]Event{
 				submitted(0, "m", 0, 7), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Delivered), accepted(4*ms, "m"),
 			},
@@ -24,15 +24,15 @@
 		{"never ended", []Event{submitted(0, "m", 0, 7), accepted(ms, "m")}, outcome},
 		{"never accepted", []Event{submitted(0, "m", 0, 7), {At: ms, Kind: Rejected, Message: "m"}}, ""},
 		{
-			"a notice at the last instant",
+			"notice at the last allowed time",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), notice(10300*ms, "m", true),
 			},
 			"",
 		},
-		{"a notice after it", []Event{submitted(0, "m", 0, 7), accepted(ms, "m"), notice(10301*ms, "m", true)}, outcome},
+		{"notice just too late", []Event{submitted(0, "m", 0, 7), accepted(ms, "m"), notice(10301*ms, "m", true)}, outcome},
 		{
-			"over",
+			"nothing owed",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, NothingOwed),
 			},
@@ -63,7 +63,7 @@
 			outcome,
 		},
 		{
-			"one of a call fails",
+			"one message of a call fails",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), submitted(ms, "n", 2, 7), accepted(ms, "n"),
 				callSent(2*ms, 1, "a", 7, "m", "n"),
--- a/internal/audit/route.go
+++ b/internal/audit/route.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// A routeKey is a destination, or an endpoint with a separate route.
+// A routeKey identifies a route: a destination, or one endpoint of a destination whose endpoints have separate routes.
 type routeKey struct {
 	dest     int
 	endpoint string
 }
 
-// A route is what outages and overloads hold for.
+// A route is the unit that outages and overloads apply to.
 type route struct {
 	inOutage   bool
-	sawFailure map[int]bool // senders that saw a failure during the latest outage
+	sawFailure map[int]bool // senders that observed a failure during the latest outage
 }
 
-// routeKeyFor returns the route of an endpoint.
+// routeKeyFor returns the key of the route to an endpoint.
 func (a *Auditor) routeKeyFor(dest int, endpoint string) routeKey {
 	if a.rules.SeparateRoutes[dest] {
 		return routeKey{dest, endpoint}
@@ -25,7 +25,7 @@
 	return routeKey{dest: dest}
 }
 
-// route returns a route, which is made if it is new.
+// route returns the route with a key and creates it if necessary.
 func (a *Auditor) route(k routeKey) *route {
 	r := a.routes[k]
 	if r == nil {
@@ -41,7 +41,8 @@
 	}
 }
 
-// checkOverload judges who overloaded a partner that was warming up: senders that saw its outage must not.
+// checkOverload reports a violation if most calls that overloaded a partner during its warm-up came from senders that
+// had observed its outage.
 func (a *Auditor) checkOverload(e Event) {
 	r := a.route(a.routeKeyFor(e.Dest, e.Endpoint))
 	totalCalls, witnessCalls, maxCalls, worst := 0, 0, 0, 0
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Rule is a rule that senders have to keep, as reports state it.
+// Rule is a rule that senders must keep, in the wording of reports.
 type Rule string
 
 // The rules.
@@ -22,11 +22,11 @@
 	Sender  int             `json:"sender"`
 	Message string          `json:"message,omitempty"`
 	Calls   []uint64        `json:"calls,omitempty"`
-	Times   []time.Duration `json:"times,omitempty"` // of the events that it follows from, in order
+	Times   []time.Duration `json:"times,omitempty"` // of the events that caused it, in order
 	Text    string          `json:"text"`
 }
 
-// Idempotency is what repeating a message may do at its destination.
+// Idempotency describes the effect of repeating a message at its destination.
 type Idempotency uint8
 
 // The kinds of idempotency.
@@ -36,30 +36,31 @@
 	NotIdempotent
 )
 
-// Class is what the rules need to know of a class of messages.
+// Class holds the properties of a message class that the rules depend on.
 type Class struct {
 	Idempotency   Idempotency
-	KeyRetention  time.Duration // IdempotentByKey: how long keys are kept
+	KeyRetention  time.Duration // IdempotentByKey: how long partners remember keys
 	KeyZoneScoped bool          // IdempotentByKey: repeats are dropped within one zone only
 }
 
-// resubmittable reports whether a message that may have run may be submitted again, which may send it anywhere.
+// resubmittable reports whether a message that may have run may be submitted again. A resubmission may go to any
+// endpoint and zone.
 func (c Class) resubmittable() bool {
 	return c.Idempotency == Idempotent || c.Idempotency == IdempotentByKey && !c.KeyZoneScoped
 }
 
-// Rules are the parameters of the rules.
+// Rules holds the parameters of the rules.
 type Rules struct {
 	Classes         []Class
 	SeparateRoutes  map[int]bool  // destinations whose endpoints have separate routes
-	ResponseGrace   time.Duration // a message may end this long after its deadline
-	ReadySlack      time.Duration // nothing is due between a sender's end and this long after it is ready again
-	DrainGrace      time.Duration // calls get through this long after a sender is notified of a drain
-	RetryAfterSlack time.Duration // calls get through this soon after the answer that told the wait
-	OverloadShare   float64       // part of the calls that makes an overload the fault of those that saw the outage
+	ResponseGrace   time.Duration // how long after its deadline a message may end
+	ReadySlack      time.Duration // no outcome is due from the end of a process until this long after it is ready again
+	DrainGrace      time.Duration // how long after a sender is notified of a drain calls are still allowed
+	RetryAfterSlack time.Duration // how long after a response with Retry-After calls are still allowed
+	OverloadShare   float64       // minimum fraction of calls by senders that saw the outage for a violation
 }
 
-// SocketRules returns the parameters that PROTOCOL has for real senders, of which only the grace of a drain differs
+// SocketRules returns the parameters that PROTOCOL specifies for real senders. Only the drain grace period differs
 // between deployments.
 func SocketRules(classes []Class, drainGrace time.Duration) Rules {
 	return Rules{
--- a/internal/audit/sender.go
+++ b/internal/audit/sender.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// A sender is what its processes have to know and to do.
+// A sender is the state of a sender across its processes: what it has been notified of and when it was available.
 type sender struct {
-	departures  map[string]time.Duration // when it was first notified that an endpoint drains or is removed
-	waits       map[routeKey]wait        // that rejections told it
-	downSince   time.Duration            // when its process ended or it became unreachable, the latest time
-	readyAt     time.Duration            // when it was ready or reachable again, the latest time
+	departures  map[string]time.Duration // by endpoint: first notification that it drains or is removed
+	waits       map[routeKey]wait        // from the Retry-After of rejections
+	downSince   time.Duration            // when its process last ended or it last became unreachable
+	readyAt     time.Duration            // when it last became ready or reachable again
 	down        bool
-	restarted   bool // or became reachable, at least once
-	unreachable bool // the platform cannot hear it
+	restarted   bool // its process restarted, or it became reachable again, at least once
+	unreachable bool // it cannot reach the platform
 }
 
-// A wait is the time in which nothing may be sent to a route.
+// A wait is an interval in which no calls may be sent to a route.
 type wait struct{ from, until time.Duration }
 
-// sender returns a sender, which is made if it is new.
+// sender returns the sender with a number and creates it if necessary.
 func (a *Auditor) sender(n int) *sender {
 	s := a.senders[n]
 	if s == nil {
@@ -26,7 +26,7 @@
 	return s
 }
 
-// notified notes that discovery told the sender of an endpoint.
+// notified records that discovery notified the sender of the state of an endpoint.
 func (s *sender) notified(e Event) {
 	if at, before := s.departures[e.Endpoint]; !e.Leaves {
 		delete(s.departures, e.Endpoint)
@@ -35,8 +35,9 @@
 	}
 }
 
-// died notes that a sender's process ended or was stopped. A restart ends waits, and the next process is not told
-// what the old one saw. Until it is ready, nobody outside knows which of the two was told something.
+// died records that the process of a sender ended or was stopped. A restart ends its waits, and the next process does
+// not know the failures that the previous one saw. Until the next process is ready, an outside observer cannot
+// determine which of the two received a notification.
 func (a *Auditor) died(e Event) {
 	s := a.sender(e.Sender)
 	if !s.down {
@@ -56,7 +57,8 @@
 	}
 }
 
-// ready notes that a process is ready. What the sender was told meanwhile counts from now on.
+// ready records that a process is ready. Notifications that the sender received since its process ended take effect
+// at this time.
 func (s *sender) ready(at time.Duration) {
 	s.down, s.readyAt = false, at
 	for id, notifiedAt := range s.departures {
@@ -66,14 +68,15 @@
 	}
 }
 
-// becameUnreachable notes that the platform cannot hear a sender.
+// becameUnreachable records that the sender cannot reach the platform.
 func (s *sender) becameUnreachable(at time.Duration) {
 	if s.unreachable = true; !s.down {
 		s.downSince = at
 	}
 }
 
-// becameReachable notes that the platform can be reached again: reports that could not be sent are due after a grace.
+// becameReachable records that the sender can reach the platform again. Delivery reports that it could not send are
+// due after Rules.ReadySlack.
 func (s *sender) becameReachable(at time.Duration) {
 	if s.unreachable = false; !s.down {
 		s.restarted, s.readyAt = true, at
--- a/internal/audit/sender_test.go
+++ b/internal/audit/sender_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Of a sender that is stopped, unreachable or has lost its folder only that is due which it can know or tell.
+// A sender that is stopped, unreachable or has lost its state folder violates no rule by what it cannot know or
+// report.
 func TestUnreachableSender(t *testing.T) {
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	event := func(s float64, kind EventKind, cause string) Event { return Event{At: at(s), Kind: kind, Cause: cause} }
@@ -16,14 +17,14 @@
 		want   string
 	}{
 		{
-			"a notice that is late",
+			"no notice",
 			[]Event{
 				submitted(0, "a", 0, 1), accepted(0, "a"), event(12, Requested, ""),
 			},
 			string(RuleOutcome),
 		},
 		{
-			"cut off, told as it can be",
+			"unreachable, notice once reachable again",
 			[]Event{
 				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Unreachable, ""), event(20, ReachableAgain, ""),
 				{At: at(21), Kind: Notice, Message: "a"},
@@ -31,7 +32,7 @@
 			"",
 		},
 		{
-			"cut off, and never told",
+			"unreachable, no notice once reachable again",
 			[]Event{
 				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Unreachable, ""), event(20, ReachableAgain, ""),
 				event(22, Requested, ""),
@@ -46,7 +47,7 @@
 			string(RuleOutcome),
 		},
 		{
-			"killed, and its folder is lost",
+			"killed, and its state folder is lost",
 			[]Event{
 				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Died, Wiped), event(6, Ready, ""), event(22, Requested, ""),
 			},
@@ -61,7 +62,7 @@
 			string(RuleDrain),
 		},
 		{
-			"told while it was stopped",
+			"notified of the drain while it was stopped",
 			[]Event{
 				submitted(0, "a", 0, 1), accepted(0, "a"), event(2, Died, ""), notified, event(6, Ready, ""),
 				callSent(at(7), 1, "e", 1, "a"), callEnded(at(8), 1, Delivered),
@@ -69,7 +70,7 @@
 			"",
 		},
 		{
-			"and two seconds later",
+			"notified of the drain while it was stopped, call after the grace",
 			[]Event{
 				submitted(0, "a", 0, 1), accepted(0, "a"), event(2, Died, ""), notified, event(6, Ready, ""),
 				callSent(at(8.5), 1, "e", 1, "a"), callEnded(at(9), 1, Delivered),
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,8 @@
-// Package golden compares what this program reads and writes with files that an earlier version of it made. It is for
-// tests: a form that goes to disk, to another process or to operators must stay as it is while the code around it
-// changes.
+// Package golden compares data that this program reads and writes with files that an earlier version wrote. It is used
+// by tests of formats that are stored on disk, sent to other processes or shown to operators, which must not change
+// when the code changes.
 //
-// The files under testdata/golden were made by commit 096da04. They are not made anew to have a test pass.
+// The files under testdata/golden were written by commit 096da04. They must not be regenerated to make a test pass.
 package golden
 
 import (
@@ -19,21 +19,22 @@
 	"time"
 )
 
-// write makes the files in place of comparing with them; for a form that is new.
+// write creates missing golden files instead of comparing with them. It is for new formats.
 var write = flag.Bool("golden.write", false, "write the golden files of forms that have none yet")
 
-// maxDepth bounds the nesting of values that Fill makes.
+// maxDepth is the maximum nesting depth of the values that Fill creates.
 const maxDepth = 8
 
-// epoch is the first of the times that Fill makes; the others are a second apart.
+// epoch is the base of the times that Fill creates. The n-th value, if it is a time, is n seconds after it.
 var epoch = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
 func path(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Path returns the path of a golden file or folder of the package under test.
+// Path returns the path of a golden file or folder, relative to the folder of the package under test.
 func Path(name string) string { return path(name) }
 
-// Bytes fails the test if the golden file holds other bytes. The file is text: in hexadecimal where asHex is set.
+// Bytes fails the test if got differs from the golden file. If asHex is set, the file contains the bytes in
+// hexadecimal.
 func Bytes(t *testing.T, name string, got []byte, asHex bool) {
 	t.Helper()
 	if asHex {
@@ -51,8 +52,8 @@
 	}
 }
 
-// JSON fills a value of the type T with distinct values and fails the test unless it is written as the golden file has
-// it, and the file is read as that value. Names, forms and values count; the order of the keys does not.
+// JSON creates a value of type T with Fill. It fails the test unless the value is encoded as in the golden file and the
+// file is decoded to the same value. It compares keys, types and values, but not the order of the keys.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
 	filled := Fill[T]()
@@ -75,7 +76,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(gotTree, wantTree) {
-		t.Errorf("%s: written in another form:\n got %s\nwant %s", name, text, want)
+		t.Errorf("%s: encoded differently:\n got %s\nwant %s", name, text, want)
 	}
 	decoder := json.NewDecoder(bytes.NewReader(want))
 	decoder.DisallowUnknownFields()
@@ -92,11 +93,11 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(readTree, wantTree) {
-		t.Errorf("%s: read as %s, want %s", name, text, want)
+		t.Errorf("%s: decoded as %s, want %s", name, text, want)
 	}
 }
 
-// Folder copies a golden folder to a temporary one, for a test that opens it.
+// Folder copies a golden folder to a temporary folder, which the test may modify, and returns its path.
 func Folder(t *testing.T, name string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -106,7 +107,7 @@
 	return dir
 }
 
-// create writes a golden file that is not there yet, if the flag asks for it.
+// create writes a golden file if it does not exist and the flag is set. It reports whether it wrote the file.
 func create(t *testing.T, name string, text []byte) bool {
 	t.Helper()
 	if _, err := os.Stat(path(name)); err == nil || !*write {
@@ -122,7 +123,8 @@
 	return true
 }
 
-// Fill returns a value in which each field that JSON shows has a value of its own, by the order of the fields.
+// Fill returns a value in which all exported fields that JSON encodes are set. Strings, numbers and times get distinct
+// values, numbered in the order of the fields.
 func Fill[T any]() T {
 	var v T
 	n := 0
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -12,7 +12,8 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenRun reads the folder of a run that 096da04 played, and writes its events as they stand there.
+// TestGoldenRun checks that the folder of a run that commit 096da04 wrote can be read, and that its events are written
+// in the same form.
 func TestGoldenRun(t *testing.T) {
 	golden.JSON[Head](t, "head.json")
 	run, err := Open(golden.Path("run"))
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,12 +1,12 @@
-// Package ledger writes and reads the folder of a run: what was played, with which seed and versions, every event
-// that was recorded, and the result. Events are streamed as JSON lines through zstd in blocks, so that an incomplete
-// run can be read up to its last block. They are read back one by one, in memory that does not grow with them. The
-// package judges nothing.
+// Package ledger writes and reads the folder of a run: the scenario with its seed and versions, all recorded events,
+// and the result. Events are written as JSON lines and compressed with zstd in blocks, so that an incomplete run can
+// be read up to its last block. They are read one by one, in memory that does not depend on their number. The package
+// does not check rules.
 package ledger
 
 import "time"
 
-// The files of a folder.
+// The files in the folder of a run.
 const (
 	headFile   = "run.json"
 	scriptFile = "scenario.star"
@@ -14,10 +14,10 @@
 	resultFile = "result.json"
 )
 
-// formatVersion is the version of the folder's format. Open rejects others.
+// formatVersion is the version of the format of the folder. Open returns an error for any other version.
 const formatVersion = 1
 
-// Head is what was played, by which program. It stands in run.json.
+// Head describes the scenario of a run and the program that ran it. It is stored in run.json.
 type Head struct {
 	Format   int       `json:"format"`
 	Scenario string    `json:"scenario"`
@@ -29,5 +29,5 @@
 	Machine  string    `json:"machine"`
 	Started  time.Time `json:"started"`
 
-	Figures map[string]float64 `json:"figures,omitempty"` // given to the script
+	Figures map[string]float64 `json:"figures,omitempty"` // parameters passed to the script
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -16,7 +16,7 @@
 		Request: i}
 }
 
-// writeRun writes a run of some events and returns its folder.
+// writeRun writes a run with a number of events and returns its folder. If finish is false, the run is incomplete.
 func writeRun(t *testing.T, events int, finish bool) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "run")
@@ -32,7 +32,7 @@
 	if finish {
 		err = w.Finish(map[string]int{"x": 1})
 	} else {
-		err = w.Flush() // the process is killed here
+		err = w.Flush() // as if the process were killed here
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	}
 	complete, err = r.Events(func(e audit.Event) error {
 		if e.Message != fmt.Sprint("m", events) || e.Request != events {
-			t.Fatalf("event %d reads as %+v", events, e)
+			t.Fatalf("event %d was read as %+v", events, e)
 		}
 		events++
 		return nil
@@ -69,12 +69,12 @@
 		t.Errorf("%+v", r)
 	}
 	if _, err := Create(dir, Head{}, nil); err == nil {
-		t.Error("an existing run is overwritten")
+		t.Error("Create overwrote an existing run")
 	}
 }
 
-// What was written before a kill can be read, up to where the file ends. A file that is truncated at any place lacks
-// what comes after it, and nothing before.
+// The events that were written before a process was killed can be read. A file that is truncated at any offset can
+// still be read up to the truncation.
 func TestIncompleteRun(t *testing.T) {
 	dir := writeRun(t, 5000, false)
 	if n, complete := countEvents(t, dir); n != 5000 || complete {
@@ -101,7 +101,7 @@
 	}
 }
 
-// A full disk is an error that stays, and what was written can be read.
+// After a write to a full disk fails, all later calls return that error.
 func TestFullDisk(t *testing.T) {
 	w, err := newWriter("", &limitedFile{free: 3000})
 	if err != nil {
@@ -112,7 +112,7 @@
 		first = w.Read(testEvent(i))
 	}
 	if !errors.Is(first, errFull) || !errors.Is(w.Read(testEvent(0)), errFull) || !errors.Is(w.Finish(nil), errFull) {
-		t.Errorf("a full disk: %v", first)
+		t.Errorf("error for a full disk: %v", first)
 	}
 }
 
@@ -132,13 +132,13 @@
 
 func TestOpenErrors(t *testing.T) {
 	if _, err := Open(t.TempDir()); err == nil {
-		t.Error("an empty folder is a run")
+		t.Error("Open returned no error for an empty folder")
 	}
 	dir := writeRun(t, 1, true)
 	if err := os.WriteFile(filepath.Join(dir, headFile), []byte(`{"format":2}`), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(dir); err == nil {
-		t.Error("a newer format is read")
+		t.Error("Open returned no error for a newer format")
 	}
 }
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -14,29 +14,30 @@
 	"cleathold/internal/audit"
 )
 
-// maxLineBytes is the length of the longest event that can be read.
+// maxLineBytes is the maximum length of an encoded event that can be read.
 const maxLineBytes = 16 << 20
 
-// Run is the folder of a run, for reading.
+// Run holds the contents of the folder of a run, except its events.
 type Run struct {
 	Dir    string
 	Head   Head
 	Script []byte
-	Result json.RawMessage // nil: the run is incomplete
+	Result json.RawMessage // nil if the run is incomplete
 }
 
-// Open reads a folder, but for its events. It returns an error for one without a run and for another format.
+// Open reads the folder of a run, except its events. It returns an error if the folder contains no run or a run in
+// another format.
 func Open(dir string) (*Run, error) {
 	text, err := os.ReadFile(filepath.Join(dir, headFile))
 	if err != nil {
-		return nil, fmt.Errorf("%s is no run folder: %w", dir, err)
+		return nil, fmt.Errorf("%s is not the folder of a run: %w", dir, err)
 	}
 	r := &Run{Dir: dir}
 	if err := json.Unmarshal(text, &r.Head); err != nil {
 		return nil, fmt.Errorf("%s: %w", filepath.Join(dir, headFile), err)
 	}
 	if r.Head.Format != formatVersion {
-		return nil, fmt.Errorf("%s: format %d, this program reads format %d", dir, r.Head.Format, formatVersion)
+		return nil, fmt.Errorf("%s: unsupported format %d, want %d", dir, r.Head.Format, formatVersion)
 	}
 	if r.Script, err = os.ReadFile(filepath.Join(dir, scriptFile)); err != nil {
 		return nil, fmt.Errorf("run folder: %w", err)
@@ -50,11 +51,11 @@
 	return r, nil
 }
 
-// ScriptPath returns the path of the script, for errors that name a line of it.
+// ScriptPath returns the path of the script, for error messages that refer to its lines.
 func (r *Run) ScriptPath() string { return filepath.Join(r.Dir, scriptFile) }
 
-// Events calls do with each event, until that returns an error. A ledger that ends in the middle of a block or of a
-// line is read up to there, and complete is false.
+// Events calls visit for each event until visit returns an error, which Events returns. If the ledger ends in the
+// middle of a block or of a line, Events reads it up to there and returns false for complete.
 func (r *Run) Events(visit func(audit.Event) error) (complete bool, err error) {
 	file, err := os.Open(filepath.Join(r.Dir, eventsFile))
 	if err != nil {
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -17,7 +17,7 @@
 // maxBlockEvents is the number of events after which a block ends.
 const maxBlockEvents = 2000
 
-// maxBlockDuration is how much of a run's time a block holds at most.
+// maxBlockDuration is the maximum time of the run that a block spans.
 const maxBlockDuration = 2 * time.Second
 
 // Writer writes the folder of a run. It is not safe for concurrent use.
@@ -27,17 +27,17 @@
 	compressor *zstd.Encoder
 	encoder    *json.Encoder
 	events     int
-	flushAt    time.Duration // the first event from this time on ends the block
-	err        error         // the first one; nothing is written after it
+	flushAt    time.Duration // the first event at or after this time ends the block
+	err        error         // the first error; nothing is written after it
 }
 
-// Create makes the folder of a run. It returns an error if the folder holds one.
+// Create creates the folder of a run. It returns an error if the folder already contains a run.
 func Create(dir string, h Head, script []byte) (*Writer, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("run folder: %w", err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, headFile)); err == nil {
-		return nil, fmt.Errorf("run folder: %s holds a run already: name another", dir)
+		return nil, fmt.Errorf("run folder: %s already contains a run; use another folder", dir)
 	}
 	h.Format = formatVersion
 	if err := writeJSON(filepath.Join(dir, headFile), h); err != nil {
@@ -57,7 +57,7 @@
 	return w, err
 }
 
-// newWriter returns a writer of events to any file.
+// newWriter returns a Writer that writes its events to file.
 func newWriter(dir string, file io.WriteCloser) (*Writer, error) {
 	compressor, err := zstd.NewWriter(file, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<20))
 	if err != nil {
@@ -66,7 +66,7 @@
 	return &Writer{dir: dir, file: file, compressor: compressor, encoder: json.NewEncoder(compressor)}, nil
 }
 
-// Read writes an event. After an error, such as that of a full disk, all later calls return it.
+// Read writes an event. After an error, such as a full disk, all later calls return the same error.
 func (w *Writer) Read(e audit.Event) error {
 	if w.err != nil {
 		return w.err
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Flush ends the block, so that the events so far can be read.
+// Flush ends the current block, so that all events written so far can be read.
 func (w *Writer) Flush() error {
 	if w.err == nil {
 		if err := w.compressor.Flush(); err != nil {
@@ -92,7 +92,7 @@
 	return w.err
 }
 
-// Close ends the events without a result, as of an incomplete run.
+// Close closes the file of events without writing a result. The folder then holds an incomplete run.
 func (w *Writer) Close() error {
 	err := errors.Join(w.compressor.Close(), w.file.Close())
 	if w.err == nil && err != nil {
@@ -101,7 +101,7 @@
 	return w.err
 }
 
-// Finish ends the events and writes the result as JSON.
+// Finish closes the file of events and writes the result as JSON.
 func (w *Writer) Finish(result any) error {
 	if err := w.Close(); err != nil {
 		return err
@@ -109,7 +109,7 @@
 	return writeJSON(filepath.Join(w.dir, resultFile), result)
 }
 
-// writeJSON writes a file of indented JSON.
+// writeJSON writes a value as indented JSON to a file.
 func writeJSON(path string, v any) error {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err == nil {
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -1,7 +1,7 @@
-// Package report turns the ledger of a run into a page: service over time, what failed and why, calls in flight, the
-// age of the oldest open message, and latencies by class, with the faults on the time axis. It also sums up limits
-// and outages, and compares paired runs. It reads a ledger event by event in bounded memory, and judges nothing: that
-// is package audit's.
+// Package report creates a report page from the ledger of a run: service over time, failures by cause, calls in
+// flight, the age of the oldest open message, and latencies by class, with the faults on the time axis. It also
+// summarizes limits and outages, and compares paired runs. It reads a ledger event by event in bounded memory. It
+// does not check rules, which is the task of package audit.
 package report
 
 import (
@@ -16,19 +16,19 @@
 	"cleathold/internal/simulation"
 )
 
-// maxBins bounds the number of points in a plot.
+// maxBins is the maximum number of points in a plot.
 const maxBins = 600
 
 // timeBin is one interval of the time axis.
 type timeBin struct {
-	requested, delivered float64        // priority weight, by the time of the request
+	requested, delivered float64        // priority weight, in the bin of the request
 	causes               map[string]int // failed calls and submissions by cause
-	callsInFlight        int            // the most at any time
-	openMessages         int            // the most at any time
+	callsInFlight        int            // maximum within the bin
+	openMessages         int            // maximum within the bin
 	oldestAge            time.Duration  // of the oldest open message, at the end of the bin
 }
 
-// Collector collects the events of a run for its page.
+// Collector collects the data for the page of a run from its events.
 type Collector struct {
 	plan     *scenario.Plan
 	binWidth time.Duration
@@ -37,13 +37,13 @@
 	at       time.Duration
 	events   int
 
-	requests        map[int]request // by number: those whose deadline is not past
-	oldestRequest   int             // the oldest that may be among them
+	requests        map[int]request // by number, until some time after the deadline
+	oldestRequest   int             // lowest number that may be in requests
 	longestDeadline time.Duration
 	requestByID     map[string]int
 	calls           map[uint64][]string
-	openSince       map[string]time.Duration // by id: when an open message was accepted
-	openOrder       []string                 // the same, in order
+	openSince       map[string]time.Duration // by message id: when an open message was accepted
+	openOrder       []string                 // ids in the order of acceptance, including some closed messages
 	byClass         []*hdrhistogram.Histogram
 	causes          map[string]int
 	processEnds     int
@@ -55,7 +55,7 @@
 	ids         []string
 }
 
-// NewCollector returns a collector for a run of a plan.
+// NewCollector returns a Collector for a run of a plan.
 func NewCollector(p *scenario.Plan) *Collector {
 	c := &Collector{
 		plan: p, binWidth: time.Second, meter: simulation.NewServiceMeter(p.Scenario), requests: map[int]request{},
@@ -72,7 +72,7 @@
 	return c
 }
 
-// binAt returns the binAt of a time, and completes the bins before it.
+// binAt returns the bin of a time. It adds missing bins and completes those before it.
 func (c *Collector) binAt(at time.Duration) *timeBin {
 	i := int(at / c.binWidth)
 	for len(c.bins) <= i {
@@ -85,7 +85,7 @@
 	return &c.bins[i]
 }
 
-// oldestOpenAge returns the age of the oldestOpenAge open message.
+// oldestOpenAge returns the age of the oldest open message.
 func (c *Collector) oldestOpenAge(now time.Duration) time.Duration {
 	for len(c.openOrder) > 0 {
 		if at, open := c.openSince[c.openOrder[0]]; open {
@@ -101,7 +101,7 @@
 	c.causes[cause]++
 }
 
-// Read takes the next event. It never fails.
+// Read processes the next event. It never returns an error.
 func (c *Collector) Read(e audit.Event) error {
 	c.events++
 	c.at = e.At
@@ -152,7 +152,7 @@
 	return c.meter.Read(e)
 }
 
-// delivered records the latencies of the messages of a call, from their requests on.
+// delivered records the latencies of the messages of a call, counted from their requests.
 func (c *Collector) delivered(e audit.Event) {
 	for _, id := range c.calls[e.Call] {
 		n, known := c.requestByID[id]
@@ -162,7 +162,7 @@
 			continue
 		}
 		age := e.At - w.requestedAt
-		c.byClass[w.class].RecordValue(min(max(age.Milliseconds(), 1), 599_999)) // fails only out of range
+		c.byClass[w.class].RecordValue(min(max(age.Milliseconds(), 1), 599_999)) // fails only for values out of range
 		c.bins[w.requestedAt/c.binWidth].delivered += simulation.PriorityWeightAt(&c.plan.Scenario.Traffic.Classes[w.class],
 			age)
 		for _, other := range w.ids {
@@ -172,7 +172,7 @@
 	}
 }
 
-// evictExpired drops requests whose deadline is long past.
+// evictExpired removes the requests whose deadline passed more than 5 s ago.
 func (c *Collector) evictExpired(e audit.Event) {
 	for ; c.oldestRequest < e.Request; c.oldestRequest++ {
 		w, known := c.requests[c.oldestRequest]
@@ -186,12 +186,13 @@
 	}
 }
 
-// Size returns the number of remembered requests, submissions, calls and messages, for tests of the bounds.
+// Size returns the number of requests, submissions, calls and messages in memory, for tests that check that it is
+// bounded.
 func (c *Collector) Size() int {
 	return len(c.requests) + len(c.requestByID) + len(c.calls) + len(c.openSince)
 }
 
-// Causes returns the causes of failures, the most frequent first.
+// Causes returns the causes of failures in descending order of frequency.
 func (c *Collector) Causes() []string {
 	causes := slices.Sorted(maps.Keys(c.causes))
 	slices.SortStableFunc(causes, func(a, b string) int { return c.causes[b] - c.causes[a] })
--- a/internal/report/golden_test.go
+++ b/internal/report/golden_test.go
@@ -6,7 +6,7 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenReport writes and reads the findings on a run as 096da04 did.
+// TestGoldenReport checks that the JSON of a report is written and read as commit 096da04 did.
 func TestGoldenReport(t *testing.T) {
 	golden.JSON[Outage](t, "outage.json")
 	golden.JSON[Sum](t, "sum.json")
--- a/internal/report/limits.go
+++ b/internal/report/limits.go
@@ -11,39 +11,39 @@
 	"cleathold/internal/scenario"
 )
 
-// Sum is one second of a destination: its limit, and the calls of all senders.
+// Sum is the usage of a destination in one second: its limit, and the calls of all senders.
 type Sum struct {
-	At             int     `json:"at"`    // seconds of the run
-	Limit          float64 `json:"limit"` // calls in the second; 0: none
+	At             int     `json:"at"`    // seconds since the start of the run
+	Limit          float64 `json:"limit"` // calls in the second; 0: no limit
 	Requested      int     `json:"wanted"`
 	Calls          int     `json:"calls"`
 	Rejected       int     `json:"refused"`
 	Served         int     `json:"served"`
-	Senders        int     `json:"senders"` // those that called
-	MaxOfOneSender int     `json:"most"`    // the most calls of one sender
+	Senders        int     `json:"senders"` // number of senders that called
+	MaxOfOneSender int     `json:"most"`    // maximum of the calls per sender
 }
 
-// Sums counts the calls of a run against the limits, by second, over all senders.
+// Sums counts the calls of all senders per destination and second and compares them with the limits.
 type Sums struct {
 	plan          *scenario.Plan
 	byDestination map[int][]*secondCount
 	calls         map[uint64]*secondCount
-	limitFactors  map[string]float64 // by endpoint with a reduced limit: the factor
+	limitFactors  map[string]float64 // by endpoint with a reduced limit
 }
 
-// secondCount is a second under way.
+// secondCount is the count of a destination in one second, with the data that is needed while events are read.
 type secondCount struct {
 	Sum
-	callsBySender map[int]int // calls of each sender
+	callsBySender map[int]int
 }
 
-// NewSums returns the counts for a run of a plan.
+// NewSums returns empty counts for a run of a plan.
 func NewSums(p *scenario.Plan) *Sums {
 	return &Sums{plan: p, byDestination: map[int][]*secondCount{}, calls: map[uint64]*secondCount{},
 		limitFactors: map[string]float64{}}
 }
 
-// Read takes the next event.
+// Read processes the next event. It never returns an error.
 func (s *Sums) Read(e audit.Event) error {
 	switch e.Kind {
 	case audit.Requested:
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// secondAt returns the second of a destination at a time, and creates the ones before it.
+// secondAt returns the count of a destination for the second that contains a time. It creates missing counts up to
+// that second.
 func (s *Sums) secondAt(dest int, at time.Duration) *secondCount {
 	n := int(at / time.Second)
 	for len(s.byDestination[dest]) <= n {
@@ -77,7 +78,7 @@
 	return s.byDestination[dest][n]
 }
 
-// Limit returns the limit of a destination, as a mean over a second of the run.
+// Limit returns the limit of a destination, averaged over a second of the run, or 0 if it has none.
 func (s *Sums) Limit(d *scenario.Destination, sec int) float64 {
 	if d.Limit.Form == partner.NoLimit {
 		return 0
@@ -90,7 +91,8 @@
 	return sum
 }
 
-// limitAt returns the limit of a destination at a time.
+// limitAt returns the limit of a destination at a time. If its endpoints have separate routes, their limits add up;
+// otherwise the lowest limit factor of its endpoints applies to the destination.
 func (s *Sums) limitAt(d *scenario.Destination, at time.Duration) float64 {
 	sum, lowestFactor := 0.0, 1.0
 	for _, e := range d.Endpoints {
@@ -114,7 +116,7 @@
 	return lowestFactor * d.Limit.PerSecond
 }
 
-// Of returns a destination's run, second by second.
+// Of returns the usage of a destination in each second of the run.
 func (s *Sums) Of(dest int) []Sum {
 	var list []Sum
 	for i := range s.plan.Dests {
@@ -133,20 +135,20 @@
 	return list
 }
 
-// Span is an interval of a destination's run, with figures a second.
+// Span is the usage of a destination in an interval of the run, as averages per second.
 type Span struct {
 	Dest      int     `json:"destination"`
 	From      int     `json:"from"` // seconds
 	To        int     `json:"to"`
-	Limit     float64 `json:"limit"` // in the mean
-	Calls     float64 `json:"calls"` // a second
+	Limit     float64 `json:"limit"` // average
+	Calls     float64 `json:"calls"` // per second
 	Rejected  float64 `json:"refused"`
 	Served    float64 `json:"served"`
-	MaxExcess float64 `json:"most_over"` // the calls of the worst second, as a multiple of its limit
-	Used      float64 `json:"used"`      // served calls, as a fraction of what limit and traffic allow
+	MaxExcess float64 `json:"most_over"` // maximum ratio of calls to limit in one second
+	Used      float64 `json:"used"`      // served calls as a fraction of what limit and traffic allow
 }
 
-// Between sums up a destination from one second to before another.
+// Between summarizes the usage of a destination from the second from, inclusive, to the second to, exclusive.
 func (s *Sums) Between(dest, from, to int) Span {
 	x := Span{Dest: dest, From: from, To: to}
 	allowed := 0.0
@@ -168,7 +170,7 @@
 	return x
 }
 
-// Spans returns the intervals in which a destination's limit is constant.
+// Spans returns the usage of a destination in each interval in which its limit is constant.
 func (s *Sums) Spans(dest int) (list []Span) {
 	all := s.Of(dest)
 	for from := 0; from < len(all); {
@@ -182,7 +184,8 @@
 	return list
 }
 
-// Limited returns the destinations whose limit is reduced in the run, or all with a limit if there is none.
+// Limited returns the destinations whose limit is reduced during the run. If there is none, it returns all
+// destinations that have a limit.
 func (s *Sums) Limited() (list []int) {
 	for _, reducedOnly := range []bool{true, false} {
 		for i := range s.plan.Dests {
@@ -204,7 +207,7 @@
 	return nil
 }
 
-// Table writes a destination's run, a line a second.
+// Table writes a table with the usage of a destination, one line per second.
 func (s *Sums) Table(out io.Writer, dest int) error {
 	fmt.Fprintf(out, "destination %d\n%8s %8s %8s %8s %8s %8s %8s %8s\n", dest, "SECOND", "LIMIT", "WANTED", "CALLS",
 		"REFUSED", "SERVED", "SENDERS", "MOST")
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -13,8 +13,8 @@
 	"cleathold/internal/simulation"
 )
 
-// What all senders did together against a limit that is halved and rises again: each call is counted once, in its
-// second.
+// Counts the calls of all senders against a limit that is halved and later restored. Each call must be counted exactly
+// once, in the second in which it was sent.
 func TestSums(t *testing.T) {
 	s, err := scenario.Load("../../examples/scenarios/fleet-cut.star", map[string]float64{"parts": 40})
 	if err != nil {
@@ -40,12 +40,12 @@
 		}
 	}
 	if calls != r.Calls || refused != r.RejectedCalls || senders < 30 || senders > 40 {
-		t.Errorf("%d calls and %d refused, the run had %d and %d; %d senders in a second", calls, refused, r.Calls,
+		t.Errorf("%d calls, %d rejected; the run had %d and %d; up to %d senders in a second", calls, refused, r.Calls,
 			r.RejectedCalls, senders)
 	}
 	limited := sums.Limited()
 	if len(limited) != 1 {
-		t.Fatalf("limits of %v change", limited)
+		t.Fatalf("destinations with a reduced limit: %v, want one", limited)
 	}
 	spans := sums.Spans(limited[0])
 	if len(spans) != 3 || spans[0].To != 12 || spans[1].To != 32 || math.Abs(spans[1].Limit-56) > 1e-6 ||
@@ -61,18 +61,19 @@
 	}
 }
 
-// boundSeeds is how many seeds a size TestBoundOfLimits plays. By hand: go test ./internal/report -run BoundOfLimits
-// -bound 50
+// boundSeeds is the number of seeds for each case of TestBoundOfLimits. To run more of them by hand:
+// go test ./internal/report -run BoundOfLimits -bound 50
 var boundSeeds = flag.Uint64("bound", 2, "seeds a size of TestBoundOfLimits")
 
-// The bound of docs/design/fleet-limits.md: 3 s after a limit was halved in the middle of a cut no more than a tenth
-// of it (an eighth in five parts) is refused, and most of it is used, however the fleet is parted; without a cut the
-// same. By virtual time, in the means of seeds.
+// Checks the bound of docs/design/fleet-limits.md. A limit is halved while the fleet is partitioned. From 3 s later on,
+// rejected calls must be at most a tenth of the limit (an eighth with five partitions), and most of the limit must be
+// used, whatever the number of partitions. The same must hold without a partition. The runs are in virtual time, and
+// the bound applies to the mean over the seeds.
 func TestBoundOfLimits(t *testing.T) {
 	for _, c := range []struct {
 		senders, rate, parts float64
-		refused, worst       float64 // of the limit, at most: in the mean of the seeds, and of each
-		used                 float64 // of each, at least
+		refused, worst       float64 // maximum fraction of the limit: mean over the seeds, and each seed
+		used                 float64 // minimum for each seed
 	}{
 		{40, 240, 1, 0.1, 0.15, 0.9}, {40, 240, 40, 0.1, 0.15, 0.8}, {40, 240, 5, 0.13, 0.2, 0.9},
 		{150, 450, 150, 0.1, 0.15, 0.85},
@@ -100,15 +101,15 @@
 			x := sums.Between(sums.Limited()[0], 15, 22)
 			n := float64(seeds)
 			if x.Rejected > c.worst*x.Limit || x.Used < c.used {
-				t.Errorf("%v senders in %v parts, seed %d: limit %.0f, refused %.1f a second, used %.2f", c.senders, c.parts,
+				t.Errorf("%v senders in %v partitions, seed %d: limit %.0f, rejected %.1f/s, used %.2f", c.senders, c.parts,
 					seed+1, x.Limit, x.Rejected, x.Used)
 			}
 			sum.Limit, sum.Rejected, sum.Served = sum.Limit+x.Limit/n, sum.Rejected+x.Rejected/n, sum.Served+x.Served/n
 		}
-		t.Logf("%v senders in %v parts: limit %.0f, refused %.1f, served %.1f a second", c.senders, c.parts, sum.Limit,
+		t.Logf("%v senders in %v partitions: limit %.0f, rejected %.1f/s, served %.1f/s", c.senders, c.parts, sum.Limit,
 			sum.Rejected, sum.Served)
 		if sum.Rejected > c.refused*sum.Limit || sum.Served < 0.85*sum.Limit {
-			t.Errorf("%v senders in %v parts: limit %.0f, refused %.1f, served %.1f a second", c.senders, c.parts, sum.Limit,
+			t.Errorf("%v senders in %v partitions: limit %.0f, rejected %.1f/s, served %.1f/s", c.senders, c.parts, sum.Limit,
 				sum.Rejected, sum.Served)
 		}
 	}
--- a/internal/report/outages.go
+++ b/internal/report/outages.go
@@ -12,43 +12,44 @@
 	"cleathold/internal/simulation"
 )
 
-// Outage is a fault of some endpoints of a destination, and what the fleet did meanwhile.
+// Outage describes a fault of some endpoints of a destination and the behavior of the fleet during and after it.
 type Outage struct {
 	Dest                     int     `json:"destination"`
 	Affected                 int     `json:"struck"` // endpoints with the fault
 	Of                       int     `json:"of"`     // endpoints of the destination
 	From                     float64 `json:"from"`   // seconds
 	To                       float64 `json:"to"`
-	Requested                int     `json:"wanted"`  // messages, during the outage
+	Requested                int     `json:"wanted"`  // messages requested during the outage
 	Served                   float64 `json:"served"`  // fraction of their priority weight that was delivered
-	Discoveries              int     `json:"finds"`   // calls and health checks that met the fault
-	DiscoveriesInFirstSecond int     `json:"first"`   // of them, in the first second
-	DiscoveringSenders       int     `json:"finders"` // senders that met it
-	MaxOfOneSender           int     `json:"most"`    // discoveries by one sender
-	// seconds from its end until the endpoints get two thirds of their fair share of calls; below 0: never
+	Discoveries              int     `json:"finds"`   // calls and health checks that failed because of the fault
+	DiscoveriesInFirstSecond int     `json:"first"`   // those in the first second of the outage
+	DiscoveringSenders       int     `json:"finders"` // senders with at least one discovery
+	MaxOfOneSender           int     `json:"most"`    // maximum of the discoveries per sender
+	// seconds from the end of the outage until the affected endpoints get two thirds of their fair share of calls;
+	// negative: never
 	BalancedAfter float64 `json:"even"`
 }
 
-// Outages follows the outages of endpoints in a run. Reduced limits are not among them; see Sums.
+// Outages collects the outages of endpoints in a run. It does not include reduced limits; see Sums.
 type Outages struct {
 	plan      *scenario.Plan
 	list      []*outage
 	meter     *simulation.ServiceMeter
-	byMessage map[int]*outage // by message: the outage during which it was requested
+	byMessage map[int]*outage // by number of the message: the outage during which it was requested
 }
 
-// outage is an outage under way.
+// outage is an Outage with the data that is needed while events are read.
 type outage struct {
 	Outage
 	from, to                         time.Duration
 	affected                         map[string]bool
-	discoveriesBySender              map[int]int // by sender
+	discoveriesBySender              map[int]int
 	requestedWeight, deliveredWeight float64
-	// calls to the affected endpoints, and to all, in steps of outageStep from its end
+	// calls to the affected endpoints and to all endpoints, in steps of outageStep from the end of the outage
 	callsAfter [][2]int
 }
 
-// NewOutages returns the outages of a run of a plan.
+// NewOutages returns the outages that a plan contains, without data of a run.
 func NewOutages(p *scenario.Plan) *Outages {
 	o := &Outages{plan: p, meter: simulation.NewServiceMeter(p.Scenario), byMessage: map[int]*outage{}}
 	o.meter.OnDelivered = func(n int, worth float64) {
@@ -80,7 +81,7 @@
 	return o
 }
 
-// outageAt returns the outage of a destination outageAt a time, or nil.
+// outageAt returns the outage of a destination at a time, or nil if there is none.
 func (o *Outages) outageAt(dest int, at time.Duration) *outage {
 	for _, x := range o.list {
 		if x.Dest == dest && at >= x.from && at < x.to {
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// Read takes the next event.
+// Read processes the next event.
 func (o *Outages) Read(e audit.Event) error {
 	switch e.Kind {
 	case audit.Requested:
@@ -123,10 +124,10 @@
 	return o.meter.Read(e)
 }
 
-// outageStep is the resolution of the time after an outage.
+// outageStep is the interval in which calls after an outage are counted.
 const outageStep = 100 * time.Millisecond
 
-// List returns the outages so far.
+// List returns the outages with the data of the events read so far.
 func (o *Outages) List() (list []Outage) {
 	for _, x := range o.list {
 		y := x.Outage
@@ -142,8 +143,8 @@
 	return list
 }
 
-// balancedAfter returns the end of the first second, after the outage, in which the affected endpoints got two thirds
-// of their fair share.
+// balancedAfter returns the end, in seconds after the outage, of the first one-second window in which the affected
+// endpoints received at least two thirds of their fair share of calls, or -1 if there is none.
 func (x *outage) balancedAfter() float64 {
 	const second = int(time.Second / outageStep)
 	wantedShare := 2.0 / 3 * float64(x.Affected) / float64(x.Of)
@@ -159,7 +160,7 @@
 	return -1
 }
 
-// WriteOutages writes a table with a line for each outage.
+// WriteOutages writes a table with one line per outage.
 func WriteOutages(out io.Writer, list []Outage) error {
 	fmt.Fprintf(out, "%11s %7s %7s %7s %7s %7s %7s %7s %7s %5s %6s\n", "DESTINATION", "STRUCK", "FROM", "TO", "WANTED",
 		"SERVED", "FINDS", "FIRST", "FINDERS", "MOST", "EVEN")
--- a/internal/report/outages_test.go
+++ b/internal/report/outages_test.go
@@ -14,7 +14,8 @@
 	"cleathold/internal/simulation"
 )
 
-// runFleetDead plays fleet-runFleetDead.star and what is added to it, and tells what its senders ran into.
+// runFleetDead runs fleet-dead.star with additional script lines. It returns the outages and the result, and passes
+// each event to observe.
 func runFleetDead(
 	t *testing.T, parameters map[string]float64, seed uint64, observe func(audit.Event), more ...string,
 ) ([]Outage, simulation.Result) {
@@ -41,7 +42,8 @@
 	return o.List(), r
 }
 
-// Half of the endpoints of two destinations die: what is told of it is what the ledger holds, counted another way.
+// Half of the endpoints of two destinations fail. The outages must agree with the events of the ledger, counted here
+// in another way.
 func TestOutages(t *testing.T) {
 	discoveries, requested, senders := 0, 0, map[int]bool{}
 	list, _ := runFleetDead(t, nil, 1, func(e audit.Event) {
@@ -49,7 +51,7 @@
 			return
 		}
 		switch e.Kind {
-		case audit.FailureSeen: // no limits, and room for all: nothing else fails
+		case audit.FailureSeen: // there are no limits and enough capacity, so nothing else fails
 			discoveries++
 			senders[e.Sender] = true
 		case audit.Requested:
@@ -63,7 +65,7 @@
 	if a.Discoveries+b.Discoveries != discoveries || a.Requested+b.Requested != requested || discoveries == 0 ||
 		max(a.DiscoveringSenders, b.DiscoveringSenders) > len(senders) ||
 		a.DiscoveringSenders+b.DiscoveringSenders < len(senders) {
-		t.Errorf("%d finds by %d senders, %d messages wanted: %+v", discoveries, len(senders), requested, list)
+		t.Errorf("%d discoveries by %d senders, %d messages requested: %+v", discoveries, len(senders), requested, list)
 	}
 	for _, x := range list {
 		if x.Affected != 3 || x.Of != 6 || x.From != 14 || x.To != 20 || x.DiscoveriesInFirstSecond > x.Discoveries ||
@@ -77,13 +79,14 @@
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	if list, _ := runFleetDead(t, map[string]float64{"dead": 0}, 1, func(audit.Event) {}); len(list) != 0 {
-		t.Errorf("nothing was struck: %+v", list)
+		t.Errorf("outages without a fault: %+v", list)
 	}
 }
 
-// The promise of docs/design/fleet-limits.md: with half of the endpoints dead, or hanging, at least 0.97 is served at
-// any size, and the calls that run into a dead one grow no faster than the logarithm of the senders. The same holds
-// of a fleet in five parts, for each part.
+// Checks the guarantee of docs/design/fleet-limits.md. With half of the endpoints dead or hanging, at least 0.97 of
+// the requested weight is served at any fleet size, and the number of calls that hit a dead endpoint grows no faster
+// than the logarithm of the number of senders. If the fleet is split into five partitions, the same holds for each
+// partition.
 func TestFleetServiceWithDeadEndpoints(t *testing.T) {
 	countDiscoveries := func(senders, rate, mode, parts float64) int {
 		list, r := runFleetDead(t, map[string]float64{"senders": senders, "rate": rate, "mode": mode, "parts": parts}, 2,
@@ -91,37 +94,37 @@
 		n := 0
 		for _, x := range list {
 			if n += x.Discoveries; x.Served < 0.97 {
-				t.Errorf("%v senders, mode %v, %v parts: %+v", senders, mode, parts, x)
+				t.Errorf("%v senders, mode %v, %v partitions: %+v", senders, mode, parts, x)
 			}
 		}
-		t.Logf("%v senders, mode %v, %v parts: %d finds, %d notes", senders, mode, parts, n, r.GossipSent)
+		t.Logf("%v senders, mode %v, %v partitions: %d discoveries, %d gossip messages", senders, mode, parts, n, r.GossipSent)
 		return n
 	}
 	few, many := countDiscoveries(20, 160, 0, 1), countDiscoveries(250, 500, 0, 1)
 	if most := float64(few) * math.Log(250) / math.Log(20); float64(many) > most {
-		t.Errorf("20 senders find the dead endpoints %d times, 250 %d times, %.0f at most", few, many, most)
+		t.Errorf("20 senders: %d discoveries of dead endpoints, 250 senders: %d, want at most %.0f", few, many, most)
 	}
 	if parted := countDiscoveries(250, 500, 0, 5); parted > 5*many {
-		t.Errorf("%d finds in five parts, %d in one", parted, many)
+		t.Errorf("%d discoveries in five partitions, %d in one", parted, many)
 	}
 	countDiscoveries(250, 500, 1, 1)
 }
 
-// Ways that are broken between some senders and one endpoint of six take it from nobody else for long, and one that
-// comes and goes is found by few each time. So many calls a second go there of what an even part of those that reach
-// it would be.
+// A link that is broken between some senders and one of six endpoints must not keep other senders from using that
+// endpoint for long. An endpoint that fails intermittently must be discovered by few senders each time. The test checks
+// that the endpoint still receives most of its even share of the calls of those senders that can reach it.
 func TestFleetWithBrokenLinks(t *testing.T) {
 	const linkToEndpoint = `link(at = 10, seconds = 18, to = "endpoint/e00001", `
 	for _, c := range []struct {
 		name, more     string
-		minShare       float64 // of the destination's calls that go there
-		maxDiscoveries int     // at most
+		minShare       float64 // minimum fraction of the destination's calls that go to the endpoint
+		maxDiscoveries int     // maximum number of discoveries
 	}{
-		{"one sender can't reach it", linkToEndpoint + `of = "n0", what = "CUT")`, 0.14, 10},
-		{"five can't", linkToEndpoint + `of = ["n0", "n1", "n2", "n3", "n4"], what = "CUT")`, 0.13, 40},
-		{"a building can't", linkToEndpoint + `of = "bldg-a", what = "CUT")`, 0.03, 200},
-		{"a building hears nothing of it", linkToEndpoint + `of = "bldg-a", what = "SILENT")`, 0.03, 200},
-		{"it comes and goes", `[trouble(what = "DOWN", at = 10 + 2 * i, seconds = 1, destination = 1, endpoints = 0.17) for i in range(9)]`, 0.12, 60},
+		{"one sender cannot reach the endpoint", linkToEndpoint + `of = "n0", what = "CUT")`, 0.14, 10},
+		{"five senders cannot reach the endpoint", linkToEndpoint + `of = ["n0", "n1", "n2", "n3", "n4"], what = "CUT")`, 0.13, 40},
+		{"the senders of one zone cannot reach the endpoint", linkToEndpoint + `of = "bldg-a", what = "CUT")`, 0.03, 200},
+		{"the link from one zone drops packets", linkToEndpoint + `of = "bldg-a", what = "SILENT")`, 0.03, 200},
+		{"the endpoint fails intermittently", `[trouble(what = "DOWN", at = 10 + 2 * i, seconds = 1, destination = 1, endpoints = 0.17) for i in range(9)]`, 0.12, 60},
 	} {
 		calls, callsToEndpoint, discoveries := 0, 0, 0
 		_, r := runFleetDead(t, map[string]float64{"senders": 80, "rate": 320, "dead": 0}, 1, func(e audit.Event) {
@@ -138,9 +141,9 @@
 			}
 		}, c.more)
 		share := float64(callsToEndpoint) / float64(calls)
-		t.Logf("%s: %.3f of the calls go there, %d finds, %.3f served", c.name, share, discoveries, r.Overall)
+		t.Logf("%s: %.3f of the calls to the endpoint, %d discoveries, %.3f served", c.name, share, discoveries, r.Overall)
 		if share < c.minShare || discoveries > c.maxDiscoveries || discoveries == 0 || r.Overall < 0.98 {
-			t.Errorf("%s: %.3f of the calls go there, %d finds, %.3f served", c.name, share, discoveries, r.Overall)
+			t.Errorf("%s: %.3f of the calls to the endpoint, %d discoveries, %.3f served", c.name, share, discoveries, r.Overall)
 		}
 	}
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -20,10 +20,10 @@
 	"cleathold/internal/scenario"
 )
 
-// Page is the report on a run.
+// Page is the report of a run.
 type Page struct {
 	Title      string
-	Lines      []Line // what was played, and the results
+	Lines      []Line // the parameters of the run and its results
 	Violations []audit.Violation
 	Marks      []Mark
 	Classes    []ClassLine
@@ -32,17 +32,17 @@
 	notes      []string
 }
 
-// Line is a named fact.
+// Line is a named value in the head of the page.
 type Line struct{ Name, Value string }
 
-// Mark is a numbered interval of the time axis.
+// Mark is a numbered interval on the time axis, such as a fault.
 type Mark struct {
 	Number int
 	Span   string
 	Text   string
 }
 
-// ClassLine is the latency of a class, in milliseconds.
+// ClassLine holds the latencies of a class in milliseconds.
 type ClassLine struct {
 	Class                        string
 	Delivered                    int64
@@ -56,20 +56,20 @@
 	Count int
 }
 
-// Plot is a plot as SVG.
+// Plot is a plot in SVG.
 type Plot struct {
 	Title string
 	SVG   template.HTML
 }
 
-// Facts are what a page says of a run besides its events.
+// Facts holds the contents of a page that do not come from the events of the run.
 type Facts struct {
 	Head       []Line
 	Violations []audit.Violation
-	Notes      []string // warnings: late rig, ledger broken off
+	Notes      []string // warnings, such as a test rig that lagged or an incomplete ledger
 }
 
-// Page returns the page of the collected events.
+// Page returns the page for the collected events and the given facts.
 func (c *Collector) Page(f Facts) (*Page, error) {
 	score := c.meter.Score()
 	p := &Page{Title: c.plan.Scenario.Name, Violations: f.Violations, notes: f.Notes}
@@ -123,7 +123,7 @@
 	return p, nil
 }
 
-// rulesText says whether the rules were kept.
+// rulesText returns a text that states whether any rule was violated.
 func rulesText(violations []audit.Violation) string {
 	if len(violations) == 0 {
 		return "kept"
@@ -131,7 +131,7 @@
 	return fmt.Sprintf("BROKEN %d times", len(violations))
 }
 
-// spanText returns the time of a mark.
+// spanText returns the time or the interval of a mark as text.
 func spanText(m scenario.Mark) string {
 	if m.To <= m.From {
 		return fmt.Sprintf("%.1f s", m.From.Seconds())
@@ -139,13 +139,13 @@
 	return fmt.Sprintf("%.1f to %.1f s", m.From.Seconds(), m.To.Seconds())
 }
 
-// series is one line in a plot.
+// series is one curve in a plot.
 type series struct {
 	name   string
 	points plotter.XYs
 }
 
-// seriesOf returns the points of a figure that bins have.
+// seriesOf returns the points of a curve. The function returns the value of a bin, or false if the bin has none.
 func (c *Collector) seriesOf(value func(*timeBin) (float64, bool)) plotter.XYs {
 	var list plotter.XYs
 	for i := range c.bins {
@@ -156,10 +156,10 @@
 	return list
 }
 
-// maxCausesDrawn bounds the causes in a plot; the table lists all.
+// maxCausesDrawn is the maximum number of causes in a plot. The table lists all causes.
 const maxCausesDrawn = 6
 
-// causeSeries returns the failures over time of the most frequent causes.
+// causeSeries returns the failures over time for each of the most frequent causes.
 func (c *Collector) causeSeries() []series {
 	var list []series
 	for _, word := range c.Causes() {
@@ -173,7 +173,7 @@
 	return list
 }
 
-// latencies returns the cumulative distributions of the latencies by class.
+// latencies returns the cumulative distribution of the latencies of each class.
 func (c *Collector) latencies() []series {
 	var list []series
 	for i, class := range c.plan.Scenario.Traffic.Classes {
@@ -186,14 +186,15 @@
 	return list
 }
 
-// palette has the colours of the lines.
+// palette holds the colors of the curves.
 var palette = []color.Color{
 	color.RGBA{31, 119, 180, 255}, color.RGBA{214, 39, 40, 255}, color.RGBA{44, 160, 44, 255},
 	color.RGBA{148, 103, 189, 255},
 	color.RGBA{255, 127, 14, 255}, color.RGBA{23, 190, 207, 255},
 }
 
-// draw returns a plot as SVG. With timed set, the marks are shaded and numbered.
+// draw returns a plot as SVG. If timed is set, the X axis is the time of the run, and the marks are shaded and
+// numbered.
 func (c *Collector) draw(title, y string, lines []series, marks []scenario.Mark, timed bool) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text, p.X.Label.Text = title, y, "seconds"
@@ -234,12 +235,12 @@
 	}
 	svg := text.String()
 	if i := strings.Index(svg, "<svg"); i >= 0 {
-		svg = svg[i:] // without the XML header
+		svg = svg[i:] // without the XML declaration
 	}
-	return template.HTML(svg), nil // generated above, with escaped text
+	return template.HTML(svg), nil // safe: generated above, where all text is escaped
 }
 
-// shadeMarks shades the times of marks in a plot, and numbers them at its top.
+// shadeMarks shades the intervals of the marks in a plot and writes their numbers at its top.
 func (c *Collector) shadeMarks(p *plot.Plot, marks []scenario.Mark, top float64) error {
 	labels := plotter.XYLabels{}
 	for i, m := range marks {
@@ -267,7 +268,7 @@
 	return nil
 }
 
-// pageTemplate is the HTML page.
+// pageTemplate is the template of the HTML page. It is executed with a *Page.
 var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font:15px sans-serif;margin:2em auto;max-width:60em}td,th{padding:.15em .8em;text-align:left;vertical-align:top}
@@ -286,13 +287,13 @@
 </body></html>
 `))
 
-// Notes returns the warnings.
+// Notes returns the warnings from Facts.Notes.
 func (p *Page) Notes() []string { return p.notes }
 
-// HTML writes the page as one HTML file.
+// HTML writes the page as a self-contained HTML file.
 func (p *Page) HTML(out io.Writer) error { return pageTemplate.Execute(out, p) }
 
-// Text writes the page as plain text, without its plots.
+// Text writes the page as plain text without the plots.
 func (p *Page) Text(out io.Writer) error {
 	fmt.Fprintln(out, p.Title)
 	for _, n := range p.notes {
--- a/internal/report/pair.go
+++ b/internal/report/pair.go
@@ -8,22 +8,22 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Difference compares two sides by paired runs.
+// Difference is the result of a paired comparison of two variants, A and B.
 type Difference struct {
 	Pairs      int     `json:"pairs"`
-	A          float64 `json:"a"` // means
+	A          float64 `json:"a"` // mean of A; the next field is the mean of B
 	B          float64 `json:"b"`
-	Mean       float64 `json:"mean"` // mean of B minus A
-	Low        float64 `json:"low"`  // confidence interval of 95%
+	Mean       float64 `json:"mean"` // mean of the differences B - A
+	Low        float64 `json:"low"`  // bounds of the 95% confidence interval of Mean
 	High       float64 `json:"high"`
-	Noise      bool    `json:"noise"`    // the interval contains 0
-	Detectable float64 `json:"smallest"` // a smaller difference can't be detected
+	Noise      bool    `json:"noise"`    // the confidence interval contains 0
+	Detectable float64 `json:"smallest"` // half the width of the interval: smaller differences cannot be detected
 }
 
-// Pair compares two sides over the same seeds by a paired t-test. It needs two pairs at least.
+// Pair compares two variants, which were run with the same seeds, by a paired t-test. It needs at least two pairs.
 func Pair(a, b []float64) (Difference, error) {
 	if len(a) != len(b) || len(a) < 2 {
-		return Difference{}, errors.New("compare: two pairs at the least")
+		return Difference{}, errors.New("compare: need at least two pairs of equal length")
 	}
 	diffs := make([]float64, len(a))
 	for i := range a {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -19,26 +19,26 @@
 		mean  float64
 		noise bool
 	}{
-		{"alike", []float64{0.9, 0.8, 0.7}, []float64{0.9, 0.8, 0.7}, 0, true},
-		{"small beside its spread", []float64{0.9, 0.8, 0.7, 0.9}, []float64{0.93, 0.78, 0.72, 0.89}, 0.005, true},
-		{"small and steady", []float64{0.9, 0.8, 0.7, 0.6}, []float64{0.911, 0.81, 0.709, 0.61}, 0.01, false},
+		{"equal", []float64{0.9, 0.8, 0.7}, []float64{0.9, 0.8, 0.7}, 0, true},
+		{"small compared to its deviation", []float64{0.9, 0.8, 0.7, 0.9}, []float64{0.93, 0.78, 0.72, 0.89}, 0.005, true},
+		{"small with a low deviation", []float64{0.9, 0.8, 0.7, 0.6}, []float64{0.911, 0.81, 0.709, 0.61}, 0.01, false},
 	} {
 		d, err := Pair(c.a, c.b)
 		if err != nil || math.Abs(d.Mean-c.mean) > 1e-9 || d.Noise != c.noise {
 			t.Errorf("%s: %+v, %v", c.name, d, err)
 		}
 	}
-	// t of 3 degrees is 3.1824; the differences 1, 2, 3, 4 spread by 1.29099.
+	// The 0.975 quantile of t with 3 degrees of freedom is 3.1824; the standard deviation of 1, 2, 3, 4 is 1.29099.
 	d, _ := Pair([]float64{0, 0, 0, 0}, []float64{1, 2, 3, 4})
 	if math.Abs(d.Low-(2.5-3.18245*1.290994/2)) > 1e-3 {
 		t.Errorf("%+v", d)
 	}
 	if _, err := Pair([]float64{1}, []float64{1}); err == nil {
-		t.Error("one pair has an interval")
+		t.Error("Pair returned no error for a single pair")
 	}
 }
 
-// A run's page has its figures, and what is remembered of it does not grow with it.
+// The page contains the figures of the run, and the memory of the collector does not grow with the run.
 func TestCollector(t *testing.T) {
 	s, err := scenario.Load("../../examples/scenarios/kills.star", nil)
 	if err != nil {
@@ -73,17 +73,17 @@
 		t.Errorf("%d delivered of %d, %+v", delivered, requested, page.Causes)
 	}
 	if maxSize > 4*requested {
-		t.Errorf("%d things remembered of %d messages", maxSize, requested)
+		t.Errorf("size was %d for %d messages", maxSize, requested)
 	}
 	var text, html bytes.Buffer
 	if page.Text(&text) != nil || page.HTML(&html) != nil {
-		t.Fatal("not written")
+		t.Fatal("the page could not be written")
 	}
 	if !strings.Contains(text.String(), "NOTE: late") || !strings.Contains(text.String(), "sender 0: kill") ||
 		r.Messages != requested {
 		t.Error(text.String())
 	}
 	if strings.Contains(html.String(), "<m1>") || !strings.Contains(html.String(), "&lt;m1&gt;") {
-		t.Error("words of a ledger are not escaped")
+		t.Error("text from the ledger is not escaped")
 	}
 }
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -1,6 +1,6 @@
-// Package soak tests senders under overlapping faults. It draws cases at random by their seeds, plays each with real
-// processes on loopback (package harness), and judges it by the rules (package audit), by the ends of the processes
-// and by their logs. A case is reproduced by its seed.
+// Package soak tests senders under overlapping faults. It generates a random case from a seed and runs it with real
+// processes on the loopback interface (package harness). A case fails if a rule is violated (package audit), if a
+// process ends unexpectedly, or if a log contains an error that indicates a bug. The seed reproduces the case.
 package soak
 
 import (
@@ -12,25 +12,26 @@
 	"cleathold/internal/harness"
 )
 
-// Options are the bounds of the cases.
+// Options holds the parameters for generating cases.
 type Options struct {
-	Senders int           // at least; up to half as many more are drawn
+	Senders int           // minimum; up to half as many are added at random
 	Length  time.Duration // of the traffic and the faults
-	Rate    float64       // messages a second for each sender
-	Strace  string        // path of strace; empty: no system calls fail
+	Rate    float64       // messages per second for each sender
+	Strace  string        // path of strace; if empty, no faults are injected into system calls
 }
 
-// Case is the case of a seed.
+// Case is a test case that was generated from a seed.
 type Case struct {
 	Seed        uint64
 	Script      string // the scenario
 	Senders     int
 	Faults      harness.Faults
-	SystemCalls map[int]string // by sender: the fault that strace injects
-	Notes       []string       // the faults that are not in the script
+	SystemCalls map[int]string // by sender: the fault that strace injects, in strace's syntax
+	Notes       []string       // descriptions of the faults that are not in the script
 }
 
-// The parts of a case have random streams of their own, so that a change of one leaves the others as they are.
+// Each part of a case uses a random stream of its own, so that changing how one part is generated does not change the
+// others.
 const (
 	drawSize uint64 = iota
 	drawScript
@@ -38,19 +39,19 @@
 	drawCalls
 )
 
-// partDraw draws one part of a case.
+// partDraw generates one part of a case from its random stream.
 type partDraw struct {
 	*rand.Rand
 	length float64 // seconds
 }
 
-// between draws a figure between two others.
+// between returns a random number between from and to.
 func (d partDraw) between(from, to float64) float64 { return from + (to-from)*d.Float64() }
 
-// begin draws the begin of a fault: after the first second, and early enough to have an effect.
+// begin returns a random start time for a fault in seconds: after the first second, and early enough to have an effect.
 func (d partDraw) begin() float64 { return d.between(1, d.length*0.8) }
 
-// Draw returns the case of a seed.
+// Draw returns the case for a seed.
 func Draw(seed uint64, o Options) *Case {
 	part := func(n uint64) partDraw { return partDraw{rand.New(rand.NewPCG(seed, n)), o.Length.Seconds()} }
 	c := &Case{Seed: seed, SystemCalls: map[int]string{}}
@@ -64,8 +65,8 @@
 	return c
 }
 
-// baseScript is in each case: partners with limits, traffic of three kinds of idempotency, and endpoints that are
-// replaced.
+// baseScript is the part of the scenario that all cases share: partners with limits, and traffic with three kinds of
+// idempotency.
 const baseScript = `
 kind(name = "large", limit = "rate", headroom = (1.3, 2.3), least = (4, 8), tells_wait = (0.6, 1), wait = (0.3, 1), batch = 5, apart = True, endpoints = 3)
 kind(name = "small", limit = "window", headroom = (1.2, 1.7), least = (4, 8), span = 1, refused_count = True, tells_wait = (0.1, 0.6), conns = (2, 4), endpoints = 3)
@@ -78,7 +79,7 @@
 tenant(name = "b", share = 0.4)
 `
 
-// script draws the scenario: the base script and some faults.
+// script returns a random scenario: the base script, replacements of endpoints, and some faults.
 func script(d partDraw, senders int, o Options) string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
@@ -95,7 +96,7 @@
 	return b.String()
 }
 
-// starlarkBool returns a bool as Starlark writes it.
+// starlarkBool returns a bool as a Starlark literal.
 func starlarkBool(value bool) string {
 	if value {
 		return "True"
@@ -103,7 +104,8 @@
 	return "False"
 }
 
-// faults returns the lines for faults of a script, by the begin and length in seconds.
+// faults holds a function for each kind of fault. It returns the script line of a fault that begins at a time and lasts
+// for a number of seconds.
 var faults = []func(d partDraw, at, seconds string) string{
 	func(d partDraw, at, seconds string) string { return call("discovery_out", at, seconds) },
 	func(d partDraw, at, seconds string) string {
@@ -145,13 +147,13 @@
 	func(d partDraw, at, seconds string) string { return call("burst", at, seconds, "factor = 2") },
 }
 
-// fault draws one fault.
+// fault returns the script line of a random fault.
 func fault(d partDraw) string {
 	at := fmt.Sprintf("%.2f", d.begin())
 	return faults[d.IntN(len(faults))](d, at, fmt.Sprintf("%.2f", d.between(1, 6)))
 }
 
-// call returns a call of Starlark.
+// call returns a Starlark function call.
 func call(name, at, seconds string, extraArgs ...string) string {
 	args := append([]string{"at = " + at}, extraArgs...)
 	if seconds != "" {
@@ -160,16 +162,16 @@
 	return name + "(" + strings.Join(args, ", ") + ")"
 }
 
-// pick draws one of several texts.
+// pick returns one of several strings at random.
 func pick(d partDraw, options ...string) string { return options[d.IntN(len(options))] }
 
-// brokenLink draws the argument for how a link fails.
+// brokenLink returns a random argument that states how a link fails.
 func brokenLink(d partDraw) string { return `what = "` + pick(d, "CUT", "SILENT") + `"` }
 
-// spreadArgument draws the argument for the time over which senders are affected.
+// spreadArgument returns a random argument for the time over which a fault spreads to the affected senders.
 func spreadArgument(d partDraw) string { return fmt.Sprintf("spread = %.1f", d.between(0, 3)) }
 
-// drawAnswers draws how answers of discovery fail, and what clients do.
+// drawAnswers generates the faults in the responses of discovery and the behavior of the clients.
 func (c *Case) drawAnswers(d partDraw) {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for range 1 + d.IntN(4) {
@@ -191,16 +193,17 @@
 	}
 }
 
-// addNote notes a fault that is not in the script.
+// addNote records the description of a fault that is not in the script.
 func (c *Case) addNote(format string, args ...any) {
 	c.Notes = append(c.Notes, fmt.Sprintf(format, args...))
 }
 
-// maxInjected bounds, with two more, the consecutive system calls that fail: delivery reports are due within 300 ms.
+// maxInjected limits the number of consecutive system calls that fail, which is at most maxInjected plus two, since
+// delivery reports are due within 300 ms.
 const maxInjected = 7
 
-// systemCallFaults are faults of system calls as Linux documents them, in the form of strace. The figures are the
-// first call that fails, counted from the start of the process, and the last.
+// systemCallFaults holds faults of system calls that Linux documents, in the syntax of strace's inject option. The
+// placeholders stand for the numbers of the first and last failing call, counted from the start of the process.
 var systemCallFaults = []string{
 	"accept4:error=ECONNABORTED:when=%d+5", "accept4:error=ENFILE:when=%d..%d", "accept4:error=ENOBUFS:when=%d..%d",
 	"connect:error=EADDRNOTAVAIL:when=%d..%d", "connect:error=ENETUNREACH:when=%d..%d", "connect:error=ENOBUFS:when=%d+9",
@@ -211,7 +214,7 @@
 	"epoll_pwait:error=EINTR:when=%d+7", "read:error=EINTR:when=%d+13", "write:error=EINTR:when=%d+13",
 }
 
-// drawCalls draws which senders' system calls fail, and how.
+// drawCalls selects at random the senders whose system calls fail, and the faults of these calls.
 func (c *Case) drawCalls(d partDraw, strace string) {
 	for i := range c.Senders {
 		if d.IntN(3) > 0 {
@@ -234,7 +237,7 @@
 			return []string{program}
 		}
 		name, _, _ := strings.Cut(injection, ":")
-		// With -D the started child is the program itself, which gets the signals.
+		// With -D strace runs as a grandchild, so that the started child is the program itself and receives the signals.
 		return []string{strace, "-D", "-f", "--seccomp-bpf", "-qqq", "-o", "/dev/null", "-e", "trace=" + name, "-e",
 			"inject=" + injection, "--", program}
 	}
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -19,19 +19,19 @@
 // Report is the result of a case.
 type Report struct {
 	Result   harness.Result
-	Findings []string // what was wrong; none: the case passed
+	Findings []string // descriptions of failures; empty if the case passed
 }
 
-// forbiddenLogLines are parts of log lines that mean a fault of the program.
+// forbiddenLogLines holds substrings of log lines that indicate a bug in the program.
 var forbiddenLogLines = []string{state.LogCallAgainstRule, state.LogInvalidSend, "panic:", "fatal error:", "DATA RACE"}
 
-// maxLogLine bounds the length of a line of a log.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// eventsName is the file with the events of a case, one a line.
+// eventsName is the name of the file with the events of a case, one JSON object per line.
 const eventsName = "events.jsonl"
 
-// Play plays a case with processes of a program. Logs, state and events stay in the folder.
+// Play runs a case with processes of a program. Logs, state and events are kept in the folder.
 func Play(ctx context.Context, c *Case, program, folder string, log *slog.Logger) (*Report, error) {
 	s, err := scenario.Parse(fmt.Sprintf("soak-%d.star", c.Seed), []byte(c.Script), nil)
 	if err != nil {
@@ -70,12 +70,12 @@
 	return r, nil
 }
 
-// addFinding notes something that was wrong.
+// addFinding records the description of a failure.
 func (r *Report) addFinding(format string, args ...any) {
 	r.Findings = append(r.Findings, fmt.Sprintf(format, args...))
 }
 
-// readLog searches the log of a sender for forbidden lines.
+// readLog searches the log of a sender for forbidden lines and records a finding for each of them.
 func (r *Report) readLog(sender int, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/socktest/socktest.go
+++ b/internal/socktest/socktest.go
@@ -1,7 +1,7 @@
-// Package socktest gives tests the other side of a TCP connection: servers that answer as the test says, refuse, or
-// never accept. All that it opens is closed with the test.
+// Package socktest provides TCP servers for tests: servers that send the responses that a test specifies, refuse
+// connections, or never accept them. Everything that it opens is closed when the test ends.
 //
-// It must be used by tests only, and checks nothing itself.
+// It must only be used by tests, and makes no assertions itself.
 package socktest
 
 import (
@@ -16,12 +16,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Hang is an answer to Serve that sends nothing and leaves the connection open.
+// Hang is a response for Serve that sends nothing and leaves the connection open.
 const Hang = "hang"
 
-// Serve listens at an address, which it returns, until the test ends. Each request is answered with what the function
-// returns for the number of its connection, counted from 0, its head and its body: an empty answer closes the
-// connection, and Hang leaves it silent.
+// Serve starts a server that listens until the test ends, and returns its address. It calls answer for each request,
+// with the number of the connection, counted from 0, and the body of the request, and sends the returned text as the
+// response. An empty text closes the connection, and Hang leaves it open without a response.
 func Serve(t testing.TB, answer func(conn int, r *http.Request, body string) string) string {
 	t.Helper()
 	return Accept(t, func(n int, c *net.TCPConn) {
@@ -44,8 +44,9 @@
 	})
 }
 
-// Accept listens at an address, which it returns, until the test ends. Each connection, numbered from 0, is passed to
-// the function on a goroutine of its own; what that leaves open is closed with the test.
+// Accept starts a server that listens until the test ends, and returns its address. It calls serve for each
+// connection, numbered from 0, in a separate goroutine. Connections that serve leaves open are closed when the test
+// ends.
 func Accept(t testing.TB, serve func(n int, c *net.TCPConn)) string {
 	t.Helper()
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,7 +58,7 @@
 	return sock.Addr().String()
 }
 
-// accept passes each connection to a function until the socket is closed.
+// accept accepts connections and calls serve for each of them until the listener is closed.
 func accept(t testing.TB, sock net.Listener, serve func(n int, c *net.TCPConn)) {
 	for n := 0; ; n++ {
 		c, err := sock.Accept()
@@ -69,9 +70,9 @@
 	}
 }
 
-// Full listens at an address whose accept queue is full: connections to it are not established until open has them
-// passed to a function, as Accept does. The first is one that sends nothing. The system retries one that waits after
-// a second.
+// Full starts a server whose accept queue is full, and returns its address. Connections to it are not established
+// until open is called, which accepts them and passes them to serve, as Accept does. The first accepted connection is
+// the one that fills the queue and sends nothing. The operating system retries a pending connection after one second.
 func Full(t testing.TB) (addr string, open func(serve func(n int, c *net.TCPConn))) {
 	t.Helper()
 	sock, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,7 +87,7 @@
 	if e := raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), 0) }); e != nil || err != nil {
 		t.Fatal(e, err)
 	}
-	filler, err := net.Dial("tcp", sock.Addr().String()) // a queue of length 0 takes one
+	filler, err := net.Dial("tcp", sock.Addr().String()) // a queue of length 0 holds one connection
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,8 +95,8 @@
 	return sock.Addr().String(), func(serve func(n int, c *net.TCPConn)) { go accept(t, sock, serve) }
 }
 
-// Refusing returns an address that refuses connections until the test ends. It stays bound: the address of a listener
-// that was closed could be given to the next who asks for any port.
+// Refusing returns an address that refuses connections until the test ends. The address stays bound, since the port of
+// a closed listener could be assigned to another socket that binds to any free port.
 func Refusing(t testing.TB) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -113,12 +114,12 @@
 	return fmt.Sprintf("127.0.0.1:%d", addr.(*unix.SockaddrInet4).Port)
 }
 
-// Status returns an answer without a body. Each header is a line such as "Retry-After: 1".
+// Status returns an HTTP response without a body. Each header is a line such as "Retry-After: 1".
 func Status(code int, headers ...string) string {
 	return fmt.Sprintf("HTTP/1.1 %d x\r\n%sContent-Length: 0\r\n\r\n", code, strings.Join(append(headers, ""), "\r\n"))
 }
 
-// JSON returns an answer 200 with a body.
+// JSON returns an HTTP response with status 200 and the given body.
 func JSON(text string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
--- a/internal/timeline/queue.go
+++ b/internal/timeline/queue.go
@@ -1,5 +1,5 @@
-// Package timeline has a queue of what is to happen, in the order of time. It knows no clock: its users say what a
-// time is counted from.
+// Package timeline provides a priority queue of items ordered by time. It uses no clock; callers choose the origin of
+// the times.
 package timeline
 
 import (
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Queue gives out the item with the earliest time first; of those of one time, the one with the lowest order. The
-// zero value is empty and ready to use. It is not safe for concurrent use.
+// Queue is a priority queue that returns the item with the earliest time first. Among items with the same time it
+// returns the one with the lowest order. The zero value is an empty queue that is ready to use. It is not safe for
+// concurrent use.
 type Queue[T any] struct{ items items[T] }
 
 type item[T any] struct {
@@ -17,7 +18,7 @@
 	value T
 }
 
-// items implement heap.Interface.
+// items implements heap.Interface.
 type items[T any] []item[T]
 
 func (q items[T]) Len() int { return len(q) }
@@ -33,7 +34,7 @@
 func (q *items[T]) Pop() any {
 	old := *q
 	x := old[len(old)-1]
-	old[len(old)-1] = item[T]{} // the array must not keep the value alive
+	old[len(old)-1] = item[T]{} // release the value for garbage collection
 	*q = old[:len(old)-1]
 	return x
 }
@@ -43,7 +44,7 @@
 	heap.Push(&q.items, item[T]{at, order, value})
 }
 
-// First returns the item that comes next, and leaves it in the queue; false where the queue is empty.
+// First returns the next item without removing it. It returns false for ok if the queue is empty.
 func (q *Queue[T]) First() (at time.Duration, value T, ok bool) {
 	if len(q.items) == 0 {
 		return 0, value, false
@@ -51,7 +52,7 @@
 	return q.items[0].at, q.items[0].value, true
 }
 
-// Pop removes the item that comes next, and returns it. The queue must not be empty.
+// Pop removes and returns the next item. The queue must not be empty.
 func (q *Queue[T]) Pop() (time.Duration, T) {
 	x := heap.Pop(&q.items).(item[T])
 	return x.at, x.value
--- a/internal/timeline/queue_test.go
+++ b/internal/timeline/queue_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Items come in the order of their times, those of one time by their order, however they were added.
+// Items are returned sorted by time, and by order for equal times, regardless of the order in which they were added.
 func TestQueue(t *testing.T) {
 	var q Queue[string]
 	if _, _, ok := q.First(); ok {
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's binary protocol: batches of events come in, replies of actions go out. The
-// names of events and actions are those of the protocol's page (WIRE); all times travel as milliseconds. The package
-// decides nothing.
+// Package wire implements the binary protocol of the simulator. It decodes batches of events and encodes replies that
+// consist of actions. The names of events and actions are those of the protocol specification (WIRE). All times are
+// encoded in milliseconds. The package contains no decision logic.
 package wire
 
 // Bits of JobIn.Marks.
@@ -11,7 +11,7 @@
 	MarkInherited = 16
 )
 
-// Forms of a Discovery.
+// Values of Discovery.Form.
 const (
 	FormDelta  = 0
 	FormFull   = 1
@@ -19,28 +19,29 @@
 	FormFailed = 3
 )
 
-// Event is one record of a batch. Its types are those of this package.
+// Event is one record of a batch. This package defines all types that implement it.
 type Event interface {
-	// Instance is the number of the instance that the event is for; 0 for a Census, which is for all of them.
+	// Instance returns the number of the instance that the event is for. It returns 0 for a Census, which is for all
+	// instances.
 	Instance() uint16
 }
 
-// The events. Times are in milliseconds.
+// The types of events. Times are in milliseconds.
 type (
-	// Start begins an instance.
+	// Start creates an instance.
 	Start struct {
 		Who      uint16
 		Seed     uint64
 		Settings []byte
 	}
-	// Destroy kills an instance.
+	// Destroy terminates an instance.
 	Destroy struct{ Who uint16 }
 	// Census is a numbered list of endpoints for the whole process.
 	Census struct {
 		Table   uint16
 		Entries []Entry
 	}
-	// Discovery is news of the endpoint list for one instance.
+	// Discovery is an update of the endpoint list for one instance.
 	Discovery struct {
 		Who   uint16
 		Gen   uint64
@@ -59,7 +60,7 @@
 		Marks       uint8
 		UserGroup   uint32
 	}
-	// First tells that a streamed answer has commenced.
+	// First reports that a streamed response has begun.
 	First struct {
 		Who      uint16
 		Txn      uint32
@@ -67,7 +68,7 @@
 		TookMs   float64
 		Endpoint uint32
 	}
-	// ReportBack tells how an attempt ended.
+	// ReportBack reports the outcome of an attempt.
 	ReportBack struct {
 		Who      uint16
 		Txn      uint32
@@ -79,17 +80,17 @@
 		RemarkMs uint32
 		Feedback []float32
 	}
-	// Expired tells that nobody wants a message any more.
+	// Expired reports that the client no longer needs a message.
 	Expired struct {
 		Who uint16
 		Txn uint32
 	}
-	// Wakeup tells that a timer has come due.
+	// Wakeup reports that a timer has expired.
 	Wakeup struct {
 		Who   uint16
 		Nonce uint32
 	}
-	// Pong is the result of a check.
+	// Pong is the result of a health check.
 	Pong struct {
 		Who      uint16
 		Endpoint uint32
@@ -97,12 +98,13 @@
 		Code     uint16
 		Feedback []float32
 	}
-	// Retune is new settings for an instance that runs. Classes of JobIn count by them from then on.
+	// Retune replaces the settings of a running instance. From then on JobIn.Class is an index into the classes of the
+	// new settings.
 	Retune struct {
 		Who      uint16
 		Settings []byte
 	}
-	// Memo is a message from another instance.
+	// Memo is a gossip message from another instance.
 	Memo struct {
 		Who  uint16
 		From uint32
@@ -110,7 +112,7 @@
 	}
 )
 
-// Entry is one line of a Census.
+// Entry describes one endpoint in a Census.
 type Entry struct {
 	Endpoint  uint32
 	Zone      uint8
@@ -121,7 +123,7 @@
 	StartMs   float64
 }
 
-// entrySize is the length of an Entry on the wire.
+// entrySize is the encoded length of an Entry in bytes.
 const entrySize = 22
 
 // Instance returns the number of the instance that the event is for.
@@ -157,5 +159,5 @@
 // Instance returns the number of the instance that the event is for.
 func (e Memo) Instance() uint16 { return e.Who }
 
-// Instance returns 0: a list is for all instances of the process.
+// Instance returns 0, since an endpoint list is for all instances of the process.
 func (e Census) Instance() uint16 { return 0 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -9,7 +9,7 @@
 	"math"
 )
 
-// Codes of the events in a frame.
+// Codes of the event types in a frame.
 const (
 	codeReportBack = 1
 	codeExpired    = 2
@@ -23,10 +23,10 @@
 	codeCensus     = 10
 	codeMemo       = 11
 
-	codeRetune = 128 // of the project's own, for its tests: the simulator never sends it
+	codeRetune = 128 // an extension for the tests of this project; the simulator never sends it
 )
 
-// Batch is one frame of events, which all happened at one instant of the simulator's clock.
+// Batch holds the events of one frame, which all happened at the same time of the simulator's clock.
 type Batch struct {
 	ClockMs float64 // since the start of the simulation
 	Events  []Event
@@ -39,11 +39,11 @@
 	body   bytes.Buffer
 }
 
-// NewReader returns a Reader of the stream in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader { return &Reader{in: in} }
 
-// Next reads one batch. It returns io.EOF when the stream ends between frames; any other error names the frame and,
-// where a record can't be read, the byte within it.
+// Next reads one batch. It returns io.EOF if the stream ends between frames. Any other error contains the number of
+// the frame and, if a record cannot be decoded, the offset of the byte within it.
 func (r *Reader) Next() (Batch, error) {
 	var header [12]byte
 	switch _, err := io.ReadFull(r.in, header[:]); {
@@ -59,7 +59,7 @@
 		return Batch{}, fmt.Errorf("frame %d: body cut off at byte %d of %d: %v", r.frames, n, length, err)
 	}
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return Batch{}, fmt.Errorf("frame %d: the clock is no number", r.frames)
+		return Batch{}, fmt.Errorf("frame %d: the clock is not a finite number", r.frames)
 	}
 	events, err := decode(r.body.Bytes())
 	if err != nil {
@@ -69,15 +69,15 @@
 	return Batch{ClockMs: clock, Events: events}, nil
 }
 
-// cursor reads the fields of a frame's body in turn. After the first one that is cut short err is set and all reads
-// return zero.
+// cursor decodes the fields of a frame's body in order. Once a field is truncated, err is set and all further reads
+// return zero values.
 type cursor struct {
 	data []byte
 	pos  int
 	err  error
 }
 
-// take returns the next n bytes, or nil and an error that says what ran short.
+// take returns the next n bytes. If fewer are left, it returns nil and sets err to an error that names the field.
 func (c *cursor) take(n int, field string) []byte {
 	if c.err == nil && n > len(c.data)-c.pos {
 		c.err = fmt.Errorf("byte %d: %s needs %d bytes, %d left", c.pos, field, n, len(c.data)-c.pos)
@@ -121,7 +121,7 @@
 
 func (c *cursor) f64(field string) float64 { return math.Float64frombits(c.u64(field)) }
 
-// floats reads a u8 count and that many f32.
+// floats reads a u8 count and that many f32 values.
 func (c *cursor) floats(field string) []float32 {
 	n := int(c.u8(field))
 	if c.err != nil || n == 0 {
@@ -138,10 +138,10 @@
 	return out
 }
 
-// blob copies n bytes out of the frame.
+// blob returns a copy of the next n bytes.
 func (c *cursor) blob(n int, field string) []byte { return bytes.Clone(c.take(n, field)) }
 
-// decode reads all records of a frame's body.
+// decode decodes all records of a frame's body.
 func decode(data []byte) ([]Event, error) {
 	c := &cursor{data: data}
 	var events []Event
@@ -159,7 +159,7 @@
 	return events, nil
 }
 
-// event reads the fields of one record; nil means an unknown code.
+// event decodes the fields of a record with the given code. It returns nil if the code is unknown.
 func (c *cursor) event(code uint8) Event {
 	switch code {
 	case codeStart:
@@ -201,7 +201,8 @@
 	return nil
 }
 
-// census reads a list of endpoints, whose count must fit the frame.
+// census decodes a list of endpoints. It checks before it allocates memory that as many entries as the list counts fit
+// in the frame.
 func (c *cursor) census() Event {
 	e := Census{Table: c.u16("Census")}
 	n := int64(c.u32("Census"))
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// Codes of the actions in a reply.
+// Codes of the action types in a reply.
 const (
 	actLookup        = 1
 	actJournalLine   = 2
@@ -22,13 +22,13 @@
 	actSay           = 12
 )
 
-// Reply collects the actions that answer one batch.
+// Reply collects the actions that are sent in response to one batch.
 type Reply struct {
 	body  []byte
 	count uint32
 }
 
-// Reset empties the reply for the next batch.
+// Reset removes all actions, so that the reply can be used for the next batch.
 func (r *Reply) Reset() { r.body, r.count = r.body[:0], 0 }
 
 // WriteTo writes the reply as one frame.
@@ -39,7 +39,7 @@
 	return int64(n), err
 }
 
-// record begins an action of an instance.
+// record appends the code and the instance of an action. The caller appends its arguments.
 func (r *Reply) record(code uint8, who uint16) {
 	r.count++
 	r.body = append(r.body, code)
@@ -52,7 +52,7 @@
 	r.u32(id)
 }
 
-// recordText appends an action whose only argument is a text.
+// recordText appends an action whose only argument is a string.
 func (r *Reply) recordText(code uint8, who uint16, text string) {
 	r.record(code, who)
 	r.text(text)
@@ -64,14 +64,14 @@
 	r.body = binary.LittleEndian.AppendUint64(r.body, math.Float64bits(v))
 }
 
-// text appends the length of a string and the string, cut off at 64 KiB.
+// text appends the length of a string and the string. It truncates strings of 64 KiB or more.
 func (r *Reply) text(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	r.u16(uint16(len(s)))
 	r.body = append(r.body, s...)
 }
 
-// Forward sends a message to an endpoint and waits for the answer for tryForMs milliseconds.
+// Forward sends a message to an endpoint. The attempt times out after tryForMs milliseconds without a response.
 func (r *Reply) Forward(who uint16, txn, endpoint uint32, tryForMs float64) {
 	r.record(actForward, who)
 	r.u32(txn)
@@ -86,7 +86,7 @@
 	r.u16(sendNo)
 }
 
-// OverloadReply hands a message back to its client, which may come again after retryAfterMs milliseconds.
+// OverloadReply rejects a message. Its client may submit it again after retryAfterMs milliseconds.
 func (r *Reply) OverloadReply(who uint16, txn uint32, retryAfterMs float64) {
 	r.record(actOverloadReply, who)
 	r.u32(txn)
@@ -112,17 +112,17 @@
 	r.body = append(r.body, on)
 }
 
-// Lookup polls the whole endpoint list once.
+// Lookup requests the full endpoint list once.
 func (r *Reply) Lookup(who uint16) { r.record(actLookup, who) }
 
-// Arm asks for a Wakeup after delayMs milliseconds.
+// Arm requests a Wakeup after delayMs milliseconds.
 func (r *Reply) Arm(who uint16, delayMs float64, nonce uint32) {
 	r.record(actArm, who)
 	r.f64(delayMs)
 	r.u32(nonce)
 }
 
-// allInstances is the receiver of a Say that goes to all other instances.
+// allInstances is the receiver of a Say that is sent to all other instances.
 const allInstances = math.MaxUint32
 
 // Say sends gossip to all other instances.
@@ -135,5 +135,5 @@
 // JournalLine adds a line to the simulator's report.
 func (r *Reply) JournalLine(who uint16, msg string) { r.recordText(actJournalLine, who, msg) }
 
-// Bug declares that an instance's decision code has failed.
+// Bug reports that the decision code of an instance has failed.
 func (r *Reply) Bug(who uint16, msg string) { r.recordText(actBug, who, msg) }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,7 +9,8 @@
 	"cleathold/control"
 )
 
-// settingsJSON is the settings text of a Start. The keys are the protocol's; times are in milliseconds.
+// settingsJSON is the JSON form of the settings in a Start or Retune event. The keys are those of the protocol; times
+// are in milliseconds.
 type settingsJSON struct {
 	FleetSize *int `json:"siblings"`
 	Index     int  `json:"me"`
@@ -78,8 +79,8 @@
 	} `json:"prices"`
 }
 
-// ParseSettings reads the settings of a Start; seed is for the controller's random draws. Unknown keys are ignored.
-// An error names the key that can't be read.
+// ParseSettings parses the settings of a Start or Retune event. The seed is for the controller's random number
+// generator. Unknown keys are ignored. An error names the key whose value is invalid.
 func ParseSettings(text []byte, seed uint64) (control.Settings, error) {
 	var p settingsJSON
 	if err := json.Unmarshal(text, &p); err != nil {
@@ -117,21 +118,21 @@
 	return s, nil
 }
 
-// The fields of a load report that the controller reads.
+// The fields of a load report that the controller uses.
 const (
 	headroomField = "x0"
 	limitField    = "x1"
 )
 
-// weightKinds by the words of the settings; any other word means that weights say nothing.
+// weightKinds maps the values of the key "weights" to kinds of weights. For any other value the weights are ignored.
 var weightKinds = map[string]control.WeightKind{"nominal": control.WeightsNominal, "rough": control.WeightsApproximate}
 
-// idempotencies by the words of the settings.
+// idempotencies maps the values of the key "effect" to kinds of idempotency.
 var idempotencies = map[string]control.Idempotency{
 	"safe": control.Idempotent, "keyed": control.IdempotentByKey, "unsafe": control.NotIdempotent,
 }
 
-// classes reads the classes of messages, which the protocol calls profiles.
+// classes converts the message classes, which the protocol calls profiles.
 func classes(p *settingsJSON) ([]control.Class, error) {
 	var out []control.Class
 	for i, c := range p.Profiles {
@@ -151,7 +152,7 @@
 	return out, nil
 }
 
-// kinds joins what the settings say of each kind of destination in separate lists.
+// kinds combines the properties of each kind of destination, which the settings hold in separate lists.
 func kinds(p *settingsJSON) []control.Kind {
 	n := max(len(p.Kinds), len(p.Specifics.Batch), len(p.Specifics.SeparateRoutes))
 	out := make([]control.Kind, n)
@@ -165,7 +166,7 @@
 	return out
 }
 
-// valueOr returns the value of an optional key, or absent where the key is missing.
+// valueOr returns the value of an optional key, or absent if the key is missing.
 func valueOr[T any](v *T, absent T) T {
 	if v == nil {
 		return absent
@@ -173,10 +174,10 @@
 	return *v
 }
 
-// Duration converts milliseconds of the protocol.
+// Duration converts the protocol's milliseconds to a duration.
 func Duration(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Millis converts a duration to milliseconds of the protocol.
+// Millis converts a duration to the protocol's milliseconds.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,7 +19,7 @@
 	return b
 }
 
-// frame puts a body behind a header.
+// frame returns a frame with a header and a body.
 func frame(body []byte) []byte {
 	n := len(body)
 	return append([]byte{byte(n), byte(n >> 8), byte(n >> 16), byte(n >> 24), 0, 0, 0, 0, 0x20, 0x6e, 0xc0, 0x40}, body...)
@@ -27,7 +27,7 @@
 
 func read(data []byte) (Batch, error) { return NewReader(bytes.NewReader(data)).Next() }
 
-// The layout of each event, byte for byte.
+// Checks the byte layout of each event. An event that is truncated at any byte must result in an error.
 func TestDecodeLayouts(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes string
@@ -70,13 +70,13 @@
 		t.Errorf("end between frames: %v", err)
 	}
 	for name, data := range map[string][]byte{
-		"header cut off":            {1, 2, 3},
-		"body cut off":              {255, 255, 255, 255, 0, 0, 0, 0, 0, 0, 0, 0, 1},
-		"unknown event code 99":     frame([]byte{99}),
-		"Census counts":             frame(decodeHex(t, "0a 0100 ffffffff 00")),
-		"Start settings needs":      frame(decodeHex(t, "07 0200 0807060504030201 ffffffff")),
-		"the clock is no number":    {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xf8, 0x7f},
-		"ReportBack needs 8 bytes,": frame(decodeHex(t, "01 0300 01000000 0200 05000000 c800 00000000 ")),
+		"header cut off":                   {1, 2, 3},
+		"body cut off":                     {255, 255, 255, 255, 0, 0, 0, 0, 0, 0, 0, 0, 1},
+		"unknown event code 99":            frame([]byte{99}),
+		"Census counts":                    frame(decodeHex(t, "0a 0100 ffffffff 00")),
+		"Start settings needs":             frame(decodeHex(t, "07 0200 0807060504030201 ffffffff")),
+		"the clock is not a finite number": {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0xf8, 0x7f},
+		"ReportBack needs 8 bytes,":        frame(decodeHex(t, "01 0300 01000000 0200 05000000 c800 00000000 ")),
 	} {
 		if _, err := read(data); err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: got %v", name, err)
