--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -30,17 +30,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	calls, refused, senders := 0, 0, 0
+	calls, rejected, senders := 0, 0, 0
 	for _, d := range p.Dests {
 		for _, x := range sums.Of(d.Dest) {
-			calls, refused, senders = calls+x.Calls, refused+x.Rejected, max(senders, x.Senders)
+			calls, rejected, senders = calls+x.Calls, rejected+x.Rejected, max(senders, x.Senders)
 			if x.Rejected+x.Served > x.Calls || x.MaxOfOneSender > x.Calls || x.Senders > x.Calls {
 				t.Errorf("destination %d: %+v", d.Dest, x)
 			}
 		}
 	}
-	if calls != r.Calls || refused != r.RejectedCalls || senders < 30 || senders > 40 {
-		t.Errorf("%d calls, %d rejected; the run had %d and %d; up to %d senders in a second", calls, refused, r.Calls,
+	if calls != r.Calls || rejected != r.RejectedCalls || senders < 30 || senders > 40 {
+		t.Errorf("%d calls, %d rejected; the run had %d and %d; up to %d senders in a second", calls, rejected, r.Calls,
 			r.RejectedCalls, senders)
 	}
 	limited := sums.Limited()
@@ -71,9 +71,9 @@
 // the bound applies to the mean over the seeds.
 func TestBoundOfLimits(t *testing.T) {
 	for _, c := range []struct {
-		senders, rate, parts float64
-		refused, worst       float64 // maximum fraction of the limit: mean over the seeds, and each seed
-		used                 float64 // minimum for each seed
+		senders, rate, parts         float64
+		maxMeanRejected, maxRejected float64 // maximum fraction of the limit: mean over the seeds, and each seed
+		minUsed                      float64 // minimum for each seed
 	}{
 		{40, 240, 1, 0.1, 0.15, 0.9}, {40, 240, 40, 0.1, 0.15, 0.8}, {40, 240, 5, 0.13, 0.2, 0.9},
 		{150, 450, 150, 0.1, 0.15, 0.85},
@@ -100,7 +100,7 @@
 			}
 			x := sums.Between(sums.Limited()[0], 15, 22)
 			n := float64(seeds)
-			if x.Rejected > c.worst*x.Limit || x.Used < c.used {
+			if x.Rejected > c.maxRejected*x.Limit || x.Used < c.minUsed {
 				t.Errorf("%v senders in %v partitions, seed %d: limit %.0f, rejected %.1f/s, used %.2f", c.senders, c.parts,
 					seed+1, x.Limit, x.Rejected, x.Used)
 			}
@@ -108,7 +108,7 @@
 		}
 		t.Logf("%v senders in %v partitions: limit %.0f, rejected %.1f/s, served %.1f/s", c.senders, c.parts, sum.Limit,
 			sum.Rejected, sum.Served)
-		if sum.Rejected > c.refused*sum.Limit || sum.Served < 0.85*sum.Limit {
+		if sum.Rejected > c.maxMeanRejected*sum.Limit || sum.Served < 0.85*sum.Limit {
 			t.Errorf("%v senders in %v partitions: limit %.0f, rejected %.1f/s, served %.1f/s", c.senders, c.parts, sum.Limit,
 				sum.Rejected, sum.Served)
 		}
--- a/internal/report/outages_test.go
+++ b/internal/report/outages_test.go
@@ -17,14 +17,14 @@
 // runFleetDead runs fleet-dead.star with additional script lines. It returns the outages and the result, and passes
 // each event to observe.
 func runFleetDead(
-	t *testing.T, parameters map[string]float64, seed uint64, observe func(audit.Event), more ...string,
+	t *testing.T, parameters map[string]float64, seed uint64, observe func(audit.Event), extraLines ...string,
 ) ([]Outage, simulation.Result) {
 	t.Helper()
 	text, err := os.ReadFile("../../examples/scenarios/fleet-dead.star")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := scenario.Parse("fleet-dead.star", []byte(string(text)+strings.Join(more, "\n")), parameters)
+	s, err := scenario.Parse("fleet-dead.star", []byte(string(text)+strings.Join(extraLines, "\n")), parameters)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,12 +100,12 @@
 		t.Logf("%v senders, mode %v, %v partitions: %d discoveries, %d gossip messages", senders, mode, parts, n, r.GossipSent)
 		return n
 	}
-	few, many := countDiscoveries(20, 160, 0, 1), countDiscoveries(250, 500, 0, 1)
-	if most := float64(few) * math.Log(250) / math.Log(20); float64(many) > most {
-		t.Errorf("20 senders: %d discoveries of dead endpoints, 250 senders: %d, want at most %.0f", few, many, most)
+	smallFleet, largeFleet := countDiscoveries(20, 160, 0, 1), countDiscoveries(250, 500, 0, 1)
+	if limit := float64(smallFleet) * math.Log(250) / math.Log(20); float64(largeFleet) > limit {
+		t.Errorf("20 senders: %d discoveries of dead endpoints, 250 senders: %d, want at most %.0f", smallFleet, largeFleet, limit)
 	}
-	if parted := countDiscoveries(250, 500, 0, 5); parted > 5*many {
-		t.Errorf("%d discoveries in five partitions, %d in one", parted, many)
+	if partitioned := countDiscoveries(250, 500, 0, 5); partitioned > 5*largeFleet {
+		t.Errorf("%d discoveries in five partitions, %d in one", partitioned, largeFleet)
 	}
 	countDiscoveries(250, 500, 1, 1)
 }
--- a/internal/report/page.go
+++ b/internal/report/page.go
@@ -162,12 +162,12 @@
 // causeSeries returns the failures over time for each of the most frequent causes.
 func (c *Collector) causeSeries() []series {
 	var list []series
-	for _, word := range c.Causes() {
+	for _, cause := range c.Causes() {
 		if len(list) == maxCausesDrawn {
 			break
 		}
-		list = append(list, series{word, c.seriesOf(func(b *timeBin) (float64, bool) {
-			return float64(b.causes[word]), true
+		list = append(list, series{cause, c.seriesOf(func(b *timeBin) (float64, bool) {
+			return float64(b.causes[cause]), true
 		})})
 	}
 	return list
@@ -199,17 +199,17 @@
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text, p.X.Label.Text = title, y, "seconds"
 	p.Y.Min = 0
-	top := 0.0
+	maxY := 0.0
 	for _, s := range lines {
 		for _, xy := range s.points {
-			top = max(top, xy.Y)
+			maxY = max(maxY, xy.Y)
 		}
 	}
-	if top == 0 {
-		top = 1
+	if maxY == 0 {
+		maxY = 1
 	}
 	if timed {
-		if err := c.shadeMarks(p, marks, top); err != nil {
+		if err := c.shadeMarks(p, marks, maxY); err != nil {
 			return "", err
 		}
 	}
@@ -226,7 +226,7 @@
 		p.Legend.Add(s.name, l)
 	}
 	p.Legend.Top = true
-	p.Y.Max = top * 1.15
+	p.Y.Max = maxY * 1.15
 	canvas := vgsvg.New(22*vg.Centimeter, 7*vg.Centimeter)
 	p.Draw(draw.New(canvas))
 	var text bytes.Buffer
@@ -241,20 +241,20 @@
 }
 
 // shadeMarks shades the intervals of the marks in a plot and writes their numbers at its top.
-func (c *Collector) shadeMarks(p *plot.Plot, marks []scenario.Mark, top float64) error {
+func (c *Collector) shadeMarks(p *plot.Plot, marks []scenario.Mark, maxY float64) error {
 	labels := plotter.XYLabels{}
 	for i, m := range marks {
 		from, to := m.From.Seconds(), m.To.Seconds()
 		if to <= from {
 			to = from + c.plan.Scenario.Length.Seconds()/1000
 		}
-		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: top}, {X: from, Y: top}})
+		box, err := plotter.NewPolygon(plotter.XYs{{X: from, Y: 0}, {X: to, Y: 0}, {X: to, Y: maxY}, {X: from, Y: maxY}})
 		if err != nil {
 			return err
 		}
 		box.Color, box.LineStyle.Width = color.RGBA{235, 225, 205, 255}, 0
 		p.Add(box)
-		labels.XYs = append(labels.XYs, plotter.XY{X: from, Y: top})
+		labels.XYs = append(labels.XYs, plotter.XY{X: from, Y: maxY})
 		labels.Labels = append(labels.Labels, fmt.Sprint(i+1))
 	}
 	if len(labels.Labels) == 0 {
--- a/internal/report/pair.go
+++ b/internal/report/pair.go
@@ -30,10 +30,10 @@
 		diffs[i] = b[i] - a[i]
 	}
 	d := Difference{Pairs: len(a), A: stat.Mean(a, nil), B: stat.Mean(b, nil)}
-	var spread float64
-	d.Mean, spread = stat.MeanStdDev(diffs, nil)
+	var stdDev float64
+	d.Mean, stdDev = stat.MeanStdDev(diffs, nil)
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(diffs) - 1)}.Quantile(0.975)
-	d.Detectable = t * spread / math.Sqrt(float64(len(diffs)))
+	d.Detectable = t * stdDev / math.Sqrt(float64(len(diffs)))
 	d.Low, d.High = d.Mean-d.Detectable, d.Mean+d.Detectable
 	d.Noise = d.Low <= 0 && d.High >= 0
 	return d, nil
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -82,12 +82,12 @@
 // script returns a random scenario: the base script, replacements of endpoints, and some faults.
 func script(d partDraw, senders int, o Options) string {
 	var b strings.Builder
-	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	line(`scenario(name = "soak", seconds = %.1f, senders = %d, zones = ["a", "b"])`, d.length, senders)
+	addLine := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
+	addLine(`scenario(name = "soak", seconds = %.1f, senders = %d, zones = ["a", "b"])`, d.length, senders)
 	b.WriteString(baseScript)
-	line(`traffic(rate = %.1f, clumps = (0.1, 0.2), clump = (1, 2), retries = 2)`, o.Rate*float64(senders))
+	addLine(`traffic(rate = %.1f, clumps = (0.1, 0.2), clump = (1, 2), retries = 2)`, o.Rate*float64(senders))
 	for range 2 + d.IntN(3) {
-		line(`churn(at = %.2f, every = %.2f, drain = %.2f, reuse_address = %s)`, d.between(1, 4), d.between(0.9, 4),
+		addLine(`churn(at = %.2f, every = %.2f, drain = %.2f, reuse_address = %s)`, d.between(1, 4), d.between(0.9, 4),
 			d.between(1, 4), starlarkBool(d.IntN(3) == 0))
 	}
 	for range 5 + d.IntN(6) {
--- a/internal/socktest/socktest.go
+++ b/internal/socktest/socktest.go
@@ -49,19 +49,19 @@
 // ends.
 func Accept(t testing.TB, serve func(n int, c *net.TCPConn)) string {
 	t.Helper()
-	sock, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { sock.Close() })
-	go accept(t, sock, serve)
-	return sock.Addr().String()
+	t.Cleanup(func() { listener.Close() })
+	go accept(t, listener, serve)
+	return listener.Addr().String()
 }
 
 // accept accepts connections and calls serve for each of them until the listener is closed.
-func accept(t testing.TB, sock net.Listener, serve func(n int, c *net.TCPConn)) {
+func accept(t testing.TB, listener net.Listener, serve func(n int, c *net.TCPConn)) {
 	for n := 0; ; n++ {
-		c, err := sock.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -75,24 +75,24 @@
 // the one that fills the queue and sends nothing. The operating system retries a pending connection after one second.
 func Full(t testing.TB) (addr string, open func(serve func(n int, c *net.TCPConn))) {
 	t.Helper()
-	sock, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { sock.Close() })
-	raw, err := sock.(*net.TCPListener).SyscallConn()
+	t.Cleanup(func() { listener.Close() })
+	raw, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if e := raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), 0) }); e != nil || err != nil {
 		t.Fatal(e, err)
 	}
-	filler, err := net.Dial("tcp", sock.Addr().String()) // a queue of length 0 holds one connection
+	filler, err := net.Dial("tcp", listener.Addr().String()) // a queue of length 0 holds one connection
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { filler.Close() })
-	return sock.Addr().String(), func(serve func(n int, c *net.TCPConn)) { go accept(t, sock, serve) }
+	return listener.Addr().String(), func(serve func(n int, c *net.TCPConn)) { go accept(t, listener, serve) }
 }
 
 // Refusing returns an address that refuses connections until the test ends. The address stays bound, since the port of
