--- a/internal/audit/effect.go
+++ b/internal/audit/effect.go
@@ -37,7 +37,7 @@
 	a.executions[e.Message] = execution{e.Call, e.At, e.At + lateExecutionWindow}
 }
 
-// expireExecutions removes expired executions. It scans them at most once per quarter of lateExecutionWindow.
+// expireExecutions removes expired executions. It scans them at most once in a quarter of lateExecutionWindow.
 func (a *Auditor) expireExecutions() {
 	if a.now < a.sweepAt {
 		return
--- a/internal/audit/route.go
+++ b/internal/audit/route.go
@@ -35,6 +35,7 @@
 	return r
 }
 
+// outageBegan records that an outage of the route began. It does nothing if the route is already in an outage.
 func (r *route) outageBegan() {
 	if !r.inOutage {
 		r.inOutage, r.sawFailure = true, map[int]bool{}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -132,6 +132,7 @@
 	return v
 }
 
+// fill sets v and its fields and elements up to maxDepth. n is the number of the last value that was set.
 func fill(v reflect.Value, n *int, depth int) {
 	if depth > maxDepth {
 		return
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -49,6 +49,7 @@
 	processEnds     int
 }
 
+// request is a message that a client requested, with the ids of its submissions.
 type request struct {
 	class       int
 	requestedAt time.Duration
@@ -96,6 +97,7 @@
 	return 0
 }
 
+// addCause counts a failure with a cause in a bin and in the totals.
 func (c *Collector) addCause(b *timeBin, cause string) {
 	b.causes[cause]++
 	c.causes[cause]++
--- a/internal/report/outages_test.go
+++ b/internal/report/outages_test.go
@@ -97,12 +97,14 @@
 				t.Errorf("%v senders, mode %v, %v partitions: %+v", senders, mode, parts, x)
 			}
 		}
-		t.Logf("%v senders, mode %v, %v partitions: %d discoveries, %d gossip messages", senders, mode, parts, n, r.GossipSent)
+		t.Logf("%v senders, mode %v, %v partitions: %d discoveries, %d gossip messages", senders, mode, parts, n,
+			r.GossipSent)
 		return n
 	}
 	smallFleet, largeFleet := countDiscoveries(20, 160, 0, 1), countDiscoveries(250, 500, 0, 1)
 	if limit := float64(smallFleet) * math.Log(250) / math.Log(20); float64(largeFleet) > limit {
-		t.Errorf("20 senders: %d discoveries of dead endpoints, 250 senders: %d, want at most %.0f", smallFleet, largeFleet, limit)
+		t.Errorf("20 senders: %d discoveries of dead endpoints, 250 senders: %d, want at most %.0f", smallFleet,
+			largeFleet, limit)
 	}
 	if partitioned := countDiscoveries(250, 500, 0, 5); partitioned > 5*largeFleet {
 		t.Errorf("%d discoveries in five partitions, %d in one", partitioned, largeFleet)
@@ -121,10 +123,14 @@
 		maxDiscoveries int     // maximum number of discoveries
 	}{
 		{"one sender cannot reach the endpoint", linkToEndpoint + `of = "n0", what = "CUT")`, 0.14, 10},
-		{"five senders cannot reach the endpoint", linkToEndpoint + `of = ["n0", "n1", "n2", "n3", "n4"], what = "CUT")`, 0.13, 40},
+		{"five senders cannot reach it", linkToEndpoint + `of = ["n0", "n1", "n2", "n3", "n4"], what = "CUT")`, 0.13, 40},
 		{"the senders of one zone cannot reach the endpoint", linkToEndpoint + `of = "bldg-a", what = "CUT")`, 0.03, 200},
 		{"the link from one zone drops packets", linkToEndpoint + `of = "bldg-a", what = "SILENT")`, 0.03, 200},
-		{"the endpoint fails intermittently", `[trouble(what = "DOWN", at = 10 + 2 * i, seconds = 1, destination = 1, endpoints = 0.17) for i in range(9)]`, 0.12, 60},
+		{
+			"the endpoint fails intermittently",
+			`[trouble(what = "DOWN", at = 10 + 2 * i, seconds = 1, destination = 1, endpoints = 0.17) for i in range(9)]`,
+			0.12, 60,
+		},
 	} {
 		calls, callsToEndpoint, discoveries := 0, 0, 0
 		_, r := runFleetDead(t, map[string]float64{"senders": 80, "rate": 320, "dead": 0}, 1, func(e audit.Event) {
