--- a/internal/audit/auditor.go
+++ b/internal/audit/auditor.go
@@ -24,7 +24,7 @@
 	violations      []Violation
 	violationCounts map[Rule]int
 	counts          Counts
-	executions      map[string]execution // first executions of messages that are not idempotent, by message id
+	executions      map[string]execution // latest executions of messages that are not idempotent, by message id
 	sweepAt         time.Duration        // time of the next removal of expired executions
 }
 
@@ -58,8 +58,8 @@
 	}
 }
 
-// Read processes the next event. It returns an error if the ledger is inconsistent: if the event is earlier than the
-// previous one, or refers to a message or call that does not exist.
+// Read processes the next event. It returns an error if the ledger is inconsistent, for example if the event is
+// earlier than the previous one, or is the end of a call that was never sent.
 func (a *Auditor) Read(e Event) error {
 	if e.At < a.now {
 		return fmt.Errorf("audit: event at %v is earlier than the previous one at %v", e.At, a.now)
--- a/internal/audit/call.go
+++ b/internal/audit/call.go
@@ -53,8 +53,8 @@
 	})
 }
 
-// checkEndpoint checks that a call does not go to an endpoint that has drained or been removed, or to a route whose
-// Retry-After wait has not ended.
+// checkEndpoint checks that a call does not go to an endpoint that the sender was notified, longer than the drain grace
+// period ago, drains or is removed, and that it does not go to a route whose Retry-After wait has not ended.
 func (a *Auditor) checkEndpoint(c *call) {
 	s, key := a.sender(c.sender), a.routeKeyFor(c.dest, c.endpoint)
 	if since, departed := s.departures[c.endpoint]; departed && c.firstByteAt > since+a.rules.DrainGrace {
--- a/internal/report/pair.go
+++ b/internal/report/pair.go
@@ -11,11 +11,11 @@
 // Difference is the result of a paired comparison of two variants, A and B.
 type Difference struct {
 	Pairs      int     `json:"pairs"`
-	A          float64 `json:"a"` // mean of A; the next field is the mean of B
-	B          float64 `json:"b"`
-	Mean       float64 `json:"mean"` // mean of the differences B - A
-	Low        float64 `json:"low"`  // bounds of the 95% confidence interval of Mean
-	High       float64 `json:"high"`
+	A          float64 `json:"a"`        // mean of A
+	B          float64 `json:"b"`        // mean of B
+	Mean       float64 `json:"mean"`     // mean of the differences B - A
+	Low        float64 `json:"low"`      // lower bound of the 95% confidence interval of Mean
+	High       float64 `json:"high"`     // upper bound
 	Noise      bool    `json:"noise"`    // the confidence interval contains 0
 	Detectable float64 `json:"smallest"` // half the width of the interval: smaller differences cannot be detected
 }
