--- a/internal/audit/call.go
+++ b/internal/audit/call.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// A call is in flight from its Sent to its Ended event.
+// A call is a call in flight, that is, between its Sent and its Ended event.
 type call struct {
 	id          uint64
 	sender      int
 	endpoint    string
 	zone        int
 	dest        int
-	at          time.Duration // when it arrived completely
-	firstByteAt time.Duration // when its first byte was written; its time by the rules
+	arrivedAt   time.Duration // when it had arrived completely
+	firstByteAt time.Duration // when its first byte was written; the rules apply to this time
 	messages    []string
 }
 
-// callSent judges a call: whether it may go to its endpoint now, and each of its messages.
+// callSent records a call and checks whether it may go to its endpoint now and may contain each of its messages.
 func (a *Auditor) callSent(e Event) error {
 	if a.calls[e.Call] != nil {
-		return fmt.Errorf("audit: call %d begins twice", e.Call)
+		return fmt.Errorf("audit: call %d is sent twice", e.Call)
 	}
 	a.counts.Calls++
 	c := &call{e.Call, e.Sender, e.Endpoint, e.Zone, e.Dest, e.At, e.At, e.Messages}
@@ -45,17 +45,18 @@
 	return nil
 }
 
-// callViolation adds a violation by a call, which follows from something that happened at since.
+// callViolation records a violation by a call. The event that made the call a violation happened at the time since.
 func (a *Auditor) callViolation(c *call, rule Rule, message string, since time.Duration, text string) {
 	a.addViolation(Violation{
-		Rule: rule, At: c.at, Sender: c.sender, Message: message, Calls: []uint64{c.id}, Times: []time.Duration{since, c.at},
-		Text: text,
+		Rule: rule, At: c.arrivedAt, Sender: c.sender, Message: message, Calls: []uint64{c.id},
+		Times: []time.Duration{since, c.arrivedAt}, Text: text,
 	})
 }
 
-// checkEndpoint judges whether a call may go to its endpoint: not after a drain, and not before the end of a wait.
+// checkEndpoint checks that a call does not go to an endpoint that the sender was notified, longer than the drain grace
+// period ago, drains or is removed, and that it does not go to a route whose Retry-After wait has not ended.
 func (a *Auditor) checkEndpoint(c *call) {
-	s, key := a.sender(c.sender), a.keyOf(c.dest, c.endpoint)
+	s, key := a.sender(c.sender), a.routeKeyFor(c.dest, c.endpoint)
 	if since, departed := s.departures[c.endpoint]; departed && c.firstByteAt > since+a.rules.DrainGrace {
 		text := fmt.Sprintf("a call to %s %v after the sender was told that it drains or is gone",
 			c.endpoint, c.firstByteAt-since)
@@ -64,21 +65,21 @@
 	w, waits := s.waits[key]
 	switch {
 	case !waits:
-	case c.at >= w.until:
+	case c.arrivedAt >= w.until:
 		delete(s.waits, key)
-	case c.at > w.from+a.rules.RetryAfterSlack:
-		text := fmt.Sprintf("a call to destination %d %v before the end of a wait", c.dest, w.until-c.at)
+	case c.arrivedAt > w.from+a.rules.RetryAfterSlack:
+		text := fmt.Sprintf("a call to destination %d %v before the end of a wait", c.dest, w.until-c.arrivedAt)
 		a.callViolation(c, RuleRetryAfter, "", w.from, text)
 	}
 }
 
-// checkRepeat judges a further call with a message. A call's time is that of its first byte (PROTOCOL, 'Figures'):
-// where the link to its endpoint is silent for a while, the rest arrives after it, and the message may have ended
-// meanwhile.
+// checkRepeat checks whether a message that was in earlier calls may be sent again in c. The time of a call is that
+// of its first byte (PROTOCOL, 'Figures'): if the link to the endpoint drops packets for a while, the rest of the
+// call arrives later, and the message may have ended in the meantime.
 func (a *Auditor) checkRepeat(m *message, c *call) {
 	if m.ended && m.accepted && m.class.Idempotency == NotIdempotent && c.firstByteAt > m.endedAt {
 		a.addViolation(Violation{
-			Rule: RuleRepeat, At: c.at, Sender: c.sender, Message: m.id, Calls: append(m.callIDs(), c.id),
+			Rule: RuleRepeat, At: c.arrivedAt, Sender: c.sender, Message: m.id, Calls: append(m.callIDs(), c.id),
 			Text: "sent after its end",
 		})
 		return
@@ -87,19 +88,19 @@
 		if t.ended && (t.outcome == NeverRan || t.outcome == NothingOwed) {
 			continue
 		}
-		if why := m.class.whyNotRepeat(t.call, c); why != "" {
+		if reason := m.class.repeatViolation(t.call, c); reason != "" {
 			a.addViolation(Violation{
-				Rule: RuleRepeat, At: c.at, Sender: c.sender, Message: m.id, Calls: []uint64{t.call.id, c.id},
-				Times: []time.Duration{t.call.at, c.at}, Text: why,
+				Rule: RuleRepeat, At: c.arrivedAt, Sender: c.sender, Message: m.id, Calls: []uint64{t.call.id, c.id},
+				Times: []time.Duration{t.call.arrivedAt, c.arrivedAt}, Text: reason,
 			})
 			return
 		}
 	}
 }
 
-// whyNotRepeat returns why a message must not be in a call after it was in an earlier one that may have run it; empty
-// where it may.
-func (c Class) whyNotRepeat(earlier, later *call) string {
+// repeatViolation returns the reason why a message must not be sent in the later call, given that the earlier call
+// may have run it. It returns an empty string if the repeat is allowed.
+func (c Class) repeatViolation(earlier, later *call) string {
 	age := later.firstByteAt - earlier.firstByteAt
 	switch {
 	case c.Idempotency == NotIdempotent:
@@ -112,15 +113,15 @@
 	return ""
 }
 
-// callEnded notes how a call and each of its messages ended, and the wait that its answer told.
+// callEnded records the outcomes of a call and of each of its messages, and the Retry-After of its response.
 func (a *Auditor) callEnded(e Event) error {
 	c := a.calls[e.Call]
 	if c == nil {
-		return fmt.Errorf("audit: call %d ends and never began", e.Call)
+		return fmt.Errorf("audit: call %d ends but was never sent", e.Call)
 	}
 	delete(a.calls, e.Call)
 	if s := a.sender(c.sender); e.RetryAfter > 0 && !s.down {
-		key := a.keyOf(c.dest, c.endpoint)
+		key := a.routeKeyFor(c.dest, c.endpoint)
 		if w := s.waits[key]; e.At+e.RetryAfter > w.until {
 			s.waits[key] = wait{e.At, e.At + e.RetryAfter}
 		}
@@ -130,17 +131,17 @@
 		if m == nil {
 			continue
 		}
-		outcome, apart := e.Outcomes[id]
-		if !apart {
+		outcome, hasOwn := e.Outcomes[id]
+		if !hasOwn {
 			outcome = e.Outcome
 		}
 		a.attemptEnded(m, c, outcome)
-		a.forget(m, a.now)
+		a.evictMessage(m, a.now)
 	}
 	return nil
 }
 
-// attemptEnded notes how a message of a call ended.
+// attemptEnded records the outcome of a message of a call.
 func (a *Auditor) attemptEnded(m *message, c *call, outcome Outcome) {
 	for _, t := range m.attempts {
 		if t.call == c {
@@ -153,9 +154,9 @@
 			a.counts.Delivered++
 		}
 		if m.delivered = true; m.accepted {
-			a.end(m)
+			a.endMessage(m)
 		}
 	case NothingOwed:
-		a.end(m)
+		a.endMessage(m)
 	}
 }
--- a/internal/audit/route.go
+++ b/internal/audit/route.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// A routeKey is a destination, or an endpoint with a separate route.
+// A routeKey identifies a route: a destination, or one endpoint of a destination whose endpoints have separate routes.
 type routeKey struct {
 	dest     int
 	endpoint string
 }
 
-// A route is what outages and overloads hold for.
+// A route is the unit that outages and overloads apply to.
 type route struct {
 	inOutage   bool
-	sawFailure map[int]bool // senders that saw a failure during the latest outage
+	sawFailure map[int]bool // senders that observed a failure during the latest outage
 }
 
-// keyOf returns the route of an endpoint.
-func (a *Auditor) keyOf(dest int, endpoint string) routeKey {
+// routeKeyFor returns the key of the route to an endpoint.
+func (a *Auditor) routeKeyFor(dest int, endpoint string) routeKey {
 	if a.rules.SeparateRoutes[dest] {
 		return routeKey{dest, endpoint}
 	}
 	return routeKey{dest: dest}
 }
 
-// route returns a route, which is made if it is new.
+// route returns the route with a key and creates it if necessary.
 func (a *Auditor) route(k routeKey) *route {
 	r := a.routes[k]
 	if r == nil {
@@ -35,32 +35,34 @@
 	return r
 }
 
+// outageBegan records that an outage of the route began. It does nothing if the route is already in an outage.
 func (r *route) outageBegan() {
 	if !r.inOutage {
 		r.inOutage, r.sawFailure = true, map[int]bool{}
 	}
 }
 
-// checkOverload judges who overloaded a partner that was warming up: senders that saw its outage must not.
+// checkOverload reports a violation if most calls that overloaded a partner during its warm-up came from senders that
+// had observed its outage.
 func (a *Auditor) checkOverload(e Event) {
-	r := a.route(a.keyOf(e.Dest, e.Endpoint))
-	all, witnessed, maxCalls, worst := 0, 0, 0, 0
-	for who, n := range e.CallsBySender {
-		all += n
-		if !r.sawFailure[who] {
+	r := a.route(a.routeKeyFor(e.Dest, e.Endpoint))
+	totalCalls, witnessCalls, maxCalls, worst := 0, 0, 0, 0
+	for sender, n := range e.CallsBySender {
+		totalCalls += n
+		if !r.sawFailure[sender] {
 			continue
 		}
-		if witnessed += n; n > maxCalls || n == maxCalls && who < worst {
-			maxCalls, worst = n, who
+		if witnessCalls += n; n > maxCalls || n == maxCalls && sender < worst {
+			maxCalls, worst = n, sender
 		}
 	}
-	if all == 0 || float64(witnessed) < a.rules.OverloadShare*float64(all) {
+	if totalCalls == 0 || float64(witnessCalls) < a.rules.OverloadShare*float64(totalCalls) {
 		return
 	}
 	a.addViolation(Violation{
 		Rule: RuleOverload, At: e.At, Sender: worst, Times: []time.Duration{e.At},
 		Text: fmt.Sprintf(
 			"destination %d was pushed over: %d of %d calls came from senders that had seen it fail, most from sender %d",
-			e.Dest, witnessed, all, worst),
+			e.Dest, witnessCalls, totalCalls, worst),
 	})
 }
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -12,7 +12,8 @@
 	"cleathold/internal/golden"
 )
 
-// TestGoldenRun reads the folder of a run that 096da04 played, and writes its events as they stand there.
+// TestGoldenRun checks that the folder of a run that commit 096da04 wrote can be read, and that its events are written
+// in the same form.
 func TestGoldenRun(t *testing.T) {
 	golden.JSON[Head](t, "head.json")
 	run, err := Open(golden.Path("run"))
@@ -23,8 +24,8 @@
 		t.Errorf("head %+v, %d bytes of script, %d of result", run.Head, len(run.Script), len(run.Result))
 	}
 	var written bytes.Buffer
-	lines := json.NewEncoder(&written)
-	complete, err := run.Events(func(e audit.Event) error { return lines.Encode(e) })
+	encoder := json.NewEncoder(&written)
+	complete, err := run.Events(func(e audit.Event) error { return encoder.Encode(e) })
 	if err != nil || !complete {
 		t.Fatalf("complete %t, %v", complete, err)
 	}
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -1,7 +1,7 @@
-// Package report turns the ledger of a run into a page: service over time, what failed and why, calls in flight, the
-// age of the oldest open message, and latencies by class, with the faults on the time axis. It also sums up limits
-// and outages, and compares paired runs. It reads a ledger event by event in bounded memory, and judges nothing: that
-// is package audit's.
+// Package report creates a report page from the ledger of a run: service over time, failures by cause, calls in
+// flight, the age of the oldest open message, and latencies by class, with the faults on the time axis. It also
+// summarizes limits and outages, and compares paired runs. It reads a ledger event by event in bounded memory. It
+// does not check rules, which is the task of package audit.
 package report
 
 import (
@@ -16,19 +16,19 @@
 	"cleathold/internal/simulation"
 )
 
-// maxBins bounds the number of points in a plot.
+// maxBins is the maximum number of points in a plot.
 const maxBins = 600
 
 // timeBin is one interval of the time axis.
 type timeBin struct {
-	requested, delivered float64        // priority weight, by the time of the request
+	requested, delivered float64        // priority weight, in the bin of the request
 	causes               map[string]int // failed calls and submissions by cause
-	callsInFlight        int            // the most at any time
-	openMessages         int            // the most at any time
+	callsInFlight        int            // maximum within the bin
+	openMessages         int            // maximum within the bin
 	oldestAge            time.Duration  // of the oldest open message, at the end of the bin
 }
 
-// Collector collects the events of a run for its page.
+// Collector collects the data for the page of a run from its events.
 type Collector struct {
 	plan     *scenario.Plan
 	binWidth time.Duration
@@ -37,25 +37,26 @@
 	at       time.Duration
 	events   int
 
-	requests        map[int]request // by number: those whose deadline is not past
-	oldestRequest   int             // the oldest that may be among them
+	requests        map[int]request // by number, until some time after the deadline
+	oldestRequest   int             // lowest number that may be in requests
 	longestDeadline time.Duration
 	requestByID     map[string]int
 	calls           map[uint64][]string
-	openSince       map[string]time.Duration // by id: when an open message was accepted
-	openOrder       []string                 // the same, in order
+	openSince       map[string]time.Duration // by message id: when an open message was accepted
+	openOrder       []string                 // ids in the order of acceptance, including some closed messages
 	byClass         []*hdrhistogram.Histogram
 	causes          map[string]int
-	deaths          int
+	processEnds     int
 }
 
+// request is a message that a client requested, with the ids of its submissions.
 type request struct {
 	class       int
 	requestedAt time.Duration
 	ids         []string
 }
 
-// NewCollector returns a collector for a run of a plan.
+// NewCollector returns a Collector for a run of a plan.
 func NewCollector(p *scenario.Plan) *Collector {
 	c := &Collector{
 		plan: p, binWidth: time.Second, meter: simulation.NewServiceMeter(p.Scenario), requests: map[int]request{},
@@ -72,12 +73,12 @@
 	return c
 }
 
-// bin returns the bin of a time, and completes the bins before it.
-func (c *Collector) bin(at time.Duration) *timeBin {
+// binAt returns the bin of a time. It adds missing bins and completes those before it.
+func (c *Collector) binAt(at time.Duration) *timeBin {
 	i := int(at / c.binWidth)
 	for len(c.bins) <= i {
 		if n := len(c.bins); n > 0 {
-			c.bins[n-1].oldestAge = c.oldest(time.Duration(n) * c.binWidth)
+			c.bins[n-1].oldestAge = c.oldestOpenAge(time.Duration(n) * c.binWidth)
 		}
 		c.bins = append(c.bins, timeBin{causes: map[string]int{}, callsInFlight: len(c.calls),
 			openMessages: len(c.openSince)})
@@ -85,8 +86,8 @@
 	return &c.bins[i]
 }
 
-// oldest returns the age of the oldest open message.
-func (c *Collector) oldest(now time.Duration) time.Duration {
+// oldestOpenAge returns the age of the oldest open message.
+func (c *Collector) oldestOpenAge(now time.Duration) time.Duration {
 	for len(c.openOrder) > 0 {
 		if at, open := c.openSince[c.openOrder[0]]; open {
 			return now - at
@@ -96,21 +97,22 @@
 	return 0
 }
 
-func (c *Collector) addCause(b *timeBin, word string) {
-	b.causes[word]++
-	c.causes[word]++
+// addCause counts a failure with a cause in a bin and in the totals.
+func (c *Collector) addCause(b *timeBin, cause string) {
+	b.causes[cause]++
+	c.causes[cause]++
 }
 
-// Read takes the next event. It never fails.
+// Read processes the next event. It never returns an error.
 func (c *Collector) Read(e audit.Event) error {
 	c.events++
 	c.at = e.At
-	b := c.bin(e.At)
+	b := c.binAt(e.At)
 	switch e.Kind {
 	case audit.Requested:
 		b.requested += c.plan.Scenario.Traffic.Classes[e.Class].PriorityWeight
 		c.requests[e.Request] = request{class: e.Class, requestedAt: e.At}
-		c.forget(e)
+		c.evictExpired(e)
 	case audit.Submitted:
 		c.requestByID[e.Message] = e.Request
 		if w, known := c.requests[e.Request]; known {
@@ -147,22 +149,22 @@
 		}
 		delete(c.calls, e.Call)
 	case audit.Died:
-		c.deaths++
+		c.processEnds++
 	}
 	return c.meter.Read(e)
 }
 
-// delivered records the latencies of the messages of a call, from their requests on.
+// delivered records the latencies of the messages of a call, counted from their requests.
 func (c *Collector) delivered(e audit.Event) {
 	for _, id := range c.calls[e.Call] {
 		n, known := c.requestByID[id]
-		w, still := c.requests[n]
+		w, pending := c.requests[n]
 		delete(c.openSince, id)
-		if !known || !still {
+		if !known || !pending {
 			continue
 		}
 		age := e.At - w.requestedAt
-		c.byClass[w.class].RecordValue(min(max(age.Milliseconds(), 1), 599_999)) // fails only out of range
+		c.byClass[w.class].RecordValue(min(max(age.Milliseconds(), 1), 599_999)) // fails only for values out of range
 		c.bins[w.requestedAt/c.binWidth].delivered += simulation.PriorityWeightAt(&c.plan.Scenario.Traffic.Classes[w.class],
 			age)
 		for _, other := range w.ids {
@@ -172,8 +174,8 @@
 	}
 }
 
-// forget drops requests whose deadline is long past.
-func (c *Collector) forget(e audit.Event) {
+// evictExpired removes the requests whose deadline passed more than 5 s ago.
+func (c *Collector) evictExpired(e audit.Event) {
 	for ; c.oldestRequest < e.Request; c.oldestRequest++ {
 		w, known := c.requests[c.oldestRequest]
 		if known && e.At < w.requestedAt+c.longestDeadline+5*time.Second {
@@ -186,14 +188,15 @@
 	}
 }
 
-// Remembered returns the number of remembered requests, submissions, calls and messages, for tests of the bounds.
-func (c *Collector) Remembered() int {
+// Size returns the number of requests, submissions, calls and messages in memory, for tests that check that it is
+// bounded.
+func (c *Collector) Size() int {
 	return len(c.requests) + len(c.requestByID) + len(c.calls) + len(c.openSince)
 }
 
-// Causes returns the causes of failures, the most frequent first.
+// Causes returns the causes of failures in descending order of frequency.
 func (c *Collector) Causes() []string {
-	words := slices.Sorted(maps.Keys(c.causes))
-	slices.SortStableFunc(words, func(a, b string) int { return c.causes[b] - c.causes[a] })
-	return words
+	causes := slices.Sorted(maps.Keys(c.causes))
+	slices.SortStableFunc(causes, func(a, b string) int { return c.causes[b] - c.causes[a] })
+	return causes
 }
--- a/internal/soak/play.go
+++ b/internal/soak/play.go
@@ -19,19 +19,19 @@
 // Report is the result of a case.
 type Report struct {
 	Result   harness.Result
-	Findings []string // what was wrong; none: the case passed
+	Findings []string // descriptions of failures; empty if the case passed
 }
 
-// forbiddenLogLines are parts of log lines that mean a fault of the program.
+// forbiddenLogLines holds substrings of log lines that indicate a bug in the program.
 var forbiddenLogLines = []string{state.LogCallAgainstRule, state.LogInvalidSend, "panic:", "fatal error:", "DATA RACE"}
 
-// maxLogLine bounds the length of a line of a log.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// eventsName is the file with the events of a case, one a line.
+// eventsName is the name of the file with the events of a case, one JSON object per line.
 const eventsName = "events.jsonl"
 
-// Play plays a case with processes of a program. Logs, state and events stay in the folder.
+// Play runs a case with processes of a program. Logs, state and events are kept in the folder.
 func Play(ctx context.Context, c *Case, program, folder string, log *slog.Logger) (*Report, error) {
 	s, err := scenario.Parse(fmt.Sprintf("soak-%d.star", c.Seed), []byte(c.Script), nil)
 	if err != nil {
@@ -42,9 +42,9 @@
 		return nil, err
 	}
 	defer events.Close()
-	lines := bufio.NewWriter(events)
-	defer lines.Flush()
-	encoder := json.NewEncoder(lines)
+	writer := bufio.NewWriter(events)
+	defer writer.Flush()
+	encoder := json.NewEncoder(writer)
 	sink := func(e audit.Event) error { return encoder.Encode(e) }
 	result, err := harness.Run(ctx, harness.Setup{Plan: s.Plan(c.Seed), Program: program, Folder: folder, Log: log,
 		Faults: c.Faults, Sink: sink})
@@ -52,9 +52,9 @@
 		return nil, err
 	}
 	r := &Report{Result: result}
-	for _, b := range result.Violations {
-		r.addFinding("%v sender %d: %s: %s (message %s, calls %v, times %v)", b.At, b.Sender, b.Rule, b.Text, b.Message,
-			b.Calls, b.Times)
+	for _, v := range result.Violations {
+		r.addFinding("%v sender %d: %s: %s (message %s, calls %v, times %v)", v.At, v.Sender, v.Rule, v.Text, v.Message,
+			v.Calls, v.Times)
 	}
 	if result.Crashes > 0 {
 		r.addFinding("%d processes ended without being told to", result.Crashes)
@@ -70,26 +70,26 @@
 	return r, nil
 }
 
-// addFinding notes something that was wrong.
+// addFinding records the description of a failure.
 func (r *Report) addFinding(format string, args ...any) {
 	r.Findings = append(r.Findings, fmt.Sprintf(format, args...))
 }
 
-// readLog searches the log of a sender for forbidden lines.
+// readLog searches the log of a sender for forbidden lines and records a finding for each of them.
 func (r *Report) readLog(sender int, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, maxLogLine)
-	for lines.Scan() {
-		for _, part := range forbiddenLogLines {
-			if strings.Contains(lines.Text(), part) {
-				r.addFinding("n%d: %s", sender, lines.Text())
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(nil, maxLogLine)
+	for scanner.Scan() {
+		for _, pattern := range forbiddenLogLines {
+			if strings.Contains(scanner.Text(), pattern) {
+				r.addFinding("n%d: %s", sender, scanner.Text())
 			}
 		}
 	}
-	return lines.Err()
+	return scanner.Err()
 }
