--- a/cmd/cleathold/redelivery_test.go
+++ b/cmd/cleathold/redelivery_test.go
@@ -200,7 +200,7 @@
 
 // requireOneState checks that each accepted message was delivered or is held, that the platform got the delivery
 // reports of the held ones, that all records that may be redelivered were redelivered, and that no message had more
-// effects than its class allows.
+// effects than its class allows. A message held after a timeout must have taken effect.
 func requireOneState(
 	t *testing.T, p *partner, accepted map[string]bool, records map[string]deadletter.Record, rejected map[uint64]bool,
 	reported func(id string) bool,
@@ -215,6 +215,10 @@
 			t.Errorf("%s is lost", id)
 		case held && !reported(id):
 			t.Errorf("%s is held, but its delivery report was not received: %+v", id, r)
+		case held && r.State == deadletter.Held && !rejected[r.Sequence] && heldAfterTimeout(r):
+			if p.effects[id] != 1 {
+				t.Errorf("%s took effect %d times, want 1: %+v", id, p.effects[id], r)
+			}
 		case held && r.State == deadletter.Held && !rejected[r.Sequence]:
 			t.Errorf("%s may be redelivered, but was not: %+v", id, r)
 		case held && r.State == deadletter.Delivered && p.effects[id] == 0:
