--- a/control/gossip.go
+++ b/control/gossip.go
@@ -54,7 +54,7 @@
 		}
 	case ObservedDown, ObservedUp:
 		up := observation.Kind == ObservedUp
-		c.mergePeerReport(endpoint, fleethealth.Report{Peer: observation.Peer, At: observedAt, Up: up})
+		c.mergePeerReport(endpoint, fleethealth.Report{Peer: observation.Peer, At: observedAt, Served: up})
 	case ObservedWarm:
 		if observedAt > route.slowStart.recoveredAt && route.slowStart.addWarmReport(observation.Peer) {
 			route.slowStart.advance(c.settings.WarmUp)
--- a/internal/fleethealth/health.go
+++ b/internal/fleethealth/health.go
@@ -45,9 +45,9 @@
 
 // A Report is the result of one call made by this sender or a peer.
 type Report struct {
-	Peer int           // number of the peer that made the call, or Self
-	At   time.Duration // when the call ended, by this sender's clock
-	Up   bool          // whether the call was served; otherwise it failed
+	Peer   int           // number of the peer that made the call, or Self
+	At     time.Duration // when the call ended, by this sender's clock
+	Served bool          // whether the call was served; otherwise it failed
 }
 
 // Self is the peer number in a sender's own reports.
@@ -64,7 +64,7 @@
 
 // Add merges a report and reports whether it changed the evidence.
 func (e *Evidence) Add(r Report) bool {
-	if r.Up {
+	if r.Served {
 		return e.addServed(r)
 	}
 	if e.hasServed && r.At <= e.lastServed.At {
@@ -182,7 +182,7 @@
 // Merge merges the report of a peer. draw is a random number in [0, 1). ownSuperseded reports whether the report
 // supersedes a failure that this sender observed itself, and recovered whether it ended the ejection of the endpoint.
 func (h *Health) Merge(now time.Duration, r Report, p Params, draw float64) (ownSuperseded, recovered bool) {
-	if !r.Up {
+	if !r.Served {
 		h.mergeFailure(now, r, p, draw)
 		return false, false
 	}
