--- a/control/circuitbreaker.go
+++ b/control/circuitbreaker.go
@@ -138,7 +138,7 @@
 // recordSuccess records that a call sent at sentAt was served.
 func (c *Controller) recordSuccess(endpoint *endpoint, sentAt time.Duration) {
 	breaker := &endpoint.route.breaker
-	if c.settings.usesFleetRate() && endpoint.health.Served(c.now, c.fleetHealthParams()) {
+	if c.settings.usesFleetRate() && endpoint.health.RecordServed(c.now, c.fleetHealthParams()) {
 		c.gossipHealth(endpoint, ObservedUp)
 	}
 	endpoint.destination.concurrencyReduced = false
--- a/internal/fleethealth/health.go
+++ b/internal/fleethealth/health.go
@@ -169,9 +169,9 @@
 	return now >= h.disputedUntil && (reporters < minReporters && !own || !known || now-last >= p.TrialInterval/2)
 }
 
-// Served records that a call of this sender was served. It reports whether to gossip that, which is the case if other
-// senders found the endpoint down.
-func (h *Health) Served(now time.Duration, p Params) (gossip bool) {
+// RecordServed records that a call of this sender was served. It reports whether to gossip that, which is the case if
+// other senders found the endpoint down.
+func (h *Health) RecordServed(now time.Duration, p Params) (gossip bool) {
 	reporters, own := h.FailureReporters(now, p)
 	h.Add(Report{Self, now, true})
 	h.removeContradicted(Self)
--- a/internal/fleethealth/health_test.go
+++ b/internal/fleethealth/health_test.go
@@ -107,7 +107,7 @@
 			case call.peer != Self:
 				h.Merge(call.at, Report{call.peer, call.at, call.up}, params, 0)
 			case call.up:
-				gossip = h.Served(call.at, params)
+				gossip = h.RecordServed(call.at, params)
 			default:
 				gossip = h.Failed(call.at, params, 0)
 			}
@@ -186,7 +186,7 @@
 			t.Errorf("%s: over %v, recovered %v, ejected just before its delay is over %v, and after %v", c.name, over,
 				recovered, h.Ejected(now+999*ms, params), h.Ejected(now+time.Second, params))
 		}
-		if h.Served(now+ms, params); h.Ejected(now+2*ms, params) {
+		if h.RecordServed(now+ms, params); h.Ejected(now+2*ms, params) {
 			t.Errorf("%s: still ejected after the sender's own call was served", c.name)
 		}
 	}
