--- a/control/circuitbreaker.go
+++ b/control/circuitbreaker.go
@@ -160,7 +160,7 @@
 func (c *Controller) recordFailure(endpoint *endpoint, sentAt time.Duration, result Result, retryAfter time.Duration) {
 	route, dest, fleetRate := endpoint.route, endpoint.destination, c.settings.usesFleetRate()
 	breaker := &route.breaker
-	if result != Rejected && fleetRate && endpoint.health.Failed(c.now, c.fleetHealthParams(), c.rng.Float64()) {
+	if result != Rejected && fleetRate && endpoint.health.RecordFailed(c.now, c.fleetHealthParams(), c.rng.Float64()) {
 		c.gossipHealth(endpoint, ObservedDown)
 	}
 	if result == TimedOut && sentAt >= breaker.lastFailureAt {
--- a/internal/fleethealth/health.go
+++ b/internal/fleethealth/health.go
@@ -158,9 +158,9 @@
 // others are served, or because the endpoint fails intermittently.
 func (h *Health) Disputed(now time.Duration) bool { return now < h.disputedUntil }
 
-// Failed records that a call of this sender failed. draw is a random number in [0, 1). It reports whether to gossip the
-// failure, which is the case if it is new to the fleet, and after each trial call.
-func (h *Health) Failed(now time.Duration, p Params, draw float64) (gossip bool) {
+// RecordFailed records that a call of this sender failed. draw is a random number in [0, 1). It reports whether to
+// gossip the failure, which is the case if it is new to the fleet, and after each trial call.
+func (h *Health) RecordFailed(now time.Duration, p Params, draw float64) (gossip bool) {
 	reporters, own := h.FailureReporters(now, p)
 	last, known := h.LatestFailure()
 	if !h.mergeFailure(now, Report{Self, now, false}, p, draw) {
--- a/internal/fleethealth/health_test.go
+++ b/internal/fleethealth/health_test.go
@@ -109,7 +109,7 @@
 			case call.up:
 				gossip = h.RecordServed(call.at, params)
 			default:
-				gossip = h.Failed(call.at, params, 0)
+				gossip = h.RecordFailed(call.at, params, 0)
 			}
 			if ejected := h.Ejected(call.at, params); gossip != call.gossip || ejected != call.ejected {
 				t.Errorf("%s, step %d: gossiped %v, ejected %v", c.name, i, gossip, ejected)
@@ -125,17 +125,17 @@
 // are disputed if this is the case for many senders or the endpoint fails intermittently.
 func TestContradicted(t *testing.T) {
 	var h Health
-	if h.Failed(time.Second, params, 0); h.Contradicted(time.Second, params) {
+	if h.RecordFailed(time.Second, params, 0); h.Contradicted(time.Second, params) {
 		t.Error("contradicted before any call was served")
 	}
 	over, _ := h.Merge(time.Second+5*ms, Report{7, time.Second + 4*ms, true}, params, 0)
 	if over || !h.Contradicted(time.Second+5*ms, params) {
 		t.Errorf("others are served: over %v, contradicted %v", over, h.Contradicted(time.Second+5*ms, params))
 	}
-	if h.Failed(3*time.Second, params, 0) {
+	if h.RecordFailed(3*time.Second, params, 0) {
 		t.Error("a contradicted failure is gossiped again")
 	}
-	if h.Contradicted(9*time.Second+ms, params) || !h.Failed(10*time.Second, params, 0) {
+	if h.Contradicted(9*time.Second+ms, params) || !h.RecordFailed(10*time.Second, params, 0) {
 		t.Error("after the TTL it should gossip again")
 	}
 	var disputed Health
@@ -150,13 +150,13 @@
 		}
 		disputed.Merge(at, Report{100, at, true}, params, 0)
 	}
-	if x := disputed; x.Failed(at+ms, params, 0) {
+	if x := disputed; x.RecordFailed(at+ms, params, 0) {
 		t.Error("gossiped in a dispute")
 	}
 	disputed.Merge(at+ms, Report{50, at + ms, false}, params, 0)
 	disputed.Merge(at+ms, Report{51, at + ms, false}, params, 0)
 	if !disputed.Disputed(at+ms) || disputed.Ejected(at+ms, params) || disputed.Suspected(at+ms, params) ||
-		disputed.Failed(at+2*ms, params, 0) {
+		disputed.RecordFailed(at+2*ms, params, 0) {
 		t.Errorf("six were contradicted within the TTL: disputed %v, ejected %v",
 			disputed.Disputed(at+ms), disputed.Ejected(at+ms, params))
 	}
@@ -178,7 +178,7 @@
 		h.Merge(time.Second, Report{3, time.Second, false}, params, 0)
 		h.Merge(time.Second, Report{4, time.Second, false}, params, 0)
 		if c.ownFailureAt > 0 {
-			h.Failed(c.ownFailureAt, params, 0)
+			h.RecordFailed(c.ownFailureAt, params, 0)
 		}
 		now := 4 * time.Second
 		over, recovered := h.Merge(now, Report{5, now, true}, params, 0.5)
