--- a/control/gossip.go
+++ b/control/gossip.go
@@ -100,7 +100,7 @@
 // gossipRejection sends peers the rejection of a call sent age ago and a reachability query, each if the reachability
 // detector allows it.
 func (c *Controller) gossipRejection(endpoint *endpoint, age time.Duration) {
-	gossip, query := c.peers.Rejected(c.now)
+	gossip, query := c.peers.RecordRejection(c.now)
 	if gossip {
 		c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: ObservedRejection, Age: age})
 	}
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -55,10 +55,10 @@
 	d.fraction = d.estimateFraction(now)
 }
 
-// Rejected records that a call of this sender was rejected. It reports whether to gossip the rejection, and whether to
-// send a query along with it. Without contact to peers, rejections are gossiped exponentially less often, because
-// possibly no peer receives them; an isolated sender gossips them only along with a query.
-func (d *Detector) Rejected(now time.Duration) (gossip, query bool) {
+// RecordRejection records that a call of this sender was rejected. It reports whether to gossip the rejection, and
+// whether to send a query along with it. Without contact to peers, rejections are gossiped exponentially less often,
+// because possibly no peer receives them; an isolated sender gossips them only along with a query.
+func (d *Detector) RecordRejection(now time.Duration) (gossip, query bool) {
 	d.rejectionsSinceContact++
 	gossip = d.rejectionsSinceContact&(d.rejectionsSinceContact-1) == 0
 	query = gossip && now-d.lastContactAt >= silenceBeforeQuery && now >= d.nextQuery
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -48,7 +48,7 @@
 			h.RecordPeer(step.at, 7)
 		}
 		if step.rejected {
-			if gossip, query := h.Rejected(step.at); gossip != step.gossip || query != step.query {
+			if gossip, query := h.RecordRejection(step.at); gossip != step.gossip || query != step.query {
 				t.Errorf("step %d: gossips %t, queries %t", i, gossip, query)
 			}
 		}
@@ -66,7 +66,7 @@
 		if h.RepeatQuery(5 * s) {
 			t.Error("a query although no call was rejected")
 		}
-		h.Rejected(10 * s)
+		h.RecordRejection(10 * s)
 		for at := 10 * s; at < 610*s; at += 20 * time.Millisecond {
 			if h.RepeatQuery(at) {
 				queries++
