--- a/control/fleetrate.go
+++ b/control/fleetrate.go
@@ -66,7 +66,7 @@
 		if limit.raisedAt = c.now; limit.reducedAt == c.peers.QueriedAt {
 			c.reduceFleetRate(route)
 		}
-		if c.peers.RepeatQuery(c.now) {
+		if c.peers.ShouldRepeatQuery(c.now) {
 			c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: ReachabilityQuery})
 		}
 	}
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -76,9 +76,9 @@
 	return max(silenceBeforeQuery, time.Duration(d.FleetSize)*queryIntervalPerSender)
 }
 
-// RepeatQuery reports whether an isolated sender must send a query now although no call was rejected. If so, it
+// ShouldRepeatQuery reports whether an isolated sender must send a query now although no call was rejected. If so, it
 // schedules the next one.
-func (d *Detector) RepeatQuery(now time.Duration) bool {
+func (d *Detector) ShouldRepeatQuery(now time.Duration) bool {
 	if !d.Isolated(now) || now < d.nextQuery {
 		return false
 	}
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -63,12 +63,12 @@
 func TestRepeatQuery(t *testing.T) {
 	for _, n := range []int{8, 40, 300, 1000} {
 		h, queries := Detector{FleetSize: n}, 0
-		if h.RepeatQuery(5 * s) {
+		if h.ShouldRepeatQuery(5 * s) {
 			t.Error("a query although no call was rejected")
 		}
 		h.RecordRejection(10 * s)
 		for at := 10 * s; at < 610*s; at += 20 * time.Millisecond {
-			if h.RepeatQuery(at) {
+			if h.ShouldRepeatQuery(at) {
 				queries++
 			}
 		}
@@ -76,7 +76,7 @@
 			t.Errorf("a fleet of %d sends %.1f queries a second", n, all)
 		}
 		h.RecordPeer(620*s, 1)
-		if h.RepeatQuery(700 * s) {
+		if h.ShouldRepeatQuery(700 * s) {
 			t.Errorf("fleet of %d: queries continue after a contact", n)
 		}
 	}
