--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -115,8 +115,8 @@
 			startedAt := time.Now()
 			d.Watch(true, 4)
 			if c.unreadable {
-				if u := next[state.ListUnreadable](t, recorder); u.At.Sub(startedAt) > 200*time.Millisecond {
-					t.Errorf("the response began %v after the poll", u.At.Sub(startedAt))
+				if u := next[state.ListUnreadable](t, recorder); u.StartedAt.Sub(startedAt) > 200*time.Millisecond {
+					t.Errorf("the response began %v after the poll", u.StartedAt.Sub(startedAt))
 				}
 			}
 			if n := next[state.ListUpdate](t, recorder); n.Kind != control.ListDelta || n.Version != 9 {
--- a/internal/state/endpoints.go
+++ b/internal/state/endpoints.go
@@ -36,15 +36,15 @@
 	}
 }
 
-// ListUnreadable is the event that an answer of discovery could not be read, or not completely. At is when the answer
-// began. Departing holds the targets that the part that could be read lists as draining or removed.
+// ListUnreadable is the event that an answer of discovery could not be read, or not completely. StartedAt is when the
+// answer began. Departing holds the targets that the part that could be read lists as draining or removed.
 type ListUnreadable struct {
-	At        time.Time
+	StartedAt time.Time
 	Departing []Target
 }
 
 func (e ListUnreadable) apply(l *Loop) {
-	l.certainty.markUncertain(e.At)
+	l.certainty.markUncertain(e.StartedAt)
 	l.counters.unreadableLists.Add(1)
 	if endpoints := l.group.UpdateDeparting(e.Departing, l.now); len(endpoints) > 0 {
 		l.log.Info("endpoints draining according to an incomplete endpoint list", "count", len(endpoints))
