--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -231,7 +231,7 @@
 		d.Log.Info("discovery poll failed while the list may be out of date, polling again",
 			"err", err, "attempt", current.retries)
 		if !current.fullList() {
-			d.events.Post(state.PollFailed{Since: current.uncertainSince})
+			d.events.Post(state.PollFailed{UncertainSince: current.uncertainSince})
 		}
 		d.retryAfterBackoff(ctx, current, err)
 	case current.watch && !current.immediate && d.shouldRepollAtOnce(err):
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -205,8 +205,8 @@
 				next[state.ListUpdate](t, recorder)
 				return
 			}
-			if u := next[state.PollFailed](t, recorder); time.Since(u.Since) > time.Second {
-				t.Errorf("uncertain for %v", time.Since(u.Since))
+			if u := next[state.PollFailed](t, recorder); time.Since(u.UncertainSince) > time.Second {
+				t.Errorf("uncertain for %v", time.Since(u.UncertainSince))
 			}
 		})
 	}
--- a/internal/state/endpoints.go
+++ b/internal/state/endpoints.go
@@ -60,10 +60,10 @@
 func (PollOpen) apply(l *Loop) { l.listKnown(false) }
 
 // PollFailed is the event that the poll after a pause failed, so that list updates since a time may have been missed.
-type PollFailed struct{ Since time.Time }
+type PollFailed struct{ UncertainSince time.Time }
 
 func (e PollFailed) apply(l *Loop) {
-	l.certainty.markUncertain(e.Since)
+	l.certainty.markUncertain(e.UncertainSince)
 	l.reviewList()
 }
 
