--- a/internal/lifecycle/handover.go
+++ b/internal/lifecycle/handover.go
@@ -94,7 +94,7 @@
 // detachState makes the loop release its state. From then on, the results of its calls in flight go to the queue.
 func (s *server) detachState(results *handover.ResultQueue) state.HandOverResult {
 	done := make(chan state.HandOverResult, 1)
-	s.loop.Post(state.HandOver{Successor: results, Done: done})
+	s.loop.Post(state.Handover{Successor: results, Done: done})
 	detached := <-done
 	detached.State.Drained, detached.State.Lease = s.machine.orders()
 	return detached
--- a/internal/state/event.go
+++ b/internal/state/event.go
@@ -10,7 +10,7 @@
 //	GossipReceived                                endpoints.go
 //	Redelivery, DeadLettersStored                 redelivery.go, deadletter.go
 //	UpdateSettings                                settings.go
-//	HandOver, RemoteResult, PredecessorLost       handover.go
+//	Handover, RemoteResult, PredecessorLost       handover.go
 //	TimerElapsed, stopping, halting, inspect      event.go
 type Event interface {
 	// apply handles the event. Only the loop's own goroutine calls it.
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -62,15 +62,15 @@
 
 func (PredecessorLost) apply(l *Loop) { l.predecessorLost() }
 
-// HandOver is the request to transfer the loop's state to a successor. The state is sent on Done after the log is
+// Handover is the request to transfer the loop's state to a successor. The state is sent on Done after the log is
 // closed. From then on the loop only forwards results to the successor.
-type HandOver struct {
+type Handover struct {
 	Successor Successor
 	Done      chan<- HandOverResult // has room for one result, so that sending does not block
 }
 
 // apply stops and halts the loop. The hand-over itself is done at the end of the iteration.
-func (h HandOver) apply(l *Loop) {
+func (h Handover) apply(l *Loop) {
 	l.requestedHandover = &h
 	l.stopped, l.halted = true, true
 	for _, c := range l.readyCalls { // calls that waited for another call to end and never left
@@ -82,7 +82,7 @@
 	l.withholdAll()
 }
 
-// HandOverResult is the result of HandOver. Err is ErrHandedOver, ErrLogIncomplete or an error of closing the log.
+// HandOverResult is the result of Handover. Err is ErrHandedOver, ErrLogIncomplete or an error of closing the log.
 type HandOverResult struct {
 	State HandoverState
 	Err   error
@@ -173,7 +173,7 @@
 		e.Response <- Response{RetryAfter: l.clientRetryAfter(stoppingRetryAfter)}
 	case UpdateSettings:
 		e.Done <- SettingsResult{Err: ErrHandedOver}
-	case HandOver:
+	case Handover:
 		e.Done <- HandOverResult{Err: ErrHandedOver}
 	case inspect:
 		e()
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -150,7 +150,7 @@
 func performHandover(t *testing.T, l *Loop) (HandoverState, successorStub) {
 	t.Helper()
 	done, successor := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 4))
-	l.Post(HandOver{Successor: successor, Done: done})
+	l.Post(Handover{Successor: successor, Done: done})
 	result := receive(t, done)
 	if result.Err != nil || len(result.State.InFlight) != 1 {
 		t.Fatalf("%+v", result)
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -87,7 +87,7 @@
 	callsInFlight   int           // calls that the transport has
 	walRetryPending bool          // an iteration that retries writing the log is scheduled
 
-	requestedHandover *HandOver      // the hand-over that was requested, until it is complete
+	requestedHandover *Handover      // the hand-over that was requested, until it is complete
 	successor         Successor      // set once the state has been handed over
 	remote            remoteAttempts // attempts in flight at the predecessor
 
