--- a/internal/lifecycle/handover.go
+++ b/internal/lifecycle/handover.go
@@ -92,8 +92,8 @@
 }
 
 // detachState makes the loop release its state. From then on, the results of its calls in flight go to the queue.
-func (s *server) detachState(results *handover.ResultQueue) state.HandOverResult {
-	done := make(chan state.HandOverResult, 1)
+func (s *server) detachState(results *handover.ResultQueue) state.HandoverResult {
+	done := make(chan state.HandoverResult, 1)
 	s.loop.Post(state.Handover{Successor: results, Done: done})
 	detached := <-done
 	detached.State.Drained, detached.State.Lease = s.machine.orders()
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -66,7 +66,7 @@
 // closed. From then on the loop only forwards results to the successor.
 type Handover struct {
 	Successor Successor
-	Done      chan<- HandOverResult // has room for one result, so that sending does not block
+	Done      chan<- HandoverResult // has room for one result, so that sending does not block
 }
 
 // apply stops and halts the loop. The hand-over itself is done at the end of the iteration.
@@ -82,8 +82,8 @@
 	l.withholdAll()
 }
 
-// HandOverResult is the result of Handover. Err is ErrHandedOver, ErrLogIncomplete or an error of closing the log.
-type HandOverResult struct {
+// HandoverResult is the result of Handover. Err is ErrHandedOver, ErrLogIncomplete or an error of closing the log.
+type HandoverResult struct {
 	State HandoverState
 	Err   error
 }
@@ -113,7 +113,7 @@
 		err = errors.Join(ErrLogIncomplete, err)
 	}
 	l.successor = h.Successor
-	h.Done <- HandOverResult{state, err}
+	h.Done <- HandoverResult{state, err}
 	if l.nothingInFlight() {
 		l.successor.RemoteResult(RemoteResult{}, true)
 	}
@@ -174,7 +174,7 @@
 	case UpdateSettings:
 		e.Done <- SettingsResult{Err: ErrHandedOver}
 	case Handover:
-		e.Done <- HandOverResult{Err: ErrHandedOver}
+		e.Done <- HandoverResult{Err: ErrHandedOver}
 	case inspect:
 		e()
 	}
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -149,7 +149,7 @@
 // performHandover hands over a loop that has one attempt in flight.
 func performHandover(t *testing.T, l *Loop) (HandoverState, successorStub) {
 	t.Helper()
-	done, successor := make(chan HandOverResult, 1), successorStub(make(chan RemoteResult, 4))
+	done, successor := make(chan HandoverResult, 1), successorStub(make(chan RemoteResult, 4))
 	l.Post(Handover{Successor: successor, Done: done})
 	result := receive(t, done)
 	if result.Err != nil || len(result.State.InFlight) != 1 {
