--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -33,7 +33,7 @@
 	FirstCall       time.Duration `json:"first_call_ns"` // sum of the times from acceptance to first attempt
 	Open            int           `json:"open"`          // messages without an outcome now
 	UnreadableLists int64         `json:"unread"`        // answers of discovery that could not be read completely
-	Holds           int64         `json:"holds"`         // how often sends were suspended because of that
+	Suspensions     int64         `json:"holds"`         // how often sends were suspended because of that
 
 	Withheld map[string]int64 `json:"withheld,omitempty"` // sends that were decided on and withheld, by reason
 	Broken   map[string]int64 `json:"broken,omitempty"`   // calls sent against a rule, by rule; 0 in a correct program
@@ -45,7 +45,7 @@
 		Accepted: c.accepted.Load(), Rejected: c.rejected.Load(), Delivered: c.delivered.Load(), Deferred: c.deferred.Load(),
 		Undeliverable: c.undeliverable.Load(), Called: c.attempted.Load(), Late: c.late.Load(),
 		FirstCall: time.Duration(c.firstAttemptWait.Load()), Open: int(c.open.Load()),
-		UnreadableLists: c.unreadableLists.Load(), Holds: c.suspensions.Load(),
+		UnreadableLists: c.unreadableLists.Load(), Suspensions: c.suspensions.Load(),
 		Withheld: nonZeroCounts(&c.withheld), Broken: nonZeroCounts(&c.violations),
 	}
 }
