--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -35,8 +35,8 @@
 	UnreadableLists int64         `json:"unread"`        // answers of discovery that could not be read completely
 	Suspensions     int64         `json:"holds"`         // how often sends were suspended because of that
 
-	Withheld map[string]int64 `json:"withheld,omitempty"` // sends that were decided on and withheld, by reason
-	Broken   map[string]int64 `json:"broken,omitempty"`   // calls sent against a rule, by rule; 0 in a correct program
+	Withheld   map[string]int64 `json:"withheld,omitempty"` // sends that were decided on and withheld, by reason
+	Violations map[string]int64 `json:"broken,omitempty"`   // calls sent against a rule, by rule; 0 in a correct program
 }
 
 // Counts returns the current values. They are read one after another, so they may not be consistent with each other.
@@ -46,7 +46,7 @@
 		Undeliverable: c.undeliverable.Load(), Called: c.attempted.Load(), Late: c.late.Load(),
 		FirstCall: time.Duration(c.firstAttemptWait.Load()), Open: int(c.open.Load()),
 		UnreadableLists: c.unreadableLists.Load(), Suspensions: c.suspensions.Load(),
-		Withheld: nonZeroCounts(&c.withheld), Broken: nonZeroCounts(&c.violations),
+		Withheld: nonZeroCounts(&c.withheld), Violations: nonZeroCounts(&c.violations),
 	}
 }
 
--- a/internal/state/sendcheck_test.go
+++ b/internal/state/sendcheck_test.go
@@ -75,7 +75,7 @@
 	for i, sentAfter := range []time.Duration{900 * time.Millisecond, 1100 * time.Millisecond} {
 		l.Post(endedWith(call, AttemptResult{Result: control.Served, Final: true, SentAt: now.Add(sentAfter)}))
 		l.Idle()
-		if n := l.counters.Counts().Broken[permit.EndpointGone.String()]; n != int64(i) {
+		if n := l.counters.Counts().Violations[permit.EndpointGone.String()]; n != int64(i) {
 			t.Errorf("sent after %v: %d counted", sentAfter, n)
 		}
 	}
