--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -57,9 +57,9 @@
 	RetryAfterSlack = 100 * time.Millisecond
 )
 
-// LastSendAfter returns how long after an endpoint began to leave new sends to it are still allowed, given its drain
+// SendCutoff returns how long after an endpoint began to leave new sends to it are still allowed, given its drain
 // grace.
-func LastSendAfter(grace time.Duration) time.Duration { return grace - min(drainMargin, grace/2) }
+func SendCutoff(grace time.Duration) time.Duration { return grace - min(drainMargin, grace/2) }
 
 // Route is the state of an endpoint at the time of a send. A zero time means never.
 type Route struct {
@@ -99,7 +99,7 @@
 	case m.InFlight && r.NoHedging:
 		return InFlight
 	}
-	return r.checkRoute(now, route, LastSendAfter(r.DrainGrace), 0)
+	return r.checkRoute(now, route, SendCutoff(r.DrainGrace), 0)
 }
 
 // CheckSent checks a completed send by the time at which its first byte was written. It applies the limits of the rules
--- a/internal/state/listcertainty.go
+++ b/internal/state/listcertainty.go
@@ -43,7 +43,7 @@
 	if c.since.IsZero() || grace <= 0 { // certain, or the settings have no drain grace
 		return false, time.Time{}
 	}
-	from, to := c.since.Add(permit.LastSendAfter(grace)), c.latest.Add(timeout)
+	from, to := c.since.Add(permit.SendCutoff(grace)), c.latest.Add(timeout)
 	switch {
 	case now.Before(from):
 		return false, from
