--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -44,7 +44,7 @@
 }
 
 // restore adds the messages recovered from the log.
-func (t *table) restore(recovered wal.Recovered) {
+func (t *table) restore(recovered wal.RestoredState) {
 	for _, x := range recovered.Entries {
 		if x.RecordedClass != nil {
 			x.Class = t.classes.numberOf(*x.RecordedClass)
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -58,8 +58,8 @@
 	FS         store.FS // file system of the store; nil for the folder Dir
 }
 
-// Recovered is the state that Open restores from the log.
-type Recovered struct {
+// RestoredState is the state that Open restores from the log.
+type RestoredState struct {
 	Entries    []*Entry          // messages that still need processing, in ascending order of number
 	NextNumber control.MessageID // lowest number that may be assigned to the next message
 }
@@ -67,13 +67,13 @@
 // Open opens the log in a folder and returns it with the state that its records restore. It imports a single-file log
 // of an older program. It returns an error if the folder or the store can't be used, also if another process has the
 // store open.
-func Open(o Options) (*Log, Recovered, error) {
+func Open(o Options) (*Log, RestoredState, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
-		return nil, Recovered{}, fmt.Errorf("write-ahead log: %w", err)
+		return nil, RestoredState{}, fmt.Errorf("write-ahead log: %w", err)
 	}
 	l := &Log{limit: o.Limit - o.Reserved - reservedBytes}
 	if err := importSingleFile(o.Dir, l.limit, o.Log); err != nil {
-		return nil, Recovered{}, err
+		return nil, RestoredState{}, err
 	}
 	if o.FS == nil {
 		o.FS = store.Dir(o.Dir)
@@ -82,7 +82,7 @@
 		FS: o.FS, Budget: l.limit, Durability: o.Durability, GroupWait: o.GroupWait, Log: o.Log,
 	})
 	if err != nil {
-		return nil, Recovered{}, fmt.Errorf("write-ahead log: %w", err)
+		return nil, RestoredState{}, fmt.Errorf("write-ahead log: %w", err)
 	}
 	l.store = s
 	if !o.Virtual {
@@ -91,9 +91,9 @@
 	entries, err := replayStore(s, l.timeBase, o.Log)
 	if err != nil {
 		s.Close()
-		return nil, Recovered{}, err
+		return nil, RestoredState{}, err
 	}
-	return l, Recovered{entries, control.MessageID(s.Highest() + 1)}, nil
+	return l, RestoredState{entries, control.MessageID(s.Highest() + 1)}, nil
 }
 
 // InMemory returns a log that writes nothing to disk. HasCapacity applies the limit in bytes all the same.
