--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	defer j.Close()
-	golden.Bytes(t, "journal-table.txt", []byte(goldenTable(table, j.Times())), false)
+	golden.Bytes(t, "journal-table.txt", []byte(goldenTable(table, j.TimeBase())), false)
 	if ids := endpointgroup.OpenDepartures(dir, discardLog).IDs(); len(ids) != 2 || ids[0] != "s7" || ids[1] != "s9" {
 		t.Errorf("departures: %q", ids)
 	}
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	defer j.Close()
-	golden.Bytes(t, "old-journal-table.txt", []byte(goldenTable(table, j.Times())), false)
+	golden.Bytes(t, "old-journal-table.txt", []byte(goldenTable(table, j.TimeBase())), false)
 	if _, err := os.Stat(filepath.Join(dir, "journal")); err == nil {
 		t.Error("the single journal file still exists")
 	}
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -122,7 +122,7 @@
 // handoverState returns the state for the successor.
 func (l *Loop) handoverState() HandoverState {
 	s := HandoverState{
-		At: l.now, Stamp: l.wal.Times().Stamp(l.now), Version: l.group.Version(), Routes: map[string]control.RouteState{},
+		At: l.now, Stamp: l.wal.TimeBase().Stamp(l.now), Version: l.group.Version(), Routes: map[string]control.RouteState{},
 	}
 	if !l.certainty.since.IsZero() {
 		s.UncertainFor = max(1, l.now.Sub(l.certainty.since))
@@ -204,7 +204,7 @@
 	if s.Stamp == 0 {
 		return s.At
 	}
-	return l.wal.Times().Time(s.Stamp)
+	return l.wal.TimeBase().Time(s.Stamp)
 }
 
 // restoreHandover restores the state of the predecessor, before the loop's first iteration.
--- a/internal/state/restart_test.go
+++ b/internal/state/restart_test.go
@@ -143,7 +143,7 @@
 		e := &entry{num: 9, Message: &Message{ID: "a", Class: 1, Destination: 7, Deadline: now.Add(20 * time.Second)}}
 		tb.add(e)
 		// written returns the time that the log records with the stamp of the stepped wall clock.
-		written := func(at time.Time) time.Time { return j.Times().Time(steppedClock.Stamp(at)) }
+		written := func(at time.Time) time.Time { return j.TimeBase().Time(steppedClock.Stamp(at)) }
 		e.Deadline = written(e.Deadline)
 		logAccepted(j, e)
 		j.AddAttempt(9, wal.Attempt{At: written(now.Add(-5 * time.Second))})
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -165,8 +165,8 @@
 // were added.
 func (l *Log) Incomplete() bool { return l.incomplete }
 
-// Times returns the time base of the log, or nil if its timestamps follow the wall clock.
-func (l *Log) Times() *TimeBase { return l.timeBase }
+// TimeBase returns the time base of the log, or nil if its timestamps follow the wall clock.
+func (l *Log) TimeBase() *TimeBase { return l.timeBase }
 
 // AddAccepted adds the record of an accepted message.
 func (l *Log) AddAccepted(a *Accepted) {
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -111,7 +111,7 @@
 		e := l.byID("in-flight")
 		if e.Key != "k-in-flight" || e.Destination != 3 || e.Tenant != 2 || e.Class != 1 || !e.Resubmitted ||
 			len(e.Body) != 10 || e.Deadline.Sub(time.UnixMicro(1e15)).Abs() > time.Millisecond || e.MayHaveRun[0].Zone != 1 ||
-			l.Times().Stamp(e.MayHaveRun[0].At) != 7 {
+			l.TimeBase().Stamp(e.MayHaveRun[0].At) != 7 {
 			t.Fatalf("restored %+v", e)
 		}
 		if o := l.byID("deferred").Outcome; o.RetryAfter != 500*time.Millisecond {
