--- a/internal/state/entry.go
+++ b/internal/state/entry.go
@@ -90,7 +90,7 @@
 
 // logEntry returns everything that the log has to hold about the entry.
 func (e *entry) logEntry() *wal.Entry {
-	x := &wal.Entry{Accepted: e.accepted(), Attempts: e.attempts, MayHaveRun: e.mayHaveRun}
+	x := &wal.Entry{Accepted: e.accepted(), Attempts: e.attempts, UncertainAttempts: e.mayHaveRun}
 	if e.report != nil {
 		x.Outcome = e.report.logOutcome()
 	}
--- a/internal/state/pending.go
+++ b/internal/state/pending.go
@@ -32,7 +32,7 @@
 	}
 	var list []Pending
 	for _, x := range entries {
-		p := Pending{x.ID, x.Destination, x.Deadline, x.Attempts, len(x.MayHaveRun) > 0, "delivery"}
+		p := Pending{x.ID, x.Destination, x.Deadline, x.Attempts, len(x.UncertainAttempts) > 0, "delivery"}
 		if x.Outcome != nil {
 			r := reportOf(x)
 			p.Owed = r.outcome()
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -55,7 +55,7 @@
 		}
 		e := &entry{
 			Message: m, num: x.Number, responded: true, deadLetterSeq: x.DeadLetterSeq, classRecord: t.classes.record(m.Class),
-			attempts: x.Attempts, mayHaveRun: x.MayHaveRun,
+			attempts: x.Attempts, mayHaveRun: x.UncertainAttempts,
 		}
 		t.add(e)
 		if x.Outcome != nil {
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -60,7 +60,7 @@
 	var b strings.Builder
 	for _, e := range entries {
 		b.WriteString(e.ID + ":")
-		for _, a := range e.MayHaveRun {
+		for _, a := range e.UncertainAttempts {
 			fmt.Fprintf(&b, "r%d", a.Index)
 		}
 		fmt.Fprintf(&b, "/%d", e.Attempts)
@@ -110,8 +110,9 @@
 		}
 		e := l.byID("in-flight")
 		if e.Key != "k-in-flight" || e.Destination != 3 || e.Tenant != 2 || e.Class != 1 || !e.Resubmitted ||
-			len(e.Body) != 10 || e.Deadline.Sub(time.UnixMicro(1e15)).Abs() > time.Millisecond || e.MayHaveRun[0].Zone != 1 ||
-			l.TimeBase().Stamp(e.MayHaveRun[0].At) != 7 {
+			len(e.Body) != 10 || e.Deadline.Sub(time.UnixMicro(1e15)).Abs() > time.Millisecond ||
+			e.UncertainAttempts[0].Zone != 1 ||
+			l.TimeBase().Stamp(e.UncertainAttempts[0].At) != 7 {
 			t.Fatalf("restored %+v", e)
 		}
 		if o := l.byID("deferred").Outcome; o.RetryAfter != 500*time.Millisecond {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -50,10 +50,10 @@
 // Entry is the state of one message, combined from all its records in the log.
 type Entry struct {
 	Accepted
-	RecordedClass *NamedClass // decoded ClassRecord; nil if the class is unknown
-	Attempts      int         // number of attempts so far
-	MayHaveRun    []Attempt   // attempts that may have run, or may still run, at the partner
-	Outcome       *Outcome    // nil while delivery is in progress
+	RecordedClass     *NamedClass // decoded ClassRecord; nil if the class is unknown
+	Attempts          int         // number of attempts so far
+	UncertainAttempts []Attempt   // attempts that may have run, or may still run, at the partner
+	Outcome           *Outcome    // nil while delivery is in progress
 }
 
 // Record kinds, stored as the first byte of a record.
@@ -154,7 +154,7 @@
 // attempts, as the last attempts may never have run and then have no record of their own.
 func EncodeEntry(b *TimeBase, e *Entry) [][]byte {
 	list := [][]byte{EncodeAccepted(b, &e.Accepted)}
-	for _, a := range e.MayHaveRun {
+	for _, a := range e.UncertainAttempts {
 		list = append(list, EncodeAttempt(b, e.Number, a))
 	}
 	if e.Attempts > 0 {
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -39,7 +39,7 @@
 			a.Endpoint, a.InDeadLetter = d.string(), d.uvarint() == 1
 		}
 		if !d.malformed && e != nil {
-			e.MayHaveRun = append(e.MayHaveRun, a)
+			e.UncertainAttempts = append(e.UncertainAttempts, a)
 			e.Attempts = max(e.Attempts, a.Index+1)
 		}
 	case recordNotRun:
@@ -86,7 +86,7 @@
 		e.Attempts = max(e.Attempts, attempt-attemptCountOffset+1)
 		return
 	}
-	e.MayHaveRun = slices.DeleteFunc(e.MayHaveRun, func(a Attempt) bool { return a.Index == attempt })
+	e.UncertainAttempts = slices.DeleteFunc(e.UncertainAttempts, func(a Attempt) bool { return a.Index == attempt })
 }
 
 // applyOutcome records the outcome of an open message and drops its body, unless the body must still be sent to a
@@ -114,7 +114,7 @@
 // record of such an attempt may be lost to damage.
 func (e *Entry) assumeUnknownAttempt() {
 	if e.Outcome == nil {
-		e.MayHaveRun = append(e.MayHaveRun, Attempt{Index: e.Attempts, At: time.Unix(0, 0)})
+		e.UncertainAttempts = append(e.UncertainAttempts, Attempt{Index: e.Attempts, At: time.Unix(0, 0)})
 		e.Attempts++
 	}
 }
