--- a/internal/state/entry.go
+++ b/internal/state/entry.go
@@ -102,7 +102,7 @@
 	o := &wal.Outcome{Deferred: r.Deferred, RetryAfter: r.RetryAfter}
 	if d := r.DeadLetter; d != nil {
 		o.DeadLetter = &wal.DeadLetterOutcome{
-			Reason: d.Reason, At: d.At, Delivered: d.Delivered, Final: d.Final, Deferred: d.Deferred,
+			Reason: d.Reason, At: d.At, Delivered: d.Delivered, Final: d.Final, WouldDefer: d.Deferred,
 		}
 	}
 	return o
@@ -113,7 +113,7 @@
 	r := DeliveryReport{Number: x.Number, ID: x.ID, Deferred: x.Outcome.Deferred, RetryAfter: x.Outcome.RetryAfter}
 	if d := x.Outcome.DeadLetter; d != nil {
 		r.DeadLetter = &DeadLetter{
-			Number: x.Number, Reason: d.Reason, At: d.At, Delivered: d.Delivered, Final: d.Final, Deferred: d.Deferred,
+			Number: x.Number, Reason: d.Reason, At: d.At, Delivered: d.Delivered, Final: d.Final, Deferred: d.WouldDefer,
 		}
 	}
 	return r
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -40,11 +40,11 @@
 
 // DeadLetterOutcome is what remains to be reported to the dead-letter queue.
 type DeadLetterOutcome struct {
-	Reason    string
-	At        time.Time
-	Delivered bool // a redelivery succeeded
-	Final     bool // by the answer of the endpoint, no further delivery is needed
-	Deferred  bool // without the queue, the message would be returned to the client as deferred
+	Reason     string
+	At         time.Time
+	Delivered  bool // a redelivery succeeded
+	Final      bool // by the answer of the endpoint, no further delivery is needed
+	WouldDefer bool // without the queue, the message would be returned to the client as deferred
 }
 
 // Entry is the state of one message, combined from all its records in the log.
@@ -139,7 +139,7 @@
 		flags |= outcomeDeadLetter
 		set(outcomeDelivered, d.Delivered)
 		set(outcomeFinal, d.Final)
-		set(outcomeReturnable, d.Deferred)
+		set(outcomeReturnable, d.WouldDefer)
 		size = len(d.Reason)
 	}
 	p := binary.AppendUvarint(newRecord(recordOutcome, number, size), flags)
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -104,7 +104,7 @@
 	if flags&outcomeDeadLetter != 0 {
 		o.DeadLetter = &DeadLetterOutcome{
 			Reason: d.string(), At: r.timeBase.Time(d.varint()),
-			Delivered: flags&outcomeDelivered != 0, Final: flags&outcomeFinal != 0, Deferred: flags&outcomeReturnable != 0,
+			Delivered: flags&outcomeDelivered != 0, Final: flags&outcomeFinal != 0, WouldDefer: flags&outcomeReturnable != 0,
 		}
 	}
 	return o
