--- a/internal/quorum/storage.go
+++ b/internal/quorum/storage.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	batch := []store.Record{{Entity: memberEntity, Kind: store.Base, Data: text}}
+	batch := []store.Record{{Entity: memberEntity, Kind: store.Replace, Data: text}}
 	if hardState != nil {
 		if batch, err = appendProto(batch, hardStateEntity, hardState); err == nil {
 			batch, err = appendProto(batch, snapshotEntity, snap)
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("quorum: %w", err)
 	}
-	return append(batch, store.Record{Entity: entity, Kind: store.Base, Time: int64(entity), Data: data}), nil
+	return append(batch, store.Record{Entity: entity, Kind: store.Replace, Time: int64(entity), Data: data}), nil
 }
 
 // openStorage opens a folder. If the folder holds no member openStorage writes a new one with the given name, which is
@@ -257,7 +257,7 @@
 		for i := st.firstEntry; i <= st.lastEntry; i++ {
 			kind := store.End
 			if i > snap.GetMetadata().GetIndex() {
-				kind = store.Base // the index will be used again
+				kind = store.Replace // the index will be used again
 			}
 			batch = append(batch, store.Record{Entity: entryBase + i, Kind: kind, Time: int64(entryBase + i)})
 		}
@@ -272,7 +272,7 @@
 			}
 		}
 		for i := next; i <= st.lastEntry; i++ {
-			batch = append(batch, store.Record{Entity: entryBase + i, Kind: store.Base, Time: int64(entryBase + i)})
+			batch = append(batch, store.Record{Entity: entryBase + i, Kind: store.Replace, Time: int64(entryBase + i)})
 		}
 		st.lastEntry = max(st.lastEntry, next-1) // the emptied entities are ended by a later snapshot
 	}
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -33,9 +33,9 @@
 
 // Kinds of records.
 const (
-	Put  Kind = iota // adds the record to the entity
-	End              // ends the entity, which makes its records dead
-	Base             // replaces the earlier records of the entity, which become dead
+	Put     Kind = iota // adds the record to the entity
+	End                 // ends the entity, which makes its records dead
+	Replace             // replaces the earlier records of the entity, which become dead
 
 	// seal marks the end of valid data in a segment with a truncated append, which was not acknowledged. Entity has the
 	// number of the segment and Time the offset of the truncated append.
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -67,7 +67,7 @@
 		s.entities[e.id] = e
 		s.updateIndexes(e, true)
 	}
-	if r.Kind == Base {
+	if r.Kind == Replace {
 		s.dropRecords(e)
 	}
 	size := r.size()
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -38,7 +38,7 @@
 			switch r.Kind {
 			case End:
 				delete(live, r.Entity)
-			case Base:
+			case Replace:
 				live[r.Entity] = []string{string(r.Data)}
 			default:
 				live[r.Entity] = append(live[r.Entity], string(r.Data))
@@ -67,7 +67,7 @@
 				id := anyLive()
 				kind := Put
 				if len(live[id]) > 3 || rapid.Bool().Draw(t, "base") {
-					kind = Base
+					kind = Replace
 				}
 				appendRecord(Record{Entity: id, Kind: kind, Data: data()})
 			},
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -327,7 +327,7 @@
 			switch r.Kind {
 			case End:
 				ended[r.Entity] = true
-			case Base:
+			case Replace:
 				bases[r.Entity] = max(bases[r.Entity], r.LSN)
 			}
 		}
@@ -335,7 +335,7 @@
 	all := make([]locatedRecord, 0, total)
 	for i := range list {
 		for _, r := range list[i].records {
-			if (r.Kind == Put || r.Kind == Base) && !ended[r.Entity] && r.LSN >= bases[r.Entity] {
+			if (r.Kind == Put || r.Kind == Replace) && !ended[r.Entity] && r.LSN >= bases[r.Entity] {
 				all = append(all, r)
 			}
 		}
--- a/internal/store/workload_test.go
+++ b/internal/store/workload_test.go
@@ -42,12 +42,12 @@
 		l.lastEntity = id
 		r := Record{Entity: id, Time: int64(id), Dest: int64(id % 7), Key: fmt.Sprint("k", id%50), Data: []byte(text)}
 		if l.rng.IntN(4) == 0 {
-			r.Kind = Base
+			r.Kind = Replace
 		}
 		if err := s.Append(r); err != nil {
 			return err
 		}
-		if r.Kind == Base {
+		if r.Kind == Replace {
 			l.live[id] = nil
 		}
 		l.live[id] = append(l.live[id], text)
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -212,7 +212,7 @@
 func (l *Log) Replace(e *Entry) {
 	first := len(l.pending)
 	l.AddEntry(e)
-	l.pending[first].Kind = store.Base
+	l.pending[first].Kind = store.Replace
 }
 
 // Forget drops the records of a message that were added but not written yet, and ends the entity of those that may
