--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -18,7 +18,8 @@
 const logLockTimeout = 3 * time.Second
 
 // durabilityByName maps the durability names in the settings to the levels of package store.
-var durabilityByName = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
+var durabilityByName = map[string]store.Durability{"process": store.Process, "group": store.Group,
+	"each": store.EachAppend}
 
 // build opens the resources of a server and connects its components. It starts no goroutines.
 func (p *process) build(c *Config, pred *predecessor) (*server, error) {
--- a/internal/quorum/storage.go
+++ b/internal/quorum/storage.go
@@ -59,7 +59,7 @@
 
 // openStore opens the store in a folder. It returns ErrDamaged for a damaged one, which may lack a vote.
 func openStore(fs store.FS, log *slog.Logger) (*store.Store, error) {
-	s, err := store.Open(store.Options{FS: fs, Budget: maxFolderSize, Segment: segmentSize, Durability: store.Each,
+	s, err := store.Open(store.Options{FS: fs, Budget: maxFolderSize, Segment: segmentSize, Durability: store.EachAppend,
 		Log: log})
 	if err != nil {
 		return nil, err
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMemoryFS()
 		open := func() *Store {
-			s, err := Open(Options{FS: m, Budget: 48 << 10, Segment: 3 << 10, Durability: Each})
+			s, err := Open(Options{FS: m, Budget: 48 << 10, Segment: 3 << 10, Durability: EachAppend})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -169,7 +169,7 @@
 func (s *Store) syncIfRequired() error {
 	s.dirty = true
 	switch s.options.Durability {
-	case Each:
+	case EachAppend:
 		return s.sync()
 	case Group:
 		if s.timer == nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -130,11 +130,11 @@
 	}
 }
 
-// After a power failure all acknowledged records must be present with durability Each, and all records up to the latest
-// sync with Group. With Process no record is guaranteed, but the log must be readable.
+// After a power failure all acknowledged records must be present with durability EachAppend, and all records up to the
+// latest sync with Group. With Process no record is guaranteed, but the log must be readable.
 func TestPowerCut(t *testing.T) {
 	for seed := range uint64(100) {
-		for _, d := range []Durability{Each, Group, Process} {
+		for _, d := range []Durability{EachAppend, Group, Process} {
 			m := newMemoryFS()
 			s := openStore(t, m, d)
 			l := newWorkload(seed)
@@ -149,9 +149,9 @@
 				}
 				s.timer.Stop()
 			}
-			m.crashAfter = 3000 // with Each, append until a simulated crash
+			m.crashAfter = 3000 // with EachAppend, append until a simulated crash
 			var err error
-			for err == nil && d == Each {
+			for err == nil && d == EachAppend {
 				err = l.step(s)
 			}
 			uncertain := l.lastEntity
@@ -201,7 +201,7 @@
 		}
 	}
 	s.Close()
-	s = openStore(t, m, Each)
+	s = openStore(t, m, EachAppend)
 	l.checkContent(t, s, "after reopening", 0)
 	if len(s.Damages()) > 0 {
 		t.Errorf("%+v", s.Damages())
@@ -296,7 +296,7 @@
 }
 
 // A crash at any modifying file system call, also while starting a segment or compacting, must not lose acknowledged
-// records. It is a kill with durability Process and a power failure, which loses unsynced data, with Each.
+// records. It is a kill with durability Process and a power failure, which loses unsynced data, with EachAppend.
 func TestCrashAtEveryCall(t *testing.T) {
 	run := func(m *memoryFS, d Durability, l *workload) error {
 		s, err := Open(Options{FS: m, Budget: 80 << 10, Segment: 5 << 10, Durability: d, GroupWait: time.Hour})
@@ -305,7 +305,7 @@
 		}
 		return err
 	}
-	for _, d := range []Durability{Process, Each} {
+	for _, d := range []Durability{Process, EachAppend} {
 		reference := newMemoryFS()
 		if err := run(reference, d, newWorkload(4)); err != nil {
 			t.Fatal(err)
@@ -317,7 +317,7 @@
 				t.Fatalf("call %d of %d: %v", n, reference.calls, err)
 			}
 			m.crashAtCall = 0
-			if d == Each {
+			if d == EachAppend {
 				m.cutPower(rand.New(rand.NewPCG(uint64(n), 3)))
 			}
 			s, err := Open(Options{FS: m, Budget: 80 << 10, Segment: 5 << 10, Durability: d})
