--- a/internal/store/options.go
+++ b/internal/store/options.go
@@ -11,7 +11,7 @@
 // Values of Durability.
 const (
 	Process    Durability = iota // end of the process, also by SIGKILL
-	Group                        // power failure, after Sync has returned or GroupWait has passed
+	GroupSync                    // power failure, after Sync has returned or GroupWait has passed
 	EachAppend                   // power failure, as soon as the append has returned
 )
 
@@ -21,6 +21,6 @@
 	Budget     int64 // maximum bytes of all files, each rounded up to blocks of 512; 0: unlimited
 	Segment    int64 // maximum bytes of a segment; 0: a sixteenth of the budget
 	Durability Durability
-	GroupWait  time.Duration // with Group, the maximum delay from an append to its sync
+	GroupWait  time.Duration // with GroupSync, the maximum delay from an append to its sync
 	Log        *slog.Logger  // nil: no logging
 }
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -54,7 +54,7 @@
 	if o.Budget > 0 && o.Budget < (reservedSegments+2)*o.Segment {
 		return nil, fmt.Errorf("store: budget of %d bytes is too small for segments of %d bytes", o.Budget, o.Segment)
 	}
-	if o.Durability == Group && o.GroupWait <= 0 {
+	if o.Durability == GroupSync && o.GroupWait <= 0 {
 		return nil, errors.New("store: group durability requires a positive GroupWait")
 	}
 	lock, err := o.FS.Lock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -171,7 +171,7 @@
 	switch s.options.Durability {
 	case EachAppend:
 		return s.sync()
-	case Group:
+	case GroupSync:
 		if s.timer == nil {
 			s.timer = time.AfterFunc(s.options.GroupWait, func() {
 				s.mu.Lock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -131,10 +131,10 @@
 }
 
 // After a power failure all acknowledged records must be present with durability EachAppend, and all records up to the
-// latest sync with Group. With Process no record is guaranteed, but the log must be readable.
+// latest sync with GroupSync. With Process no record is guaranteed, but the log must be readable.
 func TestPowerCut(t *testing.T) {
 	for seed := range uint64(100) {
-		for _, d := range []Durability{EachAppend, Group, Process} {
+		for _, d := range []Durability{EachAppend, GroupSync, Process} {
 			m := newMemoryFS()
 			s := openStore(t, m, d)
 			l := newWorkload(seed)
@@ -143,7 +143,7 @@
 					t.Fatal(err)
 				}
 			}
-			if d == Group {
+			if d == GroupSync {
 				if err := s.Sync(); err != nil {
 					t.Fatal(err)
 				}
@@ -272,10 +272,11 @@
 	s.Close()
 }
 
-// With durability Group one sync covers many appends.
+// With durability GroupSync one sync covers many appends.
 func TestGroupDurability(t *testing.T) {
 	m := newMemoryFS()
-	s, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10, Durability: Group, GroupWait: time.Millisecond})
+	s, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10, Durability: GroupSync,
+		GroupWait: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -52,7 +52,7 @@
 	Limit      int64 // maximum size of the state folder in bytes
 	Reserved   int64 // bytes of Limit that are reserved for other files in the folder
 	Durability store.Durability
-	GroupWait  time.Duration // maximum delay of a sync; used with store.Group only
+	GroupWait  time.Duration // maximum delay of a sync; used with store.GroupSync only
 	Virtual    bool          // times are simulated; no time base is kept in the folder
 	Log        *slog.Logger
 	FS         store.FS // file system of the store; nil for the folder Dir
