--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -18,7 +18,7 @@
 const logLockTimeout = 3 * time.Second
 
 // durabilityByName maps the durability names in the settings to the levels of package store.
-var durabilityByName = map[string]store.Durability{"process": store.Process, "group": store.GroupSync,
+var durabilityByName = map[string]store.Durability{"process": store.ProcessExit, "group": store.GroupSync,
 	"each": store.EachAppend}
 
 // build opens the resources of a server and connects its components. It starts no goroutines.
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// BenchmarkBolt runs the workload of BenchmarkMessageLifecycle on bbolt for comparison, without syncs as with Process.
+// BenchmarkBolt runs the workload of BenchmarkMessageLifecycle on bbolt for comparison, without syncs as with
+// ProcessExit.
 func BenchmarkBolt(b *testing.B) {
 	db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, &bbolt.Options{NoSync: true, NoFreelistSync: true})
 	if err != nil {
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -130,7 +130,7 @@
 // removeOldestSegment deletes the oldest segment, which has no live records. The copies of its records are synced
 // first, as the originals were.
 func (s *Store) removeOldestSegment(g *segment) error {
-	if s.options.Durability != Process {
+	if s.options.Durability != ProcessExit {
 		if err := s.sync(); err != nil {
 			return err
 		}
--- a/internal/store/options.go
+++ b/internal/store/options.go
@@ -10,9 +10,9 @@
 
 // Values of Durability.
 const (
-	Process    Durability = iota // end of the process, also by SIGKILL
-	GroupSync                    // power failure, after Sync has returned or GroupWait has passed
-	EachAppend                   // power failure, as soon as the append has returned
+	ProcessExit Durability = iota // end of the process, also by SIGKILL
+	GroupSync                     // power failure, after Sync has returned or GroupWait has passed
+	EachAppend                    // power failure, as soon as the append has returned
 )
 
 // Options are the parameters of a store.
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -12,7 +12,7 @@
 // must be marked as doubtful. An ended entity must not reappear without that mark.
 func TestDamage(t *testing.T) {
 	base := newMemoryFS()
-	s := openStore(t, base, Process)
+	s := openStore(t, base, ProcessExit)
 	l := newWorkload(5)
 	for range 600 {
 		if err := l.step(s); err != nil {
@@ -35,7 +35,7 @@
 		for i := from; i < to; i++ {
 			f.data[i] ^= byte(1 + rng.IntN(255))
 		}
-		s := openStore(t, m, Process)
+		s := openStore(t, m, ProcessExit)
 		if len(s.Damages()) == 0 {
 			t.Fatalf("%s, %d to %d: damage not detected", name, from, to)
 		}
@@ -70,7 +70,7 @@
 // Opening a store with a newer format must fail and leave the files unchanged.
 func TestNewerFormat(t *testing.T) {
 	m := newMemoryFS()
-	s := openStore(t, m, Process)
+	s := openStore(t, m, ProcessExit)
 	s.Append(Record{Entity: 1, Data: []byte("x")})
 	s.Close()
 	name := segmentName(1)
@@ -94,7 +94,7 @@
 // started, of entities that have not ended by its end. The copy can be opened as a store.
 func TestBackup(t *testing.T) {
 	m := newMemoryFS()
-	s := openStore(t, m, Process)
+	s := openStore(t, m, ProcessExit)
 	l := newWorkload(8)
 	for range 500 {
 		if err := l.step(s); err != nil {
@@ -122,7 +122,7 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	copied := openStore(t, to, Process)
+	copied := openStore(t, to, ProcessExit)
 	for id, n := range liveBefore {
 		if _, still := l.live[id]; !still {
 			continue
@@ -144,7 +144,7 @@
 // files.
 func TestOpenReadOnlyAndRepair(t *testing.T) {
 	m := newMemoryFS()
-	s := openStore(t, m, Process)
+	s := openStore(t, m, ProcessExit)
 	l := newWorkload(8)
 	for range 800 {
 		if err := l.step(s); err != nil {
@@ -175,7 +175,7 @@
 	if err != nil || written+skipped < len(l.live)-5 || !slices.Equal(before, f.data) {
 		t.Errorf("%d written, %d skipped of %d, %v", written, skipped, len(l.live), err)
 	}
-	repaired := openStore(t, to, Process)
+	repaired := openStore(t, to, ProcessExit)
 	if len(repaired.Damages()) > 0 || repaired.Verify() != nil || repaired.Summary().Entities != written {
 		t.Errorf("%+v", repaired.Summary())
 	}
@@ -185,7 +185,7 @@
 // before. A segment that exists twice must be rejected with an error that names both files.
 func TestSegmentsRenamedOrMissing(t *testing.T) {
 	base := newMemoryFS()
-	s := openStore(t, base, Process)
+	s := openStore(t, base, ProcessExit)
 	l := newWorkload(6)
 	for range 900 {
 		if err := l.step(s); err != nil {
@@ -203,7 +203,7 @@
 	}
 	m := clone()
 	m.files[names[1]], m.files[names[2]] = m.files[names[2]], m.files[names[1]]
-	s = openStore(t, m, Process)
+	s = openStore(t, m, ProcessExit)
 	l.checkContent(t, s, "names swapped", 0)
 	for range 2000 { // until both segments have been compacted
 		if err := s.Append(Record{Entity: 1 << 30, Data: make([]byte, 300)}, Record{Entity: 1 << 30, Kind: End}); err != nil {
@@ -213,7 +213,7 @@
 	l.checkContent(t, s, "names swapped, then compacted", 0)
 	m = clone()
 	delete(m.files, names[1])
-	s = openStore(t, m, Process)
+	s = openStore(t, m, ProcessExit)
 	s.Entities(func(e Entity) bool {
 		list, err := s.Load(e.ID)
 		want, live := l.live[e.ID]
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -28,7 +28,7 @@
 	}
 	g.file = file
 	err = writeAll(file, encodeSegmentHeader(g.number), 0)
-	if err == nil && s.options.Durability != Process {
+	if err == nil && s.options.Durability != ProcessExit {
 		if err = file.Sync(); err == nil {
 			err = s.options.FS.SyncDir()
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -216,7 +216,7 @@
 func (s *Store) writeFrame(b []byte) (int64, error) {
 	g := s.activeSegment()
 	if g.size+int64(len(b)) > s.options.Segment && g.size > segmentHeaderSize {
-		if s.options.Durability != Process {
+		if s.options.Durability != ProcessExit {
 			if err := s.sync(); err != nil {
 				return 0, err
 			}
@@ -264,7 +264,7 @@
 // Damages returns the parts of the log that could not be read when the store was opened.
 func (s *Store) Damages() []Damage { return s.damages }
 
-// Close syncs the log, unless the durability is Process, and unlocks the folder. A second call does nothing.
+// Close syncs the log, unless the durability is ProcessExit, and unlocks the folder. A second call does nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -275,7 +275,7 @@
 	if s.timer != nil {
 		s.timer.Stop()
 	}
-	if s.options.Durability != Process && s.broken == nil {
+	if s.options.Durability != ProcessExit && s.broken == nil {
 		err = s.sync()
 	}
 	s.closed = true
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -40,7 +40,7 @@
 // and no record may be lost, also after the store is opened again.
 func TestCompaction(t *testing.T) {
 	m := newMemoryFS()
-	s := openStore(t, m, Process)
+	s := openStore(t, m, ProcessExit)
 	l := newWorkload(1)
 	for i := range 20_000 {
 		if err := l.step(s); err != nil {
@@ -58,7 +58,7 @@
 	}
 	t.Logf("%+v, write amplification %.2f", stats, 1+float64(stats.Copied)/float64(stats.Appended))
 	s.Close()
-	reopened := openStore(t, m, Process)
+	reopened := openStore(t, m, ProcessExit)
 	l.checkContent(t, reopened, "after reopening", 0)
 	if len(reopened.Damages()) > 0 {
 		t.Errorf("damage: %+v", reopened.Damages())
@@ -94,7 +94,7 @@
 func TestCrashAtRandomWrite(t *testing.T) {
 	for seed := range uint64(400) {
 		m := newMemoryFS()
-		s := openStore(t, m, Process)
+		s := openStore(t, m, ProcessExit)
 		l := newWorkload(seed)
 		for range 300 { // until compaction runs
 			if err := l.step(s); err != nil {
@@ -112,7 +112,7 @@
 			}
 			m.crashAfter = -1
 			uncertain := l.lastEntity
-			s = openStore(t, m, Process)
+			s = openStore(t, m, ProcessExit)
 			l.checkContent(t, s, fmt.Sprintf("seed %d, round %d", seed, round), uncertain)
 			for _, d := range s.Damages() {
 				if !d.Tail {
@@ -131,10 +131,10 @@
 }
 
 // After a power failure all acknowledged records must be present with durability EachAppend, and all records up to the
-// latest sync with GroupSync. With Process no record is guaranteed, but the log must be readable.
+// latest sync with GroupSync. With ProcessExit no record is guaranteed, but the log must be readable.
 func TestPowerCut(t *testing.T) {
 	for seed := range uint64(100) {
-		for _, d := range []Durability{EachAppend, GroupSync, Process} {
+		for _, d := range []Durability{EachAppend, GroupSync, ProcessExit} {
 			m := newMemoryFS()
 			s := openStore(t, m, d)
 			l := newWorkload(seed)
@@ -157,7 +157,7 @@
 			uncertain := l.lastEntity
 			m.cutPower(rand.New(rand.NewPCG(seed, 2)))
 			s = openStore(t, m, d)
-			if d != Process {
+			if d != ProcessExit {
 				l.checkContent(t, s, fmt.Sprintf("seed %d, durability %d", seed, d), uncertain)
 			}
 			if t.Failed() {
@@ -172,7 +172,7 @@
 // lost. After a failed sync the store must reject all appends.
 func TestFaults(t *testing.T) {
 	m := newMemoryFS()
-	s := openStore(t, m, Process)
+	s := openStore(t, m, ProcessExit)
 	l := newWorkload(3)
 	for range 200 {
 		if err := l.step(s); err != nil {
@@ -220,7 +220,7 @@
 // space.
 func TestBudgetExhausted(t *testing.T) {
 	m := newMemoryFS()
-	s := openStore(t, m, Process)
+	s := openStore(t, m, ProcessExit)
 	id := uint64(0)
 	for s.CanAdmit(1000) {
 		id++
@@ -297,7 +297,7 @@
 }
 
 // A crash at any modifying file system call, also while starting a segment or compacting, must not lose acknowledged
-// records. It is a kill with durability Process and a power failure, which loses unsynced data, with EachAppend.
+// records. It is a kill with durability ProcessExit and a power failure, which loses unsynced data, with EachAppend.
 func TestCrashAtEveryCall(t *testing.T) {
 	run := func(m *memoryFS, d Durability, l *workload) error {
 		s, err := Open(Options{FS: m, Budget: 80 << 10, Segment: 5 << 10, Durability: d, GroupWait: time.Hour})
@@ -306,7 +306,7 @@
 		}
 		return err
 	}
-	for _, d := range []Durability{Process, EachAppend} {
+	for _, d := range []Durability{ProcessExit, EachAppend} {
 		reference := newMemoryFS()
 		if err := run(reference, d, newWorkload(4)); err != nil {
 			t.Fatal(err)
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -29,7 +29,7 @@
 func openLog(t *testing.T, dir string, limit int64) *fixture {
 	t.Helper()
 	l, recovered, err := Open(Options{
-		Dir: dir, Limit: limit, Reserved: 8 << 10, Durability: store.Process, Log: discardLog,
+		Dir: dir, Limit: limit, Reserved: 8 << 10, Durability: store.ProcessExit, Log: discardLog,
 	})
 	if err != nil {
 		t.Fatal(err)
