--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -122,14 +122,14 @@
 	return e.snapshot(), true
 }
 
-// ByKey calls do for each live entity with a key, until do returns false. As for ByDest and ByTime, do must not call
-// the store, whose lock is held.
+// ByKey calls do for each live entity with a key, until do returns false. As for ByDestination and ByTime, do must not
+// call the store, whose lock is held.
 func (s *Store) ByKey(key string, do func(Entity) bool) {
 	s.ascend(s.byKey, indexKey{key: key}, do, func(x indexKey) bool { return x.key == key })
 }
 
-// ByDest calls do for each live entity of a destination in ascending order of ID, until do returns false.
-func (s *Store) ByDest(dest int64, do func(Entity) bool) {
+// ByDestination calls do for each live entity of a destination in ascending order of ID, until do returns false.
+func (s *Store) ByDestination(dest int64, do func(Entity) bool) {
 	s.ascend(s.byDest, indexKey{dest: dest}, do, func(x indexKey) bool { return x.dest == dest })
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -66,7 +66,7 @@
 	keys := 0
 	reopened.ByKey("k7", func(e Entity) bool { keys++; return e.Key == "k7" })
 	dests := 0
-	reopened.ByDest(3, func(e Entity) bool { dests++; return e.Dest == 3 })
+	reopened.ByDestination(3, func(e Entity) bool { dests++; return e.Dest == 3 })
 	times := int64(0)
 	reopened.ByTime(0, func(e Entity) bool {
 		if e.Time < times {
