--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -48,8 +48,8 @@
 		anyLive := func() uint64 { return rapid.SampledFrom(ids()).Draw(t, "entity") }
 		reopen := func() {
 			s = open()
-			if next <= s.Highest() && s.Highest() > 0 {
-				next = s.Highest() + 1
+			if next <= s.HighestEntityID() && s.HighestEntityID() > 0 {
+				next = s.HighestEntityID() + 1
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -243,9 +243,9 @@
 	return offset, nil
 }
 
-// Highest returns the highest entity ID in the log, live or ended. The ID of an ended entity must not be reused while
-// the log contains its records.
-func (s *Store) Highest() uint64 {
+// HighestEntityID returns the highest entity ID in the log, live or ended. The ID of an ended entity must not be reused
+// while the log contains its records.
+func (s *Store) HighestEntityID() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.highestEntity
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -93,7 +93,7 @@
 		s.Close()
 		return nil, RestoredState{}, err
 	}
-	return l, RestoredState{entries, control.MessageID(s.Highest() + 1)}, nil
+	return l, RestoredState{entries, control.MessageID(s.HighestEntityID() + 1)}, nil
 }
 
 // InMemory returns a log that writes nothing to disk. HasCapacity applies the limit in bytes all the same.
