--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -62,8 +62,9 @@
 		Settings: c.Settings, Classes: namesByNumber(c.Names.Classes), Known: c.Known, Dir: c.State,
 		DiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
 	}
-	if c.OwnSettings != nil {
-		setup.Durability, setup.GroupWait = durabilityByName[c.OwnSettings.Journal.Durability], c.OwnSettings.Journal.Wait
+	if c.ScriptSettings != nil {
+		setup.Durability, setup.GroupWait = durabilityByName[c.ScriptSettings.Journal.Durability],
+			c.ScriptSettings.Journal.Wait
 	}
 	if s.predecessor != nil {
 		setup.Handover = &s.predecessor.state
@@ -121,23 +122,23 @@
 
 // newDeadLetterQueue creates the queue of undeliverable messages, or returns nil if the settings configure none.
 func newDeadLetterQueue(c Config, log *slog.Logger) *deadletter.Queue {
-	if c.OwnSettings == nil || c.OwnSettings.Held == nil {
+	if c.ScriptSettings == nil || c.ScriptSettings.Held == nil {
 		return nil
 	}
 	return deadletter.NewQueue(deadletter.Config{
-		Settings: c.OwnSettings, Platform: c.Settings, Log: log,
+		Settings: c.ScriptSettings, Platform: c.Settings, Log: log,
 		Names: deadletter.Names{Classes: namesByNumber(c.Names.Classes), Tenants: namesByNumber(c.Names.Tenants)},
 	})
 }
 
 // listenAdmin opens the admin API on a Unix socket, or returns nil if the settings configure none.
 func listenAdmin(c Config, queue *deadletter.Queue, board *statusBoard, log *slog.Logger) (*admin.Server, error) {
-	if c.OwnSettings == nil || c.OwnSettings.Admin == nil {
+	if c.ScriptSettings == nil || c.ScriptSettings.Admin == nil {
 		return nil, nil
 	}
 	var q admin.DeadLetterQueue // a nil *Queue stored in the interface would compare unequal to nil
 	if queue != nil {
 		q = queue
 	}
-	return admin.Listen(c.OwnSettings.Admin.Socket, q, board, log)
+	return admin.Listen(c.ScriptSettings.Admin.Socket, q, board, log)
 }
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -27,7 +27,7 @@
 	Settings                       control.Settings
 	Names                          protocol.Names
 	Known                          state.ListUpdate
-	OwnSettings                    *settings.Settings // from the settings script; nil: no script is configured
+	ScriptSettings                 *settings.Settings // from the settings script; nil: no script is configured
 
 	raw     string             // contents of the file
 	classes []state.NamedClass // classes of the settings in force, in the order of the file
@@ -62,7 +62,7 @@
 	}
 	c, err := Parse(text, env)
 	if err == nil && script != "" {
-		c.OwnSettings, err = settings.Load(script)
+		c.ScriptSettings, err = settings.Load(script)
 	}
 	return c, err
 }
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -20,8 +20,8 @@
 func (s *server) reloadConfig() {
 	*s.config = s.applyReload(*s.config)
 	s.publishConfig(*s.config)
-	if s.deadLetters != nil && s.config.OwnSettings != nil {
-		s.deadLetters.UpdateSettings(s.config.OwnSettings)
+	if s.deadLetters != nil && s.config.ScriptSettings != nil {
+		s.deadLetters.UpdateSettings(s.config.ScriptSettings)
 	}
 }
 
@@ -47,7 +47,7 @@
 	limitRuntime(c.Limits)
 	inForce.Discovery, inForce.raw = c.Discovery, c.raw
 	inForce.Limits.Cores, inForce.Limits.MemoryMB = c.Limits.Cores, c.Limits.MemoryMB
-	inForce.OwnSettings = reloadOwnSettings(old.OwnSettings, c.OwnSettings, s.log)
+	inForce.ScriptSettings = reloadOwnSettings(old.ScriptSettings, c.ScriptSettings, s.log)
 	if pending := c.pendingRestart(inForce); len(pending) > 0 {
 		s.log.Warn("configuration changes take effect at the next start", "keys", pending)
 	}
