--- a/internal/admin/httpserver_test.go
+++ b/internal/admin/httpserver_test.go
@@ -27,7 +27,8 @@
 func (l *recordingLifecycle) Activate() error { l.calls <- "activate"; return nil }
 
 func (l *recordingLifecycle) Take(o lease.Order) error {
-	l.calls <- fmt.Sprint("take ", o.Process, " ", o.Epoch, " ", o.By.UnixMilli(), " ", o.Until.UnixMilli(), " ", o.Drain)
+	l.calls <- fmt.Sprint("take ", o.Process, " ", o.Epoch, " ", o.AcceptBy.UnixMilli(), " ", o.Until.UnixMilli(), " ",
+		o.Drain)
 	return l.rejection
 }
 func (l *recordingLifecycle) Renew(epoch uint64, until time.Time) error {
--- a/internal/admin/lifecycle.go
+++ b/internal/admin/lifecycle.go
@@ -119,7 +119,8 @@
 func takeLease(lifecycle Lifecycle, drain bool) func(q *orderQuery) func() error {
 	return func(q *orderQuery) func() error {
 		order := lease.Order{
-			Process: q.values.Get("process"), Epoch: q.number("epoch"), By: q.time("by"), Until: q.time("until"), Drain: drain,
+			Process: q.values.Get("process"), Epoch: q.number("epoch"), AcceptBy: q.time("by"), Until: q.time("until"),
+			Drain: drain,
 		}
 		return func() error { return lifecycle.Take(order) }
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -16,11 +16,11 @@
 
 // Order is an order that grants one process of a sender a lease to be out of service.
 type Order struct {
-	Process string    // id of the process that the order is for
-	Epoch   uint64    // epoch of the grant, higher than that of any earlier grant
-	By      time.Time // deadline for accepting the order
-	Until   time.Time // expiry of the lease
-	Drain   bool      // true: the sender rejects clients; false: it keeps serving and may change its version
+	Process  string    // id of the process that the order is for
+	Epoch    uint64    // epoch of the grant, higher than that of any earlier grant
+	AcceptBy time.Time // deadline for accepting the order
+	Until    time.Time // expiry of the lease
+	Drain    bool      // true: the sender rejects clients; false: it keeps serving and may change its version
 }
 
 // Errors of rejected orders. Each states why the order was rejected.
@@ -63,8 +63,8 @@
 		return ErrEnded
 	case o.Epoch == h.Epoch:
 		return nil
-	case now.After(o.By):
-		return fmt.Errorf("%w: by %v", ErrExpired, now.Sub(o.By))
+	case now.After(o.AcceptBy):
+		return fmt.Errorf("%w: by %v", ErrExpired, now.Sub(o.AcceptBy))
 	}
 	if err := checkEnd(o.Until, now); err != nil {
 		return err
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -13,7 +13,7 @@
 }
 
 func order(epoch uint64, by, until float64) Order {
-	return Order{Process: "p", Epoch: epoch, By: at(by), Until: at(until), Drain: true}
+	return Order{Process: "p", Epoch: epoch, AcceptBy: at(by), Until: at(until), Drain: true}
 }
 
 // Each case is a sequence of steps on a Holder, with the error of the last step and whether a lease is active after it.
--- a/internal/lifecycle/statemachine_test.go
+++ b/internal/lifecycle/statemachine_test.go
@@ -89,7 +89,7 @@
 		r.m.advance(handingOver)
 	case "take", "hold":
 		return r.m.Take(lease.Order{
-			Process: r.m.id, Epoch: uint64(n), By: at(2), Until: at(10), Drain: verb == "take",
+			Process: r.m.id, Epoch: uint64(n), AcceptBy: at(2), Until: at(10), Drain: verb == "take",
 		})
 	case "renew":
 		return r.m.Renew(uint64(n), at(20))
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -200,7 +200,7 @@
 func (ag *agent) acceptGrant(m *supervision, sd *sender, g *rollout.Grant) {
 	s := ag.fleet.sim
 	m.acceptedEpoch = g.Epoch
-	order := lease.Order{Process: g.Process, Epoch: g.Epoch, By: g.By, Until: g.Until, Drain: g.Drain}
+	order := lease.Order{Process: g.Process, Epoch: g.Epoch, AcceptBy: g.By, Until: g.Until, Drain: g.Drain}
 	if sd.lease.Take(order, sd.process, s.clock()) != nil {
 		return
 	}
