--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -51,9 +51,9 @@
 // Active reports whether a lease is active.
 func (h *Holder) Active() bool { return h.Epoch > 0 && !h.Ended }
 
-// Take accepts an order on behalf of the process with the given id. Repeating the order of the active lease changes
+// Accept accepts an order on behalf of the process with the given id. Repeating the order of the active lease changes
 // nothing. Errors are those of this package.
-func (h *Holder) Take(o Order, process string, now time.Time) error {
+func (h *Holder) Accept(o Order, process string, now time.Time) error {
 	switch {
 	case o.Process != process:
 		return fmt.Errorf("%w: %q, this is %q", ErrWrongProcess, o.Process, process)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -20,7 +20,7 @@
 func TestHolder(t *testing.T) {
 	type step func(h *Holder) error
 	take := func(epoch uint64, by, until, now float64) step {
-		return func(h *Holder) error { return h.Take(order(epoch, by, until), "p", at(now)) }
+		return func(h *Holder) error { return h.Accept(order(epoch, by, until), "p", at(now)) }
 	}
 	end := func(epoch uint64) step { return func(h *Holder) error { return h.End(epoch) } }
 	renew := func(epoch uint64, until, now float64) step {
@@ -65,7 +65,7 @@
 		}
 	}
 	var h Holder
-	if err := h.Take(order(5, 2, 10), "another", at(1)); !errors.Is(err, ErrWrongProcess) || h.Epoch != 0 {
+	if err := h.Accept(order(5, 2, 10), "another", at(1)); !errors.Is(err, ErrWrongProcess) || h.Epoch != 0 {
 		t.Errorf("for another process: %v, %+v", err, h)
 	}
 }
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -121,7 +121,7 @@
 
 // Take accepts a lease. It rejects leases in phase starting, when no agent can know this process yet.
 func (m *stateMachine) Take(o lease.Order) error {
-	return m.apply(true, func(now time.Time) error { return m.lease.Take(o, m.id, now) })
+	return m.apply(true, func(now time.Time) error { return m.lease.Accept(o, m.id, now) })
 }
 
 // Renew sets a new end for the active lease.
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -172,7 +172,7 @@
 		return
 	}
 	alreadyTaken := s.leases.Active() && s.leases.Epoch == delivery.o.Epoch
-	if s.leases.Take(delivery.o, fmt.Sprint(s.process), modelTime(m.now+s.clockOffset)) != nil || alreadyTaken {
+	if s.leases.Accept(delivery.o, fmt.Sprint(s.process), modelTime(m.now+s.clockOffset)) != nil || alreadyTaken {
 		return
 	}
 	m.ordersTaken++
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -201,7 +201,7 @@
 	s := ag.fleet.sim
 	m.acceptedEpoch = g.Epoch
 	order := lease.Order{Process: g.Process, Epoch: g.Epoch, AcceptBy: g.By, Until: g.Until, Drain: g.Drain}
-	if sd.lease.Take(order, sd.process, s.clock()) != nil {
+	if sd.lease.Accept(order, sd.process, s.clock()) != nil {
 		return
 	}
 	sd.scheduleExpiry()
