--- a/internal/lease/exclusions.go
+++ b/internal/lease/exclusions.go
@@ -17,9 +17,9 @@
 	EndpointIDs []string
 }
 
-// Take replaces the set. It returns ErrStaleEpoch if the epoch is lower than that of the current set, and ErrInvalidEnd
-// if the end is not valid.
-func (x *Exclusions) Take(epoch uint64, ids []string, until, now time.Time) error {
+// Replace replaces the set. It returns ErrStaleEpoch if the epoch is lower than that of the current set, and
+// ErrInvalidEnd if the end is not valid.
+func (x *Exclusions) Replace(epoch uint64, ids []string, until, now time.Time) error {
 	if epoch < x.Epoch {
 		return fmt.Errorf("%w: %d, seen %d", ErrStaleEpoch, epoch, x.Epoch)
 	}
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -137,7 +137,7 @@
 // SetExclusions replaces the set of excluded endpoints. The set belongs to an epoch and expires at the given time.
 func (m *stateMachine) SetExclusions(epoch uint64, ids []string, until time.Time) error {
 	return m.apply(true, func(now time.Time) error {
-		if err := m.exclusions.Take(epoch, ids, until, now); err != nil {
+		if err := m.exclusions.Replace(epoch, ids, until, now); err != nil {
 			return err
 		}
 		m.applyExclusions()
