--- a/internal/admin/httpserver_test.go
+++ b/internal/admin/httpserver_test.go
@@ -26,7 +26,7 @@
 func (l *recordingLifecycle) Drain() error    { l.calls <- "drain"; return nil }
 func (l *recordingLifecycle) Activate() error { l.calls <- "activate"; return nil }
 
-func (l *recordingLifecycle) Take(o lease.Order) error {
+func (l *recordingLifecycle) AcceptLease(o lease.Order) error {
 	l.calls <- fmt.Sprint("take ", o.Process, " ", o.Epoch, " ", o.AcceptBy.UnixMilli(), " ", o.Until.UnixMilli(), " ",
 		o.Drain)
 	return l.rejection
--- a/internal/admin/lifecycle.go
+++ b/internal/admin/lifecycle.go
@@ -21,8 +21,8 @@
 	// Drain makes the sender reject clients, and Activate makes it accept them again. Both are idempotent.
 	Drain() error
 	Activate() error
-	// Take, Renew and End execute an agent's order for a lease.
-	Take(o lease.Order) error
+	// AcceptLease, Renew and End execute an agent's order for a lease.
+	AcceptLease(o lease.Order) error
 	Renew(epoch uint64, until time.Time) error
 	End(epoch uint64) error
 	// SetExclusions replaces the set of endpoints that operators have excluded. The set belongs to an epoch and expires at
@@ -122,7 +122,7 @@
 			Process: q.values.Get("process"), Epoch: q.number("epoch"), AcceptBy: q.time("by"), Until: q.time("until"),
 			Drain: drain,
 		}
-		return func() error { return lifecycle.Take(order) }
+		return func() error { return lifecycle.AcceptLease(order) }
 	}
 }
 
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -119,8 +119,8 @@
 	})
 }
 
-// Take accepts a lease. It rejects leases in phase starting, when no agent can know this process yet.
-func (m *stateMachine) Take(o lease.Order) error {
+// AcceptLease accepts a lease. It rejects leases in phase starting, when no agent can know this process yet.
+func (m *stateMachine) AcceptLease(o lease.Order) error {
 	return m.apply(true, func(now time.Time) error { return m.lease.Accept(o, m.id, now) })
 }
 
--- a/internal/lifecycle/statemachine_test.go
+++ b/internal/lifecycle/statemachine_test.go
@@ -88,7 +88,7 @@
 	case "leave":
 		r.m.advance(handingOver)
 	case "take", "hold":
-		return r.m.Take(lease.Order{
+		return r.m.AcceptLease(lease.Order{
 			Process: r.m.id, Epoch: uint64(n), AcceptBy: at(2), Until: at(10), Drain: verb == "take",
 		})
 	case "renew":
