--- a/internal/admin/httpserver_test.go
+++ b/internal/admin/httpserver_test.go
@@ -31,7 +31,7 @@
 		o.Drain)
 	return l.rejection
 }
-func (l *recordingLifecycle) Renew(epoch uint64, until time.Time) error {
+func (l *recordingLifecycle) RenewLease(epoch uint64, until time.Time) error {
 	l.calls <- fmt.Sprint("renew ", epoch, " ", until.UnixMilli())
 	return l.rejection
 }
--- a/internal/admin/lifecycle.go
+++ b/internal/admin/lifecycle.go
@@ -21,9 +21,9 @@
 	// Drain makes the sender reject clients, and Activate makes it accept them again. Both are idempotent.
 	Drain() error
 	Activate() error
-	// AcceptLease, Renew and End execute an agent's order for a lease.
+	// AcceptLease, RenewLease and End execute an agent's order for a lease.
 	AcceptLease(o lease.Order) error
-	Renew(epoch uint64, until time.Time) error
+	RenewLease(epoch uint64, until time.Time) error
 	End(epoch uint64) error
 	// SetExclusions replaces the set of endpoints that operators have excluded. The set belongs to an epoch and expires at
 	// the given time.
@@ -93,7 +93,7 @@
 		"PUT " + HoldPath:  agentHandler("held", takeLease(lifecycle, false)),
 		"PUT " + RenewPath: agentHandler("renewed", func(q *orderQuery) func() error {
 			epoch, until := q.number("epoch"), q.time("until")
-			return func() error { return lifecycle.Renew(epoch, until) }
+			return func() error { return lifecycle.RenewLease(epoch, until) }
 		}),
 		"PUT " + ActivatePath: operatorOrAgentHandler(lifecycle.Activate, "active", func(q *orderQuery) func() error {
 			epoch := q.number("epoch")
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -124,8 +124,8 @@
 	return m.apply(true, func(now time.Time) error { return m.lease.Accept(o, m.id, now) })
 }
 
-// Renew sets a new end for the active lease.
-func (m *stateMachine) Renew(epoch uint64, until time.Time) error {
+// RenewLease sets a new end for the active lease.
+func (m *stateMachine) RenewLease(epoch uint64, until time.Time) error {
 	return m.apply(false, func(now time.Time) error { return m.lease.Renew(epoch, until, now) })
 }
 
--- a/internal/lifecycle/statemachine_test.go
+++ b/internal/lifecycle/statemachine_test.go
@@ -92,7 +92,7 @@
 			Process: r.m.id, Epoch: uint64(n), AcceptBy: at(2), Until: at(10), Drain: verb == "take",
 		})
 	case "renew":
-		return r.m.Renew(uint64(n), at(20))
+		return r.m.RenewLease(uint64(n), at(20))
 	case "end":
 		return r.m.End(uint64(n))
 	case "at":
