--- a/internal/admin/httpserver_test.go
+++ b/internal/admin/httpserver_test.go
@@ -35,7 +35,7 @@
 	l.calls <- fmt.Sprint("renew ", epoch, " ", until.UnixMilli())
 	return l.rejection
 }
-func (l *recordingLifecycle) End(epoch uint64) error {
+func (l *recordingLifecycle) EndLease(epoch uint64) error {
 	l.calls <- fmt.Sprint("end ", epoch)
 	return l.rejection
 }
--- a/internal/admin/lifecycle.go
+++ b/internal/admin/lifecycle.go
@@ -21,10 +21,10 @@
 	// Drain makes the sender reject clients, and Activate makes it accept them again. Both are idempotent.
 	Drain() error
 	Activate() error
-	// AcceptLease, RenewLease and End execute an agent's order for a lease.
+	// AcceptLease, RenewLease and EndLease execute an agent's order for a lease.
 	AcceptLease(o lease.Order) error
 	RenewLease(epoch uint64, until time.Time) error
-	End(epoch uint64) error
+	EndLease(epoch uint64) error
 	// SetExclusions replaces the set of endpoints that operators have excluded. The set belongs to an epoch and expires at
 	// the given time.
 	SetExclusions(epoch uint64, ids []string, until time.Time) error
@@ -97,7 +97,7 @@
 		}),
 		"PUT " + ActivatePath: operatorOrAgentHandler(lifecycle.Activate, "active", func(q *orderQuery) func() error {
 			epoch := q.number("epoch")
-			return func() error { return lifecycle.End(epoch) }
+			return func() error { return lifecycle.EndLease(epoch) }
 		}),
 		"PUT " + ExclusionsPath: agentHandler("set aside", func(q *orderQuery) func() error {
 			epoch, until, ids := q.number("epoch"), q.time("until"), q.values["id"]
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -129,8 +129,8 @@
 	return m.apply(false, func(now time.Time) error { return m.lease.Renew(epoch, until, now) })
 }
 
-// End ends an epoch, including its lease if that is active.
-func (m *stateMachine) End(epoch uint64) error {
+// EndLease ends an epoch, including its lease if that is active.
+func (m *stateMachine) EndLease(epoch uint64) error {
 	return m.apply(false, func(time.Time) error { return m.lease.End(epoch) })
 }
 
--- a/internal/lifecycle/statemachine_test.go
+++ b/internal/lifecycle/statemachine_test.go
@@ -94,7 +94,7 @@
 	case "renew":
 		return r.m.RenewLease(uint64(n), at(20))
 	case "end":
-		return r.m.End(uint64(n))
+		return r.m.EndLease(uint64(n))
 	case "at":
 		r.now = at(n)
 	case "expire":
