--- a/internal/deadletter/items.go
+++ b/internal/deadletter/items.go
@@ -95,7 +95,7 @@
 	}
 	r.addAttempts(q.attemptHistory(letter.Attempts, 0, now))
 	q.mu.Lock()
-	hasRules := q.settings.Rules()
+	hasRules := q.settings.HasAfterRule()
 	q.mu.Unlock()
 	if hasRules {
 		r.ReviewAt = now
--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -95,7 +95,7 @@
 	q.planner.SetLimits(q.limits())
 	q.mu.Unlock()
 	select {
-	case q.changes <- change{apply: func(*Tx) error { q.sweepPosition, q.sweeping = 0, s.Rules(); return nil },
+	case q.changes <- change{apply: func(*Tx) error { q.sweepPosition, q.sweeping = 0, s.HasAfterRule(); return nil },
 		done: make(chan error, 1)}:
 	default: // records are still reviewed by the new rules when they become due
 		q.log.Warn("too many pending changes; the new rules apply to held records at their next review")
--- a/internal/deadletter/review.go
+++ b/internal/deadletter/review.go
@@ -210,7 +210,7 @@
 func (q *Queue) hasRules() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.settings.Rules()
+	return q.settings.HasAfterRule()
 }
 
 // eligible returns nil if a record may be redelivered now, and the reason otherwise. A record with a key is not
--- a/internal/deadletter/writer.go
+++ b/internal/deadletter/writer.go
@@ -143,7 +143,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.store = s
-	q.sweeping = q.settings.Rules()
+	q.sweeping = q.settings.HasAfterRule()
 }
 
 // runChange runs a change and sends its result to the waiting goroutine.
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -228,8 +228,8 @@
 	return a.decision, nil
 }
 
-// Rules reports whether the script defines the rule after.
-func (s *Settings) Rules() bool { return s.afterRule != nil }
+// HasAfterRule reports whether the script defines the rule after.
+func (s *Settings) HasAfterRule() bool { return s.afterRule != nil }
 
 // call calls a rule with a limit of maxRuleSteps interpreter steps.
 func (s *Settings) call(rule starlark.Callable, r *Record, p *Partner) (starlark.Value, error) {
