--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -196,7 +196,7 @@
 	for _, attempt := range letter.Attempts {
 		mayHaveRun = mayHaveRun || attempt.Open || attempt.Result.MayHaveRun()
 	}
-	hold, err := current.Hold(settings.Record{
+	hold, err := current.ShouldHold(settings.Record{
 		ID: letter.Message.ID, Key: letter.Message.Key, Class: nameAt(platform.Classes, letter.Message.Class),
 		Tenant:      nameAt(platform.Tenants, letter.Message.Tenant),
 		Destination: letter.Message.Destination, Size: len(letter.Message.Body), Reason: letter.Reason,
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -187,10 +187,10 @@
 	return v, err
 }
 
-// Hold calls the rule hold. It reports whether an undeliverable message becomes a dead letter (true) or is returned
-// to its client (false). If there is no rule or the rule fails, a message becomes a dead letter unless it would be
-// deferred.
-func (s *Settings) Hold(r Record, p Partner) (bool, error) {
+// ShouldHold calls the rule hold. It reports whether an undeliverable message becomes a dead letter (true) or is
+// returned to its client (false). If there is no rule or the rule fails, a message becomes a dead letter unless it
+// would be deferred.
+func (s *Settings) ShouldHold(r Record, p Partner) (bool, error) {
 	if s.holdRule == nil {
 		return !r.Deferred, nil
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Hold and Decide return the results of the rules, and their defaults with an error if a rule fails or returns a wrong
-// type.
+// ShouldHold and Decide return the results of the rules, and their defaults with an error if a rule fails or returns a
+// wrong type.
 func TestRules(t *testing.T) {
 	const text = heldCall + `
 resend(within = 5 * MINUTE)
@@ -113,7 +113,7 @@
 		{"endless, would not be deferred", Record{Class: "loop"}, Partner{}, true, "too many steps"},
 		{"wrong result type", Record{Class: "odd"}, Partner{}, true, "hold returned int"},
 	} {
-		got, err := s.Hold(c.r, c.p)
+		got, err := s.ShouldHold(c.r, c.p)
 		if got != c.want || (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
 			t.Errorf("hold, %s: %t %v", c.name, got, err)
 		}
