--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -219,7 +219,7 @@
 			redelivery.Failed: "failed"}[status.LastResult]
 	}
 	if q.store != nil {
-		p.Held = q.store.Count(destination)
+		p.DeadLetters = q.store.Count(destination)
 	}
 	return p
 }
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -23,12 +23,12 @@
 
 // Partner is the data about a message's destination that is passed to a rule, as known to this sender.
 type Partner struct {
-	Held       int           // dead letters for this destination
-	InFlight   int           // redeliveries in flight
-	Last       string        // the latest result of a call; "": there was none yet
-	Failing    time.Duration // since the first of the consecutive failed calls; 0: the last call was served
-	Served     time.Duration // since the last served call; negative: there was none
-	RetryAfter time.Duration // remaining time of the Retry-After that it sent
+	DeadLetters int           // dead letters for this destination
+	InFlight    int           // redeliveries in flight
+	Last        string        // the latest result of a call; "": there was none yet
+	Failing     time.Duration // since the first of the consecutive failed calls; 0: the last call was served
+	Served      time.Duration // since the last served call; negative: there was none
+	RetryAfter  time.Duration // remaining time of the Retry-After that it sent
 }
 
 // attributes are the names of all fields of records and partners. A script may use no other attributes.
@@ -62,7 +62,7 @@
 
 // partnerFields maps the names of a partner's fields in scripts to functions that return their values.
 var partnerFields = map[string]func(*Partner) starlark.Value{
-	"held":      func(p *Partner) starlark.Value { return starlark.MakeInt(p.Held) },
+	"held":      func(p *Partner) starlark.Value { return starlark.MakeInt(p.DeadLetters) },
 	"out":       func(p *Partner) starlark.Value { return starlark.MakeInt(p.InFlight) },
 	"last":      func(p *Partner) starlark.Value { return starlark.String(p.Last) },
 	"failing":   func(p *Partner) starlark.Value { return seconds(p.Failing) },
