--- a/internal/deadletter/review.go
+++ b/internal/deadletter/review.go
@@ -201,7 +201,7 @@
 	_, _, ran := r.FirstRun()
 	return settings.Record{
 		ID: r.ID, Key: r.Key, Class: r.Class, Tenant: r.Tenant, Destination: r.Destination, Size: r.Size, Reason: r.Reason,
-		MayHaveRun: ran, Deferred: r.Deferred, Attempts: r.AttemptCount, Resends: r.Redeliveries,
+		MayHaveRun: ran, Deferred: r.Deferred, Attempts: r.AttemptCount, Redeliveries: r.Redeliveries,
 		TimeLeft: max(0, r.Deadline.Sub(r.HeldAt)), Age: max(0, now.Sub(r.HeldAt)),
 	}
 }
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -16,7 +16,7 @@
 	MayHaveRun             bool
 	Deferred               bool // without the dead-letter queue, its client would be asked to retry later
 	Attempts               int
-	Resends                int           // earlier redeliveries
+	Redeliveries           int           // earlier redeliveries
 	TimeLeft               time.Duration // until its deadline, at the time when it became undeliverable
 	Age                    time.Duration // since it became a dead letter
 }
@@ -55,7 +55,7 @@
 	"may_have_run":  func(r *Record) starlark.Value { return starlark.Bool(r.MayHaveRun) },
 	"deferred":      func(r *Record) starlark.Value { return starlark.Bool(r.Deferred) },
 	"attempts":      func(r *Record) starlark.Value { return starlark.MakeInt(r.Attempts) },
-	"resends":       func(r *Record) starlark.Value { return starlark.MakeInt(r.Resends) },
+	"resends":       func(r *Record) starlark.Value { return starlark.MakeInt(r.Redeliveries) },
 	"left":          func(r *Record) starlark.Value { return seconds(r.TimeLeft) },
 	"age":           func(r *Record) starlark.Value { return seconds(r.Age) },
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -128,7 +128,7 @@
 		{"again", Record{}, Partner{}, Decision{Action: Redeliver, Delay: 2 * time.Second, Within: 5 * time.Minute}, false},
 		{"Retry-After", Record{}, Partner{RetryAfter: time.Minute}, Decision{Action: KeepRecord, ReviewIn: time.Minute},
 			false},
-		{"redelivered often enough", Record{Resends: 3}, Partner{}, Decision{Action: DropRecord}, false},
+		{"redelivered often enough", Record{Redeliveries: 3}, Partner{}, Decision{Action: DropRecord}, false},
 		{"a failed rule keeps the record", Record{Tenant: "bad"}, Partner{}, Decision{}, true},
 	} {
 		if got, err := s.Decide(c.r, c.p); got != c.want || (err != nil) != c.err {
