--- a/internal/admin/folder.go
+++ b/internal/admin/folder.go
@@ -8,7 +8,7 @@
 
 // OpenFolder opens the dead letters in the folder of a stopped sender and returns their read-only API.
 func OpenFolder(path string) (API, error) {
-	s, err := deadletter.OpenReading(path)
+	s, err := deadletter.OpenReadOnly(path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/deadletter/golden_test.go
+++ b/internal/deadletter/golden_test.go
@@ -23,7 +23,7 @@
 // TestGoldenStore checks that a store written by commit 096da04 can be opened and has the same content.
 func TestGoldenStore(t *testing.T) {
 	dir := golden.Folder(t, "store")
-	read, err := OpenReading(dir)
+	read, err := OpenReadOnly(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/deadletter/store.go
+++ b/internal/deadletter/store.go
@@ -103,8 +103,8 @@
 	return s, nil
 }
 
-// OpenReading opens the store in a folder for reading. It returns ErrInUse while a sender has the store open.
-func OpenReading(folder string) (*Store, error) {
+// OpenReadOnly opens the store in a folder for reading. It returns ErrInUse while a sender has the store open.
+func OpenReadOnly(folder string) (*Store, error) {
 	path := filepath.Join(folder, fileName)
 	if _, err := os.Stat(path); err != nil {
 		return nil, fmt.Errorf("held: %w", err)
--- a/internal/deadletter/store_test.go
+++ b/internal/deadletter/store_test.go
@@ -241,11 +241,11 @@
 func TestStoreLock(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
-	if _, err := OpenReading(dir); !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), fmt.Sprint(os.Getpid())) {
+	if _, err := OpenReadOnly(dir); !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), fmt.Sprint(os.Getpid())) {
 		t.Errorf("reader while a writer has the store open: %v, want ErrInUse with its process id", err)
 	}
 	s.Close()
-	r, err := OpenReading(dir)
+	r, err := OpenReadOnly(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
