--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -83,7 +83,7 @@
 		processor, memoryMB := processUsage(a.cmd.Process.Pid)
 		u.processor, u.memoryMB = u.processor+processor, u.memoryMB+memoryMB
 		if v, err := c.View(i, true); err == nil && v.Quorum != nil {
-			u.quorumBytes += v.Quorum.Sent
+			u.quorumBytes += v.Quorum.SentBytes
 			u.quorumCalls += v.Quorum.Calls
 			u.traffic.ReportedBytes += v.Traffic.ReportedBytes
 			u.traffic.Reports += v.Traffic.Reports
--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -67,16 +67,16 @@
 
 // Status is the state of a node as of the last iteration of its loop.
 type Status struct {
-	Member  Member            `json:"seat"`
-	Leader  string            `json:"leader"` // empty: no leader is known, so that nothing can be committed
-	Leads   bool              `json:"leads"`
-	Term    uint64            `json:"term"`
-	Applied uint64            `json:"applied"`
-	Voter   bool              `json:"voter"` // it is a voter, and no replaced member still is
-	Members map[uint64]string `json:"seats"`
-	Disk    int64             `json:"disk_bytes"`
-	Sent    int64             `json:"sent_bytes"` // bytes sent to other members since the start
-	Calls   int64             `json:"calls"`      // calls to other members since the start
+	Member    Member            `json:"seat"`
+	Leader    string            `json:"leader"` // empty: no leader is known, so that nothing can be committed
+	Leads     bool              `json:"leads"`
+	Term      uint64            `json:"term"`
+	Applied   uint64            `json:"applied"`
+	Voter     bool              `json:"voter"` // it is a voter, and no replaced member still is
+	Members   map[uint64]string `json:"seats"`
+	Disk      int64             `json:"disk_bytes"`
+	SentBytes int64             `json:"sent_bytes"` // bytes sent to other members since the start
+	Calls     int64             `json:"calls"`      // calls to other members since the start
 }
 
 // Node is one member of the quorum. Run owns its state; the other exported methods are safe for concurrent use.
@@ -276,7 +276,7 @@
 		}
 	}
 	for _, t := range n.transports {
-		s.Sent += t.bytes.Load()
+		s.SentBytes += t.bytes.Load()
 		s.Calls += t.calls.Load()
 	}
 	n.status.Store(s)
