--- a/internal/quorum/node.go
+++ b/internal/quorum/node.go
@@ -74,7 +74,7 @@
 	Applied   uint64            `json:"applied"`
 	Voter     bool              `json:"voter"` // it is a voter, and no replaced member still is
 	Members   map[uint64]string `json:"seats"`
-	Disk      int64             `json:"disk_bytes"`
+	DiskBytes int64             `json:"disk_bytes"`
 	SentBytes int64             `json:"sent_bytes"` // bytes sent to other members since the start
 	Calls     int64             `json:"calls"`      // calls to other members since the start
 }
@@ -268,7 +268,7 @@
 	b := n.raft.BasicStatus()
 	s := &Status{
 		Member: n.storage.member, Leads: b.RaftState == raft.StateLeader, Term: b.HardState.GetTerm(),
-		Applied: n.applied, Members: n.members, Voter: n.votes(), Disk: n.storage.store.Stats().DiskBytes,
+		Applied: n.applied, Members: n.members, Voter: n.votes(), DiskBytes: n.storage.store.Stats().DiskBytes,
 	}
 	if b.Lead != raft.None {
 		if s.Leader = n.members[b.Lead]; s.Leader == "" {
