--- a/internal/harness/answer_failure.go
+++ b/internal/harness/answer_failure.go
@@ -17,7 +17,7 @@
 	now := env.now()
 	for _, f := range env.faults.Answers {
 		if now >= f.From && now < f.To && env.faultRNG.Float64() < f.Share {
-			return f.How
+			return f.Failure
 		}
 	}
 	return ""
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -40,7 +40,7 @@
 // An AnswerFault makes a fraction of discovery's answers fail, between two times of the plan's clock.
 type AnswerFault struct {
 	From, To time.Duration
-	How      AnswerFailure
+	Failure  AnswerFailure
 	Share    float64 // fraction of the answers that fail, 0 to 1
 }
 
