--- a/internal/harness/answer_failure.go
+++ b/internal/harness/answer_failure.go
@@ -16,7 +16,7 @@
 func (env *Environment) drawAnswerFailure() AnswerFailure {
 	now := env.now()
 	for _, f := range env.faults.Answers {
-		if now >= f.From && now < f.To && env.faultRNG.Float64() < f.Share {
+		if now >= f.From && now < f.To && env.faultRNG.Float64() < f.Fraction {
 			return f.Failure
 		}
 	}
--- a/internal/harness/answer_failure_test.go
+++ b/internal/harness/answer_failure_test.go
@@ -31,7 +31,7 @@
 		t.Run(string(how), func(t *testing.T) {
 			t.Parallel()
 			env, _ := newTestEnvironment(t, "")
-			env.faults.Answers = []AnswerFault{{To: time.Hour, Failure: how, Share: 1}}
+			env.faults.Answers = []AnswerFault{{To: time.Hour, Failure: how, Fraction: 1}}
 			addresses, err := env.OpenPlatform()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -41,7 +41,7 @@
 type AnswerFault struct {
 	From, To time.Duration
 	Failure  AnswerFailure
-	Share    float64 // fraction of the answers that fail, 0 to 1
+	Fraction float64 // fraction of the answers that fail, 0 to 1
 }
 
 // IdleClients are clients that connect to each sender and keep their connections open without sending anything.
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -174,10 +174,10 @@
 	second := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for range 1 + d.IntN(4) {
 		at := d.begin()
-		f := harness.AnswerFault{From: second(at), To: second(at + d.between(0.5, 5)), Share: d.between(0.3, 1)}
+		f := harness.AnswerFault{From: second(at), To: second(at + d.between(0.5, 5)), Fraction: d.between(0.3, 1)}
 		f.Failure = harness.AnswerFailures[d.IntN(len(harness.AnswerFailures))]
 		c.Faults.Answers = append(c.Faults.Answers, f)
-		c.addNote("answers of discovery, %.1f to %.1f s: %.2f of them %s", f.From.Seconds(), f.To.Seconds(), f.Share,
+		c.addNote("answers of discovery, %.1f to %.1f s: %.2f of them %s", f.From.Seconds(), f.To.Seconds(), f.Fraction,
 			f.Failure)
 	}
 	c.Faults.WatchTail = true
