--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -14,8 +14,8 @@
 	KeepConnections bool
 	// WatchTail makes changes within 200 ms after an answer to a watch count as notified, as PROTOCOL defines it.
 	WatchTail bool
-	// Wrap returns the command that starts a sender's program; nil starts the program itself.
-	Wrap func(sender int, program string) []string
+	// WrapCommand returns the command that starts a sender's program; nil starts the program itself.
+	WrapCommand func(sender int, program string) []string
 	// Sockets limits the number of file descriptors of a sender; 0 = 1,024.
 	Sockets int
 }
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -41,7 +41,7 @@
 	settings   string // path of the settings script; may be empty
 	plan       *scenario.Plan
 	spec       ProcessSpec
-	wrap       func(sender int, program string) []string // see Faults.Wrap
+	wrap       func(sender int, program string) []string // see Faults.WrapCommand
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
@@ -69,7 +69,7 @@
 	spec.Listen = addr
 	p := &Process{
 		num: num, program: s.Program, dir: dir, addr: addr, reservedFD: fd,
-		settings: s.Settings, plan: s.Plan, spec: spec, wrap: s.Faults.Wrap,
+		settings: s.Settings, plan: s.Plan, spec: spec, wrap: s.Faults.WrapCommand,
 	}
 	if err := Configure(p.configPath(), s.Plan, num, spec); err != nil {
 		p.ReleasePort()
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -229,7 +229,7 @@
 		c.SystemCalls[i] = form
 		c.addNote("n%d: %s", i, form)
 	}
-	c.Faults.Wrap = func(sender int, program string) []string {
+	c.Faults.WrapCommand = func(sender int, program string) []string {
 		form, fails := c.SystemCalls[sender]
 		if !fails {
 			return []string{program}
