--- a/internal/audit/auditor_test.go
+++ b/internal/audit/auditor_test.go
@@ -20,18 +20,18 @@
 	return r
 }
 
-// violatedRule plays a ledger and returns the rules that were broken.
-func violatedRule(t *testing.T, name string, list []Event) string {
+// violatedRules reads a ledger and returns the violated rules, separated by semicolons.
+func violatedRules(t *testing.T, name string, events []Event) string {
 	t.Helper()
 	a := New(testRules())
-	for _, e := range list {
+	for _, e := range events {
 		if err := a.Read(e); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
 	var rules []string
-	for _, b := range a.Close(list[len(list)-1].At + time.Minute) {
-		rules = append(rules, string(b.Rule))
+	for _, v := range a.Close(events[len(events)-1].At + time.Minute) {
+		rules = append(rules, string(v.Rule))
 	}
 	return strings.Join(rules, "; ")
 }
@@ -56,7 +56,7 @@
 
 func withFirstByte(e Event, at time.Duration) Event { e.FirstByteAt = at; return e }
 
-// What the cases of a rule expect; an empty string for no violation.
+// The values that test cases expect for a violation of a rule. An empty string means no violation.
 const (
 	outcome     = string(RuleOutcome)
 	repeat      = string(RuleRepeat)
@@ -70,56 +70,59 @@
 	return Event{At: at, Kind: Notice, Message: id, Deferred: deferred}
 }
 
-func zoned(e Event, zone int) Event { e.Zone = zone; return e }
+func inZone(e Event, zone int) Event { e.Zone = zone; return e }
 
 func notified(at time.Duration, endpoint string, leaves bool) Event {
 	return Event{At: at, Kind: Notified, Endpoint: endpoint, Leaves: leaves}
 }
 
-func rejected(at time.Duration, n uint64, wait time.Duration) Event {
+func rejectedCall(at time.Duration, n uint64, wait time.Duration) Event {
 	return Event{At: at, Kind: Ended, Call: n, Outcome: NeverRan, RetryAfter: wait}
 }
 
-func longer(e Event) Event { e.TimeLeft = 20 * time.Second; return e }
+func withLongDeadline(e Event) Event { e.TimeLeft = 20 * time.Second; return e }
 
-func by(e Event, sender int) Event { e.Sender = sender; return e }
+func fromSender(e Event, sender int) Event { e.Sender = sender; return e }
 
-func overloaded(saw []int, calls map[int]int) []Event {
+func overloadEvents(witnesses []int, calls map[int]int) []Event {
 	list := []Event{{At: 1 * ms, Kind: OutageBegan, Dest: 7}}
-	for _, s := range saw {
+	for _, s := range witnesses {
 		list = append(list, Event{At: 2 * ms, Kind: FailureSeen, Dest: 7, Sender: s})
 	}
 	return append(list, Event{At: 3 * ms, Kind: OutageEnded, Dest: 7},
 		Event{At: 4 * ms, Kind: Overloaded, Dest: 7, CallsBySender: calls})
 }
 
-// sentTwice has a call with a message of a class, which ends with an outcome, and then a second one.
+// sentTwice returns a ledger in which a message of a class is sent in a call that ends with the outcome first, and
+// after the gap in a second call to a zone.
 func sentTwice(class int, first Outcome, gap time.Duration, zone int) []Event {
 	return []Event{
-		longer(submitted(0, "m", class, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, first),
-		zoned(callSent(2*ms+gap, 2, "b", 7, "m"), zone), callEnded(3*ms+gap, 2, Delivered),
+		withLongDeadline(submitted(0, "m", class, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
+		callEnded(3*ms, 1, first),
+		inZone(callSent(2*ms+gap, 2, "b", 7, "m"), zone), callEnded(3*ms+gap, 2, Delivered),
 	}
 }
 
-// A ruleCase is a ledger, and the rules that it breaks.
+// A ruleCase is a ledger and the rules that it violates.
 type ruleCase struct {
-	name string
-	list []Event
-	want string
+	name   string
+	events []Event
+	want   string
 }
 
-// checkRules finds each violation by one step, and none in the counterpart just within the rule.
+// checkRules checks that each ledger violates exactly the expected rules. Most cases come in pairs: one that is just
+// within a rule, and one that violates it by the smallest step.
 func checkRules(t *testing.T, cases []ruleCase) {
 	t.Helper()
 	for _, c := range cases {
-		if got := violatedRule(t, c.name, c.list); got != c.want {
-			t.Errorf("%s: broken: %q, want %q", c.name, got, c.want)
+		if got := violatedRules(t, c.name, c.events); got != c.want {
+			t.Errorf("%s: violated rules: %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-// A violation names the calls and times that it follows from.
-func TestViolationNamesItsCause(t *testing.T) {
+// A violation lists the calls and the times of the events that caused it.
+func TestViolationListsCallsAndTimes(t *testing.T) {
 	a := New(testRules())
 	for _, e := range []Event{
 		submitted(0, "m", 2, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Failed),
@@ -129,13 +132,14 @@
 			t.Fatal(err)
 		}
 	}
-	b := a.Close(5 * ms)
-	if len(b) != 1 || b[0].Message != "m" || fmt.Sprint(b[0].Calls, b[0].Times) != "[1 2] [2ms 5ms]" || b[0].At != 5*ms {
-		t.Errorf("%+v", b)
+	violations := a.Close(5 * ms)
+	if len(violations) != 1 || violations[0].Message != "m" ||
+		fmt.Sprint(violations[0].Calls, violations[0].Times) != "[1 2] [2ms 5ms]" || violations[0].At != 5*ms {
+		t.Errorf("violations = %+v", violations)
 	}
 }
 
-// An impossible ledger is an error, not a violation.
+// An inconsistent ledger results in an error, not in a violation.
 func TestImpossibleLedgers(t *testing.T) {
 	for name, list := range map[string][]Event{
 		"back in time":   {submitted(ms, "m", 0, 7), submitted(0, "n", 0, 7)},
@@ -143,7 +147,7 @@
 		"no class":       {submitted(0, "m", 17, 7)},
 		"end of no call": {callEnded(0, 1, Delivered)},
 		"call twice":     {callSent(0, 1, "a", 7), callSent(0, 1, "a", 7)},
-		"no hand-in":     {accepted(0, "m")},
+		"no submission":  {accepted(0, "m")},
 		"unknown":        {{Kind: 99}},
 	} {
 		a := New(testRules())
@@ -154,12 +158,12 @@
 			}
 		}
 		if err == nil {
-			t.Errorf("%s: read without an error", name)
+			t.Errorf("%s: Read returned no error", name)
 		}
 	}
 }
 
-// What is over is forgotten: a long ledger takes no more memory than a short one.
+// Ended messages and calls are evicted, so a long ledger needs no more memory than a short one.
 func TestMemoryIsBounded(t *testing.T) {
 	a := New(testRules())
 	largest, half := 0, 0
@@ -178,8 +182,9 @@
 			half = largest
 		}
 	}
-	// 100 a second, kept for 10 s and delayedCallWindow: as many in the first half as in all.
+	// 100 messages per second are kept for 10 s plus delayedCallWindow, so the second half needs no more memory than the
+	// first.
 	if n, _ := a.Totals(); largest > 2600 || largest > half || n.Delivered != 20_000 {
-		t.Errorf("held %d at most, %d in the first half, %+v", largest, half, n)
+		t.Errorf("size was at most %d, in the first half %d, totals %+v", largest, half, n)
 	}
 }
--- a/internal/audit/call_test.go
+++ b/internal/audit/call_test.go
@@ -103,7 +103,7 @@
 		{
 			"another sender was notified",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), by(notified(2*ms, "a", true), 1),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), fromSender(notified(2*ms, "a", true), 1),
 				callSent(4*time.Second, 1, "a", 7, "m"), callEnded(5*time.Second, 1, Delivered),
 			},
 			"",
@@ -116,7 +116,7 @@
 		{
 			"Retry-After kept",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(1003*ms, 2, "b", 7, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			"",
@@ -124,64 +124,64 @@
 		{
 			"Retry-After broken",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(1002*ms, 2, "b", 7, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			retryAfter,
 		},
 		{
-			"just sent",
+			"sent just within the slack",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(103*ms, 2, "b", 7, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			"",
 		},
 		{
-			"sent a moment after",
+			"sent just after the slack",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(104*ms, 2, "b", 7, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			retryAfter,
 		},
 		{
-			"a shorter wait ends none",
+			"a shorter wait does not end a longer one",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callSent(2*ms, 2, "b", 7, "m"),
-				rejected(3*ms, 1, time.Second), rejected(4*ms, 2, 10*ms), callSent(500*ms, 3, "b", 7, "m"),
+				rejectedCall(3*ms, 1, time.Second), rejectedCall(4*ms, 2, 10*ms), callSent(500*ms, 3, "b", 7, "m"),
 				callEnded(1004*ms, 3, Delivered),
 			},
 			retryAfter,
 		},
 		{
-			"another sender goes on",
+			"another sender may still call",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
-				by(callSent(500*ms, 2, "b", 7, "m"), 1), callEnded(1004*ms, 2, Delivered),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
+				fromSender(callSent(500*ms, 2, "b", 7, "m"), 1), callEnded(1004*ms, 2, Delivered),
 			},
 			"",
 		},
 		{
 			"separate routes",
 			[]Event{
-				submitted(0, "m", 0, 9), accepted(ms, "m"), callSent(2*ms, 1, "a", 9, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 9), accepted(ms, "m"), callSent(2*ms, 1, "a", 9, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(500*ms, 2, "b", 9, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			"",
 		},
 		{
-			"one route",
+			"same separate route",
 			[]Event{
-				submitted(0, "m", 0, 9), accepted(ms, "m"), callSent(2*ms, 1, "a", 9, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 9), accepted(ms, "m"), callSent(2*ms, 1, "a", 9, "m"), rejectedCall(3*ms, 1, time.Second),
 				callSent(500*ms, 2, "a", 9, "m"), callEnded(1004*ms, 2, Delivered),
 			},
 			retryAfter,
 		},
 		{
-			"a restart ends it",
+			"a restart ends the wait",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejected(3*ms, 1, time.Second),
+				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
 				{At: 200 * ms, Kind: Died}, {At: 300 * ms, Kind: Ready}, callSent(500*ms, 2, "b", 7, "m"),
 				callEnded(1004*ms, 2, Delivered),
 			},
@@ -206,14 +206,14 @@
 			},
 			destination,
 		},
-		{"nobody's message", []Event{callSent(2*ms, 1, "a", 8, "m"), callEnded(3*ms, 1, Delivered)}, destination},
+		{"unknown message", []Event{callSent(2*ms, 1, "a", 8, "m"), callEnded(3*ms, 1, Delivered)}, destination},
 	})
 }
 
-func TestEffectsAndDelayedCalls(t *testing.T) {
+func TestRepeatedExecutionsAndDelayedCalls(t *testing.T) {
 	checkRules(t, []ruleCase{
 		{
-			"an effect after its call was canceled, and after the end",
+			"executed after its call was canceled and the message ended",
 			[]Event{
 				submitted(0, "m", 2, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Failed),
 				notice(4*ms, "m", false), executed(30*time.Second, 1, "m", 2),
@@ -221,7 +221,7 @@
 			"",
 		},
 		{
-			"two effects",
+			"executed twice",
 			[]Event{
 				submitted(0, "m", 2, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Failed),
 				notice(4*ms, "m", false), executed(5*ms, 1, "m", 2), executed(30*time.Second, 1, "m", 2),
@@ -229,7 +229,7 @@
 			repeat,
 		},
 		{
-			"two effects that are allowed",
+			"idempotent, executed twice",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), callEnded(3*ms, 1, Delivered),
 				executed(3*ms, 1, "m", 0), executed(4*ms, 1, "m", 0),
@@ -254,7 +254,7 @@
 		},
 		{"a submission without a response", []Event{submitted(0, "m", 2, 7), {At: ms, Kind: Abandoned, Message: "m"}}, ""},
 		{
-			"sent after its client gave up",
+			"sent after its client abandoned it",
 			[]Event{
 				submitted(0, "m", 2, 7), {At: ms, Kind: Abandoned, Message: "m"}, callSent(2*ms, 1, "a", 7, "m"),
 				callEnded(3*ms, 1, Delivered),
@@ -262,7 +262,7 @@
 			"",
 		},
 		{
-			"sent long after its client gave up",
+			"sent long after its client abandoned it",
 			[]Event{
 				submitted(0, "m", 2, 7), {At: ms, Kind: Abandoned, Message: "m"}, callSent(15*time.Second, 1, "a", 7, "m"),
 				callEnded(16*time.Second, 1, Delivered),
@@ -270,7 +270,7 @@
 			"",
 		},
 		{
-			"delayed on its way beyond its end",
+			"sent before the message ended, arrived after",
 			[]Event{
 				submitted(0, "m", 2, 7), accepted(ms, "m"), notice(5*time.Second, "m", false),
 				withFirstByte(callSent(20*time.Second, 1, "a", 7, "m"), 4*time.Second),
@@ -279,7 +279,7 @@
 			"",
 		},
 		{
-			"delayed on its way, and sent after its end",
+			"sent after the message ended",
 			[]Event{
 				submitted(0, "m", 2, 7), accepted(ms, "m"), notice(5*time.Second, "m", false),
 				withFirstByte(callSent(20*time.Second, 1, "a", 7, "m"), 6*time.Second),
@@ -288,18 +288,18 @@
 			repeat,
 		},
 		{
-			"a repeat that is delayed beyond its window",
+			"repeat sent within the key retention, arrived after",
 			[]Event{
-				longer(submitted(0, "m", 1, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
+				withLongDeadline(submitted(0, "m", 1, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
 				callEnded(3*ms, 1, Failed), withFirstByte(callSent(13*time.Second, 2, "a", 7, "m"), 12*time.Second),
 				callEnded(14*time.Second, 2, Delivered),
 			},
 			"",
 		},
 		{
-			"a repeat that is delayed, and left after its window",
+			"repeat sent after the key retention",
 			[]Event{
-				longer(submitted(0, "m", 1, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
+				withLongDeadline(submitted(0, "m", 1, 7)), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"),
 				callEnded(3*ms, 1, Failed), withFirstByte(callSent(13*time.Second, 2, "a", 7, "m"), 12*time.Second+2*ms),
 				callEnded(14*time.Second, 2, Delivered),
 			},
--- a/internal/partner/effect.go
+++ b/internal/partner/effect.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Effect is a message that took effect, or was dropped because its key was seen before.
+// Effect records that a message took effect, or that it was dropped because its key was seen before.
 type Effect struct {
 	At       time.Duration
 	Call     uint64
@@ -13,25 +13,25 @@
 	Late     bool // after the call was canceled
 }
 
-// keyUse is where and when a key was seen first.
-type keyUse struct {
+// firstUse records where and when a key was seen first.
+type firstUse struct {
 	at       time.Duration
 	zone     int
 	endpoint string
 }
 
-// applyEffects has the messages of a call take effect, and drops those whose keys were seen before.
+// applyEffects records the effects of a call's messages, and drops the messages whose keys were seen before.
 func (m *Model) applyEffects(j *job) {
 	e, d := j.endpoint, j.endpoint.dest
 	for _, msg := range j.Messages {
-		dropped := msg.Key != "" && d.KeyRetention > 0 && d.useKey(msg.Key, keyUse{m.now, e.Zone, e.ID})
+		dropped := msg.Key != "" && d.KeyRetention > 0 && d.registerKey(msg.Key, firstUse{m.now, e.Zone, e.ID})
 		m.effects = append(m.effects, Effect{m.now, j.ID, msg, e.ID, j.Sender, dropped, j.canceled})
 	}
-	d.forgetKeys(m.now)
+	d.expireKeys(m.now)
 }
 
-// useKey reports whether a key was seen before, within the retention and the scope. If not, it is from now on.
-func (d *destination) useKey(key string, use keyUse) (seen bool) {
+// registerKey reports whether a key was seen before, within the retention and the scope. If not, it records the use.
+func (d *destination) registerKey(key string, use firstUse) (seen bool) {
 	first, seen := d.seenKeys[key]
 	seen = seen && use.at-first.at < d.KeyRetention
 	switch d.KeyScope {
@@ -46,9 +46,9 @@
 	return seen
 }
 
-// forgetKeys drops, once in a retention, the keys that are older than it.
-func (d *destination) forgetKeys(now time.Duration) {
-	if now < d.sweepAt {
+// expireKeys deletes the keys that are older than the retention. It scans them only once per retention.
+func (d *destination) expireKeys(now time.Duration) {
+	if now < d.nextKeyExpiry {
 		return
 	}
 	for key, use := range d.seenKeys {
@@ -56,5 +56,5 @@
 			delete(d.seenKeys, key)
 		}
 	}
-	d.sweepAt = now + d.KeyRetention
+	d.nextKeyExpiry = now + d.KeyRetention
 }
--- a/internal/partner/schedule.go
+++ b/internal/partner/schedule.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// An agendaEntry is a time at which a job ends or changes its speed. It is void once the job has another version.
-type agendaEntry struct {
+// A scheduledCompletion is the time at which a job ends or its speed is computed again. It is stale if its version is
+// no longer the job's.
+type scheduledCompletion struct {
 	version uint64
 	job     *job
 }
 
-// speed returns how fast an endpoint works now; 1 is its full speed.
+// speed returns the current processing speed of an endpoint as a fraction of its full speed.
 func (m *Model) speed(e *endpoint) float64 {
-	x := m.capacity(e.route)
+	speed := m.capacity(e.route)
 	switch {
 	case e.fault.Mode == Paused:
 		return 0
 	case e.fault.Mode == Slow && e.fault.Factor > 0:
-		x /= e.fault.Factor
+		speed /= e.fault.Factor
 	}
-	return x
+	return speed
 }
 
-// updateWork subtracts what the running jobs of an endpoint have done since the last update.
+// updateWork subtracts the work done since the last update from the running jobs of an endpoint.
 func (m *Model) updateWork(e *endpoint) {
 	x := m.speed(e)
 	for _, j := range e.running {
@@ -32,10 +33,10 @@
 	}
 }
 
-// schedule enters the ends of an endpoint's running jobs, at its present speed, into the agenda. While the endpoint
-// warms up its speed changes, and the ends are computed again from time to time.
-func (m *Model) schedule(e *endpoint) {
-	const interval = 250 * time.Millisecond // between computations while it warms up
+// scheduleCompletions queues the completions of an endpoint's running jobs at its current speed. While the endpoint
+// warms up, its speed changes, and the completions are computed again at a fixed interval.
+func (m *Model) scheduleCompletions(e *endpoint) {
+	const interval = 250 * time.Millisecond // between computations during warm-up
 	x := m.speed(e)
 	for _, j := range e.running {
 		if x <= 0 {
@@ -48,11 +49,11 @@
 		}
 		m.serial++
 		j.version = m.serial
-		m.agenda.Push(at, j.version, agendaEntry{j.version, j})
+		m.completions.Push(at, j.version, scheduledCompletion{j.version, j})
 	}
 }
 
-// startQueued gives the calls that wait to free servers.
+// startQueued starts queued jobs on free servers.
 func (m *Model) startQueued(e *endpoint) {
 	started := false
 	for len(e.running) < e.dest.Servers && len(e.queue) > 0 {
@@ -64,35 +65,35 @@
 	}
 	if started {
 		m.updateWork(e)
-		m.schedule(e)
+		m.scheduleCompletions(e)
 	}
 }
 
-// Next returns the next time at which the model changes by itself; false where there is none.
+// Next returns the time of the model's next scheduled completion; false if there is none.
 func (m *Model) Next() (time.Duration, bool) {
 	for {
-		at, e, ok := m.agenda.First()
+		at, e, ok := m.completions.First()
 		if !ok || e.version == e.job.version {
 			return at, ok
 		}
-		m.agenda.Pop()
+		m.completions.Pop()
 	}
 }
 
-// Advance moves the time on. What happens meanwhile happens at its own time.
+// Advance advances the time to now. Completions that are due until then happen at their own times.
 func (m *Model) Advance(now time.Duration) {
 	for {
 		at, ok := m.Next()
 		if !ok || at > now {
 			break
 		}
-		_, due := m.agenda.Pop()
+		_, due := m.completions.Pop()
 		j := due.job
 		m.now = max(m.now, at)
 		e := j.endpoint
 		m.updateWork(e)
 		if j.workLeft > time.Microsecond {
-			m.schedule(e)
+			m.scheduleCompletions(e)
 			continue
 		}
 		m.finish(j)
--- a/internal/scenario/arrivals.go
+++ b/internal/scenario/arrivals.go
@@ -11,31 +11,31 @@
 	"cleathold/internal/timeline"
 )
 
-// Load returns the rate of messages at a time, as a multiple of the full load.
+// Load returns the message rate at a time, as a multiple of the rate at full load.
 func (p *Plan) Load(at time.Duration) float64 {
-	x := 1.0
+	load := 1.0
 	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
 		i, _ := slices.BinarySearchFunc(curve, at, func(r RatePoint, at time.Duration) int { return cmp.Compare(r.At, at) })
 		switch {
 		case i == 0:
-			x = curve[0].Factor
+			load = curve[0].Factor
 		case i == len(curve):
-			x = curve[i-1].Factor
+			load = curve[i-1].Factor
 		default:
 			a, b := curve[i-1], curve[i]
-			x = a.Factor + (b.Factor-a.Factor)*float64(at-a.At)/float64(b.At-a.At)
+			load = a.Factor + (b.Factor-a.Factor)*float64(at-a.At)/float64(b.At-a.At)
 		}
 	}
-	for _, b := range p.bursts {
+	for _, b := range p.burstWindows {
 		if b.contains(at) {
-			x *= b.size
+			load *= b.amount
 		}
 	}
-	return x
+	return load
 }
 
-// maxLoad returns a load that Load never exceeds.
-func (p *Plan) maxLoad() float64 {
+// loadBound returns an upper bound of Load.
+func (p *Plan) loadBound() float64 {
 	x := 1.0
 	if curve := p.Scenario.Traffic.RateCurve; len(curve) > 0 {
 		x = 0
@@ -43,8 +43,8 @@
 			x = max(x, r.Factor)
 		}
 	}
-	for _, b := range p.bursts {
-		x *= max(1, b.size)
+	for _, b := range p.burstWindows {
+		x *= max(1, b.amount)
 	}
 	return x
 }
@@ -52,37 +52,37 @@
 // Arrival is a message that a client submits for the first time.
 type Arrival struct {
 	At     time.Duration
-	N      int // counts from 0
+	N      int // sequence number, from 0
 	Dest   int
 	Class  int
 	Tenant int
 	Size   int
 }
 
-// Arrivals draws the messages of a plan one after another, in memory that does not grow with them. It is not safe for
-// concurrent use.
+// Arrivals draws the messages of a plan one by one, so that its memory does not grow with their number. It is not safe
+// for concurrent use.
 type Arrivals struct {
 	plan            *Plan
 	rng             *rand.Rand
-	destShares      []float64 // running sums of the destinations' shares
+	destShares      []float64 // cumulative sums of the destinations' shares
 	classShares     []float64
 	tenantShares    []float64
-	largest         []int         // indices of destinations, those with most traffic first
-	nextSingle      time.Duration // time of the next message that is in no clump
+	bySize          []int         // indices of destinations, in descending order of their traffic
+	nextSingle      time.Duration // time of the next message outside clumps
 	nextClump       time.Duration
-	clumpsPerSecond float64               // a second
-	pending         timeline.Queue[clump] // by the time of their next message
+	clumpsPerSecond float64
+	activeClumps    timeline.Queue[clump] // by the time of their next message
 	count           int
 }
 
-// A clump is a number of messages for one destination, close after one another.
+// A clump is a group of messages for one destination that arrive within a short time.
 type clump struct {
 	dest      int
 	remaining int
-	order     uint64
+	serial    uint64
 }
 
-// An arrivalSource is what the next arrival belongs to.
+// An arrivalSource is the process that generates the next arrival.
 type arrivalSource uint8
 
 const (
@@ -91,16 +91,16 @@
 	messageOfClump
 )
 
-// Arrivals returns the messages of a plan from the first one on.
+// Arrivals returns the messages of a plan, starting with the first one.
 func (p *Plan) Arrivals() *Arrivals {
 	a := &Arrivals{plan: p, rng: randomStream(p.Seed, streamTraffic)}
 	sum := 0.0
 	for i, d := range p.Dests {
 		sum += d.Share
 		a.destShares = append(a.destShares, sum)
-		a.largest = append(a.largest, i)
+		a.bySize = append(a.bySize, i)
 	}
-	slices.SortStableFunc(a.largest, func(i, j int) int { return cmp.Compare(p.Dests[j].Share, p.Dests[i].Share) })
+	slices.SortStableFunc(a.bySize, func(i, j int) int { return cmp.Compare(p.Dests[j].Share, p.Dests[i].Share) })
 	sum = 0
 	for _, c := range p.Scenario.Traffic.Classes {
 		sum += c.Share
@@ -117,16 +117,16 @@
 	return a
 }
 
-// clumpRate returns how many clumps a second bring their part of the messages.
+// clumpRate returns the clumps per second that produce the share of messages in clumps.
 func (a *Arrivals) clumpRate() float64 {
-	size := 0.0 // of a clump, in the mean
+	size := 0.0 // mean messages of a clump
 	for _, d := range a.plan.Dests {
-		size += d.Share * max(1, a.plan.clumpSize.Mean()*a.capacity(&d))
+		size += d.Share * max(1, a.plan.clumpSeconds.Mean()*a.capacity(&d))
 	}
 	return a.plan.Rate * a.plan.clumpShare / size
 }
 
-// capacity returns the calls a second that a destination takes.
+// capacity returns the calls per second that a destination can serve.
 func (a *Arrivals) capacity(d *Destination) float64 {
 	if d.Limit.Form == partner.NoLimit {
 		return float64(d.Servers*len(d.Endpoints)) / d.Mean.Seconds()
@@ -134,10 +134,10 @@
 	return d.Limit.PerSecond
 }
 
-// nextEvent draws, by thinning, the time of the next event of a Poisson process whose rate follows the load. Rate is
-// the events a second at full load.
+// nextEvent draws the time of the next event of a Poisson process whose rate follows the load, by thinning. Rate is the
+// number of events per second at full load.
 func (a *Arrivals) nextEvent(at time.Duration, rate float64) time.Duration {
-	peak := a.plan.maxLoad()
+	peak := a.plan.loadBound()
 	if rate*peak <= 0 {
 		return math.MaxInt64
 	}
@@ -149,30 +149,31 @@
 	}
 }
 
-// choose draws an index by running sums of shares.
-func (a *Arrivals) choose(sums []float64) int {
+// drawIndex draws an index with probabilities given by cumulative sums of shares.
+func (a *Arrivals) drawIndex(sums []float64) int {
 	i, _ := slices.BinarySearch(sums, a.rng.Float64()*sums[len(sums)-1])
 	return min(i, len(sums)-1)
 }
 
-// drawDest draws the index of a destination. Hot keys draw a part of the messages to the largest ones.
+// drawDest draws the index of a destination. During a hot-key period, a share of the messages goes to the largest
+// destinations.
 func (a *Arrivals) drawDest(at time.Duration) int {
-	for _, h := range a.plan.hotKeys {
-		if h.contains(at) && a.rng.Float64() < h.size {
-			return a.largest[a.rng.IntN(min(h.keys, len(a.largest)))]
+	for _, h := range a.plan.hotKeyWindows {
+		if h.contains(at) && a.rng.Float64() < h.amount {
+			return a.bySize[a.rng.IntN(min(h.destinations, len(a.bySize)))]
 		}
 	}
-	return a.choose(a.destShares)
+	return a.drawIndex(a.destShares)
 }
 
-// Next returns the next message; false after the last one.
+// Next returns the next message, or false after the last one.
 func (a *Arrivals) Next() (Arrival, bool) {
 	for {
 		at, source := a.nextSingle, singleMessage
 		if a.nextClump < at {
 			at, source = a.nextClump, newClump
 		}
-		if next, _, ok := a.pending.First(); ok && next <= at {
+		if next, _, ok := a.activeClumps.First(); ok && next <= at {
 			at, source = next, messageOfClump
 		}
 		if at > a.plan.Scenario.Length {
@@ -185,20 +186,20 @@
 			dest = a.drawDest(at)
 		case newClump:
 			a.nextClump = a.nextEvent(at, a.clumpsPerSecond)
-			d := a.choose(a.destShares)
-			size := max(1, int(math.Round(a.plan.clumpSize.draw(a.rng)*a.capacity(&a.plan.Dests[d]))))
-			a.pending.Push(at, uint64(a.count), clump{d, size, uint64(a.count)})
+			d := a.drawIndex(a.destShares)
+			size := max(1, int(math.Round(a.plan.clumpSeconds.draw(a.rng)*a.capacity(&a.plan.Dests[d]))))
+			a.activeClumps.Push(at, uint64(a.count), clump{d, size, uint64(a.count)})
 			continue
 		case messageOfClump:
-			_, c := a.pending.Pop()
+			_, c := a.activeClumps.Pop()
 			dest = c.dest
 			if c.remaining--; c.remaining > 0 {
-				a.pending.Push(at+time.Duration(a.rng.ExpFloat64()*2*float64(time.Millisecond)), c.order, c)
+				a.activeClumps.Push(at+time.Duration(a.rng.ExpFloat64()*2*float64(time.Millisecond)), c.serial, c)
 			}
 		}
 		m := Arrival{
-			At: at, N: a.count, Dest: a.plan.Dests[dest].Dest, Class: a.choose(a.classShares),
-			Tenant: a.choose(a.tenantShares), Size: int(a.plan.Scenario.Traffic.Body.draw(a.rng)),
+			At: at, N: a.count, Dest: a.plan.Dests[dest].Dest, Class: a.drawIndex(a.classShares),
+			Tenant: a.drawIndex(a.tenantShares), Size: int(a.plan.Scenario.Traffic.Body.draw(a.rng)),
 		}
 		a.count++
 		return m, true
--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -8,10 +8,10 @@
 	"cleathold/internal/partner"
 )
 
-// The same seed draws the same plan, and a change of one part leaves the draws of the others.
+// The same seed draws the same plan, and a change of one part of the script does not change the draws of other parts.
 func TestSameSeed(t *testing.T) {
-	draw := func(more string, seed uint64) (*Plan, []Arrival) {
-		p := parseWith(t, more).Plan(seed)
+	draw := func(extra string, seed uint64) (*Plan, []Arrival) {
+		p := parseWith(t, extra).Plan(seed)
 		var list []Arrival
 		for a, more := p.Arrivals(), true; more; {
 			var m Arrival
@@ -25,18 +25,18 @@
 	q, list2 := draw("", 5)
 	same := reflect.DeepEqual(p.Dests, q.Dests) && reflect.DeepEqual(p.Changes, q.Changes)
 	if !same || !reflect.DeepEqual(list, list2) {
-		t.Error("the same seed draws another plan")
+		t.Error("two draws with the same seed produced different plans")
 	}
 	if _, other := draw("", 6); reflect.DeepEqual(list, other) {
-		t.Error("another seed draws the same messages")
+		t.Error("different seeds produced the same messages")
 	}
 	q, list2 = draw("trouble(what = \"SLOW\", at = 1, seconds = 2)\nsender(number = 0, at = 3, what = \"kill\")\n", 5)
 	if !reflect.DeepEqual(p.Dests, q.Dests) || !reflect.DeepEqual(list, list2) || len(q.Changes) <= len(p.Changes) {
-		t.Error("one more fault changes the fleet or the messages")
+		t.Error("an additional fault changed the fleet or the messages")
 	}
 }
 
-// Actions on a share of the senders: each sender once, spread over a time.
+// An action on a share of the senders affects each drawn sender once, spread over the given time.
 func TestActionsOnShare(t *testing.T) {
 	p := parseWith(t, `
 sender(share = 0.7, at = 10, what = "stop", seconds = 4, spread = 2)
@@ -57,16 +57,16 @@
 	}
 }
 
-// A fault is where the script says: zone, part of the traffic, kind.
-func TestFaultsAreAsDescribed(t *testing.T) {
+// A fault affects the zone, the share of the traffic and the kind that the script specifies.
+func TestFaultPlacement(t *testing.T) {
 	for seed := range uint64(50) {
 		p := parseWith(t, `trouble(what = "SHUT", at = 30, seconds = 5, kind = "large-partners", part = 1, knows_end = True)
 `).Plan(seed)
-		where := map[string]Destination{}
-		zone := map[string]string{}
+		destOf := map[string]Destination{}
+		zoneOf := map[string]string{}
 		for _, d := range p.Dests {
 			for _, e := range d.Endpoints {
-				where[e.ID], zone[e.ID] = d, p.Scenario.Zones[e.Zone]
+				destOf[e.ID], zoneOf[e.ID] = d, p.Scenario.Zones[e.Zone]
 			}
 		}
 		share, endpoints := 0.0, map[int]int{}
@@ -74,15 +74,15 @@
 		for _, c := range p.Changes {
 			switch {
 			case c.Of == 0 && c.Fault.Mode == partner.Down:
-				d := where[c.Endpoint]
+				d := destOf[c.Endpoint]
 				share += d.Share / float64(len(d.Endpoints))
 				endpoints[d.Dest]++
-				if zone[c.Endpoint] != "bldg-b" {
-					t.Errorf("seed %d: %s of %s has a fault", seed, c.Endpoint, zone[c.Endpoint])
+				if zoneOf[c.Endpoint] != "bldg-b" {
+					t.Errorf("seed %d: endpoint %s in zone %s has a fault", seed, c.Endpoint, zoneOf[c.Endpoint])
 				}
 			case c.Of == 1 && c.Fault.Mode == partner.Shut:
-				shut[where[c.Endpoint].Dest] = true
-				if c.Fault.Until != 35*time.Second || where[c.Endpoint].Kind != "large-partners" {
+				shut[destOf[c.Endpoint].Dest] = true
+				if c.Fault.Until != 35*time.Second || destOf[c.Endpoint].Kind != "large-partners" {
 					t.Errorf("seed %d: %+v", seed, c)
 				}
 			}
@@ -92,7 +92,7 @@
 		}
 		for _, d := range p.Dests {
 			if d.Kind == "large-partners" && !shut[d.Dest] {
-				t.Errorf("seed %d: destination %d was to be shut", seed, d.Dest)
+				t.Errorf("seed %d: destination %d is not shut", seed, d.Dest)
 			}
 		}
 	}
@@ -100,23 +100,23 @@
 
 func TestChurn(t *testing.T) {
 	p := parseWith(t, "churn(at = 5, every = 2, drain = 1, reuse_address = True)\n").Plan(1)
-	drains, comes := map[string]time.Duration{}, 0
+	drains, added := map[string]time.Duration{}, 0
 	for _, c := range p.Changes {
 		switch {
 		case c.Drains:
 			if _, twice := drains[c.Endpoint]; twice {
-				t.Errorf("%s drains twice", c.Endpoint)
+				t.Errorf("endpoint %s drains twice", c.Endpoint)
 			}
 			drains[c.Endpoint] = c.At
 		case c.Leaves && c.At != drains[c.Endpoint]+time.Second:
 			t.Errorf("%+v", c)
 		case c.Joins != nil:
-			if comes++; c.Address == "" || drains[c.Address] != c.At-time.Second {
+			if added++; c.Address == "" || drains[c.Address] != c.At-time.Second {
 				t.Errorf("%+v", c)
 			}
 		}
 	}
-	if comes < 5 || comes != len(drains) {
-		t.Errorf("%d are added, %d drain", comes, len(drains))
+	if added < 5 || added != len(drains) {
+		t.Errorf("%d endpoints are added, %d drain", added, len(drains))
 	}
 }
--- a/internal/scenario/parseactions.go
+++ b/internal/scenario/parseactions.go
@@ -7,94 +7,95 @@
 	"time"
 )
 
-// senderActions are what can be done to a sender, in the order of their names.
+// senderActions are the actions on a sender, in alphabetical order.
 var senderActions = []string{
-	"activate", // clients are sent to it again
-	"drain",    // it is drained by order, through its second address
-	"hup",      // SIGHUP, with nothing new in its configuration
-	"kill",     // SIGKILL; it is started again
-	"retune",   // other settings, and SIGHUP
-	"signals",  // SIGHUP, SIGTERM and SIGINT one after the other; it is started again
-	"stop",     // SIGSTOP, and SIGCONT after a while
-	"term",     // SIGTERM; it is started again
-	"wipe",     // SIGKILL, and its folder is lost; it is started again
+	"activate", // ends a drain
+	"drain",    // drain through the sender's admin address
+	"hup",      // SIGHUP with an unchanged configuration
+	"kill",     // SIGKILL, then a restart
+	"retune",   // changed settings and SIGHUP
+	"signals",  // SIGHUP, SIGTERM and SIGINT one after the other, then a restart
+	"stop",     // SIGSTOP, and SIGCONT after the given time
+	"term",     // SIGTERM, then a restart
+	"wipe",     // SIGKILL and deletion of the sender's folder, then a restart
 }
 
-// addAction is sender(...) in a script.
+// addAction implements the script function sender(...).
 func (s *Scenario) addAction(a *args) error {
-	x := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
-	a.period(&x.At, &x.Length)
-	a.integer("number", &x.Sender)
-	a.number("share", &x.Share)
-	a.numberRange("spread", &x.Spread)
-	a.text("what", &x.What)
-	a.number("slots", &x.InFlight)
-	a.number("hold", &x.OpenMessages)
-	if !slices.Contains(senderActions, x.What) {
-		return a.invalid("what: %q is none of %s", x.What, strings.Join(senderActions, ", "))
+	action := Action{Sender: -1, InFlight: 1, OpenMessages: 1}
+	a.period(&action.At, &action.Length)
+	a.integer("number", &action.Sender)
+	a.number("share", &action.Share)
+	a.numberRange("spread", &action.Spread)
+	a.text("what", &action.Kind)
+	a.number("slots", &action.InFlight)
+	a.number("hold", &action.OpenMessages)
+	if !slices.Contains(senderActions, action.Kind) {
+		return a.withError("what: %q is none of %s", action.Kind, strings.Join(senderActions, ", "))
 	}
 	switch {
-	case (x.Sender < 0) == (x.Share == 0) || x.Share < 0 || x.Share > 1:
-		return a.invalid("either a number, or a share above 0 up to 1, is needed")
-	case x.What == "stop" && x.Length.From <= 0:
-		return a.invalid("a stop needs its seconds")
-	case x.Length.To > 0 && x.What != "stop" && x.What != "drain":
-		return a.invalid("seconds: a %s takes none", x.What)
-	case !(x.InFlight > 0 && x.InFlight <= 100 && x.OpenMessages > 0 && x.OpenMessages <= 100):
-		return a.invalid("slots and hold: multiples above 0, 100 at most")
-	case x.What != "retune" && (x.InFlight != 1 || x.OpenMessages != 1):
-		return a.invalid("slots and hold: a %s takes none", x.What)
+	case (action.Sender < 0) == (action.Share == 0) || action.Share < 0 || action.Share > 1:
+		return a.withError("either a number, or a share above 0 up to 1, is needed")
+	case action.Kind == "stop" && action.Length.From <= 0:
+		return a.withError("a stop requires seconds")
+	case action.Length.To > 0 && action.Kind != "stop" && action.Kind != "drain":
+		return a.withError("seconds: a %s takes none", action.Kind)
+	case !(action.InFlight > 0 && action.InFlight <= 100 && action.OpenMessages > 0 && action.OpenMessages <= 100):
+		return a.withError("slots and hold: multiples above 0, 100 at most")
+	case action.Kind != "retune" && (action.InFlight != 1 || action.OpenMessages != 1):
+		return a.withError("slots and hold: a %s takes none", action.Kind)
 	}
-	s.Actions = append(s.Actions, x)
+	s.Actions = append(s.Actions, action)
 	return a.err
 }
 
-// setAgents is agents(...) in a script.
+// setAgents implements the script function agents(...).
 func (s *Scenario) setAgents(a *args) error {
-	x := Agents{Fleet: 1, Lease: 10 * time.Second}
-	a.integer("number", &x.Number)
-	a.integer("fleet", &x.Fleet)
-	a.integer("building", &x.Building)
-	a.integer("serving", &x.Serving)
-	a.duration("lease", &x.Lease)
+	agents := Agents{Fleet: 1, Lease: 10 * time.Second}
+	a.integer("number", &agents.Number)
+	a.integer("fleet", &agents.Fleet)
+	a.integer("building", &agents.Building)
+	a.integer("serving", &agents.Serving)
+	a.duration("lease", &agents.Lease)
 	switch {
 	case s.Agents.Number > 0:
 		return errors.New("called twice")
-	case x.Number < 1 || x.Number > 9 || x.Fleet < 1 || x.Building < 0 || x.Serving < 0 || x.Lease < time.Second:
-		return a.invalid("number: 1 to 9; fleet: 1 at the least; building and serving: 0 or more; lease: a second at least")
+	case agents.Number < 1 || agents.Number > 9 || agents.Fleet < 1 || agents.Building < 0 || agents.Serving < 0 ||
+		agents.Lease < time.Second:
+		return a.withError("number: 1 to 9; fleet: 1 at the least; building and serving: 0 or more; lease: a second at least")
 	}
-	s.Agents = x
+	s.Agents = agents
 	return a.err
 }
 
-// addAgentAction is agent(...) in a script.
+// addAgentAction implements the script function agent(...).
 func (s *Scenario) addAgentAction(a *args) error {
-	var x AgentAction
-	a.period(&x.At, &x.Length)
-	a.integer("number", &x.Agent)
-	a.text("what", &x.What)
+	var action AgentAction
+	a.period(&action.At, &action.Length)
+	a.integer("number", &action.Agent)
+	a.text("what", &action.Kind)
 	switch {
-	case x.What != "kill" && x.What != "wipe" && x.What != "stop":
-		return a.invalid("what: %q is none of kill, stop, wipe", x.What)
-	case x.Length.From <= 0:
-		return a.invalid("seconds above 0 are needed: it is back after them")
+	case action.Kind != "kill" && action.Kind != "wipe" && action.Kind != "stop":
+		return a.withError("what: %q is none of kill, stop, wipe", action.Kind)
+	case action.Length.From <= 0:
+		return a.withError("seconds above 0 are needed: the time after which the agent is restarted or resumed")
 	}
-	s.AgentActions = append(s.AgentActions, x)
+	s.AgentActions = append(s.AgentActions, action)
 	return a.err
 }
 
-// addOrder is order(...) in a script.
+// addOrder implements the script function order(...).
 func (s *Scenario) addOrder(a *args) error {
 	o := Order{Hold: Range{1, 1}}
 	a.numberRange("at", &o.At)
 	a.integer("agent", &o.Agent)
-	a.text("what", &o.What)
-	a.names("of", &o.Of)
+	a.text("what", &o.Kind)
+	a.names("of", &o.Targets)
 	a.numberRange("hold", &o.Hold)
 	a.boolean("bad", &o.FailsAtStart)
 	a.boolean("go_back", &o.RollBackOnFailure)
-	if !slices.Contains([]string{"drain", "release", "halt", "resume", "back"}, o.What) {
-		return a.invalid("what: %q is none of drain, release, halt, resume, back", o.What)
+	if !slices.Contains([]string{"drain", "release", "halt", "resume", "back"}, o.Kind) {
+		return a.withError("what: %q is none of drain, release, halt, resume, back", o.Kind)
 	}
 	s.Orders = append(s.Orders, o)
 	return a.err
--- a/internal/scenario/parsefaults.go
+++ b/internal/scenario/parsefaults.go
@@ -8,18 +8,18 @@
 	"cleathold/internal/partner"
 )
 
-// faultModes are the words for faults of partners.
+// faultModes maps the constants of scripts to the fault modes of partners.
 var faultModes = map[string]partner.Mode{
 	"DOWN": partner.Down, "SHUT": partner.Shut, "SILENT": partner.Unresponsive,
 	"FAILING": partner.ReturningErrors, "SLOW": partner.Slow, "PAUSED": partner.Paused,
 	"BREAKING": partner.BreakingConnections, "SPOILING": partner.GarblingAnswers, "CUT": partner.LimitReduced,
 }
 
-// addFault is trouble(...) in a script.
+// addFault implements the script function trouble(...).
 func (s *Scenario) addFault(a *args) error {
 	f := Fault{Dest: -1, Share: Range{1, 1}, Factor: Range{2, 2}, TrafficShare: Range{1, 1}}
-	var what string
-	a.text("what", &what)
+	var modeName string
+	a.text("what", &modeName)
 	a.period(&f.At, &f.Length)
 	a.numberRange("share", &f.Share)
 	a.numberRange("factor", &f.Factor)
@@ -29,74 +29,74 @@
 	a.text("kind", &f.Kind)
 	a.integer("destination", &f.Dest)
 	a.boolean("knows_end", &f.EndKnown)
-	mode, known := faultModes[what]
+	mode, known := faultModes[modeName]
 	switch {
 	case !known:
-		return fmt.Errorf("what: %q is no trouble", what)
+		return fmt.Errorf("what: %q is not a known fault", modeName)
 	case f.Share.To > 1 || f.TrafficShare.To > 1 || f.Endpoints < 0 || f.Endpoints > 1 || f.Length.From <= 0 ||
 		f.Factor.From <= 0:
-		return a.invalid("share, part and endpoints: 0 to 1; seconds and factor: above 0")
+		return a.withError("share, part and endpoints: 0 to 1; seconds and factor: above 0")
 	case mode == partner.LimitReduced && f.Factor.To >= 1:
-		return a.invalid("factor: a cut limit is less than 1 times the usual")
+		return a.withError("factor: a cut limit is less than 1 times the usual")
 	}
 	f.Mode = mode
 	s.Faults = append(s.Faults, f)
 	return a.err
 }
 
-// addDiscoveryOutage is discovery_out(...) in a script.
+// addDiscoveryOutage implements the script function discovery_out(...).
 func (s *Scenario) addDiscoveryOutage(a *args) error {
-	var b DiscoveryOutage
-	a.period(&b.At, &b.Length)
-	if b.Length.From <= 0 {
-		return a.invalid("seconds above 0 are needed")
+	var outage DiscoveryOutage
+	a.period(&outage.At, &outage.Length)
+	if outage.Length.From <= 0 {
+		return a.withError("seconds above 0 are needed")
 	}
-	s.DiscoveryOutages = append(s.DiscoveryOutages, b)
+	s.DiscoveryOutages = append(s.DiscoveryOutages, outage)
 	return a.err
 }
 
-// addChurn is churn(...) in a script.
+// addChurn implements the script function churn(...).
 func (s *Scenario) addChurn(a *args) error {
 	c := Churn{Drain: 3 * time.Second}
 	a.numberRange("at", &c.At)
 	a.duration("every", &c.Every)
 	a.duration("drain", &c.Drain)
-	a.boolean("reuse_address", &c.Reuse)
+	a.boolean("reuse_address", &c.ReuseAddress)
 	if c.Every > 0 && c.Every < 100*time.Millisecond {
-		return a.invalid("every: 0.1 s at the least")
+		return a.withError("every: 0.1 s at the least")
 	}
 	s.Churns = append(s.Churns, c)
 	return a.err
 }
 
-// maxLinkDelay is the longest delay of a link. One longer than any call's timeout would be a silent link.
+// maxLinkDelay is the maximum delay of a link. A delay above the timeout of every call would be a silent link.
 const maxLinkDelay = time.Minute
 
-// linkState takes the state of a link.
+// linkState takes the arguments that describe the state of a link.
 func (a *args) linkState(l *LinkState) error {
-	what := ""
-	a.text("what", &what)
+	fault := ""
+	a.text("what", &fault)
 	a.duration("delay", &l.Delay)
 	a.duration("jitter", &l.Jitter)
-	for _, part := range []struct {
-		name string
-		of   *float64
+	for _, share := range []struct {
+		name  string
+		value *float64
 	}{{"loss", &l.Loss}, {"double", &l.Duplicate}, {"reorder", &l.Reorder}} {
-		if a.number(part.name, part.of); *part.of < 0 || *part.of > 1 {
-			return fmt.Errorf("%s: a part from 0 to 1", part.name)
+		if a.number(share.name, share.value); *share.value < 0 || *share.value > 1 {
+			return fmt.Errorf("%s: a part from 0 to 1", share.name)
 		}
 	}
-	switch what {
+	switch fault {
 	case "CUT":
 		l.Cut = true
 	case "SILENT":
 		l.Silent = true
 	case "":
 		if *l == (LinkState{}) {
-			return errors.New("nothing ails it: what (CUT or SILENT), delay, jitter, loss, double or reorder is needed")
+			return errors.New("no fault given: what (CUT or SILENT), delay, jitter, loss, double or reorder is needed")
 		}
 	default:
-		return fmt.Errorf("what: %q is neither CUT nor SILENT", what)
+		return fmt.Errorf("what: %q is neither CUT nor SILENT", fault)
 	}
 	if l.Delay+l.Jitter > maxLinkDelay {
 		return fmt.Errorf("delay and jitter: %v together at most", maxLinkDelay)
@@ -104,11 +104,11 @@
 	return nil
 }
 
-// addLink is link(...) in a script.
+// addLink implements the script function link(...).
 func (s *Scenario) addLink(a *args) error {
 	var l Link
 	a.period(&l.At, &l.Length)
-	a.names("of", &l.Of)
+	a.names("of", &l.From)
 	a.names("to", &l.To)
 	a.number("share", &l.Share)
 	a.boolean("one_way", &l.OneWay)
@@ -117,15 +117,15 @@
 	}
 	switch {
 	case l.Length.From <= 0:
-		return a.invalid("seconds above 0 are needed")
-	case (len(l.Of) == 0) == (l.Share == 0) || l.Share < 0 || l.Share > 1:
-		return a.invalid("either of, or a share of the senders above 0 up to 1, is needed")
+		return a.withError("seconds above 0 are needed")
+	case (len(l.From) == 0) == (l.Share == 0) || l.Share < 0 || l.Share > 1:
+		return a.withError("either of, or a share of the senders above 0 up to 1, is needed")
 	}
 	s.Links = append(s.Links, l)
 	return a.err
 }
 
-// addPartition is parts(...) in a script.
+// addPartition implements the script function parts(...).
 func (s *Scenario) addPartition(a *args) error {
 	p := Partition{Sides: 2}
 	a.period(&p.At, &p.Length)
@@ -134,7 +134,7 @@
 		return errors.Join(a.err, err)
 	}
 	if p.Length.From <= 0 || p.Sides < 2 {
-		return a.invalid("seconds above 0, and two parts at least, are needed")
+		return a.withError("seconds above 0, and two parts at least, are needed")
 	}
 	s.Partitions = append(s.Partitions, p)
 	return a.err
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -9,46 +9,46 @@
 	"cleathold/internal/scenario"
 )
 
-// An agent supervises the senders whose numbers, divided by the number of agents, leave its own as the remainder.
+// An agent supervises the senders whose number modulo the number of agents equals the agent's number.
 type agent struct {
-	fleet        *agents
+	cluster      *agentCluster
 	num          int
 	name         string
 	state        *rollout.State
-	applied      int                            // commands of the log that state has
-	observations map[string]rollout.Observation // by sender; those of other agents' senders only while it leads
+	applied      int                            // number of log commands applied to state
+	observations map[string]rollout.Observation // by sender; senders of other agents only on the leader
 	watch        rollout.Watch
 	dead         bool
 	stoppedUntil time.Duration
 	supervised   map[string]*supervision // by sender
 }
 
-// supervision is what an agent knows of one of its senders.
+// supervision is an agent's state for one of its senders.
 type supervision struct {
-	sender        int    // its number
-	acceptedEpoch uint64 // of the latest grant that the agent had it take
-	changing      bool   // a change of version is under way
-	fault         string // why the change of faultEpoch failed
+	sender        int    // number of the sender
+	acceptedEpoch uint64 // epoch of the latest grant that the agent applied to the sender
+	changing      bool   // a version change is in progress
+	fault         string // why the version change of faultEpoch failed
 	faultEpoch    uint64
-	crashes       int    // processes that ended by themselves
-	process       string // that it saw last
+	crashes       int    // processes that ended without an order
+	process       string // process observed last
 }
 
-func newAgent(fleet *agents, num int) *agent {
+func newAgent(cluster *agentCluster, num int) *agent {
 	ag := &agent{
-		fleet: fleet, num: num, name: scenario.Agent(num), state: rollout.New(),
+		cluster: cluster, num: num, name: scenario.Agent(num), state: rollout.New(),
 		observations: map[string]rollout.Observation{}, supervised: map[string]*supervision{},
 	}
-	p := fleet.sim.plan.Scenario
+	p := cluster.sim.plan.Scenario
 	for k := num; k < p.Senders; k += p.Agents.Number {
 		ag.supervised[scenario.Sender(k)] = &supervision{sender: k}
 	}
 	return ag
 }
 
-// roster returns the command that makes the agent's senders known.
-func (ag *agent) roster(p *scenario.Scenario) rollout.Command {
-	c := rollout.Command{Verb: rollout.SetRoster, At: ag.fleet.sim.clock(), By: ag.name}
+// rosterCommand returns the command that registers the agent's senders.
+func (ag *agent) rosterCommand(p *scenario.Scenario) rollout.Command {
+	c := rollout.Command{Verb: rollout.SetRoster, At: ag.cluster.sim.clock(), By: ag.name}
 	for k := ag.num; k < p.Senders; k += p.Agents.Number {
 		c.Roster = append(c.Roster, rollout.Member{
 			Name: scenario.Sender(k), Building: p.Zones[k%len(p.Zones)], Agent: ag.name,
@@ -58,48 +58,48 @@
 	return c
 }
 
-// restart has an agent that was killed run again. What it kept in memory is lost, and its copy of the log as well if
-// wiped.
+// restart starts an agent again after it was killed. Its in-memory state is lost; if wiped is true, so is its copy of
+// the log.
 func (ag *agent) restart(wiped bool) {
 	ag.dead, ag.observations, ag.watch = false, map[string]rollout.Observation{}, rollout.Watch{}
-	for _, m := range ag.supervised {
-		m.acceptedEpoch, m.changing, m.process = 0, false, ""
+	for _, sup := range ag.supervised {
+		sup.acceptedEpoch, sup.changing, sup.process = 0, false, ""
 	}
 	if wiped {
 		ag.state, ag.applied = rollout.New(), 0
 	}
 }
 
-func (ag *agent) running() bool { return !ag.dead && ag.fleet.sim.now >= ag.stoppedUntil }
+func (ag *agent) running() bool { return !ag.dead && ag.cluster.sim.now >= ag.stoppedUntil }
 
-// connectedTo reports whether it and another agent can talk to each other.
+// connectedTo reports whether the agent and another one can exchange messages in both directions.
 func (ag *agent) connectedTo(other *agent) bool {
-	s := ag.fleet.sim
+	s := ag.cluster.sim
 	return ag == other || other.running() && s.link(ag.name, other.name).Passes() && s.link(other.name, ag.name).Passes()
 }
 
-// hasMajority reports whether it runs and is connected to a majority of the agents, itself included.
+// hasMajority reports whether the agent runs and is connected to a majority of the agents, itself included.
 func (ag *agent) hasMajority() bool {
 	n := 0
-	for _, other := range ag.fleet.members {
+	for _, other := range ag.cluster.members {
 		if ag.connectedTo(other) {
 			n++
 		}
 	}
-	return ag.running() && 2*n > len(ag.fleet.members)
+	return ag.running() && 2*n > len(ag.cluster.members)
 }
 
-// catchUp applies the commands of the log that it does not have yet.
+// catchUp applies the commands of the log that the agent has not applied yet.
 func (ag *agent) catchUp() {
-	for ; ag.applied < len(ag.fleet.log); ag.applied++ {
-		ag.state.Apply(uint64(ag.applied+1), ag.fleet.log[ag.applied])
+	for ; ag.applied < len(ag.cluster.log); ag.applied++ {
+		ag.state.Apply(uint64(ag.applied+1), ag.cluster.log[ag.applied])
 	}
 }
 
-// observeSenders observes the agent's senders, passes the observations to the leader, and carries out the agreed
-// commands.
+// observeSenders observes the agent's senders, sends the observations to the leader and applies the committed commands.
+// It schedules its next run.
 func (ag *agent) observeSenders() {
-	s, a := ag.fleet.sim, ag.fleet
+	s, a := ag.cluster.sim, ag.cluster
 	s.at(s.now+observeInterval, ag.observeSenders)
 	if !ag.running() {
 		return
@@ -109,125 +109,128 @@
 		ag.catchUp()
 	}
 	for k := ag.num; k < len(s.senders); k += len(a.members) {
-		m := ag.supervised[scenario.Sender(k)]
-		v := ag.observe(m)
-		ag.addObservation(v)
+		sup := ag.supervised[scenario.Sender(k)]
+		observation := ag.observeSender(sup)
+		ag.addObservation(observation)
 		if follows {
 			l, after := a.leader, agentDelay+s.extraDelay(s.link(ag.name, a.leader.name))
 			s.at(s.now+after, func() {
 				if l.running() {
-					l.addObservation(v)
+					l.addObservation(observation)
 				}
 			})
 		}
-		ag.supervise(m, v, follows || a.leader == ag)
+		ag.applyGrant(sup, observation, follows || a.leader == ag)
 	}
 }
 
-// addObservation keeps an observation unless there is a newer one of the same sender.
+// addObservation stores an observation unless a newer one of the same sender is stored.
 func (ag *agent) addObservation(v rollout.Observation) {
 	if old, ok := ag.observations[v.Sender]; !ok || v.At.After(old.At) {
 		ag.observations[v.Sender] = v
 	}
 }
 
-// reaches reports whether a sender's process answers the agent.
-func (ag *agent) reaches(sd *sender) bool {
-	s := ag.fleet.sim
-	answers := !sd.dead && !sd.shuttingDown && !sd.stopped()
-	return answers && s.link(ag.name, sd.name).Passes() && s.link(sd.name, ag.name).Passes()
+// canReach reports whether a sender's process responds to the agent.
+func (ag *agent) canReach(sd *sender) bool {
+	s := ag.cluster.sim
+	responsive := !sd.dead && !sd.shuttingDown && !sd.stopped()
+	return responsive && s.link(ag.name, sd.name).Passes() && s.link(sd.name, ag.name).Passes()
 }
 
-// observe returns what the agent sees of a sender, and counts crashes.
-func (ag *agent) observe(m *supervision) rollout.Observation {
-	s := ag.fleet.sim
-	sd := s.senders[m.sender]
-	v := rollout.Observation{Sender: sd.name, At: s.clock(), Phase: "no answer", FaultEpoch: m.faultEpoch, Fault: m.fault}
-	if !ag.reaches(sd) {
-		return v
+// observeSender returns the agent's observation of a sender, and counts crashes.
+func (ag *agent) observeSender(sup *supervision) rollout.Observation {
+	s := ag.cluster.sim
+	sd := s.senders[sup.sender]
+	observation := rollout.Observation{
+		Sender: sd.name, At: s.clock(), Phase: "no answer", FaultEpoch: sup.faultEpoch, Fault: sup.fault,
 	}
-	if m.process != "" && m.process != sd.process && !m.changing && m.process != sd.predecessor {
-		m.crashes++
+	if !ag.canReach(sd) {
+		return observation
 	}
-	m.process = sd.process
-	v = sd.observe()
-	v.FaultEpoch, v.Fault, v.Facts.Restarts = m.faultEpoch, m.fault, m.crashes
-	v.Serving = v.Serving && !m.changing
-	return v
+	if sup.process != "" && sup.process != sd.process && !sup.changing && sup.process != sd.predecessor {
+		sup.crashes++
+	}
+	sup.process = sd.process
+	observation = sd.observation()
+	observation.FaultEpoch, observation.Fault, observation.Facts.Restarts = sup.faultEpoch, sup.fault, sup.crashes
+	observation.Serving = observation.Serving && !sup.changing
+	return observation
 }
 
-// observeRemotely has a leader observe senders itself whose agents are silent.
+// observeRemotely makes the leader itself observe the senders whose agents have sent no recent observation.
 func (ag *agent) observeRemotely() {
-	s := ag.fleet.sim
+	s := ag.cluster.sim
 	for name, v := range ag.observations {
 		var num int
 		fmt.Sscanf(name, "n%d", &num)
-		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.fleet.terms.Timing.Fresh*6/10 && ag.reaches(sd) {
-			now := sd.observe()
-			now.Far, now.Version, now.Facts.Restarts = true, v.Version, v.Facts.Restarts
-			now.FaultEpoch, now.Fault = v.FaultEpoch, v.Fault
-			ag.observations[name] = now
+		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.cluster.terms.Timing.Fresh*6/10 && ag.canReach(sd) {
+			fresh := sd.observation()
+			fresh.Far, fresh.Version, fresh.Facts.Restarts = true, v.Version, v.Facts.Restarts
+			fresh.FaultEpoch, fresh.Fault = v.FaultEpoch, v.Fault
+			ag.observations[name] = fresh
 		}
 	}
 }
 
-// supervise carries out what was agreed on for a sender. Leases are renewed only while the agent is connected to a
-// leader.
-func (ag *agent) supervise(m *supervision, v rollout.Observation, connected bool) {
-	s := ag.fleet.sim
-	sd := s.senders[m.sender]
+// applyGrant performs the duty that follows from a sender's current grant: it accepts, renews or ends the lease. Leases
+// are renewed only while the agent is connected to a leader.
+func (ag *agent) applyGrant(sup *supervision, v rollout.Observation, connected bool) {
+	s := ag.cluster.sim
+	sd := s.senders[sup.sender]
 	g := ag.state.Grants[sd.name]
-	if g == nil || m.changing || !ag.reaches(sd) {
+	if g == nil || sup.changing || !ag.canReach(sd) {
 		return
 	}
 	now := s.clock()
-	switch ag.state.Duty(g, v, m.acceptedEpoch, now) {
+	switch ag.state.Duty(g, v, sup.acceptedEpoch, now) {
 	case rollout.Fail:
-		m.fault, m.faultEpoch = "its agent was started anew in the middle of the change", g.Epoch
+		sup.fault, sup.faultEpoch = "its agent was started anew in the middle of the change", g.Epoch
 		sd.lease.End(g.Epoch)
 	case rollout.End:
 		sd.lease.End(g.Epoch)
 	case rollout.Renew:
-		if connected && sd.lease.Renew(g.Epoch, now.Add(ag.fleet.terms.Timing.Lease), now) == nil {
+		if connected && sd.lease.Renew(g.Epoch, now.Add(ag.cluster.terms.Timing.Lease), now) == nil {
 			sd.scheduleExpiry()
 		}
 	case rollout.Take:
-		ag.acceptGrant(m, sd, g)
+		ag.acceptGrant(sup, sd, g)
 	}
 }
 
-// acceptGrant has a sender accept a grant, if its lease allows it, and changes the version if the grant is for that.
-func (ag *agent) acceptGrant(m *supervision, sd *sender, g *rollout.Grant) {
-	s := ag.fleet.sim
-	m.acceptedEpoch = g.Epoch
+// acceptGrant makes a sender accept a grant, if its lease allows it. For a grant that is not a drain it then schedules
+// the version change.
+func (ag *agent) acceptGrant(sup *supervision, sd *sender, g *rollout.Grant) {
+	s := ag.cluster.sim
+	sup.acceptedEpoch = g.Epoch
 	order := lease.Order{Process: g.Process, Epoch: g.Epoch, AcceptBy: g.By, Until: g.Until, Drain: g.Drain}
 	if sd.lease.Accept(order, sd.process, s.clock()) != nil {
 		return
 	}
 	sd.scheduleExpiry()
-	ag.fleet.checkBudget(sd)
+	ag.cluster.checkBudget(sd)
 	if g.Drain {
 		return
 	}
-	m.changing = true
+	sup.changing = true
 	s.at(s.now+versionChangeDelay, func() {
-		if !ag.running() { // its next process finds the change half done
-			m.changing = false
+		if !ag.running() { // after its restart the agent finds the change unfinished
+			sup.changing = false
 			return
 		}
-		m.changing = false
+		sup.changing = false
 		if g.To.Program == failingProgram {
-			m.fault, m.faultEpoch = "the new process ended before it was ready", g.Epoch
-		} else if !sd.dead && s.senders[m.sender] == sd {
+			sup.fault, sup.faultEpoch = "the new process ended before it was ready", g.Epoch
+		} else if !sd.dead && s.senders[sup.sender] == sd {
 			sd.handOver(g.To.Name)
-			m.process = sd.process
+			sup.process = sd.process
 		}
 		sd.lease.End(g.Epoch)
 	})
 }
 
-// observe returns what a sender tells of itself.
-func (sd *sender) observe() rollout.Observation {
+// observation returns the observation that a sender reports of itself.
+func (sd *sender) observation() rollout.Observation {
 	c := sd.counters.Counts()
 	v := rollout.Observation{
 		Sender: sd.name, At: sd.sim.clock(), Process: sd.process, Version: sd.version, Epoch: sd.lease.Epoch,
@@ -241,7 +244,7 @@
 	return v
 }
 
-// scheduleExpiry ends the lease at its time, unless it is renewed before.
+// scheduleExpiry schedules the expiry of the lease. It has no effect if the lease is renewed before.
 func (sd *sender) scheduleExpiry() {
 	s := sd.sim
 	until := sd.lease.Until
@@ -254,12 +257,12 @@
 	})
 }
 
-// handOver has another process of the sender, with its state, take its place.
+// handOver replaces the sender's process by a successor, which keeps the state.
 func (sd *sender) handOver(version string) {
 	sd.sim.senderStarts++
 	sd.predecessor = sd.process
 	sd.process, sd.version = fmt.Sprintf("%s-%d", sd.name, sd.sim.senderStarts), version
 }
 
-// drainingByOrder reports whether it sends clients away because of its lease.
-func (sd *sender) drainingByOrder() bool { return sd.lease.Active() && sd.lease.Drain }
+// drainOrdered reports whether the sender rejects clients because its lease is a drain.
+func (sd *sender) drainOrdered() bool { return sd.lease.Active() && sd.lease.Drain }
--- a/internal/simulation/agents.go
+++ b/internal/simulation/agents.go
@@ -12,31 +12,32 @@
 const (
 	observeInterval    = 200 * time.Millisecond // between two observations of an agent's senders
 	leaderInterval     = 50 * time.Millisecond  // between two decisions of the leader
-	electionDelay      = time.Second            // from the loss of a leader until the next one is elected
-	agentDelay         = time.Millisecond       // of a message between two agents
-	versionChangeDelay = 400 * time.Millisecond // of a sender's hand-over to another version
+	electionDelay      = time.Second            // from the loss of the leader to the next election
+	agentDelay         = time.Millisecond       // network delay of a message between two agents
+	versionChangeDelay = 400 * time.Millisecond // duration of a sender's hand-over to another version
 )
 
-// errNoLeader is returned where no agent has a majority.
+// errNoLeader is returned if no agent is connected to a majority.
 var errNoLeader = errors.New("lab: no leader")
 
-// agents are the agents in virtual time. Decisions are those of internal/rollout, and the senders' leases those of
-// internal/lease. Consensus is a log that only the leader may append to, and only while it is connected to a
-// majority; Raft itself is simulated by the tests of internal/quorum. A change of version puts another process in the
-// place of one, which takes a while.
-type agents struct {
+// agentCluster is the set of agents in virtual time. Decisions are those of internal/rollout, and the senders' leases
+// those of internal/lease. Consensus is a log that only the leader may append to, and only while it is
+// connected to a majority; Raft itself is simulated by the tests of internal/quorum. A version change replaces a
+// sender's process after versionChangeDelay.
+type agentCluster struct {
 	sim          *Sim
 	terms        rollout.Terms
 	members      []*agent
 	log          []rollout.Command
 	leader       *agent        // nil: none
-	leaderLostAt time.Duration // since when there is none; meaningless while there is one
+	leaderLostAt time.Duration // time at which the last leader was lost; only valid while leader is nil
 }
 
-// newAgents makes agents that have agreed on terms and members, and schedules what the plan has for them.
-func newAgents(s *Sim) *agents {
+// newAgentCluster returns agents whose log already contains the terms and the roster, and schedules the plan's agent
+// actions and orders.
+func newAgentCluster(s *Sim) *agentCluster {
 	p := s.plan.Scenario
-	a := &agents{sim: s, terms: rollout.DefaultTerms, leaderLostAt: -electionDelay}
+	a := &agentCluster{sim: s, terms: rollout.DefaultTerms, leaderLostAt: -electionDelay}
 	a.terms.Budget = rollout.Budget{Fleet: p.Agents.Fleet, Building: p.Agents.Building, Serving: p.Agents.Serving}
 	a.terms.Timing.Lease = p.Agents.Lease
 	terms := a.terms
@@ -45,16 +46,16 @@
 	})
 	for i := range p.Agents.Number {
 		ag := newAgent(a, i)
-		a.log = append(a.log, ag.roster(p))
+		a.log = append(a.log, ag.rosterCommand(p))
 		a.members = append(a.members, ag)
 		s.at(time.Duration(i)*observeInterval/time.Duration(p.Agents.Number), ag.observeSenders)
 	}
 	for _, ag := range a.members {
 		ag.catchUp()
 	}
-	s.at(0, a.lead)
+	s.at(0, a.runLeader)
 	for _, action := range s.plan.AgentActions {
-		s.at(action.At, func() { a.inject(a.members[action.Agent], action) })
+		s.at(action.At, func() { a.applyAction(a.members[action.Agent], action) })
 	}
 	for _, o := range s.plan.Orders {
 		s.at(o.At, func() { a.submitOrder(o, s.now+orderTimeout) })
@@ -63,11 +64,11 @@
 	return a
 }
 
-// clock returns the wall-clock time of all processes.
+// clock returns the wall-clock time that all processes read.
 func (s *Sim) clock() time.Time { return virtualStart.Add(s.now) }
 
 // propose appends a command to the log. It returns errNoLeader, or the error of applying the command.
-func (a *agents) propose(c rollout.Command) error {
+func (a *agentCluster) propose(c rollout.Command) error {
 	l := a.leader
 	if l == nil || !l.hasMajority() {
 		return errNoLeader
@@ -78,10 +79,11 @@
 	return l.state.Apply(uint64(len(a.log)), c)
 }
 
-// lead elects a leader where there is none, and has it propose what comes next.
-func (a *agents) lead() {
+// runLeader elects a leader if there is none, and makes the leader propose the next commands. It schedules its next
+// run.
+func (a *agentCluster) runLeader() {
 	s := a.sim
-	s.at(s.now+leaderInterval, a.lead)
+	s.at(s.now+leaderInterval, a.runLeader)
 	if a.leader != nil && !a.leader.hasMajority() {
 		a.leader, a.leaderLostAt = nil, s.now
 	}
@@ -106,27 +108,28 @@
 	}
 }
 
-// checkBudget counts, as a sender goes out of service by order, the senders out of service: those with a lease, and
-// those down for longer than an order may rest on an old observation.
-func (a *agents) checkBudget(sd *sender) {
+// checkBudget is called when a sender goes out of service by order. It counts the senders that are out of service, and
+// records a budget violation if there are too many. A sender is out of service if it has a lease, or if it has been
+// down for longer than the observation behind an order may be old.
+func (a *agentCluster) checkBudget(sd *sender) {
 	s, t := a.sim, a.terms.Timing
 	s.result.Orders++
 	margin := t.Fresh + t.Accept + 4*t.Error + 2*observeInterval
-	out, text := 0, ""
+	outOfService, names := 0, ""
 	for _, other := range s.senders {
 		down := other.dead && s.now-other.endedAt > margin || other.stopped() && s.now-other.stoppedAt > margin
 		if other.lease.Active() || down {
-			out++
-			text += " " + other.name
+			outOfService++
+			names += " " + other.name
 		}
 	}
-	if out > a.terms.Budget.Fleet {
-		s.result.OverBudget = append(s.result.OverBudget, fmt.Sprintf("%v: %s went out, out are%s", s.now, sd.name, text))
+	if outOfService > a.terms.Budget.Fleet {
+		s.result.OverBudget = append(s.result.OverBudget, fmt.Sprintf("%v: %s went out, out are%s", s.now, sd.name, names))
 	}
 }
 
-// inject carries out an action on an agent.
-func (a *agents) inject(ag *agent, action scenario.PlannedAgentAction) {
+// applyAction carries out an action on an agent.
+func (a *agentCluster) applyAction(ag *agent, action scenario.PlannedAgentAction) {
 	s := a.sim
 	switch action.What {
 	case "stop":
@@ -137,8 +140,8 @@
 	}
 }
 
-// finish enters the rollout plans and the senders that are out of service into the result.
-func (a *agents) finish() {
+// recordResult adds the rollout plans and the senders that are still out of service to the result.
+func (a *agentCluster) recordResult() {
 	l := a.leader
 	if l == nil {
 		l = a.members[0]
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -13,36 +13,36 @@
 	"cleathold/internal/state"
 )
 
-// A sender is one process of a sender: an event loop whose connections, discovery, delivery reports and gossip are
-// simulated. After the process has ended, another one with the same write-ahead log takes its place in Sim.senders.
+// A sender is one process of a sender: an event loop with simulated connections, discovery, delivery reports and
+// gossip. When the process has ended, a new one with the same write-ahead log replaces it in Sim.senders.
 type sender struct {
 	sim         *Sim
 	num         int
-	name        string // as a party of links
+	name        string // the sender's name as a party of links
 	zone        int
 	loop        *state.Loop
 	submissions []pendingSubmission
 	idleConns   map[string][]time.Duration // by endpoint: since when each connection is idle, the oldest first
 	byCall      map[*state.Call]*inFlightCall
 	inFlight    map[*inFlightCall]bool // calls and health checks
-	timerAt     time.Duration          // when the loop's timer elapses; below 0: not set
+	timerAt     time.Duration          // time at which the loop's timer elapses; below 0: not set
 
-	watching    bool  // discovery notifies it of changes...
-	listVersion int64 // ...after this version
+	watching    bool // discovery notifies the sender of changes after listVersion
+	listVersion int64
 
-	accepting    bool // it takes connections of clients
+	accepting    bool // the process accepts connections of clients
 	shuttingDown bool // since endedAt
 	dead         bool // the process has ended, since endedAt
 	endedAt      time.Duration
 
-	unreachable  bool // from discovery, where delivery reports go, too
-	draining     bool // it sends clients away; the load balancer knows at once
+	unreachable  bool // from discovery, which also receives the delivery reports
+	draining     bool // it rejects clients; the load balancer takes it out of rotation at once
 	stoppedUntil time.Duration
 	stoppedAt    time.Duration
-	deferred     []func() // what happened while it was stopped, in order
+	pendingSteps []func() // work deferred while the process is stopped, in order
 
-	process, predecessor string // names of this process, and of the one that handed over to it
-	version              string // of its program
+	process, predecessor string // names of this process and of the process that handed over to it
+	version              string // program version
 	lease                lease.Holder
 	counters             state.Counters
 }
@@ -50,21 +50,21 @@
 // newSender starts a process of a sender.
 func (s *Sim) newSender(num int) (*sender, error) {
 	s.senderStarts++
-	set, err := readProfile(s.profile(num), s.plan.Seed*1_000_003+s.senderStarts-1)
+	settings, err := readProfile(s.profile(num), s.plan.Seed*1_000_003+s.senderStarts-1)
 	if err != nil {
 		return nil, err
 	}
 	sd := &sender{
-		sim: s, num: num, name: scenario.Sender(num), zone: set.Zone, idleConns: map[string][]time.Duration{},
+		sim: s, num: num, name: scenario.Sender(num), zone: settings.Zone, idleConns: map[string][]time.Duration{},
 		byCall: map[*state.Call]*inFlightCall{}, inFlight: map[*inFlightCall]bool{}, timerAt: -1, accepting: true,
 		process: fmt.Sprintf("n%d-%d", num, s.senderStarts), version: "v1",
 	}
-	if num < len(s.senders) { // the agent starts the version that ran last; the lease ends with its process
+	if num < len(s.senders) { // the agent starts the last version again; a lease ends with its process
 		sd.version = s.senders[num].version
 	}
 	dir, hasDir := s.walDirs[num]
 	loop, err := state.NewLoop(state.Setup{
-		Settings: set, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6,
+		Settings: settings, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6,
 		Log: s.log, Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &sd.counters,
 	})
 	if err != nil {
@@ -77,7 +77,8 @@
 	return sd, nil
 }
 
-// step gives the loop events and carries out what follows from them.
+// step passes events to the event loop, then writes the responses to clients and sets the timer. While the process is
+// stopped, the step is deferred.
 func (sd *sender) step(events ...state.Event) {
 	if sd.dead {
 		return
@@ -94,7 +95,7 @@
 	sd.setTimer()
 }
 
-// setTimer schedules the time at which the loop wants to be woken.
+// setTimer schedules the next time at which the event loop has to be woken.
 func (sd *sender) setTimer() {
 	wake := sd.loop.WakeAt()
 	if wake.IsZero() {
@@ -113,14 +114,14 @@
 	})
 }
 
-// updateSettings has the loop take other settings, as a reload does.
-func (sd *sender) updateSettings(set control.Settings) {
+// updateSettings applies new settings to the event loop, as a reload does.
+func (sd *sender) updateSettings(settings control.Settings) {
 	done := make(chan state.SettingsResult, 1)
 	var classes []state.NamedClass
-	for i, c := range set.Classes {
+	for i, c := range settings.Classes {
 		classes = append(classes, state.NamedClass{Name: sd.sim.plan.Scenario.Traffic.Classes[i].Name, Class: c})
 	}
-	sd.step(state.UpdateSettings{Settings: set, Classes: classes, Done: done})
+	sd.step(state.UpdateSettings{Settings: settings, Classes: classes, Done: done})
 	sd.whenRunning(func() {
 		select {
 		case r := <-done:
@@ -132,52 +133,52 @@
 	})
 }
 
-// stopped reports whether its process is stopped, as by SIGSTOP.
+// stopped reports whether the process is stopped, as by SIGSTOP.
 func (sd *sender) stopped() bool { return sd.sim.now < sd.stoppedUntil }
 
-// stop stops its process until a time, or a stopped one for longer.
+// stop stops the process until a time. If the process is already stopped, stop can only extend the stop.
 func (sd *sender) stop(until time.Duration) {
 	s := sd.sim
 	if !sd.stopped() {
 		sd.stoppedAt = s.now
-		s.record(audit.Event{Kind: audit.Died, Sender: sd.num}) // nothing is due from it until it goes on
+		s.record(audit.Event{Kind: audit.Died, Sender: sd.num}) // no rule requires anything of it until it resumes
 	}
 	sd.stoppedUntil = max(sd.stoppedUntil, until)
 	s.at(sd.stoppedUntil, sd.resume)
 }
 
-// resume has a stopped process go on, and do what it could not do meanwhile.
+// resume resumes a stopped process and runs the work deferred meanwhile.
 func (sd *sender) resume() {
 	if sd.stopped() || sd.dead {
 		return
 	}
 	sd.sim.record(audit.Event{Kind: audit.Ready, Sender: sd.num})
-	for len(sd.deferred) > 0 && !sd.dead {
-		do := sd.deferred[0]
-		sd.deferred = sd.deferred[1:]
-		do()
+	for len(sd.pendingSteps) > 0 && !sd.dead {
+		step := sd.pendingSteps[0]
+		sd.pendingSteps = sd.pendingSteps[1:]
+		step()
 	}
 }
 
-// whenRunning calls do, once its process runs.
-func (sd *sender) whenRunning(do func()) {
+// whenRunning calls step at once if the process runs, or when it resumes.
+func (sd *sender) whenRunning(step func()) {
 	if sd.stopped() {
-		sd.deferred = append(sd.deferred, do)
+		sd.pendingSteps = append(sd.pendingSteps, step)
 		return
 	}
-	do()
+	step()
 }
 
-// knownUnavailable reports whether the load balancer sends it no clients.
+// knownUnavailable reports whether the load balancer has taken the sender out of rotation.
 func (sd *sender) knownUnavailable(now time.Duration) bool {
-	const shutdownSeenBefore = 200 * time.Millisecond // a shutdown is seen so long before the sender stops to accept
-	switch ended := now - sd.endedAt; {
-	case sd.stopped() && now-sd.stoppedAt >= DeadSenderTimeout, sd.draining, sd.drainingByOrder():
+	const shutdownNotice = 200 * time.Millisecond // how long before stopDelay the load balancer notices a shutdown
+	switch sinceEnd := now - sd.endedAt; {
+	case sd.stopped() && now-sd.stoppedAt >= DeadSenderTimeout, sd.draining, sd.drainOrdered():
 		return true
 	case sd.shuttingDown:
-		return ended >= stopDelay-shutdownSeenBefore
+		return sinceEnd >= stopDelay-shutdownNotice
 	default:
-		return sd.dead && ended >= DeadSenderTimeout
+		return sd.dead && sinceEnd >= DeadSenderTimeout
 	}
 }
 
@@ -199,18 +200,18 @@
 	})
 }
 
-// awaitDrained ends the process once nothing is in flight, or its time is over.
+// awaitDrained ends the process once nothing is in flight or the shutdown timeout has passed.
 func (sd *sender) awaitDrained() {
 	s := sd.sim
 	if sd.loop.Drained() || s.now >= sd.endedAt+shutdownTimeout {
-		sd.exit()
+		sd.exitProcess()
 		return
 	}
 	s.at(s.now+drainedCheckInterval, sd.awaitDrained)
 }
 
-// exit ends the process: its connections break, and another one is started after a while.
-func (sd *sender) exit() {
+// exitProcess ends the process. Its connections break, and a new process is started after the restart delay.
+func (sd *sender) exitProcess() {
 	s := sd.sim
 	if sd.dead {
 		return
@@ -221,13 +222,13 @@
 	}
 	for _, p := range sd.submissions {
 		if m := s.messages[p.id]; m != nil {
-			s.senderLost(m, p.id, sd)
+			s.connectionLost(m, p.id, sd)
 		}
 	}
 	sd.submissions = nil
 	for _, f := range s.callsOf(sd) {
 		f.done = true
-		if f.forget(0, "reset") { // in a ledger these calls' ends name no sender
+		if f.recordNoAnswer(0, "reset") { // the ledger's events for these calls name no sender
 			f.notifyCanceled()
 		}
 	}
@@ -239,7 +240,7 @@
 	s.at(s.now+restartDelay+startupDelay, sd.restart)
 }
 
-// restart starts another process in the place of one that has ended.
+// restart replaces a process that has ended by a new one.
 func (sd *sender) restart() {
 	s := sd.sim
 	next, err := s.newSender(sd.num)
