--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -33,7 +33,7 @@
 
 func (a *actions) Disconnect(to control.EndpointID) { a.reply.Disconnect(a.instanceID, uint32(to)) }
 
-func (a *actions) Watch(on bool) { a.reply.Watch(a.instanceID, on) }
+func (a *actions) WatchEndpoints(on bool) { a.reply.Watch(a.instanceID, on) }
 
 func (a *actions) Fetch() { a.reply.Lookup(a.instanceID) }
 
--- a/control/actions.go
+++ b/control/actions.go
@@ -18,8 +18,8 @@
 	HealthCheck(to EndpointID)
 	// Disconnect closes the idle connections to an endpoint.
 	Disconnect(to EndpointID)
-	// Watch starts or ends the subscription to changes of the endpoint list.
-	Watch(on bool)
+	// WatchEndpoints starts or ends the subscription to changes of the endpoint list.
+	WatchEndpoints(on bool)
 	// Fetch requests the complete endpoint list once.
 	Fetch()
 	// Gossip sends an observation to all peers. It may be lost or delayed.
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -15,7 +15,7 @@
 func (noopHost) Fail(MessageID)                            {}
 func (noopHost) HealthCheck(EndpointID)                    {}
 func (noopHost) Disconnect(EndpointID)                     {}
-func (noopHost) Watch(bool)                                {}
+func (noopHost) WatchEndpoints(bool)                       {}
 func (noopHost) Fetch()                                    {}
 func (noopHost) SetTimer(time.Duration, uint32)            {}
 func (noopHost) Log(string)                                {}
--- a/control/endpointlist.go
+++ b/control/endpointlist.go
@@ -86,7 +86,7 @@
 func (c *Controller) pollList() {
 	if c.settings.PollsList && c.list.due(c.now) {
 		c.list.polling = true
-		c.actions.Watch(true)
+		c.actions.WatchEndpoints(true)
 	}
 }
 
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -20,7 +20,7 @@
 func (printingHost) Fail(id control.MessageID)      { fmt.Printf("fail message %d\n", id) }
 func (printingHost) HealthCheck(control.EndpointID) {}
 func (printingHost) Disconnect(control.EndpointID)  {}
-func (printingHost) Watch(bool)                     {}
+func (printingHost) WatchEndpoints(bool)            {}
 func (printingHost) Fetch()                         {}
 func (printingHost) SetTimer(time.Duration, uint32) {}
 func (printingHost) Gossip(control.Observation)     {}
--- a/control/recorder_test.go
+++ b/control/recorder_test.go
@@ -200,7 +200,7 @@
 	r.disconnected = append(r.disconnected, to)
 }
 
-func (r *recorder) Watch(on bool) {
+func (r *recorder) WatchEndpoints(on bool) {
 	r.log("watch %v", on)
 	r.watches++
 }
--- a/internal/state/actions.go
+++ b/internal/state/actions.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Watch starts or stops watching discovery for changes of the endpoint list.
-func (a *actions) Watch(on bool) { a.discovery.Watch(on, a.group.Version()) }
+// WatchEndpoints starts or stops watching discovery for changes of the endpoint list.
+func (a *actions) WatchEndpoints(on bool) { a.discovery.Watch(on, a.group.Version()) }
 
 // Fetch requests the whole endpoint list from discovery.
 func (a *actions) Fetch() { a.discovery.Fetch() }
