--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -35,7 +35,7 @@
 
 func (a *actions) WatchEndpoints(on bool) { a.reply.Watch(a.instanceID, on) }
 
-func (a *actions) Fetch() { a.reply.Lookup(a.instanceID) }
+func (a *actions) FetchEndpoints() { a.reply.Lookup(a.instanceID) }
 
 func (a *actions) SetTimer(after time.Duration, token uint32) {
 	a.reply.Arm(a.instanceID, wire.Millis(after), token)
--- a/control/actions.go
+++ b/control/actions.go
@@ -20,8 +20,8 @@
 	Disconnect(to EndpointID)
 	// WatchEndpoints starts or ends the subscription to changes of the endpoint list.
 	WatchEndpoints(on bool)
-	// Fetch requests the complete endpoint list once.
-	Fetch()
+	// FetchEndpoints requests the complete endpoint list once.
+	FetchEndpoints()
 	// Gossip sends an observation to all peers. It may be lost or delayed.
 	Gossip(observation Observation)
 	// SetTimer requests a call of Controller.TimerFired with the token after the given time.
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -16,7 +16,7 @@
 func (noopHost) HealthCheck(EndpointID)                    {}
 func (noopHost) Disconnect(EndpointID)                     {}
 func (noopHost) WatchEndpoints(bool)                       {}
-func (noopHost) Fetch()                                    {}
+func (noopHost) FetchEndpoints()                           {}
 func (noopHost) SetTimer(time.Duration, uint32)            {}
 func (noopHost) Log(string)                                {}
 func (noopHost) Gossip(Observation)                        {}
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -21,7 +21,7 @@
 func (printingHost) HealthCheck(control.EndpointID) {}
 func (printingHost) Disconnect(control.EndpointID)  {}
 func (printingHost) WatchEndpoints(bool)            {}
-func (printingHost) Fetch()                         {}
+func (printingHost) FetchEndpoints()                {}
 func (printingHost) SetTimer(time.Duration, uint32) {}
 func (printingHost) Gossip(control.Observation)     {}
 func (printingHost) Log(string)                     {}
--- a/control/recorder_test.go
+++ b/control/recorder_test.go
@@ -205,7 +205,7 @@
 	r.watches++
 }
 
-func (r *recorder) Fetch() { r.log("fetch") }
+func (r *recorder) FetchEndpoints() { r.log("fetch") }
 
 func (r *recorder) SetTimer(after time.Duration, token uint32) {
 	r.timers = append(r.timers, timer{r.now + after, token})
--- a/internal/state/actions.go
+++ b/internal/state/actions.go
@@ -102,8 +102,8 @@
 // WatchEndpoints starts or stops watching discovery for changes of the endpoint list.
 func (a *actions) WatchEndpoints(on bool) { a.discovery.Watch(on, a.group.Version()) }
 
-// Fetch requests the whole endpoint list from discovery.
-func (a *actions) Fetch() { a.discovery.Fetch() }
+// FetchEndpoints requests the whole endpoint list from discovery.
+func (a *actions) FetchEndpoints() { a.discovery.Fetch() }
 
 // SetTimer sets the loop's only timer. The controller ignores every token but the latest.
 func (a *actions) SetTimer(after time.Duration, token uint32) {
