--- a/control/connections_test.go
+++ b/control/connections_test.go
@@ -91,7 +91,7 @@
 		{"list answered after it failed", func(r *recorder) { r.updateList(ListFailed); r.updateList(ListDelta) }, false},
 	} {
 		cfg := testSettings()
-		cfg.FleetSize, cfg.CanGossip, cfg.PollsList = 80, true, true
+		cfg.FleetSize, cfg.CanGossip, cfg.PollEndpointList = 80, true, true
 		r := newRecorder(t, cfg)
 		r.updateList(ListFull, Endpoint{ID: 1, State: Ready})
 		for id := MessageID(1); id < 99; id++ {
--- a/control/controller.go
+++ b/control/controller.go
@@ -77,13 +77,13 @@
 }
 
 // UpdateSettings replaces the settings at run time. Open messages keep the class with which they were submitted. Seed,
-// Index, FleetSize, Zone, Kinds, CanGossip and PollsList keep the values that were passed to New. If a setting is
-// invalid, UpdateSettings changes nothing and returns an error that names it.
+// Index, FleetSize, Zone, Kinds, CanGossip and PollEndpointList keep the values that were passed to New. If a setting
+// is invalid, UpdateSettings changes nothing and returns an error that names it.
 func (c *Controller) UpdateSettings(now time.Duration, settings Settings) error {
 	c.advanceClock(now)
 	old := &c.settings
 	settings.Seed, settings.Index, settings.FleetSize, settings.Zone = old.Seed, old.Index, old.FleetSize, old.Zone
-	settings.Kinds, settings.CanGossip, settings.PollsList = old.Kinds, old.CanGossip, old.PollsList
+	settings.Kinds, settings.CanGossip, settings.PollEndpointList = old.Kinds, old.CanGossip, old.PollEndpointList
 	if err := validate(&settings); err != nil {
 		return err
 	}
@@ -389,7 +389,7 @@
 			}
 		}
 	}
-	if c.settings.PollsList && c.list.idle() {
+	if c.settings.PollEndpointList && c.list.idle() {
 		consider(c.list.nextPoll)
 	}
 	return next
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -78,7 +78,7 @@
 	cfg.Kinds = []Kind{{MaxBatch: 1 + rng.IntN(4), SeparateRoutes: rng.IntN(3) == 0}}
 	cfg.WeightHalves = rng.IntN(2) == 0
 	cfg.CanHealthCheck = rng.IntN(2) == 0
-	cfg.PollsList = rng.IntN(2) == 0
+	cfg.PollEndpointList = rng.IntN(2) == 0
 	cfg.WeightKind = WeightKind(rng.IntN(3))
 	cfg.AllowHedging = rng.IntN(2) == 0
 	for i := range cfg.Classes {
--- a/control/endpointlist.go
+++ b/control/endpointlist.go
@@ -62,7 +62,7 @@
 
 // recordListAnswer updates the poller by the kind of a list update, if the list has to be polled.
 func (c *Controller) recordListAnswer(kind ListUpdateKind) {
-	if !c.settings.PollsList {
+	if !c.settings.PollEndpointList {
 		return
 	}
 	switch kind {
@@ -84,7 +84,7 @@
 
 // pollList starts a poll if the list has to be polled and the next poll is due.
 func (c *Controller) pollList() {
-	if c.settings.PollsList && c.list.due(c.now) {
+	if c.settings.PollEndpointList && c.list.due(c.now) {
 		c.list.polling = true
 		c.actions.WatchEndpoints(true)
 	}
--- a/control/endpointlist_test.go
+++ b/control/endpointlist_test.go
@@ -24,7 +24,7 @@
 // If the endpoint list has to be polled, a failed poll is followed by another one.
 func TestPollAfterFailure(t *testing.T) {
 	cfg := testSettings()
-	cfg.PollsList = true
+	cfg.PollEndpointList = true
 	r := newRecorder(t, cfg)
 	r.updateList(ListCached, Endpoint{ID: 1, State: Ready})
 	if r.watches != 1 {
@@ -55,7 +55,7 @@
 	fleet, watchesSeen, answered := make([]*recorder, senders), make([]int, senders), make([]bool, senders)
 	for i := range fleet {
 		cfg := testSettings()
-		cfg.PollsList, cfg.FleetSize, cfg.Seed = true, senders, uint64(i)
+		cfg.PollEndpointList, cfg.FleetSize, cfg.Seed = true, senders, uint64(i)
 		fleet[i] = newRecorder(t, cfg)
 		fleet[i].updateList(ListCached, Endpoint{ID: 1, State: Ready})
 	}
@@ -109,7 +109,7 @@
 		{1000, 0, 4300 * ms, 3600 * ms},
 	} {
 		cfg := testSettings()
-		cfg.FleetSize, cfg.MaxPollInterval, cfg.PollsList = c.fleetSize, c.maxPollInterval, true
+		cfg.FleetSize, cfg.MaxPollInterval, cfg.PollEndpointList = c.fleetSize, c.maxPollInterval, true
 		if got := cfg.PollSpread(); got != c.spread {
 			t.Errorf("%+v: %v", c, got)
 		}
--- a/control/settings.go
+++ b/control/settings.go
@@ -78,7 +78,7 @@
 	HeadroomIndex     int        // index in Outcome.LoadReport of the unused fraction of the limit; -1 = none
 	LimitIndex        int        // index in Outcome.LoadReport of the limit in calls per second; -1 = none
 	WeightKind        WeightKind // meaning of Endpoint.Weight
-	PollsList         bool       // the endpoint list has to be polled
+	PollEndpointList  bool       // the endpoint list has to be polled
 	Tick              time.Duration
 	ResponseGrace     time.Duration // an answer to a client still counts if it is this late
 	MaxPollInterval   time.Duration // list updates count as notified after this long without a poll; 0 = no such rule
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -117,7 +117,7 @@
 	set := control.Settings{
 		FleetSize: 1, Classes: testClasses, Kinds: []control.Kind{{MaxBatch: 1}},
 		MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
-		PollsList: true, MaxPollInterval: time.Minute, OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second,
+		PollEndpointList: true, MaxPollInterval: time.Minute, OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second,
 		ColdCapacity: 0.2, OverloadFactor: 2,
 	}
 	dir := t.TempDir()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -94,7 +94,7 @@
 		CanHealthCheck: p.Limits.HealthChecks, CanGossip: p.Limits.Gossip, CanSendRetryAfter: p.Limits.RetryAfter,
 		MaxRetryAfter:  Duration(p.Limits.MaxRetryAfterMs),
 		StreamsPerConn: valueOr(p.Limits.Streams, 1), ConnIdleTimeout: Duration(p.Limits.IdleMs),
-		ConnectTimeout: Duration(p.Limits.ConnectMs), PollsList: p.Discovery == "ask", Tick: Duration(p.TickMs),
+		ConnectTimeout: Duration(p.Limits.ConnectMs), PollEndpointList: p.Discovery == "ask", Tick: Duration(p.TickMs),
 		ResponseGrace: Duration(p.Guarantees.ResponseGraceMs), MaxPollInterval: Duration(p.Guarantees.MaxPollIntervalMs),
 		DrainGrace: Duration(p.Guarantees.DrainMs), ColdCapacity: p.Guarantees.ColdCapacity,
 		WarmUp: Duration(p.Guarantees.WarmUpMs), OverloadFactor: p.Guarantees.OverloadFactor,
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -35,7 +35,7 @@
 		"kinds": len(s.Kinds) == 2 && s.Kinds[0].MaxBatch == 4 && !s.Kinds[0].SeparateRoutes &&
 			s.Kinds[1].SeparateRoutes,
 		"reports": s.HeadroomIndex == 2 && s.LimitIndex == 1,
-		"list": s.PollsList && s.WeightKind == control.WeightsApproximate &&
+		"list": s.PollEndpointList && s.WeightKind == control.WeightsApproximate &&
 			s.MaxPollInterval == 8*time.Second,
 		"worth": s.WeightHalves && s.WeightByWork && s.OverQuotaFactor == 0.2,
 		"limits": s.MaxAttempts == 5 && s.MaxOpenMessages == 40 && s.MaxInFlight == 6 && s.AllowHedging &&
