--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -76,7 +76,7 @@
 	cfg := testSettings()
 	cfg.Seed = seed
 	cfg.Kinds = []Kind{{MaxBatch: 1 + rng.IntN(4), SeparateRoutes: rng.IntN(3) == 0}}
-	cfg.WeightHalves = rng.IntN(2) == 0
+	cfg.ExponentialWeightDecay = rng.IntN(2) == 0
 	cfg.CanHealthCheck = rng.IntN(2) == 0
 	cfg.PollEndpointList = rng.IntN(2) == 0
 	cfg.WeightKind = WeightKind(rng.IntN(3))
--- a/control/queue.go
+++ b/control/queue.go
@@ -215,7 +215,7 @@
 	var bestEndpoint *endpoint
 	maxWeight := 0.0
 	for _, msg := range queue {
-		weight := msg.weightWhenServed(c.now, c.settings.WeightHalves)
+		weight := msg.weightWhenServed(c.now, c.settings.ExponentialWeightDecay)
 		if dest.sharedRoute.breaker.open && msg.class.Idempotency == NotIdempotent {
 			weight = -weight // a trial call may be lost, so prefer a message that may be retried
 		}
@@ -237,14 +237,14 @@
 // weightPerSecond returns the weight that a message gains per second of slot time.
 func (c *Controller) weightPerSecond(msg *message) float64 {
 	slotTime := max(msg.destination.callTime.mean, c.settings.Tick, time.Millisecond)
-	return msg.weightWhenServed(c.now, c.settings.WeightHalves) / slotTime.Seconds()
+	return msg.weightWhenServed(c.now, c.settings.ExponentialWeightDecay) / slotTime.Seconds()
 }
 
 // recordSlotYield records the weight that an attempt gained in its slot time.
 func (c *Controller) recordSlotYield(msg *message, elapsed time.Duration, result Result) {
 	weight := 0.0
 	if result == Served {
-		weight = msg.class.weightAt(msg.age(c.now), c.settings.WeightHalves)
+		weight = msg.class.weightAt(msg.age(c.now), c.settings.ExponentialWeightDecay)
 	}
 	c.slotYield.record(weight, elapsed)
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -53,46 +53,46 @@
 
 // Settings holds the configuration of a controller. New and Controller.UpdateSettings reject invalid settings.
 type Settings struct {
-	Seed              uint64 // seed of the random number generator
-	Index             int    // index of this sender in the fleet
-	FleetSize         int    // number of senders that share the traffic, including this one
-	Zone              int    // zone of this sender
-	Classes           []Class
-	Kinds             []Kind
-	Tenants           []Tenant
-	OverQuotaFactor   float64 // fraction of the weight that counts for traffic above a tenant's quota
-	WeightHalves      bool    // weight halves with each further latency objective; otherwise it falls linearly
-	WeightByWork      bool    // a message counts by its expected work instead of as one
-	MaxInFlight       int     // maximum number of calls in flight
-	MaxOpenMessages   int     // maximum number of open messages; 0 = no limit
-	MaxAttempts       int     // maximum number of attempts per message; 0 = no limit
-	AllowHedging      bool    // a message may have two attempts in flight
-	CanCancel         bool
-	CanHealthCheck    bool
-	CanGossip         bool          // the host can send observations to peers
-	CanSendRetryAfter bool          // rejections to clients carry a Retry-After
-	MaxRetryAfter     time.Duration // longest Retry-After that clients honor
-	StreamsPerConn    int           // maximum number of concurrent calls on a connection
-	ConnIdleTimeout   time.Duration // an idle connection is closed after this
-	ConnectTimeout    time.Duration
-	HeadroomIndex     int        // index in Outcome.LoadReport of the unused fraction of the limit; -1 = none
-	LimitIndex        int        // index in Outcome.LoadReport of the limit in calls per second; -1 = none
-	WeightKind        WeightKind // meaning of Endpoint.Weight
-	PollEndpointList  bool       // the endpoint list has to be polled
-	Tick              time.Duration
-	ResponseGrace     time.Duration // an answer to a client still counts if it is this late
-	MaxPollInterval   time.Duration // list updates count as notified after this long without a poll; 0 = no such rule
-	DrainGrace        time.Duration // time for which calls to a draining endpoint are allowed
-	ColdCapacity      float64       // fraction of a destination's capacity that is available right after an outage
-	WarmUp            time.Duration // time after an outage until the full capacity is available
-	OverloadFactor    float64       // multiple of its current capacity that overloads a warming destination...
-	OverloadWindow    time.Duration // ...if it lasts this long
-	OrderedPause      time.Duration // pause of a key after an attempt that may still be running
-	RejectionCost     float64       // cost of a call that is rejected above a limit
-	ConnectionCost    float64       // cost of opening a connection
-	HealthCheckCost   float64       // cost of a health check
-	WastedWorkCost    float64       // cost of work that served no message
-	ZoneCosts         []float64     // by zone: cost of a message sent to an endpoint with a separate route there
+	Seed                   uint64 // seed of the random number generator
+	Index                  int    // index of this sender in the fleet
+	FleetSize              int    // number of senders that share the traffic, including this one
+	Zone                   int    // zone of this sender
+	Classes                []Class
+	Kinds                  []Kind
+	Tenants                []Tenant
+	OverQuotaFactor        float64 // fraction of the weight that counts for traffic above a tenant's quota
+	ExponentialWeightDecay bool    // weight halves with each further latency objective; otherwise it falls linearly
+	WeightByWork           bool    // a message counts by its expected work instead of as one
+	MaxInFlight            int     // maximum number of calls in flight
+	MaxOpenMessages        int     // maximum number of open messages; 0 = no limit
+	MaxAttempts            int     // maximum number of attempts per message; 0 = no limit
+	AllowHedging           bool    // a message may have two attempts in flight
+	CanCancel              bool
+	CanHealthCheck         bool
+	CanGossip              bool          // the host can send observations to peers
+	CanSendRetryAfter      bool          // rejections to clients carry a Retry-After
+	MaxRetryAfter          time.Duration // longest Retry-After that clients honor
+	StreamsPerConn         int           // maximum number of concurrent calls on a connection
+	ConnIdleTimeout        time.Duration // an idle connection is closed after this
+	ConnectTimeout         time.Duration
+	HeadroomIndex          int        // index in Outcome.LoadReport of the unused fraction of the limit; -1 = none
+	LimitIndex             int        // index in Outcome.LoadReport of the limit in calls per second; -1 = none
+	WeightKind             WeightKind // meaning of Endpoint.Weight
+	PollEndpointList       bool       // the endpoint list has to be polled
+	Tick                   time.Duration
+	ResponseGrace          time.Duration // an answer to a client still counts if it is this late
+	MaxPollInterval        time.Duration // list updates count as notified after this long without a poll; 0 = no such rule
+	DrainGrace             time.Duration // time for which calls to a draining endpoint are allowed
+	ColdCapacity           float64       // fraction of a destination's capacity that is available right after an outage
+	WarmUp                 time.Duration // time after an outage until the full capacity is available
+	OverloadFactor         float64       // multiple of its current capacity that overloads a warming destination...
+	OverloadWindow         time.Duration // ...if it lasts this long
+	OrderedPause           time.Duration // pause of a key after an attempt that may still be running
+	RejectionCost          float64       // cost of a call that is rejected above a limit
+	ConnectionCost         float64       // cost of opening a connection
+	HealthCheckCost        float64       // cost of a health check
+	WastedWorkCost         float64       // cost of work that served no message
+	ZoneCosts              []float64     // by zone: cost of a message sent to an endpoint with a separate route there
 }
 
 // kind returns the settings of a kind of partner, or defaults for an unknown kind.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -88,7 +88,7 @@
 	}
 	s := control.Settings{
 		Seed: seed, Index: p.Index, FleetSize: valueOr(p.FleetSize, 1), Zone: p.Zone,
-		OverQuotaFactor: valueOr(p.OverQuotaFactor, 1), WeightHalves: p.Specifics.WeightDecay == "by_half",
+		OverQuotaFactor: valueOr(p.OverQuotaFactor, 1), ExponentialWeightDecay: p.Specifics.WeightDecay == "by_half",
 		WeightByWork: p.WeightBy == "work", MaxInFlight: p.Specifics.MaxInFlight, MaxOpenMessages: p.Limits.MaxOpenMessages,
 		MaxAttempts: p.Limits.MaxAttempts, AllowHedging: p.Limits.Hedging, CanCancel: p.Limits.Cancel,
 		CanHealthCheck: p.Limits.HealthChecks, CanGossip: p.Limits.Gossip, CanSendRetryAfter: p.Limits.RetryAfter,
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -37,7 +37,7 @@
 		"reports": s.HeadroomIndex == 2 && s.LimitIndex == 1,
 		"list": s.PollEndpointList && s.WeightKind == control.WeightsApproximate &&
 			s.MaxPollInterval == 8*time.Second,
-		"worth": s.WeightHalves && s.WeightByWork && s.OverQuotaFactor == 0.2,
+		"worth": s.ExponentialWeightDecay && s.WeightByWork && s.OverQuotaFactor == 0.2,
 		"limits": s.MaxAttempts == 5 && s.MaxOpenMessages == 40 && s.MaxInFlight == 6 && s.AllowHedging &&
 			s.StreamsPerConn == 1,
 		"figures": s.OrderedPause == 300*time.Millisecond && s.ColdCapacity == 0.25 &&
