--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -122,7 +122,7 @@
 	}
 	dir := t.TempDir()
 	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, DiskBytes: 1e6, Log: discardLog,
-		Known: state.ListUpdate{Kind: control.ListCached}})
+		InitialList: state.ListUpdate{Kind: control.ListCached}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/hedge_test.go
+++ b/internal/protocol/hedge_test.go
@@ -36,7 +36,7 @@
 	}
 	l, err := state.NewLoop(state.Setup{
 		Settings: set, Dir: t.TempDir(), DiskBytes: 1e6, Log: discardLog,
-		Known: state.ListUpdate{Kind: control.ListCached, Version: 1, Targets: targets},
+		InitialList: state.ListUpdate{Kind: control.ListCached, Version: 1, Targets: targets},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -64,7 +64,7 @@
 	}
 	dir, hasDir := s.walDirs[num]
 	loop, err := state.NewLoop(state.Setup{
-		Settings: settings, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6,
+		Settings: settings, InitialList: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6,
 		Log: s.log, Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &sd.counters,
 	})
 	if err != nil {
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -90,7 +90,7 @@
 		HeadroomIndex: -1, LimitIndex: -1, AllowHedging: true, CanCancel: true,
 		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2,
 	}
-	l, err := NewLoop(Setup{Settings: settings, Dir: dir, DiskBytes: disk, Log: discardLog, Known: known})
+	l, err := NewLoop(Setup{Settings: settings, Dir: dir, DiskBytes: disk, Log: discardLog, InitialList: known})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -27,7 +27,7 @@
 type Setup struct {
 	Settings    control.Settings
 	Classes     []string   // names of the classes in Settings, by class number
-	Known       ListUpdate // the endpoint list to start with; ignored if Handover is set
+	InitialList ListUpdate // the endpoint list to start with; ignored if Handover is set
 	Dir         string     // the state folder
 	DiskBytes   int64      // the maximum size of all files in Dir
 	Log         *slog.Logger
@@ -139,9 +139,9 @@
 	if s.Handover != nil {
 		l.restoreHandover(s.Handover)
 	} else {
-		s.Known.Targets = slices.Clone(s.Known.Targets)
-		l.departures.Apply(s.Known.Targets)
-		l.backlog = append(l.backlog, s.Known)
+		s.InitialList.Targets = slices.Clone(s.InitialList.Targets)
+		l.departures.Apply(s.InitialList.Targets)
+		l.backlog = append(l.backlog, s.InitialList)
 	}
 	return l, nil
 }
