--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -60,7 +60,7 @@
 	c := s.config
 	setup := state.Setup{
 		Settings: c.Settings, Classes: namesByNumber(c.Names.Classes), InitialList: c.Known, Dir: c.State,
-		DiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
+		MaxDiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
 	}
 	if c.ScriptSettings != nil {
 		setup.Durability, setup.GroupWait = durabilityByName[c.ScriptSettings.Journal.Durability],
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -121,7 +121,7 @@
 		ColdCapacity: 0.2, OverloadFactor: 2,
 	}
 	dir := t.TempDir()
-	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, DiskBytes: 1e6, Log: discardLog,
+	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, MaxDiskBytes: 1e6, Log: discardLog,
 		InitialList: state.ListUpdate{Kind: control.ListCached}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/hedge_test.go
+++ b/internal/protocol/hedge_test.go
@@ -35,7 +35,7 @@
 		targets = append(targets, target)
 	}
 	l, err := state.NewLoop(state.Setup{
-		Settings: set, Dir: t.TempDir(), DiskBytes: 1e6, Log: discardLog,
+		Settings: set, Dir: t.TempDir(), MaxDiskBytes: 1e6, Log: discardLog,
 		InitialList: state.ListUpdate{Kind: control.ListCached, Version: 1, Targets: targets},
 	})
 	if err != nil {
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -19,7 +19,7 @@
 			setup := Setup{
 				Settings: control.Settings{FleetSize: 1, Classes: classes, Kinds: []control.Kind{{MaxBatch: 1}}, MaxInFlight: 64,
 					MaxOpenMessages: 256, HeadroomIndex: -1, LimitIndex: -1},
-				Dir: dir, DiskBytes: 8e6, Log: discardLog, InitialList: ListUpdate{Kind: control.ListCached, Version: 1,
+				Dir: dir, MaxDiskBytes: 8e6, Log: discardLog, InitialList: ListUpdate{Kind: control.ListCached, Version: 1,
 					Targets: []Target{target}},
 			}
 			if withQueue {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -78,7 +78,7 @@
 func TestGoldenJournal(t *testing.T) {
 	dir := golden.Folder(t, "journal")
 	golden.Bytes(t, "journal-pending.txt", goldenPending(t, dir), false)
-	j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, &classRegistry{})
+	j, table, err := openLog(Setup{Dir: dir, MaxDiskBytes: 1e6, Log: discardLog}, &classRegistry{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 func TestGoldenOldJournal(t *testing.T) {
 	dir := golden.Folder(t, "old-journal")
 	golden.Bytes(t, "old-journal-pending.txt", goldenPending(t, dir), false)
-	j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, &classRegistry{})
+	j, table, err := openLog(Setup{Dir: dir, MaxDiskBytes: 1e6, Log: discardLog}, &classRegistry{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/helpers_test.go
+++ b/internal/state/helpers_test.go
@@ -90,7 +90,7 @@
 		HeadroomIndex: -1, LimitIndex: -1, AllowHedging: true, CanCancel: true,
 		OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second, ColdCapacity: 0.2, OverloadFactor: 2,
 	}
-	l, err := NewLoop(Setup{Settings: settings, Dir: dir, DiskBytes: disk, Log: discardLog, InitialList: known})
+	l, err := NewLoop(Setup{Settings: settings, Dir: dir, MaxDiskBytes: disk, Log: discardLog, InitialList: known})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 // openTestLog opens the log in a folder.
 func openTestLog(t *testing.T, dir string) (*wal.Log, *table) {
 	t.Helper()
-	l, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, &classRegistry{})
+	l, table, err := openLog(Setup{Dir: dir, MaxDiskBytes: 1e6, Log: discardLog}, &classRegistry{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -25,13 +25,13 @@
 
 // Setup is the configuration of a new loop.
 type Setup struct {
-	Settings    control.Settings
-	Classes     []string   // names of the classes in Settings, by class number
-	InitialList ListUpdate // the endpoint list to start with; ignored if Handover is set
-	Dir         string     // the state folder
-	DiskBytes   int64      // the maximum size of all files in Dir
-	Log         *slog.Logger
-	DeadLetters DeadLetterQueue // nil: undeliverable messages are not kept
+	Settings     control.Settings
+	Classes      []string   // names of the classes in Settings, by class number
+	InitialList  ListUpdate // the endpoint list to start with; ignored if Handover is set
+	Dir          string     // the state folder
+	MaxDiskBytes int64      // the maximum size of all files in Dir
+	Log          *slog.Logger
+	DeadLetters  DeadLetterQueue // nil: undeliverable messages are not kept
 
 	Handover *HandoverState // state of a predecessor that still runs; nil: there is none
 
@@ -150,10 +150,10 @@
 func openLog(s Setup, registry *classRegistry) (*wal.Log, *table, error) {
 	t := newTable(registry)
 	if s.InMemory {
-		return wal.InMemory(s.DiskBytes), t, nil
+		return wal.InMemory(s.MaxDiskBytes), t, nil
 	}
 	log, recovered, err := wal.Open(wal.Options{
-		Dir: s.Dir, Limit: s.DiskBytes, Reserved: 2 * endpointgroup.MaxDeparturesBytes, Durability: s.Durability,
+		Dir: s.Dir, Limit: s.MaxDiskBytes, Reserved: 2 * endpointgroup.MaxDeparturesBytes, Durability: s.Durability,
 		GroupWait: s.GroupWait, Virtual: s.Clock != nil, Log: s.Log,
 	})
 	if err != nil {
--- a/internal/state/settings_test.go
+++ b/internal/state/settings_test.go
@@ -37,7 +37,7 @@
 		{"another name", newRegistryOf(safe, named("order", control.IdempotentByKey)), 2},
 	} {
 		dir := t.TempDir()
-		j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, newRegistryOf(safe, keyed))
+		j, table, err := openLog(Setup{Dir: dir, MaxDiskBytes: 1e6, Log: discardLog}, newRegistryOf(safe, keyed))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		j.Close()
-		j, table, err = openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, c.newRegistry)
+		j, table, err = openLog(Setup{Dir: dir, MaxDiskBytes: 1e6, Log: discardLog}, c.newRegistry)
 		if err != nil {
 			t.Fatal(err)
 		}
