--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -39,7 +39,7 @@
 	s.reporter = protocol.NewReporter(s.loop, c.Discovery, p.log)
 	s.loop.Connect(s.transport, s.discovery, s.reporter)
 	if s.gossip != nil {
-		s.loop.ConnectPeers(s.gossip)
+		s.loop.ConnectGossip(s.gossip)
 	}
 	if s.listener, err = s.listen(clients); err != nil {
 		return nil, err
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	loop.Connect(sd, sd, sd)
-	loop.ConnectPeers(gossipSender{sd})
+	loop.ConnectGossip(gossipSender{sd})
 	sd.loop = loop
 	s.at(s.now, func() { sd.step() })
 	return sd, nil
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -168,9 +168,9 @@
 	l.transport, l.discovery, l.reporter = t, d, r
 }
 
-// ConnectPeers sets the sender of gossip to the other senders of the fleet. It must be called before Run. Without it no
-// gossip is sent.
-func (l *Loop) ConnectPeers(g GossipSender) { l.gossipSender = g }
+// ConnectGossip sets the sender of gossip to the other senders of the fleet. It must be called before Run. Without it
+// no gossip is sent.
+func (l *Loop) ConnectGossip(g GossipSender) { l.gossipSender = g }
 
 // Post posts an event to the loop. It blocks while the queue is full, which delays only the caller's goroutine. After
 // the end of Run the event is dropped.
