--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -28,7 +28,7 @@
 	Delivered       int64         `json:"delivered"`     // messages delivered
 	Deferred        int64         `json:"deferred"`      // messages returned to the client
 	Undeliverable   int64         `json:"undeliverable"` // messages given up
-	Called          int64         `json:"called"`        // messages that had their first attempt in this process
+	Attempted       int64         `json:"called"`        // messages that had their first attempt in this process
 	Late            int64         `json:"late"`          // of those, messages that waited longer than 50 ms for it
 	FirstCall       time.Duration `json:"first_call_ns"` // sum of the times from acceptance to first attempt
 	Open            int           `json:"open"`          // messages without an outcome now
@@ -43,7 +43,7 @@
 func (c *Counters) Counts() Counts {
 	return Counts{
 		Accepted: c.accepted.Load(), Rejected: c.rejected.Load(), Delivered: c.delivered.Load(), Deferred: c.deferred.Load(),
-		Undeliverable: c.undeliverable.Load(), Called: c.attempted.Load(), Late: c.late.Load(),
+		Undeliverable: c.undeliverable.Load(), Attempted: c.attempted.Load(), Late: c.late.Load(),
 		FirstCall: time.Duration(c.firstAttemptWait.Load()), Open: int(c.open.Load()),
 		UnreadableLists: c.unreadableLists.Load(), Suspensions: c.suspensions.Load(),
 		Withheld: nonZeroCounts(&c.withheld), Violations: nonZeroCounts(&c.violations),
