--- a/internal/agent/observation.go
+++ b/internal/agent/observation.go
@@ -31,7 +31,7 @@
 		Facts: rollout.Counters{
 			Accepted: counts.Accepted, Rejected: counts.Rejected,
 			Delivered: counts.Delivered, Deferred: counts.Deferred, Failed: counts.Undeliverable,
-			Called: counts.Attempted, Late: counts.Late, FirstCall: counts.FirstCall,
+			Called: counts.Attempted, Late: counts.Late, FirstCall: counts.FirstAttemptWait,
 			MemoryMB: status.MemoryMB,
 		},
 	}
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -237,7 +237,7 @@
 		Ended: sd.lease.Ended, Phase: "serving", Open: c.Open,
 		Facts: rollout.Counters{
 			Accepted: c.Accepted, Rejected: c.Rejected, Delivered: c.Delivered, Deferred: c.Deferred, Failed: c.Undeliverable,
-			Called: c.Attempted, Late: c.Late, FirstCall: c.FirstCall,
+			Called: c.Attempted, Late: c.Late, FirstCall: c.FirstAttemptWait,
 		},
 	}
 	v.Serving, v.Drained = !sd.lease.Active(), sd.lease.Active() && sd.lease.Drain
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -23,17 +23,17 @@
 
 // Counts holds the values of Counters since the start of the process, except for Open.
 type Counts struct {
-	Accepted        int64         `json:"taken"`         // messages accepted from clients
-	Rejected        int64         `json:"refused"`       // messages rejected: no capacity, or no prospect of delivery
-	Delivered       int64         `json:"delivered"`     // messages delivered
-	Deferred        int64         `json:"deferred"`      // messages returned to the client
-	Undeliverable   int64         `json:"undeliverable"` // messages given up
-	Attempted       int64         `json:"called"`        // messages that had their first attempt in this process
-	Late            int64         `json:"late"`          // of those, messages that waited longer than 50 ms for it
-	FirstCall       time.Duration `json:"first_call_ns"` // sum of the times from acceptance to first attempt
-	Open            int           `json:"open"`          // messages without an outcome now
-	UnreadableLists int64         `json:"unread"`        // answers of discovery that could not be read completely
-	Suspensions     int64         `json:"holds"`         // how often sends were suspended because of that
+	Accepted         int64         `json:"taken"`         // messages accepted from clients
+	Rejected         int64         `json:"refused"`       // messages rejected: no capacity, or no prospect of delivery
+	Delivered        int64         `json:"delivered"`     // messages delivered
+	Deferred         int64         `json:"deferred"`      // messages returned to the client
+	Undeliverable    int64         `json:"undeliverable"` // messages given up
+	Attempted        int64         `json:"called"`        // messages that had their first attempt in this process
+	Late             int64         `json:"late"`          // of those, messages that waited longer than 50 ms for it
+	FirstAttemptWait time.Duration `json:"first_call_ns"` // sum of the times from acceptance to first attempt
+	Open             int           `json:"open"`          // messages without an outcome now
+	UnreadableLists  int64         `json:"unread"`        // answers of discovery that could not be read completely
+	Suspensions      int64         `json:"holds"`         // how often sends were suspended because of that
 
 	Withheld   map[string]int64 `json:"withheld,omitempty"` // sends that were decided on and withheld, by reason
 	Violations map[string]int64 `json:"broken,omitempty"`   // calls sent against a rule, by rule; 0 in a correct program
@@ -44,7 +44,7 @@
 	return Counts{
 		Accepted: c.accepted.Load(), Rejected: c.rejected.Load(), Delivered: c.delivered.Load(), Deferred: c.deferred.Load(),
 		Undeliverable: c.undeliverable.Load(), Attempted: c.attempted.Load(), Late: c.late.Load(),
-		FirstCall: time.Duration(c.firstAttemptWait.Load()), Open: int(c.open.Load()),
+		FirstAttemptWait: time.Duration(c.firstAttemptWait.Load()), Open: int(c.open.Load()),
 		UnreadableLists: c.unreadableLists.Load(), Suspensions: c.suspensions.Load(),
 		Withheld: nonZeroCounts(&c.withheld), Violations: nonZeroCounts(&c.violations),
 	}
