--- a/internal/state/pending.go
+++ b/internal/state/pending.go
@@ -7,8 +7,8 @@
 	"cleathold/internal/wal"
 )
 
-// FormWritten is the format of the journal that this program writes to the state folder (wal.FormWritten).
-const FormWritten = wal.FormWritten
+// FormatVersion is the format of the journal that this program writes to the state folder (wal.FormatVersion).
+const FormatVersion = wal.FormWritten
 
 // FormsRead are the journal formats that this program can read (wal.FormsRead).
 var FormsRead = wal.FormsRead
