--- a/internal/state/pending.go
+++ b/internal/state/pending.go
@@ -8,7 +8,7 @@
 )
 
 // FormatVersion is the format of the journal that this program writes to the state folder (wal.FormatVersion).
-const FormatVersion = wal.FormWritten
+const FormatVersion = wal.FormatVersion
 
 // FormsRead are the journal formats that this program can read (wal.FormsRead).
 var FormsRead = wal.FormsRead
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -29,9 +29,9 @@
 	recordAllowance = 768
 )
 
-// FormWritten is the version of the log format that this program writes; releases are checked for compatibility by
+// FormatVersion is the version of the log format that this program writes; releases are checked for compatibility by
 // it. Version 1 is a single file, version 2 is a store.
-const FormWritten = 2
+const FormatVersion = 2
 
 // FormsRead lists the versions of the log format that this program can read.
 var FormsRead = []int{1, 2}
