--- a/cmd/cleathold/main.go
+++ b/cmd/cleathold/main.go
@@ -44,7 +44,8 @@
 		version = info.Main.Version
 	}
 	if c.JSON {
-		return writeJSON(out, agent.ProgramInfo{Version: version, Reads: state.FormsRead, Writes: state.FormatVersion})
+		return writeJSON(out, agent.ProgramInfo{Version: version, Reads: state.SupportedFormatVersions,
+			Writes: state.FormatVersion})
 	}
 	_, err := fmt.Fprintln(out, "cleathold", version)
 	return err
--- a/internal/state/pending.go
+++ b/internal/state/pending.go
@@ -10,8 +10,8 @@
 // FormatVersion is the format of the journal that this program writes to the state folder (wal.FormatVersion).
 const FormatVersion = wal.FormatVersion
 
-// FormsRead are the journal formats that this program can read (wal.FormsRead).
-var FormsRead = wal.FormsRead
+// SupportedFormatVersions are the journal formats that this program can read (wal.SupportedFormatVersions).
+var SupportedFormatVersions = wal.FormsRead
 
 // Pending is one message for which a state folder still owes something.
 type Pending struct {
