--- a/internal/state/pending.go
+++ b/internal/state/pending.go
@@ -11,7 +11,7 @@
 const FormatVersion = wal.FormatVersion
 
 // SupportedFormatVersions are the journal formats that this program can read (wal.SupportedFormatVersions).
-var SupportedFormatVersions = wal.FormsRead
+var SupportedFormatVersions = wal.SupportedFormatVersions
 
 // Pending is one message for which a state folder still owes something.
 type Pending struct {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -33,8 +33,8 @@
 // it. Version 1 is a single file, version 2 is a store.
 const FormatVersion = 2
 
-// FormsRead lists the versions of the log format that this program can read.
-var FormsRead = []int{1, 2}
+// SupportedFormatVersions lists the versions of the log format that this program can read.
+var SupportedFormatVersions = []int{1, 2}
 
 // Log appends records to a store and keeps the state folder within a size limit. It is not safe for concurrent use.
 type Log struct {
