--- a/internal/protocol/counters.go
+++ b/internal/protocol/counters.go
@@ -19,7 +19,7 @@
 	Accepted     int64            `json:"accepted"`          // accepted connections
 	AcceptFailed int64            `json:"accept_failed"`     // failed accept calls
 	Requests     int64            `json:"requests"`          // requests of which at least one byte arrived
-	Answers      map[string]int64 `json:"answers,omitempty"` // complete responses by status
+	Responses    map[string]int64 `json:"answers,omitempty"` // complete responses by status
 	Unanswered   int64            `json:"unanswered"`        // requests whose connection ended before a complete response
 	Evicted      int64            `json:"evicted"`           // idle connections closed to free slots for new ones
 }
@@ -28,11 +28,11 @@
 func (c *Counters) Counts() Counts {
 	counts := Counts{
 		Accepted: c.accepted.Load(), AcceptFailed: c.acceptFailed.Load(), Requests: c.requests.Load(),
-		Unanswered: c.unanswered.Load(), Evicted: c.evicted.Load(), Answers: map[string]int64{},
+		Unanswered: c.unanswered.Load(), Evicted: c.evicted.Load(), Responses: map[string]int64{},
 	}
 	for status := range c.responses {
 		if n := c.responses[status].Load(); n > 0 {
-			counts.Answers[strconv.Itoa(status)] = n
+			counts.Responses[strconv.Itoa(status)] = n
 		}
 	}
 	return counts
--- a/internal/protocol/listener_test.go
+++ b/internal/protocol/listener_test.go
@@ -347,14 +347,14 @@
 	}
 	// The listener counts a response after it has written it, so the client may read it before.
 	counts := l.counters.Counts()
-	for until := time.Now().Add(10 * time.Second); counts.Answers["202"]+counts.Answers["503"] < 5; {
+	for until := time.Now().Add(10 * time.Second); counts.Responses["202"]+counts.Responses["503"] < 5; {
 		if time.Now().After(until) {
 			break
 		}
 		time.Sleep(time.Millisecond)
 		counts = l.counters.Counts()
 	}
-	if counts.Requests != 6 || counts.Unanswered != 1 || counts.Answers["202"] != 2 || counts.Answers["503"] != 3 {
+	if counts.Requests != 6 || counts.Unanswered != 1 || counts.Responses["202"] != 2 || counts.Responses["503"] != 3 {
 		t.Errorf("counted %+v", counts)
 	}
 	l.Activate()
