--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -13,13 +13,13 @@
 	"cleathold/internal/state"
 )
 
-// A Source loads the current configuration.
-type Source func() (Config, error)
+// A ConfigLoader loads the current configuration.
+type ConfigLoader func() (Config, error)
 
 // Serve runs the sender until SIGTERM or SIGINT and the orderly shutdown that follows. On SIGHUP it reloads its
 // configuration. SIGHUP is caught before anything else is done and until the process exits, because it must never
 // terminate the process.
-func Serve(load Source, log *slog.Logger) error {
+func Serve(load ConfigLoader, log *slog.Logger) error {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	stop := make(chan os.Signal, 1)
@@ -29,7 +29,7 @@
 }
 
 // Run is Serve with the signals as parameters.
-func Run(load Source, log *slog.Logger, stop, reload <-chan os.Signal) error {
+func Run(load ConfigLoader, log *slog.Logger, stop, reload <-chan os.Signal) error {
 	c, err := retry(log, "configuration", startTimeout, load)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 
 // A process holds the state that outlives a server. After a failed hand-over, the same process builds another server.
 type process struct {
-	load     Source
+	load     ConfigLoader
 	log      *slog.Logger
 	reload   <-chan os.Signal
 	stop     <-chan time.Time // receives the time of the first stop signal
@@ -79,7 +79,7 @@
 }
 
 func newProcess(
-	ctx context.Context, c Config, load Source, log *slog.Logger, stop <-chan time.Time, reload <-chan os.Signal,
+	ctx context.Context, c Config, load ConfigLoader, log *slog.Logger, stop <-chan time.Time, reload <-chan os.Signal,
 ) *process {
 	p := &process{
 		load: load, log: log, reload: reload, stop: stop, machine: newStateMachine(log),
