--- a/cmd/cleathold/serve.go
+++ b/cmd/cleathold/serve.go
@@ -51,7 +51,8 @@
 		return err
 	}
 	_, err = fmt.Fprintf(out, "%s: listens on %s, %d classes, %d targets known, %d slots, holds %d messages\n",
-		c.Name, c.Listen, len(c.Settings.Classes), len(c.Known.Targets), c.Settings.MaxInFlight, c.Settings.MaxOpenMessages)
+		c.Name, c.Listen, len(c.Settings.Classes), len(c.CachedList.Targets), c.Settings.MaxInFlight,
+		c.Settings.MaxOpenMessages)
 	return err
 }
 
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -59,7 +59,7 @@
 func (s *server) loopSetup() state.Setup {
 	c := s.config
 	setup := state.Setup{
-		Settings: c.Settings, Classes: namesByNumber(c.Names.Classes), InitialList: c.Known, Dir: c.State,
+		Settings: c.Settings, Classes: namesByNumber(c.Names.Classes), InitialList: c.CachedList, Dir: c.State,
 		MaxDiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
 	}
 	if c.ScriptSettings != nil {
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -26,7 +26,7 @@
 	Limits                         Limits
 	Settings                       control.Settings
 	Names                          protocol.Names
-	Known                          state.ListUpdate
+	CachedList                     state.ListUpdate
 	ScriptSettings                 *settings.Settings // from the settings script; nil: no script is configured
 
 	raw     string             // contents of the file
@@ -109,13 +109,13 @@
 	for _, p := range doc.Get("peers").Array() {
 		c.Peers = append(c.Peers, p.String())
 	}
-	c.Known.Version = state.NoVersion
+	c.CachedList.Version = state.NoVersion
 	if known := doc.Get("known"); known.Exists() {
-		if c.Known, err = protocol.ParseList([]byte(known.Raw), c.Names); err != nil {
+		if c.CachedList, err = protocol.ParseList([]byte(known.Raw), c.Names); err != nil {
 			return c, fmt.Errorf("configuration: known: %w", err)
 		}
 	}
-	c.Known.Kind = control.ListCached
+	c.CachedList.Kind = control.ListCached
 	return c, nil
 }
 
--- a/internal/lifecycle/server.go
+++ b/internal/lifecycle/server.go
@@ -105,7 +105,7 @@
 	s.machine.startServing(s.listener)
 	c := s.config
 	s.log.Info("serving", "sender", c.Name, "listen", s.listener.Addr().String(), "fleet_size", c.Settings.FleetSize,
-		"version", c.Known.Version, "count", len(c.Known.Targets), "discovery", c.Discovery)
+		"version", c.CachedList.Version, "count", len(c.CachedList.Targets), "discovery", c.Discovery)
 	return nil
 }
 
