--- a/cmd/cleathold/deadletter.go
+++ b/cmd/cleathold/deadletter.go
@@ -49,8 +49,8 @@
 	if script.Admin != nil {
 		socket = script.Admin.Socket
 	}
-	if script.Held != nil {
-		folder = script.Held.Folder
+	if script.DeadLetterQueue != nil {
+		folder = script.DeadLetterQueue.Folder
 	}
 	return socket, folder, nil
 }
--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -31,7 +31,7 @@
 
 // Config configures a Queue.
 type Config struct {
-	Settings *settings.Settings // Held must be set
+	Settings *settings.Settings // DeadLetterQueue must be set
 	Platform control.Settings
 	Names    Names
 	Log      *slog.Logger
@@ -184,7 +184,7 @@
 // store is failing or too many dead letters wait to be written.
 func (q *Queue) Accepts(letter *state.DeadLetter) bool {
 	q.mu.Lock()
-	full := q.failing || q.newDeadLetters >= q.settings.Held.Queue
+	full := q.failing || q.newDeadLetters >= q.settings.DeadLetterQueue.Queue
 	current, platform := q.settings, q.platform.Load()
 	partner := q.partner(letter.Message.Destination)
 	q.mu.Unlock()
--- a/internal/deadletter/review.go
+++ b/internal/deadletter/review.go
@@ -22,7 +22,8 @@
 	q.mu.Lock()
 	current := q.settings
 	q.mu.Unlock()
-	bounds := Bounds{current.Held.MaxBytes, current.Held.MaxRecords, current.Held.MaxAge, current.Held.KeepEnded}
+	bounds := Bounds{current.DeadLetterQueue.MaxBytes, current.DeadLetterQueue.MaxRecords, current.DeadLetterQueue.MaxAge,
+		current.DeadLetterQueue.KeepEnded}
 	due, err := s.findDue(now, bounds)
 	if err != nil {
 		return 0, err
--- a/internal/deadletter/writer.go
+++ b/internal/deadletter/writer.go
@@ -62,7 +62,7 @@
 // succeeded. A damaged store is abandoned; damage is then set to the error, so that the next call recovers the store.
 func (q *Queue) runOnce(ctx context.Context, damage *error) (written bool, err error) {
 	q.mu.Lock()
-	s, folder := q.store, q.settings.Held.Folder
+	s, folder := q.store, q.settings.DeadLetterQueue.Folder
 	q.mu.Unlock()
 	if s == nil {
 		if s, err = openOrRecover(folder, *damage, q.log); err != nil {
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -122,7 +122,7 @@
 
 // newDeadLetterQueue creates the queue of undeliverable messages, or returns nil if the settings configure none.
 func newDeadLetterQueue(c Config, log *slog.Logger) *deadletter.Queue {
-	if c.ScriptSettings == nil || c.ScriptSettings.Held == nil {
+	if c.ScriptSettings == nil || c.ScriptSettings.DeadLetterQueue == nil {
 		return nil
 	}
 	return deadletter.NewQueue(deadletter.Config{
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -128,15 +128,16 @@
 // rules change at once. The dead-letter queue's folder, the write-ahead log's durability and the admin socket keep
 // their values until the next start.
 func reloadOwnSettings(old, c *settings.Settings, log *slog.Logger) *settings.Settings {
-	if old == nil || c == nil || (old.Held == nil) != (c.Held == nil) {
+	if old == nil || c == nil || (old.DeadLetterQueue == nil) != (c.DeadLetterQueue == nil) {
 		if old != nil || c != nil {
 			log.Warn("settings change takes effect at the next start: dead-letter queue enabled or disabled")
 		}
 		return old
 	}
-	if c.Held != nil && c.Held.Folder != old.Held.Folder {
-		log.Warn("settings change takes effect at the next start: folder of the dead-letter queue", "folder", c.Held.Folder)
-		c.Held.Folder = old.Held.Folder
+	if c.DeadLetterQueue != nil && c.DeadLetterQueue.Folder != old.DeadLetterQueue.Folder {
+		log.Warn("settings change takes effect at the next start: folder of the dead-letter queue", "folder",
+			c.DeadLetterQueue.Folder)
+		c.DeadLetterQueue.Folder = old.DeadLetterQueue.Folder
 	}
 	if c.Journal != old.Journal {
 		log.Warn("settings change takes effect at the next start: durability of the write-ahead log")
--- a/internal/settings/builtins.go
+++ b/internal/settings/builtins.go
@@ -39,7 +39,7 @@
 func (s *Settings) heldBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	h := &Held{}
+	h := &DeadLetterQueue{}
 	age, ended := number(7*86400), number(86400)
 	maxBytes, maxRecords, queue := int64(256_000_000), 100_000, 256
 	var folder string
@@ -59,7 +59,7 @@
 		return nil, errors.New("held: arguments must be passed by name")
 	case checkTopLevel(t, "held") != nil:
 		return nil, checkTopLevel(t, "held")
-	case s.Held != nil:
+	case s.DeadLetterQueue != nil:
 		return nil, errors.New("held: called twice")
 	case folder == "":
 		return nil, errors.New("held: folder must not be empty")
@@ -71,7 +71,7 @@
 		return nil, errors.New("held: queue must be 1 to 65,536")
 	}
 	h.Folder, h.MaxBytes, h.MaxRecords, h.Queue = s.resolvePath(folder), maxBytes, maxRecords, queue
-	s.Held = h
+	s.DeadLetterQueue = h
 	return starlark.None, nil
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,19 +16,19 @@
 
 // Settings are the settings of a script. They are immutable once loaded. Rules may be called concurrently.
 type Settings struct {
-	Path       string
-	Held       *Held  // nil: no dead-letter queue
-	Admin      *Admin // nil: no admin API
-	Agent      *Agent // nil: settings of a sender
-	Resend     Resend
-	Journal    Journal
-	agentDraft *Agent // agent as configured before agent() is called
-	holdRule   starlark.Callable
-	afterRule  starlark.Callable
+	Path            string
+	DeadLetterQueue *DeadLetterQueue // nil: no dead-letter queue
+	Admin           *Admin           // nil: no admin API
+	Agent           *Agent           // nil: settings of a sender
+	Resend          Resend
+	Journal         Journal
+	agentDraft      *Agent // agent as configured before agent() is called
+	holdRule        starlark.Callable
+	afterRule       starlark.Callable
 }
 
-// Held holds the limits of the dead-letter queue.
-type Held struct {
+// DeadLetterQueue holds the limits of the dead-letter queue.
+type DeadLetterQueue struct {
 	Folder     string
 	MaxBytes   int64         // of bodies and records, without the overhead of the file's pages
 	MaxRecords int           // records, ended ones included
@@ -102,7 +102,7 @@
 	if s.Agent == nil && s.agentDraft != nil {
 		return nil, &Error{File: path, Text: "sender, budget and timing require an agent: call agent(name = ...)"}
 	}
-	if s.Held == nil && (s.holdRule != nil || s.afterRule != nil) {
+	if s.DeadLetterQueue == nil && (s.holdRule != nil || s.afterRule != nil) {
 		return nil, &Error{File: path, Text: "rules hold and after require a dead-letter queue: call held(folder = ...)"}
 	}
 	return s, nil
@@ -116,12 +116,13 @@
 			s.Path, a.Name, len(a.Agents), a.Listen, len(a.Senders), a.Version, a.Budget.Fleet, a.Budget.Building,
 			a.Budget.Serving)
 	}
-	if s.Held == nil {
+	if s.DeadLetterQueue == nil {
 		return s.Path + ": nothing is held; journal durable over " + s.Journal.survivedFailures()
 	}
 	text := fmt.Sprintf("%s: holds up to %d records and %d bytes for %v in %s; resends use %g of a partner's limit",
 		s.Path,
-		s.Held.MaxRecords, s.Held.MaxBytes, s.Held.MaxAge, s.Held.Folder, s.Resend.Share)
+		s.DeadLetterQueue.MaxRecords, s.DeadLetterQueue.MaxBytes, s.DeadLetterQueue.MaxAge, s.DeadLetterQueue.Folder,
+		s.Resend.Share)
 	for i, rule := range []starlark.Callable{s.holdRule, s.afterRule} {
 		if rule == nil {
 			text += "; no rule " + []string{"hold", "after"}[i]
