--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -184,7 +184,7 @@
 // store is failing or too many dead letters wait to be written.
 func (q *Queue) Accepts(letter *state.DeadLetter) bool {
 	q.mu.Lock()
-	full := q.failing || q.newDeadLetters >= q.settings.DeadLetterQueue.Queue
+	full := q.failing || q.newDeadLetters >= q.settings.DeadLetterQueue.MaxQueued
 	current, platform := q.settings, q.platform.Load()
 	partner := q.partner(letter.Message.Destination)
 	q.mu.Unlock()
--- a/internal/settings/builtins.go
+++ b/internal/settings/builtins.go
@@ -70,7 +70,7 @@
 	case queue < 1 || queue > 65_536:
 		return nil, errors.New("held: queue must be 1 to 65,536")
 	}
-	h.Folder, h.MaxBytes, h.MaxRecords, h.Queue = s.resolvePath(folder), maxBytes, maxRecords, queue
+	h.Folder, h.MaxBytes, h.MaxRecords, h.MaxQueued = s.resolvePath(folder), maxBytes, maxRecords, queue
 	s.DeadLetterQueue = h
 	return starlark.None, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -34,7 +34,7 @@
 	MaxRecords int           // records, ended ones included
 	MaxAge     time.Duration // a record is dropped at this age, open or ended
 	KeepEnded  time.Duration // an ended record is dropped after this
-	Queue      int           // maximum number of messages that wait for the store
+	MaxQueued  int           // maximum number of messages that wait for the store
 }
 
 // Admin is the address of the admin API.
