--- a/internal/deadletter/commands.go
+++ b/internal/deadletter/commands.go
@@ -137,7 +137,7 @@
 ) (Outcome, error) {
 	if within <= 0 {
 		q.mu.Lock()
-		within = q.settings.Resend.Within
+		within = q.settings.Redelivery.Within
 		q.mu.Unlock()
 	}
 	return q.changeSelected(ctx, caller, "resend", selection, dryRun, func(r *Record, now time.Time) error {
--- a/internal/deadletter/platform.go
+++ b/internal/deadletter/platform.go
@@ -86,6 +86,6 @@
 	return redelivery.Limits{
 		FleetSize: platform.FleetSize, ColdCapacity: platform.ColdCapacity, WarmUp: platform.WarmUp,
 		OverloadFactor: platform.OverloadFactor, OverloadWindow: platform.OverloadWindow,
-		CapacityShare: q.settings.Resend.Share, MaxInFlight: q.settings.Resend.MaxOut,
+		CapacityShare: q.settings.Redelivery.Share, MaxInFlight: q.settings.Redelivery.MaxOut,
 	}
 }
--- a/internal/settings/builtins.go
+++ b/internal/settings/builtins.go
@@ -102,7 +102,7 @@
 func (s *Settings) resendBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	share, within, out := number(s.Resend.Share), number(s.Resend.Within.Seconds()), s.Resend.MaxOut
+	share, within, out := number(s.Redelivery.Share), number(s.Redelivery.Within.Seconds()), s.Redelivery.MaxOut
 	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "share?", &share, "within?", &within, "max_out?",
 		&out); err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 	case out < 1 || out > 1024:
 		return nil, errors.New("resend: max_out must be 1 to 1,024")
 	}
-	s.Resend = Resend{Share: float64(share), Within: withinDuration, MaxOut: out}
+	s.Redelivery = Redelivery{Share: float64(share), Within: withinDuration, MaxOut: out}
 	return starlark.None, nil
 }
 
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -223,7 +223,7 @@
 			v.Type())}
 	}
 	if a.decision.Action == Redeliver && a.decision.Within == 0 {
-		a.decision.Within = s.Resend.Within
+		a.decision.Within = s.Redelivery.Within
 	}
 	return a.decision, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,7 @@
 	DeadLetterQueue *DeadLetterQueue // nil: no dead-letter queue
 	Admin           *Admin           // nil: no admin API
 	Agent           *Agent           // nil: settings of a sender
-	Resend          Resend
+	Redelivery      Redelivery
 	Journal         Journal
 	agentDraft      *Agent // agent as configured before agent() is called
 	holdRule        starlark.Callable
@@ -46,8 +46,8 @@
 	Wait       time.Duration // group: the longest time until a sync
 }
 
-// Resend holds the limits of redelivery.
-type Resend struct {
+// Redelivery holds the limits of redelivery.
+type Redelivery struct {
 	Share  float64       // fraction of a partner's capacity that redeliveries may use
 	Within time.Duration // default time for which an order to redeliver stays in force
 	MaxOut int           // maximum number of redeliveries in flight, over all destinations
@@ -62,7 +62,7 @@
 // defaults returns settings with the default values.
 func defaults(path string) *Settings {
 	return &Settings{
-		Path: path, Resend: Resend{Share: 0.5, Within: 10 * time.Minute, MaxOut: 8},
+		Path: path, Redelivery: Redelivery{Share: 0.5, Within: 10 * time.Minute, MaxOut: 8},
 		Journal: Journal{Durability: "process", Wait: 5 * time.Millisecond},
 	}
 }
@@ -122,7 +122,7 @@
 	text := fmt.Sprintf("%s: holds up to %d records and %d bytes for %v in %s; resends use %g of a partner's limit",
 		s.Path,
 		s.DeadLetterQueue.MaxRecords, s.DeadLetterQueue.MaxBytes, s.DeadLetterQueue.MaxAge, s.DeadLetterQueue.Folder,
-		s.Resend.Share)
+		s.Redelivery.Share)
 	for i, rule := range []starlark.Callable{s.holdRule, s.afterRule} {
 		if rule == nil {
 			text += "; no rule " + []string{"hold", "after"}[i]
