--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -63,8 +63,8 @@
 		MaxDiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
 	}
 	if c.ScriptSettings != nil {
-		setup.Durability, setup.GroupWait = durabilityByName[c.ScriptSettings.Journal.Durability],
-			c.ScriptSettings.Journal.Wait
+		setup.Durability, setup.GroupWait = durabilityByName[c.ScriptSettings.WriteAheadLog.Durability],
+			c.ScriptSettings.WriteAheadLog.Wait
 	}
 	if s.predecessor != nil {
 		setup.Handover = &s.predecessor.state
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -139,9 +139,9 @@
 			c.DeadLetterQueue.Folder)
 		c.DeadLetterQueue.Folder = old.DeadLetterQueue.Folder
 	}
-	if c.Journal != old.Journal {
+	if c.WriteAheadLog != old.WriteAheadLog {
 		log.Warn("settings change takes effect at the next start: durability of the write-ahead log")
-		c.Journal = old.Journal
+		c.WriteAheadLog = old.WriteAheadLog
 	}
 	if (old.Admin == nil) != (c.Admin == nil) || c.Admin != nil && *c.Admin != *old.Admin {
 		log.Warn("settings change takes effect at the next start: admin socket")
--- a/internal/lifecycle/reload_test.go
+++ b/internal/lifecycle/reload_test.go
@@ -51,13 +51,14 @@
 	with := func(folder, durability, socket string) *settings.Settings {
 		return &settings.Settings{
 			DeadLetterQueue: &settings.DeadLetterQueue{Folder: folder}, Admin: &settings.Admin{Socket: socket},
-			Journal: settings.Journal{Durability: durability},
+			WriteAheadLog: settings.WriteAheadLog{Durability: durability},
 		}
 	}
 	old := with("a", "group", "s")
 	got := reloadOwnSettings(old, with("b", "each", "t"), log)
-	if got == old || got.DeadLetterQueue.Folder != "a" || got.Journal.Durability != "group" || got.Admin.Socket != "s" {
-		t.Errorf("in force: %+v, %+v, %+v", got.DeadLetterQueue, got.Journal, got.Admin)
+	if got == old || got.DeadLetterQueue.Folder != "a" || got.WriteAheadLog.Durability != "group" ||
+		got.Admin.Socket != "s" {
+		t.Errorf("in force: %+v, %+v, %+v", got.DeadLetterQueue, got.WriteAheadLog, got.Admin)
 	}
 	if got := reloadOwnSettings(old, &settings.Settings{}, log); got != old {
 		t.Error("the reload disabled the dead-letter queue")
--- a/internal/settings/builtins.go
+++ b/internal/settings/builtins.go
@@ -128,7 +128,7 @@
 func (s *Settings) journalBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	durability, wait := "process", number(s.Journal.Wait.Seconds())
+	durability, wait := "process", number(s.WriteAheadLog.Wait.Seconds())
 	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "durability", &durability, "wait?", &wait); err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 	case waitDuration > time.Second:
 		return nil, errors.New("journal: wait must be at most one second")
 	}
-	s.Journal = Journal{Durability: durability, Wait: waitDuration}
+	s.WriteAheadLog = WriteAheadLog{Durability: durability, Wait: waitDuration}
 	return starlark.None, nil
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,7 +21,7 @@
 	Admin           *Admin           // nil: no admin API
 	Agent           *Agent           // nil: settings of a sender
 	Redelivery      Redelivery
-	Journal         Journal
+	WriteAheadLog   WriteAheadLog
 	agentDraft      *Agent // agent as configured before agent() is called
 	holdRule        starlark.Callable
 	afterRule       starlark.Callable
@@ -40,8 +40,8 @@
 // Admin is the address of the admin API.
 type Admin struct{ Socket string }
 
-// Journal configures the durability of the write-ahead log.
-type Journal struct {
+// WriteAheadLog configures the durability of the write-ahead log.
+type WriteAheadLog struct {
 	Durability string        // "process", "group" or "each"; see docs/operate/store.md
 	Wait       time.Duration // group: the longest time until a sync
 }
@@ -63,7 +63,7 @@
 func defaults(path string) *Settings {
 	return &Settings{
 		Path: path, Redelivery: Redelivery{Share: 0.5, Within: 10 * time.Minute, MaxOut: 8},
-		Journal: Journal{Durability: "process", Wait: 5 * time.Millisecond},
+		WriteAheadLog: WriteAheadLog{Durability: "process", Wait: 5 * time.Millisecond},
 	}
 }
 
@@ -117,7 +117,7 @@
 			a.Budget.Serving)
 	}
 	if s.DeadLetterQueue == nil {
-		return s.Path + ": nothing is held; journal durable over " + s.Journal.survivedFailures()
+		return s.Path + ": nothing is held; journal durable over " + s.WriteAheadLog.survivedFailures()
 	}
 	text := fmt.Sprintf("%s: holds up to %d records and %d bytes for %v in %s; resends use %g of a partner's limit",
 		s.Path,
@@ -131,11 +131,11 @@
 	if s.Admin != nil {
 		text += "; admin socket " + s.Admin.Socket
 	}
-	return text + "; journal durable over " + s.Journal.survivedFailures()
+	return text + "; journal durable over " + s.WriteAheadLog.survivedFailures()
 }
 
 // survivedFailures describes the failures that an accepted message survives.
-func (j Journal) survivedFailures() string {
+func (j WriteAheadLog) survivedFailures() string {
 	switch j.Durability {
 	case "group":
 		return fmt.Sprintf("kills, and power cuts but for the last %v", j.Wait)
