--- a/cmd/cleathold/deadletterorder.go
+++ b/cmd/cleathold/deadletterorder.go
@@ -50,7 +50,7 @@
 
 // run executes an order page by page and writes the result. It returns an error with exitRejected if any record was
 // rejected.
-func (f *orderFlags) run(out io.Writer, h *heldCmd, verb string, order admin.Order) error {
+func (f *orderFlags) run(out io.Writer, h *heldCmd, verb string, order admin.DeadLetterRequest) error {
 	filter, err := f.parse()
 	switch {
 	case err != nil:
@@ -86,7 +86,8 @@
 }
 
 // runSequences executes the order for the records with these sequence numbers.
-func (r *orderResult) runSequences(ctx context.Context, api admin.API, order admin.Order, sequences []uint64) error {
+func (r *orderResult) runSequences(ctx context.Context, api admin.API, order admin.DeadLetterRequest,
+	sequences []uint64) error {
 	for len(sequences) > 0 {
 		count := min(len(sequences), deadletter.MaxPageSize)
 		order.Selection = deadletter.Selection{Sequences: sequences[:count]}
@@ -102,7 +103,7 @@
 
 // runFilter executes the order for all records that pass a filter, and writes progress messages to standard error.
 func (r *orderResult) runFilter(
-	ctx context.Context, api admin.API, order admin.Order, filter deadletter.Filter,
+	ctx context.Context, api admin.API, order admin.DeadLetterRequest, filter deadletter.Filter,
 ) error {
 	next := uint64(0)
 	for pages := 1; ; pages++ {
@@ -158,7 +159,7 @@
 
 // Run executes the command.
 func (c *heldResendCmd) Run(out io.Writer, h *heldCmd) error {
-	return c.run(out, h, "resend", admin.Order{WithinS: c.Within.Seconds()})
+	return c.run(out, h, "resend", admin.DeadLetterRequest{WithinS: c.Within.Seconds()})
 }
 
 // heldDropCmd drops records without redelivery.
@@ -166,5 +167,5 @@
 
 // Run executes the command.
 func (c *heldDropCmd) Run(out io.Writer, h *heldCmd) error {
-	return c.run(out, h, "drop", admin.Order{})
+	return c.run(out, h, "drop", admin.DeadLetterRequest{})
 }
--- a/internal/admin/deadletters.go
+++ b/internal/admin/deadletters.go
@@ -85,7 +85,7 @@
 const maxWithinS = 365 * 86400
 
 // decodeOrder decodes the body of a request that changes dead letters and checks its range.
-func decodeOrder(r *http.Request) (o Order, err error) {
+func decodeOrder(r *http.Request) (o DeadLetterRequest, err error) {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&o); err != nil {
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -11,6 +11,6 @@
 func TestGoldenResponses(t *testing.T) {
 	golden.JSON[Status](t, "status.json")
 	golden.JSON[[]state.ListedTarget](t, "targets.json")
-	golden.JSON[Order](t, "order.json")
+	golden.JSON[DeadLetterRequest](t, "order.json")
 	golden.JSON[Page](t, "page.json")
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -41,8 +41,8 @@
 	Import(ctx context.Context, by string, lines []deadletter.ExportLine, dry bool) (deadletter.Outcome, error)
 }
 
-// Order is the body of a request that changes dead letters.
-type Order struct {
+// DeadLetterRequest is the body of a request that changes dead letters.
+type DeadLetterRequest struct {
 	Selection deadletter.Selection    `json:"selection,omitzero"`
 	Lines     []deadletter.ExportLine `json:"lines,omitempty"`
 	WithinS   float64                 `json:"within_s,omitempty"`
