--- a/cmd/cleathold/deadletterorder.go
+++ b/cmd/cleathold/deadletterorder.go
@@ -159,7 +159,7 @@
 
 // Run executes the command.
 func (c *heldResendCmd) Run(out io.Writer, h *heldCmd) error {
-	return c.run(out, h, "resend", admin.DeadLetterRequest{WithinS: c.Within.Seconds()})
+	return c.run(out, h, "resend", admin.DeadLetterRequest{WithinSeconds: c.Within.Seconds()})
 }
 
 // heldDropCmd drops records without redelivery.
--- a/cmd/cleathold/recovery_test.go
+++ b/cmd/cleathold/recovery_test.go
@@ -188,7 +188,7 @@
 
 // resendAll orders the redelivery of all records, each within withinS seconds.
 func resendAll(api admin.API, withinS float64) (done int, rejected []deadletter.RejectedRecord, err error) {
-	order := admin.DeadLetterRequest{WithinS: withinS}
+	order := admin.DeadLetterRequest{WithinSeconds: withinS}
 	order.Selection.Limit = deadletter.MaxPageSize
 	for {
 		page, err := api.Act(context.Background(), "resend", order)
--- a/cmd/cleathold/redelivery_test.go
+++ b/cmd/cleathold/redelivery_test.go
@@ -150,7 +150,7 @@
 				accepted[id] = true
 			}
 		}
-		order := admin.DeadLetterRequest{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinS: 1}
+		order := admin.DeadLetterRequest{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinSeconds: 1}
 		go env.adminAPI().Act(context.Background(), "resend", order)
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 		rounds.end(env, process)
--- a/internal/admin/deadletters.go
+++ b/internal/admin/deadletters.go
@@ -91,7 +91,7 @@
 	if err := d.Decode(&o); err != nil {
 		return o, &statusError{http.StatusBadRequest, "order: " + err.Error()}
 	}
-	if o.WithinS < 0 || o.WithinS > maxWithinS {
+	if o.WithinSeconds < 0 || o.WithinSeconds > maxWithinS {
 		return o, &statusError{http.StatusBadRequest, "within_s out of range"}
 	}
 	return o, nil
@@ -102,7 +102,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.deadLetters.Redeliver(r.Context(), caller(r), o.Selection, time.Duration(o.WithinS*float64(time.Second)),
+	return s.deadLetters.Redeliver(r.Context(), caller(r), o.Selection,
+		time.Duration(o.WithinSeconds*float64(time.Second)),
 		o.DryRun)
 }
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -43,10 +43,10 @@
 
 // DeadLetterRequest is the body of a request that changes dead letters.
 type DeadLetterRequest struct {
-	Selection deadletter.Selection    `json:"selection,omitzero"`
-	Lines     []deadletter.ExportLine `json:"lines,omitempty"`
-	WithinS   float64                 `json:"within_s,omitempty"`
-	DryRun    bool                    `json:"dry_run,omitempty"`
+	Selection     deadletter.Selection    `json:"selection,omitzero"`
+	Lines         []deadletter.ExportLine `json:"lines,omitempty"`
+	WithinSeconds float64                 `json:"within_s,omitempty"`
+	DryRun        bool                    `json:"dry_run,omitempty"`
 }
 
 // Page is a page of records or of exported lines. Next is the position after the page, or 0 for the last page.
