--- a/cmd/cleathold/deadletterexport.go
+++ b/cmd/cleathold/deadletterexport.go
@@ -155,7 +155,7 @@
 	if len(imp.batch) == 0 {
 		return nil
 	}
-	outcome, err := imp.api.Act(ctx, "import", admin.DeadLetterRequest{Lines: imp.batch, DryRun: imp.dryRun})
+	outcome, err := imp.api.Execute(ctx, "import", admin.DeadLetterRequest{Lines: imp.batch, DryRun: imp.dryRun})
 	if err != nil {
 		return fmt.Errorf("after %d records: %w", imp.imported, err)
 	}
--- a/cmd/cleathold/deadletterorder.go
+++ b/cmd/cleathold/deadletterorder.go
@@ -92,7 +92,7 @@
 		count := min(len(sequences), deadletter.MaxPageSize)
 		order.Selection = deadletter.Selection{Sequences: sequences[:count]}
 		sequences = sequences[count:]
-		page, err := api.Act(ctx, r.verb, order)
+		page, err := api.Execute(ctx, r.verb, order)
 		if err != nil {
 			return err
 		}
@@ -108,7 +108,7 @@
 	next := uint64(0)
 	for pages := 1; ; pages++ {
 		order.Selection = deadletter.Selection{Filter: filter, After: next, Limit: deadletter.MaxPageSize}
-		page, err := api.Act(ctx, r.verb, order)
+		page, err := api.Execute(ctx, r.verb, order)
 		if err != nil {
 			return fmt.Errorf("after %d done: %w", r.done, err)
 		}
--- a/cmd/cleathold/recovery_test.go
+++ b/cmd/cleathold/recovery_test.go
@@ -191,7 +191,7 @@
 	order := admin.DeadLetterRequest{WithinSeconds: withinS}
 	order.Selection.Limit = deadletter.MaxPageSize
 	for {
-		page, err := api.Act(context.Background(), "resend", order)
+		page, err := api.Execute(context.Background(), "resend", order)
 		if err != nil {
 			return done, rejected, err
 		}
--- a/cmd/cleathold/redelivery_test.go
+++ b/cmd/cleathold/redelivery_test.go
@@ -151,7 +151,7 @@
 			}
 		}
 		order := admin.DeadLetterRequest{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinSeconds: 1}
-		go env.adminAPI().Act(context.Background(), "resend", order)
+		go env.adminAPI().Execute(context.Background(), "resend", order)
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 		rounds.end(env, process)
 	}
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -21,7 +21,7 @@
 	Show(ctx context.Context, seq uint64) (deadletter.ExportLine, error)
 	Stats(ctx context.Context) (deadletter.Stats, error)
 	Audit(ctx context.Context, limit int) ([]deadletter.AuditEntry, error)
-	Act(ctx context.Context, verb string, o DeadLetterRequest) (deadletter.Outcome, error)
+	Execute(ctx context.Context, verb string, o DeadLetterRequest) (deadletter.Outcome, error)
 	Close() error
 }
 
@@ -108,6 +108,6 @@
 	return list, c.call(ctx, http.MethodGet, "/held/audit?most="+strconv.Itoa(limit), nil, &list)
 }
 
-func (c *client) Act(ctx context.Context, verb string, o DeadLetterRequest) (out deadletter.Outcome, err error) {
+func (c *client) Execute(ctx context.Context, verb string, o DeadLetterRequest) (out deadletter.Outcome, err error) {
 	return out, c.call(ctx, http.MethodPost, "/held/"+verb, o, &out)
 }
--- a/internal/admin/folder.go
+++ b/internal/admin/folder.go
@@ -51,6 +51,6 @@
 	return
 }
 
-func (f folder) Act(context.Context, string, DeadLetterRequest) (deadletter.Outcome, error) {
+func (f folder) Execute(context.Context, string, DeadLetterRequest) (deadletter.Outcome, error) {
 	return deadletter.Outcome{}, ErrReadOnly
 }
