--- a/cmd/cleathold/recovery_test.go
+++ b/cmd/cleathold/recovery_test.go
@@ -205,5 +205,7 @@
 // heldAndReported returns the condition that count records are held and that the platform has acknowledged the delivery
 // reports of all of them.
 func heldAndReported(count int) func(states map[string]int, s deadletter.Stats) bool {
-	return func(states map[string]int, s deadletter.Stats) bool { return states["held"] == count && s.Owed == 0 }
+	return func(states map[string]int, s deadletter.Stats) bool {
+		return states["held"] == count && s.PendingReports == 0
+	}
 }
--- a/cmd/cleathold/redelivery_test.go
+++ b/cmd/cleathold/redelivery_test.go
@@ -160,7 +160,9 @@
 	p.mu.Unlock()
 	rounds.start(env, process)
 	api := env.adminAPI()
-	idle := func(s map[string]int, x deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 && x.Owed == 0 }
+	idle := func(s map[string]int, x deadletter.Stats) bool {
+		return s["out"]+s["ordered"] == 0 && x.PendingReports == 0
+	}
 	env.awaitStats(api, "no redelivery in progress", idle)
 	time.Sleep(time.Second) // live messages have a deadline of 0.55 s at most
 	_, rejections, err := resendAll(api, 60)
--- a/internal/deadletter/query.go
+++ b/internal/deadletter/query.go
@@ -104,18 +104,18 @@
 
 // Stats summarizes the content of a store.
 type Stats struct {
-	Records int       `json:"records"`
-	Bytes   int64     `json:"bytes"`
-	File    int64     `json:"file_bytes"`
-	Owed    int       `json:"not_yet_told"` // records whose delivery report the client has not acknowledged
-	Evicted uint64    `json:"evicted_open"`
-	Aged    uint64    `json:"evicted_by_age"`
-	Oldest  time.Time `json:"oldest,omitzero"` // when the oldest open record was added
-	States  []Group   `json:"states"`
-	Reasons []Group   `json:"reasons"`
-	Classes []Group   `json:"classes"`
-	Tenants []Group   `json:"tenants"`      // only the largest groups
-	Dests   []Group   `json:"destinations"` // only the largest groups
+	Records        int       `json:"records"`
+	Bytes          int64     `json:"bytes"`
+	File           int64     `json:"file_bytes"`
+	PendingReports int       `json:"not_yet_told"` // records whose delivery report the client has not acknowledged
+	Evicted        uint64    `json:"evicted_open"`
+	Aged           uint64    `json:"evicted_by_age"`
+	Oldest         time.Time `json:"oldest,omitzero"` // when the oldest open record was added
+	States         []Group   `json:"states"`
+	Reasons        []Group   `json:"reasons"`
+	Classes        []Group   `json:"classes"`
+	Tenants        []Group   `json:"tenants"`      // only the largest groups
+	Dests          []Group   `json:"destinations"` // only the largest groups
 }
 
 // maxGroups limits the groups of each field in Stats.
@@ -132,7 +132,7 @@
 	}
 	c := t.Bucket(bucketPendingReports).Cursor()
 	for k, _ := c.First(); k != nil; k, _ = c.Next() {
-		s.Owed++
+		s.PendingReports++
 	}
 	for _, state := range []State{Held, Ordered, InFlight} {
 		list, _, err := t.List(Filter{State: state}, 0, 1)
