--- a/internal/deadletter/query.go
+++ b/internal/deadletter/query.go
@@ -109,7 +109,7 @@
 	File           int64     `json:"file_bytes"`
 	PendingReports int       `json:"not_yet_told"` // records whose delivery report the client has not acknowledged
 	EvictedOpen    uint64    `json:"evicted_open"`
-	Aged           uint64    `json:"evicted_by_age"`
+	EvictedByAge   uint64    `json:"evicted_by_age"`
 	Oldest         time.Time `json:"oldest,omitzero"` // when the oldest open record was added
 	States         []Group   `json:"states"`
 	Reasons        []Group   `json:"reasons"`
@@ -125,7 +125,7 @@
 func (t *Tx) Stats() (Stats, error) {
 	s := Stats{
 		Records: int(t.counter(metaCount)), Bytes: int64(t.counter(metaBytes)), File: t.Size(),
-		EvictedOpen: t.counter(metaEvicted), Aged: t.counter(metaAged),
+		EvictedOpen: t.counter(metaEvicted), EvictedByAge: t.counter(metaAged),
 		States: t.groups(bucketStates, decodeName), Reasons: t.groups(bucketReasons, decodeName),
 		Classes: t.groups(bucketClasses, decodeName),
 		Tenants: t.groups(bucketTenants, decodeName), Dests: t.groups(bucketDestinations, decodeNumber),
