--- a/internal/deadletter/query.go
+++ b/internal/deadletter/query.go
@@ -115,7 +115,7 @@
 	Reasons        []Group   `json:"reasons"`
 	Classes        []Group   `json:"classes"`
 	Tenants        []Group   `json:"tenants"`      // only the largest groups
-	Dests          []Group   `json:"destinations"` // only the largest groups
+	Destinations   []Group   `json:"destinations"` // only the largest groups
 }
 
 // maxGroups limits the groups of each field in Stats.
@@ -128,7 +128,7 @@
 		EvictedOpen: t.counter(metaEvicted), EvictedByAge: t.counter(metaAged),
 		States: t.groups(bucketStates, decodeName), Reasons: t.groups(bucketReasons, decodeName),
 		Classes: t.groups(bucketClasses, decodeName),
-		Tenants: t.groups(bucketTenants, decodeName), Dests: t.groups(bucketDestinations, decodeNumber),
+		Tenants: t.groups(bucketTenants, decodeName), Destinations: t.groups(bucketDestinations, decodeNumber),
 	}
 	c := t.Bucket(bucketPendingReports).Cursor()
 	for k, _ := c.First(); k != nil; k, _ = c.Next() {
