--- a/cmd/cleathold/deadletterlist.go
+++ b/cmd/cleathold/deadletterlist.go
@@ -135,7 +135,7 @@
 // writeStats writes the size of a dead-letter queue and its records by state, reason, class, tenant and destination.
 func writeStats(out io.Writer, s deadletter.Stats) {
 	fmt.Fprintf(out, "%d records, %d bytes in a file of %d; %d not yet told; evicted %d over bounds, %d too old\n",
-		s.Records, s.Bytes, s.File, s.PendingReports, s.EvictedOpen, s.EvictedByAge)
+		s.Records, s.Bytes, s.FileBytes, s.PendingReports, s.EvictedOpen, s.EvictedByAge)
 	if !s.Oldest.IsZero() {
 		fmt.Fprintf(out, "oldest open: %s\n", s.Oldest.Format(time.RFC3339))
 	}
--- a/internal/deadletter/query.go
+++ b/internal/deadletter/query.go
@@ -106,7 +106,7 @@
 type Stats struct {
 	Records        int       `json:"records"`
 	Bytes          int64     `json:"bytes"`
-	File           int64     `json:"file_bytes"`
+	FileBytes      int64     `json:"file_bytes"`
 	PendingReports int       `json:"not_yet_told"` // records whose delivery report the client has not acknowledged
 	EvictedOpen    uint64    `json:"evicted_open"`
 	EvictedByAge   uint64    `json:"evicted_by_age"`
@@ -124,7 +124,7 @@
 // Stats computes the statistics from the counters and indexes; it does not read all records.
 func (t *Tx) Stats() (Stats, error) {
 	s := Stats{
-		Records: int(t.counter(metaCount)), Bytes: int64(t.counter(metaBytes)), File: t.Size(),
+		Records: int(t.counter(metaCount)), Bytes: int64(t.counter(metaBytes)), FileBytes: t.Size(),
 		EvictedOpen: t.counter(metaEvicted), EvictedByAge: t.counter(metaAged),
 		States: t.groups(bucketStates, decodeName), Reasons: t.groups(bucketReasons, decodeName),
 		Classes: t.groups(bucketClasses, decodeName),
