--- a/internal/deadletter/audit.go
+++ b/internal/deadletter/audit.go
@@ -9,7 +9,7 @@
 // AuditEntry records one operator command in the audit trail.
 type AuditEntry struct {
 	At       time.Time `json:"at"`
-	By       string    `json:"by"`
+	Caller   string    `json:"by"`
 	Verb     string    `json:"verb"`
 	Filter   *Filter   `json:"filter,omitempty"`
 	Records  []uint64  `json:"records,omitempty"` // at most the first maxAuditRecords
