--- a/cmd/cleathold/deadletterlist.go
+++ b/cmd/cleathold/deadletterlist.go
@@ -166,7 +166,8 @@
 			return writeJSON(out, list)
 		}
 		for _, a := range list {
-			fmt.Fprintf(out, "%s  %s  %s  done %d, refused %d", a.At.Format(time.RFC3339), a.Caller, a.Verb, a.Done, a.Rejected)
+			fmt.Fprintf(out, "%s  %s  %s  done %d, refused %d", a.At.Format(time.RFC3339), a.Caller, a.Command, a.Done,
+				a.Rejected)
 			if a.Filter != nil {
 				text, _ := json.Marshal(a.Filter)
 				fmt.Fprintf(out, "  filter %s", text)
--- a/internal/deadletter/audit.go
+++ b/internal/deadletter/audit.go
@@ -10,7 +10,7 @@
 type AuditEntry struct {
 	At       time.Time `json:"at"`
 	Caller   string    `json:"by"`
-	Verb     string    `json:"verb"`
+	Command  string    `json:"verb"`
 	Filter   *Filter   `json:"filter,omitempty"`
 	Records  []uint64  `json:"records,omitempty"` // at most the first maxAuditRecords
 	Done     int       `json:"done"`
--- a/internal/deadletter/commands.go
+++ b/internal/deadletter/commands.go
@@ -74,7 +74,7 @@
 		case len(sequences) == 0:
 			return nil
 		}
-		entry := AuditEntry{At: now, Caller: caller, Verb: command, Records: done, Done: outcome.Done,
+		entry := AuditEntry{At: now, Caller: caller, Command: command, Records: done, Done: outcome.Done,
 			Rejected: len(outcome.Rejected)}
 		if selection.Sequences == nil {
 			entry.Filter = &selection.Filter
@@ -202,7 +202,7 @@
 		if dryRun {
 			return errDryRun
 		}
-		return t.audit(AuditEntry{At: now, Caller: caller, Verb: "import", Records: done, Done: outcome.Done,
+		return t.audit(AuditEntry{At: now, Caller: caller, Command: "import", Records: done, Done: outcome.Done,
 			Rejected: len(outcome.Rejected)})
 	})
 	if errors.Is(err, errDryRun) {
--- a/internal/deadletter/queue_test.go
+++ b/internal/deadletter/queue_test.go
@@ -172,7 +172,7 @@
 	}
 	var auditEntries []AuditEntry
 	q.View(func(tx *Tx) (err error) { auditEntries, err = tx.Audit(10); return })
-	if len(auditEntries) != 4 || auditEntries[3].Verb != "resend" || auditEntries[3].Caller != "uid 1" ||
+	if len(auditEntries) != 4 || auditEntries[3].Command != "resend" || auditEntries[3].Caller != "uid 1" ||
 		auditEntries[3].Done != 1 || auditEntries[2].Rejected != 1 {
 		t.Errorf("audit %+v", auditEntries)
 	}
