--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -108,7 +108,7 @@
 		}
 		command.At = time.Now().UTC() // again, since the checks of the draft take time
 		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
-			command.Seen = state.Seen(observations, command.At)
+			command.Seen = state.ServingSenders(observations, command.At)
 		})
 	}
 	if command.Verb == rollout.ExcludeEndpoint {
@@ -135,7 +135,7 @@
 	var err error
 	command.At = time.Now().UTC()
 	a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
-		command.Seen = state.Seen(observations, command.At)
+		command.Seen = state.ServingSenders(observations, command.At)
 		draft, err = state.Draft(state.Index+1, command)
 	})
 	if err == nil && draft.Kind == rollout.Release {
@@ -150,7 +150,7 @@
 	for startedAt := time.Now(); ; {
 		allServing, fresh := false, time.Duration(0)
 		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
-			allServing = len(state.Seen(observations, time.Now())) == len(state.Members)
+			allServing = len(state.ServingSenders(observations, time.Now())) == len(state.Members)
 			fresh = state.Terms.Timing.Fresh
 		})
 		if allServing || time.Since(startedAt) > fresh || !sleep(ctx, leaderInterval) {
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -122,7 +122,7 @@
 		c.SignalAgent(i, syscall.SIGCONT)
 	}
 	err := c.Await(time.Minute, "all are seen again", func(v agent.View) bool {
-		return len(v.State.Seen(v.Observations, time.Now())) == c.Senders
+		return len(v.State.ServingSenders(v.Observations, time.Now())) == c.Senders
 	})
 	if err != nil {
 		return err
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -323,7 +323,7 @@
 	for _, p := range s.Plans {
 		if t := p.Tasks[v.Sender]; p.Phase == Running && t != nil && t.Step == Waiting {
 			m.log = append(m.log, Command{Verb: GrantSenders, At: now, Plan: p.ID,
-				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.Seen(m.observations[i], now)})
+				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.ServingSenders(m.observations[i], now)})
 		}
 	}
 }
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Seen returns the sorted names of the senders that were observed to serve at most Timing.Fresh ago.
-func (s *State) Seen(observations map[string]Observation, now time.Time) []string {
+// ServingSenders returns the sorted names of the senders that were observed to serve at most Timing.Fresh ago.
+func (s *State) ServingSenders(observations map[string]Observation, now time.Time) []string {
 	var list []string
 	for name := range s.Members {
 		if v, known := observations[name]; known && v.Serving && now.Sub(v.At) <= s.Terms.Timing.Fresh {
@@ -25,7 +25,7 @@
 		return list
 	}
 	var list []Command
-	fleet := s.availability(s.Seen(observations, now))
+	fleet := s.availability(s.ServingSenders(observations, now))
 	for _, p := range s.Plans {
 		if due := p.holdElapsed(now); len(due) > 0 {
 			list = append(list, Command{
@@ -129,7 +129,7 @@
 		fleet.outByBuilding[m.Building]++
 		remaining--
 	}
-	c.Seen = s.Seen(observations, now)
+	c.Seen = s.ServingSenders(observations, now)
 	return c, len(c.Requests) > 0
 }
 
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -88,7 +88,7 @@
 func TestRejectedCommands(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 2})
 	first := x.drain("n0")
-	seen := x.state.Seen(x.observations, x.now)
+	seen := x.state.ServingSenders(x.observations, x.now)
 	start := func(p Plan) Command { return Command{Verb: Start, Reason: "r", New: &p, Seen: seen} }
 	terms := func(b Budget) Command { t := DefaultTerms; t.Budget = b; return Command{Verb: SetTerms, Terms: &t} }
 	for name, c := range map[string]struct {
@@ -256,7 +256,7 @@
 		x := newTestFleet(t, 4, Budget{Fleet: 2})
 		id := x.must(Command{Verb: Start, Reason: "r",
 			New:  &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold},
-			Seen: x.state.Seen(x.observations, x.now)})
+			Seen: x.state.ServingSenders(x.observations, x.now)})
 		finishReturn := func() {
 			for name, t := range x.state.Plan(id).Tasks {
 				if t.Step == Returning {
