--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -108,7 +108,7 @@
 		}
 		command.At = time.Now().UTC() // again, since the checks of the draft take time
 		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
-			command.Seen = state.ServingSenders(observations, command.At)
+			command.ServingSenders = state.ServingSenders(observations, command.At)
 		})
 	}
 	if command.Verb == rollout.ExcludeEndpoint {
@@ -135,7 +135,7 @@
 	var err error
 	command.At = time.Now().UTC()
 	a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
-		command.Seen = state.ServingSenders(observations, command.At)
+		command.ServingSenders = state.ServingSenders(observations, command.At)
 		draft, err = state.Draft(state.Index+1, command)
 	})
 	if err == nil && draft.Kind == rollout.Release {
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -9,12 +9,12 @@
 const (
 	SetTerms        Verb = "terms"        // Terms
 	SetRoster       Verb = "roster"       // By, Roster: replaces the senders of one agent
-	Start           Verb = "plan"         // New, Seen
+	Start           Verb = "plan"         // New, ServingSenders
 	Halt            Verb = "halt"         // Plan
 	Resume          Verb = "resume"       // Plan, Revision
 	RollBack        Verb = "back"         // Plan
 	Activate        Verb = "activate"     // Plan, Senders
-	GrantSenders    Verb = "grant"        // Plan, Requests, Seen
+	GrantSenders    Verb = "grant"        // Plan, Requests, ServingSenders
 	CloseGrant      Verb = "close"        // Sender, Epoch, Observation
 	MarkDrained     Verb = "out"          // Sender, Epoch
 	RecordVerdict   Verb = "verdict"      // Plan, Stage, Good, Text, Baseline
@@ -44,16 +44,16 @@
 	Senders  []string       `json:"senders,omitempty"`
 	Requests []GrantRequest `json:"asks,omitempty"`
 	// senders that the proposer observed to serve, at most Timing.Fresh before At
-	Seen        []string     `json:"seen,omitempty"`
-	Sender      string       `json:"sender,omitempty"`
-	Epoch       uint64       `json:"epoch,omitempty"`
-	Observation *Observation `json:"sight,omitempty"`
-	Stage       int          `json:"stage,omitempty"`
-	Good        bool         `json:"good,omitempty"`
-	Text        string       `json:"text,omitempty"`
-	Baseline    *Sums        `json:"others,omitempty"` // sums of the unchanged senders in the completed stage
-	Endpoint    string       `json:"endpoint,omitempty"`
-	Listed      []Endpoint   `json:"listed,omitempty"` // all endpoints that the proposer knows
+	ServingSenders []string     `json:"seen,omitempty"`
+	Sender         string       `json:"sender,omitempty"`
+	Epoch          uint64       `json:"epoch,omitempty"`
+	Observation    *Observation `json:"sight,omitempty"`
+	Stage          int          `json:"stage,omitempty"`
+	Good           bool         `json:"good,omitempty"`
+	Text           string       `json:"text,omitempty"`
+	Baseline       *Sums        `json:"others,omitempty"` // sums of the unchanged senders in the completed stage
+	Endpoint       string       `json:"endpoint,omitempty"`
+	Listed         []Endpoint   `json:"listed,omitempty"` // all endpoints that the proposer knows
 }
 
 // Event is an entry of the event history that operators read.
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -27,7 +27,7 @@
 			lastErr = reject("%d of plan %d are out", p.AtOnce, p.ID)
 			break
 		}
-		if err := s.checkBudget(s.availability(c.Seen), m); err != nil {
+		if err := s.checkBudget(s.availability(c.ServingSenders), m); err != nil {
 			lastErr = err
 			continue
 		}
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -100,7 +100,7 @@
 func (x *testFleet) drain(names ...string) uint64 {
 	x.t.Helper()
 	return x.must(Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{names}},
-		Seen: x.state.ServingSenders(x.observations, x.now)})
+		ServingSenders: x.state.ServingSenders(x.observations, x.now)})
 }
 
 func (x *testFleet) release(p Plan) uint64 {
@@ -109,7 +109,8 @@
 	if p.To.Name == "" {
 		p.To = Version{Name: "v2", Program: "/v2"}
 	}
-	return x.must(Command{Verb: Start, Reason: "r", New: &p, Seen: x.state.ServingSenders(x.observations, x.now)})
+	return x.must(Command{Verb: Start, Reason: "r", New: &p, ServingSenders: x.state.ServingSenders(x.observations,
+		x.now)})
 }
 
 // addTraffic adds n messages with an outcome to each sender's counters. failed returns how many of them fail at a
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -79,7 +79,7 @@
 		}
 	}
 	plan := &Plan{Kind: Drain, Stages: [][]string{modelNames}, Hold: modelStep}
-	m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, Seen: modelNames})
+	m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, ServingSenders: modelNames})
 	return m
 }
 
@@ -323,7 +323,7 @@
 	for _, p := range s.Plans {
 		if t := p.Tasks[v.Sender]; p.Phase == Running && t != nil && t.Step == Waiting {
 			m.log = append(m.log, Command{Verb: GrantSenders, At: now, Plan: p.ID,
-				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.ServingSenders(m.observations[i], now)})
+				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, ServingSenders: s.ServingSenders(m.observations[i], now)})
 		}
 	}
 }
@@ -339,7 +339,7 @@
 	}
 	if !open {
 		plan := &Plan{Kind: Drain, Stages: [][]string{modelNames}, Hold: modelStep}
-		m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, Seen: modelNames})
+		m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, ServingSenders: modelNames})
 	}
 }
 
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -129,7 +129,7 @@
 		fleet.outByBuilding[m.Building]++
 		remaining--
 	}
-	c.Seen = s.ServingSenders(observations, now)
+	c.ServingSenders = s.ServingSenders(observations, now)
 	return c, len(c.Requests) > 0
 }
 
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if fleet := s.availability(c.Seen); len(fleet.out) > s.Terms.Budget.Fleet {
+	if fleet := s.availability(c.ServingSenders); len(fleet.out) > s.Terms.Budget.Fleet {
 		return nil, reject("%d senders are out or not seen now, the budget has %d: %s; bring them back first",
 			len(fleet.out), s.Terms.Budget.Fleet, firstNames(fleet.out))
 	}
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -89,7 +89,7 @@
 	x := newTestFleet(t, 4, Budget{Fleet: 2})
 	first := x.drain("n0")
 	seen := x.state.ServingSenders(x.observations, x.now)
-	start := func(p Plan) Command { return Command{Verb: Start, Reason: "r", New: &p, Seen: seen} }
+	start := func(p Plan) Command { return Command{Verb: Start, Reason: "r", New: &p, ServingSenders: seen} }
 	terms := func(b Budget) Command { t := DefaultTerms; t.Budget = b; return Command{Verb: SetTerms, Terms: &t} }
 	for name, c := range map[string]struct {
 		c    Command
@@ -103,10 +103,10 @@
 		"same version": {start(Plan{Kind: Release, Stages: [][]string{{"n1"}},
 			To: Version{Name: "v1", Program: "/v1"}}), "all of them run v1 already"},
 		"more than the budget": {start(Plan{Kind: Drain, Stages: [][]string{{"n1"}}, AtOnce: 3}), "3 senders at once"},
-		"no reason": {Command{Verb: Start, New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}}, Seen: seen},
+		"no reason": {Command{Verb: Start, New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}}, ServingSenders: seen},
 			"a reason"},
 		"budget exceeded": {Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}},
-			Seen: []string{"n1"}}, "3 senders are out or not seen now"},
+			ServingSenders: []string{"n1"}}, "3 senders are out or not seen now"},
 		"a budget of zero":      {terms(Budget{}), "1 at the least"},
 		"a budget of too many":  {terms(Budget{Fleet: 5}), "of 4 there are"},
 		"all must serve":        {terms(Budget{Fleet: 1, Serving: 4}), "nothing could ever go out"},
@@ -161,7 +161,7 @@
 		{Verb: SetTerms, Terms: &terms, At: at, By: "x"},
 		{Verb: SetRoster, At: at, By: "x", Roster: []Member{{Name: "n0", Agent: "x"}, {Name: "n1", Agent: "x"}}},
 		{Verb: Start, At: at, By: "x", Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n0"}}},
-			Seen: []string{"n0", "n1"}},
+			ServingSenders: []string{"n0", "n1"}},
 	}
 	for range 3 {
 		for i, c := range log {
@@ -255,8 +255,8 @@
 	for _, hold := range []time.Duration{0, time.Minute} {
 		x := newTestFleet(t, 4, Budget{Fleet: 2})
 		id := x.must(Command{Verb: Start, Reason: "r",
-			New:  &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold},
-			Seen: x.state.ServingSenders(x.observations, x.now)})
+			New:            &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold},
+			ServingSenders: x.state.ServingSenders(x.observations, x.now)})
 		finishReturn := func() {
 			for name, t := range x.state.Plan(id).Tasks {
 				if t.Step == Returning {
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -32,7 +32,7 @@
 		if !a.fillCommand(&c, o) {
 			return
 		}
-		c.Seen = l.state.ServingSenders(l.observations, s.clock())
+		c.ServingSenders = l.state.ServingSenders(l.observations, s.clock())
 		if err := a.propose(c); !errors.Is(err, errNoLeader) {
 			return
 		}
