--- a/internal/agent/remoteobserver.go
+++ b/internal/agent/remoteobserver.go
@@ -17,8 +17,8 @@
 )
 
 // remoteObserver polls the senders whose own agents do not report, while this agent leads, so that the failure of an
-// agent does not make its senders count as out of service. Its observations (rollout.Observation.Far) are used only for
-// the budget: they lead to neither the opening nor the closing of a grant. A sender whose admin addresses can't be
+// agent does not make its senders count as out of service. Its observations (rollout.Observation.Remote) are used only
+// for the budget: they lead to neither the opening nor the closing of a grant. A sender whose admin addresses can't be
 // reached from this machine remains unobserved.
 type remoteObserver struct {
 	agent *Agent
@@ -97,7 +97,7 @@
 		return last, false
 	}
 	observed = observationOf(status)
-	observed.Sender, observed.At, observed.Far, observed.Version = last.Sender, now.UTC().Round(0), true, last.Version
+	observed.Sender, observed.At, observed.Remote, observed.Version = last.Sender, now.UTC().Round(0), true, last.Version
 	observed.Facts.Restarts, observed.FaultEpoch, observed.Fault = last.Facts.Restarts, last.FaultEpoch, last.Fault
 	return observed, true
 }
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -154,8 +154,8 @@
 		before = observed
 		w.baseline[name] = observed
 	}
-	if before.Far && !observed.Far {
-		before.Facts.Restarts, before.Far = observed.Facts.Restarts, false
+	if before.Remote && !observed.Remote {
+		before.Facts.Restarts, before.Remote = observed.Facts.Restarts, false
 		w.baseline[name] = before
 	}
 	return before, observed
@@ -199,7 +199,7 @@
 	lost := ""
 	for _, name := range p.Stages[p.Stage] {
 		g, v := s.Grants[name], observations[name]
-		known := !v.Far && v.At.After(now.Add(-s.Terms.Timing.Fresh))
+		known := !v.Remote && v.At.After(now.Add(-s.Terms.Timing.Fresh))
 		active := g != nil && v.Epoch == g.Epoch && !v.Ended // the agent renews or ends an active lease
 		if p.Tasks[name].Step != Granted || g == nil || active || v.Serving {
 			delete(w.notServingSince, name)
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -169,9 +169,9 @@
 	x.run(x.carryOut)
 	changed := x.state.Plan(id).Stages[0][0]
 	x.watch = Watch{}
-	x.observe(changed, func(v *Observation) { v.Far = true })
+	x.observe(changed, func(v *Observation) { v.Remote = true })
 	x.run(nil)
-	x.observe(changed, func(v *Observation) { v.Far, v.Facts.Restarts = false, 2 })
+	x.observe(changed, func(v *Observation) { v.Remote, v.Facts.Restarts = false, 2 })
 	x.run(nil)
 	if p := x.state.Plan(id); p.Phase != Running {
 		t.Errorf("%s: %s", p.Phase, p.Why)
@@ -226,7 +226,7 @@
 		"not healthy":                  {Observation{Process: "p-new", Phase: "serving"}, Halted},
 		"observed every other second":  {Observation{Phase: "no answer", At: time.Unix(2, 0)}, Halted},
 		"version change in progress":   {Observation{Phase: "no answer", At: time.Unix(1, 0)}, Running},
-		"observed by the leader alone": {Observation{Phase: "no answer", Far: true}, Running},
+		"observed by the leader alone": {Observation{Phase: "no answer", Remote: true}, Running},
 	} {
 		x := newTestFleet(t, 4, Budget{Fleet: 1})
 		id := x.release(Plan{Gate: Gate{Soak: 5 * time.Second, Wait: time.Minute}})
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -74,7 +74,7 @@
 	switch {
 	case !v.Serving || v.Sender != g.Sender:
 		return false
-	case v.Far: // only the sender's own agent knows whether a version change is in progress
+	case v.Remote: // only the sender's own agent knows whether a version change is in progress
 		return false
 	case v.Epoch >= g.Epoch && v.Ended: // the sender rejects all further copies of the order
 		return true
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -127,7 +127,7 @@
 	m.receive(i, Observation{
 		Sender: modelNames[k], At: modelTime(m.now + m.clockOffsets[i]), Serving: !s.leases.Active(),
 		Process: fmt.Sprint(s.process),
-		Epoch:   s.leases.Epoch, Ended: s.leases.Ended, Drained: s.leases.Active() && s.leases.Drain, Far: true,
+		Epoch:   s.leases.Epoch, Ended: s.leases.Ended, Drained: s.leases.Active() && s.leases.Drain, Remote: true,
 	})
 }
 
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -121,7 +121,7 @@
 		}
 		v := observations[name]
 		// without its own agent nothing would carry out the sender's grant
-		if t.Step != Waiting || m == nil || v.Far || s.checkBudget(fleet, m) != nil {
+		if t.Step != Waiting || m == nil || v.Remote || s.checkBudget(fleet, m) != nil {
 			continue
 		}
 		c.Requests = append(c.Requests, GrantRequest{Sender: name, Process: v.Process, ObservedAt: v.At})
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -15,7 +15,7 @@
 	Open    int       `json:"open,omitempty"` // accepted messages without an outcome
 	Facts   Counters  `json:"facts,omitzero"`
 	Phase   string    `json:"phase,omitempty"` // as the sender reports it, or why it is unknown
-	Far     bool      `json:"far,omitempty"`   // the leader polled the sender, since its own agent does not report
+	Remote  bool      `json:"far,omitempty"`   // the leader polled the sender, since its own agent does not report
 
 	// Why the grant of an epoch could not be carried out, as reported by the sender's agent.
 	FaultEpoch uint64 `json:"fault_epoch,omitempty"`
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -71,7 +71,7 @@
 		"an earlier process": {Observation{Process: "o", At: at(-0.4), Serving: true}, false},
 		"taken up":           {Observation{Process: "p", At: at(3), Epoch: 5}, false},
 		"observed by the leader, not its agent": {Observation{Process: "p", At: at(3), Serving: true, Epoch: 5,
-			Ended: true, Far: true}, false},
+			Ended: true, Remote: true}, false},
 		"another sender": {Observation{Sender: "n1", Process: "p", At: at(3), Serving: true,
 			Epoch: 5, Ended: true}, false},
 	} {
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -166,7 +166,7 @@
 		fmt.Sscanf(name, "n%d", &num)
 		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.cluster.terms.Timing.Fresh*6/10 && ag.canReach(sd) {
 			fresh := sd.observation()
-			fresh.Far, fresh.Version, fresh.Facts.Restarts = true, v.Version, v.Facts.Restarts
+			fresh.Remote, fresh.Version, fresh.Facts.Restarts = true, v.Version, v.Facts.Restarts
 			fresh.FaultEpoch, fresh.Fault = v.FaultEpoch, v.Fault
 			ag.observations[name] = fresh
 		}
