--- a/internal/agent/observation.go
+++ b/internal/agent/observation.go
@@ -28,7 +28,7 @@
 		Ended:   status.Ended,
 		Open:    counts.Open,
 		Phase:   status.Phase,
-		Facts: rollout.Counters{
+		Counters: rollout.Counters{
 			Accepted: counts.Accepted, Rejected: counts.Rejected,
 			Delivered: counts.Delivered, Deferred: counts.Deferred, Failed: counts.Undeliverable,
 			Called: counts.Attempted, Late: counts.Late, FirstCall: counts.FirstAttemptWait,
--- a/internal/agent/remoteobserver.go
+++ b/internal/agent/remoteobserver.go
@@ -98,6 +98,6 @@
 	}
 	observed = observationOf(status)
 	observed.Sender, observed.At, observed.Remote, observed.Version = last.Sender, now.UTC().Round(0), true, last.Version
-	observed.Facts.Restarts, observed.FaultEpoch, observed.Fault = last.Facts.Restarts, last.FaultEpoch, last.Fault
+	observed.Counters.Restarts, observed.FaultEpoch, observed.Fault = last.Counters.Restarts, last.FaultEpoch, last.Fault
 	return observed, true
 }
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -195,7 +195,7 @@
 // publish adds the fields that only this agent knows to an observation of the sender, and stores it.
 func (s *supervisor) publish(observed rollout.Observation, at time.Time) {
 	observed.Sender, observed.At = s.cfg.Name, at.UTC().Round(0)
-	observed.Facts.Restarts = s.crashes
+	observed.Counters.Restarts = s.crashes
 	observed.FaultEpoch, observed.Fault = s.faultEpoch, s.fault
 	s.observation = observed
 	s.agent.fleet.observe(observed)
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -127,7 +127,7 @@
 		case observed.Process == "":
 		case changed:
 			counts.changed.add(observed, before)
-			if observed.Facts.Restarts > before.Facts.Restarts {
+			if observed.Counters.Restarts > before.Counters.Restarts {
 				v := failed("%s crashed after its change", name)
 				return counts, &v
 			}
@@ -155,7 +155,7 @@
 		w.baseline[name] = observed
 	}
 	if before.Remote && !observed.Remote {
-		before.Facts.Restarts, before.Remote = observed.Facts.Restarts, false
+		before.Counters.Restarts, before.Remote = observed.Counters.Restarts, false
 		w.baseline[name] = before
 	}
 	return before, observed
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -25,18 +25,18 @@
 		}, "ends that are failures"},
 		"rejects one in five": {func(x *testFleet, changed string) {
 			x.addTraffic(20, noFailures)
-			x.observe(changed, func(v *Observation) { v.Facts.Rejected += 5 })
+			x.observe(changed, func(v *Observation) { v.Counters.Rejected += 5 })
 		}, "messages refused"},
 		"fails like all": {func(x *testFleet, _ string) { x.addTraffic(20, func(string) int64 { return 4 }) }, "stage 2 of"},
 		"late first attempts": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
-			x.observe(n, func(v *Observation) { v.Facts.Late += 10 })
+			x.observe(n, func(v *Observation) { v.Counters.Late += 10 })
 		}, "time to the first call"},
 		"two late messages": {func(x *testFleet, n string) {
 			if x.addTraffic(20, noFailures); !x.observations[n].Drained {
 				x.observe(n, func(v *Observation) {
-					if v.Facts.Called == 60 {
-						v.Facts.Late += 2
+					if v.Counters.Called == 60 {
+						v.Counters.Late += 2
 					}
 				})
 			}
@@ -45,33 +45,33 @@
 		"nine late messages at once": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) {
-				if v.Facts.Called == 40 {
-					v.Facts.Late += 9
+				if v.Counters.Called == 40 {
+					v.Counters.Late += 9
 				}
 			})
 		}, "stage 2 of"},
 		"some late at first, then no traffic": {func(x *testFleet, n string) {
 			x.observe(n, func(v *Observation) {
-				if v.Facts.Called < 40 {
+				if v.Counters.Called < 40 {
 					x.addTraffic(40, noFailures)
-					v.Facts = x.observations[n].Facts
-					v.Facts.Late += 12
+					v.Counters = x.observations[n].Counters
+					v.Counters.Late += 12
 				}
 			})
 		}, "first calls came late, and 0 have been made since"},
 		"late repeatedly": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) {
-				if v.Facts.Called%60 <= 20 {
-					v.Facts.Late += 12
+				if v.Counters.Called%60 <= 20 {
+					v.Counters.Late += 12
 				}
 			})
 		}, "time to the first call"},
 		"uses more memory": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
-			x.observe(n, func(v *Observation) { v.Facts.MemoryMB += 30 })
+			x.observe(n, func(v *Observation) { v.Counters.MemoryMB += 30 })
 		}, "memory"},
-		"crashes": {func(x *testFleet, n string) { x.observe(n, func(v *Observation) { v.Facts.Restarts++ }) },
+		"crashes": {func(x *testFleet, n string) { x.observe(n, func(v *Observation) { v.Counters.Restarts++ }) },
 			"crashed after its change"},
 		"does not respond": {func(x *testFleet, n string) {
 			x.observe(n, func(v *Observation) { *v = Observation{Sender: n, At: x.now, Phase: "no answer"} })
@@ -94,13 +94,13 @@
 		}, "does not serve"},
 		"no traffic at the others": {func(x *testFleet, n string) {
 			v := x.observations[n]
-			v.Facts.Accepted, v.Facts.Delivered = v.Facts.Accepted+50, v.Facts.Delivered+50
+			v.Counters.Accepted, v.Counters.Delivered = v.Counters.Accepted+50, v.Counters.Delivered+50
 			x.observations[n] = v
 		}, "not known to be good"},
 	} {
 		x := newTestFleet(t, 10, Budget{Fleet: 3})
 		for n := range x.observations {
-			x.observe(n, func(v *Observation) { v.Facts.MemoryMB = 20 })
+			x.observe(n, func(v *Observation) { v.Counters.MemoryMB = 20 })
 		}
 		id := x.release(Plan{Gate: Gate{Wait: time.Minute}})
 		x.run(x.carryOut)
@@ -171,13 +171,13 @@
 	x.watch = Watch{}
 	x.observe(changed, func(v *Observation) { v.Remote = true })
 	x.run(nil)
-	x.observe(changed, func(v *Observation) { v.Remote, v.Facts.Restarts = false, 2 })
+	x.observe(changed, func(v *Observation) { v.Remote, v.Counters.Restarts = false, 2 })
 	x.run(nil)
 	if p := x.state.Plan(id); p.Phase != Running {
 		t.Errorf("%s: %s", p.Phase, p.Why)
 	}
 	x.advance(time.Second)
-	x.observe(changed, func(v *Observation) { v.Facts.Restarts = 3 })
+	x.observe(changed, func(v *Observation) { v.Counters.Restarts = 3 })
 	if x.run(nil); x.state.Plan(id).Phase != Halted {
 		t.Error("a later crash was not detected")
 	}
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -92,7 +92,7 @@
 	x.observe(g.Sender, func(v *Observation) {
 		if v.Epoch, v.Ended, v.Drained, v.Serving = g.Epoch, !g.Drain, g.Drain, !g.Drain; !g.Drain {
 			v.Version, v.Process = g.To.Name, v.Process+"'"
-			v.Facts = Counters{MemoryMB: v.Facts.MemoryMB}
+			v.Counters = Counters{MemoryMB: v.Counters.MemoryMB}
 		}
 	})
 }
@@ -119,9 +119,9 @@
 	for name := range x.observations {
 		x.observe(name, func(v *Observation) {
 			f := failed(name)
-			v.Facts.Accepted, v.Facts.Called = v.Facts.Accepted+n, v.Facts.Called+n
-			v.Facts.Failed, v.Facts.Delivered = v.Facts.Failed+f, v.Facts.Delivered+n-f
-			v.Facts.FirstCall += time.Duration(n) * 10 * time.Millisecond
+			v.Counters.Accepted, v.Counters.Called = v.Counters.Accepted+n, v.Counters.Called+n
+			v.Counters.Failed, v.Counters.Delivered = v.Counters.Failed+f, v.Counters.Delivered+n-f
+			v.Counters.FirstCall += time.Duration(n) * 10 * time.Millisecond
 		})
 	}
 }
--- a/internal/rollout/sums.go
+++ b/internal/rollout/sums.go
@@ -20,7 +20,7 @@
 // add adds the difference between two observations of a sender. If they are of different processes the counts of the
 // current one are added in full, since a process starts to count at zero.
 func (x *Sums) add(current, earlier Observation) {
-	counts, base := current.Facts, earlier.Facts
+	counts, base := current.Counters, earlier.Counters
 	if current.Process != earlier.Process {
 		base = Counters{Restarts: base.Restarts}
 	}
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -153,7 +153,7 @@
 	}
 	sup.process = sd.process
 	observation = sd.observation()
-	observation.FaultEpoch, observation.Fault, observation.Facts.Restarts = sup.faultEpoch, sup.fault, sup.crashes
+	observation.FaultEpoch, observation.Fault, observation.Counters.Restarts = sup.faultEpoch, sup.fault, sup.crashes
 	observation.Serving = observation.Serving && !sup.changing
 	return observation
 }
@@ -166,7 +166,7 @@
 		fmt.Sscanf(name, "n%d", &num)
 		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.cluster.terms.Timing.Fresh*6/10 && ag.canReach(sd) {
 			fresh := sd.observation()
-			fresh.Remote, fresh.Version, fresh.Facts.Restarts = true, v.Version, v.Facts.Restarts
+			fresh.Remote, fresh.Version, fresh.Counters.Restarts = true, v.Version, v.Counters.Restarts
 			fresh.FaultEpoch, fresh.Fault = v.FaultEpoch, v.Fault
 			ag.observations[name] = fresh
 		}
@@ -235,7 +235,7 @@
 	v := rollout.Observation{
 		Sender: sd.name, At: sd.sim.clock(), Process: sd.process, Version: sd.version, Epoch: sd.lease.Epoch,
 		Ended: sd.lease.Ended, Phase: "serving", Open: c.Open,
-		Facts: rollout.Counters{
+		Counters: rollout.Counters{
 			Accepted: c.Accepted, Rejected: c.Rejected, Delivered: c.Delivered, Deferred: c.Deferred, Failed: c.Undeliverable,
 			Called: c.Attempted, Late: c.Late, FirstCall: c.FirstAttemptWait,
 		},
