--- a/internal/agent/senderclient.go
+++ b/internal/agent/senderclient.go
@@ -62,7 +62,7 @@
 func (c *senderClient) take(ctx context.Context, adminIndex int, path string, grant *rollout.Grant) error {
 	return c.put(ctx, adminIndex, path, url.Values{
 		"process": {grant.Process}, "epoch": {formatEpoch(grant.Epoch)},
-		"by": {formatTime(grant.By)}, "until": {formatTime(grant.Until)},
+		"by": {formatTime(grant.TakeBy)}, "until": {formatTime(grant.Until)},
 	})
 }
 
--- a/internal/agent/senderclient_test.go
+++ b/internal/agent/senderclient_test.go
@@ -32,7 +32,7 @@
 	c := newSenderClient(Sender{Name: "s", Config: config, Reach: [2]string{"127.0.0.1:1", addr}}, &traffic)
 	ctx := t.Context()
 	at := func(ms int64) time.Time { return time.UnixMilli(ms) }
-	grant := &rollout.Grant{Process: "p", Epoch: 7, By: at(1000), Until: at(2000)}
+	grant := &rollout.Grant{Process: "p", Epoch: 7, TakeBy: at(1000), Until: at(2000)}
 	for _, call := range []struct {
 		send func() error
 		want string
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -45,7 +45,7 @@
 	t, m := p.Tasks[request.Sender], s.Members[request.Sender]
 	g := &Grant{
 		Epoch: epoch, Plan: p.ID, Sender: request.Sender, Process: request.Process, ObservedAt: request.ObservedAt, At: at,
-		By: at.Add(s.Terms.Timing.Accept), Until: at.Add(s.Terms.Timing.Lease), Drain: p.Kind == Drain,
+		TakeBy: at.Add(s.Terms.Timing.Accept), Until: at.Add(s.Terms.Timing.Lease), Drain: p.Kind == Drain,
 	}
 	switch {
 	case p.Kind != Release:
@@ -83,7 +83,7 @@
 	case v.Process != g.Process: // a later process, which the order does not address
 		return v.At.After(g.ObservedAt.Add(margin)) && !(v.Epoch == g.Epoch && !v.Ended)
 	}
-	return v.Epoch < g.Epoch && v.At.After(g.By.Add(margin)) // the grant has expired by the sender's clock, too
+	return v.Epoch < g.Epoch && v.At.After(g.TakeBy.Add(margin)) // the grant has expired by the sender's clock, too
 }
 
 // close closes a grant that can have no further effect and whose sender serves again, and advances the sender's task.
@@ -193,7 +193,7 @@
 	Process    string    `json:"process"`
 	ObservedAt time.Time `json:"saw"` // time of the observation for which it was requested
 	At         time.Time `json:"at"`
-	By         time.Time `json:"by"`    // the sender must take it up before
+	TakeBy     time.Time `json:"by"`    // the sender must take it up before
 	Until      time.Time `json:"until"` // end of its lease, unless renewed
 	Drain      bool      `json:"drain,omitempty"`
 	To         Version   `json:"to,omitzero"`
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -161,7 +161,7 @@
 	m.orders = append(m.orders, struct {
 		to int
 		o  lease.Order
-	}{i, lease.Order{Process: g.Process, Epoch: g.Epoch, AcceptBy: g.By, Until: g.Until, Drain: true}})
+	}{i, lease.Order{Process: g.Process, Epoch: g.Epoch, AcceptBy: g.TakeBy, Until: g.Until, Drain: true}})
 }
 
 // takeOrder delivers an order to a sender. It records a violation if more senders are out than the budget allows.
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -158,7 +158,7 @@
 		return Renew
 	case active:
 		return Fail
-	case observed.Process != g.Process || observed.Epoch >= g.Epoch || lastTaken == g.Epoch || now.After(g.By):
+	case observed.Process != g.Process || observed.Epoch >= g.Epoch || lastTaken == g.Epoch || now.After(g.TakeBy):
 		return NoDuty
 	}
 	return Take
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -49,7 +49,7 @@
 func TestClosable(t *testing.T) {
 	x := newTestFleet(t, 2, Budget{Fleet: 1})
 	at := func(s float64) time.Time { return x.now.Add(time.Duration(s * float64(time.Second))) }
-	g := &Grant{Epoch: 5, Sender: "n0", Process: "p", ObservedAt: at(-0.5), At: at(0), By: at(2), Until: at(10)}
+	g := &Grant{Epoch: 5, Sender: "n0", Process: "p", ObservedAt: at(-0.5), At: at(0), TakeBy: at(2), Until: at(10)}
 	for name, c := range map[string]struct {
 		v    Observation
 		want bool
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -203,7 +203,7 @@
 func (ag *agent) acceptGrant(sup *supervision, sd *sender, g *rollout.Grant) {
 	s := ag.cluster.sim
 	sup.acceptedEpoch = g.Epoch
-	order := lease.Order{Process: g.Process, Epoch: g.Epoch, AcceptBy: g.By, Until: g.Until, Drain: g.Drain}
+	order := lease.Order{Process: g.Process, Epoch: g.Epoch, AcceptBy: g.TakeBy, Until: g.Until, Drain: g.Drain}
 	if sd.lease.Accept(order, sd.process, s.clock()) != nil {
 		return
 	}
