--- a/cmd/cleathold/fleetlist.go
+++ b/cmd/cleathold/fleetlist.go
@@ -49,7 +49,7 @@
 func senderStatus(v agent.View, name string) (text string, out bool) {
 	observation, observed := v.Observations[name]
 	grant := v.State.Grants[name]
-	stale := v.At.Sub(observation.At) > v.State.Terms.Timing.Fresh
+	stale := v.At.Sub(observation.At) > v.State.Terms.Timing.MaxObservationAge
 	switch {
 	case grant != nil && grant.Drain:
 		text = "out, to drain"
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -144,14 +144,14 @@
 	return draft, err
 }
 
-// awaitObservations waits until all senders are observed to serve, for Timing.Fresh at most. A new leader has received
-// few reports at first.
+// awaitObservations waits until all senders are observed to serve, for Timing.MaxObservationAge at most. A new leader
+// has received few reports at first.
 func (a *Agent) awaitObservations(ctx context.Context) {
 	for startedAt := time.Now(); ; {
 		allServing, fresh := false, time.Duration(0)
 		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
 			allServing = len(state.ServingSenders(observations, time.Now())) == len(state.Members)
-			fresh = state.Terms.Timing.Fresh
+			fresh = state.Terms.Timing.MaxObservationAge
 		})
 		if allServing || time.Since(startedAt) > fresh || !sleep(ctx, leaderInterval) {
 			return
--- a/internal/agent/remoteobserver.go
+++ b/internal/agent/remoteobserver.go
@@ -52,7 +52,7 @@
 			if !known { // no agent has reported it to this one
 				last = rollout.Observation{Sender: name, Version: member.Version.Name}
 			}
-			if member.Agent != o.agent.cfg.Name && time.Since(last.At) > state.Terms.Timing.Fresh*6/10 {
+			if member.Agent != o.agent.cfg.Name && time.Since(last.At) > state.Terms.Timing.MaxObservationAge*6/10 {
 				senders = append(senders, remoteSender{last, member.Reach})
 			}
 		}
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -43,7 +43,7 @@
 	Revision uint64         `json:"revision,omitempty"`
 	Senders  []string       `json:"senders,omitempty"`
 	Requests []GrantRequest `json:"asks,omitempty"`
-	// senders that the proposer observed to serve, at most Timing.Fresh before At
+	// senders that the proposer observed to serve, at most Timing.MaxObservationAge before At
 	ServingSenders []string     `json:"seen,omitempty"`
 	Sender         string       `json:"sender,omitempty"`
 	Epoch          uint64       `json:"epoch,omitempty"`
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -116,7 +116,7 @@
 	for name := range s.Members {
 		before, observed := w.updateBaseline(name, observations[name])
 		changed := p.Tasks[name] != nil && p.Tasks[name].Step == Finished
-		stale := now.Sub(observed.At) > s.Terms.Timing.Fresh
+		stale := now.Sub(observed.At) > s.Terms.Timing.MaxObservationAge
 		soaked := now.Sub(w.since) > p.Gate.Soak
 		switch {
 		case observed.Process == "" && changed && stale:
@@ -199,7 +199,7 @@
 	lost := ""
 	for _, name := range p.Stages[p.Stage] {
 		g, v := s.Grants[name], observations[name]
-		known := !v.Remote && v.At.After(now.Add(-s.Terms.Timing.Fresh))
+		known := !v.Remote && v.At.After(now.Add(-s.Terms.Timing.MaxObservationAge))
 		active := g != nil && v.Epoch == g.Epoch && !v.Ended // the agent renews or ends an active lease
 		if p.Tasks[name].Step != Granted || g == nil || active || v.Serving {
 			delete(w.notServingSince, name)
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// ServingSenders returns the sorted names of the senders that were observed to serve at most Timing.Fresh ago.
+// ServingSenders returns the sorted names of the senders that were observed to serve at most Timing.MaxObservationAge
+// ago.
 func (s *State) ServingSenders(observations map[string]Observation, now time.Time) []string {
 	var list []string
 	for name := range s.Members {
-		if v, known := observations[name]; known && v.Serving && now.Sub(v.At) <= s.Terms.Timing.Fresh {
+		if v, known := observations[name]; known && v.Serving && now.Sub(v.At) <= s.Terms.Timing.MaxObservationAge {
 			list = append(list, name)
 		}
 	}
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -164,7 +164,7 @@
 	for name, v := range ag.observations {
 		var num int
 		fmt.Sscanf(name, "n%d", &num)
-		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.cluster.terms.Timing.Fresh*6/10 && ag.canReach(sd) {
+		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.cluster.terms.Timing.MaxObservationAge*6/10 && ag.canReach(sd) {
 			fresh := sd.observation()
 			fresh.Remote, fresh.Version, fresh.Counters.Restarts = true, v.Version, v.Counters.Restarts
 			fresh.FaultEpoch, fresh.Fault = v.FaultEpoch, v.Fault
