--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -297,7 +297,7 @@
 	if err := c.orderHalt(id, skip); err != nil {
 		return 0, err
 	}
-	time.Sleep(c.Terms.Timing.Accept + afterHaltMargin)
+	time.Sleep(c.Terms.Timing.TakeTimeout + afterHaltMargin)
 	_, last := c.Poll.DrainsSince(ordered)
 	c.Net.Heal()
 	for until := time.Now().Add(haltTimeout); time.Now().Before(until); time.Sleep(activateInterval) {
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -45,7 +45,7 @@
 	t, m := p.Tasks[request.Sender], s.Members[request.Sender]
 	g := &Grant{
 		Epoch: epoch, Plan: p.ID, Sender: request.Sender, Process: request.Process, ObservedAt: request.ObservedAt, At: at,
-		TakeBy: at.Add(s.Terms.Timing.Accept), Until: at.Add(s.Terms.Timing.Lease), Drain: p.Kind == Drain,
+		TakeBy: at.Add(s.Terms.Timing.TakeTimeout), Until: at.Add(s.Terms.Timing.Lease), Drain: p.Kind == Drain,
 	}
 	switch {
 	case p.Kind != Release:
