--- a/cmd/cleathold/agent.go
+++ b/cmd/cleathold/agent.go
@@ -58,7 +58,8 @@
 	return rollout.Terms{
 		Budget: rollout.Budget(s.Budget),
 		Timing: rollout.Timing{
-			MaxObservationAge: s.Timing.Fresh, TakeTimeout: s.Timing.Accept, Lease: s.Timing.Lease, Error: s.Timing.ClockError,
+			MaxObservationAge: s.Timing.Fresh, TakeTimeout: s.Timing.Accept, Lease: s.Timing.Lease,
+			MaxClockError: s.Timing.ClockError,
 		},
 	}
 }
--- a/cmd/cleathold/agentfaults_test.go
+++ b/cmd/cleathold/agentfaults_test.go
@@ -237,7 +237,8 @@
 			for fleet.Poll.Now(0) == "away" && time.Since(isolatedAt) < 20*time.Second {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if d := time.Since(isolatedAt); d > 2*time.Second+fleet.Terms.Timing.Lease+fleet.Terms.Timing.Error+time.Second {
+			if d := time.Since(isolatedAt); d > 2*time.Second+fleet.Terms.Timing.Lease+
+				fleet.Terms.Timing.MaxClockError+time.Second {
 				t.Errorf("n0 was out of service for %v after its agent was isolated", d)
 			}
 			fleet.Net.Heal()
--- a/cmd/cleathold/fleetterms.go
+++ b/cmd/cleathold/fleetterms.go
@@ -65,6 +65,6 @@
 	fmt.Fprintf(out, "out at once: %d of the fleet, %d of a building (0 = as many as of the fleet); %d must serve\n",
 		budget.Fleet, budget.Building, budget.Serving)
 	_, err = fmt.Fprintf(out, "fresh %v, accept %v, lease %v, clock error %v\n",
-		timing.MaxObservationAge, timing.TakeTimeout, timing.Lease, timing.Error)
+		timing.MaxObservationAge, timing.TakeTimeout, timing.Lease, timing.MaxClockError)
 	return err
 }
--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -191,7 +191,7 @@
 	e := budgetEvaluation{
 		budget: c.Terms.Budget, names: c.Names, buildings: buildings,
 		// An order may be based on an observation of this age.
-		unresponsiveAfter: t.MaxObservationAge + t.TakeTimeout + 4*t.Error + pollTimeout + 10*pollInterval,
+		unresponsiveAfter: t.MaxObservationAge + t.TakeTimeout + 4*t.MaxClockError + pollTimeout + 10*pollInterval,
 		states:            make([]senderState, c.Senders), since: make([]time.Time, c.Senders),
 	}
 	for _, r := range p.changes {
--- a/internal/cluster/prepare.go
+++ b/internal/cluster/prepare.go
@@ -178,7 +178,7 @@
 	fmt.Fprintf(&text, "budget(fleet = %d, building = %d, serving = %d, endpoints = %d, kind = %d)\n",
 		b.Fleet, b.Building, b.Serving, b.Endpoints, b.Kind)
 	fmt.Fprintf(&text, "timing(fresh = %g, accept = %g, lease = %g, clock_error = %g)\n",
-		t.MaxObservationAge.Seconds(), t.TakeTimeout.Seconds(), t.Lease.Seconds(), t.Error.Seconds())
+		t.MaxObservationAge.Seconds(), t.TakeTimeout.Seconds(), t.Lease.Seconds(), t.MaxClockError.Seconds())
 	versionChange := "handover"
 	if c.Restart {
 		versionChange = "restart"
--- a/internal/rollout/endpoint.go
+++ b/internal/rollout/endpoint.go
@@ -82,7 +82,7 @@
 func (s *State) forgetIncluded(now time.Time) {
 	t := s.Terms.Timing
 	maps.DeleteFunc(s.Endpoints, func(_ string, x *EndpointExclusion) bool {
-		return !x.Back.IsZero() && now.Sub(x.Back) > t.Lease+4*t.Error
+		return !x.Back.IsZero() && now.Sub(x.Back) > t.Lease+4*t.MaxClockError
 	})
 }
 
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -70,7 +70,7 @@
 
 // Closable reports whether an observation proves that the sender serves and that a grant can have no further effect.
 func (s *State) Closable(g *Grant, v *Observation) bool {
-	margin := 2 * s.Terms.Timing.Error
+	margin := 2 * s.Terms.Timing.MaxClockError
 	switch {
 	case !v.Serving || v.Sender != g.Sender:
 		return false
--- a/internal/rollout/terms.go
+++ b/internal/rollout/terms.go
@@ -20,10 +20,10 @@
 	case senders > 0 && budget.Serving >= senders:
 		return fmt.Errorf("budget: serving: %d must serve of %d there are: nothing could ever go out",
 			budget.Serving, senders)
-	case timing.MaxObservationAge <= 0 || timing.TakeTimeout <= 0 || timing.Lease <= 0 || timing.Error < 0:
+	case timing.MaxObservationAge <= 0 || timing.TakeTimeout <= 0 || timing.Lease <= 0 || timing.MaxClockError < 0:
 		return errors.New("timing: fresh, accept and lease above 0, clock_error 0 or more")
 	case timing.MaxObservationAge > time.Minute || timing.TakeTimeout > time.Minute || timing.Lease > 10*time.Minute ||
-		timing.Error > 10*time.Second:
+		timing.MaxClockError > 10*time.Second:
 		return errors.New("timing: fresh and accept of a minute, lease of ten, clock_error of 10 s at most")
 	}
 	return nil
@@ -57,7 +57,7 @@
 	MaxObservationAge time.Duration `json:"fresh"`  // an older observation is not evidence that a sender serves
 	TakeTimeout       time.Duration `json:"accept"` // a sender takes up a grant within this time or not at all
 	Lease             time.Duration `json:"lease"`  // a lease that is not renewed ends after this time
-	Error             time.Duration `json:"error"`  // upper bound of the error of any clock
+	MaxClockError     time.Duration `json:"error"`  // upper bound of the error of any clock
 }
 
 // Terms are the settings of a fleet. They are part of the replicated state.
@@ -70,5 +70,5 @@
 var DefaultTerms = Terms{
 	Budget: Budget{Fleet: 1},
 	Timing: Timing{MaxObservationAge: time.Second, TakeTimeout: 2 * time.Second, Lease: 10 * time.Second,
-		Error: 250 * time.Millisecond},
+		MaxClockError: 250 * time.Millisecond},
 }
--- a/internal/simulation/agents.go
+++ b/internal/simulation/agents.go
@@ -114,7 +114,7 @@
 func (a *agentCluster) checkBudget(sd *sender) {
 	s, t := a.sim, a.terms.Timing
 	s.result.Orders++
-	margin := t.MaxObservationAge + t.TakeTimeout + 4*t.Error + 2*observeInterval
+	margin := t.MaxObservationAge + t.TakeTimeout + 4*t.MaxClockError + 2*observeInterval
 	outOfService, names := 0, ""
 	for _, other := range s.senders {
 		down := other.dead && s.now-other.endedAt > margin || other.stopped() && s.now-other.stoppedAt > margin
