--- a/cmd/cleathold/cluster_test.go
+++ b/cmd/cleathold/cluster_test.go
@@ -207,7 +207,7 @@
 	v, err := fleet.View(awaitLeader(t, fleet), true)
 	must(t, err)
 	if p := v.State.Plan(id); p != nil && p.Phase == rollout.Halted {
-		t.Logf("resumed: %s", p.Why)
+		t.Logf("resumed: %s", p.PhaseReason)
 		// An error is ignored, because the plan may have changed meanwhile.
 		fleet.Order(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision})
 	}
--- a/cmd/cleathold/fleetclient.go
+++ b/cmd/cleathold/fleetclient.go
@@ -109,7 +109,7 @@
 		case rollout.Done:
 			return nil
 		case rollout.Halted, rollout.Ended:
-			return exitError{fmt.Errorf("plan %d is %s: %s", id, plan.Phase, plan.Why), exitPlanStopped}
+			return exitError{fmt.Errorf("plan %d is %s: %s", id, plan.Phase, plan.PhaseReason), exitPlanStopped}
 		}
 		select {
 		case <-ctx.Done():
--- a/cmd/cleathold/fleetplan.go
+++ b/cmd/cleathold/fleetplan.go
@@ -26,8 +26,8 @@
 		text += fmt.Sprintf(" of %s, stage %d of %d", p.To.Name, p.Stage+1, len(p.Stages))
 	}
 	text += fmt.Sprintf(", by %s (%s): %s, %s", p.By, p.Reason, p.Phase, strings.Join(progress, ", "))
-	if p.Why != "" {
-		text += fmt.Sprintf("; %s (revision %d)", p.Why, p.Revision)
+	if p.PhaseReason != "" {
+		text += fmt.Sprintf("; %s (revision %d)", p.PhaseReason, p.Revision)
 	}
 	return text
 }
--- a/cmd/cleathold/fleetrelease_test.go
+++ b/cmd/cleathold/fleetrelease_test.go
@@ -84,7 +84,7 @@
 			stopSignals()
 			must(t, err)
 			if p.Phase != rollout.Done || ran() != 4 {
-				t.Errorf("%s: %s; %d senders ran it", p.Phase, p.Why, ran())
+				t.Errorf("%s: %s; %d senders ran it", p.Phase, p.PhaseReason, ran())
 			}
 			checkRules(t, fleet)
 		})
--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -138,7 +138,7 @@
 	c, h := p.cluster, p.history
 	if v, err := c.View(max(0, c.Leader()), true); err == nil {
 		for _, plan := range v.State.Plans {
-			h.Plans = append(h.Plans, fmt.Sprintf("%d %s %s %s", plan.ID, plan.Kind, plan.Phase, plan.Why))
+			h.Plans = append(h.Plans, fmt.Sprintf("%d %s %s %s", plan.ID, plan.Kind, plan.Phase, plan.PhaseReason))
 		}
 	}
 	r := c.Finish()
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -197,7 +197,7 @@
 		}
 		m.Resumes++
 		if m.Resumes > maxResumes {
-			return fmt.Errorf("release halted too often: %s", p.Why)
+			return fmt.Errorf("release halted too often: %s", p.PhaseReason)
 		}
 		time.Sleep(time.Second) // simulated reaction time of the operators
 		for i := range c.agents {
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -155,8 +155,8 @@
 			}
 		}
 		if want := map[int64]Phase{0: Done, 6: Halted}[failed]; p.Phase != want || failed > 0 &&
-			!strings.Contains(p.Why, "failures") {
-			t.Errorf("%s: %s: %s", name, p.Phase, p.Why)
+			!strings.Contains(p.PhaseReason, "failures") {
+			t.Errorf("%s: %s: %s", name, p.Phase, p.PhaseReason)
 		}
 	}
 }
@@ -174,7 +174,7 @@
 	x.observe(changed, func(v *Observation) { v.Remote, v.Counters.Restarts = false, 2 })
 	x.run(nil)
 	if p := x.state.Plan(id); p.Phase != Running {
-		t.Errorf("%s: %s", p.Phase, p.Why)
+		t.Errorf("%s: %s", p.Phase, p.PhaseReason)
 	}
 	x.advance(time.Second)
 	x.observe(changed, func(v *Observation) { v.Counters.Restarts = 3 })
@@ -205,7 +205,7 @@
 		stages++
 	}
 	if x.state.Plan(id).Phase != Done || most > 4 {
-		t.Fatalf("%s: %s; %d senders out at once", x.state.Plan(id).Phase, x.state.Plan(id).Why, most)
+		t.Fatalf("%s: %s; %d senders out at once", x.state.Plan(id).Phase, x.state.Plan(id).PhaseReason, most)
 	}
 	for _, name := range x.state.names() {
 		if x.state.Members[name].Version.Name != "v2" {
@@ -248,9 +248,9 @@
 				t.Errorf("%s: halted after %d s", name, i)
 			}
 		}
-		if p.Phase != c.want || c.want == Halted && !strings.Contains(p.Why, "not seen any more") ||
+		if p.Phase != c.want || c.want == Halted && !strings.Contains(p.PhaseReason, "not seen any more") ||
 			x.state.Grants[changed] == nil {
-			t.Errorf("%s: %s: %s; grants %v", name, p.Phase, p.Why, x.state.Grants)
+			t.Errorf("%s: %s: %s; grants %v", name, p.Phase, p.PhaseReason, x.state.Grants)
 		}
 	}
 }
--- a/internal/rollout/phase.go
+++ b/internal/rollout/phase.go
@@ -14,14 +14,14 @@
 		return
 	}
 	if p.Phase.Open() {
-		p.Phase, p.Why, p.Revision = Halted, why, index
+		p.Phase, p.PhaseReason, p.Revision = Halted, why, index
 	}
 }
 
 // rollBack starts the rollback of a plan: changed senders return to their former version, and drained ones to service.
 // The others stay as they are.
 func (s *State) rollBack(index uint64, p *Plan, why string) {
-	p.Phase, p.RolledBack, p.Why, p.Revision = RollingBack, true, why, index
+	p.Phase, p.RolledBack, p.PhaseReason, p.Revision = RollingBack, true, why, index
 	for name, t := range p.Tasks {
 		switch t.Step {
 		case Waiting:
@@ -100,16 +100,16 @@
 			p.Phase = Halted
 		}
 		// The revision changes even if the plan is halted already, so that an earlier request to resume is rejected.
-		p.Why, p.Revision = fmt.Sprintf("%s: %s", c.By, c.Reason), index
+		p.PhaseReason, p.Revision = fmt.Sprintf("%s: %s", c.By, c.Reason), index
 		return fmt.Sprintf("plan %d is halted", p.ID), nil
 	case Resume:
 		if p.Phase != Halted {
 			return "", reject("plan %d is %s", p.ID, p.Phase)
 		}
 		if c.Revision != p.Revision {
-			return "", reject("plan %d has changed since: %s (revision %d); look again", p.ID, p.Why, p.Revision)
+			return "", reject("plan %d has changed since: %s (revision %d); look again", p.ID, p.PhaseReason, p.Revision)
 		}
-		p.Phase, p.Why, p.Revision = Running, "", index
+		p.Phase, p.PhaseReason, p.Revision = Running, "", index
 		for _, t := range p.Tasks {
 			if t.Step == Failed {
 				t.Step, t.Attempts, t.Why = Waiting, 0, ""
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -215,7 +215,7 @@
 	Stage             int              `json:"stage"`
 	Phase             Phase            `json:"phase"`
 	RolledBack        bool             `json:"back,omitempty"` // the plan is being rolled back or has been
-	Why               string           `json:"why,omitempty"`
+	PhaseReason       string           `json:"why,omitempty"`
 	Revision          uint64           `json:"revision"` // changes with the phase and with each order; Resume must name it
 	Tasks             map[string]*Task `json:"tasks"`
 	Baseline          *Sums            `json:"others,omitempty"` // sums of unchanged senders at the last passed gate
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -187,8 +187,8 @@
 		})
 		p := x.state.Plan(id)
 		if want := map[bool]Phase{false: Halted, true: Ended}[rollBack]; p.Phase != want ||
-			!strings.Contains(p.Why, "exit status 1") {
-			t.Errorf("rollback %t: %s, %s", rollBack, p.Phase, p.Why)
+			!strings.Contains(p.PhaseReason, "exit status 1") {
+			t.Errorf("rollback %t: %s, %s", rollBack, p.Phase, p.PhaseReason)
 		}
 		if len(x.state.Grants) != 0 {
 			t.Errorf("grants left: %v", x.state.Grants)
@@ -204,13 +204,13 @@
 	for range 3 {
 		x.run(nil)
 		if len(x.state.Grants) != 1 {
-			t.Fatalf("%d grants: %s", len(x.state.Grants), x.state.Plan(id).Why)
+			t.Fatalf("%d grants: %s", len(x.state.Grants), x.state.Plan(id).PhaseReason)
 		}
 		x.advance(3 * time.Second)
 		x.must(x.state.Next(x.observations, &x.watch, x.now)[0])
 	}
-	if p := x.state.Plan(id); p.Phase != Halted || !strings.Contains(p.Why, "not taken up") {
-		t.Errorf("%s: %s", p.Phase, p.Why)
+	if p := x.state.Plan(id); p.Phase != Halted || !strings.Contains(p.PhaseReason, "not taken up") {
+		t.Errorf("%s: %s", p.Phase, p.PhaseReason)
 	}
 }
 
--- a/internal/simulation/agents.go
+++ b/internal/simulation/agents.go
@@ -148,7 +148,7 @@
 	}
 	l.catchUp()
 	for _, p := range l.state.Plans {
-		a.sim.result.Plans = append(a.sim.result.Plans, fmt.Sprintf("%d %s %s %s", p.ID, p.Kind, p.Phase, p.Why))
+		a.sim.result.Plans = append(a.sim.result.Plans, fmt.Sprintf("%d %s %s %s", p.ID, p.Kind, p.Phase, p.PhaseReason))
 	}
 	for _, sd := range a.sim.senders {
 		if sd.lease.Active() {
