--- a/internal/agent/grant.go
+++ b/internal/agent/grant.go
@@ -26,7 +26,7 @@
 		}
 	case rollout.Fail:
 		s.failGrant(ctx, grant, "its agent was started anew in the middle of the change")
-	case rollout.Take:
+	case rollout.TakeGrant:
 		if s.lastStatus.Phase == phaseServing {
 			s.takeGrant(ctx, grant, assigned.timing)
 		}
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -139,11 +139,11 @@
 
 // The duties.
 const (
-	NoDuty Duty = iota
-	Take        // order the sender to take up the grant
-	Renew       // renew the lease of a drain
-	End         // order the sender to serve again
-	Fail        // end a version change that an earlier process of the agent began
+	NoDuty    Duty = iota
+	TakeGrant      // order the sender to take up the grant
+	Renew          // renew the lease of a drain
+	End            // order the sender to serve again
+	Fail           // end a version change that an earlier process of the agent began
 )
 
 // Duty returns the duty for a grant, given an observation of the sender. lastTaken is the epoch of the latest grant
@@ -162,5 +162,5 @@
 	case observed.Process != g.Process || observed.Epoch >= g.Epoch || lastTaken == g.Epoch || now.After(g.TakeBy):
 		return NoDuty
 	}
-	return Take
+	return TakeGrant
 }
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -193,7 +193,7 @@
 		if connected && sd.lease.Renew(g.Epoch, now.Add(ag.cluster.terms.Timing.Lease), now) == nil {
 			sd.scheduleExpiry()
 		}
-	case rollout.Take:
+	case rollout.TakeGrant:
 		ag.acceptGrant(sup, sd, g)
 	}
 }
