--- a/internal/agent/grant.go
+++ b/internal/agent/grant.go
@@ -20,7 +20,7 @@
 	switch assigned.duty {
 	case rollout.End:
 		s.endLease(ctx, grant.Epoch)
-	case rollout.Renew:
+	case rollout.RenewLease:
 		if leader, _ := s.agent.leadership(); leader != "" {
 			s.renewLease(ctx, grant.Epoch, assigned.timing.Lease)
 		}
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -139,11 +139,11 @@
 
 // The duties.
 const (
-	NoDuty    Duty = iota
-	TakeGrant      // order the sender to take up the grant
-	Renew          // renew the lease of a drain
-	End            // order the sender to serve again
-	Fail           // end a version change that an earlier process of the agent began
+	NoDuty     Duty = iota
+	TakeGrant       // order the sender to take up the grant
+	RenewLease      // renew the lease of a drain
+	End             // order the sender to serve again
+	Fail            // end a version change that an earlier process of the agent began
 )
 
 // Duty returns the duty for a grant, given an observation of the sender. lastTaken is the epoch of the latest grant
@@ -156,7 +156,7 @@
 	case endWanted && g.Drain && (active || observed.Epoch < g.Epoch):
 		return End
 	case active && g.Drain:
-		return Renew
+		return RenewLease
 	case active:
 		return Fail
 	case observed.Process != g.Process || observed.Epoch >= g.Epoch || lastTaken == g.Epoch || now.After(g.TakeBy):
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -189,7 +189,7 @@
 		sd.lease.End(g.Epoch)
 	case rollout.End:
 		sd.lease.End(g.Epoch)
-	case rollout.Renew:
+	case rollout.RenewLease:
 		if connected && sd.lease.Renew(g.Epoch, now.Add(ag.cluster.terms.Timing.Lease), now) == nil {
 			sd.scheduleExpiry()
 		}
