--- a/internal/agent/grant.go
+++ b/internal/agent/grant.go
@@ -18,7 +18,7 @@
 		return
 	}
 	switch assigned.duty {
-	case rollout.End:
+	case rollout.EndLease:
 		s.endLease(ctx, grant.Epoch)
 	case rollout.RenewLease:
 		if leader, _ := s.agent.leadership(); leader != "" {
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -142,7 +142,7 @@
 	NoDuty     Duty = iota
 	TakeGrant       // order the sender to take up the grant
 	RenewLease      // renew the lease of a drain
-	End             // order the sender to serve again
+	EndLease        // order the sender to serve again
 	Fail            // end a version change that an earlier process of the agent began
 )
 
@@ -154,7 +154,7 @@
 	active := observed.Epoch == g.Epoch && !observed.Ended
 	switch {
 	case endWanted && g.Drain && (active || observed.Epoch < g.Epoch):
-		return End
+		return EndLease
 	case active && g.Drain:
 		return RenewLease
 	case active:
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -187,7 +187,7 @@
 	case rollout.Fail:
 		sup.fault, sup.faultEpoch = "its agent was started anew in the middle of the change", g.Epoch
 		sd.lease.End(g.Epoch)
-	case rollout.End:
+	case rollout.EndLease:
 		sd.lease.End(g.Epoch)
 	case rollout.RenewLease:
 		if connected && sd.lease.Renew(g.Epoch, now.Add(ag.cluster.terms.Timing.Lease), now) == nil {
