--- a/internal/agent/grant.go
+++ b/internal/agent/grant.go
@@ -24,7 +24,7 @@
 		if leader, _ := s.agent.leadership(); leader != "" {
 			s.renewLease(ctx, grant.Epoch, assigned.timing.Lease)
 		}
-	case rollout.Fail:
+	case rollout.FailGrant:
 		s.failGrant(ctx, grant, "its agent was started anew in the middle of the change")
 	case rollout.TakeGrant:
 		if s.lastStatus.Phase == phaseServing {
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -143,7 +143,7 @@
 	TakeGrant       // order the sender to take up the grant
 	RenewLease      // renew the lease of a drain
 	EndLease        // order the sender to serve again
-	Fail            // end a version change that an earlier process of the agent began
+	FailGrant       // end a version change that an earlier process of the agent began
 )
 
 // Duty returns the duty for a grant, given an observation of the sender. lastTaken is the epoch of the latest grant
@@ -158,7 +158,7 @@
 	case active && g.Drain:
 		return RenewLease
 	case active:
-		return Fail
+		return FailGrant
 	case observed.Process != g.Process || observed.Epoch >= g.Epoch || lastTaken == g.Epoch || now.After(g.TakeBy):
 		return NoDuty
 	}
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -184,7 +184,7 @@
 	}
 	now := s.clock()
 	switch ag.state.Duty(g, v, sup.acceptedEpoch, now) {
-	case rollout.Fail:
+	case rollout.FailGrant:
 		sup.fault, sup.faultEpoch = "its agent was started anew in the middle of the change", g.Epoch
 		sd.lease.End(g.Epoch)
 	case rollout.EndLease:
