--- a/cmd/cleathold/fleetclient.go
+++ b/cmd/cleathold/fleetclient.go
@@ -67,7 +67,7 @@
 		if _, err := agent.FetchView(ctx, addr); err != nil {
 			return agent.Result{}, err
 		}
-		result, err := agent.SendCommand(ctx, addr, agent.Call{Command: c, DryRun: dryRun})
+		result, err := agent.SendCommand(ctx, addr, agent.CommandRequest{Command: c, DryRun: dryRun})
 		if err != nil {
 			result = agent.Result{Text: fmt.Sprintf("%v: %v", agent.ErrUnknown, err), Kind: agent.KindUnknown}
 		}
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -34,13 +34,13 @@
 	Traffic      Traffic                        `json:"spent"`  // this agent's own
 }
 
-// Call is a request from the command line to execute a command.
-type Call struct {
+// CommandRequest is a request from the command line to execute a command.
+type CommandRequest struct {
 	Command rollout.Command `json:"command"`
 	DryRun  bool            `json:"dry_run,omitempty"` // for rollout.Start: only draft and check the plan
 }
 
-// Result is the response to a Call or a CompatibilityCheck.
+// Result is the response to a CommandRequest or a CompatibilityCheck.
 type Result struct {
 	Index uint64        `json:"index,omitempty"` // index of the command's entry in the log
 	Plan  *rollout.Plan `json:"plan,omitempty"`  // the draft of a dry run, or the plan that was started
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -31,7 +31,7 @@
 
 // submit forwards a command to the leader, since only the leader has the observations of all senders. It executes the
 // command here if this agent leads or if another agent has forwarded the command.
-func (a *Agent) submit(ctx context.Context, call Call, forwarded bool) Result {
+func (a *Agent) submit(ctx context.Context, call CommandRequest, forwarded bool) Result {
 	leader, leads := a.leadership()
 	if leader == "" {
 		return errorResult(quorum.ErrNoMajority)
@@ -52,7 +52,8 @@
 
 // forwardCommand sends a command to the leader. leaderLost reports whether the call failed because that agent no longer
 // leads.
-func (a *Agent) forwardCommand(ctx context.Context, leader string, call Call) (result Result, leaderLost bool) {
+func (a *Agent) forwardCommand(ctx context.Context, leader string, call CommandRequest) (result Result,
+	leaderLost bool) {
 	leaderCtx, stop := a.whileLeads(ctx, leader)
 	defer stop()
 	err := a.callWithin(leaderCtx, serverTimeout, a.cfg.Peers[leader], commandPath, call, &result)
@@ -89,7 +90,7 @@
 }
 
 // execute checks a command, adds this agent's observations and endpoints where the verb needs them, and proposes it.
-func (a *Agent) execute(ctx context.Context, call Call) Result {
+func (a *Agent) execute(ctx context.Context, call CommandRequest) Result {
 	command := call.Command
 	if !slices.Contains(operatorVerbs, command.Verb) {
 		return errorResult(fmt.Errorf("%w: %q is not for staff", rollout.ErrRejected, command.Verb))
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -13,7 +13,7 @@
 	golden.JSON[observationReport](t, "sightings.json")
 	golden.JSON[View](t, "view.json")
 	golden.JSON[Result](t, "result.json")
-	golden.JSON[Call](t, "call.json")
+	golden.JSON[CommandRequest](t, "call.json")
 	golden.JSON[CompatibilityCheck](t, "probe.json")
 	golden.JSON[ProgramInfo](t, "about.json")
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -75,7 +75,7 @@
 
 // handleCommand executes or forwards an operator's command.
 func (a *Agent) handleCommand(w http.ResponseWriter, r *http.Request) {
-	var call Call
+	var call CommandRequest
 	if readJSON(w, r, &call) {
 		writeJSON(w, a.submit(r.Context(), call, r.Header.Get(forwardedHeader) != ""))
 	}
--- a/internal/cluster/orders.go
+++ b/internal/cluster/orders.go
@@ -121,7 +121,7 @@
 	if command.Reason == "" {
 		command.Reason = "a test"
 	}
-	return agent.SendCommand(ctx, c.agents[i].addr, agent.Call{Command: command})
+	return agent.SendCommand(ctx, c.agents[i].addr, agent.CommandRequest{Command: command})
 }
 
 // OrderAny sends an order to one agent after the other until one accepts it, as the fleet command does. It retries for
