--- a/cmd/cleathold/fleetclient.go
+++ b/cmd/cleathold/fleetclient.go
@@ -58,18 +58,18 @@
 // sendCommand sends a command to the first reachable agent. An agent that was reached but did not respond may have
 // executed the command. Therefore only unreachable agents are skipped, and no command is sent twice. The exit code of
 // an error indicates whether anything was changed.
-func (f *fleetCmd) sendCommand(c rollout.Command, who attribution, dryRun bool) (agent.Result, error) {
+func (f *fleetCmd) sendCommand(c rollout.Command, who attribution, dryRun bool) (agent.CommandResult, error) {
 	c.By, c.Reason = who.author(), who.Reason
 	if _, err := f.view(); err != nil {
-		return agent.Result{}, err
+		return agent.CommandResult{}, err
 	}
-	result, err := firstAnswer(f, func(ctx context.Context, addr string) (agent.Result, error) {
+	result, err := firstAnswer(f, func(ctx context.Context, addr string) (agent.CommandResult, error) {
 		if _, err := agent.FetchView(ctx, addr); err != nil {
-			return agent.Result{}, err
+			return agent.CommandResult{}, err
 		}
 		result, err := agent.SendCommand(ctx, addr, agent.CommandRequest{Command: c, DryRun: dryRun})
 		if err != nil {
-			result = agent.Result{Text: fmt.Sprintf("%v: %v", agent.ErrUnknown, err), Kind: agent.KindUnknown}
+			result = agent.CommandResult{Text: fmt.Sprintf("%v: %v", agent.ErrUnknown, err), Kind: agent.KindUnknown}
 		}
 		return result, nil
 	})
--- a/cmd/cleathold/fleetstart.go
+++ b/cmd/cleathold/fleetstart.go
@@ -38,7 +38,7 @@
 }
 
 // writeResult writes the stages of the plan and, if it was started, its number.
-func (s *startFlags) writeResult(out io.Writer, result agent.Result) error {
+func (s *startFlags) writeResult(out io.Writer, result agent.CommandResult) error {
 	if result.Plan != nil {
 		for i, stage := range result.Plan.Stages {
 			fmt.Fprintf(out, "stage %d: %s\n", i+1, strings.Join(stage, ", "))
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -40,15 +40,15 @@
 	DryRun  bool            `json:"dry_run,omitempty"` // for rollout.Start: only draft and check the plan
 }
 
-// Result is the response to a CommandRequest or a CompatibilityCheck.
-type Result struct {
+// CommandResult is the response to a CommandRequest or a CompatibilityCheck.
+type CommandResult struct {
 	Index uint64        `json:"index,omitempty"` // index of the command's entry in the log
 	Plan  *rollout.Plan `json:"plan,omitempty"`  // the draft of a dry run, or the plan that was started
 	Text  string        `json:"error,omitempty"` // empty: no error
 	Kind  string        `json:"kind,omitempty"`  // kind of the error: one of the Kind constants
 }
 
-// The kinds of errors in a Result, from which the command line takes its exit code.
+// The kinds of errors in a CommandResult, from which the command line takes its exit code.
 const (
 	KindRejected   = "refused"     // nothing was changed; a repeat is rejected, too, unless the state changes first
 	KindNoMajority = "no-majority" // nothing was changed
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -31,8 +31,8 @@
 }
 
 // SendCommand sends a command to the agent at addr (host:port) for execution. An error means that there is no usable
-// response and that the outcome of the command is unknown. A rejection is not an error; the Result reports it.
-func SendCommand(ctx context.Context, addr string, call CommandRequest) (result Result, err error) {
+// response and that the outcome of the command is unknown. A rejection is not an error; the CommandResult reports it.
+func SendCommand(ctx context.Context, addr string, call CommandRequest) (result CommandResult, err error) {
 	err = sendJSON(ctx, http.DefaultClient, addr, commandPath, call, &result, nil)
 	return result, err
 }
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -17,8 +17,8 @@
 	rollout.ExcludeEndpoint, rollout.IncludeEndpoint,
 }
 
-// errorResult returns the Result for an error.
-func errorResult(err error) Result {
+// errorResult returns the CommandResult for an error.
+func errorResult(err error) CommandResult {
 	kind := KindRejected
 	switch {
 	case errors.Is(err, quorum.ErrNoMajority), errors.Is(err, quorum.ErrStopped):
@@ -26,12 +26,12 @@
 	case errors.Is(err, ErrUnknown):
 		kind = KindUnknown
 	}
-	return Result{Text: err.Error(), Kind: kind}
+	return CommandResult{Text: err.Error(), Kind: kind}
 }
 
 // submit forwards a command to the leader, since only the leader has the observations of all senders. It executes the
 // command here if this agent leads or if another agent has forwarded the command.
-func (a *Agent) submit(ctx context.Context, call CommandRequest, forwarded bool) Result {
+func (a *Agent) submit(ctx context.Context, call CommandRequest, forwarded bool) CommandResult {
 	leader, leads := a.leadership()
 	if leader == "" {
 		return errorResult(quorum.ErrNoMajority)
@@ -52,7 +52,7 @@
 
 // forwardCommand sends a command to the leader. leaderLost reports whether the call failed because that agent no longer
 // leads.
-func (a *Agent) forwardCommand(ctx context.Context, leader string, call CommandRequest) (result Result,
+func (a *Agent) forwardCommand(ctx context.Context, leader string, call CommandRequest) (result CommandResult,
 	leaderLost bool) {
 	leaderCtx, stop := a.whileLeads(ctx, leader)
 	defer stop()
@@ -90,7 +90,7 @@
 }
 
 // execute checks a command, adds this agent's observations and endpoints where the verb needs them, and proposes it.
-func (a *Agent) execute(ctx context.Context, call CommandRequest) Result {
+func (a *Agent) execute(ctx context.Context, call CommandRequest) CommandResult {
 	command := call.Command
 	if !slices.Contains(operatorVerbs, command.Verb) {
 		return errorResult(fmt.Errorf("%w: %q is not for staff", rollout.ErrRejected, command.Verb))
@@ -105,7 +105,7 @@
 			return errorResult(err)
 		}
 		if call.DryRun {
-			return Result{Plan: draft}
+			return CommandResult{Plan: draft}
 		}
 		command.At = time.Now().UTC() // again, since the checks of the draft take time
 		a.fleet.withLock(func(state *rollout.State, observations map[string]rollout.Observation) {
@@ -119,7 +119,7 @@
 	if err != nil {
 		return errorResult(err)
 	}
-	result := Result{Index: index}
+	result := CommandResult{Index: index}
 	a.fleet.withLock(func(state *rollout.State, _ map[string]rollout.Observation) {
 		if plan := state.Plan(index); plan != nil {
 			result.Plan = deepCopy(plan)
--- a/internal/agent/compatibility.go
+++ b/internal/agent/compatibility.go
@@ -59,7 +59,7 @@
 	if addr == "" {
 		return errors.New("its address is not known here")
 	}
-	var result Result
+	var result CommandResult
 	if err := a.callWithin(ctx, 2*versionTimeout, addr, compatibilityPath, check, &result); err != nil {
 		return err
 	}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -12,7 +12,7 @@
 	golden.JSON[record](t, "record.json")
 	golden.JSON[observationReport](t, "sightings.json")
 	golden.JSON[View](t, "view.json")
-	golden.JSON[Result](t, "result.json")
+	golden.JSON[CommandResult](t, "result.json")
 	golden.JSON[CommandRequest](t, "call.json")
 	golden.JSON[CompatibilityCheck](t, "probe.json")
 	golden.JSON[ProgramInfo](t, "about.json")
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -88,10 +88,10 @@
 		return
 	}
 	if err := a.checkCompatibility(r.Context(), check); err != nil {
-		writeJSON(w, Result{Text: err.Error(), Kind: KindRejected})
+		writeJSON(w, CommandResult{Text: err.Error(), Kind: KindRejected})
 		return
 	}
-	writeJSON(w, Result{})
+	writeJSON(w, CommandResult{})
 }
 
 // handleObservations stores another agent's report.
--- a/internal/cluster/orders.go
+++ b/internal/cluster/orders.go
@@ -95,7 +95,7 @@
 func (e *OrderError) Error() string { return e.Kind + ": " + e.Text }
 
 // orderError returns the error in an agent's answer to an order; nil if the order was executed.
-func orderError(r agent.Result) error {
+func orderError(r agent.CommandResult) error {
 	if r.Text == "" {
 		return nil
 	}
@@ -112,7 +112,7 @@
 	return r.Index, err
 }
 
-func (c *Cluster) sendOrder(i int, command rollout.Command) (agent.Result, error) {
+func (c *Cluster) sendOrder(i int, command rollout.Command) (agent.CommandResult, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
 	defer cancel()
 	if command.By == "" {
@@ -128,7 +128,7 @@
 // up to orderTimeout, since a killed agent may not listen again yet and there may be no leader. An order that may have
 // been executed is not sent again.
 func (c *Cluster) OrderAny(command rollout.Command) (uint64, error) {
-	var r agent.Result
+	var r agent.CommandResult
 	var err error
 	for until := time.Now().Add(orderTimeout); time.Now().Before(until); time.Sleep(orderInterval) {
 		for i := range c.agents {
--- a/internal/cluster/player_test.go
+++ b/internal/cluster/player_test.go
@@ -94,10 +94,10 @@
 // TestOrderError checks that an order that an agent answered without executing it becomes an OrderError with the kind
 // and text of the agent's answer.
 func TestOrderError(t *testing.T) {
-	if err := orderError(agent.Result{Index: 3}); err != nil {
+	if err := orderError(agent.CommandResult{Index: 3}); err != nil {
 		t.Errorf("carried out: %v", err)
 	}
-	err := orderError(agent.Result{Kind: agent.KindRejected, Text: "no such plan"})
+	err := orderError(agent.CommandResult{Kind: agent.KindRejected, Text: "no such plan"})
 	failed, ok := err.(*OrderError)
 	if !ok || failed.Kind != agent.KindRejected || err.Error() != "refused: no such plan" {
 		t.Errorf("rejected: %#v", err)
