--- a/cmd/cleathold/agentfaults_test.go
+++ b/cmd/cleathold/agentfaults_test.go
@@ -100,7 +100,7 @@
 	plan := &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{fleet.Names}, Hold: 200 * time.Millisecond}
 	id, err := fleet.Order(leader, rollout.Command{Verb: rollout.Start, New: plan})
 	must(t, err)
-	awaitView(t, fleet, 20*time.Second, fmt.Sprintf("a sender is %s", step), func(v agent.View) bool {
+	awaitView(t, fleet, 20*time.Second, fmt.Sprintf("a sender is %s", step), func(v agent.FleetView) bool {
 		p := v.State.Plan(id)
 		if p == nil {
 			return false
@@ -137,7 +137,7 @@
 	plan := &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{fleet.Names}}
 	id, err := fleet.Order(leader, rollout.Command{Verb: rollout.Start, New: plan})
 	must(t, err)
-	awaitView(t, fleet, 20*time.Second, "one is out", func(v agent.View) bool { return len(v.State.Grants) == 1 })
+	awaitView(t, fleet, 20*time.Second, "one is out", func(v agent.FleetView) bool { return len(v.State.Grants) == 1 })
 	isolateAgents(fleet, fleet.AgentNames()[leader:leader+1])
 	orderedAt := time.Now()
 	_, err = fleet.Order(otherAgents(fleet, leader)[0], rollout.Command{Verb: rollout.Halt, Plan: id})
@@ -169,7 +169,7 @@
 				func(p *rollout.Plan) bool { return p.Tasks[p.Stages[0][0]].Step == rollout.Finished },
 				func(p *rollout.Plan) bool { return p.Stage >= 1 },
 			} {
-				awaitView(t, fleet, 60*time.Second, "the next step", func(v agent.View) bool {
+				awaitView(t, fleet, 60*time.Second, "the next step", func(v agent.FleetView) bool {
 					p := v.State.Plan(id)
 					return p != nil && (reached(p) || !p.Phase.Open() || p.Phase == rollout.Halted)
 				})
@@ -217,14 +217,14 @@
 				Senders: 10, Agents: c.agents, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 6}),
 			})
 			id := planNumber(t, fleetCommand(t, fleet, 0, "drain", "n0", "--reason", "r")) // supervised by agent 0
-			awaitView(t, fleet, 20*time.Second, "n0 is out", func(v agent.View) bool {
+			awaitView(t, fleet, 20*time.Second, "n0 is out", func(v agent.FleetView) bool {
 				p := v.State.Plan(id)
 				return p != nil && p.Tasks["n0"].Step == rollout.Out
 			})
 			minority := fleet.AgentNames()[:c.minority]
 			isolateAgents(fleet, minority)
 			isolatedAt := time.Now()
-			awaitView(t, fleet, 20*time.Second, "a leader in the majority", func(v agent.View) bool {
+			awaitView(t, fleet, 20*time.Second, "a leader in the majority", func(v agent.FleetView) bool {
 				return !slices.Contains(minority, v.Agent)
 			})
 			requireMinorityRejects(t, fleet)
@@ -242,7 +242,7 @@
 				t.Errorf("n0 was out of service for %v after its agent was isolated", d)
 			}
 			fleet.Net.Heal()
-			awaitView(t, fleet, 20*time.Second, "n0 is seen serving", func(v agent.View) bool {
+			awaitView(t, fleet, 20*time.Second, "n0 is seen serving", func(v agent.FleetView) bool {
 				return v.Observations["n0"].Serving
 			})
 			checkRules(t, fleet)
@@ -280,7 +280,7 @@
 	fleet.SignalAgent(2, syscall.SIGKILL)
 	must(t, fleet.WipeAgent(2))
 	must(t, fleet.StartAgent(2))
-	awaitView(t, fleet, 30*time.Second, "the agent is a new member", func(v agent.View) bool {
+	awaitView(t, fleet, 30*time.Second, "the agent is a new member", func(v agent.FleetView) bool {
 		_, is := v.Quorum.Members[lostMember]
 		return !is && len(v.Quorum.Members) == 3 && v.Observations["n2"].Serving
 	})
@@ -366,7 +366,7 @@
 			}
 		}
 	}
-	awaitView(t, fleet, 30*time.Second, "no plan is open", func(v agent.View) bool {
+	awaitView(t, fleet, 30*time.Second, "no plan is open", func(v agent.FleetView) bool {
 		return !slices.ContainsFunc(v.State.Plans, func(p *rollout.Plan) bool { return p.Phase.Open() })
 	})
 }
--- a/cmd/cleathold/cluster_test.go
+++ b/cmd/cleathold/cluster_test.go
@@ -74,7 +74,7 @@
 
 // awaitView waits until the view of the leader meets a condition.
 func awaitView(
-	t *testing.T, fleet *cluster.Cluster, within time.Duration, description string, condition func(v agent.View) bool,
+	t *testing.T, fleet *cluster.Cluster, within time.Duration, description string, condition func(v agent.FleetView) bool,
 ) {
 	t.Helper()
 	must(t, fleet.Await(within, description, condition))
@@ -83,7 +83,7 @@
 // awaitOtherLeader waits until an agent other than the excluded one leads.
 func awaitOtherLeader(t *testing.T, fleet *cluster.Cluster, within time.Duration, excluded int) {
 	t.Helper()
-	awaitView(t, fleet, within, "another agent leads", func(v agent.View) bool {
+	awaitView(t, fleet, within, "another agent leads", func(v agent.FleetView) bool {
 		return v.Agent != fleet.AgentNames()[excluded]
 	})
 }
@@ -203,7 +203,7 @@
 // resumePlan resumes a plan if it is halted, as an operator would do.
 func resumePlan(t *testing.T, fleet *cluster.Cluster, id uint64) {
 	t.Helper()
-	must(t, fleet.Await(20*time.Second, "the plan", func(v agent.View) bool { return v.State.Plan(id) != nil }))
+	must(t, fleet.Await(20*time.Second, "the plan", func(v agent.FleetView) bool { return v.State.Plan(id) != nil }))
 	v, err := fleet.View(awaitLeader(t, fleet), true)
 	must(t, err)
 	if p := v.State.Plan(id); p != nil && p.Phase == rollout.Halted {
--- a/cmd/cleathold/fleetclient.go
+++ b/cmd/cleathold/fleetclient.go
@@ -37,7 +37,7 @@
 }
 
 // view returns the view of the fleet from the first agent that responds.
-func (f *fleetCmd) view() (agent.View, error) { return firstAnswer(f, agent.FetchView) }
+func (f *fleetCmd) view() (agent.FleetView, error) { return firstAnswer(f, agent.FetchView) }
 
 // attribution names the author of a command and the reason for it. Both are recorded in the event log of the fleet.
 type attribution struct {
--- a/cmd/cleathold/fleetendpoint.go
+++ b/cmd/cleathold/fleetendpoint.go
@@ -36,7 +36,7 @@
 }
 
 // endpointStatus returns a short description of whether senders use an endpoint.
-func endpointStatus(v agent.View, e rollout.Endpoint) string {
+func endpointStatus(v agent.FleetView, e rollout.Endpoint) string {
 	exclusion := v.State.Endpoints[e.ID]
 	switch {
 	case exclusion != nil && exclusion.Back.IsZero():
--- a/cmd/cleathold/fleetlist.go
+++ b/cmd/cleathold/fleetlist.go
@@ -46,7 +46,7 @@
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
 
 // senderStatus returns a short description of a sender's status, and whether the sender counts as out of service.
-func senderStatus(v agent.View, name string) (text string, out bool) {
+func senderStatus(v agent.FleetView, name string) (text string, out bool) {
 	observation, observed := v.Observations[name]
 	grant := v.State.Grants[name]
 	stale := v.At.Sub(observation.At) > v.State.Terms.Timing.MaxObservationAge
@@ -71,7 +71,7 @@
 }
 
 // writeFleet writes a table of the senders, followed by the budget, the open plans and the leader of the agents.
-func writeFleet(out io.Writer, v agent.View) error {
+func writeFleet(out io.Writer, v agent.FleetView) error {
 	outOfService := 0
 	table := newTable(out)
 	fmt.Fprintln(table, "SENDER\tBUILDING\tAGENT\tVERSION\tOWES\tSTANDS")
@@ -102,7 +102,7 @@
 
 // quorumSummary returns a line about the leader of the agents, or a warning that the view is limited because no leader
 // responds.
-func quorumSummary(v agent.View) string {
+func quorumSummary(v agent.FleetView) string {
 	switch {
 	case v.Quorum == nil:
 		return fmt.Sprintf("WARNING: seen by agent %s alone: %s", v.Agent, v.Why)
--- a/cmd/cleathold/fleetorders_test.go
+++ b/cmd/cleathold/fleetorders_test.go
@@ -36,7 +36,7 @@
 	if codes[0]+codes[1] != exitRejected || codes[2]+codes[3] != exitRejected {
 		t.Errorf("exit codes %v: want one of two plans for the same senders to be rejected", codes)
 	}
-	awaitView(t, fleet, 30*time.Second, "both are done", func(v agent.View) bool {
+	awaitView(t, fleet, 30*time.Second, "both are done", func(v agent.FleetView) bool {
 		done := 0
 		for _, p := range v.State.Plans {
 			if p.Phase == rollout.Done {
@@ -53,7 +53,7 @@
 	revision := fmt.Sprint(v.State.Plan(id).Revision)
 	fleetCommand(t, fleet, 0, "halt", plan, "--reason", "another, too")
 	requireRejected(t, fleet, "another, too", "resume", plan, "--revision", revision, "--reason", "it was nothing")
-	awaitView(t, fleet, 5*time.Second, "it is halted", func(v agent.View) bool {
+	awaitView(t, fleet, 5*time.Second, "it is halted", func(v agent.FleetView) bool {
 		return v.State.Plan(id).Phase == rollout.Halted
 	})
 	fleetCommand(t, fleet, 0, "activate", plan, "--reason", "r")
@@ -88,8 +88,8 @@
 		Senders: 6, Agents: 3, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 2}),
 	})
 	id := planNumber(t, fleetCommand(t, fleet, 0, "drain", "n0", "n2", "n4", "--reason", "r")) // all in one building
-	var v agent.View
-	awaitView(t, fleet, 20*time.Second, "two are out", func(now agent.View) bool {
+	var v agent.FleetView
+	awaitView(t, fleet, 20*time.Second, "two are out", func(now agent.FleetView) bool {
 		v = now
 		return fleet.Poll.OutByOrder() == 2 && len(now.State.Grants) == 2
 	})
@@ -103,7 +103,7 @@
 	if !fleet.SignalSender(0, syscall.SIGKILL) {
 		t.Fatal("n0 does not answer")
 	}
-	awaitView(t, fleet, 20*time.Second, "n0 is another process, and out again", func(now agent.View) bool {
+	awaitView(t, fleet, 20*time.Second, "n0 is another process, and out again", func(now agent.FleetView) bool {
 		regranted := now.State.Grants["n0"]
 		return now.State.Plan(id).Tasks["n0"].Step == rollout.Out &&
 			regranted.Epoch > grant.Epoch && regranted.Process != grant.Process
@@ -116,7 +116,7 @@
 	requireStoppedSenderKeepsGrant(t, fleet, id)
 	// n5 is restarted independently of its agent. The agent must supervise the new process, which can be drained.
 	fleet.Replace(5)
-	awaitView(t, fleet, 30*time.Second, "n5 serves", func(now agent.View) bool {
+	awaitView(t, fleet, 30*time.Second, "n5 serves", func(now agent.FleetView) bool {
 		return now.Observations["n5"].Serving && fleet.Poll.Now(5) == "serves"
 	})
 	fleetCommand(t, fleet, 0, "drain", "n5", "--for", "100ms", "--watch", "--reason", "r")
@@ -125,7 +125,7 @@
 
 // requireStaleOrdersRejected repeats the current order to n0, which must be accepted, and sends a late and an outdated
 // order, which must be rejected.
-func requireStaleOrdersRejected(t *testing.T, fleet *cluster.Cluster, v agent.View, grant *rollout.Grant) {
+func requireStaleOrdersRejected(t *testing.T, fleet *cluster.Cluster, v agent.FleetView, grant *rollout.Grant) {
 	t.Helper()
 	repeated := drainOrder{grant.Process, grant.Epoch, time.UnixMilli(1), time.UnixMilli(2)}
 	if got := repeated.send(fleet, 0); got != http.StatusOK {
@@ -151,7 +151,7 @@
 	}
 	pid := fleet.LastPid(2)
 	fleetCommand(t, fleet, 0, "activate", fmt.Sprint(id), "--reason", "r")
-	awaitView(t, fleet, 20*time.Second, "n0 is back", func(now agent.View) bool {
+	awaitView(t, fleet, 20*time.Second, "n0 is back", func(now agent.FleetView) bool {
 		return now.State.Grants["n0"] == nil && now.Observations["n0"].Serving
 	})
 	other := planNumber(t, fleetCommand(t, fleet, 0, "drain", "n1", "n3", "--for", "300ms", "--reason", "r"))
@@ -177,7 +177,7 @@
 		Senders: 4, Agents: 3, Rate: 300, Terms: shortLeaseTerms(rollout.Budget{Fleet: 1, Endpoints: 1}),
 	})
 	var list []rollout.Endpoint
-	awaitView(t, fleet, 20*time.Second, "endpoints are listed", func(v agent.View) bool {
+	awaitView(t, fleet, 20*time.Second, "endpoints are listed", func(v agent.FleetView) bool {
 		list = v.Listed
 		return len(list) > 2
 	})
@@ -197,7 +197,7 @@
 		t.Errorf("%s is called %v after it was excluded", id, fleet.LastCall(id).Sub(excludedAt))
 	}
 	fleet.SignalSender(1, syscall.SIGKILL)
-	awaitView(t, fleet, 20*time.Second, "n1 serves", func(v agent.View) bool {
+	awaitView(t, fleet, 20*time.Second, "n1 serves", func(v agent.FleetView) bool {
 		return fleet.Poll.Now(1) == "serves" && v.Observations["n1"].Serving
 	})
 	time.Sleep(time.Second)
--- a/cmd/cleathold/fleetplan.go
+++ b/cmd/cleathold/fleetplan.go
@@ -73,7 +73,7 @@
 }
 
 // writePlan writes the summary of a plan, and a table of its senders by stage.
-func writePlan(out io.Writer, v agent.View, p *rollout.Plan) error {
+func writePlan(out io.Writer, v agent.FleetView, p *rollout.Plan) error {
 	fmt.Fprintln(out, planSummary(p))
 	table := newTable(out)
 	fmt.Fprintln(table, "STAGE\tSENDER\tSTEP\tSTANDS\tWHY")
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -19,8 +19,8 @@
 // forwardedHeader marks a request that another agent has forwarded. Such a request is not forwarded again.
 const forwardedHeader = "X-Passed-By"
 
-// View is the state of the fleet as known to one agent.
-type View struct {
+// FleetView is the state of the fleet as known to one agent.
+type FleetView struct {
 	Agent  string         `json:"agent"`
 	At     time.Time      `json:"at"`
 	Quorum *quorum.Status `json:"quorum,omitempty"` // nil: the agent's quorum node does not run
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -19,13 +19,13 @@
 
 // FetchView returns the state of the fleet from the agent at addr (host:port). It is the leader's view if that agent
 // can reach the leader, and otherwise the agent's own.
-func FetchView(ctx context.Context, addr string) (v View, err error) {
+func FetchView(ctx context.Context, addr string) (v FleetView, err error) {
 	err = sendJSON(ctx, http.DefaultClient, addr, viewPath, nil, &v, nil)
 	return v, err
 }
 
 // FetchOwnView returns the own view of the agent at addr (host:port), without a call to the leader.
-func FetchOwnView(ctx context.Context, addr string) (v View, err error) {
+func FetchOwnView(ctx context.Context, addr string) (v FleetView, err error) {
 	err = sendJSON(ctx, http.DefaultClient, addr, viewPath+"?own=1", nil, &v, nil)
 	return v, err
 }
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -11,7 +11,7 @@
 func TestGoldenAgent(t *testing.T) {
 	golden.JSON[record](t, "record.json")
 	golden.JSON[observationReport](t, "sightings.json")
-	golden.JSON[View](t, "view.json")
+	golden.JSON[FleetView](t, "view.json")
 	golden.JSON[CommandResult](t, "result.json")
 	golden.JSON[CommandRequest](t, "call.json")
 	golden.JSON[CompatibilityCheck](t, "probe.json")
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -49,7 +49,7 @@
 	leader, leads := a.leadership()
 	ownOnly := r.Header.Get(forwardedHeader) != "" || r.URL.Query().Get("own") != ""
 	if leader != "" && !leads && !ownOnly {
-		var v View
+		var v FleetView
 		if a.call(r.Context(), a.cfg.Peers[leader], viewPath, nil, &v) == nil {
 			writeJSON(w, v)
 			return
@@ -59,8 +59,8 @@
 }
 
 // view returns this agent's own view.
-func (a *Agent) view() View {
-	v := View{Agent: a.cfg.Name, At: time.Now().UTC(), Listed: a.fleet.endpoints(), Traffic: a.traffic.totals()}
+func (a *Agent) view() FleetView {
+	v := FleetView{Agent: a.cfg.Name, At: time.Now().UTC(), Listed: a.fleet.endpoints(), Traffic: a.traffic.totals()}
 	if node, err := a.quorumNode(); err != nil {
 		v.Why = err.Error()
 	} else {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -124,7 +124,7 @@
 			return err
 		}
 	}
-	err := c.Await(serveTimeout, "all senders serve", func(v agent.View) bool {
+	err := c.Await(serveTimeout, "all senders serve", func(v agent.FleetView) bool {
 		serving := 0
 		for _, name := range c.Names {
 			if s := v.Observations[name]; s.Serving && v.State.Members[name] != nil {
--- a/internal/cluster/orders.go
+++ b/internal/cluster/orders.go
@@ -21,7 +21,7 @@
 )
 
 // View returns an agent's view of the fleet: only from its own information if own is set, otherwise from the leader's.
-func (c *Cluster) View(i int, own bool) (agent.View, error) {
+func (c *Cluster) View(i int, own bool) (agent.FleetView, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, viewTimeout)
 	defer cancel()
 	if own {
@@ -53,8 +53,8 @@
 
 // Await polls the leader's view of the fleet, through any agent, until a condition holds. If it times out, the error
 // contains the description of the condition and the last view.
-func (c *Cluster) Await(timeout time.Duration, description string, condition func(v agent.View) bool) error {
-	var lastView agent.View
+func (c *Cluster) Await(timeout time.Duration, description string, condition func(v agent.FleetView) bool) error {
+	var lastView agent.FleetView
 	for until := time.Now().Add(timeout); time.Now().Before(until); time.Sleep(awaitInterval) {
 		for i := range c.agents {
 			if c.agents[i].cmd == nil {
@@ -78,7 +78,7 @@
 
 // AwaitPlan waits until a plan is in one of the given phases, and returns the plan.
 func (c *Cluster) AwaitPlan(timeout time.Duration, id uint64, phases ...rollout.Phase) (p *rollout.Plan, err error) {
-	err = c.Await(timeout, fmt.Sprintf("plan %d is %v", id, phases), func(v agent.View) bool {
+	err = c.Await(timeout, fmt.Sprintf("plan %d is %v", id, phases), func(v agent.FleetView) bool {
 		p = v.State.Plan(id)
 		return p != nil && slices.Contains(phases, p.Phase)
 	})
--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -113,7 +113,7 @@
 // left out, as operators would.
 func (p *player) awaitSettled() error {
 	c := p.cluster
-	return c.Await(settleTimeout, "all serve again, and no plan runs", func(v agent.View) bool {
+	return c.Await(settleTimeout, "all serve again, and no plan runs", func(v agent.FleetView) bool {
 		for _, plan := range v.State.Plans {
 			if plan.Phase == rollout.Running || plan.Phase == rollout.RollingBack {
 				return false
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -121,7 +121,7 @@
 	for i := range c.agents {
 		c.SignalAgent(i, syscall.SIGCONT)
 	}
-	err := c.Await(time.Minute, "all are seen again", func(v agent.View) bool {
+	err := c.Await(time.Minute, "all are seen again", func(v agent.FleetView) bool {
 		return len(v.State.ServingSenders(v.Observations, time.Now())) == c.Senders
 	})
 	if err != nil {
@@ -216,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	err = c.Await(rollBackTimeout, "a third of the stages are through", func(v agent.View) bool {
+	err = c.Await(rollBackTimeout, "a third of the stages are through", func(v agent.FleetView) bool {
 		p := v.State.Plan(id)
 		return p != nil && (p.Stage >= len(p.Stages)/3 || p.Phase == rollout.Halted)
 	})
@@ -322,7 +322,7 @@
 	if err != nil {
 		return 0, err
 	}
-	err = c.Await(time.Minute, "some are through", func(v agent.View) bool {
+	err = c.Await(time.Minute, "some are through", func(v agent.FleetView) bool {
 		n := 0
 		if p := v.State.Plan(id); p != nil {
 			for _, t := range p.Tasks {
