--- a/cmd/cleathold/fleetendpoint.go
+++ b/cmd/cleathold/fleetendpoint.go
@@ -25,11 +25,11 @@
 		return err
 	}
 	if c.JSON {
-		return writeJSON(out, map[string]any{"listed": view.Listed, "out": view.State.Endpoints})
+		return writeJSON(out, map[string]any{"listed": view.Endpoints, "out": view.State.Endpoints})
 	}
 	table := newTable(out)
 	fmt.Fprintln(table, "ENDPOINT\tDESTINATION\tKIND\tSTANDS")
-	for _, e := range view.Listed {
+	for _, e := range view.Endpoints {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%s\n", e.ID, e.Dest, e.Kind, endpointStatus(view, e))
 	}
 	return table.Flush()
--- a/cmd/cleathold/fleetorders_test.go
+++ b/cmd/cleathold/fleetorders_test.go
@@ -178,7 +178,7 @@
 	})
 	var list []rollout.Endpoint
 	awaitView(t, fleet, 20*time.Second, "endpoints are listed", func(v agent.FleetView) bool {
-		list = v.Listed
+		list = v.Endpoints
 		return len(list) > 2
 	})
 	id := list[0].ID
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -30,7 +30,7 @@
 	// Observations are the latest ones by sender. The leader has those of all senders, other agents only those of
 	// their own senders.
 	Observations map[string]rollout.Observation `json:"sights"`
-	Listed       []rollout.Endpoint             `json:"listed"` // endpoints of discovery, as reported to this agent
+	Endpoints    []rollout.Endpoint             `json:"listed"` // endpoints of discovery, as reported to this agent
 	Traffic      Traffic                        `json:"spent"`  // this agent's own
 }
 
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -60,7 +60,7 @@
 
 // view returns this agent's own view.
 func (a *Agent) view() FleetView {
-	v := FleetView{Agent: a.cfg.Name, At: time.Now().UTC(), Listed: a.fleet.endpoints(), Traffic: a.traffic.totals()}
+	v := FleetView{Agent: a.cfg.Name, At: time.Now().UTC(), Endpoints: a.fleet.endpoints(), Traffic: a.traffic.totals()}
 	if node, err := a.quorumNode(); err != nil {
 		v.Why = err.Error()
 	} else {
