--- a/cmd/cleathold/fleetlist.go
+++ b/cmd/cleathold/fleetlist.go
@@ -105,7 +105,7 @@
 func quorumSummary(v agent.FleetView) string {
 	switch {
 	case v.Quorum == nil:
-		return fmt.Sprintf("WARNING: seen by agent %s alone: %s", v.Agent, v.Why)
+		return fmt.Sprintf("WARNING: seen by agent %s alone: %s", v.Agent, v.NoQuorumReason)
 	case v.Quorum.Leader == "":
 		return fmt.Sprintf("WARNING: agent %s reaches no majority of the %d agents: nothing new goes out, "+
 			"and what is out comes back as its leases end", v.Agent, len(v.Quorum.Members))
--- a/internal/agent/api.go
+++ b/internal/agent/api.go
@@ -21,11 +21,11 @@
 
 // FleetView is the state of the fleet as known to one agent.
 type FleetView struct {
-	Agent  string         `json:"agent"`
-	At     time.Time      `json:"at"`
-	Quorum *quorum.Status `json:"quorum,omitempty"` // nil: the agent's quorum node does not run
-	Why    string         `json:"why,omitempty"`    // why Quorum is nil
-	State  *rollout.State `json:"state"`
+	Agent          string         `json:"agent"`
+	At             time.Time      `json:"at"`
+	Quorum         *quorum.Status `json:"quorum,omitempty"` // nil: the agent's quorum node does not run
+	NoQuorumReason string         `json:"why,omitempty"`    // why Quorum is nil
+	State          *rollout.State `json:"state"`
 
 	// Observations are the latest ones by sender. The leader has those of all senders, other agents only those of
 	// their own senders.
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -62,7 +62,7 @@
 func (a *Agent) view() FleetView {
 	v := FleetView{Agent: a.cfg.Name, At: time.Now().UTC(), Endpoints: a.fleet.endpoints(), Traffic: a.traffic.totals()}
 	if node, err := a.quorumNode(); err != nil {
-		v.Why = err.Error()
+		v.NoQuorumReason = err.Error()
 	} else {
 		status := node.Status()
 		v.Quorum = &status
