--- a/cmd/cleathold/labfleet.go
+++ b/cmd/cleathold/labfleet.go
@@ -216,7 +216,7 @@
 }
 
 // writeAgentCost writes the processor time, memory and network traffic of an agent.
-func writeAgentCost(out io.Writer, when string, c cluster.Cost) {
+func writeAgentCost(out io.Writer, when string, c cluster.AgentUsage) {
 	fmt.Fprintf(out, "an agent %s: %.3f of a processor, %.0f MB; a second: raft %.0f bytes and %.1f calls, "+
 		"sights %.0f bytes and %.1f calls, looks %.0f bytes and %.1f calls\n",
 		when, c.Processor, c.MemoryMB, c.RaftBytes, c.RaftCalls, c.ReportBytes, c.ReportCalls, c.PollBytes, c.PollCalls)
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -48,8 +48,8 @@
 	Before float64 `json:"Before"`
 	During float64 `json:"During"`
 	// The average resource usage of an agent, without orders and during the release.
-	AtRest        Cost `json:"Rest"`
-	DuringRelease Cost `json:"Busy"`
+	AtRest        AgentUsage `json:"Rest"`
+	DuringRelease AgentUsage `json:"Busy"`
 	// The average resource usage of a sender without orders, with its agent and while all agents are stopped.
 	WithAgent    SenderUsage `json:"Watched"`
 	WithoutAgent SenderUsage `json:"Alone"`
--- a/internal/cluster/usage.go
+++ b/internal/cluster/usage.go
@@ -16,8 +16,8 @@
 	MemoryMB  float64 `json:"memory_mb"`   // resident set
 }
 
-// Cost is the average resource usage of an agent. Bytes and calls are per second.
-type Cost struct {
+// AgentUsage is the average resource usage of an agent. Bytes and calls are per second.
+type AgentUsage struct {
 	Processor   float64 `json:"processor_s"` // processor seconds per second
 	MemoryMB    float64 `json:"memory_mb"`   // resident set
 	RaftBytes   float64 `json:"raft_bytes"`
@@ -96,10 +96,10 @@
 }
 
 // costBetween returns the average resource usage of an agent between two measurements.
-func costBetween(a, b usage) Cost {
+func costBetween(a, b usage) AgentUsage {
 	n, seconds := float64(max(1, b.agents)), b.at.Sub(a.at).Seconds()
 	rate := func(a, b int64) float64 { return float64(b-a) / seconds / n }
-	return Cost{
+	return AgentUsage{
 		Processor:   (b.processor - a.processor) / seconds / n,
 		MemoryMB:    b.memoryMB / n,
 		RaftBytes:   rate(a.quorumBytes, b.quorumBytes),
