--- a/cmd/cleathold/fleetorders_test.go
+++ b/cmd/cleathold/fleetorders_test.go
@@ -91,7 +91,7 @@
 	var v agent.FleetView
 	awaitView(t, fleet, 20*time.Second, "two are out", func(now agent.FleetView) bool {
 		v = now
-		return fleet.Poll.OutByOrder() == 2 && len(now.State.Grants) == 2
+		return fleet.Poll.DrainingCount() == 2 && len(now.State.Grants) == 2
 	})
 	grant := v.State.Grants["n0"]
 	if grant == nil {
--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -153,8 +153,8 @@
 	return p.current[sender].String()
 }
 
-// OutByOrder returns the number of senders that are draining now.
-func (p *Poll) OutByOrder() (n int) {
+// DrainingCount returns the number of senders that are draining now.
+func (p *Poll) DrainingCount() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, state := range p.current {
