--- a/cmd/cleathold/fleetorders_test.go
+++ b/cmd/cleathold/fleetorders_test.go
@@ -149,7 +149,7 @@
 	if !fleet.SignalSender(2, syscall.SIGSTOP) {
 		t.Fatal("n2 does not answer")
 	}
-	pid := fleet.LastPid(2)
+	pid := fleet.AnyPid(2)
 	fleetCommand(t, fleet, 0, "activate", fmt.Sprint(id), "--reason", "r")
 	awaitView(t, fleet, 20*time.Second, "n0 is back", func(now agent.FleetView) bool {
 		return now.State.Grants["n0"] == nil && now.Observations["n0"].Serving
--- a/internal/cluster/senders.go
+++ b/internal/cluster/senders.go
@@ -51,8 +51,8 @@
 // Config returns the path of a sender's configuration file.
 func (c *Cluster) Config(i int) string { return c.senders[i].config }
 
-// LastPid returns the id of any process of a sender, whether it answers or not; 0 if there is none.
-func (c *Cluster) LastPid(i int) int {
+// AnyPid returns the id of any process of a sender, whether it answers or not; 0 if there is none.
+func (c *Cluster) AnyPid(i int) int {
 	for pid, config := range c.processes() {
 		if config == c.senders[i].config {
 			return pid
@@ -64,7 +64,7 @@
 // Replace kills a sender's process and starts another one in its place without involving the sender's agent, as an
 // operator might do by mistake.
 func (c *Cluster) Replace(i int) error {
-	pid := c.LastPid(i)
+	pid := c.AnyPid(i)
 	env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
 		return err
