--- a/cmd/cleathold/fleetorders_test.go
+++ b/cmd/cleathold/fleetorders_test.go
@@ -115,7 +115,7 @@
 	}
 	requireStoppedSenderKeepsGrant(t, fleet, id)
 	// n5 is restarted independently of its agent. The agent must supervise the new process, which can be drained.
-	fleet.Replace(5)
+	fleet.ReplaceProcess(5)
 	awaitView(t, fleet, 30*time.Second, "n5 serves", func(now agent.FleetView) bool {
 		return now.Observations["n5"].Serving && fleet.Poll.Now(5) == "serves"
 	})
--- a/internal/cluster/senders.go
+++ b/internal/cluster/senders.go
@@ -61,9 +61,9 @@
 	return 0
 }
 
-// Replace kills a sender's process and starts another one in its place without involving the sender's agent, as an
-// operator might do by mistake.
-func (c *Cluster) Replace(i int) error {
+// ReplaceProcess kills a sender's process and starts another one in its place without involving the sender's agent, as
+// an operator might do by mistake.
+func (c *Cluster) ReplaceProcess(i int) error {
 	pid := c.AnyPid(i)
 	env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
