--- a/cmd/cleathold/cluster_test.go
+++ b/cmd/cleathold/cluster_test.go
@@ -46,7 +46,7 @@
 	must(t, err)
 	t.Cleanup(func() {
 		if t.Failed() {
-			fleet.Logs(os.Stderr)
+			fleet.WriteLogs(os.Stderr)
 		}
 		fleet.Close()
 	})
--- a/internal/cluster/senders.go
+++ b/internal/cluster/senders.go
@@ -14,7 +14,7 @@
 
 const (
 	statusTimeout = time.Second
-	maxLogTail    = 2500 // bytes of each log that Logs writes
+	maxLogTail    = 2500 // bytes of each log that WriteLogs writes
 )
 
 // A senderAddresses contains the configuration path and the addresses of a sender.
@@ -112,8 +112,8 @@
 	return pids
 }
 
-// Logs writes the end of each log, for the output of a failed test.
-func (c *Cluster) Logs(out io.Writer) {
+// WriteLogs writes the end of each log, for the output of a failed test.
+func (c *Cluster) WriteLogs(out io.Writer) {
 	for _, pattern := range []string{"a*/log", "a*/state/*.log"} {
 		files, _ := filepath.Glob(filepath.Join(c.Folder, pattern))
 		for _, f := range files {
