--- a/cmd/cleathold/agentfaults_test.go
+++ b/cmd/cleathold/agentfaults_test.go
@@ -98,7 +98,7 @@
 	t.Helper()
 	leader := awaitLeader(t, fleet)
 	plan := &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{fleet.Names}, Hold: 200 * time.Millisecond}
-	id, err := fleet.Order(leader, rollout.Command{Verb: rollout.Start, New: plan})
+	id, err := fleet.SendCommand(leader, rollout.Command{Verb: rollout.Start, New: plan})
 	must(t, err)
 	awaitView(t, fleet, 20*time.Second, fmt.Sprintf("a sender is %s", step), func(v agent.FleetView) bool {
 		p := v.State.Plan(id)
@@ -121,7 +121,7 @@
 	must(t, err)
 	if p.Phase == rollout.Halted { // a sender without an agent did not use its grant in time
 		command := rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}
-		_, err := fleet.Order(awaitLeader(t, fleet), command)
+		_, err := fleet.SendCommand(awaitLeader(t, fleet), command)
 		must(t, err)
 		_, err = fleet.AwaitPlan(60*time.Second, id, rollout.Done)
 		must(t, err)
@@ -135,19 +135,19 @@
 	fleet := newCluster(t, threeSenders())
 	leader := awaitLeader(t, fleet)
 	plan := &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{fleet.Names}}
-	id, err := fleet.Order(leader, rollout.Command{Verb: rollout.Start, New: plan})
+	id, err := fleet.SendCommand(leader, rollout.Command{Verb: rollout.Start, New: plan})
 	must(t, err)
 	awaitView(t, fleet, 20*time.Second, "one is out", func(v agent.FleetView) bool { return len(v.State.Grants) == 1 })
 	isolateAgents(fleet, fleet.AgentNames()[leader:leader+1])
 	orderedAt := time.Now()
-	_, err = fleet.Order(otherAgents(fleet, leader)[0], rollout.Command{Verb: rollout.Halt, Plan: id})
+	_, err = fleet.SendCommand(otherAgents(fleet, leader)[0], rollout.Command{Verb: rollout.Halt, Plan: id})
 	if took := time.Since(orderedAt); err != nil || took > 10*time.Second {
 		t.Errorf("halted after %v: %v", took, err)
 	}
 	fleet.Net.Heal()
 	p, err := fleet.AwaitPlan(20*time.Second, id, rollout.Halted)
 	must(t, err)
-	_, err = fleet.Order(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Activate, Plan: p.ID})
+	_, err = fleet.SendCommand(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Activate, Plan: p.ID})
 	must(t, err)
 	_, err = fleet.AwaitPlan(30*time.Second, id, rollout.Done)
 	must(t, err)
@@ -362,7 +362,7 @@
 		for _, p := range v.State.Plans {
 			if p.Phase.Open() {
 				command := rollout.Command{Verb: rollout.Activate, Plan: p.ID, Senders: []string{"n0"}}
-				fleet.Order(awaitLeader(t, fleet), command)
+				fleet.SendCommand(awaitLeader(t, fleet), command)
 			}
 		}
 	}
--- a/cmd/cleathold/cluster_test.go
+++ b/cmd/cleathold/cluster_test.go
@@ -209,7 +209,7 @@
 	if p := v.State.Plan(id); p != nil && p.Phase == rollout.Halted {
 		t.Logf("resumed: %s", p.PhaseReason)
 		// An error is ignored, because the plan may have changed meanwhile.
-		fleet.Order(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision})
+		fleet.SendCommand(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision})
 	}
 }
 
--- a/internal/cluster/orders.go
+++ b/internal/cluster/orders.go
@@ -102,9 +102,9 @@
 	return &OrderError{Kind: r.Kind, Text: r.Text}
 }
 
-// Order sends an order to one agent, and returns the order's index in the fleet's log. If the agent answers that the
-// order was not executed, the error is an *OrderError.
-func (c *Cluster) Order(i int, command rollout.Command) (uint64, error) {
+// SendCommand sends an order to one agent, and returns the order's index in the fleet's log. If the agent answers that
+// the order was not executed, the error is an *OrderError.
+func (c *Cluster) SendCommand(i int, command rollout.Command) (uint64, error) {
 	r, err := c.sendOrder(i, command)
 	if err == nil {
 		err = orderError(r)
--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -120,7 +120,7 @@
 			}
 			for name, t := range plan.Tasks {
 				if t.Step == rollout.Out {
-					c.Order(0, rollout.Command{Verb: rollout.Activate, Plan: plan.ID, Senders: []string{name}})
+					c.SendCommand(0, rollout.Command{Verb: rollout.Activate, Plan: plan.ID, Senders: []string{name}})
 				}
 			}
 		}
@@ -302,7 +302,7 @@
 func (p *player) order(first int, command rollout.Command) {
 	go func() {
 		for i := range p.history.Agents {
-			_, err := p.cluster.Order((first+i)%p.history.Agents, command)
+			_, err := p.cluster.SendCommand((first+i)%p.history.Agents, command)
 			var failed *OrderError
 			if err == nil || errors.As(err, &failed) && failed.Kind == agent.KindRejected {
 				return
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -202,7 +202,7 @@
 		time.Sleep(time.Second) // simulated reaction time of the operators
 		for i := range c.agents {
 			resume := rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}
-			if _, err := c.Order(i, resume); err == nil {
+			if _, err := c.SendCommand(i, resume); err == nil {
 				break
 			}
 		}
@@ -343,7 +343,7 @@
 			if i == skip {
 				continue
 			}
-			if _, err = c.Order(i, rollout.Command{Verb: rollout.Halt, Plan: id}); err == nil {
+			if _, err = c.SendCommand(i, rollout.Command{Verb: rollout.Halt, Plan: id}); err == nil {
 				return nil
 			}
 		}
