--- a/cmd/cleathold/lab_test.go
+++ b/cmd/cleathold/lab_test.go
@@ -139,7 +139,7 @@
 		{"#!/bin/sh\nexec sleep 60\n", "is not ready in time"},
 	} {
 		s := harnessSetup(t, shortScenario(t, ""))
-		s.Program, s.ReadyIn = filepath.Join(t.TempDir(), "program"), 300*time.Millisecond
+		s.Program, s.ReadyTimeout = filepath.Join(t.TempDir(), "program"), 300*time.Millisecond
 		must(t, os.WriteFile(s.Program, []byte(c.script), 0o755))
 		if _, err := harness.Run(t.Context(), s); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %q", err, c.want)
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -26,16 +26,16 @@
 
 // Setup contains the parameters of a run on sockets.
 type Setup struct {
-	Plan     *scenario.Plan
-	Program  string // path of the senders' program
-	Folder   string // for the senders' configurations, states and logs
-	Settings string // path of the senders' settings script; may be empty
-	Log      *slog.Logger
-	Progress io.Writer               // nil = progress is not shown
-	Sink     func(audit.Event) error // called for each event, in order; may be nil
-	MemoryMB float64                 // memory limit of each sender; 0 = 192
-	ReadyIn  time.Duration           // time limit for a sender to become ready after its start; 0 = 30 s
-	Faults   Faults
+	Plan         *scenario.Plan
+	Program      string // path of the senders' program
+	Folder       string // for the senders' configurations, states and logs
+	Settings     string // path of the senders' settings script; may be empty
+	Log          *slog.Logger
+	Progress     io.Writer               // nil = progress is not shown
+	Sink         func(audit.Event) error // called for each event, in order; may be nil
+	MemoryMB     float64                 // memory limit of each sender; 0 = 192
+	ReadyTimeout time.Duration           // time limit for a sender to become ready after its start; 0 = 30 s
+	Faults       Faults
 }
 
 // Result is the result of a run on sockets.
@@ -175,8 +175,8 @@
 
 // readyDeadline returns the time by which a sender that is started now must be ready.
 func (r *run) readyDeadline() time.Time {
-	if r.ReadyIn > 0 {
-		return time.Now().Add(r.ReadyIn)
+	if r.ReadyTimeout > 0 {
+		return time.Now().Add(r.ReadyTimeout)
 	}
 	return time.Now().Add(readyTimeout)
 }
