--- a/cmd/cleathold/labrun.go
+++ b/cmd/cleathold/labrun.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return harness.Result{}, err
 	}
-	setup.Sink = writer.Read
+	setup.Sink = writer.Append
 	r, err := harness.Run(ctx, setup)
 	if err != nil {
 		return r, errors.Join(err, writer.Close())
--- a/cmd/cleathold/labserve.go
+++ b/cmd/cleathold/labserve.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	setup := harness.Setup{Plan: s.Plan(c.Seed), Folder: folder, Settings: c.Settings, Log: log, Sink: writer.Read}
+	setup := harness.Setup{Plan: s.Plan(c.Seed), Folder: folder, Settings: c.Settings, Log: log, Sink: writer.Append}
 	r, err := harness.Serve(ctx, setup, out)
 	if err != nil {
 		return exitError{errors.Join(err, writer.Close()), exitIncomplete}
--- a/cmd/cleathold/labsim.go
+++ b/cmd/cleathold/labsim.go
@@ -126,7 +126,7 @@
 		if writer, err = ledger.Create(folder, ledgerHead(s, seed, modeVirtual, ""), s.Script); err != nil {
 			return simResult{err: err}
 		}
-		sink = func(e audit.Event) error { return errors.Join(ctx.Err(), writer.Read(e)) }
+		sink = func(e audit.Event) error { return errors.Join(ctx.Err(), writer.Append(e)) }
 	}
 	if c.Progress {
 		sink = withProgress(sink, seed, s.Length)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	for i := range events {
-		if err := w.Read(testEvent(i)); err != nil {
+		if err := w.Append(testEvent(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -109,9 +109,9 @@
 	}
 	var first error
 	for i := 0; i < 100_000 && first == nil; i++ {
-		first = w.Read(testEvent(i))
+		first = w.Append(testEvent(i))
 	}
-	if !errors.Is(first, errFull) || !errors.Is(w.Read(testEvent(0)), errFull) || !errors.Is(w.Finish(nil), errFull) {
+	if !errors.Is(first, errFull) || !errors.Is(w.Append(testEvent(0)), errFull) || !errors.Is(w.Finish(nil), errFull) {
 		t.Errorf("error for a full disk: %v", first)
 	}
 }
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -66,8 +66,8 @@
 	return &Writer{dir: dir, file: file, compressor: compressor, encoder: json.NewEncoder(compressor)}, nil
 }
 
-// Read writes an event. After an error, such as a full disk, all later calls return the same error.
-func (w *Writer) Read(e audit.Event) error {
+// Append writes an event. After an error, such as a full disk, all later calls return the same error.
+func (w *Writer) Append(e audit.Event) error {
 	if w.err != nil {
 		return w.err
 	}
