--- a/cmd/cleathold/labreport.go
+++ b/cmd/cleathold/labreport.go
@@ -161,11 +161,11 @@
 
 // writeDestination writes the sums of one destination by second.
 func (c *labLimitsCmd) writeDestination(out io.Writer, sums *report.Sums) error {
-	if len(sums.Of(c.Destination)) == 0 {
+	if len(sums.ForDestination(c.Destination)) == 0 {
 		return fmt.Errorf("the run has no calls to destination %d", c.Destination)
 	}
 	if c.JSON {
-		return writeJSON(out, sums.Of(c.Destination))
+		return writeJSON(out, sums.ForDestination(c.Destination))
 	}
 	return sums.Table(out, c.Destination)
 }
--- a/internal/report/limits.go
+++ b/internal/report/limits.go
@@ -116,8 +116,8 @@
 	return lowestFactor * d.Limit.PerSecond
 }
 
-// Of returns the usage of a destination in each second of the run.
-func (s *Sums) Of(dest int) []Sum {
+// ForDestination returns the usage of a destination in each second of the run.
+func (s *Sums) ForDestination(dest int) []Sum {
 	var list []Sum
 	for i := range s.plan.Dests {
 		d := &s.plan.Dests[i]
@@ -152,7 +152,7 @@
 func (s *Sums) Between(dest, from, to int) Span {
 	x := Span{Dest: dest, From: from, To: to}
 	allowed := 0.0
-	for _, sum := range s.Of(dest) {
+	for _, sum := range s.ForDestination(dest) {
 		if sum.At < from || sum.At >= to {
 			continue
 		}
@@ -172,7 +172,7 @@
 
 // Spans returns the usage of a destination in each interval in which its limit is constant.
 func (s *Sums) Spans(dest int) (list []Span) {
-	all := s.Of(dest)
+	all := s.ForDestination(dest)
 	for from := 0; from < len(all); {
 		to := from + 1
 		for to < len(all) && math.Abs(all[to].Limit-all[from].Limit) < 1e-9 {
@@ -211,7 +211,7 @@
 func (s *Sums) Table(out io.Writer, dest int) error {
 	fmt.Fprintf(out, "destination %d\n%8s %8s %8s %8s %8s %8s %8s %8s\n", dest, "SECOND", "LIMIT", "WANTED", "CALLS",
 		"REFUSED", "SERVED", "SENDERS", "MOST")
-	for _, x := range s.Of(dest) {
+	for _, x := range s.ForDestination(dest) {
 		if _, err := fmt.Fprintf(out, "%8d %8.1f %8d %8d %8d %8d %8d %8d\n", x.At, x.Limit, x.Requested, x.Calls,
 			x.Rejected, x.Served, x.Senders, x.MaxOfOneSender); err != nil {
 			return err
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -32,7 +32,7 @@
 	}
 	calls, rejected, senders := 0, 0, 0
 	for _, d := range p.Dests {
-		for _, x := range sums.Of(d.Dest) {
+		for _, x := range sums.ForDestination(d.Dest) {
 			calls, rejected, senders = calls+x.Calls, rejected+x.Rejected, max(senders, x.Senders)
 			if x.Rejected+x.Served > x.Calls || x.MaxOfOneSender > x.Calls || x.Senders > x.Calls {
 				t.Errorf("destination %d: %+v", d.Dest, x)
@@ -56,7 +56,8 @@
 		t.Errorf("%+v", x)
 	}
 	var out bytes.Buffer
-	if err := sums.Table(&out, limited[0]); err != nil || strings.Count(out.String(), "\n") != len(sums.Of(limited[0]))+2 {
+	if err := sums.Table(&out, limited[0]); err != nil || strings.Count(out.String(),
+		"\n") != len(sums.ForDestination(limited[0]))+2 {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
