--- a/cmd/cleathold/labreport.go
+++ b/cmd/cleathold/labreport.go
@@ -144,7 +144,7 @@
 		return c.writeDestination(out, sums)
 	}
 	var spans []report.Span
-	for _, d := range sums.Limited() {
+	for _, d := range sums.LimitedDestinations() {
 		spans = append(spans, sums.Spans(d)...)
 	}
 	if c.JSON {
--- a/internal/report/limits.go
+++ b/internal/report/limits.go
@@ -184,9 +184,9 @@
 	return list
 }
 
-// Limited returns the destinations whose limit is reduced during the run. If there is none, it returns all
+// LimitedDestinations returns the destinations whose limit is reduced during the run. If there is none, it returns all
 // destinations that have a limit.
-func (s *Sums) Limited() (list []int) {
+func (s *Sums) LimitedDestinations() (list []int) {
 	for _, reducedOnly := range []bool{true, false} {
 		for i := range s.plan.Dests {
 			d := &s.plan.Dests[i]
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("%d calls, %d rejected; the run had %d and %d; up to %d senders in a second", calls, rejected, r.Calls,
 			r.RejectedCalls, senders)
 	}
-	limited := sums.Limited()
+	limited := sums.LimitedDestinations()
 	if len(limited) != 1 {
 		t.Fatalf("destinations with a reduced limit: %v, want one", limited)
 	}
@@ -99,7 +99,7 @@
 			if r, err := sim.Run(); err != nil || len(r.Violations) > 0 {
 				t.Fatalf("%+v: %v %+v", c, err, r.Violations)
 			}
-			x := sums.Between(sums.Limited()[0], 15, 22)
+			x := sums.Between(sums.LimitedDestinations()[0], 15, 22)
 			n := float64(seeds)
 			if x.Rejected > c.maxRejected*x.Limit || x.Used < c.minUsed {
 				t.Errorf("%v senders in %v partitions, seed %d: limit %.0f, rejected %.1f/s, used %.2f", c.senders, c.parts,
