--- a/cmd/cleathold/lab.go
+++ b/cmd/cleathold/lab.go
@@ -63,12 +63,12 @@
 	}
 	plan := s.Plan(c.Seed)
 	endpoints := 0
-	for _, d := range plan.Dests {
+	for _, d := range plan.Destinations {
 		endpoints += len(d.Endpoints)
 	}
 	_, err = fmt.Fprintf(out, "%s: %v, %d senders, %.0f messages a second at full load, "+
 		"%d destinations with %d endpoints, %d changes among them\n",
-		s.Name, s.Length, s.Senders, plan.Rate, len(plan.Dests), endpoints, len(plan.Changes))
+		s.Name, s.Length, s.Senders, plan.Rate, len(plan.Destinations), endpoints, len(plan.Changes))
 	for _, m := range plan.Marks() {
 		fmt.Fprintf(out, "  %.1f to %.1f s: %s\n", m.From.Seconds(), m.To.Seconds(), m.Text)
 	}
--- a/internal/harness/endpoint_listener.go
+++ b/internal/harness/endpoint_listener.go
@@ -45,7 +45,7 @@
 	defer env.mu.Unlock()
 	for i := range env.plan.Scenario.Senders {
 		env.listeners = append(env.listeners, map[string]*endpointListener{})
-		for _, d := range env.plan.Dests {
+		for _, d := range env.plan.Destinations {
 			for _, e := range d.Endpoints {
 				if err := env.addListener(i, d.Dest, e); err != nil {
 					return err
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -105,7 +105,7 @@
 // ones with the right status.
 func TestEndpointListener(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
-	d := p.Dests[0]
+	d := p.Destinations[0]
 	listener := env.listeners[0][d.Endpoints[0].ID]
 	recordAcceptedMessage(env, "a", d.Dest)
 	recordAcceptedMessage(env, "b", d.Dest)
@@ -135,7 +135,7 @@
 // down resets its connections, refuses new ones and keeps its port reserved.
 func TestEndpointListenerFollowsModel(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
-	listener := env.listeners[0][p.Dests[0].Endpoints[0].ID]
+	listener := env.listeners[0][p.Destinations[0].Endpoints[0].ID]
 	setFault := func(fault partner.Fault) {
 		env.withLock(func() {
 			env.simulated.Model.SetFault(env.now(), listener.endpoint, fault)
@@ -176,7 +176,7 @@
 // late effect of one call.
 func TestCanceledCallTakesEffect(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
-	d := p.Dests[0]
+	d := p.Destinations[0]
 	listener := env.listeners[0][d.Endpoints[0].ID]
 	env.withLock(func() {
 		env.simulated.Model.SetFault(env.now(), listener.endpoint, partner.Fault{Mode: partner.Unresponsive})
@@ -225,7 +225,7 @@
 		}
 		return r.StatusCode, body
 	}
-	e := p.Dests[0].Endpoints[0]
+	e := p.Destinations[0].Endpoints[0]
 	endpoint := `"id":"` + e.ID + `","addr":"` + env.listeners[0][e.ID].addr
 	if status, body := get(""); status != 200 || !strings.Contains(body, `"full":true`) ||
 		!strings.Contains(body, endpoint) {
@@ -291,7 +291,7 @@
 // TestFailedListenerEndsRun checks that a failing listener ends the run with an error that contains its address.
 func TestFailedListenerEndsRun(t *testing.T) {
 	env, p := newTestEnvironment(t, "")
-	listener := env.listeners[1][p.Dests[0].Endpoints[0].ID]
+	listener := env.listeners[1][p.Destinations[0].Endpoints[0].ID]
 	listener.listener.Close()
 	<-env.ctx.Done()
 	if err := context.Cause(env.ctx); err == nil || !strings.Contains(err.Error(), listener.addr) {
@@ -417,7 +417,7 @@
 		{`of = "n1", to = "partners", what = "CUT"`, "served"},
 	} {
 		env, p := newTestEnvironment(t, "link(at = 0, seconds = 1, "+c.link+")\n")
-		d := p.Dests[0]
+		d := p.Destinations[0]
 		listener := env.listeners[0][d.Endpoints[0].ID]
 		waitFor(t, "the fault", func() (applies bool) {
 			env.withLock(func() {
--- a/internal/report/limits.go
+++ b/internal/report/limits.go
@@ -119,8 +119,8 @@
 // ForDestination returns the usage of a destination in each second of the run.
 func (s *Sums) ForDestination(dest int) []Sum {
 	var list []Sum
-	for i := range s.plan.Dests {
-		d := &s.plan.Dests[i]
+	for i := range s.plan.Destinations {
+		d := &s.plan.Destinations[i]
 		if d.Dest != dest {
 			continue
 		}
@@ -188,8 +188,8 @@
 // destinations that have a limit.
 func (s *Sums) LimitedDestinations() (list []int) {
 	for _, reducedOnly := range []bool{true, false} {
-		for i := range s.plan.Dests {
-			d := &s.plan.Dests[i]
+		for i := range s.plan.Destinations {
+			d := &s.plan.Destinations[i]
 			reduced := false
 			for _, e := range d.Endpoints {
 				for _, c := range s.plan.Changes {
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	calls, rejected, senders := 0, 0, 0
-	for _, d := range p.Dests {
+	for _, d := range p.Destinations {
 		for _, x := range sums.ForDestination(d.Dest) {
 			calls, rejected, senders = calls+x.Calls, rejected+x.Rejected, max(senders, x.Senders)
 			if x.Rejected+x.Served > x.Calls || x.MaxOfOneSender > x.Calls || x.Senders > x.Calls {
--- a/internal/report/outages.go
+++ b/internal/report/outages.go
@@ -59,7 +59,7 @@
 		}
 	}
 	for i := range p.Scenario.Faults {
-		for _, d := range p.Dests {
+		for _, d := range p.Destinations {
 			x := &outage{affected: map[string]bool{}, discoveriesBySender: map[int]int{}}
 			for _, c := range p.Changes {
 				inDestination := slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == c.Endpoint })
--- a/internal/scenario/arrivals.go
+++ b/internal/scenario/arrivals.go
@@ -95,12 +95,15 @@
 func (p *Plan) Arrivals() *Arrivals {
 	a := &Arrivals{plan: p, rng: randomStream(p.Seed, streamTraffic)}
 	sum := 0.0
-	for i, d := range p.Dests {
+	for i, d := range p.Destinations {
 		sum += d.Share
 		a.destShares = append(a.destShares, sum)
 		a.bySize = append(a.bySize, i)
 	}
-	slices.SortStableFunc(a.bySize, func(i, j int) int { return cmp.Compare(p.Dests[j].Share, p.Dests[i].Share) })
+	slices.SortStableFunc(a.bySize, func(i, j int) int {
+		return cmp.Compare(p.Destinations[j].Share,
+			p.Destinations[i].Share)
+	})
 	sum = 0
 	for _, c := range p.Scenario.Traffic.Classes {
 		sum += c.Share
@@ -120,7 +123,7 @@
 // clumpRate returns the clumps per second that produce the share of messages in clumps.
 func (a *Arrivals) clumpRate() float64 {
 	size := 0.0 // mean messages of a clump
-	for _, d := range a.plan.Dests {
+	for _, d := range a.plan.Destinations {
 		size += d.Share * max(1, a.plan.clumpSeconds.Mean()*a.capacity(&d))
 	}
 	return a.plan.Rate * a.plan.clumpShare / size
@@ -187,7 +190,7 @@
 		case newClump:
 			a.nextClump = a.nextEvent(at, a.clumpsPerSecond)
 			d := a.drawIndex(a.destShares)
-			size := max(1, int(math.Round(a.plan.clumpSeconds.draw(a.rng)*a.capacity(&a.plan.Dests[d]))))
+			size := max(1, int(math.Round(a.plan.clumpSeconds.draw(a.rng)*a.capacity(&a.plan.Destinations[d]))))
 			a.activeClumps.Push(at, uint64(a.count), clump{d, size, uint64(a.count)})
 			continue
 		case messageOfClump:
@@ -198,7 +201,7 @@
 			}
 		}
 		m := Arrival{
-			At: at, N: a.count, Dest: a.plan.Dests[dest].Dest, Class: a.drawIndex(a.classShares),
+			At: at, N: a.count, Dest: a.plan.Destinations[dest].Dest, Class: a.drawIndex(a.classShares),
 			Tenant: a.drawIndex(a.tenantShares), Size: int(a.plan.Scenario.Traffic.Body.draw(a.rng)),
 		}
 		a.count++
--- a/internal/scenario/arrivals_test.go
+++ b/internal/scenario/arrivals_test.go
@@ -36,8 +36,8 @@
 	n, byClass, byDest, _, p := count("")
 	near("messages", float64(n), 0.8*47*600, 0.1)
 	near("status", float64(byClass[0]), 0.55*float64(n), 0.05)
-	large := p.Dests[0]
-	for _, d := range p.Dests {
+	large := p.Destinations[0]
+	for _, d := range p.Destinations {
 		if d.Share > large.Share {
 			large = d
 		}
--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -23,7 +23,7 @@
 	}
 	p, list := draw("", 5)
 	q, list2 := draw("", 5)
-	same := reflect.DeepEqual(p.Dests, q.Dests) && reflect.DeepEqual(p.Changes, q.Changes)
+	same := reflect.DeepEqual(p.Destinations, q.Destinations) && reflect.DeepEqual(p.Changes, q.Changes)
 	if !same || !reflect.DeepEqual(list, list2) {
 		t.Error("two draws with the same seed produced different plans")
 	}
@@ -31,7 +31,8 @@
 		t.Error("different seeds produced the same messages")
 	}
 	q, list2 = draw("trouble(what = \"SLOW\", at = 1, seconds = 2)\nsender(number = 0, at = 3, what = \"kill\")\n", 5)
-	if !reflect.DeepEqual(p.Dests, q.Dests) || !reflect.DeepEqual(list, list2) || len(q.Changes) <= len(p.Changes) {
+	if !reflect.DeepEqual(p.Destinations, q.Destinations) || !reflect.DeepEqual(list, list2) ||
+		len(q.Changes) <= len(p.Changes) {
 		t.Error("an additional fault changed the fleet or the messages")
 	}
 }
@@ -64,7 +65,7 @@
 `).Plan(seed)
 		destOf := map[string]Destination{}
 		zoneOf := map[string]string{}
-		for _, d := range p.Dests {
+		for _, d := range p.Destinations {
 			for _, e := range d.Endpoints {
 				destOf[e.ID], zoneOf[e.ID] = d, p.Scenario.Zones[e.Zone]
 			}
@@ -90,7 +91,7 @@
 		if len(endpoints) == 0 || share > 0.25 && len(endpoints) > 1 {
 			t.Errorf("seed %d: %.2f of the traffic, %v", seed, share, endpoints)
 		}
-		for _, d := range p.Dests {
+		for _, d := range p.Destinations {
 			if d.Kind == "large-partners" && !shut[d.Dest] {
 				t.Errorf("seed %d: destination %d is not shut", seed, d.Dest)
 			}
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -20,8 +20,8 @@
 			fault.Until = span.To
 		}
 		maxShare, affected := f.TrafficShare.draw(rng), 0.0
-		for _, n := range rng.Perm(len(p.Dests)) {
-			d := &p.Dests[n]
+		for _, n := range rng.Perm(len(p.Destinations)) {
+			d := &p.Destinations[n]
 			ids := p.drawFaultyEndpoints(rng, &f, d)
 			share := d.Share * float64(len(ids)) / float64(len(d.Endpoints))
 			excluded := f.Kind != "" && d.Kind != f.Kind || f.Dest >= 0 && d.Dest != f.Dest
@@ -90,7 +90,7 @@
 	for _, c := range p.Scenario.Churns {
 		at := c.At.seconds(rng)
 		for at < p.Scenario.Length {
-			d := &p.Dests[rng.IntN(len(p.Dests))]
+			d := &p.Destinations[rng.IntN(len(p.Destinations))]
 			e := d.Endpoints[rng.IntN(len(d.Endpoints))]
 			if !replaced[e.ID] {
 				replaced[e.ID] = true
--- a/internal/scenario/drawfleet.go
+++ b/internal/scenario/drawfleet.go
@@ -57,7 +57,7 @@
 	}
 	d.meanService = work / shares
 	for i, w := range destinations {
-		p.Dests = append(p.Dests, d.drawDestination(i+1, w))
+		p.Destinations = append(p.Destinations, d.drawDestination(i+1, w))
 	}
 }
 
--- a/internal/scenario/links.go
+++ b/internal/scenario/links.go
@@ -100,7 +100,7 @@
 		case strings.HasPrefix(name, endpointPrefix):
 			set[strings.TrimPrefix(name, endpointPrefix)] = true
 		case name == allPartners || strings.HasPrefix(name, zonePrefix) || strings.HasPrefix(name, destPrefix):
-			for _, d := range p.Dests {
+			for _, d := range p.Destinations {
 				for _, e := range d.Endpoints {
 					zone, dest := zonePrefix+p.Scenario.Zones[e.Zone], destPrefix+strconv.Itoa(d.Dest)
 					if name == allPartners || name == zone || name == dest {
--- a/internal/scenario/links_test.go
+++ b/internal/scenario/links_test.go
@@ -16,7 +16,7 @@
 parts(at = 50, seconds = 5, parts = 3, what = "CUT")
 `).Plan(3)
 	cut, silent := LinkState{Cut: true}, LinkState{Silent: true}
-	other, second := p.Dests[0].Endpoints[0].ID, p.Dests[1].Endpoints[0].ID
+	other, second := p.Destinations[0].Endpoints[0].ID, p.Destinations[1].Endpoints[0].ID
 	for _, c := range []struct {
 		at       float64
 		from, to string
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -89,9 +89,9 @@
 
 // destinationOf returns the destination that an endpoint belongs to from the start of the run; nil if there is none.
 func (p *Plan) destinationOf(endpoint string) *Destination {
-	for i, d := range p.Dests {
+	for i, d := range p.Destinations {
 		if slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == endpoint }) {
-			return &p.Dests[i]
+			return &p.Destinations[i]
 		}
 	}
 	return nil
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -15,7 +15,7 @@
 	Scenario         *Scenario
 	Seed             uint64
 	Rate             float64 // messages per second at full load
-	Dests            []Destination
+	Destinations     []Destination
 	Changes          []Change
 	Actions          []PlannedAction
 	AgentActions     []PlannedAgentAction
@@ -117,8 +117,8 @@
 // Model returns a model of the plan's partners.
 func (p *Plan) Model() (*partner.Model, error) {
 	m := partner.New(p.Seed)
-	for i := range p.Dests {
-		if err := m.Add(p.Dests[i].Spec); err != nil {
+	for i := range p.Destinations {
+		if err := m.Add(p.Destinations[i].Spec); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -47,9 +47,9 @@
 	for i, kind := range p.Scenario.Kinds {
 		env.kinds[kind.Name] = i
 	}
-	for i := range p.Dests {
-		for _, e := range p.Dests[i].Endpoints {
-			env.addEndpoint(&p.Dests[i], e, e.ID)
+	for i := range p.Destinations {
+		for _, e := range p.Destinations[i].Endpoints {
+			env.addEndpoint(&p.Destinations[i], e, e.ID)
 		}
 	}
 	return env, nil
@@ -69,8 +69,8 @@
 		classes = append(classes, audit.Class{Idempotency: audit.Idempotency(c.Idempotency), KeyRetention: c.KeyRetention})
 	}
 	rules := audit.SocketRules(classes, settings.DrainGrace)
-	for i := range p.Dests {
-		rules.SeparateRoutes[p.Dests[i].Dest] = p.Dests[i].SeparateRoutes
+	for i := range p.Destinations {
+		rules.SeparateRoutes[p.Destinations[i].Dest] = p.Destinations[i].SeparateRoutes
 	}
 	return rules
 }
@@ -101,7 +101,7 @@
 		if old, wasListed := env.listed[c.Address]; wasListed {
 			address = old.Address
 		}
-		env.addEndpoint(&env.Plan.Dests[c.Dest-1], *c.Joins, address)
+		env.addEndpoint(&env.Plan.Destinations[c.Dest-1], *c.Joins, address)
 		return env.scheduleNotifications(now, ListedEndpoint{}, false, c.Joins.ID), nil
 	case !listed || l.State == control.Removed:
 		return nil, nil
--- a/internal/simulation/environment_test.go
+++ b/internal/simulation/environment_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := p.Dests[0].Endpoints[0]
+	e := p.Destinations[0].Endpoints[0]
 	initial, _ := env.FullList(0, 0)
 	first, err := env.Apply(time.Second, scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
 	if err != nil {
--- a/internal/simulation/profile.go
+++ b/internal/simulation/profile.go
@@ -39,7 +39,7 @@
 		kinds, batch, separateRoutes = append(kinds, k.Name), append(batch, k.Batch), append(separateRoutes, k.SeparateRoutes)
 	}
 	meanInFlight := 0.0 // calls that are in flight on average, over all senders
-	for _, d := range p.Dests {
+	for _, d := range p.Destinations {
 		meanInFlight += p.Rate * d.Share * (d.Mean.Seconds() + 2*crossZoneDelay.Seconds()/2)
 	}
 	fraction := 1 / float64(s.Senders)
