--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -36,7 +36,8 @@
 			for b.Loop() {
 				id++
 				began := time.Now()
-				err := s.Append(Record{Entity: id, Time: int64(id), Dest: int64(id % 30), Key: fmt.Sprint("m", id), Data: body})
+				err := s.Append(Record{Entity: id, Time: int64(id), Destination: int64(id % 30), Key: fmt.Sprint("m", id),
+					Data: body})
 				if err == nil {
 					err = s.Append(Record{Entity: id, Data: body[:30]})
 				}
@@ -119,7 +120,7 @@
 	batch := make([]Record, 0, 100)
 	began := time.Now()
 	for i := range uint64(n) {
-		batch = append(batch, Record{Entity: i + 1, Time: int64(i), Dest: int64(i % 1000), Data: body})
+		batch = append(batch, Record{Entity: i + 1, Time: int64(i), Destination: int64(i % 1000), Data: body})
 		if len(batch) == cap(batch) {
 			if err := s.Append(batch...); err != nil {
 				b.Fatal(err)
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -45,13 +45,13 @@
 // Record is an entry of the log. It belongs to an entity, an object to which the caller assigns a unique number, such
 // as a message.
 type Record struct {
-	Entity uint64
-	Kind   Kind
-	LSN    uint64 // log sequence number, in the order of all records; set by the store
-	Time   int64  // Unix time in microseconds, for the index
-	Dest   int64  // destination, for the index
-	Key    string // for the index; may be empty
-	Data   []byte
+	Entity      uint64
+	Kind        Kind
+	LSN         uint64 // log sequence number, in the order of all records; set by the store
+	Time        int64  // Unix time in microseconds, for the index
+	Destination int64  // destination, for the index
+	Key         string // for the index; may be empty
+	Data        []byte
 }
 
 // size returns an upper estimate of the bytes that a record takes on disk.
@@ -96,7 +96,7 @@
 		buf = binary.AppendUvarint(buf, r.Entity)
 		buf = append(buf, byte(r.Kind))
 		buf = binary.AppendVarint(buf, r.Time)
-		buf = binary.AppendVarint(buf, r.Dest)
+		buf = binary.AppendVarint(buf, r.Destination)
 		buf = binary.AppendUvarint(buf, uint64(len(r.Key)))
 		buf = append(buf, r.Key...)
 		buf = binary.AppendUvarint(buf, uint64(len(r.Data)))
@@ -132,7 +132,7 @@
 	}
 	d := payloadDecoder{b: payload}
 	for len(d.b) > 0 && !d.malformed {
-		r := Record{LSN: d.uvarint(), Entity: d.uvarint(), Kind: Kind(d.byte()), Time: d.varint(), Dest: d.varint()}
+		r := Record{LSN: d.uvarint(), Entity: d.uvarint(), Kind: Kind(d.byte()), Time: d.varint(), Destination: d.varint()}
 		r.Key = string(d.bytes())
 		r.Data = d.bytes()
 		batch = append(batch, r)
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -63,7 +63,7 @@
 		return
 	}
 	if e == nil {
-		e = &entity{id: r.Entity, time: r.Time, dest: r.Dest, key: r.Key}
+		e = &entity{id: r.Entity, time: r.Time, dest: r.Destination, key: r.Key}
 		s.entities[e.id] = e
 		s.updateIndexes(e, true)
 	}
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -108,7 +108,7 @@
 	s.Entities(func(e Entity) bool {
 		list, err := s.Load(e.ID)
 		for _, r := range list {
-			l := dumpLine{Entity: r.Entity, LSN: r.LSN, Time: r.Time, Dest: r.Dest, Key: r.Key}
+			l := dumpLine{Entity: r.Entity, LSN: r.LSN, Time: r.Time, Dest: r.Destination, Key: r.Key}
 			if utf8.Valid(r.Data) {
 				l.Text = string(r.Data)
 			} else {
--- a/internal/store/workload_test.go
+++ b/internal/store/workload_test.go
@@ -40,7 +40,7 @@
 		id := l.ids[l.rng.IntN(len(l.ids))]
 		text := fmt.Sprint("more ", l.rng.IntN(1000))
 		l.lastEntity = id
-		r := Record{Entity: id, Time: int64(id), Dest: int64(id % 7), Key: fmt.Sprint("k", id%50), Data: []byte(text)}
+		r := Record{Entity: id, Time: int64(id), Destination: int64(id % 7), Key: fmt.Sprint("k", id%50), Data: []byte(text)}
 		if l.rng.IntN(4) == 0 {
 			r.Kind = Replace
 		}
@@ -57,7 +57,7 @@
 	l.next++
 	l.lastEntity = id
 	text := strings.Repeat(strconv.Itoa(int(id)%10), 50+l.rng.IntN(600))
-	if err := s.Append(Record{Entity: id, Time: int64(id), Dest: int64(id % 7), Key: fmt.Sprint("k", id%50),
+	if err := s.Append(Record{Entity: id, Time: int64(id), Destination: int64(id % 7), Key: fmt.Sprint("k", id%50),
 		Data: []byte(text)}); err != nil {
 		return err
 	}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -172,7 +172,7 @@
 func (l *Log) AddAccepted(a *Accepted) {
 	l.pending = append(l.pending, store.Record{
 		Entity: uint64(a.Number), Data: EncodeAccepted(l.timeBase, a), Time: l.timeBase.Stamp(a.Deadline),
-		Dest: int64(a.Destination), Key: a.ID,
+		Destination: int64(a.Destination), Key: a.ID,
 	})
 }
 
