--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -27,12 +27,12 @@
 
 // Entity is the index entry of a live entity.
 type Entity struct {
-	ID       uint64
-	Time     int64
-	Dest     int64
-	Key      string
-	Records  int
-	Doubtful bool // a record of it may be lost in a damaged part of the log
+	ID             uint64
+	Time           int64
+	Dest           int64
+	Key            string
+	Records        int
+	MayLackRecords bool // a record of it may be lost in a damaged part of the log
 }
 
 // indexKey is the key of an entity in the ordered indexes.
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -46,11 +46,11 @@
 				t.Errorf("%s, %d to %d: %v", name, from, to, err)
 			}
 			want, live := l.live[e.ID]
-			if !e.Doubtful && (!live || len(list) != len(want)) {
+			if !e.MayLackRecords && (!live || len(list) != len(want)) {
 				t.Errorf("%s, %d to %d: entity %d is not doubtful, live %t, %d records of %d", name, from, to, e.ID, live,
 					len(list), len(want))
 			}
-			if !e.Doubtful {
+			if !e.MayLackRecords {
 				intact++
 			}
 			return true
@@ -217,8 +217,9 @@
 	s.Entities(func(e Entity) bool {
 		list, err := s.Load(e.ID)
 		want, live := l.live[e.ID]
-		if err != nil || !e.Doubtful && (!live || len(list) != len(want)) {
-			t.Errorf("segment missing: entity %d, doubtful %t, live %t, %d records of %d, %v", e.ID, e.Doubtful, live, len(list),
+		if err != nil || !e.MayLackRecords && (!live || len(list) != len(want)) {
+			t.Errorf("segment missing: entity %d, doubtful %t, live %t, %d records of %d, %v", e.ID, e.MayLackRecords, live,
+				len(list),
 				len(want), err)
 		}
 		return !t.Failed()
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -226,7 +226,7 @@
 	for _, x := range order {
 		e, _ := s.Get(x.id)
 		list, err := s.Load(x.id)
-		if err != nil || intactOnly && e.Doubtful {
+		if err != nil || intactOnly && e.MayLackRecords {
 			skipped++
 			continue
 		}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -136,7 +136,7 @@
 				log.Warn("skipping malformed write-ahead log record", "message", e.ID, "lsn", record.LSN)
 			}
 		}
-		if entry := r.entries[control.MessageID(e.ID)]; entry != nil && e.Doubtful {
+		if entry := r.entries[control.MessageID(e.ID)]; entry != nil && e.MayLackRecords {
 			entry.assumeUnknownAttempt()
 			damaged++
 		}
