--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -192,7 +192,7 @@
 	}
 	for _, a := range p.Actions {
 		h.Actions = append(h.Actions, Action{
-			At: a.At, Kind: ActionKind(a.What + " sender"), Sender: a.Sender, Duration: max(0, a.Until-a.At), planned: a,
+			At: a.At, Kind: ActionKind(a.Kind + " sender"), Sender: a.Sender, Duration: max(0, a.Until-a.At), planned: a,
 		})
 	}
 	sortActions(h.Actions)
--- a/internal/harness/supervise.go
+++ b/internal/harness/supervise.go
@@ -112,7 +112,7 @@
 // executeAction executes an action, and reports whether it has ended the process.
 func (s *supervisor) executeAction(a scenario.PlannedAction) (ended bool) {
 	p, env := s.process, s.run.env
-	switch a.What {
+	switch a.Kind {
 	case "hup":
 		p.Signal(syscall.SIGHUP)
 	case "kill":
--- a/internal/scenario/drawactions.go
+++ b/internal/scenario/drawactions.go
@@ -27,7 +27,7 @@
 		}
 		for i, num := range senders {
 			planned := PlannedAction{
-				At: at + spread*time.Duration(i)/time.Duration(len(senders)), Sender: num, What: action.Kind,
+				At: at + spread*time.Duration(i)/time.Duration(len(senders)), Sender: num, Kind: action.Kind,
 				InFlight: action.InFlight, OpenMessages: action.OpenMessages, ActionIndex: index,
 			}
 			if action.Length.To > 0 {
@@ -44,7 +44,7 @@
 	At           time.Duration
 	Until        time.Duration // end of a stop or a drain; 0: no end
 	Sender       int
-	What         string
+	Kind         string
 	InFlight     float64 // of a retune: as multiples of the scenario's value
 	OpenMessages float64
 	ActionIndex  int // index in Scenario.Actions
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -31,7 +31,7 @@
 	if sd.dead || sd.shuttingDown {
 		return
 	}
-	switch action.What {
+	switch action.Kind {
 	case "kill":
 		s.record(audit.Event{Kind: audit.Died, Sender: sd.num})
 		sd.exitProcess()
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -164,7 +164,7 @@
 		return fmt.Errorf("lab: %w", err)
 	}
 	for _, action := range s.plan.Actions {
-		switch action.What {
+		switch action.Kind {
 		case "kill", "wipe", "term", "signals":
 			dir := filepath.Join(s.tempDir, fmt.Sprint("n", action.Sender))
 			if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -193,7 +193,7 @@
 	s.responsesMayFail = len(p.Links) > 0
 	for _, action := range p.Actions {
 		s.at(action.At, func() { s.applyAction(action) })
-		s.responsesMayFail = s.responsesMayFail || action.What == "stop"
+		s.responsesMayFail = s.responsesMayFail || action.Kind == "stop"
 	}
 	for _, at := range p.LinkChanges() {
 		s.at(at, s.linksChanged)
