--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -181,7 +181,7 @@
 	}
 	for _, a := range p.AgentActions {
 		h.Actions = append(h.Actions, Action{
-			At: a.At, Kind: ActionKind(a.What + " agent"), Agent: a.Agent, Duration: a.Until - a.At,
+			At: a.At, Kind: ActionKind(a.Kind + " agent"), Agent: a.Agent, Duration: a.Until - a.At,
 		})
 	}
 	for _, o := range p.Orders {
--- a/internal/scenario/drawactions.go
+++ b/internal/scenario/drawactions.go
@@ -54,7 +54,7 @@
 type PlannedAgentAction struct {
 	At, Until time.Duration
 	Agent     int
-	What      string
+	Kind      string
 }
 
 // PlannedOrder is an order to the agents, drawn.
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -36,7 +36,7 @@
 	}
 	list = append(list, p.actionMarks()...)
 	for _, a := range p.AgentActions {
-		list = append(list, Mark{a.At, a.Until, fmt.Sprintf("agent %d: %s", a.Agent, a.What)})
+		list = append(list, Mark{a.At, a.Until, fmt.Sprintf("agent %d: %s", a.Agent, a.Kind)})
 	}
 	for _, o := range p.Orders {
 		text := fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.What, summarize(o.Of))
--- a/internal/simulation/agents.go
+++ b/internal/simulation/agents.go
@@ -131,12 +131,12 @@
 // applyAction carries out an action on an agent.
 func (a *agentCluster) applyAction(ag *agent, action scenario.PlannedAgentAction) {
 	s := a.sim
-	switch action.What {
+	switch action.Kind {
 	case "stop":
 		ag.stoppedUntil = max(ag.stoppedUntil, action.Until)
 	case "kill", "wipe":
 		ag.dead = true
-		s.at(action.Until, func() { ag.restart(action.What == "wipe") })
+		s.at(action.Until, func() { ag.restart(action.Kind == "wipe") })
 	}
 }
 
