--- a/internal/scenario/drawactions.go
+++ b/internal/scenario/drawactions.go
@@ -61,7 +61,7 @@
 type PlannedOrder struct {
 	At, Hold          time.Duration
 	Agent             int
-	What              string
+	Kind              string
 	Of                []string // senders
 	FailsAtStart      bool
 	RollBackOnFailure bool
@@ -76,7 +76,7 @@
 	slices.SortStableFunc(p.AgentActions, func(a, b PlannedAgentAction) int { return cmp.Compare(a.At, b.At) })
 	for _, o := range p.Scenario.Orders {
 		planned := PlannedOrder{
-			At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.Kind, FailsAtStart: o.FailsAtStart,
+			At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, Kind: o.Kind, FailsAtStart: o.FailsAtStart,
 			RollBackOnFailure: o.RollBackOnFailure,
 		}
 		targets := p.expandParties(o.Targets)
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -45,7 +45,7 @@
 // fillCommand fills in a command from an order. It returns false if the order refers to a rollout plan and there is
 // none.
 func (a *agentCluster) fillCommand(c *rollout.Command, o scenario.PlannedOrder) bool {
-	switch o.What {
+	switch o.Kind {
 	case "drain":
 		c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{o.Of}, Hold: o.Hold}
 	case "release":
@@ -63,7 +63,7 @@
 			return false
 		}
 		p := plans[len(plans)-1]
-		c.Verb = map[string]rollout.Verb{"halt": rollout.Halt, "resume": rollout.Resume, "back": rollout.RollBack}[o.What]
+		c.Verb = map[string]rollout.Verb{"halt": rollout.Halt, "resume": rollout.Resume, "back": rollout.RollBack}[o.Kind]
 		c.Plan, c.Revision = p.ID, p.Revision
 	}
 	return true
