--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -186,7 +186,7 @@
 	}
 	for _, o := range p.Orders {
 		h.Actions = append(h.Actions, Action{
-			At: o.At, Kind: ActionKind(o.Kind), Agent: o.Agent, Senders: o.Of, Duration: o.Hold, Works: !o.FailsAtStart,
+			At: o.At, Kind: ActionKind(o.Kind), Agent: o.Agent, Senders: o.Senders, Duration: o.Hold, Works: !o.FailsAtStart,
 			RollBackOnFailure: o.RollBackOnFailure,
 		})
 	}
--- a/internal/scenario/drawactions.go
+++ b/internal/scenario/drawactions.go
@@ -62,7 +62,7 @@
 	At, Hold          time.Duration
 	Agent             int
 	Kind              string
-	Of                []string // senders
+	Senders           []string // senders
 	FailsAtStart      bool
 	RollBackOnFailure bool
 }
@@ -82,7 +82,7 @@
 		targets := p.expandParties(o.Targets)
 		for i := range p.Scenario.Senders {
 			if len(o.Targets) == 0 || targets[Sender(i)] {
-				planned.Of = append(planned.Of, Sender(i))
+				planned.Senders = append(planned.Senders, Sender(i))
 			}
 		}
 		p.Orders = append(p.Orders, planned)
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -39,7 +39,7 @@
 		list = append(list, Mark{a.At, a.Until, fmt.Sprintf("agent %d: %s", a.Agent, a.Kind)})
 	}
 	for _, o := range p.Orders {
-		text := fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.Kind, summarize(o.Of))
+		text := fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.Kind, summarize(o.Senders))
 		list = append(list, Mark{o.At, o.At, text})
 	}
 	for _, l := range p.Links {
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -47,7 +47,7 @@
 func (a *agentCluster) fillCommand(c *rollout.Command, o scenario.PlannedOrder) bool {
 	switch o.Kind {
 	case "drain":
-		c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{o.Of}, Hold: o.Hold}
+		c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{o.Senders}, Hold: o.Hold}
 	case "release":
 		to := rollout.Version{Name: fmt.Sprint("r", len(a.log)), Program: fmt.Sprint("p", len(a.log))}
 		if o.FailsAtStart {
@@ -55,7 +55,8 @@
 		}
 		c.Verb = rollout.Start
 		c.New = &rollout.Plan{
-			Kind: rollout.Release, To: to, RollBackOnFailure: o.RollBackOnFailure, Stages: [][]string{o.Of}, Gate: releaseGate,
+			Kind: rollout.Release, To: to, RollBackOnFailure: o.RollBackOnFailure, Stages: [][]string{o.Senders},
+			Gate: releaseGate,
 		}
 	default:
 		plans := a.leader.state.Plans
