--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -74,14 +74,14 @@
 		shut := map[int]bool{}
 		for _, c := range p.Changes {
 			switch {
-			case c.Of == 0 && c.Fault.Mode == partner.Down:
+			case c.FaultIndex == 0 && c.Fault.Mode == partner.Down:
 				d := destOf[c.Endpoint]
 				share += d.Share / float64(len(d.Endpoints))
 				endpoints[d.Dest]++
 				if zoneOf[c.Endpoint] != "bldg-b" {
 					t.Errorf("seed %d: endpoint %s in zone %s has a fault", seed, c.Endpoint, zoneOf[c.Endpoint])
 				}
-			case c.Of == 1 && c.Fault.Mode == partner.Shut:
+			case c.FaultIndex == 1 && c.Fault.Mode == partner.Shut:
 				shut[destOf[c.Endpoint].Dest] = true
 				if c.Fault.Until != 35*time.Second || destOf[c.Endpoint].Kind != "large-partners" {
 					t.Errorf("seed %d: %+v", seed, c)
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -31,8 +31,8 @@
 			affected += share
 			for _, id := range ids {
 				p.Changes = append(p.Changes,
-					Change{At: span.From, Endpoint: id, Fault: fault, Of: i},
-					Change{At: span.To, Endpoint: id, Of: i})
+					Change{At: span.From, Endpoint: id, Fault: fault, FaultIndex: i},
+					Change{At: span.To, Endpoint: id, FaultIndex: i})
 			}
 		}
 	}
@@ -65,7 +65,7 @@
 			activeFaults[c.Endpoint] = append(activeFaults[c.Endpoint], *c)
 			continue
 		}
-		remaining := slices.DeleteFunc(activeFaults[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
+		remaining := slices.DeleteFunc(activeFaults[c.Endpoint], func(o Change) bool { return o.FaultIndex == c.FaultIndex })
 		if activeFaults[c.Endpoint] = remaining; len(remaining) > 0 {
 			c.Fault = remaining[len(remaining)-1].Fault
 		}
@@ -101,9 +101,10 @@
 					address = e.ID
 				}
 				p.Changes = append(p.Changes,
-					Change{At: at, Endpoint: e.ID, Dest: d.Dest, Of: -1, Drains: true},
-					Change{At: at + c.Drain, Endpoint: e.ID, Dest: d.Dest, Of: -1, Leaves: true},
-					Change{At: at + c.Drain, Endpoint: replacement.ID, Dest: d.Dest, Of: -1, Joins: replacement, Address: address})
+					Change{At: at, Endpoint: e.ID, Dest: d.Dest, FaultIndex: -1, Drains: true},
+					Change{At: at + c.Drain, Endpoint: e.ID, Dest: d.Dest, FaultIndex: -1, Leaves: true},
+					Change{At: at + c.Drain, Endpoint: replacement.ID, Dest: d.Dest, FaultIndex: -1, Joins: replacement,
+						Address: address})
 			}
 			if c.Every <= 0 {
 				break
