--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -236,7 +236,7 @@
 		t.Errorf("a watch without changes: %d %s", status, body)
 	}
 	env.withLock(func() {
-		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
+		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, StartsDraining: true})
 		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
 		env.applyChange(scenario.Change{Endpoint: "new", Dest: 1, Joins: &partner.EndpointSpec{ID: "new"}, Address: e.ID})
 	})
--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -104,7 +104,7 @@
 	drains, added := map[string]time.Duration{}, 0
 	for _, c := range p.Changes {
 		switch {
-		case c.Drains:
+		case c.StartsDraining:
 			if _, twice := drains[c.Endpoint]; twice {
 				t.Errorf("endpoint %s drains twice", c.Endpoint)
 			}
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -37,15 +37,15 @@
 
 // Change is the beginning or the end of an endpoint's fault, or a step of its replacement.
 type Change struct {
-	At         time.Duration
-	Endpoint   string
-	Fault      partner.Fault
-	FaultIndex int                   // index in Scenario.Faults; below 0: a replacement
-	Drains     bool                  // the endpoint begins to drain
-	Leaves     bool                  // the endpoint is removed
-	Joins      *partner.EndpointSpec // endpoint that is added to Dest; nil: none
-	Dest       int
-	Address    string // id of the endpoint whose address Joins reuses; empty: a new address
+	At             time.Duration
+	Endpoint       string
+	Fault          partner.Fault
+	FaultIndex     int                   // index in Scenario.Faults; below 0: a replacement
+	StartsDraining bool                  // the endpoint begins to drain
+	Leaves         bool                  // the endpoint is removed
+	Joins          *partner.EndpointSpec // endpoint that is added to Dest; nil: none
+	Dest           int
+	Address        string // id of the endpoint whose address Joins reuses; empty: a new address
 }
 
 // Span is the time between two instants.
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -105,7 +105,7 @@
 		return env.scheduleNotifications(now, ListedEndpoint{}, false, c.Joins.ID), nil
 	case !listed || l.State == control.Removed:
 		return nil, nil
-	case c.Drains:
+	case c.StartsDraining:
 		notifiedAt = env.setLeaving(now, l, control.Draining)
 		return notifiedAt, env.Model.SetFault(now, l.ID, partner.Fault{Mode: partner.Draining})
 	case c.Leaves:
--- a/internal/simulation/environment_test.go
+++ b/internal/simulation/environment_test.go
@@ -23,7 +23,7 @@
 	}
 	e := p.Destinations[0].Endpoints[0]
 	initial, _ := env.FullList(0, 0)
-	first, err := env.Apply(time.Second, scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
+	first, err := env.Apply(time.Second, scenario.Change{Endpoint: e.ID, Dest: 1, StartsDraining: true})
 	if err != nil {
 		t.Fatal(err)
 	}
