--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -109,7 +109,7 @@
 				t.Errorf("endpoint %s drains twice", c.Endpoint)
 			}
 			drains[c.Endpoint] = c.At
-		case c.Leaves && c.At != drains[c.Endpoint]+time.Second:
+		case c.Removed && c.At != drains[c.Endpoint]+time.Second:
 			t.Errorf("%+v", c)
 		case c.Joins != nil:
 			if added++; c.Address == "" || drains[c.Address] != c.At-time.Second {
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -102,7 +102,7 @@
 				}
 				p.Changes = append(p.Changes,
 					Change{At: at, Endpoint: e.ID, Dest: d.Dest, FaultIndex: -1, StartsDraining: true},
-					Change{At: at + c.Drain, Endpoint: e.ID, Dest: d.Dest, FaultIndex: -1, Leaves: true},
+					Change{At: at + c.Drain, Endpoint: e.ID, Dest: d.Dest, FaultIndex: -1, Removed: true},
 					Change{At: at + c.Drain, Endpoint: replacement.ID, Dest: d.Dest, FaultIndex: -1, Joins: replacement,
 						Address: address})
 			}
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -20,7 +20,7 @@
 func (p *Plan) Marks() []Mark {
 	list := p.faultMarks()
 	for _, c := range p.Changes {
-		if c.FaultIndex < 0 && c.Leaves {
+		if c.FaultIndex < 0 && c.Removed {
 			list = append(list, Mark{c.At, c.At, fmt.Sprintf("%s of destination %d is gone", c.Endpoint, c.Dest)})
 		}
 	}
@@ -60,7 +60,7 @@
 		m := Mark{From: -1}
 		dests, share := map[int]bool{}, 0.0
 		for _, c := range p.Changes {
-			if c.FaultIndex != i || c.Joins != nil || c.StartsDraining || c.Leaves {
+			if c.FaultIndex != i || c.Joins != nil || c.StartsDraining || c.Removed {
 				continue
 			}
 			if m.From >= 0 && c.At > m.From { // the later change of each endpoint is the fault's end
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -42,7 +42,7 @@
 	Fault          partner.Fault
 	FaultIndex     int                   // index in Scenario.Faults; below 0: a replacement
 	StartsDraining bool                  // the endpoint begins to drain
-	Leaves         bool                  // the endpoint is removed
+	Removed        bool                  // the endpoint is removed
 	Joins          *partner.EndpointSpec // endpoint that is added to Dest; nil: none
 	Dest           int
 	Address        string // id of the endpoint whose address Joins reuses; empty: a new address
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -108,7 +108,7 @@
 	case c.StartsDraining:
 		notifiedAt = env.setLeaving(now, l, control.Draining)
 		return notifiedAt, env.Model.SetFault(now, l.ID, partner.Fault{Mode: partner.Draining})
-	case c.Leaves:
+	case c.Removed:
 		notifiedAt = env.setLeaving(now, l, control.Removed)
 		return notifiedAt, env.Model.Leave(now, l.ID)
 	case l.State == control.Draining:
--- a/internal/simulation/environment_test.go
+++ b/internal/simulation/environment_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, _ := env.Apply(1100*time.Millisecond, scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
+	second, _ := env.Apply(1100*time.Millisecond, scenario.Change{Endpoint: e.ID, Dest: 1, Removed: true})
 	for i := range first {
 		if second[i] < first[i] || first[i] > time.Second+maxListDelay {
 			t.Errorf("sender %d is notified at %v and %v", i, first[i], second[i])
