--- a/internal/harness/endpoint_listener.go
+++ b/internal/harness/endpoint_listener.go
@@ -74,12 +74,12 @@
 	for i, byAddress := range env.listeners {
 		old := byAddress[c.Address]
 		if c.Address == "" || old == nil {
-			if err := env.addListener(i, c.Dest, *c.Joins); err != nil {
+			if err := env.addListener(i, c.Dest, *c.Added); err != nil {
 				env.cancel(err)
 			}
 			continue
 		}
-		old.endpoint, old.zone, old.dest = c.Joins.ID, c.Joins.Zone, c.Dest
+		old.endpoint, old.zone, old.dest = c.Added.ID, c.Added.Zone, c.Dest
 	}
 }
 
--- a/internal/harness/harness_test.go
+++ b/internal/harness/harness_test.go
@@ -238,7 +238,7 @@
 	env.withLock(func() {
 		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, StartsDraining: true})
 		env.applyChange(scenario.Change{Endpoint: e.ID, Dest: 1, Removed: true})
-		env.applyChange(scenario.Change{Endpoint: "new", Dest: 1, Joins: &partner.EndpointSpec{ID: "new"}, Address: e.ID})
+		env.applyChange(scenario.Change{Endpoint: "new", Dest: 1, Added: &partner.EndpointSpec{ID: "new"}, Address: e.ID})
 	})
 	version, received := 1, ""
 	for range 3 { // the changes may arrive in several answers
--- a/internal/harness/model.go
+++ b/internal/harness/model.go
@@ -91,7 +91,7 @@
 		env.cancel(err)
 		return
 	}
-	if c.Joins != nil {
+	if c.Added != nil {
 		env.addEndpoint(c)
 	}
 	env.updateListeners()
--- a/internal/report/limits.go
+++ b/internal/report/limits.go
@@ -101,7 +101,7 @@
 			if c.At > at {
 				break
 			}
-			if c.Endpoint == e.ID && !c.StartsDraining && !c.Removed && c.Joins == nil {
+			if c.Endpoint == e.ID && !c.StartsDraining && !c.Removed && c.Added == nil {
 				if factor = 1; c.Fault.Mode == partner.LimitReduced {
 					factor = c.Fault.Factor
 				}
--- a/internal/report/outages.go
+++ b/internal/report/outages.go
@@ -63,7 +63,7 @@
 			x := &outage{affected: map[string]bool{}, discoveriesBySender: map[int]int{}}
 			for _, c := range p.Changes {
 				inDestination := slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == c.Endpoint })
-				if c.FaultIndex != i || c.Joins != nil || c.StartsDraining || c.Removed || !inDestination {
+				if c.FaultIndex != i || c.Added != nil || c.StartsDraining || c.Removed || !inDestination {
 					continue
 				}
 				if mode := c.Fault.Mode; mode != partner.Healthy && mode != partner.LimitReduced && !x.affected[c.Endpoint] {
--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -111,7 +111,7 @@
 			drains[c.Endpoint] = c.At
 		case c.Removed && c.At != drains[c.Endpoint]+time.Second:
 			t.Errorf("%+v", c)
-		case c.Joins != nil:
+		case c.Added != nil:
 			if added++; c.Address == "" || drains[c.Address] != c.At-time.Second {
 				t.Errorf("%+v", c)
 			}
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -103,7 +103,7 @@
 				p.Changes = append(p.Changes,
 					Change{At: at, Endpoint: e.ID, Dest: d.Dest, FaultIndex: -1, StartsDraining: true},
 					Change{At: at + c.Drain, Endpoint: e.ID, Dest: d.Dest, FaultIndex: -1, Removed: true},
-					Change{At: at + c.Drain, Endpoint: replacement.ID, Dest: d.Dest, FaultIndex: -1, Joins: replacement,
+					Change{At: at + c.Drain, Endpoint: replacement.ID, Dest: d.Dest, FaultIndex: -1, Added: replacement,
 						Address: address})
 			}
 			if c.Every <= 0 {
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -60,7 +60,7 @@
 		m := Mark{From: -1}
 		dests, share := map[int]bool{}, 0.0
 		for _, c := range p.Changes {
-			if c.FaultIndex != i || c.Joins != nil || c.StartsDraining || c.Removed {
+			if c.FaultIndex != i || c.Added != nil || c.StartsDraining || c.Removed {
 				continue
 			}
 			if m.From >= 0 && c.At > m.From { // the later change of each endpoint is the fault's end
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -43,9 +43,9 @@
 	FaultIndex     int                   // index in Scenario.Faults; below 0: a replacement
 	StartsDraining bool                  // the endpoint begins to drain
 	Removed        bool                  // the endpoint is removed
-	Joins          *partner.EndpointSpec // endpoint that is added to Dest; nil: none
+	Added          *partner.EndpointSpec // endpoint that is added to Dest; nil: none
 	Dest           int
-	Address        string // id of the endpoint whose address Joins reuses; empty: a new address
+	Address        string // id of the endpoint whose address Added reuses; empty: a new address
 }
 
 // Span is the time between two instants.
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -93,16 +93,16 @@
 func (env *Environment) Apply(now time.Duration, c scenario.Change) (notifiedAt []time.Duration, err error) {
 	l, listed := env.listed[c.Endpoint]
 	switch {
-	case c.Joins != nil:
-		if err := env.Model.Join(now, c.Dest, *c.Joins); err != nil {
+	case c.Added != nil:
+		if err := env.Model.Join(now, c.Dest, *c.Added); err != nil {
 			return nil, err
 		}
-		address := c.Joins.ID
+		address := c.Added.ID
 		if old, wasListed := env.listed[c.Address]; wasListed {
 			address = old.Address
 		}
-		env.addEndpoint(&env.Plan.Destinations[c.Dest-1], *c.Joins, address)
-		return env.scheduleNotifications(now, ListedEndpoint{}, false, c.Joins.ID), nil
+		env.addEndpoint(&env.Plan.Destinations[c.Dest-1], *c.Added, address)
+		return env.scheduleNotifications(now, ListedEndpoint{}, false, c.Added.ID), nil
 	case !listed || l.State == control.Removed:
 		return nil, nil
 	case c.StartsDraining:
