--- a/internal/audit/auditor.go
+++ b/internal/audit/auditor.go
@@ -83,7 +83,7 @@
 		return a.callEnded(e)
 	case Executed:
 		a.executed(e)
-	case Notice:
+	case DeliveryReported:
 		a.reported(e)
 	case Notified:
 		a.sender(e.Sender).notified(e)
--- a/internal/audit/auditor_test.go
+++ b/internal/audit/auditor_test.go
@@ -67,7 +67,7 @@
 )
 
 func notice(at time.Duration, id string, deferred bool) Event {
-	return Event{At: at, Kind: Notice, Message: id, Deferred: deferred}
+	return Event{At: at, Kind: DeliveryReported, Message: id, Deferred: deferred}
 }
 
 func inZone(e Event, zone int) Event { e.Zone = zone; return e }
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -19,8 +19,8 @@
 	// Ended: a call has ended (Call, Outcome, RetryAfter, Cause; Outcomes for messages whose outcome differs from the
 	// call's).
 	Ended
-	// Notice: the platform has received a delivery report (Message, Deferred, RetryAfter).
-	Notice
+	// DeliveryReported: the platform has received a delivery report (Message, Deferred, RetryAfter).
+	DeliveryReported
 	// Notified: discovery has notified a sender of a change of an endpoint, or is considered to have done so (Endpoint,
 	// Dest, Leaves).
 	Notified
--- a/internal/audit/sender_test.go
+++ b/internal/audit/sender_test.go
@@ -27,7 +27,7 @@
 			"unreachable, notice once reachable again",
 			[]Event{
 				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Unreachable, ""), event(20, ReachableAgain, ""),
-				{At: at(21), Kind: Notice, Message: "a"},
+				{At: at(21), Kind: DeliveryReported, Message: "a"},
 			},
 			"",
 		},
--- a/internal/harness/delivery_reports.go
+++ b/internal/harness/delivery_reports.go
@@ -24,7 +24,7 @@
 		id, deferred := line.Get("id").String(), line.Get("status").String() == "deferred"
 		retryAfter := time.Duration(line.Get("again_ms").Float() * float64(time.Millisecond))
 		env.Record(audit.Event{
-			Kind: audit.Notice, Sender: sender, Message: id, Deferred: deferred, RetryAfter: retryAfter,
+			Kind: audit.DeliveryReported, Sender: sender, Message: id, Deferred: deferred, RetryAfter: retryAfter,
 		})
 		env.onReport(id, deferred, retryAfter)
 		return true
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -131,7 +131,7 @@
 	case audit.Abandoned:
 		c.addCause(b, "no answer at the door")
 		delete(c.requestByID, e.Message)
-	case audit.Notice:
+	case audit.DeliveryReported:
 		if e.Deferred {
 			c.addCause(b, "deferred")
 		} else {
--- a/internal/simulation/deliveryreport.go
+++ b/internal/simulation/deliveryreport.go
@@ -28,7 +28,8 @@
 		return
 	}
 	s.record(audit.Event{
-		Kind: audit.Notice, Sender: sd.num, Message: report.ID, Deferred: report.Deferred, RetryAfter: report.RetryAfter,
+		Kind: audit.DeliveryReported, Sender: sd.num, Message: report.ID, Deferred: report.Deferred,
+		RetryAfter: report.RetryAfter,
 	})
 	request := s.messages[report.ID]
 	if request != nil && report.Deferred {
--- a/internal/simulation/servicemeter.go
+++ b/internal/simulation/servicemeter.go
@@ -100,7 +100,7 @@
 	case audit.Rejected:
 		meter.score.Rejected++
 		delete(meter.submissions, e.Message)
-	case audit.Abandoned, audit.Notice:
+	case audit.Abandoned, audit.DeliveryReported:
 		delete(meter.submissions, e.Message)
 	case audit.Sent:
 		meter.score.Calls++
