--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -88,6 +88,6 @@
 	Cause       string        `json:"cause,omitempty"`
 }
 
-// Wiped is the Cause of a Died event where the state folder is lost together with the process. The outcomes of the
+// StateLost is the Cause of a Died event where the state folder is lost together with the process. The outcomes of the
 // messages in that folder are no longer owed.
-const Wiped = "wiped"
+const StateLost = "wiped"
--- a/internal/audit/sender.go
+++ b/internal/audit/sender.go
@@ -44,7 +44,7 @@
 		s.downSince = e.At
 	}
 	s.down, s.restarted = true, true
-	if e.Cause == Wiped {
+	if e.Cause == StateLost {
 		for _, m := range a.messages {
 			if m.sender == e.Sender {
 				a.endMessage(m)
--- a/internal/audit/sender_test.go
+++ b/internal/audit/sender_test.go
@@ -49,7 +49,7 @@
 		{
 			"killed, and its state folder is lost",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Died, Wiped), event(6, Ready, ""), event(22, Requested, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Died, StateLost), event(6, Ready, ""), event(22, Requested, ""),
 			},
 			"",
 		},
--- a/internal/harness/supervise.go
+++ b/internal/harness/supervise.go
@@ -120,7 +120,7 @@
 		p.Stop(false)
 		return true
 	case "wipe":
-		s.recordDown(audit.Wiped)
+		s.recordDown(audit.StateLost)
 		p.Stop(false)
 		if err := p.wipeState(); err != nil {
 			env.cancel(err)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -36,7 +36,7 @@
 		s.record(audit.Event{Kind: audit.Died, Sender: sd.num})
 		sd.exitProcess()
 	case "wipe":
-		s.record(audit.Event{Kind: audit.Died, Sender: sd.num, Cause: audit.Wiped})
+		s.record(audit.Event{Kind: audit.Died, Sender: sd.num, Cause: audit.StateLost})
 		sd.exitProcess()
 		dir := s.walDirs[sd.num]
 		if err := errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700)); err != nil {
