--- a/cmd/cleathold/lab_test.go
+++ b/cmd/cleathold/lab_test.go
@@ -273,7 +273,7 @@
 		if e.Kind == audit.Accepted {
 			accepted[[2]int{e.Sender, int(e.At / (100 * time.Millisecond))}]++
 		}
-		if e.Kind == audit.Died && firstDeath[e.Sender] == 0 {
+		if e.Kind == audit.ProcessEnded && firstDeath[e.Sender] == 0 {
 			firstDeath[e.Sender] = e.At
 		}
 		return nil
--- a/internal/audit/auditor.go
+++ b/internal/audit/auditor.go
@@ -97,7 +97,7 @@
 		}
 	case Overloaded:
 		a.checkOverload(e)
-	case Died:
+	case ProcessEnded:
 		a.died(e)
 	case Ready:
 		a.sender(e.Sender).ready(e.At)
--- a/internal/audit/call_test.go
+++ b/internal/audit/call_test.go
@@ -182,7 +182,7 @@
 			"a restart ends the wait",
 			[]Event{
 				submitted(0, "m", 0, 7), accepted(ms, "m"), callSent(2*ms, 1, "a", 7, "m"), rejectedCall(3*ms, 1, time.Second),
-				{At: 200 * ms, Kind: Died}, {At: 300 * ms, Kind: Ready}, callSent(500*ms, 2, "b", 7, "m"),
+				{At: 200 * ms, Kind: ProcessEnded}, {At: 300 * ms, Kind: Ready}, callSent(500*ms, 2, "b", 7, "m"),
 				callEnded(1004*ms, 2, Delivered),
 			},
 			"",
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -32,8 +32,8 @@
 	FailureSeen
 	// Overloaded: a route that was warming up was overloaded (Dest, Endpoint, CallsBySender).
 	Overloaded
-	// Died: the process of a sender ended, was asked to terminate, or was stopped (Cause).
-	Died
+	// ProcessEnded: the process of a sender ended, was asked to terminate, or was stopped (Cause).
+	ProcessEnded
 	// Ready: the process of a sender is ready.
 	Ready
 	// Requested: a client starts to request the delivery of a message (Request, Class, Tenant, Dest).
@@ -88,6 +88,6 @@
 	Cause       string        `json:"cause,omitempty"`
 }
 
-// StateLost is the Cause of a Died event where the state folder is lost together with the process. The outcomes of the
-// messages in that folder are no longer owed.
+// StateLost is the Cause of a ProcessEnded event where the state folder is lost together with the process. The outcomes
+// of the messages in that folder are no longer owed.
 const StateLost = "wiped"
--- a/internal/audit/message_test.go
+++ b/internal/audit/message_test.go
@@ -41,7 +41,7 @@
 		{
 			"late after a restart",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), {At: 10 * time.Second, Kind: Died},
+				submitted(0, "m", 0, 7), accepted(ms, "m"), {At: 10 * time.Second, Kind: ProcessEnded},
 				{At: 12 * time.Second, Kind: Ready}, notice(13500*ms, "m", true),
 			},
 			"",
@@ -49,7 +49,7 @@
 		{
 			"too late after a restart",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), {At: 10 * time.Second, Kind: Died},
+				submitted(0, "m", 0, 7), accepted(ms, "m"), {At: 10 * time.Second, Kind: ProcessEnded},
 				{At: 12 * time.Second, Kind: Ready}, notice(13501*ms, "m", true),
 			},
 			outcome,
@@ -57,7 +57,7 @@
 		{
 			"overdue before the restart",
 			[]Event{
-				submitted(0, "m", 0, 7), accepted(ms, "m"), {At: 10301 * ms, Kind: Died},
+				submitted(0, "m", 0, 7), accepted(ms, "m"), {At: 10301 * ms, Kind: ProcessEnded},
 				{At: 12 * time.Second, Kind: Ready}, notice(13*time.Second, "m", true),
 			},
 			outcome,
--- a/internal/audit/sender_test.go
+++ b/internal/audit/sender_test.go
@@ -42,14 +42,16 @@
 		{
 			"killed",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Died, ""), event(6, Ready, ""), event(22, Requested, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, ProcessEnded, ""), event(6, Ready, ""), event(22, Requested,
+					""),
 			},
 			string(RuleOutcome),
 		},
 		{
 			"killed, and its state folder is lost",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, Died, StateLost), event(6, Ready, ""), event(22, Requested, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, ProcessEnded, StateLost), event(6, Ready, ""), event(22,
+					Requested, ""),
 			},
 			"",
 		},
@@ -64,7 +66,7 @@
 		{
 			"notified of the drain while it was stopped",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), event(2, Died, ""), notified, event(6, Ready, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(2, ProcessEnded, ""), notified, event(6, Ready, ""),
 				callSent(at(7), 1, "e", 1, "a"), callEnded(at(8), 1, Delivered),
 			},
 			"",
@@ -72,7 +74,7 @@
 		{
 			"notified of the drain while it was stopped, call after the grace",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), event(2, Died, ""), notified, event(6, Ready, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(2, ProcessEnded, ""), notified, event(6, Ready, ""),
 				callSent(at(8.5), 1, "e", 1, "a"), callEnded(at(9), 1, Delivered),
 			},
 			string(RuleDrain),
--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -286,7 +286,7 @@
 		c.SignalSender(a.Sender, syscall.SIGHUP)
 	case WipeSender:
 		if c.SignalSender(a.Sender, syscall.SIGKILL) {
-			c.Environment.Record(audit.Event{Kind: audit.Died, Sender: a.Sender, Cause: audit.StateLost})
+			c.Environment.Record(audit.Event{Kind: audit.ProcessEnded, Sender: a.Sender, Cause: audit.StateLost})
 			os.RemoveAll(filepath.Join(filepath.Dir(c.senders[a.Sender].config), "state"))
 		}
 	case ReconfigureSender:
--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -131,7 +131,7 @@
 	switch {
 	case result.state == stateUnresponsive:
 		c.Clients.SetDown(result.sender, true)
-		c.Environment.Record(audit.Event{Kind: audit.Died, Sender: result.sender})
+		c.Environment.Record(audit.Event{Kind: audit.ProcessEnded, Sender: result.sender})
 	case previous == stateUnresponsive:
 		c.Clients.SetDown(result.sender, false)
 		c.Environment.Record(audit.Event{Kind: audit.Ready, Sender: result.sender})
@@ -142,7 +142,7 @@
 // attributed to an order.
 func (p *Poll) recordSignal(sender int, s syscall.Signal) {
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		p.cluster.Environment.Record(audit.Event{Kind: audit.Died, Sender: sender})
+		p.cluster.Environment.Record(audit.Event{Kind: audit.ProcessEnded, Sender: sender})
 	}
 }
 
--- a/internal/harness/supervise.go
+++ b/internal/harness/supervise.go
@@ -99,7 +99,7 @@
 
 // recordDown notifies the auditor and the clients that the process no longer serves.
 func (s *supervisor) recordDown(cause string) {
-	s.run.env.Record(audit.Event{Kind: audit.Died, Sender: s.number, Cause: cause})
+	s.run.env.Record(audit.Event{Kind: audit.ProcessEnded, Sender: s.number, Cause: cause})
 	s.run.clients.SetDown(s.number, true)
 }
 
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -148,7 +148,7 @@
 			c.addCause(b, "call "+e.Cause)
 		}
 		delete(c.calls, e.Call)
-	case audit.Died:
+	case audit.ProcessEnded:
 		c.processEnds++
 	}
 	return c.meter.Read(e)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -33,10 +33,10 @@
 	}
 	switch action.Kind {
 	case "kill":
-		s.record(audit.Event{Kind: audit.Died, Sender: sd.num})
+		s.record(audit.Event{Kind: audit.ProcessEnded, Sender: sd.num})
 		sd.exitProcess()
 	case "wipe":
-		s.record(audit.Event{Kind: audit.Died, Sender: sd.num, Cause: audit.StateLost})
+		s.record(audit.Event{Kind: audit.ProcessEnded, Sender: sd.num, Cause: audit.StateLost})
 		sd.exitProcess()
 		dir := s.walDirs[sd.num]
 		if err := errors.Join(os.RemoveAll(dir), os.MkdirAll(dir, 0o700)); err != nil {
@@ -45,7 +45,7 @@
 	case "term", "signals":
 		sd.whenRunning(func() {
 			if !sd.dead && !sd.shuttingDown {
-				s.record(audit.Event{Kind: audit.Died, Sender: sd.num})
+				s.record(audit.Event{Kind: audit.ProcessEnded, Sender: sd.num})
 				sd.terminate()
 			}
 		})
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -142,7 +142,7 @@
 	s := sd.sim
 	if !sd.stopped() {
 		sd.stoppedAt = s.now
-		s.record(audit.Event{Kind: audit.Died, Sender: sd.num}) // no rule requires anything of it until it resumes
+		s.record(audit.Event{Kind: audit.ProcessEnded, Sender: sd.num}) // no rule requires anything of it until it resumes
 	}
 	sd.stoppedUntil = max(sd.stoppedUntil, until)
 	s.at(sd.stoppedUntil, sd.resume)
