--- a/cmd/cleathold/lab.go
+++ b/cmd/cleathold/lab.go
@@ -83,8 +83,8 @@
 
 // ledgerHead returns the head of a run's ledger. It records the scenario, the seed, the mode, the senders' program
 // (empty for this program), the versions of the program and of Go, and the machine.
-func ledgerHead(s *scenario.Scenario, seed uint64, mode, program string) ledger.Head {
-	head := ledger.Head{
+func ledgerHead(s *scenario.Scenario, seed uint64, mode, program string) ledger.Header {
+	head := ledger.Header{
 		Scenario: s.Name, Seed: seed, Mode: mode, Program: program, Go: runtime.Version(), Started: time.Now().UTC(),
 		Figures: s.Figures,
 	}
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -15,7 +15,7 @@
 // TestGoldenRun checks that the folder of a run that commit 096da04 wrote can be read, and that its events are written
 // in the same form.
 func TestGoldenRun(t *testing.T) {
-	golden.JSON[Head](t, "head.json")
+	golden.JSON[Header](t, "head.json")
 	run, err := Open(golden.Path("run"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -17,8 +17,8 @@
 // formatVersion is the version of the format of the folder. Open returns an error for any other version.
 const formatVersion = 1
 
-// Head describes the scenario of a run and the program that ran it. It is stored in run.json.
-type Head struct {
+// Header describes the scenario of a run and the program that ran it. It is stored in run.json.
+type Header struct {
 	Format   int       `json:"format"`
 	Scenario string    `json:"scenario"`
 	Seed     uint64    `json:"seed"`
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -20,7 +20,7 @@
 func writeRun(t *testing.T, events int, finish bool) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "run")
-	w, err := Create(dir, Head{Scenario: "s", Seed: 7}, []byte("script"))
+	w, err := Create(dir, Header{Scenario: "s", Seed: 7}, []byte("script"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 	if r.Head.Seed != 7 || string(r.Script) != "script" || r.Result == nil {
 		t.Errorf("%+v", r)
 	}
-	if _, err := Create(dir, Head{}, nil); err == nil {
+	if _, err := Create(dir, Header{}, nil); err == nil {
 		t.Error("Create overwrote an existing run")
 	}
 }
--- a/internal/ledger/run.go
+++ b/internal/ledger/run.go
@@ -20,7 +20,7 @@
 // Run holds the contents of the folder of a run, except its events.
 type Run struct {
 	Dir    string
-	Head   Head
+	Head   Header
 	Script []byte
 	Result json.RawMessage // nil if the run is incomplete
 }
--- a/internal/ledger/writer.go
+++ b/internal/ledger/writer.go
@@ -32,7 +32,7 @@
 }
 
 // Create creates the folder of a run. It returns an error if the folder already contains a run.
-func Create(dir string, h Head, script []byte) (*Writer, error) {
+func Create(dir string, h Header, script []byte) (*Writer, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("run folder: %w", err)
 	}
