--- a/cmd/cleathold/deadletterlist.go
+++ b/cmd/cleathold/deadletterlist.go
@@ -142,8 +142,8 @@
 	for _, property := range []struct {
 		name   string
 		groups []deadletter.Group
-	}{{"state", s.States}, {"reason", s.Reasons}, {"class", s.Classes}, {"tenant", s.Tenants}, {"destination",
-		s.Destinations}} {
+	}{{"state", s.States}, {"reason", s.Reasons}, {"class", s.Classes}, {"tenant", s.Tenants},
+		{"destination", s.Destinations}} {
 		for _, group := range property.groups {
 			fmt.Fprintf(out, "  %-12s %-24s %d\n", property.name, group.Name, group.Records)
 		}
--- a/internal/admin/deadletters.go
+++ b/internal/admin/deadletters.go
@@ -103,8 +103,7 @@
 		return nil, err
 	}
 	return s.deadLetters.Redeliver(r.Context(), caller(r), o.Selection,
-		time.Duration(o.WithinSeconds*float64(time.Second)),
-		o.DryRun)
+		time.Duration(o.WithinSeconds*float64(time.Second)), o.DryRun)
 }
 
 func (s *Server) drop(r *http.Request) (any, error) {
--- a/internal/audit/sender_test.go
+++ b/internal/audit/sender_test.go
@@ -42,16 +42,16 @@
 		{
 			"killed",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, ProcessEnded, ""), event(6, Ready, ""), event(22, Requested,
-					""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, ProcessEnded, ""), event(6, Ready, ""),
+				event(22, Requested, ""),
 			},
 			string(RuleOutcome),
 		},
 		{
 			"killed, and its state folder is lost",
 			[]Event{
-				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, ProcessEnded, StateLost), event(6, Ready, ""), event(22,
-					Requested, ""),
+				submitted(0, "a", 0, 1), accepted(0, "a"), event(5, ProcessEnded, StateLost), event(6, Ready, ""),
+				event(22, Requested, ""),
 			},
 			"",
 		},
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -56,8 +56,8 @@
 		t.Errorf("%+v", x)
 	}
 	var out bytes.Buffer
-	if err := sums.Table(&out, limited[0]); err != nil || strings.Count(out.String(),
-		"\n") != len(sums.ForDestination(limited[0]))+2 {
+	if err := sums.Table(&out, limited[0]); err != nil ||
+		strings.Count(out.String(), "\n") != len(sums.ForDestination(limited[0]))+2 {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -109,8 +109,8 @@
 	if p.To.Name == "" {
 		p.To = Version{Name: "v2", Program: "/v2"}
 	}
-	return x.must(Command{Verb: Start, Reason: "r", New: &p, ServingSenders: x.state.ServingSenders(x.observations,
-		x.now)})
+	return x.must(Command{Verb: Start, Reason: "r", New: &p,
+		ServingSenders: x.state.ServingSenders(x.observations, x.now)})
 }
 
 // addTraffic adds n messages with an outcome to each sender's counters. failed returns how many of them fail at a
--- a/internal/scenario/arrivals.go
+++ b/internal/scenario/arrivals.go
@@ -101,8 +101,7 @@
 		a.bySize = append(a.bySize, i)
 	}
 	slices.SortStableFunc(a.bySize, func(i, j int) int {
-		return cmp.Compare(p.Destinations[j].Share,
-			p.Destinations[i].Share)
+		return cmp.Compare(p.Destinations[j].Share, p.Destinations[i].Share)
 	})
 	sum = 0
 	for _, c := range p.Scenario.Traffic.Classes {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -120,8 +120,7 @@
 		return s.Path + ": nothing is held; journal durable over " + s.WriteAheadLog.survivedFailures()
 	}
 	text := fmt.Sprintf("%s: holds up to %d records and %d bytes for %v in %s; resends use %g of a partner's limit",
-		s.Path,
-		s.DeadLetterQueue.MaxRecords, s.DeadLetterQueue.MaxBytes, s.DeadLetterQueue.MaxAge, s.DeadLetterQueue.Folder,
+		s.Path, s.DeadLetterQueue.MaxRecords, s.DeadLetterQueue.MaxBytes, s.DeadLetterQueue.MaxAge, s.DeadLetterQueue.Folder,
 		s.Redelivery.Share)
 	for i, rule := range []starlark.Callable{s.holdRule, s.afterRule} {
 		if rule == nil {
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -65,8 +65,7 @@
 	dir, hasDir := s.walDirs[num]
 	loop, err := state.NewLoop(state.Setup{
 		Settings: settings, InitialList: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion},
-		MaxDiskBytes: 3e6,
-		Log:          s.log, Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &sd.counters,
+		MaxDiskBytes: 3e6, Log: s.log, Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &sd.counters,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/store/repair_test.go
+++ b/internal/store/repair_test.go
@@ -219,8 +219,7 @@
 		want, live := l.live[e.ID]
 		if err != nil || !e.MayLackRecords && (!live || len(list) != len(want)) {
 			t.Errorf("segment missing: entity %d, doubtful %t, live %t, %d records of %d, %v", e.ID, e.MayLackRecords, live,
-				len(list),
-				len(want), err)
+				len(list), len(want), err)
 		}
 		return !t.Failed()
 	})
