--- a/cmd/cleathold/agentfaults_test.go
+++ b/cmd/cleathold/agentfaults_test.go
@@ -98,9 +98,9 @@
 	t.Helper()
 	leader := awaitLeader(t, fleet)
 	plan := &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{fleet.Names}, Hold: 200 * time.Millisecond}
-	id, err := fleet.Order(leader, rollout.Command{Verb: rollout.Start, New: plan})
+	id, err := fleet.SendCommand(leader, rollout.Command{Verb: rollout.Start, New: plan})
 	must(t, err)
-	awaitView(t, fleet, 20*time.Second, fmt.Sprintf("a sender is %s", step), func(v agent.View) bool {
+	awaitView(t, fleet, 20*time.Second, fmt.Sprintf("a sender is %s", step), func(v agent.FleetView) bool {
 		p := v.State.Plan(id)
 		if p == nil {
 			return false
@@ -121,7 +121,7 @@
 	must(t, err)
 	if p.Phase == rollout.Halted { // a sender without an agent did not use its grant in time
 		command := rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}
-		_, err := fleet.Order(awaitLeader(t, fleet), command)
+		_, err := fleet.SendCommand(awaitLeader(t, fleet), command)
 		must(t, err)
 		_, err = fleet.AwaitPlan(60*time.Second, id, rollout.Done)
 		must(t, err)
@@ -135,19 +135,19 @@
 	fleet := newCluster(t, threeSenders())
 	leader := awaitLeader(t, fleet)
 	plan := &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{fleet.Names}}
-	id, err := fleet.Order(leader, rollout.Command{Verb: rollout.Start, New: plan})
+	id, err := fleet.SendCommand(leader, rollout.Command{Verb: rollout.Start, New: plan})
 	must(t, err)
-	awaitView(t, fleet, 20*time.Second, "one is out", func(v agent.View) bool { return len(v.State.Grants) == 1 })
+	awaitView(t, fleet, 20*time.Second, "one is out", func(v agent.FleetView) bool { return len(v.State.Grants) == 1 })
 	isolateAgents(fleet, fleet.AgentNames()[leader:leader+1])
 	orderedAt := time.Now()
-	_, err = fleet.Order(otherAgents(fleet, leader)[0], rollout.Command{Verb: rollout.Halt, Plan: id})
+	_, err = fleet.SendCommand(otherAgents(fleet, leader)[0], rollout.Command{Verb: rollout.Halt, Plan: id})
 	if took := time.Since(orderedAt); err != nil || took > 10*time.Second {
 		t.Errorf("halted after %v: %v", took, err)
 	}
 	fleet.Net.Heal()
 	p, err := fleet.AwaitPlan(20*time.Second, id, rollout.Halted)
 	must(t, err)
-	_, err = fleet.Order(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Activate, Plan: p.ID})
+	_, err = fleet.SendCommand(awaitLeader(t, fleet), rollout.Command{Verb: rollout.Activate, Plan: p.ID})
 	must(t, err)
 	_, err = fleet.AwaitPlan(30*time.Second, id, rollout.Done)
 	must(t, err)
@@ -169,7 +169,7 @@
 				func(p *rollout.Plan) bool { return p.Tasks[p.Stages[0][0]].Step == rollout.Finished },
 				func(p *rollout.Plan) bool { return p.Stage >= 1 },
 			} {
-				awaitView(t, fleet, 60*time.Second, "the next step", func(v agent.View) bool {
+				awaitView(t, fleet, 60*time.Second, "the next step", func(v agent.FleetView) bool {
 					p := v.State.Plan(id)
 					return p != nil && (reached(p) || !p.Phase.Open() || p.Phase == rollout.Halted)
 				})
@@ -217,14 +217,14 @@
 				Senders: 10, Agents: c.agents, Rate: 20, Terms: shortLeaseTerms(rollout.Budget{Fleet: 6}),
 			})
 			id := planNumber(t, fleetCommand(t, fleet, 0, "drain", "n0", "--reason", "r")) // supervised by agent 0
-			awaitView(t, fleet, 20*time.Second, "n0 is out", func(v agent.View) bool {
+			awaitView(t, fleet, 20*time.Second, "n0 is out", func(v agent.FleetView) bool {
 				p := v.State.Plan(id)
 				return p != nil && p.Tasks["n0"].Step == rollout.Out
 			})
 			minority := fleet.AgentNames()[:c.minority]
 			isolateAgents(fleet, minority)
 			isolatedAt := time.Now()
-			awaitView(t, fleet, 20*time.Second, "a leader in the majority", func(v agent.View) bool {
+			awaitView(t, fleet, 20*time.Second, "a leader in the majority", func(v agent.FleetView) bool {
 				return !slices.Contains(minority, v.Agent)
 			})
 			requireMinorityRejects(t, fleet)
@@ -237,11 +237,12 @@
 			for fleet.Poll.Now(0) == "away" && time.Since(isolatedAt) < 20*time.Second {
 				time.Sleep(10 * time.Millisecond)
 			}
-			if d := time.Since(isolatedAt); d > 2*time.Second+fleet.Terms.Timing.Lease+fleet.Terms.Timing.Error+time.Second {
+			if d := time.Since(isolatedAt); d > 2*time.Second+fleet.Terms.Timing.Lease+
+				fleet.Terms.Timing.MaxClockError+time.Second {
 				t.Errorf("n0 was out of service for %v after its agent was isolated", d)
 			}
 			fleet.Net.Heal()
-			awaitView(t, fleet, 20*time.Second, "n0 is seen serving", func(v agent.View) bool {
+			awaitView(t, fleet, 20*time.Second, "n0 is seen serving", func(v agent.FleetView) bool {
 				return v.Observations["n0"].Serving
 			})
 			checkRules(t, fleet)
@@ -279,7 +280,7 @@
 	fleet.SignalAgent(2, syscall.SIGKILL)
 	must(t, fleet.WipeAgent(2))
 	must(t, fleet.StartAgent(2))
-	awaitView(t, fleet, 30*time.Second, "the agent is a new member", func(v agent.View) bool {
+	awaitView(t, fleet, 30*time.Second, "the agent is a new member", func(v agent.FleetView) bool {
 		_, is := v.Quorum.Members[lostMember]
 		return !is && len(v.Quorum.Members) == 3 && v.Observations["n2"].Serving
 	})
@@ -361,11 +362,11 @@
 		for _, p := range v.State.Plans {
 			if p.Phase.Open() {
 				command := rollout.Command{Verb: rollout.Activate, Plan: p.ID, Senders: []string{"n0"}}
-				fleet.Order(awaitLeader(t, fleet), command)
+				fleet.SendCommand(awaitLeader(t, fleet), command)
 			}
 		}
 	}
-	awaitView(t, fleet, 30*time.Second, "no plan is open", func(v agent.View) bool {
+	awaitView(t, fleet, 30*time.Second, "no plan is open", func(v agent.FleetView) bool {
 		return !slices.ContainsFunc(v.State.Plans, func(p *rollout.Plan) bool { return p.Phase.Open() })
 	})
 }
--- a/cmd/cleathold/deadletterlist.go
+++ b/cmd/cleathold/deadletterlist.go
@@ -135,14 +135,15 @@
 // writeStats writes the size of a dead-letter queue and its records by state, reason, class, tenant and destination.
 func writeStats(out io.Writer, s deadletter.Stats) {
 	fmt.Fprintf(out, "%d records, %d bytes in a file of %d; %d not yet told; evicted %d over bounds, %d too old\n",
-		s.Records, s.Bytes, s.File, s.Owed, s.Evicted, s.Aged)
+		s.Records, s.Bytes, s.FileBytes, s.PendingReports, s.EvictedOpen, s.EvictedByAge)
 	if !s.Oldest.IsZero() {
 		fmt.Fprintf(out, "oldest open: %s\n", s.Oldest.Format(time.RFC3339))
 	}
 	for _, property := range []struct {
 		name   string
 		groups []deadletter.Group
-	}{{"state", s.States}, {"reason", s.Reasons}, {"class", s.Classes}, {"tenant", s.Tenants}, {"destination", s.Dests}} {
+	}{{"state", s.States}, {"reason", s.Reasons}, {"class", s.Classes}, {"tenant", s.Tenants},
+		{"destination", s.Destinations}} {
 		for _, group := range property.groups {
 			fmt.Fprintf(out, "  %-12s %-24s %d\n", property.name, group.Name, group.Records)
 		}
@@ -165,7 +166,8 @@
 			return writeJSON(out, list)
 		}
 		for _, a := range list {
-			fmt.Fprintf(out, "%s  %s  %s  done %d, refused %d", a.At.Format(time.RFC3339), a.By, a.Verb, a.Done, a.Rejected)
+			fmt.Fprintf(out, "%s  %s  %s  done %d, refused %d", a.At.Format(time.RFC3339), a.Caller, a.Command, a.Done,
+				a.Rejected)
 			if a.Filter != nil {
 				text, _ := json.Marshal(a.Filter)
 				fmt.Fprintf(out, "  filter %s", text)
--- a/cmd/cleathold/fleetclient.go
+++ b/cmd/cleathold/fleetclient.go
@@ -37,7 +37,7 @@
 }
 
 // view returns the view of the fleet from the first agent that responds.
-func (f *fleetCmd) view() (agent.View, error) { return firstAnswer(f, agent.FetchView) }
+func (f *fleetCmd) view() (agent.FleetView, error) { return firstAnswer(f, agent.FetchView) }
 
 // attribution names the author of a command and the reason for it. Both are recorded in the event log of the fleet.
 type attribution struct {
@@ -58,18 +58,18 @@
 // sendCommand sends a command to the first reachable agent. An agent that was reached but did not respond may have
 // executed the command. Therefore only unreachable agents are skipped, and no command is sent twice. The exit code of
 // an error indicates whether anything was changed.
-func (f *fleetCmd) sendCommand(c rollout.Command, who attribution, dryRun bool) (agent.Result, error) {
+func (f *fleetCmd) sendCommand(c rollout.Command, who attribution, dryRun bool) (agent.CommandResult, error) {
 	c.By, c.Reason = who.author(), who.Reason
 	if _, err := f.view(); err != nil {
-		return agent.Result{}, err
+		return agent.CommandResult{}, err
 	}
-	result, err := firstAnswer(f, func(ctx context.Context, addr string) (agent.Result, error) {
+	result, err := firstAnswer(f, func(ctx context.Context, addr string) (agent.CommandResult, error) {
 		if _, err := agent.FetchView(ctx, addr); err != nil {
-			return agent.Result{}, err
+			return agent.CommandResult{}, err
 		}
-		result, err := agent.SendCommand(ctx, addr, agent.Call{Command: c, DryRun: dryRun})
+		result, err := agent.SendCommand(ctx, addr, agent.CommandRequest{Command: c, DryRun: dryRun})
 		if err != nil {
-			result = agent.Result{Text: fmt.Sprintf("%v: %v", agent.ErrUnknown, err), Kind: agent.KindUnknown}
+			result = agent.CommandResult{Text: fmt.Sprintf("%v: %v", agent.ErrUnknown, err), Kind: agent.KindUnknown}
 		}
 		return result, nil
 	})
@@ -109,7 +109,7 @@
 		case rollout.Done:
 			return nil
 		case rollout.Halted, rollout.Ended:
-			return exitError{fmt.Errorf("plan %d is %s: %s", id, plan.Phase, plan.Why), exitPlanStopped}
+			return exitError{fmt.Errorf("plan %d is %s: %s", id, plan.Phase, plan.PhaseReason), exitPlanStopped}
 		}
 		select {
 		case <-ctx.Done():
--- a/cmd/cleathold/fleetplan.go
+++ b/cmd/cleathold/fleetplan.go
@@ -26,8 +26,8 @@
 		text += fmt.Sprintf(" of %s, stage %d of %d", p.To.Name, p.Stage+1, len(p.Stages))
 	}
 	text += fmt.Sprintf(", by %s (%s): %s, %s", p.By, p.Reason, p.Phase, strings.Join(progress, ", "))
-	if p.Why != "" {
-		text += fmt.Sprintf("; %s (revision %d)", p.Why, p.Revision)
+	if p.PhaseReason != "" {
+		text += fmt.Sprintf("; %s (revision %d)", p.PhaseReason, p.Revision)
 	}
 	return text
 }
@@ -73,7 +73,7 @@
 }
 
 // writePlan writes the summary of a plan, and a table of its senders by stage.
-func writePlan(out io.Writer, v agent.View, p *rollout.Plan) error {
+func writePlan(out io.Writer, v agent.FleetView, p *rollout.Plan) error {
 	fmt.Fprintln(out, planSummary(p))
 	table := newTable(out)
 	fmt.Fprintln(table, "STAGE\tSENDER\tSTEP\tSTANDS\tWHY")
--- a/cmd/cleathold/lab.go
+++ b/cmd/cleathold/lab.go
@@ -63,12 +63,12 @@
 	}
 	plan := s.Plan(c.Seed)
 	endpoints := 0
-	for _, d := range plan.Dests {
+	for _, d := range plan.Destinations {
 		endpoints += len(d.Endpoints)
 	}
 	_, err = fmt.Fprintf(out, "%s: %v, %d senders, %.0f messages a second at full load, "+
 		"%d destinations with %d endpoints, %d changes among them\n",
-		s.Name, s.Length, s.Senders, plan.Rate, len(plan.Dests), endpoints, len(plan.Changes))
+		s.Name, s.Length, s.Senders, plan.Rate, len(plan.Destinations), endpoints, len(plan.Changes))
 	for _, m := range plan.Marks() {
 		fmt.Fprintf(out, "  %.1f to %.1f s: %s\n", m.From.Seconds(), m.To.Seconds(), m.Text)
 	}
@@ -83,8 +83,8 @@
 
 // ledgerHead returns the head of a run's ledger. It records the scenario, the seed, the mode, the senders' program
 // (empty for this program), the versions of the program and of Go, and the machine.
-func ledgerHead(s *scenario.Scenario, seed uint64, mode, program string) ledger.Head {
-	head := ledger.Head{
+func ledgerHead(s *scenario.Scenario, seed uint64, mode, program string) ledger.Header {
+	head := ledger.Header{
 		Scenario: s.Name, Seed: seed, Mode: mode, Program: program, Go: runtime.Version(), Started: time.Now().UTC(),
 		Figures: s.Figures,
 	}
--- a/cmd/cleathold/lab_test.go
+++ b/cmd/cleathold/lab_test.go
@@ -139,7 +139,7 @@
 		{"#!/bin/sh\nexec sleep 60\n", "is not ready in time"},
 	} {
 		s := harnessSetup(t, shortScenario(t, ""))
-		s.Program, s.ReadyIn = filepath.Join(t.TempDir(), "program"), 300*time.Millisecond
+		s.Program, s.ReadyTimeout = filepath.Join(t.TempDir(), "program"), 300*time.Millisecond
 		must(t, os.WriteFile(s.Program, []byte(c.script), 0o755))
 		if _, err := harness.Run(t.Context(), s); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v, want %q", err, c.want)
@@ -273,7 +273,7 @@
 		if e.Kind == audit.Accepted {
 			accepted[[2]int{e.Sender, int(e.At / (100 * time.Millisecond))}]++
 		}
-		if e.Kind == audit.Died && firstDeath[e.Sender] == 0 {
+		if e.Kind == audit.ProcessEnded && firstDeath[e.Sender] == 0 {
 			firstDeath[e.Sender] = e.At
 		}
 		return nil
--- a/cmd/cleathold/recovery_test.go
+++ b/cmd/cleathold/recovery_test.go
@@ -188,10 +188,10 @@
 
 // resendAll orders the redelivery of all records, each within withinS seconds.
 func resendAll(api admin.API, withinS float64) (done int, rejected []deadletter.RejectedRecord, err error) {
-	order := admin.Order{WithinS: withinS}
+	order := admin.DeadLetterRequest{WithinSeconds: withinS}
 	order.Selection.Limit = deadletter.MaxPageSize
 	for {
-		page, err := api.Act(context.Background(), "resend", order)
+		page, err := api.Execute(context.Background(), "resend", order)
 		if err != nil {
 			return done, rejected, err
 		}
@@ -205,5 +205,7 @@
 // heldAndReported returns the condition that count records are held and that the platform has acknowledged the delivery
 // reports of all of them.
 func heldAndReported(count int) func(states map[string]int, s deadletter.Stats) bool {
-	return func(states map[string]int, s deadletter.Stats) bool { return states["held"] == count && s.Owed == 0 }
+	return func(states map[string]int, s deadletter.Stats) bool {
+		return states["held"] == count && s.PendingReports == 0
+	}
 }
--- a/cmd/cleathold/redelivery_test.go
+++ b/cmd/cleathold/redelivery_test.go
@@ -150,8 +150,8 @@
 				accepted[id] = true
 			}
 		}
-		order := admin.Order{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinS: 1}
-		go env.adminAPI().Act(context.Background(), "resend", order)
+		order := admin.DeadLetterRequest{Selection: deadletter.Selection{Limit: deadletter.MaxPageSize}, WithinSeconds: 1}
+		go env.adminAPI().Execute(context.Background(), "resend", order)
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 		rounds.end(env, process)
 	}
@@ -160,7 +160,9 @@
 	p.mu.Unlock()
 	rounds.start(env, process)
 	api := env.adminAPI()
-	idle := func(s map[string]int, x deadletter.Stats) bool { return s["out"]+s["ordered"] == 0 && x.Owed == 0 }
+	idle := func(s map[string]int, x deadletter.Stats) bool {
+		return s["out"]+s["ordered"] == 0 && x.PendingReports == 0
+	}
 	env.awaitStats(api, "no redelivery in progress", idle)
 	time.Sleep(time.Second) // live messages have a deadline of 0.55 s at most
 	_, rejections, err := resendAll(api, 60)
--- a/control/actions.go
+++ b/control/actions.go
@@ -18,10 +18,10 @@
 	HealthCheck(to EndpointID)
 	// Disconnect closes the idle connections to an endpoint.
 	Disconnect(to EndpointID)
-	// Watch starts or ends the subscription to changes of the endpoint list.
-	Watch(on bool)
-	// Fetch requests the complete endpoint list once.
-	Fetch()
+	// WatchEndpoints starts or ends the subscription to changes of the endpoint list.
+	WatchEndpoints(on bool)
+	// FetchEndpoints requests the complete endpoint list once.
+	FetchEndpoints()
 	// Gossip sends an observation to all peers. It may be lost or delayed.
 	Gossip(observation Observation)
 	// SetTimer requests a call of Controller.TimerFired with the token after the given time.
--- a/control/circuitbreaker.go
+++ b/control/circuitbreaker.go
@@ -138,7 +138,7 @@
 // recordSuccess records that a call sent at sentAt was served.
 func (c *Controller) recordSuccess(endpoint *endpoint, sentAt time.Duration) {
 	breaker := &endpoint.route.breaker
-	if c.settings.usesFleetRate() && endpoint.health.Served(c.now, c.fleetHealthParams()) {
+	if c.settings.usesFleetRate() && endpoint.health.RecordServed(c.now, c.fleetHealthParams()) {
 		c.gossipHealth(endpoint, ObservedUp)
 	}
 	endpoint.destination.concurrencyReduced = false
@@ -160,7 +160,7 @@
 func (c *Controller) recordFailure(endpoint *endpoint, sentAt time.Duration, result Result, retryAfter time.Duration) {
 	route, dest, fleetRate := endpoint.route, endpoint.destination, c.settings.usesFleetRate()
 	breaker := &route.breaker
-	if result != Rejected && fleetRate && endpoint.health.Failed(c.now, c.fleetHealthParams(), c.rng.Float64()) {
+	if result != Rejected && fleetRate && endpoint.health.RecordFailed(c.now, c.fleetHealthParams(), c.rng.Float64()) {
 		c.gossipHealth(endpoint, ObservedDown)
 	}
 	if result == TimedOut && sentAt >= breaker.lastFailureAt {
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -20,8 +20,8 @@
 func (printingHost) Fail(id control.MessageID)      { fmt.Printf("fail message %d\n", id) }
 func (printingHost) HealthCheck(control.EndpointID) {}
 func (printingHost) Disconnect(control.EndpointID)  {}
-func (printingHost) Watch(bool)                     {}
-func (printingHost) Fetch()                         {}
+func (printingHost) WatchEndpoints(bool)            {}
+func (printingHost) FetchEndpoints()                {}
 func (printingHost) SetTimer(time.Duration, uint32) {}
 func (printingHost) Gossip(control.Observation)     {}
 func (printingHost) Log(string)                     {}
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -54,7 +54,7 @@
 		}
 	case ObservedDown, ObservedUp:
 		up := observation.Kind == ObservedUp
-		c.mergePeerReport(endpoint, fleethealth.Report{Peer: observation.Peer, At: observedAt, Up: up})
+		c.mergePeerReport(endpoint, fleethealth.Report{Peer: observation.Peer, At: observedAt, Served: up})
 	case ObservedWarm:
 		if observedAt > route.slowStart.recoveredAt && route.slowStart.addWarmReport(observation.Peer) {
 			route.slowStart.advance(c.settings.WarmUp)
@@ -100,7 +100,7 @@
 // gossipRejection sends peers the rejection of a call sent age ago and a reachability query, each if the reachability
 // detector allows it.
 func (c *Controller) gossipRejection(endpoint *endpoint, age time.Duration) {
-	gossip, query := c.peers.Rejected(c.now)
+	gossip, query := c.peers.RecordRejection(c.now)
 	if gossip {
 		c.actions.Gossip(Observation{Endpoint: endpoint.ID, Kind: ObservedRejection, Age: age})
 	}
--- a/control/recorder_test.go
+++ b/control/recorder_test.go
@@ -200,12 +200,12 @@
 	r.disconnected = append(r.disconnected, to)
 }
 
-func (r *recorder) Watch(on bool) {
+func (r *recorder) WatchEndpoints(on bool) {
 	r.log("watch %v", on)
 	r.watches++
 }
 
-func (r *recorder) Fetch() { r.log("fetch") }
+func (r *recorder) FetchEndpoints() { r.log("fetch") }
 
 func (r *recorder) SetTimer(after time.Duration, token uint32) {
 	r.timers = append(r.timers, timer{r.now + after, token})
--- a/internal/admin/deadletters.go
+++ b/internal/admin/deadletters.go
@@ -85,13 +85,13 @@
 const maxWithinS = 365 * 86400
 
 // decodeOrder decodes the body of a request that changes dead letters and checks its range.
-func decodeOrder(r *http.Request) (o Order, err error) {
+func decodeOrder(r *http.Request) (o DeadLetterRequest, err error) {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(&o); err != nil {
 		return o, &statusError{http.StatusBadRequest, "order: " + err.Error()}
 	}
-	if o.WithinS < 0 || o.WithinS > maxWithinS {
+	if o.WithinSeconds < 0 || o.WithinSeconds > maxWithinS {
 		return o, &statusError{http.StatusBadRequest, "within_s out of range"}
 	}
 	return o, nil
@@ -102,8 +102,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.deadLetters.Redeliver(r.Context(), caller(r), o.Selection, time.Duration(o.WithinS*float64(time.Second)),
-		o.DryRun)
+	return s.deadLetters.Redeliver(r.Context(), caller(r), o.Selection,
+		time.Duration(o.WithinSeconds*float64(time.Second)), o.DryRun)
 }
 
 func (s *Server) drop(r *http.Request) (any, error) {
--- a/internal/admin/folder.go
+++ b/internal/admin/folder.go
@@ -8,7 +8,7 @@
 
 // OpenFolder opens the dead letters in the folder of a stopped sender and returns their read-only API.
 func OpenFolder(path string) (API, error) {
-	s, err := deadletter.OpenReading(path)
+	s, err := deadletter.OpenReadOnly(path)
 	if err != nil {
 		return nil, err
 	}
@@ -51,6 +51,6 @@
 	return
 }
 
-func (f folder) Act(context.Context, string, Order) (deadletter.Outcome, error) {
+func (f folder) Execute(context.Context, string, DeadLetterRequest) (deadletter.Outcome, error) {
 	return deadletter.Outcome{}, ErrReadOnly
 }
--- a/internal/admin/httpserver_test.go
+++ b/internal/admin/httpserver_test.go
@@ -26,15 +26,16 @@
 func (l *recordingLifecycle) Drain() error    { l.calls <- "drain"; return nil }
 func (l *recordingLifecycle) Activate() error { l.calls <- "activate"; return nil }
 
-func (l *recordingLifecycle) Take(o lease.Order) error {
-	l.calls <- fmt.Sprint("take ", o.Process, " ", o.Epoch, " ", o.By.UnixMilli(), " ", o.Until.UnixMilli(), " ", o.Drain)
+func (l *recordingLifecycle) AcceptLease(o lease.Order) error {
+	l.calls <- fmt.Sprint("take ", o.Process, " ", o.Epoch, " ", o.AcceptBy.UnixMilli(), " ", o.Until.UnixMilli(), " ",
+		o.Drain)
 	return l.rejection
 }
-func (l *recordingLifecycle) Renew(epoch uint64, until time.Time) error {
+func (l *recordingLifecycle) RenewLease(epoch uint64, until time.Time) error {
 	l.calls <- fmt.Sprint("renew ", epoch, " ", until.UnixMilli())
 	return l.rejection
 }
-func (l *recordingLifecycle) End(epoch uint64) error {
+func (l *recordingLifecycle) EndLease(epoch uint64) error {
 	l.calls <- fmt.Sprint("end ", epoch)
 	return l.rejection
 }
--- a/internal/admin/lifecycle.go
+++ b/internal/admin/lifecycle.go
@@ -21,10 +21,10 @@
 	// Drain makes the sender reject clients, and Activate makes it accept them again. Both are idempotent.
 	Drain() error
 	Activate() error
-	// Take, Renew and End execute an agent's order for a lease.
-	Take(o lease.Order) error
-	Renew(epoch uint64, until time.Time) error
-	End(epoch uint64) error
+	// AcceptLease, RenewLease and EndLease execute an agent's order for a lease.
+	AcceptLease(o lease.Order) error
+	RenewLease(epoch uint64, until time.Time) error
+	EndLease(epoch uint64) error
 	// SetExclusions replaces the set of endpoints that operators have excluded. The set belongs to an epoch and expires at
 	// the given time.
 	SetExclusions(epoch uint64, ids []string, until time.Time) error
@@ -93,11 +93,11 @@
 		"PUT " + HoldPath:  agentHandler("held", takeLease(lifecycle, false)),
 		"PUT " + RenewPath: agentHandler("renewed", func(q *orderQuery) func() error {
 			epoch, until := q.number("epoch"), q.time("until")
-			return func() error { return lifecycle.Renew(epoch, until) }
+			return func() error { return lifecycle.RenewLease(epoch, until) }
 		}),
 		"PUT " + ActivatePath: operatorOrAgentHandler(lifecycle.Activate, "active", func(q *orderQuery) func() error {
 			epoch := q.number("epoch")
-			return func() error { return lifecycle.End(epoch) }
+			return func() error { return lifecycle.EndLease(epoch) }
 		}),
 		"PUT " + ExclusionsPath: agentHandler("set aside", func(q *orderQuery) func() error {
 			epoch, until, ids := q.number("epoch"), q.time("until"), q.values["id"]
@@ -119,9 +119,10 @@
 func takeLease(lifecycle Lifecycle, drain bool) func(q *orderQuery) func() error {
 	return func(q *orderQuery) func() error {
 		order := lease.Order{
-			Process: q.values.Get("process"), Epoch: q.number("epoch"), By: q.time("by"), Until: q.time("until"), Drain: drain,
+			Process: q.values.Get("process"), Epoch: q.number("epoch"), AcceptBy: q.time("by"), Until: q.time("until"),
+			Drain: drain,
 		}
-		return func() error { return lifecycle.Take(order) }
+		return func() error { return lifecycle.AcceptLease(order) }
 	}
 }
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -41,12 +41,12 @@
 	Import(ctx context.Context, by string, lines []deadletter.ExportLine, dry bool) (deadletter.Outcome, error)
 }
 
-// Order is the body of a request that changes dead letters.
-type Order struct {
-	Selection deadletter.Selection    `json:"selection,omitzero"`
-	Lines     []deadletter.ExportLine `json:"lines,omitempty"`
-	WithinS   float64                 `json:"within_s,omitempty"`
-	DryRun    bool                    `json:"dry_run,omitempty"`
+// DeadLetterRequest is the body of a request that changes dead letters.
+type DeadLetterRequest struct {
+	Selection     deadletter.Selection    `json:"selection,omitzero"`
+	Lines         []deadletter.ExportLine `json:"lines,omitempty"`
+	WithinSeconds float64                 `json:"within_s,omitempty"`
+	DryRun        bool                    `json:"dry_run,omitempty"`
 }
 
 // Page is a page of records or of exported lines. Next is the position after the page, or 0 for the last page.
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -19,20 +19,20 @@
 
 // FetchView returns the state of the fleet from the agent at addr (host:port). It is the leader's view if that agent
 // can reach the leader, and otherwise the agent's own.
-func FetchView(ctx context.Context, addr string) (v View, err error) {
+func FetchView(ctx context.Context, addr string) (v FleetView, err error) {
 	err = sendJSON(ctx, http.DefaultClient, addr, viewPath, nil, &v, nil)
 	return v, err
 }
 
 // FetchOwnView returns the own view of the agent at addr (host:port), without a call to the leader.
-func FetchOwnView(ctx context.Context, addr string) (v View, err error) {
+func FetchOwnView(ctx context.Context, addr string) (v FleetView, err error) {
 	err = sendJSON(ctx, http.DefaultClient, addr, viewPath+"?own=1", nil, &v, nil)
 	return v, err
 }
 
 // SendCommand sends a command to the agent at addr (host:port) for execution. An error means that there is no usable
-// response and that the outcome of the command is unknown. A rejection is not an error; the Result reports it.
-func SendCommand(ctx context.Context, addr string, call Call) (result Result, err error) {
+// response and that the outcome of the command is unknown. A rejection is not an error; the CommandResult reports it.
+func SendCommand(ctx context.Context, addr string, call CommandRequest) (result CommandResult, err error) {
 	err = sendJSON(ctx, http.DefaultClient, addr, commandPath, call, &result, nil)
 	return result, err
 }
--- a/internal/agent/grant.go
+++ b/internal/agent/grant.go
@@ -18,15 +18,15 @@
 		return
 	}
 	switch assigned.duty {
-	case rollout.End:
+	case rollout.EndLease:
 		s.endLease(ctx, grant.Epoch)
-	case rollout.Renew:
+	case rollout.RenewLease:
 		if leader, _ := s.agent.leadership(); leader != "" {
 			s.renewLease(ctx, grant.Epoch, assigned.timing.Lease)
 		}
-	case rollout.Fail:
+	case rollout.FailGrant:
 		s.failGrant(ctx, grant, "its agent was started anew in the middle of the change")
-	case rollout.Take:
+	case rollout.TakeGrant:
 		if s.lastStatus.Phase == phaseServing {
 			s.takeGrant(ctx, grant, assigned.timing)
 		}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -49,7 +49,7 @@
 	leader, leads := a.leadership()
 	ownOnly := r.Header.Get(forwardedHeader) != "" || r.URL.Query().Get("own") != ""
 	if leader != "" && !leads && !ownOnly {
-		var v View
+		var v FleetView
 		if a.call(r.Context(), a.cfg.Peers[leader], viewPath, nil, &v) == nil {
 			writeJSON(w, v)
 			return
@@ -59,10 +59,10 @@
 }
 
 // view returns this agent's own view.
-func (a *Agent) view() View {
-	v := View{Agent: a.cfg.Name, At: time.Now().UTC(), Listed: a.fleet.endpoints(), Traffic: a.traffic.totals()}
+func (a *Agent) view() FleetView {
+	v := FleetView{Agent: a.cfg.Name, At: time.Now().UTC(), Endpoints: a.fleet.endpoints(), Traffic: a.traffic.totals()}
 	if node, err := a.quorumNode(); err != nil {
-		v.Why = err.Error()
+		v.NoQuorumReason = err.Error()
 	} else {
 		status := node.Status()
 		v.Quorum = &status
@@ -75,7 +75,7 @@
 
 // handleCommand executes or forwards an operator's command.
 func (a *Agent) handleCommand(w http.ResponseWriter, r *http.Request) {
-	var call Call
+	var call CommandRequest
 	if readJSON(w, r, &call) {
 		writeJSON(w, a.submit(r.Context(), call, r.Header.Get(forwardedHeader) != ""))
 	}
@@ -88,10 +88,10 @@
 		return
 	}
 	if err := a.checkCompatibility(r.Context(), check); err != nil {
-		writeJSON(w, Result{Text: err.Error(), Kind: KindRejected})
+		writeJSON(w, CommandResult{Text: err.Error(), Kind: KindRejected})
 		return
 	}
-	writeJSON(w, Result{})
+	writeJSON(w, CommandResult{})
 }
 
 // handleObservations stores another agent's report.
--- a/internal/cluster/history.go
+++ b/internal/cluster/history.go
@@ -181,18 +181,18 @@
 	}
 	for _, a := range p.AgentActions {
 		h.Actions = append(h.Actions, Action{
-			At: a.At, Kind: ActionKind(a.What + " agent"), Agent: a.Agent, Duration: a.Until - a.At,
+			At: a.At, Kind: ActionKind(a.Kind + " agent"), Agent: a.Agent, Duration: a.Until - a.At,
 		})
 	}
 	for _, o := range p.Orders {
 		h.Actions = append(h.Actions, Action{
-			At: o.At, Kind: ActionKind(o.What), Agent: o.Agent, Senders: o.Of, Duration: o.Hold, Works: !o.FailsAtStart,
+			At: o.At, Kind: ActionKind(o.Kind), Agent: o.Agent, Senders: o.Senders, Duration: o.Hold, Works: !o.FailsAtStart,
 			RollBackOnFailure: o.RollBackOnFailure,
 		})
 	}
 	for _, a := range p.Actions {
 		h.Actions = append(h.Actions, Action{
-			At: a.At, Kind: ActionKind(a.What + " sender"), Sender: a.Sender, Duration: max(0, a.Until-a.At), planned: a,
+			At: a.At, Kind: ActionKind(a.Kind + " sender"), Sender: a.Sender, Duration: max(0, a.Until-a.At), planned: a,
 		})
 	}
 	sortActions(h.Actions)
--- a/internal/cluster/orders.go
+++ b/internal/cluster/orders.go
@@ -21,7 +21,7 @@
 )
 
 // View returns an agent's view of the fleet: only from its own information if own is set, otherwise from the leader's.
-func (c *Cluster) View(i int, own bool) (agent.View, error) {
+func (c *Cluster) View(i int, own bool) (agent.FleetView, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, viewTimeout)
 	defer cancel()
 	if own {
@@ -53,8 +53,8 @@
 
 // Await polls the leader's view of the fleet, through any agent, until a condition holds. If it times out, the error
 // contains the description of the condition and the last view.
-func (c *Cluster) Await(timeout time.Duration, description string, condition func(v agent.View) bool) error {
-	var lastView agent.View
+func (c *Cluster) Await(timeout time.Duration, description string, condition func(v agent.FleetView) bool) error {
+	var lastView agent.FleetView
 	for until := time.Now().Add(timeout); time.Now().Before(until); time.Sleep(awaitInterval) {
 		for i := range c.agents {
 			if c.agents[i].cmd == nil {
@@ -78,7 +78,7 @@
 
 // AwaitPlan waits until a plan is in one of the given phases, and returns the plan.
 func (c *Cluster) AwaitPlan(timeout time.Duration, id uint64, phases ...rollout.Phase) (p *rollout.Plan, err error) {
-	err = c.Await(timeout, fmt.Sprintf("plan %d is %v", id, phases), func(v agent.View) bool {
+	err = c.Await(timeout, fmt.Sprintf("plan %d is %v", id, phases), func(v agent.FleetView) bool {
 		p = v.State.Plan(id)
 		return p != nil && slices.Contains(phases, p.Phase)
 	})
@@ -95,16 +95,16 @@
 func (e *OrderError) Error() string { return e.Kind + ": " + e.Text }
 
 // orderError returns the error in an agent's answer to an order; nil if the order was executed.
-func orderError(r agent.Result) error {
+func orderError(r agent.CommandResult) error {
 	if r.Text == "" {
 		return nil
 	}
 	return &OrderError{Kind: r.Kind, Text: r.Text}
 }
 
-// Order sends an order to one agent, and returns the order's index in the fleet's log. If the agent answers that the
-// order was not executed, the error is an *OrderError.
-func (c *Cluster) Order(i int, command rollout.Command) (uint64, error) {
+// SendCommand sends an order to one agent, and returns the order's index in the fleet's log. If the agent answers that
+// the order was not executed, the error is an *OrderError.
+func (c *Cluster) SendCommand(i int, command rollout.Command) (uint64, error) {
 	r, err := c.sendOrder(i, command)
 	if err == nil {
 		err = orderError(r)
@@ -112,7 +112,7 @@
 	return r.Index, err
 }
 
-func (c *Cluster) sendOrder(i int, command rollout.Command) (agent.Result, error) {
+func (c *Cluster) sendOrder(i int, command rollout.Command) (agent.CommandResult, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, orderTimeout)
 	defer cancel()
 	if command.By == "" {
@@ -121,14 +121,14 @@
 	if command.Reason == "" {
 		command.Reason = "a test"
 	}
-	return agent.SendCommand(ctx, c.agents[i].addr, agent.Call{Command: command})
+	return agent.SendCommand(ctx, c.agents[i].addr, agent.CommandRequest{Command: command})
 }
 
 // OrderAny sends an order to one agent after the other until one accepts it, as the fleet command does. It retries for
 // up to orderTimeout, since a killed agent may not listen again yet and there may be no leader. An order that may have
 // been executed is not sent again.
 func (c *Cluster) OrderAny(command rollout.Command) (uint64, error) {
-	var r agent.Result
+	var r agent.CommandResult
 	var err error
 	for until := time.Now().Add(orderTimeout); time.Now().Before(until); time.Sleep(orderInterval) {
 		for i := range c.agents {
--- a/internal/cluster/player.go
+++ b/internal/cluster/player.go
@@ -113,14 +113,14 @@
 // left out, as operators would.
 func (p *player) awaitSettled() error {
 	c := p.cluster
-	return c.Await(settleTimeout, "all serve again, and no plan runs", func(v agent.View) bool {
+	return c.Await(settleTimeout, "all serve again, and no plan runs", func(v agent.FleetView) bool {
 		for _, plan := range v.State.Plans {
 			if plan.Phase == rollout.Running || plan.Phase == rollout.RollingBack {
 				return false
 			}
 			for name, t := range plan.Tasks {
 				if t.Step == rollout.Out {
-					c.Order(0, rollout.Command{Verb: rollout.Activate, Plan: plan.ID, Senders: []string{name}})
+					c.SendCommand(0, rollout.Command{Verb: rollout.Activate, Plan: plan.ID, Senders: []string{name}})
 				}
 			}
 		}
@@ -138,7 +138,7 @@
 	c, h := p.cluster, p.history
 	if v, err := c.View(max(0, c.Leader()), true); err == nil {
 		for _, plan := range v.State.Plans {
-			h.Plans = append(h.Plans, fmt.Sprintf("%d %s %s %s", plan.ID, plan.Kind, plan.Phase, plan.Why))
+			h.Plans = append(h.Plans, fmt.Sprintf("%d %s %s %s", plan.ID, plan.Kind, plan.Phase, plan.PhaseReason))
 		}
 	}
 	r := c.Finish()
@@ -286,7 +286,7 @@
 		c.SignalSender(a.Sender, syscall.SIGHUP)
 	case WipeSender:
 		if c.SignalSender(a.Sender, syscall.SIGKILL) {
-			c.Environment.Record(audit.Event{Kind: audit.Died, Sender: a.Sender, Cause: audit.Wiped})
+			c.Environment.Record(audit.Event{Kind: audit.ProcessEnded, Sender: a.Sender, Cause: audit.StateLost})
 			os.RemoveAll(filepath.Join(filepath.Dir(c.senders[a.Sender].config), "state"))
 		}
 	case ReconfigureSender:
@@ -302,7 +302,7 @@
 func (p *player) order(first int, command rollout.Command) {
 	go func() {
 		for i := range p.history.Agents {
-			_, err := p.cluster.Order((first+i)%p.history.Agents, command)
+			_, err := p.cluster.SendCommand((first+i)%p.history.Agents, command)
 			var failed *OrderError
 			if err == nil || errors.As(err, &failed) && failed.Kind == agent.KindRejected {
 				return
--- a/internal/cluster/poll.go
+++ b/internal/cluster/poll.go
@@ -131,7 +131,7 @@
 	switch {
 	case result.state == stateUnresponsive:
 		c.Clients.SetDown(result.sender, true)
-		c.Environment.Record(audit.Event{Kind: audit.Died, Sender: result.sender})
+		c.Environment.Record(audit.Event{Kind: audit.ProcessEnded, Sender: result.sender})
 	case previous == stateUnresponsive:
 		c.Clients.SetDown(result.sender, false)
 		c.Environment.Record(audit.Event{Kind: audit.Ready, Sender: result.sender})
@@ -142,7 +142,7 @@
 // attributed to an order.
 func (p *Poll) recordSignal(sender int, s syscall.Signal) {
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		p.cluster.Environment.Record(audit.Event{Kind: audit.Died, Sender: sender})
+		p.cluster.Environment.Record(audit.Event{Kind: audit.ProcessEnded, Sender: sender})
 	}
 }
 
@@ -153,8 +153,8 @@
 	return p.current[sender].String()
 }
 
-// OutByOrder returns the number of senders that are draining now.
-func (p *Poll) OutByOrder() (n int) {
+// DrainingCount returns the number of senders that are draining now.
+func (p *Poll) DrainingCount() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, state := range p.current {
@@ -191,7 +191,7 @@
 	e := budgetEvaluation{
 		budget: c.Terms.Budget, names: c.Names, buildings: buildings,
 		// An order may be based on an observation of this age.
-		unresponsiveAfter: t.Fresh + t.Accept + 4*t.Error + pollTimeout + 10*pollInterval,
+		unresponsiveAfter: t.MaxObservationAge + t.TakeTimeout + 4*t.MaxClockError + pollTimeout + 10*pollInterval,
 		states:            make([]senderState, c.Senders), since: make([]time.Time, c.Senders),
 	}
 	for _, r := range p.changes {
--- a/internal/cluster/release.go
+++ b/internal/cluster/release.go
@@ -48,8 +48,8 @@
 	Before float64 `json:"Before"`
 	During float64 `json:"During"`
 	// The average resource usage of an agent, without orders and during the release.
-	AtRest        Cost `json:"Rest"`
-	DuringRelease Cost `json:"Busy"`
+	AtRest        AgentUsage `json:"Rest"`
+	DuringRelease AgentUsage `json:"Busy"`
 	// The average resource usage of a sender without orders, with its agent and while all agents are stopped.
 	WithAgent    SenderUsage `json:"Watched"`
 	WithoutAgent SenderUsage `json:"Alone"`
@@ -121,8 +121,8 @@
 	for i := range c.agents {
 		c.SignalAgent(i, syscall.SIGCONT)
 	}
-	err := c.Await(time.Minute, "all are seen again", func(v agent.View) bool {
-		return len(v.State.Seen(v.Observations, time.Now())) == c.Senders
+	err := c.Await(time.Minute, "all are seen again", func(v agent.FleetView) bool {
+		return len(v.State.ServingSenders(v.Observations, time.Now())) == c.Senders
 	})
 	if err != nil {
 		return err
@@ -197,12 +197,12 @@
 		}
 		m.Resumes++
 		if m.Resumes > maxResumes {
-			return fmt.Errorf("release halted too often: %s", p.Why)
+			return fmt.Errorf("release halted too often: %s", p.PhaseReason)
 		}
 		time.Sleep(time.Second) // simulated reaction time of the operators
 		for i := range c.agents {
 			resume := rollout.Command{Verb: rollout.Resume, Plan: id, Revision: p.Revision}
-			if _, err := c.Order(i, resume); err == nil {
+			if _, err := c.SendCommand(i, resume); err == nil {
 				break
 			}
 		}
@@ -216,7 +216,7 @@
 	if err != nil {
 		return err
 	}
-	err = c.Await(rollBackTimeout, "a third of the stages are through", func(v agent.View) bool {
+	err = c.Await(rollBackTimeout, "a third of the stages are through", func(v agent.FleetView) bool {
 		p := v.State.Plan(id)
 		return p != nil && (p.Stage >= len(p.Stages)/3 || p.Phase == rollout.Halted)
 	})
@@ -297,7 +297,7 @@
 	if err := c.orderHalt(id, skip); err != nil {
 		return 0, err
 	}
-	time.Sleep(c.Terms.Timing.Accept + afterHaltMargin)
+	time.Sleep(c.Terms.Timing.TakeTimeout + afterHaltMargin)
 	_, last := c.Poll.DrainsSince(ordered)
 	c.Net.Heal()
 	for until := time.Now().Add(haltTimeout); time.Now().Before(until); time.Sleep(activateInterval) {
@@ -322,7 +322,7 @@
 	if err != nil {
 		return 0, err
 	}
-	err = c.Await(time.Minute, "some are through", func(v agent.View) bool {
+	err = c.Await(time.Minute, "some are through", func(v agent.FleetView) bool {
 		n := 0
 		if p := v.State.Plan(id); p != nil {
 			for _, t := range p.Tasks {
@@ -343,7 +343,7 @@
 			if i == skip {
 				continue
 			}
-			if _, err = c.Order(i, rollout.Command{Verb: rollout.Halt, Plan: id}); err == nil {
+			if _, err = c.SendCommand(i, rollout.Command{Verb: rollout.Halt, Plan: id}); err == nil {
 				return nil
 			}
 		}
--- a/internal/cluster/senders.go
+++ b/internal/cluster/senders.go
@@ -14,7 +14,7 @@
 
 const (
 	statusTimeout = time.Second
-	maxLogTail    = 2500 // bytes of each log that Logs writes
+	maxLogTail    = 2500 // bytes of each log that WriteLogs writes
 )
 
 // A senderAddresses contains the configuration path and the addresses of a sender.
@@ -51,8 +51,8 @@
 // Config returns the path of a sender's configuration file.
 func (c *Cluster) Config(i int) string { return c.senders[i].config }
 
-// LastPid returns the id of any process of a sender, whether it answers or not; 0 if there is none.
-func (c *Cluster) LastPid(i int) int {
+// AnyPid returns the id of any process of a sender, whether it answers or not; 0 if there is none.
+func (c *Cluster) AnyPid(i int) int {
 	for pid, config := range c.processes() {
 		if config == c.senders[i].config {
 			return pid
@@ -61,10 +61,10 @@
 	return 0
 }
 
-// Replace kills a sender's process and starts another one in its place without involving the sender's agent, as an
-// operator might do by mistake.
-func (c *Cluster) Replace(i int) error {
-	pid := c.LastPid(i)
+// ReplaceProcess kills a sender's process and starts another one in its place without involving the sender's agent, as
+// an operator might do by mistake.
+func (c *Cluster) ReplaceProcess(i int) error {
+	pid := c.AnyPid(i)
 	env, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
 		return err
@@ -112,8 +112,8 @@
 	return pids
 }
 
-// Logs writes the end of each log, for the output of a failed test.
-func (c *Cluster) Logs(out io.Writer) {
+// WriteLogs writes the end of each log, for the output of a failed test.
+func (c *Cluster) WriteLogs(out io.Writer) {
 	for _, pattern := range []string{"a*/log", "a*/state/*.log"} {
 		files, _ := filepath.Glob(filepath.Join(c.Folder, pattern))
 		for _, f := range files {
--- a/internal/deadletter/queue.go
+++ b/internal/deadletter/queue.go
@@ -31,7 +31,7 @@
 
 // Config configures a Queue.
 type Config struct {
-	Settings *settings.Settings // Held must be set
+	Settings *settings.Settings // DeadLetterQueue must be set
 	Platform control.Settings
 	Names    Names
 	Log      *slog.Logger
@@ -95,7 +95,7 @@
 	q.planner.SetLimits(q.limits())
 	q.mu.Unlock()
 	select {
-	case q.changes <- change{apply: func(*Tx) error { q.sweepPosition, q.sweeping = 0, s.Rules(); return nil },
+	case q.changes <- change{apply: func(*Tx) error { q.sweepPosition, q.sweeping = 0, s.HasAfterRule(); return nil },
 		done: make(chan error, 1)}:
 	default: // records are still reviewed by the new rules when they become due
 		q.log.Warn("too many pending changes; the new rules apply to held records at their next review")
@@ -184,7 +184,7 @@
 // store is failing or too many dead letters wait to be written.
 func (q *Queue) Accepts(letter *state.DeadLetter) bool {
 	q.mu.Lock()
-	full := q.failing || q.newDeadLetters >= q.settings.Held.Queue
+	full := q.failing || q.newDeadLetters >= q.settings.DeadLetterQueue.MaxQueued
 	current, platform := q.settings, q.platform.Load()
 	partner := q.partner(letter.Message.Destination)
 	q.mu.Unlock()
@@ -196,7 +196,7 @@
 	for _, attempt := range letter.Attempts {
 		mayHaveRun = mayHaveRun || attempt.Open || attempt.Result.MayHaveRun()
 	}
-	hold, err := current.Hold(settings.Record{
+	hold, err := current.ShouldHold(settings.Record{
 		ID: letter.Message.ID, Key: letter.Message.Key, Class: nameAt(platform.Classes, letter.Message.Class),
 		Tenant:      nameAt(platform.Tenants, letter.Message.Tenant),
 		Destination: letter.Message.Destination, Size: len(letter.Message.Body), Reason: letter.Reason,
@@ -219,7 +219,7 @@
 			redelivery.Failed: "failed"}[status.LastResult]
 	}
 	if q.store != nil {
-		p.Held = q.store.Count(destination)
+		p.DeadLetters = q.store.Count(destination)
 	}
 	return p
 }
--- a/internal/deadletter/review.go
+++ b/internal/deadletter/review.go
@@ -22,7 +22,8 @@
 	q.mu.Lock()
 	current := q.settings
 	q.mu.Unlock()
-	bounds := Bounds{current.Held.MaxBytes, current.Held.MaxRecords, current.Held.MaxAge, current.Held.KeepEnded}
+	bounds := Bounds{current.DeadLetterQueue.MaxBytes, current.DeadLetterQueue.MaxRecords, current.DeadLetterQueue.MaxAge,
+		current.DeadLetterQueue.KeepEnded}
 	due, err := s.findDue(now, bounds)
 	if err != nil {
 		return 0, err
@@ -201,7 +202,7 @@
 	_, _, ran := r.FirstRun()
 	return settings.Record{
 		ID: r.ID, Key: r.Key, Class: r.Class, Tenant: r.Tenant, Destination: r.Destination, Size: r.Size, Reason: r.Reason,
-		MayHaveRun: ran, Deferred: r.Deferred, Attempts: r.AttemptCount, Resends: r.Redeliveries,
+		MayHaveRun: ran, Deferred: r.Deferred, Attempts: r.AttemptCount, Redeliveries: r.Redeliveries,
 		TimeLeft: max(0, r.Deadline.Sub(r.HeldAt)), Age: max(0, now.Sub(r.HeldAt)),
 	}
 }
@@ -210,7 +211,7 @@
 func (q *Queue) hasRules() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.settings.Rules()
+	return q.settings.HasAfterRule()
 }
 
 // eligible returns nil if a record may be redelivered now, and the reason otherwise. A record with a key is not
--- a/internal/fleethealth/health.go
+++ b/internal/fleethealth/health.go
@@ -45,9 +45,9 @@
 
 // A Report is the result of one call made by this sender or a peer.
 type Report struct {
-	Peer int           // number of the peer that made the call, or Self
-	At   time.Duration // when the call ended, by this sender's clock
-	Up   bool          // whether the call was served; otherwise it failed
+	Peer   int           // number of the peer that made the call, or Self
+	At     time.Duration // when the call ended, by this sender's clock
+	Served bool          // whether the call was served; otherwise it failed
 }
 
 // Self is the peer number in a sender's own reports.
@@ -64,7 +64,7 @@
 
 // Add merges a report and reports whether it changed the evidence.
 func (e *Evidence) Add(r Report) bool {
-	if r.Up {
+	if r.Served {
 		return e.addServed(r)
 	}
 	if e.hasServed && r.At <= e.lastServed.At {
@@ -158,9 +158,9 @@
 // others are served, or because the endpoint fails intermittently.
 func (h *Health) Disputed(now time.Duration) bool { return now < h.disputedUntil }
 
-// Failed records that a call of this sender failed. draw is a random number in [0, 1). It reports whether to gossip the
-// failure, which is the case if it is new to the fleet, and after each trial call.
-func (h *Health) Failed(now time.Duration, p Params, draw float64) (gossip bool) {
+// RecordFailed records that a call of this sender failed. draw is a random number in [0, 1). It reports whether to
+// gossip the failure, which is the case if it is new to the fleet, and after each trial call.
+func (h *Health) RecordFailed(now time.Duration, p Params, draw float64) (gossip bool) {
 	reporters, own := h.FailureReporters(now, p)
 	last, known := h.LatestFailure()
 	if !h.mergeFailure(now, Report{Self, now, false}, p, draw) {
@@ -169,9 +169,9 @@
 	return now >= h.disputedUntil && (reporters < minReporters && !own || !known || now-last >= p.TrialInterval/2)
 }
 
-// Served records that a call of this sender was served. It reports whether to gossip that, which is the case if other
-// senders found the endpoint down.
-func (h *Health) Served(now time.Duration, p Params) (gossip bool) {
+// RecordServed records that a call of this sender was served. It reports whether to gossip that, which is the case if
+// other senders found the endpoint down.
+func (h *Health) RecordServed(now time.Duration, p Params) (gossip bool) {
 	reporters, own := h.FailureReporters(now, p)
 	h.Add(Report{Self, now, true})
 	h.removeContradicted(Self)
@@ -182,7 +182,7 @@
 // Merge merges the report of a peer. draw is a random number in [0, 1). ownSuperseded reports whether the report
 // supersedes a failure that this sender observed itself, and recovered whether it ended the ejection of the endpoint.
 func (h *Health) Merge(now time.Duration, r Report, p Params, draw float64) (ownSuperseded, recovered bool) {
-	if !r.Up {
+	if !r.Served {
 		h.mergeFailure(now, r, p, draw)
 		return false, false
 	}
--- a/internal/harness/answer_failure.go
+++ b/internal/harness/answer_failure.go
@@ -16,8 +16,8 @@
 func (env *Environment) drawAnswerFailure() AnswerFailure {
 	now := env.now()
 	for _, f := range env.faults.Answers {
-		if now >= f.From && now < f.To && env.faultRNG.Float64() < f.Share {
-			return f.How
+		if now >= f.From && now < f.To && env.faultRNG.Float64() < f.Fraction {
+			return f.Failure
 		}
 	}
 	return ""
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -14,8 +14,8 @@
 	KeepConnections bool
 	// WatchTail makes changes within 200 ms after an answer to a watch count as notified, as PROTOCOL defines it.
 	WatchTail bool
-	// Wrap returns the command that starts a sender's program; nil starts the program itself.
-	Wrap func(sender int, program string) []string
+	// WrapCommand returns the command that starts a sender's program; nil starts the program itself.
+	WrapCommand func(sender int, program string) []string
 	// Sockets limits the number of file descriptors of a sender; 0 = 1,024.
 	Sockets int
 }
@@ -40,8 +40,8 @@
 // An AnswerFault makes a fraction of discovery's answers fail, between two times of the plan's clock.
 type AnswerFault struct {
 	From, To time.Duration
-	How      AnswerFailure
-	Share    float64 // fraction of the answers that fail, 0 to 1
+	Failure  AnswerFailure
+	Fraction float64 // fraction of the answers that fail, 0 to 1
 }
 
 // IdleClients are clients that connect to each sender and keep their connections open without sending anything.
--- a/internal/harness/supervise.go
+++ b/internal/harness/supervise.go
@@ -99,7 +99,7 @@
 
 // recordDown notifies the auditor and the clients that the process no longer serves.
 func (s *supervisor) recordDown(cause string) {
-	s.run.env.Record(audit.Event{Kind: audit.Died, Sender: s.number, Cause: cause})
+	s.run.env.Record(audit.Event{Kind: audit.ProcessEnded, Sender: s.number, Cause: cause})
 	s.run.clients.SetDown(s.number, true)
 }
 
@@ -112,7 +112,7 @@
 // executeAction executes an action, and reports whether it has ended the process.
 func (s *supervisor) executeAction(a scenario.PlannedAction) (ended bool) {
 	p, env := s.process, s.run.env
-	switch a.What {
+	switch a.Kind {
 	case "hup":
 		p.Signal(syscall.SIGHUP)
 	case "kill":
@@ -120,7 +120,7 @@
 		p.Stop(false)
 		return true
 	case "wipe":
-		s.recordDown(audit.Wiped)
+		s.recordDown(audit.StateLost)
 		p.Stop(false)
 		if err := p.wipeState(); err != nil {
 			env.cancel(err)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -20,12 +20,12 @@
 func writeRun(t *testing.T, events int, finish bool) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "run")
-	w, err := Create(dir, Head{Scenario: "s", Seed: 7}, []byte("script"))
+	w, err := Create(dir, Header{Scenario: "s", Seed: 7}, []byte("script"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range events {
-		if err := w.Read(testEvent(i)); err != nil {
+		if err := w.Append(testEvent(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -68,7 +68,7 @@
 	if r.Head.Seed != 7 || string(r.Script) != "script" || r.Result == nil {
 		t.Errorf("%+v", r)
 	}
-	if _, err := Create(dir, Head{}, nil); err == nil {
+	if _, err := Create(dir, Header{}, nil); err == nil {
 		t.Error("Create overwrote an existing run")
 	}
 }
@@ -109,9 +109,9 @@
 	}
 	var first error
 	for i := 0; i < 100_000 && first == nil; i++ {
-		first = w.Read(testEvent(i))
+		first = w.Append(testEvent(i))
 	}
-	if !errors.Is(first, errFull) || !errors.Is(w.Read(testEvent(0)), errFull) || !errors.Is(w.Finish(nil), errFull) {
+	if !errors.Is(first, errFull) || !errors.Is(w.Append(testEvent(0)), errFull) || !errors.Is(w.Finish(nil), errFull) {
 		t.Errorf("error for a full disk: %v", first)
 	}
 }
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -18,7 +18,8 @@
 const logLockTimeout = 3 * time.Second
 
 // durabilityByName maps the durability names in the settings to the levels of package store.
-var durabilityByName = map[string]store.Durability{"process": store.Process, "group": store.Group, "each": store.Each}
+var durabilityByName = map[string]store.Durability{"process": store.ProcessExit, "group": store.GroupSync,
+	"each": store.EachAppend}
 
 // build opens the resources of a server and connects its components. It starts no goroutines.
 func (p *process) build(c *Config, pred *predecessor) (*server, error) {
@@ -38,7 +39,7 @@
 	s.reporter = protocol.NewReporter(s.loop, c.Discovery, p.log)
 	s.loop.Connect(s.transport, s.discovery, s.reporter)
 	if s.gossip != nil {
-		s.loop.ConnectPeers(s.gossip)
+		s.loop.ConnectGossip(s.gossip)
 	}
 	if s.listener, err = s.listen(clients); err != nil {
 		return nil, err
@@ -58,11 +59,12 @@
 func (s *server) loopSetup() state.Setup {
 	c := s.config
 	setup := state.Setup{
-		Settings: c.Settings, Classes: namesByNumber(c.Names.Classes), Known: c.Known, Dir: c.State,
-		DiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
+		Settings: c.Settings, Classes: namesByNumber(c.Names.Classes), InitialList: c.CachedList, Dir: c.State,
+		MaxDiskBytes: c.Limits.DiskBytes, Log: s.log, Counters: s.counters,
 	}
-	if c.OwnSettings != nil {
-		setup.Durability, setup.GroupWait = durabilityByName[c.OwnSettings.Journal.Durability], c.OwnSettings.Journal.Wait
+	if c.ScriptSettings != nil {
+		setup.Durability, setup.GroupWait = durabilityByName[c.ScriptSettings.WriteAheadLog.Durability],
+			c.ScriptSettings.WriteAheadLog.Wait
 	}
 	if s.predecessor != nil {
 		setup.Handover = &s.predecessor.state
@@ -120,23 +122,23 @@
 
 // newDeadLetterQueue creates the queue of undeliverable messages, or returns nil if the settings configure none.
 func newDeadLetterQueue(c Config, log *slog.Logger) *deadletter.Queue {
-	if c.OwnSettings == nil || c.OwnSettings.Held == nil {
+	if c.ScriptSettings == nil || c.ScriptSettings.DeadLetterQueue == nil {
 		return nil
 	}
 	return deadletter.NewQueue(deadletter.Config{
-		Settings: c.OwnSettings, Platform: c.Settings, Log: log,
+		Settings: c.ScriptSettings, Platform: c.Settings, Log: log,
 		Names: deadletter.Names{Classes: namesByNumber(c.Names.Classes), Tenants: namesByNumber(c.Names.Tenants)},
 	})
 }
 
 // listenAdmin opens the admin API on a Unix socket, or returns nil if the settings configure none.
 func listenAdmin(c Config, queue *deadletter.Queue, board *statusBoard, log *slog.Logger) (*admin.Server, error) {
-	if c.OwnSettings == nil || c.OwnSettings.Admin == nil {
+	if c.ScriptSettings == nil || c.ScriptSettings.Admin == nil {
 		return nil, nil
 	}
 	var q admin.DeadLetterQueue // a nil *Queue stored in the interface would compare unequal to nil
 	if queue != nil {
 		q = queue
 	}
-	return admin.Listen(c.OwnSettings.Admin.Socket, q, board, log)
+	return admin.Listen(c.ScriptSettings.Admin.Socket, q, board, log)
 }
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -26,8 +26,8 @@
 	Limits                         Limits
 	Settings                       control.Settings
 	Names                          protocol.Names
-	Known                          state.ListUpdate
-	OwnSettings                    *settings.Settings // from the settings script; nil: no script is configured
+	CachedList                     state.ListUpdate
+	ScriptSettings                 *settings.Settings // from the settings script; nil: no script is configured
 
 	raw     string             // contents of the file
 	classes []state.NamedClass // classes of the settings in force, in the order of the file
@@ -62,7 +62,7 @@
 	}
 	c, err := Parse(text, env)
 	if err == nil && script != "" {
-		c.OwnSettings, err = settings.Load(script)
+		c.ScriptSettings, err = settings.Load(script)
 	}
 	return c, err
 }
@@ -109,13 +109,13 @@
 	for _, p := range doc.Get("peers").Array() {
 		c.Peers = append(c.Peers, p.String())
 	}
-	c.Known.Version = state.NoVersion
+	c.CachedList.Version = state.NoVersion
 	if known := doc.Get("known"); known.Exists() {
-		if c.Known, err = protocol.ParseList([]byte(known.Raw), c.Names); err != nil {
+		if c.CachedList, err = protocol.ParseList([]byte(known.Raw), c.Names); err != nil {
 			return c, fmt.Errorf("configuration: known: %w", err)
 		}
 	}
-	c.Known.Kind = control.ListCached
+	c.CachedList.Kind = control.ListCached
 	return c, nil
 }
 
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -20,8 +20,8 @@
 func (s *server) reloadConfig() {
 	*s.config = s.applyReload(*s.config)
 	s.publishConfig(*s.config)
-	if s.deadLetters != nil && s.config.OwnSettings != nil {
-		s.deadLetters.UpdateSettings(s.config.OwnSettings)
+	if s.deadLetters != nil && s.config.ScriptSettings != nil {
+		s.deadLetters.UpdateSettings(s.config.ScriptSettings)
 	}
 }
 
@@ -47,7 +47,7 @@
 	limitRuntime(c.Limits)
 	inForce.Discovery, inForce.raw = c.Discovery, c.raw
 	inForce.Limits.Cores, inForce.Limits.MemoryMB = c.Limits.Cores, c.Limits.MemoryMB
-	inForce.OwnSettings = reloadOwnSettings(old.OwnSettings, c.OwnSettings, s.log)
+	inForce.ScriptSettings = reloadOwnSettings(old.ScriptSettings, c.ScriptSettings, s.log)
 	if pending := c.pendingRestart(inForce); len(pending) > 0 {
 		s.log.Warn("configuration changes take effect at the next start", "keys", pending)
 	}
@@ -128,19 +128,20 @@
 // rules change at once. The dead-letter queue's folder, the write-ahead log's durability and the admin socket keep
 // their values until the next start.
 func reloadOwnSettings(old, c *settings.Settings, log *slog.Logger) *settings.Settings {
-	if old == nil || c == nil || (old.Held == nil) != (c.Held == nil) {
+	if old == nil || c == nil || (old.DeadLetterQueue == nil) != (c.DeadLetterQueue == nil) {
 		if old != nil || c != nil {
 			log.Warn("settings change takes effect at the next start: dead-letter queue enabled or disabled")
 		}
 		return old
 	}
-	if c.Held != nil && c.Held.Folder != old.Held.Folder {
-		log.Warn("settings change takes effect at the next start: folder of the dead-letter queue", "folder", c.Held.Folder)
-		c.Held.Folder = old.Held.Folder
+	if c.DeadLetterQueue != nil && c.DeadLetterQueue.Folder != old.DeadLetterQueue.Folder {
+		log.Warn("settings change takes effect at the next start: folder of the dead-letter queue", "folder",
+			c.DeadLetterQueue.Folder)
+		c.DeadLetterQueue.Folder = old.DeadLetterQueue.Folder
 	}
-	if c.Journal != old.Journal {
+	if c.WriteAheadLog != old.WriteAheadLog {
 		log.Warn("settings change takes effect at the next start: durability of the write-ahead log")
-		c.Journal = old.Journal
+		c.WriteAheadLog = old.WriteAheadLog
 	}
 	if (old.Admin == nil) != (c.Admin == nil) || c.Admin != nil && *c.Admin != *old.Admin {
 		log.Warn("settings change takes effect at the next start: admin socket")
--- a/internal/lifecycle/statemachine.go
+++ b/internal/lifecycle/statemachine.go
@@ -119,25 +119,25 @@
 	})
 }
 
-// Take accepts a lease. It rejects leases in phase starting, when no agent can know this process yet.
-func (m *stateMachine) Take(o lease.Order) error {
-	return m.apply(true, func(now time.Time) error { return m.lease.Take(o, m.id, now) })
+// AcceptLease accepts a lease. It rejects leases in phase starting, when no agent can know this process yet.
+func (m *stateMachine) AcceptLease(o lease.Order) error {
+	return m.apply(true, func(now time.Time) error { return m.lease.Accept(o, m.id, now) })
 }
 
-// Renew sets a new end for the active lease.
-func (m *stateMachine) Renew(epoch uint64, until time.Time) error {
+// RenewLease sets a new end for the active lease.
+func (m *stateMachine) RenewLease(epoch uint64, until time.Time) error {
 	return m.apply(false, func(now time.Time) error { return m.lease.Renew(epoch, until, now) })
 }
 
-// End ends an epoch, including its lease if that is active.
-func (m *stateMachine) End(epoch uint64) error {
+// EndLease ends an epoch, including its lease if that is active.
+func (m *stateMachine) EndLease(epoch uint64) error {
 	return m.apply(false, func(time.Time) error { return m.lease.End(epoch) })
 }
 
 // SetExclusions replaces the set of excluded endpoints. The set belongs to an epoch and expires at the given time.
 func (m *stateMachine) SetExclusions(epoch uint64, ids []string, until time.Time) error {
 	return m.apply(true, func(now time.Time) error {
-		if err := m.exclusions.Take(epoch, ids, until, now); err != nil {
+		if err := m.exclusions.Replace(epoch, ids, until, now); err != nil {
 			return err
 		}
 		m.applyExclusions()
--- a/internal/lifecycle/statemachine_test.go
+++ b/internal/lifecycle/statemachine_test.go
@@ -88,13 +88,13 @@
 	case "leave":
 		r.m.advance(handingOver)
 	case "take", "hold":
-		return r.m.Take(lease.Order{
-			Process: r.m.id, Epoch: uint64(n), By: at(2), Until: at(10), Drain: verb == "take",
+		return r.m.AcceptLease(lease.Order{
+			Process: r.m.id, Epoch: uint64(n), AcceptBy: at(2), Until: at(10), Drain: verb == "take",
 		})
 	case "renew":
-		return r.m.Renew(uint64(n), at(20))
+		return r.m.RenewLease(uint64(n), at(20))
 	case "end":
-		return r.m.End(uint64(n))
+		return r.m.EndLease(uint64(n))
 	case "at":
 		r.now = at(n)
 	case "expire":
--- a/internal/protocol/connclose_test.go
+++ b/internal/protocol/connclose_test.go
@@ -117,12 +117,12 @@
 	set := control.Settings{
 		FleetSize: 1, Classes: testClasses, Kinds: []control.Kind{{MaxBatch: 1}},
 		MaxInFlight: 8, MaxAttempts: 12, HeadroomIndex: -1, LimitIndex: -1,
-		PollsList: true, MaxPollInterval: time.Minute, OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second,
+		PollEndpointList: true, MaxPollInterval: time.Minute, OverloadWindow: 2 * time.Second, WarmUp: 10 * time.Second,
 		ColdCapacity: 0.2, OverloadFactor: 2,
 	}
 	dir := t.TempDir()
-	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, DiskBytes: 1e6, Log: discardLog,
-		Known: state.ListUpdate{Kind: control.ListCached}})
+	loop, err := state.NewLoop(state.Setup{Settings: set, Dir: dir, MaxDiskBytes: 1e6, Log: discardLog,
+		InitialList: state.ListUpdate{Kind: control.ListCached}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -223,7 +223,7 @@
 	case errors.As(err, &broken):
 		d.Log.Warn("discovery response incomplete or malformed, polling again",
 			"err", err, "bytes", len(broken.body), "attempt", current.retries)
-		d.events.Post(state.ListUnreadable{At: broken.startedAt, Departing: parseDraining(broken.body, d.Names)})
+		d.events.Post(state.ListUnreadable{StartedAt: broken.startedAt, Departing: parseDraining(broken.body, d.Names)})
 		current.uncertainSince = broken.startedAt
 		d.retryAfterBackoff(ctx, current, err)
 	case !current.uncertainSince.IsZero() &&
@@ -231,7 +231,7 @@
 		d.Log.Info("discovery poll failed while the list may be out of date, polling again",
 			"err", err, "attempt", current.retries)
 		if !current.fullList() {
-			d.events.Post(state.PollFailed{Since: current.uncertainSince})
+			d.events.Post(state.PollFailed{UncertainSince: current.uncertainSince})
 		}
 		d.retryAfterBackoff(ctx, current, err)
 	case current.watch && !current.immediate && d.shouldRepollAtOnce(err):
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -55,10 +55,10 @@
 	d.fraction = d.estimateFraction(now)
 }
 
-// Rejected records that a call of this sender was rejected. It reports whether to gossip the rejection, and whether to
-// send a query along with it. Without contact to peers, rejections are gossiped exponentially less often, because
-// possibly no peer receives them; an isolated sender gossips them only along with a query.
-func (d *Detector) Rejected(now time.Duration) (gossip, query bool) {
+// RecordRejection records that a call of this sender was rejected. It reports whether to gossip the rejection, and
+// whether to send a query along with it. Without contact to peers, rejections are gossiped exponentially less often,
+// because possibly no peer receives them; an isolated sender gossips them only along with a query.
+func (d *Detector) RecordRejection(now time.Duration) (gossip, query bool) {
 	d.rejectionsSinceContact++
 	gossip = d.rejectionsSinceContact&(d.rejectionsSinceContact-1) == 0
 	query = gossip && now-d.lastContactAt >= silenceBeforeQuery && now >= d.nextQuery
@@ -76,9 +76,9 @@
 	return max(silenceBeforeQuery, time.Duration(d.FleetSize)*queryIntervalPerSender)
 }
 
-// RepeatQuery reports whether an isolated sender must send a query now although no call was rejected. If so, it
+// ShouldRepeatQuery reports whether an isolated sender must send a query now although no call was rejected. If so, it
 // schedules the next one.
-func (d *Detector) RepeatQuery(now time.Duration) bool {
+func (d *Detector) ShouldRepeatQuery(now time.Duration) bool {
 	if !d.Isolated(now) || now < d.nextQuery {
 		return false
 	}
--- a/internal/report/collect.go
+++ b/internal/report/collect.go
@@ -131,7 +131,7 @@
 	case audit.Abandoned:
 		c.addCause(b, "no answer at the door")
 		delete(c.requestByID, e.Message)
-	case audit.Notice:
+	case audit.DeliveryReported:
 		if e.Deferred {
 			c.addCause(b, "deferred")
 		} else {
@@ -148,7 +148,7 @@
 			c.addCause(b, "call "+e.Cause)
 		}
 		delete(c.calls, e.Call)
-	case audit.Died:
+	case audit.ProcessEnded:
 		c.processEnds++
 	}
 	return c.meter.Read(e)
--- a/internal/report/limits.go
+++ b/internal/report/limits.go
@@ -101,7 +101,7 @@
 			if c.At > at {
 				break
 			}
-			if c.Endpoint == e.ID && !c.Drains && !c.Leaves && c.Joins == nil {
+			if c.Endpoint == e.ID && !c.StartsDraining && !c.Removed && c.Added == nil {
 				if factor = 1; c.Fault.Mode == partner.LimitReduced {
 					factor = c.Fault.Factor
 				}
@@ -116,11 +116,11 @@
 	return lowestFactor * d.Limit.PerSecond
 }
 
-// Of returns the usage of a destination in each second of the run.
-func (s *Sums) Of(dest int) []Sum {
+// ForDestination returns the usage of a destination in each second of the run.
+func (s *Sums) ForDestination(dest int) []Sum {
 	var list []Sum
-	for i := range s.plan.Dests {
-		d := &s.plan.Dests[i]
+	for i := range s.plan.Destinations {
+		d := &s.plan.Destinations[i]
 		if d.Dest != dest {
 			continue
 		}
@@ -152,7 +152,7 @@
 func (s *Sums) Between(dest, from, to int) Span {
 	x := Span{Dest: dest, From: from, To: to}
 	allowed := 0.0
-	for _, sum := range s.Of(dest) {
+	for _, sum := range s.ForDestination(dest) {
 		if sum.At < from || sum.At >= to {
 			continue
 		}
@@ -172,7 +172,7 @@
 
 // Spans returns the usage of a destination in each interval in which its limit is constant.
 func (s *Sums) Spans(dest int) (list []Span) {
-	all := s.Of(dest)
+	all := s.ForDestination(dest)
 	for from := 0; from < len(all); {
 		to := from + 1
 		for to < len(all) && math.Abs(all[to].Limit-all[from].Limit) < 1e-9 {
@@ -184,12 +184,12 @@
 	return list
 }
 
-// Limited returns the destinations whose limit is reduced during the run. If there is none, it returns all
+// LimitedDestinations returns the destinations whose limit is reduced during the run. If there is none, it returns all
 // destinations that have a limit.
-func (s *Sums) Limited() (list []int) {
+func (s *Sums) LimitedDestinations() (list []int) {
 	for _, reducedOnly := range []bool{true, false} {
-		for i := range s.plan.Dests {
-			d := &s.plan.Dests[i]
+		for i := range s.plan.Destinations {
+			d := &s.plan.Destinations[i]
 			reduced := false
 			for _, e := range d.Endpoints {
 				for _, c := range s.plan.Changes {
@@ -211,7 +211,7 @@
 func (s *Sums) Table(out io.Writer, dest int) error {
 	fmt.Fprintf(out, "destination %d\n%8s %8s %8s %8s %8s %8s %8s %8s\n", dest, "SECOND", "LIMIT", "WANTED", "CALLS",
 		"REFUSED", "SERVED", "SENDERS", "MOST")
-	for _, x := range s.Of(dest) {
+	for _, x := range s.ForDestination(dest) {
 		if _, err := fmt.Fprintf(out, "%8d %8.1f %8d %8d %8d %8d %8d %8d\n", x.At, x.Limit, x.Requested, x.Calls,
 			x.Rejected, x.Served, x.Senders, x.MaxOfOneSender); err != nil {
 			return err
--- a/internal/report/limits_test.go
+++ b/internal/report/limits_test.go
@@ -31,8 +31,8 @@
 		t.Fatal(err)
 	}
 	calls, rejected, senders := 0, 0, 0
-	for _, d := range p.Dests {
-		for _, x := range sums.Of(d.Dest) {
+	for _, d := range p.Destinations {
+		for _, x := range sums.ForDestination(d.Dest) {
 			calls, rejected, senders = calls+x.Calls, rejected+x.Rejected, max(senders, x.Senders)
 			if x.Rejected+x.Served > x.Calls || x.MaxOfOneSender > x.Calls || x.Senders > x.Calls {
 				t.Errorf("destination %d: %+v", d.Dest, x)
@@ -43,7 +43,7 @@
 		t.Errorf("%d calls, %d rejected; the run had %d and %d; up to %d senders in a second", calls, rejected, r.Calls,
 			r.RejectedCalls, senders)
 	}
-	limited := sums.Limited()
+	limited := sums.LimitedDestinations()
 	if len(limited) != 1 {
 		t.Fatalf("destinations with a reduced limit: %v, want one", limited)
 	}
@@ -56,7 +56,8 @@
 		t.Errorf("%+v", x)
 	}
 	var out bytes.Buffer
-	if err := sums.Table(&out, limited[0]); err != nil || strings.Count(out.String(), "\n") != len(sums.Of(limited[0]))+2 {
+	if err := sums.Table(&out, limited[0]); err != nil ||
+		strings.Count(out.String(), "\n") != len(sums.ForDestination(limited[0]))+2 {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
@@ -98,7 +99,7 @@
 			if r, err := sim.Run(); err != nil || len(r.Violations) > 0 {
 				t.Fatalf("%+v: %v %+v", c, err, r.Violations)
 			}
-			x := sums.Between(sums.Limited()[0], 15, 22)
+			x := sums.Between(sums.LimitedDestinations()[0], 15, 22)
 			n := float64(seeds)
 			if x.Rejected > c.maxRejected*x.Limit || x.Used < c.minUsed {
 				t.Errorf("%v senders in %v partitions, seed %d: limit %.0f, rejected %.1f/s, used %.2f", c.senders, c.parts,
--- a/internal/report/outages.go
+++ b/internal/report/outages.go
@@ -59,11 +59,11 @@
 		}
 	}
 	for i := range p.Scenario.Faults {
-		for _, d := range p.Dests {
+		for _, d := range p.Destinations {
 			x := &outage{affected: map[string]bool{}, discoveriesBySender: map[int]int{}}
 			for _, c := range p.Changes {
 				inDestination := slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == c.Endpoint })
-				if c.Of != i || c.Joins != nil || c.Drains || c.Leaves || !inDestination {
+				if c.FaultIndex != i || c.Added != nil || c.StartsDraining || c.Removed || !inDestination {
 					continue
 				}
 				if mode := c.Fault.Mode; mode != partner.Healthy && mode != partner.LimitReduced && !x.affected[c.Endpoint] {
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -116,7 +116,7 @@
 	for name := range s.Members {
 		before, observed := w.updateBaseline(name, observations[name])
 		changed := p.Tasks[name] != nil && p.Tasks[name].Step == Finished
-		stale := now.Sub(observed.At) > s.Terms.Timing.Fresh
+		stale := now.Sub(observed.At) > s.Terms.Timing.MaxObservationAge
 		soaked := now.Sub(w.since) > p.Gate.Soak
 		switch {
 		case observed.Process == "" && changed && stale:
@@ -127,7 +127,7 @@
 		case observed.Process == "":
 		case changed:
 			counts.changed.add(observed, before)
-			if observed.Facts.Restarts > before.Facts.Restarts {
+			if observed.Counters.Restarts > before.Counters.Restarts {
 				v := failed("%s crashed after its change", name)
 				return counts, &v
 			}
@@ -154,8 +154,8 @@
 		before = observed
 		w.baseline[name] = observed
 	}
-	if before.Far && !observed.Far {
-		before.Facts.Restarts, before.Far = observed.Facts.Restarts, false
+	if before.Remote && !observed.Remote {
+		before.Counters.Restarts, before.Remote = observed.Counters.Restarts, false
 		w.baseline[name] = before
 	}
 	return before, observed
@@ -199,7 +199,7 @@
 	lost := ""
 	for _, name := range p.Stages[p.Stage] {
 		g, v := s.Grants[name], observations[name]
-		known := !v.Far && v.At.After(now.Add(-s.Terms.Timing.Fresh))
+		known := !v.Remote && v.At.After(now.Add(-s.Terms.Timing.MaxObservationAge))
 		active := g != nil && v.Epoch == g.Epoch && !v.Ended // the agent renews or ends an active lease
 		if p.Tasks[name].Step != Granted || g == nil || active || v.Serving {
 			delete(w.notServingSince, name)
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -25,18 +25,18 @@
 		}, "ends that are failures"},
 		"rejects one in five": {func(x *testFleet, changed string) {
 			x.addTraffic(20, noFailures)
-			x.observe(changed, func(v *Observation) { v.Facts.Rejected += 5 })
+			x.observe(changed, func(v *Observation) { v.Counters.Rejected += 5 })
 		}, "messages refused"},
 		"fails like all": {func(x *testFleet, _ string) { x.addTraffic(20, func(string) int64 { return 4 }) }, "stage 2 of"},
 		"late first attempts": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
-			x.observe(n, func(v *Observation) { v.Facts.Late += 10 })
+			x.observe(n, func(v *Observation) { v.Counters.Late += 10 })
 		}, "time to the first call"},
 		"two late messages": {func(x *testFleet, n string) {
 			if x.addTraffic(20, noFailures); !x.observations[n].Drained {
 				x.observe(n, func(v *Observation) {
-					if v.Facts.Called == 60 {
-						v.Facts.Late += 2
+					if v.Counters.Called == 60 {
+						v.Counters.Late += 2
 					}
 				})
 			}
@@ -45,33 +45,33 @@
 		"nine late messages at once": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) {
-				if v.Facts.Called == 40 {
-					v.Facts.Late += 9
+				if v.Counters.Called == 40 {
+					v.Counters.Late += 9
 				}
 			})
 		}, "stage 2 of"},
 		"some late at first, then no traffic": {func(x *testFleet, n string) {
 			x.observe(n, func(v *Observation) {
-				if v.Facts.Called < 40 {
+				if v.Counters.Called < 40 {
 					x.addTraffic(40, noFailures)
-					v.Facts = x.observations[n].Facts
-					v.Facts.Late += 12
+					v.Counters = x.observations[n].Counters
+					v.Counters.Late += 12
 				}
 			})
 		}, "first calls came late, and 0 have been made since"},
 		"late repeatedly": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
 			x.observe(n, func(v *Observation) {
-				if v.Facts.Called%60 <= 20 {
-					v.Facts.Late += 12
+				if v.Counters.Called%60 <= 20 {
+					v.Counters.Late += 12
 				}
 			})
 		}, "time to the first call"},
 		"uses more memory": {func(x *testFleet, n string) {
 			x.addTraffic(20, noFailures)
-			x.observe(n, func(v *Observation) { v.Facts.MemoryMB += 30 })
+			x.observe(n, func(v *Observation) { v.Counters.MemoryMB += 30 })
 		}, "memory"},
-		"crashes": {func(x *testFleet, n string) { x.observe(n, func(v *Observation) { v.Facts.Restarts++ }) },
+		"crashes": {func(x *testFleet, n string) { x.observe(n, func(v *Observation) { v.Counters.Restarts++ }) },
 			"crashed after its change"},
 		"does not respond": {func(x *testFleet, n string) {
 			x.observe(n, func(v *Observation) { *v = Observation{Sender: n, At: x.now, Phase: "no answer"} })
@@ -94,13 +94,13 @@
 		}, "does not serve"},
 		"no traffic at the others": {func(x *testFleet, n string) {
 			v := x.observations[n]
-			v.Facts.Accepted, v.Facts.Delivered = v.Facts.Accepted+50, v.Facts.Delivered+50
+			v.Counters.Accepted, v.Counters.Delivered = v.Counters.Accepted+50, v.Counters.Delivered+50
 			x.observations[n] = v
 		}, "not known to be good"},
 	} {
 		x := newTestFleet(t, 10, Budget{Fleet: 3})
 		for n := range x.observations {
-			x.observe(n, func(v *Observation) { v.Facts.MemoryMB = 20 })
+			x.observe(n, func(v *Observation) { v.Counters.MemoryMB = 20 })
 		}
 		id := x.release(Plan{Gate: Gate{Wait: time.Minute}})
 		x.run(x.carryOut)
@@ -155,8 +155,8 @@
 			}
 		}
 		if want := map[int64]Phase{0: Done, 6: Halted}[failed]; p.Phase != want || failed > 0 &&
-			!strings.Contains(p.Why, "failures") {
-			t.Errorf("%s: %s: %s", name, p.Phase, p.Why)
+			!strings.Contains(p.PhaseReason, "failures") {
+			t.Errorf("%s: %s: %s", name, p.Phase, p.PhaseReason)
 		}
 	}
 }
@@ -169,15 +169,15 @@
 	x.run(x.carryOut)
 	changed := x.state.Plan(id).Stages[0][0]
 	x.watch = Watch{}
-	x.observe(changed, func(v *Observation) { v.Far = true })
+	x.observe(changed, func(v *Observation) { v.Remote = true })
 	x.run(nil)
-	x.observe(changed, func(v *Observation) { v.Far, v.Facts.Restarts = false, 2 })
+	x.observe(changed, func(v *Observation) { v.Remote, v.Counters.Restarts = false, 2 })
 	x.run(nil)
 	if p := x.state.Plan(id); p.Phase != Running {
-		t.Errorf("%s: %s", p.Phase, p.Why)
+		t.Errorf("%s: %s", p.Phase, p.PhaseReason)
 	}
 	x.advance(time.Second)
-	x.observe(changed, func(v *Observation) { v.Facts.Restarts = 3 })
+	x.observe(changed, func(v *Observation) { v.Counters.Restarts = 3 })
 	if x.run(nil); x.state.Plan(id).Phase != Halted {
 		t.Error("a later crash was not detected")
 	}
@@ -205,7 +205,7 @@
 		stages++
 	}
 	if x.state.Plan(id).Phase != Done || most > 4 {
-		t.Fatalf("%s: %s; %d senders out at once", x.state.Plan(id).Phase, x.state.Plan(id).Why, most)
+		t.Fatalf("%s: %s; %d senders out at once", x.state.Plan(id).Phase, x.state.Plan(id).PhaseReason, most)
 	}
 	for _, name := range x.state.names() {
 		if x.state.Members[name].Version.Name != "v2" {
@@ -226,7 +226,7 @@
 		"not healthy":                  {Observation{Process: "p-new", Phase: "serving"}, Halted},
 		"observed every other second":  {Observation{Phase: "no answer", At: time.Unix(2, 0)}, Halted},
 		"version change in progress":   {Observation{Phase: "no answer", At: time.Unix(1, 0)}, Running},
-		"observed by the leader alone": {Observation{Phase: "no answer", Far: true}, Running},
+		"observed by the leader alone": {Observation{Phase: "no answer", Remote: true}, Running},
 	} {
 		x := newTestFleet(t, 4, Budget{Fleet: 1})
 		id := x.release(Plan{Gate: Gate{Soak: 5 * time.Second, Wait: time.Minute}})
@@ -248,9 +248,9 @@
 				t.Errorf("%s: halted after %d s", name, i)
 			}
 		}
-		if p.Phase != c.want || c.want == Halted && !strings.Contains(p.Why, "not seen any more") ||
+		if p.Phase != c.want || c.want == Halted && !strings.Contains(p.PhaseReason, "not seen any more") ||
 			x.state.Grants[changed] == nil {
-			t.Errorf("%s: %s: %s; grants %v", name, p.Phase, p.Why, x.state.Grants)
+			t.Errorf("%s: %s: %s; grants %v", name, p.Phase, p.PhaseReason, x.state.Grants)
 		}
 	}
 }
--- a/internal/rollout/grant.go
+++ b/internal/rollout/grant.go
@@ -27,7 +27,7 @@
 			lastErr = reject("%d of plan %d are out", p.AtOnce, p.ID)
 			break
 		}
-		if err := s.checkBudget(s.availability(c.Seen), m); err != nil {
+		if err := s.checkBudget(s.availability(c.ServingSenders), m); err != nil {
 			lastErr = err
 			continue
 		}
@@ -45,7 +45,7 @@
 	t, m := p.Tasks[request.Sender], s.Members[request.Sender]
 	g := &Grant{
 		Epoch: epoch, Plan: p.ID, Sender: request.Sender, Process: request.Process, ObservedAt: request.ObservedAt, At: at,
-		By: at.Add(s.Terms.Timing.Accept), Until: at.Add(s.Terms.Timing.Lease), Drain: p.Kind == Drain,
+		TakeBy: at.Add(s.Terms.Timing.TakeTimeout), Until: at.Add(s.Terms.Timing.Lease), Drain: p.Kind == Drain,
 	}
 	switch {
 	case p.Kind != Release:
@@ -70,11 +70,11 @@
 
 // Closable reports whether an observation proves that the sender serves and that a grant can have no further effect.
 func (s *State) Closable(g *Grant, v *Observation) bool {
-	margin := 2 * s.Terms.Timing.Error
+	margin := 2 * s.Terms.Timing.MaxClockError
 	switch {
 	case !v.Serving || v.Sender != g.Sender:
 		return false
-	case v.Far: // only the sender's own agent knows whether a version change is in progress
+	case v.Remote: // only the sender's own agent knows whether a version change is in progress
 		return false
 	case v.Epoch >= g.Epoch && v.Ended: // the sender rejects all further copies of the order
 		return true
@@ -83,7 +83,7 @@
 	case v.Process != g.Process: // a later process, which the order does not address
 		return v.At.After(g.ObservedAt.Add(margin)) && !(v.Epoch == g.Epoch && !v.Ended)
 	}
-	return v.Epoch < g.Epoch && v.At.After(g.By.Add(margin)) // the grant has expired by the sender's clock, too
+	return v.Epoch < g.Epoch && v.At.After(g.TakeBy.Add(margin)) // the grant has expired by the sender's clock, too
 }
 
 // close closes a grant that can have no further effect and whose sender serves again, and advances the sender's task.
@@ -193,7 +193,7 @@
 	Process    string    `json:"process"`
 	ObservedAt time.Time `json:"saw"` // time of the observation for which it was requested
 	At         time.Time `json:"at"`
-	By         time.Time `json:"by"`    // the sender must take it up before
+	TakeBy     time.Time `json:"by"`    // the sender must take it up before
 	Until      time.Time `json:"until"` // end of its lease, unless renewed
 	Drain      bool      `json:"drain,omitempty"`
 	To         Version   `json:"to,omitzero"`
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -79,7 +79,7 @@
 		}
 	}
 	plan := &Plan{Kind: Drain, Stages: [][]string{modelNames}, Hold: modelStep}
-	m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, Seen: modelNames})
+	m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, ServingSenders: modelNames})
 	return m
 }
 
@@ -127,7 +127,7 @@
 	m.receive(i, Observation{
 		Sender: modelNames[k], At: modelTime(m.now + m.clockOffsets[i]), Serving: !s.leases.Active(),
 		Process: fmt.Sprint(s.process),
-		Epoch:   s.leases.Epoch, Ended: s.leases.Ended, Drained: s.leases.Active() && s.leases.Drain, Far: true,
+		Epoch:   s.leases.Epoch, Ended: s.leases.Ended, Drained: s.leases.Active() && s.leases.Drain, Remote: true,
 	})
 }
 
@@ -161,7 +161,7 @@
 	m.orders = append(m.orders, struct {
 		to int
 		o  lease.Order
-	}{i, lease.Order{Process: g.Process, Epoch: g.Epoch, By: g.By, Until: g.Until, Drain: true}})
+	}{i, lease.Order{Process: g.Process, Epoch: g.Epoch, AcceptBy: g.TakeBy, Until: g.Until, Drain: true}})
 }
 
 // takeOrder delivers an order to a sender. It records a violation if more senders are out than the budget allows.
@@ -172,7 +172,7 @@
 		return
 	}
 	alreadyTaken := s.leases.Active() && s.leases.Epoch == delivery.o.Epoch
-	if s.leases.Take(delivery.o, fmt.Sprint(s.process), modelTime(m.now+s.clockOffset)) != nil || alreadyTaken {
+	if s.leases.Accept(delivery.o, fmt.Sprint(s.process), modelTime(m.now+s.clockOffset)) != nil || alreadyTaken {
 		return
 	}
 	m.ordersTaken++
@@ -323,7 +323,7 @@
 	for _, p := range s.Plans {
 		if t := p.Tasks[v.Sender]; p.Phase == Running && t != nil && t.Step == Waiting {
 			m.log = append(m.log, Command{Verb: GrantSenders, At: now, Plan: p.ID,
-				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, Seen: s.Seen(m.observations[i], now)})
+				Requests: []GrantRequest{{v.Sender, v.Process, v.At}}, ServingSenders: s.ServingSenders(m.observations[i], now)})
 		}
 	}
 }
@@ -339,7 +339,7 @@
 	}
 	if !open {
 		plan := &Plan{Kind: Drain, Stages: [][]string{modelNames}, Hold: modelStep}
-		m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, Seen: modelNames})
+		m.log = append(m.log, Command{Verb: Start, By: "x", Reason: "y", New: plan, ServingSenders: modelNames})
 	}
 }
 
--- a/internal/rollout/next.go
+++ b/internal/rollout/next.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Seen returns the sorted names of the senders that were observed to serve at most Timing.Fresh ago.
-func (s *State) Seen(observations map[string]Observation, now time.Time) []string {
+// ServingSenders returns the sorted names of the senders that were observed to serve at most Timing.MaxObservationAge
+// ago.
+func (s *State) ServingSenders(observations map[string]Observation, now time.Time) []string {
 	var list []string
 	for name := range s.Members {
-		if v, known := observations[name]; known && v.Serving && now.Sub(v.At) <= s.Terms.Timing.Fresh {
+		if v, known := observations[name]; known && v.Serving && now.Sub(v.At) <= s.Terms.Timing.MaxObservationAge {
 			list = append(list, name)
 		}
 	}
@@ -25,7 +26,7 @@
 		return list
 	}
 	var list []Command
-	fleet := s.availability(s.Seen(observations, now))
+	fleet := s.availability(s.ServingSenders(observations, now))
 	for _, p := range s.Plans {
 		if due := p.holdElapsed(now); len(due) > 0 {
 			list = append(list, Command{
@@ -121,7 +122,7 @@
 		}
 		v := observations[name]
 		// without its own agent nothing would carry out the sender's grant
-		if t.Step != Waiting || m == nil || v.Far || s.checkBudget(fleet, m) != nil {
+		if t.Step != Waiting || m == nil || v.Remote || s.checkBudget(fleet, m) != nil {
 			continue
 		}
 		c.Requests = append(c.Requests, GrantRequest{Sender: name, Process: v.Process, ObservedAt: v.At})
@@ -129,7 +130,7 @@
 		fleet.outByBuilding[m.Building]++
 		remaining--
 	}
-	c.Seen = s.Seen(observations, now)
+	c.ServingSenders = s.ServingSenders(observations, now)
 	return c, len(c.Requests) > 0
 }
 
@@ -138,11 +139,11 @@
 
 // The duties.
 const (
-	NoDuty Duty = iota
-	Take        // order the sender to take up the grant
-	Renew       // renew the lease of a drain
-	End         // order the sender to serve again
-	Fail        // end a version change that an earlier process of the agent began
+	NoDuty     Duty = iota
+	TakeGrant       // order the sender to take up the grant
+	RenewLease      // renew the lease of a drain
+	EndLease        // order the sender to serve again
+	FailGrant       // end a version change that an earlier process of the agent began
 )
 
 // Duty returns the duty for a grant, given an observation of the sender. lastTaken is the epoch of the latest grant
@@ -153,13 +154,13 @@
 	active := observed.Epoch == g.Epoch && !observed.Ended
 	switch {
 	case endWanted && g.Drain && (active || observed.Epoch < g.Epoch):
-		return End
+		return EndLease
 	case active && g.Drain:
-		return Renew
+		return RenewLease
 	case active:
-		return Fail
-	case observed.Process != g.Process || observed.Epoch >= g.Epoch || lastTaken == g.Epoch || now.After(g.By):
+		return FailGrant
+	case observed.Process != g.Process || observed.Epoch >= g.Epoch || lastTaken == g.Epoch || now.After(g.TakeBy):
 		return NoDuty
 	}
-	return Take
+	return TakeGrant
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if fleet := s.availability(c.Seen); len(fleet.out) > s.Terms.Budget.Fleet {
+	if fleet := s.availability(c.ServingSenders); len(fleet.out) > s.Terms.Budget.Fleet {
 		return nil, reject("%d senders are out or not seen now, the budget has %d: %s; bring them back first",
 			len(fleet.out), s.Terms.Budget.Fleet, firstNames(fleet.out))
 	}
@@ -215,7 +215,7 @@
 	Stage             int              `json:"stage"`
 	Phase             Phase            `json:"phase"`
 	RolledBack        bool             `json:"back,omitempty"` // the plan is being rolled back or has been
-	Why               string           `json:"why,omitempty"`
+	PhaseReason       string           `json:"why,omitempty"`
 	Revision          uint64           `json:"revision"` // changes with the phase and with each order; Resume must name it
 	Tasks             map[string]*Task `json:"tasks"`
 	Baseline          *Sums            `json:"others,omitempty"` // sums of unchanged senders at the last passed gate
--- a/internal/rollout/state_test.go
+++ b/internal/rollout/state_test.go
@@ -49,7 +49,7 @@
 func TestClosable(t *testing.T) {
 	x := newTestFleet(t, 2, Budget{Fleet: 1})
 	at := func(s float64) time.Time { return x.now.Add(time.Duration(s * float64(time.Second))) }
-	g := &Grant{Epoch: 5, Sender: "n0", Process: "p", ObservedAt: at(-0.5), At: at(0), By: at(2), Until: at(10)}
+	g := &Grant{Epoch: 5, Sender: "n0", Process: "p", ObservedAt: at(-0.5), At: at(0), TakeBy: at(2), Until: at(10)}
 	for name, c := range map[string]struct {
 		v    Observation
 		want bool
@@ -71,7 +71,7 @@
 		"an earlier process": {Observation{Process: "o", At: at(-0.4), Serving: true}, false},
 		"taken up":           {Observation{Process: "p", At: at(3), Epoch: 5}, false},
 		"observed by the leader, not its agent": {Observation{Process: "p", At: at(3), Serving: true, Epoch: 5,
-			Ended: true, Far: true}, false},
+			Ended: true, Remote: true}, false},
 		"another sender": {Observation{Sender: "n1", Process: "p", At: at(3), Serving: true,
 			Epoch: 5, Ended: true}, false},
 	} {
@@ -88,8 +88,8 @@
 func TestRejectedCommands(t *testing.T) {
 	x := newTestFleet(t, 4, Budget{Fleet: 2})
 	first := x.drain("n0")
-	seen := x.state.Seen(x.observations, x.now)
-	start := func(p Plan) Command { return Command{Verb: Start, Reason: "r", New: &p, Seen: seen} }
+	seen := x.state.ServingSenders(x.observations, x.now)
+	start := func(p Plan) Command { return Command{Verb: Start, Reason: "r", New: &p, ServingSenders: seen} }
 	terms := func(b Budget) Command { t := DefaultTerms; t.Budget = b; return Command{Verb: SetTerms, Terms: &t} }
 	for name, c := range map[string]struct {
 		c    Command
@@ -103,10 +103,10 @@
 		"same version": {start(Plan{Kind: Release, Stages: [][]string{{"n1"}},
 			To: Version{Name: "v1", Program: "/v1"}}), "all of them run v1 already"},
 		"more than the budget": {start(Plan{Kind: Drain, Stages: [][]string{{"n1"}}, AtOnce: 3}), "3 senders at once"},
-		"no reason": {Command{Verb: Start, New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}}, Seen: seen},
+		"no reason": {Command{Verb: Start, New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}}, ServingSenders: seen},
 			"a reason"},
 		"budget exceeded": {Command{Verb: Start, Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n1"}}},
-			Seen: []string{"n1"}}, "3 senders are out or not seen now"},
+			ServingSenders: []string{"n1"}}, "3 senders are out or not seen now"},
 		"a budget of zero":      {terms(Budget{}), "1 at the least"},
 		"a budget of too many":  {terms(Budget{Fleet: 5}), "of 4 there are"},
 		"all must serve":        {terms(Budget{Fleet: 1, Serving: 4}), "nothing could ever go out"},
@@ -161,7 +161,7 @@
 		{Verb: SetTerms, Terms: &terms, At: at, By: "x"},
 		{Verb: SetRoster, At: at, By: "x", Roster: []Member{{Name: "n0", Agent: "x"}, {Name: "n1", Agent: "x"}}},
 		{Verb: Start, At: at, By: "x", Reason: "r", New: &Plan{Kind: Drain, Stages: [][]string{{"n0"}}},
-			Seen: []string{"n0", "n1"}},
+			ServingSenders: []string{"n0", "n1"}},
 	}
 	for range 3 {
 		for i, c := range log {
@@ -187,8 +187,8 @@
 		})
 		p := x.state.Plan(id)
 		if want := map[bool]Phase{false: Halted, true: Ended}[rollBack]; p.Phase != want ||
-			!strings.Contains(p.Why, "exit status 1") {
-			t.Errorf("rollback %t: %s, %s", rollBack, p.Phase, p.Why)
+			!strings.Contains(p.PhaseReason, "exit status 1") {
+			t.Errorf("rollback %t: %s, %s", rollBack, p.Phase, p.PhaseReason)
 		}
 		if len(x.state.Grants) != 0 {
 			t.Errorf("grants left: %v", x.state.Grants)
@@ -204,13 +204,13 @@
 	for range 3 {
 		x.run(nil)
 		if len(x.state.Grants) != 1 {
-			t.Fatalf("%d grants: %s", len(x.state.Grants), x.state.Plan(id).Why)
+			t.Fatalf("%d grants: %s", len(x.state.Grants), x.state.Plan(id).PhaseReason)
 		}
 		x.advance(3 * time.Second)
 		x.must(x.state.Next(x.observations, &x.watch, x.now)[0])
 	}
-	if p := x.state.Plan(id); p.Phase != Halted || !strings.Contains(p.Why, "not taken up") {
-		t.Errorf("%s: %s", p.Phase, p.Why)
+	if p := x.state.Plan(id); p.Phase != Halted || !strings.Contains(p.PhaseReason, "not taken up") {
+		t.Errorf("%s: %s", p.Phase, p.PhaseReason)
 	}
 }
 
@@ -255,8 +255,8 @@
 	for _, hold := range []time.Duration{0, time.Minute} {
 		x := newTestFleet(t, 4, Budget{Fleet: 2})
 		id := x.must(Command{Verb: Start, Reason: "r",
-			New:  &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold},
-			Seen: x.state.Seen(x.observations, x.now)})
+			New:            &Plan{Kind: Drain, Stages: [][]string{{"n0", "n1", "n2"}}, Hold: hold},
+			ServingSenders: x.state.ServingSenders(x.observations, x.now)})
 		finishReturn := func() {
 			for name, t := range x.state.Plan(id).Tasks {
 				if t.Step == Returning {
--- a/internal/scenario/draw_test.go
+++ b/internal/scenario/draw_test.go
@@ -23,7 +23,7 @@
 	}
 	p, list := draw("", 5)
 	q, list2 := draw("", 5)
-	same := reflect.DeepEqual(p.Dests, q.Dests) && reflect.DeepEqual(p.Changes, q.Changes)
+	same := reflect.DeepEqual(p.Destinations, q.Destinations) && reflect.DeepEqual(p.Changes, q.Changes)
 	if !same || !reflect.DeepEqual(list, list2) {
 		t.Error("two draws with the same seed produced different plans")
 	}
@@ -31,7 +31,8 @@
 		t.Error("different seeds produced the same messages")
 	}
 	q, list2 = draw("trouble(what = \"SLOW\", at = 1, seconds = 2)\nsender(number = 0, at = 3, what = \"kill\")\n", 5)
-	if !reflect.DeepEqual(p.Dests, q.Dests) || !reflect.DeepEqual(list, list2) || len(q.Changes) <= len(p.Changes) {
+	if !reflect.DeepEqual(p.Destinations, q.Destinations) || !reflect.DeepEqual(list, list2) ||
+		len(q.Changes) <= len(p.Changes) {
 		t.Error("an additional fault changed the fleet or the messages")
 	}
 }
@@ -64,7 +65,7 @@
 `).Plan(seed)
 		destOf := map[string]Destination{}
 		zoneOf := map[string]string{}
-		for _, d := range p.Dests {
+		for _, d := range p.Destinations {
 			for _, e := range d.Endpoints {
 				destOf[e.ID], zoneOf[e.ID] = d, p.Scenario.Zones[e.Zone]
 			}
@@ -73,14 +74,14 @@
 		shut := map[int]bool{}
 		for _, c := range p.Changes {
 			switch {
-			case c.Of == 0 && c.Fault.Mode == partner.Down:
+			case c.FaultIndex == 0 && c.Fault.Mode == partner.Down:
 				d := destOf[c.Endpoint]
 				share += d.Share / float64(len(d.Endpoints))
 				endpoints[d.Dest]++
 				if zoneOf[c.Endpoint] != "bldg-b" {
 					t.Errorf("seed %d: endpoint %s in zone %s has a fault", seed, c.Endpoint, zoneOf[c.Endpoint])
 				}
-			case c.Of == 1 && c.Fault.Mode == partner.Shut:
+			case c.FaultIndex == 1 && c.Fault.Mode == partner.Shut:
 				shut[destOf[c.Endpoint].Dest] = true
 				if c.Fault.Until != 35*time.Second || destOf[c.Endpoint].Kind != "large-partners" {
 					t.Errorf("seed %d: %+v", seed, c)
@@ -90,7 +91,7 @@
 		if len(endpoints) == 0 || share > 0.25 && len(endpoints) > 1 {
 			t.Errorf("seed %d: %.2f of the traffic, %v", seed, share, endpoints)
 		}
-		for _, d := range p.Dests {
+		for _, d := range p.Destinations {
 			if d.Kind == "large-partners" && !shut[d.Dest] {
 				t.Errorf("seed %d: destination %d is not shut", seed, d.Dest)
 			}
@@ -103,14 +104,14 @@
 	drains, added := map[string]time.Duration{}, 0
 	for _, c := range p.Changes {
 		switch {
-		case c.Drains:
+		case c.StartsDraining:
 			if _, twice := drains[c.Endpoint]; twice {
 				t.Errorf("endpoint %s drains twice", c.Endpoint)
 			}
 			drains[c.Endpoint] = c.At
-		case c.Leaves && c.At != drains[c.Endpoint]+time.Second:
+		case c.Removed && c.At != drains[c.Endpoint]+time.Second:
 			t.Errorf("%+v", c)
-		case c.Joins != nil:
+		case c.Added != nil:
 			if added++; c.Address == "" || drains[c.Address] != c.At-time.Second {
 				t.Errorf("%+v", c)
 			}
--- a/internal/scenario/drawactions.go
+++ b/internal/scenario/drawactions.go
@@ -27,7 +27,7 @@
 		}
 		for i, num := range senders {
 			planned := PlannedAction{
-				At: at + spread*time.Duration(i)/time.Duration(len(senders)), Sender: num, What: action.Kind,
+				At: at + spread*time.Duration(i)/time.Duration(len(senders)), Sender: num, Kind: action.Kind,
 				InFlight: action.InFlight, OpenMessages: action.OpenMessages, ActionIndex: index,
 			}
 			if action.Length.To > 0 {
@@ -44,7 +44,7 @@
 	At           time.Duration
 	Until        time.Duration // end of a stop or a drain; 0: no end
 	Sender       int
-	What         string
+	Kind         string
 	InFlight     float64 // of a retune: as multiples of the scenario's value
 	OpenMessages float64
 	ActionIndex  int // index in Scenario.Actions
@@ -54,15 +54,15 @@
 type PlannedAgentAction struct {
 	At, Until time.Duration
 	Agent     int
-	What      string
+	Kind      string
 }
 
 // PlannedOrder is an order to the agents, drawn.
 type PlannedOrder struct {
 	At, Hold          time.Duration
 	Agent             int
-	What              string
-	Of                []string // senders
+	Kind              string
+	Senders           []string // senders
 	FailsAtStart      bool
 	RollBackOnFailure bool
 }
@@ -76,13 +76,13 @@
 	slices.SortStableFunc(p.AgentActions, func(a, b PlannedAgentAction) int { return cmp.Compare(a.At, b.At) })
 	for _, o := range p.Scenario.Orders {
 		planned := PlannedOrder{
-			At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, What: o.Kind, FailsAtStart: o.FailsAtStart,
+			At: o.At.seconds(rng), Hold: o.Hold.seconds(rng), Agent: o.Agent, Kind: o.Kind, FailsAtStart: o.FailsAtStart,
 			RollBackOnFailure: o.RollBackOnFailure,
 		}
 		targets := p.expandParties(o.Targets)
 		for i := range p.Scenario.Senders {
 			if len(o.Targets) == 0 || targets[Sender(i)] {
-				planned.Of = append(planned.Of, Sender(i))
+				planned.Senders = append(planned.Senders, Sender(i))
 			}
 		}
 		p.Orders = append(p.Orders, planned)
--- a/internal/scenario/drawfaults.go
+++ b/internal/scenario/drawfaults.go
@@ -20,8 +20,8 @@
 			fault.Until = span.To
 		}
 		maxShare, affected := f.TrafficShare.draw(rng), 0.0
-		for _, n := range rng.Perm(len(p.Dests)) {
-			d := &p.Dests[n]
+		for _, n := range rng.Perm(len(p.Destinations)) {
+			d := &p.Destinations[n]
 			ids := p.drawFaultyEndpoints(rng, &f, d)
 			share := d.Share * float64(len(ids)) / float64(len(d.Endpoints))
 			excluded := f.Kind != "" && d.Kind != f.Kind || f.Dest >= 0 && d.Dest != f.Dest
@@ -31,8 +31,8 @@
 			affected += share
 			for _, id := range ids {
 				p.Changes = append(p.Changes,
-					Change{At: span.From, Endpoint: id, Fault: fault, Of: i},
-					Change{At: span.To, Endpoint: id, Of: i})
+					Change{At: span.From, Endpoint: id, Fault: fault, FaultIndex: i},
+					Change{At: span.To, Endpoint: id, FaultIndex: i})
 			}
 		}
 	}
@@ -65,7 +65,7 @@
 			activeFaults[c.Endpoint] = append(activeFaults[c.Endpoint], *c)
 			continue
 		}
-		remaining := slices.DeleteFunc(activeFaults[c.Endpoint], func(o Change) bool { return o.Of == c.Of })
+		remaining := slices.DeleteFunc(activeFaults[c.Endpoint], func(o Change) bool { return o.FaultIndex == c.FaultIndex })
 		if activeFaults[c.Endpoint] = remaining; len(remaining) > 0 {
 			c.Fault = remaining[len(remaining)-1].Fault
 		}
@@ -90,7 +90,7 @@
 	for _, c := range p.Scenario.Churns {
 		at := c.At.seconds(rng)
 		for at < p.Scenario.Length {
-			d := &p.Dests[rng.IntN(len(p.Dests))]
+			d := &p.Destinations[rng.IntN(len(p.Destinations))]
 			e := d.Endpoints[rng.IntN(len(d.Endpoints))]
 			if !replaced[e.ID] {
 				replaced[e.ID] = true
@@ -101,9 +101,10 @@
 					address = e.ID
 				}
 				p.Changes = append(p.Changes,
-					Change{At: at, Endpoint: e.ID, Dest: d.Dest, Of: -1, Drains: true},
-					Change{At: at + c.Drain, Endpoint: e.ID, Dest: d.Dest, Of: -1, Leaves: true},
-					Change{At: at + c.Drain, Endpoint: replacement.ID, Dest: d.Dest, Of: -1, Joins: replacement, Address: address})
+					Change{At: at, Endpoint: e.ID, Dest: d.Dest, FaultIndex: -1, StartsDraining: true},
+					Change{At: at + c.Drain, Endpoint: e.ID, Dest: d.Dest, FaultIndex: -1, Removed: true},
+					Change{At: at + c.Drain, Endpoint: replacement.ID, Dest: d.Dest, FaultIndex: -1, Added: replacement,
+						Address: address})
 			}
 			if c.Every <= 0 {
 				break
--- a/internal/scenario/marks.go
+++ b/internal/scenario/marks.go
@@ -20,7 +20,7 @@
 func (p *Plan) Marks() []Mark {
 	list := p.faultMarks()
 	for _, c := range p.Changes {
-		if c.Of < 0 && c.Leaves {
+		if c.FaultIndex < 0 && c.Removed {
 			list = append(list, Mark{c.At, c.At, fmt.Sprintf("%s of destination %d is gone", c.Endpoint, c.Dest)})
 		}
 	}
@@ -36,10 +36,10 @@
 	}
 	list = append(list, p.actionMarks()...)
 	for _, a := range p.AgentActions {
-		list = append(list, Mark{a.At, a.Until, fmt.Sprintf("agent %d: %s", a.Agent, a.What)})
+		list = append(list, Mark{a.At, a.Until, fmt.Sprintf("agent %d: %s", a.Agent, a.Kind)})
 	}
 	for _, o := range p.Orders {
-		text := fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.What, summarize(o.Of))
+		text := fmt.Sprintf("ordered at agent %d: %s of %s", o.Agent, o.Kind, summarize(o.Senders))
 		list = append(list, Mark{o.At, o.At, text})
 	}
 	for _, l := range p.Links {
@@ -60,7 +60,7 @@
 		m := Mark{From: -1}
 		dests, share := map[int]bool{}, 0.0
 		for _, c := range p.Changes {
-			if c.Of != i || c.Joins != nil || c.Drains || c.Leaves {
+			if c.FaultIndex != i || c.Added != nil || c.StartsDraining || c.Removed {
 				continue
 			}
 			if m.From >= 0 && c.At > m.From { // the later change of each endpoint is the fault's end
@@ -89,9 +89,9 @@
 
 // destinationOf returns the destination that an endpoint belongs to from the start of the run; nil if there is none.
 func (p *Plan) destinationOf(endpoint string) *Destination {
-	for i, d := range p.Dests {
+	for i, d := range p.Destinations {
 		if slices.ContainsFunc(d.Endpoints, func(e partner.EndpointSpec) bool { return e.ID == endpoint }) {
-			return &p.Dests[i]
+			return &p.Destinations[i]
 		}
 	}
 	return nil
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -15,7 +15,7 @@
 	Scenario         *Scenario
 	Seed             uint64
 	Rate             float64 // messages per second at full load
-	Dests            []Destination
+	Destinations     []Destination
 	Changes          []Change
 	Actions          []PlannedAction
 	AgentActions     []PlannedAgentAction
@@ -37,15 +37,15 @@
 
 // Change is the beginning or the end of an endpoint's fault, or a step of its replacement.
 type Change struct {
-	At       time.Duration
-	Endpoint string
-	Fault    partner.Fault
-	Of       int                   // index in Scenario.Faults; below 0: a replacement
-	Drains   bool                  // the endpoint begins to drain
-	Leaves   bool                  // the endpoint is removed
-	Joins    *partner.EndpointSpec // endpoint that is added to Dest; nil: none
-	Dest     int
-	Address  string // id of the endpoint whose address Joins reuses; empty: a new address
+	At             time.Duration
+	Endpoint       string
+	Fault          partner.Fault
+	FaultIndex     int                   // index in Scenario.Faults; below 0: a replacement
+	StartsDraining bool                  // the endpoint begins to drain
+	Removed        bool                  // the endpoint is removed
+	Added          *partner.EndpointSpec // endpoint that is added to Dest; nil: none
+	Dest           int
+	Address        string // id of the endpoint whose address Added reuses; empty: a new address
 }
 
 // Span is the time between two instants.
@@ -117,8 +117,8 @@
 // Model returns a model of the plan's partners.
 func (p *Plan) Model() (*partner.Model, error) {
 	m := partner.New(p.Seed)
-	for i := range p.Dests {
-		if err := m.Add(p.Dests[i].Spec); err != nil {
+	for i := range p.Destinations {
+		if err := m.Add(p.Destinations[i].Spec); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/settings/builtins.go
+++ b/internal/settings/builtins.go
@@ -39,7 +39,7 @@
 func (s *Settings) heldBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	h := &Held{}
+	h := &DeadLetterQueue{}
 	age, ended := number(7*86400), number(86400)
 	maxBytes, maxRecords, queue := int64(256_000_000), 100_000, 256
 	var folder string
@@ -59,7 +59,7 @@
 		return nil, errors.New("held: arguments must be passed by name")
 	case checkTopLevel(t, "held") != nil:
 		return nil, checkTopLevel(t, "held")
-	case s.Held != nil:
+	case s.DeadLetterQueue != nil:
 		return nil, errors.New("held: called twice")
 	case folder == "":
 		return nil, errors.New("held: folder must not be empty")
@@ -70,8 +70,8 @@
 	case queue < 1 || queue > 65_536:
 		return nil, errors.New("held: queue must be 1 to 65,536")
 	}
-	h.Folder, h.MaxBytes, h.MaxRecords, h.Queue = s.resolvePath(folder), maxBytes, maxRecords, queue
-	s.Held = h
+	h.Folder, h.MaxBytes, h.MaxRecords, h.MaxQueued = s.resolvePath(folder), maxBytes, maxRecords, queue
+	s.DeadLetterQueue = h
 	return starlark.None, nil
 }
 
@@ -102,7 +102,7 @@
 func (s *Settings) resendBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	share, within, out := number(s.Resend.Share), number(s.Resend.Within.Seconds()), s.Resend.MaxOut
+	share, within, out := number(s.Redelivery.Share), number(s.Redelivery.Within.Seconds()), s.Redelivery.MaxOut
 	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "share?", &share, "within?", &within, "max_out?",
 		&out); err != nil {
 		return nil, err
@@ -120,7 +120,7 @@
 	case out < 1 || out > 1024:
 		return nil, errors.New("resend: max_out must be 1 to 1,024")
 	}
-	s.Resend = Resend{Share: float64(share), Within: withinDuration, MaxOut: out}
+	s.Redelivery = Redelivery{Share: float64(share), Within: withinDuration, MaxOut: out}
 	return starlark.None, nil
 }
 
@@ -128,7 +128,7 @@
 func (s *Settings) journalBuiltin(
 	t *starlark.Thread, b *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple,
 ) (starlark.Value, error) {
-	durability, wait := "process", number(s.Journal.Wait.Seconds())
+	durability, wait := "process", number(s.WriteAheadLog.Wait.Seconds())
 	if err := starlark.UnpackArgs(b.Name(), nil, kwargs, "durability", &durability, "wait?", &wait); err != nil {
 		return nil, err
 	}
@@ -145,7 +145,7 @@
 	case waitDuration > time.Second:
 		return nil, errors.New("journal: wait must be at most one second")
 	}
-	s.Journal = Journal{Durability: durability, Wait: waitDuration}
+	s.WriteAheadLog = WriteAheadLog{Durability: durability, Wait: waitDuration}
 	return starlark.None, nil
 }
 
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -16,19 +16,19 @@
 	MayHaveRun             bool
 	Deferred               bool // without the dead-letter queue, its client would be asked to retry later
 	Attempts               int
-	Resends                int           // earlier redeliveries
+	Redeliveries           int           // earlier redeliveries
 	TimeLeft               time.Duration // until its deadline, at the time when it became undeliverable
 	Age                    time.Duration // since it became a dead letter
 }
 
 // Partner is the data about a message's destination that is passed to a rule, as known to this sender.
 type Partner struct {
-	Held       int           // dead letters for this destination
-	InFlight   int           // redeliveries in flight
-	Last       string        // the latest result of a call; "": there was none yet
-	Failing    time.Duration // since the first of the consecutive failed calls; 0: the last call was served
-	Served     time.Duration // since the last served call; negative: there was none
-	RetryAfter time.Duration // remaining time of the Retry-After that it sent
+	DeadLetters int           // dead letters for this destination
+	InFlight    int           // redeliveries in flight
+	Last        string        // the latest result of a call; "": there was none yet
+	Failing     time.Duration // since the first of the consecutive failed calls; 0: the last call was served
+	Served      time.Duration // since the last served call; negative: there was none
+	RetryAfter  time.Duration // remaining time of the Retry-After that it sent
 }
 
 // attributes are the names of all fields of records and partners. A script may use no other attributes.
@@ -55,14 +55,14 @@
 	"may_have_run":  func(r *Record) starlark.Value { return starlark.Bool(r.MayHaveRun) },
 	"deferred":      func(r *Record) starlark.Value { return starlark.Bool(r.Deferred) },
 	"attempts":      func(r *Record) starlark.Value { return starlark.MakeInt(r.Attempts) },
-	"resends":       func(r *Record) starlark.Value { return starlark.MakeInt(r.Resends) },
+	"resends":       func(r *Record) starlark.Value { return starlark.MakeInt(r.Redeliveries) },
 	"left":          func(r *Record) starlark.Value { return seconds(r.TimeLeft) },
 	"age":           func(r *Record) starlark.Value { return seconds(r.Age) },
 }
 
 // partnerFields maps the names of a partner's fields in scripts to functions that return their values.
 var partnerFields = map[string]func(*Partner) starlark.Value{
-	"held":      func(p *Partner) starlark.Value { return starlark.MakeInt(p.Held) },
+	"held":      func(p *Partner) starlark.Value { return starlark.MakeInt(p.DeadLetters) },
 	"out":       func(p *Partner) starlark.Value { return starlark.MakeInt(p.InFlight) },
 	"last":      func(p *Partner) starlark.Value { return starlark.String(p.Last) },
 	"failing":   func(p *Partner) starlark.Value { return seconds(p.Failing) },
@@ -187,10 +187,10 @@
 	return v, err
 }
 
-// Hold calls the rule hold. It reports whether an undeliverable message becomes a dead letter (true) or is returned
-// to its client (false). If there is no rule or the rule fails, a message becomes a dead letter unless it would be
-// deferred.
-func (s *Settings) Hold(r Record, p Partner) (bool, error) {
+// ShouldHold calls the rule hold. It reports whether an undeliverable message becomes a dead letter (true) or is
+// returned to its client (false). If there is no rule or the rule fails, a message becomes a dead letter unless it
+// would be deferred.
+func (s *Settings) ShouldHold(r Record, p Partner) (bool, error) {
 	if s.holdRule == nil {
 		return !r.Deferred, nil
 	}
@@ -223,13 +223,13 @@
 			v.Type())}
 	}
 	if a.decision.Action == Redeliver && a.decision.Within == 0 {
-		a.decision.Within = s.Resend.Within
+		a.decision.Within = s.Redelivery.Within
 	}
 	return a.decision, nil
 }
 
-// Rules reports whether the script defines the rule after.
-func (s *Settings) Rules() bool { return s.afterRule != nil }
+// HasAfterRule reports whether the script defines the rule after.
+func (s *Settings) HasAfterRule() bool { return s.afterRule != nil }
 
 // call calls a rule with a limit of maxRuleSteps interpreter steps.
 func (s *Settings) call(rule starlark.Callable, r *Record, p *Partner) (starlark.Value, error) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,38 +16,38 @@
 
 // Settings are the settings of a script. They are immutable once loaded. Rules may be called concurrently.
 type Settings struct {
-	Path       string
-	Held       *Held  // nil: no dead-letter queue
-	Admin      *Admin // nil: no admin API
-	Agent      *Agent // nil: settings of a sender
-	Resend     Resend
-	Journal    Journal
-	agentDraft *Agent // agent as configured before agent() is called
-	holdRule   starlark.Callable
-	afterRule  starlark.Callable
+	Path            string
+	DeadLetterQueue *DeadLetterQueue // nil: no dead-letter queue
+	Admin           *Admin           // nil: no admin API
+	Agent           *Agent           // nil: settings of a sender
+	Redelivery      Redelivery
+	WriteAheadLog   WriteAheadLog
+	agentDraft      *Agent // agent as configured before agent() is called
+	holdRule        starlark.Callable
+	afterRule       starlark.Callable
 }
 
-// Held holds the limits of the dead-letter queue.
-type Held struct {
+// DeadLetterQueue holds the limits of the dead-letter queue.
+type DeadLetterQueue struct {
 	Folder     string
 	MaxBytes   int64         // of bodies and records, without the overhead of the file's pages
 	MaxRecords int           // records, ended ones included
 	MaxAge     time.Duration // a record is dropped at this age, open or ended
 	KeepEnded  time.Duration // an ended record is dropped after this
-	Queue      int           // maximum number of messages that wait for the store
+	MaxQueued  int           // maximum number of messages that wait for the store
 }
 
 // Admin is the address of the admin API.
 type Admin struct{ Socket string }
 
-// Journal configures the durability of the write-ahead log.
-type Journal struct {
+// WriteAheadLog configures the durability of the write-ahead log.
+type WriteAheadLog struct {
 	Durability string        // "process", "group" or "each"; see docs/operate/store.md
 	Wait       time.Duration // group: the longest time until a sync
 }
 
-// Resend holds the limits of redelivery.
-type Resend struct {
+// Redelivery holds the limits of redelivery.
+type Redelivery struct {
 	Share  float64       // fraction of a partner's capacity that redeliveries may use
 	Within time.Duration // default time for which an order to redeliver stays in force
 	MaxOut int           // maximum number of redeliveries in flight, over all destinations
@@ -62,8 +62,8 @@
 // defaults returns settings with the default values.
 func defaults(path string) *Settings {
 	return &Settings{
-		Path: path, Resend: Resend{Share: 0.5, Within: 10 * time.Minute, MaxOut: 8},
-		Journal: Journal{Durability: "process", Wait: 5 * time.Millisecond},
+		Path: path, Redelivery: Redelivery{Share: 0.5, Within: 10 * time.Minute, MaxOut: 8},
+		WriteAheadLog: WriteAheadLog{Durability: "process", Wait: 5 * time.Millisecond},
 	}
 }
 
@@ -102,7 +102,7 @@
 	if s.Agent == nil && s.agentDraft != nil {
 		return nil, &Error{File: path, Text: "sender, budget and timing require an agent: call agent(name = ...)"}
 	}
-	if s.Held == nil && (s.holdRule != nil || s.afterRule != nil) {
+	if s.DeadLetterQueue == nil && (s.holdRule != nil || s.afterRule != nil) {
 		return nil, &Error{File: path, Text: "rules hold and after require a dead-letter queue: call held(folder = ...)"}
 	}
 	return s, nil
@@ -116,12 +116,12 @@
 			s.Path, a.Name, len(a.Agents), a.Listen, len(a.Senders), a.Version, a.Budget.Fleet, a.Budget.Building,
 			a.Budget.Serving)
 	}
-	if s.Held == nil {
-		return s.Path + ": nothing is held; journal durable over " + s.Journal.survivedFailures()
+	if s.DeadLetterQueue == nil {
+		return s.Path + ": nothing is held; journal durable over " + s.WriteAheadLog.survivedFailures()
 	}
 	text := fmt.Sprintf("%s: holds up to %d records and %d bytes for %v in %s; resends use %g of a partner's limit",
-		s.Path,
-		s.Held.MaxRecords, s.Held.MaxBytes, s.Held.MaxAge, s.Held.Folder, s.Resend.Share)
+		s.Path, s.DeadLetterQueue.MaxRecords, s.DeadLetterQueue.MaxBytes, s.DeadLetterQueue.MaxAge, s.DeadLetterQueue.Folder,
+		s.Redelivery.Share)
 	for i, rule := range []starlark.Callable{s.holdRule, s.afterRule} {
 		if rule == nil {
 			text += "; no rule " + []string{"hold", "after"}[i]
@@ -130,11 +130,11 @@
 	if s.Admin != nil {
 		text += "; admin socket " + s.Admin.Socket
 	}
-	return text + "; journal durable over " + s.Journal.survivedFailures()
+	return text + "; journal durable over " + s.WriteAheadLog.survivedFailures()
 }
 
 // survivedFailures describes the failures that an accepted message survives.
-func (j Journal) survivedFailures() string {
+func (j WriteAheadLog) survivedFailures() string {
 	switch j.Durability {
 	case "group":
 		return fmt.Sprintf("kills, and power cuts but for the last %v", j.Wait)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Hold and Decide return the results of the rules, and their defaults with an error if a rule fails or returns a wrong
-// type.
+// ShouldHold and Decide return the results of the rules, and their defaults with an error if a rule fails or returns a
+// wrong type.
 func TestRules(t *testing.T) {
 	const text = heldCall + `
 resend(within = 5 * MINUTE)
@@ -113,7 +113,7 @@
 		{"endless, would not be deferred", Record{Class: "loop"}, Partner{}, true, "too many steps"},
 		{"wrong result type", Record{Class: "odd"}, Partner{}, true, "hold returned int"},
 	} {
-		got, err := s.Hold(c.r, c.p)
+		got, err := s.ShouldHold(c.r, c.p)
 		if got != c.want || (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
 			t.Errorf("hold, %s: %t %v", c.name, got, err)
 		}
@@ -128,7 +128,7 @@
 		{"again", Record{}, Partner{}, Decision{Action: Redeliver, Delay: 2 * time.Second, Within: 5 * time.Minute}, false},
 		{"Retry-After", Record{}, Partner{RetryAfter: time.Minute}, Decision{Action: KeepRecord, ReviewIn: time.Minute},
 			false},
-		{"redelivered often enough", Record{Resends: 3}, Partner{}, Decision{Action: DropRecord}, false},
+		{"redelivered often enough", Record{Redeliveries: 3}, Partner{}, Decision{Action: DropRecord}, false},
 		{"a failed rule keeps the record", Record{Tenant: "bad"}, Partner{}, Decision{}, true},
 	} {
 		if got, err := s.Decide(c.r, c.p); got != c.want || (err != nil) != c.err {
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -153,7 +153,7 @@
 	}
 	sup.process = sd.process
 	observation = sd.observation()
-	observation.FaultEpoch, observation.Fault, observation.Facts.Restarts = sup.faultEpoch, sup.fault, sup.crashes
+	observation.FaultEpoch, observation.Fault, observation.Counters.Restarts = sup.faultEpoch, sup.fault, sup.crashes
 	observation.Serving = observation.Serving && !sup.changing
 	return observation
 }
@@ -164,9 +164,9 @@
 	for name, v := range ag.observations {
 		var num int
 		fmt.Sscanf(name, "n%d", &num)
-		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.cluster.terms.Timing.Fresh*6/10 && ag.canReach(sd) {
+		if sd := s.senders[num]; s.clock().Sub(v.At) > ag.cluster.terms.Timing.MaxObservationAge*6/10 && ag.canReach(sd) {
 			fresh := sd.observation()
-			fresh.Far, fresh.Version, fresh.Facts.Restarts = true, v.Version, v.Facts.Restarts
+			fresh.Remote, fresh.Version, fresh.Counters.Restarts = true, v.Version, v.Counters.Restarts
 			fresh.FaultEpoch, fresh.Fault = v.FaultEpoch, v.Fault
 			ag.observations[name] = fresh
 		}
@@ -184,16 +184,16 @@
 	}
 	now := s.clock()
 	switch ag.state.Duty(g, v, sup.acceptedEpoch, now) {
-	case rollout.Fail:
+	case rollout.FailGrant:
 		sup.fault, sup.faultEpoch = "its agent was started anew in the middle of the change", g.Epoch
 		sd.lease.End(g.Epoch)
-	case rollout.End:
+	case rollout.EndLease:
 		sd.lease.End(g.Epoch)
-	case rollout.Renew:
+	case rollout.RenewLease:
 		if connected && sd.lease.Renew(g.Epoch, now.Add(ag.cluster.terms.Timing.Lease), now) == nil {
 			sd.scheduleExpiry()
 		}
-	case rollout.Take:
+	case rollout.TakeGrant:
 		ag.acceptGrant(sup, sd, g)
 	}
 }
@@ -203,8 +203,8 @@
 func (ag *agent) acceptGrant(sup *supervision, sd *sender, g *rollout.Grant) {
 	s := ag.cluster.sim
 	sup.acceptedEpoch = g.Epoch
-	order := lease.Order{Process: g.Process, Epoch: g.Epoch, By: g.By, Until: g.Until, Drain: g.Drain}
-	if sd.lease.Take(order, sd.process, s.clock()) != nil {
+	order := lease.Order{Process: g.Process, Epoch: g.Epoch, AcceptBy: g.TakeBy, Until: g.Until, Drain: g.Drain}
+	if sd.lease.Accept(order, sd.process, s.clock()) != nil {
 		return
 	}
 	sd.scheduleExpiry()
@@ -235,9 +235,9 @@
 	v := rollout.Observation{
 		Sender: sd.name, At: sd.sim.clock(), Process: sd.process, Version: sd.version, Epoch: sd.lease.Epoch,
 		Ended: sd.lease.Ended, Phase: "serving", Open: c.Open,
-		Facts: rollout.Counters{
+		Counters: rollout.Counters{
 			Accepted: c.Accepted, Rejected: c.Rejected, Delivered: c.Delivered, Deferred: c.Deferred, Failed: c.Undeliverable,
-			Called: c.Called, Late: c.Late, FirstCall: c.FirstCall,
+			Called: c.Attempted, Late: c.Late, FirstCall: c.FirstAttemptWait,
 		},
 	}
 	v.Serving, v.Drained = !sd.lease.Active(), sd.lease.Active() && sd.lease.Drain
--- a/internal/simulation/agents.go
+++ b/internal/simulation/agents.go
@@ -114,7 +114,7 @@
 func (a *agentCluster) checkBudget(sd *sender) {
 	s, t := a.sim, a.terms.Timing
 	s.result.Orders++
-	margin := t.Fresh + t.Accept + 4*t.Error + 2*observeInterval
+	margin := t.MaxObservationAge + t.TakeTimeout + 4*t.MaxClockError + 2*observeInterval
 	outOfService, names := 0, ""
 	for _, other := range s.senders {
 		down := other.dead && s.now-other.endedAt > margin || other.stopped() && s.now-other.stoppedAt > margin
@@ -131,12 +131,12 @@
 // applyAction carries out an action on an agent.
 func (a *agentCluster) applyAction(ag *agent, action scenario.PlannedAgentAction) {
 	s := a.sim
-	switch action.What {
+	switch action.Kind {
 	case "stop":
 		ag.stoppedUntil = max(ag.stoppedUntil, action.Until)
 	case "kill", "wipe":
 		ag.dead = true
-		s.at(action.Until, func() { ag.restart(action.What == "wipe") })
+		s.at(action.Until, func() { ag.restart(action.Kind == "wipe") })
 	}
 }
 
@@ -148,7 +148,7 @@
 	}
 	l.catchUp()
 	for _, p := range l.state.Plans {
-		a.sim.result.Plans = append(a.sim.result.Plans, fmt.Sprintf("%d %s %s %s", p.ID, p.Kind, p.Phase, p.Why))
+		a.sim.result.Plans = append(a.sim.result.Plans, fmt.Sprintf("%d %s %s %s", p.ID, p.Kind, p.Phase, p.PhaseReason))
 	}
 	for _, sd := range a.sim.senders {
 		if sd.lease.Active() {
--- a/internal/simulation/environment_test.go
+++ b/internal/simulation/environment_test.go
@@ -21,13 +21,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := p.Dests[0].Endpoints[0]
+	e := p.Destinations[0].Endpoints[0]
 	initial, _ := env.FullList(0, 0)
-	first, err := env.Apply(time.Second, scenario.Change{Endpoint: e.ID, Dest: 1, Drains: true})
+	first, err := env.Apply(time.Second, scenario.Change{Endpoint: e.ID, Dest: 1, StartsDraining: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, _ := env.Apply(1100*time.Millisecond, scenario.Change{Endpoint: e.ID, Dest: 1, Leaves: true})
+	second, _ := env.Apply(1100*time.Millisecond, scenario.Change{Endpoint: e.ID, Dest: 1, Removed: true})
 	for i := range first {
 		if second[i] < first[i] || first[i] > time.Second+maxListDelay {
 			t.Errorf("sender %d is notified at %v and %v", i, first[i], second[i])
--- a/internal/simulation/orders.go
+++ b/internal/simulation/orders.go
@@ -32,7 +32,7 @@
 		if !a.fillCommand(&c, o) {
 			return
 		}
-		c.Seen = l.state.Seen(l.observations, s.clock())
+		c.ServingSenders = l.state.ServingSenders(l.observations, s.clock())
 		if err := a.propose(c); !errors.Is(err, errNoLeader) {
 			return
 		}
@@ -45,9 +45,9 @@
 // fillCommand fills in a command from an order. It returns false if the order refers to a rollout plan and there is
 // none.
 func (a *agentCluster) fillCommand(c *rollout.Command, o scenario.PlannedOrder) bool {
-	switch o.What {
+	switch o.Kind {
 	case "drain":
-		c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{o.Of}, Hold: o.Hold}
+		c.Verb, c.New = rollout.Start, &rollout.Plan{Kind: rollout.Drain, Stages: [][]string{o.Senders}, Hold: o.Hold}
 	case "release":
 		to := rollout.Version{Name: fmt.Sprint("r", len(a.log)), Program: fmt.Sprint("p", len(a.log))}
 		if o.FailsAtStart {
@@ -55,7 +55,8 @@
 		}
 		c.Verb = rollout.Start
 		c.New = &rollout.Plan{
-			Kind: rollout.Release, To: to, RollBackOnFailure: o.RollBackOnFailure, Stages: [][]string{o.Of}, Gate: releaseGate,
+			Kind: rollout.Release, To: to, RollBackOnFailure: o.RollBackOnFailure, Stages: [][]string{o.Senders},
+			Gate: releaseGate,
 		}
 	default:
 		plans := a.leader.state.Plans
@@ -63,7 +64,7 @@
 			return false
 		}
 		p := plans[len(plans)-1]
-		c.Verb = map[string]rollout.Verb{"halt": rollout.Halt, "resume": rollout.Resume, "back": rollout.RollBack}[o.What]
+		c.Verb = map[string]rollout.Verb{"halt": rollout.Halt, "resume": rollout.Resume, "back": rollout.RollBack}[o.Kind]
 		c.Plan, c.Revision = p.ID, p.Revision
 	}
 	return true
--- a/internal/simulation/sender.go
+++ b/internal/simulation/sender.go
@@ -64,14 +64,14 @@
 	}
 	dir, hasDir := s.walDirs[num]
 	loop, err := state.NewLoop(state.Setup{
-		Settings: settings, Known: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion}, DiskBytes: 3e6,
-		Log: s.log, Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &sd.counters,
+		Settings: settings, InitialList: state.ListUpdate{Kind: control.ListCached, Version: state.NoVersion},
+		MaxDiskBytes: 3e6, Log: s.log, Clock: s.clock, Dir: dir, InMemory: !hasDir, Counters: &sd.counters,
 	})
 	if err != nil {
 		return nil, err
 	}
 	loop.Connect(sd, sd, sd)
-	loop.ConnectPeers(gossipSender{sd})
+	loop.ConnectGossip(gossipSender{sd})
 	sd.loop = loop
 	s.at(s.now, func() { sd.step() })
 	return sd, nil
@@ -141,7 +141,7 @@
 	s := sd.sim
 	if !sd.stopped() {
 		sd.stoppedAt = s.now
-		s.record(audit.Event{Kind: audit.Died, Sender: sd.num}) // no rule requires anything of it until it resumes
+		s.record(audit.Event{Kind: audit.ProcessEnded, Sender: sd.num}) // no rule requires anything of it until it resumes
 	}
 	sd.stoppedUntil = max(sd.stoppedUntil, until)
 	s.at(sd.stoppedUntil, sd.resume)
--- a/internal/soak/draw.go
+++ b/internal/soak/draw.go
@@ -176,10 +176,11 @@
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	for range 1 + d.IntN(4) {
 		at := d.begin()
-		f := harness.AnswerFault{From: seconds(at), To: seconds(at + d.between(0.5, 5)), Share: d.between(0.3, 1)}
-		f.How = harness.AnswerFailures[d.IntN(len(harness.AnswerFailures))]
+		f := harness.AnswerFault{From: seconds(at), To: seconds(at + d.between(0.5, 5)), Fraction: d.between(0.3, 1)}
+		f.Failure = harness.AnswerFailures[d.IntN(len(harness.AnswerFailures))]
 		c.Faults.Answers = append(c.Faults.Answers, f)
-		c.addNote("answers of discovery, %.1f to %.1f s: %.2f of them %s", f.From.Seconds(), f.To.Seconds(), f.Share, f.How)
+		c.addNote("answers of discovery, %.1f to %.1f s: %.2f of them %s", f.From.Seconds(), f.To.Seconds(), f.Fraction,
+			f.Failure)
 	}
 	c.Faults.WatchTail = true
 	c.Faults.KeepConnections = d.IntN(4) > 0
@@ -231,7 +232,7 @@
 		c.SystemCalls[i] = injection
 		c.addNote("n%d: %s", i, injection)
 	}
-	c.Faults.Wrap = func(sender int, program string) []string {
+	c.Faults.WrapCommand = func(sender int, program string) []string {
 		injection, fails := c.SystemCalls[sender]
 		if !fails {
 			return []string{program}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -78,12 +78,12 @@
 func TestGoldenJournal(t *testing.T) {
 	dir := golden.Folder(t, "journal")
 	golden.Bytes(t, "journal-pending.txt", goldenPending(t, dir), false)
-	j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, &classRegistry{})
+	j, table, err := openLog(Setup{Dir: dir, MaxDiskBytes: 1e6, Log: discardLog}, &classRegistry{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.Close()
-	golden.Bytes(t, "journal-table.txt", []byte(goldenTable(table, j.Times())), false)
+	golden.Bytes(t, "journal-table.txt", []byte(goldenTable(table, j.TimeBase())), false)
 	if ids := endpointgroup.OpenDepartures(dir, discardLog).IDs(); len(ids) != 2 || ids[0] != "s7" || ids[1] != "s9" {
 		t.Errorf("departures: %q", ids)
 	}
@@ -93,12 +93,12 @@
 func TestGoldenOldJournal(t *testing.T) {
 	dir := golden.Folder(t, "old-journal")
 	golden.Bytes(t, "old-journal-pending.txt", goldenPending(t, dir), false)
-	j, table, err := openLog(Setup{Dir: dir, DiskBytes: 1e6, Log: discardLog}, &classRegistry{})
+	j, table, err := openLog(Setup{Dir: dir, MaxDiskBytes: 1e6, Log: discardLog}, &classRegistry{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.Close()
-	golden.Bytes(t, "old-journal-table.txt", []byte(goldenTable(table, j.Times())), false)
+	golden.Bytes(t, "old-journal-table.txt", []byte(goldenTable(table, j.TimeBase())), false)
 	if _, err := os.Stat(filepath.Join(dir, "journal")); err == nil {
 		t.Error("the single journal file still exists")
 	}
--- a/internal/state/handover.go
+++ b/internal/state/handover.go
@@ -62,15 +62,15 @@
 
 func (PredecessorLost) apply(l *Loop) { l.predecessorLost() }
 
-// HandOver is the request to transfer the loop's state to a successor. The state is sent on Done after the log is
+// Handover is the request to transfer the loop's state to a successor. The state is sent on Done after the log is
 // closed. From then on the loop only forwards results to the successor.
-type HandOver struct {
+type Handover struct {
 	Successor Successor
-	Done      chan<- HandOverResult // has room for one result, so that sending does not block
+	Done      chan<- HandoverResult // has room for one result, so that sending does not block
 }
 
 // apply stops and halts the loop. The hand-over itself is done at the end of the iteration.
-func (h HandOver) apply(l *Loop) {
+func (h Handover) apply(l *Loop) {
 	l.requestedHandover = &h
 	l.stopped, l.halted = true, true
 	for _, c := range l.readyCalls { // calls that waited for another call to end and never left
@@ -82,8 +82,8 @@
 	l.withholdAll()
 }
 
-// HandOverResult is the result of HandOver. Err is ErrHandedOver, ErrLogIncomplete or an error of closing the log.
-type HandOverResult struct {
+// HandoverResult is the result of Handover. Err is ErrHandedOver, ErrLogIncomplete or an error of closing the log.
+type HandoverResult struct {
 	State HandoverState
 	Err   error
 }
@@ -113,7 +113,7 @@
 		err = errors.Join(ErrLogIncomplete, err)
 	}
 	l.successor = h.Successor
-	h.Done <- HandOverResult{state, err}
+	h.Done <- HandoverResult{state, err}
 	if l.nothingInFlight() {
 		l.successor.RemoteResult(RemoteResult{}, true)
 	}
@@ -122,7 +122,7 @@
 // handoverState returns the state for the successor.
 func (l *Loop) handoverState() HandoverState {
 	s := HandoverState{
-		At: l.now, Stamp: l.wal.Times().Stamp(l.now), Version: l.group.Version(), Routes: map[string]control.RouteState{},
+		At: l.now, Stamp: l.wal.TimeBase().Stamp(l.now), Version: l.group.Version(), Routes: map[string]control.RouteState{},
 	}
 	if !l.certainty.since.IsZero() {
 		s.UncertainFor = max(1, l.now.Sub(l.certainty.since))
@@ -173,8 +173,8 @@
 		e.Response <- Response{RetryAfter: l.clientRetryAfter(stoppingRetryAfter)}
 	case UpdateSettings:
 		e.Done <- SettingsResult{Err: ErrHandedOver}
-	case HandOver:
-		e.Done <- HandOverResult{Err: ErrHandedOver}
+	case Handover:
+		e.Done <- HandoverResult{Err: ErrHandedOver}
 	case inspect:
 		e()
 	}
@@ -204,7 +204,7 @@
 	if s.Stamp == 0 {
 		return s.At
 	}
-	return l.wal.Times().Time(s.Stamp)
+	return l.wal.TimeBase().Time(s.Stamp)
 }
 
 // restoreHandover restores the state of the predecessor, before the loop's first iteration.
--- a/internal/state/loop.go
+++ b/internal/state/loop.go
@@ -25,13 +25,13 @@
 
 // Setup is the configuration of a new loop.
 type Setup struct {
-	Settings    control.Settings
-	Classes     []string   // names of the classes in Settings, by class number
-	Known       ListUpdate // the endpoint list to start with; ignored if Handover is set
-	Dir         string     // the state folder
-	DiskBytes   int64      // the maximum size of all files in Dir
-	Log         *slog.Logger
-	DeadLetters DeadLetterQueue // nil: undeliverable messages are not kept
+	Settings     control.Settings
+	Classes      []string   // names of the classes in Settings, by class number
+	InitialList  ListUpdate // the endpoint list to start with; ignored if Handover is set
+	Dir          string     // the state folder
+	MaxDiskBytes int64      // the maximum size of all files in Dir
+	Log          *slog.Logger
+	DeadLetters  DeadLetterQueue // nil: undeliverable messages are not kept
 
 	Handover *HandoverState // state of a predecessor that still runs; nil: there is none
 
@@ -87,7 +87,7 @@
 	callsInFlight   int           // calls that the transport has
 	walRetryPending bool          // an iteration that retries writing the log is scheduled
 
-	requestedHandover *HandOver      // the hand-over that was requested, until it is complete
+	requestedHandover *Handover      // the hand-over that was requested, until it is complete
 	successor         Successor      // set once the state has been handed over
 	remote            remoteAttempts // attempts in flight at the predecessor
 
@@ -139,9 +139,9 @@
 	if s.Handover != nil {
 		l.restoreHandover(s.Handover)
 	} else {
-		s.Known.Targets = slices.Clone(s.Known.Targets)
-		l.departures.Apply(s.Known.Targets)
-		l.backlog = append(l.backlog, s.Known)
+		s.InitialList.Targets = slices.Clone(s.InitialList.Targets)
+		l.departures.Apply(s.InitialList.Targets)
+		l.backlog = append(l.backlog, s.InitialList)
 	}
 	return l, nil
 }
@@ -150,10 +150,10 @@
 func openLog(s Setup, registry *classRegistry) (*wal.Log, *table, error) {
 	t := newTable(registry)
 	if s.InMemory {
-		return wal.InMemory(s.DiskBytes), t, nil
+		return wal.InMemory(s.MaxDiskBytes), t, nil
 	}
 	log, recovered, err := wal.Open(wal.Options{
-		Dir: s.Dir, Limit: s.DiskBytes, Reserved: 2 * endpointgroup.MaxDeparturesBytes, Durability: s.Durability,
+		Dir: s.Dir, Limit: s.MaxDiskBytes, Reserved: 2 * endpointgroup.MaxDeparturesBytes, Durability: s.Durability,
 		GroupWait: s.GroupWait, Virtual: s.Clock != nil, Log: s.Log,
 	})
 	if err != nil {
@@ -168,9 +168,9 @@
 	l.transport, l.discovery, l.reporter = t, d, r
 }
 
-// ConnectPeers sets the sender of gossip to the other senders of the fleet. It must be called before Run. Without it no
-// gossip is sent.
-func (l *Loop) ConnectPeers(g GossipSender) { l.gossipSender = g }
+// ConnectGossip sets the sender of gossip to the other senders of the fleet. It must be called before Run. Without it
+// no gossip is sent.
+func (l *Loop) ConnectGossip(g GossipSender) { l.gossipSender = g }
 
 // Post posts an event to the loop. It blocks while the queue is full, which delays only the caller's goroutine. After
 // the end of Run the event is dropped.
--- a/internal/state/pending.go
+++ b/internal/state/pending.go
@@ -7,11 +7,11 @@
 	"cleathold/internal/wal"
 )
 
-// FormWritten is the format of the journal that this program writes to the state folder (wal.FormWritten).
-const FormWritten = wal.FormWritten
+// FormatVersion is the format of the journal that this program writes to the state folder (wal.FormatVersion).
+const FormatVersion = wal.FormatVersion
 
-// FormsRead are the journal formats that this program can read (wal.FormsRead).
-var FormsRead = wal.FormsRead
+// SupportedFormatVersions are the journal formats that this program can read (wal.SupportedFormatVersions).
+var SupportedFormatVersions = wal.SupportedFormatVersions
 
 // Pending is one message for which a state folder still owes something.
 type Pending struct {
@@ -32,7 +32,7 @@
 	}
 	var list []Pending
 	for _, x := range entries {
-		p := Pending{x.ID, x.Destination, x.Deadline, x.Attempts, len(x.MayHaveRun) > 0, "delivery"}
+		p := Pending{x.ID, x.Destination, x.Deadline, x.Attempts, len(x.UncertainAttempts) > 0, "delivery"}
 		if x.Outcome != nil {
 			r := reportOf(x)
 			p.Owed = r.outcome()
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -44,7 +44,7 @@
 }
 
 // restore adds the messages recovered from the log.
-func (t *table) restore(recovered wal.Recovered) {
+func (t *table) restore(recovered wal.RestoredState) {
 	for _, x := range recovered.Entries {
 		if x.RecordedClass != nil {
 			x.Class = t.classes.numberOf(*x.RecordedClass)
@@ -55,7 +55,7 @@
 		}
 		e := &entry{
 			Message: m, num: x.Number, responded: true, deadLetterSeq: x.DeadLetterSeq, classRecord: t.classes.record(m.Class),
-			attempts: x.Attempts, mayHaveRun: x.MayHaveRun,
+			attempts: x.Attempts, mayHaveRun: x.UncertainAttempts,
 		}
 		t.add(e)
 		if x.Outcome != nil {
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -27,12 +27,12 @@
 
 // Entity is the index entry of a live entity.
 type Entity struct {
-	ID       uint64
-	Time     int64
-	Dest     int64
-	Key      string
-	Records  int
-	Doubtful bool // a record of it may be lost in a damaged part of the log
+	ID             uint64
+	Time           int64
+	Dest           int64
+	Key            string
+	Records        int
+	MayLackRecords bool // a record of it may be lost in a damaged part of the log
 }
 
 // indexKey is the key of an entity in the ordered indexes.
@@ -63,11 +63,11 @@
 		return
 	}
 	if e == nil {
-		e = &entity{id: r.Entity, time: r.Time, dest: r.Dest, key: r.Key}
+		e = &entity{id: r.Entity, time: r.Time, dest: r.Destination, key: r.Key}
 		s.entities[e.id] = e
 		s.updateIndexes(e, true)
 	}
-	if r.Kind == Base {
+	if r.Kind == Replace {
 		s.dropRecords(e)
 	}
 	size := r.size()
@@ -122,14 +122,14 @@
 	return e.snapshot(), true
 }
 
-// ByKey calls do for each live entity with a key, until do returns false. As for ByDest and ByTime, do must not call
-// the store, whose lock is held.
+// ByKey calls do for each live entity with a key, until do returns false. As for ByDestination and ByTime, do must not
+// call the store, whose lock is held.
 func (s *Store) ByKey(key string, do func(Entity) bool) {
 	s.ascend(s.byKey, indexKey{key: key}, do, func(x indexKey) bool { return x.key == key })
 }
 
-// ByDest calls do for each live entity of a destination in ascending order of ID, until do returns false.
-func (s *Store) ByDest(dest int64, do func(Entity) bool) {
+// ByDestination calls do for each live entity of a destination in ascending order of ID, until do returns false.
+func (s *Store) ByDestination(dest int64, do func(Entity) bool) {
 	s.ascend(s.byDest, indexKey{dest: dest}, do, func(x indexKey) bool { return x.dest == dest })
 }
 
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMemoryFS()
 		open := func() *Store {
-			s, err := Open(Options{FS: m, Budget: 48 << 10, Segment: 3 << 10, Durability: Each})
+			s, err := Open(Options{FS: m, Budget: 48 << 10, Segment: 3 << 10, Durability: EachAppend})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -38,7 +38,7 @@
 			switch r.Kind {
 			case End:
 				delete(live, r.Entity)
-			case Base:
+			case Replace:
 				live[r.Entity] = []string{string(r.Data)}
 			default:
 				live[r.Entity] = append(live[r.Entity], string(r.Data))
@@ -48,8 +48,8 @@
 		anyLive := func() uint64 { return rapid.SampledFrom(ids()).Draw(t, "entity") }
 		reopen := func() {
 			s = open()
-			if next <= s.Highest() && s.Highest() > 0 {
-				next = s.Highest() + 1
+			if next <= s.HighestEntityID() && s.HighestEntityID() > 0 {
+				next = s.HighestEntityID() + 1
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -67,7 +67,7 @@
 				id := anyLive()
 				kind := Put
 				if len(live[id]) > 3 || rapid.Bool().Draw(t, "base") {
-					kind = Base
+					kind = Replace
 				}
 				appendRecord(Record{Entity: id, Kind: kind, Data: data()})
 			},
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -54,7 +54,7 @@
 	if o.Budget > 0 && o.Budget < (reservedSegments+2)*o.Segment {
 		return nil, fmt.Errorf("store: budget of %d bytes is too small for segments of %d bytes", o.Budget, o.Segment)
 	}
-	if o.Durability == Group && o.GroupWait <= 0 {
+	if o.Durability == GroupSync && o.GroupWait <= 0 {
 		return nil, errors.New("store: group durability requires a positive GroupWait")
 	}
 	lock, err := o.FS.Lock()
@@ -327,7 +327,7 @@
 			switch r.Kind {
 			case End:
 				ended[r.Entity] = true
-			case Base:
+			case Replace:
 				bases[r.Entity] = max(bases[r.Entity], r.LSN)
 			}
 		}
@@ -335,7 +335,7 @@
 	all := make([]locatedRecord, 0, total)
 	for i := range list {
 		for _, r := range list[i].records {
-			if (r.Kind == Put || r.Kind == Base) && !ended[r.Entity] && r.LSN >= bases[r.Entity] {
+			if (r.Kind == Put || r.Kind == Replace) && !ended[r.Entity] && r.LSN >= bases[r.Entity] {
 				all = append(all, r)
 			}
 		}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -40,7 +40,7 @@
 // and no record may be lost, also after the store is opened again.
 func TestCompaction(t *testing.T) {
 	m := newMemoryFS()
-	s := openStore(t, m, Process)
+	s := openStore(t, m, ProcessExit)
 	l := newWorkload(1)
 	for i := range 20_000 {
 		if err := l.step(s); err != nil {
@@ -58,7 +58,7 @@
 	}
 	t.Logf("%+v, write amplification %.2f", stats, 1+float64(stats.Copied)/float64(stats.Appended))
 	s.Close()
-	reopened := openStore(t, m, Process)
+	reopened := openStore(t, m, ProcessExit)
 	l.checkContent(t, reopened, "after reopening", 0)
 	if len(reopened.Damages()) > 0 {
 		t.Errorf("damage: %+v", reopened.Damages())
@@ -66,7 +66,7 @@
 	keys := 0
 	reopened.ByKey("k7", func(e Entity) bool { keys++; return e.Key == "k7" })
 	dests := 0
-	reopened.ByDest(3, func(e Entity) bool { dests++; return e.Dest == 3 })
+	reopened.ByDestination(3, func(e Entity) bool { dests++; return e.Dest == 3 })
 	times := int64(0)
 	reopened.ByTime(0, func(e Entity) bool {
 		if e.Time < times {
@@ -94,7 +94,7 @@
 func TestCrashAtRandomWrite(t *testing.T) {
 	for seed := range uint64(400) {
 		m := newMemoryFS()
-		s := openStore(t, m, Process)
+		s := openStore(t, m, ProcessExit)
 		l := newWorkload(seed)
 		for range 300 { // until compaction runs
 			if err := l.step(s); err != nil {
@@ -112,7 +112,7 @@
 			}
 			m.crashAfter = -1
 			uncertain := l.lastEntity
-			s = openStore(t, m, Process)
+			s = openStore(t, m, ProcessExit)
 			l.checkContent(t, s, fmt.Sprintf("seed %d, round %d", seed, round), uncertain)
 			for _, d := range s.Damages() {
 				if !d.Tail {
@@ -130,11 +130,11 @@
 	}
 }
 
-// After a power failure all acknowledged records must be present with durability Each, and all records up to the latest
-// sync with Group. With Process no record is guaranteed, but the log must be readable.
+// After a power failure all acknowledged records must be present with durability EachAppend, and all records up to the
+// latest sync with GroupSync. With ProcessExit no record is guaranteed, but the log must be readable.
 func TestPowerCut(t *testing.T) {
 	for seed := range uint64(100) {
-		for _, d := range []Durability{Each, Group, Process} {
+		for _, d := range []Durability{EachAppend, GroupSync, ProcessExit} {
 			m := newMemoryFS()
 			s := openStore(t, m, d)
 			l := newWorkload(seed)
@@ -143,21 +143,21 @@
 					t.Fatal(err)
 				}
 			}
-			if d == Group {
+			if d == GroupSync {
 				if err := s.Sync(); err != nil {
 					t.Fatal(err)
 				}
 				s.timer.Stop()
 			}
-			m.crashAfter = 3000 // with Each, append until a simulated crash
+			m.crashAfter = 3000 // with EachAppend, append until a simulated crash
 			var err error
-			for err == nil && d == Each {
+			for err == nil && d == EachAppend {
 				err = l.step(s)
 			}
 			uncertain := l.lastEntity
 			m.cutPower(rand.New(rand.NewPCG(seed, 2)))
 			s = openStore(t, m, d)
-			if d != Process {
+			if d != ProcessExit {
 				l.checkContent(t, s, fmt.Sprintf("seed %d, durability %d", seed, d), uncertain)
 			}
 			if t.Failed() {
@@ -172,7 +172,7 @@
 // lost. After a failed sync the store must reject all appends.
 func TestFaults(t *testing.T) {
 	m := newMemoryFS()
-	s := openStore(t, m, Process)
+	s := openStore(t, m, ProcessExit)
 	l := newWorkload(3)
 	for range 200 {
 		if err := l.step(s); err != nil {
@@ -201,7 +201,7 @@
 		}
 	}
 	s.Close()
-	s = openStore(t, m, Each)
+	s = openStore(t, m, EachAppend)
 	l.checkContent(t, s, "after reopening", 0)
 	if len(s.Damages()) > 0 {
 		t.Errorf("%+v", s.Damages())
@@ -220,7 +220,7 @@
 // space.
 func TestBudgetExhausted(t *testing.T) {
 	m := newMemoryFS()
-	s := openStore(t, m, Process)
+	s := openStore(t, m, ProcessExit)
 	id := uint64(0)
 	for s.CanAdmit(1000) {
 		id++
@@ -272,10 +272,11 @@
 	s.Close()
 }
 
-// With durability Group one sync covers many appends.
+// With durability GroupSync one sync covers many appends.
 func TestGroupDurability(t *testing.T) {
 	m := newMemoryFS()
-	s, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10, Durability: Group, GroupWait: time.Millisecond})
+	s, err := Open(Options{FS: m, Budget: testBudget, Segment: 16 << 10, Durability: GroupSync,
+		GroupWait: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,7 +297,7 @@
 }
 
 // A crash at any modifying file system call, also while starting a segment or compacting, must not lose acknowledged
-// records. It is a kill with durability Process and a power failure, which loses unsynced data, with Each.
+// records. It is a kill with durability ProcessExit and a power failure, which loses unsynced data, with EachAppend.
 func TestCrashAtEveryCall(t *testing.T) {
 	run := func(m *memoryFS, d Durability, l *workload) error {
 		s, err := Open(Options{FS: m, Budget: 80 << 10, Segment: 5 << 10, Durability: d, GroupWait: time.Hour})
@@ -305,7 +306,7 @@
 		}
 		return err
 	}
-	for _, d := range []Durability{Process, Each} {
+	for _, d := range []Durability{ProcessExit, EachAppend} {
 		reference := newMemoryFS()
 		if err := run(reference, d, newWorkload(4)); err != nil {
 			t.Fatal(err)
@@ -317,7 +318,7 @@
 				t.Fatalf("call %d of %d: %v", n, reference.calls, err)
 			}
 			m.crashAtCall = 0
-			if d == Each {
+			if d == EachAppend {
 				m.cutPower(rand.New(rand.NewPCG(uint64(n), 3)))
 			}
 			s, err := Open(Options{FS: m, Budget: 80 << 10, Segment: 5 << 10, Durability: d})
--- a/internal/store/tools.go
+++ b/internal/store/tools.go
@@ -108,7 +108,7 @@
 	s.Entities(func(e Entity) bool {
 		list, err := s.Load(e.ID)
 		for _, r := range list {
-			l := dumpLine{Entity: r.Entity, LSN: r.LSN, Time: r.Time, Dest: r.Dest, Key: r.Key}
+			l := dumpLine{Entity: r.Entity, LSN: r.LSN, Time: r.Time, Dest: r.Destination, Key: r.Key}
 			if utf8.Valid(r.Data) {
 				l.Text = string(r.Data)
 			} else {
@@ -226,7 +226,7 @@
 	for _, x := range order {
 		e, _ := s.Get(x.id)
 		list, err := s.Load(x.id)
-		if err != nil || intactOnly && e.Doubtful {
+		if err != nil || intactOnly && e.MayLackRecords {
 			skipped++
 			continue
 		}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -29,12 +29,12 @@
 	recordAllowance = 768
 )
 
-// FormWritten is the version of the log format that this program writes; releases are checked for compatibility by
+// FormatVersion is the version of the log format that this program writes; releases are checked for compatibility by
 // it. Version 1 is a single file, version 2 is a store.
-const FormWritten = 2
+const FormatVersion = 2
 
-// FormsRead lists the versions of the log format that this program can read.
-var FormsRead = []int{1, 2}
+// SupportedFormatVersions lists the versions of the log format that this program can read.
+var SupportedFormatVersions = []int{1, 2}
 
 // Log appends records to a store and keeps the state folder within a size limit. It is not safe for concurrent use.
 type Log struct {
@@ -52,14 +52,14 @@
 	Limit      int64 // maximum size of the state folder in bytes
 	Reserved   int64 // bytes of Limit that are reserved for other files in the folder
 	Durability store.Durability
-	GroupWait  time.Duration // maximum delay of a sync; used with store.Group only
+	GroupWait  time.Duration // maximum delay of a sync; used with store.GroupSync only
 	Virtual    bool          // times are simulated; no time base is kept in the folder
 	Log        *slog.Logger
 	FS         store.FS // file system of the store; nil for the folder Dir
 }
 
-// Recovered is the state that Open restores from the log.
-type Recovered struct {
+// RestoredState is the state that Open restores from the log.
+type RestoredState struct {
 	Entries    []*Entry          // messages that still need processing, in ascending order of number
 	NextNumber control.MessageID // lowest number that may be assigned to the next message
 }
@@ -67,13 +67,13 @@
 // Open opens the log in a folder and returns it with the state that its records restore. It imports a single-file log
 // of an older program. It returns an error if the folder or the store can't be used, also if another process has the
 // store open.
-func Open(o Options) (*Log, Recovered, error) {
+func Open(o Options) (*Log, RestoredState, error) {
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
-		return nil, Recovered{}, fmt.Errorf("write-ahead log: %w", err)
+		return nil, RestoredState{}, fmt.Errorf("write-ahead log: %w", err)
 	}
 	l := &Log{limit: o.Limit - o.Reserved - reservedBytes}
 	if err := importSingleFile(o.Dir, l.limit, o.Log); err != nil {
-		return nil, Recovered{}, err
+		return nil, RestoredState{}, err
 	}
 	if o.FS == nil {
 		o.FS = store.Dir(o.Dir)
@@ -82,7 +82,7 @@
 		FS: o.FS, Budget: l.limit, Durability: o.Durability, GroupWait: o.GroupWait, Log: o.Log,
 	})
 	if err != nil {
-		return nil, Recovered{}, fmt.Errorf("write-ahead log: %w", err)
+		return nil, RestoredState{}, fmt.Errorf("write-ahead log: %w", err)
 	}
 	l.store = s
 	if !o.Virtual {
@@ -91,9 +91,9 @@
 	entries, err := replayStore(s, l.timeBase, o.Log)
 	if err != nil {
 		s.Close()
-		return nil, Recovered{}, err
+		return nil, RestoredState{}, err
 	}
-	return l, Recovered{entries, control.MessageID(s.Highest() + 1)}, nil
+	return l, RestoredState{entries, control.MessageID(s.HighestEntityID() + 1)}, nil
 }
 
 // InMemory returns a log that writes nothing to disk. HasCapacity applies the limit in bytes all the same.
@@ -136,7 +136,7 @@
 				log.Warn("skipping malformed write-ahead log record", "message", e.ID, "lsn", record.LSN)
 			}
 		}
-		if entry := r.entries[control.MessageID(e.ID)]; entry != nil && e.Doubtful {
+		if entry := r.entries[control.MessageID(e.ID)]; entry != nil && e.MayLackRecords {
 			entry.assumeUnknownAttempt()
 			damaged++
 		}
@@ -165,14 +165,14 @@
 // were added.
 func (l *Log) Incomplete() bool { return l.incomplete }
 
-// Times returns the time base of the log, or nil if its timestamps follow the wall clock.
-func (l *Log) Times() *TimeBase { return l.timeBase }
+// TimeBase returns the time base of the log, or nil if its timestamps follow the wall clock.
+func (l *Log) TimeBase() *TimeBase { return l.timeBase }
 
 // AddAccepted adds the record of an accepted message.
 func (l *Log) AddAccepted(a *Accepted) {
 	l.pending = append(l.pending, store.Record{
 		Entity: uint64(a.Number), Data: EncodeAccepted(l.timeBase, a), Time: l.timeBase.Stamp(a.Deadline),
-		Dest: int64(a.Destination), Key: a.ID,
+		Destination: int64(a.Destination), Key: a.ID,
 	})
 }
 
@@ -212,7 +212,7 @@
 func (l *Log) Replace(e *Entry) {
 	first := len(l.pending)
 	l.AddEntry(e)
-	l.pending[first].Kind = store.Base
+	l.pending[first].Kind = store.Replace
 }
 
 // Forget drops the records of a message that were added but not written yet, and ends the entity of those that may
