--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -102,7 +102,7 @@
 // Disconnect closes the idle connections to an endpoint.
 func (r *Reply) Disconnect(who uint16, endpoint uint32) { r.recordID(actDisconnect, who, endpoint) }
 
-// WatchEndpoints subscribes to the endpoint list, or ends the subscription.
+// Watch subscribes to the endpoint list, or ends the subscription.
 func (r *Reply) Watch(who uint16, enable bool) {
 	r.record(actWatch, who)
 	var on byte
